--- a/benches/benches/items.rs
+++ b/benches/benches/items.rs
@@ -3,9 +3,9 @@
 use bytes::BytesMut;
 use criterion::{BatchSize, Criterion, Throughput};
 use maplefall_benches::made::{self, Size};
-use maplefall_directory::Directory;
-use maplefall_numbering::{read_call, Board, Change, Plan};
-use maplefall_signalling::{read, write, Alive, Frame, Plans, Seen, Words};
+use maplefall_service_registry::Directory;
+use maplefall_gateway_config::{read_call, Board, Change, Plan};
+use maplefall_control_messages::{read, write, Alive, Frame, Plans, Seen, Words};
 use std::hint::black_box;
 use std::time::Duration;
 
--- a/benches/examples/hollow.rs
+++ b/benches/examples/hollow.rs
@@ -8,9 +8,9 @@
 use maplefall_benches::group::{Done, Flow, Group};
 use maplefall_benches::made::{self, Size};
 use maplefall_benches::measure::{cpu, status};
-use maplefall_directory::Word;
-use maplefall_signalling::{read, Frame, Words};
-use maplefall_switchboard::{Core as Door, Output as DoorOutput};
+use maplefall_service_registry::Word;
+use maplefall_control_messages::{read, Frame, Words};
+use maplefall_proxy::{Core as Door, Output as DoorOutput};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
--- a/benches/examples/slopes.rs
+++ b/benches/examples/slopes.rs
@@ -8,15 +8,15 @@
 use maplefall_benches::group::Group;
 use maplefall_benches::made::{self, Size};
 use maplefall_benches::measure::{each, status, took};
-use maplefall_directory::Directory;
-use maplefall_exchange::disk::Folder;
-use maplefall_exchange::store::{Error, Store, Stored};
-use maplefall_numbering::{read_call, Board, Change, Plan};
+use maplefall_service_registry::Directory;
+use maplefall_controller::disk::Folder;
+use maplefall_controller::store::{Error, Store, Stored};
+use maplefall_gateway_config::{read_call, Board, Change, Plan};
 use maplefall_policy::Outcome;
-use maplefall_signalling::{read, write, Frame, Hello, Plans, Words, VERSION};
-use maplefall_switchboard::{Arrival, Core as Door, Ended, Output as DoorOutput};
-use maplefall_tandem::{Entry, EntryKind, Record};
-use maplefall_toll::{Caller, Demand, Lender, Lent, Loan, Purse, Report, WHOLE};
+use maplefall_control_messages::{read, write, Frame, Hello, Plans, Words, VERSION};
+use maplefall_proxy::{Arrival, Core as Door, Ended, Output as DoorOutput};
+use maplefall_raft::{Entry, EntryKind, Record};
+use maplefall_quota_lease::{Caller, Demand, Lender, Lent, Loan, Purse, Report, WHOLE};
 use prost::Message;
 use socket2::{Domain, Socket, Type};
 use std::hint::black_box;
@@ -98,7 +98,7 @@
     /// A real exchange over loopback: what a beat and a word to a door cost with sockets. The program is named.
     Sockets {
         /// The program.
-        #[arg(long, default_value = "target/release/exchange")]
+        #[arg(long, default_value = "target/release/maplefall-controller")]
         exchange: PathBuf,
         /// Doors.
         #[arg(long, value_delimiter = ',', default_value = "10,200,1000")]
@@ -447,7 +447,7 @@
         let mut index = 9;
         let one_change = each(0.3, || {
             index += 1;
-            let change = maplefall_signalling::Numbered { index, change: Some(one.clone()) };
+            let change = maplefall_control_messages::Numbered { index, change: Some(one.clone()) };
             let plans = Plans { after: index - 1, index, changes: vec![change], ..Plans::default() };
             door.heard(now, "10.0.0.1", Frame::Plans(plans), &mut Vec::new());
         });
--- a/benches/src/group.rs
+++ b/benches/src/group.rs
@@ -4,10 +4,10 @@
 use crate::made;
 use crate::measure::cpu;
 use bytes::{Bytes, BytesMut};
-use maplefall_exchange::store::Kept;
-use maplefall_exchange::{Answer, Call, Core, Output};
-use maplefall_signalling::{read, Frame, Hello, VERSION};
-use maplefall_toll::{Demand, Purse, Report};
+use maplefall_controller::store::Kept;
+use maplefall_controller::{Answer, Call, Core, Output};
+use maplefall_control_messages::{read, Frame, Hello, VERSION};
+use maplefall_quota_lease::{Demand, Purse, Report};
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/benches/src/made.rs
+++ b/benches/src/made.rs
@@ -1,9 +1,9 @@
 //! What is made up. Names and fields have the length and number that the platform's own examples have.
 
 use bytes::Bytes;
-use maplefall_directory::Word;
-use maplefall_mainframe::Settings;
-use maplefall_numbering::{read_call, Item};
+use maplefall_service_registry::Word;
+use maplefall_node_settings::Settings;
+use maplefall_gateway_config::{read_call, Item};
 use std::fmt::Write;
 use std::ops::Range;
 use std::path::Path;
--- a/crates/choice/tests/plain.rs
+++ b/crates/backend-index/tests/plain.rs
@@ -1,6 +1,6 @@
 //! The index against a plain table that is walked for each question, over random histories.
 
-use maplefall_choice::{Index, Is, Standing};
+use maplefall_backend_index::{Index, Is, Standing};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/back-off/tests/fleet.rs
+++ b/crates/backoff/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Pauses put in terms of a fleet: doors that fail together do not come together again.
 
-use maplefall_back_off::{BackOff, FLEET_CALLS_A_SECOND, LONGEST};
+use maplefall_backoff::{BackOff, FLEET_CALLS_A_SECOND, LONGEST};
 use maplefall_policy::Millis;
 
 /// A service that all doors ask at once: it takes a call each `each` milliseconds, and turns one away whose turn would
--- a/crates/signalling/src/lib.rs
+++ b/crates/control-messages/src/lib.rs
@@ -2,9 +2,9 @@
 //! prost writes it. The first frame on a connection is a [`Hello`]; one that is none ends it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use maplefall_directory::Word;
-use maplefall_numbering::{Change, Item};
-use maplefall_toll::{Lent, Report};
+use maplefall_service_registry::Word;
+use maplefall_gateway_config::{Change, Item};
+use maplefall_quota_lease::{Lent, Report};
 use prost::Message;
 use std::fmt;
 
@@ -116,7 +116,7 @@
     Hello(Hello),
     /// Between exchanges: agreement.
     #[prost(message, tag = "2")]
-    Tandem(maplefall_tandem::Message),
+    Tandem(maplefall_raft::Message),
     /// Words about backends.
     #[prost(message, tag = "3")]
     Words(Words),
--- a/crates/signalling/tests/frames.rs
+++ b/crates/control-messages/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Frames, however they come, and what is none.
 
 use bytes::{Bytes, BytesMut};
-use maplefall_signalling::{read, write, Broken, Frame, Hello, LONGEST, VERSION};
+use maplefall_control_messages::{read, write, Broken, Frame, Hello, LONGEST, VERSION};
 use quickcheck::{Gen, QuickCheck};
 
 fn hello() -> Frame {
--- a/crates/cord/src/lib.rs
+++ b/crates/control-transport/src/lib.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use liveness::{Came, Dead, Liveness, Millis, Side, DEAD};
-use maplefall_signalling::{read, write, Broken, Frame, Hello, Part, LONGEST};
+use maplefall_control_messages::{read, write, Broken, Frame, Hello, Part, LONGEST};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::fmt;
--- a/crates/cord/tests/played.rs
+++ b/crates/control-transport/tests/played.rs
@@ -3,8 +3,8 @@
 //! the bound that their link is dead, a link that carries is never taken for dead, and nothing old is taken. Seeds are printed; the
 //! same seed plays the same.
 
-use maplefall_cord::fence::{Fence, Verdict};
-use maplefall_cord::liveness::{Came, Liveness, Side, DEAD, PING};
+use maplefall_control_transport::fence::{Fence, Verdict};
+use maplefall_control_transport::liveness::{Came, Liveness, Side, DEAD, PING};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::VecDeque;
--- a/crates/cord/tests/sockets.rs
+++ b/crates/control-transport/tests/sockets.rs
@@ -2,9 +2,9 @@
 //! on at once when nothing can.
 
 use bytes::{Bytes, BytesMut};
-use maplefall_cord::liveness::{Dead, DEAD, PING};
-use maplefall_cord::{carry, End, Event, Open, QUEUE};
-use maplefall_signalling::{read, write, Frame, Hello, Words, VERSION};
+use maplefall_control_transport::liveness::{Dead, DEAD, PING};
+use maplefall_control_transport::{carry, End, Event, Open, QUEUE};
+use maplefall_control_messages::{read, write, Frame, Hello, Words, VERSION};
 use std::cell::RefCell;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -68,8 +68,8 @@
     assert_eq!(far, expected);
 }
 
-fn big(size: usize) -> maplefall_directory::Word {
-    maplefall_directory::Word { id: "x".repeat(size), ..maplefall_directory::Word::default() }
+fn big(size: usize) -> maplefall_service_registry::Word {
+    maplefall_service_registry::Word { id: "x".repeat(size), ..maplefall_service_registry::Word::default() }
 }
 
 /// Guards who dials a machine that accepts and then neither reads nor writes: the link never comes up, and ends in time.
@@ -154,7 +154,7 @@
 async fn parts_that_make_no_frame_end_the_link() {
     let (mut dialled, accepted) = pair().await;
     let (_sender, outgoing) = queue();
-    let part = maplefall_signalling::Part { bytes: Bytes::from_static(&[0, 0, 0, 9, 1]), last: true };
+    let part = maplefall_control_messages::Part { bytes: Bytes::from_static(&[0, 0, 0, 9, 1]), last: true };
     dialled.write_all(&write(Frame::Part(part))).await.expect("written");
     let end = carry(accepted, outgoing, Open::Accepts, |_| panic!("it came up")).await;
     assert!(matches!(end, End::Frame(_)), "{end}");
--- a/crates/exchange/benches/amend.rs
+++ b/crates/controller/benches/amend.rs
@@ -1,12 +1,12 @@
 //! What a change of one route costs, by what is held already: at the exchange that leads the time from the call to the answer,
 //! without the disk's; the memory of its board alone; and at a door the time of a new plan.
-//! `cargo bench -p maplefall-exchange --bench amend` plays a hundredth, a tenth and the whole of 77,000 routes, 8,900 services and
+//! `cargo bench -p maplefall-controller --bench amend` plays a hundredth, a tenth and the whole of 77,000 routes, 8,900 services and
 //! 480,000 tenants; `PART=0.5` plays one part, `TENANTS=0` routes and services alone.
 
-use maplefall_exchange::core::{Answer, Call, Core, Output};
-use maplefall_exchange::store::Kept;
-use maplefall_mainframe::Settings;
-use maplefall_numbering::{read_call, Board, Plan};
+use maplefall_controller::core::{Answer, Call, Core, Output};
+use maplefall_controller::store::Kept;
+use maplefall_node_settings::Settings;
+use maplefall_gateway_config::{read_call, Board, Plan};
 use std::path::Path;
 use std::time::Instant;
 
--- a/crates/exchange/examples/start.rs
+++ b/crates/controller/examples/start.rs
@@ -1,9 +1,9 @@
 //! How long an exchange takes to read its disk, by the changes that were written to it, and what writing them cost.
-//! `cargo run --release -p maplefall-exchange --example start -- FOLDER`; the folder is on the disk that is measured.
+//! `cargo run --release -p maplefall-controller --example start -- FOLDER`; the folder is on the disk that is measured.
 
-use maplefall_exchange::disk::Folder;
-use maplefall_exchange::store::{Error, Store, Stored};
-use maplefall_tandem::{Entry, Record, Snapshot};
+use maplefall_controller::disk::Folder;
+use maplefall_controller::store::{Error, Store, Stored};
+use maplefall_raft::{Entry, Record, Snapshot};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
--- a/crates/exchange/src/beat.rs
+++ b/crates/controller/src/beat.rs
@@ -1,7 +1,7 @@
 //! What a backend says of itself.
 
-use maplefall_directory::{State, Word};
-use maplefall_numbering::{parse, Json};
+use maplefall_service_registry::{State, Word};
+use maplefall_gateway_config::{parse, Json};
 
 /// Longest that a backend is taken to stay slow, in milliseconds.
 const COLDEST: f64 = 600_000.0;
--- a/crates/exchange/src/core/doors.rs
+++ b/crates/controller/src/core/doors.rs
@@ -79,7 +79,7 @@
         }
         door.unanswered = None;
         let mine = door.node.clone();
-        let tenants = self.board.standing(maplefall_numbering::Kind::Tenant).map(|item| item.name.as_str());
+        let tenants = self.board.standing(maplefall_gateway_config::Kind::Tenant).map(|item| item.name.as_str());
         let caller = Caller { name: &door.node, life: door.life, conn };
         let answers = self.lender.report(now, caller, report, tenants);
         for (node, lent) in answers {
--- a/crates/exchange/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -9,12 +9,12 @@
 use crate::beat::read_beat;
 use crate::store::{Kept, Stored};
 use bytes::Bytes;
-use maplefall_directory::{Brought, Directory, State, Word};
-use maplefall_mainframe::Settings;
-use maplefall_numbering::{read_call, Ahead, Board, Change, Verdict};
-use maplefall_signalling::{write, Alive, Frame, Hello, Numbered, Plans, Seen, Words};
-use maplefall_tandem::{Entry, EntryKind, Out, Setup, Snapshot, Tandem};
-use maplefall_toll::{in_lease, Caller, Lender, Report, Shares, Slots, Turn, LASTS, SKEW};
+use maplefall_service_registry::{Brought, Directory, State, Word};
+use maplefall_node_settings::Settings;
+use maplefall_gateway_config::{read_call, Ahead, Board, Change, Verdict};
+use maplefall_control_messages::{write, Alive, Frame, Hello, Numbered, Plans, Seen, Words};
+use maplefall_raft::{Entry, EntryKind, Out, Setup, Snapshot, Tandem};
+use maplefall_quota_lease::{in_lease, Caller, Lender, Report, Shares, Slots, Turn, LASTS, SKEW};
 pub use whole::Whole;
 
 use prost::Message;
--- a/crates/exchange/src/core/operator.rs
+++ b/crates/controller/src/core/operator.rs
@@ -5,7 +5,7 @@
 //! and what it rested on is agreed. All else is [`Answer::Unknown`], and the operator sends the call again.
 
 use super::*;
-use maplefall_numbering::Refusal;
+use maplefall_gateway_config::Refusal;
 
 impl Core {
     pub(super) fn amend(&mut self, now: Millis, number: u64, body: Bytes, out: &mut Vec<Output>) {
--- a/crates/exchange/src/core/whole.rs
+++ b/crates/controller/src/core/whole.rs
@@ -1,7 +1,7 @@
 //! All that is agreed on, folded: what a snapshot of the log holds.
 
-use maplefall_numbering::{Board, Item, Taken};
-use maplefall_toll::Slots;
+use maplefall_gateway_config::{Board, Item, Taken};
+use maplefall_quota_lease::Slots;
 
 /// The state that the agreed changes lead to. Tag 1 is what earlier programs wrote as a `Change`.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
--- a/crates/exchange/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,8 +1,8 @@
 //! `exchange`: keeps the operator's configuration and the list of backends, and lends doors their shares of quotas.
 
 use clap::{Parser, Subcommand};
-use maplefall_exchange::net;
-use maplefall_mainframe::{Settings, Watched};
+use maplefall_controller::net;
+use maplefall_node_settings::{Settings, Watched};
 use std::hash::{BuildHasher, Hasher};
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/exchange/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -15,8 +15,8 @@
 //! In memory: the state, and while it is folded the bytes of that.
 
 use crate::disk::Disk;
-use maplefall_directory::{State, Word};
-use maplefall_tandem::{Durable, Entry as LogEntry, Record, Snapshot};
+use maplefall_service_registry::{State, Word};
+use maplefall_raft::{Durable, Entry as LogEntry, Record, Snapshot};
 use prost::encoding;
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/exchange/tests/common/operators.rs
+++ b/crates/controller/tests/common/operators.rs
@@ -5,8 +5,8 @@
 
 use super::played::{Happened, Millis, Played};
 use crate::plain::{Judgement, Plain};
-use maplefall_exchange::core::{Answer, Call};
-use maplefall_numbering::{read_call, Change, Item, Items, Kind};
+use maplefall_controller::core::{Answer, Call};
+use maplefall_gateway_config::{read_call, Change, Item, Items, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A caller moves on after this.
--- a/crates/exchange/tests/common/played.rs
+++ b/crates/controller/tests/common/played.rs
@@ -7,11 +7,11 @@
 #![allow(dead_code)]
 
 use bytes::{Bytes, BytesMut};
-use maplefall_exchange::core::{Answer, Call, Core, Output};
-use maplefall_exchange::store::{Kept, Stored};
-use maplefall_mainframe::Settings;
-use maplefall_numbering::{Change, Items};
-use maplefall_signalling::{read, Frame, Hello, Plans};
+use maplefall_controller::core::{Answer, Call, Core, Output};
+use maplefall_controller::store::{Kept, Stored};
+use maplefall_node_settings::Settings;
+use maplefall_gateway_config::{Change, Items};
+use maplefall_control_messages::{read, Frame, Hello, Plans};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/exchange/tests/disk.rs
+++ b/crates/controller/tests/disk.rs
@@ -1,9 +1,9 @@
 //! The disk of an exchange: what was written is there after a stop, after a torn end, and after folding; what cannot be trusted
 //! is refused.
 
-use maplefall_exchange::disk::Folder as Disk;
-use maplefall_exchange::store::{queue, Batch, Error, Folded, Kept, Limits, Store, Stored};
-use maplefall_tandem::{Entry, Record};
+use maplefall_controller::disk::Folder as Disk;
+use maplefall_controller::store::{queue, Batch, Error, Folded, Kept, Limits, Store, Stored};
+use maplefall_raft::{Entry, Record};
 use prost::Message;
 use std::fs::{self, OpenOptions};
 use std::io::{Seek, SeekFrom, Write};
--- a/crates/exchange/tests/lending.rs
+++ b/crates/controller/tests/lending.rs
@@ -1,13 +1,13 @@
 //! What exchanges lend, and when they answer doors at all: played with [`Core`] alone, without sockets and without waiting.
 
 use bytes::{Bytes, BytesMut};
-use maplefall_exchange::core::TICK;
-use maplefall_exchange::disk::Folder as Disk;
-use maplefall_exchange::store::{Kept, Store, Stored};
-use maplefall_exchange::{Call, Core, Output};
-use maplefall_mainframe::Settings;
-use maplefall_signalling::{read, Frame, Hello, VERSION};
-use maplefall_toll::{Lent, Loan, Purse, Report, INHERITED, LASTS, LEASE, SKEW, WHOLE};
+use maplefall_controller::core::TICK;
+use maplefall_controller::disk::Folder as Disk;
+use maplefall_controller::store::{Kept, Store, Stored};
+use maplefall_controller::{Call, Core, Output};
+use maplefall_node_settings::Settings;
+use maplefall_control_messages::{read, Frame, Hello, VERSION};
+use maplefall_quota_lease::{Lent, Loan, Purse, Report, INHERITED, LASTS, LEASE, SKEW, WHOLE};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::{Path, PathBuf};
 
--- a/crates/exchange/tests/loss.rs
+++ b/crates/controller/tests/loss.rs
@@ -3,8 +3,8 @@
 
 mod played;
 
-use maplefall_exchange::store::{queue, Error, Kept, Limits, Store, Stored};
-use maplefall_tandem::{Entry, Member, Record, Snapshot};
+use maplefall_controller::store::{queue, Error, Kept, Limits, Store, Stored};
+use maplefall_raft::{Entry, Member, Record, Snapshot};
 use played::{Chance, Faults, Played};
 
 /// Small, so that much is folded.
@@ -451,7 +451,7 @@
 /// A disk on which a pause ends the process.
 struct Stopping(Played);
 
-impl maplefall_exchange::disk::Disk for Stopping {
+impl maplefall_controller::disk::Disk for Stopping {
     type File = played::File;
     type Reader = std::io::Cursor<Vec<u8>>;
 
--- a/crates/exchange/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -2,12 +2,12 @@
 //! contradict.
 
 mod common;
-#[path = "../../numbering/tests/plain/mod.rs"]
+#[path = "../../gateway-config/tests/plain/mod.rs"]
 mod plain;
 
 use common::operators::Operators;
 use common::played::{Happened, Played};
-use maplefall_exchange::core::{Answer, Call};
+use maplefall_controller::core::{Answer, Call};
 
 const ROUTE: &str = "\"Name\",\"Host\",\"PathPrefix\",\"RouteKind\",\"TimeoutS\",\"Service\",\"Version\"";
 
--- a/crates/exchange/tests/played/mod.rs
+++ b/crates/controller/tests/played/mod.rs
@@ -2,7 +2,7 @@
 //! file covers are there, missing or torn; each name that was made, changed or removed since the last sync of the folder is kept or
 //! lost by itself.
 
-use maplefall_exchange::disk::Disk;
+use maplefall_controller::disk::Disk;
 use std::collections::BTreeMap;
 use std::io::{self, Cursor, Write};
 use std::path::Path;
--- a/crates/exchange/tests/touch.rs
+++ b/crates/controller/tests/touch.rs
@@ -3,13 +3,13 @@
 //! played disks. Seeds are printed.
 
 use bytes::{Bytes, BytesMut};
-use maplefall_cord::liveness::{DEAD, PING};
-use maplefall_directory::State;
-use maplefall_exchange::core::TICK;
-use maplefall_exchange::store::Kept;
-use maplefall_exchange::{Answer, Call, Core, Output};
-use maplefall_mainframe::Settings;
-use maplefall_signalling::{read, write, Frame, Hello, Plans, Words, VERSION};
+use maplefall_control_transport::liveness::{DEAD, PING};
+use maplefall_service_registry::State;
+use maplefall_controller::core::TICK;
+use maplefall_controller::store::Kept;
+use maplefall_controller::{Answer, Call, Core, Output};
+use maplefall_node_settings::Settings;
+use maplefall_control_messages::{read, write, Frame, Hello, Plans, Words, VERSION};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -467,11 +467,11 @@
     fleet.nodes[1].stalled = true;
     let mut asked = 0;
     for round in 0..60_u64 {
-        let word = maplefall_directory::Word {
+        let word = maplefall_service_registry::Word {
             id: "b".into(),
             state: State::Leaving.into(),
             seq: round + 1,
-            ..maplefall_directory::Word::default()
+            ..maplefall_service_registry::Word::default()
         };
         for receipt in 0..100 {
             asked += 1;
--- a/crates/agent/src/follower.rs
+++ b/crates/discovery-agent/src/follower.rs
@@ -23,10 +23,10 @@
 use crate::interface::{Believed, CallId, End, Heard, Output, Report, Settings, What};
 use crate::line::{line, Line, Word};
 use crate::list::List;
-use maplefall_back_off::BackOff;
+use maplefall_backoff::BackOff;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
-use maplefall_roster::Event;
+use maplefall_membership::Event;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/crates/agent/src/interface.rs
+++ b/crates/discovery-agent/src/interface.rs
@@ -2,7 +2,7 @@
 
 use maplefall_policy::Millis;
 use maplefall_protocol::Members;
-use maplefall_roster::Event;
+use maplefall_membership::Event;
 use std::net::SocketAddr;
 
 /// How an agent is followed.
--- a/crates/agent/src/list.rs
+++ b/crates/discovery-agent/src/list.rs
@@ -3,7 +3,7 @@
 use crate::line::{Spoilt, Word};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member};
-use maplefall_roster::MOST_NODES;
+use maplefall_membership::MOST_NODES;
 use std::collections::BTreeMap;
 
 /// The backends that are not gone, by name; [`MOST_NODES`] at most.
--- a/crates/agent/tests/follower.rs
+++ b/crates/discovery-agent/tests/follower.rs
@@ -1,10 +1,10 @@
 //! Which calls a follower makes and what of the words holds, by hand.
 
-use maplefall_agent::*;
+use maplefall_discovery_agent::*;
 use maplefall_policy::Millis;
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
 use maplefall_protocol::{Member, Members};
-use maplefall_roster::{Event, MOST_NODES};
+use maplefall_membership::{Event, MOST_NODES};
 use serde_json::json;
 use std::net::SocketAddr;
 
--- a/crates/agent/tests/lines.rs
+++ b/crates/discovery-agent/tests/lines.rs
@@ -1,6 +1,6 @@
 //! What is taken of a line, by hand and at random.
 
-use maplefall_agent::{line, Line, Word, LONGEST_NAME};
+use maplefall_discovery_agent::{line, Line, Word, LONGEST_NAME};
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
--- a/crates/agent/tests/schedules.rs
+++ b/crates/discovery-agent/tests/schedules.rs
@@ -5,10 +5,10 @@
 //! 1. A life that was once told to be leaving is never called up again but by a word that is newer than that.
 //! 2. Once an agent has been heard for a while, the list is that agent's list: nothing is frozen, and nothing lost.
 
-use maplefall_agent::*;
+use maplefall_discovery_agent::*;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_roster::Event;
+use maplefall_membership::Event;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/etcd/examples/cost.rs
+++ b/crates/etcd/examples/cost.rs
@@ -3,7 +3,7 @@
 
 use maplefall_etcd::{Command, Follower, Input, Output, Settings};
 use maplefall_etcd_wire::{Event, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
-use maplefall_roster::{Roster, SourceSettings};
+use maplefall_membership::{Roster, SourceSettings};
 use prost::Message;
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
--- a/crates/etcd/src/follower.rs
+++ b/crates/etcd/src/follower.rs
@@ -21,7 +21,7 @@
 };
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_roster::{Event, MOST_NODES};
+use maplefall_membership::{Event, MOST_NODES};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/etcd/src/interface.rs
+++ b/crates/etcd/src/interface.rs
@@ -2,7 +2,7 @@
 
 use maplefall_etcd_wire::{error, RangeRequest, RangeResponse, WatchCreateRequest, WatchResponse};
 use maplefall_policy::Millis;
-use maplefall_roster::Event;
+use maplefall_membership::Event;
 
 /// Number of a connection. What an old one still says is not listened to.
 pub type Connection = u64;
--- a/crates/etcd/tests/follower.rs
+++ b/crates/etcd/tests/follower.rs
@@ -2,7 +2,7 @@
 
 use maplefall_etcd::{Command, Failure, Follower, Input, Output, Report, Settings};
 use maplefall_etcd_wire::{Event as Change, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
-use maplefall_roster::Event;
+use maplefall_membership::Event;
 
 struct Hand {
     follower: Follower,
@@ -506,7 +506,7 @@
     let mut hand = Hand::new(Settings::usual(0, 1, "/p"));
     hand.wait();
     hand.say(1, Input::Opened);
-    let most = maplefall_roster::MOST_NODES;
+    let most = maplefall_membership::MOST_NODES;
     let out = hand.say(1, page(1, 5, (0..most + 100).map(|n| kv(&format!("n{n}"), 3, 0)).collect()));
     let Event::Snapshot { members, .. } = &out.told[0] else { panic!("{out:?}") };
     // One more than are held, so that the roster can say that there was no room.
@@ -573,7 +573,7 @@
     let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
     let on_a_lease =
         |n: i64| Change { kind: Change::PUT, kv: Some(kv(&format!("n{n}"), 6 + n, 77)), prev_kv: None };
-    let most = maplefall_roster::MOST_NODES as i64;
+    let most = maplefall_membership::MOST_NODES as i64;
     hand.say(1, changes((0..=most).map(on_a_lease).collect(), false));
     let gone = |n: i64, revision| Change {
         kind: Change::DELETE,
--- a/crates/etcd/tests/histories.rs
+++ b/crates/etcd/tests/histories.rs
@@ -15,8 +15,8 @@
     WatchResponse,
 };
 use maplefall_protocol::{Health, Member};
-use maplefall_roster::{Event, Roster, SourceSettings};
-use maplefall_stand_ins::etcd::store::Store;
+use maplefall_membership::{Event, Roster, SourceSettings};
+use maplefall_test_servers::etcd::store::Store;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -5,9 +5,9 @@
 use maplefall_etcd::{Output, Report, Settings};
 use maplefall_etcd_wire::{DeleteRangeRequest, PutRequest};
 use maplefall_protocol::Health;
-use maplefall_roster::{Roster, SourceSettings};
-use maplefall_stand_ins::etcd::store::Store;
-use maplefall_stand_ins::etcd::{Cut, Etcd, Member};
+use maplefall_membership::{Roster, SourceSettings};
+use maplefall_test_servers::etcd::store::Store;
+use maplefall_test_servers::etcd::{Cut, Etcd, Member};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -86,8 +86,8 @@
             match output {
                 Output::Tell(told) => {
                     match &told.event {
-                        maplefall_roster::Event::Snapshot { .. } => seen.snapshots += 1,
-                        maplefall_roster::Event::Change { .. } => seen.changes += 1,
+                        maplefall_membership::Event::Snapshot { .. } => seen.snapshots += 1,
+                        maplefall_membership::Event::Change { .. } => seen.changes += 1,
                         _ => {}
                     }
                     seen.roster.take(clock(), told.event);
--- a/crates/etcd/tests/tls.rs
+++ b/crates/etcd/tests/tls.rs
@@ -4,9 +4,9 @@
 use maplefall_etcd::client::{follow, Place, Straight};
 use maplefall_etcd::{Output, Settings};
 use maplefall_etcd_wire::PutRequest;
-use maplefall_roster::Event;
-use maplefall_stand_ins::etcd::store::Store;
-use maplefall_stand_ins::etcd::Etcd;
+use maplefall_membership::Event;
+use maplefall_test_servers::etcd::store::Store;
+use maplefall_test_servers::etcd::Etcd;
 use rcgen::{generate_simple_self_signed, CertifiedKey};
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/crates/numbering/tests/board.rs
+++ b/crates/gateway-config/tests/board.rs
@@ -1,6 +1,6 @@
 //! The board against a slow plain model, and every call that must be refused.
 
-use maplefall_numbering::{parse, read_call, Board, Change, Field, Item, Kind, Plan, Way};
+use maplefall_gateway_config::{parse, read_call, Board, Change, Field, Item, Kind, Plan, Way};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// The same seed everywhere: the same verdict on every run.
@@ -95,7 +95,7 @@
     let text = first().read_back();
     let whole = parse(text.as_bytes()).expect("JSON");
     let table = whole.as_object().and_then(|all| all.get("RouteTable")).expect("routes");
-    let text_of = |value: &maplefall_numbering::Json| format!("{value:?}");
+    let text_of = |value: &maplefall_gateway_config::Json| format!("{value:?}");
     assert!(text_of(table).contains("\"Later\"") && text_of(table).contains("\"x\""), "{text}");
     let again = read_call(format!("{{\"Upsert\":{text}}}").as_bytes()).expect("a call");
     let mut board = Board::default();
--- a/crates/numbering/tests/judge.rs
+++ b/crates/gateway-config/tests/judge.rs
@@ -3,7 +3,7 @@
 
 mod plain;
 
-use maplefall_numbering::{Ahead, Board, Change, Field, Item, Items, Kind, Plan, Taken, Verdict};
+use maplefall_gateway_config::{Ahead, Board, Change, Field, Item, Items, Kind, Plan, Taken, Verdict};
 use plain::{Judgement, Plain};
 use prost::Message;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -85,7 +85,7 @@
     }
 }
 
-fn plain_of(verdict: &Result<Verdict, maplefall_numbering::Refusal>) -> Option<Judgement> {
+fn plain_of(verdict: &Result<Verdict, maplefall_gateway_config::Refusal>) -> Option<Judgement> {
     Some(match verdict {
         Ok(Verdict::Taken(_)) => Judgement::Taken,
         Ok(Verdict::New(_)) => Judgement::New,
--- a/crates/numbering/tests/plain/mod.rs
+++ b/crates/gateway-config/tests/plain/mod.rs
@@ -1,7 +1,7 @@
 //! What a board has to decide, by a slow plain model: everything that was ever taken is kept in order, and all that would hold is
 //! looked at for every call.
 
-use maplefall_numbering::{Change, Item, Kind, Route, Tenant};
+use maplefall_gateway_config::{Change, Item, Kind, Route, Tenant};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Everything that was ever taken.
--- a/crates/judge/src/answers.rs
+++ b/crates/invariants/src/answers.rs
@@ -4,7 +4,7 @@
 
 use crate::ruling::{Ruling, BLUR};
 use crate::view::{Try, View};
-use maplefall_record::{DoorState, End, Lost, Millis};
+use maplefall_event_trace::{DoorState, End, Lost, Millis};
 use std::collections::BTreeMap;
 
 /// Judges it.
--- a/crates/judge/src/callers.rs
+++ b/crates/invariants/src/callers.rs
@@ -3,7 +3,7 @@
 
 use crate::ruling::{Ruling, BLUR};
 use crate::view::View;
-use maplefall_record::{Entry, Millis};
+use maplefall_event_trace::{Entry, Millis};
 use std::collections::BTreeMap;
 
 /// From when on each customer does not pass, and the line that says so.
--- a/crates/judge/src/cold.rs
+++ b/crates/invariants/src/cold.rs
@@ -4,7 +4,7 @@
 
 use crate::ruling::Ruling;
 use crate::view::{Attempt, View};
-use maplefall_record::Health;
+use maplefall_event_trace::Health;
 
 /// Attempts from which the cold stretch of a node is a test.
 const LEAST_ATTEMPTS: usize = 5;
--- a/crates/judge/src/drain_times.rs
+++ b/crates/invariants/src/drain_times.rs
@@ -2,7 +2,7 @@
 //! of it, to the last byte of new work that the front door began at the node.
 
 use crate::view::View;
-use maplefall_record::{Health, Millis, Record};
+use maplefall_event_trace::{Health, Millis, Record};
 
 /// One drain at one front door.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -79,7 +79,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplefall_record::{Entry, Header, Line, Rules, VERSION};
+    use maplefall_event_trace::{Entry, Header, Line, Rules, VERSION};
 
     fn came(attempt: u64, node: u32, first: Millis) -> Entry {
         let (id, key) = (format!("r{attempt}"), None);
--- a/crates/judge/src/drains.rs
+++ b/crates/invariants/src/drains.rs
@@ -4,7 +4,7 @@
 
 use crate::ruling::Ruling;
 use crate::view::{Telling, View};
-use maplefall_record::{DoorState, Health, Millis};
+use maplefall_event_trace::{DoorState, Health, Millis};
 use std::collections::BTreeMap;
 
 /// How recently a front door must have sent to a node for its drain to be a test.
--- a/crates/judge/src/figures.rs
+++ b/crates/invariants/src/figures.rs
@@ -2,7 +2,7 @@
 
 use crate::view::{Try, View};
 use hdrhistogram::Histogram;
-use maplefall_record::{Entry, Lost, Millis};
+use maplefall_event_trace::{Entry, Lost, Millis};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
--- a/crates/judge/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -21,7 +21,7 @@
 pub use ruling::{Finding, Ruling, Verdict, BLUR, MOST_FINDINGS, STRETCH};
 
 use figures::Figures;
-use maplefall_record::{Entry, Millis, Record};
+use maplefall_event_trace::{Entry, Millis, Record};
 use serde::Serialize;
 use view::View;
 
--- a/crates/judge/src/repeats.rs
+++ b/crates/invariants/src/repeats.rs
@@ -4,7 +4,7 @@
 
 use crate::ruling::{Ruling, BLUR};
 use crate::view::{Attempt, View};
-use maplefall_record::{Effect, End};
+use maplefall_event_trace::{Effect, End};
 
 /// Judges it.
 pub fn judge(view: &View<'_>) -> Ruling {
--- a/crates/judge/src/ruling.rs
+++ b/crates/invariants/src/ruling.rs
@@ -1,6 +1,6 @@
 //! What the judge says of one rule: how often it was tested, how near it came to breaking, and what proves each break.
 
-use maplefall_record::Millis;
+use maplefall_event_trace::Millis;
 use serde::Serialize;
 
 /// Findings that are kept for one rule; further ones are counted.
--- a/crates/judge/src/stores.rs
+++ b/crates/invariants/src/stores.rs
@@ -3,7 +3,7 @@
 
 use crate::ruling::Ruling;
 use crate::view::View;
-use maplefall_record::Plan;
+use maplefall_event_trace::Plan;
 use std::collections::BTreeMap;
 
 /// Part of the store that must have been used for it to be a test.
--- a/crates/judge/src/view.rs
+++ b/crates/invariants/src/view.rs
@@ -1,7 +1,7 @@
 //! The record sorted by what the rules ask for: requests with their tries, attempts with their ends, front doors and
 //! nodes with their lives. One pass, and nothing is decided here.
 
-use maplefall_record::{Class, DoorState, End, Entry, Health, Lost, Millis, NodeState, Plan, Record};
+use maplefall_event_trace::{Class, DoorState, End, Entry, Health, Lost, Millis, NodeState, Plan, Record};
 use std::collections::BTreeMap;
 
 /// One sending of a request by its client.
--- a/crates/judge/tests/properties.rs
+++ b/crates/invariants/tests/properties.rs
@@ -2,8 +2,8 @@
 
 mod tale;
 
-use maplefall_judge::Verdict;
-use maplefall_record::{End, Health};
+use maplefall_invariants::Verdict;
+use maplefall_event_trace::{End, Health};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use tale::*;
--- a/crates/judge/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod tale;
 
-use maplefall_judge::Verdict::{Broken, Kept, NotExercised};
-use maplefall_record::{DoorState, End, Entry, Health, Line, Lost, NodeState, Record};
+use maplefall_invariants::Verdict::{Broken, Kept, NotExercised};
+use maplefall_event_trace::{DoorState, End, Entry, Health, Line, Lost, NodeState, Record};
 use tale::*;
 
 fn tale() -> Tale {
@@ -81,7 +81,7 @@
         tale.came(100.0 + gap, 1, "a", 0).over(200.0 + gap, 1, End::Served).rule(1).verdict
     };
     // Two threads see an answer and an attempt of one moment in either order.
-    assert_eq!((after(maplefall_judge::BLUR), after(maplefall_judge::BLUR + 1.0)), (Kept, Broken));
+    assert_eq!((after(maplefall_invariants::BLUR), after(maplefall_invariants::BLUR + 1.0)), (Kept, Broken));
 }
 
 #[test]
@@ -174,7 +174,7 @@
 fn two_attempts_are_never_out_together() {
     let gap = |gap| repeated(SAFE, End::GivenUp, 100.0 - gap).rule(2).verdict;
     // Both ends of one moment are seen in either order.
-    assert_eq!((gap(maplefall_judge::BLUR), gap(maplefall_judge::BLUR + 1.0)), (Kept, Broken));
+    assert_eq!((gap(maplefall_invariants::BLUR), gap(maplefall_invariants::BLUR + 1.0)), (Kept, Broken));
     let never_ended = tale().asked(0.0, "a", SAFE).came(5.0, 1, "a", 0).came(400.0, 2, "a", 1);
     assert_eq!(never_ended.rule(2).verdict, Broken);
     // A node whose process ended has let go of what it had.
@@ -447,12 +447,12 @@
     let judge = |p99_ms, most_ms| {
         let lateness = Entry::Lateness { actions: 100, p50_ms: 0.5, p99_ms, most_ms };
         let lines = vec![Line { at: 1.0, entry: lateness }];
-        maplefall_judge::judge(&Record { header: header(), lines }).void
+        maplefall_invariants::judge(&Record { header: header(), lines }).void
     };
-    assert_eq!(judge(maplefall_judge::MOST_LATE_P99, maplefall_judge::MOST_LATE), None);
-    assert!(judge(maplefall_judge::MOST_LATE_P99 + 0.1, 20.0).is_some());
-    assert!(judge(1.0, maplefall_judge::MOST_LATE + 1.0).is_some());
-    let silent = maplefall_judge::judge(&Record { header: header(), lines: Vec::new() });
+    assert_eq!(judge(maplefall_invariants::MOST_LATE_P99, maplefall_invariants::MOST_LATE), None);
+    assert!(judge(maplefall_invariants::MOST_LATE_P99 + 0.1, 20.0).is_some());
+    assert!(judge(1.0, maplefall_invariants::MOST_LATE + 1.0).is_some());
+    let silent = maplefall_invariants::judge(&Record { header: header(), lines: Vec::new() });
     assert!(silent.void.is_some());
 }
 
--- a/crates/judge/tests/tale/mod.rs
+++ b/crates/invariants/tests/tale/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)]
 
-use maplefall_judge::{judge, Judgement, Ruling};
-use maplefall_record::*;
+use maplefall_invariants::{judge, Judgement, Ruling};
+use maplefall_event_trace::*;
 
 /// What all requests of a tale send.
 pub const FORM: u64 = 77;
--- a/crates/maplefall/benches/fronts.rs
+++ b/crates/maplefall/benches/fronts.rs
@@ -8,9 +8,9 @@
 mod sockets;
 
 use hdrhistogram::Histogram;
-use maplefall_stand_ins::auth::Auth;
-use maplefall_stand_ins::grpc::{Call, Client, Service};
-use maplefall_stand_ins::wire::Link;
+use maplefall_test_servers::auth::Auth;
+use maplefall_test_servers::grpc::{Call, Client, Service};
+use maplefall_test_servers::wire::Link;
 use sockets::{member, members, settings, Program};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -15,8 +15,8 @@
 use maplefall_policy::{BackendId, ClassId, Millis, RequestId};
 use maplefall_protocol::Answer;
 use maplefall_settings::Links;
-use maplefall_trunk::Clock;
-use maplefall_trunk::{NoConnection, Pools};
+use maplefall_upstream::Clock;
+use maplefall_upstream::{NoConnection, Pools};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::IpAddr;
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -10,7 +10,7 @@
 };
 use maplefall_protocol::{Ended, Order, LONGEST_BODY};
 use maplefall_settings::{self as settings, Metric, Told};
-use maplefall_trunk::{carry, Line, Pools};
+use maplefall_upstream::{carry, Line, Pools};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -3,12 +3,12 @@
 //! the driver and the decision module or the sockets: the module itself is played unchanged.
 
 use hyper::Uri;
-use maplefall_agent::{line, Heard, Line, Output, Word};
+use maplefall_discovery_agent::{line, Heard, Line, Output, Word};
 use maplefall_etcd::client::Seam;
 use maplefall_etcd::{Command, Input};
 use maplefall_policy::{Action, BackendEntry, Effect, Millis, Reason, Settings};
 use maplefall_protocol::{Health, Member, Order};
-use maplefall_roster::{Event, Roster, Update};
+use maplefall_membership::{Event, Roster, Update};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
--- a/crates/maplefall/src/net/clients.rs
+++ b/crates/maplefall/src/net/clients.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use maplefall_policy::{Millis, RequestId};
 use maplefall_protocol::Answer;
-use maplefall_trunk::{client_budget, BUFFER};
+use maplefall_upstream::{client_budget, BUFFER};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::convert::Infallible;
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -9,7 +9,7 @@
 use maplefall_shared_counts::node::{Node, Start};
 use maplefall_shared_counts::wire::MOST_DATAGRAM;
 use maplefall_shared_counts::{quota, whose, Fact};
-use maplefall_trunk::Clock;
+use maplefall_upstream::Clock;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/crates/maplefall/src/net/discovery.rs
+++ b/crates/maplefall/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! The platform's agent: carries out the calls that `maplefall-agent` asks for, and hands on what comes of them.
+//! The platform's agent: carries out the calls that `maplefall-discovery-agent` asks for, and hands on what comes of them.
 
 #[cfg(feature = "breakages")]
 use super::breakages;
@@ -7,8 +7,8 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use maplefall_agent::{CallId, End, Follower, Heard, Lines, Output, What};
-use maplefall_trunk::Clock;
+use maplefall_discovery_agent::{CallId, End, Follower, Heard, Lines, Output, What};
+use maplefall_upstream::Clock;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
--- a/crates/maplefall/src/net/grpc/back.rs
+++ b/crates/maplefall/src/net/grpc/back.rs
@@ -12,7 +12,7 @@
 use maplefall_protocol::headers::{API_CHARGE, API_USAGE, REQUEST_ID};
 use maplefall_protocol::{Ended, Order};
 use maplefall_settings::Links;
-use maplefall_trunk::{Clock, Line, NoConnection, Pools};
+use maplefall_upstream::{Clock, Line, NoConnection, Pools};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -1,6 +1,6 @@
 //! Who the backends are: hands what each source learns to the roster, and what comes out of it to the driver.
 //!
-//! What is true where sources disagree, `maplefall-roster` decides, and how an etcd is followed `maplefall-etcd`; this file
+//! What is true where sources disagree, `maplefall-membership` decides, and how an etcd is followed `maplefall-etcd`; this file
 //! only carries.
 
 #[cfg(feature = "breakages")]
@@ -11,7 +11,7 @@
 use maplefall_etcd::{one_line, value, Output, Report, Told};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
-use maplefall_roster::{Event, Roster, SourceSettings, Update, MOST_NODES};
+use maplefall_membership::{Event, Roster, SourceSettings, Update, MOST_NODES};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -208,14 +208,14 @@
     }
 
     /// Takes in what came of following the agent.
-    pub fn agent_said(&self, output: maplefall_agent::Output) {
+    pub fn agent_said(&self, output: maplefall_discovery_agent::Output) {
         match output {
-            maplefall_agent::Output::Tell(event) => self.take(event),
-            maplefall_agent::Output::Report(report) => {
+            maplefall_discovery_agent::Output::Tell(event) => self.take(event),
+            maplefall_discovery_agent::Output::Report(report) => {
                 self.say(&format_args!("discovery: {}", one_line(&report.to_string())));
             }
             // Calls are the carrier's.
-            maplefall_agent::Output::Ask { .. } | maplefall_agent::Output::HangUp(_) => {}
+            maplefall_discovery_agent::Output::Ask { .. } | maplefall_discovery_agent::Output::HangUp(_) => {}
         }
     }
 
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -22,7 +22,7 @@
 use config::Config;
 use door::Door;
 use grpc::{Front, GrpcSettings};
-use maplefall_agent::Follower;
+use maplefall_discovery_agent::Follower;
 use maplefall_policy::Discovery;
 use membership::Membership;
 use std::net::SocketAddr;
@@ -80,7 +80,7 @@
     if let Some(source) = membership.agent() {
         let settings = &config.told.settings;
         let follower = Follower::new(
-            maplefall_agent::Settings {
+            maplefall_discovery_agent::Settings {
                 source,
                 // Where it pushes, it is an agent on this machine, which answers at once and at no cost, and what it has
                 // been sent counts as told. Where it must be asked, it is one service for all doors.
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -3,7 +3,7 @@
 
 use maplefall_etcd::client::Place;
 use maplefall_policy::Millis;
-use maplefall_roster::SourceSettings;
+use maplefall_membership::SourceSettings;
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
--- a/crates/maplefall/tests/forward_auth.rs
+++ b/crates/maplefall/tests/forward_auth.rs
@@ -2,8 +2,8 @@
 
 mod sockets;
 
-use maplefall_stand_ins::auth::{Auth, Fault};
-use maplefall_stand_ins::wire::{Link, Message};
+use maplefall_test_servers::auth::{Auth, Fault};
+use maplefall_test_servers::wire::{Link, Message};
 use sockets::{member, members, settings, Program};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/maplefall/tests/grpc.rs
+++ b/crates/maplefall/tests/grpc.rs
@@ -3,9 +3,9 @@
 
 mod sockets;
 
-use maplefall_record::Recorder;
-use maplefall_stand_ins::agent::{Agent, List};
-use maplefall_stand_ins::grpc::{framed, Call, Client, Fault, Final, Service};
+use maplefall_event_trace::Recorder;
+use maplefall_test_servers::agent::{Agent, List};
+use maplefall_test_servers::grpc::{framed, Call, Client, Fault, Final, Service};
 use sockets::{member, members, settings, Program};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -236,7 +236,7 @@
             stream.send_data(bytes::Bytes::new(), true).unwrap();
         });
         let mut seen = Final::default();
-        maplefall_stand_ins::grpc::read(answer, &mut seen).await.unwrap();
+        maplefall_test_servers::grpc::read(answer, &mut seen).await.unwrap();
         sender.await.unwrap();
         assert_eq!((seen.code(), seen.messages == report.messages), (Some(0), true));
     });
@@ -706,7 +706,7 @@
 #[test]
 fn callers_are_checked_as_over_http() {
     run(async {
-        let auth = maplefall_stand_ins::auth::Auth::new(7);
+        let auth = maplefall_test_servers::auth::Auth::new(7);
         auth.grant("ana", &["Remote-User: ana"]);
         let place = listener();
         let address = place.local_addr().unwrap();
@@ -727,7 +727,7 @@
         assert_eq!(client.call(&of("b", "eva")).await.code(), Some(16));
         auth.deny_with(403, &[]);
         assert_eq!(client.call(&of("c", "tom")).await.code(), Some(7));
-        auth.fault(Some((maplefall_stand_ins::auth::Fault::Status(500), 1.0)));
+        auth.fault(Some((maplefall_test_servers::auth::Fault::Status(500), 1.0)));
         assert_eq!(client.call(&of("d", "ina")).await.code(), Some(14));
         assert_eq!((bed.attempts("b"), bed.attempts("c"), bed.attempts("d")), (0, 0, 0));
     });
@@ -741,7 +741,7 @@
         path, watch_request, PutRequest, RangeRequest, RangeResponse, WatchCreateRequest,
     };
     use maplefall_etcd_wire::{PutResponse, WatchRequest, WatchResponse};
-    use maplefall_stand_ins::etcd::{store::Store, Etcd};
+    use maplefall_test_servers::etcd::{store::Store, Etcd};
     use tonic::{Code, Request};
     use tonic_prost::ProstCodec;
 
--- a/crates/maplefall/tests/membership.rs
+++ b/crates/maplefall/tests/membership.rs
@@ -3,8 +3,8 @@
 mod sockets;
 
 use maplefall_etcd_wire::{DeleteRangeRequest, PutRequest};
-use maplefall_stand_ins::etcd::store::Store;
-use maplefall_stand_ins::etcd::{Etcd, Member};
+use maplefall_test_servers::etcd::store::Store;
+use maplefall_test_servers::etcd::{Etcd, Member};
 use serde_json::Value;
 use sockets::*;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/maplefall/tests/shared_counts.rs
+++ b/crates/maplefall/tests/shared_counts.rs
@@ -3,8 +3,8 @@
 
 mod sockets;
 
-use maplefall_stand_ins::relay::{Relay, Weather};
-use maplefall_stand_ins::wire::{Link, Message};
+use maplefall_test_servers::relay::{Relay, Weather};
+use maplefall_test_servers::wire::{Link, Message};
 use serde_json::Value;
 use sockets::{member, members, settings, Program};
 use std::cell::{Cell, RefCell};
--- a/crates/roster/examples/churn.rs
+++ b/crates/membership/examples/churn.rs
@@ -1,8 +1,8 @@
-//! What a change costs: `cargo run --release -p maplefall-roster --example churn`. So many nodes of two sources, then a
+//! What a change costs: `cargo run --release -p maplefall-membership --example churn`. So many nodes of two sources, then a
 //! flood of changes to one node after the other; prints the time for each, by the number of nodes: it must hardly grow.
 
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_roster::{Event, Roster, SourceSettings};
+use maplefall_membership::{Event, Roster, SourceSettings};
 use std::time::Instant;
 
 const CHANGES: u64 = 10_000;
--- a/crates/roster/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -3,7 +3,7 @@
 //! after the other, give the same list.
 
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_roster::{Event, Roster, SourceSettings};
+use maplefall_membership::{Event, Roster, SourceSettings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::BTreeMap;
--- a/crates/roster/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Each rule of the roster, by hand.
 
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_roster::{Event, Report, Roster, SourceSettings, Update};
+use maplefall_membership::{Event, Report, Roster, SourceSettings, Update};
 use Health::{Draining, Removed, Up};
 
 const AGENT: usize = 0;
@@ -276,7 +276,7 @@
 #[test]
 fn the_roster_is_bounded() {
     let mut roster = Roster::new(vec![SourceSettings::trusted("agent")]);
-    let many: Vec<Member> = (0..maplefall_roster::MOST_NODES + 5)
+    let many: Vec<Member> = (0..maplefall_membership::MOST_NODES + 5)
         .map(|i| {
             let dial = format!("127.{}.{}.1:80", i / 250, i % 250).parse().unwrap();
             Member { dial, ..node(&format!("n{i}"), Up, 0.0) }
@@ -284,7 +284,7 @@
         .collect();
     let update = roster.take(0.0, snapshot(AGENT, 1, &many));
     assert_eq!(update.reports, [Report::NoRoom { source: "agent".into(), left_out: 5 }]);
-    assert_eq!(roster.members().count(), maplefall_roster::MOST_NODES);
+    assert_eq!(roster.members().count(), maplefall_membership::MOST_NODES);
 }
 
 /// Guards a service in which ever new nodes come and go: they find room without end, the stops of late are remembered, and
--- a/crates/model/src/agents.rs
+++ b/crates/model/src/agents.rs
@@ -1,10 +1,10 @@
 //! Discovery's agents, one beside each door: what each knows of the list, when it speaks, and where the door follows it. The
 //! real follower and roster stand between an agent's words and the decision module; this file plays the other end.
 
-use maplefall_agent::{CallId, Follower, Heard, Output, Settings, What, HEARTBEAT, TOLD_WITHIN};
+use maplefall_discovery_agent::{CallId, Follower, Heard, Output, Settings, What, HEARTBEAT, TOLD_WITHIN};
 use maplefall_policy::{Availability, BackendEntry};
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_roster::{Roster, SourceSettings};
+use maplefall_membership::{Roster, SourceSettings};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -235,7 +235,7 @@
             let whole = self.calls.iter().any(|open| open.id == call && open.what == What::Whole);
             if whole {
                 self.calls.retain(|open| open.id != call);
-                let out = self.follower.heard_of(now, call, Heard::Ended(maplefall_agent::End::Whole));
+                let out = self.follower.heard_of(now, call, Heard::Ended(maplefall_discovery_agent::End::Whole));
                 entries.extend(self.carry_out(now, out));
             }
         }
@@ -269,7 +269,7 @@
     fn end(&mut self, now: f64, call: CallId, why: &str) -> Vec<BackendEntry> {
         self.calls.retain(|open| open.id != call);
         let out =
-            self.follower.heard_of(now, call, Heard::Ended(maplefall_agent::End::Broken(why.to_owned())));
+            self.follower.heard_of(now, call, Heard::Ended(maplefall_discovery_agent::End::Broken(why.to_owned())));
         self.carry_out(now, out)
     }
 
--- a/crates/policy/src/gateway/mod.rs
+++ b/crates/policy/src/gateway/mod.rs
@@ -6,8 +6,8 @@
 mod customers;
 
 use crate::interface::*;
-use maplefall_choice::{Index, Is, Standing};
-use maplefall_erlang::{chance, in_range, Cap, Lesson, Pace, Store, Strain, Trust};
+use maplefall_backend_index::{Index, Is, Standing};
+use maplefall_load_estimators::{chance, in_range, Cap, Lesson, Pace, Store, Strain, Trust};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
--- a/crates/switchboard/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -87,7 +87,7 @@
     pub fn new(door: Rc<Door>, sockets: usize, room: usize) -> Rc<Clients> {
         Rc::new(Clients {
             door,
-            most: maplefall_trunk::client_budget(sockets),
+            most: maplefall_upstream::client_budget(sockets),
             room,
             held: Cell::new(0),
             guests: RefCell::default(),
--- a/crates/switchboard/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -2,12 +2,12 @@
 
 use crate::services::{Pool, Services};
 use crate::timers::Timers;
-use maplefall_directory::{Brought, Directory, Word};
-use maplefall_mainframe::{Bounds, Settings};
-use maplefall_numbering::{Change, Items, Plan as Numbers, Route, Tenant, Way};
+use maplefall_service_registry::{Brought, Directory, Word};
+use maplefall_node_settings::{Bounds, Settings};
+use maplefall_gateway_config::{Change, Items, Plan as Numbers, Route, Tenant, Way};
 use maplefall_policy::*;
-use maplefall_signalling::{Frame, Plans};
-use maplefall_toll::{Demand, Purse};
+use maplefall_control_messages::{Frame, Plans};
+use maplefall_quota_lease::{Demand, Purse};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeSet, HashMap};
@@ -247,7 +247,7 @@
     }
 
     /// What clients may send.
-    pub fn limits(&self) -> maplefall_numbering::Limits {
+    pub fn limits(&self) -> maplefall_gateway_config::Limits {
         self.numbers.limits
     }
 
@@ -718,7 +718,7 @@
     pub fn farewell(&mut self, now: Millis, out: &mut Vec<Output>) {
         for lender in self.connected.clone() {
             let report = self.purse.report(now, &lender, Vec::new());
-            let report = maplefall_toll::Report { last: true, ..report };
+            let report = maplefall_quota_lease::Report { last: true, ..report };
             out.push(Output::Say(lender, Frame::Report(report)));
         }
     }
--- a/crates/switchboard/src/links.rs
+++ b/crates/proxy/src/links.rs
@@ -1,8 +1,8 @@
 //! Connections to the exchanges: one to each, kept for as long as the door runs.
 
 use crate::door::Door;
-use maplefall_cord::{carry, dial, Event, Open, Pause, QUEUE};
-use maplefall_signalling::Hello;
+use maplefall_control_transport::{carry, dial, Event, Open, Pause, QUEUE};
+use maplefall_control_messages::Hello;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
--- a/crates/switchboard/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -1,8 +1,8 @@
 //! The services of a door: for each, the decision module with its backends.
 
-use maplefall_directory::{State, Word};
-use maplefall_mainframe::Bounds;
-use maplefall_numbering::Route;
+use maplefall_service_registry::{State, Word};
+use maplefall_node_settings::Bounds;
+use maplefall_gateway_config::Route;
 use maplefall_policy::*;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/switchboard/src/visit.rs
+++ b/crates/proxy/src/visit.rs
@@ -1,6 +1,6 @@
 //! What a client's connection is at, and until when it may be.
 
-use maplefall_numbering::Limits;
+use maplefall_gateway_config::Limits;
 use maplefall_policy::Millis;
 
 /// How a connection is to end.
--- a/crates/switchboard/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 #![allow(dead_code, reason = "every test uses a part of it")]
 
-use maplefall_directory::{State, Word};
-use maplefall_mainframe::Settings;
-use maplefall_numbering::read_call;
-use maplefall_signalling::{Frame, Plans, Words};
-use maplefall_switchboard::clients::Clients;
-use maplefall_switchboard::door::Door;
+use maplefall_service_registry::{State, Word};
+use maplefall_node_settings::Settings;
+use maplefall_gateway_config::read_call;
+use maplefall_control_messages::{Frame, Plans, Words};
+use maplefall_proxy::clients::Clients;
+use maplefall_proxy::door::Door;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
--- a/crates/switchboard/tests/held_back.rs
+++ b/crates/proxy/tests/held_back.rs
@@ -1,10 +1,10 @@
 //! A door that starts while the only exchange it reaches is cut off from the others.
 
-use maplefall_directory::Word;
-use maplefall_mainframe::Settings;
-use maplefall_numbering::{Item, Kind};
-use maplefall_signalling::{Frame, Plans, Words};
-use maplefall_switchboard::{Arrival, Core, Not};
+use maplefall_service_registry::Word;
+use maplefall_node_settings::Settings;
+use maplefall_gateway_config::{Item, Kind};
+use maplefall_control_messages::{Frame, Plans, Words};
+use maplefall_proxy::{Arrival, Core, Not};
 
 fn settings() -> Settings {
     let text = "Node = \"edge-1\"\nRole = \"switchboard\"\nMachineClass = \"edge\"\nServes = [\"edge\"]\nIp = \"10.0.1.1\"\nZone = \"a\"\n\
--- a/crates/switchboard/tests/quotas.rs
+++ b/crates/proxy/tests/quotas.rs
@@ -5,10 +5,10 @@
 //! happens, what is held adds up to the whole at most, so does what the lenders count as out, and in no window do all doors together
 //! let in more than the quota's bound. Seeds are printed.
 
-use maplefall_mainframe::Bounds;
+use maplefall_node_settings::Bounds;
 use maplefall_policy::Tenants;
-use maplefall_switchboard::quota;
-use maplefall_toll::{
+use maplefall_proxy::quota;
+use maplefall_quota_lease::{
     in_lease, Caller, Demand, Lender, Lent, Purse, Report, Shares, Slots, Turn, LASTS, SKEW, WHOLE,
 };
 use rand_core::{RngCore, SeedableRng};
--- a/crates/switchboard/tests/stop.rs
+++ b/crates/proxy/tests/stop.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{answer, request, Front, Message, Odd, CONFIGURATION};
-use maplefall_directory::{State, Word};
-use maplefall_mainframe::Settings;
-use maplefall_numbering::{read_call, Limits};
-use maplefall_signalling::{Frame, Plans, Words};
-use maplefall_switchboard::visit::{Leave, Visit};
-use maplefall_switchboard::{Arrival, Core, Output};
+use maplefall_service_registry::{State, Word};
+use maplefall_node_settings::Settings;
+use maplefall_gateway_config::{read_call, Limits};
+use maplefall_control_messages::{Frame, Plans, Words};
+use maplefall_proxy::visit::{Leave, Visit};
+use maplefall_proxy::{Arrival, Core, Output};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::io::ErrorKind;
@@ -214,7 +214,7 @@
     on_one_thread(async {
         let backend = Rc::new(Backend::default());
         // Descriptors for so many clients: see `client_budget`.
-        let most = maplefall_trunk::client_budget(34);
+        let most = maplefall_upstream::client_budget(34);
         let front = Front::with(1, &[listen(backend.clone()).await], 34).await;
         let guests = RefCell::new(Vec::new());
         for _ in 0..most {
--- a/crates/switchboard/tests/whole.rs
+++ b/crates/proxy/tests/whole.rs
@@ -133,20 +133,20 @@
             "Node = \"core\"\nIp = \"{core}\"\n{common}DataDir = {:?}\n[Bind]\nControl = \"{control}\"\n",
             folder.join("data")
         );
-        let settings = maplefall_mainframe::Settings::read(&exchange, &folder).expect("settings");
-        let watched = maplefall_mainframe::Watched::new(folder.join("core.toml"));
+        let settings = maplefall_node_settings::Settings::read(&exchange, &folder).expect("settings");
+        let watched = maplefall_node_settings::Watched::new(folder.join("core.toml"));
         std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
             let local = tokio::task::LocalSet::new();
             runtime
-                .block_on(local.run_until(maplefall_exchange::net::run(settings, watched, 7)))
+                .block_on(local.run_until(maplefall_controller::net::run(settings, watched, 7)))
                 .expect("an exchange");
         });
         let file = folder.join("edge.toml");
         let edge = format!("Node = \"edge\"\nIp = \"{edge}\"\n{common}[Bind]\nFrontHttp = \"{front}\"\nReadyProbe = \"{probe}\"\n");
         fs::write(&file, edge).expect("a file");
-        let door = Command::new(env!("CARGO_BIN_EXE_switchboard"))
+        let door = Command::new(env!("CARGO_BIN_EXE_maplefall-proxy"))
             .arg("run")
             .env("MAPLEFALL_CONFIG", &file)
             .stderr(Stdio::null())
--- a/crates/toll/tests/lender.rs
+++ b/crates/quota-lease/tests/lender.rs
@@ -1,6 +1,6 @@
 //! What a lender does with doors that come one after the other, ask, and come back.
 
-use maplefall_toll::{Caller, Demand, Lender, Lent, Loan, Purse, Report, LASTS, SKEW, WHOLE};
+use maplefall_quota_lease::{Caller, Demand, Lender, Lent, Loan, Purse, Report, LASTS, SKEW, WHOLE};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Bench {
--- a/crates/toll/tests/slots.rs
+++ b/crates/quota-lease/tests/slots.rs
@@ -1,6 +1,6 @@
 //! Who owns which slot, over any sequence of members.
 
-use maplefall_toll::{in_lease, Shares, Slot, Slots, Turn, INHERITED, LASTS, LEASE, SKEW, WHOLE};
+use maplefall_quota_lease::{in_lease, Shares, Slot, Slots, Turn, INHERITED, LASTS, LEASE, SKEW, WHOLE};
 use quickcheck::quickcheck;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/tandem/tests/play/mod.rs
+++ b/crates/raft/tests/play/mod.rs
@@ -3,7 +3,7 @@
 //! others come in their place. A slow plain model judges every step.
 #![allow(dead_code)]
 
-use maplefall_tandem::{Durable, Entry, EntryKind, Member, Message, Out, Record, Setup, Tandem, What};
+use maplefall_raft::{Durable, Entry, EntryKind, Member, Message, Out, Record, Setup, Tandem, What};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -313,7 +313,7 @@
                 let place = self.draw(bytes.len() as u32) as usize;
                 bytes[place] ^= 0x40;
                 if self.chance(0.5) {
-                    install.sum = maplefall_tandem::checksum(&bytes);
+                    install.sum = maplefall_raft::checksum(&bytes);
                 }
                 install.part = bytes.into();
             }
--- a/crates/tandem/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -2,7 +2,7 @@
 
 mod play;
 
-use maplefall_tandem::Tandem;
+use maplefall_raft::Tandem;
 use play::{calm, Fleet, Variant};
 
 /// A fleet of three that has agreed on so many changes, one of them cut off since the first few; tells whom.
--- a/crates/tandem/tests/strangers.rs
+++ b/crates/raft/tests/strangers.rs
@@ -1,7 +1,7 @@
 //! What a stranger may say: anything that can be read as a message. No node panics, keeps more than is bounded, or holds another state
 //! than its records amount to. Seeds are printed.
 
-use maplefall_tandem::*;
+use maplefall_raft::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/crates/rehearsal/src/carry.rs
+++ b/crates/rehearsal/src/carry.rs
@@ -2,10 +2,10 @@
 //! rising rates, until they are late. What a rehearsal asks of them must stay well below.
 
 use crate::settings;
-use maplefall_record::{Effect, Entry, Millis, Recorder};
-use maplefall_stand_ins::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
-use maplefall_stand_ins::lateness::Lateness;
-use maplefall_stand_ins::node::{Deployment, Metering, Node, Overload, Place, Seats, Spec, Work, World};
+use maplefall_event_trace::{Effect, Entry, Millis, Recorder};
+use maplefall_test_servers::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
+use maplefall_test_servers::lateness::Lateness;
+use maplefall_test_servers::node::{Deployment, Metering, Node, Overload, Place, Seats, Spec, Work, World};
 use std::io;
 
 /// Lateness at the 99th percentile up to which a rate counts as carried.
--- a/crates/rehearsal/src/daemon.rs
+++ b/crates/rehearsal/src/daemon.rs
@@ -1,6 +1,6 @@
 //! One front door as a process: started, watched, signalled and ended. Only processes started here are ever touched.
 
-use maplefall_record::Millis;
+use maplefall_event_trace::Millis;
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::File;
 use std::io::{self, Read, Write};
--- a/crates/rehearsal/src/drains.rs
+++ b/crates/rehearsal/src/drains.rs
@@ -1,7 +1,7 @@
 //! The table of how long drains take.
 
-use maplefall_judge::drain_times::DrainTime;
-use maplefall_record::Millis;
+use maplefall_invariants::drain_times::DrainTime;
+use maplefall_event_trace::Millis;
 
 /// The value below which this part of a list lies.
 fn quantile(sorted: &[Millis], part: f64) -> Millis {
--- a/crates/rehearsal/src/etcd_world.rs
+++ b/crates/rehearsal/src/etcd_world.rs
@@ -6,10 +6,10 @@
 use maplefall_etcd_wire::{
     prefix_end, request_op, DeleteRangeRequest, Event, PutRequest, RangeRequest, RequestOp, TxnRequest,
 };
-use maplefall_record::{Entry, Health, Millis, Recorder};
-use maplefall_stand_ins::agent;
-use maplefall_stand_ins::etcd::store::Store;
-use maplefall_stand_ins::etcd::{Etcd, Known, Member};
+use maplefall_event_trace::{Entry, Health, Millis, Recorder};
+use maplefall_test_servers::agent;
+use maplefall_test_servers::etcd::store::Store;
+use maplefall_test_servers::etcd::{Etcd, Known, Member};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
--- a/crates/rehearsal/src/html.rs
+++ b/crates/rehearsal/src/html.rs
@@ -1,8 +1,8 @@
 //! The report as one page that needs nothing but itself: verdicts, a timeline of traffic, answers, failures and margins,
 //! the figures, and what proves each break.
 
-use maplefall_judge::{Judgement, Ruling, Verdict, STRETCH};
-use maplefall_record::{Entry, Lost, Millis, Record};
+use maplefall_invariants::{Judgement, Ruling, Verdict, STRETCH};
+use maplefall_event_trace::{Entry, Lost, Millis, Record};
 use std::fmt::Write;
 
 const WIDTH: f64 = 1080.0;
@@ -339,7 +339,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplefall_record::{Header, Line, Rules, VERSION};
+    use maplefall_event_trace::{Header, Line, Rules, VERSION};
 
     #[test]
     fn a_page_needs_nothing_but_itself_and_escapes_what_it_shows() {
@@ -355,7 +355,7 @@
         };
         let failure = |at, begins| Line { at, entry: Entry::Failure { name: "a & b".into(), begins } };
         let record = Record { header, lines: vec![failure(5.0, true), failure(900.0, false)] };
-        let page = page(&record, &maplefall_judge::judge(&record));
+        let page = page(&record, &maplefall_invariants::judge(&record));
         assert!(page.contains("&lt;b&gt;x&lt;/b&gt;") && page.contains("a &amp; b") && !page.contains("<b>"));
         for outside in ["http://", "https://", "src=", "@import", "url("] {
             assert!(!page.contains(outside), "{outside}");
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -18,8 +18,8 @@
 
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use maplefall_judge::{Judgement, Verdict};
-use maplefall_record::Record;
+use maplefall_invariants::{Judgement, Verdict};
+use maplefall_event_trace::Record;
 use play::Play;
 use prove::{Proof, PROOFS};
 use scenario::Scenario;
@@ -307,7 +307,7 @@
     let daemon = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
     let folder = folder(options, &scenario.name, seed);
     let record = play(&scenario, seed, &daemon, breakage, folder.clone())?;
-    let judgement = maplefall_judge::judge(&record);
+    let judgement = maplefall_invariants::judge(&record);
     told(&record, &judgement, files)?;
     println!("  logs of the front doors: {}", folder.display());
     verdict(&judgement, &scenario)
@@ -336,7 +336,7 @@
     user: Option<&str>,
     notices: Option<u64>,
 ) -> Result<Ended, String> {
-    use maplefall_stand_ins::etcd::{store::Store, Etcd};
+    use maplefall_test_servers::etcd::{store::Store, Etcd};
     if !listen.ip().is_loopback() {
         return Err(format!(
             "{listen}: a loopback address was expected; what is played here keeps nothing safe"
@@ -375,8 +375,8 @@
     for name in names {
         let scenario = library::find(name).map_err(plainly)?;
         let record = play(&scenario, seed, &daemon, None, folder(options, name, seed))?;
-        let judgement = maplefall_judge::judge(&record);
-        println!("{}", drains::row(name, &maplefall_judge::drain_times::drain_times(&record)));
+        let judgement = maplefall_invariants::judge(&record);
+        println!("{}", drains::row(name, &maplefall_invariants::drain_times::drain_times(&record)));
         let times = &judgement.figures.times;
         println!(
             "{:18}answers p50 {:.0} p99 {:.0} ms; stand-ins late by {:.1} ms at p99; rules 1-6 {}",
@@ -417,7 +417,7 @@
 
 /// The verdicts of all rules, as one letter each: kept, broken, not exercised.
 fn letters(judgement: &Judgement) -> String {
-    let letter = |ruling: &maplefall_judge::Ruling| match ruling.verdict {
+    let letter = |ruling: &maplefall_invariants::Ruling| match ruling.verdict {
         Verdict::Kept => 'k',
         Verdict::Broken => 'B',
         Verdict::NotExercised => '-',
@@ -440,7 +440,7 @@
         let played = library::find(name).map_err(plainly).and_then(|scenario| {
             let folder = folder(options, name, *seed);
             let record = play(&scenario, *seed, &daemon, None, folder)?;
-            let judgement = maplefall_judge::judge(&record);
+            let judgement = maplefall_invariants::judge(&record);
             let end = verdict(&judgement, &scenario);
             Ok((judgement, end))
         });
@@ -507,7 +507,7 @@
         let breakage = proof.map(|proof| proof.breakage);
         let daemon = if breakage.is_some() { &broken } else { &whole };
         let folder = folder(options, &format!("{name}-{}", breakage.unwrap_or("whole")), seed);
-        let judgement = maplefall_judge::judge(&play(&scenario, seed, daemon, breakage, folder)?);
+        let judgement = maplefall_invariants::judge(&play(&scenario, seed, daemon, breakage, folder)?);
         let found: Vec<u32> =
             judgement.rules.iter().filter(|r| r.verdict == Verdict::Broken).map(|r| r.rule).collect();
         let little = too_little(&judgement, &scenario);
@@ -590,7 +590,7 @@
 fn judge_again(path: &Path, files: &Files) -> Result<Ended, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let record = Record::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))?;
-    let judgement = maplefall_judge::judge(&record);
+    let judgement = maplefall_invariants::judge(&record);
     told(&record, &judgement, files)?;
     match &judgement.void {
         _ if judgement.broken() => Ok(Ended::Broken),
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -7,17 +7,17 @@
 use crate::script::{DoorAct, Script, WorldAct};
 use crate::settings;
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_record as record;
-use maplefall_record::{DoorState, Entry, Millis, Record, Recorder};
-use maplefall_stand_ins::agent::{self, Agent, List};
-use maplefall_stand_ins::auth::{self, Auth};
-use maplefall_stand_ins::client::{credential, Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
-use maplefall_stand_ins::lateness::Lateness;
-use maplefall_stand_ins::node::{
+use maplefall_event_trace as record;
+use maplefall_event_trace::{DoorState, Entry, Millis, Record, Recorder};
+use maplefall_test_servers::agent::{self, Agent, List};
+use maplefall_test_servers::auth::{self, Auth};
+use maplefall_test_servers::client::{credential, Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
+use maplefall_test_servers::lateness::Lateness;
+use maplefall_test_servers::node::{
     Deployment, Fault, Metering, Node, Overload, Place, Seats, Spec, Trouble, Work, World,
 };
-use maplefall_stand_ins::relay::{Relay, Weather};
-use maplefall_stand_ins::rude;
+use maplefall_test_servers::relay::{Relay, Weather};
+use maplefall_test_servers::rude;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::io;
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,6 +1,6 @@
 //! The report on a terminal.
 
-use maplefall_judge::{Judgement, Ruling, Verdict};
+use maplefall_invariants::{Judgement, Ruling, Verdict};
 use std::fmt::Write;
 
 fn word(verdict: Verdict) -> &'static str {
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios as data: what a file under `rehearsals/` may say, and every mistake in one with its line.
 
 use crate::reading::{Mistake, Table};
-use maplefall_record::{Effect, Millis};
+use maplefall_event_trace::{Effect, Millis};
 
 /// Version of the form of a scenario file.
 const VERSION: u32 = 1;
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -2,12 +2,12 @@
 //! Nothing here does I/O.
 
 use crate::scenario::{AuthTrouble, Range, Scenario, Sources, Strike, Teller, What};
-use maplefall_record as record;
-use maplefall_record::{Ceiling, Header, Millis, Rules};
-use maplefall_stand_ins::agent::Lapse;
-use maplefall_stand_ins::client::Ask;
-use maplefall_stand_ins::etcd::Cut;
-use maplefall_stand_ins::node::USUAL_UNITS;
+use maplefall_event_trace as record;
+use maplefall_event_trace::{Ceiling, Header, Millis, Rules};
+use maplefall_test_servers::agent::Lapse;
+use maplefall_test_servers::client::Ask;
+use maplefall_test_servers::etcd::Cut;
+use maplefall_test_servers::node::USUAL_UNITS;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::fmt::Write;
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::scenario::{Plan, Scenario, Sources};
 use crate::script::Script;
 use maplefall_protocol::Members;
-use maplefall_record::Effect;
+use maplefall_event_trace::Effect;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -116,7 +116,7 @@
     known: Option<&Members>,
     life: u64,
 ) -> Value {
-    let seed = maplefall_stand_ins::hash(&format!("{}/{me}/{life}", script.header.seed));
+    let seed = maplefall_test_servers::hash(&format!("{}/{me}/{life}", script.header.seed));
     json!({
         "name": format!("door-{me}"), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{seed:016x}"),
--- a/crates/busy-hour/src/main.rs
+++ b/crates/scenario-generator/src/main.rs
@@ -1,10 +1,10 @@
-//! `busy-hour`: draws days with many troubles at once for the users' bench.
+//! `maplefall-scenario-generator`: draws scenarios with several concurrent faults for the users' bench.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use maplefall_busy_hour::draw::{Drawer, Pile};
-use maplefall_busy_hour::error::Error;
-use maplefall_busy_hour::kinds::Kinds;
-use maplefall_busy_hour::site::Site;
+use maplefall_scenario_generator::draw::{Drawer, Pile};
+use maplefall_scenario_generator::error::Error;
+use maplefall_scenario_generator::kinds::Kinds;
+use maplefall_scenario_generator::site::Site;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -17,7 +17,7 @@
 ///
 /// Exit code: 0 all days are written, 2 something could not be read or written.
 #[derive(Parser)]
-#[command(name = "busy-hour", version, max_term_width = 100)]
+#[command(name = "maplefall-scenario-generator", version, max_term_width = 100)]
 struct Line {
     #[command(subcommand)]
     command: Command,
--- a/crates/busy-hour/tests/days.rs
+++ b/crates/scenario-generator/tests/days.rs
@@ -1,8 +1,8 @@
 //! Days as they are drawn: each can be read again, holds what is listed and nothing else, and comes again from its seed.
 
-use maplefall_busy_hour::draw::{Drawer, Pile};
-use maplefall_busy_hour::kinds::{Kinds, Leaves, Struck, BACKENDS, BESIDES, BUSY, CUTS, WHICH};
-use maplefall_busy_hour::site::Site;
+use maplefall_scenario_generator::draw::{Drawer, Pile};
+use maplefall_scenario_generator::kinds::{Kinds, Leaves, Struck, BACKENDS, BESIDES, BUSY, CUTS, WHICH};
+use maplefall_scenario_generator::site::Site;
 use std::collections::BTreeSet;
 use toml::{Table, Value};
 
--- a/crates/directory/tests/words.rs
+++ b/crates/service-registry/tests/words.rs
@@ -1,6 +1,6 @@
 //! The directory against a plain model: whatever the order in which words come, the last one said holds.
 
-use maplefall_directory::{Brought, Directory, State, Word};
+use maplefall_service_registry::{Brought, Directory, State, Word};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Debug)]
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -32,7 +32,7 @@
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("maplefall-drill: {error}");
+            eprintln!("maplefall-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/drill/tests/drill.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Child, Command, Output, Stdio};
 
 fn start() -> Child {
-    Command::new(env!("CARGO_BIN_EXE_maplefall-drill"))
+    Command::new(env!("CARGO_BIN_EXE_maplefall-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/stand-ins/src/agent.rs
+++ b/crates/test-servers/src/agent.rs
@@ -3,7 +3,7 @@
 
 use crate::wire::Link;
 use maplefall_protocol::{Health as Wire, Member, Members};
-use maplefall_record::{Entry, Health, Millis, Recorder};
+use maplefall_event_trace::{Entry, Health, Millis, Recorder};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener as StdListener;
--- a/crates/stand-ins/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -4,7 +4,7 @@
 use crate::lateness::Lateness;
 use crate::wire::{Link, Message, NoMessage};
 use crate::{draw, hash};
-use maplefall_record::{form, Effect, Entry, Lost, Millis, Recorder};
+use maplefall_event_trace::{form, Effect, Entry, Lost, Millis, Recorder};
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/stand-ins/src/counter.rs
+++ b/crates/test-servers/src/counter.rs
@@ -1,7 +1,7 @@
 //! The shared counter (protocol page, "The counter"): adds an amount to a named number and answers with the total.
 
 use crate::wire::Link;
-use maplefall_record::Millis;
+use maplefall_event_trace::Millis;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::TcpListener as StdListener;
--- a/crates/stand-ins/src/lateness.rs
+++ b/crates/test-servers/src/lateness.rs
@@ -1,7 +1,7 @@
 //! How late the stand-ins themselves are: a run in which they were late says nothing of the front door.
 
 use hdrhistogram::Histogram;
-use maplefall_record::{Entry, Millis};
+use maplefall_event_trace::{Entry, Millis};
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Longest lateness told apart, in microseconds.
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,6 +1,6 @@
 //! Played outside systems on loopback sockets, by the platform's published protocol: what a front door meets in
 //! service, with failures by script. Everything runs on current-thread runtimes inside a
-//! [`LocalSet`](tokio::task::LocalSet) and writes what it sees to one [`Recorder`](maplefall_record::Recorder).
+//! [`LocalSet`](tokio::task::LocalSet) and writes what it sees to one [`Recorder`](maplefall_event_trace::Recorder).
 //!
 //! They read and write HTTP/1.1 byte by byte (over `httparse`), not by an HTTP library: a stand-in must be able to
 //! break off within a message, write what is none, and tell the first byte of a request from its last.
--- a/crates/stand-ins/src/node.rs
+++ b/crates/test-servers/src/node.rs
@@ -7,7 +7,7 @@
 use crate::lateness::Lateness;
 use crate::wire::{Link, Message, NoMessage};
 use crate::{draw, hash};
-use maplefall_record::{form, Effect, End, Entry, Millis, NodeState, Recorder};
+use maplefall_event_trace::{form, Effect, End, Entry, Millis, NodeState, Recorder};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
--- a/crates/stand-ins/src/rude.rs
+++ b/crates/test-servers/src/rude.rs
@@ -3,7 +3,7 @@
 
 use crate::hash;
 use crate::wire::{Link, NoMessage};
-use maplefall_record::{Entry, Millis, Recorder};
+use maplefall_event_trace::{Entry, Millis, Recorder};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/stand-ins/tests/played.rs
+++ b/crates/test-servers/tests/played.rs
@@ -2,16 +2,16 @@
 //! an event will do; what does not come within `PATIENCE` fails the test.
 
 use maplefall_protocol::{Health, Member};
-use maplefall_record::{Effect, End, Entry, Line, Lost, Millis, NodeState, Recorder};
-use maplefall_stand_ins::agent::{host, Agent, Lapse, List};
-use maplefall_stand_ins::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
-use maplefall_stand_ins::counter::Counter;
-use maplefall_stand_ins::lateness::Lateness;
-use maplefall_stand_ins::node::{
+use maplefall_event_trace::{Effect, End, Entry, Line, Lost, Millis, NodeState, Recorder};
+use maplefall_test_servers::agent::{host, Agent, Lapse, List};
+use maplefall_test_servers::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
+use maplefall_test_servers::counter::Counter;
+use maplefall_test_servers::lateness::Lateness;
+use maplefall_test_servers::node::{
     Deployment, Fault, Metering, Node, Overload, Place, Seats, Spec, Trouble, Work, World,
 };
-use maplefall_stand_ins::rude;
-use maplefall_stand_ins::wire::{Link, Message, NoMessage};
+use maplefall_test_servers::rude;
+use maplefall_test_servers::wire::{Link, Message, NoMessage};
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -397,7 +397,7 @@
         assert!(open.reads(&["\"seq\":3", "removed"]).await);
         // What there is to tell stands in the record when it is there, not when it is told.
         let due =
-            |line: &maplefall_record::Line| matches!(line.entry, Entry::Due { door: 0, version: 2.., .. });
+            |line: &maplefall_event_trace::Line| matches!(line.entry, Entry::Due { door: 0, version: 2.., .. });
         assert_eq!(recorder.take().iter().filter(|line| due(line)).count(), 2);
     });
 }
