--- a/benches/benches/items.rs
+++ b/benches/benches/items.rs
@@ -3,25 +3,43 @@
 use bytes::BytesMut;
 use criterion::{BatchSize, Criterion, Throughput};
 use maplefall_benches::made::{self, Size};
-use maplefall_service_registry::Directory;
-use maplefall_gateway_config::{read_call, Board, Change, Plan};
 use maplefall_control_messages::{read, write, Alive, Frame, Plans, Seen, Words};
+use maplefall_gateway_config::{read_call, Board, Change, Plan};
+use maplefall_service_registry::Directory;
 use std::hint::black_box;
 use std::time::Duration;
 
-const SMALL: Size = Size { routes: 1000, tenants: 1000, services: 120 };
+const SMALL: Size = Size {
+    routes: 1000,
+    tenants: 1000,
+    services: 120,
+};
 
 fn frames(c: &mut Criterion) {
     let words = |n: usize| {
         let words = (0..n).map(|n| made::word(n, 120, 1)).collect();
-        Frame::Words(Words { words, all: false, receipt: 0 })
+        Frame::Words(Words {
+            words,
+            all: false,
+            receipt: 0,
+        })
     };
     let plans = || {
         let items = made::items(SMALL);
-        Frame::Plans(Plans { after: 0, index: 9, items, ..Plans::default() })
+        Frame::Plans(Plans {
+            after: 0,
+            index: 9,
+            items,
+            ..Plans::default()
+        })
     };
     let alive = || {
-        let seen = (0..1000).map(|n| Seen { id: made::backend(n), seq: 1000 }).collect();
+        let seen = (0..1000)
+            .map(|n| Seen {
+                id: made::backend(n),
+                seq: 1000,
+            })
+            .collect();
         Frame::Alive(Alive { seen })
     };
     let mut group = c.benchmark_group("frames");
@@ -35,11 +53,19 @@
         group.throughput(Throughput::Elements(items));
         let bytes = write(frame.clone());
         group.bench_function(format!("{name}/write"), |b| {
-            b.iter_batched(|| frame.clone(), |frame| black_box(write(frame)), BatchSize::LargeInput);
+            b.iter_batched(
+                || frame.clone(),
+                |frame| black_box(write(frame)),
+                BatchSize::LargeInput,
+            );
         });
         group.bench_function(format!("{name}/read"), |b| {
             let come = || BytesMut::from(bytes.as_ref());
-            b.iter_batched(come, |mut come| black_box(read(&mut come).is_ok()), BatchSize::LargeInput);
+            b.iter_batched(
+                come,
+                |mut come| black_box(read(&mut come).is_ok()),
+                BatchSize::LargeInput,
+            );
         });
     }
     group.finish();
@@ -75,11 +101,17 @@
     let board = Board::of(items.clone());
     let one = read_call(made::call(0..1, 0..0, 0..0, 120, 8).as_bytes());
     let one: Change = one.unwrap_or_default();
-    group.bench_function("check_one/1000+1000", |b| b.iter(|| black_box(board.check(&one).is_ok())));
+    group.bench_function("check_one/1000+1000", |b| {
+        b.iter(|| black_box(board.check(&one).is_ok()))
+    });
     group.bench_function("plan/1000+1000", |b| b.iter(|| black_box(Plan::of(&board))));
-    group.bench_function("read_back/1000+1000", |b| b.iter(|| black_box(board.read_back())));
+    group.bench_function("read_back/1000+1000", |b| {
+        b.iter(|| black_box(board.read_back()))
+    });
     let body = made::call(0..1, 0..0, 0..0, 120, 8);
-    group.bench_function("read_call/1", |b| b.iter(|| black_box(read_call(body.as_bytes()).is_ok())));
+    group.bench_function("read_call/1", |b| {
+        b.iter(|| black_box(read_call(body.as_bytes()).is_ok()))
+    });
     group.finish();
 }
 
--- a/benches/examples/hollow.rs
+++ b/benches/examples/hollow.rs
@@ -8,9 +8,9 @@
 use maplefall_benches::group::{Done, Flow, Group};
 use maplefall_benches::made::{self, Size};
 use maplefall_benches::measure::{cpu, status};
-use maplefall_service_registry::Word;
 use maplefall_control_messages::{read, Frame, Words};
 use maplefall_proxy::{Core as Door, Output as DoorOutput};
+use maplefall_service_registry::Word;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -88,14 +88,18 @@
             let slot = self.at / STEP % slots;
             if beats {
                 self.seq += u64::from(slot == 0);
-                let due: Vec<usize> =
-                    (0..self.there).skip(slot).step_by(slots).filter(|n| *n >= self.silent).collect();
+                let due: Vec<usize> = (0..self.there)
+                    .skip(slot)
+                    .step_by(slots)
+                    .filter(|n| *n >= self.silent)
+                    .collect();
                 for at in 0..exchanges {
                     let mine = due.iter().filter(|n| **n % exchanges == at);
                     let services = self.line.services;
                     let seq = 10 + self.seq;
-                    let mine =
-                        mine.map(|n| (made::backend(*n), made::beat(*n, services, seq, "in_loop"))).collect();
+                    let mine = mine
+                        .map(|n| (made::backend(*n), made::beat(*n, services, seq, "in_loop")))
+                        .collect();
                     self.group.beats(at, mine);
                 }
             }
@@ -103,7 +107,8 @@
             let doors = self.line.doors;
             let turn = self.at / STEP % turns;
             let reporting = (1..doors).filter(|door| door % turns == turn);
-            self.group.reports(reporting, self.line.asked, self.line.tenants);
+            self.group
+                .reports(reporting, self.line.asked, self.line.tenants);
             if turn == 0 {
                 let mut out = Vec::new();
                 let (now, before) = (self.group.now, cpu());
@@ -166,21 +171,31 @@
             tell_done(&format!("{what} exchange={at}"), done, seconds);
         }
         let flows = flows(&self.door_frames, seconds);
-        println!("{what} door cpu_ms_s={:.3} {flows}", 1e3 * self.door_cpu / seconds);
+        println!(
+            "{what} door cpu_ms_s={:.3} {flows}",
+            1e3 * self.door_cpu / seconds
+        );
     }
 }
 
 fn flows(flows: &BTreeMap<&'static str, Flow>, seconds: f64) -> String {
     let one = |(what, flow): (&&str, &Flow)| {
-        format!("{what}={:.1}/s,{:.0}B/s", flow.count as f64 / seconds, flow.bytes as f64 / seconds)
+        format!(
+            "{what}={:.1}/s,{:.0}B/s",
+            flow.count as f64 / seconds,
+            flow.bytes as f64 / seconds
+        )
     };
     flows.iter().map(one).collect::<Vec<_>>().join(" ")
 }
 
 fn tell_done(what: &str, done: &Done, seconds: f64) {
     let spent: f64 = done.cpu.values().sum();
-    let parts: Vec<String> =
-        done.cpu.iter().map(|(kind, cpu)| format!("{kind}:{:.1}", 1e3 * cpu / seconds)).collect();
+    let parts: Vec<String> = done
+        .cpu
+        .iter()
+        .map(|(kind, cpu)| format!("{kind}:{:.1}", 1e3 * cpu / seconds))
+        .collect();
     println!(
         "{what} cpu_ms_s={:.1} ({}) doors[{}] peers[{}] disk={:.1}/s,{:.0}B/s answers={:.0}/s",
         1e3 * spent / seconds,
@@ -194,13 +209,21 @@
 }
 
 fn memory(what: &str) {
-    println!("memory after={what} rss_mb={} cpu_s={:.0}", status("VmRSS") >> 20, cpu());
+    println!(
+        "memory after={what} rss_mb={} cpu_s={:.0}",
+        status("VmRSS") >> 20,
+        cpu()
+    );
 }
 
 fn main() {
     let line = Line::parse();
     let started = Instant::now();
-    let size = Size { routes: line.routes, tenants: line.tenants, services: line.services };
+    let size = Size {
+        routes: line.routes,
+        tenants: line.tenants,
+        services: line.services,
+    };
     let mut group = Group::new(line.exchanges);
     group.watch = 1;
     // The configuration, and what a change of one route costs with nobody there.
@@ -208,7 +231,11 @@
     let calls = made::calls(size);
     let many = calls.len();
     let all = calls.into_iter().all(|call| group.amend(call).0);
-    tell_done(&format!("config calls={many} done={all} leader"), &group.done[0], 1.0);
+    tell_done(
+        &format!("config calls={many} done={all} leader"),
+        &group.done[0],
+        1.0,
+    );
     memory("config");
     let settings = made::settings("edge-zone-0-0", "10.1.0.0", &group.ips.clone());
     let mut run = Run {
@@ -248,9 +275,15 @@
         let to = (from + AT_ONCE).min(run.line.backends);
         let words: Vec<Word> = (from..to).map(|n| made::word(n, services, 1)).collect();
         for at in 0..run.group.cores.len() {
-            let words = Words { words: words.clone(), all: false, receipt: 0 };
+            let words = Words {
+                words: words.clone(),
+                all: false,
+                receipt: 0,
+            };
             let ip = ip.clone();
-            run.group.drive(at, "words", |core, now, out| core.peer(now, &ip, Frame::Words(words), out));
+            run.group.drive(at, "words", |core, now, out| {
+                core.peer(now, &ip, Frame::Words(words), out)
+            });
         }
         run.group.pump();
         run.listen();
@@ -289,17 +322,23 @@
             last += 1;
             let at = k % exchanges;
             let seq = 1000 + run.seq;
-            let beat = |n: usize, state: &str| vec![(made::backend(n), made::beat(n, services, seq, state))];
+            let beat = |n: usize, state: &str| {
+                vec![(made::backend(n), made::beat(n, services, seq, state))]
+            };
             run.group.beats(at, beat(ends, "decaying"));
             run.group.pump();
             run.group.leaves(at, vec![made::backend(ends)]);
-            run.group.beats((at + 1) % exchanges, beat(run.there + ends, "in_loop"));
+            run.group
+                .beats((at + 1) % exchanges, beat(run.there + ends, "in_loop"));
             run.group.pump();
         }
         run.silent = last;
         run.pass(1000, true);
     }
-    run.tell(&format!("churn per_s={}", run.line.churn), (run.at - before).max(STEP) as f64 / 1000.0);
+    run.tell(
+        &format!("churn per_s={}", run.line.churn),
+        (run.at - before).max(STEP) as f64 / 1000.0,
+    );
     // One backend in eight falls silent.
     run.silent = run.line.backends / 8;
     run.pass(5000, true);
--- a/benches/examples/slopes.rs
+++ b/benches/examples/slopes.rs
@@ -8,15 +8,15 @@
 use maplefall_benches::group::Group;
 use maplefall_benches::made::{self, Size};
 use maplefall_benches::measure::{each, status, took};
-use maplefall_service_registry::Directory;
+use maplefall_control_messages::{read, write, Frame, Hello, Plans, Words, VERSION};
 use maplefall_controller::disk::Folder;
 use maplefall_controller::store::{Error, Store, Stored};
 use maplefall_gateway_config::{read_call, Board, Change, Plan};
 use maplefall_policy::Outcome;
-use maplefall_control_messages::{read, write, Frame, Hello, Plans, Words, VERSION};
 use maplefall_proxy::{Arrival, Core as Door, Ended, Output as DoorOutput};
-use maplefall_raft::{Entry, EntryKind, Record};
 use maplefall_quota_lease::{Caller, Demand, Lender, Lent, Loan, Purse, Report, WHOLE};
+use maplefall_raft::{Entry, EntryKind, Record};
+use maplefall_service_registry::Directory;
 use prost::Message;
 use socket2::{Domain, Socket, Type};
 use std::hint::black_box;
@@ -119,11 +119,24 @@
     match Line::parse().part {
         Part::Numbering { routes, tenants } => numbering(&routes, &tenants),
         Part::Directory { backends, beyond } => directory(&backends, beyond),
-        Part::Toll { doors, tenants, asked, most } => toll(&doors, &tenants, asked, most),
-        Part::Door { backends, services, tenants } => door(&backends, &services, &tenants),
+        Part::Toll {
+            doors,
+            tenants,
+            asked,
+            most,
+        } => toll(&doors, &tenants, asked, most),
+        Part::Door {
+            backends,
+            services,
+            tenants,
+        } => door(&backends, &services, &tenants),
         Part::Tandem { members } => tandem(&members),
         Part::Change { routes, tenths } => change(&routes, tenths),
-        Part::Sockets { exchange, doors, beats } => {
+        Part::Sockets {
+            exchange,
+            doors,
+            beats,
+        } => {
             for doors in doors {
                 if let Err(error) = sockets(&exchange, doors, beats) {
                     println!("sockets doors={doors} error={error:?}");
@@ -132,7 +145,11 @@
         }
         Part::Disk { entries } => disk(&entries),
     }
-    println!("rss_mb={} peak_mb={}", status("VmRSS") >> 20, status("VmHWM") >> 20);
+    println!(
+        "rss_mb={} peak_mb={}",
+        status("VmRSS") >> 20,
+        status("VmHWM") >> 20
+    );
 }
 
 /// Seconds as microseconds.
@@ -148,8 +165,16 @@
 // ---- Configuration ------------------------------------------------------------------------------------
 
 fn numbering(routes: &[usize], tenants: &[usize]) {
-    let routes = routes.iter().map(|n| Size { routes: *n, tenants: 0, services: services_of(*n) });
-    let tenants = tenants.iter().map(|n| Size { routes: 0, tenants: *n, services: 0 });
+    let routes = routes.iter().map(|n| Size {
+        routes: *n,
+        tenants: 0,
+        services: services_of(*n),
+    });
+    let tenants = tenants.iter().map(|n| Size {
+        routes: 0,
+        tenants: *n,
+        services: 0,
+    });
     for size in routes.chain(tenants) {
         let n = size.routes + size.tenants + size.services;
         let items = made::items(size);
@@ -171,7 +196,9 @@
         let text = board.read_back();
         let read_back = each(0.5, || drop(black_box(board.read_back())));
         let planning = each(0.5, || drop(black_box(Plan::of(&board))));
-        let (hosts, keys): (Vec<_>, Vec<_>) = (0..1000).map(|k| (made::place(k * 77), made::key(k))).unzip();
+        let (hosts, keys): (Vec<_>, Vec<_>) = (0..1000)
+            .map(|k| (made::place(k * 77), made::key(k)))
+            .unzip();
         let look = each(0.2, || {
             for ((host, path), key) in hosts.iter().zip(&keys) {
                 black_box((plan.route(host, path).is_some(), plan.tenant(key).is_some()));
@@ -205,14 +232,26 @@
         let words: Vec<_> = (0..n).map(|n| made::word(n, 8900, 1)).collect();
         let encoded: usize = words.iter().map(Message::encoded_len).sum();
         let mut directory = Directory::default();
-        let (_, new) = took(|| words.into_iter().for_each(|word| drop(directory.hear(0.0, word))));
+        let (_, new) = took(|| {
+            words
+                .into_iter()
+                .for_each(|word| drop(directory.hear(0.0, word)))
+        });
         let again: Vec<_> = (0..n).map(|n| made::word(n, 8900, 2)).collect();
-        let (_, beat) = took(|| again.into_iter().for_each(|word| drop(directory.hear(1.0, word))));
+        let (_, beat) = took(|| {
+            again
+                .into_iter()
+                .for_each(|word| drop(directory.hear(1.0, word)))
+        });
         let ids: Vec<_> = (0..n).map(made::backend).collect();
         let (_, seen) = took(|| ids.iter().for_each(|id| drop(directory.seen(2.0, id, 3))));
         let overdue = each(0.3, || drop(black_box(directory.overdue(3.0, 6000.0))));
         let words = each(0.3, || drop(black_box(directory.words(3.0))));
-        let all = Frame::Words(Words { words: directory.words(3.0), all: true, receipt: 0 });
+        let all = Frame::Words(Words {
+            words: directory.words(3.0),
+            all: true,
+            receipt: 0,
+        });
         let whole = each(0.3, || drop(black_box(write(all.clone()))));
         let per = |x: f64| 1e9 * x / n as f64;
         println!(
@@ -236,7 +275,8 @@
         n += 1;
     }
     let most = directory.len();
-    let (_, took) = took(|| (n..n + beyond).for_each(|n| drop(directory.hear(0.0, made::word(n, 8900, 1)))));
+    let (_, took) =
+        took(|| (n..n + beyond).for_each(|n| drop(directory.hear(0.0, made::word(n, 8900, 1)))));
     println!(
         "directory holds={most} of={} each_beyond_us={:.0}",
         n + beyond,
@@ -250,12 +290,22 @@
 const LENDER: u32 = 3;
 
 fn report(number: u64, confirmed: u64, door: usize, asked: usize, tenants: usize) -> Report {
-    let demand =
-        |n: usize| Demand { tenant: made::tenant((door * 7 + n) % tenants.max(1)), rate: 2000, short: false };
+    let demand = |n: usize| Demand {
+        tenant: made::tenant((door * 7 + n) % tenants.max(1)),
+        rate: 2000,
+        short: false,
+    };
     let demand = (0..asked.min(tenants)).map(demand).collect();
     let first = number == 1;
     let lender = if first { 0 } else { LENDER };
-    Report { number, confirmed, first, demand, lender, ..Report::default() }
+    Report {
+        number,
+        confirmed,
+        first,
+        demand,
+        lender,
+        ..Report::default()
+    }
 }
 
 fn toll(doors: &[usize], tenants: &[usize], asked: usize, most: usize) {
@@ -268,7 +318,11 @@
                 continue;
             }
             let nodes: Vec<String> = (0..d).map(|n| format!("edge-zone-{}-{n}", n % 8)).collect();
-            let caller = |n: usize| Caller { name: &nodes[n], life: 1, conn: 1 };
+            let caller = |n: usize| Caller {
+                name: &nodes[n],
+                life: 1,
+                conn: 1,
+            };
             let mut lender = Lender::new(0.0, LENDER, WHOLE / 3, Some(Default::default()));
             // All doors are there before the first hears of a tenant.
             let none = || std::iter::empty::<&str>();
@@ -280,7 +334,9 @@
             let mut bytes = 0;
             let (_, cold) = took(|| {
                 for (n, number) in numbers.iter_mut().enumerate().take(some) {
-                    for (_, lent) in lender.report(500.0, caller(n), &report(2, 0, n, asked, t), all()) {
+                    for (_, lent) in
+                        lender.report(500.0, caller(n), &report(2, 0, n, asked, t), all())
+                    {
                         bytes += write(Frame::Lent(lent.clone())).len();
                         *number = lent.number;
                     }
@@ -315,11 +371,31 @@
             for lender in ["10.0.0.1", "10.0.0.2", "10.0.0.3"] {
                 purse.connected(lender);
                 purse.report(0.0, lender, Vec::new());
-                let loans = names.iter().map(|tenant| Loan { tenant: tenant.clone(), parts: 9 }).collect();
-                purse.lent(0.0, lender, &Lent { number: 1, report: 1, loans, doors: 1, life: 1, lender: 1 });
+                let loans = names
+                    .iter()
+                    .map(|tenant| Loan {
+                        tenant: tenant.clone(),
+                        parts: 9,
+                    })
+                    .collect();
+                purse.lent(
+                    0.0,
+                    lender,
+                    &Lent {
+                        number: 1,
+                        report: 1,
+                        loans,
+                        doors: 1,
+                        life: 1,
+                        lender: 1,
+                    },
+                );
             }
         });
-        println!("toll purse tenants={t} lenders=3 bytes_tenant={:.0}", held.held as f64 / t as f64);
+        println!(
+            "toll purse tenants={t} lenders=3 bytes_tenant={:.0}",
+            held.held as f64 / t as f64
+        );
     }
 }
 
@@ -329,7 +405,12 @@
     let settings = made::settings("edge", "10.1.0.1", &["10.0.0.1".to_owned()]);
     let mut door = Door::new(&settings, 9);
     let items = made::items(size);
-    let plans = Plans { after: 0, index: 9, items, ..Plans::default() };
+    let plans = Plans {
+        after: 0,
+        index: 9,
+        items,
+        ..Plans::default()
+    };
     door.heard(0.0, "10.0.0.1", Frame::Plans(plans), out);
     door
 }
@@ -337,7 +418,11 @@
 fn door(backends: &[usize], services: &[usize], tenants: &[usize]) {
     let mut out = Vec::new();
     for &n in services {
-        let size = Size { routes: n * 9, tenants: 0, services: n };
+        let size = Size {
+            routes: n * 9,
+            tenants: 0,
+            services: n,
+        };
         let (door, planned) = took(|| new_door(size, &mut out));
         println!(
             "door routes={} services={n} held_bytes_route={:.0} plan_ms={:.1}",
@@ -350,12 +435,20 @@
             let mut door = new_door(size, &mut out);
             out.clear();
             let words = (0..b).map(|k| made::word(k, n, 1)).collect();
-            let frame = Frame::Words(Words { words, all: false, receipt: 0 });
+            let frame = Frame::Words(Words {
+                words,
+                all: false,
+                receipt: 0,
+            });
             let (_, told) = took(|| {
                 door.heard(0.0, "10.0.0.1", frame, &mut out);
                 out.clear();
             });
-            let again = Frame::Words(Words { words: vec![made::word(0, n, 1)], all: false, receipt: 0 });
+            let again = Frame::Words(Words {
+                words: vec![made::word(0, n, 1)],
+                all: false,
+                receipt: 0,
+            });
             let word = each(0.1, || door.heard(1.0, "10.0.0.1", again.clone(), &mut out));
             let mut now = 10.0;
             let mut which = 0;
@@ -377,8 +470,15 @@
                     served += 1;
                 }
                 for output in done {
-                    if let DoorOutput::Send { request, attempt, .. } = output {
-                        let ended = Ended { outcome: Outcome::Ok, broken: 0, stranger: false };
+                    if let DoorOutput::Send {
+                        request, attempt, ..
+                    } = output
+                    {
+                        let ended = Ended {
+                            outcome: Outcome::Ok,
+                            broken: 0,
+                            stranger: false,
+                        };
                         let mut over = Vec::new();
                         door.ended(now + 5.0, request, attempt, ended, &mut over);
                     }
@@ -401,14 +501,39 @@
         }
     }
     for &t in tenants {
-        let size = Size { routes: 900, tenants: t, services: 100 };
+        let size = Size {
+            routes: 900,
+            tenants: t,
+            services: 100,
+        };
         let (mut door, planned) = took(|| new_door(size, &mut out));
         out.clear();
         let words = (0..1000).map(|k| made::word(k, 100, 1)).collect();
-        door.heard(0.0, "10.0.0.1", Frame::Words(Words { words, all: false, receipt: 0 }), &mut Vec::new());
+        door.heard(
+            0.0,
+            "10.0.0.1",
+            Frame::Words(Words {
+                words,
+                all: false,
+                receipt: 0,
+            }),
+            &mut Vec::new(),
+        );
         door.exchange_up(1.0, "10.0.0.1", &mut out);
-        let loans = (0..t).map(|n| Loan { tenant: made::tenant(n), parts: WHOLE }).collect();
-        let lent = Lent { number: 1, report: 1, loans, doors: 1, life: 9, lender: 1 };
+        let loans = (0..t)
+            .map(|n| Loan {
+                tenant: made::tenant(n),
+                parts: WHOLE,
+            })
+            .collect();
+        let lent = Lent {
+            number: 1,
+            report: 1,
+            loans,
+            doors: 1,
+            life: 9,
+            lender: 1,
+        };
         let (_, lent) = took(|| door.heard(2.0, "10.0.0.1", Frame::Lent(lent), &mut Vec::new()));
         let mut now = 10.0;
         let (mut who, mut served) = (0, 0_u64);
@@ -430,8 +555,15 @@
                 served += 1;
             }
             for output in done {
-                if let DoorOutput::Send { request, attempt, .. } = output {
-                    let ended = Ended { outcome: Outcome::Ok, broken: 0, stranger: false };
+                if let DoorOutput::Send {
+                    request, attempt, ..
+                } = output
+                {
+                    let ended = Ended {
+                        outcome: Outcome::Ok,
+                        broken: 0,
+                        stranger: false,
+                    };
                     let mut over = Vec::new();
                     door.ended(now + 5.0, request, attempt, ended, &mut over);
                 }
@@ -447,8 +579,16 @@
         let mut index = 9;
         let one_change = each(0.3, || {
             index += 1;
-            let change = maplefall_control_messages::Numbered { index, change: Some(one.clone()) };
-            let plans = Plans { after: index - 1, index, changes: vec![change], ..Plans::default() };
+            let change = maplefall_control_messages::Numbered {
+                index,
+                change: Some(one.clone()),
+            };
+            let plans = Plans {
+                after: index - 1,
+                index,
+                changes: vec![change],
+                ..Plans::default()
+            };
             door.heard(now, "10.0.0.1", Frame::Plans(plans), &mut Vec::new());
         });
         println!(
@@ -498,7 +638,11 @@
 
 fn change(routes: &[usize], tenths: usize) {
     for &n in routes {
-        let size = Size { routes: n, tenants: n * tenths / 10, services: services_of(n) };
+        let size = Size {
+            routes: n,
+            tenants: n * tenths / 10,
+            services: services_of(n),
+        };
         let (mut group, grown) = took(|| {
             let mut group = Group::new(3);
             for call in made::calls(size) {
@@ -510,13 +654,20 @@
         let mut cost = Vec::new();
         for version in 0..5 {
             let (done, at) = group.amend(made::call(0..1, 0..0, 0..0, size.services, 8 + version));
-            let amend = std::mem::take(&mut group.done[at].cpu).get("amend").copied().unwrap_or(0.0);
+            let amend = std::mem::take(&mut group.done[at].cpu)
+                .get("amend")
+                .copied()
+                .unwrap_or(0.0);
             cost.push((amend, done));
         }
         cost.sort_by(|a, b| a.0.total_cmp(&b.0));
         group.reset();
         group.connect(0, 0);
-        let plan = group.done[0].doors.get("plans").copied().unwrap_or_default();
+        let plan = group.done[0]
+            .doors
+            .get("plans")
+            .copied()
+            .unwrap_or_default();
         let connect = group.done[0].cpu.get("connect").copied().unwrap_or(0.0);
         println!(
             "change routes={n} tenants={} done={} amend_ms={:.1} door_connects_ms={:.1} plan_bytes={} exchanges_3_held_mb={} bytes_route_exchange={:.0}",
@@ -547,8 +698,13 @@
 impl Child {
     /// Seconds of processor time that it has used.
     fn cpu(&self) -> f64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.0.id())).unwrap_or_default();
-        let spent = |text: &str| text.split_whitespace().next().and_then(|n| n.parse::<f64>().ok());
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/schedstat", self.0.id())).unwrap_or_default();
+        let spent = |text: &str| {
+            text.split_whitespace()
+                .next()
+                .and_then(|n| n.parse::<f64>().ok())
+        };
         spent(&text).unwrap_or(0.0) * 1e-9
     }
 }
@@ -708,7 +864,9 @@
 
 fn size_of(path: &Path) -> u64 {
     let files = std::fs::read_dir(path).into_iter().flatten().flatten();
-    files.filter_map(|file| Some(file.metadata().ok()?.len())).sum()
+    files
+        .filter_map(|file| Some(file.metadata().ok()?.len()))
+        .sum()
 }
 
 /// Writes records, and takes one step of what can wait, as the exchange's thread does.
@@ -742,8 +900,15 @@
                         payload: payload.clone(),
                         ..Entry::default()
                     };
-                    let record = Record { entries: vec![entry], ..Record::default() };
-                    Stored { number, tandem: Some(record), ..Stored::default() }
+                    let record = Record {
+                        entries: vec![entry],
+                        ..Record::default()
+                    };
+                    Stored {
+                        number,
+                        tandem: Some(record),
+                        ..Stored::default()
+                    }
                 })
                 .collect();
             logical += records.iter().map(Message::encoded_len).sum::<usize>();
@@ -756,8 +921,11 @@
         let _ = store.close();
         let on_disk = size_of(&path);
         let before = Instant::now();
-        let (found, took) =
-            took(|| Store::open(Folder::new(&path)).map(|(_, kept)| kept.tandem.log.len()).unwrap_or(0));
+        let (found, took) = took(|| {
+            Store::open(Folder::new(&path))
+                .map(|(_, kept)| kept.tandem.log.len())
+                .unwrap_or(0)
+        });
         println!(
             "disk entries={n} found={found} payload_bytes={} record_bytes_entry={:.0} written_bytes_entry={:.0} on_disk_bytes={on_disk} start_ms={:.1} start_cpu_us_entry={:.2}",
             payload.len(),
@@ -771,10 +939,14 @@
     // With so many backends known, what is written for each further word: the whole state again and again.
     for known in [1000, 10_000, 50_000] {
         let path = folder("words");
-        let Ok((mut store, _)) = Store::open(Folder::new(&path)) else { return };
+        let Ok((mut store, _)) = Store::open(Folder::new(&path)) else {
+            return;
+        };
         let stored = |number: u64, from: usize, many: usize, seq: u64| Stored {
             number,
-            words: (from..from + many).map(|n| made::word(n, 8900, seq)).collect(),
+            words: (from..from + many)
+                .map(|n| made::word(n, 8900, seq))
+                .collect(),
             ..Stored::default()
         };
         let mut good = true;
--- a/benches/src/group.rs
+++ b/benches/src/group.rs
@@ -4,9 +4,9 @@
 use crate::made;
 use crate::measure::cpu;
 use bytes::{Bytes, BytesMut};
+use maplefall_control_messages::{read, Frame, Hello, VERSION};
 use maplefall_controller::store::Kept;
 use maplefall_controller::{Answer, Call, Core, Output};
-use maplefall_control_messages::{read, Frame, Hello, VERSION};
 use maplefall_quota_lease::{Demand, Purse, Report};
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
@@ -125,7 +125,13 @@
         for n in 0..exchanges {
             let settings = made::settings(&format!("core-{n}"), &group.ips[n], &group.ips);
             let mut out = Vec::new();
-            group.cores.push(Core::new(&settings, 0.0, 7 + n as u64, Kept::default(), &mut out));
+            group.cores.push(Core::new(
+                &settings,
+                0.0,
+                7 + n as u64,
+                Kept::default(),
+                &mut out,
+            ));
             group.carry(n, out);
         }
         for at in 0..exchanges {
@@ -143,7 +149,9 @@
 
     /// Forgets what was done so far.
     pub fn reset(&mut self) {
-        self.done.iter_mut().for_each(|done| *done = Done::default());
+        self.done
+            .iter_mut()
+            .for_each(|done| *done = Done::default());
     }
 
     /// Hands an exchange some inputs of one kind, and carries out what comes of them.
@@ -198,7 +206,9 @@
         if door < self.watch {
             self.watched.push((door, at, bytes.clone()));
         }
-        let Some(hollow) = self.doors.get_mut(door) else { return };
+        let Some(hollow) = self.doors.get_mut(door) else {
+            return;
+        };
         if what == "lent" {
             if let Ok(Some(Frame::Lent(lent))) = read(&mut BytesMut::from(bytes.as_ref())) {
                 // What is taken back is confirmed at once.
@@ -260,7 +270,9 @@
             let done = self.done[at].answers.1;
             self.calls += 1;
             let (number, body) = (self.calls, body.clone());
-            self.drive(at, "amend", |core, now, out| core.call(now, number, Call::Amend(body), out));
+            self.drive(at, "amend", |core, now, out| {
+                core.call(now, number, Call::Amend(body), out)
+            });
             self.pump();
             if self.done[at].answers.1 > done {
                 return (true, at);
@@ -300,7 +312,14 @@
             let life = 1000 + self.doors.len() as u64;
             let conn = self.doors.len() as u64;
             let purse = Purse::new(life);
-            self.doors.push(Hollow { node, life, up: false, conn, purse, first: vec![true; exchanges] });
+            self.doors.push(Hollow {
+                node,
+                life,
+                up: false,
+                conn,
+                purse,
+                first: vec![true; exchanges],
+            });
         }
         let hollow = &mut self.doors[door];
         hollow.up = true;
@@ -317,7 +336,9 @@
             index,
         };
         for at in 0..exchanges {
-            self.drive(at, "connect", |core, now, out| core.door_up(now, conn, &hello, out));
+            self.drive(at, "connect", |core, now, out| {
+                core.door_up(now, conn, &hello, out)
+            });
         }
     }
 
@@ -332,7 +353,13 @@
     }
 
     /// What this door reports to an exchange next; `asked` tenants ask something of it.
-    fn next_report(&mut self, door: usize, at: usize, asked: usize, tenants: usize) -> Option<Report> {
+    fn next_report(
+        &mut self,
+        door: usize,
+        at: usize,
+        asked: usize,
+        tenants: usize,
+    ) -> Option<Report> {
         let hollow = self.doors.get_mut(door).filter(|hollow| hollow.up)?;
         let first = std::mem::take(&mut hollow.first[at]);
         let demand = |n: usize| Demand {
@@ -340,7 +367,11 @@
             rate: 2000,
             short: false,
         };
-        let demand = if first { Vec::new() } else { (0..asked.min(tenants)).map(demand).collect() };
+        let demand = if first {
+            Vec::new()
+        } else {
+            (0..asked.min(tenants)).map(demand).collect()
+        };
         Some(hollow.purse.report(self.now, &self.ips[at], demand))
     }
 
@@ -348,7 +379,9 @@
     pub fn reports(&mut self, doors: impl Iterator<Item = usize>, asked: usize, tenants: usize) {
         for door in doors {
             for at in 0..self.cores.len() {
-                let Some(report) = self.next_report(door, at, asked, tenants) else { continue };
+                let Some(report) = self.next_report(door, at, asked, tenants) else {
+                    continue;
+                };
                 self.report(door, at, report);
             }
         }
@@ -356,7 +389,11 @@
 
     /// A door reports to an exchange.
     pub fn report(&mut self, door: usize, at: usize, report: Report) {
-        let Some(conn) = self.doors.get(door).map(|hollow| hollow.conn) else { return };
-        self.drive(at, "reports", |core, now, out| core.door(now, conn, Frame::Report(report), out));
+        let Some(conn) = self.doors.get(door).map(|hollow| hollow.conn) else {
+            return;
+        };
+        self.drive(at, "reports", |core, now, out| {
+            core.door(now, conn, Frame::Report(report), out)
+        });
     }
 }
--- a/benches/src/made.rs
+++ b/benches/src/made.rs
@@ -1,9 +1,9 @@
 //! What is made up. Names and fields have the length and number that the platform's own examples have.
 
 use bytes::Bytes;
-use maplefall_service_registry::Word;
-use maplefall_node_settings::Settings;
 use maplefall_gateway_config::{read_call, Item};
+use maplefall_node_settings::Settings;
+use maplefall_service_registry::Word;
 use std::fmt::Write;
 use std::ops::Range;
 use std::path::Path;
@@ -41,7 +41,10 @@
 
 /// Host and path of a route.
 pub fn place(n: usize) -> (String, String) {
-    (format!("host{:05}.example", n / PATHS), format!("/path{:02}/", n % PATHS))
+    (
+        format!("host{:05}.example", n / PATHS),
+        format!("/path{:02}/", n % PATHS),
+    )
 }
 
 /// The body of an operator's call that sets these items.
@@ -69,7 +72,11 @@
     text.push_str("]},\"Tenants\":{\"ColumnNames\":[\"Name\",\"ApiKeys\",\"Priority\",\"RatePerS\",\"BurstSize\",\"Version\"],\"DataRows\":[");
     for n in tenants.clone() {
         let (name, key) = (tenant(n), key(n));
-        let _ = write!(text, "{}[\"{name}\",[\"{key}\"],0,94,94,\"{version:08x}\"]", comma(n, &tenants));
+        let _ = write!(
+            text,
+            "{}[\"{name}\",[\"{key}\"],0,94,94,\"{version:08x}\"]",
+            comma(n, &tenants)
+        );
     }
     text.push_str("]},\"Services\":{\"ColumnNames\":[\"Name\",\"HealthPath\",\"ConnLimit\",\"Protocol\",\"Tls\",\"Version\"],\"DataRows\":[");
     for n in services.clone() {
@@ -86,7 +93,11 @@
 
 /// The calls that set up a configuration of this size, services first.
 pub fn calls(size: Size) -> Vec<String> {
-    let parts = |all: usize| (0..all).step_by(IN_A_CALL).map(move |from| from..(from + IN_A_CALL).min(all));
+    let parts = |all: usize| {
+        (0..all)
+            .step_by(IN_A_CALL)
+            .map(move |from| from..(from + IN_A_CALL).min(all))
+    };
     let services = parts(size.services).map(|part| call(0..0, 0..0, part, size.services, 7));
     let routes = parts(size.routes).map(|part| call(part, 0..0, 0..0, size.services, 7));
     let tenants = parts(size.tenants).map(|part| call(0..0, part, 0..0, size.services, 7));
@@ -97,7 +108,11 @@
 pub fn items(size: Size) -> Vec<Item> {
     calls(size)
         .iter()
-        .flat_map(|call| read_call(call.as_bytes()).map(|c| c.items).unwrap_or_default())
+        .flat_map(|call| {
+            read_call(call.as_bytes())
+                .map(|c| c.items)
+                .unwrap_or_default()
+        })
         .collect()
 }
 
@@ -138,7 +153,10 @@
 
 /// The settings of a process with this address, by those of the exchanges.
 pub fn settings(node: &str, ip: &str, exchanges: &[String]) -> Settings {
-    let seeds: Vec<String> = exchanges.iter().map(|ip| format!("\"{ip}:8381\"")).collect();
+    let seeds: Vec<String> = exchanges
+        .iter()
+        .map(|ip| format!("\"{ip}:8381\""))
+        .collect();
     let text = format!(
         "Node = \"{node}\"\nIp = \"{ip}\"\nZone = \"zone-0\"\nRegion = \"region-0\"\nInternalPorts = [7560,7575]\nSeedAddrs = [{}]\nBootstrap = true\nQuorumMember = true\nHeartbeatS = 1.5\n",
         seeds.join(",")
--- a/benches/src/measure.rs
+++ b/benches/src/measure.rs
@@ -27,8 +27,12 @@
 /// A field of `/proc/self/status` in bytes, such as `VmRSS`; nought where there is none.
 pub fn status(field: &str) -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text.lines().find_map(|line| line.strip_prefix(field)?.strip_prefix(':'));
-    line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0) << 10
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(field)?.strip_prefix(':'));
+    line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok())
+        .unwrap_or(0)
+        << 10
 }
 
 /// What a step took.
@@ -44,7 +48,13 @@
 pub fn took<T>(step: impl FnOnce() -> T) -> (T, Took) {
     let (cpu_before, held_before) = (cpu(), held());
     let result = step();
-    (result, Took { cpu: cpu() - cpu_before, held: held() - held_before })
+    (
+        result,
+        Took {
+            cpu: cpu() - cpu_before,
+            held: held() - held_before,
+        },
+    )
 }
 
 /// Does something often enough to tell its time: for `least` seconds, or once if that takes longer. Seconds for each.
--- a/crates/backend-index/src/lib.rs
+++ b/crates/backend-index/src/lib.rs
@@ -85,7 +85,10 @@
 impl<K: Copy + Ord> Index<K> {
     /// One that names all that are ready wherever the lowest places are asked for: what an index is measured against.
     pub fn walking() -> Self {
-        Index { walking: true, ..Index::default() }
+        Index {
+            walking: true,
+            ..Index::default()
+        }
     }
 
     /// Takes in what is known of a backend now; `None` forgets it. One that was struck off a list comes back to it only with
@@ -174,8 +177,14 @@
     /// The `n`-th lowest place of those that are ready and not on the list of those that may be distrusted, from 1; `None` where
     /// there are not so many. Takes as many steps as there are lower places.
     pub fn place_of(&self, n: usize) -> Option<f64> {
-        let trusted = self.places.iter().filter(|(_, key)| !self.doubted.contains(key));
-        trusted.skip(n.checked_sub(1)?).map(|(place, _)| f64::from_bits(*place)).next()
+        let trusted = self
+            .places
+            .iter()
+            .filter(|(_, key)| !self.doubted.contains(key));
+        trusted
+            .skip(n.checked_sub(1)?)
+            .map(|(place, _)| f64::from_bits(*place))
+            .next()
     }
 
     /// Those that are ready with a place up to this one, in the order of their keys. The memory comes back with
@@ -183,10 +192,18 @@
     pub fn placed_up_to(&mut self, last: f64) -> Vec<K> {
         let mut found = std::mem::take(&mut self.spare);
         found.clear();
-        if self.walking || self.places.last().is_none_or(|(place, _)| f64::from_bits(*place) <= last) {
+        if self.walking
+            || self
+                .places
+                .last()
+                .is_none_or(|(place, _)| f64::from_bits(*place) <= last)
+        {
             found.extend_from_slice(&self.ready);
         } else {
-            let lowest = self.places.iter().take_while(|(place, _)| f64::from_bits(*place) <= last);
+            let lowest = self
+                .places
+                .iter()
+                .take_while(|(place, _)| f64::from_bits(*place) <= last);
             found.extend(lowest.map(|(_, key)| *key));
             found.sort_unstable();
         }
--- a/crates/backend-index/tests/plain.rs
+++ b/crates/backend-index/tests/plain.rs
@@ -26,18 +26,29 @@
     }
 
     fn ready(&self) -> Vec<(u32, Standing)> {
-        self.all.iter().filter(|(_, s)| s.is == Is::Ready).map(|(key, s)| (*key, *s)).collect()
+        self.all
+            .iter()
+            .filter(|(_, s)| s.is == Is::Ready)
+            .map(|(key, s)| (*key, *s))
+            .collect()
     }
 
     fn cold(&self) -> Vec<u32> {
-        let cold =
-            self.ready().into_iter().filter(|(key, s)| s.cold.is_some() && !self.not_cold.contains(key));
+        let cold = self
+            .ready()
+            .into_iter()
+            .filter(|(key, s)| s.cold.is_some() && !self.not_cold.contains(key));
         cold.map(|(key, _)| key).collect()
     }
 
     fn trusted(&self) -> Vec<f64> {
         let of = |(key, s): &(u32, Standing)| s.doubted.is_none() || self.not_doubted.contains(key);
-        let mut places: Vec<f64> = self.ready().into_iter().filter(of).map(|(_, s)| s.place).collect();
+        let mut places: Vec<f64> = self
+            .ready()
+            .into_iter()
+            .filter(of)
+            .map(|(_, s)| s.place)
+            .collect();
         places.sort_by(f64::total_cmp);
         places
     }
@@ -55,16 +66,16 @@
     let figures = (0u8..5, proptest::option::of(0u8..4));
     let is = prop_oneof![4 => Just(Is::Ready), 1 => Just(Is::Leaving), 1 => Just(Is::Over)];
     let since = || proptest::option::of((0u8..3).prop_map(f64::from));
-    (is, any::<bool>(), since(), since(), figures).prop_map(|(is, busy, cold, doubted, (place, pace))| {
-        Standing {
+    (is, any::<bool>(), since(), since(), figures).prop_map(
+        |(is, busy, cold, doubted, (place, pace))| Standing {
             is,
             place: f64::from(place) / 5.0,
             cold,
             doubted,
             busy,
             pace: pace.map(|pace| f64::from(pace) * 7.5),
-        }
-    })
+        },
+    )
 }
 
 fn step() -> impl Strategy<Value = Step> {
--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -35,10 +35,19 @@
     /// For one of so many doors; no pause is shorter than `shortest` milliseconds. Sizes that make no sense are taken for
     /// the nearest that does. `seed` is the only source of chance.
     pub fn new(doors: u32, shortest: Millis, seed: u64) -> BackOff {
-        let shortest = if shortest.is_finite() { shortest.clamp(1.0, LONGEST) } else { LONGEST };
+        let shortest = if shortest.is_finite() {
+            shortest.clamp(1.0, LONGEST)
+        } else {
+            LONGEST
+        };
         let longest = 1000.0 * f64::from(doors.max(1)) / FLEET_CALLS_A_SECOND;
         let rng = Pcg32::seed_from_u64(seed);
-        BackOff { shortest, longest: longest.clamp(shortest, LONGEST), failed: 0, rng }
+        BackOff {
+            shortest,
+            longest: longest.clamp(shortest, LONGEST),
+            failed: 0,
+            rng,
+        }
     }
 
     /// How many milliseconds to wait before the first call, where a door can do without its answer for a while.
--- a/crates/backoff/tests/fleet.rs
+++ b/crates/backoff/tests/fleet.rs
@@ -38,12 +38,23 @@
 fn a_fleet_that_was_turned_away_is_served_in_the_end() {
     let (each, patience) = (60.0, 2000.0);
     let (served, _) = play(100, each, patience, &mut |_| 0.0);
-    assert!(served.len() < 100 || served[99] > 14_000.0, "an even pause should show what is guarded against");
+    assert!(
+        served.len() < 100 || served[99] > 14_000.0,
+        "an even pause should show what is guarded against"
+    );
     for seed in 0..20u64 {
-        let mut doors: Vec<_> = (0..100).map(|door| BackOff::new(100, 250.0, seed * 1000 + door)).collect();
-        let (served, made) = play(100, each, patience, &mut |door| doors[door as usize].pause());
+        let mut doors: Vec<_> = (0..100)
+            .map(|door| BackOff::new(100, 250.0, seed * 1000 + door))
+            .collect();
+        let (served, made) = play(100, each, patience, &mut |door| {
+            doors[door as usize].pause()
+        });
         assert_eq!(served.len(), 100, "seed {seed}");
-        assert!(served[99] < 60_000.0, "seed {seed}: the last after {} ms", served[99]);
+        assert!(
+            served[99] < 60_000.0,
+            "seed {seed}: the last after {} ms",
+            served[99]
+        );
         assert!(made < 500, "seed {seed}: {made} calls");
     }
 }
@@ -51,10 +62,19 @@
 /// Guards few doors: one of four waits hardly longer than the shortest pause, as ever.
 #[test]
 fn few_doors_hardly_wait_and_none_waits_for_ever() {
-    for (doors, most) in [(0, 250.0), (1, 250.0), (4, 670.0), (100, 16_670.0), (u32::MAX, LONGEST)] {
+    for (doors, most) in [
+        (0, 250.0),
+        (1, 250.0),
+        (4, 670.0),
+        (100, 16_670.0),
+        (u32::MAX, LONGEST),
+    ] {
         let mut pauses = BackOff::new(doors, 250.0, 7);
         let drawn: Vec<_> = (0..200).map(|_| pauses.pause()).collect();
-        assert!(drawn.iter().all(|pause| (250.0..=most).contains(pause)), "{doors} doors");
+        assert!(
+            drawn.iter().all(|pause| (250.0..=most).contains(pause)),
+            "{doors} doors"
+        );
         let calls = f64::from(doors.min(100)) * 1000.0 / (drawn.iter().sum::<f64>() / 200.0);
         assert!(
             calls <= 2.5 * FLEET_CALLS_A_SECOND || doors < 10,
--- a/crates/control-messages/src/lib.rs
+++ b/crates/control-messages/src/lib.rs
@@ -2,9 +2,9 @@
 //! prost writes it. The first frame on a connection is a [`Hello`]; one that is none ends it.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use maplefall_service_registry::Word;
 use maplefall_gateway_config::{Change, Item};
 use maplefall_quota_lease::{Lent, Report};
+use maplefall_service_registry::Word;
 use prost::Message;
 use std::fmt;
 
@@ -190,7 +190,9 @@
 
 /// Takes one whole frame off the front of what has come; `None` until there is one.
 pub fn read(come: &mut BytesMut) -> Result<Option<Frame>, Broken> {
-    let Some(length) = come.get(..4).map(|mut head| head.get_u32() as usize) else { return Ok(None) };
+    let Some(length) = come.get(..4).map(|mut head| head.get_u32() as usize) else {
+        return Ok(None);
+    };
     if length > LONGEST {
         return Err(Broken::TooLong(length));
     }
--- a/crates/control-messages/tests/frames.rs
+++ b/crates/control-messages/tests/frames.rs
@@ -5,7 +5,12 @@
 use quickcheck::{Gen, QuickCheck};
 
 fn hello() -> Frame {
-    Frame::Hello(Hello { version: VERSION, ip: "10.0.0.1".into(), life: 7, ..Hello::default() })
+    Frame::Hello(Hello {
+        version: VERSION,
+        ip: "10.0.0.1".into(),
+        life: 7,
+        ..Hello::default()
+    })
 }
 
 /// Guards against reads that end anywhere.
@@ -29,7 +34,10 @@
 fn what_is_no_frame_is_told() {
     let mut long = BytesMut::from(&(LONGEST as u32 + 1).to_be_bytes()[..]);
     assert_eq!(read(&mut long), Err(Broken::TooLong(LONGEST + 1)));
-    assert!(matches!(read(&mut BytesMut::from(&b"GET / HTTP/1.1\r\n\r\n"[..])), Err(Broken::TooLong(_))));
+    assert!(matches!(
+        read(&mut BytesMut::from(&b"GET / HTTP/1.1\r\n\r\n"[..])),
+        Err(Broken::TooLong(_))
+    ));
     fn survives(bytes: Vec<u8>) -> bool {
         let mut come = BytesMut::from(Bytes::from(bytes).as_ref());
         while let Ok(Some(_)) = read(&mut come) {}
--- a/crates/control-transport/src/fence.rs
+++ b/crates/control-transport/src/fence.rs
@@ -33,7 +33,10 @@
 
 impl<K> Default for Fence<K> {
     fn default() -> Self {
-        Fence { latest: BTreeMap::new(), last: 0 }
+        Fence {
+            latest: BTreeMap::new(),
+            last: 0,
+        }
     }
 }
 
@@ -68,7 +71,9 @@
 
     /// Whether what comes on this link may be taken.
     pub fn holds(&self, who: &K, link: u64) -> bool {
-        self.latest.get(who).is_some_and(|latest| latest.link == link)
+        self.latest
+            .get(who)
+            .is_some_and(|latest| latest.link == link)
     }
 
     /// A link has ended.
--- a/crates/control-transport/src/lib.rs
+++ b/crates/control-transport/src/lib.rs
@@ -94,10 +94,17 @@
 /// Opens a connection from this machine's address: whoever is called knows the caller by it.
 pub async fn dial(from: IpAddr, address: SocketAddr) -> Result<TcpStream, End> {
     let failed = |error| End::Connect(address, error);
-    let socket = if from.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }.map_err(failed)?;
+    let socket = if from.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }
+    .map_err(failed)?;
     socket.bind(SocketAddr::new(from, 0)).map_err(failed)?;
     let connect = tokio::time::timeout(COMES_UP, socket.connect(address)).await;
-    connect.map_err(|_| failed(io::ErrorKind::TimedOut.into()))?.map_err(failed)
+    connect
+        .map_err(|_| failed(io::ErrorKind::TimedOut.into()))?
+        .map_err(failed)
 }
 
 /// Which end of a connection this is.
@@ -137,8 +144,14 @@
             self.ping = self.live.rides(now);
         }
         let mut bytes = BytesMut::new();
-        let frames = [self.echo.take().map(Frame::Echo), self.ping.take().map(Frame::Ping)];
-        frames.into_iter().flatten().for_each(|frame| bytes.extend_from_slice(&write(frame)));
+        let frames = [
+            self.echo.take().map(Frame::Echo),
+            self.ping.take().map(Frame::Ping),
+        ];
+        frames
+            .into_iter()
+            .flatten()
+            .for_each(|frame| bytes.extend_from_slice(&write(frame)));
         bytes
     }
 }
@@ -161,7 +174,11 @@
         Open::Dials(hello) => (Side::Dials, Some(write(Frame::Hello(hello)))),
         Open::Accepts => (Side::Accepts, None),
     };
-    let shared = RefCell::new(Shared { live: Liveness::new(side, now()), echo: None, ping: None });
+    let shared = RefCell::new(Shared {
+        live: Liveness::new(side, now()),
+        echo: None,
+        ping: None,
+    });
     // Something is to be written that is not in the queue; the time at which something is due has moved.
     let (wake, moved) = (Notify::new(), Notify::new());
     let reading = async {
@@ -192,7 +209,8 @@
                 };
                 if todo.echo.is_some() || todo.ping.is_some() || todo.up {
                     let mut shared = shared.borrow_mut();
-                    (shared.echo, shared.ping) = (todo.echo.or(shared.echo), todo.ping.or(shared.ping));
+                    (shared.echo, shared.ping) =
+                        (todo.echo.or(shared.echo), todo.ping.or(shared.ping));
                     wake.notify_one();
                 }
                 if todo.up {
@@ -259,8 +277,10 @@
             while let Some(frame) = next.take() {
                 if frame.len() <= PART {
                     bytes.extend_from_slice(&frame);
-                } else if let Err(end) =
-                    put_parts(&mut to, &mut bytes, frame, || shared.borrow_mut().first(now(), false)).await
+                } else if let Err(end) = put_parts(&mut to, &mut bytes, frame, || {
+                    shared.borrow_mut().first(now(), false)
+                })
+                .await
                 {
                     return end;
                 }
@@ -290,7 +310,9 @@
 
 /// Puts long frames together; there is room for one of [`LONGEST`] at most.
 fn whole(frame: Option<Frame>, long: &mut BytesMut) -> Result<Option<Taken>, Broken> {
-    let Some(Frame::Part(part)) = frame else { return Ok(frame.map(Taken::Frame)) };
+    let Some(Frame::Part(part)) = frame else {
+        return Ok(frame.map(Taken::Frame));
+    };
     let length = long.len() + part.bytes.len();
     if length > LONGEST + 4 {
         return Err(Broken::TooLong(length));
@@ -330,7 +352,10 @@
     while !frame.is_empty() {
         let part = frame.split_to(frame.len().min(PART));
         bytes.extend_from_slice(&first());
-        bytes.extend_from_slice(&write(Frame::Part(Part { bytes: part, last: frame.is_empty() })));
+        bytes.extend_from_slice(&write(Frame::Part(Part {
+            bytes: part,
+            last: frame.is_empty(),
+        })));
         put(to, bytes).await?;
         bytes.clear();
     }
--- a/crates/control-transport/src/liveness.rs
+++ b/crates/control-transport/src/liveness.rs
@@ -102,8 +102,18 @@
 impl Liveness {
     /// A link that has just been made.
     pub fn new(side: Side, now: Millis) -> Liveness {
-        let stage = if side == Side::Dials { Stage::Proof } else { Stage::Hello };
-        Liveness { side, stage, proven: now, last: (0, now), out: Default::default() }
+        let stage = if side == Side::Dials {
+            Stage::Proof
+        } else {
+            Stage::Hello
+        };
+        Liveness {
+            side,
+            stage,
+            proven: now,
+            last: (0, now),
+            out: Default::default(),
+        }
     }
 
     /// Whether the link is up.
@@ -139,23 +149,40 @@
         match (self.stage, self.side, came) {
             (Stage::Hello, _, Came::Hello) => {
                 (self.stage, self.proven) = (Stage::Proof, now);
-                Ok(Todo { ping: Some(self.ping(now)), ..Todo::default() })
+                Ok(Todo {
+                    ping: Some(self.ping(now)),
+                    ..Todo::default()
+                })
             }
             (Stage::Proof, Side::Dials, Came::Ping(number)) => {
                 (self.stage, self.proven) = (Stage::Up, now);
                 let ping = Some(self.ping(now));
-                Ok(Todo { echo: Some(number), ping, up: true, take: false })
+                Ok(Todo {
+                    echo: Some(number),
+                    ping,
+                    up: true,
+                    take: false,
+                })
             }
             (Stage::Proof, Side::Accepts, Came::Echo(number)) if self.echoed(number) => {
                 self.stage = Stage::Up;
-                Ok(Todo { up: true, ..Todo::default() })
+                Ok(Todo {
+                    up: true,
+                    ..Todo::default()
+                })
             }
-            (Stage::Up, _, Came::Ping(number)) => Ok(Todo { echo: Some(number), ..Todo::default() }),
+            (Stage::Up, _, Came::Ping(number)) => Ok(Todo {
+                echo: Some(number),
+                ..Todo::default()
+            }),
             (Stage::Up, _, Came::Echo(number)) => {
                 self.echoed(number);
                 Ok(Todo::default())
             }
-            (Stage::Up, _, Came::Other) => Ok(Todo { take: true, ..Todo::default() }),
+            (Stage::Up, _, Came::Other) => Ok(Todo {
+                take: true,
+                ..Todo::default()
+            }),
             _ => Err(Dead::Order),
         }
     }
@@ -172,7 +199,11 @@
         if now < self.proven + self.allowed() {
             return Ok(());
         }
-        Err(if self.stage == Stage::Hello { Dead::NoHello } else { Dead::Unanswered })
+        Err(if self.stage == Stage::Hello {
+            Dead::NoHello
+        } else {
+            Dead::Unanswered
+        })
     }
 
     fn ping(&mut self, now: Millis) -> u64 {
--- a/crates/control-transport/tests/played.rs
+++ b/crates/control-transport/tests/played.rs
@@ -63,7 +63,12 @@
             talked: 0.0,
             up: false,
         };
-        let way = || Way { under_way: VecDeque::new(), delay: 1.0, swallows: false, held_until: 0.0 };
+        let way = || Way {
+            under_way: VecDeque::new(),
+            delay: 1.0,
+            swallows: false,
+            held_until: 0.0,
+        };
         let mut play = Play {
             rng: Pcg32::seed_from_u64(seed),
             now: 0.0,
@@ -86,12 +91,15 @@
             return;
         }
         let last = way.under_way.back().map_or(0.0, |(at, _, _)| *at);
-        way.under_way.push_back(((now + way.delay).max(way.held_until).max(last), what, now));
+        way.under_way
+            .push_back(((now + way.delay).max(way.held_until).max(last), what, now));
     }
 
     fn read(&mut self, end: usize) {
         while self.ends[end].dead.is_none() {
-            let Some((at, what, said)) = self.ways[1 - end].under_way.front().copied() else { return };
+            let Some((at, what, said)) = self.ways[1 - end].under_way.front().copied() else {
+                return;
+            };
             if at > self.now {
                 return;
             }
@@ -143,7 +151,11 @@
         let one = &mut self.ends[end];
         if one.up && one.dead.is_none() && now - one.talked >= TALK {
             one.talked = now;
-            let rides = if variant == Variant::Right { one.live.rides(now) } else { None };
+            let rides = if variant == Variant::Right {
+                one.live.rides(now)
+            } else {
+                None
+            };
             self.say(end, Came::Other);
             if let Some(number) = rides {
                 self.say(end, Came::Ping(number));
@@ -177,7 +189,9 @@
     /// Tells which ends do not know within the bound from `since` on that the link is dead.
     fn unaware(&mut self, since: f64) -> Vec<usize> {
         self.run(since + DEAD + PING + 2.0 * STEP);
-        (0..2).filter(|end| self.ends[*end].dead.is_none()).collect()
+        (0..2)
+            .filter(|end| self.ends[*end].dead.is_none())
+            .collect()
     }
 }
 
@@ -189,7 +203,10 @@
     }
     let at = 1500.0 + play.draw(3000.0);
     play.run(at);
-    assert!(play.ends.iter().all(|end| end.up && end.dead.is_none()), "seed {seed}: not up");
+    assert!(
+        play.ends.iter().all(|end| end.up && end.dead.is_none()),
+        "seed {seed}: not up"
+    );
     let at = play.now;
     match how {
         0 | 1 => play.ways[how].swallows = true,
@@ -200,17 +217,31 @@
             let end = how - 5;
             play.ends[end].frozen_until = at + DEAD + PING + 4.0 * STEP + play.draw(20_000.0);
             let thaws = play.ends[end].frozen_until;
-            let unaware: Vec<usize> =
-                play.unaware(at).into_iter().filter(|unaware| *unaware != end).collect();
+            let unaware: Vec<usize> = play
+                .unaware(at)
+                .into_iter()
+                .filter(|unaware| *unaware != end)
+                .collect();
             assert!(play.ends[end].dead.is_none());
             play.run(thaws + 2.0 * STEP);
-            assert!(variant != Variant::Right || play.ends[end].dead.is_some(), "seed {seed}: thawed");
-            assert!(play.oldest_taken <= DEAD + PING, "seed {seed}: took {} ms", play.oldest_taken);
+            assert!(
+                variant != Variant::Right || play.ends[end].dead.is_some(),
+                "seed {seed}: thawed"
+            );
+            assert!(
+                play.oldest_taken <= DEAD + PING,
+                "seed {seed}: took {} ms",
+                play.oldest_taken
+            );
             return unaware;
         }
     }
     let unaware = play.unaware(at);
-    assert!(play.oldest_taken <= DEAD + PING, "seed {seed}: took {} ms", play.oldest_taken);
+    assert!(
+        play.oldest_taken <= DEAD + PING,
+        "seed {seed}: took {} ms",
+        play.oldest_taken
+    );
     unaware
 }
 
@@ -223,12 +254,18 @@
     for seed in 0..200 {
         for (how, missed) in missed.iter_mut().enumerate() {
             let unaware = broken(seed, how, Variant::Right);
-            assert!(unaware.is_empty(), "seed {seed}, trouble {how}: {unaware:?} do not know");
+            assert!(
+                unaware.is_empty(),
+                "seed {seed}, trouble {how}: {unaware:?} do not know"
+            );
             *missed += broken(seed, how, Variant::ReadingAlone).len();
         }
     }
     println!("not known in time by reading alone, by trouble: {missed:?}");
-    assert!(missed[0] > 0 && missed[1] > 0, "one direction is told by reading alone: {missed:?}");
+    assert!(
+        missed[0] > 0 && missed[1] > 0,
+        "one direction is told by reading alone: {missed:?}"
+    );
 }
 
 /// Guards links that carry: with delays below 300 ms each way that change all the time, none of these ends one: a pause of either process
@@ -262,7 +299,11 @@
             let dead: Vec<_> = play.ends.iter().map(|end| end.dead).collect();
             assert_eq!(dead, [None, None], "seed {seed} at {}", play.now);
         }
-        assert!(play.oldest_taken <= DEAD + PING, "seed {seed}: took {} ms", play.oldest_taken);
+        assert!(
+            play.oldest_taken <= DEAD + PING,
+            "seed {seed}: took {} ms",
+            play.oldest_taken
+        );
     }
 }
 
@@ -271,21 +312,33 @@
 #[test]
 fn nothing_is_taken_before_its_turn() {
     for early in [Came::Other, Came::Ping(1), Came::Echo(1)] {
-        assert!(Liveness::new(Side::Accepts, 0.0).came(1.0, early).is_err(), "{early:?} before a hello");
+        assert!(
+            Liveness::new(Side::Accepts, 0.0).came(1.0, early).is_err(),
+            "{early:?} before a hello"
+        );
     }
     for early in [Came::Other, Came::Hello, Came::Ping(1), Came::Echo(9)] {
         let mut live = Liveness::new(Side::Accepts, 0.0);
         let todo = live.came(1.0, Came::Hello).expect("a hello");
         assert_eq!((todo.ping, todo.up, todo.take), (Some(1), false, false));
         let came = live.came(2.0, early);
-        assert!(matches!(early, Came::Echo(_)) || came.is_err(), "{early:?} before the echo");
+        assert!(
+            matches!(early, Came::Echo(_)) || came.is_err(),
+            "{early:?} before the echo"
+        );
     }
     for early in [Came::Other, Came::Hello, Came::Echo(1)] {
-        assert!(Liveness::new(Side::Dials, 0.0).came(1.0, early).is_err(), "{early:?} before a ping");
+        assert!(
+            Liveness::new(Side::Dials, 0.0).came(1.0, early).is_err(),
+            "{early:?} before a ping"
+        );
     }
     for side in [Side::Dials, Side::Accepts] {
         let mut live = Liveness::new(side, 0.0);
-        assert!(live.tick(DEAD - 1.0).is_ok() && live.tick(DEAD).is_err(), "{side:?}");
+        assert!(
+            live.tick(DEAD - 1.0).is_ok() && live.tick(DEAD).is_err(),
+            "{side:?}"
+        );
     }
 }
 
@@ -324,7 +377,11 @@
         if now >= anew {
             // The link before is given up; now and then its process has died.
             links.iter_mut().for_each(|link| link.read = false);
-            age = if draw(1.0) < 0.3 { (age.0 + 1, 0) } else { (age.0, age.1 + 1) };
+            age = if draw(1.0) < 0.3 {
+                (age.0 + 1, 0)
+            } else {
+                (age.0, age.1 + 1)
+            };
             let mut under_way = VecDeque::new();
             let late = draw(1.0) < 0.4;
             let at = now + draw(if late { 3000.0 } else { 5.0 });
@@ -333,7 +390,14 @@
                 under_way.extend((0..5).map(|n| (at + f64::from(n) * 20.0, Came::Other)));
             }
             let live = Liveness::new(Side::Accepts, now);
-            links.push(Told { age, live, link: 0, under_way, read: true, gone: false });
+            links.push(Told {
+                age,
+                live,
+                link: 0,
+                under_way,
+                read: true,
+                gone: false,
+            });
             anew = now + 100.0 + draw(2500.0);
         }
         // The exchange's pings come to the process, if it still reads that link; it answers and talks on.
@@ -346,12 +410,14 @@
                 let last = told.under_way.back().map_or(now, |(at, _)| *at).max(now);
                 let at = last + draw(if late { 3000.0 } else { 5.0 });
                 told.under_way.push_back((at, Came::Echo(*number)));
-                told.under_way.extend((0..5).map(|n| (at + f64::from(n) * 20.0, Came::Other)));
+                told.under_way
+                    .extend((0..5).map(|n| (at + f64::from(n) * 20.0, Came::Other)));
             }
             false
         });
         for (place, told) in links.iter_mut().enumerate() {
-            while let Some((_, what)) = told.under_way.front().copied().filter(|(at, _)| *at <= now) {
+            while let Some((_, what)) = told.under_way.front().copied().filter(|(at, _)| *at <= now)
+            {
                 told.under_way.pop_front();
                 if told.gone {
                     continue;
@@ -392,7 +458,9 @@
 #[test]
 fn nothing_of_an_earlier_link_is_taken_after_a_later_one() {
     println!("seeds 2000 to 2399");
-    let taken_back = (2000..2400).filter(|seed| lives(*seed, Fenced::Right)).count();
+    let taken_back = (2000..2400)
+        .filter(|seed| lives(*seed, Fenced::Right))
+        .count();
     assert_eq!(taken_back, 0, "plays in which old words were taken");
     for without in [Fenced::ByHello, Fenced::ByEcho] {
         let unfenced = (2000..2400).filter(|seed| lives(*seed, without)).count();
--- a/crates/control-transport/tests/sockets.rs
+++ b/crates/control-transport/tests/sockets.rs
@@ -2,9 +2,9 @@
 //! on at once when nothing can.
 
 use bytes::{Bytes, BytesMut};
+use maplefall_control_messages::{read, write, Frame, Hello, Words, VERSION};
 use maplefall_control_transport::liveness::{Dead, DEAD, PING};
 use maplefall_control_transport::{carry, End, Event, Open, QUEUE};
-use maplefall_control_messages::{read, write, Frame, Hello, Words, VERSION};
 use std::cell::RefCell;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,14 +15,22 @@
 const BOUND: Duration = Duration::from_millis((DEAD + PING) as u64 + 50);
 
 fn hello() -> Hello {
-    Hello { version: VERSION, ip: "127.0.0.1".into(), life: 7, ..Hello::default() }
+    Hello {
+        version: VERSION,
+        ip: "127.0.0.1".into(),
+        life: 7,
+        ..Hello::default()
+    }
 }
 
 async fn pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let (dialled, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
-    (dialled.expect("a connection"), accepted.expect("a connection").0)
+    (
+        dialled.expect("a connection"),
+        accepted.expect("a connection").0,
+    )
 }
 
 fn queue() -> (mpsc::Sender<Bytes>, mpsc::Receiver<Bytes>) {
@@ -43,7 +51,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_calm_link_carries_both_ways_and_lives() {
     let (dialled, accepted) = pair().await;
-    let long = Frame::Words(Words { receipt: 3, words: vec![big(1 << 20)], all: true });
+    let long = Frame::Words(Words {
+        receipt: 3,
+        words: vec![big(1 << 20)],
+        all: true,
+    });
     let ((to_far, far_queue), (to_near, near_queue)) = (queue(), queue());
     to_far.try_send(write(long.clone())).expect("room");
     to_far.try_send(write(Frame::Heard(1))).expect("room");
@@ -62,14 +74,25 @@
         end = accepts => panic!("it ended: {end}"),
         () = tokio::time::sleep(Duration::from_secs(60)) => {}
     }
-    assert_eq!(near.into_inner(), [Event::Up, Event::Frame(Frame::Heard(2))]);
+    assert_eq!(
+        near.into_inner(),
+        [Event::Up, Event::Frame(Frame::Heard(2))]
+    );
     let far = far.into_inner();
-    let expected = [Event::Read, Event::Hello(hello()), Event::Frame(long), Event::Frame(Frame::Heard(1))];
+    let expected = [
+        Event::Read,
+        Event::Hello(hello()),
+        Event::Frame(long),
+        Event::Frame(Frame::Heard(1)),
+    ];
     assert_eq!(far, expected);
 }
 
 fn big(size: usize) -> maplefall_service_registry::Word {
-    maplefall_service_registry::Word { id: "x".repeat(size), ..maplefall_service_registry::Word::default() }
+    maplefall_service_registry::Word {
+        id: "x".repeat(size),
+        ..maplefall_service_registry::Word::default()
+    }
 }
 
 /// Guards who dials a machine that accepts and then neither reads nor writes: the link never comes up, and ends in time.
@@ -78,7 +101,10 @@
     let (dialled, _accepted) = pair().await;
     let (_sender, outgoing) = queue();
     let from = Instant::now();
-    let end = carry(dialled, outgoing, Open::Dials(hello()), |_| panic!("it came up")).await;
+    let end = carry(dialled, outgoing, Open::Dials(hello()), |_| {
+        panic!("it came up")
+    })
+    .await;
     assert!(matches!(end, End::Dead(Dead::Unanswered)), "{end}");
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
 }
@@ -103,7 +129,9 @@
     let talks = async {
         let mut come = BytesMut::new();
         assert!(matches!(next(&mut far, &mut come).await, Frame::Hello(_)));
-        far.write_all(&write(Frame::Ping(1))).await.expect("written");
+        far.write_all(&write(Frame::Ping(1)))
+            .await
+            .expect("written");
         assert_eq!(next(&mut far, &mut come).await, Frame::Echo(1));
         let from = Instant::now();
         let mut number = 1;
@@ -131,14 +159,19 @@
     let (sender, outgoing) = queue();
     for _ in 0..64 {
         sender
-            .try_send(write(Frame::Words(Words { words: vec![big(1 << 20)], ..Words::default() })))
+            .try_send(write(Frame::Words(Words {
+                words: vec![big(1 << 20)],
+                ..Words::default()
+            })))
             .expect("room");
     }
     let end = carry(dialled, outgoing, Open::Dials(hello()), |_| true);
     let stands = async {
         let mut come = BytesMut::new();
         assert!(matches!(next(&mut far, &mut come).await, Frame::Hello(_)));
-        far.write_all(&write(Frame::Ping(1))).await.expect("written");
+        far.write_all(&write(Frame::Ping(1)))
+            .await
+            .expect("written");
         std::future::pending::<()>().await;
     };
     let from = Instant::now();
@@ -154,8 +187,14 @@
 async fn parts_that_make_no_frame_end_the_link() {
     let (mut dialled, accepted) = pair().await;
     let (_sender, outgoing) = queue();
-    let part = maplefall_control_messages::Part { bytes: Bytes::from_static(&[0, 0, 0, 9, 1]), last: true };
-    dialled.write_all(&write(Frame::Part(part))).await.expect("written");
+    let part = maplefall_control_messages::Part {
+        bytes: Bytes::from_static(&[0, 0, 0, 9, 1]),
+        last: true,
+    };
+    dialled
+        .write_all(&write(Frame::Part(part)))
+        .await
+        .expect("written");
     let end = carry(accepted, outgoing, Open::Accepts, |_| panic!("it came up")).await;
     assert!(matches!(end, End::Frame(_)), "{end}");
 }
--- a/crates/controller/benches/amend.rs
+++ b/crates/controller/benches/amend.rs
@@ -5,8 +5,8 @@
 
 use maplefall_controller::core::{Answer, Call, Core, Output};
 use maplefall_controller::store::Kept;
-use maplefall_node_settings::Settings;
 use maplefall_gateway_config::{read_call, Board, Plan};
+use maplefall_node_settings::Settings;
 use std::path::Path;
 use std::time::Instant;
 
@@ -33,7 +33,11 @@
         let settings = Settings::read(SETTINGS, Path::new("bench")).expect("settings");
         let mut out = Vec::new();
         let core = Core::new(&settings, 0.0, 7, Kept::default(), &mut out);
-        let mut single = Single { core, now: 0.0, calls: 0 };
+        let mut single = Single {
+            core,
+            now: 0.0,
+            calls: 0,
+        };
         single.carry(out);
         for _ in 0..30 {
             single.now += 100.0;
@@ -64,7 +68,8 @@
     fn amend(&mut self, body: String) -> Option<Answer> {
         self.calls += 1;
         let mut out = Vec::new();
-        self.core.call(self.now, self.calls, Call::Amend(body.into()), &mut out);
+        self.core
+            .call(self.now, self.calls, Call::Amend(body.into()), &mut out);
         self.carry(out)
     }
 }
@@ -79,7 +84,9 @@
     (0..count).step_by(CALL).map(move |start| {
         let rows: Vec<String> = (start..count.min(start + CALL)).map(&row).collect();
         let rows = rows.join(",");
-        format!("{{\"Upsert\":{{\"{list}\":{{\"ColumnNames\":[{columns}],\"DataRows\":[{rows}]}}}}}}")
+        format!(
+            "{{\"Upsert\":{{\"{list}\":{{\"ColumnNames\":[{columns}],\"DataRows\":[{rows}]}}}}}}"
+        )
     })
 }
 
@@ -92,13 +99,23 @@
     } else {
         format!("null,2,false,\"{version:08x}\",\"svc{a}\"")
     };
-    format!("[\"r-{n:06}\",\"host{}.example\",\"/lepu{n}/\",\"safe\",2.5,0.4,2,{split}]", n / 10)
+    format!(
+        "[\"r-{n:06}\",\"host{}.example\",\"/lepu{n}/\",\"safe\",2.5,0.4,2,{split}]",
+        n / 10
+    )
 }
 
 fn memory(field: &str) -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find(|line| line.starts_with(field)).unwrap_or_default();
-    let kib: f64 = line.split_whitespace().nth(1).and_then(|text| text.parse().ok()).unwrap_or(0.0);
+    let line = status
+        .lines()
+        .find(|line| line.starts_with(field))
+        .unwrap_or_default();
+    let kib: f64 = line
+        .split_whitespace()
+        .nth(1)
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0.0);
     kib / 1024.0
 }
 
@@ -111,7 +128,9 @@
     let columns = "\"Name\",\"HealthPath\",\"ConnLimit\",\"Protocol\",\"Tls\",\"Version\"";
     let keys = "\"Name\",\"ApiKeys\",\"Priority\",\"RatePerS\",\"BurstSize\",\"Version\"";
     calls("Services", columns, services, service)
-        .chain(calls("RouteTable", ROUTE, routes, move |n| route(n, services, 1)))
+        .chain(calls("RouteTable", ROUTE, routes, move |n| {
+            route(n, services, 1)
+        }))
         .chain(calls("Tenants", keys, tenants, tenant))
 }
 
@@ -123,7 +142,10 @@
 
 fn play(part: f64) {
     let of = |whole: usize| ((whole as f64 * part) as usize).max(1);
-    let tenants = std::env::var("TENANTS").ok().and_then(|n| n.parse().ok()).unwrap_or(TENANTS);
+    let tenants = std::env::var("TENANTS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(TENANTS);
     let (routes, services, tenants) = (of(ROUTES), of(SERVICES), (tenants as f64 * part) as usize);
     let before = memory("VmRSS");
     let mut board = Board::default();
@@ -169,7 +191,10 @@
 }
 
 fn main() {
-    match std::env::var("PART").ok().and_then(|part| part.parse().ok()) {
+    match std::env::var("PART")
+        .ok()
+        .and_then(|part| part.parse().ok())
+    {
         Some(part) => play(part),
         None => [0.01, 0.1, 1.0].into_iter().for_each(play),
     }
--- a/crates/controller/examples/start.rs
+++ b/crates/controller/examples/start.rs
@@ -11,30 +11,52 @@
 const CHANGE: usize = 600;
 
 fn record(number: u64, snapshot_each: u64) -> Stored {
-    let entry = Entry { index: number, term: 1, payload: vec![number as u8; CHANGE], ..Entry::default() };
+    let entry = Entry {
+        index: number,
+        term: 1,
+        payload: vec![number as u8; CHANGE],
+        ..Entry::default()
+    };
     // A state of half of what it stands for.
     let snapshot =
-        (number > 1 && snapshot_each > 0 && number.is_multiple_of(snapshot_each)).then(|| Snapshot {
-            index: number - 1,
-            term: 1,
-            state: vec![1; snapshot_each as usize * CHANGE / 2].into(),
-            ..Snapshot::default()
+        (number > 1 && snapshot_each > 0 && number.is_multiple_of(snapshot_each)).then(|| {
+            Snapshot {
+                index: number - 1,
+                term: 1,
+                state: vec![1; snapshot_each as usize * CHANGE / 2].into(),
+                ..Snapshot::default()
+            }
         });
-    let tandem = Record { term: Some(1), entries: vec![entry], snapshot, ..Record::default() };
-    Stored { number, tandem: Some(tandem), ..Stored::default() }
+    let tandem = Record {
+        term: Some(1),
+        entries: vec![entry],
+        snapshot,
+        ..Record::default()
+    };
+    Stored {
+        number,
+        tandem: Some(tandem),
+        ..Stored::default()
+    }
 }
 
 /// Bytes that this process has written, as the kernel counts them.
 fn written() -> u64 {
     let io = std::fs::read_to_string("/proc/self/io").unwrap_or_default();
-    io.lines().find_map(|line| line.strip_prefix("wchar: ")?.parse().ok()).unwrap_or(0)
+    io.lines()
+        .find_map(|line| line.strip_prefix("wchar: ")?.parse().ok())
+        .unwrap_or(0)
 }
 
 fn play(path: &Path, changes: u64, snapshot_each: u64) -> Result<(), Error> {
     let (from, begun) = (written(), Instant::now());
     let (mut store, _) = Store::open(Folder::new(path))?;
     for first in (1..=changes).step_by(10) {
-        store.write((first..first + 10).map(|number| record(number, snapshot_each)).collect())?;
+        store.write(
+            (first..first + 10)
+                .map(|number| record(number, snapshot_each))
+                .collect(),
+        )?;
         if store.busy() {
             store.step()?;
         }
@@ -70,7 +92,9 @@
 }
 
 fn main() -> Result<(), Error> {
-    let base = std::env::args().nth(1).map_or_else(std::env::temp_dir, PathBuf::from);
+    let base = std::env::args()
+        .nth(1)
+        .map_or_else(std::env::temp_dir, PathBuf::from);
     let path = base.join(format!("maplefall-start-{}", std::process::id()));
     for snapshot_each in [0, 250] {
         for changes in [300, 3_000, 30_000] {
--- a/crates/controller/src/core/agreement.rs
+++ b/crates/controller/src/core/agreement.rs
@@ -26,11 +26,22 @@
 
     pub(super) fn carry(&mut self, now: Millis, todo: Out, out: &mut Vec<Output>) {
         for (number, record) in todo.writes {
-            self.write(Stored { tandem: Some(record), ..Stored::default() }, Wrote::Tandem(number), out);
+            self.write(
+                Stored {
+                    tandem: Some(record),
+                    ..Stored::default()
+                },
+                Wrote::Tandem(number),
+                out,
+            );
         }
         for (to, message) in todo.sends {
             let bytes = write(Frame::Tandem(message));
-            out.push(if to.is_empty() { Output::Peers(bytes) } else { Output::Peer(to, bytes) });
+            out.push(if to.is_empty() {
+                Output::Peers(bytes)
+            } else {
+                Output::Peer(to, bytes)
+            });
         }
         out.extend(todo.notes.into_iter().map(Output::Log));
         if let Some(snapshot) = todo.installed {
@@ -55,13 +66,18 @@
         if self.led_by.as_deref() != self.tandem.leader() {
             self.led_by = self.tandem.leader().map(str::to_owned);
             let leader = self.led_by.as_deref().unwrap_or("none");
-            out.push(Output::Log(format!("event=leader leader={leader} term={}", self.tandem.term())));
+            out.push(Output::Log(format!(
+                "event=leader leader={leader} term={}",
+                self.tandem.term()
+            )));
         }
         self.keep_lending(now, out);
         self.keep_company(now, out);
         // What is not agreed on cannot be folded, however much it is.
         let pending = self.tandem.pending().count();
-        let long = self.fold_after.is_some_and(|entries| self.tandem.length() > entries + pending);
+        let long = self
+            .fold_after
+            .is_some_and(|entries| self.tandem.length() > entries + pending);
         if long || self.tandem.should_fold() {
             let state = Whole::of(&self.board, self.shares.slots()).encode_to_vec();
             self.agree(now, out, |tandem, todo| tandem.fold(state, todo));
@@ -78,16 +94,26 @@
                         entry.index,
                         change.items.len()
                     )));
-                    self.ring.push_back(Numbered { index: entry.index, change: Some(change) });
+                    self.ring.push_back(Numbered {
+                        index: entry.index,
+                        change: Some(change),
+                    });
                     if self.ring.len() > RING {
-                        self.ring_after = self.ring.pop_front().map_or(self.ring_after, |one| one.index);
+                        self.ring_after = self
+                            .ring
+                            .pop_front()
+                            .map_or(self.ring_after, |one| one.index);
                     }
                 }
                 self.index = entry.index;
             }
             self.entry_agreed(entry.index, entry.term, out);
             if entry.kind() == EntryKind::Members {
-                let members = entry.members.iter().map(|member| member.name.clone()).collect();
+                let members = entry
+                    .members
+                    .iter()
+                    .map(|member| member.name.clone())
+                    .collect();
                 let turns = self.shares.change(now, &members, entry.index);
                 self.slots_turned(turns, out);
             }
@@ -99,14 +125,26 @@
         let whole = match Whole::decode(snapshot.state.as_ref()) {
             Ok(whole) => whole,
             Err(error) => {
-                out.push(Output::Log(format!("event=bad_snapshot index={} error={error}", snapshot.index)));
+                out.push(Output::Log(format!(
+                    "event=bad_snapshot index={} error={error}",
+                    snapshot.index
+                )));
                 Whole::default()
             }
         };
         // The first state of all is empty. What an earlier program folded holds no slots either; by then others may have lent.
         let slots = whole.owners.unwrap_or_else(|| {
-            let members = snapshot.members.iter().map(|member| member.name.clone()).collect();
-            Slots::first(&members, self.losses, snapshot.index, !snapshot.state.is_empty())
+            let members = snapshot
+                .members
+                .iter()
+                .map(|member| member.name.clone())
+                .collect();
+            Slots::first(
+                &members,
+                self.losses,
+                snapshot.index,
+                !snapshot.state.is_empty(),
+            )
         });
         let turns = self.shares.install(now, slots);
         self.slots_turned(turns, out);
--- a/crates/controller/src/core/backends.rs
+++ b/crates/controller/src/core/backends.rs
@@ -27,7 +27,14 @@
         let news = match brought {
             Brought::News(word) => {
                 self.tell(vec![word.clone()], out);
-                self.write(Stored { words: vec![word.clone()], ..Stored::default() }, Wrote::Words, out);
+                self.write(
+                    Stored {
+                        words: vec![word.clone()],
+                        ..Stored::default()
+                    },
+                    Wrote::Words,
+                    out,
+                );
                 Some(word)
             }
             _ => None,
@@ -35,26 +42,36 @@
         let away = !self.is_linked() || self.parted.is_some_and(|since| now - since > AWAY);
         let known = !leaving || self.shared.contains(id);
         if away || known {
-            let answer = if away { Answer::Unknown } else { Answer::Done("{}".to_owned()) };
+            let answer = if away {
+                Answer::Unknown
+            } else {
+                Answer::Done("{}".to_owned())
+            };
             out.push(Output::Answer(number, answer));
             if let Some(word) = news {
                 out.push(Output::Peers(words(vec![word], false, 0)));
             }
             return;
         }
-        let Some(word) = news.or_else(|| self.directory.word(now, id)) else { return };
+        let Some(word) = news.or_else(|| self.directory.word(now, id)) else {
+            return;
+        };
         self.last_receipt += 1;
         let receipt = self.last_receipt;
         let leave = Leave {
             id: id.to_owned(),
-            waiting: Waiting { call: number, until: now + AGREE },
+            waiting: Waiting {
+                call: number,
+                until: now + AGREE,
+            },
             on_disk: self.writing.is_empty(),
             receipts: BTreeSet::new(),
         };
         self.leaves.insert(receipt, leave);
         if !self.writing.is_empty() {
             // It may stand in any write that is under way, also where it is no news by now.
-            self.writing.push_back((self.last_write, Wrote::Leave(receipt)));
+            self.writing
+                .push_back((self.last_write, Wrote::Leave(receipt)));
         }
         out.push(Output::Peers(words(vec![word], false, receipt)));
         self.settle(receipt, out);
@@ -63,17 +80,28 @@
     /// Acknowledges a leave if a majority has it on disk.
     pub(super) fn settle(&mut self, receipt: u64, out: &mut Vec<Output>) {
         let voters = self.tandem.voters();
-        let Some(leave) = self.leaves.get(&receipt) else { return };
-        let others = leave.receipts.iter().filter(|ip| voters.contains(*ip)).count();
+        let Some(leave) = self.leaves.get(&receipt) else {
+            return;
+        };
+        let others = leave
+            .receipts
+            .iter()
+            .filter(|ip| voters.contains(*ip))
+            .count();
         let copies = others + usize::from(voters.contains(&self.me));
         if !leave.on_disk || copies < voters.len() / 2 + 1 {
             return;
         }
-        let Some(leave) = self.leaves.remove(&receipt) else { return };
+        let Some(leave) = self.leaves.remove(&receipt) else {
+            return;
+        };
         if self.shared.len() < MOST_SHARED {
             self.shared.insert(leave.id);
         }
-        out.push(Output::Answer(leave.waiting.call, Answer::Done("{}".to_owned())));
+        out.push(Output::Answer(
+            leave.waiting.call,
+            Answer::Done("{}".to_owned()),
+        ));
     }
 
     /// Another exchange says something about backends, and may want to know when it is on disk here.
@@ -85,18 +113,29 @@
             }
         }
         if !news.is_empty() {
-            self.write(Stored { words: news.clone(), ..Stored::default() }, Wrote::Words, out);
+            self.write(
+                Stored {
+                    words: news.clone(),
+                    ..Stored::default()
+                },
+                Wrote::Words,
+                out,
+            );
         }
         self.tell(news, out);
         if said.receipt == 0 {
             return;
         }
         if self.writing.is_empty() {
-            out.push(Output::Peer(ip.to_owned(), write(Frame::Heard(said.receipt))));
+            out.push(Output::Peer(
+                ip.to_owned(),
+                write(Frame::Heard(said.receipt)),
+            ));
         } else if self.receipts_due < MOST_RECEIPTS {
             // What is no news may stand in any write that is under way. Beyond the bound whoever asks has no answer in time.
             self.receipts_due += 1;
-            self.writing.push_back((self.last_write, Wrote::Heard(ip.to_owned(), said.receipt)));
+            self.writing
+                .push_back((self.last_write, Wrote::Heard(ip.to_owned(), said.receipt)));
         }
     }
 
@@ -107,8 +146,15 @@
         }
         for word in &news {
             if matches!(word.state(), State::Leaving | State::Left) {
-                let state = if word.state() == State::Left { "left" } else { "leaving" };
-                out.push(Output::Log(format!("event={state} backend={} service={}", word.id, word.service)));
+                let state = if word.state() == State::Left {
+                    "left"
+                } else {
+                    "leaving"
+                };
+                out.push(Output::Log(format!(
+                    "event={state} backend={} service={}",
+                    word.id, word.service
+                )));
             }
         }
         let bytes = words(news, false, 0);
@@ -119,7 +165,8 @@
 
     /// Whether this exchange has listened for long enough to know every backend.
     pub(super) fn knows_all(&self, now: Millis) -> bool {
-        now - self.born > self.silence && self.company.is_some_and(|since| now - since > self.silence)
+        now - self.born > self.silence
+            && self.company.is_some_and(|since| now - since > self.silence)
     }
 
     /// Tells a door all. One that is out of touch keeps what it found on its disk to itself: others may know that it is over.
@@ -128,7 +175,9 @@
         if !self.in_touch(now) {
             return;
         }
-        let Some(door) = self.doors.get_mut(&conn) else { return };
+        let Some(door) = self.doors.get_mut(&conn) else {
+            return;
+        };
         door.told_all = all;
         let open = |word: &Word| matches!(word.state(), State::Serving | State::Leaving);
         let known = self.directory.words(now).into_iter().filter(open).collect();
@@ -143,16 +192,27 @@
     /// Whether a majority of the exchanges hears this one: there are links to them that live.
     fn is_linked(&self) -> bool {
         let voters = self.tandem.voters();
-        let near = voters.iter().filter(|ip| **ip == self.me || self.linked.contains(*ip)).count();
+        let near = voters
+            .iter()
+            .filter(|ip| **ip == self.me || self.linked.contains(*ip))
+            .count();
         near > voters.len() / 2
     }
 
     /// For how long a majority of the exchanges has said nothing of the agreement.
     fn silent_for(&self, now: Millis) -> Millis {
         let voters = self.tandem.voters();
-        let heard = |ip: &String| if *ip == self.me { Some(&now) } else { self.heard_from.get(ip) };
-        let mut heard: Vec<Millis> =
-            voters.iter().map(|ip| heard(ip).copied().unwrap_or(self.born)).collect();
+        let heard = |ip: &String| {
+            if *ip == self.me {
+                Some(&now)
+            } else {
+                self.heard_from.get(ip)
+            }
+        };
+        let mut heard: Vec<Millis> = voters
+            .iter()
+            .map(|ip| heard(ip).copied().unwrap_or(self.born))
+            .collect();
         heard.sort_by(|a, b| b.total_cmp(a));
         now - heard.get(voters.len() / 2).copied().unwrap_or(self.born)
     }
@@ -187,5 +247,9 @@
 }
 
 pub(super) fn words(words: Vec<Word>, all: bool, receipt: u64) -> Bytes {
-    write(Frame::Words(Words { words, all, receipt }))
+    write(Frame::Words(Words {
+        words,
+        all,
+        receipt,
+    }))
 }
--- a/crates/controller/src/core/doors.rs
+++ b/crates/controller/src/core/doors.rs
@@ -5,7 +5,10 @@
 impl Core {
     /// A door has opened a connection, of this number.
     pub fn door_up(&mut self, now: Millis, conn: u64, hello: &Hello, out: &mut Vec<Output>) {
-        out.push(Output::Log(format!("event=door_up node={} index={}", hello.node, hello.index)));
+        out.push(Output::Log(format!(
+            "event=door_up node={} index={}",
+            hello.node, hello.index
+        )));
         let door = Door {
             node: hello.node.clone(),
             life: hello.life,
@@ -30,7 +33,9 @@
     /// A door says something.
     pub fn door(&mut self, now: Millis, conn: u64, frame: Frame, out: &mut Vec<Output>) {
         let Frame::Report(report) = frame else { return };
-        let Some(door) = self.doors.get(&conn) else { return };
+        let Some(door) = self.doors.get(&conn) else {
+            return;
+        };
         if !self.lent_to.contains(&door.node) && !report.last {
             if self.lent_to.len() >= MOST_NAMED {
                 return;
@@ -39,13 +44,19 @@
             let name = door.node.clone();
             self.lent_to.insert(name.clone());
             self.naming.insert(name.clone());
-            let stored = Stored { lent_to: vec![name.clone()], ..Stored::default() };
+            let stored = Stored {
+                lent_to: vec![name.clone()],
+                ..Stored::default()
+            };
             self.write(stored, Wrote::Name(name, conn, report), out);
             return;
         }
         if self.naming.contains(&door.node) {
             // Its name is still on the way there: what it says next waits for the same write.
-            self.writing.push_back((self.last_write, Wrote::Name(door.node.clone(), conn, report)));
+            self.writing.push_back((
+                self.last_write,
+                Wrote::Name(door.node.clone(), conn, report),
+            ));
             return;
         }
         self.reported(now, conn, &report, out);
@@ -69,9 +80,17 @@
         self.tandem.trusted() && in_lease(now, self.tandem.contact(now))
     }
 
-    pub(super) fn reported(&mut self, now: Millis, conn: u64, report: &Report, out: &mut Vec<Output>) {
+    pub(super) fn reported(
+        &mut self,
+        now: Millis,
+        conn: u64,
+        report: &Report,
+        out: &mut Vec<Output>,
+    ) {
         let leased = self.leased(now);
-        let Some(door) = self.doors.get_mut(&conn) else { return };
+        let Some(door) = self.doors.get_mut(&conn) else {
+            return;
+        };
         // A door that stops gives back: that is heard at any time.
         if !leased && !report.last {
             door.unanswered = Some((now, report.clone()));
@@ -79,11 +98,22 @@
         }
         door.unanswered = None;
         let mine = door.node.clone();
-        let tenants = self.board.standing(maplefall_gateway_config::Kind::Tenant).map(|item| item.name.as_str());
-        let caller = Caller { name: &door.node, life: door.life, conn };
+        let tenants = self
+            .board
+            .standing(maplefall_gateway_config::Kind::Tenant)
+            .map(|item| item.name.as_str());
+        let caller = Caller {
+            name: &door.node,
+            life: door.life,
+            conn,
+        };
         let answers = self.lender.report(now, caller, report, tenants);
         for (node, lent) in answers {
-            let conn = if node == mine { Some(conn) } else { self.conn_of(&node) };
+            let conn = if node == mine {
+                Some(conn)
+            } else {
+                self.conn_of(&node)
+            };
             if let Some(conn) = conn {
                 self.say(conn, write(Frame::Lent(lent)), out);
             }
@@ -92,7 +122,11 @@
 
     /// The latest connection of a door.
     pub(super) fn conn_of(&self, node: &str) -> Option<u64> {
-        self.doors.iter().rev().find(|(_, door)| door.node == node).map(|(conn, _)| *conn)
+        self.doors
+            .iter()
+            .rev()
+            .find(|(_, door)| door.node == node)
+            .map(|(conn, _)| *conn)
     }
 
     pub(super) fn spread_plans(&mut self, now: Millis, out: &mut Vec<Output>) {
@@ -105,22 +139,37 @@
     /// would serve by what may be long out of date. One that has some may stay with it, and news is news: its index only rises.
     pub(super) fn plans(&mut self, now: Millis, conn: u64, always: bool, out: &mut Vec<Output>) {
         let in_touch = self.in_touch(now);
-        let Some(door) = self.doors.get_mut(&conn) else { return };
+        let Some(door) = self.doors.get_mut(&conn) else {
+            return;
+        };
         let held_back = self.index > 0 && door.index == 0 && !in_touch;
         let news = self.index > door.index && !held_back;
         if held_back && !std::mem::replace(&mut door.held_back, true) {
-            out.push(Output::Log(format!("event=held_back node={} why=out_of_touch", door.node)));
+            out.push(Output::Log(format!(
+                "event=held_back node={} why=out_of_touch",
+                door.node
+            )));
         }
         if !news && !always {
             return;
         }
         let exchanges = self.tandem.voters().iter().cloned().collect();
-        let mut plans = Plans { after: door.index, index: door.index, exchanges, ..Plans::default() };
+        let mut plans = Plans {
+            after: door.index,
+            index: door.index,
+            exchanges,
+            ..Plans::default()
+        };
         if news {
             let after = door.index;
             (plans.index, door.index) = (self.index, self.index);
             if after > 0 && after >= self.ring_after {
-                plans.changes = self.ring.iter().filter(|one| one.index > after).cloned().collect();
+                plans.changes = self
+                    .ring
+                    .iter()
+                    .filter(|one| one.index > after)
+                    .cloned()
+                    .collect();
             } else {
                 plans.after = 0;
                 plans.items = self.board.items().cloned().collect();
@@ -147,7 +196,10 @@
                 Turn::Lost(since) => format!("event=slot_lost since={since}"),
                 Turn::Waited(since) => {
                     // A later life with this disk need not wait again.
-                    let stored = Stored { waited: vec![since], ..Stored::default() };
+                    let stored = Stored {
+                        waited: vec![since],
+                        ..Stored::default()
+                    };
                     self.write(stored, Wrote::Note, out);
                     format!("event=slot_owned since={since} waited=true")
                 }
@@ -169,7 +221,14 @@
         if !self.lent_known && now - self.born >= LASTS + SKEW {
             // What lives with an earlier disk have lent has run out.
             self.lent_known = true;
-            self.write(Stored { lent_known: true, ..Stored::default() }, Wrote::Note, out);
+            self.write(
+                Stored {
+                    lent_known: true,
+                    ..Stored::default()
+                },
+                Wrote::Note,
+                out,
+            );
         }
         if self.lent_known && now - self.struck >= STRIKE {
             self.struck = now;
@@ -181,15 +240,29 @@
                 forgotten.iter().for_each(|name| {
                     self.lent_to.remove(name);
                 });
-                self.write(Stored { forgotten, ..Stored::default() }, Wrote::Note, out);
+                self.write(
+                    Stored {
+                        forgotten,
+                        ..Stored::default()
+                    },
+                    Wrote::Note,
+                    out,
+                );
             }
         }
         let leased = self.leased(now);
         if std::mem::replace(&mut self.was_leased, leased) != leased {
             // Who asked just before need not ask again.
-            let asked = |door: &mut Door| door.unanswered.take().filter(|(at, _)| now - at < 2.0 * TELL);
-            let due: Vec<(u64, Report)> =
-                self.doors.iter_mut().filter_map(|(conn, door)| Some((*conn, asked(door)?.1))).collect();
+            let asked = |door: &mut Door| {
+                door.unanswered
+                    .take()
+                    .filter(|(at, _)| now - at < 2.0 * TELL)
+            };
+            let due: Vec<(u64, Report)> = self
+                .doors
+                .iter_mut()
+                .filter_map(|(conn, door)| Some((*conn, asked(door)?.1)))
+                .collect();
             for (conn, report) in due {
                 self.door(now, conn, Frame::Report(report), out);
             }
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -9,12 +9,12 @@
 use crate::beat::read_beat;
 use crate::store::{Kept, Stored};
 use bytes::Bytes;
-use maplefall_service_registry::{Brought, Directory, State, Word};
-use maplefall_node_settings::Settings;
-use maplefall_gateway_config::{read_call, Ahead, Board, Change, Verdict};
 use maplefall_control_messages::{write, Alive, Frame, Hello, Numbered, Plans, Seen, Words};
-use maplefall_raft::{Entry, EntryKind, Out, Setup, Snapshot, Tandem};
+use maplefall_gateway_config::{read_call, Ahead, Board, Change, Verdict};
+use maplefall_node_settings::Settings;
 use maplefall_quota_lease::{in_lease, Caller, Lender, Report, Shares, Slots, Turn, LASTS, SKEW};
+use maplefall_raft::{Entry, EntryKind, Out, Setup, Snapshot, Tandem};
+use maplefall_service_registry::{Brought, Directory, State, Word};
 pub use whole::Whole;
 
 use prost::Message;
@@ -225,9 +225,19 @@
 
 impl Core {
     /// An exchange that found this on its disk. `seed` is its only source of chance.
-    pub fn new(settings: &Settings, now: Millis, seed: u64, kept: Kept, out: &mut Vec<Output>) -> Core {
+    pub fn new(
+        settings: &Settings,
+        now: Millis,
+        seed: u64,
+        kept: Kept,
+        out: &mut Vec<Output>,
+    ) -> Core {
         let me = settings.ip.to_string();
-        let mut first: Vec<String> = settings.seeds.iter().map(|seed| seed.ip().to_string()).collect();
+        let mut first: Vec<String> = settings
+            .seeds
+            .iter()
+            .map(|seed| seed.ip().to_string())
+            .collect();
         if first.is_empty() {
             first.push(me.clone());
         }
@@ -295,7 +305,14 @@
             core.directory.hear(now, word);
         }
         if starts {
-            core.write(Stored { lent_known: true, ..Stored::default() }, Wrote::Note, out);
+            core.write(
+                Stored {
+                    lent_known: true,
+                    ..Stored::default()
+                },
+                Wrote::Note,
+                out,
+            );
             let first = core.tandem.holds().snapshot.clone();
             core.install(now, &first, out);
         } else if !snapshot.members.is_empty() {
@@ -325,7 +342,10 @@
     /// Time passes; to be called every [`TICK`].
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
         if now - self.ticked > FROZEN {
-            out.push(Output::Log(format!("event=frozen ms={:.0}", now - self.ticked)));
+            out.push(Output::Log(format!(
+                "event=frozen ms={:.0}",
+                now - self.ticked
+            )));
             self.lose_company(now, out);
         }
         self.ticked = now;
@@ -337,22 +357,39 @@
             return;
         }
         self.told = now;
-        let seen = std::mem::take(&mut self.heard).into_iter().map(|(id, seq)| Seen { id, seq }).collect();
+        let seen = std::mem::take(&mut self.heard)
+            .into_iter()
+            .map(|(id, seq)| Seen { id, seq })
+            .collect();
         out.push(Output::Peers(write(Frame::Alive(Alive { seen }))));
         // Whoever was alone for a while could not hear.
         if self.company.is_some_and(|since| now - since > self.silence) {
             let lost = self.directory.overdue(now, self.silence);
             for word in &lost {
-                out.push(Output::Log(format!("event=lost backend={} service={}", word.id, word.service)));
+                out.push(Output::Log(format!(
+                    "event=lost backend={} service={}",
+                    word.id, word.service
+                )));
             }
             if !lost.is_empty() {
-                self.write(Stored { words: lost.clone(), ..Stored::default() }, Wrote::Words, out);
+                self.write(
+                    Stored {
+                        words: lost.clone(),
+                        ..Stored::default()
+                    },
+                    Wrote::Words,
+                    out,
+                );
             }
             self.tell(lost, out);
         }
         let whole = self.knows_all(now);
-        let unaware: Vec<u64> =
-            self.doors.iter().filter(|(_, door)| whole && !door.told_all).map(|(conn, _)| *conn).collect();
+        let unaware: Vec<u64> = self
+            .doors
+            .iter()
+            .filter(|(_, door)| whole && !door.told_all)
+            .map(|(conn, _)| *conn)
+            .collect();
         for conn in unaware {
             self.tell_all(now, conn, out);
         }
@@ -360,8 +397,16 @@
 
     /// All writes up to this number are on disk.
     pub fn written(&mut self, now: Millis, number: u64, out: &mut Vec<Output>) {
-        while self.writing.front().is_some_and(|(write, _)| *write <= number) {
-            match self.writing.pop_front().map_or(Wrote::Tandem(0), |(_, wrote)| wrote) {
+        while self
+            .writing
+            .front()
+            .is_some_and(|(write, _)| *write <= number)
+        {
+            match self
+                .writing
+                .pop_front()
+                .map_or(Wrote::Tandem(0), |(_, wrote)| wrote)
+            {
                 Wrote::Tandem(number) => {
                     self.agree(now, out, |tandem, todo| tandem.written(now, number, todo))
                 }
@@ -389,7 +434,10 @@
         out.push(Output::Peer(ip.to_owned(), known));
         for (receipt, leave) in &self.leaves {
             if let Some(word) = self.directory.word(now, &leave.id) {
-                out.push(Output::Peer(ip.to_owned(), backends::words(vec![word], false, *receipt)));
+                out.push(Output::Peer(
+                    ip.to_owned(),
+                    backends::words(vec![word], false, *receipt),
+                ));
             }
         }
     }
@@ -407,7 +455,9 @@
                 if self.tandem.voters().contains(ip) {
                     self.heard_from.insert(ip.to_owned(), now);
                 }
-                self.agree(now, out, |tandem, todo| tandem.receive(now, ip, message, todo));
+                self.agree(now, out, |tandem, todo| {
+                    tandem.receive(now, ip, message, todo)
+                });
             }
             Frame::Words(words) => self.told(now, ip, words, out),
             Frame::Heard(receipt) => {
--- a/crates/controller/src/core/operator.rs
+++ b/crates/controller/src/core/operator.rs
@@ -21,7 +21,10 @@
         let (index, answer) = match self.board.judge(&self.coming.ahead, &change) {
             Err(why) if why.of_text_alone() => return refuse(number, &why, out),
             Err(why) => {
-                out.push(Output::Log(format!("event=refused status={} {why}", why.status())));
+                out.push(Output::Log(format!(
+                    "event=refused status={} {why}",
+                    why.status()
+                )));
                 let answer = Answer::Refused(why.status(), why.to_string());
                 return self.after_round(now, number, AfterRound::Refused(answer, term, last), out);
             }
@@ -34,7 +37,9 @@
             }
             Ok(Verdict::Taken(index)) => {
                 let items = change.items.len();
-                out.push(Output::Debug(format!("event=known items={items} index={index}")));
+                out.push(Output::Debug(format!(
+                    "event=known items={items} index={index}"
+                )));
                 (index, Answer::Done("{}".to_owned()))
             }
             Ok(Verdict::New(news)) => {
@@ -65,7 +70,12 @@
         // What is agreed by now may stay in here for a while, but not more than what is not.
         let agreed = commit.saturating_sub(coming.after);
         if coming.term != term || agreed > coming.through.saturating_sub(commit) {
-            *coming = Coming { term, after: commit, through: commit, ahead: Ahead::default() };
+            *coming = Coming {
+                term,
+                after: commit,
+                through: commit,
+                ahead: Ahead::default(),
+            };
         }
         for entry in self.tandem.pending() {
             if entry.index <= coming.through {
@@ -101,14 +111,24 @@
         } else if self.waiting() >= MOST_CALLS {
             out.push(Output::Answer(call, Answer::Unknown));
         } else {
-            let waiting = Waiting { call, until: now + AGREE };
-            self.amends.entry(index).or_default().push(AfterEntry { waiting, term, answer });
+            let waiting = Waiting {
+                call,
+                until: now + AGREE,
+            };
+            self.amends.entry(index).or_default().push(AfterEntry {
+                waiting,
+                term,
+                answer,
+            });
         }
     }
 
     /// Answers a call once a round has confirmed that this exchange leads.
     fn after_round(&mut self, now: Millis, call: u64, due: AfterRound, out: &mut Vec<Output>) {
-        let waiting = Waiting { call, until: now + AGREE };
+        let waiting = Waiting {
+            call,
+            until: now + AGREE,
+        };
         if self.waiting() >= MOST_CALLS {
             return out.push(Output::Answer(call, Answer::Unknown));
         }
@@ -128,7 +148,10 @@
     pub(super) fn round_done(&mut self, waiting: Waiting, due: AfterRound, out: &mut Vec<Output>) {
         match due {
             AfterRound::ReadBack => {
-                out.push(Output::Answer(waiting.call, Answer::Done(self.board.read_back())));
+                out.push(Output::Answer(
+                    waiting.call,
+                    Answer::Done(self.board.read_back()),
+                ));
             }
             AfterRound::Refused(_, term, _) if term != self.tandem.term() => {
                 out.push(Output::Answer(waiting.call, Answer::Unknown));
@@ -137,7 +160,11 @@
                 out.push(Output::Answer(waiting.call, answer));
             }
             AfterRound::Refused(answer, term, index) => {
-                self.amends.entry(index).or_default().push(AfterEntry { waiting, term, answer });
+                self.amends.entry(index).or_default().push(AfterEntry {
+                    waiting,
+                    term,
+                    answer,
+                });
             }
         }
     }
@@ -146,15 +173,24 @@
     pub(super) fn entry_agreed(&mut self, index: u64, term: u64, out: &mut Vec<Output>) {
         for after in self.amends.remove(&index).unwrap_or_default() {
             // A leader that learns of a new term and of another entry in its own entry's place by one message is told of both.
-            let answer = if after.term == term { after.answer } else { Answer::Unknown };
+            let answer = if after.term == term {
+                after.answer
+            } else {
+                Answer::Unknown
+            };
             out.push(Output::Answer(after.waiting.call, answer));
         }
     }
 
     /// This exchange has ceased to lead: what it has not answered is for the next leader to tell.
     pub(super) fn give_up_calls(&mut self, out: &mut Vec<Output>) {
-        let amends = std::mem::take(&mut self.amends).into_values().flatten().map(|after| after.waiting);
-        let reads = std::mem::take(&mut self.reads).into_values().map(|(waiting, _)| waiting);
+        let amends = std::mem::take(&mut self.amends)
+            .into_values()
+            .flatten()
+            .map(|after| after.waiting);
+        let reads = std::mem::take(&mut self.reads)
+            .into_values()
+            .map(|(waiting, _)| waiting);
         for waiting in amends.chain(reads) {
             out.push(Output::Answer(waiting.call, Answer::Unknown));
         }
@@ -169,7 +205,13 @@
             _ if self.held.len() >= MOST_CALLS || self.stopping => {
                 out.push(Output::Answer(number, Answer::Unknown));
             }
-            _ => self.held.push((Waiting { call: number, until: now + HOLD }, call)),
+            _ => self.held.push((
+                Waiting {
+                    call: number,
+                    until: now + HOLD,
+                },
+                call,
+            )),
         }
     }
 
@@ -181,7 +223,9 @@
         for (waiting, call) in std::mem::take(&mut self.held) {
             if now >= waiting.until {
                 out.push(Output::Answer(waiting.call, Answer::Unknown));
-            } else if self.tandem.leads() || self.tandem.leader().is_some_and(|leader| leader != self.me) {
+            } else if self.tandem.leads()
+                || self.tandem.leader().is_some_and(|leader| leader != self.me)
+            {
                 self.call(now, waiting.call, call, out);
             } else {
                 self.held.push((waiting, call));
@@ -194,7 +238,9 @@
             }
             !late
         };
-        self.amends.values_mut().for_each(|calls| calls.retain(|after| unknown(&after.waiting, out)));
+        self.amends
+            .values_mut()
+            .for_each(|calls| calls.retain(|after| unknown(&after.waiting, out)));
         self.amends.retain(|_, calls| !calls.is_empty());
         self.reads.retain(|_, (waiting, _)| unknown(waiting, out));
         self.leaves.retain(|_, leave| unknown(&leave.waiting, out));
@@ -203,6 +249,12 @@
 
 /// Refuses a call for its text, which says the same to every exchange.
 fn refuse(number: u64, why: &Refusal, out: &mut Vec<Output>) {
-    out.push(Output::Log(format!("event=refused status={} {why}", why.status())));
-    out.push(Output::Answer(number, Answer::Refused(why.status(), why.to_string())));
+    out.push(Output::Log(format!(
+        "event=refused status={} {why}",
+        why.status()
+    )));
+    out.push(Output::Answer(
+        number,
+        Answer::Refused(why.status(), why.to_string()),
+    ));
 }
--- a/crates/controller/src/core/whole.rs
+++ b/crates/controller/src/core/whole.rs
@@ -21,6 +21,10 @@
     /// What a snapshot keeps of a board, and of who lends.
     pub fn of(board: &Board, slots: &Slots) -> Whole {
         let items = board.items().cloned().collect();
-        Whole { items, taken: Some(board.taken()), owners: Some(slots.clone()) }
+        Whole {
+            items,
+            taken: Some(board.taken()),
+            owners: Some(slots.clone()),
+        }
     }
 }
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -43,25 +43,44 @@
 
 fn check(path: &std::path::Path) -> Result<(), String> {
     let settings = Settings::load(path).map_err(|error| error.to_string())?;
-    settings.bind.control.ok_or("step=check missing=Bind.Control")?;
-    settings.data_dir.as_ref().ok_or("step=check missing=DataDir")?;
-    println!("event=checked node={} file={}", settings.node, path.display());
+    settings
+        .bind
+        .control
+        .ok_or("step=check missing=Bind.Control")?;
+    settings
+        .data_dir
+        .as_ref()
+        .ok_or("step=check missing=DataDir")?;
+    println!(
+        "event=checked node={} file={}",
+        settings.node,
+        path.display()
+    );
     Ok(())
 }
 
 fn run() -> Result<(), String> {
-    let logger = flexi_logger::Logger::try_with_env_or_str("info").map_err(|error| error.to_string())?;
-    let _logger = logger.log_to_stderr().format(line).start().map_err(|error| error.to_string())?;
+    let logger =
+        flexi_logger::Logger::try_with_env_or_str("info").map_err(|error| error.to_string())?;
+    let _logger = logger
+        .log_to_stderr()
+        .format(line)
+        .start()
+        .map_err(|error| error.to_string())?;
     let file = Watched::new(Settings::path());
     let settings = Settings::load(file.path()).map_err(|error| error.to_string())?;
     // The standard library's hashers are keyed from the system's source of chance.
-    let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
+    let seed = std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|error| format!("step=runtime error={:?}", error.kind()))?;
     let local = tokio::task::LocalSet::new();
-    runtime.block_on(local.run_until(net::run(settings, file, seed))).map_err(|error| error.to_string())
+    runtime
+        .block_on(local.run_until(net::run(settings, file, seed)))
+        .map_err(|error| error.to_string())
 }
 
 /// One line of key=value pairs for each event.
@@ -70,5 +89,10 @@
     _: &mut flexi_logger::DeferredNow,
     record: &log::Record<'_>,
 ) -> Result<(), std::io::Error> {
-    write!(to, "level={} {}", record.level().as_str().to_ascii_lowercase(), record.args())
+    write!(
+        to,
+        "level={} {}",
+        record.level().as_str().to_ascii_lowercase(),
+        record.args()
+    )
 }
--- a/crates/controller/src/net.rs
+++ b/crates/controller/src/net.rs
@@ -10,10 +10,10 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use maplefall_control_messages::{Hello, VERSION};
 use maplefall_control_transport::fence::{Fence, Verdict};
 use maplefall_control_transport::{carry, dial, End, Event, Open, Pause, QUEUE};
 use maplefall_node_settings::{Settings, Watched};
-use maplefall_control_messages::{Hello, VERSION};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -96,11 +96,16 @@
 pub async fn run(mut settings: Settings, mut file: Watched, seed: u64) -> Result<(), Error> {
     let mut term = signal(SignalKind::terminate()).map_err(Error::Signals)?;
     let mut hup = signal(SignalKind::hangup()).map_err(Error::Signals)?;
-    let control = settings.bind.control.ok_or(Error::Missing("Bind.Control"))?;
+    let control = settings
+        .bind
+        .control
+        .ok_or(Error::Missing("Bind.Control"))?;
     let data = settings.data_dir.clone().ok_or(Error::Missing("DataDir"))?;
     let inner = SocketAddr::new(settings.ip, settings.internal_ports.0);
     let listen = |address| async move {
-        TcpListener::bind(address).await.map_err(|error| Error::Listen(address, error))
+        TcpListener::bind(address)
+            .await
+            .map_err(|error| Error::Listen(address, error))
     };
     let (callers, exchanges) = (listen(control).await?, listen(inner).await?);
     let (disk, incoming) = queue();
@@ -109,15 +114,17 @@
     let (opened, opening) = oneshot::channel();
     // The disk's thread holds the only sender: its end is noticed.
     let weak = told.downgrade();
-    std::thread::spawn(move || match Store::open_anyhow(Folder::new(&data), Limits::default()) {
-        Ok((store, kept)) => {
-            if opened.send(Ok(kept)).is_ok() {
-                store.run(&incoming, |result| told.send(result).is_ok());
+    std::thread::spawn(
+        move || match Store::open_anyhow(Folder::new(&data), Limits::default()) {
+            Ok((store, kept)) => {
+                if opened.send(Ok(kept)).is_ok() {
+                    store.run(&incoming, |result| told.send(result).is_ok());
+                }
             }
-        }
-        // Nobody waits any more: the process ends.
-        Err(error) => drop(opened.send(Err(error))),
-    });
+            // Nobody waits any more: the process ends.
+            Err(error) => drop(opened.send(Err(error))),
+        },
+    );
     // A disk that refuses holds up the start, not a stop.
     let kept = tokio::select! {
         biased;
@@ -142,7 +149,9 @@
     tokio::task::spawn_local(exchange.clone().accept_inner(exchanges));
     let mut tick = tokio::time::interval(Duration::from_secs_f64(TICK / 1000.0));
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let longest = LONGEST_LAST.min(Duration::from_secs_f64((settings.bounds.grace_s / 2.0).clamp(0.0, 60.0)));
+    let longest = LONGEST_LAST.min(Duration::from_secs_f64(
+        (settings.bounds.grace_s / 2.0).clamp(0.0, 60.0),
+    ));
     let (mut last, mut looks) = (None, 0_u32);
     loop {
         tokio::select! {
@@ -184,7 +193,10 @@
         Ok(settings) => {
             log::info!("event=reload node={} signal={told}", settings.node);
             exchange.core.borrow_mut().reload(&settings);
-            settings.seeds.iter().for_each(|seed| exchange.clone().dial_peer(seed.ip()));
+            settings
+                .seeds
+                .iter()
+                .for_each(|seed| exchange.clone().dial_peer(seed.ip()));
         }
         Err(error) => log::warn!("event=reload signal={told} {error}"),
     }
@@ -257,8 +269,11 @@
                     all.iter().for_each(|ip| self.to_peer(ip, bytes.clone()));
                 }
                 Output::Door(conn, bytes) => {
-                    let full =
-                        self.doors.borrow().get(&conn).is_some_and(|door| door.try_send(bytes).is_err());
+                    let full = self
+                        .doors
+                        .borrow()
+                        .get(&conn)
+                        .is_some_and(|door| door.try_send(bytes).is_err());
                     if full {
                         // Its task sees the end of the queue and closes the connection.
                         self.drop_door(conn);
@@ -279,7 +294,11 @@
     // ---- Other exchanges ----------------------------------------------------------------------------
 
     fn to_peer(&self, ip: &str, bytes: Bytes) {
-        let full = self.peers.borrow().get(ip).is_some_and(|peer| peer.try_send(bytes).is_err());
+        let full = self
+            .peers
+            .borrow()
+            .get(ip)
+            .is_some_and(|peer| peer.try_send(bytes).is_err());
         if full {
             if let Some(peer) = self.peers.borrow_mut().get_mut(ip) {
                 // The connection ends with its queue, and is dialled anew.
@@ -294,7 +313,9 @@
             let strangers = core.voters().iter().filter(|ip| !peers.contains_key(*ip));
             strangers.filter_map(|ip| ip.parse().ok()).collect()
         };
-        missing.into_iter().for_each(|ip| self.clone().dial_peer(ip));
+        missing
+            .into_iter()
+            .for_each(|ip| self.clone().dial_peer(ip));
     }
 
     /// Keeps a connection to another exchange, for as long as this one runs.
@@ -303,7 +324,9 @@
         if name == self.hello.ip || self.peers.borrow().contains_key(&name) {
             return;
         }
-        self.peers.borrow_mut().insert(name.clone(), mpsc::channel(1).0);
+        self.peers
+            .borrow_mut()
+            .insert(name.clone(), mpsc::channel(1).0);
         tokio::task::spawn_local(async move {
             let address = SocketAddr::new(ip, self.port);
             let (mut known, mut pause) = (true, Pause::default());
@@ -333,7 +356,9 @@
                 if std::mem::take(&mut known) {
                     log::info!("event=peer_down peer={name} {end}");
                 }
-                self.peers.borrow_mut().insert(name.clone(), mpsc::channel(1).0);
+                self.peers
+                    .borrow_mut()
+                    .insert(name.clone(), mpsc::channel(1).0);
                 if up {
                     self.core.borrow_mut().peer_down(&name);
                 }
@@ -360,46 +385,53 @@
         let mut sender = Some(sender);
         let number = Cell::new(0);
         let exchange = &self;
-        let end = carry(stream, outgoing, Open::Accepts, |event| match (event, &who) {
-            (Event::Read, None) => {
-                number.set(exchange.fence.borrow_mut().number());
-                true
-            }
-            (Event::Hello(hello), None) if hello.version == VERSION && hello.life != 0 => {
-                // A machine speaks for itself alone.
-                if hello.ip != from.ip().to_string() {
-                    return false;
+        let end = carry(stream, outgoing, Open::Accepts, |event| {
+            match (event, &who) {
+                (Event::Read, None) => {
+                    number.set(exchange.fence.borrow_mut().number());
+                    true
                 }
-                let (link, speaker) = (number.get(), (hello.ip.clone(), hello.exchange));
-                let verdict = exchange.fence.borrow_mut().take(&speaker, link);
-                if verdict == Verdict::Old {
-                    log::info!("event=old_link peer={} life={}", hello.ip, hello.life);
-                    return false;
-                }
-                if hello.exchange {
-                    if let Ok(ip) = hello.ip.parse() {
-                        exchange.clone().dial_peer(ip);
+                (Event::Hello(hello), None) if hello.version == VERSION && hello.life != 0 => {
+                    // A machine speaks for itself alone.
+                    if hello.ip != from.ip().to_string() {
+                        return false;
                     }
-                } else {
-                    if let Verdict::InPlaceOf(before) = verdict {
-                        exchange.drop_door(before);
+                    let (link, speaker) = (number.get(), (hello.ip.clone(), hello.exchange));
+                    let verdict = exchange.fence.borrow_mut().take(&speaker, link);
+                    if verdict == Verdict::Old {
+                        log::info!("event=old_link peer={} life={}", hello.ip, hello.life);
+                        return false;
                     }
-                    if let Some(sender) = sender.take() {
-                        exchange.doors.borrow_mut().insert(link, sender);
+                    if hello.exchange {
+                        if let Ok(ip) = hello.ip.parse() {
+                            exchange.clone().dial_peer(ip);
+                        }
+                    } else {
+                        if let Verdict::InPlaceOf(before) = verdict {
+                            exchange.drop_door(before);
+                        }
+                        if let Some(sender) = sender.take() {
+                            exchange.doors.borrow_mut().insert(link, sender);
+                        }
+                        exchange.drive(|core, now, out| core.door_up(now, link, &hello, out));
                     }
-                    exchange.drive(|core, now, out| core.door_up(now, link, &hello, out));
+                    who = Some(speaker);
+                    true
                 }
-                who = Some(speaker);
-                true
-            }
-            (Event::Frame(frame), Some(who)) if exchange.fence.borrow().holds(who, number.get()) => {
-                match who {
-                    (ip, true) => exchange.drive(|core, now, out| core.peer(now, ip, frame, out)),
-                    (_, false) => exchange.drive(|core, now, out| core.door(now, number.get(), frame, out)),
+                (Event::Frame(frame), Some(who))
+                    if exchange.fence.borrow().holds(who, number.get()) =>
+                {
+                    match who {
+                        (ip, true) => {
+                            exchange.drive(|core, now, out| core.peer(now, ip, frame, out))
+                        }
+                        (_, false) => exchange
+                            .drive(|core, now, out| core.door(now, number.get(), frame, out)),
+                    }
+                    true
                 }
-                true
+                _ => false,
             }
-            _ => false,
         })
         .await;
         if let Some(who) = &who {
@@ -427,7 +459,9 @@
     async fn accept_callers(self: Rc<Self>, listener: TcpListener) {
         let room = std::sync::Arc::new(Semaphore::new(MOST_CALLERS));
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else { return };
+            let Ok(place) = room.clone().acquire_owned().await else {
+                return;
+            };
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let exchange = self.clone();
@@ -452,25 +486,40 @@
     }
 
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let target = request.uri().path_and_query().map(|p| p.as_str().to_owned()).unwrap_or_default();
+        let target = request
+            .uri()
+            .path_and_query()
+            .map(|p| p.as_str().to_owned())
+            .unwrap_or_default();
         let (head, body) = request.into_parts();
         let body = Limited::new(body, LONGEST_BODY).collect();
         let body = match tokio::time::timeout(BODY_COMES, body).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "step=read field=body".to_owned()),
             // Nothing of it was taken: a promise that holds.
-            Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "step=read field=body late".to_owned()),
+            Err(_) => {
+                return plain(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "step=read field=body late".to_owned(),
+                )
+            }
         };
         let query = head.uri.query().unwrap_or_default();
         let field = |name: &str| {
             let values = query.split('&').filter_map(|pair| pair.split_once('='));
-            values.into_iter().find(|(known, _)| *known == name).map(|(_, value)| value.to_owned())
+            values
+                .into_iter()
+                .find(|(known, _)| *known == name)
+                .map(|(_, value)| value.to_owned())
         };
         if head.uri.path() != "/api/rpc" {
             return plain(StatusCode::NOT_FOUND, "step=route".to_owned());
         }
         if head.method != Method::POST {
-            return plain(StatusCode::METHOD_NOT_ALLOWED, "step=route field=method".to_owned());
+            return plain(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "step=route field=method".to_owned(),
+            );
         }
         let call = match (field("call").as_deref(), field("of")) {
             (Some("instances.beat"), Some(id)) if !id.is_empty() => Call::Beat(id, body),
@@ -484,17 +533,23 @@
         self.last_call.set(number);
         self.calls.borrow_mut().insert(number, sender);
         // A caller that goes drops this, and nobody is left to answer.
-        let _asked = Asked { exchange: &self, number };
+        let _asked = Asked {
+            exchange: &self,
+            number,
+        };
         self.drive(|core, now, out| core.call(now, number, call, out));
         match receiver.await.unwrap_or(Answer::Unknown) {
             Answer::Done(text) => {
                 let mut response = plain(StatusCode::OK, text);
-                response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+                response
+                    .headers_mut()
+                    .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 response
             }
-            Answer::Refused(status, why) => {
-                plain(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST), why)
-            }
+            Answer::Refused(status, why) => plain(
+                StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST),
+                why,
+            ),
             Answer::Elsewhere(ip) => {
                 let mut response = plain(StatusCode::TEMPORARY_REDIRECT, String::new());
                 let location = format!("http://{ip}:{}{target}", self.control.port());
--- a/crates/controller/src/store.rs
+++ b/crates/controller/src/store.rs
@@ -15,8 +15,8 @@
 //! In memory: the state, and while it is folded the bytes of that.
 
 use crate::disk::Disk;
-use maplefall_service_registry::{State, Word};
 use maplefall_raft::{Durable, Entry as LogEntry, Record, Snapshot};
+use maplefall_service_registry::{State, Word};
 use prost::encoding;
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
@@ -63,7 +63,12 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { fold_after: 192 << 10, segments: 16, slice: 1 << 20, batch: 4 << 20 }
+        Limits {
+            fold_after: 192 << 10,
+            segments: 16,
+            slice: 1 << 20,
+            batch: 4 << 20,
+        }
     }
 }
 /// Waits for slots of the quotas that are remembered at most: one that is forgotten is waited out again.
@@ -221,18 +226,29 @@
             ..Folded::default()
         };
         let (snapshot, log) = (&self.tandem.snapshot, &self.tandem.log);
-        let words = self.words.values().map(|word| encoding::message::encoded_len(9, word));
+        let words = self
+            .words
+            .values()
+            .map(|word| encoding::message::encoded_len(9, word));
         let length = head.encoded_len()
             + encoding::message::encoded_len(6, snapshot)
             + encoding::message::encoded_len_repeated(7, log)
-            + self.lent_to.iter().map(|name| encoding::string::encoded_len(8, name)).sum::<usize>()
+            + self
+                .lent_to
+                .iter()
+                .map(|name| encoding::string::encoded_len(8, name))
+                .sum::<usize>()
             + words.sum::<usize>();
         frame(length, |bytes| {
             head.encode_raw(bytes);
             encoding::message::encode(6, snapshot, bytes);
             encoding::message::encode_repeated(7, log, bytes);
-            self.lent_to.iter().for_each(|name| encoding::string::encode(8, name, bytes));
-            self.words.values().for_each(|word| encoding::message::encode(9, word, bytes));
+            self.lent_to
+                .iter()
+                .for_each(|name| encoding::string::encode(8, name, bytes));
+            self.words
+                .values()
+                .for_each(|word| encoding::message::encode(9, word, bytes));
         })
     }
 
@@ -247,7 +263,11 @@
                 settled: folded.settled,
             },
             lent_to: folded.lent_to.into_iter().collect(),
-            words: folded.words.into_iter().map(|word| (word.id.clone(), word)).collect(),
+            words: folded
+                .words
+                .into_iter()
+                .map(|word| (word.id.clone(), word))
+                .collect(),
             lent_known: folded.lent_known,
             waited: folded.waited.into_iter().collect(),
             number: folded.number,
@@ -275,10 +295,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Disk(step, path, error) => {
-                write!(f, "step={step} path={} error={:?}", path.display(), error.to_string())
+                write!(
+                    f,
+                    "step={step} path={} error={:?}",
+                    path.display(),
+                    error.to_string()
+                )
             }
             Error::Spoilt(path) => write!(f, "step=read path={} error=spoilt", path.display()),
-            Error::Format(path, format) => write!(f, "step=read path={} format={format}", path.display()),
+            Error::Format(path, format) => {
+                write!(f, "step=read path={} format={format}", path.display())
+            }
             Error::Order(due, met) => write!(f, "step=write error=order due={due} met={met}"),
             Error::Full(number) => write!(f, "step=queue error=full number={number}"),
         }
@@ -351,7 +378,10 @@
             let error = match Found::read(&disk) {
                 Ok(found) => break found,
                 Err(Error::Spoilt(path)) => {
-                    log::error!("event=disk_spoilt step=read path={} files=set_aside", path.display());
+                    log::error!(
+                        "event=disk_spoilt step=read path={} files=set_aside",
+                        path.display()
+                    );
                     match set_aside(&disk) {
                         Ok(()) => continue,
                         Err(error) => error,
@@ -404,10 +434,16 @@
     /// Writes records and waits until they are on disk. After an error, the same records may be written again and nothing else: they
     /// may be on the disk, or not.
     pub fn write(&mut self, records: Vec<Stored>) -> Result<(), Error> {
-        let batch = Batch { format: FORMAT, records };
+        let batch = Batch {
+            format: FORMAT,
+            records,
+        };
         self.check(&batch)?;
         self.append(&mut batch.frame())?;
-        batch.records.into_iter().for_each(|record| self.kept.take(record));
+        batch
+            .records
+            .into_iter()
+            .for_each(|record| self.kept.take(record));
         Ok(())
     }
 
@@ -448,12 +484,22 @@
         let failed = |disk: &D, step, error| Error::Disk(step, disk.path().join(&name), error);
         stamp(frame, self.segment_id);
         if let Some(file) = &mut self.segment {
-            file.write_all(frame).map_err(|error| failed(&self.disk, "write", error))?;
-            return self.disk.sync(file).map_err(|error| failed(&self.disk, "sync", error));
-        }
-        let mut file = self.disk.make(&name).map_err(|error| failed(&self.disk, "make", error))?;
-        file.write_all(frame).map_err(|error| failed(&self.disk, "write", error))?;
-        self.disk.sync(&mut file).map_err(|error| failed(&self.disk, "sync", error))?;
+            file.write_all(frame)
+                .map_err(|error| failed(&self.disk, "write", error))?;
+            return self
+                .disk
+                .sync(file)
+                .map_err(|error| failed(&self.disk, "sync", error));
+        }
+        let mut file = self
+            .disk
+            .make(&name)
+            .map_err(|error| failed(&self.disk, "make", error))?;
+        file.write_all(frame)
+            .map_err(|error| failed(&self.disk, "write", error))?;
+        self.disk
+            .sync(&mut file)
+            .map_err(|error| failed(&self.disk, "sync", error))?;
         // A name is lost with the power, and with it all that was synced under it.
         self.sync_folder()?;
         self.segment = Some(file);
@@ -461,7 +507,9 @@
     }
 
     fn sync_folder(&self) -> Result<(), Error> {
-        self.disk.sync_folder().map_err(|error| Error::Disk("sync", self.disk.path().to_owned(), error))
+        self.disk
+            .sync_folder()
+            .map_err(|error| Error::Disk("sync", self.disk.path().to_owned(), error))
     }
 
     /// Whether [`Store::step`] has something to do.
@@ -504,8 +552,10 @@
     }
 
     fn begin_fold(&mut self) -> Result<(), Error> {
-        let file =
-            self.disk.make(FOLD).map_err(|error| Error::Disk("make", self.disk.path().join(FOLD), error))?;
+        let file = self
+            .disk
+            .make(FOLD)
+            .map_err(|error| Error::Disk("make", self.disk.path().join(FOLD), error))?;
         if self.segment.take().is_some() {
             self.segment_id += 1;
         }
@@ -527,15 +577,25 @@
         let failed = |disk: &D, step, error| Error::Disk(step, disk.path().join(FOLD), error);
         if fold.done < fold.bytes.len() {
             // No slower than the log grows meanwhile.
-            let slice = self.limits.slice.max(self.last_frame).min(fold.bytes.len() - fold.done);
-            let written = fold.file.write_all(&fold.bytes[fold.done..fold.done + slice]);
+            let slice = self
+                .limits
+                .slice
+                .max(self.last_frame)
+                .min(fold.bytes.len() - fold.done);
+            let written = fold
+                .file
+                .write_all(&fold.bytes[fold.done..fold.done + slice]);
             written.map_err(|error| failed(&self.disk, "write", error))?;
-            self.disk.sync(&mut fold.file).map_err(|error| failed(&self.disk, "sync", error))?;
+            self.disk
+                .sync(&mut fold.file)
+                .map_err(|error| failed(&self.disk, "sync", error))?;
             fold.done += slice;
             return Ok(false);
         }
         let name = state_name(fold.number);
-        self.disk.rename(FOLD, &name).map_err(|error| failed(&self.disk, "rename", error))?;
+        self.disk
+            .rename(FOLD, &name)
+            .map_err(|error| failed(&self.disk, "rename", error))?;
         let (number, others) = (fold.number, |other: &u64| *other != fold.number);
         let older = std::mem::replace(&mut self.states, vec![number]);
         let older: Vec<u64> = older.into_iter().filter(others).collect();
@@ -546,7 +606,8 @@
         // From here on it stands for what it covers.
         self.state_bytes = fold.bytes.len() as u64;
         self.stale.extend(older.into_iter().map(state_name));
-        self.stale.extend(fold.covers.iter().map(|id| segment_name(*id)));
+        self.stale
+            .extend(fold.covers.iter().map(|id| segment_name(*id)));
         Ok(true)
     }
 
@@ -562,7 +623,11 @@
     /// refuses is tried again until it takes the same records; nothing is told of meanwhile.
     pub fn run(mut self, incoming: &Incoming, mut written: impl FnMut(Result<u64, Error>) -> bool) {
         loop {
-            let first = if self.busy() { incoming.receiver.try_recv() } else { incoming.wait() };
+            let first = if self.busy() {
+                incoming.receiver.try_recv()
+            } else {
+                incoming.wait()
+            };
             match first {
                 Ok(first) => {
                     let batch = incoming.batch(first, self.limits.batch);
@@ -574,7 +639,10 @@
                     let mut frame = batch.frame();
                     self.insist(|store| store.append(&mut frame));
                     incoming.done(&batch);
-                    batch.records.into_iter().for_each(|record| self.kept.take(record));
+                    batch
+                        .records
+                        .into_iter()
+                        .for_each(|record| self.kept.take(record));
                     if !written(Ok(last)) {
                         return;
                     }
@@ -620,7 +688,11 @@
 
     fn over(self, disk: &impl Disk) {
         if self.tries > 0 {
-            log::info!("event=disk_back path={} tries={}", disk.path().display(), self.tries);
+            log::info!(
+                "event=disk_back path={} tries={}",
+                disk.path().display(),
+                self.tries
+            );
         }
     }
 }
@@ -642,7 +714,14 @@
 pub fn queue() -> (Queue, Incoming) {
     let (sender, receiver) = mpsc::sync_channel(MOST_RECORDS);
     let bytes = Arc::new(AtomicUsize::new(0));
-    (Queue { sender, bytes: bytes.clone(), closed: AtomicBool::new(false) }, Incoming { receiver, bytes })
+    (
+        Queue {
+            sender,
+            bytes: bytes.clone(),
+            closed: AtomicBool::new(false),
+        },
+        Incoming { receiver, bytes },
+    )
 }
 
 impl Queue {
@@ -665,23 +744,33 @@
 
 impl Incoming {
     fn wait(&self) -> Result<Stored, mpsc::TryRecvError> {
-        self.receiver.recv().map_err(|_| mpsc::TryRecvError::Disconnected)
+        self.receiver
+            .recv()
+            .map_err(|_| mpsc::TryRecvError::Disconnected)
     }
 
     fn batch(&self, first: Stored, most: usize) -> Batch {
         let mut size = first.encoded_len();
         let mut records = vec![first];
         while size < most {
-            let Ok(next) = self.receiver.try_recv() else { break };
+            let Ok(next) = self.receiver.try_recv() else {
+                break;
+            };
             size += next.encoded_len();
             records.push(next);
         }
-        Batch { format: FORMAT, records }
+        Batch {
+            format: FORMAT,
+            records,
+        }
     }
 
     /// They wait no longer.
     fn done(&self, batch: &Batch) {
-        self.bytes.fetch_sub(batch.records.iter().map(Message::encoded_len).sum(), Ordering::AcqRel);
+        self.bytes.fetch_sub(
+            batch.records.iter().map(Message::encoded_len).sum(),
+            Ordering::AcqRel,
+        );
     }
 }
 
@@ -710,7 +799,9 @@
 
 /// Makes it a frame of the file with this number.
 fn stamp(frame: &mut [u8], id: u64) {
-    let Some((head, payload)) = frame.split_first_chunk_mut::<HEAD>() else { return };
+    let Some((head, payload)) = frame.split_first_chunk_mut::<HEAD>() else {
+        return;
+    };
     head[..4].copy_from_slice(&MARK);
     head[4..12].copy_from_slice(&id.to_le_bytes());
     // The longest is a state, and far from 4 GiB.
@@ -723,7 +814,12 @@
 /// Length and checksum of what a frame holds, if a head of this file's frames stands here.
 fn head(id: u64, bytes: &[u8]) -> Option<(usize, u32)> {
     let head = bytes.first_chunk::<HEAD>()?;
-    let number = |at: usize| head[at..at + 4].iter().rev().fold(0, |n: u32, byte| n << 8 | u32::from(*byte));
+    let number = |at: usize| {
+        head[at..at + 4]
+            .iter()
+            .rev()
+            .fold(0, |n: u32, byte| n << 8 | u32::from(*byte))
+    };
     let known = head[..4] == MARK && head[4..12] == id.to_le_bytes();
     (known && number(20) == crc32c::crc32c(&head[..20])).then(|| (number(12) as usize, number(16)))
 }
@@ -739,7 +835,8 @@
 fn frame_after(id: u64, bytes: &[u8]) -> bool {
     let from = head(id, bytes).map_or(1, |(length, _)| HEAD + length);
     let rest = bytes.get(from..).unwrap_or_default();
-    rest.windows(HEAD).any(|window| window[0] == MARK[0] && head(id, window).is_some())
+    rest.windows(HEAD)
+        .any(|window| window[0] == MARK[0] && head(id, window).is_some())
 }
 
 /// What was found on a disk.
@@ -756,7 +853,9 @@
 
 impl Found {
     fn read<D: Disk>(disk: &D) -> Result<Found, Error> {
-        let names = disk.list().map_err(|error| Error::Disk("list", disk.path().to_owned(), error))?;
+        let names = disk
+            .list()
+            .map_err(|error| Error::Disk("list", disk.path().to_owned(), error))?;
         let spoilt = |name: &str| Error::Spoilt(disk.path().join(name));
         if let Some(name) = names.iter().find(|name| name.starts_with("wal-")) {
             return Err(Error::Format(disk.path().join(name), 1));
@@ -765,7 +864,10 @@
             return Err(spoilt(MARKER));
         }
         let sorted = |before| {
-            let mut all: Vec<u64> = names.iter().filter_map(|name| number_in(name, before)).collect();
+            let mut all: Vec<u64> = names
+                .iter()
+                .filter_map(|name| number_in(name, before))
+                .collect();
             all.sort_unstable();
             all
         };
@@ -776,7 +878,12 @@
             segments: Vec::new(),
             last_segment: segments.last().copied().unwrap_or(0),
             log_bytes: 0,
-            stale: states.iter().rev().skip(1).map(|number| state_name(*number)).collect(),
+            stale: states
+                .iter()
+                .rev()
+                .skip(1)
+                .map(|number| state_name(*number))
+                .collect(),
             last: None,
         };
         if names.iter().any(|name| name == FOLD) {
@@ -816,7 +923,13 @@
     }
 
     /// Takes in the frames of a segment, and tells the last record in it.
-    fn replay<D: Disk>(&mut self, disk: &D, name: &str, id: u64, mut bytes: &[u8]) -> Result<u64, Error> {
+    fn replay<D: Disk>(
+        &mut self,
+        disk: &D,
+        name: &str,
+        id: u64,
+        mut bytes: &[u8],
+    ) -> Result<u64, Error> {
         let path = || disk.path().join(name);
         let mut last = 0;
         while let Some(payload) = whole(id, bytes) {
@@ -847,7 +960,9 @@
 
 fn read_all<D: Disk>(disk: &D, name: &str) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
-    let read = disk.read(name).and_then(|mut file| file.read_to_end(&mut bytes));
+    let read = disk
+        .read(name)
+        .and_then(|mut file| file.read_to_end(&mut bytes));
     read.map_err(|error| Error::Disk("read", disk.path().join(name), error))?;
     Ok(bytes)
 }
@@ -856,24 +971,37 @@
 /// first name changes, and off it before anything else is written: a part of the old files is never taken for all of them.
 fn set_aside<D: Disk>(disk: &D) -> Result<(), Error> {
     let failed = |step, name: &str, error| Error::Disk(step, disk.path().join(name), error);
-    let sync = || disk.sync_folder().map_err(|error| failed("sync", "", error));
+    let sync = || {
+        disk.sync_folder()
+            .map_err(|error| failed("sync", "", error))
+    };
     let names = disk.list().map_err(|error| failed("list", "", error))?;
     if !names.iter().any(|name| name == MARKER) {
-        for name in names.iter().filter(|name| name.starts_with(SPOILT) && *name != NOTE) {
-            disk.remove(name).map_err(|error| failed("remove", name, error))?;
+        for name in names
+            .iter()
+            .filter(|name| name.starts_with(SPOILT) && *name != NOTE)
+        {
+            disk.remove(name)
+                .map_err(|error| failed("remove", name, error))?;
         }
     }
     for name in [NOTE, MARKER] {
-        let mut file = disk.make(name).map_err(|error| failed("make", name, error))?;
-        disk.sync(&mut file).map_err(|error| failed("sync", name, error))?;
+        let mut file = disk
+            .make(name)
+            .map_err(|error| failed("make", name, error))?;
+        disk.sync(&mut file)
+            .map_err(|error| failed("sync", name, error))?;
     }
     sync()?;
-    let ours =
-        |name: &str| name == FOLD || number_in(name, "state-").is_some() || number_in(name, "log-").is_some();
+    let ours = |name: &str| {
+        name == FOLD || number_in(name, "state-").is_some() || number_in(name, "log-").is_some()
+    };
     for name in names.iter().filter(|name| ours(name)) {
-        disk.rename(name, &format!("{SPOILT}{name}")).map_err(|error| failed("rename", name, error))?;
+        disk.rename(name, &format!("{SPOILT}{name}"))
+            .map_err(|error| failed("rename", name, error))?;
     }
     sync()?;
-    disk.remove(MARKER).map_err(|error| failed("remove", MARKER, error))?;
+    disk.remove(MARKER)
+        .map_err(|error| failed("remove", MARKER, error))?;
     sync()
 }
--- a/crates/controller/tests/common/operators.rs
+++ b/crates/controller/tests/common/operators.rs
@@ -117,12 +117,22 @@
             wiped: 0,
         };
         for _ in 0..SLOTS {
-            operators.slots.push(Slot { order: None, doing: Doing::Idle, hops: 0, tries: 0, step: 0 });
+            operators.slots.push(Slot {
+                order: None,
+                doing: Doing::Idle,
+                hops: 0,
+                tries: 0,
+                step: 0,
+            });
         }
         operators.order(FIRST.to_owned());
         operators.send(0, Some(0));
         operators.play(6000.0);
-        assert_eq!(operators.orders[0].told, Some(200), "the first call is not taken");
+        assert_eq!(
+            operators.orders[0].told,
+            Some(200),
+            "the first call is not taken"
+        );
         for (_, items) in &operators.fleet.wholes {
             assert_eq!(items.items().count(), 6);
         }
@@ -130,7 +140,12 @@
         operators.base = operators.fleet.wholes[0].1.items().cloned().collect();
         operators.agreed = Plain(operators.base.clone());
         let names = operators.fleet.names().to_vec();
-        assert!(names.iter().all(|name| operators.fleet.follower(name).index > 0), "a door has nothing");
+        assert!(
+            names
+                .iter()
+                .all(|name| operators.fleet.follower(name).index > 0),
+            "a door has nothing"
+        );
         operators.winding_down = false;
         for slot in 0..SLOTS {
             operators.pause(slot, slot as f64 * 30.0);
@@ -161,17 +176,34 @@
         for name in self.fleet.names() {
             let disk = &self.fleet.disk(name).tandem;
             let (sets, mark) = (disk.sets(), disk.identity);
-            println!("{name}: {mark:?} term {} settled {} {sets:?}", disk.term, disk.settled);
+            println!(
+                "{name}: {mark:?} term {} settled {} {sets:?}",
+                disk.term, disk.settled
+            );
         }
-        let open = self.slots.iter().filter(|slot| slot.doing != Doing::Idle).count();
+        let open = self
+            .slots
+            .iter()
+            .filter(|slot| slot.doing != Doing::Idle)
+            .count();
         assert_eq!(open, 0, "orders without a clear answer in calm times");
         for order in 0..self.orders.len() {
-            let Order { told, taken, shared, .. } = &self.orders[order];
+            let Order {
+                told,
+                taken,
+                shared,
+                ..
+            } = &self.orders[order];
             if !shared && taken.is_some() && told.is_some_and(|told| told != 200) {
-                panic!("order {order} was taken and refused: {}", self.orders[order].body);
+                panic!(
+                    "order {order} was taken and refused: {}",
+                    self.orders[order].body
+                );
             }
         }
-        let taken: Vec<usize> = (0..self.orders.len()).filter(|n| self.orders[*n].taken.is_some()).collect();
+        let taken: Vec<usize> = (0..self.orders.len())
+            .filter(|n| self.orders[*n].taken.is_some())
+            .collect();
         for chunk in taken.chunks(SLOTS) {
             for (slot, order) in chunk.iter().enumerate() {
                 self.orders[*order].told = None;
@@ -179,13 +211,21 @@
             }
             self.play(1500.0);
             for order in chunk {
-                assert_eq!(self.orders[*order].told, Some(200), "sent again: {}", self.orders[*order].body);
+                assert_eq!(
+                    self.orders[*order].told,
+                    Some(200),
+                    "sent again: {}",
+                    self.orders[*order].body
+                );
             }
         }
         let reads = self.count.answers.get("read").copied();
         self.send(0, None);
         self.play(1500.0);
-        assert!(self.count.answers.get("read").copied() > reads, "nothing is read back");
+        assert!(
+            self.count.answers.get("read").copied() > reads,
+            "nothing is read back"
+        );
         // What an operator was told is refused is in force nowhere and never was.
         let refused = |order: &&Order| order.told.is_some_and(|told| told != 200);
         let told: BTreeSet<String> = self
@@ -196,7 +236,12 @@
             .map(|item| format!("{item:?}"))
             .collect();
         for order in self.orders.iter().filter(refused) {
-            for item in order.change.iter().flat_map(|change| &change.items).filter(|item| !item.dropped) {
+            for item in order
+                .change
+                .iter()
+                .flat_map(|change| &change.items)
+                .filter(|item| !item.dropped)
+            {
                 let agreed = self.agreed.0.contains(item) && !told.contains(&format!("{item:?}"));
                 assert!(!agreed, "refused and in force: {item:?}");
             }
@@ -211,12 +256,19 @@
         }
         let last = self.fleet.truth.keys().next_back().copied().unwrap_or(0);
         for name in self.fleet.names() {
-            assert!(self.fleet.follower(name).index >= last, "{name} has not caught up");
+            assert!(
+                self.fleet.follower(name).index >= last,
+                "{name} has not caught up"
+            );
         }
         self.count.agreed = self.fleet.truth.len();
         self.count.wholes = self.fleet.wholes.len();
-        self.count.leaders =
-            self.fleet.lines.iter().filter(|(at, line)| line.contains(&format!("leader={at} "))).count();
+        self.count.leaders = self
+            .fleet
+            .lines
+            .iter()
+            .filter(|(at, line)| line.contains(&format!("leader={at} ")))
+            .count();
     }
 
     // ---- Orders -------------------------------------------------------------------------------------
@@ -224,7 +276,14 @@
     fn order(&mut self, body: String) -> usize {
         let change = read_call(body.as_bytes()).ok();
         let sent_after = self.lengths.len();
-        self.orders.push(Order { body, change, taken: None, told: None, sent_after, shared: false });
+        self.orders.push(Order {
+            body,
+            change,
+            taken: None,
+            told: None,
+            sent_after,
+            shared: false,
+        });
         self.orders.len() - 1
     }
 
@@ -239,8 +298,10 @@
                 self.version
             }
         };
-        let (mut lists, mut drops) =
-            (BTreeMap::<&str, Vec<String>>::new(), BTreeMap::<&str, Vec<String>>::new());
+        let (mut lists, mut drops) = (
+            BTreeMap::<&str, Vec<String>>::new(),
+            BTreeMap::<&str, Vec<String>>::new(),
+        );
         let mut names = BTreeSet::new();
         for _ in 0..1 + self.fleet.draw(3) {
             let (kind, at) = (self.fleet.draw(8), self.fleet.draw(4));
@@ -249,8 +310,10 @@
             let (list, name, row) = match kind {
                 0..=3 => {
                     let (host, prefix) = (self.fleet.draw(2), self.fleet.draw(3));
-                    let (service, timeout) =
-                        (self.fleet.draw(4), if self.fleet.draw(40) == 0 { 601 } else { 2 });
+                    let (service, timeout) = (
+                        self.fleet.draw(4),
+                        if self.fleet.draw(40) == 0 { 601 } else { 2 },
+                    );
                     let name = format!("r{at}");
                     let row = format!(
                         "[\"{name}\",\"h{host}.example\",\"/p{prefix}/\",\"safe\",{timeout},{nonce},\"s{service}\",\"{version:08x}\"]"
@@ -259,7 +322,8 @@
                 }
                 4 | 5 => {
                     let (name, key) = (format!("t{at}"), self.fleet.draw(5));
-                    let row = format!("[\"{name}\",[\"k{key}\",\"own{at}\"],{nonce},\"{version:08x}\"]");
+                    let row =
+                        format!("[\"{name}\",[\"k{key}\",\"own{at}\"],{nonce},\"{version:08x}\"]");
                     ("Tenants", name, row)
                 }
                 _ => {
@@ -294,9 +358,15 @@
                 format!("\"{list}\":{{\"ColumnNames\":[{columns}],\"DataRows\":[{rows}]}}")
             })
             .collect();
-        let drops: Vec<String> =
-            drops.iter().map(|(list, rows)| format!("\"{list}\":[{}]", rows.join(","))).collect();
-        self.order(format!("{{\"Upsert\":{{{}}},\"Remove\":{{{}}}}}", lists.join(","), drops.join(",")))
+        let drops: Vec<String> = drops
+            .iter()
+            .map(|(list, rows)| format!("\"{list}\":[{}]", rows.join(",")))
+            .collect();
+        self.order(format!(
+            "{{\"Upsert\":{{{}}},\"Remove\":{{{}}}}}",
+            lists.join(","),
+            drops.join(",")
+        ))
     }
 
     /// What an operator does next.
@@ -305,15 +375,26 @@
             self.slots[slot].doing = Doing::Idle;
             return;
         }
-        let taken: Vec<usize> =
-            (0..self.orders.len()).filter(|n| self.orders[*n].told == Some(200)).collect();
+        let taken: Vec<usize> = (0..self.orders.len())
+            .filter(|n| self.orders[*n].told == Some(200))
+            .collect();
         match self.fleet.draw(10) {
             0 => self.send(slot, None),
             // The other operator sends what one of them has under way.
-            1 if self.slots.iter().any(|slot| slot.order.is_some() && slot.tries > 0) => {
-                let under_way: Vec<usize> =
-                    self.slots.iter().filter(|slot| slot.tries > 0).filter_map(|slot| slot.order).collect();
-                let order = under_way.get(self.fleet.draw(8) as usize % under_way.len().max(1)).copied();
+            1 if self
+                .slots
+                .iter()
+                .any(|slot| slot.order.is_some() && slot.tries > 0) =>
+            {
+                let under_way: Vec<usize> = self
+                    .slots
+                    .iter()
+                    .filter(|slot| slot.tries > 0)
+                    .filter_map(|slot| slot.order)
+                    .collect();
+                let order = under_way
+                    .get(self.fleet.draw(8) as usize % under_way.len().max(1))
+                    .copied();
                 if let Some(order) = order {
                     self.orders[order].shared = true;
                 }
@@ -346,9 +427,15 @@
 
     fn call(&mut self, slot: usize, to: &str) {
         let order = self.slots[slot].order;
-        let call = order.map_or(Call::Read, |n| Call::Amend(self.orders[n].body.clone().into()));
+        let call = order.map_or(Call::Read, |n| {
+            Call::Amend(self.orders[n].body.clone().into())
+        });
         let number = self.fleet.call(to, call);
-        let asked = Asked { order, at: self.fleet.now(), agreed: self.lengths.len() };
+        let asked = Asked {
+            order,
+            at: self.fleet.now(),
+            agreed: self.lengths.len(),
+        };
         self.asked.insert(number, asked);
         self.slots[slot].doing = Doing::Calling(number);
         self.wait(slot, PATIENCE);
@@ -356,7 +443,8 @@
 
     fn wait(&mut self, slot: usize, span: Millis) {
         self.slots[slot].step += 1;
-        self.fleet.timer(span, (slot as u64) << 40 | self.slots[slot].step);
+        self.fleet
+            .timer(span, (slot as u64) << 40 | self.slots[slot].step);
     }
 
     fn pause(&mut self, slot: usize, span: Millis) {
@@ -387,7 +475,11 @@
     }
 
     fn arrived(&mut self, call: u64, answer: Answer) {
-        let Some(slot) = self.slots.iter().position(|slot| slot.doing == Doing::Calling(call)) else {
+        let Some(slot) = self
+            .slots
+            .iter()
+            .position(|slot| slot.doing == Doing::Calling(call))
+        else {
             return;
         };
         let clear = match answer {
@@ -420,22 +512,34 @@
         let last = self.lengths.last().map_or(0, |(index, _)| *index);
         for (index, change) in self.fleet.truth.range(last + 1..) {
             let judgement = self.agreed.judge(change);
-            assert_eq!(judgement, Judgement::New, "agreed on at {index}: {change:?}");
+            assert_eq!(
+                judgement,
+                Judgement::New,
+                "agreed on at {index}: {change:?}"
+            );
             self.agreed.take(change);
             self.lengths.push((*index, self.agreed.0.len()));
         }
-        assert_eq!(self.fleet.truth.len(), self.lengths.len(), "a change came after a later one");
+        assert_eq!(
+            self.fleet.truth.len(),
+            self.lengths.len(),
+            "a change came after a later one"
+        );
     }
 
     /// What had been agreed on after so many changes.
     fn after(&self, changes: usize) -> Plain {
-        let length = changes.checked_sub(1).map_or(self.base.len(), |last| self.lengths[last].1);
+        let length = changes
+            .checked_sub(1)
+            .map_or(self.base.len(), |last| self.lengths[last].1);
         Plain(self.agreed.0[..length].to_vec())
     }
 
     /// Judges what an exchange says, whether it arrives or not.
     fn judge(&mut self, call: u64, answer: &Answer) {
-        let Some(asked) = self.asked.remove(&call) else { return };
+        let Some(asked) = self.asked.remove(&call) else {
+            return;
+        };
         let now = self.fleet.now();
         let what = match answer {
             Answer::Done(_) if asked.order.is_none() => "read",
@@ -449,7 +553,8 @@
         match (asked.order, answer) {
             (None, Answer::Done(text)) if !self.base.is_empty() => {
                 let sound = (asked.agreed..=self.lengths.len()).rev().any(|changes| {
-                    Items::of(self.after(changes).held().into_values().collect()).read_back() == *text
+                    Items::of(self.after(changes).held().into_values().collect()).read_back()
+                        == *text
                 });
                 assert!(sound, "read back after {} changes: {text}", asked.agreed);
             }
@@ -459,9 +564,15 @@
                 for item in order.change.iter().flat_map(|change| &change.items) {
                     let number = (item.kind(), item.name.clone(), item.version);
                     let content = self.contents.entry(number).or_insert_with(|| item.clone());
-                    assert_eq!(content, item, "two contents were confirmed under one number");
+                    assert_eq!(
+                        content, item,
+                        "two contents were confirmed under one number"
+                    );
                     if !self.base.is_empty() {
-                        assert!(self.agreed.0.contains(item), "confirmed and not agreed on: {item:?}");
+                        assert!(
+                            self.agreed.0.contains(item),
+                            "confirmed and not agreed on: {item:?}"
+                        );
                     }
                 }
             }
@@ -475,9 +586,14 @@
                     order.body
                 );
                 let Some(change) = &order.change else { return };
-                let due = if *status == 409 { Judgement::Conflict } else { Judgement::Invalid };
-                let due =
-                    (order.sent_after..=self.lengths.len()).rev().any(|n| self.after(n).judge(change) == due);
+                let due = if *status == 409 {
+                    Judgement::Conflict
+                } else {
+                    Judgement::Invalid
+                };
+                let due = (order.sent_after..=self.lengths.len())
+                    .rev()
+                    .any(|n| self.after(n).judge(change) == due);
                 assert!(due, "{status} {why} without a cause: {}", order.body);
             }
             _ => {}
--- a/crates/controller/tests/common/played.rs
+++ b/crates/controller/tests/common/played.rs
@@ -7,11 +7,11 @@
 #![allow(dead_code)]
 
 use bytes::{Bytes, BytesMut};
+use maplefall_control_messages::{read, Frame, Hello, Plans};
 use maplefall_controller::core::{Answer, Call, Core, Output};
 use maplefall_controller::store::{Kept, Stored};
-use maplefall_node_settings::Settings;
 use maplefall_gateway_config::{Change, Items};
-use maplefall_control_messages::{read, Frame, Hello, Plans};
+use maplefall_node_settings::Settings;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,12 +37,34 @@
 }
 
 enum Event {
-    Frame { to: String, life: u64, from: String, frame: Frame },
-    Disk { at: String, life: u64, stored: Stored },
-    Tick { at: String, life: u64 },
-    Call { at: String, number: u64, call: Call },
-    Answer { number: u64, answer: Answer },
-    Start { at: String, life: u64 },
+    Frame {
+        to: String,
+        life: u64,
+        from: String,
+        frame: Frame,
+    },
+    Disk {
+        at: String,
+        life: u64,
+        stored: Stored,
+    },
+    Tick {
+        at: String,
+        life: u64,
+    },
+    Call {
+        at: String,
+        number: u64,
+        call: Call,
+    },
+    Answer {
+        number: u64,
+        answer: Answer,
+    },
+    Start {
+        at: String,
+        life: u64,
+    },
     Timer(u64),
 }
 
@@ -101,7 +123,10 @@
 }
 
 fn settings(names: &[String], me: &str, bootstrap: bool) -> Settings {
-    let seeds: Vec<String> = names.iter().map(|name| format!("\"{name}:8381\"")).collect();
+    let seeds: Vec<String> = names
+        .iter()
+        .map(|name| format!("\"{name}:8381\""))
+        .collect();
     let text = format!(
         "Node = \"core-{me}\"\nServes = [\"controller\"]\nIp = \"{me}\"\nInternalPorts = [7560,7575]\nSeedAddrs = [{}]\n\
          Bootstrap = {bootstrap}\nQuorumMember = true\nHeartbeatS = 1.5\n",
@@ -148,7 +173,13 @@
             };
             played.nodes.insert(name.clone(), node);
             let late = f64::from(played.draw(300));
-            played.at(late, Event::Start { at: name.clone(), life: 0 });
+            played.at(
+                late,
+                Event::Start {
+                    at: name.clone(),
+                    life: 0,
+                },
+            );
         }
         played
     }
@@ -225,17 +256,28 @@
     /// some record. It starts again after `down`.
     pub fn crash(&mut self, name: &str, down: Millis) {
         let kept = self.draw(4) as usize;
-        let Some(node) = self.nodes.get_mut(name) else { return };
+        let Some(node) = self.nodes.get_mut(name) else {
+            return;
+        };
         node.core = None;
         node.life += 1;
         node.frozen_until = 0.0;
         let writing = std::mem::take(&mut node.writing);
         // All of it as often as none.
         let kept = if kept == 3 { writing.len() } else { kept };
-        writing.into_iter().take(kept).for_each(|stored| node.disk.take(stored));
+        writing
+            .into_iter()
+            .take(kept)
+            .for_each(|stored| node.disk.take(stored));
         node.disk_free = 0.0;
         let life = node.life;
-        self.at(down, Event::Start { at: name.to_owned(), life });
+        self.at(
+            down,
+            Event::Start {
+                at: name.to_owned(),
+                life,
+            },
+        );
     }
 
     /// A crash that takes the disk too.
@@ -276,7 +318,14 @@
         self.under_way.insert(number, name.to_owned());
         if !self.unreachable.contains(name) {
             let late = 0.2 + f64::from(self.draw(20)) / 10.0;
-            self.at(late, Event::Call { at: name.to_owned(), number, call });
+            self.at(
+                late,
+                Event::Call {
+                    at: name.to_owned(),
+                    number,
+                    call,
+                },
+            );
         }
         number
     }
@@ -305,7 +354,9 @@
                 self.now = until;
                 return Happened::Over;
             }
-            let Some(((micros, _), event)) = self.events.pop_first() else { continue };
+            let Some(((micros, _), event)) = self.events.pop_first() else {
+                continue;
+            };
             self.now = micros as f64 / 1000.0;
             self.take(event);
         }
@@ -333,7 +384,9 @@
             | Event::Call { at, .. } => Some(at.clone()),
             _ => None,
         };
-        let frozen = whom.and_then(|at| self.nodes.get(&at)).map_or(0.0, |node| node.frozen_until);
+        let frozen = whom
+            .and_then(|at| self.nodes.get(&at))
+            .map_or(0.0, |node| node.frozen_until);
         if frozen > self.now {
             // Whether a process that thaws looks at its clock first or at what has come is a matter of chance.
             let tick = matches!(event, Event::Tick { .. });
@@ -352,12 +405,19 @@
             }
             Event::Disk { at, life, stored } => {
                 let number = stored.number;
-                let Some(node) = self.nodes.get_mut(&at).filter(|node| node.life == life) else { return };
+                let Some(node) = self.nodes.get_mut(&at).filter(|node| node.life == life) else {
+                    return;
+                };
                 node.writing.retain(|waiting| waiting.number != number);
                 node.disk.take(stored);
                 self.with(&at, |core, now, out| core.written(now, number, out));
             }
-            Event::Frame { to, life, from, frame } => {
+            Event::Frame {
+                to,
+                life,
+                from,
+                frame,
+            } => {
                 let cut = self.cut.contains(&(from.clone(), to.clone()));
                 if !cut && self.nodes.get(&to).is_some_and(|node| node.life == life) {
                     self.with(&to, |core, now, out| core.peer(now, &from, frame, out));
@@ -379,7 +439,9 @@
     fn start(&mut self, name: &str, life: u64) {
         let (now, names) = (self.now, self.names.clone());
         let seed = u64::from(self.rng.next_u32()) << 8 | 1;
-        let Some(node) = self.nodes.get_mut(name).filter(|node| node.life == life) else { return };
+        let Some(node) = self.nodes.get_mut(name).filter(|node| node.life == life) else {
+            return;
+        };
         let mut out = Vec::new();
         let settings = settings(&names, name, node.bootstrap);
         let mut core = Core::new(&settings, now, seed, node.disk.clone(), &mut out);
@@ -390,19 +452,32 @@
         node.core = Some(core);
         let index = node.follower.index;
         self.carry(name, out);
-        let hello = Hello { node: format!("door-{name}"), life: 1 + life, index, ..Hello::default() };
+        let hello = Hello {
+            node: format!("door-{name}"),
+            life: 1 + life,
+            index,
+            ..Hello::default()
+        };
         self.with(name, |core, now, out| core.door_up(now, 1, &hello, out));
         for peer in names.iter().filter(|peer| *peer != name) {
             self.with(name, |core, now, out| core.peer_up(now, peer, out));
             self.with(peer, |core, now, out| core.peer_up(now, name, out));
         }
         let late = f64::from(self.draw(100));
-        self.at(late, Event::Tick { at: name.to_owned(), life });
+        self.at(
+            late,
+            Event::Tick {
+                at: name.to_owned(),
+                life,
+            },
+        );
     }
 
     fn with(&mut self, name: &str, step: impl FnOnce(&mut Core, Millis, &mut Vec<Output>)) {
         let (now, mut out) = (self.now, Vec::new());
-        let Some(core) = self.nodes.get_mut(name).and_then(|node| node.core.as_mut()) else { return };
+        let Some(core) = self.nodes.get_mut(name).and_then(|node| node.core.as_mut()) else {
+            return;
+        };
         step(core, now, &mut out);
         self.carry(name, out);
     }
@@ -413,12 +488,21 @@
                 Output::Write(number, stored) => {
                     let late = 0.5 + f64::from(self.draw(25)) / 10.0;
                     let now = self.now;
-                    let Some(node) = self.nodes.get_mut(name) else { return };
+                    let Some(node) = self.nodes.get_mut(name) else {
+                        return;
+                    };
                     let stored = Stored { number, ..*stored };
                     node.writing.push(stored.clone());
                     node.disk_free = node.disk_free.max(now) + late;
                     let (wait, life) = (node.disk_free - now, node.life);
-                    self.at(wait, Event::Disk { at: name.to_owned(), life, stored });
+                    self.at(
+                        wait,
+                        Event::Disk {
+                            at: name.to_owned(),
+                            life,
+                            stored,
+                        },
+                    );
                 }
                 Output::Peer(to, bytes) => self.send(name, &to, bytes),
                 Output::Peers(bytes) => {
@@ -432,7 +516,8 @@
                     }
                 }
                 Output::Answer(number, answer) => {
-                    self.happened.push(Happened::Answered(number, answer.clone()));
+                    self.happened
+                        .push(Happened::Answered(number, answer.clone()));
                     if !self.unreachable.contains(name) && !self.chance(self.answer_loss) {
                         let late = 0.2 + f64::from(self.draw(20)) / 10.0;
                         self.at(late, Event::Answer { number, answer });
@@ -448,19 +533,34 @@
         if self.cut.contains(&(from.to_owned(), to.to_owned())) || self.chance(self.loss) {
             return;
         }
-        let Ok(Some(frame)) = read(&mut BytesMut::from(&bytes[..])) else { panic!("an unreadable frame") };
+        let Ok(Some(frame)) = read(&mut BytesMut::from(&bytes[..])) else {
+            panic!("an unreadable frame")
+        };
         let late = 0.3 + f64::from(self.draw(20)) / 10.0;
         let now = self.now;
-        let last = self.links.entry((from.to_owned(), to.to_owned())).or_default();
+        let last = self
+            .links
+            .entry((from.to_owned(), to.to_owned()))
+            .or_default();
         *last = last.max(now + late);
         let late = *last - now;
         let life = self.nodes.get(to).map_or(0, |node| node.life);
-        self.at(late, Event::Frame { to: to.to_owned(), life, from: from.to_owned(), frame });
+        self.at(
+            late,
+            Event::Frame {
+                to: to.to_owned(),
+                life,
+                from: from.to_owned(),
+                frame,
+            },
+        );
     }
 
     /// As a door does it.
     fn follow(&mut self, name: &str, plans: Plans) {
-        let Some(node) = self.nodes.get_mut(name) else { return };
+        let Some(node) = self.nodes.get_mut(name) else {
+            return;
+        };
         let follower = &mut node.follower;
         if plans.index <= follower.index || plans.after > follower.index {
             return;
@@ -470,10 +570,19 @@
             self.wholes.push((plans.index, follower.items.clone()));
         }
         for one in plans.changes {
-            let Some(change) = one.change.filter(|_| one.index > follower.index) else { continue };
+            let Some(change) = one.change.filter(|_| one.index > follower.index) else {
+                continue;
+            };
             follower.items.join(&change);
-            let known = self.truth.entry(one.index).or_insert_with(|| change.clone());
-            assert_eq!(*known, change, "{name} agrees on something else at {}", one.index);
+            let known = self
+                .truth
+                .entry(one.index)
+                .or_insert_with(|| change.clone());
+            assert_eq!(
+                *known, change,
+                "{name} agrees on something else at {}",
+                one.index
+            );
         }
         follower.index = plans.index;
     }
--- a/crates/controller/tests/disk.rs
+++ b/crates/controller/tests/disk.rs
@@ -13,7 +13,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("maplefall-disk-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("maplefall-disk-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         Folder(path)
     }
@@ -26,8 +27,17 @@
 }
 
 fn record(number: u64, size: usize) -> Stored {
-    let entry = Entry { index: number, term: 1, payload: vec![number as u8; size], ..Entry::default() };
-    let tandem = Record { term: Some(number), entries: vec![entry], ..Record::default() };
+    let entry = Entry {
+        index: number,
+        term: 1,
+        payload: vec![number as u8; size],
+        ..Entry::default()
+    };
+    let tandem = Record {
+        term: Some(number),
+        entries: vec![entry],
+        ..Record::default()
+    };
     Stored {
         number,
         tandem: Some(tandem),
@@ -41,9 +51,15 @@
 }
 
 fn files(path: &Path, before: &str) -> Vec<PathBuf> {
-    let files = fs::read_dir(path).expect("a folder").filter_map(Result::ok).map(|file| file.path());
+    let files = fs::read_dir(path)
+        .expect("a folder")
+        .filter_map(Result::ok)
+        .map(|file| file.path());
     let mut all: Vec<PathBuf> = files
-        .filter(|path| path.file_name().is_some_and(|name| name.to_string_lossy().starts_with(before)))
+        .filter(|path| {
+            path.file_name()
+                .is_some_and(|name| name.to_string_lossy().starts_with(before))
+        })
         .collect();
     all.sort();
     all
@@ -55,11 +71,21 @@
     let folder = Folder::new("again");
     let (mut store, found) = open(&folder.0);
     assert_eq!(found, Kept::default());
-    store.write((1..=3).map(|n| record(n, 100)).collect()).expect("written");
+    store
+        .write((1..=3).map(|n| record(n, 100)).collect())
+        .expect("written");
     store.write(vec![record(4, 100)]).expect("written");
     drop(store);
     let (_, found) = open(&folder.0);
-    assert_eq!((found.number, found.tandem.term, found.tandem.log.len(), found.lent_to.len()), (4, 4, 4, 4));
+    assert_eq!(
+        (
+            found.number,
+            found.tandem.term,
+            found.tandem.log.len(),
+            found.lent_to.len()
+        ),
+        (4, 4, 4, 4)
+    );
 }
 
 /// Guards starts after a loss of power: an end that is torn anywhere costs what was not acknowledged, and nothing before or
@@ -78,13 +104,20 @@
         for torn in [
             both[..cut].to_vec(),
             [&both[..cut], vec![0; both.len() - cut].as_slice()].concat(),
-            [&both[..first], vec![0; cut - first].as_slice(), &both[cut..]].concat(),
+            [
+                &both[..first],
+                vec![0; cut - first].as_slice(),
+                &both[cut..],
+            ]
+            .concat(),
             [&both[..cut], vec![0xff; 5000].as_slice()].concat(),
         ] {
             if torn == both {
                 continue;
             }
-            files(&folder.0, "").iter().for_each(|file| fs::remove_file(file).expect("removed"));
+            files(&folder.0, "")
+                .iter()
+                .for_each(|file| fs::remove_file(file).expect("removed"));
             fs::write(&segment, &torn).expect("written");
             let (mut store, found) = open(&folder.0);
             assert_eq!(found.number, 1, "torn after {cut}");
@@ -119,8 +152,10 @@
         }
     }
     store.close().expect("closed");
-    let log: u64 =
-        files(&folder.0, "log-").iter().map(|file| fs::metadata(file).expect("a file").len()).sum();
+    let log: u64 = files(&folder.0, "log-")
+        .iter()
+        .map(|file| fs::metadata(file).expect("a file").len())
+        .sum();
     assert!(log < 1_000_000, "{log} bytes of log");
     let (store, found) = open(&folder.0);
     assert_eq!((found.number, found.tandem.log.len()), (120, 120));
@@ -128,11 +163,17 @@
     // A file that was renamed into place after its sync is whole, or not to be trusted.
     let states = files(&folder.0, "state-");
     assert_eq!(states.len(), 1, "{states:?}");
-    let mut file = OpenOptions::new().write(true).open(&states[0]).expect("a file");
+    let mut file = OpenOptions::new()
+        .write(true)
+        .open(&states[0])
+        .expect("a file");
     file.seek(SeekFrom::Start(40)).expect("a place");
     file.write_all(&[0xff, 0xfe]).expect("written");
     drop(file);
-    assert!(matches!(Store::open(Disk::new(&folder.0)), Err(Error::Spoilt(_))));
+    assert!(matches!(
+        Store::open(Disk::new(&folder.0)),
+        Err(Error::Spoilt(_))
+    ));
 }
 
 /// Guards members whose disk cannot be read: it comes back as one that has lost its disk, not as the first of all, and what was
@@ -141,19 +182,35 @@
 fn a_spoilt_disk_is_set_aside() {
     let folder = Folder::new("spoilt");
     for round in 0..3 {
-        let (mut store, found) = Store::open_anyhow(Disk::new(&folder.0), Limits::default()).expect("a disk");
-        assert_eq!(found, Kept { set_aside: round > 0, ..Kept::default() });
+        let (mut store, found) =
+            Store::open_anyhow(Disk::new(&folder.0), Limits::default()).expect("a disk");
+        assert_eq!(
+            found,
+            Kept {
+                set_aside: round > 0,
+                ..Kept::default()
+            }
+        );
         // Not the first start of all, whatever the settings say.
-        assert_eq!((found.bootstrap(true), found.bootstrap(false)), (round == 0, false));
+        assert_eq!(
+            (found.bootstrap(true), found.bootstrap(false)),
+            (round == 0, false)
+        );
         (1..=3).for_each(|number| store.write(vec![record(number, 300)]).expect("written"));
         drop(store);
         let segment = files(&folder.0, "log-").remove(0);
         let mut bytes = fs::read(&segment).expect("a segment");
         bytes[60] ^= 1;
         fs::write(&segment, &bytes).expect("written");
-        assert!(matches!(Store::open(Disk::new(&folder.0)), Err(Error::Spoilt(_))));
+        assert!(matches!(
+            Store::open(Disk::new(&folder.0)),
+            Err(Error::Spoilt(_))
+        ));
         // One set, and the note.
-        assert_eq!(files(&folder.0, "spoilt-").len(), if round == 0 { 0 } else { 2 });
+        assert_eq!(
+            files(&folder.0, "spoilt-").len(),
+            if round == 0 { 0 } else { 2 }
+        );
     }
 }
 
@@ -170,8 +227,23 @@
 /// Guards disks of another format: refused, and nothing on it touched.
 #[test]
 fn another_format_is_refused() {
-    let later = frame(1, &Batch { format: 3, records: vec![record(1, 9)] }.encode_to_vec());
-    let state = frame(4, &Folded { format: 9, number: 4, ..Folded::default() }.encode_to_vec());
+    let later = frame(
+        1,
+        &Batch {
+            format: 3,
+            records: vec![record(1, 9)],
+        }
+        .encode_to_vec(),
+    );
+    let state = frame(
+        4,
+        &Folded {
+            format: 9,
+            number: 4,
+            ..Folded::default()
+        }
+        .encode_to_vec(),
+    );
     for (name, bytes, format) in [
         ("wal-1", b"okw\0".as_slice(), 1),
         ("log-00000000000000000001", &later, 3),
@@ -181,7 +253,10 @@
         fs::create_dir_all(&folder.0).expect("a folder");
         fs::write(folder.0.join(name), bytes).expect("written");
         let opened = Store::open_anyhow(Disk::new(&folder.0), Limits::default());
-        assert!(matches!(opened, Err(Error::Format(_, met)) if met == format), "{name}");
+        assert!(
+            matches!(opened, Err(Error::Format(_, met)) if met == format),
+            "{name}"
+        );
         assert_eq!(files(&folder.0, "").len(), 1);
         assert_eq!(fs::read(folder.0.join(name)).expect("a file"), bytes);
     }
@@ -193,7 +268,11 @@
     let folder = Folder::new("frames");
     fs::create_dir_all(&folder.0).expect("a folder");
     let batch = |numbers: std::ops::RangeInclusive<u64>| {
-        Batch { format: 2, records: numbers.map(|number| record(number, 9)).collect() }.encode_to_vec()
+        Batch {
+            format: 2,
+            records: numbers.map(|number| record(number, 9)).collect(),
+        }
+        .encode_to_vec()
     };
     let mut bytes = [frame(7, &batch(1..=2)), frame(7, &batch(3..=3))].concat();
     let mut long = frame(7, &batch(4..=4));
@@ -211,8 +290,14 @@
     let folder = Folder::new("order");
     let (mut store, _) = open(&folder.0);
     store.write(vec![record(1, 10)]).expect("written");
-    assert!(matches!(store.write(vec![record(3, 10)]), Err(Error::Order(2, 3))));
-    assert!(matches!(store.write(vec![record(1, 10)]), Err(Error::Order(2, 1))));
+    assert!(matches!(
+        store.write(vec![record(3, 10)]),
+        Err(Error::Order(2, 3))
+    ));
+    assert!(matches!(
+        store.write(vec![record(1, 10)]),
+        Err(Error::Order(2, 1))
+    ));
     store.write(vec![record(2, 10)]).expect("written");
     drop(store);
     assert_eq!(open(&folder.0).1.number, 2);
@@ -222,7 +307,9 @@
 #[test]
 fn a_queue_that_was_full_takes_no_more() {
     let (queue, incoming) = queue();
-    queue.push(record(1, 33 << 20)).expect("the first may be long");
+    queue
+        .push(record(1, 33 << 20))
+        .expect("the first may be long");
     assert!(matches!(queue.push(record(2, 10)), Err(Error::Full(2))));
     let folder = Folder::new("full");
     let (store, _) = open(&folder.0);
