--- a/crates/controller/tests/lending.rs
+++ b/crates/controller/tests/lending.rs
@@ -1,12 +1,12 @@
 //! What exchanges lend, and when they answer doors at all: played with [`Core`] alone, without sockets and without waiting.
 
 use bytes::{Bytes, BytesMut};
+use maplefall_control_messages::{read, Frame, Hello, VERSION};
 use maplefall_controller::core::TICK;
 use maplefall_controller::disk::Folder as Disk;
 use maplefall_controller::store::{Kept, Store, Stored};
 use maplefall_controller::{Call, Core, Output};
 use maplefall_node_settings::Settings;
-use maplefall_control_messages::{read, Frame, Hello, VERSION};
 use maplefall_quota_lease::{Lent, Loan, Purse, Report, INHERITED, LASTS, LEASE, SKEW, WHOLE};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::{Path, PathBuf};
@@ -44,14 +44,24 @@
 }
 
 fn frames(bytes: &Bytes) -> Frame {
-    read(&mut BytesMut::from(bytes.as_ref())).expect("a frame").expect("all of it")
+    read(&mut BytesMut::from(bytes.as_ref()))
+        .expect("a frame")
+        .expect("all of it")
 }
 
 impl Play {
     fn new(ips: &[&str], losses: u32) -> Play {
-        let mut play = Play { now: 0.0, nodes: BTreeMap::new(), mail: VecDeque::new() };
+        let mut play = Play {
+            now: 0.0,
+            nodes: BTreeMap::new(),
+            mail: VecDeque::new(),
+        };
         for (n, ip) in ips.iter().enumerate() {
-            play.start(&settings(ip, ips, true, losses), Kept::default(), n as u64 + 7);
+            play.start(
+                &settings(ip, ips, true, losses),
+                Kept::default(),
+                n as u64 + 7,
+            );
         }
         play
     }
@@ -75,15 +85,25 @@
     }
 
     fn carry(&mut self, ip: &str, out: Vec<Output>) {
-        let others: Vec<String> = self.nodes.keys().filter(|other| *other != ip).cloned().collect();
-        let Some(node) = self.nodes.get_mut(ip) else { return };
+        let others: Vec<String> = self
+            .nodes
+            .keys()
+            .filter(|other| *other != ip)
+            .cloned()
+            .collect();
+        let Some(node) = self.nodes.get_mut(ip) else {
+            return;
+        };
         for output in out {
             match output {
-                Output::Write(number, stored) => node.writes.push((number, Stored { number, ..*stored })),
+                Output::Write(number, stored) => {
+                    node.writes.push((number, Stored { number, ..*stored }))
+                }
                 Output::Peer(to, bytes) => self.mail.push_back((ip.to_owned(), to, frames(&bytes))),
                 Output::Peers(bytes) => {
                     for to in &others {
-                        self.mail.push_back((ip.to_owned(), to.clone(), frames(&bytes)));
+                        self.mail
+                            .push_back((ip.to_owned(), to.clone(), frames(&bytes)));
                     }
                 }
                 Output::Door(conn, bytes) => {
@@ -109,19 +129,25 @@
     /// Disks and exchanges answer, until there is nothing more to say.
     fn settle(&mut self) {
         loop {
-            let due = self.nodes.iter().find(|(_, node)| !node.slow && !node.writes.is_empty());
+            let due = self
+                .nodes
+                .iter()
+                .find(|(_, node)| !node.slow && !node.writes.is_empty());
             if let Some(ip) = due.map(|(ip, _)| ip.clone()) {
                 let mut out = Vec::new();
                 if let Some(node) = self.nodes.get_mut(&ip) {
                     let writes = std::mem::take(&mut node.writes);
                     let last = writes.last().map_or(0, |(number, _)| *number);
-                    node.kept.extend(writes.into_iter().map(|(_, stored)| stored));
+                    node.kept
+                        .extend(writes.into_iter().map(|(_, stored)| stored));
                     node.core.written(self.now, last, &mut out);
                 }
                 self.carry(&ip, out);
                 continue;
             }
-            let Some((from, to, frame)) = self.mail.pop_front() else { return };
+            let Some((from, to, frame)) = self.mail.pop_front() else {
+                return;
+            };
             let cut = |ip: &str| self.nodes.get(ip).is_none_or(|node| node.cut);
             if cut(&from) || cut(&to) {
                 continue;
@@ -158,14 +184,20 @@
 
     fn report(&mut self, ip: &str, conn: u64, report: Report) -> Vec<Lent> {
         self.lent(ip, conn);
-        self.drive(ip, |core, now, out| core.door(now, conn, Frame::Report(report), out));
+        self.drive(ip, |core, now, out| {
+            core.door(now, conn, Frame::Report(report), out)
+        });
         self.lent(ip, conn)
     }
 
     /// What was said to a door since the last look.
     fn lent(&mut self, ip: &str, conn: u64) -> Vec<Lent> {
-        let Some(node) = self.nodes.get_mut(ip) else { return Vec::new() };
-        let (mine, others) = std::mem::take(&mut node.lent).into_iter().partition(|(to, _)| *to == conn);
+        let Some(node) = self.nodes.get_mut(ip) else {
+            return Vec::new();
+        };
+        let (mine, others) = std::mem::take(&mut node.lent)
+            .into_iter()
+            .partition(|(to, _)| *to == conn);
         node.lent = others;
         let mine: Vec<(u64, Lent)> = mine;
         mine.into_iter().map(|(_, lent)| lent).collect()
@@ -175,7 +207,12 @@
     fn amend(&mut self) {
         for ip in self.nodes.keys().cloned().collect::<Vec<_>>() {
             self.drive(&ip, |core, now, out| {
-                core.call(now, 1, Call::Amend(Bytes::from_static(AMEND.as_bytes())), out);
+                core.call(
+                    now,
+                    1,
+                    Call::Amend(Bytes::from_static(AMEND.as_bytes())),
+                    out,
+                );
             });
         }
         self.run(500.0);
@@ -183,7 +220,10 @@
 }
 
 fn parts(lent: &[Lent]) -> Vec<u32> {
-    lent.iter().flat_map(|lent| &lent.loans).map(|loan| loan.parts).collect()
+    lent.iter()
+        .flat_map(|lent| &lent.loans)
+        .map(|loan| loan.parts)
+        .collect()
 }
 
 /// Guards restarts of an exchange: whom it lends to must be on its disk first, also where a door reports twice in that moment.
@@ -229,10 +269,21 @@
             let report = purse.report(play.now, "x", Vec::new());
             let answered = !play.report(cut, 1, report).is_empty();
             let since = f64::from(half) * 500.0;
-            assert!(!answered || since < LEASE + 1500.0, "{cut} answers after {since} ms");
-            assert!(answered || since >= LEASE, "{cut} is silent after {since} ms");
+            assert!(
+                !answered || since < LEASE + 1500.0,
+                "{cut} answers after {since} ms"
+            );
+            assert!(
+                answered || since >= LEASE,
+                "{cut} is silent after {since} ms"
+            );
         }
-        let said = |play: &Play, what: &str| play.nodes[cut].log.iter().any(|line| line.starts_with(what));
+        let said = |play: &Play, what: &str| {
+            play.nodes[cut]
+                .log
+                .iter()
+                .any(|line| line.starts_with(what))
+        };
         assert!(said(&play, "event=lease_over"));
         play.nodes.get_mut(cut).expect("a node").cut = false;
         play.lent(cut, 1);
@@ -279,14 +330,25 @@
     play.amend();
     for ip in ips {
         play.door(ip, 1, "door", 5);
-        let lent = play.report(ip, 1, Report { number: 1, first: true, ..Report::default() });
+        let lent = play.report(
+            ip,
+            1,
+            Report {
+                number: 1,
+                first: true,
+                ..Report::default()
+            },
+        );
         assert_eq!(parts(&lent), [WHOLE / 3]);
     }
     let disks: Vec<Kept> = ips
         .iter()
         .map(|ip| {
             let mut kept = Kept::default();
-            play.nodes[*ip].kept.iter().for_each(|stored| kept.take(stored.clone()));
+            play.nodes[*ip]
+                .kept
+                .iter()
+                .for_each(|stored| kept.take(stored.clone()));
             kept
         })
         .collect();
@@ -297,7 +359,15 @@
     play.run(1500.0);
     for ip in ips {
         play.door(ip, 1, "door", 6);
-        let lent = play.report(ip, 1, Report { number: 1, first: true, ..Report::default() });
+        let lent = play.report(
+            ip,
+            1,
+            Report {
+                number: 1,
+                first: true,
+                ..Report::default()
+            },
+        );
         assert_eq!(parts(&lent), [WHOLE / 3], "{ip}");
     }
 }
@@ -315,11 +385,22 @@
     stays.connected("x");
     play.door("10.0.0.1", 1, "stays", 5);
     play.door("10.0.0.1", 2, "goes", 6);
-    play.report("10.0.0.1", 2, Report { number: 1, first: true, ..Report::default() });
+    play.report(
+        "10.0.0.1",
+        2,
+        Report {
+            number: 1,
+            first: true,
+            ..Report::default()
+        },
+    );
     play.drive("10.0.0.1", |core, _, out| core.door_down(2, out));
     let named = |play: &Play| {
         let (mut store, found) = Store::open(Disk::new(&folder.0)).expect("a disk");
-        let new = play.nodes["10.0.0.1"].kept.iter().filter(|stored| stored.number > found.number);
+        let new = play.nodes["10.0.0.1"]
+            .kept
+            .iter()
+            .filter(|stored| stored.number > found.number);
         store.write(new.cloned().collect()).expect("written");
         store.close().expect("closed");
         Store::open(Disk::new(&folder.0)).expect("a disk").1.lent_to
@@ -331,14 +412,28 @@
             stays.lent(play.now, "x", &lent);
         }
         if turn == 10 {
-            assert_eq!(named(&play).into_iter().collect::<Vec<_>>(), ["goes", "stays"]);
+            assert_eq!(
+                named(&play).into_iter().collect::<Vec<_>>(),
+                ["goes", "stays"]
+            );
         }
     }
     assert_eq!(named(&play).into_iter().collect::<Vec<_>>(), ["stays"]);
     // Who comes again is written down again.
     play.door("10.0.0.1", 3, "goes", 6);
-    play.report("10.0.0.1", 3, Report { number: 2, first: true, ..Report::default() });
-    assert_eq!(named(&play).into_iter().collect::<Vec<_>>(), ["goes", "stays"]);
+    play.report(
+        "10.0.0.1",
+        3,
+        Report {
+            number: 2,
+            first: true,
+            ..Report::default()
+        },
+    );
+    assert_eq!(
+        named(&play).into_iter().collect::<Vec<_>>(),
+        ["goes", "stays"]
+    );
 }
 
 /// Guards replacements by agreement, with whole exchanges: one is cut off from the others, goes on, and is replaced by one that
@@ -348,7 +443,13 @@
 fn an_exchange_and_its_successor_never_lend_the_same() {
     let seeds = ["10.0.0.1", "10.0.0.2", "10.0.0.3"];
     let all = ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"];
-    for (hit, back, again) in [(0, 60, false), (1, 60, true), (2, 8, false), (0, 8, true), (1, 14, false)] {
+    for (hit, back, again) in [
+        (0, 60, false),
+        (1, 60, true),
+        (2, 8, false),
+        (0, 8, true),
+        (1, 14, false),
+    ] {
         let hit = seeds[hit];
         let mut play = Play::new(&seeds, 1);
         play.run(5000.0);
@@ -359,7 +460,9 @@
             purses.get_mut(ip).expect("a purse").connected("x");
             play.door(ip, conn, "door", 5);
         };
-        seeds.iter().for_each(|ip| connect(&mut play, &mut purses, ip, 1));
+        seeds
+            .iter()
+            .for_each(|ip| connect(&mut play, &mut purses, ip, 1));
         let mut conns: BTreeMap<&str, u64> = all.iter().map(|ip| (*ip, 1)).collect();
         let start = play.now;
         let mut waits = None;
@@ -379,7 +482,8 @@
             if half == 30 && again {
                 // With what is on its disk, in the waiting time.
                 let kept = play.nodes[all[3]].kept.clone();
-                let path = std::env::temp_dir().join(format!("maplefall-successor-{}", std::process::id()));
+                let path = std::env::temp_dir()
+                    .join(format!("maplefall-successor-{}", std::process::id()));
                 let _ = std::fs::remove_dir_all(&path);
                 let folder = Folder(path);
                 let (mut store, _) = Store::open(Disk::new(&folder.0)).expect("a disk");
@@ -402,7 +506,10 @@
                 }
             }
             let held: f64 = purses.values().map(|purse| purse.part(play.now, "t")).sum();
-            assert!(held <= 1.0 + 1e-6, "{hit}, back after {back} s: {held} is held after {since} ms");
+            assert!(
+                held <= 1.0 + 1e-6,
+                "{hit}, back after {back} s: {held} is held after {since} ms"
+            );
             let said = |what: &str| {
                 let fourth = play.nodes.get(all[3]);
                 fourth.is_some_and(|node| node.log.iter().any(|line| line.starts_with(what)))
@@ -419,7 +526,10 @@
         let due = INHERITED - 1000.0..INHERITED + 2000.0;
         assert!(due.contains(&waited), "{waited} after {start}");
         let held: f64 = purses.values().map(|purse| purse.part(play.now, "t")).sum();
-        assert!(held > 0.99 && purses[hit].part(play.now, "t") == 0.0, "{hit}: {held} is held at the end");
+        assert!(
+            held > 0.99 && purses[hit].part(play.now, "t") == 0.0,
+            "{hit}: {held} is held at the end"
+        );
     }
 }
 
@@ -464,12 +574,25 @@
     assert!(parts(&lent).iter().all(|parts| *parts == 0), "{lent:?}");
     // One that comes with a loan keeps it.
     play.door("10.0.0.1", 2, "other", 6);
-    let held = vec![Loan { tenant: "t".to_owned(), parts: WHOLE / 2 }];
-    let report = Report { number: 1, first: true, held, ..Report::default() };
+    let held = vec![Loan {
+        tenant: "t".to_owned(),
+        parts: WHOLE / 2,
+    }];
+    let report = Report {
+        number: 1,
+        first: true,
+        held,
+        ..Report::default()
+    };
     assert_eq!(parts(&play.report("10.0.0.1", 2, report)), [WHOLE / 2]);
     play.run(LASTS + SKEW);
     let report = purse.report(play.now, "x", Vec::new());
-    assert!(parts(&play.report("10.0.0.1", 1, report)).iter().sum::<u32>() > 0);
+    assert!(
+        parts(&play.report("10.0.0.1", 1, report))
+            .iter()
+            .sum::<u32>()
+            > 0
+    );
     let kept = play.nodes["10.0.0.1"].kept.clone();
     assert!(again(kept).lent_known);
 }
--- a/crates/controller/tests/loss.rs
+++ b/crates/controller/tests/loss.rs
@@ -8,17 +8,34 @@
 use played::{Chance, Faults, Played};
 
 /// Small, so that much is folded.
-const SMALL: Limits = Limits { fold_after: 2_000, segments: 4, slice: 300, batch: 1_000 };
+const SMALL: Limits = Limits {
+    fold_after: 2_000,
+    segments: 4,
+    slice: 300,
+    batch: 1_000,
+};
 
 /// The record of this number: every part of it tells which. Now and then a snapshot takes the place of what was.
 fn record(number: u64, size: usize) -> Stored {
-    let payload = (0..size).map(|at| (at as u64 ^ number.wrapping_mul(31)) as u8).collect();
-    let entry = Entry { index: number, term: 1 + number / 50, payload, ..Entry::default() };
+    let payload = (0..size)
+        .map(|at| (at as u64 ^ number.wrapping_mul(31)) as u8)
+        .collect();
+    let entry = Entry {
+        index: number,
+        term: 1 + number / 50,
+        payload,
+        ..Entry::default()
+    };
     let state = vec![number as u8; size];
     let snapshot = number.is_multiple_of(40).then(|| Snapshot {
         index: number - 1,
         term: 1 + (number - 1) / 50,
-        members: ["a", "b"].map(|name| Member { name: name.to_owned(), identity: number }).to_vec(),
+        members: ["a", "b"]
+            .map(|name| Member {
+                name: name.to_owned(),
+                identity: number,
+            })
+            .to_vec(),
         state: state.into(),
     });
     let tandem = Record {
@@ -62,7 +79,11 @@
     while told.told < last {
         let upto = last.min(told.told + 1 + chance.below(3) as u64);
         told.tried = told.tried.max(upto);
-        store.write((told.told + 1..=upto).map(|number| record(number, size)).collect())?;
+        store.write(
+            (told.told + 1..=upto)
+                .map(|number| record(number, size))
+                .collect(),
+        )?;
         told.told = upto;
         // Folding waits, at times, as it does while there is much to write.
         for _ in 0..chance.below(4) {
@@ -75,7 +96,11 @@
 }
 
 /// Opens the disk and says what is wrong with what is on it.
-fn start(disk: &Played, told: &mut Told, size: usize) -> Result<Result<Store<Played>, Error>, String> {
+fn start(
+    disk: &Played,
+    told: &mut Told,
+    size: usize,
+) -> Result<Result<Store<Played>, Error>, String> {
     match Store::open_with(disk.clone(), SMALL) {
         Err((_, error @ Error::Disk(..))) => Ok(Err(error)),
         Err((_, error)) => Err(format!("{told:?}: refused: {error}")),
@@ -84,10 +109,16 @@
                 return Err(format!("{told:?}: {} found", kept.number));
             }
             if kept != kept_after(kept.number, size) {
-                return Err(format!("{told:?}: {} found, and another content", kept.number));
+                return Err(format!(
+                    "{told:?}: {} found, and another content",
+                    kept.number
+                ));
             }
             // The node says from here on that it holds this.
-            *told = Told { told: kept.number, tried: kept.number };
+            *told = Told {
+                told: kept.number,
+                tried: kept.number,
+            };
             Ok(Ok(store))
         }
     }
@@ -95,13 +126,25 @@
 
 /// One life after the other: each is stopped before a step drawn by chance (or ends with all written), by the end of the process or
 /// by a loss of power; lives are short, so that starts are stopped too.
-fn lives(seed: u64, count: u64, records: u64, size: usize, faults: Faults) -> Result<(Told, u64), String> {
+fn lives(
+    seed: u64,
+    count: u64,
+    records: u64,
+    size: usize,
+    faults: Faults,
+) -> Result<(Told, u64), String> {
     let mut chance = Chance(seed);
     let (disk, mut told, mut losses) = (Played::default(), Told::default(), 0);
     for _ in 0..count {
         let most = [3, 10, 60, 400][chance.below(4)];
         let stop_after = Some(chance.below(most) as u64);
-        disk.set(Faults { stop_after, ..faults }, chance.0);
+        disk.set(
+            Faults {
+                stop_after,
+                ..faults
+            },
+            chance.0,
+        );
         if let Ok(mut store) = start(&disk, &mut told, size)? {
             // At times there is nothing to write at first, and what can wait is done.
             for _ in 0..chance.below(60) * chance.below(2) {
@@ -116,7 +159,13 @@
             losses += 1;
         }
     }
-    disk.set(Faults { stop_after: None, ..faults }, 0);
+    disk.set(
+        Faults {
+            stop_after: None,
+            ..faults
+        },
+        0,
+    );
     let mut store = start(&disk, &mut told, size)?.map_err(|error| error.to_string())?;
     let last = told.told + 5;
     write_on(&mut store, &mut told, last, size, &mut chance).map_err(|error| error.to_string())?;
@@ -136,14 +185,22 @@
         losses += lost;
     }
     println!("150 disks, {losses} losses of power, {told} records");
-    assert!(told > 60_000 && losses > 2_000, "{told} records, {losses} losses: too little was played");
+    assert!(
+        told > 60_000 && losses > 2_000,
+        "{told} records, {losses} losses: too little was played"
+    );
 }
 
 /// Guards the play: with a folder whose sync does nothing it finds what is lost.
 #[test]
 fn the_play_finds_a_name_that_was_not_synced() {
-    let without = Faults { no_folder_sync: true, ..Faults::default() };
-    let broken = (0..50).filter(|seed| lives(*seed, 30, 100_000, 60, without).is_err()).count();
+    let without = Faults {
+        no_folder_sync: true,
+        ..Faults::default()
+    };
+    let broken = (0..50)
+        .filter(|seed| lives(*seed, 30, 100_000, 60, without).is_err())
+        .count();
     println!("without the folder's sync: {broken} of 50 disks broken");
     assert!(broken > 40, "{broken} of 50");
 }
@@ -160,7 +217,9 @@
         write_on(&mut store, told, 100, 60, &mut Chance(5))?;
         // A fold in which nothing is written.
         store.close()?;
-        store = Store::open_with(disk.clone(), SMALL).map_err(|(_, error)| error)?.0;
+        store = Store::open_with(disk.clone(), SMALL)
+            .map_err(|(_, error)| error)?
+            .0;
         while !store.busy() {
             write_on(&mut store, told, told.told + 1, 60, &mut Chance(0))?;
         }
@@ -172,17 +231,31 @@
     let (steps, mut cases) = (whole.steps(), 0);
     for stop in 0..steps {
         for seed in 0..3 {
-            let (disk, mut told, mut chance) = (Played::default(), Told::default(), Chance(stop * 64 + seed));
-            disk.set(Faults { stop_after: Some(stop), ..Faults::default() }, chance.0);
+            let (disk, mut told, mut chance) =
+                (Played::default(), Told::default(), Chance(stop * 64 + seed));
+            disk.set(
+                Faults {
+                    stop_after: Some(stop),
+                    ..Faults::default()
+                },
+                chance.0,
+            );
             assert!(script(&disk, &mut told).is_err());
             if seed > 0 {
                 disk.lose_power(&mut chance);
             }
             for second in 0..12 {
                 let (disk, mut told) = (disk.copy(), told);
-                disk.set(Faults { stop_after: Some(second), ..Faults::default() }, chance.0);
+                disk.set(
+                    Faults {
+                        stop_after: Some(second),
+                        ..Faults::default()
+                    },
+                    chance.0,
+                );
                 let found = start(&disk, &mut told, 60);
-                let found = found.unwrap_or_else(|why| panic!("step {stop}, seed {seed}, {second}: {why}"));
+                let found =
+                    found.unwrap_or_else(|why| panic!("step {stop}, seed {seed}, {second}: {why}"));
                 if let Ok(mut store) = found {
                     // Nothing is to be written, and what can wait is done.
                     while store.busy() && store.step().is_ok() {}
@@ -190,9 +263,12 @@
                 disk.lose_power(&mut chance);
                 disk.set(Faults::default(), 0);
                 let found = start(&disk, &mut told, 60);
-                let found = found.unwrap_or_else(|why| panic!("step {stop}, seed {seed}, {second}: {why}"));
+                let found =
+                    found.unwrap_or_else(|why| panic!("step {stop}, seed {seed}, {second}: {why}"));
                 let mut store = found.expect("a disk");
-                store.write(vec![record(told.told + 1, 60)]).expect("usable again");
+                store
+                    .write(vec![record(told.told + 1, 60)])
+                    .expect("usable again");
                 cases += 1;
             }
         }
@@ -209,8 +285,15 @@
         let (disk, mut told, mut starts) = (Played::default(), Told::default(), 0);
         while told.told < last {
             let stop_after = Some(10 + chance.below(60) as u64);
-            disk.set(Faults { stop_after, ..Faults::default() }, chance.0);
-            let found = start(&disk, &mut told, size).unwrap_or_else(|why| panic!("{last} of {size}: {why}"));
+            disk.set(
+                Faults {
+                    stop_after,
+                    ..Faults::default()
+                },
+                chance.0,
+            );
+            let found = start(&disk, &mut told, size)
+                .unwrap_or_else(|why| panic!("{last} of {size}: {why}"));
             if let Ok(mut store) = found {
                 let _ = write_on(&mut store, &mut told, last, size, &mut chance);
             }
@@ -229,22 +312,47 @@
 /// Guards a whole state that comes in one record: 8 MiB, cut at each step.
 #[test]
 fn a_long_snapshot_is_there_or_not() {
-    let snapshot = Snapshot { index: 900, term: 3, state: vec![7; 8 << 20].into(), ..Snapshot::default() };
-    let tandem = Record { snapshot: Some(snapshot), ..Record::default() };
-    let long = Stored { number: 6, tandem: Some(tandem), ..Stored::default() };
+    let snapshot = Snapshot {
+        index: 900,
+        term: 3,
+        state: vec![7; 8 << 20].into(),
+        ..Snapshot::default()
+    };
+    let tandem = Record {
+        snapshot: Some(snapshot),
+        ..Record::default()
+    };
+    let long = Stored {
+        number: 6,
+        tandem: Some(tandem),
+        ..Stored::default()
+    };
     for stop in 0..40 {
         let (disk, mut chance) = (Played::default(), Chance(stop));
         let (mut store, _) = Store::open(disk.clone()).expect("a disk");
         (1..=5).for_each(|number| store.write(vec![record(number, 50)]).expect("written"));
-        disk.set(Faults { stop_after: Some(stop), ..Faults::default() }, stop);
+        disk.set(
+            Faults {
+                stop_after: Some(stop),
+                ..Faults::default()
+            },
+            stop,
+        );
         let told = store.write(vec![long.clone()]).is_ok();
         while store.busy() && store.step().is_ok() {}
         drop(store);
         disk.lose_power(&mut chance);
         disk.set(Faults::default(), 0);
         let (_, kept) = Store::open(disk.clone()).expect("a disk");
-        assert!(kept.number == 6 || !told && kept.number == 5, "stopped at {stop}: {}", kept.number);
-        assert_eq!(kept.tandem.snapshot.index, if kept.number == 6 { 900 } else { 0 });
+        assert!(
+            kept.number == 6 || !told && kept.number == 5,
+            "stopped at {stop}: {}",
+            kept.number
+        );
+        assert_eq!(
+            kept.tandem.snapshot.index,
+            if kept.number == 6 { 900 } else { 0 }
+        );
     }
 }
 
@@ -255,7 +363,11 @@
     let mut refused = 0;
     for seed in 0..120 {
         let disk = Played::default();
-        let faults = Faults { refuse_one_in: 2 + (seed as usize % 7), refusals: 400, ..Faults::default() };
+        let faults = Faults {
+            refuse_one_in: 2 + (seed as usize % 7),
+            refusals: 400,
+            ..Faults::default()
+        };
         disk.set(faults, seed);
         let (store, _) = Store::open_anyhow(disk.clone(), SMALL).expect("a disk");
         let (queue, incoming) = queue();
@@ -270,7 +382,10 @@
             let copy = disk.copy();
             copy.set(Faults::default(), 0);
             copy.lose_power(&mut chance);
-            let mut told = Told { told: number, tried: number + 20 };
+            let mut told = Told {
+                told: number,
+                tried: number + 20,
+            };
             drop(start(&copy, &mut told, 60).unwrap_or_else(|why| panic!("seed {seed}: {why}")));
             true
         });
@@ -286,19 +401,38 @@
 fn long_refusals_leave_few_files() {
     for seed in 0..20 {
         let disk = Played::default();
-        let (mut store, _) =
-            Store::open_with(disk.clone(), SMALL).map_err(|(_, error)| error).expect("a disk");
+        let (mut store, _) = Store::open_with(disk.clone(), SMALL)
+            .map_err(|(_, error)| error)
+            .expect("a disk");
         store.write(vec![record(1, 60)]).expect("written");
         // Every other step is refused: files are made, and their writes or syncs fail.
-        disk.set(Faults { refuse_one_in: 2, refusals: 500, ..Faults::default() }, seed);
+        disk.set(
+            Faults {
+                refuse_one_in: 2,
+                refusals: 500,
+                ..Faults::default()
+            },
+            seed,
+        );
         let (queue, incoming) = queue();
         queue.push(record(2, 60)).expect("room");
         drop(queue);
         store.run(&incoming, |result| result.is_ok());
         let files = disk.names().len();
-        disk.set(Faults { refuse_one_in: 2, refusals: 500, ..Faults::default() }, seed + 100);
+        disk.set(
+            Faults {
+                refuse_one_in: 2,
+                refusals: 500,
+                ..Faults::default()
+            },
+            seed + 100,
+        );
         drop(Store::open_anyhow(disk.clone(), SMALL).expect("a disk"));
-        assert!(files <= 2 && disk.names().len() <= 3, "seed {seed}: {files}, {:?}", disk.names());
+        assert!(
+            files <= 2 && disk.names().len() <= 3,
+            "seed {seed}: {files}, {:?}",
+            disk.names()
+        );
     }
 }
 
@@ -307,8 +441,9 @@
 fn a_disk_has_its_bound() {
     for (size, last) in [(100, 2_000), (2_000, 200), (30, 4_000)] {
         let disk = Played::default();
-        let (mut store, _) =
-            Store::open_with(disk.clone(), SMALL).map_err(|(_, error)| error).expect("a disk");
+        let (mut store, _) = Store::open_with(disk.clone(), SMALL)
+            .map_err(|(_, error)| error)
+            .expect("a disk");
         // Not a step more than `run` takes.
         for number in 1..=last {
             store.write(vec![record(number, size)]).expect("written");
@@ -319,7 +454,10 @@
         drop(store);
         let biggest = kept_sizes(last, size);
         let bound = 4 * biggest + 2 * (SMALL.batch + size + 200) + SMALL.fold_after as usize;
-        println!("{last} records of {size}: {} bytes at most, bound {bound}", disk.most());
+        println!(
+            "{last} records of {size}: {} bytes at most, bound {bound}",
+            disk.most()
+        );
         assert!(disk.most() <= bound, "{} over {bound}", disk.most());
     }
 }
@@ -335,12 +473,20 @@
 #[test]
 fn spoilt_bytes_are_refused_or_cost_the_end() {
     let (disk, mut told) = (Played::default(), Told::default());
-    let (mut store, _) = Store::open_with(disk.clone(), SMALL).map_err(|(_, error)| error).expect("a disk");
+    let (mut store, _) = Store::open_with(disk.clone(), SMALL)
+        .map_err(|(_, error)| error)
+        .expect("a disk");
     // Stopped in the middle of a fold: all kinds of files are there.
     write_on(&mut store, &mut told, 130, 60, &mut Chance(9)).expect("written");
     while !disk.names().iter().any(|name| name == "fold") {
-        write_on(&mut store, &mut Told { ..told }, told.told + 1, 60, &mut Chance(told.told))
-            .expect("written");
+        write_on(
+            &mut store,
+            &mut Told { ..told },
+            told.told + 1,
+            60,
+            &mut Chance(told.told),
+        )
+        .expect("written");
         told.told += 1;
     }
     drop(store);
@@ -358,7 +504,9 @@
                 3 => bytes.extend((0..at).map(|at| at as u8)),
                 4 => {
                     let to = (at + 1 + chance.below(64)).min(bytes.len());
-                    bytes[at..to].iter_mut().for_each(|byte| *byte = chance.below(256) as u8);
+                    bytes[at..to]
+                        .iter_mut()
+                        .for_each(|byte| *byte = chance.below(256) as u8);
                 }
                 5 => {
                     let other = bytes.clone();
@@ -378,10 +526,15 @@
                 } else {
                     whole += 1;
                 }
-                store.write(vec![record(kept.number + 1, 60)]).expect("usable");
+                store
+                    .write(vec![record(kept.number + 1, 60)])
+                    .expect("usable");
             }
             Err((_, error)) => {
-                assert!(matches!(error, Error::Spoilt(_) | Error::Format(..)), "{error}");
+                assert!(
+                    matches!(error, Error::Spoilt(_) | Error::Format(..)),
+                    "{error}"
+                );
                 refused += 1;
             }
         }
@@ -395,10 +548,15 @@
 fn setting_aside_is_whole_or_not_begun() {
     let (disk, mut told) = (Played::default(), Told::default());
     // Several segments that are in no state, the last of them spoilt: without it the first would pass for all.
-    let keep = Limits { fold_after: 1 << 30, segments: 1 << 30, ..SMALL };
+    let keep = Limits {
+        fold_after: 1 << 30,
+        segments: 1 << 30,
+        ..SMALL
+    };
     for _ in 0..4 {
-        let (mut store, _) =
-            Store::open_with(disk.clone(), keep).map_err(|(_, error)| error).expect("a disk");
+        let (mut store, _) = Store::open_with(disk.clone(), keep)
+            .map_err(|(_, error)| error)
+            .expect("a disk");
         for _ in 0..3 {
             told.told += 1;
             store.write(vec![record(told.told, 60)]).expect("written");
@@ -416,26 +574,51 @@
         for seed in 0..50 {
             let (disk, mut chance) = (disk.copy(), Chance(seed * 100 + stop));
             // The pause is where the process ends: a played one does not wait, so a stop is a refusal that lasts.
-            let faults =
-                Faults { refuse_one_in: 1 + chance.below(4), refusals: 1 + stop, ..Faults::default() };
+            let faults = Faults {
+                refuse_one_in: 1 + chance.below(4),
+                refusals: 1 + stop,
+                ..Faults::default()
+            };
             disk.set(faults, seed);
             let copy = disk.copy();
             let (_, kept) = Store::open_anyhow(disk.clone(), SMALL).expect("a disk");
-            assert_eq!(kept, Kept { set_aside: true, ..Kept::default() });
+            assert_eq!(
+                kept,
+                Kept {
+                    set_aside: true,
+                    ..Kept::default()
+                }
+            );
             // And cut off at any step of it, with the power gone.
-            copy.set(Faults { stop_after: Some(stop), ..Faults::default() }, seed);
+            copy.set(
+                Faults {
+                    stop_after: Some(stop),
+                    ..Faults::default()
+                },
+                seed,
+            );
             assert!(cut_short(&copy));
             copy.set(Faults::default(), 0);
             copy.lose_power(&mut chance);
             let found = Store::open_with(copy.clone(), SMALL);
             match found {
                 Ok((_, kept)) => {
-                    assert!(kept.set_aside && kept.number == 0, "stop {stop}, seed {seed}: {}", kept.number)
+                    assert!(
+                        kept.set_aside && kept.number == 0,
+                        "stop {stop}, seed {seed}: {}",
+                        kept.number
+                    )
                 }
                 Err((_, error)) => assert!(matches!(error, Error::Spoilt(_)), "{error}"),
             }
             let (_, kept) = Store::open_anyhow(copy, SMALL).expect("a disk");
-            assert_eq!(kept, Kept { set_aside: true, ..Kept::default() });
+            assert_eq!(
+                kept,
+                Kept {
+                    set_aside: true,
+                    ..Kept::default()
+                }
+            );
             cases += 1;
         }
     }
@@ -444,7 +627,8 @@
 
 /// Opens the disk until it stops; whether it did. A disk that has stopped refuses for ever: the pause ends the try.
 fn cut_short(disk: &Played) -> bool {
-    let ended = std::panic::catch_unwind(|| Store::open_anyhow(Stopping(disk.clone()), SMALL).is_ok());
+    let ended =
+        std::panic::catch_unwind(|| Store::open_anyhow(Stopping(disk.clone()), SMALL).is_ok());
     ended.is_err()
 }
 
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -9,7 +9,8 @@
 use common::played::{Happened, Played};
 use maplefall_controller::core::{Answer, Call};
 
-const ROUTE: &str = "\"Name\",\"Host\",\"PathPrefix\",\"RouteKind\",\"TimeoutS\",\"Service\",\"Version\"";
+const ROUTE: &str =
+    "\"Name\",\"Host\",\"PathPrefix\",\"RouteKind\",\"TimeoutS\",\"Service\",\"Version\"";
 
 fn call(upsert: &str, remove: &str) -> String {
     format!("{{\"Upsert\":{{{upsert}}},\"Remove\":{{{remove}}}}}")
@@ -35,7 +36,10 @@
 }
 
 fn drop_service(name: &str, version: u32) -> String {
-    call("", &format!("\"Services\":[{{\"Name\":\"{name}\",\"Version\":\"{version:08x}\"}}]"))
+    call(
+        "",
+        &format!("\"Services\":[{{\"Name\":\"{name}\",\"Version\":\"{version:08x}\"}}]"),
+    )
 }
 
 /// The status of one call to the only exchange.
@@ -126,13 +130,22 @@
     let marks: Vec<(String, u64)> = fleet
         .names()
         .iter()
-        .map(|name| (name.clone(), fleet.disk(name).tandem.identity.unwrap_or(u64::MAX)))
+        .map(|name| {
+            (
+                name.clone(),
+                fleet.disk(name).tandem.identity.unwrap_or(u64::MAX),
+            )
+        })
         .collect();
     fleet.names().iter().all(|name| {
         let disk = &fleet.disk(name).tandem;
         let sets = disk.sets();
         let through = sets.before == sets.newest || disk.settled >= sets.index;
-        let mut newest: Vec<(String, u64)> = sets.newest.into_iter().map(|m| (m.name, m.identity)).collect();
+        let mut newest: Vec<(String, u64)> = sets
+            .newest
+            .into_iter()
+            .map(|m| (m.name, m.identity))
+            .collect();
         newest.sort();
         fleet.runs(name) && newest == marks && through
     })
@@ -206,8 +219,15 @@
 /// clear answer. `ORDER_FIRST=40 ORDER_DAYS=1000` plays others than CI does.
 #[test]
 fn what_operators_are_told_holds_on_bad_days() {
-    let figure = |name| std::env::var(name).ok().and_then(|figure| figure.parse().ok());
-    let (first, days) = (figure("ORDER_FIRST").unwrap_or(0), figure("ORDER_DAYS").unwrap_or(40));
+    let figure = |name| {
+        std::env::var(name)
+            .ok()
+            .and_then(|figure| figure.parse().ok())
+    };
+    let (first, days) = (
+        figure("ORDER_FIRST").unwrap_or(0),
+        figure("ORDER_DAYS").unwrap_or(40),
+    );
     let mut wiped = 0;
     for seed in first..first + days {
         println!("seed {seed}");
@@ -215,13 +235,17 @@
         println!("{:?} wiped {}", operators.count, operators.wiped);
         wiped += operators.wiped;
     }
-    assert!(days < 40 || wiped >= 10, "disks were lost {wiped} times only");
+    assert!(
+        days < 40 || wiped >= 10,
+        "disks were lost {wiped} times only"
+    );
 }
 
 /// The exchange that leads, as its callers find out.
 fn leader(fleet: &mut Played) -> String {
     for name in fleet.names().to_vec() {
-        if answer(fleet, &name, Call::Read).is_some_and(|answer| matches!(answer, Answer::Done(_))) {
+        if answer(fleet, &name, Call::Read).is_some_and(|answer| matches!(answer, Answer::Done(_)))
+        {
             return name;
         }
     }
@@ -252,7 +276,10 @@
         println!("seed {seed}");
         let (mut fleet, first) = three(seed);
         for (body, due) in [(&taken_other, 409), (&unknown, 400)] {
-            assert!(refused(&answer(&mut fleet, &first, amend(body)), due), "in touch: {body}");
+            assert!(
+                refused(&answer(&mut fleet, &first, amend(body)), due),
+                "in touch: {body}"
+            );
         }
         let way = (seed - 20) / 3;
         for peer in fleet.names().to_vec() {
@@ -288,8 +315,15 @@
     let mut fleet = Played::new(seed, 3);
     fleet.play(3000.0);
     let first = leader(&mut fleet);
-    for body in [service("s1", 9, 1), service("s2", 9, 1), route("r", "a", "s1", 1, 7)] {
-        assert_eq!(answer(&mut fleet, &first, amend(&body)), Some(Answer::Done("{}".to_owned())));
+    for body in [
+        service("s1", 9, 1),
+        service("s2", 9, 1),
+        route("r", "a", "s1", 1, 7),
+    ] {
+        assert_eq!(
+            answer(&mut fleet, &first, amend(&body)),
+            Some(Answer::Done("{}".to_owned()))
+        );
     }
     (fleet, first)
 }
@@ -299,7 +333,12 @@
 #[test]
 fn an_order_is_not_confirmed_by_another_leaders_entry() {
     let (mut fleet, first) = three(50);
-    let peers: Vec<String> = fleet.names().iter().filter(|name| **name != first).cloned().collect();
+    let peers: Vec<String> = fleet
+        .names()
+        .iter()
+        .filter(|name| **name != first)
+        .cloned()
+        .collect();
     for peer in &peers {
         fleet.cut_one_way(&first, peer);
         fleet.cut_one_way(peer, &first);
@@ -326,8 +365,12 @@
     }
     assert_eq!(said, Some(Answer::Unknown));
     let agreed = fleet.truth.values().flat_map(|change| &change.items);
-    assert!(agreed.clone().any(|item| item.name == "q" && item.version == 8));
-    assert!(!agreed.clone().any(|item| item.name == "q" && item.version == 7));
+    assert!(agreed
+        .clone()
+        .any(|item| item.name == "q" && item.version == 8));
+    assert!(!agreed
+        .clone()
+        .any(|item| item.name == "q" && item.version == 7));
 }
 
 /// Guards an order that comes again while it is on its way: it is confirmed with its entry, and both are, without a second entry.
@@ -351,7 +394,11 @@
                 _ => {}
             }
         }
-        let due = if lost { Answer::Unknown } else { Answer::Done("{}".to_owned()) };
+        let due = if lost {
+            Answer::Unknown
+        } else {
+            Answer::Done("{}".to_owned())
+        };
         assert_eq!(said, vec![due; 3], "lost: {lost}");
         fleet.join();
         fleet.play(4000.0);
@@ -365,7 +412,10 @@
         }
     }
     assert!(fleet.truth.len() <= before + 2);
-    let agreed = fleet.truth.values().filter(|change| change.items.iter().any(|item| item.version == 7));
+    let agreed = fleet
+        .truth
+        .values()
+        .filter(|change| change.items.iter().any(|item| item.version == 7));
     assert!(agreed.filter(|change| change.items[0].name == "q").count() == 1);
 }
 
@@ -384,7 +434,10 @@
 #[test]
 fn of_two_orders_that_do_not_go_together_one_is_taken() {
     let pairs = [
-        (route("p", "same", "s1", 1, 7), route("q", "same", "s1", 1, 7)),
+        (
+            route("p", "same", "s1", 1, 7),
+            route("q", "same", "s1", 1, 7),
+        ),
         (tenant("t", "key", 7), tenant("u", "key", 7)),
         (drop_service("s2", 7), route("q", "b", "s2", 1, 7)),
         (route("r", "a", "s1", 2, 9), route("r", "a", "s1", 3, 9)),
@@ -394,7 +447,10 @@
         println!("seed {seed}");
         let (mut fleet, first) = three(seed);
         let (one, other) = &pairs[at];
-        let calls = [fleet.call(&first, amend(one)), fleet.call(&first, amend(other))];
+        let calls = [
+            fleet.call(&first, amend(one)),
+            fleet.call(&first, amend(other)),
+        ];
         let (mut said, until) = ([None, None], fleet.now() + 2000.0);
         loop {
             match fleet.next(until) {
@@ -407,7 +463,10 @@
         }
         let taken = usize::from(said[1] == Some(Answer::Done("{}".to_owned())));
         assert_eq!(said[taken], Some(Answer::Done("{}".to_owned())), "{said:?}");
-        assert!(refused(&said[1 - taken], if at == 3 { 409 } else { 400 }), "{said:?}");
+        assert!(
+            refused(&said[1 - taken], if at == 3 { 409 } else { 400 }),
+            "{said:?}"
+        );
         firsts[at][taken] += 1;
     }
     assert!(
@@ -427,18 +486,29 @@
         assert_eq!(status(&mut fleet, service("s1", version, version)), 200);
     }
     for _ in 0..2 {
-        for (version, limit, due) in
-            [(1, 1, 503), (1, 9, 503), (43, 43, 503), (44, 44, 200), (44, 9, 409), (300, 300, 200)]
-        {
-            assert_eq!(status(&mut fleet, service("s1", limit, version)), due, "{version} with {limit}");
+        for (version, limit, due) in [
+            (1, 1, 503),
+            (1, 9, 503),
+            (43, 43, 503),
+            (44, 44, 200),
+            (44, 9, 409),
+            (300, 300, 200),
+        ] {
+            assert_eq!(
+                status(&mut fleet, service("s1", limit, version)),
+                due,
+                "{version} with {limit}"
+            );
         }
         let at = fleet.names()[0].clone();
         fleet.crash(&at, 50.0);
         fleet.play(2000.0);
-        assert!(fleet.disk(&at).tandem.snapshot.index > 200, "nothing was folded");
+        assert!(
+            fleet.disk(&at).tandem.snapshot.index > 200,
+            "nothing was folded"
+        );
     }
-    assert!(fleet
-        .lines
-        .iter()
-        .any(|(_, line)| line.contains("event=forgotten list=Services item=\"s1\" version=00000001")));
+    assert!(fleet.lines.iter().any(
+        |(_, line)| line.contains("event=forgotten list=Services item=\"s1\" version=00000001")
+    ));
 }
--- a/crates/controller/tests/played/mod.rs
+++ b/crates/controller/tests/played/mod.rs
@@ -73,7 +73,11 @@
 impl State {
     /// One more step, if it works.
     fn step(&mut self) -> io::Result<()> {
-        if self.faults.stop_after.is_some_and(|most| self.steps >= most) {
+        if self
+            .faults
+            .stop_after
+            .is_some_and(|most| self.steps >= most)
+        {
             return Err(io::Error::other("the process has ended"));
         }
         self.steps += 1;
@@ -89,7 +93,9 @@
     }
 
     fn find(&self, name: &str) -> Option<usize> {
-        self.files.iter().position(|file| file.names.last().and_then(Option::as_deref) == Some(name))
+        self.files
+            .iter()
+            .position(|file| file.names.last().and_then(Option::as_deref) == Some(name))
     }
 
     fn name(&mut self, file: usize, name: Option<&str>) {
@@ -97,7 +103,10 @@
     }
 
     fn room(&mut self) {
-        let used = self.files.iter().filter(|file| file.names.last().is_some_and(Option::is_some));
+        let used = self
+            .files
+            .iter()
+            .filter(|file| file.names.last().is_some_and(Option::is_some));
         self.most = self.most.max(used.map(|file| file.seen.len()).sum());
     }
 }
@@ -162,7 +171,11 @@
 
     /// All names that a reader sees.
     pub fn names(&self) -> Vec<String> {
-        lock(&self.0).files.iter().filter_map(|file| file.names.last().cloned().flatten()).collect()
+        lock(&self.0)
+            .files
+            .iter()
+            .filter_map(|file| file.names.last().cloned().flatten())
+            .collect()
     }
 
     /// Changes a file's bytes behind the store's back; they are on the disk. `None` removes it.
@@ -195,7 +208,9 @@
             // A file whose name was changed may have lost both.
             let drawn = chance.below(file.names.len() + usize::from(file.names.len() > 1));
             let name = file.names.get(drawn).cloned().flatten();
-            let free = name.as_ref().is_some_and(|name| taken.insert(name.clone(), ()).is_none());
+            let free = name
+                .as_ref()
+                .is_some_and(|name| taken.insert(name.clone(), ()).is_none());
             file.names = vec![name];
             free
         });
@@ -210,7 +225,11 @@
         if let Err(error) = state.step() {
             // A part may have been done.
             let done = state.chance.get_or_insert(Chance(2)).below(bytes.len() + 1);
-            if state.faults.stop_after.is_none_or(|most| state.steps < most) {
+            if state
+                .faults
+                .stop_after
+                .is_none_or(|most| state.steps < most)
+            {
                 state.files[self.1].write(&bytes[..done]);
             }
             return Err(error);
@@ -253,7 +272,10 @@
             state.name(old, None);
         }
         let names = vec![None, Some(name.to_owned())];
-        state.files.push(Content { names, ..Content::default() });
+        state.files.push(Content {
+            names,
+            ..Content::default()
+        });
         Ok(File(self.0.clone(), state.files.len() - 1))
     }
 
@@ -266,7 +288,9 @@
         match &result {
             Ok(()) => {
                 for (place, bytes) in content.pending.drain(..) {
-                    content.synced.resize(content.synced.len().max(place + bytes.len()), 0);
+                    content
+                        .synced
+                        .resize(content.synced.len().max(place + bytes.len()), 0);
                     content.synced[place..place + bytes.len()].copy_from_slice(&bytes);
                 }
             }
--- a/crates/controller/tests/touch.rs
+++ b/crates/controller/tests/touch.rs
@@ -3,13 +3,13 @@
 //! played disks. Seeds are printed.
 
 use bytes::{Bytes, BytesMut};
+use maplefall_control_messages::{read, write, Frame, Hello, Plans, Words, VERSION};
 use maplefall_control_transport::liveness::{DEAD, PING};
-use maplefall_service_registry::State;
 use maplefall_controller::core::TICK;
 use maplefall_controller::store::Kept;
 use maplefall_controller::{Answer, Call, Core, Output};
 use maplefall_node_settings::Settings;
-use maplefall_control_messages::{read, write, Frame, Hello, Plans, Words, VERSION};
+use maplefall_service_registry::State;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -30,7 +30,9 @@
 }
 
 fn settings(node: usize, of: usize) -> Settings {
-    let seeds: Vec<String> = (0..of).map(|node| format!("\"{}:8080\"", ip(node))).collect();
+    let seeds: Vec<String> = (0..of)
+        .map(|node| format!("\"{}:8080\"", ip(node)))
+        .collect();
     let text = format!(
         "Node = \"core-{node}\"\nRole = \"exchange\"\nMachineClass = \"core\"\nServes = [\"controller\"]\nIp = \"{}\"\nZone = \"a\"\n\
          Region = \"r\"\nInternalPorts = [7000,7010]\nSeedAddrs = [{}]\nBootstrap = true\nQuorumMember = true\nDataDir = \"/tmp\"\n\
@@ -43,7 +45,9 @@
 }
 
 fn frame(bytes: &Bytes) -> Frame {
-    read(&mut BytesMut::from(bytes.as_ref())).expect("a frame").expect("a whole one")
+    read(&mut BytesMut::from(bytes.as_ref()))
+        .expect("a frame")
+        .expect("a whole one")
 }
 
 struct Node {
@@ -87,8 +91,13 @@
         };
         for node in 0..of {
             let mut out = Vec::new();
-            let core =
-                Core::new(&settings(node, of), 0.0, seed * 16 + node as u64 + 1, Kept::default(), &mut out);
+            let core = Core::new(
+                &settings(node, of),
+                0.0,
+                seed * 16 + node as u64 + 1,
+                Kept::default(),
+                &mut out,
+            );
             fleet.nodes.push(Node {
                 core,
                 disk: VecDeque::new(),
@@ -106,7 +115,10 @@
 
     fn pairs(&self) -> Vec<(usize, usize)> {
         let all = 0..self.nodes.len();
-        all.clone().flat_map(|a| all.clone().map(move |b| (a, b))).filter(|(a, b)| a < b).collect()
+        all.clone()
+            .flat_map(|a| all.clone().map(move |b| (a, b)))
+            .filter(|(a, b)| a < b)
+            .collect()
     }
 
     fn link(&mut self, a: usize, b: usize, up: bool) {
@@ -128,17 +140,25 @@
     fn carry(&mut self, node: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Write(number, _) => self.nodes[node].disk.push_back((number, self.now + SYNC)),
+                Output::Write(number, _) => {
+                    self.nodes[node].disk.push_back((number, self.now + SYNC))
+                }
                 Output::Peer(to, bytes) => {
                     let to = (0..self.nodes.len()).find(|node| ip(*node) == to);
-                    to.into_iter().for_each(|to| self.send(node, to, bytes.clone()));
+                    to.into_iter()
+                        .for_each(|to| self.send(node, to, bytes.clone()));
                 }
                 Output::Peers(bytes) => {
                     (0..self.nodes.len()).for_each(|to| self.send(node, to, bytes.clone()));
                 }
-                Output::Door(conn, bytes) => self.to_doors.push((node, conn, self.now, frame(&bytes))),
+                Output::Door(conn, bytes) => {
+                    self.to_doors.push((node, conn, self.now, frame(&bytes)))
+                }
                 Output::Answer(call, answer) => {
-                    assert!(self.answers.insert(call, answer).is_none(), "call {call} is answered twice");
+                    assert!(
+                        self.answers.insert(call, answer).is_none(),
+                        "call {call} is answered twice"
+                    );
                 }
                 Output::Log(line) | Output::Debug(line) => self.log.push((self.now, node, line)),
             }
@@ -155,7 +175,11 @@
         let until = self.now + time;
         while self.now < until {
             self.now += 1.0;
-            let pairs = if self.cut.len() + self.dead.len() > 0 { self.pairs() } else { Vec::new() };
+            let pairs = if self.cut.len() + self.dead.len() > 0 {
+                self.pairs()
+            } else {
+                Vec::new()
+            };
             for pair in pairs {
                 let cut = [pair, (pair.1, pair.0)]
                     .iter()
@@ -171,21 +195,31 @@
                 }
             }
             while self.wire.front().is_some_and(|(at, ..)| *at <= self.now) {
-                let Some((_, from, to, bytes)) = self.wire.pop_front() else { break };
+                let Some((_, from, to, bytes)) = self.wire.pop_front() else {
+                    break;
+                };
                 let pair = (from.min(to), from.max(to));
                 // What comes to one that stands still is refused when it thaws, if that takes long: the link is dead by then.
-                let lost =
-                    self.cut.contains_key(&(from, to)) || self.dead.contains(&pair) || self.nodes[to].frozen;
+                let lost = self.cut.contains_key(&(from, to))
+                    || self.dead.contains(&pair)
+                    || self.nodes[to].frozen;
                 if !lost {
-                    self.drive(to, |core, now, out| core.peer(now, &ip(from), frame(&bytes), out));
+                    self.drive(to, |core, now, out| {
+                        core.peer(now, &ip(from), frame(&bytes), out)
+                    });
                 }
             }
             for node in 0..self.nodes.len() {
                 let now = self.now;
                 while !self.nodes[node].stalled
-                    && self.nodes[node].disk.front().is_some_and(|(_, at)| *at <= now)
+                    && self.nodes[node]
+                        .disk
+                        .front()
+                        .is_some_and(|(_, at)| *at <= now)
                 {
-                    let Some((number, _)) = self.nodes[node].disk.pop_front() else { break };
+                    let Some((number, _)) = self.nodes[node].disk.pop_front() else {
+                        break;
+                    };
                     self.drive(node, |core, now, out| core.written(now, number, out));
                 }
                 if !self.nodes[node].frozen && now - self.nodes[node].ticked >= TICK {
@@ -231,7 +265,10 @@
                     return node;
                 }
                 let answer = self.answers.get(&call);
-                assert!(!matches!(answer, Some(Answer::Refused(..))), "refused: {answer:?}");
+                assert!(
+                    !matches!(answer, Some(Answer::Refused(..))),
+                    "refused: {answer:?}"
+                );
             }
         }
         panic!("nobody leads");
@@ -287,7 +324,10 @@
     }
 
     fn logged(&self, node: usize, what: &str) -> usize {
-        self.log.iter().filter(|(_, at, line)| *at == node && line.contains(what)).count()
+        self.log
+            .iter()
+            .filter(|(_, at, line)| *at == node && line.contains(what))
+            .count()
     }
 }
 
@@ -312,10 +352,15 @@
             }
             fleet.run(500.0);
             let had = fleet.door(away, 0);
-            assert_eq!((fleet.plans(had).len(), fleet.words(had)[0].words.len()), (1, 3));
+            assert_eq!(
+                (fleet.plans(had).len(), fleet.words(had)[0].words.len()),
+                (1, 3)
+            );
             fleet.cut_off(away, out, into);
             for seq in 2..6 {
-                (0..3).for_each(|node| assert!(fleet.beat(near, &format!("b{node}"), "in_loop", seq) > 0));
+                (0..3).for_each(|node| {
+                    assert!(fleet.beat(near, &format!("b{node}"), "in_loop", seq) > 0)
+                });
                 fleet.run((BOUND + ALONE + SLACK) / 4.0);
             }
             let case = format!("out {out} into {into} leads {leads}");
@@ -341,13 +386,23 @@
                     assert_eq!(fleet.answers.get(&call), Some(&Answer::Unknown), "{case}");
                 }
             }
-            assert!(fleet.plans(fresh).is_empty(), "{case}: a fresh door got an old configuration");
             assert!(
-                fleet.words(fresh).iter().all(|words| words.words.iter().all(|word| word.id == "c")),
+                fleet.plans(fresh).is_empty(),
+                "{case}: a fresh door got an old configuration"
+            );
+            assert!(
+                fleet
+                    .words(fresh)
+                    .iter()
+                    .all(|words| words.words.iter().all(|word| word.id == "c")),
                 "{case}"
             );
             for node in 0..3 {
-                assert_eq!(fleet.logged(node, "event=lost"), 0, "{case}: exchange {node}");
+                assert_eq!(
+                    fleet.logged(node, "event=lost"),
+                    0,
+                    "{case}: exchange {node}"
+                );
             }
             // A leader whose words go nowhere may follow another for a while, as long as it hears that one.
             let parted = fleet.logged(away, "event=out_of_touch");
@@ -357,9 +412,22 @@
             let joined = fleet.now;
             fleet.run(1500.0);
             let plans = fleet.plans(fresh);
-            assert!(plans[0].0 - joined < 1000.0, "{case}: served after {} ms", plans[0].0 - joined);
-            assert!(plans[0].1.index >= fleet.plans(had).last().expect("a plan").1.index, "{case}");
-            assert!(fleet.words(fresh).iter().any(|words| words.words.len() >= 3), "{case}");
+            assert!(
+                plans[0].0 - joined < 1000.0,
+                "{case}: served after {} ms",
+                plans[0].0 - joined
+            );
+            assert!(
+                plans[0].1.index >= fleet.plans(had).last().expect("a plan").1.index,
+                "{case}"
+            );
+            assert!(
+                fleet
+                    .words(fresh)
+                    .iter()
+                    .any(|words| words.words.len() >= 3),
+                "{case}"
+            );
             assert_eq!(fleet.logged(away, "event=in_touch"), parted + 1, "{case}");
         }
     }
@@ -393,11 +461,18 @@
         let (fresh, amend) = (fleet.door(frozen, 0), fleet.amend(frozen, 9));
         fleet.run(400.0);
         assert!(!fleet.done(amend), "{time}: confirmed alone");
-        assert!(fleet.plans(fresh).is_empty(), "{time}: handed out after a pause");
+        assert!(
+            fleet.plans(fresh).is_empty(),
+            "{time}: handed out after a pause"
+        );
         assert_eq!(fleet.logged(frozen, "event=frozen"), 1, "{time}");
         fleet.join();
         fleet.run(4.0 * HEARTBEAT - 500.0);
-        assert_eq!(fleet.logged(frozen, "event=lost"), 0, "{time}: took for lost whom it could not hear");
+        assert_eq!(
+            fleet.logged(frozen, "event=lost"),
+            0,
+            "{time}: took for lost whom it could not hear"
+        );
         let plans = fleet.plans(fresh);
         assert!(plans[0].0 - thawed < 3000.0, "{time}");
     }
@@ -419,10 +494,18 @@
         let second = fleet.beat(1, "b", "decaying", 2);
         let third = fleet.beat(2, "b", "decaying", 2);
         fleet.run(100.0);
-        assert!(![first, second].iter().any(|call| fleet.answers.contains_key(call)), "{of}");
+        assert!(
+            ![first, second]
+                .iter()
+                .any(|call| fleet.answers.contains_key(call)),
+            "{of}"
+        );
         fleet.nodes[0].stalled = false;
         fleet.run(100.0);
-        assert!(![first, second, third].iter().any(|call| fleet.done(*call)), "{of}: on one disk only");
+        assert!(
+            ![first, second, third].iter().any(|call| fleet.done(*call)),
+            "{of}: on one disk only"
+        );
         for node in 1..others {
             fleet.nodes[node].stalled = false;
             fleet.run(100.0);
@@ -434,8 +517,15 @@
         }
         fleet.nodes[others].stalled = false;
         fleet.run(100.0);
-        assert!(fleet.done(first) && fleet.done(second), "{of}: a majority has it");
-        assert_eq!(fleet.done(third), others >= 2, "{of}: its own disk has it or not");
+        assert!(
+            fleet.done(first) && fleet.done(second),
+            "{of}: a majority has it"
+        );
+        assert_eq!(
+            fleet.done(third),
+            others >= 2,
+            "{of}: its own disk has it or not"
+        );
         // What is known to be there is acknowledged at once.
         let again = fleet.beat(0, "b", "decaying", 3);
         assert!(fleet.done(again), "{of}");
@@ -475,8 +565,14 @@
         };
         for receipt in 0..100 {
             asked += 1;
-            let words = Words { words: vec![word.clone()], all: false, receipt: round * 100 + receipt + 1 };
-            fleet.drive(1, |core, now, out| core.peer(now, &ip(0), frame(&write(Frame::Words(words))), out));
+            let words = Words {
+                words: vec![word.clone()],
+                all: false,
+                receipt: round * 100 + receipt + 1,
+            };
+            fleet.drive(1, |core, now, out| {
+                core.peer(now, &ip(0), frame(&write(Frame::Words(words))), out)
+            });
         }
     }
     let heard = |fleet: &Fleet| {
@@ -489,7 +585,9 @@
     assert_eq!(heard(&fleet), 0);
     fleet.nodes[1].stalled = false;
     while fleet.nodes[1].disk.front().is_some() {
-        let Some((number, _)) = fleet.nodes[1].disk.pop_front() else { break };
+        let Some((number, _)) = fleet.nodes[1].disk.pop_front() else {
+            break;
+        };
         fleet.drive(1, |core, now, out| core.written(now, number, out));
     }
     assert!(
@@ -534,7 +632,9 @@
                 let node = draw(of as u32) as usize;
                 let mut call = fleet.amend(node, version);
                 if let Some(Answer::Elsewhere(leader)) = fleet.answers.get(&call).cloned() {
-                    let node = (0..of).find(|node| ip(*node) == leader).expect("an exchange");
+                    let node = (0..of)
+                        .find(|node| ip(*node) == leader)
+                        .expect("an exchange");
                     call = fleet.amend(node, version);
                 }
                 orders.push((call, version));
@@ -561,10 +661,19 @@
             }
         }
         for conn in fresh {
-            let Some((at, first)) = fleet.plans(conn).first().copied() else { continue };
+            let Some((at, first)) = fleet.plans(conn).first().copied() else {
+                continue;
+            };
             handed += 1;
-            let items = first.items.iter().map(|item| item.version).max().unwrap_or(0);
-            let due = confirmed.iter().filter(|(_, when)| **when < at - BOUND - ALONE - SLACK);
+            let items = first
+                .items
+                .iter()
+                .map(|item| item.version)
+                .max()
+                .unwrap_or(0);
+            let due = confirmed
+                .iter()
+                .filter(|(_, when)| **when < at - BOUND - ALONE - SLACK);
             let due = due.map(|(version, _)| *version).max().unwrap_or(0);
             assert!(
                 u64::from(items) >= due,
@@ -578,7 +687,11 @@
                 "seed {seed}: exchange {node} lost a backend that lives"
             );
         }
-        assert!(confirmed.len() > 40, "seed {seed}: {} confirmed", confirmed.len());
+        assert!(
+            confirmed.len() > 40,
+            "seed {seed}: {} confirmed",
+            confirmed.len()
+        );
     }
     println!("first configurations handed out: {handed}");
     assert!(handed > 200, "{handed}");
--- a/crates/discovery-agent/src/follower.rs
+++ b/crates/discovery-agent/src/follower.rs
@@ -24,9 +24,9 @@
 use crate::line::{line, Line, Word};
 use crate::list::List;
 use maplefall_backoff::BackOff;
+use maplefall_membership::Event;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
-use maplefall_membership::Event;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -118,10 +118,22 @@
 impl Follower {
     /// Begins to follow at `now`; the first call comes out with the first [`Follower::tick`] that is due.
     pub fn new(settings: Settings, now: Millis) -> Follower {
-        let Settings { source, own, sharing, stop_within, seed, places, known } = settings;
+        let Settings {
+            source,
+            own,
+            sharing,
+            stop_within,
+            seed,
+            places,
+            known,
+        } = settings;
         let mut pauses = BackOff::new(sharing, SHORTEST_PAUSE, seed);
         // Doors that were started together ask a shared agent one after another, as long as each has a list to serve from.
-        let wait = if known.is_some() && !own { pauses.at_the_start() } else { 0.0 };
+        let wait = if known.is_some() && !own {
+            pauses.at_the_start()
+        } else {
+            0.0
+        };
         Follower {
             source,
             own,
@@ -134,7 +146,10 @@
             beside: None,
             ask_at: Some(now + wait),
             ask_whole: known.is_none(),
-            list: known.as_ref().map(|known| List::new(&known.hosts)).unwrap_or_default(),
+            list: known
+                .as_ref()
+                .map(|known| List::new(&known.hosts))
+                .unwrap_or_default(),
             version: known.map(|known| known.seq),
             told_at: now,
             former: None,
@@ -151,19 +166,34 @@
 
     /// When [`Follower::tick`] has something to do next.
     pub fn next_due(&self) -> Option<Millis> {
-        let main = self.main.as_ref().map(|call| call.sign + self.patience(call));
+        let main = self
+            .main
+            .as_ref()
+            .map(|call| call.sign + self.patience(call));
         let given_up = self.main.as_ref().map(|call| call.sign + GIVEN_UP);
-        let beside = self.beside.as_ref().map(|call| call.sign + self.patience(call));
-        let first = main.filter(|_| self.own && self.beside.is_none()).map(|due| due.max(self.again_at));
-        [self.ask_at, first, given_up, beside].into_iter().flatten().min_by(f64::total_cmp)
+        let beside = self
+            .beside
+            .as_ref()
+            .map(|call| call.sign + self.patience(call));
+        let first = main
+            .filter(|_| self.own && self.beside.is_none())
+            .map(|due| due.max(self.again_at));
+        [self.ask_at, first, given_up, beside]
+            .into_iter()
+            .flatten()
+            .min_by(f64::total_cmp)
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         let mut out = Vec::new();
-        let over =
-            |call: &Option<Call>, patience: Millis| call.as_ref().is_some_and(|c| now >= c.sign + patience);
-        if let Some(call) = self.beside.filter(|call| now >= call.sign + self.patience(call)) {
+        let over = |call: &Option<Call>, patience: Millis| {
+            call.as_ref().is_some_and(|c| now >= c.sign + patience)
+        };
+        if let Some(call) = self
+            .beside
+            .filter(|call| now >= call.sign + self.patience(call))
+        {
             out.push(Output::HangUp(call.id));
             self.beside = None;
             self.next_place();
@@ -184,7 +214,10 @@
             }
         }
         if self.own && self.beside.is_none() && now >= self.again_at {
-            if let Some(call) = self.main.filter(|call| now >= call.sign + self.patience(call)) {
+            if let Some(call) = self
+                .main
+                .filter(|call| now >= call.sign + self.patience(call))
+            {
                 if !call.spoke {
                     self.next_place();
                 }
@@ -235,7 +268,9 @@
                 out.push(Output::HangUp(main.id));
             }
         }
-        let Some(main) = self.main.as_mut().filter(|main| main.id == call) else { return out };
+        let Some(main) = self.main.as_mut().filter(|main| main.id == call) else {
+            return out;
+        };
         match heard {
             Heard::Begun => main.sign = now,
             Heard::Line(text) => {
@@ -253,7 +288,9 @@
                 match line(&text) {
                     Ok(Line::Alive) => {
                         self.down = false;
-                        out.push(Output::Tell(Event::Resumed { source: self.source }));
+                        out.push(Output::Tell(Event::Resumed {
+                            source: self.source,
+                        }));
                     }
                     Ok(Line::Word(word)) => {
                         self.down = false;
@@ -289,7 +326,11 @@
     }
 
     fn pause(&mut self, now: Millis) {
-        let pause = if self.own { self.answers_within.min(SHORTEST_PAUSE) } else { self.pauses.pause() };
+        let pause = if self.own {
+            self.answers_within.min(SHORTEST_PAUSE)
+        } else {
+            self.pauses.pause()
+        };
         self.ask_at = Some(now + pause);
     }
 
@@ -297,15 +338,28 @@
         self.calls += 1;
         let id = CallId(self.calls);
         // Where its own list is known it goes on from there, else from what has been told.
-        let from = self.behind.as_ref().map(|behind| behind.version).or(self.version);
+        let from = self
+            .behind
+            .as_ref()
+            .map(|behind| behind.version)
+            .or(self.version);
         let what = match from {
             Some(from) if !self.ask_whole => What::Watch(from),
             _ => What::Whole,
         };
         if let Some(place) = self.places.get(self.place) {
-            out.push(Output::Ask { call: id, place: *place, what });
+            out.push(Output::Ask {
+                call: id,
+                place: *place,
+                what,
+            });
+        }
+        Call {
+            id,
+            what,
+            sign: now,
+            spoke: false,
         }
-        Call { id, what, sign: now, spoke: false }
     }
 
     /// The main call has ended.
@@ -342,7 +396,9 @@
 
     fn lost(&mut self, why: &str, out: &mut Vec<Output>) {
         self.broken_off = true;
-        out.push(Output::Tell(Event::Lost { source: self.source }));
+        out.push(Output::Tell(Event::Lost {
+            source: self.source,
+        }));
         // One line for an outage, not one for each try.
         if !std::mem::replace(&mut self.down, true) {
             out.push(Output::Report(Report::Lost(why.to_owned())));
@@ -367,7 +423,9 @@
         }
         let (entries, unread) = self.list.read(word);
         // Another call that jumps to where an earlier numbering had come may speak of that one.
-        let former = self.former.filter(|former| !goes_on && seq >= *former && self.version < Some(*former));
+        let former = self
+            .former
+            .filter(|former| !goes_on && seq >= *former && self.version < Some(*former));
         let out_of_order = |told: u64| {
             seq < told
                 || self.unordered
@@ -381,8 +439,13 @@
                     let mut list = self.list.clone();
                     list.take(true, &entries, &unread);
                     let comparable = !self.unordered && former.is_none();
-                    self.behind =
-                        Some(Behind { list, version: seq, comparable, heard_since: now, stopped: false });
+                    self.behind = Some(Behind {
+                        list,
+                        version: seq,
+                        comparable,
+                        heard_since: now,
+                        stopped: false,
+                    });
                     self.settle_behind(now, &entries, out);
                 } else {
                     // What it continues is not what is known here: its whole list has to be asked for. After a pause, as one
@@ -413,7 +476,10 @@
             });
         }
         for passed in &word.passed_over {
-            let host = passed.host.as_ref().map_or("an entry", |spoilt| spoilt.host.as_str());
+            let host = passed
+                .host
+                .as_ref()
+                .map_or("an entry", |spoilt| spoilt.host.as_str());
             let told = match self.spoilt.len() >= MOST_SPOILT {
                 true => self.spoilt.contains(host),
                 false => !self.spoilt.insert(host.to_owned()),
@@ -421,7 +487,10 @@
             if told {
                 continue;
             }
-            out.push(Output::Report(Report::PassedOver { host: host.to_owned(), why: passed.why.clone() }));
+            out.push(Output::Report(Report::PassedOver {
+                host: host.to_owned(),
+                why: passed.why.clone(),
+            }));
         }
     }
 
@@ -463,7 +532,9 @@
     }
 
     fn believe(&mut self, now: Millis, why: Believed, out: &mut Vec<Output>) {
-        let Some(Behind { list, version, .. }) = self.behind.take() else { return };
+        let Some(Behind { list, version, .. }) = self.behind.take() else {
+            return;
+        };
         if why != Believed::Passed {
             // Another numbering has taken the place of the one before, unless it is that one again.
             self.former = self.version.filter(|told| version < *told);
@@ -475,11 +546,28 @@
         self.list = list;
     }
 
-    fn tell(&mut self, whole: bool, hosts: Vec<Member>, unread: Vec<String>, out: &mut Vec<Output>) {
+    fn tell(
+        &mut self,
+        whole: bool,
+        hosts: Vec<Member>,
+        unread: Vec<String>,
+        out: &mut Vec<Output>,
+    ) {
         self.events += 1;
-        let (source, members) = (self.source, Members { seq: self.events, whole, hosts });
+        let (source, members) = (
+            self.source,
+            Members {
+                seq: self.events,
+                whole,
+                hosts,
+            },
+        );
         out.push(Output::Tell(match whole {
-            true => Event::Snapshot { source, members, unread },
+            true => Event::Snapshot {
+                source,
+                members,
+                unread,
+            },
             false => Event::Change { source, members },
         }));
     }
--- a/crates/discovery-agent/src/interface.rs
+++ b/crates/discovery-agent/src/interface.rs
@@ -1,8 +1,8 @@
 //! What passes between a [`crate::Follower`] and whoever carries it out.
 
+use maplefall_membership::Event;
 use maplefall_policy::Millis;
 use maplefall_protocol::Members;
-use maplefall_membership::Event;
 use std::net::SocketAddr;
 
 /// How an agent is followed.
@@ -142,14 +142,29 @@
                     "its list is of version {version}, and {told} has been told: only its stops are taken"
                 )
             }
-            Report::Believed { why: Believed::Passed, version } => {
+            Report::Believed {
+                why: Believed::Passed,
+                version,
+            } => {
                 write!(f, "it has caught up with version {version}")
             }
-            Report::Believed { why: Believed::NewerLife, version } => {
-                write!(f, "it counts anew: version {version} names a backend that started since")
+            Report::Believed {
+                why: Believed::NewerLife,
+                version,
+            } => {
+                write!(
+                    f,
+                    "it counts anew: version {version} names a backend that started since"
+                )
             }
-            Report::Believed { why: Believed::HeardForLong(ms), version } => {
-                write!(f, "it counts anew: heard for {ms:.0} ms, version {version} holds")
+            Report::Believed {
+                why: Believed::HeardForLong(ms),
+                version,
+            } => {
+                write!(
+                    f,
+                    "it counts anew: heard for {ms:.0} ms, version {version} holds"
+                )
             }
         }
     }
--- a/crates/discovery-agent/src/lib.rs
+++ b/crates/discovery-agent/src/lib.rs
@@ -11,7 +11,9 @@
 mod lines;
 mod list;
 
-pub use follower::{Follower, ANSWERS_WITHIN, GIVEN_UP, HEARTBEAT, MISSED, SHORTEST_PAUSE, TOLD_WITHIN};
+pub use follower::{
+    Follower, ANSWERS_WITHIN, GIVEN_UP, HEARTBEAT, MISSED, SHORTEST_PAUSE, TOLD_WITHIN,
+};
 pub use interface::{Believed, CallId, End, Heard, Output, Report, Settings, What};
 pub use line::{line, Line, PassedOver, Spoilt, Unreadable, Word, LONGEST_NAME};
 pub use lines::{Lines, LONGEST_LINE};
--- a/crates/discovery-agent/src/line.rs
+++ b/crates/discovery-agent/src/line.rs
@@ -81,7 +81,10 @@
     // The usual line costs one reading; only one that is spoilt is looked at entry by entry.
     if let Ok(members) = serde_json::from_slice::<Members>(text) {
         if members.hosts.iter().all(|member| flaw(member).is_none()) {
-            return Ok(Line::Word(Word { members: each_once(members), passed_over: Vec::new() }));
+            return Ok(Line::Word(Word {
+                members: each_once(members),
+                passed_over: Vec::new(),
+            }));
         }
     }
     let Raw { seq, whole, hosts } = serde_json::from_slice(text)?;
@@ -91,13 +94,26 @@
         match serde_json::from_value::<Member>(entry) {
             Ok(member) => match flaw(&member) {
                 None => members.push(member),
-                Some(why) => passed_over.push(PassedOver { host: left, why: why.to_owned() }),
+                Some(why) => passed_over.push(PassedOver {
+                    host: left,
+                    why: why.to_owned(),
+                }),
             },
-            Err(error) => passed_over.push(PassedOver { host: left, why: error.to_string() }),
+            Err(error) => passed_over.push(PassedOver {
+                host: left,
+                why: error.to_string(),
+            }),
         }
     }
-    let members = each_once(Members { seq, whole, hosts: members });
-    Ok(Line::Word(Word { members, passed_over }))
+    let members = each_once(Members {
+        seq,
+        whole,
+        hosts: members,
+    });
+    Ok(Line::Word(Word {
+        members,
+        passed_over,
+    }))
 }
 
 /// What keeps a readable entry from being used.
@@ -114,10 +130,22 @@
 }
 
 fn spoilt(entry: &Value) -> Option<Spoilt> {
-    let host = entry.get("host")?.as_str().filter(|host| !host.is_empty() && host.len() <= LONGEST_NAME)?;
-    let health = entry.get("health").and_then(|health| Health::deserialize(health).ok());
-    let born_ms = entry.get("born_ms").and_then(Value::as_f64).filter(|born| *born >= 0.0);
-    Some(Spoilt { host: host.to_owned(), stop: health.filter(|health| *health != Health::Up), born_ms })
+    let host = entry
+        .get("host")?
+        .as_str()
+        .filter(|host| !host.is_empty() && host.len() <= LONGEST_NAME)?;
+    let health = entry
+        .get("health")
+        .and_then(|health| Health::deserialize(health).ok());
+    let born_ms = entry
+        .get("born_ms")
+        .and_then(Value::as_f64)
+        .filter(|born| *born >= 0.0);
+    Some(Spoilt {
+        host: host.to_owned(),
+        stop: health.filter(|health| *health != Health::Up),
+        born_ms,
+    })
 }
 
 /// A line has no order within it, so of several entries of one name that with the latest start holds, and of these the one
@@ -129,16 +157,25 @@
         Health::Removed => 2,
     };
     let twice = {
-        let mut names: Vec<&str> = members.hosts.iter().map(|member| member.host.as_str()).collect();
+        let mut names: Vec<&str> = members
+            .hosts
+            .iter()
+            .map(|member| member.host.as_str())
+            .collect();
         names.sort_unstable();
         names.windows(2).any(|pair| pair[0] == pair[1])
     };
     if twice {
         members.hosts.sort_by(|a, b| {
             let latest = b.born_ms.total_cmp(&a.born_ms);
-            a.host.cmp(&b.host).then(latest).then_with(|| stops(b.health).cmp(&stops(a.health)))
+            a.host
+                .cmp(&b.host)
+                .then(latest)
+                .then_with(|| stops(b.health).cmp(&stops(a.health)))
         });
-        members.hosts.dedup_by(|later, first| later.host == first.host);
+        members
+            .hosts
+            .dedup_by(|later, first| later.host == first.host);
     }
     members
 }
--- a/crates/discovery-agent/src/list.rs
+++ b/crates/discovery-agent/src/list.rs
@@ -1,9 +1,9 @@
 //! A list of backends as somebody tells it.
 
 use crate::line::{Spoilt, Word};
+use maplefall_membership::MOST_NODES;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member};
-use maplefall_membership::MOST_NODES;
 use std::collections::BTreeMap;
 
 /// The backends that are not gone, by name; [`MOST_NODES`] at most.
@@ -38,12 +38,22 @@
     /// What was said of the latter stands.
     pub fn read(&self, word: &Word) -> (Vec<Member>, Vec<String>) {
         let (mut entries, mut unread) = (word.members.hosts.clone(), Vec::new());
-        for Spoilt { host, stop, born_ms } in
-            word.passed_over.iter().filter_map(|passed| passed.host.as_ref())
+        for Spoilt {
+            host,
+            stop,
+            born_ms,
+        } in word
+            .passed_over
+            .iter()
+            .filter_map(|passed| passed.host.as_ref())
         {
             let stopped = stop.and_then(|health| {
                 let had = self.get(host)?;
-                Some(Member { health, born_ms: born_ms.unwrap_or(had.born_ms), ..had.clone() })
+                Some(Member {
+                    health,
+                    born_ms: born_ms.unwrap_or(had.born_ms),
+                    ..had.clone()
+                })
             });
             match stopped {
                 Some(stopped) => entries.push(stopped),
@@ -76,7 +86,9 @@
     /// The entries that stop a backend in the life that it has here, or in a later one.
     pub fn stops(&self, entries: &[Member]) -> Vec<Member> {
         let stops = |entry: &&Member| {
-            let Some(had) = self.get(&entry.host) else { return false };
+            let Some(had) = self.get(&entry.host) else {
+                return false;
+            };
             let stronger = match entry.health {
                 Health::Up => false,
                 Health::Draining => had.health == Health::Up || entry.born_ms > had.born_ms,
--- a/crates/discovery-agent/tests/follower.rs
+++ b/crates/discovery-agent/tests/follower.rs
@@ -1,10 +1,10 @@
 //! Which calls a follower makes and what of the words holds, by hand.
 
 use maplefall_discovery_agent::*;
+use maplefall_membership::{Event, MOST_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
 use maplefall_protocol::{Member, Members};
-use maplefall_membership::{Event, MOST_NODES};
 use serde_json::json;
 use std::net::SocketAddr;
 
@@ -13,15 +13,35 @@
 }
 
 fn node(host: &str, health: Health, born_ms: f64) -> Member {
-    Member { host: host.into(), dial: place(9), site: "z".into(), block: 0, health, share: 1.0, born_ms }
+    Member {
+        host: host.into(),
+        dial: place(9),
+        site: "z".into(),
+        block: 0,
+        health,
+        share: 1.0,
+        born_ms,
+    }
 }
 
 fn members(seq: u64, whole: bool, hosts: &[Member]) -> Members {
-    Members { seq, whole, hosts: hosts.to_vec() }
+    Members {
+        seq,
+        whole,
+        hosts: hosts.to_vec(),
+    }
 }
 
 fn settings(own: bool, known: Option<Members>) -> Settings {
-    Settings { source: 0, own, sharing: 300, stop_within: 500.0, seed: 1, places: vec![place(1)], known }
+    Settings {
+        source: 0,
+        own,
+        sharing: 300,
+        stop_within: 500.0,
+        seed: 1,
+        places: vec![place(1)],
+        known,
+    }
 }
 
 /// A follower with the clock and the calls that it has open.
@@ -38,9 +58,18 @@
 impl Played {
     fn new(settings: Settings, now: Millis) -> Played {
         let known = settings.known.iter().flat_map(|known| &known.hosts);
-        let list = known.map(|m| (m.host.clone(), (m.health, m.born_ms))).collect();
+        let list = known
+            .map(|m| (m.host.clone(), (m.health, m.born_ms)))
+            .collect();
         let follower = Follower::new(settings, now);
-        let mut played = Played { follower, now, open: Vec::new(), list, reports: Vec::new(), lost: false };
+        let mut played = Played {
+            follower,
+            now,
+            open: Vec::new(),
+            list,
+            reports: Vec::new(),
+            lost: false,
+        };
         played.pass(0.0);
         played
     }
@@ -53,7 +82,9 @@
                 Output::Report(report) => self.reports.push(report.to_string()),
                 Output::Tell(Event::Lost { .. }) => self.lost = true,
                 Output::Tell(Event::Resumed { .. }) => self.lost = false,
-                Output::Tell(Event::Snapshot { members, unread, .. }) => {
+                Output::Tell(Event::Snapshot {
+                    members, unread, ..
+                }) => {
                     self.lost = false;
                     self.list.retain(|host, _| unread.contains(host));
                     self.put(&members);
@@ -71,7 +102,9 @@
         for member in &members.hosts {
             match member.health {
                 Removed => self.list.remove(&member.host),
-                health => self.list.insert(member.host.clone(), (health, member.born_ms)),
+                health => self
+                    .list
+                    .insert(member.host.clone(), (health, member.born_ms)),
             };
         }
     }
@@ -118,11 +151,17 @@
     }
 
     fn asked(&self) -> Vec<(u16, What)> {
-        self.open.iter().map(|(_, place, what)| (place.port(), *what)).collect()
+        self.open
+            .iter()
+            .map(|(_, place, what)| (place.port(), *what))
+            .collect()
     }
 
     fn states(&self) -> Vec<(&str, Health)> {
-        self.list.iter().map(|(host, (health, _))| (host.as_str(), *health)).collect()
+        self.list
+            .iter()
+            .map(|(host, (health, _))| (host.as_str(), *health))
+            .collect()
     }
 }
 
@@ -139,10 +178,19 @@
     for sharing in [1, 4, 100, 315, u32::MAX] {
         let first = |own, seed| {
             let known = Some(members(9, true, &[]));
-            let settings = Settings { sharing, seed, ..settings(own, known) };
-            Follower::new(settings, 0.0).next_due().expect("a first call")
+            let settings = Settings {
+                sharing,
+                seed,
+                ..settings(own, known)
+            };
+            Follower::new(settings, 0.0)
+                .next_due()
+                .expect("a first call")
         };
-        assert!((0..50).all(|seed| first(true, seed) == 0.0), "{sharing} doors");
+        assert!(
+            (0..50).all(|seed| first(true, seed) == 0.0),
+            "{sharing} doors"
+        );
         let longest = (0..50).map(|seed| first(false, seed)).fold(0.0, f64::max);
         assert_eq!(longest > 1000.0, sharing >= 100, "{sharing} doors");
     }
@@ -155,7 +203,10 @@
     let call = played.call();
     played.say(call, &members(4, true, &[node("a", Up, 0.0)]));
     played.end(call, End::Whole);
-    assert_eq!((played.asked(), played.states()), (vec![(1, What::Watch(4))], vec![("a", Up)]));
+    assert_eq!(
+        (played.asked(), played.states()),
+        (vec![(1, What::Watch(4))], vec![("a", Up)])
+    );
     assert!(!played.lost, "a list that ends is no outage");
 }
 
@@ -164,16 +215,23 @@
 #[test]
 fn a_door_that_is_turned_away_asks_for_changes_again_and_not_for_the_whole_list() {
     let mut played = known();
-    for (status, then) in
-        [(503, What::Watch(9)), (503, What::Watch(9)), (404, What::Whole), (503, What::Whole)]
-    {
+    for (status, then) in [
+        (503, What::Watch(9)),
+        (503, What::Watch(9)),
+        (404, What::Whole),
+        (503, What::Whole),
+    ] {
         let call = played.call();
         played.end(call, End::Status(status));
         assert!(played.open.is_empty() && played.lost);
         played.pass(SHORTEST_PAUSE);
         assert_eq!(played.asked(), [(1, then)], "after {status}");
     }
-    assert_eq!(played.reports, ["watch ended: status 503"], "once for an outage");
+    assert_eq!(
+        played.reports,
+        ["watch ended: status 503"],
+        "once for an outage"
+    );
 }
 
 #[test]
@@ -181,12 +239,19 @@
     let mut played = known();
     let call = played.call();
     played.hear(call, Heard::Line(b"{\"seq\":10,".to_vec()));
-    assert!(played.reports[0].contains("unreadable line"), "{:?}", played.reports);
+    assert!(
+        played.reports[0].contains("unreadable line"),
+        "{:?}",
+        played.reports
+    );
     played.pass(SHORTEST_PAUSE);
     assert_eq!(played.asked(), [(1, What::Whole)]);
     // It turns out to be what is known; nothing has changed.
     let call = played.call();
-    played.say(call, &members(9, true, &[node("a", Up, 0.0), node("b", Draining, 0.0)]));
+    played.say(
+        call,
+        &members(9, true, &[node("a", Up, 0.0), node("b", Draining, 0.0)]),
+    );
     assert_eq!(played.states(), [("a", Up), ("b", Draining)]);
 }
 
@@ -207,7 +272,11 @@
         // The head alone says nothing of the list.
         played.hear(second, Heard::Begun);
         assert_eq!(played.open.len(), 2);
-        let (speaks, silent) = if second_speaks { (second, first) } else { (first, second) };
+        let (speaks, silent) = if second_speaks {
+            (second, first)
+        } else {
+            (first, second)
+        };
         played.say(speaks, &members(10, false, &[node("a", Draining, 0.0)]));
         assert_eq!(played.call(), speaks);
         assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
@@ -224,7 +293,13 @@
     for grace in [100.0, 300.0, 500.0, 1000.0] {
         for back in [400.0, 2300.0, 2349.0, 5555.0, 6500.0, 8123.0, 31_000.0] {
             let known = Some(members(9, true, &[node("a", Up, 0.0)]));
-            let mut played = Played::new(Settings { stop_within: grace, ..settings(true, known) }, 1e6);
+            let mut played = Played::new(
+                Settings {
+                    stop_within: grace,
+                    ..settings(true, known)
+                },
+                1e6,
+            );
             let first = played.call();
             played.beat(first);
             played.pass(back);
@@ -234,15 +309,27 @@
             let heard = loop {
                 played.pass(1.0);
                 assert!(played.open.len() <= 2, "{:?}", played.open);
-                let fresh = played.open.iter().find(|open| open.0 .0 > before).map(|open| open.0);
+                let fresh = played
+                    .open
+                    .iter()
+                    .find(|open| open.0 .0 > before)
+                    .map(|open| open.0);
                 if let Some(call) = fresh {
                     played.say(call, &members(10, false, &[node("a", Draining, 0.0)]));
                     break played.now;
                 }
             };
             // A watch that has spoken may be silent for a heartbeat, and nothing is known before that is over.
-            let latest = if back < MISSED { 1e6 + MISSED } else { returned } + grace;
-            assert!(heard <= latest, "grace {grace}, back after {back}: heard after {}", heard - returned);
+            let latest = if back < MISSED {
+                1e6 + MISSED
+            } else {
+                returned
+            } + grace;
+            assert!(
+                heard <= latest,
+                "grace {grace}, back after {back}: heard after {}",
+                heard - returned
+            );
             assert_eq!(played.states(), [("a", Draining)]);
         }
     }
@@ -258,9 +345,16 @@
     let second = played.open[1].0;
     played.hear(second, Heard::Begun);
     played.pass(250.0);
-    assert!(played.open.len() == 2 && played.open[1].0 > second, "{:?}", played.open);
+    assert!(
+        played.open.len() == 2 && played.open[1].0 > second,
+        "{:?}",
+        played.open
+    );
     played.say(first, &members(10, false, &[node("a", Draining, 0.0)]));
-    assert_eq!((played.call(), played.states()), (first, vec![("a", Draining), ("b", Draining)]));
+    assert_eq!(
+        (played.call(), played.states()),
+        (first, vec![("a", Draining), ("b", Draining)])
+    );
 }
 
 /// Guards an agent that is down against being asked without end: so many calls, two of them open at most.
@@ -294,11 +388,20 @@
             if call != first {
                 made += 1;
                 played.end(call, End::Broken("refused".into()));
-                assert!(played.follower.next_due().is_none_or(|due| due > played.now), "due again at once");
+                assert!(
+                    played
+                        .follower
+                        .next_due()
+                        .is_none_or(|due| due > played.now),
+                    "due again at once"
+                );
             }
         }
     }
-    assert!((8..=15).contains(&made), "{made} calls in six seconds, the first after a missed heartbeat");
+    assert!(
+        (8..=15).contains(&made),
+        "{made} calls in six seconds, the first after a missed heartbeat"
+    );
 }
 
 /// Guards a discovery that all doors share: it is not asked a second time while a call is open.
@@ -319,13 +422,25 @@
 #[test]
 fn a_place_that_says_nothing_or_refuses_is_followed_by_the_next() {
     let places = vec![place(1), place(2)];
-    let mut played = Played::new(Settings { places: places.clone(), ..settings(true, None) }, 0.0);
+    let mut played = Played::new(
+        Settings {
+            places: places.clone(),
+            ..settings(true, None)
+        },
+        0.0,
+    );
     let call = played.call();
     played.end(call, End::Broken("refused".into()));
     played.pass(SHORTEST_PAUSE);
     assert_eq!(played.asked(), [(2, What::Whole)]);
     // One that hangs keeps its call, and the other is asked beside it.
-    let mut played = Played::new(Settings { places, ..settings(true, None) }, 0.0);
+    let mut played = Played::new(
+        Settings {
+            places,
+            ..settings(true, None)
+        },
+        0.0,
+    );
     played.pass(250.0);
     assert_eq!(played.asked(), [(1, What::Whole), (2, What::Whole)]);
 }
@@ -341,18 +456,30 @@
     assert_eq!(played.asked(), [(2, What::Watch(9))]);
     let call = played.call();
     // It does not know `a` yet, and still has `c`, which is long gone.
-    played.say(call, &members(6, true, &[node("b", Up, 0.0), node("c", Up, 0.0)]));
+    played.say(
+        call,
+        &members(6, true, &[node("b", Up, 0.0), node("c", Up, 0.0)]),
+    );
     assert_eq!(played.states(), [("a", Up), ("b", Draining)]);
-    for (seq, change) in
-        [(7, node("c", Removed, 0.0)), (8, node("a", Up, 0.0)), (9, node("b", Draining, 0.0))]
-    {
+    for (seq, change) in [
+        (7, node("c", Removed, 0.0)),
+        (8, node("a", Up, 0.0)),
+        (9, node("b", Draining, 0.0)),
+    ] {
         played.say(call, &members(seq, false, &[change]));
         assert_eq!(played.states(), [("a", Up), ("b", Draining)], "at {seq}");
     }
     // It has caught up; from here on its words are the newest.
-    played.say(call, &members(10, false, &[node("b", Up, 0.0), node("d", Up, 0.0)]));
+    played.say(
+        call,
+        &members(10, false, &[node("b", Up, 0.0), node("d", Up, 0.0)]),
+    );
     assert_eq!(played.states(), [("a", Up), ("b", Up), ("d", Up)]);
-    assert!(played.reports[0].contains("version 6, and 9 has been told"), "{:?}", played.reports);
+    assert!(
+        played.reports[0].contains("version 6, and 9 has been told"),
+        "{:?}",
+        played.reports
+    );
 }
 
 #[test]
@@ -360,7 +487,11 @@
     let hosts = [node("a", Up, 0.0), node("b", Up, 50.0), node("c", Up, 0.0)];
     let mut played = Played::new(settings(true, Some(members(9, true, &hosts))), 1e6);
     let call = played.call();
-    let older = [node("a", Draining, 0.0), node("b", Draining, 40.0), node("c", Removed, 0.0)];
+    let older = [
+        node("a", Draining, 0.0),
+        node("b", Draining, 40.0),
+        node("c", Removed, 0.0),
+    ];
     played.say(call, &members(5, true, &older));
     assert_eq!(played.states(), [("a", Draining), ("b", Up)]);
 }
@@ -369,13 +500,19 @@
 fn a_change_that_goes_back_asks_for_the_whole_list() {
     let mut played = known();
     let call = played.call();
-    played.say(call, &members(3, false, &[node("a", Draining, 0.0), node("b", Up, 0.0)]));
+    played.say(
+        call,
+        &members(3, false, &[node("a", Draining, 0.0), node("b", Up, 0.0)]),
+    );
     assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
     assert_eq!(played.asked(), []);
     played.pass(SHORTEST_PAUSE);
     assert_eq!(played.asked(), [(1, What::Whole)]);
     let call = played.call();
-    played.say(call, &members(3, true, &[node("a", Up, 0.0), node("b", Up, 0.0)]));
+    played.say(
+        call,
+        &members(3, true, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
+    );
     assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
 }
 
@@ -387,7 +524,10 @@
         let call = played.call();
         played.say(call, &members(3, false, &[node("b", Up, 0.0)]));
         assert!(played.open.is_empty(), "{:?}", played.open);
-        assert!(played.follower.next_due().is_some_and(|due| due >= played.now + SHORTEST_PAUSE));
+        assert!(played
+            .follower
+            .next_due()
+            .is_some_and(|due| due >= played.now + SHORTEST_PAUSE));
         played.pass(SHORTEST_PAUSE);
     }
     assert_eq!(played.states(), [("a", Up), ("b", Draining)]);
@@ -407,7 +547,11 @@
             let hosts = json!([spoilt("a", "draining"), spoilt("b", "up"), good]);
             let text = json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string();
             played.hear(call, Heard::Line(text.into_bytes()));
-            assert_eq!(played.states(), [("a", Draining), ("b", Up), ("c", Up)], "whole: {whole}");
+            assert_eq!(
+                played.states(),
+                [("a", Draining), ("b", Up), ("c", Up)],
+                "whole: {whole}"
+            );
         }
         assert_eq!(played.reports.len(), 2, "{:?}", played.reports);
         played.say(call, &members(12, false, &[node("b", Draining, 0.0)]));
@@ -442,11 +586,13 @@
     // Whether it holds the last one shows where its stop is taken from an entry that names no more than that.
     let call = played.call();
     let stop = |n: usize| json!({"host": format!("n{n:06}"), "health": "draining", "dial": 7});
-    let text =
-        json!({"seq": 2, "whole": false, "hosts": [stop(MOST_NODES - 1), stop(MOST_NODES)]}).to_string();
+    let text = json!({"seq": 2, "whole": false, "hosts": [stop(MOST_NODES - 1), stop(MOST_NODES)]})
+        .to_string();
     played.hear(call, Heard::Line(text.into_bytes()));
-    let states: Vec<Health> =
-        played.states()[MOST_NODES - 1..=MOST_NODES].iter().map(|state| state.1).collect();
+    let states: Vec<Health> = played.states()[MOST_NODES - 1..=MOST_NODES]
+        .iter()
+        .map(|state| state.1)
+        .collect();
     assert_eq!(states, [Draining, Up]);
 }
 
@@ -458,14 +604,30 @@
     let call = played.call();
     let born = played.now + 1.0;
     played.pass(100.0);
-    played.say(call, &members(1, true, &[node("a", Up, 0.0), node("b", Up, 0.0), node("d", Up, born)]));
-    assert_eq!(played.states(), [("a", Up), ("b", Up), ("d", Up)], "a life that began since");
+    played.say(
+        call,
+        &members(
+            1,
+            true,
+            &[node("a", Up, 0.0), node("b", Up, 0.0), node("d", Up, born)],
+        ),
+    );
+    assert_eq!(
+        played.states(),
+        [("a", Up), ("b", Up), ("d", Up)],
+        "a life that began since"
+    );
     // With nothing new in it, it is believed once it must have heard of all stops that had been told before it spoke.
     let mut played = known();
     let call = played.call();
     played.say(call, &members(1, true, &anew));
     for _ in 0..3 {
-        assert_eq!(played.states(), [("a", Up), ("b", Draining)], "at {}", played.now);
+        assert_eq!(
+            played.states(),
+            [("a", Up), ("b", Draining)],
+            "at {}",
+            played.now
+        );
         played.pass(HEARTBEAT);
         played.beat(call);
     }
@@ -500,7 +662,10 @@
     played.moved(place(2));
     assert_eq!(played.asked(), [(2, What::Whole)]);
     let call = played.call();
-    played.say(call, &members(12, true, &[node("a", Up, 0.0), node("d", Up, between)]));
+    played.say(
+        call,
+        &members(12, true, &[node("a", Up, 0.0), node("d", Up, between)]),
+    );
     assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
     played.say(call, &members(13, false, &[node("e", Up, 0.0)]));
     assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
@@ -518,11 +683,17 @@
     let call = played.call();
     let born = played.now + 1.0;
     played.pass(10.0);
-    played.say(call, &members(1, true, &[node("a", Draining, 0.0), node("d", Up, born)]));
+    played.say(
+        call,
+        &members(1, true, &[node("a", Draining, 0.0), node("d", Up, born)]),
+    );
     assert_eq!(played.states(), [("a", Draining), ("d", Up)]);
     played.moved(place(2));
     let call = played.call();
-    played.say(call, &members(12, true, &[node("a", Up, 0.0), node("b", Draining, 0.0)]));
+    played.say(
+        call,
+        &members(12, true, &[node("a", Up, 0.0), node("b", Draining, 0.0)]),
+    );
     assert_eq!(played.states(), [("a", Draining), ("d", Up)]);
     // A numbering that reaches the old one's versions by its own steps is not taken for it.
     played.moved(place(1));
@@ -538,10 +709,22 @@
     let mut played = known();
     let call = played.call();
     played.say(call, &members(9, false, &[]));
-    played.say(call, &members(9, true, &[node("b", Draining, 0.0), node("a", Up, 0.0)]));
-    assert_eq!((played.states(), played.reports.len()), (vec![("a", Up), ("b", Draining)], 0));
-    played.say(call, &members(9, true, &[node("b", Up, 0.0), node("a", Up, 0.0)]));
-    assert_eq!((played.states(), played.reports.len()), (vec![("a", Up), ("b", Draining)], 1));
+    played.say(
+        call,
+        &members(9, true, &[node("b", Draining, 0.0), node("a", Up, 0.0)]),
+    );
+    assert_eq!(
+        (played.states(), played.reports.len()),
+        (vec![("a", Up), ("b", Draining)], 0)
+    );
+    played.say(
+        call,
+        &members(9, true, &[node("b", Up, 0.0), node("a", Up, 0.0)]),
+    );
+    assert_eq!(
+        (played.states(), played.reports.len()),
+        (vec![("a", Up), ("b", Draining)], 1)
+    );
 }
 
 #[test]
@@ -559,5 +742,9 @@
     assert_eq!(lines.rest(), b"rest");
     let mut lines = Lines::default();
     assert!(lines.push(&vec![b'x'; LONGEST_LINE], |_| Ok(())).is_ok());
-    assert!(lines.push(b"x", |_| Ok(())).unwrap_err().to_string().contains("4194304 bytes at most"));
+    assert!(lines
+        .push(b"x", |_| Ok(()))
+        .unwrap_err()
+        .to_string()
+        .contains("4194304 bytes at most"));
 }
--- a/crates/discovery-agent/tests/lines.rs
+++ b/crates/discovery-agent/tests/lines.rs
@@ -20,13 +20,21 @@
 }
 
 fn states(word: &Word) -> Vec<(&str, Health)> {
-    word.members.hosts.iter().map(|member| (member.host.as_str(), member.health)).collect()
+    word.members
+        .hosts
+        .iter()
+        .map(|member| (member.host.as_str(), member.health))
+        .collect()
 }
 
 /// What is left of the entries that were passed over.
 fn left(word: &Word) -> Vec<(&str, Option<Health>)> {
-    let left = word.passed_over.iter().filter_map(|passed| passed.host.as_ref());
-    left.map(|spoilt| (spoilt.host.as_str(), spoilt.stop)).collect()
+    let left = word
+        .passed_over
+        .iter()
+        .filter_map(|passed| passed.host.as_ref());
+    left.map(|spoilt| (spoilt.host.as_str(), spoilt.stop))
+        .collect()
 }
 
 /// Guards the list against one bad entry: the others are taken, and a stop is taken from whatever still tells one.
@@ -48,9 +56,17 @@
         ("site", json!(["a"])),
     ];
     for (field, value) in ways {
-        for (health, stop) in [("up", None), ("draining", Some(Draining)), ("removed", Some(Removed))] {
+        for (health, stop) in [
+            ("up", None),
+            ("draining", Some(Draining)),
+            ("removed", Some(Removed)),
+        ] {
             let bad = spoil(field, value.clone(), health);
-            let word = word(&[entry("a", "up", 0.0), bad.clone(), entry("b", "draining", 0.0)]);
+            let word = word(&[
+                entry("a", "up", 0.0),
+                bad.clone(),
+                entry("b", "draining", 0.0),
+            ]);
             assert_eq!(states(&word), [("a", Up), ("b", Draining)], "{bad}");
             assert_eq!(left(&word), [("bad", stop)], "{bad}");
             assert!(!word.passed_over[0].why.is_empty());
@@ -60,12 +76,20 @@
 
 #[test]
 fn an_entry_without_a_readable_name_is_passed_over_whole() {
-    for nameless in
-        [json!(null), json!(3), json!({}), json!({"host": 5, "health": "draining"}), entry("", "up", 0.0)]
-    {
+    for nameless in [
+        json!(null),
+        json!(3),
+        json!({}),
+        json!({"host": 5, "health": "draining"}),
+        entry("", "up", 0.0),
+    ] {
         let word = word(&[nameless.clone(), entry("a", "up", 0.0)]);
         assert_eq!(states(&word), [("a", Up)], "{nameless}");
-        assert_eq!((word.passed_over.len(), left(&word).len()), (1, 0), "{nameless}");
+        assert_eq!(
+            (word.passed_over.len(), left(&word).len()),
+            (1, 0),
+            "{nameless}"
+        );
     }
     let long = "x".repeat(LONGEST_NAME + 1);
     assert_eq!(left(&word(&[entry(&long, "draining", 0.0)])), []);
@@ -102,7 +126,13 @@
         "\u{fffd}",
     ];
     for text in no_lines {
-        assert!(line(text.as_bytes()).unwrap_err().to_string().starts_with("unreadable line: "), "{text}");
+        assert!(
+            line(text.as_bytes())
+                .unwrap_err()
+                .to_string()
+                .starts_with("unreadable line: "),
+            "{text}"
+        );
     }
 }
 
@@ -117,7 +147,12 @@
     ];
     prop_oneof![
         leaf.clone(),
-        (proptest::sample::select(vec!["host", "dial", "site", "block", "health", "share", "born_ms"]), leaf)
+        (
+            proptest::sample::select(vec![
+                "host", "dial", "site", "block", "health", "share", "born_ms"
+            ]),
+            leaf
+        )
             .prop_map(|(field, value)| {
                 let mut entry = entry("bad", "draining", 1.0);
                 entry[field] = value;
--- a/crates/discovery-agent/tests/schedules.rs
+++ b/crates/discovery-agent/tests/schedules.rs
@@ -6,9 +6,9 @@
 //! 2. Once an agent has been heard for a while, the list is that agent's list: nothing is frozen, and nothing lost.
 
 use maplefall_discovery_agent::*;
+use maplefall_membership::Event;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_membership::Event;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::{BTreeMap, VecDeque};
@@ -68,17 +68,24 @@
     }
 
     fn answer(&self, truth: &[Change], from: Option<u64>) -> Members {
-        let known_from = from.filter(|from| (self.base + self.since as u64..=self.version()).contains(from));
+        let known_from =
+            from.filter(|from| (self.base + self.since as u64..=self.version()).contains(from));
         let hosts = match known_from {
             None => list_at(truth, self.known).into_values().collect(),
             Some(from) => {
                 let changed = &truth[(from - self.base) as usize..self.known];
-                let last: BTreeMap<&str, &Member> =
-                    changed.iter().map(|c| (c.member.host.as_str(), &c.member)).collect();
+                let last: BTreeMap<&str, &Member> = changed
+                    .iter()
+                    .map(|c| (c.member.host.as_str(), &c.member))
+                    .collect();
                 last.into_values().cloned().collect()
             }
         };
-        Members { seq: self.version(), whole: known_from.is_none(), hosts }
+        Members {
+            seq: self.version(),
+            whole: known_from.is_none(),
+            hosts,
+        }
     }
 }
 
@@ -103,7 +110,10 @@
 
 impl Default for Words {
     fn default() -> Words {
-        Words { stopped: f64::NEG_INFINITY, up_until: f64::NEG_INFINITY }
+        Words {
+            stopped: f64::NEG_INFINITY,
+            up_until: f64::NEG_INFINITY,
+        }
     }
 }
 
@@ -125,9 +135,19 @@
 impl World {
     fn new(known: bool) -> World {
         let now = 1_000_000.0;
-        let up = |host: &str| Change { at: 0.0, member: member(host, Health::Up, 0.0) };
+        let up = |host: &str| Change {
+            at: 0.0,
+            member: member(host, Health::Up, 0.0),
+        };
         let truth: Vec<Change> = ["a", "b", "c"].map(up).to_vec();
-        let agent = |since| Agent { known: 3, knows_until: now, lag: 0.0, base: FIRST, since, silent: false };
+        let agent = |since| Agent {
+            known: 3,
+            knows_until: now,
+            lag: 0.0,
+            base: FIRST,
+            since,
+            silent: false,
+        };
         let agents = [agent(0), agent(3)];
         let known = known.then(|| agents[0].answer(&truth, None));
         let mut world = World {
@@ -155,7 +175,11 @@
         };
         if let Some(known) = known {
             world.observe(&known, 0, 3, now);
-            world.roster = known.hosts.into_iter().map(|member| (member.host.clone(), member)).collect();
+            world.roster = known
+                .hosts
+                .into_iter()
+                .map(|member| (member.host.clone(), member))
+                .collect();
         }
         world
     }
@@ -166,11 +190,17 @@
             // Of what it tells, each stop that is still in force there.
             let words = self.words.entry(life(&change.member)).or_default();
             let named = told.hosts.iter().find(|m| life(m) == life(&change.member));
-            if named.is_some_and(|named| named.health != Health::Up && named.health == change.member.health) {
+            if named.is_some_and(|named| {
+                named.health != Health::Up && named.health == change.member.health
+            }) {
                 words.stopped = words.stopped.max(change.at);
             }
         }
-        for member in told.hosts.iter().filter(|member| member.health == Health::Up) {
+        for member in told
+            .hosts
+            .iter()
+            .filter(|member| member.health == Health::Up)
+        {
             let words = self.words.entry(life(member)).or_default();
             words.up_until = words.up_until.max(until);
         }
@@ -180,10 +210,20 @@
         self.waiting.extend(out);
         while let Some(output) = self.waiting.pop_front() {
             match output {
-                Output::Ask { call, place: to, what } => {
+                Output::Ask {
+                    call,
+                    place: to,
+                    what,
+                } => {
                     let agent = usize::from(to == place(1));
                     if agent == self.at {
-                        self.open.push(Open { call, agent, what, told: None, last: self.now });
+                        self.open.push(Open {
+                            call,
+                            agent,
+                            what,
+                            told: None,
+                            last: self.now,
+                        });
                     } else {
                         let refused = Heard::Ended(End::Broken("refused".into()));
                         let more = self.follower.heard_of(self.now, call, refused);
@@ -192,7 +232,9 @@
                 }
                 Output::HangUp(call) => self.open.retain(|open| open.call != call),
                 Output::Report(report) => self.reports.push(report.to_string()),
-                Output::Tell(Event::Snapshot { members, unread, .. }) => {
+                Output::Tell(Event::Snapshot {
+                    members, unread, ..
+                }) => {
                     assert!(unread.is_empty());
                     self.roster.clear();
                     self.put(members);
@@ -223,12 +265,29 @@
         for agent in &mut self.agents {
             agent.knows_until = agent.knows_until.max(self.now - agent.lag);
             let until = agent.knows_until;
-            agent.known = agent.known.max(self.truth.iter().take_while(|change| change.at <= until).count());
+            agent.known = agent.known.max(
+                self.truth
+                    .iter()
+                    .take_while(|change| change.at <= until)
+                    .count(),
+            );
         }
         let mut at = 0;
         while at < self.open.len() {
-            let Open { call, agent, what, told, last } = self.open[at];
-            let Agent { known, knows_until, silent, base, .. } = self.agents[agent];
+            let Open {
+                call,
+                agent,
+                what,
+                told,
+                last,
+            } = self.open[at];
+            let Agent {
+                known,
+                knows_until,
+                silent,
+                base,
+                ..
+            } = self.agents[agent];
             at += 1;
             let news = told.is_none_or(|told| told < known);
             if silent || !(news || self.now - last >= HEARTBEAT) {
@@ -245,13 +304,20 @@
             if news {
                 let members = self.agents[agent].answer(&self.truth, from);
                 // A whole list names all that is known, a change what has changed.
-                let since = if members.whole { 0 } else { from.map_or(0, |from| (from - base) as usize) };
+                let since = if members.whole {
+                    0
+                } else {
+                    from.map_or(0, |from| (from - base) as usize)
+                };
                 self.observe(&members, since, known, knows_until);
                 text = serde_json::to_vec(&members).expect("a line");
             }
             // What it has told of the rest still holds.
-            let holds =
-                Members { seq: 0, whole: false, hosts: list_at(&self.truth, known).into_values().collect() };
+            let holds = Members {
+                seq: 0,
+                whole: false,
+                hosts: list_at(&self.truth, known).into_values().collect(),
+            };
             if told.is_some() {
                 self.observe(&holds, known, known, knows_until);
             }
@@ -276,7 +342,11 @@
 
     /// The first law.
     fn check(&self) -> Result<(), TestCaseError> {
-        for member in self.roster.values().filter(|member| member.health == Health::Up) {
+        for member in self
+            .roster
+            .values()
+            .filter(|member| member.health == Health::Up)
+        {
             let words = self.words.get(&life(member)).copied().unwrap_or_default();
             prop_assert!(
                 words.up_until >= words.stopped,
@@ -291,7 +361,15 @@
 
 fn member(host: &str, health: Health, born_ms: f64) -> Member {
     let dial = place(0);
-    Member { host: host.into(), dial, site: String::new(), block: 0, health, share: 1.0, born_ms }
+    Member {
+        host: host.into(),
+        dial,
+        site: String::new(),
+        block: 0,
+        health,
+        share: 1.0,
+        born_ms,
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -330,12 +408,27 @@
                 let now = list_at(&self.truth, self.truth.len()).remove(host);
                 let member = match (now, way % 3) {
                     (None, _) => member(host, Health::Up, self.now),
-                    (Some(m), 0) if m.health == Health::Up => Member { health: Health::Draining, ..m },
-                    (Some(m), 0) => Member { health: Health::Up, ..m },
-                    (Some(m), 1) => Member { health: Health::Draining, ..m },
-                    (Some(m), _) => Member { health: Health::Removed, ..m },
+                    (Some(m), 0) if m.health == Health::Up => Member {
+                        health: Health::Draining,
+                        ..m
+                    },
+                    (Some(m), 0) => Member {
+                        health: Health::Up,
+                        ..m
+                    },
+                    (Some(m), 1) => Member {
+                        health: Health::Draining,
+                        ..m
+                    },
+                    (Some(m), _) => Member {
+                        health: Health::Removed,
+                        ..m
+                    },
                 };
-                self.truth.push(Change { at: self.now, member });
+                self.truth.push(Change {
+                    at: self.now,
+                    member,
+                });
             }
             Act::Lag(agent, lag) => self.agents[agent].lag = f64::from(lag),
             Act::Silent(agent, silent) => self.agents[agent].silent = silent,
--- a/crates/etcd/examples/cost.rs
+++ b/crates/etcd/examples/cost.rs
@@ -13,9 +13,15 @@
 static COUNTED: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 fn kv(node: i64, revision: i64, state: &str) -> KeyValue {
-    let address = format!("127.{}.{}.{}:8080", 1 + node / 65536, node / 256 % 256, node % 256);
-    let value =
-        format!(r#"{{"address":"{address}","zone":"z-1","state":"{state}","started_ms":1700000000000}}"#);
+    let address = format!(
+        "127.{}.{}.{}:8080",
+        1 + node / 65536,
+        node / 256 % 256,
+        node % 256
+    );
+    let value = format!(
+        r#"{{"address":"{address}","zone":"z-1","state":"{state}","started_ms":1700000000000}}"#
+    );
     KeyValue {
         key: format!("/p/members/node-{node}").into_bytes(),
         value: value.into_bytes(),
@@ -46,10 +52,25 @@
 }
 
 fn main() {
-    let mut told = std::env::args().skip(1).filter_map(|text| text.parse::<i64>().ok());
-    let (nodes, count) = (told.next().unwrap_or(5000).max(1), told.next().unwrap_or(100_000));
-    let header = |revision| Some(ResponseHeader { cluster_id: 1, member_id: 1, revision, raft_term: 2 });
-    let mut follower = Follower::new(Settings { page: nodes, ..Settings::usual(0, 1, "/p") });
+    let mut told = std::env::args()
+        .skip(1)
+        .filter_map(|text| text.parse::<i64>().ok());
+    let (nodes, count) = (
+        told.next().unwrap_or(5000).max(1),
+        told.next().unwrap_or(100_000),
+    );
+    let header = |revision| {
+        Some(ResponseHeader {
+            cluster_id: 1,
+            member_id: 1,
+            revision,
+            raft_term: 2,
+        })
+    };
+    let mut follower = Follower::new(Settings {
+        page: nodes,
+        ..Settings::usual(0, 1, "/p")
+    });
     let mut roster = Roster::new(vec![SourceSettings::trusted("etcd")]);
     let mut commands = Vec::new();
 
@@ -64,19 +85,39 @@
     let (region, begun) = (Region::new(COUNTED), Instant::now());
     follower.pass_time(0.0);
     hand(&mut follower, &mut roster, None, &mut commands);
-    hand(&mut follower, &mut roster, Some(Input::Opened), &mut commands);
+    hand(
+        &mut follower,
+        &mut roster,
+        Some(Input::Opened),
+        &mut commands,
+    );
     let page = RangeResponse::decode(bytes.as_slice()).expect("what was written here");
-    let listed = hand(&mut follower, &mut roster, Some(Input::Page(page)), &mut commands);
+    let listed = hand(
+        &mut follower,
+        &mut roster,
+        Some(Input::Page(page)),
+        &mut commands,
+    );
     let (took, stats) = (begun.elapsed(), region.change());
-    let kept = stats.bytes_allocated as i64 - stats.bytes_deallocated as i64 + stats.bytes_reallocated as i64;
+    let kept = stats.bytes_allocated as i64 - stats.bytes_deallocated as i64
+        + stats.bytes_reallocated as i64;
     println!(
         "reading of {nodes} nodes, {} bytes: {took:.1?}, {listed} listed, {} KiB kept",
         bytes.len(),
         kept / 1024
     );
 
-    let created = WatchResponse { header: header(nodes), created: true, ..Default::default() };
-    hand(&mut follower, &mut roster, Some(Input::Watched(created)), &mut commands);
+    let created = WatchResponse {
+        header: header(nodes),
+        created: true,
+        ..Default::default()
+    };
+    hand(
+        &mut follower,
+        &mut roster,
+        Some(Input::Watched(created)),
+        &mut commands,
+    );
     for each in [1, 100] {
         let from = follower.seen().unwrap_or(0);
         let messages: Vec<Vec<u8>> = (0..count / each)
@@ -84,7 +125,11 @@
                 let event = |n: i64| {
                     let number = message * each + n;
                     // Every node in turn, draining and up by turns.
-                    let state = if number / nodes % 2 == 0 { "draining" } else { "up" };
+                    let state = if number / nodes % 2 == 0 {
+                        "draining"
+                    } else {
+                        "up"
+                    };
                     Event {
                         kind: Event::PUT,
                         kv: Some(kv(number % nodes, from + 1 + number, state)),
@@ -93,7 +138,12 @@
                 };
                 let events = (0..each).map(event).collect();
                 let header = header(from + count);
-                WatchResponse { header, events, ..Default::default() }.encode_to_vec()
+                WatchResponse {
+                    header,
+                    events,
+                    ..Default::default()
+                }
+                .encode_to_vec()
             })
             .collect();
         let length: usize = messages.iter().map(Vec::len).sum();
@@ -101,7 +151,12 @@
         let mut out = 0;
         for bytes in &messages {
             let answer = WatchResponse::decode(bytes.as_slice()).expect("what was written here");
-            out += hand(&mut follower, &mut roster, Some(Input::Watched(answer)), &mut commands);
+            out += hand(
+                &mut follower,
+                &mut roster,
+                Some(Input::Watched(answer)),
+                &mut commands,
+            );
         }
         let (took, stats) = (begun.elapsed(), region.change());
         let per = |total: f64| total / out.max(1) as f64;
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -5,8 +5,8 @@
 use crate::{Command, Connection, Failure, Follower, Input, Output, Settings};
 use http::uri::PathAndQuery;
 use maplefall_etcd_wire::{
-    error, path, watch_request, AuthenticateRequest, AuthenticateResponse, LeaseRequest, LeaseResponse,
-    WatchProgressRequest, WatchRequest, WatchResponse,
+    error, path, watch_request, AuthenticateRequest, AuthenticateResponse, LeaseRequest,
+    LeaseResponse, WatchProgressRequest, WatchRequest, WatchResponse,
 };
 use maplefall_policy::Millis;
 use std::cell::RefCell;
@@ -77,7 +77,10 @@
         follower.pass_time(clock());
         while let Some(output) = follower.output() {
             match output {
-                Output::Command(Command::Open { connection, endpoint }) => {
+                Output::Command(Command::Open {
+                    connection,
+                    endpoint,
+                }) => {
                     let uri = at.endpoints.get(endpoint).cloned().unwrap_or_default();
                     link = Some(Link::open(connection, uri, &at, sender.clone()));
                 }
@@ -143,7 +146,13 @@
             token: RefCell::default(),
             user: place.user.clone(),
         });
-        let mut link = Link { connection, inputs, shared, watch: None, tasks: JoinSet::new() };
+        let mut link = Link {
+            connection,
+            inputs,
+            shared,
+            watch: None,
+            tasks: JoinSet::new(),
+        };
         let (shared, authority) = (link.shared.clone(), place.authority.clone());
         link.spawn(async move {
             match connect(uri, authority).await {
@@ -181,7 +190,9 @@
                         shared.token.replace(Some(token));
                         Input::SignedIn
                     }
-                    Ok(Err(_)) => Input::Failed(Failure::Broken("a token that is no text".to_owned())),
+                    Ok(Err(_)) => {
+                        Input::Failed(Failure::Broken("a token that is no text".to_owned()))
+                    }
                     // A user that etcd does not ask for is no mistake: it may be asked for tomorrow.
                     Err(status) if status.message().contains(error::NOT_ENABLED) => Input::SignedIn,
                     Err(status) => Input::Failed(failure(&status)),
@@ -197,16 +208,23 @@
                 let asked = LeaseRequest { id: lease };
                 let answer: Result<LeaseResponse, Status> =
                     shared.call(path::LEASE_TIME_TO_LIVE, asked).await;
-                Input::LeaseLeft { lease, ttl: answer.ok().map(|answer| answer.ttl) }
+                Input::LeaseLeft {
+                    lease,
+                    ttl: answer.ok().map(|answer| answer.ttl),
+                }
             }),
             Command::Watch { request, .. } => {
                 let (say, said) = mpsc::channel(4);
-                let first = WatchRequest { union: Some(watch_request::Union::Create(request)) };
+                let first = WatchRequest {
+                    union: Some(watch_request::Union::Create(request)),
+                };
                 // There is room: the channel is new.
                 let _ = say.try_send(first);
                 self.watch = Some(say);
                 let (inputs, connection) = (self.inputs.clone(), self.connection);
-                self.spawn(async move { Input::Failed(shared.watch(said, connection, &inputs).await) });
+                self.spawn(
+                    async move { Input::Failed(shared.watch(said, connection, &inputs).await) },
+                );
             }
             Command::AskProgress { .. } => {
                 let asked = watch_request::Union::Progress(WatchProgressRequest {});
@@ -222,7 +240,11 @@
 
 impl Shared {
     fn grpc(&self) -> Result<Grpc<Channel>, Status> {
-        let channel = self.channel.borrow().clone().ok_or_else(|| Status::unavailable("not connected"))?;
+        let channel = self
+            .channel
+            .borrow()
+            .clone()
+            .ok_or_else(|| Status::unavailable("not connected"))?;
         Ok(Grpc::new(channel).max_decoding_message_size(LONGEST_MESSAGE))
     }
 
@@ -240,9 +262,17 @@
         A: prost::Message + Default + 'static,
     {
         let mut grpc = self.grpc()?;
-        grpc.ready().await.map_err(|error| Status::unavailable(root(&error)))?;
-        let (path, codec) = (PathAndQuery::from_static(path), ProstCodec::<Q, A>::default());
-        Ok(grpc.unary(self.request(message), path, codec).await?.into_inner())
+        grpc.ready()
+            .await
+            .map_err(|error| Status::unavailable(root(&error)))?;
+        let (path, codec) = (
+            PathAndQuery::from_static(path),
+            ProstCodec::<Q, A>::default(),
+        );
+        Ok(grpc
+            .unary(self.request(message), path, codec)
+            .await?
+            .into_inner())
     }
 
     /// Hands on what the watch says until it ends; tells how it ended.
@@ -254,10 +284,13 @@
     ) -> Failure {
         let opened = async {
             let mut grpc = self.grpc()?;
-            grpc.ready().await.map_err(|error| Status::unavailable(root(&error)))?;
+            grpc.ready()
+                .await
+                .map_err(|error| Status::unavailable(root(&error)))?;
             let codec = ProstCodec::<WatchRequest, WatchResponse>::default();
             let request = self.request(ReceiverStream::new(said));
-            grpc.streaming(request, PathAndQuery::from_static(path::WATCH), codec).await
+            grpc.streaming(request, PathAndQuery::from_static(path::WATCH), codec)
+                .await
         };
         let mut stream = match opened.await {
             Ok(answer) => answer.into_inner(),
@@ -266,7 +299,11 @@
         loop {
             match stream.message().await {
                 Ok(Some(answer)) => {
-                    if inputs.send((connection, Input::Watched(answer))).await.is_err() {
+                    if inputs
+                        .send((connection, Input::Watched(answer)))
+                        .await
+                        .is_err()
+                    {
                         return Failure::Broken("nobody listens".to_owned());
                     }
                 }
@@ -280,7 +317,9 @@
 async fn connect(uri: String, authority: Option<Vec<u8>>) -> Result<Channel, String> {
     let endpoint = Endpoint::from_shared(uri).map_err(|error| root(&error))?;
     // The follower has its own limits of time; here nothing may hang for ever.
-    let endpoint = endpoint.connect_timeout(Duration::from_secs(10)).tcp_nodelay(true);
+    let endpoint = endpoint
+        .connect_timeout(Duration::from_secs(10))
+        .tcp_nodelay(true);
     let endpoint = secured(endpoint, authority)?;
     endpoint.connect().await.map_err(|error| root(&error))
 }
@@ -328,7 +367,9 @@
         Code::Unauthenticated => Failure::TokenRefused,
         Code::PermissionDenied => Failure::NotPermitted(reason),
         // Of the same code as a compacted revision: the library's own word on a message over the limit.
-        Code::OutOfRange if status.message().contains("message length too large") => Failure::TooLarge,
+        Code::OutOfRange if status.message().contains("message length too large") => {
+            Failure::TooLarge
+        }
         code => Failure::Broken(format!("{code:?}: {reason}")),
     }
 }
--- a/crates/etcd/src/follower.rs
+++ b/crates/etcd/src/follower.rs
@@ -16,12 +16,12 @@
 use crate::text::one_line;
 use crate::value;
 use maplefall_etcd_wire::{
-    prefix_end, Event as Change, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchCreateRequest,
-    WatchResponse,
+    prefix_end, Event as Change, KeyValue, RangeRequest, RangeResponse, ResponseHeader,
+    WatchCreateRequest, WatchResponse,
 };
+use maplefall_membership::{Event, MOST_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_membership::{Event, MOST_NODES};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -176,7 +176,10 @@
     /// Goes over to these endpoints and settings of time; what is known stays. The watch is opened anew.
     pub fn move_to(&mut self, now: Millis, settings: Settings) {
         self.close();
-        self.settings = Settings { prefix: self.settings.prefix.clone(), ..settings };
+        self.settings = Settings {
+            prefix: self.settings.prefix.clone(),
+            ..settings
+        };
         (self.endpoint, self.failed, self.page) = (0, 0, self.settings.page.max(1));
         self.told.clear();
         self.phase = Phase::Pausing(now);
@@ -204,12 +207,17 @@
                     self.fail(now, Failure::Broken(format!("silent for {silent:.0} ms")));
                 } else if silent >= self.settings.silence / 2.0 && !self.asked {
                     self.asked = true;
-                    self.command(Command::AskProgress { connection: self.connection });
+                    self.command(Command::AskProgress {
+                        connection: self.connection,
+                    });
                 }
             }
             _ if now - self.heard >= self.settings.answer => {
                 let late = self.settings.answer;
-                self.fail(now, Failure::Broken(format!("no answer within {late:.0} ms")));
+                self.fail(
+                    now,
+                    Failure::Broken(format!("no answer within {late:.0} ms")),
+                );
             }
             _ => {}
         }
@@ -233,7 +241,9 @@
             }
             (Input::SignedIn, Phase::SigningIn) => self.begin(now),
             (Input::Page(page), Phase::Reading(_)) => self.page(now, page),
-            (Input::Watched(answer), Phase::Subscribing | Phase::Watching(_)) => self.watched(now, answer),
+            (Input::Watched(answer), Phase::Subscribing | Phase::Watching(_)) => {
+                self.watched(now, answer)
+            }
             (Input::LeaseLeft { lease, ttl }, _) => {
                 if let Some(hosts) = self.asked_leases.remove(&lease) {
                     if ttl.is_some_and(|ttl| ttl <= 0) {
@@ -259,7 +269,11 @@
     }
 
     fn tell(&mut self, event: Event, behind: i64, late: Option<Millis>) {
-        self.out.push_back(Output::Tell(Told { event, behind, late }));
+        self.out.push_back(Output::Tell(Told {
+            event,
+            behind,
+            late,
+        }));
     }
 
     /// An answer is owed from now on.
@@ -271,18 +285,29 @@
         self.connection += 1;
         self.owe(now);
         self.phase = Phase::Opening;
-        self.command(Command::Open { connection: self.connection, endpoint: self.endpoint });
+        self.command(Command::Open {
+            connection: self.connection,
+            endpoint: self.endpoint,
+        });
     }
 
     fn close(&mut self) {
         if !self.resting() {
-            self.command(Command::Close { connection: self.connection });
+            self.command(Command::Close {
+                connection: self.connection,
+            });
         }
         self.drop_pending();
         self.watch = None;
         self.asked_leases.clear();
         if !std::mem::replace(&mut self.lost, true) {
-            self.tell(Event::Lost { source: self.settings.source }, 0, None);
+            self.tell(
+                Event::Lost {
+                    source: self.settings.source,
+                },
+                0,
+                None,
+            );
         }
     }
 
@@ -297,7 +322,8 @@
         }
         self.close();
         let [shortest, most] = self.settings.retry;
-        let pause = (shortest * f64::from(1u32 << self.failed.min(16))).clamp(least, most.max(least));
+        let pause =
+            (shortest * f64::from(1u32 << self.failed.min(16))).clamp(least, most.max(least));
         self.failed = self.failed.saturating_add(1);
         let jitter = 0.5 + 0.5 * f64::from(self.rng.next_u32()) / 4_294_967_296.0;
         self.phase = Phase::Pausing(now + pause * jitter);
@@ -330,7 +356,10 @@
             fragment: true,
             ..WatchCreateRequest::default()
         };
-        self.command(Command::Watch { connection: self.connection, request });
+        self.command(Command::Watch {
+            connection: self.connection,
+            request,
+        });
     }
 
     fn fail(&mut self, now: Millis, failure: Failure) {
@@ -351,12 +380,19 @@
         }
         let told = moves || (failure == Failure::TooLarge && self.page == 1);
         if told && self.told.insert((endpoint, kind)) {
-            self.report(Report::Lost { endpoint, failure: failure.clone() });
+            self.report(Report::Lost {
+                endpoint,
+                failure: failure.clone(),
+            });
         }
         if moves {
             self.endpoint = (endpoint + 1) % self.settings.endpoints.max(1);
         }
-        let least = if matches!(failure, Failure::NotPermitted(_)) { self.settings.retry[1] } else { 0.0 };
+        let least = if matches!(failure, Failure::NotPermitted(_)) {
+            self.settings.retry[1]
+        } else {
+            0.0
+        };
         self.pause(now, least);
     }
 
@@ -368,8 +404,17 @@
         };
         match self.cluster.replace(header.cluster_id) {
             Some(was) if was != header.cluster_id => {
-                self.report(Report::OtherCluster { was, is: header.cluster_id });
-                self.tell(Event::Reborn { source: self.settings.source }, 0, None);
+                self.report(Report::OtherCluster {
+                    was,
+                    is: header.cluster_id,
+                });
+                self.tell(
+                    Event::Reborn {
+                        source: self.settings.source,
+                    },
+                    0,
+                    None,
+                );
                 self.seen = None;
                 self.start_over(now);
                 return None;
@@ -395,13 +440,18 @@
     fn read(&mut self, now: Millis) {
         self.drop_pending();
         self.watch = None;
-        self.phase = Phase::Reading(Reading { next: self.prefix.clone(), ..Reading::default() });
+        self.phase = Phase::Reading(Reading {
+            next: self.prefix.clone(),
+            ..Reading::default()
+        });
         self.next_page(now);
     }
 
     fn next_page(&mut self, now: Millis) {
         self.owe(now);
-        let Phase::Reading(reading) = &self.phase else { return };
+        let Phase::Reading(reading) = &self.phase else {
+            return;
+        };
         let request = RangeRequest {
             key: reading.next.clone(),
             range_end: self.end.clone(),
@@ -409,15 +459,22 @@
             revision: reading.at,
             ..RangeRequest::default()
         };
-        self.command(Command::Range { connection: self.connection, request });
+        self.command(Command::Range {
+            connection: self.connection,
+            request,
+        });
     }
 
     fn page(&mut self, now: Millis, page: RangeResponse) {
-        let Some(header) = self.head(now, page.header) else { return };
+        let Some(header) = self.head(now, page.header) else {
+            return;
+        };
         if let Some(seen) = self.seen.filter(|seen| header.revision < *seen) {
             return self.behind(now, header.revision, seen);
         }
-        let Phase::Reading(mut reading) = std::mem::replace(&mut self.phase, Phase::Opening) else { return };
+        let Phase::Reading(mut reading) = std::mem::replace(&mut self.phase, Phase::Opening) else {
+            return;
+        };
         if reading.at == 0 {
             reading.at = header.revision;
         }
@@ -443,11 +500,24 @@
             return self.next_page(now);
         }
         let (nodes, unread, revision) = (reading.members.len(), reading.unread.len(), reading.at);
-        self.report(Report::Read { endpoint: self.endpoint, revision, nodes, unread });
+        self.report(Report::Read {
+            endpoint: self.endpoint,
+            revision,
+            nodes,
+            unread,
+        });
         (self.seen, self.leases, self.anew) = (Some(revision), reading.leases, false);
-        let members = Members { seq: revision as u64, whole: true, hosts: reading.members };
+        let members = Members {
+            seq: revision as u64,
+            whole: true,
+            hosts: reading.members,
+        };
         self.lost = false;
-        let event = Event::Snapshot { source: self.settings.source, members, unread: reading.unread };
+        let event = Event::Snapshot {
+            source: self.settings.source,
+            members,
+            unread: reading.unread,
+        };
         self.tell(event, header.revision - revision, None);
         self.subscribe(now, revision + 1);
     }
@@ -468,7 +538,8 @@
             if room && self.complaints.insert(known.to_vec()) {
                 let key = one_line(&String::from_utf8_lossy(known));
                 let why = one_line(&why.to_string());
-                self.out.push_back(Output::Report(Report::Unreadable { key, why }));
+                self.out
+                    .push_back(Output::Report(Report::Unreadable { key, why }));
             }
             id.ok().map(str::to_owned)
         })
@@ -477,15 +548,23 @@
     // ---- The watch ----------------------------------------------------------------------------------
 
     fn watched(&mut self, now: Millis, answer: WatchResponse) {
-        let Some(header) = self.head(now, answer.header) else { return };
+        let Some(header) = self.head(now, answer.header) else {
+            return;
+        };
         let seen = self.seen.unwrap_or(0);
         if answer.canceled {
             if answer.compact_revision > 0 {
-                self.report(Report::Compacted { wanted: seen + 1, kept: answer.compact_revision });
+                self.report(Report::Compacted {
+                    wanted: seen + 1,
+                    kept: answer.compact_revision,
+                });
                 return self.start_over(now);
             }
             let reason = format!("the watch was ended: {}", one_line(&answer.cancel_reason));
-            return self.fail(now, Failure::told(&answer.cancel_reason).unwrap_or(Failure::Broken(reason)));
+            return self.fail(
+                now,
+                Failure::told(&answer.cancel_reason).unwrap_or(Failure::Broken(reason)),
+            );
         }
         // A watch that says this and that but never that it has begun is waited for no longer than any other answer.
         if answer.created || self.watching() {
@@ -499,9 +578,18 @@
             }
             self.phase = Phase::Watching(now);
             self.told.clear();
-            self.report(Report::Watching { endpoint: self.endpoint, from: seen + 1 });
+            self.report(Report::Watching {
+                endpoint: self.endpoint,
+                from: seen + 1,
+            });
             if std::mem::take(&mut self.lost) {
-                self.tell(Event::Resumed { source: self.settings.source }, 0, None);
+                self.tell(
+                    Event::Resumed {
+                        source: self.settings.source,
+                    },
+                    0,
+                    None,
+                );
             }
         }
         let ours = self.watch == Some(answer.watch_id);
@@ -543,8 +631,11 @@
             }
             (oldest, newest) = (oldest.min(kv.mod_revision), newest.max(kv.mod_revision));
             if change.kind == Change::DELETE {
-                self.complaints.remove(&kv.key[..kv.key.len().min(LONGEST_KEY)]);
-                let Ok(id) = value::id(&kv.key, &self.prefix) else { continue };
+                self.complaints
+                    .remove(&kv.key[..kv.key.len().min(LONGEST_KEY)]);
+                let Ok(id) = value::id(&kv.key, &self.prefix) else {
+                    continue;
+                };
                 if let Some(lease) = self.leases.remove(id) {
                     gone.entry(lease).or_default().push(id.to_owned());
                 }
@@ -570,13 +661,27 @@
         (self.seen, self.failed) = (Some(newest), 0);
         if !last.is_empty() {
             let late = written.map(|at| (self.settings.unix_start + now - at).max(0.0));
-            let members = Members { seq: newest as u64, whole: false, hosts: last.into_values().collect() };
-            self.tell(Event::Change { source: self.settings.source, members }, head - oldest, late);
+            let members = Members {
+                seq: newest as u64,
+                whole: false,
+                hosts: last.into_values().collect(),
+            };
+            self.tell(
+                Event::Change {
+                    source: self.settings.source,
+                    members,
+                },
+                head - oldest,
+                late,
+            );
         }
         for (lease, hosts) in gone {
             if self.asked_leases.len() < MOST_LEASES {
                 self.asked_leases.entry(lease).or_default().extend(hosts);
-                self.command(Command::LeaseLeft { connection: self.connection, lease });
+                self.command(Command::LeaseLeft {
+                    connection: self.connection,
+                    lease,
+                });
             }
         }
     }
@@ -584,7 +689,10 @@
 
 /// Bytes of a change that a peer chooses.
 fn length(change: &Change) -> usize {
-    change.kv.as_ref().map_or(0, |kv| kv.key.len() + kv.value.len())
+    change
+        .kv
+        .as_ref()
+        .map_or(0, |kv| kv.key.len() + kv.value.len())
 }
 
 /// The word that a node is gone.
--- a/crates/etcd/src/interface.rs
+++ b/crates/etcd/src/interface.rs
@@ -1,8 +1,8 @@
 //! What passes between the follower and whoever carries out its commands.
 
 use maplefall_etcd_wire::{error, RangeRequest, RangeResponse, WatchCreateRequest, WatchResponse};
-use maplefall_policy::Millis;
 use maplefall_membership::Event;
+use maplefall_policy::Millis;
 
 /// Number of a connection. What an old one still says is not listened to.
 pub type Connection = u64;
@@ -150,8 +150,9 @@
             () if is(error::COMPACTED) => Some(Failure::Compacted),
             () if is(error::PASSWORD) || is(error::DENIED) || is(error::NO_USER) => {
                 // Of the text only what is known of it: the rest is a peer's.
-                let known =
-                    [error::PASSWORD, error::DENIED, error::NO_USER].into_iter().find(|known| is(known));
+                let known = [error::PASSWORD, error::DENIED, error::NO_USER]
+                    .into_iter()
+                    .find(|known| is(known));
                 Some(Failure::NotPermitted(known.unwrap_or_default().to_owned()))
             }
             () => None,
--- a/crates/etcd/src/value.rs
+++ b/crates/etcd/src/value.rs
@@ -43,7 +43,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Unusable {
     /// The id has no text, or too much of it, or a slash.
-    #[error("an id of 1 to {LONGEST_ID} bytes of UTF-8 without a slash was expected behind the prefix")]
+    #[error(
+        "an id of 1 to {LONGEST_ID} bytes of UTF-8 without a slash was expected behind the prefix"
+    )]
     Id,
     /// The value is too long.
     #[error("a value of {LONGEST_VALUE} bytes at most was expected")]
@@ -63,7 +65,11 @@
 pub fn id<'a>(key: &'a [u8], prefix: &[u8]) -> Result<&'a str, Unusable> {
     let id = key.strip_prefix(prefix).ok_or(Unusable::Id)?;
     let id = std::str::from_utf8(id).map_err(|_| Unusable::Id)?;
-    match id.is_empty() || id.len() > LONGEST_ID || id.contains('/') || id.contains(char::is_control) {
+    match id.is_empty()
+        || id.len() > LONGEST_ID
+        || id.contains('/')
+        || id.contains(char::is_control)
+    {
         true => Err(Unusable::Id),
         false => Ok(id),
     }
@@ -106,7 +112,10 @@
     #[test]
     fn a_value_needs_no_more_than_an_address() {
         let (node, written) = member("a", br#"{"address": "127.0.0.1:80", "rack": 7}"#).unwrap();
-        assert_eq!((node.health, node.share, node.born_ms, written), (Health::Up, 1.0, 0.0, None));
+        assert_eq!(
+            (node.health, node.share, node.born_ms, written),
+            (Health::Up, 1.0, 0.0, None)
+        );
         let text = br#"{"address":"[::1]:80","zone":"z","cell":3,"state":"draining","size":2,"started_ms":5,"written_ms":9}"#;
         let (node, written) = member("a", text).unwrap();
         assert_eq!(
@@ -122,10 +131,17 @@
         assert!(why("{}").contains("address"));
         assert!(why(r#"{"address":"x:80"}"#).contains("socket address"));
         assert!(why(r#"{"address":"127.0.0.1:80","state":"drain"}"#).contains("`up` or `draining`"));
-        assert!(why(r#"{"address":"127.0.0.1:80","size":0}"#).contains("size: a number of more than 0"));
+        assert!(
+            why(r#"{"address":"127.0.0.1:80","size":0}"#).contains("size: a number of more than 0")
+        );
         assert!(why(r#"{"address":"127.0.0.1:80","started_ms":-1}"#).contains("started_ms"));
         assert!(why(&format!("{:20000}", "{}")).contains("16384 bytes"));
-        for key in ["/p/members/", "/p/members/a/b", "/q/members/a", "/p/members/a\nb"] {
+        for key in [
+            "/p/members/",
+            "/p/members/a/b",
+            "/q/members/a",
+            "/p/members/a\nb",
+        ] {
             assert!(id(key.as_bytes(), b"/p/members/").is_err(), "{key}");
         }
         assert_eq!(id(b"/p/members/a", b"/p/members/").unwrap(), "a");
--- a/crates/etcd/tests/histories.rs
+++ b/crates/etcd/tests/histories.rs
@@ -11,11 +11,11 @@
 
 use maplefall_etcd::{Command, Connection, Failure, Follower, Input, Output, Settings, Told};
 use maplefall_etcd_wire::{
-    error, request_op, DeleteRangeRequest, Event as Change, PutRequest, RangeRequest, RequestOp, TxnRequest,
-    WatchResponse,
+    error, request_op, DeleteRangeRequest, Event as Change, PutRequest, RangeRequest, RequestOp,
+    TxnRequest, WatchResponse,
 };
-use maplefall_protocol::{Health, Member};
 use maplefall_membership::{Event, Roster, SourceSettings};
+use maplefall_protocol::{Health, Member};
 use maplefall_test_servers::etcd::store::Store;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -110,7 +110,11 @@
             seed,
             ..Settings::usual(0, ENDPOINTS, "/p")
         };
-        let source = SourceSettings { believed_part: 0.5, doubt: 150.0, ..SourceSettings::trusted("etcd") };
+        let source = SourceSettings {
+            believed_part: 0.5,
+            doubt: 150.0,
+            ..SourceSettings::trusted("etcd")
+        };
         World {
             rng,
             now: 0.0,
@@ -152,28 +156,50 @@
         let (word, value) = match self.below(12) {
             0 => (Word::Unreadable, "{".to_owned()),
             what => {
-                let (health, state) =
-                    if what < 5 { (Health::Draining, "draining") } else { (Health::Up, "up") };
+                let (health, state) = if what < 5 {
+                    (Health::Draining, "draining")
+                } else {
+                    (Health::Up, "up")
+                };
                 let started = self.below(3);
                 let port = 1000 + host;
-                let value =
-                    format!(r#"{{"address":"127.0.0.1:{port}","state":"{state}","started_ms":{started}}}"#);
+                let value = format!(
+                    r#"{{"address":"127.0.0.1:{port}","state":"{state}","started_ms":{started}}}"#
+                );
                 (Word::Node(health, started), value)
             }
         };
         let lease = self.lease.filter(|_| host % 3 == 0).unwrap_or(0);
         let key = format!("{PREFIX}{name}").into_bytes();
-        (name, PutRequest { key, value: value.into_bytes(), lease, prev_kv: false }, word)
+        (
+            name,
+            PutRequest {
+                key,
+                value: value.into_bytes(),
+                lease,
+                prev_kv: false,
+            },
+            word,
+        )
     }
 
     /// Writes down what the store has done since.
     fn note(&mut self, before: i64, words: &BTreeMap<String, Word>) {
-        let changes = self.store.changes(b"/p/members/", b"/p/members0", before + 1, self.store.revision());
+        let changes = self.store.changes(
+            b"/p/members/",
+            b"/p/members0",
+            before + 1,
+            self.store.revision(),
+        );
         for (revision, events) in changes.unwrap_or_default() {
             for event in events {
                 let kv = event.kv.unwrap();
                 let host = String::from_utf8(kv.key[PREFIX.len()..].to_vec()).unwrap();
-                let word = if event.kind == Change::DELETE { Word::Gone } else { words[&host].clone() };
+                let word = if event.kind == Change::DELETE {
+                    Word::Gone
+                } else {
+                    words[&host].clone()
+                };
                 self.log.push((revision, host, word));
             }
         }
@@ -191,7 +217,12 @@
             }
             5 | 6 => {
                 let key = format!("{PREFIX}n{}", self.below(8)).into_bytes();
-                self.store.delete(&DeleteRangeRequest { key, ..Default::default() }).unwrap();
+                self.store
+                    .delete(&DeleteRangeRequest {
+                        key,
+                        ..Default::default()
+                    })
+                    .unwrap();
             }
             7 => {
                 // A drain and the start of a replacement, seen together; and a key of somebody else.
@@ -200,12 +231,25 @@
                 for host in [first, (first + 1) % 8] {
                     let (name, put, word) = self.put_of(host);
                     words.insert(name, word);
-                    success.push(RequestOp { request: Some(request_op::Request::Put(put)) });
+                    success.push(RequestOp {
+                        request: Some(request_op::Request::Put(put)),
+                    });
                 }
-                self.store.txn(&TxnRequest { success, ..Default::default() }, before).unwrap();
+                self.store
+                    .txn(
+                        &TxnRequest {
+                            success,
+                            ..Default::default()
+                        },
+                        before,
+                    )
+                    .unwrap();
             }
             8 => {
-                let put = PutRequest { key: b"/q/other".to_vec(), ..Default::default() };
+                let put = PutRequest {
+                    key: b"/q/other".to_vec(),
+                    ..Default::default()
+                };
                 self.store.put(&put).unwrap();
             }
             _ => match self.lease.take() {
@@ -220,7 +264,10 @@
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::Open { connection, endpoint } => {
+            Command::Open {
+                connection,
+                endpoint,
+            } => {
                 (self.token, self.newest) = (None, connection);
                 if self.down[endpoint] {
                     let refused = Input::Failed(Failure::Broken("refused".into()));
@@ -234,16 +281,26 @@
                 self.token = Some(self.tokens);
                 self.say(connection, Input::SignedIn);
             }
-            Command::Range { connection, request } => {
-                let Some(endpoint) = self.open.get(&connection).copied() else { return };
+            Command::Range {
+                connection,
+                request,
+            } => {
+                let Some(endpoint) = self.open.get(&connection).copied() else {
+                    return;
+                };
                 let input = match self.refused() {
                     Some(failure) => Input::Failed(failure),
                     None => self.read(endpoint, &request),
                 };
                 self.say(connection, input);
             }
-            Command::Watch { connection, mut request } => {
-                let Some(endpoint) = self.open.get(&connection).copied() else { return };
+            Command::Watch {
+                connection,
+                mut request,
+            } => {
+                let Some(endpoint) = self.open.get(&connection).copied() else {
+                    return;
+                };
                 if let Some(failure) = self.refused() {
                     return self.say(connection, Input::Failed(failure));
                 }
@@ -251,14 +308,27 @@
                     request.start_revision = self.at(endpoint) + 1;
                 }
                 let next = request.start_revision;
-                self.old = self.watch.replace(Watch { connection, endpoint, request, next });
-                let created = WatchResponse { created: true, ..self.answer(endpoint) };
+                self.old = self.watch.replace(Watch {
+                    connection,
+                    endpoint,
+                    request,
+                    next,
+                });
+                let created = WatchResponse {
+                    created: true,
+                    ..self.answer(endpoint)
+                };
                 self.say(connection, Input::Watched(created));
             }
             Command::AskProgress { connection } => {
-                let Some(endpoint) = self.open.get(&connection).copied() else { return };
+                let Some(endpoint) = self.open.get(&connection).copied() else {
+                    return;
+                };
                 // It overtakes what is still to be told, as it has been known to.
-                let answer = WatchResponse { watch_id: -1, ..self.answer(endpoint) };
+                let answer = WatchResponse {
+                    watch_id: -1,
+                    ..self.answer(endpoint)
+                };
                 self.say(connection, Input::Watched(answer));
             }
             Command::LeaseLeft { connection, lease } => {
@@ -273,7 +343,9 @@
     }
 
     fn refused(&self) -> Option<Failure> {
-        self.token.is_some_and(|token| token != self.tokens).then_some(Failure::TokenRefused)
+        self.token
+            .is_some_and(|token| token != self.tokens)
+            .then_some(Failure::TokenRefused)
     }
 
     fn read(&mut self, endpoint: usize, request: &RangeRequest) -> Input {
@@ -290,11 +362,18 @@
 
     fn answer(&self, endpoint: usize) -> WatchResponse {
         let header = Some(self.store.header(endpoint as u64, self.at(endpoint)));
-        WatchResponse { header, ..Default::default() }
+        WatchResponse {
+            header,
+            ..Default::default()
+        }
     }
 
     fn say(&mut self, connection: Connection, input: Input) {
-        if self.open.get(&connection).is_some_and(|endpoint| !self.silent[*endpoint]) {
+        if self
+            .open
+            .get(&connection)
+            .is_some_and(|endpoint| !self.silent[*endpoint])
+        {
             self.wire.push_back((connection, input));
         }
     }
@@ -302,14 +381,23 @@
     /// The old stream's member tells what is new to it, as far as it was never told.
     fn tell_old(&mut self) {
         let Some(old) = &mut self.old else { return };
-        let at = self.behind[old.endpoint].map_or(self.store.revision(), |at| at.min(self.store.revision()));
+        let at = self.behind[old.endpoint]
+            .map_or(self.store.revision(), |at| at.min(self.store.revision()));
         let (key, end) = (&old.request.key, &old.request.range_end);
-        let Ok(changes) = self.store.changes(key, end, old.next, at) else { return self.old = None };
-        let Some((last, _)) = changes.last() else { return };
+        let Ok(changes) = self.store.changes(key, end, old.next, at) else {
+            return self.old = None;
+        };
+        let Some((last, _)) = changes.last() else {
+            return;
+        };
         old.next = *last + 1;
         let events = changes.into_iter().flat_map(|(_, events)| events).collect();
         let header = Some(self.store.header(old.endpoint as u64, at));
-        let told = WatchResponse { header, events, ..Default::default() };
+        let told = WatchResponse {
+            header,
+            events,
+            ..Default::default()
+        };
         self.wire.push_back((old.connection, Input::Watched(told)));
     }
 
@@ -333,7 +421,11 @@
         match changes {
             Err(kept) => {
                 self.watch = None;
-                let told = WatchResponse { canceled: true, compact_revision: kept, ..self.answer(endpoint) };
+                let told = WatchResponse {
+                    canceled: true,
+                    compact_revision: kept,
+                    ..self.answer(endpoint)
+                };
                 self.say(connection, Input::Watched(told));
             }
             Ok(changes) => {
@@ -346,12 +438,19 @@
                     return;
                 };
                 let next = *last + 1;
-                let events: Vec<Change> =
-                    changes.into_iter().take(most).flat_map(|(_, events)| events).collect();
+                let events: Vec<Change> = changes
+                    .into_iter()
+                    .take(most)
+                    .flat_map(|(_, events)| events)
+                    .collect();
                 let pieces = events.len().div_ceil(piece);
                 for (number, part) in events.chunks(piece).enumerate() {
                     let fragment = number + 1 < pieces;
-                    let told = WatchResponse { fragment, events: part.to_vec(), ..self.answer(endpoint) };
+                    let told = WatchResponse {
+                        fragment,
+                        events: part.to_vec(),
+                        ..self.answer(endpoint)
+                    };
                     self.say(connection, Input::Watched(told));
                 }
                 if let Some(watch) = &mut self.watch {
@@ -364,14 +463,17 @@
     /// Breaks a connection off, with some of what is on the way lost.
     fn cut(&mut self) {
         self.counts.cuts += 1;
-        let Some((connection, _)) = self.open.pop_last() else { return };
+        let Some((connection, _)) = self.open.pop_last() else {
+            return;
+        };
         let keep = self.below(3) as usize;
         let mut of = 0;
         self.wire.retain(|(on, _)| {
             of += usize::from(*on == connection);
             *on != connection || of <= keep
         });
-        self.wire.push_back((connection, Input::Failed(Failure::Broken("cut".into()))));
+        self.wire
+            .push_back((connection, Input::Failed(Failure::Broken("cut".into()))));
     }
 
     fn trouble(&mut self) {
@@ -417,7 +519,9 @@
                 Output::Command(command) => self.carry_out(command),
                 Output::Tell(told) => {
                     self.check(&told)?;
-                    if self.broken == Some(Broken::ToldTwice) && matches!(told.event, Event::Change { .. }) {
+                    if self.broken == Some(Broken::ToldTwice)
+                        && matches!(told.event, Event::Change { .. })
+                    {
                         self.check(&told)?;
                     }
                     self.roster.take(self.now, told.event);
@@ -435,7 +539,10 @@
         // Of any connection, the old ones too, the first that is on its way.
         let any = self.rng.next_u32() as usize % self.wire.len().max(1);
         let of = self.wire.get(any).map(|(connection, _)| *connection);
-        let first = self.wire.iter().position(|(connection, _)| Some(*connection) == of);
+        let first = self
+            .wire
+            .iter()
+            .position(|(connection, _)| Some(*connection) == of);
         if let Some((mut connection, input)) = first.and_then(|first| self.wire.remove(first)) {
             if self.broken == Some(Broken::OldStreamHeard) && matches!(input, Input::Watched(_)) {
                 connection = self.newest;
@@ -454,8 +561,12 @@
 
     fn at_revision(&self, revision: i64) -> BTreeMap<String, Word> {
         let until = self.log.iter().filter(|(at, _, _)| *at <= revision);
-        let last: BTreeMap<_, _> = until.map(|(_, host, word)| (host.clone(), word.clone())).collect();
-        last.into_iter().filter(|(_, word)| *word != Word::Gone).collect()
+        let last: BTreeMap<_, _> = until
+            .map(|(_, host, word)| (host.clone(), word.clone()))
+            .collect();
+        last.into_iter()
+            .filter(|(_, word)| *word != Word::Gone)
+            .collect()
     }
 
     /// Holds what is told to the log.
@@ -470,7 +581,9 @@
         }
         match &told.event {
             Event::Reborn { .. } => self.told = None,
-            Event::Snapshot { members, unread, .. } => {
+            Event::Snapshot {
+                members, unread, ..
+            } => {
                 let seq = members.seq as i64;
                 self.counts.readings += 1;
                 if self.told.is_some_and(|last| seq < last) {
@@ -485,7 +598,9 @@
                 let mut nodes: BTreeMap<String, Word> = members.hosts.iter().map(word).collect();
                 nodes.extend(unread.iter().map(|host| (host.clone(), Word::Unreadable)));
                 if nodes != there {
-                    return Err(format!("a reading at {seq}: {nodes:?}, the store had {there:?}"));
+                    return Err(format!(
+                        "a reading at {seq}: {nodes:?}, the store had {there:?}"
+                    ));
                 }
             }
             Event::Change { members, .. } => {
@@ -499,10 +614,14 @@
                 if self.follower_is_of_another_cluster() {
                     return Ok(());
                 }
-                let since = self.log.iter().filter(|(at, _, _)| *at > before && *at <= seq);
+                let since = self
+                    .log
+                    .iter()
+                    .filter(|(at, _, _)| *at > before && *at <= seq);
                 let since = since.filter(|(_, _, word)| *word != Word::Unreadable);
-                let expected: BTreeMap<String, Word> =
-                    since.map(|(_, host, word)| (host.clone(), word.clone())).collect();
+                let expected: BTreeMap<String, Word> = since
+                    .map(|(_, host, word)| (host.clone(), word.clone()))
+                    .collect();
                 let nodes: BTreeMap<String, Word> = members.hosts.iter().map(word).collect();
                 if nodes != expected {
                     return Err(format!(
@@ -545,7 +664,9 @@
             .collect();
         match readable == there {
             true => Ok(()),
-            false => Err(format!("after quiet the roster has {readable:?}, the store {there:?}")),
+            false => Err(format!(
+                "after quiet the roster has {readable:?}, the store {there:?}"
+            )),
         }
     }
 
@@ -589,7 +710,11 @@
 
 #[test]
 fn the_roster_is_the_store_after_any_history() {
-    let told = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
+    let told = |name: &str| {
+        std::env::var(name)
+            .ok()
+            .and_then(|text| text.parse::<u64>().ok())
+    };
     let seeds = match told("ETCD_SEED") {
         Some(seed) => seed..seed + 1,
         None => 0..told("ETCD_HISTORIES").unwrap_or(1500),
@@ -605,16 +730,25 @@
         all.clusters += counts.clusters;
     }
     println!("{} histories: {all:?}", seeds.end - seeds.start);
-    let played = [all.changes, all.readings, all.cuts, all.compactions, all.clusters];
+    let played = [
+        all.changes,
+        all.readings,
+        all.cuts,
+        all.compactions,
+        all.clusters,
+    ];
     assert!(!many || played.iter().all(|count| *count > 100), "{all:?}");
 }
 
 /// Shows that the checks can fail: each way to be broken is found within a few histories.
 #[test]
 fn what_is_broken_is_found() {
-    for broken in
-        [Broken::ResumesAtCurrent, Broken::CompactionUnheard, Broken::ToldTwice, Broken::OldStreamHeard]
-    {
+    for broken in [
+        Broken::ResumesAtCurrent,
+        Broken::CompactionUnheard,
+        Broken::ToldTwice,
+        Broken::OldStreamHeard,
+    ] {
         let found = (0..400).find(|seed| play(*seed, Some(broken)).is_err());
         println!("{broken:?}: found by seed {found:?}");
         assert!(found.is_some(), "{broken:?} was not found");
--- a/crates/etcd/tests/tls.rs
+++ b/crates/etcd/tests/tls.rs
@@ -28,16 +28,22 @@
 async fn end_tls(listener: TcpListener, own: &CertifiedKey<rcgen::KeyPair>, member: SocketAddr) {
     let key = PrivateKeyDer::Pkcs8(own.signing_key.serialize_der().into());
     let provider = Arc::new(tokio_rustls::rustls::crypto::ring::default_provider());
-    let config = ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions().unwrap();
-    let mut config =
-        config.with_no_client_auth().with_single_cert(vec![own.cert.der().clone()], key).unwrap();
+    let config = ServerConfig::builder_with_provider(provider)
+        .with_safe_default_protocol_versions()
+        .unwrap();
+    let mut config = config
+        .with_no_client_auth()
+        .with_single_cert(vec![own.cert.der().clone()], key)
+        .unwrap();
     config.alpn_protocols = vec![b"h2".to_vec()];
     let acceptor = TlsAcceptor::from(Arc::new(config));
     while let Ok((stream, _)) = listener.accept().await {
         let acceptor = acceptor.clone();
         tokio::spawn(async move {
             // A client that does not trust the certificate breaks off here.
-            let Ok(mut outer) = acceptor.accept(stream).await else { return };
+            let Ok(mut outer) = acceptor.accept(stream).await else {
+                return;
+            };
             let mut inner = TcpStream::connect(member).await.unwrap();
             let _ = tokio::io::copy_bidirectional(&mut outer, &mut inner).await;
         });
@@ -45,21 +51,36 @@
 }
 
 /// Follows through TLS with this authority; what was told within the limit, and what was reported.
-fn tried(authority: impl Fn(&CertifiedKey<rcgen::KeyPair>) -> String) -> (Option<usize>, Vec<String>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+fn tried(
+    authority: impl Fn(&CertifiedKey<rcgen::KeyPair>) -> String,
+) -> (Option<usize>, Vec<String>) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let etcd = Etcd::new(Store::new(1), |_| {});
         let value = br#"{"address":"127.0.0.1:80"}"#.to_vec();
-        let put = PutRequest { key: b"/p/members/a".to_vec(), value, ..Default::default() };
+        let put = PutRequest {
+            key: b"/p/members/a".to_vec(),
+            value,
+            ..Default::default()
+        };
         etcd.with(|store| store.put(&put).unwrap());
-        let member = etcd.member(1, std::net::TcpListener::bind("127.0.0.1:0").unwrap()).unwrap();
+        let member = etcd
+            .member(1, std::net::TcpListener::bind("127.0.0.1:0").unwrap())
+            .unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoints = vec![format!("https://{}", listener.local_addr().unwrap())];
         let own = certificate();
         let authority = Some(authority(&own).into_bytes());
         let address = member.address;
         tokio::task::spawn_local(async move { end_tls(listener, &own, address).await });
-        let place = watch::Sender::new(Place { endpoints, user: None, authority });
+        let place = watch::Sender::new(Place {
+            endpoints,
+            user: None,
+            authority,
+        });
         let seen: Rc<RefCell<(Option<usize>, Vec<String>)>> = Rc::default();
         let (to, begun) = (seen.clone(), Instant::now());
         let take = move |output| match output {
@@ -80,7 +101,10 @@
             Straight,
         ));
         while seen.borrow().0.is_none() && seen.borrow().1.is_empty() {
-            assert!(begun.elapsed() < Duration::from_secs(30), "nothing was told");
+            assert!(
+                begun.elapsed() < Duration::from_secs(30),
+                "nothing was told"
+            );
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         seen.take()
@@ -96,5 +120,8 @@
 fn a_member_of_another_authority_is_refused_with_a_clear_line() {
     let (told, reports) = tried(|_| certificate().cert.pem());
     assert_eq!(told, None);
-    assert!(reports[0].starts_with("endpoint 0: invalid peer certificate"), "{reports:?}");
+    assert!(
+        reports[0].starts_with("endpoint 0: invalid peer certificate"),
+        "{reports:?}"
+    );
 }
--- a/crates/event-trace/src/lib.rs
+++ b/crates/event-trace/src/lib.rs
@@ -30,11 +30,28 @@
     #[test]
     fn a_record_comes_back_as_it_was_written() {
         let recorder = Recorder::new();
-        recorder.note(Entry::Door { door: 1, state: DoorState::Ended { code: Some(3) } });
-        recorder
-            .note(Entry::Node { node: 4, state: NodeState::Up { cores: 2.0, cold_from: 0.2, cold_ms: 9e3 } });
-        recorder.note(Entry::Unanswered { id: "a".into(), door: 0, link: 3, why: Lost::Cut });
-        recorder.note(Entry::Over { attempt: 9, end: End::GivenUp });
+        recorder.note(Entry::Door {
+            door: 1,
+            state: DoorState::Ended { code: Some(3) },
+        });
+        recorder.note(Entry::Node {
+            node: 4,
+            state: NodeState::Up {
+                cores: 2.0,
+                cold_from: 0.2,
+                cold_ms: 9e3,
+            },
+        });
+        recorder.note(Entry::Unanswered {
+            id: "a".into(),
+            door: 0,
+            link: 3,
+            why: Lost::Cut,
+        });
+        recorder.note(Entry::Over {
+            attempt: 9,
+            end: End::GivenUp,
+        });
         for i in 1..2000 {
             let deadline = f64::from(i) * 1.234_567_890_123 + 1.0 / f64::from(i);
             recorder.note(Entry::Came {
@@ -49,7 +66,10 @@
                 work: deadline / 3.0,
             });
         }
-        let record = Record { header: header(), lines: recorder.take() };
+        let record = Record {
+            header: header(),
+            lines: recorder.take(),
+        };
         let text = record.to_text().unwrap();
         assert_eq!(Record::from_text(&text).unwrap(), record);
     }
@@ -82,6 +102,9 @@
         let error = Record::from_text(&format!("{first}\n{{\"at\":1}}\n")).unwrap_err();
         assert!(error.to_string().starts_with("line 2: "), "{error}");
         let other = first.replace("\"version\":1", "\"version\":9");
-        assert!(matches!(Record::from_text(&other), Err(NoRecord::Version(9))));
+        assert!(matches!(
+            Record::from_text(&other),
+            Err(NoRecord::Version(9))
+        ));
     }
 }
--- a/crates/event-trace/src/lines.rs
+++ b/crates/event-trace/src/lines.rs
@@ -120,9 +120,18 @@
 /// What of a request must go on unchanged (protocol page, "Front doors to backends"): method, target, key and body, as one
 /// figure (FNV-1a, each part ended by a byte that none of them holds).
 pub fn form(method: &str, target: &str, key: Option<&str>, body: &[u8]) -> u64 {
-    let parts = [method.as_bytes(), target.as_bytes(), key.unwrap_or_default().as_bytes(), body];
-    let bytes = parts.into_iter().flat_map(|part| part.iter().copied().chain([0xff]));
-    bytes.fold(0xcbf2_9ce4_8422_2325, |h, byte| (h ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    let parts = [
+        method.as_bytes(),
+        target.as_bytes(),
+        key.unwrap_or_default().as_bytes(),
+        body,
+    ];
+    let bytes = parts
+        .into_iter()
+        .flat_map(|part| part.iter().copied().chain([0xff]));
+    bytes.fold(0xcbf2_9ce4_8422_2325, |h, byte| {
+        (h ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// What a record begins with.
@@ -489,10 +498,15 @@
         if header.version != VERSION {
             return Err(NoRecord::Version(header.version));
         }
-        let mut record = Record { header, lines: Vec::new() };
+        let mut record = Record {
+            header,
+            lines: Vec::new(),
+        };
         for (at, text) in lines.enumerate() {
-            let line: Line =
-                serde_json::from_str(text).map_err(|error| NoRecord::Line { line: at + 2, error })?;
+            let line: Line = serde_json::from_str(text).map_err(|error| NoRecord::Line {
+                line: at + 2,
+                error,
+            })?;
             if record.lines.last().is_some_and(|last| line.at < last.at) {
                 return Err(NoRecord::Order(at + 2));
             }
--- a/crates/event-trace/src/recorder.rs
+++ b/crates/event-trace/src/recorder.rs
@@ -29,7 +29,10 @@
 impl Recorder {
     /// An empty record that begins now.
     pub fn new() -> Recorder {
-        Recorder { start: Instant::now(), inner: Arc::default() }
+        Recorder {
+            start: Instant::now(),
+            inner: Arc::default(),
+        }
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
--- a/crates/forward-auth/src/cache.rs
+++ b/crates/forward-auth/src/cache.rs
@@ -29,11 +29,21 @@
 
 impl<T> Cache<T> {
     pub fn new(room: usize) -> Cache<T> {
-        Cache { room, bytes: 0, entries: HashMap::new(), ends: BTreeMap::new(), last: 0 }
+        Cache {
+            room,
+            bytes: 0,
+            entries: HashMap::new(),
+            ends: BTreeMap::new(),
+            last: 0,
+        }
     }
 
     pub fn get(&mut self, now: Millis, key: Key) -> Option<&Verdict<T>> {
-        if self.entries.get(&key).is_some_and(|entry| now >= entry.until) {
+        if self
+            .entries
+            .get(&key)
+            .is_some_and(|entry| now >= entry.until)
+        {
             self.remove(key);
         }
         self.entries.get(&key).map(|entry| &entry.verdict)
@@ -47,7 +57,9 @@
             return;
         }
         while self.bytes + bytes > self.room {
-            let Some((_, first)) = self.ends.first_key_value() else { break };
+            let Some((_, first)) = self.ends.first_key_value() else {
+                break;
+            };
             let first = *first;
             self.remove(first);
         }
@@ -56,7 +68,15 @@
         let place = (until.max(0.0).to_bits(), self.last);
         self.ends.insert(place, key);
         self.bytes += bytes;
-        self.entries.insert(key, Entry { verdict, until, place, bytes });
+        self.entries.insert(
+            key,
+            Entry {
+                verdict,
+                until,
+                place,
+                bytes,
+            },
+        );
     }
 
     fn remove(&mut self, key: Key) {
--- a/crates/forward-auth/src/gate.rs
+++ b/crates/forward-auth/src/gate.rs
@@ -1,7 +1,9 @@
 //! The gate: requests that ask to pass, questions that are out, and what becomes of both.
 
 use crate::cache::Cache;
-use crate::interface::{CheckId, Counts, Decision, Failure, Output, Refusal, RequestId, Settings, Verdict};
+use crate::interface::{
+    CheckId, Counts, Decision, Failure, Output, Refusal, RequestId, Settings, Verdict,
+};
 use crate::key::Key;
 use crate::server::Server;
 use maplefall_policy::Millis;
@@ -127,7 +129,14 @@
     // ---- Requests -----------------------------------------------------------------------------------
 
     /// A request asks to pass. Its decision comes out at once or later, once.
-    pub fn ask(&mut self, now: Millis, request: RequestId, key: Key, class: usize, deadline: Millis) {
+    pub fn ask(
+        &mut self,
+        now: Millis,
+        request: RequestId,
+        key: Key,
+        class: usize,
+        deadline: Millis,
+    ) {
         if let Some(verdict) = self.cache.get(now, key) {
             let decision = decision(verdict);
             self.counts.kept += 1;
@@ -137,7 +146,11 @@
         let until = (now + left * self.settings.share).min(deadline - self.settings.room);
         // What is out already may be answered before long; a new question takes what it usually takes.
         let asked = self.by_key.get(&key).copied();
-        let least = if asked.is_some() { 0.0 } else { self.usual.unwrap_or(0.0) };
+        let least = if asked.is_some() {
+            0.0
+        } else {
+            self.usual.unwrap_or(0.0)
+        };
         if until - now <= least {
             return self.turn_away(request, class, Refusal::NoTime);
         }
@@ -159,7 +172,17 @@
                 let check = self.last_check;
                 let waiting = BTreeSet::from([(place(until), request)]);
                 let (tries, tried, spared) = (0, BTreeSet::new(), false);
-                self.checks.insert(check, Check { key, waiting, out: None, tries, tried, spared });
+                self.checks.insert(
+                    check,
+                    Check {
+                        key,
+                        waiting,
+                        out: None,
+                        tries,
+                        tried,
+                        spared,
+                    },
+                );
                 self.by_key.insert(key, check);
                 self.turns.insert((place(until), check));
                 self.begin(now);
@@ -168,13 +191,16 @@
     }
 
     fn join(&mut self, check: CheckId, request: RequestId, until: Millis) {
-        let Some(of) = self.checks.get_mut(&check) else { return };
+        let Some(of) = self.checks.get_mut(&check) else {
+            return;
+        };
         let earliest = of.earliest();
         of.waiting.insert((place(until), request));
         match &mut of.out {
             // Whoever began it may have had less time: it is given what it may have at most.
             Some(out) => {
-                self.giving_up.remove(&(place(out.given_up(earliest.is_none())), check));
+                self.giving_up
+                    .remove(&(place(out.given_up(earliest.is_none())), check));
                 out.until = out.until.max(until.min(out.since + self.settings.limit));
                 self.giving_up.insert((place(out.given_up(false)), check));
             }
@@ -183,7 +209,8 @@
                 if let Some(earliest) = earliest {
                     self.turns.remove(&(earliest, check));
                 }
-                self.turns.insert((of.earliest().unwrap_or(place(until)), check));
+                self.turns
+                    .insert((of.earliest().unwrap_or(place(until)), check));
             }
         }
     }
@@ -199,8 +226,12 @@
     fn take_out(&mut self, request: RequestId) -> Option<usize> {
         let Waiting { key, class, until } = self.requests.remove(&request)?;
         self.ends.remove(&(place(until), request));
-        let Some(check) = self.by_key.get(&key).copied() else { return Some(class) };
-        let Some(of) = self.checks.get_mut(&check) else { return Some(class) };
+        let Some(check) = self.by_key.get(&key).copied() else {
+            return Some(class);
+        };
+        let Some(of) = self.checks.get_mut(&check) else {
+            return Some(class);
+        };
         let before = of.earliest();
         of.waiting.remove(&(place(until), request));
         match (&of.out, before, of.earliest()) {
@@ -240,7 +271,8 @@
         if let Some(of) = self.checks.remove(&check) {
             self.by_key.remove(&of.key);
             if let Some(out) = of.out {
-                self.giving_up.remove(&(place(out.given_up(of.waiting.is_empty())), check));
+                self.giving_up
+                    .remove(&(place(out.given_up(of.waiting.is_empty())), check));
                 self.servers[out.server].dropped(check);
             }
         }
@@ -250,39 +282,71 @@
 
     /// The server to ask: one that it was not put to yet, with the fewest questions out.
     fn choose(&self, now: Millis, tried: &BTreeSet<usize>) -> Option<usize> {
-        let open = self.servers.iter().enumerate().filter(|(_, server)| server.open(now));
-        open.min_by_key(|(at, server)| (tried.contains(at), server.out, *at)).map(|(at, _)| at)
+        let open = self
+            .servers
+            .iter()
+            .enumerate()
+            .filter(|(_, server)| server.open(now));
+        open.min_by_key(|(at, server)| (tried.contains(at), server.out, *at))
+            .map(|(at, _)| at)
     }
 
     /// Puts questions out, as many as may be.
     fn begin(&mut self, now: Millis) {
         while self.checks_out() < self.settings.most_out {
-            let Some((turn, check)) = self.turns.first().copied() else { return };
-            let tried = self.checks.get(&check).map(|of| of.tried.clone()).unwrap_or_default();
+            let Some((turn, check)) = self.turns.first().copied() else {
+                return;
+            };
+            let tried = self
+                .checks
+                .get(&check)
+                .map(|of| of.tried.clone())
+                .unwrap_or_default();
             let Some(server) = self.choose(now, &tried) else {
                 self.turns.remove(&(turn, check));
                 self.give_up(check, Refusal::NoServer);
                 continue;
             };
             self.turns.remove(&(turn, check));
-            let Some(of) = self.checks.get_mut(&check) else { continue };
-            let latest = of.waiting.last().and_then(|(_, request)| self.requests.get(request));
-            let until = latest.map_or(now, |of| of.until.max(now)).min(now + self.settings.limit);
+            let Some(of) = self.checks.get_mut(&check) else {
+                continue;
+            };
+            let latest = of
+                .waiting
+                .last()
+                .and_then(|(_, request)| self.requests.get(request));
+            let until = latest
+                .map_or(now, |of| of.until.max(now))
+                .min(now + self.settings.limit);
             let (attempt, key) = (of.tries, of.key);
             of.tries += 1;
             of.tried.insert(server);
-            let out = Out { server, since: now, until };
+            let out = Out {
+                server,
+                since: now,
+                until,
+            };
             of.out = Some(out);
             self.giving_up.insert((place(out.given_up(false)), check));
             self.servers[server].ask(check);
             self.counts.asked += 1;
-            self.out.push_back(Output::Check { check, attempt, key, server, until });
+            self.out.push_back(Output::Check {
+                check,
+                attempt,
+                key,
+                server,
+                until,
+            });
         }
     }
 
     /// All that wait for a question are turned away.
     fn give_up(&mut self, check: CheckId, refusal: Refusal) {
-        let waiting = self.checks.get(&check).map(|of| of.waiting.clone()).unwrap_or_default();
+        let waiting = self
+            .checks
+            .get(&check)
+            .map(|of| of.waiting.clone())
+            .unwrap_or_default();
         self.drop_check(check);
         for (_, request) in waiting {
             if let Some(class) = self.take_out(request) {
@@ -293,19 +357,30 @@
 
     /// Takes the try of a question that is out, if it is this one.
     fn settled(&mut self, check: CheckId, attempt: u32) -> Option<Out> {
-        let of = self.checks.get_mut(&check).filter(|of| of.tries == attempt + 1)?;
+        let of = self
+            .checks
+            .get_mut(&check)
+            .filter(|of| of.tries == attempt + 1)?;
         let out = of.out.take()?;
-        self.giving_up.remove(&(place(out.given_up(of.waiting.is_empty())), check));
+        self.giving_up
+            .remove(&(place(out.given_up(of.waiting.is_empty())), check));
         Some(out)
     }
 
     /// The service has said what it says; late or not, it may be kept.
     pub fn answered(&mut self, now: Millis, check: CheckId, attempt: u32, verdict: Verdict<T>) {
-        let Some(out) = self.settled(check, attempt) else { return };
+        let Some(out) = self.settled(check, attempt) else {
+            return;
+        };
         self.servers[out.server].answered();
         let took = now - out.since;
-        self.usual = Some(self.usual.map_or(took, |usual| usual + NEW_TIME * (took - usual)));
-        let Some(of) = self.checks.remove(&check) else { return };
+        self.usual = Some(
+            self.usual
+                .map_or(took, |usual| usual + NEW_TIME * (took - usual)),
+        );
+        let Some(of) = self.checks.remove(&check) else {
+            return;
+        };
         self.by_key.remove(&of.key);
         let most = self.settings.keep[usize::from(!verdict.passes)];
         let keep = verdict.keep.unwrap_or(0.0).min(most);
@@ -323,14 +398,18 @@
 
     /// A try failed. It is asked again elsewhere while somebody's budget lasts.
     pub fn failed(&mut self, now: Millis, check: CheckId, attempt: u32, failure: Failure) {
-        let Some(out) = self.settled(check, attempt) else { return };
+        let Some(out) = self.settled(check, attempt) else {
+            return;
+        };
         self.counts.failed += 1;
         let spare = failure == Failure::KeptConnection;
         match spare {
             true => self.servers[out.server].dropped(check),
             false => self.server_failed(now, check, out.server),
         }
-        let Some(of) = self.checks.get_mut(&check) else { return };
+        let Some(of) = self.checks.get_mut(&check) else {
+            return;
+        };
         let free = spare && !std::mem::replace(&mut of.spared, true);
         if free {
             of.tried.remove(&out.server);
@@ -357,9 +436,16 @@
 
     /// When [`Gate::pass_time`] has something to do next.
     pub fn due(&self) -> Option<Millis> {
-        let request =
-            self.ends.first().and_then(|(_, request)| self.requests.get(request)).map(|of| of.until);
-        let check = self.giving_up.first().and_then(|(_, check)| self.checks.get(check)).and_then(Check::due);
+        let request = self
+            .ends
+            .first()
+            .and_then(|(_, request)| self.requests.get(request))
+            .map(|of| of.until);
+        let check = self
+            .giving_up
+            .first()
+            .and_then(|(_, check)| self.checks.get(check))
+            .and_then(Check::due);
         request.into_iter().chain(check).min_by(f64::total_cmp)
     }
 
@@ -377,7 +463,9 @@
             }
         }
         while let Some((_, check)) = self.giving_up.first().copied() {
-            let Some(of) = self.checks.get(&check) else { break };
+            let Some(of) = self.checks.get(&check) else {
+                break;
+            };
             if of.due().is_none_or(|due| due > now) {
                 break;
             }
