--- a/crates/forward-auth/src/headers.rs
+++ b/crates/forward-auth/src/headers.rs
@@ -2,16 +2,24 @@
 //! for how long its word may be kept. No I/O.
 
 use http::header::{
-    Entry, HeaderMap, HeaderName, HeaderValue, CACHE_CONTROL, CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TE,
-    TRAILER, TRANSFER_ENCODING, UPGRADE,
+    Entry, HeaderMap, HeaderName, HeaderValue, CACHE_CONTROL, CONNECTION, CONTENT_LENGTH, EXPECT,
+    HOST, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use http::{Method, Uri};
 use maplefall_policy::Millis;
 use std::net::IpAddr;
 
 /// Headers that belong to one connection (RFC 9110, 7.6.1) or to a body that is not sent along.
-const NOT_SENT: [HeaderName; 8] =
-    [CONNECTION, CONTENT_LENGTH, EXPECT, HOST, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+const NOT_SENT: [HeaderName; 8] = [
+    CONNECTION,
+    CONTENT_LENGTH,
+    EXPECT,
+    HOST,
+    TE,
+    TRAILER,
+    TRANSFER_ENCODING,
+    UPGRADE,
+];
 /// More of the former, without names of their own in the library.
 const NOT_SENT_TEXT: [&str; 3] = ["keep-alive", "proxy-connection", "proxy-authenticate"];
 /// What the gateways in the field tell the service of the request (Traefik ForwardAuth, Caddy `forward_auth`, oauth2-proxy).
@@ -63,7 +71,10 @@
     }
 
     /// The parts of a question's key: each credential in its order, all of its values, or none.
-    pub fn credentials<'a>(&'a self, headers: &'a HeaderMap) -> impl Iterator<Item = Option<Vec<u8>>> + 'a {
+    pub fn credentials<'a>(
+        &'a self,
+        headers: &'a HeaderMap,
+    ) -> impl Iterator<Item = Option<Vec<u8>>> + 'a {
         self.credentials.iter().map(|name| {
             let mut values = headers.get_all(name).iter().peekable();
             values.peek()?;
@@ -95,10 +106,17 @@
             sent.remove(name);
         }
         let peer = about.peer.to_string();
-        let target = about.uri.path_and_query().map_or("/", |target| target.as_str());
-        for (name, value) in
-            FORWARDED.iter().zip([about.method.as_str(), about.proto, about.host, target, &peer])
-        {
+        let target = about
+            .uri
+            .path_and_query()
+            .map_or("/", |target| target.as_str());
+        for (name, value) in FORWARDED.iter().zip([
+            about.method.as_str(),
+            about.proto,
+            about.host,
+            target,
+            &peer,
+        ]) {
             // A host with bytes that no header may hold is not told; none of the others can have any.
             match (HeaderValue::from_str(value), sent.entry(name)) {
                 (Ok(value), entry) => {
@@ -118,9 +136,15 @@
     /// # Errors
     /// If they are larger than is taken.
     pub fn onward(&self, answer: &HeaderMap) -> Result<Vec<(HeaderName, HeaderValue)>, TooLarge> {
-        let listed =
-            self.onward.iter().flat_map(|name| answer.get_all(name).iter().map(move |value| (name, value)));
-        self.within(listed.map(|(name, value)| (name.clone(), value.clone())).collect())
+        let listed = self
+            .onward
+            .iter()
+            .flat_map(|name| answer.get_all(name).iter().map(move |value| (name, value)));
+        self.within(
+            listed
+                .map(|(name, value)| (name.clone(), value.clone()))
+                .collect(),
+        )
     }
 
     /// The headers of a denial that go back to the client: all but those of its connection, so that a redirect and a
@@ -132,14 +156,20 @@
         let of_connection =
             |name: &HeaderName| NOT_SENT.contains(name) || NOT_SENT_TEXT.contains(&name.as_str());
         let kept = answer.iter().filter(|(name, _)| !of_connection(name));
-        self.within(kept.map(|(name, value)| (name.clone(), value.clone())).collect())
+        self.within(
+            kept.map(|(name, value)| (name.clone(), value.clone()))
+                .collect(),
+        )
     }
 
     fn within(
         &self,
         headers: Vec<(HeaderName, HeaderValue)>,
     ) -> Result<Vec<(HeaderName, HeaderValue)>, TooLarge> {
-        let bytes: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
+        let bytes: usize = headers
+            .iter()
+            .map(|(name, value)| name.as_str().len() + value.len())
+            .sum();
         match bytes <= self.most_bytes {
             true => Ok(headers),
             false => Err(TooLarge),
@@ -163,13 +193,19 @@
 pub fn keep(answer: &HeaderMap) -> Option<Millis> {
     let mut found: Option<Millis> = None;
     for value in answer.get_all(CACHE_CONTROL) {
-        let Ok(text) = value.to_str() else { return Some(0.0) };
+        let Ok(text) = value.to_str() else {
+            return Some(0.0);
+        };
         for directive in text.split(',') {
             let (name, value) = directive.split_once('=').unwrap_or((directive, ""));
             match name.trim().to_ascii_lowercase().as_str() {
                 "no-store" | "no-cache" => return Some(0.0),
                 "max-age" => {
-                    let seconds = value.trim().trim_matches('"').parse::<u32>().map_or(0.0, f64::from);
+                    let seconds = value
+                        .trim()
+                        .trim_matches('"')
+                        .parse::<u32>()
+                        .map_or(0.0, f64::from);
                     // Of two that differ the shorter holds.
                     found = Some(found.unwrap_or(f64::INFINITY).min(seconds * 1000.0));
                 }
@@ -210,7 +246,10 @@
             ("Accept", "a"),
         ]);
         rules().strip(&mut headers);
-        assert_eq!(headers.keys().map(HeaderName::as_str).collect::<Vec<_>>(), ["accept"]);
+        assert_eq!(
+            headers.keys().map(HeaderName::as_str).collect::<Vec<_>>(),
+            ["accept"]
+        );
     }
 
     #[test]
@@ -226,10 +265,18 @@
         ]);
         let (method, uri): (Method, Uri) = (Method::POST, "/cobro/7?lot=3".parse().unwrap());
         let peer = "192.0.2.7".parse().unwrap();
-        let about = About { method: &method, uri: &uri, host: "api.example", proto: "https", peer };
+        let about = About {
+            method: &method,
+            uri: &uri,
+            host: "api.example",
+            proto: "https",
+            peer,
+        };
         let sent = rules().sub_request(&headers, &about);
-        let mut lines: Vec<String> =
-            sent.iter().map(|(name, value)| format!("{name}: {}", value.to_str().unwrap())).collect();
+        let mut lines: Vec<String> = sent
+            .iter()
+            .map(|(name, value)| format!("{name}: {}", value.to_str().unwrap()))
+            .collect();
         lines.sort();
         let expected = [
             "authorization: Bearer a",
@@ -240,7 +287,10 @@
             "x-forwarded-uri: /cobro/7?lot=3",
         ];
         assert_eq!(lines, expected);
-        let split = About { host: "a\r\nX-Admin: 1", ..about };
+        let split = About {
+            host: "a\r\nX-Admin: 1",
+            ..about
+        };
         let sent = rules().sub_request(&map(&[("x-forwarded-host", "b")]), &split);
         assert_eq!(sent.get("x-forwarded-host"), None);
     }
@@ -256,12 +306,29 @@
             ("Content-Length", "3"),
         ]);
         let onward = rules().onward(&answer).unwrap();
-        assert_eq!(onward.iter().map(|(name, _)| name.as_str()).collect::<Vec<_>>(), ["remote-user"]);
+        assert_eq!(
+            onward
+                .iter()
+                .map(|(name, _)| name.as_str())
+                .collect::<Vec<_>>(),
+            ["remote-user"]
+        );
         let back = rules().back(&answer).unwrap();
         let names: Vec<&str> = back.iter().map(|(name, _)| name.as_str()).collect();
-        assert_eq!(names, ["remote-user", "x-other", "www-authenticate", "www-authenticate"]);
+        assert_eq!(
+            names,
+            [
+                "remote-user",
+                "x-other",
+                "www-authenticate",
+                "www-authenticate"
+            ]
+        );
         let long = map(&[("Remote-User", &"x".repeat(100))]);
-        assert_eq!((rules().onward(&long), rules().back(&long)), (Err(TooLarge), Err(TooLarge)));
+        assert_eq!(
+            (rules().onward(&long), rules().back(&long)),
+            (Err(TooLarge), Err(TooLarge))
+        );
     }
 
     #[test]
@@ -277,23 +344,38 @@
             parts(&[("authorization", "a, b")]),
         ];
         for (at, list) in lists.iter().enumerate() {
-            assert!(lists[at + 1..].iter().all(|other| other != list), "{list:?}");
+            assert!(
+                lists[at + 1..].iter().all(|other| other != list),
+                "{list:?}"
+            );
         }
-        assert_eq!(parts(&[("accept", "x"), ("cookie", "ab")]), lists[3], "nothing else counts");
+        assert_eq!(
+            parts(&[("accept", "x"), ("cookie", "ab")]),
+            lists[3],
+            "nothing else counts"
+        );
     }
 
     #[test]
     fn an_answer_is_kept_for_as_long_as_it_says_and_no_longer() {
         let kept = |lines: &[&str]| {
-            keep(&map(&lines.iter().map(|line| ("cache-control", *line)).collect::<Vec<_>>()))
+            keep(&map(&lines
+                .iter()
+                .map(|line| ("cache-control", *line))
+                .collect::<Vec<_>>()))
         };
         assert_eq!(kept(&[]), None);
         assert_eq!(kept(&["public"]), None);
         assert_eq!(kept(&["private, max-age=30"]), Some(30_000.0));
         assert_eq!(kept(&["Max-Age=\"5\""]), Some(5000.0));
         assert_eq!(kept(&["max-age=30", "max-age=10"]), Some(10_000.0));
-        for none in ["no-store", "max-age=30, no-cache", "max-age=-1", "max-age=soon", "max-age=99999999999"]
-        {
+        for none in [
+            "no-store",
+            "max-age=30, no-cache",
+            "max-age=-1",
+            "max-age=soon",
+            "max-age=99999999999",
+        ] {
             assert_eq!(kept(&[none]), Some(0.0), "{none}");
         }
     }
--- a/crates/forward-auth/src/interface.rs
+++ b/crates/forward-auth/src/interface.rs
@@ -74,13 +74,28 @@
         let mut found = Vec::new();
         let mut least = |held: bool, field: &str, expected| {
             if !held {
-                found.push(Wrong { field: field.to_owned(), expected });
+                found.push(Wrong {
+                    field: field.to_owned(),
+                    expected,
+                });
             }
         };
         least(self.servers > 0, "servers", "at least one");
-        least(self.share > 0.0 && self.share <= 1.0, "share", "more than 0 and 1 at most");
-        least(self.room >= 0.0 && self.room.is_finite(), "room", "0 or more");
-        least(self.limit >= 1.0 && self.limit.is_finite(), "limit", "1 or more");
+        least(
+            self.share > 0.0 && self.share <= 1.0,
+            "share",
+            "more than 0 and 1 at most",
+        );
+        least(
+            self.room >= 0.0 && self.room.is_finite(),
+            "room",
+            "0 or more",
+        );
+        least(
+            self.limit >= 1.0 && self.limit.is_finite(),
+            "limit",
+            "1 or more",
+        );
         least(self.tries > 0, "tries", "1 or more");
         least(self.most_out > 0, "most_out", "1 or more");
         least(self.most_waiting > 0, "most_waiting", "1 or more");
@@ -91,7 +106,11 @@
             "pause",
             "the shortest from 1, then the longest",
         );
-        least(self.keep.iter().all(|keep| *keep >= 0.0), "keep", "0 or more");
+        least(
+            self.keep.iter().all(|keep| *keep >= 0.0),
+            "keep",
+            "0 or more",
+        );
         for (at, effect) in classes.iter().enumerate() {
             let open = self.fail_open.get(at).copied().unwrap_or(false);
             let field = format!("fail_open.{at}");
--- a/crates/forward-auth/src/key.rs
+++ b/crates/forward-auth/src/key.rs
@@ -49,7 +49,8 @@
     #[test]
     fn parts_do_not_run_together() {
         let ring = Keyring::new([7; 16]);
-        let key = |parts: &[Option<&str>]| ring.key(parts.iter().map(|part| part.map(str::as_bytes)));
+        let key =
+            |parts: &[Option<&str>]| ring.key(parts.iter().map(|part| part.map(str::as_bytes)));
         let lists: [&[Option<&str>]; 12] = [
             // What would be the same without the lengths: the marks between parts are bytes like any other.
             &[Some("a\u{1}b")],
@@ -67,10 +68,18 @@
         ];
         for (at, list) in lists.iter().enumerate() {
             for (other_at, other) in lists.iter().enumerate() {
-                assert_eq!(key(list) == key(other), at == other_at, "{list:?} {other:?}");
+                assert_eq!(
+                    key(list) == key(other),
+                    at == other_at,
+                    "{list:?} {other:?}"
+                );
             }
         }
         let other = Keyring::new([8; 16]);
-        assert_ne!(other.key([Some(&b"abc"[..])]), key(&[Some("abc")]), "another process makes other keys");
+        assert_ne!(
+            other.key([Some(&b"abc"[..])]),
+            key(&[Some("abc")]),
+            "another process makes other keys"
+        );
     }
 }
--- a/crates/forward-auth/src/server.rs
+++ b/crates/forward-auth/src/server.rs
@@ -35,7 +35,10 @@
 
     /// An answer, whatever it says, shows that it is whole.
     pub fn answered(&mut self) {
-        *self = Server { out: self.out.saturating_sub(1), ..Server::default() };
+        *self = Server {
+            out: self.out.saturating_sub(1),
+            ..Server::default()
+        };
     }
 
     /// It failed; a pause of this length, before jitter and growth, is due after so many in a row.
--- a/crates/forward-auth/tests/schedules.rs
+++ b/crates/forward-auth/tests/schedules.rs
@@ -82,7 +82,11 @@
     }
 
     fn key(&self, caller: u32) -> Key {
-        let caller = if self.broken == Some(Broken::KeyWithoutCredential) { 0 } else { caller };
+        let caller = if self.broken == Some(Broken::KeyWithoutCredential) {
+            0
+        } else {
+            caller
+        };
         Keyring::new([3; 16]).key([Some(&caller.to_be_bytes()[..])])
     }
 
@@ -105,14 +109,21 @@
             }
             5 | 6 => {
                 let lot = self.below(4) as usize;
-                if let Some(((check, attempt), key)) = self.out.iter().nth(lot).map(|(out, key)| (*out, *key))
+                if let Some(((check, attempt), key)) =
+                    self.out.iter().nth(lot).map(|(out, key)| (*out, *key))
                 {
                     let caller = self.keys[&key];
                     // Callers of odd numbers are denied.
                     let passes = caller % 2 == 0;
                     let keep = Some(f64::from(self.below(400)));
-                    let verdict = Verdict { passes, answer: Rc::new(caller), bytes: 10, keep };
-                    self.gate.answered(self.now, check, attempt, verdict.clone());
+                    let verdict = Verdict {
+                        passes,
+                        answer: Rc::new(caller),
+                        bytes: 10,
+                        keep,
+                    };
+                    self.gate
+                        .answered(self.now, check, attempt, verdict.clone());
                     if self.broken == Some(Broken::Twice) {
                         // As if it were the answer to whatever was asked next.
                         self.gate.answered(self.now, check + 1, 0, verdict);
@@ -126,7 +137,11 @@
             7 => {
                 let lot = self.below(4) as usize;
                 if let Some((check, attempt)) = self.out.keys().nth(lot).copied() {
-                    let failure = if self.below(3) == 0 { Failure::KeptConnection } else { Failure::Server };
+                    let failure = if self.below(3) == 0 {
+                        Failure::KeptConnection
+                    } else {
+                        Failure::Server
+                    };
                     self.out.remove(&(check, attempt));
                     self.gate.failed(self.now, check, attempt, failure);
                 }
@@ -150,7 +165,13 @@
     fn look(&mut self) -> Result<(), String> {
         while let Some(output) = self.gate.output() {
             match output {
-                Output::Check { check, attempt, key, server, until } => {
+                Output::Check {
+                    check,
+                    attempt,
+                    key,
+                    server,
+                    until,
+                } => {
                     if until < self.now || server >= self.settings.servers {
                         return Err(format!(
                             "check {check} at server {server} until {until} at {}",
@@ -162,7 +183,9 @@
                 Output::CallOff { .. } => {}
                 Output::Decided { request, decision } => {
                     let Some((caller, class, deadline)) = self.open.remove(&request) else {
-                        return Err(format!("{request} is decided again, or has left: {decision:?}"));
+                        return Err(format!(
+                            "{request} is decided again, or has left: {decision:?}"
+                        ));
                     };
                     self.decided += 1;
                     // Time is handed in by steps; a decision may come a step behind, the gate's own clock is exact.
@@ -179,7 +202,9 @@
                         Decision::Refuse(_) => class == OPEN,
                     };
                     if wrong {
-                        return Err(format!("{request} of caller {caller}, class {class}: {decision:?}"));
+                        return Err(format!(
+                            "{request} of caller {caller}, class {class}: {decision:?}"
+                        ));
                     }
                 }
             }
@@ -190,7 +215,12 @@
             || gate.cached_bytes() > self.settings.cache_bytes
             || gate.waiting() != self.open.len()
         {
-            return Err(format!("{} wait of {}, {} out", gate.waiting(), self.open.len(), gate.checks_out()));
+            return Err(format!(
+                "{} wait of {}, {} out",
+                gate.waiting(),
+                self.open.len(),
+                gate.checks_out()
+            ));
         }
         Ok(())
     }
@@ -214,13 +244,19 @@
     }
     match played.open.is_empty() {
         true => Ok(played.decided),
-        false => Err(format!("{:?} were never decided", played.open.keys().collect::<BTreeSet<_>>())),
+        false => Err(format!(
+            "{:?} were never decided",
+            played.open.keys().collect::<BTreeSet<_>>()
+        )),
     }
 }
 
 #[test]
 fn whatever_comes_in_whatever_order_the_rules_hold() {
-    let schedules = std::env::var("AUTH_SCHEDULES").ok().and_then(|text| text.parse().ok()).unwrap_or(3000);
+    let schedules = std::env::var("AUTH_SCHEDULES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(3000);
     let mut decided = 0;
     for seed in 0..schedules {
         decided += play(seed, None).unwrap_or_else(|error| panic!("schedule {seed}: {error}"));
--- a/crates/gateway-config/src/ahead.rs
+++ b/crates/gateway-config/src/ahead.rs
@@ -24,7 +24,8 @@
             _ if item.dropped => Claims::default(),
             Kind::Route => {
                 let route = Route::of(item)?;
-                let services: BTreeSet<String> = route.to.into_iter().map(|(name, _)| name).collect();
+                let services: BTreeSet<String> =
+                    route.to.into_iter().map(|(name, _)| name).collect();
                 Claims {
                     place: Some((route.host, route.prefix)),
                     services: services.into_iter().collect(),
@@ -33,7 +34,10 @@
             }
             Kind::Tenant => {
                 let keys: BTreeSet<String> = Tenant::of(item)?.keys.into_iter().collect();
-                Claims { keys: keys.into_iter().collect(), ..Claims::default() }
+                Claims {
+                    keys: keys.into_iter().collect(),
+                    ..Claims::default()
+                }
             }
             Kind::Service | Kind::Limits => Claims::default(),
         })
@@ -75,23 +79,40 @@
     pub(crate) fn put(&mut self, index: u64, item: &Item, claims: Claims) {
         let name = &item.name;
         if let Some(place) = &claims.place {
-            self.places.entry(place.clone()).or_default().insert(name.clone());
+            self.places
+                .entry(place.clone())
+                .or_default()
+                .insert(name.clone());
         }
         for service in &claims.services {
-            self.users.entry(service.clone()).or_default().insert(name.clone());
+            self.users
+                .entry(service.clone())
+                .or_default()
+                .insert(name.clone());
         }
         for key in &claims.keys {
-            self.keys.entry(key.clone()).or_default().insert(name.clone());
+            self.keys
+                .entry(key.clone())
+                .or_default()
+                .insert(name.clone());
         }
         let number = (item.version, digest(item), index);
         match self.kinds[item.kind() as usize].get_mut(name) {
             None => {
-                let over = Over { top: Arc::new(item.clone()), claims, numbers: vec![number] };
+                let over = Over {
+                    top: Arc::new(item.clone()),
+                    claims,
+                    numbers: vec![number],
+                };
                 self.kinds[item.kind() as usize].insert(name.clone(), over);
             }
             Some(over) => {
                 // The first entry with a number is the one that it is taken by.
-                if over.numbers.iter().all(|(version, ..)| *version != item.version) {
+                if over
+                    .numbers
+                    .iter()
+                    .all(|(version, ..)| *version != item.version)
+                {
                     over.numbers.push(number);
                 }
                 if item.version > over.top.version {
--- a/crates/gateway-config/src/board.rs
+++ b/crates/gateway-config/src/board.rs
@@ -115,7 +115,11 @@
         for item in &change.items {
             match self.number(ahead, item) {
                 (Number::Other, _) => {
-                    return Err(Refusal::Conflict(item.kind(), item.name.clone(), item.version));
+                    return Err(Refusal::Conflict(
+                        item.kind(),
+                        item.name.clone(),
+                        item.version,
+                    ));
                 }
                 (Number::Same, index) => after = after.max(index),
                 (Number::New, _) => news.push(item),
@@ -123,7 +127,11 @@
             }
         }
         if let Some(item) = forgotten {
-            return Ok(Verdict::Forgotten(item.kind(), item.name.clone(), item.version));
+            return Ok(Verdict::Forgotten(
+                item.kind(),
+                item.name.clone(),
+                item.version,
+            ));
         }
         if news.is_empty() {
             return Ok(Verdict::Taken(after));
@@ -131,11 +139,23 @@
         let (mut over, mut asked) = (Ahead::default(), Vec::new());
         for item in &news {
             let claims = Claims::of(item)?;
-            asked.extend(claims.services.iter().map(|service| (*item, service.clone())));
+            asked.extend(
+                claims
+                    .services
+                    .iter()
+                    .map(|service| (*item, service.clone())),
+            );
             over.put(u64::MAX, item, claims);
         }
-        Then { board: self, ahead, over: &over }.sound(&asked)?;
-        Ok(Verdict::New(Change { items: news.into_iter().cloned().collect() }))
+        Then {
+            board: self,
+            ahead,
+            over: &over,
+        }
+        .sound(&asked)?;
+        Ok(Verdict::New(Change {
+            items: news.into_iter().cloned().collect(),
+        }))
     }
 
     /// What is known of an item's number, and the index of the entry ahead that has it.
@@ -147,8 +167,14 @@
             Some(held) if held.version > item.version => self.overtaken.number(item),
             _ => Number::New,
         };
-        let over = ahead.get(item.kind(), &item.name).filter(|_| here == Number::New);
-        match over.and_then(|over| over.numbers.iter().find(|(version, ..)| *version == item.version)) {
+        let over = ahead
+            .get(item.kind(), &item.name)
+            .filter(|_| here == Number::New);
+        match over.and_then(|over| {
+            over.numbers
+                .iter()
+                .find(|(version, ..)| *version == item.version)
+        }) {
             Some((_, known, index)) if *known == digest(item) => (Number::Same, *index),
             Some(_) => (Number::Other, 0),
             None => (here, 0),
@@ -195,7 +221,10 @@
             self.keys.insert(key.into(), item.clone());
         }
         for service in claims.services {
-            self.users.entry(service.into()).or_default().insert(Named(item.clone()));
+            self.users
+                .entry(service.into())
+                .or_default()
+                .insert(Named(item.clone()));
         }
         self.items.put(item);
     }
@@ -203,12 +232,20 @@
     fn unclaim(&mut self, item: &Arc<Item>) {
         let claims = Claims::of(item).unwrap_or_default();
         if let Some(place) = claims.place {
-            if self.places.get(&place).is_some_and(|holder| holder.name == item.name) {
+            if self
+                .places
+                .get(&place)
+                .is_some_and(|holder| holder.name == item.name)
+            {
                 self.places.remove(&place);
             }
         }
         for key in claims.keys {
-            if self.keys.get(key.as_str()).is_some_and(|holder| holder.name == item.name) {
+            if self
+                .keys
+                .get(key.as_str())
+                .is_some_and(|holder| holder.name == item.name)
+            {
                 self.keys.remove(key.as_str());
             }
         }
@@ -235,13 +272,20 @@
     fn over(&self, kind: Kind, name: &str) -> Option<&'a Over> {
         let held = self.board.items.get(kind, name).map(|item| item.version);
         let higher = |over: &&Over| held.is_none_or(|version| over.top.version > version);
-        let tops = [self.ahead, self.over].into_iter().filter_map(|layer| layer.get(kind, name));
+        let tops = [self.ahead, self.over]
+            .into_iter()
+            .filter_map(|layer| layer.get(kind, name));
         tops.filter(higher).max_by_key(|over| over.top.version)
     }
 
     fn stands(&self, kind: Kind, name: &str) -> bool {
         let over = self.over(kind, name).map(|over| !over.top.dropped);
-        over.unwrap_or_else(|| self.board.items.get(kind, name).is_some_and(|item| !item.dropped))
+        over.unwrap_or_else(|| {
+            self.board
+                .items
+                .get(kind, name)
+                .is_some_and(|item| !item.dropped)
+        })
     }
 
     /// The first of these names, other than `but`, that would claim this.
@@ -256,20 +300,30 @@
         // Whoever is not changed ahead claims what the board's index says.
         let held = held.filter(|name| self.over(kind, name).is_none());
         let ahead = layers.into_iter().flatten().flatten().map(String::as_str);
-        let ahead = ahead.filter(|name| self.over(kind, name).is_some_and(|over| claims(&over.claims)));
+        let ahead = ahead.filter(|name| {
+            self.over(kind, name)
+                .is_some_and(|over| claims(&over.claims))
+        });
         held.chain(ahead).find(|name| *name != but)
     }
 
     fn version(&self, kind: Kind, name: &str) -> u32 {
-        let held = || self.board.items.get(kind, name).map_or(0, |item| item.version);
-        self.over(kind, name).map_or_else(held, |over| over.top.version)
+        let held = || {
+            self.board
+                .items
+                .get(kind, name)
+                .map_or(0, |item| item.version)
+        };
+        self.over(kind, name)
+            .map_or_else(held, |over| over.top.version)
     }
 
     /// The names whose highest version is one of the call's.
     fn changed(&self, kind: Kind) -> impl Iterator<Item = (&'a String, &'a Over)> + '_ {
         let names = self.over.kinds[kind as usize].iter();
         names.filter(move |(name, over)| {
-            self.over(kind, name).is_some_and(|top| top.top.version == over.top.version)
+            self.over(kind, name)
+                .is_some_and(|top| top.top.version == over.top.version)
         })
     }
 
@@ -278,35 +332,66 @@
     fn sound(&self, asked: &[(&Item, String)]) -> Result<(), Refusal> {
         for (route, service) in asked {
             if !self.stands(Kind::Service, service) {
-                return Err(Refusal::UnknownService(route.name.clone(), route.version, service.clone()));
+                return Err(Refusal::UnknownService(
+                    route.name.clone(),
+                    route.version,
+                    service.clone(),
+                ));
             }
         }
-        for (service, _) in self.changed(Kind::Service).filter(|(_, over)| over.top.dropped) {
+        for (service, _) in self
+            .changed(Kind::Service)
+            .filter(|(_, over)| over.top.dropped)
+        {
             let held = self.board.users.get(service.as_str());
-            let held = held.into_iter().flatten().map(|named| named.0.name.as_str());
+            let held = held
+                .into_iter()
+                .flatten()
+                .map(|named| named.0.name.as_str());
             let layers = [self.ahead.users.get(service), self.over.users.get(service)];
             let claims = |claims: &Claims| claims.services.contains(service);
             if let Some(route) = self.claimant(Kind::Route, layers, held, "", claims) {
                 let version = self.version(Kind::Route, route);
-                return Err(Refusal::UnknownService(route.to_owned(), version, service.clone()));
+                return Err(Refusal::UnknownService(
+                    route.to_owned(),
+                    version,
+                    service.clone(),
+                ));
             }
         }
         for (name, over) in self.changed(Kind::Route) {
-            let Some(place) = &over.claims.place else { continue };
+            let Some(place) = &over.claims.place else {
+                continue;
+            };
             let held = self.board.places.get(place).map(|item| item.name.as_str());
             let layers = [self.ahead.places.get(place), self.over.places.get(place)];
             let claims = |claims: &Claims| claims.place.as_ref() == Some(place);
-            if let Some(other) = self.claimant(Kind::Route, layers, held.into_iter(), name, claims) {
-                return Err(Refusal::SamePlace(name.clone(), over.top.version, other.to_owned()));
+            if let Some(other) = self.claimant(Kind::Route, layers, held.into_iter(), name, claims)
+            {
+                return Err(Refusal::SamePlace(
+                    name.clone(),
+                    over.top.version,
+                    other.to_owned(),
+                ));
             }
         }
         for (name, over) in self.changed(Kind::Tenant) {
             for key in &over.claims.keys {
-                let held = self.board.keys.get(key.as_str()).map(|item| item.name.as_str());
+                let held = self
+                    .board
+                    .keys
+                    .get(key.as_str())
+                    .map(|item| item.name.as_str());
                 let layers = [self.ahead.keys.get(key), self.over.keys.get(key)];
                 let claims = |claims: &Claims| claims.keys.contains(key);
-                if let Some(other) = self.claimant(Kind::Tenant, layers, held.into_iter(), name, claims) {
-                    return Err(Refusal::SharedKey(name.clone(), over.top.version, other.to_owned()));
+                if let Some(other) =
+                    self.claimant(Kind::Tenant, layers, held.into_iter(), name, claims)
+                {
+                    return Err(Refusal::SharedKey(
+                        name.clone(),
+                        over.top.version,
+                        other.to_owned(),
+                    ));
                 }
             }
         }
--- a/crates/gateway-config/src/call.rs
+++ b/crates/gateway-config/src/call.rs
@@ -10,7 +10,9 @@
 /// Reads the body of `config.amend`. Every item in it is checked by itself; how it goes with the others is for the board.
 pub fn read_call(body: &[u8]) -> Result<Change, Refusal> {
     let whole = parse(body).map_err(|why| Refusal::Unreadable("body", why))?;
-    let whole = whole.as_object().ok_or_else(|| unreadable("body", "no object"))?;
+    let whole = whole
+        .as_object()
+        .ok_or_else(|| unreadable("body", "no object"))?;
     let mut items = Vec::new();
     for (name, value) in whole.iter() {
         match name.as_str() {
@@ -26,9 +28,13 @@
     // A name may stand more than once, as a set and as a drop: the highest version holds, and one version says one thing.
     let mut sorted: Vec<&Item> = items.iter().collect();
     sorted.sort_by(|a, b| (a.kind, &a.name, a.version).cmp(&(b.kind, &b.name, b.version)));
-    let at_odds = |a: &Item, b: &Item| (a.kind, &a.name, a.version) == (b.kind, &b.name, b.version) && a != b;
+    let at_odds =
+        |a: &Item, b: &Item| (a.kind, &a.name, a.version) == (b.kind, &b.name, b.version) && a != b;
     if let Some(twice) = sorted.windows(2).find(|pair| at_odds(pair[0], pair[1])) {
-        return Err(unreadable("Version", &format!("{} stands twice in one version", twice[0].name)));
+        return Err(unreadable(
+            "Version",
+            &format!("{} stands twice in one version", twice[0].name),
+        ));
     }
     for item in &items {
         typed::check(item)?;
@@ -41,35 +47,53 @@
 }
 
 fn kind(list: &str) -> Option<Kind> {
-    [Kind::Route, Kind::Tenant, Kind::Service, Kind::Limits].into_iter().find(|kind| kind.list() == list)
+    [Kind::Route, Kind::Tenant, Kind::Service, Kind::Limits]
+        .into_iter()
+        .find(|kind| kind.list() == list)
 }
 
 fn sets(value: &Json, items: &mut Vec<Item>) -> Result<(), Refusal> {
     if value.is_null() {
         return Ok(());
     }
-    let lists = value.as_object().ok_or_else(|| unreadable("Upsert", "no object"))?;
+    let lists = value
+        .as_object()
+        .ok_or_else(|| unreadable("Upsert", "no object"))?;
     for (list, value) in lists.iter() {
-        let Some(kind) = kind(list.as_str()) else { return Err(unreadable("Upsert", "unknown list")) };
+        let Some(kind) = kind(list.as_str()) else {
+            return Err(unreadable("Upsert", "unknown list"));
+        };
         if value.is_null() {
             continue;
         }
         let what = kind.list();
-        let table = value.as_object().ok_or_else(|| unreadable(what, "no object"))?;
+        let table = value
+            .as_object()
+            .ok_or_else(|| unreadable(what, "no object"))?;
         if kind == Kind::Limits {
-            let fields = table.iter().map(|(name, value)| (name.as_str().to_owned(), value)).collect();
+            let fields = table
+                .iter()
+                .map(|(name, value)| (name.as_str().to_owned(), value))
+                .collect();
             items.push(item(kind, fields)?);
             continue;
         }
         let columns = table.get("ColumnNames").and_then(Json::as_array);
         let columns = columns.ok_or_else(|| unreadable(what, "no ColumnNames"))?;
-        let columns: Option<Vec<&str>> = columns.iter().map(|c| Some(c.as_string()?.as_str())).collect();
+        let columns: Option<Vec<&str>> = columns
+            .iter()
+            .map(|c| Some(c.as_string()?.as_str()))
+            .collect();
         let columns = columns.ok_or_else(|| unreadable(what, "a column without a name"))?;
         let rows = table.get("DataRows").and_then(Json::as_array);
         for row in rows.ok_or_else(|| unreadable(what, "no DataRows"))?.iter() {
             let row = row.as_array().filter(|row| row.len() == columns.len());
             let row = row.ok_or_else(|| unreadable(what, "a row of another length"))?;
-            let fields = columns.iter().map(|name| (*name).to_owned()).zip(row.iter()).collect();
+            let fields = columns
+                .iter()
+                .map(|name| (*name).to_owned())
+                .zip(row.iter())
+                .collect();
             items.push(item(kind, fields)?);
         }
     }
@@ -80,19 +104,32 @@
     if value.is_null() {
         return Ok(());
     }
-    let lists = value.as_object().ok_or_else(|| unreadable("Remove", "no object"))?;
+    let lists = value
+        .as_object()
+        .ok_or_else(|| unreadable("Remove", "no object"))?;
     for (list, value) in lists.iter() {
         let kind = kind(list.as_str()).filter(|kind| *kind != Kind::Limits);
         let kind = kind.ok_or_else(|| unreadable("Remove", "unknown list"))?;
         if value.is_null() {
             continue;
         }
-        let entries = value.as_array().ok_or_else(|| unreadable("Remove", "no list"))?;
+        let entries = value
+            .as_array()
+            .ok_or_else(|| unreadable("Remove", "no list"))?;
         for entry in entries.iter() {
-            let entry = entry.as_object().ok_or_else(|| unreadable("Remove", "no object"))?;
-            let fields = entry.iter().map(|(name, value)| (name.as_str().to_owned(), value)).collect();
+            let entry = entry
+                .as_object()
+                .ok_or_else(|| unreadable("Remove", "no object"))?;
+            let fields = entry
+                .iter()
+                .map(|(name, value)| (name.as_str().to_owned(), value))
+                .collect();
             let whole = item(kind, fields)?;
-            items.push(Item { dropped: true, fields: Vec::new(), ..whole });
+            items.push(Item {
+                dropped: true,
+                fields: Vec::new(),
+                ..whole
+            });
         }
     }
     Ok(())
@@ -105,7 +142,9 @@
         match field.as_str() {
             _ if value.is_null() => {}
             "Name" if kind != Kind::Limits => {
-                let text = value.as_string().ok_or_else(|| unreadable("Name", "no text"))?;
+                let text = value
+                    .as_string()
+                    .ok_or_else(|| unreadable("Name", "no text"))?;
                 name = text.as_str().to_owned();
             }
             "Version" => version = Some(read_version(value)?),
@@ -124,13 +163,26 @@
     if rest.windows(2).any(|pair| pair[0].name == pair[1].name) {
         return Err(unreadable("ColumnNames", "a column stands twice"));
     }
-    Ok(Item { kind: kind.into(), name, version, dropped: false, fields: rest })
+    Ok(Item {
+        kind: kind.into(),
+        name,
+        version,
+        dropped: false,
+        fields: rest,
+    })
 }
 
 /// Eight hexadecimal digits.
 fn read_version(value: &Json) -> Result<u32, Refusal> {
-    let text = value.as_string().map(|text| text.as_str()).unwrap_or_default();
+    let text = value
+        .as_string()
+        .map(|text| text.as_str())
+        .unwrap_or_default();
     let good = text.len() == 8 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let number = if good { u32::from_str_radix(text, 16).ok() } else { None };
+    let number = if good {
+        u32::from_str_radix(text, 16).ok()
+    } else {
+        None
+    };
     number.ok_or_else(|| unreadable("Version", "not eight hexadecimal digits"))
 }
--- a/crates/gateway-config/src/item.rs
+++ b/crates/gateway-config/src/item.rs
@@ -104,23 +104,40 @@
         match self {
             Refusal::Unreadable(what, why) => write!(f, "step=read field={what} why={why:?}"),
             Refusal::Field(kind, name, version, field, why) => {
-                write!(f, "step=check list={} item={name:?} version={version:08x} ", kind.list())?;
+                write!(
+                    f,
+                    "step=check list={} item={name:?} version={version:08x} ",
+                    kind.list()
+                )?;
                 write!(f, "field={field} why={why:?}")
             }
             Refusal::UnknownService(route, version, service) => {
-                write!(f, "step=join list=RouteTable item={route:?} version={version:08x} field=Service ")?;
+                write!(
+                    f,
+                    "step=join list=RouteTable item={route:?} version={version:08x} field=Service "
+                )?;
                 write!(f, "unknown={service:?} why=\"unknown service\"")
             }
             Refusal::SamePlace(one, version, other) => {
                 write!(f, "step=join list=RouteTable item={one:?} version={version:08x} field=PathPrefix ")?;
-                write!(f, "same_as={other:?} why=\"host and prefix of another route\"")
+                write!(
+                    f,
+                    "same_as={other:?} why=\"host and prefix of another route\""
+                )
             }
             Refusal::SharedKey(one, version, other) => {
-                write!(f, "step=join list=Tenants item={one:?} version={version:08x} field=ApiKeys ")?;
+                write!(
+                    f,
+                    "step=join list=Tenants item={one:?} version={version:08x} field=ApiKeys "
+                )?;
                 write!(f, "same_as={other:?} why=\"key of another tenant\"")
             }
             Refusal::Conflict(kind, name, version) => {
-                write!(f, "step=join list={} item={name:?} version={version:08x} ", kind.list())?;
+                write!(
+                    f,
+                    "step=join list={} item={name:?} version={version:08x} ",
+                    kind.list()
+                )?;
                 write!(f, "why=\"taken with another content\"")
             }
         }
--- a/crates/gateway-config/src/items.rs
+++ b/crates/gateway-config/src/items.rs
@@ -79,7 +79,10 @@
 
     /// The items of a kind that stand, by name.
     pub fn standing(&self, kind: Kind) -> impl Iterator<Item = &Item> {
-        self.kinds[kind as usize].iter().map(|named| &*named.0).filter(|item| !item.dropped)
+        self.kinds[kind as usize]
+            .iter()
+            .map(|named| &*named.0)
+            .filter(|item| !item.dropped)
     }
 
     /// Joins a change; items that are no higher than what holds change nothing. Tells whether anything was.
@@ -92,7 +95,9 @@
     }
 
     fn offer(&mut self, item: Item) -> bool {
-        let higher = self.get(item.kind(), &item.name).is_none_or(|held| item.version > held.version);
+        let higher = self
+            .get(item.kind(), &item.name)
+            .is_none_or(|held| item.version > held.version);
         if higher {
             self.put(snug(item));
         }
@@ -101,7 +106,9 @@
 
     /// Puts an item in the place of what held under its name.
     pub(crate) fn put(&mut self, item: Arc<Item>) -> Option<Arc<Item>> {
-        self.kinds[item.kind() as usize].replace(Named(item)).map(|named| named.0)
+        self.kinds[item.kind() as usize]
+            .replace(Named(item))
+            .map(|named| named.0)
     }
 
     /// The answer to `config.read`: all that stands, laid out as the operator's first call lays it out.
@@ -118,10 +125,19 @@
             }
             text.push_str(",\"Version\"],\"DataRows\":[");
             for (at, item) in self.standing(kind).enumerate() {
-                let _ = write!(text, "{}[{}", if at > 0 { "," } else { "" }, quoted(&item.name));
+                let _ = write!(
+                    text,
+                    "{}[{}",
+                    if at > 0 { "," } else { "" },
+                    quoted(&item.name)
+                );
                 for column in &columns {
                     let field = item.fields.iter().find(|field| field.name == *column);
-                    let _ = write!(text, ",{}", field.map_or("null", |field| field.json.as_str()));
+                    let _ = write!(
+                        text,
+                        ",{}",
+                        field.map_or("null", |field| field.json.as_str())
+                    );
                 }
                 let _ = write!(text, ",\"{:08x}\"]", item.version);
             }
--- a/crates/gateway-config/src/plan.rs
+++ b/crates/gateway-config/src/plan.rs
@@ -44,9 +44,15 @@
     }
 
     /// Follows changes that these items have joined: only the names in them are looked at.
-    pub fn patch<'a>(&mut self, items: &impl AsRef<Items>, changes: impl Iterator<Item = &'a Change>) {
-        let names: BTreeSet<(Kind, &str)> =
-            changes.flat_map(|change| &change.items).map(|item| (item.kind(), item.name.as_str())).collect();
+    pub fn patch<'a>(
+        &mut self,
+        items: &impl AsRef<Items>,
+        changes: impl Iterator<Item = &'a Change>,
+    ) {
+        let names: BTreeSet<(Kind, &str)> = changes
+            .flat_map(|change| &change.items)
+            .map(|item| (item.kind(), item.name.as_str()))
+            .collect();
         for (kind, name) in names {
             // Two names may have swapped a key: what another holds by now is left.
             self.take_out(kind, name);
@@ -59,20 +65,26 @@
     fn put(&mut self, item: &Item) {
         match item.kind() {
             Kind::Route => {
-                let Ok(route) = Route::of(item).map(Arc::new) else { return };
+                let Ok(route) = Route::of(item).map(Arc::new) else {
+                    return;
+                };
                 if !self.hosts.contains_key(&route.host) {
                     self.hosts.insert(route.host.clone(), Vec::new());
                 }
                 if let Some(routes) = self.hosts.get_mut(&route.host) {
-                    let order = |route: &Route| (std::cmp::Reverse(route.prefix.len()), route.name.clone());
+                    let order =
+                        |route: &Route| (std::cmp::Reverse(route.prefix.len()), route.name.clone());
                     let at = routes.partition_point(|other| order(other) < order(&route));
                     routes.insert(at, route.clone());
                 }
                 self.routes.insert(route.name.clone(), route);
             }
             Kind::Tenant => {
-                let Ok(tenant) = Tenant::of(item).map(Arc::new) else { return };
-                self.keys.extend(tenant.keys.iter().map(|key| (key.clone(), tenant.clone())));
+                let Ok(tenant) = Tenant::of(item).map(Arc::new) else {
+                    return;
+                };
+                self.keys
+                    .extend(tenant.keys.iter().map(|key| (key.clone(), tenant.clone())));
                 self.tenants.insert(tenant.name.clone(), tenant);
             }
             Kind::Service => {
@@ -87,7 +99,9 @@
     fn take_out(&mut self, kind: Kind, name: &str) {
         match kind {
             Kind::Route => {
-                let Some(route) = self.routes.remove(name) else { return };
+                let Some(route) = self.routes.remove(name) else {
+                    return;
+                };
                 if let Some(routes) = self.hosts.get_mut(&route.host) {
                     routes.retain(|other| other.name != name);
                     if routes.is_empty() {
@@ -96,7 +110,9 @@
                 }
             }
             Kind::Tenant => {
-                let Some(tenant) = self.tenants.remove(name) else { return };
+                let Some(tenant) = self.tenants.remove(name) else {
+                    return;
+                };
                 for key in &tenant.keys {
                     if self.keys.get(key).is_some_and(|holder| holder.name == name) {
                         self.keys.remove(key);
@@ -120,7 +136,10 @@
             }
         });
         let routes = self.hosts.get(&host.to_ascii_lowercase())?;
-        routes.iter().map(|route| &**route).find(|route| path.starts_with(&route.prefix))
+        routes
+            .iter()
+            .map(|route| &**route)
+            .find(|route| path.starts_with(&route.prefix))
     }
 
     /// The tenant that holds a key.
@@ -130,7 +149,9 @@
 
     /// Where a request goes that came with this key. Without tenants no key is asked for.
     pub fn way(&self, host: &str, path: &str, key: Option<&str>) -> Way<'_> {
-        let Some(route) = self.route(host, path) else { return Way::Nowhere };
+        let Some(route) = self.route(host, path) else {
+            return Way::Nowhere;
+        };
         let tenant = key.and_then(|key| self.tenant(key));
         match tenant {
             None if !route.public && !self.tenants.is_empty() => Way::Stranger,
--- a/crates/gateway-config/src/taken.rs
+++ b/crates/gateway-config/src/taken.rs
@@ -90,16 +90,33 @@
 
 impl Overtaken {
     pub(crate) fn bounded(most_numbers: usize, most: usize) -> Overtaken {
-        Overtaken { kinds: Default::default(), held: 0, recorded: 0, most_numbers, most }
+        Overtaken {
+            kinds: Default::default(),
+            held: 0,
+            recorded: 0,
+            most_numbers,
+            most,
+        }
     }
 
     /// What is known of a number, given what came with it.
     pub(crate) fn number(&self, item: &Item) -> Number {
-        let Some(numbers) = self.kinds[item.kind() as usize].get(&item.name) else { return Number::New };
-        match numbers.known.binary_search_by_key(&item.version, |known| known.0) {
+        let Some(numbers) = self.kinds[item.kind() as usize].get(&item.name) else {
+            return Number::New;
+        };
+        match numbers
+            .known
+            .binary_search_by_key(&item.version, |known| known.0)
+        {
             Ok(at) if numbers.known[at].2 == digest(item) => Number::Same,
             Ok(_) => Number::Other,
-            Err(_) if numbers.forgotten.is_some_and(|version| item.version <= version) => Number::Forgotten,
+            Err(_)
+                if numbers
+                    .forgotten
+                    .is_some_and(|version| item.version <= version) =>
+            {
+                Number::Forgotten
+            }
             Err(_) => Number::New,
         }
     }
@@ -111,10 +128,19 @@
         if !kind.contains_key(name) {
             kind.insert(name.clone(), Numbers::default());
         }
-        let Some(numbers) = kind.get_mut(name) else { return };
-        let Err(at) = numbers.known.binary_search_by_key(&item.version, |known| known.0) else { return };
+        let Some(numbers) = kind.get_mut(name) else {
+            return;
+        };
+        let Err(at) = numbers
+            .known
+            .binary_search_by_key(&item.version, |known| known.0)
+        else {
+            return;
+        };
         self.recorded += 1;
-        numbers.known.insert(at, (item.version, self.recorded, digest(item)));
+        numbers
+            .known
+            .insert(at, (item.version, self.recorded, digest(item)));
         self.held += 1;
         if numbers.known.len() > self.most_numbers {
             let gone = numbers.known.remove(0).0;
@@ -127,7 +153,10 @@
     }
 
     fn forget_older_half(&mut self) {
-        let mut places: Vec<u64> = self.all().flat_map(|(_, _, n)| n.known.iter().map(|k| k.1)).collect();
+        let mut places: Vec<u64> = self
+            .all()
+            .flat_map(|(_, _, n)| n.known.iter().map(|k| k.1))
+            .collect();
         let middle = places.len() / 2;
         let first_kept = *places.select_nth_unstable(middle).1;
         self.held = 0;
@@ -145,7 +174,10 @@
     }
 
     fn all(&self) -> impl Iterator<Item = (usize, &String, &Numbers)> {
-        self.kinds.iter().enumerate().flat_map(|(kind, names)| names.iter().map(move |(n, o)| (kind, n, o)))
+        self.kinds
+            .iter()
+            .enumerate()
+            .flat_map(|(kind, names)| names.iter().map(move |(n, o)| (kind, n, o)))
     }
 
     pub(crate) fn taken(&self) -> Taken {
@@ -157,14 +189,20 @@
             places: numbers.known.iter().map(|known| known.1).collect(),
             digests: numbers.known.iter().flat_map(|known| known.2).collect(),
         });
-        Taken { names: names.collect(), recorded: self.recorded }
+        Taken {
+            names: names.collect(),
+            recorded: self.recorded,
+        }
     }
 
     pub(crate) fn restore(&mut self, taken: Taken) {
         self.recorded = taken.recorded;
         for one in taken.names {
             let kind = one.kind() as usize;
-            let digests = one.digests.chunks_exact(16).filter_map(|bytes| bytes.try_into().ok());
+            let digests = one
+                .digests
+                .chunks_exact(16)
+                .filter_map(|bytes| bytes.try_into().ok());
             let known: Vec<(u32, u64, Digest)> = one
                 .versions
                 .iter()
@@ -173,7 +211,13 @@
                 .map(|((version, place), digest)| (*version, *place, digest))
                 .collect();
             self.held += known.len();
-            self.kinds[kind].insert(one.name, Numbers { forgotten: one.forgotten, known });
+            self.kinds[kind].insert(
+                one.name,
+                Numbers {
+                    forgotten: one.forgotten,
+                    known,
+                },
+            );
         }
     }
 }
--- a/crates/gateway-config/src/typed.rs
+++ b/crates/gateway-config/src/typed.rs
@@ -70,7 +70,12 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { header_bytes: 16 << 10, body_bytes: 64 << 20, header: 3000.0, idle: 15_000.0 }
+        Limits {
+            header_bytes: 16 << 10,
+            body_bytes: 64 << 20,
+            header: 3000.0,
+            idle: 15_000.0,
+        }
     }
 }
 
@@ -85,32 +90,50 @@
     fn of(item: &'a Item) -> Result<Fields<'a>, Refusal> {
         let (kind, mut values) = (item.kind(), Vec::new());
         for field in &item.fields {
-            let value = parse(field.json.as_bytes())
-                .map_err(|why| Refusal::Field(kind, item.name.clone(), item.version, "value", why))?;
+            let value = parse(field.json.as_bytes()).map_err(|why| {
+                Refusal::Field(kind, item.name.clone(), item.version, "value", why)
+            })?;
             values.push((field.name.as_str(), value));
         }
         Ok(Fields { kind, item, values })
     }
 
     fn get(&self, name: &str) -> Option<&Json> {
-        self.values.iter().find(|(known, _)| *known == name).map(|(_, value)| value)
+        self.values
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, value)| value)
     }
 
     fn wrong(&self, field: &'static str, why: &str) -> Refusal {
-        Refusal::Field(self.kind, self.item.name.clone(), self.item.version, field, why.to_owned())
+        Refusal::Field(
+            self.kind,
+            self.item.name.clone(),
+            self.item.version,
+            field,
+            why.to_owned(),
+        )
     }
 
     fn text(&self, field: &'static str) -> Result<String, Refusal> {
-        let text = self.get(field).and_then(Json::as_string).map(|text| text.as_str().to_owned());
-        text.filter(|text| !text.is_empty()).ok_or_else(|| self.wrong(field, "no text"))
+        let text = self
+            .get(field)
+            .and_then(Json::as_string)
+            .map(|text| text.as_str().to_owned());
+        text.filter(|text| !text.is_empty())
+            .ok_or_else(|| self.wrong(field, "no text"))
     }
 
     /// A figure of nought at least; `None` where it is left out.
     fn figure(&self, field: &'static str) -> Result<Option<f64>, Refusal> {
-        let Some(value) = self.get(field) else { return Ok(None) };
+        let Some(value) = self.get(field) else {
+            return Ok(None);
+        };
         let figure = value.as_number().map(|number| number.to_f64_lossy());
         let figure = figure.filter(|x| x.is_finite() && *x >= 0.0);
-        figure.map(Some).ok_or_else(|| self.wrong(field, "no figure of nought at least"))
+        figure
+            .map(Some)
+            .ok_or_else(|| self.wrong(field, "no figure of nought at least"))
     }
 
     fn whole(&self, field: &'static str) -> Result<Option<u32>, Refusal> {
@@ -125,7 +148,9 @@
     fn truth(&self, field: &'static str) -> Result<bool, Refusal> {
         match self.get(field) {
             None => Ok(false),
-            Some(value) => value.as_bool().ok_or_else(|| self.wrong(field, "neither true nor false")),
+            Some(value) => value
+                .as_bool()
+                .ok_or_else(|| self.wrong(field, "neither true nor false")),
         }
     }
 }
@@ -175,7 +200,11 @@
             prefix,
             safe,
             timeout: timeout * 1000.0,
-            aim: fields.figure("SetpointS")?.filter(|s| *s > 0.0).unwrap_or(timeout) * 1000.0,
+            aim: fields
+                .figure("SetpointS")?
+                .filter(|s| *s > 0.0)
+                .unwrap_or(timeout)
+                * 1000.0,
             priority: fields.whole("Priority")?.unwrap_or(0),
             attempts,
             public: fields.truth("Public")?,
@@ -191,14 +220,27 @@
         return Err(fields.wrong(field, "stands beside Service"));
     }
     let mut shares = Vec::new();
-    for share in split.as_array().ok_or_else(|| fields.wrong(field, "no list"))?.iter() {
-        let share = share.as_object().ok_or_else(|| fields.wrong(field, "no object"))?;
-        let service = share.get("Service").and_then(Json::as_string).map(|text| text.as_str());
+    for share in split
+        .as_array()
+        .ok_or_else(|| fields.wrong(field, "no list"))?
+        .iter()
+    {
+        let share = share
+            .as_object()
+            .ok_or_else(|| fields.wrong(field, "no object"))?;
+        let service = share
+            .get("Service")
+            .and_then(Json::as_string)
+            .map(|text| text.as_str());
         let service = service.filter(|text| !text.is_empty());
         let service = service.ok_or_else(|| fields.wrong(field, "a share without a Service"))?;
-        let weight = share.get("Weight").and_then(Json::as_number).map(|number| number.to_f64_lossy());
+        let weight = share
+            .get("Weight")
+            .and_then(Json::as_number)
+            .map(|number| number.to_f64_lossy());
         let weight = weight.filter(|weight| weight.is_finite() && *weight >= 0.0);
-        let weight = weight.ok_or_else(|| fields.wrong(field, "a Weight that is none or below nought"))?;
+        let weight =
+            weight.ok_or_else(|| fields.wrong(field, "a Weight that is none or below nought"))?;
         shares.push((service.to_owned(), weight));
     }
     if shares.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
@@ -213,9 +255,19 @@
         let fields = Fields::of(item)?;
         let mut keys = Vec::new();
         if let Some(list) = fields.get("ApiKeys") {
-            for key in list.as_array().ok_or_else(|| fields.wrong("ApiKeys", "no list"))?.iter() {
-                let key = key.as_string().map(|key| key.as_str()).filter(|key| !key.is_empty());
-                keys.push(key.ok_or_else(|| fields.wrong("ApiKeys", "a key that is no text"))?.to_owned());
+            for key in list
+                .as_array()
+                .ok_or_else(|| fields.wrong("ApiKeys", "no list"))?
+                .iter()
+            {
+                let key = key
+                    .as_string()
+                    .map(|key| key.as_str())
+                    .filter(|key| !key.is_empty());
+                keys.push(
+                    key.ok_or_else(|| fields.wrong("ApiKeys", "a key that is no text"))?
+                        .to_owned(),
+                );
             }
         }
         Ok(Tenant {
@@ -233,7 +285,10 @@
     pub fn of(item: &Item) -> Result<Service, Refusal> {
         let fields = Fields::of(item)?;
         let conn_limit = fields.whole("ConnLimit")?.unwrap_or(u32::MAX);
-        Ok(Service { name: item.name.clone(), conn_limit })
+        Ok(Service {
+            name: item.name.clone(),
+            conn_limit,
+        })
     }
 }
 
--- a/crates/gateway-config/tests/board.rs
+++ b/crates/gateway-config/tests/board.rs
@@ -6,7 +6,9 @@
 /// The same seed everywhere: the same verdict on every run.
 fn check() -> QuickCheck {
     println!("seed 7");
-    QuickCheck::new().rng(Gen::from_size_and_seed(40, 7)).tests(400)
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(40, 7))
+        .tests(400)
 }
 
 #[derive(Clone, Debug)]
@@ -19,14 +21,24 @@
             let name = ["a", "b", "c"][usize::arbitrary(g) % 3];
             let dropped = u8::arbitrary(g) % 3 == 0;
             // One version says one thing.
-            let field =
-                Field { name: "BurstSize".into(), json: (version * 7 + name.len() as u32).to_string() };
+            let field = Field {
+                name: "BurstSize".into(),
+                json: (version * 7 + name.len() as u32).to_string(),
+            };
             let (kind, dropped) = (Kind::Tenant.into(), dropped && version % 2 == 1);
             let fields = if dropped { Vec::new() } else { vec![field] };
-            Item { kind, name: name.into(), version, dropped, fields }
+            Item {
+                kind,
+                name: name.into(),
+                version,
+                dropped,
+                fields,
+            }
         };
         let changes = (0..usize::arbitrary(g) % 8)
-            .map(|_| Change { items: (0..1 + usize::arbitrary(g) % 3).map(|_| item(g)).collect() })
+            .map(|_| Change {
+                items: (0..1 + usize::arbitrary(g) % 3).map(|_| item(g)).collect(),
+            })
             .collect();
         Story(changes, (0..12).map(|_| usize::arbitrary(g) % 8).collect())
     }
@@ -61,12 +73,17 @@
         for change in &changes {
             board.join(change);
         }
-        let late: Vec<Change> = again.iter().filter_map(|n| changes.get(*n).cloned()).collect();
+        let late: Vec<Change> = again
+            .iter()
+            .filter_map(|n| changes.get(*n).cloned())
+            .collect();
         late.iter().for_each(|change| {
             board.join(change);
         });
-        let told: Vec<(String, u32)> =
-            board.standing(Kind::Tenant).map(|item| (item.name.clone(), item.version)).collect();
+        let told: Vec<(String, u32)> = board
+            .standing(Kind::Tenant)
+            .map(|item| (item.name.clone(), item.version))
+            .collect();
         told == plain(&changes)
     }
     check().quickcheck(holds as fn(Story) -> bool);
@@ -94,9 +111,15 @@
 fn what_was_sent_reads_back_the_same() {
     let text = first().read_back();
     let whole = parse(text.as_bytes()).expect("JSON");
-    let table = whole.as_object().and_then(|all| all.get("RouteTable")).expect("routes");
+    let table = whole
+        .as_object()
+        .and_then(|all| all.get("RouteTable"))
+        .expect("routes");
     let text_of = |value: &maplefall_gateway_config::Json| format!("{value:?}");
-    assert!(text_of(table).contains("\"Later\"") && text_of(table).contains("\"x\""), "{text}");
+    assert!(
+        text_of(table).contains("\"Later\"") && text_of(table).contains("\"x\""),
+        "{text}"
+    );
     let again = read_call(format!("{{\"Upsert\":{text}}}").as_bytes()).expect("a call");
     let mut board = Board::default();
     board.join(&again);
@@ -117,7 +140,11 @@
         verdict(&call.replace(from, to))
     };
     for (from, to, told) in [
-        ("\"Service\":\"s1\",\"Weight\":90", "\"Service\":\"sX\",\"Weight\":90", "unknown=\"sX\""),
+        (
+            "\"Service\":\"s1\",\"Weight\":90",
+            "\"Service\":\"sX\",\"Weight\":90",
+            "unknown=\"sX\"",
+        ),
         ("\"Weight\":90", "\"Weight\":-1", "TrafficSplit"),
         (
             "\"Weight\":90},{\"Service\":\"s2\",\"Weight\":10",
@@ -133,24 +160,41 @@
         ("122,122", "-1,122", "RatePerS"),
         ("\"00000009\",null,{", "\"9\",null,{", "Version"),
         ("\"safe\"", "\"sometimes\"", "RouteKind"),
-        ("130,\"h1\",false,\"00000009\"]]", "130,\"h1\",false,\"00000009\"]", "body"),
+        (
+            "130,\"h1\",false,\"00000009\"]]",
+            "130,\"h1\",false,\"00000009\"]",
+            "body",
+        ),
     ] {
         let why = route(from, to).expect_err(to);
         assert!(why.contains(told) && why.contains("step="), "{to}: {why}");
     }
     let shared = r#"{"Upsert":{"Tenants":{"ColumnNames":["Name","ApiKeys","Version"],"DataRows":[["t2",["k2"],"00000001"]]}}}"#;
-    assert!(verdict(shared).expect_err("a shared key").contains("same_as"));
+    assert!(verdict(shared)
+        .expect_err("a shared key")
+        .contains("same_as"));
     let taken = FIRST.replace("122,122", "123,122");
-    assert!(verdict(&taken).expect_err("a version that is taken").contains("taken"));
+    assert!(verdict(&taken)
+        .expect_err("a version that is taken")
+        .contains("taken"));
     let gone = r#"{"Remove":{"Services":[{"Name":"s2","Version":"00000009"}]}}"#;
-    assert!(verdict(gone).expect_err("a service that is in use").contains("unknown=\"s2\""));
+    assert!(verdict(gone)
+        .expect_err("a service that is in use")
+        .contains("unknown=\"s2\""));
     // An older version changes nothing, and the same again is no conflict.
     assert!(verdict(&FIRST.replace("00000007", "00000003")).is_ok());
     assert!(verdict(FIRST).is_ok());
     for cut in 1..FIRST.len() {
         assert!(verdict(&FIRST[..cut]).is_err(), "cut after {cut}");
     }
-    for odd in ["{}x", "[]", "", "{\"Upsert\":7}", &"[".repeat(100_000), "{\"Upsert\":{\"Strange\":{}}}"] {
+    for odd in [
+        "{}x",
+        "[]",
+        "",
+        "{\"Upsert\":7}",
+        &"[".repeat(100_000),
+        "{\"Upsert\":{\"Strange\":{}}}",
+    ] {
         assert!(verdict(odd).is_err(), "{}", &odd[..odd.len().min(20)]);
     }
 }
@@ -175,8 +219,20 @@
     assert_eq!(name("one.example", "/a/bc").as_deref(), Some("r1"));
     assert_eq!(name("one.example", "/a"), None);
     assert_eq!(name("two.example", "/a/b/"), None);
-    assert!(matches!(plan.way("one.example", "/a/", Some("kX")), Way::Stranger));
-    assert!(matches!(plan.way("one.example", "/a/", Some("k2")), Way::Route(_, Some(_))));
-    assert!(matches!(plan.way("one.example", "/a/b/", None), Way::Route(_, None)));
-    assert!(matches!(plan.way("one.example", "/", Some("k2")), Way::Nowhere));
+    assert!(matches!(
+        plan.way("one.example", "/a/", Some("kX")),
+        Way::Stranger
+    ));
+    assert!(matches!(
+        plan.way("one.example", "/a/", Some("k2")),
+        Way::Route(_, Some(_))
+    ));
+    assert!(matches!(
+        plan.way("one.example", "/a/b/", None),
+        Way::Route(_, None)
+    ));
+    assert!(matches!(
+        plan.way("one.example", "/", Some("k2")),
+        Way::Nowhere
+    ));
 }
--- a/crates/gateway-config/tests/judge.rs
+++ b/crates/gateway-config/tests/judge.rs
@@ -3,13 +3,18 @@
 
 mod plain;
 
-use maplefall_gateway_config::{Ahead, Board, Change, Field, Item, Items, Kind, Plan, Taken, Verdict};
+use maplefall_gateway_config::{
+    Ahead, Board, Change, Field, Item, Items, Kind, Plan, Taken, Verdict,
+};
 use plain::{Judgement, Plain};
 use prost::Message;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 fn field(name: &str, json: String) -> Field {
-    Field { name: name.into(), json }
+    Field {
+        name: name.into(),
+        json,
+    }
 }
 
 /// Few names, places, keys and versions: all that can be at odds often is.
@@ -46,7 +51,13 @@
     if dropped {
         fields.clear();
     }
-    Item { kind: kind.into(), name, version, dropped, fields }
+    Item {
+        kind: kind.into(),
+        name,
+        version,
+        dropped,
+        fields,
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -57,12 +68,16 @@
         let mut calls: Vec<Change> = Vec::new();
         for _ in 0..2 + usize::arbitrary(g) % 40 {
             // A third come again, some of them with something new.
-            let again = g.choose(&calls).cloned().filter(|_| u8::arbitrary(g) % 3 == 0);
+            let again = g
+                .choose(&calls)
+                .cloned()
+                .filter(|_| u8::arbitrary(g) % 3 == 0);
             let mut change = again.unwrap_or_default();
             while change.items.is_empty() || u8::arbitrary(g) % 3 == 0 {
                 let item = item(g);
                 let twice = |known: &Item| {
-                    (known.kind, &known.name, known.version) == (item.kind, &item.name, item.version)
+                    (known.kind, &known.name, known.version)
+                        == (item.kind, &item.name, item.version)
                 };
                 // One call says one thing under a number: the reader sees to that.
                 if !change.items.iter().any(twice) {
@@ -103,7 +118,9 @@
     fn holds(story: Story) -> bool {
         let Story(calls, mut chance) = story;
         let mut draw = |most: u64| {
-            chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            chance = chance
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888_963_407);
             (chance >> 33) % most
         };
         let (mut board, mut plain) = (Board::default(), Plain::default());
@@ -139,11 +156,14 @@
             }
             if draw(4) == 0 {
                 ahead = Ahead::default();
-                pending.iter().for_each(|(index, change)| ahead.add(*index, change));
+                pending
+                    .iter()
+                    .for_each(|(index, change)| ahead.add(*index, change));
             }
             if draw(6) == 0 {
                 let items = board.items().cloned().collect();
-                let taken = Taken::decode(board.taken().encode_to_vec().as_slice()).expect("a message");
+                let taken =
+                    Taken::decode(board.taken().encode_to_vec().as_slice()).expect("a message");
                 let restored = Board::restored(items, taken);
                 if restored != board {
                     return false;
@@ -158,7 +178,10 @@
         plain.sound(&[]) && board.items().cloned().collect::<Vec<_>>() == held
     }
     println!("seed 11");
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 11)).tests(800).quickcheck(holds as fn(Story) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(60, 11))
+        .tests(800)
+        .quickcheck(holds as fn(Story) -> bool);
 }
 
 /// Guards doors: a plan that follows change by change, some at once, is the plan of all that holds.
@@ -166,7 +189,8 @@
 fn a_plan_that_follows_its_items_is_the_plan_of_them() {
     fn holds(story: Story) -> bool {
         let Story(calls, chance) = story;
-        let (mut board, mut items, mut plan) = (Board::default(), Items::default(), Plan::default());
+        let (mut board, mut items, mut plan) =
+            (Board::default(), Items::default(), Plan::default());
         let mut waiting = Vec::new();
         for (at, call) in calls.into_iter().enumerate() {
             if board.check(&call).is_err() {
@@ -186,12 +210,21 @@
         true
     }
     println!("seed 13");
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 13)).tests(400).quickcheck(holds as fn(Story) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(60, 13))
+        .tests(400)
+        .quickcheck(holds as fn(Story) -> bool);
 }
 
 fn limit(name: &str, version: u32, content: u32) -> Change {
     let fields = vec![field("ConnLimit", content.to_string())];
-    let item = Item { kind: Kind::Service.into(), name: name.into(), version, dropped: false, fields };
+    let item = Item {
+        kind: Kind::Service.into(),
+        name: name.into(),
+        version,
+        dropped: false,
+        fields,
+    };
     Change { items: vec![item] }
 }
 
@@ -209,8 +242,16 @@
     // The highest and the four before it.
     assert_eq!(judged(&board, "a", 10, 10), Some(Judgement::Taken));
     for version in 6..=10 {
-        assert_eq!(judged(&board, "a", version, version), Some(Judgement::Taken), "{version}");
-        assert_eq!(judged(&board, "a", version, 99), Some(Judgement::Conflict), "{version}");
+        assert_eq!(
+            judged(&board, "a", version, version),
+            Some(Judgement::Taken),
+            "{version}"
+        );
+        assert_eq!(
+            judged(&board, "a", version, 99),
+            Some(Judgement::Conflict),
+            "{version}"
+        );
     }
     for version in 1..=5 {
         assert_eq!(judged(&board, "a", version, version), None, "{version}");
@@ -229,9 +270,18 @@
         board.join(&limit(&format!("c{name}"), 2, 2));
     }
     assert_eq!(judged(&board, "a", 9, 9), None, "the oldest went");
-    assert_eq!(judged(&board, "c7", 1, 1), Some(Judgement::Taken), "the newest is known");
+    assert_eq!(
+        judged(&board, "c7", 1, 1),
+        Some(Judgement::Taken),
+        "the newest is known"
+    );
     assert_eq!(judged(&board, "quiet", 3, 3), Some(Judgement::Taken));
     assert_eq!(judged(&board, "quiet", 2, 3), Some(Judgement::New));
-    let kept: usize = board.taken().names.iter().map(|name| name.versions.len()).sum();
+    let kept: usize = board
+        .taken()
+        .names
+        .iter()
+        .map(|name| name.versions.len())
+        .sum();
     assert!(kept <= 12, "{kept}");
 }
--- a/crates/gateway-config/tests/plain/mod.rs
+++ b/crates/gateway-config/tests/plain/mod.rs
@@ -40,7 +40,10 @@
         let mut held: BTreeMap<(Kind, String), Item> = BTreeMap::new();
         for item in &self.0 {
             let key = (item.kind(), item.name.clone());
-            if held.get(&key).is_none_or(|known| known.version < item.version) {
+            if held
+                .get(&key)
+                .is_none_or(|known| known.version < item.version)
+            {
                 held.insert(key, item.clone());
             }
         }
@@ -50,15 +53,26 @@
     /// What becomes of a call.
     pub fn judge(&self, change: &Change) -> Judgement {
         let known = |item: &Item| self.0.iter().find(|known| number(known) == number(item));
-        if change.items.iter().any(|item| known(item).is_some_and(|known| known != item)) {
+        if change
+            .items
+            .iter()
+            .any(|item| known(item).is_some_and(|known| known != item))
+        {
             return Judgement::Conflict;
         }
-        let news: Vec<Item> = change.items.iter().filter(|item| known(item).is_none()).cloned().collect();
+        let news: Vec<Item> = change
+            .items
+            .iter()
+            .filter(|item| known(item).is_none())
+            .cloned()
+            .collect();
         if news.is_empty() {
             return Judgement::Taken;
         }
         let mut then = self.clone();
-        then.take(&Change { items: news.clone() });
+        then.take(&Change {
+            items: news.clone(),
+        });
         if then.sound(&news) {
             Judgement::New
         } else {
@@ -69,27 +83,47 @@
     /// Whether all that stands goes together, and what these items ask for is there, even where they are late.
     pub fn sound(&self, asked: &[Item]) -> bool {
         let held = self.held();
-        let standing = |kind: Kind| held.values().filter(move |item| item.kind() == kind && !item.dropped);
-        let services: BTreeSet<&str> = standing(Kind::Service).map(|service| service.name.as_str()).collect();
-        let asked = asked.iter().filter(|item| item.kind() == Kind::Route && !item.dropped);
+        let standing = |kind: Kind| {
+            held.values()
+                .filter(move |item| item.kind() == kind && !item.dropped)
+        };
+        let services: BTreeSet<&str> = standing(Kind::Service)
+            .map(|service| service.name.as_str())
+            .collect();
+        let asked = asked
+            .iter()
+            .filter(|item| item.kind() == Kind::Route && !item.dropped);
         for item in asked.chain(standing(Kind::Route)) {
-            let Ok(route) = Route::of(item) else { return false };
-            if route.to.iter().any(|(name, _)| !services.contains(name.as_str())) {
+            let Ok(route) = Route::of(item) else {
+                return false;
+            };
+            if route
+                .to
+                .iter()
+                .any(|(name, _)| !services.contains(name.as_str()))
+            {
                 return false;
             }
         }
         let mut places: BTreeSet<(String, String)> = BTreeSet::new();
         for item in standing(Kind::Route) {
-            let Ok(route) = Route::of(item) else { return false };
+            let Ok(route) = Route::of(item) else {
+                return false;
+            };
             if !places.insert((route.host, route.prefix)) {
                 return false;
             }
         }
         let mut keys: BTreeMap<String, String> = BTreeMap::new();
         for item in standing(Kind::Tenant) {
-            let Ok(tenant) = Tenant::of(item) else { return false };
+            let Ok(tenant) = Tenant::of(item) else {
+                return false;
+            };
             for key in tenant.keys {
-                if keys.insert(key, item.name.clone()).is_some_and(|other| other != item.name) {
+                if keys
+                    .insert(key, item.name.clone())
+                    .is_some_and(|other| other != item.name)
+                {
                     return false;
                 }
             }
--- a/crates/grpc/examples/routes.rs
+++ b/crates/grpc/examples/routes.rs
@@ -25,13 +25,21 @@
         let rows: Vec<(String, u32)> = (0..count)
             .map(|n| match n % 10 {
                 0 => (format!("/lots.city{}.v1.Area{n}/*", n / 100), n as u32),
-                _ => (format!("/lots.city{}.v1.Area{}/Method{n}", n / 100, n / 10), n as u32),
+                _ => (
+                    format!("/lots.city{}.v1.Area{}/Method{n}", n / 100, n / 10),
+                    n as u32,
+                ),
             })
             .collect();
-        let table = || rows.iter().map(|(pattern, route)| (pattern.as_str(), *route));
+        let table = || {
+            rows.iter()
+                .map(|(pattern, route)| (pattern.as_str(), *route))
+        };
         let routes = Routes::new(table()).expect("good patterns");
         let plain = Plain::new(table());
-        let paths: Vec<String> = (0..count).map(|n| rows[n * 7919 % count].0.replace('*', "Other")).collect();
+        let paths: Vec<String> = (0..count)
+            .map(|n| rows[n * 7919 % count].0.replace('*', "Other"))
+            .collect();
         let list = |path: &str| {
             let hit = |pattern: &str| match pattern.strip_suffix('*') {
                 Some(service) => path.starts_with(service),
@@ -46,7 +54,11 @@
             assert_eq!(routes.find(path), plain.find(path), "{path}");
             assert_eq!(routes.find(path), list(path), "{path}");
         }
-        let slow = if count <= 1_000 { format!("{:.0}", time(&paths, list)) } else { "-".to_owned() };
+        let slow = if count <= 1_000 {
+            format!("{:.0}", time(&paths, list))
+        } else {
+            "-".to_owned()
+        };
         println!(
             "| {count} | {:.0} | {:.0} | {slow} |",
             time(&paths, |path| routes.find(path)),
--- a/crates/grpc/src/attempt.rs
+++ b/crates/grpc/src/attempt.rs
@@ -32,7 +32,10 @@
 
     /// Whether it is certain that nothing has run.
     pub fn never_ran(&self) -> bool {
-        matches!(self.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(
+            self.outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
@@ -61,7 +64,13 @@
 impl Attempt {
     /// One that is given up at `until`, of a call whose client waits until `deadline`.
     pub fn new(shape: Shape, until: Millis, deadline: Millis) -> Attempt {
-        Attempt { shape, until, deadline, phase: Phase::Unsent, frames: Frames::default() }
+        Attempt {
+            shape,
+            until,
+            deadline,
+            phase: Phase::Unsent,
+            frames: Frames::default(),
+        }
     }
 
     /// Its head goes to a live connection.
@@ -85,7 +94,13 @@
     }
 
     /// The head of the answer; `ends` if nothing follows it.
-    pub fn head(&mut self, now: Millis, status: u16, headers: &HeaderMap, ends: bool) -> Option<End> {
+    pub fn head(
+        &mut self,
+        now: Millis,
+        status: u16,
+        headers: &HeaderMap,
+        ends: bool,
+    ) -> Option<End> {
         if self.phase != Phase::Sent {
             return None;
         }
@@ -97,10 +112,21 @@
         if status != 200 {
             let code = Code::of_http(status);
             let turned_away = code.meaning() == Meaning::TurnedAway && not_started(headers);
-            let outcome = if turned_away { Outcome::Full } else { Outcome::Error };
-            return self.over(outcome, code, "the backend answered with an HTTP status of its own");
+            let outcome = if turned_away {
+                Outcome::Full
+            } else {
+                Outcome::Error
+            };
+            return self.over(
+                outcome,
+                code,
+                "the backend answered with an HTTP status of its own",
+            );
         }
-        if !headers.get(http::header::CONTENT_TYPE).is_some_and(|kind| is_grpc(kind.as_bytes())) {
+        if !headers
+            .get(http::header::CONTENT_TYPE)
+            .is_some_and(|kind| is_grpc(kind.as_bytes()))
+        {
             return self.over(Outcome::Error, Code::Unknown, "the answer is no gRPC");
         }
         if ends {
@@ -116,10 +142,20 @@
             return None;
         }
         if self.frames.take(bytes).is_err() {
-            return self.over(Outcome::Reset, Code::Internal, "the answer's messages cannot be told apart");
+            return self.over(
+                Outcome::Reset,
+                Code::Internal,
+                "the answer's messages cannot be told apart",
+            );
         }
-        if !self.shape.answer_streams() && self.frames.messages() + u64::from(self.frames.within()) > 1 {
-            return self.over(Outcome::Reset, Code::Internal, "a unary answer has more than one message");
+        if !self.shape.answer_streams()
+            && self.frames.messages() + u64::from(self.frames.within()) > 1
+        {
+            return self.over(
+                Outcome::Reset,
+                Code::Internal,
+                "a unary answer has more than one message",
+            );
         }
         None
     }
@@ -140,21 +176,35 @@
         let code = Code::from_wire(status.as_bytes());
         if now >= self.deadline {
             // Whatever it says, its client has gone by now.
-            return self.over(Outcome::Timeout, Code::DeadlineExceeded, "the status came after the deadline");
+            return self.over(
+                Outcome::Timeout,
+                Code::DeadlineExceeded,
+                "the status came after the deadline",
+            );
         }
         if self.frames.within() {
             // The status may say OK: a message was cut all the same.
-            return self.over(Outcome::Reset, Code::Internal, "the answer was cut within a message");
+            return self.over(
+                Outcome::Reset,
+                Code::Internal,
+                "the answer was cut within a message",
+            );
         }
         if code == Code::Ok && !self.shape.answer_streams() && self.frames.messages() != 1 {
-            return self.over(Outcome::Error, Code::Internal, "a unary answer without a message");
+            return self.over(
+                Outcome::Error,
+                Code::Internal,
+                "a unary answer without a message",
+            );
         }
         let outcome = match code.meaning() {
             Meaning::Answer => Outcome::Ok,
             Meaning::Fault => Outcome::Error,
             Meaning::Late => Outcome::Timeout,
             // Its own word that it has not run counts only where nothing of it has come.
-            Meaning::TurnedAway if not_started(headers) && self.frames.messages() == 0 => Outcome::Full,
+            Meaning::TurnedAway if not_started(headers) && self.frames.messages() == 0 => {
+                Outcome::Full
+            }
             Meaning::TurnedAway => Outcome::Error,
         };
         self.over(outcome, code, "")
@@ -169,21 +219,29 @@
     pub fn reset(&mut self, now: Millis, error: u32) -> Option<End> {
         match error {
             // Only before an answer: afterwards the word contradicts what was seen.
-            REFUSED_STREAM if self.phase != Phase::Answering => {
-                self.over(Outcome::Full, Code::Unavailable, "the backend refused the stream")
-            }
+            REFUSED_STREAM if self.phase != Phase::Answering => self.over(
+                Outcome::Full,
+                Code::Unavailable,
+                "the backend refused the stream",
+            ),
             // Servers reset with CANCEL what is past the time that they were told.
             CANCEL if now >= self.until.min(self.deadline) => self.timed_out(),
-            _ => self.over(Outcome::Reset, Code::of_reset(error), "the backend reset the stream"),
+            _ => self.over(
+                Outcome::Reset,
+                Code::of_reset(error),
+                "the backend reset the stream",
+            ),
         }
     }
 
     /// The backend said that it never looked at this stream: its `GOAWAY` names an earlier one as the last.
     pub fn unprocessed(&mut self) -> Option<End> {
         match self.phase {
-            Phase::Unsent | Phase::Sent => {
-                self.over(Outcome::Full, Code::Unavailable, "the backend left before the stream")
-            }
+            Phase::Unsent | Phase::Sent => self.over(
+                Outcome::Full,
+                Code::Unavailable,
+                "the backend left before the stream",
+            ),
             _ => self.lost(),
         }
     }
@@ -198,16 +256,26 @@
 
     /// No connection came up.
     pub fn unreachable(&mut self) -> Option<End> {
-        self.over(Outcome::ConnectFailed, Code::Unavailable, "no connection to the backend")
+        self.over(
+            Outcome::ConnectFailed,
+            Code::Unavailable,
+            "no connection to the backend",
+        )
     }
 
     /// Its time is over.
     pub fn timed_out(&mut self) -> Option<End> {
         match self.phase {
-            Phase::Unsent => {
-                self.over(Outcome::ConnectFailed, Code::DeadlineExceeded, "no connection in time")
-            }
-            _ => self.over(Outcome::Timeout, Code::DeadlineExceeded, "no answer in time"),
+            Phase::Unsent => self.over(
+                Outcome::ConnectFailed,
+                Code::DeadlineExceeded,
+                "no connection in time",
+            ),
+            _ => self.over(
+                Outcome::Timeout,
+                Code::DeadlineExceeded,
+                "no answer in time",
+            ),
         }
     }
 }
@@ -221,5 +289,7 @@
     const KIND: &[u8] = b"application/grpc";
     kind.len() >= KIND.len()
         && kind[..KIND.len()].eq_ignore_ascii_case(KIND)
-        && kind.get(KIND.len()).is_none_or(|next| matches!(next, b'+' | b';' | b' '))
+        && kind
+            .get(KIND.len())
+            .is_none_or(|next| matches!(next, b'+' | b';' | b' '))
 }
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -199,12 +199,19 @@
     /// It is refused: trying again is harmless, after this time where it is advised.
     pub fn refuse(&mut self, wait: Option<Millis>, outputs: &mut Vec<Output>) {
         let text = match &self.last {
-            Some((end, _)) => format!("refused; trying again is harmless ({:?}: {})", end.code, end.why),
+            Some((end, _)) => format!(
+                "refused; trying again is harmless ({:?}: {})",
+                end.code, end.why
+            ),
             None => "refused; trying again is harmless".to_owned(),
         };
         let mut trailers = status(Code::Unavailable, &text);
         if let Some(wait) = wait.filter(|wait| wait.is_finite()) {
-            insert(&mut trailers, PUSHBACK, &format!("{}", wait.max(0.0).ceil() as u64));
+            insert(
+                &mut trailers,
+                PUSHBACK,
+                &format!("{}", wait.max(0.0).ceil() as u64),
+            );
         }
         self.finish(Result::Refused, trailers, outputs);
     }
@@ -216,9 +223,10 @@
         let mut trailers = match self.last.take() {
             _ if late => status(Code::DeadlineExceeded, "no answer in time"),
             None => status(Code::Unknown, "it may have run"),
-            Some((end, _)) if end.code.invites_repeats() => {
-                status(Code::Unknown, &format!("it may have run ({:?}: {})", end.code, end.why))
-            }
+            Some((end, _)) if end.code.invites_repeats() => status(
+                Code::Unknown,
+                &format!("it may have run ({:?}: {})", end.code, end.why),
+            ),
             // The backend's own word, if it is one.
             Some((end, trailers)) if end.why.is_empty() => trailers,
             Some((end, _)) => status(end.code, end.why),
--- a/crates/grpc/src/frames.rs
+++ b/crates/grpc/src/frames.rs
@@ -110,7 +110,10 @@
     #[test]
     fn a_flag_that_is_none_is_told() {
         let mut frames = Frames::default();
-        assert_eq!(frames.take(&[0, 0, 0, 0, 1, 9, 1, 0, 0, 0, 0, 2]), Err(NoMessage));
+        assert_eq!(
+            frames.take(&[0, 0, 0, 0, 1, 9, 1, 0, 0, 0, 0, 2]),
+            Err(NoMessage)
+        );
         assert_eq!(frames.messages(), 2);
     }
 }
--- a/crates/grpc/src/replay.rs
+++ b/crates/grpc/src/replay.rs
@@ -32,7 +32,14 @@
 impl Replay {
     /// Nothing sent yet, and at most so many bytes kept.
     pub fn new(most: usize) -> Replay {
-        Replay { chunks: VecDeque::new(), gone: 0, bytes: 0, most, ended: false, committed: false }
+        Replay {
+            chunks: VecDeque::new(),
+            gone: 0,
+            bytes: 0,
+            most,
+            ended: false,
+            committed: false,
+        }
     }
 
     /// Whether more may be taken from the client.
@@ -70,7 +77,9 @@
 
     /// What comes at a place, counted in chunks from the first.
     pub fn next(&self, place: u64) -> Next {
-        let Some(at) = place.checked_sub(self.gone) else { return Next::Gone };
+        let Some(at) = place.checked_sub(self.gone) else {
+            return Next::Gone;
+        };
         match usize::try_from(at).ok().and_then(|at| self.chunks.get(at)) {
             Some(chunk) => Next::Chunk(chunk.clone()),
             None if self.ended => Next::End,
@@ -81,7 +90,9 @@
     /// The present attempt has taken all before a place.
     pub fn taken(&mut self, place: u64) {
         while self.committed && self.gone < place {
-            let Some(chunk) = self.chunks.pop_front() else { return };
+            let Some(chunk) = self.chunks.pop_front() else {
+                return;
+            };
             self.bytes -= chunk.len();
             self.gone += 1;
         }
@@ -103,7 +114,11 @@
         let mut replay = Replay::new(6);
         assert!(replay.push(Bytes::from_static(b"abc")));
         replay.taken(1);
-        assert_eq!(replay.next(0), Next::Chunk(Bytes::from_static(b"abc")), "another attempt needs it");
+        assert_eq!(
+            replay.next(0),
+            Next::Chunk(Bytes::from_static(b"abc")),
+            "another attempt needs it"
+        );
         assert_eq!(replay.next(1), Next::Wait);
         assert!(!replay.push(Bytes::from_static(b"defg")));
         assert!(!replay.has_room());
@@ -112,7 +127,10 @@
         assert_eq!((replay.next(0), replay.bytes()), (Next::Gone, 4));
         replay.end();
         replay.taken(2);
-        assert_eq!((replay.next(1), replay.next(2), replay.bytes()), (Next::Gone, Next::End, 0));
+        assert_eq!(
+            (replay.next(1), replay.next(2), replay.bytes()),
+            (Next::Gone, Next::End, 0)
+        );
     }
 
     /// Guards memory against a client that sends frames with nothing in them for ever.
@@ -121,7 +139,10 @@
         let mut replay = Replay::new(6);
         (0..1000).for_each(|_| assert!(replay.push(Bytes::new())));
         replay.push(Bytes::from_static(b"a"));
-        assert_eq!((replay.chunks.len(), replay.next(0)), (1, Next::Chunk(Bytes::from_static(b"a"))));
+        assert_eq!(
+            (replay.chunks.len(), replay.next(0)),
+            (1, Next::Chunk(Bytes::from_static(b"a")))
+        );
     }
 
     proptest! {
--- a/crates/grpc/src/routes.rs
+++ b/crates/grpc/src/routes.rs
@@ -35,7 +35,12 @@
 
 impl<R> Node<R> {
     fn new() -> Node<R> {
-        Node { words: Vec::new(), methods: Vec::new(), service: None, package: None }
+        Node {
+            words: Vec::new(),
+            methods: Vec::new(),
+            service: None,
+            package: None,
+        }
     }
 }
 
@@ -70,7 +75,10 @@
 }
 
 fn good_word(word: &str) -> bool {
-    !word.is_empty() && word.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'_')
+    !word.is_empty()
+        && word
+            .bytes()
+            .all(|byte| byte.is_ascii_alphanumeric() || byte == b'_')
 }
 
 fn good_service(service: &str) -> bool {
@@ -83,7 +91,9 @@
     /// # Errors
     /// Every pattern that cannot be used.
     pub fn new<'a>(rows: impl IntoIterator<Item = (&'a str, R)>) -> Result<Routes<R>, Vec<Wrong>> {
-        let mut routes = Routes { nodes: vec![Node::new()] };
+        let mut routes = Routes {
+            nodes: vec![Node::new()],
+        };
         let mut wrong = Vec::new();
         let mut count = 0;
         for (pattern, route) in rows {
@@ -135,7 +145,10 @@
     fn grow(&mut self, name: &str) -> usize {
         let mut at = 0;
         for word in name.split('.') {
-            at = match self.nodes[at].words.binary_search_by(|(known, _)| (**known).cmp(word)) {
+            at = match self.nodes[at]
+                .words
+                .binary_search_by(|(known, _)| (**known).cmp(word))
+            {
                 Ok(place) => self.nodes[at].words[place].1,
                 Err(place) => {
                     let new = self.nodes.len();
@@ -161,7 +174,10 @@
         let mut best = node.package;
         let mut words = service.split('.').peekable();
         while let Some(word) = words.next() {
-            let Ok(place) = node.words.binary_search_by(|(known, _)| (**known).cmp(word)) else {
+            let Ok(place) = node
+                .words
+                .binary_search_by(|(known, _)| (**known).cmp(word))
+            else {
                 return best;
             };
             node = &self.nodes[node.words[place].1];
@@ -170,8 +186,14 @@
                 best = node.package.or(best);
             }
         }
-        let exact = node.methods.binary_search_by(|(known, _)| (**known).cmp(method)).ok();
-        exact.map(|place| node.methods[place].1).or(node.service).or(best)
+        let exact = node
+            .methods
+            .binary_search_by(|(known, _)| (**known).cmp(method))
+            .ok();
+        exact
+            .map(|place| node.methods[place].1)
+            .or(node.service)
+            .or(best)
     }
 }
 
@@ -182,7 +204,11 @@
 impl<R: Copy> Plain<R> {
     /// A table of patterns that [`Routes`] can use.
     pub fn new<'a>(rows: impl IntoIterator<Item = (&'a str, R)>) -> Plain<R> {
-        Plain(rows.into_iter().map(|(pattern, route)| (pattern.to_owned(), route)).collect())
+        Plain(
+            rows.into_iter()
+                .map(|(pattern, route)| (pattern.to_owned(), route))
+                .collect(),
+        )
     }
 
     /// The route of a method's path.
@@ -198,7 +224,9 @@
             package = shorter;
         }
         tried.push("*".to_owned());
-        tried.iter().find_map(|pattern| self.0.get(pattern).copied())
+        tried
+            .iter()
+            .find_map(|pattern| self.0.get(pattern).copied())
     }
 }
 
@@ -209,8 +237,13 @@
 
     #[test]
     fn the_longest_match_is_taken() {
-        let rows =
-            [("*", 0), ("/lot.*", 1), ("/lot.Session/*", 2), ("/lot.Session/Charge", 3), ("/lot.v2.*", 4)];
+        let rows = [
+            ("*", 0),
+            ("/lot.*", 1),
+            ("/lot.Session/*", 2),
+            ("/lot.Session/Charge", 3),
+            ("/lot.v2.*", 4),
+        ];
         let routes = Routes::new(rows).unwrap();
         let found = [
             ("/lot.Session/Charge", Some(3)),
@@ -231,7 +264,9 @@
 
     #[test]
     fn each_pattern_that_cannot_be_used_is_told() {
-        let rows = ["/a.B/C", "/a.B/C", "a.B/C", "/a..B/C", "/a.B/", "/a.*/C", "/a.B/C*", "/*", "", "/a.B"];
+        let rows = [
+            "/a.B/C", "/a.B/C", "a.B/C", "/a..B/C", "/a.B/", "/a.*/C", "/a.B/C*", "/*", "", "/a.B",
+        ];
         let wrong = Routes::new(rows.map(|row| (row, 0))).unwrap_err();
         assert_eq!(wrong.len(), 9, "{wrong:?}");
         assert_eq!(wrong[0], Wrong::Twice("/a.B/C".to_owned()));
--- a/crates/grpc/src/status.rs
+++ b/crates/grpc/src/status.rs
@@ -83,8 +83,12 @@
 
     /// The code in a `grpc-status`. One that is no number or not known counts as `UNKNOWN`, as in the published clients.
     pub fn from_wire(text: &[u8]) -> Code {
-        let number = std::str::from_utf8(text).ok().and_then(|text| text.parse::<usize>().ok());
-        number.and_then(|number| Code::ALL.get(number).copied()).unwrap_or(Code::Unknown)
+        let number = std::str::from_utf8(text)
+            .ok()
+            .and_then(|text| text.parse::<usize>().ok());
+        number
+            .and_then(|number| Code::ALL.get(number).copied())
+            .unwrap_or(Code::Unknown)
     }
 
     /// What an HTTP status without a `grpc-status` stands for.
@@ -135,7 +139,10 @@
 
     /// Whether client libraries send such a call again by themselves: their usual retry policies name these.
     pub fn invites_repeats(self) -> bool {
-        matches!(self, Code::Unavailable | Code::ResourceExhausted | Code::Aborted)
+        matches!(
+            self,
+            Code::Unavailable | Code::ResourceExhausted | Code::Aborted
+        )
     }
 }
 
@@ -162,11 +169,22 @@
     /// The rows of the published tables, by hand.
     #[test]
     fn the_published_mappings_hold() {
-        let http = [(400, 13), (401, 16), (403, 7), (404, 12), (429, 14), (502, 14), (503, 14), (504, 14)];
+        let http = [
+            (400, 13),
+            (401, 16),
+            (403, 7),
+            (404, 12),
+            (429, 14),
+            (502, 14),
+            (503, 14),
+            (504, 14),
+        ];
         for (status, code) in http {
             assert_eq!(Code::of_http(status).number(), code, "{status}");
         }
-        assert!([200, 204, 302, 418, 500].iter().all(|status| Code::of_http(*status) == Code::Unknown));
+        assert!([200, 204, 302, 418, 500]
+            .iter()
+            .all(|status| Code::of_http(*status) == Code::Unknown));
         let resets = [
             (0, 13),
             (1, 13),
@@ -184,6 +202,9 @@
         for (error, code) in resets {
             assert_eq!(Code::of_reset(error).number(), code, "{error}");
         }
-        assert_eq!((Code::of_reset(5), Code::of_reset(13)), (Code::Unknown, Code::Unknown));
+        assert_eq!(
+            (Code::of_reset(5), Code::of_reset(13)),
+            (Code::Unknown, Code::Unknown)
+        );
     }
 }
--- a/crates/grpc/tests/call.rs
+++ b/crates/grpc/tests/call.rs
@@ -2,7 +2,9 @@
 
 use bytes::Bytes;
 use http::HeaderMap;
-use maplefall_grpc::{Call, Closed, Code, End, Output, Result as Ended, Shape, GRPC_STATUS, PUSHBACK};
+use maplefall_grpc::{
+    Call, Closed, Code, End, Output, Result as Ended, Shape, GRPC_STATUS, PUSHBACK,
+};
 use maplefall_policy::Outcome;
 
 const DEADLINE: f64 = 1000.0;
@@ -29,7 +31,10 @@
     match outputs.last() {
         Some(Output::Final(_, trailers)) => {
             let code = Code::from_wire(trailers[GRPC_STATUS].as_bytes());
-            (code, trailers.get(PUSHBACK).and_then(|told| told.to_str().ok()))
+            (
+                code,
+                trailers.get(PUSHBACK).and_then(|told| told.to_str().ok()),
+            )
         }
         other => panic!("{other:?}"),
     }
@@ -45,7 +50,11 @@
     call.data(first, Bytes::from_static(b"0"), &mut outputs);
     assert_eq!(told(&outputs), "chdd");
     assert!(call.committed());
-    assert_eq!(call.begin(), Err(Closed), "what has been seen cannot be taken back");
+    assert_eq!(
+        call.begin(),
+        Err(Closed),
+        "what has been seen cannot be taken back"
+    );
 }
 
 #[test]
@@ -71,12 +80,20 @@
     let first = call.begin().unwrap();
     call.head(first, HeaderMap::new(), &mut outputs);
     call.data(first, Bytes::from_static(b"one"), &mut outputs);
-    call.ended(first, End::new(Outcome::Reset, Code::Internal, "cut"), HeaderMap::new());
+    call.ended(
+        first,
+        End::new(Outcome::Reset, Code::Internal, "cut"),
+        HeaderMap::new(),
+    );
     let second = call.begin().unwrap();
     call.data(first, Bytes::from_static(b"late"), &mut outputs);
     call.head(second, HeaderMap::new(), &mut outputs);
     call.data(second, Bytes::from_static(b"two"), &mut outputs);
-    call.ended(second, End::new(Outcome::Ok, Code::Ok, ""), maplefall_grpc::status_trailers(Code::Ok, ""));
+    call.ended(
+        second,
+        End::new(Outcome::Ok, Code::Ok, ""),
+        maplefall_grpc::status_trailers(Code::Ok, ""),
+    );
     call.serve(&mut outputs);
     assert_eq!(told(&outputs), "hdS");
     assert_eq!(outputs[1], Output::Data(Bytes::from_static(b"two")));
@@ -120,9 +137,16 @@
         code
     };
     let end = |code| Some(End::new(Outcome::Error, code, ""));
-    assert_eq!(failed(None, 10.0), Code::DeadlineExceeded, "an attempt was cut off: its time was over");
+    assert_eq!(
+        failed(None, 10.0),
+        Code::DeadlineExceeded,
+        "an attempt was cut off: its time was over"
+    );
     assert_eq!(failed(end(Code::Internal), 10.0), Code::Internal);
-    assert_eq!(failed(end(Code::Internal), DEADLINE), Code::DeadlineExceeded);
+    assert_eq!(
+        failed(end(Code::Internal), DEADLINE),
+        Code::DeadlineExceeded
+    );
     for code in [Code::Unavailable, Code::ResourceExhausted, Code::Aborted] {
         assert_eq!(failed(end(code), 10.0), Code::Unknown, "{code:?}");
     }
@@ -146,7 +170,14 @@
 fn what_did_not_end_well_is_not_served() {
     let (mut call, mut outputs) = (call(Shape::Unary), Vec::new());
     let first = call.begin().unwrap();
-    call.ended(first, End::new(Outcome::Reset, Code::Internal, "cut"), HeaderMap::new());
+    call.ended(
+        first,
+        End::new(Outcome::Reset, Code::Internal, "cut"),
+        HeaderMap::new(),
+    );
     call.serve(&mut outputs);
-    assert_eq!((told(&outputs).as_str(), status(&outputs).0), ("F", Code::Internal));
+    assert_eq!(
+        (told(&outputs).as_str(), status(&outputs).0),
+        ("F", Code::Internal)
+    );
 }
--- a/crates/grpc/tests/schedules.rs
+++ b/crates/grpc/tests/schedules.rs
@@ -11,7 +11,9 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
 use maplefall_grpc::frames::prefix;
-use maplefall_grpc::{Attempt, Call, Code, End, Output, Result as Ended, Shape, GRPC_STATUS, PUSHBACK};
+use maplefall_grpc::{
+    Attempt, Call, Code, End, Output, Result as Ended, Shape, GRPC_STATUS, PUSHBACK,
+};
 use maplefall_policy::Outcome;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -111,7 +113,9 @@
                 return Err(format!("{output:?} after the end"));
             }
             match output {
-                Output::Commit if self.client.head => return Err("committed after a head".to_owned()),
+                Output::Commit if self.client.head => {
+                    return Err("committed after a head".to_owned())
+                }
                 Output::Commit => {}
                 Output::Head(_) if self.client.head => return Err("two heads".to_owned()),
                 Output::Head(_) => self.client.head = true,
@@ -133,7 +137,10 @@
         } else if self.now >= DEADLINE {
             self.call.fail(self.now, &mut outputs);
         } else if self.attempts < 4 && !self.call.committed() && (never || !self.unsafe_) {
-            let number = self.call.begin().map_err(|_| "an open call takes no attempt")?;
+            let number = self
+                .call
+                .begin()
+                .map_err(|_| "an open call takes no attempt")?;
             if number != self.attempts {
                 return Err(format!("attempt {number} is the {}th", self.attempts));
             }
@@ -156,9 +163,15 @@
         if self.out.is_none() {
             return self.decide();
         }
-        let Some((number, attempt, ran, answer)) = &mut self.out else { return Ok(()) };
+        let Some((number, attempt, ran, answer)) = &mut self.out else {
+            return Ok(());
+        };
         let (mut outputs, mut trailers) = (Vec::new(), HeaderMap::new());
-        let clock = if self.broken == Some(Broken::NoTime) { 0.0 } else { self.now };
+        let clock = if self.broken == Some(Broken::NoTime) {
+            0.0
+        } else {
+            self.now
+        };
         // Whatever does not say that it has not run has.
         let runs = |ran: &mut bool, all: &mut u32, attempt: &mut Attempt| {
             attempt.sent();
@@ -202,7 +215,8 @@
                     self.call.data(*number, Bytes::from(late), &mut outputs);
                 } else if let Some(former) = self.former {
                     // A late word of a former attempt, under its own number.
-                    self.call.data(former, Bytes::from_static(b"late"), &mut outputs);
+                    self.call
+                        .data(former, Bytes::from_static(b"late"), &mut outputs);
                 }
                 end
             }
@@ -259,12 +273,16 @@
             (Some(Broken::ResetIsRefusal), Some(end)) if end.outcome == Outcome::Reset => {
                 end.outcome = Outcome::Full;
             }
-            (Some(Broken::CutIsOk), Some(end)) if end.outcome == Outcome::Reset => end.outcome = Outcome::Ok,
+            (Some(Broken::CutIsOk), Some(end)) if end.outcome == Outcome::Reset => {
+                end.outcome = Outcome::Ok
+            }
             _ => {}
         }
         let number = *number;
         if let Some(end) = end {
-            let Some((_, _, ran, answer)) = self.out.take() else { return Ok(()) };
+            let Some((_, _, ran, answer)) = self.out.take() else {
+                return Ok(());
+            };
             if ran && end.never_ran() {
                 return Err(format!("an attempt that ran is told as {end:?}"));
             }
@@ -279,9 +297,13 @@
         if self.unsafe_ && self.ran > 1 {
             return Err(format!("it ran {} times", self.ran));
         }
-        let Some((ended, trailers)) = &self.client.end else { return Ok(()) };
-        let code =
-            trailers.get(GRPC_STATUS).map(|code| Code::from_wire(code.as_bytes())).ok_or("no status")?;
+        let Some((ended, trailers)) = &self.client.end else {
+            return Ok(());
+        };
+        let code = trailers
+            .get(GRPC_STATUS)
+            .map(|code| Code::from_wire(code.as_bytes()))
+            .ok_or("no status")?;
         match ended {
             Ended::Served => {
                 let (answer, end) = self.last.as_ref().ok_or("served by nobody")?;
@@ -296,12 +318,16 @@
                     return Err(format!("served {:?} of {whole:?}", self.client.data));
                 }
                 let mut frames = maplefall_grpc::frames::Frames::default();
-                frames.take(whole).map_err(|_| "served what is no message")?;
+                frames
+                    .take(whole)
+                    .map_err(|_| "served what is no message")?;
                 if frames.within() {
                     return Err("served a cut message".to_owned());
                 }
             }
-            Ended::Refused if self.unsafe_ && self.ran > 0 => return Err("refused, and it ran".to_owned()),
+            Ended::Refused if self.unsafe_ && self.ran > 0 => {
+                return Err("refused, and it ran".to_owned())
+            }
             Ended::Refused => {}
             Ended::Failed => {
                 if code == Code::Ok || code.invites_repeats() {
@@ -317,11 +343,20 @@
 }
 
 fn shapes() -> impl Strategy<Value = Shape> {
-    prop_oneof![Just(Shape::Unary), Just(Shape::ServerStream), Just(Shape::ClientStream), Just(Shape::Bidi)]
+    prop_oneof![
+        Just(Shape::Unary),
+        Just(Shape::ServerStream),
+        Just(Shape::ClientStream),
+        Just(Shape::Bidi)
+    ]
 }
 
 fn schedule() -> impl Strategy<Value = (Shape, bool, Vec<Move>)> {
-    (shapes(), any::<bool>(), proptest::collection::vec(a_move(), 1..60))
+    (
+        shapes(),
+        any::<bool>(),
+        proptest::collection::vec(a_move(), 1..60),
+    )
 }
 
 fn play(
@@ -339,11 +374,19 @@
 }
 
 fn cases(usual: u32) -> u32 {
-    std::env::var("GRPC_SCHEDULES").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+    std::env::var("GRPC_SCHEDULES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(usual)
 }
 
 fn runner(cases: u32) -> TestRunner {
-    let config = Config { cases, failure_persistence: None, max_shrink_iters: 300, ..Config::default() };
+    let config = Config {
+        cases,
+        failure_persistence: None,
+        max_shrink_iters: 300,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
 }
 
@@ -368,14 +411,24 @@
         "{attempts} attempts; {served} calls served, {refused} refused, {failed} failed, {open} left open"
     );
     run.unwrap();
-    assert!([served, refused, failed].iter().all(|count| *count > 200), "every end is met");
+    assert!(
+        [served, refused, failed].iter().all(|count| *count > 200),
+        "every end is met"
+    );
 }
 
 #[test]
 fn each_way_to_be_broken_is_found() {
-    for broken in [Broken::ResetIsRefusal, Broken::FormerAttempt, Broken::CutIsOk, Broken::NoTime] {
+    for broken in [
+        Broken::ResetIsRefusal,
+        Broken::FormerAttempt,
+        Broken::CutIsOk,
+        Broken::NoTime,
+    ] {
         let run = runner(1_000).run(&schedule(), |(shape, unsafe_, moves)| {
-            play(shape, unsafe_, &moves, Some(broken)).map_err(TestCaseError::fail).map(drop)
+            play(shape, unsafe_, &moves, Some(broken))
+                .map_err(TestCaseError::fail)
+                .map(drop)
         });
         assert!(run.is_err(), "{broken:?} was not found");
     }
--- a/crates/invariants/src/answers.rs
+++ b/crates/invariants/src/answers.rs
@@ -9,7 +9,12 @@
 
 /// Judges it.
 pub fn judge(view: &View<'_>) -> Ruling {
-    let mut ruling = Ruling::new(1, "one final answer", "requests taken", "ms before the last moment");
+    let mut ruling = Ruling::new(
+        1,
+        "one final answer",
+        "requests taken",
+        "ms before the last moment",
+    );
     let rules = view.record.header.rules;
     let slack = rules.answer_slack_ms + rules.socket_slack_ms;
     let mut answers: BTreeMap<&str, Vec<(Millis, usize)>> = BTreeMap::new();
@@ -18,15 +23,26 @@
         if let Some(answer) = one.answer {
             ruling.tested += 1;
             ruling.margin(answer.at, end - answer.at);
-            answers.entry(one.id).or_default().push((answer.at, answer.line));
+            answers
+                .entry(one.id)
+                .or_default()
+                .push((answer.at, answer.line));
             if answer.at > end {
                 let late = answer.at - one.deadline;
-                let text =
-                    format!("answered {late:.0} ms after the client's time; {slack:.0} ms are allowed");
+                let text = format!(
+                    "answered {late:.0} ms after the client's time; {slack:.0} ms are allowed"
+                );
                 ruling.broken(answer.at, one.id, &[one.line, answer.line], text);
             }
             if answer.status == 200 {
-                served(view, one, answer.at, answer.attempt, answer.line, &mut ruling);
+                served(
+                    view,
+                    one,
+                    answer.at,
+                    answer.attempt,
+                    answer.line,
+                    &mut ruling,
+                );
             }
         }
         if let Some((at, why, line)) = one.lost {
@@ -35,12 +51,18 @@
     }
     for (id, answers) in &answers {
         if let [first, second, ..] = answers[..] {
-            let text = format!("answered at {:.1} ms and again at {:.1} ms", first.0, second.0);
+            let text = format!(
+                "answered at {:.1} ms and again at {:.1} ms",
+                first.0, second.0
+            );
             ruling.broken(second.0, id, &[first.1, second.1], text);
         }
         // A front door hands an answer out after it has ended its last attempt.
         let end = answers[0].0;
-        for attempt in view.attempts_of(id).filter(|attempt| attempt.first > end + BLUR) {
+        for attempt in view
+            .attempts_of(id)
+            .filter(|attempt| attempt.first > end + BLUR)
+        {
             let text = format!(
                 "an attempt began {:.0} ms after the final answer, at node {}",
                 attempt.first - end,
@@ -55,7 +77,12 @@
     }
     for (at, kind, status, _, line) in &view.rude {
         if *status == Some(200) {
-            ruling.broken(*at, "", &[*line], format!("{kind}: served what cannot be a request"));
+            ruling.broken(
+                *at,
+                "",
+                &[*line],
+                format!("{kind}: served what cannot be a request"),
+            );
         }
     }
     crashes(view, &mut ruling);
@@ -63,16 +90,34 @@
 }
 
 /// A served body must be that of an attempt that a node served for this very request.
-fn served(view: &View<'_>, one: &Try<'_>, at: Millis, names: Option<u64>, line: usize, ruling: &mut Ruling) {
-    let made = names.and_then(|number| view.attempts_of(one.id).find(|attempt| attempt.number == number));
+fn served(
+    view: &View<'_>,
+    one: &Try<'_>,
+    at: Millis,
+    names: Option<u64>,
+    line: usize,
+    ruling: &mut Ruling,
+) {
+    let made = names.and_then(|number| {
+        view.attempts_of(one.id)
+            .find(|attempt| attempt.number == number)
+    });
     match made {
         Some(attempt) if matches!(attempt.over, Some((_, End::Served, _))) => {}
         Some(attempt) => {
-            let text = format!("served with attempt {}, which no node served", attempt.number);
+            let text = format!(
+                "served with attempt {}, which no node served",
+                attempt.number
+            );
             ruling.broken(at, one.id, &[line, attempt.line], text);
         }
         None => {
-            ruling.broken(at, one.id, &[one.line, line], "served with what no node made for it".into());
+            ruling.broken(
+                at,
+                one.id,
+                &[one.line, line],
+                "served with what no node made for it".into(),
+            );
         }
     }
 }
@@ -82,15 +127,19 @@
     if why == Lost::NotTaken || view.down_within(one.door, one.asked - BLUR, at + BLUR) {
         return;
     }
-    let sent = view.attempts_of(one.id).find(|a| a.door == one.door && a.at <= at + BLUR);
+    let sent = view
+        .attempts_of(one.id)
+        .find(|a| a.door == one.door && a.at <= at + BLUR);
     match (why, sent) {
         // A connection that is closed with nothing sent on for its request: the client asks again, nothing is lost
         // (later-work page, "Score").
         (Lost::Closed, None) => {}
         (Lost::Closed, Some(attempt)) => {
             ruling.tested += 1;
-            let text =
-                format!("its connection was closed without an answer, and node {} had it", attempt.node);
+            let text = format!(
+                "its connection was closed without an answer, and node {} had it",
+                attempt.node
+            );
             ruling.broken(at, one.id, &[one.line, attempt.line, line], text);
         }
         (Lost::Cut, _) => {
@@ -99,8 +148,14 @@
         }
         (Lost::Silent, sent) => {
             ruling.tested += 1;
-            let lines: Vec<usize> = [one.line, line].into_iter().chain(sent.map(|a| a.line)).collect();
-            let text = format!("no answer within the client's time, which ended at {:.1} ms", one.deadline);
+            let lines: Vec<usize> = [one.line, line]
+                .into_iter()
+                .chain(sent.map(|a| a.line))
+                .collect();
+            let text = format!(
+                "no answer within the client's time, which ended at {:.1} ms",
+                one.deadline
+            );
             ruling.broken(at, one.id, &lines, text);
         }
         (Lost::NotTaken, _) => {}
@@ -115,12 +170,19 @@
             DoorState::Ended { code } => match told.remove(door) {
                 Some((DoorState::Killed, _)) => {}
                 Some((DoorState::Terminated, asked)) if *code != Some(0) => {
-                    let text = format!("front door {door} was told to stop and ended with {code:?}, not 0");
+                    let text = format!(
+                        "front door {door} was told to stop and ended with {code:?}, not 0"
+                    );
                     ruling.broken(*at, "", &[asked, *line], text);
                 }
                 Some((DoorState::Terminated, _)) => {}
                 _ => {
-                    ruling.broken(*at, "", &[*line], format!("front door {door} crashed ({code:?})"));
+                    ruling.broken(
+                        *at,
+                        "",
+                        &[*line],
+                        format!("front door {door} crashed ({code:?})"),
+                    );
                 }
             },
             DoorState::Killed | DoorState::Terminated => {
--- a/crates/invariants/src/ceilings.rs
+++ b/crates/invariants/src/ceilings.rs
@@ -11,10 +11,19 @@
 /// Judges it.
 pub fn judge(view: &View<'_>) -> Ruling {
     let tested_by = "customers that used more than half of their ceiling's store";
-    let ruling = Ruling::new(5, "hard ceilings", tested_by, "units left to the slack's end");
+    let ruling = Ruling::new(
+        5,
+        "hard ceilings",
+        tested_by,
+        "units left to the slack's end",
+    );
     stores::judge(view, ruling, "ceiling", |plan| {
         let ceiling = plan.ceiling?;
         let slack = ceiling.slack + ceiling.rate * BUNCHED_MS / 1000.0;
-        Some(Gives { rate: ceiling.rate, burst: ceiling.burst, slack })
+        Some(Gives {
+            rate: ceiling.rate,
+            burst: ceiling.burst,
+            slack,
+        })
     })
 }
--- a/crates/invariants/src/cold.rs
+++ b/crates/invariants/src/cold.rs
@@ -14,12 +14,23 @@
 /// Judges it.
 pub fn judge(view: &View<'_>) -> Ruling {
     let tested_by = "cold nodes that were sent at least five attempts";
-    let mut ruling = Ruling::new(4, "no cold node pushed over", tested_by, "of the budget left");
+    let mut ruling = Ruling::new(
+        4,
+        "no cold node pushed over",
+        tested_by,
+        "of the budget left",
+    );
     let rules = view.record.header.rules;
-    for life in view.lives.iter().filter(|life| life.cold_from < 1.0 && life.cold_ms > 0.0) {
+    for life in view
+        .lives
+        .iter()
+        .filter(|life| life.cold_from < 1.0 && life.cold_ms > 0.0)
+    {
         let cold_until = (life.from + life.cold_ms).min(life.to);
         let cold = |attempt: &&Attempt<'_>| {
-            attempt.node == life.node && attempt.whole && (life.from..=cold_until).contains(&attempt.at)
+            attempt.node == life.node
+                && attempt.whole
+                && (life.from..=cold_until).contains(&attempt.at)
         };
         let came: Vec<&Attempt<'_>> = view.attempts.iter().filter(cold).collect();
         ruling.tested += u64::from(came.len() >= LEAST_ATTEMPTS);
@@ -44,8 +55,11 @@
             let budget = rules.overload_factor * capacity + rules.cold_slack_ms;
             ruling.margin(attempt.at, 1.0 - sum / budget);
             if sum > budget && !broken {
-                let known: f64 =
-                    window.iter().filter(|attempt| knew(attempt)).map(|attempt| attempt.work).sum();
+                let known: f64 = window
+                    .iter()
+                    .filter(|attempt| knew(attempt))
+                    .map(|attempt| attempt.work)
+                    .sum();
                 if known >= KNEW * sum {
                     broken = true;
                     let text = format!(
@@ -55,7 +69,9 @@
                         rules.overload_window_ms,
                         attempt.at - life.from
                     );
-                    let lines: Vec<usize> = [life.line, window[0].line, attempt.line].into_iter().collect();
+                    let lines: Vec<usize> = [life.line, window[0].line, attempt.line]
+                        .into_iter()
+                        .collect();
                     ruling.broken(attempt.at, "", &lines, text);
                 }
             }
--- a/crates/invariants/src/drain_times.rs
+++ b/crates/invariants/src/drain_times.rs
@@ -28,7 +28,10 @@
     let mut found = Vec::new();
     let mut stopped: std::collections::BTreeMap<(u32, u32, u32), bool> = Default::default();
     for telling in &view.tellings {
-        let (key, by) = ((telling.door, telling.node), (telling.door, telling.node, telling.source));
+        let (key, by) = (
+            (telling.door, telling.node),
+            (telling.door, telling.node, telling.source),
+        );
         if telling.health == Health::Up {
             stopped.insert(by, false);
             continue;
@@ -38,10 +41,17 @@
             continue;
         }
         let of_node = |(_, node, _): &&(Millis, u32, Health)| *node == telling.node;
-        let up_again =
-            view.committed.iter().filter(of_node).find(|(at, _, h)| *at > telling.at && *h == Health::Up);
+        let up_again = view
+            .committed
+            .iter()
+            .filter(of_node)
+            .find(|(at, _, h)| *at > telling.at && *h == Health::Up);
         let until = up_again.map_or(f64::INFINITY, |(at, _, _)| *at);
-        let commits = view.committed.iter().filter(of_node).filter(|(at, _, _)| *at <= telling.at);
+        let commits = view
+            .committed
+            .iter()
+            .filter(of_node)
+            .filter(|(at, _, _)| *at <= telling.at);
         // The first stop since the node was last up.
         let mut commit = None;
         for (at, _, health) in commits {
@@ -83,16 +93,47 @@
 
     fn came(attempt: u64, node: u32, first: Millis) -> Entry {
         let (id, key) = (format!("r{attempt}"), None);
-        Entry::Came { attempt, node, door: 0, id, key, form: 0, first, whole: true, work: 1.0 }
+        Entry::Came {
+            attempt,
+            node,
+            door: 0,
+            id,
+            key,
+            form: 0,
+            first,
+            whole: true,
+            work: 1.0,
+        }
     }
 
     #[test]
     fn new_work_after_the_commit_counts_and_work_begun_before_does_not() {
-        let told = |health| Entry::Told { door: 0, node: 1, health, born: None, source: 1, version: 0 };
+        let told = |health| Entry::Told {
+            door: 0,
+            node: 1,
+            health,
+            born: None,
+            source: 1,
+            version: 0,
+        };
         let lines = [
             (0.0, told(Health::Up)),
-            (100.0, Entry::Committed { node: 1, health: Health::Draining }),
-            (105.0, Entry::Due { door: 0, node: 1, health: Health::Draining, version: 2 }),
+            (
+                100.0,
+                Entry::Committed {
+                    node: 1,
+                    health: Health::Draining,
+                },
+            ),
+            (
+                105.0,
+                Entry::Due {
+                    door: 0,
+                    node: 1,
+                    health: Health::Draining,
+                    version: 2,
+                },
+            ),
             (130.0, told(Health::Draining)),
             (140.0, came(2, 1, 125.0)),
             (150.0, came(3, 1, 145.0)),
@@ -102,7 +143,13 @@
             // The same drain told again is none.
             (170.0, told(Health::Removed)),
             // Up again: what comes now is no work of a drained node.
-            (180.0, Entry::Committed { node: 1, health: Health::Up }),
+            (
+                180.0,
+                Entry::Committed {
+                    node: 1,
+                    health: Health::Up,
+                },
+            ),
             (195.0, came(5, 1, 190.0)),
         ];
         let header = Header {
@@ -114,7 +161,10 @@
             plans: Vec::new(),
             rules: Rules::platform(1.0),
         };
-        let lines = lines.into_iter().map(|(at, entry)| Line { at, entry }).collect();
+        let lines = lines
+            .into_iter()
+            .map(|(at, entry)| Line { at, entry })
+            .collect();
         let found = drain_times(&Record { header, lines });
         let expected = DrainTime {
             door: 0,
--- a/crates/invariants/src/drains.rs
+++ b/crates/invariants/src/drains.rs
@@ -33,7 +33,10 @@
     let mut told: Vec<_> = view.tellings.iter().chain(&view.due).collect();
     told.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut tellings = told.into_iter().peekable();
-    let starts = view.doors.iter().filter(|(_, _, state, _)| *state == DoorState::Started);
+    let starts = view
+        .doors
+        .iter()
+        .filter(|(_, _, state, _)| *state == DoorState::Started);
     let mut starts = starts.peekable();
     let mut sends: Vec<_> = view.attempts.iter().collect();
     sends.sort_by(|a, b| a.first.total_cmp(&b.first));
@@ -41,17 +44,27 @@
         // All that was told, and every new life of a front door, up to this send; a start comes before what the
         // front door starts with.
         loop {
-            let told = tellings.peek().map(|t| (t.at, t.line)).filter(|(at, _)| *at <= attempt.first);
-            let start = starts.peek().map(|s| (s.0, s.3)).filter(|(at, _)| *at <= attempt.first);
+            let told = tellings
+                .peek()
+                .map(|t| (t.at, t.line))
+                .filter(|(at, _)| *at <= attempt.first);
+            let start = starts
+                .peek()
+                .map(|s| (s.0, s.3))
+                .filter(|(at, _)| *at <= attempt.first);
             match (told, start) {
                 (None, None) => break,
                 (told, Some(start)) if told.is_none_or(|told| start.1 < told.1) => {
-                    let Some((_, door, _, _)) = starts.next() else { break };
+                    let Some((_, door, _, _)) = starts.next() else {
+                        break;
+                    };
                     stopped.retain(|(of, _), _| of != door);
                     sent.retain(|(of, _), _| of != door);
                 }
                 _ => {
-                    let Some(telling) = tellings.next() else { break };
+                    let Some(telling) = tellings.next() else {
+                        break;
+                    };
                     let key = (telling.door, telling.node);
                     let entry = stopped.entry(key).or_default();
                     let first = entry.is_empty();
@@ -63,8 +76,13 @@
                                 && !telling.born.is_some_and(|born| born > stop.at)
                         });
                     } else {
-                        let Telling { at, line, version, .. } = *telling;
-                        let stop = entry.entry(telling.source).or_insert(Stop { at, line, version });
+                        let Telling {
+                            at, line, version, ..
+                        } = *telling;
+                        let stop =
+                            entry
+                                .entry(telling.source)
+                                .or_insert(Stop { at, line, version });
                         stop.version = stop.version.max(version);
                     }
                     if first && !entry.is_empty() {
@@ -75,9 +93,13 @@
             }
         }
         let key = (attempt.door, attempt.node);
-        let earliest =
-            stopped.get(&key).and_then(|stops| stops.values().min_by(|a, b| a.at.total_cmp(&b.at)));
-        if let Some(Stop { at: since, line, .. }) = earliest {
+        let earliest = stopped
+            .get(&key)
+            .and_then(|stops| stops.values().min_by(|a, b| a.at.total_cmp(&b.at)));
+        if let Some(Stop {
+            at: since, line, ..
+        }) = earliest
+        {
             let after = attempt.first - since;
             ruling.margin(attempt.first, grace - after);
             if after > grace {
--- a/crates/invariants/src/figures.rs
+++ b/crates/invariants/src/figures.rs
@@ -74,15 +74,30 @@
     let mut cpu = 0.0;
     for line in lines {
         match &line.entry {
-            Entry::Used { cpu_ms, memory_kib, .. } => {
+            Entry::Used {
+                cpu_ms, memory_kib, ..
+            } => {
                 cpu += cpu_ms;
                 figures.memory_kib = figures.memory_kib.max(*memory_kib);
             }
-            Entry::Lateness { actions, p99_ms, most_ms, .. } => {
-                (figures.actions, figures.late_p99_ms, figures.late_most_ms) = (*actions, *p99_ms, *most_ms);
+            Entry::Lateness {
+                actions,
+                p99_ms,
+                most_ms,
+                ..
+            } => {
+                (figures.actions, figures.late_p99_ms, figures.late_most_ms) =
+                    (*actions, *p99_ms, *most_ms);
             }
-            Entry::Unanswered { why: Lost::NotTaken, .. } => figures.not_taken += 1,
-            Entry::Answered { status: 429 | 503, retry_after_ms, .. } => {
+            Entry::Unanswered {
+                why: Lost::NotTaken,
+                ..
+            } => figures.not_taken += 1,
+            Entry::Answered {
+                status: 429 | 503,
+                retry_after_ms,
+                ..
+            } => {
                 let with = u64::from(retry_after_ms.is_some());
                 figures.refused_with_advice += with;
                 figures.refused += 1 - with;
@@ -103,7 +118,11 @@
     }
     figures.tries = view.tries.len() as u64;
     figures.rude = view.rude.len() as u64;
-    figures.rude_neglected = view.rude.iter().filter(|(_, _, _, neglected, _)| *neglected).count() as u64;
+    figures.rude_neglected = view
+        .rude
+        .iter()
+        .filter(|(_, _, _, neglected, _)| *neglected)
+        .count() as u64;
     let whole = view.attempts.iter().filter(|attempt| attempt.whole).count();
     figures.attempts_per_sent = whole as f64 / view.whole_by_id.len().max(1) as f64;
     figures.cpu_us_per_try = cpu * 1000.0 / figures.tries.max(1) as f64;
@@ -127,18 +146,28 @@
     let mut times = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).ok();
     for tries in order {
         let first = tries[0];
-        let (Some(class), Some(plan)) = (view.class(first), view.plan(first)) else { continue };
-        let served = tries.iter().filter_map(|one| one.answer).find(|answer| answer.status == 200);
+        let (Some(class), Some(plan)) = (view.class(first), view.plan(first)) else {
+            continue;
+        };
+        let served = tries
+            .iter()
+            .filter_map(|one| one.answer)
+            .find(|answer| answer.status == 200);
         let took = served.map(|answer| answer.at - first.asked);
         if let (Some(took), Some(times)) = (took, &mut times) {
             times.saturating_record((took.max(0.0) * 1000.0) as u64);
         }
         // Nobody owes anything to a caller that does not pass.
-        if denied.get(&first.customer).is_some_and(|(from, _)| *from <= first.asked) {
+        if denied
+            .get(&first.customer)
+            .is_some_and(|(from, _)| *from <= first.asked)
+        {
             continue;
         }
         // Offered is what one front door that saw all first tries would let in.
-        let (level, at) = stores.entry(first.customer).or_insert((plan.burst, first.asked));
+        let (level, at) = stores
+            .entry(first.customer)
+            .or_insert((plan.burst, first.asked));
         *level = (*level + plan.rate * (first.asked - *at) / 1000.0).min(plan.burst);
         *at = first.asked;
         if *level < first.units {
@@ -154,11 +183,15 @@
         let sums = worth.entry(first.plan).or_default();
         (sums.0, sums.1) = (sums.0 + got, sums.1 + full);
     }
-    let sum = worth.values().fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+    let sum = worth
+        .values()
+        .fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
     let share = |(got, full): (f64, f64)| if full > 0.0 { got / full } else { 0.0 };
     figures.worth_share = share(sum);
     for (plan, sums) in worth {
-        figures.worth_by_plan.insert(view.record.header.plans[plan].name.clone(), share(sums));
+        figures
+            .worth_by_plan
+            .insert(view.record.header.plans[plan].name.clone(), share(sums));
     }
     if let Some(times) = times {
         let at = |part| times.value_at_quantile(part) as f64 / 1000.0;
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -48,13 +48,21 @@
 impl Judgement {
     /// Whether any rule was broken.
     pub fn broken(&self) -> bool {
-        self.rules.iter().any(|ruling| ruling.verdict == Verdict::Broken)
+        self.rules
+            .iter()
+            .any(|ruling| ruling.verdict == Verdict::Broken)
     }
 
     /// Of these rules, those that the run never put to the test.
     pub fn untested(&self, rules: &[u32]) -> Vec<u32> {
-        let untested = self.rules.iter().filter(|ruling| ruling.verdict == Verdict::NotExercised);
-        untested.map(|ruling| ruling.rule).filter(|rule| rules.contains(rule)).collect()
+        let untested = self
+            .rules
+            .iter()
+            .filter(|ruling| ruling.verdict == Verdict::NotExercised);
+        untested
+            .map(|ruling| ruling.rule)
+            .filter(|rule| rules.contains(rule))
+            .collect()
     }
 }
 
@@ -81,7 +89,12 @@
 /// Why a run says nothing: its stand-ins were late, or did not say how late.
 fn void(record: &Record) -> Option<String> {
     let told = record.lines.iter().rev().find_map(|line| match line.entry {
-        Entry::Lateness { actions, p99_ms, most_ms, .. } => Some((actions, p99_ms, most_ms)),
+        Entry::Lateness {
+            actions,
+            p99_ms,
+            most_ms,
+            ..
+        } => Some((actions, p99_ms, most_ms)),
         _ => None,
     });
     match told {
--- a/crates/invariants/src/repeats.rs
+++ b/crates/invariants/src/repeats.rs
@@ -9,28 +9,50 @@
 /// Judges it.
 pub fn judge(view: &View<'_>) -> Ruling {
     let tested_by = "requests whose attempt failed, or that were sent on more than once";
-    let mut ruling = Ruling::new(2, "repeats as the class permits", tested_by, "ms of a key's memory left");
+    let mut ruling = Ruling::new(
+        2,
+        "repeats as the class permits",
+        tested_by,
+        "ms of a key's memory left",
+    );
     let rules = view.record.header.rules;
     for id in view.whole_by_id.keys() {
         let Some(one) = view.try_of(id) else {
             // Hidden in another request, or made up: an effect that nobody asked for.
             for attempt in view.attempts_of(id) {
-                let text = format!("node {} was sent a request that no client sent", attempt.node);
+                let text = format!(
+                    "node {} was sent a request that no client sent",
+                    attempt.node
+                );
                 ruling.broken(attempt.at, id, &[attempt.line], text);
             }
             continue;
         };
-        for attempt in view.attempts_of(id).filter(|attempt| attempt.form != one.form) {
-            let text = format!("what came to node {} is not what its client sent", attempt.node);
+        for attempt in view
+            .attempts_of(id)
+            .filter(|attempt| attempt.form != one.form)
+        {
+            let text = format!(
+                "what came to node {} is not what its client sent",
+                attempt.node
+            );
             ruling.broken(attempt.at, id, &[one.line, attempt.line], text);
         }
-        let Some(class) = view.class(one) else { continue };
+        let Some(class) = view.class(one) else {
+            continue;
+        };
         let attempts: Vec<&Attempt<'_>> = view.attempts_of(id).collect();
-        let failed = attempts.iter().any(|a| !matches!(a.over, Some((_, End::Served, _))));
+        let failed = attempts
+            .iter()
+            .any(|a| !matches!(a.over, Some((_, End::Served, _))));
         ruling.tested += u64::from(failed || attempts.len() > 1);
         if attempts.len() > rules.most_attempts as usize {
             let lines: Vec<usize> = attempts.iter().map(|attempt| attempt.line).collect();
-            let text = format!("{} attempts; {} are allowed", attempts.len(), rules.most_attempts);
+            let text = format!(
+                "{} attempts; {} are allowed",
+                attempts.len(),
+                rules.most_attempts
+            );
             ruling.broken(attempts[0].at, id, &lines, text);
         }
         for (before, attempt) in attempts.iter().zip(&attempts[1..]) {
@@ -43,23 +65,42 @@
                 ruling.broken(attempt.at, id, &[before.line, attempt.line], text);
             }
         }
-        repeats(class.effect, class.memory_ms + rules.socket_slack_ms, id, &attempts, &mut ruling);
+        repeats(
+            class.effect,
+            class.memory_ms + rules.socket_slack_ms,
+            id,
+            &attempts,
+            &mut ruling,
+        );
         let may_have_run = |attempt: &&&Attempt<'_>| !attempt.never_ran();
         for place in &view.by_id[id] {
-            let Some(answer) = view.tries[*place].answer else { continue };
+            let Some(answer) = view.tries[*place].answer else {
+                continue;
+            };
             if !answer.refuses() || class.effect != Effect::Unsafe {
                 continue;
             }
-            let ran = attempts.iter().filter(may_have_run).find(|a| a.at <= answer.at);
+            let ran = attempts
+                .iter()
+                .filter(may_have_run)
+                .find(|a| a.at <= answer.at);
             if let Some(attempt) = ran {
-                let text =
-                    format!("refused with {}, and it may have run at node {}", answer.status, attempt.node);
+                let text = format!(
+                    "refused with {}, and it may have run at node {}",
+                    answer.status, attempt.node
+                );
                 ruling.broken(answer.at, id, &[attempt.line, answer.line], text);
             }
         }
-        let ran: Vec<(f64, usize)> = attempts.iter().flat_map(|a| a.ran.iter().copied()).collect();
+        let ran: Vec<(f64, usize)> = attempts
+            .iter()
+            .flat_map(|a| a.ran.iter().copied())
+            .collect();
         if let ([first, second, ..], true) = (&ran[..], class.effect != Effect::Safe) {
-            let text = format!("its effect ran at {:.1} ms and again at {:.1} ms", first.0, second.0);
+            let text = format!(
+                "its effect ran at {:.1} ms and again at {:.1} ms",
+                first.0, second.0
+            );
             ruling.broken(second.0, id, &[first.1, second.1], text);
         }
     }
@@ -68,7 +109,9 @@
 
 /// Attempts after one that may have run.
 fn repeats(effect: Effect, memory: f64, id: &str, attempts: &[&Attempt<'_>], ruling: &mut Ruling) {
-    let Some(first) = attempts.iter().position(|attempt| !attempt.never_ran()) else { return };
+    let Some(first) = attempts.iter().position(|attempt| !attempt.never_ran()) else {
+        return;
+    };
     let ran = attempts[first];
     for attempt in &attempts[first + 1..] {
         let age = attempt.at - ran.at;
@@ -81,7 +124,9 @@
                     attempt.node,
                     ran.node,
                     ran.over
-                        .map_or("and is still out".into(), |(_, end, _)| format!("which ended as {end:?}"))
+                        .map_or("and is still out".into(), |(_, end, _)| format!(
+                            "which ended as {end:?}"
+                        ))
                 );
                 ruling.broken(attempt.at, id, &lines, text);
             }
--- a/crates/invariants/src/ruling.rs
+++ b/crates/invariants/src/ruling.rs
@@ -91,7 +91,13 @@
         }
         let begin = (at / STRETCH).floor() * STRETCH;
         // Margins come nearly in the order of their times: the stretch is among the last few.
-        match self.margins.iter_mut().rev().take(NEAR).find(|(known, _)| *known == begin) {
+        match self
+            .margins
+            .iter_mut()
+            .rev()
+            .take(NEAR)
+            .find(|(known, _)| *known == begin)
+        {
             Some((_, least)) => *least = least.min(margin),
             None => self.margins.push((begin, margin)),
         }
@@ -103,7 +109,12 @@
             let mut lines = lines.to_vec();
             lines.sort_unstable();
             lines.dedup();
-            self.findings.push(Finding { text, request: request.to_owned(), at, lines });
+            self.findings.push(Finding {
+                text,
+                request: request.to_owned(),
+                at,
+                lines,
+            });
         }
     }
 
--- a/crates/invariants/src/stores.rs
+++ b/crates/invariants/src/stores.rs
@@ -35,10 +35,21 @@
 ) -> Ruling {
     let mut stores: BTreeMap<u64, Store> = BTreeMap::new();
     for attempt in view.attempts.iter().filter(|attempt| attempt.whole) {
-        let first = view.attempts_of(attempt.id).next().is_some_and(|first| first.number == attempt.number);
-        let Some(one) = view.try_of(attempt.id).filter(|_| first) else { continue };
-        let Some(gives) = view.plan(one).and_then(&gives) else { continue };
-        let fresh = || Store { level: gives.burst, at: attempt.at, tested: false };
+        let first = view
+            .attempts_of(attempt.id)
+            .next()
+            .is_some_and(|first| first.number == attempt.number);
+        let Some(one) = view.try_of(attempt.id).filter(|_| first) else {
+            continue;
+        };
+        let Some(gives) = view.plan(one).and_then(&gives) else {
+            continue;
+        };
+        let fresh = || Store {
+            level: gives.burst,
+            at: attempt.at,
+            tested: false,
+        };
         let store = stores.entry(one.customer).or_insert_with(fresh);
         let gained = gives.rate * (attempt.at - store.at) / 1000.0;
         store.level = (store.level + gained).min(gives.burst) - one.units;
--- a/crates/invariants/src/view.rs
+++ b/crates/invariants/src/view.rs
@@ -1,7 +1,9 @@
 //! The record sorted by what the rules ask for: requests with their tries, attempts with their ends, front doors and
 //! nodes with their lives. One pass, and nothing is decided here.
 
-use maplefall_event_trace::{Class, DoorState, End, Entry, Health, Lost, Millis, NodeState, Plan, Record};
+use maplefall_event_trace::{
+    Class, DoorState, End, Entry, Health, Lost, Millis, NodeState, Plan, Record,
+};
 use std::collections::BTreeMap;
 
 /// One sending of a request by its client.
@@ -209,12 +211,19 @@
 
     /// The first try with an id.
     pub fn try_of(&self, id: &str) -> Option<&Try<'r>> {
-        self.by_id.get(id).and_then(|places| places.first()).map(|place| &self.tries[*place])
+        self.by_id
+            .get(id)
+            .and_then(|places| places.first())
+            .map(|place| &self.tries[*place])
     }
 
     /// The attempts of a request that came whole, in the order in which they came.
     pub fn attempts_of(&self, id: &str) -> impl Iterator<Item = &Attempt<'r>> {
-        self.whole_by_id.get(id).into_iter().flatten().map(|place| &self.attempts[*place])
+        self.whole_by_id
+            .get(id)
+            .into_iter()
+            .flatten()
+            .map(|place| &self.attempts[*place])
     }
 
     /// Whether a front door was killed, ended or not yet there within this span.
@@ -225,9 +234,27 @@
         })
     }
 
-    fn take(&mut self, line: usize, at: Millis, entry: &'r Entry, numbers: &mut BTreeMap<u64, usize>) {
+    fn take(
+        &mut self,
+        line: usize,
+        at: Millis,
+        entry: &'r Entry,
+        numbers: &mut BTreeMap<u64, usize>,
+    ) {
         match entry {
-            Entry::Asked { id, item, retry, door, link, customer, plan, class, units, deadline, form } => {
+            Entry::Asked {
+                id,
+                item,
+                retry,
+                door,
+                link,
+                customer,
+                plan,
+                class,
+                units,
+                deadline,
+                form,
+            } => {
                 self.by_id.entry(id).or_default().push(self.tries.len());
                 self.tries.push(Try {
                     id,
@@ -247,9 +274,20 @@
                     lost: None,
                 });
             }
-            Entry::Answered { id, link, status, attempt, .. } => {
+            Entry::Answered {
+                id,
+                link,
+                status,
+                attempt,
+                ..
+            } => {
                 if let Some(of) = self.try_on(id, *link) {
-                    of.answer = Some(Answer { at, status: *status, attempt: *attempt, line });
+                    of.answer = Some(Answer {
+                        at,
+                        status: *status,
+                        attempt: *attempt,
+                        line,
+                    });
                 }
             }
             Entry::Unanswered { id, link, why, .. } => {
@@ -258,10 +296,23 @@
                 }
             }
             Entry::Surplus { door, id, .. } => self.surplus.push((at, *door, id, line)),
-            Entry::Came { attempt, node, door, id, form, first, whole, work, .. } => {
+            Entry::Came {
+                attempt,
+                node,
+                door,
+                id,
+                form,
+                first,
+                whole,
+                work,
+                ..
+            } => {
                 numbers.insert(*attempt, self.attempts.len());
                 if *whole {
-                    self.whole_by_id.entry(id).or_default().push(self.attempts.len());
+                    self.whole_by_id
+                        .entry(id)
+                        .or_default()
+                        .push(self.attempts.len());
                 }
                 self.attempts.push(Attempt {
                     number: *attempt,
@@ -289,7 +340,14 @@
                 }
             }
             Entry::Node { node, state } => self.take_node(line, at, *node, *state),
-            Entry::Told { door, node, health, born, source, version } => self.tellings.push(Telling {
+            Entry::Told {
+                door,
+                node,
+                health,
+                born,
+                source,
+                version,
+            } => self.tellings.push(Telling {
                 at,
                 door: *door,
                 node: *node,
@@ -299,7 +357,12 @@
                 version: *version,
                 line,
             }),
-            Entry::Due { door, node, health, version } => self.due.push(Telling {
+            Entry::Due {
+                door,
+                node,
+                health,
+                version,
+            } => self.due.push(Telling {
                 at: at + self.record.header.rules.told_within_ms,
                 door: *door,
                 node: *node,
@@ -311,7 +374,11 @@
             }),
             Entry::Committed { node, health } => self.committed.push((at, *node, *health)),
             Entry::Door { door, state } => self.doors.push((at, *door, *state, line)),
-            Entry::Rude { kind, status, neglected } => {
+            Entry::Rude {
+                kind,
+                status,
+                neglected,
+            } => {
                 self.rude.push((at, kind, *status, *neglected, line));
             }
             Entry::Failure { .. }
@@ -323,15 +390,32 @@
 
     /// The last try of a request on a connection.
     fn try_on(&mut self, id: &str, link: u64) -> Option<&mut Try<'r>> {
-        let place = self.by_id.get(id)?.iter().rev().find(|place| self.tries[**place].link == link)?;
+        let place = self
+            .by_id
+            .get(id)?
+            .iter()
+            .rev()
+            .find(|place| self.tries[**place].link == link)?;
         Some(&mut self.tries[*place])
     }
 
     fn take_node(&mut self, line: usize, at: Millis, node: u32, state: NodeState) {
         match state {
-            NodeState::Up { cores, cold_from, cold_ms } => {
+            NodeState::Up {
+                cores,
+                cold_from,
+                cold_ms,
+            } => {
                 let to = f64::INFINITY;
-                self.lives.push(Life { node, from: at, to, cores, cold_from, cold_ms, line });
+                self.lives.push(Life {
+                    node,
+                    from: at,
+                    to,
+                    cores,
+                    cold_from,
+                    cold_ms,
+                    line,
+                });
             }
             NodeState::Draining => {}
             NodeState::Gone | NodeState::Fell => {
@@ -339,7 +423,10 @@
                     life.to = life.to.min(at);
                 }
                 // Its connections broke with it.
-                let open = self.attempts.iter_mut().filter(|a| a.node == node && a.whole && a.over.is_none());
+                let open = self
+                    .attempts
+                    .iter_mut()
+                    .filter(|a| a.node == node && a.whole && a.over.is_none());
                 open.for_each(|attempt| attempt.over = Some((at, End::Reset, line)));
             }
         }
--- a/crates/invariants/tests/properties.rs
+++ b/crates/invariants/tests/properties.rs
@@ -2,14 +2,19 @@
 
 mod tale;
 
-use maplefall_invariants::Verdict;
 use maplefall_event_trace::{End, Health};
+use maplefall_invariants::Verdict;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use tale::*;
 
 fn config() -> Config {
-    Config { cases: 200, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() }
+    Config {
+        cases: 200,
+        rng_seed: RngSeed::Fixed(7),
+        failure_persistence: None,
+        ..Config::default()
+    }
 }
 
 /// One request: its class, when it is asked, and the ends of its attempts, of which all but the last are repeats that
@@ -46,7 +51,9 @@
         };
         tale = tale.over(at, attempt, end);
         if end == End::Served {
-            return tale.ran(at, attempt).answered(at + 1.0, &id, 200, Some(attempt));
+            return tale
+                .ran(at, attempt)
+                .answered(at + 1.0, &id, 200, Some(attempt));
         }
     }
     let status = if course.class == UNSAFE { 429 } else { 502 };
@@ -106,5 +113,10 @@
 }
 
 fn tale_with(courses: &[Course]) -> Tale {
-    courses.iter().enumerate().fold(Tale::default(), |tale, (i, course)| tell(tale, i as u64 + 1, course))
+    courses
+        .iter()
+        .enumerate()
+        .fold(Tale::default(), |tale, (i, course)| {
+            tell(tale, i as u64 + 1, course)
+        })
 }
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod tale;
 
-use maplefall_invariants::Verdict::{Broken, Kept, NotExercised};
 use maplefall_event_trace::{DoorState, End, Entry, Health, Line, Lost, NodeState, Record};
+use maplefall_invariants::Verdict::{Broken, Kept, NotExercised};
 use tale::*;
 
 fn tale() -> Tale {
@@ -15,7 +15,10 @@
 #[test]
 fn nothing_seen_is_nothing_kept() {
     let judgement = tale().judge();
-    assert!(judgement.rules.iter().all(|ruling| ruling.verdict == NotExercised));
+    assert!(judgement
+        .rules
+        .iter()
+        .all(|ruling| ruling.verdict == NotExercised));
     assert_eq!(judgement.untested(&[1, 3]), [1, 3]);
 }
 
@@ -29,17 +32,29 @@
 #[test]
 fn an_answer_counts_up_to_the_last_moment_and_no_longer() {
     for (late, verdict) in [(ANSWER_SLACK, Kept), (ANSWER_SLACK + 0.5, Broken)] {
-        let ruling = tale().asked(0.0, "a", SAFE).answered(1000.0 + late, "a", 502, None).rule(1);
+        let ruling = tale()
+            .asked(0.0, "a", SAFE)
+            .answered(1000.0 + late, "a", 502, None)
+            .rule(1);
         assert_eq!(ruling.verdict, verdict, "{late}");
     }
 }
 
 #[test]
 fn a_request_without_an_answer_is_lost() {
-    let ruling = tale().asked(0.0, "a", SAFE).lost(1100.0, "a", Lost::Silent).rule(1);
-    assert_eq!((ruling.verdict, ruling.findings[0].lines.clone()), (Broken, vec![2, 3]));
+    let ruling = tale()
+        .asked(0.0, "a", SAFE)
+        .lost(1100.0, "a", Lost::Silent)
+        .rule(1);
+    assert_eq!(
+        (ruling.verdict, ruling.findings[0].lines.clone()),
+        (Broken, vec![2, 3])
+    );
     assert_eq!(ruling.findings[0].request, "a");
-    let ruling = tale().asked(0.0, "a", SAFE).lost(300.0, "a", Lost::Cut).rule(1);
+    let ruling = tale()
+        .asked(0.0, "a", SAFE)
+        .lost(300.0, "a", Lost::Cut)
+        .rule(1);
     assert_eq!(ruling.verdict, Broken);
 }
 
@@ -47,22 +62,37 @@
 fn a_connection_closed_with_nothing_sent_on_loses_nothing_and_with_something_all() {
     let closed = |tale: Tale| tale.asked(0.0, "a", SAFE).lost(300.0, "a", Lost::Closed);
     assert_eq!(closed(tale()).rule(1).verdict, NotExercised);
-    assert_eq!(closed(tale().came(5.0, 1, "a", 0).over(290.0, 1, End::GivenUp)).rule(1).verdict, Broken);
+    assert_eq!(
+        closed(tale().came(5.0, 1, "a", 0).over(290.0, 1, End::GivenUp))
+            .rule(1)
+            .verdict,
+        Broken
+    );
 }
 
 #[test]
 fn what_a_killed_front_door_held_is_the_clients_to_repeat() {
     let held = |tale: Tale| {
-        tale.asked(0.0, "a", UNSAFE).came(5.0, 1, "a", 0).over(300.0, 1, End::GivenUp).lost(
-            300.0,
-            "a",
-            Lost::Closed,
-        )
+        tale.asked(0.0, "a", UNSAFE)
+            .came(5.0, 1, "a", 0)
+            .over(300.0, 1, End::GivenUp)
+            .lost(300.0, "a", Lost::Closed)
     };
-    assert_eq!(held(tale().door(299.0, DoorState::Killed)).rule(1).verdict, NotExercised);
+    assert_eq!(
+        held(tale().door(299.0, DoorState::Killed)).rule(1).verdict,
+        NotExercised
+    );
     // One that was told to stop owes its answers; so does one that was killed before or after.
-    assert_eq!(held(tale().door(200.0, DoorState::Terminated)).rule(1).verdict, Broken);
-    assert_eq!(held(tale().door(400.0, DoorState::Killed)).rule(1).verdict, Broken);
+    assert_eq!(
+        held(tale().door(200.0, DoorState::Terminated))
+            .rule(1)
+            .verdict,
+        Broken
+    );
+    assert_eq!(
+        held(tale().door(400.0, DoorState::Killed)).rule(1).verdict,
+        Broken
+    );
 }
 
 #[test]
@@ -70,35 +100,64 @@
     let twice = tale().served(0.0, 1, "a", SAFE, 0);
     let twice = twice.asked(60.0, "a", SAFE).answered(90.0, "a", 502, None);
     assert_eq!(twice.rule(1).verdict, Broken);
-    let surplus = Entry::Surplus { door: 0, link: 1, id: "a".into() };
-    assert_eq!(tale().served(0.0, 1, "a", SAFE, 0).line(80.0, surplus).rule(1).verdict, Broken);
+    let surplus = Entry::Surplus {
+        door: 0,
+        link: 1,
+        id: "a".into(),
+    };
+    assert_eq!(
+        tale()
+            .served(0.0, 1, "a", SAFE, 0)
+            .line(80.0, surplus)
+            .rule(1)
+            .verdict,
+        Broken
+    );
 }
 
 #[test]
 fn nothing_goes_out_after_the_final_answer() {
     let after = |gap: f64| {
         let tale = tale().asked(0.0, "a", SAFE).answered(100.0, "a", 502, None);
-        tale.came(100.0 + gap, 1, "a", 0).over(200.0 + gap, 1, End::Served).rule(1).verdict
+        tale.came(100.0 + gap, 1, "a", 0)
+            .over(200.0 + gap, 1, End::Served)
+            .rule(1)
+            .verdict
     };
     // Two threads see an answer and an attempt of one moment in either order.
-    assert_eq!((after(maplefall_invariants::BLUR), after(maplefall_invariants::BLUR + 1.0)), (Kept, Broken));
+    assert_eq!(
+        (
+            after(maplefall_invariants::BLUR),
+            after(maplefall_invariants::BLUR + 1.0)
+        ),
+        (Kept, Broken)
+    );
 }
 
 #[test]
 fn what_is_served_was_made_by_a_node_for_that_request() {
     let served = |attempt| {
-        let tale = tale().served(0.0, 1, "other", SAFE, 0).asked(100.0, "a", SAFE);
+        let tale = tale()
+            .served(0.0, 1, "other", SAFE, 0)
+            .asked(100.0, "a", SAFE);
         let tale = tale.came(102.0, 2, "a", 0).over(150.0, 2, End::Served);
         tale.answered(160.0, "a", 200, attempt).rule(1).verdict
     };
-    assert_eq!([served(Some(2)), served(Some(1)), served(None)], [Kept, Broken, Broken]);
+    assert_eq!(
+        [served(Some(2)), served(Some(1)), served(None)],
+        [Kept, Broken, Broken]
+    );
 }
 
 #[test]
 fn a_front_door_that_ends_by_itself_or_badly_has_crashed() {
     let ended = |first: Option<DoorState>, code| {
-        let tale = tale().served(0.0, 1, "a", SAFE, 0).door(0.0, DoorState::Started);
-        let tale = first.into_iter().fold(tale, |tale, state| tale.door(500.0, state));
+        let tale = tale()
+            .served(0.0, 1, "a", SAFE, 0)
+            .door(0.0, DoorState::Started);
+        let tale = first
+            .into_iter()
+            .fold(tale, |tale, state| tale.door(500.0, state));
         tale.door(600.0, DoorState::Ended { code }).rule(1).verdict
     };
     assert_eq!(ended(Some(DoorState::Terminated), Some(0)), Kept);
@@ -134,10 +193,17 @@
         (UNSAFE, End::Spoilt, Broken),
         (UNSAFE, End::GivenUp, Broken),
     ] {
-        assert_eq!(repeated(class, end, 120.0).rule(2).verdict, verdict, "{class} {end:?}");
+        assert_eq!(
+            repeated(class, end, 120.0).rule(2).verdict,
+            verdict,
+            "{class} {end:?}"
+        );
     }
     // A request that was served at once puts nothing to the test.
-    assert_eq!(tale().served(0.0, 1, "a", UNSAFE, 0).rule(2).verdict, NotExercised);
+    assert_eq!(
+        tale().served(0.0, 1, "a", UNSAFE, 0).rule(2).verdict,
+        NotExercised
+    );
 }
 
 #[test]
@@ -159,11 +225,10 @@
                 form: FORM,
             },
         );
-        tale.came(5.0, 1, "a", 0).over(100.0, 1, End::Reset).came(5.0 + age, 2, "a", 1).over(
-            4000.0,
-            2,
-            End::Served,
-        )
+        tale.came(5.0, 1, "a", 0)
+            .over(100.0, 1, End::Reset)
+            .came(5.0 + age, 2, "a", 1)
+            .over(4000.0, 2, End::Served)
     };
     assert_eq!(at(MEMORY).rule(2).verdict, Kept);
     let ruling = at(MEMORY + 1.0).rule(2);
@@ -174,15 +239,40 @@
 fn two_attempts_are_never_out_together() {
     let gap = |gap| repeated(SAFE, End::GivenUp, 100.0 - gap).rule(2).verdict;
     // Both ends of one moment are seen in either order.
-    assert_eq!((gap(maplefall_invariants::BLUR), gap(maplefall_invariants::BLUR + 1.0)), (Kept, Broken));
-    let never_ended = tale().asked(0.0, "a", SAFE).came(5.0, 1, "a", 0).came(400.0, 2, "a", 1);
+    assert_eq!(
+        (
+            gap(maplefall_invariants::BLUR),
+            gap(maplefall_invariants::BLUR + 1.0)
+        ),
+        (Kept, Broken)
+    );
+    let never_ended = tale()
+        .asked(0.0, "a", SAFE)
+        .came(5.0, 1, "a", 0)
+        .came(400.0, 2, "a", 1);
     assert_eq!(never_ended.rule(2).verdict, Broken);
     // A node whose process ended has let go of what it had.
     let gone = tale()
-        .line(0.0, Entry::Node { node: 0, state: NodeState::Up { cores: 2.0, cold_from: 1.0, cold_ms: 0.0 } })
+        .line(
+            0.0,
+            Entry::Node {
+                node: 0,
+                state: NodeState::Up {
+                    cores: 2.0,
+                    cold_from: 1.0,
+                    cold_ms: 0.0,
+                },
+            },
+        )
         .asked(0.0, "a", SAFE)
         .came(5.0, 1, "a", 0)
-        .line(50.0, Entry::Node { node: 0, state: NodeState::Gone })
+        .line(
+            50.0,
+            Entry::Node {
+                node: 0,
+                state: NodeState::Gone,
+            },
+        )
         .came(60.0, 2, "a", 1)
         .over(90.0, 2, End::Served);
     assert_eq!(gone.rule(2).verdict, Kept);
@@ -191,7 +281,10 @@
 #[test]
 fn a_refusal_is_a_promise_that_an_unsafe_request_never_ran() {
     let refused = |class, end, status| {
-        let tale = tale().asked(0.0, "a", class).came(5.0, 1, "a", 0).over(50.0, 1, end);
+        let tale = tale()
+            .asked(0.0, "a", class)
+            .came(5.0, 1, "a", 0)
+            .over(50.0, 1, end);
         tale.answered(60.0, "a", status, None).rule(2).verdict
     };
     assert_eq!(refused(UNSAFE, End::TurnedAway, 429), Kept);
@@ -231,13 +324,22 @@
             whole: true,
             work: 1.0,
         };
-        let tale = tale().asked(0.0, "a", SAFE).line(5.0, entry).over(50.0, 1, End::Served);
+        let tale = tale()
+            .asked(0.0, "a", SAFE)
+            .line(5.0, entry)
+            .over(50.0, 1, End::Served);
         tale.answered(52.0, "a", 200, Some(1)).rule(2)
     };
     assert_eq!(came(FORM).verdict, NotExercised);
     let changed = came(FORM + 1);
-    assert_eq!((changed.verdict, changed.findings[0].lines.clone()), (Broken, vec![2, 3]));
-    let nobodys = tale().served(0.0, 1, "a", SAFE, 0).came(60.0, 2, "hidden", 0).over(70.0, 2, End::Served);
+    assert_eq!(
+        (changed.verdict, changed.findings[0].lines.clone()),
+        (Broken, vec![2, 3])
+    );
+    let nobodys = tale()
+        .served(0.0, 1, "a", SAFE, 0)
+        .came(60.0, 2, "hidden", 0)
+        .over(70.0, 2, End::Served);
     assert_eq!(nobodys.rule(2).verdict, Broken);
 }
 
@@ -246,19 +348,30 @@
 #[test]
 fn a_drain_is_kept_to_its_last_moment() {
     let sent = |after: f64| {
-        let tale = tale().served(0.0, 1, "a", SAFE, 3).told(1000.0, 0, 3, Health::Draining, None);
+        let tale = tale()
+            .served(0.0, 1, "a", SAFE, 3)
+            .told(1000.0, 0, 3, Health::Draining, None);
         tale.served(1000.0 + after - 2.0, 2, "b", SAFE, 3).rule(3)
     };
     let last = sent(DRAIN_GRACE);
-    assert_eq!((last.verdict, last.margin, last.tested), (Kept, Some(0.0), 1));
+    assert_eq!(
+        (last.verdict, last.margin, last.tested),
+        (Kept, Some(0.0), 1)
+    );
     assert_eq!(sent(DRAIN_GRACE + 1.0).verdict, Broken);
 }
 
 #[test]
 fn a_drain_binds_the_front_door_that_was_told_until_it_is_taken_back() {
-    let drained = || tale().served(0.0, 1, "a", SAFE, 3).told(1000.0, 0, 3, Health::Draining, None);
+    let drained = || {
+        tale()
+            .served(0.0, 1, "a", SAFE, 3)
+            .told(1000.0, 0, 3, Health::Draining, None)
+    };
     let other = |tale: Tale| {
-        tale.asked(2000.0, "b", SAFE).came_from(1, 2002.0, 2, "b", 3, 10.0).over(2050.0, 2, End::Served)
+        tale.asked(2000.0, "b", SAFE)
+            .came_from(1, 2002.0, 2, "b", 3, 10.0)
+            .over(2050.0, 2, End::Served)
     };
     assert_eq!(other(drained()).rule(3).verdict, Kept);
     let elsewhere = drained().served(2000.0, 2, "b", SAFE, 4);
@@ -284,7 +397,10 @@
             whole: false,
             work: 0.0,
         };
-        tale().served(0.0, 1, "a", SAFE, 3).told(1000.0, 0, 3, Health::Removed, None).line(2000.0, entry)
+        tale()
+            .served(0.0, 1, "a", SAFE, 3)
+            .told(1000.0, 0, 3, Health::Removed, None)
+            .line(2000.0, entry)
     };
     assert_eq!(broken_off(1540.0).rule(3).verdict, Kept);
     assert_eq!(broken_off(1560.0).rule(3).verdict, Broken);
@@ -293,12 +409,22 @@
 /// Guards the rule on sources that disagree: what one says of a stop another cannot undo, but for a newer life.
 #[test]
 fn a_drain_holds_whatever_another_source_says() {
-    let drained = || tale().served(0.0, 1, "a", SAFE, 3).told_by(1, 1000.0, 0, 3, Health::Draining, None);
-    let other = drained().told_by(0, 1200.0, 0, 3, Health::Up, None).served(2000.0, 2, "b", SAFE, 3);
+    let drained = || {
+        tale()
+            .served(0.0, 1, "a", SAFE, 3)
+            .told_by(1, 1000.0, 0, 3, Health::Draining, None)
+    };
+    let other = drained()
+        .told_by(0, 1200.0, 0, 3, Health::Up, None)
+        .served(2000.0, 2, "b", SAFE, 3);
     assert_eq!(other.rule(3).verdict, Broken);
-    let undone = drained().told_by(1, 1200.0, 0, 3, Health::Up, None).served(2000.0, 2, "b", SAFE, 3);
+    let undone = drained()
+        .told_by(1, 1200.0, 0, 3, Health::Up, None)
+        .served(2000.0, 2, "b", SAFE, 3);
     assert_eq!(undone.rule(3).verdict, Kept);
-    let newer = drained().told_by(0, 1800.0, 0, 3, Health::Up, Some(1700.0)).served(2000.0, 2, "b", SAFE, 3);
+    let newer = drained()
+        .told_by(0, 1800.0, 0, 3, Health::Up, Some(1700.0))
+        .served(2000.0, 2, "b", SAFE, 3);
     assert_eq!(newer.rule(3).verdict, Kept);
 }
 
@@ -307,9 +433,26 @@
 #[test]
 fn a_drain_is_not_taken_back_by_an_older_list() {
     let told = |tale: Tale, at, health, version| {
-        tale.line(at, Entry::Told { door: 0, node: 3, health, born: None, source: 0, version })
+        tale.line(
+            at,
+            Entry::Told {
+                door: 0,
+                node: 3,
+                health,
+                born: None,
+                source: 0,
+                version,
+            },
+        )
+    };
+    let drained = || {
+        told(
+            tale().served(0.0, 1, "a", SAFE, 3),
+            1000.0,
+            Health::Draining,
+            9,
+        )
     };
-    let drained = || told(tale().served(0.0, 1, "a", SAFE, 3), 1000.0, Health::Draining, 9);
     let sent = |tale: Tale| tale.served(2000.0, 2, "b", SAFE, 3).rule(3).verdict;
     assert_eq!(sent(told(drained(), 1200.0, Health::Up, 8)), Broken);
     assert_eq!(sent(told(drained(), 1200.0, Health::Up, 10)), Kept);
@@ -321,27 +464,72 @@
 /// Guards what counts as told though it never came: what a source has to tell binds a front door 6 s later at the latest.
 #[test]
 fn what_there_is_to_tell_counts_as_told_in_the_end() {
-    let due = |health, version| Entry::Due { door: 0, node: 3, health, version };
-    let drained = || tale().served(0.0, 1, "a", SAFE, 3).line(1000.0, due(Health::Draining, 2));
-    let sent = |tale: Tale, after| tale.served(7000.0 + after - 2.0, 2, "b", SAFE, 3).rule(3).verdict;
+    let due = |health, version| Entry::Due {
+        door: 0,
+        node: 3,
+        health,
+        version,
+    };
+    let drained = || {
+        tale()
+            .served(0.0, 1, "a", SAFE, 3)
+            .line(1000.0, due(Health::Draining, 2))
+    };
+    let sent = |tale: Tale, after| {
+        tale.served(7000.0 + after - 2.0, 2, "b", SAFE, 3)
+            .rule(3)
+            .verdict
+    };
     assert_eq!(sent(drained(), DRAIN_GRACE), Kept);
     assert_eq!(sent(drained(), DRAIN_GRACE + 1.0), Broken);
     // Told earlier, it binds from then on; taken back before it counted, it never does.
-    let told = Entry::Told { door: 0, node: 3, health: Health::Draining, born: None, source: 0, version: 2 };
+    let told = Entry::Told {
+        door: 0,
+        node: 3,
+        health: Health::Draining,
+        born: None,
+        source: 0,
+        version: 2,
+    };
     assert_eq!(sent(drained().line(5000.0, told), 0.0), Broken);
-    let back = Entry::Told { door: 0, node: 3, health: Health::Up, born: None, source: 0, version: 3 };
+    let back = Entry::Told {
+        door: 0,
+        node: 3,
+        health: Health::Up,
+        born: None,
+        source: 0,
+        version: 3,
+    };
     assert_eq!(
-        sent(drained().line(5000.0, due(Health::Up, 3)).line(7200.0, back), DRAIN_GRACE + 500.0),
+        sent(
+            drained()
+                .line(5000.0, due(Health::Up, 3))
+                .line(7200.0, back),
+            DRAIN_GRACE + 500.0
+        ),
         Kept
     );
 }
 
 #[test]
 fn a_drain_of_a_node_that_was_not_used_puts_nothing_to_the_test() {
-    assert_eq!(tale().told(1000.0, 0, 3, Health::Draining, None).rule(3).verdict, NotExercised);
-    let unused = tale().served(0.0, 1, "a", SAFE, 4).told(1000.0, 0, 3, Health::Draining, None);
-    assert_eq!(unused.served(2000.0, 2, "b", SAFE, 4).rule(3).verdict, NotExercised);
-    let last = tale().served(0.0, 1, "a", SAFE, 3).told(1000.0, 0, 3, Health::Draining, None);
+    assert_eq!(
+        tale()
+            .told(1000.0, 0, 3, Health::Draining, None)
+            .rule(3)
+            .verdict,
+        NotExercised
+    );
+    let unused = tale()
+        .served(0.0, 1, "a", SAFE, 4)
+        .told(1000.0, 0, 3, Health::Draining, None);
+    assert_eq!(
+        unused.served(2000.0, 2, "b", SAFE, 4).rule(3).verdict,
+        NotExercised
+    );
+    let last = tale()
+        .served(0.0, 1, "a", SAFE, 3)
+        .told(1000.0, 0, 3, Health::Draining, None);
     assert_eq!(last.rule(3).verdict, Kept);
 }
 
@@ -350,18 +538,20 @@
 /// A node of two cores at a quarter of its capacity, told to both front doors, and so many attempts of 100 ms of work
 /// in one moment right after its start: its budget is 3 x 0.5 x 1500 + 100 = 2350 ms.
 fn cold(count: u64, from: impl Fn(u64) -> u32) -> Tale {
-    let up = NodeState::Up { cores: 2.0, cold_from: 0.25, cold_ms: 1e9 };
+    let up = NodeState::Up {
+        cores: 2.0,
+        cold_from: 0.25,
+        cold_ms: 1e9,
+    };
     let tale = tale()
         .line(1000.0, Entry::Node { node: 5, state: up })
         .told(1001.0, 0, 5, Health::Up, Some(1000.0))
         .told(1001.0, 1, 5, Health::Up, Some(1000.0));
     (0..count).fold(tale, |tale, i| {
         let id = format!("c{i}");
-        tale.asked(1010.0, &id, SAFE).came_from(from(i), 1100.0, 100 + i, &id, 5, 100.0).over(
-            1200.0,
-            100 + i,
-            End::TurnedAway,
-        )
+        tale.asked(1010.0, &id, SAFE)
+            .came_from(from(i), 1100.0, 100 + i, &id, 5, 100.0)
+            .over(1200.0, 100 + i, End::TurnedAway)
     })
 }
 
@@ -376,8 +566,16 @@
 #[test]
 fn what_comes_from_front_doors_that_do_not_know_breaks_no_rule() {
     // Front door 2 was never told: with more than a third of the work from there, nobody could have known.
-    assert_eq!(cold(24, |i| if i % 2 == 0 { 2 } else { 0 }).rule(4).verdict, Kept);
-    assert_eq!(cold(30, |i| if i % 10 == 0 { 2 } else { 0 }).rule(4).verdict, Broken);
+    assert_eq!(
+        cold(24, |i| if i % 2 == 0 { 2 } else { 0 }).rule(4).verdict,
+        Kept
+    );
+    assert_eq!(
+        cold(30, |i| if i % 10 == 0 { 2 } else { 0 })
+            .rule(4)
+            .verdict,
+        Broken
+    );
 }
 
 #[test]
@@ -386,11 +584,9 @@
         (0..15).fold(cold(15, |_| 0), |tale, i| {
             let id = format!("d{i}");
             let at = 1100.0 + gap;
-            tale.asked(at - 5.0, &id, SAFE).came_from(0, at, 200 + i, &id, 5, 100.0).over(
-                at + 10.0,
-                200 + i,
-                End::Served,
-            )
+            tale.asked(at - 5.0, &id, SAFE)
+                .came_from(0, at, 200 + i, &id, 5, 100.0)
+                .over(at + 10.0, 200 + i, End::Served)
         })
     };
     assert_eq!(two(1400.0).rule(4).verdict, Broken);
@@ -403,11 +599,9 @@
 fn ceiling(units: u64) -> Tale {
     (0..units).fold(tale(), |tale, i| {
         let id = format!("u{i}");
-        tale.asked_of(0.0, &id, SAFE, 1, 9, 1.0).came_from((i % 2) as u32, 10.0, i, &id, 0, 1.0).over(
-            20.0,
-            i,
-            End::Served,
-        )
+        tale.asked_of(0.0, &id, SAFE, 1, 9, 1.0)
+            .came_from((i % 2) as u32, 10.0, i, &id, 0, 1.0)
+            .over(20.0, i, End::Served)
     })
 }
 
@@ -424,18 +618,17 @@
     let later = |at: f64| {
         (0..20).fold(ceiling(40), |tale, i| {
             let id = format!("v{i}");
-            tale.asked_of(at, &id, SAFE, 1, 9, 1.0).came_from(0, at + 10.0, 100 + i, &id, 0, 1.0).over(
-                at + 20.0,
-                100 + i,
-                End::Served,
-            )
+            tale.asked_of(at, &id, SAFE, 1, 9, 1.0)
+                .came_from(0, at + 10.0, 100 + i, &id, 0, 1.0)
+                .over(at + 20.0, 100 + i, End::Served)
         })
     };
     assert_eq!(later(500.0).rule(5).verdict, Broken);
     assert_eq!(later(1000.0).rule(5).verdict, Kept);
     // A second attempt takes nothing.
     let again = (0..40).fold(ceiling(40), |tale, i| {
-        tale.came_from(0, 30.0, 300 + i, &format!("u{i}"), 0, 1.0).over(40.0, 300 + i, End::Served)
+        tale.came_from(0, 30.0, 300 + i, &format!("u{i}"), 0, 1.0)
+            .over(40.0, 300 + i, End::Served)
     });
     assert_eq!(again.rule(5).verdict, Kept);
 }
@@ -445,14 +638,35 @@
 #[test]
 fn late_stand_ins_void_a_run_and_blame_nobody() {
     let judge = |p99_ms, most_ms| {
-        let lateness = Entry::Lateness { actions: 100, p50_ms: 0.5, p99_ms, most_ms };
-        let lines = vec![Line { at: 1.0, entry: lateness }];
-        maplefall_invariants::judge(&Record { header: header(), lines }).void
+        let lateness = Entry::Lateness {
+            actions: 100,
+            p50_ms: 0.5,
+            p99_ms,
+            most_ms,
+        };
+        let lines = vec![Line {
+            at: 1.0,
+            entry: lateness,
+        }];
+        maplefall_invariants::judge(&Record {
+            header: header(),
+            lines,
+        })
+        .void
     };
-    assert_eq!(judge(maplefall_invariants::MOST_LATE_P99, maplefall_invariants::MOST_LATE), None);
+    assert_eq!(
+        judge(
+            maplefall_invariants::MOST_LATE_P99,
+            maplefall_invariants::MOST_LATE
+        ),
+        None
+    );
     assert!(judge(maplefall_invariants::MOST_LATE_P99 + 0.1, 20.0).is_some());
     assert!(judge(1.0, maplefall_invariants::MOST_LATE + 1.0).is_some());
-    let silent = maplefall_invariants::judge(&Record { header: header(), lines: Vec::new() });
+    let silent = maplefall_invariants::judge(&Record {
+        header: header(),
+        lines: Vec::new(),
+    });
     assert!(silent.void.is_some());
 }
 
@@ -463,37 +677,75 @@
         let id = format!("w{i}");
         let tale = tale.asked(0.0, &id, SAFE).came(5.0, i, &id, 0);
         if i < 10 {
-            tale.over(30.0, i, End::Served).answered(40.0, &id, 200, Some(i))
+            tale.over(30.0, i, End::Served)
+                .answered(40.0, &id, 200, Some(i))
         } else {
-            tale.over(30.0, i, End::TurnedAway).answered(40.0, &id, 429, None)
+            tale.over(30.0, i, End::TurnedAway)
+                .answered(40.0, &id, 429, None)
         }
     });
     let figures = tale.judge().figures;
-    assert_eq!((figures.requests, figures.served, figures.refused), (21, 10, 11));
-    assert!((figures.worth_share - 0.5).abs() < 1e-9, "{}", figures.worth_share);
+    assert_eq!(
+        (figures.requests, figures.served, figures.refused),
+        (21, 10, 11)
+    );
+    assert!(
+        (figures.worth_share - 0.5).abs() < 1e-9,
+        "{}",
+        figures.worth_share
+    );
 }
 
 // ---- Rule 6 -------------------------------------------------------------------------------------------
 
 fn credential(tale: Tale, at: f64, customer: u64) -> Tale {
-    tale.line(at, Entry::Credential { customer, passes: false })
+    tale.line(
+        at,
+        Entry::Credential {
+            customer,
+            passes: false,
+        },
+    )
 }
 
 #[test]
 fn where_nobody_is_checked_nothing_is_said_of_it() {
-    assert_eq!(tale().served(100.0, 1, "a", UNSAFE, 0).rule(6).verdict, NotExercised);
+    assert_eq!(
+        tale().served(100.0, 1, "a", UNSAFE, 0).rule(6).verdict,
+        NotExercised
+    );
 }
 
 #[test]
 fn nothing_goes_on_for_who_does_not_pass() {
-    let denied = credential(tale(), 0.0, 7).asked(100.0, "a", UNSAFE).answered(120.0, "a", 401, None).rule(6);
+    let denied = credential(tale(), 0.0, 7)
+        .asked(100.0, "a", UNSAFE)
+        .answered(120.0, "a", 401, None)
+        .rule(6);
     assert_eq!((denied.verdict, denied.tested), (Kept, 1));
-    let sent = credential(tale(), 0.0, 7).served(100.0, 1, "a", UNSAFE, 0).rule(6);
-    assert_eq!((sent.verdict, sent.findings[0].request.as_str()), (Broken, "a"));
+    let sent = credential(tale(), 0.0, 7)
+        .served(100.0, 1, "a", UNSAFE, 0)
+        .rule(6);
+    assert_eq!(
+        (sent.verdict, sent.findings[0].request.as_str()),
+        (Broken, "a")
+    );
     // One that may pass where nobody can be asked.
-    assert_eq!(credential(tale(), 0.0, 7).served(100.0, 1, "a", SAFE, 0).rule(6).verdict, Kept);
+    assert_eq!(
+        credential(tale(), 0.0, 7)
+            .served(100.0, 1, "a", SAFE, 0)
+            .rule(6)
+            .verdict,
+        Kept
+    );
     // Another's request goes on.
-    assert_eq!(credential(tale(), 0.0, 8).served(100.0, 1, "a", UNSAFE, 0).rule(6).verdict, NotExercised);
+    assert_eq!(
+        credential(tale(), 0.0, 8)
+            .served(100.0, 1, "a", UNSAFE, 0)
+            .rule(6)
+            .verdict,
+        NotExercised
+    );
 }
 
 #[test]
@@ -501,16 +753,26 @@
     // 500 ms, 50 ms of the sockets, 25 ms that are not told apart.
     for (late, verdict) in [(570.0, Kept), (580.0, Broken)] {
         let before = credential(tale().served(100.0, 1, "a", UNSAFE, 0), 1000.0, 7);
-        let ruling = before.served(1000.0 + late - 2.0, 2, "b", UNSAFE, 0).rule(6);
+        let ruling = before
+            .served(1000.0 + late - 2.0, 2, "b", UNSAFE, 0)
+            .rule(6);
         assert_eq!(ruling.verdict, verdict, "{late}");
     }
     // Of one that never asked before nothing is kept.
-    assert_eq!(credential(tale(), 1000.0, 7).served(1100.0, 1, "a", UNSAFE, 0).rule(6).verdict, Broken);
+    assert_eq!(
+        credential(tale(), 1000.0, 7)
+            .served(1100.0, 1, "a", UNSAFE, 0)
+            .rule(6)
+            .verdict,
+        Broken
+    );
 }
 
 #[test]
 fn who_passes_is_not_denied() {
-    let tale = credential(tale(), 0.0, 8).asked(100.0, "a", SAFE).answered(120.0, "a", 401, None);
+    let tale = credential(tale(), 0.0, 8)
+        .asked(100.0, "a", SAFE)
+        .answered(120.0, "a", 401, None);
     assert_eq!(tale.rule(6).verdict, Broken);
 }
 
@@ -521,12 +783,10 @@
 fn shared(units: u64) -> Tale {
     let mut tale = (0..units).fold(tale(), |tale, i| {
         let id = format!("q{i}");
-        tale.asked(0.0, &id, SAFE).came(20.0, i, &id, 0).over(30.0, i, End::Served).answered(
-            40.0,
-            &id,
-            200,
-            Some(i),
-        )
+        tale.asked(0.0, &id, SAFE)
+            .came(20.0, i, &id, 0)
+            .over(30.0, i, End::Served)
+            .answered(40.0, &id, 200, Some(i))
     });
     tale.header.rules.shared_ms = 2000.0;
     tale
--- a/crates/invariants/tests/tale/mod.rs
+++ b/crates/invariants/tests/tale/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)]
 
-use maplefall_invariants::{judge, Judgement, Ruling};
 use maplefall_event_trace::*;
+use maplefall_invariants::{judge, Judgement, Ruling};
 
 /// What all requests of a tale send.
 pub const FORM: u64 = 77;
@@ -34,7 +34,13 @@
         late_worth: 0.0,
         unchecked: name == "read",
     };
-    let plan = |name: &str, ceiling| Plan { name: name.into(), rate: 10.0, burst: 20.0, price: 1.0, ceiling };
+    let plan = |name: &str, ceiling| Plan {
+        name: name.into(),
+        rate: 10.0,
+        burst: 20.0,
+        price: 1.0,
+        ceiling,
+    };
     Header {
         version: VERSION,
         scenario: "by hand".into(),
@@ -47,15 +53,28 @@
         ],
         plans: vec![
             plan("open", None),
-            plan("capped", Some(Ceiling { rate: 20.0, burst: 40.0, slack: 4.0 })),
+            plan(
+                "capped",
+                Some(Ceiling {
+                    rate: 20.0,
+                    burst: 40.0,
+                    slack: 4.0,
+                }),
+            ),
         ],
-        rules: Rules { revoked_ms: 500.0, ..Rules::platform(100.0) },
+        rules: Rules {
+            revoked_ms: 500.0,
+            ..Rules::platform(100.0)
+        },
     }
 }
 
 impl Default for Tale {
     fn default() -> Self {
-        Tale { lines: Vec::new(), header: header() }
+        Tale {
+            lines: Vec::new(),
+            header: header(),
+        }
     }
 }
 
@@ -99,22 +118,57 @@
     }
 
     pub fn answered(self, at: Millis, id: &str, status: u16, attempt: Option<u64>) -> Tale {
-        self.line(at, Entry::Answered { id: id.into(), link: 1, status, attempt, retry_after_ms: None })
+        self.line(
+            at,
+            Entry::Answered {
+                id: id.into(),
+                link: 1,
+                status,
+                attempt,
+                retry_after_ms: None,
+            },
+        )
     }
 
     pub fn lost(self, at: Millis, id: &str, why: Lost) -> Tale {
-        self.line(at, Entry::Unanswered { id: id.into(), door: 0, link: 1, why })
+        self.line(
+            at,
+            Entry::Unanswered {
+                id: id.into(),
+                door: 0,
+                link: 1,
+                why,
+            },
+        )
     }
 
     pub fn came(self, at: Millis, attempt: u64, id: &str, node: u32) -> Tale {
         self.came_from(0, at, attempt, id, node, 10.0)
     }
 
-    pub fn came_from(self, door: u32, at: Millis, attempt: u64, id: &str, node: u32, work: Millis) -> Tale {
+    pub fn came_from(
+        self,
+        door: u32,
+        at: Millis,
+        attempt: u64,
+        id: &str,
+        node: u32,
+        work: Millis,
+    ) -> Tale {
         let id = id.to_owned();
         self.line(
             at,
-            Entry::Came { attempt, node, door, id, key: None, form: FORM, first: at, whole: true, work },
+            Entry::Came {
+                attempt,
+                node,
+                door,
+                id,
+                key: None,
+                form: FORM,
+                first: at,
+                whole: true,
+                work,
+            },
         )
     }
 
@@ -126,7 +180,14 @@
         self.line(at, Entry::Ran { attempt })
     }
 
-    pub fn told(self, at: Millis, door: u32, node: u32, health: Health, born: Option<Millis>) -> Tale {
+    pub fn told(
+        self,
+        at: Millis,
+        door: u32,
+        node: u32,
+        health: Health,
+        born: Option<Millis>,
+    ) -> Tale {
         self.told_by(0, at, door, node, health, born)
     }
 
@@ -139,7 +200,17 @@
         health: Health,
         born: Option<Millis>,
     ) -> Tale {
-        self.line(at, Entry::Told { door, node, health, born, source, version: 0 })
+        self.line(
+            at,
+            Entry::Told {
+                door,
+                node,
+                health,
+                born,
+                source,
+                version: 0,
+            },
+        )
     }
 
     pub fn door(self, at: Millis, state: DoorState) -> Tale {
@@ -158,17 +229,35 @@
     pub fn judge(mut self) -> Judgement {
         self.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
         let end = self.lines.last().map_or(0.0, |line| line.at);
-        let lateness = Entry::Lateness { actions: 9, p50_ms: 0.1, p99_ms: 1.0, most_ms: 2.0 };
-        self.lines.push(Line { at: end, entry: lateness });
-        judge(&Record { header: self.header, lines: self.lines })
+        let lateness = Entry::Lateness {
+            actions: 9,
+            p50_ms: 0.1,
+            p99_ms: 1.0,
+            most_ms: 2.0,
+        };
+        self.lines.push(Line {
+            at: end,
+            entry: lateness,
+        });
+        judge(&Record {
+            header: self.header,
+            lines: self.lines,
+        })
     }
 
     pub fn rule(self, number: u32) -> Ruling {
         let judgement = self.judge();
-        let others = judgement.rules.iter().filter(|ruling| ruling.rule != number);
+        let others = judgement
+            .rules
+            .iter()
+            .filter(|ruling| ruling.rule != number);
         for other in others {
             assert_eq!(other.breaks, 0, "another rule: {:?}", other.findings);
         }
-        judgement.rules.into_iter().find(|ruling| ruling.rule == number).expect("a rule")
+        judgement
+            .rules
+            .into_iter()
+            .find(|ruling| ruling.rule == number)
+            .expect("a rule")
     }
 }
--- a/crates/load-estimators/src/lib.rs
+++ b/crates/load-estimators/src/lib.rs
@@ -98,10 +98,16 @@
 
     /// What is against it for a request of this plan and class.
     pub fn against(&self, now: Millis, aim: Millis, plan: usize, class: usize) -> f64 {
-        let full = self.full.get(&plan).map_or(0.0, |full| full.faded(now, DISTRUST_AIMS * aim));
+        let full = self
+            .full
+            .get(&plan)
+            .map_or(0.0, |full| full.faded(now, DISTRUST_AIMS * aim));
         let known = self.classes.get(&class);
         let hanging = known.map_or(0.0, |(_, hanging)| hanging.faded(now, HANGING_AIMS * aim));
-        self.against.faded(now, DISTRUST_AIMS * aim).max(full).max(hanging)
+        self.against
+            .faded(now, DISTRUST_AIMS * aim)
+            .max(full)
+            .max(hanging)
     }
 
     /// Whether it is doubted now.
@@ -116,12 +122,18 @@
 
     /// An attempt of a class was answered, or hung.
     pub fn class(&mut self, now: Millis, class: usize, answered: bool, hung: bool) {
-        let known = self.classes.entry(class).or_insert((now, Fading::default()));
+        let known = self
+            .classes
+            .entry(class)
+            .or_insert((now, Fading::default()));
         if answered {
             known.0 = now;
             known.1.value *= 0.5;
         } else if hung {
-            known.1 = Fading { value: 1.0, at: now };
+            known.1 = Fading {
+                value: 1.0,
+                at: now,
+            };
         }
     }
 
@@ -142,7 +154,11 @@
         };
         *known = Fading { value, at: now };
         let after = self.against.faded(now, DISTRUST_AIMS * aim);
-        let aside = if self.aside { after >= SET_ASIDE / 2.0 } else { after > SET_ASIDE };
+        let aside = if self.aside {
+            after >= SET_ASIDE / 2.0
+        } else {
+            after > SET_ASIDE
+        };
         (std::mem::replace(&mut self.aside, aside) != aside).then_some(aside)
     }
 }
@@ -160,7 +176,11 @@
 impl Cap {
     /// Nothing is open.
     pub fn new(now: Millis) -> Cap {
-        Cap { open: 0, spare: 0.0, at: now }
+        Cap {
+            open: 0,
+            spare: 0.0,
+            at: now,
+        }
     }
 
     /// Counts the time in which fewer were open than this part allows, or more.
@@ -216,7 +236,13 @@
 impl Store {
     /// A full one.
     pub fn full(now: Millis, burst: f64) -> Store {
-        Store { left: burst, t: now, as_of: now, error: 0.0, heard: 1.0 }
+        Store {
+            left: burst,
+            t: now,
+            as_of: now,
+            error: 0.0,
+            heard: 1.0,
+        }
     }
 
     /// When it was drawn on or told of last.
@@ -232,7 +258,13 @@
     }
 
     /// Takes in what others have drawn until `as_of`, but for `error`. Of those that are not heard of, each may use its part.
-    pub fn told(&mut self, now: Millis, burst: f64, units: f64, (as_of, error, heard): (Millis, f64, f64)) {
+    pub fn told(
+        &mut self,
+        now: Millis,
+        burst: f64,
+        units: f64,
+        (as_of, error, heard): (Millis, f64, f64),
+    ) {
         let units = in_range(units, -burst, 2.0 * burst, 0.0);
         self.left = (self.left - units).clamp(-burst, burst);
         self.heard = in_range(heard, 0.0, 1.0, 0.0);
@@ -266,7 +298,12 @@
     /// One of so many gateways: it does not see what all let in at once, so it begins part open; one alone, open.
     pub fn new(gateways: u32) -> Strain {
         let opening = OPENING_START + (1.0 - OPENING_START) / f64::from(gateways.max(1));
-        Strain { pressure: 0.0, pressure_at: 0.0, opening, answer_at: 0.0 }
+        Strain {
+            pressure: 0.0,
+            pressure_at: 0.0,
+            opening,
+            answer_at: 0.0,
+        }
     }
 
     /// The best wait is this part of the longest that is borne; not finite where nothing waits.
