--- a/crates/maplefall/benches/fronts.rs
+++ b/crates/maplefall/benches/fronts.rs
@@ -58,7 +58,10 @@
 }
 
 fn number(name: &str, usual: usize) -> usize {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(usual)
 }
 
 fn listener() -> TcpListener {
@@ -68,7 +71,12 @@
 /// Time on the processor in microseconds (proc(5), `stat`: in ticks of 10 ms).
 fn cpu(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
-    let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
+    let fields: Vec<&str> = text
+        .rsplit(')')
+        .next()
+        .unwrap_or_default()
+        .split_whitespace()
+        .collect();
     let ticks = |at: usize| fields[at].parse::<f64>().expect("ticks");
     (ticks(11) + ticks(12)) * 10_000.0
 }
@@ -76,7 +84,10 @@
 /// A figure of a file of `/proc/PID` with a name and a number to a line.
 fn figure(pid: u32, file: &str, name: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/{file}")).expect("a process");
-    let line = text.lines().find_map(|line| line.strip_prefix(name)).expect("the figure");
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(name))
+        .expect("the figure");
     line.trim_start_matches(':')
         .split_whitespace()
         .next()
@@ -107,11 +118,22 @@
     /// Stops it; how many there were.
     fn stop(mut self) -> f64 {
         let id = self.child.id().to_string();
-        std::process::Command::new("kill").args(["-INT", &id]).status().expect("kill runs");
+        std::process::Command::new("kill")
+            .args(["-INT", &id])
+            .status()
+            .expect("kill runs");
         self.child.wait().expect("an end");
         let text = std::fs::read_to_string(&self.path).expect("what it counted");
-        let total = text.lines().rev().find(|line| line.trim_end().ends_with("total")).expect("a total");
-        total.split_whitespace().nth(3).and_then(|calls| calls.parse().ok()).expect("a number")
+        let total = text
+            .lines()
+            .rev()
+            .find(|line| line.trim_end().ends_with("total"))
+            .expect("a total");
+        total
+            .split_whitespace()
+            .nth(3)
+            .and_then(|calls| calls.parse().ok())
+            .expect("a number")
     }
 }
 
@@ -122,7 +144,11 @@
         tokio::task::spawn_local(async move {
             let mut link = Link::over(stream);
             while link.message().await.is_ok() {
-                if link.write(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok").await.is_err() {
+                if link
+                    .write(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok")
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -131,17 +157,28 @@
 }
 
 fn write_file(name: &str, text: &str) -> String {
-    let path = format!("{}/{name}-{}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    let path = format!(
+        "{}/{name}-{}.toml",
+        env!("CARGO_TARGET_TMPDIR"),
+        std::process::id()
+    );
     std::fs::write(&path, text).expect("a file");
     path
 }
 
 async fn measure(profile: Profile, each: usize, round: usize) -> Measured {
-    let grpc = matches!(profile, Profile::Grpc | Profile::GrpcStream | Profile::GrpcDirect);
+    let grpc = matches!(
+        profile,
+        Profile::Grpc | Profile::GrpcStream | Profile::GrpcDirect
+    );
     let mut hosts = Vec::new();
     for n in 0..2 {
         let listener = listener();
-        hosts.push(member(&format!("s-{n}"), listener.local_addr().expect("an address"), "up"));
+        hosts.push(member(
+            &format!("s-{n}"),
+            listener.local_addr().expect("an address"),
+            "up",
+        ));
         if grpc {
             tokio::task::spawn_local(Service::new(n).serve(listener));
         } else {
@@ -167,12 +204,16 @@
                     [[route]]\nmethod = \"/lots.v1.Sessions/Watch\"\nclass = \"read\"\nshape = \"server-stream\"\n";
         variables.push(("MAPLEFALL_GRPC", write_file("grpc", text)));
     }
-    let variables: Vec<(&str, &str)> = variables.iter().map(|(name, path)| (*name, path.as_str())).collect();
+    let variables: Vec<(&str, &str)> = variables
+        .iter()
+        .map(|(name, path)| (*name, path.as_str()))
+        .collect();
     let mut settings = settings();
     settings["plans"][0]["per_second"] = serde_json::json!(1e6);
     settings["plans"][0]["peak_units"] = serde_json::json!(1e6);
     let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let mut program = Program::start_with(&variables, 1024, settings, nobody, members(7, true, &hosts));
+    let mut program =
+        Program::start_with(&variables, 1024, settings, nobody, members(7, true, &hosts));
     let address = match grpc {
         true => program
             .log_line()
@@ -184,9 +225,10 @@
         false => program.address,
     };
     let address = match profile {
-        Profile::GrpcDirect => {
-            hosts[0]["dial"].as_str().and_then(|text| text.parse().ok()).expect("an address")
-        }
+        Profile::GrpcDirect => hosts[0]["dial"]
+            .as_str()
+            .and_then(|text| text.parse().ok())
+            .expect("an address"),
         _ => address,
     };
     let pid = program.child.id();
@@ -202,7 +244,11 @@
             let other = other.clone();
             clients.spawn_local(async move {
                 let mut waits = Vec::with_capacity(count);
-                let open = if grpc { Some(Client::open(address).await.expect("a connection")) } else { None };
+                let open = if grpc {
+                    Some(Client::open(address).await.expect("a connection"))
+                } else {
+                    None
+                };
                 let mut link = Link::open(address).await.expect("a connection");
                 for n in 0..count {
                     let id = format!("{round}-{part}-{client}-{n}");
@@ -216,9 +262,14 @@
                             open.call(&Call::new(&id, path, "wide", "8S")).await.code() == Some(0)
                         }
                         (None, profile) => {
-                            let who = if profile == Profile::AuthMiss { id.as_str() } else { "ana" };
+                            let who = if profile == Profile::AuthMiss {
+                                id.as_str()
+                            } else {
+                                "ana"
+                            };
                             let text = sockets::request_of(&id, "read", "wide", "8");
-                            let text = text.replacen("\r\n", &format!("\r\nAuthorization: {who}\r\n"), 1);
+                            let text =
+                                text.replacen("\r\n", &format!("\r\nAuthorization: {who}\r\n"), 1);
                             link.write(text.as_bytes()).await.expect("a connection");
                             link.message().await.expect("an answer").status == 200
                         }
@@ -278,8 +329,10 @@
     let mut all: Vec<Vec<Measured>> = PROFILES.iter().map(|_| Vec::new()).collect();
     for round in 0..rounds {
         for (at, profile) in PROFILES.iter().enumerate() {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("a runtime");
             let local = tokio::task::LocalSet::new();
             let measured = local.block_on(&runtime, async {
                 tokio::time::timeout(Duration::from_secs(120), measure(*profile, each, round)).await
@@ -294,7 +347,10 @@
             let mut values: Vec<f64> = runs.iter().map(of).collect();
             values.sort_by(f64::total_cmp);
             let (first, last) = (values[0], values[values.len() - 1]);
-            format!("{:.digits$} ({first:.digits$} to {last:.digits$})", values[values.len() / 2])
+            format!(
+                "{:.digits$} ({first:.digits$} to {last:.digits$})",
+                values[values.len() / 2]
+            )
         };
         println!(
             "| {profile:?} | {} | {} | {} | {} | {} | {} | {} | {} |",
--- a/crates/maplefall/src/counts.rs
+++ b/crates/maplefall/src/counts.rs
@@ -74,8 +74,8 @@
     let settings = settings(&whom.file)?;
     let to = whom.ask.unwrap_or(settings.listen);
     let text = ask(&settings, to)?;
-    let mut status: Status =
-        serde_json::from_str(&text).map_err(|error| format!("{to}: its status cannot be read: {error}"))?;
+    let mut status: Status = serde_json::from_str(&text)
+        .map_err(|error| format!("{to}: its status cannot be read: {error}"))?;
     part(&mut status);
     if whom.json {
         println!("{}", status.json());
@@ -98,13 +98,21 @@
 impl Conversation {
     fn send(&mut self, kind: Kind, echo: u64, section: Option<Section>) -> Result<(), String> {
         self.sent += 1;
-        let head = Head { kind, from: self.me, number: self.sent, nonce: self.nonce, echo };
+        let head = Head {
+            kind,
+            from: self.me,
+            number: self.sent,
+            nonce: self.nonce,
+            echo,
+        };
         let mut writer = Writer::new(&self.seal, &head, MOST_DATAGRAM);
         if let Some(section) = section {
             writer.add(&section);
         }
         let bytes = writer.seal(&self.seal);
-        self.socket.send_to(&bytes, self.to).map_err(|error| format!("{}: {error}", self.to))?;
+        self.socket
+            .send_to(&bytes, self.to)
+            .map_err(|error| format!("{}: {error}", self.to))?;
         Ok(())
     }
 
@@ -113,8 +121,12 @@
         let until = Instant::now() + PATIENCE;
         let mut bytes = [0; MOST_DATAGRAM + 1];
         while Instant::now() < until {
-            let Ok((length, _)) = self.socket.recv_from(&mut bytes) else { continue };
-            let Ok((head, sections)) = wire::read(&self.seal, &bytes[..length]) else { continue };
+            let Ok((length, _)) = self.socket.recv_from(&mut bytes) else {
+                continue;
+            };
+            let Ok((head, sections)) = wire::read(&self.seal, &bytes[..length]) else {
+                continue;
+            };
             if head.kind == kind && head.echo == self.nonce {
                 return Some((head, sections));
             }
@@ -132,23 +144,37 @@
                 return Ok(answer);
             }
         }
-        Err(format!("{}: no answer; is it the address of a front door of this cluster and key?", self.to))
+        Err(format!(
+            "{}: no answer; is it the address of a front door of this cluster and key?",
+            self.to
+        ))
     }
 }
 
 /// A front door's status, as text.
 fn ask(settings: &CountsSettings, to: SocketAddr) -> Result<String, String> {
-    let here: SocketAddr = if to.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
+    let here: SocketAddr = if to.is_ipv4() {
+        ([0, 0, 0, 0], 0).into()
+    } else {
+        ([0u16; 8], 0).into()
+    };
     let no_socket = |error: std::io::Error| format!("no socket: {error}");
     let socket = UdpSocket::bind(here).map_err(no_socket)?;
-    socket.set_read_timeout(Some(PATIENCE / 4)).map_err(no_socket)?;
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    socket
+        .set_read_timeout(Some(PATIENCE / 4))
+        .map_err(no_socket)?;
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let door = DoorId::of(&format!("operator of {:?}", socket.local_addr().ok()));
     let mut talk = Conversation {
         socket,
         to,
         seal: Seal::new(&settings.sharing.cluster, &settings.sharing.key),
-        me: Life { door, incarnation: (since.as_millis() as u64).max(1) },
+        me: Life {
+            door,
+            incarnation: (since.as_millis() as u64).max(1),
+        },
         nonce: (since.as_nanos() as u64) | 1,
         sent: 0,
     };
@@ -161,13 +187,18 @@
         let (of, more) = talk.until_answered(|talk| {
             talk.send(Kind::Ask, echo, Some(Section::Part(part)))?;
             let told = talk.next(Kind::Told).map(|(_, sections)| sections);
-            Ok(told.into_iter().flatten().find_map(|section| match section {
-                Section::Text(parts, text) => Some((parts, text)),
-                _ => None,
-            }))
+            Ok(told
+                .into_iter()
+                .flatten()
+                .find_map(|section| match section {
+                    Section::Text(parts, text) => Some((parts, text)),
+                    _ => None,
+                }))
         })?;
         if of > MOST_PARTS {
-            return Err(format!("{to}: a status of {of} parts, {MOST_PARTS} at most were expected"));
+            return Err(format!(
+                "{to}: a status of {of} parts, {MOST_PARTS} at most were expected"
+            ));
         }
         text.extend(more);
         (part, parts) = (part + 1, of);
@@ -177,13 +208,20 @@
 
 fn dump(file: &Path, datagram: &str) -> Result<(), String> {
     let settings = settings(file)?;
-    let digits: Option<Vec<u32>> = datagram.trim().chars().map(|digit| digit.to_digit(16)).collect();
+    let digits: Option<Vec<u32>> = datagram
+        .trim()
+        .chars()
+        .map(|digit| digit.to_digit(16))
+        .collect();
     let digits = digits.filter(|digits| digits.len() % 2 == 0);
     let digits = digits.ok_or("the datagram: an even number of hexadecimal digits was expected")?;
-    let bytes: Vec<u8> = digits.chunks(2).map(|pair| (pair[0] << 4 | pair[1]) as u8).collect();
+    let bytes: Vec<u8> = digits
+        .chunks(2)
+        .map(|pair| (pair[0] << 4 | pair[1]) as u8)
+        .collect();
     let seal = Seal::new(&settings.sharing.cluster, &settings.sharing.key);
-    let (head, sections) =
-        wire::read(&seal, &bytes).map_err(|why| format!("the datagram changes nothing: {why:?}"))?;
+    let (head, sections) = wire::read(&seal, &bytes)
+        .map_err(|why| format!("the datagram changes nothing: {why:?}"))?;
     println!("{head:?}");
     for section in sections {
         match section {
@@ -191,7 +229,10 @@
             Section::Digest(lines) => lines.iter().for_each(|line| println!("digest {line:?}")),
             Section::Want(lines) => lines.iter().for_each(|line| println!("want {line:?}")),
             Section::Counts(life, delta) => {
-                println!("counts of {life:?} after {} up to {}", delta.after, delta.up_to);
+                println!(
+                    "counts of {life:?} after {} up to {}",
+                    delta.after, delta.up_to
+                );
                 delta.counts.iter().for_each(|told| println!("  {told:?}"));
             }
             Section::Text(parts, text) => println!("text, {} bytes, of {parts} parts", text.len()),
--- a/crates/maplefall/src/main.rs
+++ b/crates/maplefall/src/main.rs
@@ -61,7 +61,11 @@
         Err(error) => {
             // Help and versions go to standard output and are no failure.
             let _ = error.print();
-            return if error.use_stderr() { ExitCode::FAILURE } else { ExitCode::SUCCESS };
+            return if error.use_stderr() {
+                ExitCode::FAILURE
+            } else {
+                ExitCode::SUCCESS
+            };
         }
     };
     let ended = match asked.command {
@@ -107,6 +111,10 @@
     let local = tokio::task::LocalSet::new();
     let served = local.block_on(&runtime, net::run());
     #[cfg(feature = "count-allocations")]
-    eprintln!("allocations {} bytes {}", COUNTED.stats().allocations, COUNTED.stats().bytes_allocated);
+    eprintln!(
+        "allocations {} bytes {}",
+        COUNTED.stats().allocations,
+        COUNTED.stats().bytes_allocated
+    );
     served
 }
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -11,7 +11,9 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 use maplefall_forward_auth::headers::{keep, About};
-use maplefall_forward_auth::{CheckId, Decision, Failure, Gate, Key, Keyring, Output, Refusal, Verdict};
+use maplefall_forward_auth::{
+    CheckId, Decision, Failure, Gate, Key, Keyring, Output, Refusal, Verdict,
+};
 use maplefall_policy::{BackendId, ClassId, Millis, RequestId};
 use maplefall_protocol::Answer;
 use maplefall_settings::Links;
@@ -93,7 +95,12 @@
 
 /// Descriptors that checks may take, out of those for backends.
 pub fn sockets(settings: Option<&AuthSettings>, descriptors: usize) -> usize {
-    settings.map_or(0, |settings| settings.gate.most_out.min((descriptors / SOCKETS_EACH).max(1)))
+    settings.map_or(0, |settings| {
+        settings
+            .gate
+            .most_out
+            .min((descriptors / SOCKETS_EACH).max(1))
+    })
 }
 
 fn server_id(server: usize) -> BackendId {
@@ -105,13 +112,19 @@
     pub fn new(mut settings: AuthSettings, clock: Clock, seed: u64, sockets: usize) -> Rc<Auth> {
         settings.gate.most_out = settings.gate.most_out.min(sockets);
         settings.gate.seed = seed;
-        let links = Links { dial_timeout: DIAL, idle_close: settings.idle_close };
+        let links = Links {
+            dial_timeout: DIAL,
+            idle_close: settings.idle_close,
+        };
         let pools = Pools::new(links, sockets);
         for (at, server) in settings.servers.iter().enumerate() {
             pools.open(server_id(at), server.dial, 0.0);
         }
         // Of this process and of nobody else: keys of one life say nothing in another.
-        let secret = [seed.to_be_bytes(), process_secret()].concat().try_into().unwrap_or([0; 16]);
+        let secret = [seed.to_be_bytes(), process_secret()]
+            .concat()
+            .try_into()
+            .unwrap_or([0; 16]);
         Rc::new(Auth {
             gate: RefCell::new(Gate::new(settings.gate.clone())),
             settings,
@@ -140,12 +153,23 @@
     pub fn caller(&self, head: &Parts, class: ClassId, plan: usize, peer: IpAddr) -> Caller {
         let mut headers = head.headers.clone();
         self.settings.headers.strip(&mut headers);
-        let host = headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default().to_owned();
-        let credentials: Vec<Option<Vec<u8>>> = self.settings.headers.credentials(&headers).collect();
+        let host = headers
+            .get(HOST)
+            .and_then(|host| host.to_str().ok())
+            .unwrap_or_default()
+            .to_owned();
+        let credentials: Vec<Option<Vec<u8>>> =
+            self.settings.headers.credentials(&headers).collect();
         #[cfg(feature = "breakages")]
-        let credentials =
-            if breakages::is(Breakage::KeyWithoutCredential) { Vec::new() } else { credentials };
-        let target = head.uri.path_and_query().map_or("/", |target| target.as_str());
+        let credentials = if breakages::is(Breakage::KeyWithoutCredential) {
+            Vec::new()
+        } else {
+            credentials
+        };
+        let target = head
+            .uri
+            .path_and_query()
+            .map_or("/", |target| target.as_str());
         let part = |part: &Part| match part {
             Part::Class => class.0.to_be_bytes().to_vec(),
             Part::Plan => plan.to_be_bytes().to_vec(),
@@ -154,12 +178,23 @@
             Part::Uri => target.as_bytes().to_vec(),
         };
         let more: Vec<Vec<u8>> = self.settings.key.iter().map(part).collect();
-        let parts =
-            credentials.iter().map(Option::as_deref).chain(more.iter().map(|part| Some(part.as_slice())));
+        let parts = credentials
+            .iter()
+            .map(Option::as_deref)
+            .chain(more.iter().map(|part| Some(part.as_slice())));
         let key = self.ring.key(parts);
-        let about =
-            About { method: &head.method, uri: &head.uri, host: &host, proto: self.settings.proto, peer };
-        Caller { key, sent: Rc::new(self.settings.headers.sub_request(&headers, &about)), class }
+        let about = About {
+            method: &head.method,
+            uri: &head.uri,
+            host: &host,
+            proto: self.settings.proto,
+            peer,
+        };
+        Caller {
+            key,
+            sent: Rc::new(self.settings.headers.sub_request(&headers, &about)),
+            class,
+        }
     }
 
     /// Has a caller checked; the decision is there by the budget's end, which lies before the deadline.
@@ -167,15 +202,26 @@
         let id = self.last.get() + 1;
         self.last.set(id);
         let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, Waiter { key: caller.key, tell });
+        self.waiting.borrow_mut().insert(
+            id,
+            Waiter {
+                key: caller.key,
+                tell,
+            },
+        );
         self.asked
             .borrow_mut()
             .entry(caller.key)
-            .or_insert_with(|| Asked { sent: caller.sent.clone(), waiting: 0 })
+            .or_insert_with(|| Asked {
+                sent: caller.sent.clone(),
+                waiting: 0,
+            })
             .waiting += 1;
         // Whatever ends this wait ends its place.
         let _leaving = Leaving { auth: self, id };
-        self.gate.borrow_mut().ask(self.clock.now(), id, caller.key, caller.class.0, deadline);
+        self.gate
+            .borrow_mut()
+            .ask(self.clock.now(), id, caller.key, caller.class.0, deadline);
         self.carry_out();
         told.await.unwrap_or(Decision::Refuse(Refusal::GivenUp))
     }
@@ -196,7 +242,9 @@
         };
         #[cfg(feature = "breakages")]
         let decision = match decision {
-            Decision::Refuse(why) if breakages::is(Breakage::FailOpen) => Decision::PassUnchecked(why),
+            Decision::Refuse(why) if breakages::is(Breakage::FailOpen) => {
+                Decision::PassUnchecked(why)
+            }
             decision => decision,
         };
         let ended = match decision {
@@ -254,7 +302,9 @@
 
     fn carry_out(self: &Rc<Self>) {
         loop {
-            let Some(output) = self.gate.borrow_mut().output() else { break };
+            let Some(output) = self.gate.borrow_mut().output() else {
+                break;
+            };
             match output {
                 Output::Decided { request, decision } => {
                     if let Some(waiter) = self.take(request) {
@@ -267,8 +317,19 @@
                         task.abort();
                     }
                 }
-                Output::Check { check, attempt, key, server, .. } => {
-                    let Some(sent) = self.asked.borrow().get(&key).map(|asked| asked.sent.clone()) else {
+                Output::Check {
+                    check,
+                    attempt,
+                    key,
+                    server,
+                    ..
+                } => {
+                    let Some(sent) = self
+                        .asked
+                        .borrow()
+                        .get(&key)
+                        .map(|asked| asked.sent.clone())
+                    else {
                         continue;
                     };
                     let auth = self.clone();
@@ -277,8 +338,13 @@
                         auth.out.borrow_mut().remove(&check);
                         let now = auth.clock.now();
                         match answer {
-                            Ok(verdict) => auth.gate.borrow_mut().answered(now, check, attempt, verdict),
-                            Err(failure) => auth.gate.borrow_mut().failed(now, check, attempt, failure),
+                            Ok(verdict) => auth
+                                .gate
+                                .borrow_mut()
+                                .answered(now, check, attempt, verdict),
+                            Err(failure) => {
+                                auth.gate.borrow_mut().failed(now, check, attempt, failure)
+                            }
                         }
                         auth.carry_out();
                     });
@@ -310,11 +376,15 @@
         let kept = pooled.is_some();
         let mut connection = match pooled {
             Some(connection) => connection,
-            None => self.pools.fresh(at.dial).await.map_err(|error| match error {
-                // No fault of the server; a moment later there may be room.
-                NoConnection::Own => Failure::KeptConnection,
-                NoConnection::Theirs => Failure::Server,
-            })?,
+            None => self
+                .pools
+                .fresh(at.dial)
+                .await
+                .map_err(|error| match error {
+                    // No fault of the server; a moment later there may be room.
+                    NoConnection::Own => Failure::KeptConnection,
+                    NoConnection::Theirs => Failure::Server,
+                })?,
         };
         let mut request = Request::new(Full::<Bytes>::default());
         *request.method_mut() = Method::GET;
@@ -324,9 +394,17 @@
             request.headers_mut().insert(HOST, host);
         }
         connection.wire.begin(0, false);
-        let died = if kept { Failure::KeptConnection } else { Failure::Server };
+        let died = if kept {
+            Failure::KeptConnection
+        } else {
+            Failure::Server
+        };
         connection.sender.ready().await.map_err(|_| died)?;
-        let answer = connection.sender.send_request(request).await.map_err(|_| died)?;
+        let answer = connection
+            .sender
+            .send_request(request)
+            .await
+            .map_err(|_| died)?;
         let verdict = self.read(answer).await.ok_or(Failure::Server)?;
         self.pools.put_back(id, at.dial, connection);
         Ok(verdict)
@@ -345,10 +423,19 @@
             Carried::Onward(self.settings.headers.onward(&head.headers).ok()?)
         } else {
             let headers = self.settings.headers.back(&head.headers).ok()?;
-            Carried::Denial { status: head.status, headers, body }
+            Carried::Denial {
+                status: head.status,
+                headers,
+                body,
+            }
         };
         let bytes = size(&carried);
-        Some(Verdict { passes, answer: Rc::new(carried), bytes, keep: keep(&head.headers) })
+        Some(Verdict {
+            passes,
+            answer: Rc::new(carried),
+            bytes,
+            keep: keep(&head.headers),
+        })
     }
 }
 
@@ -358,13 +445,20 @@
         Carried::Onward(headers) => (headers, 0),
         Carried::Denial { headers, body, .. } => (headers, body.len()),
     };
-    headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 64).sum::<usize>() + body
+    headers
+        .iter()
+        .map(|(name, value)| name.as_str().len() + value.len() + 64)
+        .sum::<usize>()
+        + body
 }
 
 /// Bits that nobody outside this process knows: the standard library's own, from the system's source of chance.
 fn process_secret() -> [u8; 8] {
     use std::hash::{BuildHasher, Hasher};
-    std::collections::hash_map::RandomState::new().build_hasher().finish().to_be_bytes()
+    std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish()
+        .to_be_bytes()
 }
 
 /// Ends a wait when its request is decided or its client goes.
@@ -376,7 +470,10 @@
 impl Drop for Leaving<'_> {
     fn drop(&mut self) {
         if self.auth.take(self.id).is_some() {
-            self.auth.gate.borrow_mut().leave(self.auth.clock.now(), self.id);
+            self.auth
+                .gate
+                .borrow_mut()
+                .leave(self.auth.clock.now(), self.id);
             self.auth.carry_out();
         }
     }
--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -109,15 +109,22 @@
 /// # Errors
 /// Every mistake, one to a line.
 pub fn from_env(classes: &[String], effects: &[Effect]) -> Result<Option<AuthSettings>, String> {
-    let Some(path) = std::env::var_os(VARIABLE) else { return Ok(None) };
-    read(Path::new(&path), Some((classes, effects))).map(Some).map_err(|found| found.join("\n"))
+    let Some(path) = std::env::var_os(VARIABLE) else {
+        return Ok(None);
+    };
+    read(Path::new(&path), Some((classes, effects)))
+        .map(Some)
+        .map_err(|found| found.join("\n"))
 }
 
 /// What a file says. Without the classes, what it says of them is taken as it stands.
 ///
 /// # Errors
 /// Every mistake, each with the file's name and the field.
-pub fn read(path: &Path, classes: Option<(&[String], &[Effect])>) -> Result<AuthSettings, Vec<String>> {
+pub fn read(
+    path: &Path,
+    classes: Option<(&[String], &[Effect])>,
+) -> Result<AuthSettings, Vec<String>> {
     let named = |text: String| format!("{}: {text}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| vec![named(error.to_string())])?;
     parse(&text, classes).map_err(|found| found.into_iter().map(named).collect())
@@ -125,33 +132,41 @@
 
 /// Whether a text is a file of this kind rather than one of sources.
 pub fn is_one(text: &str) -> bool {
-    text.parse::<toml::Table>().is_ok_and(|table| table.contains_key("servers"))
+    text.parse::<toml::Table>()
+        .is_ok_and(|table| table.contains_key("servers"))
 }
 
 fn parse(text: &str, classes: Option<(&[String], &[Effect])>) -> Result<AuthSettings, Vec<String>> {
-    let told: Text = toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
+    let told: Text =
+        toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
     let mut found = Vec::new();
     let mut servers = Vec::new();
     if !(1..=MOST_SERVERS).contains(&told.servers.len()) {
-        found.push(format!("servers: a list of 1 to {MOST_SERVERS} of http://IP:PORT/PATH was expected"));
+        found.push(format!(
+            "servers: a list of 1 to {MOST_SERVERS} of http://IP:PORT/PATH was expected"
+        ));
     }
     for (at, server) in told.servers.iter().enumerate() {
         match server_of(server) {
             Some(server) => servers.push(server),
-            None => found.push(format!("servers.{at}: http://IP:PORT/PATH was expected, not {server:?}")),
+            None => found.push(format!(
+                "servers.{at}: http://IP:PORT/PATH was expected, not {server:?}"
+            )),
         }
     }
     let mut names = |list: &[String], field: &str, least: usize| {
         if !(least..=MOST_HEADERS).contains(&list.len()) {
-            found.push(format!("{field}: a list of {least} to {MOST_HEADERS} names of headers was expected"));
+            found.push(format!(
+                "{field}: a list of {least} to {MOST_HEADERS} names of headers was expected"
+            ));
         }
         let mut names = Vec::new();
         for (at, name) in list.iter().enumerate() {
             match name.parse::<HeaderName>() {
                 Ok(name) => names.push(name),
-                Err(_) => {
-                    found.push(format!("{field}.{at}: the name of a header was expected, not {name:?}"))
-                }
+                Err(_) => found.push(format!(
+                    "{field}.{at}: the name of a header was expected, not {name:?}"
+                )),
             }
         }
         names
@@ -159,13 +174,33 @@
     let credentials = names(&told.credentials, "credentials", 1);
     let onward = names(&told.onward, "onward", 0);
     if let Some(both) = onward.iter().find(|name| credentials.contains(name)) {
-        found
-            .push(format!("onward: {both} is a credential; what the service sets is stripped from requests"));
+        found.push(format!(
+            "onward: {both} is a credential; what the service sets is stripped from requests"
+        ));
     }
-    let own = ["host", "request-id", "request-timeout", "idempotency-key", "content-type", "content-length"];
-    let hops = ["connection", "transfer-encoding", "te", "trailer", "upgrade", "keep-alive"];
-    for name in onward.iter().filter(|name| own.iter().chain(&hops).any(|own| own == &name.as_str())) {
-        found.push(format!("onward: {name} belongs to the request itself and cannot be set by the service"));
+    let own = [
+        "host",
+        "request-id",
+        "request-timeout",
+        "idempotency-key",
+        "content-type",
+        "content-length",
+    ];
+    let hops = [
+        "connection",
+        "transfer-encoding",
+        "te",
+        "trailer",
+        "upgrade",
+        "keep-alive",
+    ];
+    for name in onward
+        .iter()
+        .filter(|name| own.iter().chain(&hops).any(|own| own == &name.as_str()))
+    {
+        found.push(format!(
+            "onward: {name} belongs to the request itself and cannot be set by the service"
+        ));
     }
     let count = classes.map_or(told.classes.len(), |(names, _)| names.len());
     let mut modes = vec![Mode::Off; count];
@@ -173,7 +208,10 @@
         match classes {
             Some((known, _)) => match known.iter().position(|known| *known == plain(name)) {
                 Some(class) => modes[class] = *mode,
-                None => found.push(format!("classes.{name}: one of {} was expected", known.join(", "))),
+                None => found.push(format!(
+                    "classes.{name}: one of {} was expected",
+                    known.join(", ")
+                )),
             },
             None => modes[at] = *mode,
         }
@@ -209,7 +247,11 @@
         servers,
         checked: modes.iter().map(|mode| *mode != Mode::Off).collect(),
         gate,
-        headers: Headers { credentials, onward, most_bytes: answer_bytes },
+        headers: Headers {
+            credentials,
+            onward,
+            most_bytes: answer_bytes,
+        },
         key: told.key.unwrap_or(vec![Part::Class, Part::Plan]),
         proto: match told.proto {
             Some(Proto::Https) => "https",
@@ -228,7 +270,10 @@
     let uri: Uri = text.parse().ok()?;
     let dial = uri.authority()?.as_str().parse().ok()?;
     let target = uri.path_and_query()?.clone();
-    (uri.scheme_str() == Some("http")).then(|| Server { dial, target: Uri::from(target) })
+    (uri.scheme_str() == Some("http")).then(|| Server {
+        dial,
+        target: Uri::from(target),
+    })
 }
 
 #[cfg(test)]
@@ -236,7 +281,10 @@
     use super::*;
 
     fn classes() -> (Vec<String>, Vec<Effect>) {
-        (vec!["consulta".to_owned(), "cobro".to_owned()], vec![Effect::Safe, Effect::Unsafe])
+        (
+            vec!["consulta".to_owned(), "cobro".to_owned()],
+            vec![Effect::Safe, Effect::Unsafe],
+        )
     }
 
     /// Guards the example that ships: whoever copies it begins with a file that can be used.
@@ -245,7 +293,10 @@
         let text = include_str!("../../../../deploy/forward-auth.toml");
         assert!(is_one(text) && !is_one(include_str!("../../../../deploy/sources.toml")));
         let settings = parse(text, None).unwrap();
-        assert_eq!((settings.servers.len(), settings.servers[0].target.path()), (2, "/oauth2/auth"));
+        assert_eq!(
+            (settings.servers.len(), settings.servers[0].target.path()),
+            (2, "/oauth2/auth")
+        );
     }
 
     #[test]
@@ -255,11 +306,17 @@
             format!("servers = [\"http://127.0.0.1:1/a\"]\ncredentials = [\"authorization\"]\nclasses = {modes}\n")
         };
         let settings = parse(&text("{ consulta = \"open\" }"), Some((&names, &effects))).unwrap();
-        assert_eq!((settings.checked, settings.gate.fail_open), (vec![true, false], vec![true, false]));
+        assert_eq!(
+            (settings.checked, settings.gate.fail_open),
+            (vec![true, false], vec![true, false])
+        );
         let wrong = parse(&text("{ cobro = \"open\" }"), Some((&names, &effects))).unwrap_err();
         assert!(wrong[0].contains("never fails open"), "{wrong:?}");
         let wrong = parse(&text("{ pago = \"closed\" }"), Some((&names, &effects))).unwrap_err();
-        assert!(wrong[0].contains("classes.pago: one of consulta, cobro"), "{wrong:?}");
+        assert!(
+            wrong[0].contains("classes.pago: one of consulta, cobro"),
+            "{wrong:?}"
+        );
     }
 
     #[test]
@@ -279,7 +336,10 @@
             "idle_close_ms:",
         ];
         for begin in begins {
-            assert!(found.iter().any(|line| line.starts_with(begin)), "{begin} {found:#?}");
+            assert!(
+                found.iter().any(|line| line.starts_with(begin)),
+                "{begin} {found:#?}"
+            );
         }
         assert_eq!(found.len(), begins.len(), "{found:#?}");
         assert!(parse("server = 3", None).unwrap_err()[0].contains("unknown field"));
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -31,7 +31,11 @@
     fn take(&self, length: usize) -> Option<Share> {
         let left = self.0.load(Ordering::Relaxed).checked_sub(length)?;
         self.0.store(left, Ordering::Relaxed);
-        Some(Share { length, room: self.clone(), body: Bytes::new() })
+        Some(Share {
+            length,
+            room: self.clone(),
+            body: Bytes::new(),
+        })
     }
 }
 
@@ -78,7 +82,10 @@
 
     fn report(&self, text: &str) -> Report {
         let mut report = Report::default();
-        for (name, value) in text.split(',').filter_map(|field| field.trim().split_once('=')) {
+        for (name, value) in text
+            .split(',')
+            .filter_map(|field| field.trim().split_once('='))
+        {
             let place = self.names.iter().position(|known| known == name);
             if let (Some(place), Ok(value)) = (place, value.parse::<f32>()) {
                 settings::tell(&mut report, self.metrics[place], value);
@@ -133,14 +140,18 @@
         |ended: &Ended| ended.outcome == Outcome::Full,
     )
     .await;
-    Ended { broken: carried.broken, ..carried.end.unwrap_or_else(Ended::of) }
+    Ended {
+        broken: carried.broken,
+        ..carried.end.unwrap_or_else(Ended::of)
+    }
 }
 
 /// Reads a whole answer; `None` if the connection ends before it does, or if nobody could tell that it is whole: an
 /// answer that ends with its connection may have been cut. After 101 the connection speaks something else.
 async fn read(reading: &Reading, answer: Response<Incoming>) -> Option<Ended> {
     let (head, body) = answer.into_parts();
-    let measured = head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
+    let measured =
+        head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
     if !measured || head.status.is_informational() {
         return None;
     }
@@ -148,10 +159,16 @@
     let outcome = outcome(head.status, &head.headers);
     Some(Ended {
         outcome,
-        body: if outcome == Outcome::Ok { body } else { Bytes::new() },
+        body: if outcome == Outcome::Ok {
+            body
+        } else {
+            Bytes::new()
+        },
         used: number(&head.headers, &API_USAGE, MOST_USAGE).map(|percent| percent / 100.0),
         charge: number(&head.headers, &API_CHARGE, reading.max_units),
-        report: text(&head.headers, &SERVER_LOAD).map(|text| reading.report(text)).unwrap_or_default(),
+        report: text(&head.headers, &SERVER_LOAD)
+            .map(|text| reading.report(text))
+            .unwrap_or_default(),
         broken: 0,
     })
 }
@@ -170,7 +187,9 @@
     let mut share = None;
     let mut held = Vec::new();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.ok()?.into_data() else { continue };
+        let Ok(data) = frame.ok()?.into_data() else {
+            continue;
+        };
         let length = held.len() + data.len();
         if length > most {
             return None;
@@ -191,7 +210,10 @@
 }
 
 fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let unavailable = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+    let unavailable = matches!(
+        status,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
+    );
     match status {
         StatusCode::OK => Outcome::Ok,
         _ if unavailable && text(headers, &NOT_STARTED) == Some("1") => Outcome::Full,
@@ -200,13 +222,18 @@
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
-    headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
+    headers
+        .get(name)
+        .and_then(|value| value.to_str().ok())
+        .map(str::trim)
 }
 
 /// The first figure under this name that can be read and makes sense. One that does not spoils no answer.
 pub fn number(headers: &HeaderMap, name: &HeaderName, most: f64) -> Option<f64> {
-    let mut values =
-        headers.get_all(name).iter().filter_map(|value| value.to_str().ok()?.trim().parse().ok());
+    let mut values = headers
+        .get_all(name)
+        .iter()
+        .filter_map(|value| value.to_str().ok()?.trim().parse().ok());
     values.find(|number: &f64| number.is_finite() && (0.0..=most).contains(number))
 }
 
@@ -225,7 +252,12 @@
     fn a_load_report_is_read_by_its_names() {
         let names = vec!["depth".to_owned(), "load_share".to_owned()];
         let metrics = vec![Metric::Queue, Metric::Utilisation];
-        let reading = Reading { names, metrics, max_units: 8.0, room: Room(Arc::default()) };
+        let reading = Reading {
+            names,
+            metrics,
+            max_units: 8.0,
+            room: Room(Arc::default()),
+        };
         let report = reading.report("other=3, depth=2,load_share=0.61,broken");
         assert_eq!((report.queue, report.in_flight), (Some(2.0), None));
         assert!((report.utilisation.unwrap() - 0.61).abs() < 1e-6);
@@ -235,9 +267,16 @@
     const SCENE: Duration = Duration::from_secs(20);
 
     fn pools() -> (Pools, Reading) {
-        let links = Links { dial_timeout: 20_000.0, idle_close: 600_000.0 };
-        let reading =
-            Reading { names: Vec::new(), metrics: Vec::new(), max_units: 8.0, room: Room(Arc::default()) };
+        let links = Links {
+            dial_timeout: 20_000.0,
+            idle_close: 600_000.0,
+        };
+        let reading = Reading {
+            names: Vec::new(),
+            metrics: Vec::new(),
+            max_units: 8.0,
+            room: Room(Arc::default()),
+        };
         (Pools::new(links, 8), reading)
     }
 
@@ -260,7 +299,10 @@
     async fn receive(stream: &mut TcpStream, to: &[u8]) {
         let mut got = Vec::new();
         while !got.ends_with(to) {
-            assert!(stream.read_buf(&mut got).await.expect("a request") > 0, "ended");
+            assert!(
+                stream.read_buf(&mut got).await.expect("a request") > 0,
+                "ended"
+            );
         }
     }
 
@@ -270,7 +312,9 @@
     #[test]
     fn what_a_dead_connection_swallows_has_not_run() {
         let ends = play(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("a port");
             let address = listener.local_addr().expect("an address");
             let backend = tokio::task::spawn_local(async move {
                 let (mut kept, _) = listener.accept().await.expect("a connection");
@@ -290,16 +334,34 @@
             let mut ends = Vec::new();
             for _ in 0..3 {
                 ends.push(
-                    attempt(&pools, &reading, id, &order, 20_000.0, Care::Once, &Line::default()).await,
+                    attempt(
+                        &pools,
+                        &reading,
+                        id,
+                        &order,
+                        20_000.0,
+                        Care::Once,
+                        &Line::default(),
+                    )
+                    .await,
                 );
             }
-            backend.await.expect("a backend that saw what it waited for");
+            backend
+                .await
+                .expect("a backend that saw what it waited for");
             ends
         });
-        let told: Vec<_> = ends.iter().map(|end| (end.outcome, end.body.as_ref(), end.broken)).collect();
+        let told: Vec<_> = ends
+            .iter()
+            .map(|end| (end.outcome, end.body.as_ref(), end.broken))
+            .collect();
         assert_eq!(
             told,
-            [(Outcome::Ok, &b"one"[..], 0), (Outcome::Ok, b"two", 1), (Outcome::ConnectFailed, b"", 2)]
+            [
+                (Outcome::Ok, &b"one"[..], 0),
+                (Outcome::Ok, b"two", 1),
+                (Outcome::ConnectFailed, b"", 2)
+            ]
         );
     }
 
@@ -309,7 +371,9 @@
     fn what_must_not_run_twice_takes_no_connection_of_an_age_that_fails() {
         let old = Duration::from_millis(300);
         play(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("a port");
             let address = listener.local_addr().expect("an address");
             let backend = tokio::task::spawn_local(async move {
                 for _ in 0..3 {
@@ -325,7 +389,8 @@
                 serve(&mut new, "on a kept one").await;
                 drop(old);
             });
-            let ((pools, reading), order, id, line) = (pools(), order(), BackendId(1), Line::default());
+            let ((pools, reading), order, id, line) =
+                (pools(), order(), BackendId(1), Line::default());
             pools.open(id, address, 0.0);
             let send = |care| attempt(&pools, &reading, id, &order, 20_000.0, care, &line);
             for _ in 0..3 {
@@ -338,7 +403,9 @@
             assert_eq!(send(Care::Once).await.body, "on a new one");
             pools.age(old);
             assert_eq!(send(Care::Usual).await.body, "on a kept one");
-            backend.await.expect("a backend that saw what it waited for");
+            backend
+                .await
+                .expect("a backend that saw what it waited for");
         });
     }
 
@@ -347,9 +414,12 @@
     #[test]
     fn what_was_dialled_for_an_earlier_life_is_not_used() {
         play(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+                .await
+                .expect("a port");
             let address = listener.local_addr().expect("an address");
-            let ((pools, reading), order, id, line) = (pools(), order(), BackendId(1), Line::default());
+            let ((pools, reading), order, id, line) =
+                (pools(), order(), BackendId(1), Line::default());
             pools.open(id, address, 0.0);
             let send = attempt(&pools, &reading, id, &order, 20_000.0, Care::Usual, &line);
             // While it is dialled.
@@ -359,26 +429,43 @@
             };
             let (ended, ()) = tokio::join!(send, move_on);
             assert_eq!(ended.outcome, Outcome::NotSent);
-            let (mut stream, _) = listener.accept().await.expect("the connection that was on its way");
-            assert_eq!(stream.read(&mut [0; 8]).await.expect("an end"), 0, "nothing was written to it");
+            let (mut stream, _) = listener
+                .accept()
+                .await
+                .expect("the connection that was on its way");
+            assert_eq!(
+                stream.read(&mut [0; 8]).await.expect("an end"),
+                0,
+                "nothing was written to it"
+            );
         });
     }
 
     async fn serve(stream: &mut TcpStream, body: &str) {
         receive(stream, b"hello").await;
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         stream.write_all(answer.as_bytes()).await.expect("a reader");
     }
 
     /// Plays a scene on one thread, within a time that only a fault uses up.
     fn play<T>(scene: impl std::future::Future<Output = T>) -> T {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         let local = tokio::task::LocalSet::new();
         let all = async { tokio::time::timeout(SCENE, scene).await };
-        runtime.block_on(local.run_until(all)).expect("an end in time")
+        runtime
+            .block_on(local.run_until(all))
+            .expect("an end in time")
     }
 
     fn reset(stream: TcpStream) {
-        SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
+        SockRef::from(&stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("a socket");
     }
 }
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -6,9 +6,9 @@
 use maplefall_discovery_agent::{line, Heard, Line, Output, Word};
 use maplefall_etcd::client::Seam;
 use maplefall_etcd::{Command, Input};
+use maplefall_membership::{Event, Roster, Update};
 use maplefall_policy::{Action, BackendEntry, Effect, Millis, Reason, Settings};
 use maplefall_protocol::{Health, Member, Order};
-use maplefall_membership::{Event, Roster, Update};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
@@ -143,7 +143,11 @@
         if is(Breakage::NoCeiling) {
             plan.ceiling = None;
         }
-        if let Some(ceiling) = plan.ceiling.as_mut().filter(|_| is(Breakage::CeilingPerDoor)) {
+        if let Some(ceiling) = plan
+            .ceiling
+            .as_mut()
+            .filter(|_| is(Breakage::CeilingPerDoor))
+        {
             ceiling.rate *= doors;
             ceiling.burst *= doors;
             ceiling.slack *= doors;
@@ -178,9 +182,11 @@
 /// An action as it is carried out.
 pub fn action(action: Action) -> Action {
     match action {
-        Action::Fail(request) if is(Breakage::RefusedAfter) => {
-            Action::Refuse { request, reason: Reason::Attempts, retry_after: None }
-        }
+        Action::Fail(request) if is(Breakage::RefusedAfter) => Action::Refuse {
+            request,
+            reason: Reason::Attempts,
+            retry_after: None,
+        },
         action => action,
     }
 }
@@ -208,15 +214,24 @@
 /// What the door is handed past the roster.
 pub fn past_the_roster(event: &Event, roster: &Roster) -> Option<Update> {
     let changes = match event {
-        Event::Snapshot { members, .. } | Event::Change { members, .. } if is(Breakage::LastWordHolds) => {
+        Event::Snapshot { members, .. } | Event::Change { members, .. }
+            if is(Breakage::LastWordHolds) =>
+        {
             members.hosts.clone()
         }
-        Event::Lost { .. } if is(Breakage::LostEmpties) => {
-            roster.members().map(|member| Member { health: Health::Removed, ..member.clone() }).collect()
-        }
+        Event::Lost { .. } if is(Breakage::LostEmpties) => roster
+            .members()
+            .map(|member| Member {
+                health: Health::Removed,
+                ..member.clone()
+            })
+            .collect(),
         _ => return None,
     };
-    Some(Update { changes, reports: Vec::new() })
+    Some(Update {
+        changes,
+        reports: Vec::new(),
+    })
 }
 
 /// What an agent said as its follower hears it.
@@ -237,15 +252,23 @@
         Heard::Line(text) if is(Breakage::OlderListHolds) => line(text).ok(),
         _ => None,
     };
-    let Some(Line::Word(Word { mut members, .. })) = word else { return out };
+    let Some(Line::Word(Word { mut members, .. })) = word else {
+        return out;
+    };
     // Versions of events for the roster count up, whatever the agent's do.
     members.seq = WORDS.fetch_add(1, Ordering::Relaxed);
     let unread = Vec::new();
     let event = match members.whole {
-        true => Event::Snapshot { source: 0, members, unread },
+        true => Event::Snapshot {
+            source: 0,
+            members,
+            unread,
+        },
         false => Event::Change { source: 0, members },
     };
-    let calls = out.into_iter().filter(|output| !matches!(output, Output::Tell(_)));
+    let calls = out
+        .into_iter()
+        .filter(|output| !matches!(output, Output::Tell(_)));
     calls.chain([Output::Tell(event)]).collect()
 }
 
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -24,11 +24,16 @@
     match sources::read(path) {
         Err(found) => found,
         Ok(sources) => {
-            let files = sources.list.into_iter().filter_map(|source| match source.kind {
-                sources::Kind::File(path) => Some(path),
-                _ => None,
-            });
-            files.flat_map(|path| membership::file_mistakes(&path)).collect()
+            let files = sources
+                .list
+                .into_iter()
+                .filter_map(|source| match source.kind {
+                    sources::Kind::File(path) => Some(path),
+                    _ => None,
+                });
+            files
+                .flat_map(|path| membership::file_mistakes(&path))
+                .collect()
         }
     }
 }
@@ -48,20 +53,33 @@
         match value.get(path).map(|value| value.as_str()) {
             None => {}
             Some(Some(text)) if !address || text.parse::<SocketAddr>().is_ok() => {}
-            Some(_) if address => found.push(format!("{path}: an address with a port was expected")),
+            Some(_) if address => {
+                found.push(format!("{path}: an address with a port was expected"))
+            }
             Some(_) => found.push(format!("{path}: a text was expected")),
         }
     }
-    match value.get("seed").and_then(Value::as_str).map(|text| u64::from_str_radix(text, 16)) {
+    match value
+        .get("seed")
+        .and_then(Value::as_str)
+        .map(|text| u64::from_str_radix(text, 16))
+    {
         Some(Ok(_)) => {}
         _ => found.push("seed: up to 16 hexadecimal digits in quotes were expected".to_owned()),
     }
-    let least = [("sockets", LEAST_SOCKETS, true), ("memory_mb", least_memory(), false)];
+    let least = [
+        ("sockets", LEAST_SOCKETS, true),
+        ("memory_mb", least_memory(), false),
+    ];
     for (key, least, needed) in least {
         let limit = value.pointer(&format!("/limits/{key}"));
-        let number = limit.and_then(Value::as_u64).and_then(|number| usize::try_from(number).ok());
+        let number = limit
+            .and_then(Value::as_u64)
+            .and_then(|number| usize::try_from(number).ok());
         if number.is_none_or(|number| number < least) && (needed || limit.is_some()) {
-            found.push(format!("limits.{key}: a whole number of {least} or more was expected"));
+            found.push(format!(
+                "limits.{key}: a whole number of {least} or more was expected"
+            ));
         }
     }
     if let Some(known) = value.get("known").filter(|known| !known.is_null()) {
@@ -103,27 +121,37 @@
     let (set, names) = (&told.settings, &told.names);
     for (list, known) in [("grades", &names.classes), ("plans", &names.plans)] {
         if known.is_empty() {
-            found.push(format!("settings.{list}: at least one was expected; nothing can be served without"));
+            found.push(format!(
+                "settings.{list}: at least one was expected; nothing can be served without"
+            ));
         }
         for (at, name) in known.iter().enumerate() {
             if name.is_empty() {
                 found.push(format!("settings.{list}.{at}.name: a name was expected"));
             } else if known[..at].contains(name) {
-                found.push(format!("settings.{list}.{at}.name: {name} stands there twice"));
+                found.push(format!(
+                    "settings.{list}.{at}.name: {name} stands there twice"
+                ));
             }
         }
     }
     for (at, class) in set.classes.iter().enumerate() {
         if class.deadline <= 0.0 || class.aim <= 0.0 {
-            found.push(format!("settings.grades.{at}: aim and give_up above 0 were expected"));
+            found.push(format!(
+                "settings.grades.{at}: aim and give_up above 0 were expected"
+            ));
         } else if class.aim > class.deadline {
             let (aim, end) = (class.aim, class.deadline);
-            found.push(format!("settings.grades.{at}.aim: {aim} is over its give_up of {end}"));
+            found.push(format!(
+                "settings.grades.{at}.aim: {aim} is over its give_up of {end}"
+            ));
         }
     }
     for (at, plan) in set.plans.iter().enumerate() {
         if plan.rate < 0.0 || plan.burst < 0.0 {
-            found.push(format!("settings.plans.{at}: per_second and peak_units of 0 or more were expected"));
+            found.push(format!(
+                "settings.plans.{at}: per_second and peak_units of 0 or more were expected"
+            ));
         } else if plan.rate > 0.0 && plan.burst < set.max_units {
             let (burst, most) = (plan.burst, set.max_units);
             found.push(format!(
@@ -173,7 +201,10 @@
             "settings: plans.0.",
         ];
         for begin in begins {
-            assert!(found.iter().any(|line| line.starts_with(begin)), "{begin} {found:#?}");
+            assert!(
+                found.iter().any(|line| line.starts_with(begin)),
+                "{begin} {found:#?}"
+            );
         }
         assert_eq!(found.len(), begins.len(), "{found:#?}");
     }
@@ -181,18 +212,22 @@
     #[test]
     fn what_cannot_be_meant_is_told() {
         let with = |settings: Value| {
-            let text = serde_json::json!({"seed": "1f", "limits": {"sockets": 64}, "settings": settings});
+            let text =
+                serde_json::json!({"seed": "1f", "limits": {"sockets": 64}, "settings": settings});
             mistakes(&text.to_string())
         };
         let class = |aim: f64| serde_json::json!({"name": "c", "aim": aim, "give_up": 1000.0});
-        let plan = |burst: f64| serde_json::json!({"name": "p", "per_second": 1.0, "peak_units": burst});
+        let plan =
+            |burst: f64| serde_json::json!({"name": "p", "per_second": 1.0, "peak_units": burst});
         let settings = |aim: f64, burst: f64| {
             serde_json::json!({"grades": [class(aim)], "plans": [plan(burst)], "extra": {"max_units": 8},
                 "policy_limits": {"send_cap": 3}})
         };
         assert_eq!(with(settings(500.0, 8.0)), Vec::<String>::new());
-        assert!(with(settings(2000.0, 8.0))[0].contains("grades.0.aim: 2000 is over its give_up of 1000"));
-        assert!(with(settings(500.0, 7.0))[0].contains("plans.0.peak_units: 7 is under extra.max_units of 8"));
+        assert!(with(settings(2000.0, 8.0))[0]
+            .contains("grades.0.aim: 2000 is over its give_up of 1000"));
+        assert!(with(settings(500.0, 7.0))[0]
+            .contains("plans.0.peak_units: 7 is under extra.max_units of 8"));
         assert_eq!(with(serde_json::json!({})).len(), 2);
         assert!(mistakes("[]")[0].contains("an object was expected"));
         assert!(mistakes("{")[0].contains("no JSON"));
--- a/crates/maplefall/src/net/clients.rs
+++ b/crates/maplefall/src/net/clients.rs
@@ -100,7 +100,9 @@
                     self.make_room().await;
                     let peer = Rc::new(Peer::new(self.door.clock.now(), address.ip()));
                     self.accepted.set(self.accepted.get() + 1);
-                    self.peers.borrow_mut().insert(self.accepted.get(), peer.clone());
+                    self.peers
+                        .borrow_mut()
+                        .insert(self.accepted.get(), peer.clone());
                     tokio::task::spawn_local(self.clone().serve(stream, self.accepted.get(), peer));
                 }
                 Err(_) => tokio::time::sleep(NO_DESCRIPTOR).await,
@@ -144,16 +146,24 @@
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream, number: u64, peer: Rc<Peer>) {
-        let _open = Open { clients: &self, number };
+        let _open = Open {
+            clients: &self,
+            number,
+        };
         // Without it answers are late, not wrong.
         let _ = stream.set_nodelay(true);
-        let io = TokioIo::new(Watched { stream, peer: peer.clone(), door: self.door.clone() });
+        let io = TokioIo::new(Watched {
+            stream,
+            peer: peer.clone(),
+            door: self.door.clone(),
+        });
         let service = service_fn(|request| {
             let (clients, peer) = (self.clone(), peer.clone());
             async move { Ok::<_, Infallible>(clients.answer(request, &peer).await) }
         });
-        let connection =
-            hyper::server::conn::http1::Builder::new().max_buf_size(BUFFER).serve_connection(io, service);
+        let connection = hyper::server::conn::http1::Builder::new()
+            .max_buf_size(BUFFER)
+            .serve_connection(io, service);
         let mut connection = std::pin::pin!(connection);
         let mut phase = self.phase.subscribe();
         let mut leaving = false;
@@ -171,7 +181,13 @@
 
     /// The planned stop: goes on accepting, answers what has come, and returns when all is answered.
     pub async fn stop(&self) {
-        let longest = self.door.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+        let longest = self
+            .door
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .fold(0.0, f64::max);
         let longest = Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default();
         let end = tokio::time::Instant::now() + longest + LAST_CALL;
         self.phase.send_replace(Phase::Closing);
@@ -184,7 +200,10 @@
         while !self.peers.borrow().is_empty() {
             let closed = tokio::time::timeout_at(end, self.closed.notified()).await;
             if closed.is_err() {
-                eprintln!("stopped with {} requests unanswered", self.door.unanswered());
+                eprintln!(
+                    "stopped with {} requests unanswered",
+                    self.door.unanswered()
+                );
                 return;
             }
             // One more may be waiting to be accepted.
@@ -207,7 +226,9 @@
             })
         };
         if close || *self.phase.borrow() != Phase::Serving {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         peer.answered(self.door.clock.now());
         response
@@ -240,12 +261,16 @@
         #[cfg(feature = "breakages")]
         let incoming_deadline = incoming.deadline;
         let (id, mut answer) = self.door.arrive(incoming).ok_or(Bad::Twice)?;
-        let mut waiting = Waiting { door: &self.door, id: Some(id) };
+        let mut waiting = Waiting {
+            door: &self.door,
+            id: Some(id),
+        };
         let checked = match auth.filter(|_| self.door.held(id)) {
             None => Checked::Passed,
             Some(auth) => {
                 let caller = auth.caller(&head, class, plan, peer.address);
-                auth.settle(&self.door, caller, id, deadline, &mut answer).await
+                auth.settle(&self.door, caller, id, deadline, &mut answer)
+                    .await
             }
         };
         let answer = match checked {
@@ -288,7 +313,12 @@
 
 /// The service's own answer, whole.
 fn denial(carried: &Carried) -> Response<Full<Bytes>> {
-    let Carried::Denial { status, headers, body } = carried else {
+    let Carried::Denial {
+        status,
+        headers,
+        body,
+    } = carried
+    else {
         // A denial that is none cannot be: the gate hands out what was handed in.
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::FORBIDDEN;
@@ -407,8 +437,11 @@
 
     fn overdue(&self, now: Millis) -> Option<Leave> {
         let reading = self.idle_since.get().is_none() || self.first.get().is_some();
-        let (most, how) =
-            if reading { (READ_TIME + LAST_WORD, Leave::Now) } else { (IDLE_TIME, Leave::Idle) };
+        let (most, how) = if reading {
+            (READ_TIME + LAST_WORD, Leave::Now)
+        } else {
+            (IDLE_TIME, Leave::Idle)
+        };
         (!self.owed.get() && now - self.begun() > most).then_some(how)
     }
 
@@ -455,10 +488,15 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         #[cfg(feature = "breakages")]
         if (buf.starts_with(b"HTTP/1.1 200") && breakages::is(breakages::Breakage::SecondAnswer))
-            || (buf.starts_with(b"HTTP/1.1 503") && breakages::is(breakages::Breakage::LateVerdictAnswers))
+            || (buf.starts_with(b"HTTP/1.1 503")
+                && breakages::is(breakages::Breakage::LateVerdictAnswers))
         {
             let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
             // Where there is no room for it, this one answer stays alone.
--- a/crates/maplefall/src/net/config.rs
+++ b/crates/maplefall/src/net/config.rs
@@ -97,10 +97,13 @@
     /// Reads the variables and the file. A variable goes before the file's own entry.
     pub fn from_env() -> Result<Config, ConfigError> {
         let file = File::read()?;
-        let told_or = |name: &str, otherwise: &str| std::env::var(name).unwrap_or(otherwise.to_owned());
+        let told_or =
+            |name: &str, otherwise: &str| std::env::var(name).unwrap_or(otherwise.to_owned());
         let (seed, told) = file.check()?;
-        let mut discovery =
-            vec![address("BALANCER_DISCOVERY", &told_or("BALANCER_DISCOVERY", &file.discovery))?];
+        let mut discovery = vec![address(
+            "BALANCER_DISCOVERY",
+            &told_or("BALANCER_DISCOVERY", &file.discovery),
+        )?];
         // A door that is started again after discovery has moved may be told the old place by one and the new one by the
         // other: the file's is asked where the variable's says nothing.
         if let Ok(other) = file.discovery.parse() {
@@ -133,23 +136,35 @@
     /// Reads the file that the variable names.
     fn read() -> Result<File, ConfigError> {
         let path = std::env::var("BALANCER_CONFIG").map_err(|_| ConfigError::Missing)?;
-        let text = std::fs::read_to_string(&path)
-            .map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
+        let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::Unreadable {
+            path: path.clone(),
+            error,
+        })?;
         serde_json::from_str(&text).map_err(|error| ConfigError::Malformed { path, error })
     }
 
     /// The seed and the settings, if they and the limits are usable.
     fn check(&self) -> Result<(u64, Told), ConfigError> {
-        let seed = u64::from_str_radix(&self.seed, 16)
-            .map_err(|_| ConfigError::Value(format!("seed: {:?} is not a hexadecimal number", self.seed)))?;
+        let seed = u64::from_str_radix(&self.seed, 16).map_err(|_| {
+            ConfigError::Value(format!("seed: {:?} is not a hexadecimal number", self.seed))
+        })?;
         if self.limits.sockets < LEAST_SOCKETS {
-            let text = format!("limits.sockets: {} is under {LEAST_SOCKETS}", self.limits.sockets);
+            let text = format!(
+                "limits.sockets: {} is under {LEAST_SOCKETS}",
+                self.limits.sockets
+            );
             return Err(ConfigError::Value(text));
         }
-        Ok((seed, settings::parse(&settings::facts(&self.settings)).map_err(ConfigError::Value)?))
+        Ok((
+            seed,
+            settings::parse(&settings::facts(&self.settings)).map_err(ConfigError::Value)?,
+        ))
     }
 }
 
 fn address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
-    value.parse().map_err(|_| ConfigError::Address { name, value: value.to_owned() })
+    value.parse().map_err(|_| ConfigError::Address {
+        name,
+        value: value.to_owned(),
+    })
 }
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -47,19 +47,43 @@
         let bound = socket.local_addr().map_err(no_socket)?;
         // A date before 1970 or a nameless door is no reason not to serve: the life's number and the name then come of the
         // address, and others tell this door if an earlier life had a larger number.
-        let date = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_millis() as u64);
+        let date = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(1, |since| since.as_millis() as u64);
         let address = settings.advertise.unwrap_or(bound);
-        let plain: String = name.chars().filter(char::is_ascii_graphic).take(64).collect();
-        let name = if plain.is_empty() { address.to_string() } else { plain };
-        let start = Start { name, address, seeds: settings.seeds, date, seed };
+        let plain: String = name
+            .chars()
+            .filter(char::is_ascii_graphic)
+            .take(64)
+            .collect();
+        let name = if plain.is_empty() {
+            address.to_string()
+        } else {
+            plain
+        };
+        let start = Start {
+            name,
+            address,
+            seeds: settings.seeds,
+            date,
+            seed,
+        };
         let line = format!("{}: shares counts on {bound} as {address}", start.name);
         let node = RefCell::new(Node::new(settings.sharing, start, clock.now()));
-        Ok(Rc::new(Counts { node, socket, clock, doors, line }))
+        Ok(Rc::new(Counts {
+            node,
+            socket,
+            clock,
+            doors,
+            line,
+        }))
     }
 
     /// A customer has used so many units here, or was given so many back where it is below nought.
     pub fn used(&self, now: Millis, customer: CustomerId, plan: PlanId, units: f64) {
-        self.node.borrow_mut().used(now, quota_of(customer, plan), units);
+        self.node
+            .borrow_mut()
+            .used(now, quota_of(customer, plan), units);
     }
 
     /// What other doors have let in for a customer and the decision module has not been told, and how old that is.
@@ -74,7 +98,13 @@
         let mut node = self.node.borrow_mut();
         let (quota, fact) = node.poll_fact(now)?;
         let (plan, customer) = whose(quota);
-        Some(self.told(&mut node, now, CustomerId(customer), PlanId(usize::from(plan)), fact))
+        Some(self.told(
+            &mut node,
+            now,
+            CustomerId(customer),
+            PlanId(usize::from(plan)),
+            fact,
+        ))
     }
 
     fn told(
@@ -90,7 +120,14 @@
         let heard = (node.news(now).1 as f64 / f64::from(self.doors.max(1))).min(1.0);
         #[cfg(feature = "breakages")]
         let heard = super::breakages::heard(heard);
-        Elsewhere { customer, plan, units: fact.units, as_of: fact.as_of, error: fact.error, heard }
+        Elsewhere {
+            customer,
+            plan,
+            units: fact.units,
+            as_of: fact.as_of,
+            error: fact.error,
+            heard,
+        }
     }
 
     /// Takes datagrams and keeps the rounds, for as long as the front door runs.
@@ -118,8 +155,12 @@
 
     fn read(&self, bytes: &mut [u8]) {
         for _ in 0..READ_AT_ONCE {
-            let Ok((length, from)) = self.socket.try_recv_from(bytes) else { return };
-            self.node.borrow_mut().receive(self.clock.now(), from, &bytes[..length]);
+            let Ok((length, from)) = self.socket.try_recv_from(bytes) else {
+                return;
+            };
+            self.node
+                .borrow_mut()
+                .receive(self.clock.now(), from, &bytes[..length]);
         }
     }
 
--- a/crates/maplefall/src/net/counts_settings.rs
+++ b/crates/maplefall/src/net/counts_settings.rs
@@ -53,8 +53,12 @@
 /// # Errors
 /// Every mistake, one to a line.
 pub fn from_env() -> Result<Option<CountsSettings>, String> {
-    let Some(path) = std::env::var_os(VARIABLE) else { return Ok(None) };
-    read(Path::new(&path)).map(Some).map_err(|found| found.join("\n"))
+    let Some(path) = std::env::var_os(VARIABLE) else {
+        return Ok(None);
+    };
+    read(Path::new(&path))
+        .map(Some)
+        .map_err(|found| found.join("\n"))
 }
 
 /// What a file says.
@@ -69,21 +73,30 @@
 
 /// Whether a text is a file of this kind.
 pub fn is_one(text: &str) -> bool {
-    text.parse::<toml::Table>().is_ok_and(|table| table.contains_key("gossip"))
+    text.parse::<toml::Table>()
+        .is_ok_and(|table| table.contains_key("gossip"))
 }
 
 fn parse(text: &str, folder: Option<&Path>) -> Result<CountsSettings, Vec<String>> {
-    let told: Text = toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
+    let told: Text =
+        toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
     let mut found = Vec::new();
     let mut address = |field: &str, text: &str, known: bool| match text.parse::<SocketAddr>() {
-        Ok(address) if !known || (address.port() != 0 && !address.ip().is_unspecified()) => Some(address),
+        Ok(address) if !known || (address.port() != 0 && !address.ip().is_unspecified()) => {
+            Some(address)
+        }
         _ => {
-            found.push(format!("{field}: an address with a port was expected, not {text:?}"));
+            found.push(format!(
+                "{field}: an address with a port was expected, not {text:?}"
+            ));
             None
         }
     };
     let listen = address("gossip", &told.gossip, false);
-    let advertise = told.advertise.as_deref().and_then(|text| address("advertise", text, true));
+    let advertise = told
+        .advertise
+        .as_deref()
+        .and_then(|text| address("advertise", text, true));
     let seeds: Vec<SocketAddr> = told
         .seeds
         .iter()
@@ -100,7 +113,8 @@
         (Some(key), None) => Ok(key.clone()),
         (None, Some(path)) => {
             let path = folder.map_or(path.clone(), |folder| folder.join(path));
-            std::fs::read_to_string(&path).map_err(|error| format!("key_file: {}: {error}", path.display()))
+            std::fs::read_to_string(&path)
+                .map_err(|error| format!("key_file: {}: {error}", path.display()))
         }
         _ => Err("key: either key or key_file was expected".to_owned()),
     };
@@ -134,17 +148,34 @@
             .map(|wrong| format!("{}: {} was expected", wrong.field, wrong.expected)),
     );
     match (listen, found.is_empty()) {
-        (Some(listen), true) => Ok(CountsSettings { listen, advertise, seeds, sharing }),
+        (Some(listen), true) => Ok(CountsSettings {
+            listen,
+            advertise,
+            seeds,
+            sharing,
+        }),
         _ => Err(found),
     }
 }
 
 /// Bytes written as hexadecimal digits, 16 to 64 of them.
 fn hexadecimal(text: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> =
-        text.chars().map(|digit| digit.to_digit(16).and_then(|digit| u8::try_from(digit).ok())).collect();
-    let digits = digits.filter(|digits| digits.len() % 2 == 0 && (32..=128).contains(&digits.len()))?;
-    Some(digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect())
+    let digits: Option<Vec<u8>> = text
+        .chars()
+        .map(|digit| {
+            digit
+                .to_digit(16)
+                .and_then(|digit| u8::try_from(digit).ok())
+        })
+        .collect();
+    let digits =
+        digits.filter(|digits| digits.len() % 2 == 0 && (32..=128).contains(&digits.len()))?;
+    Some(
+        digits
+            .chunks(2)
+            .map(|pair| pair[0] << 4 | pair[1])
+            .collect(),
+    )
 }
 
 #[cfg(test)]
@@ -178,10 +209,17 @@
             "cluster:",
         ];
         for begin in begins {
-            assert!(found.iter().any(|line| line.starts_with(begin)), "{begin} {found:#?}");
+            assert!(
+                found.iter().any(|line| line.starts_with(begin)),
+                "{begin} {found:#?}"
+            );
         }
         assert_eq!(found.len(), begins.len(), "{found:#?}");
-        let no_key = parse("cluster = \"a\"\ngossip = \"127.0.0.1:1\"\nseeds = []\n", None).unwrap_err();
+        let no_key = parse(
+            "cluster = \"a\"\ngossip = \"127.0.0.1:1\"\nseeds = []\n",
+            None,
+        )
+        .unwrap_err();
         assert!(no_key[0].contains("either key or key_file"), "{no_key:?}");
         assert!(parse("gossip = 3", None).is_err());
     }
--- a/crates/maplefall/src/net/discovery.rs
+++ b/crates/maplefall/src/net/discovery.rs
@@ -89,22 +89,35 @@
 
 /// Makes a call and says each line of its answer until it ends.
 async fn ask(call: CallId, place: SocketAddr, what: What, says: &mpsc::Sender<Said>) -> End {
-    read(call, place, what, says).await.unwrap_or_else(|end| end)
+    read(call, place, what, says)
+        .await
+        .unwrap_or_else(|end| end)
 }
 
 fn broken(error: impl std::fmt::Display) -> End {
     End::Broken(error.to_string())
 }
 
-async fn read(call: CallId, place: SocketAddr, what: What, says: &mpsc::Sender<Said>) -> Result<End, End> {
+async fn read(
+    call: CallId,
+    place: SocketAddr,
+    what: What,
+    says: &mpsc::Sender<Said>,
+) -> Result<End, End> {
     let stream = TcpStream::connect(place).await.map_err(broken)?;
     stream.set_nodelay(true).map_err(broken)?;
-    let (mut sender, connection) =
-        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(broken)?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(broken)?;
     let mut tied = tokio::task::JoinSet::new();
     tied.spawn_local(connection);
-    let request = Request::get(what.path()).header(HOST, place.to_string()).body(Empty::<Bytes>::new());
-    let answer = sender.send_request(request.map_err(broken)?).await.map_err(broken)?;
+    let request = Request::get(what.path())
+        .header(HOST, place.to_string())
+        .body(Empty::<Bytes>::new());
+    let answer = sender
+        .send_request(request.map_err(broken)?)
+        .await
+        .map_err(broken)?;
     if answer.status() != StatusCode::OK {
         return Err(End::Status(answer.status().as_u16()));
     }
@@ -113,7 +126,9 @@
     let mut body = answer.into_body();
     let mut lines = Lines::default();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(broken)?.into_data() else { continue };
+        let Ok(data) = frame.map_err(broken)?.into_data() else {
+            continue;
+        };
         let mut whole = Vec::new();
         let cut = lines.push(&data, |line| {
             whole.push(line.to_vec());
--- a/crates/maplefall/src/net/door.rs
+++ b/crates/maplefall/src/net/door.rs
@@ -49,7 +49,9 @@
 
 impl Ord for Timer {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at
+            .total_cmp(&other.at)
+            .then(self.order.cmp(&other.order))
     }
 }
 
@@ -155,15 +157,24 @@
     /// A front door with an empty list of backends; so many of the descriptors for backends are needed elsewhere.
     pub fn new(config: &Config, elsewhere: usize, grpc: Option<&GrpcSettings>) -> Rc<Door> {
         let told = &config.told;
-        let (connections, streams) = grpc.map_or((0, 0), |grpc| (grpc.backend_connections, grpc.streams));
+        let (connections, streams) =
+            grpc.map_or((0, 0), |grpc| (grpc.backend_connections, grpc.streams));
         let reading = Reading::new(told, config.limits.memory_mb << 20);
-        let pools = Pools::new(told.links, pool::budget(config.limits.sockets).saturating_sub(elsewhere));
+        let pools = Pools::new(
+            told.links,
+            pool::budget(config.limits.sockets).saturating_sub(elsewhere),
+        );
         Rc::new(Door {
             clock: Clock::new(),
             settings: told.settings.clone(),
             names: told.names.clone(),
             pools: Rc::new(pools),
-            calls: grpc::Backends::new(told.links, connections, streams as usize, told.settings.max_units),
+            calls: grpc::Backends::new(
+                told.links,
+                connections,
+                streams as usize,
+                told.settings.max_units,
+            ),
             counts: OnceCell::new(),
             reading: Rc::new(reading),
             state: RefCell::new(State {
@@ -201,7 +212,12 @@
 
     /// Requests that have no final answer yet.
     pub fn unanswered(&self) -> usize {
-        self.state.borrow().requests.values().filter(|entry| entry.answer.is_some()).count()
+        self.state
+            .borrow()
+            .requests
+            .values()
+            .filter(|entry| entry.answer.is_some())
+            .count()
     }
 
     /// Hands an event to the module, or queues it behind the one that is being handled.
@@ -212,12 +228,17 @@
         }
         let mut actions = Vec::new();
         loop {
-            let Some((at, event)) = self.queue.borrow_mut().pop_front() else { break };
+            let Some((at, event)) = self.queue.borrow_mut().pop_front() else {
+                break;
+            };
             // Two events may have been read in another order than they came; the clock never goes back.
             let at = at.max(self.last_event.get());
             self.last_event.set(at);
             let deciding = Deciding;
-            self.state.borrow_mut().gateway.handle(at, event, &mut actions);
+            self.state
+                .borrow_mut()
+                .gateway
+                .handle(at, event, &mut actions);
             drop(deciding);
             actions.drain(..).for_each(|action| self.carry_out(action));
         }
@@ -228,13 +249,22 @@
         #[cfg(feature = "breakages")]
         let action = breakages::action(action);
         match action {
-            Action::Send { request, backend, limit, care } => self.send(request, backend, limit, care),
+            Action::Send {
+                request,
+                backend,
+                limit,
+                care,
+            } => self.send(request, backend, limit, care),
             Action::Check(request) => {
                 if let Some(entry) = self.state.borrow_mut().requests.get_mut(&request) {
                     entry.held = true;
                 }
             }
-            Action::Refuse { request, retry_after, .. } => self.answer(request, Answer::Refused(retry_after)),
+            Action::Refuse {
+                request,
+                retry_after,
+                ..
+            } => self.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.answer(request, Answer::Failed),
             Action::CallOff { request, attempt } => {
                 self.settle(request, attempt, Ended::of(Outcome::Cancelled))
@@ -250,7 +280,10 @@
     // ---- Requests -----------------------------------------------------------------------------------
 
     /// Takes a request in; `None` if one with its id has come before.
-    pub fn arrive(self: &Rc<Self>, incoming: Incoming) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+    pub fn arrive(
+        self: &Rc<Self>,
+        incoming: Incoming,
+    ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         self.arrive_by(incoming, None)
     }
 
@@ -312,29 +345,57 @@
 
     /// Whether a request waits for its caller's check.
     pub fn held(&self, id: RequestId) -> bool {
-        self.state.borrow().requests.get(&id).is_some_and(|entry| entry.held)
+        self.state
+            .borrow()
+            .requests
+            .get(&id)
+            .is_some_and(|entry| entry.held)
     }
 
     /// A held request's caller passes, with these headers for the backend. One that has its answer by now stays as it is.
     pub fn passed(self: &Rc<Self>, id: RequestId, onward: &[(HeaderName, HeaderValue)]) {
-        if let Some(entry) = self.state.borrow_mut().requests.get_mut(&id).filter(|entry| entry.held) {
+        if let Some(entry) = self
+            .state
+            .borrow_mut()
+            .requests
+            .get_mut(&id)
+            .filter(|entry| entry.held)
+        {
             entry.held = false;
             if !onward.is_empty() {
-                let order = Order { onward: onward.to_vec(), ..(*entry.order).clone() };
+                let order = Order {
+                    onward: onward.to_vec(),
+                    ..(*entry.order).clone()
+                };
                 entry.order = Rc::new(order);
             }
         }
-        self.post(self.clock.now(), Event::Checked { request: id, passes: true });
+        self.post(
+            self.clock.now(),
+            Event::Checked {
+                request: id,
+                passes: true,
+            },
+        );
     }
 
     /// A held request's caller does not pass, and whoever says so answers it; `false` if it has its answer by now.
     pub fn turned_down(self: &Rc<Self>, id: RequestId) -> bool {
         let waited = {
             let mut state = self.state.borrow_mut();
-            state.requests.get_mut(&id).is_some_and(|entry| entry.answer.take().is_some())
+            state
+                .requests
+                .get_mut(&id)
+                .is_some_and(|entry| entry.answer.take().is_some())
         };
         if waited {
-            self.post(self.clock.now(), Event::Checked { request: id, passes: false });
+            self.post(
+                self.clock.now(),
+                Event::Checked {
+                    request: id,
+                    passes: false,
+                },
+            );
             self.state.borrow_mut().forget_if_over(id);
         }
         waited
@@ -344,7 +405,10 @@
     pub fn client_gone(self: &Rc<Self>, id: RequestId) {
         let waited = {
             let mut state = self.state.borrow_mut();
-            state.requests.get_mut(&id).is_some_and(|entry| entry.answer.take().is_some())
+            state
+                .requests
+                .get_mut(&id)
+                .is_some_and(|entry| entry.answer.take().is_some())
         };
         if waited {
             self.post(self.clock.now(), Event::ClientGone(id));
@@ -362,7 +426,12 @@
 
     /// Ends the attempt of a call whose client has gone, where the settings allow it.
     pub fn call_off(self: &Rc<Self>, id: RequestId) {
-        let out = self.state.borrow().requests.get(&id).and_then(|entry| Some(entry.out.as_ref()?.number));
+        let out = self
+            .state
+            .borrow()
+            .requests
+            .get(&id)
+            .and_then(|entry| Some(entry.out.as_ref()?.number));
         if let Some(number) = out.filter(|_| self.settings.cancel) {
             self.settle(id, number, Ended::of(Outcome::Cancelled));
         }
@@ -371,7 +440,11 @@
     /// Gives a request its final answer, unless it has one.
     fn answer(&self, id: RequestId, answer: Answer) {
         let mut state = self.state.borrow_mut();
-        if let Some(sender) = state.requests.get_mut(&id).and_then(|entry| entry.answer.take()) {
+        if let Some(sender) = state
+            .requests
+            .get_mut(&id)
+            .and_then(|entry| entry.answer.take())
+        {
             // The client may be gone; then there is nobody to tell.
             let _ = sender.send(answer);
         }
@@ -383,7 +456,9 @@
     fn send(self: &Rc<Self>, id: RequestId, backend: BackendId, limit: Option<Millis>, care: Care) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        let Some(entry) = state.requests.get_mut(&id) else { return };
+        let Some(entry) = state.requests.get_mut(&id) else {
+            return;
+        };
         let number = entry.attempts;
         entry.attempts += 1;
         let limit = limit.unwrap_or(f64::INFINITY).min(entry.deadline - now);
@@ -392,7 +467,14 @@
             drop(state);
             self.post(
                 now,
-                Event::Settled(settled(id, number, backend, 0.0, &Ended::of(Outcome::NotSent), false)),
+                Event::Settled(settled(
+                    id,
+                    number,
+                    backend,
+                    0.0,
+                    &Ended::of(Outcome::NotSent),
+                    false,
+                )),
             );
             return;
         }
@@ -413,12 +495,24 @@
         let passage = entry.passage.clone();
         let task = tokio::task::spawn_local(async move {
             let ended = match &passage {
-                None => backends::attempt(&door.pools, &door.reading, to, &order, limit, care, &on).await,
+                None => {
+                    backends::attempt(&door.pools, &door.reading, to, &order, limit, care, &on)
+                        .await
+                }
                 Some(passage) => {
                     let (pools, clock) = (&*door.pools, door.clock);
                     let committed = &|| door.started(id);
                     let (order, line) = (&*order, &on);
-                    let errand = grpc::Errand { pools, clock, order, passage, limit, care, line, committed };
+                    let errand = grpc::Errand {
+                        pools,
+                        clock,
+                        order,
+                        passage,
+                        limit,
+                        care,
+                        line,
+                        committed,
+                    };
                     door.calls.attempt(to, errand).await
                 }
             };
@@ -429,7 +523,12 @@
         if breakages::is(breakages::Breakage::TwoOut) {
             self.send_again(backend, entry.order.clone(), 0);
         }
-        entry.out = Some(Attempt { number, backend, sent: now, line });
+        entry.out = Some(Attempt {
+            number,
+            backend,
+            sent: now,
+            line,
+        });
         drop(state);
         self.set_timer(now + limit, Due::TimeOut(id, number));
     }
@@ -441,7 +540,16 @@
         tokio::task::spawn_local(async move {
             tokio::time::sleep(std::time::Duration::from_millis(after_ms)).await;
             let line = Line::default();
-            backends::attempt(&door.pools, &door.reading, backend, &order, 2000.0, Care::Usual, &line).await;
+            backends::attempt(
+                &door.pools,
+                &door.reading,
+                backend,
+                &order,
+                2000.0,
+                Care::Usual,
+                &line,
+            )
+            .await;
         });
     }
 
@@ -449,8 +557,12 @@
     #[cfg(feature = "breakages")]
     pub fn send_on_again(self: &Rc<Self>, id: RequestId) {
         let state = self.state.borrow();
-        let Some(entry) = state.requests.get(&id) else { return };
-        let Some(backend) = entry.out.as_ref().map(|out| out.backend) else { return };
+        let Some(entry) = state.requests.get(&id) else {
+            return;
+        };
+        let Some(backend) = entry.out.as_ref().map(|out| out.backend) else {
+            return;
+        };
         let order = entry.order.clone();
         drop(state);
         self.send_again(backend, order, 30);
@@ -461,8 +573,12 @@
         let now = self.clock.now();
         let event = {
             let mut state = self.state.borrow_mut();
-            let Some(entry) = state.requests.get_mut(&id) else { return };
-            let Some(attempt) = entry.out.take_if(|attempt| attempt.number == number) else { return };
+            let Some(entry) = state.requests.get_mut(&id) else {
+                return;
+            };
+            let Some(attempt) = entry.out.take_if(|attempt| attempt.number == number) else {
+                return;
+            };
             if matches!(ended.outcome, Outcome::Cancelled | Outcome::Timeout) {
                 // What has not been written whole when its connection is closed cannot run.
                 if ended.outcome == Outcome::Timeout && !attempt.line.whole() {
@@ -485,7 +601,14 @@
                 counts.used(now, entry.customer, entry.plan, charge - entry.units);
             }
             let closed = entry.answer.is_none();
-            settled(id, number, attempt.backend, now - attempt.sent, &ended, closed)
+            settled(
+                id,
+                number,
+                attempt.backend,
+                now - attempt.sent,
+                &ended,
+                closed,
+            )
         };
         self.post(now, Event::Settled(event));
         self.state.borrow_mut().forget_if_over(id);
@@ -495,7 +618,10 @@
 
     fn set_timer(&self, at: Millis, due: Due) {
         let mut state = self.state.borrow_mut();
-        let earliest = state.timers.peek().is_none_or(|Reverse(first)| at < first.at);
+        let earliest = state
+            .timers
+            .peek()
+            .is_none_or(|Reverse(first)| at < first.at);
         state.timers_set += 1;
         let order = state.timers_set;
         state.timers.push(Reverse(Timer { at, order, due }));
@@ -536,7 +662,10 @@
             Due::TimeOut(id, number) => {
                 // A stream that has begun is not given up for its length: its client's deadline ends it.
                 let state = self.state.borrow();
-                let goes_on = state.requests.get(&id).filter(|entry| entry.started && entry.deadline > now);
+                let goes_on = state
+                    .requests
+                    .get(&id)
+                    .filter(|entry| entry.started && entry.deadline > now);
                 let later = goes_on.map(|entry| entry.deadline);
                 drop(state);
                 match later {
@@ -546,7 +675,12 @@
             }
             Due::Deadline(id) => {
                 // The module answers before this; a request that it holds must not stay without an answer.
-                let waited = self.state.borrow().requests.get(&id).is_some_and(|e| e.answer.is_some());
+                let waited = self
+                    .state
+                    .borrow()
+                    .requests
+                    .get(&id)
+                    .is_some_and(|e| e.answer.is_some());
                 if waited {
                     self.answer(id, Answer::Failed);
                     self.post(now, Event::ClientGone(id));
@@ -579,9 +713,15 @@
     fn list_heard(self: &Rc<Self>, changes: &[Member]) {
         let entries = {
             let mut state = self.state.borrow_mut();
-            changes.iter().filter_map(|member| self.entry(&mut state, member)).collect()
+            changes
+                .iter()
+                .filter_map(|member| self.entry(&mut state, member))
+                .collect()
         };
-        self.post(self.clock.now(), Event::Backends(ListKind::Changes, entries));
+        self.post(
+            self.clock.now(),
+            Event::Backends(ListKind::Changes, entries),
+        );
     }
 
     /// An entry as the module hears it.
@@ -646,7 +786,10 @@
         while let Some(Reverse(first)) = self.timers.peek() {
             let dead = match first.due {
                 Due::Alarm(_) => false,
-                Due::Deadline(id) => self.requests.get(&id).is_none_or(|entry| entry.answer.is_none()),
+                Due::Deadline(id) => self
+                    .requests
+                    .get(&id)
+                    .is_none_or(|entry| entry.answer.is_none()),
                 Due::TimeOut(id, number) => {
                     let out = self.requests.get(&id).and_then(|entry| entry.out.as_ref());
                     out.is_none_or(|attempt| attempt.number != number)
@@ -670,10 +813,14 @@
     }
 
     fn forget_if_over(&mut self, id: RequestId) {
-        let over = self.requests.get(&id).is_some_and(|entry| entry.answer.is_none() && entry.out.is_none());
+        let over = self
+            .requests
+            .get(&id)
+            .is_some_and(|entry| entry.answer.is_none() && entry.out.is_none());
         if over {
             if let Some(entry) = self.requests.remove(&id) {
-                self.past_ids.push_back((entry.deadline, entry.order.id.clone()));
+                self.past_ids
+                    .push_back((entry.deadline, entry.order.id.clone()));
             }
         }
     }
--- a/crates/maplefall/src/net/grpc/back.rs
+++ b/crates/maplefall/src/net/grpc/back.rs
@@ -135,15 +135,26 @@
 
     /// Carries out one attempt and tells how it ended.
     pub async fn attempt(&self, to: BackendId, errand: Errand<'_>) -> Ended {
-        let Ok(number_of) = errand.passage.begin() else { return Ended::of(Outcome::NotSent) };
+        let Ok(number_of) = errand.passage.begin() else {
+            return Ended::of(Outcome::NotSent);
+        };
         let until = errand.clock.now() + errand.limit;
         let shape = errand.passage.shape();
         let mut attempt = Attempt::new(shape, until, errand.passage.deadline());
-        let mut told = Told { max_units: self.max_units, ..Told::default() };
-        let end = self.carry(to, &errand, number_of, until, &mut attempt, &mut told).await;
+        let mut told = Told {
+            max_units: self.max_units,
+            ..Told::default()
+        };
+        let end = self
+            .carry(to, &errand, number_of, until, &mut attempt, &mut told)
+            .await;
         let outcome = end.outcome;
         errand.passage.ended(number_of, end, told.trailers);
-        Ended { used: told.used, charge: told.charge, ..Ended::of(outcome) }
+        Ended {
+            used: told.used,
+            charge: told.charge,
+            ..Ended::of(outcome)
+        }
     }
 
     async fn carry(
@@ -163,7 +174,9 @@
                 Err(NoConnection::Theirs) => return end(attempt.unreachable()),
             };
             let connection = &on_it.0;
-            if errand.care != Care::Usual && !connection.proves_itself(errand.limit * PROOF_PART).await {
+            if errand.care != Care::Usual
+                && !connection.proves_itself(errand.limit * PROOF_PART).await
+            {
                 connection.over.set(true);
                 continue;
             }
@@ -176,7 +189,9 @@
                 return NOT_SENT.clone();
             }
             let left = until - errand.clock.now();
-            let Some(request) = request(errand, left, number_of) else { return NOT_SENT.clone() };
+            let Some(request) = request(errand, left, number_of) else {
+                return NOT_SENT.clone();
+            };
             let bare = errand.passage.ends_at(0);
             let Ok((answer, upload)) = sender.send_request(request, bare) else {
                 connection.over.set(true);
@@ -185,7 +200,8 @@
             attempt.sent();
             errand.line.begun();
             let mut upload = std::pin::pin!(send_up(errand, upload, bare));
-            let mut answer = std::pin::pin!(read(errand, connection, number_of, attempt, told, answer));
+            let mut answer =
+                std::pin::pin!(read(errand, connection, number_of, attempt, told, answer));
             let mut uploading = true;
             return loop {
                 tokio::select! {
@@ -198,8 +214,14 @@
     }
 
     /// A connection with room for one more call.
-    async fn connection(&self, to: BackendId, pools: &Pools) -> Result<Rc<Connection>, NoConnection> {
-        let Some(dial) = pools.dial_address(to) else { return Err(NoConnection::Own) };
+    async fn connection(
+        &self,
+        to: BackendId,
+        pools: &Pools,
+    ) -> Result<Rc<Connection>, NoConnection> {
+        let Some(dial) = pools.dial_address(to) else {
+            return Err(NoConnection::Own);
+        };
         if let Some(connection) = self.known(to, dial) {
             return Ok(connection);
         }
@@ -214,9 +236,12 @@
         }
         self.open.set(self.open.get() + 1);
         let slot = Slot(self.open.clone());
-        let limit = Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
+        let limit =
+            Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
         let dialled = tokio::time::timeout(limit, dial_h2(dial)).await;
-        let Ok(Some((sender, mut connection))) = dialled else { return Err(NoConnection::Theirs) };
+        let Ok(Some((sender, mut connection))) = dialled else {
+            return Err(NoConnection::Theirs);
+        };
         let ping = Mutex::new(connection.ping_pong());
         let over = Rc::new(Cell::new(false));
         let ended = over.clone();
@@ -237,7 +262,11 @@
             over,
             _slot: slot,
         });
-        self.connections.borrow_mut().entry(to).or_default().push(connection.clone());
+        self.connections
+            .borrow_mut()
+            .entry(to)
+            .or_default()
+            .push(connection.clone());
         Ok(connection)
     }
 
@@ -246,23 +275,35 @@
         let mut connections = self.connections.borrow_mut();
         let known = connections.get_mut(&to)?;
         known.retain(|connection| !connection.over.get() && connection.dial == dial);
-        known.iter().find(|connection| connection.calls.get() < connection.most(self.streams)).cloned()
+        known
+            .iter()
+            .find(|connection| connection.calls.get() < connection.most(self.streams))
+            .cloned()
     }
 
     /// Closes the connection without calls that has been so for longest; tells whether there was one.
     fn close_oldest(&self) -> bool {
         let mut connections = self.connections.borrow_mut();
         let idle = connections.iter().flat_map(|(id, known)| {
-            let idle = known.iter().enumerate().filter(|(_, connection)| connection.calls.get() == 0);
+            let idle = known
+                .iter()
+                .enumerate()
+                .filter(|(_, connection)| connection.calls.get() == 0);
             idle.map(|(at, connection)| (connection.idle_since.get(), *id, at))
         });
-        let Some((_, id, at)) = idle.min_by_key(|(since, _, _)| *since) else { return false };
-        connections.get_mut(&id).map(|known| known.remove(at)).is_some()
+        let Some((_, id, at)) = idle.min_by_key(|(since, _, _)| *since) else {
+            return false;
+        };
+        connections
+            .get_mut(&id)
+            .map(|known| known.remove(at))
+            .is_some()
     }
 
     /// Closes connections that nobody needs, for as long as the front door runs.
     pub async fn tidy(&self, pools: &Pools) {
-        let longest = Duration::try_from_secs_f64(self.links.idle_close / 1000.0).unwrap_or_default();
+        let longest =
+            Duration::try_from_secs_f64(self.links.idle_close / 1000.0).unwrap_or_default();
         loop {
             tokio::time::sleep(TIDY).await;
             self.connections.borrow_mut().retain(|id, known| {
@@ -310,10 +351,17 @@
     }
 }
 
-const NOT_SENT: &End =
-    &End { outcome: Outcome::NotSent, code: maplefall_grpc::Code::Unavailable, why: "not sent" };
+const NOT_SENT: &End = &End {
+    outcome: Outcome::NotSent,
+    code: maplefall_grpc::Code::Unavailable,
+    why: "not sent",
+};
 /// An attempt tells its end once, and it is taken once.
-const END_TOLD: &End = &End { outcome: Outcome::Reset, code: maplefall_grpc::Code::Internal, why: "over" };
+const END_TOLD: &End = &End {
+    outcome: Outcome::Reset,
+    code: maplefall_grpc::Code::Internal,
+    why: "over",
+};
 
 /// What came with an end.
 #[derive(Default)]
@@ -333,12 +381,16 @@
     }
 }
 
-async fn dial_h2(address: SocketAddr) -> Option<(SendRequest<Bytes>, client::Connection<TcpStream, Bytes>)> {
+async fn dial_h2(
+    address: SocketAddr,
+) -> Option<(SendRequest<Bytes>, client::Connection<TcpStream, Bytes>)> {
     let stream = TcpStream::connect(address).await.ok()?;
     // Without it calls are late, not wrong.
     let _ = stream.set_nodelay(true);
     let mut builder = client::Builder::new();
-    builder.enable_push(false).max_header_list_size(LONGEST_HEAD);
+    builder
+        .enable_push(false)
+        .max_header_list_size(LONGEST_HEAD);
     builder.handshake(stream).await.ok()
 }
 
@@ -359,7 +411,10 @@
     *headers = passage.metadata.clone();
     headers.insert(TE, HeaderValue::from_static("trailers"));
     headers.insert(REQUEST_ID, errand.order.id_value.clone());
-    headers.insert(GRPC_TIMEOUT, HeaderValue::try_from(timeout::format(left)).ok()?);
+    headers.insert(
+        GRPC_TIMEOUT,
+        HeaderValue::try_from(timeout::format(left)).ok()?,
+    );
     if number_of > 0 {
         headers.insert(PREVIOUS, HeaderValue::from(number_of));
     }
@@ -389,7 +444,10 @@
                         },
                         room => room,
                     };
-                    if upload.send_data(chunk.split_to(room.min(chunk.len())), false).is_err() {
+                    if upload
+                        .send_data(chunk.split_to(room.min(chunk.len())), false)
+                        .is_err()
+                    {
                         return;
                     }
                 }
@@ -423,11 +481,18 @@
     connection.heard.set(Instant::now());
     let (head, mut body): (_, RecvStream) = answer.into_parts();
     told.hear(&head.headers);
-    if let Some(end) = attempt.head(now(), head.status.as_u16(), &head.headers, body.is_end_stream()) {
+    if let Some(end) = attempt.head(
+        now(),
+        head.status.as_u16(),
+        &head.headers,
+        body.is_end_stream(),
+    ) {
         told.trailers = head.headers;
         return Some(end);
     }
-    errand.passage.with(|call, outputs| call.head(number_of, head.headers, outputs));
+    errand
+        .passage
+        .with(|call, outputs| call.head(number_of, head.headers, outputs));
     while let Some(data) = body.data().await {
         let data = match data {
             Ok(data) => data,
@@ -438,7 +503,10 @@
             return Some(end);
         }
         let length = data.len();
-        if errand.passage.with(|call: &mut Call, outputs| call.data(number_of, data, outputs)) {
+        if errand
+            .passage
+            .with(|call: &mut Call, outputs| call.data(number_of, data, outputs))
+        {
             (errand.committed)();
         }
         errand.passage.room().await;
@@ -458,7 +526,12 @@
 }
 
 /// What an error of the transport means for an attempt.
-fn broken(attempt: &mut Attempt, connection: &Connection, now: Millis, error: &h2::Error) -> Option<End> {
+fn broken(
+    attempt: &mut Attempt,
+    connection: &Connection,
+    now: Millis,
+    error: &h2::Error,
+) -> Option<End> {
     if error.is_reset() && error.is_remote() {
         let reason = error.reason().map_or(0, u32::from);
         return attempt.reset(now, reason);
--- a/crates/maplefall/src/net/grpc/front.rs
+++ b/crates/maplefall/src/net/grpc/front.rs
@@ -67,7 +67,10 @@
 }
 
 fn bad_header(header: &HeaderName) -> Bad {
-    Bad::Status(Code::InvalidArgument, format!("{header} is missing, repeated or cannot be read"))
+    Bad::Status(
+        Code::InvalidArgument,
+        format!("{header} is missing, repeated or cannot be read"),
+    )
 }
 
 impl Front {
@@ -94,7 +97,10 @@
             match listener.accept().await {
                 Ok((stream, address)) => {
                     self.connections.set(self.connections.get() + 1);
-                    let open = Open { front: self.clone(), of: Of::Connection };
+                    let open = Open {
+                        front: self.clone(),
+                        of: Of::Connection,
+                    };
                     tokio::task::spawn_local(self.clone().serve(stream, address.ip(), open));
                 }
                 Err(_) => tokio::time::sleep(PAUSE).await,
@@ -104,13 +110,22 @@
 
     /// Takes no new calls, and returns once those that were taken have their status.
     pub async fn stop(&self) {
-        let longest = self.door.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+        let longest = self
+            .door
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .fold(0.0, f64::max);
         let longest = Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default();
         let end = tokio::time::Instant::now() + longest + LAST_CALL;
         self.stopping.send_replace(true);
         tokio::time::sleep(LINGER).await;
         while self.connections.get() > 0 {
-            if tokio::time::timeout_at(end, self.closed.notified()).await.is_err() {
+            if tokio::time::timeout_at(end, self.closed.notified())
+                .await
+                .is_err()
+            {
                 eprintln!("stopped with {} calls without a status", self.calls.get());
                 return;
             }
@@ -121,10 +136,15 @@
         // Without it calls are late, not wrong.
         let _ = stream.set_nodelay(true);
         let mut builder = server::Builder::new();
-        builder.max_concurrent_streams(self.settings.streams).max_header_list_size(LONGEST_HEAD);
-        let handshake = tokio::time::timeout(HANDSHAKE, builder.handshake::<_, Bytes>(stream)).await;
+        builder
+            .max_concurrent_streams(self.settings.streams)
+            .max_header_list_size(LONGEST_HEAD);
+        let handshake =
+            tokio::time::timeout(HANDSHAKE, builder.handshake::<_, Bytes>(stream)).await;
         // Whoever speaks no HTTP/2 is not answered in it.
-        let Ok(Ok(mut connection)) = handshake else { return };
+        let Ok(Ok(mut connection)) = handshake else {
+            return;
+        };
         let idle = Duration::try_from_secs_f64(self.settings.idle / 1000.0).unwrap_or(HANDSHAKE);
         let active = Rc::new(Cell::new(0));
         let mut stopping = self.stopping.subscribe();
@@ -167,7 +187,10 @@
             return;
         }
         self.calls.set(self.calls.get() + 1);
-        let open = Open { front: self.clone(), of: Of::Call(active.clone()) };
+        let open = Open {
+            front: self.clone(),
+            of: Of::Call(active.clone()),
+        };
         active.set(active.get() + 1);
         tokio::task::spawn_local(async move {
             let _open = open;
@@ -175,25 +198,46 @@
         });
     }
 
-    async fn call(&self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>, peer: IpAddr) {
+    async fn call(
+        &self,
+        request: Request<RecvStream>,
+        mut respond: SendResponse<Bytes>,
+        peer: IpAddr,
+    ) {
         let (head, mut body) = request.into_parts();
         let now = self.door.clock.now();
         let read = async {
             let (incoming, route) = self.read(&head, now)?;
             let metadata = metadata(&head.headers, self.auth.as_deref());
             let held = self.settings.held_bytes;
-            let passage = Rc::new(Passage::new(&head.uri, metadata, route.shape, incoming.deadline, held));
+            let passage = Rc::new(Passage::new(
+                &head.uri,
+                metadata,
+                route.shape,
+                incoming.deadline,
+                held,
+            ));
             if !route.shape.request_streams() {
-                let end = self.door.clock.instant(incoming.deadline.min(now + READ_TIME));
+                let end = self
+                    .door
+                    .clock
+                    .instant(incoming.deadline.min(now + READ_TIME));
                 let whole = tokio::time::timeout_at(end, one_message(&mut body, &passage));
-                let late =
-                    |_| Bad::Status(Code::DeadlineExceeded, "the message did not come in time".to_owned());
+                let late = |_| {
+                    Bad::Status(
+                        Code::DeadlineExceeded,
+                        "the message did not come in time".to_owned(),
+                    )
+                };
                 whole.await.map_err(late)??;
             }
             Ok((incoming, passage))
         };
         match read.await {
-            Ok((incoming, passage)) => self.pass(&head, body, respond, peer, incoming, passage).await,
+            Ok((incoming, passage)) => {
+                self.pass(&head, body, respond, peer, incoming, passage)
+                    .await
+            }
             Err(Bad::Gone) => {}
             Err(Bad::Http(status)) => {
                 let mut response = Response::new(());
@@ -217,13 +261,15 @@
             return Err(Bad::Http(StatusCode::UNSUPPORTED_MEDIA_TYPE));
         }
         let route = self.settings.routes.find(head.uri.path());
-        let route = route.ok_or_else(|| Bad::Status(Code::Unimplemented, "no such method".to_owned()))?;
+        let route =
+            route.ok_or_else(|| Bad::Status(Code::Unimplemented, "no such method".to_owned()))?;
         let (settings, names) = (&self.door.settings, &self.door.names);
         let told = |header: HeaderName| text(headers, &header).map_err(|_| bad_header(&header));
         let id = name(headers, &REQUEST_ID).map_err(|_| bad_header(&REQUEST_ID))?;
         let plan_name = plain(told(API_PLAN)?);
         let plan = names.plans.iter().position(|name| *name == plan_name);
-        let plan = plan.ok_or_else(|| Bad::Status(Code::InvalidArgument, "unknown plan".to_owned()))?;
+        let plan =
+            plan.ok_or_else(|| Bad::Status(Code::InvalidArgument, "unknown plan".to_owned()))?;
         let class = &settings.classes[route.class.0];
         let keyed = headers.contains_key(IDEMPOTENCY_KEY);
         if keyed != matches!(class.effect, maplefall_policy::Effect::Keyed { .. }) {
@@ -233,21 +279,27 @@
             name(headers, &IDEMPOTENCY_KEY).map_err(|_| bad_header(&IDEMPOTENCY_KEY))?;
         }
         let time = match headers.contains_key(&GRPC_TIMEOUT) {
-            true => {
-                timeout::parse(told(GRPC_TIMEOUT)?.as_bytes()).ok_or_else(|| bad_header(&GRPC_TIMEOUT))?
-            }
+            true => timeout::parse(told(GRPC_TIMEOUT)?.as_bytes())
+                .ok_or_else(|| bad_header(&GRPC_TIMEOUT))?,
             false => f64::INFINITY,
         };
         let (units, spread) = match headers.contains_key(&API_TERMS) {
             true => {
-                let terms = Terms::read(told(API_TERMS)?, settings).ok_or_else(|| bad_header(&API_TERMS))?;
+                let terms = Terms::read(told(API_TERMS)?, settings)
+                    .ok_or_else(|| bad_header(&API_TERMS))?;
                 (terms.units, terms.spread)
             }
             // A client that names no set comes through all front doors.
             false => (route.units, f64::from(settings.gateways.max(1))),
         };
-        let path = head.uri.path_and_query().ok_or(Bad::Http(StatusCode::BAD_REQUEST))?;
-        let authority = head.uri.authority().map_or("localhost", |authority| authority.as_str());
+        let path = head
+            .uri
+            .path_and_query()
+            .ok_or(Bad::Http(StatusCode::BAD_REQUEST))?;
+        let authority = head
+            .uri
+            .authority()
+            .map_or("localhost", |authority| authority.as_str());
         let host = HeaderValue::from_str(authority).map_err(|_| bad_header(&HOST))?;
         let incoming = Incoming {
             at: now,
@@ -294,9 +346,16 @@
             passage.with(|call, outputs| call.turn_down(Code::AlreadyExists, why, outputs));
             return side.send_all(&passage).await;
         };
-        let mut waiting = Waiting { door: &self.door, passage: &passage, id: Some(id) };
+        let mut waiting = Waiting {
+            door: &self.door,
+            passage: &passage,
+            id: Some(id),
+        };
         // Where the message has come whole there is nothing more to read.
-        let _reader = passage.shape().request_streams().then(|| Reader::start(body, passage.clone()));
+        let _reader = passage
+            .shape()
+            .request_streams()
+            .then(|| Reader::start(body, passage.clone()));
         if let Some(auth) = auth.filter(|_| self.door.held(id)) {
             let caller = auth.caller(head, class, plan, peer);
             let checked = tokio::select! {
@@ -357,7 +416,9 @@
 fn denial(carried: &Carried) -> (Code, &'static str) {
     match carried {
         // A page to sign in at is of no use to it.
-        Carried::Denial { status, .. } if *status == StatusCode::UNAUTHORIZED || status.is_redirection() => {
+        Carried::Denial { status, .. }
+            if *status == StatusCode::UNAUTHORIZED || status.is_redirection() =>
+        {
             (Code::Unauthenticated, "the caller is not signed in")
         }
         _ => (Code::PermissionDenied, "the caller may not"),
@@ -368,7 +429,14 @@
 /// service may say.
 fn metadata(headers: &HeaderMap, auth: Option<&Auth>) -> HeaderMap {
     let mut metadata = headers.clone();
-    for name in [CONNECTION, HOST, TE, TRANSFER_ENCODING, UPGRADE, GRPC_TIMEOUT] {
+    for name in [
+        CONNECTION,
+        HOST,
+        TE,
+        TRANSFER_ENCODING,
+        UPGRADE,
+        GRPC_TIMEOUT,
+    ] {
         metadata.remove(name);
     }
     if let Some(auth) = auth {
@@ -386,7 +454,10 @@
         held += data.len();
         let _ = body.flow_control().release_capacity(data.len());
         if frames.take(&data).is_err() || frames.messages() + u64::from(frames.within()) > 1 {
-            return Err(Bad::Status(Code::InvalidArgument, "one message was expected".to_owned()));
+            return Err(Bad::Status(
+                Code::InvalidArgument,
+                "one message was expected".to_owned(),
+            ));
         }
         if held > LONGEST_BODY + 5 || frames.length() as usize > LONGEST_BODY {
             let why = format!("a message of {LONGEST_BODY} bytes at most was expected");
@@ -395,7 +466,10 @@
         passage.push(data);
     }
     if frames.messages() != 1 {
-        return Err(Bad::Status(Code::InvalidArgument, "one message was expected".to_owned()));
+        return Err(Bad::Status(
+            Code::InvalidArgument,
+            "one message was expected".to_owned(),
+        ));
     }
     passage.end();
     Ok(())
@@ -460,8 +534,14 @@
                 return Poll::Pending;
             }
         }
-        let Some(output) = passage.take_output(most) else { return Poll::Ready(Step::Sent) };
-        Poll::Ready(if self.send(output) { Step::Over } else { Step::Sent })
+        let Some(output) = passage.take_output(most) else {
+            return Poll::Ready(Step::Sent);
+        };
+        Poll::Ready(if self.send(output) {
+            Step::Over
+        } else {
+            Step::Sent
+        })
     }
 
     async fn gone(&mut self) {
--- a/crates/maplefall/src/net/grpc/mod.rs
+++ b/crates/maplefall/src/net/grpc/mod.rs
@@ -14,5 +14,7 @@
 
 /// Descriptors that connections for calls take, to clients, to backends and for the listener.
 pub fn sockets(settings: Option<&GrpcSettings>) -> usize {
-    settings.map_or(0, |settings| settings.connections + settings.backend_connections + 1)
+    settings.map_or(0, |settings| {
+        settings.connections + settings.backend_connections + 1
+    })
 }
--- a/crates/maplefall/src/net/grpc/passage.rs
+++ b/crates/maplefall/src/net/grpc/passage.rs
@@ -37,10 +37,22 @@
 
 impl Passage {
     /// A call of this shape whose client waits until `deadline`.
-    pub fn new(uri: &Uri, metadata: HeaderMap, shape: Shape, deadline: Millis, held: usize) -> Passage {
+    pub fn new(
+        uri: &Uri,
+        metadata: HeaderMap,
+        shape: Shape,
+        deadline: Millis,
+        held: usize,
+    ) -> Passage {
         Passage {
-            path: uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/")),
-            authority: uri.authority().map_or("localhost", |authority| authority.as_str()).to_owned(),
+            path: uri
+                .path_and_query()
+                .cloned()
+                .unwrap_or_else(|| PathAndQuery::from_static("/")),
+            authority: uri
+                .authority()
+                .map_or("localhost", |authority| authority.as_str())
+                .to_owned(),
             metadata,
             call: RefCell::new(Call::new(shape, deadline, held)),
             replay: RefCell::new(Replay::new(held)),
@@ -129,7 +141,9 @@
 
     /// Drops messages that the client has not taken: its time is over, and its status must not wait behind them.
     pub fn drop_messages(&self) {
-        self.outputs.borrow_mut().retain(|output| !matches!(output, Output::Data(_)));
+        self.outputs
+            .borrow_mut()
+            .retain(|output| !matches!(output, Output::Data(_)));
         self.queued.set(0);
         self.room.notify_one();
     }
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -83,8 +83,12 @@
 /// # Errors
 /// Every mistake, one to a line.
 pub fn from_env(classes: &[String]) -> Result<Option<GrpcSettings>, String> {
-    let Some(path) = std::env::var_os(VARIABLE) else { return Ok(None) };
-    read(Path::new(&path), Some(classes)).map(Some).map_err(|found| found.join("\n"))
+    let Some(path) = std::env::var_os(VARIABLE) else {
+        return Ok(None);
+    };
+    read(Path::new(&path), Some(classes))
+        .map(Some)
+        .map_err(|found| found.join("\n"))
 }
 
 /// What a file says. Without the classes' names, whatever it calls a class is taken for one.
@@ -99,19 +103,26 @@
 
 /// Whether a text is a file of this kind.
 pub fn is_one(text: &str) -> bool {
-    text.parse::<toml::Table>().is_ok_and(|table| table.contains_key("listen"))
+    text.parse::<toml::Table>()
+        .is_ok_and(|table| table.contains_key("listen"))
 }
 
 fn parse(text: &str, classes: Option<&[String]>) -> Result<GrpcSettings, Vec<String>> {
-    let told: Text = toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
+    let told: Text =
+        toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
     let mut found = Vec::new();
     let listen = told.listen.parse::<SocketAddr>();
     if listen.is_err() {
-        found.push(format!("listen: an address with a port was expected, not {:?}", told.listen));
+        found.push(format!(
+            "listen: an address with a port was expected, not {:?}",
+            told.listen
+        ));
     }
     let mut within = |field: &str, value: f64, least: f64, most: f64| {
         if !(least..=most).contains(&value) {
-            found.push(format!("{field}: a number from {least} to {most} was expected"));
+            found.push(format!(
+                "{field}: a number from {least} to {most} was expected"
+            ));
         }
     };
     let connections = told.connections.unwrap_or(32);
@@ -123,7 +134,12 @@
     within("connections", connections as f64, 1.0, 65_536.0);
     within("streams", f64::from(streams), 1.0, 65_536.0);
     within("calls", calls as f64, 1.0, 65_536.0);
-    within("backend_connections", backend_connections as f64, 1.0, 65_536.0);
+    within(
+        "backend_connections",
+        backend_connections as f64,
+        1.0,
+        65_536.0,
+    );
     within("held_bytes", held_bytes as f64, 1024.0, 4_194_304.0);
     within("idle_ms", idle, 100.0, 86_400_000.0);
     if told.routes.is_empty() {
@@ -151,7 +167,11 @@
         };
         rows.push((
             row.method.as_str(),
-            Route { class: ClassId(known.flatten().unwrap_or(at)), shape, units },
+            Route {
+                class: ClassId(known.flatten().unwrap_or(at)),
+                shape,
+                units,
+            },
         ));
     }
     let routes = Routes::new(rows);
@@ -182,7 +202,9 @@
     fn the_shipped_example_can_be_used() {
         let text = include_str!("../../../../../deploy/grpc.toml");
         assert!(is_one(text) && !is_one(include_str!("../../../../../deploy/sources.toml")));
-        assert!(!is_one(include_str!("../../../../../deploy/forward-auth.toml")));
+        assert!(!is_one(include_str!(
+            "../../../../../deploy/forward-auth.toml"
+        )));
         let classes = ["consulta", "extension", "cobro"].map(str::to_owned);
         let settings = parse(text, Some(&classes)).unwrap();
         let route = settings.routes.find("/lots.v1.Sessions/Charge").unwrap();
@@ -208,7 +230,10 @@
             "route: \"/a.B/C\" stands there twice",
         ];
         for begin in begins {
-            assert!(found.iter().any(|line| line.starts_with(begin)), "{begin} {found:#?}");
+            assert!(
+                found.iter().any(|line| line.starts_with(begin)),
+                "{begin} {found:#?}"
+            );
         }
         assert_eq!(found.len(), begins.len(), "{found:#?}");
         assert!(parse("listen = \"127.0.0.1:1\"", None).unwrap_err()[0].starts_with("route:"));
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -9,9 +9,9 @@
 use super::sources::{Kind, Source, Sources};
 use maplefall_etcd::client::{self, Place};
 use maplefall_etcd::{one_line, value, Output, Report, Told};
+use maplefall_membership::{Event, Roster, SourceSettings, Update, MOST_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
-use maplefall_membership::{Event, Roster, SourceSettings, Update, MOST_NODES};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -61,12 +61,18 @@
 impl Membership {
     /// With these sources, the one that goes before the others first.
     pub fn new(door: Rc<Door>, sources: Sources) -> Rc<Membership> {
-        let Sources { list: sources, remember } = sources;
+        let Sources {
+            list: sources,
+            remember,
+        } = sources;
         let place = |(at, source): (usize, &Source)| match &source.kind {
             Kind::Etcd { place, .. } => Some((at, watch::Sender::new(place.clone()))),
             Kind::Agent | Kind::File(_) => None,
         };
-        let settings: Vec<SourceSettings> = sources.iter().map(|source| source.settings.clone()).collect();
+        let settings: Vec<SourceSettings> = sources
+            .iter()
+            .map(|source| source.settings.clone())
+            .collect();
         Rc::new(Membership {
             door,
             roster: RefCell::new(Roster::new(settings)),
@@ -85,7 +91,10 @@
     /// Begins with the list that the front door was started with: as the first source's word, until it speaks.
     pub fn recall(&self, known: &Members) {
         let first = self.agent.unwrap_or(0);
-        let update = self.roster.borrow_mut().recall(self.door.clock.now(), first, known);
+        let update = self
+            .roster
+            .borrow_mut()
+            .recall(self.door.clock.now(), first, known);
         self.hand_on(update);
     }
 
@@ -97,13 +106,20 @@
             Ok(None) => return,
             Ok(Some(text)) => match serde_json::from_slice(&text) {
                 Ok(words) => words,
-                Err(error) => return self.say(&format_args!("{}: not recalled: {error}", path.display())),
+                Err(error) => {
+                    return self.say(&format_args!("{}: not recalled: {error}", path.display()))
+                }
             },
-            Err(error) => return self.say(&format_args!("{}: not recalled: {error}", path.display())),
+            Err(error) => {
+                return self.say(&format_args!("{}: not recalled: {error}", path.display()))
+            }
         };
         for (at, source) in self.sources.iter().enumerate() {
             if let Some(members) = words.get(&source.settings.name) {
-                let update = self.roster.borrow_mut().recall(self.door.clock.now(), at, members);
+                let update = self
+                    .roster
+                    .borrow_mut()
+                    .recall(self.door.clock.now(), at, members);
                 self.hand_on(update);
             }
         }
@@ -116,7 +132,10 @@
             self.unwritten.notified().await;
             let words: BTreeMap<String, Members> = {
                 let roster = self.roster.borrow();
-                roster.words().map(|(settings, members)| (settings.name.clone(), members)).collect()
+                roster
+                    .words()
+                    .map(|(settings, members)| (settings.name.clone(), members))
+                    .collect()
             };
             let (to, fresh) = (path.clone(), path.with_extension("new"));
             // Off the one thread: a slow disk holds up no request. A file that is there is whole at any moment.
@@ -124,7 +143,9 @@
                 std::fs::write(&fresh, serde_json::to_vec(&words)?)?;
                 std::fs::rename(&fresh, &to)
             });
-            let written = written.await.unwrap_or_else(|error| Err(std::io::Error::other(error)));
+            let written = written
+                .await
+                .unwrap_or_else(|error| Err(std::io::Error::other(error)));
             if let Err(error) = &written {
                 if !failing {
                     self.say(&format_args!("{}: not written: {error}", path.display()));
@@ -146,9 +167,14 @@
                 Kind::Agent => {}
                 Kind::File(path) => self.read_file(at, path),
                 Kind::Etcd { follow, .. } => {
-                    let Some(place) = self.places.get(&at) else { continue };
+                    let Some(place) = self.places.get(&at) else {
+                        continue;
+                    };
                     // The driver's clock counts in Unix time.
-                    let settings = maplefall_etcd::Settings { seed: seed ^ at as u64, ..follow.clone() };
+                    let settings = maplefall_etcd::Settings {
+                        seed: seed ^ at as u64,
+                        ..follow.clone()
+                    };
                     let (clock, told) = (self.door.clone(), self.clone());
                     let clock = move || clock.clock.now();
                     let take = move |output| told.etcd_said(at, output);
@@ -173,8 +199,13 @@
             old.settings == new.settings
                 && match (&old.kind, &new.kind) {
                     (Kind::Etcd { follow: old, .. }, Kind::Etcd { follow: new, .. }) => {
-                        maplefall_etcd::Settings { endpoints: 0, ..old.clone() }
-                            == maplefall_etcd::Settings { endpoints: 0, ..new.clone() }
+                        maplefall_etcd::Settings {
+                            endpoints: 0,
+                            ..old.clone()
+                        } == maplefall_etcd::Settings {
+                            endpoints: 0,
+                            ..new.clone()
+                        }
                     }
                     (old, new) => old == new,
                 }
@@ -212,10 +243,14 @@
         match output {
             maplefall_discovery_agent::Output::Tell(event) => self.take(event),
             maplefall_discovery_agent::Output::Report(report) => {
-                self.say(&format_args!("discovery: {}", one_line(&report.to_string())));
+                self.say(&format_args!(
+                    "discovery: {}",
+                    one_line(&report.to_string())
+                ));
             }
             // Calls are the carrier's.
-            maplefall_discovery_agent::Output::Ask { .. } | maplefall_discovery_agent::Output::HangUp(_) => {}
+            maplefall_discovery_agent::Output::Ask { .. }
+            | maplefall_discovery_agent::Output::HangUp(_) => {}
         }
     }
 
@@ -228,9 +263,14 @@
                 self.say(&format_args!("{name}: passed over: {report}"));
             }
             Output::Report(report) => self.say(&format_args!("{name}: {report}")),
-            Output::Tell(Told { event, behind, late }) => {
+            Output::Tell(Told {
+                event,
+                behind,
+                late,
+            }) => {
                 let now = self.door.clock.now();
-                if late.is_some_and(|late| late > LATE) && now - self.late_told.get() >= LATE_AGAIN {
+                if late.is_some_and(|late| late > LATE) && now - self.late_told.get() >= LATE_AGAIN
+                {
                     self.late_told.set(now);
                     let late = late.unwrap_or(0.0);
                     self.say(&format_args!(
@@ -248,11 +288,23 @@
                 let seq = self.readings.get() + 1;
                 self.readings.set(seq);
                 for (id, why) in &unread {
-                    self.say(&format_args!("{}: {}: passed over: {why}", path.display(), one_line(id)));
+                    self.say(&format_args!(
+                        "{}: {}: passed over: {why}",
+                        path.display(),
+                        one_line(id)
+                    ));
                 }
                 let unread = unread.into_iter().map(|(id, _)| id).collect();
-                let members = Members { seq, whole: true, hosts };
-                self.take(Event::Snapshot { source, members, unread });
+                let members = Members {
+                    seq,
+                    whole: true,
+                    hosts,
+                };
+                self.take(Event::Snapshot {
+                    source,
+                    members,
+                    unread,
+                });
             }
             Err(error) => {
                 self.say(&format_args!("{}: {error}", path.display()));
@@ -356,11 +408,15 @@
     let read = || {
         let mut text = Vec::new();
         // The length is that of what is read: a file may grow while it is.
-        let count = std::fs::File::open(path)?.take(LONGEST_FILE + 1).read_to_end(&mut text)?;
+        let count = std::fs::File::open(path)?
+            .take(LONGEST_FILE + 1)
+            .read_to_end(&mut text)?;
         std::io::Result::Ok((text, count as u64))
     };
     match read() {
-        Ok((_, count)) if count > LONGEST_FILE => Err(format!("{LONGEST_FILE} bytes at most were expected")),
+        Ok((_, count)) if count > LONGEST_FILE => {
+            Err(format!("{LONGEST_FILE} bytes at most were expected"))
+        }
         Ok((text, _)) => Ok(Some(text)),
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
         Err(error) => Err(error.to_string()),
@@ -380,8 +436,8 @@
     }
     let (mut nodes, mut unread) = (Vec::new(), Vec::new());
     for (id, document) in told {
-        let read =
-            value::id(id.as_bytes(), b"").and_then(|id| value::member(id, document.to_string().as_bytes()));
+        let read = value::id(id.as_bytes(), b"")
+            .and_then(|id| value::member(id, document.to_string().as_bytes()));
         match read {
             Ok((member, _)) => nodes.push(member),
             Err(why) => unread.push((id, one_line(&why.to_string()))),
@@ -409,7 +465,9 @@
     #[test]
     fn the_log_is_told_so_much_in_a_span_and_the_rest_is_counted() {
         let mut lines = Lines::default();
-        let told = (0..10_000).filter(|n| lines.may(1e6 + f64::from(*n) / 10.0).is_some()).count();
+        let told = (0..10_000)
+            .filter(|n| lines.may(1e6 + f64::from(*n) / 10.0).is_some())
+            .count();
         assert_eq!(told, MOST_LINES as usize);
         assert_eq!(lines.may(1e6 + LINES_SPAN), Some(10_000 - MOST_LINES));
         assert_eq!(lines.may(1e6 + LINES_SPAN), Some(0));
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -47,7 +47,9 @@
     let listener = tokio::net::TcpListener::bind(listen)
         .await
         .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
-    let bound = listener.local_addr().map_err(|error| format!("cannot listen on {listen}: {error}"))?;
+    let bound = listener
+        .local_addr()
+        .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
     let sources = sources::from_env()?;
     let classes = &config.told.settings.classes;
     let effects: Vec<_> = classes.iter().map(|class| class.effect).collect();
@@ -55,16 +57,24 @@
     let auth_sockets = auth::sockets(auth_settings.as_ref(), config.limits.sockets);
     let grpc_settings = grpc::from_env(&config.told.names.classes)?;
     let shared = counts_settings::from_env()?;
-    let elsewhere = auth_sockets + grpc::sockets(grpc_settings.as_ref()) + usize::from(shared.is_some());
+    let elsewhere =
+        auth_sockets + grpc::sockets(grpc_settings.as_ref()) + usize::from(shared.is_some());
     let door = Door::new(&config, elsewhere, grpc_settings.as_ref());
-    let auth = auth_settings.map(|settings| Auth::new(settings, door.clock, config.seed, auth_sockets));
+    let auth =
+        auth_settings.map(|settings| Auth::new(settings, door.clock, config.seed, auth_sockets));
     if let Some(auth) = &auth {
         tokio::task::spawn_local(auth.clone().keep_time());
     }
     if let Some(shared) = shared {
         let name = config.name.clone();
-        let counts =
-            counts::Counts::start(shared, &name, door.clock, config.seed, door.settings.gateways).await?;
+        let counts = counts::Counts::start(
+            shared,
+            &name,
+            door.clock,
+            config.seed,
+            door.settings.gateways,
+        )
+        .await?;
         door.share(counts.clone());
         tokio::task::spawn_local(counts.run(door.clone()));
     }
@@ -95,7 +105,12 @@
         );
         let told = membership.clone();
         let take = move |output| told.agent_said(output);
-        tokio::task::spawn_local(discovery::follow(follower, door.clock, agent.subscribe(), take));
+        tokio::task::spawn_local(discovery::follow(
+            follower,
+            door.clock,
+            agent.subscribe(),
+            take,
+        ));
     }
     let clients = Clients::new(door.clone(), auth.clone(), config.limits.sockets);
     tokio::task::spawn_local(clients.clone().accept(listener));
@@ -152,7 +167,9 @@
 ) -> Result<Rc<Front>, String> {
     let listen = settings.listen;
     let no_port = |error| format!("cannot listen on {listen} for gRPC: {error}");
-    let listener = tokio::net::TcpListener::bind(listen).await.map_err(no_port)?;
+    let listener = tokio::net::TcpListener::bind(listen)
+        .await
+        .map_err(no_port)?;
     let bound = listener.local_addr().map_err(no_port)?;
     let front = Front::new(door.clone(), auth.clone(), settings);
     tokio::task::spawn_local(front.clone().accept(listener));
@@ -163,7 +180,12 @@
 /// Re-reads the configuration and the file of sources after SIGHUP. Only where discovery and etcd answer, and credentials,
 /// can change while the program runs; what cannot be used is told (once: where `told`), and the old goes on. Tells whether the
 /// configuration could be used.
-fn take_up(name: &str, agent: &watch::Sender<SocketAddr>, membership: &Membership, told: bool) -> bool {
+fn take_up(
+    name: &str,
+    agent: &watch::Sender<SocketAddr>,
+    membership: &Membership,
+    told: bool,
+) -> bool {
     let config = Config::told_discovery();
     let taken = config.is_ok();
     match config {
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -67,7 +67,12 @@
 }
 
 /// Reads the head of a request whose first byte came at `first`.
-pub fn read_head(settings: &Settings, names: &Names, head: &Parts, first: Millis) -> Result<Incoming, Bad> {
+pub fn read_head(
+    settings: &Settings,
+    names: &Names,
+    head: &Parts,
+    first: Millis,
+) -> Result<Incoming, Bad> {
     let headers = &head.headers;
     // Where both framings are given, the library goes by the chunks and drops the length without a word; what one
     // hop takes for the body another takes for the next request. Clients of this service tell the length.
@@ -77,7 +82,11 @@
     let id = name(headers, &REQUEST_ID)?;
     let class = class(settings, names, head)?;
     let plan_name = plain(text(headers, &API_PLAN)?);
-    let plan = names.plans.iter().position(|name| *name == plan_name).ok_or(Bad::Plan)?;
+    let plan = names
+        .plans
+        .iter()
+        .position(|name| *name == plan_name)
+        .ok_or(Bad::Plan)?;
     let timeout = positive(text(headers, &REQUEST_TIMEOUT)?).ok_or(Bad::Header(REQUEST_TIMEOUT))?;
     // No client waits for longer than its class allows.
     let timeout = (timeout * 1000.0).min(settings.classes[class].deadline);
@@ -107,7 +116,9 @@
             uri: Uri::from(path.clone()),
             key: headers.get(IDEMPOTENCY_KEY).cloned(),
             // One that is odd says nothing about the body: it is left out.
-            content_type: text(headers, &CONTENT_TYPE).ok().and_then(|_| headers.get(CONTENT_TYPE).cloned()),
+            content_type: text(headers, &CONTENT_TYPE)
+                .ok()
+                .and_then(|_| headers.get(CONTENT_TYPE).cloned()),
             onward: Vec::new(),
             body: Bytes::new(),
         },
@@ -118,8 +129,16 @@
 fn class(settings: &Settings, names: &Names, head: &Parts) -> Result<usize, Bad> {
     let name = text(&head.headers, &REQUEST_CLASS)?;
     let plain_name = plain(name);
-    let class = names.classes.iter().position(|known| *known == plain_name).ok_or(Bad::Class)?;
-    let rest = head.uri.path().strip_prefix('/').and_then(|path| path.strip_prefix(name));
+    let class = names
+        .classes
+        .iter()
+        .position(|known| *known == plain_name)
+        .ok_or(Bad::Class)?;
+    let rest = head
+        .uri
+        .path()
+        .strip_prefix('/')
+        .and_then(|path| path.strip_prefix(name));
     if !rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/')) {
         return Err(Bad::Class);
     }
@@ -154,10 +173,16 @@
             let again = match name {
                 "units" => {
                     let most = settings.max_units.max(1.0) * (1.0 + 1e-6);
-                    units.replace(positive(value).filter(|units| *units <= most)?).is_some()
+                    units
+                        .replace(positive(value).filter(|units| *units <= most)?)
+                        .is_some()
                 }
-                "spread" => spread.replace(whole(value).filter(|n| (1..=doors).contains(n))?).is_some(),
-                "first" => first.replace(whole(value).filter(|n| *n < doors)?).is_some(),
+                "spread" => spread
+                    .replace(whole(value).filter(|n| (1..=doors).contains(n))?)
+                    .is_some(),
+                "first" => first
+                    .replace(whole(value).filter(|n| *n < doors)?)
+                    .is_some(),
                 _ => false,
             };
             if again {
@@ -165,7 +190,10 @@
             }
         }
         first?;
-        Some(Terms { units: units?, spread: f64::from(spread?) })
+        Some(Terms {
+            units: units?,
+            spread: f64::from(spread?),
+        })
     }
 }
 
@@ -182,32 +210,45 @@
 /// A header that names something: neither empty nor long, and no spaces.
 pub fn name<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, Bad> {
     let value = text(headers, name)?;
-    let good = (1..=LONGEST_NAME).contains(&value.len()) && value.bytes().all(|byte| byte.is_ascii_graphic());
-    good.then_some(value).ok_or_else(|| Bad::Header(name.clone()))
+    let good = (1..=LONGEST_NAME).contains(&value.len())
+        && value.bytes().all(|byte| byte.is_ascii_graphic());
+    good.then_some(value)
+        .ok_or_else(|| Bad::Header(name.clone()))
 }
 
 fn positive(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|number: &f64| number.is_finite() && *number > 0.0)
+    text.parse()
+        .ok()
+        .filter(|number: &f64| number.is_finite() && *number > 0.0)
 }
 
 /// A whole number, also where it is written with decimals.
 fn whole(text: &str) -> Option<u32> {
     let number: f64 = text.parse().ok()?;
-    (number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX)).then_some(number as u32)
+    (number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX))
+        .then_some(number as u32)
 }
 
 /// The customer that the one cookie of that name tells.
 pub fn customer(headers: &HeaderMap) -> Option<CustomerId> {
     let line = text(headers, &COOKIE).ok()?;
-    let mut names = line.split(';').filter_map(|one| one.trim().strip_prefix("client="));
+    let mut names = line
+        .split(';')
+        .filter_map(|one| one.trim().strip_prefix("client="));
     let name = names.next()?;
     let hex = name.len() == 16 && name.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let number = u64::from_str_radix(name, 16).ok().filter(|number| hex && *number < CUSTOMERS)?;
+    let number = u64::from_str_radix(name, 16)
+        .ok()
+        .filter(|number| hex && *number < CUSTOMERS)?;
     names.next().is_none().then_some(CustomerId(number))
 }
 
 /// Reads a body that has to be there by `end`.
-pub async fn read_body(body: IncomingBody, method: &Method, end: tokio::time::Instant) -> Result<Bytes, Bad> {
+pub async fn read_body(
+    body: IncomingBody,
+    method: &Method,
+    end: tokio::time::Instant,
+) -> Result<Bytes, Bad> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -2,8 +2,8 @@
 //! order of precedence. Without it the platform's agent is the only source.
 
 use maplefall_etcd::client::Place;
-use maplefall_policy::Millis;
 use maplefall_membership::SourceSettings;
+use maplefall_policy::Millis;
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
@@ -49,8 +49,14 @@
 
 /// What there is without a file.
 pub fn agent_alone() -> Sources {
-    let agent = Source { settings: SourceSettings::trusted("agent"), kind: Kind::Agent };
-    Sources { list: vec![agent], remember: None }
+    let agent = Source {
+        settings: SourceSettings::trusted("agent"),
+        kind: Kind::Agent,
+    };
+    Sources {
+        list: vec![agent],
+        remember: None,
+    }
 }
 
 #[derive(Deserialize)]
@@ -103,7 +109,9 @@
 /// # Errors
 /// Every mistake, one to a line.
 pub fn from_env() -> Result<Sources, String> {
-    let Some(path) = std::env::var_os(VARIABLE) else { return Ok(agent_alone()) };
+    let Some(path) = std::env::var_os(VARIABLE) else {
+        return Ok(agent_alone());
+    };
     read(Path::new(&path)).map_err(|found| found.join("\n"))
 }
 
@@ -122,14 +130,16 @@
 /// # Errors
 /// Every mistake, each with the field's path.
 fn parse(text: &str) -> Result<Sources, Vec<String>> {
-    let told: Text = toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
+    let told: Text =
+        toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
     let mut found = Vec::new();
     if told.source.is_empty() || told.source.len() > MOST_SOURCES {
         found.push(format!("source: 1 to {MOST_SOURCES} tables were expected"));
     }
     let mut list: Vec<Source> = Vec::new();
     for (at, entry) in told.source.iter().enumerate() {
-        let mut wrong = |field: &str, expected: &str| found.push(format!("source.{at}.{field}: {expected}"));
+        let mut wrong =
+            |field: &str, expected: &str| found.push(format!("source.{at}.{field}: {expected}"));
         let usual = match entry.kind {
             Kinds::Agent => SourceSettings::trusted("agent"),
             // Half of the list gone in one reading is rather a mistake than a wish.
@@ -139,7 +149,10 @@
                 keep: 300_000.0,
                 ..SourceSettings::trusted("etcd")
             },
-            Kinds::File => SourceSettings { authoritative: false, ..SourceSettings::trusted("file") },
+            Kinds::File => SourceSettings {
+                authoritative: false,
+                ..SourceSettings::trusted("file")
+            },
         };
         let settings = SourceSettings {
             name: entry.name.clone().unwrap_or(usual.name),
@@ -148,7 +161,11 @@
             doubt: entry.doubt_ms.unwrap_or(usual.doubt),
             keep: entry.keep_ms.unwrap_or(usual.keep),
         };
-        if settings.name.is_empty() || list.iter().any(|other| other.settings.name == settings.name) {
+        if settings.name.is_empty()
+            || list
+                .iter()
+                .any(|other| other.settings.name == settings.name)
+        {
             wrong("name", "a name that no other source has was expected");
         }
         if !(0.0..=1.0).contains(&settings.believed_part) {
@@ -170,7 +187,10 @@
             ("answer_ms", entry.answer_ms.is_some()),
             ("retry_ms", entry.retry_ms.is_some()),
         ];
-        for (field, _) in of_etcd.iter().filter(|(_, told)| *told && entry.kind != Kinds::Etcd) {
+        for (field, _) in of_etcd
+            .iter()
+            .filter(|(_, told)| *told && entry.kind != Kinds::Etcd)
+        {
             wrong(field, "this belongs to sources of kind etcd");
         }
         if entry.path.is_some() && entry.kind != Kinds::File {
@@ -195,7 +215,10 @@
         list.push(Source { settings, kind });
     }
     match found.is_empty() {
-        true => Ok(Sources { list, remember: told.remember }),
+        true => Ok(Sources {
+            list,
+            remember: told.remember,
+        }),
         false => Err(found),
     }
 }
@@ -203,18 +226,29 @@
 fn etcd(at: usize, entry: &Entry, wrong: &mut impl FnMut(&str, &str)) -> Kind {
     let prefix = entry.prefix.clone().unwrap_or_default();
     if prefix.is_empty() {
-        wrong("prefix", "the prefix of the keys was expected, as in /maplefall");
+        wrong(
+            "prefix",
+            "the prefix of the keys was expected, as in /maplefall",
+        );
     }
     if !(1..=MOST_ENDPOINTS).contains(&entry.endpoints.len()) {
-        wrong("endpoints", &format!("a list of 1 to {MOST_ENDPOINTS} of http://HOST:PORT was expected"));
+        wrong(
+            "endpoints",
+            &format!("a list of 1 to {MOST_ENDPOINTS} of http://HOST:PORT was expected"),
+        );
     }
     for endpoint in &entry.endpoints {
-        let scheme = endpoint.split_once("://").map(|(scheme, rest)| (scheme, !rest.is_empty()));
+        let scheme = endpoint
+            .split_once("://")
+            .map(|(scheme, rest)| (scheme, !rest.is_empty()));
         match scheme {
             Some(("http", true)) => {}
             Some(("https", true)) if cfg!(feature = "tls") => {}
             Some(("https", true)) => wrong("endpoints", "https needs a build with the feature tls"),
-            _ => wrong("endpoints", &format!("http://HOST:PORT was expected, not {endpoint:?}")),
+            _ => wrong(
+                "endpoints",
+                &format!("http://HOST:PORT was expected, not {endpoint:?}"),
+            ),
         }
     }
     let file = |path: &Option<PathBuf>, field: &str, wrong: &mut dyn FnMut(&str, &str)| {
@@ -233,7 +267,12 @@
         wrong("user", "user and password_file were expected together");
     }
     let user = entry.user.clone().zip(password).map(|(user, password)| {
-        (user, String::from_utf8_lossy(&password).trim_end_matches(['\r', '\n']).to_owned())
+        (
+            user,
+            String::from_utf8_lossy(&password)
+                .trim_end_matches(['\r', '\n'])
+                .to_owned(),
+        )
     });
     let usual = maplefall_etcd::Settings::usual(at, entry.endpoints.len(), &prefix);
     let follow = maplefall_etcd::Settings {
@@ -253,9 +292,19 @@
     }
     let [least, most] = follow.retry;
     if !(least >= 1.0 && least <= most && most <= 600_000.0) {
-        wrong("retry_ms", "the shortest pause from 1 and the longest to 600000 were expected");
+        wrong(
+            "retry_ms",
+            "the shortest pause from 1 and the longest to 600000 were expected",
+        );
+    }
+    Kind::Etcd {
+        place: Place {
+            endpoints: entry.endpoints.clone(),
+            user,
+            authority,
+        },
+        follow,
     }
-    Kind::Etcd { place: Place { endpoints: entry.endpoints.clone(), user, authority }, follow }
 }
 
 #[cfg(test)]
@@ -265,10 +314,17 @@
     /// Guards the example that ships: whoever copies it begins with a file that can be used.
     #[test]
     fn the_shipped_example_names_an_agent_and_an_etcd() {
-        let list = parse(include_str!("../../../../deploy/sources.toml")).unwrap().list;
+        let list = parse(include_str!("../../../../deploy/sources.toml"))
+            .unwrap()
+            .list;
         assert_eq!(list[0].kind, Kind::Agent);
-        let Kind::Etcd { place, follow } = &list[1].kind else { panic!("{list:?}") };
-        assert_eq!((place.endpoints.len(), follow.prefix.as_str()), (3, "/maplefall"));
+        let Kind::Etcd { place, follow } = &list[1].kind else {
+            panic!("{list:?}")
+        };
+        assert_eq!(
+            (place.endpoints.len(), follow.prefix.as_str()),
+            (3, "/maplefall")
+        );
         assert!(list.iter().all(|source| source.settings.authoritative));
     }
 
@@ -291,17 +347,25 @@
         ];
         assert_eq!(found.len(), begins.len(), "{found:#?}");
         for begin in begins {
-            assert!(found.iter().any(|line| line.starts_with(begin)), "{begin} {found:#?}");
+            assert!(
+                found.iter().any(|line| line.starts_with(begin)),
+                "{begin} {found:#?}"
+            );
         }
         let many = vec!["\"http://127.0.0.1:1\""; MOST_ENDPOINTS + 1].join(", ");
         let text = format!("[[source]]\nkind = \"etcd\"\nprefix = \"/x\"\nendpoints = [{many}]\n");
         assert!(parse(&text).unwrap_err()[0].contains("1 to 16"));
         // A file of nodes stops nobody, whatever it says of itself.
-        let list = parse("[[source]]\nkind = \"file\"\npath = \"x\"\nauthoritative = true\n").unwrap().list;
+        let list = parse("[[source]]\nkind = \"file\"\npath = \"x\"\nauthoritative = true\n")
+            .unwrap()
+            .list;
         assert!(!list[0].settings.authoritative);
         assert!(parse("").unwrap_err()[0].contains("1 to 8"));
         assert!(parse("[[source]]\nkind = \"zookeeper\"").unwrap_err()[0].contains("line 2"));
-        assert!(parse("[[source]]\nkind = \"agent\"\nendpoint = 3").unwrap_err()[0].contains("endpoint"));
+        assert!(
+            parse("[[source]]\nkind = \"agent\"\nendpoint = 3").unwrap_err()[0]
+                .contains("endpoint")
+        );
     }
 
     #[cfg(not(feature = "tls"))]
--- a/crates/maplefall/tests/drains.rs
+++ b/crates/maplefall/tests/drains.rs
@@ -9,20 +9,31 @@
 #[test]
 fn a_spoilt_entry_is_passed_over_and_its_stop_is_heard() {
     let mut scene = Scene::new(3);
-    let entry = |at: usize, health: &str| member(&format!("s-{at}"), scene.backends[at].address(), health);
+    let entry =
+        |at: usize, health: &str| member(&format!("s-{at}"), scene.backends[at].address(), health);
     let mut spoilt = entry(1, "draining");
     spoilt["dial"] = json!("nowhere");
-    let hosts = [json!({"host": "s-9", "health": "up"}), entry(0, "draining"), spoilt];
+    let hosts = [
+        json!({"host": "s-9", "health": "up"}),
+        entry(0, "draining"),
+        spoilt,
+    ];
     scene.watch.line(&members(8, false, &hosts).to_string());
     let mut said = String::new();
     for _ in 0..2 {
         said += &scene.program.log_line();
     }
-    assert!(said.contains("s-9: passed over: ") && said.contains("s-1: passed over: "), "{said}");
+    assert!(
+        said.contains("s-9: passed over: ") && said.contains("s-1: passed over: "),
+        "{said}"
+    );
     // Both drains are in force with that line: all goes to the third, and nothing when that drains too, by the same watch.
     let line = members(9, false, &[entry(2, "draining")]).to_string();
     let mut asking = Asking::new(&scene.program, &scene.backends);
-    assert!(asking.only(2).is_empty(), "a backend that was told to be leaving got a request");
+    assert!(
+        asking.only(2).is_empty(),
+        "a backend that was told to be leaving got a request"
+    );
     scene.watch.line(&line);
     assert!(asking.refused().iter().all(|at| *at == 2));
 }
@@ -41,7 +52,14 @@
     let wire = moved.asked("?watch=1&from=7");
     scene.watch.expect_end();
     let mut watch = Watch::begin(wire);
-    watch.line(&members(8, false, &[member("s-0", scene.backends[0].address(), "draining")]).to_string());
+    watch.line(
+        &members(
+            8,
+            false,
+            &[member("s-0", scene.backends[0].address(), "draining")],
+        )
+        .to_string(),
+    );
     watch.end();
     // Asking from 8 shows that the line has been taken in.
     moved.asked("?watch=1&from=8");
@@ -50,7 +68,10 @@
         let mut late = Wire::new(stream);
         late.write(request_of("id-2", "read", "wide", LONG));
         wait_for("an answer or an end", || late.speaks().then_some(()));
-        assert!(scene.nobody_called(), "a request went to a backend that is leaving");
+        assert!(
+            scene.nobody_called(),
+            "a request went to a backend that is leaving"
+        );
     }
     backend.answer(200, "", "kept");
     assert_eq!(client.read().body, b"kept");
@@ -58,9 +79,13 @@
 }
 
 fn list(scene: &Scene, seq: u64, whole: bool, states: &[&str]) -> String {
-    let hosts = states.iter().enumerate().filter(|(_, state)| !state.is_empty());
-    let hosts: Vec<_> =
-        hosts.map(|(at, state)| member(&format!("s-{at}"), scene.backends[at].address(), state)).collect();
+    let hosts = states
+        .iter()
+        .enumerate()
+        .filter(|(_, state)| !state.is_empty());
+    let hosts: Vec<_> = hosts
+        .map(|(at, state)| member(&format!("s-{at}"), scene.backends[at].address(), state))
+        .collect();
     members(seq, whole, &hosts).to_string()
 }
 
@@ -80,21 +105,30 @@
         scene.program.reload(&config.to_string());
         let mut wire = moved.accept();
         let first = wire.read().first;
-        (first == "GET /catalog/members?watch=1&from=9 HTTP/1.1").then(|| scene.watch = Watch::begin(wire))
+        (first == "GET /catalog/members?watch=1&from=9 HTTP/1.1")
+            .then(|| scene.watch = Watch::begin(wire))
     });
     // What its list stops is stopped, which shows that it has been read; what it calls up is not.
-    scene.watch.line(&list(&scene, 8, true, &["up", "draining"]));
+    scene
+        .watch
+        .line(&list(&scene, 8, true, &["up", "draining"]));
     let lines = [
         list(&scene, 9, false, &["draining"]),
         list(&scene, 10, false, &["", "up"]),
         list(&scene, 11, false, &["up", "draining"]),
     ];
     let mut asking = Asking::new(&scene.program, &scene.backends);
-    assert!(!asking.refused().contains(&0), "a drain was taken back by an older list");
+    assert!(
+        !asking.refused().contains(&0),
+        "a drain was taken back by an older list"
+    );
     // It catches up with what the other agent had told, and passes it.
     scene.watch.line(&lines[0]);
     scene.watch.line(&lines[1]);
-    assert!(!asking.only(1).contains(&0), "a drain was taken back on the way");
+    assert!(
+        !asking.only(1).contains(&0),
+        "a drain was taken back on the way"
+    );
     // A newer word takes it back.
     scene.watch.line(&lines[2]);
     asking.only(0);
@@ -110,7 +144,10 @@
     scene.watch.fall_silent();
     let mut beside = Watch::begin(scene.discovery.asked("?watch=1&from=8"));
     let asked = begun.elapsed();
-    assert!(!scene.watch.has_ended(), "the first call was given up before the second was made");
+    assert!(
+        !scene.watch.has_ended(),
+        "the first call was given up before the second was made"
+    );
     beside.line(&list(&scene, 9, false, &["draining"]));
     scene.watch.expect_end();
     Asking::new(&scene.program, &scene.backends).only(1);
@@ -129,7 +166,11 @@
     let program = Program::start_with(&variables, 256, settings(), discovery.address(), known);
     let mut wire = discovery.asked("");
     let backend = Place::new();
-    wire.answer(200, "", &members(4, true, &[member("s-0", backend.address(), "up")]).to_string());
+    wire.answer(
+        200,
+        "",
+        &members(4, true, &[member("s-0", backend.address(), "up")]).to_string(),
+    );
     discovery.asked("?watch=1&from=4");
     drop(program);
 }
@@ -143,7 +184,10 @@
     config["discovery"] = moved.address().to_string().into();
     let text = config.to_string();
     scene.program.reload(&text[..text.len() / 2]);
-    assert!(scene.program.log_line().contains("old configuration goes on"));
+    assert!(scene
+        .program
+        .log_line()
+        .contains("old configuration goes on"));
     scene.program.replace_config(&text);
     moved.asked("?watch=1&from=7");
     scene.watch.expect_end();
@@ -158,8 +202,9 @@
     // Nobody listens there, and nobody is to be asked there.
     let elsewhere = |n: usize| std::net::SocketAddr::from(([127, 9, (n >> 8) as u8, n as u8], 9));
     let hosts = |last: &Place, health: &str| {
-        let mut hosts: Vec<_> =
-            (1..COUNT).map(|n| member(&format!("a-{n}"), elsewhere(n), "draining")).collect();
+        let mut hosts: Vec<_> = (1..COUNT)
+            .map(|n| member(&format!("a-{n}"), elsewhere(n), "draining"))
+            .collect();
         hosts.push(member("z", last.address(), health));
         hosts
     };
--- a/crates/maplefall/tests/front_door.rs
+++ b/crates/maplefall/tests/front_door.rs
@@ -18,11 +18,18 @@
     assert_eq!(sent.header("request-id"), Some("id-1"));
     assert_eq!(sent.header("idempotency-key"), Some("5c0f6e1a"));
     assert_eq!(sent.body, b"hello");
-    let wait: f64 = sent.header("request-timeout").expect("a time").parse().unwrap();
+    let wait: f64 = sent
+        .header("request-timeout")
+        .expect("a time")
+        .parse()
+        .unwrap();
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
     backend.answer(200, "Api-Usage: 55\r\nApi-Charge: 2\r\n", "paid");
     let answer = client.read();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"paid"[..]));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, &b"paid"[..])
+    );
 }
 
 /// Guards against a new connection for every request: they cost the backend work.
@@ -37,7 +44,12 @@
         backend.answer(200, "", id);
         assert_eq!(client.read().body, id.as_bytes());
         if id != "id-3" {
-            client.write(request_of(if id == "id-1" { "id-2" } else { "id-3" }, "read", "wide", LONG));
+            client.write(request_of(
+                if id == "id-1" { "id-2" } else { "id-3" },
+                "read",
+                "wide",
+                LONG,
+            ));
         }
     }
     assert!(scene.nobody_called());
@@ -50,13 +62,25 @@
     type Play = fn(&mut Wire);
     let plays: [(&str, Play); 6] = [
         ("500", |b| b.answer(500, "", "")),
-        ("500 that claims not to have started", |b| b.answer(500, "Not-Started: 1\r\n", "")),
+        ("500 that claims not to have started", |b| {
+            b.answer(500, "Not-Started: 1\r\n", "")
+        }),
         ("503 without a word", |b| b.answer(503, "", "")),
-        ("504 with another word", |b| b.answer(504, "Not-Started: 0\r\n", "")),
-        ("end without an answer", |b| b.reader.get_mut().shutdown(std::net::Shutdown::Both).unwrap()),
+        ("504 with another word", |b| {
+            b.answer(504, "Not-Started: 0\r\n", "")
+        }),
+        ("end without an answer", |b| {
+            b.reader
+                .get_mut()
+                .shutdown(std::net::Shutdown::Both)
+                .unwrap()
+        }),
         ("end within an answer", |b| {
             b.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
-            b.reader.get_mut().shutdown(std::net::Shutdown::Both).unwrap();
+            b.reader
+                .get_mut()
+                .shutdown(std::net::Shutdown::Both)
+                .unwrap();
         }),
     ];
     for (name, play) in plays {
@@ -95,8 +119,11 @@
 fn a_refused_connection_counts_as_never_run() {
     let discovery = Place::new();
     let (gone, _held) = refusing_place();
-    let program =
-        Program::start(settings(), discovery.address(), members(1, true, &[member("s", gone, "up")]));
+    let program = Program::start(
+        settings(),
+        discovery.address(),
+        members(1, true, &[member("s", gone, "up")]),
+    );
     let mut client = program.client();
     client.write(request_of("id-1", "charge", "wide", LONG));
     assert_eq!(client.read().status(), 429);
@@ -109,7 +136,11 @@
     let (mut client, mut backend) = scene.hold("id-1");
     backend.answer(200, "", "one");
     assert_eq!(client.read().body, b"one");
-    backend.reader.get_mut().shutdown(std::net::Shutdown::Write).unwrap();
+    backend
+        .reader
+        .get_mut()
+        .shutdown(std::net::Shutdown::Write)
+        .unwrap();
     // The front door has seen the end once it has closed its own side.
     backend.expect_end();
     client.write(request_of("id-2", "charge", "wide", LONG));
@@ -130,7 +161,11 @@
     let mut backend = scene.backends[0].accept();
     backend.read();
     let answer = client.read();
-    assert!(answer.status() >= 500 && answer.status() != 503, "{}", answer.status());
+    assert!(
+        answer.status() >= 500 && answer.status() != 503,
+        "{}",
+        answer.status()
+    );
     assert!(begun.elapsed().as_secs_f64() >= 2.3, "given up early");
     // The answer crosses the end of the connection; either way the client must not see it.
     let _ = std::io::Write::write_all(
@@ -221,14 +256,20 @@
     backend.read();
     backend.answer(200, "", "ok");
     assert_eq!(client.read().status(), 200);
-    let line = members(8, false, &[member("s-0", scene.backends[0].address(), "draining")]);
+    let line = members(
+        8,
+        false,
+        &[member("s-0", scene.backends[0].address(), "draining")],
+    );
     scene.watch.line(&line.to_string());
     backend.expect_end();
     client.write(request_of("id-2", "read", "wide", LONG));
     assert_eq!(client.read().status(), 429);
     assert!(scene.nobody_called());
     // Told that it is back, the front door sends again; until the line has come, it refuses.
-    scene.watch.line(&members(9, true, &[member("s-0", scene.backends[0].address(), "up")]).to_string());
+    scene
+        .watch
+        .line(&members(9, true, &[member("s-0", scene.backends[0].address(), "up")]).to_string());
     let mut backend = (3..)
         .find_map(|id| {
             client.write(request_of(&format!("id-{id}"), "read", "wide", LONG));
@@ -257,7 +298,9 @@
     let mut watch = Watch::begin(wire);
     let mut client = program.client();
     client.write(request_of("id-1", "charge", "wide", LONG));
-    wait_for("a dial that hangs", || dialling(backend.address()).then_some(()));
+    wait_for("a dial that hangs", || {
+        dialling(backend.address()).then_some(())
+    });
     watch.line(&members(8, false, &[member("s-0", backend.address(), "draining")]).to_string());
     watch.end();
     // Asking from 8 shows that the line has been taken in.
@@ -305,7 +348,11 @@
     client.write(health);
     assert_eq!(client.read().status(), 503);
     let backend = Place::new();
-    wire.answer(200, "", &members(1, true, &[member("s-0", backend.address(), "up")]).to_string());
+    wire.answer(
+        200,
+        "",
+        &members(1, true, &[member("s-0", backend.address(), "up")]).to_string(),
+    );
     // The watch that follows shows that the list has been taken in.
     discovery.asked("?watch=1&from=1");
     client.write(health);
@@ -331,7 +378,10 @@
     let kept = |backend: &mut Wire, client: &mut Wire| {
         backend.answer(200, "", "kept");
         let answer = client.read();
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"kept"[..]));
+        assert_eq!(
+            (answer.status(), answer.body.as_slice()),
+            (200, &b"kept"[..])
+        );
         assert_eq!(answer.header("connection"), Some("close"));
         client.expect_end();
     };
@@ -342,7 +392,10 @@
     // A connection that never carried a request does not hold the program up.
     let begun = std::time::Instant::now();
     assert_eq!(scene.program.wait().code(), Some(0));
-    assert!(begun.elapsed().as_secs_f64() < 5.0, "held up until its last call");
+    assert!(
+        begun.elapsed().as_secs_f64() < 5.0,
+        "held up until its last call"
+    );
     unused.expect_end();
 }
 
@@ -355,17 +408,27 @@
         let lines = good.split("\r\n").filter(|line| !line.starts_with(name));
         lines.collect::<Vec<_>>().join("\r\n")
     };
-    let mut cases: Vec<(String, u16)> =
-        ["Request-Id", "Request-Class", "Api-Plan", "Cookie", "Request-Timeout", "Api-Terms"]
-            .iter()
-            .map(|name| (without(name), 400))
-            .collect();
+    let mut cases: Vec<(String, u16)> = [
+        "Request-Id",
+        "Request-Class",
+        "Api-Plan",
+        "Cookie",
+        "Request-Timeout",
+        "Api-Terms",
+    ]
+    .iter()
+    .map(|name| (without(name), 400))
+    .collect();
     for (from, to, status) in [
         ("Request-Class: charge", "Request-Class: refund", 400),
         ("POST /charge/", "POST /read/", 400),
         ("POST /charge/", "PUT /charge/", 400),
         ("POST /charge/", "GET /charge/", 400),
-        ("Content-Length: 5", "Idempotency-Key: 1\r\nContent-Length: 5", 400),
+        (
+            "Content-Length: 5",
+            "Idempotency-Key: 1\r\nContent-Length: 5",
+            400,
+        ),
         ("Api-Plan: wide", "Api-Plan: broad", 400),
         ("client=00000000b4d65521", "client=b4d65521", 400),
         ("client=00000000b4d65521", "client=0000000200000000", 400),
@@ -390,8 +453,16 @@
         ("Host: ser", "Host: other\r\nHost: ser", 400),
         ("Host: ser", "Host: s\u{e9}r", 400),
         ("Host: ser", "Request-Id: id-2\r\nHost: ser", 400),
-        ("Host: ser", "Cookie: client=00000000b4d65521\r\nHost: ser", 400),
-        ("Host: ser", "Api-Terms: units=1,spread=1,first=0\r\nHost: ser", 400),
+        (
+            "Host: ser",
+            "Cookie: client=00000000b4d65521\r\nHost: ser",
+            400,
+        ),
+        (
+            "Host: ser",
+            "Api-Terms: units=1,spread=1,first=0\r\nHost: ser",
+            400,
+        ),
         ("Request-Id: id-1", "Request-Id: id 1", 400),
         ("/charge/a", "/charge/\u{e9}", 400),
         ("/charge/a", "/charger/a", 400),
@@ -439,7 +510,10 @@
         assert_eq!(client.read().status(), 200);
         held.push(client);
     }
-    assert!(program.child.try_wait().unwrap().is_none(), "ended by itself");
+    assert!(
+        program.child.try_wait().unwrap().is_none(),
+        "ended by itself"
+    );
 }
 
 /// Guards against clients that begin a request and never end it: at the limit they make room too.
@@ -495,7 +569,11 @@
     assert!(served <= 2, "{served} units of a burst of 2");
     let answer = client.read();
     assert_eq!(answer.status(), 429);
-    let advice: f64 = answer.header("retry-after").expect("advice").parse().unwrap();
+    let advice: f64 = answer
+        .header("retry-after")
+        .expect("advice")
+        .parse()
+        .unwrap();
     assert!(advice > 0.0 && advice <= 2.0, "{advice}");
 }
 
@@ -515,14 +593,25 @@
         (with("listen", "nowhere".into()), "BALANCER_LISTEN"),
         (with("seed", "xyz".into()), "seed"),
         (with("limits", serde_json::json!({"sockets": 3})), "sockets"),
-        (with("settings", serde_json::json!({"tick": "soon"})), "tick=soon"),
+        (
+            with("settings", serde_json::json!({"tick": "soon"})),
+            "tick=soon",
+        ),
     ];
     for (config, expected) in cases {
         let (mut child, _) = spawn(&config, &[]);
         let mut text = String::new();
-        child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
+        child
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut text)
+            .unwrap();
         let status: ExitStatus = child.wait().unwrap();
-        assert!(!status.success() && text.contains(expected) && text.lines().count() == 1, "{text}");
+        assert!(
+            !status.success() && text.contains(expected) && text.lines().count() == 1,
+            "{text}"
+        );
     }
 }
 
@@ -533,7 +622,10 @@
     let mut scene = Scene::new(1);
     let (mut client, mut backend) = scene.hold("id-1");
     let mut config = scene.program.config.clone();
-    for bad in ["{", "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"settings\":{},\"discovery\":\"x\"}"] {
+    for bad in [
+        "{",
+        "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"settings\":{},\"discovery\":\"x\"}",
+    ] {
         scene.program.reload(bad);
         let line = scene.program.log_line();
         assert!(line.contains("old configuration goes on"), "{line}");
@@ -562,7 +654,11 @@
     let scene = Scene::new(1);
     let hidden = request_of("id-2", "charge", "wide", LONG);
     let (length, chunks) = ("Content-Length: 5", "Transfer-Encoding: chunked");
-    for framing in [format!("{length}\r\n{chunks}"), format!("{chunks}\r\n{length}"), chunks.to_owned()] {
+    for framing in [
+        format!("{length}\r\n{chunks}"),
+        format!("{chunks}\r\n{length}"),
+        chunks.to_owned(),
+    ] {
         let good = request_of("id-1", "charge", "wide", LONG).replacen(length, &framing, 1);
         let head = good.strip_suffix("hello").unwrap();
         let mut client = scene.program.client();
@@ -650,7 +746,12 @@
     let mut client = scene.program.client();
     client.write(request_of("id-1", "charge", "wide", "1e12"));
     let mut backend = scene.backends[0].accept();
-    let wait: f64 = backend.read().header("request-timeout").expect("a time").parse().unwrap();
+    let wait: f64 = backend
+        .read()
+        .header("request-timeout")
+        .expect("a time")
+        .parse()
+        .unwrap();
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
     backend.answer(200, "", "once");
     assert_eq!(client.read().status(), 200);
@@ -665,7 +766,12 @@
 #[test]
 fn what_comes_behind_an_answer_goes_to_nobody() {
     let copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-    for (behind, together) in [(copy, true), ("noise", true), (copy, false), ("noise", false)] {
+    for (behind, together) in [
+        (copy, true),
+        ("noise", true),
+        (copy, false),
+        ("noise", false),
+    ] {
         let scene = Scene::new(1);
         let mut client = scene.program.client();
         client.write(request_of("id-1", "charge", "wide", LONG));
@@ -693,15 +799,36 @@
 /// request fails at once, its connection is closed, and the next one is served on another.
 #[test]
 fn a_spoilt_answer_is_a_failure_at_once() {
-    let endless = format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}", "x".repeat(80_000));
-    let head = format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: pppppppppppp\r\n".repeat(4000));
+    let endless = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}",
+        "x".repeat(80_000)
+    );
+    let head = format!(
+        "HTTP/1.1 200 OK\r\n{}",
+        "X-Pad: pppppppppppp\r\n".repeat(4000)
+    );
     let cases = [
         ("noise", "\u{83}\u{4}no\r\n\r\n"),
-        ("no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno"),
-        ("two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nno"),
-        ("no length", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nno"),
-        ("bad chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\nzz\r\n"),
-        ("another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n"),
+        (
+            "no status",
+            "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nno",
+        ),
+        (
+            "two lengths",
+            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nno",
+        ),
+        (
+            "no length",
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nno",
+        ),
+        (
+            "bad chunks",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\nzz\r\n",
+        ),
+        (
+            "another protocol",
+            "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
+        ),
         ("an answer without end", endless.as_str()),
         ("a head without end", head.as_str()),
     ];
@@ -715,7 +842,10 @@
         // The front door may close before all is written.
         let _ = std::io::Write::write_all(backend.reader.get_mut(), text.as_bytes());
         assert_eq!(client.read().status(), 502, "{name}");
-        assert!(begun.elapsed().as_secs_f64() < 3.0, "{name}: waited for more");
+        assert!(
+            begun.elapsed().as_secs_f64() < 3.0,
+            "{name}: waited for more"
+        );
         backend.expect_end();
         client.write(request_of("id-2", "charge", "wide", LONG));
         let mut second = scene.backends[0].accept();
@@ -731,9 +861,16 @@
     let scene = Scene::new(1);
     let (mut client, mut backend) = scene.hold("id-1");
     backend.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
-    backend.answer(200, "Api-Usage: %%%\r\nApi-Usage: 9e99\r\nApi-Charge: =,=\r\nApi-Charge: 1\r\n", "paid");
+    backend.answer(
+        200,
+        "Api-Usage: %%%\r\nApi-Usage: 9e99\r\nApi-Charge: =,=\r\nApi-Charge: 1\r\n",
+        "paid",
+    );
     let answer = client.read();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"paid"[..]));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, &b"paid"[..])
+    );
 }
 
 /// Guards backends against blame for the front door's own shortage: with no room for a further connection a request
@@ -763,7 +900,10 @@
     program.terminate();
     let mut log = String::new();
     program.log.read_to_string(&mut log).unwrap();
-    assert!(log.contains("stopping") && !log.contains("set aside"), "{log}");
+    assert!(
+        log.contains("stopping") && !log.contains("set aside"),
+        "{log}"
+    );
 }
 
 /// Guards long answers: a good one far beyond the agreed 64 KiB is passed on whole, told by its length or in chunks, and
@@ -786,7 +926,11 @@
         }
         let answer = client.read();
         assert_eq!(answer.status(), 200, "number {number}");
-        assert!(answer.body == long.as_bytes(), "number {number}: {} bytes", answer.body.len());
+        assert!(
+            answer.body == long.as_bytes(),
+            "number {number}: {} bytes",
+            answer.body.len()
+        );
         client.write(request_of(&format!("id-{number}"), "charge", "wide", LONG));
     }
 }
@@ -821,17 +965,39 @@
             .env_remove("BALANCER_CONFIG")
             .output()
             .expect("the program starts");
-        (output.status.code(), String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned())
+        (
+            output.status.code(),
+            String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned(),
+        )
     };
     let (code, text) = run(&["--help"]);
-    assert!(code == Some(0) && text.contains("check") && text.contains("MAPLEFALL_SHARED_COUNTS"), "{text}");
-    assert_eq!(run(&["--version"]), (Some(0), format!("maplefall {}\n", env!("CARGO_PKG_VERSION"))));
+    assert!(
+        code == Some(0) && text.contains("check") && text.contains("MAPLEFALL_SHARED_COUNTS"),
+        "{text}"
+    );
+    assert_eq!(
+        run(&["--version"]),
+        (
+            Some(0),
+            format!("maplefall {}\n", env!("CARGO_PKG_VERSION"))
+        )
+    );
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.json");
-    assert_eq!(run(&["check", example]), (Some(0), format!("{example}: no mistakes\n")));
+    assert_eq!(
+        run(&["check", example]),
+        (Some(0), format!("{example}: no mistakes\n"))
+    );
     let bad = format!("{}/bad.json", env!("CARGO_TARGET_TMPDIR"));
-    std::fs::write(&bad, "{\"seed\": 5, \"limits\": {\"sockets\": 1}, \"settings\": {}}").expect("a file");
+    std::fs::write(
+        &bad,
+        "{\"seed\": 5, \"limits\": {\"sockets\": 1}, \"settings\": {}}",
+    )
+    .expect("a file");
     let (code, text) = run(&["check", &bad]);
     assert_eq!((code, text.lines().count()), (Some(1), 4), "{text}");
     let (code, text) = run(&["chek", &bad]);
-    assert!(code == Some(1) && text.contains("unrecognized subcommand"), "{text}");
+    assert!(
+        code == Some(1) && text.contains("unrecognized subcommand"),
+        "{text}"
+    );
 }
