--- a/crates/maplefall/tests/grpc.rs
+++ b/crates/maplefall/tests/grpc.rs
@@ -24,7 +24,10 @@
 const UPLOAD: &str = "/lots.v1.Meters/Upload";
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         tokio::time::timeout(LIMIT, test).await.expect("in time");
     });
@@ -44,16 +47,24 @@
 
 impl Bed {
     fn attempts(&self, id: &str) -> usize {
-        self.services.iter().map(|service| service.attempts(id).len()).sum()
+        self.services
+            .iter()
+            .map(|service| service.attempts(id).len())
+            .sum()
     }
 
     fn ran(&self, id: &str) -> usize {
-        let seen = self.services.iter().flat_map(|service| service.attempts(id));
+        let seen = self
+            .services
+            .iter()
+            .flat_map(|service| service.attempts(id));
         seen.filter(|seen| seen.ran).count()
     }
 
     fn faults(&self, faults: &[(Fault, f64)]) {
-        self.services.iter().for_each(|service| service.faults(faults));
+        self.services
+            .iter()
+            .for_each(|service| service.faults(faults));
     }
 
     async fn client(&self) -> Client {
@@ -75,14 +86,21 @@
 
 fn bed_with(count: usize, lines: &str, more: &[(&str, &str)], settings: serde_json::Value) -> Bed {
     let listeners: Vec<TcpListener> = (0..count).map(|_| listener()).collect();
-    let addresses: Vec<SocketAddr> =
-        listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
+    let addresses: Vec<SocketAddr> = listeners
+        .iter()
+        .map(|listener| listener.local_addr().unwrap())
+        .collect();
     let services: Vec<Rc<Service>> = (0..count as u64).map(Service::new).collect();
     for (service, listener) in services.iter().zip(listeners) {
         tokio::task::spawn_local(service.clone().serve(listener));
     }
     let (program, grpc) = start(&addresses, lines, more, settings);
-    Bed { services, addresses, program, grpc }
+    Bed {
+        services,
+        addresses,
+        program,
+        grpc,
+    }
 }
 
 fn start(
@@ -91,8 +109,11 @@
     more: &[(&str, &str)],
     settings: serde_json::Value,
 ) -> (Program, SocketAddr) {
-    let hosts: Vec<serde_json::Value> =
-        addresses.iter().enumerate().map(|(n, address)| member(&format!("s-{n}"), *address, "up")).collect();
+    let hosts: Vec<serde_json::Value> = addresses
+        .iter()
+        .enumerate()
+        .map(|(n, address)| member(&format!("s-{n}"), *address, "up"))
+        .collect();
     // Nobody answers there; the list that it is started with is all that it needs.
     let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
     start_known(lines, more, settings, nobody, members(7, true, &hosts))
@@ -108,7 +129,11 @@
 ) -> (Program, SocketAddr) {
     static FILES: AtomicU32 = AtomicU32::new(0);
     let number = FILES.fetch_add(1, Ordering::Relaxed);
-    let path = format!("{}/grpc-{}-{number}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    let path = format!(
+        "{}/grpc-{}-{number}.toml",
+        env!("CARGO_TARGET_TMPDIR"),
+        std::process::id()
+    );
     let mut text = format!("listen = \"127.0.0.1:0\"\n{lines}\n");
     let routes = [
         (READ, "read", "unary"),
@@ -131,8 +156,15 @@
     variables.extend_from_slice(more);
     let mut program = Program::start_with(&variables, 1024, settings, discovery, known);
     let line = program.log_line();
-    let grpc = line.trim().rsplit(' ').next().and_then(|text| text.parse().ok());
-    (program, grpc.unwrap_or_else(|| panic!("no address in {line:?}")))
+    let grpc = line
+        .trim()
+        .rsplit(' ')
+        .next()
+        .and_then(|text| text.parse().ok());
+    (
+        program,
+        grpc.unwrap_or_else(|| panic!("no address in {line:?}")),
+    )
 }
 
 fn call(id: &str, path: &str, timeout: &str) -> Call {
@@ -155,16 +187,34 @@
         let client = bed.client().await;
         for (n, path) in [READ, EXTEND, CHARGE].iter().enumerate() {
             let id = format!("a{n}");
-            let served = client.call(&call(&id, path, "5S").with("lot", "7").with("trace-bin", "AAH/")).await;
-            assert_eq!((served.http, served.code(), served.reset), (200, Some(0), None), "{served:?}");
+            let served = client
+                .call(
+                    &call(&id, path, "5S")
+                        .with("lot", "7")
+                        .with("trace-bin", "AAH/"),
+                )
+                .await;
+            assert_eq!(
+                (served.http, served.code(), served.reset),
+                (200, Some(0), None),
+                "{served:?}"
+            );
             assert_eq!(served.messages, [id.as_bytes()]);
             assert_eq!(served.trailer("receipt-bin"), Some("AAEC"));
             assert_eq!(served.head.get("served-by").unwrap(), "stand-in");
-            let attempts: Vec<_> = bed.services.iter().flat_map(|service| service.attempts(&id)).collect();
+            let attempts: Vec<_> = bed
+                .services
+                .iter()
+                .flat_map(|service| service.attempts(&id))
+                .collect();
             assert_eq!(attempts.len(), 1);
             let sent = &attempts[0];
             assert_eq!(
-                (sent.path.as_str(), sent.header("lot"), sent.header("trace-bin")),
+                (
+                    sent.path.as_str(),
+                    sent.header("lot"),
+                    sent.header("trace-bin")
+                ),
                 (*path, Some("7"), Some("AAH/"))
             );
             assert_eq!(
@@ -176,7 +226,10 @@
             let told = sent.header("grpc-timeout").unwrap();
             let (number, unit) = told.split_at(told.len() - 1);
             let micros = number.parse::<f64>().unwrap() * if unit == "u" { 1.0 } else { 1e-3 };
-            assert!(matches!(unit, "u" | "n") && (2e6..5e6).contains(&micros), "{told}");
+            assert!(
+                matches!(unit, "u" | "n") && (2e6..5e6).contains(&micros),
+                "{told}"
+            );
         }
     });
 }
@@ -186,7 +239,11 @@
     run(async {
         let bed = bed(1, "");
         let watched = ask(&bed, "w", WATCH).await;
-        assert_eq!((watched.code(), watched.messages.len()), (Some(0), 3), "{watched:?}");
+        assert_eq!(
+            (watched.code(), watched.messages.len()),
+            (Some(0), 3),
+            "{watched:?}"
+        );
         // A message comes back before the next is sent: nothing waits for the end of a stream.
         let client = bed.client().await;
         let (answer, mut stream) = client.begin(&call("r", REPORT, "8S")).await.unwrap();
@@ -200,7 +257,10 @@
         let mut upload = call("u", UPLOAD, "8S");
         upload.messages = (0..20u8).map(|n| vec![n; 1000]).collect();
         let uploaded = client.call(&upload).await;
-        assert_eq!((uploaded.code(), uploaded.messages), (Some(0), vec![vec![19; 1000]]));
+        assert_eq!(
+            (uploaded.code(), uploaded.messages),
+            (Some(0), vec![vec![19; 1000]])
+        );
         assert_eq!(bed.services[0].attempts("u")[0].messages, upload.messages);
     });
 }
@@ -214,7 +274,10 @@
         let mut upload = call("u", UPLOAD, "8S");
         upload.messages = (0..200u8).map(|n| vec![n; 10_000]).collect();
         let uploaded = client.call(&upload).await;
-        assert_eq!((uploaded.code(), &uploaded.messages[..]), (Some(0), &[vec![199; 10_000]][..]));
+        assert_eq!(
+            (uploaded.code(), &uploaded.messages[..]),
+            (Some(0), &[vec![199; 10_000]][..])
+        );
         assert_eq!(bed.services[0].attempts("u")[0].messages, upload.messages);
         let mut report = call("r", REPORT, "8S");
         report.messages = upload.messages.clone();
@@ -227,18 +290,28 @@
                 while !data.is_empty() {
                     stream.reserve_capacity(data.len());
                     let room = match stream.capacity() {
-                        0 => std::future::poll_fn(|cx| stream.poll_capacity(cx)).await.unwrap().unwrap(),
+                        0 => std::future::poll_fn(|cx| stream.poll_capacity(cx))
+                            .await
+                            .unwrap()
+                            .unwrap(),
                         room => room,
                     };
-                    stream.send_data(data.split_to(room.min(data.len())), false).unwrap();
+                    stream
+                        .send_data(data.split_to(room.min(data.len())), false)
+                        .unwrap();
                 }
             }
             stream.send_data(bytes::Bytes::new(), true).unwrap();
         });
         let mut seen = Final::default();
-        maplefall_test_servers::grpc::read(answer, &mut seen).await.unwrap();
+        maplefall_test_servers::grpc::read(answer, &mut seen)
+            .await
+            .unwrap();
         sender.await.unwrap();
-        assert_eq!((seen.code(), seen.messages == report.messages), (Some(0), true));
+        assert_eq!(
+            (seen.code(), seen.messages == report.messages),
+            (Some(0), true)
+        );
     });
 }
 
@@ -269,8 +342,16 @@
             bed.faults(&[(*fault, 1.0)]);
             let id = format!("c{n}");
             let failed = ask(&bed, &id, CHARGE).await;
-            assert_eq!((failed.code(), failed.reset), (Some(*code), None), "{fault:?} {failed:?}");
-            assert_eq!(failed.trailer("grpc-retry-pushback-ms"), Some("-1"), "{fault:?}");
+            assert_eq!(
+                (failed.code(), failed.reset),
+                (Some(*code), None),
+                "{fault:?} {failed:?}"
+            );
+            assert_eq!(
+                failed.trailer("grpc-retry-pushback-ms"),
+                Some("-1"),
+                "{fault:?}"
+            );
             assert!(failed.messages.is_empty() && failed.cut == 0, "{fault:?}");
             assert_eq!((bed.attempts(&id), bed.ran(&id)), (1, 1), "{fault:?}");
         }
@@ -287,7 +368,11 @@
             for n in 0..20 {
                 let id = format!("t{n}");
                 let served = ask(&bed, &id, CHARGE).await;
-                assert_eq!((served.code(), bed.ran(&id)), (Some(0), 1), "{fault:?} {served:?}");
+                assert_eq!(
+                    (served.code(), bed.ran(&id)),
+                    (Some(0), 1),
+                    "{fault:?} {served:?}"
+                );
                 let again = bed.services[1].attempts(&id);
                 if bed.attempts(&id) == 2 {
                     twice += 1;
@@ -308,15 +393,23 @@
         let refused = ask(&bed, "r", CHARGE).await;
         assert_eq!((refused.code(), bed.ran("r")), (Some(14), 0), "{refused:?}");
         assert_ne!(refused.trailer("grpc-retry-pushback-ms"), Some("-1"));
-        assert!(refused.trailer("grpc-message").unwrap().contains("harmless"));
+        assert!(refused
+            .trailer("grpc-message")
+            .unwrap()
+            .contains("harmless"));
         // Past quota, with advice when to come back.
         let client = bed.client().await;
         let mut advised = 0;
         for n in 0..50 {
-            let refused = client.call(&call(&format!("q{n}"), READ, "8S").with("api-plan", "narrow")).await;
+            let refused = client
+                .call(&call(&format!("q{n}"), READ, "8S").with("api-plan", "narrow"))
+                .await;
             assert!(matches!(refused.code(), Some(0 | 14)), "{refused:?}");
-            advised +=
-                usize::from(refused.trailer("grpc-retry-pushback-ms").is_some_and(|wait| wait != "-1"));
+            advised += usize::from(
+                refused
+                    .trailer("grpc-retry-pushback-ms")
+                    .is_some_and(|wait| wait != "-1"),
+            );
         }
         assert!(advised >= 40, "{advised}");
     });
@@ -350,7 +443,10 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert!(served >= 50 && again >= 3, "{served} served, {again} of them sent again");
+        assert!(
+            served >= 50 && again >= 3,
+            "{served} served, {again} of them sent again"
+        );
     });
 }
 
@@ -364,7 +460,11 @@
         for (n, path) in [WATCH, WATCH_CHARGE].iter().enumerate() {
             let id = format!("b{n}");
             let broken = ask(&bed, &id, path).await;
-            assert_eq!((broken.messages.len(), broken.reset, bed.attempts(&id)), (2, None, 1), "{broken:?}");
+            assert_eq!(
+                (broken.messages.len(), broken.reset, bed.attempts(&id)),
+                (2, None, 1),
+                "{broken:?}"
+            );
             let (code, pushback) = if n == 0 { (14, None) } else { (1, Some("-1")) };
             assert_eq!(
                 (broken.code(), broken.trailer("grpc-retry-pushback-ms")),
@@ -379,7 +479,13 @@
             let id = format!("f{n}");
             let seen = ask(&bed, &id, WATCH).await;
             again += usize::from(bed.attempts(&id) > 1 && seen.code() == Some(0));
-            assert!(matches!((seen.code(), seen.messages.len()), (Some(0), 3) | (Some(14), 0)), "{seen:?}");
+            assert!(
+                matches!(
+                    (seen.code(), seen.messages.len()),
+                    (Some(0), 3) | (Some(14), 0)
+                ),
+                "{seen:?}"
+            );
         }
         assert!(again > 0);
     });
@@ -391,7 +497,11 @@
     run(async {
         let late = Duration::from_millis(1500);
         let mut seen = tokio::task::JoinSet::new();
-        for fault in [Fault::LateTrailers(late), Fault::LateHead(late), Fault::Silent] {
+        for fault in [
+            Fault::LateTrailers(late),
+            Fault::LateHead(late),
+            Fault::Silent,
+        ] {
             for path in [CHARGE, WATCH] {
                 // One front door for each: what has been late would be shunned.
                 let bed = bed(1, "");
@@ -407,14 +517,29 @@
             // A refusal where it may run again, else no word that invites it.
             let fits = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
             assert!(fits && attempts == 1, "{fault:?} {path} {seen:?}");
-            assert!((900..1058).contains(&seen.took.as_millis()), "{fault:?} {path} {:?}", seen.took);
-            let messages = if path == WATCH && fault == Fault::LateTrailers(late) { 3 } else { 0 };
+            assert!(
+                (900..1058).contains(&seen.took.as_millis()),
+                "{fault:?} {path} {:?}",
+                seen.took
+            );
+            let messages = if path == WATCH && fault == Fault::LateTrailers(late) {
+                3
+            } else {
+                0
+            };
             assert_eq!(seen.messages.len(), messages, "{fault:?} {path}");
         }
         // In time after all.
         let bed = bed(1, "");
         bed.faults(&[(Fault::LateTrailers(Duration::from_millis(60)), 1.0)]);
-        assert_eq!(bed.client().await.call(&call("ok", CHARGE, "2S")).await.code(), Some(0));
+        assert_eq!(
+            bed.client()
+                .await
+                .call(&call("ok", CHARGE, "2S"))
+                .await
+                .code(),
+            Some(0)
+        );
     });
 }
 
@@ -427,10 +552,17 @@
             bed.faults(&[(Fault::Status(code), 1.0)]);
             let id = format!("w{code}");
             let seen = ask(&bed, &id, READ).await;
-            assert_eq!((seen.code(), bed.attempts(&id)), (Some(code), 1), "{seen:?}");
+            assert_eq!(
+                (seen.code(), bed.attempts(&id)),
+                (Some(code), 1),
+                "{seen:?}"
+            );
             assert_eq!(seen.trailer("grpc-message"), Some("by the stand-in"));
             assert_eq!(
-                (seen.trailer("receipt-bin"), seen.trailer("grpc-retry-pushback-ms")),
+                (
+                    seen.trailer("receipt-bin"),
+                    seen.trailer("grpc-retry-pushback-ms")
+                ),
                 (Some("AAEC"), None)
             );
         }
@@ -463,11 +595,20 @@
         ];
         for (odd, code) in odd {
             let down = client.call(&odd).await;
-            assert_eq!((down.code(), down.http), (Some(code), 200), "{odd:?} {down:?}");
+            assert_eq!(
+                (down.code(), down.http),
+                (Some(code), 200),
+                "{odd:?} {down:?}"
+            );
         }
-        let page = client.call(&call("p", CHARGE, "5S").with("content-type", "text/plain")).await;
+        let page = client
+            .call(&call("p", CHARGE, "5S").with("content-type", "text/plain"))
+            .await;
         assert!(page.http == 415 || page.code() == Some(3), "{page:?}");
-        assert_eq!(client.call(&call("same", CHARGE, "5S")).await.code(), Some(0));
+        assert_eq!(
+            client.call(&call("same", CHARGE, "5S")).await.code(),
+            Some(0)
+        );
         assert_eq!(
             client.call(&call("same", CHARGE, "5S")).await.code(),
             Some(6),
@@ -492,7 +633,13 @@
         // The same connection serves others meanwhile, and nothing more comes of the one that left.
         bed.faults(&[]);
         for n in 0..30 {
-            assert_eq!(client.call(&call(&format!("o{n}"), READ, "8S")).await.code(), Some(0));
+            assert_eq!(
+                client
+                    .call(&call(&format!("o{n}"), READ, "8S"))
+                    .await
+                    .code(),
+                Some(0)
+            );
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(bed.attempts("gone"), 1);
@@ -511,7 +658,10 @@
         connections += 1;
         let mut got = Vec::new();
         // SETTINGS, empty; then whatever is called for, once the call has come whole (END_STREAM on its DATA).
-        stream.write_all(&[0, 0, 0, 4, 0, 0, 0, 0, 0]).await.unwrap();
+        stream
+            .write_all(&[0, 0, 0, 4, 0, 0, 0, 0, 0])
+            .await
+            .unwrap();
         let ended = loop {
             if stream.read_buf(&mut got).await.unwrap_or(0) == 0 {
                 break false;
@@ -525,7 +675,10 @@
                     got.drain(..at + 17);
                 }
             }
-            if got.windows(9).any(|w| w[3] == 0 && w[4] & 1 == 1 && w[5..9] == [0, 0, 0, 1]) {
+            if got
+                .windows(9)
+                .any(|w| w[3] == 0 && w[4] & 1 == 1 && w[5..9] == [0, 0, 0, 1])
+            {
                 break true;
             }
         };
@@ -565,7 +718,8 @@
                 }
                 tokio::time::sleep(Duration::from_millis(30)).await;
             }
-            let told = format!("last stream {last}: {served} served, {failed} failed, {refused} refused");
+            let told =
+                format!("last stream {last}: {served} served, {failed} failed, {refused} refused");
             assert!(served > 6 && (failed > 0) == runs, "{told}");
             drop(program);
         }
@@ -601,7 +755,9 @@
         let client = bed.client().await;
         let calls = (0..40).map(|n| {
             let client = client.clone();
-            tokio::task::spawn_local(async move { client.call(&call(&format!("n{n}"), READ, "8S")).await })
+            tokio::task::spawn_local(async move {
+                client.call(&call(&format!("n{n}"), READ, "8S")).await
+            })
         });
         for seen in calls.collect::<Vec<_>>() {
             assert!(matches!(seen.await.unwrap().code(), Some(0 | 14)));
@@ -651,7 +807,9 @@
                 let (mut served, mut asked) = (0, 0);
                 while !over.get() {
                     let path = [READ, WATCH, CHARGE][asked % 3];
-                    let seen = client.call(&call(&format!("d{number}-{asked}"), path, "5S")).await;
+                    let seen = client
+                        .call(&call(&format!("d{number}-{asked}"), path, "5S"))
+                        .await;
                     // What was begun at the draining node is finished; some may be turned away.
                     assert!(matches!(seen.code(), Some(0 | 14)), "{seen:?}");
                     asked += 1;
@@ -664,7 +822,10 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let told = Instant::now();
-        agent.tell(&Member { health: Health::Draining, ..members[0].clone() });
+        agent.tell(&Member {
+            health: Health::Draining,
+            ..members[0].clone()
+        });
         tokio::time::sleep(Duration::from_millis(900)).await;
         over.set(true);
         let mut calls = 0;
@@ -676,8 +837,14 @@
         let before = told.saturating_duration_since(last);
         println!("{calls} calls; the last new one {after:?} after the drain was told, or {before:?} before");
         assert!(after < Duration::from_millis(500), "{after:?}");
-        assert!(before < Duration::from_millis(200), "{before:?}: it was not in use");
-        assert!(services[1].last().unwrap() > told + Duration::from_millis(700), "the other went on");
+        assert!(
+            before < Duration::from_millis(200),
+            "{before:?}: it was not in use"
+        );
+        assert!(
+            services[1].last().unwrap() > told + Duration::from_millis(700),
+            "the other went on"
+        );
     });
 }
 
@@ -697,7 +864,10 @@
         bed.program.terminate();
         assert_eq!(open.await.unwrap().code(), Some(0));
         drop(client);
-        assert!(tokio::task::spawn_blocking(move || bed.program.wait()).await.unwrap().success());
+        assert!(tokio::task::spawn_blocking(move || bed.program.wait())
+            .await
+            .unwrap()
+            .success());
         let _ = bed.addresses;
     });
 }
@@ -711,7 +881,11 @@
         let place = listener();
         let address = place.local_addr().unwrap();
         tokio::task::spawn_local(auth.clone().serve(place));
-        let path = format!("{}/grpc-auth-{}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+        let path = format!(
+            "{}/grpc-auth-{}.toml",
+            env!("CARGO_TARGET_TMPDIR"),
+            std::process::id()
+        );
         let text = format!(
             "servers = [\"http://{address}/auth\"]\ncredentials = [\"authorization\"]\nonward = [\"remote-user\"]\n\
              [classes]\nread = \"closed\"\ncharge = \"closed\"\n"
@@ -720,16 +894,27 @@
         let bed = bed_with(1, "", &[("MAPLEFALL_FORWARD_AUTH", &path)], wide());
         let client = bed.client().await;
         let of = |id: &str, who: &str| {
-            call(id, CHARGE, "5S").with("authorization", who).with("remote-user", "forged")
+            call(id, CHARGE, "5S")
+                .with("authorization", who)
+                .with("remote-user", "forged")
         };
         assert_eq!(client.call(&of("a", "ana")).await.code(), Some(0));
-        assert_eq!(bed.services[0].attempts("a")[0].header("remote-user"), Some("ana"));
+        assert_eq!(
+            bed.services[0].attempts("a")[0].header("remote-user"),
+            Some("ana")
+        );
         assert_eq!(client.call(&of("b", "eva")).await.code(), Some(16));
         auth.deny_with(403, &[]);
         assert_eq!(client.call(&of("c", "tom")).await.code(), Some(7));
-        auth.fault(Some((maplefall_test_servers::auth::Fault::Status(500), 1.0)));
+        auth.fault(Some((
+            maplefall_test_servers::auth::Fault::Status(500),
+            1.0,
+        )));
         assert_eq!(client.call(&of("d", "ina")).await.code(), Some(14));
-        assert_eq!((bed.attempts("b"), bed.attempts("c"), bed.attempts("d")), (0, 0, 0));
+        assert_eq!(
+            (bed.attempts("b"), bed.attempts("c"), bed.attempts("d")),
+            (0, 0, 0)
+        );
     });
 }
 
@@ -747,8 +932,11 @@
 
     fn request<T>(id: &str, message: T) -> Request<T> {
         let mut request = Request::new(message);
-        for (name, value) in [("request-id", id), ("api-plan", "wide"), ("cookie", "client=00000000b4d65521")]
-        {
+        for (name, value) in [
+            ("request-id", id),
+            ("api-plan", "wide"),
+            ("cookie", "client=00000000b4d65521"),
+        ] {
             request.metadata_mut().insert(name, value.parse().unwrap());
         }
         request.set_timeout(Duration::from_secs(5));
@@ -759,26 +947,53 @@
         let etcd = Etcd::new(Store::new(1), |_| {});
         let member = etcd.member(0, listener()).unwrap();
         let (_program, grpc) = start(&[member.address], "", &[], wide());
-        let channel =
-            tonic::transport::Endpoint::from_shared(format!("http://{grpc}")).unwrap().connect().await;
+        let channel = tonic::transport::Endpoint::from_shared(format!("http://{grpc}"))
+            .unwrap()
+            .connect()
+            .await;
         let mut client = tonic::client::Grpc::new(channel.unwrap());
         client.ready().await.unwrap();
-        let put = PutRequest { key: b"lot".to_vec(), value: b"7".to_vec(), ..Default::default() };
+        let put = PutRequest {
+            key: b"lot".to_vec(),
+            value: b"7".to_vec(),
+            ..Default::default()
+        };
         let codec: ProstCodec<PutRequest, PutResponse> = ProstCodec::default();
-        let done =
-            client.unary(request("f1", put.clone()), PathAndQuery::from_static(path::PUT), codec).await;
+        let done = client
+            .unary(
+                request("f1", put.clone()),
+                PathAndQuery::from_static(path::PUT),
+                codec,
+            )
+            .await;
         assert!(done.unwrap().into_inner().header.is_some());
         client.ready().await.unwrap();
-        let range = RangeRequest { key: b"lot".to_vec(), ..Default::default() };
+        let range = RangeRequest {
+            key: b"lot".to_vec(),
+            ..Default::default()
+        };
         let codec: ProstCodec<RangeRequest, RangeResponse> = ProstCodec::default();
-        let found = client.unary(request("f2", range), PathAndQuery::from_static(path::RANGE), codec).await;
+        let found = client
+            .unary(
+                request("f2", range),
+                PathAndQuery::from_static(path::RANGE),
+                codec,
+            )
+            .await;
         assert_eq!(found.unwrap().into_inner().kvs[0].value, b"7");
         // The service's own refusal, with its own words.
         client.ready().await.unwrap();
         let codec: ProstCodec<PutRequest, PutResponse> = ProstCodec::default();
-        let empty = PutRequest { key: Vec::new(), ..put.clone() };
+        let empty = PutRequest {
+            key: Vec::new(),
+            ..put.clone()
+        };
         let no = client
-            .unary(request("f3", empty), PathAndQuery::from_static(path::PUT), codec)
+            .unary(
+                request("f3", empty),
+                PathAndQuery::from_static(path::PUT),
+                codec,
+            )
             .await
             .unwrap_err();
         assert_eq!(no.code(), Code::InvalidArgument, "{no:?}");
@@ -787,23 +1002,44 @@
         client.ready().await.unwrap();
         let codec: ProstCodec<PutRequest, PutResponse> = ProstCodec::default();
         let path = PathAndQuery::from_static("/etcdserverpb.Lease/LeaseGrant");
-        let no = client.unary(request("f4", put.clone()), path, codec).await.unwrap_err();
+        let no = client
+            .unary(request("f4", put.clone()), path, codec)
+            .await
+            .unwrap_err();
         assert_eq!(no.code(), Code::Unimplemented, "{no:?}");
         // Both ways: a watch that is asked for, then changes as they come.
         client.ready().await.unwrap();
         let (ask, asked) = tokio::sync::mpsc::channel(4);
-        let create = WatchCreateRequest { key: b"lot".to_vec(), ..Default::default() };
+        let create = WatchCreateRequest {
+            key: b"lot".to_vec(),
+            ..Default::default()
+        };
         let create = watch_request::Union::Create(create);
-        ask.send(WatchRequest { union: Some(create) }).await.unwrap();
+        ask.send(WatchRequest {
+            union: Some(create),
+        })
+        .await
+        .unwrap();
         let codec: ProstCodec<WatchRequest, WatchResponse> = ProstCodec::default();
         let asked = request("f5", tokio_stream::wrappers::ReceiverStream::new(asked));
         let mut watch = client
-            .streaming(asked, PathAndQuery::from_static("/etcdserverpb.Watch/Watch"), codec)
+            .streaming(
+                asked,
+                PathAndQuery::from_static("/etcdserverpb.Watch/Watch"),
+                codec,
+            )
             .await
             .unwrap()
             .into_inner();
         assert!(watch.message().await.unwrap().unwrap().created);
-        etcd.with(|store| store.put(&PutRequest { value: b"8".to_vec(), ..put }).unwrap());
+        etcd.with(|store| {
+            store
+                .put(&PutRequest {
+                    value: b"8".to_vec(),
+                    ..put
+                })
+                .unwrap()
+        });
         let change = watch.message().await.unwrap().unwrap();
         assert_eq!(change.events[0].kv.as_ref().unwrap().value, b"8");
         drop(ask);
@@ -864,7 +1100,9 @@
         let mut again = 0;
         for (id, path, seen) in &all {
             // One status, from the front door, in time: the reader would have told a reset or a second one.
-            let code = seen.code().unwrap_or_else(|| panic!("{id} {path}: no status: {seen:?}"));
+            let code = seen
+                .code()
+                .unwrap_or_else(|| panic!("{id} {path}: no status: {seen:?}"));
             assert_eq!(seen.reset, None, "{id}: {seen:?}");
             assert!(
                 seen.took < Duration::from_millis(600 + 58),
@@ -884,9 +1122,19 @@
             match code {
                 0 => {
                     // A stream may be empty, and is whole all the same.
-                    let counts = if [WATCH, WATCH_CHARGE].contains(path) { [0, 3] } else { [1, 1] };
-                    assert!(counts.contains(&seen.messages.len()) && seen.cut == 0, "{id}: {seen:?}");
-                    assert!(seen.messages.iter().all(|message| message == id.as_bytes()), "{id}: {seen:?}");
+                    let counts = if [WATCH, WATCH_CHARGE].contains(path) {
+                        [0, 3]
+                    } else {
+                        [1, 1]
+                    };
+                    assert!(
+                        counts.contains(&seen.messages.len()) && seen.cut == 0,
+                        "{id}: {seen:?}"
+                    );
+                    assert!(
+                        seen.messages.iter().all(|message| message == id.as_bytes()),
+                        "{id}: {seen:?}"
+                    );
                     assert!(ran >= 1, "{id} was served and did not run");
                 }
                 5 => assert_eq!(
@@ -896,14 +1144,21 @@
                 ),
                 14 => {}
                 // A failure tells its client not to call again.
-                _ => assert_eq!(seen.trailer("grpc-retry-pushback-ms"), Some("-1"), "{id} {path}: {seen:?}"),
+                _ => assert_eq!(
+                    seen.trailer("grpc-retry-pushback-ms"),
+                    Some("-1"),
+                    "{id} {path}: {seen:?}"
+                ),
             }
         }
         println!(
             "{} calls in {:.1} s, {} attempts, {again} calls sent again, by status {codes:?}",
             all.len(),
             began.elapsed().as_secs_f64(),
-            bed.services.iter().map(|service| service.seen()).sum::<usize>()
+            bed.services
+                .iter()
+                .map(|service| service.seen())
+                .sum::<usize>()
         );
         assert_eq!(all.len(), CLIENTS * EACH);
         assert!(all.len() >= 10_000 && again > 100, "{again}");
--- a/crates/maplefall/tests/membership.rs
+++ b/crates/maplefall/tests/membership.rs
@@ -24,33 +24,63 @@
         let (hand_out, handed_out) = std::sync::mpsc::channel();
         let (end, ended) = tokio::sync::oneshot::channel::<()>();
         std::thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .unwrap();
             runtime.block_on(async move {
                 let etcd = Etcd::new(Store::new(1), |_| {});
                 let listener = || TcpListener::bind("127.0.0.1:0").unwrap();
-                let members: Vec<Member> = (0..2).map(|n| etcd.member(n, listener()).unwrap()).collect();
+                let members: Vec<Member> = (0..2)
+                    .map(|n| etcd.member(n, listener()).unwrap())
+                    .collect();
                 hand_out.send((etcd, members)).unwrap();
                 let _ = ended.await;
             });
         });
         let (etcd, members) = handed_out.recv().expect("a played etcd");
-        Cluster { etcd, members, _end: end }
+        Cluster {
+            etcd,
+            members,
+            _end: end,
+        }
     }
 
     fn put(&self, id: &str, dial: SocketAddr, state: &str) {
-        let value = serde_json::json!({"address": dial.to_string(), "zone": "uio-1", "state": state});
-        let (key, value) = (format!("/lots/members/{id}").into_bytes(), value.to_string().into_bytes());
-        self.etcd.with(|store| store.put(&PutRequest { key, value, ..Default::default() }).unwrap());
+        let value =
+            serde_json::json!({"address": dial.to_string(), "zone": "uio-1", "state": state});
+        let (key, value) = (
+            format!("/lots/members/{id}").into_bytes(),
+            value.to_string().into_bytes(),
+        );
+        self.etcd.with(|store| {
+            store
+                .put(&PutRequest {
+                    key,
+                    value,
+                    ..Default::default()
+                })
+                .unwrap()
+        });
     }
 
     fn delete(&self, id: &str) {
         let key = format!("/lots/members/{id}").into_bytes();
-        self.etcd.with(|store| store.delete(&DeleteRangeRequest { key, ..Default::default() }).unwrap());
+        self.etcd.with(|store| {
+            store
+                .delete(&DeleteRangeRequest {
+                    key,
+                    ..Default::default()
+                })
+                .unwrap()
+        });
     }
 
     fn source(&self, members: &[usize]) -> String {
-        let endpoints: Vec<String> =
-            members.iter().map(|member| format!("\"http://{}\"", self.members[*member].address)).collect();
+        let endpoints: Vec<String> = members
+            .iter()
+            .map(|member| format!("\"http://{}\"", self.members[*member].address))
+            .collect();
         format!(
             "[[source]]\nkind = \"etcd\"\nprefix = \"/lots\"\nendpoints = [{}]\nretry_ms = [5, 100]\n",
             endpoints.join(", ")
@@ -61,7 +91,11 @@
 fn file(text: &str) -> String {
     static FILES: AtomicU32 = AtomicU32::new(0);
     let number = FILES.fetch_add(1, Ordering::Relaxed);
-    let path = format!("{}/sources-{}-{number}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    let path = format!(
+        "{}/sources-{}-{number}.toml",
+        env!("CARGO_TARGET_TMPDIR"),
+        std::process::id()
+    );
     std::fs::write(&path, text).expect("a file");
     path
 }
@@ -106,10 +140,16 @@
     for (id, backend) in ["a", "b"].iter().zip(&backends) {
         cluster.put(id, backend.address(), "up");
     }
-    let sources = file(&format!("[[source]]\nkind = \"agent\"\n{}", cluster.source(&[0, 1])));
+    let sources = file(&format!(
+        "[[source]]\nkind = \"agent\"\n{}",
+        cluster.source(&[0, 1])
+    ));
     let discovery = Place::new();
-    let list: Vec<Value> =
-        ["a", "b", "c"].iter().zip(&backends).map(|(id, place)| member(id, place.address(), "up")).collect();
+    let list: Vec<Value> = ["a", "b", "c"]
+        .iter()
+        .zip(&backends)
+        .map(|(id, place)| member(id, place.address(), "up"))
+        .collect();
     let known = members(7, true, &list[..2]);
     let variables = [("MAPLEFALL_SOURCES", sources.as_str())];
     cluster.put("a", backends[0].address(), "draining");
@@ -139,11 +179,20 @@
 #[test]
 fn a_file_of_sources_with_mistakes_is_told_field_by_field() {
     let path = file("[[source]]\nkind = \"etcd\"\nendpoints = [\"127.0.0.1:1\"]\n");
-    let output = Command::new(env!("CARGO_BIN_EXE_maplefall")).args(["check", &path]).output().unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_maplefall"))
+        .args(["check", &path])
+        .output()
+        .unwrap();
     let said = String::from_utf8(output.stdout).unwrap();
     assert!(!output.status.success());
-    assert!(said.contains(&format!("{path}: source.0.prefix: ")), "{said}");
-    assert!(said.contains("source.0.endpoints: http://HOST:PORT was expected"), "{said}");
+    assert!(
+        said.contains(&format!("{path}: source.0.prefix: ")),
+        "{said}"
+    );
+    assert!(
+        said.contains("source.0.endpoints: http://HOST:PORT was expected"),
+        "{said}"
+    );
     let (child, _) = spawn(
         &serde_json::json!({"seed": "1", "limits": {"sockets": 64}, "settings": settings(),
             "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"})
@@ -152,7 +201,12 @@
     );
     let output = child.wait_with_output().unwrap();
     assert!(!output.status.success());
-    assert!(String::from_utf8(output.stderr).unwrap().contains("source.0.prefix"), "it does not start");
+    assert!(
+        String::from_utf8(output.stderr)
+            .unwrap()
+            .contains("source.0.prefix"),
+        "it does not start"
+    );
 }
 
 #[test]
@@ -160,11 +214,14 @@
     let backends = [Place::new(), Place::new()];
     let nodes = file("");
     let write = |which: usize| {
-        let text = serde_json::json!({"n": {"address": backends[which].address().to_string()}, "bad": 3});
+        let text =
+            serde_json::json!({"n": {"address": backends[which].address().to_string()}, "bad": 3});
         std::fs::write(&nodes, text.to_string()).expect("a file");
     };
     write(0);
-    let sources = file(&format!("[[source]]\nkind = \"file\"\npath = \"{nodes}\"\n"));
+    let sources = file(&format!(
+        "[[source]]\nkind = \"file\"\npath = \"{nodes}\"\n"
+    ));
     let nobody = Place::new();
     let known = Value::Null;
     let config = serde_json::json!({
@@ -178,8 +235,19 @@
     assert!(line.contains("bad: passed over"), "{line}");
     line.clear();
     std::io::BufRead::read_line(&mut log, &mut line).unwrap();
-    let address = line.trim().rsplit(' ').next().and_then(|text| text.parse().ok()).expect("an address");
-    let program = Program { child, address, log, config, path };
+    let address = line
+        .trim()
+        .rsplit(' ')
+        .next()
+        .and_then(|text| text.parse().ok())
+        .expect("an address");
+    let program = Program {
+        child,
+        address,
+        log,
+        config,
+        path,
+    };
     let mut asking = Asking::new(&program, &backends);
     asking.only(0);
     write(1);
@@ -194,13 +262,19 @@
     let backends = [Place::new(), Place::new()];
     cluster.put("b", backends[1].address(), "up");
     let (refusing, _held) = refusing_place();
-    let text = format!("[[source]]\nkind = \"agent\"\nkeep_ms = 300\n{}", cluster.source(&[0]));
+    let text = format!(
+        "[[source]]\nkind = \"agent\"\nkeep_ms = 300\n{}",
+        cluster.source(&[0])
+    );
     let sources = file(&text);
     let known = members(7, true, &[member("a", backends[0].address(), "up")]);
     let variables = [("MAPLEFALL_SOURCES", sources.as_str())];
     // Nobody answers where the agent should be.
     let mut program = Program::start_with(&variables, 256, settings(), refusing, known);
-    while !program.log_line().contains("a was known from lost sources only: given up") {}
+    while !program
+        .log_line()
+        .contains("a was known from lost sources only: given up")
+    {}
     Asking::new(&program, &backends).only(1);
 }
 
@@ -208,8 +282,16 @@
 /// at once that its word is the newer one.
 #[test]
 fn an_agent_that_counts_anew_is_believed() {
-    let Scene { program, mut watch, backends, .. } = Scene::new(2);
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_secs_f64();
+    let Scene {
+        program,
+        mut watch,
+        backends,
+        ..
+    } = Scene::new(2);
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap()
+        .as_secs_f64();
     // A start in the next minute: machines read one clock, but this test does not wait for it.
     let born = (now + 60.0) * 1000.0;
     let list = |seq, whole, states: [&str; 2], born: [f64; 2]| {
@@ -235,11 +317,24 @@
 #[test]
 fn a_file_that_is_too_long_is_not_read() {
     let nodes = file("");
-    std::fs::File::options().write(true).open(&nodes).unwrap().set_len((64 << 20) + 1).unwrap();
-    let sources = file(&format!("[[source]]\nkind = \"file\"\npath = \"{nodes}\"\n"));
-    let output = Command::new(env!("CARGO_BIN_EXE_maplefall")).args(["check", &sources]).output().unwrap();
+    std::fs::File::options()
+        .write(true)
+        .open(&nodes)
+        .unwrap()
+        .set_len((64 << 20) + 1)
+        .unwrap();
+    let sources = file(&format!(
+        "[[source]]\nkind = \"file\"\npath = \"{nodes}\"\n"
+    ));
+    let output = Command::new(env!("CARGO_BIN_EXE_maplefall"))
+        .args(["check", &sources])
+        .output()
+        .unwrap();
     let said = String::from_utf8(output.stdout).unwrap();
-    assert!(said.contains("67108864 bytes at most were expected"), "{said}");
+    assert!(
+        said.contains("67108864 bytes at most were expected"),
+        "{said}"
+    );
 }
 
 /// Guards a restart while etcd is away: the list, and who stopped what, outlive the process where there is a disk.
@@ -252,17 +347,32 @@
     let path = file("");
     std::fs::remove_file(&path).expect("a file");
     let path = path.replace(".toml", ".json");
-    let sources =
-        file(&format!("remember = \"{path}\"\n[[source]]\nkind = \"agent\"\n{}", cluster.source(&[0])));
+    let sources = file(&format!(
+        "remember = \"{path}\"\n[[source]]\nkind = \"agent\"\n{}",
+        cluster.source(&[0])
+    ));
     let variables = [("MAPLEFALL_SOURCES", sources.as_str())];
     let discovery = Place::new();
-    let list: Vec<Value> =
-        ["a", "b"].iter().zip(&backends).map(|(id, place)| member(id, place.address(), "up")).collect();
-    let start = || Program::start_with(&variables, 256, settings(), discovery.address(), Value::Null);
+    let list: Vec<Value> = ["a", "b"]
+        .iter()
+        .zip(&backends)
+        .map(|(id, place)| member(id, place.address(), "up"))
+        .collect();
+    let start = || {
+        Program::start_with(
+            &variables,
+            256,
+            settings(),
+            discovery.address(),
+            Value::Null,
+        )
+    };
     let program = start();
     ready(&program);
     wait_for("the list on disk", || {
-        std::fs::read_to_string(&path).ok().filter(|text| text.contains("draining"))
+        std::fs::read_to_string(&path)
+            .ok()
+            .filter(|text| text.contains("draining"))
     });
     drop(program);
     while discovery.called() {}
@@ -285,7 +395,13 @@
     let (refusing, _held) = refusing_place();
     for serves in [0, 1] {
         // One of the two is of no use: whoever is served is so by the other.
-        let at = |which: usize| if which == serves { backends[which].address() } else { refusing };
+        let at = |which: usize| {
+            if which == serves {
+                backends[which].address()
+            } else {
+                refusing
+            }
+        };
         let words = serde_json::json!({"etcd": members(0, true, &[member("a", at(0), "up")])});
         std::fs::write(&path, words.to_string()).expect("a file");
         let known = members(7, true, &[member("b", at(1), "up")]);
--- a/crates/maplefall/tests/shared_counts.rs
+++ b/crates/maplefall/tests/shared_counts.rs
@@ -19,7 +19,10 @@
 const LIMIT: Duration = Duration::from_secs(120);
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         tokio::time::timeout(LIMIT, test).await.expect("in time");
     });
@@ -52,7 +55,9 @@
                 let charge = if number % 3 == 0 { units / 2.0 } else { units };
                 *truth.taken.borrow_mut().entry(customer).or_default() += (units * 1000.0) as i64;
                 *truth.net.borrow_mut().entry(customer).or_default() += (charge * 1000.0) as i64;
-                let answer = format!("HTTP/1.1 200 X\r\nApi-Charge: {charge}\r\nContent-Length: 2\r\n\r\nok");
+                let answer = format!(
+                    "HTTP/1.1 200 X\r\nApi-Charge: {charge}\r\nContent-Length: 2\r\n\r\nok"
+                );
                 if link.write(answer.as_bytes()).await.is_err() {
                     return;
                 }
@@ -78,9 +83,18 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let host = member("s-0", listener.local_addr().unwrap(), "up");
     tokio::task::spawn_local(backend(listener, truth.clone()));
-    let mut bed = Bed { relay, truth, doors: vec![], files: vec![], gossip: vec![], host, settings };
+    let mut bed = Bed {
+        relay,
+        truth,
+        doors: vec![],
+        files: vec![],
+        gossip: vec![],
+        host,
+        settings,
+    };
     for door in 0..doors {
-        bed.files.push(bed.file(door, "quito", "00112233445566778899aabbccddeeff"));
+        bed.files
+            .push(bed.file(door, "quito", "00112233445566778899aabbccddeeff"));
         let (program, gossip) = bed.start(door);
         bed.doors.push(program);
         bed.gossip.push(gossip);
@@ -93,7 +107,11 @@
     fn file(&self, door: usize, cluster: &str, key: &str) -> String {
         static FILES: AtomicU32 = AtomicU32::new(0);
         let number = FILES.fetch_add(1, Ordering::Relaxed);
-        let path = format!("{}/counts-{}-{number}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+        let path = format!(
+            "{}/counts-{}-{number}.toml",
+            env!("CARGO_TARGET_TMPDIR"),
+            std::process::id()
+        );
         let fronts = &self.relay.fronts;
         let text = format!(
             "cluster = \"{cluster}\"\nkey = \"{key}\"\ngossip = \"127.0.0.1:0\"\nadvertise = \"{}\"\n\
@@ -107,30 +125,48 @@
     fn start(&self, door: usize) -> (Program, SocketAddr) {
         let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
         let name = format!("n{door}");
-        let variables = [("MAPLEFALL_SHARED_COUNTS", self.files[door].as_str()), ("BALANCER_NAME", &name)];
+        let variables = [
+            ("MAPLEFALL_SHARED_COUNTS", self.files[door].as_str()),
+            ("BALANCER_NAME", &name),
+        ];
         let known = members(7, true, std::slice::from_ref(&self.host));
-        let mut program = Program::start_with(&variables, 1024, self.settings.clone(), nobody, known);
+        let mut program =
+            Program::start_with(&variables, 1024, self.settings.clone(), nobody, known);
         let line = loop {
             let line = program.log_line();
             if line.contains("shares counts on") {
                 break line;
             }
         };
-        let address = line.split_whitespace().rev().nth(2).unwrap().parse().unwrap();
+        let address = line
+            .split_whitespace()
+            .rev()
+            .nth(2)
+            .unwrap()
+            .parse()
+            .unwrap();
         (program, address)
     }
 
     /// What a door says of shared counts, by the command that operators have.
     fn status(&self, door: usize) -> Value {
         let output = self.command(door, &["counts", "status", "--json"]);
-        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+        assert!(
+            output.status.success(),
+            "{}",
+            String::from_utf8_lossy(&output.stderr)
+        );
         serde_json::from_slice(&output.stdout).unwrap()
     }
 
     fn command(&self, door: usize, words: &[&str]) -> Output {
         let ask = self.gossip[door].to_string();
         let more = ["--file", &self.files[door], "--ask", &ask];
-        Command::new(env!("CARGO_BIN_EXE_maplefall")).args(words).args(more).output().unwrap()
+        Command::new(env!("CARGO_BIN_EXE_maplefall"))
+            .args(words)
+            .args(more)
+            .output()
+            .unwrap()
     }
 
     /// Thousandths of units by customer, as a door knows them.
@@ -138,7 +174,10 @@
         let status = self.status(door);
         let customers = status["customers"].as_array().unwrap().iter();
         let total = |row: &Value| {
-            (row["customer"].as_u64().unwrap(), (row["units"].as_f64().unwrap() * 1000.0).round() as i64)
+            (
+                row["customer"].as_u64().unwrap(),
+                (row["units"].as_f64().unwrap() * 1000.0).round() as i64,
+            )
         };
         customers.map(total).collect()
     }
@@ -146,7 +185,11 @@
     async fn until(&self, what: &str, mut holds: impl FnMut() -> bool) -> Duration {
         let begun = Instant::now();
         while !holds() {
-            assert!(begun.elapsed() < Duration::from_secs(60), "{what}: {:#?}", self.status(0));
+            assert!(
+                begun.elapsed() < Duration::from_secs(60),
+                "{what}: {:#?}",
+                self.status(0)
+            );
             // The backend is served by this thread, too.
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -155,7 +198,10 @@
 
     async fn met(&self) {
         let doors = self.doors.len();
-        self.until("all know all", || (0..doors).all(|door| self.status(door)["doors"] == doors)).await;
+        self.until("all know all", || {
+            (0..doors).all(|door| self.status(door)["doors"] == doors)
+        })
+        .await;
     }
 
     /// So many requests at each door in turn, of customers 1 to 6.
@@ -167,7 +213,13 @@
         let doors = self.doors.len();
         for number in 0..many {
             let (link, customer) = (&mut links[number % doors], 1 + number % 6);
-            let answer = ask(link, &format!("{what}-{number}"), customer as u64, 1 + number % 8).await;
+            let answer = ask(
+                link,
+                &format!("{what}-{number}"),
+                customer as u64,
+                1 + number % 8,
+            )
+            .await;
             assert_eq!(answer.status, 200, "{what}-{number}");
         }
     }
@@ -175,7 +227,10 @@
 
 async fn ask(link: &mut Link, id: &str, customer: u64, units: usize) -> Message {
     let text = sockets::request_of(id, "read", "wide", "8")
-        .replace("client=00000000b4d65521", &format!("client={customer:016x}"))
+        .replace(
+            "client=00000000b4d65521",
+            &format!("client={customer:016x}"),
+        )
         .replace("/read/a?b=c", &format!("/read/{customer}?{units}"))
         .replace("units=1,spread=1", &format!("units={units},spread=2"));
     link.write(text.as_bytes()).await.unwrap();
@@ -189,7 +244,12 @@
     run(async {
         let bed = bed(4, settings());
         bed.met().await;
-        let rough = Weather { loss: 0.3, doubled: 0.1, delay_ms: (0.0, 120.0), ..Weather::default() };
+        let rough = Weather {
+            loss: 0.3,
+            doubled: 0.1,
+            delay_ms: (0.0, 120.0),
+            ..Weather::default()
+        };
         bed.relay.play(rough);
         for part in 0..8 {
             bed.traffic(60, &format!("rough{part}")).await;
@@ -204,12 +264,20 @@
             }
         }
         let truth = bed.truth.net.borrow().clone();
-        let took = bed.until("all equal", || (0..4).all(|door| bed.totals(door) == truth)).await;
+        let took = bed
+            .until("all equal", || (0..4).all(|door| bed.totals(door) == truth))
+            .await;
         println!("equal after {took:?}");
         assert!(took < Duration::from_secs(10));
         let refused = bed.status(0)["refused"].clone();
-        assert!(refused["repeated"].as_u64().unwrap_or(0) > 0, "doubles are known: {refused}");
-        assert!(refused["forged"].is_null() && refused["absurd"].is_null(), "{refused}");
+        assert!(
+            refused["repeated"].as_u64().unwrap_or(0) > 0,
+            "doubles are known: {refused}"
+        );
+        assert!(
+            refused["forged"].is_null() && refused["absurd"].is_null(),
+            "{refused}"
+        );
     });
 }
 
@@ -220,17 +288,29 @@
         let mut bed = bed(4, settings());
         bed.met().await;
         let apart = |left: &[usize], right: &[usize]| {
-            let pairs = left.iter().flat_map(|l| right.iter().flat_map(move |r| [(*l, *r), (*r, *l)]));
+            let pairs = left
+                .iter()
+                .flat_map(|l| right.iter().flat_map(move |r| [(*l, *r), (*r, *l)]));
             pairs.collect::<BTreeSet<_>>()
         };
-        bed.relay.play(Weather { cut: apart(&[0, 1], &[2, 3]), ..Weather::default() });
-        bed.until("halves", || bed.status(0)["doors"] == 2 && bed.status(3)["doors"] == 2).await;
+        bed.relay.play(Weather {
+            cut: apart(&[0, 1], &[2, 3]),
+            ..Weather::default()
+        });
+        bed.until("halves", || {
+            bed.status(0)["doors"] == 2 && bed.status(3)["doors"] == 2
+        })
+        .await;
         bed.traffic(120, "split").await;
         let truth = bed.truth.net.borrow().clone();
-        assert!((0..4).all(|door| bed.totals(door) != truth), "nobody can know all");
+        assert!(
+            (0..4).all(|door| bed.totals(door) != truth),
+            "nobody can know all"
+        );
         bed.relay.play(Weather::default());
         bed.met().await;
-        bed.until("healed", || (0..4).all(|door| bed.totals(door) == truth)).await;
+        bed.until("healed", || (0..4).all(|door| bed.totals(door) == truth))
+            .await;
         // Dropped, the process is killed; its successor listens elsewhere, under the same name and address of the relay.
         let (program, gossip) = bed.start(3);
         bed.doors[3] = program;
@@ -239,7 +319,10 @@
         bed.met().await;
         bed.traffic(40, "again").await;
         let truth = bed.truth.net.borrow().clone();
-        bed.until("all equal again", || (0..4).all(|door| bed.totals(door) == truth)).await;
+        bed.until("all equal again", || {
+            (0..4).all(|door| bed.totals(door) == truth)
+        })
+        .await;
     });
 }
 
@@ -261,7 +344,8 @@
         // Whoever was heard of before is known; a first use elsewhere makes it so.
         let mut first = Link::open(bed.doors[1].address).await.unwrap();
         assert_eq!(ask(&mut first, "first", CUSTOMER, 1).await.status, 200);
-        bed.until("heard", || bed.totals(0).contains_key(&CUSTOMER)).await;
+        bed.until("heard", || bed.totals(0).contains_key(&CUSTOMER))
+            .await;
         let mut link = Link::open(bed.doors[0].address).await.unwrap();
         let net = || bed.truth.net.borrow()[&CUSTOMER] as f64 / 1000.0;
         // What one door that sees all would have sold to the same asking: it begins as full as the door's own store.
@@ -275,7 +359,9 @@
             one = (one + RATE * one_at.elapsed().as_secs_f64()).min(BURST);
             one_at = Instant::now();
             let before = net();
-            let status = ask(&mut link, &format!("w{asked}"), CUSTOMER, 2).await.status;
+            let status = ask(&mut link, &format!("w{asked}"), CUSTOMER, 2)
+                .await
+                .status;
             asked += 2.0;
             refused += u32::from(status == 429);
             // Half of a request's units come back where the backend says so.
@@ -291,7 +377,10 @@
         );
         assert!(refused > 0, "it was never asked for more than there was");
         assert!(sold <= quota, "sold {sold}, held {quota}");
-        assert!(sold >= 0.9 * sold_by_one, "sold {sold}, one door sells {sold_by_one}");
+        assert!(
+            sold >= 0.9 * sold_by_one,
+            "sold {sold}, one door sells {sold_by_one}"
+        );
     });
 }
 
@@ -304,19 +393,27 @@
         bed.traffic(12, "some").await;
         let members = bed.command(0, &["counts", "members"]);
         let text = String::from_utf8_lossy(&members.stdout).into_owned();
-        assert!(text.contains("n1") && text.contains("alive") && !text.contains("customer 1 "), "{text}");
+        assert!(
+            text.contains("n1") && text.contains("alive") && !text.contains("customer 1 "),
+            "{text}"
+        );
         let customers = bed.command(0, &["counts", "customers"]);
         assert!(String::from_utf8_lossy(&customers.stdout).contains("customer 1 "));
         let mut other = bed;
         other.files[0] = other.file(0, "quito", "ffffffffffffffffffffffffffffffff");
         let wrong = other.command(0, &["counts", "members"]);
         let text = String::from_utf8_lossy(&wrong.stderr).into_owned();
-        assert!(!wrong.status.success() && text.contains("no answer"), "{text}");
+        assert!(
+            !wrong.status.success() && text.contains("no answer"),
+            "{text}"
+        );
         other.files[0] = other.file(0, "cuenca", "00112233445566778899aabbccddeeff");
         assert!(!other.command(0, &["counts", "members"]).status.success());
         let refused = other.status(1)["refused"].clone();
         assert!(refused.is_object(), "{refused}");
-        let checked = Command::new(env!("CARGO_BIN_EXE_maplefall")).args(["check", &other.files[1]]).output();
+        let checked = Command::new(env!("CARGO_BIN_EXE_maplefall"))
+            .args(["check", &other.files[1]])
+            .output();
         assert!(checked.unwrap().status.success());
     });
 }
--- a/crates/maplefall/tests/sockets/mod.rs
+++ b/crates/maplefall/tests/sockets/mod.rs
@@ -107,15 +107,24 @@
 /// A place whose waiting line is full with the connections that come along: a further one hangs until these
 /// have been accepted.
 pub fn crowded_place() -> (Place, Vec<TcpStream>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .build()
+        .expect("a runtime");
     let listener = runtime.block_on(async {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().unwrap()).expect("a port");
-        socket.listen(1).expect("a listener").into_std().expect("a listener")
+        socket
+            .listen(1)
+            .expect("a listener")
+            .into_std()
+            .expect("a listener")
     });
     let place = Place(listener);
     // The system lets in one more than it is told.
-    let fillers = (0..2).map(|_| TcpStream::connect(place.address()).expect("room for two")).collect();
+    let fillers = (0..2)
+        .map(|_| TcpStream::connect(place.address()).expect("room for two"))
+        .collect();
     (place, fillers)
 }
 
@@ -159,7 +168,11 @@
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .expect("a status")
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
@@ -175,7 +188,9 @@
 impl Wire {
     pub fn new(stream: TcpStream) -> Wire {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Wire { reader: BufReader::new(stream) }
+        Wire {
+            reader: BufReader::new(stream),
+        }
     }
 
     pub fn to(address: SocketAddr) -> Wire {
@@ -183,31 +198,48 @@
     }
 
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
-        self.reader.get_mut().write_all(bytes.as_ref()).expect("the other end reads");
+        self.reader
+            .get_mut()
+            .write_all(bytes.as_ref())
+            .expect("the other end reads");
     }
 
     /// The next whole message.
     pub fn read(&mut self) -> Message {
         let mut line = String::new();
         self.reader.read_line(&mut line).expect("a first line");
-        assert!(!line.is_empty(), "the connection ended where a message was due");
+        assert!(
+            !line.is_empty(),
+            "the connection ended where a message was due"
+        );
         let first = line.trim_end().to_owned();
         let mut headers = HashMap::new();
         loop {
             line.clear();
             self.reader.read_line(&mut line).expect("a header");
-            let Some((name, value)) = line.trim_end().split_once(':') else { break };
+            let Some((name, value)) = line.trim_end().split_once(':') else {
+                break;
+            };
             headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
         }
-        let length = headers.get("content-length").map_or(0, |text| text.parse().expect("a length"));
+        let length = headers
+            .get("content-length")
+            .map_or(0, |text| text.parse().expect("a length"));
         let mut body = vec![0; length];
         self.reader.read_exact(&mut body).expect("a whole body");
-        Message { first, headers, body }
+        Message {
+            first,
+            headers,
+            body,
+        }
     }
 
     /// Answers with a status, further header lines and a body.
     pub fn answer(&mut self, status: u16, headers: &str, body: &str) {
-        self.write(format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()));
+        self.write(format!(
+            "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 
     /// Whether the other end has said something, or closed.
@@ -261,7 +293,12 @@
         let beats = says.clone();
         std::thread::spawn(move || {
             // Ends when the watch has, or when the other end has.
-            while beats.lock().unwrap().as_mut().is_some_and(|says| says.write_all(b"1\r\n\n\r\n").is_ok()) {
+            while beats
+                .lock()
+                .unwrap()
+                .as_mut()
+                .is_some_and(|says| says.write_all(b"1\r\n\n\r\n").is_ok())
+            {
                 std::thread::sleep(BEAT);
             }
         });
@@ -277,7 +314,8 @@
     pub fn piece(&mut self, text: &str) {
         let mut says = self.says.lock().unwrap();
         let says = says.as_mut().expect("an open watch");
-        says.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).expect("the other end reads");
+        says.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+            .expect("the other end reads");
     }
 
     /// Says nothing from now on, and stays open.
@@ -325,13 +363,25 @@
 /// Starts the program with a configuration file of this text; the file's path comes along.
 pub fn spawn(config: &str, variables: &[(&str, &str)]) -> (Child, String) {
     let number = FILES.fetch_add(1, Ordering::Relaxed);
-    let path = format!("{}/config-{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    let path = format!(
+        "{}/config-{}-{number}.json",
+        env!("CARGO_TARGET_TMPDIR"),
+        std::process::id()
+    );
     std::fs::write(&path, config).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_maplefall"));
-    for name in ["BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY", "MAPLEFALL_SOURCES"] {
+    for name in [
+        "BALANCER_NAME",
+        "BALANCER_LISTEN",
+        "BALANCER_DISCOVERY",
+        "MAPLEFALL_SOURCES",
+    ] {
         command.env_remove(name);
     }
-    command.envs(variables.iter().copied()).env("BALANCER_CONFIG", &path).stderr(Stdio::piped());
+    command
+        .envs(variables.iter().copied())
+        .env("BALANCER_CONFIG", &path)
+        .stderr(Stdio::piped());
     (command.spawn().expect("the program starts"), path)
 }
 
@@ -341,7 +391,12 @@
     }
 
     /// Starts with so many descriptors.
-    pub fn start_within(sockets: u32, settings: Value, discovery: SocketAddr, known: Value) -> Program {
+    pub fn start_within(
+        sockets: u32,
+        settings: Value,
+        discovery: SocketAddr,
+        known: Value,
+    ) -> Program {
         Program::start_with(&[], sockets, settings, discovery, known)
     }
 
@@ -364,9 +419,19 @@
         let log = BufReader::new(child.stderr.take().expect("a pipe"));
         // From here on it is ended with the test, also where it says something else than where it listens.
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut program = Program { child, address, log, config, path };
+        let mut program = Program {
+            child,
+            address,
+            log,
+            config,
+            path,
+        };
         let line = program.log_line();
-        let told = line.trim().rsplit(' ').next().and_then(|text| text.parse().ok());
+        let told = line
+            .trim()
+            .rsplit(' ')
+            .next()
+            .and_then(|text| text.parse().ok());
         program.address = told.unwrap_or_else(|| panic!("no address in {line:?}"));
         program
     }
@@ -394,7 +459,11 @@
 
     fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
+        assert!(Command::new("kill")
+            .args([name, &id])
+            .status()
+            .expect("kill runs")
+            .success());
     }
 
     /// The next line of its log.
@@ -433,11 +502,19 @@
     pub fn with(settings: Value, count: usize) -> Scene {
         let discovery = Place::new();
         let backends: Vec<Place> = (0..count).map(|_| Place::new()).collect();
-        let hosts: Vec<Value> =
-            backends.iter().enumerate().map(|(i, b)| member(&format!("s-{i}"), b.address(), "up")).collect();
+        let hosts: Vec<Value> = backends
+            .iter()
+            .enumerate()
+            .map(|(i, b)| member(&format!("s-{i}"), b.address(), "up"))
+            .collect();
         let program = Program::start(settings, discovery.address(), members(7, true, &hosts));
         let wire = discovery.asked("?watch=1&from=7");
-        Scene { program, discovery, watch: Watch::begin(wire), backends }
+        Scene {
+            program,
+            discovery,
+            watch: Watch::begin(wire),
+            backends,
+        }
     }
 
     /// A request that may not be repeated, taken in and held at a backend: its client, and where it is held.
@@ -452,7 +529,10 @@
     /// The next connection to any backend, with the backend's place.
     pub fn accept_any(&self) -> (usize, Wire) {
         wait_for("a connection to a backend", || {
-            self.backends.iter().enumerate().find_map(|(i, place)| place.try_accept().map(|wire| (i, wire)))
+            self.backends
+                .iter()
+                .enumerate()
+                .find_map(|(i, place)| place.try_accept().map(|wire| (i, wire)))
         })
     }
 
@@ -474,7 +554,12 @@
 
 impl<'a> Asking<'a> {
     pub fn new(program: &'a Program, backends: &'a [Place]) -> Asking<'a> {
-        Asking { program, client: program.client(), backends, open: Vec::new() }
+        Asking {
+            program,
+            client: program.client(),
+            backends,
+            open: Vec::new(),
+        }
     }
 
     /// Sends one request and answers it; tells which backend had it, or `None` if it was turned away: tests ask faster than
@@ -486,10 +571,13 @@
         if self.client.speaks() {
             self.client = self.program.client();
         }
-        self.client.write(request_of(&format!("asked-{id}"), "read", "wide", LONG));
+        self.client
+            .write(request_of(&format!("asked-{id}"), "read", "wide", LONG));
         let at = wait_for("the request at a backend, or an answer", || {
             // Connections that the front door has closed are no more looked at, also those that it closes just now.
-            let says = |wire: &Wire| wire.speaks() && matches!(wire.reader.get_ref().peek(&mut [0]), Ok(1..));
+            let says = |wire: &Wire| {
+                wire.speaks() && matches!(wire.reader.get_ref().peek(&mut [0]), Ok(1..))
+            };
             self.open.retain(|(_, wire)| !wire.speaks() || says(wire));
             if let Some(at) = self.open.iter().position(|(_, wire)| says(wire)) {
                 return Some(Some(at));
@@ -553,7 +641,11 @@
 pub fn request_of(id: &str, class: &str, plan: &str, timeout: &str) -> String {
     let (method, extra, body) = match class {
         "read" => ("GET", "", ""),
-        "extend" => ("POST", "Idempotency-Key: 5c0f6e1a\r\nContent-Length: 5\r\n", "hello"),
+        "extend" => (
+            "POST",
+            "Idempotency-Key: 5c0f6e1a\r\nContent-Length: 5\r\n",
+            "hello",
+        ),
         _ => ("POST", "Content-Length: 5\r\n", "hello"),
     };
     format!(
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -116,18 +116,31 @@
 impl std::fmt::Display for Report {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Report::Doubted { source, missing, of } => {
+            Report::Doubted {
+                source,
+                missing,
+                of,
+            } => {
                 write!(f, "{source}: {missing} of {of} nodes are missing; they stay until the time of doubt is over")
             }
-            Report::MassRemoval { source, removed, of } => {
+            Report::MassRemoval {
+                source,
+                removed,
+                of,
+            } => {
                 write!(f, "{source}: {removed} of {of} nodes were removed at once")
             }
             Report::SharedAddress { holder, other } => {
                 write!(f, "{other} has the address of {holder}, which started later or comes first by name: not used")
             }
-            Report::GivenUp { host } => write!(f, "{host} was known from lost sources only: given up"),
+            Report::GivenUp { host } => {
+                write!(f, "{host} was known from lost sources only: given up")
+            }
             Report::NoRoom { source, left_out } => {
-                write!(f, "{source}: {left_out} nodes left out; {MOST_NODES} are held at most")
+                write!(
+                    f,
+                    "{source}: {left_out} nodes left out; {MOST_NODES} are held at most"
+                )
             }
         }
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -60,16 +60,25 @@
     /// Begins with a list that an earlier life had: as if the source had told it, at no version, so that its first own word
     /// goes before it.
     pub fn recall(&mut self, now: Millis, source: usize, members: &Members) -> Update {
-        let Some(known) = self.sources.get_mut(source) else { return Update::default() };
+        let Some(known) = self.sources.get_mut(source) else {
+            return Update::default();
+        };
         let touched = known.recall(&members.hosts);
         self.settle(now, touched)
     }
 
     /// All that each source says, stops too: what a later life may [`Roster::recall`], source by source.
     pub fn words(&self) -> impl Iterator<Item = (&SourceSettings, Members)> {
-        self.sources
-            .iter()
-            .map(|source| (&source.settings, Members { seq: 0, whole: true, hosts: source.words() }))
+        self.sources.iter().map(|source| {
+            (
+                &source.settings,
+                Members {
+                    seq: 0,
+                    whole: true,
+                    hosts: source.words(),
+                },
+            )
+        })
     }
 
     /// Takes what a source learned at `now`. The cost is that of the nodes that the event names, and of those that share
@@ -81,7 +90,12 @@
             hosts.extend(members.hosts.iter().map(|member| member.host.as_str()));
         }
         if let Event::Snapshot { source, .. } = &event {
-            hosts.extend(self.sources.get(*source).into_iter().flat_map(Source::hosts));
+            hosts.extend(
+                self.sources
+                    .get(*source)
+                    .into_iter()
+                    .flat_map(Source::hosts),
+            );
         }
         let lives = self.lives(hosts.into_iter());
         let (Event::Snapshot { source, .. }
@@ -89,9 +103,13 @@
         | Event::Lost { source }
         | Event::Resumed { source }
         | Event::Reborn { source }) = event;
-        let Some(of) = self.sources.get_mut(source) else { return Update::default() };
+        let Some(of) = self.sources.get_mut(source) else {
+            return Update::default();
+        };
         let touched = match event {
-            Event::Snapshot { members, unread, .. } => of.snapshot(now, members, &unread, &lives),
+            Event::Snapshot {
+                members, unread, ..
+            } => of.snapshot(now, members, &unread, &lives),
             Event::Change { members, .. } => of.change(members, &lives),
             Event::Lost { .. } => {
                 of.lose(now);
@@ -163,11 +181,18 @@
         }
         let (mut changes, mut ups) = (Vec::new(), Vec::new());
         for host in hosts {
-            let now_is = self.merged.get(&host).filter(|_| !self.giving_way.contains_key(&host));
+            let now_is = self
+                .merged
+                .get(&host)
+                .filter(|_| !self.giving_way.contains_key(&host));
             let before = match now_is {
                 Some(member) if self.told.get(&host) == Some(member) => continue,
                 Some(member) => {
-                    let list = if member.health == Health::Up { &mut ups } else { &mut changes };
+                    let list = if member.health == Health::Up {
+                        &mut ups
+                    } else {
+                        &mut changes
+                    };
                     list.push(member.clone());
                     self.told.insert(host.clone(), member.clone())
                 }
@@ -175,14 +200,20 @@
             };
             if now_is.is_none() {
                 let Some(before) = before else { continue };
-                changes.push(Member { health: Health::Removed, ..before });
+                changes.push(Member {
+                    health: Health::Removed,
+                    ..before
+                });
                 if aged.contains(&host) {
                     touched.reports.push(Report::GivenUp { host });
                 }
             }
         }
         changes.append(&mut ups);
-        Update { changes, reports: touched.reports }
+        Update {
+            changes,
+            reports: touched.reports,
+        }
     }
 
     /// Puts together anew what the sources say of a node; notes the addresses where something changed.
@@ -204,7 +235,10 @@
         match now_is {
             Some(member) => {
                 addresses.insert(member.dial);
-                let there = self.at.entry(member.dial).or_insert_with(|| Vec::with_capacity(1));
+                let there = self
+                    .at
+                    .entry(member.dial)
+                    .or_insert_with(|| Vec::with_capacity(1));
                 there.push(host.to_owned());
                 self.merged.insert(host.to_owned(), member);
             }
@@ -216,15 +250,29 @@
     }
 
     /// Settles who holds an address; adds the nodes there to those that are looked at.
-    fn share(&mut self, address: SocketAddr, hosts: &mut BTreeSet<String>, reports: &mut Vec<Report>) {
-        let Some(there) = self.at.get(&address) else { return };
+    fn share(
+        &mut self,
+        address: SocketAddr,
+        hosts: &mut BTreeSet<String>,
+        reports: &mut Vec<Report>,
+    ) {
+        let Some(there) = self.at.get(&address) else {
+            return;
+        };
         let holder = merge::holder(there.iter().filter_map(|host| self.merged.get(host)));
-        let Some(holder) = holder.map(|member| member.host.clone()) else { return };
+        let Some(holder) = holder.map(|member| member.host.clone()) else {
+            return;
+        };
         for host in there {
             hosts.insert(host.clone());
             if *host == holder {
                 self.giving_way.remove(host);
-            } else if self.giving_way.insert(host.clone(), holder.clone()).as_ref() != Some(&holder) {
+            } else if self
+                .giving_way
+                .insert(host.clone(), holder.clone())
+                .as_ref()
+                != Some(&holder)
+            {
                 let (holder, other) = (holder.clone(), host.clone());
                 reports.push(Report::SharedAddress { holder, other });
             }
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -11,7 +11,9 @@
     // Stops by authoritative sources: what they say, and the latest life that they are for.
     let mut stops: Vec<(Health, Millis)> = Vec::new();
     for source in sources {
-        let Some(said) = source.said(host) else { continue };
+        let Some(said) = source.said(host) else {
+            continue;
+        };
         life = life.max(said.member.born_ms);
         // Sources come in the order of their precedence: an equal life does not displace.
         let newer = best.is_none_or(|best| said.member.born_ms > best.born_ms);
@@ -24,15 +26,30 @@
     }
     let best = best?;
     // A stop is for the lives known when it was told: a newer one is free of it.
-    let holds = |wanted| stops.iter().any(|(health, until)| *health == wanted && life <= *until);
+    let holds = |wanted| {
+        stops
+            .iter()
+            .any(|(health, until)| *health == wanted && life <= *until)
+    };
     if holds(Health::Removed) {
         return None;
     }
-    let health = if holds(Health::Draining) { Health::Draining } else { Health::Up };
-    Some(Member { health, ..best.clone() })
+    let health = if holds(Health::Draining) {
+        Health::Draining
+    } else {
+        Health::Up
+    };
+    Some(Member {
+        health,
+        ..best.clone()
+    })
 }
 
 /// Which of the nodes at one address holds it: the one that started last, then the lower name.
 pub(crate) fn holder<'a>(nodes: impl Iterator<Item = &'a Member>) -> Option<&'a Member> {
-    nodes.min_by(|a, b| b.born_ms.total_cmp(&a.born_ms).then_with(|| a.host.cmp(&b.host)))
+    nodes.min_by(|a, b| {
+        b.born_ms
+            .total_cmp(&a.born_ms)
+            .then_with(|| a.host.cmp(&b.host))
+    })
 }
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -91,7 +91,10 @@
     /// All that it says, stops too, as [`Source::recall`] takes it: a removal has the start of the latest life that it is for.
     pub fn words(&self) -> Vec<Member> {
         let word = |said: &Said| match said.member.health {
-            Health::Removed => Member { born_ms: said.stopped_life, ..said.member.clone() },
+            Health::Removed => Member {
+                born_ms: said.stopped_life,
+                ..said.member.clone()
+            },
             Health::Up | Health::Draining => said.member.clone(),
         };
         self.said.values().map(word).collect()
@@ -132,7 +135,13 @@
         true
     }
 
-    pub fn snapshot(&mut self, now: Millis, members: Members, unread: &[String], lives: &Lives) -> Touched {
+    pub fn snapshot(
+        &mut self,
+        now: Millis,
+        members: Members,
+        unread: &[String],
+        lives: &Lives,
+    ) -> Touched {
         let mut touched = Touched::default();
         if !self.news(members.seq) {
             return touched;
@@ -145,7 +154,10 @@
             .chain(unread.iter().map(String::as_str))
             .collect();
         self.doubts.retain(|host, _| !named.contains(host.as_str()));
-        let missing = self.said.iter().filter(|(host, said)| said.listed() && !named.contains(host.as_str()));
+        let missing = self
+            .said
+            .iter()
+            .filter(|(host, said)| said.listed() && !named.contains(host.as_str()));
         let mut missing: Vec<String> = missing.map(|(host, _)| host.clone()).collect();
         let believed =
             |missing: usize, had: usize| missing as f64 <= self.settings.believed_part * had as f64;
@@ -161,8 +173,13 @@
             self.remove(&missing, lives, &mut touched);
         } else {
             let source = self.settings.name.clone();
-            touched.reports.push(Report::Doubted { source, missing: missing.len(), of: had });
-            self.doubts.extend(missing.into_iter().map(|host| (host, now)));
+            touched.reports.push(Report::Doubted {
+                source,
+                missing: missing.len(),
+                of: had,
+            });
+            self.doubts
+                .extend(missing.into_iter().map(|host| (host, now)));
         }
         self.take_in(members.hosts, lives, &mut touched);
         touched
@@ -173,7 +190,10 @@
         if self.doubts.is_empty() || !self.heard() {
             return Vec::new();
         }
-        let over = self.doubts.iter().filter(|(_, since)| now - **since >= self.settings.doubt);
+        let over = self
+            .doubts
+            .iter()
+            .filter(|(_, since)| now - **since >= self.settings.doubt);
         over.map(|(host, _)| host.clone()).collect()
     }
 
@@ -187,8 +207,13 @@
     /// What the source lists no more, it has removed.
     fn remove(&mut self, hosts: &[String], lives: &Lives, touched: &mut Touched) {
         for host in hosts {
-            let Some(said) = self.said.get(host) else { continue };
-            let member = Member { health: Health::Removed, ..said.member.clone() };
+            let Some(said) = self.said.get(host) else {
+                continue;
+            };
+            let member = Member {
+                health: Health::Removed,
+                ..said.member.clone()
+            };
             self.put(member, lives, touched);
         }
     }
@@ -196,7 +221,11 @@
     pub fn change(&mut self, members: Members, lives: &Lives) -> Touched {
         let mut touched = Touched::default();
         if self.news(members.seq) {
-            let removed = members.hosts.iter().filter(|m| m.health == Health::Removed).count();
+            let removed = members
+                .hosts
+                .iter()
+                .filter(|m| m.health == Health::Removed)
+                .count();
             self.report_mass(removed, self.listed, &mut touched);
             self.take_in(members.hosts, lives, &mut touched);
         }
@@ -206,7 +235,11 @@
     fn report_mass(&self, removed: usize, of: usize, touched: &mut Touched) {
         if removed >= MASS && removed * 2 > of {
             let source = self.settings.name.clone();
-            touched.reports.push(Report::MassRemoval { source, removed, of });
+            touched.reports.push(Report::MassRemoval {
+                source,
+                removed,
+                of,
+            });
         }
     }
 
@@ -214,7 +247,8 @@
         let mut left_out = 0;
         for member in members {
             // Kept stops have a bound of their own and take nobody's room.
-            let full = self.listed >= MOST_NODES && !self.said.get(&member.host).is_some_and(Said::listed);
+            let full =
+                self.listed >= MOST_NODES && !self.said.get(&member.host).is_some_and(Said::listed);
             if full && member.health != Health::Removed {
                 left_out += 1;
             } else {
@@ -223,13 +257,18 @@
         }
         self.forget_old_stops(touched);
         if left_out > 0 {
-            touched.reports.push(Report::NoRoom { source: self.settings.name.clone(), left_out });
+            touched.reports.push(Report::NoRoom {
+                source: self.settings.name.clone(),
+                left_out,
+            });
         }
     }
 
     fn forget_old_stops(&mut self, touched: &mut Touched) {
         while self.removed.len() > MOST_STOPS {
-            let Some((host, word)) = self.removed.pop_front() else { break };
+            let Some((host, word)) = self.removed.pop_front() else {
+                break;
+            };
             // It may have come back, and may have been removed again since.
             if self.said.get(&host).is_some_and(|said| said.word == word) {
                 self.said.remove(&host);
@@ -241,8 +280,16 @@
     /// The source's word on one node from now on.
     fn put(&mut self, member: Member, lives: &Lives, touched: &mut Touched) {
         self.words += 1;
-        let life = lives.get(&member.host).copied().unwrap_or(0.0).max(member.born_ms);
-        let said = Said { member, stopped_life: life, word: self.words };
+        let life = lives
+            .get(&member.host)
+            .copied()
+            .unwrap_or(0.0)
+            .max(member.born_ms);
+        let said = Said {
+            member,
+            stopped_life: life,
+            word: self.words,
+        };
         let host = said.member.host.clone();
         self.doubts.remove(&host);
         touched.hosts.insert(host.clone());
@@ -251,7 +298,11 @@
         } else {
             self.removed.push_back((host.clone(), self.words));
         }
-        if self.said.insert(host, said).is_some_and(|before| before.listed()) {
+        if self
+            .said
+            .insert(host, said)
+            .is_some_and(|before| before.listed())
+        {
             self.listed -= 1;
         }
     }
@@ -260,16 +311,31 @@
     /// counts again; its stops stand throughout.
     pub fn pass_time(&mut self, now: Millis, another: bool) -> bool {
         let before = self.aged;
-        self.aged = another && self.lost.is_some_and(|since| now - since >= self.settings.keep);
+        self.aged = another
+            && self
+                .lost
+                .is_some_and(|since| now - since >= self.settings.keep);
         self.aged != before
     }
 
     /// When it has something to do by itself.
     pub fn due(&self) -> Option<Millis> {
         let waits = self.listed > 0 && !self.aged;
-        let aging = self.lost.map(|since| since + self.settings.keep).filter(|_| waits);
-        let first = self.doubts.values().copied().min_by(f64::total_cmp).filter(|_| self.heard());
+        let aging = self
+            .lost
+            .map(|since| since + self.settings.keep)
+            .filter(|_| waits);
+        let first = self
+            .doubts
+            .values()
+            .copied()
+            .min_by(f64::total_cmp)
+            .filter(|_| self.heard());
         let doubt = first.map(|since| since + self.settings.doubt);
-        aging.into_iter().chain(doubt).filter(|due| due.is_finite()).min_by(f64::total_cmp)
+        aging
+            .into_iter()
+            .chain(doubt)
+            .filter(|due| due.is_finite())
+            .min_by(f64::total_cmp)
     }
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -2,8 +2,8 @@
 //! rules as they are written: after every event the roster equals the model, and the changes that it hands out, applied one
 //! after the other, give the same list.
 
-use maplefall_protocol::{Health, Member, Members};
 use maplefall_membership::{Event, Roster, SourceSettings};
+use maplefall_protocol::{Health, Member, Members};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::BTreeMap;
@@ -13,8 +13,17 @@
 fn settings() -> Vec<SourceSettings> {
     vec![
         SourceSettings::trusted("agent"),
-        SourceSettings { believed_part: 0.4, doubt: 50.0, keep: 80.0, ..SourceSettings::trusted("etcd") },
-        SourceSettings { authoritative: false, keep: 40.0, ..SourceSettings::trusted("file") },
+        SourceSettings {
+            believed_part: 0.4,
+            doubt: 50.0,
+            keep: 80.0,
+            ..SourceSettings::trusted("etcd")
+        },
+        SourceSettings {
+            authoritative: false,
+            keep: 40.0,
+            ..SourceSettings::trusted("file")
+        },
     ]
 }
 
@@ -37,12 +46,18 @@
 
 impl Model {
     fn life(&self, host: &str) -> f64 {
-        self.sources.iter().filter_map(|s| s.said.get(host)).map(|word| word.0.born_ms).fold(0.0, f64::max)
+        self.sources
+            .iter()
+            .filter_map(|s| s.said.get(host))
+            .map(|word| word.0.born_ms)
+            .fold(0.0, f64::max)
     }
 
     fn word(&mut self, source: usize, member: &Member) {
         let life = self.life(&member.host).max(member.born_ms);
-        self.sources[source].said.insert(member.host.clone(), (member.clone(), life, None));
+        self.sources[source]
+            .said
+            .insert(member.host.clone(), (member.clone(), life, None));
     }
 
     fn take(&mut self, now: f64, event: &Event) {
@@ -53,9 +68,15 @@
             Event::Resumed { source } => self.sources[*source].lost = None,
             Event::Reborn { source } => {
                 self.sources[*source].version = None;
-                self.sources[*source].said.values_mut().for_each(|word| word.2 = None);
+                self.sources[*source]
+                    .said
+                    .values_mut()
+                    .for_each(|word| word.2 = None);
+            }
+            Event::Snapshot {
+                source, members, ..
             }
-            Event::Snapshot { source, members, .. } | Event::Change { source, members } => {
+            | Event::Change { source, members } => {
                 let of = &mut self.sources[*source];
                 if of.version.is_some_and(|last| members.seq <= last) {
                     return self.age(now);
@@ -65,7 +86,10 @@
                     self.missing(now, *source, members, unread);
                 }
                 // Lives are those known before the event: a stop in it is not for a life that it tells of elsewhere.
-                members.hosts.iter().for_each(|member| self.word(*source, member));
+                members
+                    .hosts
+                    .iter()
+                    .for_each(|member| self.word(*source, member));
             }
         }
         self.age(now);
@@ -79,21 +103,36 @@
                 word.2 = None;
             }
         }
-        let named = |host: &String| members.hosts.iter().any(|m| m.host == *host) || unread.contains(host);
+        let named =
+            |host: &String| members.hosts.iter().any(|m| m.host == *host) || unread.contains(host);
         for (host, word) in &mut of.said {
             if named(host) {
                 word.2 = None;
             }
         }
-        let believed = |missing: usize, had: usize| missing as f64 <= set.believed_part * had as f64;
-        let here = of.said.iter().filter(|(_, word)| word.0.health != Health::Removed);
-        let here: Vec<(String, bool)> = here.map(|(host, word)| (host.clone(), word.2.is_some())).collect();
-        let all: Vec<&String> = here.iter().map(|(host, _)| host).filter(|host| !named(host)).collect();
+        let believed =
+            |missing: usize, had: usize| missing as f64 <= set.believed_part * had as f64;
+        let here = of
+            .said
+            .iter()
+            .filter(|(_, word)| word.0.health != Health::Removed);
+        let here: Vec<(String, bool)> = here
+            .map(|(host, word)| (host.clone(), word.2.is_some()))
+            .collect();
+        let all: Vec<&String> = here
+            .iter()
+            .map(|(host, _)| host)
+            .filter(|host| !named(host))
+            .collect();
         if believed(all.len(), here.len()) {
             return all.into_iter().for_each(|host| self.gone(source, host));
         }
         // What is in doubt already counts neither among those that were there nor among those that are missing.
-        let sure: Vec<&String> = here.iter().filter(|(_, doubted)| !doubted).map(|(host, _)| host).collect();
+        let sure: Vec<&String> = here
+            .iter()
+            .filter(|(_, doubted)| !doubted)
+            .map(|(host, _)| host)
+            .collect();
         let fresh: Vec<&String> = sure.iter().copied().filter(|host| !named(host)).collect();
         for host in &fresh {
             if believed(fresh.len(), sure.len()) {
@@ -106,7 +145,13 @@
 
     fn gone(&mut self, source: usize, host: &str) {
         let member = self.sources[source].said[host].0.clone();
-        self.word(source, &Member { health: Health::Removed, ..member });
+        self.word(
+            source,
+            &Member {
+                health: Health::Removed,
+                ..member
+            },
+        );
     }
 
     fn age(&mut self, now: f64) {
@@ -116,11 +161,17 @@
                 continue;
             }
             let doubt = self.settings[source].doubt;
-            let over = of.said.iter().filter(|(_, word)| word.2.is_some_and(|since| now - since >= doubt));
+            let over = of
+                .said
+                .iter()
+                .filter(|(_, word)| word.2.is_some_and(|since| now - since >= doubt));
             let over: Vec<String> = over.map(|(host, _)| host.clone()).collect();
             over.iter().for_each(|host| self.gone(source, host));
         }
-        let heard = self.sources.iter().any(|source| source.begun && source.lost.is_none());
+        let heard = self
+            .sources
+            .iter()
+            .any(|source| source.begun && source.lost.is_none());
         for (source, set) in self.sources.iter_mut().zip(&self.settings) {
             source.aged = heard && source.lost.is_some_and(|since| now - since >= set.keep);
         }
@@ -130,9 +181,12 @@
         let mut list = BTreeMap::new();
         for host in HOSTS {
             let life = self.life(host);
-            let (mut best, mut gone, mut drains): (Option<&Member>, bool, bool) = (None, false, false);
+            let (mut best, mut gone, mut drains): (Option<&Member>, bool, bool) =
+                (None, false, false);
             for (source, set) in self.sources.iter().zip(&self.settings) {
-                let Some((member, stopped, _)) = source.said.get(host) else { continue };
+                let Some((member, stopped, _)) = source.said.get(host) else {
+                    continue;
+                };
                 let holds = set.authoritative && life <= *stopped;
                 gone |= holds && member.health == Health::Removed;
                 drains |= holds && member.health == Health::Draining;
@@ -143,13 +197,20 @@
             }
             if let Some(best) = best.filter(|_| !gone) {
                 let health = if drains { Health::Draining } else { Health::Up };
-                list.insert(host.to_owned(), Member { health, ..best.clone() });
+                list.insert(
+                    host.to_owned(),
+                    Member {
+                        health,
+                        ..best.clone()
+                    },
+                );
             }
         }
         let all = list.clone();
         list.retain(|host, member| {
             !all.iter().any(|(other, one)| {
-                let first = one.born_ms > member.born_ms || (one.born_ms == member.born_ms && other < host);
+                let first =
+                    one.born_ms > member.born_ms || (one.born_ms == member.born_ms && other < host);
                 other != host && one.dial == member.dial && first
             })
         });
@@ -158,9 +219,19 @@
 }
 
 fn member() -> impl Strategy<Value = Member> {
-    let health = prop::sample::select(vec![Health::Up, Health::Up, Health::Draining, Health::Removed]);
-    (prop::sample::select(HOSTS.to_vec()), health, 0u8..4, 0u16..7).prop_map(|(host, health, born, port)| {
-        Member {
+    let health = prop::sample::select(vec![
+        Health::Up,
+        Health::Up,
+        Health::Draining,
+        Health::Removed,
+    ]);
+    (
+        prop::sample::select(HOSTS.to_vec()),
+        health,
+        0u8..4,
+        0u16..7,
+    )
+        .prop_map(|(host, health, born, port)| Member {
             host: host.to_owned(),
             dial: format!("127.0.0.1:{}", 100 + port).parse().unwrap(),
             site: "z".into(),
@@ -168,18 +239,27 @@
             health,
             share: 1.0,
             born_ms: f64::from(born),
-        }
-    })
+        })
 }
 
 /// An event whose version is near the last one: sometimes late, sometimes the same again.
 fn event() -> impl Strategy<Value = (u8, usize, i64, Vec<Member>, Vec<&'static str>, f64)> {
     let unread = prop::collection::vec(prop::sample::select(HOSTS.to_vec()), 0..2);
-    (0u8..12, 0usize..3, -2i64..4, prop::collection::vec(member(), 0..5), unread, 0.0..60.0f64)
+    (
+        0u8..12,
+        0usize..3,
+        -2i64..4,
+        prop::collection::vec(member(), 0..5),
+        unread,
+        0.0..60.0f64,
+    )
 }
 
 fn cases() -> u32 {
-    std::env::var("ROSTER_HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(400)
+    std::env::var("ROSTER_HISTORIES")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(400)
 }
 
 proptest! {
--- a/crates/model/benches/structures.rs
+++ b/crates/model/benches/structures.rs
@@ -78,15 +78,21 @@
 
 fn main() {
     for customers in [100usize, 10_000, 1_000_000] {
-        let weights: Vec<f64> = (0..customers).map(|rank| 1.0 / (rank as f64 + 1.0)).collect();
+        let weights: Vec<f64> = (0..customers)
+            .map(|rank| 1.0 / (rank as f64 + 1.0))
+            .collect();
         let alias = Alias::new(&weights);
         let plain = Sums::new(&weights);
         let mut dice = Dice::new(1);
         let begun = Instant::now();
-        let one: usize = (0..2_000_000).map(|_| alias.draw(&mut dice)).fold(0, usize::wrapping_add);
+        let one: usize = (0..2_000_000)
+            .map(|_| alias.draw(&mut dice))
+            .fold(0, usize::wrapping_add);
         let by_alias = begun.elapsed().as_nanos() as f64 / 2e6;
         let begun = Instant::now();
-        let other: usize = (0..2_000_000).map(|_| plain.draw(&mut dice)).fold(0, usize::wrapping_add);
+        let other: usize = (0..2_000_000)
+            .map(|_| plain.draw(&mut dice))
+            .fold(0, usize::wrapping_add);
         let by_sums = begun.elapsed().as_nanos() as f64 / 2e6;
         println!(
             "{customers} customers: alias {by_alias:.0} ns, search in sums {by_sums:.0} ns ({})",
@@ -116,6 +122,8 @@
             }
         }
         let by_calendar = begun.elapsed().as_nanos() as f64 / 2e6;
-        println!("{events} events: binary heap {by_heap:.0} ns, calendar queue {by_calendar:.0} ns");
+        println!(
+            "{events} events: binary heap {by_heap:.0} ns, calendar queue {by_calendar:.0} ns"
+        );
     }
 }
--- a/crates/model/src/agents.rs
+++ b/crates/model/src/agents.rs
@@ -1,10 +1,12 @@
 //! Discovery's agents, one beside each door: what each knows of the list, when it speaks, and where the door follows it. The
 //! real follower and roster stand between an agent's words and the decision module; this file plays the other end.
 
-use maplefall_discovery_agent::{CallId, Follower, Heard, Output, Settings, What, HEARTBEAT, TOLD_WITHIN};
+use maplefall_discovery_agent::{
+    CallId, Follower, Heard, Output, Settings, What, HEARTBEAT, TOLD_WITHIN,
+};
+use maplefall_membership::{Roster, SourceSettings};
 use maplefall_policy::{Availability, BackendEntry};
 use maplefall_protocol::{Health, Member, Members};
-use maplefall_membership::{Roster, SourceSettings};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -28,14 +30,22 @@
 
     /// The entries as they last were among the changes after `from` and up to `to`.
     fn between(&self, from: u64, to: u64) -> BTreeMap<u32, BackendEntry> {
-        let changes = self.changes.get(from as usize..to as usize).unwrap_or_default();
-        changes.iter().flatten().map(|entry| (entry.id.0, *entry)).collect()
+        let changes = self
+            .changes
+            .get(from as usize..to as usize)
+            .unwrap_or_default();
+        changes
+            .iter()
+            .flatten()
+            .map(|entry| (entry.id.0, *entry))
+            .collect()
     }
 
     /// The change that made this version.
     pub fn change(&self, version: u64) -> &[BackendEntry] {
         let at = (version as usize).checked_sub(1);
-        at.and_then(|at| self.changes.get(at)).map_or(&[], Vec::as_slice)
+        at.and_then(|at| self.changes.get(at))
+            .map_or(&[], Vec::as_slice)
     }
 
     /// What an agent that has heard of versions up to `knows` answers to who asks from `from`: the whole list to one that asks
@@ -43,9 +53,14 @@
     fn answer(&self, from: Option<u64>, knows: u64) -> Members {
         let since = from.filter(|from| *from <= knows);
         let entries = self.between(since.unwrap_or(0), knows);
-        let listed = |entry: &&BackendEntry| since.is_some() || entry.availability != Availability::Gone;
+        let listed =
+            |entry: &&BackendEntry| since.is_some() || entry.availability != Availability::Gone;
         let hosts = entries.values().filter(listed).map(member).collect();
-        Members { seq: knows, whole: since.is_none(), hosts }
+        Members {
+            seq: knows,
+            whole: since.is_none(),
+            hosts,
+        }
     }
 }
 
@@ -123,7 +138,15 @@
 fn follower(known: Members, seed: u64, at: usize, now: f64) -> Follower {
     let places = vec![place(at)];
     Follower::new(
-        Settings { source: 0, own: true, sharing: 1, stop_within: 500.0, seed, places, known: Some(known) },
+        Settings {
+            source: 0,
+            own: true,
+            sharing: 1,
+            stop_within: 500.0,
+            seed,
+            places,
+            known: Some(known),
+        },
         now,
     )
 }
@@ -151,7 +174,11 @@
     /// The door starts again with the list that it last had.
     pub fn restart(&mut self, seed: u64, now: f64) {
         let hosts = self.roster.members().cloned().collect();
-        let known = Members { seq: self.said, whole: true, hosts };
+        let known = Members {
+            seq: self.said,
+            whole: true,
+            hosts,
+        };
         self.roster = Roster::new(vec![SourceSettings::trusted("agent")]);
         self.roster.recall(now, 0, &known);
         self.calls.clear();
@@ -210,9 +237,20 @@
             Some(told) if told == self.knows[call.place] => Some(call.said + HEARTBEAT),
             _ => Some(now),
         };
-        let words = self.calls.iter().filter_map(speaks).map(|at| at.max(self.silent_until));
-        let closes = self.calls.iter().filter(|call| call.place == 0).map(|_| self.closes_at);
-        let due = words.chain(closes).chain(self.follower.next_due()).min_by(f64::total_cmp);
+        let words = self
+            .calls
+            .iter()
+            .filter_map(speaks)
+            .map(|at| at.max(self.silent_until));
+        let closes = self
+            .calls
+            .iter()
+            .filter(|call| call.place == 0)
+            .map(|_| self.closes_at);
+        let due = words
+            .chain(closes)
+            .chain(self.follower.next_due())
+            .min_by(f64::total_cmp);
         due.filter(|due| due.is_finite()).map(|due| due.max(now))
     }
 
@@ -224,7 +262,12 @@
             entries.extend(self.carry_out(now, out));
         }
         if now >= self.closes_at {
-            let closed: Vec<CallId> = self.calls.iter().filter(|c| c.place == 0).map(|c| c.id).collect();
+            let closed: Vec<CallId> = self
+                .calls
+                .iter()
+                .filter(|c| c.place == 0)
+                .map(|c| c.id)
+                .collect();
             for call in closed {
                 entries.extend(self.end(now, call, "closed"));
             }
@@ -232,10 +275,17 @@
         while let Some((call, text)) = self.next_word(now, history) {
             let out = self.follower.heard_of(now, call, Heard::Line(text));
             entries.extend(self.carry_out(now, out));
-            let whole = self.calls.iter().any(|open| open.id == call && open.what == What::Whole);
+            let whole = self
+                .calls
+                .iter()
+                .any(|open| open.id == call && open.what == What::Whole);
             if whole {
                 self.calls.retain(|open| open.id != call);
-                let out = self.follower.heard_of(now, call, Heard::Ended(maplefall_discovery_agent::End::Whole));
+                let out = self.follower.heard_of(
+                    now,
+                    call,
+                    Heard::Ended(maplefall_discovery_agent::End::Whole),
+                );
                 entries.extend(self.carry_out(now, out));
             }
         }
@@ -260,7 +310,11 @@
             });
             (call.told, call.said) = (Some(knows), now);
             self.said = self.said.max(knows);
-            let text = if news { line(&history.answer(from, knows)) } else { Vec::new() };
+            let text = if news {
+                line(&history.answer(from, knows))
+            } else {
+                Vec::new()
+            };
             return Some((call.id, text));
         }
         None
@@ -268,8 +322,11 @@
 
     fn end(&mut self, now: f64, call: CallId, why: &str) -> Vec<BackendEntry> {
         self.calls.retain(|open| open.id != call);
-        let out =
-            self.follower.heard_of(now, call, Heard::Ended(maplefall_discovery_agent::End::Broken(why.to_owned())));
+        let out = self.follower.heard_of(
+            now,
+            call,
+            Heard::Ended(maplefall_discovery_agent::End::Broken(why.to_owned())),
+        );
         self.carry_out(now, out)
     }
 
@@ -277,7 +334,11 @@
         let mut entries = Vec::new();
         for output in out {
             match output {
-                Output::Ask { call, place: to, what } => {
+                Output::Ask {
+                    call,
+                    place: to,
+                    what,
+                } => {
                     let at = usize::from(to == place(1));
                     // Nobody answers at a place that is closed, or not open yet.
                     if (at == 0 && now >= self.closes_at) || at > self.place {
--- a/crates/model/src/backend.rs
+++ b/crates/model/src/backend.rs
@@ -76,7 +76,9 @@
 
     /// Part of its capacity that it has now.
     pub fn warmth(&self, now: f64) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         let part = ((now - started) / self.shape.cold_ms.max(1.0)).clamp(0.0, 1.0);
         self.shape.cold_from + (1.0 - self.shape.cold_from) * part
     }
@@ -125,7 +127,14 @@
     }
 
     /// Whether what was sent to it while cold is over the multiple of its present capacity within the window.
-    pub fn pushed_over(&mut self, now: f64, work: f64, multiple: f64, window: f64, slack: f64) -> bool {
+    pub fn pushed_over(
+        &mut self,
+        now: f64,
+        work: f64,
+        multiple: f64,
+        window: f64,
+        slack: f64,
+    ) -> bool {
         let warmth = self.warmth(now);
         if warmth >= 1.0 {
             self.recent.clear();
--- a/crates/model/src/bound.rs
+++ b/crates/model/src/bound.rs
@@ -88,10 +88,17 @@
     let doors = case.doors as f64;
     // A group of doors: the part of the requests that come through it, and through one door of it.
     let even = (1.0 - case.uneven) / doors;
-    let groups = [(case.uneven + even, case.uneven + even), (even * (doors - 1.0), even)];
+    let groups = [
+        (case.uneven + even, case.uneven + even),
+        (even * (doors - 1.0), even),
+    ];
     let mut problem = Problem::new(OptimizationDirection::Maximize);
     let room = 1.0 + case.burst_s / case.seconds;
-    let offered: f64 = case.parts.iter().map(|(part, share)| share * part.min(room)).sum();
+    let offered: f64 = case
+        .parts
+        .iter()
+        .map(|(part, share)| share * part.min(room))
+        .sum();
     // What is let in of each part is the sum of these; each is a variable and its factor.
     let mut let_in: Vec<Vec<(Variable, f64)>> = vec![Vec::new(); case.parts.len()];
     for stretch in 0..STRETCHES {
@@ -109,10 +116,16 @@
                 continue;
             }
             let count = places(mean * most);
-            let rule: Vec<Variable> = (0..count).map(|_| problem.add_var(0.0, (0.0, 1.0))).collect();
+            let rule: Vec<Variable> = (0..count)
+                .map(|_| problem.add_var(0.0, (0.0, 1.0)))
+                .collect();
             for ((part, _), terms) in case.parts.iter().zip(&mut let_in) {
                 let chances = poisson(mean * part, count);
-                terms.extend(rule.iter().zip(&chances).map(|(var, chance)| (*var, part * whole * chance)));
+                terms.extend(
+                    rule.iter()
+                        .zip(&chances)
+                        .map(|(var, chance)| (*var, part * whole * chance)),
+                );
             }
         }
     }
@@ -127,9 +140,21 @@
         ends.push((weight, inside, beyond));
     }
     let solved = problem.solve().map_err(|error| error.to_string())?;
-    let solution = solved.into_solution().map_err(|_| "the solver stopped before it was done".to_owned())?;
+    let solution = solved
+        .into_solution()
+        .map_err(|_| "the solver stopped before it was done".to_owned())?;
     let value = |of: &Variable| solution.var_value(*of);
-    let worth = ends.iter().map(|(weight, inside, _)| weight * value(inside)).sum();
-    let over = ends.iter().map(|(weight, _, beyond)| weight * value(beyond)).sum();
-    Ok(Bound { worth, over, value: worth - case.cost * over })
+    let worth = ends
+        .iter()
+        .map(|(weight, inside, _)| weight * value(inside))
+        .sum();
+    let over = ends
+        .iter()
+        .map(|(weight, _, beyond)| weight * value(beyond))
+        .sum();
+    Ok(Bound {
+        worth,
+        over,
+        value: worth - case.cost * over,
+    })
 }
--- a/crates/model/src/chance.rs
+++ b/crates/model/src/chance.rs
@@ -41,8 +41,8 @@
     /// Log-normally with this mean and coefficient of variation (by Box and Muller).
     pub fn log_normal(&mut self, mean: f64, cv: f64) -> f64 {
         let variance = (1.0 + cv * cv).ln();
-        let normal =
-            (-2.0 * (1.0 - self.one()).ln()).sqrt() * (2.0 * std::f64::consts::PI * self.one()).cos();
+        let normal = (-2.0 * (1.0 - self.one()).ln()).sqrt()
+            * (2.0 * std::f64::consts::PI * self.one()).cos();
         mean * (normal * variance.sqrt() - variance / 2.0).exp()
     }
 }
@@ -61,10 +61,16 @@
         let sum: f64 = weights.iter().sum();
         let count = weights.len();
         if sum <= 0.0 || !sum.is_finite() {
-            return Alias { places: (0..count).map(|at| (1.0, at as u32)).collect() };
+            return Alias {
+                places: (0..count).map(|at| (1.0, at as u32)).collect(),
+            };
         }
-        let mut parts: Vec<f64> = weights.iter().map(|weight| weight * count as f64 / sum).collect();
-        let (mut small, mut large): (Vec<usize>, Vec<usize>) = (0..count).partition(|at| parts[*at] < 1.0);
+        let mut parts: Vec<f64> = weights
+            .iter()
+            .map(|weight| weight * count as f64 / sum)
+            .collect();
+        let (mut small, mut large): (Vec<usize>, Vec<usize>) =
+            (0..count).partition(|at| parts[*at] < 1.0);
         let mut places: Vec<(f64, u32)> = (0..count).map(|at| (1.0, at as u32)).collect();
         while let (Some(less), Some(&more)) = (small.pop(), large.last()) {
             places[less] = (parts[less], more as u32);
--- a/crates/model/src/compare.rs
+++ b/crates/model/src/compare.rs
@@ -28,7 +28,11 @@
 
 /// Compares figures of the same seeds, the second less the first; `None` without a pair.
 pub fn paired(first: &[f64], second: &[f64], seed: u64) -> Option<Difference> {
-    let off: Vec<f64> = first.iter().zip(second).map(|(first, second)| second - first).collect();
+    let off: Vec<f64> = first
+        .iter()
+        .zip(second)
+        .map(|(first, second)| second - first)
+        .collect();
     if off.is_empty() {
         return None;
     }
@@ -42,5 +46,10 @@
         .collect();
     means.sort_by(f64::total_cmp);
     let at = |part: f64| means[((SAMPLES - 1) as f64 * part) as usize];
-    Some(Difference { pairs: off.len(), mean: mean(&off), from: at(0.025), to: at(0.975) })
+    Some(Difference {
+        pairs: off.len(),
+        mean: mean(&off),
+        from: at(0.025),
+        to: at(0.975),
+    })
 }
--- a/crates/model/src/door.rs
+++ b/crates/model/src/door.rs
@@ -73,15 +73,23 @@
     }
 
     fn lets_in(&mut self, now: Millis, request: &Request) -> bool {
-        let Some(plan) = self.set.plans.get(request.plan.0) else { return false };
+        let Some(plan) = self.set.plans.get(request.plan.0) else {
+            return false;
+        };
         let parts = match self.admission {
             Admission::None => return true,
             Admission::Even => request.spread.max(1.0),
             Admission::Whole => 1.0,
         };
         // A part of the burst holds one of the largest requests at least: else nothing would ever be let in.
-        let (rate, burst) = (plan.rate / parts, (plan.burst / parts).max(self.set.max_units));
-        let store = self.stores.entry(request.customer).or_insert(Store::full(burst, now));
+        let (rate, burst) = (
+            plan.rate / parts,
+            (plan.burst / parts).max(self.set.max_units),
+        );
+        let store = self
+            .stores
+            .entry(request.customer)
+            .or_insert(Store::full(burst, now));
         let holds = store.holds(now, rate, burst, request.units);
         if holds {
             store.left -= request.units;
@@ -103,7 +111,10 @@
             }
             Choice::LeastOut => {
                 let from = self.dice.below(count);
-                (0..count).map(|at| (at + from) % count).min_by_key(|at| out(&self.ready[*at])).unwrap_or(0)
+                (0..count)
+                    .map(|at| (at + from) % count)
+                    .min_by_key(|at| out(&self.ready[*at]))
+                    .unwrap_or(0)
             }
             Choice::TwoChoices => {
                 let (one, other) = (self.dice.below(count), self.dice.below(count));
@@ -159,11 +170,24 @@
                         *self.out.entry(backend).or_default() += 1;
                         self.at.insert(request.id, backend);
                         let limit = Some(request.deadline - now);
-                        actions.push(Action::Send { request: request.id, backend, limit, care: Care::Usual });
+                        actions.push(Action::Send {
+                            request: request.id,
+                            backend,
+                            limit,
+                            care: Care::Usual,
+                        });
                     }
                     None => {
-                        let reason = if let_in { Reason::Backends } else { Reason::Slice };
-                        actions.push(Action::Refuse { request: request.id, reason, retry_after: None });
+                        let reason = if let_in {
+                            Reason::Backends
+                        } else {
+                            Reason::Slice
+                        };
+                        actions.push(Action::Refuse {
+                            request: request.id,
+                            reason,
+                            retry_after: None,
+                        });
                     }
                 }
             }
--- a/crates/model/src/frontier.rs
+++ b/crates/model/src/frontier.rs
@@ -62,22 +62,37 @@
         return Err("demand: groups without spikes were expected".to_owned());
     }
     if world.meter_ms > 0.0 {
-        return Err("meter_ms: 0 was expected, the bound is for doors that see their own arrivals".to_owned());
+        return Err(
+            "meter_ms: 0 was expected, the bound is for doors that see their own arrivals"
+                .to_owned(),
+        );
     }
     // All plans are scaled by one factor to the load; its bursts keep their length, but for the least.
     let shares: f64 = world.demand.iter().map(|group| group.share).sum();
     let mid = |group: &crate::world::DemandSpec| 0.5 * (group.part[0] + group.part[1]);
-    let within: f64 = world.demand.iter().map(|group| group.share / shares * mid(group).min(1.0)).sum();
+    let within: f64 = world
+        .demand
+        .iter()
+        .map(|group| group.share / shares * mid(group).min(1.0))
+        .sum();
     let rate = world.requests_per_second() * world.units / (world.customers as f64 * within);
     let burst = (plan.burst * rate / plan.rate).max(2.0 * world.most_units);
     Ok(Case {
-        doors: if world.spread == 0 { world.doors } else { world.spread.min(world.doors) },
+        doors: if world.spread == 0 {
+            world.doors
+        } else {
+            world.spread.min(world.doors)
+        },
         uneven: world.uneven,
         seconds: world.seconds,
         burst_s: burst / rate,
         requests_per_second: rate / world.units,
         tries: world.retries + 1,
-        parts: world.demand.iter().map(|group| (mid(group), group.share / shares)).collect(),
+        parts: world
+            .demand
+            .iter()
+            .map(|group| (mid(group), group.share / shares))
+            .collect(),
         cost,
     })
 }
@@ -88,7 +103,14 @@
 /// As [`case`] and [`bound`].
 pub fn bound_of(world: &World, cost: f64) -> Result<Point, String> {
     let Bound { worth, over, value } = bound(&case(world, cost)?)?;
-    Ok(Point { doors: world.doors, uneven: world.uneven, who: "bound".to_owned(), worth, over, value })
+    Ok(Point {
+        doors: world.doors,
+        uneven: world.uneven,
+        who: "bound".to_owned(),
+        worth,
+        over,
+        value,
+    })
 }
 
 /// The points of a place from its runs: a group for each of [`WHO`], in their order.
@@ -102,7 +124,13 @@
     };
     let point = |(runs, (who, ..)): (&[crate::Outcome], &(&str, Choice, Admission))| {
         let (worth, over) = (mean(runs, |one| one.worth), mean(runs, |one| one.over));
-        Point { who: (*who).to_owned(), worth, over, value: worth - cost * over, ..place.clone() }
+        Point {
+            who: (*who).to_owned(),
+            worth,
+            over,
+            value: worth - cost * over,
+            ..place.clone()
+        }
     };
     groups.take(WHO.len()).zip(&WHO).map(point).collect()
 }
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -152,26 +152,60 @@
 
 fn carry_out(command: Command) -> Result<(), Vec<String>> {
     match command {
-        Command::Run { world, seed, seeds, jobs } => {
+        Command::Run {
+            world,
+            seed,
+            seeds,
+            jobs,
+        } => {
             let world = read(&world)?;
-            let runs = (seed..seed.saturating_add(seeds)).map(|seed| (world.clone(), seed)).collect();
-            tell(runs, jobs, |_, outcome| serde_json::to_string(outcome).unwrap_or_default())
+            let runs = (seed..seed.saturating_add(seeds))
+                .map(|seed| (world.clone(), seed))
+                .collect();
+            tell(runs, jobs, |_, outcome| {
+                serde_json::to_string(outcome).unwrap_or_default()
+            })
         }
-        Command::Sweep { world, over, seeds, jobs } => sweep(&world, &over, seeds, jobs),
-        Command::Plot { results, x, y, by, out } => {
+        Command::Sweep {
+            world,
+            over,
+            seeds,
+            jobs,
+        } => sweep(&world, &over, seeds, jobs),
+        Command::Plot {
+            results,
+            x,
+            y,
+            by,
+            out,
+        } => {
             let named = |error: std::io::Error| vec![format!("{}: {error}", results.display())];
             let text = std::fs::read_to_string(&results).map_err(named)?;
             plot::draw(&text, &x, &y, by.as_deref(), &out).map_err(|error| vec![error])
         }
-        Command::Frontier { world, doors, uneven, cost, seeds, jobs, json } => {
+        Command::Frontier {
+            world,
+            doors,
+            uneven,
+            cost,
+            seeds,
+            jobs,
+            json,
+        } => {
             let base = read(&world)?;
             let named = |line: String| vec![format!("{}: {line}", world.display())];
-            let places: Vec<(usize, f64)> =
-                doors.iter().flat_map(|doors| uneven.iter().map(move |uneven| (*doors, *uneven))).collect();
+            let places: Vec<(usize, f64)> = doors
+                .iter()
+                .flat_map(|doors| uneven.iter().map(move |uneven| (*doors, *uneven)))
+                .collect();
             let mut bounds = Vec::new();
             let mut runs = Vec::new();
             for (doors, uneven) in &places {
-                let here = World { doors: *doors, uneven: *uneven, ..base.clone() };
+                let here = World {
+                    doors: *doors,
+                    uneven: *uneven,
+                    ..base.clone()
+                };
                 let found = here.mistakes();
                 if !found.is_empty() {
                     return Err(found.into_iter().flat_map(named).collect());
@@ -196,9 +230,13 @@
                 }
                 let cells: Vec<String> = points
                     .iter()
-                    .map(|point| format!("{:.3} ({:.3}, {:.3})", point.value, point.worth, point.over))
+                    .map(|point| {
+                        format!("{:.3} ({:.3}, {:.3})", point.value, point.worth, point.over)
+                    })
                     .collect();
-                let part = points.first().map_or(0.0, |module| module.value / bound.value);
+                let part = points
+                    .first()
+                    .map_or(0.0, |module| module.value / bound.value);
                 println!(
                     "{} {} | {:.3} ({:.3}, {:.3}) | {} {:.3} | {}",
                     bound.doors,
@@ -213,13 +251,25 @@
             }
             Ok(())
         }
-        Command::Search { world, breaks, seeds, runs } => {
+        Command::Search {
+            world,
+            breaks,
+            seeds,
+            runs,
+        } => {
             let base = read(&world)?;
-            let looked_for = Looked::read(&breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
+            let looked_for =
+                Looked::read(&breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
             match search(&base, &looked_for, seeds, runs) {
                 Some(found) => {
-                    eprintln!("{} at seed {} after {} runs", found.what, found.seed, found.runs);
-                    print!("{}", toml::to_string(&found.world).map_err(|error| vec![error.to_string()])?);
+                    eprintln!(
+                        "{} at seed {} after {} runs",
+                        found.what, found.seed, found.runs
+                    );
+                    print!(
+                        "{}",
+                        toml::to_string(&found.world).map_err(|error| vec![error.to_string()])?
+                    );
                 }
                 None => println!("not seen in {seeds} seeds"),
             }
@@ -235,18 +285,33 @@
             }
             Ok(())
         }
-        Command::Compare { first, second, figure, seeds, jobs } => {
+        Command::Compare {
+            first,
+            second,
+            figure,
+            seeds,
+            jobs,
+        } => {
             let worlds = [read(&first)?, read(&second)?];
             let runs = worlds
                 .iter()
                 .flat_map(|world| (1..=seeds).map(move |seed| (world.clone(), seed)))
                 .collect::<Vec<_>>();
             let outcomes = all(&runs, jobs);
-            let figures: Option<Vec<f64>> = outcomes.iter().map(|outcome| outcome.field(&figure)).collect();
-            let figures = figures.ok_or(vec![format!("--figure: {figure} is no figure of a run")])?;
+            let figures: Option<Vec<f64>> = outcomes
+                .iter()
+                .map(|outcome| outcome.field(&figure))
+                .collect();
+            let figures =
+                figures.ok_or(vec![format!("--figure: {figure} is no figure of a run")])?;
             let (one, other) = figures.split_at(seeds as usize);
-            let found = paired(one, other, 1).ok_or(vec!["--seeds: one at least was expected".to_owned()])?;
-            let word = if found.seen() { "" } else { "no difference seen: " };
+            let found = paired(one, other, 1)
+                .ok_or(vec!["--seeds: one at least was expected".to_owned()])?;
+            let word = if found.seen() {
+                ""
+            } else {
+                "no difference seen: "
+            };
             println!(
                 "{word}{figure}: {:+.4} ({:+.4} to {:+.4}, 95 of 100) over {} pairs",
                 found.mean, found.from, found.to, found.pairs
@@ -263,11 +328,13 @@
 }
 
 fn sweep(path: &Path, over: &[String], seeds: u64, jobs: usize) -> Result<(), Vec<String>> {
-    let text = std::fs::read_to_string(path).map_err(|error| vec![format!("{}: {error}", path.display())])?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|error| vec![format!("{}: {error}", path.display())])?;
     let mut grid: Vec<Vec<(String, toml::Value)>> = vec![Vec::new()];
     for one in over {
-        let (field, values) =
-            one.split_once('=').ok_or(vec![format!("--over: field=value,... was expected, not {one}")])?;
+        let (field, values) = one.split_once('=').ok_or(vec![format!(
+            "--over: field=value,... was expected, not {one}"
+        )])?;
         let mut next = Vec::new();
         for value in values.split(',') {
             let read: toml::Table = toml::from_str(&format!("x = {value}"))
@@ -281,7 +348,9 @@
         }
         grid = next;
         if grid.len() as u64 * seeds > MOST_RUNS as u64 {
-            return Err(vec![format!("--over: {MOST_RUNS} runs at most were expected")]);
+            return Err(vec![format!(
+                "--over: {MOST_RUNS} runs at most were expected"
+            )]);
         }
     }
     let mut runs = Vec::new();
@@ -299,14 +368,20 @@
         for seed in 1..=seeds {
             runs.push((world.clone(), seed));
             points.push(
-                point.iter().map(|(field, value)| (field.clone(), value.to_string())).collect::<Vec<_>>(),
+                point
+                    .iter()
+                    .map(|(field, value)| (field.clone(), value.to_string()))
+                    .collect::<Vec<_>>(),
             );
         }
     }
     tell(runs, jobs, move |at, outcome| {
         let mut line = serde_json::Map::new();
         for (field, value) in &points[at] {
-            line.insert(field.clone(), serde_json::Value::String(value.trim_matches('"').to_owned()));
+            line.insert(
+                field.clone(),
+                serde_json::Value::String(value.trim_matches('"').to_owned()),
+            );
         }
         let whole = serde_json::to_value(outcome).unwrap_or_default();
         for (name, value) in whole.as_object().into_iter().flatten() {
@@ -325,11 +400,15 @@
     let printed = Mutex::new((0usize, std::collections::BTreeMap::new()));
     side_by_side(&runs, jobs, |at, outcome| {
         let text = line(at, &outcome);
-        let mut printed = printed.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut printed = printed
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         printed.1.insert(at, text);
         loop {
             let next = printed.0;
-            let Some(text) = printed.1.remove(&next) else { break };
+            let Some(text) = printed.1.remove(&next) else {
+                break;
+            };
             // A reader that has gone needs no more lines.
             let _ = writeln!(std::io::stdout(), "{text}");
             printed.0 += 1;
@@ -341,9 +420,13 @@
 fn all(runs: &[(World, u64)], jobs: usize) -> Vec<Outcome> {
     let outcomes = Mutex::new(vec![Outcome::default(); runs.len()]);
     side_by_side(runs, jobs, |at, outcome| {
-        outcomes.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[at] = outcome;
+        outcomes
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)[at] = outcome;
     });
-    outcomes.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner)
+    outcomes
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// Plays all on so many threads, each run alone on its own.
@@ -353,7 +436,9 @@
         for _ in 0..jobs.clamp(1, 64).min(runs.len()) {
             scope.spawn(|| loop {
                 let at = next.fetch_add(1, Ordering::Relaxed);
-                let Some((world, seed)) = runs.get(at) else { return };
+                let Some((world, seed)) = runs.get(at) else {
+                    return;
+                };
                 done(at, play(world, *seed));
             });
         }
--- a/crates/model/src/metrics.rs
+++ b/crates/model/src/metrics.rs
@@ -86,9 +86,13 @@
     pub fn field(&self, name: &str) -> Option<f64> {
         let whole = serde_json::to_value(self).ok()?;
         match name.split_once('.') {
-            Some((table, row)) => {
-                Some(whole.get(table)?.as_object()?.get(row).map_or(0.0, |v| v.as_f64().unwrap_or(0.0)))
-            }
+            Some((table, row)) => Some(
+                whole
+                    .get(table)?
+                    .as_object()?
+                    .get(row)
+                    .map_or(0.0, |v| v.as_f64().unwrap_or(0.0)),
+            ),
             None => whole.get(name)?.as_f64(),
         }
     }
--- a/crates/model/src/plot.rs
+++ b/crates/model/src/plot.rs
@@ -20,16 +20,27 @@
     for (at, line) in text.lines().take(MOST_LINES).enumerate() {
         let result: Value =
             serde_json::from_str(line).map_err(|error| format!("line {}: {error}", at + 1))?;
-        let name = by.map_or(String::new(), |by| result[by].to_string().trim_matches('"').to_owned());
+        let name = by.map_or(String::new(), |by| {
+            result[by].to_string().trim_matches('"').to_owned()
+        });
         let points = series.entry(name).or_default();
         if x == "second" {
             let seconds = result["by_second"].as_array().into_iter().flatten();
-            points.extend(seconds.enumerate().filter_map(|(at, value)| Some((at as f64, number(value)?))));
+            points.extend(
+                seconds
+                    .enumerate()
+                    .filter_map(|(at, value)| Some((at as f64, number(value)?))),
+            );
             continue;
         }
         match (number(&result[x]), number(&result[y])) {
             (Some(x), Some(y)) => points.push((x, y)),
-            _ => return Err(format!("line {}: {x} and {y} were expected to be figures", at + 1)),
+            _ => {
+                return Err(format!(
+                    "line {}: {x} and {y} were expected to be figures",
+                    at + 1
+                ))
+            }
         }
     }
     if series.values().all(Vec::is_empty) {
@@ -49,7 +60,9 @@
             None => sums.push((x, y, 1.0)),
         }
     }
-    sums.into_iter().map(|(x, sum, count)| (x, sum / count)).collect()
+    sums.into_iter()
+        .map(|(x, sum, count)| (x, sum / count))
+        .collect()
 }
 
 /// Draws results to a file.
@@ -61,10 +74,16 @@
     let all = || series.values().flatten();
     let least = |of: fn(&(f64, f64)) -> f64| all().map(of).fold(f64::INFINITY, f64::min);
     let most = |of: fn(&(f64, f64)) -> f64| all().map(of).fold(f64::NEG_INFINITY, f64::max);
-    let (left, right, top) = (least(|point| point.0), most(|point| point.0), most(|point| point.1));
+    let (left, right, top) = (
+        least(|point| point.0),
+        most(|point| point.0),
+        most(|point| point.1),
+    );
     let bottom = least(|point| point.1).min(0.0);
-    let (right, top) =
-        (if right > left { right } else { left + 1.0 }, if top > bottom { top } else { bottom + 1.0 });
+    let (right, top) = (
+        if right > left { right } else { left + 1.0 },
+        if top > bottom { top } else { bottom + 1.0 },
+    );
     let failed = |error: &dyn std::fmt::Display| format!("{}: {error}", out.display());
     let root = SVGBackend::new(out, (900, 540)).into_drawing_area();
     root.fill(&WHITE).map_err(|error| failed(&error))?;
@@ -74,22 +93,39 @@
         .y_label_area_size(60)
         .build_cartesian_2d(left..right, bottom..top * 1.05)
         .map_err(|error| failed(&error))?;
-    let label = if x == "second" { "worth served in time" } else { y };
-    chart.configure_mesh().x_desc(x).y_desc(label).draw().map_err(|error| failed(&error))?;
+    let label = if x == "second" {
+        "worth served in time"
+    } else {
+        y
+    };
+    chart
+        .configure_mesh()
+        .x_desc(x)
+        .y_desc(label)
+        .draw()
+        .map_err(|error| failed(&error))?;
     for (at, (name, points)) in series.iter().enumerate() {
         let color = Palette99::pick(at).to_rgba();
         let line = LineSeries::new(means(points), color.stroke_width(2));
         let drawn = chart.draw_series(line).map_err(|error| failed(&error))?;
         if !name.is_empty() {
-            drawn.label(name).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color));
+            drawn
+                .label(name)
+                .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color));
         }
         if x != "second" {
-            let dots = points.iter().map(|point| Circle::new(*point, 3, color.filled()));
+            let dots = points
+                .iter()
+                .map(|point| Circle::new(*point, 3, color.filled()));
             chart.draw_series(dots).map_err(|error| failed(&error))?;
         }
     }
     if by.is_some() {
-        chart.configure_series_labels().border_style(BLACK).draw().map_err(|error| failed(&error))?;
+        chart
+            .configure_series_labels()
+            .border_style(BLACK)
+            .draw()
+            .map_err(|error| failed(&error))?;
     }
     root.present().map_err(|error| failed(&error))
 }
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -29,7 +29,9 @@
 
 impl<E> Ord for Due<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at
+            .total_cmp(&other.at)
+            .then(self.order.cmp(&other.order))
     }
 }
 
@@ -42,7 +44,10 @@
 
 impl<E> Default for Queue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), order: 0 }
+        Queue {
+            heap: BinaryHeap::new(),
+            order: 0,
+        }
     }
 }
 
@@ -50,7 +55,11 @@
     /// Adds an event.
     pub fn push(&mut self, at: f64, event: E) {
         self.order += 1;
-        self.heap.push(Reverse(Due { at, order: self.order, event }));
+        self.heap.push(Reverse(Due {
+            at,
+            order: self.order,
+            event,
+        }));
     }
 
     /// The next event and its time.
--- a/crates/model/src/run.rs
+++ b/crates/model/src/run.rs
@@ -23,7 +23,11 @@
     /// The next first try is made.
     Ask,
     /// A client tries again.
-    Again { first: usize, number: u32, door: Option<usize> },
+    Again {
+        first: usize,
+        number: u32,
+        door: Option<usize>,
+    },
     /// A try comes to its door.
     Come(u32),
     /// A client stops waiting for a try.
@@ -31,25 +35,48 @@
     /// An attempt comes to its backend.
     Reach(u64),
     /// A backend has done a job.
-    Done { backend: usize, life: u32, attempt: u64 },
+    Done {
+        backend: usize,
+        life: u32,
+        attempt: u64,
+    },
     /// The end of an attempt comes to its door.
     Reply(u64, policy::Outcome),
     /// An attempt's limit is over.
     Limit(u64),
     /// An alarm of a door's.
-    Alarm { door: usize, life: u32, alarm: AlarmId },
+    Alarm {
+        door: usize,
+        life: u32,
+        alarm: AlarmId,
+    },
     /// A door hears of backends.
-    Hear { door: usize, entries: Vec<BackendEntry> },
+    Hear {
+        door: usize,
+        entries: Vec<BackendEntry>,
+    },
     /// A door's agent hears of a version at one of its places.
-    Learn { door: usize, at: usize, version: u64 },
+    Learn {
+        door: usize,
+        at: usize,
+        version: u64,
+    },
     /// What a door's agent has to tell counts as told.
     Told { door: usize, version: u64 },
     /// Something is due between a door and its agent.
     Follow { door: usize, at: f64 },
     /// A door is told that its agent has moved.
-    Moved { door: usize, close_ms: f64, behind_ms: f64 },
+    Moved {
+        door: usize,
+        close_ms: f64,
+        behind_ms: f64,
+    },
     /// A door begins to stop; has stopped.
-    Stop { door: usize, stop_ms: f64, down_ms: f64 },
+    Stop {
+        door: usize,
+        stop_ms: f64,
+        down_ms: f64,
+    },
     /// See above.
     Stopped { door: usize, down_ms: f64 },
     /// A trouble begins.
@@ -63,7 +90,11 @@
     /// A backend's speed changes.
     Speed(usize, f64),
     /// The next request of a flood's customer, or of one that comes once, until then.
-    Flood { customer: usize, pause: f64, until: f64 },
+    Flood {
+        customer: usize,
+        pause: f64,
+        until: f64,
+    },
     /// A customer's spike begins.
     Spike(usize),
     /// See above.
@@ -294,15 +325,22 @@
 impl<'a> Run<'a> {
     fn new(world: &'a World, seed: u64) -> Run<'a> {
         let mut dice = Dice::new(seed);
-        let mut weights: Vec<f64> =
-            (0..world.customers).map(|rank| 1.0 / (rank as f64 + 1.0).powf(world.zipf)).collect();
+        let mut weights: Vec<f64> = (0..world.customers)
+            .map(|rank| 1.0 / (rank as f64 + 1.0).powf(world.zipf))
+            .collect();
         let plans = Alias::new(&world.plan.iter().map(|plan| plan.share).collect::<Vec<_>>());
         let plan_of: Vec<usize> = weights.iter().map(|_| plans.draw(&mut dice)).collect();
         let home: Vec<usize> = weights.iter().map(|_| dice.below(world.doors)).collect();
         let mut settings = settings(world);
         let (mut rate, mut groups) = (world.requests_per_second(), Vec::new());
         if !world.demand.is_empty() {
-            let shares = Alias::new(&world.demand.iter().map(|demand| demand.share).collect::<Vec<_>>());
+            let shares = Alias::new(
+                &world
+                    .demand
+                    .iter()
+                    .map(|demand| demand.share)
+                    .collect::<Vec<_>>(),
+            );
             let mut within = 0.0;
             for (weight, plan) in weights.iter_mut().zip(&plan_of) {
                 let group = shares.draw(&mut dice);
@@ -322,8 +360,12 @@
             let all: f64 = weights.iter().sum();
             let units = world.requests_per_second() * world.units;
             for (at, plan) in settings.plans.iter_mut().enumerate() {
-                let of: Vec<f64> =
-                    weights.iter().zip(&plan_of).filter(|(_, plan)| **plan == at).map(|(w, _)| *w).collect();
+                let of: Vec<f64> = weights
+                    .iter()
+                    .zip(&plan_of)
+                    .filter(|(_, plan)| **plan == at)
+                    .map(|(w, _)| *w)
+                    .collect();
                 let mean = of.iter().sum::<f64>() / of.len().max(1) as f64 / all * units;
                 let span = plan.burst / plan.rate;
                 plan.rate = (mean / world.usage).max(1e-3);
@@ -334,11 +376,18 @@
             if spec.ceiling > 0.0 {
                 let burst = (spec.ceiling * plan.burst).max(4.0 * world.most_units);
                 let slack = (0.1 * burst).max(world.most_units);
-                plan.ceiling = Some(policy::Ceiling { rate: spec.ceiling * plan.rate, burst, slack });
+                plan.ceiling = Some(policy::Ceiling {
+                    rate: spec.ceiling * plan.rate,
+                    burst,
+                    slack,
+                });
             }
         }
-        let customers =
-            plan_of.iter().zip(home).map(|(plan, home)| customer(&settings, *plan, home, 0.0)).collect();
+        let customers = plan_of
+            .iter()
+            .zip(home)
+            .map(|(plan, home)| customer(&settings, *plan, home, 0.0))
+            .collect();
         let meter_late = dice.within(world.meter_late_ms);
         let shape = Shape {
             cores: world.cores,
@@ -360,7 +409,13 @@
             customers,
             rate,
             groups,
-            classes: Alias::new(&world.class.iter().map(|class| class.share).collect::<Vec<_>>()),
+            classes: Alias::new(
+                &world
+                    .class
+                    .iter()
+                    .map(|class| class.share)
+                    .collect::<Vec<_>>(),
+            ),
             doors: Vec::new(),
             lives: vec![0; backends.len()],
             backends,
@@ -394,7 +449,13 @@
 
     fn policy(&mut self, door: usize) -> Box<dyn Policy> {
         let zone = policy::ZoneId((door % self.world.zones) as u32);
-        let (set, seed) = (policy::Settings { zone, ..self.settings.clone() }, self.dice.seed());
+        let (set, seed) = (
+            policy::Settings {
+                zone,
+                ..self.settings.clone()
+            },
+            self.dice.seed(),
+        );
         match self.world.choice {
             Choice::Module => Box::new(policy::Gateway::new(set, seed)),
             choice => Box::new(Plain::new(choice, self.world.admission, set, seed)),
@@ -402,14 +463,19 @@
     }
 
     fn begin(&mut self) {
-        let entries: BTreeMap<usize, BackendEntry> =
-            (0..self.backends.len()).map(|at| (at, self.entry(at, None))).collect();
-        self.history.push(&entries.values().copied().collect::<Vec<_>>());
+        let entries: BTreeMap<usize, BackendEntry> = (0..self.backends.len())
+            .map(|at| (at, self.entry(at, None)))
+            .collect();
+        self.history
+            .push(&entries.values().copied().collect::<Vec<_>>());
         for door in 0..self.world.doors {
             let policy = self.policy(door);
             let list = entries.clone();
             let (told, connected) = (BTreeMap::new(), BTreeMap::new());
-            let agent = self.world.agents.then(|| Beside::new(&self.history, door as u64, 0.0));
+            let agent = self
+                .world
+                .agents
+                .then(|| Beside::new(&self.history, door as u64, 0.0));
             self.doors.push(Door {
                 policy,
                 life: 0,
@@ -438,7 +504,8 @@
             }
         }
         for (at, trouble) in self.world.trouble.iter().enumerate() {
-            self.queue.push(trouble.at_s() * 1000.0, Happens::Trouble(at));
+            self.queue
+                .push(trouble.at_s() * 1000.0, Happens::Trouble(at));
         }
         self.outcome.over_by_plan = vec![0.0; self.world.plan.len()];
         self.outcome.worth_by_plan = vec![0.0; self.world.plan.len()];
@@ -453,11 +520,19 @@
             self.outcome.events += 1;
             match event {
                 Happens::Ask => self.ask(),
-                Happens::Again { first, number, door } => self.begin_try(first, number, door),
+                Happens::Again {
+                    first,
+                    number,
+                    door,
+                } => self.begin_try(first, number, door),
                 Happens::Come(id) => self.come(id),
                 Happens::GiveUp(id) => self.give_up(id),
                 Happens::Reach(attempt) => self.reach(attempt),
-                Happens::Done { backend, life, attempt } => self.done(backend, life, attempt),
+                Happens::Done {
+                    backend,
+                    life,
+                    attempt,
+                } => self.done(backend, life, attempt),
                 Happens::Reply(attempt, outcome) => self.settle(attempt, outcome),
                 Happens::Limit(attempt) => self.settle(attempt, policy::Outcome::Timeout),
                 Happens::Alarm { door, life, alarm } => {
@@ -475,11 +550,20 @@
                         self.follow(door);
                     }
                 }
-                Happens::Moved { door, close_ms, behind_ms } => self.agent_moves(door, close_ms, behind_ms),
-                Happens::Stop { door, stop_ms, down_ms } => {
+                Happens::Moved {
+                    door,
+                    close_ms,
+                    behind_ms,
+                } => self.agent_moves(door, close_ms, behind_ms),
+                Happens::Stop {
+                    door,
+                    stop_ms,
+                    down_ms,
+                } => {
                     if self.doors[door].up && !self.doors[door].stopping {
                         self.doors[door].stopping = true;
-                        self.queue.push(self.now + stop_ms, Happens::Stopped { door, down_ms });
+                        self.queue
+                            .push(self.now + stop_ms, Happens::Stopped { door, down_ms });
                     }
                 }
                 Happens::Stopped { door, down_ms } => {
@@ -493,10 +577,21 @@
                 Happens::Drain(backend) => self.drain(backend),
                 Happens::End(backend) => self.end(backend),
                 Happens::Speed(backend, factor) => self.backends[backend].speed *= factor,
-                Happens::Flood { customer, pause, until } => {
+                Happens::Flood {
+                    customer,
+                    pause,
+                    until,
+                } => {
                     if self.now < until {
                         let next = self.now + self.dice.exponential(pause);
-                        self.queue.push(next, Happens::Flood { customer, pause, until });
+                        self.queue.push(
+                            next,
+                            Happens::Flood {
+                                customer,
+                                pause,
+                                until,
+                            },
+                        );
                         self.ask_for(customer);
                     } else {
                         self.customers[customer].through = 0;
@@ -527,7 +622,12 @@
     /// One way between a door and a backend.
     fn way(&mut self, door: usize, backend: usize) -> f64 {
         let cross = self.crosses(door, backend);
-        self.delay() + if cross { self.dice.within(self.world.cross_ms) } else { 0.0 }
+        self.delay()
+            + if cross {
+                self.dice.within(self.world.cross_ms)
+            } else {
+                0.0
+            }
     }
 
     fn crosses(&self, door: usize, backend: usize) -> bool {
@@ -559,7 +659,14 @@
         let pause = 1000.0 * self.world.units / (rate * demand.spike).max(1e-9);
         let end = self.world.seconds * 1000.0;
         let until = (self.now + demand.spike_s * 1000.0).min(end);
-        self.queue.push(self.now + self.dice.exponential(pause), Happens::Flood { customer, pause, until });
+        self.queue.push(
+            self.now + self.dice.exponential(pause),
+            Happens::Flood {
+                customer,
+                pause,
+                until,
+            },
+        );
         let next = self.now + demand.every_s * 1000.0 * self.dice.within([0.7, 1.3]);
         if next < end {
             self.queue.push(next, Happens::Spike(customer));
@@ -586,8 +693,11 @@
         };
         let true_units = units;
         if self.world.guess_cv > 0.0 {
-            units =
-                self.dice.log_normal(units, self.world.guess_cv).round().clamp(1.0, self.world.most_units);
+            units = self
+                .dice
+                .log_normal(units, self.world.guess_cv)
+                .round()
+                .clamp(1.0, self.world.most_units);
         }
         let now = self.now;
         let plan = &self.settings.plans[self.customers[customer].plan];
@@ -595,7 +705,8 @@
         if ideal.holds(now, plan.rate, plan.burst, units) {
             ideal.left = (ideal.left - true_units).min(plan.burst);
             self.offered += spec.worth * plan.price * true_units;
-            self.offered_by_plan[self.customers[customer].plan] += spec.worth * plan.price * true_units;
+            self.offered_by_plan[self.customers[customer].plan] +=
+                spec.worth * plan.price * true_units;
             if let Some(group) = self.groups.get(customer) {
                 self.offered_by_demand[*group].0 += spec.worth * plan.price * true_units;
                 self.offered_by_demand[*group].1 += true_units;
@@ -603,8 +714,16 @@
             self.offered_units += true_units;
         }
         self.outcome.first_tries += 1;
-        let one =
-            First { asked: now, customer, class, units, true_units, work, served: false, let_in: false };
+        let one = First {
+            asked: now,
+            customer,
+            class,
+            units,
+            true_units,
+            work,
+            served: false,
+            let_in: false,
+        };
         self.firsts.push(one);
         self.begin_try(self.firsts.len() - 1, 0, None);
     }
@@ -615,7 +734,11 @@
         let shifts = self.world.shift_s[1] > 0.0 && self.world.uneven > 0.0;
         if self.world.uneven > 0.0 && now >= self.customers[customer].until {
             let busiest = self.dice.below(spread);
-            let lasts = if shifts { self.dice.within(self.world.shift_s) * 1000.0 } else { f64::INFINITY };
+            let lasts = if shifts {
+                self.dice.within(self.world.shift_s) * 1000.0
+            } else {
+                f64::INFINITY
+            };
             let one = &mut self.customers[customer];
             (one.busiest, one.until) = (busiest, now + lasts.max(1.0));
         }
@@ -632,7 +755,9 @@
         };
         // A door that is down takes nothing; its clients find another one of the customer's set.
         let set = (0..spread).map(|at| (home + (from + at) % spread) % doors);
-        kept.into_iter().chain(set).find(|door| self.doors[*door].up && !self.doors[*door].stopping)
+        kept.into_iter()
+            .chain(set)
+            .find(|door| self.doors[*door].up && !self.doors[*door].stopping)
     }
 
     fn begin_try(&mut self, first: usize, number: u32, kept: Option<usize>) {
@@ -675,7 +800,9 @@
             spread => spread.min(self.doors.len()),
         };
         let ceiling = self.settings.plans[self.customers[customer].plan].ceiling;
-        let fits = ceiling.map_or(usize::MAX, |c| (c.burst / (2.0 * self.world.most_units)) as usize);
+        let fits = ceiling.map_or(usize::MAX, |c| {
+            (c.burst / (2.0 * self.world.most_units)) as usize
+        });
         most.min(fits.max(2)).min(self.doors.len())
     }
 
@@ -686,13 +813,19 @@
             let advised = advised.filter(|_| follows);
             let wait = advised.unwrap_or_else(|| self.dice.within(self.world.backoff_ms));
             let keeps = self.world.sticky > 0.0 && self.dice.one() < self.world.sticky;
-            let again = Happens::Again { first, number: number + 1, door: door.filter(|_| keeps) };
+            let again = Happens::Again {
+                first,
+                number: number + 1,
+                door: door.filter(|_| keeps),
+            };
             self.queue.push(self.now + wait, again);
         }
     }
 
     fn come(&mut self, id: u32) {
-        let Some(one) = self.tries.get(&id) else { return };
+        let Some(one) = self.tries.get(&id) else {
+            return;
+        };
         let (door, life) = (one.door, one.life);
         if !self.doors[door].up || self.doors[door].life != life {
             return self.lose(id);
@@ -724,9 +857,13 @@
         };
         let best = (0..self.backends.len())
             .filter(|at| {
-                self.backends[*at].up && self.backends[*at].drained.is_none() && !self.cut(door, *at)
+                self.backends[*at].up
+                    && self.backends[*at].drained.is_none()
+                    && !self.cut(door, *at)
             })
-            .min_by(|one, other| free(&self.backends[*one]).total_cmp(&free(&self.backends[*other])));
+            .min_by(|one, other| {
+                free(&self.backends[*one]).total_cmp(&free(&self.backends[*other]))
+            });
         let action = match best.filter(|_| room) {
             Some(backend) => Action::Send {
                 request: RequestId(id),
@@ -735,8 +872,16 @@
                 care: policy::Care::Usual,
             },
             None => {
-                let reason = if room { policy::Reason::Backends } else { policy::Reason::SoldOut };
-                Action::Refuse { request: RequestId(id), reason, retry_after: None }
+                let reason = if room {
+                    policy::Reason::Backends
+                } else {
+                    policy::Reason::SoldOut
+                };
+                Action::Refuse {
+                    request: RequestId(id),
+                    reason,
+                    retry_after: None,
+                }
             }
         };
         self.carry_out(door, action);
@@ -744,7 +889,9 @@
 
     /// A door was killed with a try in hand: its client notices and tries again.
     fn lose(&mut self, id: u32) {
-        let Some(one) = self.tries.get_mut(&id).filter(|one| !one.answered) else { return };
+        let Some(one) = self.tries.get_mut(&id).filter(|one| !one.answered) else {
+            return;
+        };
         one.answered = true;
         let (first, number) = (one.first, one.number);
         self.outcome.lost += 1;
@@ -753,7 +900,9 @@
     }
 
     fn give_up(&mut self, id: u32) {
-        let Some(one) = self.tries.get_mut(&id) else { return };
+        let Some(one) = self.tries.get_mut(&id) else {
+            return;
+        };
         if one.answered {
             self.forget(id);
             return;
@@ -769,13 +918,25 @@
 
     /// Lets go of a try that is answered and has no attempt out.
     fn forget(&mut self, id: u32) {
-        if self.tries.get(&id).is_some_and(|one| one.answered && one.out.is_none()) {
+        if self
+            .tries
+            .get(&id)
+            .is_some_and(|one| one.answered && one.out.is_none())
+        {
             self.tries.remove(&id);
         }
     }
 
-    fn answer(&mut self, id: u32, served: bool, advised: Option<f64>, refused: Option<policy::Reason>) {
-        let Some(one) = self.tries.get_mut(&id) else { return };
+    fn answer(
+        &mut self,
+        id: u32,
+        served: bool,
+        advised: Option<f64>,
+        refused: Option<policy::Reason>,
+    ) {
+        let Some(one) = self.tries.get_mut(&id) else {
+            return;
+        };
         if one.answered {
             self.outcome.doubled += 1;
             return;
@@ -796,7 +957,11 @@
                 if let Some(group) = self.groups.get(one.customer) {
                     self.outcome.worth_by_demand[*group] += worth;
                 }
-                if let Some(second) = self.outcome.by_second.get_mut((one.asked / 1000.0) as usize) {
+                if let Some(second) = self
+                    .outcome
+                    .by_second
+                    .get_mut((one.asked / 1000.0) as usize)
+                {
                     *second += worth;
                 }
             }
@@ -806,7 +971,11 @@
             *self.outcome.refusals.entry(reason.name()).or_default() += 1;
             let (customer, units) = (self.firsts[first].customer, self.firsts[first].units);
             if self.holds(customer, units) {
-                *self.outcome.refused_with_room.entry(reason.name()).or_default() += 1;
+                *self
+                    .outcome
+                    .refused_with_room
+                    .entry(reason.name())
+                    .or_default() += 1;
             }
             self.come_back(first, number, advised, Some(door));
         } else {
@@ -819,7 +988,9 @@
 
     fn tell(&mut self, door: usize, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.doors[door].policy.handle(self.now, event, &mut actions);
+        self.doors[door]
+            .policy
+            .handle(self.now, event, &mut actions);
         let mut done: Vec<Action> = std::mem::take(&mut actions);
         for action in done.drain(..) {
             self.carry_out(door, action);
@@ -829,12 +1000,17 @@
 
     fn carry_out(&mut self, door: usize, action: Action) {
         match action {
-            Action::Send { request, backend, limit, .. } => {
-                self.send(door, request.0, backend.0 as usize, limit)
-            }
-            Action::Refuse { request, reason, retry_after } => {
-                self.answer(request.0, false, retry_after, Some(reason))
-            }
+            Action::Send {
+                request,
+                backend,
+                limit,
+                ..
+            } => self.send(door, request.0, backend.0 as usize, limit),
+            Action::Refuse {
+                request,
+                reason,
+                retry_after,
+            } => self.answer(request.0, false, retry_after, Some(reason)),
             Action::Fail(request) => self.answer(request.0, false, None, None),
             Action::CallOff { request, .. } => {
                 let out = self.tries.get(&request.0).and_then(|one| one.out);
@@ -844,7 +1020,8 @@
             }
             Action::SetAlarm { at, alarm } => {
                 let life = self.doors[door].life;
-                self.queue.push(at.max(self.now), Happens::Alarm { door, life, alarm });
+                self.queue
+                    .push(at.max(self.now), Happens::Alarm { door, life, alarm });
             }
             _ => {}
         }
@@ -852,7 +1029,9 @@
 
     fn send(&mut self, door: usize, id: u32, backend: usize, limit: Option<f64>) {
         let now = self.now;
-        let Some(one) = self.tries.get_mut(&id) else { return };
+        let Some(one) = self.tries.get_mut(&id) else {
+            return;
+        };
         let number = one.sends;
         one.sends += 1;
         self.next_attempt += 1;
@@ -864,7 +1043,11 @@
             let units = self.firsts[first].units;
             let inside = self.holds(customer, units);
             let plan = self.settings.plans[self.customers[customer].plan].clone();
-            let period = if self.world.meter_ms > 0.0 { (now / self.world.meter_ms) as u64 } else { 0 };
+            let period = if self.world.meter_ms > 0.0 {
+                (now / self.world.meter_ms) as u64
+            } else {
+                0
+            };
             let held = &mut self.customers[customer];
             if inside {
                 held.store.left -= units;
@@ -889,8 +1072,10 @@
         }
         self.customers[customer].open += 1;
         self.sent += 1;
-        let late =
-            self.doors[door].told.get(&backend).is_some_and(|told| now > told.0 + self.world.drain_grace_ms);
+        let late = self.doors[door]
+            .told
+            .get(&backend)
+            .is_some_and(|told| now > told.0 + self.world.drain_grace_ms);
         self.outcome.late_sends += u64::from(late);
         let used = self.doors[door].connected.insert(backend, now);
         let mut dials = false;
@@ -905,7 +1090,17 @@
             }
         }
         let there = true;
-        let one = Attempt { id, number, backend, door, life, sent: now, first, settled: false, there };
+        let one = Attempt {
+            id,
+            number,
+            backend,
+            door,
+            life,
+            sent: now,
+            first,
+            settled: false,
+            there,
+        };
         self.attempts.insert(attempt, one);
         if dials {
             self.leave(attempt);
@@ -921,7 +1116,9 @@
 
     /// An attempt ends for its door, once.
     fn settle(&mut self, attempt: u64, outcome: policy::Outcome) {
-        let Some(one) = self.attempts.get_mut(&attempt) else { return };
+        let Some(one) = self.attempts.get_mut(&attempt) else {
+            return;
+        };
         let over = one.settled;
         one.settled = true;
         let one = one.clone();
@@ -938,20 +1135,34 @@
         };
         let served = outcome == policy::Outcome::Ok;
         self.customers[customer].open = self.customers[customer].open.saturating_sub(1);
-        if served && self.tries.get(&one.id).is_some_and(|held| held.inside && !held.answered) {
+        if served
+            && self
+                .tries
+                .get(&one.id)
+                .is_some_and(|held| held.inside && !held.answered)
+        {
             let burst = self.settings.plans[self.customers[customer].plan].burst;
             let store = &mut self.customers[customer].store;
             store.left = (store.left + units - true_units).min(burst);
         }
-        let answers = matches!(outcome, policy::Outcome::Ok | policy::Outcome::Error | policy::Outcome::Full);
-        let use_of_quota = if answers { self.use_of_quota(customer) } else { None };
+        let answers = matches!(
+            outcome,
+            policy::Outcome::Ok | policy::Outcome::Error | policy::Outcome::Full
+        );
+        let use_of_quota = if answers {
+            self.use_of_quota(customer)
+        } else {
+            None
+        };
         if let Some(held) = self.tries.get_mut(&one.id) {
             held.out = None;
         }
         if !alive {
             return self.forget(one.id);
         }
-        if outcome == policy::Outcome::Ok && self.tries.get(&one.id).is_some_and(|held| !held.answered) {
+        if outcome == policy::Outcome::Ok
+            && self.tries.get(&one.id).is_some_and(|held| !held.answered)
+        {
             self.answer(one.id, true, None, None);
         }
         let closed = self.tries.get(&one.id).is_none_or(|held| held.answered);
@@ -1004,8 +1215,12 @@
         self.doors[door].up = false;
         self.doors[door].stopping = false;
         self.doors[door].life += 1;
-        let held: Vec<u32> =
-            self.tries.iter().filter(|(_, one)| one.door == door).map(|(id, _)| *id).collect();
+        let held: Vec<u32> = self
+            .tries
+            .iter()
+            .filter(|(_, one)| one.door == door)
+            .map(|(id, _)| *id)
+            .collect();
         for id in held {
             self.lose(id);
         }
@@ -1013,7 +1228,9 @@
 
     fn learn(&mut self, door: usize, at: usize, version: u64) {
         let now = self.now;
-        let Some(agent) = &mut self.doors[door].agent else { return };
+        let Some(agent) = &mut self.doors[door].agent else {
+            return;
+        };
         agent.learn(at, version);
         if at == agent.place() {
             // What an agent has counts as told; while it is silent, once it speaks or some seconds later.
@@ -1043,15 +1260,28 @@
         let now = self.now;
         let up = self.doors[door].up;
         self.doors[door].behind_ms = behind_ms;
-        let Some(agent) = &mut self.doors[door].agent else { return };
+        let Some(agent) = &mut self.doors[door].agent else {
+            return;
+        };
         // It has what was known so long ago, and hears of the rest as late as of all that comes.
         let had = agent.version();
         let behind = had.saturating_sub((behind_ms / 100.0) as u64).max(1);
         agent.moved(now, behind, close_ms);
-        let entries = if up { agent.told_of_move(now) } else { Vec::new() };
+        let entries = if up {
+            agent.told_of_move(now)
+        } else {
+            Vec::new()
+        };
         for version in behind + 1..=had {
             let at = now + behind_ms * (version - behind) as f64 / (had - behind) as f64;
-            self.queue.push(at, Happens::Learn { door, at: 1, version });
+            self.queue.push(
+                at,
+                Happens::Learn {
+                    door,
+                    at: 1,
+                    version,
+                },
+            );
         }
         self.list_heard(door, entries);
         self.wait_for_agent(door);
@@ -1074,7 +1304,11 @@
     fn wait_for_agent(&mut self, door: usize) {
         let now = self.now;
         let held = &mut self.doors[door];
-        let due = held.agent.as_ref().filter(|_| held.up).and_then(|agent| agent.next_due(now));
+        let due = held
+            .agent
+            .as_ref()
+            .filter(|_| held.up)
+            .and_then(|agent| agent.next_due(now));
         // Heartbeats alone would go on for ever: they end once the last request that the world draws must be over.
         let end = self.world.seconds * 1000.0 + AFTER;
         if let Some(at) = due.filter(|at| *at < held.follow_at && *at <= end) {
@@ -1109,7 +1343,9 @@
     }
 
     fn reach(&mut self, attempt: u64) {
-        let Some(one) = self.attempts.get(&attempt).cloned() else { return };
+        let Some(one) = self.attempts.get(&attempt).cloned() else {
+            return;
+        };
         let now = self.now;
         if self.cut(one.door, one.backend) {
             // Nothing comes of it: its door waits until its limit.
@@ -1121,7 +1357,10 @@
         if !backend.up {
             self.outcome.dead += 1;
             self.leave(attempt);
-            self.queue.push(now + delay, Happens::Reply(attempt, policy::Outcome::ConnectFailed));
+            self.queue.push(
+                now + delay,
+                Happens::Reply(attempt, policy::Outcome::ConnectFailed),
+            );
             return;
         }
         let work = first.work;
@@ -1132,10 +1371,24 @@
             self.die(one.backend);
             return;
         }
-        match backend.take(Job { attempt, work, came: now }, now) {
+        match backend.take(
+            Job {
+                attempt,
+                work,
+                came: now,
+            },
+            now,
+        ) {
             Taken::Begun(until) => {
                 let life = self.lives[one.backend];
-                self.queue.push(until, Happens::Done { backend: one.backend, life, attempt });
+                self.queue.push(
+                    until,
+                    Happens::Done {
+                        backend: one.backend,
+                        life,
+                        attempt,
+                    },
+                );
                 self.waits.1 += 1;
                 self.sojourn.0 += until - now;
                 self.sojourn.1 += 1;
@@ -1144,7 +1397,8 @@
             Taken::Waits => self.hold(1),
             Taken::Full => {
                 self.leave(attempt);
-                self.queue.push(now + delay, Happens::Reply(attempt, policy::Outcome::Full));
+                self.queue
+                    .push(now + delay, Happens::Reply(attempt, policy::Outcome::Full));
             }
         }
     }
@@ -1174,7 +1428,10 @@
             self.leave(attempt);
             let delay = self.way(one.door, one.backend);
             if !self.cut(one.door, one.backend) {
-                self.queue.push(self.now + delay, Happens::Reply(attempt, policy::Outcome::Ok));
+                self.queue.push(
+                    self.now + delay,
+                    Happens::Reply(attempt, policy::Outcome::Ok),
+                );
             }
         }
         let now = self.now;
@@ -1183,7 +1440,14 @@
             self.waits.1 += 1;
             self.sojourn.0 += until - job.came;
             self.sojourn.1 += 1;
-            self.queue.push(until, Happens::Done { backend, life, attempt: job.attempt });
+            self.queue.push(
+                until,
+                Happens::Done {
+                    backend,
+                    life,
+                    attempt: job.attempt,
+                },
+            );
         }
     }
 
@@ -1201,7 +1465,10 @@
         for attempt in lost {
             self.leave(attempt);
             let delay = self.delay();
-            self.queue.push(self.now + delay, Happens::Reply(attempt, policy::Outcome::Reset));
+            self.queue.push(
+                self.now + delay,
+                Happens::Reply(attempt, policy::Outcome::Reset),
+            );
         }
     }
 
@@ -1213,7 +1480,9 @@
 
     fn some_of(&mut self, count: usize, many: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..count).collect();
-        (0..many.min(count)).map(|_| all.swap_remove(self.dice.below(all.len()))).collect()
+        (0..many.min(count))
+            .map(|_| all.swap_remove(self.dice.below(all.len())))
+            .collect()
     }
 
     fn trouble(&mut self, at: usize) {
@@ -1229,21 +1498,47 @@
                     self.queue.push(self.now + down, Happens::Back(door));
                 }
             }
-            Trouble::RollDoors { over_s, stop_ms, down_ms, .. } => {
+            Trouble::RollDoors {
+                over_s,
+                stop_ms,
+                down_ms,
+                ..
+            } => {
                 for door in 0..self.doors.len() {
                     let when = self.now + self.dice.within([0.0, over_s * 1000.0]);
                     let down_ms = self.dice.within(down_ms);
-                    self.queue.push(when, Happens::Stop { door, stop_ms, down_ms });
+                    self.queue.push(
+                        when,
+                        Happens::Stop {
+                            door,
+                            stop_ms,
+                            down_ms,
+                        },
+                    );
                 }
             }
-            Trouble::MoveAgents { over_s, close_ms, behind_ms, .. } => {
+            Trouble::MoveAgents {
+                over_s,
+                close_ms,
+                behind_ms,
+                ..
+            } => {
                 for door in 0..self.doors.len() {
                     let when = self.now + self.dice.within([0.0, over_s * 1000.0]);
                     let behind_ms = self.dice.within(behind_ms);
-                    self.queue.push(when, Happens::Moved { door, close_ms, behind_ms });
+                    self.queue.push(
+                        when,
+                        Happens::Moved {
+                            door,
+                            close_ms,
+                            behind_ms,
+                        },
+                    );
                 }
             }
-            Trouble::SilenceAgents { for_s, part, dead, .. } => {
+            Trouble::SilenceAgents {
+                for_s, part, dead, ..
+            } => {
                 let (now, until) = (self.now, self.now + for_s * 1000.0);
                 for door in self.some(self.doors.len(), part) {
                     if let Some(agent) = &mut self.doors[door].agent {
@@ -1253,36 +1548,65 @@
                 }
             }
             Trouble::ReplaceBackends { part, over_s, .. } => {
-                let up: Vec<usize> = (0..self.backends.len()).filter(|at| self.backends[*at].up).collect();
+                let up: Vec<usize> = (0..self.backends.len())
+                    .filter(|at| self.backends[*at].up)
+                    .collect();
                 for at in self.some(up.len(), part) {
                     let when = self.now + self.dice.within([0.0, over_s * 1000.0]);
                     self.queue.push(when, Happens::Drain(up[at]));
                 }
             }
-            Trouble::SlowBackends { part, speed, for_s, .. } => {
+            Trouble::SlowBackends {
+                part, speed, for_s, ..
+            } => {
                 for backend in self.some(self.backends.len(), part) {
                     self.backends[backend].speed *= speed;
-                    self.queue.push(self.now + for_s * 1000.0, Happens::Speed(backend, 1.0 / speed));
+                    self.queue.push(
+                        self.now + for_s * 1000.0,
+                        Happens::Speed(backend, 1.0 / speed),
+                    );
                 }
             }
-            Trouble::Flood { for_s, customers, times, through, .. } => {
+            Trouble::Flood {
+                for_s,
+                customers,
+                times,
+                through,
+                ..
+            } => {
                 let until = self.now + for_s * 1000.0;
                 for customer in self.some_of(self.world.customers, customers) {
                     let rate = self.settings.plans[self.customers[customer].plan].rate;
                     let pause = 1000.0 * self.world.units / (rate * times).max(1e-9);
                     self.customers[customer].through = through;
                     let next = self.now + self.dice.exponential(pause);
-                    self.queue.push(next, Happens::Flood { customer, pause, until });
+                    self.queue.push(
+                        next,
+                        Happens::Flood {
+                            customer,
+                            pause,
+                            until,
+                        },
+                    );
                 }
             }
             Trouble::OneShots { for_s, share, .. } => {
                 let pause = 1000.0 / (share * self.rate).max(1e-9);
                 let until = self.now + for_s * 1000.0;
-                self.queue.push(self.now + pause, Happens::OneShot { pause, until });
+                self.queue
+                    .push(self.now + pause, Happens::OneShot { pause, until });
             }
-            Trouble::Partition { for_s, doors, backends, .. } => {
+            Trouble::Partition {
+                for_s,
+                doors,
+                backends,
+                ..
+            } => {
                 let doors = self.some(self.doors.len(), doors).into_iter().collect();
-                let backends = self.some(self.backends.len(), backends).into_iter().collect();
+                let backends = self
+                    .some(self.backends.len(), backends)
+                    .into_iter()
+                    .collect();
                 self.apart = Some((doors, backends));
                 self.queue.push(self.now + for_s * 1000.0, Happens::Heal);
             }
@@ -1298,7 +1622,8 @@
                     };
                     self.spread_news(&[gone]);
                 }
-                self.queue.push(self.now + for_s * 1000.0, Happens::Revive(lost));
+                self.queue
+                    .push(self.now + for_s * 1000.0, Happens::Revive(lost));
             }
         }
     }
@@ -1335,12 +1660,32 @@
         for door in 0..self.doors.len() {
             let late = self.dice.within(self.world.notice_ms);
             if self.doors[door].agent.is_some() {
-                self.queue.push(self.now + late, Happens::Learn { door, at: 0, version });
+                self.queue.push(
+                    self.now + late,
+                    Happens::Learn {
+                        door,
+                        at: 0,
+                        version,
+                    },
+                );
                 let late = late + self.doors[door].behind_ms;
-                self.queue.push(self.now + late, Happens::Learn { door, at: 1, version });
+                self.queue.push(
+                    self.now + late,
+                    Happens::Learn {
+                        door,
+                        at: 1,
+                        version,
+                    },
+                );
                 continue;
             }
-            self.queue.push(self.now + late, Happens::Hear { door, entries: entries.to_vec() });
+            self.queue.push(
+                self.now + late,
+                Happens::Hear {
+                    door,
+                    entries: entries.to_vec(),
+                },
+            );
         }
     }
 
@@ -1354,17 +1699,22 @@
             availability: policy::Availability::Draining,
             ..self.entry(backend, None)
         }]);
-        self.queue.push(self.now + drain_ms.unwrap_or(0.0), Happens::End(backend));
+        self.queue
+            .push(self.now + drain_ms.unwrap_or(0.0), Happens::End(backend));
     }
 
     /// A backend ends, and a cold one comes in its stead under a new number.
     fn end(&mut self, backend: usize) {
         self.die(backend);
-        let gone = BackendEntry { availability: policy::Availability::Gone, ..self.entry(backend, None) };
+        let gone = BackendEntry {
+            availability: policy::Availability::Gone,
+            ..self.entry(backend, None)
+        };
         self.spread_news(&[gone]);
         let speed = self.dice.log_normal(1.0, self.world.speed_cv);
         let shape = self.backends[backend].shape;
-        self.backends.push(Backend::new(shape, speed, Some(self.now)));
+        self.backends
+            .push(Backend::new(shape, speed, Some(self.now)));
         self.lives.push(0);
         let fresh = self.entry(self.backends.len() - 1, Some(self.now));
         self.spread_news(&[fresh]);
@@ -1395,7 +1745,10 @@
         if period <= 0.0 || self.now < period + self.meter_late {
             return None;
         }
-        let (now, told) = ((self.now / period) as u64, ((self.now - self.meter_late) / period) as u64 - 1);
+        let (now, told) = (
+            (self.now / period) as u64,
+            ((self.now - self.meter_late) / period) as u64 - 1,
+        );
         let one = &mut self.customers[customer];
         one.turn(now);
         let used = one.metered.1.get((now - told) as usize)?;
@@ -1419,7 +1772,11 @@
             outcome.beyond_by_demand[at] = part(outcome.beyond_by_demand[at], *units);
         }
         outcome.beyond = part(self.beyond, self.offered_units);
-        outcome.late = self.firsts.iter().filter(|one| one.let_in && !one.served).count() as u64;
+        outcome.late = self
+            .firsts
+            .iter()
+            .filter(|one| one.let_in && !one.served)
+            .count() as u64;
         outcome.crossings = part(self.crossings as f64, self.sent as f64);
         outcome.attempts = part(self.sent as f64, outcome.first_tries as f64);
         outcome.handshakes = part(self.handshakes as f64, self.sent as f64);
@@ -1427,11 +1784,22 @@
         outcome.wait_ms = part(self.waits.0, self.waits.1 as f64);
         outcome.sojourn_ms = part(self.sojourn.0, self.sojourn.1 as f64);
         outcome.in_backends = part(self.held, self.held_at);
-        let loads: Vec<f64> = self.backends.iter().map(|backend| backend.work / backend.speed).collect();
+        let loads: Vec<f64> = self
+            .backends
+            .iter()
+            .map(|backend| backend.work / backend.speed)
+            .collect();
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
-        outcome.most_loaded = part(loads.iter().fold(0.0, |most: f64, one| most.max(*one)), mean);
-        outcome.least_loaded =
-            part(loads.iter().fold(f64::INFINITY, |least: f64, one| least.min(*one)), mean);
+        outcome.most_loaded = part(
+            loads.iter().fold(0.0, |most: f64, one| most.max(*one)),
+            mean,
+        );
+        outcome.least_loaded = part(
+            loads
+                .iter()
+                .fold(f64::INFINITY, |least: f64, one| least.min(*one)),
+            mean,
+        );
         outcome
     }
 }
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -21,8 +21,11 @@
         let expected = || format!("figure>bound or figure<bound was expected, not {text}");
         let at = text.find(['>', '<']).ok_or_else(expected)?;
         let bound = text[at + 1..].trim().parse().map_err(|_| expected())?;
-        let looked =
-            Looked { figure: text[..at].trim().to_owned(), above: text[at..].starts_with('>'), bound };
+        let looked = Looked {
+            figure: text[..at].trim().to_owned(),
+            above: text[at..].starts_with('>'),
+            bound,
+        };
         if Outcome::default().field(&looked.figure).is_none() {
             return Err(format!("{} is no figure of a run", looked.figure));
         }
@@ -31,7 +34,11 @@
 
     fn seen(&self, outcome: &Outcome) -> Option<f64> {
         let value = outcome.field(&self.figure)?;
-        let breaks = if self.above { value > self.bound } else { value < self.bound };
+        let breaks = if self.above {
+            value > self.bound
+        } else {
+            value < self.bound
+        };
         breaks.then_some(value)
     }
 }
@@ -63,16 +70,43 @@
         all.push(one);
     }
     let halved = |of: usize| (of / 2).max(1);
-    all.push(World { doors: halved(world.doors), ..world.clone() });
-    all.push(World { customers: halved(world.customers), ..world.clone() });
-    all.push(World { seconds: world.seconds / 2.0, ..world.clone() });
+    all.push(World {
+        doors: halved(world.doors),
+        ..world.clone()
+    });
+    all.push(World {
+        customers: halved(world.customers),
+        ..world.clone()
+    });
+    all.push(World {
+        seconds: world.seconds / 2.0,
+        ..world.clone()
+    });
     // Half of the backends carry the same load if half is asked for: the load is a part of what they can do.
-    all.push(World { backends: halved(world.backends), ..world.clone() });
-    all.push(World { retries: 0, ..world.clone() });
-    all.push(World { zones: 1, ..world.clone() });
-    all.push(World { uneven: 0.0, ..world.clone() });
-    all.push(World { meter_ms: 0.0, ..world.clone() });
-    all.push(World { guess_cv: 0.0, ..world.clone() });
+    all.push(World {
+        backends: halved(world.backends),
+        ..world.clone()
+    });
+    all.push(World {
+        retries: 0,
+        ..world.clone()
+    });
+    all.push(World {
+        zones: 1,
+        ..world.clone()
+    });
+    all.push(World {
+        uneven: 0.0,
+        ..world.clone()
+    });
+    all.push(World {
+        meter_ms: 0.0,
+        ..world.clone()
+    });
+    all.push(World {
+        guess_cv: 0.0,
+        ..world.clone()
+    });
     all.retain(|one| one != world && one.mistakes().is_empty());
     all
 }
@@ -86,16 +120,24 @@
                 return None;
             }
             runs += 1;
-            looked.seen(&play(world, seed)).map(|value| (seed, value, runs))
+            looked
+                .seen(&play(world, seed))
+                .map(|value| (seed, value, runs))
         })
     };
     let (mut seed, mut value, mut played) = first(world)?;
     let mut at = world.clone();
-    while let Some((less, found)) =
-        smaller(&at).into_iter().find_map(|one| first(&one).map(|found| (one, found)))
+    while let Some((less, found)) = smaller(&at)
+        .into_iter()
+        .find_map(|one| first(&one).map(|found| (one, found)))
     {
         at = less;
         (seed, value, played) = found;
     }
-    Some(Found { world: at, seed, what: format!("{} {value}", looked.figure), runs: played })
+    Some(Found {
+        world: at,
+        seed,
+        what: format!("{} {value}", looked.figure),
+        runs: played,
+    })
 }
