--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -341,8 +341,14 @@
             worth,
             effect: effect.to_owned(),
         };
-        let plan =
-            |share, rate, burst, price| PlanSpec { share, rate, burst, price, max_open: 0, ceiling: 0.0 };
+        let plan = |share, rate, burst, price| PlanSpec {
+            share,
+            rate,
+            burst,
+            price,
+            max_open: 0,
+            ceiling: 0.0,
+        };
         World {
             name: "world".to_owned(),
             seconds: 20.0,
@@ -389,7 +395,11 @@
                 class(0.27, 750.0, 2000.0, 5.0, "keyed"),
                 class(0.27, 750.0, 2500.0, 3.0, "unsafe"),
             ],
-            plan: vec![plan(0.6, 2.0, 10.0, 0.6), plan(0.3, 6.0, 15.0, 0.8), plan(0.1, 20.0, 30.0, 1.5)],
+            plan: vec![
+                plan(0.6, 2.0, 10.0, 0.6),
+                plan(0.3, 6.0, 15.0, 0.8),
+                plan(0.1, 20.0, 30.0, 1.5),
+            ],
             agents: false,
             trouble: Vec::new(),
         }
@@ -415,7 +425,11 @@
     /// Requests a second that the load makes: work of a request of the usual size against all cores.
     pub fn requests_per_second(&self) -> f64 {
         let share: f64 = self.class.iter().map(|class| class.share).sum();
-        let work: f64 = self.class.iter().map(|class| class.share * class.work_ms).sum();
+        let work: f64 = self
+            .class
+            .iter()
+            .map(|class| class.share * class.work_ms)
+            .sum();
         self.load * (self.backends * self.cores) as f64 * 1000.0 * share / work.max(1e-9)
     }
 
@@ -424,28 +438,49 @@
         let usual = self.requests_per_second();
         let more = |trouble: &Trouble| match trouble {
             Trouble::OneShots { for_s, share, .. } => share * usual * for_s,
-            Trouble::Flood { for_s, customers, times, .. } => {
+            Trouble::Flood {
+                for_s,
+                customers,
+                times,
+                ..
+            } => {
                 let quota = usual / self.customers as f64 / self.usage.max(0.01);
                 *customers as f64 * times * quota * for_s
             }
             _ => 0.0,
         };
         let excess = |demand: &DemandSpec| {
-            let spikes =
-                if demand.every_s > 0.0 { demand.spike * demand.spike_s / demand.every_s } else { 0.0 };
+            let spikes = if demand.every_s > 0.0 {
+                demand.spike * demand.spike_s / demand.every_s
+            } else {
+                0.0
+            };
             demand.share * (demand.part[1] + spikes)
         };
         let shares: f64 = self.demand.iter().map(|demand| demand.share).sum();
-        let part: f64 = self.demand.iter().map(|demand| demand.share * demand.part[0].min(1.0)).sum();
-        let asked = self.demand.iter().map(excess).sum::<f64>() / part.max(0.001 * shares.max(1e-9));
-        let usual = if self.demand.is_empty() { usual } else { usual * asked.max(1.0) };
+        let part: f64 = self
+            .demand
+            .iter()
+            .map(|demand| demand.share * demand.part[0].min(1.0))
+            .sum();
+        let asked =
+            self.demand.iter().map(excess).sum::<f64>() / part.max(0.001 * shares.max(1e-9));
+        let usual = if self.demand.is_empty() {
+            usual
+        } else {
+            usual * asked.max(1.0)
+        };
         usual * self.seconds + self.trouble.iter().map(more).sum::<f64>()
     }
 
     /// Bytes that a run needs, roughly.
     pub fn bytes(&self) -> f64 {
         let doors = self.doors as f64;
-        let spread = if self.spread == 0 { doors } else { doors.min(self.spread as f64) };
+        let spread = if self.spread == 0 {
+            doors
+        } else {
+            doors.min(self.spread as f64)
+        };
         // Every door holds every backend, and each customer at as many doors as its requests come through, but no more than
         // there are requests.
         let requests = self.requests();
@@ -458,7 +493,10 @@
     pub fn effect(class: &ClassSpec) -> Option<Effect> {
         match class.effect.as_str() {
             "safe" => Some(Effect::Safe),
-            "keyed" => Some(Effect::Keyed { group: maplefall_policy::Group::All, memory: 2000.0 }),
+            "keyed" => Some(Effect::Keyed {
+                group: maplefall_policy::Group::All,
+                memory: 2000.0,
+            }),
             "unsafe" => Some(Effect::Unsafe),
             _ => None,
         }
@@ -469,7 +507,9 @@
         let mut found = Vec::new();
         let mut within = |field: &str, value: f64, least: f64, most: f64| {
             if !(least..=most).contains(&value) {
-                found.push(format!("{field}: a number from {least} to {most} was expected, not {value}"));
+                found.push(format!(
+                    "{field}: a number from {least} to {most} was expected, not {value}"
+                ));
             }
         };
         within("seconds", self.seconds, 0.1, 3600.0);
@@ -522,7 +562,12 @@
             within(&format!("class.{at}.work_ms"), class.work_ms, 0.001, 1e6);
             within(&format!("class.{at}.cv"), class.cv, 0.0, 20.0);
             within(&format!("class.{at}.aim_ms"), class.aim_ms, 1.0, 1e7);
-            within(&format!("class.{at}.give_up_ms"), class.give_up_ms, class.aim_ms.max(1.0), 1e7);
+            within(
+                &format!("class.{at}.give_up_ms"),
+                class.give_up_ms,
+                class.aim_ms.max(1.0),
+                1e7,
+            );
             within(&format!("class.{at}.worth"), class.worth, 0.0, 1e6);
         }
         for (at, plan) in self.plan.iter().enumerate() {
@@ -534,59 +579,137 @@
         }
         for (at, demand) in self.demand.iter().enumerate() {
             within(&format!("demand.{at}.share"), demand.share, 0.0, 1e6);
-            within(&format!("demand.{at}.part.0"), demand.part[0], 0.001, 1000.0);
-            within(&format!("demand.{at}.part.1"), demand.part[1], demand.part[0].max(0.001), 1000.0);
+            within(
+                &format!("demand.{at}.part.0"),
+                demand.part[0],
+                0.001,
+                1000.0,
+            );
+            within(
+                &format!("demand.{at}.part.1"),
+                demand.part[1],
+                demand.part[0].max(0.001),
+                1000.0,
+            );
             within(&format!("demand.{at}.spike"), demand.spike, 0.0, 1000.0);
             if demand.spike > 0.0 {
-                within(&format!("demand.{at}.spike_s"), demand.spike_s, 0.01, 3600.0);
-                within(&format!("demand.{at}.every_s"), demand.every_s, demand.spike_s.max(0.01), 3600.0);
+                within(
+                    &format!("demand.{at}.spike_s"),
+                    demand.spike_s,
+                    0.01,
+                    3600.0,
+                );
+                within(
+                    &format!("demand.{at}.every_s"),
+                    demand.every_s,
+                    demand.spike_s.max(0.01),
+                    3600.0,
+                );
             }
         }
         for (at, trouble) in self.trouble.iter().enumerate() {
             // What is drawn after the end would never be played.
-            within(&format!("trouble.{at}.at_s"), trouble.at_s(), 0.0, self.seconds);
+            within(
+                &format!("trouble.{at}.at_s"),
+                trouble.at_s(),
+                0.0,
+                self.seconds,
+            );
             match trouble {
                 Trouble::RestartDoors { part, down_ms, .. } => {
                     within(&format!("trouble.{at}.part"), *part, 0.0, 1.0);
                     within(&format!("trouble.{at}.down_ms.0"), down_ms[0], 0.0, 1e6);
-                    within(&format!("trouble.{at}.down_ms.1"), down_ms[1], down_ms[0].max(0.0), 1e6);
+                    within(
+                        &format!("trouble.{at}.down_ms.1"),
+                        down_ms[1],
+                        down_ms[0].max(0.0),
+                        1e6,
+                    );
                 }
-                Trouble::ReplaceBackends { part, over_s, drain_ms, .. } => {
+                Trouble::ReplaceBackends {
+                    part,
+                    over_s,
+                    drain_ms,
+                    ..
+                } => {
                     within(&format!("trouble.{at}.part"), *part, 0.0, 1.0);
                     within(&format!("trouble.{at}.over_s"), *over_s, 0.0, 3600.0);
                     within(&format!("trouble.{at}.drain_ms"), *drain_ms, 0.0, 1e6);
                 }
-                Trouble::SlowBackends { part, speed, for_s, .. } => {
+                Trouble::SlowBackends {
+                    part, speed, for_s, ..
+                } => {
                     within(&format!("trouble.{at}.part"), *part, 0.0, 1.0);
                     within(&format!("trouble.{at}.speed"), *speed, 0.001, 10.0);
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
                 }
-                Trouble::Flood { for_s, customers, times, through, .. } => {
+                Trouble::Flood {
+                    for_s,
+                    customers,
+                    times,
+                    through,
+                    ..
+                } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
-                    within(&format!("trouble.{at}.customers"), *customers as f64, 1.0, self.customers as f64);
+                    within(
+                        &format!("trouble.{at}.customers"),
+                        *customers as f64,
+                        1.0,
+                        self.customers as f64,
+                    );
                     within(&format!("trouble.{at}.times"), *times, 0.0, 1000.0);
-                    within(&format!("trouble.{at}.through"), *through as f64, 0.0, 10_000.0);
+                    within(
+                        &format!("trouble.{at}.through"),
+                        *through as f64,
+                        0.0,
+                        10_000.0,
+                    );
                 }
                 Trouble::OneShots { for_s, share, .. } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
                     within(&format!("trouble.{at}.share"), *share, 0.0, 100.0);
                 }
-                Trouble::Partition { for_s, doors, backends, .. } => {
+                Trouble::Partition {
+                    for_s,
+                    doors,
+                    backends,
+                    ..
+                } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
                     within(&format!("trouble.{at}.doors"), *doors, 0.0, 1.0);
                     within(&format!("trouble.{at}.backends"), *backends, 0.0, 1.0);
                 }
-                Trouble::RollDoors { over_s, stop_ms, down_ms, .. } => {
+                Trouble::RollDoors {
+                    over_s,
+                    stop_ms,
+                    down_ms,
+                    ..
+                } => {
                     within(&format!("trouble.{at}.over_s"), *over_s, 0.0, 3600.0);
                     within(&format!("trouble.{at}.stop_ms"), *stop_ms, 0.0, 1e6);
                     within(&format!("trouble.{at}.down_ms.0"), down_ms[0], 0.0, 1e6);
-                    within(&format!("trouble.{at}.down_ms.1"), down_ms[1], down_ms[0].max(0.0), 1e6);
+                    within(
+                        &format!("trouble.{at}.down_ms.1"),
+                        down_ms[1],
+                        down_ms[0].max(0.0),
+                        1e6,
+                    );
                 }
-                Trouble::MoveAgents { over_s, close_ms, behind_ms, .. } => {
+                Trouble::MoveAgents {
+                    over_s,
+                    close_ms,
+                    behind_ms,
+                    ..
+                } => {
                     within(&format!("trouble.{at}.over_s"), *over_s, 0.0, 3600.0);
                     within(&format!("trouble.{at}.close_ms"), *close_ms, 0.0, 1e6);
                     within(&format!("trouble.{at}.behind_ms.0"), behind_ms[0], 0.0, 1e6);
-                    within(&format!("trouble.{at}.behind_ms.1"), behind_ms[1], behind_ms[0].max(0.0), 1e6);
+                    within(
+                        &format!("trouble.{at}.behind_ms.1"),
+                        behind_ms[1],
+                        behind_ms[0].max(0.0),
+                        1e6,
+                    );
                 }
                 Trouble::SilenceAgents { for_s, part, .. } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
@@ -594,13 +717,20 @@
                 }
                 Trouble::LoseZone { for_s, zone, .. } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
-                    within(&format!("trouble.{at}.zone"), *zone as f64, 0.0, self.zones as f64 - 1.0);
+                    within(
+                        &format!("trouble.{at}.zone"),
+                        *zone as f64,
+                        0.0,
+                        self.zones as f64 - 1.0,
+                    );
                 }
             }
         }
         for (at, class) in self.class.iter().enumerate() {
             if World::effect(class).is_none() {
-                found.push(format!("class.{at}.effect: safe, keyed or unsafe was expected"));
+                found.push(format!(
+                    "class.{at}.effect: safe, keyed or unsafe was expected"
+                ));
             }
         }
         if self.class.iter().map(|class| class.share).sum::<f64>() <= 0.0 {
@@ -609,13 +739,17 @@
         if self.plan.iter().map(|plan| plan.share).sum::<f64>() <= 0.0 {
             found.push("plan: one with a share above 0 was expected".to_owned());
         }
-        if !self.demand.is_empty() && self.demand.iter().map(|demand| demand.share).sum::<f64>() <= 0.0 {
+        if !self.demand.is_empty()
+            && self.demand.iter().map(|demand| demand.share).sum::<f64>() <= 0.0
+        {
             found.push("demand: one with a share above 0 was expected".to_owned());
         }
         if found.is_empty() {
             let (requests, bytes) = (self.requests(), self.bytes());
             if requests > MOST_REQUESTS {
-                found.push(format!("load: {requests:.0} requests, {MOST_REQUESTS:.0} at most were expected"));
+                found.push(format!(
+                    "load: {requests:.0} requests, {MOST_REQUESTS:.0} at most were expected"
+                ));
             }
             if bytes > MOST_BYTES {
                 found.push(format!(
--- a/crates/model/tests/closed_forms.rs
+++ b/crates/model/tests/closed_forms.rs
@@ -79,7 +79,10 @@
     assert!(!fits(&slow, |one| one.wait_ms, expected));
     assert!(fits(&slow, |one| one.wait_ms, wait_of_one(0.66, 11.0, 1.0)));
     // A lost event: one request in so many turned away by a short queue.
-    slow = World { queue: 6, ..queueing(1, 1, 0.6, 10.0, 1.0) };
+    slow = World {
+        queue: 6,
+        ..queueing(1, 1, 0.6, 10.0, 1.0)
+    };
     assert!(!fits(&slow, |one| one.wait_ms, expected));
 }
 
@@ -89,7 +92,10 @@
         let world = queueing(1, cores, load, 20.0, 1.0);
         let expected = wait_of_many(cores, load, 20.0);
         assert!(fits(&world, |one| one.wait_ms, expected), "{cores} cores");
-        assert!(!fits(&world, |one| one.wait_ms, expected * 1.2), "{cores} cores");
+        assert!(
+            !fits(&world, |one| one.wait_ms, expected * 1.2),
+            "{cores} cores"
+        );
     }
 }
 
@@ -97,7 +103,10 @@
 fn m_g_1_waits_as_pollaczek_and_khinchine_say() {
     for cv in [0.0, 0.5, 1.5] {
         let world = queueing(1, 1, 0.5, 10.0, cv);
-        assert!(fits(&world, |one| one.wait_ms, wait_of_one(0.5, 10.0, cv)), "{cv}");
+        assert!(
+            fits(&world, |one| one.wait_ms, wait_of_one(0.5, 10.0, cv)),
+            "{cv}"
+        );
     }
 }
 
@@ -106,7 +115,10 @@
 fn split_at_random_each_backend_is_a_queue_of_its_own() {
     let world = queueing(8, 1, 0.6, 10.0, 1.0);
     assert!(fits(&world, |one| one.wait_ms, wait_of_one(0.6, 10.0, 1.0)));
-    let better = World { choice: Choice::LeastOut, ..world.clone() };
+    let better = World {
+        choice: Choice::LeastOut,
+        ..world.clone()
+    };
     let [random, least] = [&world, &better].map(|world| play(world, 1).wait_ms);
     assert!(least < random / 3.0, "{least} {random}");
 }
@@ -120,7 +132,11 @@
         let rate = one.first_tries as f64 / (world.seconds * 1000.0);
         let expected = rate * one.sojourn_ms;
         // The last requests leave a little after the end.
-        assert!((one.in_backends / expected - 1.0).abs() < 0.01, "{} {expected}", one.in_backends);
+        assert!(
+            (one.in_backends / expected - 1.0).abs() < 0.01,
+            "{} {expected}",
+            one.in_backends
+        );
         assert_eq!(one.served, one.first_tries);
     }
 }
@@ -141,7 +157,11 @@
     let one = play(&world, 1);
     assert_eq!((one.beyond, one.worth), (0.0, 1.0));
     let most = 50.0 + 100.0 * world.seconds;
-    assert!(one.served as f64 <= most && one.served as f64 > most * 0.98, "{} {most}", one.served);
+    assert!(
+        one.served as f64 <= most && one.served as f64 > most * 0.98,
+        "{} {most}",
+        one.served
+    );
     // Four doors with a whole quota each let in four times as much.
     let four = play(&World { doors: 4, ..world }, 1);
     assert!((2.9..3.1).contains(&four.beyond), "{}", four.beyond);
--- a/crates/model/tests/frontier.rs
+++ b/crates/model/tests/frontier.rs
@@ -21,7 +21,11 @@
 /// single stretch: what the programme gives for one stretch is no less, and no more than a step allows.
 fn by_hand(case: &Case, seen_for: f64) -> f64 {
     let room = 1.0 + case.burst_s / case.seconds;
-    let offered: f64 = case.parts.iter().map(|(part, share)| share * part.min(room)).sum();
+    let offered: f64 = case
+        .parts
+        .iter()
+        .map(|(part, share)| share * part.min(room))
+        .sum();
     let chances: Vec<[f64; 4]> = case
         .parts
         .iter()
@@ -34,13 +38,20 @@
         .collect();
     let mut best = f64::NEG_INFINITY;
     for rule in 0..11usize.pow(4) {
-        let f: Vec<f64> = (0..4).map(|at| (rule / 11usize.pow(at) % 11) as f64 / 10.0).collect();
+        let f: Vec<f64> = (0..4)
+            .map(|at| (rule / 11usize.pow(at) % 11) as f64 / 10.0)
+            .collect();
         let value: f64 = case
             .parts
             .iter()
             .zip(&chances)
             .map(|((part, share), chances)| {
-                let let_in = part * chances.iter().zip(&f).map(|(chance, f)| chance * f).sum::<f64>();
+                let let_in = part
+                    * chances
+                        .iter()
+                        .zip(&f)
+                        .map(|(chance, f)| chance * f)
+                        .sum::<f64>();
                 share * (let_in.min(room) - case.cost * (let_in - room).max(0.0))
             })
             .sum();
@@ -52,13 +63,26 @@
 #[test]
 fn the_bound_is_what_trying_all_rules_gives() {
     for (cost, doors) in [(0.3, 50), (0.8, 50), (2.0, 50), (0.8, 200), (5.0, 20)] {
-        let case = Case { cost, doors, ..case() };
+        let case = Case {
+            cost,
+            doors,
+            ..case()
+        };
         let found = bound(&case).expect("a bound");
         // A rule that knows at once what others know at the end earns no less than the bound, which learns in stretches; one
         // that never learns more than in the first stretch no more.
-        let (most, least) = (by_hand(&case, case.seconds), by_hand(&case, case.seconds / 4.0));
-        assert!(found.value <= most + 0.02, "{cost} {doors}: {found:?} {most}");
-        assert!(found.value >= least - 1e-6, "{cost} {doors}: {found:?} {least}");
+        let (most, least) = (
+            by_hand(&case, case.seconds),
+            by_hand(&case, case.seconds / 4.0),
+        );
+        assert!(
+            found.value <= most + 0.02,
+            "{cost} {doors}: {found:?} {most}"
+        );
+        assert!(
+            found.value >= least - 1e-6,
+            "{cost} {doors}: {found:?} {least}"
+        );
         assert!((found.worth - cost * found.over - found.value).abs() < 1e-9);
     }
 }
@@ -67,24 +91,64 @@
 #[test]
 fn what_is_known_costs_nothing() {
     let value = |case: Case| bound(&case).expect("a bound").value;
-    assert!((value(Case { doors: 1, requests_per_second: 20.0, ..case() }) - 1.0).abs() < 1e-6);
-    assert!((value(Case { parts: vec![(3.0, 1.0)], ..case() }) - 1.0).abs() < 1e-6);
-    assert!((value(Case { cost: 0.0, ..case() }) - 1.0).abs() < 1e-6);
+    assert!(
+        (value(Case {
+            doors: 1,
+            requests_per_second: 20.0,
+            ..case()
+        }) - 1.0)
+            .abs()
+            < 1e-6
+    );
+    assert!(
+        (value(Case {
+            parts: vec![(3.0, 1.0)],
+            ..case()
+        }) - 1.0)
+            .abs()
+            < 1e-6
+    );
+    assert!(
+        (value(Case {
+            cost: 0.0,
+            ..case()
+        }) - 1.0)
+            .abs()
+            < 1e-6
+    );
     assert!(value(case()) < 0.95, "and what is not known costs");
     // More doors know less, a busier one knows more.
     let [few, many, uneven] = [
-        value(Case { doors: 10, ..case() }),
-        value(Case { doors: 100, ..case() }),
-        value(Case { doors: 100, uneven: 0.9, ..case() }),
+        value(Case {
+            doors: 10,
+            ..case()
+        }),
+        value(Case {
+            doors: 100,
+            ..case()
+        }),
+        value(Case {
+            doors: 100,
+            uneven: 0.9,
+            ..case()
+        }),
     ];
     assert!(few > many && uneven > many, "{few} {many} {uneven}");
     assert!(
-        bound(&Case { doors: 0, ..case() }).is_err() && bound(&Case { parts: vec![], ..case() }).is_err()
+        bound(&Case { doors: 0, ..case() }).is_err()
+            && bound(&Case {
+                parts: vec![],
+                ..case()
+            })
+            .is_err()
     );
 }
 
 fn base() -> World {
-    let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../worlds/frontier.toml"));
+    let text = std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../worlds/frontier.toml"
+    ));
     World::read(&text.expect("worlds/frontier.toml")).expect("a world")
 }
 
@@ -96,9 +160,17 @@
         .zip(WHO)
         .map(|(world, (who, ..))| {
             let runs: Vec<_> = (1..=3).map(|seed| play(world, seed)).collect();
-            let mean = |of: fn(&maplefall_model::Outcome) -> f64| runs.iter().map(of).sum::<f64>() / 3.0;
+            let mean =
+                |of: fn(&maplefall_model::Outcome) -> f64| runs.iter().map(of).sum::<f64>() / 3.0;
             let (worth, over) = (mean(|one| one.worth), mean(|one| one.over));
-            Point { doors, uneven, who: who.to_owned(), worth, over, value: worth - COST * over }
+            Point {
+                doors,
+                uneven,
+                who: who.to_owned(),
+                worth,
+                over,
+                value: worth - COST * over,
+            }
         })
         .collect()
 }
@@ -108,12 +180,28 @@
 /// nobody passes it by more than chance.
 #[test]
 fn the_module_is_not_dominated_and_keeps_its_distance_to_the_bound() {
-    let grid =
-        [(4, 0.0, 0.92), (4, 0.6, 0.83), (30, 0.0, 0.85), (30, 0.6, 0.6), (100, 0.0, 0.8), (100, 0.6, 0.52)];
+    let grid = [
+        (4, 0.0, 0.92),
+        (4, 0.6, 0.83),
+        (30, 0.0, 0.85),
+        (30, 0.6, 0.6),
+        (100, 0.0, 0.8),
+        (100, 0.6, 0.52),
+    ];
     for (doors, uneven, least) in grid {
         let points = points(doors, uneven);
-        let [module, even, whole, oracle] = points.as_slice() else { panic!("four") };
-        let most = bound_of(&World { doors, uneven, ..base() }, COST).expect("a bound");
+        let [module, even, whole, oracle] = points.as_slice() else {
+            panic!("four")
+        };
+        let most = bound_of(
+            &World {
+                doors,
+                uneven,
+                ..base()
+            },
+            COST,
+        )
+        .expect("a bound");
         println!("{doors} {uneven}: bound {most:?}\n{points:#?}");
         assert!(!module.dominated_by(even), "{module:?} {even:?}");
         assert!(module.value >= least * most.value, "{module:?} {most:?}");
@@ -126,7 +214,14 @@
 
 #[test]
 fn a_point_is_dominated_by_one_that_is_nowhere_worse() {
-    let point = |worth, over| Point { doors: 1, uneven: 0.0, who: String::new(), worth, over, value: 0.0 };
+    let point = |worth, over| Point {
+        doors: 1,
+        uneven: 0.0,
+        who: String::new(),
+        worth,
+        over,
+        value: 0.0,
+    };
     let here = point(0.8, 0.1);
     assert!(here.dominated_by(&point(0.8, 0.05)) && here.dominated_by(&point(0.9, 0.1)));
     assert!(
--- a/crates/model/tests/mass.rs
+++ b/crates/model/tests/mass.rs
@@ -6,9 +6,16 @@
 use maplefall_model::{play, Outcome};
 
 fn world(name: &str, troubles: usize) -> World {
-    let text = std::fs::read_to_string(format!("{}/../../worlds/{name}.toml", env!("CARGO_MANIFEST_DIR")));
+    let text = std::fs::read_to_string(format!(
+        "{}/../../worlds/{name}.toml",
+        env!("CARGO_MANIFEST_DIR")
+    ));
     let world = World::read(&text.expect("a world file")).expect("a world");
-    assert_eq!((world.doors, world.backends, world.trouble.len()), (300, 200, troubles), "what is meant");
+    assert_eq!(
+        (world.doors, world.backends, world.trouble.len()),
+        (300, 200, troubles),
+        "what is meant"
+    );
     world
 }
 
@@ -19,7 +26,13 @@
 /// What the rules count: second attempts while one is out, unsafe ones run twice, sends after a drain was told, cold backends pushed
 /// over, ceilings passed.
 fn broken(one: &Outcome) -> [u64; 5] {
-    [one.doubled, one.ran_twice, one.late_sends, one.fell_over, one.over_ceiling]
+    [
+        one.doubled,
+        one.ran_twice,
+        one.late_sends,
+        one.fell_over,
+        one.over_ceiling,
+    ]
 }
 
 /// The rules over the sum of all doors, and enough of the worth served.
@@ -30,8 +43,17 @@
         println!("seed {seed}");
         let one = play(&world, seed);
         assert_eq!(broken(&one), [0; 5], "seed {seed}");
-        assert_eq!(one.tries, one.served + one.refused + one.failed + one.lost, "seed {seed}");
-        assert!(one.dead > 0 && one.worth > 0.4, "seed {seed}: {} {}", one.dead, one.worth);
+        assert_eq!(
+            one.tries,
+            one.served + one.refused + one.failed + one.lost,
+            "seed {seed}"
+        );
+        assert!(
+            one.dead > 0 && one.worth > 0.4,
+            "seed {seed}: {} {}",
+            one.dead,
+            one.worth
+        );
         assert!(one.beyond < 0.35, "seed {seed}: {}", one.beyond);
     }
 }
@@ -39,9 +61,18 @@
 /// The checks are no empty ones: doors that let all in, to backends of their own choice, break ceilings and push cold backends over.
 #[test]
 fn a_fleet_without_rules_breaks_them_there() {
-    let world = World { choice: Choice::Aperture(1), admission: Admission::None, load: 0.9, ..mass() };
+    let world = World {
+        choice: Choice::Aperture(1),
+        admission: Admission::None,
+        load: 0.9,
+        ..mass()
+    };
     let one = play(&world, 1);
-    assert!(one.fell_over > 0 && one.over_ceiling > 0, "{:?}", broken(&one));
+    assert!(
+        one.fell_over > 0 && one.over_ceiling > 0,
+        "{:?}",
+        broken(&one)
+    );
 }
 
 /// Drains whatever becomes of a door or its agent: stopped, killed, moved to an agent that is behind, with a watch that is dead unseen,
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -12,9 +12,23 @@
         load: 0.7,
         cold_ms: 4000.0,
         trouble: vec![
-            Trouble::RestartDoors { at_s: 2.0, part: 0.5, down_ms: [300.0, 1500.0] },
-            Trouble::ReplaceBackends { at_s: 3.0, part: 0.5, over_s: 2.0, drain_ms: 1500.0 },
-            Trouble::SlowBackends { at_s: 1.0, part: 0.3, speed: 0.4, for_s: 3.0 },
+            Trouble::RestartDoors {
+                at_s: 2.0,
+                part: 0.5,
+                down_ms: [300.0, 1500.0],
+            },
+            Trouble::ReplaceBackends {
+                at_s: 3.0,
+                part: 0.5,
+                over_s: 2.0,
+                drain_ms: 1500.0,
+            },
+            Trouble::SlowBackends {
+                at_s: 1.0,
+                part: 0.3,
+                speed: 0.4,
+                for_s: 3.0,
+            },
         ],
         ..World::default()
     }
@@ -27,9 +41,21 @@
     let world = troubled();
     for seed in 0..100 {
         let one = play(&world, seed);
-        assert_eq!((one.doubled, one.ran_twice, one.late_sends, one.fell_over), (0, 0, 0, 0), "seed {seed}");
-        assert_eq!(one.tries, one.served + one.refused + one.failed + one.lost, "seed {seed}");
-        assert!(one.worth > 0.3 && one.worth <= 1.0, "seed {seed}: {}", one.worth);
+        assert_eq!(
+            (one.doubled, one.ran_twice, one.late_sends, one.fell_over),
+            (0, 0, 0, 0),
+            "seed {seed}"
+        );
+        assert_eq!(
+            one.tries,
+            one.served + one.refused + one.failed + one.lost,
+            "seed {seed}"
+        );
+        assert!(
+            one.worth > 0.3 && one.worth <= 1.0,
+            "seed {seed}: {}",
+            one.worth
+        );
     }
 }
 
@@ -37,7 +63,11 @@
 /// quotas.
 #[test]
 fn a_policy_without_rules_breaks_them() {
-    let mut world = World { choice: Choice::Aperture(1), load: 0.9, ..troubled() };
+    let mut world = World {
+        choice: Choice::Aperture(1),
+        load: 0.9,
+        ..troubled()
+    };
     world.admission = maplefall_model::world::Admission::None;
     let outcomes: Vec<_> = (0..10).map(|seed| play(&world, seed)).collect();
     assert!(outcomes.iter().any(|one| one.fell_over > 0));
@@ -46,7 +76,16 @@
 
 #[test]
 fn who_sees_the_truth_serves_more_than_who_does_not() {
-    let worth = |choice| play(&World { choice, ..troubled() }, 3).worth;
+    let worth = |choice| {
+        play(
+            &World {
+                choice,
+                ..troubled()
+            },
+            3,
+        )
+        .worth
+    };
     let (module, oracle) = (worth(Choice::Module), worth(Choice::Oracle));
     assert!(oracle > module, "{oracle} {module}");
 }
@@ -59,11 +98,18 @@
 }
 
 fn model(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_maplefall-model")).args(words).output().expect("the program starts")
+    Command::new(env!("CARGO_BIN_EXE_maplefall-model"))
+        .args(words)
+        .output()
+        .expect("the program starts")
 }
 
 fn file(name: &str, text: &str) -> String {
-    let path = format!("{}/{name}-{}.toml", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    let path = format!(
+        "{}/{name}-{}.toml",
+        env!("CARGO_TARGET_TMPDIR"),
+        std::process::id()
+    );
     std::fs::write(&path, text).expect("a file");
     path
 }
@@ -81,7 +127,16 @@
     assert_eq!(one, runs("1"));
     assert_eq!(String::from_utf8_lossy(&one).lines().count(), 9);
     let sweep = |jobs: &str| {
-        model(&["sweep", &path, "--over", "doors=2,4", "--over", "choice=module,random", "--jobs", jobs])
+        model(&[
+            "sweep",
+            &path,
+            "--over",
+            "doors=2,4",
+            "--over",
+            "choice=module,random",
+            "--jobs",
+            jobs,
+        ])
     };
     let (one, eight) = (sweep("1"), sweep("8"));
     assert_eq!(one.stdout, eight.stdout);
@@ -90,13 +145,25 @@
 
 #[test]
 fn a_difference_is_seen_where_there_is_one_and_not_where_there_is_none() {
-    let one = file("one", "seconds = 4\nchoice = \"random\"\nadmission = \"none\"\n");
-    let other = file("other", "seconds = 4\nchoice = \"least-out\"\nadmission = \"none\"\n");
+    let one = file(
+        "one",
+        "seconds = 4\nchoice = \"random\"\nadmission = \"none\"\n",
+    );
+    let other = file(
+        "other",
+        "seconds = 4\nchoice = \"least-out\"\nadmission = \"none\"\n",
+    );
     let compare = |first: &str, second: &str| {
-        let output = model(&["compare", first, second, "--figure", "p99_ms", "--seeds", "8", "--jobs", "2"]);
+        let output = model(&[
+            "compare", first, second, "--figure", "p99_ms", "--seeds", "8", "--jobs", "2",
+        ]);
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
-    assert!(compare(&one, &other).starts_with("p99_ms: -"), "{}", compare(&one, &other));
+    assert!(
+        compare(&one, &other).starts_with("p99_ms: -"),
+        "{}",
+        compare(&one, &other)
+    );
     assert!(compare(&one, &one).starts_with("no difference seen"));
 }
 
@@ -104,12 +171,23 @@
 #[test]
 fn results_are_drawn() {
     let path = file("drawn", "seconds = 2\n");
-    let sweep =
-        model(&["sweep", &path, "--over", "doors=2,4", "--over", "choice=module,random", "--seeds", "2"]);
+    let sweep = model(&[
+        "sweep",
+        &path,
+        "--over",
+        "doors=2,4",
+        "--over",
+        "choice=module,random",
+        "--seeds",
+        "2",
+    ]);
     let results = file("results", &String::from_utf8_lossy(&sweep.stdout));
     let out = format!("{results}.svg");
-    let plot =
-        |x: &str, y: &str| model(&["plot", &results, "--x", x, "--y", y, "--by", "choice", "--out", &out]);
+    let plot = |x: &str, y: &str| {
+        model(&[
+            "plot", &results, "--x", x, "--y", y, "--by", "choice", "--out", &out,
+        ])
+    };
     for (x, y) in [("doors", "worth"), ("second", "worth")] {
         assert_eq!(plot(x, y).status.code(), Some(0), "{x}");
         let svg = std::fs::read_to_string(&out).expect("an SVG");
@@ -149,9 +227,15 @@
 /// A world with all that days have: uneven customers whose busiest door changes, groups of demand with spikes, guesses that are
 /// settled, a meter that is late, caps, ceilings, zones, clients that follow advice at times.
 fn days() -> World {
-    let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../worlds/days.toml"));
+    let text = std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../worlds/days.toml"
+    ));
     let world = World::read(&text.expect("worlds/days.toml")).expect("a world");
-    World { seconds: 10.0, ..world }
+    World {
+        seconds: 10.0,
+        ..world
+    }
 }
 
 /// The rules and the ceilings over fifty seeds of such days with floods, customers that come once, a partition and a lost zone.
@@ -159,16 +243,43 @@
 fn rules_and_ceilings_hold_on_uneven_days() {
     let mut world = World { zones: 3, ..days() };
     world.trouble = vec![
-        Trouble::Flood { at_s: 2.0, for_s: 4.0, customers: 3, times: 10.0, through: 2 },
-        Trouble::OneShots { at_s: 3.0, for_s: 3.0, share: 0.3 },
-        Trouble::Partition { at_s: 4.0, for_s: 2.0, doors: 0.5, backends: 0.3 },
-        Trouble::LoseZone { at_s: 5.0, for_s: 2.0, zone: 1 },
+        Trouble::Flood {
+            at_s: 2.0,
+            for_s: 4.0,
+            customers: 3,
+            times: 10.0,
+            through: 2,
+        },
+        Trouble::OneShots {
+            at_s: 3.0,
+            for_s: 3.0,
+            share: 0.3,
+        },
+        Trouble::Partition {
+            at_s: 4.0,
+            for_s: 2.0,
+            doors: 0.5,
+            backends: 0.3,
+        },
+        Trouble::LoseZone {
+            at_s: 5.0,
+            for_s: 2.0,
+            zone: 1,
+        },
     ];
     for seed in 0..50 {
         let one = play(&world, seed);
-        assert_eq!((one.doubled, one.ran_twice, one.late_sends, one.fell_over), (0, 0, 0, 0), "seed {seed}");
+        assert_eq!(
+            (one.doubled, one.ran_twice, one.late_sends, one.fell_over),
+            (0, 0, 0, 0),
+            "seed {seed}"
+        );
         assert_eq!(one.over_ceiling, 0, "seed {seed}");
-        assert_eq!(one.tries, one.served + one.refused + one.failed + one.lost, "seed {seed}");
+        assert_eq!(
+            one.tries,
+            one.served + one.refused + one.failed + one.lost,
+            "seed {seed}"
+        );
         let by_reason: u64 = one.refusals.values().sum();
         assert_eq!(by_reason, one.refused, "seed {seed}");
         assert!(one.worth > 0.3, "seed {seed}: {}", one.worth);
@@ -178,9 +289,18 @@
 /// Who knows no ceilings breaks them, so that keeping them is no empty word.
 #[test]
 fn a_policy_that_lets_all_in_breaks_ceilings() {
-    let mut world = World { choice: Choice::LeastOut, ..days() };
+    let mut world = World {
+        choice: Choice::LeastOut,
+        ..days()
+    };
     world.admission = maplefall_model::world::Admission::None;
-    world.trouble = vec![Trouble::Flood { at_s: 1.0, for_s: 8.0, customers: 30, times: 10.0, through: 0 }];
+    world.trouble = vec![Trouble::Flood {
+        at_s: 1.0,
+        for_s: 8.0,
+        customers: 30,
+        times: 10.0,
+        through: 0,
+    }];
     assert!((0..5).any(|seed| play(&world, seed).over_ceiling > 0));
 }
 
@@ -192,28 +312,75 @@
     };
     let worth = |world: &World| mean(world, &|one| one.worth);
     // Even shares lose by unevenness, and one that sees all does not.
-    let even = World { choice: Choice::LeastOut, uneven: 0.0, ..days() };
-    let uneven = World { uneven: 0.9, ..even.clone() };
-    assert!(worth(&even) > worth(&uneven) + 0.05, "{} {}", worth(&even), worth(&uneven));
-    let seen = World { choice: Choice::Oracle, ..uneven };
+    let even = World {
+        choice: Choice::LeastOut,
+        uneven: 0.0,
+        ..days()
+    };
+    let uneven = World {
+        uneven: 0.9,
+        ..even.clone()
+    };
+    assert!(
+        worth(&even) > worth(&uneven) + 0.05,
+        "{} {}",
+        worth(&even),
+        worth(&uneven)
+    );
+    let seen = World {
+        choice: Choice::Oracle,
+        ..uneven
+    };
     assert!(worth(&seen) > 0.97, "{}", worth(&seen));
     // Slices rise where a meter would tell of too much, so that uneven customers get more of their quotas.
-    let metered = World { uneven: 0.6, ..days() };
-    let blind = World { meter_ms: 0.0, ..metered.clone() };
-    assert!(worth(&metered) > worth(&blind) + 0.02, "{} {}", worth(&metered), worth(&blind));
+    let metered = World {
+        uneven: 0.6,
+        ..days()
+    };
+    let blind = World {
+        meter_ms: 0.0,
+        ..metered.clone()
+    };
+    assert!(
+        worth(&metered) > worth(&blind) + 0.02,
+        "{} {}",
+        worth(&metered),
+        worth(&blind)
+    );
     // Backends of other zones are left alone where crossing has a price.
-    let free = World { zones: 2, cross_ms: [0.0, 0.0], ..days() };
-    let dear = World { cross_price: 0.05, ..free.clone() };
+    let free = World {
+        zones: 2,
+        cross_ms: [0.0, 0.0],
+        ..days()
+    };
+    let dear = World {
+        cross_price: 0.05,
+        ..free.clone()
+    };
     let crossings = |world: &World| mean(world, &|one| one.crossings);
-    assert!(crossings(&free) > 2.0 * crossings(&dear), "{} {}", crossings(&free), crossings(&dear));
+    assert!(
+        crossings(&free) > 2.0 * crossings(&dear),
+        "{} {}",
+        crossings(&free),
+        crossings(&dear)
+    );
     // A partition costs attempts, not answers.
     let mut cut = World { doors: 2, ..days() };
-    cut.trouble = vec![Trouble::Partition { at_s: 2.0, for_s: 4.0, doors: 1.0, backends: 0.5 }];
+    cut.trouble = vec![Trouble::Partition {
+        at_s: 2.0,
+        for_s: 4.0,
+        doors: 1.0,
+        backends: 0.5,
+    }];
     assert!(worth(&cut) > 0.5, "{}", worth(&cut));
     assert!(mean(&cut, &|one| one.failed as f64) > mean(&days(), &|one| one.failed as f64));
     // A lost zone comes back cold.
     let mut lost = World { zones: 3, ..days() };
-    lost.trouble = vec![Trouble::LoseZone { at_s: 3.0, for_s: 2.0, zone: 0 }];
+    lost.trouble = vec![Trouble::LoseZone {
+        at_s: 3.0,
+        for_s: 2.0,
+        zone: 0,
+    }];
     assert!(mean(&lost, &|one| one.dead as f64) > 0.0);
 }
 
@@ -226,33 +393,70 @@
          [[trouble]]\nwhat = \"slow-backends\"\nat_s = 1\npart = 0.5\nspeed = 0.5\nfor_s = 3\n\
          [[trouble]]\nwhat = \"one-shots\"\nat_s = 2\nfor_s = 3\nshare = 0.3\n",
     );
-    let output = model(&["search", &path, "--breaks", "beyond>0.05", "--seeds", "3", "--runs", "200"]);
+    let output = model(&[
+        "search",
+        &path,
+        "--breaks",
+        "beyond>0.05",
+        "--seeds",
+        "3",
+        "--runs",
+        "200",
+    ]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(
+        output.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let small = World::read(&text).expect("what is printed is a world");
-    assert!(small.trouble.is_empty() && small.doors == 1 && small.zones == 1, "{text}");
-    assert!(play(&small, 1).beyond > 0.05 || play(&small, 2).beyond > 0.05 || play(&small, 3).beyond > 0.05);
+    assert!(
+        small.trouble.is_empty() && small.doors == 1 && small.zones == 1,
+        "{text}"
+    );
+    assert!(
+        play(&small, 1).beyond > 0.05
+            || play(&small, 2).beyond > 0.05
+            || play(&small, 3).beyond > 0.05
+    );
     let none = model(&["search", &path, "--breaks", "ran_twice>0", "--seeds", "2"]);
     assert!(String::from_utf8_lossy(&none.stdout).starts_with("not seen"));
     for wrong in ["beyond", "nothing>1", "beyond>much"] {
-        assert_eq!(model(&["search", &path, "--breaks", wrong]).status.code(), Some(2), "{wrong}");
+        assert_eq!(
+            model(&["search", &path, "--breaks", wrong]).status.code(),
+            Some(2),
+            "{wrong}"
+        );
     }
 }
 
 /// The load of a world is its first tries in the order of their times, whoever decides.
 #[test]
 fn the_load_of_a_world_goes_by_its_seed_alone() {
-    let world = World { seconds: 3.0, ..days() };
+    let world = World {
+        seconds: 3.0,
+        ..days()
+    };
     let asks = maplefall_model::run::load(&world, 4);
     assert_eq!(asks.len() as u64, play(&world, 4).first_tries);
     assert!(asks.windows(2).all(|pair| pair[0].at <= pair[1].at));
-    assert!(asks.iter().all(|ask| ask.at < 3000.0 && ask.plan < 4 && ask.class < 3 && ask.spread == 4));
+    assert!(asks
+        .iter()
+        .all(|ask| ask.at < 3000.0 && ask.plan < 4 && ask.class < 3 && ask.spread == 4));
     let path = file("load", "seconds = 1\n");
     let lines = |seed: &str| model(&["load", &path, "--seed", seed]).stdout;
     assert_eq!(lines("2"), lines("2"));
     assert_ne!(lines("2"), lines("3"));
-    let first = String::from_utf8_lossy(&lines("2")).lines().next().map(str::to_owned).expect("a line");
-    assert!(serde_json::from_str::<maplefall_model::run::Ask>(&first).is_ok(), "{first}");
+    let first = String::from_utf8_lossy(&lines("2"))
+        .lines()
+        .next()
+        .map(str::to_owned)
+        .expect("a line");
+    assert!(
+        serde_json::from_str::<maplefall_model::run::Ask>(&first).is_ok(),
+        "{first}"
+    );
 }
 
 /// A frontier's table has a row for each place, and what the bound does not cover is told.
@@ -263,7 +467,9 @@
         "seconds = 3\ncustomers = 20\n[[plan]]\nshare = 1\nrate = 4\nburst = 16\nprice = 1\n\
          [[demand]]\nshare = 1\npart = [0.5, 0.5]\n[[demand]]\nshare = 1\npart = [3, 3]\n",
     );
-    let words = ["frontier", &path, "--doors", "1,5", "--uneven", "0,0.5", "--seeds", "2", "--cost", "0.5"];
+    let words = [
+        "frontier", &path, "--doors", "1,5", "--uneven", "0,0.5", "--seeds", "2", "--cost", "0.5",
+    ];
     let table = String::from_utf8_lossy(&model(&words).stdout).into_owned();
     assert_eq!(table.lines().count(), 5, "{table}");
     let json = model(&[words.as_slice(), &["--json", "--jobs", "4"]].concat());
--- a/crates/node-settings/src/lib.rs
+++ b/crates/node-settings/src/lib.rs
@@ -28,12 +28,23 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Read(path, error) => write!(f, "step=read file={} error={error:?}", path.display()),
+            Error::Read(path, error) => {
+                write!(f, "step=read file={} error={error:?}", path.display())
+            }
             Error::Parse(path, error) => {
-                write!(f, "step=parse file={} error={:?}", path.display(), error.to_string())
+                write!(
+                    f,
+                    "step=parse file={} error={:?}",
+                    path.display(),
+                    error.to_string()
+                )
             }
             Error::Field(path, field, value) => {
-                write!(f, "step=check file={} field={field} value={value:?}", path.display())
+                write!(
+                    f,
+                    "step=check file={} field={field} value={value:?}",
+                    path.display()
+                )
             }
         }
     }
@@ -109,7 +120,11 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { memory_mb: 256, file_limit: 1024, disk_mb: 0 }
+        Limits {
+            memory_mb: 256,
+            file_limit: 1024,
+            disk_mb: 0,
+        }
     }
 }
 
@@ -127,7 +142,11 @@
 
 impl Default for Tolerance {
     fn default() -> Tolerance {
-        Tolerance { machine_losses: 1, zones: 0, region_losses: 0 }
+        Tolerance {
+            machine_losses: 1,
+            zones: 0,
+            region_losses: 0,
+        }
     }
 }
 
@@ -184,7 +203,9 @@
     fn read(texts: &[String]) -> Result<Bounds, String> {
         let mut bounds = Bounds::default();
         for text in texts.iter().flat_map(|text| text.split(',')) {
-            let Some((name, value)) = text.trim().split_once('=') else { continue };
+            let Some((name, value)) = text.trim().split_once('=') else {
+                continue;
+            };
             let field = match name.trim() {
                 "ContactS" => &mut bounds.contact_s,
                 "AckS" => &mut bounds.ack_s,
@@ -200,7 +221,11 @@
                 "QuotaSlack" => &mut bounds.quota_slack,
                 _ => continue,
             };
-            let figure = value.trim().parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0);
+            let figure = value
+                .trim()
+                .parse()
+                .ok()
+                .filter(|x: &f64| x.is_finite() && *x >= 0.0);
             *field = figure.ok_or_else(|| text.to_owned())?;
         }
         Ok(bounds)
@@ -256,7 +281,8 @@
 
     /// Reads and checks a settings file.
     pub fn load(path: &Path) -> Result<Settings, Error> {
-        let text = std::fs::read_to_string(path).map_err(|error| Error::Read(path.into(), error))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|error| Error::Read(path.into(), error))?;
         Settings::read(&text, path)
     }
 
@@ -320,8 +346,12 @@
 
     /// Whether it is another than when it was last looked at. One that is not there just now has not changed.
     pub fn changed(&mut self) -> bool {
-        let Ok(data) = std::fs::metadata(&self.path) else { return false };
-        let Ok(modified) = data.modified() else { return false };
+        let Ok(data) = std::fs::metadata(&self.path) else {
+            return false;
+        };
+        let Ok(modified) = data.modified() else {
+            return false;
+        };
         let now = Some((modified, data.len()));
         std::mem::replace(&mut self.seen, now) != now
     }
@@ -353,8 +383,14 @@
     #[test]
     fn unknown_fields_are_passed_over_and_missing_bounds_have_their_defaults() {
         let settings = Settings::read(DOOR, Path::new("x")).expect("settings");
-        assert_eq!((settings.bounds.drain_s, settings.bounds.grace_s), (1.25, 6.0));
-        assert_eq!((settings.limits.memory_mb, settings.limits.file_limit), (260, 1024));
+        assert_eq!(
+            (settings.bounds.drain_s, settings.bounds.grace_s),
+            (1.25, 6.0)
+        );
+        assert_eq!(
+            (settings.limits.memory_mb, settings.limits.file_limit),
+            (260, 1024)
+        );
         assert_eq!(settings.bind.front_http.map(|a| a.port()), Some(8388));
     }
 
--- a/crates/protocol/src/answer.rs
+++ b/crates/protocol/src/answer.rs
@@ -34,6 +34,13 @@
 impl Ended {
     /// An end without an answer.
     pub fn of(outcome: Outcome) -> Ended {
-        Ended { outcome, body: Bytes::new(), used: None, charge: None, report: Report::default(), broken: 0 }
+        Ended {
+            outcome,
+            body: Bytes::new(),
+            used: None,
+            charge: None,
+            report: Report::default(),
+            broken: 0,
+        }
     }
 }
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -126,9 +126,12 @@
         while self.guests.borrow().len() >= self.most {
             let longest = {
                 let guests = self.guests.borrow();
-                let resting =
-                    guests.values().filter_map(|guest| Some((guest.visit.borrow().resting()?, guest)));
-                resting.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, guest)| guest.clone())
+                let resting = guests
+                    .values()
+                    .filter_map(|guest| Some((guest.visit.borrow().resting()?, guest)));
+                resting
+                    .min_by(|a, b| a.0.total_cmp(&b.0))
+                    .map(|(_, guest)| guest.clone())
             };
             match longest {
                 Some(guest) => guest.leave(),
@@ -140,21 +143,38 @@
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream, number: u64, guest: Rc<Guest>) {
-        let _open = Open { clients: &self, number };
+        let _open = Open {
+            clients: &self,
+            number,
+        };
         // Without it answers are late, not wrong.
         let _ = stream.set_nodelay(true);
-        let longest = self.door.ask(|core| core.limits().header_bytes).clamp(BUFFERS.0, BUFFERS.1);
-        let io = TokioIo::new(Watched { stream, guest: guest.clone(), door: self.door.clone() });
+        let longest = self
+            .door
+            .ask(|core| core.limits().header_bytes)
+            .clamp(BUFFERS.0, BUFFERS.1);
+        let io = TokioIo::new(Watched {
+            stream,
+            guest: guest.clone(),
+            door: self.door.clone(),
+        });
         let service = service_fn(|request| {
             let (clients, guest) = (self.clone(), guest.clone());
             async move { Ok::<_, Infallible>(clients.answer(request, &guest).await) }
         });
-        let builder = hyper::server::conn::http1::Builder::new().max_buf_size(longest).clone();
+        let builder = hyper::server::conn::http1::Builder::new()
+            .max_buf_size(longest)
+            .clone();
         let mut connection = std::pin::pin!(builder.serve_connection(io, service));
         let mut phase = self.phase.subscribe();
         let mut leaving = false;
         loop {
-            let due = |guest: &Guest| guest.visit.borrow().due(&self.door.ask(|core| core.limits()));
+            let due = |guest: &Guest| {
+                guest
+                    .visit
+                    .borrow()
+                    .due(&self.door.ask(|core| core.limits()))
+            };
             let at = due(&guest).map(|(at, _)| self.door.clock.instant(at));
             tokio::select! {
                 // An error is a client that went away or wrote no HTTP; the library has answered the latter.
@@ -187,7 +207,10 @@
         tokio::time::sleep(linger).await;
         self.phase.send_replace(Phase::Sweeping);
         while !self.guests.borrow().is_empty() || self.door.ask(|core| core.busy()) {
-            if tokio::time::timeout_at(end, self.closed.notified()).await.is_err() {
+            if tokio::time::timeout_at(end, self.closed.notified())
+                .await
+                .is_err()
+            {
                 log::warn!("event=cut_short open={}", self.guests.borrow().len());
                 break;
             }
@@ -200,7 +223,10 @@
 
     /// Accepts nothing more; the listener is closed when what comes back has ended.
     pub fn close(&self) -> Option<JoinHandle<()>> {
-        self.accepting.borrow_mut().take().inspect(|accepting| accepting.abort())
+        self.accepting
+            .borrow_mut()
+            .take()
+            .inspect(|accepting| accepting.abort())
     }
 
     async fn answer(&self, request: Request<Incoming>, guest: &Guest) -> Response<Full<Bytes>> {
@@ -221,7 +247,11 @@
                     Bad::Slow => (408, "body"),
                     Bad::NoRoom => (503, "room"),
                 };
-                let last = Final { status, retry_after: (status == 503).then_some(200.0), backends: false };
+                let last = Final {
+                    status,
+                    retry_after: (status == 503).then_some(200.0),
+                    backends: false,
+                };
                 let mut response = own(&last, id);
                 *response.body_mut() = Full::new(Bytes::from(format!("step=read field={why}\n")));
                 // Nothing that follows on such a connection can be trusted to be a request.
@@ -229,7 +259,9 @@
             }
         };
         if close || self.crowded.get() || *self.phase.borrow() != Phase::Serving {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         guest.visit.borrow_mut().answered(self.door.clock.now());
         guest.changed.notify_one();
@@ -239,7 +271,9 @@
     async fn decide(&self, request: Request<Incoming>) -> Result<Answer, Bad> {
         let at = self.door.clock.now();
         let (head, body) = request.into_parts();
-        let host = one(&head.headers, &HOST)?.ok_or(Bad::Request("host"))?.to_owned();
+        let host = one(&head.headers, &HOST)?
+            .ok_or(Bad::Request("host"))?
+            .to_owned();
         let remaining = one(&head.headers, &TIME_REMAINING)?.map(|text| text.trim().parse::<f64>());
         let remaining = match remaining {
             None => None,
@@ -251,19 +285,37 @@
             return Err(Bad::Request("x-attempt-id"));
         }
         // A target that names another host than the header asks for two routes.
-        if head.uri.authority().is_some_and(|named| !named.as_str().eq_ignore_ascii_case(&host)) {
+        if head
+            .uri
+            .authority()
+            .is_some_and(|named| !named.as_str().eq_ignore_ascii_case(&host))
+        {
             return Err(Bad::Request("host"));
         }
         if head.method == Method::CONNECT {
             return Err(Bad::Request("method"));
         }
-        let path = head.uri.path_and_query().cloned().ok_or(Bad::Request("path"))?;
-        let end = self.door.clock.instant(at + remaining.unwrap_or(LONGEST_BODY_TIME));
+        let path = head
+            .uri
+            .path_and_query()
+            .cloned()
+            .ok_or(Bad::Request("path"))?;
+        let end = self
+            .door
+            .clock
+            .instant(at + remaining.unwrap_or(LONGEST_BODY_TIME));
         let (body, _held) = self.read_body(body, end).await?;
-        let key = one(&head.headers, &AUTHORIZATION)?.and_then(|value| value.strip_prefix("Token "));
+        let key =
+            one(&head.headers, &AUTHORIZATION)?.and_then(|value| value.strip_prefix("Token "));
         let key = key.map(|key| key.trim().to_owned());
-        let mut arrival =
-            Arrival { host: &host, path: path.path(), key: key.as_deref(), remaining, at, again: false };
+        let mut arrival = Arrival {
+            host: &host,
+            path: path.path(),
+            key: key.as_deref(),
+            remaining,
+            at,
+            again: false,
+        };
         // What is missing may come in a moment, as after a start: within this the client is not worse off than by coming again.
         let most = at + remaining.map_or(0.0, |ms| (ms * MOMENT).min(LONGEST_MOMENT));
         let mut whole = Some((head.method, head.headers, body));
@@ -282,24 +334,41 @@
                 Err(Not::At(last)) => return Ok(Answer::Own(last)),
                 Err(Not::Yet(last, moment)) => {
                     arrival.again = true;
-                    let moment = self.door.clock.instant(most.min(self.door.clock.now() + moment));
+                    let moment = self
+                        .door
+                        .clock
+                        .instant(most.min(self.door.clock.now() + moment));
                     if tokio::time::timeout_at(moment, changed).await.is_err() {
                         return Ok(Answer::Own(last));
                     }
                 }
             }
         };
-        let mut waiting = Waiting { door: &self.door, id: Some(id) };
+        let mut waiting = Waiting {
+            door: &self.door,
+            id: Some(id),
+        };
         let answer = answer.await;
         waiting.id = None;
-        Ok(answer.unwrap_or(Answer::Own(Final { status: 502, retry_after: None, backends: false })))
+        Ok(answer.unwrap_or(Answer::Own(Final {
+            status: 502,
+            retry_after: None,
+            backends: false,
+        })))
     }
 
-    async fn read_body(&self, body: Incoming, end: tokio::time::Instant) -> Result<(Bytes, Held<'_>), Bad> {
+    async fn read_body(
+        &self,
+        body: Incoming,
+        end: tokio::time::Instant,
+    ) -> Result<(Bytes, Held<'_>), Bad> {
         if body.is_end_stream() {
             return Ok((Bytes::new(), Held(self, 0)));
         }
-        let longest = self.door.ask(|core| core.limits().body_bytes).min(self.room);
+        let longest = self
+            .door
+            .ask(|core| core.limits().body_bytes)
+            .min(self.room);
         let told = body.size_hint().exact();
         if body.size_hint().lower() > longest as u64 {
             return Err(Bad::TooLong);
@@ -317,7 +386,10 @@
 }
 
 /// The value of a header that stands there once at most and is plain text.
-fn one<'a>(headers: &'a HeaderMap, name: &hyper::header::HeaderName) -> Result<Option<&'a str>, Bad> {
+fn one<'a>(
+    headers: &'a HeaderMap,
+    name: &hyper::header::HeaderName,
+) -> Result<Option<&'a str>, Bad> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
@@ -365,7 +437,11 @@
 
 impl Guest {
     fn new(visit: Visit) -> Guest {
-        Guest { visit: RefCell::new(visit), left: Cell::new(false), changed: Notify::new() }
+        Guest {
+            visit: RefCell::new(visit),
+            left: Cell::new(false),
+            changed: Notify::new(),
+        }
     }
 
     fn leave(&self) {
@@ -390,7 +466,8 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > before && self.guest.visit.borrow_mut().heard(self.door.clock.now()) {
+        if buf.filled().len() > before && self.guest.visit.borrow_mut().heard(self.door.clock.now())
+        {
             self.guest.changed.notify_one();
         }
         read
@@ -398,7 +475,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -2,12 +2,12 @@
 
 use crate::services::{Pool, Services};
 use crate::timers::Timers;
-use maplefall_service_registry::{Brought, Directory, Word};
-use maplefall_node_settings::{Bounds, Settings};
+use maplefall_control_messages::{Frame, Plans};
 use maplefall_gateway_config::{Change, Items, Plan as Numbers, Route, Tenant, Way};
+use maplefall_node_settings::{Bounds, Settings};
 use maplefall_policy::*;
-use maplefall_control_messages::{Frame, Plans};
 use maplefall_quota_lease::{Demand, Purse};
+use maplefall_service_registry::{Brought, Directory, Word};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeSet, HashMap};
@@ -65,11 +65,19 @@
 
 impl Final {
     fn of(status: u16) -> Final {
-        Final { status, retry_after: None, backends: false }
+        Final {
+            status,
+            retry_after: None,
+            backends: false,
+        }
     }
 
     fn not_run(status: u16, retry_after: Millis) -> Final {
-        Final { status, retry_after: Some(retry_after.max(SOONEST)), backends: false }
+        Final {
+            status,
+            retry_after: Some(retry_after.max(SOONEST)),
+            backends: false,
+        }
     }
 }
 
@@ -210,7 +218,13 @@
     let over = 1.0 + 0.8 * bounds.quota_overshoot;
     let spare = 1000.0 * 0.2 * bounds.quota_overshoot * bounds.quota_window_s;
     let wait = spare.min(WAIT_AIMS * aim);
-    Quota { rate: over * rate, burst, depth: over * burst + 0.9 * bounds.quota_slack, part, wait }
+    Quota {
+        rate: over * rate,
+        burst,
+        depth: over * burst + 0.9 * bounds.quota_slack,
+        part,
+        wait,
+    }
 }
 
 impl Core {
@@ -226,7 +240,11 @@
             names: HashMap::new(),
             purse: Purse::new(seed.max(1)),
             connected: BTreeSet::new(),
-            exchanges: settings.seeds.iter().map(|seed| seed.ip().to_string()).collect(),
+            exchanges: settings
+                .seeds
+                .iter()
+                .map(|seed| seed.ip().to_string())
+                .collect(),
             urgent: 0.0,
             asked: HashMap::new(),
             short: HashMap::new(),
@@ -261,7 +279,8 @@
         self.bounds = settings.bounds;
         self.services.set_bounds(settings.bounds);
         let known = self.exchanges.len();
-        self.exchanges.extend(settings.seeds.iter().map(|seed| seed.ip().to_string()));
+        self.exchanges
+            .extend(settings.seeds.iter().map(|seed| seed.ip().to_string()));
         if self.exchanges.len() > known {
             out.push(Output::Exchanges(self.exchanges.iter().cloned().collect()));
         }
@@ -302,14 +321,20 @@
                 return Err(Not::At(Final::of(401)));
             }
         };
-        let wait = arrival.remaining.unwrap_or(route.timeout).min(route.timeout);
+        let wait = arrival
+            .remaining
+            .unwrap_or(route.timeout)
+            .min(route.timeout);
         let deadline = arrival.at + wait - WAY_BACK;
         if self.requests.len() >= MOST_REQUESTS || deadline <= now {
             return Err(Not::At(Final::not_run(503, COME_BACK_AIMS * route.aim)));
         }
         let place = self.choose_service(route);
         if !self.services.has_any(place) {
-            return Err(Not::Yet(Final::not_run(503, COME_BACK_AIMS * route.aim), LONGEST_MOMENT));
+            return Err(Not::Yet(
+                Final::not_run(503, COME_BACK_AIMS * route.aim),
+                LONGEST_MOMENT,
+            ));
         }
         self.counts.arrived += 1;
         let who = tenant.map(|tenant| self.name(&tenant.name));
@@ -368,7 +393,13 @@
             spread: 1.0,
         };
         if token > 0.0 {
-            self.requests.insert(id, Entry { awaits: Some(request), ..entry });
+            self.requests.insert(
+                id,
+                Entry {
+                    awaits: Some(request),
+                    ..entry
+                },
+            );
             self.timers.set(now + token, Due::Token(id));
         } else {
             self.requests.insert(id, entry);
@@ -379,7 +410,9 @@
 
     /// A client has gone away before its answer.
     pub fn client_gone(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
-        let Some(entry) = self.requests.get_mut(&id).filter(|entry| !entry.answered) else { return };
+        let Some(entry) = self.requests.get_mut(&id).filter(|entry| !entry.answered) else {
+            return;
+        };
         entry.answered = true;
         let service = entry.service;
         if entry.awaits.take().is_some() {
@@ -392,12 +425,25 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Millis, id: RequestId, number: u32, ended: Ended, out: &mut Vec<Output>) {
-        let Some(entry) = self.requests.get_mut(&id) else { return };
-        let Some((_, backend, sent)) = entry.out.take_if(|(attempt, _, _)| *attempt == number) else {
+    pub fn ended(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        number: u32,
+        ended: Ended,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(entry) = self.requests.get_mut(&id) else {
             return;
         };
-        let never = matches!(ended.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent);
+        let Some((_, backend, sent)) = entry.out.take_if(|(attempt, _, _)| *attempt == number)
+        else {
+            return;
+        };
+        let never = matches!(
+            ended.outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent
+        );
         entry.may_have_run |= !never;
         if ended.outcome == Outcome::Ok && !entry.answered {
             entry.answered = true;
@@ -406,9 +452,15 @@
         }
         let (service, closed) = (entry.service, entry.answered);
         if ended.stranger {
-            let instance = self.services.backend(backend).map(|backend| backend.instance.clone());
+            let instance = self
+                .services
+                .backend(backend)
+                .map(|backend| backend.instance.clone());
             if let Some(word) = instance.and_then(|instance| self.directory.lost(now, &instance)) {
-                out.push(Output::Log(format!("event=stranger backend={} service={}", word.id, word.service)));
+                out.push(Output::Log(format!(
+                    "event=stranger backend={} service={}",
+                    word.id, word.service
+                )));
                 self.apply(now, &word, out);
             }
         }
@@ -430,14 +482,25 @@
 
     fn post(&mut self, now: Millis, place: usize, event: Event, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
-        let Some(service) = self.services.get(place) else { return };
+        let Some(service) = self.services.get(place) else {
+            return;
+        };
         service.gateway.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, backend, limit, care } => {
+                Action::Send {
+                    request,
+                    backend,
+                    limit,
+                    care,
+                } => {
                     self.send(now, request, backend, limit, care, out);
                 }
-                Action::Refuse { request, reason, retry_after } => {
+                Action::Refuse {
+                    request,
+                    reason,
+                    retry_after,
+                } => {
                     self.refuse(request, reason, retry_after, out);
                 }
                 Action::Fail(request) => self.fail(now, request, out),
@@ -464,8 +527,13 @@
         care: Care,
         out: &mut Vec<Output>,
     ) {
-        let instance = self.services.backend(backend).map(|backend| backend.instance.clone());
-        let Some(entry) = self.requests.get_mut(&id) else { return };
+        let instance = self
+            .services
+            .backend(backend)
+            .map(|backend| backend.instance.clone());
+        let Some(entry) = self.requests.get_mut(&id) else {
+            return;
+        };
         let attempt = entry.attempts;
         entry.attempts += 1;
         self.counts.repeats += u64::from(attempt > 0);
@@ -476,17 +544,36 @@
                 entry.sent = true;
                 self.timers.set(now + limit, Due::TimeOut(id, attempt));
                 let left = entry.deadline - now;
-                out.push(Output::Send { request: id, attempt, backend, instance, limit: left, care });
+                out.push(Output::Send {
+                    request: id,
+                    attempt,
+                    backend,
+                    instance,
+                    limit: left,
+                    care,
+                });
             }
             None => {
-                let ended = Ended { outcome: Outcome::NotSent, broken: 0, stranger: false };
+                let ended = Ended {
+                    outcome: Outcome::NotSent,
+                    broken: 0,
+                    stranger: false,
+                };
                 self.ended(now, id, attempt, ended, out);
             }
         }
     }
 
-    fn refuse(&mut self, id: RequestId, reason: Reason, wait: Option<Millis>, out: &mut Vec<Output>) {
-        let Some(entry) = self.requests.get_mut(&id) else { return };
+    fn refuse(
+        &mut self,
+        id: RequestId,
+        reason: Reason,
+        wait: Option<Millis>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(entry) = self.requests.get_mut(&id) else {
+            return;
+        };
         if !entry.answered {
             entry.answered = true;
             // What is still out may have run, or may run yet: nothing is promised.
@@ -510,18 +597,35 @@
     }
 
     fn fail(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
-        let Some(entry) = self.requests.get_mut(&id) else { return };
+        let Some(entry) = self.requests.get_mut(&id) else {
+            return;
+        };
         if !entry.answered {
             entry.answered = true;
             self.counts.failed += 1;
-            let status = if now + 2.0 * WAY_BACK >= entry.deadline { 504 } else { 502 };
-            out.push(Output::Answer(id, Final { status, retry_after: None, backends: true }));
+            let status = if now + 2.0 * WAY_BACK >= entry.deadline {
+                504
+            } else {
+                502
+            };
+            out.push(Output::Answer(
+                id,
+                Final {
+                    status,
+                    retry_after: None,
+                    backends: true,
+                },
+            ));
         }
         self.forget_if_over(id);
     }
 
     fn forget_if_over(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|entry| entry.answered && entry.out.is_none()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|entry| entry.answered && entry.out.is_none())
+        {
             self.requests.remove(&id);
         }
     }
@@ -576,14 +680,18 @@
                     }
                 }
                 Due::Token(id) => {
-                    let Some(entry) = self.requests.get_mut(&id) else { continue };
+                    let Some(entry) = self.requests.get_mut(&id) else {
+                        continue;
+                    };
                     if let Some(request) = entry.awaits.take() {
                         let place = entry.service;
                         self.post(now, place, Event::Arrival(request), out);
                     }
                 }
                 Due::TimeOut(id, number) => {
-                    let Some(entry) = self.requests.get(&id) else { continue };
+                    let Some(entry) = self.requests.get(&id) else {
+                        continue;
+                    };
                     let deadline = entry.deadline;
                     if entry.out.is_none_or(|(attempt, _, _)| attempt != number) {
                         continue;
@@ -610,7 +718,10 @@
         self.report(now, out);
         if self.ready() != self.was_ready {
             self.was_ready = self.ready();
-            out.push(Output::Log(format!("event=ready ready={} index={}", self.was_ready, self.index)));
+            out.push(Output::Log(format!(
+                "event=ready ready={} index={}",
+                self.was_ready, self.index
+            )));
         }
     }
 
@@ -618,10 +729,16 @@
     /// most, with the part of its quota that is held here.
     pub fn account(&mut self, now: Millis) -> Option<String> {
         let c = std::mem::take(&mut self.counts);
-        let worst = c.turned.iter().max_by(|a, b| a.1.cmp(b.1).then_with(|| b.0.cmp(a.0)));
+        let worst = c
+            .turned
+            .iter()
+            .max_by(|a, b| a.1.cmp(b.1).then_with(|| b.0.cmp(a.0)));
         let worst = worst.map(|(who, times)| {
             let part = self.purse.part(now, who);
-            format!(" tenant={who} turned={times} part={part:.3} lenders={}", self.connected.len())
+            format!(
+                " tenant={who} turned={times} part={part:.3} lenders={}",
+                self.connected.len()
+            )
         });
         (c.arrived > 0).then(|| {
             format!(
@@ -651,7 +768,13 @@
     }
 
     fn quota(&self, now: Millis, tenant: &Tenant, aim: Millis) -> Quota {
-        quota(&self.bounds, tenant.rate, tenant.burst, self.purse.part(now, &tenant.name), aim)
+        quota(
+            &self.bounds,
+            tenant.rate,
+            tenant.burst,
+            self.purse.part(now, &tenant.name),
+            aim,
+        )
     }
 
     fn demand(&self, now: Millis) -> Vec<Demand> {
@@ -683,7 +806,9 @@
             return Some(soon);
         }
         self.ask_now(now, out);
-        asked.map(|asked| asked + soon - now).filter(|left| *left > 0.0)
+        asked
+            .map(|asked| asked + soon - now)
+            .filter(|left| *left > 0.0)
     }
 
     /// Tells the lenders at once what is wanted, unless they have just been told.
@@ -718,7 +843,10 @@
     pub fn farewell(&mut self, now: Millis, out: &mut Vec<Output>) {
         for lender in self.connected.clone() {
             let report = self.purse.report(now, &lender, Vec::new());
-            let report = maplefall_quota_lease::Report { last: true, ..report };
+            let report = maplefall_quota_lease::Report {
+                last: true,
+                ..report
+            };
             out.push(Output::Say(lender, Frame::Report(report)));
         }
     }
@@ -770,7 +898,10 @@
             self.board = Items::of(plans.items);
             self.numbers = Rc::new(Numbers::of(&self.board));
         } else {
-            let new = plans.changes.into_iter().filter(|one| one.index > self.index);
+            let new = plans
+                .changes
+                .into_iter()
+                .filter(|one| one.index > self.index);
             let changes: Vec<Change> = new.filter_map(|one| one.change).collect();
             changes.iter().for_each(|change| {
                 self.board.join(change);
@@ -802,7 +933,12 @@
         if let Some((service, entry, pool)) = self.services.hear(now, word) {
             out.push(Output::Pool(pool));
             out.push(Output::Changed);
-            self.post(now, service, Event::Backends(ListKind::Changes, vec![entry]), out);
+            self.post(
+                now,
+                service,
+                Event::Backends(ListKind::Changes, vec![entry]),
+                out,
+            );
         }
     }
 }
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/door.rs
@@ -5,10 +5,10 @@
 use crate::services::Pool;
 use bytes::Bytes;
 use hyper::header::HeaderValue;
+use maplefall_control_messages::write;
 use maplefall_node_settings::Settings;
 use maplefall_policy::{BackendId, Care, Millis, Outcome, RequestId};
 use maplefall_settings::Links;
-use maplefall_control_messages::write;
 use maplefall_upstream::{budget, carry, Clock, Line, Pools};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -64,7 +64,13 @@
         Rc::new(Door {
             clock: Clock::new(),
             core: RefCell::new(Core::new(settings, seed)),
-            pools: Pools::new(Links { dial_timeout: DIAL, idle_close: IDLE }, budget(sockets)),
+            pools: Pools::new(
+                Links {
+                    dial_timeout: DIAL,
+                    idle_close: IDLE,
+                },
+                budget(sockets),
+            ),
             pending: RefCell::default(),
             earlier: Notify::new(),
             wakes: Cell::new(f64::INFINITY),
@@ -80,7 +86,10 @@
     }
 
     /// Hands something that happened to the core, and carries out what comes back.
-    pub fn drive<T>(self: &Rc<Self>, step: impl FnOnce(&mut Core, Millis, &mut Vec<Output>) -> T) -> T {
+    pub fn drive<T>(
+        self: &Rc<Self>,
+        step: impl FnOnce(&mut Core, Millis, &mut Vec<Output>) -> T,
+    ) -> T {
         let mut out = Vec::new();
         let result = step(&mut self.core.borrow_mut(), self.clock.now(), &mut out);
         for output in out {
@@ -95,23 +104,38 @@
 
     fn carry_out(self: &Rc<Self>, output: Output) {
         match output {
-            Output::Send { request, attempt, backend, instance, limit, care } => {
+            Output::Send {
+                request,
+                attempt,
+                backend,
+                instance,
+                limit,
+                care,
+            } => {
                 self.send(request, attempt, backend, instance, (limit, care));
             }
             Output::Pass(id) => {
                 let mut pending = self.pending.borrow_mut();
-                let Some(entry) = pending.get_mut(&id) else { return };
+                let Some(entry) = pending.get_mut(&id) else {
+                    return;
+                };
                 if let (Some(answer), Some(reply)) = (entry.answer.take(), entry.reply.take()) {
                     let _ = answer.send(Answer::Reply(reply));
                 }
             }
             Output::Answer(id, last) => {
                 let mut pending = self.pending.borrow_mut();
-                let Some(entry) = pending.get_mut(&id) else { return };
+                let Some(entry) = pending.get_mut(&id) else {
+                    return;
+                };
                 // One that says that it has not run promises what a later attempt may have broken; one whose status promises that
                 // without the word for it may have run.
-                let passes = |reply: &Reply| reply.outcome == Outcome::Error && !promises(reply.status);
-                let reply = entry.reply.take().filter(|reply| last.backends && passes(reply));
+                let passes =
+                    |reply: &Reply| reply.outcome == Outcome::Error && !promises(reply.status);
+                let reply = entry
+                    .reply
+                    .take()
+                    .filter(|reply| last.backends && passes(reply));
                 if let Some(answer) = entry.answer.take() {
                     let _ = answer.send(reply.map_or(Answer::Own(last), Answer::Reply));
                 }
@@ -122,7 +146,9 @@
             Output::GiveUp(id, number) => {
                 let line = {
                     let mut pending = self.pending.borrow_mut();
-                    let out = pending.get_mut(&id).and_then(|entry| entry.out.take_if(|(n, _)| *n == number));
+                    let out = pending
+                        .get_mut(&id)
+                        .and_then(|entry| entry.out.take_if(|(n, _)| *n == number));
                     out.map(|(_, line)| line)
                 };
                 // One that is not out has not been carried that far: its task has yet to run.
@@ -133,7 +159,15 @@
                 if let Some(line) = line {
                     line.give_up();
                 }
-                self.ended(id, number, Ended { outcome, broken: 0, stranger: false });
+                self.ended(
+                    id,
+                    number,
+                    Ended {
+                        outcome,
+                        broken: 0,
+                        stranger: false,
+                    },
+                );
             }
             Output::Pool(Pool::Open(id, address)) => self.pools.open(id, address, 0.0),
             Output::Pool(Pool::Drain(id)) => self.pools.drain(id),
@@ -162,8 +196,13 @@
         let accepted = self.core.borrow_mut().arrive(now, arrival, &mut out);
         if let Ok(accepted) = &accepted {
             let order = Some(Rc::new(order(accepted)));
-            let entry =
-                Pending { order, answer: Some(sender), reply: None, out: None, line: Line::default() };
+            let entry = Pending {
+                order,
+                answer: Some(sender),
+                reply: None,
+                out: None,
+                line: Line::default(),
+            };
             self.pending.borrow_mut().insert(accepted.id, entry);
         }
         self.drive(|_, _, more| more.append(&mut out));
@@ -192,7 +231,9 @@
     ) {
         let (order, line) = {
             let mut pending = self.pending.borrow_mut();
-            let Some(entry) = pending.get_mut(&id) else { return };
+            let Some(entry) = pending.get_mut(&id) else {
+                return;
+            };
             entry.line = entry.line.again();
             let line = entry.line.clone();
             entry.out = Some((attempt, line.clone()));
@@ -220,13 +261,27 @@
             let stranger = reply.as_ref().is_some_and(|reply| reply.stranger);
             {
                 let mut pending = door.pending.borrow_mut();
-                let Some(entry) = pending.get_mut(&id) else { return };
-                if entry.out.take_if(|(number, _)| *number == attempt).is_none() {
+                let Some(entry) = pending.get_mut(&id) else {
+                    return;
+                };
+                if entry
+                    .out
+                    .take_if(|(number, _)| *number == attempt)
+                    .is_none()
+                {
                     return;
                 }
                 entry.reply = reply;
             }
-            door.ended(id, attempt, Ended { outcome, broken, stranger });
+            door.ended(
+                id,
+                attempt,
+                Ended {
+                    outcome,
+                    broken,
+                    stranger,
+                },
+            );
         });
         line.tie(task.abort_handle());
     }
@@ -234,7 +289,10 @@
     fn ended(self: &Rc<Self>, id: RequestId, attempt: u32, ended: Ended) {
         self.drive(|core, now, out| core.ended(now, id, attempt, ended, out));
         let mut pending = self.pending.borrow_mut();
-        if pending.get(&id).is_some_and(|entry| entry.answer.is_none() && entry.out.is_none()) {
+        if pending
+            .get(&id)
+            .is_some_and(|entry| entry.answer.is_none() && entry.out.is_none())
+        {
             pending.remove(&id);
         }
     }
@@ -265,5 +323,8 @@
 
 /// The header that tells a backend whose request it is.
 pub fn tenant_value(accepted: &Accepted) -> Option<HeaderValue> {
-    accepted.tenant.as_ref().and_then(|tenant| HeaderValue::from_str(tenant).ok())
+    accepted
+        .tenant
+        .as_ref()
+        .and_then(|tenant| HeaderValue::from_str(tenant).ok())
 }
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -3,8 +3,8 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{
-    HeaderName, HeaderValue, AUTHORIZATION, CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, EXPECT, HOST, TE,
-    TRAILER, TRANSFER_ENCODING, UPGRADE,
+    HeaderName, HeaderValue, AUTHORIZATION, CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, EXPECT,
+    HOST, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use maplefall_policy::{Millis, Outcome};
@@ -107,9 +107,12 @@
 /// Whether the end of an answer's body shows: by one way of framing and no other. One that ends with its connection may have been
 /// cut, one that is coded is not the backend's, and one that is framed in two ways has two ends.
 fn framed(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
-    let bodiless =
-        *method == Method::HEAD || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-    match (headers.contains_key(CONTENT_LENGTH), headers.contains_key(TRANSFER_ENCODING)) {
+    let bodiless = *method == Method::HEAD
+        || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+    match (
+        headers.contains_key(CONTENT_LENGTH),
+        headers.contains_key(TRANSFER_ENCODING),
+    ) {
         (false, false) => bodiless,
         (true, false) => single(headers, &CONTENT_LENGTH).is_some(),
         (false, true) => single(headers, &TRANSFER_ENCODING)
@@ -122,11 +125,24 @@
     /// What of a client's request goes on; the tenant is put in once it is known.
     pub fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: Bytes) -> Order {
         end_to_end(&mut headers);
-        for name in [AUTHORIZATION, TENANT, TARGET, TIME_REMAINING, CONTENT_LENGTH, EXPECT] {
+        for name in [
+            AUTHORIZATION,
+            TENANT,
+            TARGET,
+            TIME_REMAINING,
+            CONTENT_LENGTH,
+            EXPECT,
+        ] {
             headers.remove(name);
         }
         let id = headers.get(ATTEMPT_ID).cloned();
-        Order { method, uri, headers, id, body }
+        Order {
+            method,
+            uri,
+            headers,
+            id,
+            body,
+        }
     }
 
     /// The request for one backend, which is told how long the client waits.
@@ -163,8 +179,13 @@
         if body.size_hint().lower() > LONGEST_ANSWER as u64 {
             return None;
         }
-        let body = Limited::new(body, LONGEST_ANSWER).collect().await.ok()?.to_bytes();
-        let not_run = headers.contains_key(NOT_EXECUTED) || head.status == StatusCode::MISDIRECTED_REQUEST;
+        let body = Limited::new(body, LONGEST_ANSWER)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
+        let not_run =
+            headers.contains_key(NOT_EXECUTED) || head.status == StatusCode::MISDIRECTED_REQUEST;
         let outcome = match head.status {
             _ if not_run && !success => Outcome::Full,
             status if status.is_server_error() => Outcome::Error,
@@ -176,6 +197,12 @@
         end_to_end(&mut headers);
         headers.remove(CONTENT_LENGTH);
         let stranger = head.status == StatusCode::MISDIRECTED_REQUEST;
-        Some(Reply { status: head.status, headers, body, outcome, stranger })
+        Some(Reply {
+            status: head.status,
+            headers,
+            body,
+            outcome,
+            stranger,
+        })
     }
 }
--- a/crates/proxy/src/links.rs
+++ b/crates/proxy/src/links.rs
@@ -1,8 +1,8 @@
 //! Connections to the exchanges: one to each, kept for as long as the door runs.
 
 use crate::door::Door;
-use maplefall_control_transport::{carry, dial, Event, Open, Pause, QUEUE};
 use maplefall_control_messages::Hello;
+use maplefall_control_transport::{carry, dial, Event, Open, Pause, QUEUE};
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -20,11 +20,22 @@
         // Doors begin with different ones.
         let turn = hello.life as usize % all.len().max(1);
         for ip in all.iter().cycle().skip(turn).take(all.len()) {
-            let Ok(address) = ip.parse::<IpAddr>() else { continue };
+            let Ok(address) = ip.parse::<IpAddr>() else {
+                continue;
+            };
             if dialled.insert(ip.clone()) {
-                let head_start = if dialled.len() > 1 { HEAD_START } else { Duration::ZERO };
+                let head_start = if dialled.len() > 1 {
+                    HEAD_START
+                } else {
+                    Duration::ZERO
+                };
                 let (door, hello) = (door.clone(), hello.clone());
-                tokio::task::spawn_local(keep(door, hello, SocketAddr::new(address, port), head_start));
+                tokio::task::spawn_local(keep(
+                    door,
+                    hello,
+                    SocketAddr::new(address, port),
+                    head_start,
+                ));
             }
         }
         door.more_exchanges.notified().await;
@@ -34,7 +45,9 @@
 async fn keep(door: Rc<Door>, hello: Hello, address: SocketAddr, head_start: Duration) {
     let name = address.ip().to_string();
     // The settings have been read: it is an address.
-    let Ok(from) = hello.ip.parse::<IpAddr>() else { return };
+    let Ok(from) = hello.ip.parse::<IpAddr>() else {
+        return;
+    };
     if !head_start.is_zero() {
         tokio::time::sleep(head_start).await;
     }
@@ -45,7 +58,10 @@
             Ok(stream) => {
                 let (sender, outgoing) = mpsc::channel(QUEUE);
                 let mut sender = Some(sender);
-                let hello = Hello { index: door.ask(|core| core.index()), ..hello.clone() };
+                let hello = Hello {
+                    index: door.ask(|core| core.index()),
+                    ..hello.clone()
+                };
                 carry(stream, outgoing, Open::Dials(hello), |event| {
                     match (event, sender.take()) {
                         (Event::Up, Some(sender)) => {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,8 +4,8 @@
 use clap::{Parser, Subcommand};
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
-use maplefall_node_settings::{Settings, Watched};
 use maplefall_control_messages::{Hello, VERSION};
+use maplefall_node_settings::{Settings, Watched};
 use maplefall_proxy::clients::Clients;
 use maplefall_proxy::door::Door;
 use maplefall_proxy::links;
@@ -66,19 +66,36 @@
 
 fn check(path: &std::path::Path) -> Result<(), String> {
     let settings = Settings::load(path).map_err(|error| error.to_string())?;
-    settings.bind.front_http.ok_or("step=check missing=Bind.FrontHttp")?;
-    settings.bind.ready_probe.ok_or("step=check missing=Bind.ReadyProbe")?;
-    println!("event=checked node={} file={}", settings.node, path.display());
+    settings
+        .bind
+        .front_http
+        .ok_or("step=check missing=Bind.FrontHttp")?;
+    settings
+        .bind
+        .ready_probe
+        .ok_or("step=check missing=Bind.ReadyProbe")?;
+    println!(
+        "event=checked node={} file={}",
+        settings.node,
+        path.display()
+    );
     Ok(())
 }
 
 fn run() -> Result<(), String> {
-    let logger = flexi_logger::Logger::try_with_env_or_str("info").map_err(|error| error.to_string())?;
-    let _logger = logger.log_to_stderr().format(line).start().map_err(|error| error.to_string())?;
+    let logger =
+        flexi_logger::Logger::try_with_env_or_str("info").map_err(|error| error.to_string())?;
+    let _logger = logger
+        .log_to_stderr()
+        .format(line)
+        .start()
+        .map_err(|error| error.to_string())?;
     let path = Settings::path();
     let settings = Settings::load(&path).map_err(|error| error.to_string())?;
     // The standard library's hashers are keyed from the system's source of chance.
-    let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
+    let seed = std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -91,8 +108,14 @@
     let signals = |error: std::io::Error| format!("step=signals error={:?}", error.kind());
     let mut term = signal(SignalKind::terminate()).map_err(signals)?;
     let mut hup = signal(SignalKind::hangup()).map_err(signals)?;
-    let front = settings.bind.front_http.ok_or("step=settings missing=Bind.FrontHttp")?;
-    let probe = settings.bind.ready_probe.ok_or("step=settings missing=Bind.ReadyProbe")?;
+    let front = settings
+        .bind
+        .front_http
+        .ok_or("step=settings missing=Bind.FrontHttp")?;
+    let probe = settings
+        .bind
+        .ready_probe
+        .ok_or("step=settings missing=Bind.ReadyProbe")?;
     let (clients_at, probes_at) = (listen(front).await?, listen(probe).await?);
     log::info!(
         "event=start node={} front={front} probe={probe} bootstrap={}",
@@ -113,7 +136,11 @@
     };
     tokio::task::spawn_local(door.clone().keep_time());
     tokio::task::spawn_local(door.clone().tidy());
-    tokio::task::spawn_local(links::follow(door.clone(), hello, settings.internal_ports.0));
+    tokio::task::spawn_local(links::follow(
+        door.clone(),
+        hello,
+        settings.internal_ports.0,
+    ));
     clients.open(clients_at);
     tokio::task::spawn_local(probes(door.clone(), probes_at));
     tokio::task::spawn_local(tick(door.clone()));
@@ -175,18 +202,19 @@
         };
         let door = door.clone();
         tokio::task::spawn_local(async move {
-            let service = hyper::service::service_fn(|request: hyper::Request<hyper::body::Incoming>| {
-                let door = door.clone();
-                async move {
-                    let mut response = Response::new(Full::<Bytes>::default());
-                    *response.status_mut() = match request.uri().path() {
-                        "/api/readiness" if door.ask(|core| core.ready()) => StatusCode::OK,
-                        "/api/readiness" => StatusCode::SERVICE_UNAVAILABLE,
-                        _ => StatusCode::NOT_FOUND,
-                    };
-                    Ok::<_, Infallible>(response)
-                }
-            });
+            let service =
+                hyper::service::service_fn(|request: hyper::Request<hyper::body::Incoming>| {
+                    let door = door.clone();
+                    async move {
+                        let mut response = Response::new(Full::<Bytes>::default());
+                        *response.status_mut() = match request.uri().path() {
+                            "/api/readiness" if door.ask(|core| core.ready()) => StatusCode::OK,
+                            "/api/readiness" => StatusCode::SERVICE_UNAVAILABLE,
+                            _ => StatusCode::NOT_FOUND,
+                        };
+                        Ok::<_, Infallible>(response)
+                    }
+                });
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(hyper_util::rt::TokioTimer::new())
                 .header_read_timeout(Duration::from_secs(5))
@@ -203,5 +231,10 @@
     _: &mut flexi_logger::DeferredNow,
     record: &log::Record<'_>,
 ) -> Result<(), std::io::Error> {
-    write!(to, "level={} {}", record.level().as_str().to_ascii_lowercase(), record.args())
+    write!(
+        to,
+        "level={} {}",
+        record.level().as_str().to_ascii_lowercase(),
+        record.args()
+    )
 }
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -1,9 +1,9 @@
 //! The services of a door: for each, the decision module with its backends.
 
-use maplefall_service_registry::{State, Word};
-use maplefall_node_settings::Bounds;
 use maplefall_gateway_config::Route;
+use maplefall_node_settings::Bounds;
 use maplefall_policy::*;
+use maplefall_service_registry::{State, Word};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -112,7 +112,10 @@
         let zone = self.zone(&self.zone.clone());
         let seed = self.seed.wrapping_add(place as u64);
         let gateway = Gateway::new(self.settings(zone), seed);
-        self.list.push(Service { gateway, classes: Vec::new() });
+        self.list.push(Service {
+            gateway,
+            classes: Vec::new(),
+        });
         self.names.insert(name.to_owned(), place);
         place
     }
@@ -172,11 +175,17 @@
             deadline: route.timeout,
             worth: 1.0,
             late_worth: LATE_WORTH,
-            effect: if route.safe { Effect::Safe } else { Effect::Unsafe },
+            effect: if route.safe {
+                Effect::Safe
+            } else {
+                Effect::Unsafe
+            },
             streaming: false,
             max_attempts: route.attempts,
         };
-        let Some(service) = self.list.get_mut(place) else { return ClassId(0) };
+        let Some(service) = self.list.get_mut(place) else {
+            return ClassId(0);
+        };
         if let Some(known) = service.classes.iter().position(|known| *known == class) {
             return ClassId(known);
         }
@@ -213,7 +222,12 @@
                     size: f64::from(word.capacity.max(1)),
                 };
                 self.lives.insert(word.id.clone(), id);
-                let backend = Backend { instance: word.id.as_str().into(), service, address, entry };
+                let backend = Backend {
+                    instance: word.id.as_str().into(),
+                    service,
+                    address,
+                    entry,
+                };
                 self.backends.insert(id, backend);
                 id
             }
--- a/crates/proxy/src/timers.rs
+++ b/crates/proxy/src/timers.rs
@@ -12,7 +12,9 @@
 
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at
+            .total_cmp(&other.at)
+            .then(self.order.cmp(&other.order))
     }
 }
 
@@ -38,7 +40,10 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        Timers {
+            heap: BinaryHeap::new(),
+            set: 0,
+        }
     }
 }
 
@@ -46,7 +51,11 @@
     /// Sets one.
     pub fn set(&mut self, at: Millis, due: T) {
         self.set += 1;
-        self.heap.push(Reverse(Entry { at, order: self.set, due }));
+        self.heap.push(Reverse(Entry {
+            at,
+            order: self.set,
+            due,
+        }));
     }
 
     /// When the first is due that is not dead; dead ones before it are dropped, so that nobody wakes for them.
@@ -62,7 +71,11 @@
 
     /// Takes the first, if it is due.
     pub fn take(&mut self, now: Millis) -> Option<T> {
-        if self.heap.peek().is_some_and(|Reverse(first)| first.at <= now) {
+        if self
+            .heap
+            .peek()
+            .is_some_and(|Reverse(first)| first.at <= now)
+        {
             return self.heap.pop().map(|Reverse(first)| first.due);
         }
         None
--- a/crates/proxy/src/visit.rs
+++ b/crates/proxy/src/visit.rs
@@ -29,7 +29,13 @@
 impl Visit {
     /// A connection that has just been made.
     pub fn new(now: Millis) -> Visit {
-        Visit { since: now, first: None, owed: false, asked: false, left: false }
+        Visit {
+            since: now,
+            first: None,
+            owed: false,
+            asked: false,
+            left: false,
+        }
     }
 
     /// Bytes have come; tells whether they begin a head.
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -85,7 +85,10 @@
     let (status, more) = chance.one_of(&[
         ("200 OK", ""),
         ("200 OK", ""),
-        ("200 OK", "Connection: keep-alive\r\nKeep-Alive: timeout=5\r\n"),
+        (
+            "200 OK",
+            "Connection: keep-alive\r\nKeep-Alive: timeout=5\r\n",
+        ),
         ("200 OK", ""),
         ("200 OK", "Server: x\r\n"),
         ("200 OK", ""),
@@ -102,7 +105,11 @@
         ("408 Request Timeout", ""),
         ("400 Bad Request", "X-Not-Executed: 1\r\n"),
     ]);
-    let seal = if status.starts_with('2') { "X-Server-Seal: 3e1b.07\r\n" } else { "" };
+    let seal = if status.starts_with('2') {
+        "X-Server-Seal: 3e1b.07\r\n"
+    } else {
+        ""
+    };
     let body = format!("for {id}{}", "+".repeat(chance.below(40)));
     let head = format!("HTTP/1.1 {status}\r\nX-Attempt-Id: {id}\r\n{seal}{more}");
     if status.starts_with("204") {
@@ -128,7 +135,11 @@
     let mut bytes = right(chance, id);
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let with = |from: &str, to: &str| text.replacen(from, to, 1).into_bytes();
-    let mut then = if chance.percent(5) { Then::Close } else { Then::Keep };
+    let mut then = if chance.percent(5) {
+        Then::Close
+    } else {
+        Then::Keep
+    };
     let id_line = format!("X-Attempt-Id: {id}\r\n");
     match chance.below(220) {
         0 => bytes = with(&id_line, &format!("X-Attempt-Id: {earlier}\r\n")),
@@ -151,10 +162,18 @@
         11 => bytes = with("Content-Length: ", "Content-Length: +"),
         12 => bytes = with("\r\n\r\n", "\r\nContent-Length: 3\r\n\r\n"),
         13 => bytes = with("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"),
-        14 => bytes = with("Transfer-Encoding: chunked", "Transfer-Encoding: gzip, chunked"),
+        14 => {
+            bytes = with(
+                "Transfer-Encoding: chunked",
+                "Transfer-Encoding: gzip, chunked",
+            )
+        }
         15 => {
-            let framing =
-                if text.contains("Content-Length") { "Content-Length" } else { "Transfer-Encoding" };
+            let framing = if text.contains("Content-Length") {
+                "Content-Length"
+            } else {
+                "Transfer-Encoding"
+            };
             bytes = with(framing, "X-Was");
             then = Then::Close;
         }
@@ -166,12 +185,32 @@
         18 => bytes = with("\r\n\r\n", "\r\n folded\r\n\r\n"),
         19 => bytes = with("X-Attempt-Id:", "X-Attempt-Id :"),
         20 => bytes = text.replace("\r\n", "\n").into_bytes(),
-        21 => bytes = with("HTTP/1.1 ", &"HTTP/1.1 100 Continue\r\n\r\n".repeat(1 + chance.below(30))),
-        22 => bytes = with("HTTP/1.1", "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1"),
+        21 => {
+            bytes = with(
+                "HTTP/1.1 ",
+                &"HTTP/1.1 100 Continue\r\n\r\n".repeat(1 + chance.below(30)),
+            )
+        }
+        22 => {
+            bytes = with(
+                "HTTP/1.1",
+                "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1",
+            )
+        }
         23 => bytes = with("HTTP/1.1 2", "HTTP/1.1 7"),
         24 => bytes = with("HTTP/1.1", "HTTP/1.0"),
-        25 => bytes = with("HTTP/1.1", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\nHTTP/1.1"),
-        26 => bytes = with("\r\n\r\n", "\r\nConnection: X-Server-Seal, X-Attempt-Id\r\n\r\n"),
+        25 => {
+            bytes = with(
+                "HTTP/1.1",
+                "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\nHTTP/1.1",
+            )
+        }
+        26 => {
+            bytes = with(
+                "\r\n\r\n",
+                "\r\nConnection: X-Server-Seal, X-Attempt-Id\r\n\r\n",
+            )
+        }
         27 => bytes = with("HTTP/1.1 ", "\r\n\r\nHTTP/1.1 "),
         28..32 => {
             let at = chance.below(bytes.len());
@@ -231,7 +270,9 @@
     let mut late = false;
     loop {
         let mut part = [0_u8; 16 << 10];
-        let Ok(count @ 1..) = peer.stream.read(&mut part).await else { return };
+        let Ok(count @ 1..) = peer.stream.read(&mut part).await else {
+            return;
+        };
         let begun = inbox.is_empty();
         inbox.extend_from_slice(&part[..count]);
         if std::mem::take(&mut late) {
@@ -247,7 +288,10 @@
                 }
                 // A part of it has come: all but the last byte, or what one write held.
                 let text = String::from_utf8_lossy(&inbox);
-                let id = text.lines().find_map(|line| line.strip_prefix("x-attempt-id: ")).unwrap_or("none");
+                let id = text
+                    .lines()
+                    .find_map(|line| line.strip_prefix("x-attempt-id: "))
+                    .unwrap_or("none");
                 {
                     let mut wire = peer.wire.borrow_mut();
                     let wrote = wire.wrote.len();
@@ -269,7 +313,11 @@
         };
         inbox.drain(..end);
         let id = asked.single("x-attempt-id").unwrap_or("none").to_owned();
-        let silent = asked.single("x-time-remaining").and_then(|ms| ms.parse::<u64>().ok()).unwrap_or(0) < 50;
+        let silent = asked
+            .single("x-time-remaining")
+            .and_then(|ms| ms.parse::<u64>().ok())
+            .unwrap_or(0)
+            < 50;
         {
             let mut wire = peer.wire.borrow_mut();
             let wrote = wire.wrote.len();
@@ -288,7 +336,11 @@
                 for _ in 0..chance.below(30) {
                     tokio::task::yield_now().await;
                 }
-                let extra = if chance.percent(30) { b"x".to_vec() } else { right(&mut chance, &id) };
+                let extra = if chance.percent(30) {
+                    b"x".to_vec()
+                } else {
+                    right(&mut chance, &id)
+                };
                 peer.write(&extra, &mut chance).await;
             }
             2 => late = true,
@@ -309,12 +361,21 @@
     let address = listener.local_addr().expect("an address");
     let task = tokio::task::spawn_local(async move {
         for number in 0.. {
-            let Ok((stream, _)) = listener.accept().await else { return };
+            let Ok((stream, _)) = listener.accept().await else {
+                return;
+            };
             let _ = stream.set_nodelay(true);
             let wire = Rc::new(RefCell::new(Wire::default()));
             case.wires.borrow_mut().push(wire.clone());
             let chance = Chance::new(seed ^ (number << 32));
-            tokio::task::spawn_local(serve(Peer { stream, case: case.clone(), wire }, chance));
+            tokio::task::spawn_local(serve(
+                Peer {
+                    stream,
+                    case: case.clone(),
+                    wire,
+                },
+                chance,
+            ));
         }
     });
     (address, task.abort_handle())
@@ -323,14 +384,23 @@
 // ---- Clients ----------------------------------------------------------------------------------------
 
 /// One client after the other on kept connections; some go before their answer.
-async fn ask(case: Rc<Case>, front: SocketAddr, mut chance: Chance, name: String) -> Result<(), String> {
+async fn ask(
+    case: Rc<Case>,
+    front: SocketAddr,
+    mut chance: Chance,
+    name: String,
+) -> Result<(), String> {
     let mut kept: Option<TcpStream> = None;
     for number in 0..2 + chance.below(5) {
         let id = format!("{name}-{number}");
         let once = chance.percent(60);
         let method = chance.one_of(&["GET", "POST", "POST", "PUT", "HEAD"]);
         let long = if chance.percent(2) { 400 << 10 } else { 64 };
-        let body = if ["GET", "HEAD"].contains(&method) { 0 } else { chance.below(long) };
+        let body = if ["GET", "HEAD"].contains(&method) {
+            0
+        } else {
+            chance.below(long)
+        };
         let sent = Sent {
             method,
             path: format!("/{}/{id}?q={number}", if once { "once" } else { "safe" }),
@@ -338,7 +408,11 @@
             once,
             moment: case.now(),
         };
-        let wait = if chance.percent(4) { WAITS[1] } else { WAITS[0] };
+        let wait = if chance.percent(4) {
+            WAITS[1]
+        } else {
+            WAITS[0]
+        };
         let mut bytes = format!(
             "{method} {} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: {id}\r\nX-Time-Remaining: {wait}\r\n",
             sent.path
@@ -352,7 +426,9 @@
         case.sent.borrow_mut().insert(id.clone(), sent);
         let mut stream = match kept.take().filter(|_| chance.percent(85)) {
             Some(stream) => stream,
-            None => TcpStream::connect(front).await.map_err(|error| format!("no door: {error}"))?,
+            None => TcpStream::connect(front)
+                .await
+                .map_err(|error| format!("no door: {error}"))?,
         };
         if stream.write_all(&bytes).await.is_err() {
             continue;
@@ -367,11 +443,19 @@
         let got = loop {
             let mut part = [0_u8; 16 << 10];
             let read = tokio::time::timeout(PATIENCE, stream.read(&mut part));
-            let count = read.await.map_err(|_| format!("{id}: no answer"))?.unwrap_or(0);
+            let count = read
+                .await
+                .map_err(|_| format!("{id}: no answer"))?
+                .unwrap_or(0);
             inbox.extend_from_slice(&part[..count]);
             match answer(&inbox, 0, method) {
                 Ok((got, end)) if end == inbox.len() => break Some(got),
-                Ok((_, end)) => return Err(format!("{id}: {} bytes behind the answer", inbox.len() - end)),
+                Ok((_, end)) => {
+                    return Err(format!(
+                        "{id}: {} bytes behind the answer",
+                        inbox.len() - end
+                    ))
+                }
                 Err(Odd::Bad(why)) => return Err(format!("{id}: no answer: {why}")),
                 Err(Odd::Short) if count == 0 && inbox.is_empty() => break None,
                 Err(Odd::Short) if count == 0 => return Err(format!("{id}: a part of an answer")),
@@ -412,13 +496,23 @@
     for wire in &wires {
         // Up to where answers have been read, and from which moment on the connection is of no more use.
         let (mut read, mut over) = (0, None::<u64>);
-        let written =
-            |upto: usize| wire.moments.iter().find(|(_, end)| *end >= upto).map_or(0, |(at, _)| *at);
+        let written = |upto: usize| {
+            wire.moments
+                .iter()
+                .find(|(_, end)| *end >= upto)
+                .map_or(0, |(at, _)| *at)
+        };
         let mut here: Vec<&str> = Vec::new();
         for (asked, wrote) in &wire.came {
-            let id = asked.single("x-attempt-id").ok_or("a request without one id")?;
-            let (known, was) = sent.get_key_value(id).ok_or(format!("{id}: nobody sent it"))?;
-            if !asked.start.starts_with(&format!("{} {} HTTP/1.", was.method, was.path))
+            let id = asked
+                .single("x-attempt-id")
+                .ok_or("a request without one id")?;
+            let (known, was) = sent
+                .get_key_value(id)
+                .ok_or(format!("{id}: nobody sent it"))?;
+            if !asked
+                .start
+                .starts_with(&format!("{} {} HTTP/1.", was.method, was.path))
                 || asked.body != was.body
             {
                 return Err(format!("{id}: it was changed on its way: {asked:?}"));
@@ -429,10 +523,15 @@
             here.push(known);
             // What was written on it before the client had sent this.
             if over.is_some_and(|at| at < was.moment) {
-                return Err(format!("{id}: it came on a connection that was of no more use"));
+                return Err(format!(
+                    "{id}: it came on a connection that was of no more use"
+                ));
             }
             if *wrote > read && written(read + 1) < was.moment {
-                return Err(format!("{id}: it came behind {} bytes that nobody asked for", wrote - read));
+                return Err(format!(
+                    "{id}: it came behind {} bytes that nobody asked for",
+                    wrote - read
+                ));
             }
             let mut answered = None;
             if over.is_none() {
@@ -458,12 +557,16 @@
     tally.again += came.values().map(|all| all.len() as u64 - 1).sum::<u64>();
     let not_run = |got: &Option<Message>| {
         let said = |got: &Message| got.status() == 421 || !got.all("x-not-executed").is_empty();
-        got.as_ref().is_some_and(|got| said(got) && !(200..300).contains(&got.status()))
+        got.as_ref()
+            .is_some_and(|got| said(got) && !(200..300).contains(&got.status()))
     };
     for (id, all) in &came {
         let may_have_run = all.iter().filter(|got| !not_run(got)).count();
         if sent[*id].once && may_have_run > 1 {
-            return Err(format!("{id}: sent {} times, and {may_have_run} may have run it", all.len()));
+            return Err(format!(
+                "{id}: sent {} times, and {may_have_run} may have run it",
+                all.len()
+            ));
         }
     }
     let none = Vec::new();
@@ -474,7 +577,10 @@
         }
         let promise = [408, 421, 429, 503].contains(&got.status());
         if promise && sent[id].once && !all.iter().all(not_run) {
-            return Err(format!("{id}: answered {} and it may have run", got.status()));
+            return Err(format!(
+                "{id}: answered {} and it may have run",
+                got.status()
+            ));
         }
         // The door gives a body only where it could not read the request.
         let unread = got.status() == 408 && got.body == b"step=read field=body\n" && all.is_empty();
@@ -487,15 +593,18 @@
                 && (head || theirs.body == got.body)
                 && theirs.all("x-server-seal") == got.all("x-server-seal")
                 && theirs.all("content-encoding").is_empty()
-                && ((300..600).contains(&theirs.status()) || theirs.single("x-server-seal").is_some())
+                && ((300..600).contains(&theirs.status())
+                    || theirs.single("x-server-seal").is_some())
         };
         // One that began before its request was whole, and was read after.
         let early = wires.iter().flat_map(|wire| {
             let here = wire.early.iter().filter(|(early, _)| early == id);
             here.filter_map(|(_, from)| answer(&wire.wrote, *from, sent[id].method).ok())
         });
-        let early: Vec<_> =
-            early.map(|(got, _)| got).filter(|got| got.single("x-attempt-id") == Some(id)).collect();
+        let early: Vec<_> = early
+            .map(|(got, _)| got)
+            .filter(|got| got.single("x-attempt-id") == Some(id))
+            .collect();
         match all.iter().flatten().chain(&early).find(same) {
             Some(_) => tally.passed += 1,
             None if own => {
@@ -503,7 +612,10 @@
                 tally.not_sent += u64::from(all.is_empty());
             }
             None => {
-                return Err(format!("{id}: {} {:?} is no backend's answer to it", got.start, got.headers))
+                return Err(format!(
+                    "{id}: {} {:?} is no backend's answer to it",
+                    got.start, got.headers
+                ))
             }
         }
     }
@@ -525,7 +637,12 @@
     let clients: Vec<_> = (0..1 + chance.below(3))
         .map(|lane| {
             let chance = Chance::new(seed ^ (lane as u64 + 1) << 56);
-            tokio::task::spawn_local(ask(case.clone(), front.address, chance, format!("{seed}-{lane}")))
+            tokio::task::spawn_local(ask(
+                case.clone(),
+                front.address,
+                chance,
+                format!("{seed}-{lane}"),
+            ))
         })
         .collect();
     let mut result = Ok(());
@@ -539,8 +656,14 @@
 #[test]
 fn what_a_client_gets_is_its_own_answer_and_nothing_is_sent_twice() {
     let begun = Instant::now();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let (next, tally) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Tally::default())));
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    let (next, tally) = (
+        Rc::new(Cell::new(0)),
+        Rc::new(RefCell::new(Tally::default())),
+    );
     let broken = Rc::new(RefCell::new(Vec::new()));
     let local = tokio::task::LocalSet::new();
     runtime.block_on(local.run_until(async {
@@ -563,7 +686,11 @@
         }
     }));
     let (broken, tally) = (broken.borrow(), tally.borrow());
-    println!("{CASES} cases in {:.1} s, {} broken: {tally:?}", begun.elapsed().as_secs_f64(), broken.len());
+    println!(
+        "{CASES} cases in {:.1} s, {} broken: {tally:?}",
+        begun.elapsed().as_secs_f64(),
+        broken.len()
+    );
     assert!(
         broken.is_empty(),
         "{} of {CASES}, the first: {:#?}",
@@ -571,5 +698,8 @@
         &broken[..broken.len().min(8)]
     );
     // The play is worth something only while most requests are served, and many are repeated.
-    assert!(tally.passed > tally.own && tally.again > CASES && tally.odd > CASES, "{tally:?}");
+    assert!(
+        tally.passed > tally.own && tally.again > CASES && tally.odd > CASES,
+        "{tally:?}"
+    );
 }
--- a/crates/proxy/tests/callers.rs
+++ b/crates/proxy/tests/callers.rs
@@ -64,19 +64,27 @@
 fn item(chance: &mut Chance, id: &str, number: usize) -> Item {
     let once = chance.percent(60);
     let method = chance.one_of(&["GET", "POST", "POST", "PUT", "HEAD"]);
-    let path = format!("/{}/{id}/a%20b?q={number}&r=/x", if once { "once" } else { "safe" });
+    let path = format!(
+        "/{}/{id}/a%20b?q={number}&r=/x",
+        if once { "once" } else { "safe" }
+    );
     let length = chance.one_of(&[1, 8, 40, 40, 3000]);
     let body: Vec<u8> = if ["GET", "HEAD"].contains(&method) {
         Vec::new()
     } else {
-        (0..1 + chance.below(length)).map(|at| b"abcdefgh\r\nGET"[(at + number) % 13]).collect()
+        (0..1 + chance.below(length))
+            .map(|at| b"abcdefgh\r\nGET"[(at + number) % 13])
+            .collect()
     };
     let common = format!("Host: h.example\r\nX-Attempt-Id: {id}\r\nX-Time-Remaining: 20000\r\n");
     let head = format!("{method} {path} HTTP/1.1\r\n{common}");
     let with = |more: &str, body: &[u8]| [head.as_bytes(), more.as_bytes(), b"\r\n", body].concat();
     let whole = |more: &str| {
-        let length =
-            if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+        let length = if body.is_empty() {
+            String::new()
+        } else {
+            format!("Content-Length: {}\r\n", body.len())
+        };
         with(&format!("{length}{more}"), &body)
     };
     // A request inside another, for readers who take the wrong one of two ends.
@@ -88,20 +96,44 @@
     let (is, bytes) = match what {
         0 => (
             Is::Last,
-            with(&format!("Content-Length: {length}\r\nTransfer-Encoding: chunked\r\n"), hidden.as_bytes()),
+            with(
+                &format!("Content-Length: {length}\r\nTransfer-Encoding: chunked\r\n"),
+                hidden.as_bytes(),
+            ),
         ),
         1 => (
             Is::Last,
-            with(&format!("Transfer-Encoding: chunked\r\nContent-Length: {length}\r\n"), hidden.as_bytes()),
+            with(
+                &format!("Transfer-Encoding: chunked\r\nContent-Length: {length}\r\n"),
+                hidden.as_bytes(),
+            ),
         ),
-        2 => refused(with(&format!("Content-Length: {length}\r\nContent-Length: 5\r\n"), hidden.as_bytes())),
-        3 => refused(with(&format!("Content-Length: +{length}\r\n"), hidden.as_bytes())),
+        2 => refused(with(
+            &format!("Content-Length: {length}\r\nContent-Length: 5\r\n"),
+            hidden.as_bytes(),
+        )),
+        3 => refused(with(
+            &format!("Content-Length: +{length}\r\n"),
+            hidden.as_bytes(),
+        )),
         4 => refused(with("Transfer-Encoding: identity\r\n", hidden.as_bytes())),
-        5 => refused(with("Transfer-Encoding: chunked, identity\r\n", hidden.as_bytes())),
+        5 => refused(with(
+            "Transfer-Encoding: chunked, identity\r\n",
+            hidden.as_bytes(),
+        )),
         6 => refused(with("Transfer-Encoding: xchunked\r\n", hidden.as_bytes())),
-        7 => refused(with("Transfer-Encoding: chunked\r\n", format!("0x0\r\n\r\n{inner}").as_bytes())),
-        8 => refused(with("Transfer-Encoding: chunked\r\n", format!("3\r\nabcd\r\n{hidden}").as_bytes())),
-        9 => refused(with("Transfer-Encoding: chunked\r\n", format!("-1\r\n{hidden}").as_bytes())),
+        7 => refused(with(
+            "Transfer-Encoding: chunked\r\n",
+            format!("0x0\r\n\r\n{inner}").as_bytes(),
+        )),
+        8 => refused(with(
+            "Transfer-Encoding: chunked\r\n",
+            format!("3\r\nabcd\r\n{hidden}").as_bytes(),
+        )),
+        9 => refused(with(
+            "Transfer-Encoding: chunked\r\n",
+            format!("-1\r\n{hidden}").as_bytes(),
+        )),
         10 => refused(with(
             "Transfer-Encoding: chunked\r\n",
             format!("fffffffffffffffff\r\n{hidden}").as_bytes(),
@@ -111,14 +143,20 @@
         13 => refused(with("X-Odd: a\0b\r\n", b"")),
         14 => refused(with("No colon\r\n", b"")),
         15 => refused(
-            head.replace("Host: h.example\r\n", "").into_bytes().into_iter().chain(*b"\r\n").collect(),
+            head.replace("Host: h.example\r\n", "")
+                .into_bytes()
+                .into_iter()
+                .chain(*b"\r\n")
+                .collect(),
         ),
         16 => refused(with("Host: other.example\r\n", b"")),
         17 => refused(with("X-Attempt-Id: other\r\n", b"")),
         18 => refused(format!("{method}\t{path} HTTP/1.1\r\n{common}\r\n").into_bytes()),
         19 => refused(format!("{method}  {path} HTTP/1.1\r\n{common}\r\n").into_bytes()),
         20 => refused(format!("{method} {path} x HTTP/1.1\r\n{common}\r\n").into_bytes()),
-        21 => refused(format!("{method} http://other.example{path} HTTP/1.1\r\n{common}\r\n").into_bytes()),
+        21 => refused(
+            format!("{method} http://other.example{path} HTTP/1.1\r\n{common}\r\n").into_bytes(),
+        ),
         22 => refused(format!("CONNECT h.example:80 HTTP/1.1\r\n{common}\r\n").into_bytes()),
         23 => refused(b"\x16\x03\x01\x02\r\n\r\n".to_vec()),
         24 => refused(with(&format!("X-Long: {}\r\n", "x".repeat(200 << 10)), b"")),
@@ -126,13 +164,17 @@
         26 => refused(with("Content-Length: 5, 6\r\n", b"abcdef")),
         27 => refused(with("X-Time-Remaining: never\r\n", b"")),
         28 => refused(
-            format!("{method} {path} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: \r\n\r\n").into_bytes(),
+            format!("{method} {path} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: \r\n\r\n")
+                .into_bytes(),
         ),
         29 => (Is::Last, whole("Connection: close\r\n")),
         30 => (
             Is::Last,
-            [format!("{method} {path} HTTP/1.0\r\n{common}").into_bytes(), whole("")[head.len()..].to_vec()]
-                .concat(),
+            [
+                format!("{method} {path} HTTP/1.0\r\n{common}").into_bytes(),
+                whole("")[head.len()..].to_vec(),
+            ]
+            .concat(),
         ),
         31..35 => (Is::Proper, whole("").into_iter().collect()),
         35 => (
@@ -153,7 +195,15 @@
     };
     // What is served of one that is framed in two ways is what its chunks say: nothing.
     let body = if what < 2 { Vec::new() } else { body };
-    Item { id: id.to_owned(), is, what, method, path, body, bytes }
+    Item {
+        id: id.to_owned(),
+        is,
+        what,
+        method,
+        path,
+        body,
+        bytes,
+    }
 }
 
 // ---- The honest backend -----------------------------------------------------------------------------
@@ -175,13 +225,18 @@
                 Err(Odd::Short) => {}
             }
             let mut part = [0_u8; 16 << 10];
-            let Ok(count @ 1..) = stream.read(&mut part).await else { return };
+            let Ok(count @ 1..) = stream.read(&mut part).await else {
+                return;
+            };
             inbox.extend_from_slice(&part[..count]);
         };
         inbox.drain(..end);
         let id = asked.single("x-attempt-id").unwrap_or("none").to_owned();
         let words: Vec<&str> = asked.start.split(' ').collect();
-        seen.borrow_mut().entry(id.clone()).or_default().push((asked.start.clone(), asked.body.clone()));
+        seen.borrow_mut()
+            .entry(id.clone())
+            .or_default()
+            .push((asked.start.clone(), asked.body.clone()));
         for _ in 0..chance.one_of(&[0, 0, 3, 30]) {
             tokio::task::yield_now().await;
         }
@@ -191,7 +246,11 @@
             body.len()
         );
         let body = if words[0] == "HEAD" { &[][..] } else { &body };
-        if stream.write_all(&[head.as_bytes(), body].concat()).await.is_err() {
+        if stream
+            .write_all(&[head.as_bytes(), body].concat())
+            .await
+            .is_err()
+        {
             return;
         }
     }
@@ -202,7 +261,9 @@
     let address = listener.local_addr().expect("an address");
     tokio::task::spawn_local(async move {
         for number in 0.. {
-            let Ok((stream, _)) = listener.accept().await else { return };
+            let Ok((stream, _)) = listener.accept().await else {
+                return;
+            };
             let _ = stream.set_nodelay(true);
             tokio::task::spawn_local(serve(stream, seen.clone(), Chance::new(number)));
         }
@@ -233,7 +294,12 @@
     Goes(usize),
 }
 
-async fn play(seed: u64, front: SocketAddr, items: &[Item], tally: &RefCell<Tally>) -> Result<(), String> {
+async fn play(
+    seed: u64,
+    front: SocketAddr,
+    items: &[Item],
+    tally: &RefCell<Tally>,
+) -> Result<(), String> {
     let mut chance = Chance::new(seed ^ 1 << 40);
     let text: Vec<u8> = items.iter().flat_map(|item| item.bytes.clone()).collect();
     let end = match chance.below(10) {
@@ -241,10 +307,16 @@
         1 => End::HalfCloses,
         _ => End::Reads,
     };
-    let stream = TcpStream::connect(front).await.map_err(|error| format!("no door: {error}"))?;
+    let stream = TcpStream::connect(front)
+        .await
+        .map_err(|error| format!("no door: {error}"))?;
     let _ = stream.set_nodelay(true);
     let (mut reader, mut writer) = stream.into_split();
-    let most = if let End::Goes(most) = end { most } else { text.len() };
+    let most = if let End::Goes(most) = end {
+        most
+    } else {
+        text.len()
+    };
     let (how, pieces) = (chance.below(6), text[..most].to_vec());
     let resets = chance.percent(50);
     let write = async move {
@@ -269,7 +341,10 @@
         // Else it stays open until the reading has ended.
         writer
     };
-    let due = items.iter().position(|item| item.is != Is::Proper).map_or(items.len(), |last| last + 1);
+    let due = items
+        .iter()
+        .position(|item| item.is != Is::Proper)
+        .map_or(items.len(), |last| last + 1);
     let read = async {
         let (mut inbox, mut from, mut got) = (Vec::new(), 0, Vec::new());
         loop {
@@ -277,7 +352,10 @@
                 return Ok((got, false));
             }
             // One is no HEAD, whatever its item says: it was sent as CONNECT.
-            let asked = items.get(got.len()).filter(|item| item.what != 22).map_or("GET", |item| item.method);
+            let asked = items
+                .get(got.len())
+                .filter(|item| item.what != 22)
+                .map_or("GET", |item| item.method);
             match answer(&inbox, from, asked) {
                 Ok((message, end)) => {
                     from = end;
@@ -322,7 +400,10 @@
     }
     for (at, message) in got.iter().enumerate() {
         let Some(item) = items[..due].get(at) else {
-            return Err(format!("an answer behind the last: {} {:?}", message.start, message.headers));
+            return Err(format!(
+                "an answer behind the last: {} {:?}",
+                message.start, message.headers
+            ));
         };
         let (id, is) = (&item.id, (item.is, item.what));
         match message.all("x-attempt-id")[..] {
@@ -335,7 +416,10 @@
             200 => {
                 let body = echo(item.method, &item.path, &item.body);
                 if message.body != body && item.method != "HEAD" {
-                    return Err(format!("{id} {is:?}: {:?}", String::from_utf8_lossy(&message.body)));
+                    return Err(format!(
+                        "{id} {is:?}: {:?}",
+                        String::from_utf8_lossy(&message.body)
+                    ));
                 }
                 tally.served += 1;
             }
@@ -350,9 +434,15 @@
 #[test]
 fn answers_come_in_the_order_of_their_requests_and_nothing_is_smuggled() {
     let begun = Instant::now();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let local = tokio::task::LocalSet::new();
-    let (next, tally) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Tally::default())));
+    let (next, tally) = (
+        Rc::new(Cell::new(0)),
+        Rc::new(RefCell::new(Tally::default())),
+    );
     let (broken, seen) = (Rc::new(RefCell::new(Vec::new())), Seen::default());
     let sent = Rc::new(RefCell::new(HashMap::new()));
     runtime.block_on(local.run_until(async {
@@ -370,7 +460,8 @@
                         let items: Vec<Item> = (0..1 + chance.below(6))
                             .map(|number| item(&mut chance, &format!("{seed}-{number}"), number))
                             .collect();
-                        sent.borrow_mut().extend(items.iter().map(|item| (item.id.clone(), item.clone())));
+                        sent.borrow_mut()
+                            .extend(items.iter().map(|item| (item.id.clone(), item.clone())));
                         if let Err(why) = play(seed, front, &items, &tally).await {
                             broken.borrow_mut().push(format!("seed {seed}: {why}"));
                         }
@@ -390,7 +481,9 @@
             continue;
         };
         let start = format!("{} {} HTTP/1.1", item.method, item.path);
-        let same = all.iter().all(|(line, body)| *line == start && *body == item.body);
+        let same = all
+            .iter()
+            .all(|(line, body)| *line == start && *body == item.body);
         if !same || item.is == Is::Refused || (all.len() > 1 && item.path.starts_with("/once/")) {
             broken.push(format!("{id} {:?} {}: came as {all:?}", item.is, item.what));
         }
@@ -400,6 +493,14 @@
         begun.elapsed().as_secs_f64(),
         broken.len()
     );
-    assert!(broken.is_empty(), "{} broken, the first: {:#?}", broken.len(), &broken[..broken.len().min(12)]);
-    assert!(tally.served > 4 * tally.own && tally.refused > CASES / 10, "{tally:?}");
+    assert!(
+        broken.is_empty(),
+        "{} broken, the first: {:#?}",
+        broken.len(),
+        &broken[..broken.len().min(12)]
+    );
+    assert!(
+        tally.served > 4 * tally.own && tally.refused > CASES / 10,
+        "{tally:?}"
+    );
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 #![allow(dead_code, reason = "every test uses a part of it")]
 
-use maplefall_service_registry::{State, Word};
-use maplefall_node_settings::Settings;
-use maplefall_gateway_config::read_call;
 use maplefall_control_messages::{Frame, Plans, Words};
+use maplefall_gateway_config::read_call;
+use maplefall_node_settings::Settings;
 use maplefall_proxy::clients::Clients;
 use maplefall_proxy::door::Door;
+use maplefall_service_registry::{State, Word};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
@@ -65,10 +65,21 @@
             "Node = \"edge\"\nIp = \"127.0.0.1\"\nInternalPorts = [1,1]\nSeedAddrs = [\"127.0.0.1:1\"]\nBootstrap = true\nZone = \"z\"\n[Bind]\nFrontHttp = \"{address}\"\nReadyProbe = \"{address}\"\n"
         );
         let mut settings = Settings::read(&text, Path::new("edge.toml")).expect("settings");
-        (settings.bounds.retry_budget_ratio, settings.bounds.retry_slack) = (50.0, 10_000.0);
+        (
+            settings.bounds.retry_budget_ratio,
+            settings.bounds.retry_slack,
+        ) = (50.0, 10_000.0);
         let door = Door::new(&settings, seed);
-        let items = read_call(CONFIGURATION.as_bytes()).expect("a configuration").items;
-        let plans = Plans { after: 0, index: 1, changes: Vec::new(), items, exchanges: Vec::new() };
+        let items = read_call(CONFIGURATION.as_bytes())
+            .expect("a configuration")
+            .items;
+        let plans = Plans {
+            after: 0,
+            index: 1,
+            changes: Vec::new(),
+            items,
+            exchanges: Vec::new(),
+        };
         let words = backends.iter().enumerate().map(|(n, address)| Word {
             id: format!("i-{n}"),
             service: "one".to_owned(),
@@ -79,7 +90,11 @@
             seq: 1,
             cold_ms: 0,
         });
-        let words = Words { words: words.collect(), all: true, receipt: 0 };
+        let words = Words {
+            words: words.collect(),
+            all: true,
+            receipt: 0,
+        };
         door.drive(|core, now, out| {
             core.heard(now, "x", Frame::Plans(plans), out);
             core.heard(now, "x", Frame::Words(words), out);
@@ -90,7 +105,12 @@
             tokio::task::spawn_local(door.clone().keep_time()).abort_handle(),
             tokio::task::spawn_local(door.clone().tidy()).abort_handle(),
         ];
-        Front { door, clients, address, tasks }
+        Front {
+            door,
+            clients,
+            address,
+            tasks,
+        }
     }
 }
 
@@ -122,7 +142,10 @@
 
 impl Message {
     pub fn all(&self, name: &str) -> Vec<&str> {
-        let named = self.headers.iter().filter(|(known, _)| known.eq_ignore_ascii_case(name));
+        let named = self
+            .headers
+            .iter()
+            .filter(|(known, _)| known.eq_ignore_ascii_case(name));
         named.map(|(_, value)| value.as_str()).collect()
     }
 
@@ -135,7 +158,11 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.start
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or(0)
     }
 
     /// Whether its sender ends the connection with it.
@@ -157,8 +184,14 @@
 
 /// A line and where the next one begins; a line feed ends it, with or without the return before it.
 fn line(bytes: &[u8], from: usize) -> Result<(String, usize), Odd> {
-    let end = bytes[from..].iter().position(|byte| *byte == b'\n').ok_or(Odd::Short)?;
-    let text: String = bytes[from..from + end].iter().map(|byte| char::from(*byte)).collect();
+    let end = bytes[from..]
+        .iter()
+        .position(|byte| *byte == b'\n')
+        .ok_or(Odd::Short)?;
+    let text: String = bytes[from..from + end]
+        .iter()
+        .map(|byte| char::from(*byte))
+        .collect();
     let text = text.strip_suffix('\r').unwrap_or(&text).to_owned();
     Ok((text, from + end + 1))
 }
@@ -190,7 +223,14 @@
         }
     };
     let (headers, at) = fields(bytes, at)?;
-    Ok((Message { start, headers, body: Vec::new() }, at))
+    Ok((
+        Message {
+            start,
+            headers,
+            body: Vec::new(),
+        },
+        at,
+    ))
 }
 
 fn chunks(bytes: &[u8], from: usize) -> Result<(Vec<u8>, usize), Odd> {
@@ -219,14 +259,21 @@
 }
 
 fn body(bytes: &[u8], message: &mut Message, at: usize) -> Result<usize, Odd> {
-    match (&message.all("content-length")[..], &message.all("transfer-encoding")[..]) {
-        ([length], []) if !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit()) => {
+    match (
+        &message.all("content-length")[..],
+        &message.all("transfer-encoding")[..],
+    ) {
+        ([length], [])
+            if !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit()) =>
+        {
             let length: usize = length.parse().map_err(|_| Odd::Bad("length"))?;
             let end = at.checked_add(length).ok_or(Odd::Bad("length"))?;
             message.body = bytes.get(at..end).ok_or(Odd::Short)?.to_vec();
             Ok(end)
         }
-        ([], [coding]) if coding.eq_ignore_ascii_case("chunked") && !message.start.contains("HTTP/1.0") => {
+        ([], [coding])
+            if coding.eq_ignore_ascii_case("chunked") && !message.start.contains("HTTP/1.0") =>
+        {
             let (body, end) = chunks(bytes, at)?;
             message.body = body;
             Ok(end)
--- a/crates/proxy/tests/quotas.rs
+++ b/crates/proxy/tests/quotas.rs
@@ -15,7 +15,11 @@
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const TENANTS: [(&str, f64, f64); 3] = [("large", 94.0, 94.0), ("small", 6.0, 6.0), ("odd", 20.0, 0.0)];
+const TENANTS: [(&str, f64, f64); 3] = [
+    ("large", 94.0, 94.0),
+    ("small", 6.0, 6.0),
+    ("odd", 20.0, 0.0),
+];
 /// How long a day is, ms.
 const DAY: f64 = 75_000.0;
 /// A leader that has been replaced may go on for this long, and its followers with it.
@@ -114,19 +118,36 @@
         let clock = self.clock(now);
         let known = self.disk.known.then(|| self.disk.names.clone());
         let lender = Lender::new(clock, life, 0, known);
-        let slots = if self.disk.folded > 0 { agreed.slots(self.disk.folded) } else { Slots::default() };
+        let slots = if self.disk.folded > 0 {
+            agreed.slots(self.disk.folded)
+        } else {
+            Slots::default()
+        };
         let (shares, _) = Shares::new(clock, &self.name, slots, self.disk.waited.clone());
-        let mut life =
-            Life { shares, lender, born: clock, applied: self.disk.folded, contact: f64::NEG_INFINITY };
+        let mut life = Life {
+            shares,
+            lender,
+            born: clock,
+            applied: self.disk.folded,
+            contact: f64::NEG_INFINITY,
+        };
         assert!(life.lender.set_limit(life.shares.limit()).is_empty());
         self.life = Some(life);
     }
 
     /// It hears of what is agreed, up to the entry of this number; tells what doors are to be told.
-    fn apply(&mut self, now: f64, agreed: &Agreed, to: usize, written: bool) -> Vec<(String, Lent)> {
+    fn apply(
+        &mut self,
+        now: f64,
+        agreed: &Agreed,
+        to: usize,
+        written: bool,
+    ) -> Vec<(String, Lent)> {
         let clock = self.clock(now);
         let mut told = Vec::new();
-        let Some(life) = &mut self.life else { return told };
+        let Some(life) = &mut self.life else {
+            return told;
+        };
         let mut turns = Vec::new();
         if life.applied == 0 {
             // It gets a whole state first.
@@ -176,7 +197,9 @@
         rate: rates.pop().unwrap_or(1.0),
         asks: [0.0; 3],
     };
-    let mut doors: Vec<Door> = (0..doors_there).map(|n| fresh(n as u32 + 1, true)).collect();
+    let mut doors: Vec<Door> = (0..doors_there)
+        .map(|n| fresh(n as u32 + 1, true))
+        .collect();
     // Machines: the first three, those that join, and those that replace others.
     let mut exchanges: Vec<Exchange> = (0..9)
         .map(|n| Exchange {
@@ -192,10 +215,17 @@
         })
         .collect();
     let first: Members = (0..3).map(|n| exchanges[n].name.clone()).collect();
-    let mut agreed = Agreed { losses, entries: vec![(0, first)] };
+    let mut agreed = Agreed {
+        losses,
+        entries: vec![(0, first)],
+    };
     let (mut lives, mut conns, mut served) = (100_u32, 0_u64, 0_u64);
     for exchange in &mut exchanges[..3] {
-        exchange.disk = Disk { known: true, folded: 1, ..Disk::default() };
+        exchange.disk = Disk {
+            known: true,
+            folded: 1,
+            ..Disk::default()
+        };
         exchange.start(0.0, lives, &agreed);
         lives += 1;
     }
@@ -223,8 +253,11 @@
             match (draw() * 6.0) as u32 {
                 0 => {
                     lives += 1;
-                    doors[hit] =
-                        Door { down: now + draw() * 2000.0, rate: doors[hit].rate, ..fresh(lives, false) };
+                    doors[hit] = Door {
+                        down: now + draw() * 2000.0,
+                        rate: doors[hit].rate,
+                        ..fresh(lives, false)
+                    };
                 }
                 1 => doors[hit].cut = now + draw() * 15_000.0,
                 2 => {
@@ -233,22 +266,42 @@
                             continue;
                         }
                         lives += 1;
-                        *door = Door { down: now + draw() * 2000.0, rate: door.rate, ..fresh(lives, false) };
+                        *door = Door {
+                            down: now + draw() * 2000.0,
+                            rate: door.rate,
+                            ..fresh(lives, false)
+                        };
                     }
                 }
                 3 => {
                     // A planned stop: it gives back, and comes again at once.
                     let clock = now * doors[hit].rate;
                     for (lender, conn) in doors[hit].links.clone() {
-                        let report = doors[hit].purse.report(clock, &lender.to_string(), Vec::new());
-                        let report = Report { last: true, ..report };
-                        let at = order(conn, true, now + draw() * if draw() < 0.3 { 3000.0 } else { 20.0 });
+                        let report =
+                            doors[hit]
+                                .purse
+                                .report(clock, &lender.to_string(), Vec::new());
+                        let report = Report {
+                            last: true,
+                            ..report
+                        };
+                        let at = order(
+                            conn,
+                            true,
+                            now + draw() * if draw() < 0.3 { 3000.0 } else { 20.0 },
+                        );
                         let to = lives_of.get(&(conn, lender)).copied().unwrap_or(0);
-                        mail.push((at, Mail::Report(hit, lender, to, conn, doors[hit].life, report)));
+                        mail.push((
+                            at,
+                            Mail::Report(hit, lender, to, conn, doors[hit].life, report),
+                        ));
                     }
                     lives += 1;
-                    doors[hit] =
-                        Door { down: now + draw() * 500.0, rate: doors[hit].rate, ..fresh(lives, false) };
+                    doors[hit] = Door {
+                        down: now + draw() * 500.0,
+                        rate: doors[hit].rate,
+                        ..fresh(lives, false)
+                    };
                 }
                 _ => {
                     let lender = (draw() * exchanges.len() as f64) as usize;
@@ -257,8 +310,9 @@
             }
         }
         if draw() < 0.003 {
-            let members: Vec<usize> =
-                (0..exchanges.len()).filter(|n| agreed.members().contains(&exchanges[*n].name)).collect();
+            let members: Vec<usize> = (0..exchanges.len())
+                .filter(|n| agreed.members().contains(&exchanges[*n].name))
+                .collect();
             let hit = members[(draw() * members.len() as f64) as usize];
             match (draw() * 9.0) as u32 {
                 // It ends and comes back, with its disk or without it.
@@ -342,7 +396,11 @@
             let (spoken, heard) = (draw() < 0.05, draw() < 0.7);
             let applied = it.life.as_ref().map_or(0, |life| life.applied);
             // A member hears all; whoever was taken out may not hear of that.
-            let to = if !cut && spoken && (member || heard) { there } else { applied };
+            let to = if !cut && spoken && (member || heard) {
+                there
+            } else {
+                applied
+            };
             let clock = it.clock(now);
             if to > 0 {
                 let told = it.apply(now, &agreed, to, draw() < 0.9);
@@ -351,13 +409,22 @@
                 }
                 for (door, lent) in told {
                     let to: usize = door.trim_start_matches("door-").parse().expect("a door");
-                    let Some(conn) = doors[to].links.get(&n).copied() else { continue };
-                    mail.push((order(conn, false, now + draw() * 20.0), Mail::Lent(to, n, conn, lent)));
+                    let Some(conn) = doors[to].links.get(&n).copied() else {
+                        continue;
+                    };
+                    mail.push((
+                        order(conn, false, now + draw() * 20.0),
+                        Mail::Lent(to, n, conn, lent),
+                    ));
                 }
             }
             // Followers of a leader that has been replaced since the cut may not know for a while.
             let led = !cut || now < it.alone.0 + DEPOSED;
-            if let Some(life) = it.life.as_mut().filter(|life| led && spoken && life.applied > 0) {
+            if let Some(life) = it
+                .life
+                .as_mut()
+                .filter(|life| led && spoken && life.applied > 0)
+            {
                 let counted = agreed.entries[life.applied - 1].1.contains(&it.name);
                 if (cut || life.applied == there) && counted {
                     life.contact = clock;
@@ -370,7 +437,11 @@
                 door.asks = [draw() * 12.0 * hot, draw() * 2.0 * hot, draw() * 6.0 * hot];
             }
         }
-        for (n, door) in doors.iter_mut().enumerate().filter(|(_, door)| now >= door.down) {
+        for (n, door) in doors
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, door)| now >= door.down)
+        {
             let clock = now * door.rate;
             for (lender, it) in exchanges.iter().enumerate() {
                 let Some(life) = &it.life else {
@@ -388,7 +459,9 @@
                     lives_of.insert((conns, lender), life.lender.life());
                     door.purse.connected(&lender.to_string());
                 }
-                let Some(conn) = door.links.get(&lender).copied() else { continue };
+                let Some(conn) = door.links.get(&lender).copied() else {
+                    continue;
+                };
                 if lives_of.get(&(conn, lender)) != Some(&life.lender.life()) {
                     door.links.remove(&lender);
                     continue;
@@ -400,7 +473,9 @@
                         rate: (rate * 1000.0) as u32,
                         short: draw() < 0.3,
                     });
-                    let report = door.purse.report(clock, &lender.to_string(), demand.collect());
+                    let report = door
+                        .purse
+                        .report(clock, &lender.to_string(), demand.collect());
                     if !away {
                         let at = now + draw() * if draw() < 0.05 { 3000.0 } else { 20.0 };
                         let at = order(conn, true, at);
@@ -428,7 +503,8 @@
                     // It arrives, also if its door has gone since; not at another life of the lender.
                     let it = &mut exchanges[lender];
                     let clock = it.clock(now);
-                    let Some(life) = it.life.as_mut().filter(|life| life.lender.life() == to) else {
+                    let Some(life) = it.life.as_mut().filter(|life| life.lender.life() == to)
+                    else {
                         continue;
                     };
                     if now < doors[n].cut || now < it.away {
@@ -442,11 +518,17 @@
                         it.disk.names.insert(name.clone());
                     }
                     let tenants = TENANTS.iter().map(|(name, _, _)| *name);
-                    let caller = Caller { name: &name, life: from, conn };
+                    let caller = Caller {
+                        name: &name,
+                        life: from,
+                        conn,
+                    };
                     for (to, lent) in life.lender.report(clock, caller, &report, tenants) {
                         let to: usize = to.trim_start_matches("door-").parse().expect("a door");
                         // To the latest connection, which may be another life's than the one that is meant.
-                        let Some(conn) = doors[to].links.get(&lender).copied() else { continue };
+                        let Some(conn) = doors[to].links.get(&lender).copied() else {
+                            continue;
+                        };
                         let at = order(conn, false, now + draw() * 20.0);
                         mail.push((at, Mail::Lent(to, lender, conn, lent)));
                     }
@@ -460,14 +542,28 @@
             }
         }
         for (t, (tenant, rate, burst)) in TENANTS.iter().enumerate() {
-            let all: f64 = doors.iter().map(|door| door.purse.part(now * door.rate, tenant)).sum();
-            assert!(all <= 1.0 + 1e-6, "seed {seed}: {all} of {tenant} is held at {now}");
-            let lent = exchanges.iter().filter_map(|it| Some((it.clock(now), it.life.as_ref()?)));
-            let out: u32 = lent.map(|(clock, life)| life.lender.out_at(clock, tenant)).sum();
-            assert!(out <= WHOLE, "seed {seed}: {out} of {tenant} is out at {now}");
+            let all: f64 = doors
+                .iter()
+                .map(|door| door.purse.part(now * door.rate, tenant))
+                .sum();
+            assert!(
+                all <= 1.0 + 1e-6,
+                "seed {seed}: {all} of {tenant} is held at {now}"
+            );
+            let lent = exchanges
+                .iter()
+                .filter_map(|it| Some((it.clock(now), it.life.as_ref()?)));
+            let out: u32 = lent
+                .map(|(clock, life)| life.lender.out_at(clock, tenant))
+                .sum();
+            assert!(
+                out <= WHOLE,
+                "seed {seed}: {out} of {tenant} is out at {now}"
+            );
             for door in doors.iter_mut().filter(|door| now >= door.down) {
                 let part = door.purse.part(now * door.rate, tenant);
-                door.tenants.hold(now, tenant, quota(&bounds, *rate, *burst, part, 500.0));
+                door.tenants
+                    .hold(now, tenant, quota(&bounds, *rate, *burst, part, 500.0));
                 let mut due = door.asks[t] * 0.01;
                 while due > draw() {
                     due -= 1.0;
@@ -481,10 +577,13 @@
             }
             let window = bounds.quota_window_s * 1000.0;
             runs[t].retain(|at| *at > now - window);
-            let most =
-                (rate * bounds.quota_window_s + burst) * (1.0 + bounds.quota_overshoot) + bounds.quota_slack;
+            let most = (rate * bounds.quota_window_s + burst) * (1.0 + bounds.quota_overshoot)
+                + bounds.quota_slack;
             let ran = runs[t].iter().filter(|at| **at <= now).count() as f64;
-            assert!(ran <= most, "seed {seed}: {ran} runs of {tenant} in a window of {most} at {now}");
+            assert!(
+                ran <= most,
+                "seed {seed}: {ran} runs of {tenant} in a window of {most} at {now}"
+            );
         }
     }
     assert!(served > 200, "seed {seed}: hardly anything was let in");
--- a/crates/proxy/tests/stop.rs
+++ b/crates/proxy/tests/stop.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{answer, request, Front, Message, Odd, CONFIGURATION};
-use maplefall_service_registry::{State, Word};
-use maplefall_node_settings::Settings;
-use maplefall_gateway_config::{read_call, Limits};
 use maplefall_control_messages::{Frame, Plans, Words};
+use maplefall_gateway_config::{read_call, Limits};
+use maplefall_node_settings::Settings;
 use maplefall_proxy::visit::{Leave, Visit};
 use maplefall_proxy::{Arrival, Core, Output};
+use maplefall_service_registry::{State, Word};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::io::ErrorKind;
@@ -42,7 +42,9 @@
                 let (mut inbox, mut part) = (Vec::new(), [0_u8; 4096]);
                 while let Ok(count @ 1..) = stream.read(&mut part).await {
                     inbox.extend_from_slice(&part[..count]);
-                    let Ok((asked, end)) = request(&inbox, 0) else { continue };
+                    let Ok((asked, end)) = request(&inbox, 0) else {
+                        continue;
+                    };
                     inbox.drain(..end);
                     backend.came.set(backend.came.get() + 1);
                     if asked.start.contains("held") {
@@ -79,7 +81,10 @@
 }
 
 fn on_one_thread(play: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let local = tokio::task::LocalSet::new();
     let played = local.run_until(async { tokio::time::timeout(PATIENCE, play).await });
     runtime.block_on(played).expect("it took too long");
@@ -101,11 +106,15 @@
         backend.held.notified().await;
         let clients = front.clients.clone();
         let stop = tokio::task::spawn_local(async move {
-            clients.stop_by(Duration::ZERO, Instant::now() + PATIENCE).await;
+            clients
+                .stop_by(Duration::ZERO, Instant::now() + PATIENCE)
+                .await;
         });
         // Until the stop has begun, connections are kept.
         loop {
-            let mut stream = TcpStream::connect(address).await.expect("it accepts while something is owed");
+            let mut stream = TcpStream::connect(address)
+                .await
+                .expect("it accepts while something is owed");
             let got = ask(&mut stream, "/once/more").await.expect("an answer");
             assert_eq!(got.status(), 200);
             if got.closes() {
@@ -121,10 +130,15 @@
         let came = backend.came.get();
         for _ in 0..20 {
             let late = match TcpStream::connect(address).await {
-                Ok(mut stream) => ask(&mut stream, "/once/late").await.map(|message| message.start),
+                Ok(mut stream) => ask(&mut stream, "/once/late")
+                    .await
+                    .map(|message| message.start),
                 Err(error) => Err(error),
             };
-            assert_eq!(late.map_err(|error| error.kind()), Err(ErrorKind::ConnectionRefused));
+            assert_eq!(
+                late.map_err(|error| error.kind()),
+                Err(ErrorKind::ConnectionRefused)
+            );
         }
         assert_eq!(backend.came.get(), came, "something was sent on");
     });
@@ -139,7 +153,9 @@
         let mut settings = Settings::read(text, Path::new("edge.toml")).expect("settings");
         settings.bounds.retry_budget_ratio = 50.0;
         let mut core = Core::new(&settings, 1);
-        let items = read_call(CONFIGURATION.as_bytes()).expect("a configuration").items;
+        let items = read_call(CONFIGURATION.as_bytes())
+            .expect("a configuration")
+            .items;
         let word = |n: u32| Word {
             id: format!("i-{n}"),
             service: "one".to_owned(),
@@ -151,9 +167,19 @@
             cold_ms: 0,
         };
         let mut out = Vec::new();
-        let plans = Plans { after: 0, index: 1, changes: Vec::new(), items, exchanges: Vec::new() };
+        let plans = Plans {
+            after: 0,
+            index: 1,
+            changes: Vec::new(),
+            items,
+            exchanges: Vec::new(),
+        };
         core.heard(0.0, "x", Frame::Plans(plans), &mut out);
-        let words = Words { words: vec![word(1), word(2)], all: true, receipt: 0 };
+        let words = Words {
+            words: vec![word(1), word(2)],
+            all: true,
+            receipt: 0,
+        };
         core.heard(0.0, "x", Frame::Words(words), &mut out);
         let arrival = Arrival {
             host: "h.example",
@@ -173,14 +199,20 @@
         for at in (20..19_000).step_by(10) {
             out.clear();
             core.fire(f64::from(at), &mut out);
-            if out.iter().any(|one| matches!(one, Output::GiveUp(..) | Output::Answer(..))) {
+            if out
+                .iter()
+                .any(|one| matches!(one, Output::GiveUp(..) | Output::Answer(..)))
+            {
                 given_up = given_up.or(Some(at));
             }
         }
         assert_eq!(given_up.is_none(), stops, "given up at {given_up:?} ms");
         if stops {
             core.fire(20_010.0, &mut out);
-            assert!(out.iter().any(|one| matches!(one, Output::GiveUp(..))), "it outlasts its deadline");
+            assert!(
+                out.iter().any(|one| matches!(one, Output::GiveUp(..))),
+                "it outlasts its deadline"
+            );
         }
     }
 }
@@ -189,14 +221,21 @@
 /// bounds what is slow in coming.
 #[test]
 fn a_connection_rests_as_long_as_the_newest_limits_say() {
-    let limits = |idle: f64| Limits { idle, header: 3000.0, ..Limits::default() };
+    let limits = |idle: f64| Limits {
+        idle,
+        header: 3000.0,
+        ..Limits::default()
+    };
     let mut visit = Visit::new(0.0);
     assert_eq!(visit.due(&limits(15_000.0)), Some((15_000.0, Leave::Now)));
     assert!(visit.heard(1000.0) && !visit.heard(1500.0));
     assert_eq!(visit.due(&limits(15_000.0)), Some((4000.0, Leave::Now)));
     visit.asked();
     assert!(!visit.heard(1600.0), "its body is no head");
-    assert_eq!((visit.due(&limits(15_000.0)), visit.resting()), (None, None));
+    assert_eq!(
+        (visit.due(&limits(15_000.0)), visit.resting()),
+        (None, None)
+    );
     visit.answered(9000.0);
     assert_eq!(visit.due(&limits(15_000.0)), Some((24_000.0, Leave::Owed)));
     assert_eq!(visit.due(&limits(40_000.0)), Some((49_000.0, Leave::Owed)));
@@ -205,7 +244,10 @@
     visit.heard(9000.0 + 0.8 * 15_000.0);
     assert_eq!(visit.due(&limits(15_000.0)), Some((24_000.0, Leave::Now)));
     visit.leaves();
-    assert_eq!((visit.due(&limits(15_000.0)), visit.resting()), (None, None));
+    assert_eq!(
+        (visit.due(&limits(15_000.0)), visit.resting()),
+        (None, None)
+    );
 }
 
 /// Guards a full house: a newcomer gets the place of whoever has rested longest, and where nobody rests, the first answer's.
@@ -219,15 +261,32 @@
         let guests = RefCell::new(Vec::new());
         for _ in 0..most {
             let mut stream = TcpStream::connect(front.address).await.expect("a door");
-            assert_eq!(ask(&mut stream, "/once/a").await.expect("an answer").status(), 200);
+            assert_eq!(
+                ask(&mut stream, "/once/a")
+                    .await
+                    .expect("an answer")
+                    .status(),
+                200
+            );
             guests.borrow_mut().push(stream);
         }
         let mut newcomer = TcpStream::connect(front.address).await.expect("a door");
         // Long before the others have rested for `IdleS`, 15 s.
-        let got = tokio::time::timeout(Duration::from_secs(10), ask(&mut newcomer, "/once/b")).await;
+        let got =
+            tokio::time::timeout(Duration::from_secs(10), ask(&mut newcomer, "/once/b")).await;
         assert_eq!(got.expect("a place").expect("an answer").status(), 200);
         let mut guests = guests.take();
-        assert_eq!(guests[0].read(&mut [0]).await.expect("an end"), 0, "the first has rested longest");
-        assert_eq!(ask(&mut guests[most - 1], "/once/c").await.expect("an answer").status(), 200);
+        assert_eq!(
+            guests[0].read(&mut [0]).await.expect("an end"),
+            0,
+            "the first has rested longest"
+        );
+        assert_eq!(
+            ask(&mut guests[most - 1], "/once/c")
+                .await
+                .expect("an answer")
+                .status(),
+            200
+        );
     });
 }
--- a/crates/proxy/tests/whole.rs
+++ b/crates/proxy/tests/whole.rs
@@ -26,7 +26,9 @@
         }
     }
     let length = head.to_ascii_lowercase();
-    let length = length.lines().find_map(|line| line.strip_prefix("content-length:")?.trim().parse().ok());
+    let length = length
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length:")?.trim().parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
     reader.read_exact(&mut body).ok()?;
     Some((head, String::from_utf8_lossy(&body).into_owned()))
@@ -57,7 +59,10 @@
 }
 
 fn post(path: &str, body: &str) -> String {
-    format!("POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// A backend that hands every request to its script and writes what that says; nothing for silence.
@@ -88,7 +93,9 @@
 fn header(head: &str, name: &str) -> Option<String> {
     head.lines().find_map(|line| {
         let (known, value) = line.split_once(':')?;
-        known.eq_ignore_ascii_case(name).then(|| value.trim().to_owned())
+        known
+            .eq_ignore_ascii_case(name)
+            .then(|| value.trim().to_owned())
     })
 }
 
@@ -116,12 +123,15 @@
 }
 
 fn free(ip: IpAddr) -> SocketAddr {
-    TcpListener::bind((ip, 0)).and_then(|listener| listener.local_addr()).expect("a port")
+    TcpListener::bind((ip, 0))
+        .and_then(|listener| listener.local_addr())
+        .expect("a port")
 }
 
 impl System {
     fn start(name: &str, backends: &[(&str, SocketAddr)]) -> System {
-        let folder = std::env::temp_dir().join(format!("maplefall-whole-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("maplefall-whole-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
         // One address for each machine: the inner port is the same on both.
@@ -133,11 +143,14 @@
             "Node = \"core\"\nIp = \"{core}\"\n{common}DataDir = {:?}\n[Bind]\nControl = \"{control}\"\n",
             folder.join("data")
         );
-        let settings = maplefall_node_settings::Settings::read(&exchange, &folder).expect("settings");
+        let settings =
+            maplefall_node_settings::Settings::read(&exchange, &folder).expect("settings");
         let watched = maplefall_node_settings::Watched::new(folder.join("core.toml"));
         std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("a runtime");
             let local = tokio::task::LocalSet::new();
             runtime
                 .block_on(local.run_until(maplefall_controller::net::run(settings, watched, 7)))
@@ -152,15 +165,28 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("a door");
-        let system = System { folder, door, control, front };
+        let system = System {
+            folder,
+            door,
+            control,
+            front,
+        };
         for (id, address) in backends {
             let service = id.split('-').next().unwrap_or_default();
             let beat = format!("{{\"Address\":\"{address}\",\"Details\":{{\"Service\":\"{service}\",\"Version\":\"v1\",\"Zone\":\"z\",\"Capacity\":2}},\"Observed\":{{\"State\":\"in_loop\",\"CallSeq\":1,\"WarmupLeftS\":0}}}}");
             let call = post(&format!("/api/rpc?call=instances.beat&of={id}"), &beat);
             until(control, &call, |answer| answer.status == 200);
         }
-        until(control, &post("/api/rpc?call=config.amend", FIRST), |answer| answer.status == 200);
-        until(probe, "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n", |answer| answer.status == 200);
+        until(
+            control,
+            &post("/api/rpc?call=config.amend", FIRST),
+            |answer| answer.status == 200,
+        );
+        until(
+            probe,
+            "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n",
+            |answer| answer.status == 200,
+        );
         system
     }
 }
@@ -175,36 +201,78 @@
 /// route is told so; what the client says of its tenant does not pass.
 #[test]
 fn a_request_goes_all_the_way_and_its_answer_back() {
-    let (one, seen) =
-        backend(|head| answer(head, "200 OK", "X-Server-Seal: s1\r\nKeep-Alive: timeout=5\r\n", "whole"));
+    let (one, seen) = backend(|head| {
+        answer(
+            head,
+            "200 OK",
+            "X-Server-Seal: s1\r\nKeep-Alive: timeout=5\r\n",
+            "whole",
+        )
+    });
     let system = System::start("way", &[("one-1", one)]);
     let more = "X-Tenant: other\r\nX-Target-Instance: x\r\nConnection: X-Odd\r\nX-Odd: 1\r\nX-Time-Remaining: 20000\r\n";
     // Its bucket is empty at first, and fills as soon as the loan is there.
-    let got = until(system.front, &get("/one/a?b=%20c", more), |answer| answer.status != 429);
-    assert_eq!((got.status, got.body.as_str()), (200, "whole"), "{}", got.head);
+    let got = until(system.front, &get("/one/a?b=%20c", more), |answer| {
+        answer.status != 429
+    });
+    assert_eq!(
+        (got.status, got.body.as_str()),
+        (200, "whole"),
+        "{}",
+        got.head
+    );
     assert_eq!(header(&got.head, "x-server-seal").as_deref(), Some("s1"));
     assert_eq!(header(&got.head, "keep-alive"), None);
     let request = seen.recv_timeout(PATIENCE).expect("a request");
-    assert!(request.starts_with("GET /one/a?b=%20c HTTP/1.1\r\n"), "{request}");
-    let told = ["x-tenant", "x-target-instance", "authorization", "x-odd", "x-attempt-id"]
-        .map(|n| header(&request, n));
-    assert_eq!(told, [Some("t1".into()), Some("one-1".into()), None, None, Some("abc".into())]);
+    assert!(
+        request.starts_with("GET /one/a?b=%20c HTTP/1.1\r\n"),
+        "{request}"
+    );
+    let told = [
+        "x-tenant",
+        "x-target-instance",
+        "authorization",
+        "x-odd",
+        "x-attempt-id",
+    ]
+    .map(|n| header(&request, n));
+    assert_eq!(
+        told,
+        [
+            Some("t1".into()),
+            Some("one-1".into()),
+            None,
+            None,
+            Some("abc".into())
+        ]
+    );
     let status = |text: &str| until(system.front, text, |answer| answer.status != 429).status;
     assert_eq!(status(&get("/one/", "").replace("k1", "k2")), 401);
     assert_eq!(status(&get("/three/", "")), 404);
     // Chunks come as a body with a length; two lengths, or a length beside chunks, are no request to pass on as they are.
-    let chunked =
-        get("/one/", "Transfer-Encoding: chunked\r\n").replace("GET", "PUT") + "3\r\nabc\r\n0\r\n\r\n";
+    let chunked = get("/one/", "Transfer-Encoding: chunked\r\n").replace("GET", "PUT")
+        + "3\r\nabc\r\n0\r\n\r\n";
     assert_eq!(status(&chunked), 200);
-    let request = seen.iter().find(|request| request.starts_with("PUT")).expect("a request");
+    let request = seen
+        .iter()
+        .find(|request| request.starts_with("PUT"))
+        .expect("a request");
     assert!(
         request.ends_with("abc") && header(&request, "content-length").as_deref() == Some("3"),
         "{request}"
     );
     let twice = get("/one/", "Content-Length: 3\r\nContent-Length: 4\r\n") + "abcd";
     assert_eq!(status(&twice), 400);
-    let back = until(system.control, &post("/api/rpc?call=config.read", ""), |answer| answer.status == 200);
-    assert!(back.body.contains("\"k1\"") && back.body.contains("\"00000001\""), "{}", back.body);
+    let back = until(
+        system.control,
+        &post("/api/rpc?call=config.read", ""),
+        |answer| answer.status == 200,
+    );
+    assert!(
+        back.body.contains("\"k1\"") && back.body.contains("\"00000001\""),
+        "{}",
+        back.body
+    );
     let bad = post("/api/rpc?call=config.amend", &FIRST[..FIRST.len() / 2]);
     assert_eq!(ask(system.control, &bad).expect("an answer").status, 400);
 }
@@ -222,14 +290,23 @@
     let end = Instant::now() + PATIENCE;
     // Repeats are earned, and the first requests find their bucket empty.
     while tried < 1 {
-        assert!(Instant::now() < end, "the silent one was never tried second");
-        let post =
-            get("/two/", "X-Time-Remaining: 400\r\nContent-Length: 2\r\n").replace("GET", "POST") + "ab";
+        assert!(
+            Instant::now() < end,
+            "the silent one was never tried second"
+        );
+        let post = get("/two/", "X-Time-Remaining: 400\r\nContent-Length: 2\r\n")
+            .replace("GET", "POST")
+            + "ab";
         let got = ask(system.front, &post).expect("an answer");
         let ran = ran.try_iter().count();
         // One that was turned away first and ran then.
         tried += ran.min(turned.try_iter().count());
         assert!(ran <= 1, "it was sent on twice");
-        assert_eq!(ran == 1, !matches!(got.status, 429 | 503 | 408 | 421), "{} where {ran} ran", got.status);
+        assert_eq!(
+            ran == 1,
+            !matches!(got.status, 429 | 503 | 408 | 421),
+            "{} where {ran} ran",
+            got.status
+        );
     }
 }
--- a/crates/quota-lease/src/lender.rs
+++ b/crates/quota-lease/src/lender.rs
@@ -50,7 +50,11 @@
 impl Door {
     fn asks(&self, now: Millis, tenant: &str) -> f64 {
         let own = self.demand.get(tenant).copied().unwrap_or(0.0);
-        let before = self.inherited.0.get(tenant).filter(|_| now < self.inherited.1);
+        let before = self
+            .inherited
+            .0
+            .get(tenant)
+            .filter(|_| now < self.inherited.1);
         own.max(before.copied().unwrap_or(0.0))
     }
 }
@@ -118,10 +122,20 @@
             for (tenant, loan) in &mut door.loans {
                 loan.said = (u64::from(loan.said) * u64::from(limit) / u64::from(before)) as u32;
                 loan.number = self.answered;
-                loans.push(Loan { tenant: tenant.clone(), parts: loan.said });
+                loans.push(Loan {
+                    tenant: tenant.clone(),
+                    parts: loan.said,
+                });
             }
             let (number, report, life) = (self.answered, door.report, door.life);
-            let lent = Lent { number, report, loans, doors: count, life, lender: self.life };
+            let lent = Lent {
+                number,
+                report,
+                loans,
+                doors: count,
+                life,
+                lender: self.life,
+            };
             told.push((name.clone(), lent));
         }
         told
@@ -172,11 +186,18 @@
         self.doors.retain(|_, door| now < door.until);
         if let Some(door) = self.doors.get(name) {
             let same = door.life == life;
-            if conn < door.conn || (same && report.number <= door.report) || (!same && conn == door.conn) {
+            if conn < door.conn
+                || (same && report.number <= door.report)
+                || (!same && conn == door.conn)
+            {
                 return Vec::new();
             }
         }
-        let confirmed = if report.lender == self.life { report.confirmed } else { 0 };
+        let confirmed = if report.lender == self.life {
+            report.confirmed
+        } else {
+            0
+        };
         if report.last {
             self.doors.remove(name);
             self.unknown.remove(name);
@@ -186,22 +207,41 @@
             if self.doors.len() >= MOST_DOORS && !self.doors.contains_key(name) {
                 self.answered += 1;
                 let (number, lender) = (self.answered, self.life);
-                let lent = Lent { number, report: report.number, life, lender, ..Lent::default() };
+                let lent = Lent {
+                    number,
+                    report: report.number,
+                    life,
+                    lender,
+                    ..Lent::default()
+                };
                 return vec![(name.to_owned(), lent)];
             }
             self.begin(now, caller, report);
         }
         self.unknown.remove(name);
-        let Some(door) = self.doors.get_mut(name) else { return Vec::new() };
+        let Some(door) = self.doors.get_mut(name) else {
+            return Vec::new();
+        };
         door.until = now + LASTS + SKEW;
         (door.conn, door.report, door.confirmed) = (conn, report.number, confirmed);
         door.knows = report.lender == self.life;
-        let demand = report.demand.iter().map(|d| (d.tenant.clone(), f64::from(d.rate) / 1000.0));
+        let demand = report
+            .demand
+            .iter()
+            .map(|d| (d.tenant.clone(), f64::from(d.rate) / 1000.0));
         let before = std::mem::replace(&mut door.demand, demand.collect());
-        let short: BTreeSet<String> =
-            report.demand.iter().filter(|d| d.short).map(|d| d.tenant.clone()).collect();
+        let short: BTreeSet<String> = report
+            .demand
+            .iter()
+            .filter(|d| d.short)
+            .map(|d| d.tenant.clone())
+            .collect();
         let mut freed = BTreeSet::new();
-        for (tenant, loan) in door.loans.iter_mut().filter(|(_, loan)| loan.number <= confirmed) {
+        for (tenant, loan) in door
+            .loans
+            .iter_mut()
+            .filter(|(_, loan)| loan.number <= confirmed)
+        {
             if loan.most > loan.said {
                 freed.insert(tenant.clone());
             }
@@ -212,13 +252,22 @@
             self.deal_anew();
         }
         let there = self.doors.len();
-        let others_came =
-            self.doors.get_mut(name).is_some_and(|door| std::mem::replace(&mut door.among, there) != there);
-        let mut changed: BTreeMap<String, Vec<Loan>> = BTreeMap::from([(name.to_owned(), Vec::new())]);
+        let others_came = self
+            .doors
+            .get_mut(name)
+            .is_some_and(|door| std::mem::replace(&mut door.among, there) != there);
+        let mut changed: BTreeMap<String, Vec<Loan>> =
+            BTreeMap::from([(name.to_owned(), Vec::new())]);
         for tenant in tenants {
             let news = freed.contains(tenant) || before.contains_key(tenant);
-            let asked = self.doors.get(name).is_some_and(|door| door.asks(now, tenant) > 0.0);
-            let unheard = self.doors.get(name).is_some_and(|door| !door.loans.contains_key(tenant));
+            let asked = self
+                .doors
+                .get(name)
+                .is_some_and(|door| door.asks(now, tenant) > 0.0);
+            let unheard = self
+                .doors
+                .get(name)
+                .is_some_and(|door| !door.loans.contains_key(tenant));
             if report.first || news || asked || unheard || others_came {
                 let lacks = short.contains(tenant) || others_came || unheard;
                 let why = (doubt, freed.contains(tenant), lacks);
@@ -228,12 +277,18 @@
         let count = self.doors.len() as u32;
         let mut answers = Vec::new();
         for (to, loans) in changed {
-            let Some(door) = self.doors.get_mut(&to) else { continue };
+            let Some(door) = self.doors.get_mut(&to) else {
+                continue;
+            };
             let mine = to == name;
             // What was said and is not confirmed is said again.
             let again = |loan: &Out| mine && (loan.number > confirmed || report.first);
-            let mut all: BTreeMap<String, u32> =
-                door.loans.iter().filter(|(_, loan)| again(loan)).map(|(t, l)| (t.clone(), l.said)).collect();
+            let mut all: BTreeMap<String, u32> = door
+                .loans
+                .iter()
+                .filter(|(_, loan)| again(loan))
+                .map(|(t, l)| (t.clone(), l.said))
+                .collect();
             all.extend(loans.into_iter().map(|loan| (loan.tenant, loan.parts)));
             if all.is_empty() && !mine {
                 continue;
@@ -241,12 +296,24 @@
             self.answered += 1;
             let number = self.answered;
             for tenant in all.keys() {
-                door.loans.entry(tenant.clone()).and_modify(|loan| loan.number = number);
+                door.loans
+                    .entry(tenant.clone())
+                    .and_modify(|loan| loan.number = number);
             }
-            let loans = all.into_iter().map(|(tenant, parts)| Loan { tenant, parts }).collect();
+            let loans = all
+                .into_iter()
+                .map(|(tenant, parts)| Loan { tenant, parts })
+                .collect();
             let (report, life) = (door.report, door.life);
             let lender = if door.knows { 0 } else { self.life };
-            let lent = Lent { number, report, loans, doors: count, life, lender };
+            let lent = Lent {
+                number,
+                report,
+                loans,
+                doors: count,
+                life,
+                lender,
+            };
             if mine {
                 answers.insert(0, (to, lent));
             } else {
@@ -258,7 +325,11 @@
 
     /// A new life of a door: what an earlier one held is over with it, and what it says that it holds is confirmed.
     fn begin(&mut self, now: Millis, Caller { name, life, conn }: Caller<'_>, report: &Report) {
-        let inherited = self.doors.remove(name).map(|door| door.demand).unwrap_or_default();
+        let inherited = self
+            .doors
+            .remove(name)
+            .map(|door| door.demand)
+            .unwrap_or_default();
         let mut door = Door {
             life,
             conn,
@@ -273,8 +344,17 @@
         };
         for loan in report.held.iter().filter(|_| report.first) {
             // A report may be long under way: what has run out meanwhile may be lent to others.
-            let parts = loan.parts.min(self.limit.saturating_sub(self.out(&loan.tenant)));
-            door.loans.insert(loan.tenant.clone(), Out { said: parts, most: parts, number: 0 });
+            let parts = loan
+                .parts
+                .min(self.limit.saturating_sub(self.out(&loan.tenant)));
+            door.loans.insert(
+                loan.tenant.clone(),
+                Out {
+                    said: parts,
+                    most: parts,
+                    number: 0,
+                },
+            );
         }
         self.doors.insert(name.to_owned(), door);
     }
@@ -304,17 +384,26 @@
         let mut out = self.out(tenant);
         let lacks = self.doors.get(name).is_some_and(|door| {
             let loan = door.loans.get(tenant).copied().unwrap_or_default();
-            let free = if doubt { 0 } else { self.limit.saturating_sub(out) };
+            let free = if doubt {
+                0
+            } else {
+                self.limit.saturating_sub(out)
+            };
             lacks && worth(target(door), loan.said) && target(door) > loan.most.saturating_add(free)
         });
         let mut tell = |to: &str, parts: u32| {
-            let loan = Loan { tenant: tenant.to_owned(), parts };
+            let loan = Loan {
+                tenant: tenant.to_owned(),
+                parts,
+            };
             changed.entry(to.to_owned()).or_default().push(loan);
         };
         // First who gives back: it counts as out until that is confirmed.
         for (to, door) in &mut self.doors {
             let aim = target(door);
-            let Some(loan) = door.loans.get_mut(tenant) else { continue };
+            let Some(loan) = door.loans.get_mut(tenant) else {
+                continue;
+            };
             if lacks && aim < loan.said && worth(aim, loan.said) {
                 loan.said = aim;
                 tell(to, aim);
@@ -327,9 +416,17 @@
                 continue;
             }
             let loan = door.loans.entry(tenant.to_owned()).or_default();
-            let free = if doubt { 0 } else { self.limit.saturating_sub(out) };
+            let free = if doubt {
+                0
+            } else {
+                self.limit.saturating_sub(out)
+            };
             // While more is out than may be, nobody gets back what is to be given back.
-            let most = if out > self.limit { loan.said } else { loan.most };
+            let most = if out > self.limit {
+                loan.said
+            } else {
+                loan.most
+            };
             let next = aim.min(most.saturating_add(free));
             if next > loan.said && worth(next, loan.said) && (freed || to == name) {
                 out += next.saturating_sub(loan.most);
@@ -341,12 +438,17 @@
 
     /// What is out of a tenant's quota at most, as of the last report.
     pub fn out(&self, tenant: &str) -> u32 {
-        self.doors.values().filter_map(|door| Some(door.loans.get(tenant)?.most)).sum()
+        self.doors
+            .values()
+            .filter_map(|door| Some(door.loans.get(tenant)?.most))
+            .sum()
     }
 
     /// What is out of a tenant's quota at most, without what has run out by now.
     pub fn out_at(&self, now: Millis, tenant: &str) -> u32 {
         let doors = self.doors.values().filter(|door| now < door.until);
-        doors.filter_map(|door| Some(door.loans.get(tenant)?.most)).sum()
+        doors
+            .filter_map(|door| Some(door.loans.get(tenant)?.most))
+            .sum()
     }
 }
--- a/crates/quota-lease/src/purse.rs
+++ b/crates/quota-lease/src/purse.rs
@@ -30,7 +30,10 @@
 impl Purse {
     /// The purse of this life of a door.
     pub fn new(life: u64) -> Purse {
-        Purse { life, held: BTreeMap::new() }
+        Purse {
+            life,
+            held: BTreeMap::new(),
+        }
     }
 
     /// There is a new connection to a lender, which may be a new life of it: answers that are under way are void.
@@ -57,7 +60,12 @@
         Report {
             number: held.reports,
             confirmed: held.confirmed,
-            held: loans.map(|(tenant, parts)| Loan { tenant: tenant.clone(), parts: *parts }).collect(),
+            held: loans
+                .map(|(tenant, parts)| Loan {
+                    tenant: tenant.clone(),
+                    parts: *parts,
+                })
+                .collect(),
             first,
             demand,
             last: false,
@@ -75,7 +83,12 @@
         if now >= held.until {
             held.loans.clear();
         }
-        let Some(at) = held.asked.iter().find(|(number, _)| *number == lent.report).map(|(_, at)| *at) else {
+        let Some(at) = held
+            .asked
+            .iter()
+            .find(|(number, _)| *number == lent.report)
+            .map(|(_, at)| *at)
+        else {
             return (false, false);
         };
         // Another life of the lender than the one that answered first here, or an answer that is older than what is known.
@@ -92,7 +105,10 @@
         held.doors = lent.doors;
         let (mut less, mut more) = (false, false);
         for loan in &lent.loans {
-            let before = held.loans.insert(loan.tenant.clone(), loan.parts).unwrap_or(0);
+            let before = held
+                .loans
+                .insert(loan.tenant.clone(), loan.parts)
+                .unwrap_or(0);
             less |= loan.parts < before;
             more |= loan.parts > before;
         }
@@ -102,12 +118,19 @@
     /// The part of a tenant's quota that is held now, from nought to one.
     pub fn part(&self, now: Millis, tenant: &str) -> f64 {
         let held = self.held.values().filter(|held| now < held.until);
-        let parts: u32 = held.filter_map(|held| held.loans.get(tenant)).fold(0, |a, b| a.saturating_add(*b));
+        let parts: u32 = held
+            .filter_map(|held| held.loans.get(tenant))
+            .fold(0, |a, b| a.saturating_add(*b));
         f64::from(parts.min(WHOLE)) / f64::from(WHOLE)
     }
 
     /// Doors that the lenders know of, at least one.
     pub fn doors(&self) -> u32 {
-        self.held.values().map(|held| held.doors).max().unwrap_or(0).max(1)
+        self.held
+            .values()
+            .map(|held| held.doors)
+            .max()
+            .unwrap_or(0)
+            .max(1)
     }
 }
--- a/crates/quota-lease/src/slots.rs
+++ b/crates/quota-lease/src/slots.rs
@@ -36,10 +36,20 @@
     /// The slots at the first start: enough for the fewest exchanges of which `losses` may be lost, and one for each of the first.
     /// `index` is the entry up to which the members are known, and `used` whether others may have lent before it.
     pub fn first(members: &BTreeSet<String>, losses: u32, index: u64, used: bool) -> Slots {
-        let fewest = if members.len() < SEEDS { 0 } else { (losses as usize).saturating_mul(2) + 1 };
+        let fewest = if members.len() < SEEDS {
+            0
+        } else {
+            (losses as usize).saturating_mul(2) + 1
+        };
         let count = fewest.max(members.len()).clamp(1, MOST_SLOTS);
-        let free = Slot { owner: String::new(), since: index, used };
-        let mut slots = Slots { all: vec![free; count] };
+        let free = Slot {
+            owner: String::new(),
+            since: index,
+            used,
+        };
+        let mut slots = Slots {
+            all: vec![free; count],
+        };
         slots.change(members, index);
         slots
     }
@@ -57,7 +67,9 @@
                 continue;
             }
             let free = self.all.iter_mut().filter(|slot| slot.owner.is_empty());
-            let Some(slot) = free.min_by_key(|slot| slot.used) else { return };
+            let Some(slot) = free.min_by_key(|slot| slot.used) else {
+                return;
+            };
             (slot.owner, slot.since) = (member.clone(), index);
         }
     }
@@ -100,8 +112,12 @@
 impl Shares {
     /// What `me` may lend. `waited` is what [`Turn::Waited`] told in earlier lives with this disk.
     pub fn new(now: Millis, me: &str, slots: Slots, waited: BTreeSet<u64>) -> (Shares, Vec<Turn>) {
-        let mut shares =
-            Shares { me: me.to_owned(), slots: Slots::default(), waits: BTreeMap::new(), waited };
+        let mut shares = Shares {
+            me: me.to_owned(),
+            slots: Slots::default(),
+            waits: BTreeMap::new(),
+            waited,
+        };
         let turns = shares.install(now, slots);
         (shares, turns)
     }
@@ -144,8 +160,12 @@
 
     /// Waits that are over by now.
     pub fn tick(&mut self, now: Millis) -> Vec<Turn> {
-        let over: Vec<u64> =
-            self.waits.iter().filter(|(_, until)| now >= **until).map(|(since, _)| *since).collect();
+        let over: Vec<u64> = self
+            .waits
+            .iter()
+            .filter(|(_, until)| now >= **until)
+            .map(|(since, _)| *since)
+            .collect();
         for since in &over {
             self.waits.remove(since);
             self.waited.insert(*since);
@@ -158,7 +178,10 @@
 
     /// What may be lent of every quota, in parts per million.
     pub fn limit(&self) -> u32 {
-        let mine = self.slots.of(&self.me).filter(|slot| !self.waits.contains_key(&slot.since));
+        let mine = self
+            .slots
+            .of(&self.me)
+            .filter(|slot| !self.waits.contains_key(&slot.since));
         self.slots.part() * mine.count() as u32
     }
 }
