--- a/crates/quota-lease/tests/lender.rs
+++ b/crates/quota-lease/tests/lender.rs
@@ -1,6 +1,8 @@
 //! What a lender does with doors that come one after the other, ask, and come back.
 
-use maplefall_quota_lease::{Caller, Demand, Lender, Lent, Loan, Purse, Report, LASTS, SKEW, WHOLE};
+use maplefall_quota_lease::{
+    Caller, Demand, Lender, Lent, Loan, Purse, Report, LASTS, SKEW, WHOLE,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Bench {
@@ -13,12 +15,20 @@
 impl Bench {
     fn new() -> Bench {
         let lender = Lender::new(0.0, 1, WHOLE, Some(BTreeSet::new()));
-        Bench { tenants: vec!["t"], lender, purses: BTreeMap::new(), now: 0.0 }
+        Bench {
+            tenants: vec!["t"],
+            lender,
+            purses: BTreeMap::new(),
+            now: 0.0,
+        }
     }
 
     /// A door reports, and all that follows is delivered.
     fn report(&mut self, door: &str, life: u64, rate: f64, short: bool) {
-        let known = self.purses.get(door).is_some_and(|(known, _)| *known == life);
+        let known = self
+            .purses
+            .get(door)
+            .is_some_and(|(known, _)| *known == life);
         if !known {
             let mut purse = Purse::new(life);
             purse.connected("lender");
@@ -26,13 +36,28 @@
         }
         let mut due = vec![(door.to_owned(), rate, short)];
         while let Some((door, rate, short)) = due.pop() {
-            let Some((life, purse)) = self.purses.get_mut(&door) else { continue };
-            let asked = Demand { tenant: "t".into(), rate: (rate * 1000.0) as u32, short };
+            let Some((life, purse)) = self.purses.get_mut(&door) else {
+                continue;
+            };
+            let asked = Demand {
+                tenant: "t".into(),
+                rate: (rate * 1000.0) as u32,
+                short,
+            };
             let demand = if rate > 0.0 { vec![asked] } else { Vec::new() };
             let report = purse.report(self.now, "lender", demand);
-            let caller = Caller { name: &door, life: *life, conn: *life };
-            for (to, lent) in self.lender.report(self.now, caller, &report, self.tenants.iter().copied()) {
-                let Some((_, purse)) = self.purses.get_mut(&to) else { continue };
+            let caller = Caller {
+                name: &door,
+                life: *life,
+                conn: *life,
+            };
+            for (to, lent) in
+                self.lender
+                    .report(self.now, caller, &report, self.tenants.iter().copied())
+            {
+                let Some((_, purse)) = self.purses.get_mut(&to) else {
+                    continue;
+                };
                 let (less, _) = purse.lent(self.now, "lender", &lent);
                 if less {
                     due.push((to, 0.0, false));
@@ -42,7 +67,9 @@
     }
 
     fn part(&self, door: &str) -> f64 {
-        self.purses.get(door).map_or(0.0, |(_, purse)| purse.part(self.now, "t"))
+        self.purses
+            .get(door)
+            .map_or(0.0, |(_, purse)| purse.part(self.now, "t"))
     }
 }
 
@@ -132,7 +159,10 @@
         if turn > 1 {
             for door in &doors {
                 let part = bench.part(door);
-                assert!(part > 0.5 * even, "turn {turn}: {door} holds {part} of {even}");
+                assert!(
+                    part > 0.5 * even,
+                    "turn {turn}: {door} holds {part} of {even}"
+                );
             }
         }
     }
@@ -160,7 +190,9 @@
 
 fn said(answers: &[(String, Lent)], to: &str) -> Vec<u32> {
     let mine = answers.iter().filter(|(name, _)| name == to);
-    mine.flat_map(|(_, lent)| &lent.loans).map(|loan| loan.parts).collect()
+    mine.flat_map(|(_, lent)| &lent.loans)
+        .map(|loan| loan.parts)
+        .collect()
 }
 
 /// Guards an exchange that thaws: it may read what an earlier life of a door has left behind after the words of the present one.
@@ -171,16 +203,31 @@
     old.connected("x");
     new.connected("x");
     let report = new.report(0.0, "x", Vec::new());
-    assert_eq!(said(&lender.report(0.0, caller("a", 2, 5), &report, ["t"].into_iter()), "a"), [WHOLE]);
+    assert_eq!(
+        said(
+            &lender.report(0.0, caller("a", 2, 5), &report, ["t"].into_iter()),
+            "a"
+        ),
+        [WHOLE]
+    );
     let late = old.report(0.0, "x", Vec::new());
-    let last = Report { last: true, ..old.report(0.0, "x", Vec::new()) };
+    let last = Report {
+        last: true,
+        ..old.report(0.0, "x", Vec::new())
+    };
     for report in [&late, &last] {
-        assert!(lender.report(1.0, caller("a", 1, 4), report, ["t"].into_iter()).is_empty());
+        assert!(lender
+            .report(1.0, caller("a", 1, 4), report, ["t"].into_iter())
+            .is_empty());
         assert_eq!(lender.out("t"), WHOLE);
     }
     // Neither on the same connection, nor an older number of the same life on another one.
-    assert!(lender.report(1.0, caller("a", 1, 5), &late, ["t"].into_iter()).is_empty());
-    assert!(lender.report(1.0, caller("a", 2, 6), &report, ["t"].into_iter()).is_empty());
+    assert!(lender
+        .report(1.0, caller("a", 1, 5), &late, ["t"].into_iter())
+        .is_empty());
+    assert!(lender
+        .report(1.0, caller("a", 2, 6), &report, ["t"].into_iter())
+        .is_empty());
     assert_eq!(lender.out("t"), WHOLE);
     // A later life on a later connection proves that the one before is over.
     let report = Purse::new(3).report(2.0, "x", Vec::new());
@@ -197,7 +244,10 @@
     let lent = |lender: u32, number: u64, report: u64, parts: u32| Lent {
         number,
         report,
-        loans: vec![Loan { tenant: "t".into(), parts }],
+        loans: vec![Loan {
+            tenant: "t".into(),
+            parts,
+        }],
         doors: 1,
         life: 1,
         lender,
@@ -209,13 +259,24 @@
     assert!((purse.part(1.0, "t") - 0.5).abs() < 1e-9);
     // It says whose answers it confirms; a new connection begins anew, and tells what it holds until it is answered.
     let report = purse.report(1.0, "x", Vec::new());
-    assert_eq!((report.lender, report.confirmed, report.first), (7, 4, false));
+    assert_eq!(
+        (report.lender, report.confirmed, report.first),
+        (7, 4, false)
+    );
     purse.connected("x");
     purse.lent(2.0, "x", &lent(7, 9, report.number, WHOLE));
     assert!((purse.part(2.0, "t") - 0.5).abs() < 1e-9);
     for _ in 0..2 {
         let report = purse.report(2.0, "x", Vec::new());
-        assert_eq!((report.lender, report.confirmed, report.first, report.held.len()), (0, 0, true, 1));
+        assert_eq!(
+            (
+                report.lender,
+                report.confirmed,
+                report.first,
+                report.held.len()
+            ),
+            (0, 0, true, 1)
+        );
     }
 }
 
@@ -223,16 +284,38 @@
 #[test]
 fn what_is_confirmed_of_another_life_counts_for_nothing() {
     let mut lender = Lender::new(0.0, 9, WHOLE, Some(BTreeSet::new()));
-    let report = Report { number: 1, first: true, ..Report::default() };
+    let report = Report {
+        number: 1,
+        first: true,
+        ..Report::default()
+    };
     lender.report(0.0, caller("a", 1, 1), &report, ["t"].into_iter());
-    let short = vec![Demand { tenant: "t".into(), rate: 9000, short: true }];
-    let report = Report { number: 1, first: true, demand: short, ..Report::default() };
+    let short = vec![Demand {
+        tenant: "t".into(),
+        rate: 9000,
+        short: true,
+    }];
+    let report = Report {
+        number: 1,
+        first: true,
+        demand: short,
+        ..Report::default()
+    };
     let answers = lender.report(0.0, caller("b", 1, 2), &report, ["t"].into_iter());
     assert!(said(&answers, "a")[0] < WHOLE && said(&answers, "b").iter().sum::<u32>() == 0);
     for (life, freed) in [(8, false), (9, true)] {
-        let report = Report { number: u64::from(life), confirmed: 1000, lender: life, ..Report::default() };
+        let report = Report {
+            number: u64::from(life),
+            confirmed: 1000,
+            lender: life,
+            ..Report::default()
+        };
         let answers = lender.report(1.0, caller("a", 1, 1), &report, ["t"].into_iter());
-        assert_eq!(said(&answers, "b").iter().sum::<u32>() > 0, freed, "{answers:?}");
+        assert_eq!(
+            said(&answers, "b").iter().sum::<u32>() > 0,
+            freed,
+            "{answers:?}"
+        );
     }
 }
 
@@ -246,14 +329,20 @@
     let mut now = 0.0;
     // Nobody asks at first, so all hold even parts; then one asks for all.
     let busy = |who: usize, now: f64| match who {
-        0 if now > 600.0 => vec![Demand { tenant: "t".into(), rate: 50_000, short: true }],
+        0 if now > 600.0 => vec![Demand {
+            tenant: "t".into(),
+            rate: 50_000,
+            short: true,
+        }],
         _ => Vec::new(),
     };
     purses.iter_mut().for_each(|purse| purse.connected("x"));
     let turn = |lender: &mut Lender, purses: &mut Vec<Purse>, deaf: Option<usize>, now: f64| {
         for who in 0..4 {
             let report = purses[who].report(now, "x", busy(who, now));
-            for (to, lent) in lender.report(now, caller(names[who], 1, 1), &report, ["t"].into_iter()) {
+            for (to, lent) in
+                lender.report(now, caller(names[who], 1, 1), &report, ["t"].into_iter())
+            {
                 let to = names.iter().position(|name| *name == to).expect("a door");
                 if deaf != Some(to) {
                     purses[to].lent(now, "x", &lent);
@@ -275,18 +364,30 @@
     for _ in 0..8 {
         now += 100.0;
         turn(&mut lender, &mut purses, Some(1), now);
-        let heard: f64 = [0, 2, 3].iter().map(|who: &usize| purses[*who].part(now, "t")).sum();
+        let heard: f64 = [0, 2, 3]
+            .iter()
+            .map(|who: &usize| purses[*who].part(now, "t"))
+            .sum();
         assert!(heard <= 0.2 + 1e-6, "{heard}");
     }
     now += LASTS + SKEW;
     turn(&mut lender, &mut purses, None, now);
     turn(&mut lender, &mut purses, None, now + 100.0);
-    let held: f64 = purses.iter().map(|purse| purse.part(now + 100.0, "t")).sum();
+    let held: f64 = purses
+        .iter()
+        .map(|purse| purse.part(now + 100.0, "t"))
+        .sum();
     assert!(held <= 0.2 + 1e-6 && lender.out("t") <= WHOLE / 5, "{held}");
     // Taken out: nothing is left.
     lender.set_limit(0);
     turn(&mut lender, &mut purses, None, now + 200.0);
     turn(&mut lender, &mut purses, None, now + 300.0);
-    assert_eq!(purses.iter().map(|purse| purse.part(now + 300.0, "t")).sum::<f64>(), 0.0);
+    assert_eq!(
+        purses
+            .iter()
+            .map(|purse| purse.part(now + 300.0, "t"))
+            .sum::<f64>(),
+        0.0
+    );
     assert_eq!(lender.out("t"), 0);
 }
--- a/crates/quota-lease/tests/slots.rs
+++ b/crates/quota-lease/tests/slots.rs
@@ -1,11 +1,16 @@
 //! Who owns which slot, over any sequence of members.
 
-use maplefall_quota_lease::{in_lease, Shares, Slot, Slots, Turn, INHERITED, LASTS, LEASE, SKEW, WHOLE};
+use maplefall_quota_lease::{
+    in_lease, Shares, Slot, Slots, Turn, INHERITED, LASTS, LEASE, SKEW, WHOLE,
+};
 use quickcheck::quickcheck;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn members(bits: u8) -> BTreeSet<String> {
-    (0..8).filter(|n| bits & (1 << n) != 0).map(|n| format!("10.0.0.{n}")).collect()
+    (0..8)
+        .filter(|n| bits & (1 << n) != 0)
+        .map(|n| format!("10.0.0.{n}"))
+        .collect()
 }
 
 fn set(names: &[&str]) -> BTreeSet<String> {
@@ -161,6 +166,9 @@
     let mut b = Shares::new(0.0, "b", first, BTreeSet::from([0])).0;
     assert_eq!(b.limit(), WHOLE / 3);
     assert_eq!(b.change(10.0, &set(&["a", "c"]), 5), [Turn::Lost(0)]);
-    assert_eq!(b.change(20.0, &set(&["a", "b", "c"]), 6), [Turn::Waits(6, INHERITED)]);
+    assert_eq!(
+        b.change(20.0, &set(&["a", "b", "c"]), 6),
+        [Turn::Waits(6, INHERITED)]
+    );
     assert_eq!(b.limit(), 0);
 }
--- a/crates/raft/src/durable.rs
+++ b/crates/raft/src/durable.rs
@@ -43,7 +43,8 @@
         if let Some(snapshot) = record.snapshot.filter(|s| s.index >= self.snapshot.index) {
             // Entries after it stay where they follow it: also on a state that is there already, which has no entry of its own.
             let same = self.term_at(snapshot.index) == Some(snapshot.term);
-            self.log.retain(|entry| same && entry.index > snapshot.index);
+            self.log
+                .retain(|entry| same && entry.index > snapshot.index);
             self.snapshot = snapshot;
         }
         for entry in record.entries {
@@ -60,7 +61,9 @@
 
     /// Index of the last entry.
     pub fn last_index(&self) -> u64 {
-        self.log.last().map_or(self.snapshot.index, |entry| entry.index)
+        self.log
+            .last()
+            .map_or(self.snapshot.index, |entry| entry.index)
     }
 
     /// The term of the entry at an index, unless it is folded or not there.
@@ -69,14 +72,24 @@
             return Some(self.snapshot.term);
         }
         let place = index.checked_sub(self.snapshot.index + 1)?;
-        self.log.get(usize::try_from(place).ok()?).map(|entry| entry.term)
+        self.log
+            .get(usize::try_from(place).ok()?)
+            .map(|entry| entry.term)
     }
 
     /// Who votes.
     pub fn sets(&self) -> Sets {
         let members = &self.snapshot.members;
-        let mut sets = Sets { newest: members.clone(), before: members.clone(), index: self.snapshot.index };
-        for entry in self.log.iter().filter(|entry| entry.kind() == EntryKind::Members) {
+        let mut sets = Sets {
+            newest: members.clone(),
+            before: members.clone(),
+            index: self.snapshot.index,
+        };
+        for entry in self
+            .log
+            .iter()
+            .filter(|entry| entry.kind() == EntryKind::Members)
+        {
             sets.before = std::mem::replace(&mut sets.newest, entry.members.clone());
             sets.index = entry.index;
         }
@@ -85,7 +98,11 @@
 
     /// Who votes by what is agreed on up to an index.
     pub fn members_at(&self, index: u64) -> &[Member] {
-        let entries = self.log.iter().rev().filter(|entry| entry.kind() == EntryKind::Members);
+        let entries = self
+            .log
+            .iter()
+            .rev()
+            .filter(|entry| entry.kind() == EntryKind::Members);
         let last = entries.into_iter().find(|entry| entry.index <= index);
         last.map_or(&self.snapshot.members, |entry| &entry.members)
     }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use durable::{Durable, Sets};
 pub use message::{
-    checksum, Append, Appended, Ask, Entry, EntryKind, Install, Join, Member, Message, Record, Snapshot,
-    Stand, Taken, Voted, What, Wish,
+    checksum, Append, Appended, Ask, Entry, EntryKind, Install, Join, Member, Message, Record,
+    Snapshot, Stand, Taken, Voted, What, Wish,
 };
 pub use node::{Out, Setup, Tandem, MOST_MEMBERS};
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -273,9 +273,9 @@
 
 /// FNV-1a, 64 bits.
 pub fn checksum(bytes: &[u8]) -> u64 {
-    bytes
-        .iter()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// Stand at once.
--- a/crates/raft/src/node/elections.rs
+++ b/crates/raft/src/node/elections.rs
@@ -34,8 +34,15 @@
         let last_term = self.disk.term_at(last_index).unwrap_or(0);
         let term = self.disk.term + u64::from(would);
         for name in self.names() {
-            let ask = What::Ask(Ask { would, last_index, last_term });
-            let message = Message { term, ..self.message(ask) };
+            let ask = What::Ask(Ask {
+                would,
+                last_index,
+                last_term,
+            });
+            let message = Message {
+                term,
+                ..self.message(ask)
+            };
             self.after_writes(&name, message, out);
         }
     }
@@ -52,7 +59,9 @@
             able && term > self.disk.term && !leads && now - self.heard >= SILENT
         } else {
             let free = self.disk.voted.is_empty() || self.disk.voted == from;
-            able && term == self.disk.term && free && matches!(self.role, Role::Follower | Role::Asking(_))
+            able && term == self.disk.term
+                && free
+                && matches!(self.role, Role::Follower | Role::Asking(_))
         };
         if granted && !ask.would {
             if self.disk.voted.is_empty() {
@@ -61,7 +70,11 @@
             self.role = Role::Follower;
             self.draw(now);
         }
-        let what = What::Voted(Voted { would: ask.would, granted, asked: term });
+        let what = What::Voted(Voted {
+            would: ask.would,
+            granted,
+            asked: term,
+        });
         let mut message = self.message(what);
         if ask.would && granted {
             message.term = term;
@@ -85,7 +98,9 @@
             }
             _ => false,
         };
-        let (Role::Asking(votes) | Role::Candidate(votes, _)) = &self.role else { return };
+        let (Role::Asking(votes) | Role::Candidate(votes, _)) = &self.role else {
+            return;
+        };
         if !asked || !self.quorum(|member| votes.contains(member)) {
             return;
         }
@@ -103,7 +118,13 @@
             _ => (BTreeSet::new(), now),
         };
         let mut others = BTreeMap::new();
-        for member in self.sets.newest.iter().chain(&self.sets.before).filter(|m| m.name != self.me.name) {
+        for member in self
+            .sets
+            .newest
+            .iter()
+            .chain(&self.sets.before)
+            .filter(|m| m.name != self.me.name)
+        {
             let mut fresh = Progress::fresh(member.identity, next, now);
             // A vote answers what was asked then. Nothing is known of the others; the last leader was last heard when it was.
             if votes.contains(member) {
@@ -115,8 +136,11 @@
             fresh.wish.counts = true;
             others.entry(member.name.clone()).or_insert(fresh);
         }
-        self.role =
-            Role::Leader(Box::new(Leading { others, rounds: Rounds::after(0), reads: VecDeque::new() }));
+        self.role = Role::Leader(Box::new(Leading {
+            others,
+            rounds: Rounds::after(0),
+            reads: VecDeque::new(),
+        }));
         self.leader = Some(self.me.name.clone());
         self.heard = now;
         self.add(EntryKind::Begin, Vec::new(), Vec::new(), out);
@@ -152,7 +176,14 @@
         if term > self.disk.term {
             self.verified = 0;
         }
-        self.write(Record { term: Some(term), voted: voted.to_owned(), ..Record::default() }, out);
+        self.write(
+            Record {
+                term: Some(term),
+                voted: voted.to_owned(),
+                ..Record::default()
+            },
+            out,
+        );
         self.term_write = self.written;
     }
 
--- a/crates/raft/src/node/leading.rs
+++ b/crates/raft/src/node/leading.rs
@@ -47,7 +47,8 @@
 
     /// Up to where its disk counts.
     fn counted(&self) -> u64 {
-        self.left.map_or(self.matched, |left| left.min(self.matched))
+        self.left
+            .map_or(self.matched, |left| left.min(self.matched))
     }
 }
 
@@ -60,7 +61,10 @@
 
 impl Rounds {
     pub fn after(last: u64) -> Rounds {
-        Rounds { last, times: VecDeque::new() }
+        Rounds {
+            last,
+            times: VecDeque::new(),
+        }
     }
 
     /// The next one begins.
@@ -81,15 +85,22 @@
     /// When the one of this number began, if it is remembered.
     pub fn at(&self, number: u64) -> Option<Millis> {
         let back = usize::try_from(self.last.checked_sub(number)?).ok()?;
-        self.times.len().checked_sub(back + 1).map(|place| self.times[place])
+        self.times
+            .len()
+            .checked_sub(back + 1)
+            .map(|place| self.times[place])
     }
 }
 
 impl Tandem {
     pub(super) fn appended(&mut self, now: Millis, from: &Member, answer: Appended, out: &mut Out) {
         let (last, commit) = (self.disk.last_index(), self.commit);
-        let Role::Leader(leading) = &mut self.role else { return };
-        let Some(other) = leading.others.get_mut(&from.name) else { return };
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
+        let Some(other) = leading.others.get_mut(&from.name) else {
+            return;
+        };
         if from.identity != other.identity {
             // Another disk: what was known of the one before is void.
             *other = Progress::fresh(from.identity, last + 1, now);
@@ -108,7 +119,11 @@
             other.left = None;
         }
         if let Some(taken) = answer.taken {
-            if other.sending.as_mut().is_some_and(|sending| sending.taken(taken)) {
+            if other
+                .sending
+                .as_mut()
+                .is_some_and(|sending| sending.taken(taken))
+            {
                 self.send_to(now, &from.name, out);
             }
             self.confirm_reads(out);
@@ -118,7 +133,10 @@
         if answer.fits {
             other.matched = other.matched.max(answer.matched.min(last));
             other.next = other.next.max(answer.received.min(last) + 1);
-            if let Some(done) = other.sending.take_if(|sending| sending.index() <= answer.received) {
+            if let Some(done) = other
+                .sending
+                .take_if(|sending| sending.index() <= answer.received)
+            {
                 out.notes.push(done.note(&from.name, now));
             }
             more = other.next <= last && now - other.sent >= 1.0;
@@ -141,8 +159,14 @@
     pub(super) fn joined(&mut self, now: Millis, from: &Member, wish: Wish, out: &mut Out) {
         let next = self.disk.last_index() + 1;
         let newest = &self.sets.newest;
-        let Role::Leader(leading) = &mut self.role else { return };
-        let learners = leading.others.keys().filter(|name| !newest.iter().any(|m| m.name == **name)).count();
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
+        let learners = leading
+            .others
+            .keys()
+            .filter(|name| !newest.iter().any(|m| m.name == **name))
+            .count();
         if !leading.others.contains_key(&from.name) && learners >= MOST_LEARNERS {
             return;
         }
@@ -157,7 +181,9 @@
 
     /// Sends to all what they lack, and asks them all for a sign of life.
     pub(super) fn spread(&mut self, now: Millis, out: &mut Out) {
-        let Role::Leader(leading) = &self.role else { return };
+        let Role::Leader(leading) = &self.role else {
+            return;
+        };
         for name in leading.others.keys().cloned().collect::<Vec<_>>() {
             self.send_to(now, &name, out);
         }
@@ -166,19 +192,31 @@
 
     /// Speaks to those that have not been spoken to for a while.
     pub(super) fn pulse(&mut self, now: Millis, out: &mut Out) {
-        let Role::Leader(leading) = &mut self.role else { return };
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
         // A learner that has gone for good is forgotten.
         let voters = &self.voters;
-        leading.others.retain(|name, other| voters.contains(name) || now - other.heard < 30.0 * ALONE);
-        let due = leading.others.iter().filter(|(_, other)| now - other.sent >= PULSE - 10.0);
+        leading
+            .others
+            .retain(|name, other| voters.contains(name) || now - other.heard < 30.0 * ALONE);
+        let due = leading
+            .others
+            .iter()
+            .filter(|(_, other)| now - other.sent >= PULSE - 10.0);
         let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
         // A round for each pulse, also where changes have been sent all the while and no pulse is due: they carry it then.
-        if leading.rounds.at(leading.rounds.last()).is_none_or(|begun| now - begun >= PULSE - 10.0) {
+        if leading
+            .rounds
+            .at(leading.rounds.last())
+            .is_none_or(|begun| now - begun >= PULSE - 10.0)
+        {
             leading.rounds.begin(now);
         }
         for name in due {
             if let Role::Leader(leading) = &mut self.role {
-                let unanswered = |other: &&mut Progress| now - other.heard > RESEND && other.matched > 0;
+                let unanswered =
+                    |other: &&mut Progress| now - other.heard > RESEND && other.matched > 0;
                 if let Some(other) = leading.others.get_mut(&name).filter(unanswered) {
                     // What went unanswered may be lost.
                     other.next = other.matched + 1;
@@ -191,17 +229,26 @@
 
     pub(super) fn send_to(&mut self, now: Millis, name: &str, out: &mut Out) {
         let last = self.disk.last_index();
-        let (leads, age) = (self.leads(), (now - self.proven(now)).max(0.0).ceil() as u64);
-        let Role::Leader(leading) = &mut self.role else { return };
+        let (leads, age) = (
+            self.leads(),
+            (now - self.proven(now)).max(0.0).ceil() as u64,
+        );
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
         let round = leading.rounds.last();
-        let Some(other) = leading.others.get_mut(name) else { return };
+        let Some(other) = leading.others.get_mut(name) else {
+            return;
+        };
         let first = other.next.max(1);
         let (folded, tail) = (self.disk.snapshot.index, &self.folding);
         if other.sending.is_none() && first <= folded && !tail.has(first, folded) {
             other.sending = Some(Sending::of(&self.disk.snapshot, now));
         }
         if let Some(sending) = &mut other.sending {
-            let Some(install) = sending.next(now, other.sent, round) else { return };
+            let Some(install) = sending.next(now, other.sent, round) else {
+                return;
+            };
             other.sent = now;
             let message = self.message(What::Install(install));
             out.sends.push((name.to_owned(), message));
@@ -211,7 +258,10 @@
         // Before it knows what its forerunners agreed on, what it has said to be agreed on proves nothing.
         let echo = if leads { other.echo } else { 0 };
         let left = other.left.is_some();
-        let receiver = Member { name: name.to_owned(), identity: other.identity };
+        let receiver = Member {
+            name: name.to_owned(),
+            identity: other.identity,
+        };
         let mut size = 0;
         let fits = |entry: &&Entry| {
             size += weight(entry);
@@ -219,20 +269,41 @@
         };
         let start = first.saturating_sub(folded + 1) as usize;
         let log = self.disk.log.get(start..).unwrap_or_default();
-        let entries: Vec<Entry> = tail.from(first).chain(log).take_while(fits).cloned().collect();
+        let entries: Vec<Entry> = tail
+            .from(first)
+            .chain(log)
+            .take_while(fits)
+            .cloned()
+            .collect();
         other.next = (first + entries.len() as u64).min(last + 1);
         let prev_index = first - 1;
-        let prev_term = self.disk.term_at(prev_index).or_else(|| tail.term_at(prev_index)).unwrap_or(0);
+        let prev_term = self
+            .disk
+            .term_at(prev_index)
+            .or_else(|| tail.term_at(prev_index))
+            .unwrap_or(0);
         let member = self.active().all(|set| set.contains(&receiver));
         let commit = self.commit;
-        let append = Append { prev_index, prev_term, entries, commit, round, echo, age, member, left };
+        let append = Append {
+            prev_index,
+            prev_term,
+            entries,
+            commit,
+            round,
+            echo,
+            age,
+            member,
+            left,
+        };
         let message = self.message(What::Append(append));
         out.sends.push((name.to_owned(), message));
     }
 
     /// Finds what a majority has on disk.
     pub(super) fn advance(&mut self, now: Millis, out: &mut Out) {
-        let Role::Leader(leading) = &self.role else { return };
+        let Role::Leader(leading) = &self.role else {
+            return;
+        };
         let agreed = self.by_majority(0, |member| match leading.others.get(&member.name) {
             _ if *member == self.me => self.synced_index,
             Some(other) if other.identity == member.identity => other.counted(),
@@ -246,14 +317,22 @@
     }
 
     pub(super) fn confirm_reads(&mut self, out: &mut Out) {
-        let Role::Leader(leading) = &self.role else { return };
+        let Role::Leader(leading) = &self.role else {
+            return;
+        };
         let confirmed = self.by_majority(0, |member| match leading.others.get(&member.name) {
             _ if *member == self.me => u64::MAX,
             Some(other) if other.identity == member.identity => other.round,
             _ => 0,
         });
-        let Role::Leader(leading) = &mut self.role else { return };
-        while let Some((ticket, _)) = leading.reads.front().copied().filter(|(_, round)| *round <= confirmed)
+        let Role::Leader(leading) = &mut self.role else {
+            return;
+        };
+        while let Some((ticket, _)) = leading
+            .reads
+            .front()
+            .copied()
+            .filter(|(_, round)| *round <= confirmed)
         {
             out.readable.push(ticket);
             leading.reads.pop_front();
@@ -262,11 +341,15 @@
 
     /// The latest time by which a majority is proven to have followed this leader.
     pub(super) fn proven(&self, now: Millis) -> Millis {
-        let Role::Leader(leading) = &self.role else { return f64::NEG_INFINITY };
-        self.by_majority(f64::NEG_INFINITY, |member| match leading.others.get(&member.name) {
-            _ if *member == self.me => now,
-            Some(other) if other.identity == member.identity => other.proven,
-            _ => f64::NEG_INFINITY,
+        let Role::Leader(leading) = &self.role else {
+            return f64::NEG_INFINITY;
+        };
+        self.by_majority(f64::NEG_INFINITY, |member| {
+            match leading.others.get(&member.name) {
+                _ if *member == self.me => now,
+                Some(other) if other.identity == member.identity => other.proven,
+                _ => f64::NEG_INFINITY,
+            }
         })
     }
 
--- a/crates/raft/src/node/log.rs
+++ b/crates/raft/src/node/log.rs
@@ -11,22 +11,40 @@
         out: &mut Out,
     ) -> u64 {
         let index = self.disk.last_index() + 1;
-        let entry = Entry { index, term: self.disk.term, kind: kind.into(), payload, members };
+        let entry = Entry {
+            index,
+            term: self.disk.term,
+            kind: kind.into(),
+            payload,
+            members,
+        };
         self.push(vec![entry], out);
         index
     }
 
     /// Appends entries; what stood at their places goes.
     pub(super) fn push(&mut self, entries: Vec<Entry>, out: &mut Out) {
-        let (Some(first), Some(last)) = (entries.first(), entries.last()) else { return };
+        let (Some(first), Some(last)) = (entries.first(), entries.last()) else {
+            return;
+        };
         let (before, last) = (first.index - 1, last.index);
-        let mut members = entries.iter().any(|entry| entry.kind() == EntryKind::Members);
+        let mut members = entries
+            .iter()
+            .any(|entry| entry.kind() == EntryKind::Members);
         if before < self.disk.last_index() {
             members |= self.sets.index > before;
             self.synced_index = self.synced_index.min(before);
-            self.unsynced.iter_mut().for_each(|(_, last)| *last = (*last).min(before));
+            self.unsynced
+                .iter_mut()
+                .for_each(|(_, last)| *last = (*last).min(before));
         }
-        self.write(Record { entries, ..Record::default() }, out);
+        self.write(
+            Record {
+                entries,
+                ..Record::default()
+            },
+            out,
+        );
         self.unsynced.push_back((self.written, last));
         if members {
             self.count_members();
@@ -43,14 +61,23 @@
         self.commit = self.disk.snapshot.index + to as u64;
         let news: Vec<Entry> = self.disk.log[from..to].to_vec();
         let mut settled = 0;
-        for entry in news.iter().filter(|entry| entry.kind() == EntryKind::Members) {
+        for entry in news
+            .iter()
+            .filter(|entry| entry.kind() == EntryKind::Members)
+        {
             self.note_members(entry, &before, out);
             before = entry.members.clone();
             settled = entry.index;
         }
         if settled > self.disk.settled {
             // On disk too: a start need not ask those that were taken out.
-            self.write(Record { settled, ..Record::default() }, out);
+            self.write(
+                Record {
+                    settled,
+                    ..Record::default()
+                },
+                out,
+            );
         }
         out.agreed.extend(news);
     }
@@ -65,13 +92,21 @@
     }
 
     pub(super) fn message(&self, what: What) -> Message {
-        Message { term: self.disk.term, identity: self.me.identity, what: Some(what) }
+        Message {
+            term: self.disk.term,
+            identity: self.me.identity,
+            what: Some(what),
+        }
     }
 
     /// Sends once the term that it is said in, and the mark of this disk, are on disk.
     pub(super) fn say(&mut self, to: &str, what: What, out: &mut Out) {
         let message = self.message(what);
-        let after = if self.term_write > self.synced { self.written } else { 0 };
+        let after = if self.term_write > self.synced {
+            self.written
+        } else {
+            0
+        };
         self.hold(after, to, message, out);
     }
 
--- a/crates/raft/src/node/members.rs
+++ b/crates/raft/src/node/members.rs
@@ -21,12 +21,19 @@
 
     /// Names of the others in those sets.
     pub(super) fn names(&self) -> BTreeSet<String> {
-        let all = self.active().flatten().filter(|member| member.name != self.me.name);
+        let all = self
+            .active()
+            .flatten()
+            .filter(|member| member.name != self.me.name);
         all.map(|member| member.name.clone()).collect()
     }
 
     /// The highest value that a majority of every active set reaches.
-    pub(super) fn by_majority<T: PartialOrd + Copy>(&self, none: T, value: impl Fn(&Member) -> T) -> T {
+    pub(super) fn by_majority<T: PartialOrd + Copy>(
+        &self,
+        none: T,
+        value: impl Fn(&Member) -> T,
+    ) -> T {
         let mut lowest: Option<T> = None;
         for set in self.active() {
             let mut values: Vec<T> = set.iter().map(&value).collect();
@@ -47,7 +54,12 @@
     /// Reads the members from the log.
     pub(super) fn count_members(&mut self) {
         self.sets = self.disk.sets();
-        self.voters = self.sets.newest.iter().map(|member| member.name.clone()).collect();
+        self.voters = self
+            .sets
+            .newest
+            .iter()
+            .map(|member| member.name.clone())
+            .collect();
         let (next, now) = (self.disk.last_index() + 1, self.now);
         let (sets, me) = (&self.sets, &self.me.name);
         if let Role::Leader(leading) = &mut self.role {
@@ -72,7 +84,9 @@
 
     /// The change that is due, and why.
     fn wanted(&self, now: Millis) -> Option<(Vec<Member>, &'static str)> {
-        let Role::Leader(leading) = &self.role else { return None };
+        let Role::Leader(leading) = &self.role else {
+            return None;
+        };
         let (members, others) = (&self.sets.newest, &leading.others);
         let heard = |member: &Member| *member == self.me || silence(member, others, now) < ALONE;
         let ready = |other: &Progress| {
@@ -86,7 +100,10 @@
             if let Some(place) = out {
                 members.remove(place);
             }
-            members.push(Member { name: name.clone(), identity });
+            members.push(Member {
+                name: name.clone(),
+                identity,
+            });
             members.sort();
             members
         };
@@ -102,11 +119,19 @@
             if other.wish.first && members.len() < MOST_MEMBERS {
                 return Some((with(None, name, other.identity), "first_start"));
             }
-            let silent = |member: &&Member| silence(member, others, now) >= REPLACE && **member != self.me;
-            let longest =
-                |a: &&Member, b: &&Member| silence(a, others, now).total_cmp(&silence(b, others, now));
-            let gone = members.iter().filter(silent).max_by(longest).filter(|_| self.alike);
-            if let Some(place) = gone.and_then(|gone| members.iter().position(|member| member == gone)) {
+            let silent =
+                |member: &&Member| silence(member, others, now) >= REPLACE && **member != self.me;
+            let longest = |a: &&Member, b: &&Member| {
+                silence(a, others, now).total_cmp(&silence(b, others, now))
+            };
+            let gone = members
+                .iter()
+                .filter(silent)
+                .max_by(longest)
+                .filter(|_| self.alike);
+            if let Some(place) =
+                gone.and_then(|gone| members.iter().position(|member| member == gone))
+            {
                 return Some((with(Some(place), name, other.identity), "replaces"));
             }
             let grown = other.caught_up.is_some_and(|since| now - since >= GROW);
@@ -122,13 +147,21 @@
         let gone = members.iter().position(silent)?;
         let last = self.disk.last_index();
         let holds = |member: &Member| {
-            let there = |other: &Progress| other.identity == member.identity && other.matched >= last;
-            *member == self.me && self.synced_index >= last || others.get(&member.name).is_some_and(there)
+            let there =
+                |other: &Progress| other.identity == member.identity && other.matched >= last;
+            *member == self.me && self.synced_index >= last
+                || others.get(&member.name).is_some_and(there)
         };
         // Several may be gone: they go one by one. All the others hold all, and are a majority of those that remain.
-        let rest: Vec<Member> =
-            members.iter().enumerate().filter(|(n, _)| *n != gone).map(|(_, m)| m.clone()).collect();
-        let whole = rest.iter().all(|member| silent(member) || heard(member) && holds(member));
+        let rest: Vec<Member> = members
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| *n != gone)
+            .map(|(_, m)| m.clone())
+            .collect();
+        let whole = rest
+            .iter()
+            .all(|member| silent(member) || heard(member) && holds(member));
         let there = rest.iter().filter(|member| !silent(member)).count();
         (whole && there > rest.len() / 2).then_some((rest, "silent"))
     }
@@ -136,7 +169,10 @@
     /// Tells of a change of the members that has just been agreed on.
     pub(super) fn note_members(&self, entry: &Entry, before: &[Member], out: &mut Out) {
         let why = String::from_utf8_lossy(&entry.payload);
-        let changed = [("member_in", &entry.members[..], before), ("member_out", before, &entry.members[..])];
+        let changed = [
+            ("member_in", &entry.members[..], before),
+            ("member_out", before, &entry.members[..]),
+        ];
         for (event, these, those) in changed {
             for member in these.iter().filter(|member| !those.contains(member)) {
                 let Member { name, identity } = member;
@@ -173,12 +209,17 @@
     /// What a leader does for those that leave, itself too.
     pub(super) fn hand_over(&mut self, now: Millis, out: &mut Out) {
         let (commit, last) = (self.commit, self.disk.last_index());
-        let Role::Leader(leading) = &self.role else { return };
+        let Role::Leader(leading) = &self.role else {
+            return;
+        };
         let live: Vec<(&String, &Progress)> = leading
             .others
             .iter()
             .filter(|(name, other)| {
-                let member = Member { name: (*name).clone(), identity: other.identity };
+                let member = Member {
+                    name: (*name).clone(),
+                    identity: other.identity,
+                };
                 now - other.heard < ALONE && self.active().any(|set| set.contains(&member))
             })
             .collect();
@@ -190,9 +231,13 @@
             let whole = staying.clone().all(|(_, other)| other.matched >= last);
             if whole || now - since >= HAND_OVER {
                 let best = staying.clone().max_by_key(|(_, other)| other.matched);
-                let best = best.or_else(|| staying.next()).map(|(name, _)| (*name).clone());
+                let best = best
+                    .or_else(|| staying.next())
+                    .map(|(name, _)| (*name).clone());
                 if let Some(best) = best {
-                    out.notes.push(format!("event=hand_over to={best} whole={whole} last={last}"));
+                    out.notes.push(format!(
+                        "event=hand_over to={best} whole={whole} last={last}"
+                    ));
                     self.say(&best, What::Stand(Stand {}), out);
                 }
                 self.follow(now, None, out);
@@ -203,10 +248,13 @@
         // Whatever was agreed on with the help of one that leaves is by then on all other disks that can be reached, and no more
         // will be with its help.
         let mine = self.synced_index >= commit;
-        let free = |name: &String| live.iter().all(|(n, o)| *n == name || !stays(o) || o.matched >= commit);
-        let due = live
-            .iter()
-            .filter(|(name, other)| other.wish.leaving && other.left.is_none() && mine && free(name));
+        let free = |name: &String| {
+            live.iter()
+                .all(|(n, o)| *n == name || !stays(o) || o.matched >= commit)
+        };
+        let due = live.iter().filter(|(name, other)| {
+            other.wish.leaving && other.left.is_none() && mine && free(name)
+        });
         let due: Vec<String> = due.map(|(name, _)| (*name).clone()).collect();
         for name in due {
             if let Role::Leader(leading) = &mut self.role {
@@ -221,5 +269,7 @@
 
 /// How long a member has not been heard, in milliseconds. One whose address speaks for another disk is there.
 fn silence(member: &Member, others: &BTreeMap<String, Progress>, now: Millis) -> Millis {
-    others.get(&member.name).map_or(0.0, |other| now - other.heard)
+    others
+        .get(&member.name)
+        .map_or(0.0, |other| now - other.heard)
 }
--- a/crates/raft/src/node/mod.rs
+++ b/crates/raft/src/node/mod.rs
@@ -156,7 +156,14 @@
 
 impl Tandem {
     /// A node that finds this on its disk, at this time of its steady clock. `seed` is its only source of chance.
-    pub fn new(me: &str, now: Millis, seed: u64, disk: Durable, setup: &Setup, out: &mut Out) -> Tandem {
+    pub fn new(
+        me: &str,
+        now: Millis,
+        seed: u64,
+        disk: Durable,
+        setup: &Setup,
+        out: &mut Out,
+    ) -> Tandem {
         let mut rng = Pcg32::seed_from_u64(seed);
         let drawn = rng.next_u64().max(1);
         let number = rng.next_u64() >> 2;
@@ -164,7 +171,10 @@
         let identity = disk.identity;
         let last = disk.last_index();
         let mut node = Tandem {
-            me: Member { name: me.to_owned(), identity: identity.unwrap_or(drawn) },
+            me: Member {
+                name: me.to_owned(),
+                identity: identity.unwrap_or(drawn),
+            },
             rng,
             now,
             born: now,
@@ -172,7 +182,11 @@
             taking: None,
             sets: Sets::default(),
             voters: BTreeSet::new(),
-            wish: Wish { counts: setup.counts, first: setup.first.is_some(), leaving: false },
+            wish: Wish {
+                counts: setup.counts,
+                first: setup.first.is_some(),
+                leaving: false,
+            },
             losses: setup.losses,
             alike: setup.alike,
             wrong_new_alone: setup.wrong_new_alone,
@@ -204,13 +218,29 @@
             if let Some(first) = setup.first {
                 node.me.identity = 0;
                 let names: BTreeSet<&String> = first.iter().collect();
-                let members =
-                    names.into_iter().map(|name| Member { name: name.clone(), identity: 0 }).collect();
+                let members = names
+                    .into_iter()
+                    .map(|name| Member {
+                        name: name.clone(),
+                        identity: 0,
+                    })
+                    .collect();
                 // Its index is not nought: whoever has nothing lacks this too, and is sent it before any entry.
-                snapshot = Some(Snapshot { index: 1, members, ..Snapshot::default() });
+                snapshot = Some(Snapshot {
+                    index: 1,
+                    members,
+                    ..Snapshot::default()
+                });
             }
             let identity = Some(node.me.identity);
-            node.write(Record { identity, snapshot, ..Record::default() }, out);
+            node.write(
+                Record {
+                    identity,
+                    snapshot,
+                    ..Record::default()
+                },
+                out,
+            );
             node.term_write = node.written;
         }
         node.commit = node.disk.snapshot.index;
@@ -227,7 +257,8 @@
     /// Whether this node leads, and all from before its time is agreed. A leader whose contact is no longer proven finds out at its next
     /// input of any kind, before it acts on it.
     pub fn leads(&self) -> bool {
-        matches!(self.role, Role::Leader(_)) && self.disk.term_at(self.commit) == Some(self.disk.term)
+        matches!(self.role, Role::Leader(_))
+            && self.disk.term_at(self.commit) == Some(self.disk.term)
     }
 
     /// Whether this node is a member, by the last that its log names.
@@ -296,7 +327,11 @@
     /// Whether this node knows what a majority had agreed on less than a second ago, as a member or not: what it has may be handed on.
     /// One that is behind, or cut off, or led by one that is, does not.
     pub fn in_touch(&self, now: Millis) -> bool {
-        let touched = if self.leads() { self.touched.max(self.proven(now)) } else { self.touched };
+        let touched = if self.leads() {
+            self.touched.max(self.proven(now))
+        } else {
+            self.touched
+        };
         now - touched < ALONE
     }
 
@@ -319,10 +354,18 @@
         }
         // Also one that takes itself for a member: it may have been taken out while it was cut off.
         let patience = if stands { 2.0 * ALONE } else { SILENT };
-        if now >= self.joins && now - self.heard.max(if stands { self.born } else { f64::MIN }) > patience {
+        if now >= self.joins
+            && now - self.heard.max(if stands { self.born } else { f64::MIN }) > patience
+        {
             self.joins = now + if stands { ALONE } else { REJOIN };
             // Whoever leads takes it up; the others pass it over.
-            self.say("", What::Join(Join { wish: Some(self.wish) }), out);
+            self.say(
+                "",
+                What::Join(Join {
+                    wish: Some(self.wish),
+                }),
+                out,
+            );
         }
     }
 
@@ -330,7 +373,9 @@
     pub fn receive(&mut self, now: Millis, from: &str, message: Message, out: &mut Out) {
         // Answers that have lain in a socket prove nothing of now: a leader that is alone is one no more before it reads them.
         self.begin(now, out);
-        let Some(what) = message.what.filter(|_| message.term < HIGHEST) else { return };
+        let Some(what) = message.what.filter(|_| message.term < HIGHEST) else {
+            return;
+        };
         let would = matches!(&what, What::Ask(ask) if ask.would)
             || matches!(&what, What::Voted(voted) if voted.would && voted.granted);
         if message.term > self.disk.term && !would && !matches!(what, What::Join(_)) {
@@ -338,7 +383,10 @@
             self.follow(now, None, out);
         }
         let old = message.term < self.disk.term;
-        let sender = Member { name: from.to_owned(), identity: message.identity };
+        let sender = Member {
+            name: from.to_owned(),
+            identity: message.identity,
+        };
         match what {
             What::Ask(ask) => self.asked(now, from, message.term, ask, out),
             What::Voted(voted) => self.voted(now, sender, voted, out),
@@ -346,7 +394,10 @@
             What::Install(install) if !old => self.install(now, from, install, out),
             What::Append(_) | What::Install(_) => {
                 // An old leader learns of the new term by it.
-                let answer = Appended { fits: false, ..Appended::default() };
+                let answer = Appended {
+                    fits: false,
+                    ..Appended::default()
+                };
                 self.say(from, What::Appended(answer), out);
             }
             What::Appended(answer) if !old => self.appended(now, &sender, answer, out),
@@ -362,11 +413,20 @@
     pub fn written(&mut self, now: Millis, number: u64, out: &mut Out) {
         self.begin(now, out);
         self.synced = self.synced.max(number).min(self.written);
-        while let Some((_, last)) = self.unsynced.front().copied().filter(|(w, _)| *w <= self.synced) {
+        while let Some((_, last)) = self
+            .unsynced
+            .front()
+            .copied()
+            .filter(|(w, _)| *w <= self.synced)
+        {
             self.synced_index = self.synced_index.max(last);
             self.unsynced.pop_front();
         }
-        while self.held.front().is_some_and(|(write, _, _)| *write <= self.synced) {
+        while self
+            .held
+            .front()
+            .is_some_and(|(write, _, _)| *write <= self.synced)
+        {
             if let Some((_, to, message)) = self.held.pop_front() {
                 // What was to be said in an earlier term is of no more use.
                 if message.term >= self.disk.term || matches!(message.what, Some(What::Voted(_))) {
@@ -399,7 +459,9 @@
         if self.begin(now, out) || !self.leads() {
             return None;
         }
-        let Role::Leader(leading) = &mut self.role else { return None };
+        let Role::Leader(leading) = &mut self.role else {
+            return None;
+        };
         if leading.reads.len() >= MOST_READS {
             return None;
         }
@@ -418,7 +480,10 @@
         let alone = matches!(self.role, Role::Leader(_)) && self.alone(now);
         if alone {
             let last = now - self.proven(now);
-            out.notes.push(format!("event=alone term={} last_proof_ms={last:.0}", self.disk.term));
+            out.notes.push(format!(
+                "event=alone term={} last_proof_ms={last:.0}",
+                self.disk.term
+            ));
             self.follow(now, None, out);
         }
         alone
--- a/crates/raft/src/node/snapshots.rs
+++ b/crates/raft/src/node/snapshots.rs
@@ -33,23 +33,36 @@
 impl Folding {
     pub fn of(disk: &Durable) -> Folding {
         let bytes = disk.log.iter().map(weight).sum();
-        Folding { length: disk.log.len(), bytes, ..Folding::default() }
+        Folding {
+            length: disk.log.len(),
+            bytes,
+            ..Folding::default()
+        }
     }
 
     /// A record is about to be taken in.
     pub fn before(&mut self, disk: &Durable, record: &Record) {
-        let Some(snapshot) = &record.snapshot else { return };
+        let Some(snapshot) = &record.snapshot else {
+            return;
+        };
         if disk.term_at(snapshot.index) != Some(snapshot.term) {
             // The state of another: what is here does not lead to it.
             (self.tail, self.tail_bytes) = (VecDeque::new(), 0);
             return;
         }
-        for entry in disk.log.iter().filter(|entry| entry.index <= snapshot.index) {
+        for entry in disk
+            .log
+            .iter()
+            .filter(|entry| entry.index <= snapshot.index)
+        {
             self.tail_bytes += weight(entry);
             self.tail.push_back(entry.clone());
         }
         while self.tail_bytes > TAIL {
-            self.tail_bytes -= self.tail.pop_front().map_or(self.tail_bytes, |entry| weight(&entry));
+            self.tail_bytes -= self
+                .tail
+                .pop_front()
+                .map_or(self.tail_bytes, |entry| weight(&entry));
         }
     }
 
@@ -73,13 +86,16 @@
     /// Those entries, up to the last that is folded.
     pub fn from(&self, index: u64) -> impl Iterator<Item = &Entry> {
         let first = self.tail.front().map_or(index, |entry| entry.index);
-        self.tail.range((index.saturating_sub(first) as usize).min(self.tail.len())..)
+        self.tail
+            .range((index.saturating_sub(first) as usize).min(self.tail.len())..)
     }
 
     /// The term of a folded entry.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         let first = self.tail.front()?.index;
-        self.tail.get(usize::try_from(index.checked_sub(first)?).ok()?).map(|entry| entry.term)
+        self.tail
+            .get(usize::try_from(index.checked_sub(first)?).ok()?)
+            .map(|entry| entry.term)
     }
 }
 
@@ -98,7 +114,13 @@
 impl Sending {
     pub fn of(snapshot: &Snapshot, now: Millis) -> Sending {
         let whole = checksum(&snapshot.state);
-        Sending { snapshot: snapshot.clone(), whole, offset: 0, flying: None, since: now }
+        Sending {
+            snapshot: snapshot.clone(),
+            whole,
+            offset: 0,
+            flying: None,
+            since: now,
+        }
     }
 
     pub fn index(&self) -> u64 {
@@ -145,7 +167,11 @@
 
     /// A line for the log: all of it is there.
     pub fn note(&self, to: &str, now: Millis) -> String {
-        let (index, bytes, ms) = (self.snapshot.index, self.snapshot.state.len(), now - self.since);
+        let (index, bytes, ms) = (
+            self.snapshot.index,
+            self.snapshot.state.len(),
+            now - self.since,
+        );
         format!("event=snapshot_sent to={to} index={index} bytes={bytes} ms={ms:.0}")
     }
 }
@@ -171,12 +197,27 @@
     /// Folds all that is agreed into a state.
     pub fn fold(&mut self, state: Vec<u8>, out: &mut Out) {
         let index = self.commit;
-        let Some(term) = self.disk.term_at(index).filter(|_| index > self.disk.snapshot.index) else {
+        let Some(term) = self
+            .disk
+            .term_at(index)
+            .filter(|_| index > self.disk.snapshot.index)
+        else {
             return;
         };
         let members = self.disk.members_at(index).to_vec();
-        let snapshot = Snapshot { index, term, members, state: state.into() };
-        self.write(Record { snapshot: Some(snapshot), ..Record::default() }, out);
+        let snapshot = Snapshot {
+            index,
+            term,
+            members,
+            state: state.into(),
+        };
+        self.write(
+            Record {
+                snapshot: Some(snapshot),
+                ..Record::default()
+            },
+            out,
+        );
         self.count_members();
     }
 
@@ -188,11 +229,26 @@
         install: Install,
         out: &mut Out,
     ) -> Result<Snapshot, Taken> {
-        let Install { index, term, members, length, whole, offset, part, sum, .. } = install;
-        let mut taken = Taken { index, whole, bytes: 0 };
+        let Install {
+            index,
+            term,
+            members,
+            length,
+            whole,
+            offset,
+            part,
+            sum,
+            ..
+        } = install;
+        let mut taken = Taken {
+            index,
+            whole,
+            bytes: 0,
+        };
         if length > LONGEST || index >= HIGHEST {
-            out.notes
-                .push(format!("event=snapshot_spoilt index={index} field=length bytes={length} from={from}"));
+            out.notes.push(format!(
+                "event=snapshot_spoilt index={index} field=length bytes={length} from={from}"
+            ));
             return Err(taken);
         }
         let same = |taking: &Taking| {
@@ -200,14 +256,21 @@
         };
         let mut taking = match self.taking.take().filter(same) {
             Some(taking) => taking,
-            None => Taking { index, term, whole, length, bytes: Vec::new() },
+            None => Taking {
+                index,
+                term,
+                whole,
+                length,
+                bytes: Vec::new(),
+            },
         };
         let fits = offset == taking.bytes.len() as u64 && offset + part.len() as u64 <= length;
         if fits && checksum(&part) == sum {
             taking.bytes.extend_from_slice(&part);
         } else if fits {
-            out.notes
-                .push(format!("event=snapshot_spoilt index={index} field=part offset={offset} from={from}"));
+            out.notes.push(format!(
+                "event=snapshot_spoilt index={index} field=part offset={offset} from={from}"
+            ));
         }
         taken.bytes = taking.bytes.len() as u64;
         if taken.bytes < length {
@@ -215,11 +278,17 @@
             return Err(taken);
         }
         if checksum(&taking.bytes) != whole {
-            out.notes
-                .push(format!("event=snapshot_spoilt index={index} field=whole bytes={length} from={from}"));
+            out.notes.push(format!(
+                "event=snapshot_spoilt index={index} field=whole bytes={length} from={from}"
+            ));
             taken.bytes = 0;
             return Err(taken);
         }
-        Ok(Snapshot { index, term, members, state: taking.bytes.into() })
+        Ok(Snapshot {
+            index,
+            term,
+            members,
+            state: taking.bytes.into(),
+        })
     }
 }
--- a/crates/raft/tests/checked.rs
+++ b/crates/raft/tests/checked.rs
@@ -139,8 +139,16 @@
 
     /// What a leader says to all. How much is agreed on matters to others only where members change.
     fn append(&self, node: &Node, name: u8) -> Said {
-        let tells = node.log.iter().any(|(_, what)| matches!(what, What::Members(_)));
-        Said::Append(node.term, name, node.log.clone(), if tells { node.commit } else { 0 })
+        let tells = node
+            .log
+            .iter()
+            .any(|(_, what)| matches!(what, What::Members(_)));
+        Said::Append(
+            node.term,
+            name,
+            node.log.clone(),
+            if tells { node.commit } else { 0 },
+        )
     }
 
     /// How much of a leader's log could be agreed on now.
@@ -151,12 +159,15 @@
                 .said
                 .iter()
                 .filter_map(|said| match said {
-                    Said::Has(term, member, has) if *term == node.term && has >= length => Some(*member),
+                    Said::Has(term, member, has) if *term == node.term && has >= length => {
+                        Some(*member)
+                    }
                     _ => None,
                 })
                 .collect();
             have.insert(self.me(state, leader));
-            let enough = self.variant == Variant::OneDisk || self.suffices(&node.log, node.commit, &have);
+            let enough =
+                self.variant == Variant::OneDisk || self.suffices(&node.log, node.commit, &have);
             node.log[length - 1].0 == node.term && enough
         })
     }
@@ -166,8 +177,8 @@
         let (now, _, _) = members(&state.agreed);
         now.iter().all(|(name, identity)| {
             let node = &state.nodes[usize::from(*name)];
-            let has =
-                node.log.len() >= state.agreed.len() && node.log[..state.agreed.len()] == state.agreed[..];
+            let has = node.log.len() >= state.agreed.len()
+                && node.log[..state.agreed.len()] == state.agreed[..];
             node.up && node.identity == *identity && has
         })
     }
@@ -177,7 +188,10 @@
     fn next_members(&self, state: &State, leader: u8) -> Option<Members> {
         let node = &state.nodes[usize::from(leader)];
         let (now, _, at) = members(&node.log);
-        let own = node.log.get(node.commit.wrapping_sub(1)).is_some_and(|(term, _)| *term == node.term);
+        let own = node
+            .log
+            .get(node.commit.wrapping_sub(1))
+            .is_some_and(|(term, _)| *term == node.term);
         if at > node.commit || !own {
             return None;
         }
@@ -192,8 +206,9 @@
             if !other.up || name == leader || now.contains(&member) || !has_all(member) {
                 continue;
             }
-            let gone =
-                now.iter().find(|(one, _)| *one == name || (name == 3 && !state.nodes[usize::from(*one)].up));
+            let gone = now
+                .iter()
+                .find(|(one, _)| *one == name || (name == 3 && !state.nodes[usize::from(*one)].up));
             if let Some(gone) = gone {
                 let mut set = now.clone();
                 set.remove(gone);
@@ -216,7 +231,11 @@
             identity: name,
             term: u8::from(name < 3),
             voted: (name < 3).then_some(0),
-            log: if name < 3 { vec![(1, What::Begin)] } else { Vec::new() },
+            log: if name < 3 {
+                vec![(1, What::Begin)]
+            } else {
+                Vec::new()
+            },
             commit: usize::from(name == 0),
             leads: name == 0,
             stands: false,
@@ -251,9 +270,14 @@
                 steps.push(Step::Win(name));
             }
             if node.leads {
-                let own =
-                    node.log.get(node.commit.wrapping_sub(1)).is_some_and(|(term, _)| *term == node.term);
-                let taken = node.log.iter().any(|(_, what)| matches!(what, What::Change(_)));
+                let own = node
+                    .log
+                    .get(node.commit.wrapping_sub(1))
+                    .is_some_and(|(term, _)| *term == node.term);
+                let taken = node
+                    .log
+                    .iter()
+                    .any(|(_, what)| matches!(what, What::Change(_)));
                 if own && !taken {
                     // One operator finds the first leader, the other any later one.
                     steps.push(Step::Propose(name, 1 + u8::from(node.term > 1)));
@@ -264,7 +288,10 @@
                 if self.agreeable(state, name).is_some() {
                     steps.push(Step::Agree(name));
                 }
-                steps.extend(self.next_members(state, name).map(|set| Step::Change(name, set)));
+                steps.extend(
+                    self.next_members(state, name)
+                        .map(|set| Step::Change(name, set)),
+                );
             }
             if state.crashes < self.crashes && node.leads {
                 steps.push(Step::Crash(name));
@@ -272,11 +299,18 @@
             if state.wipes < self.wipes && name == GOES && self.settled(state) {
                 steps.push(Step::Wipe(name));
             }
-            let news = state.said.iter().filter(|said| self.changes(state, name, said));
+            let news = state
+                .said
+                .iter()
+                .filter(|said| self.changes(state, name, said));
             steps.extend(news.map(|said| Step::Hear(name, said.clone())));
         }
         let gone = &state.nodes[usize::from(GOES)];
-        if state.replacements < self.replacements && gone.up && !gone.log.is_empty() && self.settled(state) {
+        if state.replacements < self.replacements
+            && gone.up
+            && !gone.log.is_empty()
+            && self.settled(state)
+        {
             steps.push(Step::Replace(GOES));
         }
     }
@@ -297,7 +331,9 @@
                 let me = self.me(&state, name);
                 let node = &mut state.nodes[usize::from(name)];
                 let votes = state.said.iter().filter_map(|said| match said {
-                    Said::Vote(term, whom, who) if *term == node.term && *whom == name => Some(*who),
+                    Said::Vote(term, whom, who) if *term == node.term && *whom == name => {
+                        Some(*who)
+                    }
                     _ => None,
                 });
                 let votes: BTreeSet<Member> = votes.chain([me]).collect();
@@ -307,7 +343,10 @@
                 (node.leads, node.stands) = (true, false);
                 node.log.push((node.term, What::Begin));
                 let term = node.term;
-                state.broken |= state.leaders.iter().any(|(other, who)| *other == term && *who != name);
+                state.broken |= state
+                    .leaders
+                    .iter()
+                    .any(|(other, who)| *other == term && *who != name);
                 state.leaders.insert((term, name));
             }
             Step::Propose(name, content) => {
@@ -343,7 +382,11 @@
                 state.crashes += 1;
             }
             Step::Wipe(name) => {
-                let identity = if self.variant == Variant::WipedVotes { name } else { name + 10 };
+                let identity = if self.variant == Variant::WipedVotes {
+                    name
+                } else {
+                    name + 10
+                };
                 let empty = Node {
                     identity,
                     up: true,
@@ -371,17 +414,28 @@
 
     fn properties(&self) -> Vec<Property<Core>> {
         vec![
-            Property::always("one leader a term, one entry a place", |_, state: &State| !state.broken),
-            Property::always("one content a number", |_, state: &State| state.told.len() <= 1),
+            Property::always(
+                "one leader a term, one entry a place",
+                |_, state: &State| !state.broken,
+            ),
+            Property::always("one content a number", |_, state: &State| {
+                state.told.len() <= 1
+            }),
             Property::always("a leader has all that is agreed", |_, state: &State| {
-                state.nodes.iter().filter(|node| node.up && node.leads).all(|node| {
-                    let later = state.leaders.iter().any(|(term, _)| *term > node.term);
-                    later
-                        || node.log.len() >= state.agreed.len()
-                            && node.log[..state.agreed.len()] == state.agreed[..]
-                })
+                state
+                    .nodes
+                    .iter()
+                    .filter(|node| node.up && node.leads)
+                    .all(|node| {
+                        let later = state.leaders.iter().any(|(term, _)| *term > node.term);
+                        later
+                            || node.log.len() >= state.agreed.len()
+                                && node.log[..state.agreed.len()] == state.agreed[..]
+                    })
+            }),
+            Property::sometimes("a change is taken", |_, state: &State| {
+                !state.told.is_empty()
             }),
-            Property::sometimes("a change is taken", |_, state: &State| !state.told.is_empty()),
         ]
     }
 }
@@ -393,11 +447,15 @@
         match said {
             Said::Ask(term, from, ..) => {
                 let voted = || state.said.contains(&Said::Vote(*term, *from, me));
-                *from != name && (*term > node.term || *term == node.term && !node.leads && !voted())
+                *from != name
+                    && (*term > node.term || *term == node.term && !node.leads && !voted())
             }
             Said::Append(term, from, log, commit) => {
                 let has = || state.said.contains(&Said::Has(*term, me, log.len()));
-                let same = !node.leads && !node.stands && *commit <= node.commit && node.log.starts_with(log);
+                let same = !node.leads
+                    && !node.stands
+                    && *commit <= node.commit
+                    && node.log.starts_with(log);
                 *from != name && (*term > node.term || *term == node.term && !(same && has()))
             }
             Said::Vote(..) | Said::Has(..) => false,
@@ -440,10 +498,18 @@
 }
 
 fn search(core: Core) -> (usize, bool) {
-    let checker =
-        core.checker().threads(1).finish_when(stateright::HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let checker = core
+        .checker()
+        .threads(1)
+        .finish_when(stateright::HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     let mut wrong = false;
-    for (name, path) in checker.discoveries().into_iter().filter(|(name, _)| *name != "a change is taken") {
+    for (name, path) in checker
+        .discoveries()
+        .into_iter()
+        .filter(|(name, _)| *name != "a change is taken")
+    {
         println!("{name}: {:?}", path.into_actions());
         wrong = true;
     }
@@ -455,13 +521,30 @@
     (checker.unique_state_count(), wrong)
 }
 
-const RIGHT: Core = Core { variant: Variant::Right, crashes: 1, wipes: 0, replacements: 0, terms: 2 };
+const RIGHT: Core = Core {
+    variant: Variant::Right,
+    crashes: 1,
+    wipes: 0,
+    replacements: 0,
+    terms: 2,
+};
 
 /// Guards the design: no order of steps breaks it within these bounds.
 #[test]
 fn no_order_of_steps_breaks_the_core() {
-    for core in [RIGHT, Core { crashes: 0, wipes: 1, ..RIGHT }, Core { crashes: 0, replacements: 1, ..RIGHT }]
-    {
+    for core in [
+        RIGHT,
+        Core {
+            crashes: 0,
+            wipes: 1,
+            ..RIGHT
+        },
+        Core {
+            crashes: 0,
+            replacements: 1,
+            ..RIGHT
+        },
+    ] {
         let (states, wrong) = search(core);
         assert!(!wrong && states > 1000, "{states} states");
     }
@@ -470,15 +553,38 @@
 /// Guards the search: what it is meant to find it finds.
 #[test]
 fn wrong_variants_are_found() {
-    let wiped = Core { crashes: 0, wipes: 1, ..RIGHT };
-    let replaced = Core { crashes: 0, replacements: 1, ..RIGHT };
-    assert!(search(Core { variant: Variant::OneDisk, ..RIGHT }).1, "what counts on one disk is not found");
+    let wiped = Core {
+        crashes: 0,
+        wipes: 1,
+        ..RIGHT
+    };
+    let replaced = Core {
+        crashes: 0,
+        replacements: 1,
+        ..RIGHT
+    };
     assert!(
-        search(Core { variant: Variant::WipedVotes, ..wiped }).1,
+        search(Core {
+            variant: Variant::OneDisk,
+            ..RIGHT
+        })
+        .1,
+        "what counts on one disk is not found"
+    );
+    assert!(
+        search(Core {
+            variant: Variant::WipedVotes,
+            ..wiped
+        })
+        .1,
         "a wiped member that votes is not found"
     );
     assert!(
-        search(Core { variant: Variant::NewMajorityAlone, ..replaced }).1,
+        search(Core {
+            variant: Variant::NewMajorityAlone,
+            ..replaced
+        })
+        .1,
         "a new majority alone is not found"
     );
 }
--- a/crates/raft/tests/contact.rs
+++ b/crates/raft/tests/contact.rs
@@ -16,7 +16,11 @@
         fleet.rate = 0.05;
         fleet.play(1500.0);
         for _ in 0..6 {
-            let name = if fleet.chance(0.7) { fleet.leader().unwrap_or_default() } else { fleet.any() };
+            let name = if fleet.chance(0.7) {
+                fleet.leader().unwrap_or_default()
+            } else {
+                fleet.any()
+            };
             if name.is_empty() {
                 fleet.play(500.0);
                 continue;
@@ -24,7 +28,10 @@
             // Some of what it asked is answered while it is frozen.
             fleet.read(&name);
             fleet.propose(&name);
-            let (before, span) = (f64::from(fleet.draw(4)), ALONE + f64::from(fleet.draw(3000)));
+            let (before, span) = (
+                f64::from(fleet.draw(4)),
+                ALONE + f64::from(fleet.draw(3000)),
+            );
             fleet.play(before);
             fleet.freeze(&name, span);
             let rest = f64::from(fleet.draw(1500));
@@ -70,16 +77,28 @@
         println!("seed {seed}");
         let mut fleet = Fleet::new(seed, if seed % 4 == 0 { 5 } else { 3 }, Variant::Right);
         fleet.play(1500.0);
-        let name = if seed % 2 == 0 { fleet.leader().unwrap_or_default() } else { fleet.any() };
+        let name = if seed % 2 == 0 {
+            fleet.leader().unwrap_or_default()
+        } else {
+            fleet.any()
+        };
         let (says, hears) = [(true, true), (true, false), (false, true)][seed as usize % 3];
         fleet.cut_off(&name, says, hears);
         let acknowledged = fleet.acknowledged.len();
         // Each step of these asks whether it says that it is in touch.
         fleet.play(20_000.0);
-        assert!(fleet.acknowledged.len() > acknowledged, "seed {seed}: the others do not go on");
+        assert!(
+            fleet.acknowledged.len() > acknowledged,
+            "seed {seed}: the others do not go on"
+        );
         fleet.join();
         let start = fleet.now;
-        let touch = |fleet: &Fleet| fleet.nodes[&name].tandem.as_ref().is_some_and(|t| t.in_touch(fleet.now));
+        let touch = |fleet: &Fleet| {
+            fleet.nodes[&name]
+                .tandem
+                .as_ref()
+                .is_some_and(|t| t.in_touch(fleet.now))
+        };
         while fleet.now - start < 4000.0 && !touch(&fleet) {
             fleet.play(10.0);
         }
@@ -131,7 +150,11 @@
             for (name, node) in &fleet.nodes {
                 let tandem = node.tandem.as_ref().expect("a node");
                 oldest = oldest.max(fleet.now - tandem.contact(fleet.now));
-                assert!(tandem.in_touch(fleet.now), "rate {rate}: {name} is out of touch at {}", fleet.now);
+                assert!(
+                    tandem.in_touch(fleet.now),
+                    "rate {rate}: {name} is out of touch at {}",
+                    fleet.now
+                );
             }
         }
         assert_eq!(fleet.leader(), leader, "rate {rate}: another leads");
--- a/crates/raft/tests/members.rs
+++ b/crates/raft/tests/members.rs
@@ -28,8 +28,15 @@
     let mut fleet = Fleet::new(seed, size, Variant::Right);
     let span = 1500.0 + f64::from(fleet.draw(1000));
     fleet.play(span);
-    assert!(fleet.sound() && fleet.bears_losses(), "seed {seed}: not sound after a quiet start");
-    let old = if fleet.chance(0.4) { fleet.leader().unwrap_or_default() } else { fleet.any() };
+    assert!(
+        fleet.sound() && fleet.bears_losses(),
+        "seed {seed}: not sound after a quiet start"
+    );
+    let old = if fleet.chance(0.4) {
+        fleet.leader().unwrap_or_default()
+    } else {
+        fleet.any()
+    };
     let mut newcomer = String::new();
     match kind {
         Repair::NewDisk => fleet.crash(&old, true, true, 300.0),
@@ -63,8 +70,11 @@
     for _ in 0..1000 {
         fleet.play(10.0);
         let gone = kind == Repair::NewDisk || !fleet.nodes.contains_key(&old);
-        let there =
-            newcomer.is_empty() || fleet.nodes[&newcomer].tandem.as_ref().is_some_and(|t| t.trusted());
+        let there = newcomer.is_empty()
+            || fleet.nodes[&newcomer]
+                .tandem
+                .as_ref()
+                .is_some_and(|t| t.trusted());
         if gone && there && fleet.bears_losses() {
             borne = fleet.now - start;
             break;
@@ -84,7 +94,10 @@
     if fleet.acknowledged.len() <= before {
         fleet.print();
     }
-    assert!(fleet.acknowledged.len() > before, "seed {seed}: nothing goes on after the next loss");
+    assert!(
+        fleet.acknowledged.len() > before,
+        "seed {seed}: nothing goes on after the next loss"
+    );
     (0..fleet.losses).for_each(|_| drop(fleet.newcomer()));
     calm(&mut fleet, seed);
     borne
@@ -93,7 +106,13 @@
 /// Guards the next loss after a repair: it is borne well within `SettlingS`.
 #[test]
 fn the_next_loss_is_borne_within_settling() {
-    for kind in [Repair::NewDisk, Repair::Crash, Repair::Stop, Repair::StopThenStart, Repair::StartThenStop] {
+    for kind in [
+        Repair::NewDisk,
+        Repair::Crash,
+        Repair::Stop,
+        Repair::StopThenStart,
+        Repair::StartThenStop,
+    ] {
         for size in [3, 5, 7] {
             let count = if size == 3 { 50 } else { 20 };
             let mut times: Vec<f64> = (0..count).map(|seed| repair(seed, size, kind)).collect();
@@ -114,11 +133,21 @@
         fleet.rate = 0.05;
         fleet.play(1500.0);
         let leader = fleet.leader().unwrap_or_default();
-        let behind = fleet.names.iter().find(|name| **name != leader).cloned().unwrap_or_default();
+        let behind = fleet
+            .names
+            .iter()
+            .find(|name| **name != leader)
+            .cloned()
+            .unwrap_or_default();
         let leaves = if seed % 2 == 0 {
             leader
         } else {
-            fleet.names.iter().find(|name| **name != leader && **name != behind).cloned().unwrap_or_default()
+            fleet
+                .names
+                .iter()
+                .find(|name| **name != leader && **name != behind)
+                .cloned()
+                .unwrap_or_default()
         };
         fleet.cut_off(&behind, true, true);
         let span = 300.0 + f64::from(fleet.draw(600));
@@ -137,7 +166,10 @@
             }
             for (name, node) in &fleet.nodes {
                 let held = node.disk.last_index();
-                assert!(held >= last, "seed {seed}: {leaves} goes, {last} is agreed on, {name} has {held}");
+                assert!(
+                    held >= last,
+                    "seed {seed}: {leaves} goes, {last} is agreed on, {name} has {held}"
+                );
             }
         }
         fleet.newcomer();
--- a/crates/raft/tests/play/mod.rs
+++ b/crates/raft/tests/play/mod.rs
@@ -3,7 +3,9 @@
 //! others come in their place. A slow plain model judges every step.
 #![allow(dead_code)]
 
-use maplefall_raft::{Durable, Entry, EntryKind, Member, Message, Out, Record, Setup, Tandem, What};
+use maplefall_raft::{
+    Durable, Entry, EntryKind, Member, Message, Out, Record, Setup, Tandem, What,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -157,7 +159,9 @@
         self.nodes.insert(name.to_owned(), node);
         // Whoever is cut off is cut off from this one too.
         for (other, node) in self.nodes.iter().filter(|(other, _)| *other != name) {
-            let (says, hears) = node.apart.map_or((false, false), |(_, says, hears)| (says, hears));
+            let (says, hears) = node
+                .apart
+                .map_or((false, false), |(_, says, hears)| (says, hears));
             if says {
                 self.cut.insert((other.clone(), name.to_owned()));
             }
@@ -193,7 +197,9 @@
         let seed = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
         let (mut out, first) = (Out::default(), self.first.clone());
         let (now, variant, losses) = (self.now, self.variant, self.losses);
-        let Some(node) = self.nodes.get_mut(name) else { return };
+        let Some(node) = self.nodes.get_mut(name) else {
+            return;
+        };
         node.lives += 1;
         node.agreed.clear();
         node.waiting.clear();
@@ -208,7 +214,13 @@
         node.written = disk.clone();
         let first = node.first.then_some(first.as_slice());
         let wrong_new_alone = variant == Variant::NewAlone;
-        let setup = Setup { first, counts: true, losses, alike: true, wrong_new_alone };
+        let setup = Setup {
+            first,
+            counts: true,
+            losses,
+            alike: true,
+            wrong_new_alone,
+        };
         node.tandem = Some(Tandem::new(name, now, seed, disk, &setup, &mut out));
         node.first = false;
         self.carry(name, out);
@@ -216,8 +228,16 @@
 
     pub fn step(&mut self, name: &str, step: impl FnOnce(&mut Tandem, f64, &mut Out)) {
         let (now, mut out) = (self.now, Out::default());
-        let Some(node) = self.nodes.get_mut(name).filter(|node| node.frozen_until <= now) else { return };
-        let Some(tandem) = &mut node.tandem else { return };
+        let Some(node) = self
+            .nodes
+            .get_mut(name)
+            .filter(|node| node.frozen_until <= now)
+        else {
+            return;
+        };
+        let Some(tandem) = &mut node.tandem else {
+            return;
+        };
         step(tandem, now, &mut out);
         node.stepped = now;
         self.carry(name, out);
@@ -225,55 +245,94 @@
 
     fn carry(&mut self, name: &str, out: Out) {
         let mut at_once = None;
-        self.notes.extend(out.notes.into_iter().map(|note| format!("{} {name} {note}", self.now)));
+        self.notes.extend(
+            out.notes
+                .into_iter()
+                .map(|note| format!("{} {name} {note}", self.now)),
+        );
         for (number, record) in out.writes {
             let due = self.now + 2.0 + f64::from(self.draw(4));
-            let Some(node) = self.nodes.get_mut(name) else { return };
+            let Some(node) = self.nodes.get_mut(name) else {
+                return;
+            };
             node.written.take(record.clone());
-            node.waiting.push_back((number, record, due.max(node.stalled_until)));
+            node.waiting
+                .push_back((number, record, due.max(node.stalled_until)));
             at_once = (self.variant == Variant::Unsynced).then_some(number);
         }
         for (to, message) in out.sends {
             if self.variant != Variant::Unsynced {
                 self.said(name, &to, &message);
             }
-            let all: Vec<String> = if to.is_empty() { self.names.clone() } else { vec![to] };
+            let all: Vec<String> = if to.is_empty() {
+                self.names.clone()
+            } else {
+                vec![to]
+            };
             for to in all.into_iter().filter(|to| to != name) {
                 self.sent += 1;
                 let size = match &message.what {
                     Some(What::Install(install)) => install.part.len(),
-                    Some(What::Append(append)) => append.entries.iter().map(|e| e.payload.len()).sum(),
+                    Some(What::Append(append)) => {
+                        append.entries.iter().map(|e| e.payload.len()).sum()
+                    }
                     _ => 0,
                 };
                 let (count, bytes) = self.sent_to.get(&to).copied().unwrap_or_default();
-                self.sent_to.insert(to.clone(), (count + 1, bytes + size as u64));
+                self.sent_to
+                    .insert(to.clone(), (count + 1, bytes + size as u64));
                 if self.chance(self.loss) || self.cut.contains(&(name.to_owned(), to.clone())) {
                     continue;
                 }
-                let late =
-                    0.5 + f64::from(self.draw(30)) / 10.0 + if self.chance(0.02) { 300.0 } else { 0.0 };
+                let late = 0.5
+                    + f64::from(self.draw(30)) / 10.0
+                    + if self.chance(0.02) { 300.0 } else { 0.0 };
                 let message = self.garble(message.clone());
-                self.wire.push((self.now + late, name.to_owned(), to, message));
+                self.wire
+                    .push((self.now + late, name.to_owned(), to, message));
             }
         }
         if let Some(snapshot) = out.installed {
             // It is what whoever folded it wrote, whole; what is folded in it was agreed on before.
-            assert!(self.state(snapshot.index) == snapshot.state, "{name} has put together another state");
-            let folded = self.truth.range(..=snapshot.index).map(|(_, (e, _))| e.clone()).collect();
-            self.nodes.entry(name.to_owned()).and_modify(|node| node.agreed = folded);
+            assert!(
+                self.state(snapshot.index) == snapshot.state,
+                "{name} has put together another state"
+            );
+            let folded = self
+                .truth
+                .range(..=snapshot.index)
+                .map(|(_, (e, _))| e.clone())
+                .collect();
+            self.nodes
+                .entry(name.to_owned())
+                .and_modify(|node| node.agreed = folded);
         }
         for entry in out.agreed {
             let now = self.now;
-            let (known, _) = self.truth.entry(entry.index).or_insert_with(|| (entry.clone(), now));
-            assert_eq!(*known, entry, "{name} agrees on something else at {}", entry.index);
-            self.nodes.entry(name.to_owned()).and_modify(|node| node.agreed.push(entry.clone()));
-            let leads = self.nodes[name].tandem.as_ref().is_some_and(|tandem| tandem.leads());
+            let (known, _) = self
+                .truth
+                .entry(entry.index)
+                .or_insert_with(|| (entry.clone(), now));
+            assert_eq!(
+                *known, entry,
+                "{name} agrees on something else at {}",
+                entry.index
+            );
+            self.nodes
+                .entry(name.to_owned())
+                .and_modify(|node| node.agreed.push(entry.clone()));
+            let leads = self.nodes[name]
+                .tandem
+                .as_ref()
+                .is_some_and(|tandem| tandem.leads());
             if leads && entry.kind() == EntryKind::Change {
                 self.acknowledged.insert(entry.index);
             }
         }
         for ticket in out.readable {
-            let Some(node) = self.nodes.get_mut(name) else { return };
+            let Some(node) = self.nodes.get_mut(name) else {
+                return;
+            };
             if let Some(floor) = node.reads.remove(&ticket) {
                 let commit = node.tandem.as_ref().map_or(0, Tandem::commit);
                 assert!(
@@ -284,14 +343,20 @@
             }
         }
         if out.deposed {
-            self.nodes.entry(name.to_owned()).and_modify(|node| node.reads.clear());
+            self.nodes
+                .entry(name.to_owned())
+                .and_modify(|node| node.reads.clear());
         }
         self.looks += 1;
         if self.looks % self.look == 0 {
             self.holds(name);
         }
         self.touches(name);
-        if self.nodes[name].tandem.as_ref().is_some_and(Tandem::should_fold) {
+        if self.nodes[name]
+            .tandem
+            .as_ref()
+            .is_some_and(Tandem::should_fold)
+        {
             self.folded += 1;
             self.fold(name);
         }
@@ -323,10 +388,18 @@
 
     /// What a node says of its disk is there: a start would read it.
     fn said(&mut self, name: &str, to: &str, message: &Message) {
-        let Some(node) = self.nodes.get_mut(name) else { return };
-        let Some(held) = node.tandem.as_ref().map(Tandem::holds) else { return };
+        let Some(node) = self.nodes.get_mut(name) else {
+            return;
+        };
+        let Some(held) = node.tandem.as_ref().map(Tandem::holds) else {
+            return;
+        };
         let mark = node.disk.identity;
-        assert_eq!(mark, Some(message.identity), "{name} speaks for a disk that a start would not know");
+        assert_eq!(
+            mark,
+            Some(message.identity),
+            "{name} speaks for a disk that a start would not know"
+        );
         match &message.what {
             Some(What::Appended(answer)) if answer.fits => {
                 let matched = answer.matched;
@@ -337,17 +410,31 @@
                 for index in node.disk.snapshot.index..=matched {
                     let (disk, memory) = (node.disk.term_at(index), held.term_at(index));
                     let folded = index < held.snapshot.index;
-                    assert!(folded || disk == memory, "{name} has {memory:?} at {index}, a start {disk:?}");
+                    assert!(
+                        folded || disk == memory,
+                        "{name} has {memory:?} at {index}, a start {disk:?}"
+                    );
                 }
-                let claim = (matched, node.disk.term_at(matched).unwrap_or(0), message.term);
-                if node.told.is_none_or(|(index, _, term)| (term, index) <= (claim.2, claim.0)) {
+                let claim = (
+                    matched,
+                    node.disk.term_at(matched).unwrap_or(0),
+                    message.term,
+                );
+                if node
+                    .told
+                    .is_none_or(|(index, _, term)| (term, index) <= (claim.2, claim.0))
+                {
                     node.told = Some(claim);
                 }
             }
             Some(What::Voted(vote)) if vote.granted && !vote.would => {
                 let disk = &node.disk;
                 let kept = disk.term > vote.asked || (disk.term == vote.asked && disk.voted == to);
-                assert!(kept, "{name} votes for {to} in {}, and a start would not know", vote.asked);
+                assert!(
+                    kept,
+                    "{name} votes for {to} in {}, and a start would not know",
+                    vote.asked
+                );
             }
             _ => {}
         }
@@ -357,12 +444,20 @@
     fn holds(&self, name: &str) {
         let node = &self.nodes[name];
         if let Some(tandem) = &node.tandem {
-            assert!(*tandem.holds() == node.written, "{name} holds another state than a start would read");
+            assert!(
+                *tandem.holds() == node.written,
+                "{name} holds another state than a start would read"
+            );
         }
         if let Some((index, term, said)) = node.told {
             let disk = &node.disk;
-            let there = index < disk.snapshot.index || disk.term_at(index) == Some(term) || disk.term > said;
-            assert!(there, "{name} told that {index} of term {term} is on its disk, and a start lacks it");
+            let there = index < disk.snapshot.index
+                || disk.term_at(index) == Some(term)
+                || disk.term > said;
+            assert!(
+                there,
+                "{name} told that {index} of term {term} is on its disk, and a start lacks it"
+            );
         }
     }
 
@@ -372,28 +467,50 @@
         let node = &self.nodes[name];
         let Some(tandem) = &node.tandem else { return };
         let (contact, commit) = (tandem.contact(self.now), tandem.commit());
-        let lacks = self.truth.range(commit + 1..).next().filter(|(_, (_, at))| *at < contact);
+        let lacks = self
+            .truth
+            .range(commit + 1..)
+            .next()
+            .filter(|(_, (_, at))| *at < contact);
         if let Some((index, (_, at))) = lacks {
             panic!("{name} lacks {index}, agreed on at {at}, and says a majority was with it at {contact}");
         }
         let touch = tandem.in_touch(self.now);
-        let lacks = self.truth.range(commit + 1..).next().filter(|(_, (_, at))| *at < self.now - ALONE);
-        assert!(lacks.is_none() || !touch, "{name} is in touch at {} and lacks {lacks:?}", self.now);
-        let apart = node.apart.is_some_and(|(since, ..)| self.now - since >= ALONE);
-        assert!(!(apart && touch), "{name} is cut off for a second and says that it is in touch");
+        let lacks = self
+            .truth
+            .range(commit + 1..)
+            .next()
+            .filter(|(_, (_, at))| *at < self.now - ALONE);
+        assert!(
+            lacks.is_none() || !touch,
+            "{name} is in touch at {} and lacks {lacks:?}",
+            self.now
+        );
+        let apart = node
+            .apart
+            .is_some_and(|(since, ..)| self.now - since >= ALONE);
+        assert!(
+            !(apart && touch),
+            "{name} is cut off for a second and says that it is in touch"
+        );
     }
 
     pub fn crash(&mut self, name: &str, power: bool, wipe: bool, down: f64) {
         let torn = self.draw(3);
         let now = self.now;
-        let Some(node) = self.nodes.get_mut(name) else { return };
+        let Some(node) = self.nodes.get_mut(name) else {
+            return;
+        };
         node.tandem = None;
         node.down_until = now + down;
         // One that goes for good goes all the same.
         node.leaving = node.leaving.filter(|(_, after)| *after == After::Gone);
         // A process that dies leaves what it wrote; with the power goes what was not synced, all or from some write on.
-        let kept =
-            if power { (torn as usize).min(node.waiting.len()) * usize::from(torn < 2) } else { usize::MAX };
+        let kept = if power {
+            (torn as usize).min(node.waiting.len()) * usize::from(torn < 2)
+        } else {
+            usize::MAX
+        };
         for (_, record, _) in node.waiting.drain(..).take(kept) {
             node.disk.take(record);
         }
@@ -413,7 +530,9 @@
     pub fn terminate(&mut self, name: &str, after: After) {
         let now = self.now;
         self.step(name, |tandem, now, out| tandem.leave(now, out));
-        self.nodes.entry(name.to_owned()).and_modify(|node| node.leaving = Some((now, after)));
+        self.nodes
+            .entry(name.to_owned())
+            .and_modify(|node| node.leaving = Some((now, after)));
     }
 
     pub fn freeze(&mut self, name: &str, span: f64) {
@@ -434,7 +553,9 @@
             }
         }
         let now = self.now;
-        self.nodes.entry(name.to_owned()).and_modify(|node| node.apart = Some((now, says, hears)));
+        self.nodes
+            .entry(name.to_owned())
+            .and_modify(|node| node.apart = Some((now, says, hears)));
     }
 
     pub fn join(&mut self) {
@@ -454,8 +575,16 @@
     pub fn read(&mut self, name: &str) {
         let floor = self.acknowledged.last().copied().unwrap_or(0);
         let (now, mut out) = (self.now, Out::default());
-        let Some(node) = self.nodes.get_mut(name).filter(|node| node.frozen_until <= now) else { return };
-        let Some(tandem) = &mut node.tandem else { return };
+        let Some(node) = self
+            .nodes
+            .get_mut(name)
+            .filter(|node| node.frozen_until <= now)
+        else {
+            return;
+        };
+        let Some(tandem) = &mut node.tandem else {
+            return;
+        };
         if let Some(ticket) = tandem.read(now, &mut out) {
             node.reads.insert(ticket, floor);
         }
@@ -492,7 +621,10 @@
             return;
         }
         if let Some((since, after)) = self.nodes[name].leaving {
-            let left = self.nodes[name].tandem.as_ref().is_none_or(|tandem| tandem.left(now));
+            let left = self.nodes[name]
+                .tandem
+                .as_ref()
+                .is_none_or(|tandem| tandem.left(now));
             if now - since >= 400.0 && left || now - since >= LONGEST_LAST {
                 match after {
                     After::Restart => {
@@ -506,7 +638,11 @@
         }
         self.thaw(name);
         while let Some(node) = self.nodes.get_mut(name).filter(|n| n.tandem.is_some()) {
-            if node.waiting.front().is_none_or(|(_, _, due)| *due > now || node.stalled_until > now) {
+            if node
+                .waiting
+                .front()
+                .is_none_or(|(_, _, due)| *due > now || node.stalled_until > now)
+            {
                 break;
             }
             if let Some((number, record, _)) = node.waiting.pop_front() {
@@ -522,7 +658,9 @@
     /// One that thaws finds what came meanwhile, and is asked things, in any order.
     fn thaw(&mut self, name: &str) {
         let now = self.now;
-        let Some(node) = self.nodes.get_mut(name) else { return };
+        let Some(node) = self.nodes.get_mut(name) else {
+            return;
+        };
         if node.frozen_until == 0.0 || node.frozen_until > now {
             return;
         }
@@ -541,7 +679,9 @@
                 self.read(name);
                 self.propose(name);
             }
-            self.step(name, |tandem, now, out| tandem.receive(now, &from, message, out));
+            self.step(name, |tandem, now, out| {
+                tandem.receive(now, &from, message, out)
+            });
             if long {
                 self.is_alone(name);
             }
@@ -553,14 +693,21 @@
 
     /// One that has just thawed knows nothing of now, whatever lay in its sockets: it neither leads nor is in touch.
     fn is_alone(&self, name: &str) {
-        let Some(tandem) = &self.nodes[name].tandem else { return };
+        let Some(tandem) = &self.nodes[name].tandem else {
+            return;
+        };
         assert!(!tandem.leads(), "{name} thaws and leads");
-        assert!(!tandem.in_touch(self.now), "{name} thaws and says that it is in touch");
+        assert!(
+            !tandem.in_touch(self.now),
+            "{name} thaws and says that it is in touch"
+        );
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (come, wait) = std::mem::take(&mut self.wire).into_iter().partition(|(at, ..)| *at <= now);
+        let (come, wait) = std::mem::take(&mut self.wire)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.wire = wait;
         let come: Vec<(f64, String, String, Message)> = come;
         for (_, from, to, message) in come {
@@ -574,7 +721,9 @@
                         node.socket.push((from, message));
                     }
                 }
-                _ => self.step(&to, |tandem, now, out| tandem.receive(now, &from, message, out)),
+                _ => self.step(&to, |tandem, now, out| {
+                    tandem.receive(now, &from, message, out)
+                }),
             }
         }
     }
@@ -592,24 +741,36 @@
         self.leader().is_some()
             && self.nodes.iter().all(|(_, node)| {
                 let goes = node.leaving.is_some_and(|(_, after)| after == After::Gone);
-                node.tandem.as_ref().is_some_and(|t| t.trusted() && !t.joint() && *t.voters() == all) && !goes
+                node.tandem
+                    .as_ref()
+                    .is_some_and(|t| t.trusted() && !t.joint() && *t.voters() == all)
+                    && !goes
             })
     }
 
     /// Whether any loss of as many as may be lost would leave a majority that can go on and has all, by what each knows itself.
     pub fn bears_losses(&self) -> bool {
-        let running: Vec<&String> =
-            self.names.iter().filter(|name| self.nodes[*name].tandem.is_some()).collect();
-        let members =
-            self.leader().and_then(|leader| self.nodes[&leader].tandem.as_ref()).map(|t| t.voters());
+        let running: Vec<&String> = self
+            .names
+            .iter()
+            .filter(|name| self.nodes[*name].tandem.is_some())
+            .collect();
+        let members = self
+            .leader()
+            .and_then(|leader| self.nodes[&leader].tandem.as_ref())
+            .map(|t| t.voters());
         let Some(members) = members else { return false };
         let gone: Vec<u32> = (0..1_u32 << running.len())
             .filter(|set| set.count_ones() as usize == self.losses)
-            .filter(|set| (0..running.len()).all(|n| set >> n & 1 == 0 || members.contains(running[n])))
+            .filter(|set| {
+                (0..running.len()).all(|n| set >> n & 1 == 0 || members.contains(running[n]))
+            })
             .collect();
         gone.into_iter().all(|set| {
-            let rest: Vec<&String> =
-                (0..running.len()).filter(|n| set >> n & 1 == 0).map(|n| running[n]).collect();
+            let rest: Vec<&String> = (0..running.len())
+                .filter(|n| set >> n & 1 == 0)
+                .map(|n| running[n])
+                .collect();
             rest.iter().any(|name| self.could_lead(name, &rest))
         })
     }
@@ -617,18 +778,27 @@
     /// Whether a node would be elected by these, by what is on their disks, and has all that was agreed on.
     fn could_lead(&self, name: &str, voters: &[&String]) -> bool {
         let disk = &self.nodes[name].disk;
-        let all = self.truth.keys().next_back().is_none_or(|last| disk.last_index() >= *last);
+        let all = self
+            .truth
+            .keys()
+            .next_back()
+            .is_none_or(|last| disk.last_index() >= *last);
         let end = |disk: &Durable| (disk.term_at(disk.last_index()), disk.last_index());
         let votes = |member: &&Member| {
             voters.iter().any(|voter| {
                 let other = &self.nodes[*voter].disk;
-                **voter == member.name && other.identity == Some(member.identity) && end(other) <= end(disk)
+                **voter == member.name
+                    && other.identity == Some(member.identity)
+                    && end(other) <= end(disk)
             })
         };
         let sets = disk.sets();
         let settled = sets.index <= disk.settled.max(disk.snapshot.index);
         let majority = |set: &Vec<Member>| set.iter().filter(votes).count() > set.len() / 2;
-        let mine = sets.newest.iter().any(|m| m.name == name && Some(m.identity) == disk.identity);
+        let mine = sets
+            .newest
+            .iter()
+            .any(|m| m.name == name && Some(m.identity) == disk.identity);
         all && mine && majority(&sets.newest) && (settled || majority(&sets.before))
     }
 
@@ -648,7 +818,11 @@
 
     /// What all up to an index amounts to, in the model: so many bytes for each change, which tell of the index.
     pub fn state(&self, index: u64) -> Vec<u8> {
-        let length = if index <= 1 { 0 } else { self.folded_bytes * index as usize };
+        let length = if index <= 1 {
+            0
+        } else {
+            self.folded_bytes * index as usize
+        };
         let mut word = index;
         let mut state = Vec::with_capacity(length + 8);
         while state.len() < length {
@@ -676,7 +850,9 @@
     /// that had all is gone for a while.
     pub fn rests_on_readmitted(&mut self) {
         let wiped = self.draw(self.names.len() as u32) as usize;
-        let names: Vec<String> = (0..3).map(|n| self.names[(wiped + n) % self.names.len()].clone()).collect();
+        let names: Vec<String> = (0..3)
+            .map(|n| self.names[(wiped + n) % self.names.len()].clone())
+            .collect();
         self.join();
         self.crash(&names[0], true, true, 60.0);
         self.until_sound(6000.0);
@@ -696,7 +872,9 @@
     fn some(&mut self) -> Vec<String> {
         let count = 1 + self.draw(self.losses as u32) as usize;
         let start = self.draw(self.names.len() as u32) as usize;
-        (0..count).map(|n| self.names[(start + n) % self.names.len()].clone()).collect()
+        (0..count)
+            .map(|n| self.names[(start + n) % self.names.len()].clone())
+            .collect()
     }
 
     /// Some machines go for good, by a crash or told to, and others come in their place, before, at once or later.
@@ -731,16 +909,26 @@
             return;
         }
         self.join();
-        let others: Vec<String> = self.names.iter().filter(|name| **name != leader).cloned().collect();
+        let others: Vec<String> = self
+            .names
+            .iter()
+            .filter(|name| **name != leader)
+            .cloned()
+            .collect();
         let newcomer = self.newcomer();
         let apart = |fleet: &mut Fleet, a: &str, b: &str| {
             fleet.cut.insert((a.to_owned(), b.to_owned()));
             fleet.cut.insert((b.to_owned(), a.to_owned()));
         };
         apart(self, &silent, &leader);
-        others.iter().for_each(|other| apart(self, other, &newcomer));
+        others
+            .iter()
+            .for_each(|other| apart(self, other, &newcomer));
         let knows = |fleet: &Fleet| {
-            let tandem = fleet.nodes.get(&leader).and_then(|node| node.tandem.as_ref());
+            let tandem = fleet
+                .nodes
+                .get(&leader)
+                .and_then(|node| node.tandem.as_ref());
             tandem.is_some_and(|tandem| tandem.voters().contains(&newcomer))
         };
         for _ in 0..4000 {
@@ -778,11 +966,19 @@
                     self.until_acknowledged();
                     self.join();
                 }
-                wiped.iter().for_each(|name| self.crash(name, true, true, down));
+                wiped
+                    .iter()
+                    .for_each(|name| self.crash(name, true, true, down));
                 if self.chance(0.5) {
-                    let others: Vec<String> =
-                        self.names.iter().filter(|n| !wiped.contains(n)).cloned().collect();
-                    others.iter().for_each(|other| self.crash(other, true, false, down));
+                    let others: Vec<String> = self
+                        .names
+                        .iter()
+                        .filter(|n| !wiped.contains(n))
+                        .cloned()
+                        .collect();
+                    others
+                        .iter()
+                        .for_each(|other| self.crash(other, true, false, down));
                 }
             }
             3 => {
@@ -790,7 +986,8 @@
                     self.until_acknowledged();
                 }
                 let all = self.names.clone();
-                all.iter().for_each(|name| self.crash(name, true, false, down));
+                all.iter()
+                    .for_each(|name| self.crash(name, true, false, down));
             }
             4 => {
                 self.cut.insert((name.clone(), other.clone()));
@@ -798,7 +995,9 @@
             5 => self.cut_off(&name, true, true),
             6 => {
                 let until = self.now + down;
-                self.nodes.entry(name).and_modify(|node| node.stalled_until = until);
+                self.nodes
+                    .entry(name)
+                    .and_modify(|node| node.stalled_until = until);
             }
             7 => self.terminate(&name, After::Restart),
             8 if self.sound() => self.rests_on_readmitted(),
@@ -831,7 +1030,12 @@
                 node.disk.identity,
             );
         }
-        self.notes.iter().rev().take(30).rev().for_each(|note| println!("  {note}"));
+        self.notes
+            .iter()
+            .rev()
+            .take(30)
+            .rev()
+            .for_each(|note| println!("  {note}"));
     }
 }
 
@@ -862,13 +1066,22 @@
     if fleet.truth.len() <= before || !fleet.sound() {
         fleet.print();
     }
-    assert!(fleet.truth.len() > before, "seed {seed}: nothing is agreed on in calm times");
-    assert!(fleet.sound(), "seed {seed}: the members are not those that run");
+    assert!(
+        fleet.truth.len() > before,
+        "seed {seed}: nothing is agreed on in calm times"
+    );
+    assert!(
+        fleet.sound(),
+        "seed {seed}: the members are not those that run"
+    );
     let last = fleet.truth.keys().next_back().copied().unwrap_or(0);
     for (name, node) in &fleet.nodes {
         let tandem = node.tandem.as_ref();
         let commit = tandem.map_or(0, Tandem::commit);
-        assert!(commit + 20 >= last, "seed {seed}: {name} is at {commit} of {last}");
+        assert!(
+            commit + 20 >= last,
+            "seed {seed}: {name} is at {commit} of {last}"
+        );
         assert!(
             tandem.is_some_and(|t| t.in_touch(fleet.now)),
             "seed {seed}: {name} is out of touch in calm times"
@@ -876,7 +1089,10 @@
         let held: BTreeSet<u64> = node.agreed.iter().map(|entry| entry.index).collect();
         for index in fleet.acknowledged.iter().filter(|index| **index <= commit) {
             let folded = node.disk.snapshot.index >= *index;
-            assert!(folded || held.contains(index), "seed {seed}: {name} lacks {index}");
+            assert!(
+                folded || held.contains(index),
+                "seed {seed}: {name} lacks {index}"
+            );
         }
     }
 }
--- a/crates/raft/tests/played.rs
+++ b/crates/raft/tests/played.rs
@@ -40,7 +40,9 @@
 fn breaks(variant: Variant) -> usize {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
-    let broken = (0..100).filter(|seed| std::panic::catch_unwind(|| day(*seed, 3, variant)).is_err()).count();
+    let broken = (0..100)
+        .filter(|seed| std::panic::catch_unwind(|| day(*seed, 3, variant)).is_err())
+        .count();
     std::panic::set_hook(hook);
     println!("{variant:?}: {broken} of 100 days broken");
     broken
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -12,7 +12,12 @@
     fleet.rate = 0.0;
     fleet.play(1500.0);
     let leader = fleet.leader().unwrap_or_default();
-    let name = fleet.names.iter().find(|name| **name != leader).cloned().unwrap_or_default();
+    let name = fleet
+        .names
+        .iter()
+        .find(|name| **name != leader)
+        .cloned()
+        .unwrap_or_default();
     fleet.cut_off(&name, true, true);
     let start = fleet.acknowledged.len() as u64;
     while (fleet.acknowledged.len() as u64) < start + changes {
@@ -42,8 +47,12 @@
             fleet.join();
             let start = fleet.now;
             let before = fleet.sent_to.get(&name).copied().unwrap_or_default();
-            let touch =
-                |fleet: &Fleet| fleet.nodes[&name].tandem.as_ref().is_some_and(|t| t.in_touch(fleet.now));
+            let touch = |fleet: &Fleet| {
+                fleet.nodes[&name]
+                    .tandem
+                    .as_ref()
+                    .is_some_and(|t| t.in_touch(fleet.now))
+            };
             while (!touch(&fleet) || lacks(&fleet, &name) > 1) && fleet.now - start < 20_000.0 {
                 fleet.play(1.0);
             }
@@ -74,11 +83,21 @@
             (0..5).for_each(|_| fleet.propose(&leader));
             fleet.play(20.0);
         }
-        let longest = fleet.nodes.values().map(|node| node.disk.log.len()).max().unwrap_or(0);
+        let longest = fleet
+            .nodes
+            .values()
+            .map(|node| node.disk.log.len())
+            .max()
+            .unwrap_or(0);
         let each = fleet.folded / 3;
         println!("{changes} changes of {payload} bytes, {folded_bytes} bytes of state for each: folded {each} times each, longest log {longest}");
         assert!(each >= 1, "never folded");
-        let written = fleet.nodes.values().map(|node| node.disk.snapshot.state.len()).max().unwrap_or(0);
+        let written = fleet
+            .nodes
+            .values()
+            .map(|node| node.disk.snapshot.state.len())
+            .max()
+            .unwrap_or(0);
         let most = 4 * (changes * (payload + 64)) / written.max(64 << 10) + 2;
         assert!(
             each as usize <= most,
@@ -141,9 +160,20 @@
             fleet.crash(&name, true, false, 10.0);
         }
         calm(&mut fleet, seed);
-        spoilt += fleet.notes.iter().filter(|note| note.contains("event=snapshot_spoilt")).count();
-        received += fleet.notes.iter().filter(|note| note.contains("event=snapshot_received")).count();
+        spoilt += fleet
+            .notes
+            .iter()
+            .filter(|note| note.contains("event=snapshot_spoilt"))
+            .count();
+        received += fleet
+            .notes
+            .iter()
+            .filter(|note| note.contains("event=snapshot_received"))
+            .count();
     }
     println!("{received} states received, {spoilt} spoilt parts or wholes found");
-    assert!(spoilt > 20 && received > 40, "{spoilt} spoilt, {received} received");
+    assert!(
+        spoilt > 20 && received > 40,
+        "{spoilt} spoilt, {received} received"
+    );
 }
--- a/crates/raft/tests/strangers.rs
+++ b/crates/raft/tests/strangers.rs
@@ -22,26 +22,53 @@
 }
 
 fn members(rng: &mut Pcg32) -> Vec<Member> {
-    let one = |rng: &mut Pcg32| Member { name: format!("n{}", rng.next_u32() % 5), identity: number(rng) };
+    let one = |rng: &mut Pcg32| Member {
+        name: format!("n{}", rng.next_u32() % 5),
+        identity: number(rng),
+    };
     (0..rng.next_u32() % 4).map(|_| one(rng)).collect()
 }
 
 fn entry(rng: &mut Pcg32, index: u64) -> Entry {
-    let index = if rng.next_u32() % 6 == 0 { number(rng) } else { index };
+    let index = if rng.next_u32() % 6 == 0 {
+        number(rng)
+    } else {
+        index
+    };
     let kind = (rng.next_u32() % 6) as i32;
     let payload = vec![1; (rng.next_u32() % 20) as usize];
-    Entry { index, term: number(rng), kind, payload, members: members(rng) }
+    Entry {
+        index,
+        term: number(rng),
+        kind,
+        payload,
+        members: members(rng),
+    }
 }
 
 fn what(rng: &mut Pcg32) -> What {
-    let wish = flag(rng).then(|| Wish { counts: flag(rng), first: flag(rng), leaving: flag(rng) });
+    let wish = flag(rng).then(|| Wish {
+        counts: flag(rng),
+        first: flag(rng),
+        leaving: flag(rng),
+    });
     match rng.next_u32() % 8 {
-        0 => What::Ask(Ask { would: flag(rng), last_index: number(rng), last_term: number(rng) }),
-        1 => What::Voted(Voted { would: flag(rng), granted: flag(rng), asked: number(rng) }),
+        0 => What::Ask(Ask {
+            would: flag(rng),
+            last_index: number(rng),
+            last_term: number(rng),
+        }),
+        1 => What::Voted(Voted {
+            would: flag(rng),
+            granted: flag(rng),
+            asked: number(rng),
+        }),
         2 | 3 => {
             let prev_index = number(rng);
             let count = u64::from(rng.next_u32() % 4);
-            let entries = (1..=count).map(|n| entry(rng, prev_index.wrapping_add(n))).collect();
+            let entries = (1..=count)
+                .map(|n| entry(rng, prev_index.wrapping_add(n)))
+                .collect();
             What::Append(Append {
                 prev_index,
                 prev_term: number(rng),
@@ -55,8 +82,11 @@
             })
         }
         4 => {
-            let taken =
-                flag(rng).then(|| Taken { index: number(rng), whole: number(rng), bytes: number(rng) });
+            let taken = flag(rng).then(|| Taken {
+                index: number(rng),
+                whole: number(rng),
+                bytes: number(rng),
+            });
             What::Appended(Appended {
                 fits: flag(rng),
                 matched: number(rng),
@@ -69,14 +99,26 @@
         }
         5 => {
             let part: Vec<u8> = vec![7; (rng.next_u32() % 30) as usize];
-            let sum = if flag(rng) { checksum(&part) } else { number(rng) };
+            let sum = if flag(rng) {
+                checksum(&part)
+            } else {
+                number(rng)
+            };
             What::Install(Install {
                 round: number(rng),
                 index: number(rng),
                 term: number(rng),
                 members: members(rng),
-                length: if flag(rng) { part.len() as u64 } else { number(rng) },
-                whole: if flag(rng) { checksum(&part) } else { number(rng) },
+                length: if flag(rng) {
+                    part.len() as u64
+                } else {
+                    number(rng)
+                },
+                whole: if flag(rng) {
+                    checksum(&part)
+                } else {
+                    number(rng)
+                },
                 offset: if flag(rng) { 0 } else { number(rng) },
                 part: part.into(),
                 sum,
@@ -97,7 +139,13 @@
         let first = ["n0".to_owned(), "n1".to_owned(), "n2".to_owned()];
         // One that leads alone, one among three, one that is new.
         let first = [Some(&first[..1]), Some(&first[..]), None][seed as usize % 3];
-        let setup = Setup { first, counts: true, losses: 1, alike: flag(&mut rng), ..Setup::default() };
+        let setup = Setup {
+            first,
+            counts: true,
+            losses: 1,
+            alike: flag(&mut rng),
+            ..Setup::default()
+        };
         let (mut out, mut now) = (Out::default(), 0.0);
         let mut tandem = Tandem::new("n0", now, seed, Durable::default(), &setup, &mut out);
         let mut written = Durable::default();
@@ -120,14 +168,27 @@
                 3 if rng.next_u32() % 10 == 0 => tandem.fold(vec![3; 20], &mut out),
                 4 if rng.next_u32() % 50 == 0 => tandem.leave(now, &mut out),
                 _ => {
-                    let term = if flag(&mut rng) { tandem.term() } else { number(&mut rng) };
+                    let term = if flag(&mut rng) {
+                        tandem.term()
+                    } else {
+                        number(&mut rng)
+                    };
                     let from = format!("n{}", rng.next_u32() % 5);
-                    let message = Message { term, identity: number(&mut rng), what: Some(what(&mut rng)) };
+                    let message = Message {
+                        term,
+                        identity: number(&mut rng),
+                        what: Some(what(&mut rng)),
+                    };
                     messages += 1;
                     tandem.receive(now, &from, message, &mut out);
                 }
             }
-            let _ = (tandem.contact(now), tandem.in_touch(now), tandem.left(now), tandem.should_fold());
+            let _ = (
+                tandem.contact(now),
+                tandem.in_touch(now),
+                tandem.left(now),
+                tandem.should_fold(),
+            );
         }
     }
     println!("{messages} messages");
--- a/crates/rehearsal/src/carry.rs
+++ b/crates/rehearsal/src/carry.rs
@@ -5,7 +5,9 @@
 use maplefall_event_trace::{Effect, Entry, Millis, Recorder};
 use maplefall_test_servers::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
 use maplefall_test_servers::lateness::Lateness;
-use maplefall_test_servers::node::{Deployment, Metering, Node, Overload, Place, Seats, Spec, Work, World};
+use maplefall_test_servers::node::{
+    Deployment, Metering, Node, Overload, Place, Seats, Spec, Work, World,
+};
 use std::io;
 
 /// Lateness at the 99th percentile up to which a rate counts as carried.
@@ -34,7 +36,10 @@
 }
 
 fn on_a_runtime<T>(of: impl std::future::Future<Output = T>) -> io::Result<T> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, of))
 }
 
@@ -58,10 +63,24 @@
                     memory_ms: 0.0,
                     work_ms: [0.0, 0.0],
                 };
-                let metering = Metering { period_ms: settings::METER_MS, delay_ms: 300.0, rates: vec![10.0] };
-                let overload = Overload { factor: 3.0, window_ms: 1500.0, slack_ms: 100.0 };
+                let metering = Metering {
+                    period_ms: settings::METER_MS,
+                    delay_ms: 300.0,
+                    rates: vec![10.0],
+                };
+                let overload = Overload {
+                    factor: 3.0,
+                    window_ms: 1500.0,
+                    slack_ms: 100.0,
+                };
                 let idle_ms = settings::IDLE_MS;
-                let deployment = Deployment { seed: 1, work: vec![work], metering, idle_ms, overload };
+                let deployment = Deployment {
+                    seed: 1,
+                    work: vec![work],
+                    metering,
+                    idle_ms,
+                    overload,
+                };
                 let world = World::new(deployment, recorder, lateness);
                 let place = Place::over(seats);
                 let spec = Spec {
@@ -80,9 +99,19 @@
     };
     on_a_runtime(async {
         let board = Board::new(1);
-        board.set(0, DoorSeen { ready: true, left: None });
-        let kind =
-            Kind { name: "consulta".into(), effect: Effect::Safe, memory_ms: 0.0, give_up_ms: 10_000.0 };
+        board.set(
+            0,
+            DoorSeen {
+                ready: true,
+                left: None,
+            },
+        );
+        let kind = Kind {
+            name: "consulta".into(),
+            effect: Effect::Safe,
+            memory_ms: 0.0,
+            give_up_ms: 10_000.0,
+        };
         let habits = Habits {
             retries: 0,
             backoff: Backoff::AtOnce,
@@ -121,10 +150,21 @@
     let _ = stop.send(());
     let _ = nodes.join();
     let lines = recorder.take();
-    let served =
-        lines.iter().filter(|line| matches!(line.entry, Entry::Answered { status: 200, .. })).count() as u64;
-    let Entry::Lateness { p99_ms, most_ms, .. } = lateness.entry() else {
+    let served = lines
+        .iter()
+        .filter(|line| matches!(line.entry, Entry::Answered { status: 200, .. }))
+        .count() as u64;
+    let Entry::Lateness {
+        p99_ms, most_ms, ..
+    } = lateness.entry()
+    else {
         return Err(io::ErrorKind::Other.into());
     };
-    Ok(Carried { rate, served, asked, p99_ms, most_ms })
+    Ok(Carried {
+        rate,
+        served,
+        asked,
+        p99_ms,
+        most_ms,
+    })
 }
--- a/crates/rehearsal/src/daemon.rs
+++ b/crates/rehearsal/src/daemon.rs
@@ -101,7 +101,10 @@
         if let Some(breakage) = breakage {
             command.env(BREAKAGE, breakage);
         }
-        Ok(Door { child: command.spawn()?, used: (0.0, 0) })
+        Ok(Door {
+            child: command.spawn()?,
+            used: (0.0, 0),
+        })
     }
 
     fn signal(&self, signal: Signal) {
@@ -135,16 +138,29 @@
     /// Looks up what it has used so far: processor time, and the most memory in KiB. The last figures stay once it
     /// has ended.
     pub fn used(&mut self) -> (Millis, u64) {
-        let table = |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id()));
+        let table =
+            |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id()));
         if let Ok(stat) = table("stat") {
             // The name in brackets may hold anything; what counts stands behind it.
-            let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-            let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
+            let fields: Vec<&str> = stat
+                .rsplit(')')
+                .next()
+                .unwrap_or_default()
+                .split_whitespace()
+                .collect();
+            let ticks = |at: usize| {
+                fields
+                    .get(at)
+                    .and_then(|text| text.parse::<f64>().ok())
+                    .unwrap_or(0.0)
+            };
             self.used.0 = self.used.0.max((ticks(11) + ticks(12)) * 1000.0 / TICKS);
         }
         if let Ok(status) = table("status") {
             let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-            let kib = line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0);
+            let kib = line
+                .and_then(|line| line.split_whitespace().next()?.parse().ok())
+                .unwrap_or(0);
             self.used.1 = self.used.1.max(kib);
         }
         self.used
@@ -174,7 +190,12 @@
 /// and never tried: a socket opened to find a free port lives on in whatever process is being begun just then, and the
 /// daemon would find the port in use.
 pub fn own_address(process: u32, play: u32, door: usize) -> SocketAddr {
-    let host = Ipv4Addr::new(127, 64 + (play % 128) as u8, (process % 250) as u8 + 1, door as u8 + 1);
+    let host = Ipv4Addr::new(
+        127,
+        64 + (play % 128) as u8,
+        (process % 250) as u8 + 1,
+        door as u8 + 1,
+    );
     // Up to 4 million processes differ here; the system's own choice begins at 32768.
     let port = 10_000 + (process / 250) % 20_000;
     SocketAddr::from((host, port as u16))
@@ -207,7 +228,10 @@
             for play in 0..128 {
                 for door in 0..8 {
                     let address = own_address(process, play, door);
-                    assert!(address.ip().is_loopback() && address.port() < 32_768, "{address}");
+                    assert!(
+                        address.ip().is_loopback() && address.port() < 32_768,
+                        "{address}"
+                    );
                     once.insert(address);
                     count += 1;
                 }
--- a/crates/rehearsal/src/drains.rs
+++ b/crates/rehearsal/src/drains.rs
@@ -1,12 +1,15 @@
 //! The table of how long drains take.
 
-use maplefall_invariants::drain_times::DrainTime;
 use maplefall_event_trace::Millis;
+use maplefall_invariants::drain_times::DrainTime;
 
 /// The value below which this part of a list lies.
 fn quantile(sorted: &[Millis], part: f64) -> Millis {
     let at = (sorted.len() as f64 * part).ceil() as usize;
-    sorted.get(at.saturating_sub(1)).copied().unwrap_or(f64::NAN)
+    sorted
+        .get(at.saturating_sub(1))
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 /// Median, 99th percentile and the most of some times.
@@ -17,7 +20,12 @@
     }
     times.sort_by(f64::total_cmp);
     let most = times.last().copied().unwrap_or(f64::NAN);
-    format!("{:>6.1} {:>7.1} {:>7.1}", quantile(&times, 0.5), quantile(&times, 0.99), most)
+    format!(
+        "{:>6.1} {:>7.1} {:>7.1}",
+        quantile(&times, 0.5),
+        quantile(&times, 0.99),
+        most
+    )
 }
 
 /// The head of the table.
@@ -47,8 +55,16 @@
     #[test]
     fn quantiles_are_values_that_were_measured() {
         let times: Vec<Millis> = (1..=200).map(f64::from).collect();
-        assert_eq!((quantile(&times, 0.5), quantile(&times, 0.99)), (100.0, 198.0));
-        assert_eq!(three([5.0].into_iter()).split_whitespace().collect::<Vec<_>>(), ["5.0", "5.0", "5.0"]);
+        assert_eq!(
+            (quantile(&times, 0.5), quantile(&times, 0.99)),
+            (100.0, 198.0)
+        );
+        assert_eq!(
+            three([5.0].into_iter())
+                .split_whitespace()
+                .collect::<Vec<_>>(),
+            ["5.0", "5.0", "5.0"]
+        );
         assert_eq!(three(std::iter::empty()).trim(), "-");
     }
 }
--- a/crates/rehearsal/src/etcd_world.rs
+++ b/crates/rehearsal/src/etcd_world.rs
@@ -4,7 +4,8 @@
 use crate::script::MemberAct;
 use crate::settings::prefix;
 use maplefall_etcd_wire::{
-    prefix_end, request_op, DeleteRangeRequest, Event, PutRequest, RangeRequest, RequestOp, TxnRequest,
+    prefix_end, request_op, DeleteRangeRequest, Event, PutRequest, RangeRequest, RequestOp,
+    TxnRequest,
 };
 use maplefall_event_trace::{Entry, Health, Millis, Recorder};
 use maplefall_test_servers::agent;
@@ -56,8 +57,14 @@
 }
 
 fn put(key: Vec<u8>, value: &Value) -> RequestOp {
-    let put = PutRequest { key, value: value.to_string().into_bytes(), ..PutRequest::default() };
-    RequestOp { request: Some(request_op::Request::Put(put)) }
+    let put = PutRequest {
+        key,
+        value: value.to_string().into_bytes(),
+        ..PutRequest::default()
+    };
+    RequestOp {
+        request: Some(request_op::Request::Put(put)),
+    }
 }
 
 impl EtcdWorld {
@@ -73,15 +80,29 @@
         unix_start: Millis,
     ) -> io::Result<EtcdWorld> {
         let log = Log::default();
-        let seen = Seen { log: log.clone(), recorder: recorder.clone(), unix_start, gone: Mutex::default() };
+        let seen = Seen {
+            log: log.clone(),
+            recorder: recorder.clone(),
+            unix_start,
+            gone: Mutex::default(),
+        };
         let etcd = Etcd::new(Store::new(0x6d61_706c), move |known| seen.take(known));
-        let mut world = EtcdWorld { etcd, members: Vec::new(), log, recorder, unix_start, noise: 0 };
+        let mut world = EtcdWorld {
+            etcd,
+            members: Vec::new(),
+            log,
+            recorder,
+            unix_start,
+            noise: 0,
+        };
         let doors = listeners.len();
         for node in 0..nodes {
             world.write(doors, node, Health::Up, None, |door| address(door, node));
         }
         for (door, listener) in listeners.into_iter().enumerate() {
-            world.members.push(world.etcd.member(door as u64, listener)?);
+            world
+                .members
+                .push(world.etcd.member(door as u64, listener)?);
         }
         Ok(world)
     }
@@ -98,15 +119,23 @@
         let mut success = Vec::new();
         for door in 0..doors {
             if health == Health::Removed {
-                let delete = DeleteRangeRequest { key: key(door, node), ..DeleteRangeRequest::default() };
-                success.push(RequestOp { request: Some(request_op::Request::DeleteRange(delete)) });
+                let delete = DeleteRangeRequest {
+                    key: key(door, node),
+                    ..DeleteRangeRequest::default()
+                };
+                success.push(RequestOp {
+                    request: Some(request_op::Request::DeleteRange(delete)),
+                });
                 continue;
             }
             let started_ms = born.map_or(0.0, |born| self.unix_start + born);
             let value = document(address(door), health == Health::Draining, started_ms);
             success.push(put(key(door, node), &value));
         }
-        let txn = TxnRequest { success, ..TxnRequest::default() };
+        let txn = TxnRequest {
+            success,
+            ..TxnRequest::default()
+        };
         let log = &self.log;
         let recorder = &self.recorder;
         self.etcd.with(|store| {
@@ -114,19 +143,31 @@
             // Puts on no lease and removals are never refused.
             let _ = store.txn(&txn, before);
             recorder.note(Entry::Committed { node, health });
-            lock(log).push(Word { revision: store.revision(), node, health, born });
+            lock(log).push(Word {
+                revision: store.revision(),
+                node,
+                health,
+                born,
+            });
         });
     }
 
     /// Writes the value of one node for one front door anew, with nothing changed that means anything.
     pub fn noise(&mut self, lot: u32) {
         self.noise += 1;
-        let all =
-            RangeRequest { key: b"/door-".to_vec(), range_end: prefix_end(b"/door-"), ..Default::default() };
+        let all = RangeRequest {
+            key: b"/door-".to_vec(),
+            range_end: prefix_end(b"/door-"),
+            ..Default::default()
+        };
         self.etcd.with(|store| {
             let there = store.range(&all, store.revision()).unwrap_or_default().kvs;
-            let Some(kv) = there.get(lot as usize % there.len().max(1)) else { return };
-            let Ok(mut value) = serde_json::from_slice::<Value>(&kv.value) else { return };
+            let Some(kv) = there.get(lot as usize % there.len().max(1)) else {
+                return;
+            };
+            let Ok(mut value) = serde_json::from_slice::<Value>(&kv.value) else {
+                return;
+            };
             value["noise"] = json!(self.noise);
             let put = PutRequest {
                 key: kv.key.clone(),
@@ -146,7 +187,9 @@
 
     /// Does something to a front door's member.
     pub fn act(&self, door: usize, act: MemberAct) {
-        let Some(member) = self.members.get(door) else { return };
+        let Some(member) = self.members.get(door) else {
+            return;
+        };
         match act {
             MemberAct::Cut(cut) => member.cut(cut),
             MemberAct::Down(down) => member.down(down),
@@ -168,11 +211,17 @@
     fn take(&self, known: &Known) {
         match known {
             Known::Written { member, events } => {
-                events.iter().filter_map(|event| self.word(event)).for_each(|word| self.note(*member, word));
+                events
+                    .iter()
+                    .filter_map(|event| self.word(event))
+                    .for_each(|word| self.note(*member, word));
             }
             Known::Claimed { member, revision } => {
                 let mut last: BTreeMap<u32, Word> = BTreeMap::new();
-                for word in lock(&self.log).iter().filter(|word| word.revision <= *revision) {
+                for word in lock(&self.log)
+                    .iter()
+                    .filter(|word| word.revision <= *revision)
+                {
                     last.insert(word.node, *word);
                 }
                 last.into_values().for_each(|word| self.note(*member, word));
@@ -186,19 +235,37 @@
         let node = agent::number(std::str::from_utf8(&kv.key).ok()?.rsplit('/').next()?)?;
         let revision = kv.mod_revision;
         if event.kind == Event::DELETE {
-            return Some(Word { revision, node, health: Health::Removed, born: None });
+            return Some(Word {
+                revision,
+                node,
+                health: Health::Removed,
+                born: None,
+            });
         }
         let value: Value = serde_json::from_slice(&kv.value).ok()?;
         if value.get("noise").is_some() {
             return None;
         }
-        let health = if value["state"] == "draining" { Health::Draining } else { Health::Up };
-        let started = value["started_ms"].as_f64().filter(|started| *started > 0.0);
-        Some(Word { revision, node, health, born: started.map(|started| started - self.unix_start) })
+        let health = if value["state"] == "draining" {
+            Health::Draining
+        } else {
+            Health::Up
+        };
+        let started = value["started_ms"]
+            .as_f64()
+            .filter(|started| *started > 0.0);
+        Some(Word {
+            revision,
+            node,
+            health,
+            born: started.map(|started| started - self.unix_start),
+        })
     }
 
     fn note(&self, member: u64, word: Word) {
-        let Word { node, health, born, .. } = word;
+        let Word {
+            node, health, born, ..
+        } = word;
         if health == Health::Removed && !lock(&self.gone).insert((member, node)) {
             return;
         }
--- a/crates/rehearsal/src/find.rs
+++ b/crates/rehearsal/src/find.rs
@@ -26,7 +26,11 @@
 /// Why there is none.
 pub fn daemon(named: Option<&Path>) -> Result<PathBuf, NoDaemon> {
     if let Some(path) = named {
-        return if path.is_file() { Ok(path.to_owned()) } else { Err(NoDaemon::Missing(path.to_owned())) };
+        return if path.is_file() {
+            Ok(path.to_owned())
+        } else {
+            Err(NoDaemon::Missing(path.to_owned()))
+        };
     }
     let own = std::env::current_exe().unwrap_or_default();
     let beside = own.with_file_name("maplefall");
@@ -50,11 +54,23 @@
         return daemon(Some(path));
     }
     let root = workspace().ok_or_else(|| {
-        NoDaemon::Build("broken daemons are built from the sources: use cargo run, or --broken".into())
+        NoDaemon::Build(
+            "broken daemons are built from the sources: use cargo run, or --broken".into(),
+        )
     })?;
     let target = root.join("target").join("broken");
     let folder = target.to_string_lossy().into_owned();
-    build(&root, &["-p", "maplefall", "--features", "breakages", "--target-dir", &folder])?;
+    build(
+        &root,
+        &[
+            "-p",
+            "maplefall",
+            "--features",
+            "breakages",
+            "--target-dir",
+            &folder,
+        ],
+    )?;
     Ok(target.join("release").join("maplefall"))
 }
 
@@ -69,9 +85,14 @@
 fn build(root: &Path, what: &[&str]) -> Result<(), NoDaemon> {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut command = Command::new(cargo);
-    command.current_dir(root).args(["build", "--release", "--locked", "--quiet"]).args(what);
+    command
+        .current_dir(root)
+        .args(["build", "--release", "--locked", "--quiet"])
+        .args(what);
     eprintln!("building the daemon ...");
-    let ended = command.status().map_err(|error| NoDaemon::Build(error.to_string()))?;
+    let ended = command
+        .status()
+        .map_err(|error| NoDaemon::Build(error.to_string()))?;
     if ended.success() {
         Ok(())
     } else {
--- a/crates/rehearsal/src/html.rs
+++ b/crates/rehearsal/src/html.rs
@@ -1,8 +1,8 @@
 //! The report as one page that needs nothing but itself: verdicts, a timeline of traffic, answers, failures and margins,
 //! the figures, and what proves each break.
 
-use maplefall_invariants::{Judgement, Ruling, Verdict, STRETCH};
 use maplefall_event_trace::{Entry, Lost, Millis, Record};
+use maplefall_invariants::{Judgement, Ruling, Verdict, STRETCH};
 use std::fmt::Write;
 
 const WIDTH: f64 = 1080.0;
@@ -29,7 +29,10 @@
 svg{width:100%;height:auto;display:block}svg text{font:12px system-ui,sans-serif;fill:#444b54}code{font-size:13px}";
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 fn word(verdict: Verdict) -> (&'static str, &'static str) {
@@ -52,9 +55,15 @@
 impl Timeline {
     fn of(record: &Record) -> Timeline {
         let times = |wanted: fn(&Entry) -> bool| {
-            record.lines.iter().filter(move |line| wanted(&line.entry)).map(|line| line.at)
+            record
+                .lines
+                .iter()
+                .filter(move |line| wanted(&line.entry))
+                .map(|line| line.at)
         };
-        let from = times(|e| matches!(e, Entry::Asked { .. })).next().unwrap_or(0.0);
+        let from = times(|e| matches!(e, Entry::Asked { .. }))
+            .next()
+            .unwrap_or(0.0);
         let to = times(|e| matches!(e, Entry::Answered { .. } | Entry::Unanswered { .. }))
             .next_back()
             .unwrap_or(from)
@@ -79,7 +88,10 @@
                     open.push((name.clone(), seen.at));
                     continue;
                 }
-                Entry::Failure { name, begins: false } => {
+                Entry::Failure {
+                    name,
+                    begins: false,
+                } => {
                     if let Some(place) = open.iter().position(|(known, _)| known == name) {
                         let (name, since) = open.remove(place);
                         line.bands.push((since, seen.at, name));
@@ -87,9 +99,14 @@
                     continue;
                 }
                 Entry::Answered { status: 200, .. } => 0,
-                Entry::Answered { status: 429 | 503, .. } => 1,
+                Entry::Answered {
+                    status: 429 | 503, ..
+                } => 1,
                 Entry::Answered { .. } => 2,
-                Entry::Unanswered { why: Lost::NotTaken, .. } => 3,
+                Entry::Unanswered {
+                    why: Lost::NotTaken,
+                    ..
+                } => 3,
                 Entry::Unanswered { .. } => 4,
                 _ => continue,
             };
@@ -111,20 +128,31 @@
 fn step(span: f64, parts: f64) -> f64 {
     let rough = (span / parts).max(1e-9);
     let power = 10f64.powf(rough.log10().floor());
-    let whole = [1.0, 2.0, 5.0, 10.0].into_iter().find(|whole| whole * power >= rough);
+    let whole = [1.0, 2.0, 5.0, 10.0]
+        .into_iter()
+        .find(|whole| whole * power >= rough);
     whole.unwrap_or(10.0) * power
 }
 
 fn plot(record: &Record, judgement: &Judgement) -> String {
     let line = Timeline::of(record);
     let per_second = 1000.0 / STRETCH;
-    let tallest = line.asked.iter().copied().chain(line.kinds.iter().map(|kinds| kinds.iter().sum()));
+    let tallest = line
+        .asked
+        .iter()
+        .copied()
+        .chain(line.kinds.iter().map(|kinds| kinds.iter().sum()));
     let tallest = tallest.fold(1.0, f64::max) * per_second;
     let bands = line.bands.len() as f64 * (BAND + 2.0);
-    let margins: Vec<&Ruling> = judgement.rules.iter().filter(|rule| !rule.margins.is_empty()).collect();
+    let margins: Vec<&Ruling> = judgement
+        .rules
+        .iter()
+        .filter(|rule| !rule.margins.is_empty())
+        .collect();
     let below = 12.0 + TRAFFIC + 26.0;
     let height = below + bands + 8.0 + margins.len() as f64 * (MARGIN + 30.0);
-    let mut svg = format!("<svg viewBox=\"0 0 {WIDTH} {height:.0}\" role=\"img\" aria-label=\"timeline\">");
+    let mut svg =
+        format!("<svg viewBox=\"0 0 {WIDTH} {height:.0}\" role=\"img\" aria-label=\"timeline\">");
     // A string takes any text; the errors are those of a writer that can fail.
     let y = |rate: f64| 12.0 + TRAFFIC * (1.0 - rate / tallest);
     let grid = step(tallest, 4.0);
@@ -181,8 +209,11 @@
         let (x, top) = (line.x(*from), below + at as f64 * (BAND + 2.0));
         let wide = (line.x(*to) - x).max(3.0);
         // A name that finds no room behind its band stands before it.
-        let (text_x, anchor) =
-            if x + wide > WIDTH * 0.72 { (x - 5.0, "end") } else { (x + wide + 5.0, "start") };
+        let (text_x, anchor) = if x + wide > WIDTH * 0.72 {
+            (x - 5.0, "end")
+        } else {
+            (x + wide + 5.0, "start")
+        };
         let _ = write!(
             svg,
             "<rect x=\"{x:.1}\" y=\"{top:.1}\" width=\"{wide:.1}\" height=\"{BAND}\" rx=\"2\" fill=\"#b9c4d6\"/>\
@@ -201,8 +232,17 @@
 
 /// One rule's margin: the least of each stretch, from nought, where the rule breaks, up.
 fn margin(svg: &mut String, line: &Timeline, ruling: &Ruling, top: f64) {
-    let most = ruling.margins.iter().map(|(_, margin)| *margin).fold(f64::MIN, f64::max).max(1e-9);
-    let least = ruling.margins.iter().map(|(_, margin)| *margin).fold(0.0, f64::min);
+    let most = ruling
+        .margins
+        .iter()
+        .map(|(_, margin)| *margin)
+        .fold(f64::MIN, f64::max)
+        .max(1e-9);
+    let least = ruling
+        .margins
+        .iter()
+        .map(|(_, margin)| *margin)
+        .fold(0.0, f64::min);
     let y = |margin: f64| top + MARGIN * (1.0 - (margin - least) / (most - least));
     let nought = y(0.0);
     let _ = write!(
@@ -239,7 +279,10 @@
     let (class, said) = match (&judgement.void, judgement.broken()) {
         (_, true) => ("broken", "a rule was broken".to_owned()),
         (Some(void), _) => ("none", format!("void: {}", escape(void))),
-        (None, false) => ("kept", "every rule that was put to the test held".to_owned()),
+        (None, false) => (
+            "kept",
+            "every rule that was put to the test held".to_owned(),
+        ),
     };
     let mut page = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name} (seed {seed})</title>\
@@ -252,7 +295,9 @@
     );
     for ruling in &judgement.rules {
         let (class, word) = word(ruling.verdict);
-        let margin = ruling.margin.map(|least| format!("{least:.2} {}", escape(ruling.margin_unit)));
+        let margin = ruling
+            .margin
+            .map(|least| format!("{least:.2} {}", escape(ruling.margin_unit)));
         let _ = write!(
             page,
             "<tr><td>{} {}<td class=\"{class}\">{word}<td class=n>{}<td>{}<td>{}</tr>",
@@ -286,20 +331,42 @@
         page.push_str("</table>");
     }
     page.push_str("<h2>Timeline</h2><p>");
-    let _ = write!(page, "<span style=\"color:#14304f\">&#9473;</span> tries asked &nbsp;");
+    let _ = write!(
+        page,
+        "<span style=\"color:#14304f\">&#9473;</span> tries asked &nbsp;"
+    );
     for (kind, colour) in KINDS {
-        let _ = write!(page, "<span style=\"color:{colour}\">&#9632;</span> {kind} &nbsp;");
+        let _ = write!(
+            page,
+            "<span style=\"color:{colour}\">&#9632;</span> {kind} &nbsp;"
+        );
     }
-    let _ = write!(page, "(a bar is {STRETCH} ms; failures as bands below; margins last)</p>");
+    let _ = write!(
+        page,
+        "(a bar is {STRETCH} ms; failures as bands below; margins last)</p>"
+    );
     page.push_str(&plot(record, judgement));
     page.push_str("<h2>Figures</h2><table>");
-    let failed: Vec<String> = figures.failed.iter().map(|(status, n)| format!("{n} x {status}")).collect();
-    let plans: Vec<String> =
-        figures.worth_by_plan.iter().map(|(plan, share)| format!("{} {share:.3}", escape(plan))).collect();
+    let failed: Vec<String> = figures
+        .failed
+        .iter()
+        .map(|(status, n)| format!("{n} x {status}"))
+        .collect();
+    let plans: Vec<String> = figures
+        .worth_by_plan
+        .iter()
+        .map(|(plan, share)| format!("{} {share:.3}", escape(plan)))
+        .collect();
     let times = figures.times;
     let rows = [
-        ("worth served in time, inside quotas", format!("{:.3} ({})", figures.worth_share, plans.join(", "))),
-        ("requests, tries", format!("{}, {}", figures.requests, figures.tries)),
+        (
+            "worth served in time, inside quotas",
+            format!("{:.3} ({})", figures.worth_share, plans.join(", ")),
+        ),
+        (
+            "requests, tries",
+            format!("{}, {}", figures.requests, figures.tries),
+        ),
         ("served", figures.served.to_string()),
         (
             "refused, with and without a word on when to come back",
@@ -308,7 +375,10 @@
         ("failed", failed.join(", ")),
         (
             "not taken; closed with nothing sent on; no whole answer",
-            format!("{}; {}; {}", figures.not_taken, figures.closed_unsent, figures.unanswered),
+            format!(
+                "{}; {}; {}",
+                figures.not_taken, figures.closed_unsent, figures.unanswered
+            ),
         ),
         (
             "time to a served answer, ms",
@@ -317,10 +387,22 @@
                 times.p50_ms, times.p90_ms, times.p99_ms, times.most_ms
             ),
         ),
-        ("attempts for each request sent on", format!("{:.3}", figures.attempts_per_sent)),
-        ("CPU of the front doors for each try", format!("{:.0} us", figures.cpu_us_per_try)),
-        ("most memory of a front door", format!("{} KiB", figures.memory_kib)),
-        ("bad clients, of them neglected", format!("{}, {}", figures.rude, figures.rude_neglected)),
+        (
+            "attempts for each request sent on",
+            format!("{:.3}", figures.attempts_per_sent),
+        ),
+        (
+            "CPU of the front doors for each try",
+            format!("{:.0} us", figures.cpu_us_per_try),
+        ),
+        (
+            "most memory of a front door",
+            format!("{} KiB", figures.memory_kib),
+        ),
+        (
+            "bad clients, of them neglected",
+            format!("{}, {}", figures.rude, figures.rude_neglected),
+        ),
         (
             "the stand-ins' own lateness, ms",
             format!(
@@ -353,10 +435,23 @@
             plans: Vec::new(),
             rules,
         };
-        let failure = |at, begins| Line { at, entry: Entry::Failure { name: "a & b".into(), begins } };
-        let record = Record { header, lines: vec![failure(5.0, true), failure(900.0, false)] };
+        let failure = |at, begins| Line {
+            at,
+            entry: Entry::Failure {
+                name: "a & b".into(),
+                begins,
+            },
+        };
+        let record = Record {
+            header,
+            lines: vec![failure(5.0, true), failure(900.0, false)],
+        };
         let page = page(&record, &maplefall_invariants::judge(&record));
-        assert!(page.contains("&lt;b&gt;x&lt;/b&gt;") && page.contains("a &amp; b") && !page.contains("<b>"));
+        assert!(
+            page.contains("&lt;b&gt;x&lt;/b&gt;")
+                && page.contains("a &amp; b")
+                && !page.contains("<b>")
+        );
         for outside in ["http://", "https://", "src=", "@import", "url("] {
             assert!(!page.contains(outside), "{outside}");
         }
@@ -364,6 +459,9 @@
 
     #[test]
     fn steps_are_round() {
-        assert_eq!([step(100.0, 4.0), step(23.0, 10.0), step(0.7, 4.0)], [50.0, 5.0, 0.2]);
+        assert_eq!(
+            [step(100.0, 4.0), step(23.0, 10.0), step(0.7, 4.0)],
+            [50.0, 5.0, 0.2]
+        );
     }
 }
--- a/crates/rehearsal/src/library.rs
+++ b/crates/rehearsal/src/library.rs
@@ -48,13 +48,34 @@
 
 /// Long ones that measure, and are no part of `all`.
 const MEASURING: &[(&str, &str)] = &[
-    ("drains-etcd", include_str!("../../../rehearsals/measure/drains-etcd.toml")),
-    ("drains-etcd-cut", include_str!("../../../rehearsals/measure/drains-etcd-cut.toml")),
-    ("drains-agent", include_str!("../../../rehearsals/measure/drains-agent.toml")),
-    ("auth-hole", include_str!("../../../rehearsals/measure/auth-hole.toml")),
-    ("auth-hole-unbroken", include_str!("../../../rehearsals/measure/auth-hole-unbroken.toml")),
-    ("noise", include_str!("../../../rehearsals/measure/noise.toml")),
-    ("noise-without", include_str!("../../../rehearsals/measure/noise-without.toml")),
+    (
+        "drains-etcd",
+        include_str!("../../../rehearsals/measure/drains-etcd.toml"),
+    ),
+    (
+        "drains-etcd-cut",
+        include_str!("../../../rehearsals/measure/drains-etcd-cut.toml"),
+    ),
+    (
+        "drains-agent",
+        include_str!("../../../rehearsals/measure/drains-agent.toml"),
+    ),
+    (
+        "auth-hole",
+        include_str!("../../../rehearsals/measure/auth-hole.toml"),
+    ),
+    (
+        "auth-hole-unbroken",
+        include_str!("../../../rehearsals/measure/auth-hole-unbroken.toml"),
+    ),
+    (
+        "noise",
+        include_str!("../../../rehearsals/measure/noise.toml"),
+    ),
+    (
+        "noise-without",
+        include_str!("../../../rehearsals/measure/noise-without.toml"),
+    ),
 ];
 
 /// Why there is no such scenario.
@@ -87,7 +108,11 @@
 }
 
 fn list(mistakes: &[Mistake]) -> String {
-    mistakes.iter().map(|mistake| format!("  {mistake}")).collect::<Vec<_>>().join("\n")
+    mistakes
+        .iter()
+        .map(|mistake| format!("  {mistake}"))
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
 /// A shipped scenario by its name, or one in a file by its path.
@@ -95,18 +120,29 @@
 /// # Errors
 /// Why there is none.
 pub fn find(name: &str) -> Result<Scenario, NoScenario> {
-    let shipped = SHIPPED.iter().chain(MEASURING).find(|(known, _)| *known == name);
+    let shipped = SHIPPED
+        .iter()
+        .chain(MEASURING)
+        .find(|(known, _)| *known == name);
     let (name, text) = match shipped {
         Some((name, text)) => ((*name).to_owned(), (*text).to_owned()),
         None if name.ends_with(".toml") => {
-            let unreadable = |error| NoScenario::Unreadable { path: name.to_owned(), error };
+            let unreadable = |error| NoScenario::Unreadable {
+                path: name.to_owned(),
+                error,
+            };
             let text = std::fs::read_to_string(name).map_err(unreadable)?;
-            let stem = Path::new(name).file_stem().map_or(name.into(), |stem| stem.to_string_lossy());
+            let stem = Path::new(name)
+                .file_stem()
+                .map_or(name.into(), |stem| stem.to_string_lossy());
             (stem.into_owned(), text)
         }
         None => {
             let known: Vec<&str> = SHIPPED.iter().map(|(name, _)| *name).collect();
-            return Err(NoScenario::Unknown { name: name.to_owned(), known: known.join(", ") });
+            return Err(NoScenario::Unknown {
+                name: name.to_owned(),
+                known: known.join(", "),
+            });
         }
     };
     Scenario::read(&name, &text).map_err(|mistakes| NoScenario::Mistakes { name, mistakes })
@@ -120,7 +156,10 @@
     fn every_shipped_scenario_can_be_read_and_is_listed() {
         for (name, _) in SHIPPED.iter().chain(MEASURING) {
             let scenario = find(name).unwrap_or_else(|error| panic!("{error}"));
-            assert!(!scenario.title.is_empty() && scenario.seconds <= 120.0, "{name}");
+            assert!(
+                !scenario.title.is_empty() && scenario.seconds <= 120.0,
+                "{name}"
+            );
         }
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals");
         let files = std::fs::read_dir(folder).unwrap().filter_map(|file| {
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -18,8 +18,8 @@
 
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use maplefall_invariants::{Judgement, Verdict};
 use maplefall_event_trace::Record;
+use maplefall_invariants::{Judgement, Verdict};
 use play::Play;
 use prove::{Proof, PROOFS};
 use scenario::Scenario;
@@ -191,25 +191,74 @@
 fn main() -> ExitCode {
     let ended = match Arguments::parse().command {
         Command::List => list(),
-        Command::Run { scenario, options, seed, json, record, html, breakage } => {
+        Command::Run {
+            scenario,
+            options,
+            seed,
+            json,
+            record,
+            html,
+            breakage,
+        } => {
             let files = Files { json, record, html };
             run(&scenario, &options, seed, &files, breakage.as_deref())
         }
-        Command::All { options, seed, seeds, only, jobs } => all(&options, seed, seeds, &only, jobs),
-        Command::Prove { options, broken, only, seed, jobs } => {
-            prove(&options, broken.as_deref(), &only, seed, jobs)
-        }
-        Command::Members { teller, doors, nodes, rate, seconds, options } => {
-            membered(members::Load { teller, doors, nodes, rate, seconds }, &options)
-        }
-        Command::Etcd { listen, user, notices } => played_etcd(listen, user.as_deref(), notices),
-        Command::Drains { scenarios, options, seed } => drained(&scenarios, &options, seed),
+        Command::All {
+            options,
+            seed,
+            seeds,
+            only,
+            jobs,
+        } => all(&options, seed, seeds, &only, jobs),
+        Command::Prove {
+            options,
+            broken,
+            only,
+            seed,
+            jobs,
+        } => prove(&options, broken.as_deref(), &only, seed, jobs),
+        Command::Members {
+            teller,
+            doors,
+            nodes,
+            rate,
+            seconds,
+            options,
+        } => membered(
+            members::Load {
+                teller,
+                doors,
+                nodes,
+                rate,
+                seconds,
+            },
+            &options,
+        ),
+        Command::Etcd {
+            listen,
+            user,
+            notices,
+        } => played_etcd(listen, user.as_deref(), notices),
+        Command::Drains {
+            scenarios,
+            options,
+            seed,
+        } => drained(&scenarios, &options, seed),
         Command::Carry { seconds } => carried(seconds),
-        Command::Judge { record, json, html } => judge_again(&record, &Files { json, record: None, html }),
-        Command::Script { scenario, seed } => library::find(&scenario).map_err(plainly).map(|scenario| {
-            print!("{}", script::draw(&scenario, seed).to_text());
-            Ended::Held
-        }),
+        Command::Judge { record, json, html } => judge_again(
+            &record,
+            &Files {
+                json,
+                record: None,
+                html,
+            },
+        ),
+        Command::Script { scenario, seed } => {
+            library::find(&scenario).map_err(plainly).map(|scenario| {
+                print!("{}", script::draw(&scenario, seed).to_text());
+                Ended::Held
+            })
+        }
     };
     match ended {
         Ok(Ended::Held) => ExitCode::SUCCESS,
@@ -262,7 +311,14 @@
     bar.set_prefix(scenario.name.clone());
     bar.enable_steady_tick(Duration::from_millis(250));
     let progress = |at: f64| bar.set_position(at as u64);
-    let play = Play { scenario, script: &script, daemon, breakage, folder, progress: &progress };
+    let play = Play {
+        scenario,
+        script: &script,
+        daemon,
+        breakage,
+        folder,
+        progress: &progress,
+    };
     let record = play.play().map_err(plainly);
     bar.finish_and_clear();
     record
@@ -275,7 +331,8 @@
 /// That less was served than the scenario asks for.
 fn too_little(judgement: &Judgement, scenario: &Scenario) -> Option<String> {
     let (served, least) = (judgement.figures.worth_share, scenario.least_worth);
-    (served < least).then(|| format!("worth {served:.3} was served, {least} at least was asked for"))
+    (served < least)
+        .then(|| format!("worth {served:.3} was served, {least} at least was asked for"))
 }
 
 /// What the judgement of a scenario's run comes to.
@@ -292,7 +349,9 @@
     }
     match judgement.untested(&scenario.strains)[..] {
         [] => Ok(Ended::Held),
-        ref rules => Err(format!("the run never put to the test what it is for: rules {rules:?}")),
+        ref rules => Err(format!(
+            "the run never put to the test what it is for: rules {rules:?}"
+        )),
     }
 }
 
@@ -317,7 +376,14 @@
 fn membered(load: members::Load, options: &Options) -> Result<Ended, String> {
     let daemon = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
     let cost = members::play(&daemon, &folder(options, "members", 1), load).map_err(plainly)?;
-    let members::Cost { ready_ms, ready_cpu_ms, ready_kib, cpu_ms, changes, end_kib } = cost;
+    let members::Cost {
+        ready_ms,
+        ready_cpu_ms,
+        ready_kib,
+        cpu_ms,
+        changes,
+        end_kib,
+    } = cost;
     println!(
         "{} nodes: ready after {ready_ms:.0} ms, {ready_cpu_ms:.0} ms of CPU, {ready_kib} KiB",
         load.nodes
@@ -343,12 +409,17 @@
         ));
     }
     let listener = std::net::TcpListener::bind(listen).map_err(plainly)?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build().map_err(plainly)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()
+        .map_err(plainly)?;
     runtime.block_on(async move {
         let etcd = Etcd::new(Store::new(1), |_| {});
         if let Some(user) = user {
-            let (name, password) = user.split_once(':').ok_or("--user: NAME:PASSWORD was expected")?;
+            let (name, password) = user
+                .split_once(':')
+                .ok_or("--user: NAME:PASSWORD was expected")?;
             etcd.only(name, password);
         }
         let member = etcd.member(1, listener).map_err(plainly)?;
@@ -376,7 +447,13 @@
         let scenario = library::find(name).map_err(plainly)?;
         let record = play(&scenario, seed, &daemon, None, folder(options, name, seed))?;
         let judgement = maplefall_invariants::judge(&record);
-        println!("{}", drains::row(name, &maplefall_invariants::drain_times::drain_times(&record)));
+        println!(
+            "{}",
+            drains::row(
+                name,
+                &maplefall_invariants::drain_times::drain_times(&record)
+            )
+        );
         let times = &judgement.figures.times;
         println!(
             "{:18}answers p50 {:.0} p99 {:.0} ms; stand-ins late by {:.1} ms at p99; rules 1-6 {}",
@@ -409,7 +486,10 @@
     };
     let mut done: Vec<(usize, R)> = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..jobs.max(1)).map(|_| scope.spawn(worker)).collect();
-        workers.into_iter().flat_map(|worker| worker.join().unwrap_or_default()).collect()
+        workers
+            .into_iter()
+            .flat_map(|worker| worker.join().unwrap_or_default())
+            .collect()
     });
     done.sort_by_key(|(at, _)| *at);
     done.into_iter().map(|(_, result)| result).collect()
@@ -425,16 +505,31 @@
     judgement.rules.iter().map(letter).collect()
 }
 
-fn all(options: &Options, seed: u64, seeds: u64, only: &[String], jobs: usize) -> Result<Ended, String> {
+fn all(
+    options: &Options,
+    seed: u64,
+    seeds: u64,
+    only: &[String],
+    jobs: usize,
+) -> Result<Ended, String> {
     let daemon = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
-    if let Some(name) = only.iter().find(|name| !library::SHIPPED.iter().any(|(known, _)| known == name)) {
-        return Err(library::find(name).map_err(plainly).map_or_else(|error| error, |_| name.clone()));
+    if let Some(name) = only
+        .iter()
+        .find(|name| !library::SHIPPED.iter().any(|(known, _)| known == name))
+    {
+        return Err(library::find(name)
+            .map_err(plainly)
+            .map_or_else(|error| error, |_| name.clone()));
     }
     let names = library::SHIPPED.iter().map(|(name, _)| *name);
     let wanted = names.filter(|name| only.is_empty() || only.iter().any(|only| only == name));
-    let runs: Vec<(&str, u64)> =
-        wanted.flat_map(|name| (seed..seed.saturating_add(seeds)).map(move |seed| (name, seed))).collect();
-    println!("{:<12} {:>5} rules 1-6  worth  p99 ms  late p99  wall s", "scenario", "seed");
+    let runs: Vec<(&str, u64)> = wanted
+        .flat_map(|name| (seed..seed.saturating_add(seeds)).map(move |seed| (name, seed)))
+        .collect();
+    println!(
+        "{:<12} {:>5} rules 1-6  worth  p99 ms  late p99  wall s",
+        "scenario", "seed"
+    );
     let ends = side_by_side(jobs, &runs, |(name, seed)| {
         let begun = Instant::now();
         let played = library::find(name).map_err(plainly).and_then(|scenario| {
@@ -448,7 +543,11 @@
         match played {
             Ok((judgement, end)) => {
                 let figures = &judgement.figures;
-                let note = end.as_ref().err().map(|error| format!("  {error}")).unwrap_or_default();
+                let note = end
+                    .as_ref()
+                    .err()
+                    .map(|error| format!("  {error}"))
+                    .unwrap_or_default();
                 println!(
                     "{name:<12} {seed:>5} {:<10} {:>5.3} {:>7.0} {:>9.2} {wall:>7.1}{note}",
                     letters(&judgement),
@@ -456,9 +555,16 @@
                     figures.times.p99_ms,
                     figures.late_p99_ms,
                 );
-                for ruling in judgement.rules.iter().filter(|ruling| ruling.verdict == Verdict::Broken) {
+                for ruling in judgement
+                    .rules
+                    .iter()
+                    .filter(|ruling| ruling.verdict == Verdict::Broken)
+                {
                     for finding in ruling.findings.iter().take(2) {
-                        println!("    rule {}: {:.1} ms {}", ruling.rule, finding.at, finding.text);
+                        println!(
+                            "    rule {}: {:.1} ms {}",
+                            ruling.rule, finding.at, finding.text
+                        );
                     }
                 }
                 end
@@ -469,13 +575,19 @@
             }
         }
     });
-    let broken = ends.iter().filter(|end| matches!(end, Ok(Ended::Broken))).count();
+    let broken = ends
+        .iter()
+        .filter(|end| matches!(end, Ok(Ended::Broken)))
+        .count();
     let other = ends.iter().filter(|end| end.is_err()).count();
     let held = ends.len() - broken - other;
     println!("{held} held, {broken} broke a rule, {other} void or not played");
     match (broken, other) {
         (0, 0) => Ok(Ended::Held),
-        (0, other) => Err(format!("{other} of {} runs were void or not played", ends.len())),
+        (0, other) => Err(format!(
+            "{other} of {} runs were void or not played",
+            ends.len()
+        )),
         _ => Ok(Ended::Broken),
     }
 }
@@ -491,9 +603,15 @@
     let broken = find::broken_daemon(broken).map_err(plainly)?;
     let wanted = |proof: &&Proof| only.is_empty() || only.iter().any(|name| name == proof.breakage);
     let proofs: Vec<Proof> = PROOFS.iter().filter(wanted).copied().collect();
-    if let Some(name) = only.iter().find(|name| !PROOFS.iter().any(|proof| proof.breakage == **name)) {
+    if let Some(name) = only
+        .iter()
+        .find(|name| !PROOFS.iter().any(|proof| proof.breakage == **name))
+    {
         let known: Vec<&str> = PROOFS.iter().map(|proof| proof.breakage).collect();
-        return Err(format!("no breakage is called {name:?}; there are {}", known.join(", ")));
+        return Err(format!(
+            "no breakage is called {name:?}; there are {}",
+            known.join(", ")
+        ));
     }
     let mut scenarios: Vec<&str> = proofs.iter().map(|proof| proof.scenario).collect();
     scenarios.sort_unstable();
@@ -501,15 +619,27 @@
     // The whole daemon in each scenario, then each breakage.
     let mut runs: Vec<(&str, Option<Proof>)> = scenarios.iter().map(|name| (*name, None)).collect();
     runs.extend(proofs.iter().map(|proof| (proof.scenario, Some(*proof))));
-    println!("{:<18} {:<11} rules 1-6  by rule  found", "breakage", "scenario");
+    println!(
+        "{:<18} {:<11} rules 1-6  by rule  found",
+        "breakage", "scenario"
+    );
     let ends = side_by_side(jobs, &runs, |(name, proof)| {
         let scenario = library::find(name).map_err(plainly)?;
         let breakage = proof.map(|proof| proof.breakage);
         let daemon = if breakage.is_some() { &broken } else { &whole };
-        let folder = folder(options, &format!("{name}-{}", breakage.unwrap_or("whole")), seed);
-        let judgement = maplefall_invariants::judge(&play(&scenario, seed, daemon, breakage, folder)?);
-        let found: Vec<u32> =
-            judgement.rules.iter().filter(|r| r.verdict == Verdict::Broken).map(|r| r.rule).collect();
+        let folder = folder(
+            options,
+            &format!("{name}-{}", breakage.unwrap_or("whole")),
+            seed,
+        );
+        let judgement =
+            maplefall_invariants::judge(&play(&scenario, seed, daemon, breakage, folder)?);
+        let found: Vec<u32> = judgement
+            .rules
+            .iter()
+            .filter(|r| r.verdict == Verdict::Broken)
+            .map(|r| r.rule)
+            .collect();
         let little = too_little(&judgement, &scenario);
         let good = judgement.void.is_none()
             && match proof {
@@ -522,7 +652,8 @@
             rule => rule.to_string(),
         });
         let first = proof.and_then(|proof| judgement.rules.iter().find(|r| r.rule == proof.rule));
-        let first = first.and_then(|ruling| ruling.findings.first().map(|finding| finding.text.clone()));
+        let first =
+            first.and_then(|ruling| ruling.findings.first().map(|finding| finding.text.clone()));
         let first = first.or(little);
         println!(
             "{:<18} {name:<11} {:<10} {by:<8} {}  {}{}",
@@ -530,11 +661,23 @@
             letters(&judgement),
             if good { "yes" } else { "NO" },
             first.unwrap_or_default(),
-            judgement.void.as_ref().map(|void| format!("  VOID: {void}")).unwrap_or_default(),
+            judgement
+                .void
+                .as_ref()
+                .map(|void| format!("  VOID: {void}"))
+                .unwrap_or_default(),
         );
         if proof.is_none() {
-            for finding in judgement.rules.iter().flat_map(|ruling| &ruling.findings).take(3) {
-                println!("    {:.1} ms {} {}", finding.at, finding.request, finding.text);
+            for finding in judgement
+                .rules
+                .iter()
+                .flat_map(|ruling| &ruling.findings)
+                .take(3)
+            {
+                println!(
+                    "    {:.1} ms {} {}",
+                    finding.at, finding.request, finding.text
+                );
             }
         }
         match &judgement.void {
@@ -560,7 +703,10 @@
 fn told(record: &Record, judgement: &Judgement, files: &Files) -> Result<(), String> {
     print!("{}", report::text(judgement));
     if let Some(path) = &files.json {
-        write(path, &serde_json::to_string_pretty(judgement).map_err(plainly)?)?;
+        write(
+            path,
+            &serde_json::to_string_pretty(judgement).map_err(plainly)?,
+        )?;
     }
     if let Some(path) = &files.record {
         write(path, &record.to_text().map_err(plainly)?)?;
@@ -572,15 +718,23 @@
 }
 
 fn carried(seconds: f64) -> Result<Ended, String> {
-    println!("{:>6} {:>8} {:>8} {:>12} {:>12}", "a sec.", "due", "served", "late p99 ms", "late most ms");
-    for rate in [500.0, 1000.0, 2000.0, 4000.0, 6000.0, 8000.0, 12_000.0, 16_000.0, 24_000.0] {
+    println!(
+        "{:>6} {:>8} {:>8} {:>12} {:>12}",
+        "a sec.", "due", "served", "late p99 ms", "late most ms"
+    );
+    for rate in [
+        500.0, 1000.0, 2000.0, 4000.0, 6000.0, 8000.0, 12_000.0, 16_000.0, 24_000.0,
+    ] {
         let one = carry::measure(rate, seconds.clamp(0.5, 60.0)).map_err(plainly)?;
         println!(
             "{:>6.0} {:>8} {:>8} {:>12.2} {:>12.1}",
             one.rate, one.asked, one.served, one.p99_ms, one.most_ms
         );
         if !one.good() {
-            println!("carried up to the rate before, late by at most {} ms at p99", carry::CARRIED_MS);
+            println!(
+                "carried up to the rate before, late by at most {} ms at p99",
+                carry::CARRIED_MS
+            );
             break;
         }
     }
@@ -588,8 +742,10 @@
 }
 
 fn judge_again(path: &Path, files: &Files) -> Result<Ended, String> {
-    let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    let record = Record::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+    let record =
+        Record::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))?;
     let judgement = maplefall_invariants::judge(&record);
     told(&record, &judgement, files)?;
     match &judgement.void {
--- a/crates/rehearsal/src/members.rs
+++ b/crates/rehearsal/src/members.rs
@@ -6,8 +6,8 @@
 use crate::scenario::Scenario;
 use crate::{script, settings};
 use maplefall_etcd_wire::PutRequest;
-use maplefall_protocol::{Health, Member};
 use maplefall_event_trace::{Millis, Recorder};
+use maplefall_protocol::{Health, Member};
 use maplefall_test_servers::agent::{self, Agent, List};
 use maplefall_test_servers::etcd::store::Store;
 use maplefall_test_servers::etcd::Etcd;
@@ -73,11 +73,19 @@
 fn put(node: u32, draining: bool) -> PutRequest {
     let value = document(address(node), draining, BORN).to_string();
     let key = format!("{}/members/node-{node}", settings::prefix(0)).into_bytes();
-    PutRequest { key, value: value.into_bytes(), ..PutRequest::default() }
+    PutRequest {
+        key,
+        value: value.into_bytes(),
+        ..PutRequest::default()
+    }
 }
 
 fn member(node: u32, draining: bool) -> Member {
-    let health = if draining { Health::Draining } else { Health::Up };
+    let health = if draining {
+        Health::Draining
+    } else {
+        Health::Up
+    };
     Member {
         host: agent::host(node),
         dial: address(node),
@@ -101,12 +109,16 @@
 /// What the system says, or that the daemon did not become ready.
 pub fn play(daemon: &Path, folder: &Path, load: Load) -> io::Result<Cost> {
     std::fs::create_dir_all(folder)?;
-    let sources = if load.teller == Teller::Etcd { "etcd" } else { "agent" };
+    let sources = if load.teller == Teller::Etcd {
+        "etcd"
+    } else {
+        "agent"
+    };
     let text = format!(
         "version = 1\ntitle = \"members\"\nseconds = 2\n[fleet]\ndoors = 1\nsources = \"{sources}\"\n"
     );
-    let scenario =
-        Scenario::read("members", &text).map_err(|_| io::Error::other("the scenario of this command"))?;
+    let scenario = Scenario::read("members", &text)
+        .map_err(|_| io::Error::other("the scenario of this command"))?;
     let drawn = script::draw(&scenario, 1);
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let told_at = listener.local_addr()?;
@@ -122,7 +134,10 @@
     let mut config = settings::config(&scenario, &drawn, 0, listen, told_at, known.as_ref(), 1);
     config["settings"]["fleet_size"] = load.doors.into();
     files.write(&config.to_string())?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()?;
     let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
     let played = |change: &Change<'_>| measure(daemon, &files, listen, told_at, change, load);
     let early = |_| Err(io::Error::other("whoever tells of the nodes ended early"));
@@ -130,13 +145,16 @@
         Teller::Etcd => {
             let mut store = Store::new(7);
             for node in 0..load.nodes {
-                store.put(&put(node, false)).map_err(|refused| io::Error::other(refused.0))?;
+                store
+                    .put(&put(node, false))
+                    .map_err(|refused| io::Error::other(refused.0))?;
             }
             let etcd = Etcd::new(store, |_| {});
             let started = etcd.clone();
             let change = |node, draining| {
                 let put = put(node, draining);
-                etcd.with(|store| store.put(&put).map(drop)).map_err(|refused| io::Error::other(refused.0))
+                etcd.with(|store| store.put(&put).map(drop))
+                    .map_err(|refused| io::Error::other(refused.0))
             };
             std::thread::scope(|scope| {
                 let serving = scope.spawn(move || {
@@ -155,7 +173,10 @@
         }
         Teller::Agent => {
             let (say, mut said) = tokio::sync::mpsc::channel::<Member>(WAITING);
-            let change = |node, draining| say.blocking_send(member(node, draining)).map_err(io::Error::other);
+            let change = |node, draining| {
+                say.blocking_send(member(node, draining))
+                    .map_err(io::Error::other)
+            };
             listener.set_nonblocking(true)?;
             std::thread::scope(|scope| {
                 let serving = scope.spawn(move || {
@@ -196,7 +217,10 @@
     let mut door = Door::start(daemon, files, 0, listen, discovery, None)?;
     while !healthy(listen) {
         if begun.elapsed() > Duration::from_secs(20) || door.ended().is_some() {
-            return Err(io::Error::other(format!("the daemon is not ready: {}", files.last_line())));
+            return Err(io::Error::other(format!(
+                "the daemon is not ready: {}",
+                files.last_line()
+            )));
         }
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -219,5 +243,12 @@
     std::thread::sleep(Duration::from_millis(500));
     let (cpu_ms, end_kib) = door.used();
     door.terminate();
-    Ok(Cost { ready_ms, ready_cpu_ms, ready_kib, cpu_ms: cpu_ms - ready_cpu_ms, changes, end_kib })
+    Ok(Cost {
+        ready_ms,
+        ready_cpu_ms,
+        ready_kib,
+        cpu_ms: cpu_ms - ready_cpu_ms,
+        changes,
+        end_kib,
+    })
 }
