--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -6,12 +6,14 @@
 use crate::scenario::{AuthTrouble, Scenario, Sharing, Sources, Strike};
 use crate::script::{DoorAct, Script, WorldAct};
 use crate::settings;
-use maplefall_protocol::{Health, Member, Members};
 use maplefall_event_trace as record;
 use maplefall_event_trace::{DoorState, Entry, Millis, Record, Recorder};
+use maplefall_protocol::{Health, Member, Members};
 use maplefall_test_servers::agent::{self, Agent, List};
 use maplefall_test_servers::auth::{self, Auth};
-use maplefall_test_servers::client::{credential, Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
+use maplefall_test_servers::client::{
+    credential, Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind,
+};
 use maplefall_test_servers::lateness::Lateness;
 use maplefall_test_servers::node::{
     Deployment, Fault, Metering, Node, Overload, Place, Seats, Spec, Trouble, Work, World,
@@ -71,7 +73,12 @@
 /// What the network does to counts, with these pairs cut off from one another.
 fn weather(sharing: &Sharing, cut: &[(usize, usize)]) -> Weather {
     let delay_ms = (sharing.delay_ms[0], sharing.delay_ms[1]);
-    Weather { loss: sharing.loss, doubled: sharing.loss / 3.0, delay_ms, cut: cut.iter().copied().collect() }
+    Weather {
+        loss: sharing.loss,
+        doubled: sharing.loss / 3.0,
+        delay_ms,
+        cut: cut.iter().copied().collect(),
+    }
 }
 
 fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> NotPlayed {
@@ -120,7 +127,9 @@
             .map_err(io_error(format!("the folder {}", self.folder.display())))?;
         let recorder = Recorder::new();
         let lateness = Lateness::default();
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let unix_start = unix.as_secs_f64() * 1000.0 - recorder.now();
         let doors = scenario.doors as usize;
         let etcd = scenario.sources != Sources::Agent;
@@ -138,12 +147,14 @@
         for _ in 0..scenario.checks.as_ref().map_or(0, |checks| checks.servers) {
             auth_at.push(port().map_err(io_error("a listener for authentication"))?);
         }
-        let auth_addresses: Vec<SocketAddr> =
-            auth_at.iter().filter_map(|listener| listener.local_addr().ok()).collect();
+        let auth_addresses: Vec<SocketAddr> = auth_at
+            .iter()
+            .filter_map(|listener| listener.local_addr().ok())
+            .collect();
         let relay = match &scenario.sharing {
             Some(sharing) => {
-                let relay =
-                    Relay::new(doors, script.header.seed).map_err(io_error("a network for counts"))?;
+                let relay = Relay::new(doors, script.header.seed)
+                    .map_err(io_error("a network for counts"))?;
                 relay.play(weather(sharing, &[]));
                 Some(relay)
             }
@@ -155,11 +166,16 @@
                 listener.set_nonblocking(true)?;
                 Ok(listener)
             });
-            let [first, second] = two.map(|listener| listener.map_err(io_error("listeners for agents")));
+            let [first, second] =
+                two.map(|listener| listener.map_err(io_error("listeners for agents")));
             let (first, second) = (first?, second?);
-            let local =
-                |listener: &TcpListener| listener.local_addr().map_err(io_error("the address of an agent"));
-            let member = |node: u32| member(places[node as usize].address(door), node, Health::Up, 0.0);
+            let local = |listener: &TcpListener| {
+                listener
+                    .local_addr()
+                    .map_err(io_error("the address of an agent"))
+            };
+            let member =
+                |node: u32| member(places[node as usize].address(door), node, Health::Up, 0.0);
             let list = List::new((0..scenario.nodes).map(member));
             let mut files = Files::new(&self.folder, door);
             if etcd {
@@ -173,7 +189,8 @@
             }
             if let Some(text) = settings::forward_auth(scenario, &auth_addresses) {
                 let path = self.folder.join(format!("door-{door}-auth.toml"));
-                std::fs::write(&path, text).map_err(io_error("a file of forward authentication"))?;
+                std::fs::write(&path, text)
+                    .map_err(io_error("a file of forward authentication"))?;
                 files.forward_auth = Some(path);
             }
             let listen = own_address(std::process::id(), play, door);
@@ -225,7 +242,8 @@
                 })
             };
             let clients = {
-                let (recorder, lateness, board) = (recorder.clone(), lateness.clone(), board.clone());
+                let (recorder, lateness, board) =
+                    (recorder.clone(), lateness.clone(), board.clone());
                 scope.spawn(move || {
                     on_a_runtime(play_clients(
                         scenario,
@@ -258,7 +276,10 @@
         })?;
         recorder.note(lateness.entry());
         match recorder.dropped() {
-            0 => Ok(Record { header: script.header.clone(), lines: recorder.take() }),
+            0 => Ok(Record {
+                header: script.header.clone(),
+                lines: recorder.take(),
+            }),
             dropped => Err(NotPlayed::Overflow(dropped)),
         }
     }
@@ -293,17 +314,24 @@
         loop {
             let now = recorder.now() - zero;
             while let Some((_, name, begins)) = failures.next_if(|(at, _, _)| *at <= now) {
-                recorder.note(Entry::Failure { name: name.clone(), begins: *begins });
+                recorder.note(Entry::Failure {
+                    name: name.clone(),
+                    begins: *begins,
+                });
             }
             while let Some((_, door, act)) = acts.next_if(|(at, _, _)| *at <= now) {
                 match (act, relay, &self.scenario.sharing) {
-                    (DoorAct::Cut(pairs), Some(relay), Some(sharing)) => relay.play(weather(sharing, pairs)),
+                    (DoorAct::Cut(pairs), Some(relay), Some(sharing)) => {
+                        relay.play(weather(sharing, pairs))
+                    }
                     _ => self.act(recorder, board, slots, moved, *door, act)?,
                 }
             }
             self.look(recorder, board, unix_start, slots)?;
             (self.progress)(now.max(0.0));
-            let idle = slots.iter().all(|slot| slot.restart_at.is_none() && slot.ready_by.is_none());
+            let idle = slots
+                .iter()
+                .all(|slot| slot.restart_at.is_none() && slot.ready_by.is_none());
             if clients.is_finished() && acts.peek().is_none() && idle && now >= self.script.length {
                 break;
             }
@@ -311,7 +339,10 @@
         }
         for (door, slot) in slots.iter_mut().enumerate() {
             if let Some(process) = &slot.door {
-                recorder.note(Entry::Door { door: door as u32, state: DoorState::Terminated });
+                recorder.note(Entry::Door {
+                    door: door as u32,
+                    state: DoorState::Terminated,
+                });
                 process.terminate();
                 slot.stopping = Some(f64::INFINITY);
             }
@@ -325,7 +356,10 @@
             if let Some(mut process) = slot.door.take() {
                 process.kill();
                 // It was told to stop and did not: that is an end by a signal of nobody's script.
-                recorder.note(Entry::Door { door: door as u32, state: DoorState::Ended { code: None } });
+                recorder.note(Entry::Door {
+                    door: door as u32,
+                    state: DoorState::Ended { code: None },
+                });
             }
         }
         Ok(())
@@ -343,7 +377,9 @@
             Some(&known).filter(|_| self.scenario.sources != Sources::Etcd),
             slot.life,
         );
-        slot.files.write(&config.to_string()).map_err(io_error("a configuration"))?;
+        slot.files
+            .write(&config.to_string())
+            .map_err(io_error("a configuration"))?;
         Ok(known)
     }
 
@@ -354,15 +390,28 @@
         slots: &mut [Slot],
         door: usize,
     ) -> Result<(), NotPlayed> {
-        let Some(slot) = slots.get_mut(door) else { return Ok(()) };
+        let Some(slot) = slots.get_mut(door) else {
+            return Ok(());
+        };
         slot.life += 1;
         let known = self.configure(slot, door)?;
-        recorder.note(Entry::Door { door: door as u32, state: DoorState::Started });
+        recorder.note(Entry::Door {
+            door: door as u32,
+            state: DoorState::Started,
+        });
         if self.scenario.sources != Sources::Etcd {
             agent::told(recorder, door as u32, &known, unix_start);
         }
-        let started = Door::start(self.daemon, &slot.files, door, slot.listen, slot.discovery, self.breakage);
-        slot.door = Some(started.map_err(io_error(format!("the daemon {}", self.daemon.display())))?);
+        let started = Door::start(
+            self.daemon,
+            &slot.files,
+            door,
+            slot.listen,
+            slot.discovery,
+            self.breakage,
+        );
+        slot.door =
+            Some(started.map_err(io_error(format!("the daemon {}", self.daemon.display())))?);
         (slot.stopping, slot.restart_at) = (None, None);
         slot.ready_by = Some(Instant::now() + READY);
         Ok(())
@@ -377,8 +426,12 @@
         door: usize,
         act: &DoorAct,
     ) -> Result<(), NotPlayed> {
-        let Some(slot) = slots.get_mut(door) else { return Ok(()) };
-        let Some(process) = &mut slot.door else { return Ok(()) };
+        let Some(slot) = slots.get_mut(door) else {
+            return Ok(());
+        };
+        let Some(process) = &mut slot.door else {
+            return Ok(());
+        };
         let number = door as u32;
         let left = |told| {
             let left = Some((recorder.now(), told));
@@ -389,16 +442,29 @@
                 let down = *down;
                 let (cpu_ms, memory_kib) = process.used();
                 // Before the signal: what is lost from here on is the killer's doing.
-                recorder.note(Entry::Door { door: number, state: DoorState::Killed });
+                recorder.note(Entry::Door {
+                    door: number,
+                    state: DoorState::Killed,
+                });
                 process.kill();
                 left(false);
-                recorder.note(Entry::Door { door: number, state: DoorState::Ended { code: None } });
-                recorder.note(Entry::Used { door: number, cpu_ms, memory_kib });
+                recorder.note(Entry::Door {
+                    door: number,
+                    state: DoorState::Ended { code: None },
+                });
+                recorder.note(Entry::Used {
+                    door: number,
+                    cpu_ms,
+                    memory_kib,
+                });
                 (slot.door, slot.ready_by) = (None, None);
                 slot.restart_at = Some(recorder.now() + down);
             }
             DoorAct::Stop(down) => {
-                recorder.note(Entry::Door { door: number, state: DoorState::Terminated });
+                recorder.note(Entry::Door {
+                    door: number,
+                    state: DoorState::Terminated,
+                });
                 process.terminate();
                 left(true);
                 slot.stopping = Some(*down);
@@ -407,7 +473,10 @@
             DoorAct::Reload => {
                 slot.discovery = moved[door];
                 self.configure(slot, door)?;
-                recorder.note(Entry::Door { door: number, state: DoorState::Reloaded });
+                recorder.note(Entry::Door {
+                    door: number,
+                    state: DoorState::Reloaded,
+                });
                 if let Some(process) = &slot.door {
                     process.reload();
                 }
@@ -432,14 +501,32 @@
                 if let Some(status) = process.ended() {
                     // One that never served says nothing of the rules: its configuration or address is no good.
                     if slot.life == 1 && slot.ready_by.is_some() {
-                        return Err(NotPlayed::NotReady { door, log: slot.files.last_line() });
+                        return Err(NotPlayed::NotReady {
+                            door,
+                            log: slot.files.last_line(),
+                        });
                     }
-                    let state = DoorState::Ended { code: status.code() };
-                    recorder.note(Entry::Door { door: number, state });
-                    recorder.note(Entry::Used { door: number, cpu_ms, memory_kib });
+                    let state = DoorState::Ended {
+                        code: status.code(),
+                    };
+                    recorder.note(Entry::Door {
+                        door: number,
+                        state,
+                    });
+                    recorder.note(Entry::Used {
+                        door: number,
+                        cpu_ms,
+                        memory_kib,
+                    });
                     slot.door = None;
                     slot.ready_by = None;
-                    board.set(door, DoorSeen { ready: true, left: Some((recorder.now(), false)) });
+                    board.set(
+                        door,
+                        DoorSeen {
+                            ready: true,
+                            left: Some((recorder.now(), false)),
+                        },
+                    );
                     // One that ended by itself comes back too, as a supervisor would have it.
                     let down = slot.stopping.unwrap_or(1000.0);
                     slot.restart_at = down.is_finite().then_some(recorder.now() + down);
@@ -453,10 +540,22 @@
             if let Some(by) = slot.ready_by {
                 if healthy(slot.listen) {
                     slot.ready_by = None;
-                    recorder.note(Entry::Door { door: number, state: DoorState::Ready });
-                    board.set(door, DoorSeen { ready: true, left: None });
+                    recorder.note(Entry::Door {
+                        door: number,
+                        state: DoorState::Ready,
+                    });
+                    board.set(
+                        door,
+                        DoorSeen {
+                            ready: true,
+                            left: None,
+                        },
+                    );
                 } else if Instant::now() > by {
-                    return Err(NotPlayed::NotReady { door, log: slot.files.last_line() });
+                    return Err(NotPlayed::NotReady {
+                        door,
+                        log: slot.files.last_line(),
+                    });
                 }
             }
         }
@@ -468,11 +567,22 @@
 static PLAYS: AtomicU32 = AtomicU32::new(0);
 
 fn member(dial: SocketAddr, node: u32, health: Health, born_ms: Millis) -> Member {
-    Member { host: agent::host(node), dial, site: "z-1".into(), block: 0, health, share: 1.0, born_ms }
+    Member {
+        host: agent::host(node),
+        dial,
+        site: "z-1".into(),
+        block: 0,
+        health,
+        share: 1.0,
+        born_ms,
+    }
 }
 
 fn on_a_runtime<T>(of: impl std::future::Future<Output = io::Result<T>>) -> io::Result<T> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, of)
 }
 
@@ -533,7 +643,13 @@
         true => None,
         false => {
             let address = |door, node: u32| places[node as usize].address(door);
-            Some(EtcdWorld::start(etcd_at, scenario.nodes, address, recorder.clone(), unix_start)?)
+            Some(EtcdWorld::start(
+                etcd_at,
+                scenario.nodes,
+                address,
+                recorder.clone(),
+                unix_start,
+            )?)
         }
     };
     let auths = authentication(script, auth_at, &recorder);
@@ -545,13 +661,21 @@
         agents.push(agent);
         second.push(Some(later));
     }
-    let Ok(zero) = starts.await else { return Ok(()) };
-    let moves = script.doors.iter().filter(|(_, _, act)| *act == DoorAct::Reload);
+    let Ok(zero) = starts.await else {
+        return Ok(());
+    };
+    let moves = script
+        .doors
+        .iter()
+        .filter(|(_, _, act)| *act == DoorAct::Reload);
     let moves: Vec<(Millis, usize)> = moves.map(|(at, door, _)| (*at, *door)).collect();
     let mut moves = moves.into_iter().peekable();
     let mut acts = script.world.iter().peekable();
     while !stop.load(Ordering::Relaxed) {
-        let next = [acts.peek().map(|(at, _)| *at), moves.peek().map(|(at, _)| *at)];
+        let next = [
+            acts.peek().map(|(at, _)| *at),
+            moves.peek().map(|(at, _)| *at),
+        ];
         let next = next.into_iter().flatten().fold(f64::INFINITY, f64::min) + zero;
         // Looks up now and then, to see that all is over.
         let until = next.min(recorder.now() + 50.0);
@@ -565,7 +689,13 @@
         while let Some((at, act)) = acts.next_if(|(at, _)| at + zero <= now) {
             lateness.note(at + zero, now);
             match *act {
-                WorldAct::Strike { place, strike, share, late_ms, for_ms } => {
+                WorldAct::Strike {
+                    place,
+                    strike,
+                    share,
+                    late_ms,
+                    for_ms,
+                } => {
                     let trouble = match strike {
                         Strike::Stall => Trouble::Stall,
                         Strike::ResetBefore => Trouble::ResetBefore,
@@ -578,7 +708,11 @@
                         Strike::Refuse => Trouble::Refuse,
                         Strike::Neighbour => Trouble::Neighbour(share),
                     };
-                    places[place].fault(Fault { trouble, part: share, until: at + zero + for_ms });
+                    places[place].fault(Fault {
+                        trouble,
+                        part: share,
+                        until: at + zero + for_ms,
+                    });
                 }
                 WorldAct::Drain { place, turns_away } => {
                     if let Some(node) = places[place].tenant() {
@@ -596,7 +730,12 @@
                     born.borrow_mut().push((node, fresh.born()));
                     places[place].house(Some(fresh));
                 }
-                WorldAct::Tell { door, place, node, health } => {
+                WorldAct::Tell {
+                    door,
+                    place,
+                    node,
+                    health,
+                } => {
                     let health = match health {
                         record::Health::Up => Health::Up,
                         record::Health::Draining => Health::Draining,
@@ -612,11 +751,21 @@
                 WorldAct::Vanish { door } => agents[door].vanish(),
                 WorldAct::BreakOff => agents.iter().for_each(|agent| agent.break_off()),
                 WorldAct::Repeat => agents.iter().for_each(|agent| agent.repeat()),
-                WorldAct::Commit { place, node, health } => match &mut etcd {
+                WorldAct::Commit {
+                    place,
+                    node,
+                    health,
+                } => match &mut etcd {
                     Some(etcd) => {
                         let born = born.borrow();
-                        let life = born.iter().rev().find(|(known, _)| *known == node).map(|(_, at)| *at);
-                        etcd.write(doors, node, health, life, |door| places[place].address(door));
+                        let life = born
+                            .iter()
+                            .rev()
+                            .find(|(known, _)| *known == node)
+                            .map(|(_, at)| *at);
+                        etcd.write(doors, node, health, life, |door| {
+                            places[place].address(door)
+                        });
                     }
                     None => {
                         recorder.note(Entry::Committed { node, health });
@@ -633,12 +782,18 @@
                     }
                 }
                 WorldAct::Auth { server, trouble } => {
-                    auths[server]
-                        .fault(trouble.map(|(trouble, share, late)| (auth_fault(trouble, late), share)));
+                    auths[server].fault(
+                        trouble.map(|(trouble, share, late)| (auth_fault(trouble, late), share)),
+                    );
                 }
                 WorldAct::Revoke { customer } => {
-                    auths.iter().for_each(|auth| auth.revoke(&credential(customer)));
-                    recorder.note(Entry::Credential { customer, passes: false });
+                    auths
+                        .iter()
+                        .for_each(|auth| auth.revoke(&credential(customer)));
+                    recorder.note(Entry::Credential {
+                        customer,
+                        passes: false,
+                    });
                 }
                 WorldAct::Compact => {
                     if let Some(etcd) = &etcd {
@@ -652,7 +807,11 @@
 }
 
 /// The servers of the authentication service, which let pass whom the script does not deny.
-fn authentication(script: &Script, listeners: Vec<TcpListener>, recorder: &Recorder) -> Vec<Rc<Auth>> {
+fn authentication(
+    script: &Script,
+    listeners: Vec<TcpListener>,
+    recorder: &Recorder,
+) -> Vec<Rc<Auth>> {
     if listeners.is_empty() {
         return Vec::new();
     }
@@ -660,7 +819,10 @@
     let mut passes: BTreeSet<u64> = script.asks.iter().map(|ask| ask.customer).collect();
     passes.retain(|customer| !denied.contains(customer));
     for customer in &denied {
-        recorder.note(Entry::Credential { customer: *customer, passes: false });
+        recorder.note(Entry::Credential {
+            customer: *customer,
+            passes: false,
+        });
     }
     let begin = |(number, listener): (usize, TcpListener)| {
         let auth = Auth::new(script.header.seed ^ number as u64);
@@ -720,7 +882,11 @@
         busiest_ms: scenario.busiest_ms,
         answer_slack_ms: script.header.rules.answer_slack_ms + script.header.rules.socket_slack_ms,
     };
-    let plans = scenario.plans.iter().map(|plan| plan.name.clone()).collect();
+    let plans = scenario
+        .plans
+        .iter()
+        .map(|plan| plan.name.clone())
+        .collect();
     let crowd = Crowd {
         seed: script.header.seed,
         kinds: kinds.collect(),
@@ -731,20 +897,37 @@
         credentials: scenario.checks.is_some(),
     };
     let clients = Clients::new(crowd, recorder.clone(), lateness);
-    let Ok(zero) = starts.await else { return Ok(()) };
-    let safe = scenario.classes.iter().find(|class| class.effect == record::Effect::Safe);
-    let class = safe.or(scenario.classes.first()).map_or(String::new(), |class| class.name.clone());
-    let plan = scenario.plans.first().map_or(String::new(), |plan| plan.name.clone());
+    let Ok(zero) = starts.await else {
+        return Ok(());
+    };
+    let safe = scenario
+        .classes
+        .iter()
+        .find(|class| class.effect == record::Effect::Safe);
+    let class = safe
+        .or(scenario.classes.first())
+        .map_or(String::new(), |class| class.name.clone());
+    let plan = scenario
+        .plans
+        .first()
+        .map_or(String::new(), |plan| plan.name.clone());
     let mut visits = tokio::task::JoinSet::new();
     for (lot, at) in script.rude.iter().enumerate() {
         let (recorder, class, plan) = (recorder.clone(), class.clone(), plan.clone());
-        let (at, door, kind) = (at + zero, doors[lot % doors.len()], rude::ALL[lot % rude::ALL.len()]);
+        let (at, door, kind) = (
+            at + zero,
+            doors[lot % doors.len()],
+            rude::ALL[lot % rude::ALL.len()],
+        );
         visits.spawn_local(async move {
             tokio::time::sleep_until(recorder.instant(at).into()).await;
             rude::visit(&recorder, door, kind, lot as u64, &class, &plan).await;
         });
     }
-    let asks = script.asks.iter().map(|ask| Ask { at: ask.at + zero, ..ask.clone() });
+    let asks = script.asks.iter().map(|ask| Ask {
+        at: ask.at + zero,
+        ..ask.clone()
+    });
     clients.play(asks).await;
     while visits.join_next().await.is_some() {}
     Ok(())
--- a/crates/rehearsal/src/prove.rs
+++ b/crates/rehearsal/src/prove.rs
@@ -17,36 +17,146 @@
 /// In place of a rule: less was served than the scenario asks for.
 pub const WORTH: u32 = 0;
 
-const fn proof(breakage: &'static str, scenario: &'static str, rule: u32, about: &'static str) -> Proof {
-    Proof { breakage, scenario, rule, about }
+const fn proof(
+    breakage: &'static str,
+    scenario: &'static str,
+    rule: u32,
+    about: &'static str,
+) -> Proof {
+    Proof {
+        breakage,
+        scenario,
+        rule,
+        about,
+    }
 }
 
 /// All of them, by rule.
 pub const PROOFS: [Proof; 28] = [
-    proof("second-answer", "short", 1, "a served answer is written twice"),
-    proof("stale-body", "short", 1, "a request is answered with what was made for the one before"),
-    proof("sent-after-answer", "short", 1, "a served request is sent on once more"),
-    proof("held-back", "short", 1, "refusals come after the client's time"),
-    proof("drops-on-term", "restart", 1, "SIGTERM drops what was in hand"),
-    proof("unsafe-again", "errors", 2, "an unsafe request that may have run is sent again"),
-    proof("two-out", "short", 2, "each request is at two nodes at once"),
+    proof(
+        "second-answer",
+        "short",
+        1,
+        "a served answer is written twice",
+    ),
+    proof(
+        "stale-body",
+        "short",
+        1,
+        "a request is answered with what was made for the one before",
+    ),
+    proof(
+        "sent-after-answer",
+        "short",
+        1,
+        "a served request is sent on once more",
+    ),
+    proof(
+        "held-back",
+        "short",
+        1,
+        "refusals come after the client's time",
+    ),
+    proof(
+        "drops-on-term",
+        "restart",
+        1,
+        "SIGTERM drops what was in hand",
+    ),
+    proof(
+        "unsafe-again",
+        "errors",
+        2,
+        "an unsafe request that may have run is sent again",
+    ),
+    proof(
+        "two-out",
+        "short",
+        2,
+        "each request is at two nodes at once",
+    ),
     proof("refused-after", "errors", 2, "what may have run is refused"),
-    proof("changed-on-the-way", "short", 2, "the target of a request is changed on its way"),
-    proof("key-for-ever", "forgetful", 2, "a key is taken to be remembered for ever"),
-    proof("drain-ignored", "rolling", 3, "drains and removals are not heard"),
+    proof(
+        "changed-on-the-way",
+        "short",
+        2,
+        "the target of a request is changed on its way",
+    ),
+    proof(
+        "key-for-ever",
+        "forgetful",
+        2,
+        "a key is taken to be remembered for ever",
+    ),
+    proof(
+        "drain-ignored",
+        "rolling",
+        3,
+        "drains and removals are not heard",
+    ),
     proof("drain-late", "rolling", 3, "drains are heard 650 ms late"),
-    proof("older-list-holds", "leaving", 3, "an agent that is behind takes drains back"),
-    proof("spoilt-line", "leaving-spoilt", 3, "a line with an entry that cannot be used is not taken"),
-    proof("resumes-at-current", "etcd-rolling", 3, "etcd's watch goes on at the current revision"),
-    proof("compaction-ignored", "etcd-compacted", 3, "what went with etcd's history is not read anew"),
-    proof("last-word-holds", "disagreement", 3, "whoever speaks last is believed"),
-    proof("lost-empties", "sources-lost", WORTH, "what a lost source knew is taken for gone"),
-    proof("cold-as-warm", "crash", 4, "a node that has just started is taken for a warm one"),
-    proof("cold-favoured", "rolling", 4, "everything goes to the node that started last"),
-    proof("ceiling-per-door", "municipal", 5, "each front door gives the whole ceiling"),
+    proof(
+        "older-list-holds",
+        "leaving",
+        3,
+        "an agent that is behind takes drains back",
+    ),
+    proof(
+        "spoilt-line",
+        "leaving-spoilt",
+        3,
+        "a line with an entry that cannot be used is not taken",
+    ),
+    proof(
+        "resumes-at-current",
+        "etcd-rolling",
+        3,
+        "etcd's watch goes on at the current revision",
+    ),
+    proof(
+        "compaction-ignored",
+        "etcd-compacted",
+        3,
+        "what went with etcd's history is not read anew",
+    ),
+    proof(
+        "last-word-holds",
+        "disagreement",
+        3,
+        "whoever speaks last is believed",
+    ),
+    proof(
+        "lost-empties",
+        "sources-lost",
+        WORTH,
+        "what a lost source knew is taken for gone",
+    ),
+    proof(
+        "cold-as-warm",
+        "crash",
+        4,
+        "a node that has just started is taken for a warm one",
+    ),
+    proof(
+        "cold-favoured",
+        "rolling",
+        4,
+        "everything goes to the node that started last",
+    ),
+    proof(
+        "ceiling-per-door",
+        "municipal",
+        5,
+        "each front door gives the whole ceiling",
+    ),
     proof("no-ceiling", "municipal", 5, "there is no ceiling"),
     proof("fail-open", "auth-dying", 6, "who cannot be checked passes"),
-    proof("key-without-credential", "auth-revoked", 6, "a verdict serves every caller"),
+    proof(
+        "key-without-credential",
+        "auth-revoked",
+        6,
+        "a verdict serves every caller",
+    ),
     proof(
         "late-verdict-answers",
         "auth-dying",
@@ -59,8 +169,18 @@
         7,
         "news of other doors never grows old, and all are taken to be heard of",
     ),
-    proof("counts-added", "counts-shared", WORTH, "counts are added each time that they are heard"),
-    proof("checked-again", "auth-slow", 2, "a request is sent on again, as by a check that came back twice"),
+    proof(
+        "counts-added",
+        "counts-shared",
+        WORTH,
+        "counts are added each time that they are heard",
+    ),
+    proof(
+        "checked-again",
+        "auth-slow",
+        2,
+        "a request is sent on again, as by a check that came back twice",
+    ),
 ];
 
 #[cfg(test)]
@@ -74,9 +194,10 @@
             assert!(count >= 2, "rule {rule}: {count}");
         }
         for proof in PROOFS {
-            let scenario = crate::library::find(proof.scenario).unwrap_or_else(|error| panic!("{error}"));
-            let asked =
-                scenario.strains.contains(&proof.rule) || (proof.rule == WORTH && scenario.least_worth > 0.0);
+            let scenario =
+                crate::library::find(proof.scenario).unwrap_or_else(|error| panic!("{error}"));
+            let asked = scenario.strains.contains(&proof.rule)
+                || (proof.rule == WORTH && scenario.least_worth > 0.0);
             assert!(asked, "{} strains {}", proof.scenario, proof.rule);
         }
     }
--- a/crates/rehearsal/src/reading.rs
+++ b/crates/rehearsal/src/reading.rs
@@ -41,7 +41,12 @@
 }
 
 fn line_of(text: &str, at: usize) -> usize {
-    text.as_bytes().iter().take(at).filter(|byte| **byte == b'\n').count() + 1
+    text.as_bytes()
+        .iter()
+        .take(at)
+        .filter(|byte| **byte == b'\n')
+        .count()
+        + 1
 }
 
 impl Table<'_, '_> {
@@ -55,10 +60,17 @@
             Err(error) => {
                 let line = line_of(text, error.span().map_or(0, |span| span.start));
                 let text = error.message().to_owned();
-                return Err(vec![Mistake { line, path: "the file".into(), text }]);
+                return Err(vec![Mistake {
+                    line,
+                    path: "the file".into(),
+                    text,
+                }]);
             }
         };
-        let shared = Rc::new(Shared { text, mistakes: RefCell::default() });
+        let shared = Rc::new(Shared {
+            text,
+            mistakes: RefCell::default(),
+        });
         let top = Table {
             shared: shared.clone(),
             path: String::new(),
@@ -90,16 +102,22 @@
     fn get(&self, key: &str) -> Option<&'d Spanned<DeValue<'t>>> {
         self.used.borrow_mut().insert(key.to_owned());
         let mut all = self.table?.iter();
-        all.find(|(known, _)| known.get_ref().as_ref() == key).map(|(_, value)| value)
+        all.find(|(known, _)| known.get_ref().as_ref() == key)
+            .map(|(_, value)| value)
     }
 
     fn tell(&self, line: usize, path: String, text: String) {
-        self.shared.mistakes.borrow_mut().push(Mistake { line, path, text });
+        self.shared
+            .mistakes
+            .borrow_mut()
+            .push(Mistake { line, path, text });
     }
 
     /// Tells that a key's value is not what was expected.
     pub fn wrong(&self, key: &str, expected: &str) {
-        let line = self.get(key).map_or(self.line, |value| line_of(self.shared.text, value.span().start));
+        let line = self.get(key).map_or(self.line, |value| {
+            line_of(self.shared.text, value.span().start)
+        });
         self.tell(line, self.path_of(key), format!("{expected} was expected"));
     }
 
@@ -123,10 +141,12 @@
             (None, Some(value)) => value,
             (value, _) => {
                 let number = value.and_then(|value| figure(value.get_ref()));
-                number.filter(|n| (least..=most).contains(n)).unwrap_or_else(|| {
-                    self.wrong(key, &format!("a number from {least} to {most}"));
-                    otherwise.unwrap_or(least)
-                })
+                number
+                    .filter(|n| (least..=most).contains(n))
+                    .unwrap_or_else(|| {
+                        self.wrong(key, &format!("a number from {least} to {most}"));
+                        otherwise.unwrap_or(least)
+                    })
             }
         }
     }
@@ -153,20 +173,30 @@
                 value => figure(value).map(|number| [number, number]),
             },
         };
-        range.filter(|[a, b]| least <= *a && a <= b && *b <= most).unwrap_or_else(|| {
-            self.wrong(key, &format!("a number or [least, most] from {least} to {most}"));
-            otherwise.unwrap_or([least, least])
-        })
+        range
+            .filter(|[a, b]| least <= *a && a <= b && *b <= most)
+            .unwrap_or_else(|| {
+                self.wrong(
+                    key,
+                    &format!("a number or [least, most] from {least} to {most}"),
+                );
+                otherwise.unwrap_or([least, least])
+            })
     }
 
     /// A list of numbers within bounds; none where it is left out.
     pub fn numbers(&self, key: &str, least: f64, most: f64) -> Vec<f64> {
-        let Some(value) = self.get(key) else { return Vec::new() };
+        let Some(value) = self.get(key) else {
+            return Vec::new();
+        };
         let DeValue::Array(items) = value.get_ref() else {
             self.wrong(key, &format!("a list of numbers from {least} to {most}"));
             return Vec::new();
         };
-        let good: Vec<f64> = items.iter().filter_map(|item| figure(item.get_ref())).collect();
+        let good: Vec<f64> = items
+            .iter()
+            .filter_map(|item| figure(item.get_ref()))
+            .collect();
         if good.len() != items.len() || good.iter().any(|n| !(least..=most).contains(n)) {
             self.wrong(key, &format!("a list of numbers from {least} to {most}"));
         }
@@ -200,7 +230,9 @@
     /// One of these words; with an empty `otherwise` it must be there.
     pub fn choice(&self, key: &str, otherwise: &str, choices: &[&str]) -> String {
         match self.get(key).map(Spanned::get_ref) {
-            Some(DeValue::String(text)) if choices.contains(&text.as_ref()) => text.clone().into_owned(),
+            Some(DeValue::String(text)) if choices.contains(&text.as_ref()) => {
+                text.clone().into_owned()
+            }
             None if !otherwise.is_empty() => otherwise.to_owned(),
             _ => {
                 self.wrong(key, &format!("one of {}", choices.join(", ")));
@@ -225,15 +257,19 @@
 
     /// The tables of a list below this one; none where it is left out.
     pub fn tables(&self, key: &str) -> Vec<Table<'t, 'd>> {
-        let Some(value) = self.get(key) else { return Vec::new() };
+        let Some(value) = self.get(key) else {
+            return Vec::new();
+        };
         let DeValue::Array(items) = value.get_ref() else {
             self.wrong(key, &format!("a list of tables, each begun by [[{key}]]"));
             return Vec::new();
         };
         let one = |(i, item): (usize, &'d Spanned<DeValue<'t>>)| match item.get_ref() {
-            DeValue::Table(table) => {
-                Some(self.below(format!("{}[{}]", self.path_of(key), i + 1), Some(item), Some(table)))
-            }
+            DeValue::Table(table) => Some(self.below(
+                format!("{}[{}]", self.path_of(key), i + 1),
+                Some(item),
+                Some(table),
+            )),
             _ => {
                 self.wrong(key, "a table");
                 None
@@ -248,8 +284,16 @@
         value: Option<&Spanned<DeValue<'t>>>,
         table: Option<&'d DeTable<'t>>,
     ) -> Table<'t, 'd> {
-        let line = value.map_or(self.line, |value| line_of(self.shared.text, value.span().start));
-        Table { shared: self.shared.clone(), path, line, table, used: RefCell::default() }
+        let line = value.map_or(self.line, |value| {
+            line_of(self.shared.text, value.span().start)
+        });
+        Table {
+            shared: self.shared.clone(),
+            path,
+            line,
+            table,
+            used: RefCell::default(),
+        }
     }
 }
 
@@ -259,5 +303,8 @@
         DeValue::Float(number) => number.as_str(),
         _ => return None,
     };
-    text.replace('_', "").parse().ok().filter(|number: &f64| number.is_finite())
+    text.replace('_', "")
+        .parse()
+        .ok()
+        .filter(|number: &f64| number.is_finite())
 }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -27,8 +27,11 @@
     );
     for finding in ruling.findings.iter().take(3) {
         let lines: Vec<String> = finding.lines.iter().map(usize::to_string).collect();
-        let request =
-            if finding.request.is_empty() { String::new() } else { format!(" {}", finding.request) };
+        let request = if finding.request.is_empty() {
+            String::new()
+        } else {
+            format!(" {}", finding.request)
+        };
         let _ = writeln!(
             text,
             "      {:.1} ms{request}: {} (lines {})",
@@ -46,11 +49,25 @@
 pub fn text(judgement: &Judgement) -> String {
     let figures = &judgement.figures;
     let mut text = format!("{} (seed {})\n", judgement.scenario, judgement.seed);
-    judgement.rules.iter().for_each(|ruling| rule(&mut text, ruling));
-    let failed: Vec<String> = figures.failed.iter().map(|(status, n)| format!("{n} x {status}")).collect();
-    let failed = if failed.is_empty() { "none".to_owned() } else { failed.join(", ") };
-    let plans: Vec<String> =
-        figures.worth_by_plan.iter().map(|(plan, share)| format!("{plan} {share:.2}")).collect();
+    judgement
+        .rules
+        .iter()
+        .for_each(|ruling| rule(&mut text, ruling));
+    let failed: Vec<String> = figures
+        .failed
+        .iter()
+        .map(|(status, n)| format!("{n} x {status}"))
+        .collect();
+    let failed = if failed.is_empty() {
+        "none".to_owned()
+    } else {
+        failed.join(", ")
+    };
+    let plans: Vec<String> = figures
+        .worth_by_plan
+        .iter()
+        .map(|(plan, share)| format!("{plan} {share:.2}"))
+        .collect();
     let _ = writeln!(
         text,
         "  worth served in time, inside quotas {:.3} ({})",
@@ -80,7 +97,11 @@
         figures.cpu_us_per_try, figures.memory_kib
     );
     if figures.rude > 0 {
-        let _ = writeln!(text, "  bad clients: {} of {} neglected", figures.rude_neglected, figures.rude);
+        let _ = writeln!(
+            text,
+            "  bad clients: {} of {} neglected",
+            figures.rude_neglected, figures.rude
+        );
     }
     let _ = writeln!(
         text,
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -453,20 +453,30 @@
 
 /// The classes of a scenario that names none.
 pub fn usual_classes() -> Vec<Class> {
-    let class = |name: &str, share, effect, memory_ms, aim_ms, give_up_ms, worth, late_worth| Class {
-        name: name.to_owned(),
-        share,
-        effect,
-        memory_ms,
-        work_ms: [63.0, 110.0],
-        aim_ms,
-        give_up_ms,
-        worth,
-        late_worth,
-    };
+    let class =
+        |name: &str, share, effect, memory_ms, aim_ms, give_up_ms, worth, late_worth| Class {
+            name: name.to_owned(),
+            share,
+            effect,
+            memory_ms,
+            work_ms: [63.0, 110.0],
+            aim_ms,
+            give_up_ms,
+            worth,
+            late_worth,
+        };
     vec![
         class("consulta", 0.46, Effect::Safe, 0.0, 600.0, 2500.0, 3.0, 0.2),
-        class("extension", 0.27, Effect::Keyed, 2000.0, 750.0, 2000.0, 5.0, 0.0),
+        class(
+            "extension",
+            0.27,
+            Effect::Keyed,
+            2000.0,
+            750.0,
+            2000.0,
+            5.0,
+            0.0,
+        ),
         class("cobro", 0.27, Effect::Unsafe, 0.0, 750.0, 2500.0, 3.0, 0.2),
     ]
 }
@@ -538,7 +548,11 @@
                 name: name.to_owned(),
                 title: top.text("title", None),
                 seconds: top.number("seconds", None, 2.0, MOST_SECONDS),
-                strains: top.numbers("strains", 1.0, 7.0).into_iter().map(|n| n as u32).collect(),
+                strains: top
+                    .numbers("strains", 1.0, 7.0)
+                    .into_iter()
+                    .map(|n| n as u32)
+                    .collect(),
                 least_worth: top.number("least_worth", Some(0.0), 0.0, 1.0),
                 doors: fleet.whole("doors", Some(3.0), 1.0, MOST_DOORS),
                 nodes: fleet.whole("nodes", Some(10.0), 1.0, MOST_NODES),
@@ -550,7 +564,10 @@
                 sockets: fleet.whole("sockets", Some(1024.0), 32.0, 65_536.0),
                 memory_mb: fleet.whole("memory_mb", Some(192.0), 32.0, 65_536.0),
                 agent_ms: fleet.range("agent_ms", Some([200.0, 1500.0]), 0.0, 60_000.0),
-                sources: match fleet.choice("sources", "agent", &["agent", "etcd", "both"]).as_str() {
+                sources: match fleet
+                    .choice("sources", "agent", &["agent", "etcd", "both"])
+                    .as_str()
+                {
                     "etcd" => Sources::Etcd,
                     "both" => Sources::Both,
                     _ => Sources::Agent,
@@ -567,8 +584,16 @@
                 busiest_ms: traffic.number("busiest_ms", Some(8000.0), 100.0, 600_000.0),
                 checks: (checks.servers > 0).then_some(checks),
                 sharing: shared.then_some(sharing),
-                classes: if classes.is_empty() { usual_classes() } else { classes },
-                plans: if plans.is_empty() { usual_plans() } else { plans },
+                classes: if classes.is_empty() {
+                    usual_classes()
+                } else {
+                    classes
+                },
+                plans: if plans.is_empty() {
+                    usual_plans()
+                } else {
+                    plans
+                },
                 events: Vec::new(),
             };
             let tables = top.tables("event");
@@ -577,7 +602,11 @@
             traffic.finish();
             auth.finish();
             counts.finish();
-            if let Some(open) = scenario.checks.as_ref().and_then(|checks| checks.open.first()) {
+            if let Some(open) = scenario
+                .checks
+                .as_ref()
+                .and_then(|checks| checks.open.first())
+            {
                 let known = scenario.classes.iter().find(|class| class.name == *open);
                 if known.is_none_or(|class| class.effect == Effect::Unsafe) {
                     auth.wrong("open", "a class that may run twice");
@@ -587,7 +616,10 @@
                 let Some(event) = event else { continue };
                 let end = scenario.seconds * 1000.0;
                 if event.at_ms[1] >= end {
-                    table.wrong("at_ms", &format!("a time before the end of the scenario at {end} ms"));
+                    table.wrong(
+                        "at_ms",
+                        &format!("a time before the end of the scenario at {end} ms"),
+                    );
                 }
                 let of_etcd = matches!(
                     event.what,
@@ -596,18 +628,30 @@
                         | What::EtcdSilent { .. }
                         | What::EtcdCompact { .. }
                         | What::EtcdNoise { .. }
-                        | What::ReplaceNodes { told_by: Teller::Etcd, .. }
+                        | What::ReplaceNodes {
+                            told_by: Teller::Etcd,
+                            ..
+                        }
                 );
                 let of_auth = matches!(
                     event.what,
                     What::AuthTrouble { .. } | What::Revoke { .. } | What::Strangers { .. }
                 );
-                let of_counts = matches!(event.what, What::SplitDoors { .. } | What::SilentDoor { .. });
+                let of_counts = matches!(
+                    event.what,
+                    What::SplitDoors { .. } | What::SilentDoor { .. }
+                );
                 if of_counts && scenario.sharing.is_none() {
-                    table.wrong("what", "something that goes with a scenario whose counts.shared is true");
+                    table.wrong(
+                        "what",
+                        "something that goes with a scenario whose counts.shared is true",
+                    );
                 }
                 if of_auth && scenario.checks.is_none() {
-                    table.wrong("what", "something that goes with a scenario whose auth.servers is above 0");
+                    table.wrong(
+                        "what",
+                        "something that goes with a scenario whose auth.servers is above 0",
+                    );
                 }
                 let of_agent = matches!(
                     event.what,
@@ -616,12 +660,18 @@
                         | What::HalfAgents { .. }
                         | What::SpoiltAgents { .. }
                         | What::VanishedWatches { .. }
-                        | What::ReplaceNodes { told_by: Teller::Agent, .. }
+                        | What::ReplaceNodes {
+                            told_by: Teller::Agent,
+                            ..
+                        }
                 );
                 if (of_etcd && scenario.sources == Sources::Agent)
                     || (of_agent && scenario.sources == Sources::Etcd)
                 {
-                    table.wrong("what", "an event of a source that front doors have (fleet.sources)");
+                    table.wrong(
+                        "what",
+                        "an event of a source that front doors have (fleet.sources)",
+                    );
                 }
                 if let What::Flood { plan, .. } = &event.what {
                     if !scenario.plans.iter().any(|known| known.name == *plan) {
@@ -632,7 +682,10 @@
             if !scenario.classes.iter().any(|class| class.share > 0.0) {
                 top.wrong("class", "at least one class with a share above 0");
             }
-            Scenario { events: events.into_iter().flatten().collect(), ..scenario }
+            Scenario {
+                events: events.into_iter().flatten().collect(),
+                ..scenario
+            }
         })
     }
 }
@@ -727,7 +780,14 @@
     let at_ms = table.range("at_ms", None, 0.0, MOST_SECONDS * 1000.0);
     let part = || table.number("part", Some(0.5), 0.001, 1.0);
     let for_ms = || table.range("for_ms", Some([3000.0, 6000.0]), 1.0, MOST_SECONDS * 1000.0);
-    let down_ms = || table.range("down_ms", Some([1700.0, 3500.0]), 0.0, MOST_SECONDS * 1000.0);
+    let down_ms = || {
+        table.range(
+            "down_ms",
+            Some([1700.0, 3500.0]),
+            0.0,
+            MOST_SECONDS * 1000.0,
+        )
+    };
     let every_ms = || table.range("every_ms", Some([1500.0, 2500.0]), 10.0, 60_000.0);
     let strike = |strike| What::Strike {
         strike,
@@ -737,8 +797,14 @@
         for_ms: for_ms(),
     };
     let what = match kind.as_str() {
-        "kill_doors" => What::KillDoors { part: part(), down_ms: down_ms() },
-        "stop_doors" => What::StopDoors { part: part(), down_ms: down_ms() },
+        "kill_doors" => What::KillDoors {
+            part: part(),
+            down_ms: down_ms(),
+        },
+        "stop_doors" => What::StopDoors {
+            part: part(),
+            down_ms: down_ms(),
+        },
         "reload_doors" => What::ReloadDoors,
         "stall" => strike(Strike::Stall),
         "reset_before" => strike(Strike::ResetBefore),
@@ -758,46 +824,84 @@
             replaced: table.yes("replaced", true),
             turns_away: table.yes("turns_away", true),
             rounds: table.whole("rounds", Some(1.0), 1.0, 1000.0),
-            told_by: match table.choice("told_by", "all", &["all", "agent", "etcd"]).as_str() {
+            told_by: match table
+                .choice("told_by", "all", &["all", "agent", "etcd"])
+                .as_str()
+            {
                 "agent" => Teller::Agent,
                 "etcd" => Teller::Etcd,
                 _ => Teller::All,
             },
         },
-        "crash_nodes" => What::CrashNodes { part: part(), down_ms: down_ms() },
-        "silent_agents" => What::SilentAgents { part: part(), for_ms: for_ms() },
+        "crash_nodes" => What::CrashNodes {
+            part: part(),
+            down_ms: down_ms(),
+        },
+        "silent_agents" => What::SilentAgents {
+            part: part(),
+            for_ms: for_ms(),
+        },
         "behind_agents" => What::BehindAgents {
             part: part(),
             behind_ms: table.range("behind_ms", Some([1000.0, 4000.0]), 0.0, 60_000.0),
             for_ms: for_ms(),
         },
-        "half_agents" => What::HalfAgents { part: part(), for_ms: for_ms() },
-        "spoilt_agents" => What::SpoiltAgents { part: part(), for_ms: for_ms() },
+        "half_agents" => What::HalfAgents {
+            part: part(),
+            for_ms: for_ms(),
+        },
+        "spoilt_agents" => What::SpoiltAgents {
+            part: part(),
+            for_ms: for_ms(),
+        },
         "vanished_watches" => What::VanishedWatches { part: part() },
         "broken_agents" => What::BrokenAgents,
-        "repeating_agents" => What::RepeatingAgents { every_ms: every_ms(), for_ms: for_ms() },
-        "etcd_cut" => What::EtcdCut { every_ms: every_ms(), for_ms: for_ms() },
-        "etcd_down" => What::EtcdDown { part: part(), for_ms: for_ms() },
-        "etcd_silent" => What::EtcdSilent { part: part(), for_ms: for_ms() },
-        "etcd_compact" => What::EtcdCompact { every_ms: every_ms(), for_ms: for_ms() },
-        "etcd_noise" => {
-            What::EtcdNoise { rate: table.number("rate", Some(100.0), 0.1, 20_000.0), for_ms: for_ms() }
-        }
+        "repeating_agents" => What::RepeatingAgents {
+            every_ms: every_ms(),
+            for_ms: for_ms(),
+        },
+        "etcd_cut" => What::EtcdCut {
+            every_ms: every_ms(),
+            for_ms: for_ms(),
+        },
+        "etcd_down" => What::EtcdDown {
+            part: part(),
+            for_ms: for_ms(),
+        },
+        "etcd_silent" => What::EtcdSilent {
+            part: part(),
+            for_ms: for_ms(),
+        },
+        "etcd_compact" => What::EtcdCompact {
+            every_ms: every_ms(),
+            for_ms: for_ms(),
+        },
+        "etcd_noise" => What::EtcdNoise {
+            rate: table.number("rate", Some(100.0), 0.1, 20_000.0),
+            for_ms: for_ms(),
+        },
         "flood" => What::Flood {
             plan: table.text("plan", None),
             customers: table.whole("customers", Some(1.0), 1.0, 1e6),
             times: table.range("times", Some([5.0, 8.0]), 0.0, 1000.0),
             for_ms: for_ms(),
         },
-        "one_shots" => {
-            What::OneShots { share: table.range("share", Some([0.2, 0.5]), 0.0, 100.0), for_ms: for_ms() }
-        }
-        "rude" => What::Rude { rate: table.number("rate", Some(20.0), 0.1, 2000.0), for_ms: for_ms() },
+        "one_shots" => What::OneShots {
+            share: table.range("share", Some([0.2, 0.5]), 0.0, 100.0),
+            for_ms: for_ms(),
+        },
+        "rude" => What::Rude {
+            rate: table.number("rate", Some(20.0), 0.1, 2000.0),
+            for_ms: for_ms(),
+        },
         "auth_trouble" => {
             let names: Vec<&str> = AUTH_TROUBLES.iter().map(|(name, _)| *name).collect();
             let how = table.choice("how", "", &names);
             What::AuthTrouble {
-                trouble: AUTH_TROUBLES.iter().find(|(name, _)| *name == how).map(|(_, trouble)| *trouble)?,
+                trouble: AUTH_TROUBLES
+                    .iter()
+                    .find(|(name, _)| *name == how)
+                    .map(|(_, trouble)| *trouble)?,
                 part: part(),
                 share: table.number("share", Some(1.0), 0.0, 1.0),
                 late_ms: table.range("late_ms", Some([100.0, 400.0]), 0.0, 60_000.0),
@@ -807,9 +911,10 @@
         "split_doors" => What::SplitDoors { for_ms: for_ms() },
         "silent_door" => What::SilentDoor { for_ms: for_ms() },
         "revoke" => What::Revoke { part: part() },
-        "strangers" => {
-            What::Strangers { rate: table.number("rate", Some(50.0), 0.1, 2000.0), for_ms: for_ms() }
-        }
+        "strangers" => What::Strangers {
+            rate: table.number("rate", Some(50.0), 0.1, 2000.0),
+            for_ms: for_ms(),
+        },
         _ => return None,
     };
     table.finish();
@@ -829,14 +934,25 @@
         let told: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
         let lines: Vec<usize> = mistakes.iter().map(|mistake| mistake.line).collect();
         assert_eq!(lines, [3, 6, 7, 10, 16], "{told:#?}");
-        assert!(told[0].contains("seconds") && told[0].contains("a number from 2 to 300"), "{}", told[0]);
-        assert!(told[2].contains("fleet.nods") && told[2].contains("no such key"), "{}", told[2]);
+        assert!(
+            told[0].contains("seconds") && told[0].contains("a number from 2 to 300"),
+            "{}",
+            told[0]
+        );
+        assert!(
+            told[2].contains("fleet.nods") && told[2].contains("no such key"),
+            "{}",
+            told[2]
+        );
     }
 
     #[test]
     fn the_least_that_can_be_said_makes_a_scenario() {
         let scenario = Scenario::read("x", "version = 1\ntitle = \"x\"\nseconds = 5\n").unwrap();
-        assert_eq!((scenario.doors, scenario.classes.len(), scenario.plans.len()), (3, 3, 4));
+        assert_eq!(
+            (scenario.doors, scenario.classes.len(), scenario.plans.len()),
+            (3, 3, 4)
+        );
         assert!(Scenario::read("x", "version = 2\ntitle = \"x\"\nseconds = 5\n").is_err());
         assert!(Scenario::read("x", "version = = 1").unwrap_err()[0].line == 1);
     }
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -14,7 +14,14 @@
 use std::time::Duration;
 
 /// Units that a request may count, each with its part of the requests.
-const UNITS: [(f64, f64); 6] = [(1.0, 0.40), (2.0, 0.25), (3.0, 0.15), (4.0, 0.10), (6.0, 0.06), (8.0, 0.04)];
+const UNITS: [(f64, f64); 6] = [
+    (1.0, 0.40),
+    (2.0, 0.25),
+    (3.0, 0.15),
+    (4.0, 0.10),
+    (6.0, 0.06),
+    (8.0, 0.04),
+];
 /// Part of the customers that use nearly all of their quota, and of those that ask for a multiple of it.
 const NEAR: f64 = 0.12;
 const GREEDY: f64 = 0.06;
@@ -186,7 +193,9 @@
 
 impl Dice {
     fn new(seed: u64, stream: u64) -> Dice {
-        Dice(Pcg32::seed_from_u64(seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+        Dice(Pcg32::seed_from_u64(
+            seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        ))
     }
 
     fn one(&mut self) -> f64 {
@@ -236,7 +245,10 @@
     }
 
     fn part(&mut self, count: usize, part: f64) -> Vec<usize> {
-        self.pick(count, ((count as f64 * part).ceil() as usize).clamp(1, count))
+        self.pick(
+            count,
+            ((count as f64 * part).ceil() as usize).clamp(1, count),
+        )
     }
 }
 
@@ -262,7 +274,11 @@
         arrivals(&mut script, scenario, seed, customer, 1.0, [0.0, length], 0);
     }
     let usual_rate = script.asks.len() as f64 / length;
-    if let Some(checks) = scenario.checks.as_ref().filter(|checks| checks.denied > 0.0) {
+    if let Some(checks) = scenario
+        .checks
+        .as_ref()
+        .filter(|checks| checks.denied > 0.0)
+    {
         let picked = Dice::new(seed, 3).part(customers.len(), checks.denied);
         script.denied = picked.into_iter().map(|at| customers[at].number).collect();
     }
@@ -276,7 +292,9 @@
     };
     let mut next_node = scenario.nodes;
     // Where the nodes live that the scenario began with or that came in their stead, and which they are.
-    let mut homes: Vec<(usize, u32)> = (0..scenario.nodes).map(|node| (node as usize, node)).collect();
+    let mut homes: Vec<(usize, u32)> = (0..scenario.nodes)
+        .map(|node| (node as usize, node))
+        .collect();
     for (number, event) in scenario.events.iter().enumerate() {
         let mut dice = Dice::new(seed, 100 + number as u64);
         let at = dice.within(event.at_ms);
@@ -310,34 +328,63 @@
                 let pairs = |left: &[usize]| {
                     let apart = |door: usize| left.contains(&door);
                     let all = (0..doors).flat_map(|from| (0..doors).map(move |to| (from, to)));
-                    all.filter(|(from, to)| apart(*from) != apart(*to)).collect::<Vec<_>>()
+                    all.filter(|(from, to)| apart(*from) != apart(*to))
+                        .collect::<Vec<_>>()
                 };
                 script.doors.push((at, 0, DoorAct::Cut(pairs(&half))));
-                script.doors.push((at + length, 0, DoorAct::Cut(Vec::new())));
+                script
+                    .doors
+                    .push((at + length, 0, DoorAct::Cut(Vec::new())));
                 ("front doors in two halves".to_owned(), at + length)
             }
             What::SilentDoor { for_ms } => {
                 let length = dice.within(*for_ms);
                 let silent = dice.part(doors, 0.001);
                 let others = (0..doors).filter(|door| !silent.contains(door));
-                let pairs = others
-                    .flat_map(|other| silent.iter().flat_map(move |one| [(*one, other), (other, *one)]));
+                let pairs = others.flat_map(|other| {
+                    silent
+                        .iter()
+                        .flat_map(move |one| [(*one, other), (other, *one)])
+                });
                 script.doors.push((at, 0, DoorAct::Cut(pairs.collect())));
-                script.doors.push((at + length, 0, DoorAct::Cut(Vec::new())));
+                script
+                    .doors
+                    .push((at + length, 0, DoorAct::Cut(Vec::new())));
                 ("a front door silent".to_owned(), at + length)
             }
-            What::Strike { strike, part, share, late_ms, for_ms } => {
+            What::Strike {
+                strike,
+                part,
+                share,
+                late_ms,
+                for_ms,
+            } => {
                 let length = dice.within(*for_ms);
                 for place in dice.part(scenario.nodes as usize, *part) {
                     let share = dice.within(*share);
                     let late_ms = dice.within(*late_ms);
                     let (mut when, whole) = (at, *strike != Strike::Neighbour);
                     while when < at + length {
-                        let for_ms = if whole { length } else { dice.within(NEIGHBOUR_MS) };
+                        let for_ms = if whole {
+                            length
+                        } else {
+                            dice.within(NEIGHBOUR_MS)
+                        };
                         let for_ms = for_ms.min(at + length - when);
-                        let act = WorldAct::Strike { place, strike: *strike, share, late_ms, for_ms };
+                        let act = WorldAct::Strike {
+                            place,
+                            strike: *strike,
+                            share,
+                            late_ms,
+                            for_ms,
+                        };
                         script.world.push((when, act));
-                        when += for_ms + if whole { 0.0 } else { dice.within(NEIGHBOUR_MS) };
+                        when += for_ms
+                            + if whole {
+                                0.0
+                            } else {
+                                dice.within(NEIGHBOUR_MS)
+                            };
                     }
                 }
                 (strike_name(*strike).to_owned(), at + length)
@@ -360,10 +407,23 @@
                     let (place, node) = homes[home];
                     when = when.max(free[home]);
                     let gone = when + dice.within(*drain_ms);
-                    script.world.push((when, WorldAct::Drain { place, turns_away: *turns_away }));
+                    script.world.push((
+                        when,
+                        WorldAct::Drain {
+                            place,
+                            turns_away: *turns_away,
+                        },
+                    ));
                     list.tell(when, *told_by, doors, place, node, record::Health::Draining);
                     script.world.push((gone, WorldAct::End(place)));
-                    list.tell(gone, Teller::All, doors, place, node, record::Health::Removed);
+                    list.tell(
+                        gone,
+                        Teller::All,
+                        doors,
+                        place,
+                        node,
+                        record::Health::Removed,
+                    );
                     free[home] = f64::INFINITY;
                     if *replaced {
                         let fresh = if *same_address {
@@ -373,8 +433,21 @@
                             script.places - 1
                         };
                         let start = gone + 50.0;
-                        script.world.push((start, WorldAct::Start { place: fresh, node: next_node }));
-                        list.tell(start, Teller::All, doors, fresh, next_node, record::Health::Up);
+                        script.world.push((
+                            start,
+                            WorldAct::Start {
+                                place: fresh,
+                                node: next_node,
+                            },
+                        ));
+                        list.tell(
+                            start,
+                            Teller::All,
+                            doors,
+                            fresh,
+                            next_node,
+                            record::Health::Up,
+                        );
                         homes[home] = (fresh, next_node);
                         free[home] = start + scenario.agent_ms[1];
                         next_node += 1;
@@ -404,19 +477,32 @@
                 let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
                 ("agents silent".to_owned(), end)
             }
-            What::BehindAgents { part, behind_ms, for_ms } => {
+            What::BehindAgents {
+                part,
+                behind_ms,
+                for_ms,
+            } => {
                 let ago = Duration::from_secs_f64(dice.within(*behind_ms) / 1000.0);
-                let act = |door, on| WorldAct::Lapse { door, lapse: Some(Lapse::Behind(ago)).filter(|_| on) };
+                let act = |door, on| WorldAct::Lapse {
+                    door,
+                    lapse: Some(Lapse::Behind(ago)).filter(|_| on),
+                };
                 let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
                 ("agents behind".to_owned(), end)
             }
             What::HalfAgents { part, for_ms } => {
-                let act = |door, on| WorldAct::Lapse { door, lapse: Some(Lapse::Half).filter(|_| on) };
+                let act = |door, on| WorldAct::Lapse {
+                    door,
+                    lapse: Some(Lapse::Half).filter(|_| on),
+                };
                 let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
                 ("lists break off".to_owned(), end)
             }
             What::SpoiltAgents { part, for_ms } => {
-                let act = |door, on| WorldAct::Lapse { door, lapse: Some(Lapse::Spoilt).filter(|_| on) };
+                let act = |door, on| WorldAct::Lapse {
+                    door,
+                    lapse: Some(Lapse::Spoilt).filter(|_| on),
+                };
                 let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
                 ("entries spoilt".to_owned(), end)
             }
@@ -447,18 +533,30 @@
                             2 => Cut::Within,
                             _ => Cut::BeforeCreated,
                         };
-                        script.world.push((when, WorldAct::Member { door, act: MemberAct::Cut(cut) }));
+                        script.world.push((
+                            when,
+                            WorldAct::Member {
+                                door,
+                                act: MemberAct::Cut(cut),
+                            },
+                        ));
                     }
                 }
                 ("etcd's watches cut".to_owned(), end)
             }
             What::EtcdDown { part, for_ms } => {
-                let act = |door, down| WorldAct::Member { door, act: MemberAct::Down(down) };
+                let act = |door, down| WorldAct::Member {
+                    door,
+                    act: MemberAct::Down(down),
+                };
                 let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
                 ("members of etcd gone".to_owned(), end)
             }
             What::EtcdSilent { part, for_ms } => {
-                let act = |door, silent| WorldAct::Member { door, act: MemberAct::Silent(silent) };
+                let act = |door, silent| WorldAct::Member {
+                    door,
+                    act: MemberAct::Silent(silent),
+                };
                 let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
                 ("members of etcd silent".to_owned(), end)
             }
@@ -479,15 +577,30 @@
                 }
                 ("noise in etcd".to_owned(), end)
             }
-            What::Flood { plan, customers: count, times, for_ms } => {
+            What::Flood {
+                plan,
+                customers: count,
+                times,
+                for_ms,
+            } => {
                 let end = at + dice.within(*for_ms);
-                let of_plan: Vec<&Customer> =
-                    customers.iter().filter(|c| scenario.plans[c.plan].name == *plan).collect();
+                let of_plan: Vec<&Customer> = customers
+                    .iter()
+                    .filter(|c| scenario.plans[c.plan].name == *plan)
+                    .collect();
                 for pick in dice.pick(of_plan.len(), *count as usize) {
                     let customer = of_plan[pick];
                     let times = dice.within(*times) / customer.usage.max(0.01);
                     let stream = 10 + number as u64;
-                    arrivals(&mut script, scenario, seed, customer, times, [at, end.min(length)], stream);
+                    arrivals(
+                        &mut script,
+                        scenario,
+                        seed,
+                        customer,
+                        times,
+                        [at, end.min(length)],
+                        stream,
+                    );
                 }
                 (format!("flood past quota ({plan})"), end)
             }
@@ -512,13 +625,28 @@
                 }
                 ("one-shot clients".to_owned(), end)
             }
-            What::AuthTrouble { trouble, part, share, late_ms, for_ms } => {
+            What::AuthTrouble {
+                trouble,
+                part,
+                share,
+                late_ms,
+                for_ms,
+            } => {
                 let end = at + dice.within(*for_ms);
-                let servers = scenario.checks.as_ref().map_or(0, |checks| checks.servers as usize);
+                let servers = scenario
+                    .checks
+                    .as_ref()
+                    .map_or(0, |checks| checks.servers as usize);
                 for server in dice.part(servers, *part) {
                     let trouble = Some((*trouble, *share, dice.within(*late_ms)));
                     script.world.push((at, WorldAct::Auth { server, trouble }));
-                    script.world.push((end, WorldAct::Auth { server, trouble: None }));
+                    script.world.push((
+                        end,
+                        WorldAct::Auth {
+                            server,
+                            trouble: None,
+                        },
+                    ));
                 }
                 ("authentication fails".to_owned(), end)
             }
@@ -634,21 +762,40 @@
         let mut dice = Dice::new(self.seed, 50_000 + (self.changes * doors) as u64);
         self.changes += 1;
         if self.sources == Sources::Agent || by != Teller::Agent {
-            self.told.push((at, WorldAct::Commit { place, node, health }));
+            self.told.push((
+                at,
+                WorldAct::Commit {
+                    place,
+                    node,
+                    health,
+                },
+            ));
         }
         if self.sources == Sources::Etcd || by == Teller::Etcd {
             return;
         }
         for door in 0..doors {
             let mut when = at + dice.within(self.agent_ms);
-            match self.last.iter_mut().find(|(d, n, _)| (*d, *n) == (door, node)) {
+            match self
+                .last
+                .iter_mut()
+                .find(|(d, n, _)| (*d, *n) == (door, node))
+            {
                 Some((_, _, last)) => {
                     when = when.max(*last + 1.0);
                     *last = when;
                 }
                 None => self.last.push((door, node, when)),
             }
-            self.told.push((when, WorldAct::Tell { door, place, node, health }));
+            self.told.push((
+                when,
+                WorldAct::Tell {
+                    door,
+                    place,
+                    node,
+                    health,
+                },
+            ));
         }
     }
 }
@@ -706,7 +853,10 @@
     [from, to]: Range,
     stream: u64,
 ) {
-    let mean: f64 = UNITS.iter().map(|(units, share)| units.min(scenario.most_units) * share).sum();
+    let mean: f64 = UNITS
+        .iter()
+        .map(|(units, share)| units.min(scenario.most_units) * share)
+        .sum();
     let per_ms = scenario.plans[customer.plan].rate * customer.usage * times / mean / 1000.0;
     if per_ms <= 0.0 {
         return;
@@ -736,7 +886,10 @@
         aim_ms: class.aim_ms,
         worth: class.worth,
         late_worth: class.late_worth,
-        unchecked: scenario.checks.as_ref().is_some_and(|checks| checks.open.contains(&class.name)),
+        unchecked: scenario
+            .checks
+            .as_ref()
+            .is_some_and(|checks| checks.open.contains(&class.name)),
     };
     let plan = |plan: &crate::scenario::Plan| record::Plan {
         name: plan.name.clone(),
@@ -749,7 +902,11 @@
             slack: plan.ceiling_slack,
         }),
     };
-    let most_work = scenario.classes.iter().map(|class| class.work_ms[1]).fold(0.0, f64::max);
+    let most_work = scenario
+        .classes
+        .iter()
+        .map(|class| class.work_ms[1])
+        .fold(0.0, f64::max);
     Header {
         version: record::VERSION,
         scenario: scenario.name.clone(),
@@ -760,8 +917,14 @@
         // Two of the largest requests may come by chance.
         rules: Rules {
             // A check that is out when the credential is revoked may bring its pass later, which is kept from then on.
-            revoked_ms: scenario.checks.as_ref().map_or(0.0, |checks| checks.keep_ms + 2.0 * checks.limit_ms),
-            shared_ms: scenario.sharing.as_ref().map_or(0.0, |sharing| sharing.error_ms),
+            revoked_ms: scenario
+                .checks
+                .as_ref()
+                .map_or(0.0, |checks| checks.keep_ms + 2.0 * checks.limit_ms),
+            shared_ms: scenario
+                .sharing
+                .as_ref()
+                .map_or(0.0, |sharing| sharing.error_ms),
             ..Rules::platform(2.0 * scenario.most_units / USUAL_UNITS * most_work)
         },
     }
@@ -774,7 +937,11 @@
         // A string takes any text; the errors are those of a writer that can fail.
         let _ = writeln!(text, "{:?}", self.header);
         let _ = writeln!(text, "length {:?} places {}", self.length, self.places);
-        let _ = writeln!(text, "notice {:?} meter {:?}", self.notice_ms, self.meter_delay_ms);
+        let _ = writeln!(
+            text,
+            "notice {:?} meter {:?}",
+            self.notice_ms, self.meter_delay_ms
+        );
         self.failures.iter().for_each(|line| {
             let _ = writeln!(text, "failure {line:?}");
         });
@@ -817,14 +984,23 @@
             let script = draw(&scenario, seed);
             let mut last: std::collections::BTreeMap<(usize, u32), Millis> = Default::default();
             for (at, act) in &script.world {
-                if let WorldAct::Tell { door, node, health, .. } = act {
+                if let WorldAct::Tell {
+                    door, node, health, ..
+                } = act
+                {
                     let before = last.insert((*door, *node), *at);
                     assert!(before.is_none_or(|before| before < *at), "seed {seed}");
-                    assert_eq!(before.is_some(), *health == record::Health::Removed, "seed {seed}");
+                    assert_eq!(
+                        before.is_some(),
+                        *health == record::Health::Removed,
+                        "seed {seed}"
+                    );
                 }
             }
             assert!(script.asks.windows(2).all(|pair| pair[0].at <= pair[1].at));
-            assert!(!script.doors.is_empty() && script.asks.iter().all(|ask| ask.at < script.length));
+            assert!(
+                !script.doors.is_empty() && script.asks.iter().all(|ask| ask.at < script.length)
+            );
         }
     }
 }
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -2,8 +2,8 @@
 
 use crate::scenario::{Plan, Scenario, Sources};
 use crate::script::Script;
-use maplefall_protocol::Members;
 use maplefall_event_trace::Effect;
+use maplefall_protocol::Members;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -66,7 +66,10 @@
 /// What a front door's file of forward authentication says.
 pub fn forward_auth(scenario: &Scenario, servers: &[SocketAddr]) -> Option<String> {
     let checks = scenario.checks.as_ref()?;
-    let servers: Vec<String> = servers.iter().map(|at| format!("\"http://{at}/auth\"")).collect();
+    let servers: Vec<String> = servers
+        .iter()
+        .map(|at| format!("\"http://{at}/auth\""))
+        .collect();
     let mut text = format!(
         "servers = [{}]\ncredentials = [\"authorization\"]\nlimit_ms = {:.1}\nfailures = {}\nkeep_ms = [{:.1}, 500.0]\n[classes]\n",
         servers.join(", "),
@@ -75,7 +78,11 @@
         checks.keep_ms
     );
     for class in &scenario.classes {
-        let mode = if checks.open.contains(&class.name) { "open" } else { "closed" };
+        let mode = if checks.open.contains(&class.name) {
+            "open"
+        } else {
+            "closed"
+        };
         text.push_str(&format!("{} = \"{mode}\"\n", class.name));
     }
     Some(text)
@@ -90,7 +97,11 @@
     fronts: &[SocketAddr],
 ) -> Option<String> {
     let sharing = scenario.sharing.as_ref()?;
-    let seeds: Vec<String> = fronts.iter().take(2).map(|front| format!("\"{front}\"")).collect();
+    let seeds: Vec<String> = fronts
+        .iter()
+        .take(2)
+        .map(|front| format!("\"{front}\""))
+        .collect();
     let advertise = fronts.get(door)?;
     Some(format!(
         "cluster = \"rehearsal\"\nkey = \"{:064x}\"\ngossip = \"{listen}\"\nadvertise = \"{advertise}\"\nseeds = [{}]\n\
--- a/crates/rehearsal/tests/rehearse.rs
+++ b/crates/rehearsal/tests/rehearse.rs
@@ -20,7 +20,14 @@
         let build = |features: &[&str], name: &str| {
             let built = Command::new(env!("CARGO"))
                 .current_dir(&root)
-                .args(["build", "--locked", "--quiet", "-p", "maplefall", "--target-dir"])
+                .args([
+                    "build",
+                    "--locked",
+                    "--quiet",
+                    "-p",
+                    "maplefall",
+                    "--target-dir",
+                ])
                 .arg(&target)
                 .args(features)
                 .status()
@@ -33,7 +40,10 @@
             std::fs::rename(&fresh, &path).expect("a file replaced");
             path
         };
-        Daemons { whole: build(&[], "whole"), broken: build(&["--features", "breakages"], "broken") }
+        Daemons {
+            whole: build(&[], "whole"),
+            broken: build(&["--features", "breakages"], "broken"),
+        }
     })
 }
 
@@ -47,7 +57,8 @@
 fn rehearse_in_time(arguments: &[&str]) -> Output {
     let mut last = rehearse(arguments);
     for _ in 0..3 {
-        if last.status.code() != Some(2) || !String::from_utf8_lossy(&last.stderr).contains("void") {
+        if last.status.code() != Some(2) || !String::from_utf8_lossy(&last.stderr).contains("void")
+        {
             break;
         }
         last = rehearse(arguments);
@@ -64,7 +75,9 @@
 }
 
 fn verdict(judgement: &Value, rule: usize) -> &str {
-    judgement["rules"][rule - 1]["verdict"].as_str().expect("a verdict")
+    judgement["rules"][rule - 1]["verdict"]
+        .as_str()
+        .expect("a verdict")
 }
 
 /// Guards the kit as a whole: real processes, failures by script, and no rule called broken that was not; the record
@@ -73,15 +86,28 @@
 fn a_short_rehearsal_is_played_and_every_rule_holds() {
     let (json, record) = (file("short.json"), file("short.ndjson"));
     let daemon = daemons().whole.to_str().expect("a path");
-    let run = rehearse_in_time(&["run", "short", "--daemon", daemon, "--json", &json, "--record", &record]);
+    let run = rehearse_in_time(&[
+        "run", "short", "--daemon", daemon, "--json", &json, "--record", &record,
+    ]);
     let said = String::from_utf8_lossy(&run.stdout).into_owned();
-    assert_eq!(run.status.code(), Some(0), "{said}{}", String::from_utf8_lossy(&run.stderr));
+    assert_eq!(
+        run.status.code(),
+        Some(0),
+        "{said}{}",
+        String::from_utf8_lossy(&run.stderr)
+    );
     let judgement = judged(&json);
     for rule in [1, 2, 3] {
         assert_eq!(verdict(&judgement, rule), "kept", "{said}");
     }
-    assert!(judgement["figures"]["served"].as_u64() > Some(200), "{said}");
-    assert!(judgement["figures"]["not_taken"].as_u64() > Some(0), "a front door died: {said}");
+    assert!(
+        judgement["figures"]["served"].as_u64() > Some(200),
+        "{said}"
+    );
+    assert!(
+        judgement["figures"]["not_taken"].as_u64() > Some(0),
+        "a front door died: {said}"
+    );
     let again = file("again.json");
     let run = rehearse(&["judge", &record, "--json", &again]);
     assert_eq!(run.status.code(), Some(0));
@@ -96,15 +122,27 @@
         String::from_utf8_lossy(&output.stderr).into_owned()
     };
     assert!(said(&["run", "storm"]).contains("no scenario is called \"storm\"; there are calm"));
-    assert!(said(&["run", "calm", "--daemon", "/no/such/file"]).contains("/no/such/file: no such file"));
+    assert!(
+        said(&["run", "calm", "--daemon", "/no/such/file"]).contains("/no/such/file: no such file")
+    );
     // One that does not serve at all is no front door that broke a rule.
     let text = said(&["run", "short", "--daemon", "/bin/false"]);
-    assert!(text.contains("front door 0 ended before it was ready"), "{text}");
+    assert!(
+        text.contains("front door 0 ended before it was ready"),
+        "{text}"
+    );
     let path = file("bad.toml");
-    std::fs::write(&path, "version = 1\ntitle = \"x\"\nseconds = 9\n[fleet]\ndors = 2\nnodes = 0\n").unwrap();
+    std::fs::write(
+        &path,
+        "version = 1\ntitle = \"x\"\nseconds = 9\n[fleet]\ndors = 2\nnodes = 0\n",
+    )
+    .unwrap();
     let text = said(&["run", &path]);
     assert!(text.contains("line 5: fleet.dors: no such key"), "{text}");
-    assert!(text.contains("line 6: fleet.nodes: a number from 1 to 200 was expected"), "{text}");
+    assert!(
+        text.contains("line 6: fleet.nodes: a number from 1 to 200 was expected"),
+        "{text}"
+    );
     let path = file("cut.ndjson");
     std::fs::write(&path, "{\"version\":1}\n").unwrap();
     assert!(said(&["judge", &path]).contains("line 1: "));
@@ -137,12 +175,21 @@
 #[test]
 fn three_broken_daemons_are_found_and_the_whole_one_is_not_accused() {
     let Daemons { whole, broken } = daemons();
-    let (whole, broken) = (whole.to_str().expect("a path"), broken.to_str().expect("a path"));
+    let (whole, broken) = (
+        whole.to_str().expect("a path"),
+        broken.to_str().expect("a path"),
+    );
     let only = "stale-body,two-out,drain-ignored";
-    let run =
-        rehearse_in_time(&["prove", "--daemon", whole, "--broken", broken, "--only", only, "--jobs", "2"]);
+    let run = rehearse_in_time(&[
+        "prove", "--daemon", whole, "--broken", broken, "--only", only, "--jobs", "2",
+    ]);
     let said = String::from_utf8_lossy(&run.stdout).into_owned();
-    assert_eq!(run.status.code(), Some(0), "{said}{}", String::from_utf8_lossy(&run.stderr));
+    assert_eq!(
+        run.status.code(),
+        Some(0),
+        "{said}{}",
+        String::from_utf8_lossy(&run.stderr)
+    );
     assert!(said.contains("5 of 5 as they should be"), "{said}");
     // A breakage that goes unfound must not pass: a whole daemon in the broken one's place is one.
     let run = rehearse_in_time(&[
@@ -158,7 +205,9 @@
 fn the_whole_daemon_holds_no_breakage_and_the_broken_one_knows_its_own() {
     let holds = |path: &Path| {
         let bytes = std::fs::read(path).expect("a daemon");
-        bytes.windows(18).any(|window| window == b"MAPLEFALL_BREAKAGE")
+        bytes
+            .windows(18)
+            .any(|window| window == b"MAPLEFALL_BREAKAGE")
     };
     let Daemons { whole, broken } = daemons();
     assert!(!holds(whole) && holds(broken));
--- a/crates/scenario-generator/src/draw.rs
+++ b/crates/scenario-generator/src/draw.rs
@@ -1,14 +1,23 @@
 //! Days, drawn by chance from the kinds that there are.
 
-use crate::kinds::{Kind, Kinds, Leaves, Struck, BACKENDS, BESIDES, BUSY, CUTS, NONE_SPARED, WHICH};
+use crate::kinds::{
+    Kind, Kinds, Leaves, Struck, BACKENDS, BESIDES, BUSY, CUTS, NONE_SPARED, WHICH,
+};
 use crate::luck::Luck;
 use crate::site::Site;
 use toml::{Table, Value};
 
 /// Planned work, for sites whose own days do not have the kind: what an operator does by himself, in the list's words "stop",
 /// "replaced", "drain", "change of the config". What is in neither place is drawn as a fault, around which the rules ask less.
-const PLANNED: [&str; 7] =
-    ["release", "scale_in", "roll_term", "config_change", "config_race", "bad_config", "revoke"];
+const PLANNED: [&str; 7] = [
+    "release",
+    "scale_in",
+    "roll_term",
+    "config_change",
+    "config_race",
+    "bad_config",
+    "revoke",
+];
 /// Kinds that lean on the agreement of the counted machines, for [`Pile::Control`].
 const CONTROL: [&str; 9] = [
     "core_cut",
@@ -51,8 +60,9 @@
 /// Nothing starts before the first of these, nor later than the second before the end of the day, in seconds.
 const EDGES_S: (f64, f64) = (0.8, 2.0);
 /// How the fields of an entry follow one another in a file; others come after them.
-const ORDER: [&str; 11] =
-    ["at", "kind", "on", "zone", "service", "share", "count", "x", "for_s", "gap_s", "how"];
+const ORDER: [&str; 11] = [
+    "at", "kind", "on", "zone", "service", "share", "count", "x", "for_s", "gap_s", "how",
+];
 /// The bench's seeds are below this.
 const SEEDS: u32 = 1 << 30;
 
@@ -82,7 +92,10 @@
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (key, value) in &self.table {
-            match value.as_array().filter(|list| list.iter().any(Value::is_table)) {
+            match value
+                .as_array()
+                .filter(|list| list.iter().any(Value::is_table))
+            {
                 Some(list) => {
                     text.push_str(&format!("{key} = [\n"));
                     for entry in list {
@@ -111,7 +124,14 @@
 impl<'a> Drawer<'a> {
     /// What days of a site are drawn with.
     pub fn new(site: &'a Site, kinds: &'a Kinds, pile: Pile, seed: u64) -> Drawer<'a> {
-        Drawer { site, kinds, pile, luck: Luck::new(seed), seed, may_leave: [0.0; 2] }
+        Drawer {
+            site,
+            kinds,
+            pile,
+            luck: Luck::new(seed),
+            seed,
+            may_leave: [0.0; 2],
+        }
     }
 
     /// The next day. `None` if the site has none to start from.
@@ -126,7 +146,10 @@
         };
         let name = format!("{}-{pile}-{}-{number:03}", self.site.name, self.seed);
         table.insert("name".to_owned(), name.clone().into());
-        table.insert("seed".to_owned(), i64::from(self.luck.whole(1, SEEDS - 1)).into());
+        table.insert(
+            "seed".to_owned(),
+            i64::from(self.luck.whole(1, SEEDS - 1)).into(),
+        );
         table.insert("plan".to_owned(), Value::Array(self.plan()));
         table.insert("faults".to_owned(), Value::Array(self.faults()));
         table.remove("closing");
@@ -150,7 +173,9 @@
             Pile::Control | Pile::Long => {
                 CONTROL.contains(&kind.name.as_str()) || kind.struck == Struck::Counted
             }
-            Pile::Answers => ANSWERS.contains(&kind.name.as_str()) || kind.struck == Struck::Backends,
+            Pile::Answers => {
+                ANSWERS.contains(&kind.name.as_str()) || kind.struck == Struck::Backends
+            }
         };
         if leans {
             6.0
@@ -167,7 +192,11 @@
             .copied()
             .filter(|kind| kind.struck == Struck::Orders && !kind.has("count"))
             .collect();
-        let (low, high) = if self.pile == Pile::Long { LONG_PLAN } else { PLAN };
+        let (low, high) = if self.pile == Pile::Long {
+            LONG_PLAN
+        } else {
+            PLAN
+        };
         // Days with few works are as likely as days with many.
         let many = self.luck.factor(f64::from(low), f64::from(high) + 1.0) as u32;
         // All but some are single changes: works that take machines away wait for each other.
@@ -178,11 +207,16 @@
             if entries.len() >= many as usize {
                 break;
             }
-            let weights: Vec<(f64, &Kind)> = planned.iter().map(|kind| (self.weight(kind), *kind)).collect();
+            let weights: Vec<(f64, &Kind)> = planned
+                .iter()
+                .map(|kind| (self.weight(kind), *kind))
+                .collect();
             let kind = if !changes.is_empty() && self.luck.chance(single) {
                 self.luck.one_of(&changes).copied()
             } else {
-                self.luck.weighed(&weights, |(weight, _)| *weight).map(|(_, kind)| *kind)
+                self.luck
+                    .weighed(&weights, |(weight, _)| *weight)
+                    .map(|(_, kind)| *kind)
             };
             let Some(kind) = kind else { break };
             let at = self.moment();
@@ -193,7 +227,10 @@
 
     fn faults(&mut self) -> Vec<Value> {
         let all = &self.kinds.kinds;
-        let faults: Vec<&Kind> = all.iter().filter(|kind| !self.planned(&kind.name)).collect();
+        let faults: Vec<&Kind> = all
+            .iter()
+            .filter(|kind| !self.planned(&kind.name))
+            .collect();
         let many = self.luck.whole(FAULTS.0, FAULTS.1);
         let clumps: Vec<(f64, Struck)> = (0..self.luck.whole(1, 3))
             .filter_map(|_| {
@@ -207,13 +244,23 @@
             if entries.len() >= many as usize {
                 break;
             }
-            let clump = if self.luck.chance(0.55) { self.luck.one_of(&clumps).copied() } else { None };
+            let clump = if self.luck.chance(0.55) {
+                self.luck.one_of(&clumps).copied()
+            } else {
+                None
+            };
             let (kind, at) = match clump {
                 Some((at, struck)) => {
-                    let alike: Vec<&Kind> =
-                        faults.iter().copied().filter(|kind| near(kind.struck, struck)).collect();
+                    let alike: Vec<&Kind> = faults
+                        .iter()
+                        .copied()
+                        .filter(|kind| near(kind.struck, struck))
+                        .collect();
                     let later = at + self.luck.between(0.0, CLUMP_S);
-                    (self.draw_of(&alike), later.min(self.site.length_s - EDGES_S.1))
+                    (
+                        self.draw_of(&alike),
+                        later.min(self.site.length_s - EDGES_S.1),
+                    )
                 }
                 None => (self.draw_of(&faults), self.moment()),
             };
@@ -225,7 +272,9 @@
 
     fn draw_of(&mut self, of: &[&'a Kind]) -> Option<&'a Kind> {
         let weights: Vec<(f64, &Kind)> = of.iter().map(|kind| (self.weight(kind), *kind)).collect();
-        self.luck.weighed(&weights, |(weight, _)| *weight).map(|(_, kind)| *kind)
+        self.luck
+            .weighed(&weights, |(weight, _)| *weight)
+            .map(|(_, kind)| *kind)
     }
 
     fn moment(&mut self) -> f64 {
@@ -263,7 +312,11 @@
             return false;
         }
         let left = &mut self.may_leave[usize::from(kind.struck == Struck::Backends)];
-        let share = entry.get("share").and_then(Value::as_float).unwrap_or(1.0).min(*left);
+        let share = entry
+            .get("share")
+            .and_then(Value::as_float)
+            .unwrap_or(1.0)
+            .min(*left);
         if share < LEAST_SHARE {
             return false;
         }
@@ -309,10 +362,17 @@
         // Of few machines a number is named, of many a part: the bench takes one of them.
         if count || core && share && kind.struck == Struck::Machines {
             let most = if core { self.site.losses + 1 } else { 4 };
-            entry.insert("count".to_owned(), i64::from(self.luck.whole(1, most)).into());
+            entry.insert(
+                "count".to_owned(),
+                i64::from(self.luck.whole(1, most)).into(),
+            );
         } else if share {
             let usual = self.usual(kind, "share").unwrap_or(0.3);
-            let share = if self.luck.chance(0.15) { 1.0 } else { usual * self.luck.factor(0.4, 2.5) };
+            let share = if self.luck.chance(0.15) {
+                1.0
+            } else {
+                usual * self.luck.factor(0.4, 2.5)
+            };
             entry.insert("share".to_owned(), rounded(share.clamp(0.02, 1.0), 2));
         }
         if kind.has("x") {
@@ -336,15 +396,32 @@
     /// What the site's own days have, or else what the list gives.
     fn usual(&self, kind: &Kind, field: &str) -> Option<f64> {
         let listed = kind.fields.get(field).copied().flatten();
-        listed.or_else(|| self.site.numbers.get(&(kind.name.clone(), field.to_owned())).copied())
+        listed.or_else(|| {
+            self.site
+                .numbers
+                .get(&(kind.name.clone(), field.to_owned()))
+                .copied()
+        })
     }
 
     fn how(&mut self, kind: &Kind, core: bool) -> String {
         let mut words: Vec<String> = Vec::new();
         // Own variants, also those that stand only in the site's days.
-        let seen = self.site.hows.get(&kind.name).into_iter().flatten().cloned();
-        let general: Vec<&str> =
-            WHICH.iter().chain(&BESIDES).chain(&BACKENDS).chain(&CUTS).chain([&BUSY]).copied().collect();
+        let seen = self
+            .site
+            .hows
+            .get(&kind.name)
+            .into_iter()
+            .flatten()
+            .cloned();
+        let general: Vec<&str> = WHICH
+            .iter()
+            .chain(&BESIDES)
+            .chain(&BACKENDS)
+            .chain(&CUTS)
+            .chain([&BUSY])
+            .copied()
+            .collect();
         let seen = seen.filter(|how| how.split(' ').all(|word| !general.contains(&word)));
         let mut own = kind.hows.clone();
         own.extend(seen.filter(|how| !kind.hows.contains(how)));
@@ -417,7 +494,13 @@
         }
         let kind = self.luck.one_of(&self.kinds.closings)?.clone();
         let seen = self.site.closing_hows.get(&kind).into_iter().flatten();
-        let hows: Vec<String> = self.kinds.closing_hows.iter().chain(seen).cloned().collect();
+        let hows: Vec<String> = self
+            .kinds
+            .closing_hows
+            .iter()
+            .chain(seen)
+            .cloned()
+            .collect();
         let mut closing = Table::new();
         closing.insert("kind".to_owned(), kind.into());
         closing.insert("down_s".to_owned(), rounded(self.luck.factor(0.4, 3.0), 2));
@@ -438,11 +521,21 @@
 
 /// An entry on one line, when and what first.
 fn inline(entry: &Value) -> String {
-    let Some(table) = entry.as_table() else { return entry.to_string() };
+    let Some(table) = entry.as_table() else {
+        return entry.to_string();
+    };
     let mut fields: Vec<(&String, &Value)> = table.iter().collect();
-    let place = |field: &str| ORDER.iter().position(|one| *one == field).unwrap_or(ORDER.len());
+    let place = |field: &str| {
+        ORDER
+            .iter()
+            .position(|one| *one == field)
+            .unwrap_or(ORDER.len())
+    };
     fields.sort_by_key(|(field, _)| place(field));
-    let fields: Vec<String> = fields.into_iter().map(|(field, value)| format!("{field} = {value}")).collect();
+    let fields: Vec<String> = fields
+        .into_iter()
+        .map(|(field, value)| format!("{field} = {value}"))
+        .collect();
     format!("{{ {} }}", fields.join(", "))
 }
 
--- a/crates/scenario-generator/src/error.rs
+++ b/crates/scenario-generator/src/error.rs
@@ -27,14 +27,30 @@
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Read(file, error) => {
-                write!(to, "step=read file={} error={:?}", file.display(), error.kind())
+                write!(
+                    to,
+                    "step=read file={} error={:?}",
+                    file.display(),
+                    error.kind()
+                )
             }
             Error::Write(file, error) => {
-                write!(to, "step=write file={} error={:?}", file.display(), error.kind())
+                write!(
+                    to,
+                    "step=write file={} error={:?}",
+                    file.display(),
+                    error.kind()
+                )
+            }
+            Error::Site(file, what) => {
+                write!(to, "step=site file={} error={what:?}", file.display())
             }
-            Error::Site(file, what) => write!(to, "step=site file={} error={what:?}", file.display()),
             Error::NoKinds(file) => {
-                write!(to, "step=kinds file={} error=\"no kind is named\"", file.display())
+                write!(
+                    to,
+                    "step=kinds file={} error=\"no kind is named\"",
+                    file.display()
+                )
             }
         }
     }
--- a/crates/scenario-generator/src/kinds.rs
+++ b/crates/scenario-generator/src/kinds.rs
@@ -82,7 +82,8 @@
 impl Kinds {
     /// Reads a list that the bench has printed.
     pub fn load(file: &Path) -> Result<Kinds, Error> {
-        let text = std::fs::read_to_string(file).map_err(|error| Error::Read(file.to_owned(), error))?;
+        let text =
+            std::fs::read_to_string(file).map_err(|error| Error::Read(file.to_owned(), error))?;
         let kinds = Kinds::read(&text);
         if kinds.kinds.is_empty() {
             return Err(Error::NoKinds(file.to_owned()));
@@ -105,10 +106,22 @@
         }
         let head = head.join(" ");
         let all_words: BTreeSet<&str> = words(&head).collect();
-        let general = WHICH.iter().chain(&BESIDES).chain(&BACKENDS).chain(&CUTS).chain([&BUSY]);
-        let general = general.filter(|word| all_words.contains(**word)).map(|word| (*word).to_owned());
+        let general = WHICH
+            .iter()
+            .chain(&BESIDES)
+            .chain(&BACKENDS)
+            .chain(&CUTS)
+            .chain([&BUSY]);
+        let general = general
+            .filter(|word| all_words.contains(**word))
+            .map(|word| (*word).to_owned());
         let (closings, closing_hows) = closing(&head);
-        Kinds { words: general.collect(), kinds, closings, closing_hows }
+        Kinds {
+            words: general.collect(),
+            kinds,
+            closings,
+            closing_hows,
+        }
     }
 
     /// The kind of this name.
@@ -118,7 +131,10 @@
 
     /// Those of some words that the head names.
     pub fn named<'a>(&self, of: &[&'a str]) -> Vec<&'a str> {
-        of.iter().copied().filter(|word| self.words.contains(*word)).collect()
+        of.iter()
+            .copied()
+            .filter(|word| self.words.contains(*word))
+            .collect()
     }
 }
 
@@ -134,10 +150,15 @@
                 Some(rest) if rest.starts_with(':') => {
                     for one in split(&rest[1..], ',') {
                         if one.contains("leave") || one.contains("for good") {
-                            leaves =
-                                words(one).next().map_or(Leaves::Never, |word| Leaves::With(word.to_owned()));
+                            leaves = words(one)
+                                .next()
+                                .map_or(Leaves::Never, |word| Leaves::With(word.to_owned()));
                         }
-                        hows.extend(words(&outside(one)).filter(|word| is_name(word)).map(str::to_owned));
+                        hows.extend(
+                            words(&outside(one))
+                                .filter(|word| is_name(word))
+                                .map(str::to_owned),
+                        );
                     }
                 }
                 // `how a: what a is`.
@@ -149,18 +170,34 @@
             }
         }
         let told = told.join("; ");
-        let fields = FIELDS.iter().filter_map(|field| Some(((*field).to_owned(), field_of(&told, field)?)));
+        let fields = FIELDS
+            .iter()
+            .filter_map(|field| Some(((*field).to_owned(), field_of(&told, field)?)));
         let mut fields: BTreeMap<String, Option<f64>> = fields.collect();
         if words(&told).any(|word| word == "leave") {
             leaves = Leaves::Always;
         }
         // What does the same as the kind before it has the same variants and numbers.
         if let Some(before) = before.filter(|_| told.starts_with("the same")) {
-            hows.extend(before.hows.iter().filter(|how| !hows.contains(how)).cloned().collect::<Vec<_>>());
+            hows.extend(
+                before
+                    .hows
+                    .iter()
+                    .filter(|how| !hows.contains(how))
+                    .cloned()
+                    .collect::<Vec<_>>(),
+            );
             fields.extend(before.fields.clone());
         }
         let struck = struck(name, &told);
-        Kind { name: name.to_owned(), text: text.to_owned(), hows, fields, struck, leaves }
+        Kind {
+            name: name.to_owned(),
+            text: text.to_owned(),
+            hows,
+            fields,
+            struck,
+            leaves,
+        }
     }
 
     /// Whether the kind has this number.
@@ -180,11 +217,15 @@
 }
 
 fn is_name(word: &str) -> bool {
-    !word.is_empty() && word.chars().all(|one| one.is_ascii_lowercase() || one == '_')
+    !word.is_empty()
+        && word
+            .chars()
+            .all(|one| one.is_ascii_lowercase() || one == '_')
 }
 
 fn words(text: &str) -> impl Iterator<Item = &str> {
-    text.split(|one: char| !(one.is_ascii_alphanumeric() || one == '_')).filter(|word| !word.is_empty())
+    text.split(|one: char| !(one.is_ascii_alphanumeric() || one == '_'))
+        .filter(|word| !word.is_empty())
 }
 
 /// Splits where no bracket is open.
@@ -232,8 +273,12 @@
             continue;
         }
         let rest = text[end..].trim_start();
-        let rest = rest.trim_start_matches(|one: char| one.is_ascii_lowercase()).trim_start();
-        let value = rest.strip_prefix('(').and_then(|rest| rest.split(')').next());
+        let rest = rest
+            .trim_start_matches(|one: char| one.is_ascii_lowercase())
+            .trim_start();
+        let value = rest
+            .strip_prefix('(')
+            .and_then(|rest| rest.split(')').next());
         named = Some(value.and_then(|value| value.trim().parse().ok()));
         if named != Some(None) {
             break;
@@ -249,11 +294,15 @@
         Struck::Orders
     } else if told.contains("time of day") {
         Struck::Other
-    } else if says(&["disk", "disks", "acknowledges"]) || says(&["counted"]) && !name.starts_with("node_") {
+    } else if says(&["disk", "disks", "acknowledges"])
+        || says(&["counted"]) && !name.starts_with("node_")
+    {
         Struck::Counted
     } else if says(&["machine", "machines", "killed", "SIGKILL", "SIGTERM"]) {
         Struck::Machines
-    } else if says(&["server", "servers", "answer", "answers", "replaced", "drain", "drains"]) {
+    } else if says(&[
+        "server", "servers", "answer", "answers", "replaced", "drain", "drains",
+    ]) {
         Struck::Backends
     } else {
         Struck::Other
@@ -262,14 +311,28 @@
 
 /// Kinds and variants of the fault at a day's end: `closing = { kind = a | b, down_s } ... how c: ...; how d: ...`.
 fn closing(head: &str) -> (Vec<String>, Vec<String>) {
-    let Some((_, rest)) = head.split_once("closing = {") else { return (Vec::new(), Vec::new()) };
+    let Some((_, rest)) = head.split_once("closing = {") else {
+        return (Vec::new(), Vec::new());
+    };
     let (braces, prose) = rest.split_once('}').unwrap_or((rest, ""));
     let kinds = braces.split_once("kind =").map_or("", |(_, kinds)| kinds);
-    let kinds = kinds.split(',').next().unwrap_or_default().split('|').map(str::trim);
-    let kinds = kinds.filter(|kind| is_name(kind)).map(str::to_owned).collect();
+    let kinds = kinds
+        .split(',')
+        .next()
+        .unwrap_or_default()
+        .split('|')
+        .map(str::trim);
+    let kinds = kinds
+        .filter(|kind| is_name(kind))
+        .map(str::to_owned)
+        .collect();
     let mut hows = Vec::new();
     for (place, _) in prose.match_indices("how ") {
-        let word = prose[place + 4..].split(':').next().unwrap_or_default().trim();
+        let word = prose[place + 4..]
+            .split(':')
+            .next()
+            .unwrap_or_default()
+            .trim();
         if is_name(word) && !hows.iter().any(|known| known == word) {
             hows.push(word.to_owned());
         }
--- a/crates/scenario-generator/src/main.rs
+++ b/crates/scenario-generator/src/main.rs
@@ -68,7 +68,14 @@
 
 fn main() -> ExitCode {
     let done = match Line::parse().command {
-        Command::Draw { site, kinds, days, seed, pile, out } => draw(&site, &kinds, (days, seed), pile, &out),
+        Command::Draw {
+            site,
+            kinds,
+            days,
+            seed,
+            pile,
+            out,
+        } => draw(&site, &kinds, (days, seed), pile, &out),
         Command::Kinds { kinds } => tell(&kinds),
     };
     match done {
@@ -80,7 +87,13 @@
     }
 }
 
-fn draw(site: &Path, kinds: &Path, (days, seed): (u32, u64), pile: Lean, out: &Path) -> Result<(), Error> {
+fn draw(
+    site: &Path,
+    kinds: &Path,
+    (days, seed): (u32, u64),
+    pile: Lean,
+    out: &Path,
+) -> Result<(), Error> {
     let (site, kinds) = (Site::load(site)?, Kinds::load(kinds)?);
     let pile = match pile {
         Lean::Mixed => Pile::Mixed,
@@ -97,7 +110,11 @@
         std::fs::write(&file, day.text()).map_err(|error| Error::Write(file, error))?;
         written += 1;
     }
-    println!("event=drawn site={} days={written} seed={seed} folder={}", site.name, out.display());
+    println!(
+        "event=drawn site={} days={written} seed={seed} folder={}",
+        site.name,
+        out.display()
+    );
     Ok(())
 }
 
@@ -119,6 +136,10 @@
     }
     let words: Vec<&str> = kinds.words.iter().map(String::as_str).collect();
     println!("words={:?}", words.join(" "));
-    println!("closing={:?} how={:?}", kinds.closings.join(" "), kinds.closing_hows.join(" "));
+    println!(
+        "closing={:?} how={:?}",
+        kinds.closings.join(" "),
+        kinds.closing_hows.join(" ")
+    );
     Ok(())
 }
--- a/crates/scenario-generator/src/site.rs
+++ b/crates/scenario-generator/src/site.rs
@@ -70,7 +70,8 @@
 impl Site {
     /// Reads a site file.
     pub fn load(file: &Path) -> Result<Site, Error> {
-        let text = std::fs::read_to_string(file).map_err(|error| Error::Read(file.to_owned(), error))?;
+        let text =
+            std::fs::read_to_string(file).map_err(|error| Error::Read(file.to_owned(), error))?;
         Site::read(&text).map_err(|what| Error::site(file, what))
     }
 
@@ -88,8 +89,16 @@
             length_s: file.length_s,
             losses: file.tolerate.map_or(1, |tolerate| tolerate.machines),
             zones: file.zones.into_iter().map(|zone| zone.name).collect(),
-            services: file.services.into_iter().map(|service| service.name).collect(),
-            classes: file.machines.into_iter().map(|machine| machine.class).collect(),
+            services: file
+                .services
+                .into_iter()
+                .map(|service| service.name)
+                .collect(),
+            classes: file
+                .machines
+                .into_iter()
+                .map(|machine| machine.class)
+                .collect(),
             days: file.day,
             planned: BTreeSet::new(),
             faults: BTreeSet::new(),
@@ -102,32 +111,65 @@
         }
         for day in site.days.clone() {
             for (list, planned) in [("plan", true), ("faults", false)] {
-                for entry in day.get(list).and_then(Value::as_array).into_iter().flatten() {
-                    let Some(entry) = entry.as_table() else { continue };
+                for entry in day
+                    .get(list)
+                    .and_then(Value::as_array)
+                    .into_iter()
+                    .flatten()
+                {
+                    let Some(entry) = entry.as_table() else {
+                        continue;
+                    };
                     site.learn(entry);
-                    let Some(kind) = entry.get("kind").and_then(Value::as_str) else { continue };
-                    let known = if planned { &mut site.planned } else { &mut site.faults };
+                    let Some(kind) = entry.get("kind").and_then(Value::as_str) else {
+                        continue;
+                    };
+                    let known = if planned {
+                        &mut site.planned
+                    } else {
+                        &mut site.faults
+                    };
                     known.insert(kind.to_owned());
                 }
             }
             let closing = day.get("closing").and_then(Value::as_table);
-            let text = |name: &str| closing.and_then(|closing| closing.get(name)).and_then(Value::as_str);
+            let text = |name: &str| {
+                closing
+                    .and_then(|closing| closing.get(name))
+                    .and_then(Value::as_str)
+            };
             if let (Some(kind), Some(how)) = (text("kind"), text("how")) {
-                site.closing_hows.entry(kind.to_owned()).or_default().insert(how.to_owned());
+                site.closing_hows
+                    .entry(kind.to_owned())
+                    .or_default()
+                    .insert(how.to_owned());
             }
         }
         Ok(site)
     }
 
     fn learn(&mut self, entry: &Table) {
-        let Some(kind) = entry.get("kind").and_then(Value::as_str) else { return };
-        if let Some(how) = entry.get("how").and_then(Value::as_str).filter(|how| !how.is_empty()) {
-            self.hows.entry(kind.to_owned()).or_default().insert(how.to_owned());
+        let Some(kind) = entry.get("kind").and_then(Value::as_str) else {
+            return;
+        };
+        if let Some(how) = entry
+            .get("how")
+            .and_then(Value::as_str)
+            .filter(|how| !how.is_empty())
+        {
+            self.hows
+                .entry(kind.to_owned())
+                .or_default()
+                .insert(how.to_owned());
         }
         for (field, value) in entry {
-            let number = value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64));
+            let number = value
+                .as_float()
+                .or_else(|| value.as_integer().map(|whole| whole as f64));
             if let Some(number) = number.filter(|_| field != "at") {
-                self.numbers.entry((kind.to_owned(), field.clone())).or_insert(number);
+                self.numbers
+                    .entry((kind.to_owned(), field.clone()))
+                    .or_insert(number);
             }
         }
     }
--- a/crates/scenario-generator/tests/days.rs
+++ b/crates/scenario-generator/tests/days.rs
@@ -1,7 +1,9 @@
 //! Days as they are drawn: each can be read again, holds what is listed and nothing else, and comes again from its seed.
 
 use maplefall_scenario_generator::draw::{Drawer, Pile};
-use maplefall_scenario_generator::kinds::{Kinds, Leaves, Struck, BACKENDS, BESIDES, BUSY, CUTS, WHICH};
+use maplefall_scenario_generator::kinds::{
+    Kinds, Leaves, Struck, BACKENDS, BESIDES, BUSY, CUTS, WHICH,
+};
 use maplefall_scenario_generator::site::Site;
 use std::collections::BTreeSet;
 use toml::{Table, Value};
@@ -69,13 +71,23 @@
     let (site, kinds) = (site(), Kinds::read(KINDS));
     let mut drawer = Drawer::new(&site, &kinds, pile, seed);
     let days = (0..days).map(|number| drawer.day(number).expect("the site has days"));
-    days.map(|day| (day.name.clone(), toml::from_str(&day.text()).expect("a day can be read again")))
-        .collect()
+    days.map(|day| {
+        (
+            day.name.clone(),
+            toml::from_str(&day.text()).expect("a day can be read again"),
+        )
+    })
+    .collect()
 }
 
 fn entries<'a>(day: &'a Table, list: &str) -> Vec<&'a Table> {
-    let list = day.get(list).and_then(Value::as_array).expect("a day has both lists");
-    list.iter().map(|entry| entry.as_table().expect("an entry is a table")).collect()
+    let list = day
+        .get(list)
+        .and_then(Value::as_array)
+        .expect("a day has both lists");
+    list.iter()
+        .map(|entry| entry.as_table().expect("an entry is a table"))
+        .collect()
 }
 
 fn text<'a>(entry: &'a Table, field: &str) -> &'a str {
@@ -84,7 +96,9 @@
 
 fn number(entry: &Table, field: &str) -> Option<f64> {
     let value = entry.get(field)?;
-    value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64))
+    value
+        .as_float()
+        .or_else(|| value.as_integer().map(|whole| whole as f64))
 }
 
 #[test]
@@ -95,11 +109,16 @@
     assert_eq!(hows("srv_crash"), "dark gone");
     assert_eq!(hows("herd_kill"), "power taken");
     assert_eq!(hows("after_ack_kill"), "kill timed taken");
-    assert_eq!(hows("after_ack_wipe"), "kill timed taken", "it does the same as the one before it");
+    assert_eq!(
+        hows("after_ack_wipe"),
+        "kill timed taken",
+        "it does the same as the one before it"
+    );
     assert_eq!(hows("core_cut"), "one_way seeds both");
     assert_eq!(hows("clock_step"), "back ahead");
     assert_eq!(hows("solar_flare"), "left right");
-    let field = |name: &str, field: &str| kinds.kind(name).expect("listed").fields.get(field).copied();
+    let field =
+        |name: &str, field: &str| kinds.kind(name).expect("listed").fields.get(field).copied();
     assert_eq!(field("clock_step", "x"), Some(Some(2000.0)));
     assert_eq!(field("srv_crash", "share"), Some(Some(0.15)));
     assert_eq!(field("hot_tenant", "x"), Some(None));
@@ -143,23 +162,43 @@
             for list in ["plan", "faults"] {
                 let mut last = 0.0;
                 for entry in entries(&day, list) {
-                    let kind = kinds.kind(text(entry, "kind")).expect("a kind that is listed");
+                    let kind = kinds
+                        .kind(text(entry, "kind"))
+                        .expect("a kind that is listed");
                     let at = number(entry, "at").expect("an entry has a moment");
-                    assert!(at >= last && at > 0.0 && at < site.length_s, "{name}: {entry}");
+                    assert!(
+                        at >= last && at > 0.0 && at < site.length_s,
+                        "{name}: {entry}"
+                    );
                     last = at;
-                    for word in text(entry, "how").split(' ').filter(|word| !word.is_empty()) {
+                    for word in text(entry, "how")
+                        .split(' ')
+                        .filter(|word| !word.is_empty())
+                    {
                         let own = kind.hows.iter().any(|how| how == word);
-                        let seen = site.hows.get(&kind.name).is_some_and(|hows| hows.contains(word));
+                        let seen = site
+                            .hows
+                            .get(&kind.name)
+                            .is_some_and(|hows| hows.contains(word));
                         assert!(own || seen || general.contains(word), "{name}: {entry}");
                     }
                     let share = number(entry, "share").unwrap_or(0.5);
                     assert!(share > 0.0 && share <= 1.0, "{name}: {entry}");
-                    assert!(number(entry, "count").unwrap_or(1.0) >= 1.0, "{name}: {entry}");
-                    assert!(number(entry, "for_s").unwrap_or(1.0) > 0.0, "{name}: {entry}");
+                    assert!(
+                        number(entry, "count").unwrap_or(1.0) >= 1.0,
+                        "{name}: {entry}"
+                    );
+                    assert!(
+                        number(entry, "for_s").unwrap_or(1.0) > 0.0,
+                        "{name}: {entry}"
+                    );
                 }
             }
             if let Some(closing) = day.get("closing").and_then(Value::as_table) {
-                assert!(kinds.closings.iter().any(|kind| kind == text(closing, "kind")));
+                assert!(kinds
+                    .closings
+                    .iter()
+                    .any(|kind| kind == text(closing, "kind")));
                 let how = text(closing, "how");
                 let aimed = how == "aimed" && text(closing, "kind") == "wipe_after_ack";
                 assert!(how.is_empty() || aimed || kinds.closing_hows.iter().any(|one| one == how));
@@ -170,34 +209,69 @@
 
 #[test]
 fn many_troubles_come_and_planned_work_is_planned() {
-    let planned = ["config_change", "config_race", "bad_config", "roll_term", "scale_in"];
+    let planned = [
+        "config_change",
+        "config_race",
+        "bad_config",
+        "roll_term",
+        "scale_in",
+    ];
     let mut seen = BTreeSet::new();
     for (name, day) in drawn(Pile::Mixed, 3, 60) {
         let (plan, faults) = (entries(&day, "plan"), entries(&day, "faults"));
-        assert!((3..=40).contains(&plan.len()), "{name}: {} works", plan.len());
-        assert!((4..=12).contains(&faults.len()), "{name}: {} faults", faults.len());
-        assert!(plan.iter().all(|entry| planned.contains(&text(entry, "kind"))), "{name}");
-        assert!(faults.iter().all(|entry| !planned.contains(&text(entry, "kind"))), "{name}");
+        assert!(
+            (3..=40).contains(&plan.len()),
+            "{name}: {} works",
+            plan.len()
+        );
+        assert!(
+            (4..=12).contains(&faults.len()),
+            "{name}: {} faults",
+            faults.len()
+        );
+        assert!(
+            plan.iter()
+                .all(|entry| planned.contains(&text(entry, "kind"))),
+            "{name}"
+        );
+        assert!(
+            faults
+                .iter()
+                .all(|entry| !planned.contains(&text(entry, "kind"))),
+            "{name}"
+        );
         for entry in plan.iter().chain(&faults) {
             seen.insert(text(entry, "kind").to_owned());
         }
     }
-    let all: BTreeSet<String> = Kinds::read(KINDS).kinds.into_iter().map(|kind| kind.name).collect();
-    assert_eq!(seen, all, "every kind comes, also one that nobody here knows");
+    let all: BTreeSet<String> = Kinds::read(KINDS)
+        .kinds
+        .into_iter()
+        .map(|kind| kind.name)
+        .collect();
+    assert_eq!(
+        seen, all,
+        "every kind comes, also one that nobody here knows"
+    );
 }
 
 #[test]
 fn long_days_hold_hundreds_of_changes_and_control_strikes_the_core() {
     for (name, day) in drawn(Pile::Long, 5, 10) {
-        let changes =
-            entries(&day, "plan").iter().filter(|entry| text(entry, "kind") == "config_change").count();
+        let changes = entries(&day, "plan")
+            .iter()
+            .filter(|entry| text(entry, "kind") == "config_change")
+            .count();
         assert!(changes >= 120, "{name}: {changes} changes");
     }
     let of_core = |pile: Pile| -> f64 {
         let (mut core, mut all) = (0, 0);
         for (_, day) in drawn(pile, 6, 60) {
             for entry in entries(&day, "faults") {
-                let kind = Kinds::read(KINDS).kind(text(entry, "kind")).expect("listed").struck;
+                let kind = Kinds::read(KINDS)
+                    .kind(text(entry, "kind"))
+                    .expect("listed")
+                    .struck;
                 all += 1;
                 core += u32::from(kind == Struck::Counted || text(entry, "on") == "core");
             }
@@ -213,12 +287,26 @@
     let mut seen = BTreeSet::new();
     for (_, day) in drawn(Pile::Control, 8, 200) {
         match day.get("closing").and_then(Value::as_table) {
-            Some(closing) => seen.insert(format!("{} {}", text(closing, "kind"), text(closing, "how"))),
+            Some(closing) => seen.insert(format!(
+                "{} {}",
+                text(closing, "kind"),
+                text(closing, "how")
+            )),
             None => seen.insert("none".to_owned()),
         };
     }
-    let all = ["none", "power_off_all ", "power_off_all taken", "power_off_all timed", "wipe_after_ack "];
-    let all = all.into_iter().chain(["wipe_after_ack aimed", "wipe_after_ack taken", "wipe_after_ack timed"]);
+    let all = [
+        "none",
+        "power_off_all ",
+        "power_off_all taken",
+        "power_off_all timed",
+        "wipe_after_ack ",
+    ];
+    let all = all.into_iter().chain([
+        "wipe_after_ack aimed",
+        "wipe_after_ack taken",
+        "wipe_after_ack timed",
+    ]);
     assert_eq!(seen, all.map(str::to_owned).collect());
 }
 
@@ -227,13 +315,22 @@
     for pile in PILES {
         for (name, day) in drawn(pile, 21, 60) {
             let (mut doors, mut backends) = (0.0, 0.0);
-            for entry in entries(&day, "plan").into_iter().chain(entries(&day, "faults")) {
+            for entry in entries(&day, "plan")
+                .into_iter()
+                .chain(entries(&day, "faults"))
+            {
                 let how: Vec<&str> = text(entry, "how").split(' ').collect();
                 // With this word a service's backends are struck, whatever the share.
                 let all = how.contains(&"all");
-                let share = if all { 1.0 } else { number(entry, "share").unwrap_or(1.0) };
+                let share = if all {
+                    1.0
+                } else {
+                    number(entry, "share").unwrap_or(1.0)
+                };
                 match text(entry, "kind") {
-                    "roll_term" if how.contains(&"remove") && text(entry, "on") != "core" => doors += share,
+                    "roll_term" if how.contains(&"remove") && text(entry, "on") != "core" => {
+                        doors += share
+                    }
                     "srv_crash" if how.contains(&"gone") => backends += share,
                     "scale_in" => backends += share,
                     _ => {}
@@ -258,7 +355,10 @@
 #[test]
 fn the_standard_days_lend_their_traffic_and_floors() {
     for (name, day) in drawn(Pile::Mixed, 9, 20) {
-        let base = site().days.into_iter().find(|base| base.get("slot") == day.get("slot"));
+        let base = site()
+            .days
+            .into_iter()
+            .find(|base| base.get("slot") == day.get("slot"));
         let base = base.expect("a day comes from a standard day");
         assert_eq!(day.get("traffic"), base.get("traffic"), "{name}");
         assert_eq!(day.get("goal"), base.get("goal"), "{name}");
@@ -268,7 +368,9 @@
 #[test]
 fn a_site_that_cannot_be_used_is_told() {
     assert!(Site::read("name = 1").is_err());
-    assert!(Site::read("name = \"a\"\nlength_s = 20.0").expect_err("no day").contains("no day"));
+    assert!(Site::read("name = \"a\"\nlength_s = 20.0")
+        .expect_err("no day")
+        .contains("no day"));
     assert!(Site::read("name = \"a\"\nlength_s = 1.0\n[[day]]\nname = \"x\"").is_err());
     assert_eq!(Kinds::read("nothing here\n").kinds, []);
 }
--- a/crates/service-registry/src/lib.rs
+++ b/crates/service-registry/src/lib.rs
@@ -73,7 +73,10 @@
 
 impl Life {
     fn told(&self, now: Millis) -> Word {
-        Word { cold_ms: (self.warm - now).max(0.0) as u32, ..self.word.clone() }
+        Word {
+            cold_ms: (self.warm - now).max(0.0) as u32,
+            ..self.word.clone()
+        }
     }
 }
 
@@ -100,7 +103,11 @@
     pub fn hear(&mut self, now: Millis, word: Word) -> Brought {
         let warm = now + f64::from(word.cold_ms);
         let Some(life) = self.lives.get_mut(&word.id) else {
-            let life = Life { word, heard: now, warm };
+            let life = Life {
+                word,
+                heard: now,
+                warm,
+            };
             let told = life.told(now);
             self.make_room();
             self.lives.insert(told.id.clone(), life);
@@ -120,7 +127,11 @@
         let mut word = word;
         if word.state() == State::Left && word.service.is_empty() {
             // Who leaves says no more than its id.
-            word = Word { state: State::Left.into(), seq: word.seq, ..life.word.clone() };
+            word = Word {
+                state: State::Left.into(),
+                seq: word.seq,
+                ..life.word.clone()
+            };
         }
         (life.word, life.heard, life.warm) = (word, now, warm);
         if news {
@@ -133,13 +144,25 @@
     /// A life says that it ends.
     pub fn leave(&mut self, now: Millis, id: &str) -> Brought {
         let held = self.lives.get(id).map(|life| life.word.clone());
-        let word = held.unwrap_or_else(|| Word { id: id.to_owned(), ..Word::default() });
-        self.hear(now, Word { state: State::Left.into(), seq: word.seq + 1, ..word })
+        let word = held.unwrap_or_else(|| Word {
+            id: id.to_owned(),
+            ..Word::default()
+        });
+        self.hear(
+            now,
+            Word {
+                state: State::Left.into(),
+                seq: word.seq + 1,
+                ..word
+            },
+        )
     }
 
     /// Another exchange has heard this life, up to this call.
     pub fn seen(&mut self, now: Millis, id: &str, seq: u64) -> Brought {
-        let Some(life) = self.lives.get_mut(id) else { return Brought::Nothing };
+        let Some(life) = self.lives.get_mut(id) else {
+            return Brought::Nothing;
+        };
         if seq < life.word.seq || life.word.state() == State::Left {
             return Brought::Nothing;
         }
@@ -170,7 +193,8 @@
         if now - self.swept > REMEMBERED / 4.0 {
             self.swept = now;
             self.lives.retain(|_, life| {
-                matches!(life.word.state(), State::Serving | State::Leaving) || now - life.heard < REMEMBERED
+                matches!(life.word.state(), State::Serving | State::Leaving)
+                    || now - life.heard < REMEMBERED
             });
         }
         lost
@@ -199,7 +223,9 @@
 
     /// Counts all lives as heard now: whoever was away could not hear them.
     pub fn excuse(&mut self, now: Millis) {
-        self.lives.values_mut().for_each(|life| life.heard = life.heard.max(now));
+        self.lives
+            .values_mut()
+            .for_each(|life| life.heard = life.heard.max(now));
     }
 
     /// All that is known.
--- a/crates/service-registry/tests/words.rs
+++ b/crates/service-registry/tests/words.rs
@@ -10,7 +10,8 @@
     fn arbitrary(g: &mut Gen) -> Words {
         let one = |g: &mut Gen| {
             let seq = u64::from(u8::arbitrary(g) % 6);
-            let state = [State::Serving, State::Leaving, State::Lost, State::Left][usize::arbitrary(g) % 4];
+            let state =
+                [State::Serving, State::Leaving, State::Lost, State::Left][usize::arbitrary(g) % 4];
             Word {
                 id: ["i-1", "i-2"][usize::arbitrary(g) % 2].into(),
                 service: "s".into(),
@@ -48,11 +49,20 @@
         told(&words.0) == expected && told(&back) == expected
     }
     println!("seed 11");
-    QuickCheck::new().rng(Gen::from_size_and_seed(40, 11)).tests(600).quickcheck(holds as fn(Words) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(40, 11))
+        .tests(600)
+        .quickcheck(holds as fn(Words) -> bool);
 }
 
 fn serving(seq: u64) -> Word {
-    Word { id: "i-1".into(), service: "s".into(), address: "10.0.0.1:80".into(), seq, ..Word::default() }
+    Word {
+        id: "i-1".into(),
+        service: "s".into(),
+        address: "10.0.0.1:80".into(),
+        seq,
+        ..Word::default()
+    }
 }
 
 /// Guards backends whose beats are lost for a while: they are lost once, and back with the next beat; who has left is not.
@@ -66,10 +76,16 @@
     assert!(directory.overdue(12_000.0, 6000.0).is_empty());
     // A late call does not bring it back, a new one does.
     assert_eq!(directory.hear(12_000.0, serving(2)), Brought::Nothing);
-    assert!(matches!(directory.hear(12_000.0, serving(4)), Brought::News(_)));
+    assert!(matches!(
+        directory.hear(12_000.0, serving(4)),
+        Brought::News(_)
+    ));
     assert!(matches!(directory.leave(12_500.0, "i-1"), Brought::News(_)));
     assert_eq!(directory.hear(13_000.0, serving(9)), Brought::Nothing);
-    assert_eq!(directory.word(13_000.0, "i-1").map(|word| word.state()), Some(State::Left));
+    assert_eq!(
+        directory.word(13_000.0, "i-1").map(|word| word.state()),
+        Some(State::Left)
+    );
 }
 
 /// Guards a leave that comes to an exchange which never heard of the life: its late beats do not open it.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -64,7 +64,10 @@
 
 impl Default for Links {
     fn default() -> Self {
-        Links { dial_timeout: 250.0, idle_close: 10_000.0 }
+        Links {
+            dial_timeout: 250.0,
+            idle_close: 10_000.0,
+        }
     }
 }
 
@@ -84,11 +87,15 @@
 
 impl Facts<'_> {
     fn wrong(&self, path: &str, what: impl std::fmt::Display) {
-        self.mistakes.borrow_mut().push(format!("settings: {path}={what}"));
+        self.mistakes
+            .borrow_mut()
+            .push(format!("settings: {path}={what}"));
     }
 
     fn get<T: FromStr>(&self, path: &str, otherwise: T) -> T {
-        let Some(text) = self.told.get(path) else { return otherwise };
+        let Some(text) = self.told.get(path) else {
+            return otherwise;
+        };
         text.trim().parse().unwrap_or_else(|_| {
             self.wrong(path, format_args!("{text} cannot be read"));
             otherwise
@@ -117,17 +124,27 @@
 
     fn list(&self, path: &str) -> Vec<String> {
         let text = self.told.get(path).copied().unwrap_or_default();
-        text.split(',').filter(|name| !name.is_empty()).map(str::to_owned).collect()
+        text.split(',')
+            .filter(|name| !name.is_empty())
+            .map(str::to_owned)
+            .collect()
     }
 
     fn names(&self, list: &str) -> Vec<String> {
-        let name =
-            |i| self.told.get(format!("{list}.{i}.name").as_str()).copied().unwrap_or_default().to_owned();
+        let name = |i| {
+            self.told
+                .get(format!("{list}.{i}.name").as_str())
+                .copied()
+                .unwrap_or_default()
+                .to_owned()
+        };
         (0..self.count(list)).map(name).collect()
     }
 
     fn choice<T: Copy>(&self, path: &str, otherwise: T, choices: &[(&str, T)]) -> T {
-        let Some(text) = self.told.get(path) else { return otherwise };
+        let Some(text) = self.told.get(path) else {
+            return otherwise;
+        };
         let found = choices.iter().find(|(word, _)| word == text);
         found.map_or_else(
             || {
@@ -152,8 +169,14 @@
 /// # Errors
 /// All that cannot be read, each named by its path.
 pub fn parse_all(text: &str) -> Result<Told, Vec<String>> {
-    let told = text.lines().filter_map(|line| line.split_once('=')).collect();
-    let facts = Facts { told, mistakes: RefCell::default() };
+    let told = text
+        .lines()
+        .filter_map(|line| line.split_once('='))
+        .collect();
+    let facts = Facts {
+        told,
+        mistakes: RefCell::default(),
+    };
     let told = read(&facts);
     let mut mistakes = facts.mistakes.into_inner();
     // A count is read once for the names and once for the rest.
@@ -179,19 +202,28 @@
         gateways: facts.get("fleet_size", base.gateways),
         zone: ZoneId(facts.get("my_zone", base.zone.0)),
         tick: facts.number("tick", base.tick),
-        classes: (0..facts.count("grades")).map(|i| class(facts, i)).collect(),
+        classes: (0..facts.count("grades"))
+            .map(|i| class(facts, i))
+            .collect(),
         plans: (0..facts.count("plans")).map(|i| plan(facts, i)).collect(),
         max_units: facts.number("extra.max_units", base.max_units),
         meter_period: facts.number("extra.meter", base.meter_period),
         discovery: facts.choice(
             "registry_mode",
             base.discovery,
-            &[("pushed", Discovery::Pushed), ("on_request", Discovery::OnRequest)],
+            &[
+                ("pushed", Discovery::Pushed),
+                ("on_request", Discovery::OnRequest),
+            ],
         ),
         reports: facts.choice(
             "report.via",
             base.reports,
-            &[("off", Reports::Off), ("inline", Reports::Inline), ("on_probe", Reports::OnProbe)],
+            &[
+                ("off", Reports::Off),
+                ("inline", Reports::Inline),
+                ("on_probe", Reports::OnProbe),
+            ],
         ),
         max_attempts: facts.get("policy_limits.send_cap", base.max_attempts),
         second_copies: facts.get("policy_limits.second_copies", base.second_copies),
@@ -223,12 +255,20 @@
 fn class(facts: &Facts<'_>, index: usize) -> Class {
     let path = |key: &str| format!("grades.{index}.{key}");
     let base = Class::default();
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+    let groups = [
+        ("all", Group::All),
+        ("zone", Group::Zone),
+        ("cell", Group::Cell),
+    ];
     let keyed = Effect::Keyed {
         group: facts.choice(&path("group"), Group::Cell, &groups),
         memory: facts.number(&path("memory_span"), 0.0),
     };
-    let effects = [("safe", Effect::Safe), ("keyed", keyed), ("unsafe", Effect::Unsafe)];
+    let effects = [
+        ("safe", Effect::Safe),
+        ("keyed", keyed),
+        ("unsafe", Effect::Unsafe),
+    ];
     Class {
         aim: facts.number(&path("aim"), base.aim),
         deadline: facts.number(&path("give_up"), base.deadline),
@@ -302,13 +342,24 @@
 }
 
 fn flatten(path: &str, value: &Value, lines: &mut String) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let below = |key: &str| {
+        if path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{path}.{key}")
+        }
+    };
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, value)| flatten(&below(key), value, lines)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(key, value)| flatten(&below(key), value, lines)),
         Value::Array(items) if items.iter().any(|item| item.is_object() || item.is_array()) => {
             // A string takes any text; the error is that of a writer that can fail.
             let _ = writeln!(lines, "{}={}", below("count"), items.len());
-            items.iter().enumerate().for_each(|(i, item)| flatten(&below(&i.to_string()), item, lines));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, item)| flatten(&below(&i.to_string()), item, lines));
         }
         Value::Array(items) => {
             let words: Vec<String> = items.iter().filter_map(word).collect();
@@ -339,14 +390,34 @@
         let text = "fleet_size=3\nplans.count=1\nplans.0.per_second=2.5\nplans.0.cap_rate=5\nnew.key=x\n\
                     grades.count=1\ngrades.0.idempotency=keyed\ngrades.0.group=zone\ngrades.0.memory_span=6000\n\
                     report.names=depth,strange,concurrent\nregistry_mode=on_request";
-        let Told { settings, metrics: order, .. } = parse(text).unwrap();
+        let Told {
+            settings,
+            metrics: order,
+            ..
+        } = parse(text).unwrap();
         assert_eq!((settings.gateways, settings.plans[0].rate), (3, 2.5));
-        assert_eq!(settings.plans[0].ceiling, Some(Ceiling { rate: 5.0, burst: 0.0, slack: 0.0 }));
-        assert_eq!(settings.classes[0].effect, Effect::Keyed { group: Group::Zone, memory: 6000.0 });
+        assert_eq!(
+            settings.plans[0].ceiling,
+            Some(Ceiling {
+                rate: 5.0,
+                burst: 0.0,
+                slack: 0.0
+            })
+        );
+        assert_eq!(
+            settings.classes[0].effect,
+            Effect::Keyed {
+                group: Group::Zone,
+                memory: 6000.0
+            }
+        );
         assert_eq!(settings.discovery, Discovery::OnRequest);
         assert_eq!(settings.max_attempts, Settings::default().max_attempts);
         let told = report(&order, &[4.0, 9.0, 6.0]);
-        assert_eq!((told.queue, told.in_flight, told.utilisation), (Some(4.0), Some(6.0), None));
+        assert_eq!(
+            (told.queue, told.in_flight, told.utilisation),
+            (Some(4.0), Some(6.0), None)
+        );
     }
 
     /// Guards operators against mending one mistake after the other: all are told at once.
@@ -362,17 +433,26 @@
             "settings: report.via=post is not a known choice",
         ];
         let of = |text: &&str| mistakes.iter().filter(|mistake| mistake == text).count();
-        assert_eq!(expected.iter().map(of).collect::<Vec<_>>(), [1, 1, 1, 1], "{mistakes:#?}");
+        assert_eq!(
+            expected.iter().map(of).collect::<Vec<_>>(),
+            [1, 1, 1, 1],
+            "{mistakes:#?}"
+        );
     }
 
     #[test]
     fn what_cannot_be_read_is_named() {
-        assert_eq!(parse("tick=soon").unwrap_err(), "settings: tick=soon cannot be read");
+        assert_eq!(
+            parse("tick=soon").unwrap_err(),
+            "settings: tick=soon cannot be read"
+        );
         assert_eq!(
             parse("registry_mode=maybe").unwrap_err(),
             "settings: registry_mode=maybe is not a known choice"
         );
-        assert!(parse("extra.meter=NaN").unwrap_err().contains("extra.meter"));
+        assert!(parse("extra.meter=NaN")
+            .unwrap_err()
+            .contains("extra.meter"));
     }
 
     #[test]
--- a/crates/shared-counts/benches/gate.rs
+++ b/crates/shared-counts/benches/gate.rs
@@ -25,7 +25,10 @@
     }
     let took = begun.elapsed().as_nanos() as f64 / uses.len() as f64;
     let bytes = plain.capacity() * (std::mem::size_of::<(u64, u64)>() + 1);
-    println!("plain map: {took:.0} ns a use, {bytes} bytes, {} customers counted", plain.len());
+    println!(
+        "plain map: {took:.0} ns a use, {bytes} bytes, {} customers counted",
+        plain.len()
+    );
     let begun = Instant::now();
     let mut gate = Gate::new(PLACES, 7);
     let (mut told, mut own) = (HashSet::new(), 0u64);
@@ -42,7 +45,11 @@
         }
     }
     let took = begun.elapsed().as_nanos() as f64 / uses.len() as f64;
-    let heavy: u64 = uses.iter().filter(|(customer, _)| *customer < HEAVY).map(|(_, milli)| milli).sum();
+    let heavy: u64 = uses
+        .iter()
+        .filter(|(customer, _)| *customer < HEAVY)
+        .map(|(_, milli)| milli)
+        .sum();
     let counted = told.iter().filter(|customer| **customer < HEAVY).count();
     println!(
         "gate: {took:.0} ns a use, {} bytes and {} places of {PLACES}; {counted} of {HEAVY} heavy customers have one, with {:.1}% \
--- a/crates/shared-counts/benches/growth.rs
+++ b/crates/shared-counts/benches/growth.rs
@@ -12,10 +12,18 @@
 const SECONDS: f64 = 5.0;
 
 fn main() {
-    let words: Vec<usize> = std::env::args().filter_map(|word| word.parse().ok()).collect();
+    let words: Vec<usize> = std::env::args()
+        .filter_map(|word| word.parse().ok())
+        .collect();
     let table = match words[..] {
         [doors, customers] => vec![(doors, customers)],
-        _ => vec![(10, 1000), (100, 1000), (300, 1000), (10, 100_000), (100, 100_000)],
+        _ => vec![
+            (10, 1000),
+            (100, 1000),
+            (300, 1000),
+            (10, 100_000),
+            (100, 100_000),
+        ],
     };
     println!("doors customers  met s  all know ms (median, worst)  KB/s out  datagrams/s  CPU %  counts  news ms (median, worst)");
     for (doors, customers) in table {
@@ -24,8 +32,15 @@
 }
 
 fn row(doors: usize, customers: usize) {
-    let set = Settings { most_members: 1024, ..Settings::usual("quito", vec![7; 32]) };
-    let link = Link { loss: 0.01, doubled: 0.0, delay: (0.2, 2.0) };
+    let set = Settings {
+        most_members: 1024,
+        ..Settings::usual("quito", vec![7; 32])
+    };
+    let link = Link {
+        loss: 0.01,
+        doubled: 0.0,
+        delay: (0.2, 2.0),
+    };
     let mut world = World::new(doors, set, link, 1);
     let met = world.meet(300_000.0);
     let tally = |world: &mut World| {
@@ -53,8 +68,10 @@
         for _ in 0..5 {
             world.play(20.0);
             pending.retain(|(marked, told): &(u64, f64)| {
-                let known =
-                    world.doors.iter().all(|d| d.node.as_ref().is_some_and(|n| n.total(*marked) == 1000));
+                let known = world
+                    .doors
+                    .iter()
+                    .all(|d| d.node.as_ref().is_some_and(|n| n.total(*marked) == 1000));
                 if known {
                     late.push(world.now - told);
                 }
@@ -74,7 +91,10 @@
         list.sort_by(f64::total_cmp);
         list[((list.len() - 1) as f64 * part) as usize]
     };
-    let counts = (0..doors).map(|at| world.node(at).counts()).max().unwrap_or(0);
+    let counts = (0..doors)
+        .map(|at| world.node(at).counts())
+        .max()
+        .unwrap_or(0);
     println!(
         "{doors:>5} {customers:>9} {:>6.1} {:>12.0} {:>8.0} {:>16.1} {:>12.1} {:>6.2} {:>7} {:>9.0} {:>8.0}",
         met / 1000.0,
--- a/crates/shared-counts/benches/worth.rs
+++ b/crates/shared-counts/benches/worth.rs
@@ -50,20 +50,32 @@
         "of what one door that sees all would let in: doors, loss, news, refused %, let in beyond quotas %"
     );
     for (doors, loss) in [(4, 0.01), (20, 0.01), (20, 0.3), (100, 0.01)] {
-        for (name, mode) in [("without", Mode::Without), ("gossip", Mode::Gossip), ("perfect", Mode::Perfect)]
-        {
+        for (name, mode) in [
+            ("without", Mode::Without),
+            ("gossip", Mode::Gossip),
+            ("perfect", Mode::Perfect),
+        ] {
             let mut rows = Vec::new();
             for seed in 0..2 {
                 let sum = play(doors, loss, mode, seed);
-                rows.push((100.0 * (1.0 - sum.within / sum.sold), 100.0 * sum.beyond / sum.sold));
+                rows.push((
+                    100.0 * (1.0 - sum.within / sum.sold),
+                    100.0 * sum.beyond / sum.sold,
+                ));
             }
             let show = |of: fn(&(f64, f64)) -> f64| {
                 let list: Vec<f64> = rows.iter().map(of).collect();
                 let mean = list.iter().sum::<f64>() / list.len() as f64;
-                let span = list.iter().fold(0.0f64, |most, one| most.max((one - mean).abs()));
+                let span = list
+                    .iter()
+                    .fold(0.0f64, |most, one| most.max((one - mean).abs()));
                 format!("{mean:.1} +-{span:.1}")
             };
-            println!("{doors:>5} {loss:>5} {name:>8} {:>14} {:>14}", show(|row| row.0), show(|row| row.1));
+            println!(
+                "{doors:>5} {loss:>5} {name:>8} {:>14} {:>14}",
+                show(|row| row.0),
+                show(|row| row.1)
+            );
         }
     }
 }
@@ -82,8 +94,17 @@
 }
 
 fn play(doors: usize, loss: f64, mode: Mode, seed: u64) -> Sum {
-    let class = Class { aim: 600.0, deadline: 2500.0, effect: Effect::Safe, ..Class::default() };
-    let plan = |rate: f64, span: f64| Plan { rate, burst: rate * span, ..Plan::default() };
+    let class = Class {
+        aim: 600.0,
+        deadline: 2500.0,
+        effect: Effect::Safe,
+        ..Class::default()
+    };
+    let plan = |rate: f64, span: f64| Plan {
+        rate,
+        burst: rate * span,
+        ..Plan::default()
+    };
     let plans = vec![plan(2.0, 5.0), plan(10.0, 2.0), plan(30.0, 2.0)];
     let set = Settings {
         gateways: doors as u32,
@@ -94,8 +115,15 @@
         max_attempts: 3,
         ..Settings::default()
     };
-    let link = Link { loss, doubled: 0.0, delay: (0.5, 20.0) };
-    let sharing = Sharing { most_members: 1024, ..Sharing::usual("quito", vec![7; 32]) };
+    let link = Link {
+        loss,
+        doubled: 0.0,
+        delay: (0.5, 20.0),
+    };
+    let sharing = Sharing {
+        most_members: 1024,
+        ..Sharing::usual("quito", vec![7; 32])
+    };
     let mut world = World::new(doors, sharing, link, seed);
     if mode == Mode::Gossip {
         world.meet(120_000.0);
@@ -114,12 +142,20 @@
     let mut gateways: Vec<Gateway> = (0..doors)
         .map(|at| {
             let mut gateway = Gateway::new(set.clone(), seed * 1000 + at as u64);
-            gateway.handle(world.clock(at), Event::Backends(ListKind::Full, list.clone()), &mut actions);
+            gateway.handle(
+                world.clock(at),
+                Event::Backends(ListKind::Full, list.clone()),
+                &mut actions,
+            );
             gateway
         })
         .collect();
-    let mut stores: Vec<Store> =
-        (0..CUSTOMERS).map(|c| Store { left: plans[plan_of(c)].burst, t: start }).collect();
+    let mut stores: Vec<Store> = (0..CUSTOMERS)
+        .map(|c| Store {
+            left: plans[plan_of(c)].burst,
+            t: start,
+        })
+        .collect();
     let mut oracle = stores.clone();
     // Answers that are due: a request's door, number and backend.
     let mut due: BTreeMap<(u64, u32), (usize, BackendId)> = BTreeMap::new();
@@ -133,12 +169,21 @@
                     let heard = world.node(door).news(now).1 as f64 / doors as f64;
                     let (units, as_of, error) = (fact.units, fact.as_of, fact.error);
                     let (whose, plan) = (CustomerId(customer), PlanId(plan_of(customer as usize)));
-                    let told = Elsewhere { customer: whose, plan, units, as_of, error, heard };
+                    let told = Elsewhere {
+                        customer: whose,
+                        plan,
+                        units,
+                        as_of,
+                        error,
+                        heard,
+                    };
                     gateway.handle(now, Event::Elsewhere(told), &mut actions);
                 }
             }
         }
-        while let Some((&(at, id), _)) = due.first_key_value().filter(|((at, _), _)| *at as f64 <= world.now)
+        while let Some((&(at, id), _)) = due
+            .first_key_value()
+            .filter(|((at, _), _)| *at as f64 <= world.now)
         {
             let (door, backend) = due.remove(&(at, id)).expect("it was there");
             let settled = Settled {
@@ -174,7 +219,14 @@
             let now = world.clock(door);
             let told = |units, as_of, error, heard| {
                 let (customer, plan) = (CustomerId(customer as u64), PlanId(plan_of(customer)));
-                Event::Elsewhere(Elsewhere { customer, plan, units, as_of, error, heard })
+                Event::Elsewhere(Elsewhere {
+                    customer,
+                    plan,
+                    units,
+                    as_of,
+                    error,
+                    heard,
+                })
             };
             match mode {
                 Mode::Without => {}
@@ -218,8 +270,16 @@
                 Mode::Perfect => {
                     for other in (0..doors).filter(|other| *other != door) {
                         let now = world.clock(other);
-                        let (customer, plan) = (CustomerId(customer as u64), PlanId(plan_of(customer)));
-                        let told = Elsewhere { customer, plan, units, as_of: now, error: 0.0, heard: 1.0 };
+                        let (customer, plan) =
+                            (CustomerId(customer as u64), PlanId(plan_of(customer)));
+                        let told = Elsewhere {
+                            customer,
+                            plan,
+                            units,
+                            as_of: now,
+                            error: 0.0,
+                            heard: 1.0,
+                        };
                         gateways[other].handle(now, Event::Elsewhere(told), &mut actions);
                     }
                 }
--- a/crates/shared-counts/src/count.rs
+++ b/crates/shared-counts/src/count.rs
@@ -19,12 +19,19 @@
     /// The later of two states of one count: idempotent, commutative and associative.
     #[must_use]
     pub fn join(self, other: Count) -> Count {
-        Count { taken: self.taken.max(other.taken), returned: self.returned.max(other.returned) }
+        Count {
+            taken: self.taken.max(other.taken),
+            returned: self.returned.max(other.returned),
+        }
     }
 
     /// Adds a change; `false` where the count has come to its width and holds less than was used.
     pub fn add(&mut self, milli: i64) -> bool {
-        let side = if milli >= 0 { &mut self.taken } else { &mut self.returned };
+        let side = if milli >= 0 {
+            &mut self.taken
+        } else {
+            &mut self.returned
+        };
         *side = side.saturating_add(milli.unsigned_abs()).min(MOST);
         *side < MOST
     }
--- a/crates/shared-counts/src/gate.rs
+++ b/crates/shared-counts/src/gate.rs
@@ -33,7 +33,13 @@
     pub fn new(places: usize, seed: u64) -> Gate {
         let columns = (places * COLUMNS).next_power_of_two();
         // The rows come only with the first customer that must show proof.
-        Gate { rows: Vec::new(), columns, places, taken: 0, seed }
+        Gate {
+            rows: Vec::new(),
+            columns,
+            places,
+            taken: 0,
+            seed,
+        }
     }
 
     /// What a customer without a place must have used by now to get one, in thousandths of a unit; `None` where there is no
@@ -55,7 +61,9 @@
 
     /// Counts what a customer without a place has used; whether it gets one now.
     pub fn asks(&mut self, customer: Customer, milli: u64) -> bool {
-        let Some(threshold) = self.threshold() else { return false };
+        let Some(threshold) = self.threshold() else {
+            return false;
+        };
         if threshold > 0 {
             let estimate = self.count(customer, milli);
             if estimate < threshold {
--- a/crates/shared-counts/src/heard.rs
+++ b/crates/shared-counts/src/heard.rs
@@ -43,10 +43,17 @@
 impl Heard {
     /// Takes in a change of a count of another life.
     pub fn add(&mut self, now: Millis, customer: Customer, taken: u64, returned: u64) {
-        let entry = self.customers.entry(customer).or_insert(Entry { untold: 0, rate: 0.0, at: now });
+        let entry = self.customers.entry(customer).or_insert(Entry {
+            untold: 0,
+            rate: 0.0,
+            at: now,
+        });
         entry.rate = entry.rate * decay(now - entry.at) + taken as f64 * 1000.0 / RATE_SPAN;
         entry.at = now;
-        entry.untold = entry.untold.saturating_add_unsigned(taken).saturating_sub_unsigned(returned);
+        entry.untold = entry
+            .untold
+            .saturating_add_unsigned(taken)
+            .saturating_sub_unsigned(returned);
         self.fresh.insert(customer);
     }
 
@@ -56,19 +63,30 @@
     }
 
     /// What is to be told of a customer; `None` where nothing was ever heard of it.
-    pub fn fact(&mut self, now: Millis, customer: Customer, as_of: Millis, untold: f64) -> Option<Fact> {
+    pub fn fact(
+        &mut self,
+        now: Millis,
+        customer: Customer,
+        as_of: Millis,
+        untold: f64,
+    ) -> Option<Fact> {
         let entry = self.customers.get_mut(&customer)?;
         self.fresh.remove(&customer);
         let units = std::mem::take(&mut entry.untold) as f64 / 1000.0;
         let rate = entry.rate * decay(now - entry.at) / 1000.0;
-        Some(Fact { units, as_of, error: rate * (now - as_of).max(0.0) / 1000.0 + untold })
+        Some(Fact {
+            units,
+            as_of,
+            error: rate * (now - as_of).max(0.0) / 1000.0 + untold,
+        })
     }
 
     /// Forgets who was not heard of for so long.
     pub fn forget(&mut self, now: Millis, span: Millis) {
         self.customers.retain(|_, entry| now - entry.at < span);
         let customers = &self.customers;
-        self.fresh.retain(|customer| customers.contains_key(customer));
+        self.fresh
+            .retain(|customer| customers.contains_key(customer));
     }
 
     /// Customers held.
--- a/crates/shared-counts/src/lib.rs
+++ b/crates/shared-counts/src/lib.rs
@@ -45,8 +45,10 @@
     /// The id of the door of this name, the same in every process.
     pub fn of(name: &str) -> DoorId {
         use std::hash::Hasher;
-        let mut hash =
-            siphasher::sip::SipHasher24::new_with_keys(0x6d61_706c_6566_616c, 0x6c63_6f75_6e74_7331);
+        let mut hash = siphasher::sip::SipHasher24::new_with_keys(
+            0x6d61_706c_6566_616c,
+            0x6c63_6f75_6e74_7331,
+        );
         hash.write(name.as_bytes());
         DoorId(hash.finish())
     }
@@ -78,7 +80,10 @@
 
 /// The plan and the customer whose quota it is.
 pub fn whose(quota: Customer) -> (u16, u64) {
-    ((quota >> CUSTOMER_BITS) as u16, quota & ((1 << CUSTOMER_BITS) - 1))
+    (
+        (quota >> CUSTOMER_BITS) as u16,
+        quota & ((1 << CUSTOMER_BITS) - 1),
+    )
 }
 
 /// All customers together that a door has no room to tell one by one.
--- a/crates/shared-counts/src/members.rs
+++ b/crates/shared-counts/src/members.rs
@@ -74,7 +74,14 @@
 impl Known {
     fn new(time: u64, version: u64, heard: Millis) -> Known {
         let ahead = heard - time as f64;
-        Known { time, version, heard, ahead, complete: 0, replica: Replica::default() }
+        Known {
+            time,
+            version,
+            heard,
+            ahead,
+            complete: 0,
+            replica: Replica::default(),
+        }
     }
 
     /// When, on the clock here, its counts were as they are known; they came here by the shortest way or later.
@@ -137,7 +144,13 @@
 
 impl Member {
     /// A door that was told of or has come itself.
-    pub fn new(name: &str, address: SocketAddr, beat: &Beat, now: Millis, interval: Millis) -> Member {
+    pub fn new(
+        name: &str,
+        address: SocketAddr,
+        beat: &Beat,
+        now: Millis,
+        interval: Millis,
+    ) -> Member {
         Member {
             name: name.to_owned(),
             address,
@@ -150,7 +163,10 @@
             nonce: None,
             seen: (0, 0),
             beats: 0,
-            pauses: Pauses { mean: 4.0 * interval, seen: 1.0 },
+            pauses: Pauses {
+                mean: 4.0 * interval,
+                seen: 1.0,
+            },
         }
     }
 
@@ -174,7 +190,8 @@
 
     /// All its lives that matter, the present one first.
     pub fn lives(&self) -> impl Iterator<Item = (u64, &Known)> {
-        std::iter::once((self.incarnation, &self.now)).chain(self.former.iter().map(|(n, known)| (*n, known)))
+        std::iter::once((self.incarnation, &self.now))
+            .chain(self.former.iter().map(|(n, known)| (*n, known)))
     }
 
     /// Takes in a heartbeat of one of its lives; whether it was news.
@@ -189,7 +206,10 @@
             self.incarnation = incarnation;
             (self.state, self.since, self.beats) = (State::Unproven, now, 0);
             (self.nonce, self.seen) = (None, (0, 0));
-            self.pauses = Pauses { mean: 4.0 * interval, seen: 1.0 };
+            self.pauses = Pauses {
+                mean: 4.0 * interval,
+                seen: 1.0,
+            };
             return true;
         }
         if incarnation < self.incarnation {
@@ -210,7 +230,8 @@
             self.beats = self.beats.saturating_add(1);
             if heard > last {
                 // What was silent for an outage says nothing of how its news usually comes.
-                self.pauses.add((heard - last).min(20.0 * self.pauses.mean.max(interval)));
+                self.pauses
+                    .add((heard - last).min(20.0 * self.pauses.mean.max(interval)));
             }
             if self.beats >= PROOF && self.state != State::Alive {
                 (self.state, self.since) = (State::Alive, now);
@@ -231,7 +252,9 @@
     /// Forgets an earlier life for good; how many counts went with it.
     pub fn forget_former(&mut self, incarnation: u64) -> usize {
         self.over = self.over.max(incarnation);
-        self.former.remove(&incarnation).map_or(0, |known| known.replica.len())
+        self.former
+            .remove(&incarnation)
+            .map_or(0, |known| known.replica.len())
     }
 
     /// It has come itself, with an answer to what only this process could have told it: it is alive.
@@ -284,7 +307,8 @@
 impl Known {
     /// Takes in later news of this life; whether it was later.
     fn beat(&mut self, beat: &Beat, heard: Millis) -> bool {
-        let later = beat.time > self.time || (beat.time == self.time && beat.version > self.version);
+        let later =
+            beat.time > self.time || (beat.time == self.time && beat.version > self.version);
         if later {
             self.time = beat.time;
             self.version = self.version.max(beat.version);
@@ -299,5 +323,10 @@
 /// What a beat would say of a life.
 pub fn beat_of(door: DoorId, incarnation: u64, known: &Known, now: Millis) -> Beat {
     let age = (now - known.heard).max(0.0) as u64;
-    Beat { life: Life { door, incarnation }, time: known.time, version: known.version, age }
+    Beat {
+        life: Life { door, incarnation },
+        time: known.time,
+        version: known.version,
+        age,
+    }
 }
--- a/crates/shared-counts/src/node.rs
+++ b/crates/shared-counts/src/node.rs
@@ -167,15 +167,31 @@
     pub fn new(set: Settings, start: Start, now: Millis) -> Node {
         let mut rng = Pcg64Mcg::seed_from_u64(start.seed);
         let id = DoorId::of(&start.name);
-        let life = Life { door: id, incarnation: start.date.max(1) };
-        let beat = Beat { life, time: 0, version: 0, age: 0 };
+        let life = Life {
+            door: id,
+            incarnation: start.date.max(1),
+        };
+        let beat = Beat {
+            life,
+            time: 0,
+            version: 0,
+            age: 0,
+        };
         let me = Member::new(&start.name, start.address, &beat, now, set.interval);
         let nonce = rng.next_u64() | 1;
         let gate = Gate::new(set.most_told, rng.next_u64());
         // Doors that start together do not speak together.
         let next_round = now + set.interval * chance(&mut rng);
-        let budget = Budget { rate: set.most_per_second, left: set.most_per_second, at: now };
-        let seeds = start.seeds.into_iter().filter(|seed| *seed != start.address).collect();
+        let budget = Budget {
+            rate: set.most_per_second,
+            left: set.most_per_second,
+            at: now,
+        };
+        let seeds = start
+            .seeds
+            .into_iter()
+            .filter(|seed| *seed != start.address)
+            .collect();
         Node {
             seal: Seal::new(&set.cluster, &set.key),
             set,
@@ -244,7 +260,10 @@
     }
 
     fn my_life(&self) -> Life {
-        Life { door: self.id, incarnation: self.me.incarnation }
+        Life {
+            door: self.id,
+            incarnation: self.me.incarnation,
+        }
     }
 
     fn my_time(&self, now: Millis) -> u64 {
@@ -252,7 +271,12 @@
     }
 
     fn my_beat(&self, now: Millis) -> Beat {
-        Beat { life: self.my_life(), time: self.my_time(now), version: self.me.now.replica.known(), age: 0 }
+        Beat {
+            life: self.my_life(),
+            time: self.my_time(now),
+            version: self.me.now.replica.known(),
+            age: 0,
+        }
     }
 
     /// Begins a new epoch when its time has come, and lets go of those that are over.
@@ -268,9 +292,17 @@
     fn forget(&mut self, now: Millis) {
         let kept = self.set.epochs_kept - 1;
         let mine = self.my_time(now);
-        self.counts -= self.me.now.replica.forget_before(epoch_of(mine, self.set.epoch).saturating_sub(kept));
+        self.counts -= self
+            .me
+            .now
+            .replica
+            .forget_before(epoch_of(mine, self.set.epoch).saturating_sub(kept));
         let horizon = self.set.epoch * f64::from(self.set.epochs_kept);
-        for member in self.others.values_mut().chain(std::iter::once(&mut self.me)) {
+        for member in self
+            .others
+            .values_mut()
+            .chain(std::iter::once(&mut self.me))
+        {
             let over: Vec<u64> = member
                 .former
                 .iter()
@@ -287,13 +319,21 @@
         for member in self.others.values_mut() {
             self.counts -= forget_epochs(member, member.incarnation, now, &self.set);
         }
-        let gone =
-            |member: &Member| member.state == State::Gone && now - member.since > self.set.forget_after;
-        let ids: Vec<DoorId> =
-            self.others.iter().filter(|(_, member)| gone(member)).map(|(id, _)| *id).collect();
+        let gone = |member: &Member| {
+            member.state == State::Gone && now - member.since > self.set.forget_after
+        };
+        let ids: Vec<DoorId> = self
+            .others
+            .iter()
+            .filter(|(_, member)| gone(member))
+            .map(|(id, _)| *id)
+            .collect();
         for id in ids {
             if let Some(member) = self.others.remove(&id) {
-                self.counts -= member.lives().map(|(_, known)| known.replica.len()).sum::<usize>();
+                self.counts -= member
+                    .lives()
+                    .map(|(_, known)| known.replica.len())
+                    .sum::<usize>();
             }
         }
         self.heard.forget(now, horizon);
@@ -309,7 +349,10 @@
     }
 
     fn told(&self, life: Life, epoch: Epoch, customer: Customer) -> Option<Versioned> {
-        self.member(life.door)?.life(life.incarnation)?.replica.told(epoch, customer)
+        self.member(life.door)?
+            .life(life.incarnation)?
+            .replica
+            .told(epoch, customer)
     }
 
     fn member(&self, door: DoorId) -> Option<&Member> {
@@ -337,7 +380,10 @@
         if self.rumours.len() >= MOST_RUMOURS && !self.rumours.contains_key(&key) {
             return;
         }
-        let rumour = self.rumours.entry(key).or_insert(Rumour { left, amount: 0 });
+        let rumour = self
+            .rumours
+            .entry(key)
+            .or_insert(Rumour { left, amount: 0 });
         rumour.left = left;
         rumour.amount = rumour.amount.saturating_add(amount);
     }
@@ -363,9 +409,13 @@
             // What was known then is still known.
             return (as_of, doors);
         }
-        let alive = self.others.values().filter(|member| member.state == State::Alive);
-        let (as_of, doors) =
-            alive.fold((now, 1), |(as_of, doors), member| (as_of.min(member.now.as_of()), doors + 1));
+        let alive = self
+            .others
+            .values()
+            .filter(|member| member.state == State::Alive);
+        let (as_of, doors) = alive.fold((now, 1), |(as_of, doors), member| {
+            (as_of.min(member.now.as_of()), doors + 1)
+        });
         self.age = Some((now, as_of, doors));
         (as_of, doors)
     }
@@ -378,7 +428,9 @@
     /// What a customer has used in the epochs that are kept, by all that is known, in thousandths of a unit.
     pub fn total(&self, customer: Customer) -> i64 {
         let all = self.others.values().chain(std::iter::once(&self.me));
-        all.flat_map(Member::lives).map(|(_, known)| known.replica.total(customer)).sum()
+        all.flat_map(Member::lives)
+            .map(|(_, known)| known.replica.total(customer))
+            .sum()
     }
 
     /// What one door has counted of a customer in the epochs that are kept, over all its lives, as known here.
@@ -413,7 +465,8 @@
             incarnation: member.incarnation,
             former: member.former.len(),
             news_ms: (now - member.now.heard).max(0.0).round(),
-            complete_ms: (member.now.complete > 0).then(|| (now - member.now.as_of()).max(0.0).round()),
+            complete_ms: (member.now.complete > 0)
+                .then(|| (now - member.now.as_of()).max(0.0).round()),
             counts: member.lives().map(|(_, known)| known.replica.len()).sum(),
         });
         let mut totals: BTreeMap<Customer, i64> = BTreeMap::new();
@@ -436,7 +489,11 @@
             customers: largest
                 .map(|(quota, milli)| {
                     let (plan, customer) = crate::whose(quota);
-                    UseStatus { customer, plan, units: milli as f64 / 1000.0 }
+                    UseStatus {
+                        customer,
+                        plan,
+                        units: milli as f64 / 1000.0,
+                    }
                 })
                 .collect(),
             tail_units: tail as f64 / 1000.0,
@@ -449,7 +506,12 @@
             bytes_out: self.tally.sent.1,
             held_back: self.tally.held_back,
             renamed: self.tally.renamed,
-            refused: self.tally.refused.iter().map(|(reason, count)| (*reason, *count)).collect(),
+            refused: self
+                .tally
+                .refused
+                .iter()
+                .map(|(reason, count)| (*reason, *count))
+                .collect(),
         }
     }
 
@@ -490,7 +552,10 @@
     /// Whom to tell in this round.
     fn peers(&mut self) -> Vec<DoorId> {
         let of = |state: fn(State) -> bool| {
-            let chosen = self.others.iter().filter(move |(_, member)| state(member.state));
+            let chosen = self
+                .others
+                .iter()
+                .filter(move |(_, member)| state(member.state));
             chosen.map(|(id, _)| *id).collect::<Vec<_>>()
         };
         // Whoever was only told of is called like the rest: it will answer, or be gone soon.
@@ -509,12 +574,18 @@
     }
 
     fn call_seeds(&mut self, now: Millis) {
-        let alone = !self.others.values().any(|member| member.state == State::Alive);
+        let alone = !self
+            .others
+            .values()
+            .any(|member| member.state == State::Alive);
         if self.seeds.is_empty() || (!alone && below(&mut self.rng, CALL_SEED as usize) != 0) {
             return;
         }
         let seed = self.seeds[below(&mut self.rng, self.seeds.len())];
-        let met = self.others.values().any(|m| m.address == seed && m.state == State::Alive);
+        let met = self
+            .others
+            .values()
+            .any(|m| m.address == seed && m.state == State::Alive);
         if !met {
             self.greet(now, seed, 0);
         }
@@ -529,11 +600,21 @@
 
     fn head(&mut self, kind: Kind, echo: u64) -> Head {
         self.sent += 1;
-        Head { kind, from: self.my_life(), number: self.sent, nonce: self.nonce, echo }
+        Head {
+            kind,
+            from: self.my_life(),
+            number: self.sent,
+            nonce: self.nonce,
+            echo,
+        }
     }
 
     fn my_card(&self, now: Millis) -> Card {
-        Card { beat: self.my_beat(now), address: self.me.address, name: self.me.name.clone() }
+        Card {
+            beat: self.my_beat(now),
+            address: self.me.address,
+            name: self.me.name.clone(),
+        }
     }
 
     fn begin(&mut self, now: Millis, kind: Kind, echo: u64) -> Writer {
@@ -560,9 +641,13 @@
     }
 
     fn gossip_to(&mut self, now: Millis, id: DoorId, rumours: &[(Life, Epoch, Customer)]) {
-        let Some(peer) = self.others.get(&id) else { return };
+        let Some(peer) = self.others.get(&id) else {
+            return;
+        };
         let to = peer.address;
-        let Some(echo) = peer.nonce else { return self.greet(now, to, 0) };
+        let Some(echo) = peer.nonce else {
+            return self.greet(now, to, 0);
+        };
         let mut writer = self.begin(now, Kind::Gossip, echo);
         let room = (writer.room() as f64 * DIGEST_PART) as usize;
         writer.add(&Section::Digest(self.digest(now, room)));
@@ -575,11 +660,17 @@
     fn add_cards(&mut self, now: Millis, writer: &mut Writer, most: usize) {
         // Only those who have shown life to this door: what somebody made up goes no further than to whom it was told.
         let lives = |member: &Member| matches!(member.state, State::Alive | State::Suspected);
-        let mut there: Vec<DoorId> =
-            self.others.iter().filter(|(_, member)| lives(member)).map(|(id, _)| *id).collect();
+        let mut there: Vec<DoorId> = self
+            .others
+            .iter()
+            .filter(|(_, member)| lives(member))
+            .map(|(id, _)| *id)
+            .collect();
         for _ in 0..most.min(there.len()) {
             let id = there.swap_remove(below(&mut self.rng, there.len()));
-            let Some(card) = self.card_of(now, id) else { continue };
+            let Some(card) = self.card_of(now, id) else {
+                continue;
+            };
             if !writer.add(&Section::Cards(vec![card])) {
                 return;
             }
@@ -589,31 +680,56 @@
     fn card_of(&self, now: Millis, id: DoorId) -> Option<Card> {
         let member = self.others.get(&id)?;
         let beat = beat_of(id, member.incarnation, &member.now, now);
-        Some(Card { beat, address: member.address, name: member.name.clone() })
+        Some(Card {
+            beat,
+            address: member.address,
+            name: member.name.clone(),
+        })
     }
 
     /// Lines of a digest: this door's own first, then by turns the newest news of others and some by chance. The newest
     /// spread like rumours; those by chance mend what rumours miss.
     fn digest(&mut self, now: Millis, room: usize) -> Vec<Line> {
-        let mut lines = vec![Line { beat: self.my_beat(now), known: self.me.now.replica.known() }];
+        let mut lines = vec![Line {
+            beat: self.my_beat(now),
+            known: self.me.now.replica.known(),
+        }];
         let mut used = wire::bytes_of_line(&lines[0]);
         let mut lives: Vec<(Millis, DoorId, u64)> = Vec::new();
-        lives.extend(self.me.former.iter().map(|(number, known)| (known.heard, self.id, *number)));
+        lives.extend(
+            self.me
+                .former
+                .iter()
+                .map(|(number, known)| (known.heard, self.id, *number)),
+        );
         for (id, member) in &self.others {
             // Of a door that shows no life nobody needs to hear, unless it has counted something.
             let silent = !matches!(member.state, State::Alive | State::Suspected);
             if silent && member.lives().all(|(_, known)| known.replica.is_empty()) {
                 continue;
             }
-            lives.extend(member.lives().map(|(number, known)| (known.heard, *id, number)));
+            lives.extend(
+                member
+                    .lives()
+                    .map(|(number, known)| (known.heard, *id, number)),
+            );
         }
         lives.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
         while !lives.is_empty() {
             let by_chance = lines.len() % 3 == 0;
-            let at = if by_chance { below(&mut self.rng, lives.len()) } else { lives.len() - 1 };
+            let at = if by_chance {
+                below(&mut self.rng, lives.len())
+            } else {
+                lives.len() - 1
+            };
             let (_, id, number) = lives.remove(at);
-            let Some(known) = self.member(id).and_then(|member| member.life(number)) else { continue };
-            let line = Line { beat: beat_of(id, number, known, now), known: known.replica.known() };
+            let Some(known) = self.member(id).and_then(|member| member.life(number)) else {
+                continue;
+            };
+            let line = Line {
+                beat: beat_of(id, number, known, now),
+                known: known.replica.known(),
+            };
             used += wire::bytes_of_line(&line);
             if used > room {
                 break;
@@ -628,8 +744,14 @@
         let mut by_life: BTreeMap<Life, Vec<Versioned>> = BTreeMap::new();
         let mut room = writer.room();
         for (life, epoch, customer) in rumours {
-            let Some(told) = self.told(*life, *epoch, *customer) else { continue };
-            let head = if by_life.contains_key(life) { 0 } else { SECTION_HEAD };
+            let Some(told) = self.told(*life, *epoch, *customer) else {
+                continue;
+            };
+            let head = if by_life.contains_key(life) {
+                0
+            } else {
+                SECTION_HEAD
+            };
             let bytes = wire::bytes_of(&told) + head;
             if bytes > room {
                 break;
@@ -641,7 +763,14 @@
             }
         }
         for (life, counts) in by_life {
-            writer.add(&Section::Counts(life, Delta { after: 0, up_to: 0, counts }));
+            writer.add(&Section::Counts(
+                life,
+                Delta {
+                    after: 0,
+                    up_to: 0,
+                    counts,
+                },
+            ));
         }
     }
 
@@ -669,7 +798,10 @@
 
     /// Whether anything in a datagram cannot be true; then nothing of it is believed.
     fn look_absurd(&self, now: Millis, head: &Head, sections: &[Section]) -> Result<(), Refused> {
-        let latest = self.date.saturating_add(self.my_time(now)).saturating_add(MOST_AHEAD);
+        let latest = self
+            .date
+            .saturating_add(self.my_time(now))
+            .saturating_add(MOST_AHEAD);
         let life = |life: &Life| life.incarnation > 0 && life.incarnation <= latest;
         let beat = |beat: &Beat| {
             life(&beat.life)
@@ -682,7 +814,9 @@
             Section::Cards(cards) => cards.iter().all(|card| beat(&card.beat)),
             Section::Digest(lines) | Section::Want(lines) => lines.iter().all(line),
             Section::Counts(of, delta) => {
-                life(of) && delta.up_to < MOST_NUMBER && self.epochs_believable(now, *of, &delta.counts)
+                life(of)
+                    && delta.up_to < MOST_NUMBER
+                    && self.epochs_believable(now, *of, &delta.counts)
             }
             Section::Text(..) | Section::Part(_) => true,
         };
@@ -694,11 +828,19 @@
     }
 
     fn epochs_believable(&self, now: Millis, of: Life, counts: &[Versioned]) -> bool {
-        let known = self.member(of.door).and_then(|member| member.life(of.incarnation));
+        let known = self
+            .member(of.door)
+            .and_then(|member| member.life(of.incarnation));
         let Some(known) = known else { return true };
-        let time = if of == self.my_life() { self.my_time(now) } else { known.own_time(now) };
+        let time = if of == self.my_life() {
+            self.my_time(now)
+        } else {
+            known.own_time(now)
+        };
         let last = epoch_of(time, self.set.epoch).saturating_add(EPOCHS_AHEAD);
-        counts.iter().all(|told| told.epoch <= last && told.version < MOST_NUMBER)
+        counts
+            .iter()
+            .all(|told| told.epoch <= last && told.version < MOST_NUMBER)
     }
 
     fn take_in(
@@ -712,7 +854,10 @@
             return Err(Refused::Repeated);
         }
         let card = sections.iter().find_map(|section| match section {
-            Section::Cards(cards) => cards.iter().find(|card| card.beat.life == head.from).cloned(),
+            Section::Cards(cards) => cards
+                .iter()
+                .find(|card| card.beat.life == head.from)
+                .cloned(),
             _ => None,
         });
         let back = card.as_ref().map_or(from, |card| card.address);
@@ -721,7 +866,11 @@
             Kind::Told => return Err(Refused::Absurd),
             Kind::Hello | Kind::Gossip if head.echo != self.nonce => {
                 self.greet(now, back, head.nonce);
-                return if head.kind == Kind::Hello { Ok(()) } else { Err(Refused::Unproven) };
+                return if head.kind == Kind::Hello {
+                    Ok(())
+                } else {
+                    Err(Refused::Unproven)
+                };
             }
             Kind::Hello | Kind::Gossip => {}
         }
@@ -737,11 +886,18 @@
             self.meet(now, card)?;
         }
         let interval = self.set.interval;
-        let member = self.others.get_mut(&head.from.door).ok_or(Refused::NoMember)?;
+        let member = self
+            .others
+            .get_mut(&head.from.door)
+            .ok_or(Refused::NoMember)?;
         if head.from.incarnation < member.incarnation {
             // Its date went back, or it is late: it is told of the life that it cannot know.
             let beat = beat_of(head.from.door, member.incarnation, &member.now, now);
-            let newer = Card { beat, address: member.address, name: member.name.clone() };
+            let newer = Card {
+                beat,
+                address: member.address,
+                name: member.name.clone(),
+            };
             let mut writer = self.begin(now, Kind::Gossip, head.nonce);
             writer.add(&Section::Cards(vec![newer]));
             self.send(now, back, writer);
@@ -760,7 +916,10 @@
         member.proven(now);
         member.nonce = Some(head.nonce);
         self.age = None;
-        let mut answer = Answer { welcome: head.number <= NEWCOMER, ..Answer::default() };
+        let mut answer = Answer {
+            welcome: head.number <= NEWCOMER,
+            ..Answer::default()
+        };
         for section in sections {
             self.take_section(now, section, &mut answer);
         }
@@ -783,7 +942,9 @@
                 for line in lines {
                     if let Some(known) = self.take_line(now, &line, answer) {
                         let want = Line { known, ..line };
-                        answer.want.extend((line.known > known || known == 0).then_some(want));
+                        answer
+                            .want
+                            .extend((line.known > known || known == 0).then_some(want));
                     }
                 }
             }
@@ -791,7 +952,9 @@
                 for line in lines {
                     self.take_line(now, &line, answer);
                     // Whoever knows nothing of a door may not know its card either.
-                    answer.cards.extend((line.known == 0).then_some(line.beat.life.door));
+                    answer
+                        .cards
+                        .extend((line.known == 0).then_some(line.beat.life.door));
                 }
             }
             Section::Counts(life, delta) => self.take_counts(now, life, &delta),
@@ -815,7 +978,10 @@
         if old || self.others.len() + 1 >= self.set.most_members {
             return Err(Refused::NoMember);
         }
-        self.others.insert(id, Member::new(&card.name, card.address, &card.beat, now, interval));
+        self.others.insert(
+            id,
+            Member::new(&card.name, card.address, &card.beat, now, interval),
+        );
         Ok(())
     }
 
@@ -834,8 +1000,15 @@
             let number = beat.life.incarnation + 1;
             let old = self.my_beat(now);
             self.me.beat(&old, now, self.set.interval);
-            let fresh =
-                Beat { life: Life { door: self.id, incarnation: number }, time: 0, version: 0, age: 0 };
+            let fresh = Beat {
+                life: Life {
+                    door: self.id,
+                    incarnation: number,
+                },
+                time: 0,
+                version: 0,
+                age: 0,
+            };
             self.me.beat(&fresh, now, self.set.interval);
             self.born = now;
             self.epoch = 0;
@@ -864,7 +1037,11 @@
         } else {
             return Some(0);
         }
-        let here = self.member(life.door)?.life(life.incarnation)?.replica.known();
+        let here = self
+            .member(life.door)?
+            .life(life.incarnation)?
+            .replica
+            .known();
         if here > line.known {
             answer.owed.push((life, line.known));
         }
@@ -876,7 +1053,9 @@
         let kept = self.set.most_counts;
         let (mut counts, mut no_room) = (self.counts, 0);
         let mut news = Vec::new();
-        let Some(known) = self.member_mut(life.door).and_then(|member| member.life_mut(life.incarnation))
+        let Some(known) = self
+            .member_mut(life.door)
+            .and_then(|member| member.life_mut(life.incarnation))
         else {
             return;
         };
@@ -905,20 +1084,33 @@
         let rumour = delta.up_to == 0;
         for (told, change) in news {
             if told.customer != TAIL {
-                self.heard.add(now, told.customer, change.taken, change.returned);
+                self.heard
+                    .add(now, told.customer, change.taken, change.returned);
             }
             if rumour {
-                self.spread(life, told.epoch, told.customer, change.taken + change.returned);
+                self.spread(
+                    life,
+                    told.epoch,
+                    told.customer,
+                    change.taken + change.returned,
+                );
             }
         }
     }
 
     /// Sends what somebody lacks, and asks for what is lacking here.
     fn reply(&mut self, now: Millis, to: DoorId, answer: Answer) {
-        let Some((address, Some(echo))) = self.others.get(&to).map(|peer| (peer.address, peer.nonce)) else {
+        let Some((address, Some(echo))) =
+            self.others.get(&to).map(|peer| (peer.address, peer.nonce))
+        else {
             return;
         };
-        let Answer { mut owed, want, cards, welcome } = answer;
+        let Answer {
+            mut owed,
+            want,
+            cards,
+            welcome,
+        } = answer;
         if owed.is_empty() && want.is_empty() && cards.is_empty() && !welcome {
             return;
         }
@@ -932,14 +1124,20 @@
             if datagram == 0 {
                 let most = writer.room() / 2 / wire::LINE_BYTES;
                 writer.add(&Section::Want(want[..want.len().min(most)].to_vec()));
-                for card in cards.iter().take(CARDS).filter_map(|id| self.card_of(now, *id)) {
+                for card in cards
+                    .iter()
+                    .take(CARDS)
+                    .filter_map(|id| self.card_of(now, *id))
+                {
                     writer.add(&Section::Cards(vec![card]));
                 }
             } else if owed.is_empty() {
                 break;
             }
             while let Some((life, after)) = owed.pop_front() {
-                let known = self.member(life.door).and_then(|member| member.life(life.incarnation));
+                let known = self
+                    .member(life.door)
+                    .and_then(|member| member.life(life.incarnation));
                 let Some(known) = known else { continue };
                 let mut room = writer.room().saturating_sub(SECTION_HEAD);
                 let delta = known.replica.delta(after, |told| {
@@ -986,7 +1184,12 @@
             self.status = self.show(now, 50).json().into_bytes();
         }
         let parts = self.status.len().div_ceil(STATUS_PART);
-        let text = self.status.chunks(STATUS_PART).nth(part).ok_or(Refused::Absurd)?.to_vec();
+        let text = self
+            .status
+            .chunks(STATUS_PART)
+            .nth(part)
+            .ok_or(Refused::Absurd)?
+            .to_vec();
         let head = self.head(Kind::Told, head.nonce);
         let mut writer = Writer::new(&self.seal, &head, wire::MOST_DATAGRAM);
         writer.add(&Section::Text(parts as u32, text));
@@ -1000,9 +1203,13 @@
 
 /// Lets go of a life's epochs that are over by its own time; how many counts went.
 fn forget_epochs(member: &mut Member, incarnation: u64, now: Millis, set: &Settings) -> usize {
-    let Some(known) = member.life_mut(incarnation) else { return 0 };
+    let Some(known) = member.life_mut(incarnation) else {
+        return 0;
+    };
     let present = epoch_of(known.own_time(now), set.epoch);
-    known.replica.forget_before(present.saturating_sub(set.epochs_kept - 1))
+    known
+        .replica
+        .forget_before(present.saturating_sub(set.epochs_kept - 1))
 }
 
 /// A number drawn evenly from nought to one.
--- a/crates/shared-counts/src/replica.rs
+++ b/crates/shared-counts/src/replica.rs
@@ -75,13 +75,19 @@
 
     /// All counts, by epoch and customer.
     pub fn counts(&self) -> impl Iterator<Item = (Epoch, Customer, Count)> + '_ {
-        self.counts.iter().map(|((epoch, customer), (_, count))| (*epoch, *customer, *count))
+        self.counts
+            .iter()
+            .map(|((epoch, customer), (_, count))| (*epoch, *customer, *count))
     }
 
     /// What a customer has used in all epochs that are held, in thousandths of a unit.
     pub fn total(&self, customer: Customer) -> i64 {
         let epochs = self.epochs();
-        epochs.iter().filter_map(|epoch| self.get(*epoch, customer)).map(Count::net).sum()
+        epochs
+            .iter()
+            .filter_map(|epoch| self.get(*epoch, customer))
+            .map(Count::net)
+            .sum()
     }
 
     /// Epochs of which anything is held: there are few, so they are stepped through.
@@ -90,7 +96,9 @@
         let mut from = 0;
         while let Some(((epoch, _), _)) = self.counts.range((from, 0)..).next() {
             epochs.push(*epoch);
-            let Some(next) = epoch.checked_add(1) else { break };
+            let Some(next) = epoch.checked_add(1) else {
+                break;
+            };
             from = next;
         }
         epochs
@@ -100,7 +108,10 @@
     pub fn change(&mut self, epoch: Epoch, customer: Customer, milli: i64) -> Option<Versioned> {
         self.known += 1;
         let version = self.known;
-        let (old, count) = self.counts.entry((epoch, customer)).or_insert((version, Count::default()));
+        let (old, count) = self
+            .counts
+            .entry((epoch, customer))
+            .or_insert((version, Count::default()));
         let whole = count.add(milli);
         let count = *count;
         if *old != version {
@@ -108,7 +119,12 @@
         }
         *old = version;
         self.order.insert(version, (epoch, customer));
-        whole.then_some(Versioned { version, epoch, customer, count })
+        whole.then_some(Versioned {
+            version,
+            epoch,
+            customer,
+            count,
+        })
     }
 
     /// Takes in one count that was heard; what it changed, or `None` where it is no news. A count that is new here needs
@@ -132,7 +148,10 @@
         }
         self.counts.insert(key, (heard.version, now));
         self.order.insert(heard.version, key);
-        Ok(Some(Change { taken: now.taken - was.taken, returned: now.returned - was.returned }))
+        Ok(Some(Change {
+            taken: now.taken - was.taken,
+            returned: now.returned - was.returned,
+        }))
     }
 
     /// Everything up to a version has been heard, by a delta that began at or before what was known.
@@ -144,13 +163,24 @@
 
     /// What somebody lacks who knows everything up to `after`, as long as `fits` takes it.
     pub fn delta(&self, after: u64, mut fits: impl FnMut(&Versioned) -> bool) -> Delta {
-        let mut delta = Delta { after, up_to: after, counts: Vec::new() };
+        let mut delta = Delta {
+            after,
+            up_to: after,
+            counts: Vec::new(),
+        };
         if after >= self.known {
             return delta;
         }
         for (version, (epoch, customer)) in self.order.range(after + 1..=self.known) {
-            let Some((_, count)) = self.counts.get(&(*epoch, *customer)) else { continue };
-            let told = Versioned { version: *version, epoch: *epoch, customer: *customer, count: *count };
+            let Some((_, count)) = self.counts.get(&(*epoch, *customer)) else {
+                continue;
+            };
+            let told = Versioned {
+                version: *version,
+                epoch: *epoch,
+                customer: *customer,
+                count: *count,
+            };
             if !fits(&told) {
                 return delta;
             }
@@ -164,7 +194,12 @@
     /// A count as it would be told.
     pub fn told(&self, epoch: Epoch, customer: Customer) -> Option<Versioned> {
         let (version, count) = *self.counts.get(&(epoch, customer))?;
-        Some(Versioned { version, epoch, customer, count })
+        Some(Versioned {
+            version,
+            epoch,
+            customer,
+            count,
+        })
     }
 
     /// Drops all epochs before this one; how many counts went.
--- a/crates/shared-counts/src/settings.rs
+++ b/crates/shared-counts/src/settings.rs
@@ -88,14 +88,22 @@
         let mut found = Vec::new();
         let mut within = |field, value: f64, least: f64, most: f64| {
             if !(least..=most).contains(&value) {
-                found.push(Mistake { field, expected: format!("a number from {least} to {most}") });
+                found.push(Mistake {
+                    field,
+                    expected: format!("a number from {least} to {most}"),
+                });
             }
         };
         within("interval_ms", self.interval, 20.0, 10_000.0);
         within("fan_out", self.fan_out as f64, 1.0, 16.0);
         within("epoch_ms", self.epoch, 500.0, 600_000.0);
         within("epochs_kept", f64::from(self.epochs_kept), 2.0, 16.0);
-        within("datagram_bytes", self.datagram as f64, 512.0, crate::wire::MOST_DATAGRAM as f64);
+        within(
+            "datagram_bytes",
+            self.datagram as f64,
+            512.0,
+            crate::wire::MOST_DATAGRAM as f64,
+        );
         within("most_per_second", self.most_per_second, 10.0, 100_000.0);
         within("most_members", self.most_members as f64, 2.0, 1024.0);
         within("most_told", self.most_told as f64, 1.0, 65_536.0);
@@ -104,10 +112,16 @@
         within("gone_after_ms", self.gone_after, 100.0, 600_000.0);
         within("forget_after_ms", self.forget_after, 1000.0, 86_400_000.0);
         if self.cluster.is_empty() || self.cluster.len() > 64 {
-            found.push(Mistake { field: "cluster", expected: "a name of 1 to 64 bytes".to_owned() });
+            found.push(Mistake {
+                field: "cluster",
+                expected: "a name of 1 to 64 bytes".to_owned(),
+            });
         }
         if self.key.len() < 16 || self.key.len() > 64 {
-            found.push(Mistake { field: "key", expected: "32 to 128 hexadecimal digits".to_owned() });
+            found.push(Mistake {
+                field: "key",
+                expected: "32 to 128 hexadecimal digits".to_owned(),
+            });
         }
         found
     }
--- a/crates/shared-counts/src/status.rs
+++ b/crates/shared-counts/src/status.rs
@@ -101,7 +101,9 @@
         "door", "address", "state", "news ms", "complete ms", "counts"
     );
     for member in &status.members {
-        let complete = member.complete_ms.map_or("-".to_owned(), |ms| format!("{ms}"));
+        let complete = member
+            .complete_ms
+            .map_or("-".to_owned(), |ms| format!("{ms}"));
         let state = format!("{:?}", member.state).to_lowercase();
         let _ = writeln!(
             text,
@@ -110,11 +112,18 @@
         );
     }
     for one in &status.customers {
-        let _ =
-            writeln!(text, "customer {:<20} plan {:<4} {:>12.3} units", one.customer, one.plan, one.units);
+        let _ = writeln!(
+            text,
+            "customer {:<20} plan {:<4} {:>12.3} units",
+            one.customer, one.plan, one.units
+        );
     }
     if status.tail_units != 0.0 {
-        let _ = writeln!(text, "{:<39} {:>12.3} units", "all others", status.tail_units);
+        let _ = writeln!(
+            text,
+            "{:<39} {:>12.3} units",
+            "all others", status.tail_units
+        );
     }
     for (reason, count) in &status.refused {
         let _ = writeln!(text, "refused: {:?} {count}", reason);
