--- a/crates/shared-counts/src/wire.rs
+++ b/crates/shared-counts/src/wire.rs
@@ -88,7 +88,9 @@
 }
 
 /// Why a datagram changes nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
+)]
 #[serde(rename_all = "snake_case")]
 pub enum Refused {
     /// It is longer than any may be.
@@ -135,8 +137,12 @@
     /// For a cluster of this name and key.
     pub fn new(cluster: &str, key: &[u8]) -> Seal {
         // HMAC takes keys of any length (RFC 2104, section 2), so this has no error to tell.
-        let mac = Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| unreachable!("HMAC takes any key"));
-        Seal { mac, cluster: DoorId::of(cluster).0 }
+        let mac = Hmac::<Sha256>::new_from_slice(key)
+            .unwrap_or_else(|_| unreachable!("HMAC takes any key"));
+        Seal {
+            mac,
+            cluster: DoorId::of(cluster).0,
+        }
     }
 
     fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
@@ -146,7 +152,11 @@
 
     fn holds(&self, bytes: &[u8], tag: &[u8]) -> bool {
         // In constant time, so that a tag cannot be guessed byte by byte.
-        self.mac.clone().chain_update(bytes).verify_truncated_left(tag).is_ok()
+        self.mac
+            .clone()
+            .chain_update(bytes)
+            .verify_truncated_left(tag)
+            .is_ok()
     }
 }
 
@@ -169,12 +179,21 @@
             Kind::Ask => 2,
             Kind::Told => 3,
         });
-        let words =
-            [seal.cluster, head.from.door.0, head.from.incarnation, head.number, head.nonce, head.echo];
+        let words = [
+            seal.cluster,
+            head.from.door.0,
+            head.from.incarnation,
+            head.number,
+            head.nonce,
+            head.echo,
+        ];
         for word in words {
             bytes.extend_from_slice(&word.to_be_bytes());
         }
-        Writer { bytes, most: most.clamp(HEAD + TAG, MOST_DATAGRAM) - TAG }
+        Writer {
+            bytes,
+            most: most.clamp(HEAD + TAG, MOST_DATAGRAM) - TAG,
+        }
     }
 
     /// Bytes that are left.
@@ -217,7 +236,8 @@
                             self.bytes.extend_from_slice(&ip.octets());
                         }
                     }
-                    self.bytes.extend_from_slice(&card.address.port().to_be_bytes());
+                    self.bytes
+                        .extend_from_slice(&card.address.port().to_be_bytes());
                     let name = &card.name.as_bytes()[..card.name.len().min(MOST_NAME)];
                     self.bytes.push(name.len() as u8);
                     self.bytes.extend_from_slice(name);
@@ -308,7 +328,13 @@
 /// Bytes that a line of a digest takes.
 pub fn bytes_of_line(line: &Line) -> usize {
     let beat = line.beat;
-    let numbers = [beat.life.incarnation, beat.time, beat.version, beat.age, line.known];
+    let numbers = [
+        beat.life.incarnation,
+        beat.time,
+        beat.version,
+        beat.age,
+        line.known,
+    ];
     8 + numbers.into_iter().map(bytes_of_number).sum::<usize>()
 }
 
@@ -331,7 +357,11 @@
         return Err(Refused::TooLong);
     }
     if !bytes.starts_with(&MAGIC) {
-        return Err(if MAGIC.starts_with(bytes) { Refused::Cut } else { Refused::Foreign });
+        return Err(if MAGIC.starts_with(bytes) {
+            Refused::Cut
+        } else {
+            Refused::Foreign
+        });
     }
     match bytes.get(4) {
         None => return Err(Refused::Cut),
@@ -358,19 +388,34 @@
         3 => Kind::Told,
         _ => return Err(Refused::Absurd),
     };
-    let from = Life { door: DoorId(reader.word()?), incarnation: reader.word()? };
+    let from = Life {
+        door: DoorId(reader.word()?),
+        incarnation: reader.word()?,
+    };
     let (number, nonce, echo) = (reader.word()?, reader.word()?, reader.word()?);
     let mut sections = Vec::new();
     while !reader.is_empty() {
         let kind = reader.byte()?;
         let length = usize::from(u16::from_be_bytes([reader.byte()?, reader.byte()?]));
-        let mut section = Reader { bytes: reader.take(length)?, at: 0 };
+        let mut section = Reader {
+            bytes: reader.take(length)?,
+            at: 0,
+        };
         // A kind that is not known is of a later minor change: it is passed over.
         if let Some(section) = section.section(kind)? {
             sections.push(section);
         }
     }
-    Ok((Head { kind, from, number, nonce, echo }, sections))
+    Ok((
+        Head {
+            kind,
+            from,
+            number,
+            nonce,
+            echo,
+        },
+        sections,
+    ))
 }
 
 struct Reader<'a> {
@@ -421,18 +466,29 @@
     }
 
     fn life(&mut self) -> Result<Life, Refused> {
-        Ok(Life { door: DoorId(self.word()?), incarnation: self.number()? })
+        Ok(Life {
+            door: DoorId(self.word()?),
+            incarnation: self.number()?,
+        })
     }
 
     fn beat(&mut self) -> Result<Beat, Refused> {
         let life = self.life()?;
-        Ok(Beat { life, time: self.number()?, version: self.number()?, age: self.number()? })
+        Ok(Beat {
+            life,
+            time: self.number()?,
+            version: self.number()?,
+            age: self.number()?,
+        })
     }
 
     fn lines(&mut self) -> Result<Vec<Line>, Refused> {
         let mut lines = Vec::new();
         while !self.is_empty() {
-            lines.push(Line { beat: self.beat()?, known: self.number()? });
+            lines.push(Line {
+                beat: self.beat()?,
+                known: self.number()?,
+            });
         }
         Ok(lines)
     }
@@ -460,7 +516,11 @@
         if length > MOST_NAME || length == 0 || !plain || DoorId::of(name) != beat.life.door {
             return Err(Refused::Absurd);
         }
-        Ok(Card { beat, address: SocketAddr::new(ip, port), name: name.to_owned() })
+        Ok(Card {
+            beat,
+            address: SocketAddr::new(ip, port),
+            name: name.to_owned(),
+        })
     }
 
     fn section(&mut self, kind: u8) -> Result<Option<Section>, Refused> {
@@ -481,18 +541,37 @@
                 while !self.is_empty() {
                     let (version, epoch) = (self.number()?, self.small()?);
                     let customer = self.word()?;
-                    let count = Count { taken: self.number()?, returned: self.number()? };
+                    let count = Count {
+                        taken: self.number()?,
+                        returned: self.number()?,
+                    };
                     if count.taken > count::MOST || count.returned > count::MOST || version == 0 {
                         return Err(Refused::Absurd);
                     }
-                    counts.push(Versioned { version, epoch, customer, count });
+                    counts.push(Versioned {
+                        version,
+                        epoch,
+                        customer,
+                        count,
+                    });
                 }
-                let ordered = counts.windows(2).all(|pair| pair[0].version < pair[1].version);
-                let within = counts.iter().all(|told| after < told.version && told.version <= up_to);
+                let ordered = counts
+                    .windows(2)
+                    .all(|pair| pair[0].version < pair[1].version);
+                let within = counts
+                    .iter()
+                    .all(|told| after < told.version && told.version <= up_to);
                 if up_to < after || (up_to > 0 && !(ordered && within)) {
                     return Err(Refused::Absurd);
                 }
-                Section::Counts(life, Delta { after, up_to, counts })
+                Section::Counts(
+                    life,
+                    Delta {
+                        after,
+                        up_to,
+                        counts,
+                    },
+                )
             }
             5 => {
                 let parts = self.small()?;
--- a/crates/shared-counts/tests/bound.rs
+++ b/crates/shared-counts/tests/bound.rs
@@ -9,7 +9,16 @@
 fn oldest_news(doors: usize, loss: f64, delay: (f64, f64), seed: u64) -> (f64, f64) {
     let set = settings();
     let bound = set.news_bound(doors, loss, delay.1);
-    let mut world = World::new(doors, set, Link { loss, doubled: 0.05, delay }, seed);
+    let mut world = World::new(
+        doors,
+        set,
+        Link {
+            loss,
+            doubled: 0.05,
+            delay,
+        },
+        seed,
+    );
     world.meet(120_000.0);
     world.play(2000.0);
     // What was used of one customer, thousandths, in the order of time.
@@ -32,10 +41,15 @@
             let since = world.now - age - delay.0 - 2.0;
             let before = used.partition_point(|(when, _)| *when < since);
             let due = used[..before].last().map_or(0, |(_, sum)| *sum);
-            assert!(known >= due, "door {at} says that all until {age:.0} ms ago is known: {known} of {due}");
+            assert!(
+                known >= due,
+                "door {at} says that all until {age:.0} ms ago is known: {known} of {due}"
+            );
         }
     }
-    println!("{doors} doors, loss {loss}, delay {delay:?}: worst {worst:.0} ms, bound {bound:.0} ms");
+    println!(
+        "{doors} doors, loss {loss}, delay {delay:?}: worst {worst:.0} ms, bound {bound:.0} ms"
+    );
     (worst, bound)
 }
 
@@ -57,5 +71,8 @@
             nearest = nearest.max(worst / bound);
         }
     }
-    assert!(nearest >= 1.0 / 3.0, "the worst seen is {nearest:.2} of the bound");
+    assert!(
+        nearest >= 1.0 / 3.0,
+        "the worst seen is {nearest:.2} of the bound"
+    );
 }
--- a/crates/shared-counts/tests/hard_cases.rs
+++ b/crates/shared-counts/tests/hard_cases.rs
@@ -43,7 +43,11 @@
 /// Delays of seconds, longer than rounds by far.
 #[test]
 fn delays_of_seconds_make_news_late_and_nothing_else() {
-    let slow = Link { loss: 0.1, doubled: 0.2, delay: (1000.0, 5000.0) };
+    let slow = Link {
+        loss: 0.1,
+        doubled: 0.2,
+        delay: (1000.0, 5000.0),
+    };
     let mut world = World::new(5, settings(), slow, 3);
     world.meet(90_000.0);
     traffic(&mut world, 5000.0, 20.0);
@@ -82,7 +86,11 @@
     let now = world.clock(2);
     let fact = world.node(2).fact(now, 9).expect("it was heard of");
     assert_eq!(fact.units, 100.0);
-    assert_eq!(world.node(2).fact(now, 9).map(|fact| fact.units), Some(0.0), "told once");
+    assert_eq!(
+        world.node(2).fact(now, 9).map(|fact| fact.units),
+        Some(0.0),
+        "told once"
+    );
     world.used(2, 9, 7.0);
     world.settle(10_000.0);
     // Told by a life that is not the first: others have both.
@@ -171,17 +179,27 @@
     world.play(5000.0);
     let now = world.clock(4);
     let behind = now - world.node(4).news(now).0;
-    assert!(behind > 4000.0 || world.node(4).news(now).1 == 1, "its news is known to be old: {behind} ms");
+    assert!(
+        behind > 4000.0 || world.node(4).news(now).1 == 1,
+        "its news is known to be old: {behind} ms"
+    );
     world.cut.clear();
     world.settle(20_000.0);
     let now = world.clock(4);
-    assert_eq!(world.node(4).fact(now, 7).map(|fact| fact.units), Some(16_000.0));
+    assert_eq!(
+        world.node(4).fact(now, 7).map(|fact| fact.units),
+        Some(16_000.0)
+    );
 }
 
 /// Epochs end while datagrams are out, at each door at another time.
 #[test]
 fn epochs_end_while_datagrams_are_out() {
-    let set = Settings { epoch: 1000.0, epochs_kept: 3, ..settings() };
+    let set = Settings {
+        epoch: 1000.0,
+        epochs_kept: 3,
+        ..settings()
+    };
     let mut world = World::new(6, set, ROUGH, 6);
     world.meet(20_000.0);
     for _ in 0..40 {
@@ -190,7 +208,11 @@
     }
     world.play(10_000.0);
     for at in 0..6 {
-        assert_eq!(world.node(at).counts(), 0, "all is over and forgotten at door {at}");
+        assert_eq!(
+            world.node(at).counts(),
+            0,
+            "all is over and forgotten at door {at}"
+        );
         assert_eq!(world.node(at).total(1), 0);
     }
 }
@@ -211,7 +233,10 @@
 /// nothing is lost from the whole.
 #[test]
 fn one_shot_customers_do_not_fill_the_table() {
-    let set = Settings { most_told: 256, ..settings() };
+    let set = Settings {
+        most_told: 256,
+        ..settings()
+    };
     let mut world = World::new(2, set, CALM, 8);
     world.meet(10_000.0);
     let mut all = 0;
@@ -228,9 +253,18 @@
     let node = world.node(0);
     assert!(node.counts() <= 257, "{}", node.counts());
     let told = node.total(42);
-    assert!(told >= 8_000_000 - 512_000, "of 8,000 units of a heavy customer {told} thousandths are told");
-    let sum: i64 = (0..100_000u64).map(|customer| node.total(1_000_000 + customer)).sum();
-    assert_eq!(sum + told + node.total(TAIL), all, "the tail holds what has no count of its own");
+    assert!(
+        told >= 8_000_000 - 512_000,
+        "of 8,000 units of a heavy customer {told} thousandths are told"
+    );
+    let sum: i64 = (0..100_000u64)
+        .map(|customer| node.total(1_000_000 + customer))
+        .sum();
+    assert_eq!(
+        sum + told + node.total(TAIL),
+        all,
+        "the tail holds what has no count of its own"
+    );
 }
 
 /// Counts that come to their width stay there, and say so.
@@ -263,17 +297,22 @@
     traffic(&mut world, 1000.0, 10.0);
     world.settle(10_000.0);
     let kept = std::mem::take(&mut world.kept);
-    let before: Vec<_> =
-        (0..3).map(|at| (1..9).map(|c| world.node(at).total(c)).collect::<Vec<_>>()).collect();
+    let before: Vec<_> = (0..3)
+        .map(|at| (1..9).map(|c| world.node(at).total(c)).collect::<Vec<_>>())
+        .collect();
     for (from, to, bytes) in &kept {
         world.deliver(*from, *to, bytes);
         world.deliver(*from, (*to + 1) % 3, bytes);
     }
-    let after: Vec<_> =
-        (0..3).map(|at| (1..9).map(|c| world.node(at).total(c)).collect::<Vec<_>>()).collect();
+    let after: Vec<_> = (0..3)
+        .map(|at| (1..9).map(|c| world.node(at).total(c)).collect::<Vec<_>>())
+        .collect();
     assert_eq!(before, after);
     let refused = &world.node(1).tally.refused;
-    assert!(refused[&Refused::Repeated] > 0 && refused[&Refused::Unproven] > 0, "{refused:?}");
+    assert!(
+        refused[&Refused::Repeated] > 0 && refused[&Refused::Unproven] > 0,
+        "{refused:?}"
+    );
     // A later life of the receiver has another nonce.
     world.start(1);
     for (from, to, bytes) in kept.iter().filter(|(_, to, _)| *to == 1) {
@@ -281,7 +320,11 @@
         world.node(1).receive(now, address(*from), bytes);
         assert_eq!(*to, 1);
     }
-    assert_eq!(world.alive(1), 0, "what was sent to an earlier life makes nobody known");
+    assert_eq!(
+        world.alive(1),
+        0,
+        "what was sent to an earlier life makes nobody known"
+    );
     assert_eq!(world.node(1).counts(), 0);
 }
 
@@ -292,7 +335,12 @@
     world.meet(10_000.0);
     world.play(2000.0);
     world.stop(2);
-    let kept: Vec<_> = world.kept.iter().filter(|(from, to, _)| (*from, *to) == (2, 0)).cloned().collect();
+    let kept: Vec<_> = world
+        .kept
+        .iter()
+        .filter(|(from, to, _)| (*from, *to) == (2, 0))
+        .cloned()
+        .collect();
     assert!(kept.len() > 10);
     for _ in 0..40 {
         world.play(500.0);
@@ -315,7 +363,13 @@
     }
     world.meet(20_000.0);
     let now = world.clock(0);
-    let most = world.node(0).show(now, 5).members.iter().map(|member| member.former).max();
+    let most = world
+        .node(0)
+        .show(now, 5)
+        .members
+        .iter()
+        .map(|member| member.former)
+        .max();
     assert_eq!(most, Some(2));
     assert!(world.node(0).total(5) <= 8000);
 }
@@ -341,25 +395,49 @@
     };
     assert_eq!(refused(&mut world, &[]), Some(Refused::Cut));
     assert_eq!(refused(&mut world, &whole[..5]), Some(Refused::Cut));
-    assert_eq!(refused(&mut world, &whole[..whole.len() - 1]), Some(Refused::Forged));
+    assert_eq!(
+        refused(&mut world, &whole[..whole.len() - 1]),
+        Some(Refused::Forged)
+    );
     assert_eq!(refused(&mut world, &vec![0; 1500]), Some(Refused::TooLong));
-    assert_eq!(refused(&mut world, b"GET / HTTP/1.1"), Some(Refused::Foreign));
+    assert_eq!(
+        refused(&mut world, b"GET / HTTP/1.1"),
+        Some(Refused::Foreign)
+    );
     let mut changed = whole.clone();
     changed[4] = 2;
     assert_eq!(refused(&mut world, &changed), Some(Refused::OtherVersion));
     for at in 14..whole.len() {
         let mut changed = whole.clone();
         changed[at] ^= 0x10;
-        assert_eq!(refused(&mut world, &changed), Some(Refused::Forged), "byte {at}");
+        assert_eq!(
+            refused(&mut world, &changed),
+            Some(Refused::Forged),
+            "byte {at}"
+        );
     }
-    let other = World::new(1, Settings { cluster: "cuenca".to_owned(), ..settings() }, CALM, 1);
+    let other = World::new(
+        1,
+        Settings {
+            cluster: "cuenca".to_owned(),
+            ..settings()
+        },
+        CALM,
+        1,
+    );
     let mut other = other;
     other.doors[0].node.as_mut().expect("it runs").tick(1e9);
     let foreign = other.node(0).poll().map(|output| output.bytes);
-    assert_eq!(foreign.and_then(|bytes| refused(&mut world, &bytes)), Some(Refused::OtherCluster));
+    assert_eq!(
+        foreign.and_then(|bytes| refused(&mut world, &bytes)),
+        Some(Refused::OtherCluster)
+    );
     assert_eq!(world.node(to).counts(), counts);
     let plain = world.node(to).show(0.0, 5).plain();
-    assert!(plain.contains("Forged") && plain.contains("OtherCluster"), "{plain}");
+    assert!(
+        plain.contains("Forged") && plain.contains("OtherCluster"),
+        "{plain}"
+    );
 }
 
 /// A door with the key that invents a thousand others fills no more than the bound, and those that show no life are gone.
@@ -368,7 +446,12 @@
     use maplefall_shared_counts::members::Beat;
     use maplefall_shared_counts::wire::{Card, Head, Kind, Seal, Section, Writer};
     use maplefall_shared_counts::{DoorId, Life};
-    let set = Settings { most_members: 64, gone_after: 5000.0, forget_after: 5000.0, ..settings() };
+    let set = Settings {
+        most_members: 64,
+        gone_after: 5000.0,
+        forget_after: 5000.0,
+        ..settings()
+    };
     let mut world = World::new(3, set.clone(), CALM, 12);
     world.meet(10_000.0);
     let seal = Seal::new(&set.cluster, &set.key);
@@ -385,25 +468,60 @@
     let liar = world.node(2).life();
     let date = liar.incarnation;
     // One that was last heard of an hour ago is gone wherever that was.
-    let life = Life { door: DoorId::of("z"), incarnation: date };
-    let beat = Beat { life, time: 1, version: 0, age: 3_600_000 };
+    let life = Life {
+        door: DoorId::of("z"),
+        incarnation: date,
+    };
+    let beat = Beat {
+        life,
+        time: 1,
+        version: 0,
+        age: 3_600_000,
+    };
     let mut writer = Writer::new(
         &seal,
-        &Head { kind: Kind::Gossip, from: liar, number: 900_000, nonce: 77, echo: head.nonce },
+        &Head {
+            kind: Kind::Gossip,
+            from: liar,
+            number: 900_000,
+            nonce: 77,
+            echo: head.nonce,
+        },
         1200,
     );
-    assert!(writer.add(&Section::Cards(vec![Card { beat, address: address(9), name: "z".to_owned() }])));
+    assert!(writer.add(&Section::Cards(vec![Card {
+        beat,
+        address: address(9),
+        name: "z".to_owned()
+    }])));
     let bytes = writer.seal(&seal);
     world.deliver(2, 0, &bytes);
     assert!(world.node(0).members().all(|member| member.name != "z"));
     for lie in 0..1000u64 {
         let name = format!("x{lie}");
-        let life = Life { door: DoorId::of(&name), incarnation: date };
-        let beat = Beat { life, time: 1, version: 0, age: 0 };
-        let head =
-            Head { kind: Kind::Gossip, from: liar, number: 1_000_000 + lie, nonce: 77, echo: head.nonce };
+        let life = Life {
+            door: DoorId::of(&name),
+            incarnation: date,
+        };
+        let beat = Beat {
+            life,
+            time: 1,
+            version: 0,
+            age: 0,
+        };
+        let head = Head {
+            kind: Kind::Gossip,
+            from: liar,
+            number: 1_000_000 + lie,
+            nonce: 77,
+            echo: head.nonce,
+        };
         let mut writer = Writer::new(&seal, &head, 1200);
-        assert!(writer.add(&Section::Cards(vec![Card { beat, address: address(9), name }])));
+        assert!(writer.add(&Section::Cards(vec![Card {
+            beat,
+            address: address(9),
+            name
+        }])));
         let bytes = writer.seal(&seal);
         world.deliver(2, 0, &bytes);
     }
@@ -411,11 +529,29 @@
     assert!(world.node(0).tally.refused[&Refused::NoMember] > 900);
     assert_eq!(world.alive(0), 2, "nobody is alive who shows no life");
     // An absurd one: a life of the day after tomorrow.
-    let life = Life { door: DoorId::of("y"), incarnation: date + 2 * 86_400_000 };
-    let beat = Beat { life, time: 1, version: 0, age: 0 };
-    let lie = Head { kind: Kind::Gossip, from: liar, number: 2_000_000, nonce: 77, echo: head.nonce };
+    let life = Life {
+        door: DoorId::of("y"),
+        incarnation: date + 2 * 86_400_000,
+    };
+    let beat = Beat {
+        life,
+        time: 1,
+        version: 0,
+        age: 0,
+    };
+    let lie = Head {
+        kind: Kind::Gossip,
+        from: liar,
+        number: 2_000_000,
+        nonce: 77,
+        echo: head.nonce,
+    };
     let mut writer = Writer::new(&seal, &lie, 1200);
-    assert!(writer.add(&Section::Cards(vec![Card { beat, address: address(9), name: "y".to_owned() }])));
+    assert!(writer.add(&Section::Cards(vec![Card {
+        beat,
+        address: address(9),
+        name: "y".to_owned()
+    }])));
     let bytes = writer.seal(&seal);
     world.deliver(2, 0, &bytes);
     assert_eq!(world.node(0).tally.refused[&Refused::Absurd], 1);
--- a/crates/shared-counts/tests/laws.rs
+++ b/crates/shared-counts/tests/laws.rs
@@ -25,7 +25,14 @@
 }
 
 fn changes() -> impl Strategy<Value = Vec<(u32, u64, i64)>> {
-    prop::collection::vec((prop::sample::select(vec![0u32, 0, 0, 1]), 0u64..6, -5000i64..9000), 1..60)
+    prop::collection::vec(
+        (
+            prop::sample::select(vec![0u32, 0, 0, 1]),
+            0u64..6,
+            -5000i64..9000,
+        ),
+        1..60,
+    )
 }
 
 fn same(left: &Replica, right: &Replica) -> bool {
@@ -177,20 +184,56 @@
 #[test]
 fn later_sections_are_passed_over_and_impossible_ones_refused() {
     let seal = Seal::new("quito", &[7; 32]);
-    let life = Life { door: DoorId(1), incarnation: 2 };
-    let head = Head { kind: Kind::Gossip, from: life, number: 3, nonce: 4, echo: 5 };
+    let life = Life {
+        door: DoorId(1),
+        incarnation: 2,
+    };
+    let head = Head {
+        kind: Kind::Gossip,
+        from: life,
+        number: 3,
+        nonce: 4,
+        echo: 5,
+    };
     let later = Writer::new(&seal, &head, 1200).seal_with(&seal, &[99, 0, 2, 1, 1]);
     assert_eq!(wire::read(&seal, &later), Ok((head, vec![])));
-    let one = |version| Versioned { version, epoch: 0, customer: 1, count: Count { taken: 5, returned: 0 } };
+    let one = |version| Versioned {
+        version,
+        epoch: 0,
+        customer: 1,
+        count: Count {
+            taken: 5,
+            returned: 0,
+        },
+    };
     for delta in [
-        Delta { after: 5, up_to: 4, counts: vec![] },
-        Delta { after: 5, up_to: 9, counts: vec![one(5)] },
-        Delta { after: 5, up_to: 9, counts: vec![one(10)] },
-        Delta { after: 5, up_to: 9, counts: vec![one(7), one(6)] },
+        Delta {
+            after: 5,
+            up_to: 4,
+            counts: vec![],
+        },
+        Delta {
+            after: 5,
+            up_to: 9,
+            counts: vec![one(5)],
+        },
+        Delta {
+            after: 5,
+            up_to: 9,
+            counts: vec![one(10)],
+        },
+        Delta {
+            after: 5,
+            up_to: 9,
+            counts: vec![one(7), one(6)],
+        },
     ] {
         let mut writer = Writer::new(&seal, &head, 1200);
         assert!(writer.add(&Section::Counts(life, delta)));
-        assert_eq!(wire::read(&seal, &writer.seal(&seal)).err(), Some(Refused::Absurd));
+        assert_eq!(
+            wire::read(&seal, &writer.seal(&seal)).err(),
+            Some(Refused::Absurd)
+        );
     }
 }
 
--- a/crates/shared-counts/tests/world/mod.rs
+++ b/crates/shared-counts/tests/world/mod.rs
@@ -17,8 +17,16 @@
     pub delay: (f64, f64),
 }
 
-pub const CALM: Link = Link { loss: 0.0, doubled: 0.0, delay: (0.2, 2.0) };
-pub const ROUGH: Link = Link { loss: 0.3, doubled: 0.1, delay: (1.0, 300.0) };
+pub const CALM: Link = Link {
+    loss: 0.0,
+    doubled: 0.0,
+    delay: (0.2, 2.0),
+};
+pub const ROUGH: Link = Link {
+    loss: 0.3,
+    doubled: 0.1,
+    delay: (1.0, 300.0),
+};
 
 pub struct Door {
     pub name: String,
@@ -53,7 +61,10 @@
 }
 
 pub fn settings() -> Settings {
-    Settings { epoch: 600_000.0, ..Settings::usual("quito", vec![7; 32]) }
+    Settings {
+        epoch: 600_000.0,
+        ..Settings::usual("quito", vec![7; 32])
+    }
 }
 
 impl World {
@@ -145,12 +156,19 @@
             if chance(&mut self.rng) < self.link.loss {
                 continue;
             }
-            let copies = if chance(&mut self.rng) < self.link.doubled { 2 } else { 1 };
+            let copies = if chance(&mut self.rng) < self.link.doubled {
+                2
+            } else {
+                1
+            };
             for _ in 0..copies {
                 let (least, most) = self.link.delay;
                 let late = self.now + least + (most - least) * chance(&mut self.rng);
                 self.order += 1;
-                self.queue.insert(((late * 1000.0) as u64, self.order), (at, to, output.bytes.clone()));
+                self.queue.insert(
+                    ((late * 1000.0) as u64, self.order),
+                    (at, to, output.bytes.clone()),
+                );
             }
         }
     }
@@ -195,8 +213,13 @@
 
     /// What was used of a customer by all doors: all that was taken, and less what was given back.
     pub fn truth_of(&self, customer: u64) -> (i64, i64) {
-        let of = self.truth.iter().filter(|((_, whose), _)| *whose == customer);
-        of.fold((0, 0), |(taken, net), (_, (more, back))| (taken + more, net + more - back))
+        let of = self
+            .truth
+            .iter()
+            .filter(|((_, whose), _)| *whose == customer);
+        of.fold((0, 0), |(taken, net), (_, (more, back))| {
+            (taken + more, net + more - back)
+        })
     }
 
     pub fn customers(&self) -> BTreeSet<u64> {
@@ -253,7 +276,9 @@
     /// Doors that a door takes for alive.
     pub fn alive(&self, at: usize) -> usize {
         let node = self.doors[at].node.as_ref().expect("the door runs");
-        node.members().filter(|m| m.state == maplefall_shared_counts::members::State::Alive).count()
+        node.members()
+            .filter(|m| m.state == maplefall_shared_counts::members::State::Alive)
+            .count()
     }
 
     /// Plays until every door takes all others that run for alive.
@@ -266,7 +291,11 @@
             if least + 1 >= run {
                 return self.now - begun;
             }
-            assert!(self.now - begun < most, "after {most} ms a door knows of {least} others of {}", run - 1);
+            assert!(
+                self.now - begun < most,
+                "after {most} ms a door knows of {least} others of {}",
+                run - 1
+            );
             self.play(100.0);
         }
     }
@@ -283,8 +312,15 @@
 /// Random schedules: doors that come and go, links that are cut and heal, loss, doubles, late datagrams, use everywhere.
 /// Never over the truth, and equal once quiet (among doors that run; what a door that is gone told nobody is lost with it).
 pub fn schedule(doors: usize, steps: usize, seed: u64) {
-    let rough = Link { loss: 0.2, doubled: 0.1, delay: (0.5, 80.0) };
-    let set = Settings { forget_after: 20_000_000.0, ..settings() };
+    let rough = Link {
+        loss: 0.2,
+        doubled: 0.1,
+        delay: (0.5, 80.0),
+    };
+    let set = Settings {
+        forget_after: 20_000_000.0,
+        ..settings()
+    };
     let mut world = World::new(doors, set, rough, seed);
     world.meet(60_000.0);
     for _ in 0..steps {
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -97,8 +97,13 @@
 
 impl<'a> Reader<'a> {
     fn take(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
-        let end = self.at.checked_add(count).filter(|end| *end <= self.bytes.len());
-        let Some(end) = end else { return Err(self.wrong("the record overruns its frame")) };
+        let end = self
+            .at
+            .checked_add(count)
+            .filter(|end| *end <= self.bytes.len());
+        let Some(end) = end else {
+            return Err(self.wrong("the record overruns its frame"));
+        };
         let taken = &self.bytes[self.at..end];
         self.at = end;
         Ok(taken)
@@ -139,13 +144,21 @@
     }
 
     fn wrong(&self, what: &'static str) -> Malformed {
-        Malformed { offset: self.at, code: self.code, what }
+        Malformed {
+            offset: self.at,
+            code: self.code,
+            what,
+        }
     }
 }
 
 /// Reads the payload of a batch: its clock and its events in order.
 pub fn decode(payload: &[u8]) -> Result<(f64, Vec<(u32, Record)>), Malformed> {
-    let mut reader = Reader { bytes: payload, at: 0, code: None };
+    let mut reader = Reader {
+        bytes: payload,
+        at: 0,
+        code: None,
+    };
     let clock = reader.f64()?;
     let mut records = Vec::new();
     while reader.at < payload.len() {
@@ -163,9 +176,12 @@
         256 => {
             let seed = r.u64()?;
             let length = r.u32()? as usize;
-            let facts =
-                std::str::from_utf8(r.take(length)?).map_err(|_| r.wrong("the settings are not text"))?;
-            Record::Create { seed, facts: facts.to_owned() }
+            let facts = std::str::from_utf8(r.take(length)?)
+                .map_err(|_| r.wrong("the settings are not text"))?;
+            Record::Create {
+                seed,
+                facts: facts.to_owned(),
+            }
         }
         257 => {
             let kind = r.u8()?;
@@ -178,9 +194,18 @@
             let id = r.u32()?;
             let doors = r.f32()?;
             r.f32()?; // number of the first gateway of the set
-            let (customer, deadline, plan, units, class) = (r.u64()?, r.f64()?, r.u32()?, r.f32()?, r.u8()?);
+            let (customer, deadline, plan, units, class) =
+                (r.u64()?, r.f64()?, r.u32()?, r.f32()?, r.u8()?);
             r.u8()?; // flags
-            Record::Ingress { id, doors, customer, deadline, plan, units, class }
+            Record::Ingress {
+                id,
+                doors,
+                customer,
+                deadline,
+                plan,
+                units,
+                class,
+            }
         }
         259 => {
             let id = r.u32()?;
@@ -202,7 +227,12 @@
         262 => Record::Alarm { name: r.u64()? },
         263 => {
             let (waited, backend, outcome) = (r.f64()?, r.u32()?, r.u16()?);
-            Record::Probed { waited, backend, outcome, stats: r.stats()? }
+            Record::Probed {
+                waited,
+                backend,
+                outcome,
+                stats: r.stats()?,
+            }
         }
         264 => {
             r.u32()?;
@@ -222,7 +252,14 @@
 fn entry(r: &mut Reader<'_>) -> Result<Entry, Malformed> {
     let (zone, came_up, backend, cell) = (r.u8()?, r.f64()?, r.u32()?, r.u16()?);
     r.u8()?; // kind of machine
-    Ok(Entry { zone, came_up, backend, cell, availability: r.u8()?, size: r.f32()? })
+    Ok(Entry {
+        zone,
+        came_up,
+        backend,
+        cell,
+        availability: r.u8()?,
+        size: r.f32()?,
+    })
 }
 
 /// A reply under construction.
@@ -319,7 +356,10 @@
 
     fn hex(text: &str) -> Vec<u8> {
         let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-        digits.chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap()).collect()
+        digits
+            .chunks(2)
+            .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+            .collect()
     }
 
     #[test]
@@ -341,7 +381,11 @@
         };
         assert_eq!(
             records,
-            vec![(2, arrival), (2, Record::Alarm { name: 77 }), (7, Record::ClientGone { id: 5 })]
+            vec![
+                (2, arrival),
+                (2, Record::Alarm { name: 77 }),
+                (7, Record::ClientGone { id: 5 })
+            ]
         );
     }
 
@@ -363,9 +407,22 @@
             actual: 3,
             stats: vec![0.5],
         };
-        let entry = Entry { zone: 1, came_up: 100.0, backend: 11, cell: 2, availability: 1, size: 1.0 };
+        let entry = Entry {
+            zone: 1,
+            came_up: 100.0,
+            backend: 11,
+            cell: 2,
+            availability: 1,
+            size: 1.0,
+        };
         assert_eq!(records[0].1, Record::Settled(settled));
-        assert_eq!(records[1].1, Record::Roster { kind: 1, entries: vec![entry] });
+        assert_eq!(
+            records[1].1,
+            Record::Roster {
+                kind: 1,
+                entries: vec![entry]
+            }
+        );
     }
 
     #[test]
@@ -376,7 +433,15 @@
         );
         let (_, records) = decode(&payload).unwrap();
         let kinds: Vec<Record> = records.into_iter().map(|(_, record)| record).collect();
-        assert_eq!(kinds, vec![Record::Unused, Record::Unused, Record::FirstByte { id: 5 }, Record::Retire]);
+        assert_eq!(
+            kinds,
+            vec![
+                Record::Unused,
+                Record::Unused,
+                Record::FirstByte { id: 5 },
+                Record::Retire
+            ]
+        );
     }
 
     #[test]
@@ -384,7 +449,10 @@
         let overrun = decode(&hex("0000000000000000 0601 01000000 4d0000")).unwrap_err();
         assert_eq!((overrun.offset, overrun.code), (14, Some(262)));
         let unknown = decode(&hex("0000000000000000 ff01 01000000")).unwrap_err();
-        assert_eq!(unknown.to_string(), "malformed frame at offset 14, code 511: unknown event code");
+        assert_eq!(
+            unknown.to_string(),
+            "malformed frame at offset 14, code 511: unknown event code"
+        );
         assert!(decode(&hex("0000")).is_err());
     }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -57,7 +57,9 @@
                 reply.broken(door, &text);
                 instances.remove(&door);
             }
-            actions.drain(..).for_each(|action| encode(&mut reply, door, action));
+            actions
+                .drain(..)
+                .for_each(|action| encode(&mut reply, door, action));
         }
         output.write_all(&reply.into_frame())?;
         output.flush()?;
@@ -89,7 +91,9 @@
 ) -> Result<(), String> {
     match record {
         Record::Create { seed, facts } => {
-            let Told { settings, metrics, .. } = settings::parse(&facts)?;
+            let Told {
+                settings, metrics, ..
+            } = settings::parse(&facts)?;
             let gateway = guarded(|| Gateway::new(settings, seed))?;
             instances.insert(door, Instance { gateway, metrics });
             Ok(())
@@ -99,16 +103,23 @@
             Ok(())
         }
         record => {
-            let Some(instance) = instances.get_mut(&door) else { return Ok(()) };
-            let Some(event) = event(record, &instance.metrics) else { return Ok(()) };
+            let Some(instance) = instances.get_mut(&door) else {
+                return Ok(());
+            };
+            let Some(event) = event(record, &instance.metrics) else {
+                return Ok(());
+            };
             guarded(|| instance.gateway.handle(now, event, actions))
         }
     }
 }
 
 fn guarded<T>(call: impl FnOnce() -> T) -> Result<T, String> {
-    panic::catch_unwind(AssertUnwindSafe(call))
-        .map_err(|_| PANIC.lock().map_or_else(|_| "panic".to_owned(), |text| text.clone()))
+    panic::catch_unwind(AssertUnwindSafe(call)).map_err(|_| {
+        PANIC
+            .lock()
+            .map_or_else(|_| "panic".to_owned(), |text| text.clone())
+    })
 }
 
 fn event(record: Record, metrics: &[Metric]) -> Option<Event> {
@@ -122,7 +133,15 @@
             };
             Event::Backends(kind, entries.iter().map(backend_entry).collect())
         }
-        Record::Ingress { id, doors, customer, deadline, plan, units, class } => Event::Arrival(Request {
+        Record::Ingress {
+            id,
+            doors,
+            customer,
+            deadline,
+            plan,
+            units,
+            class,
+        } => Event::Arrival(Request {
             id: RequestId(id),
             customer: CustomerId(customer),
             plan: PlanId(plan as usize),
@@ -148,7 +167,12 @@
         }),
         Record::ClientGone { id } => Event::ClientGone(RequestId(id)),
         Record::Alarm { name } => Event::Alarm(AlarmId(name)),
-        Record::Probed { waited, backend, outcome: how, stats } => Event::Probed {
+        Record::Probed {
+            waited,
+            backend,
+            outcome: how,
+            stats,
+        } => Event::Probed {
             backend: BackendId(backend),
             outcome: outcome(how),
             elapsed: waited,
@@ -188,12 +212,19 @@
 
 fn encode(reply: &mut Reply, door: u32, action: Action) {
     match action {
-        Action::Send { request, backend, limit, .. } => {
+        Action::Send {
+            request,
+            backend,
+            limit,
+            ..
+        } => {
             reply.send(door, request.0, backend.0, limit.unwrap_or(0.0));
         }
-        Action::Refuse { request, retry_after, .. } => {
-            reply.refuse(door, request.0, retry_after.unwrap_or(0.0))
-        }
+        Action::Refuse {
+            request,
+            retry_after,
+            ..
+        } => reply.refuse(door, request.0, retry_after.unwrap_or(0.0)),
         Action::Fail(request) => reply.fail(door, request.0),
         Action::Check(_) => {}
         Action::CallOff { request, attempt } => {
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -18,29 +18,73 @@
 }
 
 fn frame(clock: f64, records: &[Vec<u8>]) -> Vec<u8> {
-    let body: Vec<u8> = clock.to_le_bytes().into_iter().chain(records.concat()).collect();
-    (body.len() as u32).to_le_bytes().into_iter().chain(body).collect()
+    let body: Vec<u8> = clock
+        .to_le_bytes()
+        .into_iter()
+        .chain(records.concat())
+        .collect();
+    (body.len() as u32)
+        .to_le_bytes()
+        .into_iter()
+        .chain(body)
+        .collect()
 }
 
 fn record(code: u16, door: u32, fields: &[&[u8]]) -> Vec<u8> {
-    [&code.to_le_bytes()[..], &door.to_le_bytes()[..], &fields.concat()].concat()
+    [
+        &code.to_le_bytes()[..],
+        &door.to_le_bytes()[..],
+        &fields.concat(),
+    ]
+    .concat()
 }
 
 fn create(door: u32, facts: &str) -> Vec<u8> {
-    record(256, door, &[&7u64.to_le_bytes(), &(facts.len() as u32).to_le_bytes(), facts.as_bytes()])
+    record(
+        256,
+        door,
+        &[
+            &7u64.to_le_bytes(),
+            &(facts.len() as u32).to_le_bytes(),
+            facts.as_bytes(),
+        ],
+    )
 }
 
 fn cached_list(door: u32) -> Vec<u8> {
-    let line =
-        [&[0u8][..], &0f64.to_le_bytes(), &9u32.to_le_bytes(), &[0, 0, 0, 2], &1f32.to_le_bytes()].concat();
-    record(257, door, &[&[2], &1u32.to_le_bytes(), &1u32.to_le_bytes(), &line])
+    let line = [
+        &[0u8][..],
+        &0f64.to_le_bytes(),
+        &9u32.to_le_bytes(),
+        &[0, 0, 0, 2],
+        &1f32.to_le_bytes(),
+    ]
+    .concat();
+    record(
+        257,
+        door,
+        &[&[2], &1u32.to_le_bytes(), &1u32.to_le_bytes(), &line],
+    )
 }
 
 fn ingress(door: u32, id: u32) -> Vec<u8> {
     let (one, zero) = (1f32.to_le_bytes(), 0f32.to_le_bytes());
     let deadline = 5000f64.to_le_bytes();
     let plan = 0u32.to_le_bytes();
-    record(258, door, &[&id.to_le_bytes(), &one, &zero, &5u64.to_le_bytes(), &deadline, &plan, &one, &[0, 0]])
+    record(
+        258,
+        door,
+        &[
+            &id.to_le_bytes(),
+            &one,
+            &zero,
+            &5u64.to_le_bytes(),
+            &deadline,
+            &plan,
+            &one,
+            &[0, 0],
+        ],
+    )
 }
 
 const FACTS: &str = "grades.count=1\ngrades.0.aim=1000\ngrades.0.give_up=3000\ngrades.0.idempotency=safe\n\
@@ -59,7 +103,10 @@
 
 fn say(child: &mut Child, frame: &[u8]) {
     let input = child.stdin.as_mut().expect("a pipe");
-    input.write_all(frame).and_then(|()| input.flush()).expect("the adapter reads");
+    input
+        .write_all(frame)
+        .and_then(|()| input.flush())
+        .expect("the adapter reads");
 }
 
 #[test]
@@ -67,7 +114,12 @@
     let mut child = start();
     say(&mut child, &frame(0.0, &[]));
     assert_eq!(reply(&mut child), (0, vec![]));
-    let records = [create(3, FACTS), cached_list(3), create(4, FACTS), cached_list(4)];
+    let records = [
+        create(3, FACTS),
+        cached_list(3),
+        create(4, FACTS),
+        cached_list(4),
+    ];
     say(&mut child, &frame(1.0, &records));
     assert_eq!(reply(&mut child), (0, vec![]));
     say(&mut child, &frame(2.0, &[ingress(3, 77)]));
@@ -76,10 +128,17 @@
     assert_eq!(body[..2], 324u16.to_le_bytes()); // an alarm ahead of the deadline
     let sent = &body[22..];
     assert_eq!(sent[..2], 320u16.to_le_bytes());
-    assert_eq!(sent[2..14], [3u32.to_le_bytes(), 77u32.to_le_bytes(), 9u32.to_le_bytes()].concat());
+    assert_eq!(
+        sent[2..14],
+        [3u32.to_le_bytes(), 77u32.to_le_bytes(), 9u32.to_le_bytes()].concat()
+    );
     // The same instance, dead and born again in one batch, knows nothing of request 77.
-    let again =
-        [record(265, 3, &[]), create(3, FACTS), cached_list(3), record(261, 3, &[&77u32.to_le_bytes()])];
+    let again = [
+        record(265, 3, &[]),
+        create(3, FACTS),
+        cached_list(3),
+        record(261, 3, &[&77u32.to_le_bytes()]),
+    ];
     say(&mut child, &frame(3.0, &again));
     assert_eq!(reply(&mut child), (0, vec![]));
     let output = end(child);
@@ -100,7 +159,10 @@
 fn a_frame_that_ends_early_or_makes_no_sense_ends_the_adapter_with_a_plain_line() {
     let cases: [(Vec<u8>, &str); 3] = [
         (vec![40, 0, 0, 0, 1, 2], "truncated frame"),
-        (frame(1.0, &[record(999, 1, &[])]), "code 999: unknown event code"),
+        (
+            frame(1.0, &[record(999, 1, &[])]),
+            "code 999: unknown event code",
+        ),
         (frame(1.0, &[record(262, 1, &[&[1, 2]])]), "overruns"),
     ];
     for (bytes, expected) in cases {
--- a/crates/test-servers/src/agent.rs
+++ b/crates/test-servers/src/agent.rs
@@ -2,8 +2,8 @@
 //! heartbeats; and failures: silent, broken off, moved. How late it hears of a change is up to whoever tells it.
 
 use crate::wire::Link;
-use maplefall_protocol::{Health as Wire, Member, Members};
 use maplefall_event_trace::{Entry, Health, Millis, Recorder};
+use maplefall_protocol::{Health as Wire, Member, Members};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::TcpListener as StdListener;
@@ -51,10 +51,17 @@
 impl List {
     /// A list that begins with these entries.
     pub fn new(members: impl IntoIterator<Item = Member>) -> List {
-        let members: BTreeMap<String, Member> =
-            members.into_iter().map(|member| (member.host.clone(), member)).collect();
+        let members: BTreeMap<String, Member> = members
+            .into_iter()
+            .map(|member| (member.host.clone(), member))
+            .collect();
         let before = members.clone();
-        List(Arc::new(Mutex::new(Held { seq: 1, members, changes: VecDeque::new(), before })))
+        List(Arc::new(Mutex::new(Held {
+            seq: 1,
+            members,
+            changes: VecDeque::new(),
+            before,
+        })))
     }
 
     fn held(&self) -> MutexGuard<'_, Held> {
@@ -64,7 +71,11 @@
     /// The whole list.
     pub fn whole(&self) -> Members {
         let held = self.held();
-        Members { seq: held.seq, whole: true, hosts: held.members.values().cloned().collect() }
+        Members {
+            seq: held.seq,
+            whole: true,
+            hosts: held.members.values().cloned().collect(),
+        }
     }
 
     /// Takes a change in; tells its version.
@@ -73,7 +84,11 @@
         held.seq += 1;
         let seq = held.seq;
         put(&mut held.members, member);
-        held.changes.push_back(Change { seq, at: Instant::now(), member: member.clone() });
+        held.changes.push_back(Change {
+            seq,
+            at: Instant::now(),
+            member: member.clone(),
+        });
         if held.changes.len() > MOST_CHANGES {
             if let Some(oldest) = held.changes.pop_front() {
                 put(&mut held.before, &oldest.member);
@@ -85,20 +100,36 @@
     /// The version that was the last one so long ago.
     fn version(&self, ago: Duration) -> u64 {
         let held = self.held();
-        let oldest = held.changes.front().map_or(held.seq, |change| change.seq - 1);
+        let oldest = held
+            .changes
+            .front()
+            .map_or(held.seq, |change| change.seq - 1);
         let now = Instant::now();
-        let known = held.changes.iter().rev().find(|change| now.saturating_duration_since(change.at) >= ago);
+        let known = held
+            .changes
+            .iter()
+            .rev()
+            .find(|change| now.saturating_duration_since(change.at) >= ago);
         known.map_or(oldest, |change| change.seq)
     }
 
     /// What changed after a version and up to what is known, or the whole list as it is known where the former is not.
     fn since(&self, from: Option<u64>, known: u64) -> Members {
         let held = self.held();
-        let oldest = held.changes.front().map_or(held.seq, |change| change.seq - 1);
+        let oldest = held
+            .changes
+            .front()
+            .map_or(held.seq, |change| change.seq - 1);
         let from = from.filter(|from| (oldest..=known).contains(from));
-        let mut last = if from.is_some() { BTreeMap::new() } else { held.before.clone() };
-        for Change { member, .. } in
-            held.changes.iter().filter(|c| (from.unwrap_or(0) + 1..=known).contains(&c.seq))
+        let mut last = if from.is_some() {
+            BTreeMap::new()
+        } else {
+            held.before.clone()
+        };
+        for Change { member, .. } in held
+            .changes
+            .iter()
+            .filter(|c| (from.unwrap_or(0) + 1..=known).contains(&c.seq))
         {
             match from {
                 // Among changes a removal is told.
@@ -108,7 +139,11 @@
                 None => put(&mut last, member),
             }
         }
-        Members { seq: known, whole: from.is_none(), hosts: last.into_values().collect() }
+        Members {
+            seq: known,
+            whole: from.is_none(),
+            hosts: last.into_values().collect(),
+        }
     }
 }
 
@@ -163,7 +198,14 @@
     /// An agent that tells this list; `unix_start` is the Unix time at which the record began.
     pub fn new(door: u32, list: List, recorder: Recorder, unix_start: Millis) -> Rc<Agent> {
         let (state, listening) = (watch::Sender::default(), RefCell::default());
-        Rc::new(Agent { door, list, recorder, unix_start, state, listening })
+        Rc::new(Agent {
+            door,
+            list,
+            recorder,
+            unix_start,
+            state,
+            listening,
+        })
     }
 
     /// Answers here from now on. Where it answered before, it takes no new connection, and `grace` later it closes
@@ -180,14 +222,23 @@
         let version = self.list.change(member);
         if let Some(node) = number(&member.host) {
             let (door, health) = (self.door, health(member.health));
-            self.recorder.note(Entry::Due { door, node, health, version });
+            self.recorder.note(Entry::Due {
+                door,
+                node,
+                health,
+                version,
+            });
         }
         self.state.send_modify(|state| state.version += 1);
     }
 
     /// Tells again what it knows of every node.
     pub fn repeat(&self) {
-        self.list.whole().hosts.iter().for_each(|member| self.tell(member));
+        self.list
+            .whole()
+            .hosts
+            .iter()
+            .for_each(|member| self.tell(member));
     }
 
     /// Says nothing from now on, or speaks again.
@@ -213,7 +264,9 @@
     async fn accept(self: Rc<Self>, listener: StdListener, grace: Duration) {
         // Dropped with this task: its receivers then know that the agent has moved.
         let here = watch::Sender::new(());
-        let Ok(listener) = TcpListener::from_std(listener) else { return };
+        let Ok(listener) = TcpListener::from_std(listener) else {
+            return;
+        };
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
@@ -224,10 +277,17 @@
         }
     }
 
-    async fn serve(self: Rc<Self>, stream: TcpStream, mut here: watch::Receiver<()>, grace: Duration) {
+    async fn serve(
+        self: Rc<Self>,
+        stream: TcpStream,
+        mut here: watch::Receiver<()>,
+        grace: Duration,
+    ) {
         let mut link = Link::over(stream);
         let mut state = self.state.subscribe();
-        let State { broken, vanished, .. } = *state.borrow_and_update();
+        let State {
+            broken, vanished, ..
+        } = *state.borrow_and_update();
         let mut gone = self.state.subscribe();
         let moved = async {
             while here.changed().await.is_ok() {}
@@ -259,7 +319,11 @@
                 return;
             }
             if !message.target.starts_with("/catalog/members") {
-                if link.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await.is_err() {
+                if link
+                    .write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             } else if message.query("watch") == Some("1") {
@@ -270,8 +334,13 @@
                 let lapse = self.state.borrow().lapse;
                 let body = line(&members, lapse);
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-                let text = if lapse == Some(Lapse::Half) { &body[..body.len() / 2] } else { &body[..] };
-                if link.write((head + text).as_bytes()).await.is_err() || lapse == Some(Lapse::Half) {
+                let text = if lapse == Some(Lapse::Half) {
+                    &body[..body.len() / 2]
+                } else {
+                    &body[..]
+                };
+                if link.write((head + text).as_bytes()).await.is_err() || lapse == Some(Lapse::Half)
+                {
                     return;
                 }
                 self.told(&members);
@@ -279,8 +348,17 @@
         }
     }
 
-    async fn watch(&self, link: &mut Link, mut from: Option<u64>, mut state: watch::Receiver<State>) {
-        if link.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
+    async fn watch(
+        &self,
+        link: &mut Link,
+        mut from: Option<u64>,
+        mut state: watch::Receiver<State>,
+    ) {
+        if link
+            .write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await
+            .is_err()
+        {
             return;
         }
         let mut first = true;
@@ -349,10 +427,19 @@
 /// Notes that a front door has been told these entries, by its agent or by the list that it started with.
 pub fn told(recorder: &Recorder, door: u32, members: &Members, unix_start: Millis) {
     for member in &members.hosts {
-        let Some(node) = number(&member.host) else { continue };
+        let Some(node) = number(&member.host) else {
+            continue;
+        };
         let (health, version) = (health(member.health), members.seq);
         let born = (member.born_ms > 0.0).then_some(member.born_ms - unix_start);
-        recorder.note(Entry::Told { door, node, health, born, source: 0, version });
+        recorder.note(Entry::Told {
+            door,
+            node,
+            health,
+            born,
+            source: 0,
+            version,
+        });
     }
 }
 
@@ -377,8 +464,14 @@
 /// A list in which one entry is nobody's, and draining nodes have no address that could be read.
 fn spoilt(members: &Members) -> serde_json::Value {
     let mut list = serde_json::to_value(members).unwrap_or_default();
-    if let Some(hosts) = list.get_mut("hosts").and_then(serde_json::Value::as_array_mut) {
-        for entry in hosts.iter_mut().filter(|entry| entry["health"] == "draining") {
+    if let Some(hosts) = list
+        .get_mut("hosts")
+        .and_then(serde_json::Value::as_array_mut)
+    {
+        for entry in hosts
+            .iter_mut()
+            .filter(|entry| entry["health"] == "draining")
+        {
             entry["dial"] = "nowhere".into();
         }
         hosts.push(serde_json::json!({"host": "nobody", "health": "up", "dial": 7}));
@@ -387,5 +480,6 @@
 }
 
 async fn chunk(link: &mut Link, text: &str) -> std::io::Result<()> {
-    link.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
+    link.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+        .await
 }
--- a/crates/test-servers/src/auth.rs
+++ b/crates/test-servers/src/auth.rs
@@ -63,7 +63,10 @@
 impl Seen {
     /// The first header of this name, which is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 }
 
@@ -91,7 +94,10 @@
     pub fn new(seed: u64) -> Rc<Auth> {
         Rc::new(Auth {
             grants: RefCell::default(),
-            denial: RefCell::new((401, vec!["WWW-Authenticate: Bearer realm=\"lots\"".to_owned()])),
+            denial: RefCell::new((
+                401,
+                vec!["WWW-Authenticate: Bearer realm=\"lots\"".to_owned()],
+            )),
             fault: Cell::new(None),
             log: RefCell::default(),
             open: Cell::new(0),
@@ -102,7 +108,9 @@
     /// Lets a credential pass from now on, with these header lines.
     pub fn grant(&self, credential: &str, headers: &[&str]) {
         let headers = headers.iter().map(|line| (*line).to_owned()).collect();
-        self.grants.borrow_mut().insert(credential.to_owned(), Grant { headers });
+        self.grants
+            .borrow_mut()
+            .insert(credential.to_owned(), Grant { headers });
     }
 
     /// Denies a credential from now on.
@@ -112,7 +120,10 @@
 
     /// Denies with this status and these header lines from now on.
     pub fn deny_with(&self, status: u16, headers: &[&str]) {
-        *self.denial.borrow_mut() = (status, headers.iter().map(|line| (*line).to_owned()).collect());
+        *self.denial.borrow_mut() = (
+            status,
+            headers.iter().map(|line| (*line).to_owned()).collect(),
+        );
     }
 
     /// Strikes this part of the checks from now on; `None` ends it.
@@ -161,7 +172,9 @@
 
     async fn talk(self: Rc<Self>, stream: TcpStream) {
         let mut link = Link::over(stream);
-        if self.open.get() > MOST_CONNECTIONS || matches!(self.fault.get(), Some((Fault::ResetBefore, _))) {
+        if self.open.get() > MOST_CONNECTIONS
+            || matches!(self.fault.get(), Some((Fault::ResetBefore, _)))
+        {
             return link.reset();
         }
         loop {
@@ -172,10 +185,17 @@
             if fault == Some(Fault::ResetWithin) {
                 return link.reset();
             }
-            let Ok(message) = link.message().await else { return };
+            let Ok(message) = link.message().await else {
+                return;
+            };
             let closes = message.closes();
-            let (status, headers) = self.verdict(message.header("authorization").unwrap_or_default());
-            let status = if let Some(Fault::Status(status)) = fault { status } else { status };
+            let (status, headers) =
+                self.verdict(message.header("authorization").unwrap_or_default());
+            let status = if let Some(Fault::Status(status)) = fault {
+                status
+            } else {
+                status
+            };
             self.note(Seen {
                 at: Instant::now(),
                 headers: message.headers,
@@ -184,7 +204,9 @@
                 status,
             });
             let mut head = format!("HTTP/1.1 {status} X\r\n");
-            headers.iter().for_each(|line| head.push_str(&format!("{line}\r\n")));
+            headers
+                .iter()
+                .for_each(|line| head.push_str(&format!("{line}\r\n")));
             if fault == Some(Fault::Splitting) {
                 head.push_str("Remote-User: eva\r\n\x20folded: yes\rInjected: 1\r\n");
             }
@@ -203,8 +225,9 @@
                 }
                 Some(Fault::Twice) => link.write(answer.repeat(2).as_bytes()).await,
                 Some(Fault::Endless) => {
-                    let mut written =
-                        link.write(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes()).await;
+                    let mut written = link
+                        .write(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes())
+                        .await;
                     let piece = format!("{PIECE:x}\r\n{}\r\n", "x".repeat(PIECE));
                     while written.is_ok() {
                         written = link.write(piece.as_bytes()).await;
@@ -242,9 +265,14 @@
     use std::future::Future;
 
     fn run(test: impl Future<Output = ()>) {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            tokio::time::timeout(Duration::from_secs(30), test).await.expect("in time");
+            tokio::time::timeout(Duration::from_secs(30), test)
+                .await
+                .expect("in time");
         });
     }
 
@@ -266,10 +294,16 @@
     fn it_lets_pass_whom_it_knows_until_it_does_not() {
         run(async {
             let auth = Auth::new(1);
-            auth.grant("Bearer ana", &["Remote-User: ana", "Cache-Control: max-age=5"]);
+            auth.grant(
+                "Bearer ana",
+                &["Remote-User: ana", "Cache-Control: max-age=5"],
+            );
             let (_, answer) = asked(&auth, "Bearer ana").await;
             let answer = answer.unwrap();
-            assert_eq!((answer.status, answer.header("remote-user")), (200, Some("ana")));
+            assert_eq!(
+                (answer.status, answer.header("remote-user")),
+                (200, Some("ana"))
+            );
             let (_, answer) = asked(&auth, "Bearer eva").await;
             let answer = answer.unwrap();
             assert_eq!(answer.status, 401);
@@ -279,8 +313,14 @@
             let (_, answer) = asked(&auth, "Bearer ana").await;
             assert_eq!(answer.unwrap().header("location"), Some("/login"));
             let log = auth.log();
-            assert_eq!(log.iter().map(|seen| seen.status).collect::<Vec<_>>(), [200, 401, 302]);
-            assert_eq!((log[0].header("x-forwarded-uri"), log[0].target.as_str()), (Some("/x"), "/auth"));
+            assert_eq!(
+                log.iter().map(|seen| seen.status).collect::<Vec<_>>(),
+                [200, 401, 302]
+            );
+            assert_eq!(
+                (log[0].header("x-forwarded-uri"), log[0].target.as_str()),
+                (Some("/x"), "/auth")
+            );
         });
     }
 
@@ -294,7 +334,10 @@
                 asked(&auth, "a")
             };
             for fault in [Fault::ResetBefore, Fault::ResetWithin, Fault::ResetAfter] {
-                assert!(matches!(with(fault).await.1, Err(NoMessage::Closed)), "{fault:?}");
+                assert!(
+                    matches!(with(fault).await.1, Err(NoMessage::Closed)),
+                    "{fault:?}"
+                );
             }
             assert_eq!(auth.checks(), 1, "only the last was read whole");
             assert_eq!(with(Fault::Status(500)).await.1.unwrap().status, 500);
@@ -302,8 +345,14 @@
             assert_eq!(answer.unwrap().status, 200);
             assert!(matches!(link.message().await, Err(NoMessage::Closed)));
             let (mut link, answer) = with(Fault::Twice).await;
-            assert_eq!((answer.unwrap().status, link.message().await.unwrap().status), (200, 200));
-            assert!(matches!(with(Fault::Endless).await.1, Err(NoMessage::Garbage(_))), "a body in chunks");
+            assert_eq!(
+                (answer.unwrap().status, link.message().await.unwrap().status),
+                (200, 200)
+            );
+            assert!(
+                matches!(with(Fault::Endless).await.1, Err(NoMessage::Garbage(_))),
+                "a body in chunks"
+            );
             assert!(with(Fault::Late(Duration::from_millis(30))).await.1.is_ok());
             for fault in [Fault::Stall, Fault::HalfHead] {
                 let waits = tokio::time::timeout(Duration::from_millis(100), with(fault)).await;
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -109,13 +109,23 @@
 
     /// Tells how one is.
     pub fn set(&self, door: usize, seen: DoorSeen) {
-        if let Some(slot) = self.0.lock().unwrap_or_else(PoisonError::into_inner).get_mut(door) {
+        if let Some(slot) = self
+            .0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get_mut(door)
+        {
             *slot = seen;
         }
     }
 
     fn get(&self, door: usize) -> DoorSeen {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).get(door).copied().unwrap_or_default()
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(door)
+            .copied()
+            .unwrap_or_default()
     }
 }
 
@@ -175,7 +185,14 @@
     pub fn new(crowd: Crowd, recorder: Recorder, lateness: Lateness) -> Rc<Clients> {
         let kept = crowd.doors.iter().map(|_| RefCell::default()).collect();
         let (links, open) = (Cell::new(0), Cell::new(0));
-        Rc::new(Clients { crowd, recorder, lateness, kept, links, open })
+        Rc::new(Clients {
+            crowd,
+            recorder,
+            lateness,
+            kept,
+            links,
+            open,
+        })
     }
 
     /// Makes all these first tries, each at its time, and returns when the last is over.
@@ -203,7 +220,11 @@
     }
 
     fn surplus(&self, door: usize, link: u64, last: &str) {
-        self.recorder.note(Entry::Surplus { door: door as u32, link, id: last.to_owned() });
+        self.recorder.note(Entry::Surplus {
+            door: door as u32,
+            link,
+            id: last.to_owned(),
+        });
     }
 
     /// Requests that are out.
@@ -213,7 +234,9 @@
 
     async fn ask(self: Rc<Self>, ask: Ask) {
         let _open = Count::up(&self.open);
-        let Some(kind) = self.crowd.kinds.get(ask.class) else { return };
+        let Some(kind) = self.crowd.kinds.get(ask.class) else {
+            return;
+        };
         let begun = self.recorder.now();
         let end = begun + kind.give_up_ms;
         for retry in 0..=self.crowd.habits.retries {
@@ -255,7 +278,8 @@
                 return;
             }
             if wait > 0.0 {
-                tokio::time::sleep_until(self.recorder.instant(self.recorder.now() + wait).into()).await;
+                tokio::time::sleep_until(self.recorder.instant(self.recorder.now() + wait).into())
+                    .await;
             }
         }
     }
@@ -265,8 +289,9 @@
     fn deal(&self, ask: &Ask, retry: u32) -> Option<usize> {
         let now = self.recorder.now();
         let count = self.crowd.doors.len();
-        let set: Vec<usize> =
-            (0..ask.spread.max(1) as usize).map(|i| (ask.first as usize + i) % count.max(1)).collect();
+        let set: Vec<usize> = (0..ask.spread.max(1) as usize)
+            .map(|i| (ask.first as usize + i) % count.max(1))
+            .collect();
         let usable = |door: &usize| {
             let seen = self.crowd.board.get(*door);
             let stays = if seen.left.is_some_and(|(_, told)| told) {
@@ -279,12 +304,14 @@
         let usable: Vec<usize> = set.iter().copied().filter(usable).collect();
         let doors = if usable.is_empty() { &set } else { &usable };
         let turn = (now / self.crowd.habits.busiest_ms.max(1.0)) as u64;
-        let busiest = (draw(self.crowd.seed, ask.customer, 1000 + turn) * set.len() as f64) as usize;
+        let busiest =
+            (draw(self.crowd.seed, ask.customer, 1000 + turn) * set.len() as f64) as usize;
         let lot = draw(self.crowd.seed, ask.item, 500 + u64::from(retry));
         if lot < 0.5 && doors.contains(&set[busiest]) {
             return Some(set[busiest]);
         }
-        let pick = (draw(self.crowd.seed, ask.item, 700 + u64::from(retry)) * doors.len() as f64) as usize;
+        let pick =
+            (draw(self.crowd.seed, ask.item, 700 + u64::from(retry)) * doors.len() as f64) as usize;
         doors.get(pick).copied()
     }
 
@@ -306,15 +333,27 @@
     }
 
     async fn fresh(&self, door: usize) -> Option<Kept> {
-        let link = tokio::time::timeout(DIAL, Link::open(self.crowd.doors[door])).await.ok()?.ok()?;
-        Some(Kept { link, number: self.next_link(), last: String::new() })
+        let link = tokio::time::timeout(DIAL, Link::open(self.crowd.doors[door]))
+            .await
+            .ok()?
+            .ok()?;
+        Some(Kept {
+            link,
+            number: self.next_link(),
+            last: String::new(),
+        })
     }
 
     /// One try, to its end.
     async fn attempt(&self, ask: &Ask, kind: &Kind, retry: u32, timeout: Millis) -> Try {
         // Ids look like any others: 16 hex digits that tell nothing.
-        let id = format!("{:016x}", hash(&format!("{}/{}/{retry}", self.crowd.seed, ask.item)));
-        let Some(door) = self.deal(ask, retry) else { return Try::NotTaken };
+        let id = format!(
+            "{:016x}",
+            hash(&format!("{}/{}/{retry}", self.crowd.seed, ask.item))
+        );
+        let Some(door) = self.deal(ask, retry) else {
+            return Try::NotTaken;
+        };
         let mut kept = self.keep_alive(door);
         loop {
             let reused = kept.is_some();
@@ -323,14 +362,24 @@
                 None => self.fresh(door).await,
             };
             let Some(mut connection) = connection else {
-                let lost =
-                    Entry::Unanswered { id: id.clone(), door: door as u32, link: 0, why: Lost::NotTaken };
+                let lost = Entry::Unanswered {
+                    id: id.clone(),
+                    door: door as u32,
+                    link: 0,
+                    why: Lost::NotTaken,
+                };
                 self.recorder.note(lost);
                 return Try::NotTaken;
             };
             let link = connection.number;
-            let lost =
-                |why| self.recorder.note(Entry::Unanswered { id: id.clone(), door: door as u32, link, why });
+            let lost = |why| {
+                self.recorder.note(Entry::Unanswered {
+                    id: id.clone(),
+                    door: door as u32,
+                    link,
+                    why,
+                })
+            };
             let (text, form) = self.request(&id, ask, kind, retry, timeout);
             if connection.link.write(text.as_bytes()).await.is_err() {
                 lost(Lost::NotTaken);
@@ -356,8 +405,11 @@
             });
             connection.last = id.clone();
             let end = deadline + self.crowd.habits.answer_slack_ms + LISTEN_ON;
-            let answer =
-                tokio::time::timeout_at(self.recorder.instant(end).into(), connection.link.message()).await;
+            let answer = tokio::time::timeout_at(
+                self.recorder.instant(end).into(),
+                connection.link.message(),
+            )
+            .await;
             match answer {
                 Ok(Ok(answer)) => return self.answered(door, connection, &id, &answer),
                 Ok(Err(NoMessage::Closed)) => {
@@ -380,9 +432,13 @@
     }
 
     fn answered(&self, door: usize, connection: Kept, id: &str, answer: &Message) -> Try {
-        let retry_after = answer.header("retry-after").and_then(|text| text.parse::<f64>().ok());
+        let retry_after = answer
+            .header("retry-after")
+            .and_then(|text| text.parse::<f64>().ok());
         let retry_after_ms = retry_after.map(|seconds| seconds * 1000.0);
-        let mut words = std::str::from_utf8(&answer.body).unwrap_or_default().split(' ');
+        let mut words = std::str::from_utf8(&answer.body)
+            .unwrap_or_default()
+            .split(' ');
         let attempt = match (words.next() == Some(id), words.next()) {
             (true, Some(number)) => number.parse().ok(),
             _ => None,
@@ -412,18 +468,41 @@
         let safe = kind.effect == Effect::Safe;
         Content {
             method: if safe { "GET" } else { "POST" },
-            target: format!("/{}/v1?k={:x}&u={}&p={}", kind.name, ask.customer, ask.units, ask.plan),
+            target: format!(
+                "/{}/v1?k={:x}&u={}&p={}",
+                kind.name, ask.customer, ask.units, ask.plan
+            ),
             // The key is that of the first try: nodes drop a client's own repeat too.
-            key: (kind.effect == Effect::Keyed)
-                .then(|| format!("{:016x}", hash(&format!("{}/{}/key", self.crowd.seed, ask.item)))),
-            body: if safe { String::new() } else { format!("plate=PBA-{:06}", ask.item) },
+            key: (kind.effect == Effect::Keyed).then(|| {
+                format!(
+                    "{:016x}",
+                    hash(&format!("{}/{}/key", self.crowd.seed, ask.item))
+                )
+            }),
+            body: if safe {
+                String::new()
+            } else {
+                format!("plate=PBA-{:06}", ask.item)
+            },
         }
     }
 
     /// The whole text of a try.
-    fn request(&self, id: &str, ask: &Ask, kind: &Kind, retry: u32, timeout: Millis) -> (String, u64) {
+    fn request(
+        &self,
+        id: &str,
+        ask: &Ask,
+        kind: &Kind,
+        retry: u32,
+        timeout: Millis,
+    ) -> (String, u64) {
         let plan = self.crowd.plans.get(ask.plan).map_or("", String::as_str);
-        let Content { method, target, key, body } = self.content(ask, kind);
+        let Content {
+            method,
+            target,
+            key,
+            body,
+        } = self.content(ask, kind);
         let mut text = format!(
             "{method} {target} HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id}\r\nRequest-Class: {}\r\n\
              Api-Plan: {plan}\r\nCookie: client={:016x}\r\nRequest-Timeout: {:.3}\r\n\
--- a/crates/test-servers/src/counter.rs
+++ b/crates/test-servers/src/counter.rs
@@ -34,7 +34,11 @@
 impl Counter {
     /// An empty counter whose calls take so long.
     pub fn new(delay: Duration) -> Rc<Counter> {
-        Rc::new(Counter { names: RefCell::default(), open: Cell::new(0), delay })
+        Rc::new(Counter {
+            names: RefCell::default(),
+            open: Cell::new(0),
+            delay,
+        })
     }
 
     /// Forgets everything, as a fresh one in its place would.
@@ -44,7 +48,9 @@
 
     /// Adds to a name; the status and the body of the answer.
     pub fn call(&self, now: Instant, target: &str) -> (u16, String) {
-        let Some(call) = Call::read(target) else { return (400, String::new()) };
+        let Some(call) = Call::read(target) else {
+            return (400, String::new());
+        };
         let mut names = self.names.borrow_mut();
         if names.len() >= MOST_NAMES {
             names.retain(|_, (_, end)| *end > now);
@@ -53,7 +59,9 @@
             }
         }
         let life = Duration::try_from_secs_f64(call.life / 1000.0).unwrap_or_default();
-        let entry = names.entry(call.name.to_owned()).or_insert((0.0, now + life));
+        let entry = names
+            .entry(call.name.to_owned())
+            .or_insert((0.0, now + life));
         if entry.1 <= now {
             *entry = (0.0, now + life);
         }
@@ -63,7 +71,9 @@
 
     /// Answers here for as long as the runtime runs.
     pub async fn serve(self: Rc<Self>, listener: StdListener) {
-        let Ok(listener) = TcpListener::from_std(listener) else { return };
+        let Ok(listener) = TcpListener::from_std(listener) else {
+            return;
+        };
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -91,7 +101,10 @@
                 "POST" => self.call(Instant::now(), &message.target),
                 _ => (404, String::new()),
             };
-            let text = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let text = format!(
+                "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
             if link.write(text.as_bytes()).await.is_err() {
                 return;
             }
@@ -111,11 +124,21 @@
         let (name, query) = target.strip_prefix("/v1/count/")?.split_once('?')?;
         let field = |wanted: &str| {
             let mut fields = query.split('&').filter_map(|field| field.split_once('='));
-            fields.find(|(known, _)| *known == wanted)?.1.parse::<f64>().ok().filter(|n| n.is_finite())
+            fields
+                .find(|(known, _)| *known == wanted)?
+                .1
+                .parse::<f64>()
+                .ok()
+                .filter(|n| n.is_finite())
         };
         let (add, life) = (field("add")?, field("ttl_ms")?);
-        let good = (1..=LONGEST_NAME).contains(&name.len()) && add.abs() <= MOST_ADDED && life >= 1.0;
-        good.then_some(Call { name, add, life: life.min(LONGEST_LIFE) })
+        let good =
+            (1..=LONGEST_NAME).contains(&name.len()) && add.abs() <= MOST_ADDED && life >= 1.0;
+        good.then_some(Call {
+            name,
+            add,
+            life: life.min(LONGEST_LIFE),
+        })
     }
 }
 
@@ -127,13 +150,24 @@
     fn a_count_adds_up_and_dies_with_its_life() {
         let (counter, now) = (Counter::new(Duration::ZERO), Instant::now());
         let call = |at: u64, target: &str| counter.call(now + Duration::from_millis(at), target);
-        assert_eq!(call(0, "/v1/count/a?add=2.5&ttl_ms=100"), (200, "2.5".into()));
+        assert_eq!(
+            call(0, "/v1/count/a?add=2.5&ttl_ms=100"),
+            (200, "2.5".into())
+        );
         // A later life does not extend it.
-        assert_eq!(call(90, "/v1/count/a?add=-1&ttl_ms=4000"), (200, "1.5".into()));
+        assert_eq!(
+            call(90, "/v1/count/a?add=-1&ttl_ms=4000"),
+            (200, "1.5".into())
+        );
         assert_eq!(call(100, "/v1/count/a?add=0&ttl_ms=10"), (200, "0".into()));
         counter.replace();
         assert_eq!(call(101, "/v1/count/a?add=7&ttl_ms=10"), (200, "7".into()));
-        for bad in ["/v1/count/?add=1&ttl_ms=1", "/v1/count/a?add=1", "/v1/count/a?add=NaN&ttl_ms=5", "/x"] {
+        for bad in [
+            "/v1/count/?add=1&ttl_ms=1",
+            "/v1/count/a?add=1",
+            "/v1/count/a?add=NaN&ttl_ms=5",
+            "/x",
+        ] {
             assert_eq!(call(0, bad).0, 400, "{bad}");
         }
     }
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -7,9 +7,9 @@
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use maplefall_etcd_wire::{
     error, path, watch_request, AuthenticateRequest, AuthenticateResponse, CompactionRequest,
-    DeleteRangeResponse, Event, HeaderResponse, LeaseGrantRequest, LeaseGrantResponse, LeaseRequest,
-    LeaseResponse, PutResponse, RangeResponse, ResponseHeader, StatusResponse, TxnResponse,
-    WatchCreateRequest, WatchRequest, WatchResponse,
+    DeleteRangeResponse, Event, HeaderResponse, LeaseGrantRequest, LeaseGrantResponse,
+    LeaseRequest, LeaseResponse, PutResponse, RangeResponse, ResponseHeader, StatusResponse,
+    TxnResponse, WatchCreateRequest, WatchRequest, WatchResponse,
 };
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -171,11 +171,22 @@
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
         let address = listener.local_addr()?;
-        let state = Arc::new(watch::Sender::new(State { piece: usize::MAX, ..State::default() }));
-        let seat = Seat { etcd: self.clone(), number, state: state.clone() };
+        let state = Arc::new(watch::Sender::new(State {
+            piece: usize::MAX,
+            ..State::default()
+        }));
+        let seat = Seat {
+            etcd: self.clone(),
+            number,
+            state: state.clone(),
+        };
         let accepting = tokio::spawn(seat.clone().accept(listener));
         let leases = tokio::spawn(seat.clone().expire());
-        Ok(Member { address, state, tasks: [accepting.abort_handle(), leases.abort_handle()] })
+        Ok(Member {
+            address,
+            state,
+            tasks: [accepting.abort_handle(), leases.abort_handle()],
+        })
     }
 }
 
@@ -310,7 +321,10 @@
         };
         let _ = stream.set_nodelay(true);
         let (ours, theirs) = tokio::io::duplex(PIPE);
-        let wire = Wire { left: Arc::new(watch::Sender::new(None)), sent: Arc::new(watch::Sender::new(0)) };
+        let wire = Wire {
+            left: Arc::new(watch::Sender::new(None)),
+            sent: Arc::new(watch::Sender::new(0)),
+        };
         let (seat, on) = (self.clone(), wire.clone());
         let service = service_fn(move |request| {
             let (seat, on) = (seat.clone(), on.clone());
@@ -375,7 +389,10 @@
     /// The revision that the member is at.
     fn at(&self) -> i64 {
         let last = lock(&self.etcd.0.store).revision();
-        self.state.borrow().behind.map_or(last, |behind| behind.min(last))
+        self.state
+            .borrow()
+            .behind
+            .map_or(last, |behind| behind.min(last))
     }
 
     fn header(&self) -> Option<ResponseHeader> {
@@ -390,7 +407,10 @@
         }
         let path = request.uri().path().to_owned();
         // A watch is let in or not when it is asked for on its stream, as in etcd.
-        let token = request.headers().get("token").map(|token| token.as_bytes().to_vec());
+        let token = request
+            .headers()
+            .get("token")
+            .map(|token| token.as_bytes().to_vec());
         if path != path::AUTHENTICATE && path != path::WATCH {
             if let Err(refused) = self.permitted(token.as_deref()) {
                 return Status::from(refused).into_http();
@@ -400,21 +420,37 @@
         match path.as_str() {
             path::RANGE => {
                 self.etcd.0.ranges.fetch_add(1, Ordering::Relaxed);
-                self.answered(request, |store, asked, at| store.range(&asked, at)).await
+                self.answered(request, |store, asked, at| store.range(&asked, at))
+                    .await
+            }
+            path::PUT => {
+                self.answered(request, |store, asked, _| store.put(&asked))
+                    .await
+            }
+            path::DELETE_RANGE => {
+                self.answered(request, |store, asked, _| store.delete(&asked))
+                    .await
+            }
+            path::TXN => {
+                self.answered(request, |store, asked, at| store.txn(&asked, at))
+                    .await
             }
-            path::PUT => self.answered(request, |store, asked, _| store.put(&asked)).await,
-            path::DELETE_RANGE => self.answered(request, |store, asked, _| store.delete(&asked)).await,
-            path::TXN => self.answered(request, |store, asked, at| store.txn(&asked, at)).await,
             path::COMPACT => {
                 let compact = |store: &mut Store, asked: CompactionRequest, _| {
-                    store.compact(asked.revision).map(|()| HeaderResponse::default())
+                    store
+                        .compact(asked.revision)
+                        .map(|()| HeaderResponse::default())
                 };
                 self.answered(request, compact).await
             }
             path::LEASE_GRANT => {
                 let grant = |store: &mut Store, asked: LeaseGrantRequest, _| {
                     let id = store.grant(now, asked.ttl, asked.id)?;
-                    Ok(LeaseGrantResponse { id, ttl: asked.ttl, ..LeaseGrantResponse::default() })
+                    Ok(LeaseGrantResponse {
+                        id,
+                        ttl: asked.ttl,
+                        ..LeaseGrantResponse::default()
+                    })
                 };
                 self.answered(request, grant).await
             }
@@ -426,7 +462,11 @@
             }
             path::LEASE_TIME_TO_LIVE => {
                 let left = |store: &mut Store, LeaseRequest { id }, _| {
-                    Ok(LeaseResponse { id, ttl: store.time_to_live(now, id), ..LeaseResponse::default() })
+                    Ok(LeaseResponse {
+                        id,
+                        ttl: store.time_to_live(now, id),
+                        ..LeaseResponse::default()
+                    })
                 };
                 self.answered(request, left).await
             }
@@ -441,15 +481,24 @@
                 };
                 let sign_in = move |_: &mut Store, asked: AuthenticateRequest, _| match &one {
                     None => Err(Refused(error::NOT_ENABLED)),
-                    Some(one) if *one != (asked.name, asked.password) => Err(Refused(error::PASSWORD)),
-                    Some(_) => Ok(AuthenticateResponse { token: token.clone(), ..Default::default() }),
+                    Some(one) if *one != (asked.name, asked.password) => {
+                        Err(Refused(error::PASSWORD))
+                    }
+                    Some(_) => Ok(AuthenticateResponse {
+                        token: token.clone(),
+                        ..Default::default()
+                    }),
                 };
                 self.answered(request, sign_in).await
             }
             path::STATUS => {
                 let leader = self.number;
                 let status = move |_: &mut Store, _: HeaderResponse, _| {
-                    Ok(StatusResponse { version: "3.5.0".to_owned(), leader, ..StatusResponse::default() })
+                    Ok(StatusResponse {
+                        version: "3.5.0".to_owned(),
+                        leader,
+                        ..StatusResponse::default()
+                    })
                 };
                 self.answered(request, status).await
             }
@@ -489,7 +538,9 @@
             *answer.head() = self.header();
             Ok(answer)
         };
-        Grpc::new(ProstCodec::<A, Q>::default()).unary(Call(call), request).await
+        Grpc::new(ProstCodec::<A, Q>::default())
+            .unary(Call(call), request)
+            .await
     }
 }
 
@@ -528,9 +579,11 @@
             error::LEASE_EXISTS | error::NOT_ENABLED => Code::FailedPrecondition,
             error::TOKEN => Code::Unauthenticated,
             error::DENIED => Code::PermissionDenied,
-            error::PASSWORD | error::NO_USER | error::OLD_AUTH | error::DUPLICATE | error::EMPTY_KEY => {
-                Code::InvalidArgument
-            }
+            error::PASSWORD
+            | error::NO_USER
+            | error::OLD_AUTH
+            | error::DUPLICATE
+            | error::EMPTY_KEY => Code::InvalidArgument,
             _ => Code::Unknown,
         };
         Status::new(code, refused.0)
@@ -568,12 +621,22 @@
             let mut asked = request.into_inner();
             while let Ok(Some(LeaseRequest { id })) = asked.message().await {
                 let ttl = lock(&seat.etcd.0.store).keep_alive(seat.etcd.now(), id);
-                if say.send(Ok(LeaseResponse { header: seat.header(), id, ttl })).await.is_err() {
+                if say
+                    .send(Ok(LeaseResponse {
+                        header: seat.header(),
+                        id,
+                        ttl,
+                    }))
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
         });
-        Box::pin(std::future::ready(Ok(tonic::Response::new(ReceiverStream::new(said)))))
+        Box::pin(std::future::ready(Ok(tonic::Response::new(
+            ReceiverStream::new(said),
+        ))))
     }
 }
 
@@ -598,7 +661,9 @@
             last: 0,
         };
         tokio::spawn(stream.run(request.into_inner()));
-        Box::pin(std::future::ready(Ok(tonic::Response::new(ReceiverStream::new(said)))))
+        Box::pin(std::future::ready(Ok(tonic::Response::new(
+            ReceiverStream::new(said),
+        ))))
     }
 }
 
@@ -664,7 +729,11 @@
     }
 
     fn answer(&self, watch_id: i64) -> WatchResponse {
-        WatchResponse { header: self.seat.header(), watch_id, ..WatchResponse::default() }
+        WatchResponse {
+            header: self.seat.header(),
+            watch_id,
+            ..WatchResponse::default()
+        }
     }
 
     async fn say(&self, answer: WatchResponse) -> Result<(), Over> {
@@ -676,7 +745,9 @@
             Some(watch_request::Union::Create(create)) => {
                 let refused = match self.seat.permitted(self.token.as_deref()) {
                     Err(Refused(why)) => Some(format!("rpc error: desc = {why}")),
-                    Ok(()) if create.watch_id != 0 && self.watches.contains_key(&create.watch_id) => {
+                    Ok(())
+                        if create.watch_id != 0 && self.watches.contains_key(&create.watch_id) =>
+                    {
                         Some("mvcc: duplicate watch ID provided on the WatchStream".to_owned())
                     }
                     Ok(()) => None,
@@ -685,24 +756,52 @@
                     // Of no watch: there is none.
                     let refused = self.answer(-1);
                     return self
-                        .say(WatchResponse { created: true, canceled: true, cancel_reason, ..refused })
+                        .say(WatchResponse {
+                            created: true,
+                            canceled: true,
+                            cancel_reason,
+                            ..refused
+                        })
                         .await;
                 }
-                let id = if create.watch_id != 0 { create.watch_id } else { self.last };
+                let id = if create.watch_id != 0 {
+                    create.watch_id
+                } else {
+                    self.last
+                };
                 self.last = self.last.max(id) + 1;
                 if self.take(|cut| *cut == Cut::BeforeCreated).is_some() {
                     self.wire.cut(0);
                     return Err(Over);
                 }
-                let from = if create.start_revision > 0 { create.start_revision } else { self.seat.at() + 1 };
-                (self.seat.etcd.0.told)(&Known::Claimed { member: self.seat.number, revision: from - 1 });
+                let from = if create.start_revision > 0 {
+                    create.start_revision
+                } else {
+                    self.seat.at() + 1
+                };
+                (self.seat.etcd.0.told)(&Known::Claimed {
+                    member: self.seat.number,
+                    revision: from - 1,
+                });
                 self.watches.insert(id, (create, from));
-                self.say(WatchResponse { created: true, ..self.answer(id) }).await
+                self.say(WatchResponse {
+                    created: true,
+                    ..self.answer(id)
+                })
+                .await
+            }
+            Some(watch_request::Union::Cancel(cancel)) => {
+                match self.watches.remove(&cancel.watch_id) {
+                    Some(_) => {
+                        self.say(WatchResponse {
+                            canceled: true,
+                            ..self.answer(cancel.watch_id)
+                        })
+                        .await
+                    }
+                    None => Ok(()),
+                }
             }
-            Some(watch_request::Union::Cancel(cancel)) => match self.watches.remove(&cancel.watch_id) {
-                Some(_) => self.say(WatchResponse { canceled: true, ..self.answer(cancel.watch_id) }).await,
-                None => Ok(()),
-            },
             // Only once every watch has been told all there is, as in etcd.
             Some(watch_request::Union::Progress(_)) => {
                 self.tell().await?;
@@ -728,26 +827,43 @@
         for id in ids {
             loop {
                 let at = self.seat.at();
-                let Some((create, from)) = self.watches.get(&id) else { break };
-                let changes =
-                    lock(&self.seat.etcd.0.store).changes(&create.key, &create.range_end, *from, at);
+                let Some((create, from)) = self.watches.get(&id) else {
+                    break;
+                };
+                let changes = lock(&self.seat.etcd.0.store).changes(
+                    &create.key,
+                    &create.range_end,
+                    *from,
+                    at,
+                );
                 let changes = match changes {
                     Ok(changes) => changes,
                     Err(kept) => {
                         self.watches.remove(&id);
-                        let answer =
-                            WatchResponse { canceled: true, compact_revision: kept, ..self.answer(id) };
+                        let answer = WatchResponse {
+                            canceled: true,
+                            compact_revision: kept,
+                            ..self.answer(id)
+                        };
                         self.say(answer).await?;
                         break;
                     }
                 };
                 let (old, piece) = (create.prev_kv, self.seat.state.borrow().piece);
                 let piece = if create.fragment { piece } else { usize::MAX };
-                let Some((last, _)) = changes.iter().take(MOST_REVISIONS).next_back() else { break };
+                let Some((last, _)) = changes.iter().take(MOST_REVISIONS).next_back() else {
+                    break;
+                };
                 let next = last + 1;
-                let events = changes.into_iter().take(MOST_REVISIONS).flat_map(|(_, events)| events);
+                let events = changes
+                    .into_iter()
+                    .take(MOST_REVISIONS)
+                    .flat_map(|(_, events)| events);
                 let events: Vec<Event> = events
-                    .map(|event| Event { prev_kv: event.prev_kv.clone().filter(|_| old), ..event })
+                    .map(|event| Event {
+                        prev_kv: event.prev_kv.clone().filter(|_| old),
+                        ..event
+                    })
                     .collect();
                 self.send(id, events, piece).await?;
                 if let Some(watch) = self.watches.get_mut(&id) {
@@ -771,7 +887,12 @@
         let pieces = events.len().div_ceil(piece.min(events.len()).max(1));
         for (number, part) in events.chunks(piece.min(events.len()).max(1)).enumerate() {
             let fragment = number + 1 < pieces;
-            self.say(WatchResponse { fragment, events: part.to_vec(), ..self.answer(id) }).await?;
+            self.say(WatchResponse {
+                fragment,
+                events: part.to_vec(),
+                ..self.answer(id)
+            })
+            .await?;
             if let Some(Cut::Between(0)) = between {
                 // What has been said goes out; what follows does not.
                 if sent.changed().await.is_ok() {
@@ -794,7 +915,10 @@
         if within || !left {
             return Err(Over);
         }
-        (self.seat.etcd.0.told)(&Known::Written { member: self.seat.number, events });
+        (self.seat.etcd.0.told)(&Known::Written {
+            member: self.seat.number,
+            events,
+        });
         Ok(())
     }
 }
--- a/crates/test-servers/src/etcd/store.rs
+++ b/crates/test-servers/src/etcd/store.rs
@@ -1,9 +1,9 @@
 //! A store with etcd v3's history: every key at every revision that is kept, compaction, leases. No I/O; time handed in.
 
 use maplefall_etcd_wire::{
-    compare, error, request_op, response_op, Compare, DeleteRangeRequest, DeleteRangeResponse, Event,
-    KeyValue, PutRequest, PutResponse, RangeRequest, RangeResponse, RequestOp, ResponseHeader, ResponseOp,
-    TxnRequest, TxnResponse,
+    compare, error, request_op, response_op, Compare, DeleteRangeRequest, DeleteRangeResponse,
+    Event, KeyValue, PutRequest, PutResponse, RangeRequest, RangeResponse, RequestOp,
+    ResponseHeader, ResponseOp, TxnRequest, TxnResponse,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -67,7 +67,12 @@
 
     /// The head of an answer of a member that is at this revision.
     pub fn header(&self, member: u64, revision: i64) -> ResponseHeader {
-        ResponseHeader { cluster_id: self.cluster, member_id: member, revision, raft_term: 2 }
+        ResponseHeader {
+            cluster_id: self.cluster,
+            member_id: member,
+            revision,
+            raft_term: 2,
+        }
     }
 
     /// Keys in a range, at the revision asked for or at `now_at`, the one that the member is at.
@@ -78,7 +83,11 @@
         if request.key.is_empty() {
             return Err(Refused(error::EMPTY_KEY));
         }
-        let at = if request.revision <= 0 { now_at } else { request.revision };
+        let at = if request.revision <= 0 {
+            now_at
+        } else {
+            request.revision
+        };
         if at > now_at {
             return Err(Refused(error::FUTURE));
         }
@@ -92,18 +101,28 @@
             _ => Box::new(self.within(&request.key, &request.range_end)),
         };
         for (_, versions) in wanted {
-            let Some((_, Some(kv))) = versions.range(..=at).next_back() else { continue };
+            let Some((_, Some(kv))) = versions.range(..=at).next_back() else {
+                continue;
+            };
             count += 1;
             if request.limit > 0 && kvs.len() as i64 >= request.limit {
                 more = true;
             } else if !request.count_only {
                 kvs.push(match request.keys_only {
-                    true => KeyValue { value: Vec::new(), ..kv.clone() },
+                    true => KeyValue {
+                        value: Vec::new(),
+                        ..kv.clone()
+                    },
                     false => kv.clone(),
                 });
             }
         }
-        Ok(RangeResponse { header: None, kvs, more, count })
+        Ok(RangeResponse {
+            header: None,
+            kvs,
+            more,
+            count,
+        })
     }
 
     fn within(
@@ -129,8 +148,14 @@
     /// # Errors
     /// If there is no such lease.
     pub fn put(&mut self, request: &PutRequest) -> Result<PutResponse, Refused> {
-        let step = RequestOp { request: Some(request_op::Request::Put(request.clone())) };
-        match self.apply(&[step], self.revision)?.pop().and_then(|done| done.response) {
+        let step = RequestOp {
+            request: Some(request_op::Request::Put(request.clone())),
+        };
+        match self
+            .apply(&[step], self.revision)?
+            .pop()
+            .and_then(|done| done.response)
+        {
             Some(response_op::Response::Put(done)) => Ok(done),
             _ => Ok(PutResponse::default()),
         }
@@ -141,8 +166,14 @@
     /// # Errors
     /// None; for symmetry with the other calls.
     pub fn delete(&mut self, request: &DeleteRangeRequest) -> Result<DeleteRangeResponse, Refused> {
-        let step = RequestOp { request: Some(request_op::Request::DeleteRange(request.clone())) };
-        match self.apply(&[step], self.revision)?.pop().and_then(|done| done.response) {
+        let step = RequestOp {
+            request: Some(request_op::Request::DeleteRange(request.clone())),
+        };
+        match self
+            .apply(&[step], self.revision)?
+            .pop()
+            .and_then(|done| done.response)
+        {
             Some(response_op::Response::DeleteRange(done)) => Ok(done),
             _ => Ok(DeleteRangeResponse::default()),
         }
@@ -154,9 +185,17 @@
     /// As its steps; then nothing has been changed.
     pub fn txn(&mut self, request: &TxnRequest, now_at: i64) -> Result<TxnResponse, Refused> {
         let succeeded = request.compare.iter().all(|compare| self.holds(compare));
-        let steps = if succeeded { &request.success } else { &request.failure };
+        let steps = if succeeded {
+            &request.success
+        } else {
+            &request.failure
+        };
         let responses = self.apply(steps, now_at)?;
-        Ok(TxnResponse { header: None, succeeded, responses })
+        Ok(TxnResponse {
+            header: None,
+            succeeded,
+            responses,
+        })
     }
 
     fn holds(&self, compare: &Compare) -> bool {
@@ -213,7 +252,10 @@
             _ => None,
         });
         for delete in removes {
-            if written.iter().any(|key| covers(&delete.key, &delete.range_end, key)) {
+            if written
+                .iter()
+                .any(|key| covers(&delete.key, &delete.range_end, key))
+            {
                 return Err(Refused(error::DUPLICATE));
             }
         }
@@ -229,20 +271,32 @@
                     let prev = self.now(&put.key).cloned();
                     let kv = KeyValue {
                         key: put.key.clone(),
-                        create_revision: prev.as_ref().map_or(revision, |prev| prev.create_revision),
+                        create_revision: prev
+                            .as_ref()
+                            .map_or(revision, |prev| prev.create_revision),
                         mod_revision: revision,
                         version: prev.as_ref().map_or(1, |prev| prev.version + 1),
                         value: put.value.clone(),
                         lease: put.lease,
                     };
-                    if let Some(lease) = prev.as_ref().and_then(|prev| self.leases.get_mut(&prev.lease)) {
+                    if let Some(lease) = prev
+                        .as_ref()
+                        .and_then(|prev| self.leases.get_mut(&prev.lease))
+                    {
                         lease.keys.remove(&put.key);
                     }
                     if let Some(lease) = self.leases.get_mut(&put.lease) {
                         lease.keys.insert(put.key.clone());
                     }
-                    self.keys.entry(put.key.clone()).or_default().insert(revision, Some(kv.clone()));
-                    events.push(Event { kind: Event::PUT, kv: Some(kv), prev_kv: prev.clone() });
+                    self.keys
+                        .entry(put.key.clone())
+                        .or_default()
+                        .insert(revision, Some(kv.clone()));
+                    events.push(Event {
+                        kind: Event::PUT,
+                        kv: Some(kv),
+                        prev_kv: prev.clone(),
+                    });
                     response_op::Response::Put(PutResponse {
                         header: None,
                         prev_kv: prev.filter(|_| put.prev_kv),
@@ -250,7 +304,8 @@
                 }
                 Some(request_op::Request::DeleteRange(delete)) => {
                     let there = self.within(&delete.key, &delete.range_end);
-                    let there = there.filter_map(|(_, versions)| versions.values().next_back()?.clone());
+                    let there =
+                        there.filter_map(|(_, versions)| versions.values().next_back()?.clone());
                     let there: Vec<KeyValue> = there.collect();
                     for kv in &there {
                         events.push(self.remove(&kv.key, revision));
@@ -265,7 +320,9 @@
                 }
                 None => continue,
             };
-            done.push(ResponseOp { response: Some(response) });
+            done.push(ResponseOp {
+                response: Some(response),
+            });
         }
         self.commit(revision, events);
         Ok(done)
@@ -273,12 +330,26 @@
 
     fn remove(&mut self, key: &[u8], revision: i64) -> Event {
         let prev = self.now(key).cloned();
-        if let Some(lease) = prev.as_ref().and_then(|prev| self.leases.get_mut(&prev.lease)) {
+        if let Some(lease) = prev
+            .as_ref()
+            .and_then(|prev| self.leases.get_mut(&prev.lease))
+        {
             lease.keys.remove(key);
         }
-        self.keys.entry(key.to_vec()).or_default().insert(revision, None);
-        let kv = KeyValue { key: key.to_vec(), mod_revision: revision, ..KeyValue::default() };
-        Event { kind: Event::DELETE, kv: Some(kv), prev_kv: prev }
+        self.keys
+            .entry(key.to_vec())
+            .or_default()
+            .insert(revision, None);
+        let kv = KeyValue {
+            key: key.to_vec(),
+            mod_revision: revision,
+            ..KeyValue::default()
+        };
+        Event {
+            kind: Event::DELETE,
+            kv: Some(kv),
+            prev_kv: prev,
+        }
     }
 
     fn commit(&mut self, revision: i64, events: Vec<Event>) {
@@ -302,7 +373,10 @@
         self.compacted = revision;
         self.history.retain(|at, _| *at >= revision);
         self.keys.retain(|_, versions| {
-            let current = versions.range(..=revision).next_back().map(|(at, kv)| (*at, kv.is_some()));
+            let current = versions
+                .range(..=revision)
+                .next_back()
+                .map(|(at, kv)| (*at, kv.is_some()));
             // What was removed by then leaves nothing, but for the removal at the revision itself, which a watch may ask for.
             versions.retain(|at, _| *at > revision || current == Some((*at, true)));
             !versions.is_empty()
@@ -329,7 +403,12 @@
             return Ok(found);
         }
         for (revision, events) in self.history.range(from..=now_at) {
-            let of = |event: &&Event| event.kv.as_ref().is_some_and(|kv| covers(key, end, &kv.key));
+            let of = |event: &&Event| {
+                event
+                    .kv
+                    .as_ref()
+                    .is_some_and(|kv| covers(key, end, &kv.key))
+            };
             let events: Vec<Event> = events.iter().filter(of).cloned().collect();
             if !events.is_empty() {
                 found.push((*revision, events));
@@ -348,7 +427,14 @@
         }
         let id = if id == 0 { self.next_lease } else { id };
         self.next_lease = self.next_lease.max(id) + 1;
-        self.leases.insert(id, Lease { ttl, ends: now_ms + ttl as f64 * 1000.0, keys: BTreeSet::new() });
+        self.leases.insert(
+            id,
+            Lease {
+                ttl,
+                ends: now_ms + ttl as f64 * 1000.0,
+                keys: BTreeSet::new(),
+            },
+        );
         Ok(id)
     }
 
@@ -362,7 +448,9 @@
 
     /// Seconds that a lease has left, or -1.
     pub fn time_to_live(&self, now_ms: f64, id: i64) -> i64 {
-        self.leases.get(&id).map_or(-1, |lease| ((lease.ends - now_ms) / 1000.0).ceil().max(0.0) as i64)
+        self.leases.get(&id).map_or(-1, |lease| {
+            ((lease.ends - now_ms) / 1000.0).ceil().max(0.0) as i64
+        })
     }
 
     /// Ends a lease and removes its keys, at one revision.
@@ -372,7 +460,11 @@
     pub fn revoke(&mut self, id: i64) -> Result<(), Refused> {
         let lease = self.leases.remove(&id).ok_or(Refused(error::NO_LEASE))?;
         let revision = self.revision + 1;
-        let events = lease.keys.iter().map(|key| self.remove(key, revision)).collect();
+        let events = lease
+            .keys
+            .iter()
+            .map(|key| self.remove(key, revision))
+            .collect();
         self.commit(revision, events);
         Ok(())
     }
@@ -400,16 +492,28 @@
     use maplefall_etcd_wire::prefix_end;
 
     fn put(store: &mut Store, key: &str, value: &str, lease: i64) -> i64 {
-        let put = PutRequest { key: key.into(), value: value.into(), lease, prev_kv: false };
+        let put = PutRequest {
+            key: key.into(),
+            value: value.into(),
+            lease,
+            prev_kv: false,
+        };
         store.put(&put).unwrap();
         store.revision()
     }
 
     fn all(store: &Store, revision: i64) -> Result<Vec<String>, Refused> {
-        let range =
-            RangeRequest { key: b"/".to_vec(), range_end: prefix_end(b"/"), revision, ..Default::default() };
+        let range = RangeRequest {
+            key: b"/".to_vec(),
+            range_end: prefix_end(b"/"),
+            revision,
+            ..Default::default()
+        };
         let kvs = store.range(&range, store.revision())?.kvs;
-        Ok(kvs.iter().map(|kv| format!("{}={}", text(&kv.key), text(&kv.value))).collect())
+        Ok(kvs
+            .iter()
+            .map(|kv| format!("{}={}", text(&kv.key), text(&kv.value)))
+            .collect())
     }
 
     fn text(bytes: &[u8]) -> String {
@@ -422,21 +526,41 @@
         let a = put(&mut store, "/a", "1", 0);
         let b = put(&mut store, "/b", "1", 0);
         put(&mut store, "/a", "2", 0);
-        store.delete(&DeleteRangeRequest { key: b"/b".to_vec(), ..Default::default() }).unwrap();
+        store
+            .delete(&DeleteRangeRequest {
+                key: b"/b".to_vec(),
+                ..Default::default()
+            })
+            .unwrap();
         assert_eq!(all(&store, a).unwrap(), ["/a=1"]);
         assert_eq!(all(&store, b).unwrap(), ["/a=1", "/b=1"]);
         assert_eq!(all(&store, 0).unwrap(), ["/a=2"]);
         assert_eq!(all(&store, 99), Err(Refused(error::FUTURE)));
-        assert_eq!(store.changes(b"/", b"0", a, store.revision()).unwrap().len(), 4);
+        assert_eq!(
+            store
+                .changes(b"/", b"0", a, store.revision())
+                .unwrap()
+                .len(),
+            4
+        );
         store.compact(b).unwrap();
         assert_eq!(all(&store, a), Err(Refused(error::COMPACTED)));
         assert_eq!(all(&store, b).unwrap(), ["/a=1", "/b=1"]);
         assert_eq!(store.changes(b"/", b"0", a, store.revision()), Err(b));
-        assert_eq!(store.changes(b"/", b"0", b, store.revision()).unwrap().len(), 3);
+        assert_eq!(
+            store
+                .changes(b"/", b"0", b, store.revision())
+                .unwrap()
+                .len(),
+            3
+        );
         store.compact(store.revision()).unwrap();
         assert_eq!(all(&store, 0).unwrap(), ["/a=2"]);
         assert_eq!(store.compact(b), Err(Refused(error::COMPACTED)));
-        assert_eq!(store.compact(store.revision() + 1), Err(Refused(error::FUTURE)));
+        assert_eq!(
+            store.compact(store.revision() + 1),
+            Err(Refused(error::FUTURE))
+        );
     }
 
     #[test]
@@ -463,8 +587,16 @@
         };
         assert!(store.txn(&txn, before).unwrap().succeeded);
         assert_eq!(store.revision(), before + 1);
-        assert_eq!(store.changes(b"/", b"0", before + 1, before + 1).unwrap()[0].1.len(), 2);
-        assert!(!store.txn(&txn, before + 1).unwrap().succeeded, "the value is another now");
+        assert_eq!(
+            store.changes(b"/", b"0", before + 1, before + 1).unwrap()[0]
+                .1
+                .len(),
+            2
+        );
+        assert!(
+            !store.txn(&txn, before + 1).unwrap().succeeded,
+            "the value is another now"
+        );
         txn.failure = vec![step("/d", 0), step("/e", 5)];
         assert_eq!(store.txn(&txn, before + 1), Err(Refused(error::NO_LEASE)));
         // By etcd's rules a key is touched once in a transaction.
@@ -476,31 +608,70 @@
             })),
         };
         let refused = |store: &mut Store, success| {
-            store.txn(&TxnRequest { success, ..Default::default() }, before + 1).unwrap_err().0
+            store
+                .txn(
+                    &TxnRequest {
+                        success,
+                        ..Default::default()
+                    },
+                    before + 1,
+                )
+                .unwrap_err()
+                .0
         };
-        assert_eq!(refused(&mut store, vec![step("/d", 0), step("/d", 0)]), error::DUPLICATE);
-        assert_eq!(refused(&mut store, vec![delete("/c", "/e"), step("/d", 0)]), error::DUPLICATE);
+        assert_eq!(
+            refused(&mut store, vec![step("/d", 0), step("/d", 0)]),
+            error::DUPLICATE
+        );
+        assert_eq!(
+            refused(&mut store, vec![delete("/c", "/e"), step("/d", 0)]),
+            error::DUPLICATE
+        );
         assert_eq!(refused(&mut store, vec![step("", 0)]), error::EMPTY_KEY);
-        let future = RangeRequest { key: b"/a".to_vec(), revision: 99, ..Default::default() };
-        let read = RequestOp { request: Some(request_op::Request::Range(future)) };
-        assert_eq!(refused(&mut store, vec![step("/d", 0), read]), error::FUTURE);
-        assert_eq!((store.revision(), all(&store, 0).unwrap().len()), (before + 1, 2));
+        let future = RangeRequest {
+            key: b"/a".to_vec(),
+            revision: 99,
+            ..Default::default()
+        };
+        let read = RequestOp {
+            request: Some(request_op::Request::Range(future)),
+        };
+        assert_eq!(
+            refused(&mut store, vec![step("/d", 0), read]),
+            error::FUTURE
+        );
+        assert_eq!(
+            (store.revision(), all(&store, 0).unwrap().len()),
+            (before + 1, 2)
+        );
     }
 
     #[test]
     fn a_lease_takes_its_keys_with_it_at_one_revision() {
         let mut store = Store::new(7);
         let lease = store.grant(0.0, 2, 0).unwrap();
-        assert_eq!(store.grant(0.0, 2, lease), Err(Refused(error::LEASE_EXISTS)));
+        assert_eq!(
+            store.grant(0.0, 2, lease),
+            Err(Refused(error::LEASE_EXISTS))
+        );
         put(&mut store, "/a", "1", lease);
         put(&mut store, "/b", "1", lease);
         let last = put(&mut store, "/b", "2", 0);
-        assert_eq!((store.keep_alive(1000.0, lease), store.time_to_live(1500.0, lease)), (2, 2));
+        assert_eq!(
+            (
+                store.keep_alive(1000.0, lease),
+                store.time_to_live(1500.0, lease)
+            ),
+            (2, 2)
+        );
         assert!(!store.expire(2500.0));
         assert!(store.expire(3000.0));
         assert_eq!(store.revision(), last + 1);
         assert_eq!(all(&store, 0).unwrap(), ["/b=2"]);
-        assert_eq!((store.keep_alive(0.0, lease), store.time_to_live(0.0, lease)), (0, -1));
+        assert_eq!(
+            (store.keep_alive(0.0, lease), store.time_to_live(0.0, lease)),
+            (0, -1)
+        );
         assert_eq!(store.revoke(lease), Err(Refused(error::NO_LEASE)));
     }
 
@@ -509,9 +680,21 @@
         let mut store = Store::new(7);
         put(&mut store, "/a", "1", 0);
         let ask = |key: &[u8], end: &[u8]| {
-            let range = RangeRequest { key: key.to_vec(), range_end: end.to_vec(), ..Default::default() };
+            let range = RangeRequest {
+                key: key.to_vec(),
+                range_end: end.to_vec(),
+                ..Default::default()
+            };
             store.range(&range, store.revision()).unwrap().kvs.len()
         };
-        assert_eq!((ask(b"/z", b"/a"), ask(b"/a", b"/a"), ask(b"/a", b""), ask(&[0], &[0])), (0, 0, 1, 1));
+        assert_eq!(
+            (
+                ask(b"/z", b"/a"),
+                ask(b"/a", b"/a"),
+                ask(b"/a", b""),
+                ask(&[0], &[0])
+            ),
+            (0, 0, 1, 1)
+        );
     }
 }
--- a/crates/test-servers/src/grpc.rs
+++ b/crates/test-servers/src/grpc.rs
@@ -125,7 +125,12 @@
 
     /// When the last call began here.
     pub fn last(&self) -> Option<Instant> {
-        self.log.borrow().values().flatten().map(|seen| seen.at).max()
+        self.log
+            .borrow()
+            .values()
+            .flatten()
+            .map(|seen| seen.at)
+            .max()
     }
 
     /// Serves here for as long as it is polled.
@@ -146,7 +151,9 @@
         let _ = stream.set_nodelay(true);
         let mut builder = h2::server::Builder::new();
         builder.max_concurrent_streams(self.streams.get());
-        let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else { return };
+        let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else {
+            return;
+        };
         let cut = Rc::new(Notify::new());
         loop {
             tokio::select! {
@@ -199,8 +206,12 @@
         cut: &Notify,
     ) -> Result<(), h2::Error> {
         let (head, body) = request.into_parts();
-        let id =
-            head.headers.get("request-id").and_then(|id| id.to_str().ok()).unwrap_or_default().to_owned();
+        let id = head
+            .headers
+            .get("request-id")
+            .and_then(|id| id.to_str().ok())
+            .unwrap_or_default()
+            .to_owned();
         let path = head.uri.path().to_owned();
         let fault = self.strikes();
         let seen = Seen {
@@ -280,7 +291,9 @@
             Some(Fault::Page(http)) => {
                 let mut response = Response::new(());
                 *response.status_mut() = http::StatusCode::from_u16(http).unwrap_or_default();
-                response.headers_mut().insert("content-type", HeaderValue::from_static("text/html"));
+                response
+                    .headers_mut()
+                    .insert("content-type", HeaderValue::from_static("text/html"));
                 let mut stream = respond.send_response(response, false)?;
                 stream.send_data(Bytes::from_static(b"<p>sorry</p>"), true)?;
                 return Ok(());
@@ -319,7 +332,11 @@
         self.end(&mut stream, fault).await
     }
 
-    async fn end(&self, stream: &mut SendStream<Bytes>, fault: Option<Fault>) -> Result<(), h2::Error> {
+    async fn end(
+        &self,
+        stream: &mut SendStream<Bytes>,
+        fault: Option<Fault>,
+    ) -> Result<(), h2::Error> {
         if let Some(Fault::LateTrailers(late)) = fault {
             tokio::time::sleep(late).await;
         }
@@ -329,8 +346,12 @@
 
 fn answer_head() -> Response<()> {
     let mut response = Response::new(());
-    response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
-    response.headers_mut().insert("served-by", HeaderValue::from_static("stand-in"));
+    response
+        .headers_mut()
+        .insert("content-type", HeaderValue::from_static("application/grpc"));
+    response
+        .headers_mut()
+        .insert("served-by", HeaderValue::from_static("stand-in"));
     response
 }
 
@@ -381,7 +402,10 @@
 
 impl Messages {
     fn new(body: RecvStream) -> Messages {
-        Messages { body, read: BytesMut::new() }
+        Messages {
+            body,
+            read: BytesMut::new(),
+        }
     }
 
     /// The next whole message; `None` at the end, with what is cut left in `read`.
@@ -389,13 +413,16 @@
         loop {
             if self.read.len() >= 5 {
                 let length =
-                    u32::from_be_bytes([self.read[1], self.read[2], self.read[3], self.read[4]]) as usize;
+                    u32::from_be_bytes([self.read[1], self.read[2], self.read[3], self.read[4]])
+                        as usize;
                 if self.read.len() >= 5 + length {
                     self.read.advance(5);
                     return Ok(Some(self.read.split_to(length).freeze()));
                 }
             }
-            let Some(data) = self.body.data().await else { return Ok(None) };
+            let Some(data) = self.body.data().await else {
+                return Ok(None);
+            };
             let data = data?;
             self.read.extend_from_slice(&data);
             // Where the stream is over there is no window to open.
@@ -426,12 +453,19 @@
 impl Final {
     /// The status; `None` if none came.
     pub fn code(&self) -> Option<u8> {
-        self.trailers.get("grpc-status")?.to_str().ok()?.parse().ok()
+        self.trailers
+            .get("grpc-status")?
+            .to_str()
+            .ok()?
+            .parse()
+            .ok()
     }
 
     /// A trailer, as text.
     pub fn trailer(&self, name: &str) -> Option<&str> {
-        self.trailers.get(name).and_then(|value| value.to_str().ok())
+        self.trailers
+            .get(name)
+            .and_then(|value| value.to_str().ok())
     }
 }
 
@@ -456,8 +490,15 @@
             ("api-terms", "units=1,spread=1,first=0"),
             ("grpc-timeout", timeout),
         ];
-        let headers = headers.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect();
-        Call { path: path.to_owned(), headers, messages: vec![id.as_bytes().to_vec()] }
+        let headers = headers
+            .iter()
+            .map(|(name, value)| ((*name).to_owned(), (*value).to_owned()))
+            .collect();
+        Call {
+            path: path.to_owned(),
+            headers,
+            messages: vec![id.as_bytes().to_vec()],
+        }
     }
 
     /// With one more piece of metadata.
@@ -478,10 +519,14 @@
     /// # Errors
     /// If no connection comes up.
     pub async fn open(to: SocketAddr) -> Result<Client, String> {
-        let stream = TcpStream::connect(to).await.map_err(|error| error.to_string())?;
+        let stream = TcpStream::connect(to)
+            .await
+            .map_err(|error| error.to_string())?;
         // Without it calls are late, not wrong.
         let _ = stream.set_nodelay(true);
-        let (sender, connection) = h2::client::handshake(stream).await.map_err(|error| error.to_string())?;
+        let (sender, connection) = h2::client::handshake(stream)
+            .await
+            .map_err(|error| error.to_string())?;
         tokio::task::spawn_local(async move {
             // Whatever ends it, its calls are told.
             let _ = connection.await;
--- a/crates/test-servers/src/lateness.rs
+++ b/crates/test-servers/src/lateness.rs
@@ -26,7 +26,10 @@
     /// Notes that what was due at `due` was done at `done`.
     pub fn note(&self, due: Millis, done: Millis) {
         let late = ((done - due).max(0.0) * 1000.0) as u64;
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).saturating_record(late.clamp(1, MOST_US));
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .saturating_record(late.clamp(1, MOST_US));
     }
 
     /// The summary that closes a record.
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -21,7 +21,8 @@
 /// whatever else happens.
 pub fn draw(seed: u64, of: u64, what: u64) -> f64 {
     // SplitMix64 (Steele, Lea, Flood 2014) over the three words.
-    let mut z = seed ^ of.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ what.wrapping_mul(0xd1b5_4a32_d192_ed03);
+    let mut z =
+        seed ^ of.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ what.wrapping_mul(0xd1b5_4a32_d192_ed03);
     z = z.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -30,7 +31,9 @@
 
 /// The words of a text as one seed (FNV-1a).
 pub fn hash(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 #[cfg(test)]
--- a/crates/test-servers/src/node.rs
+++ b/crates/test-servers/src/node.rs
@@ -179,13 +179,17 @@
         if self.deployment.metering.period_ms <= 0.0 || rate <= 0.0 {
             return None;
         }
-        let ended =
-            ((now - self.deployment.metering.delay_ms) / self.deployment.metering.period_ms).floor() - 1.0;
+        let ended = ((now - self.deployment.metering.delay_ms)
+            / self.deployment.metering.period_ms)
+            .floor()
+            - 1.0;
         if ended < 0.0 {
             return None;
         }
         let used = self.used.borrow();
-        let sum = used.get(&customer).and_then(|all| all.iter().find(|(p, _)| *p == ended as u64));
+        let sum = used
+            .get(&customer)
+            .and_then(|all| all.iter().find(|(p, _)| *p == ended as u64));
         let full = rate * self.deployment.metering.period_ms / 1000.0;
         Some((100.0 * sum.map_or(0.0, |(_, sum)| *sum) / full).round() as u32)
     }
@@ -278,8 +282,15 @@
     /// A node whose process starts now.
     pub fn start(world: &Rc<World>, spec: Spec) -> Rc<Node> {
         let cores = f64::from(spec.cores);
-        let state = NodeState::Up { cores, cold_from: spec.cold_from, cold_ms: spec.cold_ms };
-        let born = world.recorder.note(Entry::Node { node: spec.number, state });
+        let state = NodeState::Up {
+            cores,
+            cold_from: spec.cold_from,
+            cold_ms: spec.cold_ms,
+        };
+        let born = world.recorder.note(Entry::Node {
+            node: spec.number,
+            state,
+        });
         Rc::new(Node {
             world: world.clone(),
             spec,
@@ -309,7 +320,10 @@
         let life = *self.life.borrow();
         // One that is down stays down.
         if life == Life::Up {
-            self.turn(if turns_away { Life::Draining } else { Life::Up }, NodeState::Draining);
+            self.turn(
+                if turns_away { Life::Draining } else { Life::Up },
+                NodeState::Draining,
+            );
         }
     }
 
@@ -324,7 +338,10 @@
 
     fn turn(&self, life: Life, state: NodeState) {
         self.life.send_replace(life);
-        self.world.recorder.note(Entry::Node { node: self.spec.number, state });
+        self.world.recorder.note(Entry::Node {
+            node: self.spec.number,
+            state,
+        });
     }
 
     /// Begins a trouble.
@@ -348,10 +365,13 @@
     }
 
     fn speed(&self, now: Millis) -> f64 {
-        let taken = self.troubles(now).iter().fold(0.0, |most: f64, fault| match fault.trouble {
-            Trouble::Neighbour(part) => most.max(part),
-            _ => most,
-        });
+        let taken = self
+            .troubles(now)
+            .iter()
+            .fold(0.0, |most: f64, fault| match fault.trouble {
+                Trouble::Neighbour(part) => most.max(part),
+                _ => most,
+            });
         self.warmth(now) * (1.0 - taken).max(0.02)
     }
 
@@ -361,7 +381,11 @@
         if warmth >= 1.0 || *self.life.borrow() != Life::Up {
             return;
         }
-        let Overload { factor, window_ms: window, slack_ms } = self.world.deployment.overload;
+        let Overload {
+            factor,
+            window_ms: window,
+            slack_ms,
+        } = self.world.deployment.overload;
         let mut pressure = self.pressure.borrow_mut();
         pressure.push_back((now, work));
         while pressure.front().is_some_and(|(at, _)| now - at > window) {
@@ -414,8 +438,8 @@
 
     async fn talk(self: &Rc<Self>, link: &mut Link, door: u32) -> Talk {
         let recorder = &self.world.recorder;
-        let idle =
-            Duration::try_from_secs_f64(self.world.deployment.idle_ms / 1000.0).unwrap_or(Duration::MAX);
+        let idle = Duration::try_from_secs_f64(self.world.deployment.idle_ms / 1000.0)
+            .unwrap_or(Duration::MAX);
         loop {
             if link.pending() == 0 {
                 match tokio::time::timeout(idle, link.more()).await {
@@ -425,13 +449,26 @@
             }
             let first = recorder.now();
             let attempt = self.world.next_attempt();
-            let partly = Partly { node: self, attempt, door, first, told: Cell::new(false) };
-            if self.struck(first, attempt, |t| *t == Trouble::ResetWithin).is_some() {
+            let partly = Partly {
+                node: self,
+                attempt,
+                door,
+                first,
+                told: Cell::new(false),
+            };
+            if self
+                .struck(first, attempt, |t| *t == Trouble::ResetWithin)
+                .is_some()
+            {
                 // What has been read may be whole: then it counts as come, and nothing of it ran.
-                if let Ok(Some((message, head, length))) = crate::wire::parse(link.pending_bytes()) {
+                if let Ok(Some((message, head, length))) = crate::wire::parse(link.pending_bytes())
+                {
                     if link.pending() >= head + length {
                         partly.came(&message, 0.0);
-                        recorder.note(Entry::Over { attempt, end: End::Reset });
+                        recorder.note(Entry::Over {
+                            attempt,
+                            end: End::Reset,
+                        });
                     }
                 }
                 return Talk::Reset;
@@ -441,7 +478,9 @@
                 Err(NoMessage::Closed | NoMessage::Cut(_)) => return Talk::Close,
                 Err(NoMessage::Garbage(_)) => {
                     // The other end may be gone; then there is nobody to tell.
-                    let _ = link.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
+                    let _ = link
+                        .write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+                        .await;
                     return Talk::Close;
                 }
             };
@@ -456,7 +495,8 @@
     fn struck(&self, now: Millis, attempt: u64, of: impl Fn(&Trouble) -> bool) -> Option<Trouble> {
         let faults = self.troubles(now);
         let mut hits = faults.iter().enumerate().filter(|(i, fault)| {
-            of(&fault.trouble) && draw(self.world.deployment.seed, attempt, 100 + *i as u64) < fault.part
+            of(&fault.trouble)
+                && draw(self.world.deployment.seed, attempt, 100 + *i as u64) < fault.part
         });
         hits.next().map(|(_, fault)| fault.trouble)
     }
@@ -471,15 +511,31 @@
     ) -> Talk {
         let (world, recorder) = (&self.world, &self.world.recorder);
         let over = |end| recorder.note(Entry::Over { attempt, end });
-        let name = message.target.trim_start_matches('/').split(['/', '?']).next().unwrap_or_default();
+        let name = message
+            .target
+            .trim_start_matches('/')
+            .split(['/', '?'])
+            .next()
+            .unwrap_or_default();
         let class = world.deployment.work.iter().find(|work| work.class == name);
         let (Some(id), Some(class)) = (message.header("request-id"), class) else {
-            let _ = link.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await;
+            let _ = link
+                .write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+                .await;
             return Talk::Next;
         };
-        let units: f64 = message.query("u").and_then(|text| text.parse().ok()).unwrap_or(1.0);
-        let customer = message.query("k").and_then(|text| u64::from_str_radix(text, 16).ok()).unwrap_or(0);
-        let plan = message.query("p").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let units: f64 = message
+            .query("u")
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(1.0);
+        let customer = message
+            .query("k")
+            .and_then(|text| u64::from_str_radix(text, 16).ok())
+            .unwrap_or(0);
+        let plan = message
+            .query("p")
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(0);
         let work = world.work_of(class, id, units);
         let now = came.came(message, work);
         if world.first_time(id) {
@@ -492,16 +548,26 @@
             return Talk::Reset;
         }
         let usage = world.usage(now, customer, plan);
-        let usage = usage.map(|percent| format!("Api-Usage: {percent}\r\n")).unwrap_or_default();
+        let usage = usage
+            .map(|percent| format!("Api-Usage: {percent}\r\n"))
+            .unwrap_or_default();
         let full = self.held.get() >= self.spec.cores as usize + self.spec.queue;
         if full || *self.life.borrow() != Life::Up {
             over(End::TurnedAway);
-            let text = format!("HTTP/1.1 503 X\r\nNot-Started: 1\r\n{usage}Content-Length: 0\r\n\r\n");
+            let text =
+                format!("HTTP/1.1 503 X\r\nNot-Started: 1\r\n{usage}Content-Length: 0\r\n\r\n");
             return Talk::after(link.write(text.as_bytes()).await);
         }
-        let mine = |t: &Trouble| !matches!(t, Trouble::Neighbour(_) | Trouble::Refuse | Trouble::ResetBefore);
+        let mine = |t: &Trouble| {
+            !matches!(
+                t,
+                Trouble::Neighbour(_) | Trouble::Refuse | Trouble::ResetBefore
+            )
+        };
         let trouble = self.struck(now, attempt, mine);
-        let key = message.header("idempotency-key").filter(|_| class.effect == Effect::Keyed);
+        let key = message
+            .header("idempotency-key")
+            .filter(|_| class.effect == Effect::Keyed);
         let repeats = || key.is_some_and(|key| world.repeat(key, now, class.memory_ms));
         match trouble {
             Some(Trouble::FastError) => {
@@ -525,9 +591,15 @@
             _ => {}
         }
         let repeat = repeats();
-        let late = if let Some(Trouble::Late(by)) = trouble { by } else { 0.0 };
+        let late = if let Some(Trouble::Late(by)) = trouble {
+            by
+        } else {
+            0.0
+        };
         if !repeat {
-            let Some((done, held)) = self.queue(now, work) else { return Talk::Close };
+            let Some((done, held)) = self.queue(now, work) else {
+                return Talk::Close;
+            };
             tokio::select! {
                 () = self.until(done) => {}
                 () = link.until_closed() => {
@@ -558,13 +630,17 @@
         match trouble {
             Some(Trouble::Spoilt) => {
                 over(End::Spoilt);
-                let _ = link.write(b"HTTP/1.1 \x00\x01 2oo\r\nContent-Length: 1\r\n\r\n{").await;
+                let _ = link
+                    .write(b"HTTP/1.1 \x00\x01 2oo\r\nContent-Length: 1\r\n\r\n{")
+                    .await;
                 link.until_closed().await;
                 Talk::Close
             }
             Some(Trouble::Endless) => {
                 over(End::Spoilt);
-                let mut wrote = link.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n").await;
+                let mut wrote = link
+                    .write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
+                    .await;
                 let chunk = [b'x'; 16 * 1024];
                 for _ in 0..ENDLESS / chunk.len() {
                     if wrote.is_err() {
@@ -633,8 +709,19 @@
 
     fn came(&self, message: &Message, work: Millis) -> Millis {
         let key = message.header("idempotency-key").map(str::to_owned);
-        let form = form(&message.method, &message.target, key.as_deref(), &message.body);
-        self.note(message.header("request-id").unwrap_or_default(), key, form, true, work)
+        let form = form(
+            &message.method,
+            &message.target,
+            key.as_deref(),
+            &message.body,
+        );
+        self.note(
+            message.header("request-id").unwrap_or_default(),
+            key,
+            form,
+            true,
+            work,
+        )
     }
 }
 
@@ -684,8 +771,14 @@
                 Ok(listener)
             })
             .collect::<io::Result<Vec<_>>>()?;
-        let addresses = listeners.iter().map(StdListener::local_addr).collect::<io::Result<_>>()?;
-        Ok(Seats { addresses, listeners })
+        let addresses = listeners
+            .iter()
+            .map(StdListener::local_addr)
+            .collect::<io::Result<_>>()?;
+        Ok(Seats {
+            addresses,
+            listeners,
+        })
     }
 
     /// Where a front door dials.
@@ -705,9 +798,15 @@
 impl Place {
     /// Accepts connections of all front doors from now on, for as long as the runtime runs.
     pub fn over(seats: Seats) -> Rc<Place> {
-        let Seats { addresses, listeners } = seats;
-        let place =
-            Rc::new(Place { addresses, tenant: RefCell::default(), refusing: watch::Sender::new(0.0) });
+        let Seats {
+            addresses,
+            listeners,
+        } = seats;
+        let place = Rc::new(Place {
+            addresses,
+            tenant: RefCell::default(),
+            refusing: watch::Sender::new(0.0),
+        });
         for (door, listener) in listeners.into_iter().enumerate() {
             tokio::task::spawn_local(place.clone().accept(listener, door as u32));
         }
@@ -740,7 +839,9 @@
     }
 
     async fn accept(self: Rc<Self>, listener: StdListener, door: u32) {
-        let Ok(mut listener) = TcpListener::from_std(listener) else { return };
+        let Ok(mut listener) = TcpListener::from_std(listener) else {
+            return;
+        };
         let address = self.addresses[door as usize];
         let mut refusing = self.refusing.subscribe();
         if *refusing.borrow() > 0.0 {
--- a/crates/test-servers/src/relay.rs
+++ b/crates/test-servers/src/relay.rs
@@ -146,15 +146,22 @@
     while !stop.load(Ordering::Relaxed) {
         let now = Instant::now();
         while held.peek().is_some_and(|Reverse(first)| first.due <= now) {
-            let Some(Reverse(first)) = held.pop() else { break };
+            let Some(Reverse(first)) = held.pop() else {
+                break;
+            };
             // A door that is not there refuses: that is a loss like any other.
             let _ = socket.send_to(&first.bytes, first.to);
             carried.passed.fetch_add(1, Ordering::Relaxed);
         }
-        let Ok((length, from)) = socket.recv_from(&mut bytes) else { continue };
+        let Ok((length, from)) = socket.recv_from(&mut bytes) else {
+            continue;
+        };
         let (to, sender) = {
             let doors = lock(doors);
-            (doors.get(door).copied().flatten(), doors.iter().position(|known| *known == Some(from)))
+            (
+                doors.get(door).copied().flatten(),
+                doors.iter().position(|known| *known == Some(from)),
+            )
         };
         let weather = lock(weather).clone();
         order += 1;
@@ -169,7 +176,12 @@
             let (least, most) = weather.delay_ms;
             let late = least + (most - least) * draw(seed, order, 2 + copy);
             let due = now + Duration::from_secs_f64(late.max(0.0) / 1000.0);
-            held.push(Reverse(Held { due, order: 2 * order + copy, to, bytes: bytes[..length].to_vec() }));
+            held.push(Reverse(Held {
+                due,
+                order: 2 * order + copy,
+                to,
+                bytes: bytes[..length].to_vec(),
+            }));
         }
     }
 }
@@ -182,9 +194,12 @@
     #[test]
     fn it_loses_doubles_and_cuts_what_it_is_told() {
         let relay = Relay::new(2, 7).expect("a relay");
-        let ends: Vec<UdpSocket> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
+        let ends: Vec<UdpSocket> = (0..2)
+            .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
+            .collect();
         for (door, end) in ends.iter().enumerate() {
-            end.set_read_timeout(Some(Duration::from_millis(500))).expect("a limit");
+            end.set_read_timeout(Some(Duration::from_millis(500)))
+                .expect("a limit");
             relay.door(door, end.local_addr().expect("an address"));
         }
         let count = |weather: Weather| {
@@ -196,10 +211,32 @@
             std::iter::from_fn(|| ends[1].recv_from(&mut bytes).ok()).count()
         };
         assert_eq!(count(Weather::default()), 100);
-        assert_eq!(count(Weather { doubled: 1.0, ..Weather::default() }), 200);
-        let some = count(Weather { loss: 0.3, delay_ms: (0.0, 20.0), ..Weather::default() });
+        assert_eq!(
+            count(Weather {
+                doubled: 1.0,
+                ..Weather::default()
+            }),
+            200
+        );
+        let some = count(Weather {
+            loss: 0.3,
+            delay_ms: (0.0, 20.0),
+            ..Weather::default()
+        });
         assert!((55..85).contains(&some), "{some}");
-        assert_eq!(count(Weather { cut: BTreeSet::from([(0, 1)]), ..Weather::default() }), 0);
-        assert_eq!(count(Weather { cut: BTreeSet::from([(1, 0)]), ..Weather::default() }), 100);
+        assert_eq!(
+            count(Weather {
+                cut: BTreeSet::from([(0, 1)]),
+                ..Weather::default()
+            }),
+            0
+        );
+        assert_eq!(
+            count(Weather {
+                cut: BTreeSet::from([(1, 0)]),
+                ..Weather::default()
+            }),
+            100
+        );
     }
 }
--- a/crates/test-servers/src/rude.rs
+++ b/crates/test-servers/src/rude.rs
@@ -77,12 +77,21 @@
         let text = match self {
             Kind::Noise => "\u{1}\u{2}\u{7f}~~~ no request at all ~~~\r\n\r\n".to_owned(),
             Kind::EndlessHead => {
-                let lines: String = (0..1500).map(|i| format!("X-Filler-{i}: {i:040}\r\n")).collect();
+                let lines: String = (0..1500)
+                    .map(|i| format!("X-Filler-{i}: {i:040}\r\n"))
+                    .collect();
                 let head = of(&own, class, plan, "1.0", terms, &lines);
                 head.trim_end().to_owned()
             }
             Kind::NegativeLength => of(&own, class, plan, "1.0", terms, "Content-Length: -5\r\n"),
-            Kind::HugeLength => of(&own, class, plan, "1.0", terms, "Content-Length: 60000000\r\n"),
+            Kind::HugeLength => of(
+                &own,
+                class,
+                plan,
+                "1.0",
+                terms,
+                "Content-Length: 60000000\r\n",
+            ),
             Kind::TwoFramings => {
                 let more = "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n";
                 of(&own, class, plan, "1.0", terms, more) + "0\r\n\r\n"
@@ -93,7 +102,10 @@
             Kind::Spread => of(&own, class, plan, "1.0", "units=1,spread=0,first=0", ""),
             Kind::Deadline => of(&own, class, plan, "soon", terms, ""),
             Kind::NoId => of("", class, plan, "1.0", terms, ""),
-            Kind::Half => of(&own, class, plan, "1.0", terms, "").split_at(60).0.to_owned(),
+            Kind::Half => of(&own, class, plan, "1.0", terms, "")
+                .split_at(60)
+                .0
+                .to_owned(),
             Kind::Silent => String::new(),
         };
         text.into_bytes()
@@ -101,9 +113,18 @@
 }
 
 /// One such client: connects, sends, and waits for what it is owed.
-pub async fn visit(recorder: &Recorder, door: SocketAddr, kind: Kind, lot: u64, class: &str, plan: &str) {
+pub async fn visit(
+    recorder: &Recorder,
+    door: SocketAddr,
+    kind: Kind,
+    lot: u64,
+    class: &str,
+    plan: &str,
+) {
     let id = format!("{:016x}", hash(&format!("rude/{lot}")));
-    let Ok(mut link) = Link::open(door).await else { return };
+    let Ok(mut link) = Link::open(door).await else {
+        return;
+    };
     // It may have been closed already: then it has what it is owed.
     let _ = link.write(&kind.text(&id, class, plan)).await;
     let limit = Duration::from_secs_f64(OWED / 1000.0);
@@ -113,5 +134,9 @@
         Ok(Err(_)) => (None, false),
         Err(_) => (None, true),
     };
-    recorder.note(Entry::Rude { kind: kind.name(), status, neglected });
+    recorder.note(Entry::Rude {
+        kind: kind.name(),
+        status,
+        neglected,
+    });
 }
--- a/crates/test-servers/src/wire.rs
+++ b/crates/test-servers/src/wire.rs
@@ -32,12 +32,16 @@
 impl Message {
     /// The first header of this name, which is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// Whether the other end closes after it.
     pub fn closes(&self) -> bool {
-        self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+        self.header("connection")
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
     /// The field `name` of the target's query.
@@ -83,7 +87,10 @@
     pub fn over(stream: TcpStream) -> Link {
         // Without it messages are late, not wrong.
         let _ = stream.set_nodelay(true);
-        Link { stream, read: Vec::new() }
+        Link {
+            stream,
+            read: Vec::new(),
+        }
     }
 
     /// Bytes that have been read and not used.
@@ -116,7 +123,12 @@
     /// Waits until the other end closes or the connection breaks, and drops what it still says.
     pub async fn until_closed(&mut self) {
         let mut rest = [0; 1024];
-        while self.stream.read(&mut rest).await.is_ok_and(|count| count > 0) {}
+        while self
+            .stream
+            .read(&mut rest)
+            .await
+            .is_ok_and(|count| count > 0)
+        {}
     }
 
     /// What the connection is at, where no answer is due: `None` while it is open and silent, else whether bytes came.
@@ -170,26 +182,38 @@
     let mut message = Message::default();
     let (status, headers) = if bytes.starts_with(b"HTTP/") {
         let mut head = httparse::Response::new(&mut headers);
-        let status = head.parse(bytes).map_err(|_| NoMessage::Garbage("no head of an answer"))?;
+        let status = head
+            .parse(bytes)
+            .map_err(|_| NoMessage::Garbage("no head of an answer"))?;
         message.status = head.code.unwrap_or(0);
         (status, head.headers)
     } else {
         let mut head = httparse::Request::new(&mut headers);
-        let status = head.parse(bytes).map_err(|_| NoMessage::Garbage("no head of a request"))?;
+        let status = head
+            .parse(bytes)
+            .map_err(|_| NoMessage::Garbage("no head of a request"))?;
         message.method = head.method.unwrap_or_default().to_owned();
         message.target = head.path.unwrap_or_default().to_owned();
         (status, head.headers)
     };
     let httparse::Status::Complete(head) = status else {
         let long = bytes.len() > LONGEST_HEAD;
-        return if long { Err(NoMessage::Garbage("a head without end")) } else { Ok(None) };
+        return if long {
+            Err(NoMessage::Garbage("a head without end"))
+        } else {
+            Ok(None)
+        };
     };
     for header in headers {
         let value = String::from_utf8_lossy(header.value).trim().to_owned();
-        message.headers.push((header.name.to_ascii_lowercase(), value));
+        message
+            .headers
+            .push((header.name.to_ascii_lowercase(), value));
     }
     let length = match message.header("content-length") {
-        Some(text) => text.parse().map_err(|_| NoMessage::Garbage("a length that is no number"))?,
+        Some(text) => text
+            .parse()
+            .map_err(|_| NoMessage::Garbage("a length that is no number"))?,
         None if message.header("transfer-encoding").is_some() => {
             return Err(NoMessage::Garbage("a body in chunks"))
         }
@@ -207,18 +231,24 @@
 
     #[test]
     fn a_message_is_read_once_its_head_is_whole() {
-        let text = b"POST /a/b?k=1f&u=2 HTTP/1.1\r\nRequest-Id: x\r\nContent-Length: 5\r\n\r\nhello";
+        let text =
+            b"POST /a/b?k=1f&u=2 HTTP/1.1\r\nRequest-Id: x\r\nContent-Length: 5\r\n\r\nhello";
         for cut in 0..text.len() - 5 {
             assert!(matches!(parse(&text[..cut]), Ok(None)), "{cut}");
         }
         let (message, head, length) = parse(text).unwrap().unwrap();
-        assert_eq!((head + length, message.header("request-id")), (text.len(), Some("x")));
+        assert_eq!(
+            (head + length, message.header("request-id")),
+            (text.len(), Some("x"))
+        );
         assert_eq!(
             (message.query("k"), message.query("u"), message.query("z")),
             (Some("1f"), Some("2"), None)
         );
         let (answer, _, _) =
-            parse(b"HTTP/1.1 429 X\r\nConnection: Close\r\nContent-Length: 0\r\n\r\n").unwrap().unwrap();
+            parse(b"HTTP/1.1 429 X\r\nConnection: Close\r\nContent-Length: 0\r\n\r\n")
+                .unwrap()
+                .unwrap();
         assert!(answer.closes() && answer.status == 429);
     }
 
@@ -230,7 +260,10 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             "\u{1}\u{2}\u{3} nonsense\r\n\r\n",
         ] {
-            assert!(matches!(parse(text.as_bytes()), Err(NoMessage::Garbage(_))), "{text:?}");
+            assert!(
+                matches!(parse(text.as_bytes()), Err(NoMessage::Garbage(_))),
+                "{text:?}"
+            );
         }
     }
 }
--- a/crates/test-servers/tests/played.rs
+++ b/crates/test-servers/tests/played.rs
@@ -1,8 +1,8 @@
 //! The stand-ins over loopback sockets: each does what its scripts and reports rely on. Nothing waits for a time where
 //! an event will do; what does not come within `PATIENCE` fails the test.
 
-use maplefall_protocol::{Health, Member};
 use maplefall_event_trace::{Effect, End, Entry, Line, Lost, Millis, NodeState, Recorder};
+use maplefall_protocol::{Health, Member};
 use maplefall_test_servers::agent::{host, Agent, Lapse, List};
 use maplefall_test_servers::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
 use maplefall_test_servers::counter::Counter;
@@ -20,9 +20,16 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn play<T>(scene: impl Future<Output = T>) -> T {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build().expect("a runtime");
-    let scene = async { tokio::time::timeout(PATIENCE, scene).await.expect("the scene ends in time") };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()
+        .expect("a runtime");
+    let scene = async {
+        tokio::time::timeout(PATIENCE, scene)
+            .await
+            .expect("the scene ends in time")
+    };
     tokio::task::LocalSet::new().block_on(&runtime, scene)
 }
 
@@ -32,7 +39,14 @@
     place: Rc<Place>,
 }
 
-const SPEC: Spec = Spec { number: 3, cores: 1, queue: 1, cold_from: 1.0, cold_ms: 0.0, connections: 50 };
+const SPEC: Spec = Spec {
+    number: 3,
+    cores: 1,
+    queue: 1,
+    cold_from: 1.0,
+    cold_ms: 0.0,
+    connections: 50,
+};
 
 fn scene(work_ms: Millis, spec: Spec) -> (Scene, Rc<Node>) {
     let recorder = Recorder::new();
@@ -44,35 +58,66 @@
     };
     let deployment = Deployment {
         seed: 1,
-        work: vec![work("read", Effect::Safe), work("extend", Effect::Keyed), work("charge", Effect::Unsafe)],
-        metering: Metering { period_ms: 0.0, delay_ms: 0.0, rates: Vec::new() },
+        work: vec![
+            work("read", Effect::Safe),
+            work("extend", Effect::Keyed),
+            work("charge", Effect::Unsafe),
+        ],
+        metering: Metering {
+            period_ms: 0.0,
+            delay_ms: 0.0,
+            rates: Vec::new(),
+        },
         idle_ms: 60_000.0,
-        overload: Overload { factor: 3.0, window_ms: 1500.0, slack_ms: 10.0 },
+        overload: Overload {
+            factor: 3.0,
+            window_ms: 1500.0,
+            slack_ms: 10.0,
+        },
     };
     let world = World::new(deployment, recorder.clone(), Lateness::default());
     let place = Place::over(Seats::open(2).expect("ports"));
     let node = Node::start(&world, spec);
     place.house(Some(node.clone()));
-    (Scene { recorder, world, place }, node)
+    (
+        Scene {
+            recorder,
+            world,
+            place,
+        },
+        node,
+    )
 }
 
 impl Scene {
     async fn link(&self, door: usize) -> Link {
-        Link::open(self.place.address(door)).await.expect("the node listens")
+        Link::open(self.place.address(door))
+            .await
+            .expect("the node listens")
     }
 
     fn fault(&self, trouble: Trouble) {
-        self.place.fault(Fault { trouble, part: 1.0, until: f64::INFINITY });
+        self.place.fault(Fault {
+            trouble,
+            part: 1.0,
+            until: f64::INFINITY,
+        });
     }
 
     /// What was recorded so far, without its times.
     fn seen(&self) -> Vec<Entry> {
-        self.recorder.take().into_iter().map(|line| line.entry).collect()
+        self.recorder
+            .take()
+            .into_iter()
+            .map(|line| line.entry)
+            .collect()
     }
 }
 
 fn request(id: &str, class: &str, key: Option<&str>) -> String {
-    let key = key.map(|key| format!("Idempotency-Key: {key}\r\n")).unwrap_or_default();
+    let key = key
+        .map(|key| format!("Idempotency-Key: {key}\r\n"))
+        .unwrap_or_default();
     format!("POST /{class}/v1?k=1&u=2.5&p=0 HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\n{key}Content-Length: 2\r\n\r\nab")
 }
 
@@ -83,7 +128,9 @@
 
 fn came(entry: &Entry) -> Option<(&str, u32, bool)> {
     match entry {
-        Entry::Came { id, door, whole, .. } => Some((id, *door, *whole)),
+        Entry::Came {
+            id, door, whole, ..
+        } => Some((id, *door, *whole)),
         _ => None,
     }
 }
@@ -94,12 +141,31 @@
         let (scene, _) = scene(1.0, SPEC);
         let mut link = scene.link(1).await;
         let answer = ask(&mut link, &request("a", "charge", None)).await;
-        (answer.status, String::from_utf8(answer.body).unwrap(), scene.seen())
+        (
+            answer.status,
+            String::from_utf8(answer.body).unwrap(),
+            scene.seen(),
+        )
     });
     assert_eq!((status, body.as_str()), (200, "a 1 3"));
-    assert!(matches!(seen[0], Entry::Node { node: 3, state: NodeState::Up { .. } }));
+    assert!(matches!(
+        seen[0],
+        Entry::Node {
+            node: 3,
+            state: NodeState::Up { .. }
+        }
+    ));
     assert_eq!(came(&seen[1]), Some(("a", 1, true)));
-    assert_eq!(seen[2..], [Entry::Ran { attempt: 1 }, Entry::Over { attempt: 1, end: End::Served }]);
+    assert_eq!(
+        seen[2..],
+        [
+            Entry::Ran { attempt: 1 },
+            Entry::Over {
+                attempt: 1,
+                end: End::Served
+            }
+        ]
+    );
 }
 
 #[test]
@@ -107,12 +173,30 @@
     let seen = play(async {
         let (scene, _) = scene(1.0, SPEC);
         let mut link = scene.link(0).await;
-        assert_eq!(ask(&mut link, &request("a", "extend", Some("k"))).await.status, 200);
-        assert_eq!(ask(&mut link, &request("b", "extend", Some("k"))).await.status, 200);
-        assert_eq!(ask(&mut link, &request("c", "extend", Some("l"))).await.status, 200);
+        assert_eq!(
+            ask(&mut link, &request("a", "extend", Some("k")))
+                .await
+                .status,
+            200
+        );
+        assert_eq!(
+            ask(&mut link, &request("b", "extend", Some("k")))
+                .await
+                .status,
+            200
+        );
+        assert_eq!(
+            ask(&mut link, &request("c", "extend", Some("l")))
+                .await
+                .status,
+            200
+        );
         scene.seen()
     });
-    let ran = seen.iter().filter(|entry| matches!(entry, Entry::Ran { .. })).count();
+    let ran = seen
+        .iter()
+        .filter(|entry| matches!(entry, Entry::Ran { .. }))
+        .count();
     assert_eq!((ran, seen.iter().filter_map(came).count()), (2, 3));
 }
 
@@ -123,13 +207,23 @@
     let ran = play(async {
         let (scene, _) = scene(1.0, SPEC);
         let until = f64::INFINITY;
-        scene.place.fault(Fault { trouble: Trouble::ResetAfter, part: 0.7, until });
+        scene.place.fault(Fault {
+            trouble: Trouble::ResetAfter,
+            part: 0.7,
+            until,
+        });
         for i in 0..40 {
             let mut link = scene.link(0).await;
-            let _ = link.write(request(&format!("r{i}"), "extend", Some("k")).as_bytes()).await;
+            let _ = link
+                .write(request(&format!("r{i}"), "extend", Some("k")).as_bytes())
+                .await;
             let _ = link.message().await;
         }
-        scene.seen().iter().filter(|entry| matches!(entry, Entry::Ran { .. })).count()
+        scene
+            .seen()
+            .iter()
+            .filter(|entry| matches!(entry, Entry::Ran { .. }))
+            .count()
     });
     assert_eq!(ran, 1);
 }
@@ -139,20 +233,36 @@
     play(async {
         let (scene, node) = scene(600_000.0, SPEC);
         // One runs, one waits, the third finds no room.
-        let mut links = [scene.link(0).await, scene.link(0).await, scene.link(0).await];
-        links[0].write(request("a", "read", None).as_bytes()).await.unwrap();
-        links[1].write(request("b", "read", None).as_bytes()).await.unwrap();
+        let mut links = [
+            scene.link(0).await,
+            scene.link(0).await,
+            scene.link(0).await,
+        ];
+        links[0]
+            .write(request("a", "read", None).as_bytes())
+            .await
+            .unwrap();
+        links[1]
+            .write(request("b", "read", None).as_bytes())
+            .await
+            .unwrap();
         while scene.recorder.len() < 3 {
             tokio::task::yield_now().await;
         }
         let answer = ask(&mut links[2], &request("c", "read", None)).await;
-        assert_eq!((answer.status, answer.header("not-started")), (503, Some("1")));
+        assert_eq!(
+            (answer.status, answer.header("not-started")),
+            (503, Some("1"))
+        );
         node.drain(false);
         let answer = ask(&mut links[2], &request("e", "read", None)).await;
         assert_eq!(answer.status, 503, "full as before");
         node.drain(true);
         let answer = ask(&mut links[2], &request("d", "read", None)).await;
-        assert_eq!((answer.status, answer.header("not-started")), (503, Some("1")));
+        assert_eq!(
+            (answer.status, answer.header("not-started")),
+            (503, Some("1"))
+        );
         // Its end resets what it had.
         node.end();
         assert!(matches!(links[0].message().await, Err(NoMessage::Closed)));
@@ -164,7 +274,9 @@
     play(async {
         let (scene, _) = scene(30.0, SPEC);
         let mut link = scene.link(0).await;
-        link.write(request("a", "charge", None).as_bytes()).await.unwrap();
+        link.write(request("a", "charge", None).as_bytes())
+            .await
+            .unwrap();
         while scene.recorder.len() < 2 {
             tokio::task::yield_now().await;
         }
@@ -173,7 +285,16 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let seen = scene.seen();
-        assert_eq!(seen[2..], [Entry::Over { attempt: 1, end: End::GivenUp }, Entry::Ran { attempt: 1 }]);
+        assert_eq!(
+            seen[2..],
+            [
+                Entry::Over {
+                    attempt: 1,
+                    end: End::GivenUp
+                },
+                Entry::Ran { attempt: 1 }
+            ]
+        );
     });
 }
 
@@ -188,7 +309,11 @@
             let _ = link.write(request("a", "charge", None).as_bytes()).await;
             let answer = link.message().await;
             let seen = scene.seen();
-            let whole = seen.iter().filter_map(came).map(|(_, _, whole)| whole).next();
+            let whole = seen
+                .iter()
+                .filter_map(came)
+                .map(|(_, _, whole)| whole)
+                .next();
             let end = seen.iter().find_map(|entry| match entry {
                 Entry::Over { end, .. } => Some(*end),
                 _ => None,
@@ -196,14 +321,29 @@
             (answer.map(|answer| answer.status).ok(), whole, end)
         })
     };
-    assert_eq!(ends(Trouble::FastError), (Some(500), Some(true), Some(End::Error)));
-    assert_eq!(ends(Trouble::Late(5.0)), (Some(200), Some(true), Some(End::Served)));
+    assert_eq!(
+        ends(Trouble::FastError),
+        (Some(500), Some(true), Some(End::Error))
+    );
+    assert_eq!(
+        ends(Trouble::Late(5.0)),
+        (Some(200), Some(true), Some(End::Served))
+    );
     assert_eq!(ends(Trouble::Spoilt), (None, Some(true), Some(End::Spoilt)));
-    assert_eq!(ends(Trouble::Endless), (None, Some(true), Some(End::Spoilt)));
-    assert_eq!(ends(Trouble::ResetAfter), (None, Some(true), Some(End::Reset)));
+    assert_eq!(
+        ends(Trouble::Endless),
+        (None, Some(true), Some(End::Spoilt))
+    );
+    assert_eq!(
+        ends(Trouble::ResetAfter),
+        (None, Some(true), Some(End::Reset))
+    );
     assert_eq!(ends(Trouble::ResetBefore), (None, None, None));
     // What was read before the reset was whole here, and is told so.
-    assert_eq!(ends(Trouble::ResetWithin), (None, Some(true), Some(End::Reset)));
+    assert_eq!(
+        ends(Trouble::ResetWithin),
+        (None, Some(true), Some(End::Reset))
+    );
 }
 
 #[test]
@@ -212,7 +352,9 @@
         let (scene, _) = scene(1.0, SPEC);
         let mut link = scene.link(0).await;
         let text = request("a", "charge", None);
-        link.write(&text.as_bytes()[..text.len() - 1]).await.unwrap();
+        link.write(&text.as_bytes()[..text.len() - 1])
+            .await
+            .unwrap();
         while scene.recorder.is_empty() {
             tokio::task::yield_now().await;
         }
@@ -229,7 +371,11 @@
 fn a_place_refuses_dials_for_a_time_and_listens_again() {
     play(async {
         let (scene, _) = scene(1.0, SPEC);
-        scene.place.fault(Fault { trouble: Trouble::Refuse, part: 1.0, until: scene.recorder.now() + 150.0 });
+        scene.place.fault(Fault {
+            trouble: Trouble::Refuse,
+            part: 1.0,
+            until: scene.recorder.now() + 150.0,
+        });
         let address = scene.place.address(0);
         let mut refused = false;
         // It refuses soon, and then takes connections again.
@@ -242,7 +388,10 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let mut link = scene.link(0).await;
-        assert_eq!(ask(&mut link, &request("a", "read", None)).await.status, 200);
+        assert_eq!(
+            ask(&mut link, &request("a", "read", None)).await.status,
+            200
+        );
     });
 }
 
@@ -250,7 +399,12 @@
 fn a_cold_node_falls_when_it_is_sent_too_much() {
     play(async {
         // Budget: 3 x 1 core x 0.1 x 1500 ms + 10 ms = 460 ms; each request is 100 ms of work.
-        let cold = Spec { cold_from: 0.1, cold_ms: 600_000.0, queue: 0, ..SPEC };
+        let cold = Spec {
+            cold_from: 0.1,
+            cold_ms: 600_000.0,
+            queue: 0,
+            ..SPEC
+        };
         let (scene, node) = scene(100.0, cold);
         let mut fell = 0;
         for i in 0..10 {
@@ -258,7 +412,15 @@
             let text = request(&format!("r{i}"), "read", None);
             let _ = link.write(text.as_bytes()).await;
             let _ = tokio::time::timeout(Duration::from_millis(20), link.message()).await;
-            let down = |entry: &Entry| matches!(entry, Entry::Node { state: NodeState::Fell, .. });
+            let down = |entry: &Entry| {
+                matches!(
+                    entry,
+                    Entry::Node {
+                        state: NodeState::Fell,
+                        ..
+                    }
+                )
+            };
             if scene.seen().iter().any(down) {
                 fell = i + 1;
                 break;
@@ -329,9 +491,16 @@
         let (here, address) = listener();
         agent.listen(here, Duration::ZERO);
         let mut link = Link::open(address).await.unwrap();
-        let whole = ask(&mut link, "GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n").await;
+        let whole = ask(
+            &mut link,
+            "GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n",
+        )
+        .await;
         let members: maplefall_protocol::Members = serde_json::from_slice(&whole.body).unwrap();
-        assert_eq!((members.seq, members.whole, members.hosts.len()), (1, true, 2));
+        assert_eq!(
+            (members.seq, members.whole, members.hosts.len()),
+            (1, true, 2)
+        );
         let mut watch = Watch::open(address, 1).await;
         agent.tell(&member(1, Health::Draining));
         assert!(watch.reads(&["\"seq\":2", "node-1", "draining"]).await);
@@ -341,8 +510,10 @@
         let mut late = Watch::open(address, 1).await;
         assert!(late.reads(&["\"seq\":3", "removed"]).await);
         assert!(!String::from_utf8_lossy(late.0.pending_bytes()).contains("draining"));
-        let told =
-            recorder.take().into_iter().filter(|line| matches!(line.entry, Entry::Told { door: 7, .. }));
+        let told = recorder
+            .take()
+            .into_iter()
+            .filter(|line| matches!(line.entry, Entry::Told { door: 7, .. }));
         assert_eq!(told.count(), 2 + 1 + 1 + 1);
     });
 }
@@ -358,7 +529,8 @@
         assert!(watch.reads(&["200 OK"]).await);
         agent.silence(true);
         agent.tell(&member(0, Health::Draining));
-        let heard = tokio::time::timeout(Duration::from_millis(60), watch.reads(&["draining"])).await;
+        let heard =
+            tokio::time::timeout(Duration::from_millis(60), watch.reads(&["draining"])).await;
         assert!(heard.is_err(), "it spoke");
         agent.silence(false);
         assert!(watch.reads(&["draining"]).await);
@@ -367,7 +539,10 @@
         let mut kept = Watch::open(old, 2).await;
         assert!(kept.reads(&["200 OK"]).await);
         agent.listen(second, Duration::from_millis(20));
-        assert!(!kept.reads(&["nothing more"]).await, "the old address lets go");
+        assert!(
+            !kept.reads(&["nothing more"]).await,
+            "the old address lets go"
+        );
         assert!(Link::open(old).await.is_err(), "and takes nobody new");
         let mut moved = Watch::open(new, 1).await;
         assert!(moved.reads(&["draining"]).await);
@@ -389,15 +564,29 @@
         assert!(open.reads(&["\"seq\":2", "draining"]).await);
         agent.lapse(Some(Lapse::Behind(Duration::from_secs(3600))));
         let mut late = Watch::open(address, 2).await;
-        assert!(late.reads(&["\"seq\":1", "\"whole\":true", "node-0", "node-1"]).await);
+        assert!(
+            late.reads(&["\"seq\":1", "\"whole\":true", "node-0", "node-1"])
+                .await
+        );
         assert!(!String::from_utf8_lossy(late.0.pending_bytes()).contains("draining"));
         agent.tell(&member(0, Health::Removed));
         agent.lapse(Some(Lapse::Behind(Duration::ZERO)));
-        assert!(late.reads(&["\"seq\":3", "\"whole\":false", "draining", "removed"]).await);
+        assert!(
+            late.reads(&["\"seq\":3", "\"whole\":false", "draining", "removed"])
+                .await
+        );
         assert!(open.reads(&["\"seq\":3", "removed"]).await);
         // What there is to tell stands in the record when it is there, not when it is told.
-        let due =
-            |line: &maplefall_event_trace::Line| matches!(line.entry, Entry::Due { door: 0, version: 2.., .. });
+        let due = |line: &maplefall_event_trace::Line| {
+            matches!(
+                line.entry,
+                Entry::Due {
+                    door: 0,
+                    version: 2..,
+                    ..
+                }
+            )
+        };
         assert_eq!(recorder.take().iter().filter(|line| due(line)).count(), 2);
     });
 }
@@ -411,13 +600,22 @@
         agent.tell(&member(0, Health::Draining));
         agent.lapse(Some(Lapse::Half));
         let mut half = Watch::open(address, 1).await;
-        assert!(!half.reads(&["}]}"]).await, "it ends in the middle of a line");
+        assert!(
+            !half.reads(&["}]}"]).await,
+            "it ends in the middle of a line"
+        );
         let mut link = Link::open(address).await.unwrap();
-        link.write(b"GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n").await.unwrap();
+        link.write(b"GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n")
+            .await
+            .unwrap();
         assert!(link.message().await.is_err(), "so does the whole list");
         agent.lapse(Some(Lapse::Spoilt));
         let mut spoilt = Watch::open(address, 1).await;
-        assert!(spoilt.reads(&["nobody", "\"dial\":\"nowhere\"", "draining"]).await);
+        assert!(
+            spoilt
+                .reads(&["nobody", "\"dial\":\"nowhere\"", "draining"])
+                .await
+        );
         agent.lapse(None);
         let mut watch = Watch::open(address, 2).await;
         assert!(watch.reads(&["200 OK"]).await);
@@ -426,7 +624,8 @@
         let mut fresh = Watch::open(address, 2).await;
         assert!(fresh.reads(&["removed"]).await);
         // The other one would have been told by now, and has not ended either.
-        let heard = tokio::time::timeout(Duration::from_millis(60), watch.reads(&["removed"])).await;
+        let heard =
+            tokio::time::timeout(Duration::from_millis(60), watch.reads(&["removed"])).await;
         assert!(heard.is_err(), "it spoke or ended");
     });
 }
@@ -443,13 +642,18 @@
         let call = |add: &str| {
             format!("POST /v1/count/a?add={add}&ttl_ms=4000 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
         };
-        link.write((call("2") + &call("-0.5") + &call("x")).as_bytes()).await.unwrap();
+        link.write((call("2") + &call("-0.5") + &call("x")).as_bytes())
+            .await
+            .unwrap();
         let mut answers = Vec::new();
         for _ in 0..3 {
             let answer = link.message().await.unwrap();
             answers.push((answer.status, String::from_utf8(answer.body).unwrap()));
         }
-        assert_eq!(answers, [(200, "2".into()), (200, "1.5".into()), (400, String::new())]);
+        assert_eq!(
+            answers,
+            [(200, "2".into()), (200, "1.5".into()), (400, String::new())]
+        );
         counter.replace();
         let answer = ask(&mut link, &call("1")).await;
         assert_eq!(answer.body, b"1");
@@ -502,8 +706,19 @@
             open
         });
         let board = Board::new(1);
-        board.set(0, DoorSeen { ready: true, left: None });
-        let kind = Kind { name: "read".into(), effect, memory_ms: 2000.0, give_up_ms };
+        board.set(
+            0,
+            DoorSeen {
+                ready: true,
+                left: None,
+            },
+        );
+        let kind = Kind {
+            name: "read".into(),
+            effect,
+            memory_ms: 2000.0,
+            give_up_ms,
+        };
         let crowd = Crowd {
             seed: 5,
             kinds: vec![kind],
@@ -514,7 +729,16 @@
             credentials: true,
         };
         let clients = Clients::new(crowd, recorder.clone(), Lateness::default());
-        let ask = Ask { at: 0.0, item: 1, customer: 9, plan: 0, class: 0, units: 1.0, spread: 1, first: 0 };
+        let ask = Ask {
+            at: 0.0,
+            item: 1,
+            customer: 9,
+            plan: 0,
+            class: 0,
+            units: 1.0,
+            spread: 1,
+            first: 0,
+        };
         clients.play([ask]).await;
         door.abort();
         recorder.take().into_iter().map(|line| line.entry).collect()
@@ -526,15 +750,33 @@
 const FAILED: &str = "HTTP/1.1 502 X\r\nContent-Length: 0\r\n\r\n";
 
 fn asked(seen: &[Entry]) -> usize {
-    seen.iter().filter(|entry| matches!(entry, Entry::Asked { .. })).count()
+    seen.iter()
+        .filter(|entry| matches!(entry, Entry::Asked { .. }))
+        .count()
 }
 
 #[test]
 fn clients_try_again_as_the_class_allows_and_twice_at_most() {
-    assert_eq!(asked(&client(Effect::Safe, 20_000.0, &[FAILED, REFUSED, SERVED])), 3);
-    assert_eq!(asked(&client(Effect::Safe, 20_000.0, &[REFUSED, REFUSED, REFUSED])), 3);
-    assert_eq!(asked(&client(Effect::Keyed, 20_000.0, &[FAILED, SERVED])), 2);
-    assert_eq!(asked(&client(Effect::Unsafe, 20_000.0, &[REFUSED, SERVED])), 2);
+    assert_eq!(
+        asked(&client(Effect::Safe, 20_000.0, &[FAILED, REFUSED, SERVED])),
+        3
+    );
+    assert_eq!(
+        asked(&client(
+            Effect::Safe,
+            20_000.0,
+            &[REFUSED, REFUSED, REFUSED]
+        )),
+        3
+    );
+    assert_eq!(
+        asked(&client(Effect::Keyed, 20_000.0, &[FAILED, SERVED])),
+        2
+    );
+    assert_eq!(
+        asked(&client(Effect::Unsafe, 20_000.0, &[REFUSED, SERVED])),
+        2
+    );
     assert_eq!(asked(&client(Effect::Unsafe, 20_000.0, &[FAILED])), 1);
 }
 
@@ -548,11 +790,19 @@
     };
     let cut = client(Effect::Unsafe, 20_000.0, &["HTTP/1.1 200 OK\r\nContent-"]);
     assert_eq!(lost(&cut), Some(Lost::Cut));
-    let silent = client(Effect::Unsafe, 200.0, &["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nha"]);
+    let silent = client(
+        Effect::Unsafe,
+        200.0,
+        &["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nha"],
+    );
     assert_eq!(lost(&silent), Some(Lost::Silent));
     let twice: &[&str] = &["HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n"];
     let seen = client(Effect::Safe, 20_000.0, twice);
-    assert!(seen.iter().any(|entry| matches!(entry, Entry::Surplus { .. })), "{seen:?}");
+    assert!(
+        seen.iter()
+            .any(|entry| matches!(entry, Entry::Surplus { .. })),
+        "{seen:?}"
+    );
 }
 
 // ---- Bad clients --------------------------------------------------------------------------------------
@@ -577,7 +827,15 @@
             rude::visit(&recorder, address, rude::Kind::Units, 1, "read", "plan").await;
             door.abort();
             match &recorder.take()[..] {
-                [Line { entry: Entry::Rude { kind, status, neglected }, .. }] => {
+                [Line {
+                    entry:
+                        Entry::Rude {
+                            kind,
+                            status,
+                            neglected,
+                        },
+                    ..
+                }] => {
                     assert_eq!(kind, "Units");
                     (*status, *neglected)
                 }
@@ -585,7 +843,10 @@
             }
         })
     };
-    assert_eq!(left_with(Some("HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n")), (Some(400), false));
+    assert_eq!(
+        left_with(Some("HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n")),
+        (Some(400), false)
+    );
     assert_eq!(left_with(Some("")), (None, false));
     assert_eq!(left_with(Some(SERVED)), (Some(200), false));
     assert_eq!(left_with(None), (None, true));
@@ -595,7 +856,8 @@
 /// from what a usual client sends by what its name tells.
 #[test]
 fn bad_requests_are_what_they_are_called() {
-    let text = |kind: rude::Kind| String::from_utf8_lossy(&kind.text("id-1", "read", "plan")).into_owned();
+    let text =
+        |kind: rude::Kind| String::from_utf8_lossy(&kind.text("id-1", "read", "plan")).into_owned();
     assert!(text(rude::Kind::NegativeLength).contains("Content-Length: -5"));
     let two = text(rude::Kind::TwoFramings);
     assert!(two.contains("Content-Length: 4") && two.contains("Transfer-Encoding: chunked"));
--- a/crates/upstream/src/carry.rs
+++ b/crates/upstream/src/carry.rs
@@ -29,11 +29,18 @@
 ) -> Carried<A> {
     let begun = Instant::now();
     let mut broken = 0;
-    let over = |broken, outcome| Carried { end: Err(outcome), broken };
-    let Some(dial) = pools.dial_address(backend) else { return over(0, Outcome::NotSent) };
+    let over = |broken, outcome| Carried {
+        end: Err(outcome),
+        broken,
+    };
+    let Some(dial) = pools.dial_address(backend) else {
+        return over(0, Outcome::NotSent);
+    };
     loop {
         let pooled = pools.take_idle(backend, care, line);
-        let idle = pooled.as_ref().map(|connection| connection.idle(Instant::now()));
+        let idle = pooled
+            .as_ref()
+            .map(|connection| connection.idle(Instant::now()));
         let mut connection = match pooled {
             Some(connection) => connection,
             None => match pools.fresh(dial).await {
@@ -52,7 +59,11 @@
         connection.wire.begin(body, care != Care::Usual);
         let left = limit - begun.elapsed().as_secs_f64() * 1000.0;
         let sent = match connection.sender.ready().await {
-            Ok(()) => connection.sender.send_request(request(left.max(1.0))).await.ok(),
+            Ok(()) => connection
+                .sender
+                .send_request(request(left.max(1.0)))
+                .await
+                .ok(),
             Err(_) => None,
         };
         if let Some(idle) = idle {
@@ -68,7 +79,10 @@
             if whole {
                 pools.put_back(backend, dial, connection);
             }
-            return Carried { end: Ok(answer), broken };
+            return Carried {
+                end: Ok(answer),
+                broken,
+            };
         }
         broken += 1;
         // A connection from the pool that broke before the request was whole tells little of the backend, and
@@ -77,6 +91,13 @@
             continue;
         }
         // Only what was written whole may have run.
-        return over(broken, if whole { Outcome::Reset } else { Outcome::ConnectFailed });
+        return over(
+            broken,
+            if whole {
+                Outcome::Reset
+            } else {
+                Outcome::ConnectFailed
+            },
+        );
     }
 }
--- a/crates/upstream/src/clock.rs
+++ b/crates/upstream/src/clock.rs
@@ -19,8 +19,13 @@
 impl Clock {
     /// Starts at the system's present time.
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_secs_f64() * 1000.0 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix: unix.as_secs_f64() * 1000.0,
+        }
     }
 
     /// The time now.
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -60,7 +60,10 @@
 
 impl Written {
     fn begin(body: usize) -> Written {
-        Written { body_left: body, ..Written::default() }
+        Written {
+            body_left: body,
+            ..Written::default()
+        }
     }
 
     fn note(&mut self, bytes: &[u8]) {
@@ -127,7 +130,11 @@
         let sleep = proof.get_or_insert_with(|| Box::pin(tokio::time::sleep(PROOF)));
         ready!(sleep.as_mut().poll(cx));
         // The reset may have come with the time; only the system knows yet.
-        Poll::Ready(if self.quiet() { Ok(1) } else { Err(io::ErrorKind::ConnectionReset.into()) })
+        Poll::Ready(if self.quiet() {
+            Ok(1)
+        } else {
+            Err(io::ErrorKind::ConnectionReset.into())
+        })
     }
 
     fn close(&self) {
@@ -139,7 +146,9 @@
     fn quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let socket = self.socket.borrow();
-        let peeked = socket.as_ref().map(|(stream, _)| SockRef::from(stream).peek(&mut byte));
+        let peeked = socket
+            .as_ref()
+            .map(|(stream, _)| SockRef::from(stream).peek(&mut byte));
         matches!(peeked, Some(Err(error)) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
@@ -164,7 +173,11 @@
 struct WireIo(Rc<Wire>);
 
 impl AsyncRead for WireIo {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         match self.0.socket.borrow_mut().as_mut() {
             Some((stream, _)) => Pin::new(stream).poll_read(cx, buf),
             None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
@@ -173,7 +186,11 @@
 }
 
 impl AsyncWrite for WireIo {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let most = ready!(self.0.may_write(cx, buf))?;
         let mut socket = self.0.socket.borrow_mut();
         let Some((stream, _)) = socket.as_mut() else {
@@ -236,13 +253,23 @@
     /// The hold on a further attempt of the same request. Guards against a second answer to the first attempt, which bears the
     /// same id: it can only come where the first attempt went, so no further one goes there.
     pub fn again(&self) -> Line {
-        let earlier = self.earlier.iter().chain(self.carried.borrow().iter()).cloned().collect();
-        Line { earlier: Rc::new(earlier), ..Line::default() }
+        let earlier = self
+            .earlier
+            .iter()
+            .chain(self.carried.borrow().iter())
+            .cloned()
+            .collect();
+        Line {
+            earlier: Rc::new(earlier),
+            ..Line::default()
+        }
     }
 
     /// Whether a connection has carried an earlier attempt of this request.
     fn has_been_on(&self, wire: &Rc<Wire>) -> bool {
-        self.earlier.iter().any(|earlier| std::ptr::eq(earlier.as_ptr(), Rc::as_ptr(wire)))
+        self.earlier
+            .iter()
+            .any(|earlier| std::ptr::eq(earlier.as_ptr(), Rc::as_ptr(wire)))
     }
 
     /// Names the connection that carries the attempt.
@@ -298,7 +325,9 @@
 
 impl Band {
     fn kept(&self, now: Instant) -> f64 {
-        let age = self.at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
+        let age = self
+            .at
+            .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
         (-age / AGES_HALFLIFE.as_secs_f64()).exp2()
     }
 }
@@ -327,8 +356,9 @@
 
     /// Whether connections of this idle age, and of every lower one, hold.
     fn hold(&self, now: Instant, idle: Duration) -> bool {
-        let fails =
-            |band: &Band| band.broken * band.kept(now) >= FAILING && band.broken >= FAILING_PART * band.used;
+        let fails = |band: &Band| {
+            band.broken * band.kept(now) >= FAILING && band.broken >= FAILING_PART * band.used
+        };
         !self.0[..=Self::band(idle)].iter().any(fails)
     }
 }
@@ -355,13 +385,24 @@
 impl Pools {
     /// No backends yet, and at most `budget` connections.
     pub fn new(links: Links, budget: usize) -> Pools {
-        Pools { links, budget, open: Rc::default(), pools: RefCell::default(), ages: RefCell::default() }
+        Pools {
+            links,
+            budget,
+            open: Rc::default(),
+            pools: RefCell::default(),
+            ages: RefCell::default(),
+        }
     }
 
     /// A backend that may be sent to.
     pub fn open(&self, id: BackendId, dial: SocketAddr, born_ms: f64) {
         let mut pools = self.pools.borrow_mut();
-        let pool = pools.entry(id).or_insert_with(|| Pool { dial, born_ms, ready: true, idle: Vec::new() });
+        let pool = pools.entry(id).or_insert_with(|| Pool {
+            dial,
+            born_ms,
+            ready: true,
+            idle: Vec::new(),
+        });
         // What was open to another address or an earlier process leads nowhere.
         if pool.dial != dial || pool.born_ms != born_ms {
             (pool.dial, pool.born_ms) = (dial, born_ms);
@@ -397,7 +438,11 @@
 
     /// Where to dial a backend that may be sent to.
     pub fn dial_address(&self, id: BackendId) -> Option<SocketAddr> {
-        self.pools.borrow().get(&id).filter(|pool| pool.ready).map(|pool| pool.dial)
+        self.pools
+            .borrow()
+            .get(&id)
+            .filter(|pool| pool.ready)
+            .map(|pool| pool.dial)
     }
 
     /// The most recently used connection that is still good, rather one whose last answer is not just over. For what
@@ -413,21 +458,37 @@
         self.take(id, Care::Usual, true, &Line::default())
     }
 
-    fn take(&self, id: BackendId, care: Care, only_settled: bool, line: &Line) -> Option<Connection> {
+    fn take(
+        &self,
+        id: BackendId,
+        care: Care,
+        only_settled: bool,
+        line: &Line,
+    ) -> Option<Connection> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(&id)?;
         let now = Instant::now();
         loop {
             let new_to_it = |c: &Connection| !line.has_been_on(&c.wire);
-            let settled = pool.idle.iter().rposition(|c| c.idle(now) >= SETTLED && new_to_it(c));
-            let any = pool.idle.iter().rposition(new_to_it).filter(|_| !only_settled);
+            let settled = pool
+                .idle
+                .iter()
+                .rposition(|c| c.idle(now) >= SETTLED && new_to_it(c));
+            let any = pool
+                .idle
+                .iter()
+                .rposition(new_to_it)
+                .filter(|_| !only_settled);
             let next = settled.or(any)?;
             let idle = pool.idle[next].idle(now);
             if care == Care::Once && !self.ages.borrow().hold(now, idle) {
                 return None;
             }
             let connection = pool.idle.remove(next);
-            if idle < self.longest_idle() && !connection.sender.is_closed() && connection.wire.quiet() {
+            if idle < self.longest_idle()
+                && !connection.sender.is_closed()
+                && connection.wire.quiet()
+            {
                 return Some(connection);
             }
         }
@@ -437,7 +498,9 @@
     pub fn put_back(&self, id: BackendId, dial: SocketAddr, mut connection: Connection) {
         connection.idle_since = Instant::now();
         let mut pools = self.pools.borrow_mut();
-        let same = pools.get_mut(&id).filter(|pool| pool.ready && pool.dial == dial);
+        let same = pools
+            .get_mut(&id)
+            .filter(|pool| pool.ready && pool.dial == dial);
         if let Some(pool) = same.filter(|_| !connection.sender.is_closed()) {
             pool.idle.push(connection);
         }
@@ -446,7 +509,12 @@
     /// Makes idle connections older, for tests.
     #[doc(hidden)]
     pub fn age(&self, by: Duration) {
-        for connection in self.pools.borrow_mut().values_mut().flat_map(|pool| &mut pool.idle) {
+        for connection in self
+            .pools
+            .borrow_mut()
+            .values_mut()
+            .flat_map(|pool| &mut pool.idle)
+        {
             connection.idle_since -= by;
         }
     }
@@ -476,7 +544,8 @@
             tokio::time::sleep(TIDY).await;
             let longest = self.longest_idle();
             for pool in self.pools.borrow_mut().values_mut() {
-                pool.idle.retain(|c| !c.sender.is_closed() && c.idle_since.elapsed() < longest);
+                pool.idle
+                    .retain(|c| !c.sender.is_closed() && c.idle_since.elapsed() < longest);
             }
         }
     }
@@ -486,8 +555,11 @@
         if self.open.get() >= self.budget && !self.close_oldest() {
             return Err(NoConnection::Own);
         }
-        let limit = Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
-        tokio::time::timeout(limit, self.dial(dial)).await.unwrap_or(Err(NoConnection::Theirs))
+        let limit =
+            Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
+        tokio::time::timeout(limit, self.dial(dial))
+            .await
+            .unwrap_or(Err(NoConnection::Theirs))
     }
 
     async fn dial(&self, address: SocketAddr) -> Result<Connection, NoConnection> {
@@ -510,7 +582,12 @@
             let _ = connection.await;
             closing.close();
         });
-        Ok(Connection { sender, wire, task: task.abort_handle(), idle_since: Instant::now() })
+        Ok(Connection {
+            sender,
+            wire,
+            task: task.abort_handle(),
+            idle_since: Instant::now(),
+        })
     }
 }
 
@@ -527,10 +604,9 @@
     fn from(error: io::Error) -> NoConnection {
         use io::ErrorKind::*;
         match error.kind() {
-            ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut | HostUnreachable
-            | NetworkUnreachable | BrokenPipe | NotConnected | UnexpectedEof | InvalidInput => {
-                NoConnection::Theirs
-            }
+            ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut
+            | HostUnreachable | NetworkUnreachable | BrokenPipe | NotConnected | UnexpectedEof
+            | InvalidInput => NoConnection::Theirs,
             _ => NoConnection::Own,
         }
     }
@@ -582,12 +658,18 @@
             ages.learn(start, old, true);
             ages.learn(start, old, false);
         }
-        assert_eq!([young, old, older].map(|age| ages.hold(start, age)), [true, false, false]);
+        assert_eq!(
+            [young, old, older].map(|age| ages.hold(start, age)),
+            [true, false, false]
+        );
         let later = start + Duration::from_secs(8);
         for _ in 0..10 {
             ages.learn(later, old, false);
         }
-        assert_eq!([young, old, older].map(|age| ages.hold(later, age)), [true; 3]);
+        assert_eq!(
+            [young, old, older].map(|age| ages.hold(later, age)),
+            [true; 3]
+        );
         // Silence too lets them be tried again.
         assert!(ages.hold(start + Duration::from_secs(60), older));
     }
