--- a/benches/benches/items.rs
+++ b/benches/benches/items.rs
@@ -3,9 +3,11 @@
 use bytes::BytesMut;
 use criterion::{BatchSize, Criterion, Throughput};
 use maplefall_benches::made::{self, Size};
-use maplefall_control_messages::{read, write, Alive, Frame, Plans, Seen, Words};
-use maplefall_gateway_config::{read_call, Board, Change, Plan};
-use maplefall_service_registry::Directory;
+use maplefall_control_messages::{
+    decode_frame, encode_frame, ConfigUpdate, Frame, Heartbeat, Heartbeats, InstanceUpdates,
+};
+use maplefall_gateway_config::{parse_amend, Change, ConfigState, RouteTable};
+use maplefall_service_registry::Registry;
 use std::hint::black_box;
 use std::time::Duration;
 
@@ -18,29 +20,29 @@
 fn frames(c: &mut Criterion) {
     let words = |n: usize| {
         let words = (0..n).map(|n| made::word(n, 120, 1)).collect();
-        Frame::Words(Words {
-            words,
-            all: false,
-            receipt: 0,
+        Frame::InstanceUpdates(InstanceUpdates {
+            records: words,
+            complete: false,
+            ack_number: 0,
         })
     };
     let plans = || {
         let items = made::items(SMALL);
-        Frame::Plans(Plans {
+        Frame::ConfigUpdate(ConfigUpdate {
             after: 0,
             index: 9,
             items,
-            ..Plans::default()
+            ..ConfigUpdate::default()
         })
     };
     let alive = || {
         let seen = (0..1000)
-            .map(|n| Seen {
+            .map(|n| Heartbeat {
                 id: made::backend(n),
                 seq: 1000,
             })
             .collect();
-        Frame::Alive(Alive { seen })
+        Frame::Heartbeats(Heartbeats { heartbeats: seen })
     };
     let mut group = c.benchmark_group("frames");
     for (name, frame, items) in [
@@ -51,11 +53,11 @@
         ("ping", Frame::Ping(1), 1),
     ] {
         group.throughput(Throughput::Elements(items));
-        let bytes = write(frame.clone());
+        let bytes = encode_frame(frame.clone());
         group.bench_function(format!("{name}/write"), |b| {
             b.iter_batched(
                 || frame.clone(),
-                |frame| black_box(write(frame)),
+                |frame| black_box(encode_frame(frame)),
                 BatchSize::LargeInput,
             );
         });
@@ -63,7 +65,7 @@
             let come = || BytesMut::from(bytes.as_ref());
             b.iter_batched(
                 come,
-                |mut come| black_box(read(&mut come).is_ok()),
+                |mut come| black_box(decode_frame(&mut come).is_ok()),
                 BatchSize::LargeInput,
             );
         });
@@ -74,8 +76,8 @@
 fn directory(c: &mut Criterion) {
     let mut group = c.benchmark_group("directory");
     for size in [1000, 10_000, 40_000] {
-        let mut directory = Directory::default();
-        (0..size).for_each(|n| drop(directory.hear(0.0, made::word(n, 8900, 1))));
+        let mut directory = Registry::default();
+        (0..size).for_each(|n| drop(directory.apply(0.0, made::word(n, 8900, 1))));
         let (mut n, mut seq) = (0, 1);
         group.bench_function(format!("beat/{size}"), |b| {
             b.iter_batched(
@@ -84,12 +86,12 @@
                     seq += 1;
                     made::word(n, 8900, seq)
                 },
-                |word| directory.hear(1.0, word),
+                |word| directory.apply(1.0, word),
                 BatchSize::SmallInput,
             );
         });
         group.bench_function(format!("overdue/{size}"), |b| {
-            b.iter(|| black_box(directory.overdue(1.0, 6000.0)));
+            b.iter(|| black_box(directory.expire(1.0, 6000.0)));
         });
     }
     group.finish();
@@ -98,19 +100,21 @@
 fn numbering(c: &mut Criterion) {
     let mut group = c.benchmark_group("numbering");
     let items = made::items(SMALL);
-    let board = Board::of(items.clone());
-    let one = read_call(made::call(0..1, 0..0, 0..0, 120, 8).as_bytes());
+    let board = ConfigState::from_items(items.clone());
+    let one = parse_amend(made::call(0..1, 0..0, 0..0, 120, 8).as_bytes());
     let one: Change = one.unwrap_or_default();
     group.bench_function("check_one/1000+1000", |b| {
         b.iter(|| black_box(board.check(&one).is_ok()))
     });
-    group.bench_function("plan/1000+1000", |b| b.iter(|| black_box(Plan::of(&board))));
+    group.bench_function("plan/1000+1000", |b| {
+        b.iter(|| black_box(RouteTable::from_items(&board)))
+    });
     group.bench_function("read_back/1000+1000", |b| {
         b.iter(|| black_box(board.read_back()))
     });
     let body = made::call(0..1, 0..0, 0..0, 120, 8);
     group.bench_function("read_call/1", |b| {
-        b.iter(|| black_box(read_call(body.as_bytes()).is_ok()))
+        b.iter(|| black_box(parse_amend(body.as_bytes()).is_ok()))
     });
     group.finish();
 }
--- a/benches/examples/hollow.rs
+++ b/benches/examples/hollow.rs
@@ -8,9 +8,9 @@
 use maplefall_benches::group::{Done, Flow, Group};
 use maplefall_benches::made::{self, Size};
 use maplefall_benches::measure::{cpu, status};
-use maplefall_control_messages::{read, Frame, Words};
+use maplefall_control_messages::{decode_frame, Frame, InstanceUpdates};
 use maplefall_proxy::{Core as Door, Output as DoorOutput};
-use maplefall_service_registry::Word;
+use maplefall_service_registry::InstanceRecord;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -131,15 +131,15 @@
             let (now, before) = (self.group.now, cpu());
             let mut out = Vec::new();
             let mut what = "other";
-            if let Ok(Some(frame)) = read(&mut BytesMut::from(bytes.as_ref())) {
+            if let Ok(Some(frame)) = decode_frame(&mut BytesMut::from(bytes.as_ref())) {
                 what = match frame {
-                    Frame::Words(_) => "words",
-                    Frame::Plans(_) => "plans",
-                    Frame::Lent(_) => "lent",
-                    Frame::Ping(_) | Frame::Echo(_) => "liveness",
+                    Frame::InstanceUpdates(_) => "words",
+                    Frame::ConfigUpdate(_) => "plans",
+                    Frame::LeaseGrant(_) => "lent",
+                    Frame::Ping(_) | Frame::Pong(_) => "liveness",
                     _ => "other",
                 };
-                self.door.heard(now, &ip, frame, &mut out);
+                self.door.receive(now, &ip, frame, &mut out);
             }
             self.door_cpu += cpu() - before;
             let flow = self.door_frames.entry(what).or_default();
@@ -151,7 +151,7 @@
 
     fn say(&mut self, out: Vec<DoorOutput>) {
         for output in out {
-            if let DoorOutput::Say(ip, Frame::Report(report)) = output {
+            if let DoorOutput::SendToController(ip, Frame::LeaseRequest(report)) = output {
                 if let Some(at) = self.group.ips.iter().position(|known| *known == ip) {
                     self.group.report(0, at, report);
                 }
@@ -254,7 +254,7 @@
     let ips = run.group.ips.clone();
     let mut out = Vec::new();
     for ip in &ips {
-        run.door.exchange_up(run.group.now, ip, &mut out);
+        run.door.controller_connected(run.group.now, ip, &mut out);
     }
     run.say(out);
     run.listen();
@@ -273,16 +273,16 @@
     let ip = run.group.ips[1].clone();
     for from in (0..run.line.backends).step_by(AT_ONCE) {
         let to = (from + AT_ONCE).min(run.line.backends);
-        let words: Vec<Word> = (from..to).map(|n| made::word(n, services, 1)).collect();
+        let words: Vec<InstanceRecord> = (from..to).map(|n| made::word(n, services, 1)).collect();
         for at in 0..run.group.cores.len() {
-            let words = Words {
-                words: words.clone(),
-                all: false,
-                receipt: 0,
+            let words = InstanceUpdates {
+                records: words.clone(),
+                complete: false,
+                ack_number: 0,
             };
             let ip = ip.clone();
             run.group.drive(at, "words", |core, now, out| {
-                core.peer(now, &ip, Frame::Words(words), out)
+                core.receive_from_peer(now, &ip, Frame::InstanceUpdates(words), out)
             });
         }
         run.group.pump();
--- a/benches/examples/slopes.rs
+++ b/benches/examples/slopes.rs
@@ -8,15 +8,19 @@
 use maplefall_benches::group::Group;
 use maplefall_benches::made::{self, Size};
 use maplefall_benches::measure::{each, status, took};
-use maplefall_control_messages::{read, write, Frame, Hello, Plans, Words, VERSION};
-use maplefall_controller::disk::Folder;
-use maplefall_controller::store::{Error, Store, Stored};
-use maplefall_gateway_config::{read_call, Board, Change, Plan};
+use maplefall_control_messages::{
+    decode_frame, encode_frame, ConfigUpdate, Frame, Hello, InstanceUpdates, PROTOCOL_VERSION,
+};
+use maplefall_controller::disk::Directory;
+use maplefall_controller::store::{Error, Store, StoreRecord};
+use maplefall_gateway_config::{parse_amend, Change, ConfigState, RouteTable};
 use maplefall_policy::Outcome;
-use maplefall_proxy::{Arrival, Core as Door, Ended, Output as DoorOutput};
-use maplefall_quota_lease::{Caller, Demand, Lender, Lent, Loan, Purse, Report, WHOLE};
-use maplefall_raft::{Entry, EntryKind, Record};
-use maplefall_service_registry::Directory;
+use maplefall_proxy::{AttemptEnd, Core as Door, IncomingRequest, Output as DoorOutput};
+use maplefall_quota_lease::{
+    ClientId, Demand, Lease, LeaseClient, LeaseGrant, LeaseRequest, LeaseServer, WHOLE_QUOTA_PPM,
+};
+use maplefall_raft::{Entry, EntryKind, PersistentUpdate};
+use maplefall_service_registry::Registry;
 use prost::Message;
 use socket2::{Domain, Socket, Type};
 use std::hint::black_box;
@@ -179,23 +183,23 @@
         let n = size.routes + size.tenants + size.services;
         let items = made::items(size);
         let encoded: usize = items.iter().map(Message::encoded_len).sum();
-        let board = Board::of(items);
+        let board = ConfigState::from_items(items);
         // What a copy of it holds, since the items were there before.
         let (copy, kept) = took(|| board.clone());
         drop(copy);
-        let (plan, planned) = took(|| Plan::of(&board));
+        let (plan, planned) = took(|| RouteTable::from_items(&board));
         let one = match size.tenants {
             0 => made::call(0..1, 0..0, 0..0, size.services, 8),
             _ => made::call(0..0, 0..1, 0..0, 0, 8),
         };
-        let one: Change = read_call(one.as_bytes()).unwrap_or_default();
+        let one: Change = parse_amend(one.as_bytes()).unwrap_or_default();
         let cloned = each(0.5, || drop(black_box(board.clone())));
         let check = each(0.5, || {
             black_box(board.check(&one).is_ok());
         });
         let text = board.read_back();
         let read_back = each(0.5, || drop(black_box(board.read_back())));
-        let planning = each(0.5, || drop(black_box(Plan::of(&board))));
+        let planning = each(0.5, || drop(black_box(RouteTable::from_items(&board))));
         let (hosts, keys): (Vec<_>, Vec<_>) = (0..1000)
             .map(|k| (made::place(k * 77), made::key(k)))
             .unzip();
@@ -231,28 +235,31 @@
     for &n in sizes {
         let words: Vec<_> = (0..n).map(|n| made::word(n, 8900, 1)).collect();
         let encoded: usize = words.iter().map(Message::encoded_len).sum();
-        let mut directory = Directory::default();
+        let mut directory = Registry::default();
         let (_, new) = took(|| {
             words
                 .into_iter()
-                .for_each(|word| drop(directory.hear(0.0, word)))
+                .for_each(|word| drop(directory.apply(0.0, word)))
         });
         let again: Vec<_> = (0..n).map(|n| made::word(n, 8900, 2)).collect();
         let (_, beat) = took(|| {
             again
                 .into_iter()
-                .for_each(|word| drop(directory.hear(1.0, word)))
+                .for_each(|word| drop(directory.apply(1.0, word)))
         });
         let ids: Vec<_> = (0..n).map(made::backend).collect();
-        let (_, seen) = took(|| ids.iter().for_each(|id| drop(directory.seen(2.0, id, 3))));
-        let overdue = each(0.3, || drop(black_box(directory.overdue(3.0, 6000.0))));
-        let words = each(0.3, || drop(black_box(directory.words(3.0))));
-        let all = Frame::Words(Words {
-            words: directory.words(3.0),
-            all: true,
-            receipt: 0,
+        let (_, seen) = took(|| {
+            ids.iter()
+                .for_each(|id| drop(directory.refresh(2.0, id, 3)))
         });
-        let whole = each(0.3, || drop(black_box(write(all.clone()))));
+        let overdue = each(0.3, || drop(black_box(directory.expire(3.0, 6000.0))));
+        let words = each(0.3, || drop(black_box(directory.records(3.0))));
+        let all = Frame::InstanceUpdates(InstanceUpdates {
+            records: directory.records(3.0),
+            complete: true,
+            ack_number: 0,
+        });
+        let whole = each(0.3, || drop(black_box(encode_frame(all.clone()))));
         let per = |x: f64| 1e9 * x / n as f64;
         println!(
             "directory backends={n} wire_bytes={:.0} bytes={:.0} new_ns={:.0} beat_ns={:.0} seen_ns={:.0} overdue_us={:.0} words_us={:.0} whole_frame_us={:.0} whole_frame_bytes={}",
@@ -264,19 +271,19 @@
             us(overdue),
             us(words),
             us(whole),
-            write(all).len(),
+            encode_frame(all).len(),
         );
     }
     // A directory holds so many at most: what comes beyond takes the place of another.
-    let mut directory = Directory::default();
+    let mut directory = Registry::default();
     let mut n = 0;
     while directory.len() == n && n < 200_000 {
-        drop(directory.hear(0.0, made::word(n, 8900, 1)));
+        drop(directory.apply(0.0, made::word(n, 8900, 1)));
         n += 1;
     }
     let most = directory.len();
     let (_, took) =
-        took(|| (n..n + beyond).for_each(|n| drop(directory.hear(0.0, made::word(n, 8900, 1)))));
+        took(|| (n..n + beyond).for_each(|n| drop(directory.apply(0.0, made::word(n, 8900, 1)))));
     println!(
         "directory holds={most} of={} each_beyond_us={:.0}",
         n + beyond,
@@ -289,22 +296,22 @@
 /// The life of the lender.
 const LENDER: u32 = 3;
 
-fn report(number: u64, confirmed: u64, door: usize, asked: usize, tenants: usize) -> Report {
+fn report(number: u64, confirmed: u64, door: usize, asked: usize, tenants: usize) -> LeaseRequest {
     let demand = |n: usize| Demand {
         tenant: made::tenant((door * 7 + n) % tenants.max(1)),
-        rate: 2000,
-        short: false,
+        milli_rps: 2000,
+        starved: false,
     };
     let demand = (0..asked.min(tenants)).map(demand).collect();
     let first = number == 1;
     let lender = if first { 0 } else { LENDER };
-    Report {
-        number,
-        confirmed,
-        first,
+    LeaseRequest {
+        sequence: number,
+        acknowledged: confirmed,
+        full: first,
         demand,
-        lender,
-        ..Report::default()
+        server_incarnation: lender,
+        ..LeaseRequest::default()
     }
 }
 
@@ -318,16 +325,17 @@
                 continue;
             }
             let nodes: Vec<String> = (0..d).map(|n| format!("edge-zone-{}-{n}", n % 8)).collect();
-            let caller = |n: usize| Caller {
+            let caller = |n: usize| ClientId {
                 name: &nodes[n],
-                life: 1,
-                conn: 1,
+                incarnation: 1,
+                connection: 1,
             };
-            let mut lender = Lender::new(0.0, LENDER, WHOLE / 3, Some(Default::default()));
+            let mut lender =
+                LeaseServer::new(0.0, LENDER, WHOLE_QUOTA_PPM / 3, Some(Default::default()));
             // All doors are there before the first hears of a tenant.
             let none = || std::iter::empty::<&str>();
             for n in 0..d {
-                lender.report(0.0, caller(n), &report(1, 0, n, asked, t), none());
+                lender.handle_request(0.0, caller(n), &report(1, 0, n, asked, t), none());
             }
             let mut numbers = vec![0; d];
             let some = d.min(5);
@@ -335,10 +343,10 @@
             let (_, cold) = took(|| {
                 for (n, number) in numbers.iter_mut().enumerate().take(some) {
                     for (_, lent) in
-                        lender.report(500.0, caller(n), &report(2, 0, n, asked, t), all())
+                        lender.handle_request(500.0, caller(n), &report(2, 0, n, asked, t), all())
                     {
-                        bytes += write(Frame::Lent(lent.clone())).len();
-                        *number = lent.number;
+                        bytes += encode_frame(Frame::LeaseGrant(lent.clone())).len();
+                        *number = lent.sequence;
                     }
                 }
             });
@@ -348,10 +356,10 @@
                 round += 1;
                 for (n, number) in numbers.iter_mut().enumerate().take(some) {
                     let report = report(round, *number, n, asked, t);
-                    for (to, lent) in lender.report(1000.0, caller(n), &report, all()) {
-                        calm_bytes = write(Frame::Lent(lent.clone())).len();
+                    for (to, lent) in lender.handle_request(1000.0, caller(n), &report, all()) {
+                        calm_bytes = encode_frame(Frame::LeaseGrant(lent.clone())).len();
                         if to == nodes[n] {
-                            *number = lent.number;
+                            *number = lent.sequence;
                         }
                     }
                 }
@@ -363,31 +371,31 @@
                 bytes as f64 / (some * t) as f64,
                 cold.held as f64 / (some * t) as f64,
                 us(calm),
-                write(Frame::Report(report(9, 9, 0, asked, t))).len(),
+                encode_frame(Frame::LeaseRequest(report(9, 9, 0, asked, t))).len(),
             );
         }
-        let mut purse = Purse::new(1);
+        let mut purse = LeaseClient::new(1);
         let (_, held) = took(|| {
             for lender in ["10.0.0.1", "10.0.0.2", "10.0.0.3"] {
                 purse.connected(lender);
-                purse.report(0.0, lender, Vec::new());
+                purse.next_request(0.0, lender, Vec::new());
                 let loans = names
                     .iter()
-                    .map(|tenant| Loan {
+                    .map(|tenant| Lease {
                         tenant: tenant.clone(),
-                        parts: 9,
+                        ppm: 9,
                     })
                     .collect();
-                purse.lent(
+                purse.handle_grant(
                     0.0,
                     lender,
-                    &Lent {
-                        number: 1,
-                        report: 1,
-                        loans,
-                        doors: 1,
-                        life: 1,
-                        lender: 1,
+                    &LeaseGrant {
+                        sequence: 1,
+                        request: 1,
+                        leases: loans,
+                        client_count: 1,
+                        client_incarnation: 1,
+                        server_incarnation: 1,
                     },
                 );
             }
@@ -405,13 +413,13 @@
     let settings = made::settings("edge", "10.1.0.1", &["10.0.0.1".to_owned()]);
     let mut door = Door::new(&settings, 9);
     let items = made::items(size);
-    let plans = Plans {
+    let plans = ConfigUpdate {
         after: 0,
         index: 9,
         items,
-        ..Plans::default()
+        ..ConfigUpdate::default()
     };
-    door.heard(0.0, "10.0.0.1", Frame::Plans(plans), out);
+    door.receive(0.0, "10.0.0.1", Frame::ConfigUpdate(plans), out);
     door
 }
 
@@ -435,21 +443,23 @@
             let mut door = new_door(size, &mut out);
             out.clear();
             let words = (0..b).map(|k| made::word(k, n, 1)).collect();
-            let frame = Frame::Words(Words {
-                words,
-                all: false,
-                receipt: 0,
+            let frame = Frame::InstanceUpdates(InstanceUpdates {
+                records: words,
+                complete: false,
+                ack_number: 0,
             });
             let (_, told) = took(|| {
-                door.heard(0.0, "10.0.0.1", frame, &mut out);
+                door.receive(0.0, "10.0.0.1", frame, &mut out);
                 out.clear();
             });
-            let again = Frame::Words(Words {
-                words: vec![made::word(0, n, 1)],
-                all: false,
-                receipt: 0,
+            let again = Frame::InstanceUpdates(InstanceUpdates {
+                records: vec![made::word(0, n, 1)],
+                complete: false,
+                ack_number: 0,
+            });
+            let word = each(0.1, || {
+                door.receive(1.0, "10.0.0.1", again.clone(), &mut out)
             });
-            let word = each(0.1, || door.heard(1.0, "10.0.0.1", again.clone(), &mut out));
             let mut now = 10.0;
             let mut which = 0;
             let mut served = 0_u64;
@@ -457,16 +467,16 @@
                 now += 1.0;
                 which = (which + 7919) % size.routes;
                 let (host, path) = made::place(which);
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     host: &host,
                     path: &path,
-                    key: None,
+                    api_key: None,
                     remaining: Some(1000.0),
-                    at: now,
-                    again: false,
+                    received_at: now,
+                    is_retry: false,
                 };
                 let mut done = Vec::new();
-                if door.arrive(now, &arrival, &mut done).is_ok() {
+                if door.admit(now, &arrival, &mut done).is_ok() {
                     served += 1;
                 }
                 for output in done {
@@ -474,17 +484,17 @@
                         request, attempt, ..
                     } = output
                     {
-                        let ended = Ended {
+                        let ended = AttemptEnd {
                             outcome: Outcome::Ok,
-                            broken: 0,
-                            stranger: false,
+                            broken_connections: 0,
+                            wrong_instance: false,
                         };
                         let mut over = Vec::new();
-                        door.ended(now + 5.0, request, attempt, ended, &mut over);
+                        door.attempt_ended(now + 5.0, request, attempt, ended, &mut over);
                     }
                 }
                 let _ = door.next_due();
-                door.fire(now, &mut Vec::new());
+                door.run_timers(now, &mut Vec::new());
             });
             let tick = each(0.1, || {
                 now += 500.0;
@@ -509,32 +519,33 @@
         let (mut door, planned) = took(|| new_door(size, &mut out));
         out.clear();
         let words = (0..1000).map(|k| made::word(k, 100, 1)).collect();
-        door.heard(
+        door.receive(
             0.0,
             "10.0.0.1",
-            Frame::Words(Words {
-                words,
-                all: false,
-                receipt: 0,
+            Frame::InstanceUpdates(InstanceUpdates {
+                records: words,
+                complete: false,
+                ack_number: 0,
             }),
             &mut Vec::new(),
         );
-        door.exchange_up(1.0, "10.0.0.1", &mut out);
+        door.controller_connected(1.0, "10.0.0.1", &mut out);
         let loans = (0..t)
-            .map(|n| Loan {
+            .map(|n| Lease {
                 tenant: made::tenant(n),
-                parts: WHOLE,
+                ppm: WHOLE_QUOTA_PPM,
             })
             .collect();
-        let lent = Lent {
-            number: 1,
-            report: 1,
-            loans,
-            doors: 1,
-            life: 9,
-            lender: 1,
+        let lent = LeaseGrant {
+            sequence: 1,
+            request: 1,
+            leases: loans,
+            client_count: 1,
+            client_incarnation: 9,
+            server_incarnation: 1,
         };
-        let (_, lent) = took(|| door.heard(2.0, "10.0.0.1", Frame::Lent(lent), &mut Vec::new()));
+        let (_, lent) =
+            took(|| door.receive(2.0, "10.0.0.1", Frame::LeaseGrant(lent), &mut Vec::new()));
         let mut now = 10.0;
         let (mut who, mut served) = (0, 0_u64);
         let request = each(0.5, || {
@@ -542,16 +553,16 @@
             who = (who + 7919) % t;
             let (host, path) = made::place(who % 900);
             let key = made::key(who);
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 host: &host,
                 path: &path,
-                key: Some(&key),
+                api_key: Some(&key),
                 remaining: Some(1000.0),
-                at: now,
-                again: false,
+                received_at: now,
+                is_retry: false,
             };
             let mut done = Vec::new();
-            if door.arrive(now, &arrival, &mut done).is_ok() {
+            if door.admit(now, &arrival, &mut done).is_ok() {
                 served += 1;
             }
             for output in done {
@@ -559,37 +570,37 @@
                     request, attempt, ..
                 } = output
                 {
-                    let ended = Ended {
+                    let ended = AttemptEnd {
                         outcome: Outcome::Ok,
-                        broken: 0,
-                        stranger: false,
+                        broken_connections: 0,
+                        wrong_instance: false,
                     };
                     let mut over = Vec::new();
-                    door.ended(now + 5.0, request, attempt, ended, &mut over);
+                    door.attempt_ended(now + 5.0, request, attempt, ended, &mut over);
                 }
             }
             let _ = door.next_due();
-            door.fire(now, &mut Vec::new());
+            door.run_timers(now, &mut Vec::new());
         });
         let tick = each(0.3, || {
             now += 500.0;
             door.tick(now, &mut Vec::new());
         });
-        let one = read_call(made::call(0..0, 0..1, 0..0, 0, 8).as_bytes()).unwrap_or_default();
+        let one = parse_amend(made::call(0..0, 0..1, 0..0, 0, 8).as_bytes()).unwrap_or_default();
         let mut index = 9;
         let one_change = each(0.3, || {
             index += 1;
-            let change = maplefall_control_messages::Numbered {
+            let change = maplefall_control_messages::IndexedChange {
                 index,
                 change: Some(one.clone()),
             };
-            let plans = Plans {
+            let plans = ConfigUpdate {
                 after: index - 1,
                 index,
                 changes: vec![change],
-                ..Plans::default()
+                ..ConfigUpdate::default()
             };
-            door.heard(now, "10.0.0.1", Frame::Plans(plans), &mut Vec::new());
+            door.receive(now, "10.0.0.1", Frame::ConfigUpdate(plans), &mut Vec::new());
         });
         println!(
             "door tenants={t} held_bytes_tenant={:.0} loans_bytes_tenant={:.0} request_us={:.2} served={served} tick_us={:.0} tick_ns_tenant={:.0} change_us={:.0} change_ns_tenant={:.0}",
@@ -769,14 +780,14 @@
         let ip = format!("127.1.{}.{}", n / 250, 1 + n % 250);
         let mut door = dial(&ip, inner)?;
         let hello = Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             ip,
             node: format!("edge-{n}"),
-            life: 1 + n as u64,
-            exchange: false,
-            index: 0,
+            incarnation: 1 + n as u64,
+            is_controller: false,
+            config_index: 0,
         };
-        door.write_all(&write(Frame::Hello(hello)))?;
+        door.write_all(&encode_frame(Frame::Hello(hello)))?;
         door.set_nonblocking(true)?;
         there.push(door);
     }
@@ -790,9 +801,9 @@
                 bytes += many;
                 heard.extend_from_slice(&buffer[..many]);
             }
-            while let Ok(Some(frame)) = read(heard) {
+            while let Ok(Some(frame)) = decode_frame(heard) {
                 if let Frame::Ping(number) = frame {
-                    let _ = door.write_all(&write(Frame::Echo(number)));
+                    let _ = door.write_all(&encode_frame(Frame::Pong(number)));
                 }
             }
         }
@@ -870,44 +881,44 @@
 }
 
 /// Writes records, and takes one step of what can wait, as the exchange's thread does.
-fn put(store: &mut Store<Folder>, records: Vec<Stored>) -> Result<(), Error> {
+fn put(store: &mut Store<Directory>, records: Vec<StoreRecord>) -> Result<(), Error> {
     store.write(records)?;
-    if store.busy() {
+    if store.has_background_work() {
         store.step()?;
     }
     Ok(())
 }
 
 fn disk(entries: &[usize]) {
-    let change = read_call(made::call(0..1, 0..0, 0..0, 1, 8).as_bytes()).unwrap_or_default();
+    let change = parse_amend(made::call(0..1, 0..0, 0..0, 1, 8).as_bytes()).unwrap_or_default();
     let payload = change.encode_to_vec();
     for &n in entries {
         let path = folder("log");
-        let Ok((mut store, _)) = Store::open(Folder::new(&path)) else {
+        let Ok((mut store, _)) = Store::open(Directory::new(&path)) else {
             println!("disk error=open");
             return;
         };
         let (wrote, mut number) = (written(), 0);
         let mut logical = 0;
         for _ in 0..n.div_ceil(100) {
-            let records: Vec<Stored> = (0..100.min(n))
+            let records: Vec<StoreRecord> = (0..100.min(n))
                 .map(|_| {
                     number += 1;
                     let entry = Entry {
                         index: number,
                         term: 1,
-                        kind: EntryKind::Change.into(),
+                        kind: EntryKind::Command.into(),
                         payload: payload.clone(),
                         ..Entry::default()
                     };
-                    let record = Record {
+                    let record = PersistentUpdate {
                         entries: vec![entry],
-                        ..Record::default()
+                        ..PersistentUpdate::default()
                     };
-                    Stored {
+                    StoreRecord {
                         number,
-                        tandem: Some(record),
-                        ..Stored::default()
+                        raft: Some(record),
+                        ..StoreRecord::default()
                     }
                 })
                 .collect();
@@ -922,8 +933,8 @@
         let on_disk = size_of(&path);
         let before = Instant::now();
         let (found, took) = took(|| {
-            Store::open(Folder::new(&path))
-                .map(|(_, kept)| kept.tandem.log.len())
+            Store::open(Directory::new(&path))
+                .map(|(_, kept)| kept.raft.log.len())
                 .unwrap_or(0)
         });
         println!(
@@ -939,15 +950,15 @@
     // With so many backends known, what is written for each further word: the whole state again and again.
     for known in [1000, 10_000, 50_000] {
         let path = folder("words");
-        let Ok((mut store, _)) = Store::open(Folder::new(&path)) else {
+        let Ok((mut store, _)) = Store::open(Directory::new(&path)) else {
             return;
         };
-        let stored = |number: u64, from: usize, many: usize, seq: u64| Stored {
+        let stored = |number: u64, from: usize, many: usize, seq: u64| StoreRecord {
             number,
-            words: (from..from + many)
+            instances: (from..from + many)
                 .map(|n| made::word(n, 8900, seq))
                 .collect(),
-            ..Stored::default()
+            ..StoreRecord::default()
         };
         let mut good = true;
         for at in 0..known / 1000 {
--- a/benches/src/group.rs
+++ b/benches/src/group.rs
@@ -4,10 +4,10 @@
 use crate::made;
 use crate::measure::cpu;
 use bytes::{Bytes, BytesMut};
-use maplefall_control_messages::{read, Frame, Hello, VERSION};
-use maplefall_controller::store::Kept;
-use maplefall_controller::{Answer, Call, Core, Output};
-use maplefall_quota_lease::{Demand, Purse, Report};
+use maplefall_control_messages::{decode_frame, Frame, Hello, PROTOCOL_VERSION};
+use maplefall_controller::store::StoredState;
+use maplefall_controller::{Call, CallResponse, Core, Output};
+use maplefall_quota_lease::{Demand, LeaseClient, LeaseRequest};
 use prost::Message;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -75,7 +75,7 @@
     /// Number of its connection, the same at every exchange.
     conn: u64,
     /// What it holds, as a real door does.
-    purse: Purse,
+    purse: LeaseClient,
     /// For each exchange: whether the next report is the first on this connection, which asks for nothing yet.
     first: Vec<bool>,
 }
@@ -99,7 +99,7 @@
     doors: Vec<Hollow>,
     mail: VecDeque<(usize, usize, Bytes)>,
     /// Reports that confirm what was taken back: door, exchange.
-    confirms: VecDeque<(usize, usize, Report)>,
+    confirms: VecDeque<(usize, usize, LeaseRequest)>,
     writes: Vec<VecDeque<u64>>,
     calls: u64,
 }
@@ -129,7 +129,7 @@
                 &settings,
                 0.0,
                 7 + n as u64,
-                Kept::default(),
+                StoredState::default(),
                 &mut out,
             ));
             group.carry(n, out);
@@ -137,7 +137,9 @@
         for at in 0..exchanges {
             for other in (0..exchanges).filter(|other| *other != at) {
                 let ip = group.ips[other].clone();
-                group.drive(at, "connect", |core, now, out| core.peer_up(now, &ip, out));
+                group.drive(at, "connect", |core, now, out| {
+                    core.peer_connected(now, &ip, out)
+                });
             }
         }
         group.pump();
@@ -176,26 +178,26 @@
                     done.disk.add(stored.encoded_len());
                     self.writes[at].push_back(number);
                 }
-                Output::Peer(ip, bytes) => {
+                Output::SendToPeer(ip, bytes) => {
                     if let Some(to) = self.ips.iter().position(|known| *known == ip) {
                         done.peers.entry(kind(&bytes)).or_default().add(bytes.len());
                         self.mail.push_back((at, to, bytes));
                     }
                 }
-                Output::Peers(bytes) => {
+                Output::SendToAllPeers(bytes) => {
                     for to in (0..self.ips.len()).filter(|to| *to != at) {
                         done.peers.entry(kind(&bytes)).or_default().add(bytes.len());
                         self.mail.push_back((at, to, bytes.clone()));
                     }
                 }
-                Output::Door(conn, bytes) => {
+                Output::SendToProxy(conn, bytes) => {
                     let what = kind(&bytes);
                     done.doors.entry(what).or_default().add(bytes.len());
                     self.told(at, (conn % CONNECTIONS) as usize, what, bytes);
                 }
-                Output::Answer(_, answer) => {
+                Output::Respond(_, answer) => {
                     done.answers.0 += 1;
-                    done.answers.1 += u64::from(matches!(answer, Answer::Done(_)));
+                    done.answers.1 += u64::from(matches!(answer, CallResponse::Ok(_)));
                 }
                 Output::Log(line) | Output::Debug(line) => done.lines.add(line.len()),
             }
@@ -210,15 +212,21 @@
             return;
         };
         if what == "lent" {
-            if let Ok(Some(Frame::Lent(lent))) = read(&mut BytesMut::from(bytes.as_ref())) {
+            if let Ok(Some(Frame::LeaseGrant(lent))) =
+                decode_frame(&mut BytesMut::from(bytes.as_ref()))
+            {
                 // What is taken back is confirmed at once.
-                if hollow.up && hollow.purse.lent(self.now, &self.ips[at], &lent).0 {
-                    let report = hollow.purse.report(self.now, &self.ips[at], Vec::new());
+                if hollow.up && hollow.purse.handle_grant(self.now, &self.ips[at], &lent).0 {
+                    let report = hollow
+                        .purse
+                        .next_request(self.now, &self.ips[at], Vec::new());
                     self.confirms.push_back((door, at, report));
                 }
             }
         } else if what == "plans" && (self.index == 0 || door == 0) {
-            if let Ok(Some(Frame::Plans(plans))) = read(&mut BytesMut::from(bytes.as_ref())) {
+            if let Ok(Some(Frame::ConfigUpdate(plans))) =
+                decode_frame(&mut BytesMut::from(bytes.as_ref()))
+            {
                 self.index = self.index.max(plans.index);
             }
         }
@@ -230,7 +238,9 @@
             for at in 0..self.cores.len() {
                 if let Some(number) = self.writes[at].pop_back() {
                     self.writes[at].clear();
-                    self.drive(at, "disk", |core, now, out| core.written(now, number, out));
+                    self.drive(at, "disk", |core, now, out| {
+                        core.persisted(now, number, out)
+                    });
                 }
             }
             if let Some((door, at, report)) = self.confirms.pop_front() {
@@ -242,8 +252,8 @@
                     let ip = self.ips[from].clone();
                     let mut come = BytesMut::from(bytes.as_ref());
                     self.drive(to, "peers", |core, now, out| {
-                        if let Ok(Some(frame)) = read(&mut come) {
-                            core.peer(now, &ip, frame, out);
+                        if let Ok(Some(frame)) = decode_frame(&mut come) {
+                            core.receive_from_peer(now, &ip, frame, out);
                         }
                     });
                 }
@@ -288,7 +298,7 @@
         self.calls += beats.len() as u64;
         self.drive(at, "beats", |core, now, out| {
             for (n, (id, body)) in beats.into_iter().enumerate() {
-                core.call(now, first + n as u64, Call::Beat(id, body), out);
+                core.call(now, first + n as u64, Call::Heartbeat(id, body), out);
             }
         });
     }
@@ -299,7 +309,7 @@
         self.calls += ids.len() as u64;
         self.drive(at, "beats", |core, now, out| {
             for (n, id) in ids.into_iter().enumerate() {
-                core.call(now, first + n as u64, Call::Leave(id), out);
+                core.call(now, first + n as u64, Call::Deregister(id), out);
             }
         });
     }
@@ -311,7 +321,7 @@
             let node = format!("edge-zone-{}-{}", self.doors.len() % 8, self.doors.len());
             let life = 1000 + self.doors.len() as u64;
             let conn = self.doors.len() as u64;
-            let purse = Purse::new(life);
+            let purse = LeaseClient::new(life);
             self.doors.push(Hollow {
                 node,
                 life,
@@ -328,16 +338,16 @@
         self.ips.iter().for_each(|ip| hollow.purse.connected(ip));
         let conn = hollow.conn;
         let hello = Hello {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             ip: format!("10.1.{}.{}", door / 256, door % 256),
             node: hollow.node.clone(),
-            life: hollow.life,
-            exchange: false,
-            index,
+            incarnation: hollow.life,
+            is_controller: false,
+            config_index: index,
         };
         for at in 0..exchanges {
             self.drive(at, "connect", |core, now, out| {
-                core.door_up(now, conn, &hello, out)
+                core.proxy_connected(now, conn, &hello, out)
             });
         }
     }
@@ -348,7 +358,9 @@
         hollow.up = false;
         let conn = hollow.conn;
         for at in 0..self.cores.len() {
-            self.drive(at, "connect", |core, _, out| core.door_down(conn, out));
+            self.drive(at, "connect", |core, _, out| {
+                core.proxy_disconnected(conn, out)
+            });
         }
     }
 
@@ -359,20 +371,20 @@
         at: usize,
         asked: usize,
         tenants: usize,
-    ) -> Option<Report> {
+    ) -> Option<LeaseRequest> {
         let hollow = self.doors.get_mut(door).filter(|hollow| hollow.up)?;
         let first = std::mem::take(&mut hollow.first[at]);
         let demand = |n: usize| Demand {
             tenant: made::tenant((door * 7 + n) % tenants.max(1)),
-            rate: 2000,
-            short: false,
+            milli_rps: 2000,
+            starved: false,
         };
         let demand = if first {
             Vec::new()
         } else {
             (0..asked.min(tenants)).map(demand).collect()
         };
-        Some(hollow.purse.report(self.now, &self.ips[at], demand))
+        Some(hollow.purse.next_request(self.now, &self.ips[at], demand))
     }
 
     /// These doors report to every exchange.
@@ -388,12 +400,12 @@
     }
 
     /// A door reports to an exchange.
-    pub fn report(&mut self, door: usize, at: usize, report: Report) {
+    pub fn report(&mut self, door: usize, at: usize, report: LeaseRequest) {
         let Some(conn) = self.doors.get(door).map(|hollow| hollow.conn) else {
             return;
         };
         self.drive(at, "reports", |core, now, out| {
-            core.door(now, conn, Frame::Report(report), out)
+            core.door(now, conn, Frame::LeaseRequest(report), out)
         });
     }
 }
--- a/benches/src/made.rs
+++ b/benches/src/made.rs
@@ -1,9 +1,9 @@
 //! What is made up. Names and fields have the length and number that the platform's own examples have.
 
 use bytes::Bytes;
-use maplefall_gateway_config::{read_call, Item};
+use maplefall_gateway_config::{parse_amend, Item};
 use maplefall_node_settings::Settings;
-use maplefall_service_registry::Word;
+use maplefall_service_registry::InstanceRecord;
 use std::fmt::Write;
 use std::ops::Range;
 use std::path::Path;
@@ -109,7 +109,7 @@
     calls(size)
         .iter()
         .flat_map(|call| {
-            read_call(call.as_bytes())
+            parse_amend(call.as_bytes())
                 .map(|c| c.items)
                 .unwrap_or_default()
         })
@@ -132,8 +132,8 @@
 }
 
 /// A word about a backend of one of so many services.
-pub fn word(n: usize, services: usize, seq: u64) -> Word {
-    Word {
+pub fn word(n: usize, services: usize, seq: u64) -> InstanceRecord {
+    InstanceRecord {
         id: backend(n),
         service: service(n % services.max(1)),
         address: address(n),
@@ -141,7 +141,7 @@
         capacity: 2,
         state: 0,
         seq,
-        cold_ms: 0,
+        warmup_left_ms: 0,
     }
 }
 
--- a/crates/control-messages/src/lib.rs
+++ b/crates/control-messages/src/lib.rs
@@ -3,15 +3,15 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use maplefall_gateway_config::{Change, Item};
-use maplefall_quota_lease::{Lent, Report};
-use maplefall_service_registry::Word;
+use maplefall_quota_lease::{LeaseGrant, LeaseRequest};
+use maplefall_service_registry::InstanceRecord;
 use prost::Message;
 use std::fmt;
 
 /// Longest frame.
-pub const LONGEST: usize = 64 << 20;
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
 /// What a hello begins with: who does not speak this does not belong here.
-pub const VERSION: u32 = 2;
+pub const PROTOCOL_VERSION: u32 = 2;
 
 /// Who opens a connection.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
@@ -27,18 +27,18 @@
     pub node: String,
     /// This life of the process; never nought.
     #[prost(uint64, tag = "4")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether it is an exchange; otherwise it is a door.
     #[prost(bool, tag = "5")]
-    pub exchange: bool,
+    pub is_controller: bool,
     /// A door's index of the configuration; nought for none.
     #[prost(uint64, tag = "6")]
-    pub index: u64,
+    pub config_index: u64,
 }
 
 /// One change that is agreed on.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Numbered {
+pub struct IndexedChange {
     /// Its index.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -49,7 +49,7 @@
 
 /// The configuration: what has changed, or all.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Plans {
+pub struct ConfigUpdate {
     /// Where nought: `items` is all that stands at `index`. Otherwise `changes` are all after this index, up to `index`.
     #[prost(uint64, tag = "1")]
     pub after: u64,
@@ -58,32 +58,32 @@
     pub index: u64,
     /// The changes.
     #[prost(message, repeated, tag = "3")]
-    pub changes: Vec<Numbered>,
+    pub changes: Vec<IndexedChange>,
     /// All items, dropped ones too.
     #[prost(message, repeated, tag = "4")]
     pub items: Vec<Item>,
     /// Exchanges there are, by address.
     #[prost(string, repeated, tag = "5")]
-    pub exchanges: Vec<String>,
+    pub controllers: Vec<String>,
 }
 
 /// Words about backends.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Words {
+pub struct InstanceUpdates {
     /// The words.
     #[prost(message, repeated, tag = "1")]
-    pub words: Vec<Word>,
+    pub records: Vec<InstanceRecord>,
     /// Whether they are all that the exchange knows, and it has been listening for long enough to know all.
     #[prost(bool, tag = "2")]
-    pub all: bool,
+    pub complete: bool,
     /// Where not nought: the receiver is to say [`Frame::Heard`] with this number.
     #[prost(uint64, tag = "3")]
-    pub receipt: u64,
+    pub ack_number: u64,
 }
 
 /// A sign of life of a backend.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Seen {
+pub struct Heartbeat {
     /// Its id.
     #[prost(string, tag = "1")]
     pub id: String,
@@ -94,10 +94,10 @@
 
 /// Signs of life of backends.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Alive {
+pub struct Heartbeats {
     /// Whose.
     #[prost(message, repeated, tag = "1")]
-    pub seen: Vec<Seen>,
+    pub heartbeats: Vec<Heartbeat>,
 }
 
 /// The only message on the wire.
@@ -116,42 +116,42 @@
     Hello(Hello),
     /// Between exchanges: agreement.
     #[prost(message, tag = "2")]
-    Tandem(maplefall_raft::Message),
+    Raft(maplefall_raft::Message),
     /// Words about backends.
     #[prost(message, tag = "3")]
-    Words(Words),
+    InstanceUpdates(InstanceUpdates),
     /// Between exchanges: words with this receipt have come.
     #[prost(uint64, tag = "4")]
-    Heard(u64),
+    InstancesPersisted(u64),
     /// Between exchanges: signs of life.
     #[prost(message, tag = "5")]
-    Alive(Alive),
+    Heartbeats(Heartbeats),
     /// To a door: the configuration.
     #[prost(message, tag = "6")]
-    Plans(Plans),
+    ConfigUpdate(ConfigUpdate),
     /// From a door.
     #[prost(message, tag = "7")]
-    Report(Report),
+    LeaseRequest(LeaseRequest),
     /// To a door.
     #[prost(message, tag = "8")]
-    Lent(Lent),
+    LeaseGrant(LeaseGrant),
     /// The receiver is to say [`Frame::Echo`] with this number.
     #[prost(uint64, tag = "9")]
     Ping(u64),
     /// The ping of this number, and all before it, have been read.
     #[prost(uint64, tag = "10")]
-    Echo(u64),
+    Pong(u64),
     /// Bytes of a long frame: pings go between its parts.
     #[prost(message, tag = "11")]
-    Part(Part),
+    Chunk(Chunk),
 }
 
 /// Bytes of a long frame as [`write`] gives them, in order.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Part {
+pub struct Chunk {
     /// The bytes.
     #[prost(bytes = "bytes", tag = "1")]
-    pub bytes: Bytes,
+    pub data: Bytes,
     /// Whether they are its last.
     #[prost(bool, tag = "2")]
     pub last: bool,
@@ -159,26 +159,26 @@
 
 /// Why bytes are no frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum FrameError {
     /// Longer than [`LONGEST`].
     TooLong(usize),
     /// Not what prost writes, or of a kind that is not known.
-    Unreadable,
+    Malformed,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broken::TooLong(length) => write!(f, "step=frame length={length}"),
-            Broken::Unreadable => write!(f, "step=decode"),
+            FrameError::TooLong(length) => write!(f, "step=frame length={length}"),
+            FrameError::Malformed => write!(f, "step=decode"),
         }
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for FrameError {}
 
 /// A frame as it goes over the wire.
-pub fn write(frame: Frame) -> Bytes {
+pub fn encode_frame(frame: Frame) -> Bytes {
     let envelope = Envelope { frame: Some(frame) };
     let length = envelope.encoded_len();
     let mut bytes = BytesMut::with_capacity(4 + length);
@@ -189,18 +189,18 @@
 }
 
 /// Takes one whole frame off the front of what has come; `None` until there is one.
-pub fn read(come: &mut BytesMut) -> Result<Option<Frame>, Broken> {
+pub fn decode_frame(come: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
     let Some(length) = come.get(..4).map(|mut head| head.get_u32() as usize) else {
         return Ok(None);
     };
-    if length > LONGEST {
-        return Err(Broken::TooLong(length));
+    if length > MAX_FRAME_BYTES {
+        return Err(FrameError::TooLong(length));
     }
     if come.len() < 4 + length {
         return Ok(None);
     }
     come.advance(4);
     let bytes = come.split_to(length).freeze();
-    let envelope = Envelope::decode(bytes).map_err(|_| Broken::Unreadable)?;
-    envelope.frame.map(Some).ok_or(Broken::Unreadable)
+    let envelope = Envelope::decode(bytes).map_err(|_| FrameError::Malformed)?;
+    envelope.frame.map(Some).ok_or(FrameError::Malformed)
 }
--- a/crates/control-transport/src/fence.rs
+++ b/crates/control-transport/src/fencing.rs
@@ -15,69 +15,69 @@
 
 /// Whether a link that has proven itself is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// It is, and there is no other.
-    First,
+    New,
     /// It is, in place of the link of this number.
-    InPlaceOf(u64),
+    Replaces(u64),
     /// A later one has been taken.
-    Old,
+    Stale,
 }
 
 /// The latest link of each speaker.
 #[derive(Clone, Debug)]
-pub struct Fence<K> {
+pub struct ConnectionFence<K> {
     latest: BTreeMap<K, Latest>,
     last: u64,
 }
 
-impl<K> Default for Fence<K> {
+impl<K> Default for ConnectionFence<K> {
     fn default() -> Self {
-        Fence {
+        ConnectionFence {
             latest: BTreeMap::new(),
             last: 0,
         }
     }
 }
 
-impl<K: Ord + Clone> Fence<K> {
+impl<K: Ord + Clone> ConnectionFence<K> {
     /// A hello has been read: the number of its link.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_token(&mut self) -> u64 {
         self.last += 1;
         self.last
     }
 
     /// A link has proven itself.
-    pub fn take(&mut self, who: &K, link: u64) -> Verdict {
+    pub fn admit(&mut self, who: &K, link: u64) -> Admission {
         if self.latest.len() >= MOST_GONE {
             self.latest.retain(|_, latest| latest.up);
         }
         match self.latest.get_mut(who) {
-            Some(latest) if latest.link > link => Verdict::Old,
+            Some(latest) if latest.link > link => Admission::Stale,
             Some(latest) => {
                 let before = std::mem::replace(latest, Latest { link, up: true });
                 if before.up {
-                    Verdict::InPlaceOf(before.link)
+                    Admission::Replaces(before.link)
                 } else {
-                    Verdict::First
+                    Admission::New
                 }
             }
             None => {
                 self.latest.insert(who.clone(), Latest { link, up: true });
-                Verdict::First
+                Admission::New
             }
         }
     }
 
     /// Whether what comes on this link may be taken.
-    pub fn holds(&self, who: &K, link: u64) -> bool {
+    pub fn is_current(&self, who: &K, link: u64) -> bool {
         self.latest
             .get(who)
             .is_some_and(|latest| latest.link == link)
     }
 
     /// A link has ended.
-    pub fn ended(&mut self, who: &K, link: u64) {
+    pub fn disconnected(&mut self, who: &K, link: u64) {
         if let Some(latest) = self.latest.get_mut(who) {
             latest.up &= latest.link != link;
         }
--- a/crates/control-transport/src/lib.rs
+++ b/crates/control-transport/src/lib.rs
@@ -1,12 +1,14 @@
 //! Connections between processes of the system: frames over TCP, a bounded queue for what goes out, and an end to whatever
 //! no longer carries both ways ([`liveness`]). Named after the cords by which an operator joins two lines.
 
-pub mod fence;
+pub mod fencing;
 pub mod liveness;
 
 use bytes::{Buf, Bytes, BytesMut};
-use liveness::{Came, Dead, Liveness, Millis, Side, DEAD};
-use maplefall_control_messages::{read, write, Broken, Frame, Hello, Part, LONGEST};
+use liveness::{Liveness, LivenessError, Millis, Received, Side, PONG_TIMEOUT};
+use maplefall_control_messages::{
+    decode_frame, encode_frame, Chunk, Frame, FrameError, Hello, MAX_FRAME_BYTES,
+};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::fmt;
@@ -20,11 +22,11 @@
 use tokio::time::Instant;
 
 /// Frames that may wait to be written on one connection: one that lets more pile up is ended.
-pub const QUEUE: usize = 1024;
+pub const OUTGOING_QUEUE_FRAMES: usize = 1024;
 /// How long the system waits for what it has sent to be confirmed.
 const UNCONFIRMED: Duration = Duration::from_millis(2000);
 /// A write that gets on by nothing for this long ends the connection.
-const STUCK: Duration = Duration::from_millis(DEAD as u64);
+const STUCK: Duration = Duration::from_millis(PONG_TIMEOUT as u64);
 /// How long a connection may take to come up.
 const COMES_UP: Duration = Duration::from_millis(400);
 /// Pauses before a connection is dialled again: the first, and the longest.
@@ -36,54 +38,54 @@
 
 /// Why a connection ended.
 #[derive(Debug)]
-pub enum End {
+pub enum ConnectionError {
     /// It could not be made.
     Connect(SocketAddr, io::Error),
     /// It broke.
-    Broke(io::Error),
+    Io(io::Error),
     /// The other side closed it.
     Closed,
     /// It no longer carries both ways, or nobody reads at its other end.
-    Dead(Dead),
+    Dead(LivenessError),
     /// The other side takes nothing.
-    Stuck,
+    WriteStalled,
     /// What came is no frame.
-    Frame(Broken),
+    Frame(FrameError),
     /// This side lets it go, or too much waits to be written.
-    LetGo,
+    Dropped,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for ConnectionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Connect(address, error) => {
+            ConnectionError::Connect(address, error) => {
                 write!(f, "why=connect address={address} error={:?}", error.kind())
             }
-            End::Broke(error) => write!(f, "why=broke error={:?}", error.kind()),
-            End::Closed => write!(f, "why=closed"),
-            End::Dead(Dead::Unanswered) => write!(f, "why=unanswered"),
-            End::Dead(Dead::NoHello) => write!(f, "why=no_hello"),
-            End::Dead(Dead::Order) => write!(f, "why=order"),
-            End::Stuck => write!(f, "why=stuck"),
-            End::Frame(broken) => write!(f, "why=frame {broken}"),
-            End::LetGo => write!(f, "why=let_go"),
+            ConnectionError::Io(error) => write!(f, "why=broke error={:?}", error.kind()),
+            ConnectionError::Closed => write!(f, "why=closed"),
+            ConnectionError::Dead(LivenessError::Unanswered) => write!(f, "why=unanswered"),
+            ConnectionError::Dead(LivenessError::NoHello) => write!(f, "why=no_hello"),
+            ConnectionError::Dead(LivenessError::UnexpectedMessage) => write!(f, "why=order"),
+            ConnectionError::WriteStalled => write!(f, "why=stuck"),
+            ConnectionError::Frame(broken) => write!(f, "why=frame {broken}"),
+            ConnectionError::Dropped => write!(f, "why=let_go"),
         }
     }
 }
 
-impl std::error::Error for End {}
+impl std::error::Error for ConnectionError {}
 
 /// How long to wait before a connection is dialled again: longer each time, until it has come up.
 #[derive(Clone, Copy, Debug)]
-pub struct Pause(Duration);
+pub struct ReconnectBackoff(Duration);
 
-impl Default for Pause {
-    fn default() -> Pause {
-        Pause(PAUSES.0)
+impl Default for ReconnectBackoff {
+    fn default() -> ReconnectBackoff {
+        ReconnectBackoff(PAUSES.0)
     }
 }
 
-impl Pause {
+impl ReconnectBackoff {
     /// Waits.
     pub async fn wait(&mut self) {
         tokio::time::sleep(self.0).await;
@@ -92,8 +94,8 @@
 }
 
 /// Opens a connection from this machine's address: whoever is called knows the caller by it.
-pub async fn dial(from: IpAddr, address: SocketAddr) -> Result<TcpStream, End> {
-    let failed = |error| End::Connect(address, error);
+pub async fn connect(from: IpAddr, address: SocketAddr) -> Result<TcpStream, ConnectionError> {
+    let failed = |error| ConnectionError::Connect(address, error);
     let socket = if from.is_ipv4() {
         TcpSocket::new_v4()
     } else {
@@ -109,11 +111,11 @@
 
 /// Which end of a connection this is.
 #[derive(Clone, Debug)]
-pub enum Open {
+pub enum Handshake {
     /// This end has dialled, and says this first.
-    Dials(Hello),
+    Initiator(Hello),
     /// The other end has, and says who it is.
-    Accepts,
+    Acceptor,
 }
 
 /// What happens on a connection.
@@ -122,9 +124,9 @@
     /// Who was dialled reads and answers: what is put into the queue from here on is sent.
     Up,
     /// Somebody's hello has been read, and is asked to prove that it is new: links are numbered in this order.
-    Read,
+    HelloReceived,
     /// Who has dialled says this, and was alive after it was read here.
-    Hello(Hello),
+    Verified(Hello),
     /// A frame.
     Frame(Frame),
 }
@@ -141,29 +143,29 @@
     /// What goes before the next write, `alone` or with something else.
     fn first(&mut self, now: Millis, alone: bool) -> BytesMut {
         if self.ping.is_none() && (!alone || self.echo.is_some()) {
-            self.ping = self.live.rides(now);
+            self.ping = self.live.piggyback_ping(now);
         }
         let mut bytes = BytesMut::new();
         let frames = [
-            self.echo.take().map(Frame::Echo),
+            self.echo.take().map(Frame::Pong),
             self.ping.take().map(Frame::Ping),
         ];
         frames
             .into_iter()
             .flatten()
-            .for_each(|frame| bytes.extend_from_slice(&write(frame)));
+            .for_each(|frame| bytes.extend_from_slice(&encode_frame(frame)));
         bytes
     }
 }
 
 /// Carries frames both ways until the connection ends, which is within [`liveness`]'s bound once it no longer carries both ways.
 /// `event` tells whether to go on.
-pub async fn carry(
+pub async fn run_connection(
     stream: TcpStream,
     mut outgoing: mpsc::Receiver<Bytes>,
-    open: Open,
+    open: Handshake,
     mut event: impl FnMut(Event) -> bool,
-) -> End {
+) -> ConnectionError {
     // Without these a connection that is cut off is noticed later.
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNCONFIRMED));
@@ -171,8 +173,8 @@
     let started = Instant::now();
     let now = || started.elapsed().as_secs_f64() * 1000.0;
     let (side, greeting) = match open {
-        Open::Dials(hello) => (Side::Dials, Some(write(Frame::Hello(hello)))),
-        Open::Accepts => (Side::Accepts, None),
+        Handshake::Initiator(hello) => (Side::Initiator, Some(encode_frame(Frame::Hello(hello)))),
+        Handshake::Acceptor => (Side::Acceptor, None),
     };
     let shared = RefCell::new(Shared {
         live: Liveness::new(side, now()),
@@ -186,48 +188,49 @@
         let mut hello = None;
         loop {
             match from.read_buf(&mut come).await {
-                Ok(0) => return End::Closed,
+                Ok(0) => return ConnectionError::Closed,
                 Ok(_) => {}
-                Err(error) => return End::Broke(error),
+                Err(error) => return ConnectionError::Io(error),
             }
             loop {
-                let frame = match read(&mut come).and_then(|frame| whole(frame, &mut long)) {
+                let frame = match decode_frame(&mut come).and_then(|frame| whole(frame, &mut long))
+                {
                     Ok(Some(Taken::Frame(frame))) => frame,
                     Ok(Some(Taken::Part)) => continue,
                     Ok(None) => break,
-                    Err(broken) => return End::Frame(broken),
+                    Err(broken) => return ConnectionError::Frame(broken),
                 };
                 let came = match &frame {
-                    Frame::Hello(_) => Came::Hello,
-                    Frame::Ping(number) => Came::Ping(*number),
-                    Frame::Echo(number) => Came::Echo(*number),
-                    _ => Came::Other,
+                    Frame::Hello(_) => Received::Hello,
+                    Frame::Ping(number) => Received::Ping(*number),
+                    Frame::Pong(number) => Received::Pong(*number),
+                    _ => Received::Other,
                 };
-                let todo = match shared.borrow_mut().live.came(now(), came) {
+                let todo = match shared.borrow_mut().live.received(now(), came) {
                     Ok(todo) => todo,
-                    Err(dead) => return End::Dead(dead),
+                    Err(dead) => return ConnectionError::Dead(dead),
                 };
-                if todo.echo.is_some() || todo.ping.is_some() || todo.up {
+                if todo.pong.is_some() || todo.ping.is_some() || todo.established {
                     let mut shared = shared.borrow_mut();
                     (shared.echo, shared.ping) =
-                        (todo.echo.or(shared.echo), todo.ping.or(shared.ping));
+                        (todo.pong.or(shared.echo), todo.ping.or(shared.ping));
                     wake.notify_one();
                 }
-                if todo.up {
+                if todo.established {
                     moved.notify_one();
                 }
                 let on = match (frame, hello.take()) {
                     (Frame::Hello(said), _) => {
                         hello = Some(said);
-                        event(Event::Read)
+                        event(Event::HelloReceived)
                     }
-                    (_, Some(said)) if todo.up => event(Event::Hello(said)),
-                    (_, None) if todo.up => event(Event::Up),
-                    (frame, _) if todo.take => event(Event::Frame(frame)),
+                    (_, Some(said)) if todo.established => event(Event::Verified(said)),
+                    (_, None) if todo.established => event(Event::Up),
+                    (frame, _) if todo.deliver => event(Event::Frame(frame)),
                     _ => true,
                 };
                 if !on {
-                    return End::LetGo;
+                    return ConnectionError::Dropped;
                 }
             }
             come.reserve(READ);
@@ -235,7 +238,7 @@
     };
     let timing = async {
         loop {
-            let due = shared.borrow().live.due();
+            let due = shared.borrow().live.next_deadline();
             let due = started + Duration::from_secs_f64(due.max(0.0) / 1000.0);
             tokio::select! {
                 () = moved.notified() => {}
@@ -248,7 +251,7 @@
                     shared.ping = ping;
                     wake.notify_one();
                 }
-                Err(dead) => return End::Dead(dead),
+                Err(dead) => return ConnectionError::Dead(dead),
             }
         }
     };
@@ -259,12 +262,12 @@
             }
         }
         loop {
-            let up = shared.borrow().live.is_up();
+            let up = shared.borrow().live.is_established();
             let next = tokio::select! {
                 biased;
                 next = outgoing.recv(), if up => match next {
                     Some(next) => Some(next),
-                    None => return End::LetGo,
+                    None => return ConnectionError::Dropped,
                 },
                 () = wake.notified() => None,
             };
@@ -309,34 +312,34 @@
 }
 
 /// Puts long frames together; there is room for one of [`LONGEST`] at most.
-fn whole(frame: Option<Frame>, long: &mut BytesMut) -> Result<Option<Taken>, Broken> {
-    let Some(Frame::Part(part)) = frame else {
+fn whole(frame: Option<Frame>, long: &mut BytesMut) -> Result<Option<Taken>, FrameError> {
+    let Some(Frame::Chunk(part)) = frame else {
         return Ok(frame.map(Taken::Frame));
     };
-    let length = long.len() + part.bytes.len();
-    if length > LONGEST + 4 {
-        return Err(Broken::TooLong(length));
+    let length = long.len() + part.data.len();
+    if length > MAX_FRAME_BYTES + 4 {
+        return Err(FrameError::TooLong(length));
     }
-    long.extend_from_slice(&part.bytes);
+    long.extend_from_slice(&part.data);
     if !part.last {
         return Ok(Some(Taken::Part));
     }
-    let frame = read(long)?.ok_or(Broken::Unreadable)?;
+    let frame = decode_frame(long)?.ok_or(FrameError::Malformed)?;
     let left = std::mem::take(long);
-    if !left.is_empty() || matches!(frame, Frame::Part(_)) {
-        return Err(Broken::Unreadable);
+    if !left.is_empty() || matches!(frame, Frame::Chunk(_)) {
+        return Err(FrameError::Malformed);
     }
     Ok(Some(Taken::Frame(frame)))
 }
 
 /// Writes all, as long as it gets on.
-async fn put(to: &mut OwnedWriteHalf, mut bytes: &[u8]) -> Result<(), End> {
+async fn put(to: &mut OwnedWriteHalf, mut bytes: &[u8]) -> Result<(), ConnectionError> {
     while !bytes.is_empty() {
         match tokio::time::timeout(STUCK, to.write(bytes)).await {
-            Ok(Ok(0)) => return Err(End::Closed),
+            Ok(Ok(0)) => return Err(ConnectionError::Closed),
             Ok(Ok(written)) => bytes.advance(written),
-            Ok(Err(error)) => return Err(End::Broke(error)),
-            Err(_) => return Err(End::Stuck),
+            Ok(Err(error)) => return Err(ConnectionError::Io(error)),
+            Err(_) => return Err(ConnectionError::WriteStalled),
         }
     }
     Ok(())
@@ -348,12 +351,12 @@
     bytes: &mut BytesMut,
     mut frame: Bytes,
     first: impl Fn() -> BytesMut,
-) -> Result<(), End> {
+) -> Result<(), ConnectionError> {
     while !frame.is_empty() {
         let part = frame.split_to(frame.len().min(PART));
         bytes.extend_from_slice(&first());
-        bytes.extend_from_slice(&write(Frame::Part(Part {
-            bytes: part,
+        bytes.extend_from_slice(&encode_frame(Frame::Chunk(Chunk {
+            data: part,
             last: frame.is_empty(),
         })));
         put(to, bytes).await?;
--- a/crates/control-transport/src/liveness.rs
+++ b/crates/control-transport/src/liveness.rs
@@ -23,58 +23,58 @@
 pub type Millis = f64;
 
 /// A ping is sent this often at least.
-pub const PING: Millis = 500.0;
+pub const PING_INTERVAL: Millis = 500.0;
 /// A ping that has not been answered for this long ends the link; with [`PING`] it is the bound within which an end knows.
-pub const DEAD: Millis = 2000.0;
+pub const PONG_TIMEOUT: Millis = 2000.0;
 /// Part of [`PING`] after which a ping goes with what is written anyway.
 const RIDES: f64 = 0.7;
 /// Pings that may be out at once: as many as are sent before the oldest ends the link.
-const MOST_OUT: usize = (2.0 * (DEAD + PING) / PING) as usize;
+const MOST_OUT: usize = (2.0 * (PONG_TIMEOUT + PING_INTERVAL) / PING_INTERVAL) as usize;
 
 /// Which end of a link this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// It has opened the link, and says its hello first.
-    Dials,
+    Initiator,
     /// It waits for a hello.
-    Accepts,
+    Acceptor,
 }
 
 /// What has come, as far as it matters here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum Received {
     /// A hello.
     Hello,
     /// A ping of this number.
     Ping(u64),
     /// The echo of this ping of this end's.
-    Echo(u64),
+    Pong(u64),
     /// Anything else.
     Other,
 }
 
 /// What is to be done about what has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Todo {
+pub struct Actions {
     /// Send this echo, before anything else.
-    pub echo: Option<u64>,
+    pub pong: Option<u64>,
     /// Send this ping.
     pub ping: Option<u64>,
     /// The link is up from here on: the other end is there, and what it says may be taken.
-    pub up: bool,
+    pub established: bool,
     /// Pass on what has come.
-    pub take: bool,
+    pub deliver: bool,
 }
 
 /// Why a link is dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dead {
+pub enum LivenessError {
     /// The other end has answered nothing that was sent within the bound.
     Unanswered,
     /// No hello has come within [`DEAD`].
     NoHello,
     /// Something came before its turn.
-    Order,
+    UnexpectedMessage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -102,7 +102,7 @@
 impl Liveness {
     /// A link that has just been made.
     pub fn new(side: Side, now: Millis) -> Liveness {
-        let stage = if side == Side::Dials {
+        let stage = if side == Side::Initiator {
             Stage::Proof
         } else {
             Stage::Hello
@@ -117,92 +117,93 @@
     }
 
     /// Whether the link is up.
-    pub fn is_up(&self) -> bool {
+    pub fn is_established(&self) -> bool {
         self.stage == Stage::Up
     }
 
     /// When [`Liveness::tick`] is to be called, at the latest.
-    pub fn due(&self) -> Millis {
+    pub fn next_deadline(&self) -> Millis {
         let dead = self.proven + self.allowed();
-        if self.is_up() {
-            dead.min(self.last.1 + PING)
+        if self.is_established() {
+            dead.min(self.last.1 + PING_INTERVAL)
         } else {
             dead
         }
     }
 
     /// Time passes. A ping to send, or the end.
-    pub fn tick(&mut self, now: Millis) -> Result<Option<u64>, Dead> {
+    pub fn tick(&mut self, now: Millis) -> Result<Option<u64>, LivenessError> {
         self.check(now)?;
-        let due = self.is_up() && now >= self.last.1 + PING;
+        let due = self.is_established() && now >= self.last.1 + PING_INTERVAL;
         Ok(due.then(|| self.ping(now)))
     }
 
     /// Something else is about to be written: a ping that goes with it, if one comes due soon.
-    pub fn rides(&mut self, now: Millis) -> Option<u64> {
-        (self.is_up() && now >= self.last.1 + PING * RIDES).then(|| self.ping(now))
+    pub fn piggyback_ping(&mut self, now: Millis) -> Option<u64> {
+        (self.is_established() && now >= self.last.1 + PING_INTERVAL * RIDES)
+            .then(|| self.ping(now))
     }
 
     /// Something has come.
-    pub fn came(&mut self, now: Millis, came: Came) -> Result<Todo, Dead> {
+    pub fn received(&mut self, now: Millis, came: Received) -> Result<Actions, LivenessError> {
         self.check(now)?;
         match (self.stage, self.side, came) {
-            (Stage::Hello, _, Came::Hello) => {
+            (Stage::Hello, _, Received::Hello) => {
                 (self.stage, self.proven) = (Stage::Proof, now);
-                Ok(Todo {
+                Ok(Actions {
                     ping: Some(self.ping(now)),
-                    ..Todo::default()
+                    ..Actions::default()
                 })
             }
-            (Stage::Proof, Side::Dials, Came::Ping(number)) => {
+            (Stage::Proof, Side::Initiator, Received::Ping(number)) => {
                 (self.stage, self.proven) = (Stage::Up, now);
                 let ping = Some(self.ping(now));
-                Ok(Todo {
-                    echo: Some(number),
+                Ok(Actions {
+                    pong: Some(number),
                     ping,
-                    up: true,
-                    take: false,
+                    established: true,
+                    deliver: false,
                 })
             }
-            (Stage::Proof, Side::Accepts, Came::Echo(number)) if self.echoed(number) => {
+            (Stage::Proof, Side::Acceptor, Received::Pong(number)) if self.echoed(number) => {
                 self.stage = Stage::Up;
-                Ok(Todo {
-                    up: true,
-                    ..Todo::default()
+                Ok(Actions {
+                    established: true,
+                    ..Actions::default()
                 })
             }
-            (Stage::Up, _, Came::Ping(number)) => Ok(Todo {
-                echo: Some(number),
-                ..Todo::default()
+            (Stage::Up, _, Received::Ping(number)) => Ok(Actions {
+                pong: Some(number),
+                ..Actions::default()
             }),
-            (Stage::Up, _, Came::Echo(number)) => {
+            (Stage::Up, _, Received::Pong(number)) => {
                 self.echoed(number);
-                Ok(Todo::default())
+                Ok(Actions::default())
             }
-            (Stage::Up, _, Came::Other) => Ok(Todo {
-                take: true,
-                ..Todo::default()
+            (Stage::Up, _, Received::Other) => Ok(Actions {
+                deliver: true,
+                ..Actions::default()
             }),
-            _ => Err(Dead::Order),
+            _ => Err(LivenessError::UnexpectedMessage),
         }
     }
 
     fn allowed(&self) -> Millis {
-        if self.is_up() {
-            DEAD + PING
+        if self.is_established() {
+            PONG_TIMEOUT + PING_INTERVAL
         } else {
-            DEAD
+            PONG_TIMEOUT
         }
     }
 
-    fn check(&self, now: Millis) -> Result<(), Dead> {
+    fn check(&self, now: Millis) -> Result<(), LivenessError> {
         if now < self.proven + self.allowed() {
             return Ok(());
         }
         Err(if self.stage == Stage::Hello {
-            Dead::NoHello
+            LivenessError::NoHello
         } else {
-            Dead::Unanswered
+            LivenessError::Unanswered
         })
     }
 
--- a/crates/control-transport/tests/played.rs
+++ b/crates/control-transport/tests/played.rs
@@ -3,8 +3,10 @@
 //! the bound that their link is dead, a link that carries is never taken for dead, and nothing old is taken. Seeds are printed; the
 //! same seed plays the same.
 
-use maplefall_control_transport::fence::{Fence, Verdict};
-use maplefall_control_transport::liveness::{Came, Liveness, Side, DEAD, PING};
+use maplefall_control_transport::fencing::{Admission, ConnectionFence};
+use maplefall_control_transport::liveness::{
+    Liveness, Received, Side, PING_INTERVAL, PONG_TIMEOUT,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::VecDeque;
@@ -24,7 +26,7 @@
 /// One direction of a link.
 struct Way {
     /// When each thing comes, what it is, and when it was said.
-    under_way: VecDeque<(f64, Came, f64)>,
+    under_way: VecDeque<(f64, Received, f64)>,
     delay: f64,
     /// What is said from here on never comes.
     swallows: bool,
@@ -73,11 +75,11 @@
             rng: Pcg32::seed_from_u64(seed),
             now: 0.0,
             variant,
-            ends: [end(Side::Dials), end(Side::Accepts)],
+            ends: [end(Side::Initiator), end(Side::Acceptor)],
             ways: [way(), way()],
             oldest_taken: 0.0,
         };
-        play.say(0, Came::Hello);
+        play.say(0, Received::Hello);
         play
     }
 
@@ -85,7 +87,7 @@
         f64::from(self.rng.next_u32()) / 4_294_967_296.0 * most
     }
 
-    fn say(&mut self, end: usize, what: Came) {
+    fn say(&mut self, end: usize, what: Received) {
         let (now, way) = (self.now, &mut self.ways[end]);
         if way.swallows {
             return;
@@ -110,20 +112,20 @@
                 one.up = true;
                 continue;
             }
-            match one.live.came(now, what) {
+            match one.live.received(now, what) {
                 Ok(todo) => {
-                    one.up |= todo.up;
-                    if todo.take {
+                    one.up |= todo.established;
+                    if todo.deliver {
                         self.oldest_taken = self.oldest_taken.max(now - said);
                     }
-                    if let Some(number) = todo.echo {
-                        self.say(end, Came::Echo(number));
-                        if let Some(number) = self.ends[end].live.rides(now) {
-                            self.say(end, Came::Ping(number));
+                    if let Some(number) = todo.pong {
+                        self.say(end, Received::Pong(number));
+                        if let Some(number) = self.ends[end].live.piggyback_ping(now) {
+                            self.say(end, Received::Ping(number));
                         }
                     }
                     if let Some(number) = todo.ping {
-                        self.say(end, Came::Ping(number));
+                        self.say(end, Received::Ping(number));
                     }
                 }
                 Err(_) => one.dead = Some(now),
@@ -138,12 +140,12 @@
             return;
         }
         if variant == Variant::ReadingAlone {
-            if now - one.read > DEAD {
+            if now - one.read > PONG_TIMEOUT {
                 one.dead = Some(now);
             }
-        } else if now >= one.live.due() {
+        } else if now >= one.live.next_deadline() {
             match one.live.tick(now) {
-                Ok(Some(number)) => self.say(end, Came::Ping(number)),
+                Ok(Some(number)) => self.say(end, Received::Ping(number)),
                 Ok(None) => {}
                 Err(_) => one.dead = Some(now),
             }
@@ -152,13 +154,13 @@
         if one.up && one.dead.is_none() && now - one.talked >= TALK {
             one.talked = now;
             let rides = if variant == Variant::Right {
-                one.live.rides(now)
+                one.live.piggyback_ping(now)
             } else {
                 None
             };
-            self.say(end, Came::Other);
+            self.say(end, Received::Other);
             if let Some(number) = rides {
-                self.say(end, Came::Ping(number));
+                self.say(end, Received::Ping(number));
             }
         }
     }
@@ -188,7 +190,7 @@
 
     /// Tells which ends do not know within the bound from `since` on that the link is dead.
     fn unaware(&mut self, since: f64) -> Vec<usize> {
-        self.run(since + DEAD + PING + 2.0 * STEP);
+        self.run(since + PONG_TIMEOUT + PING_INTERVAL + 2.0 * STEP);
         (0..2)
             .filter(|end| self.ends[*end].dead.is_none())
             .collect()
@@ -215,7 +217,8 @@
         3 | 4 => play.ways[how - 3].held_until = f64::INFINITY,
         _ => {
             let end = how - 5;
-            play.ends[end].frozen_until = at + DEAD + PING + 4.0 * STEP + play.draw(20_000.0);
+            play.ends[end].frozen_until =
+                at + PONG_TIMEOUT + PING_INTERVAL + 4.0 * STEP + play.draw(20_000.0);
             let thaws = play.ends[end].frozen_until;
             let unaware: Vec<usize> = play
                 .unaware(at)
@@ -229,7 +232,7 @@
                 "seed {seed}: thawed"
             );
             assert!(
-                play.oldest_taken <= DEAD + PING,
+                play.oldest_taken <= PONG_TIMEOUT + PING_INTERVAL,
                 "seed {seed}: took {} ms",
                 play.oldest_taken
             );
@@ -238,7 +241,7 @@
     }
     let unaware = play.unaware(at);
     assert!(
-        play.oldest_taken <= DEAD + PING,
+        play.oldest_taken <= PONG_TIMEOUT + PING_INTERVAL,
         "seed {seed}: took {} ms",
         play.oldest_taken
     );
@@ -300,7 +303,7 @@
             assert_eq!(dead, [None, None], "seed {seed} at {}", play.now);
         }
         assert!(
-            play.oldest_taken <= DEAD + PING,
+            play.oldest_taken <= PONG_TIMEOUT + PING_INTERVAL,
             "seed {seed}: took {} ms",
             play.oldest_taken
         );
@@ -311,32 +314,44 @@
 /// goes in time.
 #[test]
 fn nothing_is_taken_before_its_turn() {
-    for early in [Came::Other, Came::Ping(1), Came::Echo(1)] {
+    for early in [Received::Other, Received::Ping(1), Received::Pong(1)] {
         assert!(
-            Liveness::new(Side::Accepts, 0.0).came(1.0, early).is_err(),
+            Liveness::new(Side::Acceptor, 0.0)
+                .received(1.0, early)
+                .is_err(),
             "{early:?} before a hello"
         );
     }
-    for early in [Came::Other, Came::Hello, Came::Ping(1), Came::Echo(9)] {
-        let mut live = Liveness::new(Side::Accepts, 0.0);
-        let todo = live.came(1.0, Came::Hello).expect("a hello");
-        assert_eq!((todo.ping, todo.up, todo.take), (Some(1), false, false));
-        let came = live.came(2.0, early);
+    for early in [
+        Received::Other,
+        Received::Hello,
+        Received::Ping(1),
+        Received::Pong(9),
+    ] {
+        let mut live = Liveness::new(Side::Acceptor, 0.0);
+        let todo = live.received(1.0, Received::Hello).expect("a hello");
+        assert_eq!(
+            (todo.ping, todo.established, todo.deliver),
+            (Some(1), false, false)
+        );
+        let came = live.received(2.0, early);
         assert!(
-            matches!(early, Came::Echo(_)) || came.is_err(),
+            matches!(early, Received::Pong(_)) || came.is_err(),
             "{early:?} before the echo"
         );
     }
-    for early in [Came::Other, Came::Hello, Came::Echo(1)] {
+    for early in [Received::Other, Received::Hello, Received::Pong(1)] {
         assert!(
-            Liveness::new(Side::Dials, 0.0).came(1.0, early).is_err(),
+            Liveness::new(Side::Initiator, 0.0)
+                .received(1.0, early)
+                .is_err(),
             "{early:?} before a ping"
         );
     }
-    for side in [Side::Dials, Side::Accepts] {
+    for side in [Side::Initiator, Side::Acceptor] {
         let mut live = Liveness::new(side, 0.0);
         assert!(
-            live.tick(DEAD - 1.0).is_ok() && live.tick(DEAD).is_err(),
+            live.tick(PONG_TIMEOUT - 1.0).is_ok() && live.tick(PONG_TIMEOUT).is_err(),
             "{side:?}"
         );
     }
@@ -358,7 +373,7 @@
     live: Liveness,
     link: u64,
     /// When each thing comes.
-    under_way: VecDeque<(f64, Came)>,
+    under_way: VecDeque<(f64, Received)>,
     /// The process reads it.
     read: bool,
     gone: bool,
@@ -369,7 +384,8 @@
 fn lives(seed: u64, fenced: Fenced) -> bool {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut draw = |most: f64| f64::from(rng.next_u32()) / 4_294_967_296.0 * most;
-    let (mut fence, mut links): (Fence<()>, Vec<Told>) = (Fence::default(), Vec::new());
+    let (mut fence, mut links): (ConnectionFence<()>, Vec<Told>) =
+        (ConnectionFence::default(), Vec::new());
     let (mut now, mut age, mut newest, mut anew, mut back) = (0.0, (0, 0), (0, 0), 0.0, false);
     let mut under_way_back: Vec<(f64, usize, u64)> = Vec::new();
     while now < 20_000.0 {
@@ -385,11 +401,11 @@
             let mut under_way = VecDeque::new();
             let late = draw(1.0) < 0.4;
             let at = now + draw(if late { 3000.0 } else { 5.0 });
-            under_way.push_back((at, Came::Hello));
+            under_way.push_back((at, Received::Hello));
             if fenced == Fenced::ByHello {
-                under_way.extend((0..5).map(|n| (at + f64::from(n) * 20.0, Came::Other)));
+                under_way.extend((0..5).map(|n| (at + f64::from(n) * 20.0, Received::Other)));
             }
-            let live = Liveness::new(Side::Accepts, now);
+            let live = Liveness::new(Side::Acceptor, now);
             links.push(Told {
                 age,
                 live,
@@ -409,9 +425,9 @@
             if told.read {
                 let last = told.under_way.back().map_or(now, |(at, _)| *at).max(now);
                 let at = last + draw(if late { 3000.0 } else { 5.0 });
-                told.under_way.push_back((at, Came::Echo(*number)));
+                told.under_way.push_back((at, Received::Pong(*number)));
                 told.under_way
-                    .extend((0..5).map(|n| (at + f64::from(n) * 20.0, Came::Other)));
+                    .extend((0..5).map(|n| (at + f64::from(n) * 20.0, Received::Other)));
             }
             false
         });
@@ -424,26 +440,26 @@
                 }
                 let mut taken = false;
                 if fenced == Fenced::ByHello {
-                    taken = what == Came::Other;
-                    if what == Came::Hello {
-                        told.link = fence.number();
-                        fence.take(&(), told.link);
+                    taken = what == Received::Other;
+                    if what == Received::Hello {
+                        told.link = fence.next_token();
+                        fence.admit(&(), told.link);
                     }
-                } else if let Ok(todo) = told.live.came(now, what) {
-                    if what == Came::Hello || (todo.up && fenced == Fenced::ByEcho) {
-                        told.link = fence.number();
+                } else if let Ok(todo) = told.live.received(now, what) {
+                    if what == Received::Hello || (todo.established && fenced == Fenced::ByEcho) {
+                        told.link = fence.next_token();
                     }
-                    if todo.up {
-                        told.gone = fence.take(&(), told.link) == Verdict::Old;
+                    if todo.established {
+                        told.gone = fence.admit(&(), told.link) == Admission::Stale;
                     }
                     if let Some(number) = todo.ping {
                         under_way_back.push((now + draw(5.0), place, number));
                     }
-                    taken = todo.take;
+                    taken = todo.deliver;
                 } else {
                     told.gone = true;
                 }
-                if taken && !told.gone && fence.holds(&(), told.link) {
+                if taken && !told.gone && fence.is_current(&(), told.link) {
                     back |= told.age < newest;
                     newest = newest.max(told.age);
                 }
--- a/crates/control-transport/tests/sockets.rs
+++ b/crates/control-transport/tests/sockets.rs
@@ -2,9 +2,13 @@
 //! on at once when nothing can.
 
 use bytes::{Bytes, BytesMut};
-use maplefall_control_messages::{read, write, Frame, Hello, Words, VERSION};
-use maplefall_control_transport::liveness::{Dead, DEAD, PING};
-use maplefall_control_transport::{carry, End, Event, Open, QUEUE};
+use maplefall_control_messages::{
+    decode_frame, encode_frame, Frame, Hello, InstanceUpdates, PROTOCOL_VERSION,
+};
+use maplefall_control_transport::liveness::{LivenessError, PING_INTERVAL, PONG_TIMEOUT};
+use maplefall_control_transport::{
+    run_connection, ConnectionError, Event, Handshake, OUTGOING_QUEUE_FRAMES,
+};
 use std::cell::RefCell;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,13 +16,13 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-const BOUND: Duration = Duration::from_millis((DEAD + PING) as u64 + 50);
+const BOUND: Duration = Duration::from_millis((PONG_TIMEOUT + PING_INTERVAL) as u64 + 50);
 
 fn hello() -> Hello {
     Hello {
-        version: VERSION,
+        version: PROTOCOL_VERSION,
         ip: "127.0.0.1".into(),
-        life: 7,
+        incarnation: 7,
         ..Hello::default()
     }
 }
@@ -34,13 +38,13 @@
 }
 
 fn queue() -> (mpsc::Sender<Bytes>, mpsc::Receiver<Bytes>) {
-    mpsc::channel(QUEUE)
+    mpsc::channel(OUTGOING_QUEUE_FRAMES)
 }
 
 /// Waits for the next frame, by hand.
 async fn next(stream: &mut TcpStream, come: &mut BytesMut) -> Frame {
     loop {
-        if let Some(frame) = read(come).expect("frames") {
+        if let Some(frame) = decode_frame(come).expect("frames") {
             return frame;
         }
         assert!(stream.read_buf(come).await.expect("bytes") > 0, "closed");
@@ -51,21 +55,25 @@
 #[tokio::test(start_paused = true)]
 async fn a_calm_link_carries_both_ways_and_lives() {
     let (dialled, accepted) = pair().await;
-    let long = Frame::Words(Words {
-        receipt: 3,
-        words: vec![big(1 << 20)],
-        all: true,
+    let long = Frame::InstanceUpdates(InstanceUpdates {
+        ack_number: 3,
+        records: vec![big(1 << 20)],
+        complete: true,
     });
     let ((to_far, far_queue), (to_near, near_queue)) = (queue(), queue());
-    to_far.try_send(write(long.clone())).expect("room");
-    to_far.try_send(write(Frame::Heard(1))).expect("room");
-    to_near.try_send(write(Frame::Heard(2))).expect("room");
+    to_far.try_send(encode_frame(long.clone())).expect("room");
+    to_far
+        .try_send(encode_frame(Frame::InstancesPersisted(1)))
+        .expect("room");
+    to_near
+        .try_send(encode_frame(Frame::InstancesPersisted(2)))
+        .expect("room");
     let (near, far) = (RefCell::new(Vec::new()), RefCell::new(Vec::new()));
-    let dials = carry(dialled, far_queue, Open::Dials(hello()), |event| {
+    let dials = run_connection(dialled, far_queue, Handshake::Initiator(hello()), |event| {
         near.borrow_mut().push(event);
         true
     });
-    let accepts = carry(accepted, near_queue, Open::Accepts, |event| {
+    let accepts = run_connection(accepted, near_queue, Handshake::Acceptor, |event| {
         far.borrow_mut().push(event);
         true
     });
@@ -76,22 +84,22 @@
     }
     assert_eq!(
         near.into_inner(),
-        [Event::Up, Event::Frame(Frame::Heard(2))]
+        [Event::Up, Event::Frame(Frame::InstancesPersisted(2))]
     );
     let far = far.into_inner();
     let expected = [
-        Event::Read,
-        Event::Hello(hello()),
+        Event::HelloReceived,
+        Event::Verified(hello()),
         Event::Frame(long),
-        Event::Frame(Frame::Heard(1)),
+        Event::Frame(Frame::InstancesPersisted(1)),
     ];
     assert_eq!(far, expected);
 }
 
-fn big(size: usize) -> maplefall_service_registry::Word {
-    maplefall_service_registry::Word {
+fn big(size: usize) -> maplefall_service_registry::InstanceRecord {
+    maplefall_service_registry::InstanceRecord {
         id: "x".repeat(size),
-        ..maplefall_service_registry::Word::default()
+        ..maplefall_service_registry::InstanceRecord::default()
     }
 }
 
@@ -101,11 +109,14 @@
     let (dialled, _accepted) = pair().await;
     let (_sender, outgoing) = queue();
     let from = Instant::now();
-    let end = carry(dialled, outgoing, Open::Dials(hello()), |_| {
+    let end = run_connection(dialled, outgoing, Handshake::Initiator(hello()), |_| {
         panic!("it came up")
     })
     .await;
-    assert!(matches!(end, End::Dead(Dead::Unanswered)), "{end}");
+    assert!(
+        matches!(end, ConnectionError::Dead(LivenessError::Unanswered)),
+        "{end}"
+    );
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
 }
 
@@ -115,8 +126,14 @@
     let (_dialled, accepted) = pair().await;
     let (_sender, outgoing) = queue();
     let from = Instant::now();
-    let end = carry(accepted, outgoing, Open::Accepts, |_| panic!("it came up")).await;
-    assert!(matches!(end, End::Dead(Dead::NoHello)), "{end}");
+    let end = run_connection(accepted, outgoing, Handshake::Acceptor, |_| {
+        panic!("it came up")
+    })
+    .await;
+    assert!(
+        matches!(end, ConnectionError::Dead(LivenessError::NoHello)),
+        "{end}"
+    );
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
 }
 
@@ -125,19 +142,23 @@
 async fn who_talks_and_never_reads_is_known_in_time() {
     let (dialled, mut far) = pair().await;
     let (_sender, outgoing) = queue();
-    let end = carry(dialled, outgoing, Open::Dials(hello()), |_| true);
+    let end = run_connection(dialled, outgoing, Handshake::Initiator(hello()), |_| true);
     let talks = async {
         let mut come = BytesMut::new();
         assert!(matches!(next(&mut far, &mut come).await, Frame::Hello(_)));
-        far.write_all(&write(Frame::Ping(1)))
+        far.write_all(&encode_frame(Frame::Ping(1)))
             .await
             .expect("written");
-        assert_eq!(next(&mut far, &mut come).await, Frame::Echo(1));
+        assert_eq!(next(&mut far, &mut come).await, Frame::Pong(1));
         let from = Instant::now();
         let mut number = 1;
         while from.elapsed() < Duration::from_secs(60) {
             number += 1;
-            let talk = [write(Frame::Ping(number)), write(Frame::Heard(number))].concat();
+            let talk = [
+                encode_frame(Frame::Ping(number)),
+                encode_frame(Frame::InstancesPersisted(number)),
+            ]
+            .concat();
             if far.write_all(&talk).await.is_err() {
                 break;
             }
@@ -146,7 +167,7 @@
     };
     let from = Instant::now();
     tokio::select! {
-        end = end => assert!(matches!(end, End::Dead(Dead::Unanswered)), "{end}"),
+        end = end => assert!(matches!(end, ConnectionError::Dead(LivenessError::Unanswered)), "{end}"),
         () = talks => panic!("it lived on"),
     }
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
@@ -159,24 +180,24 @@
     let (sender, outgoing) = queue();
     for _ in 0..64 {
         sender
-            .try_send(write(Frame::Words(Words {
-                words: vec![big(1 << 20)],
-                ..Words::default()
+            .try_send(encode_frame(Frame::InstanceUpdates(InstanceUpdates {
+                records: vec![big(1 << 20)],
+                ..InstanceUpdates::default()
             })))
             .expect("room");
     }
-    let end = carry(dialled, outgoing, Open::Dials(hello()), |_| true);
+    let end = run_connection(dialled, outgoing, Handshake::Initiator(hello()), |_| true);
     let stands = async {
         let mut come = BytesMut::new();
         assert!(matches!(next(&mut far, &mut come).await, Frame::Hello(_)));
-        far.write_all(&write(Frame::Ping(1)))
+        far.write_all(&encode_frame(Frame::Ping(1)))
             .await
             .expect("written");
         std::future::pending::<()>().await;
     };
     let from = Instant::now();
     tokio::select! {
-        end = end => assert!(matches!(end, End::Dead(Dead::Unanswered) | End::Stuck), "{end}"),
+        end = end => assert!(matches!(end, ConnectionError::Dead(LivenessError::Unanswered) | ConnectionError::WriteStalled), "{end}"),
         () = stands => {}
     }
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
@@ -187,14 +208,17 @@
 async fn parts_that_make_no_frame_end_the_link() {
     let (mut dialled, accepted) = pair().await;
     let (_sender, outgoing) = queue();
-    let part = maplefall_control_messages::Part {
-        bytes: Bytes::from_static(&[0, 0, 0, 9, 1]),
+    let part = maplefall_control_messages::Chunk {
+        data: Bytes::from_static(&[0, 0, 0, 9, 1]),
         last: true,
     };
     dialled
-        .write_all(&write(Frame::Part(part)))
+        .write_all(&encode_frame(Frame::Chunk(part)))
         .await
         .expect("written");
-    let end = carry(accepted, outgoing, Open::Accepts, |_| panic!("it came up")).await;
-    assert!(matches!(end, End::Frame(_)), "{end}");
+    let end = run_connection(accepted, outgoing, Handshake::Acceptor, |_| {
+        panic!("it came up")
+    })
+    .await;
+    assert!(matches!(end, ConnectionError::Frame(_)), "{end}");
 }
--- a/crates/controller/benches/amend.rs
+++ b/crates/controller/benches/amend.rs
@@ -3,9 +3,9 @@
 //! `cargo bench -p maplefall-controller --bench amend` plays a hundredth, a tenth and the whole of 77,000 routes, 8,900 services and
 //! 480,000 tenants; `PART=0.5` plays one part, `TENANTS=0` routes and services alone.
 
-use maplefall_controller::core::{Answer, Call, Core, Output};
-use maplefall_controller::store::Kept;
-use maplefall_gateway_config::{read_call, Board, Plan};
+use maplefall_controller::core::{Call, CallResponse, Core, Output};
+use maplefall_controller::store::StoredState;
+use maplefall_gateway_config::{parse_amend, ConfigState, RouteTable};
 use maplefall_node_settings::Settings;
 use std::path::Path;
 use std::time::Instant;
@@ -32,7 +32,7 @@
     fn new() -> Single {
         let settings = Settings::read(SETTINGS, Path::new("bench")).expect("settings");
         let mut out = Vec::new();
-        let core = Core::new(&settings, 0.0, 7, Kept::default(), &mut out);
+        let core = Core::new(&settings, 0.0, 7, StoredState::default(), &mut out);
         let mut single = Single {
             core,
             now: 0.0,
@@ -49,23 +49,23 @@
     }
 
     /// The disk takes no time; an answer is returned.
-    fn carry(&mut self, out: Vec<Output>) -> Option<Answer> {
+    fn carry(&mut self, out: Vec<Output>) -> Option<CallResponse> {
         let mut answer = None;
         for output in out {
             match output {
                 Output::Write(number, _) => {
                     let mut more = Vec::new();
-                    self.core.written(self.now, number, &mut more);
+                    self.core.persisted(self.now, number, &mut more);
                     answer = self.carry(more).or(answer);
                 }
-                Output::Answer(_, given) => answer = Some(given),
+                Output::Respond(_, given) => answer = Some(given),
                 _ => {}
             }
         }
         answer
     }
 
-    fn amend(&mut self, body: String) -> Option<Answer> {
+    fn amend(&mut self, body: String) -> Option<CallResponse> {
         self.calls += 1;
         let mut out = Vec::new();
         self.core
@@ -148,19 +148,19 @@
         .unwrap_or(TENANTS);
     let (routes, services, tenants) = (of(ROUTES), of(SERVICES), (tenants as f64 * part) as usize);
     let before = memory("VmRSS");
-    let mut board = Board::default();
+    let mut board = ConfigState::default();
     for body in all(routes, services, tenants) {
-        board.join(&read_call(body.as_bytes()).expect("a call"));
+        board.apply(&parse_amend(body.as_bytes()).expect("a call"));
     }
     let alone = memory("VmRSS") - before;
     let start = Instant::now();
-    let mut plan = Plan::of(&board);
+    let mut plan = RouteTable::from_items(&board);
     let plan_ms = start.elapsed().as_secs_f64() * 1e3;
     let mut times = Vec::new();
     for change in 0..CHANGES {
-        let change = read_call(one_route(change, routes, services).as_bytes()).expect("a call");
+        let change = parse_amend(one_route(change, routes, services).as_bytes()).expect("a call");
         let start = Instant::now();
-        board.join(&change);
+        board.apply(&change);
         plan.patch(&board, [&change].into_iter());
         times.push(start.elapsed().as_secs_f64() * 1e6);
     }
@@ -170,7 +170,7 @@
     drop((plan, board));
     let mut single = Single::new();
     for body in all(routes, services, tenants) {
-        assert_eq!(single.amend(body), Some(Answer::Done("{}".to_owned())));
+        assert_eq!(single.amend(body), Some(CallResponse::Ok("{}".to_owned())));
     }
     let mut times = Vec::new();
     for change in 0..CHANGES {
@@ -178,7 +178,7 @@
         let start = Instant::now();
         let answer = single.amend(body);
         times.push(start.elapsed().as_secs_f64() * 1e6);
-        assert_eq!(answer, Some(Answer::Done("{}".to_owned())));
+        assert_eq!(answer, Some(CallResponse::Ok("{}".to_owned())));
     }
     times.sort_by(f64::total_cmp);
     println!(
--- a/crates/controller/examples/start.rs
+++ b/crates/controller/examples/start.rs
@@ -1,16 +1,16 @@
 //! How long an exchange takes to read its disk, by the changes that were written to it, and what writing them cost.
 //! `cargo run --release -p maplefall-controller --example start -- FOLDER`; the folder is on the disk that is measured.
 
-use maplefall_controller::disk::Folder;
-use maplefall_controller::store::{Error, Store, Stored};
-use maplefall_raft::{Entry, Record, Snapshot};
+use maplefall_controller::disk::Directory;
+use maplefall_controller::store::{Error, Store, StoreRecord};
+use maplefall_raft::{Entry, PersistentUpdate, Snapshot};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
 /// Bytes of one change.
 const CHANGE: usize = 600;
 
-fn record(number: u64, snapshot_each: u64) -> Stored {
+fn record(number: u64, snapshot_each: u64) -> StoreRecord {
     let entry = Entry {
         index: number,
         term: 1,
@@ -27,16 +27,16 @@
                 ..Snapshot::default()
             }
         });
-    let tandem = Record {
+    let tandem = PersistentUpdate {
         term: Some(1),
         entries: vec![entry],
         snapshot,
-        ..Record::default()
+        ..PersistentUpdate::default()
     };
-    Stored {
+    StoreRecord {
         number,
-        tandem: Some(tandem),
-        ..Stored::default()
+        raft: Some(tandem),
+        ..StoreRecord::default()
     }
 }
 
@@ -50,14 +50,14 @@
 
 fn play(path: &Path, changes: u64, snapshot_each: u64) -> Result<(), Error> {
     let (from, begun) = (written(), Instant::now());
-    let (mut store, _) = Store::open(Folder::new(path))?;
+    let (mut store, _) = Store::open(Directory::new(path))?;
     for first in (1..=changes).step_by(10) {
         store.write(
             (first..first + 10)
                 .map(|number| record(number, snapshot_each))
                 .collect(),
         )?;
-        if store.busy() {
+        if store.has_background_work() {
             store.step()?;
         }
     }
@@ -73,7 +73,7 @@
     let mut starts = Vec::new();
     for _ in 0..9 {
         let begun = Instant::now();
-        let (store, kept) = Store::open(Folder::new(path))?;
+        let (store, kept) = Store::open(Directory::new(path))?;
         assert_eq!(kept.number, changes);
         drop(store);
         starts.push(begun.elapsed().as_secs_f64() * 1e3);
--- a/crates/controller/src/core/agreement.rs
+++ b/crates/controller/src/core/agreement.rs
@@ -7,7 +7,7 @@
         &mut self,
         now: Millis,
         out: &mut Vec<Output>,
-        step: impl FnOnce(&mut Tandem, &mut Out),
+        step: impl FnOnce(&mut Raft, &mut Ready),
     ) {
         self.ask(now, out, |tandem, todo| step(tandem, todo));
     }
@@ -16,42 +16,42 @@
         &mut self,
         now: Millis,
         out: &mut Vec<Output>,
-        step: impl FnOnce(&mut Tandem, &mut Out) -> T,
+        step: impl FnOnce(&mut Raft, &mut Ready) -> T,
     ) -> T {
-        let mut todo = Out::default();
+        let mut todo = Ready::default();
         let result = step(&mut self.tandem, &mut todo);
         self.carry(now, todo, out);
         result
     }
 
-    pub(super) fn carry(&mut self, now: Millis, todo: Out, out: &mut Vec<Output>) {
+    pub(super) fn carry(&mut self, now: Millis, todo: Ready, out: &mut Vec<Output>) {
         for (number, record) in todo.writes {
             self.write(
-                Stored {
-                    tandem: Some(record),
-                    ..Stored::default()
+                StoreRecord {
+                    raft: Some(record),
+                    ..StoreRecord::default()
                 },
                 Wrote::Tandem(number),
                 out,
             );
         }
-        for (to, message) in todo.sends {
-            let bytes = write(Frame::Tandem(message));
+        for (to, message) in todo.messages {
+            let bytes = encode_frame(Frame::Raft(message));
             out.push(if to.is_empty() {
-                Output::Peers(bytes)
+                Output::SendToAllPeers(bytes)
             } else {
-                Output::Peer(to, bytes)
+                Output::SendToPeer(to, bytes)
             });
         }
-        out.extend(todo.notes.into_iter().map(Output::Log));
-        if let Some(snapshot) = todo.installed {
+        out.extend(todo.log_lines.into_iter().map(Output::Log));
+        if let Some(snapshot) = todo.installed_snapshot {
             self.install(now, &snapshot, out);
             self.spread_plans(now, out);
         }
-        if !todo.agreed.is_empty() {
-            self.apply(now, todo.agreed, out);
+        if !todo.committed_entries.is_empty() {
+            self.apply(now, todo.committed_entries, out);
         }
-        for ticket in todo.readable {
+        for ticket in todo.confirmed_reads {
             match self.reads.remove(&ticket) {
                 Some((waiting, due)) => self.round_done(waiting, due, out),
                 // It is confirmed in the very call that asked for it, or its caller has been answered.
@@ -60,7 +60,7 @@
                 }
             }
         }
-        if todo.deposed {
+        if todo.stepped_down {
             self.give_up_calls(out);
         }
         if self.led_by.as_deref() != self.tandem.leader() {
@@ -74,27 +74,27 @@
         self.keep_lending(now, out);
         self.keep_company(now, out);
         // What is not agreed on cannot be folded, however much it is.
-        let pending = self.tandem.pending().count();
+        let pending = self.tandem.uncommitted().count();
         let long = self
-            .fold_after
-            .is_some_and(|entries| self.tandem.length() > entries + pending);
-        if long || self.tandem.should_fold() {
-            let state = Whole::of(&self.board, self.shares.slots()).encode_to_vec();
-            self.agree(now, out, |tandem, todo| tandem.fold(state, todo));
+            .compact_after
+            .is_some_and(|entries| self.tandem.log_len() > entries + pending);
+        if long || self.tandem.should_compact() {
+            let state = ReplicatedState::capture(&self.board, self.shares.slots()).encode_to_vec();
+            self.agree(now, out, |tandem, todo| tandem.compact(state, todo));
         }
     }
 
     pub(super) fn apply(&mut self, now: Millis, entries: Vec<Entry>, out: &mut Vec<Output>) {
         for entry in entries {
-            if entry.kind() == EntryKind::Change {
+            if entry.kind() == EntryKind::Command {
                 if let Ok(change) = Change::decode(entry.payload.as_slice()) {
-                    self.board.join(&change);
+                    self.board.apply(&change);
                     out.push(Output::Log(format!(
                         "event=agreed index={} items={}",
                         entry.index,
                         change.items.len()
                     )));
-                    self.ring.push_back(Numbered {
+                    self.ring.push_back(IndexedChange {
                         index: entry.index,
                         change: Some(change),
                     });
@@ -108,13 +108,13 @@
                 self.index = entry.index;
             }
             self.entry_agreed(entry.index, entry.term, out);
-            if entry.kind() == EntryKind::Members {
+            if entry.kind() == EntryKind::Membership {
                 let members = entry
                     .members
                     .iter()
                     .map(|member| member.name.clone())
                     .collect();
-                let turns = self.shares.change(now, &members, entry.index);
+                let turns = self.shares.members_changed(now, &members, entry.index);
                 self.slots_turned(turns, out);
             }
         }
@@ -122,14 +122,14 @@
     }
 
     pub(super) fn install(&mut self, now: Millis, snapshot: &Snapshot, out: &mut Vec<Output>) {
-        let whole = match Whole::decode(snapshot.state.as_ref()) {
+        let whole = match ReplicatedState::decode(snapshot.state.as_ref()) {
             Ok(whole) => whole,
             Err(error) => {
                 out.push(Output::Log(format!(
                     "event=bad_snapshot index={} error={error}",
                     snapshot.index
                 )));
-                Whole::default()
+                ReplicatedState::default()
             }
         };
         // The first state of all is empty. What an earlier program folded holds no slots either; by then others may have lent.
@@ -139,7 +139,7 @@
                 .iter()
                 .map(|member| member.name.clone())
                 .collect();
-            Slots::first(
+            Slots::initial(
                 &members,
                 self.losses,
                 snapshot.index,
@@ -152,7 +152,7 @@
         if snapshot.state.is_empty() {
             return;
         }
-        self.board = Board::restored(whole.items, whole.taken.unwrap_or_default());
+        self.board = ConfigState::restore(whole.items, whole.taken.unwrap_or_default());
         self.index = snapshot.index;
         self.ring_after = snapshot.index;
         self.ring.clear();
--- a/crates/controller/src/core/backends.rs
+++ b/crates/controller/src/core/backends.rs
@@ -3,10 +3,20 @@
 use super::*;
 
 impl Core {
-    pub(super) fn beat(&mut self, now: Millis, number: u64, word: Word, out: &mut Vec<Output>) {
-        let (id, seq, leaving) = (word.id.clone(), word.seq, word.state() == State::Leaving);
-        let brought = self.directory.hear(now, word);
-        if brought != Brought::Nothing {
+    pub(super) fn beat(
+        &mut self,
+        now: Millis,
+        number: u64,
+        word: InstanceRecord,
+        out: &mut Vec<Output>,
+    ) {
+        let (id, seq, leaving) = (
+            word.id.clone(),
+            word.seq,
+            word.state() == InstanceState::Draining,
+        );
+        let brought = self.directory.apply(now, word);
+        if brought != Applied::Stale {
             self.heard.insert(id.clone(), seq);
         }
         self.acknowledge(now, number, &id, brought, leaving, out);
@@ -20,17 +30,17 @@
         now: Millis,
         number: u64,
         id: &str,
-        brought: Brought,
+        brought: Applied,
         leaving: bool,
         out: &mut Vec<Output>,
     ) {
         let news = match brought {
-            Brought::News(word) => {
+            Applied::Changed(word) => {
                 self.tell(vec![word.clone()], out);
                 self.write(
-                    Stored {
-                        words: vec![word.clone()],
-                        ..Stored::default()
+                    StoreRecord {
+                        instances: vec![word.clone()],
+                        ..StoreRecord::default()
                     },
                     Wrote::Words,
                     out,
@@ -43,13 +53,13 @@
         let known = !leaving || self.shared.contains(id);
         if away || known {
             let answer = if away {
-                Answer::Unknown
+                CallResponse::Unavailable
             } else {
-                Answer::Done("{}".to_owned())
+                CallResponse::Ok("{}".to_owned())
             };
-            out.push(Output::Answer(number, answer));
+            out.push(Output::Respond(number, answer));
             if let Some(word) = news {
-                out.push(Output::Peers(words(vec![word], false, 0)));
+                out.push(Output::SendToAllPeers(words(vec![word], false, 0)));
             }
             return;
         }
@@ -73,7 +83,7 @@
             self.writing
                 .push_back((self.last_write, Wrote::Leave(receipt)));
         }
-        out.push(Output::Peers(words(vec![word], false, receipt)));
+        out.push(Output::SendToAllPeers(words(vec![word], false, receipt)));
         self.settle(receipt, out);
     }
 
@@ -98,55 +108,66 @@
         if self.shared.len() < MOST_SHARED {
             self.shared.insert(leave.id);
         }
-        out.push(Output::Answer(
+        out.push(Output::Respond(
             leave.waiting.call,
-            Answer::Done("{}".to_owned()),
+            CallResponse::Ok("{}".to_owned()),
         ));
     }
 
     /// Another exchange says something about backends, and may want to know when it is on disk here.
-    pub(super) fn told(&mut self, now: Millis, ip: &str, said: Words, out: &mut Vec<Output>) {
+    pub(super) fn told(
+        &mut self,
+        now: Millis,
+        ip: &str,
+        said: InstanceUpdates,
+        out: &mut Vec<Output>,
+    ) {
         let mut news = Vec::new();
-        for word in said.words {
-            if let Brought::News(word) = self.directory.hear(now, word) {
+        for word in said.records {
+            if let Applied::Changed(word) = self.directory.apply(now, word) {
                 news.push(word);
             }
         }
         if !news.is_empty() {
             self.write(
-                Stored {
-                    words: news.clone(),
-                    ..Stored::default()
+                StoreRecord {
+                    instances: news.clone(),
+                    ..StoreRecord::default()
                 },
                 Wrote::Words,
                 out,
             );
         }
         self.tell(news, out);
-        if said.receipt == 0 {
+        if said.ack_number == 0 {
             return;
         }
         if self.writing.is_empty() {
-            out.push(Output::Peer(
+            out.push(Output::SendToPeer(
                 ip.to_owned(),
-                write(Frame::Heard(said.receipt)),
+                encode_frame(Frame::InstancesPersisted(said.ack_number)),
             ));
         } else if self.receipts_due < MOST_RECEIPTS {
             // What is no news may stand in any write that is under way. Beyond the bound whoever asks has no answer in time.
             self.receipts_due += 1;
-            self.writing
-                .push_back((self.last_write, Wrote::Heard(ip.to_owned(), said.receipt)));
+            self.writing.push_back((
+                self.last_write,
+                Wrote::Heard(ip.to_owned(), said.ack_number),
+            ));
         }
     }
 
     /// Tells all doors.
-    pub(super) fn tell(&mut self, news: Vec<Word>, out: &mut Vec<Output>) {
+    pub(super) fn tell(&mut self, news: Vec<InstanceRecord>, out: &mut Vec<Output>) {
         if news.is_empty() {
             return;
         }
         for word in &news {
-            if matches!(word.state(), State::Leaving | State::Left) {
-                let state = if word.state() == State::Left {
+            if matches!(
+                word.state(),
+                InstanceState::Draining | InstanceState::Deregistered
+            ) {
+                let state = if word.state() == InstanceState::Deregistered {
                     "left"
                 } else {
                     "leaving"
@@ -179,14 +200,24 @@
             return;
         };
         door.told_all = all;
-        let open = |word: &Word| matches!(word.state(), State::Serving | State::Leaving);
-        let known = self.directory.words(now).into_iter().filter(open).collect();
+        let open = |word: &InstanceRecord| {
+            matches!(
+                word.state(),
+                InstanceState::Serving | InstanceState::Draining
+            )
+        };
+        let known = self
+            .directory
+            .records(now)
+            .into_iter()
+            .filter(open)
+            .collect();
         self.say(conn, words(known, all, 0), out);
     }
 
     /// Whether a majority of the exchanges is known to be there.
     pub(super) fn in_touch(&self, now: Millis) -> bool {
-        self.company.is_some() && self.tandem.in_touch(now)
+        self.company.is_some() && self.tandem.has_quorum_contact(now)
     }
 
     /// Whether a majority of the exchanges hears this one: there are links to them that live.
@@ -219,13 +250,13 @@
 
     /// Notes when this exchange has come into touch with a majority, and when it has lost it.
     pub(super) fn keep_company(&mut self, now: Millis, out: &mut Vec<Output>) {
-        if !self.tandem.in_touch(now) {
+        if !self.tandem.has_quorum_contact(now) {
             self.lose_company(now, out);
         } else if self.company.is_none() {
             self.company = Some(now);
             let away = self.parted.take().map_or(0.0, |since| now - since);
             out.push(Output::Log(format!("event=in_touch after_ms={away:.0}")));
-            self.directory.excuse(now);
+            self.directory.restart_timeouts(now);
             // Doors that have nothing have waited for this.
             self.spread_plans(now, out);
             for conn in self.doors.keys().copied().collect::<Vec<_>>() {
@@ -246,10 +277,10 @@
     }
 }
 
-pub(super) fn words(words: Vec<Word>, all: bool, receipt: u64) -> Bytes {
-    write(Frame::Words(Words {
-        words,
-        all,
-        receipt,
+pub(super) fn words(words: Vec<InstanceRecord>, all: bool, receipt: u64) -> Bytes {
+    encode_frame(Frame::InstanceUpdates(InstanceUpdates {
+        records: words,
+        complete: all,
+        ack_number: receipt,
     }))
 }
--- a/crates/controller/src/core/doors.rs
+++ b/crates/controller/src/core/doors.rs
@@ -4,27 +4,33 @@
 
 impl Core {
     /// A door has opened a connection, of this number.
-    pub fn door_up(&mut self, now: Millis, conn: u64, hello: &Hello, out: &mut Vec<Output>) {
+    pub fn proxy_connected(
+        &mut self,
+        now: Millis,
+        conn: u64,
+        hello: &Hello,
+        out: &mut Vec<Output>,
+    ) {
         out.push(Output::Log(format!(
             "event=door_up node={} index={}",
-            hello.node, hello.index
+            hello.node, hello.config_index
         )));
-        let door = Door {
+        let receive_from_proxy = Door {
             node: hello.node.clone(),
-            life: hello.life,
-            index: hello.index,
+            life: hello.incarnation,
+            index: hello.config_index,
             told_all: false,
             held_back: false,
             unanswered: None,
         };
-        self.doors.insert(conn, door);
+        self.doors.insert(conn, receive_from_proxy);
         // Even where nothing has changed: the door learns which exchanges there are.
         self.plans(now, conn, true, out);
         self.tell_all(now, conn, out);
     }
 
     /// A door's connection has ended.
-    pub fn door_down(&mut self, conn: u64, out: &mut Vec<Output>) {
+    pub fn proxy_disconnected(&mut self, conn: u64, out: &mut Vec<Output>) {
         if let Some(door) = self.doors.remove(&conn) {
             out.push(Output::Log(format!("event=door_down node={}", door.node)));
         }
@@ -32,11 +38,13 @@
 
     /// A door says something.
     pub fn door(&mut self, now: Millis, conn: u64, frame: Frame, out: &mut Vec<Output>) {
-        let Frame::Report(report) = frame else { return };
+        let Frame::LeaseRequest(report) = frame else {
+            return;
+        };
         let Some(door) = self.doors.get(&conn) else {
             return;
         };
-        if !self.lent_to.contains(&door.node) && !report.last {
+        if !self.lent_to.contains(&door.node) && !report.release {
             if self.lent_to.len() >= MOST_NAMED {
                 return;
             }
@@ -44,9 +52,9 @@
             let name = door.node.clone();
             self.lent_to.insert(name.clone());
             self.naming.insert(name.clone());
-            let stored = Stored {
-                lent_to: vec![name.clone()],
-                ..Stored::default()
+            let stored = StoreRecord {
+                leased_to: vec![name.clone()],
+                ..StoreRecord::default()
             };
             self.write(stored, Wrote::Name(name, conn, report), out);
             return;
@@ -68,7 +76,7 @@
         now: Millis,
         name: &str,
         conn: u64,
-        report: &Report,
+        report: &LeaseRequest,
         out: &mut Vec<Output>,
     ) {
         self.naming.remove(name);
@@ -77,14 +85,14 @@
 
     /// Whether doors may be answered: this exchange is known to be a member that had applied all that was agreed a short while ago.
     fn leased(&self, now: Millis) -> bool {
-        self.tandem.trusted() && in_lease(now, self.tandem.contact(now))
+        self.tandem.is_voter() && membership_lease_valid(now, self.tandem.last_quorum_contact(now))
     }
 
     pub(super) fn reported(
         &mut self,
         now: Millis,
         conn: u64,
-        report: &Report,
+        report: &LeaseRequest,
         out: &mut Vec<Output>,
     ) {
         let leased = self.leased(now);
@@ -92,7 +100,7 @@
             return;
         };
         // A door that stops gives back: that is heard at any time.
-        if !leased && !report.last {
+        if !leased && !report.release {
             door.unanswered = Some((now, report.clone()));
             return;
         }
@@ -100,14 +108,14 @@
         let mine = door.node.clone();
         let tenants = self
             .board
-            .standing(maplefall_gateway_config::Kind::Tenant)
+            .active(maplefall_gateway_config::ItemKind::Tenant)
             .map(|item| item.name.as_str());
-        let caller = Caller {
+        let caller = ClientId {
             name: &door.node,
-            life: door.life,
-            conn,
+            incarnation: door.life,
+            connection: conn,
         };
-        let answers = self.lender.report(now, caller, report, tenants);
+        let answers = self.lender.handle_request(now, caller, report, tenants);
         for (node, lent) in answers {
             let conn = if node == mine {
                 Some(conn)
@@ -115,7 +123,7 @@
                 self.conn_of(&node)
             };
             if let Some(conn) = conn {
-                self.say(conn, write(Frame::Lent(lent)), out);
+                self.say(conn, encode_frame(Frame::LeaseGrant(lent)), out);
             }
         }
     }
@@ -154,11 +162,11 @@
             return;
         }
         let exchanges = self.tandem.voters().iter().cloned().collect();
-        let mut plans = Plans {
+        let mut plans = ConfigUpdate {
             after: door.index,
             index: door.index,
-            exchanges,
-            ..Plans::default()
+            controllers: exchanges,
+            ..ConfigUpdate::default()
         };
         if news {
             let after = door.index;
@@ -175,30 +183,32 @@
                 plans.items = self.board.items().cloned().collect();
             }
         }
-        self.say(conn, write(Frame::Plans(plans)), out);
+        self.say(conn, encode_frame(Frame::ConfigUpdate(plans)), out);
     }
 
     pub(super) fn say(&mut self, conn: u64, bytes: Bytes, out: &mut Vec<Output>) {
         if self.doors.contains_key(&conn) {
-            out.push(Output::Door(conn, bytes));
+            out.push(Output::SendToProxy(conn, bytes));
         }
     }
 
     /// Says what has become of this exchange's slots, and lends by them from now on.
-    pub(super) fn slots_turned(&mut self, turns: Vec<Turn>, out: &mut Vec<Output>) {
+    pub(super) fn slots_turned(&mut self, turns: Vec<SlotEvent>, out: &mut Vec<Output>) {
         if turns.is_empty() {
             return;
         }
         for turn in turns {
             let line = match turn {
-                Turn::Owned(since) => format!("event=slot_owned since={since}"),
-                Turn::Waits(since, ms) => format!("event=slot_waits since={since} ms={ms:.0}"),
-                Turn::Lost(since) => format!("event=slot_lost since={since}"),
-                Turn::Waited(since) => {
+                SlotEvent::Owned(since) => format!("event=slot_owned since={since}"),
+                SlotEvent::Waiting(since, ms) => {
+                    format!("event=slot_waits since={since} ms={ms:.0}")
+                }
+                SlotEvent::Lost(since) => format!("event=slot_lost since={since}"),
+                SlotEvent::WaitOver(since) => {
                     // A later life with this disk need not wait again.
-                    let stored = Stored {
-                        waited: vec![since],
-                        ..Stored::default()
+                    let stored = StoreRecord {
+                        waited_slots: vec![since],
+                        ..StoreRecord::default()
                     };
                     self.write(stored, Wrote::Note, out);
                     format!("event=slot_owned since={since} waited=true")
@@ -209,7 +219,7 @@
         // What shrinks is said at once; whatever is answered from here on says it too.
         for (node, lent) in self.lender.set_limit(self.shares.limit()) {
             if let Some(conn) = self.conn_of(&node) {
-                self.say(conn, write(Frame::Lent(lent)), out);
+                self.say(conn, encode_frame(Frame::LeaseGrant(lent)), out);
             }
         }
     }
@@ -218,13 +228,13 @@
     pub(super) fn keep_lending(&mut self, now: Millis, out: &mut Vec<Output>) {
         let turns = self.shares.tick(now);
         self.slots_turned(turns, out);
-        if !self.lent_known && now - self.born >= LASTS + SKEW {
+        if !self.lent_known && now - self.born >= LEASE_DURATION + CLOCK_SKEW {
             // What lives with an earlier disk have lent has run out.
             self.lent_known = true;
             self.write(
-                Stored {
-                    lent_known: true,
-                    ..Stored::default()
+                StoreRecord {
+                    leased_to_complete: true,
+                    ..StoreRecord::default()
                 },
                 Wrote::Note,
                 out,
@@ -233,7 +243,8 @@
         if self.lent_known && now - self.struck >= STRIKE {
             self.struck = now;
             let (lender, naming) = (&self.lender, &self.naming);
-            let over = |name: &&String| !lender.may_owe(now, name) && !naming.contains(*name);
+            let over =
+                |name: &&String| !lender.may_hold_lease(now, name) && !naming.contains(*name);
             let forgotten: Vec<String> = self.lent_to.iter().filter(over).cloned().collect();
             if !forgotten.is_empty() {
                 // A door that comes again is written down again, after this.
@@ -241,9 +252,9 @@
                     self.lent_to.remove(name);
                 });
                 self.write(
-                    Stored {
-                        forgotten,
-                        ..Stored::default()
+                    StoreRecord {
+                        released: forgotten,
+                        ..StoreRecord::default()
                     },
                     Wrote::Note,
                     out,
@@ -258,15 +269,15 @@
                     .take()
                     .filter(|(at, _)| now - at < 2.0 * TELL)
             };
-            let due: Vec<(u64, Report)> = self
+            let due: Vec<(u64, LeaseRequest)> = self
                 .doors
                 .iter_mut()
                 .filter_map(|(conn, door)| Some((*conn, asked(door)?.1)))
                 .collect();
             for (conn, report) in due {
-                self.door(now, conn, Frame::Report(report), out);
+                self.door(now, conn, Frame::LeaseRequest(report), out);
             }
-            let contact = now - self.tandem.contact(now);
+            let contact = now - self.tandem.last_quorum_contact(now);
             out.push(Output::Log(if leased {
                 format!("event=lease limit={}", self.lender.limit())
             } else {
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -7,15 +7,20 @@
 mod whole;
 
 use crate::beat::read_beat;
-use crate::store::{Kept, Stored};
+use crate::store::{StoreRecord, StoredState};
 use bytes::Bytes;
-use maplefall_control_messages::{write, Alive, Frame, Hello, Numbered, Plans, Seen, Words};
-use maplefall_gateway_config::{read_call, Ahead, Board, Change, Verdict};
+use maplefall_control_messages::{
+    encode_frame, ConfigUpdate, Frame, Heartbeat, Heartbeats, Hello, IndexedChange, InstanceUpdates,
+};
+use maplefall_gateway_config::{parse_amend, Change, ConfigState, PendingChanges, Validation};
 use maplefall_node_settings::Settings;
-use maplefall_quota_lease::{in_lease, Caller, Lender, Report, Shares, Slots, Turn, LASTS, SKEW};
-use maplefall_raft::{Entry, EntryKind, Out, Setup, Snapshot, Tandem};
-use maplefall_service_registry::{Brought, Directory, State, Word};
-pub use whole::Whole;
+use maplefall_quota_lease::{
+    membership_lease_valid, ClientId, LeaseRequest, LeaseServer, OwnedSlots, SlotEvent, Slots,
+    CLOCK_SKEW, LEASE_DURATION,
+};
+use maplefall_raft::{Config, Entry, EntryKind, Raft, Ready, Snapshot};
+use maplefall_service_registry::{Applied, InstanceRecord, InstanceState, Registry};
+pub use whole::ReplicatedState;
 
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -54,41 +59,41 @@
 #[derive(Clone, Debug)]
 pub enum Call {
     /// A backend says what it is.
-    Beat(String, Bytes),
+    Heartbeat(String, Bytes),
     /// A backend ends.
-    Leave(String),
+    Deregister(String),
     /// The operator changes items.
     Amend(Bytes),
     /// The operator reads all back.
-    Read,
+    ReadConfig,
 }
 
 /// What a caller is answered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum CallResponse {
     /// 200 with a JSON body.
-    Done(String),
+    Ok(String),
     /// A 4xx with the reason: nothing of the call is in force.
-    Refused(u16, String),
+    Rejected(u16, String),
     /// 307 to the exchange at this address.
-    Elsewhere(String),
+    Redirect(String),
     /// 503: another may know.
-    Unknown,
+    Unavailable,
 }
 
 /// What is to be done.
 #[derive(Debug)]
 pub enum Output {
     /// Write this; the number is told to [`Core::written`].
-    Write(u64, Box<Stored>),
+    Write(u64, Box<StoreRecord>),
     /// Send a frame to the exchange at this address.
-    Peer(String, Bytes),
+    SendToPeer(String, Bytes),
     /// Send a frame to every exchange.
-    Peers(Bytes),
+    SendToAllPeers(Bytes),
     /// Send a frame on the connection of this number.
-    Door(u64, Bytes),
+    SendToProxy(u64, Bytes),
     /// Answer a call.
-    Answer(u64, Answer),
+    Respond(u64, CallResponse),
     /// A line for the log.
     Log(String),
     /// A line for whoever looks closely.
@@ -103,14 +108,14 @@
     /// It has no configuration, and waits until this exchange is in touch.
     held_back: bool,
     /// Its last report, where that came while nothing could be answered, and when.
-    unanswered: Option<(Millis, Report)>,
+    unanswered: Option<(Millis, LeaseRequest)>,
 }
 
 /// What a write was for.
 enum Wrote {
     Tandem(u64),
     /// A door's name: it may be lent to.
-    Name(String, u64, Report),
+    Name(String, u64, LeaseRequest),
     /// A note for later lives.
     Note,
     /// Words about backends.
@@ -141,14 +146,14 @@
 struct AfterEntry {
     waiting: Waiting,
     term: u64,
-    answer: Answer,
+    answer: CallResponse,
 }
 
 /// What is answered once a round has confirmed that this exchange leads.
 enum AfterRound {
     ReadBack,
     /// A refusal that was judged in this term, with all up to this index before it.
-    Refused(Answer, u64, u64),
+    Refused(CallResponse, u64, u64),
 }
 
 /// The changes that are on their way, as far as they were looked at.
@@ -158,7 +163,7 @@
     /// Index before the first and of the last that was looked at.
     after: u64,
     through: u64,
-    ahead: Ahead,
+    ahead: PendingChanges,
 }
 
 /// The decisions of one exchange.
@@ -166,14 +171,14 @@
     me: String,
     born: Millis,
     silence: Millis,
-    tandem: Tandem,
-    board: Board,
+    tandem: Raft,
+    board: ConfigState,
     /// Index of the last change in `board`.
     index: u64,
-    ring: VecDeque<Numbered>,
+    ring: VecDeque<IndexedChange>,
     /// All changes after this index are in the ring.
     ring_after: u64,
-    directory: Directory,
+    directory: Registry,
     /// Since when a majority has been heard without a break.
     company: Option<Millis>,
     /// Since when it has not.
@@ -194,8 +199,8 @@
     doors: BTreeMap<u64, Door>,
     /// Which machines may be lost at once: how many slots the quotas are cut into follows from it at the first start.
     losses: u32,
-    shares: Shares,
-    lender: Lender,
+    shares: OwnedSlots,
+    lender: LeaseServer,
     was_leased: bool,
     lent_to: BTreeSet<String>,
     /// Whether that names all doors that may hold what this exchange has lent.
@@ -220,7 +225,7 @@
     led_by: Option<String>,
     stopping: bool,
     /// Entries after which the log is folded even if it is not long: for tests.
-    fold_after: Option<usize>,
+    compact_after: Option<usize>,
 }
 
 impl Core {
@@ -229,7 +234,7 @@
         settings: &Settings,
         now: Millis,
         seed: u64,
-        kept: Kept,
+        kept: StoredState,
         out: &mut Vec<Output>,
     ) -> Core {
         let me = settings.ip.to_string();
@@ -241,25 +246,25 @@
         if first.is_empty() {
             first.push(me.clone());
         }
-        let fresh = kept.tandem.is_empty();
+        let fresh = kept.raft.is_empty();
         let tolerance = &settings.tolerance;
-        let setup = Setup {
-            first: settings.bootstrap.then_some(first.as_slice()),
-            counts: settings.quorum_member,
-            losses: tolerance.machine_losses as usize,
-            alike: tolerance.zones == 0 && tolerance.region_losses == 0,
-            ..Setup::default()
+        let setup = Config {
+            initial_members: settings.bootstrap.then_some(first.as_slice()),
+            voter: settings.quorum_member,
+            max_failures: tolerance.machine_losses as usize,
+            interchangeable: tolerance.zones == 0 && tolerance.region_losses == 0,
+            ..Config::default()
         };
-        let snapshot = kept.tandem.snapshot.clone();
+        let snapshot = kept.raft.snapshot.clone();
         let losses = settings.tolerance.machine_losses;
         // The first disk of all has lent nothing; another that came empty may have.
         let starts = fresh && settings.bootstrap;
-        let lent_known = kept.lent_known || starts;
-        let lent_to = lent_known.then(|| kept.lent_to.clone());
-        let mut todo = Out::default();
-        let tandem = Tandem::new(&me, now, seed, kept.tandem, &setup, &mut todo);
-        let lender = Lender::new(now, (seed as u32).max(1), 0, lent_to);
-        let (shares, _) = Shares::new(now, &me, Slots::default(), kept.waited);
+        let lent_known = kept.leased_to_complete || starts;
+        let lent_to = lent_known.then(|| kept.leased_to.clone());
+        let mut todo = Ready::default();
+        let tandem = Raft::new(&me, now, seed, kept.raft, &setup, &mut todo);
+        let lender = LeaseServer::new(now, (seed as u32).max(1), 0, lent_to);
+        let (shares, _) = OwnedSlots::new(now, &me, Slots::default(), kept.waited_slots);
         let mut core = Core {
             me,
             born: now,
@@ -269,15 +274,15 @@
             lender,
             was_leased: false,
             lent_known,
-            lent_to: kept.lent_to,
+            lent_to: kept.leased_to,
             naming: BTreeSet::new(),
             struck: now,
             tandem,
-            board: Board::default(),
+            board: ConfigState::default(),
             index: 0,
             ring: VecDeque::new(),
             ring_after: 0,
-            directory: Directory::default(),
+            directory: Registry::default(),
             company: None,
             parted: Some(now),
             linked: BTreeSet::new(),
@@ -299,21 +304,21 @@
             told: now,
             led_by: None,
             stopping: false,
-            fold_after: None,
+            compact_after: None,
         };
-        for word in kept.words.into_values() {
-            core.directory.hear(now, word);
+        for word in kept.instances.into_values() {
+            core.directory.apply(now, word);
         }
         if starts {
             core.write(
-                Stored {
-                    lent_known: true,
-                    ..Stored::default()
+                StoreRecord {
+                    leased_to_complete: true,
+                    ..StoreRecord::default()
                 },
                 Wrote::Note,
                 out,
             );
-            let first = core.tandem.holds().snapshot.clone();
+            let first = core.tandem.persistent_state().snapshot.clone();
             core.install(now, &first, out);
         } else if !snapshot.members.is_empty() {
             core.install(now, &snapshot, out);
@@ -328,13 +333,13 @@
     }
 
     /// Whether this exchange leads the others.
-    pub fn leads(&self) -> bool {
-        self.tandem.leads()
+    pub fn is_leader(&self) -> bool {
+        self.tandem.is_leader()
     }
 
     /// Folds the log after this many entries, where the usual number is too many for a test.
     pub fn fold_after(&mut self, entries: usize) {
-        self.fold_after = Some(entries);
+        self.compact_after = Some(entries);
     }
 
     // ---- Inputs -------------------------------------------------------------------------------------
@@ -359,12 +364,14 @@
         self.told = now;
         let seen = std::mem::take(&mut self.heard)
             .into_iter()
-            .map(|(id, seq)| Seen { id, seq })
+            .map(|(id, seq)| Heartbeat { id, seq })
             .collect();
-        out.push(Output::Peers(write(Frame::Alive(Alive { seen }))));
+        out.push(Output::SendToAllPeers(encode_frame(Frame::Heartbeats(
+            Heartbeats { heartbeats: seen },
+        ))));
         // Whoever was alone for a while could not hear.
         if self.company.is_some_and(|since| now - since > self.silence) {
-            let lost = self.directory.overdue(now, self.silence);
+            let lost = self.directory.expire(now, self.silence);
             for word in &lost {
                 out.push(Output::Log(format!(
                     "event=lost backend={} service={}",
@@ -373,9 +380,9 @@
             }
             if !lost.is_empty() {
                 self.write(
-                    Stored {
-                        words: lost.clone(),
-                        ..Stored::default()
+                    StoreRecord {
+                        instances: lost.clone(),
+                        ..StoreRecord::default()
                     },
                     Wrote::Words,
                     out,
@@ -396,7 +403,7 @@
     }
 
     /// All writes up to this number are on disk.
-    pub fn written(&mut self, now: Millis, number: u64, out: &mut Vec<Output>) {
+    pub fn persisted(&mut self, now: Millis, number: u64, out: &mut Vec<Output>) {
         while self
             .writing
             .front()
@@ -421,20 +428,23 @@
                 }
                 Wrote::Heard(ip, receipt) => {
                     self.receipts_due -= 1;
-                    out.push(Output::Peer(ip, write(Frame::Heard(receipt))));
+                    out.push(Output::SendToPeer(
+                        ip,
+                        encode_frame(Frame::InstancesPersisted(receipt)),
+                    ));
                 }
             }
         }
     }
 
     /// There is a new link to another exchange: what went to it before may be lost, so it is told all again.
-    pub fn peer_up(&mut self, now: Millis, ip: &str, out: &mut Vec<Output>) {
+    pub fn peer_connected(&mut self, now: Millis, ip: &str, out: &mut Vec<Output>) {
         self.linked.insert(ip.to_owned());
-        let known = backends::words(self.directory.words(now), false, 0);
-        out.push(Output::Peer(ip.to_owned(), known));
+        let known = backends::words(self.directory.records(now), false, 0);
+        out.push(Output::SendToPeer(ip.to_owned(), known));
         for (receipt, leave) in &self.leaves {
             if let Some(word) = self.directory.word(now, &leave.id) {
-                out.push(Output::Peer(
+                out.push(Output::SendToPeer(
                     ip.to_owned(),
                     backends::words(vec![word], false, *receipt),
                 ));
@@ -444,31 +454,35 @@
 
     /// The link to another exchange is dead. What it may not have heard is told again when there is another; entries are sent again
     /// until they are answered.
-    pub fn peer_down(&mut self, ip: &str) {
+    pub fn peer_disconnected(&mut self, ip: &str) {
         self.linked.remove(ip);
     }
 
     /// Another exchange says something.
-    pub fn peer(&mut self, now: Millis, ip: &str, frame: Frame, out: &mut Vec<Output>) {
+    pub fn receive_from_peer(
+        &mut self,
+        now: Millis,
+        ip: &str,
+        frame: Frame,
+        out: &mut Vec<Output>,
+    ) {
         match frame {
-            Frame::Tandem(message) => {
+            Frame::Raft(message) => {
                 if self.tandem.voters().contains(ip) {
                     self.heard_from.insert(ip.to_owned(), now);
                 }
-                self.agree(now, out, |tandem, todo| {
-                    tandem.receive(now, ip, message, todo)
-                });
+                self.agree(now, out, |tandem, todo| tandem.step(now, ip, message, todo));
             }
-            Frame::Words(words) => self.told(now, ip, words, out),
-            Frame::Heard(receipt) => {
+            Frame::InstanceUpdates(words) => self.told(now, ip, words, out),
+            Frame::InstancesPersisted(receipt) => {
                 if let Some(leave) = self.leaves.get_mut(&receipt) {
                     leave.receipts.insert(ip.to_owned());
                     self.settle(receipt, out);
                 }
             }
-            Frame::Alive(alive) => {
-                for seen in alive.seen {
-                    self.directory.seen(now, &seen.id, seen.seq);
+            Frame::Heartbeats(alive) => {
+                for seen in alive.heartbeats {
+                    self.directory.refresh(now, &seen.id, seen.seq);
                 }
             }
             _ => {}
@@ -478,20 +492,20 @@
     /// A caller asks something; the answer has this number.
     pub fn call(&mut self, now: Millis, number: u64, call: Call, out: &mut Vec<Output>) {
         match call {
-            Call::Beat(id, body) => match read_beat(&id, &body) {
+            Call::Heartbeat(id, body) => match read_beat(&id, &body) {
                 Err(field) => {
                     let why = format!("step=read field={field} backend={id}");
                     out.push(Output::Log(format!("event=bad_beat {why}")));
-                    out.push(Output::Answer(number, Answer::Refused(400, why)));
+                    out.push(Output::Respond(number, CallResponse::Rejected(400, why)));
                 }
                 Ok(word) => self.beat(now, number, word, out),
             },
-            Call::Leave(id) => {
-                let brought = self.directory.leave(now, &id);
+            Call::Deregister(id) => {
+                let brought = self.directory.deregister(now, &id);
                 self.acknowledge(now, number, &id, brought, true, out);
             }
             Call::Amend(body) => self.amend(now, number, body, out),
-            Call::Read => self.read(now, number, out),
+            Call::ReadConfig => self.read(now, number, out),
         }
     }
 
@@ -501,20 +515,20 @@
     }
 
     /// A planned stop begins: somebody else is to lead, and nothing is to rest on this exchange alone.
-    pub fn stop(&mut self, now: Millis, out: &mut Vec<Output>) {
+    pub fn shut_down(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.stopping = true;
-        self.agree(now, out, |tandem, todo| tandem.leave(now, todo));
+        self.agree(now, out, |tandem, todo| tandem.shut_down(now, todo));
         for (waiting, _) in std::mem::take(&mut self.held) {
-            out.push(Output::Answer(waiting.call, Answer::Unknown));
+            out.push(Output::Respond(waiting.call, CallResponse::Unavailable));
         }
     }
 
     /// Whether a planned stop may end: nothing that was agreed on rests on this exchange alone.
-    pub fn left(&self, now: Millis) -> bool {
-        self.tandem.left(now)
+    pub fn may_stop(&self, now: Millis) -> bool {
+        self.tandem.may_stop(now)
     }
 
-    fn write(&mut self, stored: Stored, wrote: Wrote, out: &mut Vec<Output>) {
+    fn write(&mut self, stored: StoreRecord, wrote: Wrote, out: &mut Vec<Output>) {
         self.last_write += 1;
         self.writing.push_back((self.last_write, wrote));
         out.push(Output::Write(self.last_write, Box::new(stored)));
--- a/crates/controller/src/core/operator.rs
+++ b/crates/controller/src/core/operator.rs
@@ -5,50 +5,50 @@
 //! and what it rested on is agreed. All else is [`Answer::Unknown`], and the operator sends the call again.
 
 use super::*;
-use maplefall_gateway_config::Refusal;
+use maplefall_gateway_config::ConfigError;
 
 impl Core {
     pub(super) fn amend(&mut self, now: Millis, number: u64, body: Bytes, out: &mut Vec<Output>) {
-        let change = match read_call(&body) {
+        let change = match parse_amend(&body) {
             Ok(change) => change,
             Err(why) => return refuse(number, &why, out),
         };
-        if !self.tandem.leads() || self.stopping {
+        if !self.tandem.is_leader() || self.stopping {
             return self.not_mine(now, number, Call::Amend(body), out);
         }
         let last = self.look_ahead();
         let term = self.tandem.term();
-        let (index, answer) = match self.board.judge(&self.coming.ahead, &change) {
-            Err(why) if why.of_text_alone() => return refuse(number, &why, out),
+        let (index, answer) = match self.board.validate(&self.coming.ahead, &change) {
+            Err(why) if why.is_permanent() => return refuse(number, &why, out),
             Err(why) => {
                 out.push(Output::Log(format!(
                     "event=refused status={} {why}",
                     why.status()
                 )));
-                let answer = Answer::Refused(why.status(), why.to_string());
+                let answer = CallResponse::Rejected(why.status(), why.to_string());
                 return self.after_round(now, number, AfterRound::Refused(answer, term, last), out);
             }
-            Ok(Verdict::Forgotten(kind, name, version)) => {
+            Ok(Validation::HistoryEvicted(kind, name, version)) => {
                 let list = kind.list();
                 out.push(Output::Log(format!(
                     "event=forgotten list={list} item={name:?} version={version:08x}"
                 )));
-                return out.push(Output::Answer(number, Answer::Unknown));
+                return out.push(Output::Respond(number, CallResponse::Unavailable));
             }
-            Ok(Verdict::Taken(index)) => {
+            Ok(Validation::AlreadyApplied(index)) => {
                 let items = change.items.len();
                 out.push(Output::Debug(format!(
                     "event=known items={items} index={index}"
                 )));
-                (index, Answer::Done("{}".to_owned()))
+                (index, CallResponse::Ok("{}".to_owned()))
             }
-            Ok(Verdict::New(news)) => {
+            Ok(Validation::Accepted(news)) => {
                 if self.waiting() >= MOST_CALLS {
-                    return out.push(Output::Answer(number, Answer::Unknown));
+                    return out.push(Output::Respond(number, CallResponse::Unavailable));
                 }
                 let payload = news.encode_to_vec();
                 match self.ask(now, out, |tandem, todo| tandem.propose(now, payload, todo)) {
-                    Some(index) => (index, Answer::Done("{}".to_owned())),
+                    Some(index) => (index, CallResponse::Ok("{}".to_owned())),
                     None => return self.not_mine(now, number, Call::Amend(body), out),
                 }
             }
@@ -57,8 +57,8 @@
     }
 
     pub(super) fn read(&mut self, now: Millis, number: u64, out: &mut Vec<Output>) {
-        if !self.tandem.leads() {
-            return self.not_mine(now, number, Call::Read, out);
+        if !self.tandem.is_leader() {
+            return self.not_mine(now, number, Call::ReadConfig, out);
         }
         self.after_round(now, number, AfterRound::ReadBack, out);
     }
@@ -74,14 +74,14 @@
                 term,
                 after: commit,
                 through: commit,
-                ahead: Ahead::default(),
+                ahead: PendingChanges::default(),
             };
         }
-        for entry in self.tandem.pending() {
+        for entry in self.tandem.uncommitted() {
             if entry.index <= coming.through {
                 continue;
             }
-            if entry.kind() == EntryKind::Change {
+            if entry.kind() == EntryKind::Command {
                 if let Ok(earlier) = Change::decode(entry.payload.as_slice()) {
                     coming.ahead.add(entry.index, &earlier);
                 }
@@ -103,13 +103,13 @@
         call: u64,
         index: u64,
         term: u64,
-        answer: Answer,
+        answer: CallResponse,
         out: &mut Vec<Output>,
     ) {
         if index <= self.tandem.commit() {
-            out.push(Output::Answer(call, answer));
+            out.push(Output::Respond(call, answer));
         } else if self.waiting() >= MOST_CALLS {
-            out.push(Output::Answer(call, Answer::Unknown));
+            out.push(Output::Respond(call, CallResponse::Unavailable));
         } else {
             let waiting = Waiting {
                 call,
@@ -130,9 +130,9 @@
             until: now + AGREE,
         };
         if self.waiting() >= MOST_CALLS {
-            return out.push(Output::Answer(call, Answer::Unknown));
+            return out.push(Output::Respond(call, CallResponse::Unavailable));
         }
-        let ticket = self.ask(now, out, |tandem, todo| tandem.read(now, todo));
+        let ticket = self.ask(now, out, |tandem, todo| tandem.read_index(now, todo));
         let at_once = ticket.is_some_and(|ticket| self.confirmed.contains(&ticket));
         self.confirmed.clear();
         match ticket {
@@ -140,7 +140,7 @@
             Some(ticket) => {
                 self.reads.insert(ticket, (waiting, due));
             }
-            None => out.push(Output::Answer(call, Answer::Unknown)),
+            None => out.push(Output::Respond(call, CallResponse::Unavailable)),
         }
     }
 
@@ -148,16 +148,16 @@
     pub(super) fn round_done(&mut self, waiting: Waiting, due: AfterRound, out: &mut Vec<Output>) {
         match due {
             AfterRound::ReadBack => {
-                out.push(Output::Answer(
+                out.push(Output::Respond(
                     waiting.call,
-                    Answer::Done(self.board.read_back()),
+                    CallResponse::Ok(self.board.read_back()),
                 ));
             }
             AfterRound::Refused(_, term, _) if term != self.tandem.term() => {
-                out.push(Output::Answer(waiting.call, Answer::Unknown));
+                out.push(Output::Respond(waiting.call, CallResponse::Unavailable));
             }
             AfterRound::Refused(answer, _, index) if index <= self.tandem.commit() => {
-                out.push(Output::Answer(waiting.call, answer));
+                out.push(Output::Respond(waiting.call, answer));
             }
             AfterRound::Refused(answer, term, index) => {
                 self.amends.entry(index).or_default().push(AfterEntry {
@@ -176,9 +176,9 @@
             let answer = if after.term == term {
                 after.answer
             } else {
-                Answer::Unknown
+                CallResponse::Unavailable
             };
-            out.push(Output::Answer(after.waiting.call, answer));
+            out.push(Output::Respond(after.waiting.call, answer));
         }
     }
 
@@ -192,7 +192,7 @@
             .into_values()
             .map(|(waiting, _)| waiting);
         for waiting in amends.chain(reads) {
-            out.push(Output::Answer(waiting.call, Answer::Unknown));
+            out.push(Output::Respond(waiting.call, CallResponse::Unavailable));
         }
     }
 
@@ -200,10 +200,13 @@
     pub(super) fn not_mine(&mut self, now: Millis, number: u64, call: Call, out: &mut Vec<Output>) {
         match self.tandem.leader() {
             Some(leader) if leader != self.me => {
-                out.push(Output::Answer(number, Answer::Elsewhere(leader.to_owned())));
+                out.push(Output::Respond(
+                    number,
+                    CallResponse::Redirect(leader.to_owned()),
+                ));
             }
             _ if self.held.len() >= MOST_CALLS || self.stopping => {
-                out.push(Output::Answer(number, Answer::Unknown));
+                out.push(Output::Respond(number, CallResponse::Unavailable));
             }
             _ => self.held.push((
                 Waiting {
@@ -222,8 +225,8 @@
         }
         for (waiting, call) in std::mem::take(&mut self.held) {
             if now >= waiting.until {
-                out.push(Output::Answer(waiting.call, Answer::Unknown));
-            } else if self.tandem.leads()
+                out.push(Output::Respond(waiting.call, CallResponse::Unavailable));
+            } else if self.tandem.is_leader()
                 || self.tandem.leader().is_some_and(|leader| leader != self.me)
             {
                 self.call(now, waiting.call, call, out);
@@ -234,7 +237,7 @@
         let unknown = |waiting: &Waiting, out: &mut Vec<Output>| {
             let late = now >= waiting.until;
             if late {
-                out.push(Output::Answer(waiting.call, Answer::Unknown));
+                out.push(Output::Respond(waiting.call, CallResponse::Unavailable));
             }
             !late
         };
@@ -248,13 +251,13 @@
 }
 
 /// Refuses a call for its text, which says the same to every exchange.
-fn refuse(number: u64, why: &Refusal, out: &mut Vec<Output>) {
+fn refuse(number: u64, why: &ConfigError, out: &mut Vec<Output>) {
     out.push(Output::Log(format!(
         "event=refused status={} {why}",
         why.status()
     )));
-    out.push(Output::Answer(
+    out.push(Output::Respond(
         number,
-        Answer::Refused(why.status(), why.to_string()),
+        CallResponse::Rejected(why.status(), why.to_string()),
     ));
 }
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -20,7 +20,7 @@
     /// Opens a file for reading.
     fn read(&self, name: &str) -> io::Result<Self::Reader>;
     /// Makes an empty file; one of that name is emptied.
-    fn make(&self, name: &str) -> io::Result<Self::File>;
+    fn create(&self, name: &str) -> io::Result<Self::File>;
     /// Waits until all that was written to a file is on the disk.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
     /// Gives a file another name. No file has that name.
@@ -30,21 +30,21 @@
     /// Waits until all names are on the disk.
     fn sync_folder(&self) -> io::Result<()>;
     /// Waits before the next try on a disk that refused.
-    fn pause(&self, time: Duration);
+    fn sleep(&self, time: Duration);
 }
 
 /// A folder of the system.
 #[derive(Debug)]
-pub struct Folder(PathBuf);
+pub struct Directory(PathBuf);
 
-impl Folder {
+impl Directory {
     /// The folder at this path; it is made once something is written.
-    pub fn new(path: &Path) -> Folder {
-        Folder(path.to_owned())
+    pub fn new(path: &Path) -> Directory {
+        Directory(path.to_owned())
     }
 }
 
-impl Disk for Folder {
+impl Disk for Directory {
     type File = File;
     type Reader = File;
 
@@ -71,7 +71,7 @@
         File::open(self.0.join(name))
     }
 
-    fn make(&self, name: &str) -> io::Result<File> {
+    fn create(&self, name: &str) -> io::Result<File> {
         File::create(self.0.join(name))
     }
 
@@ -91,7 +91,7 @@
         File::open(&self.0)?.sync_all()
     }
 
-    fn pause(&self, time: Duration) {
+    fn sleep(&self, time: Duration) {
         std::thread::sleep(time);
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod net;
 pub mod store;
 
-pub use crate::core::{Answer, Call, Core, Output};
+pub use crate::core::{Call, CallResponse, Core, Output};
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use maplefall_controller::net;
-use maplefall_node_settings::{Settings, Watched};
+use maplefall_node_settings::{Settings, SettingsFile};
 use std::hash::{BuildHasher, Hasher};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -67,7 +67,7 @@
         .format(line)
         .start()
         .map_err(|error| error.to_string())?;
-    let file = Watched::new(Settings::path());
+    let file = SettingsFile::new(Settings::path());
     let settings = Settings::load(file.path()).map_err(|error| error.to_string())?;
     // The standard library's hashers are keyed from the system's source of chance.
     let seed = std::collections::hash_map::RandomState::new()
--- a/crates/controller/src/net.rs
+++ b/crates/controller/src/net.rs
@@ -1,8 +1,8 @@
 //! Sockets, time and the disk's thread round [`Core`].
 
-use crate::core::{Answer, Call, Core, Output, TICK};
-use crate::disk::Folder;
-use crate::store::{queue, Kept, Limits, Queue, Store, Stored};
+use crate::core::{Call, CallResponse, Core, Output, TICK};
+use crate::disk::Directory;
+use crate::store::{write_queue, Store, StoreLimits, StoreRecord, StoredState, WriteQueue};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -10,10 +10,13 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use maplefall_control_messages::{Hello, VERSION};
-use maplefall_control_transport::fence::{Fence, Verdict};
-use maplefall_control_transport::{carry, dial, End, Event, Open, Pause, QUEUE};
-use maplefall_node_settings::{Settings, Watched};
+use maplefall_control_messages::{Hello, PROTOCOL_VERSION};
+use maplefall_control_transport::fencing::{Admission, ConnectionFence};
+use maplefall_control_transport::{
+    connect, run_connection, ConnectionError, Event, Handshake, ReconnectBackoff,
+    OUTGOING_QUEUE_FRAMES,
+};
+use maplefall_node_settings::{Settings, SettingsFile};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -84,16 +87,16 @@
     peers: RefCell<HashMap<String, mpsc::Sender<Bytes>>>,
     doors: RefCell<HashMap<u64, mpsc::Sender<Bytes>>>,
     /// Of each machine's door and exchange, the latest link that was taken from it: older ones say nothing more.
-    fence: RefCell<Fence<(String, bool)>>,
-    calls: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    fence: RefCell<ConnectionFence<(String, bool)>>,
+    calls: RefCell<HashMap<u64, oneshot::Sender<CallResponse>>>,
     last_call: Cell<u64>,
-    disk: Queue,
+    disk: WriteQueue,
     /// What the disk's thread tells; a record that has no room ends the process this way too.
     told: Told,
 }
 
 /// Runs an exchange until a SIGTERM has been carried out.
-pub async fn run(mut settings: Settings, mut file: Watched, seed: u64) -> Result<(), Error> {
+pub async fn run(mut settings: Settings, mut file: SettingsFile, seed: u64) -> Result<(), Error> {
     let mut term = signal(SignalKind::terminate()).map_err(Error::Signals)?;
     let mut hup = signal(SignalKind::hangup()).map_err(Error::Signals)?;
     let control = settings
@@ -108,14 +111,14 @@
             .map_err(|error| Error::Listen(address, error))
     };
     let (callers, exchanges) = (listen(control).await?, listen(inner).await?);
-    let (disk, incoming) = queue();
+    let (disk, incoming) = write_queue();
     // One word for each batch that was sent in: no more than there are batches.
     let (told, mut written) = mpsc::unbounded_channel();
     let (opened, opening) = oneshot::channel();
     // The disk's thread holds the only sender: its end is noticed.
     let weak = told.downgrade();
-    std::thread::spawn(
-        move || match Store::open_anyhow(Folder::new(&data), Limits::default()) {
+    std::thread::spawn(move || {
+        match Store::open_with_retries(Directory::new(&data), StoreLimits::default()) {
             Ok((store, kept)) => {
                 if opened.send(Ok(kept)).is_ok() {
                     store.run(&incoming, |result| told.send(result).is_ok());
@@ -123,8 +126,8 @@
             }
             // Nobody waits any more: the process ends.
             Err(error) => drop(opened.send(Err(error))),
-        },
-    );
+        }
+    });
     // A disk that refuses holds up the start, not a stop.
     let kept = tokio::select! {
         biased;
@@ -134,15 +137,15 @@
             Err(_) => return Err(Error::Missing("the disk's thread")),
         },
     };
-    settings.bootstrap = kept.bootstrap(settings.bootstrap);
+    settings.bootstrap = kept.may_bootstrap(settings.bootstrap);
     log::info!(
         "event=start node={} control={control} inner={inner} bootstrap={} term={} snapshot={} log={} identity={:x?}",
         settings.node,
         settings.bootstrap,
-        kept.tandem.term,
-        kept.tandem.snapshot.index,
-        kept.tandem.log.len(),
-        kept.tandem.identity,
+        kept.raft.term,
+        kept.raft.snapshot.index,
+        kept.raft.log.len(),
+        kept.raft.identity,
     );
     let exchange = start(&settings, seed, kept, (control, disk, weak));
     tokio::task::spawn_local(exchange.clone().accept_callers(callers));
@@ -158,12 +161,12 @@
             biased;
             _ = term.recv(), if last.is_none() => {
                 log::info!("event=stop node={}", settings.node);
-                exchange.drive(|core, now, out| core.stop(now, out));
+                exchange.drive(|core, now, out| core.shut_down(now, out));
                 last = Some(tokio::time::Instant::now());
             }
             _ = hup.recv() => reload(&exchange, &file, true),
             result = written.recv() => match result {
-                Some(Ok(number)) => exchange.drive(|core, now, out| core.written(now, number, out)),
+                Some(Ok(number)) => exchange.drive(|core, now, out| core.persisted(now, number, out)),
                 // What is on disk now only a new start can tell.
                 Some(Err(error)) => return Err(Error::Store(error)),
                 None => return Ok(()),
@@ -176,7 +179,7 @@
                     reload(&exchange, &file, false);
                 }
                 if let Some(past) = last.map(|last: tokio::time::Instant| last.elapsed()) {
-                    let left = exchange.core.borrow().left(exchange.now());
+                    let left = exchange.core.borrow().may_stop(exchange.now());
                     if past >= LAST && (left || past >= longest) {
                         log::info!("event=gone left={left} ms={}", past.as_millis());
                         return Ok(());
@@ -188,7 +191,7 @@
 }
 
 /// Reads the settings file again; one that cannot be used changes nothing.
-fn reload(exchange: &Rc<Exchange>, file: &Watched, told: bool) {
+fn reload(exchange: &Rc<Exchange>, file: &SettingsFile, told: bool) {
     match Settings::load(file.path()) {
         Ok(settings) => {
             log::info!("event=reload node={} signal={told}", settings.node);
@@ -205,18 +208,18 @@
 fn start(
     settings: &Settings,
     seed: u64,
-    kept: Kept,
-    (control, disk, told): (SocketAddr, Queue, Told),
+    kept: StoredState,
+    (control, disk, told): (SocketAddr, WriteQueue, Told),
 ) -> Rc<Exchange> {
     let mut out = Vec::new();
     let core = Core::new(settings, 0.0, seed, kept, &mut out);
     let hello = Hello {
-        version: VERSION,
+        version: PROTOCOL_VERSION,
         ip: settings.ip.to_string(),
         node: settings.node.clone(),
-        life: seed.max(1),
-        exchange: true,
-        index: 0,
+        incarnation: seed.max(1),
+        is_controller: true,
+        config_index: 0,
     };
     let exchange = Rc::new(Exchange {
         core: RefCell::new(core),
@@ -256,19 +259,19 @@
             match output {
                 Output::Write(number, stored) => {
                     // A disk that has let this much pile up is none: the queue takes no more, and the process ends.
-                    if let Err(error) = self.disk.push(Stored { number, ..*stored }) {
+                    if let Err(error) = self.disk.push(StoreRecord { number, ..*stored }) {
                         log::error!("event=disk_full {error}");
                         if let Some(told) = self.told.upgrade() {
                             let _ = told.send(Err(error));
                         }
                     }
                 }
-                Output::Peer(ip, bytes) => self.to_peer(&ip, bytes),
-                Output::Peers(bytes) => {
+                Output::SendToPeer(ip, bytes) => self.to_peer(&ip, bytes),
+                Output::SendToAllPeers(bytes) => {
                     let all: Vec<String> = self.peers.borrow().keys().cloned().collect();
                     all.iter().for_each(|ip| self.to_peer(ip, bytes.clone()));
                 }
-                Output::Door(conn, bytes) => {
+                Output::SendToProxy(conn, bytes) => {
                     let full = self
                         .doors
                         .borrow()
@@ -279,7 +282,7 @@
                         self.drop_door(conn);
                     }
                 }
-                Output::Answer(number, answer) => {
+                Output::Respond(number, answer) => {
                     if let Some(call) = self.calls.borrow_mut().remove(&number) {
                         // The caller may have gone.
                         let _ = call.send(answer);
@@ -329,29 +332,36 @@
             .insert(name.clone(), mpsc::channel(1).0);
         tokio::task::spawn_local(async move {
             let address = SocketAddr::new(ip, self.port);
-            let (mut known, mut pause) = (true, Pause::default());
+            let (mut known, mut pause) = (true, ReconnectBackoff::default());
             loop {
                 let mut up = false;
-                let end = match dial(self.ip, address).await {
+                let end = match connect(self.ip, address).await {
                     Ok(stream) => {
-                        let (sender, outgoing) = mpsc::channel(QUEUE);
+                        let (sender, outgoing) = mpsc::channel(OUTGOING_QUEUE_FRAMES);
                         let mut sender = Some(sender);
-                        carry(stream, outgoing, Open::Dials(self.hello.clone()), |event| {
-                            // Nothing but that it reads is said on it by the other side.
-                            if let (Event::Up, Some(sender)) = (event, sender.take()) {
-                                up = true;
-                                self.peers.borrow_mut().insert(name.clone(), sender);
-                                log::info!("event=peer_up peer={name}");
-                                self.drive(|core, now, out| core.peer_up(now, &name, out));
-                            }
-                            true
-                        })
+                        run_connection(
+                            stream,
+                            outgoing,
+                            Handshake::Initiator(self.hello.clone()),
+                            |event| {
+                                // Nothing but that it reads is said on it by the other side.
+                                if let (Event::Up, Some(sender)) = (event, sender.take()) {
+                                    up = true;
+                                    self.peers.borrow_mut().insert(name.clone(), sender);
+                                    log::info!("event=peer_up peer={name}");
+                                    self.drive(|core, now, out| {
+                                        core.peer_connected(now, &name, out)
+                                    });
+                                }
+                                true
+                            },
+                        )
                         .await
                     }
                     Err(end) => end,
                 };
                 if up {
-                    (known, pause) = (true, Pause::default());
+                    (known, pause) = (true, ReconnectBackoff::default());
                 }
                 if std::mem::take(&mut known) {
                     log::info!("event=peer_down peer={name} {end}");
@@ -360,7 +370,7 @@
                     .borrow_mut()
                     .insert(name.clone(), mpsc::channel(1).0);
                 if up {
-                    self.core.borrow_mut().peer_down(&name);
+                    self.core.borrow_mut().peer_disconnected(&name);
                 }
                 pause.wait().await;
             }
@@ -380,51 +390,57 @@
 
     /// Serves a door or another exchange.
     async fn serve_inner(self: Rc<Self>, stream: TcpStream, from: SocketAddr) {
-        let (sender, outgoing) = mpsc::channel(QUEUE);
+        let (sender, outgoing) = mpsc::channel(OUTGOING_QUEUE_FRAMES);
         let mut who: Option<(String, bool)> = None;
         let mut sender = Some(sender);
         let number = Cell::new(0);
         let exchange = &self;
-        let end = carry(stream, outgoing, Open::Accepts, |event| {
+        let end = run_connection(stream, outgoing, Handshake::Acceptor, |event| {
             match (event, &who) {
-                (Event::Read, None) => {
-                    number.set(exchange.fence.borrow_mut().number());
+                (Event::HelloReceived, None) => {
+                    number.set(exchange.fence.borrow_mut().next_token());
                     true
                 }
-                (Event::Hello(hello), None) if hello.version == VERSION && hello.life != 0 => {
+                (Event::Verified(hello), None)
+                    if hello.version == PROTOCOL_VERSION && hello.incarnation != 0 =>
+                {
                     // A machine speaks for itself alone.
                     if hello.ip != from.ip().to_string() {
                         return false;
                     }
-                    let (link, speaker) = (number.get(), (hello.ip.clone(), hello.exchange));
-                    let verdict = exchange.fence.borrow_mut().take(&speaker, link);
-                    if verdict == Verdict::Old {
-                        log::info!("event=old_link peer={} life={}", hello.ip, hello.life);
+                    let (link, speaker) = (number.get(), (hello.ip.clone(), hello.is_controller));
+                    let verdict = exchange.fence.borrow_mut().admit(&speaker, link);
+                    if verdict == Admission::Stale {
+                        log::info!(
+                            "event=old_link peer={} life={}",
+                            hello.ip,
+                            hello.incarnation
+                        );
                         return false;
                     }
-                    if hello.exchange {
+                    if hello.is_controller {
                         if let Ok(ip) = hello.ip.parse() {
                             exchange.clone().dial_peer(ip);
                         }
                     } else {
-                        if let Verdict::InPlaceOf(before) = verdict {
+                        if let Admission::Replaces(before) = verdict {
                             exchange.drop_door(before);
                         }
                         if let Some(sender) = sender.take() {
                             exchange.doors.borrow_mut().insert(link, sender);
                         }
-                        exchange.drive(|core, now, out| core.door_up(now, link, &hello, out));
+                        exchange
+                            .drive(|core, now, out| core.proxy_connected(now, link, &hello, out));
                     }
                     who = Some(speaker);
                     true
                 }
                 (Event::Frame(frame), Some(who))
-                    if exchange.fence.borrow().holds(who, number.get()) =>
+                    if exchange.fence.borrow().is_current(who, number.get()) =>
                 {
                     match who {
-                        (ip, true) => {
-                            exchange.drive(|core, now, out| core.peer(now, ip, frame, out))
-                        }
+                        (ip, true) => exchange
+                            .drive(|core, now, out| core.receive_from_peer(now, ip, frame, out)),
                         (_, false) => exchange
                             .drive(|core, now, out| core.door(now, number.get(), frame, out)),
                     }
@@ -435,13 +451,13 @@
         })
         .await;
         if let Some(who) = &who {
-            self.fence.borrow_mut().ended(who, number.get());
+            self.fence.borrow_mut().disconnected(who, number.get());
             if !who.1 {
                 self.drop_door(number.get());
             }
         }
         log::debug!("event=inner_down from={from} {end}");
-        if let End::Frame(broken) = end {
+        if let ConnectionError::Frame(broken) = end {
             log::warn!("event=stranger from={from} {broken}");
         }
     }
@@ -450,7 +466,7 @@
     fn drop_door(self: &Rc<Self>, link: u64) {
         // With its queue goes the connection.
         if self.doors.borrow_mut().remove(&link).is_some() {
-            self.drive(|core, _, out| core.door_down(link, out));
+            self.drive(|core, _, out| core.proxy_disconnected(link, out));
         }
     }
 
@@ -522,10 +538,10 @@
             );
         }
         let call = match (field("call").as_deref(), field("of")) {
-            (Some("instances.beat"), Some(id)) if !id.is_empty() => Call::Beat(id, body),
-            (Some("instances.leave"), Some(id)) if !id.is_empty() => Call::Leave(id),
+            (Some("instances.beat"), Some(id)) if !id.is_empty() => Call::Heartbeat(id, body),
+            (Some("instances.leave"), Some(id)) if !id.is_empty() => Call::Deregister(id),
             (Some("config.amend"), _) => Call::Amend(body),
-            (Some("config.read"), _) => Call::Read,
+            (Some("config.read"), _) => Call::ReadConfig,
             _ => return plain(StatusCode::BAD_REQUEST, "step=route field=call".to_owned()),
         };
         let (sender, receiver) = oneshot::channel();
@@ -538,19 +554,19 @@
             number,
         };
         self.drive(|core, now, out| core.call(now, number, call, out));
-        match receiver.await.unwrap_or(Answer::Unknown) {
-            Answer::Done(text) => {
+        match receiver.await.unwrap_or(CallResponse::Unavailable) {
+            CallResponse::Ok(text) => {
                 let mut response = plain(StatusCode::OK, text);
                 response
                     .headers_mut()
                     .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 response
             }
-            Answer::Refused(status, why) => plain(
+            CallResponse::Rejected(status, why) => plain(
                 StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST),
                 why,
             ),
-            Answer::Elsewhere(ip) => {
+            CallResponse::Redirect(ip) => {
                 let mut response = plain(StatusCode::TEMPORARY_REDIRECT, String::new());
                 let location = format!("http://{ip}:{}{target}", self.control.port());
                 if let Ok(location) = HeaderValue::try_from(location) {
@@ -558,7 +574,9 @@
                 }
                 response
             }
-            Answer::Unknown => plain(StatusCode::SERVICE_UNAVAILABLE, "step=agree".to_owned()),
+            CallResponse::Unavailable => {
+                plain(StatusCode::SERVICE_UNAVAILABLE, "step=agree".to_owned())
+            }
         }
     }
 }
