--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -1,13 +1,13 @@
 //! What a door decides.
 
-use crate::services::{Pool, Services};
+use crate::services::{PoolCommand, Services};
 use crate::timers::Timers;
-use maplefall_control_messages::{Frame, Plans};
-use maplefall_gateway_config::{Change, Items, Plan as Numbers, Route, Tenant, Way};
+use maplefall_control_messages::{ConfigUpdate, Frame};
+use maplefall_gateway_config::{Change, ItemSet, Route, RouteMatch, RouteTable as Numbers, Tenant};
 use maplefall_node_settings::{Bounds, Settings};
 use maplefall_policy::*;
-use maplefall_quota_lease::{Demand, Purse};
-use maplefall_service_registry::{Brought, Directory, Word};
+use maplefall_quota_lease::{Demand, LeaseClient};
+use maplefall_service_registry::{Applied, InstanceRecord, Registry};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeSet, HashMap};
@@ -37,62 +37,62 @@
 const MOST_REQUESTS: usize = 4096;
 
 /// A request as it came.
-pub struct Arrival<'a> {
+pub struct IncomingRequest<'a> {
     /// The value of `Host`.
     pub host: &'a str,
     /// The path.
     pub path: &'a str,
     /// The key, if one came.
-    pub key: Option<&'a str>,
+    pub api_key: Option<&'a str>,
     /// How long the client waits from now on.
     pub remaining: Option<Millis>,
     /// When its first byte came.
-    pub at: Millis,
+    pub received_at: Millis,
     /// Whether it has been counted: it waited for what was missing.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// The final answer of a request that no backend answers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Final {
+pub struct LocalResponse {
     /// The status.
     pub status: u16,
     /// When to come back, where it has not run.
     pub retry_after: Option<Millis>,
     /// A backend's own answer is to be passed on in its place, if there is one.
-    pub backends: bool,
+    pub prefer_backend_response: bool,
 }
 
-impl Final {
-    fn of(status: u16) -> Final {
-        Final {
+impl LocalResponse {
+    fn of(status: u16) -> LocalResponse {
+        LocalResponse {
             status,
             retry_after: None,
-            backends: false,
+            prefer_backend_response: false,
         }
     }
 
-    fn not_run(status: u16, retry_after: Millis) -> Final {
-        Final {
+    fn not_run(status: u16, retry_after: Millis) -> LocalResponse {
+        LocalResponse {
             status,
             retry_after: Some(retry_after.max(SOONEST)),
-            backends: false,
+            prefer_backend_response: false,
         }
     }
 }
 
 /// Why a request is not let in.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Not {
+pub enum Rejection {
     /// This is its answer.
-    At(Final),
+    Rejected(LocalResponse),
     /// This is its answer, if what is missing does not come in a moment, this long at most: a configuration, backends, a loan.
-    Yet(Final, Millis),
+    RejectedUnless(LocalResponse, Millis),
 }
 
 /// A request that was let in.
 #[derive(Clone, Debug)]
-pub struct Accepted {
+pub struct AdmittedRequest {
     /// Its number.
     pub id: RequestId,
     /// The tenant for the backend to see.
@@ -101,13 +101,13 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The outcome.
     pub outcome: Outcome,
     /// Connections that had come up and broke under it.
-    pub broken: u32,
+    pub broken_connections: u32,
     /// Somebody else is at the backend's address.
-    pub stranger: bool,
+    pub wrong_instance: bool,
 }
 
 /// What is to be done.
@@ -129,21 +129,21 @@
         care: Care,
     },
     /// Pass on the answer that an attempt has brought.
-    Pass(RequestId),
+    ForwardResponse(RequestId),
     /// Answer a request.
-    Answer(RequestId, Final),
+    Respond(RequestId, LocalResponse),
     /// Close the connection of an attempt; tell [`Core::ended`] how far it was.
-    GiveUp(RequestId, u32),
+    CancelAttempt(RequestId, u32),
     /// Connections of a backend.
-    Pool(Pool),
+    Pool(PoolCommand),
     /// Close idle connections to a backend.
     CloseIdle(BackendId),
     /// Say something to an exchange.
-    Say(String, Frame),
+    SendToController(String, Frame),
     /// These exchanges there are.
-    Exchanges(Vec<String>),
+    ControllersChanged(Vec<String>),
     /// Something has come that requests may have waited for.
-    Changed,
+    StateChanged,
     /// A line for the log.
     Log(String),
 }
@@ -173,20 +173,20 @@
 pub struct Core {
     bounds: Bounds,
     rng: Pcg32,
-    board: Items,
-    index: u64,
+    board: ItemSet,
+    config_index: u64,
     numbers: Rc<Numbers>,
     tenants: Tenants<Rc<str>>,
     names: HashMap<String, Rc<str>>,
-    purse: Purse,
+    purse: LeaseClient,
     connected: BTreeSet<String>,
-    exchanges: BTreeSet<String>,
+    controllers: BTreeSet<String>,
     urgent: Millis,
     /// When the lenders were asked for more of a tenant's quota.
     asked: HashMap<Rc<str>, Millis>,
     /// When a tenant's bucket was found empty last.
     short: HashMap<Rc<str>, Millis>,
-    directory: Directory,
+    directory: Registry,
     services: Services,
     requests: HashMap<RequestId, Entry>,
     last: u32,
@@ -233,14 +233,14 @@
         Core {
             bounds: settings.bounds,
             rng: Pcg32::seed_from_u64(seed),
-            board: Items::default(),
-            index: 0,
+            board: ItemSet::default(),
+            config_index: 0,
             numbers: Rc::default(),
             tenants: Tenants::new(settings.bootstrap),
             names: HashMap::new(),
-            purse: Purse::new(seed.max(1)),
+            purse: LeaseClient::new(seed.max(1)),
             connected: BTreeSet::new(),
-            exchanges: settings
+            controllers: settings
                 .seeds
                 .iter()
                 .map(|seed| seed.ip().to_string())
@@ -248,7 +248,7 @@
             urgent: 0.0,
             asked: HashMap::new(),
             short: HashMap::new(),
-            directory: Directory::default(),
+            directory: Registry::default(),
             services: Services::new(settings.bounds, &settings.zone, seed),
             requests: HashMap::new(),
             last: 0,
@@ -261,7 +261,7 @@
 
     /// The index of the configuration that holds here.
     pub fn index(&self) -> u64 {
-        self.index
+        self.config_index
     }
 
     /// What clients may send.
@@ -271,68 +271,76 @@
 
     /// Whether new clients may come.
     pub fn ready(&self) -> bool {
-        !self.stopping && self.index > 0 && self.services.any()
+        !self.stopping && self.config_index > 0 && self.services.any()
     }
 
     /// The settings file has changed: seeds and bounds hold from now on; the rest takes a start.
     pub fn reload(&mut self, settings: &Settings, out: &mut Vec<Output>) {
         self.bounds = settings.bounds;
         self.services.set_bounds(settings.bounds);
-        let known = self.exchanges.len();
-        self.exchanges
+        let known = self.controllers.len();
+        self.controllers
             .extend(settings.seeds.iter().map(|seed| seed.ip().to_string()));
-        if self.exchanges.len() > known {
-            out.push(Output::Exchanges(self.exchanges.iter().cloned().collect()));
+        if self.controllers.len() > known {
+            out.push(Output::ControllersChanged(
+                self.controllers.iter().cloned().collect(),
+            ));
         }
     }
 
     /// A planned stop begins.
-    pub fn stop(&mut self) {
+    pub fn shut_down(&mut self) {
         self.stopping = true;
     }
 
     /// Whether requests wait for their answers.
-    pub fn busy(&self) -> bool {
+    pub fn has_pending_requests(&self) -> bool {
         self.requests.values().any(|entry| !entry.answered)
     }
 
     // ---- Requests -----------------------------------------------------------------------------------
 
     /// Takes a request in, or answers it at once.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         now: Millis,
-        arrival: &Arrival<'_>,
+        arrival: &IncomingRequest<'_>,
         out: &mut Vec<Output>,
-    ) -> Result<Accepted, Not> {
-        if self.index == 0 {
+    ) -> Result<AdmittedRequest, Rejection> {
+        if self.config_index == 0 {
             // Without a configuration nothing is known: neither that there is no route nor that a key is wrong.
-            return Err(Not::Yet(Final::not_run(503, COME_BACK), LONGEST_MOMENT));
+            return Err(Rejection::RejectedUnless(
+                LocalResponse::not_run(503, COME_BACK),
+                LONGEST_MOMENT,
+            ));
         }
         let numbers = self.numbers.clone();
-        let (route, tenant) = match numbers.way(arrival.host, arrival.path, arrival.key) {
-            Way::Route(route, tenant) => (route, tenant),
-            Way::Nowhere => {
+        let (route, tenant) = match numbers.resolve(arrival.host, arrival.path, arrival.api_key) {
+            RouteMatch::Matched(route, tenant) => (route, tenant),
+            RouteMatch::NoRoute => {
                 self.counts.unknown += 1;
-                return Err(Not::At(Final::of(404)));
+                return Err(Rejection::Rejected(LocalResponse::of(404)));
             }
-            Way::Stranger => {
+            RouteMatch::UnknownKey => {
                 self.counts.unknown += 1;
-                return Err(Not::At(Final::of(401)));
+                return Err(Rejection::Rejected(LocalResponse::of(401)));
             }
         };
         let wait = arrival
             .remaining
             .unwrap_or(route.timeout)
             .min(route.timeout);
-        let deadline = arrival.at + wait - WAY_BACK;
+        let deadline = arrival.received_at + wait - WAY_BACK;
         if self.requests.len() >= MOST_REQUESTS || deadline <= now {
-            return Err(Not::At(Final::not_run(503, COME_BACK_AIMS * route.aim)));
+            return Err(Rejection::Rejected(LocalResponse::not_run(
+                503,
+                COME_BACK_AIMS * route.latency_target,
+            )));
         }
         let place = self.choose_service(route);
         if !self.services.has_any(place) {
-            return Err(Not::Yet(
-                Final::not_run(503, COME_BACK_AIMS * route.aim),
+            return Err(Rejection::RejectedUnless(
+                LocalResponse::not_run(503, COME_BACK_AIMS * route.latency_target),
                 LONGEST_MOMENT,
             ));
         }
@@ -340,8 +348,8 @@
         let who = tenant.map(|tenant| self.name(&tenant.name));
         let mut token = 0.0;
         if let (Some(tenant), Some(who)) = (tenant, &who) {
-            let quota = self.quota(now, tenant, route.aim);
-            let taken = if arrival.again {
+            let quota = self.quota(now, tenant, route.latency_target);
+            let taken = if arrival.is_retry {
                 self.tenants.take(now, who, 1.0, quota)
             } else {
                 self.tenants.arrived(now, who, 1.0, quota)
@@ -349,12 +357,13 @@
             match taken {
                 Ok(wait) => token = wait,
                 Err(turned) => {
-                    let refusal = |wait: Millis| Final::not_run(429, wait.min(route.timeout));
+                    let refusal =
+                        |wait: Millis| LocalResponse::not_run(429, wait.min(route.timeout));
                     let last = match turned {
-                        Turned::Box(wait) => Not::At(refusal(wait)),
+                        Turned::Box(wait) => Rejection::Rejected(refusal(wait)),
                         Turned::Bucket(wait) => match self.await_loan(now, who, out) {
-                            Some(moment) => Not::Yet(refusal(wait), moment),
-                            None => Not::At(refusal(wait)),
+                            Some(moment) => Rejection::RejectedUnless(refusal(wait), moment),
+                            None => Rejection::Rejected(refusal(wait)),
                         },
                     };
                     match turned {
@@ -373,7 +382,7 @@
         let entry = Entry {
             service: place,
             tenant: who.clone(),
-            aim: route.aim,
+            aim: route.latency_target,
             deadline,
             attempts: 0,
             out: None,
@@ -405,11 +414,11 @@
             self.requests.insert(id, entry);
             self.post(now, place, Event::Arrival(request), out);
         }
-        Ok(Accepted { id, tenant: who })
+        Ok(AdmittedRequest { id, tenant: who })
     }
 
     /// A client has gone away before its answer.
-    pub fn client_gone(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
+    pub fn client_disconnected(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
         let Some(entry) = self.requests.get_mut(&id).filter(|entry| !entry.answered) else {
             return;
         };
@@ -425,12 +434,12 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Millis,
         id: RequestId,
         number: u32,
-        ended: Ended,
+        ended: AttemptEnd,
         out: &mut Vec<Output>,
     ) {
         let Some(entry) = self.requests.get_mut(&id) else {
@@ -448,10 +457,10 @@
         if ended.outcome == Outcome::Ok && !entry.answered {
             entry.answered = true;
             self.counts.passed += 1;
-            out.push(Output::Pass(id));
+            out.push(Output::ForwardResponse(id));
         }
         let (service, closed) = (entry.service, entry.answered);
-        if ended.stranger {
+        if ended.wrong_instance {
             let instance = self
                 .services
                 .backend(backend)
@@ -474,7 +483,7 @@
             use_of_quota: None,
             true_units: None,
             report: Report::default(),
-            broken: ended.broken,
+            broken: ended.broken_connections,
         };
         self.post(now, service, Event::Settled(settled), out);
         self.forget_if_over(id);
@@ -504,7 +513,9 @@
                     self.refuse(request, reason, retry_after, out);
                 }
                 Action::Fail(request) => self.fail(now, request, out),
-                Action::CallOff { request, attempt } => out.push(Output::GiveUp(request, attempt)),
+                Action::CallOff { request, attempt } => {
+                    out.push(Output::CancelAttempt(request, attempt))
+                }
                 Action::SetAlarm { at, alarm } => {
                     if let Ok(id) = u32::try_from(alarm.0) {
                         self.timers.set(at, Due::Alarm(RequestId(id)));
@@ -554,12 +565,12 @@
                 });
             }
             None => {
-                let ended = Ended {
+                let ended = AttemptEnd {
                     outcome: Outcome::NotSent,
-                    broken: 0,
-                    stranger: false,
+                    broken_connections: 0,
+                    wrong_instance: false,
                 };
-                self.ended(now, id, attempt, ended, out);
+                self.attempt_ended(now, id, attempt, ended, out);
             }
         }
     }
@@ -579,19 +590,19 @@
             // What is still out may have run, or may run yet: nothing is promised.
             let answer = if entry.may_have_run || entry.out.is_some() {
                 self.counts.failed += 1;
-                Final {
+                LocalResponse {
                     status: if entry.out.is_some() { 504 } else { 502 },
                     retry_after: None,
-                    backends: true,
+                    prefer_backend_response: true,
                 }
             } else {
                 self.counts.no_backend += 1;
-                Final::not_run(503, wait.unwrap_or(COME_BACK_AIMS * entry.aim))
+                LocalResponse::not_run(503, wait.unwrap_or(COME_BACK_AIMS * entry.aim))
             };
             if let (Some(tenant), false, Reason::Backends) = (&entry.tenant, entry.sent, reason) {
                 self.tenants.give_back(tenant, 1.0);
             }
-            out.push(Output::Answer(id, answer));
+            out.push(Output::Respond(id, answer));
         }
         self.forget_if_over(id);
     }
@@ -608,12 +619,12 @@
             } else {
                 502
             };
-            out.push(Output::Answer(
+            out.push(Output::Respond(
                 id,
-                Final {
+                LocalResponse {
                     status,
                     retry_after: None,
-                    backends: true,
+                    prefer_backend_response: true,
                 },
             ));
         }
@@ -642,10 +653,14 @@
 
     /// The service that a request goes to, drawn by the weights of a split.
     fn choose_service(&mut self, route: &Route) -> usize {
-        let all: f64 = route.to.iter().map(|(_, weight)| weight).sum();
+        let all: f64 = route.destinations.iter().map(|(_, weight)| weight).sum();
         let mut drawn = f64::from(self.rng.next_u32()) / 4_294_967_296.0 * all;
         let mut chosen = "";
-        for (name, weight) in route.to.iter().filter(|(_, weight)| *weight > 0.0) {
+        for (name, weight) in route
+            .destinations
+            .iter()
+            .filter(|(_, weight)| *weight > 0.0)
+        {
             chosen = name;
             drawn -= weight;
             if drawn < 0.0 {
@@ -670,7 +685,7 @@
     }
 
     /// Does what is due.
-    pub fn fire(&mut self, now: Millis, out: &mut Vec<Output>) {
+    pub fn run_timers(&mut self, now: Millis, out: &mut Vec<Output>) {
         while let Some(due) = self.timers.take(now) {
             match due {
                 Due::Alarm(id) => {
@@ -700,7 +715,7 @@
                     if self.stopping && now < deadline {
                         self.timers.set(deadline, Due::TimeOut(id, number));
                     } else {
-                        out.push(Output::GiveUp(id, number));
+                        out.push(Output::CancelAttempt(id, number));
                     }
                 }
             }
@@ -714,27 +729,27 @@
             let (who, quota) = (self.name(&tenant.name), self.quota(now, tenant, 0.0));
             self.tenants.hold(now, &who, quota);
         }
-        self.services.set_doors(self.purse.doors());
+        self.services.set_doors(self.purse.client_count());
         self.report(now, out);
         if self.ready() != self.was_ready {
             self.was_ready = self.ready();
             out.push(Output::Log(format!(
                 "event=ready ready={} index={}",
-                self.was_ready, self.index
+                self.was_ready, self.config_index
             )));
         }
     }
 
     /// A line that tells what happened since the last one; `None` if nothing did. Of tenants it names the one that was turned away
     /// most, with the part of its quota that is held here.
-    pub fn account(&mut self, now: Millis) -> Option<String> {
+    pub fn stats_line(&mut self, now: Millis) -> Option<String> {
         let c = std::mem::take(&mut self.counts);
         let worst = c
             .turned
             .iter()
             .max_by(|a, b| a.1.cmp(b.1).then_with(|| b.0.cmp(a.0)));
         let worst = worst.map(|(who, times)| {
-            let part = self.purse.part(now, who);
+            let part = self.purse.fraction(now, who);
             format!(
                 " tenant={who} turned={times} part={part:.3} lenders={}",
                 self.connected.len()
@@ -772,7 +787,7 @@
             &self.bounds,
             tenant.rate,
             tenant.burst,
-            self.purse.part(now, &tenant.name),
+            self.purse.fraction(now, &tenant.name),
             aim,
         )
     }
@@ -780,8 +795,8 @@
     fn demand(&self, now: Millis) -> Vec<Demand> {
         let told = |(who, rate): (&Rc<str>, f64)| Demand {
             tenant: who.to_string(),
-            rate: (rate * 1000.0).min(1e9) as u32,
-            short: self.short.get(who).is_some_and(|at| now - at < SHORT),
+            milli_rps: (rate * 1000.0).min(1e9) as u32,
+            starved: self.short.get(who).is_some_and(|at| now - at < SHORT),
         };
         self.tenants.demand(now).map(told).collect()
     }
@@ -789,8 +804,11 @@
     fn report(&mut self, now: Millis, out: &mut Vec<Output>) {
         let demand = self.demand(now);
         for lender in self.connected.clone() {
-            let report = self.purse.report(now, &lender, demand.clone());
-            out.push(Output::Say(lender, Frame::Report(report)));
+            let report = self.purse.next_request(now, &lender, demand.clone());
+            out.push(Output::SendToController(
+                lender,
+                Frame::LeaseRequest(report),
+            ));
         }
     }
 
@@ -823,96 +841,107 @@
 
     /// Addresses of the exchanges that are known.
     pub fn exchanges(&self) -> &BTreeSet<String> {
-        &self.exchanges
+        &self.controllers
     }
 
     /// There is a new connection to an exchange.
-    pub fn exchange_up(&mut self, now: Millis, exchange: &str, out: &mut Vec<Output>) {
+    pub fn controller_connected(&mut self, now: Millis, exchange: &str, out: &mut Vec<Output>) {
         self.connected.insert(exchange.to_owned());
         self.purse.connected(exchange);
-        let report = self.purse.report(now, exchange, Vec::new());
-        out.push(Output::Say(exchange.to_owned(), Frame::Report(report)));
+        let report = self.purse.next_request(now, exchange, Vec::new());
+        out.push(Output::SendToController(
+            exchange.to_owned(),
+            Frame::LeaseRequest(report),
+        ));
     }
 
     /// The connection to an exchange has ended.
-    pub fn exchange_down(&mut self, exchange: &str) {
+    pub fn controller_disconnected(&mut self, exchange: &str) {
         self.connected.remove(exchange);
     }
 
     /// All is answered and nothing more is spent: what is held may go to others.
-    pub fn farewell(&mut self, now: Millis, out: &mut Vec<Output>) {
+    pub fn release_leases(&mut self, now: Millis, out: &mut Vec<Output>) {
         for lender in self.connected.clone() {
-            let report = self.purse.report(now, &lender, Vec::new());
-            let report = maplefall_quota_lease::Report {
-                last: true,
+            let report = self.purse.next_request(now, &lender, Vec::new());
+            let report = maplefall_quota_lease::LeaseRequest {
+                release: true,
                 ..report
             };
-            out.push(Output::Say(lender, Frame::Report(report)));
+            out.push(Output::SendToController(
+                lender,
+                Frame::LeaseRequest(report),
+            ));
         }
     }
 
     /// An exchange says something.
-    pub fn heard(&mut self, now: Millis, exchange: &str, frame: Frame, out: &mut Vec<Output>) {
+    pub fn receive(&mut self, now: Millis, exchange: &str, frame: Frame, out: &mut Vec<Output>) {
         match frame {
-            Frame::Plans(plans) => self.plans(now, plans, out),
-            Frame::Words(words) => {
-                for word in &words.words {
-                    if let Brought::News(word) = self.directory.hear(now, word.clone()) {
+            Frame::ConfigUpdate(plans) => self.plans(now, plans, out),
+            Frame::InstanceUpdates(words) => {
+                for word in &words.records {
+                    if let Applied::Changed(word) = self.directory.apply(now, word.clone()) {
                         self.apply(now, &word, out);
                     }
                 }
-                if words.all {
-                    let named = words.words.iter().map(|word| word.id.as_str()).collect();
-                    for word in self.directory.only(now, &named, UNNAMED) {
+                if words.complete {
+                    let named = words.records.iter().map(|word| word.id.as_str()).collect();
+                    for word in self.directory.reconcile(now, &named, UNNAMED) {
                         out.push(Output::Log(format!("event=unnamed backend={}", word.id)));
                         self.apply(now, &word, out);
                     }
                 }
             }
-            Frame::Lent(lent) => {
-                let (less, more) = self.purse.lent(now, exchange, &lent);
+            Frame::LeaseGrant(lent) => {
+                let (less, more) = self.purse.handle_grant(now, exchange, &lent);
                 if less {
                     // What is taken back is somebody else's only once this is told.
-                    let report = self.purse.report(now, exchange, self.demand(now));
-                    out.push(Output::Say(exchange.to_owned(), Frame::Report(report)));
+                    let report = self.purse.next_request(now, exchange, self.demand(now));
+                    out.push(Output::SendToController(
+                        exchange.to_owned(),
+                        Frame::LeaseRequest(report),
+                    ));
                 }
                 if more {
-                    out.push(Output::Changed);
+                    out.push(Output::StateChanged);
                 }
             }
             _ => {}
         }
     }
 
-    fn plans(&mut self, now: Millis, plans: Plans, out: &mut Vec<Output>) {
-        let known = self.exchanges.len();
-        self.exchanges.extend(plans.exchanges.iter().cloned());
-        if self.exchanges.len() > known {
-            out.push(Output::Exchanges(self.exchanges.iter().cloned().collect()));
+    fn plans(&mut self, now: Millis, plans: ConfigUpdate, out: &mut Vec<Output>) {
+        let known = self.controllers.len();
+        self.controllers.extend(plans.controllers.iter().cloned());
+        if self.controllers.len() > known {
+            out.push(Output::ControllersChanged(
+                self.controllers.iter().cloned().collect(),
+            ));
         }
         // The index only rises: whoever is behind has nothing to say.
-        if plans.index <= self.index || (plans.after > self.index) {
+        if plans.index <= self.config_index || (plans.after > self.config_index) {
             return;
         }
         if plans.after == 0 {
-            self.board = Items::of(plans.items);
-            self.numbers = Rc::new(Numbers::of(&self.board));
+            self.board = ItemSet::from_items(plans.items);
+            self.numbers = Rc::new(Numbers::from_items(&self.board));
         } else {
             let new = plans
                 .changes
                 .into_iter()
-                .filter(|one| one.index > self.index);
+                .filter(|one| one.index > self.config_index);
             let changes: Vec<Change> = new.filter_map(|one| one.change).collect();
             changes.iter().for_each(|change| {
-                self.board.join(change);
+                self.board.apply(change);
             });
             // Nobody else holds the plan between two inputs, so it is changed where it is.
             Rc::make_mut(&mut self.numbers).patch(&self.board, changes.iter());
         }
-        self.index = plans.index;
+        self.config_index = plans.index;
         out.push(Output::Log(format!(
             "event=plan index={} routes={} tenants={}",
-            self.index,
+            self.config_index,
             self.numbers.routes.len(),
             self.numbers.tenants.len()
         )));
@@ -926,13 +955,13 @@
         // Tenants that are new have nothing here yet.
         self.report(now, out);
         self.names.retain(|_, name| Rc::strong_count(name) > 1);
-        out.push(Output::Changed);
+        out.push(Output::StateChanged);
     }
 
-    fn apply(&mut self, now: Millis, word: &Word, out: &mut Vec<Output>) {
+    fn apply(&mut self, now: Millis, word: &InstanceRecord, out: &mut Vec<Output>) {
         if let Some((service, entry, pool)) = self.services.hear(now, word) {
             out.push(Output::Pool(pool));
-            out.push(Output::Changed);
+            out.push(Output::StateChanged);
             self.post(
                 now,
                 service,
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/driver.rs
@@ -1,15 +1,17 @@
 //! The driver: hands what happens to [`Core`] and carries out what comes back.
 
-use crate::core::{Accepted, Arrival, Core, Ended, Final, Not, Output};
-use crate::forward::{promises, Order, Reply};
-use crate::services::Pool;
+use crate::core::{
+    AdmittedRequest, AttemptEnd, Core, IncomingRequest, LocalResponse, Output, Rejection,
+};
+use crate::forward::{promises, BackendResponse, ForwardedRequest};
+use crate::services::PoolCommand;
 use bytes::Bytes;
 use hyper::header::HeaderValue;
-use maplefall_control_messages::write;
+use maplefall_control_messages::encode_frame;
 use maplefall_node_settings::Settings;
 use maplefall_policy::{BackendId, Care, Millis, Outcome, RequestId};
 use maplefall_settings::Links;
-use maplefall_upstream::{budget, carry, Clock, Line, Pools};
+use maplefall_upstream::{send_request, upstream_budget, AttemptHandle, Clock, Pools};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -25,23 +27,23 @@
 /// What a client gets.
 pub enum Answer {
     /// A backend's answer.
-    Reply(Reply),
+    Reply(BackendResponse),
     /// The door's own.
-    Own(Final),
+    Own(LocalResponse),
 }
 
 struct Pending {
-    order: Option<Rc<Order>>,
+    order: Option<Rc<ForwardedRequest>>,
     answer: Option<oneshot::Sender<Answer>>,
     /// The last answer of a backend.
-    reply: Option<Reply>,
-    out: Option<(u32, Line)>,
+    reply: Option<BackendResponse>,
+    out: Option<(u32, AttemptHandle)>,
     /// The hold on its last attempt, which knows where those before went.
-    line: Line,
+    line: AttemptHandle,
 }
 
 /// A door: decisions, connections to backends, requests that wait.
-pub struct Door {
+pub struct Proxy {
     /// The one clock.
     pub clock: Clock,
     core: RefCell<Core>,
@@ -57,11 +59,11 @@
     pub changed: Notify,
 }
 
-impl Door {
+impl Proxy {
     /// A door that knows nothing yet.
-    pub fn new(settings: &Settings, seed: u64) -> Rc<Door> {
+    pub fn new(settings: &Settings, seed: u64) -> Rc<Proxy> {
         let sockets = settings.limits.file_limit.saturating_sub(FILES);
-        Rc::new(Door {
+        Rc::new(Proxy {
             clock: Clock::new(),
             core: RefCell::new(Core::new(settings, seed)),
             pools: Pools::new(
@@ -69,7 +71,7 @@
                     dial_timeout: DIAL,
                     idle_close: IDLE,
                 },
-                budget(sockets),
+                upstream_budget(sockets),
             ),
             pending: RefCell::default(),
             earlier: Notify::new(),
@@ -114,7 +116,7 @@
             } => {
                 self.send(request, attempt, backend, instance, (limit, care));
             }
-            Output::Pass(id) => {
+            Output::ForwardResponse(id) => {
                 let mut pending = self.pending.borrow_mut();
                 let Some(entry) = pending.get_mut(&id) else {
                     return;
@@ -123,19 +125,20 @@
                     let _ = answer.send(Answer::Reply(reply));
                 }
             }
-            Output::Answer(id, last) => {
+            Output::Respond(id, last) => {
                 let mut pending = self.pending.borrow_mut();
                 let Some(entry) = pending.get_mut(&id) else {
                     return;
                 };
                 // One that says that it has not run promises what a later attempt may have broken; one whose status promises that
                 // without the word for it may have run.
-                let passes =
-                    |reply: &Reply| reply.outcome == Outcome::Error && !promises(reply.status);
+                let passes = |reply: &BackendResponse| {
+                    reply.outcome == Outcome::Error && !promises(reply.status)
+                };
                 let reply = entry
                     .reply
                     .take()
-                    .filter(|reply| last.backends && passes(reply));
+                    .filter(|reply| last.prefer_backend_response && passes(reply));
                 if let Some(answer) = entry.answer.take() {
                     let _ = answer.send(reply.map_or(Answer::Own(last), Answer::Reply));
                 }
@@ -143,7 +146,7 @@
                     pending.remove(&id);
                 }
             }
-            Output::GiveUp(id, number) => {
+            Output::CancelAttempt(id, number) => {
                 let line = {
                     let mut pending = self.pending.borrow_mut();
                     let out = pending
@@ -153,33 +156,33 @@
                 };
                 // One that is not out has not been carried that far: its task has yet to run.
                 let outcome = match &line {
-                    Some(line) if line.whole() => Outcome::Timeout,
+                    Some(line) if line.fully_written() => Outcome::Timeout,
                     _ => Outcome::ConnectFailed,
                 };
                 if let Some(line) = line {
-                    line.give_up();
+                    line.abort();
                 }
                 self.ended(
                     id,
                     number,
-                    Ended {
+                    AttemptEnd {
                         outcome,
-                        broken: 0,
-                        stranger: false,
+                        broken_connections: 0,
+                        wrong_instance: false,
                     },
                 );
             }
-            Output::Pool(Pool::Open(id, address)) => self.pools.open(id, address, 0.0),
-            Output::Pool(Pool::Drain(id)) => self.pools.drain(id),
-            Output::Pool(Pool::Remove(id)) => self.pools.remove(id),
+            Output::Pool(PoolCommand::Open(id, address)) => self.pools.open(id, address, 0.0),
+            Output::Pool(PoolCommand::Drain(id)) => self.pools.drain(id),
+            Output::Pool(PoolCommand::Remove(id)) => self.pools.remove(id),
             Output::CloseIdle(id) => self.pools.close_idle(id),
-            Output::Say(exchange, frame) => {
+            Output::SendToController(exchange, frame) => {
                 let sender = self.exchanges.borrow().get(&exchange).cloned();
                 // A connection whose queue is full ends by its silence.
-                let _ = sender.map(|sender| sender.try_send(write(frame)));
+                let _ = sender.map(|sender| sender.try_send(encode_frame(frame)));
             }
-            Output::Exchanges(_) => self.more_exchanges.notify_one(),
-            Output::Changed => self.changed.notify_waiters(),
+            Output::ControllersChanged(_) => self.more_exchanges.notify_one(),
+            Output::StateChanged => self.changed.notify_waiters(),
             Output::Log(line) => log::info!("{line}"),
         }
     }
@@ -187,13 +190,13 @@
     /// Takes a request in. What is answered at once comes back at once.
     pub fn arrive(
         self: &Rc<Self>,
-        arrival: &Arrival<'_>,
-        order: impl FnOnce(&Accepted) -> Order,
-    ) -> Result<(RequestId, oneshot::Receiver<Answer>), Not> {
+        arrival: &IncomingRequest<'_>,
+        order: impl FnOnce(&AdmittedRequest) -> ForwardedRequest,
+    ) -> Result<(RequestId, oneshot::Receiver<Answer>), Rejection> {
         let (sender, receiver) = oneshot::channel();
         let mut out = Vec::new();
         let now = self.clock.now();
-        let accepted = self.core.borrow_mut().arrive(now, arrival, &mut out);
+        let accepted = self.core.borrow_mut().admit(now, arrival, &mut out);
         if let Ok(accepted) = &accepted {
             let order = Some(Rc::new(order(accepted)));
             let entry = Pending {
@@ -201,7 +204,7 @@
                 answer: Some(sender),
                 reply: None,
                 out: None,
-                line: Line::default(),
+                line: AttemptHandle::default(),
             };
             self.pending.borrow_mut().insert(accepted.id, entry);
         }
@@ -211,7 +214,7 @@
 
     /// A client has gone away before its answer.
     pub fn client_gone(self: &Rc<Self>, id: RequestId) {
-        self.drive(|core, now, out| core.client_gone(now, id, out));
+        self.drive(|core, now, out| core.client_disconnected(now, id, out));
         let mut pending = self.pending.borrow_mut();
         if let Some(entry) = pending.get_mut(&id) {
             entry.answer = None;
@@ -234,7 +237,7 @@
             let Some(entry) = pending.get_mut(&id) else {
                 return;
             };
-            entry.line = entry.line.again();
+            entry.line = entry.line.for_retry();
             let line = entry.line.clone();
             entry.out = Some((attempt, line.clone()));
             entry.reply = None;
@@ -243,22 +246,22 @@
         let Some(order) = order else { return };
         let (door, on) = (self.clone(), line.clone());
         let task = tokio::task::spawn_local(async move {
-            let carried = carry(
+            let carried = send_request(
                 &door.pools,
                 backend,
                 (care, limit),
                 &on,
                 (order.body.len(), |left| order.request(&instance, left)),
                 async |answer| order.read(answer).await,
-                |reply: &Reply| reply.outcome == Outcome::Full,
+                |reply: &BackendResponse| reply.outcome == Outcome::Full,
             )
             .await;
-            let broken = carried.broken;
-            let (outcome, reply) = match carried.end {
+            let broken = carried.broken_connections;
+            let (outcome, reply) = match carried.result {
                 Ok(reply) => (reply.outcome, Some(reply)),
                 Err(outcome) => (outcome, None),
             };
-            let stranger = reply.as_ref().is_some_and(|reply| reply.stranger);
+            let stranger = reply.as_ref().is_some_and(|reply| reply.wrong_instance);
             {
                 let mut pending = door.pending.borrow_mut();
                 let Some(entry) = pending.get_mut(&id) else {
@@ -276,18 +279,18 @@
             door.ended(
                 id,
                 attempt,
-                Ended {
+                AttemptEnd {
                     outcome,
-                    broken,
-                    stranger,
+                    broken_connections: broken,
+                    wrong_instance: stranger,
                 },
             );
         });
-        line.tie(task.abort_handle());
+        line.attach_task(task.abort_handle());
     }
 
-    fn ended(self: &Rc<Self>, id: RequestId, attempt: u32, ended: Ended) {
-        self.drive(|core, now, out| core.ended(now, id, attempt, ended, out));
+    fn ended(self: &Rc<Self>, id: RequestId, attempt: u32, ended: AttemptEnd) {
+        self.drive(|core, now, out| core.attempt_ended(now, id, attempt, ended, out));
         let mut pending = self.pending.borrow_mut();
         if pending
             .get(&id)
@@ -304,7 +307,7 @@
             self.wakes.set(next.unwrap_or(f64::INFINITY));
             match next {
                 Some(at) if at <= self.clock.now() => {
-                    self.drive(|core, now, out| core.fire(now, out));
+                    self.drive(|core, now, out| core.run_timers(now, out));
                 }
                 Some(at) => tokio::select! {
                     () = tokio::time::sleep_until(self.clock.instant(at)) => {}
@@ -317,12 +320,12 @@
 
     /// Disposes of idle connections before backends do, for as long as the door runs.
     pub async fn tidy(self: Rc<Self>) {
-        self.pools.tidy().await;
+        self.pools.close_idle_periodically().await;
     }
 }
 
 /// The header that tells a backend whose request it is.
-pub fn tenant_value(accepted: &Accepted) -> Option<HeaderValue> {
+pub fn tenant_value(accepted: &AdmittedRequest) -> Option<HeaderValue> {
     accepted
         .tenant
         .as_ref()
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -39,7 +39,7 @@
 
 /// A request as it goes on.
 #[derive(Debug)]
-pub struct Order {
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Path and query, as they came.
@@ -54,7 +54,7 @@
 
 /// A backend's answer.
 #[derive(Debug)]
-pub struct Reply {
+pub struct BackendResponse {
     /// Its status.
     pub status: StatusCode,
     /// What is passed on.
@@ -64,7 +64,7 @@
     /// What it means.
     pub outcome: Outcome,
     /// Somebody else is there.
-    pub stranger: bool,
+    pub wrong_instance: bool,
 }
 
 /// Takes out what concerns one connection only, by name or because `Connection` says so.
@@ -121,9 +121,9 @@
     }
 }
 
-impl Order {
+impl ForwardedRequest {
     /// What of a client's request goes on; the tenant is put in once it is known.
-    pub fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: Bytes) -> Order {
+    pub fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: Bytes) -> ForwardedRequest {
         end_to_end(&mut headers);
         for name in [
             AUTHORIZATION,
@@ -136,7 +136,7 @@
             headers.remove(name);
         }
         let id = headers.get(ATTEMPT_ID).cloned();
-        Order {
+        ForwardedRequest {
             method,
             uri,
             headers,
@@ -160,7 +160,7 @@
     }
 
     /// Reads an answer; `None` if it does not come whole, or is not the answer to this.
-    pub async fn read(&self, answer: Response<Incoming>) -> Option<Reply> {
+    pub async fn read(&self, answer: Response<Incoming>) -> Option<BackendResponse> {
         let (head, body) = answer.into_parts();
         let headers = &head.headers;
         // An answer to somebody else's question may come where this one's should; a success without the seal, or coded on the
@@ -197,12 +197,12 @@
         end_to_end(&mut headers);
         headers.remove(CONTENT_LENGTH);
         let stranger = head.status == StatusCode::MISDIRECTED_REQUEST;
-        Some(Reply {
+        Some(BackendResponse {
             status: head.status,
             headers,
             body,
             outcome,
-            stranger,
+            wrong_instance: stranger,
         })
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,12 +2,12 @@
 //! is answered. [`door`] carries that out; [`clients`] reads requests and writes answers; [`links`] follows the exchanges.
 
 pub mod clients;
+pub mod connection_state;
+pub mod controllers;
 mod core;
-pub mod door;
+pub mod driver;
 pub mod forward;
-pub mod links;
 mod services;
 mod timers;
-pub mod visit;
 
-pub use crate::core::{quota, Arrival, Core, Ended, Final, Not, Output};
+pub use crate::core::{quota, AttemptEnd, Core, IncomingRequest, LocalResponse, Output, Rejection};
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,11 +4,11 @@
 use clap::{Parser, Subcommand};
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
-use maplefall_control_messages::{Hello, VERSION};
-use maplefall_node_settings::{Settings, Watched};
+use maplefall_control_messages::{Hello, PROTOCOL_VERSION};
+use maplefall_node_settings::{Settings, SettingsFile};
 use maplefall_proxy::clients::Clients;
-use maplefall_proxy::door::Door;
-use maplefall_proxy::links;
+use maplefall_proxy::controllers;
+use maplefall_proxy::driver::Proxy;
 use std::convert::Infallible;
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
@@ -122,21 +122,21 @@
         settings.node,
         settings.bootstrap
     );
-    let door = Door::new(&settings, seed);
+    let door = Proxy::new(&settings, seed);
     let sockets = settings.limits.file_limit.saturating_sub(FILES);
     let room = (settings.limits.memory_mb / BODIES) << 20;
     let clients = Clients::new(door.clone(), sockets, room as usize);
     let hello = Hello {
-        version: VERSION,
+        version: PROTOCOL_VERSION,
         ip: settings.ip.to_string(),
         node: settings.node.clone(),
-        life: seed.max(1),
-        exchange: false,
-        index: 0,
+        incarnation: seed.max(1),
+        is_controller: false,
+        config_index: 0,
     };
     tokio::task::spawn_local(door.clone().keep_time());
     tokio::task::spawn_local(door.clone().tidy());
-    tokio::task::spawn_local(links::follow(
+    tokio::task::spawn_local(controllers::follow(
         door.clone(),
         hello,
         settings.internal_ports.0,
@@ -145,7 +145,7 @@
     tokio::task::spawn_local(probes(door.clone(), probes_at));
     tokio::task::spawn_local(tick(door.clone()));
     let grace = Duration::from_secs_f64(settings.bounds.grace_s);
-    let mut file = Watched::new(path);
+    let mut file = SettingsFile::new(path);
     loop {
         let told = tokio::select! {
             _ = term.recv() => break,
@@ -164,9 +164,9 @@
         }
     }
     log::info!("event=stop node={}", settings.node);
-    door.ask(|core| core.stop());
+    door.ask(|core| core.shut_down());
     clients.stop(grace).await;
-    door.drive(|core, now, out| core.farewell(now, out));
+    door.drive(|core, now, out| core.release_leases(now, out));
     tokio::time::sleep(FAREWELL).await;
     Ok(())
 }
@@ -176,7 +176,7 @@
     listener.map_err(|error| format!("step=listen address={address} error={:?}", error.kind()))
 }
 
-async fn tick(door: Rc<Door>) {
+async fn tick(door: Rc<Proxy>) {
     let mut ticks = 0_u32;
     let mut tick = tokio::time::interval(Duration::from_millis(500));
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -186,7 +186,7 @@
         ticks += 1;
         if ticks.is_multiple_of(ACCOUNT) {
             let now = door.clock.now();
-            if let Some(line) = door.ask(|core| core.account(now)) {
+            if let Some(line) = door.ask(|core| core.stats_line(now)) {
                 log::info!("{line}");
             }
         }
@@ -194,7 +194,7 @@
 }
 
 /// Answers the platform's question whether this door is ready.
-async fn probes(door: Rc<Door>, listener: TcpListener) {
+async fn probes(door: Rc<Proxy>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(FAREWELL).await;
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -3,7 +3,7 @@
 use maplefall_gateway_config::Route;
 use maplefall_node_settings::Bounds;
 use maplefall_policy::*;
-use maplefall_service_registry::{State, Word};
+use maplefall_service_registry::{InstanceRecord, InstanceState};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -56,7 +56,7 @@
 
 /// What becomes of a backend's connections.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Pool {
+pub enum PoolCommand {
     /// It may be sent to, at this address.
     Open(BackendId, SocketAddr),
     /// Nothing new.
@@ -171,17 +171,17 @@
     /// The class of a route at a service: routes that say the same share one.
     pub fn class(&mut self, place: usize, route: &Route) -> ClassId {
         let class = Class {
-            aim: route.aim,
+            aim: route.latency_target,
             deadline: route.timeout,
             worth: 1.0,
             late_worth: LATE_WORTH,
-            effect: if route.safe {
+            effect: if route.idempotent {
                 Effect::Safe
             } else {
                 Effect::Unsafe
             },
             streaming: false,
-            max_attempts: route.attempts,
+            max_attempts: route.max_attempts,
         };
         let Some(service) = self.list.get_mut(place) else {
             return ClassId(0);
@@ -196,12 +196,16 @@
     }
 
     /// Takes in a word about a backend: its service, what its decisions are to hear, and what becomes of its connections.
-    pub fn hear(&mut self, now: Millis, word: &Word) -> Option<(usize, BackendEntry, Pool)> {
+    pub fn hear(
+        &mut self,
+        now: Millis,
+        word: &InstanceRecord,
+    ) -> Option<(usize, BackendEntry, PoolCommand)> {
         let known = self.lives.get(&word.id).copied();
         let availability = match word.state() {
-            State::Serving => Availability::Ready,
-            State::Leaving => Availability::Draining,
-            State::Lost | State::Left => Availability::Gone,
+            InstanceState::Serving => Availability::Ready,
+            InstanceState::Draining => Availability::Draining,
+            InstanceState::Expired | InstanceState::Deregistered => Availability::Gone,
         };
         let id = match known {
             Some(id) => id,
@@ -212,7 +216,7 @@
                 let service = self.place(&word.service);
                 self.last = self.last.wrapping_add(1);
                 let id = BackendId(self.last);
-                let cold = f64::from(word.cold_ms);
+                let cold = f64::from(word.warmup_left_ms);
                 let entry = BackendEntry {
                     id,
                     zone,
@@ -236,12 +240,12 @@
         backend.entry.availability = availability;
         let (service, entry, address) = (backend.service, backend.entry, backend.address);
         let pool = match availability {
-            Availability::Ready => Pool::Open(id, address),
-            Availability::Draining => Pool::Drain(id),
+            Availability::Ready => PoolCommand::Open(id, address),
+            Availability::Draining => PoolCommand::Drain(id),
             Availability::Gone => {
                 self.lives.remove(&word.id);
                 self.backends.remove(&id);
-                Pool::Remove(id)
+                PoolCommand::Remove(id)
             }
         };
         Some((service, entry, pool))
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 #![allow(dead_code, reason = "every test uses a part of it")]
 
-use maplefall_control_messages::{Frame, Plans, Words};
-use maplefall_gateway_config::read_call;
+use maplefall_control_messages::{ConfigUpdate, Frame, InstanceUpdates};
+use maplefall_gateway_config::parse_amend;
 use maplefall_node_settings::Settings;
 use maplefall_proxy::clients::Clients;
-use maplefall_proxy::door::Door;
-use maplefall_service_registry::{State, Word};
+use maplefall_proxy::driver::Proxy;
+use maplefall_service_registry::{InstanceRecord, InstanceState};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 
 /// A door with its clients' side.
 pub struct Front {
-    pub door: Rc<Door>,
+    pub door: Rc<Proxy>,
     pub clients: Rc<Clients>,
     pub address: SocketAddr,
     tasks: Vec<AbortHandle>,
@@ -69,35 +69,38 @@
             settings.bounds.retry_budget_ratio,
             settings.bounds.retry_slack,
         ) = (50.0, 10_000.0);
-        let door = Door::new(&settings, seed);
-        let items = read_call(CONFIGURATION.as_bytes())
+        let door = Proxy::new(&settings, seed);
+        let items = parse_amend(CONFIGURATION.as_bytes())
             .expect("a configuration")
             .items;
-        let plans = Plans {
+        let plans = ConfigUpdate {
             after: 0,
             index: 1,
             changes: Vec::new(),
             items,
-            exchanges: Vec::new(),
+            controllers: Vec::new(),
         };
-        let words = backends.iter().enumerate().map(|(n, address)| Word {
-            id: format!("i-{n}"),
-            service: "one".to_owned(),
-            address: address.to_string(),
-            zone: "z".to_owned(),
-            capacity: 8,
-            state: State::Serving as i32,
-            seq: 1,
-            cold_ms: 0,
-        });
-        let words = Words {
-            words: words.collect(),
-            all: true,
-            receipt: 0,
+        let words = backends
+            .iter()
+            .enumerate()
+            .map(|(n, address)| InstanceRecord {
+                id: format!("i-{n}"),
+                service: "one".to_owned(),
+                address: address.to_string(),
+                zone: "z".to_owned(),
+                capacity: 8,
+                state: InstanceState::Serving as i32,
+                seq: 1,
+                warmup_left_ms: 0,
+            });
+        let words = InstanceUpdates {
+            records: words.collect(),
+            complete: true,
+            ack_number: 0,
         };
         door.drive(|core, now, out| {
-            core.heard(now, "x", Frame::Plans(plans), out);
-            core.heard(now, "x", Frame::Words(words), out);
+            core.receive(now, "x", Frame::ConfigUpdate(plans), out);
+            core.receive(now, "x", Frame::InstanceUpdates(words), out);
         });
         let clients = Clients::new(door.clone(), sockets, 256 << 20);
         clients.open(listener);
--- a/crates/proxy/tests/held_back.rs
+++ b/crates/proxy/tests/held_back.rs
@@ -1,10 +1,10 @@
 //! A door that starts while the only exchange it reaches is cut off from the others.
 
-use maplefall_control_messages::{Frame, Plans, Words};
-use maplefall_gateway_config::{Item, Kind};
+use maplefall_control_messages::{ConfigUpdate, Frame, InstanceUpdates};
+use maplefall_gateway_config::{Item, ItemKind};
 use maplefall_node_settings::Settings;
-use maplefall_proxy::{Arrival, Core, Not};
-use maplefall_service_registry::Word;
+use maplefall_proxy::{Core, IncomingRequest, Rejection};
+use maplefall_service_registry::InstanceRecord;
 
 fn settings() -> Settings {
     let text = "Node = \"edge-1\"\nRole = \"switchboard\"\nMachineClass = \"edge\"\nServes = [\"edge\"]\nIp = \"10.0.1.1\"\nZone = \"a\"\n\
@@ -14,17 +14,17 @@
 }
 
 fn statuses(core: &mut Core, now: f64) -> u16 {
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         host: "h.example",
         path: "/",
-        key: Some("k"),
+        api_key: Some("k"),
         remaining: Some(500.0),
-        at: now,
-        again: true,
+        received_at: now,
+        is_retry: true,
     };
-    match core.arrive(now, &arrival, &mut Vec::new()) {
+    match core.admit(now, &arrival, &mut Vec::new()) {
         Ok(_) => 200,
-        Err(Not::At(last) | Not::Yet(last, _)) => last.status,
+        Err(Rejection::Rejected(last) | Rejection::RejectedUnless(last, _)) => last.status,
     }
 }
 
@@ -34,25 +34,25 @@
 fn a_door_that_is_held_back_is_not_ready_and_promises_to_be() {
     let mut core = Core::new(&settings(), 7);
     let mut out = Vec::new();
-    core.exchange_up(0.0, "10.0.0.1", &mut out);
+    core.controller_connected(0.0, "10.0.0.1", &mut out);
     let exchanges = vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()];
-    let held_back = Plans {
-        exchanges,
-        ..Plans::default()
+    let held_back = ConfigUpdate {
+        controllers: exchanges,
+        ..ConfigUpdate::default()
     };
-    core.heard(1.0, "10.0.0.1", Frame::Plans(held_back), &mut out);
-    let word = Word {
+    core.receive(1.0, "10.0.0.1", Frame::ConfigUpdate(held_back), &mut out);
+    let word = InstanceRecord {
         id: "b".into(),
         service: "s".into(),
         address: "10.1.0.1:80".into(),
-        ..Word::default()
+        ..InstanceRecord::default()
     };
-    core.heard(
+    core.receive(
         2.0,
         "10.0.0.1",
-        Frame::Words(Words {
-            words: vec![word],
-            ..Words::default()
+        Frame::InstanceUpdates(InstanceUpdates {
+            records: vec![word],
+            ..InstanceUpdates::default()
         }),
         &mut out,
     );
@@ -67,17 +67,17 @@
         "it has not learned where else to ask"
     );
     let item = Item {
-        kind: Kind::Service.into(),
+        kind: ItemKind::Service.into(),
         name: "s".into(),
         version: 1,
         ..Item::default()
     };
-    let plans = Plans {
+    let plans = ConfigUpdate {
         index: 3,
         items: vec![item],
-        ..Plans::default()
+        ..ConfigUpdate::default()
     };
-    core.heard(20_000.0, "10.0.0.2", Frame::Plans(plans), &mut out);
+    core.receive(20_000.0, "10.0.0.2", Frame::ConfigUpdate(plans), &mut out);
     assert!(core.ready());
     assert_eq!(statuses(&mut core, 20_000.0), 404);
 }
--- a/crates/proxy/tests/quotas.rs
+++ b/crates/proxy/tests/quotas.rs
@@ -9,7 +9,8 @@
 use maplefall_policy::Tenants;
 use maplefall_proxy::quota;
 use maplefall_quota_lease::{
-    in_lease, Caller, Demand, Lender, Lent, Purse, Report, Shares, Slots, Turn, LASTS, SKEW, WHOLE,
+    membership_lease_valid, ClientId, Demand, LeaseClient, LeaseGrant, LeaseRequest, LeaseServer,
+    OwnedSlots, SlotEvent, Slots, CLOCK_SKEW, LEASE_DURATION, WHOLE_QUOTA_PPM,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -28,7 +29,7 @@
 type Members = BTreeSet<String>;
 
 struct Door {
-    purse: Purse,
+    purse: LeaseClient,
     tenants: Tenants<&'static str>,
     life: u64,
     /// Which lenders it is connected to, each connection by its number.
@@ -51,9 +52,9 @@
     /// The slots as they follow from the first entries, so many.
     fn slots(&self, entries: usize) -> Slots {
         let (index, first) = &self.entries[0];
-        let mut slots = Slots::first(first, self.losses, *index, false);
+        let mut slots = Slots::initial(first, self.losses, *index, false);
         for (index, members) in &self.entries[1..entries] {
-            slots.change(members, *index);
+            slots.reassign(members, *index);
         }
         slots
     }
@@ -80,8 +81,8 @@
 
 /// One life of an exchange.
 struct Life {
-    shares: Shares,
-    lender: Lender,
+    shares: OwnedSlots,
+    lender: LeaseServer,
     born: f64,
     /// How many entries are applied.
     applied: usize,
@@ -117,13 +118,13 @@
     fn start(&mut self, now: f64, life: u32, agreed: &Agreed) {
         let clock = self.clock(now);
         let known = self.disk.known.then(|| self.disk.names.clone());
-        let lender = Lender::new(clock, life, 0, known);
+        let lender = LeaseServer::new(clock, life, 0, known);
         let slots = if self.disk.folded > 0 {
             agreed.slots(self.disk.folded)
         } else {
             Slots::default()
         };
-        let (shares, _) = Shares::new(clock, &self.name, slots, self.disk.waited.clone());
+        let (shares, _) = OwnedSlots::new(clock, &self.name, slots, self.disk.waited.clone());
         let mut life = Life {
             shares,
             lender,
@@ -142,7 +143,7 @@
         agreed: &Agreed,
         to: usize,
         written: bool,
-    ) -> Vec<(String, Lent)> {
+    ) -> Vec<(String, LeaseGrant)> {
         let clock = self.clock(now);
         let mut told = Vec::new();
         let Some(life) = &mut self.life else {
@@ -156,17 +157,17 @@
         }
         while life.applied < to {
             let (index, members) = &agreed.entries[life.applied];
-            turns.extend(life.shares.change(clock, members, *index));
+            turns.extend(life.shares.members_changed(clock, members, *index));
             life.applied += 1;
         }
         turns.extend(life.shares.tick(clock));
         for turn in turns {
-            if let (Turn::Waited(since), true) = (turn, written) {
+            if let (SlotEvent::WaitOver(since), true) = (turn, written) {
                 self.disk.waited.insert(since);
             }
         }
         told.extend(life.lender.set_limit(life.shares.limit()));
-        if clock - life.born >= LASTS + SKEW {
+        if clock - life.born >= LEASE_DURATION + CLOCK_SKEW {
             self.disk.known = true;
         }
         told
@@ -175,8 +176,8 @@
 
 enum Mail {
     /// From a door, to a lender in this life, on this connection, from the door's life.
-    Report(usize, usize, u32, u64, u64, Report),
-    Lent(usize, usize, u64, Lent),
+    Report(usize, usize, u32, u64, u64, LeaseRequest),
+    Lent(usize, usize, u64, LeaseGrant),
 }
 
 fn day(seed: u64) {
@@ -188,7 +189,7 @@
     let losses = if draw() < 0.4 { 2 } else { 1 };
     let mut rates: Vec<f64> = (0..32).map(|_| 0.99 + draw() * 0.02).collect();
     let mut fresh = |life: u32, full: bool| Door {
-        purse: Purse::new(u64::from(life)),
+        purse: LeaseClient::new(u64::from(life)),
         tenants: Tenants::new(full),
         life: u64::from(life),
         links: BTreeMap::new(),
@@ -280,9 +281,9 @@
                         let report =
                             doors[hit]
                                 .purse
-                                .report(clock, &lender.to_string(), Vec::new());
-                        let report = Report {
-                            last: true,
+                                .next_request(clock, &lender.to_string(), Vec::new());
+                        let report = LeaseRequest {
+                            release: true,
                             ..report
                         };
                         let at = order(
@@ -470,12 +471,12 @@
                     let demand = door.tenants.demand(now);
                     let demand = demand.map(|(who, rate)| Demand {
                         tenant: (*who).to_owned(),
-                        rate: (rate * 1000.0) as u32,
-                        short: draw() < 0.3,
+                        milli_rps: (rate * 1000.0) as u32,
+                        starved: draw() < 0.3,
                     });
-                    let report = door
-                        .purse
-                        .report(clock, &lender.to_string(), demand.collect());
+                    let report =
+                        door.purse
+                            .next_request(clock, &lender.to_string(), demand.collect());
                     if !away {
                         let at = now + draw() * if draw() < 0.05 { 3000.0 } else { 20.0 };
                         let at = order(conn, true, at);
@@ -510,20 +511,20 @@
                     if now < doors[n].cut || now < it.away {
                         continue;
                     }
-                    if !in_lease(clock, life.contact) && !report.last {
+                    if !membership_lease_valid(clock, life.contact) && !report.release {
                         continue;
                     }
                     let name = format!("door-{n}");
-                    if !report.last {
+                    if !report.release {
                         it.disk.names.insert(name.clone());
                     }
                     let tenants = TENANTS.iter().map(|(name, _, _)| *name);
-                    let caller = Caller {
+                    let caller = ClientId {
                         name: &name,
-                        life: from,
-                        conn,
+                        incarnation: from,
+                        connection: conn,
                     };
-                    for (to, lent) in life.lender.report(clock, caller, &report, tenants) {
+                    for (to, lent) in life.lender.handle_request(clock, caller, &report, tenants) {
                         let to: usize = to.trim_start_matches("door-").parse().expect("a door");
                         // To the latest connection, which may be another life's than the one that is meant.
                         let Some(conn) = doors[to].links.get(&lender).copied() else {
@@ -536,7 +537,9 @@
                 Mail::Lent(n, lender, conn, lent) => {
                     if doors[n].links.get(&lender) == Some(&conn) && now >= doors[n].cut {
                         let clock = now * doors[n].rate;
-                        let _ = doors[n].purse.lent(clock, &lender.to_string(), &lent);
+                        let _ = doors[n]
+                            .purse
+                            .handle_grant(clock, &lender.to_string(), &lent);
                     }
                 }
             }
@@ -544,7 +547,7 @@
         for (t, (tenant, rate, burst)) in TENANTS.iter().enumerate() {
             let all: f64 = doors
                 .iter()
-                .map(|door| door.purse.part(now * door.rate, tenant))
+                .map(|door| door.purse.fraction(now * door.rate, tenant))
                 .sum();
             assert!(
                 all <= 1.0 + 1e-6,
@@ -554,14 +557,14 @@
                 .iter()
                 .filter_map(|it| Some((it.clock(now), it.life.as_ref()?)));
             let out: u32 = lent
-                .map(|(clock, life)| life.lender.out_at(clock, tenant))
+                .map(|(clock, life)| life.lender.outstanding_at(clock, tenant))
                 .sum();
             assert!(
-                out <= WHOLE,
+                out <= WHOLE_QUOTA_PPM,
                 "seed {seed}: {out} of {tenant} is out at {now}"
             );
             for door in doors.iter_mut().filter(|door| now >= door.down) {
-                let part = door.purse.part(now * door.rate, tenant);
+                let part = door.purse.fraction(now * door.rate, tenant);
                 door.tenants
                     .hold(now, tenant, quota(&bounds, *rate, *burst, part, 500.0));
                 let mut due = door.asks[t] * 0.01;
--- a/crates/proxy/tests/stop.rs
+++ b/crates/proxy/tests/stop.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{answer, request, Front, Message, Odd, CONFIGURATION};
-use maplefall_control_messages::{Frame, Plans, Words};
-use maplefall_gateway_config::{read_call, Limits};
+use maplefall_control_messages::{ConfigUpdate, Frame, InstanceUpdates};
+use maplefall_gateway_config::{parse_amend, Limits};
 use maplefall_node_settings::Settings;
-use maplefall_proxy::visit::{Leave, Visit};
-use maplefall_proxy::{Arrival, Core, Output};
-use maplefall_service_registry::{State, Word};
+use maplefall_proxy::connection_state::{CloseMode, ConnectionState};
+use maplefall_proxy::{Core, IncomingRequest, Output};
+use maplefall_service_registry::{InstanceRecord, InstanceState};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::io::ErrorKind;
@@ -153,64 +153,65 @@
         let mut settings = Settings::read(text, Path::new("edge.toml")).expect("settings");
         settings.bounds.retry_budget_ratio = 50.0;
         let mut core = Core::new(&settings, 1);
-        let items = read_call(CONFIGURATION.as_bytes())
+        let items = parse_amend(CONFIGURATION.as_bytes())
             .expect("a configuration")
             .items;
-        let word = |n: u32| Word {
+        let word = |n: u32| InstanceRecord {
             id: format!("i-{n}"),
             service: "one".to_owned(),
             address: format!("127.0.0.1:{}", 1000 + n),
             zone: "z".to_owned(),
             capacity: 8,
-            state: State::Serving as i32,
+            state: InstanceState::Serving as i32,
             seq: 1,
-            cold_ms: 0,
+            warmup_left_ms: 0,
         };
         let mut out = Vec::new();
-        let plans = Plans {
+        let plans = ConfigUpdate {
             after: 0,
             index: 1,
             changes: Vec::new(),
             items,
-            exchanges: Vec::new(),
+            controllers: Vec::new(),
         };
-        core.heard(0.0, "x", Frame::Plans(plans), &mut out);
-        let words = Words {
-            words: vec![word(1), word(2)],
-            all: true,
-            receipt: 0,
+        core.receive(0.0, "x", Frame::ConfigUpdate(plans), &mut out);
+        let words = InstanceUpdates {
+            records: vec![word(1), word(2)],
+            complete: true,
+            ack_number: 0,
         };
-        core.heard(0.0, "x", Frame::Words(words), &mut out);
-        let arrival = Arrival {
+        core.receive(0.0, "x", Frame::InstanceUpdates(words), &mut out);
+        let arrival = IncomingRequest {
             host: "h.example",
             path: "/safe/a",
-            key: None,
+            api_key: None,
             remaining: None,
-            at: 10.0,
-            again: false,
+            received_at: 10.0,
+            is_retry: false,
         };
-        core.arrive(10.0, &arrival, &mut out).expect("it is let in");
+        core.admit(10.0, &arrival, &mut out).expect("it is let in");
         assert!(out.iter().any(|one| matches!(one, Output::Send { .. })));
         if stops {
-            core.stop();
+            core.shut_down();
         }
         // The deadline is 20 s after the arrival.
         let mut given_up = None;
         for at in (20..19_000).step_by(10) {
             out.clear();
-            core.fire(f64::from(at), &mut out);
+            core.run_timers(f64::from(at), &mut out);
             if out
                 .iter()
-                .any(|one| matches!(one, Output::GiveUp(..) | Output::Answer(..)))
+                .any(|one| matches!(one, Output::CancelAttempt(..) | Output::Respond(..)))
             {
                 given_up = given_up.or(Some(at));
             }
         }
         assert_eq!(given_up.is_none(), stops, "given up at {given_up:?} ms");
         if stops {
-            core.fire(20_010.0, &mut out);
+            core.run_timers(20_010.0, &mut out);
             assert!(
-                out.iter().any(|one| matches!(one, Output::GiveUp(..))),
+                out.iter()
+                    .any(|one| matches!(one, Output::CancelAttempt(..))),
                 "it outlasts its deadline"
             );
         }
@@ -222,14 +223,20 @@
 #[test]
 fn a_connection_rests_as_long_as_the_newest_limits_say() {
     let limits = |idle: f64| Limits {
-        idle,
-        header: 3000.0,
+        idle_timeout: idle,
+        header_timeout: 3000.0,
         ..Limits::default()
     };
-    let mut visit = Visit::new(0.0);
-    assert_eq!(visit.due(&limits(15_000.0)), Some((15_000.0, Leave::Now)));
+    let mut visit = ConnectionState::new(0.0);
+    assert_eq!(
+        visit.due(&limits(15_000.0)),
+        Some((15_000.0, CloseMode::Immediate))
+    );
     assert!(visit.heard(1000.0) && !visit.heard(1500.0));
-    assert_eq!(visit.due(&limits(15_000.0)), Some((4000.0, Leave::Now)));
+    assert_eq!(
+        visit.due(&limits(15_000.0)),
+        Some((4000.0, CloseMode::Immediate))
+    );
     visit.asked();
     assert!(!visit.heard(1600.0), "its body is no head");
     assert_eq!(
@@ -237,12 +244,21 @@
         (None, None)
     );
     visit.answered(9000.0);
-    assert_eq!(visit.due(&limits(15_000.0)), Some((24_000.0, Leave::Owed)));
-    assert_eq!(visit.due(&limits(40_000.0)), Some((49_000.0, Leave::Owed)));
+    assert_eq!(
+        visit.due(&limits(15_000.0)),
+        Some((24_000.0, CloseMode::Graceful))
+    );
+    assert_eq!(
+        visit.due(&limits(40_000.0)),
+        Some((49_000.0, CloseMode::Graceful))
+    );
     assert_eq!(visit.resting(), Some(9000.0));
     // It begins again after four fifths: its head has all its time.
     visit.heard(9000.0 + 0.8 * 15_000.0);
-    assert_eq!(visit.due(&limits(15_000.0)), Some((24_000.0, Leave::Now)));
+    assert_eq!(
+        visit.due(&limits(15_000.0)),
+        Some((24_000.0, CloseMode::Immediate))
+    );
     visit.leaves();
     assert_eq!(
         (visit.due(&limits(15_000.0)), visit.resting()),
@@ -256,7 +272,7 @@
     on_one_thread(async {
         let backend = Rc::new(Backend::default());
         // Descriptors for so many clients: see `client_budget`.
-        let most = maplefall_upstream::client_budget(34);
+        let most = maplefall_upstream::downstream_budget(34);
         let front = Front::with(1, &[listen(backend.clone()).await], 34).await;
         let guests = RefCell::new(Vec::new());
         for _ in 0..most {
--- a/crates/proxy/tests/whole.rs
+++ b/crates/proxy/tests/whole.rs
@@ -145,7 +145,7 @@
         );
         let settings =
             maplefall_node_settings::Settings::read(&exchange, &folder).expect("settings");
-        let watched = maplefall_node_settings::Watched::new(folder.join("core.toml"));
+        let watched = maplefall_node_settings::SettingsFile::new(folder.join("core.toml"));
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -13,46 +13,46 @@
 //!
 //! Fractions are parts per million of the whole quota. Nothing here does I/O.
 
-mod lender;
-mod purse;
+mod client;
+mod server;
 mod slots;
 
-pub use lender::{Caller, Lender};
-pub use purse::Purse;
-pub use slots::{Shares, Slot, Slots, Turn};
+pub use client::LeaseClient;
+pub use server::{ClientId, LeaseServer};
+pub use slots::{OwnedSlots, Slot, SlotEvent, Slots};
 
 /// Milliseconds on the caller's steady clock.
 pub type Millis = f64;
 
 /// The whole of a quota.
-pub const WHOLE: u32 = 1_000_000;
+pub const WHOLE_QUOTA_PPM: u32 = 1_000_000;
 /// How long a loan lasts without news.
-pub const LASTS: Millis = 12_000.0;
+pub const LEASE_DURATION: Millis = 12_000.0;
 /// By how much a lender counts a loan as out beyond [`LASTS`]: steady clocks may run apart by two in a hundred.
-pub const SKEW: Millis = 250.0;
+pub const CLOCK_SKEW: Millis = 250.0;
 /// For how long a lender goes on after the last moment at which it is known to have been a member with all that was agreed.
-pub const LEASE: Millis = 9_000.0;
+pub const MEMBERSHIP_LEASE: Millis = 9_000.0;
 /// How long after such a moment a leader that has been replaced may still have named it: a leader that hears no majority steps down
 /// within one second. The rest is for clocks that run apart.
-const MARGIN: Millis = 2_000.0;
+const CLOCK_MARGIN: Millis = 2_000.0;
 /// How long a new owner of a slot lends nothing of it: by then nothing that an earlier owner has lent is out.
-pub const INHERITED: Millis = LASTS + LEASE + MARGIN;
+pub const TAKEOVER_DELAY: Millis = LEASE_DURATION + MEMBERSHIP_LEASE + CLOCK_MARGIN;
 
 /// Whether a lender may answer doors. `contact` is the latest moment, by its own clock, at which it is known to have been a member
 /// that had applied all that was agreed on.
-pub fn in_lease(now: Millis, contact: Millis) -> bool {
-    now - contact < LEASE
+pub fn membership_lease_valid(now: Millis, contact: Millis) -> bool {
+    now - contact < MEMBERSHIP_LEASE
 }
 
 /// A fraction of a tenant's quota.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Loan {
+pub struct Lease {
     /// The tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
     /// Parts per million.
     #[prost(uint32, tag = "2")]
-    pub parts: u32,
+    pub ppm: u32,
 }
 
 /// What a tenant asks of a door.
@@ -63,57 +63,57 @@
     pub tenant: String,
     /// Requests of late, in thousandths a second.
     #[prost(uint32, tag = "2")]
-    pub rate: u32,
+    pub milli_rps: u32,
     /// Whether requests were turned away of late for lack of it.
     #[prost(bool, tag = "3")]
-    pub short: bool,
+    pub starved: bool,
 }
 
 /// A door's word to a lender.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Report {
+pub struct LeaseRequest {
     /// Number of this report, rising.
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub sequence: u64,
     /// The last answer that was taken up.
     #[prost(uint64, tag = "2")]
-    pub confirmed: u64,
+    pub acknowledged: u64,
     /// What is held of this lender: all of it, in the reports on a connection until one is answered.
     #[prost(message, repeated, tag = "3")]
-    pub held: Vec<Loan>,
+    pub leases: Vec<Lease>,
     /// Whether `held` is told.
     #[prost(bool, tag = "4")]
-    pub first: bool,
+    pub full: bool,
     /// What each tenant asks of late; tenants that ask nothing are left out.
     #[prost(message, repeated, tag = "5")]
     pub demand: Vec<Demand>,
     /// The door stops, and spends nothing more.
     #[prost(bool, tag = "6")]
-    pub last: bool,
+    pub release: bool,
     /// The life of the lender whose answers `confirmed` numbers; nought before the first on a connection.
     #[prost(fixed32, tag = "7")]
-    pub lender: u32,
+    pub server_incarnation: u32,
 }
 
 /// A lender's answer.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Lent {
+pub struct LeaseGrant {
     /// Number of this answer, rising over all doors and connections of one life of a lender.
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub sequence: u64,
     /// The report that is answered: the loans last from when it was sent.
     #[prost(uint64, tag = "2")]
-    pub report: u64,
+    pub request: u64,
     /// Loans that have changed since the answer that was confirmed.
     #[prost(message, repeated, tag = "3")]
-    pub loans: Vec<Loan>,
+    pub leases: Vec<Lease>,
     /// Doors that are known: a part of what is lent to nobody in particular falls to each.
     #[prost(uint32, tag = "4")]
-    pub doors: u32,
+    pub client_count: u32,
     /// The life of the door that is meant.
     #[prost(uint64, tag = "5")]
-    pub life: u64,
+    pub client_incarnation: u64,
     /// The life of the lender; nought where the report that is answered names it.
     #[prost(fixed32, tag = "6")]
-    pub lender: u32,
+    pub server_incarnation: u32,
 }
--- a/crates/quota-lease/src/slots.rs
+++ b/crates/quota-lease/src/slots.rs
@@ -35,7 +35,7 @@
 impl Slots {
     /// The slots at the first start: enough for the fewest exchanges of which `losses` may be lost, and one for each of the first.
     /// `index` is the entry up to which the members are known, and `used` whether others may have lent before it.
-    pub fn first(members: &BTreeSet<String>, losses: u32, index: u64, used: bool) -> Slots {
+    pub fn initial(members: &BTreeSet<String>, losses: u32, index: u64, used: bool) -> Slots {
         let fewest = if members.len() < SEEDS {
             0
         } else {
@@ -50,20 +50,20 @@
         let mut slots = Slots {
             all: vec![free; count],
         };
-        slots.change(members, index);
+        slots.reassign(members, index);
         slots
     }
 
     /// The members that the entry at `index` has agreed on take the place of those before: slots of whoever is no member are free,
     /// and free ones go to members that own none, in the order of their names, first those that nobody has lent yet.
-    pub fn change(&mut self, members: &BTreeSet<String>, index: u64) {
+    pub fn reassign(&mut self, members: &BTreeSet<String>, index: u64) {
         for slot in self.all.iter_mut().filter(|slot| !slot.owner.is_empty()) {
             if !members.contains(&slot.owner) {
                 (slot.owner, slot.used) = (String::new(), true);
             }
         }
         for member in members.iter().filter(|member| !member.is_empty()) {
-            if self.of(member).next().is_some() {
+            if self.owned_by(member).next().is_some() {
                 continue;
             }
             let free = self.all.iter_mut().filter(|slot| slot.owner.is_empty());
@@ -75,32 +75,32 @@
     }
 
     /// The slots of one owner.
-    pub fn of<'a>(&'a self, owner: &'a str) -> impl Iterator<Item = &'a Slot> {
+    pub fn owned_by<'a>(&'a self, owner: &'a str) -> impl Iterator<Item = &'a Slot> {
         self.all.iter().filter(move |slot| slot.owner == owner)
     }
 
     /// One slot's part of the whole, in parts per million.
-    pub fn part(&self) -> u32 {
-        WHOLE / self.all.len().max(1) as u32
+    pub fn slot_ppm(&self) -> u32 {
+        WHOLE_QUOTA_PPM / self.all.len().max(1) as u32
     }
 }
 
 /// What has become of a slot of ours.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turn {
+pub enum SlotEvent {
     /// It is ours by the entry of this index, to be lent at once.
     Owned(u64),
     /// It is ours by the entry of this index, to be lent after so many milliseconds.
-    Waits(u64, Millis),
+    Waiting(u64, Millis),
     /// Its wait is over: this is to be written to disk, lest a later life waits again.
-    Waited(u64),
+    WaitOver(u64),
     /// The one that the entry of this index gave us is no longer ours.
     Lost(u64),
 }
 
 /// What one exchange may lend.
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub struct OwnedSlots {
     me: String,
     slots: Slots,
     /// Until when what earlier owners have lent may be out, by the entry that made a slot ours.
@@ -109,10 +109,15 @@
     waited: BTreeSet<u64>,
 }
 
-impl Shares {
+impl OwnedSlots {
     /// What `me` may lend. `waited` is what [`Turn::Waited`] told in earlier lives with this disk.
-    pub fn new(now: Millis, me: &str, slots: Slots, waited: BTreeSet<u64>) -> (Shares, Vec<Turn>) {
-        let mut shares = Shares {
+    pub fn new(
+        now: Millis,
+        me: &str,
+        slots: Slots,
+        waited: BTreeSet<u64>,
+    ) -> (OwnedSlots, Vec<SlotEvent>) {
+        let mut shares = OwnedSlots {
             me: me.to_owned(),
             slots: Slots::default(),
             waits: BTreeMap::new(),
@@ -128,38 +133,50 @@
     }
 
     /// An entry has been agreed on that says who the members are.
-    pub fn change(&mut self, now: Millis, members: &BTreeSet<String>, index: u64) -> Vec<Turn> {
+    pub fn members_changed(
+        &mut self,
+        now: Millis,
+        members: &BTreeSet<String>,
+        index: u64,
+    ) -> Vec<SlotEvent> {
         let mut slots = self.slots.clone();
-        slots.change(members, index);
+        slots.reassign(members, index);
         self.install(now, slots)
     }
 
     /// These are the slots from now on.
-    pub fn install(&mut self, now: Millis, slots: Slots) -> Vec<Turn> {
+    pub fn install(&mut self, now: Millis, slots: Slots) -> Vec<SlotEvent> {
         let before = std::mem::replace(&mut self.slots, slots);
         let mut turns = Vec::new();
-        for slot in before.of(&self.me) {
-            if !self.slots.of(&self.me).any(|now| now.since == slot.since) {
+        for slot in before.owned_by(&self.me) {
+            if !self
+                .slots
+                .owned_by(&self.me)
+                .any(|now| now.since == slot.since)
+            {
                 self.waits.remove(&slot.since);
-                turns.push(Turn::Lost(slot.since));
+                turns.push(SlotEvent::Lost(slot.since));
             }
         }
-        for slot in self.slots.of(&self.me) {
-            if before.of(&self.me).any(|before| before.since == slot.since) {
+        for slot in self.slots.owned_by(&self.me) {
+            if before
+                .owned_by(&self.me)
+                .any(|before| before.since == slot.since)
+            {
                 continue;
             }
             if !slot.used || self.waited.contains(&slot.since) {
-                turns.push(Turn::Owned(slot.since));
+                turns.push(SlotEvent::Owned(slot.since));
             } else {
-                self.waits.insert(slot.since, now + INHERITED);
-                turns.push(Turn::Waits(slot.since, INHERITED));
+                self.waits.insert(slot.since, now + TAKEOVER_DELAY);
+                turns.push(SlotEvent::Waiting(slot.since, TAKEOVER_DELAY));
             }
         }
         turns
     }
 
     /// Waits that are over by now.
-    pub fn tick(&mut self, now: Millis) -> Vec<Turn> {
+    pub fn tick(&mut self, now: Millis) -> Vec<SlotEvent> {
         let over: Vec<u64> = self
             .waits
             .iter()
@@ -173,15 +190,15 @@
         while self.waited.len() > MOST_WAITED {
             self.waited.pop_first();
         }
-        over.into_iter().map(Turn::Waited).collect()
+        over.into_iter().map(SlotEvent::WaitOver).collect()
     }
 
     /// What may be lent of every quota, in parts per million.
     pub fn limit(&self) -> u32 {
         let mine = self
             .slots
-            .of(&self.me)
+            .owned_by(&self.me)
             .filter(|slot| !self.waits.contains_key(&slot.since));
-        self.slots.part() * mine.count() as u32
+        self.slots.slot_ppm() * mine.count() as u32
     }
 }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -10,13 +10,14 @@
 //! [`Tandem`] does no I/O. It takes ticks, messages and the word that writes are on disk, and returns what to write, what to
 //! send and what is agreed. What may be said only once something is on disk is held back in here.
 
-mod durable;
 mod message;
 mod node;
+mod persistent_state;
 
-pub use durable::{Durable, Sets};
 pub use message::{
-    checksum, Append, Appended, Ask, Entry, EntryKind, Install, Join, Member, Message, Record,
-    Snapshot, Stand, Taken, Voted, What, Wish,
+    checksum, AppendEntries, AppendEntriesResponse, Entry, EntryKind, InstallSnapshot, JoinRequest,
+    Member, MembershipRequest, Message, MessageBody, PersistentUpdate, RequestVote,
+    RequestVoteResponse, Snapshot, SnapshotProgress, TimeoutNow,
 };
-pub use node::{Out, Setup, Tandem, MOST_MEMBERS};
+pub use node::{Config, Raft, Ready, MAX_MEMBERS};
+pub use persistent_state::{Configuration, PersistentState};
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -7,11 +7,11 @@
 #[repr(i32)]
 pub enum EntryKind {
     /// A new leader's first entry: what came before it is agreed with it.
-    Begin = 0,
+    NoOp = 0,
     /// A change of whoever uses the log.
-    Change = 1,
+    Command = 1,
     /// Who votes from here on: [`Entry::members`]; its payload says why, in words for the log.
-    Members = 4,
+    Membership = 4,
 }
 
 /// One that votes: an address, and the disk behind it. A node that comes back without its disk is another member.
@@ -64,13 +64,13 @@
 
 /// What is written to disk, in order. What is not there stays as it was.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Record {
+pub struct PersistentUpdate {
     /// The term, with the vote in it (empty for none).
     #[prost(uint64, optional, tag = "1")]
     pub term: Option<u64>,
     /// Whom this node has voted for in that term.
     #[prost(string, tag = "2")]
-    pub voted: String,
+    pub voted_for: String,
     /// Entries; those written before at or after the first index are void.
     #[prost(message, repeated, tag = "3")]
     pub entries: Vec<Entry>,
@@ -82,7 +82,7 @@
     pub identity: Option<u64>,
     /// Members up to this index are known to be agreed on.
     #[prost(uint64, tag = "7")]
-    pub settled: u64,
+    pub members_committed: u64,
 }
 
 /// A message between nodes.
@@ -95,142 +95,142 @@
     #[prost(uint64, tag = "9")]
     pub identity: u64,
     /// What it says.
-    #[prost(oneof = "What", tags = "2, 3, 4, 5, 6, 7, 8")]
-    pub what: Option<What>,
+    #[prost(oneof = "MessageBody", tags = "2, 3, 4, 5, 6, 7, 8")]
+    pub body: Option<MessageBody>,
 }
 
 /// What a message says.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
-pub enum What {
+pub enum MessageBody {
     /// Asks for a vote.
     #[prost(message, tag = "2")]
-    Ask(Ask),
+    RequestVote(RequestVote),
     /// Answers that.
     #[prost(message, tag = "3")]
-    Voted(Voted),
+    RequestVoteResponse(RequestVoteResponse),
     /// The leader's entries, or none as a sign of life.
     #[prost(message, tag = "4")]
-    Append(Append),
+    AppendEntries(AppendEntries),
     /// Answers that.
     #[prost(message, tag = "5")]
-    Appended(Appended),
+    AppendEntriesResponse(AppendEntriesResponse),
     /// A part of a whole state, for a node that lacks entries which are folded already.
     #[prost(message, tag = "6")]
-    Install(Install),
+    InstallSnapshot(InstallSnapshot),
     /// The leader stops and asks the receiver to stand at once.
     #[prost(message, tag = "7")]
-    Stand(Stand),
+    TimeoutNow(TimeoutNow),
     /// A node that hears no leader would follow one.
     #[prost(message, tag = "8")]
-    Join(Join),
+    JoinRequest(JoinRequest),
 }
 
 /// A question for a vote.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Ask {
+pub struct RequestVote {
     /// Only whether it would be given.
     #[prost(bool, tag = "1")]
-    pub would: bool,
+    pub pre_vote: bool,
     /// The asker's last entry.
     #[prost(uint64, tag = "2")]
-    pub last_index: u64,
+    pub last_log_index: u64,
     /// That entry's term.
     #[prost(uint64, tag = "3")]
-    pub last_term: u64,
+    pub last_log_term: u64,
 }
 
 /// The answer to a question for a vote.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Voted {
+pub struct RequestVoteResponse {
     /// Whether it was only asked.
     #[prost(bool, tag = "1")]
-    pub would: bool,
+    pub pre_vote: bool,
     /// Yes or no.
     #[prost(bool, tag = "2")]
     pub granted: bool,
     /// The term that was asked for.
     #[prost(uint64, tag = "3")]
-    pub asked: u64,
+    pub requested_term: u64,
 }
 
 /// Entries of a leader.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Append {
+pub struct AppendEntries {
     /// The entry before the first of these.
     #[prost(uint64, tag = "1")]
-    pub prev_index: u64,
+    pub prev_log_index: u64,
     /// Its term.
     #[prost(uint64, tag = "2")]
-    pub prev_term: u64,
+    pub prev_log_term: u64,
     /// The entries.
     #[prost(message, repeated, tag = "3")]
     pub entries: Vec<Entry>,
     /// Up to where all is agreed.
     #[prost(uint64, tag = "4")]
-    pub commit: u64,
+    pub leader_commit: u64,
     /// Number of the leader's round.
     #[prost(uint64, tag = "5")]
-    pub round: u64,
+    pub sequence: u64,
     /// Number of the last [`Appended`] that has come from the receiver; 0 for none.
     #[prost(uint64, tag = "6")]
-    pub echo: u64,
+    pub last_response: u64,
     /// How long ago, in milliseconds, a majority is proven to have followed this leader.
     #[prost(uint64, tag = "7")]
-    pub age: u64,
+    pub quorum_age_ms: u64,
     /// Whether the receiver is a member.
     #[prost(bool, tag = "8")]
-    pub member: bool,
+    pub is_voter: bool,
     /// The receiver, which leaves, may go: nothing rests on it.
     #[prost(bool, tag = "9")]
-    pub left: bool,
+    pub released: bool,
 }
 
 /// How far a node has what a leader sent.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Appended {
+pub struct AppendEntriesResponse {
     /// Whether the entry before was there.
     #[prost(bool, tag = "1")]
-    pub fits: bool,
+    pub success: bool,
     /// Up to here its disk has what the leader has; where it does not fit, where to try next.
     #[prost(uint64, tag = "2")]
-    pub matched: u64,
+    pub match_index: u64,
     /// Up to here it has received what the leader has.
     #[prost(uint64, tag = "3")]
-    pub received: u64,
+    pub received_index: u64,
     /// The round that is answered.
     #[prost(uint64, tag = "4")]
-    pub round: u64,
+    pub sequence: u64,
     /// Rises with each of these by one, from a number drawn at the start of the process.
     #[prost(uint64, tag = "6")]
     pub number: u64,
     /// What the sender would be.
     #[prost(message, optional, tag = "7")]
-    pub wish: Option<Wish>,
+    pub membership: Option<MembershipRequest>,
     /// It answers an [`Install`] that is not whole yet, and nothing else.
     #[prost(message, optional, tag = "8")]
-    pub taken: Option<Taken>,
+    pub snapshot_progress: Option<SnapshotProgress>,
 }
 
 /// What a node would be.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Wish {
+pub struct MembershipRequest {
     /// It would be a member.
     #[prost(bool, tag = "1")]
-    pub counts: bool,
+    pub voter: bool,
     /// It belongs to the first start of the whole system.
     #[prost(bool, tag = "2")]
-    pub first: bool,
+    pub initial: bool,
     /// It is about to stop.
     #[prost(bool, tag = "3")]
-    pub leaving: bool,
+    pub stopping: bool,
 }
 
 /// A part of a whole state, or none of it: then it asks how much has come.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Install {
+pub struct InstallSnapshot {
     /// Number of the leader's round.
     #[prost(uint64, tag = "2")]
-    pub round: u64,
+    pub sequence: u64,
     /// [`Snapshot::index`].
     #[prost(uint64, tag = "3")]
     pub index: u64,
@@ -242,33 +242,33 @@
     pub members: Vec<Member>,
     /// Bytes of the whole state.
     #[prost(uint64, tag = "6")]
-    pub length: u64,
+    pub total_bytes: u64,
     /// [`checksum`] of the whole state.
     #[prost(uint64, tag = "7")]
-    pub whole: u64,
+    pub checksum: u64,
     /// Where this part begins in the state.
     #[prost(uint64, tag = "8")]
     pub offset: u64,
     /// The part.
     #[prost(bytes = "bytes", tag = "9")]
-    pub part: Bytes,
+    pub chunk: Bytes,
     /// [`checksum`] of the part.
     #[prost(uint64, tag = "10")]
-    pub sum: u64,
+    pub chunk_checksum: u64,
 }
 
 /// How much of a whole state has come.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Taken {
+pub struct SnapshotProgress {
     /// [`Snapshot::index`].
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// [`Install::whole`].
     #[prost(uint64, tag = "2")]
-    pub whole: u64,
+    pub checksum: u64,
     /// Bytes that are there, from the first on.
     #[prost(uint64, tag = "3")]
-    pub bytes: u64,
+    pub received_bytes: u64,
 }
 
 /// FNV-1a, 64 bits.
@@ -280,12 +280,12 @@
 
 /// Stand at once.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Stand {}
+pub struct TimeoutNow {}
 
 /// A node that hears no leader. Its term deposes nobody.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Join {
+pub struct JoinRequest {
     /// What it would be.
     #[prost(message, optional, tag = "1")]
-    pub wish: Option<Wish>,
+    pub membership: Option<MembershipRequest>,
 }
--- a/crates/raft/src/node/elections.rs
+++ b/crates/raft/src/node/elections.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-impl Tandem {
-    pub(super) fn ask_around(&mut self, now: Millis, out: &mut Out) {
+impl Raft {
+    pub(super) fn ask_around(&mut self, now: Millis, out: &mut Ready) {
         // To ask disturbs nobody: a question that was refused or lost is asked again soon.
         self.stands = now + AGAIN * (1.0 + 2.0 * chance(&mut self.rng));
         self.leader = None;
@@ -15,7 +15,7 @@
         self.ask(true, out);
     }
 
-    pub(super) fn stand(&mut self, now: Millis, out: &mut Out) {
+    pub(super) fn stand(&mut self, now: Millis, out: &mut Ready) {
         self.stands = now + 2.0 * AGAIN + SPREAD * chance(&mut self.rng);
         let name = self.me.name.clone();
         self.enter(self.disk.term + 1, &name, out);
@@ -29,15 +29,15 @@
         self.ask(false, out);
     }
 
-    fn ask(&mut self, would: bool, out: &mut Out) {
+    fn ask(&mut self, would: bool, out: &mut Ready) {
         let last_index = self.disk.last_index();
         let last_term = self.disk.term_at(last_index).unwrap_or(0);
         let term = self.disk.term + u64::from(would);
         for name in self.names() {
-            let ask = What::Ask(Ask {
-                would,
-                last_index,
-                last_term,
+            let ask = MessageBody::RequestVote(RequestVote {
+                pre_vote: would,
+                last_log_index: last_index,
+                last_log_term: last_term,
             });
             let message = Message {
                 term,
@@ -49,50 +49,63 @@
 
     /// Whoever asks counts a vote only by the identity that it comes with, so that it may be given by anyone: also by one that does
     /// not know yet that it is a member.
-    pub(super) fn asked(&mut self, now: Millis, from: &str, term: u64, ask: Ask, out: &mut Out) {
+    pub(super) fn asked(
+        &mut self,
+        now: Millis,
+        from: &str,
+        term: u64,
+        ask: RequestVote,
+        out: &mut Ready,
+    ) {
         let last_index = self.disk.last_index();
         let last = (self.disk.term_at(last_index).unwrap_or(0), last_index);
-        let able = (ask.last_term, ask.last_index) >= last;
-        let granted = if ask.would {
+        let able = (ask.last_log_term, ask.last_log_index) >= last;
+        let granted = if ask.pre_vote {
             // Nobody is deposed who is heard.
             let leads = matches!(self.role, Role::Leader(_));
             able && term > self.disk.term && !leads && now - self.heard >= SILENT
         } else {
-            let free = self.disk.voted.is_empty() || self.disk.voted == from;
+            let free = self.disk.voted_for.is_empty() || self.disk.voted_for == from;
             able && term == self.disk.term
                 && free
                 && matches!(self.role, Role::Follower | Role::Asking(_))
         };
-        if granted && !ask.would {
-            if self.disk.voted.is_empty() {
+        if granted && !ask.pre_vote {
+            if self.disk.voted_for.is_empty() {
                 self.enter(term, from, out);
             }
             self.role = Role::Follower;
             self.draw(now);
         }
-        let what = What::Voted(Voted {
-            would: ask.would,
+        let what = MessageBody::RequestVoteResponse(RequestVoteResponse {
+            pre_vote: ask.pre_vote,
             granted,
-            asked: term,
+            requested_term: term,
         });
         let mut message = self.message(what);
-        if ask.would && granted {
+        if ask.pre_vote && granted {
             message.term = term;
         }
         self.after_writes(from, message, out);
     }
 
-    pub(super) fn voted(&mut self, now: Millis, from: Member, voted: Voted, out: &mut Out) {
+    pub(super) fn voted(
+        &mut self,
+        now: Millis,
+        from: Member,
+        voted: RequestVoteResponse,
+        out: &mut Ready,
+    ) {
         if !voted.granted {
             return;
         }
         let term = self.disk.term;
         let asked = match &mut self.role {
-            Role::Asking(votes) if voted.would && voted.asked == term + 1 => {
+            Role::Asking(votes) if voted.pre_vote && voted.requested_term == term + 1 => {
                 votes.insert(from);
                 true
             }
-            Role::Candidate(votes, _) if !voted.would && voted.asked == term => {
+            Role::Candidate(votes, _) if !voted.pre_vote && voted.requested_term == term => {
                 votes.insert(from);
                 true
             }
@@ -104,14 +117,14 @@
         if !asked || !self.quorum(|member| votes.contains(member)) {
             return;
         }
-        if voted.would {
+        if voted.pre_vote {
             self.stand(now, out);
         } else {
             self.lead(now, out);
         }
     }
 
-    fn lead(&mut self, now: Millis, out: &mut Out) {
+    fn lead(&mut self, now: Millis, out: &mut Ready) {
         let next = self.disk.last_index() + 1;
         let (votes, asked) = match &mut self.role {
             Role::Candidate(votes, asked) => (std::mem::take(votes), *asked),
@@ -120,9 +133,9 @@
         let mut others = BTreeMap::new();
         for member in self
             .sets
-            .newest
+            .current
             .iter()
-            .chain(&self.sets.before)
+            .chain(&self.sets.previous)
             .filter(|m| m.name != self.me.name)
         {
             let mut fresh = Progress::fresh(member.identity, next, now);
@@ -133,7 +146,7 @@
             if let Some((_, heard)) = self.led.as_ref().filter(|(name, _)| *name == member.name) {
                 fresh.heard = *heard;
             }
-            fresh.wish.counts = true;
+            fresh.wish.voter = true;
             others.entry(member.name.clone()).or_insert(fresh);
         }
         self.role = Role::Leader(Box::new(Leading {
@@ -143,14 +156,14 @@
         }));
         self.leader = Some(self.me.name.clone());
         self.heard = now;
-        self.add(EntryKind::Begin, Vec::new(), Vec::new(), out);
+        self.add(EntryKind::NoOp, Vec::new(), Vec::new(), out);
         self.pulse(now, out);
     }
 
-    pub(super) fn follow(&mut self, now: Millis, leader: Option<&str>, out: &mut Out) {
+    pub(super) fn follow(&mut self, now: Millis, leader: Option<&str>, out: &mut Ready) {
         if matches!(self.role, Role::Leader(_)) {
-            out.deposed = true;
-            if self.leads() {
+            out.stepped_down = true;
+            if self.is_leader() {
                 let proven = self.proven(now);
                 self.touched = self.touched.max(proven);
                 self.counted = self.counted.max(proven);
@@ -172,19 +185,19 @@
     }
 
     /// Enters a term, or votes in it.
-    pub(super) fn enter(&mut self, term: u64, voted: &str, out: &mut Out) {
+    pub(super) fn enter(&mut self, term: u64, voted: &str, out: &mut Ready) {
         if term > self.disk.term {
             self.verified = 0;
         }
         self.write(
-            Record {
+            PersistentUpdate {
                 term: Some(term),
-                voted: voted.to_owned(),
-                ..Record::default()
+                voted_for: voted.to_owned(),
+                ..PersistentUpdate::default()
             },
             out,
         );
-        self.term_write = self.written;
+        self.term_write = self.persisted;
     }
 
     fn draw(&mut self, now: Millis) {
--- a/crates/raft/src/node/following.rs
+++ b/crates/raft/src/node/following.rs
@@ -2,49 +2,55 @@
 
 use super::*;
 
-impl Tandem {
-    pub(super) fn append(&mut self, now: Millis, from: &str, append: Append, out: &mut Out) {
+impl Raft {
+    pub(super) fn append(
+        &mut self,
+        now: Millis,
+        from: &str,
+        append: AppendEntries,
+        out: &mut Ready,
+    ) {
         let in_order = |(place, entry): (usize, &Entry)| {
-            append.prev_index.checked_add(place as u64 + 1) == Some(entry.index)
+            append.prev_log_index.checked_add(place as u64 + 1) == Some(entry.index)
         };
         if !append.entries.iter().enumerate().all(in_order) {
-            out.notes.push(format!(
+            out.log_lines.push(format!(
                 "event=bad_append step=read field=index peer={from}"
             ));
             return;
         }
         self.follow(now, Some(from), out);
         let last = self.disk.last_index();
-        let fits = append.prev_index <= last
-            && (append.prev_index < self.disk.snapshot.index
-                || self.disk.term_at(append.prev_index) == Some(append.prev_term));
+        let fits = append.prev_log_index <= last
+            && (append.prev_log_index < self.disk.snapshot.index
+                || self.disk.term_at(append.prev_log_index) == Some(append.prev_log_term));
         if !fits {
             if !std::mem::replace(&mut self.behind, true) {
-                let commit = append.commit;
-                out.notes.push(format!(
+                let commit = append.leader_commit;
+                out.log_lines.push(format!(
                     "event=behind last={last} leader={from} leader_commit={commit}"
                 ));
             }
             // Another entry stands there: what is agreed on fits in any case.
-            let matched = if append.prev_index <= last {
-                self.commit
+            let matched = if append.prev_log_index <= last {
+                self.commit_index
             } else {
                 last
             };
-            let round = append.round;
+            let round = append.sequence;
             self.answer(
                 from,
-                Appended {
-                    fits: false,
-                    matched,
-                    round,
-                    ..Appended::default()
+                AppendEntriesResponse {
+                    success: false,
+                    match_index: matched,
+                    sequence: round,
+                    ..AppendEntriesResponse::default()
                 },
                 out,
             );
             return;
         }
-        let end = append.prev_index + append.entries.len() as u64;
+        let end = append.prev_log_index + append.entries.len() as u64;
         let new: Vec<Entry> = append
             .entries
             .into_iter()
@@ -54,38 +60,44 @@
             .collect();
         self.push(new, out);
         self.verified = self.verified.max(end);
-        self.agree(append.commit.min(self.verified), out);
+        self.agree(append.leader_commit.min(self.verified), out);
         // The leader has had what this node sent then, and a majority followed it so long before that: all that was agreed on up
         // to there is applied here.
         let sent = self
             .answers
-            .at(append.echo)
-            .filter(|_| self.commit >= append.commit);
+            .at(append.last_response)
+            .filter(|_| self.commit_index >= append.leader_commit);
         if let Some(sent) = sent {
-            let proven = sent - append.age as f64;
+            let proven = sent - append.quorum_age_ms as f64;
             self.touched = self.touched.max(proven);
-            if append.member {
+            if append.is_voter {
                 self.counted = self.counted.max(proven);
             }
             self.behind = false;
         }
-        self.may_go |= append.left && self.leaving.is_some();
-        self.tell_matched(from, append.round, out);
+        self.may_go |= append.released && self.leaving.is_some();
+        self.tell_matched(from, append.sequence, out);
     }
 
-    pub(super) fn install(&mut self, now: Millis, from: &str, install: Install, out: &mut Out) {
+    pub(super) fn install(
+        &mut self,
+        now: Millis,
+        from: &str,
+        install: InstallSnapshot,
+        out: &mut Ready,
+    ) {
         self.follow(now, Some(from), out);
-        let round = install.round;
-        if install.index > self.commit {
+        let round = install.sequence;
+        if install.index > self.commit_index {
             let snapshot = match self.take_part(from, install, out) {
                 Ok(snapshot) => snapshot,
                 Err(taken) => {
                     self.answer(
                         from,
-                        Appended {
-                            round,
-                            taken: Some(taken),
-                            ..Appended::default()
+                        AppendEntriesResponse {
+                            sequence: round,
+                            snapshot_progress: Some(taken),
+                            ..AppendEntriesResponse::default()
                         },
                         out,
                     );
@@ -97,52 +109,52 @@
                 self.synced_index = 0;
                 self.unsynced.clear();
             }
-            self.commit = snapshot.index;
+            self.commit_index = snapshot.index;
             let (index, bytes) = (snapshot.index, snapshot.state.len());
-            out.notes.push(format!(
+            out.log_lines.push(format!(
                 "event=snapshot_received index={index} bytes={bytes} from={from}"
             ));
             self.write(
-                Record {
+                PersistentUpdate {
                     snapshot: Some(snapshot.clone()),
-                    ..Record::default()
+                    ..PersistentUpdate::default()
                 },
                 out,
             );
-            self.unsynced.push_back((self.written, snapshot.index));
+            self.unsynced.push_back((self.persisted, snapshot.index));
             self.count_members();
-            out.agreed.clear();
-            out.installed = Some(snapshot);
+            out.committed_entries.clear();
+            out.installed_snapshot = Some(snapshot);
         }
         // What is agreed on is what the leader has.
-        self.verified = self.verified.max(self.commit);
+        self.verified = self.verified.max(self.commit_index);
         self.tell_matched(from, round, out);
     }
 
-    pub(super) fn tell_matched(&mut self, leader: &str, round: u64, out: &mut Out) {
+    pub(super) fn tell_matched(&mut self, leader: &str, round: u64, out: &mut Ready) {
         let matched = self.verified.min(self.synced_index);
         let received = self.verified;
         self.answer(
             leader,
-            Appended {
-                fits: true,
-                matched,
-                received,
-                round,
-                ..Appended::default()
+            AppendEntriesResponse {
+                success: true,
+                match_index: matched,
+                received_index: received,
+                sequence: round,
+                ..AppendEntriesResponse::default()
             },
             out,
         );
     }
 
     /// Entries need not be on disk for an answer, the term must be. Its time is that of its making, which is not after its sending.
-    pub(super) fn answer(&mut self, leader: &str, answer: Appended, out: &mut Out) {
+    pub(super) fn answer(&mut self, leader: &str, answer: AppendEntriesResponse, out: &mut Ready) {
         let number = self.answers.begin(self.now);
         self.say(
             leader,
-            What::Appended(Appended {
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
                 number,
-                wish: Some(self.wish),
+                membership: Some(self.wish),
                 ..answer
             }),
             out,
--- a/crates/raft/src/node/leading.rs
+++ b/crates/raft/src/node/leading.rs
@@ -18,7 +18,7 @@
     pub round: u64,
     /// Number of its last answer.
     pub echo: u64,
-    pub wish: Wish,
+    pub wish: MembershipRequest,
     /// Since when it has had all that was agreed on.
     pub caught_up: Option<Millis>,
     /// It leaves, and nothing above this rests on it.
@@ -38,7 +38,7 @@
             sent: f64::NEG_INFINITY,
             round: 0,
             echo: 0,
-            wish: Wish::default(),
+            wish: MembershipRequest::default(),
             caught_up: None,
             left: None,
             sending: None,
@@ -92,9 +92,15 @@
     }
 }
 
-impl Tandem {
-    pub(super) fn appended(&mut self, now: Millis, from: &Member, answer: Appended, out: &mut Out) {
-        let (last, commit) = (self.disk.last_index(), self.commit);
+impl Raft {
+    pub(super) fn appended(
+        &mut self,
+        now: Millis,
+        from: &Member,
+        answer: AppendEntriesResponse,
+        out: &mut Ready,
+    ) {
+        let (last, commit) = (self.disk.last_index(), self.commit_index);
         let Role::Leader(leading) = &mut self.role else {
             return;
         };
@@ -109,16 +115,16 @@
             other.caught_up = None;
         }
         other.heard = now;
-        if let Some(sent) = leading.rounds.at(answer.round) {
+        if let Some(sent) = leading.rounds.at(answer.sequence) {
             other.proven = other.proven.max(sent);
-            other.round = other.round.max(answer.round);
+            other.round = other.round.max(answer.sequence);
         }
         other.echo = answer.number;
-        other.wish = answer.wish.unwrap_or_default();
-        if !other.wish.leaving {
+        other.wish = answer.membership.unwrap_or_default();
+        if !other.wish.stopping {
             other.left = None;
         }
-        if let Some(taken) = answer.taken {
+        if let Some(taken) = answer.snapshot_progress {
             if other
                 .sending
                 .as_mut()
@@ -130,18 +136,20 @@
             return;
         }
         let mut more = false;
-        if answer.fits {
-            other.matched = other.matched.max(answer.matched.min(last));
-            other.next = other.next.max(answer.received.min(last) + 1);
+        if answer.success {
+            other.matched = other.matched.max(answer.match_index.min(last));
+            other.next = other.next.max(answer.received_index.min(last) + 1);
             if let Some(done) = other
                 .sending
-                .take_if(|sending| sending.index() <= answer.received)
+                .take_if(|sending| sending.index() <= answer.received_index)
             {
-                out.notes.push(done.note(&from.name, now));
+                out.log_lines.push(done.note(&from.name, now));
             }
             more = other.next <= last && now - other.sent >= 1.0;
-        } else if answer.round >= other.round || answer.matched.saturating_add(1) < other.next {
-            other.next = answer.matched.min(last) + 1;
+        } else if answer.sequence >= other.round
+            || answer.match_index.saturating_add(1) < other.next
+        {
+            other.next = answer.match_index.min(last) + 1;
             more = true;
         }
         if other.matched >= commit && other.caught_up.is_none() {
@@ -156,9 +164,15 @@
         self.hand_over(now, out);
     }
 
-    pub(super) fn joined(&mut self, now: Millis, from: &Member, wish: Wish, out: &mut Out) {
+    pub(super) fn joined(
+        &mut self,
+        now: Millis,
+        from: &Member,
+        wish: MembershipRequest,
+        out: &mut Ready,
+    ) {
         let next = self.disk.last_index() + 1;
-        let newest = &self.sets.newest;
+        let newest = &self.sets.current;
         let Role::Leader(leading) = &mut self.role else {
             return;
         };
@@ -180,7 +194,7 @@
     }
 
     /// Sends to all what they lack, and asks them all for a sign of life.
-    pub(super) fn spread(&mut self, now: Millis, out: &mut Out) {
+    pub(super) fn spread(&mut self, now: Millis, out: &mut Ready) {
         let Role::Leader(leading) = &self.role else {
             return;
         };
@@ -191,7 +205,7 @@
     }
 
     /// Speaks to those that have not been spoken to for a while.
-    pub(super) fn pulse(&mut self, now: Millis, out: &mut Out) {
+    pub(super) fn pulse(&mut self, now: Millis, out: &mut Ready) {
         let Role::Leader(leading) = &mut self.role else {
             return;
         };
@@ -227,10 +241,10 @@
         self.advance(now, out);
     }
 
-    pub(super) fn send_to(&mut self, now: Millis, name: &str, out: &mut Out) {
+    pub(super) fn send_to(&mut self, now: Millis, name: &str, out: &mut Ready) {
         let last = self.disk.last_index();
         let (leads, age) = (
-            self.leads(),
+            self.is_leader(),
             (now - self.proven(now)).max(0.0).ceil() as u64,
         );
         let Role::Leader(leading) = &mut self.role else {
@@ -250,8 +264,8 @@
                 return;
             };
             other.sent = now;
-            let message = self.message(What::Install(install));
-            out.sends.push((name.to_owned(), message));
+            let message = self.message(MessageBody::InstallSnapshot(install));
+            out.messages.push((name.to_owned(), message));
             return;
         }
         other.sent = now;
@@ -283,24 +297,24 @@
             .or_else(|| tail.term_at(prev_index))
             .unwrap_or(0);
         let member = self.active().all(|set| set.contains(&receiver));
-        let commit = self.commit;
-        let append = Append {
-            prev_index,
-            prev_term,
+        let commit = self.commit_index;
+        let append = AppendEntries {
+            prev_log_index: prev_index,
+            prev_log_term: prev_term,
             entries,
-            commit,
-            round,
-            echo,
-            age,
-            member,
-            left,
+            leader_commit: commit,
+            sequence: round,
+            last_response: echo,
+            quorum_age_ms: age,
+            is_voter: member,
+            released: left,
         };
-        let message = self.message(What::Append(append));
-        out.sends.push((name.to_owned(), message));
+        let message = self.message(MessageBody::AppendEntries(append));
+        out.messages.push((name.to_owned(), message));
     }
 
     /// Finds what a majority has on disk.
-    pub(super) fn advance(&mut self, now: Millis, out: &mut Out) {
+    pub(super) fn advance(&mut self, now: Millis, out: &mut Ready) {
         let Role::Leader(leading) = &self.role else {
             return;
         };
@@ -309,14 +323,14 @@
             Some(other) if other.identity == member.identity => other.counted(),
             _ => 0,
         });
-        if agreed > self.commit && self.disk.term_at(agreed) == Some(self.disk.term) {
+        if agreed > self.commit_index && self.disk.term_at(agreed) == Some(self.disk.term) {
             self.agree(agreed, out);
             // The others learn of it at once.
             self.spread(now, out);
         }
     }
 
-    pub(super) fn confirm_reads(&mut self, out: &mut Out) {
+    pub(super) fn confirm_reads(&mut self, out: &mut Ready) {
         let Role::Leader(leading) = &self.role else {
             return;
         };
@@ -334,7 +348,7 @@
             .copied()
             .filter(|(_, round)| *round <= confirmed)
         {
-            out.readable.push(ticket);
+            out.confirmed_reads.push(ticket);
             leading.reads.pop_front();
         }
     }
--- a/crates/raft/src/node/log.rs
+++ b/crates/raft/src/node/log.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-impl Tandem {
+impl Raft {
     pub(super) fn add(
         &mut self,
         kind: EntryKind,
         payload: Vec<u8>,
         members: Vec<Member>,
-        out: &mut Out,
+        out: &mut Ready,
     ) -> u64 {
         let index = self.disk.last_index() + 1;
         let entry = Entry {
@@ -23,14 +23,14 @@
     }
 
     /// Appends entries; what stood at their places goes.
-    pub(super) fn push(&mut self, entries: Vec<Entry>, out: &mut Out) {
+    pub(super) fn push(&mut self, entries: Vec<Entry>, out: &mut Ready) {
         let (Some(first), Some(last)) = (entries.first(), entries.last()) else {
             return;
         };
         let (before, last) = (first.index - 1, last.index);
         let mut members = entries
             .iter()
-            .any(|entry| entry.kind() == EntryKind::Members);
+            .any(|entry| entry.kind() == EntryKind::Membership);
         if before < self.disk.last_index() {
             members |= self.sets.index > before;
             self.synced_index = self.synced_index.min(before);
@@ -39,71 +39,71 @@
                 .for_each(|(_, last)| *last = (*last).min(before));
         }
         self.write(
-            Record {
+            PersistentUpdate {
                 entries,
-                ..Record::default()
+                ..PersistentUpdate::default()
             },
             out,
         );
-        self.unsynced.push_back((self.written, last));
+        self.unsynced.push_back((self.persisted, last));
         if members {
             self.count_members();
         }
     }
 
-    pub(super) fn agree(&mut self, commit: u64, out: &mut Out) {
-        if commit <= self.commit {
+    pub(super) fn agree(&mut self, commit: u64, out: &mut Ready) {
+        if commit <= self.commit_index {
             return;
         }
-        let from = (self.commit - self.disk.snapshot.index) as usize;
+        let from = (self.commit_index - self.disk.snapshot.index) as usize;
         let to = (commit.min(self.disk.last_index()) - self.disk.snapshot.index) as usize;
-        let mut before = self.disk.members_at(self.commit).to_vec();
-        self.commit = self.disk.snapshot.index + to as u64;
+        let mut before = self.disk.members_at(self.commit_index).to_vec();
+        self.commit_index = self.disk.snapshot.index + to as u64;
         let news: Vec<Entry> = self.disk.log[from..to].to_vec();
         let mut settled = 0;
         for entry in news
             .iter()
-            .filter(|entry| entry.kind() == EntryKind::Members)
+            .filter(|entry| entry.kind() == EntryKind::Membership)
         {
             self.note_members(entry, &before, out);
             before = entry.members.clone();
             settled = entry.index;
         }
-        if settled > self.disk.settled {
+        if settled > self.disk.members_committed {
             // On disk too: a start need not ask those that were taken out.
             self.write(
-                Record {
-                    settled,
-                    ..Record::default()
+                PersistentUpdate {
+                    members_committed: settled,
+                    ..PersistentUpdate::default()
                 },
                 out,
             );
         }
-        out.agreed.extend(news);
+        out.committed_entries.extend(news);
     }
 
     /// The one way to change what this node holds: the record that goes to disk is taken in here as a start will take it in.
-    pub(super) fn write(&mut self, record: Record, out: &mut Out) {
-        self.written += 1;
+    pub(super) fn write(&mut self, record: PersistentUpdate, out: &mut Ready) {
+        self.persisted += 1;
         self.folding.before(&self.disk, &record);
-        self.disk.take(record.clone());
+        self.disk.apply(record.clone());
         self.folding.after(&self.disk, &record);
-        out.writes.push((self.written, record));
+        out.writes.push((self.persisted, record));
     }
 
-    pub(super) fn message(&self, what: What) -> Message {
+    pub(super) fn message(&self, what: MessageBody) -> Message {
         Message {
             term: self.disk.term,
             identity: self.me.identity,
-            what: Some(what),
+            body: Some(what),
         }
     }
 
     /// Sends once the term that it is said in, and the mark of this disk, are on disk.
-    pub(super) fn say(&mut self, to: &str, what: What, out: &mut Out) {
+    pub(super) fn say(&mut self, to: &str, what: MessageBody, out: &mut Ready) {
         let message = self.message(what);
         let after = if self.term_write > self.synced {
-            self.written
+            self.persisted
         } else {
             0
         };
@@ -111,13 +111,13 @@
     }
 
     /// Sends once all that was written so far is on disk.
-    pub(super) fn after_writes(&mut self, to: &str, message: Message, out: &mut Out) {
-        self.hold(self.written, to, message, out);
+    pub(super) fn after_writes(&mut self, to: &str, message: Message, out: &mut Ready) {
+        self.hold(self.persisted, to, message, out);
     }
 
-    fn hold(&mut self, after: u64, to: &str, message: Message, out: &mut Out) {
+    fn hold(&mut self, after: u64, to: &str, message: Message, out: &mut Ready) {
         if after <= self.synced {
-            out.sends.push((to.to_owned(), message));
+            out.messages.push((to.to_owned(), message));
         } else if self.held.len() < MOST_HELD {
             self.held.push_back((after, to.to_owned(), message));
         }
--- a/crates/raft/src/node/members.rs
+++ b/crates/raft/src/node/members.rs
@@ -9,14 +9,15 @@
 /// A member that has been silent for longer than this is dropped where there are more than are wanted.
 const DROP: Millis = 2500.0;
 /// Members at most.
-pub const MOST_MEMBERS: usize = 9;
+pub const MAX_MEMBERS: usize = 9;
 /// A leader that leaves hands over after this long, whether the others have all or not.
 const HAND_OVER: Millis = 1500.0;
 
-impl Tandem {
+impl Raft {
     /// The sets of which a majority is needed: two while a change is not known to be agreed on.
     pub(super) fn active(&self) -> impl Iterator<Item = &Vec<Member>> {
-        std::iter::once(&self.sets.newest).chain(self.joint().then_some(&self.sets.before))
+        std::iter::once(&self.sets.current)
+            .chain(self.in_joint_configuration().then_some(&self.sets.previous))
     }
 
     /// Names of the others in those sets.
@@ -53,17 +54,17 @@
 
     /// Reads the members from the log.
     pub(super) fn count_members(&mut self) {
-        self.sets = self.disk.sets();
+        self.sets = self.disk.configuration();
         self.voters = self
             .sets
-            .newest
+            .current
             .iter()
             .map(|member| member.name.clone())
             .collect();
         let (next, now) = (self.disk.last_index() + 1, self.now);
         let (sets, me) = (&self.sets, &self.me.name);
         if let Role::Leader(leading) = &mut self.role {
-            for member in sets.newest.iter().filter(|member| member.name != *me) {
+            for member in sets.current.iter().filter(|member| member.name != *me) {
                 let fresh = Progress::fresh(member.identity, next, now);
                 leading.others.entry(member.name.clone()).or_insert(fresh);
             }
@@ -72,12 +73,16 @@
 
     /// Changes the members where that is due: one change at a time, each agreed on by a majority of those before and of those after,
     /// and only by a leader that has agreed on an entry of its own term.
-    pub(super) fn consider(&mut self, now: Millis, out: &mut Out) {
-        if !self.leads() || self.joint() || !self.trusted() || self.leaving.is_some() {
+    pub(super) fn consider(&mut self, now: Millis, out: &mut Ready) {
+        if !self.is_leader()
+            || self.in_joint_configuration()
+            || !self.is_voter()
+            || self.leaving.is_some()
+        {
             return;
         }
         if let Some((members, why)) = self.wanted(now) {
-            self.add(EntryKind::Members, why.as_bytes().to_vec(), members, out);
+            self.add(EntryKind::Membership, why.as_bytes().to_vec(), members, out);
             self.spread(now, out);
         }
     }
@@ -87,13 +92,13 @@
         let Role::Leader(leading) = &self.role else {
             return None;
         };
-        let (members, others) = (&self.sets.newest, &leading.others);
+        let (members, others) = (&self.sets.current, &leading.others);
         let heard = |member: &Member| *member == self.me || silence(member, others, now) < ALONE;
         let ready = |other: &Progress| {
-            other.wish.counts
-                && !other.wish.leaving
+            other.wish.voter
+                && !other.wish.stopping
                 && now - other.heard < ALONE
-                && other.matched >= self.commit
+                && other.matched >= self.commit_index
         };
         let with = |out: Option<usize>, name: &String, identity: u64| {
             let mut members = members.clone();
@@ -116,7 +121,7 @@
                 Some(_) => continue,
                 None => {}
             }
-            if other.wish.first && members.len() < MOST_MEMBERS {
+            if other.wish.initial && members.len() < MAX_MEMBERS {
                 return Some((with(None, name, other.identity), "first_start"));
             }
             let silent =
@@ -136,7 +141,7 @@
             }
             let grown = other.caught_up.is_some_and(|since| now - since >= GROW);
             let calm = !self.alike || members.iter().all(heard);
-            if grown && calm && members.len() < MOST_MEMBERS {
+            if grown && calm && members.len() < MAX_MEMBERS {
                 return Some((with(None, name, other.identity), "grows"));
             }
         }
@@ -167,7 +172,7 @@
     }
 
     /// Tells of a change of the members that has just been agreed on.
-    pub(super) fn note_members(&self, entry: &Entry, before: &[Member], out: &mut Out) {
+    pub(super) fn note_members(&self, entry: &Entry, before: &[Member], out: &mut Ready) {
         let why = String::from_utf8_lossy(&entry.payload);
         let changed = [
             ("member_in", &entry.members[..], before),
@@ -177,7 +182,7 @@
             for member in these.iter().filter(|member| !those.contains(member)) {
                 let Member { name, identity } = member;
                 let (index, count) = (entry.index, entry.members.len());
-                out.notes.push(format!(
+                out.log_lines.push(format!(
                     "event={event} name={name} identity={identity:x} why={why} index={index} members={count}"
                 ));
             }
@@ -188,10 +193,10 @@
 
     /// A planned stop begins. This node votes and answers until it goes, but does not stand. A leader brings the others up to its
     /// last entry and hands over; another tells the leader, which says when nothing rests on it: see [`Tandem::left`].
-    pub fn leave(&mut self, now: Millis, out: &mut Out) {
+    pub fn shut_down(&mut self, now: Millis, out: &mut Ready) {
         self.begin(now, out);
         self.leaving.get_or_insert(now);
-        self.wish.leaving = true;
+        self.wish.stopping = true;
         if matches!(self.role, Role::Leader(_)) {
             self.spread(now, out);
             self.hand_over(now, out);
@@ -201,14 +206,14 @@
     }
 
     /// Whether this node, which leaves, may go: nothing that was agreed on rests on it alone.
-    pub fn left(&self, _now: Millis) -> bool {
+    pub fn may_stop(&self, _now: Millis) -> bool {
         let member = self.active().any(|set| set.contains(&self.me));
         self.leaving.is_some() && (self.may_go || !member || self.names().is_empty())
     }
 
     /// What a leader does for those that leave, itself too.
-    pub(super) fn hand_over(&mut self, now: Millis, out: &mut Out) {
-        let (commit, last) = (self.commit, self.disk.last_index());
+    pub(super) fn hand_over(&mut self, now: Millis, out: &mut Ready) {
+        let (commit, last) = (self.commit_index, self.disk.last_index());
         let Role::Leader(leading) = &self.role else {
             return;
         };
@@ -223,9 +228,9 @@
                 now - other.heard < ALONE && self.active().any(|set| set.contains(&member))
             })
             .collect();
-        let stays = |other: &Progress| !other.wish.leaving;
+        let stays = |other: &Progress| !other.wish.stopping;
         // One that has agreed on members without itself, by an entry of a leader before it, leads no longer than that.
-        let outside = !self.joint() && !self.sets.newest.contains(&self.me);
+        let outside = !self.in_joint_configuration() && !self.sets.current.contains(&self.me);
         if let Some(since) = self.leaving.or(outside.then_some(f64::NEG_INFINITY)) {
             let mut staying = live.iter().filter(|(_, other)| stays(other));
             let whole = staying.clone().all(|(_, other)| other.matched >= last);
@@ -235,10 +240,10 @@
                     .or_else(|| staying.next())
                     .map(|(name, _)| (*name).clone());
                 if let Some(best) = best {
-                    out.notes.push(format!(
+                    out.log_lines.push(format!(
                         "event=hand_over to={best} whole={whole} last={last}"
                     ));
-                    self.say(&best, What::Stand(Stand {}), out);
+                    self.say(&best, MessageBody::TimeoutNow(TimeoutNow {}), out);
                 }
                 self.follow(now, None, out);
                 self.may_go = self.leaving.is_some();
@@ -253,7 +258,7 @@
                 .all(|(n, o)| *n == name || !stays(o) || o.matched >= commit)
         };
         let due = live.iter().filter(|(name, other)| {
-            other.wish.leaving && other.left.is_none() && mine && free(name)
+            other.wish.stopping && other.left.is_none() && mine && free(name)
         });
         let due: Vec<String> = due.map(|(name, _)| (*name).clone()).collect();
         for name in due {
--- a/crates/raft/src/node/mod.rs
+++ b/crates/raft/src/node/mod.rs
@@ -7,11 +7,11 @@
 mod members;
 mod snapshots;
 
-use crate::durable::{Durable, Sets};
 use crate::message::*;
+use crate::persistent_state::{Configuration, PersistentState};
 use bytes::Bytes;
 use leading::{Progress, Rounds};
-pub use members::MOST_MEMBERS;
+pub use members::MAX_MEMBERS;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use snapshots::{Folding, Sending, Taking};
@@ -54,38 +54,38 @@
 
 /// How a node is set up.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Setup<'a> {
+pub struct Config<'a> {
     /// Where the whole system starts for the first time: the first members. With an empty disk and without it, the node has
     /// lost what it promised, or is new.
-    pub first: Option<&'a [String]>,
+    pub initial_members: Option<&'a [String]>,
     /// Whether this node would be a member.
-    pub counts: bool,
+    pub voter: bool,
     /// How many members may be lost at once.
-    pub losses: usize,
+    pub max_failures: usize,
     /// Whether members are all alike, so that one may take the place of any other; not where zones or regions may be lost.
-    pub alike: bool,
+    pub interchangeable: bool,
     /// Only for the played tests, which have to find it: a change of the members counts with a majority of those after alone.
     #[doc(hidden)]
-    pub wrong_new_alone: bool,
+    pub skip_joint_quorum: bool,
 }
 
 /// What is to be done.
 #[derive(Debug, Default)]
-pub struct Out {
+pub struct Ready {
     /// To be written in this order; the word that one is on disk says so of all before it.
-    pub writes: Vec<(u64, Record)>,
+    pub writes: Vec<(u64, PersistentUpdate)>,
     /// To be sent; to nobody by name: to all there are.
-    pub sends: Vec<(String, Message)>,
+    pub messages: Vec<(String, Message)>,
     /// Agreed on from now, in order.
-    pub agreed: Vec<Entry>,
+    pub committed_entries: Vec<Entry>,
     /// A state that takes the place of all before it.
-    pub installed: Option<Snapshot>,
+    pub installed_snapshot: Option<Snapshot>,
     /// Reads that may be answered from what is agreed.
-    pub readable: Vec<u64>,
+    pub confirmed_reads: Vec<u64>,
     /// This node has ceased to lead: what it was asked and has not answered may or may not be agreed on.
-    pub deposed: bool,
+    pub stepped_down: bool,
     /// Lines for the log, of key=value.
-    pub notes: Vec<String>,
+    pub log_lines: Vec<String>,
 }
 
 #[derive(Debug)]
@@ -108,18 +108,18 @@
 }
 
 /// One node.
-pub struct Tandem {
+pub struct Raft {
     me: Member,
     rng: Pcg32,
     now: Millis,
     born: Millis,
-    disk: Durable,
+    disk: PersistentState,
     folding: Folding,
     /// A state that is coming.
     taking: Option<Taking>,
-    sets: Sets,
+    sets: Configuration,
     voters: BTreeSet<String>,
-    wish: Wish,
+    wish: MembershipRequest,
     /// How many members may be lost at once, and whether they are alike.
     losses: usize,
     alike: bool,
@@ -131,10 +131,10 @@
     led: Option<(String, Millis)>,
     stands: Millis,
     joins: Millis,
-    commit: u64,
+    commit_index: u64,
     /// Up to here a leader of this term has confirmed what is in the log.
     verified: u64,
-    written: u64,
+    persisted: u64,
     synced: u64,
     /// Number of each write of entries that is not on disk, with the last index in it.
     unsynced: VecDeque<(u64, u64)>,
@@ -154,23 +154,23 @@
     may_go: bool,
 }
 
-impl Tandem {
+impl Raft {
     /// A node that finds this on its disk, at this time of its steady clock. `seed` is its only source of chance.
     pub fn new(
         me: &str,
         now: Millis,
         seed: u64,
-        disk: Durable,
-        setup: &Setup,
-        out: &mut Out,
-    ) -> Tandem {
+        disk: PersistentState,
+        setup: &Config,
+        out: &mut Ready,
+    ) -> Raft {
         let mut rng = Pcg32::seed_from_u64(seed);
         let drawn = rng.next_u64().max(1);
         let number = rng.next_u64() >> 2;
         let stands = now + FIRST * (1.0 + 3.0 * chance(&mut rng));
         let identity = disk.identity;
         let last = disk.last_index();
-        let mut node = Tandem {
+        let mut node = Raft {
             me: Member {
                 name: me.to_owned(),
                 identity: identity.unwrap_or(drawn),
@@ -180,25 +180,25 @@
             born: now,
             folding: Folding::of(&disk),
             taking: None,
-            sets: Sets::default(),
+            sets: Configuration::default(),
             voters: BTreeSet::new(),
-            wish: Wish {
-                counts: setup.counts,
-                first: setup.first.is_some(),
-                leaving: false,
+            wish: MembershipRequest {
+                voter: setup.voter,
+                initial: setup.initial_members.is_some(),
+                stopping: false,
             },
-            losses: setup.losses,
-            alike: setup.alike,
-            wrong_new_alone: setup.wrong_new_alone,
+            losses: setup.max_failures,
+            alike: setup.interchangeable,
+            wrong_new_alone: setup.skip_joint_quorum,
             role: Role::Follower,
             leader: None,
             heard: f64::NEG_INFINITY,
             led: None,
             stands,
             joins: now,
-            commit: 0,
+            commit_index: 0,
             verified: 0,
-            written: 0,
+            persisted: 0,
             synced: 0,
             unsynced: VecDeque::new(),
             synced_index: last,
@@ -215,7 +215,7 @@
         };
         if identity.is_none() {
             let mut snapshot = None;
-            if let Some(first) = setup.first {
+            if let Some(first) = setup.initial_members {
                 node.me.identity = 0;
                 let names: BTreeSet<&String> = first.iter().collect();
                 let members = names
@@ -234,17 +234,17 @@
             }
             let identity = Some(node.me.identity);
             node.write(
-                Record {
+                PersistentUpdate {
                     identity,
                     snapshot,
-                    ..Record::default()
+                    ..PersistentUpdate::default()
                 },
                 out,
             );
-            node.term_write = node.written;
+            node.term_write = node.persisted;
         }
-        node.commit = node.disk.snapshot.index;
-        node.synced_index = node.synced_index.max(node.commit);
+        node.commit_index = node.disk.snapshot.index;
+        node.synced_index = node.synced_index.max(node.commit_index);
         node.count_members();
         node
     }
@@ -256,14 +256,14 @@
 
     /// Whether this node leads, and all from before its time is agreed. A leader whose contact is no longer proven finds out at its next
     /// input of any kind, before it acts on it.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
-            && self.disk.term_at(self.commit) == Some(self.disk.term)
+            && self.disk.term_at(self.commit_index) == Some(self.disk.term)
     }
 
     /// Whether this node is a member, by the last that its log names.
-    pub fn trusted(&self) -> bool {
-        self.sets.newest.contains(&self.me)
+    pub fn is_voter(&self) -> bool {
+        self.sets.current.contains(&self.me)
     }
 
     /// Names of the members, by the last that the log names.
@@ -273,12 +273,13 @@
 
     /// The members, by the last that the log names.
     pub fn members(&self) -> &[Member] {
-        &self.sets.newest
+        &self.sets.current
     }
 
     /// Whether the last change of the members is not known to be agreed on.
-    pub fn joint(&self) -> bool {
-        self.sets.index > self.commit.max(self.disk.settled) && !self.wrong_new_alone
+    pub fn in_joint_configuration(&self) -> bool {
+        self.sets.index > self.commit_index.max(self.disk.members_committed)
+            && !self.wrong_new_alone
     }
 
     /// The mark of this node's disk.
@@ -287,7 +288,7 @@
     }
 
     /// What this node holds: what a start would find once all is on disk that was written so far.
-    pub fn holds(&self) -> &Durable {
+    pub fn persistent_state(&self) -> &PersistentState {
         &self.disk
     }
 
@@ -298,17 +299,17 @@
 
     /// Up to where all is agreed.
     pub fn commit(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
     /// Entries that are not agreed yet.
-    pub fn pending(&self) -> impl Iterator<Item = &Entry> {
-        let first = self.commit.saturating_sub(self.disk.snapshot.index) as usize;
+    pub fn uncommitted(&self) -> impl Iterator<Item = &Entry> {
+        let first = self.commit_index.saturating_sub(self.disk.snapshot.index) as usize;
         self.disk.log.get(first..).unwrap_or_default().iter()
     }
 
     /// Entries in the log.
-    pub fn length(&self) -> usize {
+    pub fn log_len(&self) -> usize {
         self.disk.log.len()
     }
 
@@ -316,8 +317,8 @@
     /// the members and whose agreed entries of then are all applied here. It is never later than the truth: for a follower the time
     /// at which it sent what the leader echoes, less the age of the leader's own proof; for a leader the time at which it sent what
     /// a majority has answered.
-    pub fn contact(&self, now: Millis) -> Millis {
-        if self.leads() && self.trusted() {
+    pub fn last_quorum_contact(&self, now: Millis) -> Millis {
+        if self.is_leader() && self.is_voter() {
             self.counted.max(self.proven(now))
         } else {
             self.counted
@@ -326,8 +327,8 @@
 
     /// Whether this node knows what a majority had agreed on less than a second ago, as a member or not: what it has may be handed on.
     /// One that is behind, or cut off, or led by one that is, does not.
-    pub fn in_touch(&self, now: Millis) -> bool {
-        let touched = if self.leads() {
+    pub fn has_quorum_contact(&self, now: Millis) -> bool {
+        let touched = if self.is_leader() {
             self.touched.max(self.proven(now))
         } else {
             self.touched
@@ -338,7 +339,7 @@
     // ---- Inputs -------------------------------------------------------------------------------------
 
     /// Time passes; to be called every tenth of a second or so.
-    pub fn tick(&mut self, now: Millis, out: &mut Out) {
+    pub fn tick(&mut self, now: Millis, out: &mut Ready) {
         if self.begin(now, out) {
             return;
         }
@@ -361,8 +362,8 @@
             // Whoever leads takes it up; the others pass it over.
             self.say(
                 "",
-                What::Join(Join {
-                    wish: Some(self.wish),
+                MessageBody::JoinRequest(JoinRequest {
+                    membership: Some(self.wish),
                 }),
                 out,
             );
@@ -370,15 +371,15 @@
     }
 
     /// A message has come.
-    pub fn receive(&mut self, now: Millis, from: &str, message: Message, out: &mut Out) {
+    pub fn step(&mut self, now: Millis, from: &str, message: Message, out: &mut Ready) {
         // Answers that have lain in a socket prove nothing of now: a leader that is alone is one no more before it reads them.
         self.begin(now, out);
-        let Some(what) = message.what.filter(|_| message.term < HIGHEST) else {
+        let Some(what) = message.body.filter(|_| message.term < HIGHEST) else {
             return;
         };
-        let would = matches!(&what, What::Ask(ask) if ask.would)
-            || matches!(&what, What::Voted(voted) if voted.would && voted.granted);
-        if message.term > self.disk.term && !would && !matches!(what, What::Join(_)) {
+        let would = matches!(&what, MessageBody::RequestVote(ask) if ask.pre_vote)
+            || matches!(&what, MessageBody::RequestVoteResponse(voted) if voted.pre_vote && voted.granted);
+        if message.term > self.disk.term && !would && !matches!(what, MessageBody::JoinRequest(_)) {
             self.enter(message.term, "", out);
             self.follow(now, None, out);
         }
@@ -388,31 +389,37 @@
             identity: message.identity,
         };
         match what {
-            What::Ask(ask) => self.asked(now, from, message.term, ask, out),
-            What::Voted(voted) => self.voted(now, sender, voted, out),
-            What::Append(append) if !old => self.append(now, from, append, out),
-            What::Install(install) if !old => self.install(now, from, install, out),
-            What::Append(_) | What::Install(_) => {
+            MessageBody::RequestVote(ask) => self.asked(now, from, message.term, ask, out),
+            MessageBody::RequestVoteResponse(voted) => self.voted(now, sender, voted, out),
+            MessageBody::AppendEntries(append) if !old => self.append(now, from, append, out),
+            MessageBody::InstallSnapshot(install) if !old => self.install(now, from, install, out),
+            MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot(_) => {
                 // An old leader learns of the new term by it.
-                let answer = Appended {
-                    fits: false,
-                    ..Appended::default()
+                let answer = AppendEntriesResponse {
+                    success: false,
+                    ..AppendEntriesResponse::default()
                 };
-                self.say(from, What::Appended(answer), out);
+                self.say(from, MessageBody::AppendEntriesResponse(answer), out);
             }
-            What::Appended(answer) if !old => self.appended(now, &sender, answer, out),
-            What::Stand(_) if !old && self.leader.as_deref() == Some(from) && self.may_stand() => {
+            MessageBody::AppendEntriesResponse(answer) if !old => {
+                self.appended(now, &sender, answer, out)
+            }
+            MessageBody::TimeoutNow(_)
+                if !old && self.leader.as_deref() == Some(from) && self.may_stand() =>
+            {
                 self.stand(now, out)
             }
-            What::Join(join) => self.joined(now, &sender, join.wish.unwrap_or_default(), out),
+            MessageBody::JoinRequest(join) => {
+                self.joined(now, &sender, join.membership.unwrap_or_default(), out)
+            }
             _ => {}
         }
     }
 
     /// All writes up to this number are on disk.
-    pub fn written(&mut self, now: Millis, number: u64, out: &mut Out) {
+    pub fn written(&mut self, now: Millis, number: u64, out: &mut Ready) {
         self.begin(now, out);
-        self.synced = self.synced.max(number).min(self.written);
+        self.synced = self.synced.max(number).min(self.persisted);
         while let Some((_, last)) = self
             .unsynced
             .front()
@@ -429,8 +436,10 @@
         {
             if let Some((_, to, message)) = self.held.pop_front() {
                 // What was to be said in an earlier term is of no more use.
-                if message.term >= self.disk.term || matches!(message.what, Some(What::Voted(_))) {
-                    out.sends.push((to, message));
+                if message.term >= self.disk.term
+                    || matches!(message.body, Some(MessageBody::RequestVoteResponse(_)))
+                {
+                    out.messages.push((to, message));
                 }
             }
         }
@@ -445,18 +454,18 @@
     }
 
     /// Adds a change to the log, if this node leads; tells its index.
-    pub fn propose(&mut self, now: Millis, payload: Vec<u8>, out: &mut Out) -> Option<u64> {
-        if self.begin(now, out) || !self.leads() || self.leaving.is_some() {
+    pub fn propose(&mut self, now: Millis, payload: Vec<u8>, out: &mut Ready) -> Option<u64> {
+        if self.begin(now, out) || !self.is_leader() || self.leaving.is_some() {
             return None;
         }
-        let index = self.add(EntryKind::Change, payload, Vec::new(), out);
+        let index = self.add(EntryKind::Command, payload, Vec::new(), out);
         self.spread(now, out);
         Some(index)
     }
 
     /// Asks whether this node still leads; tells a ticket that becomes readable once a majority says so.
-    pub fn read(&mut self, now: Millis, out: &mut Out) -> Option<u64> {
-        if self.begin(now, out) || !self.leads() {
+    pub fn read_index(&mut self, now: Millis, out: &mut Ready) -> Option<u64> {
+        if self.begin(now, out) || !self.is_leader() {
             return None;
         }
         let Role::Leader(leading) = &mut self.role else {
@@ -475,12 +484,12 @@
     }
 
     /// The head of every input: takes the time, and tells whether this node has just found that it leads no more.
-    fn begin(&mut self, now: Millis, out: &mut Out) -> bool {
+    fn begin(&mut self, now: Millis, out: &mut Ready) -> bool {
         self.now = now;
         let alone = matches!(self.role, Role::Leader(_)) && self.alone(now);
         if alone {
             let last = now - self.proven(now);
-            out.notes.push(format!(
+            out.log_lines.push(format!(
                 "event=alone term={} last_proof_ms={last:.0}",
                 self.disk.term
             ));
--- a/crates/raft/src/node/snapshots.rs
+++ b/crates/raft/src/node/snapshots.rs
@@ -31,7 +31,7 @@
 }
 
 impl Folding {
-    pub fn of(disk: &Durable) -> Folding {
+    pub fn of(disk: &PersistentState) -> Folding {
         let bytes = disk.log.iter().map(weight).sum();
         Folding {
             length: disk.log.len(),
@@ -41,7 +41,7 @@
     }
 
     /// A record is about to be taken in.
-    pub fn before(&mut self, disk: &Durable, record: &Record) {
+    pub fn before(&mut self, disk: &PersistentState, record: &PersistentUpdate) {
         let Some(snapshot) = &record.snapshot else {
             return;
         };
@@ -67,7 +67,7 @@
     }
 
     /// It has been taken in. Only what is appended where nothing stood is counted by itself.
-    pub fn after(&mut self, disk: &Durable, record: &Record) {
+    pub fn after(&mut self, disk: &PersistentState, record: &PersistentUpdate) {
         let length = self.length + record.entries.len();
         if record.snapshot.is_none() && length == disk.log.len() {
             self.bytes += record.entries.iter().map(weight).sum::<usize>();
@@ -128,11 +128,11 @@
     }
 
     /// The other tells what it has; whether that calls for the next part.
-    pub fn taken(&mut self, taken: Taken) -> bool {
-        if (taken.index, taken.whole) != (self.snapshot.index, self.whole) {
+    pub fn taken(&mut self, taken: SnapshotProgress) -> bool {
+        if (taken.index, taken.checksum) != (self.snapshot.index, self.whole) {
             return false;
         }
-        self.offset = (taken.bytes as usize).min(self.snapshot.state.len());
+        self.offset = (taken.received_bytes as usize).min(self.snapshot.state.len());
         if self.flying.is_some_and(|(end, _)| self.offset >= end) {
             self.flying = None;
         }
@@ -140,7 +140,7 @@
     }
 
     /// What is to be said now: the next part; while that is on its way, from time to time how much has come; otherwise nothing.
-    pub fn next(&mut self, now: Millis, sent: Millis, round: u64) -> Option<Install> {
+    pub fn next(&mut self, now: Millis, sent: Millis, round: u64) -> Option<InstallSnapshot> {
         let state = &self.snapshot.state;
         let lost = self.flying.is_none_or(|(_, at)| now - at > RESEND);
         let part = if lost {
@@ -152,16 +152,16 @@
         } else {
             return None;
         };
-        Some(Install {
-            round,
+        Some(InstallSnapshot {
+            sequence: round,
             index: self.snapshot.index,
             term: self.snapshot.term,
             members: self.snapshot.members.clone(),
-            length: state.len() as u64,
-            whole: self.whole,
+            total_bytes: state.len() as u64,
+            checksum: self.whole,
             offset: self.offset as u64,
-            sum: checksum(&part),
-            part,
+            chunk_checksum: checksum(&part),
+            chunk: part,
         })
     }
 
@@ -186,17 +186,17 @@
     bytes: Vec<u8>,
 }
 
-impl Tandem {
+impl Raft {
     /// Whether the log is long enough to be folded.
-    pub fn should_fold(&self) -> bool {
+    pub fn should_compact(&self) -> bool {
         let long = self.disk.log.len() > LONG_LOG
             || self.folding.bytes > LONG_BYTES.max(self.disk.snapshot.state.len());
-        long && self.commit > self.disk.snapshot.index
+        long && self.commit_index > self.disk.snapshot.index
     }
 
     /// Folds all that is agreed into a state.
-    pub fn fold(&mut self, state: Vec<u8>, out: &mut Out) {
-        let index = self.commit;
+    pub fn compact(&mut self, state: Vec<u8>, out: &mut Ready) {
+        let index = self.commit_index;
         let Some(term) = self
             .disk
             .term_at(index)
@@ -212,9 +212,9 @@
             state: state.into(),
         };
         self.write(
-            Record {
+            PersistentUpdate {
                 snapshot: Some(snapshot),
-                ..Record::default()
+                ..PersistentUpdate::default()
             },
             out,
         );
@@ -226,27 +226,27 @@
     pub(super) fn take_part(
         &mut self,
         from: &str,
-        install: Install,
-        out: &mut Out,
-    ) -> Result<Snapshot, Taken> {
-        let Install {
+        install: InstallSnapshot,
+        out: &mut Ready,
+    ) -> Result<Snapshot, SnapshotProgress> {
+        let InstallSnapshot {
             index,
             term,
             members,
-            length,
-            whole,
+            total_bytes: length,
+            checksum: whole,
             offset,
-            part,
-            sum,
+            chunk: part,
+            chunk_checksum: sum,
             ..
         } = install;
-        let mut taken = Taken {
+        let mut taken = SnapshotProgress {
             index,
-            whole,
-            bytes: 0,
+            checksum: whole,
+            received_bytes: 0,
         };
         if length > LONGEST || index >= HIGHEST {
-            out.notes.push(format!(
+            out.log_lines.push(format!(
                 "event=snapshot_spoilt index={index} field=length bytes={length} from={from}"
             ));
             return Err(taken);
@@ -268,20 +268,20 @@
         if fits && checksum(&part) == sum {
             taking.bytes.extend_from_slice(&part);
         } else if fits {
-            out.notes.push(format!(
+            out.log_lines.push(format!(
                 "event=snapshot_spoilt index={index} field=part offset={offset} from={from}"
             ));
         }
-        taken.bytes = taking.bytes.len() as u64;
-        if taken.bytes < length {
+        taken.received_bytes = taking.bytes.len() as u64;
+        if taken.received_bytes < length {
             self.taking = Some(taking);
             return Err(taken);
         }
         if checksum(&taking.bytes) != whole {
-            out.notes.push(format!(
+            out.log_lines.push(format!(
                 "event=snapshot_spoilt index={index} field=whole bytes={length} from={from}"
             ));
-            taken.bytes = 0;
+            taken.received_bytes = 0;
             return Err(taken);
         }
         Ok(Snapshot {
--- a/crates/raft/src/durable.rs
+++ b/crates/raft/src/persistent_state.rs
@@ -4,11 +4,11 @@
 
 /// What a node finds on its disk.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Durable {
+pub struct PersistentState {
     /// The term.
     pub term: u64,
     /// The vote in it.
-    pub voted: String,
+    pub voted_for: String,
     /// All up to here is folded.
     pub snapshot: Snapshot,
     /// The entries after it.
@@ -16,30 +16,30 @@
     /// The mark of this disk, once it has been written: [`Member::identity`].
     pub identity: Option<u64>,
     /// Members up to this index are known to be agreed on.
-    pub settled: u64,
+    pub members_committed: u64,
 }
 
 /// Who votes, as a log says it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sets {
+pub struct Configuration {
     /// The last that the log names.
-    pub newest: Vec<Member>,
+    pub current: Vec<Member>,
     /// Those before.
-    pub before: Vec<Member>,
+    pub previous: Vec<Member>,
     /// Where the last are named.
     pub index: u64,
 }
 
-impl Durable {
+impl PersistentState {
     /// Takes in one record, as they were written in order. Doing it twice changes nothing once all have been taken in. This is the
     /// only fold there is: a start reads the disk with it, and a running node changes what it holds with it and with nothing
     /// else, so that both agree at every moment.
-    pub fn take(&mut self, record: Record) {
+    pub fn apply(&mut self, record: PersistentUpdate) {
         if let Some(term) = record.term {
-            (self.term, self.voted) = (term, record.voted);
+            (self.term, self.voted_for) = (term, record.voted_for);
         }
         self.identity = record.identity.or(self.identity);
-        self.settled = self.settled.max(record.settled);
+        self.members_committed = self.members_committed.max(record.members_committed);
         if let Some(snapshot) = record.snapshot.filter(|s| s.index >= self.snapshot.index) {
             // Entries after it stay where they follow it: also on a state that is there already, which has no entry of its own.
             let same = self.term_at(snapshot.index) == Some(snapshot.term);
@@ -78,19 +78,19 @@
     }
 
     /// Who votes.
-    pub fn sets(&self) -> Sets {
+    pub fn configuration(&self) -> Configuration {
         let members = &self.snapshot.members;
-        let mut sets = Sets {
-            newest: members.clone(),
-            before: members.clone(),
+        let mut sets = Configuration {
+            current: members.clone(),
+            previous: members.clone(),
             index: self.snapshot.index,
         };
         for entry in self
             .log
             .iter()
-            .filter(|entry| entry.kind() == EntryKind::Members)
+            .filter(|entry| entry.kind() == EntryKind::Membership)
         {
-            sets.before = std::mem::replace(&mut sets.newest, entry.members.clone());
+            sets.previous = std::mem::replace(&mut sets.current, entry.members.clone());
             sets.index = entry.index;
         }
         sets
@@ -102,13 +102,13 @@
             .log
             .iter()
             .rev()
-            .filter(|entry| entry.kind() == EntryKind::Members);
+            .filter(|entry| entry.kind() == EntryKind::Membership);
         let last = entries.into_iter().find(|entry| entry.index <= index);
         last.map_or(&self.snapshot.members, |entry| &entry.members)
     }
 
     /// Whether nothing was ever written.
     pub fn is_empty(&self) -> bool {
-        *self == Durable::default()
+        *self == PersistentState::default()
     }
 }
--- a/crates/raft/tests/contact.rs
+++ b/crates/raft/tests/contact.rs
@@ -97,7 +97,7 @@
             fleet.nodes[&name]
                 .tandem
                 .as_ref()
-                .is_some_and(|t| t.in_touch(fleet.now))
+                .is_some_and(|t| t.has_quorum_contact(fleet.now))
         };
         while fleet.now - start < 4000.0 && !touch(&fleet) {
             fleet.play(10.0);
@@ -149,9 +149,9 @@
             fleet.play(1.0);
             for (name, node) in &fleet.nodes {
                 let tandem = node.tandem.as_ref().expect("a node");
-                oldest = oldest.max(fleet.now - tandem.contact(fleet.now));
+                oldest = oldest.max(fleet.now - tandem.last_quorum_contact(fleet.now));
                 assert!(
-                    tandem.in_touch(fleet.now),
+                    tandem.has_quorum_contact(fleet.now),
                     "rate {rate}: {name} is out of touch at {}",
                     fleet.now
                 );
--- a/crates/raft/tests/members.rs
+++ b/crates/raft/tests/members.rs
@@ -74,7 +74,7 @@
             || fleet.nodes[&newcomer]
                 .tandem
                 .as_ref()
-                .is_some_and(|t| t.trusted());
+                .is_some_and(|t| t.is_voter());
         if gone && there && fleet.bears_losses() {
             borne = fleet.now - start;
             break;
--- a/crates/raft/tests/play/mod.rs
+++ b/crates/raft/tests/play/mod.rs
@@ -4,7 +4,8 @@
 #![allow(dead_code)]
 
 use maplefall_raft::{
-    Durable, Entry, EntryKind, Member, Message, Out, Record, Setup, Tandem, What,
+    Config, Entry, EntryKind, Member, Message, MessageBody, PersistentState, PersistentUpdate,
+    Raft, Ready,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -16,15 +17,15 @@
 pub const LONGEST_LAST: f64 = 2500.0;
 
 pub struct Node {
-    pub tandem: Option<Tandem>,
+    pub tandem: Option<Raft>,
     /// What a start would read: the synced records, taken in one by one.
-    pub disk: Durable,
+    pub disk: PersistentState,
     /// What all records of this life amount to, synced or not.
-    pub written: Durable,
+    pub written: PersistentState,
     /// The last entry that others were told is on this disk: its index and term, and the term it was said in.
     told: Option<(u64, u64, u64)>,
     /// What waits for the disk: number, record, when it is there.
-    waiting: VecDeque<(u64, Record, f64)>,
+    waiting: VecDeque<(u64, PersistentUpdate, f64)>,
     stalled_until: f64,
     pub down_until: f64,
     pub frozen_until: f64,
@@ -139,8 +140,8 @@
     pub fn place(&mut self, name: &str, first: bool) {
         let node = Node {
             tandem: None,
-            disk: Durable::default(),
-            written: Durable::default(),
+            disk: PersistentState::default(),
+            written: PersistentState::default(),
             told: None,
             waiting: VecDeque::new(),
             stalled_until: 0.0,
@@ -195,7 +196,7 @@
 
     fn start(&mut self, name: &str) {
         let seed = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
-        let (mut out, first) = (Out::default(), self.first.clone());
+        let (mut out, first) = (Ready::default(), self.first.clone());
         let (now, variant, losses) = (self.now, self.variant, self.losses);
         let Some(node) = self.nodes.get_mut(name) else {
             return;
@@ -214,20 +215,20 @@
         node.written = disk.clone();
         let first = node.first.then_some(first.as_slice());
         let wrong_new_alone = variant == Variant::NewAlone;
-        let setup = Setup {
-            first,
-            counts: true,
-            losses,
-            alike: true,
-            wrong_new_alone,
+        let setup = Config {
+            initial_members: first,
+            voter: true,
+            max_failures: losses,
+            interchangeable: true,
+            skip_joint_quorum: wrong_new_alone,
         };
-        node.tandem = Some(Tandem::new(name, now, seed, disk, &setup, &mut out));
+        node.tandem = Some(Raft::new(name, now, seed, disk, &setup, &mut out));
         node.first = false;
         self.carry(name, out);
     }
 
-    pub fn step(&mut self, name: &str, step: impl FnOnce(&mut Tandem, f64, &mut Out)) {
-        let (now, mut out) = (self.now, Out::default());
+    pub fn step(&mut self, name: &str, step: impl FnOnce(&mut Raft, f64, &mut Ready)) {
+        let (now, mut out) = (self.now, Ready::default());
         let Some(node) = self
             .nodes
             .get_mut(name)
@@ -243,10 +244,10 @@
         self.carry(name, out);
     }
 
-    fn carry(&mut self, name: &str, out: Out) {
+    fn carry(&mut self, name: &str, out: Ready) {
         let mut at_once = None;
         self.notes.extend(
-            out.notes
+            out.log_lines
                 .into_iter()
                 .map(|note| format!("{} {name} {note}", self.now)),
         );
@@ -255,12 +256,12 @@
             let Some(node) = self.nodes.get_mut(name) else {
                 return;
             };
-            node.written.take(record.clone());
+            node.written.apply(record.clone());
             node.waiting
                 .push_back((number, record, due.max(node.stalled_until)));
             at_once = (self.variant == Variant::Unsynced).then_some(number);
         }
-        for (to, message) in out.sends {
+        for (to, message) in out.messages {
             if self.variant != Variant::Unsynced {
                 self.said(name, &to, &message);
             }
@@ -271,9 +272,9 @@
             };
             for to in all.into_iter().filter(|to| to != name) {
                 self.sent += 1;
-                let size = match &message.what {
-                    Some(What::Install(install)) => install.part.len(),
-                    Some(What::Append(append)) => {
+                let size = match &message.body {
+                    Some(MessageBody::InstallSnapshot(install)) => install.chunk.len(),
+                    Some(MessageBody::AppendEntries(append)) => {
                         append.entries.iter().map(|e| e.payload.len()).sum()
                     }
                     _ => 0,
@@ -292,7 +293,7 @@
                     .push((self.now + late, name.to_owned(), to, message));
             }
         }
-        if let Some(snapshot) = out.installed {
+        if let Some(snapshot) = out.installed_snapshot {
             // It is what whoever folded it wrote, whole; what is folded in it was agreed on before.
             assert!(
                 self.state(snapshot.index) == snapshot.state,
@@ -307,7 +308,7 @@
                 .entry(name.to_owned())
                 .and_modify(|node| node.agreed = folded);
         }
-        for entry in out.agreed {
+        for entry in out.committed_entries {
             let now = self.now;
             let (known, _) = self
                 .truth
@@ -324,17 +325,17 @@
             let leads = self.nodes[name]
                 .tandem
                 .as_ref()
-                .is_some_and(|tandem| tandem.leads());
-            if leads && entry.kind() == EntryKind::Change {
+                .is_some_and(|tandem| tandem.is_leader());
+            if leads && entry.kind() == EntryKind::Command {
                 self.acknowledged.insert(entry.index);
             }
         }
-        for ticket in out.readable {
+        for ticket in out.confirmed_reads {
             let Some(node) = self.nodes.get_mut(name) else {
                 return;
             };
             if let Some(floor) = node.reads.remove(&ticket) {
-                let commit = node.tandem.as_ref().map_or(0, Tandem::commit);
+                let commit = node.tandem.as_ref().map_or(0, Raft::commit);
                 assert!(
                     commit >= floor,
                     "{name} reads {commit}, and {floor} was acknowledged before it was asked"
@@ -342,7 +343,7 @@
                 self.confirmed_reads += 1;
             }
         }
-        if out.deposed {
+        if out.stepped_down {
             self.nodes
                 .entry(name.to_owned())
                 .and_modify(|node| node.reads.clear());
@@ -355,13 +356,13 @@
         if self.nodes[name]
             .tandem
             .as_ref()
-            .is_some_and(Tandem::should_fold)
+            .is_some_and(Raft::should_compact)
         {
             self.folded += 1;
             self.fold(name);
         }
         let tandem = self.nodes.get(name).and_then(|node| node.tandem.as_ref());
-        if let Some((term, true)) = tandem.map(|t| (t.term(), t.leads())) {
+        if let Some((term, true)) = tandem.map(|t| (t.term(), t.is_leader())) {
             let leader = self.leaders.entry(term).or_insert_with(|| name.to_owned());
             assert_eq!(leader, name, "two lead in term {term}");
         }
@@ -372,15 +373,15 @@
 
     /// Spoils a part of a state now and then: a byte of it, or that and the sum of the part too.
     fn garble(&mut self, mut message: Message) -> Message {
-        if let Some(What::Install(install)) = &mut message.what {
-            if !install.part.is_empty() && self.spoilt > 0.0 && self.chance(self.spoilt) {
-                let mut bytes = install.part.to_vec();
+        if let Some(MessageBody::InstallSnapshot(install)) = &mut message.body {
+            if !install.chunk.is_empty() && self.spoilt > 0.0 && self.chance(self.spoilt) {
+                let mut bytes = install.chunk.to_vec();
                 let place = self.draw(bytes.len() as u32) as usize;
                 bytes[place] ^= 0x40;
                 if self.chance(0.5) {
-                    install.sum = maplefall_raft::checksum(&bytes);
+                    install.chunk_checksum = maplefall_raft::checksum(&bytes);
                 }
-                install.part = bytes.into();
+                install.chunk = bytes.into();
             }
         }
         message
@@ -391,7 +392,7 @@
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
-        let Some(held) = node.tandem.as_ref().map(Tandem::holds) else {
+        let Some(held) = node.tandem.as_ref().map(Raft::persistent_state) else {
             return;
         };
         let mark = node.disk.identity;
@@ -400,9 +401,9 @@
             Some(message.identity),
             "{name} speaks for a disk that a start would not know"
         );
-        match &message.what {
-            Some(What::Appended(answer)) if answer.fits => {
-                let matched = answer.matched;
+        match &message.body {
+            Some(MessageBody::AppendEntriesResponse(answer)) if answer.success => {
+                let matched = answer.match_index;
                 assert!(
                     matched <= node.disk.last_index(),
                     "{name} says it has {matched}, and a start has less"
@@ -427,13 +428,14 @@
                     node.told = Some(claim);
                 }
             }
-            Some(What::Voted(vote)) if vote.granted && !vote.would => {
+            Some(MessageBody::RequestVoteResponse(vote)) if vote.granted && !vote.pre_vote => {
                 let disk = &node.disk;
-                let kept = disk.term > vote.asked || (disk.term == vote.asked && disk.voted == to);
+                let kept = disk.term > vote.requested_term
+                    || (disk.term == vote.requested_term && disk.voted_for == to);
                 assert!(
                     kept,
                     "{name} votes for {to} in {}, and a start would not know",
-                    vote.asked
+                    vote.requested_term
                 );
             }
             _ => {}
@@ -445,7 +447,7 @@
         let node = &self.nodes[name];
         if let Some(tandem) = &node.tandem {
             assert!(
-                *tandem.holds() == node.written,
+                *tandem.persistent_state() == node.written,
                 "{name} holds another state than a start would read"
             );
         }
@@ -466,7 +468,7 @@
     fn touches(&self, name: &str) {
         let node = &self.nodes[name];
         let Some(tandem) = &node.tandem else { return };
-        let (contact, commit) = (tandem.contact(self.now), tandem.commit());
+        let (contact, commit) = (tandem.last_quorum_contact(self.now), tandem.commit());
         let lacks = self
             .truth
             .range(commit + 1..)
@@ -475,7 +477,7 @@
         if let Some((index, (_, at))) = lacks {
             panic!("{name} lacks {index}, agreed on at {at}, and says a majority was with it at {contact}");
         }
-        let touch = tandem.in_touch(self.now);
+        let touch = tandem.has_quorum_contact(self.now);
         let lacks = self
             .truth
             .range(commit + 1..)
@@ -512,10 +514,10 @@
             usize::MAX
         };
         for (_, record, _) in node.waiting.drain(..).take(kept) {
-            node.disk.take(record);
+            node.disk.apply(record);
         }
         if wipe {
-            (node.disk, node.told) = (Durable::default(), None);
+            (node.disk, node.told) = (PersistentState::default(), None);
         }
     }
 
@@ -529,7 +531,7 @@
     /// A machine is told to stop.
     pub fn terminate(&mut self, name: &str, after: After) {
         let now = self.now;
-        self.step(name, |tandem, now, out| tandem.leave(now, out));
+        self.step(name, |tandem, now, out| tandem.shut_down(now, out));
         self.nodes
             .entry(name.to_owned())
             .and_modify(|node| node.leaving = Some((now, after)));
@@ -574,7 +576,7 @@
 
     pub fn read(&mut self, name: &str) {
         let floor = self.acknowledged.last().copied().unwrap_or(0);
-        let (now, mut out) = (self.now, Out::default());
+        let (now, mut out) = (self.now, Ready::default());
         let Some(node) = self
             .nodes
             .get_mut(name)
@@ -585,7 +587,7 @@
         let Some(tandem) = &mut node.tandem else {
             return;
         };
-        if let Some(ticket) = tandem.read(now, &mut out) {
+        if let Some(ticket) = tandem.read_index(now, &mut out) {
             node.reads.insert(ticket, floor);
         }
         self.carry(name, out);
@@ -624,7 +626,7 @@
             let left = self.nodes[name]
                 .tandem
                 .as_ref()
-                .is_none_or(|tandem| tandem.left(now));
+                .is_none_or(|tandem| tandem.may_stop(now));
             if now - since >= 400.0 && left || now - since >= LONGEST_LAST {
                 match after {
                     After::Restart => {
@@ -646,7 +648,7 @@
                 break;
             }
             if let Some((number, record, _)) = node.waiting.pop_front() {
-                node.disk.take(record);
+                node.disk.apply(record);
                 self.step(name, |tandem, now, out| tandem.written(now, number, out));
             }
         }
@@ -680,7 +682,7 @@
                 self.propose(name);
             }
             self.step(name, |tandem, now, out| {
-                tandem.receive(now, &from, message, out)
+                tandem.step(now, &from, message, out)
             });
             if long {
                 self.is_alone(name);
@@ -696,9 +698,9 @@
         let Some(tandem) = &self.nodes[name].tandem else {
             return;
         };
-        assert!(!tandem.leads(), "{name} thaws and leads");
+        assert!(!tandem.is_leader(), "{name} thaws and leads");
         assert!(
-            !tandem.in_touch(self.now),
+            !tandem.has_quorum_contact(self.now),
             "{name} thaws and says that it is in touch"
         );
     }
@@ -722,16 +724,21 @@
                     }
                 }
                 _ => self.step(&to, |tandem, now, out| {
-                    tandem.receive(now, &from, message, out)
+                    tandem.step(now, &from, message, out)
                 }),
             }
         }
     }
 
     pub fn leader(&self) -> Option<String> {
-        let leads = |name: &&String| self.nodes[*name].tandem.as_ref().is_some_and(Tandem::leads);
+        let leads = |name: &&String| {
+            self.nodes[*name]
+                .tandem
+                .as_ref()
+                .is_some_and(Raft::is_leader)
+        };
         let mut all: Vec<&String> = self.names.iter().filter(leads).collect();
-        all.sort_by_key(|name| self.nodes[*name].tandem.as_ref().map(Tandem::term));
+        all.sort_by_key(|name| self.nodes[*name].tandem.as_ref().map(Raft::term));
         all.last().map(|name| (*name).clone())
     }
 
@@ -741,10 +748,9 @@
         self.leader().is_some()
             && self.nodes.iter().all(|(_, node)| {
                 let goes = node.leaving.is_some_and(|(_, after)| after == After::Gone);
-                node.tandem
-                    .as_ref()
-                    .is_some_and(|t| t.trusted() && !t.joint() && *t.voters() == all)
-                    && !goes
+                node.tandem.as_ref().is_some_and(|t| {
+                    t.is_voter() && !t.in_joint_configuration() && *t.voters() == all
+                }) && !goes
             })
     }
 
@@ -783,7 +789,7 @@
             .keys()
             .next_back()
             .is_none_or(|last| disk.last_index() >= *last);
-        let end = |disk: &Durable| (disk.term_at(disk.last_index()), disk.last_index());
+        let end = |disk: &PersistentState| (disk.term_at(disk.last_index()), disk.last_index());
         let votes = |member: &&Member| {
             voters.iter().any(|voter| {
                 let other = &self.nodes[*voter].disk;
@@ -792,14 +798,14 @@
                     && end(other) <= end(disk)
             })
         };
-        let sets = disk.sets();
-        let settled = sets.index <= disk.settled.max(disk.snapshot.index);
+        let sets = disk.configuration();
+        let settled = sets.index <= disk.members_committed.max(disk.snapshot.index);
         let majority = |set: &Vec<Member>| set.iter().filter(votes).count() > set.len() / 2;
         let mine = sets
-            .newest
+            .current
             .iter()
             .any(|m| m.name == name && Some(m.identity) == disk.identity);
-        all && mine && majority(&sets.newest) && (settled || majority(&sets.before))
+        all && mine && majority(&sets.current) && (settled || majority(&sets.previous))
     }
 
     /// Plays until a change that all were asked for has just been acknowledged, for a while at most.
@@ -833,9 +839,9 @@
     }
 
     pub fn fold(&mut self, name: &str) {
-        let commit = self.nodes[name].tandem.as_ref().map_or(0, Tandem::commit);
+        let commit = self.nodes[name].tandem.as_ref().map_or(0, Raft::commit);
         let state = self.state(commit);
-        self.step(name, |tandem, _, out| tandem.fold(state, out));
+        self.step(name, |tandem, _, out| tandem.compact(state, out));
     }
 
     pub fn until_sound(&mut self, most: f64) -> bool {
@@ -1019,12 +1025,12 @@
             println!(
                 "{name}: lives {} term {:?} leader {:?} trusted {:?} members {:?} joint {:?} commit {:?} last {:?} waiting {} identity {:x?}",
                 node.lives,
-                t.map(Tandem::term),
-                t.and_then(Tandem::leader),
-                t.map(Tandem::trusted),
-                t.map(Tandem::voters),
-                t.map(Tandem::joint),
-                t.map(Tandem::commit),
+                t.map(Raft::term),
+                t.and_then(Raft::leader),
+                t.map(Raft::is_voter),
+                t.map(Raft::voters),
+                t.map(Raft::in_joint_configuration),
+                t.map(Raft::commit),
                 node.disk.log.last().map(|e| (e.index, e.term)),
                 node.waiting.len(),
                 node.disk.identity,
@@ -1077,13 +1083,13 @@
     let last = fleet.truth.keys().next_back().copied().unwrap_or(0);
     for (name, node) in &fleet.nodes {
         let tandem = node.tandem.as_ref();
-        let commit = tandem.map_or(0, Tandem::commit);
+        let commit = tandem.map_or(0, Raft::commit);
         assert!(
             commit + 20 >= last,
             "seed {seed}: {name} is at {commit} of {last}"
         );
         assert!(
-            tandem.is_some_and(|t| t.in_touch(fleet.now)),
+            tandem.is_some_and(|t| t.has_quorum_contact(fleet.now)),
             "seed {seed}: {name} is out of touch in calm times"
         );
         let held: BTreeSet<u64> = node.agreed.iter().map(|entry| entry.index).collect();
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -2,7 +2,7 @@
 
 mod play;
 
-use maplefall_raft::Tandem;
+use maplefall_raft::Raft;
 use play::{calm, Fleet, Variant};
 
 /// A fleet of three that has agreed on so many changes, one of them cut off since the first few; tells whom.
@@ -31,7 +31,7 @@
 }
 
 fn lacks(fleet: &Fleet, name: &str) -> u64 {
-    let commit = fleet.nodes[name].tandem.as_ref().map_or(0, Tandem::commit);
+    let commit = fleet.nodes[name].tandem.as_ref().map_or(0, Raft::commit);
     fleet.truth.keys().next_back().copied().unwrap_or(0) - commit
 }
 
@@ -51,7 +51,7 @@
                 fleet.nodes[&name]
                     .tandem
                     .as_ref()
-                    .is_some_and(|t| t.in_touch(fleet.now))
+                    .is_some_and(|t| t.has_quorum_contact(fleet.now))
             };
             while (!touch(&fleet) || lacks(&fleet, &name) > 1) && fleet.now - start < 20_000.0 {
                 fleet.play(1.0);
@@ -143,7 +143,7 @@
                     2 => fleet.crash(&other, true, false, 30.0),
                     3 => fleet.fold(&other),
                     4 => fleet.freeze(&other, 300.0),
-                    _ => fleet.step(&other, |tandem, now, out| tandem.leave(now, out)),
+                    _ => fleet.step(&other, |tandem, now, out| tandem.shut_down(now, out)),
                 }
             }
             fleet.play(2500.0);
--- a/crates/raft/tests/strangers.rs
+++ b/crates/raft/tests/strangers.rs
@@ -46,22 +46,22 @@
     }
 }
 
-fn what(rng: &mut Pcg32) -> What {
-    let wish = flag(rng).then(|| Wish {
-        counts: flag(rng),
-        first: flag(rng),
-        leaving: flag(rng),
+fn what(rng: &mut Pcg32) -> MessageBody {
+    let wish = flag(rng).then(|| MembershipRequest {
+        voter: flag(rng),
+        initial: flag(rng),
+        stopping: flag(rng),
     });
     match rng.next_u32() % 8 {
-        0 => What::Ask(Ask {
-            would: flag(rng),
-            last_index: number(rng),
-            last_term: number(rng),
+        0 => MessageBody::RequestVote(RequestVote {
+            pre_vote: flag(rng),
+            last_log_index: number(rng),
+            last_log_term: number(rng),
         }),
-        1 => What::Voted(Voted {
-            would: flag(rng),
+        1 => MessageBody::RequestVoteResponse(RequestVoteResponse {
+            pre_vote: flag(rng),
             granted: flag(rng),
-            asked: number(rng),
+            requested_term: number(rng),
         }),
         2 | 3 => {
             let prev_index = number(rng);
@@ -69,32 +69,32 @@
             let entries = (1..=count)
                 .map(|n| entry(rng, prev_index.wrapping_add(n)))
                 .collect();
-            What::Append(Append {
-                prev_index,
-                prev_term: number(rng),
+            MessageBody::AppendEntries(AppendEntries {
+                prev_log_index: prev_index,
+                prev_log_term: number(rng),
                 entries,
-                commit: number(rng),
-                round: number(rng),
-                echo: number(rng),
-                age: number(rng),
-                member: flag(rng),
-                left: flag(rng),
+                leader_commit: number(rng),
+                sequence: number(rng),
+                last_response: number(rng),
+                quorum_age_ms: number(rng),
+                is_voter: flag(rng),
+                released: flag(rng),
             })
         }
         4 => {
-            let taken = flag(rng).then(|| Taken {
+            let taken = flag(rng).then(|| SnapshotProgress {
                 index: number(rng),
-                whole: number(rng),
-                bytes: number(rng),
+                checksum: number(rng),
+                received_bytes: number(rng),
             });
-            What::Appended(Appended {
-                fits: flag(rng),
-                matched: number(rng),
-                received: number(rng),
-                round: number(rng),
+            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
+                success: flag(rng),
+                match_index: number(rng),
+                received_index: number(rng),
+                sequence: number(rng),
                 number: number(rng),
-                wish,
-                taken,
+                membership: wish,
+                snapshot_progress: taken,
             })
         }
         5 => {
@@ -104,28 +104,28 @@
             } else {
                 number(rng)
             };
-            What::Install(Install {
-                round: number(rng),
+            MessageBody::InstallSnapshot(InstallSnapshot {
+                sequence: number(rng),
                 index: number(rng),
                 term: number(rng),
                 members: members(rng),
-                length: if flag(rng) {
+                total_bytes: if flag(rng) {
                     part.len() as u64
                 } else {
                     number(rng)
                 },
-                whole: if flag(rng) {
+                checksum: if flag(rng) {
                     checksum(&part)
                 } else {
                     number(rng)
                 },
                 offset: if flag(rng) { 0 } else { number(rng) },
-                part: part.into(),
-                sum,
+                chunk: part.into(),
+                chunk_checksum: sum,
             })
         }
-        6 => What::Stand(Stand {}),
-        _ => What::Join(Join { wish }),
+        6 => MessageBody::TimeoutNow(TimeoutNow {}),
+        _ => MessageBody::JoinRequest(JoinRequest { membership: wish }),
     }
 }
 
@@ -139,34 +139,41 @@
         let first = ["n0".to_owned(), "n1".to_owned(), "n2".to_owned()];
         // One that leads alone, one among three, one that is new.
         let first = [Some(&first[..1]), Some(&first[..]), None][seed as usize % 3];
-        let setup = Setup {
-            first,
-            counts: true,
-            losses: 1,
-            alike: flag(&mut rng),
-            ..Setup::default()
+        let setup = Config {
+            initial_members: first,
+            voter: true,
+            max_failures: 1,
+            interchangeable: flag(&mut rng),
+            ..Config::default()
         };
-        let (mut out, mut now) = (Out::default(), 0.0);
-        let mut tandem = Tandem::new("n0", now, seed, Durable::default(), &setup, &mut out);
-        let mut written = Durable::default();
+        let (mut out, mut now) = (Ready::default(), 0.0);
+        let mut tandem = Raft::new(
+            "n0",
+            now,
+            seed,
+            PersistentState::default(),
+            &setup,
+            &mut out,
+        );
+        let mut written = PersistentState::default();
         for _ in 0..600 {
             now += f64::from(rng.next_u32() % 80);
             for (number, record) in std::mem::take(&mut out).writes {
-                written.take(record);
+                written.apply(record);
                 if rng.next_u32() % 4 != 0 {
                     tandem.written(now, number, &mut out);
                 }
             }
             assert!(
-                *tandem.holds() == written || !out.writes.is_empty(),
+                *tandem.persistent_state() == written || !out.writes.is_empty(),
                 "another state than its records amount to"
             );
             match rng.next_u32() % 10 {
                 0 => tandem.tick(now, &mut out),
                 1 => drop(tandem.propose(now, vec![1; 10], &mut out)),
-                2 => drop(tandem.read(now, &mut out)),
-                3 if rng.next_u32() % 10 == 0 => tandem.fold(vec![3; 20], &mut out),
-                4 if rng.next_u32() % 50 == 0 => tandem.leave(now, &mut out),
+                2 => drop(tandem.read_index(now, &mut out)),
+                3 if rng.next_u32() % 10 == 0 => tandem.compact(vec![3; 20], &mut out),
+                4 if rng.next_u32() % 50 == 0 => tandem.shut_down(now, &mut out),
                 _ => {
                     let term = if flag(&mut rng) {
                         tandem.term()
@@ -177,17 +184,17 @@
                     let message = Message {
                         term,
                         identity: number(&mut rng),
-                        what: Some(what(&mut rng)),
+                        body: Some(what(&mut rng)),
                     };
                     messages += 1;
-                    tandem.receive(now, &from, message, &mut out);
+                    tandem.step(now, &from, message, &mut out);
                 }
             }
             let _ = (
-                tandem.contact(now),
-                tandem.in_touch(now),
-                tandem.left(now),
-                tandem.should_fold(),
+                tandem.last_quorum_contact(now),
+                tandem.has_quorum_contact(now),
+                tandem.may_stop(now),
+                tandem.should_compact(),
             );
         }
     }
--- a/crates/service-registry/src/lib.rs
+++ b/crates/service-registry/src/lib.rs
@@ -14,20 +14,20 @@
 /// What a life is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
-pub enum State {
+pub enum InstanceState {
     /// It takes requests.
     Serving = 0,
     /// It finishes what it has.
-    Leaving = 1,
+    Draining = 1,
     /// Nobody has heard of it for long; a later beat brings it back.
-    Lost = 2,
+    Expired = 2,
     /// It has said that it ends. Nothing brings it back.
-    Left = 3,
+    Deregistered = 3,
 }
 
 /// What is said of one life.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Word {
+pub struct InstanceRecord {
     /// Its id.
     #[prost(string, tag = "1")]
     pub id: String,
@@ -44,27 +44,31 @@
     #[prost(uint32, tag = "5")]
     pub capacity: u32,
     /// What it is at.
-    #[prost(enumeration = "State", tag = "6")]
+    #[prost(enumeration = "InstanceState", tag = "6")]
     pub state: i32,
     /// Number of its call: the highest holds.
     #[prost(uint64, tag = "7")]
     pub seq: u64,
     /// Milliseconds for which it stays slow, from when this is said.
     #[prost(uint32, tag = "8")]
-    pub cold_ms: u32,
+    pub warmup_left_ms: u32,
 }
 
-impl Word {
+impl InstanceRecord {
     /// By what words of one life are ordered: its end, then the number of the call, then how far it is gone.
-    fn order(&self) -> (bool, u64, State) {
-        (self.state() == State::Left, self.seq, self.state())
+    fn order(&self) -> (bool, u64, InstanceState) {
+        (
+            self.state() == InstanceState::Deregistered,
+            self.seq,
+            self.state(),
+        )
     }
 }
 
 /// One life, as it is known.
 #[derive(Clone, Debug)]
 struct Life {
-    word: Word,
+    word: InstanceRecord,
     /// When anybody heard it last.
     heard: Millis,
     /// When it is no longer slow.
@@ -72,9 +76,9 @@
 }
 
 impl Life {
-    fn told(&self, now: Millis) -> Word {
-        Word {
-            cold_ms: (self.warm - now).max(0.0) as u32,
+    fn told(&self, now: Millis) -> InstanceRecord {
+        InstanceRecord {
+            warmup_left_ms: (self.warm - now).max(0.0) as u32,
             ..self.word.clone()
         }
     }
@@ -82,76 +86,76 @@
 
 /// What a word has brought.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Brought {
+pub enum Applied {
     /// Something that the doors have to know.
-    News(Word),
+    Changed(InstanceRecord),
     /// A sign of life.
-    Life,
+    Refreshed,
     /// Nothing: it was late.
-    Nothing,
+    Stale,
 }
 
 /// All lives that are known.
 #[derive(Clone, Debug, Default)]
-pub struct Directory {
+pub struct Registry {
     lives: BTreeMap<String, Life>,
     swept: Millis,
 }
 
-impl Directory {
+impl Registry {
     /// Takes in what a backend or another exchange says.
-    pub fn hear(&mut self, now: Millis, word: Word) -> Brought {
-        let warm = now + f64::from(word.cold_ms);
-        let Some(life) = self.lives.get_mut(&word.id) else {
+    pub fn apply(&mut self, now: Millis, record: InstanceRecord) -> Applied {
+        let warm = now + f64::from(record.warmup_left_ms);
+        let Some(life) = self.lives.get_mut(&record.id) else {
             let life = Life {
-                word,
+                word: record,
                 heard: now,
                 warm,
             };
             let told = life.told(now);
             self.make_room();
             self.lives.insert(told.id.clone(), life);
-            return Brought::News(told);
+            return Applied::Changed(told);
         };
-        if word.order() <= life.word.order() {
-            if word.order() == life.word.order() {
+        if record.order() <= life.word.order() {
+            if record.order() == life.word.order() {
                 life.heard = now;
             }
-            return Brought::Nothing;
+            return Applied::Stale;
         }
-        let same = |a: &Word, b: &Word| {
+        let same = |a: &InstanceRecord, b: &InstanceRecord| {
             (a.state, &a.service, &a.address, &a.zone, a.capacity)
                 == (b.state, &b.service, &b.address, &b.zone, b.capacity)
         };
-        let news = !same(&life.word, &word);
-        let mut word = word;
-        if word.state() == State::Left && word.service.is_empty() {
+        let news = !same(&life.word, &record);
+        let mut word = record;
+        if word.state() == InstanceState::Deregistered && word.service.is_empty() {
             // Who leaves says no more than its id.
-            word = Word {
-                state: State::Left.into(),
+            word = InstanceRecord {
+                state: InstanceState::Deregistered.into(),
                 seq: word.seq,
                 ..life.word.clone()
             };
         }
         (life.word, life.heard, life.warm) = (word, now, warm);
         if news {
-            Brought::News(life.told(now))
+            Applied::Changed(life.told(now))
         } else {
-            Brought::Life
+            Applied::Refreshed
         }
     }
 
     /// A life says that it ends.
-    pub fn leave(&mut self, now: Millis, id: &str) -> Brought {
+    pub fn deregister(&mut self, now: Millis, id: &str) -> Applied {
         let held = self.lives.get(id).map(|life| life.word.clone());
-        let word = held.unwrap_or_else(|| Word {
+        let word = held.unwrap_or_else(|| InstanceRecord {
             id: id.to_owned(),
-            ..Word::default()
+            ..InstanceRecord::default()
         });
-        self.hear(
+        self.apply(
             now,
-            Word {
-                state: State::Left.into(),
+            InstanceRecord {
+                state: InstanceState::Deregistered.into(),
                 seq: word.seq + 1,
                 ..word
             },
@@ -159,55 +163,68 @@
     }
 
     /// Another exchange has heard this life, up to this call.
-    pub fn seen(&mut self, now: Millis, id: &str, seq: u64) -> Brought {
+    pub fn refresh(&mut self, now: Millis, id: &str, seq: u64) -> Applied {
         let Some(life) = self.lives.get_mut(id) else {
-            return Brought::Nothing;
+            return Applied::Stale;
         };
-        if seq < life.word.seq || life.word.state() == State::Left {
-            return Brought::Nothing;
+        if seq < life.word.seq || life.word.state() == InstanceState::Deregistered {
+            return Applied::Stale;
         }
-        if seq > life.word.seq && life.word.state() == State::Lost {
+        if seq > life.word.seq && life.word.state() == InstanceState::Expired {
             // What it is at is not told here: its next beat does.
-            return Brought::Nothing;
+            return Applied::Stale;
         }
         life.word.seq = seq;
         life.heard = now;
-        Brought::Life
+        Applied::Refreshed
     }
 
     /// What is known of a life.
-    pub fn word(&self, now: Millis, id: &str) -> Option<Word> {
+    pub fn word(&self, now: Millis, id: &str) -> Option<InstanceRecord> {
         self.lives.get(id).map(|life| life.told(now))
     }
 
     /// Finds lives that nobody has heard for `silence`, and takes them for lost.
-    pub fn overdue(&mut self, now: Millis, silence: Millis) -> Vec<Word> {
-        let mut lost = Vec::new();
+    pub fn expire(&mut self, now: Millis, silence: Millis) -> Vec<InstanceRecord> {
+        let mut expire_instance = Vec::new();
         for life in self.lives.values_mut() {
-            let open = matches!(life.word.state(), State::Serving | State::Leaving);
+            let open = matches!(
+                life.word.state(),
+                InstanceState::Serving | InstanceState::Draining
+            );
             if open && now - life.heard >= silence {
-                life.word.state = State::Lost.into();
-                lost.push(life.told(now));
+                life.word.state = InstanceState::Expired.into();
+                expire_instance.push(life.told(now));
             }
         }
         if now - self.swept > REMEMBERED / 4.0 {
             self.swept = now;
             self.lives.retain(|_, life| {
-                matches!(life.word.state(), State::Serving | State::Leaving)
-                    || now - life.heard < REMEMBERED
+                matches!(
+                    life.word.state(),
+                    InstanceState::Serving | InstanceState::Draining
+                ) || now - life.heard < REMEMBERED
             });
         }
-        lost
+        expire_instance
     }
 
     /// Somebody who knows all tells of these lives only: takes for lost what it does not name and nobody has spoken of for
     /// `silence`.
-    pub fn only(&mut self, now: Millis, named: &BTreeSet<&str>, silence: Millis) -> Vec<Word> {
+    pub fn reconcile(
+        &mut self,
+        now: Millis,
+        named: &BTreeSet<&str>,
+        silence: Millis,
+    ) -> Vec<InstanceRecord> {
         let mut lost = Vec::new();
         for (id, life) in &mut self.lives {
-            let open = matches!(life.word.state(), State::Serving | State::Leaving);
+            let open = matches!(
+                life.word.state(),
+                InstanceState::Serving | InstanceState::Draining
+            );
             if open && now - life.heard >= silence && !named.contains(id.as_str()) {
-                life.word.state = State::Lost.into();
+                life.word.state = InstanceState::Expired.into();
                 lost.push(life.told(now));
             }
         }
@@ -215,21 +232,21 @@
     }
 
     /// A life turns out to be over, whatever was said of it.
-    pub fn lost(&mut self, now: Millis, id: &str) -> Option<Word> {
+    pub fn lost(&mut self, now: Millis, id: &str) -> Option<InstanceRecord> {
         let life = self.lives.get_mut(id)?;
-        life.word.state = State::Lost.into();
+        life.word.state = InstanceState::Expired.into();
         Some(life.told(now))
     }
 
     /// Counts all lives as heard now: whoever was away could not hear them.
-    pub fn excuse(&mut self, now: Millis) {
+    pub fn restart_timeouts(&mut self, now: Millis) {
         self.lives
             .values_mut()
             .for_each(|life| life.heard = life.heard.max(now));
     }
 
     /// All that is known.
-    pub fn words(&self, now: Millis) -> Vec<Word> {
+    pub fn records(&self, now: Millis) -> Vec<InstanceRecord> {
         self.lives.values().map(|life| life.told(now)).collect()
     }
 
@@ -247,7 +264,12 @@
         if self.lives.len() < MOST_LIVES {
             return;
         }
-        let over = |life: &Life| !matches!(life.word.state(), State::Serving | State::Leaving);
+        let over = |life: &Life| {
+            !matches!(
+                life.word.state(),
+                InstanceState::Serving | InstanceState::Draining
+            )
+        };
         let oldest = self
             .lives
             .iter()
