--- a/crates/upstream/src/carry.rs
+++ b/crates/upstream/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One exchange of a request and its answer with a backend.
 
-use crate::pool::{Line, NoConnection, Pools};
+use crate::pool::{AttemptHandle, ConnectError, Pools};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response};
@@ -8,30 +8,30 @@
 use std::time::Instant;
 
 /// How an exchange ended.
-pub struct Carried<A> {
+pub struct AttemptResult<A> {
     /// The answer, or what the lack of one means.
-    pub end: Result<A, Outcome>,
+    pub result: Result<A, Outcome>,
     /// Connections that had come up and broke under it.
-    pub broken: u32,
+    pub broken_connections: u32,
 }
 
 /// Carries one request to a backend and reads the answer. Kept connections that break before the request was whole
 /// stand in for one another. `request` makes it, told how many milliseconds are left; `read` reads an answer, `None`
 /// if it does not come whole or is none; `unseen` tells of an answer that says that the request was not looked at.
-pub async fn carry<A>(
+pub async fn send_request<A>(
     pools: &Pools,
     backend: BackendId,
     (care, limit): (Care, Millis),
-    line: &Line,
+    line: &AttemptHandle,
     (body, request): (usize, impl Fn(Millis) -> Request<Full<Bytes>>),
     read: impl AsyncFn(Response<Incoming>) -> Option<A>,
     unseen: impl Fn(&A) -> bool,
-) -> Carried<A> {
+) -> AttemptResult<A> {
     let begun = Instant::now();
     let mut broken = 0;
-    let over = |broken, outcome| Carried {
-        end: Err(outcome),
-        broken,
+    let over = |broken, outcome| AttemptResult {
+        result: Err(outcome),
+        broken_connections: broken,
     };
     let Some(dial) = pools.dial_address(backend) else {
         return over(0, Outcome::NotSent);
@@ -43,11 +43,11 @@
             .map(|connection| connection.idle(Instant::now()));
         let mut connection = match pooled {
             Some(connection) => connection,
-            None => match pools.fresh(dial).await {
+            None => match pools.connect(dial).await {
                 Ok(connection) => connection,
-                Err(NoConnection::Own) => return over(broken, Outcome::NotSent),
+                Err(ConnectError::LocalLimit) => return over(broken, Outcome::NotSent),
                 // Refused: that says more than what broke before.
-                Err(NoConnection::Theirs) => return over(0, Outcome::ConnectFailed),
+                Err(ConnectError::Unreachable) => return over(0, Outcome::ConnectFailed),
             },
         };
         // The wait for a connection may have outlasted the backend's place in the list, or its life: what is up by that name
@@ -55,8 +55,8 @@
         if pools.dial_address(backend) != Some(dial) {
             return over(broken, Outcome::NotSent);
         }
-        line.hold(&connection.wire);
-        connection.wire.begin(body, care != Care::Usual);
+        line.attach_socket(&connection.wire);
+        connection.wire.begin_request(body, care != Care::Usual);
         let left = limit - begun.elapsed().as_secs_f64() * 1000.0;
         let sent = match connection.sender.ready().await {
             Ok(()) => connection
@@ -67,21 +67,21 @@
             Err(_) => None,
         };
         if let Some(idle) = idle {
-            pools.learn(idle, sent.is_none());
+            pools.record_reuse(idle, sent.is_none());
         }
         let answer = match sent {
             Some(answer) => read(answer).await,
             None => None,
         };
-        let whole = connection.wire.whole();
+        let whole = connection.wire.fully_written();
         // What is answered before it was written whole was answered unseen, and its connection is of no more use.
         if let Some(answer) = answer.filter(|answer| whole || unseen(answer)) {
             if whole {
                 pools.put_back(backend, dial, connection);
             }
-            return Carried {
-                end: Ok(answer),
-                broken,
+            return AttemptResult {
+                result: Ok(answer),
+                broken_connections: broken,
             };
         }
         broken += 1;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -23,7 +23,7 @@
 use tokio::time::Sleep;
 
 /// Bytes that a connection buffers at most, on either side; a longer head of a request is answered 431.
-pub const BUFFER: usize = 32 * 1024;
+pub const MAX_BUFFER_BYTES: usize = 32 * 1024;
 /// Part of the backends' idle time for which a connection is kept: one closed there costs a request.
 const IDLE_PART: f64 = 0.6;
 /// How often idle connections are looked through.
@@ -38,13 +38,13 @@
 const SPARE_SOCKETS: usize = 24;
 /// Connections to backends that `sockets` descriptors leave room for. Clients hold a third of the descriptors
 /// for requests at most, and a request has one attempt out.
-pub fn budget(sockets: usize) -> usize {
+pub fn upstream_budget(sockets: usize) -> usize {
     sockets.saturating_sub(SPARE_SOCKETS) * 2 / 5
 }
 
 /// Connections of clients that there is room for, besides: also of such that ask nothing.
-pub fn client_budget(sockets: usize) -> usize {
-    sockets.saturating_sub(SPARE_SOCKETS) - budget(sockets)
+pub fn downstream_budget(sockets: usize) -> usize {
+    sockets.saturating_sub(SPARE_SOCKETS) - upstream_budget(sockets)
 }
 
 // ---- One connection ---------------------------------------------------------------------------------
@@ -95,7 +95,7 @@
 }
 
 /// A socket that can be closed at once from outside, and that counts towards the budget until it is.
-pub struct Wire {
+pub struct UpstreamSocket {
     socket: RefCell<Option<(TcpStream, Slot)>>,
     written: RefCell<Written>,
     /// Whether the last byte of the request is held back, and until when.
@@ -103,14 +103,14 @@
     proof: RefCell<Option<Pin<Box<Sleep>>>>,
 }
 
-impl Wire {
+impl UpstreamSocket {
     /// Whether the request has been written whole: before that, it cannot have run.
-    pub fn whole(&self) -> bool {
+    pub fn fully_written(&self) -> bool {
         self.written.borrow().whole()
     }
 
     /// A request with a body of this length is about to be written.
-    pub fn begin(&self, body: usize, cautious: bool) {
+    pub fn begin_request(&self, body: usize, cautious: bool) {
         *self.written.borrow_mut() = Written::begin(body);
         self.cautious.set(cautious);
         self.proof.borrow_mut().take();
@@ -170,7 +170,7 @@
 }
 
 /// The library's end of a [`Wire`].
-struct WireIo(Rc<Wire>);
+struct WireIo(Rc<UpstreamSocket>);
 
 impl AsyncRead for WireIo {
     fn poll_read(
@@ -218,7 +218,7 @@
     /// Takes the next request.
     pub sender: SendRequest<Full<Bytes>>,
     /// Its socket.
-    pub wire: Rc<Wire>,
+    pub wire: Rc<UpstreamSocket>,
     task: AbortHandle,
     idle_since: Instant,
 }
@@ -239,62 +239,67 @@
 
 /// The hold that the driver has on an attempt that is out.
 #[derive(Clone, Default)]
-pub struct Line {
-    wire: Rc<RefCell<Option<Rc<Wire>>>>,
+pub struct AttemptHandle {
+    wire: Rc<RefCell<Option<Rc<UpstreamSocket>>>>,
     /// Whether a call has gone to a connection that carries others too.
     begun: Rc<Cell<bool>>,
     task: Rc<RefCell<Option<AbortHandle>>>,
     /// The connections that have carried this attempt so far, and those that carried earlier ones of the same request.
-    carried: Rc<RefCell<Vec<Weak<Wire>>>>,
-    earlier: Rc<Vec<Weak<Wire>>>,
+    carried: Rc<RefCell<Vec<Weak<UpstreamSocket>>>>,
+    earlier: Rc<Vec<Weak<UpstreamSocket>>>,
 }
 
-impl Line {
+impl AttemptHandle {
     /// The hold on a further attempt of the same request. Guards against a second answer to the first attempt, which bears the
     /// same id: it can only come where the first attempt went, so no further one goes there.
-    pub fn again(&self) -> Line {
+    pub fn for_retry(&self) -> AttemptHandle {
         let earlier = self
             .earlier
             .iter()
             .chain(self.carried.borrow().iter())
             .cloned()
             .collect();
-        Line {
+        AttemptHandle {
             earlier: Rc::new(earlier),
-            ..Line::default()
+            ..AttemptHandle::default()
         }
     }
 
     /// Whether a connection has carried an earlier attempt of this request.
-    fn has_been_on(&self, wire: &Rc<Wire>) -> bool {
+    fn has_been_on(&self, wire: &Rc<UpstreamSocket>) -> bool {
         self.earlier
             .iter()
             .any(|earlier| std::ptr::eq(earlier.as_ptr(), Rc::as_ptr(wire)))
     }
 
     /// Names the connection that carries the attempt.
-    pub fn hold(&self, wire: &Rc<Wire>) {
+    pub fn attach_socket(&self, wire: &Rc<UpstreamSocket>) {
         self.carried.borrow_mut().push(Rc::downgrade(wire));
         *self.wire.borrow_mut() = Some(wire.clone());
     }
 
     /// Names the task that carries the attempt.
-    pub fn tie(&self, task: AbortHandle) {
+    pub fn attach_task(&self, task: AbortHandle) {
         *self.task.borrow_mut() = Some(task);
     }
 
     /// A call has gone to a connection that carries others too: from now on it may run.
-    pub fn begun(&self) {
+    pub fn mark_multiplexed(&self) {
         self.begun.set(true);
     }
 
     /// Whether the request has been written whole: before that, it cannot have run.
-    pub fn whole(&self) -> bool {
-        self.begun.get() || self.wire.borrow().as_ref().is_some_and(|wire| wire.whole())
+    pub fn fully_written(&self) -> bool {
+        self.begun.get()
+            || self
+                .wire
+                .borrow()
+                .as_ref()
+                .is_some_and(|wire| wire.fully_written())
     }
 
     /// Gives the attempt up: its connection is closed before this returns.
-    pub fn give_up(&self) {
+    pub fn abort(&self) {
         if let Some(wire) = self.wire.borrow_mut().take() {
             wire.close();
         }
@@ -432,7 +437,7 @@
     }
 
     /// Whether a backend may be sent to.
-    pub fn takes_new(&self, id: BackendId) -> bool {
+    pub fn accepts_requests(&self, id: BackendId) -> bool {
         self.pools.borrow().get(&id).is_some_and(|pool| pool.ready)
     }
 
@@ -448,14 +453,14 @@
     /// The most recently used connection that is still good, rather one whose last answer is not just over. For what
     /// must not run twice, none of an age at which connections have broken of late; and none that has carried an earlier
     /// attempt of this line's request.
-    pub fn take_idle(&self, id: BackendId, care: Care, line: &Line) -> Option<Connection> {
+    pub fn take_idle(&self, id: BackendId, care: Care, line: &AttemptHandle) -> Option<Connection> {
         self.take(id, care, false, line)
     }
 
     /// The same, but never one whose last answer is just over: what was sent behind that answer has come by now and shows,
     /// and cannot be taken for the answer to somebody else's question.
     pub fn take_settled(&self, id: BackendId) -> Option<Connection> {
-        self.take(id, Care::Usual, true, &Line::default())
+        self.take(id, Care::Usual, true, &AttemptHandle::default())
     }
 
     fn take(
@@ -463,7 +468,7 @@
         id: BackendId,
         care: Care,
         only_settled: bool,
-        line: &Line,
+        line: &AttemptHandle,
     ) -> Option<Connection> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.get_mut(&id)?;
@@ -520,7 +525,7 @@
     }
 
     /// Learns whether a connection that had been idle so long has borne another request.
-    pub fn learn(&self, idle: Duration, broke: bool) {
+    pub fn record_reuse(&self, idle: Duration, broke: bool) {
         self.ages.borrow_mut().learn(Instant::now(), idle, broke);
     }
 
@@ -539,7 +544,7 @@
     }
 
     /// Disposes of idle connections well before the backends do.
-    pub async fn tidy(&self) {
+    pub async fn close_idle_periodically(&self) {
         loop {
             tokio::time::sleep(TIDY).await;
             let longest = self.longest_idle();
@@ -551,31 +556,34 @@
     }
 
     /// A new connection of this backend.
-    pub async fn fresh(&self, dial: SocketAddr) -> Result<Connection, NoConnection> {
+    pub async fn connect(&self, dial: SocketAddr) -> Result<Connection, ConnectError> {
         if self.open.get() >= self.budget && !self.close_oldest() {
-            return Err(NoConnection::Own);
+            return Err(ConnectError::LocalLimit);
         }
         let limit =
             Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
         tokio::time::timeout(limit, self.dial(dial))
             .await
-            .unwrap_or(Err(NoConnection::Theirs))
+            .unwrap_or(Err(ConnectError::Unreachable))
     }
 
-    async fn dial(&self, address: SocketAddr) -> Result<Connection, NoConnection> {
+    async fn dial(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         // A connection that comes up slowly holds a descriptor too.
         let slot = Slot::take(&self.open);
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let wire = Rc::new(Wire {
+        let wire = Rc::new(UpstreamSocket {
             socket: RefCell::new(Some((stream, slot))),
             written: RefCell::default(),
             cautious: Cell::default(),
             proof: RefCell::default(),
         });
         let io = TokioIo::new(WireIo(wire.clone()));
-        let hands = Builder::new().max_buf_size(BUFFER).handshake(io).await;
-        let (sender, connection) = hands.map_err(|_| NoConnection::Theirs)?;
+        let hands = Builder::new()
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(io)
+            .await;
+        let (sender, connection) = hands.map_err(|_| ConnectError::Unreachable)?;
         let closing = wire.clone();
         let task = tokio::task::spawn_local(async move {
             // How it ended is told to the attempt on it, if there is one.
@@ -593,21 +601,21 @@
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub enum ConnectError {
     /// This front door has no room or no descriptor for one: no fault of the backend.
-    Own,
+    LocalLimit,
     /// The backend refuses, is silent or cannot be reached.
-    Theirs,
+    Unreachable,
 }
 
-impl From<io::Error> for NoConnection {
-    fn from(error: io::Error) -> NoConnection {
+impl From<io::Error> for ConnectError {
+    fn from(error: io::Error) -> ConnectError {
         use io::ErrorKind::*;
         match error.kind() {
             ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut
             | HostUnreachable | NetworkUnreachable | BrokenPipe | NotConnected | UnexpectedEof
-            | InvalidInput => NoConnection::Theirs,
-            _ => NoConnection::Own,
+            | InvalidInput => ConnectError::Unreachable,
+            _ => ConnectError::LocalLimit,
         }
     }
 }
