--- a/crates/model/src/bound.rs
+++ b/crates/model/src/bound.rs
@@ -9,7 +9,7 @@
 //!
 //! Where something is not known it is given away, so that the bound stays one: the busiest door of a customer knows that it is,
 //! no door ever forgets, every refused try comes again as an independent one (more to see than real ones), and doors that see
-//! more than [`MOST_SEEN`] tries of a customer know its part.
+//! more than `MOST_SEEN` tries of a customer know its part.
 
 use microlp::{ComparisonOp, OptimizationDirection, Problem, Variable};
 
