--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -894,7 +894,8 @@
                 }
             }
             Frame::LeaseGrant(lent) => {
-                let (less, more) = self.purse.handle_grant(now, exchange, &lent);
+                let effect = self.purse.handle_grant(now, exchange, &lent);
+                let (less, more) = (effect.decreased, effect.increased);
                 if less {
                     // What is taken back is somebody else's only once this is told.
                     let report = self.purse.next_request(now, exchange, self.demand(now));
--- a/crates/quota-lease/src/client.rs
+++ b/crates/quota-lease/src/client.rs
@@ -1,140 +1,187 @@
-//! Who holds.
+//! The lease client of a proxy: the shares of quotas that it may spend, as granted by the lease servers of all controllers.
+//!
+//! It keeps the proxy's half of the invariant in the crate's docs: a share counts only for [`LEASE_DURATION`] from when the request was
+//! sent that renewed it, and grants by another incarnation, for another connection or older than one already applied are ignored.
 
 use crate::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Reports without an answer that are remembered at most.
-const MOST_ASKED: usize = 64;
+/// Requests to one server whose send time is remembered until they are answered. Beyond that the oldest is forgotten, and a late answer to
+/// it renews nothing.
+const MAX_UNANSWERED_REQUESTS: usize = 64;
 
-/// What a door holds of one lender.
+/// A request that has not been answered yet.
+#[derive(Clone, Copy, Debug)]
+struct UnansweredRequest {
+    sequence: u64,
+    sent_at: Millis,
+}
+
+/// What the client knows of one server.
 #[derive(Clone, Debug, Default)]
-struct Held {
-    loans: BTreeMap<String, u32>,
-    until: Millis,
-    reports: u64,
-    confirmed: u64,
-    /// The life of the lender at the other end; nought until it has answered on this connection.
-    lender: u32,
-    /// Number and time of reports that have no answer yet.
-    asked: VecDeque<(u64, Millis)>,
-    doors: u32,
+struct ServerRecord {
+    /// Leased share of each tenant's quota, in ppm.
+    leases: BTreeMap<String, u32>,
+    expires_at: Millis,
+    last_request: u64,
+    /// Sequence number of the last grant applied.
+    acknowledged: u64,
+    /// Incarnation of the server at the other end; zero until it has answered on this connection.
+    incarnation: u32,
+    unanswered: VecDeque<UnansweredRequest>,
+    /// Number of proxies that the server knows.
+    client_count: u32,
+}
+
+impl ServerRecord {
+    fn drop_expired_leases(&mut self, now: Millis) {
+        if now >= self.expires_at {
+            self.leases.clear();
+        }
+    }
+
+    /// When the request was sent; `None` if it was not sent on this connection or was answered by a later grant.
+    fn sent_at(&self, sequence: u64) -> Option<Millis> {
+        self.unanswered
+            .iter()
+            .find(|request| request.sequence == sequence)
+            .map(|request| request.sent_at)
+    }
+
+    /// Whether the grant is by another incarnation than the one that answered first on this connection, or no newer than the last one
+    /// applied.
+    fn is_stale(&self, grant: &LeaseGrant) -> bool {
+        let other_incarnation = self.incarnation != 0
+            && grant.server_incarnation != 0
+            && self.incarnation != grant.server_incarnation;
+        other_incarnation || grant.sequence <= self.acknowledged
+    }
+
+    /// Applies a grant that answers a request sent at `sent_at`.
+    fn apply(&mut self, grant: &LeaseGrant, sent_at: Millis) -> GrantEffect {
+        if grant.server_incarnation != 0 {
+            self.incarnation = grant.server_incarnation;
+        }
+        self.unanswered
+            .retain(|request| request.sequence >= grant.request);
+        self.expires_at = self.expires_at.max(sent_at + LEASE_DURATION);
+        self.acknowledged = grant.sequence;
+        self.client_count = grant.client_count;
+        let mut effect = GrantEffect::default();
+        for lease in &grant.leases {
+            let previous_ppm = self
+                .leases
+                .insert(lease.tenant.clone(), lease.ppm)
+                .unwrap_or(0);
+            effect.decreased |= lease.ppm < previous_ppm;
+            effect.increased |= lease.ppm > previous_ppm;
+        }
+        effect
+    }
 }
 
-/// What a door holds of all lenders.
+/// How a grant has changed the client's leases. Neither for a grant that was ignored.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct GrantEffect {
+    /// Some share has become smaller: the next request is to be sent at once, because the server can lease the difference to others
+    /// only after the acknowledgement.
+    pub decreased: bool,
+    /// Some share has become larger: requests that wait for quota may be admitted.
+    pub increased: bool,
+}
+
+/// All leases of one incarnation of a proxy.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
-    life: u64,
-    held: BTreeMap<String, Held>,
+    incarnation: u64,
+    servers: BTreeMap<String, ServerRecord>,
 }
 
 impl LeaseClient {
-    /// The purse of this life of a door.
-    pub fn new(life: u64) -> LeaseClient {
+    /// A client without leases, for this incarnation of a proxy.
+    pub fn new(incarnation: u64) -> LeaseClient {
         LeaseClient {
-            life,
-            held: BTreeMap::new(),
+            incarnation,
+            servers: BTreeMap::new(),
         }
     }
 
-    /// There is a new connection to a lender, which may be a new life of it: answers that are under way are void.
-    pub fn connected(&mut self, lender: &str) {
-        let held = self.held.entry(lender.to_owned()).or_default();
-        held.asked.clear();
-        (held.confirmed, held.lender) = (0, 0);
+    /// There is a new connection to a server, which may be a new incarnation of it: grants that are still on the way are void.
+    pub fn connected(&mut self, server: &str) {
+        let server = self.servers.entry(server.to_owned()).or_default();
+        server.unanswered.clear();
+        (server.acknowledged, server.incarnation) = (0, 0);
     }
 
-    /// The next report for a lender, sent now.
-    pub fn next_request(&mut self, now: Millis, lender: &str, demand: Vec<Demand>) -> LeaseRequest {
-        let held = self.held.entry(lender.to_owned()).or_default();
-        if now >= held.until {
-            held.loans.clear();
-        }
-        held.reports += 1;
-        if held.asked.len() >= MOST_ASKED {
-            held.asked.pop_front();
+    /// The next request for a server, to be sent now. It lists all leases until the server has answered on this connection: one request
+    /// with them could be lost, since a server without a valid membership lease ignores requests.
+    pub fn next_request(&mut self, now: Millis, server: &str, demand: Vec<Demand>) -> LeaseRequest {
+        let server = self.servers.entry(server.to_owned()).or_default();
+        server.drop_expired_leases(now);
+        server.last_request += 1;
+        if server.unanswered.len() >= MAX_UNANSWERED_REQUESTS {
+            server.unanswered.pop_front();
         }
-        held.asked.push_back((held.reports, now));
-        // Until an answer shows that it has come: a lender that is not in its lease passes reports over.
-        let first = held.lender == 0;
-        let loans = held.loans.iter().filter(|_| first);
+        server.unanswered.push_back(UnansweredRequest {
+            sequence: server.last_request,
+            sent_at: now,
+        });
+        let full = server.incarnation == 0;
+        let leases = server.leases.iter().filter(|_| full);
         LeaseRequest {
-            sequence: held.reports,
-            acknowledged: held.confirmed,
-            leases: loans
-                .map(|(tenant, parts)| Lease {
+            sequence: server.last_request,
+            acknowledged: server.acknowledged,
+            leases: leases
+                .map(|(tenant, ppm)| Lease {
                     tenant: tenant.clone(),
-                    ppm: *parts,
+                    ppm: *ppm,
                 })
                 .collect(),
-            full: first,
+            full,
             demand,
             release: false,
-            server_incarnation: held.lender,
+            server_incarnation: server.incarnation,
         }
     }
 
-    /// A lender has answered, or says more on the same report. What has run out before is void, and does not come back with it.
-    /// Tells whether it takes something back, and whether it lends more: the former is to be confirmed at once.
-    pub fn handle_grant(&mut self, now: Millis, lender: &str, lent: &LeaseGrant) -> (bool, bool) {
-        // What was lent to an earlier life is not lent to this one.
-        let Some(held) = self
-            .held
-            .get_mut(lender)
-            .filter(|_| lent.client_incarnation == self.life)
+    /// Applies a server's grant: the answer to a request, or a change after it. Leases that have expired are void and do not come back
+    /// with it. A stale grant is ignored.
+    pub fn handle_grant(&mut self, now: Millis, server: &str, grant: &LeaseGrant) -> GrantEffect {
+        // A grant to an earlier incarnation of this proxy is not for this one.
+        let Some(server) = self
+            .servers
+            .get_mut(server)
+            .filter(|_| grant.client_incarnation == self.incarnation)
         else {
-            return (false, false);
+            return GrantEffect::default();
         };
-        if now >= held.until {
-            held.loans.clear();
-        }
-        let Some(at) = held
-            .asked
-            .iter()
-            .find(|(number, _)| *number == lent.request)
-            .map(|(_, at)| *at)
-        else {
-            return (false, false);
+        server.drop_expired_leases(now);
+        let Some(sent_at) = server.sent_at(grant.request) else {
+            return GrantEffect::default();
         };
-        // Another life of the lender than the one that answered first here, or an answer that is older than what is known.
-        let other = held.lender != 0
-            && lent.server_incarnation != 0
-            && held.lender != lent.server_incarnation;
-        if other || lent.sequence <= held.confirmed {
-            return (false, false);
-        }
-        if lent.server_incarnation != 0 {
-            held.lender = lent.server_incarnation;
+        if server.is_stale(grant) {
+            return GrantEffect::default();
         }
-        held.asked.retain(|(number, _)| *number >= lent.request);
-        held.until = held.until.max(at + LEASE_DURATION);
-        held.confirmed = lent.sequence;
-        held.doors = lent.client_count;
-        let (mut less, mut more) = (false, false);
-        for loan in &lent.leases {
-            let before = held
-                .loans
-                .insert(loan.tenant.clone(), loan.ppm)
-                .unwrap_or(0);
-            less |= loan.ppm < before;
-            more |= loan.ppm > before;
-        }
-        (less, more)
+        server.apply(grant, sent_at)
     }
 
-    /// The part of a tenant's quota that is held now, from nought to one.
+    /// The fraction of a tenant's quota that this proxy may spend now, from 0 to 1: the sum of the unexpired leases of all servers.
     pub fn fraction(&self, now: Millis, tenant: &str) -> f64 {
-        let held = self.held.values().filter(|held| now < held.until);
-        let parts: u32 = held
-            .filter_map(|held| held.loans.get(tenant))
-            .fold(0, |a, b| a.saturating_add(*b));
-        f64::from(parts.min(WHOLE_QUOTA_PPM)) / f64::from(WHOLE_QUOTA_PPM)
+        let valid = self
+            .servers
+            .values()
+            .filter(|server| now < server.expires_at);
+        let ppm: u32 = valid
+            .filter_map(|server| server.leases.get(tenant))
+            .fold(0, |sum, ppm| sum.saturating_add(*ppm));
+        f64::from(ppm.min(WHOLE_QUOTA_PPM)) / f64::from(WHOLE_QUOTA_PPM)
     }
 
-    /// Doors that the lenders know of, at least one.
+    /// The number of proxies that the servers know, at least one.
     pub fn client_count(&self) -> u32 {
-        self.held
+        self.servers
             .values()
-            .map(|held| held.doors)
+            .map(|server| server.client_count)
             .max()
             .unwrap_or(0)
             .max(1)
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,119 +1,60 @@
-//! Shares of quotas. Every quota is cut into equal slots, each of which one exchange at most may lend ([`Slots`], [`Shares`]);
-//! it lends parts of its slots to doors ([`Lender`]); a door adds up what it holds of all ([`Purse`]).
+//! Quota leases: how controllers share out tenants' quotas among proxies, so that each proxy can admit requests without asking anybody
+//! (the users' rule QUOTA). Nothing here does I/O; time and messages are inputs, and what to send is returned.
 //!
-//! **The inequality.** For one lender and one tenant, what is *out* never adds up to more than [`Lender`]'s limit: a loan counts as out
-//! at its highest value until the door has confirmed a lower one, until a new life of the door shows that the one that held it is over,
-//! or until it has run out. A door's loan runs from when the door asked, the lender's from when it answers, which is
-//! later, and [`SKEW`] longer. So at any moment, over all doors, living or cut off, what is held adds up to the whole at most.
-//! A lender that starts anew does not know what it has lent: until every door that it lent to has come forward, or all has run out, it
-//! lends nothing new, and confirms what doors say that they hold.
+//! Every quota is cut into equal slots, and each slot is owned by at most one controller ([`Slots`], [`OwnedSlots`]). The controller's
+//! [`LeaseServer`] leases parts of its slots to proxies, and a proxy's [`LeaseClient`] adds up the leases that it has from all controllers.
 //!
-//! **Changes of owners.** A lender answers only while [`in_lease`]; whoever takes over a slot lends nothing of it for [`INHERITED`]
-//! after it knows. The argument is in `docs/design/control-loans.md`.
+//! **Invariant.** Let *outstanding* be an upper bound, kept by a lease server for each tenant, on the sum of the shares (in ppm of the quota)
+//! that proxies may spend by its leases. Outstanding never grows beyond the server's limit, which is the sum of the slots it
+//! may lease. A lease counts with the highest share granted until
 //!
-//! Fractions are parts per million of the whole quota. Nothing here does I/O.
+//! - the proxy has acknowledged a grant with a lower share,
+//! - a new incarnation of the proxy shows that the one that had the lease has ended, or
+//! - the lease has expired.
+//!
+//! A proxy's lease lasts [`LEASE_DURATION`] from when the proxy *sent* the request. The server counts it for [`LEASE_DURATION`] +
+//! [`CLOCK_SKEW`] from when it *answers*, which is later. Therefore, at any moment, the leased shares of all proxies, connected or
+//! partitioned, add up to the whole quota at most. A server that has restarted does not know what earlier incarnations have leased:
+//! until every such proxy has reported its leases, or all of them have expired, it leases nothing new and only confirms the
+//! reported leases within its limit.
+//!
+//! **Changes of owners.** A server answers only while [`membership_lease_valid`], and a new owner of a slot leases nothing of it for
+//! [`TAKEOVER_DELAY`]. The proof is in `docs/design/control-loans.md`.
 
 mod client;
+mod messages;
+mod owned_slots;
 mod server;
 mod slots;
 
-pub use client::LeaseClient;
+pub use client::{GrantEffect, LeaseClient};
+pub use messages::{Demand, Lease, LeaseGrant, LeaseRequest};
+pub use owned_slots::{OwnedSlots, SlotEvent};
 pub use server::{ClientId, LeaseServer};
-pub use slots::{OwnedSlots, Slot, SlotEvent, Slots};
+pub use slots::{Slot, Slots};
 
-/// Milliseconds on the caller's steady clock.
+/// Milliseconds on the caller's monotonic clock.
 pub type Millis = f64;
 
-/// The whole of a quota.
+/// The whole of a quota, in parts per million.
 pub const WHOLE_QUOTA_PPM: u32 = 1_000_000;
-/// How long a loan lasts without news.
+/// How long a lease lasts after the request that renewed it was sent: 12 s.
 pub const LEASE_DURATION: Millis = 12_000.0;
-/// By how much a lender counts a loan as out beyond [`LASTS`]: steady clocks may run apart by two in a hundred.
+/// By how much longer than [`LEASE_DURATION`] a server counts a lease as outstanding: monotonic clocks of two machines may drift apart by
+/// 2%.
 pub const CLOCK_SKEW: Millis = 250.0;
-/// For how long a lender goes on after the last moment at which it is known to have been a member with all that was agreed.
+/// For how long a server goes on answering after the last moment at which it is known to have been a member that had applied all
+/// committed entries: 9 s.
 pub const MEMBERSHIP_LEASE: Millis = 9_000.0;
-/// How long after such a moment a leader that has been replaced may still have named it: a leader that hears no majority steps down
-/// within one second. The rest is for clocks that run apart.
+/// How much later than the last contact with a quorum a deposed leader may still have confirmed a member (a leader without a quorum
+/// steps down within 1 s), and clock drift.
 const CLOCK_MARGIN: Millis = 2_000.0;
-/// How long a new owner of a slot lends nothing of it: by then nothing that an earlier owner has lent is out.
+/// How long a new owner leases nothing of a slot that another controller may have leased before: by then every lease by the earlier owner
+/// has expired.
 pub const TAKEOVER_DELAY: Millis = LEASE_DURATION + MEMBERSHIP_LEASE + CLOCK_MARGIN;
 
-/// Whether a lender may answer doors. `contact` is the latest moment, by its own clock, at which it is known to have been a member
-/// that had applied all that was agreed on.
-pub fn membership_lease_valid(now: Millis, contact: Millis) -> bool {
-    now - contact < MEMBERSHIP_LEASE
-}
-
-/// A fraction of a tenant's quota.
-#[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Lease {
-    /// The tenant.
-    #[prost(string, tag = "1")]
-    pub tenant: String,
-    /// Parts per million.
-    #[prost(uint32, tag = "2")]
-    pub ppm: u32,
-}
-
-/// What a tenant asks of a door.
-#[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Demand {
-    /// The tenant.
-    #[prost(string, tag = "1")]
-    pub tenant: String,
-    /// Requests of late, in thousandths a second.
-    #[prost(uint32, tag = "2")]
-    pub milli_rps: u32,
-    /// Whether requests were turned away of late for lack of it.
-    #[prost(bool, tag = "3")]
-    pub starved: bool,
-}
-
-/// A door's word to a lender.
-#[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct LeaseRequest {
-    /// Number of this report, rising.
-    #[prost(uint64, tag = "1")]
-    pub sequence: u64,
-    /// The last answer that was taken up.
-    #[prost(uint64, tag = "2")]
-    pub acknowledged: u64,
-    /// What is held of this lender: all of it, in the reports on a connection until one is answered.
-    #[prost(message, repeated, tag = "3")]
-    pub leases: Vec<Lease>,
-    /// Whether `held` is told.
-    #[prost(bool, tag = "4")]
-    pub full: bool,
-    /// What each tenant asks of late; tenants that ask nothing are left out.
-    #[prost(message, repeated, tag = "5")]
-    pub demand: Vec<Demand>,
-    /// The door stops, and spends nothing more.
-    #[prost(bool, tag = "6")]
-    pub release: bool,
-    /// The life of the lender whose answers `confirmed` numbers; nought before the first on a connection.
-    #[prost(fixed32, tag = "7")]
-    pub server_incarnation: u32,
-}
-
-/// A lender's answer.
-#[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct LeaseGrant {
-    /// Number of this answer, rising over all doors and connections of one life of a lender.
-    #[prost(uint64, tag = "1")]
-    pub sequence: u64,
-    /// The report that is answered: the loans last from when it was sent.
-    #[prost(uint64, tag = "2")]
-    pub request: u64,
-    /// Loans that have changed since the answer that was confirmed.
-    #[prost(message, repeated, tag = "3")]
-    pub leases: Vec<Lease>,
-    /// Doors that are known: a part of what is lent to nobody in particular falls to each.
-    #[prost(uint32, tag = "4")]
-    pub client_count: u32,
-    /// The life of the door that is meant.
-    #[prost(uint64, tag = "5")]
-    pub client_incarnation: u64,
-    /// The life of the lender; nought where the report that is answered names it.
-    #[prost(fixed32, tag = "6")]
-    pub server_incarnation: u32,
+/// Whether a lease server may answer proxies. `last_contact` is the latest moment, by its own clock, at which it is known to have been a
+/// member that had applied all committed entries.
+pub fn membership_lease_valid(now: Millis, last_contact: Millis) -> bool {
+    now - last_contact < MEMBERSHIP_LEASE
 }
--- /dev/null
+++ b/crates/quota-lease/src/server/mod.rs
@@ -0,0 +1,318 @@
+//! The lease server of a controller: leases shares of its slots of every quota to clients (proxies).
+//!
+//! It keeps the server's half of the invariant in the crate's docs: for each tenant, the upper bounds of all leases add up to the limit
+//! at most, except for a while after the limit has shrunk, in which nothing is increased.
+
+mod client_record;
+mod rebalance;
+
+use crate::*;
+use client_record::{ClientRecord, OutstandingLease};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Clients of one server. A client beyond that is granted nothing until another one has expired.
+const MAX_CLIENTS: usize = 2048;
+
+/// Leases to be granted, by name of the client.
+type ChangedLeases = BTreeMap<String, Vec<Lease>>;
+
+/// The sender of a request.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientId<'a> {
+    /// Name of the proxy.
+    pub name: &'a str,
+    /// Incarnation of the proxy: another one for each start of its process.
+    pub incarnation: u64,
+    /// Number of its connection to this incarnation of the server: later connections have higher numbers.
+    pub connection: u64,
+}
+
+/// What a server does not know after a restart: leases by its earlier incarnations.
+#[derive(Clone, Debug)]
+struct Recovery {
+    /// Clients that may have leases by earlier incarnations and have not sent a request yet.
+    known_clients: BTreeSet<String>,
+    /// Whether there may be others than those.
+    unknown_clients: bool,
+    /// When every earlier lease has expired.
+    ends_at: Millis,
+    /// Whether it was still going on when the last request was handled.
+    was_active: bool,
+}
+
+impl Recovery {
+    fn is_active(&self, now: Millis) -> bool {
+        now < self.ends_at && (self.unknown_clients || !self.known_clients.is_empty())
+    }
+}
+
+/// Leases parts of one controller's slots of every quota.
+#[derive(Clone, Debug)]
+pub struct LeaseServer {
+    incarnation: u32,
+    /// Sequence number of the last grant to any client.
+    last_grant: u64,
+    /// What this server may lease of each quota, in ppm.
+    limit: u32,
+    clients: BTreeMap<String, ClientRecord>,
+    recovery: Recovery,
+}
+
+impl LeaseServer {
+    /// A server that may lease `limit` ppm of every quota. `incarnation` is never zero and differs from those of earlier
+    /// starts. `leased_to` are the clients that earlier incarnations have leased to, `None` if that is not known; the last of these
+    /// incarnations ended before `now`.
+    pub fn new(
+        now: Millis,
+        incarnation: u32,
+        limit: u32,
+        leased_to: Option<BTreeSet<String>>,
+    ) -> LeaseServer {
+        LeaseServer {
+            incarnation,
+            last_grant: 0,
+            limit,
+            clients: BTreeMap::new(),
+            recovery: Recovery {
+                unknown_clients: leased_to.is_none(),
+                known_clients: leased_to.unwrap_or_default(),
+                ends_at: now + LEASE_DURATION + CLOCK_SKEW,
+                was_active: true,
+            },
+        }
+    }
+
+    /// Changes what may be leased, in ppm. A higher limit takes effect with the next requests. If it is lower, every lease shrinks in
+    /// proportion at once, and the returned grants (by name of the client) say so. No later grant renews a lease above that.
+    pub fn set_limit(&mut self, limit: u32) -> Vec<(String, LeaseGrant)> {
+        let previous = std::mem::replace(&mut self.limit, limit);
+        if limit > previous {
+            self.rebalance_all_with_next_requests();
+        }
+        if limit >= previous {
+            return Vec::new();
+        }
+        self.shrink_leases(previous)
+    }
+
+    /// This server's incarnation.
+    pub fn life(&self) -> u32 {
+        self.incarnation
+    }
+
+    /// What may be leased of every quota, in ppm.
+    pub fn limit(&self) -> u32 {
+        self.limit
+    }
+
+    /// Whether a client of this name may have a lease: by this incarnation, or by an earlier one that has recorded its name.
+    pub fn may_hold_lease(&self, now: Millis, name: &str) -> bool {
+        let by_earlier_incarnation =
+            now < self.recovery.ends_at && self.recovery.known_clients.contains(name);
+        by_earlier_incarnation
+            || self
+                .clients
+                .get(name)
+                .is_some_and(|record| now < record.expires_at)
+    }
+
+    /// Whether leases by earlier incarnations may still be outstanding.
+    pub fn recovering(&self, now: Millis) -> bool {
+        self.recovery.is_active(now)
+    }
+
+    /// Handles a request; `tenants` are all that have a quota. Returns grants by name of the client. The first one answers the request;
+    /// the others decrease leases of clients because this one is starved, or increase them by what it gave back. A stale request is
+    /// ignored, and a release is not answered.
+    pub fn handle_request<'a>(
+        &mut self,
+        now: Millis,
+        client: ClientId<'_>,
+        request: &LeaseRequest,
+        tenants: impl Iterator<Item = &'a str>,
+    ) -> Vec<(String, LeaseGrant)> {
+        self.expire_clients(now);
+        if self.is_stale(client, request) {
+            return Vec::new();
+        }
+        if request.release {
+            self.release(client.name);
+            return Vec::new();
+        }
+        if !self.knows_incarnation(client) {
+            if self.is_full_for(client.name) {
+                return vec![(client.name.to_owned(), self.reject(client, request))];
+            }
+            self.register(now, client, request);
+        }
+        self.recovery.known_clients.remove(client.name);
+        let Some(record) = self.clients.get_mut(client.name) else {
+            return Vec::new();
+        };
+        let effect = record.record_request(now, client.connection, request, self.incarnation);
+        self.update_recovery(now);
+        let changed = self.rebalance_tenants(now, client.name, &effect, tenants);
+        self.build_grants(client.name, request.full, changed)
+    }
+
+    /// Upper bound of what is leased of a tenant's quota, in ppm, as of the last request.
+    pub fn outstanding(&self, tenant: &str) -> u32 {
+        self.clients
+            .values()
+            .filter_map(|record| Some(record.leases.get(tenant)?.upper_bound_ppm))
+            .sum()
+    }
+
+    /// Upper bound of what is leased of a tenant's quota, in ppm, without leases that have expired by `now`.
+    pub fn outstanding_at(&self, now: Millis, tenant: &str) -> u32 {
+        self.clients
+            .values()
+            .filter(|record| now < record.expires_at)
+            .filter_map(|record| Some(record.leases.get(tenant)?.upper_bound_ppm))
+            .sum()
+    }
+
+    /// Shrinks every lease in proportion to the limits, and builds a grant for each client.
+    fn shrink_leases(&mut self, previous_limit: u32) -> Vec<(String, LeaseGrant)> {
+        let limit = u64::from(self.limit);
+        let client_count = self.clients.len() as u32;
+        let mut grants = Vec::new();
+        for (name, record) in &mut self.clients {
+            self.last_grant += 1;
+            let mut leases = Vec::new();
+            for (tenant, lease) in &mut record.leases {
+                lease.granted_ppm =
+                    (u64::from(lease.granted_ppm) * limit / u64::from(previous_limit)) as u32;
+                lease.grant_sequence = self.last_grant;
+                leases.push(Lease {
+                    tenant: tenant.clone(),
+                    ppm: lease.granted_ppm,
+                });
+            }
+            let grant = LeaseGrant {
+                sequence: self.last_grant,
+                request: record.last_request,
+                leases,
+                client_count,
+                client_incarnation: record.incarnation,
+                server_incarnation: self.incarnation,
+            };
+            grants.push((name.clone(), grant));
+        }
+        grants
+    }
+
+    /// There is more to lease than before: all tenants are rebalanced with the next request of every client.
+    fn rebalance_all_with_next_requests(&mut self) {
+        self.clients
+            .values_mut()
+            .for_each(|record| record.rebalanced_among = 0);
+    }
+
+    fn expire_clients(&mut self, now: Millis) {
+        self.clients.retain(|_, record| now < record.expires_at);
+    }
+
+    fn is_stale(&self, client: ClientId<'_>, request: &LeaseRequest) -> bool {
+        self.clients
+            .get(client.name)
+            .is_some_and(|record| record.is_stale(client, request))
+    }
+
+    /// A client that shuts down has no leases any more.
+    fn release(&mut self, name: &str) {
+        self.clients.remove(name);
+        self.recovery.known_clients.remove(name);
+    }
+
+    fn knows_incarnation(&self, client: ClientId<'_>) -> bool {
+        self.clients
+            .get(client.name)
+            .is_some_and(|record| record.incarnation == client.incarnation)
+    }
+
+    fn is_full_for(&self, name: &str) -> bool {
+        self.clients.len() >= MAX_CLIENTS && !self.clients.contains_key(name)
+    }
+
+    /// A grant of nothing, for a client beyond [`MAX_CLIENTS`].
+    fn reject(&mut self, client: ClientId<'_>, request: &LeaseRequest) -> LeaseGrant {
+        self.last_grant += 1;
+        LeaseGrant {
+            sequence: self.last_grant,
+            request: request.sequence,
+            client_incarnation: client.incarnation,
+            server_incarnation: self.incarnation,
+            ..LeaseGrant::default()
+        }
+    }
+
+    /// Registers a new incarnation of a client. The leases of the previous one have ended with it; those that the client reports are
+    /// confirmed as far as they fit into the limit.
+    fn register(&mut self, now: Millis, client: ClientId<'_>, request: &LeaseRequest) {
+        let previous = self.clients.remove(client.name);
+        let mut record = ClientRecord::new(now, client, previous);
+        for lease in request.leases.iter().filter(|_| request.full) {
+            // The request may have been on its way for long: what has expired meanwhile may be leased to others.
+            let available = self.limit.saturating_sub(self.outstanding(&lease.tenant));
+            let ppm = lease.ppm.min(available);
+            record.leases.insert(
+                lease.tenant.clone(),
+                OutstandingLease {
+                    granted_ppm: ppm,
+                    upper_bound_ppm: ppm,
+                    grant_sequence: 0,
+                },
+            );
+        }
+        self.clients.insert(client.name.to_owned(), record);
+    }
+
+    /// Once the server has recovered, all tenants are rebalanced.
+    fn update_recovery(&mut self, now: Millis) {
+        let is_active = self.recovery.is_active(now);
+        let was_active = std::mem::replace(&mut self.recovery.was_active, is_active);
+        if was_active && !is_active {
+            self.rebalance_all_with_next_requests();
+        }
+    }
+
+    /// Builds the grants for a request by `requester`: its answer first, also if nothing has changed, then grants for every other client
+    /// whose leases have changed. `full` repeats all leases of the requester; otherwise only unacknowledged ones are repeated.
+    fn build_grants(
+        &mut self,
+        requester: &str,
+        full: bool,
+        changed: ChangedLeases,
+    ) -> Vec<(String, LeaseGrant)> {
+        let client_count = self.clients.len() as u32;
+        let mut grants = Vec::new();
+        for (name, changed_leases) in changed {
+            let Some(record) = self.clients.get_mut(&name) else {
+                continue;
+            };
+            let is_requester = name == requester;
+            let mut shares = if is_requester {
+                record.leases_to_repeat(full)
+            } else {
+                BTreeMap::new()
+            };
+            shares.extend(
+                changed_leases
+                    .into_iter()
+                    .map(|lease| (lease.tenant, lease.ppm)),
+            );
+            if shares.is_empty() && !is_requester {
+                continue;
+            }
+            self.last_grant += 1;
+            let grant = record.build_grant(self.last_grant, self.incarnation, client_count, shares);
+            if is_requester {
+                grants.insert(0, (name, grant));
+            } else {
+                grants.push((name, grant));
+            }
+        }
+        grants
+    }
+}
--- /dev/null
+++ b/crates/quota-lease/tests/server.rs
@@ -0,0 +1,433 @@
+//! A lease server with clients that join one after the other, report demand, restart and reconnect.
+
+use maplefall_quota_lease::{
+    ClientId, Demand, Lease, LeaseClient, LeaseGrant, LeaseRequest, LeaseServer, CLOCK_SKEW,
+    LEASE_DURATION, WHOLE_QUOTA_PPM,
+};
+use std::collections::{BTreeMap, BTreeSet};
+
+struct Fixture {
+    tenants: Vec<&'static str>,
+    server: LeaseServer,
+    clients: BTreeMap<String, (u64, LeaseClient)>,
+    now: f64,
+}
+
+impl Fixture {
+    fn new() -> Fixture {
+        let server = LeaseServer::new(0.0, 1, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+        Fixture {
+            tenants: vec!["t"],
+            server,
+            clients: BTreeMap::new(),
+            now: 0.0,
+        }
+    }
+
+    /// A client sends a request, and all grants and acknowledgements that follow are delivered.
+    fn request(&mut self, name: &str, incarnation: u64, rps: f64, starved: bool) {
+        let is_known = self
+            .clients
+            .get(name)
+            .is_some_and(|(known, _)| *known == incarnation);
+        if !is_known {
+            let mut client = LeaseClient::new(incarnation);
+            client.connected("server");
+            self.clients.insert(name.to_owned(), (incarnation, client));
+        }
+        let mut pending = vec![(name.to_owned(), rps, starved)];
+        while let Some((name, rps, starved)) = pending.pop() {
+            let Some((incarnation, client)) = self.clients.get_mut(&name) else {
+                continue;
+            };
+            let tenant_demand = Demand {
+                tenant: "t".into(),
+                milli_rps: (rps * 1000.0) as u32,
+                starved,
+            };
+            let demand = if rps > 0.0 {
+                vec![tenant_demand]
+            } else {
+                Vec::new()
+            };
+            let request = client.next_request(self.now, "server", demand);
+            let client_id = ClientId {
+                name: &name,
+                incarnation: *incarnation,
+                connection: *incarnation,
+            };
+            for (to, grant) in self.server.handle_request(
+                self.now,
+                client_id,
+                &request,
+                self.tenants.iter().copied(),
+            ) {
+                let Some((_, client)) = self.clients.get_mut(&to) else {
+                    continue;
+                };
+                let effect = client.handle_grant(self.now, "server", &grant);
+                if effect.decreased {
+                    pending.push((to, 0.0, false));
+                }
+            }
+        }
+    }
+
+    fn fraction(&self, name: &str) -> f64 {
+        self.clients
+            .get(name)
+            .map_or(0.0, |(_, client)| client.fraction(self.now, "t"))
+    }
+}
+
+/// Guards the first seconds: the first client has leased everything before the others join, and they must get their share of it.
+#[test]
+fn clients_that_join_one_by_one_end_with_even_shares() {
+    let mut fixture = Fixture::new();
+    for _ in 0..4 {
+        for name in ["a", "b", "c", "d"] {
+            fixture.now += 100.0;
+            fixture.request(name, 1, 0.0, false);
+        }
+    }
+    for name in ["a", "b", "c", "d"] {
+        let fraction = fixture.fraction(name);
+        assert!((fraction - 0.25).abs() < 0.03, "{name} has {fraction}");
+    }
+}
+
+/// Guards tenants that are configured after the clients have joined: each client has a share before there is any demand.
+#[test]
+fn tenants_added_later_are_leased_to_all_clients() {
+    let mut fixture = Fixture::new();
+    fixture.tenants.clear();
+    for round in 0..8 {
+        if round == 4 {
+            fixture.tenants.push("t");
+        }
+        for name in ["a", "b", "c", "d"] {
+            fixture.now += 100.0;
+            fixture.request(name, 1, 0.0, false);
+        }
+    }
+    for name in ["a", "b", "c", "d"] {
+        let fraction = fixture.fraction(name);
+        assert!((fraction - 0.25).abs() < 0.03, "{name} has {fraction}");
+    }
+}
+
+/// Guards tenants whose requests all reach one client: once it is starved it gets the unused shares of the others at once.
+#[test]
+fn a_starved_client_gets_unused_shares_at_once() {
+    let mut fixture = Fixture::new();
+    for _ in 0..4 {
+        for name in ["a", "b", "c", "d"] {
+            fixture.request(name, 1, 0.0, false);
+        }
+    }
+    fixture.now += 10.0;
+    fixture.request("a", 1, 30.0, true);
+    assert!(fixture.fraction("a") > 0.7, "{}", fixture.fraction("a"));
+    // A client that is not starved takes nothing from the others.
+    fixture.request("b", 1, 30.0, false);
+    assert!(fixture.fraction("b") < 0.3, "{}", fixture.fraction("b"));
+}
+
+/// Guards restarts: a new incarnation keeps its share before it can have measured any demand.
+#[test]
+fn a_new_incarnation_inherits_the_demand_of_the_previous_one() {
+    let mut fixture = Fixture::new();
+    for _ in 0..6 {
+        fixture.now += 100.0;
+        fixture.request("a", 1, 30.0, true);
+        fixture.request("b", 1, 0.0, false);
+    }
+    assert!(fixture.fraction("a") > 0.8);
+    fixture.now += 1000.0;
+    fixture.request("a", 2, 0.0, false);
+    assert!(fixture.fraction("a") > 0.8, "{}", fixture.fraction("a"));
+    assert!(fixture.server.outstanding("t") <= WHOLE_QUOTA_PPM);
+}
+
+/// Guards tenants with few requests and many clients: which client gets the next request is chance, so a client without recent demand
+/// keeps more than half of an even share, however starved others are; with a quarter its token bucket has no whole token.
+#[test]
+fn clients_with_little_demand_keep_most_of_an_even_share() {
+    let mut fixture = Fixture::new();
+    let names: Vec<String> = (0..27).map(|index| format!("client-{index}")).collect();
+    // 20 requests per second in all: each client in turn has three times an even share of them, an even share, and none.
+    for round in 0..60 {
+        for (index, name) in names.iter().enumerate() {
+            fixture.now += 20.0;
+            let rps = [2.2, 0.74, 0.0][(index + round) % 3];
+            fixture.request(name, 1, rps, rps > 1.0);
+        }
+        let even_share = 1.0 / names.len() as f64;
+        if round > 1 {
+            for name in &names {
+                let fraction = fixture.fraction(name);
+                assert!(
+                    fraction > 0.5 * even_share,
+                    "round {round}: {name} has {fraction} of {even_share}"
+                );
+            }
+        }
+    }
+}
+
+/// Guards the purpose of leases: a tenant with high demand at one client has most of its quota there, even among many clients.
+#[test]
+fn a_client_with_high_demand_gets_most_of_the_quota() {
+    let mut fixture = Fixture::new();
+    let names: Vec<String> = (0..27).map(|index| format!("client-{index}")).collect();
+    for _ in 0..20 {
+        for (index, name) in names.iter().enumerate() {
+            fixture.now += 20.0;
+            let rps = if index == 3 { 200.0 } else { 0.0 };
+            fixture.request(name, 1, rps, index == 3);
+        }
+    }
+    // Its target is 0.67, and a change of less than a twelfth of the lease is not granted.
+    assert!(
+        fixture.fraction("client-3") > 0.6,
+        "{}",
+        fixture.fraction("client-3")
+    );
+}
+
+fn client_id(name: &str, incarnation: u64, connection: u64) -> ClientId<'_> {
+    ClientId {
+        name,
+        incarnation,
+        connection,
+    }
+}
+
+fn granted_ppm(grants: &[(String, LeaseGrant)], to: &str) -> Vec<u32> {
+    let own = grants.iter().filter(|(name, _)| name == to);
+    own.flat_map(|(_, grant)| &grant.leases)
+        .map(|lease| lease.ppm)
+        .collect()
+}
+
+/// Guards a controller that was frozen: it may read requests of an earlier incarnation of a client after those of the present one.
+#[test]
+fn requests_of_an_earlier_incarnation_or_connection_are_ignored() {
+    let mut server = LeaseServer::new(0.0, 9, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+    let (mut old, mut new) = (LeaseClient::new(1), LeaseClient::new(2));
+    old.connected("x");
+    new.connected("x");
+    let request = new.next_request(0.0, "x", Vec::new());
+    assert_eq!(
+        granted_ppm(
+            &server.handle_request(0.0, client_id("a", 2, 5), &request, ["t"].into_iter()),
+            "a"
+        ),
+        [WHOLE_QUOTA_PPM]
+    );
+    let stale = old.next_request(0.0, "x", Vec::new());
+    let stale_release = LeaseRequest {
+        release: true,
+        ..old.next_request(0.0, "x", Vec::new())
+    };
+    for request in [&stale, &stale_release] {
+        assert!(server
+            .handle_request(1.0, client_id("a", 1, 4), request, ["t"].into_iter())
+            .is_empty());
+        assert_eq!(server.outstanding("t"), WHOLE_QUOTA_PPM);
+    }
+    // Neither on the same connection, nor with an older sequence number of the same incarnation on another one.
+    assert!(server
+        .handle_request(1.0, client_id("a", 1, 5), &stale, ["t"].into_iter())
+        .is_empty());
+    assert!(server
+        .handle_request(1.0, client_id("a", 2, 6), &request, ["t"].into_iter())
+        .is_empty());
+    assert_eq!(server.outstanding("t"), WHOLE_QUOTA_PPM);
+    // A later incarnation on a later connection proves that the previous one has ended.
+    let request = LeaseClient::new(3).next_request(2.0, "x", Vec::new());
+    server.handle_request(2.0, client_id("a", 3, 6), &request, ["t"].into_iter());
+    assert_eq!(server.outstanding("t"), WHOLE_QUOTA_PPM);
+}
+
+/// Guards a client against grants by another incarnation of a server, and against grants that are older than the last one applied.
+#[test]
+fn a_grant_of_another_incarnation_or_an_older_one_is_ignored() {
+    let mut client = LeaseClient::new(1);
+    client.connected("x");
+    let request = client.next_request(0.0, "x", Vec::new()).sequence;
+    let grant = |server: u32, sequence: u64, request: u64, ppm: u32| LeaseGrant {
+        sequence,
+        request,
+        leases: vec![Lease {
+            tenant: "t".into(),
+            ppm,
+        }],
+        client_count: 1,
+        client_incarnation: 1,
+        server_incarnation: server,
+    };
+    client.handle_grant(1.0, "x", &grant(7, 4, request, WHOLE_QUOTA_PPM / 2));
+    client.handle_grant(1.0, "x", &grant(8, 5, request, WHOLE_QUOTA_PPM));
+    client.handle_grant(1.0, "x", &grant(7, 4, request, WHOLE_QUOTA_PPM));
+    client.handle_grant(1.0, "x", &grant(7, 3, request, WHOLE_QUOTA_PPM));
+    assert!((client.fraction(1.0, "t") - 0.5).abs() < 1e-9);
+    // A request names the incarnation whose grants it acknowledges. On a new connection it lists all leases until it is answered.
+    let request = client.next_request(1.0, "x", Vec::new());
+    assert_eq!(
+        (
+            request.server_incarnation,
+            request.acknowledged,
+            request.full
+        ),
+        (7, 4, false)
+    );
+    client.connected("x");
+    client.handle_grant(2.0, "x", &grant(7, 9, request.sequence, WHOLE_QUOTA_PPM));
+    assert!((client.fraction(2.0, "t") - 0.5).abs() < 1e-9);
+    for _ in 0..2 {
+        let request = client.next_request(2.0, "x", Vec::new());
+        assert_eq!(
+            (
+                request.server_incarnation,
+                request.acknowledged,
+                request.full,
+                request.leases.len()
+            ),
+            (0, 0, true, 1)
+        );
+    }
+}
+
+/// Guards servers that have restarted: the sequence number of an earlier incarnation's grant acknowledges nothing of this one's.
+#[test]
+fn an_acknowledgement_of_another_incarnation_is_ignored() {
+    let mut server = LeaseServer::new(0.0, 9, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+    let request = LeaseRequest {
+        sequence: 1,
+        full: true,
+        ..LeaseRequest::default()
+    };
+    server.handle_request(0.0, client_id("a", 1, 1), &request, ["t"].into_iter());
+    let demand = vec![Demand {
+        tenant: "t".into(),
+        milli_rps: 9000,
+        starved: true,
+    }];
+    let request = LeaseRequest {
+        sequence: 1,
+        full: true,
+        demand,
+        ..LeaseRequest::default()
+    };
+    let grants = server.handle_request(0.0, client_id("b", 1, 2), &request, ["t"].into_iter());
+    assert!(
+        granted_ppm(&grants, "a")[0] < WHOLE_QUOTA_PPM
+            && granted_ppm(&grants, "b").iter().sum::<u32>() == 0
+    );
+    for (incarnation, expect_increase) in [(8, false), (9, true)] {
+        let request = LeaseRequest {
+            sequence: u64::from(incarnation),
+            acknowledged: 1000,
+            server_incarnation: incarnation,
+            ..LeaseRequest::default()
+        };
+        let grants = server.handle_request(1.0, client_id("a", 1, 1), &request, ["t"].into_iter());
+        assert_eq!(
+            granted_ppm(&grants, "b").iter().sum::<u32>() > 0,
+            expect_increase,
+            "{grants:?}"
+        );
+    }
+}
+
+/// Guards slots that go to another owner: all leases shrink at once, whatever the demand, and nobody's lease grows again before the
+/// decrease has been acknowledged.
+#[test]
+fn a_lower_limit_shrinks_all_leases_at_once() {
+    let mut server = LeaseServer::new(0.0, 9, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+    let mut clients: Vec<LeaseClient> = (0..4).map(|_| LeaseClient::new(1)).collect();
+    let names = ["a", "b", "c", "d"];
+    let mut now = 0.0;
+    // No demand at first, so all have even shares; then one client could use the whole quota.
+    let demand_of = |index: usize, now: f64| match index {
+        0 if now > 600.0 => vec![Demand {
+            tenant: "t".into(),
+            milli_rps: 50_000,
+            starved: true,
+        }],
+        _ => Vec::new(),
+    };
+    clients.iter_mut().for_each(|client| client.connected("x"));
+    let round = |server: &mut LeaseServer,
+                 clients: &mut Vec<LeaseClient>,
+                 unreachable: Option<usize>,
+                 now: f64| {
+        for index in 0..4 {
+            let request = clients[index].next_request(now, "x", demand_of(index, now));
+            for (to, grant) in server.handle_request(
+                now,
+                client_id(names[index], 1, 1),
+                &request,
+                ["t"].into_iter(),
+            ) {
+                let to = names.iter().position(|name| *name == to).expect("a client");
+                if unreachable != Some(to) {
+                    clients[to].handle_grant(now, "x", &grant);
+                }
+            }
+        }
+    };
+    for _ in 0..6 {
+        now += 100.0;
+        round(&mut server, &mut clients, None, now);
+    }
+    assert!(
+        server.outstanding("t") <= WHOLE_QUOTA_PPM
+            && server.outstanding("t") > WHOLE_QUOTA_PPM * 9 / 10
+    );
+    let even_share = clients[0].fraction(now, "t");
+    assert!((even_share - 0.25).abs() < 0.03, "{even_share}");
+    let grants = server.set_limit(WHOLE_QUOTA_PPM / 5);
+    let sum: u32 = names
+        .iter()
+        .flat_map(|name| granted_ppm(&grants, name))
+        .sum();
+    assert!(
+        grants.len() == 4 && sum <= WHOLE_QUOTA_PPM / 5,
+        "{grants:?}"
+    );
+    // None of these grants reaches one of the clients; the others go on.
+    for _ in 0..8 {
+        now += 100.0;
+        round(&mut server, &mut clients, Some(1), now);
+        let connected_sum: f64 = [0, 2, 3]
+            .iter()
+            .map(|index: &usize| clients[*index].fraction(now, "t"))
+            .sum();
+        assert!(connected_sum <= 0.2 + 1e-6, "{connected_sum}");
+    }
+    now += LEASE_DURATION + CLOCK_SKEW;
+    round(&mut server, &mut clients, None, now);
+    round(&mut server, &mut clients, None, now + 100.0);
+    let total: f64 = clients
+        .iter()
+        .map(|client| client.fraction(now + 100.0, "t"))
+        .sum();
+    assert!(
+        total <= 0.2 + 1e-6 && server.outstanding("t") <= WHOLE_QUOTA_PPM / 5,
+        "{total}"
+    );
+    // The controller has lost all its slots: nothing is left.
+    server.set_limit(0);
+    round(&mut server, &mut clients, None, now + 200.0);
+    round(&mut server, &mut clients, None, now + 300.0);
+    assert_eq!(
+        clients
+            .iter()
+            .map(|client| client.fraction(now + 300.0, "t"))
+            .sum::<f64>(),
+        0.0
+    );
+    assert_eq!(server.outstanding("t"), 0);
+}
--- a/crates/quota-lease/tests/slots.rs
+++ b/crates/quota-lease/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Who owns which slot, over any sequence of members.
+//! Owners of slots and takeover delays, over any sequence of member sets.
 
 use maplefall_quota_lease::{
     membership_lease_valid, OwnedSlots, Slot, SlotEvent, Slots, CLOCK_SKEW, LEASE_DURATION,
@@ -23,92 +23,92 @@
 }
 
 quickcheck! {
-    /// Guards the whole: whatever the members were, each slot has one owner at most, who is a member; nobody who stays loses one; a
-    /// member goes without only where none is free; the parts of all owners are the whole at most; and two exchanges
-    /// that follow the same entries, one of them from a snapshot, agree.
-    fn slots_follow_from_the_members(first: u8, losses: u8, changes: Vec<u8>, folded: usize) -> bool {
+    /// Guards the quota's total: whatever the members were, a slot has at most one owner, which is a member; no member that stays loses its
+    /// slot; a member has none only where no slot is free; the slots of all owners add up to the whole quota at most; and two controllers
+    /// that apply the same entries, one of them from a snapshot, compute the same.
+    fn owners_are_a_function_of_the_member_sets(first: u8, losses: u8, changes: Vec<u8>, snapshot_at: usize) -> bool {
         let first = members(first);
         let mut slots = Slots::initial(&first, u32::from(losses % 4), 0, false);
-        let mut other = None;
+        let mut from_snapshot = None;
         let count = slots.all.len();
         for (index, bits) in changes.iter().enumerate() {
-            let now = members(*bits);
-            let before = slots.clone();
-            slots.reassign(&now, index as u64 + 1);
-            let again = other.get_or_insert_with(|| before.clone());
-            if index == folded % (changes.len() + 1) {
-                *again = before.clone();
+            let current = members(*bits);
+            let previous = slots.clone();
+            slots.reassign(&current, index as u64 + 1);
+            let replica = from_snapshot.get_or_insert_with(|| previous.clone());
+            if index == snapshot_at % (changes.len() + 1) {
+                *replica = previous.clone();
             }
-            again.reassign(&now, index as u64 + 1);
-            let kept = |old: &Slot, new: &Slot| !now.contains(&old.owner) || old == new;
-            let stays = before.all.iter().zip(&slots.all).all(|(old, new)| kept(old, new));
-            let changed = before.all.iter().zip(&slots.all).filter(|(old, new)| old.owner != new.owner);
-            // A slot that was anybody's is never taken for a new one.
-            let marked = changed.clone().all(|(old, new)| old.owner.is_empty() || new.used);
-            let all_members = slots.all.iter().all(|slot| slot.owner.is_empty() || now.contains(&slot.owner));
-            let free = slots.all.iter().any(|slot| slot.owner.is_empty());
-            let without = now.iter().any(|member| slots.owned_by(member).next().is_none());
-            let sum: u32 = now.iter().map(|member| slots.slot_ppm() * slots.owned_by(member).count() as u32).sum();
-            let good = stays && marked && all_members && !(free && without) && sum <= WHOLE_QUOTA_PPM;
-            if !good || *again != slots || slots.all.len() != count {
+            replica.reassign(&current, index as u64 + 1);
+            let is_kept = |old: &Slot, new: &Slot| !current.contains(&old.owner) || old == new;
+            let all_kept = previous.all.iter().zip(&slots.all).all(|(old, new)| is_kept(old, new));
+            let changed = previous.all.iter().zip(&slots.all).filter(|(old, new)| old.owner != new.owner);
+            // A slot that was owned once never counts as unused again.
+            let marked_used = changed.clone().all(|(old, new)| old.owner.is_empty() || new.used);
+            let owners_are_members = slots.all.iter().all(|slot| slot.owner.is_empty() || current.contains(&slot.owner));
+            let any_free = slots.all.iter().any(|slot| slot.owner.is_empty());
+            let any_without_slot = current.iter().any(|member| slots.owned_by(member).next().is_none());
+            let sum: u32 = current.iter().map(|member| slots.slot_ppm() * slots.owned_by(member).count() as u32).sum();
+            let valid = all_kept && marked_used && owners_are_members && !(any_free && any_without_slot) && sum <= WHOLE_QUOTA_PPM;
+            if !valid || *replica != slots || slots.all.len() != count {
                 return false;
             }
         }
         true
     }
 
-    /// Guards every moment: over any sequence of members, with each exchange hearing of it when it does and starting anew in between,
-    /// no slot is lent by two at a time, if whoever does not hear stops as its lease says and its loans run out.
-    fn no_slot_is_lent_twice(losses: u8, steps: Vec<(u8, u16, u8)>) -> bool {
+    /// Guards every moment: over any sequence of members, of which each controller learns when it is connected, no slot is leased by two
+    /// controllers at a time, if a partitioned one stops when its membership lease ends and its leases expire.
+    fn no_slot_is_leased_by_two_controllers(losses: u8, steps: Vec<(u8, u16, u8)>) -> bool {
         let first = members(0b111);
         let mut log = vec![first.clone()];
-        let fold = |log: &[BTreeSet<String>]| {
+        let apply_all = |log: &[BTreeSet<String>]| {
             let mut slots = Slots::initial(&log[0], u32::from(losses % 3), 0, false);
             for (index, members) in log.iter().enumerate().skip(1) {
                 slots.reassign(members, index as u64);
             }
             slots
         };
-        let names: Vec<String> = (0..8).map(|n| format!("10.0.0.{n}")).collect();
-        // Each with how many entries it knows, and when it was last in touch.
-        let mut all: Vec<(OwnedSlots, usize, f64)> = names
+        let names: Vec<String> = (0..8).map(|controller| format!("10.0.0.{controller}")).collect();
+        // Each with the number of entries it has applied and the time of its last contact.
+        let mut controllers: Vec<(OwnedSlots, usize, f64)> = names
             .iter()
-            .map(|name| (OwnedSlots::new(0.0, name, fold(&log), BTreeSet::new()).0, 1, 0.0))
+            .map(|name| (OwnedSlots::new(0.0, name, apply_all(&log), BTreeSet::new()).0, 1, 0.0))
             .collect();
-        // What was lent of each slot, by the entry and place that tell it, until when.
-        let mut out: BTreeMap<(usize, String), f64> = BTreeMap::new();
+        // When the leases of each slot by each controller expire.
+        let mut leases: BTreeMap<(usize, String), f64> = BTreeMap::new();
         let mut now = 0.0;
-        for (bits, wait, cut) in steps {
-            now += f64::from(wait % 16_384);
-            let next = members(bits | 1);
-            if next != *log.last().unwrap_or(&first) {
-                log.push(next);
+        for (members_bits, elapsed, partitioned) in steps {
+            now += f64::from(elapsed % 16_384);
+            let next_members = members(members_bits | 1);
+            if next_members != *log.last().unwrap_or(&first) {
+                log.push(next_members);
             }
-            for (n, (shares, known, contact)) in all.iter_mut().enumerate() {
-                if cut & (1 << n) == 0 {
-                    for (index, members) in log.iter().enumerate().skip(*known) {
-                        shares.members_changed(now, members, index as u64);
+            for (controller, (owned, applied, contact)) in controllers.iter_mut().enumerate() {
+                if partitioned & (1 << controller) == 0 {
+                    for (index, members) in log.iter().enumerate().skip(*applied) {
+                        owned.members_changed(now, members, index as u64);
                     }
-                    *known = log.len();
+                    *applied = log.len();
                     *contact = now;
                 }
-                shares.tick(now);
-                if !membership_lease_valid(now, *contact) || shares.limit() == 0 {
+                owned.tick(now);
+                if !membership_lease_valid(now, *contact) || owned.limit() == 0 {
                     continue;
                 }
-                let part = shares.slots().slot_ppm();
-                // As many as it may lend: those it owned from the first, or all.
-                let mine: Vec<usize> =
-                    (0..shares.slots().all.len()).filter(|at| shares.slots().all[*at].owner == names[n]).collect();
-                if shares.limit() != part * mine.len() as u32 {
+                let slot_size = owned.slots().slot_ppm();
+                // Either it may lease all of its slots or it is skipped: the limit does not say which slots still wait.
+                let own_slots: Vec<usize> =
+                    (0..owned.slots().all.len()).filter(|slot_index| owned.slots().all[*slot_index].owner == names[controller]).collect();
+                if owned.limit() != slot_size * own_slots.len() as u32 {
                     continue;
                 }
-                for at in mine {
-                    let others = out.iter().filter(|((slot, who), until)| *slot == at && *who != names[n] && **until > now);
-                    if others.count() > 0 {
+                for slot_index in own_slots {
+                    let other_leases = leases.iter().filter(|((slot, controller_name), until)| *slot == slot_index && *controller_name != names[controller] && **until > now);
+                    if other_leases.count() > 0 {
                         return false;
                     }
-                    out.insert((at, names[n].clone()), now + LEASE_DURATION + CLOCK_SKEW);
+                    leases.insert((slot_index, names[controller].clone()), now + LEASE_DURATION + CLOCK_SKEW);
                 }
             }
         }
@@ -116,16 +116,16 @@
     }
 }
 
-/// Guards the first start with five: the three that are told of first own one slot of five each, and nobody ever takes one back.
+/// Guards the first start with five controllers: the three seeds own one slot of five each, and keep it when the others join.
 #[test]
-fn three_that_become_five_take_nothing_back() {
+fn growing_from_three_to_five_reassigns_no_slot() {
     let mut slots = Slots::initial(&set(&["a", "b", "c"]), 2, 0, false);
     assert_eq!(owners(&slots), ["a", "b", "c", "", ""]);
     slots.reassign(&set(&["a", "b", "c", "e"]), 7);
     slots.reassign(&set(&["a", "b", "c", "d", "e"]), 9);
     assert_eq!(owners(&slots), ["a", "b", "c", "e", "d"]);
     assert!(slots.all.iter().all(|slot| !slot.used));
-    // A sixth owns none, until one goes.
+    // A sixth owns none until another one is removed.
     slots.reassign(&set(&["a", "b", "c", "d", "e", "f"]), 11);
     assert_eq!(slots.owned_by("f").count(), 0);
     slots.reassign(&set(&["a", "c", "d", "e", "f"]), 12);
@@ -133,9 +133,9 @@
     assert!(slots.all[1].used);
 }
 
-/// Guards small systems: where a first start is told of one or two, there are no more, and they lend all.
+/// Guards small systems: where the settings name one or two controllers there are no others, and these lease the whole quota.
 #[test]
-fn fewer_than_three_lend_the_whole() {
+fn fewer_than_three_controllers_own_the_whole_quota() {
     let slots = Slots::initial(&set(&["a"]), 1, 0, false);
     assert_eq!((slots.all.len(), slots.slot_ppm()), (1, WHOLE_QUOTA_PPM));
     let slots = Slots::initial(&set(&["a", "b"]), 1, 0, false);
@@ -145,31 +145,33 @@
     );
 }
 
-/// Guards replacements: who comes after another lends nothing until all that the other can have lent has run out; a start before the wait is
-/// over waits in full again, one after it does not.
+/// Guards replacements: a new owner leases nothing until every lease by the previous owner has expired. A restart within the takeover
+/// delay starts it again, a restart after it does not.
 #[test]
-fn a_new_owner_waits_and_a_later_life_knows() {
+fn a_new_owner_waits_for_the_takeover_delay_once() {
     let first = Slots::initial(&set(&["a", "b", "c"]), 1, 0, false);
-    let (mut d, turns) = OwnedSlots::new(0.0, "d", first.clone(), BTreeSet::new());
-    assert!(turns.is_empty() && d.limit() == 0);
-    let turns = d.members_changed(1000.0, &set(&["a", "c", "d"]), 5);
-    assert_eq!(turns, [SlotEvent::Waiting(5, TAKEOVER_DELAY)]);
+    let (mut d, events) = OwnedSlots::new(0.0, "d", first.clone(), BTreeSet::new());
+    assert!(events.is_empty() && d.limit() == 0);
+    let events = d.members_changed(1000.0, &set(&["a", "c", "d"]), 5);
+    assert_eq!(events, [SlotEvent::Waiting(5, TAKEOVER_DELAY)]);
     const { assert!(TAKEOVER_DELAY > LEASE_DURATION + MEMBERSHIP_LEASE) };
     assert!(d.tick(999.0 + TAKEOVER_DELAY).is_empty());
     assert_eq!(d.limit(), 0);
-    // A life that starts in the waiting time.
-    let (mut again, turns) = OwnedSlots::new(20_000.0, "d", d.slots().clone(), BTreeSet::new());
-    assert_eq!(turns, [SlotEvent::Waiting(5, TAKEOVER_DELAY)]);
-    assert!(again.tick(1001.0 + TAKEOVER_DELAY).is_empty());
+    // A restart within the takeover delay.
+    let (mut restarted, events) =
+        OwnedSlots::new(20_000.0, "d", d.slots().clone(), BTreeSet::new());
+    assert_eq!(events, [SlotEvent::Waiting(5, TAKEOVER_DELAY)]);
+    assert!(restarted.tick(1001.0 + TAKEOVER_DELAY).is_empty());
     assert_eq!(d.tick(1000.0 + TAKEOVER_DELAY), [SlotEvent::WaitOver(5)]);
     assert_eq!(d.limit(), WHOLE_QUOTA_PPM / 3);
-    // A life that starts after it, with the word of it on its disk.
-    let (later, turns) = OwnedSlots::new(0.0, "d", d.slots().clone(), BTreeSet::from([5]));
+    // A restart after it, with its end recorded on disk.
+    let (restarted_later, events) =
+        OwnedSlots::new(0.0, "d", d.slots().clone(), BTreeSet::from([5]));
     assert_eq!(
-        (turns, later.limit()),
+        (events, restarted_later.limit()),
         (vec![SlotEvent::Owned(5)], WHOLE_QUOTA_PPM / 3)
     );
-    // Who was taken out and is taken in again waits again.
+    // A member that was removed and is added again waits again.
     let mut b = OwnedSlots::new(0.0, "b", first, BTreeSet::from([0])).0;
     assert_eq!(b.limit(), WHOLE_QUOTA_PPM / 3);
     assert_eq!(
