--- a/crates/control-messages/tests/frames.rs
+++ b/crates/control-messages/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames, however they come, and what is none.
+//! Decoding of frames from any sequence of reads, and of bytes that are not frames.
 
 use bytes::{Bytes, BytesMut};
 use maplefall_control_messages::{
@@ -15,47 +15,51 @@
     })
 }
 
-/// Guards against reads that end anywhere.
+/// Guards against reads that end in the middle of a frame.
 #[test]
-fn frames_come_whole_wherever_they_are_cut() {
+fn frames_are_decoded_wherever_a_read_ends() {
     let bytes = [
         encode_frame(hello()),
         encode_frame(Frame::Ping(3)),
         encode_frame(hello()),
     ]
     .concat();
-    for cut in 0..=bytes.len() {
-        let (mut come, mut got) = (BytesMut::new(), Vec::new());
-        for part in [&bytes[..cut], &bytes[cut..]] {
-            come.extend_from_slice(part);
-            while let Some(frame) = decode_frame(&mut come).expect("frames") {
-                got.push(frame);
+    for end in 0..=bytes.len() {
+        let (mut received, mut frames) = (BytesMut::new(), Vec::new());
+        for read in [&bytes[..end], &bytes[end..]] {
+            received.extend_from_slice(read);
+            while let Some(frame) = decode_frame(&mut received).expect("frames") {
+                frames.push(frame);
             }
         }
-        assert_eq!(got, [hello(), Frame::Ping(3), hello()], "cut at {cut}");
+        assert_eq!(
+            frames,
+            [hello(), Frame::Ping(3), hello()],
+            "read up to {end}"
+        );
     }
 }
 
-/// Guards against strangers on an internal port: no panic, and no room taken for a length that is only told.
+/// Guards against other clients on an internal port: no panic, and no memory reserved for a length that is only claimed.
 #[test]
-fn what_is_no_frame_is_told() {
-    let mut long = BytesMut::from(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
+fn bytes_that_are_not_a_frame_are_rejected() {
+    let mut too_long = BytesMut::from(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
     assert_eq!(
-        decode_frame(&mut long),
+        decode_frame(&mut too_long),
         Err(FrameError::TooLong(MAX_FRAME_BYTES + 1))
     );
     assert!(matches!(
         decode_frame(&mut BytesMut::from(&b"GET / HTTP/1.1\r\n\r\n"[..])),
         Err(FrameError::TooLong(_))
     ));
-    fn survives(bytes: Vec<u8>) -> bool {
-        let mut come = BytesMut::from(Bytes::from(bytes).as_ref());
-        while let Ok(Some(_)) = decode_frame(&mut come) {}
+    fn does_not_panic(bytes: Vec<u8>) -> bool {
+        let mut received = BytesMut::from(Bytes::from(bytes).as_ref());
+        while let Ok(Some(_)) = decode_frame(&mut received) {}
         true
     }
     println!("seed 3");
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 3))
         .tests(2000)
-        .quickcheck(survives as fn(Vec<u8>) -> bool);
+        .quickcheck(does_not_panic as fn(Vec<u8>) -> bool);
 }
