--- a/crates/control-transport/src/fencing.rs
+++ b/crates/control-transport/src/fencing.rs
@@ -1,85 +1,90 @@
-//! Which link of a machine is its latest: what is left of older ones is not taken. See [`crate::liveness`] for why the order in
-//! which hellos were read is the order of the links that prove themselves.
+//! Fencing of stale connections: of several connections by one peer only the latest is used, whatever arrives late on older ones.
+//!
+//! Each connection gets a fencing token when its hello is read, and tokens rise. [`crate::liveness`] proves that a connection with a higher
+//! token that has been verified is the later one. Invariant: once a connection is admitted, nothing of one with a lower token is.
 
 use std::collections::BTreeMap;
 
-/// Whose links are remembered at most, beyond those that are up. An older link than the latest proves itself within
-/// [`crate::liveness::DEAD`] or never, so what has gone needs no memory for long.
-const MOST_GONE: usize = 16_384;
+/// Number of peers beyond which disconnected ones are forgotten. An older connection is verified within
+/// [`crate::liveness::PONG_TIMEOUT`] or never, so a disconnected peer need not be remembered for long.
+const MAX_DISCONNECTED_PEERS: usize = 16_384;
 
+/// The latest admitted connection of a peer.
 #[derive(Clone, Copy, Debug)]
-struct Latest {
-    link: u64,
-    up: bool,
+struct LatestConnection {
+    token: u64,
+    connected: bool,
 }
 
-/// Whether a link that has proven itself is taken.
+/// Whether a verified connection is to be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is, and there is no other.
+    /// Yes, and the peer has no other connection.
     New,
-    /// It is, in place of the link of this number.
+    /// Yes, in place of the connection with this token, which is to be closed.
     Replaces(u64),
-    /// A later one has been taken.
+    /// No: a later one has been admitted.
     Stale,
 }
 
-/// The latest link of each speaker.
+/// The latest connection of each peer; `K` identifies a peer.
 #[derive(Clone, Debug)]
 pub struct ConnectionFence<K> {
-    latest: BTreeMap<K, Latest>,
-    last: u64,
+    latest: BTreeMap<K, LatestConnection>,
+    last_token: u64,
 }
 
 impl<K> Default for ConnectionFence<K> {
     fn default() -> Self {
         ConnectionFence {
             latest: BTreeMap::new(),
-            last: 0,
+            last_token: 0,
         }
     }
 }
 
 impl<K: Ord + Clone> ConnectionFence<K> {
-    /// A hello has been read: the number of its link.
+    /// The token of a connection whose hello has just been read.
     pub fn next_token(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+        self.last_token += 1;
+        self.last_token
     }
 
-    /// A link has proven itself.
-    pub fn admit(&mut self, who: &K, link: u64) -> Admission {
-        if self.latest.len() >= MOST_GONE {
-            self.latest.retain(|_, latest| latest.up);
+    /// Decides whether a connection that has just been verified is to be used.
+    pub fn admit(&mut self, peer: &K, token: u64) -> Admission {
+        if self.latest.len() >= MAX_DISCONNECTED_PEERS {
+            self.latest.retain(|_, latest| latest.connected);
         }
-        match self.latest.get_mut(who) {
-            Some(latest) if latest.link > link => Admission::Stale,
-            Some(latest) => {
-                let before = std::mem::replace(latest, Latest { link, up: true });
-                if before.up {
-                    Admission::Replaces(before.link)
-                } else {
-                    Admission::New
-                }
-            }
-            None => {
-                self.latest.insert(who.clone(), Latest { link, up: true });
-                Admission::New
-            }
+        let admitted = LatestConnection {
+            token,
+            connected: true,
+        };
+        let Some(latest) = self.latest.get_mut(peer) else {
+            self.latest.insert(peer.clone(), admitted);
+            return Admission::New;
+        };
+        if latest.token > token {
+            return Admission::Stale;
+        }
+        let previous = std::mem::replace(latest, admitted);
+        if previous.connected {
+            Admission::Replaces(previous.token)
+        } else {
+            Admission::New
         }
     }
 
-    /// Whether what comes on this link may be taken.
-    pub fn is_current(&self, who: &K, link: u64) -> bool {
+    /// Whether the connection with this token is the one in use, so that what arrives on it may be applied.
+    pub fn is_current(&self, peer: &K, token: u64) -> bool {
         self.latest
-            .get(who)
-            .is_some_and(|latest| latest.link == link)
+            .get(peer)
+            .is_some_and(|latest| latest.token == token)
     }
 
-    /// A link has ended.
-    pub fn disconnected(&mut self, who: &K, link: u64) {
-        if let Some(latest) = self.latest.get_mut(who) {
-            latest.up &= latest.link != link;
+    /// A connection has ended.
+    pub fn disconnected(&mut self, peer: &K, token: u64) {
+        if let Some(latest) = self.latest.get_mut(peer) {
+            latest.connected &= latest.token != token;
         }
     }
 }
--- a/crates/control-transport/src/liveness.rs
+++ b/crates/control-transport/src/liveness.rs
@@ -1,194 +1,246 @@
-//! Whether a link lives: both directions of it, and the process at its other end. A state machine without I/O.
+//! Whether a connection is alive: both of its directions, and the process at the other end. A state machine without I/O.
 //!
-//! What has been read proves one direction only, and what the system has taken to send proves nothing. So each end sends a
-//! numbered ping at least every [`PING`] and answers each ping with its echo. An echo proves that this end's ping went
-//! over, that the process there read it, and that its answer came back.
+//! Received data prove one direction only, and a successful write proves nothing, since the kernel only buffers it. So each end sends a
+//! numbered ping at least every [`PING_INTERVAL`], and answers each ping with a pong of the same number. A pong proves that the ping
+//! arrived, that the process there read it, and that its answer came back.
 //!
-//! **The bound.** An end takes the link for dead once the last ping that was answered is older than [`DEAD`] + [`PING`],
-//! counted from when that ping was *sent*. So a link that no longer carries one of its directions, or whose other end stands
-//! still, is known dead by both ends within `DEAD + PING` (2.5 s). One that carries everything within `DEAD / 2` each way stays
-//! alive.
+//! **The bound.** An end takes the connection for dead once the last ping that was answered is older than [`PONG_TIMEOUT`] +
+//! [`PING_INTERVAL`], counted from when that ping was *sent*. So a connection that no longer carries one of its directions, or whose other
+//! end is frozen, is known to be dead at both ends within 2.5 s. One that carries everything within `PONG_TIMEOUT / 2` each
+//! way stays alive.
 //!
-//! **Nothing older is taken.** What comes after the echo of a ping was sent after that ping. As an input that comes later than the
-//! bound is refused, whatever is taken from a link was sent at most `DEAD + PING` before. So a process that was frozen takes nothing of
-//! what piled up in its sockets in the mean time, if that was longer.
+//! **Nothing older is delivered.** What arrives after the pong for a ping was sent after that ping. Since anything that arrives after the
+//! bound is an error, whatever is delivered was sent at most `PONG_TIMEOUT + PING_INTERVAL` before. So a process that was
+//! frozen for longer delivers nothing of what its sockets have buffered meanwhile.
 //!
-//! **Which of two links is the later.** Who accepts a link pings as soon as it has read its hello, and takes nothing until the echo
-//! has come; who dials says nothing but its hello until that ping has come. Links are numbered in the order in which their hellos
-//! were read. The echo of link n shows that its process lived, and still read that link, after hello n was read. A process reads no link
-//! that it has given up, and of one machine's lives only the last runs: so if a link of a higher number has been taken, what is left of
-//! link n is old, whatever its hello says of its life. Neither a clock nor an order of lives is needed.
+//! **Which of two connections is the later.** The acceptor pings as soon as it has read the hello, and delivers nothing before the pong; the
+//! initiator sends nothing but its hello before that ping. Connections are numbered in the order in which their hellos were read. The
+//! pong on connection n shows that its process was alive, and still read that connection, after hello n had been read. A process reads no
+//! connection that it has closed, and of one machine's incarnations only the last one runs. So if a connection with a higher number
+//! has been verified, what is left on connection n is stale, whichever incarnation its hello names. Neither synchronized clocks nor
+//! ordered incarnations are needed ([`crate::fencing`]).
 
-/// Milliseconds on the caller's steady clock.
+use std::collections::VecDeque;
+
+/// Milliseconds on the caller's monotonic clock.
 pub type Millis = f64;
 
-/// A ping is sent this often at least.
+/// Longest time between two pings.
 pub const PING_INTERVAL: Millis = 500.0;
-/// A ping that has not been answered for this long ends the link; with [`PING`] it is the bound within which an end knows.
+/// A ping that has not been answered for this long ends the connection. With [`PING_INTERVAL`] it is the bound within which an end
+/// knows.
 pub const PONG_TIMEOUT: Millis = 2000.0;
-/// Part of [`PING`] after which a ping goes with what is written anyway.
-const RIDES: f64 = 0.7;
-/// Pings that may be out at once: as many as are sent before the oldest ends the link.
-const MOST_OUT: usize = (2.0 * (PONG_TIMEOUT + PING_INTERVAL) / PING_INTERVAL) as usize;
+/// Fraction of [`PING_INTERVAL`] after which a ping is sent with other data.
+const PIGGYBACK_FRACTION: f64 = 0.7;
+/// Unanswered pings that are remembered: twice as many as are due before the oldest ends the connection.
+const MAX_UNANSWERED_PINGS: usize = (2.0 * (PONG_TIMEOUT + PING_INTERVAL) / PING_INTERVAL) as usize;
 
-/// Which end of a link this is.
+/// Which end of a connection this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// It has opened the link, and says its hello first.
+    /// Has opened the connection, and sends its hello first.
     Initiator,
-    /// It waits for a hello.
+    /// Waits for a hello.
     Acceptor,
 }
 
-/// What has come, as far as it matters here.
+/// A received message, as far as it matters here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
     /// A hello.
     Hello,
-    /// A ping of this number.
+    /// The other end's ping of this number.
     Ping(u64),
-    /// The echo of this ping of this end's.
+    /// The pong for this end's ping of this number, and for all before it.
     Pong(u64),
-    /// Anything else.
+    /// Any other message.
     Other,
 }
 
-/// What is to be done about what has come.
+/// What to do about a received message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Actions {
-    /// Send this echo, before anything else.
+    /// Send this pong, before anything else.
     pub pong: Option<u64>,
     /// Send this ping.
     pub ping: Option<u64>,
-    /// The link is up from here on: the other end is there, and what it says may be taken.
+    /// The connection is established by this message: the other end is alive, and messages may be delivered from now on.
     pub established: bool,
-    /// Pass on what has come.
+    /// Deliver the message.
     pub deliver: bool,
 }
 
-/// Why a link is dead.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a connection is dead.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LivenessError {
-    /// The other end has answered nothing that was sent within the bound.
-    Unanswered,
-    /// No hello has come within [`DEAD`].
-    NoHello,
-    /// Something came before its turn.
+    /// The other end has answered no ping that was sent within the bound.
+    #[error("why=timeout")]
+    Timeout,
+    /// No hello has arrived within [`PONG_TIMEOUT`].
+    #[error("why=hello_timeout")]
+    HelloTimeout,
+    /// A message arrived that is not allowed at this stage.
+    #[error("why=unexpected_message")]
     UnexpectedMessage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// A hello is awaited.
-    Hello,
-    /// This end's hello is out (who dials), or its first ping (who accepts).
-    Proof,
-    Up,
+    /// The acceptor waits for a hello.
+    AwaitingHello,
+    /// The initiator has sent its hello and waits for the first ping, or the acceptor has sent that ping and waits for the pong.
+    AwaitingProof,
+    Established,
 }
 
-/// One end of a link.
+#[derive(Clone, Copy, Debug)]
+struct SentPing {
+    number: u64,
+    sent_at: Millis,
+}
+
+/// One end of a connection.
 #[derive(Clone, Debug)]
 pub struct Liveness {
     side: Side,
     stage: Stage,
     /// When the last ping that was answered was sent; before there is one, when this end began to wait.
-    proven: Millis,
-    /// Number of the last ping, and when it was sent.
-    last: (u64, Millis),
-    /// Number and time of each ping that is out.
-    out: std::collections::VecDeque<(u64, Millis)>,
+    proven_at: Millis,
+    /// The last ping; number zero before the first.
+    last_ping: SentPing,
+    /// Pings without a pong, the oldest first.
+    unanswered: VecDeque<SentPing>,
 }
 
 impl Liveness {
-    /// A link that has just been made.
+    /// A connection that was opened or accepted just now.
     pub fn new(side: Side, now: Millis) -> Liveness {
-        let stage = if side == Side::Initiator {
-            Stage::Proof
-        } else {
-            Stage::Hello
+        let stage = match side {
+            Side::Initiator => Stage::AwaitingProof,
+            Side::Acceptor => Stage::AwaitingHello,
         };
         Liveness {
             side,
             stage,
-            proven: now,
-            last: (0, now),
-            out: Default::default(),
+            proven_at: now,
+            last_ping: SentPing {
+                number: 0,
+                sent_at: now,
+            },
+            unanswered: VecDeque::new(),
         }
     }
 
-    /// Whether the link is up.
+    /// Whether the connection is established.
     pub fn is_established(&self) -> bool {
-        self.stage == Stage::Up
+        self.stage == Stage::Established
     }
 
-    /// When [`Liveness::tick`] is to be called, at the latest.
+    /// The latest time at which [`Liveness::tick`] has to be called.
     pub fn next_deadline(&self) -> Millis {
-        let dead = self.proven + self.allowed();
+        let dead_at = self.proven_at + self.timeout();
         if self.is_established() {
-            dead.min(self.last.1 + PING_INTERVAL)
+            dead_at.min(self.last_ping.sent_at + PING_INTERVAL)
         } else {
-            dead
+            dead_at
         }
     }
 
-    /// Time passes. A ping to send, or the end.
+    /// Checks the deadlines. Returns the number of a ping to send, if one is due.
+    ///
+    /// # Errors
+    ///
+    /// [`LivenessError`] if the connection is dead.
     pub fn tick(&mut self, now: Millis) -> Result<Option<u64>, LivenessError> {
-        self.check(now)?;
-        let due = self.is_established() && now >= self.last.1 + PING_INTERVAL;
-        Ok(due.then(|| self.ping(now)))
+        self.check_timeout(now)?;
+        let due = self.is_established() && now >= self.last_ping.sent_at + PING_INTERVAL;
+        Ok(due.then(|| self.next_ping(now)))
     }
 
-    /// Something else is about to be written: a ping that goes with it, if one comes due soon.
+    /// Other data are about to be written. Returns the number of a ping to send with them, if one is due soon.
     pub fn piggyback_ping(&mut self, now: Millis) -> Option<u64> {
-        (self.is_established() && now >= self.last.1 + PING_INTERVAL * RIDES)
-            .then(|| self.ping(now))
+        let due_soon = self.is_established()
+            && now >= self.last_ping.sent_at + PING_INTERVAL * PIGGYBACK_FRACTION;
+        due_soon.then(|| self.next_ping(now))
     }
 
-    /// Something has come.
-    pub fn received(&mut self, now: Millis, came: Received) -> Result<Actions, LivenessError> {
-        self.check(now)?;
-        match (self.stage, self.side, came) {
-            (Stage::Hello, _, Received::Hello) => {
-                (self.stage, self.proven) = (Stage::Proof, now);
-                Ok(Actions {
-                    ping: Some(self.ping(now)),
-                    ..Actions::default()
-                })
-            }
-            (Stage::Proof, Side::Initiator, Received::Ping(number)) => {
-                (self.stage, self.proven) = (Stage::Up, now);
-                let ping = Some(self.ping(now));
+    /// A message was received. Returns what to do about it.
+    ///
+    /// # Errors
+    ///
+    /// [`LivenessError`] if the connection is dead, or the message is not allowed at this stage.
+    pub fn received(&mut self, now: Millis, message: Received) -> Result<Actions, LivenessError> {
+        self.check_timeout(now)?;
+        match self.stage {
+            Stage::AwaitingHello => self.received_before_hello(now, message),
+            Stage::AwaitingProof => self.received_before_proof(now, message),
+            Stage::Established => self.received_when_established(message),
+        }
+    }
+
+    fn received_before_hello(
+        &mut self,
+        now: Millis,
+        message: Received,
+    ) -> Result<Actions, LivenessError> {
+        if message != Received::Hello {
+            return Err(LivenessError::UnexpectedMessage);
+        }
+        self.stage = Stage::AwaitingProof;
+        self.proven_at = now;
+        Ok(Actions {
+            ping: Some(self.next_ping(now)),
+            ..Actions::default()
+        })
+    }
+
+    fn received_before_proof(
+        &mut self,
+        now: Millis,
+        message: Received,
+    ) -> Result<Actions, LivenessError> {
+        match (self.side, message) {
+            (Side::Initiator, Received::Ping(number)) => {
+                self.stage = Stage::Established;
+                self.proven_at = now;
                 Ok(Actions {
                     pong: Some(number),
-                    ping,
+                    ping: Some(self.next_ping(now)),
                     established: true,
                     deliver: false,
                 })
             }
-            (Stage::Proof, Side::Acceptor, Received::Pong(number)) if self.echoed(number) => {
-                self.stage = Stage::Up;
+            (Side::Acceptor, Received::Pong(number)) if self.acknowledge(number) => {
+                self.stage = Stage::Established;
                 Ok(Actions {
                     established: true,
                     ..Actions::default()
                 })
             }
-            (Stage::Up, _, Received::Ping(number)) => Ok(Actions {
+            _ => Err(LivenessError::UnexpectedMessage),
+        }
+    }
+
+    fn received_when_established(&mut self, message: Received) -> Result<Actions, LivenessError> {
+        match message {
+            Received::Hello => Err(LivenessError::UnexpectedMessage),
+            Received::Ping(number) => Ok(Actions {
                 pong: Some(number),
                 ..Actions::default()
             }),
-            (Stage::Up, _, Received::Pong(number)) => {
-                self.echoed(number);
+            Received::Pong(number) => {
+                self.acknowledge(number);
                 Ok(Actions::default())
             }
-            (Stage::Up, _, Received::Other) => Ok(Actions {
+            Received::Other => Ok(Actions {
                 deliver: true,
                 ..Actions::default()
             }),
-            _ => Err(LivenessError::UnexpectedMessage),
         }
     }
 
-    fn allowed(&self) -> Millis {
+    /// How long after `proven_at` the connection is dead.
+    fn timeout(&self) -> Millis {
         if self.is_established() {
             PONG_TIMEOUT + PING_INTERVAL
         } else {
@@ -196,33 +248,39 @@
         }
     }
 
-    fn check(&self, now: Millis) -> Result<(), LivenessError> {
-        if now < self.proven + self.allowed() {
+    fn check_timeout(&self, now: Millis) -> Result<(), LivenessError> {
+        if now < self.proven_at + self.timeout() {
             return Ok(());
         }
-        Err(if self.stage == Stage::Hello {
-            LivenessError::NoHello
+        Err(if self.stage == Stage::AwaitingHello {
+            LivenessError::HelloTimeout
         } else {
-            LivenessError::Unanswered
+            LivenessError::Timeout
         })
     }
 
-    fn ping(&mut self, now: Millis) -> u64 {
-        self.last = (self.last.0 + 1, now);
-        if self.out.len() < MOST_OUT {
-            self.out.push_back(self.last);
+    fn next_ping(&mut self, now: Millis) -> u64 {
+        self.last_ping = SentPing {
+            number: self.last_ping.number + 1,
+            sent_at: now,
+        };
+        if self.unanswered.len() < MAX_UNANSWERED_PINGS {
+            self.unanswered.push_back(self.last_ping);
         }
-        self.last.0
+        self.last_ping.number
     }
 
-    /// An echo answers its ping and all before it; tells whether any was out.
-    fn echoed(&mut self, number: u64) -> bool {
-        let mut any = false;
-        while let Some((_, sent)) = self.out.front().copied().filter(|(out, _)| *out <= number) {
-            self.out.pop_front();
-            self.proven = self.proven.max(sent);
-            any = true;
+    /// A pong answers its ping and all before it. Returns whether any of these was unanswered.
+    fn acknowledge(&mut self, number: u64) -> bool {
+        let mut any_answered = false;
+        while let Some(ping) = self.unanswered.front().copied() {
+            if ping.number > number {
+                break;
+            }
+            self.unanswered.pop_front();
+            self.proven_at = self.proven_at.max(ping.sent_at);
+            any_answered = true;
         }
-        any
+        any_answered
     }
 }
--- a/crates/control-transport/tests/sockets.rs
+++ b/crates/control-transport/tests/sockets.rs
@@ -114,7 +114,7 @@
     })
     .await;
     assert!(
-        matches!(end, ConnectionError::Dead(LivenessError::Unanswered)),
+        matches!(end, ConnectionError::Liveness(LivenessError::Timeout)),
         "{end}"
     );
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
@@ -131,7 +131,7 @@
     })
     .await;
     assert!(
-        matches!(end, ConnectionError::Dead(LivenessError::NoHello)),
+        matches!(end, ConnectionError::Liveness(LivenessError::HelloTimeout)),
         "{end}"
     );
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
@@ -167,7 +167,7 @@
     };
     let from = Instant::now();
     tokio::select! {
-        end = end => assert!(matches!(end, ConnectionError::Dead(LivenessError::Unanswered)), "{end}"),
+        end = end => assert!(matches!(end, ConnectionError::Liveness(LivenessError::Timeout)), "{end}"),
         () = talks => panic!("it lived on"),
     }
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
@@ -197,7 +197,7 @@
     };
     let from = Instant::now();
     tokio::select! {
-        end = end => assert!(matches!(end, ConnectionError::Dead(LivenessError::Unanswered) | ConnectionError::WriteStalled), "{end}"),
+        end = end => assert!(matches!(end, ConnectionError::Liveness(LivenessError::Timeout) | ConnectionError::WriteStalled), "{end}"),
         () = stands => {}
     }
     assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
