--- a/crates/control-transport/tests/sockets.rs
+++ b/crates/control-transport/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Connections over real sockets, with the clock of the test's own: it stands still while anything can be read or written, and goes
-//! on at once when nothing can.
+//! Connections over real sockets with a paused clock: time stands still while anything can be read or written, and advances at once
+//! when nothing can.
 
 use bytes::{Bytes, BytesMut};
 use maplefall_control_messages::{
@@ -16,7 +16,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-const BOUND: Duration = Duration::from_millis((PONG_TIMEOUT + PING_INTERVAL) as u64 + 50);
+/// Within this time both ends know that a connection is dead.
+const DETECTION_BOUND: Duration = Duration::from_millis((PONG_TIMEOUT + PING_INTERVAL) as u64 + 50);
 
 fn hello() -> Hello {
     Hello {
@@ -27,13 +28,13 @@
     }
 }
 
-async fn pair() -> (TcpStream, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+async fn connected_pair() -> (TcpStream, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("its address");
-    let (dialled, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
+    let (initiator, acceptor) = tokio::join!(TcpStream::connect(address), listener.accept());
     (
-        dialled.expect("a connection"),
-        accepted.expect("a connection").0,
+        initiator.expect("a connection"),
+        acceptor.expect("a connection").0,
     )
 }
 
@@ -41,183 +42,215 @@
     mpsc::channel(OUTGOING_QUEUE_FRAMES)
 }
 
-/// Waits for the next frame, by hand.
-async fn next(stream: &mut TcpStream, come: &mut BytesMut) -> Frame {
+/// Reads the next frame without a [`run_connection`] at this end.
+async fn read_frame(stream: &mut TcpStream, received: &mut BytesMut) -> Frame {
     loop {
-        if let Some(frame) = decode_frame(come).expect("frames") {
+        if let Some(frame) = decode_frame(received).expect("frames") {
             return frame;
         }
-        assert!(stream.read_buf(come).await.expect("bytes") > 0, "closed");
+        assert!(
+            stream.read_buf(received).await.expect("bytes") > 0,
+            "closed"
+        );
     }
 }
 
-/// Guards both ends of a calm link: it comes up, carries a frame each way, a long one too, and lives.
+/// Guards a working connection: it is established, carries frames both ways, a chunked one too, and stays up.
 #[tokio::test(start_paused = true)]
-async fn a_calm_link_carries_both_ways_and_lives() {
-    let (dialled, accepted) = pair().await;
+async fn a_working_connection_carries_frames_both_ways_and_stays_up() {
+    let (initiator, acceptor) = connected_pair().await;
     let long = Frame::InstanceUpdates(InstanceUpdates {
         ack_number: 3,
-        records: vec![big(1 << 20)],
+        records: vec![record_of_size(1 << 20)],
         complete: true,
     });
-    let ((to_far, far_queue), (to_near, near_queue)) = (queue(), queue());
-    to_far.try_send(encode_frame(long.clone())).expect("room");
-    to_far
+    let ((to_acceptor, initiator_queue), (to_initiator, acceptor_queue)) = (queue(), queue());
+    to_acceptor
+        .try_send(encode_frame(long.clone()))
+        .expect("queue has room");
+    to_acceptor
         .try_send(encode_frame(Frame::InstancesPersisted(1)))
-        .expect("room");
-    to_near
+        .expect("queue has room");
+    to_initiator
         .try_send(encode_frame(Frame::InstancesPersisted(2)))
-        .expect("room");
-    let (near, far) = (RefCell::new(Vec::new()), RefCell::new(Vec::new()));
-    let dials = run_connection(dialled, far_queue, Handshake::Initiator(hello()), |event| {
-        near.borrow_mut().push(event);
-        true
-    });
-    let accepts = run_connection(accepted, near_queue, Handshake::Acceptor, |event| {
-        far.borrow_mut().push(event);
+        .expect("queue has room");
+    let (at_initiator, at_acceptor) = (RefCell::new(Vec::new()), RefCell::new(Vec::new()));
+    let initiator_end = run_connection(
+        initiator,
+        initiator_queue,
+        Handshake::Initiator(hello()),
+        |event| {
+            at_initiator.borrow_mut().push(event);
+            true
+        },
+    );
+    let acceptor_end = run_connection(acceptor, acceptor_queue, Handshake::Acceptor, |event| {
+        at_acceptor.borrow_mut().push(event);
         true
     });
     tokio::select! {
-        end = dials => panic!("it ended: {end}"),
-        end = accepts => panic!("it ended: {end}"),
+        end = initiator_end => panic!("it ended: {end}"),
+        end = acceptor_end => panic!("it ended: {end}"),
         () = tokio::time::sleep(Duration::from_secs(60)) => {}
     }
     assert_eq!(
-        near.into_inner(),
+        at_initiator.into_inner(),
         [Event::Up, Event::Frame(Frame::InstancesPersisted(2))]
     );
-    let far = far.into_inner();
+    let at_acceptor = at_acceptor.into_inner();
     let expected = [
         Event::HelloReceived,
         Event::Verified(hello()),
         Event::Frame(long),
         Event::Frame(Frame::InstancesPersisted(1)),
     ];
-    assert_eq!(far, expected);
+    assert_eq!(at_acceptor, expected);
 }
 
-fn big(size: usize) -> maplefall_service_registry::InstanceRecord {
+fn record_of_size(size: usize) -> maplefall_service_registry::InstanceRecord {
     maplefall_service_registry::InstanceRecord {
         id: "x".repeat(size),
         ..maplefall_service_registry::InstanceRecord::default()
     }
 }
 
-/// Guards who dials a machine that accepts and then neither reads nor writes: the link never comes up, and ends in time.
+/// Guards an initiator whose other end accepts and then neither reads nor writes: the connection is never established, and ends in time.
 #[tokio::test(start_paused = true)]
-async fn who_accepts_and_does_nothing_is_known_in_time() {
-    let (dialled, _accepted) = pair().await;
+async fn an_acceptor_that_does_nothing_is_detected_in_time() {
+    let (initiator, _acceptor) = connected_pair().await;
     let (_sender, outgoing) = queue();
-    let from = Instant::now();
-    let end = run_connection(dialled, outgoing, Handshake::Initiator(hello()), |_| {
-        panic!("it came up")
+    let started = Instant::now();
+    let end = run_connection(initiator, outgoing, Handshake::Initiator(hello()), |_| {
+        panic!("it was established")
     })
     .await;
     assert!(
         matches!(end, ConnectionError::Liveness(LivenessError::Timeout)),
         "{end}"
     );
-    assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
+    assert!(
+        started.elapsed() <= DETECTION_BOUND,
+        "{:?}",
+        started.elapsed()
+    );
 }
 
-/// Guards who accepts somebody that says nothing.
+/// Guards an acceptor whose other end sends nothing.
 #[tokio::test(start_paused = true)]
-async fn who_dials_and_says_nothing_is_known_in_time() {
-    let (_dialled, accepted) = pair().await;
+async fn an_initiator_that_sends_nothing_is_detected_in_time() {
+    let (_initiator, acceptor) = connected_pair().await;
     let (_sender, outgoing) = queue();
-    let from = Instant::now();
-    let end = run_connection(accepted, outgoing, Handshake::Acceptor, |_| {
-        panic!("it came up")
+    let started = Instant::now();
+    let end = run_connection(acceptor, outgoing, Handshake::Acceptor, |_| {
+        panic!("it was established")
     })
     .await;
     assert!(
         matches!(end, ConnectionError::Liveness(LivenessError::HelloTimeout)),
         "{end}"
     );
-    assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
+    assert!(
+        started.elapsed() <= DETECTION_BOUND,
+        "{:?}",
+        started.elapsed()
+    );
 }
 
-/// Guards a link that has come up, and whose other end from then on talks and never reads: what it says keeps nothing alive.
+/// Guards an established connection whose other end from then on writes and never reads: what it sends does not keep it alive.
 #[tokio::test(start_paused = true)]
-async fn who_talks_and_never_reads_is_known_in_time() {
-    let (dialled, mut far) = pair().await;
+async fn a_peer_that_writes_and_never_reads_is_detected_in_time() {
+    let (initiator, mut peer) = connected_pair().await;
     let (_sender, outgoing) = queue();
-    let end = run_connection(dialled, outgoing, Handshake::Initiator(hello()), |_| true);
-    let talks = async {
-        let mut come = BytesMut::new();
-        assert!(matches!(next(&mut far, &mut come).await, Frame::Hello(_)));
-        far.write_all(&encode_frame(Frame::Ping(1)))
+    let end = run_connection(initiator, outgoing, Handshake::Initiator(hello()), |_| true);
+    let writing_peer = async {
+        let mut received = BytesMut::new();
+        assert!(matches!(
+            read_frame(&mut peer, &mut received).await,
+            Frame::Hello(_)
+        ));
+        peer.write_all(&encode_frame(Frame::Ping(1)))
             .await
             .expect("written");
-        assert_eq!(next(&mut far, &mut come).await, Frame::Pong(1));
-        let from = Instant::now();
+        assert_eq!(read_frame(&mut peer, &mut received).await, Frame::Pong(1));
+        let started = Instant::now();
         let mut number = 1;
-        while from.elapsed() < Duration::from_secs(60) {
+        while started.elapsed() < Duration::from_secs(60) {
             number += 1;
-            let talk = [
+            let frames = [
                 encode_frame(Frame::Ping(number)),
                 encode_frame(Frame::InstancesPersisted(number)),
             ]
             .concat();
-            if far.write_all(&talk).await.is_err() {
+            if peer.write_all(&frames).await.is_err() {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     };
-    let from = Instant::now();
+    let started = Instant::now();
     tokio::select! {
         end = end => assert!(matches!(end, ConnectionError::Liveness(LivenessError::Timeout)), "{end}"),
-        () = talks => panic!("it lived on"),
+        () = writing_peer => panic!("it stayed up"),
     }
-    assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
+    assert!(
+        started.elapsed() <= DETECTION_BOUND,
+        "{:?}",
+        started.elapsed()
+    );
 }
 
-/// Guards writes that get on by nothing: who answers pings once, then takes nothing more of what fills the connection.
+/// Guards writes without progress: the other end sends one ping and then reads nothing more while the socket buffers fill up.
 #[tokio::test(start_paused = true)]
-async fn who_takes_nothing_is_known_in_time() {
-    let (dialled, mut far) = pair().await;
+async fn a_peer_that_stops_reading_is_detected_in_time() {
+    let (initiator, mut peer) = connected_pair().await;
     let (sender, outgoing) = queue();
     for _ in 0..64 {
         sender
             .try_send(encode_frame(Frame::InstanceUpdates(InstanceUpdates {
-                records: vec![big(1 << 20)],
+                records: vec![record_of_size(1 << 20)],
                 ..InstanceUpdates::default()
             })))
-            .expect("room");
+            .expect("queue has room");
     }
-    let end = run_connection(dialled, outgoing, Handshake::Initiator(hello()), |_| true);
-    let stands = async {
-        let mut come = BytesMut::new();
-        assert!(matches!(next(&mut far, &mut come).await, Frame::Hello(_)));
-        far.write_all(&encode_frame(Frame::Ping(1)))
+    let end = run_connection(initiator, outgoing, Handshake::Initiator(hello()), |_| true);
+    let idle_peer = async {
+        let mut received = BytesMut::new();
+        assert!(matches!(
+            read_frame(&mut peer, &mut received).await,
+            Frame::Hello(_)
+        ));
+        peer.write_all(&encode_frame(Frame::Ping(1)))
             .await
             .expect("written");
         std::future::pending::<()>().await;
     };
-    let from = Instant::now();
+    let started = Instant::now();
     tokio::select! {
         end = end => assert!(matches!(end, ConnectionError::Liveness(LivenessError::Timeout) | ConnectionError::WriteStalled), "{end}"),
-        () = stands => {}
+        () = idle_peer => {}
     }
-    assert!(from.elapsed() <= BOUND, "{:?}", from.elapsed());
+    assert!(
+        started.elapsed() <= DETECTION_BOUND,
+        "{:?}",
+        started.elapsed()
+    );
 }
 
-/// Guards against strangers: a part that never ends takes no more room than a frame may, and parts that hold no frame end the link.
+/// Guards against other clients: chunks that do not add up to a frame end the connection.
 #[tokio::test(start_paused = true)]
-async fn parts_that_make_no_frame_end_the_link() {
-    let (mut dialled, accepted) = pair().await;
+async fn chunks_that_make_no_frame_end_the_connection() {
+    let (mut initiator, acceptor) = connected_pair().await;
     let (_sender, outgoing) = queue();
-    let part = maplefall_control_messages::Chunk {
+    let chunk = maplefall_control_messages::Chunk {
         data: Bytes::from_static(&[0, 0, 0, 9, 1]),
         last: true,
     };
-    dialled
-        .write_all(&encode_frame(Frame::Chunk(part)))
+    initiator
+        .write_all(&encode_frame(Frame::Chunk(chunk)))
         .await
         .expect("written");
-    let end = run_connection(accepted, outgoing, Handshake::Acceptor, |_| {
-        panic!("it came up")
+    let end = run_connection(acceptor, outgoing, Handshake::Acceptor, |_| {
+        panic!("it was established")
     })
     .await;
     assert!(matches!(end, ConnectionError::Frame(_)), "{end}");
