--- /dev/null
+++ b/crates/node-settings/src/error.rs
@@ -0,0 +1,34 @@
+//! Why a settings file cannot be used, as `key=value` pairs for the log.
+
+use std::path::PathBuf;
+
+/// Why a settings file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum SettingsError {
+    /// The file could not be read.
+    #[error("step=read file={} error={error:?}", .path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the system said.
+        error: std::io::Error,
+    },
+    /// The file is not TOML, or a field is missing or has the wrong type.
+    #[error("step=parse file={} error={:?}", .path.display(), .error.to_string())]
+    Parse {
+        /// The file.
+        path: PathBuf,
+        /// What the parser said.
+        error: toml::de::Error,
+    },
+    /// A field has an invalid value.
+    #[error("step=check file={} field={field} value={value:?}", .path.display())]
+    InvalidField {
+        /// The file.
+        path: PathBuf,
+        /// Name of the field in the file.
+        field: &'static str,
+        /// The value, or the invalid part of it.
+        value: String,
+    },
+}
--- /dev/null
+++ b/crates/node-settings/src/settings_file.rs
@@ -0,0 +1,49 @@
+//! A settings file that is polled for changes: the platform may replace it without a signal.
+
+use std::path::{Path, PathBuf};
+use std::time::SystemTime;
+
+/// What a change of the file is recognised by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct FileVersion {
+    modified: SystemTime,
+    length: u64,
+}
+
+/// A settings file that is polled for changes.
+#[derive(Debug)]
+pub struct SettingsFile {
+    path: PathBuf,
+    /// As of the last look at it; `None` before it could be read.
+    version: Option<FileVersion>,
+}
+
+impl SettingsFile {
+    /// Watches the file from its present version on.
+    pub fn new(path: PathBuf) -> SettingsFile {
+        let version = file_version(&path);
+        SettingsFile { path, version }
+    }
+
+    /// The path of the file.
+    pub fn path(&self) -> &Path {
+        &self.path
+    }
+
+    /// Whether the file has changed since the last call. A file that is missing just now has not changed: it may be about to be
+    /// replaced.
+    pub fn changed(&mut self) -> bool {
+        let Some(version) = file_version(&self.path) else {
+            return false;
+        };
+        self.version.replace(version) != Some(version)
+    }
+}
+
+fn file_version(path: &Path) -> Option<FileVersion> {
+    let metadata = std::fs::metadata(path).ok()?;
+    Some(FileVersion {
+        modified: metadata.modified().ok()?,
+        length: metadata.len(),
+    })
+}
