--- a/crates/control-transport/src/chunking.rs
+++ b/crates/control-transport/src/chunking.rs
@@ -61,3 +61,6 @@
         Ok(frame)
     }
 }
+
+#[cfg(test)]
+mod tests;
