--- a/benches/src/group.rs
+++ b/benches/src/group.rs
@@ -216,7 +216,12 @@
                 decode_frame(&mut BytesMut::from(bytes.as_ref()))
             {
                 // What is taken back is confirmed at once.
-                if hollow.up && hollow.purse.handle_grant(self.now, &self.ips[at], &lent).0 {
+                if hollow.up
+                    && hollow
+                        .purse
+                        .handle_grant(self.now, &self.ips[at], &lent)
+                        .decreased
+                {
                     let report = hollow
                         .purse
                         .next_request(self.now, &self.ips[at], Vec::new());
