--- a/crates/service-registry/src/registry.rs
+++ b/crates/service-registry/src/registry.rs
@@ -1,5 +1,5 @@
 //! The table of all known instances. Late records change nothing, and the table is bounded: tombstones are dropped after
-//! [`TOMBSTONE_RETENTION`], and beyond [`MAX_INSTANCES`] the instance heard of longest ago goes, tombstones first.
+//! [`TOMBSTONE_RETENTION`], and beyond [`MAX_INSTANCES`] the instance seen longest ago goes, tombstones first.
 
 use crate::{InstanceRecord, InstanceState, Millis};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,8 +15,8 @@
 #[derive(Clone, Debug)]
 struct Instance {
     record: InstanceRecord,
-    /// When any process last heard of it.
-    last_heard: Millis,
+    /// When any process last received a heartbeat or record of it.
+    last_seen: Millis,
     /// When it has warmed up.
     warm_at: Millis,
 }
@@ -24,7 +24,7 @@
 impl Instance {
     fn new(now: Millis, record: InstanceRecord) -> Instance {
         Instance {
-            last_heard: now,
+            last_seen: now,
             warm_at: now + f64::from(record.warmup_left_ms),
             record,
         }
@@ -33,7 +33,7 @@
     /// Replaces the record by a later one. A deregistration may carry nothing but the id: then the rest of the record is kept, since
     /// proxies and operators are shown it.
     fn replace_record(&mut self, now: Millis, record: InstanceRecord) {
-        self.last_heard = now;
+        self.last_seen = now;
         self.warm_at = now + f64::from(record.warmup_left_ms);
         if record.state() == InstanceState::Deregistered && record.service.is_empty() {
             self.record.state = InstanceState::Deregistered.into();
@@ -48,7 +48,7 @@
     }
 
     fn timed_out(&self, now: Millis, timeout: Millis) -> bool {
-        now - self.last_heard >= timeout
+        now - self.last_seen >= timeout
     }
 
     /// The record as it is to be sent now.
@@ -92,7 +92,7 @@
         };
         if record.order() <= instance.record.order() {
             if record.order() == instance.record.order() {
-                instance.last_heard = now;
+                instance.last_seen = now;
             }
             return Applied::Stale;
         }
@@ -139,7 +139,7 @@
             return Applied::Stale;
         }
         instance.record.seq = seq;
-        instance.last_heard = now;
+        instance.last_seen = now;
         Applied::Refreshed
     }
 
@@ -150,7 +150,7 @@
             .map(|instance| instance.current_record(now))
     }
 
-    /// Expires the live instances that nobody has heard of for `timeout`. Returns their records. Drops old tombstones.
+    /// Expires the live instances that no process has seen for `timeout`. Returns their records. Drops old tombstones.
     pub fn expire(&mut self, now: Millis, timeout: Millis) -> Vec<InstanceRecord> {
         let expired = self.expire_where(now, |_, instance| instance.timed_out(now, timeout));
         self.drop_old_tombstones(now);
@@ -158,7 +158,7 @@
     }
 
     /// A process that knows all instances has sent `complete`, the ids of all of them: expires the live instances that it does not name
-    /// and that nobody has heard of for `timeout`. Returns their records.
+    /// and that no process has seen for `timeout`. Returns their records.
     pub fn reconcile(
         &mut self,
         now: Millis,
@@ -176,11 +176,11 @@
         Some(instance.expire(now))
     }
 
-    /// Counts all instances as heard of now: a process that was frozen or disconnected could not receive their heartbeats.
+    /// Counts all instances as seen now: a process that was frozen or disconnected could not receive their heartbeats.
     pub fn restart_timeouts(&mut self, now: Millis) {
         self.instances
             .values_mut()
-            .for_each(|instance| instance.last_heard = instance.last_heard.max(now));
+            .for_each(|instance| instance.last_seen = instance.last_seen.max(now));
     }
 
     /// The records of all instances, tombstones included, by id.
@@ -234,7 +234,7 @@
         });
     }
 
-    /// Makes room for one more instance: the tombstone heard of longest ago goes, or the live instance if there is no tombstone.
+    /// Makes room for one more instance: the tombstone seen longest ago goes, or the live instance if there is no tombstone.
     fn evict_if_full(&mut self) {
         if self.instances.len() < MAX_INSTANCES {
             return;
@@ -244,7 +244,7 @@
             .iter()
             .min_by(|(_, a), (_, b)| {
                 let tombstones_first = a.is_live().cmp(&b.is_live());
-                tombstones_first.then(a.last_heard.total_cmp(&b.last_heard))
+                tombstones_first.then(a.last_seen.total_cmp(&b.last_seen))
             })
             .map(|(id, _)| id.clone());
         if let Some(id) = oldest {
