--- /dev/null
+++ b/crates/controller/src/store/compaction.rs
@@ -0,0 +1,180 @@
+//! Compaction: replacing old segments by a state file, a slice at a time between writes.
+//!
+//! Invariant: a file is removed only once what replaces it is durable. A state file is written as `fold`, synced, renamed to a name that
+//! no file has had, and the directory synced; only then are the segments and state files before it obsolete. Whatever names a loss of
+//! power takes, there is the new state file, or the older one with all segments after it.
+
+use super::error::Error;
+use super::files::{self, UNFINISHED_STATE_FILE};
+use super::frame::Frame;
+use super::segment_log::{SegmentLog, SegmentSet};
+use super::state::StoredState;
+use super::state_file::StateFile;
+use super::StoreLimits;
+use crate::disk::Disk;
+
+/// Number and length of a state file.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct StateFileInfo {
+    /// It holds all records up to this number.
+    pub(super) number: u64,
+    /// Its length.
+    pub(super) bytes: u64,
+}
+
+/// A state file that is being written.
+struct Compaction<F> {
+    file: F,
+    frame: Frame,
+    written_bytes: usize,
+    /// It holds all records up to this number.
+    number: u64,
+    /// The segments that it replaces.
+    replaces: SegmentSet,
+}
+
+impl<F: Send> Compaction<F> {
+    fn begin<D: Disk<File = F>>(
+        disk: &D,
+        state: &StoredState,
+        log: &mut SegmentLog<F>,
+    ) -> Result<Compaction<F>, Error> {
+        let file = files::create(disk, UNFINISHED_STATE_FILE)?;
+        let mut frame = StateFile::encode_state(state);
+        frame.write_header(state.number);
+        Ok(Compaction {
+            file,
+            frame,
+            written_bytes: 0,
+            number: state.number,
+            replaces: log.take_uncompacted(),
+        })
+    }
+
+    fn is_written(&self) -> bool {
+        self.written_bytes == self.frame.len()
+    }
+
+    fn write_slice<D: Disk<File = F>>(
+        &mut self,
+        disk: &D,
+        max_slice_bytes: usize,
+    ) -> Result<(), Error> {
+        let rest = &self.frame.bytes()[self.written_bytes..];
+        let slice = &rest[..max_slice_bytes.min(rest.len())];
+        files::write_and_sync(disk, UNFINISHED_STATE_FILE, &mut self.file, slice)?;
+        self.written_bytes += slice.len();
+        Ok(())
+    }
+}
+
+/// Decides when to compact, carries it out in steps, and removes what it made obsolete.
+pub(super) struct Compactor<F> {
+    running: Option<Compaction<F>>,
+    /// Numbers of state files: the last one, and before it any that a loss of power may bring back in its place, because the
+    /// directory could not be synced.
+    state_files: Vec<u64>,
+    /// Length of the last state file.
+    state_file_bytes: u64,
+    /// Files that are to be removed, the last first.
+    obsolete_files: Vec<String>,
+}
+
+impl<F: Send> Compactor<F> {
+    /// For a directory with this state file and these files to be removed.
+    pub(super) fn new(
+        state_file: Option<StateFileInfo>,
+        obsolete_files: Vec<String>,
+    ) -> Compactor<F> {
+        Compactor {
+            running: None,
+            state_files: state_file.iter().map(|file| file.number).collect(),
+            state_file_bytes: state_file.map_or(0, |file| file.bytes),
+            obsolete_files,
+        }
+    }
+
+    /// Whether [`Compactor::step`] has something to do.
+    pub(super) fn has_work(&self, limits: &StoreLimits, log: &SegmentLog<F>) -> bool {
+        self.running.is_some() || !self.obsolete_files.is_empty() || self.is_due(limits, log)
+    }
+
+    /// A state that is longer than the threshold waits for as much log as its own length: each byte is then written about twice,
+    /// however long the state is.
+    fn is_due(&self, limits: &StoreLimits, log: &SegmentLog<F>) -> bool {
+        let uncompacted = log.uncompacted();
+        uncompacted.bytes >= limits.compact_after.max(self.state_file_bytes)
+            || uncompacted.ids.len() > limits.max_segments
+    }
+
+    /// Takes one step: removes an obsolete file, or begins a due compaction or takes it further. A compaction that fails is given up,
+    /// and a later step begins it anew.
+    pub(super) fn step<D: Disk<File = F>>(
+        &mut self,
+        disk: &D,
+        limits: &StoreLimits,
+        state: &StoredState,
+        log: &mut SegmentLog<F>,
+    ) -> Result<(), Error> {
+        if let Some(name) = self.obsolete_files.last() {
+            files::remove_if_present(disk, name)?;
+            self.obsolete_files.pop();
+            return Ok(());
+        }
+        match self.running.take() {
+            Some(compaction) => self.advance(disk, limits, compaction, log),
+            None if self.is_due(limits, log) => {
+                self.running = Some(Compaction::begin(disk, state, log)?);
+                Ok(())
+            }
+            None => Ok(()),
+        }
+    }
+
+    fn advance<D: Disk<File = F>>(
+        &mut self,
+        disk: &D,
+        limits: &StoreLimits,
+        mut compaction: Compaction<F>,
+        log: &mut SegmentLog<F>,
+    ) -> Result<(), Error> {
+        let is_written = compaction.is_written();
+        let result = if is_written {
+            self.publish(disk, &compaction)
+        } else {
+            // At least as long as the last batch: otherwise the log grows faster than the state file is written.
+            let max_slice_bytes = limits.write_slice.max(log.last_frame_bytes());
+            compaction.write_slice(disk, max_slice_bytes)
+        };
+        match result {
+            Ok(()) if is_written => {}
+            Ok(()) => self.running = Some(compaction),
+            Err(_) => log.restore_uncompacted(compaction.replaces),
+        }
+        result
+    }
+
+    /// Puts the state file in the place of what it replaces.
+    fn publish<D: Disk<File = F>>(
+        &mut self,
+        disk: &D,
+        compaction: &Compaction<F>,
+    ) -> Result<(), Error> {
+        let number = compaction.number;
+        files::rename(disk, UNFINISHED_STATE_FILE, &files::state_file_name(number))?;
+        let mut older = std::mem::replace(&mut self.state_files, vec![number]);
+        older.retain(|other| *other != number);
+        if let Err(error) = files::sync_directory(disk) {
+            // A loss of power may bring back the older name: its file stays until a sync has worked.
+            self.state_files.splice(0..0, older);
+            return Err(error);
+        }
+        self.state_file_bytes = compaction.frame.len() as u64;
+        self.obsolete_files
+            .extend(older.into_iter().map(files::state_file_name));
+        let replaced = compaction.replaces.ids.iter().copied();
+        self.obsolete_files
+            .extend(replaced.map(files::segment_name));
+        Ok(())
+    }
+}
--- a/crates/controller/tests/disk.rs
+++ b/crates/controller/tests/disk.rs
@@ -174,7 +174,7 @@
     drop(file);
     assert!(matches!(
         Store::open(Disk::new(&folder.0)),
-        Err(Error::Corrupt(_))
+        Err(Error::Corrupt { .. })
     ));
 }
 
@@ -206,7 +206,7 @@
         fs::write(&segment, &bytes).expect("written");
         assert!(matches!(
             Store::open(Disk::new(&folder.0)),
-            Err(Error::Corrupt(_))
+            Err(Error::Corrupt { .. })
         ));
         // One set, and the note.
         assert_eq!(
@@ -256,7 +256,7 @@
         fs::write(folder.0.join(name), bytes).expect("written");
         let opened = Store::open_with_retries(Disk::new(&folder.0), StoreLimits::default());
         assert!(
-            matches!(opened, Err(Error::UnknownFormat(_, met)) if met == format),
+            matches!(opened, Err(Error::UnknownFormat { format: met, .. }) if met == format),
             "{name}"
         );
         assert_eq!(files(&folder.0, "").len(), 1);
@@ -294,11 +294,17 @@
     store.write(vec![record(1, 10)]).expect("written");
     assert!(matches!(
         store.write(vec![record(3, 10)]),
-        Err(Error::OutOfOrder(2, 3))
+        Err(Error::OutOfOrder {
+            expected: 2,
+            actual: 3
+        })
     ));
     assert!(matches!(
         store.write(vec![record(1, 10)]),
-        Err(Error::OutOfOrder(2, 1))
+        Err(Error::OutOfOrder {
+            expected: 2,
+            actual: 1
+        })
     ));
     store.write(vec![record(2, 10)]).expect("written");
     drop(store);
@@ -314,7 +320,7 @@
         .expect("the first may be long");
     assert!(matches!(
         queue.push(record(2, 10)),
-        Err(Error::QueueFull(2))
+        Err(Error::QueueFull { number: 2 })
     ));
     let folder = Folder::new("full");
     let (store, _) = open(&folder.0);
@@ -326,7 +332,7 @@
     });
     assert!(matches!(
         queue.push(record(3, 10)),
-        Err(Error::QueueFull(3))
+        Err(Error::QueueFull { number: 3 })
     ));
     assert_eq!(told, [1]);
 }
--- a/crates/controller/tests/loss.rs
+++ b/crates/controller/tests/loss.rs
@@ -104,7 +104,7 @@
     size: usize,
 ) -> Result<Result<Store<Played>, Error>, String> {
     match Store::open_with(disk.clone(), SMALL) {
-        Err((_, error @ Error::Io(..))) => Ok(Err(error)),
+        Err((_, error @ Error::Io { .. })) => Ok(Err(error)),
         Err((_, error)) => Err(format!("{told:?}: refused: {error}")),
         Ok((store, kept)) => {
             if kept.number < told.told || kept.number > told.tried {
@@ -534,7 +534,7 @@
             }
             Err((_, error)) => {
                 assert!(
-                    matches!(error, Error::Corrupt(_) | Error::UnknownFormat(..)),
+                    matches!(error, Error::Corrupt { .. } | Error::UnknownFormat { .. }),
                     "{error}"
                 );
                 refused += 1;
@@ -611,7 +611,7 @@
                         kept.number
                     )
                 }
-                Err((_, error)) => assert!(matches!(error, Error::Corrupt(_)), "{error}"),
+                Err((_, error)) => assert!(matches!(error, Error::Corrupt { .. }), "{error}"),
             }
             let (_, kept) = Store::open_with_retries(copy, SMALL).expect("a disk");
             assert_eq!(
