--- a/crates/controller/examples/start.rs
+++ b/crates/controller/examples/start.rs
@@ -1,92 +1,132 @@
-//! How long an exchange takes to read its disk, by the changes that were written to it, and what writing them cost.
-//! `cargo run --release -p maplefall-controller --example start -- FOLDER`; the folder is on the disk that is measured.
+//! Measures how long a controller takes to read its disk at a start, by the number of changes that were written to it, and what writing
+//! them cost.
+//!
+//! `cargo run --release -p maplefall-controller --example start -- DIRECTORY`; the directory is on the disk that is measured.
 
 use maplefall_controller::disk::Directory;
 use maplefall_controller::store::{Error, Store, StoreRecord};
 use maplefall_raft::{Entry, PersistentUpdate, Snapshot};
 use std::path::{Path, PathBuf};
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// Bytes of one change.
-const CHANGE: usize = 600;
+const CHANGE_BYTES: usize = 600;
+/// Changes that are written at a time.
+const BATCH_CHANGES: u64 = 10;
+/// Starts that are measured; their median is shown.
+const STARTS: usize = 9;
 
-fn record(number: u64, snapshot_each: u64) -> StoreRecord {
-    let entry = Entry {
-        index: number,
-        term: 1,
-        payload: vec![number as u8; CHANGE],
-        ..Entry::default()
-    };
-    // A state of half of what it stands for.
-    let snapshot =
-        (number > 1 && snapshot_each > 0 && number.is_multiple_of(snapshot_each)).then(|| {
-            Snapshot {
-                index: number - 1,
-                term: 1,
-                state: vec![1; snapshot_each as usize * CHANGE / 2].into(),
-                ..Snapshot::default()
-            }
-        });
-    let tandem = PersistentUpdate {
-        term: Some(1),
-        entries: vec![entry],
-        snapshot,
-        ..PersistentUpdate::default()
-    };
-    StoreRecord {
-        number,
-        raft: Some(tandem),
-        ..StoreRecord::default()
+/// What is written before the starts.
+#[derive(Clone, Copy)]
+struct Workload {
+    changes: u64,
+    /// Changes between two snapshots, 0 for none.
+    snapshot_interval: u64,
+}
+
+impl Workload {
+    fn record(&self, number: u64) -> StoreRecord {
+        let entry = Entry {
+            index: number,
+            term: 1,
+            payload: vec![number as u8; CHANGE_BYTES],
+            ..Entry::default()
+        };
+        let raft = PersistentUpdate {
+            term: Some(1),
+            entries: vec![entry],
+            snapshot: self.snapshot_at(number),
+            ..PersistentUpdate::default()
+        };
+        StoreRecord {
+            number,
+            raft: Some(raft),
+            ..StoreRecord::default()
+        }
+    }
+
+    /// A snapshot has half the length of the changes that it replaces.
+    fn snapshot_at(&self, number: u64) -> Option<Snapshot> {
+        let interval = self.snapshot_interval;
+        (number > 1 && interval > 0 && number.is_multiple_of(interval)).then(|| Snapshot {
+            index: number - 1,
+            term: 1,
+            state: vec![1; interval as usize * CHANGE_BYTES / 2].into(),
+            ..Snapshot::default()
+        })
     }
 }
 
-/// Bytes that this process has written, as the kernel counts them.
-fn written() -> u64 {
+/// What writing has cost.
+struct WriteCost {
+    elapsed: Duration,
+    bytes: u64,
+}
+
+/// Bytes that this process has written so far, as the kernel counts them.
+fn process_written_bytes() -> u64 {
     let io = std::fs::read_to_string("/proc/self/io").unwrap_or_default();
     io.lines()
         .find_map(|line| line.strip_prefix("wchar: ")?.parse().ok())
         .unwrap_or(0)
 }
 
-fn play(path: &Path, changes: u64, snapshot_each: u64) -> Result<(), Error> {
-    let (from, begun) = (written(), Instant::now());
+fn write_changes(path: &Path, workload: Workload) -> Result<WriteCost, Error> {
+    let (bytes_before, begun) = (process_written_bytes(), Instant::now());
     let (mut store, _) = Store::open(Directory::new(path))?;
-    for first in (1..=changes).step_by(10) {
-        store.write(
-            (first..first + 10)
-                .map(|number| record(number, snapshot_each))
-                .collect(),
-        )?;
+    for first in (1..=workload.changes).step_by(BATCH_CHANGES as usize) {
+        let numbers = first..first + BATCH_CHANGES;
+        store.write(numbers.map(|number| workload.record(number)).collect())?;
         if store.has_background_work() {
             store.step()?;
         }
     }
     drop(store);
-    let (wrote, bytes) = (begun.elapsed(), written() - from);
-    let files = std::fs::read_dir(path).map(|files| {
-        files
-            .filter_map(Result::ok)
-            .filter_map(|file| file.metadata().ok())
-            .map(|file| file.len())
-            .sum::<u64>()
-    });
-    let mut starts = Vec::new();
-    for _ in 0..9 {
+    Ok(WriteCost {
+        elapsed: begun.elapsed(),
+        bytes: process_written_bytes() - bytes_before,
+    })
+}
+
+/// Milliseconds of each start, sorted.
+fn measure_starts(path: &Path, changes: u64) -> Result<Vec<f64>, Error> {
+    let mut starts_ms = Vec::new();
+    for _ in 0..STARTS {
         let begun = Instant::now();
-        let (store, kept) = Store::open(Directory::new(path))?;
-        assert_eq!(kept.number, changes);
+        let (store, found) = Store::open(Directory::new(path))?;
+        assert_eq!(found.number, changes);
         drop(store);
-        starts.push(begun.elapsed().as_secs_f64() * 1e3);
+        starts_ms.push(begun.elapsed().as_secs_f64() * 1e3);
     }
-    starts.sort_by(f64::total_cmp);
+    starts_ms.sort_by(f64::total_cmp);
+    Ok(starts_ms)
+}
+
+/// Length of all files in the directory.
+fn directory_bytes(path: &Path) -> u64 {
+    std::fs::read_dir(path).map_or(0, |files| {
+        files
+            .filter_map(Result::ok)
+            .filter_map(|file| file.metadata().ok())
+            .map(|metadata| metadata.len())
+            .sum()
+    })
+}
+
+fn measure(path: &Path, workload: Workload) -> Result<(), Error> {
+    let cost = write_changes(path, workload)?;
+    let on_disk_bytes = directory_bytes(path);
+    let starts_ms = measure_starts(path, workload.changes)?;
     println!(
-        "changes={changes} snapshot_each={snapshot_each} write_ms={} written_kib={} times={:.2} on_disk_kib={} start_ms={:.1} slowest_ms={:.1}",
-        wrote.as_millis(),
-        bytes >> 10,
-        bytes as f64 / (changes as usize * CHANGE) as f64,
-        files.unwrap_or(0) >> 10,
-        starts[4],
-        starts[8],
+        "changes={} snapshot_each={} write_ms={} written_kib={} times={:.2} on_disk_kib={} start_ms={:.1} slowest_ms={:.1}",
+        workload.changes,
+        workload.snapshot_interval,
+        cost.elapsed.as_millis(),
+        cost.bytes >> 10,
+        cost.bytes as f64 / (workload.changes as usize * CHANGE_BYTES) as f64,
+        on_disk_bytes >> 10,
+        starts_ms[STARTS / 2],
+        starts_ms[STARTS - 1],
     );
     Ok(())
 }
@@ -96,10 +136,14 @@
         .nth(1)
         .map_or_else(std::env::temp_dir, PathBuf::from);
     let path = base.join(format!("maplefall-start-{}", std::process::id()));
-    for snapshot_each in [0, 250] {
+    for snapshot_interval in [0, 250] {
         for changes in [300, 3_000, 30_000] {
-            let result = play(&path, changes, snapshot_each);
-            // It is this program's own folder; what is left is no matter.
+            let workload = Workload {
+                changes,
+                snapshot_interval,
+            };
+            let result = measure(&path, workload);
+            // It is this program's own directory; a failure to remove it changes no figure.
             let _ = std::fs::remove_dir_all(&path);
             result?;
         }
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -1,46 +1,104 @@
-//! What the store asks of a disk: a folder of files, in words that a test can play.
+//! The calls that the store makes on a disk: a directory of files, behind a trait so that a test can simulate power losses.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A folder of files. What is not synced may be lost with the machine's power: bytes of a file by its own sync, a name that was
-/// made, changed or removed by the folder's.
+/// A directory of files.
+///
+/// Durable is what survives a power loss: the content of a file after [`Disk::sync`] on it, a name that was created, changed or removed
+/// after [`Disk::sync_directory`]. What is not durable may be lost, each write and each name by itself.
+///
+/// Errors may be temporary, and any call may be repeated. After a failed [`Disk::sync`] nothing may be assumed about the file's
+/// content, and a second sync that succeeds does not make it durable.
 pub trait Disk: Send + 'static {
     /// A file that is written from its start to its end.
     type File: Write + Send;
     /// A file that is read from its start to its end.
     type Reader: Read;
 
-    /// Where it is, for error messages.
+    /// Where the directory is, for error messages.
     fn path(&self) -> &Path;
-    /// Names of all files.
+
+    /// Names of all files, in any order.
+    ///
+    /// # Errors
+    ///
+    /// If the directory cannot be read, or not be created.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Opens a file for reading.
+
+    /// Opens a file for reading. What is read need not be durable: it may come from the system's memory.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::NotFound`] if there is none; any other if it cannot be opened.
     fn read(&self, name: &str) -> io::Result<Self::Reader>;
-    /// Makes an empty file; one of that name is emptied.
+
+    /// Creates an empty file, or empties the one of that name. The name is durable after [`Disk::sync_directory`].
+    ///
+    /// # Errors
+    ///
+    /// If the disk returns an error, for one because it is full.
     fn create(&self, name: &str) -> io::Result<Self::File>;
-    /// Waits until all that was written to a file is on the disk.
+
+    /// Waits until all that was written to a file is durable. Its name need not be.
+    ///
+    /// # Errors
+    ///
+    /// If the disk returns an error; the content of the file is then unknown.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
-    /// Gives a file another name. No file has that name.
+
+    /// Renames a file; no file may have the new name. A power loss before [`Disk::sync_directory`] leaves either name, or none.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::NotFound`] if there is none; any other if the disk returns an error.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file.
+
+    /// Removes a file. A power loss before [`Disk::sync_directory`] may bring it back.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::NotFound`] if there is none; any other if the disk returns an error.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Waits until all names are on the disk.
-    fn sync_folder(&self) -> io::Result<()>;
-    /// Waits before the next try on a disk that refused.
-    fn sleep(&self, time: Duration);
+
+    /// Waits until all names are durable.
+    ///
+    /// # Errors
+    ///
+    /// If the disk returns an error; each name that was not durable may still be lost.
+    fn sync_directory(&self) -> io::Result<()>;
+
+    /// Waits before the next attempt on a disk that returned an error.
+    fn sleep(&self, delay: Duration);
 }
 
-/// A folder of the system.
+/// A directory of the operating system's file system.
 #[derive(Debug)]
-pub struct Directory(PathBuf);
+pub struct Directory {
+    path: PathBuf,
+}
 
 impl Directory {
-    /// The folder at this path; it is made once something is written.
+    /// The directory at this path; [`Disk::list`] creates it if there is none.
     pub fn new(path: &Path) -> Directory {
-        Directory(path.to_owned())
+        Directory {
+            path: path.to_owned(),
+        }
+    }
+
+    fn file_path(&self, name: &str) -> PathBuf {
+        self.path.join(name)
+    }
+
+    /// Creates the directory with those above it. Its own name is durable after this, those of directories above it need not be.
+    fn create_durably(&self) -> io::Result<()> {
+        fs::create_dir_all(&self.path)?;
+        match self.path.parent() {
+            Some(parent) => File::open(parent)?.sync_all(),
+            None => Ok(()),
+        }
     }
 }
 
@@ -49,30 +107,27 @@
     type Reader = File;
 
     fn path(&self) -> &Path {
-        &self.0
+        &self.path
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
-        if !self.0.exists() {
-            fs::create_dir_all(&self.0)?;
-            if let Some(parent) = self.0.parent() {
-                File::open(parent)?.sync_all()?;
-            }
+        if !self.path.exists() {
+            self.create_durably()?;
         }
         let mut names = Vec::new();
-        for file in fs::read_dir(&self.0)? {
-            // What is no text is none of the store's.
-            names.extend(file?.file_name().into_string().ok());
+        for entry in fs::read_dir(&self.path)? {
+            // A name that is not UTF-8 is not the store's.
+            names.extend(entry?.file_name().into_string().ok());
         }
         Ok(names)
     }
 
     fn read(&self, name: &str) -> io::Result<File> {
-        File::open(self.0.join(name))
+        File::open(self.file_path(name))
     }
 
     fn create(&self, name: &str) -> io::Result<File> {
-        File::create(self.0.join(name))
+        File::create(self.file_path(name))
     }
 
     fn sync(&self, file: &mut File) -> io::Result<()> {
@@ -80,18 +135,18 @@
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        fs::rename(self.0.join(from), self.0.join(to))
+        fs::rename(self.file_path(from), self.file_path(to))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        fs::remove_file(self.0.join(name))
+        fs::remove_file(self.file_path(name))
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
-        File::open(&self.0)?.sync_all()
+    fn sync_directory(&self) -> io::Result<()> {
+        File::open(&self.path)?.sync_all()
     }
 
-    fn sleep(&self, time: Duration) {
-        std::thread::sleep(time);
+    fn sleep(&self, delay: Duration) {
+        std::thread::sleep(delay);
     }
 }
--- a/crates/controller/src/store/compaction.rs
+++ b/crates/controller/src/store/compaction.rs
@@ -103,7 +103,7 @@
     /// however long the state is.
     fn is_due(&self, limits: &StoreLimits, log: &SegmentLog<F>) -> bool {
         let uncompacted = log.uncompacted();
-        uncompacted.bytes >= limits.compact_after.max(self.state_file_bytes)
+        uncompacted.bytes >= limits.compact_after_bytes.max(self.state_file_bytes)
             || uncompacted.ids.len() > limits.max_segments
     }
 
@@ -143,7 +143,7 @@
             self.publish(disk, &compaction)
         } else {
             // At least as long as the last batch: otherwise the log grows faster than the state file is written.
-            let max_slice_bytes = limits.write_slice.max(log.last_frame_bytes());
+            let max_slice_bytes = limits.write_slice_bytes.max(log.last_frame_bytes());
             compaction.write_slice(disk, max_slice_bytes)
         };
         match result {
--- a/crates/controller/src/store/error.rs
+++ b/crates/controller/src/store/error.rs
@@ -41,7 +41,7 @@
 /// Why the store cannot use its disk, shown as `key=value` pairs for the log.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The disk refused a call. It may work later.
+    /// A call on the disk failed. It may succeed later.
     #[error("step={operation} path={} error={:?}", path.display(), source.to_string())]
     Io {
         /// The call.
--- a/crates/controller/src/store/files.rs
+++ b/crates/controller/src/store/files.rs
@@ -104,6 +104,6 @@
 
 /// Waits until all names that were created, changed or removed are durable.
 pub(super) fn sync_directory<D: Disk>(disk: &D) -> Result<(), Error> {
-    disk.sync_folder()
+    disk.sync_directory()
         .map_err(Error::on_directory(disk, Operation::Sync))
 }
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -47,25 +47,25 @@
 /// Sizes that the store goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Bytes of log that are compacted, at least; a state that is longer waits for as many bytes of log as it has itself. Default
+    /// Length of the log at which it is compacted; if the last state file is longer, its length counts instead. Default
     /// 192 KiB: the two syncs of a compaction are then few beside those of the writes.
-    pub compact_after: u64,
+    pub compact_after_bytes: u64,
     /// Segments above which the log is compacted, however short they are; each start that finds a log begins one. Default 16.
     pub max_segments: usize,
     /// Bytes of a state file that are written at a time, which a write may have to wait for; as long as the last batch if that is
     /// longer. Default 1 MiB.
-    pub write_slice: usize,
+    pub write_slice_bytes: usize,
     /// Bytes of records after which a frame gets no more of them. Default 4 MiB.
-    pub max_batch: usize,
+    pub max_batch_bytes: usize,
 }
 
 impl Default for StoreLimits {
     fn default() -> StoreLimits {
         StoreLimits {
-            compact_after: 192 << 10,
+            compact_after_bytes: 192 << 10,
             max_segments: 16,
-            write_slice: 1 << 20,
-            max_batch: 4 << 20,
+            write_slice_bytes: 1 << 20,
+            max_batch_bytes: 4 << 20,
         }
     }
 }
@@ -87,24 +87,23 @@
     ///
     /// [`Error::Io`], [`Error::Corrupt`] and [`Error::UnknownFormat`].
     pub fn open(disk: D) -> Result<(Store<D>, StoredState), Error> {
-        Store::open_with(disk, StoreLimits::default()).map_err(|(_, error)| error)
+        Store::open_with(disk, StoreLimits::default())
     }
 
-    /// Opens it with other sizes; an error comes with the disk.
-    pub fn open_with(disk: D, limits: StoreLimits) -> Result<(Store<D>, StoredState), (D, Error)> {
-        let recovered = match RecoveredDirectory::read(&disk) {
-            Ok(recovered) => recovered,
-            Err(error) => return Err((disk, error)),
-        };
+    /// Opens it with other sizes.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Store::open`].
+    pub fn open_with(disk: D, limits: StoreLimits) -> Result<(Store<D>, StoredState), Error> {
+        let recovered = RecoveredDirectory::read(&disk)?;
         let (mut store, mut last_frame) = Store::new(disk, limits, recovered);
-        match store.make_durable(last_frame.as_mut()) {
-            Ok(()) => Ok(store.into_opened()),
-            Err(error) => Err((store.disk, error)),
-        }
+        store.make_durable(last_frame.as_mut())?;
+        Ok(store.into_opened())
     }
 
-    /// Opens it as [`Store::open`] does, but retries while the disk refuses, without an end. If its content is corrupt, that is
-    /// quarantined and the store is empty: the controller has lost its disk ([`StoredState::quarantined`]).
+    /// Opens it as [`Store::open`] does, but retries until the disk returns no error. Corrupt content is
+    /// quarantined, and the store is then empty: the controller has lost its disk ([`StoredState::quarantined`]).
     ///
     /// # Errors
     ///
@@ -197,7 +196,7 @@
     }
 
     /// Runs on a thread of its own until the queue is dropped: writes what comes, in order, and calls `written` with the number of the
-    /// last record that is durable. While the disk refuses, the same records are retried and nothing is reported. Ends too when
+    /// last record that is durable. While the disk returns errors, the same records are retried and nothing is reported. Ends too when
     /// `written` returns `false`, and after it was called with [`Error::OutOfOrder`].
     pub fn run(
         mut self,
@@ -233,7 +232,7 @@
         incoming: &WriteQueueReceiver,
         first: StoreRecord,
     ) -> Result<u64, Error> {
-        let batch = incoming.batch_from(first, self.limits.max_batch);
+        let batch = incoming.batch_from(first, self.limits.max_batch_bytes);
         batch.check_follows(self.state.number)?;
         let last_number = batch.last_number();
         let mut frame = batch.to_frame();
@@ -250,9 +249,4 @@
         }
         retry.succeeded(&self.disk);
     }
-
-    /// Gives the disk back, as it is.
-    pub fn into_disk(self) -> D {
-        self.disk
-    }
 }
--- a/crates/controller/src/store/quarantine.rs
+++ b/crates/controller/src/store/quarantine.rs
@@ -15,6 +15,8 @@
     if !names.iter().any(|name| name == QUARANTINE_MARKER) {
         remove_earlier_quarantine(disk, &names)?;
     }
+    // The note with the marker: where no other file is left, only it says that this disk had content, and the controller would start a
+    // new cluster.
     for name in [QUARANTINE_NOTE, QUARANTINE_MARKER] {
         let mut file = files::create(disk, name)?;
         files::sync(disk, name, &mut file)?;
@@ -23,8 +25,10 @@
     for name in names.iter().filter(|name| is_store_file(name)) {
         files::rename(disk, name, &format!("{QUARANTINE_PREFIX}{name}"))?;
     }
+    // Without this a power loss after the next sync could bring back a part of the old names, and no marker.
     files::sync_directory(disk)?;
     files::remove(disk, QUARANTINE_MARKER)?;
+    // Without this the marker could come back beside new files, which would then be quarantined.
     files::sync_directory(disk)
 }
 
--- a/crates/controller/src/store/recovery.rs
+++ b/crates/controller/src/store/recovery.rs
@@ -146,7 +146,8 @@
     numbers
 }
 
-/// Reads the directory, with retries while the disk refuses. Corrupt files are quarantined, after which the directory counts as empty.
+/// Reads the directory, with retries while the disk returns errors. Corrupt files are quarantined, after which the directory counts as
+/// empty.
 ///
 /// # Errors
 ///
--- a/crates/controller/src/store/retry.rs
+++ b/crates/controller/src/store/retry.rs
@@ -1,4 +1,4 @@
-//! Retries with backoff while the disk refuses.
+//! Retries with backoff while the disk returns errors.
 //!
 //! The process stays up: one that ended would have to be readmitted by the others, and would meet the same disk.
 
--- a/crates/controller/src/store/write_queue.rs
+++ b/crates/controller/src/store/write_queue.rs
@@ -1,7 +1,7 @@
 //! The bounded queue from the controller to the disk's thread.
 //!
-//! Invariant: records leave it in order and without a gap. The first record that finds no room closes it for good: a later record on the
-//! disk would say that all before it are there too.
+//! Invariant: records leave it in order and without a gap. The first record that exceeds its capacity closes it for good: a later
+//! record on the disk would say that all before it are there too.
 
 use super::error::Error;
 use super::record::{Batch, StoreRecord};
@@ -49,17 +49,17 @@
     ///
     /// # Errors
     ///
-    /// [`Error::QueueFull`] if it has no room, if the disk's thread has ended, or once a record had no room.
+    /// [`Error::QueueFull`] if the queue has no capacity for it, if the disk's thread has ended, or once a record was rejected.
     pub fn push(&self, record: StoreRecord) -> Result<(), Error> {
         let (number, record_bytes) = (record.number, record.encoded_len());
-        if self.closed.load(Ordering::Acquire) || !self.has_room(record_bytes) {
+        if self.closed.load(Ordering::Acquire) || !self.has_capacity(record_bytes) {
             return Err(self.close(number));
         }
         self.queued_bytes.fetch_add(record_bytes, Ordering::AcqRel);
         self.sender.try_send(record).map_err(|_| self.close(number))
     }
 
-    fn has_room(&self, record_bytes: usize) -> bool {
+    fn has_capacity(&self, record_bytes: usize) -> bool {
         let queued_bytes = self.queued_bytes.load(Ordering::Acquire);
         queued_bytes == 0 || queued_bytes + record_bytes <= MAX_QUEUED_BYTES
     }
@@ -98,7 +98,7 @@
         Batch::new(records)
     }
 
-    /// Makes room again for the records of a batch that is on the disk.
+    /// Frees the capacity that the records of a batch took, once they are durable.
     pub(super) fn release(&self, batch: &Batch) {
         let batch_bytes = batch.records.iter().map(Message::encoded_len).sum();
         self.queued_bytes.fetch_sub(batch_bytes, Ordering::AcqRel);
--- a/crates/controller/tests/store/corruption.rs
+++ b/crates/controller/tests/store/corruption.rs
@@ -68,7 +68,7 @@
                     .write(vec![record(found.number + 1, 60)])
                     .expect("usable");
             }
-            Err((_, error)) => {
+            Err(error) => {
                 assert!(
                     matches!(error, Error::Corrupt { .. } | Error::UnknownFormat { .. }),
                     "{error}"
@@ -84,15 +84,13 @@
 /// A disk with several segments and no state file. The last segment is corrupt: without it the others would pass for all.
 fn disk_with_corrupt_last_segment() -> SimulatedDisk {
     let never_compact = StoreLimits {
-        compact_after: 1 << 30,
+        compact_after_bytes: 1 << 30,
         max_segments: 1 << 30,
         ..SMALL_LIMITS
     };
     let (disk, mut number) = (SimulatedDisk::default(), 0);
     for _ in 0..4 {
-        let (mut store, _) = Store::open_with(disk.clone(), never_compact)
-            .map_err(|(_, error)| error)
-            .expect("a disk");
+        let (mut store, _) = Store::open_with(disk.clone(), never_compact).expect("a disk");
         for _ in 0..3 {
             number += 1;
             store.write(vec![record(number, 60)]).expect("written");
@@ -145,7 +143,7 @@
                     "step {crash_step}, seed {seed}: {}",
                     found.number
                 ),
-                Err((_, error)) => assert!(matches!(error, Error::Corrupt { .. }), "{error}"),
+                Err(error) => assert!(matches!(error, Error::Corrupt { .. }), "{error}"),
             }
             assert_eq!(open_with_retries(&crashing), quarantined_state());
             cases += 1;
--- a/crates/controller/tests/store/disk_errors.rs
+++ b/crates/controller/tests/store/disk_errors.rs
@@ -51,7 +51,7 @@
 /// Guards against a heap of files: a disk on which every other step fails for long, while the store runs and while it starts. Files are
 /// created, and their writes or syncs fail.
 #[test]
-fn repeated_failures_leave_few_files() {
+fn repeated_failures_create_few_files() {
     for seed in 0..20 {
         let disk = SimulatedDisk::default();
         let mut store = open_small(&disk);
@@ -88,9 +88,9 @@
             }
         }
         drop(store);
-        let bound = 4 * longest_state_bytes(last, payload_bytes)
-            + 2 * (SMALL_LIMITS.max_batch + payload_bytes + 200)
-            + SMALL_LIMITS.compact_after as usize;
+        let bound = 4 * max_state_bytes(last, payload_bytes)
+            + 2 * (SMALL_LIMITS.max_batch_bytes + payload_bytes + 200)
+            + SMALL_LIMITS.compact_after_bytes as usize;
         let used = disk.max_bytes();
         println!("{last} records of {payload_bytes}: at most {used} bytes, bound {bound}");
         assert!(used <= bound, "{used} over {bound}");
@@ -98,7 +98,7 @@
 }
 
 /// The longest state, about: a snapshot comes every 40 records.
-fn longest_state_bytes(last: u64, payload_bytes: usize) -> usize {
+fn max_state_bytes(last: u64, payload_bytes: usize) -> usize {
     let entries = last.min(41) as usize;
     entries * (payload_bytes + 60) + payload_bytes + 400
 }
--- a/crates/controller/tests/store/format.rs
+++ b/crates/controller/tests/store/format.rs
@@ -125,9 +125,8 @@
 #[test]
 fn written_files_keep_their_bytes() {
     let directory = TestDirectory::new("bytes");
-    let (mut store, _) = Store::open_with(Directory::new(directory.path()), SMALL_LIMITS)
-        .map_err(|(_, error)| error)
-        .expect("a disk");
+    let (mut store, _) =
+        Store::open_with(Directory::new(directory.path()), SMALL_LIMITS).expect("a disk");
     for number in 1..=45 {
         store
             .write(vec![record_with_all_fields(number)])
--- a/crates/controller/tests/store/main.rs
+++ b/crates/controller/tests/store/main.rs
@@ -5,6 +5,7 @@
 
 mod corruption;
 mod disk_errors;
+mod error_text;
 mod format;
 mod power_loss;
 mod restart;
--- a/crates/controller/tests/store/power_loss.rs
+++ b/crates/controller/tests/store/power_loss.rs
@@ -106,7 +106,7 @@
 
 /// Writes 100 records, compacts without a write in between, and once more up to a compaction that ends.
 fn write_and_compact(disk: &SimulatedDisk, progress: &mut Progress) -> Result<(), Error> {
-    let open = || Store::open_with(disk.clone(), SMALL_LIMITS).map_err(|(_, error)| error);
+    let open = || Store::open_with(disk.clone(), SMALL_LIMITS);
     let (mut store, _) = open()?;
     write_records(&mut store, progress, 100, 60, &mut SplitMix64(5))?;
     store.close()?;
--- a/crates/controller/tests/store/simulated_disk.rs
+++ b/crates/controller/tests/store/simulated_disk.rs
@@ -377,7 +377,7 @@
         Ok(())
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         let mut state = lock(&self.0);
         state.step()?;
         if !state.faults.ignores_directory_sync {
@@ -427,8 +427,8 @@
         self.0.remove(name)
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
-        self.0.sync_folder()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.0.sync_directory()
     }
 
     fn sleep(&self, _: Duration) {
--- a/crates/controller/tests/store/workload.rs
+++ b/crates/controller/tests/store/workload.rs
@@ -6,10 +6,10 @@
 
 /// Small, so that much is compacted.
 pub const SMALL_LIMITS: StoreLimits = StoreLimits {
-    compact_after: 2_000,
+    compact_after_bytes: 2_000,
     max_segments: 4,
-    write_slice: 300,
-    max_batch: 1_000,
+    write_slice_bytes: 300,
+    max_batch_bytes: 1_000,
 };
 
 /// The record of this number: every part of it depends on that. Now and then a snapshot takes the place of what was before.
@@ -85,9 +85,7 @@
 
 /// Opens a simulated disk on which nothing fails.
 pub fn open_small(disk: &SimulatedDisk) -> Store<SimulatedDisk> {
-    let (store, _) = Store::open_with(disk.clone(), SMALL_LIMITS)
-        .map_err(|(_, error)| error)
-        .expect("a disk");
+    let (store, _) = Store::open_with(disk.clone(), SMALL_LIMITS).expect("a disk");
     store
 }
 
@@ -135,8 +133,8 @@
     payload_bytes: usize,
 ) -> Result<Result<Store<SimulatedDisk>, Error>, String> {
     match Store::open_with(disk.clone(), SMALL_LIMITS) {
-        Err((_, error @ Error::Io { .. })) => Ok(Err(error)),
-        Err((_, error)) => Err(format!("{progress:?}: rejected: {error}")),
+        Err(error @ Error::Io { .. }) => Ok(Err(error)),
+        Err(error) => Err(format!("{progress:?}: rejected: {error}")),
         Ok((store, state)) => {
             if state.number < progress.acknowledged || state.number > progress.attempted {
                 return Err(format!("{progress:?}: {} found", state.number));
