--- a/crates/controller/tests/store/disk_errors.rs
+++ b/crates/controller/tests/store/disk_errors.rs
@@ -102,3 +102,37 @@
     let entries = last.min(41) as usize;
     entries * (payload_bytes + 60) + payload_bytes + 400
 }
+
+/// Guards against segments that nobody removes: a compaction that fails at any of its steps is begun anew, and replaces all segments.
+#[test]
+fn a_failed_compaction_is_repeated() {
+    const RECORDS: u64 = 12;
+    let mut failed_compactions = 0;
+    for failing_step in 0..20 {
+        let disk = SimulatedDisk::default();
+        let mut store = open_small(&disk);
+        // More bytes of log than may be left uncompacted.
+        for number in 1..=RECORDS {
+            store.write(vec![record(number, 200)]).expect("written");
+        }
+        assert!(store.has_background_work());
+        for _ in 0..failing_step {
+            store.step().expect("a step");
+        }
+        disk.set_faults(Faults::failures(1, 1), failing_step);
+        failed_compactions += u64::from(store.step().is_err());
+        disk.clear_faults();
+        store.close().expect("closed");
+        assert_eq!(
+            disk.file_names(),
+            [format!("state-{RECORDS:020}")],
+            "failed at step {failing_step}"
+        );
+        let mut progress = Progress {
+            acknowledged: RECORDS,
+            attempted: RECORDS,
+        };
+        drop(reopen(&disk, &mut progress, 200).expect("all records"));
+    }
+    assert!(failed_compactions > 8, "{failed_compactions}");
+}
