--- a/crates/controller/tests/stored_by_f933aca.rs
+++ b/crates/controller/tests/stored_by_f933aca.rs
@@ -348,7 +348,7 @@
             let refused = store.write(vec![record(wrong)]);
             let due = before.number + 1;
             assert!(
-                matches!(refused, Err(Error::OutOfOrder(at, met)) if (at, met) == (due, wrong)),
+                matches!(refused, Err(Error::OutOfOrder { expected, actual }) if (expected, actual) == (due, wrong)),
                 "{refused:?}"
             );
         }
@@ -657,7 +657,7 @@
         bytes[middle] ^= 0xff;
         fs::write(&path, &bytes).expect("written");
         assert!(
-            matches!(Store::open(Directory::new(&copy.0)), Err(Error::Corrupt(at)) if at == path),
+            matches!(Store::open(Directory::new(&copy.0)), Err(Error::Corrupt { path: at }) if at == path),
             "{folder}"
         );
         let (_, kept) = Store::open_with_retries(Directory::new(&copy.0), StoreLimits::default())
