--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -11,13 +11,13 @@
 //! send and what is agreed. What may be said only once something is on disk is held back in here.
 
 mod message;
-mod node;
 mod persistent_state;
+mod raft;
 
 pub use message::{
     checksum, AppendEntries, AppendEntriesResponse, Entry, EntryKind, InstallSnapshot, JoinRequest,
     Member, MembershipRequest, Message, MessageBody, PersistentUpdate, RequestVote,
     RequestVoteResponse, Snapshot, SnapshotProgress, TimeoutNow,
 };
-pub use node::{Config, Raft, Ready, MAX_MEMBERS};
 pub use persistent_state::{Configuration, PersistentState};
+pub use raft::{Config, Raft, Ready, MAX_MEMBERS};
--- a/crates/raft/src/node/mod.rs
+++ b/crates/raft/src/raft/mod.rs
@@ -1,20 +1,20 @@
 //! One node.
 
-mod elections;
-mod following;
-mod leading;
+mod election;
+mod follower;
 mod log;
-mod members;
-mod snapshots;
+mod membership;
+mod replication;
+mod snapshot;
 
 use crate::message::*;
 use crate::persistent_state::{Configuration, PersistentState};
 use bytes::Bytes;
-use leading::{Progress, Rounds};
-pub use members::MAX_MEMBERS;
+pub use membership::MAX_MEMBERS;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use snapshots::{Folding, Sending, Taking};
+use replication::{Progress, Rounds};
+use snapshot::{Folding, Sending, Taking};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Milliseconds on the caller's steady clock.
--- a/crates/raft/src/node/leading.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -1,6 +1,6 @@
 //! What a leader does.
 
-use super::snapshots::weight;
+use super::snapshot::weight;
 use super::*;
 
 /// What a leader knows of another node.
