--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,14 +1,18 @@
-//! Agreement among exchanges on one order of changes: a log with a leader, for a handful of nodes. Named after the tandem
-//! exchange, which joins other exchanges.
+//! Raft consensus among a handful of controllers: one order of changes, replicated in a log.
 //!
-//! The rules are those of "In Search of an Understandable Consensus Algorithm" (Ongaro, Ousterhout 2014): terms, votes by
-//! majority, entries that count once a majority has them on disk. Besides: a node asks whether it would be elected before
-//! it stands; a leader that has no proof of late that a majority follows it steps down; a read is confirmed by a round of the leader;
-//! members change by agreement, in one step that needs a majority of those before and of those after; and a node that has lost its
-//! disk is a new member at an old address.
+//! The rules are those of "In Search of an Understandable Consensus Algorithm" (Ongaro and Ousterhout, 2014), with these
+//! additions:
 //!
-//! [`Tandem`] does no I/O. It takes ticks, messages and the word that writes are on disk, and returns what to write, what to
-//! send and what is agreed. What may be said only once something is on disk is held back in here.
+//! - a pre-vote before each election (Ongaro's thesis, 9.6), so that a node that was cut off does not depose a working leader;
+//! - a leader without proof of recent contact with a quorum steps down (thesis, 6.2);
+//! - linearizable reads are confirmed by a heartbeat (read index; thesis, 6.4);
+//! - members change by one log entry that needs a majority of the members before and of those after
+//!   (`docs/design/control-membership.md`);
+//! - a node that has lost its disk is a new member at an old address: see [`Member::identity`].
+//!
+//! [`Raft`] does no I/O. The caller feeds it ticks, messages and the numbers of writes that have reached the disk, and carries out
+//! what [`Ready`] returns: what to write, what to send, and what is committed. A message that must not be sent before a
+//! write is persisted is deferred inside [`Raft`].
 
 mod message;
 mod persistent_state;
--- a/crates/raft/src/persistent_state.rs
+++ b/crates/raft/src/persistent_state.rs
@@ -1,109 +1,121 @@
-//! What a node holds, and the one fold that leads to it.
+//! What a node keeps on disk (paper, figure 2, "persistent state"), and how updates of it are applied.
+//!
+//! Invariant: [`PersistentState::apply`] is the only way to change it. A restart reads the disk with it, and a running node changes its memory with
+//! it, so that both agree after every update.
 
 use crate::message::*;
 
-/// What a node finds on its disk.
+/// Term, vote, snapshot and log of a node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistentState {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The vote in it.
+    /// The vote in that term; empty for none.
     pub voted_for: String,
-    /// All up to here is folded.
+    /// Replaces all entries up to its index; index 0 for none.
     pub snapshot: Snapshot,
-    /// The entries after it.
+    /// The entries after the snapshot, without gaps.
     pub log: Vec<Entry>,
-    /// The mark of this disk, once it has been written: [`Member::identity`].
+    /// [`Member::identity`] of this disk, once it has been written.
     pub identity: Option<u64>,
-    /// Members up to this index are known to be agreed on.
+    /// Membership entries up to this index are known to be committed.
     pub members_committed: u64,
 }
 
-/// Who votes, as a log says it.
+/// The members as a log gives them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// The last that the log names.
+    /// Members of the last membership entry or, without one, of the snapshot.
     pub current: Vec<Member>,
-    /// Those before.
+    /// The members before those; the same where the log has no membership entry.
     pub previous: Vec<Member>,
-    /// Where the last are named.
+    /// Index of the last membership entry, or of the snapshot.
     pub index: u64,
 }
 
 impl PersistentState {
-    /// Takes in one record, as they were written in order. Doing it twice changes nothing once all have been taken in. This is the
-    /// only fold there is: a start reads the disk with it, and a running node changes what it holds with it and with nothing
-    /// else, so that both agree at every moment.
-    pub fn apply(&mut self, record: PersistentUpdate) {
-        if let Some(term) = record.term {
-            (self.term, self.voted_for) = (term, record.voted_for);
+    /// Applies one update. Updates are applied in the order in which they were written; to repeat some of them changes nothing once all
+    /// have been applied.
+    pub fn apply(&mut self, update: PersistentUpdate) {
+        if let Some(term) = update.term {
+            (self.term, self.voted_for) = (term, update.voted_for);
         }
-        self.identity = record.identity.or(self.identity);
-        self.members_committed = self.members_committed.max(record.members_committed);
-        if let Some(snapshot) = record.snapshot.filter(|s| s.index >= self.snapshot.index) {
-            // Entries after it stay where they follow it: also on a state that is there already, which has no entry of its own.
-            let same = self.term_at(snapshot.index) == Some(snapshot.term);
-            self.log
-                .retain(|entry| same && entry.index > snapshot.index);
-            self.snapshot = snapshot;
+        self.identity = update.identity.or(self.identity);
+        self.members_committed = self.members_committed.max(update.members_committed);
+        if let Some(snapshot) = update.snapshot {
+            self.apply_snapshot(snapshot);
         }
-        for entry in record.entries {
-            if entry.index <= self.snapshot.index {
-                continue;
-            }
-            let place = (entry.index - self.snapshot.index - 1) as usize;
-            if place <= self.log.len() {
-                self.log.truncate(place);
-                self.log.push(entry);
-            }
+        for entry in update.entries {
+            self.apply_entry(entry);
         }
     }
 
-    /// Index of the last entry.
+    /// Entries after the snapshot are kept where they follow it; those up to it go. An older snapshot is ignored.
+    fn apply_snapshot(&mut self, snapshot: Snapshot) {
+        if snapshot.index < self.snapshot.index {
+            return;
+        }
+        // Also where this snapshot is here already, whose last entry the log does not have.
+        let log_follows = self.term_at(snapshot.index) == Some(snapshot.term);
+        self.log
+            .retain(|entry| log_follows && entry.index > snapshot.index);
+        self.snapshot = snapshot;
+    }
+
+    /// Replaces the log from the entry's index on by the entry. One that the snapshot contains, or before which one is missing, is
+    /// ignored.
+    fn apply_entry(&mut self, entry: Entry) {
+        if entry.index <= self.snapshot.index {
+            return;
+        }
+        let position = (entry.index - self.snapshot.index - 1) as usize;
+        if position <= self.log.len() {
+            self.log.truncate(position);
+            self.log.push(entry);
+        }
+    }
+
+    /// Index of the last entry, which may be in the snapshot.
     pub fn last_index(&self) -> u64 {
         self.log
             .last()
             .map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// The term of the entry at an index, unless it is folded or not there.
+    /// Term of the entry at an index; `None` before the last entry of the snapshot, and after the end of the log.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
         }
-        let place = index.checked_sub(self.snapshot.index + 1)?;
+        let position = index.checked_sub(self.snapshot.index + 1)?;
         self.log
-            .get(usize::try_from(place).ok()?)
+            .get(usize::try_from(position).ok()?)
             .map(|entry| entry.term)
     }
 
-    /// Who votes.
+    /// The members by the whole log, committed or not.
     pub fn configuration(&self) -> Configuration {
         let members = &self.snapshot.members;
-        let mut sets = Configuration {
+        let mut configuration = Configuration {
             current: members.clone(),
             previous: members.clone(),
             index: self.snapshot.index,
         };
-        for entry in self
-            .log
-            .iter()
-            .filter(|entry| entry.kind() == EntryKind::Membership)
-        {
-            sets.previous = std::mem::replace(&mut sets.current, entry.members.clone());
-            sets.index = entry.index;
+        for entry in self.log.iter().filter(|entry| is_membership(entry)) {
+            let members = entry.members.clone();
+            configuration.previous = std::mem::replace(&mut configuration.current, members);
+            configuration.index = entry.index;
         }
-        sets
+        configuration
     }
 
-    /// Who votes by what is agreed on up to an index.
+    /// The members by the log up to an index.
     pub fn members_at(&self, index: u64) -> &[Member] {
-        let entries = self
+        let last = self
             .log
             .iter()
             .rev()
-            .filter(|entry| entry.kind() == EntryKind::Membership);
-        let last = entries.into_iter().find(|entry| entry.index <= index);
+            .find(|entry| is_membership(entry) && entry.index <= index);
         last.map_or(&self.snapshot.members, |entry| &entry.members)
     }
 
@@ -112,3 +124,7 @@
         *self == PersistentState::default()
     }
 }
+
+fn is_membership(entry: &Entry) -> bool {
+    entry.kind() == EntryKind::Membership
+}
--- a/crates/raft/src/raft/election.rs
+++ b/crates/raft/src/raft/election.rs
@@ -1,211 +1,276 @@
-//! Who leads.
+//! Pre-votes and elections.
+//!
+//! Election safety (paper, 5.2): a node grants one vote in a term, its vote is on disk before it is sent, and a candidate counts a vote only by
+//! the identity of the disk that gave it. Leader completeness (5.4): a vote goes only to a candidate whose log is at least as
+//! up to date. The pre-vote (thesis, 9.6) keeps a node that was cut off from deposing a leader that the others hear.
 
-use super::*;
+use super::constants::*;
+use super::progress::Progress;
+use super::role::{LeaderState, Role};
+use super::send_times::SendTimes;
+use super::{
+    chance, EntryKind, LastLeader, Member, Message, MessageBody, PersistentUpdate, Raft, Ready,
+    RequestVote, RequestVoteResponse,
+};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 impl Raft {
-    pub(super) fn ask_around(&mut self, now: Millis, out: &mut Ready) {
-        // To ask disturbs nobody: a question that was refused or lost is asked again soon.
-        self.stands = now + AGAIN * (1.0 + 2.0 * chance(&mut self.rng));
-        self.leader = None;
-        let mine = BTreeSet::from([self.me.clone()]);
-        if self.quorum(|member| mine.contains(member)) {
-            return self.stand(now, out);
+    /// Asks the others whether they would elect this node. A request that was rejected or lost is repeated soon: it disturbs nobody.
+    pub(super) fn start_pre_vote(&mut self, now: Millis, ready: &mut Ready) {
+        let factor = 1.0 + 2.0 * chance(&mut self.rng);
+        self.election_deadline = now + ELECTION_RETRY_INTERVAL * factor;
+        self.leader_id = None;
+        let votes = BTreeSet::from([self.local_member.clone()]);
+        if self.has_quorum(|member| votes.contains(member)) {
+            return self.start_election(now, ready);
         }
-        self.role = Role::Asking(mine);
-        self.ask(true, out);
-    }
-
-    pub(super) fn stand(&mut self, now: Millis, out: &mut Ready) {
-        self.stands = now + 2.0 * AGAIN + SPREAD * chance(&mut self.rng);
-        let name = self.me.name.clone();
-        self.enter(self.disk.term + 1, &name, out);
-        self.leader = None;
-        let mine = BTreeSet::from([self.me.clone()]);
-        let elected = self.quorum(|member| mine.contains(member));
-        self.role = Role::Candidate(mine, now);
-        if elected {
-            return self.lead(now, out);
+        self.role = Role::PreCandidate { votes };
+        self.request_votes(true, ready);
+    }
+
+    /// Enters the next term as a candidate, with a vote for itself.
+    pub(super) fn start_election(&mut self, now: Millis, ready: &mut Ready) {
+        let spread = ELECTION_TIMEOUT_SPREAD * chance(&mut self.rng);
+        self.election_deadline = now + 2.0 * ELECTION_RETRY_INTERVAL + spread;
+        let name = self.local_member.name.clone();
+        self.set_term(self.persistent.term + 1, &name, ready);
+        self.leader_id = None;
+        let votes = BTreeSet::from([self.local_member.clone()]);
+        let is_elected = self.has_quorum(|member| votes.contains(member));
+        self.role = Role::Candidate {
+            votes,
+            requested_at: now,
+        };
+        if is_elected {
+            return self.become_leader(now, ready);
         }
-        self.ask(false, out);
-    }
-
-    fn ask(&mut self, would: bool, out: &mut Ready) {
-        let last_index = self.disk.last_index();
-        let last_term = self.disk.term_at(last_index).unwrap_or(0);
-        let term = self.disk.term + u64::from(would);
-        for name in self.names() {
-            let ask = MessageBody::RequestVote(RequestVote {
-                pre_vote: would,
-                last_log_index: last_index,
-                last_log_term: last_term,
-            });
+        self.request_votes(false, ready);
+    }
+
+    fn request_votes(&mut self, pre_vote: bool, ready: &mut Ready) {
+        let (last_log_term, last_log_index) = self.last_log_position();
+        let request = RequestVote {
+            pre_vote,
+            last_log_index,
+            last_log_term,
+        };
+        let term = self.persistent.term + u64::from(pre_vote);
+        for name in self.peer_names() {
             let message = Message {
                 term,
-                ..self.message(ask)
+                ..self.message(MessageBody::RequestVote(request))
             };
-            self.after_writes(&name, message, out);
+            self.send_after_writes(&name, message, ready);
         }
     }
 
-    /// Whoever asks counts a vote only by the identity that it comes with, so that it may be given by anyone: also by one that does
-    /// not know yet that it is a member.
-    pub(super) fn asked(
+    /// Term and index of the last entry; logs are compared by this pair (paper, 5.4.1).
+    fn last_log_position(&self) -> (u64, u64) {
+        let last_index = self.persistent.last_index();
+        let last_term = self.persistent.term_at(last_index).unwrap_or(0);
+        (last_term, last_index)
+    }
+
+    /// Answers a request for a vote. Any node may grant one, also one that does not know yet that it is a member: the candidate counts
+    /// it only if the identity that comes with it is a member's.
+    pub(super) fn handle_request_vote(
         &mut self,
         now: Millis,
         from: &str,
         term: u64,
-        ask: RequestVote,
-        out: &mut Ready,
+        request: RequestVote,
+        ready: &mut Ready,
     ) {
-        let last_index = self.disk.last_index();
-        let last = (self.disk.term_at(last_index).unwrap_or(0), last_index);
-        let able = (ask.last_log_term, ask.last_log_index) >= last;
-        let granted = if ask.pre_vote {
-            // Nobody is deposed who is heard.
-            let leads = matches!(self.role, Role::Leader(_));
-            able && term > self.disk.term && !leads && now - self.heard >= SILENT
+        let granted = if request.pre_vote {
+            self.may_grant_pre_vote(now, term, &request)
         } else {
-            let free = self.disk.voted_for.is_empty() || self.disk.voted_for == from;
-            able && term == self.disk.term
-                && free
-                && matches!(self.role, Role::Follower | Role::Asking(_))
+            self.may_grant_vote(from, term, &request)
         };
-        if granted && !ask.pre_vote {
-            if self.disk.voted_for.is_empty() {
-                self.enter(term, from, out);
+        if granted && !request.pre_vote {
+            if self.persistent.voted_for.is_empty() {
+                self.set_term(term, from, ready);
             }
             self.role = Role::Follower;
-            self.draw(now);
+            self.reset_election_deadline(now);
         }
-        let what = MessageBody::RequestVoteResponse(RequestVoteResponse {
-            pre_vote: ask.pre_vote,
+        let response = MessageBody::RequestVoteResponse(RequestVoteResponse {
+            pre_vote: request.pre_vote,
             granted,
             requested_term: term,
         });
-        let mut message = self.message(what);
-        if ask.pre_vote && granted {
+        let mut message = self.message(response);
+        if request.pre_vote && granted {
             message.term = term;
         }
-        self.after_writes(from, message, out);
+        self.send_after_writes(from, message, ready);
     }
 
-    pub(super) fn voted(
+    fn is_up_to_date(&self, request: &RequestVote) -> bool {
+        (request.last_log_term, request.last_log_index) >= self.last_log_position()
+    }
+
+    /// A leader that this node hears, or is, must not be deposed.
+    fn may_grant_pre_vote(&self, now: Millis, term: u64, request: &RequestVote) -> bool {
+        self.is_up_to_date(request)
+            && term > self.persistent.term
+            && !self.has_leader_role()
+            && now - self.last_heard >= MIN_ELECTION_TIMEOUT
+    }
+
+    fn may_grant_vote(&self, from: &str, term: u64, request: &RequestVote) -> bool {
+        let voted_for = &self.persistent.voted_for;
+        let is_free = voted_for.is_empty() || voted_for == from;
+        self.is_up_to_date(request)
+            && term == self.persistent.term
+            && is_free
+            && matches!(self.role, Role::Follower | Role::PreCandidate { .. })
+    }
+
+    /// Counts a vote or a pre-vote.
+    pub(super) fn handle_vote_response(
         &mut self,
         now: Millis,
-        from: Member,
-        voted: RequestVoteResponse,
-        out: &mut Ready,
+        from: &Member,
+        response: RequestVoteResponse,
+        ready: &mut Ready,
     ) {
-        if !voted.granted {
+        if !response.granted || !self.count_vote(from, &response) {
             return;
         }
-        let term = self.disk.term;
-        let asked = match &mut self.role {
-            Role::Asking(votes) if voted.pre_vote && voted.requested_term == term + 1 => {
-                votes.insert(from);
-                true
-            }
-            Role::Candidate(votes, _) if !voted.pre_vote && voted.requested_term == term => {
-                votes.insert(from);
-                true
+        if response.pre_vote {
+            self.start_election(now, ready);
+        } else {
+            self.become_leader(now, ready);
+        }
+    }
+
+    /// Counts a vote that answers the present request; returns whether there is a quorum of votes.
+    fn count_vote(&mut self, from: &Member, response: &RequestVoteResponse) -> bool {
+        let term = self.persistent.term;
+        let (votes, answers_request) = match &mut self.role {
+            Role::PreCandidate { votes } => (
+                votes,
+                response.pre_vote && response.requested_term == term + 1,
+            ),
+            Role::Candidate { votes, .. } => {
+                (votes, !response.pre_vote && response.requested_term == term)
             }
-            _ => false,
-        };
-        let (Role::Asking(votes) | Role::Candidate(votes, _)) = &self.role else {
-            return;
+            Role::Follower | Role::Leader(_) => return false,
         };
-        if !asked || !self.quorum(|member| votes.contains(member)) {
-            return;
+        if !answers_request {
+            return false;
         }
-        if voted.pre_vote {
-            self.stand(now, out);
-        } else {
-            self.lead(now, out);
+        votes.insert(from.clone());
+        match &self.role {
+            Role::PreCandidate { votes } | Role::Candidate { votes, .. } => {
+                self.has_quorum(|member| votes.contains(member))
+            }
+            Role::Follower | Role::Leader(_) => false,
         }
     }
 
-    fn lead(&mut self, now: Millis, out: &mut Ready) {
-        let next = self.disk.last_index() + 1;
-        let (votes, asked) = match &mut self.role {
-            Role::Candidate(votes, asked) => (std::mem::take(votes), *asked),
+    fn become_leader(&mut self, now: Millis, ready: &mut Ready) {
+        let (votes, requested_at) = match &mut self.role {
+            Role::Candidate {
+                votes,
+                requested_at,
+            } => (std::mem::take(votes), *requested_at),
             _ => (BTreeSet::new(), now),
         };
-        let mut others = BTreeMap::new();
-        for member in self
-            .sets
-            .current
-            .iter()
-            .chain(&self.sets.previous)
-            .filter(|m| m.name != self.me.name)
-        {
-            let mut fresh = Progress::fresh(member.identity, next, now);
-            // A vote answers what was asked then. Nothing is known of the others; the last leader was last heard when it was.
+        self.role = Role::Leader(Box::new(LeaderState {
+            progress: self.initial_progress(now, &votes, requested_at),
+            send_times: SendTimes::after(0),
+            pending_reads: VecDeque::new(),
+        }));
+        self.leader_id = Some(self.local_member.name.clone());
+        self.last_heard = now;
+        // Entries of earlier terms are committed with the first one of its own term (paper, 5.4.2).
+        self.append_entry(EntryKind::NoOp, Vec::new(), Vec::new(), ready);
+        self.send_heartbeats(now, ready);
+    }
+
+    /// Progress of all other members at the start of a term. A vote proves contact at the time of the request; the last leader was last
+    /// heard when this node heard it.
+    fn initial_progress(
+        &self,
+        now: Millis,
+        votes: &BTreeSet<Member>,
+        requested_at: Millis,
+    ) -> BTreeMap<String, Progress> {
+        let next_index = self.persistent.last_index() + 1;
+        let Member { name, .. } = &self.local_member;
+        let configuration = &self.configuration;
+        let members = configuration.current.iter().chain(&configuration.previous);
+        let mut all = BTreeMap::new();
+        for member in members.filter(|member| member.name != *name) {
+            let mut progress = Progress::new(member.identity, next_index, now);
             if votes.contains(member) {
-                fresh.proven = asked;
+                progress.last_contact = requested_at;
             }
-            if let Some((_, heard)) = self.led.as_ref().filter(|(name, _)| *name == member.name) {
-                fresh.heard = *heard;
+            if let Some(leader) = &self.last_leader {
+                if leader.name == member.name {
+                    progress.last_heard = leader.last_heard;
+                }
             }
-            fresh.wish.voter = true;
-            others.entry(member.name.clone()).or_insert(fresh);
+            progress.membership_request.voter = true;
+            all.entry(member.name.clone()).or_insert(progress);
         }
-        self.role = Role::Leader(Box::new(Leading {
-            others,
-            rounds: Rounds::after(0),
-            reads: VecDeque::new(),
-        }));
-        self.leader = Some(self.me.name.clone());
-        self.heard = now;
-        self.add(EntryKind::NoOp, Vec::new(), Vec::new(), out);
-        self.pulse(now, out);
+        all
     }
 
-    pub(super) fn follow(&mut self, now: Millis, leader: Option<&str>, out: &mut Ready) {
-        if matches!(self.role, Role::Leader(_)) {
-            out.stepped_down = true;
+    /// Follows a leader, or none until one is heard.
+    pub(super) fn become_follower(&mut self, now: Millis, leader: Option<&str>, ready: &mut Ready) {
+        if self.has_leader_role() {
+            ready.stepped_down = true;
             if self.is_leader() {
-                let proven = self.proven(now);
-                self.touched = self.touched.max(proven);
-                self.counted = self.counted.max(proven);
+                self.keep_leader_contact(now);
             }
         }
-        if leader.is_none() || leader != self.leader.as_deref() {
-            self.verified = 0;
+        if leader.is_none() || leader != self.leader_id.as_deref() {
+            self.verified_index = 0;
         }
-        self.leader = leader.map(str::to_owned);
+        self.leader_id = leader.map(str::to_owned);
         self.role = Role::Follower;
         if let Some(leader) = leader {
-            self.heard = now;
-            match &mut self.led {
-                Some((name, heard)) if name == leader => *heard = now,
-                led => *led = Some((leader.to_owned(), now)),
+            self.record_leader_heard(now, leader);
+        }
+        self.reset_election_deadline(now);
+    }
+
+    fn record_leader_heard(&mut self, now: Millis, leader: &str) {
+        self.last_heard = now;
+        match &mut self.last_leader {
+            Some(last) if last.name == leader => last.last_heard = now,
+            last => {
+                *last = Some(LastLeader {
+                    name: leader.to_owned(),
+                    last_heard: now,
+                });
             }
         }
-        self.draw(now);
     }
 
-    /// Enters a term, or votes in it.
-    pub(super) fn enter(&mut self, term: u64, voted: &str, out: &mut Ready) {
-        if term > self.disk.term {
-            self.verified = 0;
+    /// Enters a term, or votes in the present one. `voted_for` is empty for no vote.
+    pub(super) fn set_term(&mut self, term: u64, voted_for: &str, ready: &mut Ready) {
+        if term > self.persistent.term {
+            self.verified_index = 0;
         }
-        self.write(
-            PersistentUpdate {
-                term: Some(term),
-                voted_for: voted.to_owned(),
-                ..PersistentUpdate::default()
-            },
-            out,
-        );
-        self.term_write = self.persisted;
+        let update = PersistentUpdate {
+            term: Some(term),
+            voted_for: voted_for.to_owned(),
+            ..PersistentUpdate::default()
+        };
+        self.write(update, ready);
+        self.term_write = self.last_write;
     }
 
-    fn draw(&mut self, now: Millis) {
-        self.stands = now + SILENT + SPREAD * chance(&mut self.rng);
+    fn reset_election_deadline(&mut self, now: Millis) {
+        let spread = ELECTION_TIMEOUT_SPREAD * chance(&mut self.rng);
+        self.election_deadline = now + MIN_ELECTION_TIMEOUT + spread;
     }
 
-    /// Whether it may be elected: a member that does not leave.
-    pub(super) fn may_stand(&self) -> bool {
-        self.leaving.is_none() && self.active().any(|set| set.contains(&self.me))
+    /// Whether this node may be elected: a member that is not shutting down.
+    pub(super) fn is_promotable(&self) -> bool {
+        self.shutdown_since.is_none() && self.is_active(&self.local_member)
     }
 }
--- /dev/null
+++ b/crates/raft/src/raft/event.rs
@@ -0,0 +1,142 @@
+//! Log events of a node. `Display` gives the line that operators read: `event=...` and further `key=value` pairs.
+
+use super::constants::Millis;
+use crate::message::Member;
+use std::fmt;
+
+/// Something that operators should know of.
+#[derive(Debug)]
+pub(super) enum Event<'a> {
+    /// This leader had no proof of recent contact with a quorum.
+    LeaderSteppedDown { term: u64, last_contact_age: Millis },
+    /// This node's log does not reach up to what the leader sends. Logged once until it has caught up.
+    ReplicaLagging {
+        last_index: u64,
+        leader: &'a str,
+        leader_commit: u64,
+    },
+    /// A peer sent entries whose indexes are not consecutive.
+    BadAppendEntries { peer: &'a str },
+    /// A peer sent a snapshot that is too large, or differs from its checksum.
+    SnapshotCorrupt {
+        index: u64,
+        part: CorruptPart,
+        from: &'a str,
+    },
+    /// A complete snapshot has come.
+    SnapshotReceived {
+        index: u64,
+        bytes: usize,
+        from: &'a str,
+    },
+    /// A peer has all of a snapshot that this leader sent.
+    SnapshotSent {
+        to: &'a str,
+        index: u64,
+        bytes: usize,
+        duration: Millis,
+    },
+    /// This leader has asked a peer to start an election.
+    LeadershipTransfer {
+        to: &'a str,
+        caught_up: bool,
+        last_index: u64,
+    },
+    /// A change of members is committed, by which this one comes.
+    MemberAdded(MemberChange<'a>),
+    /// A change of members is committed, by which this one goes.
+    MemberRemoved(MemberChange<'a>),
+}
+
+/// Which part of a snapshot is corrupt.
+#[derive(Debug)]
+pub(super) enum CorruptPart {
+    /// Its total length is beyond the bound.
+    Length { bytes: u64 },
+    /// The chunk at this offset differs from its checksum.
+    Chunk { offset: u64 },
+    /// All chunks together differ from the checksum of the state.
+    State { bytes: u64 },
+}
+
+/// One member of a committed change.
+#[derive(Debug)]
+pub(super) struct MemberChange<'a> {
+    pub member: &'a Member,
+    /// The reason as the entry's payload gives it, which may come from an older version of this program.
+    pub why: &'a str,
+    pub index: u64,
+    pub member_count: usize,
+}
+
+impl fmt::Display for Event<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Event::LeaderSteppedDown {
+                term,
+                last_contact_age,
+            } => write!(
+                f,
+                "event=alone term={term} last_proof_ms={last_contact_age:.0}"
+            ),
+            Event::ReplicaLagging {
+                last_index,
+                leader,
+                leader_commit,
+            } => write!(
+                f,
+                "event=behind last={last_index} leader={leader} leader_commit={leader_commit}"
+            ),
+            Event::BadAppendEntries { peer } => {
+                write!(f, "event=bad_append step=read field=index peer={peer}")
+            }
+            Event::SnapshotCorrupt { index, part, from } => {
+                write!(f, "event=snapshot_spoilt index={index} {part} from={from}")
+            }
+            Event::SnapshotReceived { index, bytes, from } => write!(
+                f,
+                "event=snapshot_received index={index} bytes={bytes} from={from}"
+            ),
+            Event::SnapshotSent {
+                to,
+                index,
+                bytes,
+                duration,
+            } => write!(
+                f,
+                "event=snapshot_sent to={to} index={index} bytes={bytes} ms={duration:.0}"
+            ),
+            Event::LeadershipTransfer {
+                to,
+                caught_up,
+                last_index,
+            } => write!(
+                f,
+                "event=hand_over to={to} whole={caught_up} last={last_index}"
+            ),
+            Event::MemberAdded(change) => write!(f, "event=member_in {change}"),
+            Event::MemberRemoved(change) => write!(f, "event=member_out {change}"),
+        }
+    }
+}
+
+impl fmt::Display for CorruptPart {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CorruptPart::Length { bytes } => write!(f, "field=length bytes={bytes}"),
+            CorruptPart::Chunk { offset } => write!(f, "field=part offset={offset}"),
+            CorruptPart::State { bytes } => write!(f, "field=whole bytes={bytes}"),
+        }
+    }
+}
+
+impl fmt::Display for MemberChange<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Member { name, identity } = self.member;
+        let (why, index, count) = (self.why, self.index, self.member_count);
+        write!(
+            f,
+            "name={name} identity={identity:x} why={why} index={index} members={count}"
+        )
+    }
+}
--- a/crates/raft/src/raft/follower.rs
+++ b/crates/raft/src/raft/follower.rs
@@ -1,163 +1,212 @@
-//! What a node does with what a leader sends.
+//! How a follower takes in what its leader sends.
+//!
+//! Log matching (paper, 5.3): entries are appended only after an entry whose index and term the leader names, and a conflicting entry goes with
+//! all that follow it. What the leader has confirmed in this way is `verified_index`; commitment and acknowledgements go no
+//! further than that.
 
-use super::*;
+use super::constants::*;
+use super::event::Event;
+use super::{
+    AppendEntries, AppendEntriesResponse, Entry, InstallSnapshot, JoinRequest, MessageBody,
+    PersistentUpdate, Raft, Ready, Snapshot,
+};
 
 impl Raft {
-    pub(super) fn append(
+    pub(super) fn handle_append_entries(
         &mut self,
         now: Millis,
         from: &str,
         append: AppendEntries,
-        out: &mut Ready,
+        ready: &mut Ready,
     ) {
-        let in_order = |(place, entry): (usize, &Entry)| {
-            append.prev_log_index.checked_add(place as u64 + 1) == Some(entry.index)
-        };
-        if !append.entries.iter().enumerate().all(in_order) {
-            out.log_lines.push(format!(
-                "event=bad_append step=read field=index peer={from}"
-            ));
+        if !has_consecutive_indexes(&append) {
+            ready.log(&Event::BadAppendEntries { peer: from });
             return;
         }
-        self.follow(now, Some(from), out);
-        let last = self.disk.last_index();
-        let fits = append.prev_log_index <= last
-            && (append.prev_log_index < self.disk.snapshot.index
-                || self.disk.term_at(append.prev_log_index) == Some(append.prev_log_term));
-        if !fits {
-            if !std::mem::replace(&mut self.behind, true) {
-                let commit = append.leader_commit;
-                out.log_lines.push(format!(
-                    "event=behind last={last} leader={from} leader_commit={commit}"
-                ));
-            }
-            // Another entry stands there: what is agreed on fits in any case.
-            let matched = if append.prev_log_index <= last {
-                self.commit_index
-            } else {
-                last
-            };
-            let round = append.sequence;
-            self.answer(
-                from,
-                AppendEntriesResponse {
-                    success: false,
-                    match_index: matched,
-                    sequence: round,
-                    ..AppendEntriesResponse::default()
-                },
-                out,
-            );
-            return;
+        self.become_follower(now, Some(from), ready);
+        if !self.has_previous_entry(&append) {
+            return self.reject_append(from, &append, ready);
         }
-        let end = append.prev_log_index + append.entries.len() as u64;
-        let new: Vec<Entry> = append
-            .entries
-            .into_iter()
-            .skip_while(|e| {
-                e.index <= self.disk.snapshot.index || self.disk.term_at(e.index) == Some(e.term)
-            })
-            .collect();
-        self.push(new, out);
-        self.verified = self.verified.max(end);
-        self.agree(append.leader_commit.min(self.verified), out);
-        // The leader has had what this node sent then, and a majority followed it so long before that: all that was agreed on up
-        // to there is applied here.
-        let sent = self
-            .answers
-            .at(append.last_response)
-            .filter(|_| self.commit_index >= append.leader_commit);
-        if let Some(sent) = sent {
-            let proven = sent - append.quorum_age_ms as f64;
-            self.touched = self.touched.max(proven);
-            if append.is_voter {
-                self.counted = self.counted.max(proven);
-            }
-            self.behind = false;
+        let AppendEntries {
+            prev_log_index,
+            entries,
+            leader_commit,
+            sequence,
+            last_response,
+            quorum_age_ms,
+            is_voter,
+            released,
+            ..
+        } = append;
+        let last_sent_index = prev_log_index + entries.len() as u64;
+        self.append_missing_entries(entries, ready);
+        self.verified_index = self.verified_index.max(last_sent_index);
+        self.commit_up_to(leader_commit.min(self.verified_index), ready);
+        if self.commit_index >= leader_commit {
+            self.record_echoed_contact(last_response, quorum_age_ms, is_voter);
         }
-        self.may_go |= append.released && self.leaving.is_some();
-        self.tell_matched(from, append.sequence, out);
+        self.released |= released && self.shutdown_since.is_some();
+        self.acknowledge(from, sequence, ready);
     }
 
-    pub(super) fn install(
+    /// Whether the entry before those sent is in the log. What the snapshot has replaced is committed, and so the same everywhere.
+    fn has_previous_entry(&self, append: &AppendEntries) -> bool {
+        let index = append.prev_log_index;
+        index <= self.persistent.last_index()
+            && (index < self.persistent.snapshot.index
+                || self.persistent.term_at(index) == Some(append.prev_log_term))
+    }
+
+    /// Tells the leader from where to try next: after the end of the log or, where another entry stands at that index, after
+    /// what is committed, which matches in any case.
+    fn reject_append(&mut self, leader: &str, append: &AppendEntries, ready: &mut Ready) {
+        let last_index = self.persistent.last_index();
+        if !std::mem::replace(&mut self.is_lagging, true) {
+            ready.log(&Event::ReplicaLagging {
+                last_index,
+                leader,
+                leader_commit: append.leader_commit,
+            });
+        }
+        let match_index = if append.prev_log_index <= last_index {
+            self.commit_index
+        } else {
+            last_index
+        };
+        let response = AppendEntriesResponse {
+            success: false,
+            match_index,
+            sequence: append.sequence,
+            ..AppendEntriesResponse::default()
+        };
+        self.respond(leader, response, ready);
+    }
+
+    /// Appends entries from the first on that the log lacks, or has with another term.
+    fn append_missing_entries(&mut self, entries: Vec<Entry>, ready: &mut Ready) {
+        let persistent = &self.persistent;
+        let is_present = |entry: &Entry| {
+            entry.index <= persistent.snapshot.index
+                || persistent.term_at(entry.index) == Some(entry.term)
+        };
+        let missing = entries.into_iter().skip_while(is_present).collect();
+        self.append_entries(missing, ready);
+    }
+
+    pub(super) fn handle_install_snapshot(
         &mut self,
         now: Millis,
         from: &str,
         install: InstallSnapshot,
-        out: &mut Ready,
+        ready: &mut Ready,
     ) {
-        self.follow(now, Some(from), out);
-        let round = install.sequence;
+        self.become_follower(now, Some(from), ready);
+        let sequence = install.sequence;
         if install.index > self.commit_index {
-            let snapshot = match self.take_part(from, install, out) {
-                Ok(snapshot) => snapshot,
-                Err(taken) => {
-                    self.answer(
-                        from,
-                        AppendEntriesResponse {
-                            sequence: round,
-                            snapshot_progress: Some(taken),
-                            ..AppendEntriesResponse::default()
-                        },
-                        out,
-                    );
-                    return;
+            match self.receive_snapshot_chunk(from, install, ready) {
+                Ok(snapshot) => self.install_snapshot(from, snapshot, ready),
+                Err(progress) => {
+                    let response = AppendEntriesResponse {
+                        sequence,
+                        snapshot_progress: Some(progress),
+                        ..AppendEntriesResponse::default()
+                    };
+                    return self.respond(from, response, ready);
                 }
-            };
-            let kept = self.disk.term_at(snapshot.index) == Some(snapshot.term);
-            if !kept {
-                self.synced_index = 0;
-                self.unsynced.clear();
             }
-            self.commit_index = snapshot.index;
-            let (index, bytes) = (snapshot.index, snapshot.state.len());
-            out.log_lines.push(format!(
-                "event=snapshot_received index={index} bytes={bytes} from={from}"
-            ));
-            self.write(
-                PersistentUpdate {
-                    snapshot: Some(snapshot.clone()),
-                    ..PersistentUpdate::default()
-                },
-                out,
-            );
-            self.unsynced.push_back((self.persisted, snapshot.index));
-            self.count_members();
-            out.committed_entries.clear();
-            out.installed_snapshot = Some(snapshot);
         }
-        // What is agreed on is what the leader has.
-        self.verified = self.verified.max(self.commit_index);
-        self.tell_matched(from, round, out);
+        // A leader has all committed entries (paper, 5.4), so its log matches this one up to there.
+        self.verified_index = self.verified_index.max(self.commit_index);
+        self.acknowledge(from, sequence, ready);
     }
 
-    pub(super) fn tell_matched(&mut self, leader: &str, round: u64, out: &mut Ready) {
-        let matched = self.verified.min(self.synced_index);
-        let received = self.verified;
-        self.answer(
-            leader,
-            AppendEntriesResponse {
-                success: true,
-                match_index: matched,
-                received_index: received,
-                sequence: round,
-                ..AppendEntriesResponse::default()
-            },
-            out,
-        );
+    fn install_snapshot(&mut self, from: &str, snapshot: Snapshot, ready: &mut Ready) {
+        let index = snapshot.index;
+        let keeps_log = self.persistent.term_at(index) == Some(snapshot.term);
+        if !keeps_log {
+            self.persisted_index = 0;
+            self.pending_entry_writes.clear();
+        }
+        self.commit_index = index;
+        ready.log(&Event::SnapshotReceived {
+            index,
+            bytes: snapshot.state.len(),
+            from,
+        });
+        let update = PersistentUpdate {
+            snapshot: Some(snapshot.clone()),
+            ..PersistentUpdate::default()
+        };
+        self.write(update, ready);
+        self.track_entry_write(index);
+        self.refresh_configuration();
+        ready.committed_entries.clear();
+        ready.installed_snapshot = Some(snapshot);
     }
 
-    /// Entries need not be on disk for an answer, the term must be. Its time is that of its making, which is not after its sending.
-    pub(super) fn answer(&mut self, leader: &str, answer: AppendEntriesResponse, out: &mut Ready) {
-        let number = self.answers.begin(self.now);
-        self.say(
-            leader,
-            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
-                number,
-                membership: Some(self.wish),
-                ..answer
-            }),
-            out,
-        );
+    /// Tells the leader up to where this node has its log, on disk and in memory. A `sequence` of 0 answers no message.
+    pub(super) fn acknowledge(&mut self, leader: &str, sequence: u64, ready: &mut Ready) {
+        let response = AppendEntriesResponse {
+            success: true,
+            match_index: self.verified_index.min(self.persisted_index),
+            received_index: self.verified_index,
+            sequence,
+            ..AppendEntriesResponse::default()
+        };
+        self.respond(leader, response, ready);
     }
+
+    /// Sends a response with the next number. Entries need not be on disk for it, the term must be. Its time is that of its making, which
+    /// is not later than its sending.
+    fn respond(&mut self, leader: &str, response: AppendEntriesResponse, ready: &mut Ready) {
+        let number = self.response_times.next(self.now);
+        let response = AppendEntriesResponse {
+            number,
+            membership: Some(self.membership_request),
+            ..response
+        };
+        let body = MessageBody::AppendEntriesResponse(response);
+        self.send_after_term(leader, body, ready);
+    }
+
+    /// A leader of an earlier term learns of the present one by any response.
+    pub(super) fn reject_stale_leader(&mut self, leader: &str, ready: &mut Ready) {
+        let body = MessageBody::AppendEntriesResponse(AppendEntriesResponse::default());
+        self.send_after_term(leader, body, ready);
+    }
+
+    /// The leader asks this node to start an election at once (thesis, 3.10).
+    pub(super) fn handle_timeout_now(&mut self, now: Millis, from: &str, ready: &mut Ready) {
+        if self.leader_id.as_deref() == Some(from) && self.is_promotable() {
+            self.start_election(now, ready);
+        }
+    }
+
+    /// A node that hears no leader asks every known node to be sent the log; the leader answers. Also a member does, after
+    /// a longer silence: it may have been removed while it was cut off.
+    pub(super) fn request_to_join(&mut self, now: Millis, is_promotable: bool, ready: &mut Ready) {
+        let (timeout, interval, earliest) = if is_promotable {
+            let timeout = 2.0 * QUORUM_CONTACT_TIMEOUT;
+            (timeout, QUORUM_CONTACT_TIMEOUT, self.started_at)
+        } else {
+            (MIN_ELECTION_TIMEOUT, JOIN_REQUEST_INTERVAL, f64::MIN)
+        };
+        let silence = now - self.last_heard.max(earliest);
+        if now < self.next_join_request || silence <= timeout {
+            return;
+        }
+        self.next_join_request = now + interval;
+        let request = JoinRequest {
+            membership: Some(self.membership_request),
+        };
+        self.send_after_term("", MessageBody::JoinRequest(request), ready);
+    }
+}
+
+/// Whether the entries follow one another and the entry before them.
+fn has_consecutive_indexes(append: &AppendEntries) -> bool {
+    let mut positions = append.entries.iter().enumerate();
+    positions.all(|(position, entry)| {
+        append.prev_log_index.checked_add(position as u64 + 1) == Some(entry.index)
+    })
 }
--- a/crates/raft/src/raft/log.rs
+++ b/crates/raft/src/raft/log.rs
@@ -1,125 +1,111 @@
-//! The log, what is written and what is said.
+//! The log: appending, committing, and what of it is on disk.
+//!
+//! Invariant: memory changes only by [`Raft::write`], which applies the same update that goes to disk, so that a restart reads what
+//! memory held. State machine safety (paper, 5.4.3) rests on committed entries never being replaced.
 
-use super::*;
+use super::{Entry, EntryKind, Member, PersistentUpdate, Raft, Ready};
+
+/// A write of entries that is not known to be on disk.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PendingEntryWrite {
+    /// Number of the write.
+    write: u64,
+    /// The log is on disk up to here once the write is; lowered where entries of it were replaced.
+    last_index: u64,
+}
 
 impl Raft {
-    pub(super) fn add(
+    /// Appends one entry of the present term; returns its index.
+    pub(super) fn append_entry(
         &mut self,
         kind: EntryKind,
         payload: Vec<u8>,
         members: Vec<Member>,
-        out: &mut Ready,
+        ready: &mut Ready,
     ) -> u64 {
-        let index = self.disk.last_index() + 1;
+        let index = self.persistent.last_index() + 1;
         let entry = Entry {
             index,
-            term: self.disk.term,
+            term: self.persistent.term,
             kind: kind.into(),
             payload,
             members,
         };
-        self.push(vec![entry], out);
+        self.append_entries(vec![entry], ready);
         index
     }
 
-    /// Appends entries; what stood at their places goes.
-    pub(super) fn push(&mut self, entries: Vec<Entry>, out: &mut Ready) {
+    /// Appends entries; those in the log from the first one's index on are dropped.
+    pub(super) fn append_entries(&mut self, entries: Vec<Entry>, ready: &mut Ready) {
         let (Some(first), Some(last)) = (entries.first(), entries.last()) else {
             return;
         };
-        let (before, last) = (first.index - 1, last.index);
-        let mut members = entries
-            .iter()
-            .any(|entry| entry.kind() == EntryKind::Membership);
-        if before < self.disk.last_index() {
-            members |= self.sets.index > before;
-            self.synced_index = self.synced_index.min(before);
-            self.unsynced
-                .iter_mut()
-                .for_each(|(_, last)| *last = (*last).min(before));
+        let (prev_index, last_index) = (first.index - 1, last.index);
+        let is_membership = |entry: &Entry| entry.kind() == EntryKind::Membership;
+        let mut changes_members = entries.iter().any(is_membership);
+        if prev_index < self.persistent.last_index() {
+            changes_members |= self.configuration.index > prev_index;
+            self.lower_persisted_index(prev_index);
         }
-        self.write(
-            PersistentUpdate {
-                entries,
-                ..PersistentUpdate::default()
-            },
-            out,
-        );
-        self.unsynced.push_back((self.persisted, last));
-        if members {
-            self.count_members();
+        let update = PersistentUpdate {
+            entries,
+            ..PersistentUpdate::default()
+        };
+        self.write(update, ready);
+        self.track_entry_write(last_index);
+        if changes_members {
+            self.refresh_configuration();
         }
     }
 
-    pub(super) fn agree(&mut self, commit: u64, out: &mut Ready) {
-        if commit <= self.commit_index {
-            return;
-        }
-        let from = (self.commit_index - self.disk.snapshot.index) as usize;
-        let to = (commit.min(self.disk.last_index()) - self.disk.snapshot.index) as usize;
-        let mut before = self.disk.members_at(self.commit_index).to_vec();
-        self.commit_index = self.disk.snapshot.index + to as u64;
-        let news: Vec<Entry> = self.disk.log[from..to].to_vec();
-        let mut settled = 0;
-        for entry in news
-            .iter()
-            .filter(|entry| entry.kind() == EntryKind::Membership)
-        {
-            self.note_members(entry, &before, out);
-            before = entry.members.clone();
-            settled = entry.index;
-        }
-        if settled > self.disk.members_committed {
-            // On disk too: a start need not ask those that were taken out.
-            self.write(
-                PersistentUpdate {
-                    members_committed: settled,
-                    ..PersistentUpdate::default()
-                },
-                out,
-            );
+    /// Entries after `index` are replaced: what is on disk of them counts no more.
+    fn lower_persisted_index(&mut self, index: u64) {
+        self.persisted_index = self.persisted_index.min(index);
+        for pending in &mut self.pending_entry_writes {
+            pending.last_index = pending.last_index.min(index);
         }
-        out.committed_entries.extend(news);
     }
 
-    /// The one way to change what this node holds: the record that goes to disk is taken in here as a start will take it in.
-    pub(super) fn write(&mut self, record: PersistentUpdate, out: &mut Ready) {
-        self.persisted += 1;
-        self.folding.before(&self.disk, &record);
-        self.disk.apply(record.clone());
-        self.folding.after(&self.disk, &record);
-        out.writes.push((self.persisted, record));
+    /// The last write holds the log up to `last_index`.
+    pub(super) fn track_entry_write(&mut self, last_index: u64) {
+        self.pending_entry_writes.push_back(PendingEntryWrite {
+            write: self.last_write,
+            last_index,
+        });
     }
 
-    pub(super) fn message(&self, what: MessageBody) -> Message {
-        Message {
-            term: self.disk.term,
-            identity: self.me.identity,
-            body: Some(what),
+    /// Takes in that all writes up to `persisted_write` are on disk.
+    pub(super) fn update_persisted_index(&mut self) {
+        while let Some(pending) = self.pending_entry_writes.front().copied() {
+            if pending.write > self.persisted_write {
+                break;
+            }
+            self.persisted_index = self.persisted_index.max(pending.last_index);
+            self.pending_entry_writes.pop_front();
         }
     }
 
-    /// Sends once the term that it is said in, and the mark of this disk, are on disk.
-    pub(super) fn say(&mut self, to: &str, what: MessageBody, out: &mut Ready) {
-        let message = self.message(what);
-        let after = if self.term_write > self.synced {
-            self.persisted
-        } else {
-            0
-        };
-        self.hold(after, to, message, out);
-    }
-
-    /// Sends once all that was written so far is on disk.
-    pub(super) fn after_writes(&mut self, to: &str, message: Message, out: &mut Ready) {
-        self.hold(self.persisted, to, message, out);
+    /// Raises the commit index, and hands the entries up to it to the caller.
+    pub(super) fn commit_up_to(&mut self, index: u64, ready: &mut Ready) {
+        if index <= self.commit_index {
+            return;
+        }
+        let snapshot_index = self.persistent.snapshot.index;
+        let first = (self.commit_index - snapshot_index) as usize;
+        let end = (index.min(self.persistent.last_index()) - snapshot_index) as usize;
+        let previous = self.persistent.members_at(self.commit_index).to_vec();
+        self.commit_index = snapshot_index + end as u64;
+        let entries: Vec<Entry> = self.persistent.log[first..end].to_vec();
+        self.commit_membership(&entries, previous, ready);
+        ready.committed_entries.extend(entries);
     }
 
-    fn hold(&mut self, after: u64, to: &str, message: Message, out: &mut Ready) {
-        if after <= self.synced {
-            out.messages.push((to.to_owned(), message));
-        } else if self.held.len() < MOST_HELD {
-            self.held.push_back((after, to.to_owned(), message));
-        }
+    /// Hands an update to the caller to be written, and applies it as a restart will.
+    pub(super) fn write(&mut self, update: PersistentUpdate, ready: &mut Ready) {
+        self.last_write += 1;
+        self.compacted.before_update(&self.persistent, &update);
+        self.persistent.apply(update.clone());
+        self.log_size.after_update(&self.persistent, &update);
+        ready.writes.push((self.last_write, update));
     }
 }
--- a/crates/raft/src/raft/membership.rs
+++ b/crates/raft/src/raft/membership.rs
@@ -1,280 +1,256 @@
-//! Who votes, how that changes, and how a member leaves. The argument stands in `docs/design/control-membership.md`.
+//! Changes of members (paper, section 6; argument and timing in `docs/design/control-membership.md`).
+//!
+//! Invariant: one change at a time, proposed only by a leader that has committed an entry of its own term, and committed by a
+//! majority of the members before and of those after. A new member has all committed entries on disk before it is proposed.
 
-use super::*;
+use super::constants::{Millis, QUORUM_CONTACT_TIMEOUT};
+use super::event::{Event, MemberChange};
+use super::progress::Progress;
+use super::role::{LeaderState, Role};
+use super::{Entry, EntryKind, Member, PersistentUpdate, Raft, Ready};
 
-/// A member that has been silent for this long may be replaced by a newcomer.
-const REPLACE: Millis = 2000.0;
-/// A newcomer that nobody waits for is added after having been caught up for this long.
-const GROW: Millis = 1500.0;
-/// A member that has been silent for longer than this is dropped where there are more than are wanted.
-const DROP: Millis = 2500.0;
 /// Members at most.
 pub const MAX_MEMBERS: usize = 9;
-/// A leader that leaves hands over after this long, whether the others have all or not.
-const HAND_OVER: Millis = 1500.0;
+/// A member that has been silent for this long may be replaced by a node that asks to be a voter.
+const REPLACE_TIMEOUT: Millis = 2000.0;
+/// A node that asks to be a voter and replaces nobody is added once it has been caught up for this long.
+const ADD_DELAY: Millis = 1500.0;
+/// A member that has been silent for longer than this is removed where there are more members than `max_failures` needs.
+const REMOVE_TIMEOUT: Millis = 2500.0;
 
-impl Raft {
-    /// The sets of which a majority is needed: two while a change is not known to be agreed on.
-    pub(super) fn active(&self) -> impl Iterator<Item = &Vec<Member>> {
-        std::iter::once(&self.sets.current)
-            .chain(self.in_joint_configuration().then_some(&self.sets.previous))
-    }
-
-    /// Names of the others in those sets.
-    pub(super) fn names(&self) -> BTreeSet<String> {
-        let all = self
-            .active()
-            .flatten()
-            .filter(|member| member.name != self.me.name);
-        all.map(|member| member.name.clone()).collect()
-    }
+/// Why the members change. Only logged; the payload of the entry carries it.
+#[derive(Clone, Copy, Debug)]
+enum ChangeReason {
+    /// A node of the first start of the whole system comes in.
+    Bootstrap,
+    /// A member came back without its disk.
+    NewDisk,
+    /// A node takes the place of a member that is silent.
+    Replaces,
+    /// A node comes in besides the others.
+    Added,
+    /// A member that is silent goes, and the others suffice.
+    Unresponsive,
+}
 
-    /// The highest value that a majority of every active set reaches.
-    pub(super) fn by_majority<T: PartialOrd + Copy>(
-        &self,
-        none: T,
-        value: impl Fn(&Member) -> T,
-    ) -> T {
-        let mut lowest: Option<T> = None;
-        for set in self.active() {
-            let mut values: Vec<T> = set.iter().map(&value).collect();
-            values.sort_unstable_by(|a, b| b.partial_cmp(a).unwrap_or(std::cmp::Ordering::Equal));
-            let reached = values.get(set.len() / 2).copied().unwrap_or(none);
-            if lowest.is_none_or(|lowest| reached < lowest) {
-                lowest = Some(reached);
-            }
+impl ChangeReason {
+    fn as_str(self) -> &'static str {
+        match self {
+            ChangeReason::Bootstrap => "first_start",
+            ChangeReason::NewDisk => "new_disk",
+            ChangeReason::Replaces => "replaces",
+            ChangeReason::Added => "grows",
+            ChangeReason::Unresponsive => "silent",
         }
-        lowest.unwrap_or(none)
     }
+}
 
-    /// Whether a majority of every active set is of this kind.
-    pub(super) fn quorum(&self, kind: impl Fn(&Member) -> bool) -> bool {
-        self.by_majority(0, |member| u8::from(kind(member))) > 0
-    }
+/// A change of members that is due.
+struct MembershipChange {
+    members: Vec<Member>,
+    reason: ChangeReason,
+}
 
-    /// Reads the members from the log.
-    pub(super) fn count_members(&mut self) {
-        self.sets = self.disk.configuration();
-        self.voters = self
-            .sets
-            .current
-            .iter()
-            .map(|member| member.name.clone())
-            .collect();
-        let (next, now) = (self.disk.last_index() + 1, self.now);
-        let (sets, me) = (&self.sets, &self.me.name);
-        if let Role::Leader(leading) = &mut self.role {
-            for member in sets.current.iter().filter(|member| member.name != *me) {
-                let fresh = Progress::fresh(member.identity, next, now);
-                leading.others.entry(member.name.clone()).or_insert(fresh);
+impl Raft {
+    /// Takes the configuration from the log, after it has changed. A leader starts to replicate to new members.
+    pub(super) fn refresh_configuration(&mut self) {
+        self.configuration = self.persistent.configuration();
+        let current = &self.configuration.current;
+        let names = current.iter().map(|member| member.name.clone());
+        self.voter_names = names.collect();
+        let next_index = self.persistent.last_index() + 1;
+        let Role::Leader(leader) = &mut self.role else {
+            return;
+        };
+        for member in current {
+            if member.name != self.local_member.name {
+                let new = Progress::new(member.identity, next_index, self.now);
+                leader.progress.entry(member.name.clone()).or_insert(new);
             }
         }
     }
 
-    /// Changes the members where that is due: one change at a time, each agreed on by a majority of those before and of those after,
-    /// and only by a leader that has agreed on an entry of its own term.
-    pub(super) fn consider(&mut self, now: Millis, out: &mut Ready) {
+    /// Proposes the change of members that is due, if any.
+    pub(super) fn propose_membership_change(&mut self, now: Millis, ready: &mut Ready) {
         if !self.is_leader()
             || self.in_joint_configuration()
             || !self.is_voter()
-            || self.leaving.is_some()
+            || self.shutdown_since.is_some()
         {
             return;
         }
-        if let Some((members, why)) = self.wanted(now) {
-            self.add(EntryKind::Membership, why.as_bytes().to_vec(), members, out);
-            self.spread(now, out);
+        let change = self
+            .leader_state()
+            .and_then(|leader| self.due_change(now, leader));
+        if let Some(MembershipChange { members, reason }) = change {
+            let payload = reason.as_str().as_bytes().to_vec();
+            self.append_entry(EntryKind::Membership, payload, members, ready);
+            self.send_to_all(now, ready);
         }
     }
 
-    /// The change that is due, and why.
-    fn wanted(&self, now: Millis) -> Option<(Vec<Member>, &'static str)> {
-        let Role::Leader(leading) = &self.role else {
-            return None;
-        };
-        let (members, others) = (&self.sets.current, &leading.others);
-        let heard = |member: &Member| *member == self.me || silence(member, others, now) < ALONE;
-        let ready = |other: &Progress| {
-            other.wish.voter
-                && !other.wish.stopping
-                && now - other.heard < ALONE
-                && other.matched >= self.commit_index
-        };
-        let with = |out: Option<usize>, name: &String, identity: u64| {
-            let mut members = members.clone();
-            if let Some(place) = out {
-                members.remove(place);
-            }
-            members.push(Member {
-                name: name.clone(),
-                identity,
-            });
-            members.sort();
-            members
-        };
-        for (name, other) in others.iter().filter(|(_, other)| ready(other)) {
-            match members.iter().position(|member| member.name == *name) {
-                // It came back without its disk.
-                Some(place) if members[place].identity != other.identity => {
-                    return Some((with(Some(place), name, other.identity), "new_disk"));
-                }
-                Some(_) => continue,
-                None => {}
-            }
-            if other.wish.initial && members.len() < MAX_MEMBERS {
-                return Some((with(None, name, other.identity), "first_start"));
-            }
-            let silent =
-                |member: &&Member| silence(member, others, now) >= REPLACE && **member != self.me;
-            let longest = |a: &&Member, b: &&Member| {
-                silence(a, others, now).total_cmp(&silence(b, others, now))
+    /// The change that is due: an admission before a removal.
+    fn due_change(&self, now: Millis, leader: &LeaderState) -> Option<MembershipChange> {
+        leader
+            .progress
+            .iter()
+            .filter(|(_, progress)| self.may_become_voter(now, progress))
+            .find_map(|(name, progress)| self.due_admission(now, leader, name, progress))
+            .or_else(|| self.due_removal(now, leader))
+    }
+
+    /// Whether the node asks to be a voter, is reachable, and has all committed entries on disk.
+    fn may_become_voter(&self, now: Millis, progress: &Progress) -> bool {
+        progress.membership_request.voter
+            && !progress.membership_request.stopping
+            && progress.is_reachable(now)
+            && progress.match_index >= self.commit_index
+    }
+
+    fn due_admission(
+        &self,
+        now: Millis,
+        leader: &LeaderState,
+        name: &str,
+        progress: &Progress,
+    ) -> Option<MembershipChange> {
+        let members = &self.configuration.current;
+        let admit = |replaced: Option<usize>, reason: ChangeReason| {
+            let newcomer = Member {
+                name: name.to_owned(),
+                identity: progress.identity,
             };
-            let gone = members
-                .iter()
-                .filter(silent)
-                .max_by(longest)
-                .filter(|_| self.alike);
-            if let Some(place) =
-                gone.and_then(|gone| members.iter().position(|member| member == gone))
-            {
-                return Some((with(Some(place), name, other.identity), "replaces"));
-            }
-            let grown = other.caught_up.is_some_and(|since| now - since >= GROW);
-            let calm = !self.alike || members.iter().all(heard);
-            if grown && calm && members.len() < MAX_MEMBERS {
-                return Some((with(None, name, other.identity), "grows"));
+            let members = with_member(members, replaced, newcomer);
+            Some(MembershipChange { members, reason })
+        };
+        if let Some(position) = members.iter().position(|member| member.name == *name) {
+            if progress.is_for(&members[position]) {
+                return None;
             }
+            return admit(Some(position), ChangeReason::NewDisk);
         }
-        if !self.alike || members.len() <= 2 * self.losses + 1 {
-            return None;
+        let has_room = members.len() < MAX_MEMBERS;
+        if progress.membership_request.initial && has_room {
+            return admit(None, ChangeReason::Bootstrap);
         }
-        let silent = |member: &Member| *member != self.me && silence(member, others, now) > DROP;
-        let gone = members.iter().position(silent)?;
-        let last = self.disk.last_index();
-        let holds = |member: &Member| {
-            let there =
-                |other: &Progress| other.identity == member.identity && other.matched >= last;
-            *member == self.me && self.synced_index >= last
-                || others.get(&member.name).is_some_and(there)
-        };
-        // Several may be gone: they go one by one. All the others hold all, and are a majority of those that remain.
-        let rest: Vec<Member> = members
-            .iter()
-            .enumerate()
-            .filter(|(n, _)| *n != gone)
-            .map(|(_, m)| m.clone())
-            .collect();
-        let whole = rest
-            .iter()
-            .all(|member| silent(member) || heard(member) && holds(member));
-        let there = rest.iter().filter(|member| !silent(member)).count();
-        (whole && there > rest.len() / 2).then_some((rest, "silent"))
+        if let Some(position) = self.replaceable_member(now, leader) {
+            return admit(Some(position), ChangeReason::Replaces);
+        }
+        let is_settled = progress
+            .caught_up_since
+            .is_some_and(|since| now - since >= ADD_DELAY);
+        let is_reachable = |member: &Member| self.is_member_reachable(now, leader, member);
+        let is_calm = !self.interchangeable || members.iter().all(is_reachable);
+        if is_settled && is_calm && has_room {
+            return admit(None, ChangeReason::Added);
+        }
+        None
     }
 
-    /// Tells of a change of the members that has just been agreed on.
-    pub(super) fn note_members(&self, entry: &Entry, before: &[Member], out: &mut Ready) {
-        let why = String::from_utf8_lossy(&entry.payload);
-        let changed = [
-            ("member_in", &entry.members[..], before),
-            ("member_out", before, &entry.members[..]),
-        ];
-        for (event, these, those) in changed {
-            for member in these.iter().filter(|member| !those.contains(member)) {
-                let Member { name, identity } = member;
-                let (index, count) = (entry.index, entry.members.len());
-                out.log_lines.push(format!(
-                    "event={event} name={name} identity={identity:x} why={why} index={index} members={count}"
-                ));
-            }
+    /// Position of the member that has been silent for longest, if that is long enough for another node to take its place.
+    fn replaceable_member(&self, now: Millis, leader: &LeaderState) -> Option<usize> {
+        if !self.interchangeable {
+            return None;
         }
+        let silence = |member: &Member| leader.silence(member, now);
+        let members = self.configuration.current.iter().enumerate();
+        members
+            .filter(|(_, member)| **member != self.local_member)
+            .filter(|(_, member)| silence(member) >= REPLACE_TIMEOUT)
+            .max_by(|(_, a), (_, b)| silence(a).total_cmp(&silence(b)))
+            .map(|(position, _)| position)
     }
 
-    // ---- Leaving ------------------------------------------------------------------------------------
+    fn is_member_reachable(&self, now: Millis, leader: &LeaderState, member: &Member) -> bool {
+        *member == self.local_member || leader.silence(member, now) < QUORUM_CONTACT_TIMEOUT
+    }
 
-    /// A planned stop begins. This node votes and answers until it goes, but does not stand. A leader brings the others up to its
-    /// last entry and hands over; another tells the leader, which says when nothing rests on it: see [`Tandem::left`].
-    pub fn shut_down(&mut self, now: Millis, out: &mut Ready) {
-        self.begin(now, out);
-        self.leaving.get_or_insert(now);
-        self.wish.stopping = true;
-        if matches!(self.role, Role::Leader(_)) {
-            self.spread(now, out);
-            self.hand_over(now, out);
-        } else if let Some(leader) = self.leader.clone() {
-            self.tell_matched(&leader, 0, out);
+    /// The removal of a silent member where there are more than `max_failures` needs. Several may be silent and go one by one; all
+    /// others must have the whole log on disk, and be a majority of those that remain.
+    fn due_removal(&self, now: Millis, leader: &LeaderState) -> Option<MembershipChange> {
+        let members = &self.configuration.current;
+        if !self.interchangeable || members.len() <= 2 * self.max_failures + 1 {
+            return None;
         }
+        let is_silent = |member: &Member| {
+            *member != self.local_member && leader.silence(member, now) > REMOVE_TIMEOUT
+        };
+        let removed = members.iter().position(is_silent)?;
+        let mut remaining = members.clone();
+        remaining.remove(removed);
+        let is_safe = |member: &Member| {
+            is_silent(member)
+                || self.is_member_reachable(now, leader, member)
+                    && self.has_whole_log(leader, member)
+        };
+        let present = remaining.iter().filter(|member| !is_silent(member)).count();
+        let may_remove = remaining.iter().all(is_safe) && present > remaining.len() / 2;
+        may_remove.then_some(MembershipChange {
+            members: remaining,
+            reason: ChangeReason::Unresponsive,
+        })
     }
 
-    /// Whether this node, which leaves, may go: nothing that was agreed on rests on it alone.
-    pub fn may_stop(&self, _now: Millis) -> bool {
-        let member = self.active().any(|set| set.contains(&self.me));
-        self.leaving.is_some() && (self.may_go || !member || self.names().is_empty())
+    fn has_whole_log(&self, leader: &LeaderState, member: &Member) -> bool {
+        let last_index = self.persistent.last_index();
+        if *member == self.local_member && self.persisted_index >= last_index {
+            return true;
+        }
+        leader
+            .progress_of(member)
+            .is_some_and(|progress| progress.match_index >= last_index)
     }
 
-    /// What a leader does for those that leave, itself too.
-    pub(super) fn hand_over(&mut self, now: Millis, out: &mut Ready) {
-        let (commit, last) = (self.commit_index, self.disk.last_index());
-        let Role::Leader(leading) = &self.role else {
-            return;
-        };
-        let live: Vec<(&String, &Progress)> = leading
-            .others
-            .iter()
-            .filter(|(name, other)| {
-                let member = Member {
-                    name: (*name).clone(),
-                    identity: other.identity,
-                };
-                now - other.heard < ALONE && self.active().any(|set| set.contains(&member))
-            })
-            .collect();
-        let stays = |other: &Progress| !other.wish.stopping;
-        // One that has agreed on members without itself, by an entry of a leader before it, leads no longer than that.
-        let outside = !self.in_joint_configuration() && !self.sets.current.contains(&self.me);
-        if let Some(since) = self.leaving.or(outside.then_some(f64::NEG_INFINITY)) {
-            let mut staying = live.iter().filter(|(_, other)| stays(other));
-            let whole = staying.clone().all(|(_, other)| other.matched >= last);
-            if whole || now - since >= HAND_OVER {
-                let best = staying.clone().max_by_key(|(_, other)| other.matched);
-                let best = best
-                    .or_else(|| staying.next())
-                    .map(|(name, _)| (*name).clone());
-                if let Some(best) = best {
-                    out.log_lines.push(format!(
-                        "event=hand_over to={best} whole={whole} last={last}"
-                    ));
-                    self.say(&best, MessageBody::TimeoutNow(TimeoutNow {}), out);
-                }
-                self.follow(now, None, out);
-                self.may_go = self.leaving.is_some();
+    /// Logs the changes of members among entries that have just been committed, and writes that they are: a restart then needs no
+    /// majority of members that were removed. `previous` are the members before.
+    pub(super) fn commit_membership(
+        &mut self,
+        entries: &[Entry],
+        mut previous: Vec<Member>,
+        ready: &mut Ready,
+    ) {
+        let mut members_committed = 0;
+        for entry in entries {
+            if entry.kind() == EntryKind::Membership {
+                log_membership_change(entry, &previous, ready);
+                previous.clone_from(&entry.members);
+                members_committed = entry.index;
             }
-            return;
         }
-        // Whatever was agreed on with the help of one that leaves is by then on all other disks that can be reached, and no more
-        // will be with its help.
-        let mine = self.synced_index >= commit;
-        let free = |name: &String| {
-            live.iter()
-                .all(|(n, o)| *n == name || !stays(o) || o.matched >= commit)
-        };
-        let due = live.iter().filter(|(name, other)| {
-            other.wish.stopping && other.left.is_none() && mine && free(name)
-        });
-        let due: Vec<String> = due.map(|(name, _)| (*name).clone()).collect();
-        for name in due {
-            if let Role::Leader(leading) = &mut self.role {
-                if let Some(other) = leading.others.get_mut(&name) {
-                    other.left = Some(commit);
-                }
-            }
-            self.send_to(now, &name, out);
+        if members_committed > self.persistent.members_committed {
+            let update = PersistentUpdate {
+                members_committed,
+                ..PersistentUpdate::default()
+            };
+            self.write(update, ready);
         }
     }
 }
 
-/// How long a member has not been heard, in milliseconds. One whose address speaks for another disk is there.
-fn silence(member: &Member, others: &BTreeMap<String, Progress>, now: Millis) -> Millis {
-    others
-        .get(&member.name)
-        .map_or(0.0, |other| now - other.heard)
+/// The members with a further one, in order; the one at position `replaced` goes.
+fn with_member(members: &[Member], replaced: Option<usize>, newcomer: Member) -> Vec<Member> {
+    let mut members = members.to_vec();
+    if let Some(position) = replaced {
+        members.remove(position);
+    }
+    members.push(newcomer);
+    members.sort();
+    members
+}
+
+/// Logs which members an entry adds and removes.
+fn log_membership_change(entry: &Entry, previous: &[Member], ready: &mut Ready) {
+    let why = String::from_utf8_lossy(&entry.payload);
+    let change = |member| MemberChange {
+        member,
+        why: &why,
+        index: entry.index,
+        member_count: entry.members.len(),
+    };
+    for member in entry.members.iter().filter(|m| !previous.contains(m)) {
+        ready.log(&Event::MemberAdded(change(member)));
+    }
+    for member in previous.iter().filter(|m| !entry.members.contains(m)) {
+        ready.log(&Event::MemberRemoved(change(member)));
+    }
 }
--- a/crates/raft/src/raft/mod.rs
+++ b/crates/raft/src/raft/mod.rs
@@ -1,505 +1,337 @@
-//! One node.
-
+//! One Raft node: its state and its inputs.
+//!
+//! Invariants, each kept by the module named:
+//!
+//! - election safety, at most one leader in a term (paper, 5.2): `election`;
+//! - log matching (5.3): `follower`, `replication`;
+//! - leader completeness (5.4): `election`, `quorum`;
+//! - a message is sent only once the term, the vote and the identity that it speaks of are on disk: `outbox`;
+//! - what is in memory is what a restart would read once all writes are on disk: `log`.
+
+mod config;
+mod constants;
 mod election;
+mod event;
 mod follower;
+mod leadership_transfer;
 mod log;
 mod membership;
+mod outbox;
+mod progress;
+mod quorum;
+mod quorum_contact;
+mod read_index;
 mod replication;
+mod role;
+mod send_times;
 mod snapshot;
+mod snapshot_transfer;
+mod status;
 
 use crate::message::*;
 use crate::persistent_state::{Configuration, PersistentState};
-use bytes::Bytes;
+pub use config::{Config, Ready};
+use constants::*;
+use log::PendingEntryWrite;
 pub use membership::MAX_MEMBERS;
+use outbox::DeferredMessage;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use replication::{Progress, Rounds};
-use snapshot::{Folding, Sending, Taking};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-
-/// Milliseconds on the caller's steady clock.
-type Millis = f64;
-
-/// A leader speaks this often at least, and each time begins a round.
-const PULSE: Millis = 100.0;
-/// A node that has not heard from a leader for this long may be asked for its vote.
-const SILENT: Millis = 600.0;
-/// It stands after up to this much more, drawn by lot.
-const SPREAD: Millis = 600.0;
-/// A node that has just started asks around this soon, and up to three times as much later: where there is a leader, nobody
-/// would vote for it.
-const FIRST: Millis = 80.0;
-/// One that asked in vain asks again after this, up to three times as long; one that stood in vain after twice this and up to
-/// [`SPREAD`] more.
-const AGAIN: Millis = 150.0;
-/// A leader whose last proven contact with a majority is this long ago leads no more; nobody is in touch for longer than this after
-/// the last proof.
-const ALONE: Millis = 1000.0;
-/// One that is no member and hears nobody asks to follow this often.
-const REJOIN: Millis = 250.0;
-/// A message that is not answered is sent again after this.
-const RESEND: Millis = 400.0;
-/// Bytes of entries in one message, about.
-const BATCH: usize = 1 << 20;
-/// Nodes that follow without a vote, at most.
-const MOST_LEARNERS: usize = 16;
-/// No term and no index gets here: whoever says so is none of the system.
-const HIGHEST: u64 = 1 << 62;
-/// Reads that wait for a round at most.
-const MOST_READS: usize = 1024;
-/// Messages that wait for the disk at most; what comes beyond is as good as lost on its way.
-const MOST_HELD: usize = 4096;
-/// Numbers of rounds and of answers of which the time is remembered.
-const MOST_TIMES: usize = 4096;
-
-/// How a node is set up.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Config<'a> {
-    /// Where the whole system starts for the first time: the first members. With an empty disk and without it, the node has
-    /// lost what it promised, or is new.
-    pub initial_members: Option<&'a [String]>,
-    /// Whether this node would be a member.
-    pub voter: bool,
-    /// How many members may be lost at once.
-    pub max_failures: usize,
-    /// Whether members are all alike, so that one may take the place of any other; not where zones or regions may be lost.
-    pub interchangeable: bool,
-    /// Only for the played tests, which have to find it: a change of the members counts with a majority of those after alone.
-    #[doc(hidden)]
-    pub skip_joint_quorum: bool,
-}
-
-/// What is to be done.
-#[derive(Debug, Default)]
-pub struct Ready {
-    /// To be written in this order; the word that one is on disk says so of all before it.
-    pub writes: Vec<(u64, PersistentUpdate)>,
-    /// To be sent; to nobody by name: to all there are.
-    pub messages: Vec<(String, Message)>,
-    /// Agreed on from now, in order.
-    pub committed_entries: Vec<Entry>,
-    /// A state that takes the place of all before it.
-    pub installed_snapshot: Option<Snapshot>,
-    /// Reads that may be answered from what is agreed.
-    pub confirmed_reads: Vec<u64>,
-    /// This node has ceased to lead: what it was asked and has not answered may or may not be agreed on.
-    pub stepped_down: bool,
-    /// Lines for the log, of key=value.
-    pub log_lines: Vec<String>,
-}
-
-#[derive(Debug)]
-enum Role {
-    Follower,
-    /// Asks whether it would be elected: who would, by name and identity.
-    Asking(BTreeSet<Member>),
-    /// Who votes for it, and when it asked.
-    Candidate(BTreeSet<Member>, Millis),
-    Leader(Box<Leading>),
-}
-
-/// What a leader keeps.
-#[derive(Debug)]
-struct Leading {
-    others: BTreeMap<String, Progress>,
-    rounds: Rounds,
-    /// Ticket and round of each read.
-    reads: VecDeque<(u64, u64)>,
-}
-
-/// One node.
+use role::Role;
+use send_times::SendTimes;
+use snapshot::{CompactedEntries, LogSize};
+use snapshot_transfer::IncomingSnapshot;
+use std::collections::{BTreeSet, VecDeque};
+
+/// One Raft node, without I/O.
+///
+/// Every input takes the time in milliseconds on the caller's monotonic clock, and appends what has to be done to a [`Ready`].
 pub struct Raft {
-    me: Member,
+    local_member: Member,
     rng: Pcg32,
     now: Millis,
-    born: Millis,
-    disk: PersistentState,
-    folding: Folding,
-    /// A state that is coming.
-    taking: Option<Taking>,
-    sets: Configuration,
-    voters: BTreeSet<String>,
-    wish: MembershipRequest,
-    /// How many members may be lost at once, and whether they are alike.
-    losses: usize,
-    alike: bool,
-    wrong_new_alone: bool,
+    started_at: Millis,
+
+    /// Term, vote, snapshot and log, including writes that are not on disk yet.
+    persistent: PersistentState,
+    log_size: LogSize,
+    compacted: CompactedEntries,
+    incoming_snapshot: Option<IncomingSnapshot>,
+
+    configuration: Configuration,
+    /// Names of the current members in `configuration`.
+    voter_names: BTreeSet<String>,
+    /// The role that this node asks its leader for.
+    membership_request: MembershipRequest,
+    max_failures: usize,
+    interchangeable: bool,
+    skip_joint_quorum: bool,
+
     role: Role,
-    leader: Option<String>,
-    heard: Millis,
-    /// The last leader that was heard, and when.
-    led: Option<(String, Millis)>,
-    stands: Millis,
-    joins: Millis,
+    leader_id: Option<String>,
+    /// When a leader was last heard, or this node was elected.
+    last_heard: Millis,
+    /// The last leader that was heard, also after a new election has begun.
+    last_leader: Option<LastLeader>,
+    election_deadline: Millis,
+    next_join_request: Millis,
+
     commit_index: u64,
-    /// Up to here a leader of this term has confirmed what is in the log.
-    verified: u64,
-    persisted: u64,
-    synced: u64,
-    /// Number of each write of entries that is not on disk, with the last index in it.
-    unsynced: VecDeque<(u64, u64)>,
-    synced_index: u64,
-    /// The write that holds the present term, or this disk's mark: nothing is said before it is on disk.
+    /// The leader of this term has confirmed the log up to here.
+    verified_index: u64,
+    /// Number of the last write that was handed to the caller, and of the last that is on disk.
+    last_write: u64,
+    persisted_write: u64,
+    pending_entry_writes: VecDeque<PendingEntryWrite>,
+    /// The log is on disk up to here.
+    persisted_index: u64,
+    /// The write with the present term, or with this disk's identity: no message is sent before it is on disk.
     term_write: u64,
-    held: VecDeque<(u64, String, Message)>,
-    tickets: u64,
-    /// When each answer to a leader was made.
-    answers: Rounds,
-    /// The last proven contact with a majority: at all, and as a member.
-    touched: Millis,
-    counted: Millis,
-    behind: bool,
-    /// Since when it leaves, and whether it may go.
-    leaving: Option<Millis>,
-    may_go: bool,
+    deferred_messages: VecDeque<DeferredMessage>,
+
+    last_read_id: u64,
+    /// Numbers of this node's responses to leaders, and when each was made.
+    response_times: SendTimes,
+    /// The last proven contact with a quorum.
+    quorum_contact: Millis,
+    /// The same, of the time in which the leader counted this node as a voter.
+    voter_quorum_contact: Millis,
+    /// Whether `replica_lagging` was logged since this node had last caught up.
+    is_lagging: bool,
+
+    /// Since when this node is shutting down.
+    shutdown_since: Option<Millis>,
+    /// Whether a node that shuts down may stop: no committed entry depends on its disk.
+    released: bool,
+}
+
+/// A leader that this node has heard from.
+#[derive(Debug)]
+struct LastLeader {
+    name: String,
+    last_heard: Millis,
 }
 
 impl Raft {
-    /// A node that finds this on its disk, at this time of its steady clock. `seed` is its only source of chance.
+    /// A node that has read `persistent` from its disk. `seed` is its only source of randomness.
     pub fn new(
-        me: &str,
+        name: &str,
         now: Millis,
         seed: u64,
-        disk: PersistentState,
-        setup: &Config,
-        out: &mut Ready,
+        persistent: PersistentState,
+        config: &Config,
+        ready: &mut Ready,
     ) -> Raft {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let drawn = rng.next_u64().max(1);
-        let number = rng.next_u64() >> 2;
-        let stands = now + FIRST * (1.0 + 3.0 * chance(&mut rng));
-        let identity = disk.identity;
-        let last = disk.last_index();
+        let new_identity = rng.next_u64().max(1);
+        let first_response = rng.next_u64() >> 2;
+        let election_deadline = now + FIRST_PRE_VOTE_DELAY * (1.0 + 3.0 * chance(&mut rng));
+        let identity = persistent.identity;
         let mut node = Raft {
-            me: Member {
-                name: me.to_owned(),
-                identity: identity.unwrap_or(drawn),
+            local_member: Member {
+                name: name.to_owned(),
+                identity: identity.unwrap_or(new_identity),
             },
             rng,
             now,
-            born: now,
-            folding: Folding::of(&disk),
-            taking: None,
-            sets: Configuration::default(),
-            voters: BTreeSet::new(),
-            wish: MembershipRequest {
-                voter: setup.voter,
-                initial: setup.initial_members.is_some(),
+            started_at: now,
+            log_size: LogSize::of(&persistent),
+            compacted: CompactedEntries::default(),
+            incoming_snapshot: None,
+            configuration: Configuration::default(),
+            voter_names: BTreeSet::new(),
+            membership_request: MembershipRequest {
+                voter: config.voter,
+                initial: config.initial_members.is_some(),
                 stopping: false,
             },
-            losses: setup.max_failures,
-            alike: setup.interchangeable,
-            wrong_new_alone: setup.skip_joint_quorum,
+            max_failures: config.max_failures,
+            interchangeable: config.interchangeable,
+            skip_joint_quorum: config.skip_joint_quorum,
             role: Role::Follower,
-            leader: None,
-            heard: f64::NEG_INFINITY,
-            led: None,
-            stands,
-            joins: now,
+            leader_id: None,
+            last_heard: f64::NEG_INFINITY,
+            last_leader: None,
+            election_deadline,
+            next_join_request: now,
             commit_index: 0,
-            verified: 0,
-            persisted: 0,
-            synced: 0,
-            unsynced: VecDeque::new(),
-            synced_index: last,
+            verified_index: 0,
+            last_write: 0,
+            persisted_write: 0,
+            pending_entry_writes: VecDeque::new(),
+            persisted_index: persistent.last_index(),
             term_write: 0,
-            held: VecDeque::new(),
-            tickets: 0,
-            answers: Rounds::after(number),
-            touched: f64::NEG_INFINITY,
-            counted: f64::NEG_INFINITY,
-            behind: false,
-            leaving: None,
-            may_go: false,
-            disk,
+            deferred_messages: VecDeque::new(),
+            last_read_id: 0,
+            response_times: SendTimes::after(first_response),
+            quorum_contact: f64::NEG_INFINITY,
+            voter_quorum_contact: f64::NEG_INFINITY,
+            is_lagging: false,
+            shutdown_since: None,
+            released: false,
+            persistent,
         };
         if identity.is_none() {
-            let mut snapshot = None;
-            if let Some(first) = setup.initial_members {
-                node.me.identity = 0;
-                let names: BTreeSet<&String> = first.iter().collect();
-                let members = names
-                    .into_iter()
-                    .map(|name| Member {
-                        name: name.clone(),
-                        identity: 0,
-                    })
-                    .collect();
-                // Its index is not nought: whoever has nothing lacks this too, and is sent it before any entry.
-                snapshot = Some(Snapshot {
-                    index: 1,
-                    members,
-                    ..Snapshot::default()
-                });
-            }
-            let identity = Some(node.me.identity);
-            node.write(
-                PersistentUpdate {
-                    identity,
-                    snapshot,
-                    ..PersistentUpdate::default()
-                },
-                out,
-            );
-            node.term_write = node.persisted;
+            node.initialize_disk(config.initial_members, ready);
         }
-        node.commit_index = node.disk.snapshot.index;
-        node.synced_index = node.synced_index.max(node.commit_index);
-        node.count_members();
+        node.commit_index = node.persistent.snapshot.index;
+        node.persisted_index = node.persisted_index.max(node.commit_index);
+        node.refresh_configuration();
         node
     }
 
-    /// The leader, as far as this node knows.
-    pub fn leader(&self) -> Option<&str> {
-        self.leader.as_deref()
-    }
-
-    /// Whether this node leads, and all from before its time is agreed. A leader whose contact is no longer proven finds out at its next
-    /// input of any kind, before it acts on it.
-    pub fn is_leader(&self) -> bool {
-        matches!(self.role, Role::Leader(_))
-            && self.disk.term_at(self.commit_index) == Some(self.disk.term)
-    }
-
-    /// Whether this node is a member, by the last that its log names.
-    pub fn is_voter(&self) -> bool {
-        self.sets.current.contains(&self.me)
-    }
-
-    /// Names of the members, by the last that the log names.
-    pub fn voters(&self) -> &BTreeSet<String> {
-        &self.voters
-    }
-
-    /// The members, by the last that the log names.
-    pub fn members(&self) -> &[Member] {
-        &self.sets.current
-    }
-
-    /// Whether the last change of the members is not known to be agreed on.
-    pub fn in_joint_configuration(&self) -> bool {
-        self.sets.index > self.commit_index.max(self.disk.members_committed)
-            && !self.wrong_new_alone
-    }
-
-    /// The mark of this node's disk.
-    pub fn identity(&self) -> u64 {
-        self.me.identity
-    }
-
-    /// What this node holds: what a start would find once all is on disk that was written so far.
-    pub fn persistent_state(&self) -> &PersistentState {
-        &self.disk
-    }
-
-    /// The term.
-    pub fn term(&self) -> u64 {
-        self.disk.term
-    }
-
-    /// Up to where all is agreed.
-    pub fn commit(&self) -> u64 {
-        self.commit_index
-    }
-
-    /// Entries that are not agreed yet.
-    pub fn uncommitted(&self) -> impl Iterator<Item = &Entry> {
-        let first = self.commit_index.saturating_sub(self.disk.snapshot.index) as usize;
-        self.disk.log.get(first..).unwrap_or_default().iter()
-    }
-
-    /// Entries in the log.
-    pub fn log_len(&self) -> usize {
-        self.disk.log.len()
-    }
-
-    /// The latest moment, by this node's clock, by which a majority is proven to have followed a leader that counted this node among
-    /// the members and whose agreed entries of then are all applied here. It is never later than the truth: for a follower the time
-    /// at which it sent what the leader echoes, less the age of the leader's own proof; for a leader the time at which it sent what
-    /// a majority has answered.
-    pub fn last_quorum_contact(&self, now: Millis) -> Millis {
-        if self.is_leader() && self.is_voter() {
-            self.counted.max(self.proven(now))
-        } else {
-            self.counted
+    /// Writes the identity of a new disk and, at the first start of the whole system, the first members.
+    fn initialize_disk(&mut self, initial_members: Option<&[String]>, ready: &mut Ready) {
+        if initial_members.is_some() {
+            self.local_member.identity = 0;
         }
-    }
-
-    /// Whether this node knows what a majority had agreed on less than a second ago, as a member or not: what it has may be handed on.
-    /// One that is behind, or cut off, or led by one that is, does not.
-    pub fn has_quorum_contact(&self, now: Millis) -> bool {
-        let touched = if self.is_leader() {
-            self.touched.max(self.proven(now))
-        } else {
-            self.touched
+        let update = PersistentUpdate {
+            identity: Some(self.local_member.identity),
+            snapshot: initial_members.map(initial_snapshot),
+            ..PersistentUpdate::default()
         };
-        now - touched < ALONE
+        self.write(update, ready);
+        self.term_write = self.last_write;
     }
 
-    // ---- Inputs -------------------------------------------------------------------------------------
-
-    /// Time passes; to be called every tenth of a second or so.
-    pub fn tick(&mut self, now: Millis, out: &mut Ready) {
-        if self.begin(now, out) {
+    /// Time passes. To be called about every 100 ms.
+    pub fn tick(&mut self, now: Millis, ready: &mut Ready) {
+        if self.begin_input(now, ready) {
             return;
         }
-        if matches!(self.role, Role::Leader(_)) {
-            self.pulse(now, out);
-            self.consider(now, out);
-            self.hand_over(now, out);
+        if self.has_leader_role() {
+            self.send_heartbeats(now, ready);
+            self.propose_membership_change(now, ready);
+            self.transfer_leadership(now, ready);
             return;
         }
-        let stands = self.may_stand();
-        if stands && now >= self.stands {
-            self.ask_around(now, out);
-        }
-        // Also one that takes itself for a member: it may have been taken out while it was cut off.
-        let patience = if stands { 2.0 * ALONE } else { SILENT };
-        if now >= self.joins
-            && now - self.heard.max(if stands { self.born } else { f64::MIN }) > patience
-        {
-            self.joins = now + if stands { ALONE } else { REJOIN };
-            // Whoever leads takes it up; the others pass it over.
-            self.say(
-                "",
-                MessageBody::JoinRequest(JoinRequest {
-                    membership: Some(self.wish),
-                }),
-                out,
-            );
+        let is_promotable = self.is_promotable();
+        if is_promotable && now >= self.election_deadline {
+            self.start_pre_vote(now, ready);
         }
+        self.request_to_join(now, is_promotable, ready);
     }
 
-    /// A message has come.
-    pub fn step(&mut self, now: Millis, from: &str, message: Message, out: &mut Ready) {
-        // Answers that have lain in a socket prove nothing of now: a leader that is alone is one no more before it reads them.
-        self.begin(now, out);
-        let Some(what) = message.body.filter(|_| message.term < HIGHEST) else {
+    /// A message has come from the peer of that name. The caller vouches for the name, not for the content.
+    pub fn step(&mut self, now: Millis, from: &str, message: Message, ready: &mut Ready) {
+        // A leader that lost its quorum steps down before it reads: responses that waited in a socket prove nothing of the present.
+        self.begin_input(now, ready);
+        let term = message.term;
+        let Some(body) = message.body.filter(|_| term < MAX_TERM_OR_INDEX) else {
             return;
         };
-        let would = matches!(&what, MessageBody::RequestVote(ask) if ask.pre_vote)
-            || matches!(&what, MessageBody::RequestVoteResponse(voted) if voted.pre_vote && voted.granted);
-        if message.term > self.disk.term && !would && !matches!(what, MessageBody::JoinRequest(_)) {
-            self.enter(message.term, "", out);
-            self.follow(now, None, out);
+        if term > self.persistent.term && raises_term(&body) {
+            self.set_term(term, "", ready);
+            self.become_follower(now, None, ready);
         }
-        let old = message.term < self.disk.term;
         let sender = Member {
             name: from.to_owned(),
             identity: message.identity,
         };
-        match what {
-            MessageBody::RequestVote(ask) => self.asked(now, from, message.term, ask, out),
-            MessageBody::RequestVoteResponse(voted) => self.voted(now, sender, voted, out),
-            MessageBody::AppendEntries(append) if !old => self.append(now, from, append, out),
-            MessageBody::InstallSnapshot(install) if !old => self.install(now, from, install, out),
-            MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot(_) => {
-                // An old leader learns of the new term by it.
-                let answer = AppendEntriesResponse {
-                    success: false,
-                    ..AppendEntriesResponse::default()
-                };
-                self.say(from, MessageBody::AppendEntriesResponse(answer), out);
+        self.handle(now, &sender, term, body, ready);
+    }
+
+    fn handle(
+        &mut self,
+        now: Millis,
+        from: &Member,
+        term: u64,
+        body: MessageBody,
+        ready: &mut Ready,
+    ) {
+        let is_stale = term < self.persistent.term;
+        match body {
+            MessageBody::RequestVote(request) => {
+                self.handle_request_vote(now, &from.name, term, request, ready);
+            }
+            MessageBody::RequestVoteResponse(response) => {
+                self.handle_vote_response(now, from, response, ready);
+            }
+            MessageBody::AppendEntries(_) | MessageBody::InstallSnapshot(_) if is_stale => {
+                self.reject_stale_leader(&from.name, ready);
+            }
+            MessageBody::AppendEntries(append) => {
+                self.handle_append_entries(now, &from.name, append, ready);
             }
-            MessageBody::AppendEntriesResponse(answer) if !old => {
-                self.appended(now, &sender, answer, out)
+            MessageBody::InstallSnapshot(install) => {
+                self.handle_install_snapshot(now, &from.name, install, ready);
             }
-            MessageBody::TimeoutNow(_)
-                if !old && self.leader.as_deref() == Some(from) && self.may_stand() =>
-            {
-                self.stand(now, out)
+            MessageBody::AppendEntriesResponse(response) if !is_stale => {
+                self.handle_append_response(now, from, response, ready);
             }
-            MessageBody::JoinRequest(join) => {
-                self.joined(now, &sender, join.membership.unwrap_or_default(), out)
+            MessageBody::TimeoutNow(_) if !is_stale => {
+                self.handle_timeout_now(now, &from.name, ready);
             }
-            _ => {}
+            MessageBody::JoinRequest(request) => {
+                let membership = request.membership.unwrap_or_default();
+                self.handle_join_request(now, from, membership, ready);
+            }
+            MessageBody::AppendEntriesResponse(_) | MessageBody::TimeoutNow(_) => {}
         }
     }
 
     /// All writes up to this number are on disk.
-    pub fn written(&mut self, now: Millis, number: u64, out: &mut Ready) {
-        self.begin(now, out);
-        self.synced = self.synced.max(number).min(self.persisted);
-        while let Some((_, last)) = self
-            .unsynced
-            .front()
-            .copied()
-            .filter(|(w, _)| *w <= self.synced)
-        {
-            self.synced_index = self.synced_index.max(last);
-            self.unsynced.pop_front();
-        }
-        while self
-            .held
-            .front()
-            .is_some_and(|(write, _, _)| *write <= self.synced)
-        {
-            if let Some((_, to, message)) = self.held.pop_front() {
-                // What was to be said in an earlier term is of no more use.
-                if message.term >= self.disk.term
-                    || matches!(message.body, Some(MessageBody::RequestVoteResponse(_)))
-                {
-                    out.messages.push((to, message));
-                }
-            }
-        }
-        match &self.role {
-            Role::Leader(_) => self.advance(now, out),
-            _ => {
-                if let Some(leader) = self.leader.clone() {
-                    self.tell_matched(&leader, 0, out);
-                }
-            }
+    pub fn written(&mut self, now: Millis, number: u64, ready: &mut Ready) {
+        self.begin_input(now, ready);
+        self.persisted_write = self.persisted_write.max(number).min(self.last_write);
+        self.update_persisted_index();
+        self.release_deferred_messages(ready);
+        if self.has_leader_role() {
+            self.advance_commit(now, ready);
+        } else if let Some(leader) = self.leader_id.clone() {
+            self.acknowledge(&leader, 0, ready);
         }
     }
 
-    /// Adds a change to the log, if this node leads; tells its index.
-    pub fn propose(&mut self, now: Millis, payload: Vec<u8>, out: &mut Ready) -> Option<u64> {
-        if self.begin(now, out) || !self.is_leader() || self.leaving.is_some() {
+    /// Appends a command to the log and returns its index; `None` unless this node is the leader and not shutting down. The
+    /// command is committed once its entry appears in [`Ready::committed_entries`].
+    pub fn propose(&mut self, now: Millis, payload: Vec<u8>, ready: &mut Ready) -> Option<u64> {
+        if self.begin_input(now, ready) || !self.is_leader() || self.shutdown_since.is_some() {
             return None;
         }
-        let index = self.add(EntryKind::Command, payload, Vec::new(), out);
-        self.spread(now, out);
+        let index = self.append_entry(EntryKind::Command, payload, Vec::new(), ready);
+        self.send_to_all(now, ready);
         Some(index)
     }
 
-    /// Asks whether this node still leads; tells a ticket that becomes readable once a majority says so.
-    pub fn read_index(&mut self, now: Millis, out: &mut Ready) -> Option<u64> {
-        if self.begin(now, out) || !self.is_leader() {
-            return None;
-        }
-        let Role::Leader(leading) = &mut self.role else {
-            return None;
-        };
-        if leading.reads.len() >= MOST_READS {
-            return None;
+    /// Begins every input: takes the time, and makes a leader without recent quorum contact step down. Returns whether it has.
+    fn begin_input(&mut self, now: Millis, ready: &mut Ready) -> bool {
+        self.now = now;
+        let steps_down = self.has_leader_role() && self.has_lost_quorum(now);
+        if steps_down {
+            self.step_down(now, ready);
         }
-        self.tickets += 1;
-        let ticket = self.tickets;
-        let round = leading.rounds.begin(now);
-        leading.reads.push_back((ticket, round));
-        self.spread(now, out);
-        self.confirm_reads(out);
-        Some(ticket)
+        steps_down
     }
+}
 
-    /// The head of every input: takes the time, and tells whether this node has just found that it leads no more.
-    fn begin(&mut self, now: Millis, out: &mut Ready) -> bool {
-        self.now = now;
-        let alone = matches!(self.role, Role::Leader(_)) && self.alone(now);
-        if alone {
-            let last = now - self.proven(now);
-            out.log_lines.push(format!(
-                "event=alone term={} last_proof_ms={last:.0}",
-                self.disk.term
-            ));
-            self.follow(now, None, out);
-        }
-        alone
+/// Whether a message of a higher term makes its receiver enter that term. A request for a pre-vote and its approval carry a term that
+/// nobody has entered, and a node that asks to join deposes nobody.
+fn raises_term(body: &MessageBody) -> bool {
+    match body {
+        MessageBody::RequestVote(request) => !request.pre_vote,
+        MessageBody::RequestVoteResponse(response) => !(response.pre_vote && response.granted),
+        MessageBody::JoinRequest(_) => false,
+        _ => true,
+    }
+}
+
+/// The first members, with identity 0. The index is 1, so that a node with an empty log lacks this snapshot and is sent it before any
+/// entry.
+fn initial_snapshot(names: &[String]) -> Snapshot {
+    let names: BTreeSet<&String> = names.iter().collect();
+    let members = names.into_iter().map(|name| Member {
+        name: name.clone(),
+        identity: 0,
+    });
+    Snapshot {
+        index: 1,
+        members: members.collect(),
+        ..Snapshot::default()
     }
 }
 
-/// A number drawn evenly from nought to one.
+/// Draws a number uniformly from 0 (inclusive) to 1 (exclusive).
 fn chance(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / 4_294_967_296.0
 }
--- /dev/null
+++ b/crates/raft/src/raft/quorum.rs
@@ -0,0 +1,66 @@
+//! Majorities of the active member sets.
+//!
+//! Invariant: while a change of members is not known to be committed, a quorum is a majority of the members before *and* of those after, so
+//! that any two quorums meet (paper, section 6, joint consensus; `docs/design/control-membership.md` has the argument for
+//! doing it in one entry).
+
+use super::Raft;
+use crate::message::Member;
+use std::cmp::Ordering;
+use std::collections::BTreeSet;
+
+impl Raft {
+    /// The member sets of which a majority is needed each: two in a joint configuration, otherwise one.
+    pub(super) fn active_sets(&self) -> impl Iterator<Item = &Vec<Member>> {
+        let previous = self
+            .in_joint_configuration()
+            .then_some(&self.configuration.previous);
+        std::iter::once(&self.configuration.current).chain(previous)
+    }
+
+    /// Whether the member is in any of the active sets.
+    pub(super) fn is_active(&self, member: &Member) -> bool {
+        self.active_sets().any(|set| set.contains(member))
+    }
+
+    /// Names of all members of the active sets other than this node.
+    pub(super) fn peer_names(&self) -> BTreeSet<String> {
+        self.active_sets()
+            .flatten()
+            .filter(|member| member.name != self.local_member.name)
+            .map(|member| member.name.clone())
+            .collect()
+    }
+
+    /// The highest value that a majority of every active set reaches; `lowest` where a set is empty.
+    pub(super) fn quorum_value<T: PartialOrd + Copy>(
+        &self,
+        lowest: T,
+        value: impl Fn(&Member) -> T,
+    ) -> T {
+        let mut reached_by_all: Option<T> = None;
+        for set in self.active_sets() {
+            let reached = majority_value(set, lowest, &value);
+            if reached_by_all.is_none_or(|other| reached < other) {
+                reached_by_all = Some(reached);
+            }
+        }
+        reached_by_all.unwrap_or(lowest)
+    }
+
+    /// Whether the predicate holds for a majority of every active set.
+    pub(super) fn has_quorum(&self, predicate: impl Fn(&Member) -> bool) -> bool {
+        self.quorum_value(0, |member| u8::from(predicate(member))) > 0
+    }
+}
+
+/// The highest value that a majority of the set reaches.
+fn majority_value<T: PartialOrd + Copy>(
+    set: &[Member],
+    lowest: T,
+    value: impl Fn(&Member) -> T,
+) -> T {
+    let mut values: Vec<T> = set.iter().map(value).collect();
+    values.sort_unstable_by(|a, b| b.partial_cmp(a).unwrap_or(Ordering::Equal));
+    values.get(set.len() / 2).copied().unwrap_or(lowest)
+}
--- /dev/null
+++ b/crates/raft/src/raft/quorum_contact.rs
@@ -0,0 +1,87 @@
+//! When a node was last in proven contact with a quorum.
+//!
+//! Invariant: the time that a node reports is never later than the true one. A leader counts from when it *sent* what a quorum has answered;
+//! a follower from when it *sent* the response that the leader echoes, less the age of the leader's own proof
+//! (`docs/design/control-touch.md`).
+
+use super::constants::{Millis, QUORUM_CONTACT_TIMEOUT};
+use super::event::Event;
+use super::{Raft, Ready};
+
+impl Raft {
+    /// The latest time on this node's clock by which a quorum is proven to have followed a leader that counted this node among the
+    /// voters; all that was committed by then is applied here. Negative infinity before the first contact.
+    pub fn last_quorum_contact(&self, now: Millis) -> Millis {
+        if self.is_leader() && self.is_voter() {
+            self.voter_quorum_contact.max(self.proven_contact(now))
+        } else {
+            self.voter_quorum_contact
+        }
+    }
+
+    /// Whether this node, voter or not, knows what a quorum had committed within the last second. False for one that lags, is
+    /// partitioned off, or follows a leader that is.
+    pub fn has_quorum_contact(&self, now: Millis) -> bool {
+        let contact = if self.is_leader() {
+            self.quorum_contact.max(self.proven_contact(now))
+        } else {
+            self.quorum_contact
+        };
+        now - contact < QUORUM_CONTACT_TIMEOUT
+    }
+
+    /// The latest time by which a quorum is proven to have followed this leader.
+    pub(super) fn proven_contact(&self, now: Millis) -> Millis {
+        let Some(leader) = self.leader_state() else {
+            return f64::NEG_INFINITY;
+        };
+        self.quorum_value(f64::NEG_INFINITY, |member| {
+            if *member == self.local_member {
+                return now;
+            }
+            leader
+                .progress_of(member)
+                .map_or(f64::NEG_INFINITY, |progress| progress.last_contact)
+        })
+    }
+
+    /// Whether a leader has no proof that a quorum followed it within [`QUORUM_CONTACT_TIMEOUT`].
+    pub(super) fn has_lost_quorum(&self, now: Millis) -> bool {
+        now - self.proven_contact(now) >= QUORUM_CONTACT_TIMEOUT
+    }
+
+    /// A leader without quorum contact becomes a follower of nobody.
+    pub(super) fn step_down(&mut self, now: Millis, ready: &mut Ready) {
+        ready.log(&Event::LeaderSteppedDown {
+            term: self.persistent.term,
+            last_contact_age: now - self.proven_contact(now),
+        });
+        self.become_follower(now, None, ready);
+    }
+
+    /// Keeps what a leader knew of its contact when it ceases to lead.
+    pub(super) fn keep_leader_contact(&mut self, now: Millis) {
+        let proven = self.proven_contact(now);
+        self.quorum_contact = self.quorum_contact.max(proven);
+        self.voter_quorum_contact = self.voter_quorum_contact.max(proven);
+    }
+
+    /// Takes the proof of contact from a leader's message, whose entries are in the log. The leader had received the echoed response,
+    /// and a quorum followed it `quorum_age_ms` before this node sent that; all that was committed by then must be known here.
+    pub(super) fn record_echoed_contact(
+        &mut self,
+        last_response: u64,
+        quorum_age_ms: u64,
+        is_voter: bool,
+    ) {
+        let Some(sent_at) = self.response_times.sent_at(last_response) else {
+            return;
+        };
+        let proven = sent_at - quorum_age_ms as f64;
+        self.quorum_contact = self.quorum_contact.max(proven);
+        if is_voter {
+            self.voter_quorum_contact = self.voter_quorum_contact.max(proven);
+        }
+        self.is_lagging = false;
+    }
+}
--- a/crates/raft/src/raft/replication.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -1,374 +1,305 @@
-//! What a leader does.
+//! How a leader replicates its log.
+//!
+//! Log matching (paper, 5.3): entries are sent with index and term of the one before them. Commitment (5.4.2): a leader commits by counting only
+//! entries of its own term; earlier ones are committed with them.
 
-use super::snapshot::weight;
-use super::*;
-
-/// What a leader knows of another node.
-#[derive(Clone, Debug)]
-pub(super) struct Progress {
-    /// Whose words these are: another disk's are not.
-    pub identity: u64,
-    pub next: u64,
-    pub matched: u64,
-    /// When it was last heard.
-    pub heard: Millis,
-    /// The latest time at which a message was sent that it has answered.
-    pub proven: Millis,
-    pub sent: Millis,
-    pub round: u64,
-    /// Number of its last answer.
-    pub echo: u64,
-    pub wish: MembershipRequest,
-    /// Since when it has had all that was agreed on.
-    pub caught_up: Option<Millis>,
-    /// It leaves, and nothing above this rests on it.
-    pub left: Option<u64>,
-    /// The state that it is sent.
-    pub sending: Option<Sending>,
-}
-
-impl Progress {
-    pub fn fresh(identity: u64, next: u64, now: Millis) -> Progress {
-        Progress {
-            identity,
-            next,
-            matched: 0,
-            heard: now,
-            proven: f64::NEG_INFINITY,
-            sent: f64::NEG_INFINITY,
-            round: 0,
-            echo: 0,
-            wish: MembershipRequest::default(),
-            caught_up: None,
-            left: None,
-            sending: None,
-        }
-    }
-
-    /// Up to where its disk counts.
-    fn counted(&self) -> u64 {
-        self.left
-            .map_or(self.matched, |left| left.min(self.matched))
-    }
-}
-
-/// The times at which numbered things began, of the latest.
-#[derive(Clone, Debug)]
-pub(super) struct Rounds {
-    last: u64,
-    times: VecDeque<Millis>,
-}
-
-impl Rounds {
-    pub fn after(last: u64) -> Rounds {
-        Rounds {
-            last,
-            times: VecDeque::new(),
-        }
-    }
-
-    /// The next one begins.
-    pub fn begin(&mut self, now: Millis) -> u64 {
-        if self.times.len() >= MOST_TIMES {
-            self.times.pop_front();
-        }
-        self.times.push_back(now);
-        self.last += 1;
-        self.last
-    }
-
-    /// The number of the last one.
-    pub fn last(&self) -> u64 {
-        self.last
-    }
-
-    /// When the one of this number began, if it is remembered.
-    pub fn at(&self, number: u64) -> Option<Millis> {
-        let back = usize::try_from(self.last.checked_sub(number)?).ok()?;
-        self.times
-            .len()
-            .checked_sub(back + 1)
-            .map(|place| self.times[place])
-    }
-}
+use super::constants::*;
+use super::event::Event;
+use super::progress::Progress;
+use super::role::{LeaderState, Role};
+use super::snapshot::{entry_bytes, CompactedEntries};
+use super::snapshot_transfer::OutgoingSnapshot;
+use super::{
+    AppendEntries, AppendEntriesResponse, Entry, Member, MembershipRequest, MessageBody,
+    PersistentState, Raft, Ready,
+};
 
 impl Raft {
-    pub(super) fn appended(
+    pub(super) fn handle_append_response(
         &mut self,
         now: Millis,
         from: &Member,
-        answer: AppendEntriesResponse,
-        out: &mut Ready,
+        response: AppendEntriesResponse,
+        ready: &mut Ready,
     ) {
-        let (last, commit) = (self.disk.last_index(), self.commit_index);
-        let Role::Leader(leading) = &mut self.role else {
+        let last_index = self.persistent.last_index();
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(other) = leading.others.get_mut(&from.name) else {
+        let Some(progress) = leader.progress.get_mut(&from.name) else {
             return;
         };
-        if from.identity != other.identity {
-            // Another disk: what was known of the one before is void.
-            *other = Progress::fresh(from.identity, last + 1, now);
-        }
-        if now - other.heard > ALONE {
-            other.caught_up = None;
-        }
-        other.heard = now;
-        if let Some(sent) = leading.rounds.at(answer.sequence) {
-            other.proven = other.proven.max(sent);
-            other.round = other.round.max(answer.sequence);
+        if !progress.is_for(from) {
+            *progress = Progress::new(from.identity, last_index + 1, now);
         }
-        other.echo = answer.number;
-        other.wish = answer.membership.unwrap_or_default();
-        if !other.wish.stopping {
-            other.left = None;
-        }
-        if let Some(taken) = answer.snapshot_progress {
-            if other
-                .sending
-                .as_mut()
-                .is_some_and(|sending| sending.taken(taken))
-            {
-                self.send_to(now, &from.name, out);
+        let sent_at = leader.send_times.sent_at(response.sequence);
+        progress.record_response(now, &response, sent_at);
+        if let Some(received) = response.snapshot_progress {
+            let snapshot = progress.outgoing_snapshot.as_mut();
+            if snapshot.is_some_and(|snapshot| snapshot.acknowledge(received)) {
+                self.send_to(now, &from.name, ready);
             }
-            self.confirm_reads(out);
+            self.confirm_reads(ready);
             return;
         }
-        let mut more = false;
-        if answer.success {
-            other.matched = other.matched.max(answer.match_index.min(last));
-            other.next = other.next.max(answer.received_index.min(last) + 1);
-            if let Some(done) = other
-                .sending
-                .take_if(|sending| sending.index() <= answer.received_index)
-            {
-                out.log_lines.push(done.note(&from.name, now));
-            }
-            more = other.next <= last && now - other.sent >= 1.0;
-        } else if answer.sequence >= other.round
-            || answer.match_index.saturating_add(1) < other.next
-        {
-            other.next = answer.match_index.min(last) + 1;
-            more = true;
-        }
-        if other.matched >= commit && other.caught_up.is_none() {
-            other.caught_up = Some(now);
+        let sends_more = if response.success {
+            progress.record_match(&response, last_index);
+            finish_snapshot(progress, &from.name, response.received_index, now, ready);
+            progress.next_index <= last_index && now - progress.last_sent >= MIN_SEND_INTERVAL
+        } else {
+            progress.record_rejection(&response, last_index)
+        };
+        if progress.match_index >= self.commit_index && progress.caught_up_since.is_none() {
+            progress.caught_up_since = Some(now);
         }
-        if more {
-            self.send_to(now, &from.name, out);
+        if sends_more {
+            self.send_to(now, &from.name, ready);
         }
-        self.advance(now, out);
-        self.confirm_reads(out);
-        self.consider(now, out);
-        self.hand_over(now, out);
+        self.advance_commit(now, ready);
+        self.confirm_reads(ready);
+        self.propose_membership_change(now, ready);
+        self.transfer_leadership(now, ready);
     }
 
-    pub(super) fn joined(
+    /// A node that hears no leader is sent the log from now on, as a learner unless it is a member.
+    pub(super) fn handle_join_request(
         &mut self,
         now: Millis,
         from: &Member,
-        wish: MembershipRequest,
-        out: &mut Ready,
+        membership: MembershipRequest,
+        ready: &mut Ready,
     ) {
-        let next = self.disk.last_index() + 1;
-        let newest = &self.sets.current;
-        let Role::Leader(leading) = &mut self.role else {
+        let next_index = self.persistent.last_index() + 1;
+        let members = &self.configuration.current;
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let learners = leading
-            .others
-            .keys()
-            .filter(|name| !newest.iter().any(|m| m.name == **name))
-            .count();
-        if !leading.others.contains_key(&from.name) && learners >= MOST_LEARNERS {
+        let is_known = leader.progress.contains_key(&from.name);
+        if !is_known && learner_count(leader, members) >= MAX_LEARNERS {
             return;
         }
-        let fresh = Progress::fresh(from.identity, next, now);
-        let other = leading.others.entry(from.name.clone()).or_insert(fresh);
-        if other.identity != from.identity {
-            *other = Progress::fresh(from.identity, next, now);
+        let new = Progress::new(from.identity, next_index, now);
+        let progress = leader
+            .progress
+            .entry(from.name.clone())
+            .or_insert_with(|| new.clone());
+        if !progress.is_for(from) {
+            *progress = new;
         }
-        (other.heard, other.wish) = (now, wish);
-        self.send_to(now, &from.name, out);
+        progress.last_heard = now;
+        progress.membership_request = membership;
+        self.send_to(now, &from.name, ready);
     }
 
-    /// Sends to all what they lack, and asks them all for a sign of life.
-    pub(super) fn spread(&mut self, now: Millis, out: &mut Ready) {
-        let Role::Leader(leading) = &self.role else {
+    /// Sends to all peers what they lack; the message is a heartbeat too.
+    pub(super) fn send_to_all(&mut self, now: Millis, ready: &mut Ready) {
+        let Some(leader) = self.leader_state() else {
             return;
         };
-        for name in leading.others.keys().cloned().collect::<Vec<_>>() {
-            self.send_to(now, &name, out);
+        let names: Vec<String> = leader.progress.keys().cloned().collect();
+        for name in names {
+            self.send_to(now, &name, ready);
         }
-        self.advance(now, out);
+        self.advance_commit(now, ready);
     }
 
-    /// Speaks to those that have not been spoken to for a while.
-    pub(super) fn pulse(&mut self, now: Millis, out: &mut Ready) {
-        let Role::Leader(leading) = &mut self.role else {
+    /// Sends to those peers to which nothing was sent for [`HEARTBEAT_INTERVAL`].
+    pub(super) fn send_heartbeats(&mut self, now: Millis, ready: &mut Ready) {
+        self.forget_expired_learners(now);
+        let Some(leader) = self.leader_state_mut() else {
             return;
         };
-        // A learner that has gone for good is forgotten.
-        let voters = &self.voters;
-        leading
-            .others
-            .retain(|name, other| voters.contains(name) || now - other.heard < 30.0 * ALONE);
-        let due = leading
-            .others
+        let due: Vec<String> = leader
+            .progress
             .iter()
-            .filter(|(_, other)| now - other.sent >= PULSE - 10.0);
-        let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
-        // A round for each pulse, also where changes have been sent all the while and no pulse is due: they carry it then.
-        if leading
-            .rounds
-            .at(leading.rounds.last())
-            .is_none_or(|begun| now - begun >= PULSE - 10.0)
+            .filter(|(_, progress)| is_heartbeat_due(progress.last_sent, now))
+            .map(|(name, _)| name.clone())
+            .collect();
+        // The sequence number advances at this interval also where entries are sent all the while and no heartbeat is due.
+        let send_times = &mut leader.send_times;
+        if send_times
+            .sent_at(send_times.last_sequence())
+            .is_none_or(|sent_at| is_heartbeat_due(sent_at, now))
         {
-            leading.rounds.begin(now);
+            send_times.next(now);
         }
         for name in due {
-            if let Role::Leader(leading) = &mut self.role {
-                let unanswered =
-                    |other: &&mut Progress| now - other.heard > RESEND && other.matched > 0;
-                if let Some(other) = leading.others.get_mut(&name).filter(unanswered) {
-                    // What went unanswered may be lost.
-                    other.next = other.matched + 1;
-                }
+            self.rewind_if_unanswered(now, &name);
+            self.send_to(now, &name, ready);
+        }
+        self.advance_commit(now, ready);
+    }
+
+    fn forget_expired_learners(&mut self, now: Millis) {
+        let voter_names = &self.voter_names;
+        if let Role::Leader(leader) = &mut self.role {
+            leader.progress.retain(|name, progress| {
+                voter_names.contains(name) || now - progress.last_heard < LEARNER_EXPIRY
+            });
+        }
+    }
+
+    /// What a peer has not answered may be lost, and is sent again.
+    fn rewind_if_unanswered(&mut self, now: Millis, name: &str) {
+        let Some(leader) = self.leader_state_mut() else {
+            return;
+        };
+        if let Some(progress) = leader.progress.get_mut(name) {
+            if now - progress.last_heard > RESEND_TIMEOUT && progress.match_index > 0 {
+                progress.next_index = progress.match_index + 1;
             }
-            self.send_to(now, &name, out);
         }
-        self.advance(now, out);
     }
 
-    pub(super) fn send_to(&mut self, now: Millis, name: &str, out: &mut Ready) {
-        let last = self.disk.last_index();
-        let (leads, age) = (
-            self.is_leader(),
-            (now - self.proven(now)).max(0.0).ceil() as u64,
-        );
-        let Role::Leader(leading) = &mut self.role else {
+    /// Sends a peer the next entries, or the next chunk of a snapshot where the entries that it lacks are compacted.
+    pub(super) fn send_to(&mut self, now: Millis, name: &str, ready: &mut Ready) {
+        let snapshot_index = self.persistent.snapshot.index;
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let round = leading.rounds.last();
-        let Some(other) = leading.others.get_mut(name) else {
+        let sequence = leader.send_times.last_sequence();
+        let Some(progress) = leader.progress.get_mut(name) else {
             return;
         };
-        let first = other.next.max(1);
-        let (folded, tail) = (self.disk.snapshot.index, &self.folding);
-        if other.sending.is_none() && first <= folded && !tail.has(first, folded) {
-            other.sending = Some(Sending::of(&self.disk.snapshot, now));
+        let first_index = progress.next_index.max(1);
+        let is_compacted = first_index <= snapshot_index;
+        if progress.outgoing_snapshot.is_none()
+            && is_compacted
+            && !self.compacted.covers(first_index, snapshot_index)
+        {
+            let snapshot = OutgoingSnapshot::new(&self.persistent.snapshot, now);
+            progress.outgoing_snapshot = Some(snapshot);
         }
-        if let Some(sending) = &mut other.sending {
-            let Some(install) = sending.next(now, other.sent, round) else {
+        let body = if let Some(snapshot) = &mut progress.outgoing_snapshot {
+            let Some(install) = snapshot.next_message(now, progress.last_sent, sequence) else {
                 return;
             };
-            other.sent = now;
-            let message = self.message(MessageBody::InstallSnapshot(install));
-            out.messages.push((name.to_owned(), message));
-            return;
-        }
-        other.sent = now;
-        // Before it knows what its forerunners agreed on, what it has said to be agreed on proves nothing.
-        let echo = if leads { other.echo } else { 0 };
-        let left = other.left.is_some();
+            progress.last_sent = now;
+            MessageBody::InstallSnapshot(install)
+        } else {
+            let Some(append) = self.next_append(now, name) else {
+                return;
+            };
+            MessageBody::AppendEntries(append)
+        };
+        let message = self.message(body);
+        ready.messages.push((name.to_owned(), message));
+    }
+
+    /// The next entries for a peer, or none as a heartbeat.
+    fn next_append(&mut self, now: Millis, name: &str) -> Option<AppendEntries> {
+        let is_established = self.is_leader();
+        let quorum_age = (now - self.proven_contact(now)).max(0.0);
+        let last_index = self.persistent.last_index();
+        let Role::Leader(leader) = &mut self.role else {
+            return None;
+        };
+        let progress = leader.progress.get_mut(name)?;
+        progress.last_sent = now;
+        let first_index = progress.next_index.max(1);
+        let entries = entries_from(&self.persistent, &self.compacted, first_index);
+        progress.next_index = (first_index + entries.len() as u64).min(last_index + 1);
+        // What a leader names as committed proves nothing before it knows what earlier leaders have committed.
+        let last_response = if is_established {
+            progress.last_response
+        } else {
+            0
+        };
+        let released = progress.released_at.is_some();
         let receiver = Member {
             name: name.to_owned(),
-            identity: other.identity,
-        };
-        let mut size = 0;
-        let fits = |entry: &&Entry| {
-            size += weight(entry);
-            size <= BATCH + weight(entry)
+            identity: progress.identity,
         };
-        let start = first.saturating_sub(folded + 1) as usize;
-        let log = self.disk.log.get(start..).unwrap_or_default();
-        let entries: Vec<Entry> = tail
-            .from(first)
-            .chain(log)
-            .take_while(fits)
-            .cloned()
-            .collect();
-        other.next = (first + entries.len() as u64).min(last + 1);
-        let prev_index = first - 1;
-        let prev_term = self
-            .disk
-            .term_at(prev_index)
-            .or_else(|| tail.term_at(prev_index))
-            .unwrap_or(0);
-        let member = self.active().all(|set| set.contains(&receiver));
-        let commit = self.commit_index;
-        let append = AppendEntries {
-            prev_log_index: prev_index,
-            prev_log_term: prev_term,
+        let sequence = leader.send_times.last_sequence();
+        let prev_log_index = first_index - 1;
+        Some(AppendEntries {
+            prev_log_index,
+            prev_log_term: self.sendable_term_at(prev_log_index),
             entries,
-            leader_commit: commit,
-            sequence: round,
-            last_response: echo,
-            quorum_age_ms: age,
-            is_voter: member,
-            released: left,
-        };
-        let message = self.message(MessageBody::AppendEntries(append));
-        out.messages.push((name.to_owned(), message));
+            leader_commit: self.commit_index,
+            sequence,
+            last_response,
+            quorum_age_ms: quorum_age.ceil() as u64,
+            is_voter: self.active_sets().all(|set| set.contains(&receiver)),
+            released,
+        })
     }
 
-    /// Finds what a majority has on disk.
-    pub(super) fn advance(&mut self, now: Millis, out: &mut Ready) {
-        let Role::Leader(leading) = &self.role else {
-            return;
-        };
-        let agreed = self.by_majority(0, |member| match leading.others.get(&member.name) {
-            _ if *member == self.me => self.synced_index,
-            Some(other) if other.identity == member.identity => other.counted(),
-            _ => 0,
-        });
-        if agreed > self.commit_index && self.disk.term_at(agreed) == Some(self.disk.term) {
-            self.agree(agreed, out);
-            // The others learn of it at once.
-            self.spread(now, out);
-        }
+    /// The term of an entry in the log or among the compacted ones; 0 where there is none.
+    fn sendable_term_at(&self, index: u64) -> u64 {
+        self.persistent
+            .term_at(index)
+            .or_else(|| self.compacted.term_at(index))
+            .unwrap_or(0)
     }
 
-    pub(super) fn confirm_reads(&mut self, out: &mut Ready) {
-        let Role::Leader(leading) = &self.role else {
+    /// Commits what a quorum has on disk.
+    pub(super) fn advance_commit(&mut self, now: Millis, ready: &mut Ready) {
+        let Some(leader) = self.leader_state() else {
             return;
         };
-        let confirmed = self.by_majority(0, |member| match leading.others.get(&member.name) {
-            _ if *member == self.me => u64::MAX,
-            Some(other) if other.identity == member.identity => other.round,
-            _ => 0,
+        let replicated = self.quorum_value(0, |member| {
+            if *member == self.local_member {
+                return self.persisted_index;
+            }
+            leader
+                .progress_of(member)
+                .map_or(0, Progress::committable_index)
         });
-        let Role::Leader(leading) = &mut self.role else {
-            return;
-        };
-        while let Some((ticket, _)) = leading
-            .reads
-            .front()
-            .copied()
-            .filter(|(_, round)| *round <= confirmed)
-        {
-            out.confirmed_reads.push(ticket);
-            leading.reads.pop_front();
+        let is_own_term = self.persistent.term_at(replicated) == Some(self.persistent.term);
+        if replicated > self.commit_index && is_own_term {
+            self.commit_up_to(replicated, ready);
+            // The followers learn of it at once, not with the next heartbeat.
+            self.send_to_all(now, ready);
         }
     }
+}
 
-    /// The latest time by which a majority is proven to have followed this leader.
-    pub(super) fn proven(&self, now: Millis) -> Millis {
-        let Role::Leader(leading) = &self.role else {
-            return f64::NEG_INFINITY;
-        };
-        self.by_majority(f64::NEG_INFINITY, |member| {
-            match leading.others.get(&member.name) {
-                _ if *member == self.me => now,
-                Some(other) if other.identity == member.identity => other.proven,
-                _ => f64::NEG_INFINITY,
-            }
-        })
-    }
+fn is_heartbeat_due(last: Millis, now: Millis) -> bool {
+    now - last >= HEARTBEAT_INTERVAL - TICK_TOLERANCE
+}
+
+fn learner_count(leader: &LeaderState, members: &[Member]) -> usize {
+    let is_member = |name: &String| members.iter().any(|member| member.name == *name);
+    let names = leader.progress.keys();
+    names.filter(|name| !is_member(name)).count()
+}
 
-    /// Whether a leader has no proof that a majority followed it of late.
-    pub(super) fn alone(&self, now: Millis) -> bool {
-        now - self.proven(now) >= ALONE
+/// Ends the transfer of a snapshot once the peer's log reaches up to it.
+fn finish_snapshot(
+    progress: &mut Progress,
+    name: &str,
+    received_index: u64,
+    now: Millis,
+    ready: &mut Ready,
+) {
+    let is_complete = |snapshot: &mut OutgoingSnapshot| snapshot.index() <= received_index;
+    if let Some(snapshot) = progress.outgoing_snapshot.take_if(is_complete) {
+        ready.log(&Event::SnapshotSent {
+            to: name,
+            index: snapshot.index(),
+            bytes: snapshot.total_bytes(),
+            duration: snapshot.duration(now),
+        });
     }
 }
+
+/// As many entries from an index on as one message takes, at least one if there is any.
+fn entries_from(
+    persistent: &PersistentState,
+    compacted: &CompactedEntries,
+    first_index: u64,
+) -> Vec<Entry> {
+    let position = first_index.saturating_sub(persistent.snapshot.index + 1) as usize;
+    let log = persistent.log.get(position..).unwrap_or_default();
+    let mut bytes = 0;
+    compacted
+        .entries_from(first_index)
+        .chain(log)
+        .take_while(|entry| {
+            bytes += entry_bytes(entry);
+            bytes <= MAX_BATCH_BYTES + entry_bytes(entry)
+        })
+        .cloned()
+        .collect()
+}
