--- a/crates/raft/src/raft/event.rs
+++ b/crates/raft/src/raft/event.rs
@@ -77,7 +77,7 @@
                 last_contact_age,
             } => write!(
                 f,
-                "event=alone term={term} last_proof_ms={last_contact_age:.0}"
+                "event=leader_stepped_down term={term} last_contact_ms={last_contact_age:.0}"
             ),
             Event::ReplicaLagging {
                 last_index,
@@ -85,13 +85,13 @@
                 leader_commit,
             } => write!(
                 f,
-                "event=behind last={last_index} leader={leader} leader_commit={leader_commit}"
+                "event=replica_lagging last={last_index} leader={leader} leader_commit={leader_commit}"
             ),
             Event::BadAppendEntries { peer } => {
-                write!(f, "event=bad_append step=read field=index peer={peer}")
+                write!(f, "event=bad_append_entries step=read field=index peer={peer}")
             }
             Event::SnapshotCorrupt { index, part, from } => {
-                write!(f, "event=snapshot_spoilt index={index} {part} from={from}")
+                write!(f, "event=snapshot_corrupt index={index} {part} from={from}")
             }
             Event::SnapshotReceived { index, bytes, from } => write!(
                 f,
@@ -112,10 +112,10 @@
                 last_index,
             } => write!(
                 f,
-                "event=hand_over to={to} whole={caught_up} last={last_index}"
+                "event=leadership_transfer to={to} caught_up={caught_up} last={last_index}"
             ),
-            Event::MemberAdded(change) => write!(f, "event=member_in {change}"),
-            Event::MemberRemoved(change) => write!(f, "event=member_out {change}"),
+            Event::MemberAdded(change) => write!(f, "event=member_added {change}"),
+            Event::MemberRemoved(change) => write!(f, "event=member_removed {change}"),
         }
     }
 }
@@ -124,8 +124,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CorruptPart::Length { bytes } => write!(f, "field=length bytes={bytes}"),
-            CorruptPart::Chunk { offset } => write!(f, "field=part offset={offset}"),
-            CorruptPart::State { bytes } => write!(f, "field=whole bytes={bytes}"),
+            CorruptPart::Chunk { offset } => write!(f, "field=chunk offset={offset}"),
+            CorruptPart::State { bytes } => write!(f, "field=state bytes={bytes}"),
         }
     }
 }
--- a/crates/raft/src/raft/membership.rs
+++ b/crates/raft/src/raft/membership.rs
@@ -36,11 +36,11 @@
 impl ChangeReason {
     fn as_str(self) -> &'static str {
         match self {
-            ChangeReason::Bootstrap => "first_start",
+            ChangeReason::Bootstrap => "bootstrap",
             ChangeReason::NewDisk => "new_disk",
             ChangeReason::Replaces => "replaces",
-            ChangeReason::Added => "grows",
-            ChangeReason::Unresponsive => "silent",
+            ChangeReason::Added => "added",
+            ChangeReason::Unresponsive => "unresponsive",
         }
     }
 }
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -163,7 +163,7 @@
         spoilt += fleet
             .notes
             .iter()
-            .filter(|note| note.contains("event=snapshot_spoilt"))
+            .filter(|note| note.contains("event=snapshot_corrupt"))
             .count();
         received += fleet
             .notes
