--- /dev/null
+++ b/crates/raft/tests/simulator/cluster.rs
@@ -0,0 +1,324 @@
+//! The cluster: machines, time, and inputs to the nodes.
+
+use super::node::{Node, Shutdown};
+use super::{AfterShutdown, CrashKind, Variant, MAX_SHUTDOWN_DURATION};
+use maplefall_raft::{Config, Entry, Message, Raft, Ready};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A planned stop takes at least this long, in milliseconds.
+const MIN_SHUTDOWN_DURATION: f64 = 400.0;
+/// Milliseconds between ticks of a node.
+const TICK_INTERVAL: u64 = 100;
+/// Probability of a read in each millisecond.
+const READ_RATE: f64 = 0.01;
+
+pub struct Cluster {
+    pub rng: Pcg32,
+    /// Milliseconds since the start.
+    pub now: f64,
+    /// All machines that run or will run again.
+    pub names: Vec<String>,
+    initial_names: Vec<String>,
+    /// How many machines may be lost at once.
+    pub max_failures: usize,
+    pub nodes: BTreeMap<String, Node>,
+    pub in_flight: Vec<InFlight>,
+    /// Links that are cut, by sender and receiver.
+    pub cut_links: BTreeSet<(String, String)>,
+    /// Probability that a message is lost.
+    pub loss_rate: f64,
+    /// What was ever committed, by index.
+    pub committed: BTreeMap<u64, CommittedEntry>,
+    /// The established leader of each term.
+    pub leaders: BTreeMap<u64, String>,
+    /// Commands that a leader has told a caller are committed.
+    pub acknowledged: BTreeSet<u64>,
+    last_proposal: u64,
+    pub variant: Variant,
+    /// Probability of a proposal in each millisecond.
+    pub proposal_rate: f64,
+    pub payload_bytes: usize,
+    /// Bytes of the encoded state for each entry in it.
+    pub state_bytes_per_entry: usize,
+    /// Probability that a chunk of a snapshot is corrupted on its way.
+    pub corruption_rate: f64,
+    /// Inputs between two checks of a node's state, which are slow for long logs.
+    pub check_interval: u64,
+    pub inputs: u64,
+    pub compactions: u64,
+    /// What was sent to each node.
+    pub traffic: BTreeMap<String, Traffic>,
+    pub messages_sent: u64,
+    pub confirmed_reads: u64,
+    /// Log lines of all nodes, each after its time and node.
+    pub log_lines: Vec<String>,
+    machines_added: u64,
+}
+
+/// A message on its way.
+pub struct InFlight {
+    pub arrives_at: f64,
+    pub from: String,
+    pub to: String,
+    pub message: Message,
+}
+
+/// An entry that some node was told is committed, and when the first one was.
+#[derive(Debug)]
+pub struct CommittedEntry {
+    pub entry: Entry,
+    pub at: f64,
+}
+
+/// Messages and bytes of entries and snapshots.
+#[derive(Clone, Copy, Default)]
+pub struct Traffic {
+    pub messages: u64,
+    pub bytes: u64,
+}
+
+impl Cluster {
+    /// A cluster of so many initial members, all of them started.
+    pub fn new(seed: u64, size: usize, variant: Variant) -> Cluster {
+        let names: Vec<String> = (1..=size).map(|n| format!("10.0.0.{n}")).collect();
+        let mut cluster = Cluster {
+            rng: Pcg32::seed_from_u64(seed),
+            now: 0.0,
+            names: names.clone(),
+            initial_names: names.clone(),
+            max_failures: (size - 1) / 2,
+            nodes: BTreeMap::new(),
+            in_flight: Vec::new(),
+            cut_links: BTreeSet::new(),
+            loss_rate: 0.02,
+            committed: BTreeMap::new(),
+            leaders: BTreeMap::new(),
+            acknowledged: BTreeSet::new(),
+            last_proposal: 0,
+            variant,
+            proposal_rate: 0.01,
+            payload_bytes: 8,
+            state_bytes_per_entry: 1,
+            corruption_rate: 0.0,
+            check_interval: 1,
+            inputs: 0,
+            compactions: 0,
+            traffic: BTreeMap::new(),
+            messages_sent: 0,
+            confirmed_reads: 0,
+            log_lines: Vec::new(),
+            machines_added: 0,
+        };
+        for name in &names {
+            cluster.set_up_machine(name, true);
+        }
+        cluster
+    }
+
+    // ---- Random draws -------------------------------------------------------------------------------
+
+    /// A number below `bound`.
+    pub fn draw(&mut self, bound: u32) -> u32 {
+        self.rng.next_u32() % bound
+    }
+
+    /// True with this probability.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        f64::from(self.rng.next_u32()) / 4_294_967_296.0 < probability
+    }
+
+    /// The name of any machine.
+    pub fn any_name(&mut self) -> String {
+        self.names[self.rng.next_u32() as usize % self.names.len()].clone()
+    }
+
+    // ---- Machines -----------------------------------------------------------------------------------
+
+    fn set_up_machine(&mut self, name: &str, is_initial: bool) {
+        self.nodes.insert(name.to_owned(), Node::new(is_initial));
+        self.extend_partitions_to(name);
+        self.start(name);
+    }
+
+    /// Sets up a machine at a new address; returns its name.
+    pub fn add_machine(&mut self) -> String {
+        self.machines_added += 1;
+        let name = format!("10.0.1.{}", self.machines_added);
+        self.names.push(name.clone());
+        self.set_up_machine(&name, false);
+        name
+    }
+
+    fn start(&mut self, name: &str) {
+        let seed = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
+        let mut ready = Ready::default();
+        let (now, variant) = (self.now, self.variant);
+        let initial_names = self.initial_names.clone();
+        let Some(node) = self.nodes.get_mut(name) else {
+            return;
+        };
+        node.reset_process();
+        if variant == Variant::WipedVotes && node.disk.is_empty() {
+            node.is_initial = true;
+        }
+        let config = Config {
+            initial_members: node.is_initial.then_some(initial_names.as_slice()),
+            voter: true,
+            max_failures: self.max_failures,
+            interchangeable: true,
+            skip_joint_quorum: variant == Variant::NewMajorityAlone,
+        };
+        let disk = node.disk.clone();
+        node.raft = Some(Raft::new(name, now, seed, disk, &config, &mut ready));
+        node.is_initial = false;
+        self.process_ready(name, ready);
+    }
+
+    // ---- Inputs -------------------------------------------------------------------------------------
+
+    /// Gives an input to a node, unless it is down or frozen, and carries out what it asks for.
+    pub fn input(&mut self, name: &str, input: impl FnOnce(&mut Raft, f64, &mut Ready)) {
+        let (now, mut ready) = (self.now, Ready::default());
+        let Some(raft) = self.running_raft(name) else {
+            return;
+        };
+        input(raft, now, &mut ready);
+        self.process_ready(name, ready);
+    }
+
+    fn running_raft(&mut self, name: &str) -> Option<&mut Raft> {
+        let now = self.now;
+        self.nodes
+            .get_mut(name)
+            .filter(|node| node.frozen_until <= now)?
+            .raft
+            .as_mut()
+    }
+
+    /// Proposes a command with a number of its own.
+    pub fn propose(&mut self, name: &str) {
+        self.last_proposal += 1;
+        let mut payload = self.last_proposal.to_be_bytes().to_vec();
+        payload.resize(self.payload_bytes.max(8), 0);
+        self.input(name, |raft, now, ready| {
+            let _ = raft.propose(now, payload, ready);
+        });
+    }
+
+    /// Asks for a read, which has to see all that was acknowledged before.
+    pub fn read(&mut self, name: &str) {
+        let floor = self.acknowledged.last().copied().unwrap_or(0);
+        let (now, mut ready) = (self.now, Ready::default());
+        let Some(raft) = self.running_raft(name) else {
+            return;
+        };
+        if let Some(id) = raft.read_index(now, &mut ready) {
+            if let Some(node) = self.nodes.get_mut(name) {
+                node.pending_reads.insert(id, floor);
+            }
+        }
+        self.process_ready(name, ready);
+    }
+
+    /// Compacts the log of a node.
+    pub fn compact(&mut self, name: &str) {
+        let commit = self.nodes[name].commit();
+        let state = self.state_at(commit);
+        self.input(name, |raft, _, ready| raft.compact(state, ready));
+    }
+
+    /// The model's state after all entries up to an index: so many bytes an entry, which depend on the index.
+    pub fn state_at(&self, index: u64) -> Vec<u8> {
+        let length = if index <= 1 {
+            0
+        } else {
+            self.state_bytes_per_entry * index as usize
+        };
+        let mut word = index;
+        let mut state = Vec::with_capacity(length + 8);
+        while state.len() < length {
+            word = word.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(1);
+            state.extend_from_slice(&word.to_be_bytes());
+        }
+        state
+    }
+
+    // ---- Time ---------------------------------------------------------------------------------------
+
+    /// Runs the cluster for so many milliseconds, in steps of one.
+    pub fn run(&mut self, duration: f64) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.now += 1.0;
+            for name in self.names.clone() {
+                self.run_node(&name);
+            }
+            self.deliver();
+            if self.chance(self.proposal_rate) {
+                let name = self.any_name();
+                self.propose(&name);
+            }
+            if self.chance(READ_RATE) {
+                let name = self.any_name();
+                self.read(&name);
+            }
+        }
+    }
+
+    fn run_node(&mut self, name: &str) {
+        let now = self.now;
+        let node = &self.nodes[name];
+        if node.raft.is_none() && now >= node.down_until {
+            self.start(name);
+        }
+        if self.nodes[name].frozen_until > now || self.finish_shutdown(name) {
+            return;
+        }
+        self.resume_if_frozen(name);
+        self.sync_due_writes(name);
+        if (now as u64) % TICK_INTERVAL == 0 {
+            self.input(name, |raft, now, ready| raft.tick(now, ready));
+        }
+    }
+
+    /// Stops a machine that shuts down once its node was released, or for too long; returns whether it has.
+    fn finish_shutdown(&mut self, name: &str) -> bool {
+        let node = &self.nodes[name];
+        let Some(Shutdown { since, after }) = node.shutdown else {
+            return false;
+        };
+        let elapsed = self.now - since;
+        let raft = node.raft.as_ref();
+        let may_stop = raft.is_none_or(|raft| raft.may_stop(self.now));
+        let is_released = elapsed >= MIN_SHUTDOWN_DURATION && may_stop;
+        if !is_released && elapsed < MAX_SHUTDOWN_DURATION {
+            return false;
+        }
+        match after {
+            AfterShutdown::Restart => {
+                let down = 100.0 + f64::from(self.draw(800));
+                self.crash(name, CrashKind::ProcessExit, down);
+            }
+            AfterShutdown::Remove => self.remove_machine(name),
+        }
+        true
+    }
+
+    fn sync_due_writes(&mut self, name: &str) {
+        let now = self.now;
+        while let Some(node) = self.nodes.get_mut(name) {
+            if node.raft.is_none() {
+                break;
+            }
+            let Some(write) = node.take_due_write(now) else {
+                break;
+            };
+            node.disk.apply(write.update);
+            self.input(name, |raft, now, ready| {
+                raft.written(now, write.number, ready);
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/raft/tests/simulator/network.rs
@@ -0,0 +1,166 @@
+//! The network: loss, delay, corruption of snapshot chunks, and cut links.
+
+use super::cluster::{InFlight, Traffic};
+use super::{Cluster, Variant};
+use maplefall_raft::{InstallSnapshot, Message, MessageBody};
+
+/// Messages that a frozen node's sockets hold; further ones are lost.
+const MAX_UNREAD_MESSAGES: usize = 200;
+
+impl Cluster {
+    /// Sends a message to one node, or to all where `to` is empty.
+    pub(super) fn send(&mut self, from: &str, to: &str, message: &Message) {
+        if self.variant != Variant::Unsynced {
+            self.check_claims(from, to, message);
+        }
+        let receivers = if to.is_empty() {
+            self.names.clone()
+        } else {
+            vec![to.to_owned()]
+        };
+        for to in receivers {
+            if to != from {
+                self.send_to(from, to, message);
+            }
+        }
+    }
+
+    fn send_to(&mut self, from: &str, to: String, message: &Message) {
+        self.messages_sent += 1;
+        self.count_traffic(&to, message);
+        if self.chance(self.loss_rate) || self.is_cut(from, &to) {
+            return;
+        }
+        let base = 0.5 + f64::from(self.draw(30)) / 10.0;
+        let delay = base + if self.chance(0.02) { 300.0 } else { 0.0 };
+        let message = self.maybe_corrupt(message.clone());
+        self.in_flight.push(InFlight {
+            arrives_at: self.now + delay,
+            from: from.to_owned(),
+            to,
+            message,
+        });
+    }
+
+    fn count_traffic(&mut self, to: &str, message: &Message) {
+        let bytes = match &message.body {
+            Some(MessageBody::InstallSnapshot(install)) => install.chunk.len(),
+            Some(MessageBody::AppendEntries(append)) => {
+                append.entries.iter().map(|e| e.payload.len()).sum()
+            }
+            _ => 0,
+        };
+        let Traffic {
+            messages,
+            bytes: all,
+        } = self.traffic_to(to);
+        let traffic = Traffic {
+            messages: messages + 1,
+            bytes: all + bytes as u64,
+        };
+        self.traffic.insert(to.to_owned(), traffic);
+    }
+
+    /// What was sent to a node so far.
+    pub fn traffic_to(&self, name: &str) -> Traffic {
+        self.traffic.get(name).copied().unwrap_or_default()
+    }
+
+    fn is_cut(&self, from: &str, to: &str) -> bool {
+        self.cut_links.contains(&(from.to_owned(), to.to_owned()))
+    }
+
+    /// Corrupts a chunk of a snapshot with the configured probability.
+    fn maybe_corrupt(&mut self, mut message: Message) -> Message {
+        if let Some(MessageBody::InstallSnapshot(install)) = &mut message.body {
+            if !install.chunk.is_empty()
+                && self.corruption_rate > 0.0
+                && self.chance(self.corruption_rate)
+            {
+                self.corrupt(install);
+            }
+        }
+        message
+    }
+
+    /// Flips a bit of the chunk, and half the time adapts the chunk's checksum to it.
+    fn corrupt(&mut self, install: &mut InstallSnapshot) {
+        let mut bytes = install.chunk.to_vec();
+        let position = self.draw(bytes.len() as u32) as usize;
+        bytes[position] ^= 0x40;
+        if self.chance(0.5) {
+            install.chunk_checksum = maplefall_raft::checksum(&bytes);
+        }
+        install.chunk = bytes.into();
+    }
+
+    /// Delivers the messages that have arrived, unless their link was cut meanwhile.
+    pub(super) fn deliver(&mut self) {
+        let now = self.now;
+        let (arrived, waiting): (Vec<InFlight>, Vec<InFlight>) =
+            std::mem::take(&mut self.in_flight)
+                .into_iter()
+                .partition(|message| message.arrives_at <= now);
+        self.in_flight = waiting;
+        for arrived in arrived {
+            if !self.is_cut(&arrived.from, &arrived.to) {
+                self.receive(arrived);
+            }
+        }
+    }
+
+    fn receive(&mut self, arrived: InFlight) {
+        let InFlight {
+            from, to, message, ..
+        } = arrived;
+        let now = self.now;
+        match self.nodes.get_mut(&to) {
+            Some(node) if node.frozen_until > now => {
+                if node.unread.len() < MAX_UNREAD_MESSAGES {
+                    node.unread.push((from, message));
+                }
+            }
+            _ => self.input(&to, |raft, now, ready| {
+                raft.step(now, &from, message, ready);
+            }),
+        }
+    }
+
+    // ---- Links --------------------------------------------------------------------------------------
+
+    /// Cuts the link in both directions.
+    pub(super) fn cut_between(&mut self, a: &str, b: &str) {
+        self.cut_one_way(a, b);
+        self.cut_one_way(b, a);
+    }
+
+    pub(super) fn cut_one_way(&mut self, from: &str, to: &str) {
+        self.cut_links.insert((from.to_owned(), to.to_owned()));
+    }
+
+    /// Machines that are partitioned off are so from this new one too.
+    pub(super) fn extend_partitions_to(&mut self, name: &str) {
+        let partitioned: Vec<_> = self
+            .nodes
+            .iter()
+            .filter(|(other, _)| *other != name)
+            .filter_map(|(other, node)| Some((other.clone(), node.partition?.direction)))
+            .collect();
+        for (other, direction) in partitioned {
+            if direction.cuts_outgoing() {
+                self.cut_one_way(&other, name);
+            }
+            if direction.cuts_incoming() {
+                self.cut_one_way(name, &other);
+            }
+        }
+    }
+
+    /// Repairs all links.
+    pub fn heal_partitions(&mut self) {
+        self.cut_links.clear();
+        for node in self.nodes.values_mut() {
+            node.partition = None;
+        }
+    }
+}
--- /dev/null
+++ b/crates/raft/tests/simulator/node.rs
@@ -0,0 +1,127 @@
+//! One simulated machine: a node, its disk, and what is known of it.
+
+use maplefall_raft::{Entry, Message, PersistentState, PersistentUpdate, Raft};
+use std::collections::{BTreeMap, VecDeque};
+
+pub struct Node {
+    /// `None` while the process is down.
+    pub raft: Option<Raft>,
+    /// What a restart would read: the synced updates, applied one by one.
+    pub disk: PersistentState,
+    /// All updates since the start of the process applied, synced or not.
+    pub written: PersistentState,
+    /// The last acknowledgement that was sent to others.
+    pub last_claim: Option<DiskClaim>,
+    pub pending_writes: VecDeque<PendingWrite>,
+    pub disk_stalled_until: f64,
+    pub down_until: f64,
+    pub frozen_since: f64,
+    /// 0 where it is not frozen.
+    pub frozen_until: f64,
+    /// Messages that came while it was frozen, with their senders.
+    pub unread: Vec<(String, Message)>,
+    /// Entries that this process was told are committed.
+    pub committed: Vec<Entry>,
+    pub starts: u64,
+    /// Whether the next start is the first of the whole system.
+    pub is_initial: bool,
+    /// Pending reads by number, each with the index that it has to see at least.
+    pub pending_reads: BTreeMap<u64, u64>,
+    pub shutdown: Option<Shutdown>,
+    pub partition: Option<Partition>,
+}
+
+/// An acknowledgement: the sender's disk has the log up to an entry.
+#[derive(Clone, Copy)]
+pub struct DiskClaim {
+    pub index: u64,
+    /// Term of that entry.
+    pub entry_term: u64,
+    /// Term of the message.
+    pub message_term: u64,
+}
+
+/// An update that is not on disk yet.
+pub struct PendingWrite {
+    pub number: u64,
+    pub update: PersistentUpdate,
+    pub due: f64,
+}
+
+/// A planned stop in progress.
+#[derive(Clone, Copy)]
+pub struct Shutdown {
+    pub since: f64,
+    pub after: AfterShutdown,
+}
+
+/// What becomes of a machine that has shut down.
+#[derive(Clone, Copy, PartialEq)]
+pub enum AfterShutdown {
+    Restart,
+    Remove,
+}
+
+/// A machine is cut off from all others.
+#[derive(Clone, Copy)]
+pub struct Partition {
+    pub since: f64,
+    pub direction: super::Direction,
+}
+
+impl Node {
+    /// A machine with an empty disk, not started.
+    pub fn new(is_initial: bool) -> Node {
+        Node {
+            raft: None,
+            disk: PersistentState::default(),
+            written: PersistentState::default(),
+            last_claim: None,
+            pending_writes: VecDeque::new(),
+            disk_stalled_until: 0.0,
+            down_until: 0.0,
+            frozen_since: 0.0,
+            frozen_until: 0.0,
+            unread: Vec::new(),
+            committed: Vec::new(),
+            starts: 0,
+            is_initial,
+            pending_reads: BTreeMap::new(),
+            shutdown: None,
+            partition: None,
+        }
+    }
+
+    /// Forgets what belonged to the last process.
+    pub fn reset_process(&mut self) {
+        self.starts += 1;
+        self.committed.clear();
+        self.pending_writes.clear();
+        self.pending_reads.clear();
+        self.shutdown = None;
+        self.unread.clear();
+        self.frozen_until = 0.0;
+        self.written = self.disk.clone();
+    }
+
+    /// Takes the next write that has reached the disk.
+    pub fn take_due_write(&mut self, now: f64) -> Option<PendingWrite> {
+        let is_due = self
+            .pending_writes
+            .front()
+            .is_some_and(|write| write.due <= now && self.disk_stalled_until <= now);
+        if is_due {
+            self.pending_writes.pop_front()
+        } else {
+            None
+        }
+    }
+
+    pub fn is_leader(&self) -> bool {
+        self.raft.as_ref().is_some_and(Raft::is_leader)
+    }
+
+    pub fn commit(&self) -> u64 {
+        self.raft.as_ref().map_or(0, Raft::commit)
+    }
+}
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -1,179 +1,181 @@
-//! Folding, and states sent in parts: amortised, resumed, checked, and done while changes go on. Seeds are printed.
+//! Compaction, and snapshots sent in chunks: amortised, resumed, checked, and done while commands go on. Seeds are printed.
 
-mod play;
+mod simulator;
 
-use maplefall_raft::Raft;
-use play::{calm, Fleet, Variant};
+use simulator::scenarios::assert_recovers;
+use simulator::{Cluster, CrashKind, Direction, Variant};
 
-/// A fleet of three that has agreed on so many changes, one of them cut off since the first few; tells whom.
-fn behind(seed: u64, changes: u64) -> (Fleet, String) {
-    let mut fleet = Fleet::new(seed, 3, Variant::Right);
-    (fleet.payload, fleet.folded_bytes, fleet.look) = (200, 200, 500);
-    fleet.rate = 0.0;
-    fleet.play(1500.0);
-    let leader = fleet.leader().unwrap_or_default();
-    let name = fleet
-        .names
-        .iter()
-        .find(|name| **name != leader)
-        .cloned()
-        .unwrap_or_default();
-    fleet.cut_off(&name, true, true);
-    let start = fleet.acknowledged.len() as u64;
-    while (fleet.acknowledged.len() as u64) < start + changes {
-        let leader = fleet.leader().unwrap_or_default();
-        (0..20).for_each(|_| fleet.propose(&leader));
-        fleet.play(20.0);
+/// A cluster of three that has committed so many commands, and the name of a node that was partitioned off since the first few.
+fn cluster_with_lagging_node(seed: u64, commands: u64) -> (Cluster, String) {
+    let mut cluster = Cluster::new(seed, 3, Variant::Right);
+    cluster.payload_bytes = 200;
+    cluster.state_bytes_per_entry = 200;
+    cluster.check_interval = 500;
+    cluster.proposal_rate = 0.0;
+    cluster.run(1500.0);
+    let name = cluster.any_follower().unwrap_or_default();
+    cluster.partition(&name, Direction::Both);
+    let end = cluster.acknowledged.len() as u64 + commands;
+    while (cluster.acknowledged.len() as u64) < end {
+        propose_to_leader(&mut cluster, 20);
+        cluster.run(20.0);
     }
-    // Long enough to be out of touch.
-    fleet.play(1500.0);
-    (fleet, name)
+    // Long enough to lose quorum contact.
+    cluster.run(1500.0);
+    (cluster, name)
 }
 
-fn lacks(fleet: &Fleet, name: &str) -> u64 {
-    let commit = fleet.nodes[name].tandem.as_ref().map_or(0, Raft::commit);
-    fleet.truth.keys().next_back().copied().unwrap_or(0) - commit
+fn propose_to_leader(cluster: &mut Cluster, count: usize) {
+    let leader = cluster.leader().unwrap_or_default();
+    for _ in 0..count {
+        cluster.propose(&leader);
+    }
+}
+
+/// How many committed entries the node does not know of.
+fn lag(cluster: &Cluster, name: &str) -> u64 {
+    cluster.last_committed() - cluster.nodes[name].commit()
+}
+
+fn count_events(cluster: &Cluster, event: &str) -> usize {
+    let lines = cluster.log_lines.iter();
+    lines.filter(|line| line.contains(event)).count()
 }
 
-/// Guards catching up: one that lacks hundreds or thousands of changes has them all in bounded time, while changes go on at 20 a second.
+/// Guards catching up: a node that lacks hundreds or thousands of commands has them all in bounded time, while 20 a second are committed.
 #[test]
-fn one_far_behind_catches_up_while_changes_go_on() {
-    for (changes, bound) in [(300, 1000.0), (3000, 1500.0), (30_000, 3000.0)] {
+fn lagging_node_catches_up_in_bounded_time() {
+    for (commands, bound) in [(300, 1000.0), (3000, 1500.0), (30_000, 3000.0)] {
         let mut worst: f64 = 0.0;
-        for seed in 0..if changes > 3000 { 2 } else { 5 } {
-            let (mut fleet, name) = behind(seed, changes);
-            let lacking = lacks(&fleet, &name);
-            fleet.rate = 0.06;
-            fleet.join();
-            let start = fleet.now;
-            let before = fleet.sent_to.get(&name).copied().unwrap_or_default();
-            let touch = |fleet: &Fleet| {
-                fleet.nodes[&name]
-                    .tandem
-                    .as_ref()
-                    .is_some_and(|t| t.has_quorum_contact(fleet.now))
-            };
-            while (!touch(&fleet) || lacks(&fleet, &name) > 1) && fleet.now - start < 20_000.0 {
-                fleet.play(1.0);
+        for seed in 0..if commands > 3000 { 2 } else { 5 } {
+            let (mut cluster, name) = cluster_with_lagging_node(seed, commands);
+            let initial_lag = lag(&cluster, &name);
+            cluster.proposal_rate = 0.06;
+            cluster.heal_partitions();
+            let start = cluster.now;
+            let before = cluster.traffic_to(&name);
+            while (!cluster.has_quorum_contact(&name) || lag(&cluster, &name) > 1)
+                && cluster.now - start < 20_000.0
+            {
+                cluster.run(1.0);
             }
-            let after = fleet.sent_to.get(&name).copied().unwrap_or_default();
-            let took = fleet.now - start;
+            let after = cluster.traffic_to(&name);
+            let elapsed = cluster.now - start;
             println!(
-                "{changes} changes, seed {seed}: lacked {lacking}, in touch after {took:.0} ms, {} messages to it, {} KiB, folded {} times in all",
-                after.0 - before.0,
-                (after.1 - before.1) >> 10,
-                fleet.folded,
+                "{commands} commands, seed {seed}: lacked {initial_lag}, caught up after {elapsed:.0} ms, {} messages to it, {} KiB, {} compactions in all",
+                after.messages - before.messages,
+                (after.bytes - before.bytes) >> 10,
+                cluster.compactions,
             );
-            worst = worst.max(took);
+            worst = worst.max(elapsed);
         }
-        assert!(worst < bound, "{changes} changes take {worst} ms");
+        assert!(worst < bound, "{commands} commands take {worst} ms");
     }
 }
 
-/// Guards the disk and the processor: on a day of some hundred changes the log is folded, and folding costs no more than a fixed
-/// part of what is written.
+/// Guards disk and processor: some hundred commands lead to a compaction, and compaction writes no more than a fixed multiple of what is
+/// written anyhow.
 #[test]
-fn the_log_is_folded_by_bytes_and_not_too_often() {
-    for (changes, payload, folded_bytes) in [(600, 400, 20), (600, 400, 2000), (3000, 10, 1)] {
-        let mut fleet = Fleet::new(7, 3, Variant::Right);
-        (fleet.payload, fleet.folded_bytes, fleet.rate) = (payload, folded_bytes, 0.0);
-        fleet.play(1500.0);
-        while fleet.acknowledged.len() < changes {
-            let leader = fleet.leader().unwrap_or_default();
-            (0..5).for_each(|_| fleet.propose(&leader));
-            fleet.play(20.0);
+fn log_is_compacted_by_bytes_and_not_too_often() {
+    for (commands, payload_bytes, state_bytes_per_entry) in
+        [(600, 400, 20), (600, 400, 2000), (3000, 10, 1)]
+    {
+        let mut cluster = Cluster::new(7, 3, Variant::Right);
+        cluster.payload_bytes = payload_bytes;
+        cluster.state_bytes_per_entry = state_bytes_per_entry;
+        cluster.proposal_rate = 0.0;
+        cluster.run(1500.0);
+        while cluster.acknowledged.len() < commands {
+            propose_to_leader(&mut cluster, 5);
+            cluster.run(20.0);
         }
-        let longest = fleet
-            .nodes
-            .values()
-            .map(|node| node.disk.log.len())
-            .max()
-            .unwrap_or(0);
-        let each = fleet.folded / 3;
-        println!("{changes} changes of {payload} bytes, {folded_bytes} bytes of state for each: folded {each} times each, longest log {longest}");
-        assert!(each >= 1, "never folded");
-        let written = fleet
-            .nodes
-            .values()
-            .map(|node| node.disk.snapshot.state.len())
-            .max()
-            .unwrap_or(0);
-        let most = 4 * (changes * (payload + 64)) / written.max(64 << 10) + 2;
+        let disks = || cluster.nodes.values().map(|node| &node.disk);
+        let longest = disks().map(|disk| disk.log.len()).max().unwrap_or(0);
+        let state_bytes = disks().map(|disk| disk.snapshot.state.len()).max();
+        let state_bytes = state_bytes.unwrap_or(0);
+        let compactions = cluster.compactions / 3;
+        println!("{commands} commands of {payload_bytes} bytes, {state_bytes_per_entry} bytes of state for each: {compactions} compactions a node, longest log {longest}");
+        assert!(compactions >= 1, "never compacted");
+        let max = 4 * (commands * (payload_bytes + 64)) / state_bytes.max(64 << 10) + 2;
         assert!(
-            each as usize <= most,
-            "folded {each} times for {changes} changes and a state of {written} bytes"
+            compactions as usize <= max,
+            "{compactions} compactions for {commands} commands and a state of {state_bytes} bytes"
         );
     }
 }
 
-/// Guards states on their way: parts are lost, spoilt, late; whoever sends, takes or folds starts anew in the middle, with and without
-/// loss of power; the lead goes to another; the state is folded anew meanwhile. What arrives is what was sent, and it arrives.
+/// One fault while a snapshot may be on its way.
+fn disturb_transfer(cluster: &mut Cluster, receiver: &str) {
+    let other = cluster.any_name();
+    match cluster.draw(6) {
+        0 => cluster.crash(receiver, CrashKind::ProcessExit, 30.0),
+        1 => cluster.crash(receiver, CrashKind::PowerLoss, 30.0),
+        2 => cluster.crash(&other, CrashKind::PowerLoss, 30.0),
+        3 => cluster.compact(&other),
+        4 => cluster.freeze(&other, 300.0),
+        _ => cluster.input(&other, |raft, now, ready| raft.shut_down(now, ready)),
+    }
+}
+
+/// Makes a node lag or lose its disk, has all compact their logs, and disturbs the snapshot that it is then sent.
+fn transfer_with_faults(cluster: &mut Cluster) {
+    let receiver = cluster.any_name();
+    let loses_disk = cluster.is_healthy() && cluster.chance(0.5);
+    if loses_disk {
+        cluster.crash(&receiver, CrashKind::DiskLoss, 100.0);
+    } else {
+        cluster.partition(&receiver, Direction::Both);
+    }
+    cluster.run(2000.0);
+    for name in cluster.names.clone() {
+        cluster.compact(&name);
+    }
+    (cluster.corruption_rate, cluster.loss_rate) = (0.25, 0.1);
+    cluster.heal_partitions();
+    for _ in 0..3 {
+        let duration = f64::from(cluster.draw(60));
+        cluster.run(duration);
+        disturb_transfer(cluster, &receiver);
+    }
+    cluster.run(2500.0);
+    // Nodes that were told to shut down start anew.
+    for name in cluster.names.clone() {
+        if cluster.chance(0.3) {
+            cluster.crash(&name, CrashKind::ProcessExit, 10.0);
+        }
+    }
+    cluster.run(2500.0);
+    (cluster.corruption_rate, cluster.loss_rate) = (0.0, 0.02);
+}
+
+/// Guards snapshots on their way: chunks are lost, corrupted and delayed; sender and receiver restart in the middle, with and without
+/// power loss; the leader changes; logs are compacted meanwhile. What is installed is what was encoded, and it is installed.
 #[test]
-fn a_state_arrives_whatever_happens_on_its_way() {
-    let mut spoilt = 0;
+fn snapshot_arrives_intact_despite_faults() {
+    let mut corrupt = 0;
     let mut received = 0;
     for seed in 0..20 {
         println!("seed {seed}");
-        let mut fleet = Fleet::new(seed, 3, Variant::Right);
-        // Some ten parts, and changes so long that few are kept in memory once they are folded.
-        (fleet.payload, fleet.folded_bytes, fleet.look) = (50_000, 20_000, 50);
-        fleet.rate = 0.05;
-        fleet.play(3000.0);
+        let mut cluster = Cluster::new(seed, 3, Variant::Right);
+        // About ten chunks, and entries so long that few are kept in memory once they are compacted.
+        cluster.payload_bytes = 50_000;
+        cluster.state_bytes_per_entry = 20_000;
+        cluster.check_interval = 50;
+        cluster.proposal_rate = 0.05;
+        cluster.run(3000.0);
         for _ in 0..3 {
-            let name = fleet.any();
-            let wiped = fleet.sound() && fleet.chance(0.5);
-            if wiped {
-                fleet.crash(&name, true, true, 100.0);
-            } else {
-                fleet.cut_off(&name, true, true);
-            }
-            fleet.play(2000.0);
-            for name in fleet.names.clone() {
-                fleet.fold(&name);
-            }
-            (fleet.spoilt, fleet.loss) = (0.25, 0.1);
-            fleet.join();
-            for _ in 0..3 {
-                let span = f64::from(fleet.draw(60));
-                fleet.play(span);
-                let other = fleet.any();
-                match fleet.draw(6) {
-                    0 => fleet.crash(&name, false, false, 30.0),
-                    1 => fleet.crash(&name, true, false, 30.0),
-                    2 => fleet.crash(&other, true, false, 30.0),
-                    3 => fleet.fold(&other),
-                    4 => fleet.freeze(&other, 300.0),
-                    _ => fleet.step(&other, |tandem, now, out| tandem.shut_down(now, out)),
-                }
-            }
-            fleet.play(2500.0);
-            // Whoever was told to leave starts anew.
-            for name in fleet.names.clone() {
-                if fleet.chance(0.3) {
-                    fleet.crash(&name, false, false, 10.0);
-                }
-            }
-            fleet.play(2500.0);
-            (fleet.spoilt, fleet.loss) = (0.0, 0.02);
+            transfer_with_faults(&mut cluster);
         }
-        for name in fleet.names.clone() {
-            fleet.crash(&name, true, false, 10.0);
+        for name in cluster.names.clone() {
+            cluster.crash(&name, CrashKind::PowerLoss, 10.0);
         }
-        calm(&mut fleet, seed);
-        spoilt += fleet
-            .notes
-            .iter()
-            .filter(|note| note.contains("event=snapshot_corrupt"))
-            .count();
-        received += fleet
-            .notes
-            .iter()
-            .filter(|note| note.contains("event=snapshot_received"))
-            .count();
+        assert_recovers(&mut cluster, seed);
+        corrupt += count_events(&cluster, "event=snapshot_corrupt");
+        received += count_events(&cluster, "event=snapshot_received");
     }
-    println!("{received} states received, {spoilt} spoilt parts or wholes found");
+    println!("{received} snapshots received, {corrupt} corrupt chunks or states found");
     assert!(
-        spoilt > 20 && received > 40,
-        "{spoilt} spoilt, {received} received"
+        corrupt > 20 && received > 40,
+        "{corrupt} corrupt, {received} received"
     );
 }
