--- a/crates/raft/tests/untrusted_messages.rs
+++ b/crates/raft/tests/untrusted_messages.rs
@@ -1,12 +1,15 @@
-//! What a stranger may say: anything that can be read as a message. No node panics, keeps more than is bounded, or holds another state
-//! than its records amount to. Seeds are printed.
+//! Arbitrary messages: whatever decodes may come from the network. No node panics, keeps more than its bounds allow, or has another state
+//! in memory than a restart would read. Seeds are printed.
 
 use maplefall_raft::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A number: small, near the edges, or any.
-fn number(rng: &mut Pcg32) -> u64 {
+const SEEDS: u64 = 600;
+const INPUTS: u64 = 600;
+
+/// A number: small, near a bound, or any.
+fn any_number(rng: &mut Pcg32) -> u64 {
     match rng.next_u32() % 8 {
         0 => 0,
         1 => u64::MAX,
@@ -17,21 +20,22 @@
     }
 }
 
-fn flag(rng: &mut Pcg32) -> bool {
+fn any_bool(rng: &mut Pcg32) -> bool {
     rng.next_u32() % 2 == 0
 }
 
-fn members(rng: &mut Pcg32) -> Vec<Member> {
-    let one = |rng: &mut Pcg32| Member {
+fn any_members(rng: &mut Pcg32) -> Vec<Member> {
+    let any_member = |rng: &mut Pcg32| Member {
         name: format!("n{}", rng.next_u32() % 5),
-        identity: number(rng),
+        identity: any_number(rng),
     };
-    (0..rng.next_u32() % 4).map(|_| one(rng)).collect()
+    (0..rng.next_u32() % 4).map(|_| any_member(rng)).collect()
 }
 
-fn entry(rng: &mut Pcg32, index: u64) -> Entry {
+/// An entry, mostly with the given index.
+fn any_entry(rng: &mut Pcg32, index: u64) -> Entry {
     let index = if rng.next_u32() % 6 == 0 {
-        number(rng)
+        any_number(rng)
     } else {
         index
     };
@@ -39,164 +43,186 @@
     let payload = vec![1; (rng.next_u32() % 20) as usize];
     Entry {
         index,
-        term: number(rng),
+        term: any_number(rng),
         kind,
         payload,
-        members: members(rng),
+        members: any_members(rng),
+    }
+}
+
+fn any_append_entries(rng: &mut Pcg32) -> AppendEntries {
+    let prev_log_index = any_number(rng);
+    let count = u64::from(rng.next_u32() % 4);
+    let entries = (1..=count)
+        .map(|n| any_entry(rng, prev_log_index.wrapping_add(n)))
+        .collect();
+    AppendEntries {
+        prev_log_index,
+        prev_log_term: any_number(rng),
+        entries,
+        leader_commit: any_number(rng),
+        sequence: any_number(rng),
+        last_response: any_number(rng),
+        quorum_age_ms: any_number(rng),
+        is_voter: any_bool(rng),
+        released: any_bool(rng),
+    }
+}
+
+fn any_append_response(
+    rng: &mut Pcg32,
+    membership: Option<MembershipRequest>,
+) -> AppendEntriesResponse {
+    let snapshot_progress = any_bool(rng).then(|| SnapshotProgress {
+        index: any_number(rng),
+        checksum: any_number(rng),
+        received_bytes: any_number(rng),
+    });
+    AppendEntriesResponse {
+        success: any_bool(rng),
+        match_index: any_number(rng),
+        received_index: any_number(rng),
+        sequence: any_number(rng),
+        number: any_number(rng),
+        membership,
+        snapshot_progress,
+    }
+}
+
+/// A chunk; each of its checksums and bounds is right half the time.
+fn any_install_snapshot(rng: &mut Pcg32) -> InstallSnapshot {
+    let chunk: Vec<u8> = vec![7; (rng.next_u32() % 30) as usize];
+    let number_or = |rng: &mut Pcg32, right: u64| {
+        if any_bool(rng) {
+            right
+        } else {
+            any_number(rng)
+        }
+    };
+    let chunk_checksum = number_or(rng, checksum(&chunk));
+    InstallSnapshot {
+        sequence: any_number(rng),
+        index: any_number(rng),
+        term: any_number(rng),
+        members: any_members(rng),
+        total_bytes: number_or(rng, chunk.len() as u64),
+        checksum: number_or(rng, checksum(&chunk)),
+        offset: number_or(rng, 0),
+        chunk: chunk.into(),
+        chunk_checksum,
     }
 }
 
-fn what(rng: &mut Pcg32) -> MessageBody {
-    let wish = flag(rng).then(|| MembershipRequest {
-        voter: flag(rng),
-        initial: flag(rng),
-        stopping: flag(rng),
+fn any_body(rng: &mut Pcg32) -> MessageBody {
+    let membership = any_bool(rng).then(|| MembershipRequest {
+        voter: any_bool(rng),
+        initial: any_bool(rng),
+        stopping: any_bool(rng),
     });
     match rng.next_u32() % 8 {
         0 => MessageBody::RequestVote(RequestVote {
-            pre_vote: flag(rng),
-            last_log_index: number(rng),
-            last_log_term: number(rng),
+            pre_vote: any_bool(rng),
+            last_log_index: any_number(rng),
+            last_log_term: any_number(rng),
         }),
         1 => MessageBody::RequestVoteResponse(RequestVoteResponse {
-            pre_vote: flag(rng),
-            granted: flag(rng),
-            requested_term: number(rng),
+            pre_vote: any_bool(rng),
+            granted: any_bool(rng),
+            requested_term: any_number(rng),
         }),
-        2 | 3 => {
-            let prev_index = number(rng);
-            let count = u64::from(rng.next_u32() % 4);
-            let entries = (1..=count)
-                .map(|n| entry(rng, prev_index.wrapping_add(n)))
-                .collect();
-            MessageBody::AppendEntries(AppendEntries {
-                prev_log_index: prev_index,
-                prev_log_term: number(rng),
-                entries,
-                leader_commit: number(rng),
-                sequence: number(rng),
-                last_response: number(rng),
-                quorum_age_ms: number(rng),
-                is_voter: flag(rng),
-                released: flag(rng),
-            })
-        }
-        4 => {
-            let taken = flag(rng).then(|| SnapshotProgress {
-                index: number(rng),
-                checksum: number(rng),
-                received_bytes: number(rng),
-            });
-            MessageBody::AppendEntriesResponse(AppendEntriesResponse {
-                success: flag(rng),
-                match_index: number(rng),
-                received_index: number(rng),
-                sequence: number(rng),
-                number: number(rng),
-                membership: wish,
-                snapshot_progress: taken,
-            })
+        2 | 3 => MessageBody::AppendEntries(any_append_entries(rng)),
+        4 => MessageBody::AppendEntriesResponse(any_append_response(rng, membership)),
+        5 => MessageBody::InstallSnapshot(any_install_snapshot(rng)),
+        6 => MessageBody::TimeoutNow(TimeoutNow {}),
+        _ => MessageBody::JoinRequest(JoinRequest { membership }),
+    }
+}
+
+/// A message, half the time of the node's own term.
+fn step_any_message(raft: &mut Raft, rng: &mut Pcg32, now: f64, ready: &mut Ready) {
+    let term = if any_bool(rng) {
+        raft.term()
+    } else {
+        any_number(rng)
+    };
+    let from = format!("n{}", rng.next_u32() % 5);
+    let message = Message {
+        term,
+        identity: any_number(rng),
+        body: Some(any_body(rng)),
+    };
+    raft.step(now, &from, message, ready);
+}
+
+/// Any input; returns whether it was a message.
+fn any_input(raft: &mut Raft, rng: &mut Pcg32, now: f64, ready: &mut Ready) -> bool {
+    match rng.next_u32() % 10 {
+        0 => raft.tick(now, ready),
+        1 => drop(raft.propose(now, vec![1; 10], ready)),
+        2 => drop(raft.read_index(now, ready)),
+        3 if rng.next_u32() % 10 == 0 => raft.compact(vec![3; 20], ready),
+        4 if rng.next_u32() % 50 == 0 => raft.shut_down(now, ready),
+        _ => {
+            step_any_message(raft, rng, now, ready);
+            return true;
         }
-        5 => {
-            let part: Vec<u8> = vec![7; (rng.next_u32() % 30) as usize];
-            let sum = if flag(rng) {
-                checksum(&part)
-            } else {
-                number(rng)
-            };
-            MessageBody::InstallSnapshot(InstallSnapshot {
-                sequence: number(rng),
-                index: number(rng),
-                term: number(rng),
-                members: members(rng),
-                total_bytes: if flag(rng) {
-                    part.len() as u64
-                } else {
-                    number(rng)
-                },
-                checksum: if flag(rng) {
-                    checksum(&part)
-                } else {
-                    number(rng)
-                },
-                offset: if flag(rng) { 0 } else { number(rng) },
-                chunk: part.into(),
-                chunk_checksum: sum,
-            })
+    }
+    false
+}
+
+/// None of these panics, whatever the state.
+fn query_status(raft: &Raft, now: f64) {
+    let _ = (
+        raft.last_quorum_contact(now),
+        raft.has_quorum_contact(now),
+        raft.may_stop(now),
+        raft.should_compact(),
+    );
+}
+
+/// Runs one node with any inputs; returns how many of them were messages.
+fn run_with_any_inputs(seed: u64) -> u64 {
+    let mut rng = Pcg32::seed_from_u64(seed);
+    let names = ["n0", "n1", "n2"].map(str::to_owned);
+    // The only member, one of three, and one that is new.
+    let initial_members = [Some(&names[..1]), Some(&names[..]), None][seed as usize % 3];
+    let config = Config {
+        initial_members,
+        voter: true,
+        max_failures: 1,
+        interchangeable: any_bool(&mut rng),
+        ..Config::default()
+    };
+    let (mut ready, mut now) = (Ready::default(), 0.0);
+    let disk = PersistentState::default();
+    let mut raft = Raft::new("n0", now, seed, disk, &config, &mut ready);
+    let mut written = PersistentState::default();
+    let mut messages = 0;
+    for _ in 0..INPUTS {
+        now += f64::from(rng.next_u32() % 80);
+        for (number, update) in std::mem::take(&mut ready).writes {
+            written.apply(update);
+            if rng.next_u32() % 4 != 0 {
+                raft.written(now, number, &mut ready);
+            }
         }
-        6 => MessageBody::TimeoutNow(TimeoutNow {}),
-        _ => MessageBody::JoinRequest(JoinRequest { membership: wish }),
+        assert!(
+            *raft.persistent_state() == written || !ready.writes.is_empty(),
+            "another state in memory than a restart would read"
+        );
+        messages += u64::from(any_input(&mut raft, &mut rng, now, &mut ready));
+        query_status(&raft, now);
     }
+    messages
 }
 
 /// Guards the internal port: whatever comes, nothing breaks.
 #[test]
-fn whatever_a_stranger_says_nothing_breaks() {
-    let mut messages = 0_u64;
-    for seed in 0..600 {
+fn arbitrary_messages_neither_panic_nor_diverge_from_disk() {
+    let mut messages = 0;
+    for seed in 0..SEEDS {
         println!("seed {seed}");
-        let mut rng = Pcg32::seed_from_u64(seed);
-        let first = ["n0".to_owned(), "n1".to_owned(), "n2".to_owned()];
-        // One that leads alone, one among three, one that is new.
-        let first = [Some(&first[..1]), Some(&first[..]), None][seed as usize % 3];
-        let setup = Config {
-            initial_members: first,
-            voter: true,
-            max_failures: 1,
-            interchangeable: flag(&mut rng),
-            ..Config::default()
-        };
-        let (mut out, mut now) = (Ready::default(), 0.0);
-        let mut tandem = Raft::new(
-            "n0",
-            now,
-            seed,
-            PersistentState::default(),
-            &setup,
-            &mut out,
-        );
-        let mut written = PersistentState::default();
-        for _ in 0..600 {
-            now += f64::from(rng.next_u32() % 80);
-            for (number, record) in std::mem::take(&mut out).writes {
-                written.apply(record);
-                if rng.next_u32() % 4 != 0 {
-                    tandem.written(now, number, &mut out);
-                }
-            }
-            assert!(
-                *tandem.persistent_state() == written || !out.writes.is_empty(),
-                "another state than its records amount to"
-            );
-            match rng.next_u32() % 10 {
-                0 => tandem.tick(now, &mut out),
-                1 => drop(tandem.propose(now, vec![1; 10], &mut out)),
-                2 => drop(tandem.read_index(now, &mut out)),
-                3 if rng.next_u32() % 10 == 0 => tandem.compact(vec![3; 20], &mut out),
-                4 if rng.next_u32() % 50 == 0 => tandem.shut_down(now, &mut out),
-                _ => {
-                    let term = if flag(&mut rng) {
-                        tandem.term()
-                    } else {
-                        number(&mut rng)
-                    };
-                    let from = format!("n{}", rng.next_u32() % 5);
-                    let message = Message {
-                        term,
-                        identity: number(&mut rng),
-                        body: Some(what(&mut rng)),
-                    };
-                    messages += 1;
-                    tandem.step(now, &from, message, &mut out);
-                }
-            }
-            let _ = (
-                tandem.last_quorum_contact(now),
-                tandem.has_quorum_contact(now),
-                tandem.may_stop(now),
-                tandem.should_compact(),
-            );
-        }
+        messages += run_with_any_inputs(seed);
     }
     println!("{messages} messages");
 }
