--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes, and what is written to disk.
 //!
-//! All of these are protobuf messages: tags and layout are fixed, since nodes of different versions exchange them and read each
-//! other's files. Indexes count from 1, and 0 means none; durations are in milliseconds.
+//! All of these are protobuf messages: tags and layout are fixed, since nodes of different versions exchange them and
+//! read each other's files. Indexes count from 1, and 0 means none; durations are in milliseconds.
 
 use bytes::Bytes;
 
@@ -17,8 +17,8 @@
     Membership = 4,
 }
 
-/// A voting member: an address and the disk behind it. A node that returns without its disk is another member, since it has
-/// lost its votes and its log.
+/// A voting member: an address and the disk behind it. A node that returns without its disk is another member, since it
+/// has lost its votes and its log.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, prost::Message)]
 pub struct Member {
     /// Name of the node, which is its address.
@@ -66,8 +66,8 @@
     pub state: Bytes,
 }
 
-/// One update of a node's [`PersistentState`](crate::PersistentState). Updates are written in order; what one does not contain stays as it
-/// was.
+/// One update of a node's [`PersistentState`](crate::PersistentState). Updates are written in order; what one does not
+/// contain stays as it was.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct PersistentUpdate {
     /// The new term, together with [`voted_for`](Self::voted_for).
@@ -176,8 +176,8 @@
     /// The leader's sequence number, which the response echoes.
     #[prost(uint64, tag = "5")]
     pub sequence: u64,
-    /// Number of the last [`AppendEntriesResponse`] that came from the receiver; 0 for none, and from a leader that has not committed an
-    /// entry of its own term.
+    /// Number of the last [`AppendEntriesResponse`] that came from the receiver; 0 for none, and from a leader that has
+    /// not committed an entry of its own term.
     #[prost(uint64, tag = "6")]
     pub last_response: u64,
     /// Age in milliseconds of the leader's last proof of contact with a quorum.
--- a/crates/raft/src/persistent_state.rs
+++ b/crates/raft/src/persistent_state.rs
@@ -1,7 +1,7 @@
 //! What a node keeps on disk (paper, figure 2, "persistent state"), and how updates of it are applied.
 //!
-//! Invariant: [`PersistentState::apply`] is the only way to change it. A restart reads the disk with it, and a running node changes its memory with
-//! it, so that both agree after every update.
+//! Invariant: [`PersistentState::apply`] is the only way to change it. A restart reads the disk with it, and a running
+//! node changes its memory with it, so that both agree after every update.
 
 use crate::message::*;
 
@@ -34,8 +34,8 @@
 }
 
 impl PersistentState {
-    /// Applies one update. Updates are applied in the order in which they were written; to repeat some of them changes nothing once all
-    /// have been applied.
+    /// Applies one update. Updates are applied in the order in which they were written; to repeat some of them changes
+    /// nothing once all have been applied.
     pub fn apply(&mut self, update: PersistentUpdate) {
         if let Some(term) = update.term {
             (self.term, self.voted_for) = (term, update.voted_for);
@@ -62,8 +62,8 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces the log from the entry's index on by the entry. One that the snapshot contains, or before which one is missing, is
-    /// ignored.
+    /// Replaces the log from the entry's index on by the entry. One that the snapshot contains, or before which one is
+    /// missing, is ignored.
     fn apply_entry(&mut self, entry: Entry) {
         if entry.index <= self.snapshot.index {
             return;
--- a/crates/raft/src/raft/constants.rs
+++ b/crates/raft/src/raft/constants.rs
@@ -1,6 +1,7 @@
 //! Timing and bounds of a node. All durations are in milliseconds.
 //!
-//! The timing keeps the order that Raft requires (paper, 5.6): heartbeats are several times more frequent than the election timeout.
+//! The timing keeps the order that Raft requires (paper, 5.6): heartbeats are several times more frequent than the
+//! election timeout.
 
 /// Milliseconds on the caller's monotonic clock.
 pub(super) type Millis = f64;
@@ -13,14 +14,14 @@
 pub(super) const MIN_ELECTION_TIMEOUT: Millis = 600.0;
 /// Upper bound of the random addition to [`MIN_ELECTION_TIMEOUT`].
 pub(super) const ELECTION_TIMEOUT_SPREAD: Millis = 600.0;
-/// A node that has just started asks for pre-votes after this, or up to four times as long. It may be this short: where there is a
-/// leader, nobody grants a pre-vote.
+/// A node that has just started asks for pre-votes after this, or up to four times as long. It may be this short: where
+/// there is a leader, nobody grants a pre-vote.
 pub(super) const FIRST_PRE_VOTE_DELAY: Millis = 80.0;
-/// A pre-vote that failed is repeated after this, or up to three times as long; an election that failed after twice this and up to
-/// [`ELECTION_TIMEOUT_SPREAD`] more.
+/// A pre-vote that failed is repeated after this, or up to three times as long; an election that failed after twice
+/// this and up to [`ELECTION_TIMEOUT_SPREAD`] more.
 pub(super) const ELECTION_RETRY_INTERVAL: Millis = 150.0;
-/// A leader whose last proven contact with a quorum is older than this steps down, and no node reports quorum contact for longer
-/// than this after the last proof.
+/// A leader whose last proven contact with a quorum is older than this steps down, and no node reports quorum contact
+/// for longer than this after the last proof.
 pub(super) const QUORUM_CONTACT_TIMEOUT: Millis = 1000.0;
 /// A node that is no member and hears no leader asks this often to be sent the log.
 pub(super) const JOIN_REQUEST_INTERVAL: Millis = 250.0;
--- a/crates/raft/src/raft/election.rs
+++ b/crates/raft/src/raft/election.rs
@@ -1,23 +1,25 @@
 //! Pre-votes and elections.
 //!
-//! Election safety (paper, 5.2): a node grants one vote in a term, its vote is on disk before it is sent, and a candidate counts a vote only by
-//! the identity of the disk that gave it. Leader completeness (5.4): a vote goes only to a candidate whose log is at least as
-//! up to date. The pre-vote (thesis, 9.6) keeps a node that was cut off from deposing a leader that the others hear.
+//! Election safety (paper, 5.2): a node grants one vote in a term, its vote is on disk before it is sent, and a
+//! candidate counts a vote only by the identity of the disk that gave it. Leader completeness (5.4): a vote goes only
+//! to a candidate whose log is at least as up to date. The pre-vote (thesis, 9.6) keeps a node that was cut off from
+//! deposing a leader that the others hear.
 
 use super::constants::*;
 use super::progress::Progress;
 use super::role::{LeaderState, Role};
 use super::send_times::SendTimes;
 use super::{
-    chance, EntryKind, LastLeader, Member, Message, MessageBody, PersistentUpdate, Raft, Ready,
+    uniform, EntryKind, LastLeader, Member, Message, MessageBody, PersistentUpdate, Raft, Ready,
     RequestVote, RequestVoteResponse,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 impl Raft {
-    /// Asks the others whether they would elect this node. A request that was rejected or lost is repeated soon: it disturbs nobody.
+    /// Asks the others whether they would elect this node. A request that was rejected or lost is repeated soon: it
+    /// disturbs nobody.
     pub(super) fn start_pre_vote(&mut self, now: Millis, ready: &mut Ready) {
-        let factor = 1.0 + 2.0 * chance(&mut self.rng);
+        let factor = 1.0 + 2.0 * uniform(&mut self.rng);
         self.election_deadline = now + ELECTION_RETRY_INTERVAL * factor;
         self.leader_id = None;
         let votes = BTreeSet::from([self.local_member.clone()]);
@@ -30,7 +32,7 @@
 
     /// Enters the next term as a candidate, with a vote for itself.
     pub(super) fn start_election(&mut self, now: Millis, ready: &mut Ready) {
-        let spread = ELECTION_TIMEOUT_SPREAD * chance(&mut self.rng);
+        let spread = ELECTION_TIMEOUT_SPREAD * uniform(&mut self.rng);
         self.election_deadline = now + 2.0 * ELECTION_RETRY_INTERVAL + spread;
         let name = self.local_member.name.clone();
         self.set_term(self.persistent.term + 1, &name, ready);
@@ -71,8 +73,8 @@
         (last_term, last_index)
     }
 
-    /// Answers a request for a vote. Any node may grant one, also one that does not know yet that it is a member: the candidate counts
-    /// it only if the identity that comes with it is a member's.
+    /// Answers a request for a vote. Any node may grant one, also one that does not know yet that it is a member: the
+    /// candidate counts it only if the identity that comes with it is a member's.
     pub(super) fn handle_request_vote(
         &mut self,
         now: Millis,
@@ -189,8 +191,8 @@
         self.send_heartbeats(now, ready);
     }
 
-    /// Progress of all other members at the start of a term. A vote proves contact at the time of the request; the last leader was last
-    /// heard when this node heard it.
+    /// Progress of all other members at the start of a term. A vote proves contact at the time of the request; the last
+    /// leader was last heard when this node heard it.
     fn initial_progress(
         &self,
         now: Millis,
@@ -265,7 +267,7 @@
     }
 
     fn reset_election_deadline(&mut self, now: Millis) {
-        let spread = ELECTION_TIMEOUT_SPREAD * chance(&mut self.rng);
+        let spread = ELECTION_TIMEOUT_SPREAD * uniform(&mut self.rng);
         self.election_deadline = now + MIN_ELECTION_TIMEOUT + spread;
     }
 
--- a/crates/raft/src/raft/event.rs
+++ b/crates/raft/src/raft/event.rs
@@ -20,7 +20,7 @@
     /// A peer sent a snapshot that is too large, or differs from its checksum.
     SnapshotCorrupt {
         index: u64,
-        part: CorruptPart,
+        defect: SnapshotDefect,
         from: &'a str,
     },
     /// A complete snapshot has come.
@@ -48,9 +48,9 @@
     MemberRemoved(MemberChange<'a>),
 }
 
-/// Which part of a snapshot is corrupt.
+/// What is wrong with a snapshot.
 #[derive(Debug)]
-pub(super) enum CorruptPart {
+pub(super) enum SnapshotDefect {
     /// Its total length is beyond the bound.
     Length { bytes: u64 },
     /// The chunk at this offset differs from its checksum.
@@ -90,8 +90,8 @@
             Event::BadAppendEntries { peer } => {
                 write!(f, "event=bad_append_entries step=read field=index peer={peer}")
             }
-            Event::SnapshotCorrupt { index, part, from } => {
-                write!(f, "event=snapshot_corrupt index={index} {part} from={from}")
+            Event::SnapshotCorrupt { index, defect, from } => {
+                write!(f, "event=snapshot_corrupt index={index} {defect} from={from}")
             }
             Event::SnapshotReceived { index, bytes, from } => write!(
                 f,
@@ -120,12 +120,12 @@
     }
 }
 
-impl fmt::Display for CorruptPart {
+impl fmt::Display for SnapshotDefect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CorruptPart::Length { bytes } => write!(f, "field=length bytes={bytes}"),
-            CorruptPart::Chunk { offset } => write!(f, "field=chunk offset={offset}"),
-            CorruptPart::State { bytes } => write!(f, "field=state bytes={bytes}"),
+            SnapshotDefect::Length { bytes } => write!(f, "field=length bytes={bytes}"),
+            SnapshotDefect::Chunk { offset } => write!(f, "field=chunk offset={offset}"),
+            SnapshotDefect::State { bytes } => write!(f, "field=state bytes={bytes}"),
         }
     }
 }
--- a/crates/raft/src/raft/follower.rs
+++ b/crates/raft/src/raft/follower.rs
@@ -1,8 +1,8 @@
 //! How a follower takes in what its leader sends.
 //!
-//! Log matching (paper, 5.3): entries are appended only after an entry whose index and term the leader names, and a conflicting entry goes with
-//! all that follow it. What the leader has confirmed in this way is `verified_index`; commitment and acknowledgements go no
-//! further than that.
+//! Log matching (paper, 5.3): entries are appended only after an entry whose index and term the leader names, and a
+//! conflicting entry goes with all that follow it. What the leader has confirmed in this way is `verified_index`;
+//! commitment and acknowledgements go no further than that.
 
 use super::constants::*;
 use super::event::Event;
@@ -49,7 +49,8 @@
         self.acknowledge(from, sequence, ready);
     }
 
-    /// Whether the entry before those sent is in the log. What the snapshot has replaced is committed, and so the same everywhere.
+    /// Whether the entry before those sent is in the log. What the snapshot has replaced is committed, and so the same
+    /// everywhere.
     fn has_previous_entry(&self, append: &AppendEntries) -> bool {
         let index = append.prev_log_index;
         index <= self.persistent.last_index()
@@ -57,8 +58,8 @@
                 || self.persistent.term_at(index) == Some(append.prev_log_term))
     }
 
-    /// Tells the leader from where to try next: after the end of the log or, where another entry stands at that index, after
-    /// what is committed, which matches in any case.
+    /// Tells the leader from where to try next: after the end of the log or, where another entry stands at that index,
+    /// after what is committed, which matches in any case.
     fn reject_append(&mut self, leader: &str, append: &AppendEntries, ready: &mut Ready) {
         let last_index = self.persistent.last_index();
         if !std::mem::replace(&mut self.is_lagging, true) {
@@ -156,8 +157,8 @@
         self.respond(leader, response, ready);
     }
 
-    /// Sends a response with the next number. Entries need not be on disk for it, the term must be. Its time is that of its making, which
-    /// is not later than its sending.
+    /// Sends a response with the next number. Entries need not be on disk for it, the term must be. Its time is that of
+    /// its making, which is not later than its sending.
     fn respond(&mut self, leader: &str, response: AppendEntriesResponse, ready: &mut Ready) {
         let number = self.response_times.next(self.now);
         let response = AppendEntriesResponse {
@@ -182,8 +183,8 @@
         }
     }
 
-    /// A node that hears no leader asks every known node to be sent the log; the leader answers. Also a member does, after
-    /// a longer silence: it may have been removed while it was cut off.
+    /// A node that hears no leader asks every known node to be sent the log; the leader answers. Also a member does,
+    /// after a longer silence: it may have been removed while it was cut off.
     pub(super) fn request_to_join(&mut self, now: Millis, is_promotable: bool, ready: &mut Ready) {
         let (timeout, interval, earliest) = if is_promotable {
             let timeout = 2.0 * QUORUM_CONTACT_TIMEOUT;
@@ -191,8 +192,8 @@
         } else {
             (MIN_ELECTION_TIMEOUT, JOIN_REQUEST_INTERVAL, f64::MIN)
         };
-        let silence = now - self.last_heard.max(earliest);
-        if now < self.next_join_request || silence <= timeout {
+        let since_heard = now - self.last_heard.max(earliest);
+        if now < self.next_join_request || since_heard <= timeout {
             return;
         }
         self.next_join_request = now + interval;
--- a/crates/raft/src/raft/leadership_transfer.rs
+++ b/crates/raft/src/raft/leadership_transfer.rs
@@ -1,7 +1,8 @@
 //! Planned stops: a leader transfers its leadership (thesis, 3.10), a follower waits to be released.
 //!
-//! Invariant: nothing that is committed depends on the disk of a node that may stop. What was committed with its help is by then on all
-//! other reachable disks, and nothing more is committed with it (`docs/design/control-membership.md`).
+//! Invariant: nothing that is committed depends on the disk of a node that may stop. What was committed with its help
+//! is by then on all other reachable disks, and nothing more is committed with it
+//! (`docs/design/control-membership.md`).
 
 use super::constants::Millis;
 use super::event::Event;
@@ -9,16 +10,17 @@
 use super::role::LeaderState;
 use super::{Member, MessageBody, Raft, Ready, TimeoutNow};
 
-/// A leader that shuts down transfers its leadership after this at the latest, whether the others have caught up or not.
+/// A leader that shuts down transfers its leadership after this at the latest, whether the others have caught up or
+/// not.
 const TRANSFER_TIMEOUT: Millis = 1500.0;
 
 /// A reachable voter other than the leader.
 type ReachablePeer<'a> = (&'a String, &'a Progress);
 
 impl Raft {
-    /// Begins a planned stop. From now on this node votes and responds, but is not elected. A leader brings the others up to its last
-    /// entry and transfers its leadership; another node asks its leader to be released. [`Raft::may_stop`] tells when
-    /// it is done.
+    /// Begins a planned stop. From now on this node votes and responds, but is not elected. A leader brings the others
+    /// up to its last entry and transfers its leadership; another node asks its leader to be released.
+    /// [`Raft::may_stop`] tells when it is done.
     pub fn shut_down(&mut self, now: Millis, ready: &mut Ready) {
         self.begin_input(now, ready);
         self.shutdown_since.get_or_insert(now);
@@ -43,7 +45,7 @@
             return;
         };
         let peers = self.reachable_peers(now, leader);
-        if let Some(since) = self.leaves_leadership_since() {
+        if let Some(since) = self.resigns_since() {
             let successor = self.successor(&peers);
             if !successor.caught_up && now - since < TRANSFER_TIMEOUT {
                 return;
@@ -55,9 +57,9 @@
         }
     }
 
-    /// Since when this leader wants to give up its leadership. One that was removed, by an entry of an earlier leader, gives it up at
-    /// once.
-    fn leaves_leadership_since(&self) -> Option<Millis> {
+    /// Since when this leader wants to give up its leadership. One that was removed, by an entry of an earlier leader,
+    /// gives it up at once.
+    fn resigns_since(&self) -> Option<Millis> {
         let is_removed = !self.in_joint_configuration() && !self.is_voter();
         self.shutdown_since
             .or(is_removed.then_some(f64::NEG_INFINITY))
@@ -101,8 +103,8 @@
         self.released = self.shutdown_since.is_some();
     }
 
-    /// Names of the peers that shut down and are not released yet, although all that is committed is on this disk and on those of all
-    /// other reachable voters that stay.
+    /// Names of the peers that shut down and are not released yet, although all that is committed is on this disk and
+    /// on those of all other reachable voters that stay.
     fn releasable_peers(&self, peers: &[ReachablePeer]) -> Vec<String> {
         if self.persisted_index < self.commit_index {
             return Vec::new();
--- a/crates/raft/src/raft/log.rs
+++ b/crates/raft/src/raft/log.rs
@@ -1,7 +1,7 @@
 //! The log: appending, committing, and what of it is on disk.
 //!
-//! Invariant: memory changes only by [`Raft::write`], which applies the same update that goes to disk, so that a restart reads what
-//! memory held. State machine safety (paper, 5.4.3) rests on committed entries never being replaced.
+//! Invariant: memory changes only by [`Raft::write`], which applies the same update that goes to disk, so that a
+//! restart reads what memory held. State machine safety (paper, 5.4.3) rests on committed entries never being replaced.
 
 use super::{Entry, EntryKind, Member, PersistentUpdate, Raft, Ready};
 
--- a/crates/raft/src/raft/membership.rs
+++ b/crates/raft/src/raft/membership.rs
@@ -1,7 +1,8 @@
 //! Changes of members (paper, section 6; argument and timing in `docs/design/control-membership.md`).
 //!
-//! Invariant: one change at a time, proposed only by a leader that has committed an entry of its own term, and committed by a
-//! majority of the members before and of those after. A new member has all committed entries on disk before it is proposed.
+//! Invariant: one change at a time, proposed only by a leader that has committed an entry of its own term, and
+//! committed by a majority of the members before and of those after. A new member has all committed entries on disk
+//! before it is proposed.
 
 use super::constants::{Millis, QUORUM_CONTACT_TIMEOUT};
 use super::event::{Event, MemberChange};
@@ -15,7 +16,8 @@
 const REPLACE_TIMEOUT: Millis = 2000.0;
 /// A node that asks to be a voter and replaces nobody is added once it has been caught up for this long.
 const ADD_DELAY: Millis = 1500.0;
-/// A member that has been silent for longer than this is removed where there are more members than `max_failures` needs.
+/// A member that has been silent for longer than this is removed where there are more members than `max_failures`
+/// needs.
 const REMOVE_TIMEOUT: Millis = 2500.0;
 
 /// Why the members change. Only logged; the payload of the entry carries it.
@@ -129,61 +131,66 @@
             }
             return admit(Some(position), ChangeReason::NewDisk);
         }
-        let has_room = members.len() < MAX_MEMBERS;
-        if progress.membership_request.initial && has_room {
+        let is_below_limit = members.len() < MAX_MEMBERS;
+        if progress.membership_request.initial && is_below_limit {
             return admit(None, ChangeReason::Bootstrap);
         }
         if let Some(position) = self.replaceable_member(now, leader) {
             return admit(Some(position), ChangeReason::Replaces);
         }
-        let is_settled = progress
+        let is_caught_up = progress
             .caught_up_since
             .is_some_and(|since| now - since >= ADD_DELAY);
         let is_reachable = |member: &Member| self.is_member_reachable(now, leader, member);
         let is_calm = !self.interchangeable || members.iter().all(is_reachable);
-        if is_settled && is_calm && has_room {
+        if is_caught_up && is_calm && is_below_limit {
             return admit(None, ChangeReason::Added);
         }
         None
     }
 
-    /// Position of the member that has been silent for longest, if that is long enough for another node to take its place.
+    /// Position of the member that has been silent for longest, if that is long enough for another node to take its
+    /// place.
     fn replaceable_member(&self, now: Millis, leader: &LeaderState) -> Option<usize> {
         if !self.interchangeable {
             return None;
         }
-        let silence = |member: &Member| leader.silence(member, now);
+        let age = |member: &Member| leader.time_since_heard(member, now);
         let members = self.configuration.current.iter().enumerate();
         members
             .filter(|(_, member)| **member != self.local_member)
-            .filter(|(_, member)| silence(member) >= REPLACE_TIMEOUT)
-            .max_by(|(_, a), (_, b)| silence(a).total_cmp(&silence(b)))
+            .filter(|(_, member)| age(member) >= REPLACE_TIMEOUT)
+            .max_by(|(_, a), (_, b)| age(a).total_cmp(&age(b)))
             .map(|(position, _)| position)
     }
 
     fn is_member_reachable(&self, now: Millis, leader: &LeaderState, member: &Member) -> bool {
-        *member == self.local_member || leader.silence(member, now) < QUORUM_CONTACT_TIMEOUT
+        *member == self.local_member
+            || leader.time_since_heard(member, now) < QUORUM_CONTACT_TIMEOUT
     }
 
-    /// The removal of a silent member where there are more than `max_failures` needs. Several may be silent and go one by one; all
-    /// others must have the whole log on disk, and be a majority of those that remain.
+    /// The removal of a silent member where there are more than `max_failures` needs. Several may be silent and go one
+    /// by one; all others must have the whole log on disk, and be a majority of those that remain.
     fn due_removal(&self, now: Millis, leader: &LeaderState) -> Option<MembershipChange> {
         let members = &self.configuration.current;
         if !self.interchangeable || members.len() <= 2 * self.max_failures + 1 {
             return None;
         }
-        let is_silent = |member: &Member| {
-            *member != self.local_member && leader.silence(member, now) > REMOVE_TIMEOUT
+        let is_unresponsive = |member: &Member| {
+            *member != self.local_member && leader.time_since_heard(member, now) > REMOVE_TIMEOUT
         };
-        let removed = members.iter().position(is_silent)?;
+        let removed = members.iter().position(is_unresponsive)?;
         let mut remaining = members.clone();
         remaining.remove(removed);
         let is_safe = |member: &Member| {
-            is_silent(member)
+            is_unresponsive(member)
                 || self.is_member_reachable(now, leader, member)
-                    && self.has_whole_log(leader, member)
+                    && self.has_complete_log(leader, member)
         };
-        let present = remaining.iter().filter(|member| !is_silent(member)).count();
+        let present = remaining
+            .iter()
+            .filter(|member| !is_unresponsive(member))
+            .count();
         let may_remove = remaining.iter().all(is_safe) && present > remaining.len() / 2;
         may_remove.then_some(MembershipChange {
             members: remaining,
@@ -191,7 +198,7 @@
         })
     }
 
-    fn has_whole_log(&self, leader: &LeaderState, member: &Member) -> bool {
+    fn has_complete_log(&self, leader: &LeaderState, member: &Member) -> bool {
         let last_index = self.persistent.last_index();
         if *member == self.local_member && self.persisted_index >= last_index {
             return true;
@@ -201,8 +208,8 @@
             .is_some_and(|progress| progress.match_index >= last_index)
     }
 
-    /// Logs the changes of members among entries that have just been committed, and writes that they are: a restart then needs no
-    /// majority of members that were removed. `previous` are the members before.
+    /// Logs the changes of members among entries that have just been committed, and writes that they are: a restart
+    /// then needs no majority of members that were removed. `previous` are the members before.
     pub(super) fn commit_membership(
         &mut self,
         entries: &[Entry],
--- a/crates/raft/src/raft/mod.rs
+++ b/crates/raft/src/raft/mod.rs
@@ -45,7 +45,8 @@
 
 /// One Raft node, without I/O.
 ///
-/// Every input takes the time in milliseconds on the caller's monotonic clock, and appends what has to be done to a [`Ready`].
+/// Every input takes the time in milliseconds on the caller's monotonic clock, and appends what has to be done to a
+/// [`Ready`].
 pub struct Raft {
     local_member: Member,
     rng: Pcg32,
@@ -125,7 +126,7 @@
         let mut rng = Pcg32::seed_from_u64(seed);
         let new_identity = rng.next_u64().max(1);
         let first_response = rng.next_u64() >> 2;
-        let election_deadline = now + FIRST_PRE_VOTE_DELAY * (1.0 + 3.0 * chance(&mut rng));
+        let election_deadline = now + FIRST_PRE_VOTE_DELAY * (1.0 + 3.0 * uniform(&mut rng));
         let identity = persistent.identity;
         let mut node = Raft {
             local_member: Member {
@@ -214,7 +215,8 @@
 
     /// A message has come from the peer of that name. The caller vouches for the name, not for the content.
     pub fn step(&mut self, now: Millis, from: &str, message: Message, ready: &mut Ready) {
-        // A leader that lost its quorum steps down before it reads: responses that waited in a socket prove nothing of the present.
+        // A leader that lost its quorum steps down before it reads: responses that waited in a socket prove nothing of
+        // the present.
         self.begin_input(now, ready);
         let term = message.term;
         let Some(body) = message.body.filter(|_| term < MAX_TERM_OR_INDEX) else {
@@ -283,8 +285,8 @@
         }
     }
 
-    /// Appends a command to the log and returns its index; `None` unless this node is the leader and not shutting down. The
-    /// command is committed once its entry appears in [`Ready::committed_entries`].
+    /// Appends a command to the log and returns its index; `None` unless this node is the leader and not shutting down.
+    /// The command is committed once its entry appears in [`Ready::committed_entries`].
     pub fn propose(&mut self, now: Millis, payload: Vec<u8>, ready: &mut Ready) -> Option<u64> {
         if self.begin_input(now, ready) || !self.is_leader() || self.shutdown_since.is_some() {
             return None;
@@ -294,7 +296,8 @@
         Some(index)
     }
 
-    /// Begins every input: takes the time, and makes a leader without recent quorum contact step down. Returns whether it has.
+    /// Begins every input: takes the time, and makes a leader without recent quorum contact step down. Returns whether
+    /// it has.
     fn begin_input(&mut self, now: Millis, ready: &mut Ready) -> bool {
         self.now = now;
         let steps_down = self.has_leader_role() && self.has_lost_quorum(now);
@@ -305,8 +308,8 @@
     }
 }
 
-/// Whether a message of a higher term makes its receiver enter that term. A request for a pre-vote and its approval carry a term that
-/// nobody has entered, and a node that asks to join deposes nobody.
+/// Whether a message of a higher term makes its receiver enter that term. A request for a pre-vote and its approval
+/// carry a term that nobody has entered, and a node that asks to join deposes nobody.
 fn raises_term(body: &MessageBody) -> bool {
     match body {
         MessageBody::RequestVote(request) => !request.pre_vote,
@@ -316,8 +319,8 @@
     }
 }
 
-/// The first members, with identity 0. The index is 1, so that a node with an empty log lacks this snapshot and is sent it before any
-/// entry.
+/// The first members, with identity 0. The index is 1, so that a node with an empty log lacks this snapshot and is sent
+/// it before any entry.
 fn initial_snapshot(names: &[String]) -> Snapshot {
     let names: BTreeSet<&String> = names.iter().collect();
     let members = names.into_iter().map(|name| Member {
@@ -332,6 +335,6 @@
 }
 
 /// Draws a number uniformly from 0 (inclusive) to 1 (exclusive).
-fn chance(rng: &mut Pcg32) -> f64 {
+fn uniform(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / 4_294_967_296.0
 }
--- a/crates/raft/src/raft/outbox.rs
+++ b/crates/raft/src/raft/outbox.rs
@@ -1,7 +1,7 @@
 //! Messages, and those that are deferred until a write is on disk.
 //!
-//! Invariant: no message leaves before the term and the identity in it are on disk (paper, figure 2: "updated on stable storage before
-//! responding"), and no vote before it is itself.
+//! Invariant: no message leaves before the term and the identity in it are on disk (paper, figure 2: "updated on stable
+//! storage before responding"), and no vote before it is itself.
 
 use super::constants::MAX_DEFERRED_MESSAGES;
 use super::{Message, MessageBody, Raft, Ready};
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Sends what waited for writes up to `persisted_write`. What belongs to an earlier term is dropped, except for votes.
+    /// Sends what waited for writes up to `persisted_write`. What belongs to an earlier term is dropped, except for
+    /// votes.
     pub(super) fn release_deferred_messages(&mut self, ready: &mut Ready) {
         while let Some(deferred) = self.deferred_messages.front() {
             if deferred.after_write > self.persisted_write {
--- a/crates/raft/src/raft/progress.rs
+++ b/crates/raft/src/raft/progress.rs
@@ -1,7 +1,7 @@
 //! What a leader knows of one peer (`nextIndex` and `matchIndex` of the paper, figure 2, and more).
 //!
-//! Invariant: `match_index` is at most what the disk with this `identity` has of the leader's log. A peer that returns with another disk gets
-//! a fresh `Progress`, so nothing that the lost disk acknowledged counts for the new one.
+//! Invariant: `match_index` is at most what the disk with this `identity` has of the leader's log. A peer that returns
+//! with another disk gets a fresh `Progress`, so nothing that the lost disk acknowledged counts for the new one.
 
 use super::constants::{Millis, QUORUM_CONTACT_TIMEOUT};
 use super::snapshot_transfer::OutgoingSnapshot;
@@ -94,7 +94,8 @@
         }
     }
 
-    /// The peer's log matches the leader's up to `response.match_index` on disk and `response.received_index` in memory.
+    /// The peer's log matches the leader's up to `response.match_index` on disk and `response.received_index` in
+    /// memory.
     pub fn record_match(&mut self, response: &AppendEntriesResponse, last_index: u64) {
         self.match_index = self.match_index.max(response.match_index.min(last_index));
         self.next_index = self
@@ -102,8 +103,8 @@
             .max(response.received_index.min(last_index) + 1);
     }
 
-    /// The peer lacks the entry before those that were sent; whether that calls for sending from an earlier one. A rejection that
-    /// was overtaken by a later response does not.
+    /// The peer lacks the entry before those that were sent; whether that calls for sending from an earlier one. A
+    /// rejection that was overtaken by a later response does not.
     pub fn record_rejection(&mut self, response: &AppendEntriesResponse, last_index: u64) -> bool {
         let is_current = response.sequence >= self.answered_sequence
             || response.match_index.saturating_add(1) < self.next_index;
--- a/crates/raft/src/raft/quorum.rs
+++ b/crates/raft/src/raft/quorum.rs
@@ -1,8 +1,8 @@
 //! Majorities of the active member sets.
 //!
-//! Invariant: while a change of members is not known to be committed, a quorum is a majority of the members before *and* of those after, so
-//! that any two quorums meet (paper, section 6, joint consensus; `docs/design/control-membership.md` has the argument for
-//! doing it in one entry).
+//! Invariant: while a change of members is not known to be committed, a quorum is a majority of the members before
+//! *and* of those after, so that any two quorums meet (paper, section 6, joint consensus;
+//! `docs/design/control-membership.md` has the argument for doing it in one entry).
 
 use super::Raft;
 use crate::message::Member;
--- a/crates/raft/src/raft/quorum_contact.rs
+++ b/crates/raft/src/raft/quorum_contact.rs
@@ -1,16 +1,17 @@
 //! When a node was last in proven contact with a quorum.
 //!
-//! Invariant: the time that a node reports is never later than the true one. A leader counts from when it *sent* what a quorum has answered;
-//! a follower from when it *sent* the response that the leader echoes, less the age of the leader's own proof
-//! (`docs/design/control-touch.md`).
+//! Invariant: the time that a node reports is never later than the true one. A leader counts from when it *sent* what a
+//! quorum has answered; a follower from when it *sent* the response that the leader echoes, less the age of the
+//! leader's own proof (`docs/design/control-touch.md`).
 
 use super::constants::{Millis, QUORUM_CONTACT_TIMEOUT};
 use super::event::Event;
 use super::{Raft, Ready};
 
 impl Raft {
-    /// The latest time on this node's clock by which a quorum is proven to have followed a leader that counted this node among the
-    /// voters; all that was committed by then is applied here. Negative infinity before the first contact.
+    /// The latest time on this node's clock by which a quorum is proven to have followed a leader that counted this
+    /// node among the voters; all that was committed by then is applied here. Negative infinity before the first
+    /// contact.
     pub fn last_quorum_contact(&self, now: Millis) -> Millis {
         if self.is_leader() && self.is_voter() {
             self.voter_quorum_contact.max(self.proven_contact(now))
@@ -19,8 +20,8 @@
         }
     }
 
-    /// Whether this node, voter or not, knows what a quorum had committed within the last second. False for one that lags, is
-    /// partitioned off, or follows a leader that is.
+    /// Whether this node, voter or not, knows what a quorum had committed within the last second. False for one that
+    /// lags, is partitioned off, or follows a leader that is.
     pub fn has_quorum_contact(&self, now: Millis) -> bool {
         let contact = if self.is_leader() {
             self.quorum_contact.max(self.proven_contact(now))
@@ -66,8 +67,9 @@
         self.voter_quorum_contact = self.voter_quorum_contact.max(proven);
     }
 
-    /// Takes the proof of contact from a leader's message, whose entries are in the log. The leader had received the echoed response,
-    /// and a quorum followed it `quorum_age_ms` before this node sent that; all that was committed by then must be known here.
+    /// Takes the proof of contact from a leader's message, whose entries are in the log. The leader had received the
+    /// echoed response, and a quorum followed it `quorum_age_ms` before this node sent that; all that was committed by
+    /// then must be known here.
     pub(super) fn record_echoed_contact(
         &mut self,
         last_response: u64,
--- a/crates/raft/src/raft/read_index.rs
+++ b/crates/raft/src/raft/read_index.rs
@@ -1,16 +1,16 @@
 //! Linearizable reads without a log entry (read index; thesis, 6.4).
 //!
-//! Invariant: a read is confirmed only after a quorum has answered a message that this leader sent after it was asked, so that no later leader
-//! can have committed anything before that. The state that answers it must reflect the commit index at that time, which the caller has
-//! applied by then.
+//! Invariant: a read is confirmed only after a quorum has answered a message that this leader sent after it was asked,
+//! so that no later leader can have committed anything before that. The state that answers it must reflect the commit
+//! index at that time, which the caller has applied by then.
 
 use super::constants::{Millis, MAX_PENDING_READS};
 use super::role::{PendingRead, Role};
 use super::{Raft, Ready};
 
 impl Raft {
-    /// Asks whether this node still leads. Returns a number that appears in [`Ready::confirmed_reads`] once a quorum has confirmed
-    /// it; `None` unless this node is the leader, and beyond 1024 pending reads.
+    /// Asks whether this node still leads. Returns a number that appears in [`Ready::confirmed_reads`] once a quorum
+    /// has confirmed it; `None` unless this node is the leader, and beyond 1024 pending reads.
     pub fn read_index(&mut self, now: Millis, ready: &mut Ready) -> Option<u64> {
         if self.begin_input(now, ready) || !self.is_leader() {
             return None;
--- a/crates/raft/src/raft/replication.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -1,7 +1,7 @@
 //! How a leader replicates its log.
 //!
-//! Log matching (paper, 5.3): entries are sent with index and term of the one before them. Commitment (5.4.2): a leader commits by counting only
-//! entries of its own term; earlier ones are committed with them.
+//! Log matching (paper, 5.3): entries are sent with index and term of the one before them. Commitment (5.4.2): a leader
+//! commits by counting only entries of its own term; earlier ones are committed with them.
 
 use super::constants::*;
 use super::event::Event;
@@ -115,7 +115,8 @@
             .filter(|(_, progress)| is_heartbeat_due(progress.last_sent, now))
             .map(|(name, _)| name.clone())
             .collect();
-        // The sequence number advances at this interval also where entries are sent all the while and no heartbeat is due.
+        // The sequence number advances at this interval also where entries are sent all the while and no heartbeat is
+        // due.
         let send_times = &mut leader.send_times;
         if send_times
             .sent_at(send_times.last_sequence())
--- a/crates/raft/src/raft/role.rs
+++ b/crates/raft/src/raft/role.rs
@@ -50,7 +50,7 @@
     }
 
     /// How long the member's address has been silent. An address that returned with another disk is not silent.
-    pub fn silence(&self, member: &Member, now: Millis) -> Millis {
+    pub fn time_since_heard(&self, member: &Member, now: Millis) -> Millis {
         self.progress
             .get(&member.name)
             .map_or(0.0, |progress| now - progress.last_heard)
--- a/crates/raft/src/raft/send_times.rs
+++ b/crates/raft/src/raft/send_times.rs
@@ -1,7 +1,8 @@
 //! Consecutive sequence numbers and the times at which they were given out.
 //!
-//! A response that echoes a number proves that its sender was reachable at some time after the number was given out. Contact is
-//! counted from that time, never from the time at which the response is read: a response may have waited in a socket.
+//! A response that echoes a number proves that its sender was reachable at some time after the number was given out.
+//! Contact is counted from that time, never from the time at which the response is read: a response may have waited in
+//! a socket.
 
 use super::constants::{Millis, MAX_SEND_TIMES};
 use std::collections::VecDeque;
--- a/crates/raft/src/raft/snapshot.rs
+++ b/crates/raft/src/raft/snapshot.rs
@@ -1,15 +1,15 @@
 //! Log compaction (paper, section 7).
 //!
-//! Invariant: only committed entries are compacted. The last of them stay in memory, so that a peer that lags a little is sent entries rather than a
-//! snapshot.
+//! Invariant: only committed entries are compacted. The last of them stay in memory, so that a peer that lags a little
+//! is sent entries rather than a snapshot.
 
 use super::{Entry, PersistentState, PersistentUpdate, Raft, Ready, Snapshot};
 use std::collections::VecDeque;
 
 /// The log is compacted beyond this number of entries in any case.
 const MAX_LOG_ENTRIES: usize = 2000;
-/// The log is compacted beyond this many bytes, or as many as the last snapshot has if that is more: compaction then writes no more
-/// than a fixed multiple of what is written anyhow.
+/// The log is compacted beyond this many bytes, or as many as the last snapshot has if that is more: compaction then
+/// writes no more than a fixed multiple of what is written anyhow.
 const MIN_COMPACTION_BYTES: usize = 64 << 10;
 /// Bytes of compacted entries in memory at most; the oldest go first.
 const MAX_COMPACTED_BYTES: usize = 1 << 20;
@@ -62,8 +62,8 @@
 }
 
 impl CompactedEntries {
-    /// `update` is about to be applied to `persistent`: takes over the entries that its snapshot replaces. A snapshot from
-    /// another node, which the log does not lead up to, makes all of them void.
+    /// `update` is about to be applied to `persistent`: takes over the entries that its snapshot replaces. A snapshot
+    /// from another node, which the log does not lead up to, makes all of them void.
     pub fn before_update(&mut self, persistent: &PersistentState, update: &PersistentUpdate) {
         let Some(snapshot) = &update.snapshot else {
             return;
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Whether the entries from `index` up to the snapshot's last are here, and the one before them, whose term is sent with them.
+    /// Whether the entries from `index` up to the snapshot's last are here, and the one before them, whose term is sent
+    /// with them.
     pub fn covers(&self, index: u64, snapshot_index: u64) -> bool {
         let first = self.entries.front();
         let last = self.entries.back();
--- a/crates/raft/src/raft/snapshot_transfer.rs
+++ b/crates/raft/src/raft/snapshot_transfer.rs
@@ -1,10 +1,11 @@
 //! Snapshots in chunks from a leader to one peer (paper, section 7).
 //!
-//! Invariant: a peer installs a state only if its checksum is the one that the leader computed, and the leader sends the snapshot that it began
-//! with to the end, also where it compacts its log meanwhile. Chunks go one at a time; the receiver tells how much it has.
+//! Invariant: a peer installs a state only if its checksum is the one that the leader computed, and the leader sends
+//! the snapshot that it began with to the end, also where it compacts its log meanwhile. Chunks go one at a time; the
+//! receiver tells how much it has.
 
 use super::constants::*;
-use super::event::{CorruptPart, Event};
+use super::event::{Event, SnapshotDefect};
 use super::{checksum, InstallSnapshot, Raft, Ready, Snapshot, SnapshotProgress};
 use bytes::Bytes;
 
@@ -70,8 +71,8 @@
         self.in_flight.is_none()
     }
 
-    /// The next message: the next chunk, or the same again after [`RESEND_TIMEOUT`]; while one is in flight an empty chunk as heartbeat,
-    /// if one is due.
+    /// The next message: the next chunk, or the same again after [`RESEND_TIMEOUT`]; while one is in flight an empty
+    /// chunk as heartbeat, if one is due.
     pub fn next_message(
         &mut self,
         now: Millis,
@@ -142,7 +143,7 @@
     }
 
     /// Appends the chunk if it is the next one. A repeated or early chunk is ignored.
-    fn append(&mut self, install: &InstallSnapshot) -> Result<(), CorruptPart> {
+    fn append(&mut self, install: &InstallSnapshot) -> Result<(), SnapshotDefect> {
         let is_next = install.offset == self.received.len() as u64
             && install.offset + install.chunk.len() as u64 <= self.total_bytes;
         if !is_next {
@@ -150,7 +151,7 @@
         }
         if checksum(&install.chunk) != install.chunk_checksum {
             let offset = install.offset;
-            return Err(CorruptPart::Chunk { offset });
+            return Err(SnapshotDefect::Chunk { offset });
         }
         self.received.extend_from_slice(&install.chunk);
         Ok(())
@@ -166,8 +167,9 @@
 }
 
 impl Raft {
-    /// Takes in a chunk; returns the snapshot once it is complete, otherwise how much of it has come. A corrupt chunk is ignored; a complete
-    /// state with another checksum is dropped, and comes again from its beginning. Both are logged.
+    /// Takes in a chunk; returns the snapshot once it is complete, otherwise how much of it has come. A corrupt chunk
+    /// is ignored; a complete state with another checksum is dropped, and comes again from its beginning. Both are
+    /// logged.
     pub(super) fn receive_snapshot_chunk(
         &mut self,
         from: &str,
@@ -175,11 +177,17 @@
         ready: &mut Ready,
     ) -> Result<Snapshot, SnapshotProgress> {
         let index = install.index;
-        let mut log_corrupt = |part| ready.log(&Event::SnapshotCorrupt { index, part, from });
+        let mut log_corrupt = |defect| {
+            ready.log(&Event::SnapshotCorrupt {
+                index,
+                defect,
+                from,
+            })
+        };
         let nothing_received = IncomingSnapshot::new(&install).progress();
         if install.total_bytes > MAX_SNAPSHOT_BYTES || index >= MAX_TERM_OR_INDEX {
             let bytes = install.total_bytes;
-            log_corrupt(CorruptPart::Length { bytes });
+            log_corrupt(SnapshotDefect::Length { bytes });
             return Err(nothing_received);
         }
         let mut incoming = self
@@ -187,8 +195,8 @@
             .take()
             .filter(|incoming| incoming.is_of(&install))
             .unwrap_or_else(|| IncomingSnapshot::new(&install));
-        if let Err(part) = incoming.append(&install) {
-            log_corrupt(part);
+        if let Err(defect) = incoming.append(&install) {
+            log_corrupt(defect);
         }
         let progress = incoming.progress();
         if progress.received_bytes < install.total_bytes {
@@ -197,7 +205,7 @@
         }
         if checksum(&incoming.received) != install.checksum {
             let bytes = install.total_bytes;
-            log_corrupt(CorruptPart::State { bytes });
+            log_corrupt(SnapshotDefect::State { bytes });
             return Err(nothing_received);
         }
         Ok(Snapshot {
--- a/crates/raft/src/raft/status.rs
+++ b/crates/raft/src/raft/status.rs
@@ -9,8 +9,8 @@
         self.leader_id.as_deref()
     }
 
-    /// Whether this node is an established leader: elected, and with an entry of its own term committed (paper, section 8). A
-    /// leader without recent quorum contact steps down at its next input, before it acts on it.
+    /// Whether this node is an established leader: elected, and with an entry of its own term committed (paper, section
+    /// 8). A leader without recent quorum contact steps down at its next input, before it acts on it.
     pub fn is_leader(&self) -> bool {
         self.has_leader_role()
             && self.persistent.term_at(self.commit_index) == Some(self.persistent.term)
@@ -31,7 +31,8 @@
         &self.configuration.current
     }
 
-    /// Whether the last change of members is not known to be committed, so that a quorum needs the members before it too.
+    /// Whether the last change of members is not known to be committed, so that a quorum needs the members before it
+    /// too.
     pub fn in_joint_configuration(&self) -> bool {
         let Configuration { index, .. } = self.configuration;
         let committed = self.commit_index.max(self.persistent.members_committed);
--- a/crates/raft/tests/membership.rs
+++ b/crates/raft/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Changes of members: how soon after a repair or a replacement the next loss is tolerated, and that nothing depends on a node that
-//! has shut down. Seeds are printed.
+//! Changes of members: how soon after a repair or a replacement the next loss is tolerated, and that nothing depends on
+//! a node that has shut down. Seeds are printed.
 
 mod simulator;
 
@@ -66,8 +66,9 @@
     None
 }
 
-/// Repairs one machine, then loses as many as may be lost at once, for good, and checks that the others go on. Returns how long after
-/// the start of the new machine, or the end of the old one where that is later, the next loss is tolerated.
+/// Repairs one machine, then loses as many as may be lost at once, for good, and checks that the others go on. Returns
+/// how long after the start of the new machine, or the end of the old one where that is later, the next loss is
+/// tolerated.
 fn repair_then_lose(seed: u64, size: usize, repair: Repair) -> f64 {
     let mut cluster = Cluster::new(seed, size, Variant::Right);
     let duration = 1500.0 + f64::from(cluster.draw(1000));
@@ -127,7 +128,8 @@
     }
 }
 
-/// Guards what was committed with the help of a node that shuts down: when it stops, all others have it, also one that lagged.
+/// Guards what was committed with the help of a node that shuts down: when it stops, all others have it, also one that
+/// lagged.
 #[test]
 fn no_committed_entry_depends_on_a_stopped_node() {
     for seed in 0..120 {
@@ -158,7 +160,8 @@
     }
 }
 
-/// Runs until the machine stops. If it was released, and not stopped for taking too long, all others have all that was committed.
+/// Runs until the machine stops. If it was released, and not stopped for taking too long, all others have all that was
+/// committed.
 fn assert_released_when_all_have_committed(cluster: &mut Cluster, stopping: &str, seed: u64) {
     let start = cluster.now;
     while cluster.nodes.contains_key(stopping) {
--- a/crates/raft/tests/quorum_contact.rs
+++ b/crates/raft/tests/quorum_contact.rs
@@ -1,5 +1,5 @@
-//! Quorum contact is proven, never assumed: a node that was frozen, partitioned off or deposed, or that lags, knows it. Seeds are printed; what is
-//! checked after each input is in `simulator/checks.rs`.
+//! Quorum contact is proven, never assumed: a node that was frozen, partitioned off or deposed, or that lags, knows it.
+//! Seeds are printed; what is checked after each input is in `simulator/checks.rs`.
 
 mod simulator;
 
@@ -12,8 +12,8 @@
     Cluster::new(seed, size, Variant::Right)
 }
 
-/// Guards against a leader that resumes with old responses in its sockets: its first input of any kind ends its leadership, and none of those
-/// responses restores it or proves contact.
+/// Guards against a leader that resumes with old responses in its sockets: its first input of any kind ends its
+/// leadership, and none of those responses restores it or proves contact.
 #[test]
 fn frozen_leader_steps_down_before_it_reads_old_responses() {
     let mut reads = 0;
@@ -49,8 +49,9 @@
     assert!(reads > 500, "only {reads} reads were confirmed");
 }
 
-/// Guards against counting from when a response is read: a leader freezes for less than a second, is partitioned off meanwhile, and finds earlier
-/// responses in its sockets. They prove contact at the time of the request, so it has none a second after the partition.
+/// Guards against counting from when a response is read: a leader freezes for less than a second, is partitioned off
+/// meanwhile, and finds earlier responses in its sockets. They prove contact at the time of the request, so it has none
+/// a second after the partition.
 #[test]
 fn responses_read_late_prove_no_later_contact() {
     for seed in 0..60 {
@@ -73,8 +74,8 @@
     }
 }
 
-/// Guards partitions of twenty seconds: a node that is cut off, in both directions or one, reports no contact after a second, confirms
-/// nothing, and has contact again soon after the partition.
+/// Guards partitions of twenty seconds: a node that is cut off, in both directions or one, reports no contact after a
+/// second, confirms nothing, and has contact again soon after the partition.
 #[test]
 fn partitioned_node_loses_contact_within_a_second_and_regains_it() {
     let mut durations: Vec<f64> = Vec::new();
@@ -111,8 +112,8 @@
     assert!(max < 3000.0, "contact again only after {max} ms");
 }
 
-/// Guards against a lagging node that passes on what it has: long entries come in several messages, and until the last of them it
-/// reports no contact, which is checked after each input.
+/// Guards against a lagging node that passes on what it has: long entries come in several messages, and until the last
+/// of them it reports no contact, which is checked after each input.
 #[test]
 fn lagging_node_has_no_quorum_contact() {
     for seed in 0..6 {
@@ -135,7 +136,8 @@
     }
 }
 
-/// Guards against false alarms: without faults, with or without proposals, every node has contact all the time and the leader stays.
+/// Guards against false alarms: without faults, with or without proposals, every node has contact all the time and the
+/// leader stays.
 #[test]
 fn contact_and_leader_are_stable_without_faults() {
     let mut oldest: f64 = 0.0;
--- a/crates/raft/tests/safety.rs
+++ b/crates/raft/tests/safety.rs
@@ -1,5 +1,6 @@
-//! Safety under any mix of faults: what is committed is never lost nor replaced, and every node's disk has what the node has acknowledged.
-//! What is checked after each input is in `simulator/checks.rs`. Seeds are printed; the same seed gives the same run.
+//! Safety under any mix of faults: what is committed is never lost nor replaced, and every node's disk has what the
+//! node has acknowledged. What is checked after each input is in `simulator/checks.rs`. Seeds are printed; the same
+//! seed gives the same run.
 
 mod simulator;
 
@@ -49,8 +50,8 @@
     violations
 }
 
-/// Guards the simulator: it detects a node that votes again after it has lost its votes, writes that count before they are synced, and a change
-/// of members that the new ones alone commit.
+/// Guards the simulator: it detects a node that votes again after it has lost its votes, writes that count before they
+/// are synced, and a change of members that the new ones alone commit.
 #[test]
 fn wrong_variants_are_detected() {
     for variant in [
--- a/crates/raft/tests/simulator/checks.rs
+++ b/crates/raft/tests/simulator/checks.rs
@@ -118,8 +118,8 @@
         }
     }
 
-    /// A node that reports quorum contact at a time has applied all that was committed by then; one that is cut off altogether reports
-    /// none a second later.
+    /// A node that reports quorum contact at a time has applied all that was committed by then; one that is cut off
+    /// altogether reports none a second later.
     fn check_contact(&self, name: &str) {
         let node = &self.nodes[name];
         let Some(raft) = &node.raft else { return };
@@ -138,11 +138,11 @@
             "{name} has quorum contact at {} and lacks {missing:?}",
             self.now
         );
-        let is_cut_off = node
+        let is_partitioned = node
             .partition
             .is_some_and(|partition| self.now - partition.since >= QUORUM_CONTACT_TIMEOUT);
         assert!(
-            !is_cut_off,
+            !is_partitioned,
             "{name} was cut off for a second and reports quorum contact"
         );
     }
--- a/crates/raft/tests/simulator/cluster.rs
+++ b/crates/raft/tests/simulator/cluster.rs
@@ -26,7 +26,7 @@
     pub nodes: BTreeMap<String, Node>,
     pub in_flight: Vec<InFlight>,
     /// Links that are cut, by sender and receiver.
-    pub cut_links: BTreeSet<(String, String)>,
+    pub blocked_links: BTreeSet<(String, String)>,
     /// Probability that a message is lost.
     pub loss_rate: f64,
     /// What was ever committed, by index.
@@ -91,7 +91,7 @@
             max_failures: (size - 1) / 2,
             nodes: BTreeMap::new(),
             in_flight: Vec::new(),
-            cut_links: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             loss_rate: 0.02,
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
@@ -236,11 +236,11 @@
         } else {
             self.state_bytes_per_entry * index as usize
         };
-        let mut word = index;
+        let mut value = index;
         let mut state = Vec::with_capacity(length + 8);
         while state.len() < length {
-            word = word.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(1);
-            state.extend_from_slice(&word.to_be_bytes());
+            value = value.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(1);
+            state.extend_from_slice(&value.to_be_bytes());
         }
         state
     }
--- a/crates/raft/tests/simulator/faults.rs
+++ b/crates/raft/tests/simulator/faults.rs
@@ -24,11 +24,11 @@
 }
 
 impl Direction {
-    pub fn cuts_outgoing(self) -> bool {
+    pub fn blocks_outgoing(self) -> bool {
         self != Direction::Incoming
     }
 
-    pub fn cuts_incoming(self) -> bool {
+    pub fn blocks_incoming(self) -> bool {
         self != Direction::Outgoing
     }
 }
@@ -99,11 +99,11 @@
             if peer == name {
                 continue;
             }
-            if direction.cuts_outgoing() {
-                self.cut_one_way(name, &peer);
+            if direction.blocks_outgoing() {
+                self.block_one_direction(name, &peer);
             }
-            if direction.cuts_incoming() {
-                self.cut_one_way(&peer, name);
+            if direction.blocks_incoming() {
+                self.block_one_direction(&peer, name);
             }
         }
         let since = self.now;
--- a/crates/raft/tests/simulator/health.rs
+++ b/crates/raft/tests/simulator/health.rs
@@ -34,7 +34,8 @@
         self.committed.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Whether there is a leader, every node knows that exactly the machines that run are the members, and none is to be removed.
+    /// Whether there is a leader, every node knows that exactly the machines that run are the members, and none is to
+    /// be removed.
     pub fn is_healthy(&self) -> bool {
         let all: BTreeSet<String> = self.names.iter().cloned().collect();
         let is_settled = |node: &Node| {
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Whether after any loss of `max_failures` members the others could go on with all that is committed, by what is on
-    /// their disks.
+    /// Whether after any loss of `max_failures` members the others could go on with all that is committed, by what is
+    /// on their disks.
     pub fn tolerates_next_failure(&self) -> bool {
         let running: Vec<&String> = self
             .names
--- a/crates/raft/tests/simulator/mod.rs
+++ b/crates/raft/tests/simulator/mod.rs
@@ -1,8 +1,9 @@
 //! A simulated cluster of nodes, with its network, disks and faults, all from one seed.
 //!
-//! Messages are lost, delayed and reordered; links are cut, also in one direction; nodes crash, freeze and resume with the messages of
-//! the meantime, lose power and with it what is not synced, lose their disks, shut down, and are replaced by others for
-//! good. After every input the cluster is checked against a slow plain model: see [`checks`](self::checks).
+//! Messages are lost, delayed and reordered; links are cut, also in one direction; nodes crash, freeze and resume with
+//! the messages of the meantime, lose power and with it what is not synced, lose their disks, shut down, and are
+//! replaced by others for good. After every input the cluster is checked against a slow plain model: see
+//! [`checks`](self::checks).
 #![allow(dead_code)]
 
 mod checks;
--- a/crates/raft/tests/simulator/network.rs
+++ b/crates/raft/tests/simulator/network.rs
@@ -28,7 +28,7 @@
     fn send_to(&mut self, from: &str, to: String, message: &Message) {
         self.messages_sent += 1;
         self.count_traffic(&to, message);
-        if self.chance(self.loss_rate) || self.is_cut(from, &to) {
+        if self.chance(self.loss_rate) || self.is_blocked(from, &to) {
             return;
         }
         let base = 0.5 + f64::from(self.draw(30)) / 10.0;
@@ -66,8 +66,9 @@
         self.traffic.get(name).copied().unwrap_or_default()
     }
 
-    fn is_cut(&self, from: &str, to: &str) -> bool {
-        self.cut_links.contains(&(from.to_owned(), to.to_owned()))
+    fn is_blocked(&self, from: &str, to: &str) -> bool {
+        self.blocked_links
+            .contains(&(from.to_owned(), to.to_owned()))
     }
 
     /// Corrupts a chunk of a snapshot with the configured probability.
@@ -103,7 +104,7 @@
                 .partition(|message| message.arrives_at <= now);
         self.in_flight = waiting;
         for arrived in arrived {
-            if !self.is_cut(&arrived.from, &arrived.to) {
+            if !self.is_blocked(&arrived.from, &arrived.to) {
                 self.receive(arrived);
             }
         }
@@ -129,13 +130,13 @@
     // ---- Links --------------------------------------------------------------------------------------
 
     /// Cuts the link in both directions.
-    pub(super) fn cut_between(&mut self, a: &str, b: &str) {
-        self.cut_one_way(a, b);
-        self.cut_one_way(b, a);
+    pub(super) fn block_between(&mut self, a: &str, b: &str) {
+        self.block_one_direction(a, b);
+        self.block_one_direction(b, a);
     }
 
-    pub(super) fn cut_one_way(&mut self, from: &str, to: &str) {
-        self.cut_links.insert((from.to_owned(), to.to_owned()));
+    pub(super) fn block_one_direction(&mut self, from: &str, to: &str) {
+        self.blocked_links.insert((from.to_owned(), to.to_owned()));
     }
 
     /// Machines that are partitioned off are so from this new one too.
@@ -147,18 +148,18 @@
             .filter_map(|(other, node)| Some((other.clone(), node.partition?.direction)))
             .collect();
         for (other, direction) in partitioned {
-            if direction.cuts_outgoing() {
-                self.cut_one_way(&other, name);
+            if direction.blocks_outgoing() {
+                self.block_one_direction(&other, name);
             }
-            if direction.cuts_incoming() {
-                self.cut_one_way(name, &other);
+            if direction.blocks_incoming() {
+                self.block_one_direction(name, &other);
             }
         }
     }
 
     /// Repairs all links.
     pub fn heal_partitions(&mut self) {
-        self.cut_links.clear();
+        self.blocked_links.clear();
         for node in self.nodes.values_mut() {
             node.partition = None;
         }
--- a/crates/raft/tests/simulator/scenarios.rs
+++ b/crates/raft/tests/simulator/scenarios.rs
@@ -22,8 +22,8 @@
     cluster
 }
 
-/// Without further faults: commands are committed again, the members are the machines that run, and every node has all that was
-/// acknowledged.
+/// Without further faults: commands are committed again, the members are the machines that run, and every node has all
+/// that was acknowledged.
 pub fn assert_recovers(cluster: &mut Cluster, seed: u64) {
     cluster.heal_partitions();
     cluster.loss_rate = 0.0;
@@ -82,7 +82,7 @@
             // Disks are lost only while all that were lost before are replaced.
             2 if self.is_healthy() => self.lose_disks(down),
             3 => self.lose_power_everywhere(down),
-            4 => self.cut_one_way(&name, &other),
+            4 => self.block_one_direction(&name, &other),
             5 => self.partition(&name, Direction::Both),
             6 => self.stall_disk(&name, down),
             7 => self.shut_down(&name, AfterShutdown::Restart),
@@ -145,8 +145,8 @@
         self.crash_all(&all, CrashKind::PowerLoss, down);
     }
 
-    /// One loses its disk and becomes a member again; then a majority depends on it while a third lags: it loses power, and the other
-    /// that has all is down for a while.
+    /// One loses its disk and becomes a member again; then a majority depends on it while a third lags: it loses power,
+    /// and the other that has all is down for a while.
     pub fn lose_readmitted_member(&mut self) {
         let start = self.draw(self.names.len() as u32) as usize;
         let names = self.names_from(start, 3);
@@ -168,7 +168,8 @@
         self.run(2000.0);
     }
 
-    /// Some machines go for good, by a crash or a planned stop, and others come in their place, before, at once or later.
+    /// Some machines go for good, by a crash or a planned stop, and others come in their place, before, at once or
+    /// later.
     pub fn replace_machines(&mut self) {
         let leaving = self.draw_failures();
         let comes_first = self.chance(0.3);
@@ -197,25 +198,25 @@
         }
     }
 
-    /// One member is silent while a new machine is there. At the moment at which the leader changes the members, it is left with the
-    /// new one alone, and those that were members before are among themselves.
+    /// One member is silent while a new machine is there. At the moment at which the leader changes the members, it is
+    /// left with the new one alone, and those that were members before are among themselves.
     pub fn partition_during_membership_change(&mut self) {
         let Some(leader) = self.leader() else { return };
-        let silent = self.any_name();
-        if silent == leader {
+        let isolated = self.any_name();
+        if isolated == leader {
             return;
         }
         self.heal_partitions();
         let mut others = self.names.clone();
         others.retain(|name| *name != leader);
         let newcomer = self.add_machine();
-        self.cut_between(&silent, &leader);
+        self.block_between(&isolated, &leader);
         for other in &others {
-            self.cut_between(other, &newcomer);
+            self.block_between(other, &newcomer);
         }
         self.run_until_proposed(&leader, &newcomer);
         for other in &others {
-            self.cut_between(other, &leader);
+            self.block_between(other, &leader);
         }
         for _ in 0..40 {
             self.run(100.0);
@@ -223,7 +224,7 @@
         }
         self.heal_partitions();
         if self.run_until_healthy(8000.0) {
-            self.remove_machine(&silent);
+            self.remove_machine(&isolated);
         }
     }
 
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -1,11 +1,13 @@
-//! Compaction, and snapshots sent in chunks: amortised, resumed, checked, and done while commands go on. Seeds are printed.
+//! Compaction, and snapshots sent in chunks: amortised, resumed, checked, and done while commands go on. Seeds are
+//! printed.
 
 mod simulator;
 
 use simulator::scenarios::assert_recovers;
 use simulator::{Cluster, CrashKind, Direction, Variant};
 
-/// A cluster of three that has committed so many commands, and the name of a node that was partitioned off since the first few.
+/// A cluster of three that has committed so many commands, and the name of a node that was partitioned off since the
+/// first few.
 fn cluster_with_lagging_node(seed: u64, commands: u64) -> (Cluster, String) {
     let mut cluster = Cluster::new(seed, 3, Variant::Right);
     cluster.payload_bytes = 200;
@@ -42,7 +44,8 @@
     lines.filter(|line| line.contains(event)).count()
 }
 
-/// Guards catching up: a node that lacks hundreds or thousands of commands has them all in bounded time, while 20 a second are committed.
+/// Guards catching up: a node that lacks hundreds or thousands of commands has them all in bounded time, while 20 a
+/// second are committed.
 #[test]
 fn lagging_node_catches_up_in_bounded_time() {
     for (commands, bound) in [(300, 1000.0), (3000, 1500.0), (30_000, 3000.0)] {
@@ -73,8 +76,8 @@
     }
 }
 
-/// Guards disk and processor: some hundred commands lead to a compaction, and compaction writes no more than a fixed multiple of what is
-/// written anyhow.
+/// Guards disk and processor: some hundred commands lead to a compaction, and compaction writes no more than a fixed
+/// multiple of what is written anyhow.
 #[test]
 fn log_is_compacted_by_bytes_and_not_too_often() {
     for (commands, payload_bytes, state_bytes_per_entry) in
@@ -148,8 +151,9 @@
     (cluster.corruption_rate, cluster.loss_rate) = (0.0, 0.02);
 }
 
-/// Guards snapshots on their way: chunks are lost, corrupted and delayed; sender and receiver restart in the middle, with and without
-/// power loss; the leader changes; logs are compacted meanwhile. What is installed is what was encoded, and it is installed.
+/// Guards snapshots on their way: chunks are lost, corrupted and delayed; sender and receiver restart in the middle,
+/// with and without power loss; the leader changes; logs are compacted meanwhile. What is installed is what was
+/// encoded, and it is installed.
 #[test]
 fn snapshot_arrives_intact_despite_faults() {
     let mut corrupt = 0;
--- a/crates/raft/tests/untrusted_messages.rs
+++ b/crates/raft/tests/untrusted_messages.rs
@@ -1,5 +1,5 @@
-//! Arbitrary messages: whatever decodes may come from the network. No node panics, keeps more than its bounds allow, or has another state
-//! in memory than a restart would read. Seeds are printed.
+//! Arbitrary messages: whatever decodes may come from the network. No node panics, keeps more than its bounds allow, or
+//! has another state in memory than a restart would read. Seeds are printed.
 
 use maplefall_raft::*;
 use rand_core::{RngCore, SeedableRng};
