--- a/crates/raft/src/raft/follower.rs
+++ b/crates/raft/src/raft/follower.rs
@@ -4,11 +4,11 @@
 //! conflicting entry goes with all that follow it. What the leader has confirmed in this way is `verified_index`;
 //! commitment and acknowledgements go no further than that.
 
-use super::constants::*;
+use super::constants::Millis;
 use super::event::Event;
 use super::{
-    AppendEntries, AppendEntriesResponse, Entry, InstallSnapshot, JoinRequest, MessageBody,
-    PersistentUpdate, Raft, Ready, Snapshot,
+    AppendEntries, AppendEntriesResponse, Entry, InstallSnapshot, MessageBody, PersistentUpdate,
+    Raft, Ready, Snapshot,
 };
 
 impl Raft {
@@ -182,26 +182,6 @@
             self.start_election(now, ready);
         }
     }
-
-    /// A node that hears no leader asks every known node to be sent the log; the leader answers. Also a member does,
-    /// after a longer silence: it may have been removed while it was cut off.
-    pub(super) fn request_to_join(&mut self, now: Millis, is_promotable: bool, ready: &mut Ready) {
-        let (timeout, interval, earliest) = if is_promotable {
-            let timeout = 2.0 * QUORUM_CONTACT_TIMEOUT;
-            (timeout, QUORUM_CONTACT_TIMEOUT, self.started_at)
-        } else {
-            (MIN_ELECTION_TIMEOUT, JOIN_REQUEST_INTERVAL, f64::MIN)
-        };
-        let since_heard = now - self.last_heard.max(earliest);
-        if now < self.next_join_request || since_heard <= timeout {
-            return;
-        }
-        self.next_join_request = now + interval;
-        let request = JoinRequest {
-            membership: Some(self.membership_request),
-        };
-        self.send_after_term("", MessageBody::JoinRequest(request), ready);
-    }
 }
 
 /// Whether the entries follow one another and the entry before them.
--- a/crates/raft/src/raft/replication.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -6,12 +6,11 @@
 use super::constants::*;
 use super::event::Event;
 use super::progress::Progress;
-use super::role::{LeaderState, Role};
+use super::role::Role;
 use super::snapshot::{entry_bytes, CompactedEntries};
 use super::snapshot_transfer::OutgoingSnapshot;
 use super::{
-    AppendEntries, AppendEntriesResponse, Entry, Member, MembershipRequest, MessageBody,
-    PersistentState, Raft, Ready,
+    AppendEntries, AppendEntriesResponse, Entry, Member, MessageBody, PersistentState, Raft, Ready,
 };
 
 impl Raft {
@@ -61,36 +60,6 @@
         self.transfer_leadership(now, ready);
     }
 
-    /// A node that hears no leader is sent the log from now on, as a learner unless it is a member.
-    pub(super) fn handle_join_request(
-        &mut self,
-        now: Millis,
-        from: &Member,
-        membership: MembershipRequest,
-        ready: &mut Ready,
-    ) {
-        let next_index = self.persistent.last_index() + 1;
-        let members = &self.configuration.current;
-        let Role::Leader(leader) = &mut self.role else {
-            return;
-        };
-        let is_known = leader.progress.contains_key(&from.name);
-        if !is_known && learner_count(leader, members) >= MAX_LEARNERS {
-            return;
-        }
-        let new = Progress::new(from.identity, next_index, now);
-        let progress = leader
-            .progress
-            .entry(from.name.clone())
-            .or_insert_with(|| new.clone());
-        if !progress.is_for(from) {
-            *progress = new;
-        }
-        progress.last_heard = now;
-        progress.membership_request = membership;
-        self.send_to(now, &from.name, ready);
-    }
-
     /// Sends to all peers what they lack; the message is a heartbeat too.
     pub(super) fn send_to_all(&mut self, now: Millis, ready: &mut Ready) {
         let Some(leader) = self.leader_state() else {
@@ -131,15 +100,6 @@
         self.advance_commit(now, ready);
     }
 
-    fn forget_expired_learners(&mut self, now: Millis) {
-        let voter_names = &self.voter_names;
-        if let Role::Leader(leader) = &mut self.role {
-            leader.progress.retain(|name, progress| {
-                voter_names.contains(name) || now - progress.last_heard < LEARNER_EXPIRY
-            });
-        }
-    }
-
     /// What a peer has not answered may be lost, and is sent again.
     fn rewind_if_unanswered(&mut self, now: Millis, name: &str) {
         let Some(leader) = self.leader_state_mut() else {
@@ -260,12 +220,6 @@
     now - last >= HEARTBEAT_INTERVAL - TICK_TOLERANCE
 }
 
-fn learner_count(leader: &LeaderState, members: &[Member]) -> usize {
-    let is_member = |name: &String| members.iter().any(|member| member.name == *name);
-    let names = leader.progress.keys();
-    names.filter(|name| !is_member(name)).count()
-}
-
 /// Ends the transfer of a snapshot once the peer's log reaches up to it.
 fn finish_snapshot(
     progress: &mut Progress,
--- a/crates/raft/tests/simulator/cluster.rs
+++ b/crates/raft/tests/simulator/cluster.rs
@@ -35,7 +35,7 @@
     pub leaders: BTreeMap<u64, String>,
     /// Commands that a leader has told a caller are committed.
     pub acknowledged: BTreeSet<u64>,
-    last_proposal: u64,
+    pub last_proposal: u64,
     pub variant: Variant,
     /// Probability of a proposal in each millisecond.
     pub proposal_rate: f64,
@@ -176,75 +176,6 @@
         self.process_ready(name, ready);
     }
 
-    // ---- Inputs -------------------------------------------------------------------------------------
-
-    /// Gives an input to a node, unless it is down or frozen, and carries out what it asks for.
-    pub fn input(&mut self, name: &str, input: impl FnOnce(&mut Raft, f64, &mut Ready)) {
-        let (now, mut ready) = (self.now, Ready::default());
-        let Some(raft) = self.running_raft(name) else {
-            return;
-        };
-        input(raft, now, &mut ready);
-        self.process_ready(name, ready);
-    }
-
-    fn running_raft(&mut self, name: &str) -> Option<&mut Raft> {
-        let now = self.now;
-        self.nodes
-            .get_mut(name)
-            .filter(|node| node.frozen_until <= now)?
-            .raft
-            .as_mut()
-    }
-
-    /// Proposes a command with a number of its own.
-    pub fn propose(&mut self, name: &str) {
-        self.last_proposal += 1;
-        let mut payload = self.last_proposal.to_be_bytes().to_vec();
-        payload.resize(self.payload_bytes.max(8), 0);
-        self.input(name, |raft, now, ready| {
-            let _ = raft.propose(now, payload, ready);
-        });
-    }
-
-    /// Asks for a read, which has to see all that was acknowledged before.
-    pub fn read(&mut self, name: &str) {
-        let floor = self.acknowledged.last().copied().unwrap_or(0);
-        let (now, mut ready) = (self.now, Ready::default());
-        let Some(raft) = self.running_raft(name) else {
-            return;
-        };
-        if let Some(id) = raft.read_index(now, &mut ready) {
-            if let Some(node) = self.nodes.get_mut(name) {
-                node.pending_reads.insert(id, floor);
-            }
-        }
-        self.process_ready(name, ready);
-    }
-
-    /// Compacts the log of a node.
-    pub fn compact(&mut self, name: &str) {
-        let commit = self.nodes[name].commit();
-        let state = self.state_at(commit);
-        self.input(name, |raft, _, ready| raft.compact(state, ready));
-    }
-
-    /// The model's state after all entries up to an index: so many bytes an entry, which depend on the index.
-    pub fn state_at(&self, index: u64) -> Vec<u8> {
-        let length = if index <= 1 {
-            0
-        } else {
-            self.state_bytes_per_entry * index as usize
-        };
-        let mut value = index;
-        let mut state = Vec::with_capacity(length + 8);
-        while state.len() < length {
-            value = value.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(1);
-            state.extend_from_slice(&value.to_be_bytes());
-        }
-        state
-    }
-
     // ---- Time ---------------------------------------------------------------------------------------
 
     /// Runs the cluster for so many milliseconds, in steps of one.
--- a/crates/raft/tests/simulator/mod.rs
+++ b/crates/raft/tests/simulator/mod.rs
@@ -11,6 +11,7 @@
 mod effects;
 mod faults;
 mod health;
+mod inputs;
 mod network;
 mod node;
 pub mod scenarios;
