--- /dev/null
+++ b/crates/load-estimators/src/metered_usage.rs
@@ -0,0 +1,60 @@
+//! Use of a quota as a meter reports it.
+
+use crate::Millis;
+
+/// Units over a stretch of time.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Usage {
+    /// Units that were requested.
+    pub requested: f64,
+    /// Units that the quota allowed in the same time.
+    pub allowed: f64,
+}
+
+impl Usage {
+    /// Requested units as a multiple of the allowed ones.
+    pub fn ratio(&self) -> f64 {
+        self.requested / self.allowed
+    }
+}
+
+/// Decaying sums of what a meter has reported.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct MeteredUsage {
+    sum: Usage,
+    updated_at: Millis,
+}
+
+impl MeteredUsage {
+    /// Nothing was reported; the meter is read from `now` on.
+    pub fn new(now: Millis) -> Self {
+        MeteredUsage {
+            sum: Usage::default(),
+            updated_at: now,
+        }
+    }
+
+    /// Milliseconds since the last report.
+    pub fn elapsed(&self, now: Millis) -> Millis {
+        now - self.updated_at
+    }
+
+    /// Adds a report; `lambda` is ln 2 / half-life, per millisecond.
+    pub fn record(&mut self, now: Millis, lambda: f64, usage: Usage) {
+        let decayed = self.recent(now, lambda);
+        self.sum = Usage {
+            requested: decayed.requested + usage.requested,
+            allowed: decayed.allowed + usage.allowed,
+        };
+        self.updated_at = now;
+    }
+
+    /// The sums at `now`; `lambda` is ln 2 / half-life, per millisecond.
+    pub fn recent(&self, now: Millis, lambda: f64) -> Usage {
+        let keep = (lambda * (self.updated_at - now)).exp();
+        Usage {
+            requested: self.sum.requested * keep,
+            allowed: self.sum.allowed * keep,
+        }
+    }
+}
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -21,14 +21,28 @@
 fn gateway(gateways: u32, backends: u32, walking: bool) -> Gateway {
     let settings = Settings {
         gateways,
-        classes: vec![Class { aim: 600.0, deadline: 2500.0, ..Class::default() }],
-        plans: vec![Plan { rate: 1000.0, burst: 3000.0, ..Plan::default() }],
+        classes: vec![Class {
+            aim: 600.0,
+            deadline: 2500.0,
+            ..Class::default()
+        }],
+        plans: vec![Plan {
+            rate: 1000.0,
+            burst: 3000.0,
+            ..Plan::default()
+        }],
         ..Settings::default()
     };
     let gateway = Gateway::new(settings, 5);
     let mut gateway = if walking { gateway.walking() } else { gateway };
-    let list = (0..backends).map(|id| entry(id, Availability::Ready)).collect();
-    gateway.handle(0.0, Event::Backends(ListKind::Cached, list), &mut Vec::new());
+    let list = (0..backends)
+        .map(|id| entry(id, Availability::Ready))
+        .collect();
+    gateway.handle(
+        0.0,
+        Event::Backends(ListKind::Cached, list),
+        &mut Vec::new(),
+    );
     gateway
 }
 
@@ -76,9 +90,17 @@
 fn changes(mut gateway: Gateway, backends: u32) -> f64 {
     let begun = Instant::now();
     for at in 0..CHANGES {
-        let state = if at % 2 == 0 { Availability::Draining } else { Availability::Ready };
+        let state = if at % 2 == 0 {
+            Availability::Draining
+        } else {
+            Availability::Ready
+        };
         let line = vec![entry(at / 2 * 7919 % backends, state)];
-        gateway.handle(f64::from(at), Event::Backends(ListKind::Changes, line), &mut Vec::new());
+        gateway.handle(
+            f64::from(at),
+            Event::Backends(ListKind::Changes, line),
+            &mut Vec::new(),
+        );
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(CHANGES)
 }
--- /dev/null
+++ b/crates/policy/src/backend.rs
@@ -0,0 +1,89 @@
+//! What a gateway knows of one backend.
+
+use crate::interface::{Availability, BackendEntry, CellId, Millis, RequestId, ZoneId};
+use maplefall_backend_index::{Entry, Indexed, State};
+use maplefall_load_estimators::{clamp_or, uniform, BackendEstimator, SlowStart};
+use rand_pcg::Pcg32;
+
+/// Bounds of a backend's size relative to others.
+const MIN_SIZE: f64 = 0.01;
+const MAX_SIZE: f64 = 1e6;
+
+/// A backend of the list, with what was measured of it.
+#[derive(Clone, Debug)]
+pub(crate) struct Backend {
+    pub(crate) entry: BackendEntry,
+    pub(crate) estimator: BackendEstimator<RequestId>,
+    /// Requests that it is due in slow start: from one on it may be sent the next.
+    pub(crate) credit: f64,
+    /// Its position in the gateway's order of preference, drawn once: the lowest are preferred.
+    pub(crate) position: f64,
+}
+
+impl Backend {
+    /// A backend that was not in the list before.
+    pub(crate) fn new(now: Millis, mut entry: BackendEntry, rng: &mut Pcg32) -> Self {
+        entry.size = clamp_or(entry.size, MIN_SIZE, MAX_SIZE, 1.0);
+        Backend {
+            entry,
+            estimator: BackendEstimator::new(now),
+            credit: uniform(rng),
+            position: uniform(rng),
+        }
+    }
+
+    /// Takes over the entry of `fresh`. If the backend was restarted, what was measured and its
+    /// credit start anew; its position and the attempts in flight stay.
+    pub(crate) fn update(&mut self, now: Millis, fresh: &Backend) {
+        if self.entry.started != fresh.entry.started {
+            self.estimator.reset(now);
+            self.credit = fresh.credit;
+        }
+        self.entry = fresh.entry;
+    }
+
+    /// Fraction of its full capacity that it has at `now`.
+    pub(crate) fn capacity(&self, now: Millis, slow_start: SlowStart) -> f64 {
+        slow_start.capacity(now, self.entry.started)
+    }
+}
+
+impl Indexed for Backend {
+    fn index_entry(&self) -> Entry {
+        let is_idle = self.estimator.is_idle();
+        let state = match self.entry.availability {
+            Availability::Ready => State::Ready,
+            Availability::Gone if is_idle => State::Drained,
+            Availability::Gone | Availability::Draining => State::Draining,
+        };
+        Entry {
+            state,
+            position: self.position,
+            warming_since: self.entry.started,
+            suspect_since: self.estimator.health().suspect_since(),
+            in_use: !is_idle,
+            time_per_unit: self.estimator.measured_time_per_unit(),
+        }
+    }
+}
+
+/// A set of backends, to which the attempts of a request may be confined.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Reach {
+    Anywhere,
+    Zone(ZoneId),
+    Cell(CellId),
+    Nowhere,
+}
+
+impl Reach {
+    /// Whether a backend is in the set.
+    pub(crate) fn includes(self, backend: &BackendEntry) -> bool {
+        match self {
+            Reach::Anywhere => true,
+            Reach::Zone(zone) => backend.zone == zone,
+            Reach::Cell(cell) => backend.cell == cell,
+            Reach::Nowhere => false,
+        }
+    }
+}
--- a/crates/policy/src/gateway/choice.rs
+++ b/crates/policy/src/gateway/choice.rs
@@ -1,187 +1,153 @@
-//! Choice of a backend, and the protection of cold ones.
+//! Choice of a backend, and the protection of backends that are warming up.
 
 use super::*;
+use maplefall_backend_index::Found;
+
+/// What a backend is chosen for.
+struct Search<'a> {
+    request: &'a Request,
+    reach: Reach,
+    /// Highest position of a preferred backend.
+    last_preferred: f64,
+    prior: ServiceTimePrior,
+    /// The backend in slow start that is due for a request.
+    due: Option<BackendId>,
+}
 
 impl Gateway {
-    /// The backend with the least expected time, and the wait expected there.
-    pub(super) fn choose(&mut self, now: Millis, live: &Live, reach: Reach) -> Option<(BackendId, Millis)> {
-        let last = self.last_chosen(now);
-        let mut of = self.index.placed_up_to(if reach == Reach::Anywhere { last } else { 1.0 });
-        let by = (last, self.cold_turn(now, last, &of));
-        let mut found = self.least(now, live, reach, by, &of);
-        // Each of the others costs this at least: the detour, and the time of the fastest.
-        let pace = self.index.least_pace().unwrap_or(f64::INFINITY).min(self.common_pace());
-        let others = (STRANGE_AIMS * self.aim + pace * live.request.units) * (1.0 - 1e-9);
-        if of.len() < self.index.ready().len() && found.1.is_none_or(|(cost, _, _)| cost >= others) {
-            self.index.done_with(of);
-            of = self.index.placed_up_to(1.0);
-            found = self.least(now, live, reach, by, &of);
-        }
-        self.index.done_with(of);
-        let (drawn, best, rng) = found;
-        self.rng = rng;
-        // A cold one in its turn goes first, unless it is distrusted or has too much of this gateway's own.
-        let best = match (drawn, best) {
-            (Some(cold), Some(warm)) if cold.0 > warm.0 + WAIT_LIMIT * self.aim => Some(warm),
-            (drawn, best) => drawn.or(best),
+    /// The backend with the least expected cost.
+    pub(super) fn choose(&mut self, request: &Request, reach: Reach) -> Option<Candidate> {
+        let last_preferred = self.last_preferred();
+        let is_limited = reach != Reach::Anywhere;
+        let last = if is_limited { 1.0 } else { last_preferred };
+        let mut ids = self.backends.index_mut().candidates(last);
+        let search = Search {
+            request,
+            reach,
+            last_preferred,
+            prior: self.prior(),
+            due: self.due_for_slow_start(last_preferred, &ids),
         };
-        best.map(|(_, id, wait)| (id, wait))
-    }
-
-    /// The cold one in its turn and the least cost of the others, among these backends in the order of ids.
-    /// Chance is drawn for each that could be had, also where only some are looked at.
-    pub(super) fn least(
-        &self,
-        now: Millis,
-        live: &Live,
-        reach: Reach,
-        by: Chosen,
-        of: &[BackendId],
-    ) -> Found {
-        let (last, cold) = by;
-        let (mut drawn, mut best, mut rng): (_, Option<Cost>, _) = (None, None, self.rng.clone());
-        let (first, span) = (self.set.start_capacity, self.set.warm_up);
-        let some = of.len() < self.index.ready().len();
-        let mut draws = 0;
-        for (id, backend) in of.iter().filter_map(|id| Some((id, self.backends.get(id)?))) {
-            let fits = match reach {
-                Reach::Anywhere => true,
-                Reach::Zone(zone) => backend.entry.zone == zone,
-                Reach::Cell(cell) => backend.entry.cell == cell,
-                Reach::Nowhere => false,
-            };
-            if !fits || (cold != Some(*id) && backend.warmth(now, first, span) < 1.0) {
-                continue;
-            }
-            if some {
-                let before = self.index.warm_before(*id, cold);
-                rng.advance(before - draws);
-                draws = before + 1;
-            }
-            let wait = self.wait(backend);
-            let strange = if backend.place > last { STRANGE_AIMS * self.aim } else { 0.0 };
-            let cost = self.cost(now, live, backend, wait) * (1.0 + 0.05 * chance(&mut rng)) + strange;
-            if cold == Some(*id) {
-                drawn = Some((cost, *id, wait));
-            } else if best.is_none_or(|(least, _, _)| cost < least) {
-                best = Some((cost, *id, wait));
-            }
-        }
-        if some {
-            rng.advance(self.index.warm(cold) - draws);
+        let mut found = self.search(&search, &ids);
+        // Any other backend costs at least this: the detour, and the time of the fastest.
+        let fastest = self.backends.index().least_time_per_unit();
+        let common = search.prior.per_unit;
+        let time = fastest.map_or(common, |own| own.min(common)) * request.units;
+        let others = (UNPREFERRED_TARGETS * self.target + time) * (1.0 - 1e-9);
+        let is_beaten = found.cheapest.is_none_or(|found| found.cost >= others);
+        if is_beaten && ids.len() < self.backends.index().ready().len() {
+            self.backends.index_mut().recycle(ids);
+            ids = self.backends.index_mut().candidates(1.0);
+            found = self.search(&search, &ids);
         }
-        (drawn, best, rng)
-    }
-
-    /// What sending a request to a backend is expected to cost, as time.
-    pub(super) fn cost(&self, now: Millis, live: &Live, backend: &Backend, wait: Millis) -> Millis {
-        let unsafe_one = self.set.classes[live.request.class.0].effect == Effect::Unsafe;
-        let overdue = self.overdue(now, backend, live.request.class);
-        let mut cost = wait.max(overdue) + self.pace(backend) * live.request.units;
-        let (plan, class) = (live.request.plan.0, live.request.class.0);
-        let against = backend.trust.against(now, self.aim, plan, class);
-        cost += (against * if unsafe_one { 2.0 } else { 1.0 } - Trust::FORGOTTEN).max(0.0) * self.aim;
-        if backend.entry.zone != self.set.zone {
-            cost += CROSSING_AIMS * self.set.cross_zone_price * self.aim;
+        self.backends.index_mut().recycle(ids);
+        self.rng = found.rng;
+        // The due backend goes first, unless it is suspect or has too many requests already.
+        let max_detour = MAX_WAIT_TARGETS * self.target;
+        match (found.due, found.cheapest) {
+            (Some(due), Some(other)) if due.cost > other.cost + max_detour => Some(other),
+            (due, cheapest) => due.or(cheapest),
         }
-        cost
-    }
-
-    /// Time per unit of load at all backends.
-    pub(super) fn common_pace(&self) -> f64 {
-        self.pace.ratio().unwrap_or(self.aim / 10.0)
     }
 
-    /// Time per unit of load at a backend; with few answers, nearer to that of all.
-    pub(super) fn pace(&self, backend: &Backend) -> f64 {
-        let common = self.common_pace();
-        let mean = self.pace.load / PACE_MEMORY;
-        let prior = if mean > 0.0 { mean } else { 1.0 };
-        (backend.pace.time + prior * common) / (backend.pace.load + prior)
-    }
-
-    /// Load at a backend: the units this gateway has out there. Reports are not counted: they come late and
-    /// every gateway reads the same ones; what others send shows in the time per unit.
-    pub(super) fn load_of(backend: &Backend) -> f64 {
-        backend.out.values().map(|f| f.units).sum()
-    }
-
-    /// Time until a request sent now would be begun, as far as own attempts tell.
-    pub(super) fn wait(&self, backend: &Backend) -> Millis {
-        self.pace(backend) * Self::load_of(backend)
+    fn search(&self, search: &Search, ids: &[BackendId]) -> Found<BackendId> {
+        let slow_start = self.settings.slow_start();
+        let is_eligible = |id, backend: &Backend| {
+            let is_warm = backend.capacity(self.now, slow_start) >= 1.0;
+            search.reach.includes(&backend.entry) && (is_warm || search.due == Some(id))
+        };
+        let evaluate = |id, backend: &Backend, draw| self.evaluate(search, id, backend, draw);
+        self.backends
+            .search(ids, search.due, &self.rng, is_eligible, evaluate)
     }
 
-    /// Guards against a backend that has gone silent: how long its oldest attempt is overdue without news. It
-    /// turns the choice elsewhere but refuses nothing: answers may be lost where there is no queue. A class
-    /// that is known to hang there speaks only for itself.
-    pub(super) fn overdue(&self, now: Millis, backend: &Backend, class: ClassId) -> Millis {
-        let speaks =
-            |flight: &&Flight| flight.class == class || !backend.trust.hangs(now, self.aim, flight.class.0);
-        let silent = |flight: &Flight| {
-            let answered = if flight.class == class { None } else { Some(backend.last_answer) };
-            self.silent(now, backend, flight, answered)
-        };
-        backend.out.values().filter(speaks).map(silent).fold(0.0, f64::max)
+    /// What sending a request to a backend is expected to cost.
+    fn evaluate(&self, search: &Search, id: BackendId, backend: &Backend, draw: f64) -> Candidate {
+        let (now, target, request) = (self.now, self.target, search.request);
+        let (plan, class, estimator) = (request.plan.0, request.class.0, &backend.estimator);
+        let wait = estimator.wait(search.prior);
+        let service_time = estimator.time_per_unit(search.prior) * request.units;
+        // Silence diverts requests but rejects none: answers may be lost where there is no queue.
+        let overdue = estimator.overdue(now, target, search.prior, class);
+        let mut cost = wait.max(overdue) + service_time;
+        let mut fault = estimator.health().fault_score(now, target, plan, class);
+        if self.settings.class(request).effect == Effect::Unsafe {
+            fault *= 2.0;
+        }
+        cost += (fault - HealthScore::HEALTHY).max(0.0) * target;
+        if backend.entry.zone != self.settings.zone {
+            cost += CROSS_ZONE_TARGETS * self.settings.cross_zone_price * target;
+        }
+        cost *= 1.0 + 0.05 * draw;
+        if backend.position > search.last_preferred {
+            cost += UNPREFERRED_TARGETS * target;
+        }
+        Candidate {
+            key: id,
+            cost,
+            wait,
+            answer: wait + service_time,
+        }
     }
 
-    /// How long an attempt is overdue without news of its class from its backend.
-    pub(super) fn silent(
-        &self,
-        now: Millis,
-        backend: &Backend,
-        flight: &Flight,
-        news: Option<Millis>,
-    ) -> Millis {
-        let answered = news.or_else(|| backend.trust.answered(flight.class.0)).unwrap_or(flight.at);
-        now - flight.at.max(answered) - SILENCE * self.pace(backend) * flight.load
+    /// Service time of all backends, as the prior for that of each.
+    pub(super) fn prior(&self) -> ServiceTimePrior {
+        self.service_time.prior(self.target / 10.0)
     }
 
-    /// The last place of a backend that is among the chosen. Guards against a connection for each pair: where
-    /// a hundred gateways have few requests each, nearly every one would pay for a handshake. Others stand in
-    /// for those that are distrusted, or slower by far. All are chosen where there are few gateways.
-    pub(super) fn last_chosen(&mut self, now: Millis) -> f64 {
-        let (backends, aim) = (&self.backends, self.aim);
-        let doubted = |b: &Backend| b.trust.doubted(now, aim);
-        self.index.keep_doubted(|id| backends.get(&id).is_some_and(doubted));
-        let trusted = self.index.trusted();
-        let most = (CHOSEN_BY * trusted as f64 / f64::from(self.set.gateways.max(1))).ceil() as usize;
-        let most = most.max(CHOSEN_LEAST);
-        if most >= trusted {
+    /// The highest position of a preferred backend. A gateway prefers a few backends, because where
+    /// a hundred gateways have few requests each, nearly every one would pay for a new connection.
+    /// Others stand in for those that are suspect or far slower.
+    fn last_preferred(&mut self) -> f64 {
+        let (now, target) = (self.now, self.target);
+        self.backends
+            .retain_suspects(|backend| backend.estimator.health().is_suspect(now, target));
+        let healthy = self.backends.index().healthy_count();
+        let gateways = f64::from(self.settings.gateways.max(1));
+        let even = (GATEWAYS_PER_BACKEND * healthy as f64 / gateways).ceil() as usize;
+        let preferred = even.max(MIN_PREFERRED_BACKENDS);
+        if preferred >= healthy {
             return 1.0;
         }
-        self.index.place_of(most).unwrap_or(1.0)
+        let last = self.backends.index().healthy_position(preferred);
+        last.unwrap_or(1.0)
     }
 
-    /// The cold backend whose turn this request is, if it is one's. Guards cold backends: each gets its
-    /// warmth of what a warm one gets, as the warmth of all allows, and where hardly any is warm no more than
-    /// a part of the multiple that pushes it over. Turns come evenly from a drawn start: so shares hold
-    /// over the fleet though each of hundreds of gateways has few requests for many backends, and no first
-    /// requests come in step.
-    pub(super) fn cold_turn(&mut self, now: Millis, last: f64, of: &[BackendId]) -> Option<BackendId> {
-        let (first, span) = (self.set.start_capacity, self.set.warm_up);
-        let backends = &self.backends;
-        let cold = |id: &BackendId| backends.get(id).filter(|b| b.warmth(now, first, span) < 1.0);
-        self.index.keep_cold(|id| cold(&id).is_some());
-        if !self.index.cold().any(|id| cold(&id).is_some_and(|b| b.place <= last)) {
+    /// The backend in slow start that is due for this request, if one is. Each gets its capacity's
+    /// share of the requests and, where hardly any backend is warm, no more than a fraction of the
+    /// load that overloads it. Credit grows evenly from a random start, so that the shares hold
+    /// over the fleet though each gateway has few requests, and so that gateways don't act in step.
+    fn due_for_slow_start(&mut self, last_preferred: f64, ids: &[BackendId]) -> Option<BackendId> {
+        let (now, slow_start) = (self.now, self.settings.slow_start());
+        let capacity = |backend: &Backend| backend.capacity(now, slow_start);
+        let is_preferred = |backend: &Backend| backend.position <= last_preferred;
+        self.backends
+            .retain_warming(|backend| capacity(backend) < 1.0);
+        if !self.backends.warming().any(is_preferred) {
             return None;
         }
-        let chosen = of.iter().filter_map(|id| backends.get(id)).filter(|b| b.place <= last);
-        let weights = chosen.map(|b| (b.entry.size * b.warmth(now, first, span), b.entry.size));
-        let (warm, size) = weights.fold((0.0, 0.0), |sum, (w, s)| (sum.0 + w, sum.1 + s));
+        let (mut warm, mut size) = (0.0, 0.0);
+        let preferred = ids.iter().filter_map(|id| self.backends.get(id));
+        for backend in preferred.filter(|backend| is_preferred(backend)) {
+            warm += backend.entry.size * capacity(backend);
+            size += backend.entry.size;
+        }
         if warm >= size {
             return None;
         }
-        let most = (COLD_PART * self.set.overload_factor).max(1.0);
-        let per_weight = (1.0 / warm.max(0.01)).min(most / size);
-        let mut next: Option<(f64, BackendId)> = None;
-        for id in self.index.cold() {
-            let Some(backend) = self.backends.get_mut(&id).filter(|b| b.place <= last) else { continue };
-            let warmth = backend.warmth(now, first, span);
-            backend.turn = (backend.turn + warmth * backend.entry.size * per_weight).min(2.0);
-            if backend.turn >= 1.0 && next.is_none_or(|(turn, _)| backend.turn > turn) {
-                next = Some((backend.turn, id));
+        let max_overload = SLOW_START_OVERLOAD_FRACTION * self.settings.overload_factor;
+        let per_weight = (1.0 / warm.max(0.01)).min(max_overload.max(1.0) / size);
+        let mut due: Option<(f64, BackendId)> = None;
+        self.backends.for_each_warming(|id, backend| {
+            if !is_preferred(backend) {
+                return;
             }
-        }
-        next.map(|(_, id)| id)
+            let earned = capacity(backend) * backend.entry.size * per_weight;
+            backend.credit = (backend.credit + earned).min(2.0);
+            if backend.credit >= 1.0 && due.is_none_or(|(credit, _)| backend.credit > credit) {
+                due = Some((backend.credit, id));
+            }
+        });
+        due.map(|(_, id)| id)
     }
 }
--- a/crates/policy/src/gateway/customers.rs
+++ b/crates/policy/src/gateway/customers.rs
@@ -1,339 +1,415 @@
-//! Admission of customers: the design's recent average, box and slice.
+//! Admission of customers: recent average, penalty box, slice of the quota and ceiling.
 
 use super::*;
 
+/// Why a request is rejected, and how long the reason is expected to last.
+struct Rejection(Reason, Option<Millis>);
+
+/// The result of one check of a request.
+type Verdict = Result<(), Rejection>;
+
+/// A valid request at its arrival, with what its admission depends on.
+struct Arrival<'a> {
+    now: Millis,
+    request: &'a Request,
+    plan: &'a Plan,
+    quota: QuotaShare,
+    /// What is left of the quota by the reports of other gateways.
+    balance: Option<BalanceBounds>,
+    gateway_age: Millis,
+    /// Whether no meter reports usage at all gateways.
+    is_unmetered: bool,
+    target: Millis,
+    typical_units: f64,
+    /// Seconds per unit of load.
+    service_time: f64,
+    backpressure: Backpressure,
+    /// A random number from 0 to 1.
+    draw: f64,
+}
+
 impl Gateway {
-    pub(super) fn arrived(&mut self, now: Millis, mut request: Request, actions: &mut Vec<Action>) {
-        if self.set.plans.get(request.plan.0).is_none() || self.set.classes.get(request.class.0).is_none() {
-            actions.push(self.refusal(request.id, Reason::Unknown, None));
-            return;
-        }
-        request.units = in_range(request.units, 0.0, self.set.max_units.max(1.0), 1.0);
-        request.spread = in_range(request.spread, 1.0, f64::from(self.set.gateways.max(1)), 1.0).round();
-        let class = &self.set.classes[request.class.0];
-        request.deadline = in_range(request.deadline, now, now + class.deadline, now + class.deadline);
-        self.evict(now);
-        let live = Live {
-            request,
-            arrived: now,
-            begun: now,
-            held: !request.checked,
-            sends: 0,
-            out: None,
-            may_have_run: None,
-            started: false,
-            answered: false,
-            slow: false,
+    pub(super) fn arrived(&mut self, request: Request) {
+        let Some(request) = self.settings.validated(self.now, request) else {
+            return self.reject(request.id, Rejection(Reason::Unknown, None));
         };
-        match self.admit(now, &live) {
-            Ok(_) if live.held => {
-                let alarm = AlarmId(u64::from(request.id.0));
-                actions.push(Action::SetAlarm { at: self.cut(&live), alarm });
-                actions.push(Action::Check(request.id));
-                self.requests.insert(request.id, live);
+        let longest_halflife = self.longest_halflife();
+        let max_idle = EVICT_HALFLIVES * longest_halflife;
+        self.evict(max_idle, longest_halflife);
+        let pending = Pending::new(self.now, request);
+        match self.admit(&request, max_idle) {
+            Ok(_) if pending.awaits_check => {
+                self.set_alarm(request.id.into(), self.answer_by(&pending));
+                self.actions.push(Action::Check(request.id));
+                self.requests.insert(pending);
             }
-            Ok(backend) => self.begin(now, live, backend, actions),
-            Err((reason, wait)) => actions.push(self.refusal(request.id, reason, wait)),
+            Ok(backend) => self.forward(pending, backend),
+            Err(rejection) => self.reject(request.id, rejection),
         }
     }
 
     /// Sends a request on for the first time.
-    pub(super) fn begin(&mut self, now: Millis, live: Live, backend: BackendId, actions: &mut Vec<Action>) {
-        self.retries = (self.retries + self.set.retry_share).min(self.set.retry_depth);
-        let id = live.request.id;
-        let alarm = AlarmId(u64::from(id.0));
-        actions.push(Action::SetAlarm { at: self.slow_mark(&live).min(self.cut(&live)), alarm });
-        self.requests.insert(id, live);
-        self.send(now, id, backend, actions);
+    fn forward(&mut self, pending: Pending, backend: BackendId) {
+        let saved = self.retry_budget + self.settings.retry_share;
+        self.retry_budget = saved.min(self.settings.retry_depth);
+        let alarm_at = self.slow_at(&pending).min(self.answer_by(&pending));
+        self.set_alarm(pending.request.id.into(), alarm_at);
+        self.send(pending, backend);
     }
 
-    /// A held request goes on as if it came now, but for its quota, which it has, and its deadline, which has
-    /// not moved.
-    pub(super) fn checked(&mut self, now: Millis, id: RequestId, passes: bool, actions: &mut Vec<Action>) {
-        if !self.requests.get(&id).is_some_and(|live| live.held) {
+    /// Forwards a request whose caller passed its check as if it had arrived now, except that its
+    /// units are taken already and that its deadline has not moved.
+    pub(super) fn checked(&mut self, id: RequestId, passes: bool) {
+        let Some(mut pending) = self.requests.remove_if(id, |p| p.awaits_check) else {
             return;
-        }
-        let Some(mut live) = self.requests.remove(&id) else { return };
-        (live.held, live.begun) = (false, now);
-        let request = live.request;
-        let open = self.part(&request).open;
-        let backend =
-            if passes && self.open_room(now, &request, open) { self.room(now, &live) } else { None };
-        match backend {
-            Some(backend) => self.begin(now, live, backend, actions),
+        };
+        pending.awaits_check = false;
+        pending.ready_at = self.now;
+        let request = pending.request;
+        let backend = passes.then(|| self.backend_after_check(&request));
+        match backend.flatten() {
+            Some(backend) => self.forward(pending, backend),
             None => {
                 self.give_back(&request);
                 if passes {
-                    actions.push(self.refusal(id, Reason::Backends, None));
+                    self.reject(id, Rejection(Reason::Backends, None));
                 }
             }
         }
     }
 
-    /// What was never sent on takes nothing from its quota.
+    fn backend_after_check(&mut self, request: &Request) -> Option<BackendId> {
+        let plan = &self.settings.plans[request.plan.0];
+        let customer = self.customers.get_mut(&request.customer)?;
+        if !customer.may_open(self.now, request, plan, self.target) {
+            return None;
+        }
+        self.backend_with_room(request)
+    }
+
+    /// Returns the units of a request that was never forwarded.
     pub(super) fn give_back(&mut self, request: &Request) {
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            // More than they hold is taken off again before anybody uses it.
+            // The next refill takes off what is beyond the depth.
             customer.slice += request.units;
             customer.ceiling += request.units;
         }
-        self.use_news(request.customer, -request.units);
+        self.shared_balances.draw(request.customer, -request.units);
     }
 
-    // Where gateways tell one another what they let in, there is one store again, known a little late. What
-    // it surely holds is let in, what it surely lacks is refused, and what is in doubt goes by the slice.
-
-    /// Takes in what others have let in.
-    pub(super) fn used_elsewhere(&mut self, now: Millis, told: &Elsewhere) {
-        let Some(plan) = self.set.plans.get(told.plan.0).filter(|plan| plan.rate > 0.0) else { return };
-        let news = self.news.entry(told.customer).or_insert_with(|| Store::full(now, plan.burst));
-        news.refill(now, plan.rate, plan.burst);
-        news.told(now, plan.burst, told.units, (told.as_of, told.error, told.heard));
-    }
-
-    /// Counts what this gateway lets in.
-    pub(super) fn use_news(&mut self, customer: CustomerId, units: f64) {
-        if let Some(news) = self.news.get_mut(&customer) {
-            news.draw(units);
+    /// Takes in what other gateways have admitted. Where they report it, a quota has one balance
+    /// again, known a little late: a request that it certainly covers is admitted, one that it
+    /// certainly doesn't is rejected, and the slice decides in between.
+    pub(super) fn usage_reported(&mut self, report: &Elsewhere) {
+        let plan = self.settings.plans.get(report.plan.0);
+        if let Some(plan) = plan.filter(|plan| plan.has_quota()) {
+            let (rate, burst) = (plan.rate, plan.burst);
+            self.shared_balances
+                .record(self.now, report.customer, rate, burst, report.into());
         }
     }
 
-    /// Units that are left at least and at most, by news that are not old.
-    pub(super) fn left(&mut self, now: Millis, request: &Request) -> Option<(f64, f64)> {
-        let plan = &self.set.plans[request.plan.0];
-        let news = self.news.get_mut(&request.customer)?;
-        news.refill(now, plan.rate, plan.burst);
-        news.left(now, NEWS_AIMS * self.aim)
-    }
-
-    /// Lets a request in and names its backend, or tells how long the reason to refuse it will last.
-    pub(super) fn admit(&mut self, now: Millis, live: &Live) -> Result<BackendId, (Reason, Option<Millis>)> {
-        let request = &live.request;
-        let part = self.part(request);
-        let born = self.born.unwrap_or(now);
-        // Guards the ceiling of a customer that was forgotten: its part may have been empty when last seen.
-        let unseen = born.max(now - EVICT_HALFLIVES * self.longest_halflife());
-        let per_unit = self.common_pace() / 1000.0;
-        self.feel_pressure(now);
-        let left = self.left(now, request);
-        let luck = chance(&mut self.rng);
-        let plan = &self.set.plans[request.plan.0];
-        let opening = self.strain.opening;
-        let pressure = self.strain.pressure.max(1.0 - opening);
-        self.usual += (request.units - self.usual) / USUAL_MEMORY;
-        let usual = self.usual;
-        let customer = self.customers.entry(request.customer).or_insert_with(|| Customer {
-            depth: part.depth,
-            slice: part.depth,
-            t: unseen,
-            flow: part.even,
-            cap: Cap::new(now),
-            metered: now,
-            share: 1.0,
-            ..Customer::default()
-        });
-        // Guards against a sliver that a small request came to first: it would have started with room for
-        // this one, and hardly fills to it in a day. A slice that is a good part of the burst waits to fill.
-        if part.sliver {
-            customer.slice += (part.depth - customer.depth).max(0.0);
-        }
-        customer.depth = part.depth;
-        customer.largest = customer.largest.max(request.units);
-        let (asked, held) = customer.evidence(now, plan, &part, now - born, usual);
-        let excess = asked / held;
-        // Guards against slices that rise and are never told that they let in too much: no meter, no rise.
-        let past_quota = excess > 1.0 || self.set.meter_period <= 0.0;
-        customer.refill(now, plan, &part, pressure, past_quota, now - born);
-        customer.average.feed(now, request.units, part.lambda);
-        if plan.rate > 0.0 {
-            // The box: beyond the limit everything is refused until the estimate has decayed.
-            let rate = customer.average.rate(now, part.lambda);
-            // For a sliver it shuts on all evidence, less what chance may add.
-            let sure = (asked - BOX_DOUBT * (asked * usual).sqrt()) * plan.rate / held;
-            let sure = if part.sliver && left.is_none() { sure } else { 0.0 };
-            let rate = rate.max(sure);
-            if rate > part.limit {
-                return Err((Reason::Box, Some((rate / part.limit).ln() / part.lambda)));
-            }
-            let whole = left.is_some_and(|(least, _)| request.units <= least);
-            if let Some((_, most)) = left.filter(|(_, most)| *most < request.units) {
-                return Err((Reason::SoldOut, Some(1000.0 * (request.units - most) / plan.rate)));
-            }
-            // Guards against slices too small to tell use past the quota from a few requests that happen to
-            // meet at one of many gateways: a sliver lets in by chance, by what all evidence says.
-            let strain = match left {
-                Some((_, most)) => 1.0 - most / plan.burst.max(request.units),
-                None if part.sliver => excess,
-                None => excess.min(1.0),
-            };
-            customer.share = opening / strain.max(opening);
-            // By Little's law a cap on attempts out is a rate too: what others have out is not seen.
-            let others = excess.min(1.0) * plan.rate * per_unit * (1.0 - 1.0 / part.spread);
-            let spare = f64::from(plan.max_open) - f64::from(customer.cap.open);
-            let fits = if part.open < 1.0 && others > 0.0 { spare / (others + others.sqrt()) } else { 1.0 };
-            if luck > customer.share.min(fits) {
-                return Err((Reason::Share, None));
-            }
-            // Under pressure a slice keeps a reserve: those nearest the end of their quotas give way first.
-            let reserve = pressure * (part.depth - request.units).max(0.0);
-            let short = request.units + reserve - customer.slice;
-            if short > 0.0 && !whole {
-                // Guards against advice that is of no use any more: the next try may come to another gateway,
-                // whose slice holds it; this one cannot know, and the time to ask there is short.
-                let elsewhere = if part.spread > 1.0 { ELSEWHERE_AIMS * self.aim } else { f64::INFINITY };
-                return Err((Reason::Slice, Some((1000.0 * short / part.even).min(elsewhere))));
-            }
+    /// Admits a request and names its backend, or says why not.
+    fn admit(&mut self, request: &Request, max_idle: Millis) -> Result<BackendId, Rejection> {
+        let now = self.now;
+        let started_at = self.started_at.unwrap_or(now);
+        // A customer that was forgotten may have used up its share of the ceiling just before.
+        let unseen_since = started_at.max(now - max_idle);
+        let quota = self.quota_share(request);
+        let service_time = self.prior().per_unit / 1000.0;
+        self.measure_pressure();
+        let plan = &self.settings.plans[request.plan.0];
+        let max_age = REPORT_VALID_TARGETS * self.target;
+        let balances = &mut self.shared_balances;
+        let balance = balances.bounds(now, request.customer, plan.rate, plan.burst, max_age);
+        self.typical_units += (request.units - self.typical_units) / TYPICAL_UNITS_WINDOW;
+        let arrival = Arrival {
+            now,
+            request,
+            plan,
+            quota,
+            balance,
+            gateway_age: now - started_at,
+            is_unmetered: self.settings.meter_period <= 0.0,
+            target: self.target,
+            typical_units: self.typical_units,
+            service_time,
+            backpressure: self.backpressure,
+            draw: uniform(&mut self.rng),
+        };
+        let customer = self.customers.entry(request.customer);
+        let customer = customer.or_insert_with(|| Customer::new(now, unseen_since, &quota));
+        let usage = arrival.record(customer);
+        if plan.has_quota() {
+            arrival.check_box(customer, usage)?;
+            arrival.check_balance()?;
+            arrival.check_fraction(customer, usage)?;
+            arrival.check_slice(customer)?;
         }
-        let short_of_ceiling = plan.ceiling.is_some() && customer.ceiling < request.units;
-        if !self.open_room(now, request, part.open) {
-            return Err((Reason::Open, None));
+        if !customer.may_open(self.now, request, plan, self.target) {
+            return Err(Rejection(Reason::Open, None));
         }
-        if short_of_ceiling {
-            return Err((Reason::Ceiling, None));
+        if plan.ceiling.is_some() && customer.ceiling < request.units {
+            return Err(Rejection(Reason::Ceiling, None));
         }
-        let backend = self.room(now, live).ok_or((Reason::Backends, None))?;
+        let backend = self.backend_with_room(request);
+        let backend = backend.ok_or(Rejection(Reason::Backends, None))?;
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            // By news it may let in more than its slice holds.
+            // A request that the shared balance covers may take more than the slice holds.
             customer.slice = (customer.slice - request.units).max(0.0);
             customer.ceiling -= request.units;
         }
-        self.use_news(request.customer, request.units);
+        self.shared_balances.draw(request.customer, request.units);
         Ok(backend)
     }
 
-    /// Whether a customer may have one more attempt out: an open cap is held in parts, and what a part has
-    /// beyond whole attempts is a share of the time.
-    pub(super) fn open_room(&mut self, now: Millis, request: &Request, part: f64) -> bool {
-        let (aim, most) = (self.aim, f64::from(self.set.plans[request.plan.0].max_open));
-        let Some(customer) = self.customers.get_mut(&request.customer) else { return false };
-        customer.cap.room(now, part, most, aim)
+    /// The backend for a new request, if one would answer in time: a client that leaves before it
+    /// gets an answer comes again after work that was done in vain.
+    fn backend_with_room(&mut self, request: &Request) -> Option<BackendId> {
+        let candidate = self.choose(request, Reach::Anywhere)?;
+        let too_slow = candidate.wait > MAX_WAIT_TARGETS * self.target;
+        let too_late = DEADLINE_FACTOR * candidate.answer > request.deadline - self.now;
+        (!too_slow && !too_late).then_some(candidate.key)
+    }
+
+    /// The longest half-life of the recent average of all plans with a rate.
+    fn longest_halflife(&self) -> Millis {
+        let plans = self.settings.plans_with_quota();
+        plans.map(average_halflife).fold(1000.0, f64::max)
     }
 
-    /// The backend for a request, if it has room: a client that leaves before an answer can be expected would
-    /// come again after work done for nothing.
-    pub(super) fn room(&mut self, now: Millis, live: &Live) -> Option<BackendId> {
-        let (backend, wait) = self.choose(now, live, Reach::Anywhere)?;
-        let pace = self.backends.get(&backend).map_or(0.0, |b| self.pace(b));
-        let expected = wait + pace * live.request.units;
-        let slow = wait > WAIT_LIMIT * self.aim;
-        let late = PATIENCE * expected > live.request.deadline - now;
-        (!slow && !late).then_some(backend)
+    pub(super) fn quota_share(&self, request: &Request) -> QuotaShare {
+        let plan = self.settings.plan(request);
+        let known = self.customers.get(&request.customer);
+        let largest = known.map_or(0.0, |c| c.largest_units).max(request.units);
+        let halflife = if plan.has_quota() && plan.burst > 0.0 {
+            average_halflife(plan)
+        } else {
+            self.settings.longest_deadline()
+        };
+        let usage_lambda = LN_2 * AVERAGE_HALFLIFE_BURSTS / USAGE_HALFLIFE_BURSTS / halflife;
+        let spare = 0.5 * USAGE_HALFLIFE_BURSTS * plan.burst.max(largest) / request.spread;
+        let min_depth = (largest + spare).min(MIN_SLICE_REQUESTS * largest);
+        let is_sliver = request.spread > 1.0 && plan.burst / request.spread < self.typical_units;
+        let (lambda, meter_lambda) = if is_sliver {
+            // Too few requests to tell a lasting flood from chance by the long average alone.
+            (usage_lambda, usage_lambda)
+        } else {
+            (LN_2 / halflife, METER_DECAY_FACTOR * usage_lambda)
+        };
+        QuotaShare {
+            lambda,
+            usage_lambda,
+            meter_lambda,
+            even_rate: plan.rate / request.spread,
+            depth: (plan.burst / request.spread).max(min_depth),
+            is_sliver,
+        }
     }
 
-    /// Halflife of the recent average of a plan that has a rate.
-    pub(super) fn halflife(plan: &Plan) -> Millis {
-        HALFLIFE_BURSTS * 1000.0 * plan.burst / plan.rate
+    /// Forgets customers whose entry says no more than a new one would.
+    fn evict(&mut self, max_idle: Millis, longest_halflife: Millis) {
+        let (now, typical_units) = (self.now, self.typical_units);
+        let interval = max_idle / 4.0;
+        self.customers.sweep(now, interval, |customer| {
+            let idle = now - customer.refilled_at;
+            let average = customer.average.units * (-idle * LN_2 / longest_halflife).exp();
+            customer.open.in_flight > 0 || idle < max_idle || average > typical_units
+        });
+        self.shared_balances.evict(now, interval, max_idle);
     }
 
-    pub(super) fn longest_halflife(&self) -> Millis {
-        let rated = self.set.plans.iter().filter(|p| p.rate > 0.0);
-        rated.map(Self::halflife).fold(1000.0, f64::max)
+    /// Measures the waits at the backends, where all of them are in use.
+    fn measure_pressure(&mut self) {
+        let prior = self.prior();
+        let in_use = self.backends.ready_if_all_in_use();
+        let waits = in_use.map(|backend| backend.estimator.wait(prior));
+        let max_wait = MAX_WAIT_TARGETS * self.target;
+        self.backpressure
+            .record_waits(self.now, self.target, max_wait, waits);
     }
 
-    pub(super) fn part(&self, request: &Request) -> Part {
-        let plan = &self.set.plans[request.plan.0];
-        let largest = self.customers.get(&request.customer).map_or(0.0, |c| c.largest).max(request.units);
-        let halflife = if plan.rate > 0.0 && plan.burst > 0.0 {
-            Self::halflife(plan)
+    fn reject(&mut self, request: RequestId, Rejection(reason, wait): Rejection) {
+        self.actions.push(self.rejection(request, reason, wait));
+    }
+
+    /// The rejection of a request; `wait` is how long the reason is expected to last.
+    pub(super) fn rejection(&self, id: RequestId, reason: Reason, wait: Option<Millis>) -> Action {
+        let advised = wait.filter(|_| self.settings.retry_after);
+        Action::Refuse {
+            request: id,
+            reason,
+            retry_after: advised.map(|wait| wait.clamp(0.0, self.settings.max_retry_after)),
+        }
+    }
+}
+
+/// The half-life of the recent average of a plan that has a rate.
+fn average_halflife(plan: &Plan) -> Millis {
+    AVERAGE_HALFLIFE_BURSTS * 1000.0 * plan.burst / plan.rate
+}
+
+/// One gateway's share of the attempts that may be in flight at once.
+pub(super) fn open_share(plan: &Plan, gateways: f64) -> f64 {
+    match plan.max_open {
+        0 => f64::INFINITY,
+        max_open => f64::from(max_open) / gateways,
+    }
+}
+
+impl Arrival<'_> {
+    /// Counts the request, whether it will be admitted or not; returns the usage of the quota.
+    fn record(&self, customer: &mut Customer) -> Usage {
+        let quota = &self.quota;
+        // A sliver whose first request was small grows with the next: it starts with room for that
+        // one alone, and its refill would take a day to make up. Any other slice waits to fill.
+        if quota.is_sliver {
+            customer.slice += (quota.depth - customer.slice_depth).max(0.0);
+        }
+        customer.slice_depth = quota.depth;
+        customer.largest_units = customer.largest_units.max(self.request.units);
+        let usage = self.usage(customer);
+        self.refill(customer, usage);
+        let average = &mut customer.average;
+        average.feed(self.now, self.request.units, quota.lambda);
+        usage
+    }
+
+    /// Usage of the quota as far as one of many gateways can tell: by the meter and, for a sliver,
+    /// by its own recent average. Both start with a prior, because a few requests prove nothing.
+    fn usage(&self, customer: &Customer) -> Usage {
+        let quota = &self.quota;
+        let metered = customer.metered.recent(self.now, quota.meter_lambda);
+        let mut usage = Usage {
+            requested: PRIOR_REQUESTS * self.typical_units + metered.requested,
+            allowed: 2.0 * PRIOR_REQUESTS * self.typical_units + metered.allowed,
+        };
+        if quota.is_sliver {
+            let local = customer.average.decayed(self.now, quota.lambda);
+            let memory = 1.0 - (-quota.lambda * self.gateway_age).exp();
+            let burst = self.plan.burst / self.request.spread;
+            usage.requested = usage.requested + self.typical_units + local;
+            usage.allowed += quota.even_rate / 1000.0 / quota.lambda * memory + burst;
+        }
+        usage
+    }
+
+    /// Refills the slice and the share of the ceiling; the slice's rate follows demand (design).
+    fn refill(&self, customer: &mut Customer, usage: Usage) {
+        let quota = &self.quota;
+        let elapsed = (self.now - customer.refilled_at).max(0.0) / 1000.0;
+        // The average starts at 0, so that of a young gateway covers a part of its memory only.
+        let covered = 1.0 - (-quota.lambda * self.gateway_age).exp();
+        let recent = customer.average.rate(self.now, quota.lambda);
+        let recent = recent / covered.max(MIN_AVERAGE_COVERAGE);
+        let wanted = (REFILL_FACTOR * recent).min(self.plan.rate);
+        let wanted = wanted.max(quota.even_rate);
+        // Without a meter no slice rises: nothing would show that all together admit too much.
+        let target = if usage.ratio() > 1.0 || self.is_unmetered {
+            quota.even_rate
         } else {
-            HALFLIFE_DEADLINES * self.set.classes.iter().map(|c| c.deadline).fold(1000.0, f64::max)
+            quota.even_rate + (wanted - quota.even_rate) * (1.0 - self.backpressure.combined())
         };
-        let recent = std::f64::consts::LN_2 * HALFLIFE_BURSTS / RECENT_BURSTS / halflife;
-        let least = (largest + 0.5 * RECENT_BURSTS * plan.burst.max(largest) / request.spread)
-            .min(SLICE_LEAST * largest);
-        let sliver = request.spread > 1.0 && plan.burst / request.spread < self.usual;
-        // A sliver has too few requests to tell a lasting flood from chance by the long average alone.
-        let lambda = if sliver { recent } else { std::f64::consts::LN_2 / halflife };
-        Part {
-            lambda,
-            recent,
-            recall: if sliver { recent } else { RECALL * recent },
-            limit: BOX_FACTOR * plan.rate + 1000.0 * lambda * plan.burst,
-            even: plan.rate / request.spread,
-            sliver,
-            depth: (plan.burst / request.spread).max(least),
-            spread: request.spread,
-            open: if plan.max_open > 0 { f64::from(plan.max_open) / request.spread } else { f64::INFINITY },
+        let speed = USAGE_HALFLIFE_BURSTS / REFILL_RISE_BURSTS / LN_2;
+        let rise = 1.0 - (-quota.usage_lambda * 1000.0 * elapsed * speed).exp();
+        let raised = customer.refill_rate + (target - customer.refill_rate).max(0.0) * rise;
+        customer.refill_rate = target.min(raised).max(quota.even_rate);
+        customer.slice = (customer.slice + customer.refill_rate * elapsed).min(quota.depth);
+        if let Some(ceiling) = self.plan.ceiling {
+            let spread = self.request.spread;
+            let depth = (ceiling.burst + CEILING_SLACK_FRACTION * ceiling.slack) / spread;
+            customer.ceiling = (customer.ceiling + ceiling.rate / spread * elapsed).min(depth);
         }
+        customer.refilled_at = self.now;
     }
 
-    /// Forgets customers whose entry says no more than a new one would.
-    pub(super) fn evict(&mut self, now: Millis) {
-        if now < self.evict_at {
-            return;
+    /// The penalty box: beyond its limit everything is rejected until the average has decayed.
+    fn check_box(&self, customer: &Customer, usage: Usage) -> Verdict {
+        let quota = &self.quota;
+        let mut rate = customer.average.rate(self.now, quota.lambda);
+        // For a sliver it closes on all known usage, less what may be chance.
+        if quota.is_sliver && self.balance.is_none() {
+            let deviation = (usage.requested * self.typical_units).sqrt();
+            let certain = usage.requested - BOX_DEVIATIONS * deviation;
+            rate = rate.max(certain * self.plan.rate / usage.allowed);
         }
-        let longest = self.longest_halflife();
-        let age = EVICT_HALFLIVES * longest;
-        self.evict_at = now + age / 4.0;
-        let left = |c: &Customer| c.average.n * (-(now - c.t) * std::f64::consts::LN_2 / longest).exp();
-        let usual = self.usual;
-        self.customers.retain(|_, c| c.cap.open > 0 || now - c.t < age || left(c) > usual);
-        self.news.retain(|_, news| now - news.at() < age);
+        let (plan, lambda) = (self.plan, quota.lambda);
+        let wait = box_closed_for(rate, plan.rate, plan.burst, lambda);
+        wait.map_or(Ok(()), |wait| Err(Rejection(Reason::Box, Some(wait))))
     }
 
-    /// Feels how long the best of the busy backends keeps a request waiting.
-    pub(super) fn feel_pressure(&mut self, now: Millis) {
-        let busy = self.index.all_busy().iter().filter_map(|id| self.backends.get(id));
-        let best = busy.map(|b| self.wait(b)).fold(f64::INFINITY, f64::min);
-        self.strain.feel_wait(now, self.aim, best / (WAIT_LIMIT * self.aim));
+    fn check_balance(&self) -> Verdict {
+        let missing = self.balance.map_or(0.0, |b| self.request.units - b.max);
+        if missing > 0.0 {
+            let wait = 1000.0 * missing / self.plan.rate;
+            return Err(Rejection(Reason::SoldOut, Some(wait)));
+        }
+        Ok(())
     }
 
-    pub(super) fn refusal(&self, request: RequestId, reason: Reason, wait: Option<Millis>) -> Action {
-        let advised = if self.set.retry_after { wait } else { None };
-        Action::Refuse {
-            request,
-            reason,
-            retry_after: advised.map(|w| w.clamp(0.0, self.set.max_retry_after)),
+    /// Admits a fraction at random, by backpressure and by usage. A sliver is too small to tell use
+    /// beyond the quota from a few requests that happen to meet at one of many gateways, so there
+    /// it is all known usage that counts.
+    fn check_fraction(&self, customer: &mut Customer, usage: Usage) -> Verdict {
+        let excess = usage.ratio();
+        let strain = match self.balance {
+            Some(balance) => 1.0 - balance.max / self.plan.burst.max(self.request.units),
+            None if self.quota.is_sliver => excess,
+            None => excess.min(1.0),
+        };
+        customer.admitted_fraction =
+            self.backpressure.admitted_fraction / strain.max(self.backpressure.admitted_fraction);
+        let mut fraction = customer.admitted_fraction;
+        // By Little's law a limit on attempts in flight is a limit on the rate. Those of other
+        // gateways aren't seen, so they are estimated.
+        let others_share = 1.0 - 1.0 / self.request.spread;
+        let others = excess.min(1.0) * self.plan.rate * self.service_time * others_share;
+        if open_share(self.plan, self.request.spread) < 1.0 && others > 0.0 {
+            let spare = f64::from(self.plan.max_open) - f64::from(customer.open.in_flight);
+            fraction = fraction.min(spare / (others + others.sqrt()));
+        }
+        if self.draw > fraction {
+            return Err(Rejection(Reason::Share, None));
+        }
+        Ok(())
+    }
+
+    /// Under pressure a slice keeps a reserve, so that those nearest their quota give way first.
+    fn check_slice(&self, customer: &Customer) -> Verdict {
+        let units = self.request.units;
+        let reserve = self.backpressure.combined() * (self.quota.depth - units).max(0.0);
+        let missing = units + reserve - customer.slice;
+        let is_covered = self.balance.is_some_and(|balance| units <= balance.min);
+        if missing > 0.0 && !is_covered {
+            let mut wait = 1000.0 * missing / self.quota.even_rate;
+            // The retry may come to another gateway, whose slice may hold it; that is worth less
+            // the longer it waits.
+            if self.request.spread > 1.0 {
+                wait = wait.min(MAX_SLICE_RETRY_TARGETS * self.target);
+            }
+            return Err(Rejection(Reason::Slice, Some(wait)));
         }
+        Ok(())
     }
 }
 
 impl Customer {
-    /// Units asked of all gateways and what the quota held meanwhile, as far as one of many can tell: by the
-    /// meter and, for a sliver, by its own recent average. Both begin with a little: few prove nothing.
-    pub(super) fn evidence(
-        &self,
-        now: Millis,
-        plan: &Plan,
-        part: &Part,
-        age: Millis,
-        usual: f64,
-    ) -> (f64, f64) {
-        let keep = (part.recall * (self.metered - now)).exp();
-        let (asked, held) = (PRIOR * usual + self.asked * keep, 2.0 * PRIOR * usual + self.held * keep);
-        if !part.sliver {
-            return (asked, held);
+    fn new(now: Millis, unseen_since: Millis, quota: &QuotaShare) -> Self {
+        Customer {
+            slice_depth: quota.depth,
+            slice: quota.depth,
+            refilled_at: unseen_since,
+            refill_rate: quota.even_rate,
+            open: ConcurrencyLimit::new(now),
+            metered: MeteredUsage::new(now),
+            admitted_fraction: 1.0,
+            ..Customer::default()
         }
-        let seen = self.average.n * (part.lambda * (self.average.t - now)).exp();
-        let own =
-            part.even / 1000.0 / part.lambda * (1.0 - (-part.lambda * age).exp()) + plan.burst / part.spread;
-        (asked + usual + seen, held + own)
     }
 
-    /// Brings slice and ceiling part up to now; their flow follows demand as the design says.
-    pub(super) fn refill(
-        &mut self,
-        now: Millis,
-        plan: &Plan,
-        part: &Part,
-        pressure: f64,
-        past_quota: bool,
-        age: Millis,
-    ) {
-        let span = (now - self.t).max(0.0) / 1000.0;
-        // The average starts at nought, so what a young gateway has counted is taken over the time it had.
-        let counted = (1.0 - (-part.lambda * age).exp()).max(COUNTED_LEAST);
-        let recent = self.average.rate(now, part.lambda) / counted;
-        let wanted = (RISE_FACTOR * recent).min(plan.rate).max(part.even);
-        let target = if past_quota { part.even } else { part.even + (wanted - part.even) * (1.0 - pressure) };
-        let rises = RECENT_BURSTS / RISE_BURSTS / std::f64::consts::LN_2;
-        let rise = 1.0 - (-part.recent * 1000.0 * span * rises).exp();
-        self.flow = target.min(self.flow + (target - self.flow).max(0.0) * rise).max(part.even);
-        self.slice = (self.slice + self.flow * span).min(part.depth);
-        if let Some(ceiling) = plan.ceiling {
-            let depth = (ceiling.burst + SLACK_USED * ceiling.slack) / part.spread;
-            self.ceiling = (self.ceiling + ceiling.rate / part.spread * span).min(depth);
-        }
-        self.t = now;
+    /// Whether one more attempt may be in flight.
+    fn may_open(&mut self, now: Millis, request: &Request, plan: &Plan, target: Millis) -> bool {
+        let (share, total) = (open_share(plan, request.spread), f64::from(plan.max_open));
+        self.open.has_room(now, share, total, target)
     }
 }
--- a/crates/policy/src/gateway/mod.rs
+++ b/crates/policy/src/gateway/mod.rs
@@ -1,282 +1,246 @@
-//! The decisions of a gateway: its constants, what it holds, and who of its parts hears of what.
+//! The decisions of one gateway: their constants, the state they need and the dispatch of events.
+//!
+//! Spans that should follow what clients wait for are counted in latency targets: in the shortest of
+//! all classes, unless a class is named. Figures marked "design" are given by the design.
 
 mod attempts;
 mod backends;
 mod choice;
 mod customers;
 
+use crate::backend::{Backend, Reach};
 use crate::interface::*;
-use maplefall_backend_index::{Index, Is, Standing};
-use maplefall_load_estimators::{chance, in_range, Cap, Lesson, Pace, Store, Strain, Trust};
+use crate::pending::{Exposure, Pending, PendingRequests};
+use maplefall_backend_index::BackendTable;
+use maplefall_load_estimators::{
+    uniform, Attempt, Backpressure, BalanceBounds, ConcurrencyLimit, EjectionChange, EvictingMap,
+    HealthScore, MeteredUsage, ServiceTime, ServiceTimePrior, SharedBalances, Usage,
+};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
-use std::collections::BTreeMap;
-
-/// The box shuts at this many times the quota rate (and the burst's share on top): the design's figure.
-const BOX_FACTOR: f64 = 3.0;
-/// A slice refills at up to this many times the local recent rate: the design's figure.
-const RISE_FACTOR: f64 = 2.0;
-/// Largest requests that a slice holds at least: the design's figure.
-const SLICE_LEAST: f64 = 2.0;
-/// Halflife of the recent average, in burst lengths (the design asks for one at least): a flood that lasts
-/// should shut the box. A spike with its retries should not: slices hold it to the quota already.
-const HALFLIFE_BURSTS: f64 = 16.0;
-/// Halflife of what else is known of a customer's use, in burst lengths.
-const RECENT_BURSTS: f64 = 4.0;
-/// The average counts as of this part of its memory at least, however young the gateway is.
-const COUNTED_LEAST: f64 = 0.05;
-/// Halflife where a plan has no burst length, in longest deadlines.
-const HALFLIFE_DEADLINES: f64 = 1.0;
-/// Entries of customers are looked through for eviction once in this many halflives.
+use std::f64::consts::LN_2;
+
+/// The penalty box closes at this multiple of the quota rate, plus the burst's share (design).
+const BOX_LIMIT_FACTOR: f64 = 3.0;
+/// A slice is refilled at up to this multiple of the local recent rate (design).
+const REFILL_FACTOR: f64 = 2.0;
+/// A slice holds at least so many requests of the largest size (design).
+const MIN_SLICE_REQUESTS: f64 = 2.0;
+/// Half-life of the recent average, in burst lengths (design: at least one). A lasting flood should
+/// close the box; a spike with its retries should not, since slices hold it to the quota already.
+const AVERAGE_HALFLIFE_BURSTS: f64 = 16.0;
+/// Half-life of everything else that is known of a customer's usage, in burst lengths.
+const USAGE_HALFLIFE_BURSTS: f64 = 4.0;
+/// The recent average covers at least this fraction of its memory, however young the gateway is.
+const MIN_AVERAGE_COVERAGE: f64 = 0.05;
+/// A customer is forgotten after so many of the longest half-lives without a request.
 const EVICT_HALFLIVES: f64 = 2.0;
-/// A slice rises toward its target over this many burst lengths: slower than a spike, faster than a shift.
-const RISE_BURSTS: f64 = 2.0;
-/// Longest wait at the chosen backend, as a part of the shortest aim, before a request is refused at once.
-const WAIT_LIMIT: f64 = 0.33;
-/// A client's patience must hold this many times the expected answer: half of the answers take longer.
-const PATIENCE: f64 = 1.5;
-/// An answer is slow beyond this part of its aim.
-const SLOW_AIMS: f64 = 0.5;
-/// Requests over which their usual size is averaged.
-const USUAL_MEMORY: f64 = 30.0;
-/// Usual requests that the evidence of a new customer begins with; it is taken to ask for half of its quota.
-const PRIOR: f64 = 0.5;
-/// What the meter told is forgotten this many times as fast as what else is known.
-const RECALL: f64 = 2.0;
-/// Standard deviations of chance by which evidence must pass the box limit.
-const BOX_DOUBT: f64 = 3.0;
-/// Answers over which a backend's time per unit of load is averaged.
-const PACE_MEMORY: f64 = 16.0;
-/// A backend is overdue once it is silent for this many times what its oldest attempt should have taken.
-const SILENCE: f64 = 3.0;
-/// An attempt that may be repeated is given up after this many times what it should take.
-const HUNG: f64 = 8.0;
-/// Least time that such an attempt gets, as a part of its aim.
-const HUNG_AIMS: f64 = 0.4;
-/// Opening above which, and lack of pressure by which, the backends are taken to have room for a repeat.
-const CALM: f64 = 0.95;
-/// For this many shortest aims after a connection broke, every request is sent with caution.
-const CAUTION_AIMS: f64 = 8.0;
-/// A crossing between zones is worth this many times its price of the aim in waiting.
-const CROSSING_AIMS: f64 = 10.0;
-/// Part of a ceiling's slack that the parts make use of; the rest is for rounding.
-const SLACK_USED: f64 = 0.9;
-/// Part of the multiple that pushes a cold backend over which a gateway makes use of.
-const COLD_PART: f64 = 0.6;
-/// Part of the shortest aim after which a client is asked back where another gateway may hold its try.
-const ELSEWHERE_AIMS: f64 = 0.3;
-/// News of use elsewhere is good for this many shortest aims.
-const NEWS_AIMS: f64 = 6.0;
-/// Gateways by which each backend is chosen, on average: with fewer, some would get far more than others.
-const CHOSEN_BY: f64 = 16.0;
-/// Backends that are chosen at least: with fewer, one that is cold or sick shifts too much to the others.
-const CHOSEN_LEAST: usize = 8;
-/// A backend that is not among the chosen must be better by this many aims.
-const STRANGE_AIMS: f64 = 0.25;
-/// Alarm that asks again for the list of backends.
-const LIST_ALARM: AlarmId = AlarmId(u64::MAX);
-
-/// The recent average rate of the design: an impulse `n` at time `t`, decaying with a halflife.
+/// A slice's refill rate rises over so many burst lengths: slower than a spike, faster than a shift.
+const REFILL_RISE_BURSTS: f64 = 2.0;
+/// Longest acceptable wait at a backend, in latency targets; beyond it a request is rejected.
+const MAX_WAIT_TARGETS: f64 = 0.33;
+/// A deadline must leave this multiple of the expected time: half of the answers take longer.
+const DEADLINE_FACTOR: f64 = 1.5;
+/// An answer is slow beyond this fraction of the latency target of its class.
+const SLOW_TARGETS: f64 = 0.5;
+/// Number of requests over which the typical size is averaged.
+const TYPICAL_UNITS_WINDOW: f64 = 30.0;
+/// Typical requests that a new customer's usage starts with, against twice as many allowed.
+const PRIOR_REQUESTS: f64 = 0.5;
+/// What the meter reports decays this many times as fast as other knowledge of usage.
+const METER_DECAY_FACTOR: f64 = 2.0;
+/// Standard deviations by which usage must exceed the box limit where there are few requests.
+const BOX_DEVIATIONS: f64 = 3.0;
+/// A repeatable attempt times out after this multiple of its expected time...
+const ATTEMPT_TIMEOUT_FACTOR: f64 = 8.0;
+/// ...and not before this fraction of the latency target of its class.
+const MIN_ATTEMPT_TIMEOUT_TARGETS: f64 = 0.4;
+/// Retries need this fraction of requests to be admitted, and pressure below its complement.
+const RETRY_HEADROOM: f64 = 0.95;
+/// For so many latency targets after a connection broke, every request is sent with caution.
+const CAUTION_TARGETS: f64 = 8.0;
+/// A request crosses zones to save a wait of this multiple of the crossing's price, in targets.
+const CROSS_ZONE_TARGETS: f64 = 10.0;
+/// Fraction of a ceiling's slack that its shares use; the rest covers rounding.
+const CEILING_SLACK_FRACTION: f64 = 0.9;
+/// Fraction of the overload factor that all gateways may use up at a backend in slow start.
+const SLOW_START_OVERLOAD_FRACTION: f64 = 0.6;
+/// Longest advised retry time, in latency targets, where another gateway may admit the retry.
+const MAX_SLICE_RETRY_TARGETS: f64 = 0.3;
+/// Reports of usage at other gateways are valid for so many latency targets.
+const REPORT_VALID_TARGETS: f64 = 6.0;
+/// Mean number of gateways that prefer each backend: with fewer, load would be spread unevenly.
+const GATEWAYS_PER_BACKEND: f64 = 16.0;
+/// Least number of preferred backends: with fewer, one that fails shifts too much to the others.
+const MIN_PREFERRED_BACKENDS: usize = 8;
+/// A backend that is not preferred must be better by so many latency targets.
+const UNPREFERRED_TARGETS: f64 = 0.25;
+/// The alarm that subscribes to the list of backends again.
+const SUBSCRIBE_ALARM: AlarmId = AlarmId(u64::MAX);
+
+/// A backend that a request could be sent to.
+type Candidate = maplefall_backend_index::Candidate<BackendId>;
+
+/// The recent average rate of the design: an impulse at each arrival, decaying exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cewma {
-    n: f64,
-    t: Millis,
+    units: f64,
+    updated_at: Millis,
 }
 
 impl Cewma {
-    /// Counts an arrival of `units`; `lambda` is ln 2 / halflife, per millisecond.
+    /// Counts an arrival of `units`; `lambda` is ln 2 / half-life, per millisecond.
     pub fn feed(&mut self, now: Millis, units: f64, lambda: f64) {
-        self.n = units + self.n * (lambda * (self.t - now)).exp();
-        self.t = now;
+        self.units = units + self.decayed(now, lambda);
+        self.updated_at = now;
     }
 
     /// The recent rate, in units a second.
     pub fn rate(&self, now: Millis, lambda: f64) -> f64 {
-        1000.0 * self.n * lambda * (lambda * (self.t - now)).exp()
+        1000.0 * self.units * lambda * (lambda * (self.updated_at - now)).exp()
     }
+
+    fn decayed(&self, now: Millis, lambda: f64) -> f64 {
+        self.units * (lambda * (self.updated_at - now)).exp()
+    }
+}
+
+/// How long the penalty box is closed to a recent rate, until the estimate has decayed; `None` where
+/// it is open. `rate` and `burst` are the quota's.
+pub(crate) fn box_closed_for(recent: f64, rate: f64, burst: f64, lambda: f64) -> Option<Millis> {
+    let limit = BOX_LIMIT_FACTOR * rate + 1000.0 * lambda * burst;
+    (recent > limit).then(|| (recent / limit).ln() / lambda)
 }
 
-/// What a gateway holds of one customer.
+/// What a gateway knows of one customer.
 #[derive(Clone, Debug, Default)]
 struct Customer {
     average: Cewma,
-    /// Units of its largest request so far, and what its slice holds at most by it.
-    largest: f64,
-    depth: f64,
-    /// Units in this gateway's slice, and in its part of the ceiling, as of `t`.
+    /// Units of the largest request so far.
+    largest_units: f64,
+    /// Units that the slice may hold.
+    slice_depth: f64,
+    /// Units in this gateway's slice of the quota and share of the ceiling, as of `refilled_at`.
     slice: f64,
     ceiling: f64,
-    t: Millis,
-    /// Refill of the slice, in units a second.
-    flow: f64,
-    cap: Cap,
-    metered: Millis,
-    /// Units asked of all gateways by the meter, and what the quota held meanwhile, as of `metered`.
-    asked: f64,
-    held: f64,
-    /// Share of its requests that is let in at present.
-    share: f64,
+    refilled_at: Millis,
+    /// Refill rate of the slice, in units a second.
+    refill_rate: f64,
+    open: ConcurrencyLimit,
+    /// Usage at all gateways.
+    metered: MeteredUsage,
+    /// Fraction of the requests that is admitted at present.
+    admitted_fraction: f64,
 }
 
-/// A quota's figures at this gateway.
+/// This gateway's share of a quota.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct QuotaShare {
+    /// Decay of the recent average, ln 2 / half-life per millisecond...
     lambda: f64,
-    /// Lambda of what else is known, of which slices rise.
-    recent: f64,
-    /// Lambda with which what the meter told is forgotten: a sliver hears too seldom to forget sooner.
-    recall: f64,
-    limit: f64,
-    even: f64,
+    /// ...of other knowledge of usage...
+    usage_lambda: f64,
+    /// ...and of metered usage.
+    meter_lambda: f64,
+    /// The even share of the quota rate, in units a second.
+    even_rate: f64,
+    /// Units that the slice may hold.
     depth: f64,
-    spread: f64,
-    /// Attempts that may be open at once.
-    open: f64,
-    /// Whether the even share of the burst does not hold one usual request.
-    sliver: bool,
-}
-
-/// An attempt that is out.
-#[derive(Clone, Copy, Debug)]
-struct Flight {
-    at: Millis,
-    class: ClassId,
-    load: f64,
-    units: f64,
-}
-
-/// What a choice found: the cost, of whom, and the wait expected there.
-type Cost = (f64, BackendId, Millis);
-type Found = (Option<Cost>, Option<Cost>, Pcg32);
-
-/// The last place among the chosen, and the cold backend whose turn it is.
-type Chosen = (f64, Option<BackendId>);
-
-/// What a gateway holds of one backend.
-#[derive(Clone, Debug)]
-struct Backend {
-    entry: BackendEntry,
-    out: BTreeMap<RequestId, Flight>,
-    /// Over recent answers, by the load at the send.
-    pace: Pace,
-    last_answer: Millis,
-    trust: Trust,
-    /// Its turn while cold: it may be sent a request at one.
-    turn: f64,
-    /// Its place among those that this gateway prefers, drawn once: the lowest are chosen.
-    place: f64,
-}
-
-/// A request that has no final answer yet, or whose last attempt is still out.
-#[derive(Clone, Debug)]
-struct Live {
-    request: Request,
-    arrived: Millis,
-    /// When it could be sent on: later than it arrived, if its caller was checked first.
-    begun: Millis,
-    /// Whether it waits for its caller's check.
-    held: bool,
-    sends: u32,
-    out: Option<BackendId>,
-    /// Send time, zone and cell of the first attempt that may have run.
-    may_have_run: Option<(Millis, ZoneId, CellId)>,
-    started: bool,
-    answered: bool,
-    /// Whether it is known to be slow.
-    slow: bool,
-}
-
-/// Where a request may be sent next.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Reach {
-    Anywhere,
-    Zone(ZoneId),
-    Cell(CellId),
-    Nowhere,
+    /// Whether the even share of the burst is smaller than a typical request.
+    is_sliver: bool,
 }
 
 /// The decisions of one gateway.
 pub struct Gateway {
-    set: Settings,
+    settings: Settings,
     rng: Pcg32,
-    born: Option<Millis>,
-    aim: Millis,
-    customers: BTreeMap<CustomerId, Customer>,
-    /// Empty where gateways tell one another nothing.
-    news: BTreeMap<CustomerId, Store>,
-    evict_at: Millis,
-    backends: BTreeMap<BackendId, Backend>,
-    /// The backends by what is asked of them all; follows every change of one.
-    index: Index<BackendId>,
-    requests: BTreeMap<RequestId, Live>,
-    pace: Pace,
-    strain: Strain,
-    retries: f64,
-    /// When a connection to a backend broke last.
-    broke_at: Millis,
-    /// Units of a request, on average.
-    usual: f64,
+    /// The time of the event that is handled, and the actions it calls for.
+    now: Millis,
+    actions: Vec<Action>,
+    started_at: Option<Millis>,
+    /// The shortest latency target of all classes.
+    target: Millis,
+    customers: EvictingMap<CustomerId, Customer>,
+    /// Quotas by what other gateways report; empty where they report nothing.
+    shared_balances: SharedBalances<CustomerId>,
+    backends: BackendTable<BackendId, Backend>,
+    requests: PendingRequests,
+    /// Of all backends.
+    service_time: ServiceTime,
+    backpressure: Backpressure,
+    retry_budget: f64,
+    /// When a connection to any backend last broke.
+    connection_broke_at: Millis,
+    /// Mean units of a request.
+    typical_units: f64,
 }
 
 impl Gateway {
-    /// A gateway with these settings; `seed` is its only source of chance.
+    /// A gateway with these settings; `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let (retries, strain) = (settings.retry_start, Strain::new(settings.gateways));
-        let mut gateway = Gateway {
-            set: settings,
+        Gateway {
             rng: Pcg32::seed_from_u64(seed),
-            born: None,
-            aim: 1000.0,
-            customers: BTreeMap::new(),
-            news: BTreeMap::new(),
-            evict_at: 0.0,
-            backends: BTreeMap::new(),
-            index: Index::default(),
-            requests: BTreeMap::new(),
-            pace: Pace::default(),
-            strain,
-            retries,
-            broke_at: f64::NEG_INFINITY,
-            usual: 1.0,
-        };
-        gateway.amend(|_| {});
-        gateway
+            now: 0.0,
+            actions: Vec::new(),
+            started_at: None,
+            target: settings.shortest_target(),
+            customers: EvictingMap::default(),
+            shared_balances: SharedBalances::default(),
+            backends: BackendTable::default(),
+            requests: PendingRequests::default(),
+            service_time: ServiceTime::default(),
+            backpressure: Backpressure::new(settings.gateways),
+            retry_budget: settings.retry_start,
+            connection_broke_at: f64::NEG_INFINITY,
+            typical_units: 1.0,
+            settings,
+        }
     }
 
-    /// Takes one event that happened at `now` and appends what is to be done.
+    /// Takes an event that happened at `now` and appends the actions it calls for.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        self.born.get_or_insert(now);
+        self.now = now;
+        std::mem::swap(&mut self.actions, actions);
+        self.started_at.get_or_insert(now);
         match event {
-            Event::Backends(kind, entries) => self.list_changed(now, kind, &entries, actions),
-            Event::Arrival(request) => self.arrived(now, request, actions),
-            Event::Checked { request, passes } => self.checked(now, request, passes, actions),
-            Event::Elsewhere(told) => self.used_elsewhere(now, &told),
+            Event::Backends(kind, entries) => self.list_changed(kind, &entries),
+            Event::Arrival(request) => self.arrived(request),
+            Event::Checked { request, passes } => self.checked(request, passes),
+            Event::Elsewhere(report) => self.usage_reported(&report),
             Event::StreamStarted(id) => {
-                self.requests.entry(id).and_modify(|live| live.started = true);
+                self.requests.update(id, |p| p.stream_started = true);
             }
-            Event::Settled(settled) => self.settled(now, &settled, actions),
-            Event::ClientGone(id) => self.abandon(id, actions),
-            Event::Alarm(LIST_ALARM) => actions.push(Action::Subscribe),
-            Event::Alarm(AlarmId(name)) => self.out_of_time(now, name, actions),
-            // No probes are sent: load is judged by this gateway's own attempts.
+            Event::Settled(settled) => self.settled(&settled),
+            Event::ClientGone(id) => self.abandon(id),
+            Event::Alarm(SUBSCRIBE_ALARM) => self.actions.push(Action::Subscribe),
+            Event::Alarm(alarm) => self.alarm_due(alarm),
+            // No health checks are sent: this gateway's own attempts tell enough.
             Event::Probed { .. } => {}
         }
+        std::mem::swap(&mut self.actions, actions);
     }
 
-    /// Goes by other settings: classes and plans may be added and changed, and stay at their places.
+    /// Changes the settings. Classes and plans may be added and changed, and keep their indices.
     pub fn amend(&mut self, change: impl FnOnce(&mut Settings)) {
-        change(&mut self.set);
-        let aim = self.set.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
-        self.aim = if aim.is_finite() { aim.max(1.0) } else { 1000.0 };
+        change(&mut self.settings);
+        self.target = self.settings.shortest_target();
     }
 
-    /// The same gateway, looking at all backends for each choice: it does the same, and takes longer.
-    pub fn walking(self) -> Self {
-        Gateway { index: Index::walking(), ..self }
+    /// The same gateway, examining all backends for each choice: it decides the same, more slowly.
+    pub fn walking(mut self) -> Self {
+        self.backends.index_mut().make_exhaustive();
+        self
     }
 
-    /// What it holds, and what its choices took.
+    /// The size of its state, and how many backends its choices have examined.
     pub fn figures(&self) -> Figures {
-        Figures { customers: self.customers.len(), looked_at: self.index.looked_at() }
+        Figures {
+            customers: self.customers.len(),
+            looked_at: self.backends.index().examined(),
+        }
+    }
+
+    fn set_alarm(&mut self, alarm: AlarmId, at: Millis) {
+        self.actions.push(Action::SetAlarm { at, alarm });
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,6 +1,6 @@
 //! The decisions of an admission gateway for a service sold by plan.
 //!
-//! A front door owns sockets, clients and connections; this library decides. The front door makes one
+//! A proxy owns sockets, clients and connections; this library decides. The proxy makes one
 //! [`Gateway`] from its [`Settings`] and a seed, hands it every event with the time it happened, and carries
 //! out the actions that come back. Nothing here reads a clock, opens a file or keeps shared state.
 //!
@@ -43,8 +43,11 @@
 //! }
 //! ```
 
+mod backend;
 mod gateway;
 mod interface;
+mod lookup;
+mod pending;
 mod tenants;
 
 pub use gateway::{Cewma, Gateway};
--- /dev/null
+++ b/crates/policy/src/lookup/tests.rs
@@ -0,0 +1,110 @@
+use super::*;
+use crate::interface::{BackendId, ClassId, CustomerId, PlanId, Report};
+
+fn settings() -> Settings {
+    let class = |aim, deadline| Class {
+        aim,
+        deadline,
+        max_attempts: 2,
+        ..Class::default()
+    };
+    Settings {
+        gateways: 4,
+        classes: vec![class(500.0, 900.0), class(200.0, 4000.0)],
+        plans: vec![Plan::default()],
+        max_units: 8.0,
+        max_attempts: 3,
+        ..Settings::default()
+    }
+}
+
+fn request() -> Request {
+    Request {
+        id: RequestId(7),
+        customer: CustomerId(1),
+        plan: PlanId(0),
+        class: ClassId(0),
+        units: 2.0,
+        deadline: 600.0,
+        checked: true,
+        spread: 3.0,
+    }
+}
+
+#[test]
+fn targets_and_deadlines_are_over_all_classes() {
+    assert_eq!(settings().shortest_target(), 200.0);
+    assert_eq!(settings().longest_deadline(), 4000.0);
+    assert_eq!(Settings::default().shortest_target(), DEFAULT_TARGET_MS);
+    assert_eq!(Settings::default().longest_deadline(), MIN_DEADLINE_MS);
+}
+
+#[test]
+fn the_lower_limit_of_attempts_counts() {
+    assert_eq!(settings().attempt_limit(&request()), 2);
+}
+
+#[test]
+fn a_valid_request_stays_as_it_is() {
+    assert_eq!(settings().validated(100.0, request()), Some(request()));
+}
+
+#[test]
+fn figures_out_of_range_are_clamped() {
+    let wild = Request {
+        units: 99.0,
+        spread: f64::NAN,
+        deadline: f64::INFINITY,
+        ..request()
+    };
+    let request = settings().validated(100.0, wild).expect("it is known");
+    assert_eq!(request.units, 8.0);
+    assert_eq!(request.spread, 1.0);
+    assert_eq!(request.deadline, 1000.0);
+}
+
+#[test]
+fn unknown_plans_and_classes_are_denied() {
+    let plan = PlanId(1);
+    let class = ClassId(2);
+    assert_eq!(
+        settings().validated(0.0, Request { plan, ..request() }),
+        None
+    );
+    assert_eq!(
+        settings().validated(0.0, Request { class, ..request() }),
+        None
+    );
+}
+
+#[test]
+fn an_alarm_names_its_request() {
+    let alarm = AlarmId::from(RequestId(7));
+    assert_eq!(alarm.request(), Some(RequestId(7)));
+    assert_eq!(AlarmId(u64::MAX).request(), None);
+}
+
+#[test]
+fn a_reset_breaks_a_connection_only_if_one_was_established() {
+    let settled = Settled {
+        request: RequestId(7),
+        attempt: 0,
+        backend: BackendId(1),
+        outcome: Outcome::Reset,
+        elapsed: -5.0,
+        closed: false,
+        use_of_quota: None,
+        true_units: None,
+        report: Report::default(),
+        broken: 1,
+    };
+    let end = settled.attempt_end(&request());
+    assert_eq!(end.result, AttemptResult::ConnectionBroken);
+    assert_eq!(end.elapsed, 0.0, "no time is negative");
+    let other = Settled {
+        broken: 0,
+        ..settled
+    };
+    let end = other.attempt_end(&request());
+    assert_eq!(end.result, AttemptResult::ConnectionReset);
+}
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -1,124 +1,157 @@
-//! Tenants of the system: the design's recent average, box and bucket, where doors are lent parts of a quota.
+//! Admission of tenants, where proxies hold leases on shares of a quota: the design's recent average,
+//! penalty box and token bucket.
 
-use crate::gateway::Cewma;
+use crate::gateway::{box_closed_for, Cewma};
 use crate::interface::Millis;
-use std::collections::BTreeMap;
+use maplefall_load_estimators::EvictingMap;
 use std::f64::consts::LN_2;
 
-/// Halflife of the recent average, in burst lengths (the design asks for one at least), and at least.
-const HALFLIFE: (f64, Millis) = (4.0, 1000.0);
-/// The box shuts at this many times the quota rate (and the burst's share on top): the design's figure.
-const BOX_FACTOR: f64 = 3.0;
-/// Halflife of the demand that lenders are told.
-const DEMAND_HALFLIFE: Millis = 1500.0;
-/// A tenant that has not been heard of for this long is forgotten: its average has decayed.
-const EVICT: Millis = 60_000.0;
+/// Half-life of the recent average, in burst lengths (design: at least one).
+const AVERAGE_HALFLIFE_BURSTS: f64 = 4.0;
+/// Bounds of that half-life.
+const MIN_AVERAGE_HALFLIFE_MS: Millis = 1000.0;
+const MAX_AVERAGE_HALFLIFE_MS: Millis = EVICT_AFTER_MS / 4.0;
+/// Decay of the demand that is reported to lessors, with a half-life of 1.5 s.
+const DEMAND_LAMBDA: f64 = LN_2 / 1500.0;
+/// Least demand that is reported, in units a second.
+const MIN_DEMAND: f64 = 0.02;
+/// A tenant without requests for this long is forgotten: its average has decayed.
+const EVICT_AFTER_MS: Millis = 60_000.0;
 
 /// What a tenant may use, and what of it is held here.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Units a second over all doors; nought is no limit.
+    /// Units a second over all proxies; 0 is no limit.
     pub rate: f64,
     /// Units on top.
     pub burst: f64,
     /// Units that all buckets may hold together.
     pub depth: f64,
-    /// The part of all that this door holds, from nought to one.
+    /// This proxy's share of the quota, from 0 to 1.
     pub part: f64,
     /// Longest wait for tokens that are sure to come.
     pub wait: Millis,
 }
 
-/// Why a tenant's request is turned away, and how long that lasts.
+/// Why a tenant's request is rejected, and how long that lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Turned {
-    /// The box is shut.
+    /// The penalty box is closed.
     Box(Millis),
-    /// This door's bucket is empty.
+    /// This proxy's bucket is empty.
     Bucket(Millis),
 }
 
+/// How long a request waits for its tokens, or why it is rejected.
+type Decision = Result<Millis, Turned>;
+
 #[derive(Clone, Copy, Debug, Default)]
 struct Tenant {
     average: Cewma,
     demand: Cewma,
     tokens: f64,
-    filled: Millis,
-    flow: f64,
-    heard: Millis,
+    refilled_at: Millis,
+    /// Tokens a millisecond.
+    refill_rate: f64,
+    last_arrival: Millis,
 }
 
-/// All tenants that this door has heard of late. The key is whatever the caller knows them by.
+/// All tenants with recent requests at this proxy. The key is whatever the caller knows them by.
 #[derive(Clone, Debug)]
 pub struct Tenants<K> {
-    tenants: BTreeMap<K, Tenant>,
-    /// Whether buckets start full: only where no earlier life of the door may have emptied them.
-    full: bool,
-    evict: Millis,
+    tenants: EvictingMap<K, Tenant>,
+    /// Whether buckets start full: only where no earlier life of the proxy may have emptied them.
+    starts_full: bool,
 }
 
 impl<K: Ord + Clone> Tenants<K> {
-    /// Knows no tenant; `full` where the whole system starts for the first time.
+    /// Without any tenant; `full` where the whole system starts for the first time.
     pub fn new(full: bool) -> Tenants<K> {
-        Tenants { tenants: BTreeMap::new(), full, evict: 0.0 }
+        Tenants {
+            tenants: EvictingMap::default(),
+            starts_full: full,
+        }
     }
 
-    /// Holds this of a quota from now on. Guards QUOTA: what is lent bounds a bucket, and no loan fills it.
+    /// Holds this share of a quota from now on. The share bounds the bucket and its refill, and a
+    /// larger share fills nothing at once: so all proxies together stay within the quota.
     pub fn hold(&mut self, now: Millis, who: &K, quota: Quota) {
-        if now >= self.evict {
-            self.evict = now + EVICT / 4.0;
-            let before = self.tenants.len();
-            self.tenants.retain(|_, tenant| now - tenant.heard < EVICT);
-            self.full &= self.tenants.len() == before;
-        }
-        let tokens = if self.full { f64::INFINITY } else { 0.0 };
-        let fresh = Tenant { tokens, filled: now, heard: now, ..Tenant::default() };
+        self.refilled(now, who, quota);
+    }
+
+    fn refilled(&mut self, now: Millis, who: &K, quota: Quota) -> &mut Tenant {
+        let evicted = self.tenants.sweep(now, EVICT_AFTER_MS / 4.0, |tenant| {
+            now - tenant.last_arrival < EVICT_AFTER_MS
+        });
+        // A tenant that was evicted may come back, and its bucket may have been empty.
+        self.starts_full &= evicted == 0;
+        let fresh = Tenant {
+            tokens: if self.starts_full { f64::INFINITY } else { 0.0 },
+            refilled_at: now,
+            last_arrival: now,
+            ..Tenant::default()
+        };
         let tenant = self.tenants.entry(who.clone()).or_insert(fresh);
-        let flow = quota.rate * quota.part / 1000.0;
-        let filled = tenant.flow.min(flow) * (now - tenant.filled).max(0.0);
-        tenant.tokens = (tenant.tokens + filled).min(quota.depth * quota.part);
-        (tenant.filled, tenant.flow) = (now, flow);
+        let refill_rate = quota.rate * quota.part / 1000.0;
+        let elapsed = (now - tenant.refilled_at).max(0.0);
+        let refilled = tenant.tokens + tenant.refill_rate.min(refill_rate) * elapsed;
+        tenant.tokens = refilled.min(quota.depth * quota.part);
+        tenant.refilled_at = now;
+        tenant.refill_rate = refill_rate;
+        tenant
     }
 
     /// Counts an arrival of `units`, and takes them from the tenant's bucket or tells why not.
-    pub fn arrived(&mut self, now: Millis, who: &K, units: f64, quota: Quota) -> Result<Millis, Turned> {
-        self.hold(now, who, quota);
-        let Some(tenant) = self.tenants.get_mut(who) else { return Ok(0.0) };
+    pub fn arrived(&mut self, now: Millis, who: &K, units: f64, quota: Quota) -> Decision {
+        let tenant = self.refilled(now, who, quota);
         let burst_length = 1000.0 * quota.burst / quota.rate.max(1e-9);
-        let lambda = LN_2 / (HALFLIFE.0 * burst_length).clamp(HALFLIFE.1, EVICT / 4.0);
-        // Every arrival feeds the average, refused ones too.
+        let halflife = AVERAGE_HALFLIFE_BURSTS * burst_length;
+        let lambda = LN_2 / halflife.clamp(MIN_AVERAGE_HALFLIFE_MS, MAX_AVERAGE_HALFLIFE_MS);
+        // Every arrival counts, rejected ones too.
         tenant.average.feed(now, units, lambda);
-        tenant.demand.feed(now, units, LN_2 / DEMAND_HALFLIFE);
-        tenant.heard = now;
-        let limit = BOX_FACTOR * quota.rate + 1000.0 * lambda * quota.burst;
-        let rate = tenant.average.rate(now, lambda);
-        if quota.rate > 0.0 && rate > limit {
-            return Err(Turned::Box((rate / limit).ln() / lambda));
+        tenant.demand.feed(now, units, DEMAND_LAMBDA);
+        tenant.last_arrival = now;
+        let recent = tenant.average.rate(now, lambda);
+        match box_closed_for(recent, quota.rate, quota.burst, lambda) {
+            Some(wait) if quota.rate > 0.0 => Err(Turned::Box(wait)),
+            _ => tenant.take(now, units, quota),
         }
-        self.take(now, who, units, quota)
     }
 
-    /// Takes from a bucket for a counted arrival, and tells when its tokens come: only the calm wait.
-    pub fn take(&mut self, now: Millis, who: &K, units: f64, quota: Quota) -> Result<Millis, Turned> {
-        self.hold(now, who, quota);
-        let Some(tenant) = self.tenants.get_mut(who).filter(|_| quota.rate > 0.0) else { return Ok(0.0) };
-        let wait = (units - tenant.tokens).max(0.0) / tenant.flow.max(1e-9);
-        let calm = tenant.demand.rate(now, LN_2 / DEMAND_HALFLIFE) <= 1000.0 * tenant.flow;
-        if wait > if calm { quota.wait } else { 0.0 } {
-            return Err(Turned::Bucket(wait));
-        }
-        tenant.tokens -= units;
-        Ok(wait)
+    /// Takes from a bucket for a counted arrival, and returns the wait until its tokens are there.
+    pub fn take(&mut self, now: Millis, who: &K, units: f64, quota: Quota) -> Decision {
+        self.refilled(now, who, quota).take(now, units, quota)
     }
 
-    /// Gives back what was taken for a request that was never sent on.
+    /// Gives back what was taken for a request that was never forwarded.
     pub fn give_back(&mut self, who: &K, units: f64) {
-        self.tenants.entry(who.clone()).and_modify(|tenant| tenant.tokens += units);
+        let tenant = self.tenants.entry(who.clone());
+        tenant.and_modify(|tenant| tenant.tokens += units);
     }
 
-    /// What each tenant has asked of late, in units a second; those that ask next to nothing are left out.
+    /// What each tenant has requested of late, in units a second, without those
+    /// that request next to nothing.
     pub fn demand(&self, now: Millis) -> impl Iterator<Item = (&K, f64)> {
-        let rate = move |tenant: &Tenant| tenant.demand.rate(now, LN_2 / DEMAND_HALFLIFE);
-        self.tenants.iter().map(move |(who, tenant)| (who, rate(tenant))).filter(|(_, rate)| *rate > 0.02)
+        let tenants = self.tenants.iter();
+        let demand =
+            tenants.map(move |(who, tenant)| (who, tenant.demand.rate(now, DEMAND_LAMBDA)));
+        demand.filter(|(_, rate)| *rate > MIN_DEMAND)
+    }
+}
+
+impl Tenant {
+    /// Only a tenant whose demand is within its refill rate may wait for tokens.
+    fn take(&mut self, now: Millis, units: f64, quota: Quota) -> Decision {
+        if quota.rate <= 0.0 {
+            return Ok(0.0);
+        }
+        let wait = (units - self.tokens).max(0.0) / self.refill_rate.max(1e-9);
+        let is_within = self.demand.rate(now, DEMAND_LAMBDA) <= 1000.0 * self.refill_rate;
+        let longest = if is_within { quota.wait } else { 0.0 };
+        if wait > longest {
+            return Err(Turned::Bucket(wait));
+        }
+        self.tokens -= units;
+        Ok(wait)
     }
 }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -7,7 +7,11 @@
 const LAMBDA: f64 = std::f64::consts::LN_2 / 2000.0;
 
 fn plan() -> Plan {
-    Plan { rate: 10.0, burst: 20.0, ..Plan::default() } // burst length: 2 s
+    Plan {
+        rate: 10.0,
+        burst: 20.0,
+        ..Plan::default()
+    } // burst length: 2 s
 }
 
 #[test]
@@ -30,18 +34,26 @@
 fn use_within_quota_and_burst_is_never_refused() {
     let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0), ready(2, 0)]);
     for i in 0..20 {
-        assert!(stage.serve(f64::from(i) * 11.0, request(i, 0, 0.0)), "request {i} of the burst");
+        assert!(
+            stage.serve(f64::from(i) * 11.0, request(i, 0, 0.0)),
+            "request {i} of the burst"
+        );
     }
     for i in 20..200 {
         let now = 220.0 + f64::from(i - 19) * 100.0;
-        assert!(stage.serve(now, request(i, 0, now)), "request {i} at the quota's rate");
+        assert!(
+            stage.serve(now, request(i, 0, now)),
+            "request {i} at the quota's rate"
+        );
     }
 }
 
 #[test]
 fn beyond_the_slice_is_refused_at_once_and_the_slice_refills() {
     let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0)]);
-    let served = (0..40).filter(|i| stage.serve(1.0 + f64::from(*i), request(*i, 0, 0.0))).count();
+    let served = (0..40)
+        .filter(|i| stage.serve(1.0 + f64::from(*i), request(*i, 0, 0.0)))
+        .count();
     assert_eq!(served, 20);
     assert!(!stage.serve(50.0, request(100, 0, 50.0)));
     assert!(stage.serve(50.0 + 1000.0, request(101, 0, 1050.0)));
@@ -82,13 +94,24 @@
 #[test]
 fn a_young_gateway_follows_demand_as_soon_as_an_old_one() {
     let served = |from: u32| {
-        let set = Settings { meter_period: 1000.0, ..settings(plan(), 4) };
+        let set = Settings {
+            meter_period: 1000.0,
+            ..settings(plan(), 4)
+        };
         let mut stage = Stage::new(set, vec![ready(1, 0), ready(2, 0)]);
         let served = (0..150).filter(|i| {
             let now = f64::from(from + i) * 100.0;
-            let request = Request { spread: 4.0, ..request(*i, 0, now) };
-            let Some(at) = stage.arrive(now, request) else { return false };
-            let end = Settled { use_of_quota: Some(0.5), ..settled(*i, 0, at, Outcome::Ok) };
+            let request = Request {
+                spread: 4.0,
+                ..request(*i, 0, now)
+            };
+            let Some(at) = stage.arrive(now, request) else {
+                return false;
+            };
+            let end = Settled {
+                use_of_quota: Some(0.5),
+                ..settled(*i, 0, at, Outcome::Ok)
+            };
             stage.play(now + 10.0, Event::Settled(end));
             true
         });
@@ -101,14 +124,28 @@
 #[test]
 fn a_slice_follows_local_demand_and_falls_back_when_the_meter_shows_use_past_the_quota() {
     let served = |used: f64| {
-        let set = Settings { meter_period: 1000.0, ..settings(plan(), 2) };
+        let set = Settings {
+            meter_period: 1000.0,
+            ..settings(plan(), 2)
+        };
         let mut stage = Stage::new(set, vec![ready(1, 0), ready(2, 0)]);
         let mut served = 0;
         for i in 0..400 {
             let now = f64::from(i) * 100.0;
-            let Some(at) = stage.arrive(now, Request { spread: 2.0, ..request(i, 0, now) }) else { continue };
+            let Some(at) = stage.arrive(
+                now,
+                Request {
+                    spread: 2.0,
+                    ..request(i, 0, now)
+                },
+            ) else {
+                continue;
+            };
             served += u32::from(i >= 240); // the slice has had time to rise
-            let end = Settled { use_of_quota: Some(used), ..settled(i, 0, at, Outcome::Ok) };
+            let end = Settled {
+                use_of_quota: Some(used),
+                ..settled(i, 0, at, Outcome::Ok)
+            };
             stage.play(now + 10.0, Event::Settled(end));
         }
         served
@@ -121,10 +158,22 @@
 
 #[test]
 fn true_units_settle_the_slice() {
-    let mut stage = Stage::new(Settings { max_units: 20.0, ..settings(plan(), 1) }, vec![ready(1, 0)]);
-    let first = Request { units: 2.0, ..request(1, 0, 0.0) };
+    let mut stage = Stage::new(
+        Settings {
+            max_units: 20.0,
+            ..settings(plan(), 1)
+        },
+        vec![ready(1, 0)],
+    );
+    let first = Request {
+        units: 2.0,
+        ..request(1, 0, 0.0)
+    };
     let at = stage.arrive(1.0, first).unwrap();
-    let end = Settled { true_units: Some(19.0), ..settled(1, 0, at, Outcome::Ok) };
+    let end = Settled {
+        true_units: Some(19.0),
+        ..settled(1, 0, at, Outcome::Ok)
+    };
     stage.play(2.0, Event::Settled(end));
     assert!(stage.serve(3.0, request(2, 0, 3.0)));
     assert!(!stage.serve(4.0, request(3, 0, 4.0)));
@@ -136,29 +185,52 @@
     (0..20).for_each(|i| assert!(stage.serve(1.0 + f64::from(i), request(i, 0, 0.0))));
     for i in 0..3000u32 {
         let now = 1000.0 + f64::from(i) * 100.0;
-        let once = Request { customer: CustomerId(u64::from(i) + 10), ..request(i + 100, 0, now) };
+        let once = Request {
+            customer: CustomerId(u64::from(i) + 10),
+            ..request(i + 100, 0, now)
+        };
         assert!(stage.serve(now, once));
     }
     assert!(stage.gateway.figures().customers < 1000);
     // The first customer is back: its slice is full, as it would have been.
     let now = 302_000.0;
-    let served = (0..40).filter(|i| stage.serve(now + f64::from(*i), request(i + 9000, 0, now))).count();
+    let served = (0..40)
+        .filter(|i| stage.serve(now + f64::from(*i), request(i + 9000, 0, now)))
+        .count();
     assert_eq!(served, 20);
 }
 
 #[test]
 fn the_part_of_a_ceiling_starts_empty_and_holds_through_restarts() {
-    let ceiling = Ceiling { rate: 20.0, burst: 40.0, slack: 4.0 };
-    let plan = Plan { rate: 10.0, burst: 2000.0, ceiling: Some(ceiling), ..Plan::default() };
+    let ceiling = Ceiling {
+        rate: 20.0,
+        burst: 40.0,
+        slack: 4.0,
+    };
+    let plan = Plan {
+        rate: 10.0,
+        burst: 2000.0,
+        ceiling: Some(ceiling),
+        ..Plan::default()
+    };
     let mut sent = 0.0;
     // Two gateways share the ceiling; one is killed and started again each second for a minute.
     for life in 0..60 {
         let mut stage = Stage::new(settings(plan.clone(), 2), vec![ready(1, 0)]);
         for i in 0..100 {
             let now = f64::from(i) * 10.0;
-            sent += f64::from(u8::from(stage.serve(now, Request { spread: 2.0, ..request(i, 0, now) })));
+            sent += f64::from(u8::from(stage.serve(
+                now,
+                Request {
+                    spread: 2.0,
+                    ..request(i, 0, now)
+                },
+            )));
         }
-        assert!(sent <= 10.0 * f64::from(life + 1), "{sent} units after {life} lives");
+        assert!(
+            sent <= 10.0 * f64::from(life + 1),
+            "{sent} units after {life} lives"
+        );
     }
     assert!(sent > 400.0, "a part is there to be used: {sent}");
 }
@@ -166,15 +238,30 @@
 /// Guards a ceiling that fills more slowly than customers are forgotten: one that comes back would else find it full again.
 #[test]
 fn the_part_of_a_ceiling_is_no_fuller_for_a_customer_that_was_forgotten() {
-    let ceiling = Ceiling { rate: 0.1, burst: 20.0, slack: 0.0 };
-    let plan = Plan { rate: 1000.0, burst: 300.0, ceiling: Some(ceiling), ..Plan::default() };
+    let ceiling = Ceiling {
+        rate: 0.1,
+        burst: 20.0,
+        slack: 0.0,
+    };
+    let plan = Plan {
+        rate: 1000.0,
+        burst: 300.0,
+        ceiling: Some(ceiling),
+        ..Plan::default()
+    };
     let mut stage = Stage::new(settings(plan, 1), vec![ready(1, 0)]);
     let mut id = 0;
     let mut tries = |stage: &mut Stage, now: Millis, count: u32, customer: u64| {
         let sent = (0..count).filter(|i| {
             id += 1;
             let now = now + f64::from(*i) * 11.0;
-            stage.serve(now, Request { customer: CustomerId(customer), ..request(id, 0, now) })
+            stage.serve(
+                now,
+                Request {
+                    customer: CustomerId(customer),
+                    ..request(id, 0, now)
+                },
+            )
         });
         sent.count()
     };
@@ -183,15 +270,33 @@
     (0..300u32).for_each(|i| _ = tries(&mut stage, 201_000.0 + f64::from(i) * 200.0, 1, 2));
     assert_eq!(stage.gateway.figures().customers, 1, "forgotten");
     let again = tries(&mut stage, 261_000.0, 60, 1);
-    assert!(first <= 20 && again <= 6 && again > 0, "{first}, then {again}");
+    assert!(
+        first <= 20 && again <= 6 && again > 0,
+        "{first}, then {again}"
+    );
 }
 
 #[test]
 fn attempts_open_at_once_keep_to_this_gateways_part_rounded_up_while_time_is_spare() {
-    let plan = Plan { max_open: 3, ..plan() };
-    let mut stage = Stage::new(settings(plan, 2), vec![ready(1, 0), ready(2, 0), ready(3, 0)]);
-    assert!(stage.serve(1.0, Request { spread: 2.0, ..request(99, 0, 1.0) }));
-    let late = |i| Request { spread: 2.0, ..request(i, 0, 2000.0) };
+    let plan = Plan {
+        max_open: 3,
+        ..plan()
+    };
+    let mut stage = Stage::new(
+        settings(plan, 2),
+        vec![ready(1, 0), ready(2, 0), ready(3, 0)],
+    );
+    assert!(stage.serve(
+        1.0,
+        Request {
+            spread: 2.0,
+            ..request(99, 0, 1.0)
+        }
+    ));
+    let late = |i| Request {
+        spread: 2.0,
+        ..request(i, 0, 2000.0)
+    };
     let sent = (0..5).filter(|i| stage.arrive(2000.0, late(*i)).is_some());
     assert_eq!(sent.count(), 2);
 }
@@ -201,7 +306,15 @@
     let mut stage = Stage::new(settings(plan(), 2), vec![ready(1, 0), ready(2, 0)]);
     // One and a half seconds at three times the quota: half a burst, the even refill, and little of a rise.
     let spike = |i: u32| 1.0 + f64::from(i) * 33.0;
-    let served = (0..45).filter(|i| stage.serve(spike(*i), Request { spread: 2.0, ..request(*i, 0, 0.0) }));
+    let served = (0..45).filter(|i| {
+        stage.serve(
+            spike(*i),
+            Request {
+                spread: 2.0,
+                ..request(*i, 0, 0.0)
+            },
+        )
+    });
     let served = served.count();
     assert!((17..=20).contains(&served), "{served}");
 }
@@ -209,27 +322,51 @@
 #[test]
 fn a_cap_on_attempts_out_below_one_a_gateway_holds_for_the_sum_and_is_made_use_of() {
     // Twelve gateways, a cap of six and use that would keep twelve out: no gateway sees more than its own.
-    let plan = Plan { rate: 120.0, burst: 240.0, max_open: 6, ..Plan::default() };
+    let plan = Plan {
+        rate: 120.0,
+        burst: 240.0,
+        max_open: 6,
+        ..Plan::default()
+    };
     let backends = || (1..=8).map(|id| ready(id, 0)).collect::<Vec<_>>();
-    let set = Settings { meter_period: 1000.0, ..settings(plan, 12) };
-    let mut stages: Vec<Stage> = (0..12).map(|seed| Stage::seeded(set.clone(), seed, backends())).collect();
+    let set = Settings {
+        meter_period: 1000.0,
+        ..settings(plan, 12)
+    };
+    let mut stages: Vec<Stage> = (0..12)
+        .map(|seed| Stage::seeded(set.clone(), seed, backends()))
+        .collect();
     let mut out: Vec<(usize, u32, BackendId, f64)> = Vec::new();
     let (mut time_out, mut alone) = (0.0, 0);
     for i in 0..3600u32 {
         let now = 1.0 + f64::from(i) * 10.0;
-        let (due, rest) = out.into_iter().partition(|(.., since)| now - since >= 100.0);
+        let (due, rest) = out
+            .into_iter()
+            .partition(|(.., since)| now - since >= 100.0);
         out = rest;
         for (door, id, at, _) in Vec::<(usize, u32, BackendId, f64)>::from_iter(due) {
-            let end = Settled { elapsed: 100.0, use_of_quota: Some(0.8), ..settled(id, 0, at, Outcome::Ok) };
+            let end = Settled {
+                elapsed: 100.0,
+                use_of_quota: Some(0.8),
+                ..settled(id, 0, at, Outcome::Ok)
+            };
             stages[door].play(now, Event::Settled(end));
         }
         let door = (i as usize * 7) % 12;
-        let asked = Request { spread: 12.0, deadline: now + 3000.0, ..request(i, 0, now) };
+        let asked = Request {
+            spread: 12.0,
+            deadline: now + 3000.0,
+            ..request(i, 0, now)
+        };
         if let Some(at) = stages[door].arrive(now, asked) {
             alone += u32::from(out.is_empty());
             out.push((door, i, at, now));
         }
-        time_out += if i >= 1200 { out.len() as f64 / 2400.0 } else { 0.0 };
+        time_out += if i >= 1200 {
+            out.len() as f64 / 2400.0
+        } else {
+            0.0
+        };
     }
     assert!((2.5..=6.5).contains(&time_out), "{time_out} out on average");
     assert!(alone < 600, "the cap is made use of");
@@ -239,7 +376,9 @@
 fn the_burst_and_the_quota_with_each_request_tried_twice_do_not_shut_the_box() {
     let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0), ready(2, 0)]);
     let mut served = 0;
-    (0..40).for_each(|i| served += u32::from(stage.serve(1.0 + f64::from(i) * 11.0, request(i, 0, 0.0))));
+    (0..40).for_each(|i| {
+        served += u32::from(stage.serve(1.0 + f64::from(i) * 11.0, request(i, 0, 0.0)))
+    });
     assert!(served >= 20);
     // Ten a second are the quota; each comes twice, and every second one finds the slice empty at most.
     let mut later = 0;
@@ -252,15 +391,27 @@
 
 /// A customer spread over a hundred gateways, whose part of the burst holds no request: a small request first, a large one next.
 fn large_after_small(spread: f64, later: Millis, seed: u64) -> Option<Reason> {
-    let plan = Plan { rate: 4.0, burst: 20.0, ..Plan::default() };
+    let plan = Plan {
+        rate: 4.0,
+        burst: 20.0,
+        ..Plan::default()
+    };
     let mut set = settings(plan, 100);
     set.max_units = 8.0;
     let mut stage = Stage::seeded(set, seed, vec![ready(1, 0)]);
-    let small = Request { spread, ..request(1, 0, 0.0) };
+    let small = Request {
+        spread,
+        ..request(1, 0, 0.0)
+    };
     if !stage.serve(0.0, small) {
         return Some(Reason::Share);
     }
-    let large = Request { id: RequestId(2), units: 8.0, deadline: later + 3000.0, ..small };
+    let large = Request {
+        id: RequestId(2),
+        units: 8.0,
+        deadline: later + 3000.0,
+        ..small
+    };
     stage.serve(later, large);
     stage.actions.iter().find_map(|action| match action {
         Action::Refuse { reason, .. } => Some(*reason),
@@ -272,12 +423,17 @@
 /// would have held it. Where the slice is a part of the burst worth the name, it must still wait for it.
 #[test]
 fn a_sliver_grows_with_the_largest_request() {
-    let reasons: Vec<_> = (0..60).map(|seed| large_after_small(100.0, 20_000.0, seed)).collect();
+    let reasons: Vec<_> = (0..60)
+        .map(|seed| large_after_small(100.0, 20_000.0, seed))
+        .collect();
     assert!(!reasons.contains(&Some(Reason::Slice)), "{reasons:?}");
     let served = reasons.iter().filter(|reason| reason.is_none()).count();
     assert!((5..60).contains(&served), "{served} of 60");
     let waits = (0..60).all(|seed| large_after_small(4.0, 100.0, seed) == Some(Reason::Slice));
-    assert!(waits, "a slice of a quarter of the burst is none that grows");
+    assert!(
+        waits,
+        "a slice of a quarter of the burst is none that grows"
+    );
 }
 
 fn reason(stage: &Stage) -> Option<Reason> {
@@ -292,7 +448,13 @@
 fn a_refusal_tells_its_reason() {
     let one = |plan: Plan| Stage::new(settings(plan, 1), vec![ready(1, 0)]);
     let mut stage = one(plan());
-    stage.play(0.0, Event::Arrival(Request { plan: PlanId(7), ..request(0, 0, 0.0) }));
+    stage.play(
+        0.0,
+        Event::Arrival(Request {
+            plan: PlanId(7),
+            ..request(0, 0, 0.0)
+        }),
+    );
     assert_eq!(reason(&stage), Some(Reason::Unknown));
     for id in 1..30 {
         stage.serve(1.0, request(id, 0, 1.0));
@@ -314,13 +476,20 @@
     stage.play(0.0, Event::Elsewhere(told));
     stage.play(0.0, Event::Arrival(request(1, 0, 0.0)));
     assert_eq!(reason(&stage), Some(Reason::SoldOut));
-    let ceiling = Some(Ceiling { rate: 1.0, burst: 3.0, slack: 0.0 });
+    let ceiling = Some(Ceiling {
+        rate: 1.0,
+        burst: 3.0,
+        slack: 0.0,
+    });
     let mut stage = one(Plan { ceiling, ..plan() });
     for id in 0..4 {
         stage.serve(0.0, request(id, 0, 0.0));
     }
     assert_eq!(reason(&stage), Some(Reason::Ceiling));
-    let mut stage = one(Plan { max_open: 1, ..plan() });
+    let mut stage = one(Plan {
+        max_open: 1,
+        ..plan()
+    });
     for id in 0..2 {
         stage.arrive(0.0, request(id, 0, 0.0));
     }
@@ -336,7 +505,8 @@
         stage.settle(10.0, 1, attempt, again, Outcome::ConnectFailed);
     }
     assert_eq!(reason(&stage), Some(Reason::Attempts));
-    let names: std::collections::BTreeSet<_> = Reason::ALL.iter().map(|reason| reason.name()).collect();
+    let names: std::collections::BTreeSet<_> =
+        Reason::ALL.iter().map(|reason| reason.name()).collect();
     assert_eq!(names.len(), Reason::ALL.len());
 }
 
@@ -352,19 +522,35 @@
             ..settings(plan(), spread as u32)
         };
         let mut stage = Stage::new(set, vec![ready(1, 0)]);
-        let ask = |id: u32| Request { spread, units: 8.0, ..request(id, 0, 1.0) };
+        let ask = |id: u32| Request {
+            spread,
+            units: 8.0,
+            ..request(id, 0, 1.0)
+        };
         (0..9).find_map(|id| {
             stage.serve(1.0, ask(id));
             stage.actions.iter().find_map(|action| match action {
-                Action::Refuse { reason: Reason::Slice, retry_after, .. } => *retry_after,
+                Action::Refuse {
+                    reason: Reason::Slice,
+                    retry_after,
+                    ..
+                } => *retry_after,
                 _ => None,
             })
         })
     };
     // 20 units hold two requests of 8 and 4 units of a third; 4 more come within 400 ms.
-    assert!(advised(1.0).is_some_and(|wait| (wait - 400.0).abs() < 2.0), "{:?}", advised(1.0));
+    assert!(
+        advised(1.0).is_some_and(|wait| (wait - 400.0).abs() < 2.0),
+        "{:?}",
+        advised(1.0)
+    );
     // The aim is a second.
-    assert!(advised(4.0).is_some_and(|wait| (wait - 300.0).abs() < 1.0), "{:?}", advised(4.0));
+    assert!(
+        advised(4.0).is_some_and(|wait| (wait - 300.0).abs() < 1.0),
+        "{:?}",
+        advised(4.0)
+    );
 }
 
 /// Four times its quota through four gateways evenly, with nothing to tell them of each other: without a meter slices stay at their
@@ -372,14 +558,20 @@
 #[test]
 fn without_a_meter_slices_do_not_rise() {
     let served = |meter_period: f64| {
-        let set = Settings { meter_period, ..settings(plan(), 4) };
+        let set = Settings {
+            meter_period,
+            ..settings(plan(), 4)
+        };
         let mut stage = Stage::new(set, vec![ready(1, 0), ready(2, 0)]);
         // At each gateway as much as the whole quota, for twenty seconds.
         (0..200)
             .filter(|i| {
                 stage.serve(
                     f64::from(*i) * 100.0,
-                    Request { spread: 4.0, ..request(*i, 0, f64::from(*i) * 100.0) },
+                    Request {
+                        spread: 4.0,
+                        ..request(*i, 0, f64::from(*i) * 100.0)
+                    },
                 )
             })
             .count()
--- a/crates/policy/tests/held.rs
+++ b/crates/policy/tests/caller_check.rs
@@ -6,7 +6,11 @@
 use maplefall_policy::*;
 
 fn plan() -> Plan {
-    Plan { rate: 10.0, burst: 8.0, ..Plan::default() }
+    Plan {
+        rate: 10.0,
+        burst: 8.0,
+        ..Plan::default()
+    }
 }
 
 fn stage() -> Stage {
@@ -14,21 +18,35 @@
 }
 
 fn held(id: u32, class: usize, now: Millis) -> Request {
-    Request { checked: false, ..request(id, class, now) }
+    Request {
+        checked: false,
+        ..request(id, class, now)
+    }
 }
 
 fn checks(actions: &[Action]) -> usize {
-    actions.iter().filter(|action| matches!(action, Action::Check(_))).count()
+    actions
+        .iter()
+        .filter(|action| matches!(action, Action::Check(_)))
+        .count()
 }
 
 fn checked(stage: &mut Stage, now: Millis, id: u32, passes: bool) -> Option<BackendId> {
-    stage.play(now, Event::Checked { request: RequestId(id), passes });
+    stage.play(
+        now,
+        Event::Checked {
+            request: RequestId(id),
+            passes,
+        },
+    );
     stage.sent()
 }
 
 /// How many of `count` requests in one instant are served.
 fn served(stage: &mut Stage, now: Millis, from: u32, count: u32) -> usize {
-    (from..from + count).filter(|id| stage.serve(now, request(*id, 0, now))).count()
+    (from..from + count)
+        .filter(|id| stage.serve(now, request(*id, 0, now)))
+        .count()
 }
 
 #[test]
@@ -64,7 +82,9 @@
 #[test]
 fn a_flood_past_quota_is_refused_before_anybody_is_asked() {
     let mut stage = stage();
-    let asked: usize = (0..500).map(|id| checks(stage.play(0.0, Event::Arrival(held(id, 0, 0.0))))).sum();
+    let asked: usize = (0..500)
+        .map(|id| checks(stage.play(0.0, Event::Arrival(held(id, 0, 0.0)))))
+        .sum();
     let quota = served(&mut self::stage(), 0.0, 1000, 40);
     assert!(asked <= quota, "{asked} checks for a quota of {quota}");
 }
@@ -89,13 +109,20 @@
     let (at, alarm) = alarm.expect("an alarm");
     assert!(at < 3000.0, "before its client gives up: {at}");
     let actions = late.play(at, Event::Alarm(alarm));
-    assert!(matches!(actions, [Action::Refuse { .. }]), "nothing has run: {actions:?}");
+    assert!(
+        matches!(actions, [Action::Refuse { .. }]),
+        "nothing has run: {actions:?}"
+    );
     assert_eq!(checked(&mut late, at + 1.0, 1, true), None);
 }
 
 #[test]
 fn a_slow_check_is_not_taken_for_slow_backends() {
-    let open = Plan { rate: 1000.0, burst: 1000.0, ..Plan::default() };
+    let open = Plan {
+        rate: 1000.0,
+        burst: 1000.0,
+        ..Plan::default()
+    };
     let mut stage = Stage::new(settings(open, 4), vec![ready(1, 0), ready(2, 0)]);
     let mut now = 0.0;
     for id in 0..300 {
@@ -106,34 +133,65 @@
         now += 950.0;
     }
     // Were the checks' delay felt, a part of these would be refused by chance.
-    assert!((1000..1200).all(|id| stage.serve(now + f64::from(id), request(id, 0, now + f64::from(id)))));
+    assert!((1000..1200)
+        .all(|id| stage.serve(now + f64::from(id), request(id, 0, now + f64::from(id)))));
 }
 
 #[test]
 fn the_backend_is_chosen_when_the_verdict_is_there() {
     let mut stage = stage();
     stage.play(0.0, Event::Arrival(held(1, 2, 0.0)));
-    let drained = BackendEntry { availability: Availability::Draining, ..ready(1, 0) };
+    let drained = BackendEntry {
+        availability: Availability::Draining,
+        ..ready(1, 0)
+    };
     stage.play(10.0, Event::Backends(ListKind::Changes, vec![drained]));
     assert_eq!(checked(&mut stage, 20.0, 1, true), Some(BackendId(2)));
     // With none left it is refused, and has taken nothing.
     stage.play(30.0, Event::Arrival(held(2, 2, 30.0)));
-    let gone = BackendEntry { availability: Availability::Gone, ..ready(2, 0) };
+    let gone = BackendEntry {
+        availability: Availability::Gone,
+        ..ready(2, 0)
+    };
     stage.play(40.0, Event::Backends(ListKind::Changes, vec![gone]));
-    stage.play(50.0, Event::Checked { request: RequestId(2), passes: true });
-    assert!(matches!(stage.actions[..], [Action::Refuse { .. }]), "{:?}", stage.actions);
+    stage.play(
+        50.0,
+        Event::Checked {
+            request: RequestId(2),
+            passes: true,
+        },
+    );
+    assert!(
+        matches!(stage.actions[..], [Action::Refuse { .. }]),
+        "{:?}",
+        stage.actions
+    );
 }
 
 #[test]
 fn a_hard_ceiling_is_held_for_those_that_wait_and_given_back_by_those_denied() {
     // It begins empty and is full after a second.
-    let ceiling = Some(Ceiling { rate: 5.0, burst: 5.0, slack: 0.0 });
-    let plan = Plan { rate: 1000.0, burst: 1000.0, ceiling, ..Plan::default() };
+    let ceiling = Some(Ceiling {
+        rate: 5.0,
+        burst: 5.0,
+        slack: 0.0,
+    });
+    let plan = Plan {
+        rate: 1000.0,
+        burst: 1000.0,
+        ceiling,
+        ..Plan::default()
+    };
     let mut stage = Stage::new(settings(plan, 1), vec![ready(1, 0), ready(2, 0)]);
     let now = 5000.0;
-    let waiting: Vec<u32> =
-        (0..20).filter(|id| checks(stage.play(now, Event::Arrival(held(*id, 0, now)))) == 1).collect();
-    assert_eq!(waiting.len(), 5, "no more wait than the ceiling lets through");
+    let waiting: Vec<u32> = (0..20)
+        .filter(|id| checks(stage.play(now, Event::Arrival(held(*id, 0, now)))) == 1)
+        .collect();
+    assert_eq!(
+        waiting.len(),
+        5,
+        "no more wait than the ceiling lets through"
+    );
     for id in &waiting {
         checked(&mut stage, now, *id, false);
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -10,8 +10,16 @@
 
 /// One gateway of `spread` with a plan and a class of each effect: 0 safe, 1 keyed, 2 unsafe.
 pub fn settings(plan: Plan, gateways: u32) -> Settings {
-    let class = |effect| Class { aim: 1000.0, deadline: 3000.0, effect, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::Zone, memory: 2000.0 };
+    let class = |effect| Class {
+        aim: 1000.0,
+        deadline: 3000.0,
+        effect,
+        ..Class::default()
+    };
+    let keyed = Effect::Keyed {
+        group: Group::Zone,
+        memory: 2000.0,
+    };
     Settings {
         gateways,
         classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
@@ -56,7 +64,10 @@
 
     /// One of several gateways, each with a seed of its own.
     pub fn seeded(settings: Settings, seed: u64, backends: Vec<BackendEntry>) -> Stage {
-        let mut stage = Stage { gateway: Gateway::new(settings, seed), actions: Vec::new() };
+        let mut stage = Stage {
+            gateway: Gateway::new(settings, seed),
+            actions: Vec::new(),
+        };
         stage.play(0.0, Event::Backends(ListKind::Cached, backends));
         stage
     }
--- a/crates/policy/tests/fleet_input.rs
+++ b/crates/policy/tests/fleet_input.rs
@@ -5,7 +5,12 @@
 use maplefall_policy::*;
 
 fn plan() -> Plan {
-    Plan { rate: 50.0, burst: 100.0, max_open: 4, ..Plan::default() }
+    Plan {
+        rate: 50.0,
+        burst: 100.0,
+        max_open: 4,
+        ..Plan::default()
+    }
 }
 
 /// Plays requests that are all served, a tenth of a second apart; tells how many were sent on.
@@ -13,7 +18,15 @@
     let play = |i: &u32| {
         let now = from + f64::from(*i) * 100.0;
         let id = *i + from as u32;
-        let Some(at) = stage.arrive(now, Request { spread, ..request(id, 0, now) }) else { return false };
+        let Some(at) = stage.arrive(
+            now,
+            Request {
+                spread,
+                ..request(id, 0, now)
+            },
+        ) else {
+            return false;
+        };
         stage.settle(now + 20.0, id, 0, at, Outcome::Ok);
         true
     };
@@ -28,8 +41,14 @@
             let list = (0..3).map(|id| ready(id, 0)).collect();
             let mut stage = Stage::new(settings(plan(), gateways), list);
             let sent = served(&mut stage, 0.0, spread);
-            assert!(sent > 0, "{gateways} gateways, spread {spread}: nothing is sent on");
-            assert!(sent == 200 || gateways > 1, "{gateways} gateways, spread {spread}: {sent} of 200");
+            assert!(
+                sent > 0,
+                "{gateways} gateways, spread {spread}: nothing is sent on"
+            );
+            assert!(
+                sent == 200 || gateways > 1,
+                "{gateways} gateways, spread {spread}: {sent} of 200"
+            );
         }
     }
 }
@@ -37,14 +56,30 @@
 /// Guards times and sizes of the cold start that make no sense.
 #[test]
 fn a_cold_start_by_nonsense_settings_still_ends() {
-    for (start_capacity, warm_up, overload_factor) in
-        [(0.0, 0.0, 0.0), (0.0, 10_000.0, 3.0), (2.0, 1e12, 1e12), (1.0, -5.0, -1.0)]
-    {
-        let set = Settings { start_capacity, warm_up, overload_factor, ..settings(plan(), 4) };
-        let cold = (0..3).map(|id| BackendEntry { started: Some(0.0), ..ready(id, 0) }).collect();
+    for (start_capacity, warm_up, overload_factor) in [
+        (0.0, 0.0, 0.0),
+        (0.0, 10_000.0, 3.0),
+        (2.0, 1e12, 1e12),
+        (1.0, -5.0, -1.0),
+    ] {
+        let set = Settings {
+            start_capacity,
+            warm_up,
+            overload_factor,
+            ..settings(plan(), 4)
+        };
+        let cold = (0..3)
+            .map(|id| BackendEntry {
+                started: Some(0.0),
+                ..ready(id, 0)
+            })
+            .collect();
         let mut stage = Stage::new(set, cold);
         let late = if warm_up > 1e9 { 0.0 } else { 20_000.0 };
-        assert!(served(&mut stage, late, 1.0) > 0, "{start_capacity} {warm_up} {overload_factor}");
+        assert!(
+            served(&mut stage, late, 1.0) > 0,
+            "{start_capacity} {warm_up} {overload_factor}"
+        );
     }
 }
 
@@ -63,8 +98,15 @@
 /// 100 requests in a second, and the living serve as soon as they are told of.
 #[test]
 fn a_known_list_of_the_dead_is_gone_through_in_turn() {
-    let wide = Plan { rate: 1000.0, burst: 1000.0, ..Plan::default() };
-    let mut stage = Stage::new(settings(wide, 100), (0..60).map(|id| ready(id, 0)).collect());
+    let wide = Plan {
+        rate: 1000.0,
+        burst: 1000.0,
+        ..Plan::default()
+    };
+    let mut stage = Stage::new(
+        settings(wide, 100),
+        (0..60).map(|id| ready(id, 0)).collect(),
+    );
     let mut tried = std::collections::BTreeMap::new();
     for i in 0..100u32 {
         let now = f64::from(i) * 10.0;
@@ -78,7 +120,11 @@
         }
     }
     let most = tried.values().max().copied().unwrap_or(0);
-    assert!(tried.len() > 30 && most <= 3, "{} tried, one of them {most} times", tried.len());
+    assert!(
+        tried.len() > 30 && most <= 3,
+        "{} tried, one of them {most} times",
+        tried.len()
+    );
     let living: Vec<_> = (100..160).map(|id| ready(id, 0)).collect();
     stage.play(1000.0, Event::Backends(ListKind::Full, living));
     assert!(served(&mut stage, 5000.0, 1.0) > 0);
--- a/crates/policy/tests/twins.rs
+++ b/crates/policy/tests/index_equivalence.rs
@@ -32,9 +32,16 @@
         assert_eq!(actions, walked, "at {now}");
         for action in actions {
             match action {
-                Action::Send { request, backend, .. } => {
+                Action::Send {
+                    request, backend, ..
+                } => {
                     let attempt = self.sends_of(request.0);
-                    self.out.push(Out { request: request.0, attempt, backend, sent: now });
+                    self.out.push(Out {
+                        request: request.0,
+                        attempt,
+                        backend,
+                        sent: now,
+                    });
                     self.sends += 1;
                 }
                 Action::SetAlarm { at, alarm } => self.alarms.push((at, alarm)),
@@ -52,7 +59,11 @@
 fn run(seed: u64, gateways: u32, backends: u32) -> u64 {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut pick = move |n: u32| rng.next_u32() % n.max(1);
-    let plan = Plan { rate: 300.0, burst: 900.0, ..Plan::default() };
+    let plan = Plan {
+        rate: 300.0,
+        burst: 900.0,
+        ..Plan::default()
+    };
     let set = Settings {
         warm_up: 5000.0,
         start_capacity: 0.2,
@@ -60,8 +71,17 @@
         cross_zone_price: 0.02,
         ..settings(plan, gateways)
     };
-    let (one, other) = (Gateway::new(set.clone(), seed), Gateway::new(set, seed).walking());
-    let mut twins = Twins { one, other, out: Vec::new(), alarms: Vec::new(), sends: 0 };
+    let (one, other) = (
+        Gateway::new(set.clone(), seed),
+        Gateway::new(set, seed).walking(),
+    );
+    let mut twins = Twins {
+        one,
+        other,
+        out: Vec::new(),
+        alarms: Vec::new(),
+        sends: 0,
+    };
     let list: Vec<_> = (0..backends).map(|id| ready(id, id % 3)).collect();
     twins.play(0.0, Event::Backends(ListKind::Cached, list));
     let outcomes = [
@@ -92,20 +112,48 @@
                 let units = f64::from(1 + pick(8));
                 let asked = request(id, pick(3) as usize, now);
                 let spread = f64::from(gateways.min(4));
-                twins.play(now, Event::Arrival(Request { customer, units, spread, ..asked }));
+                twins.play(
+                    now,
+                    Event::Arrival(Request {
+                        customer,
+                        units,
+                        spread,
+                        ..asked
+                    }),
+                );
             }
             7..=13 if !twins.out.is_empty() => {
                 let at = pick(twins.out.len() as u32) as usize;
-                let Out { request, attempt, backend, sent } = twins.out[at];
-                if twins.out.iter().any(|out| out.request == request && out.attempt > attempt) {
+                let Out {
+                    request,
+                    attempt,
+                    backend,
+                    sent,
+                } = twins.out[at];
+                if twins
+                    .out
+                    .iter()
+                    .any(|out| out.request == request && out.attempt > attempt)
+                {
                     continue;
                 }
                 let outcome = outcomes[pick(10) as usize];
                 let elapsed = (now - sent).max(pace(backend));
                 let broken = u32::from(pick(9) == 0);
                 let end = settled(request, attempt, backend, outcome);
-                twins.play(now, Event::Settled(Settled { elapsed, broken, ..end }));
-                if !twins.out.iter().any(|out| out.request == request && out.attempt > attempt) {
+                twins.play(
+                    now,
+                    Event::Settled(Settled {
+                        elapsed,
+                        broken,
+                        ..end
+                    }),
+                );
+                if !twins
+                    .out
+                    .iter()
+                    .any(|out| out.request == request && out.attempt > attempt)
+                {
                     twins.out.retain(|out| out.request != request);
                 }
             }
@@ -119,13 +167,20 @@
                     .map(|_| {
                         let id = pick(backends + 5);
                         let started = (pick(3) == 0).then_some(now - f64::from(pick(6000)));
-                        BackendEntry { availability: draw(pick(8)), started, ..ready(id, id % 3) }
+                        BackendEntry {
+                            availability: draw(pick(8)),
+                            started,
+                            ..ready(id, id % 3)
+                        }
                     })
                     .collect();
                 twins.play(now, Event::Backends(ListKind::Changes, lines));
             }
             _ if pick(30) == 0 => {
-                let left = (0..backends).filter(|_| pick(5) > 0).map(|id| ready(id, id % 3)).collect();
+                let left = (0..backends)
+                    .filter(|_| pick(5) > 0)
+                    .map(|id| ready(id, id % 3))
+                    .collect();
                 twins.play(now, Event::Backends(ListKind::Full, left));
             }
             _ => {}
@@ -150,17 +205,30 @@
 /// Backends that are looked at for a request, in steady traffic of one of 300 gateways.
 fn looked_at(backends: u32, walking: bool) -> f64 {
     const REQUESTS: u32 = 2000;
-    let plan = Plan { rate: 1000.0, burst: 3000.0, ..Plan::default() };
+    let plan = Plan {
+        rate: 1000.0,
+        burst: 3000.0,
+        ..Plan::default()
+    };
     let gateway = Gateway::new(settings(plan, 300), 5);
     let gateway = if walking { gateway.walking() } else { gateway };
-    let mut stage = Stage { gateway, actions: Vec::new() };
+    let mut stage = Stage {
+        gateway,
+        actions: Vec::new(),
+    };
     let list: Vec<_> = (0..backends).map(|id| ready(id, 0)).collect();
     stage.play(0.0, Event::Backends(ListKind::Cached, list));
     let served = (0..REQUESTS)
         .filter(|id| {
             let now = f64::from(*id) * 20.0;
             let customer = CustomerId(u64::from(id % 50));
-            stage.serve(now, Request { customer, ..request(*id, 0, now) })
+            stage.serve(
+                now,
+                Request {
+                    customer,
+                    ..request(*id, 0, now)
+                },
+            )
         })
         .count();
     assert!(served > REQUESTS as usize / 2, "{served} served");
--- a/crates/policy/tests/module_size.rs
+++ b/crates/policy/tests/module_size.rs
@@ -2,12 +2,30 @@
 
 /// All its files; `deploy/balancer.toml` lists the same.
 const FILES: [(&str, &str); 6] = [
-    ("crates/policy/src/gateway/mod.rs", include_str!("../src/gateway/mod.rs")),
-    ("crates/policy/src/gateway/customers.rs", include_str!("../src/gateway/customers.rs")),
-    ("crates/policy/src/gateway/choice.rs", include_str!("../src/gateway/choice.rs")),
-    ("crates/policy/src/gateway/attempts.rs", include_str!("../src/gateway/attempts.rs")),
-    ("crates/policy/src/gateway/backends.rs", include_str!("../src/gateway/backends.rs")),
-    ("crates/policy/src/tenants.rs", include_str!("../src/tenants.rs")),
+    (
+        "crates/policy/src/gateway/mod.rs",
+        include_str!("../src/gateway/mod.rs"),
+    ),
+    (
+        "crates/policy/src/gateway/customers.rs",
+        include_str!("../src/gateway/customers.rs"),
+    ),
+    (
+        "crates/policy/src/gateway/choice.rs",
+        include_str!("../src/gateway/choice.rs"),
+    ),
+    (
+        "crates/policy/src/gateway/attempts.rs",
+        include_str!("../src/gateway/attempts.rs"),
+    ),
+    (
+        "crates/policy/src/gateway/backends.rs",
+        include_str!("../src/gateway/backends.rs"),
+    ),
+    (
+        "crates/policy/src/tenants.rs",
+        include_str!("../src/tenants.rs"),
+    ),
 ];
 
 #[test]
@@ -15,7 +33,11 @@
     let text: String = FILES.iter().map(|(_, text)| *text).collect();
     let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
     assert!(lines <= 1200, "{lines} lines that are not blank");
-    let widest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
+    let widest = text
+        .lines()
+        .map(|line| line.chars().count())
+        .max()
+        .unwrap_or(0);
     assert!(widest <= 110, "a line of {widest} characters");
     assert!(lines > 100, "the policy is somewhere else");
 }
@@ -23,9 +45,19 @@
 #[test]
 fn the_deploy_file_lists_all_of_it() {
     let deploy = include_str!("../../../deploy/balancer.toml");
-    let listed = deploy.lines().find(|line| line.starts_with("policy")).expect("a list of its files");
+    let listed = deploy
+        .lines()
+        .find(|line| line.starts_with("policy"))
+        .expect("a list of its files");
     for (name, _) in FILES {
-        assert!(listed.contains(&format!("\"{name}\"")), "{name} is not listed");
+        assert!(
+            listed.contains(&format!("\"{name}\"")),
+            "{name} is not listed"
+        );
     }
-    assert_eq!(listed.matches(".rs\"").count(), FILES.len(), "more is listed than is counted");
+    assert_eq!(
+        listed.matches(".rs\"").count(),
+        FILES.len(),
+        "more is listed than is counted"
+    );
 }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -34,7 +34,9 @@
         self.stage.play(now, event);
         for action in std::mem::take(&mut self.stage.actions) {
             match action {
-                Action::Send { request, backend, .. } => self.sent(now, request.0, backend),
+                Action::Send {
+                    request, backend, ..
+                } => self.sent(now, request.0, backend),
                 Action::Refuse { request, .. } => self.answered(now, request.0, true),
                 Action::Fail(request) => self.answered(now, request.0, false),
                 Action::SetAlarm { at, alarm } => self.alarms.push((at, alarm)),
@@ -45,14 +47,26 @@
 
     fn sent(&mut self, now: f64, id: u32, backend: BackendId) {
         let zone = self.zones[&backend];
-        assert!(!self.leaving[&backend], "sent to a backend that was told to leave");
+        assert!(
+            !self.leaving[&backend],
+            "sent to a backend that was told to leave"
+        );
         let open = self.open.get_mut(&id).expect("a known request");
-        assert!(!open.answered && open.out.is_none(), "sent after its end or twice at a time");
+        assert!(
+            !open.answered && open.out.is_none(),
+            "sent after its end or twice at a time"
+        );
         assert!(open.sends < 4, "more attempts than permitted");
         if let Some((since, ran_in)) = open.ran {
-            assert_ne!(open.class, 2, "an unsafe request that may have run is sent again");
+            assert_ne!(
+                open.class, 2,
+                "an unsafe request that may have run is sent again"
+            );
             let within = now - since < 2000.0 && zone == ran_in;
-            assert!(open.class == 0 || within, "a keyed request out of its group or time");
+            assert!(
+                open.class == 0 || within,
+                "a keyed request out of its group or time"
+            );
         }
         open.out = Some((open.sends, backend));
         (open.sends, open.sent_at) = (open.sends + 1, now);
@@ -63,7 +77,10 @@
         assert!(!open.answered, "two final answers");
         assert!(now <= open.deadline, "an answer after the client left");
         let may_have_run = open.ran.is_some() || open.out.is_some();
-        assert!(!refused || open.class == 0 || !may_have_run, "refused though it may have run");
+        assert!(
+            !refused || open.class == 0 || !may_have_run,
+            "refused though it may have run"
+        );
         open.answered = true;
     }
 }
@@ -71,12 +88,23 @@
 fn run(seed: u64, backends: u32, rate: f64, max_open: u32) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut pick = move |n: u32| rng.next_u32() % n;
-    let plan = Plan { rate, burst: 2.0 * rate, max_open, ..Plan::default() };
+    let plan = Plan {
+        rate,
+        burst: 2.0 * rate,
+        max_open,
+        ..Plan::default()
+    };
     let list: Vec<_> = (0..backends).map(|id| ready(id, id % 2)).collect();
     let zones = list.iter().map(|b| (b.id, b.zone.0)).collect();
     let leaving = list.iter().map(|b| (b.id, false)).collect();
     let stage = Stage::new(settings(plan, 3), list);
-    let mut door = Door { stage, zones, leaving, open: BTreeMap::new(), alarms: Vec::new() };
+    let mut door = Door {
+        stage,
+        zones,
+        leaving,
+        open: BTreeMap::new(),
+        alarms: Vec::new(),
+    };
     let outcomes = [
         Outcome::Ok,
         Outcome::Ok,
@@ -89,7 +117,9 @@
     let mut now = 1.0;
     for id in 0..1500u32 {
         now += f64::from(pick(40));
-        let (due, rest) = std::mem::take(&mut door.alarms).into_iter().partition(|(at, _)| *at <= now);
+        let (due, rest) = std::mem::take(&mut door.alarms)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         door.alarms = rest;
         for (at, alarm) in Vec::<(f64, AlarmId)>::from_iter(due) {
             door.play(at, Event::Alarm(alarm));
@@ -99,15 +129,31 @@
                 let class = pick(3) as usize;
                 let deadline = now + 20.0 + f64::from(pick(3000));
                 let customer = CustomerId(u64::from(pick(4)));
-                let open =
-                    Open { class, deadline, out: None, sends: 0, sent_at: 0.0, ran: None, answered: false };
+                let open = Open {
+                    class,
+                    deadline,
+                    out: None,
+                    sends: 0,
+                    sent_at: 0.0,
+                    ran: None,
+                    answered: false,
+                };
                 door.open.insert(id, open);
-                let asked = Request { customer, deadline, spread: 2.0, ..request(id, class, now) };
+                let asked = Request {
+                    customer,
+                    deadline,
+                    spread: 2.0,
+                    ..request(id, class, now)
+                };
                 door.play(now, Event::Arrival(asked));
             }
             5..=8 => {
-                let waiting: Vec<u32> =
-                    door.open.iter().filter(|(_, o)| o.out.is_some()).map(|(id, _)| *id).collect();
+                let waiting: Vec<u32> = door
+                    .open
+                    .iter()
+                    .filter(|(_, o)| o.out.is_some())
+                    .map(|(id, _)| *id)
+                    .collect();
                 if waiting.is_empty() {
                     continue;
                 }
@@ -122,15 +168,26 @@
                 let closed = open.answered || outcome == Outcome::Ok;
                 open.answered = closed;
                 let elapsed = now - open.sent_at;
-                let end = Settled { elapsed, closed, ..settled(id, attempt, backend, outcome) };
+                let end = Settled {
+                    elapsed,
+                    closed,
+                    ..settled(id, attempt, backend, outcome)
+                };
                 door.play(now, Event::Settled(end));
             }
             _ => {
                 let id = pick(backends);
                 let gone = pick(2) == 0;
-                let availability = if gone { Availability::Draining } else { Availability::Ready };
+                let availability = if gone {
+                    Availability::Draining
+                } else {
+                    Availability::Ready
+                };
                 door.leaving.insert(BackendId(id), gone);
-                let line = BackendEntry { availability, ..ready(id, id % 2) };
+                let line = BackendEntry {
+                    availability,
+                    ..ready(id, id % 2)
+                };
                 door.play(now, Event::Backends(ListKind::Changes, vec![line]));
             }
         }
@@ -140,7 +197,11 @@
             door.play(at.max(now), Event::Alarm(alarm));
         }
     }
-    let unanswered = door.open.values().filter(|o| !o.answered && o.deadline > now).count();
+    let unanswered = door
+        .open
+        .values()
+        .filter(|o| !o.answered && o.deadline > now)
+        .count();
     assert_eq!(unanswered, 0, "requests without a final answer");
 }
 
--- a/crates/policy/tests/news.rs
+++ b/crates/policy/tests/usage_reports.rs
@@ -9,24 +9,46 @@
 
 /// 10 units a second, 20 at once, over 50 gateways.
 fn plan() -> Plan {
-    Plan { rate: 10.0, burst: 20.0, ..Plan::default() }
+    Plan {
+        rate: 10.0,
+        burst: 20.0,
+        ..Plan::default()
+    }
 }
 
 fn stage() -> Stage {
-    let set = Settings { retry_after: true, max_retry_after: 5000.0, max_units: 8.0, ..settings(plan(), 50) };
+    let set = Settings {
+        retry_after: true,
+        max_retry_after: 5000.0,
+        max_units: 8.0,
+        ..settings(plan(), 50)
+    };
     Stage::new(set, (0..6).map(|id| ready(id, 0)).collect())
 }
 
 fn news(units: f64, as_of: Millis, error: f64) -> Event {
     let (customer, plan) = (CustomerId(1), PlanId(0));
-    Event::Elsewhere(Elsewhere { customer, plan, units, as_of, error, heard: 1.0 })
+    Event::Elsewhere(Elsewhere {
+        customer,
+        plan,
+        units,
+        as_of,
+        error,
+        heard: 1.0,
+    })
 }
 
 /// Plays so many requests of two units at once; how many are let in.
 fn burst(stage: &mut Stage, now: Millis, first: u32, many: u32) -> usize {
     let play = |id: &u32| {
-        let wanted = Request { units: 2.0, spread: 50.0, ..request(*id, 0, now) };
-        let Some(at) = stage.arrive(now, wanted) else { return false };
+        let wanted = Request {
+            units: 2.0,
+            spread: 50.0,
+            ..request(*id, 0, now)
+        };
+        let Some(at) = stage.arrive(now, wanted) else {
+            return false;
+        };
         stage.settle(now + 1.0, *id, 0, at, Outcome::Ok);
         true
     };
@@ -38,7 +60,10 @@
     let without = burst(&mut stage(), 1.0, 0, 10);
     let mut with = stage();
     with.play(1.0, news(0.0, 1.0, 0.0));
-    let (first, again) = (burst(&mut with, 1.0, 0, 10), burst(&mut with, 1001.0, 100, 10));
+    let (first, again) = (
+        burst(&mut with, 1.0, 0, 10),
+        burst(&mut with, 1001.0, 100, 10),
+    );
     assert!(without <= 2, "{without}");
     assert_eq!(first, 10, "of 20 units that are left, two a request");
     assert_eq!(again, 5, "a second later ten more have come");
@@ -48,12 +73,23 @@
 fn what_is_surely_used_up_is_refused_and_told_when_to_come_back() {
     let mut stage = stage();
     stage.play(1.0, news(25.0, 1.0, 0.0));
-    stage.play(1.0, Event::Arrival(Request { units: 2.0, spread: 50.0, ..request(1, 0, 1.0) }));
+    stage.play(
+        1.0,
+        Event::Arrival(Request {
+            units: 2.0,
+            spread: 50.0,
+            ..request(1, 0, 1.0)
+        }),
+    );
     let refused = stage.actions.iter().find_map(|action| match action {
         Action::Refuse { retry_after, .. } => Some(*retry_after),
         _ => None,
     });
-    assert_eq!(refused, Some(Some(700.0)), "five units over, two wanted, ten a second");
+    assert_eq!(
+        refused,
+        Some(Some(700.0)),
+        "five units over, two wanted, ten a second"
+    );
     assert_eq!(burst(&mut stage, 1001.0, 10, 1), 1, "and then it may");
 }
 
@@ -62,7 +98,10 @@
     let mut stage = stage();
     stage.play(1.0, news(0.0, 1.0, 1000.0));
     let mut without = self::stage();
-    assert_eq!(burst(&mut stage, 1.0, 0, 10), burst(&mut without, 1.0, 0, 10));
+    assert_eq!(
+        burst(&mut stage, 1.0, 0, 10),
+        burst(&mut without, 1.0, 0, 10)
+    );
 }
 
 /// Guards two halves that each take themselves for the whole: each fills only its part of the store.
@@ -71,7 +110,14 @@
     let part = |heard| {
         let mut stage = stage();
         let (customer, plan) = (CustomerId(1), PlanId(0));
-        let told = Elsewhere { customer, plan, units: 0.0, as_of: 0.0, error: 0.0, heard };
+        let told = Elsewhere {
+            customer,
+            plan,
+            units: 0.0,
+            as_of: 0.0,
+            error: 0.0,
+            heard,
+        };
         let mut sent = 0;
         for step in 0..200u32 {
             let now = f64::from(step) * 100.0;
@@ -101,12 +147,22 @@
                 let customer = CustomerId(u64::from(pick(5)));
                 let units = f64::from(1 + pick(8));
                 let spread = f64::from(1 + pick(50));
-                Event::Arrival(Request { customer, units, spread, ..request(id, pick(3) as usize, now) })
+                Event::Arrival(Request {
+                    customer,
+                    units,
+                    spread,
+                    ..request(id, pick(3) as usize, now)
+                })
             } else {
                 let (id, at) = open.swap_remove(pick(open.len() as u32) as usize);
-                let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Full][pick(4) as usize];
+                let outcome =
+                    [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Full][pick(4) as usize];
                 let use_of_quota = Some(f64::from(pick(30)) / 10.0);
-                Event::Settled(Settled { use_of_quota, true_units: Some(2.0), ..settled(id, 0, at, outcome) })
+                Event::Settled(Settled {
+                    use_of_quota,
+                    true_units: Some(2.0),
+                    ..settled(id, 0, at, outcome)
+                })
             };
             let old = Elsewhere {
                 customer: CustomerId(u64::from(pick(5))),
@@ -122,7 +178,10 @@
             right.play(now, event);
             assert_eq!(left.actions, right.actions, "seed {seed}, event {id}");
             for action in &left.actions {
-                if let Action::Send { request, backend, .. } = action {
+                if let Action::Send {
+                    request, backend, ..
+                } = action
+                {
                     if open.iter().all(|(known, _)| *known != request.0) && request.0 == id {
                         open.push((id, *backend));
                     }
@@ -135,23 +194,42 @@
 /// Guards the ceiling: no news makes it wider.
 #[test]
 fn a_ceiling_holds_whatever_is_told() {
-    let ceiling = Some(Ceiling { rate: 12.0, burst: 10.0, slack: 0.0 });
-    let plan = Plan { rate: 10.0, burst: 200.0, ceiling, ..Plan::default() };
-    let set = Settings { max_units: 8.0, ..settings(plan, 2) };
+    let ceiling = Some(Ceiling {
+        rate: 12.0,
+        burst: 10.0,
+        slack: 0.0,
+    });
+    let plan = Plan {
+        rate: 10.0,
+        burst: 200.0,
+        ceiling,
+        ..Plan::default()
+    };
+    let set = Settings {
+        max_units: 8.0,
+        ..settings(plan, 2)
+    };
     let mut stage = Stage::new(set, (0..6).map(|id| ready(id, 0)).collect());
     let mut sent = 0.0;
     for step in 0..100u32 {
         let now = 1000.0 + f64::from(step) * 100.0;
         stage.play(now, news(-50.0, now, 0.0));
         for id in 0..5 {
-            let wanted = Request { units: 2.0, spread: 2.0, ..request(10 * step + id, 0, now) };
+            let wanted = Request {
+                units: 2.0,
+                spread: 2.0,
+                ..request(10 * step + id, 0, now)
+            };
             if let Some(at) = stage.arrive(now, wanted) {
                 sent += 2.0;
                 stage.settle(now + 1.0, 10 * step + id, 0, at, Outcome::Ok);
             }
         }
     }
-    assert!(sent <= 5.0 + 6.0 * 11.0, "{sent} units in ten seconds of six a second and five at once");
+    assert!(
+        sent <= 5.0 + 6.0 * 11.0,
+        "{sent} units in ten seconds of six a second and five at once"
+    );
     assert!(sent > 40.0, "{sent}");
 }
 
@@ -160,9 +238,22 @@
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 1e300, -1e300] {
         let mut stage = stage();
         let (customer, plan) = (CustomerId(1), PlanId(0));
-        let told = Elsewhere { customer, plan, units: bad, as_of: bad, error: bad, heard: bad };
+        let told = Elsewhere {
+            customer,
+            plan,
+            units: bad,
+            as_of: bad,
+            error: bad,
+            heard: bad,
+        };
         stage.play(1.0, Event::Elsewhere(told));
-        stage.play(1.0, Event::Elsewhere(Elsewhere { plan: PlanId(99), ..told }));
+        stage.play(
+            1.0,
+            Event::Elsewhere(Elsewhere {
+                plan: PlanId(99),
+                ..told
+            }),
+        );
         assert!(burst(&mut stage, 60_000.0, 0, 10) >= 1, "{bad}");
     }
 }
