--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The design's recent average, box and slice, against numbers worked by hand.
+//! The design's recent average, penalty box and slice, against numbers computed by hand.
 
 mod common;
 use common::*;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn use_within_quota_and_burst_is_never_refused() {
+fn usage_within_quota_and_burst_is_never_rejected() {
     let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0), ready(2, 0)]);
     for i in 0..20 {
         assert!(
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn beyond_the_slice_is_refused_at_once_and_the_slice_refills() {
+fn requests_beyond_the_slice_are_rejected_until_it_refills() {
     let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0)]);
     let served = (0..40)
         .filter(|i| stage.serve(1.0 + f64::from(*i), request(*i, 0, 0.0)))
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn refused_arrivals_feed_the_box_and_it_opens_by_itself() {
+fn rejected_arrivals_feed_the_penalty_box_and_it_opens_by_itself() {
     let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0)]);
     // 4000 arrivals at once: with a halflife of sixteen bursts (32 s) the average stands at
     // 4000 ln 2 / 32 s = 87 a second; the limit is 30 + 20 ln 2 / 32 s = 30.4.
@@ -75,7 +75,7 @@
 
 /// A spike of ten times the quota for three bursts' time does not shut the box (with a halflife of four it did); for sixteen it does.
 #[test]
-fn a_spike_leaves_the_box_open_and_a_lasting_flood_shuts_it() {
+fn a_spike_leaves_the_penalty_box_open_and_a_lasting_flood_closes_it() {
     let boxed = |seconds: u32| {
         let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0)]);
         for i in 0..seconds * 100 {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_slice_follows_local_demand_and_falls_back_when_the_meter_shows_use_past_the_quota() {
+fn a_slice_follows_local_demand_and_falls_back_when_the_meter_shows_usage_beyond_the_quota() {
     let served = |used: f64| {
         let set = Settings {
             meter_period: 1000.0,
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn the_part_of_a_ceiling_starts_empty_and_holds_through_restarts() {
+fn the_share_of_a_ceiling_starts_empty_and_holds_through_restarts() {
     let ceiling = Ceiling {
         rate: 20.0,
         burst: 40.0,
@@ -237,7 +237,7 @@
 
 /// Guards a ceiling that fills more slowly than customers are forgotten: one that comes back would else find it full again.
 #[test]
-fn the_part_of_a_ceiling_is_no_fuller_for_a_customer_that_was_forgotten() {
+fn the_share_of_a_ceiling_is_no_fuller_for_a_customer_that_was_evicted() {
     let ceiling = Ceiling {
         rate: 0.1,
         burst: 20.0,
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn attempts_open_at_once_keep_to_this_gateways_part_rounded_up_while_time_is_spare() {
+fn open_attempts_keep_to_the_share_of_this_gateway_rounded_up_while_time_is_saved() {
     let plan = Plan {
         max_open: 3,
         ..plan()
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_cap_on_attempts_out_below_one_a_gateway_holds_for_the_sum_and_is_made_use_of() {
+fn a_concurrency_limit_below_one_a_gateway_holds_for_the_sum_and_is_used() {
     // Twelve gateways, a cap of six and use that would keep twelve out: no gateway sees more than its own.
     let plan = Plan {
         rate: 120.0,
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn the_burst_and_the_quota_with_each_request_tried_twice_do_not_shut_the_box() {
+fn burst_and_quota_with_each_request_retried_once_do_not_close_the_penalty_box() {
     let mut stage = Stage::new(settings(plan(), 1), vec![ready(1, 0), ready(2, 0)]);
     let mut served = 0;
     (0..40).for_each(|i| {
@@ -445,7 +445,7 @@
 
 /// Each reason is told where it is the one, and each has a name of its own.
 #[test]
-fn a_refusal_tells_its_reason() {
+fn a_rejection_states_its_reason() {
     let one = |plan: Plan| Stage::new(settings(plan, 1), vec![ready(1, 0)]);
     let mut stage = one(plan());
     stage.play(
@@ -513,7 +513,7 @@
 /// Alone, a gateway tells when its slice will hold the request; one of several asks the client back while another one's may, and
 /// an answer would still be in time.
 #[test]
-fn advice_is_short_where_another_gateway_may_have_room() {
+fn retry_times_are_short_where_another_gateway_may_have_room() {
     let advised = |spread: f64| {
         let set = Settings {
             retry_after: true,
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! Rules a gateway keeps alone: answers, repeats, drains and cold starts; and what it does when backends fail.
+//! Rules that one gateway keeps: answers, retries, draining and slow start; and what it does when
+//! backends fail.
 
 mod common;
 use common::*;
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn a_cold_backend_gets_no_more_than_its_share_and_no_early_burst() {
+fn a_backend_in_slow_start_gets_no_more_than_its_share_and_no_early_burst() {
     let set = Settings {
         start_capacity: 0.2,
         warm_up: 10_000.0,
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn a_hundred_gateways_together_do_not_crowd_a_cold_backend() {
+fn a_hundred_gateways_together_do_not_overload_a_backend_in_slow_start() {
     // Each sends 2 a second over 10 backends: a warm one gets 20 a second of all, a cold one 4 and slowly more.
     let set = Settings {
         start_capacity: 0.2,
@@ -268,7 +269,7 @@
 /// second for sixty backends: the cold ones take over what they can bear, and none is sent what pushes it over.
 /// Fails where each gateway has to earn its first request for longer than the backend takes to warm up.
 #[test]
-fn cold_backends_take_over_soon_though_each_gateway_has_few_requests() {
+fn backends_in_slow_start_take_over_soon_though_each_gateway_has_few_requests() {
     let set = Settings {
         start_capacity: 0.2,
         warm_up: 15_000.0,
@@ -392,7 +393,7 @@
 
 /// Guards a gateway whose chosen backends all die: others stand in after one refused connection each.
 #[test]
-fn others_stand_in_for_chosen_backends_that_die() {
+fn others_stand_in_for_preferred_backends_that_die() {
     let list = (0..60).map(|id| ready(id, 0)).collect();
     let mut stage = Stage::seeded(settings(open_plan(), 100), 7, list);
     let mut chosen = std::collections::BTreeSet::new();
@@ -444,7 +445,7 @@
 }
 
 #[test]
-fn a_fleet_of_cold_backends_alone_is_still_made_use_of() {
+fn a_fleet_of_backends_in_slow_start_is_still_used() {
     let cold = |id| BackendEntry {
         started: Some(0.0),
         ..ready(id, 0)
@@ -456,7 +457,7 @@
 }
 
 #[test]
-fn a_backend_that_fails_fast_is_left_alone_and_tried_again_later() {
+fn a_backend_that_fails_fast_is_avoided_and_tried_again_later() {
     let mut stage = Stage::new(
         settings(open_plan(), 1),
         (1..=3).map(|id| ready(id, 0)).collect(),
@@ -525,7 +526,7 @@
 }
 
 #[test]
-fn where_every_backend_is_too_slow_requests_are_refused_at_once() {
+fn where_every_backend_is_too_slow_requests_are_rejected_at_once() {
     let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0), ready(2, 0)]);
     let sent = (0..200)
         .filter(|i| stage.arrive(1.0, request(*i, 0, 1.0)).is_some())
@@ -610,7 +611,7 @@
 }
 
 #[test]
-fn slowness_is_felt_before_an_answer_comes() {
+fn a_slow_answer_counts_before_it_comes() {
     // Nothing is ever answered: the marks at half of the aim alone tell, and less is let in.
     let set = settings(open_plan(), 1);
     let mut stage = Stage::new(set, (0..99).map(|id| ready(id, 0)).collect());
@@ -640,7 +641,7 @@
 }
 
 #[test]
-fn where_answers_are_slow_everywhere_a_gateway_brings_down_what_it_has_out() {
+fn where_answers_are_slow_everywhere_a_gateway_reduces_its_attempts_in_flight() {
     // Many backends, each with hardly any of our load; answers take `time` of an aim of a second.
     let sent_with = |time: f64| {
         let mut stage = Stage::new(
@@ -679,7 +680,7 @@
 }
 
 #[test]
-fn what_cannot_be_answered_before_its_client_leaves_is_refused_at_once() {
+fn requests_that_cannot_be_answered_in_time_are_rejected_at_once() {
     let mut stage = Stage::new(
         settings(open_plan(), 1),
         (0..4).map(|id| ready(id, 0)).collect(),
@@ -757,7 +758,7 @@
 /// has all that is left, and so has one that must not run twice. A backend that was silent meanwhile loses its
 /// idle connections.
 #[test]
-fn only_what_may_be_repeated_gets_a_shorter_limit() {
+fn only_repeatable_attempts_get_a_shorter_timeout() {
     let limit_of = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
             Action::Send { limit, .. } => *limit,
@@ -794,7 +795,7 @@
 /// Guards against trouble on the way taken for sick backends: where a third of the connections break, at every
 /// backend alike, none is set aside; a dial that is refused still does that at once.
 #[test]
-fn broken_connections_set_no_backend_aside_but_a_refused_one_does() {
+fn broken_connections_eject_no_backend_but_a_refused_one_does() {
     let mut stage = Stage::new(
         settings(open_plan(), 1),
         (1..=3).map(|id| ready(id, 0)).collect(),
@@ -831,7 +832,7 @@
 /// Guards what must not run twice, and all else for a while after a connection broke; then caution ends, since
 /// it costs each request a little time.
 #[test]
-fn caution_is_for_what_must_not_run_twice_and_for_times_of_trouble() {
+fn caution_is_for_unsafe_requests_and_for_times_of_broken_connections() {
     let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0), ready(2, 0)]);
     let mut care = |now: Millis, id: u32, class: usize, broken: u32| {
         let at = stage.arrive(now, request(id, class, now)).expect("room");
@@ -864,7 +865,7 @@
 /// Guards against a backend that lets one class hang and answers the others: that class avoids it for a while, the
 /// others use it as before, also while further attempts of that class hang there.
 #[test]
-fn a_class_that_hangs_at_a_backend_is_held_against_it_for_that_class_alone() {
+fn a_class_that_hangs_counts_against_a_backend_for_that_class_alone() {
     let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0), ready(2, 0)]);
     let bad = stage.arrive(0.0, request(1, 2, 0.0)).expect("room");
     let other = if bad == BackendId(1) {
--- a/crates/policy/tests/caller_check.rs
+++ b/crates/policy/tests/caller_check.rs
@@ -1,4 +1,4 @@
-//! Requests that are held until their callers have been checked.
+//! Requests that wait until their callers have been checked.
 
 mod common;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn it_is_sent_on_only_once_its_caller_passes_and_then_once() {
+fn it_is_forwarded_once_and_only_after_its_caller_passes() {
     for class in 0..3 {
         let mut stage = stage();
         let actions = stage.play(0.0, Event::Arrival(held(1, class, 0.0)));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn one_that_does_not_pass_takes_nothing_and_is_answered_by_nobody_here() {
+fn one_that_does_not_pass_takes_no_units_and_is_not_answered_here() {
     let quota = served(&mut stage(), 0.0, 1000, 40);
     assert!((6..40).contains(&quota), "{quota}");
     let mut stage = stage();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_flood_past_quota_is_refused_before_anybody_is_asked() {
+fn a_flood_beyond_the_quota_is_rejected_before_any_check() {
     let mut stage = stage();
     let asked: usize = (0..500)
         .map(|id| checks(stage.play(0.0, Event::Arrival(held(id, 0, 0.0)))))
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_and_a_check_that_never_comes_give_back_what_they_took() {
+fn a_client_that_leaves_and_a_check_that_never_ends_give_back_their_units() {
     let quota = served(&mut stage(), 0.0, 1000, 40);
     let mut left = stage();
     for id in 0..5 {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_slow_check_is_not_taken_for_slow_backends() {
+fn a_slow_check_does_not_count_as_a_slow_answer() {
     let open = Plan {
         rate: 1000.0,
         burst: 1000.0,
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn the_backend_is_chosen_when_the_verdict_is_there() {
+fn the_backend_is_chosen_after_the_check() {
     let mut stage = stage();
     stage.play(0.0, Event::Arrival(held(1, 2, 0.0)));
     let drained = BackendEntry {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_hard_ceiling_is_held_for_those_that_wait_and_given_back_by_those_denied() {
+fn a_ceiling_is_reserved_during_the_check_and_given_back_by_those_denied() {
     // It begins empty and is full after a second.
     let ceiling = Some(Ceiling {
         rate: 5.0,
--- a/crates/policy/tests/fleet_input.rs
+++ b/crates/policy/tests/fleet_input.rs
@@ -55,7 +55,7 @@
 
 /// Guards times and sizes of the cold start that make no sense.
 #[test]
-fn a_cold_start_by_nonsense_settings_still_ends() {
+fn slow_start_with_nonsense_settings_still_ends() {
     for (start_capacity, warm_up, overload_factor) in [
         (0.0, 0.0, 0.0),
         (0.0, 10_000.0, 3.0),
@@ -97,7 +97,7 @@
 /// Guards a gateway that begins with a list of the dead alone: they are gone through in turn, none again and again by
 /// 100 requests in a second, and the living serve as soon as they are told of.
 #[test]
-fn a_known_list_of_the_dead_is_gone_through_in_turn() {
+fn a_list_of_dead_backends_is_tried_in_turn() {
     let wide = Plan {
         rate: 1000.0,
         burst: 1000.0,
--- a/crates/policy/tests/index_equivalence.rs
+++ b/crates/policy/tests/index_equivalence.rs
@@ -1,5 +1,5 @@
-//! A gateway that looks at few backends beside one with the same seed that looks at all of them for each choice: every action is
-//! the same, whatever happens.
+//! A gateway that examines few backends for each choice takes the same actions as one with the same
+//! seed that examines all of them.
 
 mod common;
 use common::*;
--- a/crates/policy/tests/usage_reports.rs
+++ b/crates/policy/tests/usage_reports.rs
@@ -1,5 +1,5 @@
-//! News of use elsewhere: what is surely left is let in, what is surely used up is refused, and without news, or with old
-//! news, a gateway decides as if there were none.
+//! Reports of usage at other gateways: units that are certainly left are admitted, units that are
+//! certainly used up are rejected, and without a valid report a gateway decides by itself.
 
 mod common;
 use common::*;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_is_surely_left_is_let_in_beyond_the_slice() {
+fn units_that_are_certainly_left_are_admitted_beyond_the_slice() {
     let without = burst(&mut stage(), 1.0, 0, 10);
     let mut with = stage();
     with.play(1.0, news(0.0, 1.0, 0.0));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_is_surely_used_up_is_refused_and_told_when_to_come_back() {
+fn units_that_are_certainly_used_up_are_rejected_with_a_retry_time() {
     let mut stage = stage();
     stage.play(1.0, news(25.0, 1.0, 0.0));
     stage.play(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn what_is_in_doubt_goes_by_the_slice() {
+fn uncertain_requests_are_decided_by_the_slice() {
     let mut stage = stage();
     stage.play(1.0, news(0.0, 1.0, 1000.0));
     let mut without = self::stage();
@@ -106,7 +106,7 @@
 
 /// Guards two halves that each take themselves for the whole: each fills only its part of the store.
 #[test]
-fn gateways_that_are_not_heard_of_keep_their_part() {
+fn gateways_that_do_not_report_keep_their_share() {
     let part = |heard| {
         let mut stage = stage();
         let (customer, plan) = (CustomerId(1), PlanId(0));
@@ -134,7 +134,7 @@
 
 /// Guards everybody who has no news: a random day gives the same actions, with news that are old and without.
 #[test]
-fn without_news_and_with_old_ones_all_actions_are_the_same() {
+fn without_reports_and_with_old_ones_all_actions_are_the_same() {
     for seed in 0..60u64 {
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut pick = |n: u32| rng.next_u32() % n;
@@ -193,7 +193,7 @@
 
 /// Guards the ceiling: no news makes it wider.
 #[test]
-fn a_ceiling_holds_whatever_is_told() {
+fn a_ceiling_holds_whatever_is_reported() {
     let ceiling = Some(Ceiling {
         rate: 12.0,
         burst: 10.0,
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn news_that_are_no_numbers_change_nothing_that_matters() {
+fn reports_that_are_not_numbers_do_no_harm() {
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 1e300, -1e300] {
         let mut stage = stage();
         let (customer, plan) = (CustomerId(1), PlanId(0));
