--- /dev/null
+++ b/crates/controller/src/core/event.rs
@@ -0,0 +1,143 @@
+//! The log events of the core; `Display` writes them as `event=NAME` and `key=value` pairs.
+
+use super::{Millis, Output};
+use maplefall_gateway_config::ConfigError;
+use maplefall_service_registry::InstanceRecord;
+use std::fmt;
+
+/// An event that the operator finds in the log.
+pub(super) enum Event<'a> {
+    /// This process did not run between two ticks.
+    ProcessPaused { duration: Millis },
+    /// A backend has sent no heartbeat for too long.
+    BackendExpired(&'a InstanceRecord),
+    /// A backend takes no new requests.
+    BackendDraining(&'a InstanceRecord),
+    /// A backend has ended.
+    BackendDeregistered(&'a InstanceRecord),
+    /// A heartbeat that cannot be read.
+    BadHeartbeat { reason: &'a str },
+    /// This controller follows another leader than before, or none.
+    LeaderChanged { leader: Option<&'a str>, term: u64 },
+    /// A change of the configuration is committed.
+    Committed { index: u64, items: usize },
+    /// The state in a snapshot cannot be decoded.
+    BadSnapshot {
+        index: u64,
+        error: &'a prost::DecodeError,
+    },
+    /// A proxy has connected with a configuration of this index.
+    ProxyConnected { node: &'a str, index: u64 },
+    /// The connection of a proxy has ended.
+    ProxyDisconnected { node: &'a str },
+    /// A proxy without a configuration gets none, since this one may be out of date.
+    ConfigWithheld { node: &'a str },
+    /// This controller leases a slot that it owns since this index.
+    SlotOwned { since: u64, waited: bool },
+    /// It owns a slot and leases it once the leases of the former owner have expired.
+    SlotWaiting { since: u64, wait: Millis },
+    /// Another controller owns the slot now.
+    SlotLost { since: u64 },
+    /// This controller may answer lease requests.
+    LeaseAcquired { limit: u32 },
+    /// It may not, since the last contact with a quorum was too long ago.
+    LeaseExpired { contact_age: Millis },
+    /// This controller has lost contact with a quorum.
+    QuorumLost {
+        silence: Millis,
+        connected: usize,
+        voters: usize,
+    },
+    /// It is in contact with a quorum again.
+    QuorumRestored { after: Millis },
+    /// A call of the operator is rejected.
+    CallRejected(&'a ConfigError),
+    /// A call has a version that is too old to be known.
+    VersionEvicted {
+        list: &'a str,
+        item: &'a str,
+        version: u32,
+    },
+    /// A call changes nothing.
+    AlreadyApplied { items: usize, index: u64 },
+}
+
+impl fmt::Display for Event<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Event::ProcessPaused { duration } => write!(f, "event=process_paused ms={duration:.0}"),
+            Event::BackendExpired(record) => write_backend(f, "backend_expired", record),
+            Event::BackendDraining(record) => write_backend(f, "backend_draining", record),
+            Event::BackendDeregistered(record) => write_backend(f, "backend_deregistered", record),
+            Event::BadHeartbeat { reason } => write!(f, "event=bad_heartbeat {reason}"),
+            Event::LeaderChanged { leader, term } => {
+                let leader = leader.unwrap_or("none");
+                write!(f, "event=leader_changed leader={leader} term={term}")
+            }
+            Event::Committed { index, items } => {
+                write!(f, "event=committed index={index} items={items}")
+            }
+            Event::BadSnapshot { index, error } => {
+                write!(f, "event=bad_snapshot index={index} error={error}")
+            }
+            Event::ProxyConnected { node, index } => {
+                write!(f, "event=proxy_connected node={node} index={index}")
+            }
+            Event::ProxyDisconnected { node } => write!(f, "event=proxy_disconnected node={node}"),
+            Event::ConfigWithheld { node } => {
+                write!(f, "event=config_withheld node={node} reason=quorum_lost")
+            }
+            Event::SlotOwned { since, waited } => {
+                write!(f, "event=slot_owned since={since}")?;
+                if *waited {
+                    write!(f, " waited=true")?;
+                }
+                Ok(())
+            }
+            Event::SlotWaiting { since, wait } => {
+                write!(f, "event=slot_waiting since={since} ms={wait:.0}")
+            }
+            Event::SlotLost { since } => write!(f, "event=slot_lost since={since}"),
+            Event::LeaseAcquired { limit } => write!(f, "event=lease_acquired limit={limit}"),
+            Event::LeaseExpired { contact_age } => {
+                write!(f, "event=lease_expired contact_ms={contact_age:.0}")
+            }
+            Event::QuorumLost {
+                silence,
+                connected,
+                voters,
+            } => write!(
+                f,
+                "event=quorum_lost since_ms={silence:.0} connected={connected} voters={voters}"
+            ),
+            Event::QuorumRestored { after } => {
+                write!(f, "event=quorum_restored after_ms={after:.0}")
+            }
+            Event::CallRejected(error) => {
+                write!(f, "event=call_rejected status={} {error}", error.status())
+            }
+            Event::VersionEvicted {
+                list,
+                item,
+                version,
+            } => write!(
+                f,
+                "event=version_evicted list={list} item={item:?} version={version:08x}"
+            ),
+            Event::AlreadyApplied { items, index } => {
+                write!(f, "event=already_applied items={items} index={index}")
+            }
+        }
+    }
+}
+
+fn write_backend(f: &mut fmt::Formatter<'_>, event: &str, record: &InstanceRecord) -> fmt::Result {
+    let InstanceRecord { id, service, .. } = record;
+    write!(f, "event={event} backend={id} service={service}")
+}
+
+impl From<Event<'_>> for Output {
+    fn from(event: Event<'_>) -> Output {
+        Output::Log(event.to_string())
+    }
+}
--- /dev/null
+++ b/crates/controller/src/core/instances.rs
@@ -0,0 +1,377 @@
+//! Heartbeats and deregistrations of backends: which proxies and peers are notified, and when a call is acknowledged.
+//!
+//! LOST: that a backend drains or has ended is acknowledged once a majority of the controllers has it on disk, this one among
+//! them, so that it is known whichever minority of them fails in the same moment.
+
+use super::event::Event;
+use super::pending_calls::PendingCall;
+use super::writes::WritePurpose;
+use super::{CallResponse, Core, Millis, Output, QUORUM_TIMEOUT};
+use crate::store::StoreRecord;
+use bytes::Bytes;
+use maplefall_control_messages::{encode_frame, Frame, Heartbeat, Heartbeats, InstanceUpdates};
+use maplefall_service_registry::{Applied, InstanceRecord, InstanceState};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Instances whose end is remembered as replicated at most; that of others is replicated again when they repeat the call.
+const MAX_REPLICATED_DEREGISTRATIONS: usize = 50_000;
+/// Acknowledgements to peers that wait for the disk at most.
+const MAX_PENDING_PEER_ACKS: usize = 4096;
+/// A controller without quorum contact for this long acknowledges no heartbeats. Longer than an election takes.
+const UNACKNOWLEDGED_AFTER: Millis = 1500.0;
+
+/// Deregistrations on their way to the disks of a majority.
+pub(super) struct Deregistrations {
+    /// Instances whose end is on the disks of a majority, this one's among them.
+    replicated: BTreeSet<String>,
+    /// Those that wait for that, by the number under which peers acknowledge them.
+    pending: BTreeMap<u64, PendingDeregistration>,
+    last_ack_number: u64,
+    /// Acknowledgements to peers that wait for this disk.
+    pending_peer_acks: usize,
+}
+
+struct PendingDeregistration {
+    id: String,
+    call: PendingCall,
+    is_on_own_disk: bool,
+    /// Peers that have it on their disks.
+    acknowledged_by: BTreeSet<String>,
+}
+
+impl Deregistrations {
+    /// `first_number` differs from start to start, so that no acknowledgement of an earlier one is taken for one of this.
+    pub(super) fn new(first_number: u64) -> Deregistrations {
+        Deregistrations {
+            replicated: BTreeSet::new(),
+            pending: BTreeMap::new(),
+            last_ack_number: first_number,
+            pending_peer_acks: 0,
+        }
+    }
+
+    /// Answers calls that have waited for too long.
+    pub(super) fn expire(&mut self, now: Millis, out: &mut Vec<Output>) {
+        self.pending
+            .retain(|_, pending| pending.call.is_in_time(now, out));
+    }
+}
+
+impl Core {
+    pub(super) fn heartbeat(
+        &mut self,
+        now: Millis,
+        call: u64,
+        record: InstanceRecord,
+        out: &mut Vec<Output>,
+    ) {
+        let id = record.id.clone();
+        let seq = record.seq;
+        let is_draining = record.state() == InstanceState::Draining;
+        let applied = self.registry.apply(now, record);
+        if applied != Applied::Stale {
+            self.unsent_heartbeats.insert(id.clone(), seq);
+        }
+        self.acknowledge_instance(now, call, &id, applied, is_draining, out);
+    }
+
+    pub(super) fn deregister(&mut self, now: Millis, call: u64, id: &str, out: &mut Vec<Output>) {
+        let applied = self.registry.deregister(now, id);
+        self.acknowledge_instance(now, call, id, applied, true, out);
+    }
+
+    /// Answers a backend. A controller that has had no quorum contact for long, or that a majority does not hear, applies what it
+    /// receives and acknowledges nothing: all others would declare a backend lost that is heard here alone.
+    fn acknowledge_instance(
+        &mut self,
+        now: Millis,
+        call: u64,
+        id: &str,
+        applied: Applied,
+        is_ending: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let changed = match applied {
+            Applied::Changed(record) => {
+                self.notify_proxies(vec![record.clone()], out);
+                self.write_instances(vec![record.clone()], out);
+                Some(record)
+            }
+            _ => None,
+        };
+        let is_cut_off = !self.contact.is_connected_to_quorum(self.raft.voters())
+            || self.contact.lost_longer_than(now, UNACKNOWLEDGED_AFTER);
+        let needs_no_quorum = !is_ending || self.deregistrations.replicated.contains(id);
+        if is_cut_off || needs_no_quorum {
+            let response = if is_cut_off {
+                CallResponse::Unavailable
+            } else {
+                CallResponse::empty()
+            };
+            out.push(Output::Respond(call, response));
+            if let Some(record) = changed {
+                out.push(Output::SendToAllPeers(encode_instances(
+                    vec![record],
+                    false,
+                    0,
+                )));
+            }
+            return;
+        }
+        if let Some(record) = changed.or_else(|| self.registry.word(now, id)) {
+            self.replicate_deregistration(now, call, record, out);
+        }
+    }
+
+    /// Sends a record to all peers and answers the call once a majority has it on disk.
+    fn replicate_deregistration(
+        &mut self,
+        now: Millis,
+        call: u64,
+        record: InstanceRecord,
+        out: &mut Vec<Output>,
+    ) {
+        let deregistrations = &mut self.deregistrations;
+        deregistrations.last_ack_number += 1;
+        let ack_number = deregistrations.last_ack_number;
+        let pending = PendingDeregistration {
+            id: record.id.clone(),
+            call: PendingCall::new(call, now + QUORUM_TIMEOUT),
+            is_on_own_disk: self.writes.is_empty(),
+            acknowledged_by: BTreeSet::new(),
+        };
+        deregistrations.pending.insert(ack_number, pending);
+        if !self.writes.is_empty() {
+            // It may be in any write that is under way, also where it has changed nothing by now.
+            self.writes
+                .after_all(WritePurpose::Deregistration(ack_number));
+        }
+        out.push(Output::SendToAllPeers(encode_instances(
+            vec![record],
+            false,
+            ack_number,
+        )));
+        self.acknowledge_if_replicated(ack_number, out);
+    }
+
+    /// A deregistration is on this controller's disk.
+    pub(super) fn deregistration_persisted(&mut self, ack_number: u64, out: &mut Vec<Output>) {
+        if let Some(pending) = self.deregistrations.pending.get_mut(&ack_number) {
+            pending.is_on_own_disk = true;
+        }
+        self.acknowledge_if_replicated(ack_number, out);
+    }
+
+    /// A deregistration is on a peer's disk.
+    pub(super) fn peer_persisted(&mut self, peer: &str, ack_number: u64, out: &mut Vec<Output>) {
+        if let Some(pending) = self.deregistrations.pending.get_mut(&ack_number) {
+            pending.acknowledged_by.insert(peer.to_owned());
+            self.acknowledge_if_replicated(ack_number, out);
+        }
+    }
+
+    /// Acknowledges a deregistration if a majority has it on disk.
+    fn acknowledge_if_replicated(&mut self, ack_number: u64, out: &mut Vec<Output>) {
+        let voters = self.raft.voters();
+        let Some(pending) = self.deregistrations.pending.get(&ack_number) else {
+            return;
+        };
+        let on_peers = pending
+            .acknowledged_by
+            .iter()
+            .filter(|peer| voters.contains(*peer))
+            .count();
+        let replicas = on_peers + usize::from(voters.contains(&self.ip));
+        if !pending.is_on_own_disk || replicas < voters.len() / 2 + 1 {
+            return;
+        }
+        let Some(pending) = self.deregistrations.pending.remove(&ack_number) else {
+            return;
+        };
+        if self.deregistrations.replicated.len() < MAX_REPLICATED_DEREGISTRATIONS {
+            self.deregistrations.replicated.insert(pending.id);
+        }
+        pending.call.respond(CallResponse::empty(), out);
+    }
+
+    /// A peer sends instance records, and may want to know when they are on disk here.
+    pub(super) fn receive_instances(
+        &mut self,
+        now: Millis,
+        peer: &str,
+        updates: InstanceUpdates,
+        out: &mut Vec<Output>,
+    ) {
+        let mut changed = Vec::new();
+        for record in updates.records {
+            if let Applied::Changed(record) = self.registry.apply(now, record) {
+                changed.push(record);
+            }
+        }
+        if !changed.is_empty() {
+            self.write_instances(changed.clone(), out);
+        }
+        self.notify_proxies(changed, out);
+        if updates.ack_number != 0 {
+            self.acknowledge_to_peer(peer, updates.ack_number, out);
+        }
+    }
+
+    /// Acknowledges records to a peer, once all that is under way is on disk: also records that change nothing may be in it.
+    fn acknowledge_to_peer(&mut self, peer: &str, ack_number: u64, out: &mut Vec<Output>) {
+        if self.writes.is_empty() {
+            return send_peer_ack(peer, ack_number, out);
+        }
+        // Beyond the bound the peer's caller is not answered in time.
+        if self.deregistrations.pending_peer_acks < MAX_PENDING_PEER_ACKS {
+            self.deregistrations.pending_peer_acks += 1;
+            self.writes.after_all(WritePurpose::PeerInstances {
+                peer: peer.to_owned(),
+                ack_number,
+            });
+        }
+    }
+
+    /// Records that a peer has sent are on disk.
+    pub(super) fn peer_instances_persisted(
+        &mut self,
+        peer: &str,
+        ack_number: u64,
+        out: &mut Vec<Output>,
+    ) {
+        self.deregistrations.pending_peer_acks -= 1;
+        send_peer_ack(peer, ack_number, out);
+    }
+
+    /// Sends a peer on a new connection everything that it may have missed.
+    pub(super) fn send_all_instances_to_peer(
+        &self,
+        now: Millis,
+        peer: &str,
+        out: &mut Vec<Output>,
+    ) {
+        let records = encode_instances(self.registry.records(now), false, 0);
+        out.push(Output::SendToPeer(peer.to_owned(), records));
+        for (ack_number, pending) in &self.deregistrations.pending {
+            if let Some(record) = self.registry.word(now, &pending.id) {
+                let records = encode_instances(vec![record], false, *ack_number);
+                out.push(Output::SendToPeer(peer.to_owned(), records));
+            }
+        }
+    }
+
+    /// Tells the peers which backends were heard here since the last time.
+    pub(super) fn broadcast_heartbeats(&mut self, out: &mut Vec<Output>) {
+        let heartbeats = std::mem::take(&mut self.unsent_heartbeats)
+            .into_iter()
+            .map(|(id, seq)| Heartbeat { id, seq })
+            .collect();
+        let frame = Frame::Heartbeats(Heartbeats { heartbeats });
+        out.push(Output::SendToAllPeers(encode_frame(frame)));
+    }
+
+    /// Declares backends lost that have sent no heartbeat. A controller without quorum contact could not have heard them.
+    pub(super) fn expire_instances(&mut self, now: Millis, out: &mut Vec<Output>) {
+        if !self.contact.lasts_longer_than(now, self.instance_timeout) {
+            return;
+        }
+        let expired = self.registry.expire(now, self.instance_timeout);
+        for record in &expired {
+            out.push(Event::BackendExpired(record).into());
+        }
+        if !expired.is_empty() {
+            self.write_instances(expired.clone(), out);
+        }
+        self.notify_proxies(expired, out);
+    }
+
+    fn write_instances(&mut self, instances: Vec<InstanceRecord>, out: &mut Vec<Output>) {
+        let record = StoreRecord {
+            instances,
+            ..StoreRecord::default()
+        };
+        self.writes.write(record, WritePurpose::Background, out);
+    }
+
+    /// Sends changed records to all proxies.
+    fn notify_proxies(&mut self, changed: Vec<InstanceRecord>, out: &mut Vec<Output>) {
+        if changed.is_empty() {
+            return;
+        }
+        for record in &changed {
+            match record.state() {
+                InstanceState::Draining => out.push(Event::BackendDraining(record).into()),
+                InstanceState::Deregistered => out.push(Event::BackendDeregistered(record).into()),
+                _ => {}
+            }
+        }
+        let bytes = encode_instances(changed, false, 0);
+        for connection in self.proxies.keys() {
+            self.send_to_proxy(*connection, bytes.clone(), out);
+        }
+    }
+
+    /// Whether this controller has listened for long enough to know every backend.
+    fn knows_all_instances(&self, now: Millis) -> bool {
+        now - self.started_at > self.instance_timeout
+            && self.contact.lasts_longer_than(now, self.instance_timeout)
+    }
+
+    /// Sends all instances to the proxies whose list could not be complete before.
+    pub(super) fn complete_proxies_instances(&mut self, now: Millis, out: &mut Vec<Output>) {
+        if !self.knows_all_instances(now) {
+            return;
+        }
+        let incomplete: Vec<u64> = self
+            .proxies
+            .iter()
+            .filter(|(_, proxy)| !proxy.has_complete_instances)
+            .map(|(connection, _)| *connection)
+            .collect();
+        for connection in incomplete {
+            self.send_all_instances(now, connection, out);
+        }
+    }
+
+    /// Sends a proxy all instances that serve or drain. A controller without quorum contact sends nothing of what it found on its
+    /// disk: others may know that an instance has ended.
+    pub(super) fn send_all_instances(
+        &mut self,
+        now: Millis,
+        connection: u64,
+        out: &mut Vec<Output>,
+    ) {
+        let complete = self.knows_all_instances(now);
+        if !self.has_quorum_contact(now) {
+            return;
+        }
+        let Some(proxy) = self.proxies.get_mut(&connection) else {
+            return;
+        };
+        proxy.has_complete_instances = complete;
+        let mut records = self.registry.records(now);
+        records.retain(|record| {
+            matches!(
+                record.state(),
+                InstanceState::Serving | InstanceState::Draining
+            )
+        });
+        self.send_to_proxy(connection, encode_instances(records, complete, 0), out);
+    }
+}
+
+fn send_peer_ack(peer: &str, ack_number: u64, out: &mut Vec<Output>) {
+    out.push(Output::SendToPeer(
+        peer.to_owned(),
+        encode_frame(Frame::InstancesPersisted(ack_number)),
+    ));
+}
+
+/// `ack_number` is zero where no acknowledgement is wanted.
+fn encode_instances(records: Vec<InstanceRecord>, complete: bool, ack_number: u64) -> Bytes {
+    encode_frame(Frame::InstanceUpdates(InstanceUpdates {
+        records,
+        complete,
+        ack_number,
+    }))
+}
--- /dev/null
+++ b/crates/controller/src/core/leasing.rs
@@ -0,0 +1,323 @@
+//! Answers the lease requests of proxies, and keeps the disk's record of the proxies that may hold leases.
+//!
+//! Invariant: a proxy's name is on disk before it is granted anything, so that a later start knows which proxies to wait for. The
+//! arithmetic of the leases is in [`maplefall_quota_lease`].
+
+use super::event::Event;
+use super::proxies::{ProxyConnection, UnansweredRequest};
+use super::writes::WritePurpose;
+use super::{Core, Millis, Output, HEARTBEAT_BROADCAST_INTERVAL};
+use crate::store::StoreRecord;
+use maplefall_control_messages::{encode_frame, Frame};
+use maplefall_gateway_config::ItemKind;
+use maplefall_quota_lease::{
+    membership_lease_valid, ClientId, LeaseGrant, LeaseRequest, LeaseServer, OwnedSlots, SlotEvent,
+    CLOCK_SKEW, LEASE_DURATION,
+};
+use std::collections::BTreeSet;
+
+/// Proxies whose names are on disk at most: others are granted nothing.
+const MAX_LEASE_HOLDERS: usize = 8192;
+/// How often the names of proxies whose leases have expired are removed from the disk.
+const HOLDER_CLEANUP_INTERVAL: Millis = 30_000.0;
+/// A request that was left unanswered for longer is not answered any more: the proxy has sent another.
+const UNANSWERED_REQUEST_TIMEOUT: Millis = 2.0 * HEARTBEAT_BROADCAST_INTERVAL;
+
+/// What this controller may lease, and what it has.
+pub(super) struct Leasing {
+    slots: OwnedSlots,
+    server: LeaseServer,
+    holders: LeaseHolders,
+    /// Whether lease requests were answered until now.
+    was_allowed: bool,
+}
+
+impl Leasing {
+    pub(super) fn new(slots: OwnedSlots, server: LeaseServer, holders: LeaseHolders) -> Leasing {
+        Leasing {
+            slots,
+            server,
+            holders,
+            was_allowed: false,
+        }
+    }
+
+    pub(super) fn slots(&self) -> &OwnedSlots {
+        &self.slots
+    }
+
+    pub(super) fn slots_mut(&mut self) -> &mut OwnedSlots {
+        &mut self.slots
+    }
+}
+
+/// The proxies whose names are on disk, or on their way there.
+pub(super) struct LeaseHolders {
+    names: BTreeSet<String>,
+    /// Whether `names` has every proxy that may hold a lease of this controller, also of its earlier starts.
+    complete: bool,
+    /// Those of `names` that are on their way to the disk.
+    being_recorded: BTreeSet<String>,
+    last_cleanup: Millis,
+}
+
+impl LeaseHolders {
+    /// What the disk says.
+    pub(super) fn new(now: Millis, names: BTreeSet<String>, complete: bool) -> LeaseHolders {
+        LeaseHolders {
+            names,
+            complete,
+            being_recorded: BTreeSet::new(),
+            last_cleanup: now,
+        }
+    }
+
+    /// Removes and returns those that hold no lease of `server` any more.
+    fn take_expired(&mut self, now: Millis, server: &LeaseServer) -> Vec<String> {
+        let expired: Vec<String> = self
+            .names
+            .iter()
+            .filter(|name| {
+                !server.may_hold_lease(now, name) && !self.being_recorded.contains(*name)
+            })
+            .cloned()
+            .collect();
+        for name in &expired {
+            self.names.remove(name);
+        }
+        expired
+    }
+}
+
+impl Core {
+    /// A proxy has sent a frame; only lease requests are expected of one.
+    pub fn door(&mut self, now: Millis, connection: u64, frame: Frame, out: &mut Vec<Output>) {
+        if let Frame::LeaseRequest(request) = frame {
+            self.receive_lease_request(now, connection, request, out);
+        }
+    }
+
+    /// Answers a lease request, where need be once the proxy's name is on disk.
+    fn receive_lease_request(
+        &mut self,
+        now: Millis,
+        connection: u64,
+        request: LeaseRequest,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(proxy) = self.proxies.get(&connection) else {
+            return;
+        };
+        let holders = &mut self.leasing.holders;
+        let node = proxy.node.clone();
+        if !holders.names.contains(&node) && !request.release {
+            if holders.names.len() >= MAX_LEASE_HOLDERS {
+                return;
+            }
+            holders.names.insert(node.clone());
+            holders.being_recorded.insert(node.clone());
+            let record = StoreRecord {
+                leased_to: vec![node.clone()],
+                ..StoreRecord::default()
+            };
+            let purpose = WritePurpose::LeaseHolder {
+                node,
+                connection,
+                request,
+            };
+            return self.writes.write(record, purpose, out);
+        }
+        if holders.being_recorded.contains(&node) {
+            self.writes.after_all(WritePurpose::LeaseHolder {
+                node,
+                connection,
+                request,
+            });
+            return;
+        }
+        self.answer_lease_request(now, connection, &request, out);
+    }
+
+    /// A proxy's name is on disk.
+    pub(super) fn lease_holder_persisted(
+        &mut self,
+        now: Millis,
+        node: &str,
+        connection: u64,
+        request: &LeaseRequest,
+        out: &mut Vec<Output>,
+    ) {
+        self.leasing.holders.being_recorded.remove(node);
+        self.answer_lease_request(now, connection, request, out);
+    }
+
+    /// Whether lease requests may be answered: this controller is known to be a member that had applied all that was committed a
+    /// short while ago.
+    fn may_lease(&self, now: Millis) -> bool {
+        self.raft.is_voter() && membership_lease_valid(now, self.raft.last_quorum_contact(now))
+    }
+
+    fn answer_lease_request(
+        &mut self,
+        now: Millis,
+        connection: u64,
+        request: &LeaseRequest,
+        out: &mut Vec<Output>,
+    ) {
+        let may_lease = self.may_lease(now);
+        let Some(proxy) = self.proxies.get_mut(&connection) else {
+            return;
+        };
+        // A proxy that shuts down gives its leases back: that is accepted at any time.
+        if !may_lease && !request.release {
+            proxy.unanswered = Some(UnansweredRequest {
+                received_at: now,
+                request: request.clone(),
+            });
+            return;
+        }
+        proxy.unanswered = None;
+        let node = proxy.node.clone();
+        let tenants = self
+            .config
+            .state()
+            .active(ItemKind::Tenant)
+            .map(|item| item.name.as_str());
+        let client = ClientId {
+            name: &proxy.node,
+            incarnation: proxy.incarnation,
+            connection,
+        };
+        let grants = self
+            .leasing
+            .server
+            .handle_request(now, client, request, tenants);
+        for (to, grant) in grants {
+            let connection = if to == node {
+                Some(connection)
+            } else {
+                self.latest_connection(&to)
+            };
+            self.send_grant(connection, grant, out);
+        }
+    }
+
+    fn send_grant(&self, connection: Option<u64>, grant: LeaseGrant, out: &mut Vec<Output>) {
+        if let Some(connection) = connection {
+            self.send_to_proxy(connection, encode_frame(Frame::LeaseGrant(grant)), out);
+        }
+    }
+
+    /// Logs what has become of this controller's slots, and leases by them from now on.
+    pub(super) fn slots_changed(&mut self, events: Vec<SlotEvent>, out: &mut Vec<Output>) {
+        if events.is_empty() {
+            return;
+        }
+        for event in events {
+            let event = match event {
+                SlotEvent::Owned(since) => Event::SlotOwned {
+                    since,
+                    waited: false,
+                },
+                SlotEvent::Waiting(since, wait) => Event::SlotWaiting { since, wait },
+                SlotEvent::Lost(since) => Event::SlotLost { since },
+                SlotEvent::WaitOver(since) => {
+                    // A later start with this disk need not wait again.
+                    let record = StoreRecord {
+                        waited_slots: vec![since],
+                        ..StoreRecord::default()
+                    };
+                    self.writes.write(record, WritePurpose::Background, out);
+                    Event::SlotOwned {
+                        since,
+                        waited: true,
+                    }
+                }
+            };
+            out.push(event.into());
+        }
+        // Leases that shrink are announced at once, others with the next grant.
+        let limit = self.leasing.slots.limit();
+        for (node, grant) in self.leasing.server.set_limit(limit) {
+            let connection = self.latest_connection(&node);
+            self.send_grant(connection, grant, out);
+        }
+    }
+
+    /// Time passes for the leases.
+    pub(super) fn tick_leasing(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let events = self.leasing.slots.tick(now);
+        self.slots_changed(events, out);
+        self.complete_lease_holders(now, out);
+        self.remove_expired_lease_holders(now, out);
+        let may_lease = self.may_lease(now);
+        if std::mem::replace(&mut self.leasing.was_allowed, may_lease) != may_lease {
+            self.answer_unanswered_requests(now, out);
+            let event = if may_lease {
+                Event::LeaseAcquired {
+                    limit: self.leasing.server.limit(),
+                }
+            } else {
+                Event::LeaseExpired {
+                    contact_age: now - self.raft.last_quorum_contact(now),
+                }
+            };
+            out.push(event.into());
+        }
+    }
+
+    /// Once this process has run for the duration of a lease, all that earlier starts have leased has expired.
+    fn complete_lease_holders(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let holders = &mut self.leasing.holders;
+        if holders.complete || now - self.started_at < LEASE_DURATION + CLOCK_SKEW {
+            return;
+        }
+        holders.complete = true;
+        self.record_complete_lease_holders(out);
+    }
+
+    pub(super) fn record_complete_lease_holders(&mut self, out: &mut Vec<Output>) {
+        let record = StoreRecord {
+            leased_to_complete: true,
+            ..StoreRecord::default()
+        };
+        self.writes.write(record, WritePurpose::Background, out);
+    }
+
+    fn remove_expired_lease_holders(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let Leasing {
+            holders, server, ..
+        } = &mut self.leasing;
+        if !holders.complete || now - holders.last_cleanup < HOLDER_CLEANUP_INTERVAL {
+            return;
+        }
+        holders.last_cleanup = now;
+        // A proxy that comes again is recorded again, in a later write.
+        let released = holders.take_expired(now, server);
+        if released.is_empty() {
+            return;
+        }
+        let record = StoreRecord {
+            released,
+            ..StoreRecord::default()
+        };
+        self.writes.write(record, WritePurpose::Background, out);
+    }
+
+    /// Proxies that asked just before this controller was allowed to answer need not ask again.
+    fn answer_unanswered_requests(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let take_recent = |proxy: &mut ProxyConnection| {
+            let unanswered = proxy.unanswered.take()?;
+            let recent = now - unanswered.received_at < UNANSWERED_REQUEST_TIMEOUT;
+            recent.then_some(unanswered.request)
+        };
+        let requests: Vec<(u64, LeaseRequest)> = self
+            .proxies
+            .iter_mut()
+            .filter_map(|(connection, proxy)| Some((*connection, take_recent(proxy)?)))
+            .collect();
+        for (connection, request) in requests {
+            self.receive_lease_request(now, connection, request, out);
+        }
+    }
+}
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -1,70 +1,79 @@
-//! What an exchange decides: who may be acknowledged what, and what the doors and the other exchanges are told.
+//! What a controller decides, without I/O: [`Core`] takes inputs with their time and returns [`Output`]s.
+//!
+//! Design: `docs/design/control.md` and the `control-*.md` beside it. One module a concern:
+//!
+//! - `replication`: drives raft, applies what is committed, compacts the log;
+//! - `operator_calls`, `pending_calls`, `uncommitted_changes`: the operator's calls;
+//! - `replicated_config`, `config_distribution`: the committed configuration and the proxies that follow it;
+//! - `instances`, `heartbeat`: heartbeats and deregistrations of backends;
+//! - `leasing`: lease requests of proxies;
+//! - `quorum_contact`: whether this controller is cut off;
+//! - `proxies`, `writes`: connections and writes that are under way;
+//! - `event`: what is logged.
 
-mod agreement;
-mod backends;
-mod doors;
-mod operator;
-mod whole;
+mod config_distribution;
+mod event;
+mod heartbeat;
+mod instances;
+mod leasing;
+mod operator_calls;
+mod pending_calls;
+mod proxies;
+mod quorum_contact;
+mod replicated_config;
+mod replicated_state;
+mod replication;
+mod uncommitted_changes;
+mod writes;
 
-use crate::beat::read_beat;
-use crate::store::{StoreRecord, StoredState};
+pub use replicated_state::ReplicatedState;
+
+use crate::store::StoredState;
 use bytes::Bytes;
-use maplefall_control_messages::{
-    encode_frame, ConfigUpdate, Frame, Heartbeat, Heartbeats, Hello, IndexedChange, InstanceUpdates,
-};
-use maplefall_gateway_config::{parse_amend, Change, ConfigState, PendingChanges, Validation};
+use event::Event;
+use heartbeat::parse_heartbeat;
+use instances::Deregistrations;
+use leasing::{LeaseHolders, Leasing};
+use maplefall_control_messages::Frame;
+use maplefall_gateway_config::ConfigError;
 use maplefall_node_settings::Settings;
-use maplefall_quota_lease::{
-    membership_lease_valid, ClientId, LeaseRequest, LeaseServer, OwnedSlots, SlotEvent, Slots,
-    CLOCK_SKEW, LEASE_DURATION,
-};
-use maplefall_raft::{Config, Entry, EntryKind, Raft, Ready, Snapshot};
-use maplefall_service_registry::{Applied, InstanceRecord, InstanceState, Registry};
-pub use whole::ReplicatedState;
-
-use prost::Message;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use maplefall_quota_lease::{LeaseServer, OwnedSlots, Slots};
+use maplefall_raft::{Config, Raft, Ready};
+use maplefall_service_registry::Registry;
+use pending_calls::PendingCalls;
+use proxies::ProxyConnection;
+use quorum_contact::QuorumContact;
+use replicated_config::ReplicatedConfig;
+use std::collections::{BTreeMap, BTreeSet};
+use uncommitted_changes::UncommittedChanges;
+use writes::{PendingWrites, WritePurpose};
 
 /// Milliseconds on the steady clock.
 pub type Millis = f64;
 
 /// How often [`Core::tick`] wants to be called.
 pub const TICK: Millis = 100.0;
-/// How often exchanges tell one another whom they have heard.
-const TELL: Millis = 500.0;
-/// Longest time that a call is held: callers move on after a second.
-const HOLD: Millis = 700.0;
+/// How often controllers send one another the heartbeats that they have received.
+const HEARTBEAT_BROADCAST_INTERVAL: Millis = 500.0;
+/// Longest time that a call waits for a leader: callers move on after a second.
+const LEADER_TIMEOUT: Millis = 700.0;
 /// Longest time that a call waits for a majority.
-const AGREE: Millis = 900.0;
-/// Beats that a backend may miss before it is taken for lost.
-const MISSED: f64 = 4.0;
-/// A pause between ticks over which this process was not running.
-const FROZEN: Millis = 1000.0;
-/// Changes that are kept for doors that lack a few.
-const RING: usize = 256;
-/// Lives whose leaving is remembered as shared at most; of others it is shared again.
-const MOST_SHARED: usize = 50_000;
-/// Receipts at most that wait for the disk.
-const MOST_RECEIPTS: usize = 4096;
-/// An exchange that has been out of touch for this long acknowledges no beats. Longer than an election takes.
-const AWAY: Millis = 1500.0;
-/// Doors whose names are on disk at most: others are lent nothing.
-const MOST_NAMED: usize = 8192;
-/// How often names of doors that hold nothing any more are struck off.
-const STRIKE: Millis = 30_000.0;
-/// Calls that wait at most; what comes beyond is sent on.
-const MOST_CALLS: usize = 512;
+const QUORUM_TIMEOUT: Millis = 900.0;
+/// Heartbeats that a backend may miss before it is declared lost.
+const MAX_MISSED_HEARTBEATS: f64 = 4.0;
+/// A gap between ticks that shows that this process was not running.
+const MIN_PROCESS_PAUSE: Millis = 1000.0;
 
 /// What a caller asks.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// A backend says what it is.
+    /// `instances.beat`: heartbeat of the backend with this id, and its body.
     Heartbeat(String, Bytes),
-    /// A backend ends.
+    /// `instances.leave`: the backend with this id ends.
     Deregister(String),
-    /// The operator changes items.
+    /// `config.amend`: the operator changes items.
     Amend(Bytes),
-    /// The operator reads all back.
+    /// `config.read`: the operator reads the configuration.
     ReadConfig,
 }
 
@@ -75,390 +84,200 @@
     Ok(String),
     /// A 4xx with the reason: nothing of the call is in force.
     Rejected(u16, String),
-    /// 307 to the exchange at this address.
+    /// 307 to the controller at this address.
     Redirect(String),
-    /// 503: another may know.
+    /// 503: the outcome is unknown here, another controller may know it.
     Unavailable,
 }
 
-/// What is to be done.
+impl CallResponse {
+    /// A 200 that says nothing more.
+    fn empty() -> CallResponse {
+        CallResponse::Ok("{}".to_owned())
+    }
+
+    fn rejected(error: &ConfigError) -> CallResponse {
+        CallResponse::Rejected(error.status(), error.to_string())
+    }
+}
+
+/// What the driver is to do, in this order.
 #[derive(Debug)]
 pub enum Output {
-    /// Write this; the number is told to [`Core::written`].
-    Write(u64, Box<StoreRecord>),
-    /// Send a frame to the exchange at this address.
+    /// Write this record; its number is passed to [`Core::persisted`] once it is on disk.
+    Write(u64, Box<crate::store::StoreRecord>),
+    /// Send a frame to the controller at this address.
     SendToPeer(String, Bytes),
-    /// Send a frame to every exchange.
+    /// Send a frame to every other controller.
     SendToAllPeers(Bytes),
-    /// Send a frame on the connection of this number.
+    /// Send a frame on the proxy's connection of this number.
     SendToProxy(u64, Bytes),
-    /// Answer a call.
+    /// Answer the call of this number.
     Respond(u64, CallResponse),
     /// A line for the log.
     Log(String),
-    /// A line for whoever looks closely.
+    /// A line for the log at its debug level.
     Debug(String),
 }
 
-struct Door {
-    node: String,
-    life: u64,
-    index: u64,
-    told_all: bool,
-    /// It has no configuration, and waits until this exchange is in touch.
-    held_back: bool,
-    /// Its last report, where that came while nothing could be answered, and when.
-    unanswered: Option<(Millis, LeaseRequest)>,
-}
-
-/// What a write was for.
-enum Wrote {
-    Tandem(u64),
-    /// A door's name: it may be lent to.
-    Name(String, u64, LeaseRequest),
-    /// A note for later lives.
-    Note,
-    /// Words about backends.
-    Words,
-    /// Nothing of its own: all before it holds what this leave, by its receipt, says.
-    Leave(u64),
-    /// The same of words that this exchange wants a receipt for.
-    Heard(String, u64),
-}
-
-/// A leave that is to be acknowledged.
-struct Leave {
-    id: String,
-    waiting: Waiting,
-    /// Whether it is on this disk.
-    on_disk: bool,
-    /// Exchanges that have it on theirs.
-    receipts: BTreeSet<String>,
-}
-
-/// A call that waits.
-struct Waiting {
-    call: u64,
-    until: Millis,
-}
-
-/// A call that is answered once an entry is agreed on; should another leader's take its place, the answer is unknown.
-struct AfterEntry {
-    waiting: Waiting,
-    term: u64,
-    answer: CallResponse,
-}
-
-/// What is answered once a round has confirmed that this exchange leads.
-enum AfterRound {
-    ReadBack,
-    /// A refusal that was judged in this term, with all up to this index before it.
-    Refused(CallResponse, u64, u64),
-}
-
-/// The changes that are on their way, as far as they were looked at.
-#[derive(Default)]
-struct Coming {
-    term: u64,
-    /// Index before the first and of the last that was looked at.
-    after: u64,
-    through: u64,
-    ahead: PendingChanges,
-}
-
-/// The decisions of one exchange.
+/// The state machine of one controller.
 pub struct Core {
-    me: String,
-    born: Millis,
-    silence: Millis,
-    tandem: Raft,
-    board: ConfigState,
-    /// Index of the last change in `board`.
-    index: u64,
-    ring: VecDeque<IndexedChange>,
-    /// All changes after this index are in the ring.
-    ring_after: u64,
-    directory: Registry,
-    /// Since when a majority has been heard without a break.
-    company: Option<Millis>,
-    /// Since when it has not.
-    parted: Option<Millis>,
-    /// Exchanges to which there is a link that lives.
-    linked: BTreeSet<String>,
-    /// When each of the voters said something of the agreement last.
-    heard_from: BTreeMap<String, Millis>,
-    /// Whom this exchange heard itself since it last told the others.
-    heard: BTreeMap<String, u64>,
-    /// Lives whose leaving a majority has on disk, this exchange too.
-    shared: BTreeSet<String>,
-    /// Leaves that wait for that, by the number of their receipt.
-    leaves: BTreeMap<u64, Leave>,
-    last_receipt: u64,
-    /// Receipts that wait for the disk.
-    receipts_due: usize,
-    doors: BTreeMap<u64, Door>,
-    /// Which machines may be lost at once: how many slots the quotas are cut into follows from it at the first start.
-    losses: u32,
-    shares: OwnedSlots,
-    lender: LeaseServer,
-    was_leased: bool,
-    lent_to: BTreeSet<String>,
-    /// Whether that names all doors that may hold what this exchange has lent.
-    lent_known: bool,
-    /// Doors whose names are on their way to the disk.
-    naming: BTreeSet<String>,
-    struck: Millis,
-    last_write: u64,
-    writing: VecDeque<(u64, Wrote)>,
-    /// What is on its way, for the judgement of calls.
-    coming: Coming,
-    /// Calls that wait for an entry to be agreed on, by its index.
-    amends: BTreeMap<u64, Vec<AfterEntry>>,
-    /// Calls that wait for a round of the leader, by its ticket.
-    reads: BTreeMap<u64, (Waiting, AfterRound)>,
-    /// Reads that were confirmed before anybody waited for them.
-    confirmed: BTreeSet<u64>,
-    /// Calls that wait for a leader.
-    held: Vec<(Waiting, Call)>,
-    ticked: Millis,
-    told: Millis,
-    led_by: Option<String>,
-    stopping: bool,
-    /// Entries after which the log is folded even if it is not long: for tests.
+    /// This controller's address, which is its name among the voters.
+    ip: String,
+    started_at: Millis,
+    last_tick: Millis,
+    last_heartbeat_broadcast: Millis,
+    is_stopping: bool,
+    /// A backend that is silent for longer is declared lost.
+    instance_timeout: Millis,
+    /// Machines that may fail at once: the number of slots that quotas are cut into at the first start follows from it.
+    max_machine_losses: u32,
+    /// Entries after which the log is compacted even if raft does not ask for it: for tests.
     compact_after: Option<usize>,
+    raft: Raft,
+    /// The leader that was logged last.
+    known_leader: Option<String>,
+    contact: QuorumContact,
+    writes: PendingWrites,
+    config: ReplicatedConfig,
+    uncommitted: UncommittedChanges,
+    calls: PendingCalls,
+    registry: Registry,
+    /// Sequence numbers of the heartbeats that this controller received since it last told its peers.
+    unsent_heartbeats: BTreeMap<String, u64>,
+    deregistrations: Deregistrations,
+    proxies: BTreeMap<u64, ProxyConnection>,
+    leasing: Leasing,
 }
 
 impl Core {
-    /// An exchange that found this on its disk. `seed` is its only source of chance.
+    /// A controller that found `stored` on its disk. `seed` is its only source of randomness.
     pub fn new(
         settings: &Settings,
         now: Millis,
         seed: u64,
-        kept: StoredState,
+        stored: StoredState,
         out: &mut Vec<Output>,
     ) -> Core {
-        let me = settings.ip.to_string();
-        let mut first: Vec<String> = settings
-            .seeds
-            .iter()
-            .map(|seed| seed.ip().to_string())
-            .collect();
-        if first.is_empty() {
-            first.push(me.clone());
-        }
-        let fresh = kept.raft.is_empty();
-        let tolerance = &settings.tolerance;
-        let setup = Config {
-            initial_members: settings.bootstrap.then_some(first.as_slice()),
-            voter: settings.quorum_member,
-            max_failures: tolerance.machine_losses as usize,
-            interchangeable: tolerance.zones == 0 && tolerance.region_losses == 0,
-            ..Config::default()
-        };
-        let snapshot = kept.raft.snapshot.clone();
-        let losses = settings.tolerance.machine_losses;
-        // The first disk of all has lent nothing; another that came empty may have.
-        let starts = fresh && settings.bootstrap;
-        let lent_known = kept.leased_to_complete || starts;
-        let lent_to = lent_known.then(|| kept.leased_to.clone());
-        let mut todo = Ready::default();
-        let tandem = Raft::new(&me, now, seed, kept.raft, &setup, &mut todo);
-        let lender = LeaseServer::new(now, (seed as u32).max(1), 0, lent_to);
-        let (shares, _) = OwnedSlots::new(now, &me, Slots::default(), kept.waited_slots);
+        let ip = settings.ip.to_string();
+        let snapshot = stored.raft.snapshot.clone();
+        // The first disk of all has leased nothing; another that came empty may have.
+        let is_first_start = stored.raft.is_empty() && settings.bootstrap;
+        let holders_complete = stored.leased_to_complete || is_first_start;
+        let known_holders = holders_complete.then(|| stored.leased_to.clone());
+        let mut ready = Ready::default();
+        let raft = new_raft(settings, &ip, now, seed, stored.raft, &mut ready);
+        let server = LeaseServer::new(now, (seed as u32).max(1), 0, known_holders);
+        let (slots, _) = OwnedSlots::new(now, &ip, Slots::default(), stored.waited_slots);
+        let holders = LeaseHolders::new(now, stored.leased_to, holders_complete);
         let mut core = Core {
-            me,
-            born: now,
-            silence: MISSED * settings.heartbeat_s * 1000.0,
-            losses,
-            shares,
-            lender,
-            was_leased: false,
-            lent_known,
-            lent_to: kept.leased_to,
-            naming: BTreeSet::new(),
-            struck: now,
-            tandem,
-            board: ConfigState::default(),
-            index: 0,
-            ring: VecDeque::new(),
-            ring_after: 0,
-            directory: Registry::default(),
-            company: None,
-            parted: Some(now),
-            linked: BTreeSet::new(),
-            heard_from: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            shared: BTreeSet::new(),
-            leaves: BTreeMap::new(),
-            last_receipt: seed & 0xffff_ffff,
-            receipts_due: 0,
-            doors: BTreeMap::new(),
-            last_write: kept.number,
-            writing: VecDeque::new(),
-            coming: Coming::default(),
-            amends: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            confirmed: BTreeSet::new(),
-            held: Vec::new(),
-            ticked: now,
-            told: now,
-            led_by: None,
-            stopping: false,
+            started_at: now,
+            last_tick: now,
+            last_heartbeat_broadcast: now,
+            is_stopping: false,
+            instance_timeout: instance_timeout(settings),
+            max_machine_losses: settings.tolerance.machine_losses,
             compact_after: None,
+            raft,
+            known_leader: None,
+            contact: QuorumContact::new(&ip, now),
+            writes: PendingWrites::new(stored.number),
+            config: ReplicatedConfig::default(),
+            uncommitted: UncommittedChanges::default(),
+            calls: PendingCalls::default(),
+            registry: Registry::default(),
+            unsent_heartbeats: BTreeMap::new(),
+            deregistrations: Deregistrations::new(seed & 0xffff_ffff),
+            proxies: BTreeMap::new(),
+            leasing: Leasing::new(slots, server, holders),
+            ip,
         };
-        for word in kept.instances.into_values() {
-            core.directory.apply(now, word);
+        for record in stored.instances.into_values() {
+            core.registry.apply(now, record);
         }
-        if starts {
-            core.write(
-                StoreRecord {
-                    leased_to_complete: true,
-                    ..StoreRecord::default()
-                },
-                Wrote::Note,
-                out,
-            );
-            let first = core.tandem.persistent_state().snapshot.clone();
-            core.install(now, &first, out);
+        if is_first_start {
+            core.record_complete_lease_holders(out);
+            let first = core.raft.persistent_state().snapshot.clone();
+            core.install_snapshot(now, &first, out);
         } else if !snapshot.members.is_empty() {
-            core.install(now, &snapshot, out);
+            core.install_snapshot(now, &snapshot, out);
         }
-        core.carry(now, todo, out);
+        core.process_ready(now, ready, out);
         core
     }
 
-    /// Addresses of the exchanges that agree with one another.
+    /// Addresses of the controllers that vote.
     pub fn voters(&self) -> &BTreeSet<String> {
-        self.tandem.voters()
+        self.raft.voters()
     }
 
-    /// Whether this exchange leads the others.
+    /// Whether this controller leads the others.
     pub fn is_leader(&self) -> bool {
-        self.tandem.is_leader()
+        self.raft.is_leader()
     }
 
-    /// Folds the log after this many entries, where the usual number is too many for a test.
-    pub fn fold_after(&mut self, entries: usize) {
+    /// Compacts the log after this many entries, where the usual number is too many for a test.
+    pub fn set_compaction_threshold(&mut self, entries: usize) {
         self.compact_after = Some(entries);
     }
 
-    // ---- Inputs -------------------------------------------------------------------------------------
-
     /// Time passes; to be called every [`TICK`].
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
-        if now - self.ticked > FROZEN {
-            out.push(Output::Log(format!(
-                "event=frozen ms={:.0}",
-                now - self.ticked
-            )));
-            self.lose_company(now, out);
+        let duration = now - self.last_tick;
+        if duration > MIN_PROCESS_PAUSE {
+            out.push(Event::ProcessPaused { duration }.into());
+            self.lose_quorum_contact(now, out);
         }
-        self.ticked = now;
-        self.agree(now, out, |tandem, todo| tandem.tick(now, todo));
-        self.keep_company(now, out);
+        self.last_tick = now;
+        self.drive_raft(now, out, |raft, ready| raft.tick(now, ready));
+        self.update_quorum_contact(now, out);
         self.expire_calls(now, out);
-        self.keep_lending(now, out);
-        if now - self.told < TELL {
+        self.tick_leasing(now, out);
+        if now - self.last_heartbeat_broadcast < HEARTBEAT_BROADCAST_INTERVAL {
             return;
         }
-        self.told = now;
-        let seen = std::mem::take(&mut self.heard)
-            .into_iter()
-            .map(|(id, seq)| Heartbeat { id, seq })
-            .collect();
-        out.push(Output::SendToAllPeers(encode_frame(Frame::Heartbeats(
-            Heartbeats { heartbeats: seen },
-        ))));
-        // Whoever was alone for a while could not hear.
-        if self.company.is_some_and(|since| now - since > self.silence) {
-            let lost = self.directory.expire(now, self.silence);
-            for word in &lost {
-                out.push(Output::Log(format!(
-                    "event=lost backend={} service={}",
-                    word.id, word.service
-                )));
-            }
-            if !lost.is_empty() {
-                self.write(
-                    StoreRecord {
-                        instances: lost.clone(),
-                        ..StoreRecord::default()
-                    },
-                    Wrote::Words,
-                    out,
-                );
-            }
-            self.tell(lost, out);
-        }
-        let whole = self.knows_all(now);
-        let unaware: Vec<u64> = self
-            .doors
-            .iter()
-            .filter(|(_, door)| whole && !door.told_all)
-            .map(|(conn, _)| *conn)
-            .collect();
-        for conn in unaware {
-            self.tell_all(now, conn, out);
-        }
+        self.last_heartbeat_broadcast = now;
+        self.broadcast_heartbeats(out);
+        self.expire_instances(now, out);
+        self.complete_proxies_instances(now, out);
     }
 
     /// All writes up to this number are on disk.
     pub fn persisted(&mut self, now: Millis, number: u64, out: &mut Vec<Output>) {
-        while self
-            .writing
-            .front()
-            .is_some_and(|(write, _)| *write <= number)
-        {
-            match self
-                .writing
-                .pop_front()
-                .map_or(Wrote::Tandem(0), |(_, wrote)| wrote)
-            {
-                Wrote::Tandem(number) => {
-                    self.agree(now, out, |tandem, todo| tandem.written(now, number, todo))
+        while let Some(purpose) = self.writes.pop_persisted(number) {
+            match purpose {
+                WritePurpose::Background => {}
+                WritePurpose::Raft(number) => {
+                    self.drive_raft(now, out, |raft, ready| raft.written(now, number, ready));
                 }
-                Wrote::Name(name, conn, report) => self.named(now, &name, conn, &report, out),
-                Wrote::Note => {}
-                Wrote::Words => {}
-                Wrote::Leave(receipt) => {
-                    if let Some(leave) = self.leaves.get_mut(&receipt) {
-                        leave.on_disk = true;
-                    }
-                    self.settle(receipt, out);
+                WritePurpose::LeaseHolder {
+                    node,
+                    connection,
+                    request,
+                } => self.lease_holder_persisted(now, &node, connection, &request, out),
+                WritePurpose::Deregistration(ack_number) => {
+                    self.deregistration_persisted(ack_number, out);
                 }
-                Wrote::Heard(ip, receipt) => {
-                    self.receipts_due -= 1;
-                    out.push(Output::SendToPeer(
-                        ip,
-                        encode_frame(Frame::InstancesPersisted(receipt)),
-                    ));
+                WritePurpose::PeerInstances { peer, ack_number } => {
+                    self.peer_instances_persisted(&peer, ack_number, out);
                 }
             }
         }
     }
 
-    /// There is a new link to another exchange: what went to it before may be lost, so it is told all again.
+    /// There is a new connection to a peer: what went to it before may be lost, so all instances are sent again.
     pub fn peer_connected(&mut self, now: Millis, ip: &str, out: &mut Vec<Output>) {
-        self.linked.insert(ip.to_owned());
-        let known = backends::words(self.directory.records(now), false, 0);
-        out.push(Output::SendToPeer(ip.to_owned(), known));
-        for (receipt, leave) in &self.leaves {
-            if let Some(word) = self.directory.word(now, &leave.id) {
-                out.push(Output::SendToPeer(
-                    ip.to_owned(),
-                    backends::words(vec![word], false, *receipt),
-                ));
-            }
-        }
+        self.contact.peer_connected(ip);
+        self.send_all_instances_to_peer(now, ip, out);
     }
 
-    /// The link to another exchange is dead. What it may not have heard is told again when there is another; entries are sent again
-    /// until they are answered.
+    /// The connection to a peer has ended. What it may have missed is sent on the next one; log entries are sent again until they
+    /// are acknowledged.
     pub fn peer_disconnected(&mut self, ip: &str) {
-        self.linked.remove(ip);
+        self.contact.peer_disconnected(ip);
     }
 
-    /// Another exchange says something.
+    /// A peer has sent a frame.
     pub fn receive_from_peer(
         &mut self,
         now: Millis,
@@ -468,69 +287,86 @@
     ) {
         match frame {
             Frame::Raft(message) => {
-                if self.tandem.voters().contains(ip) {
-                    self.heard_from.insert(ip.to_owned(), now);
-                }
-                self.agree(now, out, |tandem, todo| tandem.step(now, ip, message, todo));
-            }
-            Frame::InstanceUpdates(words) => self.told(now, ip, words, out),
-            Frame::InstancesPersisted(receipt) => {
-                if let Some(leave) = self.leaves.get_mut(&receipt) {
-                    leave.receipts.insert(ip.to_owned());
-                    self.settle(receipt, out);
+                if self.raft.voters().contains(ip) {
+                    self.contact.raft_message_from(now, ip);
                 }
+                self.drive_raft(now, out, |raft, ready| raft.step(now, ip, message, ready));
             }
-            Frame::Heartbeats(alive) => {
-                for seen in alive.heartbeats {
-                    self.directory.refresh(now, &seen.id, seen.seq);
+            Frame::InstanceUpdates(updates) => self.receive_instances(now, ip, updates, out),
+            Frame::InstancesPersisted(ack_number) => self.peer_persisted(ip, ack_number, out),
+            Frame::Heartbeats(heartbeats) => {
+                for heartbeat in heartbeats.heartbeats {
+                    self.registry.refresh(now, &heartbeat.id, heartbeat.seq);
                 }
             }
             _ => {}
         }
     }
 
-    /// A caller asks something; the answer has this number.
+    /// A caller asks something; the answer bears this number.
     pub fn call(&mut self, now: Millis, number: u64, call: Call, out: &mut Vec<Output>) {
         match call {
-            Call::Heartbeat(id, body) => match read_beat(&id, &body) {
+            Call::Heartbeat(id, body) => match parse_heartbeat(&id, &body) {
+                Ok(record) => self.heartbeat(now, number, record, out),
                 Err(field) => {
-                    let why = format!("step=read field={field} backend={id}");
-                    out.push(Output::Log(format!("event=bad_beat {why}")));
-                    out.push(Output::Respond(number, CallResponse::Rejected(400, why)));
+                    let reason = format!("step=read field={field} backend={id}");
+                    out.push(Event::BadHeartbeat { reason: &reason }.into());
+                    out.push(Output::Respond(number, CallResponse::Rejected(400, reason)));
                 }
-                Ok(word) => self.beat(now, number, word, out),
             },
-            Call::Deregister(id) => {
-                let brought = self.directory.deregister(now, &id);
-                self.acknowledge(now, number, &id, brought, true, out);
-            }
+            Call::Deregister(id) => self.deregister(now, number, &id, out),
             Call::Amend(body) => self.amend(now, number, body, out),
-            Call::ReadConfig => self.read(now, number, out),
+            Call::ReadConfig => self.read_config(now, number, out),
         }
     }
 
-    /// The settings file has changed: what it says of beats holds from now on; the rest takes a start.
+    /// The settings file has changed. The interval of heartbeats is taken over; all else takes a restart.
     pub fn reload(&mut self, settings: &Settings) {
-        self.silence = MISSED * settings.heartbeat_s * 1000.0;
+        self.instance_timeout = instance_timeout(settings);
     }
 
-    /// A planned stop begins: somebody else is to lead, and nothing is to rest on this exchange alone.
+    /// A planned stop begins: another controller is to lead, and nothing committed is to rest on this one alone.
     pub fn shut_down(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.stopping = true;
-        self.agree(now, out, |tandem, todo| tandem.shut_down(now, todo));
-        for (waiting, _) in std::mem::take(&mut self.held) {
-            out.push(Output::Respond(waiting.call, CallResponse::Unavailable));
+        self.is_stopping = true;
+        self.drive_raft(now, out, |raft, ready| raft.shut_down(now, ready));
+        for (pending, _) in self.calls.take_awaiting_leader() {
+            pending.respond(CallResponse::Unavailable, out);
         }
     }
 
-    /// Whether a planned stop may end: nothing that was agreed on rests on this exchange alone.
+    /// Whether a planned stop may end: nothing that was committed rests on this controller alone.
     pub fn may_stop(&self, now: Millis) -> bool {
-        self.tandem.may_stop(now)
+        self.raft.may_stop(now)
     }
+}
+
+fn instance_timeout(settings: &Settings) -> Millis {
+    MAX_MISSED_HEARTBEATS * settings.heartbeat_s * 1000.0
+}
 
-    fn write(&mut self, stored: StoreRecord, wrote: Wrote, out: &mut Vec<Output>) {
-        self.last_write += 1;
-        self.writing.push_back((self.last_write, wrote));
-        out.push(Output::Write(self.last_write, Box::new(stored)));
+fn new_raft(
+    settings: &Settings,
+    ip: &str,
+    now: Millis,
+    seed: u64,
+    stored: maplefall_raft::PersistentState,
+    ready: &mut Ready,
+) -> Raft {
+    let mut initial_members: Vec<String> = settings
+        .seeds
+        .iter()
+        .map(|seed| seed.ip().to_string())
+        .collect();
+    if initial_members.is_empty() {
+        initial_members.push(ip.to_owned());
     }
+    let tolerance = &settings.tolerance;
+    let config = Config {
+        initial_members: settings.bootstrap.then_some(initial_members.as_slice()),
+        voter: settings.quorum_member,
+        max_failures: tolerance.machine_losses as usize,
+        interchangeable: tolerance.zones == 0 && tolerance.region_losses == 0,
+        ..Config::default()
+    };
+    Raft::new(ip, now, seed, stored, &config, ready)
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,7 +1,8 @@
-//! The core of the system. [`Core`] decides and does no I/O; [`net`] carries out what it returns; [`store`] is its disk,
-//! on a [`disk`].
+//! The control plane: keeps the configuration and the service registry, replicates them among controllers, and leases quota
+//! shares to proxies.
+//!
+//! [`Core`] decides and does no I/O; [`net`] carries out what it returns; [`store`] keeps its state on a [`disk`].
 
-mod beat;
 pub mod core;
 pub mod disk;
 pub mod net;
--- a/crates/controller/tests/common/played.rs
+++ b/crates/controller/tests/common/played.rs
@@ -448,7 +448,7 @@
         let settings = settings(&names, name, node.bootstrap);
         let mut core = Core::new(&settings, now, seed, node.disk.clone(), &mut out);
         if let Some(entries) = self.fold_after {
-            core.fold_after(entries);
+            core.set_compaction_threshold(entries);
         }
         node.bootstrap = false;
         node.core = Some(core);
--- a/crates/controller/tests/lending.rs
+++ b/crates/controller/tests/lending.rs
@@ -292,7 +292,7 @@
                 .iter()
                 .any(|line| line.starts_with(what))
         };
-        assert!(said(&play, "event=lease_over"));
+        assert!(said(&play, "event=lease_expired"));
         play.nodes.get_mut(cut).expect("a node").cut = false;
         play.lent(cut, 1);
         play.run(4000.0);
@@ -537,7 +537,7 @@
                 let fourth = play.nodes.get(all[3]);
                 fourth.is_some_and(|node| node.log.iter().any(|line| line.starts_with(what)))
             };
-            if waits.is_none() && said("event=slot_waits") {
+            if waits.is_none() && said("event=slot_waiting") {
                 waits = Some(play.now);
             }
             if lent.is_none() && purses[all[3]].fraction(play.now, "t") > 0.0 {
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -517,6 +517,6 @@
         );
     }
     assert!(fleet.lines.iter().any(
-        |(_, line)| line.contains("event=forgotten list=Services item=\"s1\" version=00000001")
+        |(_, line)| line.contains("event=version_evicted list=Services item=\"s1\" version=00000001")
     ));
 }
--- a/crates/controller/tests/touch.rs
+++ b/crates/controller/tests/touch.rs
@@ -411,15 +411,15 @@
             );
             for node in 0..3 {
                 assert_eq!(
-                    fleet.logged(node, "event=lost"),
+                    fleet.logged(node, "event=backend_expired"),
                     0,
                     "{case}: exchange {node}"
                 );
             }
             // A leader whose words go nowhere may follow another for a while, as long as it hears that one.
-            let parted = fleet.logged(away, "event=out_of_touch");
+            let parted = fleet.logged(away, "event=quorum_lost");
             assert!((1..=2).contains(&parted), "{case}: {parted}");
-            assert_eq!(fleet.logged(away, "event=held_back"), 1, "{case}");
+            assert_eq!(fleet.logged(away, "event=config_withheld"), 1, "{case}");
             fleet.join();
             let joined = fleet.now;
             fleet.run(1500.0);
@@ -440,7 +440,7 @@
                     .any(|words| words.records.len() >= 3),
                 "{case}"
             );
-            assert_eq!(fleet.logged(away, "event=in_touch"), parted + 1, "{case}");
+            assert_eq!(fleet.logged(away, "event=quorum_restored"), parted + 1, "{case}");
         }
     }
 }
@@ -477,11 +477,11 @@
             fleet.plans(fresh).is_empty(),
             "{time}: handed out after a pause"
         );
-        assert_eq!(fleet.logged(frozen, "event=frozen"), 1, "{time}");
+        assert_eq!(fleet.logged(frozen, "event=process_paused"), 1, "{time}");
         fleet.join();
         fleet.run(4.0 * HEARTBEAT - 500.0);
         assert_eq!(
-            fleet.logged(frozen, "event=lost"),
+            fleet.logged(frozen, "event=backend_expired"),
             0,
             "{time}: took for lost whom it could not hear"
         );
@@ -698,7 +698,7 @@
         }
         for node in 0..of {
             assert_eq!(
-                fleet.logged(node, "event=lost"),
+                fleet.logged(node, "event=backend_expired"),
                 0,
                 "seed {seed}: exchange {node} lost a backend that lives"
             );
