--- /dev/null
+++ b/crates/controller/src/net/api.rs
@@ -0,0 +1,172 @@
+//! The calls of backends and of the operator, over HTTP/1.1: `POST /api/rpc?call=...`.
+
+use super::controller::Controller;
+use super::ACCEPT_RETRY_INTERVAL;
+use crate::core::{Call, CallResponse};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::Incoming;
+use hyper::header::{HeaderValue, CONTENT_TYPE, LOCATION};
+use hyper::http::request::Parts;
+use hyper::service::service_fn;
+use hyper::{Method, Request, Response, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Semaphore;
+
+/// The path of all calls.
+const RPC_PATH: &str = "/api/rpc";
+/// Longest body of a call.
+const MAX_BODY_BYTES: usize = 32 << 20;
+/// How long the body of a call may take to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Callers' connections at most; further ones wait in the system's queue.
+const MAX_CALLER_CONNECTIONS: usize = 1024;
+/// How long a caller's connection may take for the head of a request, or be idle.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+
+type CallerResponse = Response<Full<Bytes>>;
+
+/// Accepts callers' connections for as long as the process runs.
+pub(super) async fn accept_callers(controller: Rc<Controller>, listener: TcpListener) {
+    let permits = Arc::new(Semaphore::new(MAX_CALLER_CONNECTIONS));
+    loop {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
+            return;
+        };
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                let controller = controller.clone();
+                tokio::task::spawn_local(async move {
+                    serve_caller(controller, stream).await;
+                    drop(permit);
+                });
+            }
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await,
+        }
+    }
+}
+
+async fn serve_caller(controller: Rc<Controller>, stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let service = service_fn(|request| {
+        let controller = controller.clone();
+        async move { Ok::<_, Infallible>(serve_request(&controller, request).await) }
+    });
+    let connection = hyper::server::conn::http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(REQUEST_HEAD_TIMEOUT)
+        .serve_connection(TokioIo::new(stream), service);
+    // A caller that closes its connection or sends no HTTP needs no log line.
+    let _ = connection.await;
+}
+
+/// Why a request is no call. The texts are the bodies of the answers.
+#[derive(Debug, thiserror::Error)]
+enum BadRequest {
+    #[error("step=read field=body")]
+    Body,
+    /// The caller may rely on it: nothing of the call was applied.
+    #[error("step=read field=body late")]
+    BodyTimeout,
+    #[error("step=route")]
+    Path,
+    #[error("step=route field=method")]
+    Method,
+    #[error("step=route field=call")]
+    Call,
+}
+
+impl BadRequest {
+    fn status(&self) -> StatusCode {
+        match self {
+            BadRequest::Body | BadRequest::Call => StatusCode::BAD_REQUEST,
+            BadRequest::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            BadRequest::Path => StatusCode::NOT_FOUND,
+            BadRequest::Method => StatusCode::METHOD_NOT_ALLOWED,
+        }
+    }
+}
+
+async fn serve_request(controller: &Rc<Controller>, request: Request<Incoming>) -> CallerResponse {
+    let (head, body) = request.into_parts();
+    let call = match read_call(&head, body).await {
+        Ok(call) => call,
+        Err(error) => return text_response(error.status(), error.to_string()),
+    };
+    match controller.call(call).await {
+        CallResponse::Ok(json) => json_response(json),
+        CallResponse::Rejected(status, reason) => {
+            let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
+            text_response(status, reason)
+        }
+        CallResponse::Redirect(ip) => redirect_response(&head, &ip, controller.api_port),
+        CallResponse::Unavailable => text_response(StatusCode::SERVICE_UNAVAILABLE, "step=agree"),
+    }
+}
+
+async fn read_call(head: &Parts, body: Incoming) -> Result<Call, BadRequest> {
+    let body = Limited::new(body, MAX_BODY_BYTES).collect();
+    let body = tokio::time::timeout(BODY_TIMEOUT, body)
+        .await
+        .map_err(|_| BadRequest::BodyTimeout)?
+        .map_err(|_| BadRequest::Body)?;
+    parse_call(head, body.to_bytes())
+}
+
+fn parse_call(head: &Parts, body: Bytes) -> Result<Call, BadRequest> {
+    if head.uri.path() != RPC_PATH {
+        return Err(BadRequest::Path);
+    }
+    if head.method != Method::POST {
+        return Err(BadRequest::Method);
+    }
+    let query = head.uri.query().unwrap_or_default();
+    let instance = query_value(query, "of").filter(|id| !id.is_empty());
+    match (query_value(query, "call"), instance) {
+        (Some("instances.beat"), Some(id)) => Ok(Call::Heartbeat(id.to_owned(), body)),
+        (Some("instances.leave"), Some(id)) => Ok(Call::Deregister(id.to_owned())),
+        (Some("config.amend"), _) => Ok(Call::Amend(body)),
+        (Some("config.read"), _) => Ok(Call::ReadConfig),
+        _ => Err(BadRequest::Call),
+    }
+}
+
+/// The first value of a query's parameter.
+fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+    query
+        .split('&')
+        .filter_map(|pair| pair.split_once('='))
+        .find(|(known, _)| *known == name)
+        .map(|(_, value)| value)
+}
+
+fn json_response(json: String) -> CallerResponse {
+    let mut response = text_response(StatusCode::OK, json);
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
+}
+
+/// The same request, at another controller.
+fn redirect_response(head: &Parts, ip: &str, port: u16) -> CallerResponse {
+    let mut response = text_response(StatusCode::TEMPORARY_REDIRECT, "");
+    let target = head
+        .uri
+        .path_and_query()
+        .map_or("", |target| target.as_str());
+    if let Ok(location) = HeaderValue::try_from(format!("http://{ip}:{port}{target}")) {
+        response.headers_mut().insert(LOCATION, location);
+    }
+    response
+}
+
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> CallerResponse {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
+}
--- /dev/null
+++ b/crates/controller/src/net/controller.rs
@@ -0,0 +1,165 @@
+//! [`Core`] with its surroundings: gives it inputs, and carries out its outputs in their order.
+
+use super::disk_thread::DiskWriter;
+use super::internal_connections::Remote;
+use crate::core::{Call, CallResponse, Core, Millis, Output};
+use crate::store::{StoreRecord, StoredState};
+use bytes::Bytes;
+use maplefall_control_messages::{Hello, PROTOCOL_VERSION};
+use maplefall_control_transport::fencing::ConnectionFence;
+use maplefall_node_settings::Settings;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::{IpAddr, SocketAddr};
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::sync::{mpsc, oneshot};
+
+/// A controller with all its connections.
+pub(super) struct Controller {
+    core: RefCell<Core>,
+    started_at: Instant,
+    /// How it introduces itself to its peers.
+    pub(super) hello: Hello,
+    pub(super) ip: IpAddr,
+    /// The port on which every controller listens for proxies and peers.
+    pub(super) internal_port: u16,
+    /// The port on which every controller listens for calls.
+    pub(super) api_port: u16,
+    /// Queues to the other controllers, by address; closed where there is no connection at the moment.
+    pub(super) peers: RefCell<HashMap<String, mpsc::Sender<Bytes>>>,
+    /// Queues to the proxies, by the number of their connection.
+    pub(super) proxies: RefCell<HashMap<u64, mpsc::Sender<Bytes>>>,
+    /// The latest connection of each process: nothing is taken from older ones.
+    pub(super) fence: RefCell<ConnectionFence<Remote>>,
+    calls: RefCell<HashMap<u64, oneshot::Sender<CallResponse>>>,
+    last_call: Cell<u64>,
+    disk: DiskWriter,
+}
+
+impl Controller {
+    /// Starts from what was on the disk, and connects to the seeds.
+    pub(super) fn start(
+        settings: &Settings,
+        api_address: SocketAddr,
+        seed: u64,
+        stored: StoredState,
+        disk: DiskWriter,
+    ) -> Rc<Controller> {
+        let mut out = Vec::new();
+        let core = Core::new(settings, 0.0, seed, stored, &mut out);
+        let hello = Hello {
+            version: PROTOCOL_VERSION,
+            ip: settings.ip.to_string(),
+            node: settings.node.clone(),
+            incarnation: seed.max(1),
+            is_controller: true,
+            config_index: 0,
+        };
+        let controller = Rc::new(Controller {
+            core: RefCell::new(core),
+            started_at: Instant::now(),
+            hello,
+            ip: settings.ip,
+            internal_port: settings.internal_ports.0,
+            api_port: api_address.port(),
+            peers: RefCell::default(),
+            proxies: RefCell::default(),
+            fence: RefCell::default(),
+            calls: RefCell::default(),
+            last_call: Cell::new(0),
+            disk,
+        });
+        controller.carry_out(out);
+        controller.connect_to_seeds(settings);
+        controller
+    }
+
+    pub(super) fn node(&self) -> &str {
+        &self.hello.node
+    }
+
+    fn now(&self) -> Millis {
+        self.started_at.elapsed().as_secs_f64() * 1000.0
+    }
+
+    /// Gives the core an input, and carries out what it returns.
+    pub(super) fn drive(self: &Rc<Self>, input: impl FnOnce(&mut Core, Millis, &mut Vec<Output>)) {
+        let mut out = Vec::new();
+        input(&mut self.core.borrow_mut(), self.now(), &mut out);
+        self.carry_out(out);
+    }
+
+    /// Looks at the core, without an input.
+    pub(super) fn inspect<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
+        look(&self.core.borrow())
+    }
+
+    pub(super) fn may_stop(&self) -> bool {
+        let now = self.now();
+        self.inspect(|core| core.may_stop(now))
+    }
+
+    /// Takes over changed settings.
+    pub(super) fn reload(self: &Rc<Self>, settings: &Settings) {
+        self.core.borrow_mut().reload(settings);
+        self.connect_to_seeds(settings);
+    }
+
+    pub(super) fn peer_disconnected(&self, peer: &str) {
+        self.core.borrow_mut().peer_disconnected(peer);
+    }
+
+    fn connect_to_seeds(self: &Rc<Self>, settings: &Settings) {
+        for seed in &settings.seeds {
+            self.connect_to_peer(seed.ip());
+        }
+    }
+
+    fn carry_out(self: &Rc<Self>, out: Vec<Output>) {
+        for output in out {
+            match output {
+                Output::Write(number, record) => self.disk.write(StoreRecord { number, ..*record }),
+                Output::SendToPeer(peer, bytes) => self.send_to_peer(&peer, bytes),
+                Output::SendToAllPeers(bytes) => self.send_to_all_peers(&bytes),
+                Output::SendToProxy(connection, bytes) => self.send_to_proxy(connection, bytes),
+                Output::Respond(call, response) => self.respond(call, response),
+                Output::Log(line) => log::info!("{line}"),
+                Output::Debug(line) => log::debug!("{line}"),
+            }
+        }
+    }
+
+    fn respond(&self, call: u64, response: CallResponse) {
+        if let Some(caller) = self.calls.borrow_mut().remove(&call) {
+            // The caller may have gone.
+            let _ = caller.send(response);
+        }
+    }
+
+    /// Gives the core a call and waits for its response.
+    pub(super) async fn call(self: &Rc<Self>, call: Call) -> CallResponse {
+        let (sender, receiver) = oneshot::channel();
+        let number = self.last_call.get() + 1;
+        self.last_call.set(number);
+        self.calls.borrow_mut().insert(number, sender);
+        let _registration = CallRegistration {
+            controller: self,
+            number,
+        };
+        self.drive(|core, now, out| core.call(now, number, call, out));
+        receiver.await.unwrap_or(CallResponse::Unavailable)
+    }
+}
+
+/// Forgets a call where its caller has gone: the future that waits for the response is dropped then.
+struct CallRegistration<'a> {
+    controller: &'a Controller,
+    number: u64,
+}
+
+impl Drop for CallRegistration<'_> {
+    fn drop(&mut self) {
+        self.controller.calls.borrow_mut().remove(&self.number);
+    }
+}
--- /dev/null
+++ b/crates/controller/src/net/internal_connections.rs
@@ -0,0 +1,186 @@
+//! Connections that proxies and other controllers open to this one.
+
+use super::controller::Controller;
+use super::ACCEPT_RETRY_INTERVAL;
+use bytes::Bytes;
+use maplefall_control_messages::{Frame, Hello, PROTOCOL_VERSION};
+use maplefall_control_transport::fencing::Admission;
+use maplefall_control_transport::{
+    run_connection, ConnectionError, Event, Handshake, OUTGOING_QUEUE_FRAMES,
+};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+
+/// The process at the other end of a connection, by the address of its machine.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Remote {
+    Controller(String),
+    Proxy(String),
+}
+
+impl Remote {
+    fn new(hello: &Hello) -> Remote {
+        if hello.is_controller {
+            Remote::Controller(hello.ip.clone())
+        } else {
+            Remote::Proxy(hello.ip.clone())
+        }
+    }
+}
+
+/// Accepts connections for as long as the process runs.
+pub(super) async fn accept(controller: Rc<Controller>, listener: TcpListener) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, from)) => {
+                tokio::task::spawn_local(serve(controller.clone(), stream, from));
+            }
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await,
+        }
+    }
+}
+
+async fn serve(controller: Rc<Controller>, stream: TcpStream, from: SocketAddr) {
+    let (sender, outgoing) = mpsc::channel(OUTGOING_QUEUE_FRAMES);
+    let mut connection = InternalConnection {
+        controller,
+        from,
+        token: 0,
+        remote: None,
+        queue: Some(sender),
+    };
+    let error = run_connection(stream, outgoing, Handshake::Acceptor, |event| {
+        connection.handle(event)
+    })
+    .await;
+    connection.closed();
+    log::debug!("event=connection_closed from={from} {error}");
+    if let ConnectionError::Frame(frame_error) = error {
+        log::warn!("event=bad_frame from={from} {frame_error}");
+    }
+}
+
+/// A connection that was accepted.
+struct InternalConnection {
+    controller: Rc<Controller>,
+    from: SocketAddr,
+    /// Its number, in the order in which hellos were received.
+    token: u64,
+    /// Who is at the other end, once that is verified.
+    remote: Option<Remote>,
+    /// Where frames to the other end are queued; a proxy's is handed to the controller.
+    queue: Option<mpsc::Sender<Bytes>>,
+}
+
+impl InternalConnection {
+    /// Returns whether the connection goes on.
+    fn handle(&mut self, event: Event) -> bool {
+        match (event, &self.remote) {
+            (Event::HelloReceived, None) => {
+                self.token = self.controller.fence.borrow_mut().next_token();
+                true
+            }
+            (Event::Verified(hello), None) => self.admit(&hello),
+            (Event::Frame(frame), Some(remote)) => self.receive(remote, frame),
+            _ => false,
+        }
+    }
+
+    /// Admits the process at the other end, unless a later connection of its machine has been admitted.
+    fn admit(&mut self, hello: &Hello) -> bool {
+        if hello.version != PROTOCOL_VERSION || hello.incarnation == 0 {
+            return false;
+        }
+        // A machine speaks for itself alone.
+        if hello.ip != self.from.ip().to_string() {
+            return false;
+        }
+        let remote = Remote::new(hello);
+        let admission = self
+            .controller
+            .fence
+            .borrow_mut()
+            .admit(&remote, self.token);
+        if admission == Admission::Stale {
+            log::info!(
+                "event=stale_connection peer={} incarnation={}",
+                hello.ip,
+                hello.incarnation
+            );
+            return false;
+        }
+        match remote {
+            Remote::Controller(_) => {
+                if let Ok(ip) = hello.ip.parse() {
+                    self.controller.connect_to_peer(ip);
+                }
+            }
+            Remote::Proxy(_) => self.admit_proxy(hello, admission),
+        }
+        self.remote = Some(remote);
+        true
+    }
+
+    fn admit_proxy(&mut self, hello: &Hello, admission: Admission) {
+        let token = self.token;
+        if let Admission::Replaces(earlier) = admission {
+            self.controller.disconnect_proxy(earlier);
+        }
+        if let Some(queue) = self.queue.take() {
+            self.controller.proxies.borrow_mut().insert(token, queue);
+        }
+        self.controller
+            .drive(|core, now, out| core.proxy_connected(now, token, hello, out));
+    }
+
+    fn receive(&self, remote: &Remote, frame: Frame) -> bool {
+        let is_current = self
+            .controller
+            .fence
+            .borrow()
+            .is_current(remote, self.token);
+        if !is_current {
+            return false;
+        }
+        self.controller.drive(|core, now, out| match remote {
+            Remote::Controller(ip) => core.receive_from_peer(now, ip, frame, out),
+            Remote::Proxy(_) => core.door(now, self.token, frame, out),
+        });
+        true
+    }
+
+    fn closed(&self) {
+        let Some(remote) = &self.remote else {
+            return;
+        };
+        self.controller
+            .fence
+            .borrow_mut()
+            .disconnected(remote, self.token);
+        if matches!(remote, Remote::Proxy(_)) {
+            self.controller.disconnect_proxy(self.token);
+        }
+    }
+}
+
+impl Controller {
+    pub(super) fn send_to_proxy(self: &Rc<Self>, connection: u64, bytes: Bytes) {
+        let is_full = self
+            .proxies
+            .borrow()
+            .get(&connection)
+            .is_some_and(|queue| queue.try_send(bytes).is_err());
+        if is_full {
+            self.disconnect_proxy(connection);
+        }
+    }
+
+    /// Drops a proxy's queue, with which its connection ends.
+    fn disconnect_proxy(self: &Rc<Self>, connection: u64) {
+        if self.proxies.borrow_mut().remove(&connection).is_some() {
+            self.drive(|core, _, out| core.proxy_disconnected(connection, out));
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/net/mod.rs
@@ -0,0 +1,185 @@
+//! The driver of [`Core`](crate::Core): owns the sockets, the clock, the signals and the disk's thread, and carries out what the core returns.
+//!
+//! Everything but the disk runs on one thread, so that the core's inputs are in one order. One module a concern:
+//!
+//! - `controller`: the core with its outputs;
+//! - `peers`: connections that this controller opens to the others;
+//! - `internal_connections`: connections that proxies and other controllers open to this one;
+//! - `api`: the calls of backends and of the operator over HTTP;
+//! - `disk_thread`: the thread that owns the store;
+//! - `settings_reload`, `shutdown`: changes of the settings file, planned stops.
+
+mod api;
+mod controller;
+mod disk_thread;
+mod internal_connections;
+mod peers;
+mod settings_reload;
+mod shutdown;
+
+use crate::core::TICK;
+use crate::store::Error as StoreError;
+use controller::Controller;
+use disk_thread::{DiskThread, WriteResult};
+use maplefall_node_settings::{Settings, SettingsFile};
+use settings_reload::{ReloadTrigger, SettingsReload};
+use shutdown::Shutdown;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::{Interval, MissedTickBehavior};
+
+/// Pause when the system has no descriptor for a new connection.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Why a controller ends other than by a planned stop.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// It cannot listen at this address.
+    #[error("step=listen address={0} error={kind:?}", kind = .1.kind())]
+    Listen(SocketAddr, #[source] std::io::Error),
+    /// The settings lack this field.
+    #[error("step=settings missing={0}")]
+    Missing(&'static str),
+    /// The system does not deliver signals.
+    #[error("step=signals error={kind:?}", kind = .0.kind())]
+    Signals(#[source] std::io::Error),
+    /// The disk cannot be used, or holds what cannot be read.
+    #[error("{0}")]
+    Store(#[source] StoreError),
+    /// The disk's thread has ended without a word.
+    #[error("step=disk error=thread_ended")]
+    DiskThreadEnded,
+}
+
+/// The signals that a controller obeys.
+struct Signals {
+    /// SIGTERM: a planned stop.
+    terminate: Signal,
+    /// SIGHUP: read the settings file again.
+    hang_up: Signal,
+}
+
+impl Signals {
+    fn new() -> Result<Signals, Error> {
+        let install = |kind| signal(kind).map_err(Error::Signals);
+        Ok(Signals {
+            terminate: install(SignalKind::terminate())?,
+            hang_up: install(SignalKind::hangup())?,
+        })
+    }
+}
+
+/// What the settings have to say for a controller.
+struct Addresses {
+    /// For backends and the operator, over HTTP.
+    api: SocketAddr,
+    /// For proxies and other controllers.
+    internal: SocketAddr,
+    data_dir: PathBuf,
+}
+
+impl Addresses {
+    fn from_settings(settings: &Settings) -> Result<Addresses, Error> {
+        let api = settings.bind.control;
+        let data_dir = settings.data_dir.clone();
+        Ok(Addresses {
+            api: api.ok_or(Error::Missing("Bind.Control"))?,
+            internal: SocketAddr::new(settings.ip, settings.internal_ports.0),
+            data_dir: data_dir.ok_or(Error::Missing("DataDir"))?,
+        })
+    }
+}
+
+/// Runs a controller until a SIGTERM has been carried out. `seed` is its only source of randomness.
+///
+/// # Errors
+///
+/// Where it cannot start, or the disk fails while it runs.
+pub async fn run(mut settings: Settings, file: SettingsFile, seed: u64) -> Result<(), Error> {
+    let mut signals = Signals::new()?;
+    let addresses = Addresses::from_settings(&settings)?;
+    let api_listener = listen(addresses.api).await?;
+    let internal_listener = listen(addresses.internal).await?;
+    let disk = DiskThread::start(addresses.data_dir);
+    // A disk that fails holds up the start, not a stop.
+    let stored = tokio::select! {
+        biased;
+        _ = signals.terminate.recv() => return Ok(()),
+        opened = disk.opening => opened.map_err(|_| Error::DiskThreadEnded)?.map_err(Error::Store)?,
+    };
+    settings.bootstrap = stored.may_bootstrap(settings.bootstrap);
+    log::info!(
+        "event=start node={} control={} internal={} bootstrap={} term={} snapshot={} log={} identity={:x?}",
+        settings.node,
+        addresses.api,
+        addresses.internal,
+        settings.bootstrap,
+        stored.raft.term,
+        stored.raft.snapshot.index,
+        stored.raft.log.len(),
+        stored.raft.identity,
+    );
+    let controller = Controller::start(&settings, addresses.api, seed, stored, disk.writer);
+    tokio::task::spawn_local(api::accept_callers(controller.clone(), api_listener));
+    tokio::task::spawn_local(internal_connections::accept(
+        controller.clone(),
+        internal_listener,
+    ));
+    let max_shutdown = shutdown::max_duration(&settings);
+    let reload = SettingsReload::new(file);
+    serve(&controller, signals, disk.results, reload, max_shutdown).await
+}
+
+async fn listen(address: SocketAddr) -> Result<TcpListener, Error> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|error| Error::Listen(address, error))
+}
+
+/// Feeds signals, results of writes and time to the controller.
+async fn serve(
+    controller: &Rc<Controller>,
+    mut signals: Signals,
+    mut write_results: UnboundedReceiver<WriteResult>,
+    mut reload: SettingsReload,
+    max_shutdown: Duration,
+) -> Result<(), Error> {
+    let mut ticks = ticks();
+    let mut shutdown: Option<Shutdown> = None;
+    loop {
+        tokio::select! {
+            biased;
+            _ = signals.terminate.recv(), if shutdown.is_none() => {
+                shutdown = Some(Shutdown::begin(controller, max_shutdown));
+            }
+            _ = signals.hang_up.recv() => reload.reload(controller, ReloadTrigger::Signal),
+            result = write_results.recv() => match result {
+                Some(Ok(number)) => {
+                    controller.drive(|core, now, out| core.persisted(now, number, out));
+                }
+                // Only a new start can find out what is on disk now.
+                Some(Err(error)) => return Err(Error::Store(error)),
+                None => return Ok(()),
+            },
+            _ = ticks.tick() => {
+                controller.drive(|core, now, out| core.tick(now, out));
+                controller.connect_to_voters();
+                reload.tick(controller);
+                if shutdown.as_ref().is_some_and(|shutdown| shutdown.is_complete(controller)) {
+                    return Ok(());
+                }
+            }
+        }
+    }
+}
+
+fn ticks() -> Interval {
+    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK / 1000.0));
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    ticks
+}
--- a/crates/controller/tests/orders.rs
+++ b/crates/controller/tests/orders.rs
@@ -516,7 +516,6 @@
             "nothing was folded"
         );
     }
-    assert!(fleet.lines.iter().any(
-        |(_, line)| line.contains("event=version_evicted list=Services item=\"s1\" version=00000001")
-    ));
+    assert!(fleet.lines.iter().any(|(_, line)| line
+        .contains("event=version_evicted list=Services item=\"s1\" version=00000001")));
 }
--- a/crates/controller/tests/touch.rs
+++ b/crates/controller/tests/touch.rs
@@ -440,7 +440,11 @@
                     .any(|words| words.records.len() >= 3),
                 "{case}"
             );
-            assert_eq!(fleet.logged(away, "event=quorum_restored"), parted + 1, "{case}");
+            assert_eq!(
+                fleet.logged(away, "event=quorum_restored"),
+                parted + 1,
+                "{case}"
+            );
         }
     }
 }
