--- /dev/null
+++ b/crates/controller/tests/common/cluster.rs
@@ -0,0 +1,369 @@
+//! A cluster of controllers ([`Core`]) in one process: the network cuts and heals in either direction, connections time out within
+//! their bound, disks are slow, processes pause. Time only passes in [`Cluster::run`].
+
+#![allow(dead_code)]
+
+use bytes::{Bytes, BytesMut};
+use maplefall_control_messages::{
+    decode_frame, ConfigUpdate, Frame, Hello, InstanceUpdates, PROTOCOL_VERSION,
+};
+use maplefall_control_transport::liveness::{PING_INTERVAL, PONG_TIMEOUT};
+use maplefall_controller::core::TICK;
+use maplefall_controller::store::StoredState;
+use maplefall_controller::{Call, CallResponse, Core, Output};
+use maplefall_node_settings::Settings;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Both ends notice a lost connection this long after one direction was cut, at the latest.
+pub const CONNECTION_TIMEOUT: f64 = PONG_TIMEOUT + PING_INTERVAL;
+/// A controller without messages from a quorum knows after this long that it has lost contact.
+pub const QUORUM_TIMEOUT: f64 = 1000.0;
+/// For delays, ticks and elections.
+pub const TOLERANCE: f64 = 300.0;
+/// Delay of the network.
+const NETWORK_DELAY: f64 = 1.0;
+const DISK_DELAY: f64 = 2.0;
+pub const HEARTBEAT_INTERVAL: f64 = 1500.0;
+
+pub fn ip(node: usize) -> String {
+    format!("10.0.0.{}", node + 1)
+}
+
+fn settings(node: usize, size: usize) -> Settings {
+    let seeds: Vec<String> = (0..size)
+        .map(|node| format!("\"{}:8080\"", ip(node)))
+        .collect();
+    let text = format!(
+        "Node = \"core-{node}\"\nRole = \"exchange\"\nMachineClass = \"core\"\nServes = [\"controller\"]\nIp = \"{}\"\nZone = \"a\"\n\
+         Region = \"r\"\nInternalPorts = [7000,7010]\nSeedAddrs = [{}]\nBootstrap = true\nQuorumMember = true\nDataDir = \"/tmp\"\n\
+         HeartbeatS = 1.5\nActiveLaws = [\"base\"]\nBounds = []\n[Zones]\na = \"r\"\n[Bind]\nControl = \"{}:8080\"\n",
+        ip(node),
+        seeds.join(","),
+        ip(node)
+    );
+    Settings::read(&text, std::path::Path::new("test")).expect("settings")
+}
+
+pub fn frame(bytes: &Bytes) -> Frame {
+    decode_frame(&mut BytesMut::from(bytes.as_ref()))
+        .expect("a frame")
+        .expect("a complete frame")
+}
+
+pub struct Node {
+    pub core: Core,
+    /// Numbers of writes that are not on disk, with the time at which they will be.
+    pub disk: VecDeque<(u64, f64)>,
+    pub is_disk_stalled: bool,
+    pub is_paused: bool,
+    last_tick: f64,
+}
+
+pub struct Cluster {
+    pub now: f64,
+    pub nodes: Vec<Node>,
+    pub network: VecDeque<(f64, usize, usize, Bytes)>,
+    /// Directions that are cut, and since when.
+    pub cut: BTreeMap<(usize, usize), f64>,
+    /// Pairs that have noticed that their connection is lost.
+    disconnected: BTreeSet<(usize, usize)>,
+    pub responses: BTreeMap<u64, CallResponse>,
+    pub last_call: u64,
+    /// Frames to proxies: controller, connection, time, frame.
+    to_proxies: Vec<(usize, u64, f64, Frame)>,
+    last_proxy: u64,
+    log_lines: Vec<(f64, usize, String)>,
+}
+
+impl Cluster {
+    pub fn new(size: usize, seed: u64) -> Cluster {
+        let mut cluster = Cluster {
+            now: 0.0,
+            nodes: Vec::new(),
+            network: VecDeque::new(),
+            cut: BTreeMap::new(),
+            disconnected: BTreeSet::new(),
+            responses: BTreeMap::new(),
+            last_call: 0,
+            to_proxies: Vec::new(),
+            last_proxy: 0,
+            log_lines: Vec::new(),
+        };
+        for node in 0..size {
+            let mut out = Vec::new();
+            let core = Core::new(
+                &settings(node, size),
+                0.0,
+                seed * 16 + node as u64 + 1,
+                StoredState::default(),
+                &mut out,
+            );
+            cluster.nodes.push(Node {
+                core,
+                disk: VecDeque::new(),
+                is_disk_stalled: false,
+                is_paused: false,
+                last_tick: 0.0,
+            });
+            cluster.carry_out(node, out);
+        }
+        for (a, b) in cluster.pairs() {
+            cluster.set_connected(a, b, true);
+        }
+        cluster
+    }
+
+    fn pairs(&self) -> Vec<(usize, usize)> {
+        let nodes = 0..self.nodes.len();
+        nodes
+            .clone()
+            .flat_map(|a| nodes.clone().map(move |b| (a, b)))
+            .filter(|(a, b)| a < b)
+            .collect()
+    }
+
+    pub fn set_connected(&mut self, a: usize, b: usize, is_connected: bool) {
+        for (node, peer) in [(a, b), (b, a)] {
+            if is_connected {
+                self.drive(node, |core, now, out| {
+                    core.peer_connected(now, &ip(peer), out)
+                });
+            } else {
+                self.nodes[node].core.peer_disconnected(&ip(peer));
+            }
+        }
+    }
+
+    pub fn drive(&mut self, node: usize, step: impl FnOnce(&mut Core, f64, &mut Vec<Output>)) {
+        let mut out = Vec::new();
+        step(&mut self.nodes[node].core, self.now, &mut out);
+        self.carry_out(node, out);
+    }
+
+    fn carry_out(&mut self, node: usize, out: Vec<Output>) {
+        for output in out {
+            match output {
+                Output::Write(number, _) => self.nodes[node]
+                    .disk
+                    .push_back((number, self.now + DISK_DELAY)),
+                Output::SendToPeer(to, bytes) => {
+                    let to = (0..self.nodes.len()).find(|node| ip(*node) == to);
+                    to.into_iter()
+                        .for_each(|to| self.send(node, to, bytes.clone()));
+                }
+                Output::SendToAllPeers(bytes) => {
+                    (0..self.nodes.len()).for_each(|to| self.send(node, to, bytes.clone()));
+                }
+                Output::SendToProxy(connection, bytes) => {
+                    self.to_proxies
+                        .push((node, connection, self.now, frame(&bytes)))
+                }
+                Output::Respond(call, response) => {
+                    assert!(
+                        self.responses.insert(call, response).is_none(),
+                        "call {call} is answered twice"
+                    );
+                }
+                Output::Log(line) | Output::Debug(line) => {
+                    self.log_lines.push((self.now, node, line))
+                }
+            }
+        }
+    }
+
+    fn send(&mut self, from: usize, to: usize, bytes: Bytes) {
+        if from != to {
+            self.network
+                .push_back((self.now + NETWORK_DELAY, from, to, bytes));
+        }
+    }
+
+    /// Lets this much time pass, a millisecond at a time.
+    pub fn run(&mut self, duration: f64) {
+        let until = self.now + duration;
+        while self.now < until {
+            self.now += 1.0;
+            self.update_connections();
+            self.deliver_frames();
+            for node in 0..self.nodes.len() {
+                self.persist_writes(node);
+                self.tick(node);
+            }
+        }
+    }
+
+    /// Connections over a cut time out, and are opened again once it is healed.
+    fn update_connections(&mut self) {
+        if self.cut.is_empty() && self.disconnected.is_empty() {
+            return;
+        }
+        for pair in self.pairs() {
+            let cut = [pair, (pair.1, pair.0)]
+                .iter()
+                .filter_map(|direction| self.cut.get(direction))
+                .copied()
+                .reduce(f64::min);
+            match cut {
+                Some(since)
+                    if self.now - since >= CONNECTION_TIMEOUT && self.disconnected.insert(pair) =>
+                {
+                    self.set_connected(pair.0, pair.1, false)
+                }
+                None if self.disconnected.remove(&pair) => self.set_connected(pair.0, pair.1, true),
+                _ => {}
+            }
+        }
+    }
+
+    fn deliver_frames(&mut self) {
+        while self.network.front().is_some_and(|(at, ..)| *at <= self.now) {
+            let Some((_, from, to, bytes)) = self.network.pop_front() else {
+                break;
+            };
+            let pair = (from.min(to), from.max(to));
+            // Frames to a paused process are lost: its connections have timed out when it resumes.
+            let lost = self.cut.contains_key(&(from, to))
+                || self.disconnected.contains(&pair)
+                || self.nodes[to].is_paused;
+            if !lost {
+                self.drive(to, |core, now, out| {
+                    core.receive_from_peer(now, &ip(from), frame(&bytes), out)
+                });
+            }
+        }
+    }
+
+    fn persist_writes(&mut self, node: usize) {
+        while !self.nodes[node].is_disk_stalled
+            && self.nodes[node]
+                .disk
+                .front()
+                .is_some_and(|(_, at)| *at <= self.now)
+        {
+            let Some((number, _)) = self.nodes[node].disk.pop_front() else {
+                break;
+            };
+            self.drive(node, |core, now, out| core.persisted(now, number, out));
+        }
+    }
+
+    fn tick(&mut self, node: usize) {
+        if !self.nodes[node].is_paused && self.now - self.nodes[node].last_tick >= TICK {
+            self.nodes[node].last_tick = self.now;
+            self.drive(node, |core, now, out| core.tick(now, out));
+        }
+    }
+
+    pub fn call(&mut self, node: usize, call: Call) -> u64 {
+        self.last_call += 1;
+        let number = self.last_call;
+        self.drive(node, |core, now, out| core.call(now, number, call, out));
+        number
+    }
+
+    pub fn heartbeat(&mut self, node: usize, id: &str, state: &str, seq: u64) -> u64 {
+        let body = format!(
+            "{{\"Id\":\"{id}\",\"Address\":\"10.1.0.1:80\",\"Details\":{{\"Service\":\"s\",\"Zone\":\"a\",\"Capacity\":4}},\
+             \"Observed\":{{\"State\":\"{state}\",\"CallSeq\":{seq},\"WarmupLeftS\":0}}}}"
+        );
+        self.call(node, Call::Heartbeat(id.to_owned(), body.into()))
+    }
+
+    pub fn is_ok(&self, call: u64) -> bool {
+        matches!(self.responses.get(&call), Some(CallResponse::Ok(_)))
+    }
+
+    /// Sends a change of a tenant with this version to a controller; returns the number of the call.
+    pub fn amend(&mut self, node: usize, version: u64) -> u64 {
+        let body = AMEND.replace("VERSION", &format!("{version:08}"));
+        self.call(node, Call::Amend(body.into()))
+    }
+
+    /// The controller that commits a change now.
+    pub fn leader(&mut self, version: u64) -> usize {
+        for _ in 0..40 {
+            for node in 0..self.nodes.len() {
+                let call = self.amend(node, version);
+                self.run(50.0);
+                if self.is_ok(call) {
+                    return node;
+                }
+                let response = self.responses.get(&call);
+                assert!(
+                    !matches!(response, Some(CallResponse::Rejected(..))),
+                    "rejected: {response:?}"
+                );
+            }
+        }
+        panic!("no leader");
+    }
+
+    pub fn connect_proxy(&mut self, node: usize, index: u64) -> u64 {
+        self.last_proxy += 1;
+        let connection = self.last_proxy;
+        let hello = Hello {
+            version: PROTOCOL_VERSION,
+            ip: "10.9.0.1".into(),
+            node: format!("proxy-{connection}"),
+            incarnation: 1,
+            is_controller: false,
+            config_index: index,
+        };
+        self.drive(node, |core, now, out| {
+            core.proxy_connected(now, connection, &hello, out)
+        });
+        connection
+    }
+
+    /// The configurations that a proxy was sent, with their times.
+    pub fn config_updates(&self, connection: u64) -> Vec<(f64, &ConfigUpdate)> {
+        let frames = self
+            .to_proxies
+            .iter()
+            .filter(|(_, to, ..)| *to == connection);
+        frames
+            .filter_map(|(_, _, at, frame)| match frame {
+                Frame::ConfigUpdate(updates) if updates.index > 0 => Some((*at, updates)),
+                _ => None,
+            })
+            .collect()
+    }
+
+    pub fn instance_updates(&self, connection: u64) -> Vec<&InstanceUpdates> {
+        let frames = self
+            .to_proxies
+            .iter()
+            .filter(|(_, to, ..)| *to == connection);
+        frames
+            .filter_map(|(.., frame)| match frame {
+                Frame::InstanceUpdates(updates) => Some(updates),
+                _ => None,
+            })
+            .collect()
+    }
+
+    pub fn partition(&mut self, node: usize, outgoing: bool, incoming: bool) {
+        for other in (0..self.nodes.len()).filter(|other| *other != node) {
+            if outgoing {
+                self.cut.insert((node, other), self.now);
+            }
+            if incoming {
+                self.cut.insert((other, node), self.now);
+            }
+        }
+    }
+
+    pub fn heal(&mut self) {
+        self.cut.clear();
+    }
+
+    pub fn count_logged(&self, node: usize, what: &str) -> usize {
+        self.log_lines
+            .iter()
+            .filter(|(_, at, line)| *at == node && line.contains(what))
+            .count()
+    }
+}
+
+const AMEND: &str = r#"{"Upsert":{"Tenants":{"ColumnNames":["Name","ApiKeys","Priority","RatePerS","BurstSize","Version"],
+"DataRows":[["t",["k1k1k1k1k1k1k1k1k1k1"],0,94,94,"VERSION"]]}},"Remove":{}}"#;
--- /dev/null
+++ b/crates/controller/tests/deregistration.rs
@@ -0,0 +1,143 @@
+//! When the deregistration of a backend is acknowledged, to its caller and between controllers (LOST).
+
+#[path = "common/cluster.rs"]
+mod cluster;
+
+use cluster::{frame, ip, Cluster};
+use maplefall_control_messages::{encode_frame, Frame, InstanceUpdates};
+use maplefall_service_registry::{InstanceRecord, InstanceState};
+
+/// A deregistration is acknowledged once it is on the disks of a majority, the answering controller's among them, whichever
+/// controller received it first and however.
+#[test]
+fn deregistration_is_acknowledged_once_a_majority_has_it_on_disk() {
+    for (size, others) in [(3, 1), (5, 2)] {
+        let mut cluster = Cluster::new(size, 3);
+        cluster.run(2500.0);
+        cluster.leader(1);
+        cluster
+            .nodes
+            .iter_mut()
+            .for_each(|node| node.is_disk_stalled = true);
+        // All controllers receive it, and no disk has it.
+        let first = cluster.heartbeat(0, "b", "decaying", 1);
+        cluster.run(100.0);
+        // The backend has had no answer, and repeats its call to controllers that know it already.
+        let second = cluster.heartbeat(1, "b", "decaying", 2);
+        let third = cluster.heartbeat(2, "b", "decaying", 2);
+        cluster.run(100.0);
+        assert!(
+            ![first, second]
+                .iter()
+                .any(|call| cluster.responses.contains_key(call)),
+            "{size}"
+        );
+        cluster.nodes[0].is_disk_stalled = false;
+        cluster.run(100.0);
+        assert!(
+            ![first, second, third]
+                .iter()
+                .any(|call| cluster.is_ok(*call)),
+            "{size}: on one disk only"
+        );
+        for node in 1..others {
+            cluster.nodes[node].is_disk_stalled = false;
+            cluster.run(100.0);
+            assert!(
+                ![first, second, third]
+                    .iter()
+                    .any(|call| cluster.is_ok(*call)),
+                "{size}: on {} disks",
+                node + 1
+            );
+        }
+        cluster.nodes[others].is_disk_stalled = false;
+        cluster.run(100.0);
+        assert!(
+            cluster.is_ok(first) && cluster.is_ok(second),
+            "{size}: on the disks of a majority"
+        );
+        assert_eq!(
+            cluster.is_ok(third),
+            others >= 2,
+            "{size}: acknowledged only with its own disk"
+        );
+        // One that is known to be replicated is acknowledged at once.
+        let again = cluster.heartbeat(0, "b", "decaying", 3);
+        assert!(cluster.is_ok(again), "{size}");
+    }
+}
+
+/// A deregistration whose frames are lost with their connections is sent again on the new ones, and acknowledged in time.
+#[test]
+fn deregistration_survives_reconnection() {
+    let mut cluster = Cluster::new(3, 13);
+    cluster.run(2500.0);
+    cluster.leader(1);
+    let deregistration = cluster.heartbeat(0, "b", "decaying", 1);
+    cluster.network.clear();
+    for is_connected in [false, true] {
+        cluster.set_connected(0, 1, is_connected);
+        cluster.set_connected(0, 2, is_connected);
+    }
+    cluster.run(100.0);
+    assert!(
+        cluster.is_ok(deregistration),
+        "{:?}",
+        cluster.responses.get(&deregistration)
+    );
+}
+
+/// Acknowledgements to peers that wait for a hanging disk are bounded.
+#[test]
+fn pending_acknowledgements_to_peers_are_bounded() {
+    let mut cluster = Cluster::new(3, 5);
+    cluster.run(2000.0);
+    cluster.nodes[1].is_disk_stalled = true;
+    let mut requested = 0;
+    for seq in 0..60_u64 {
+        let record = InstanceRecord {
+            id: "b".into(),
+            state: InstanceState::Draining.into(),
+            seq: seq + 1,
+            ..InstanceRecord::default()
+        };
+        for number in 0..100 {
+            requested += 1;
+            let updates = InstanceUpdates {
+                records: vec![record.clone()],
+                complete: false,
+                ack_number: seq * 100 + number + 1,
+            };
+            cluster.drive(1, |core, now, out| {
+                core.receive_from_peer(
+                    now,
+                    &ip(0),
+                    frame(&encode_frame(Frame::InstanceUpdates(updates))),
+                    out,
+                )
+            });
+        }
+    }
+    let acknowledged = |cluster: &Cluster| {
+        let acknowledged = cluster.network.iter().filter(|(_, from, _, bytes)| {
+            *from == 1 && matches!(frame(bytes), Frame::InstancesPersisted(_))
+        });
+        acknowledged.count()
+    };
+    assert_eq!(acknowledged(&cluster), 0);
+    cluster.nodes[1].is_disk_stalled = false;
+    while cluster.nodes[1].disk.front().is_some() {
+        let Some((number, _)) = cluster.nodes[1].disk.pop_front() else {
+            break;
+        };
+        cluster.drive(1, |core, now, out| core.persisted(now, number, out));
+    }
+    assert!(
+        acknowledged(&cluster) > 0
+            && acknowledged(&cluster) <= 4096
+            && acknowledged(&cluster) < requested,
+        "{} of {requested}",
+        acknowledged(&cluster)
+    );
+}
--- /dev/null
+++ b/crates/controller/tests/quorum_contact.rs
@@ -0,0 +1,292 @@
+//! Controllers that are cut off from the others, or paused: what they send to proxies, what they acknowledge, and what the others
+//! make of it (`docs/design/control-touch.md`).
+
+#[path = "common/cluster.rs"]
+mod cluster;
+
+use cluster::{ip, Cluster, CONNECTION_TIMEOUT, HEARTBEAT_INTERVAL, QUORUM_TIMEOUT, TOLERANCE};
+use maplefall_controller::{Call, CallResponse};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use std::collections::BTreeMap;
+
+/// A controller that is cut off for twenty seconds, in either direction or both, leader or not: once it has noticed, it sends no
+/// configuration to a proxy that has none, answers no call of the operator, acknowledges no heartbeat and expires no backend. Once
+/// the network is healed it serves the proxies that waited, at once and with the committed configuration.
+#[test]
+fn cut_off_controller_sends_and_acknowledges_nothing() {
+    for (outgoing, incoming) in [(true, false), (false, true), (true, true)] {
+        for leads in [true, false] {
+            let mut cluster = Cluster::new(3, 7);
+            cluster.run(2000.0);
+            let leader = cluster.leader(1);
+            let isolated = if leads { leader } else { (leader + 1) % 3 };
+            let connected = (isolated + 1) % 3;
+            for node in 0..3 {
+                let call = cluster.heartbeat(node, &format!("b{node}"), "in_loop", 1);
+                assert!(cluster.is_ok(call));
+            }
+            cluster.run(500.0);
+            let early_proxy = cluster.connect_proxy(isolated, 0);
+            assert_eq!(
+                (
+                    cluster.config_updates(early_proxy).len(),
+                    cluster.instance_updates(early_proxy)[0].records.len()
+                ),
+                (1, 3)
+            );
+            cluster.partition(isolated, outgoing, incoming);
+            for seq in 2..6 {
+                (0..3).for_each(|node| {
+                    assert!(cluster.heartbeat(connected, &format!("b{node}"), "in_loop", seq) > 0)
+                });
+                cluster.run((CONNECTION_TIMEOUT + QUORUM_TIMEOUT + TOLERANCE) / 4.0);
+            }
+            let case = format!("outgoing {outgoing} incoming {incoming} leads {leads}");
+            let elected = cluster.leader(2);
+            assert_ne!(elected, isolated, "{case}");
+            let new_proxy = cluster.connect_proxy(isolated, 0);
+            cluster.run(HEARTBEAT_INTERVAL);
+            let mut seq = 5;
+            for _ in 0..13 {
+                seq += 1;
+                let (amend, all) = (
+                    cluster.amend(isolated, 9),
+                    cluster.call(isolated, Call::ReadConfig),
+                );
+                // A backend that is not acknowledged goes on to another controller.
+                for node in 0..3 {
+                    let id = format!("b{node}");
+                    let heartbeat = cluster.heartbeat(isolated, &id, "in_loop", seq);
+                    assert_eq!(
+                        cluster.responses.get(&heartbeat),
+                        Some(&CallResponse::Unavailable),
+                        "{case}"
+                    );
+                    let heartbeat = cluster.heartbeat(connected, &id, "in_loop", seq);
+                    assert!(cluster.is_ok(heartbeat), "{case}");
+                }
+                let deregistration = cluster.heartbeat(isolated, "c", "decaying", seq);
+                cluster.run(HEARTBEAT_INTERVAL);
+                for call in [amend, all, deregistration] {
+                    assert_eq!(
+                        cluster.responses.get(&call),
+                        Some(&CallResponse::Unavailable),
+                        "{case}"
+                    );
+                }
+            }
+            assert!(
+                cluster.config_updates(new_proxy).is_empty(),
+                "{case}: a new proxy got an outdated configuration"
+            );
+            assert!(
+                cluster
+                    .instance_updates(new_proxy)
+                    .iter()
+                    .all(|updates| updates.records.iter().all(|record| record.id == "c")),
+                "{case}"
+            );
+            for node in 0..3 {
+                assert_eq!(
+                    cluster.count_logged(node, "event=backend_expired"),
+                    0,
+                    "{case}: controller {node}"
+                );
+            }
+            // A leader that cannot send may follow another for a while, as long as it receives from that one.
+            let quorum_losses = cluster.count_logged(isolated, "event=quorum_lost");
+            assert!((1..=2).contains(&quorum_losses), "{case}: {quorum_losses}");
+            assert_eq!(
+                cluster.count_logged(isolated, "event=config_withheld"),
+                1,
+                "{case}"
+            );
+            cluster.heal();
+            let healed_at = cluster.now;
+            cluster.run(1500.0);
+            let updates = cluster.config_updates(new_proxy);
+            assert!(
+                updates[0].0 - healed_at < 1000.0,
+                "{case}: served after {} ms",
+                updates[0].0 - healed_at
+            );
+            assert!(
+                updates[0].1.index
+                    >= cluster
+                        .config_updates(early_proxy)
+                        .last()
+                        .expect("an update")
+                        .1
+                        .index,
+                "{case}"
+            );
+            assert!(
+                cluster
+                    .instance_updates(new_proxy)
+                    .iter()
+                    .any(|updates| updates.records.len() >= 3),
+                "{case}"
+            );
+            assert_eq!(
+                cluster.count_logged(isolated, "event=quorum_restored"),
+                quorum_losses + 1,
+                "{case}"
+            );
+        }
+    }
+}
+
+/// A process that was paused sends nothing outdated when it resumes until it has contact with a quorum again, and expires no
+/// backend that it could not hear.
+#[test]
+fn paused_controller_sends_nothing_outdated() {
+    for duration in [1300.0, 5000.0, 20_000.0] {
+        let mut cluster = Cluster::new(3, 11);
+        cluster.run(2000.0);
+        let leader = cluster.leader(1);
+        let (paused, connected) = (leader, (leader + 1) % 3);
+        assert!(cluster.is_ok(cluster.last_call));
+        cluster.heartbeat(connected, "b", "in_loop", 1);
+        cluster.run(500.0);
+        cluster.nodes[paused].is_paused = true;
+        cluster.partition(paused, true, true);
+        let mut seq = 1;
+        for _ in 0..(duration / 100.0) as usize {
+            seq += 1;
+            cluster.heartbeat(connected, "b", "in_loop", seq);
+            cluster.run(100.0);
+        }
+        let elected = if duration > 3000.0 {
+            cluster.leader(2)
+        } else {
+            connected
+        };
+        assert_ne!(elected, paused);
+        // It resumes, and a proxy and a call come before it has ticked. Its connections are opened again later.
+        let resumed_at = cluster.now;
+        cluster.nodes[paused].is_paused = false;
+        let (new_proxy, amend) = (cluster.connect_proxy(paused, 0), cluster.amend(paused, 9));
+        cluster.run(400.0);
+        assert!(!cluster.is_ok(amend), "{duration}: confirmed alone");
+        assert!(
+            cluster.config_updates(new_proxy).is_empty(),
+            "{duration}: sent after a pause"
+        );
+        assert_eq!(
+            cluster.count_logged(paused, "event=process_paused"),
+            1,
+            "{duration}"
+        );
+        cluster.heal();
+        cluster.run(4.0 * HEARTBEAT_INTERVAL - 500.0);
+        assert_eq!(
+            cluster.count_logged(paused, "event=backend_expired"),
+            0,
+            "{duration}: expired a backend that it could not hear"
+        );
+        let updates = cluster.config_updates(new_proxy);
+        assert!(updates[0].0 - resumed_at < 3000.0, "{duration}");
+    }
+}
+
+/// Random partitions of any controller in either direction, while changes are committed and proxies connect. A proxy that has no
+/// configuration is never sent one older than what was committed before the timeout; no controller expires a backend whose
+/// heartbeats another has acknowledged.
+#[test]
+fn new_proxy_is_never_sent_an_outdated_configuration() {
+    println!("seeds 0 to 11");
+    let mut sent = 0;
+    for seed in 0..12 {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let mut draw = |bound: u32| rng.next_u32() % bound;
+        let mut cluster = Cluster::new(if seed % 3 == 0 { 5 } else { 3 }, seed + 50);
+        let size = cluster.nodes.len();
+        cluster.run(2500.0);
+        let (mut version, mut seq, mut backend_at) = (1, 0, seed as usize % size);
+        // Calls that change a tenant, with their versions; and when each version was committed.
+        let mut amendments: Vec<(u64, u64)> = Vec::new();
+        let mut confirmed: BTreeMap<u64, f64> = BTreeMap::new();
+        let (mut heal_at, mut cut_at, mut next_heartbeat) = (0.0, 3000.0, 0.0);
+        let mut new_proxies: Vec<u64> = Vec::new();
+        while cluster.now < 40_000.0 {
+            if cluster.now >= cut_at && cluster.cut.is_empty() {
+                let (node, direction) = (draw(size as u32) as usize, draw(3));
+                let node = if draw(2) == 0 { backend_at } else { node };
+                cluster.partition(node, direction != 1, direction != 0);
+                heal_at = cluster.now + f64::from(500 + draw(8000));
+            }
+            if cluster.now >= heal_at && !cluster.cut.is_empty() {
+                cluster.heal();
+                cut_at = cluster.now + f64::from(draw(3000));
+            }
+            if draw(4) == 0 {
+                version += 1;
+                let node = draw(size as u32) as usize;
+                let mut call = cluster.amend(node, version);
+                if let Some(CallResponse::Redirect(leader)) = cluster.responses.get(&call).cloned()
+                {
+                    let node = (0..size)
+                        .find(|node| ip(*node) == leader)
+                        .expect("a controller");
+                    call = cluster.amend(node, version);
+                }
+                amendments.push((call, version));
+            }
+            if draw(6) == 0 {
+                new_proxies.push(cluster.connect_proxy(draw(size as u32) as usize, 0));
+            }
+            if cluster.now >= next_heartbeat {
+                // A backend stays with the controller that acknowledges it, and goes on to another where it is not acknowledged.
+                (next_heartbeat, seq) = (cluster.now + HEARTBEAT_INTERVAL, seq + 1);
+                for node in (0..size).cycle().skip(backend_at).take(size) {
+                    let call = cluster.heartbeat(node, "b", "in_loop", seq);
+                    if cluster.is_ok(call) {
+                        backend_at = node;
+                        break;
+                    }
+                }
+            }
+            cluster.run(100.0);
+            for (call, version) in &amendments {
+                if cluster.is_ok(*call) {
+                    confirmed.entry(*version).or_insert(cluster.now);
+                }
+            }
+        }
+        for connection in new_proxies {
+            let Some((at, first)) = cluster.config_updates(connection).first().copied() else {
+                continue;
+            };
+            sent += 1;
+            let items = first
+                .items
+                .iter()
+                .map(|item| item.version)
+                .max()
+                .unwrap_or(0);
+            let due = confirmed
+                .iter()
+                .filter(|(_, when)| **when < at - CONNECTION_TIMEOUT - QUORUM_TIMEOUT - TOLERANCE);
+            let due = due.map(|(version, _)| *version).max().unwrap_or(0);
+            assert!(
+                u64::from(items) >= due,
+                "seed {seed}: a proxy got version {items} at {at}, {due} was committed long before"
+            );
+        }
+        for node in 0..size {
+            assert_eq!(
+                cluster.count_logged(node, "event=backend_expired"),
+                0,
+                "seed {seed}: controller {node} expired a live backend"
+            );
+        }
+        assert!(
+            confirmed.len() > 40,
+            "seed {seed}: {} confirmed",
+            confirmed.len()
+        );
+    }
+    println!("first configurations sent: {sent}");
+    assert!(sent > 200, "{sent}");
+}
