--- a/crates/controller/tests/common/mod.rs
+++ /dev/null
@@ -1,4 +0,0 @@
-//! What the played tests share.
-
-pub mod operators;
-pub mod played;
