--- a/crates/controller/benches/amend.rs
+++ b/crates/controller/benches/amend.rs
@@ -1,7 +1,7 @@
-//! What a change of one route costs, by what is held already: at the exchange that leads the time from the call to the answer,
-//! without the disk's; the memory of its board alone; and at a door the time of a new plan.
-//! `cargo bench -p maplefall-controller --bench amend` plays a hundredth, a tenth and the whole of 77,000 routes, 8,900 services and
-//! 480,000 tenants; `PART=0.5` plays one part, `TENANTS=0` routes and services alone.
+//! The cost of changing one route, by the size of the configuration: the time from the call to the response at a leader, without that
+//! of the disk; the memory of its configuration alone; and the time to build and to patch a proxy's route table.
+//! `cargo bench -p maplefall-controller --bench amend` runs with a hundredth, a tenth and all of 77,000 routes, 8,900 services and
+//! 480,000 tenants; `PART=0.5` runs with one fraction, `TENANTS=0` with routes and services alone.
 
 use maplefall_controller::core::{Call, CallResponse, Core, Output};
 use maplefall_controller::store::StoredState;
@@ -13,56 +13,56 @@
 const ROUTES: usize = 77_000;
 const SERVICES: usize = 8_900;
 const TENANTS: usize = 480_000;
-/// Items in one call while the exchange is filled.
-const CALL: usize = 50_000;
+/// Items in one call while the controller is filled.
+const ITEMS_PER_CALL: usize = 50_000;
 /// Changes that are timed.
-const CHANGES: usize = 40;
+const TIMED_CHANGES: usize = 40;
 
 const SETTINGS: &str =
     "Node = \"core\"\nServes = [\"controller\"]\nIp = \"10.0.0.1\"\nInternalPorts = [7560,7575]\n\
                         SeedAddrs = [\"10.0.0.1:8381\"]\nBootstrap = true\nQuorumMember = true\n";
 
-struct Single {
+struct SingleController {
     core: Core,
     now: f64,
     calls: u64,
 }
 
-impl Single {
-    fn new() -> Single {
+impl SingleController {
+    fn new() -> SingleController {
         let settings = Settings::read(SETTINGS, Path::new("bench")).expect("settings");
         let mut out = Vec::new();
         let core = Core::new(&settings, 0.0, 7, StoredState::default(), &mut out);
-        let mut single = Single {
+        let mut controller = SingleController {
             core,
             now: 0.0,
             calls: 0,
         };
-        single.carry(out);
+        controller.carry_out(out);
         for _ in 0..30 {
-            single.now += 100.0;
+            controller.now += 100.0;
             let mut out = Vec::new();
-            single.core.tick(single.now, &mut out);
-            single.carry(out);
+            controller.core.tick(controller.now, &mut out);
+            controller.carry_out(out);
         }
-        single
+        controller
     }
 
-    /// The disk takes no time; an answer is returned.
-    fn carry(&mut self, out: Vec<Output>) -> Option<CallResponse> {
-        let mut answer = None;
+    /// Persists writes without delay; returns the response, if there is one.
+    fn carry_out(&mut self, out: Vec<Output>) -> Option<CallResponse> {
+        let mut response = None;
         for output in out {
             match output {
                 Output::Write(number, _) => {
                     let mut more = Vec::new();
                     self.core.persisted(self.now, number, &mut more);
-                    answer = self.carry(more).or(answer);
+                    response = self.carry_out(more).or(response);
                 }
-                Output::Respond(_, given) => answer = Some(given),
+                Output::Respond(_, answer) => response = Some(answer),
                 _ => {}
             }
         }
-        answer
+        response
     }
 
     fn amend(&mut self, body: String) -> Option<CallResponse> {
@@ -70,7 +70,7 @@
         let mut out = Vec::new();
         self.core
             .call(self.now, self.calls, Call::Amend(body.into()), &mut out);
-        self.carry(out)
+        self.carry_out(out)
     }
 }
 
@@ -81,8 +81,10 @@
     count: usize,
     row: impl Fn(usize) -> String + 'a,
 ) -> impl Iterator<Item = String> + 'a {
-    (0..count).step_by(CALL).map(move |start| {
-        let rows: Vec<String> = (start..count.min(start + CALL)).map(&row).collect();
+    (0..count).step_by(ITEMS_PER_CALL).map(move |start| {
+        let rows: Vec<String> = (start..count.min(start + ITEMS_PER_CALL))
+            .map(&row)
+            .collect();
         let rows = rows.join(",");
         format!(
             "{{\"Upsert\":{{\"{list}\":{{\"ColumnNames\":[{columns}],\"DataRows\":[{rows}]}}}}}}"
@@ -120,7 +122,7 @@
 }
 
 /// All calls that fill the system.
-fn all(routes: usize, services: usize, tenants: usize) -> impl Iterator<Item = String> {
+fn all_calls(routes: usize, services: usize, tenants: usize) -> impl Iterator<Item = String> {
     let service = |n| format!("[\"svc{n}\",\"/health\",130,\"h1\",false,\"00000001\"]");
     let tenant = |n| {
         format!("[\"t-{n:06}\",[\"xd9dnn2ctnfzs9{n:06}\",\"wsjnbanfqasnmg{n:06}\"],0,122,122,\"00000001\"]")
@@ -140,51 +142,58 @@
     format!("{{\"Upsert\":{{\"RouteTable\":{{\"ColumnNames\":[{ROUTE}],\"DataRows\":[{row}]}}}}}}")
 }
 
-fn play(part: f64) {
-    let of = |whole: usize| ((whole as f64 * part) as usize).max(1);
+fn run(fraction: f64) {
+    let scaled = |total: usize| ((total as f64 * fraction) as usize).max(1);
     let tenants = std::env::var("TENANTS")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(TENANTS);
-    let (routes, services, tenants) = (of(ROUTES), of(SERVICES), (tenants as f64 * part) as usize);
+    let (routes, services, tenants) = (
+        scaled(ROUTES),
+        scaled(SERVICES),
+        (tenants as f64 * fraction) as usize,
+    );
     let before = memory("VmRSS");
-    let mut board = ConfigState::default();
-    for body in all(routes, services, tenants) {
-        board.apply(&parse_amend(body.as_bytes()).expect("a call"));
+    let mut config = ConfigState::default();
+    for body in all_calls(routes, services, tenants) {
+        config.apply(&parse_amend(body.as_bytes()).expect("a call"));
     }
-    let alone = memory("VmRSS") - before;
+    let config_mb = memory("VmRSS") - before;
     let start = Instant::now();
-    let mut plan = RouteTable::from_items(&board);
-    let plan_ms = start.elapsed().as_secs_f64() * 1e3;
+    let mut table = RouteTable::from_items(&config);
+    let table_ms = start.elapsed().as_secs_f64() * 1e3;
     let mut times = Vec::new();
-    for change in 0..CHANGES {
+    for change in 0..TIMED_CHANGES {
         let change = parse_amend(one_route(change, routes, services).as_bytes()).expect("a call");
         let start = Instant::now();
-        board.apply(&change);
-        plan.patch(&board, [&change].into_iter());
+        config.apply(&change);
+        table.patch(&config, [&change].into_iter());
         times.push(start.elapsed().as_secs_f64() * 1e6);
     }
     times.sort_by(f64::total_cmp);
-    let (routes_now, patch_us) = (plan.routes.len(), times[CHANGES / 2]);
-    println!("routes={routes_now} board_mb={alone:.0} plan_ms={plan_ms:.1} patch_median_us={patch_us:.0}");
-    drop((plan, board));
-    let mut single = Single::new();
-    for body in all(routes, services, tenants) {
-        assert_eq!(single.amend(body), Some(CallResponse::Ok("{}".to_owned())));
+    let (routes_now, patch_us) = (table.routes.len(), times[TIMED_CHANGES / 2]);
+    println!("routes={routes_now} config_mb={config_mb:.0} table_ms={table_ms:.1} patch_median_us={patch_us:.0}");
+    drop((table, config));
+    let mut controller = SingleController::new();
+    for body in all_calls(routes, services, tenants) {
+        assert_eq!(
+            controller.amend(body),
+            Some(CallResponse::Ok("{}".to_owned()))
+        );
     }
     let mut times = Vec::new();
-    for change in 0..CHANGES {
+    for change in 0..TIMED_CHANGES {
         let body = one_route(change, routes, services);
         let start = Instant::now();
-        let answer = single.amend(body);
+        let response = controller.amend(body);
         times.push(start.elapsed().as_secs_f64() * 1e6);
-        assert_eq!(answer, Some(CallResponse::Ok("{}".to_owned())));
+        assert_eq!(response, Some(CallResponse::Ok("{}".to_owned())));
     }
     times.sort_by(f64::total_cmp);
     println!(
         "routes={routes} services={services} tenants={tenants} median_us={:.0} worst_us={:.0} rss_mb={:.0} peak_mb={:.0}",
-        times[CHANGES / 2],
-        times[CHANGES - 1],
+        times[TIMED_CHANGES / 2],
+        times[TIMED_CHANGES - 1],
         memory("VmRSS"),
         memory("VmHWM")
     );
@@ -193,9 +202,9 @@
 fn main() {
     match std::env::var("PART")
         .ok()
-        .and_then(|part| part.parse().ok())
+        .and_then(|fraction| fraction.parse().ok())
     {
-        Some(part) => play(part),
-        None => [0.01, 0.1, 1.0].into_iter().for_each(play),
+        Some(fraction) => run(fraction),
+        None => [0.01, 0.1, 1.0].into_iter().for_each(run),
     }
 }
--- a/crates/controller/src/core/event.rs
+++ b/crates/controller/src/core/event.rs
@@ -44,7 +44,7 @@
     LeaseExpired { contact_age: Millis },
     /// This controller has lost contact with a quorum.
     QuorumLost {
-        silence: Millis,
+        time_without_messages: Millis,
         connected: usize,
         voters: usize,
     },
@@ -103,12 +103,12 @@
                 write!(f, "event=lease_expired contact_ms={contact_age:.0}")
             }
             Event::QuorumLost {
-                silence,
+                time_without_messages,
                 connected,
                 voters,
             } => write!(
                 f,
-                "event=quorum_lost since_ms={silence:.0} connected={connected} voters={voters}"
+                "event=quorum_lost since_ms={time_without_messages:.0} connected={connected} voters={voters}"
             ),
             Event::QuorumRestored { after } => {
                 write!(f, "event=quorum_restored after_ms={after:.0}")
--- a/crates/controller/src/core/instances.rs
+++ b/crates/controller/src/core/instances.rs
@@ -80,8 +80,8 @@
         self.acknowledge_instance(now, call, id, applied, true, out);
     }
 
-    /// Answers a backend. A controller that has had no quorum contact for long, or that a majority does not hear, applies what it
-    /// receives and acknowledges nothing: all others would declare a backend lost that is heard here alone.
+    /// Answers a backend. A controller that has had no quorum contact for long, or is not connected to a majority, applies what it
+    /// receives and acknowledges nothing: all others would declare a backend lost whose heartbeats come to this one alone.
     fn acknowledge_instance(
         &mut self,
         now: Millis,
@@ -99,11 +99,11 @@
             }
             _ => None,
         };
-        let is_cut_off = !self.contact.is_connected_to_quorum(self.raft.voters())
+        let is_partitioned = !self.contact.is_connected_to_quorum(self.raft.voters())
             || self.contact.lost_longer_than(now, UNACKNOWLEDGED_AFTER);
         let needs_no_quorum = !is_ending || self.deregistrations.replicated.contains(id);
-        if is_cut_off || needs_no_quorum {
-            let response = if is_cut_off {
+        if is_partitioned || needs_no_quorum {
+            let response = if is_partitioned {
                 CallResponse::Unavailable
             } else {
                 CallResponse::empty()
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Tells the peers which backends were heard here since the last time.
+    /// Sends the peers the heartbeats that were received here since the last time.
     pub(super) fn broadcast_heartbeats(&mut self, out: &mut Vec<Output>) {
         let heartbeats = std::mem::take(&mut self.unsent_heartbeats)
             .into_iter()
@@ -270,7 +270,7 @@
         out.push(Output::SendToAllPeers(encode_frame(frame)));
     }
 
-    /// Declares backends lost that have sent no heartbeat. A controller without quorum contact could not have heard them.
+    /// Declares backends lost that have sent no heartbeat. A controller without quorum contact could not have received any.
     pub(super) fn expire_instances(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.contact.lasts_longer_than(now, self.instance_timeout) {
             return;
--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -62,7 +62,7 @@
 }
 
 impl LeaseHolders {
-    /// What the disk says.
+    /// As recorded on disk.
     pub(super) fn new(now: Millis, names: BTreeSet<String>, complete: bool) -> LeaseHolders {
         LeaseHolders {
             names,
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -91,7 +91,7 @@
 }
 
 impl CallResponse {
-    /// A 200 that says nothing more.
+    /// A 200 without content.
     fn empty() -> CallResponse {
         CallResponse::Ok("{}".to_owned())
     }
@@ -143,7 +143,7 @@
     uncommitted: UncommittedChanges,
     calls: PendingCalls,
     registry: Registry,
-    /// Sequence numbers of the heartbeats that this controller received since it last told its peers.
+    /// Sequence numbers of the heartbeats that this controller received since it last sent them to its peers.
     unsent_heartbeats: BTreeMap<String, u64>,
     deregistrations: Deregistrations,
     proxies: BTreeMap<u64, ProxyConnection>,
--- a/crates/controller/src/core/quorum_contact.rs
+++ b/crates/controller/src/core/quorum_contact.rs
@@ -1,7 +1,7 @@
 //! Whether this controller is in contact with a quorum of the voters, and since when.
 //!
 //! A controller that is cut off must not hand an outdated configuration to a proxy that has none, nor declare backends lost
-//! that it merely cannot hear.
+//! whose heartbeats do not reach it.
 
 use super::event::Event;
 use super::{Core, Millis, Output};
@@ -63,7 +63,7 @@
         self.last_raft_message.insert(voter.to_owned(), now);
     }
 
-    /// Whether a majority of the voters hears this controller: it has live connections to them.
+    /// Whether there are live connections to a majority of the voters, this controller included.
     pub(super) fn is_connected_to_quorum(&self, voters: &BTreeSet<String>) -> bool {
         let reachable = voters
             .iter()
@@ -73,7 +73,7 @@
     }
 
     /// For how long a majority of the voters has sent no Raft message.
-    fn quorum_silence(&self, now: Millis, voters: &BTreeSet<String>) -> Millis {
+    fn time_without_quorum(&self, now: Millis, voters: &BTreeSet<String>) -> Millis {
         let last_message = |voter: &String| {
             if *voter == self.ip {
                 return now;
@@ -117,7 +117,7 @@
         }
         let after = self.contact.restore(now);
         out.push(Event::QuorumRestored { after }.into());
-        // No heartbeat could be heard in the meantime.
+        // No heartbeat could be received in the meantime.
         self.registry.restart_timeouts(now);
         self.distribute_config(now, out);
         for connection in self.proxy_connections() {
@@ -131,7 +131,7 @@
         }
         let voters = self.raft.voters();
         let event = Event::QuorumLost {
-            silence: self.contact.quorum_silence(now, voters),
+            time_without_messages: self.contact.time_without_quorum(now, voters),
             connected: self.contact.connected_peers.len(),
             voters: voters.len(),
         };
--- a/crates/controller/src/core/replication.rs
+++ b/crates/controller/src/core/replication.rs
@@ -53,13 +53,13 @@
         if ready.stepped_down {
             self.calls.leadership_lost(out);
         }
-        self.note_leader(out);
+        self.log_leader_change(out);
         self.tick_leasing(now, out);
         self.update_quorum_contact(now, out);
         self.compact_log(now, out);
     }
 
-    fn note_leader(&mut self, out: &mut Vec<Output>) {
+    fn log_leader_change(&mut self, out: &mut Vec<Output>) {
         let leader = self.raft.leader();
         if self.known_leader.as_deref() == leader {
             return;
--- a/crates/controller/src/net/disk_thread.rs
+++ b/crates/controller/src/net/disk_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the store: writes block, and must not hold up the controller.
+//! The thread that owns the store: writes block, and must not delay the controller.
 
 use crate::disk::Directory;
 use crate::store::{
--- a/crates/controller/src/net/mod.rs
+++ b/crates/controller/src/net/mod.rs
@@ -48,10 +48,10 @@
     /// The system does not deliver signals.
     #[error("step=signals error={kind:?}", kind = .0.kind())]
     Signals(#[source] std::io::Error),
-    /// The disk cannot be used, or holds what cannot be read.
+    /// The disk cannot be used, or contains what cannot be read.
     #[error("{0}")]
     Store(#[source] StoreError),
-    /// The disk's thread has ended without a word.
+    /// The disk's thread has ended without an error.
     #[error("step=disk error=thread_ended")]
     DiskThreadEnded,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// What the settings have to say for a controller.
+/// The settings that a controller cannot do without.
 struct Addresses {
     /// For backends and the operator, over HTTP.
     api: SocketAddr,
@@ -106,7 +106,7 @@
     let api_listener = listen(addresses.api).await?;
     let internal_listener = listen(addresses.internal).await?;
     let disk = DiskThread::start(addresses.data_dir);
-    // A disk that fails holds up the start, not a stop.
+    // A disk that fails delays the start, not a stop.
     let stored = tokio::select! {
         biased;
         _ = signals.terminate.recv() => return Ok(()),
