--- a/benches/src/group.rs
+++ b/benches/src/group.rs
@@ -410,7 +410,7 @@
             return;
         };
         self.drive(at, "reports", |core, now, out| {
-            core.door(now, conn, Frame::LeaseRequest(report), out)
+            core.receive_from_proxy(now, conn, Frame::LeaseRequest(report), out)
         });
     }
 }
--- a/benches/src/made.rs
+++ b/benches/src/made.rs
@@ -161,5 +161,5 @@
         "Node = \"{node}\"\nIp = \"{ip}\"\nZone = \"zone-0\"\nRegion = \"region-0\"\nInternalPorts = [7560,7575]\nSeedAddrs = [{}]\nBootstrap = true\nQuorumMember = true\nHeartbeatS = 1.5\n",
         seeds.join(",")
     );
-    Settings::read(&text, Path::new("made")).expect("settings that are made up can be read")
+    Settings::parse(&text, Path::new("made")).expect("settings that are made up can be read")
 }
--- a/crates/control-transport/src/connection.rs
+++ b/crates/control-transport/src/connection.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// At the initiator: the other end reads and answers. Frames in the outgoing queue are sent from now on.
-    Up,
+    Established,
     /// At the acceptor: a hello has been read, and its sender is asked to prove that it is alive. Fencing tokens are given out in the
     /// order of these events.
     HelloReceived,
@@ -229,7 +229,7 @@
                 Some(Event::HelloReceived)
             }
             (_, Some(hello)) if actions.established => Some(Event::Verified(hello)),
-            (_, None) if actions.established => Some(Event::Up),
+            (_, None) if actions.established => Some(Event::Established),
             (frame, _) if actions.deliver => Some(Event::Frame(frame)),
             _ => None,
         }
--- a/crates/control-transport/tests/sockets.rs
+++ b/crates/control-transport/tests/sockets.rs
@@ -95,7 +95,10 @@
     }
     assert_eq!(
         at_initiator.into_inner(),
-        [Event::Up, Event::Frame(Frame::InstancesPersisted(2))]
+        [
+            Event::Established,
+            Event::Frame(Frame::InstancesPersisted(2))
+        ]
     );
     let at_acceptor = at_acceptor.into_inner();
     let expected = [
--- a/crates/controller/benches/amend.rs
+++ b/crates/controller/benches/amend.rs
@@ -30,7 +30,7 @@
 
 impl SingleController {
     fn new() -> SingleController {
-        let settings = Settings::read(SETTINGS, Path::new("bench")).expect("settings");
+        let settings = Settings::parse(SETTINGS, Path::new("bench")).expect("settings");
         let mut out = Vec::new();
         let core = Core::new(&settings, 0.0, 7, StoredState::default(), &mut out);
         let mut controller = SingleController {
--- a/crates/controller/src/core/instances.rs
+++ b/crates/controller/src/core/instances.rs
@@ -118,7 +118,7 @@
             }
             return;
         }
-        if let Some(record) = changed.or_else(|| self.registry.word(now, id)) {
+        if let Some(record) = changed.or_else(|| self.registry.record(now, id)) {
             self.replicate_deregistration(now, call, record, out);
         }
     }
@@ -253,7 +253,7 @@
         let records = encode_instances(self.registry.records(now), false, 0);
         out.push(Output::SendToPeer(peer.to_owned(), records));
         for (ack_number, pending) in &self.deregistrations.pending {
-            if let Some(record) = self.registry.word(now, &pending.id) {
+            if let Some(record) = self.registry.record(now, &pending.id) {
                 let records = encode_instances(vec![record], false, *ack_number);
                 out.push(Output::SendToPeer(peer.to_owned(), records));
             }
--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -91,7 +91,13 @@
 
 impl Core {
     /// A proxy has sent a frame; only lease requests are expected of one.
-    pub fn door(&mut self, now: Millis, connection: u64, frame: Frame, out: &mut Vec<Output>) {
+    pub fn receive_from_proxy(
+        &mut self,
+        now: Millis,
+        connection: u64,
+        frame: Frame,
+        out: &mut Vec<Output>,
+    ) {
         if let Frame::LeaseRequest(request) = frame {
             self.receive_lease_request(now, connection, request, out);
         }
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -248,7 +248,7 @@
             match purpose {
                 WritePurpose::Background => {}
                 WritePurpose::Raft(number) => {
-                    self.drive_raft(now, out, |raft, ready| raft.written(now, number, ready));
+                    self.drive_raft(now, out, |raft, ready| raft.persisted(now, number, ready));
                 }
                 WritePurpose::LeaseHolder {
                     node,
--- a/crates/controller/src/net/internal_connections.rs
+++ b/crates/controller/src/net/internal_connections.rs
@@ -146,7 +146,7 @@
         }
         self.controller.drive(|core, now, out| match remote {
             Remote::Controller(ip) => core.receive_from_peer(now, ip, frame, out),
-            Remote::Proxy(_) => core.door(now, self.token, frame, out),
+            Remote::Proxy(_) => core.receive_from_proxy(now, self.token, frame, out),
         });
         true
     }
--- a/crates/controller/src/net/peers.rs
+++ b/crates/controller/src/net/peers.rs
@@ -115,7 +115,7 @@
         let handshake = Handshake::Initiator(self.hello.clone());
         let error = run_connection(stream, outgoing, handshake, |event| {
             // The peer sends nothing on it but that it is alive.
-            if let (Event::Up, Some(sender)) = (event, sender.take()) {
+            if let (Event::Established, Some(sender)) = (event, sender.take()) {
                 was_up = true;
                 self.peer_up(peer, sender);
             }
--- a/crates/controller/tests/common/cluster.rs
+++ b/crates/controller/tests/common/cluster.rs
@@ -41,7 +41,7 @@
         seeds.join(","),
         ip(node)
     );
-    Settings::read(&text, std::path::Path::new("test")).expect("settings")
+    Settings::parse(&text, std::path::Path::new("test")).expect("settings")
 }
 
 pub fn frame(bytes: &Bytes) -> Frame {
--- a/crates/controller/tests/common/lease_cluster.rs
+++ b/crates/controller/tests/common/lease_cluster.rs
@@ -23,7 +23,7 @@
          QuorumMember = true\n[Tolerance]\nMachineLosses = {max_losses}\n",
         seeds.join(", ")
     );
-    Settings::read(&text, Path::new("local.toml")).expect("settings")
+    Settings::parse(&text, Path::new("local.toml")).expect("settings")
 }
 
 pub struct Node {
@@ -197,7 +197,7 @@
     ) -> Vec<LeaseGrant> {
         self.take_grants(ip, connection);
         self.drive(ip, |core, now, out| {
-            core.door(now, connection, Frame::LeaseRequest(request), out)
+            core.receive_from_proxy(now, connection, Frame::LeaseRequest(request), out)
         });
         self.take_grants(ip, connection)
     }
--- a/crates/controller/tests/common/simulation/events.rs
+++ b/crates/controller/tests/common/simulation/events.rs
@@ -20,7 +20,7 @@
          Bootstrap = {bootstrap}\nQuorumMember = true\nHeartbeatS = 1.5\n",
         seeds.join(",")
     );
-    Settings::read(&text, Path::new("test")).expect("settings")
+    Settings::parse(&text, Path::new("test")).expect("settings")
 }
 
 impl Simulation {
--- a/crates/controller/tests/group/mod.rs
+++ b/crates/controller/tests/group/mod.rs
@@ -79,7 +79,7 @@
         "Node = \"core\"\nServes = [\"controller\"]\nIp = \"{address}\"\nInternalPorts = [7591, 7591]\n\
          SeedAddrs = [{seeds}]\nBootstrap = false\nQuorumMember = true\nHeartbeatS = 1.5\n[Tolerance]\nMachineLosses = 1\n"
     );
-    Settings::read(&text, Path::new("settings of the test")).expect("settings")
+    Settings::parse(&text, Path::new("settings of the test")).expect("settings")
 }
 
 /// One controller of the group.
--- a/crates/node-settings/src/settings.rs
+++ b/crates/node-settings/src/settings.rs
@@ -69,7 +69,7 @@
             path: path.into(),
             error,
         })?;
-        Settings::read(&text, path)
+        Settings::parse(&text, path)
     }
 
     /// Parses and validates the text of a settings file; `path` is only for errors.
@@ -77,7 +77,7 @@
     /// # Errors
     ///
     /// [`SettingsError`] if the text cannot be parsed or a field is invalid.
-    pub fn read(text: &str, path: &Path) -> Result<Settings, SettingsError> {
+    pub fn parse(text: &str, path: &Path) -> Result<Settings, SettingsError> {
         let raw: RawSettings = toml::from_str(text).map_err(|error| SettingsError::Parse {
             path: path.into(),
             error,
--- a/crates/node-settings/tests/settings.rs
+++ b/crates/node-settings/tests/settings.rs
@@ -24,7 +24,7 @@
 /// Guards a platform that writes fields which this program does not know, and bounds that are not in the file.
 #[test]
 fn unknown_fields_are_ignored_and_missing_bounds_have_their_defaults() {
-    let settings = Settings::read(PROXY, Path::new("x")).expect("settings");
+    let settings = Settings::parse(PROXY, Path::new("x")).expect("settings");
     assert_eq!(
         (settings.bounds.drain_s, settings.bounds.grace_s),
         (1.25, 6.0)
@@ -58,7 +58,7 @@
         ("DrainS=1.25", "DrainS=soon", "Bounds"),
         ("Node = \"edge-a-1\"", "Node = \"\"", "Node"),
     ] {
-        let error = Settings::read(&PROXY.replace(from, to), Path::new("x")).expect_err(to);
+        let error = Settings::parse(&PROXY.replace(from, to), Path::new("x")).expect_err(to);
         assert!(error.to_string().contains(field), "{error}");
     }
 }
--- a/crates/proxy/src/controllers.rs
+++ b/crates/proxy/src/controllers.rs
@@ -66,7 +66,7 @@
                 };
                 run_connection(stream, outgoing, Handshake::Initiator(hello), |event| {
                     match (event, sender.take()) {
-                        (Event::Up, Some(sender)) => {
+                        (Event::Established, Some(sender)) => {
                             up = true;
                             door.exchanges.borrow_mut().insert(name.clone(), sender);
                             log::info!("event=exchange_up exchange={name}");
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -465,7 +465,9 @@
                 .services
                 .backend(backend)
                 .map(|backend| backend.instance.clone());
-            if let Some(word) = instance.and_then(|instance| self.directory.lost(now, &instance)) {
+            if let Some(word) =
+                instance.and_then(|instance| self.directory.mark_expired(now, &instance))
+            {
                 out.push(Output::Log(format!(
                     "event=stranger backend={} service={}",
                     word.id, word.service
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -64,7 +64,7 @@
         let text = format!(
             "Node = \"edge\"\nIp = \"127.0.0.1\"\nInternalPorts = [1,1]\nSeedAddrs = [\"127.0.0.1:1\"]\nBootstrap = true\nZone = \"z\"\n[Bind]\nFrontHttp = \"{address}\"\nReadyProbe = \"{address}\"\n"
         );
-        let mut settings = Settings::read(&text, Path::new("edge.toml")).expect("settings");
+        let mut settings = Settings::parse(&text, Path::new("edge.toml")).expect("settings");
         (
             settings.bounds.retry_budget_ratio,
             settings.bounds.retry_slack,
--- a/crates/proxy/tests/held_back.rs
+++ b/crates/proxy/tests/held_back.rs
@@ -10,7 +10,7 @@
     let text = "Node = \"edge-1\"\nRole = \"switchboard\"\nMachineClass = \"edge\"\nServes = [\"edge\"]\nIp = \"10.0.1.1\"\nZone = \"a\"\n\
         Region = \"r\"\nInternalPorts = [7000,7010]\nSeedAddrs = [\"10.0.0.1:8080\"]\nBootstrap = false\nQuorumMember = false\n\
         HeartbeatS = 1.5\nActiveLaws = [\"base\"]\nBounds = []\n[Zones]\na = \"r\"\n[Bind]\nFrontHttp = \"10.0.1.1:80\"\nReadyProbe = \"10.0.1.1:81\"\n";
-    Settings::read(text, std::path::Path::new("played")).expect("settings")
+    Settings::parse(text, std::path::Path::new("played")).expect("settings")
 }
 
 fn statuses(core: &mut Core, now: f64) -> u16 {
--- a/crates/proxy/tests/quotas.rs
+++ b/crates/proxy/tests/quotas.rs
@@ -457,13 +457,13 @@
                 if !away && !door.links.contains_key(&lender) && draw() < 0.1 {
                     conns += 1;
                     door.links.insert(lender, conns);
-                    lives_of.insert((conns, lender), life.lender.life());
+                    lives_of.insert((conns, lender), life.lender.incarnation());
                     door.purse.connected(&lender.to_string());
                 }
                 let Some(conn) = door.links.get(&lender).copied() else {
                     continue;
                 };
-                if lives_of.get(&(conn, lender)) != Some(&life.lender.life()) {
+                if lives_of.get(&(conn, lender)) != Some(&life.lender.incarnation()) {
                     door.links.remove(&lender);
                     continue;
                 }
@@ -480,7 +480,7 @@
                     if !away {
                         let at = now + draw() * if draw() < 0.05 { 3000.0 } else { 20.0 };
                         let at = order(conn, true, at);
-                        let to = life.lender.life();
+                        let to = life.lender.incarnation();
                         mail.push((at, Mail::Report(n, lender, to, conn, door.life, report)));
                     }
                 }
@@ -504,7 +504,10 @@
                     // It arrives, also if its door has gone since; not at another life of the lender.
                     let it = &mut exchanges[lender];
                     let clock = it.clock(now);
-                    let Some(life) = it.life.as_mut().filter(|life| life.lender.life() == to)
+                    let Some(life) = it
+                        .life
+                        .as_mut()
+                        .filter(|life| life.lender.incarnation() == to)
                     else {
                         continue;
                     };
--- a/crates/proxy/tests/stop.rs
+++ b/crates/proxy/tests/stop.rs
@@ -150,7 +150,7 @@
 fn a_door_that_stops_gives_no_attempt_up_before_its_deadline() {
     for stops in [false, true] {
         let text = "Node = \"edge\"\nIp = \"127.0.0.1\"\nInternalPorts = [1,1]\nSeedAddrs = [\"127.0.0.1:1\"]\nBootstrap = true\nZone = \"z\"\n[Bind]\nFrontHttp = \"127.0.0.1:1\"\nReadyProbe = \"127.0.0.1:1\"\n";
-        let mut settings = Settings::read(text, Path::new("edge.toml")).expect("settings");
+        let mut settings = Settings::parse(text, Path::new("edge.toml")).expect("settings");
         settings.bounds.retry_budget_ratio = 50.0;
         let mut core = Core::new(&settings, 1);
         let items = parse_amend(CONFIGURATION.as_bytes())
--- a/crates/proxy/tests/whole.rs
+++ b/crates/proxy/tests/whole.rs
@@ -144,7 +144,7 @@
             folder.join("data")
         );
         let settings =
-            maplefall_node_settings::Settings::read(&exchange, &folder).expect("settings");
+            maplefall_node_settings::Settings::parse(&exchange, &folder).expect("settings");
         let watched = maplefall_node_settings::SettingsFile::new(folder.join("core.toml"));
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/quota-lease/src/server/mod.rs
+++ b/crates/quota-lease/src/server/mod.rs
@@ -96,7 +96,7 @@
     }
 
     /// This server's incarnation.
-    pub fn life(&self) -> u32 {
+    pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
--- a/crates/raft/src/raft/mod.rs
+++ b/crates/raft/src/raft/mod.rs
@@ -216,7 +216,7 @@
     }
 
     /// All writes up to this number are on disk.
-    pub fn written(&mut self, now: Millis, number: u64, ready: &mut Ready) {
+    pub fn persisted(&mut self, now: Millis, number: u64, ready: &mut Ready) {
         self.begin_input(now, ready);
         self.persisted_write = self.persisted_write.max(number).min(self.last_write);
         self.update_persisted_index();
--- a/crates/raft/tests/simulator/cluster.rs
+++ b/crates/raft/tests/simulator/cluster.rs
@@ -248,7 +248,7 @@
             };
             node.disk.apply(write.update);
             self.input(name, |raft, now, ready| {
-                raft.written(now, write.number, ready);
+                raft.persisted(now, write.number, ready);
             });
         }
     }
--- a/crates/raft/tests/simulator/effects.rs
+++ b/crates/raft/tests/simulator/effects.rs
@@ -40,7 +40,7 @@
         }
         self.check_one_leader_per_term(name);
         if let Some(number) = last_write.filter(|_| self.variant == Variant::Unsynced) {
-            self.input(name, |raft, now, ready| raft.written(now, number, ready));
+            self.input(name, |raft, now, ready| raft.persisted(now, number, ready));
         }
     }
 
--- a/crates/raft/tests/untrusted_messages.rs
+++ b/crates/raft/tests/untrusted_messages.rs
@@ -203,7 +203,7 @@
         for (number, update) in std::mem::take(&mut ready).writes {
             written.apply(update);
             if rng.next_u32() % 4 != 0 {
-                raft.written(now, number, &mut ready);
+                raft.persisted(now, number, &mut ready);
             }
         }
         assert!(
--- a/crates/service-registry/src/registry.rs
+++ b/crates/service-registry/src/registry.rs
@@ -144,7 +144,7 @@
     }
 
     /// The record of one instance; `None` if it is unknown.
-    pub fn word(&self, now: Millis, id: &str) -> Option<InstanceRecord> {
+    pub fn record(&self, now: Millis, id: &str) -> Option<InstanceRecord> {
         self.instances
             .get(id)
             .map(|instance| instance.current_record(now))
@@ -171,7 +171,7 @@
     }
 
     /// Expires one instance, whatever its state: it turned out to have ended. Returns its record; `None` if it is unknown.
-    pub fn lost(&mut self, now: Millis, id: &str) -> Option<InstanceRecord> {
+    pub fn mark_expired(&mut self, now: Millis, id: &str) -> Option<InstanceRecord> {
         let instance = self.instances.get_mut(id)?;
         Some(instance.expire(now))
     }
--- a/crates/service-registry/tests/registry.rs
+++ b/crates/service-registry/tests/registry.rs
@@ -54,7 +54,7 @@
             }
             ["i-1", "i-2"].map(|id| {
                 registry
-                    .word(1.0, id)
+                    .record(1.0, id)
                     .map(|record| (record.state, record.seq))
             })
         };
@@ -102,7 +102,9 @@
     ));
     assert_eq!(registry.apply(13_000.0, serving(9)), Applied::Stale);
     assert_eq!(
-        registry.word(13_000.0, "i-1").map(|record| record.state()),
+        registry
+            .record(13_000.0, "i-1")
+            .map(|record| record.state()),
         Some(InstanceState::Deregistered)
     );
 }
