--- /dev/null
+++ b/crates/raft/tests/model_check.rs
@@ -0,0 +1,91 @@
+//! Exhaustive search of a model of the consensus rules (`consensus_model`) with bounded faults, by stateright. Wrong
+//! variants of the rules have to be found.
+
+mod consensus_model;
+
+use consensus_model::properties::COMMAND_IS_COMMITTED;
+use consensus_model::{ConsensusModel, Variant};
+use stateright::{Checker, Model};
+
+/// What a search has found.
+struct SearchResult {
+    unique_states: usize,
+    has_violation: bool,
+}
+
+/// Searches all states, up to the first violation.
+fn search(model: ConsensusModel) -> SearchResult {
+    let checker = model
+        .checker()
+        .threads(1)
+        .finish_when(stateright::HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
+    let mut has_violation = false;
+    for (property, path) in checker.discoveries() {
+        if property != COMMAND_IS_COMMITTED {
+            println!("{property}: {:?}", path.into_actions());
+            has_violation = true;
+        }
+    }
+    let unique_states = checker.unique_state_count();
+    println!(
+        "{} states, {unique_states} of them unique, violation: {has_violation}",
+        checker.state_count(),
+    );
+    SearchResult {
+        unique_states,
+        has_violation,
+    }
+}
+
+const ONE_CRASH: ConsensusModel = ConsensusModel {
+    variant: Variant::Right,
+    max_crashes: 1,
+    max_disk_losses: 0,
+    max_replacements: 0,
+    max_term: 2,
+};
+
+const ONE_DISK_LOSS: ConsensusModel = ConsensusModel {
+    max_crashes: 0,
+    max_disk_losses: 1,
+    ..ONE_CRASH
+};
+
+const ONE_REPLACEMENT: ConsensusModel = ConsensusModel {
+    max_crashes: 0,
+    max_replacements: 1,
+    ..ONE_CRASH
+};
+
+/// Guards the design: no order of actions violates a property within these bounds.
+#[test]
+fn no_order_of_actions_violates_a_property() {
+    for model in [ONE_CRASH, ONE_DISK_LOSS, ONE_REPLACEMENT] {
+        let SearchResult {
+            unique_states,
+            has_violation,
+        } = search(model);
+        assert!(
+            !has_violation && unique_states > 1000,
+            "{unique_states} states"
+        );
+    }
+}
+
+fn assert_found(variant: Variant, model: ConsensusModel, description: &str) {
+    let result = search(ConsensusModel { variant, ..model });
+    assert!(result.has_violation, "{description} is not found");
+}
+
+/// Guards the search: it finds a violation with each wrong variant of the rules.
+#[test]
+fn wrong_variants_are_found() {
+    let variant = Variant::CommitOnOneDisk;
+    assert_found(variant, ONE_CRASH, "commitment by one disk");
+    let variant = Variant::WipedVotes;
+    assert_found(variant, ONE_DISK_LOSS, "a wiped member that votes");
+    let variant = Variant::NewMajorityAlone;
+    assert_found(variant, ONE_REPLACEMENT, "a new majority alone");
+}
