--- a/crates/control-messages/src/messages.rs
+++ b/crates/control-messages/src/messages.rs
@@ -1,5 +1,5 @@
 //! The messages and who sends them. Each carries what the receiver needs to recognise a stale one: indexes, sequence numbers or
-//! incarnations (table in `docs/design/control-touch.md`).
+//! incarnations (table in `docs/design/control-connections.md`).
 
 use bytes::Bytes;
 use maplefall_gateway_config::{Change, Item};
--- a/crates/control-transport/src/lib.rs
+++ b/crates/control-transport/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! **Invariant.** A connection that no longer carries data in both directions, or whose other end has stopped, ends within 2.5 s at both
 //! ends, and nothing that was sent longer ago is delivered ([`liveness`]). Of several connections by one process only the
-//! latest is used ([`fencing`]). Why both are needed: `docs/design/control-touch.md`.
+//! latest is used ([`fencing`]). Why both are needed: `docs/design/control-connections.md`.
 
 mod chunking;
 mod connect;
--- a/crates/controller/tests/lease_takeover.rs
+++ b/crates/controller/tests/lease_takeover.rs
@@ -1,4 +1,4 @@
-//! Slots of quotas that pass from one controller to another (`docs/design/control-loans.md`).
+//! Slots of quotas that pass from one controller to another (`docs/design/control-leases.md`).
 
 #[path = "common/lease_cluster.rs"]
 mod lease_cluster;
--- a/crates/controller/tests/operator_calls.rs
+++ b/crates/controller/tests/operator_calls.rs
@@ -1,5 +1,5 @@
 //! The operator's calls: what was accepted is known, under whatever version, and nothing is answered that a later leader could
-//! contradict (`docs/design/control-orders.md`).
+//! contradict (`docs/design/control-operator-calls.md`).
 
 #[path = "common/simulation/mod.rs"]
 mod simulation;
--- a/crates/controller/tests/quorum_contact.rs
+++ b/crates/controller/tests/quorum_contact.rs
@@ -1,5 +1,5 @@
 //! Controllers that are cut off from the others, or paused: what they send to proxies, what they acknowledge, and what the others
-//! make of it (`docs/design/control-touch.md`).
+//! make of it (`docs/design/control-connections.md`).
 
 #[path = "common/cluster.rs"]
 mod cluster;
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -19,7 +19,7 @@
 //! reported leases within its limit.
 //!
 //! **Changes of owners.** A server answers only while [`membership_lease_valid`], and a new owner of a slot leases nothing of it for
-//! [`TAKEOVER_DELAY`]. The proof is in `docs/design/control-loans.md`.
+//! [`TAKEOVER_DELAY`]. The proof is in `docs/design/control-leases.md`.
 
 mod client;
 mod messages;
--- a/crates/quota-lease/src/messages.rs
+++ b/crates/quota-lease/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between the lease client of a proxy and the lease server of a controller. The prost tags are the wire format and are never
 //! reused. Every message carries what the receiver needs to recognise a stale one: sequence numbers and the incarnations of both ends
-//! (`docs/design/control-loans.md`, section on fencing).
+//! (`docs/design/control-leases.md`, section on fencing).
 
 /// A proxy's share of a tenant's quota.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
--- a/crates/quota-lease/src/owned_slots.rs
+++ b/crates/quota-lease/src/owned_slots.rs
@@ -1,7 +1,7 @@
 //! The slots that one controller owns, and from when on it may lease each of them.
 //!
 //! Invariant: a slot that another controller may have leased is not leased for [`TAKEOVER_DELAY`] after its new owner has applied the
-//! entry that made it the owner (`docs/design/control-loans.md`).
+//! entry that made it the owner (`docs/design/control-leases.md`).
 
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/quota-lease/src/slots.rs
+++ b/crates/quota-lease/src/slots.rs
@@ -2,7 +2,7 @@
 //! it.
 //!
 //! Invariant: the owners are a function of the committed sequence of member sets alone, so every controller that has applied the same
-//! entries computes the same (`docs/design/control-loans.md`).
+//! entries computes the same (`docs/design/control-leases.md`).
 
 use crate::*;
 use std::collections::BTreeSet;
--- a/crates/raft/src/raft/quorum_contact.rs
+++ b/crates/raft/src/raft/quorum_contact.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: the time that a node reports is never later than the true one. A leader counts from when it *sent* what a
 //! quorum has answered; a follower from when it *sent* the response that the leader echoes, less the age of the
-//! leader's own proof (`docs/design/control-touch.md`).
+//! leader's own proof (`docs/design/control-connections.md`).
 
 use super::constants::{Millis, QUORUM_CONTACT_TIMEOUT};
 use super::event::Event;
