--- a/crates/gateway-config/src/amend.rs
+++ b/crates/gateway-config/src/amend.rs
@@ -1,194 +1,224 @@
-//! A call of the operator, read.
+//! Parses the body of `config.amend`: JSON with lists of items to set (`Upsert`) and to remove (`Remove`).
 
-use crate::item::{Change, ConfigError, Field, Item, ItemKind};
+use crate::error::ConfigError;
+use crate::item::{Change, Field, Item, ItemKind};
 use crate::json::{parse, Json};
 use crate::model;
 
-/// Most items in one call.
-const MOST_ITEMS: usize = 100_000;
+/// The most items in one call; a call with more is rejected.
+const MAX_ITEMS: usize = 100_000;
 
-/// Reads the body of `config.amend`. Every item in it is checked by itself; how it goes with the others is for the board.
+/// Digits of a version.
+const VERSION_DIGITS: usize = 8;
+
+/// A field of an item with its value, before the item is built.
+type NamedValue<'a> = (String, &'a Json);
+
+/// Parses a call and checks each of its items by itself. Whether they are consistent with each other and with the configuration is
+/// checked by [`ConfigState::validate`](crate::ConfigState::validate).
+///
+/// # Errors
+/// [`ConfigError::Malformed`] and [`ConfigError::InvalidField`].
 pub fn parse_amend(body: &[u8]) -> Result<Change, ConfigError> {
-    let whole = parse(body).map_err(|why| ConfigError::Malformed("body", why))?;
-    let whole = whole
+    let items = parse_items(body)?;
+    if items.len() > MAX_ITEMS {
+        return Err(ConfigError::malformed("body", "too many items"));
+    }
+    reject_ambiguous_versions(&items)?;
+    for item in &items {
+        model::check(item)?;
+    }
+    Ok(Change { items })
+}
+
+fn parse_items(body: &[u8]) -> Result<Vec<Item>, ConfigError> {
+    let call = parse(body).map_err(|reason| ConfigError::malformed("body", reason))?;
+    let call = call
         .as_object()
-        .ok_or_else(|| unreadable("body", "no object"))?;
+        .ok_or_else(|| ConfigError::malformed("body", "no object"))?;
     let mut items = Vec::new();
-    for (name, value) in whole.iter() {
+    for (name, value) in call.iter() {
         match name.as_str() {
-            "Upsert" => sets(value, &mut items)?,
-            "Remove" => drops(value, &mut items)?,
-            // What a newer operator says besides is none of ours.
+            "Upsert" => parse_upsert(value, &mut items)?,
+            "Remove" => parse_remove(value, &mut items)?,
+            // Sections of newer operators are ignored.
             _ => {}
         }
     }
-    if items.len() > MOST_ITEMS {
-        return Err(unreadable("body", "too many items"));
+    Ok(items)
+}
+
+/// An item may occur more than once in a call, with several versions or in both sections; but one version has one content.
+fn reject_ambiguous_versions(items: &[Item]) -> Result<(), ConfigError> {
+    fn key(item: &Item) -> (i32, &str, u32) {
+        (item.kind, &item.name, item.version)
     }
-    // A name may stand more than once, as a set and as a drop: the highest version holds, and one version says one thing.
     let mut sorted: Vec<&Item> = items.iter().collect();
-    sorted.sort_by(|a, b| (a.kind, &a.name, a.version).cmp(&(b.kind, &b.name, b.version)));
-    let at_odds =
-        |a: &Item, b: &Item| (a.kind, &a.name, a.version) == (b.kind, &b.name, b.version) && a != b;
-    if let Some(twice) = sorted.windows(2).find(|pair| at_odds(pair[0], pair[1])) {
-        return Err(unreadable(
+    sorted.sort_by(|a, b| key(a).cmp(&key(b)));
+    let ambiguous = sorted
+        .windows(2)
+        .find(|pair| key(pair[0]) == key(pair[1]) && pair[0] != pair[1]);
+    match ambiguous {
+        None => Ok(()),
+        Some(pair) => Err(ConfigError::malformed(
             "Version",
-            &format!("{} stands twice in one version", twice[0].name),
-        ));
-    }
-    for item in &items {
-        model::check(item)?;
+            format!("{} stands twice in one version", pair[0].name),
+        )),
     }
-    Ok(Change { items })
-}
-
-fn unreadable(what: &'static str, why: &str) -> ConfigError {
-    ConfigError::Malformed(what, why.to_owned())
 }
 
-fn kind(list: &str) -> Option<ItemKind> {
-    [
-        ItemKind::Route,
-        ItemKind::Tenant,
-        ItemKind::Service,
-        ItemKind::Limits,
-    ]
-    .into_iter()
-    .find(|kind| kind.list() == list)
+fn kind_of_list(list: &str) -> Option<ItemKind> {
+    ItemKind::ALL.into_iter().find(|kind| kind.list() == list)
 }
 
-fn sets(value: &Json, items: &mut Vec<Item>) -> Result<(), ConfigError> {
+fn parse_upsert(value: &Json, items: &mut Vec<Item>) -> Result<(), ConfigError> {
     if value.is_null() {
         return Ok(());
     }
     let lists = value
         .as_object()
-        .ok_or_else(|| unreadable("Upsert", "no object"))?;
+        .ok_or_else(|| ConfigError::malformed("Upsert", "no object"))?;
     for (list, value) in lists.iter() {
-        let Some(kind) = kind(list.as_str()) else {
-            return Err(unreadable("Upsert", "unknown list"));
-        };
+        let kind = kind_of_list(list.as_str())
+            .ok_or_else(|| ConfigError::malformed("Upsert", "unknown list"))?;
         if value.is_null() {
             continue;
         }
-        let what = kind.list();
-        let table = value
-            .as_object()
-            .ok_or_else(|| unreadable(what, "no object"))?;
         if kind == ItemKind::Limits {
-            let fields = table
-                .iter()
-                .map(|(name, value)| (name.as_str().to_owned(), value))
-                .collect();
-            items.push(item(kind, fields)?);
-            continue;
+            items.push(build_item(kind, parse_object(kind.list(), value)?)?);
+        } else {
+            parse_table(kind, value, items)?;
         }
-        let columns = table.get("ColumnNames").and_then(Json::as_array);
-        let columns = columns.ok_or_else(|| unreadable(what, "no ColumnNames"))?;
-        let columns: Option<Vec<&str>> = columns
+    }
+    Ok(())
+}
+
+/// Parses a list of items as `ColumnNames` and `DataRows`.
+fn parse_table(kind: ItemKind, value: &Json, items: &mut Vec<Item>) -> Result<(), ConfigError> {
+    let malformed = |reason: &str| ConfigError::malformed(kind.list(), reason);
+    let table = value.as_object().ok_or_else(|| malformed("no object"))?;
+    let columns: Vec<&str> = table
+        .get("ColumnNames")
+        .and_then(Json::as_array)
+        .ok_or_else(|| malformed("no ColumnNames"))?
+        .iter()
+        .map(|column| column.as_string().map(|name| name.as_str()))
+        .collect::<Option<_>>()
+        .ok_or_else(|| malformed("a column without a name"))?;
+    let rows = table
+        .get("DataRows")
+        .and_then(Json::as_array)
+        .ok_or_else(|| malformed("no DataRows"))?;
+    for row in rows.iter() {
+        let row = row
+            .as_array()
+            .filter(|row| row.len() == columns.len())
+            .ok_or_else(|| malformed("a row of another length"))?;
+        let fields = columns
             .iter()
-            .map(|c| Some(c.as_string()?.as_str()))
+            .map(|name| (*name).to_owned())
+            .zip(row.iter())
             .collect();
-        let columns = columns.ok_or_else(|| unreadable(what, "a column without a name"))?;
-        let rows = table.get("DataRows").and_then(Json::as_array);
-        for row in rows.ok_or_else(|| unreadable(what, "no DataRows"))?.iter() {
-            let row = row.as_array().filter(|row| row.len() == columns.len());
-            let row = row.ok_or_else(|| unreadable(what, "a row of another length"))?;
-            let fields = columns
-                .iter()
-                .map(|name| (*name).to_owned())
-                .zip(row.iter())
-                .collect();
-            items.push(item(kind, fields)?);
-        }
+        items.push(build_item(kind, fields)?);
     }
     Ok(())
 }
 
-fn drops(value: &Json, items: &mut Vec<Item>) -> Result<(), ConfigError> {
+fn parse_remove(value: &Json, items: &mut Vec<Item>) -> Result<(), ConfigError> {
     if value.is_null() {
         return Ok(());
     }
-    let lists = value
-        .as_object()
-        .ok_or_else(|| unreadable("Remove", "no object"))?;
+    let malformed = |reason: &str| ConfigError::malformed("Remove", reason);
+    let lists = value.as_object().ok_or_else(|| malformed("no object"))?;
     for (list, value) in lists.iter() {
-        let kind = kind(list.as_str()).filter(|kind| *kind != ItemKind::Limits);
-        let kind = kind.ok_or_else(|| unreadable("Remove", "unknown list"))?;
+        let kind = kind_of_list(list.as_str())
+            .filter(|kind| *kind != ItemKind::Limits)
+            .ok_or_else(|| malformed("unknown list"))?;
         if value.is_null() {
             continue;
         }
-        let entries = value
-            .as_array()
-            .ok_or_else(|| unreadable("Remove", "no list"))?;
+        let entries = value.as_array().ok_or_else(|| malformed("no list"))?;
         for entry in entries.iter() {
-            let entry = entry
-                .as_object()
-                .ok_or_else(|| unreadable("Remove", "no object"))?;
-            let fields = entry
-                .iter()
-                .map(|(name, value)| (name.as_str().to_owned(), value))
-                .collect();
-            let whole = item(kind, fields)?;
+            let item = build_item(kind, parse_object("Remove", entry)?)?;
             items.push(Item {
                 dropped: true,
                 fields: Vec::new(),
-                ..whole
+                ..item
             });
         }
     }
     Ok(())
 }
 
-/// An item of these fields; those that are null are left out.
-fn item(kind: ItemKind, fields: Vec<(String, &Json)>) -> Result<Item, ConfigError> {
-    let (mut name, mut version, mut rest) = (String::new(), None, Vec::new());
-    for (field, value) in fields {
+fn parse_object<'a>(
+    section: &'static str,
+    value: &'a Json,
+) -> Result<Vec<NamedValue<'a>>, ConfigError> {
+    let object = value
+        .as_object()
+        .ok_or_else(|| ConfigError::malformed(section, "no object"))?;
+    Ok(object
+        .iter()
+        .map(|(name, value)| (name.as_str().to_owned(), value))
+        .collect())
+}
+
+/// Builds an item; fields that are null are left out.
+fn build_item(kind: ItemKind, values: Vec<NamedValue<'_>>) -> Result<Item, ConfigError> {
+    let mut name = String::new();
+    let mut version = None;
+    let mut fields = Vec::new();
+    for (field, value) in values {
         match field.as_str() {
             _ if value.is_null() => {}
-            "Name" if kind != ItemKind::Limits => {
-                let text = value
-                    .as_string()
-                    .ok_or_else(|| unreadable("Name", "no text"))?;
-                name = text.as_str().to_owned();
-            }
-            "Version" => version = Some(read_version(value)?),
+            "Name" if kind != ItemKind::Limits => name = parse_name(value)?,
+            "Version" => version = Some(parse_version(value)?),
             _ => {
-                let json = facet_json::to_string(value);
-                let json =
-                    json.map_err(|error| ConfigError::Malformed("value", error.to_string()))?;
-                rest.push(Field { name: field, json });
+                let json = facet_json::to_string(value)
+                    .map_err(|error| ConfigError::malformed("value", error.to_string()))?;
+                fields.push(Field { name: field, json });
             }
         }
     }
     if name.is_empty() && kind != ItemKind::Limits {
-        return Err(unreadable(kind.list(), "an item without a Name"));
+        return Err(ConfigError::malformed(
+            kind.list(),
+            "an item without a Name",
+        ));
     }
-    let version = version.ok_or_else(|| unreadable("Version", &format!("{name} has none")))?;
-    rest.sort_by(|a, b| a.name.cmp(&b.name));
-    if rest.windows(2).any(|pair| pair[0].name == pair[1].name) {
-        return Err(unreadable("ColumnNames", "a column stands twice"));
+    let version =
+        version.ok_or_else(|| ConfigError::malformed("Version", format!("{name} has none")))?;
+    fields.sort_by(|a, b| a.name.cmp(&b.name));
+    if fields.windows(2).any(|pair| pair[0].name == pair[1].name) {
+        return Err(ConfigError::malformed(
+            "ColumnNames",
+            "a column stands twice",
+        ));
     }
     Ok(Item {
         kind: kind.into(),
         name,
         version,
         dropped: false,
-        fields: rest,
+        fields,
     })
 }
 
-/// Eight hexadecimal digits.
-fn read_version(value: &Json) -> Result<u32, ConfigError> {
-    let text = value
+fn parse_name(value: &Json) -> Result<String, ConfigError> {
+    value
+        .as_string()
+        .map(|text| text.as_str().to_owned())
+        .ok_or_else(|| ConfigError::malformed("Name", "no text"))
+}
+
+/// Parses a version: eight hexadecimal digits.
+fn parse_version(value: &Json) -> Result<u32, ConfigError> {
+    value
         .as_string()
         .map(|text| text.as_str())
-        .unwrap_or_default();
-    let good = text.len() == 8 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let number = if good {
-        u32::from_str_radix(text, 16).ok()
-    } else {
-        None
-    };
-    number.ok_or_else(|| unreadable("Version", "not eight hexadecimal digits"))
+        // `from_str_radix` alone would accept a sign.
+        .filter(|text| text.len() == VERSION_DIGITS)
+        .filter(|text| text.bytes().all(|byte| byte.is_ascii_hexdigit()))
+        .and_then(|text| u32::from_str_radix(text, 16).ok())
+        .ok_or_else(|| ConfigError::malformed("Version", "not eight hexadecimal digits"))
 }
--- a/crates/gateway-config/src/history.rs
+++ b/crates/gateway-config/src/history.rs
@@ -1,223 +1,265 @@
-//! What was taken under numbers that were overtaken since: a digest of each content, so that the same call can be known
-//! again and another one under its number be told from it.
+//! Superseded versions: a digest of each content, so that a repeated call is recognised and another content under an old version is
+//! rejected.
+//!
+//! Invariant: the history depends only on the order of committed changes, so it is the same at every controller.
 
 use crate::item::{Item, ItemKind};
-use crate::item_set::KINDS;
 use prost::Message;
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Numbers of one name that are remembered besides the highest.
+/// Superseded versions of one item that are remembered. Beyond it the lowest is evicted.
 pub const MAX_VERSIONS_PER_ITEM: usize = 256;
-/// Numbers of all names that are remembered besides the highest of each. Beyond it the older half goes.
+/// Superseded versions of all items together that are remembered. Beyond it the older half is evicted.
 pub const MAX_VERSIONS: usize = 1 << 19;
 
-/// 128 bits that stand for the content of an item: SipHash-2-4 with a fixed key over the item as prost writes it. The same
-/// in every process and every version of the program, since it is kept in snapshots.
-pub(crate) type Digest = [u8; 16];
+const DIGEST_BYTES: usize = 16;
+
+/// The first and the second half of the fixed key of [`digest`].
+const DIGEST_KEY: (u64, u64) = (0x6d61_706c_6566_616c, 0x6c2e_6e75_6d62_6572);
+
+/// Identifies the content of an item: SipHash-2-4 of 128 bits with a fixed key over its protobuf encoding. It is stored in
+/// snapshots, so it must be the same in every process and every release.
+pub(crate) type Digest = [u8; DIGEST_BYTES];
 
 pub(crate) fn digest(item: &Item) -> Digest {
-    let mut hasher = SipHasher24::new_with_keys(0x6d61_706c_6566_616c, 0x6c2e_6e75_6d62_6572);
+    let mut hasher = SipHasher24::new_with_keys(DIGEST_KEY.0, DIGEST_KEY.1);
     hasher.write(&item.encode_to_vec());
     hasher.finish128().as_bytes()
 }
 
-/// What is remembered of the overtaken numbers of one name, as a snapshot keeps it.
+/// The superseded versions of one item, as a snapshot stores them.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ItemHistory {
-    /// What the items are.
+    /// The kind of the item.
     #[prost(enumeration = "ItemKind", tag = "1")]
     pub kind: i32,
-    /// Their name.
+    /// The name of the item.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Numbers up to here may be forgotten.
+    /// The highest version that was evicted; what is not listed up to it may have been applied.
     #[prost(uint32, optional, tag = "3")]
     pub evicted_up_to: Option<u32>,
-    /// The numbers, rising.
+    /// The versions, rising.
     #[prost(uint32, repeated, tag = "4")]
     pub versions: Vec<u32>,
-    /// The place of each in the order in which numbers were overtaken.
+    /// The sequence number of each, in the order in which they were recorded.
     #[prost(uint64, repeated, tag = "5")]
     pub sequences: Vec<u64>,
-    /// Digests of the contents: 16 bytes for each.
+    /// The digests of the contents, 16 bytes for each.
     #[prost(bytes = "vec", tag = "6")]
     pub digests: Vec<u8>,
 }
 
-/// All that is remembered of overtaken numbers, as a snapshot keeps it.
+/// All superseded versions, as a snapshot stores them.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct VersionHistory {
     /// By kind and name.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<ItemHistory>,
-    /// How many numbers were ever recorded.
+    /// How many versions were ever recorded.
     #[prost(uint64, tag = "2")]
     pub recorded: u64,
 }
 
-/// What is known of a number.
+/// What is known of a version of an item, compared with the content that came with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Number {
-    /// Nobody has taken it.
+pub(crate) enum VersionStatus {
+    /// It does not exist yet.
     New,
-    /// It was taken with this content.
-    Same,
-    /// It was taken with another content.
-    Other,
-    /// It may have been taken; what with is no longer known.
-    Forgotten,
+    /// It exists with this content.
+    Identical,
+    /// It exists with another content.
+    Conflicting,
+    /// It may exist; its digest was evicted.
+    Evicted,
 }
 
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct SupersededVersion {
+    version: u32,
+    /// Its number in the order of recording, over all items.
+    sequence: u64,
+    digest: Digest,
+}
+
+/// The superseded versions of one item.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Numbers {
-    forgotten: Option<u32>,
-    /// Version, place, digest; rising by version.
-    known: Vec<(u32, u64, Digest)>,
+struct ItemVersions {
+    evicted_up_to: Option<u32>,
+    /// Rising by version.
+    known: Vec<SupersededVersion>,
 }
 
-/// The overtaken numbers of all names. What it holds depends on the order of the log alone, so it is the same at every
-/// exchange.
+impl ItemVersions {
+    fn find(&self, version: u32) -> Result<usize, usize> {
+        self.known
+            .binary_search_by_key(&version, |known| known.version)
+    }
+
+    fn status(&self, item: &Item) -> VersionStatus {
+        match self.find(item.version) {
+            Ok(index) if self.known[index].digest == digest(item) => VersionStatus::Identical,
+            Ok(_) => VersionStatus::Conflicting,
+            Err(_) if self.evicted_up_to >= Some(item.version) => VersionStatus::Evicted,
+            Err(_) => VersionStatus::New,
+        }
+    }
+
+    fn evict_lowest(&mut self) {
+        let evicted = self.known.remove(0);
+        self.evicted_up_to = self.evicted_up_to.max(Some(evicted.version));
+    }
+
+    fn evict_recorded_before(&mut self, sequence: u64) {
+        let evicted_up_to = &mut self.evicted_up_to;
+        self.known.retain(|known| {
+            let retained = known.sequence >= sequence;
+            if !retained {
+                *evicted_up_to = (*evicted_up_to).max(Some(known.version));
+            }
+            retained
+        });
+    }
+
+    fn to_message(&self, kind: usize, name: &str) -> ItemHistory {
+        ItemHistory {
+            kind: kind as i32,
+            name: name.to_owned(),
+            evicted_up_to: self.evicted_up_to,
+            versions: self.known.iter().map(|known| known.version).collect(),
+            sequences: self.known.iter().map(|known| known.sequence).collect(),
+            digests: self.known.iter().flat_map(|known| known.digest).collect(),
+        }
+    }
+
+    fn from_message(message: &ItemHistory) -> ItemVersions {
+        let digests = message
+            .digests
+            .chunks_exact(DIGEST_BYTES)
+            .filter_map(|bytes| bytes.try_into().ok());
+        let known = message
+            .versions
+            .iter()
+            .zip(&message.sequences)
+            .zip(digests)
+            .map(|((version, sequence), digest)| SupersededVersion {
+                version: *version,
+                sequence: *sequence,
+                digest,
+            })
+            .collect();
+        ItemVersions {
+            evicted_up_to: message.evicted_up_to,
+            known,
+        }
+    }
+}
+
+/// The superseded versions of all items.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Overtaken {
-    kinds: [BTreeMap<String, Numbers>; KINDS],
-    held: usize,
+pub(crate) struct SupersededVersions {
+    kinds: [BTreeMap<String, ItemVersions>; ItemKind::COUNT],
+    /// How many versions are known, over all items.
+    known: usize,
+    /// How many versions were ever recorded.
     recorded: u64,
-    most_numbers: usize,
-    most: usize,
+    max_versions_per_item: usize,
+    max_versions: usize,
 }
 
-impl Overtaken {
-    pub(crate) fn bounded(most_numbers: usize, most: usize) -> Overtaken {
-        Overtaken {
+impl SupersededVersions {
+    pub(crate) fn with_limits(
+        max_versions_per_item: usize,
+        max_versions: usize,
+    ) -> SupersededVersions {
+        SupersededVersions {
             kinds: Default::default(),
-            held: 0,
+            known: 0,
             recorded: 0,
-            most_numbers,
-            most,
+            max_versions_per_item,
+            max_versions,
         }
     }
 
-    /// What is known of a number, given what came with it.
-    pub(crate) fn number(&self, item: &Item) -> Number {
-        let Some(numbers) = self.kinds[item.kind() as usize].get(&item.name) else {
-            return Number::New;
-        };
-        match numbers
-            .known
-            .binary_search_by_key(&item.version, |known| known.0)
-        {
-            Ok(at) if numbers.known[at].2 == digest(item) => Number::Same,
-            Ok(_) => Number::Other,
-            Err(_)
-                if numbers
-                    .forgotten
-                    .is_some_and(|version| item.version <= version) =>
-            {
-                Number::Forgotten
-            }
-            Err(_) => Number::New,
+    /// What is known of the item's version.
+    pub(crate) fn status(&self, item: &Item) -> VersionStatus {
+        match self.kinds[item.kind() as usize].get(&item.name) {
+            Some(versions) => versions.status(item),
+            None => VersionStatus::New,
         }
     }
 
-    /// Remembers what an overtaken number was taken with. The first content stays.
+    /// Remembers the content of a superseded version. The first content that is recorded stays.
     pub(crate) fn record(&mut self, item: &Item) {
-        let name = &item.name;
         let kind = &mut self.kinds[item.kind() as usize];
-        if !kind.contains_key(name) {
-            kind.insert(name.clone(), Numbers::default());
+        if !kind.contains_key(&item.name) {
+            kind.insert(item.name.clone(), ItemVersions::default());
         }
-        let Some(numbers) = kind.get_mut(name) else {
+        let Some(versions) = kind.get_mut(&item.name) else {
             return;
         };
-        let Err(at) = numbers
-            .known
-            .binary_search_by_key(&item.version, |known| known.0)
-        else {
+        let Err(index) = versions.find(item.version) else {
             return;
         };
         self.recorded += 1;
-        numbers
-            .known
-            .insert(at, (item.version, self.recorded, digest(item)));
-        self.held += 1;
-        if numbers.known.len() > self.most_numbers {
-            let gone = numbers.known.remove(0).0;
-            numbers.forgotten = numbers.forgotten.max(Some(gone));
-            self.held -= 1;
+        let superseded = SupersededVersion {
+            version: item.version,
+            sequence: self.recorded,
+            digest: digest(item),
+        };
+        versions.known.insert(index, superseded);
+        self.known += 1;
+        if versions.known.len() > self.max_versions_per_item {
+            versions.evict_lowest();
+            self.known -= 1;
         }
-        if self.held > self.most {
-            self.forget_older_half();
+        if self.known > self.max_versions {
+            self.evict_older_half();
         }
     }
 
-    fn forget_older_half(&mut self) {
-        let mut places: Vec<u64> = self
-            .all()
-            .flat_map(|(_, _, n)| n.known.iter().map(|k| k.1))
+    fn evict_older_half(&mut self) {
+        let mut sequences: Vec<u64> = self
+            .iter()
+            .flat_map(|(_, _, versions)| versions.known.iter().map(|known| known.sequence))
             .collect();
-        let middle = places.len() / 2;
-        let first_kept = *places.select_nth_unstable(middle).1;
-        self.held = 0;
-        for numbers in self.kinds.iter_mut().flat_map(BTreeMap::values_mut) {
-            let forgotten = &mut numbers.forgotten;
-            numbers.known.retain(|(version, place, _)| {
-                let kept = *place >= first_kept;
-                if !kept {
-                    *forgotten = (*forgotten).max(Some(*version));
-                }
-                kept
-            });
-            self.held += numbers.known.len();
+        let middle = sequences.len() / 2;
+        let first_retained = *sequences.select_nth_unstable(middle).1;
+        self.known = 0;
+        for versions in self.kinds.iter_mut().flat_map(BTreeMap::values_mut) {
+            versions.evict_recorded_before(first_retained);
+            self.known += versions.known.len();
         }
     }
 
-    fn all(&self) -> impl Iterator<Item = (usize, &String, &Numbers)> {
-        self.kinds
-            .iter()
-            .enumerate()
-            .flat_map(|(kind, names)| names.iter().map(move |(n, o)| (kind, n, o)))
+    fn iter(&self) -> impl Iterator<Item = (usize, &String, &ItemVersions)> {
+        self.kinds.iter().enumerate().flat_map(|(kind, items)| {
+            items
+                .iter()
+                .map(move |(name, versions)| (kind, name, versions))
+        })
     }
 
-    pub(crate) fn taken(&self) -> VersionHistory {
-        let names = self.all().map(|(kind, name, numbers)| ItemHistory {
-            kind: kind as i32,
-            name: name.clone(),
-            evicted_up_to: numbers.forgotten,
-            versions: numbers.known.iter().map(|known| known.0).collect(),
-            sequences: numbers.known.iter().map(|known| known.1).collect(),
-            digests: numbers.known.iter().flat_map(|known| known.2).collect(),
-        });
+    /// The history as a snapshot stores it.
+    pub(crate) fn to_message(&self) -> VersionHistory {
         VersionHistory {
-            items: names.collect(),
+            items: self
+                .iter()
+                .map(|(kind, name, versions)| versions.to_message(kind, name))
+                .collect(),
             recorded: self.recorded,
         }
     }
 
-    pub(crate) fn restore(&mut self, taken: VersionHistory) {
-        self.recorded = taken.recorded;
-        for one in taken.items {
-            let kind = one.kind() as usize;
-            let digests = one
-                .digests
-                .chunks_exact(16)
-                .filter_map(|bytes| bytes.try_into().ok());
-            let known: Vec<(u32, u64, Digest)> = one
-                .versions
-                .iter()
-                .zip(&one.sequences)
-                .zip(digests)
-                .map(|((version, place), digest)| (*version, *place, digest))
-                .collect();
-            self.held += known.len();
-            self.kinds[kind].insert(
-                one.name,
-                Numbers {
-                    forgotten: one.evicted_up_to,
-                    known,
-                },
-            );
+    /// Adds the history of a snapshot.
+    pub(crate) fn restore(&mut self, history: VersionHistory) {
+        self.recorded = history.recorded;
+        for message in history.items {
+            let versions = ItemVersions::from_message(&message);
+            self.known += versions.known.len();
+            self.kinds[message.kind() as usize].insert(message.name, versions);
         }
     }
 }
--- a/crates/gateway-config/src/item.rs
+++ b/crates/gateway-config/src/item.rs
@@ -1,8 +1,8 @@
-//! Items and changes, as they are kept and passed on.
+//! Items and changes: the protobuf messages that are replicated, stored and sent to proxies.
+//!
+//! Field tags and enum numbers are part of the stored format and must not change.
 
-use std::fmt;
-
-/// What an item is.
+/// The kind of an item; its number is also an index into arrays by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum ItemKind {
@@ -12,12 +12,23 @@
     Tenant = 1,
     /// A service.
     Service = 2,
-    /// The one item `Limits`.
+    /// The limits on client requests: a single item without a name.
     Limits = 3,
 }
 
 impl ItemKind {
-    /// Its list on the wire.
+    /// All kinds, in the order of their numbers.
+    pub(crate) const ALL: [ItemKind; 4] = [
+        ItemKind::Route,
+        ItemKind::Tenant,
+        ItemKind::Service,
+        ItemKind::Limits,
+    ];
+
+    /// How many kinds there are.
+    pub(crate) const COUNT: usize = ItemKind::ALL.len();
+
+    /// The name of its list in a call of the operator.
     pub fn list(self) -> &'static str {
         match self {
             ItemKind::Route => "RouteTable",
@@ -28,13 +39,14 @@
     }
 }
 
-/// A field of an item: its name and its value as JSON. Kept as it was sent, so that it reads back the same, known or not.
+/// A field of an item: its name and its value as JSON. Stored as sent, whether known here or not, so that it reads back the
+/// same.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Field {
-    /// Its name.
+    /// The name of the field.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its value.
+    /// Its value as JSON text.
     #[prost(string, tag = "2")]
     pub json: String,
 }
@@ -42,109 +54,27 @@
 /// One version of an item.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Item {
-    /// What it is.
+    /// Its kind, an [`ItemKind`].
     #[prost(enumeration = "ItemKind", tag = "1")]
     pub kind: i32,
     /// Its name; empty for `Limits`.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Its version: the highest holds.
+    /// Its version: the highest one is in force.
     #[prost(uint32, tag = "3")]
     pub version: u32,
-    /// Whether this version drops it.
+    /// Whether this version removes the item.
     #[prost(bool, tag = "4")]
     pub dropped: bool,
-    /// All but name and version, by name; empty where it is dropped.
+    /// All fields but name and version, sorted by name; empty if the item is removed.
     #[prost(message, repeated, tag = "5")]
     pub fields: Vec<Field>,
 }
 
-/// What one call changes.
+/// The items that one call sets or removes.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Change {
     /// The items, in the order of the call.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<Item>,
 }
-
-/// Why a call is refused. What concerns an item tells its name and version.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ConfigError {
-    /// The call cannot be read: what, and why.
-    Malformed(&'static str, String),
-    /// A field of an item says what cannot be.
-    InvalidField(ItemKind, String, u32, &'static str, String),
-    /// A route names a service that there is not.
-    UnknownService(String, u32, String),
-    /// Two routes have one host and prefix.
-    DuplicateRoute(String, u32, String),
-    /// Two tenants have one key.
-    DuplicateKey(String, u32, String),
-    /// Another content has this version already.
-    VersionConflict(ItemKind, String, u32),
-}
-
-impl ConfigError {
-    /// The status that tells it.
-    pub fn status(&self) -> u16 {
-        match self {
-            ConfigError::VersionConflict(..) => 409,
-            _ => 400,
-        }
-    }
-
-    /// Whether the text of the call alone is reason enough. Otherwise it rests on what holds or is on its way.
-    pub fn is_permanent(&self) -> bool {
-        matches!(
-            self,
-            ConfigError::Malformed(..) | ConfigError::InvalidField(..)
-        )
-    }
-}
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ConfigError::Malformed(what, why) => write!(f, "step=read field={what} why={why:?}"),
-            ConfigError::InvalidField(kind, name, version, field, why) => {
-                write!(
-                    f,
-                    "step=check list={} item={name:?} version={version:08x} ",
-                    kind.list()
-                )?;
-                write!(f, "field={field} why={why:?}")
-            }
-            ConfigError::UnknownService(route, version, service) => {
-                write!(
-                    f,
-                    "step=join list=RouteTable item={route:?} version={version:08x} field=Service "
-                )?;
-                write!(f, "unknown={service:?} why=\"unknown service\"")
-            }
-            ConfigError::DuplicateRoute(one, version, other) => {
-                write!(f, "step=join list=RouteTable item={one:?} version={version:08x} field=PathPrefix ")?;
-                write!(
-                    f,
-                    "same_as={other:?} why=\"host and prefix of another route\""
-                )
-            }
-            ConfigError::DuplicateKey(one, version, other) => {
-                write!(
-                    f,
-                    "step=join list=Tenants item={one:?} version={version:08x} field=ApiKeys "
-                )?;
-                write!(f, "same_as={other:?} why=\"key of another tenant\"")
-            }
-            ConfigError::VersionConflict(kind, name, version) => {
-                write!(
-                    f,
-                    "step=join list={} item={name:?} version={version:08x} ",
-                    kind.list()
-                )?;
-                write!(f, "why=\"taken with another content\"")
-            }
-        }
-    }
-}
-
-impl std::error::Error for ConfigError {}
--- a/crates/gateway-config/src/item_set.rs
+++ b/crates/gateway-config/src/item_set.rs
@@ -1,4 +1,6 @@
 //! Items by kind and name, each in its highest version.
+//!
+//! Invariant: removed items are kept, so that a late call with an older version does not bring them back.
 
 use crate::item::{Change, Item, ItemKind};
 use crate::json::quoted;
@@ -8,42 +10,45 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// How many kinds there are.
-pub(crate) const KINDS: usize = 4;
-
-/// An item, found by its name.
+/// An item that is ordered by and found by its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Named(pub(crate) Arc<Item>);
+pub(crate) struct NamedItem(pub(crate) Arc<Item>);
 
-impl Borrow<str> for Named {
-    fn borrow(&self) -> &str {
+impl NamedItem {
+    pub(crate) fn name(&self) -> &str {
         &self.0.name
     }
 }
 
-impl PartialOrd for Named {
-    fn partial_cmp(&self, other: &Named) -> Option<Ordering> {
+impl Borrow<str> for NamedItem {
+    fn borrow(&self) -> &str {
+        self.name()
+    }
+}
+
+impl PartialOrd for NamedItem {
+    fn partial_cmp(&self, other: &NamedItem) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Named {
-    fn cmp(&self, other: &Named) -> Ordering {
-        self.0.name.cmp(&other.0.name)
+impl Ord for NamedItem {
+    fn cmp(&self, other: &NamedItem) -> Ordering {
+        self.name().cmp(other.name())
     }
 }
 
-/// An item to keep: what was read from bytes has room left over.
-pub(crate) fn snug(mut item: Item) -> Arc<Item> {
+/// An item to store, without the spare capacity that decoding leaves.
+pub(crate) fn compact(mut item: Item) -> Arc<Item> {
     item.fields.shrink_to_fit();
     Arc::new(item)
 }
 
-/// All items by kind and name, dropped ones too: a late call must not bring them back. This is what a door keeps; what an
-/// exchange needs besides, to judge calls, is in [`Board`](crate::Board).
+/// All items by kind and name, removed ones included. This is what a proxy keeps; a controller's
+/// [`ConfigState`](crate::ConfigState) adds what is needed to validate calls.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ItemSet {
-    kinds: [BTreeSet<Named>; KINDS],
+    kinds: [BTreeSet<NamedItem>; ItemKind::COUNT],
 }
 
 impl AsRef<ItemSet> for ItemSet {
@@ -53,31 +58,31 @@
 }
 
 impl ItemSet {
-    /// These items.
+    /// The highest version of each of these items.
     pub fn from_items(items: Vec<Item>) -> ItemSet {
-        let mut all = ItemSet::default();
+        let mut set = ItemSet::default();
         for item in items {
-            all.offer(item);
+            set.insert_if_newer(item);
         }
-        all
+        set
     }
 
-    /// Whether nothing was ever set.
+    /// Whether no item was ever set.
     pub fn is_empty(&self) -> bool {
         self.kinds.iter().all(BTreeSet::is_empty)
     }
 
-    /// All items, dropped ones too, by kind and name.
+    /// All items, removed ones included, by kind and name.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.kinds.iter().flatten().map(|named| &*named.0)
     }
 
-    /// The item of this kind and name.
+    /// The item of this kind and name; it may be removed.
     pub fn get(&self, kind: ItemKind, name: &str) -> Option<&Arc<Item>> {
         self.kinds[kind as usize].get(name).map(|named| &named.0)
     }
 
-    /// The items of a kind that stand, by name.
+    /// The items of a kind that are not removed, by name.
     pub fn active(&self, kind: ItemKind) -> impl Iterator<Item = &Item> {
         self.kinds[kind as usize]
             .iter()
@@ -85,77 +90,84 @@
             .filter(|item| !item.dropped)
     }
 
-    /// Joins a change; items that are no higher than what holds change nothing. Tells whether anything was.
+    /// Applies a change; versions that are not higher than the current one change nothing. Returns whether any item changed.
     pub fn apply(&mut self, change: &Change) -> bool {
         let mut changed = false;
         for item in &change.items {
-            changed |= self.offer(item.clone());
+            changed |= self.insert_if_newer(item.clone());
         }
         changed
     }
 
-    fn offer(&mut self, item: Item) -> bool {
-        let higher = self
+    fn insert_if_newer(&mut self, item: Item) -> bool {
+        let newer = self
             .get(item.kind(), &item.name)
-            .is_none_or(|held| item.version > held.version);
-        if higher {
-            self.put(snug(item));
+            .is_none_or(|current| item.version > current.version);
+        if newer {
+            self.insert(compact(item));
         }
-        higher
+        newer
     }
 
-    /// Puts an item in the place of what held under its name.
-    pub(crate) fn put(&mut self, item: Arc<Item>) -> Option<Arc<Item>> {
+    /// Inserts an item and returns the one that it replaces.
+    pub(crate) fn insert(&mut self, item: Arc<Item>) -> Option<Arc<Item>> {
         self.kinds[item.kind() as usize]
-            .replace(Named(item))
+            .replace(NamedItem(item))
             .map(|named| named.0)
     }
 
-    /// The answer to `config.read`: all that stands, laid out as the operator's first call lays it out.
+    /// The body of the answer to `config.read`: all items that are not removed, in the layout of an `Upsert`.
     pub fn read_back(&self) -> String {
         let mut text = String::from("{");
         for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service] {
-            let columns: BTreeSet<&str> = self
-                .active(kind)
-                .flat_map(|item| item.fields.iter().map(|field| field.name.as_str()))
-                .collect();
-            let _ = write!(text, "{}:{{\"ColumnNames\":[\"Name\"", quoted(kind.list()));
-            for column in &columns {
-                let _ = write!(text, ",{}", quoted(column));
-            }
-            text.push_str(",\"Version\"],\"DataRows\":[");
-            for (at, item) in self.active(kind).enumerate() {
-                let _ = write!(
-                    text,
-                    "{}[{}",
-                    if at > 0 { "," } else { "" },
-                    quoted(&item.name)
-                );
-                for column in &columns {
-                    let field = item.fields.iter().find(|field| field.name == *column);
-                    let _ = write!(
-                        text,
-                        ",{}",
-                        field.map_or("null", |field| field.json.as_str())
-                    );
-                }
-                let _ = write!(text, ",\"{:08x}\"]", item.version);
-            }
-            text.push_str("]},");
+            self.write_table(kind, &mut text);
+            text.push(',');
         }
         match self.active(ItemKind::Limits).next() {
+            Some(limits) => write_limits(limits, &mut text),
             None => {
                 text.pop();
             }
-            Some(limits) => {
-                text.push_str("\"Limits\":{");
-                for field in &limits.fields {
-                    let _ = write!(text, "{}:{},", quoted(&field.name), field.json);
-                }
-                let _ = write!(text, "\"Version\":\"{:08x}\"}}", limits.version);
-            }
         }
         text.push('}');
         text
     }
+
+    /// Writes the items of a kind as `ColumnNames` and `DataRows`. Writing to a string cannot fail.
+    fn write_table(&self, kind: ItemKind, text: &mut String) {
+        let columns: BTreeSet<&str> = self
+            .active(kind)
+            .flat_map(|item| item.fields.iter().map(|field| field.name.as_str()))
+            .collect();
+        let _ = write!(text, "{}:{{\"ColumnNames\":[\"Name\"", quoted(kind.list()));
+        for column in &columns {
+            let _ = write!(text, ",{}", quoted(column));
+        }
+        text.push_str(",\"Version\"],\"DataRows\":[");
+        for (index, item) in self.active(kind).enumerate() {
+            if index > 0 {
+                text.push(',');
+            }
+            write_row(item, &columns, text);
+        }
+        text.push_str("]}");
+    }
+}
+
+fn write_row(item: &Item, columns: &BTreeSet<&str>, text: &mut String) {
+    let _ = write!(text, "[{}", quoted(&item.name));
+    for column in columns {
+        let field = item.fields.iter().find(|field| field.name == *column);
+        let json = field.map_or("null", |field| field.json.as_str());
+        let _ = write!(text, ",{json}");
+    }
+    let _ = write!(text, ",\"{:08x}\"]", item.version);
+}
+
+fn write_limits(limits: &Item, text: &mut String) {
+    text.push_str("\"Limits\":{");
+    for field in &limits.fields {
+        let _ = write!(text, "{}:{},", quoted(&field.name), field.json);
+    }
+    let _ = write!(text, "\"Version\":\"{:08x}\"}}", limits.version);
 }
--- a/crates/gateway-config/src/lib.rs
+++ b/crates/gateway-config/src/lib.rs
@@ -1,10 +1,16 @@
-//! The operator's configuration as named items, each with a version of its own. Named after the numbering plan, which
-//! tells where every number leads.
+//! The operator's configuration: routes, tenants, services and limits as named items, each with a version of its own.
 //!
-//! [`read_call`] reads a call of the operator into a [`Change`]; a [`Board`] judges it against all that holds and was taken, joins it
-//! and reads all back; a door keeps [`Items`], and looks requests up in a [`Plan`] of them. Nothing here does I/O.
+//! A call of the operator is parsed into a [`Change`] by [`parse_amend`]. A controller keeps a [`ConfigState`], which validates the
+//! change against everything that is committed or pending, applies it once it is committed, and reads the configuration back. A
+//! proxy keeps an [`ItemSet`] and looks requests up in a [`RouteTable`] built from it.
+//!
+//! Invariant: of each item the highest version wins, so applying the same changes in any order and any number of times gives the
+//! same configuration. Nothing here does I/O.
 
 mod amend;
+mod claims;
+mod error;
+mod field_reader;
 mod history;
 mod item;
 mod item_set;
@@ -13,13 +19,16 @@
 mod pending;
 mod route_table;
 mod state;
+mod validation;
 
 pub use amend::parse_amend;
+pub use error::ConfigError;
 pub use history::{ItemHistory, VersionHistory, MAX_VERSIONS, MAX_VERSIONS_PER_ITEM};
-pub use item::{Change, ConfigError, Field, Item, ItemKind};
+pub use item::{Change, Field, Item, ItemKind};
 pub use item_set::ItemSet;
 pub use json::{parse, quoted, Json};
-pub use model::{Limits, Route, Service, Tenant};
+pub use model::{Destination, Limits, Route, Service, Tenant};
 pub use pending::PendingChanges;
 pub use route_table::{RouteMatch, RouteTable};
-pub use state::{ConfigState, Validation};
+pub use state::ConfigState;
+pub use validation::Validation;
--- a/crates/gateway-config/src/model.rs
+++ b/crates/gateway-config/src/model.rs
@@ -1,34 +1,49 @@
-//! Items as the programs use them, and what each may say by itself.
+//! Routes, tenants, services and limits as the programs use them, read from items.
+//!
+//! Reading an item also checks it by itself: an item that [`check`] accepts can be read later without an error.
 
-use crate::item::{ConfigError, Item, ItemKind};
-use crate::json::{parse, Json};
+use crate::error::ConfigError;
+use crate::field_reader::{non_negative_number, FieldReader};
+use crate::item::{Item, ItemKind};
+use crate::json::Json;
 
-/// Longest `TimeoutS`, in seconds.
-const LONGEST_TIMEOUT_S: f64 = 600.0;
+/// The longest `TimeoutS`, in seconds.
+const MAX_TIMEOUT_S: f64 = 600.0;
 
-/// A route. Times are milliseconds.
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// A route. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host that it answers for, in lower case.
+    /// The host of its requests, in lower case.
     pub host: String,
-    /// How the paths begin that it takes.
+    /// The prefix of its requests' paths.
     pub prefix: String,
-    /// Whether its requests may run more than once.
+    /// Whether its requests may run more than once (`RouteKind` `safe`).
     pub idempotent: bool,
-    /// How long the operator wants a request held at most.
+    /// The time within which a request must be answered (`TimeoutS`).
     pub timeout: f64,
-    /// Within what an answer earns its full worth.
+    /// The latency within which an answer has its full value (`SetpointS`); the timeout by default.
     pub latency_target: f64,
-    /// Its rank; 0 is highest.
+    /// Its priority; 0, the default, is the highest.
     pub priority: u32,
-    /// Most backends that one try may be sent to.
+    /// How many backends one request may be sent to, 1 by default.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether its requests need no API key.
     pub public: bool,
-    /// Services with their weights; one at least, and the sum is above nought.
-    pub destinations: Vec<(String, f64)>,
+    /// Where its requests go; at least one destination, and the sum of the weights is positive.
+    pub destinations: Vec<Destination>,
+}
+
+/// One service of a route's traffic split.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Destination {
+    /// The name of the service.
+    pub service: String,
+    /// Its weight, relative to those of the route's other destinations; not negative.
+    pub weight: f64,
 }
 
 /// A tenant.
@@ -36,13 +51,13 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its keys.
+    /// Its API keys.
     pub keys: Vec<String>,
-    /// Its rank, before that of the route; 0 is highest.
+    /// Its priority, which goes before that of the route; 0, the default, is the highest.
     pub priority: u32,
-    /// Requests a second; nought is no limit.
+    /// Its rate limit in requests per second; 0, the default, is no limit.
     pub rate: f64,
-    /// Requests on top.
+    /// How many requests a burst may have beyond the rate.
     pub burst: f64,
 }
 
@@ -51,20 +66,20 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Connections that a backend takes from all callers.
+    /// How many connections one backend accepts from all callers together; unlimited by default.
     pub conn_limit: u32,
 }
 
-/// What a client may send and how long it may take. Times are milliseconds.
+/// What a client may send and how long it may take. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a head.
+    /// The size limit of a request head in bytes, 16 KiB by default.
     pub header_bytes: usize,
-    /// Bytes of a body.
+    /// The size limit of a request body in bytes, 64 MiB by default.
     pub body_bytes: usize,
-    /// Time for a head.
+    /// The time to receive a request head, 3 s by default.
     pub header_timeout: f64,
-    /// Time between requests.
+    /// The time that a connection may be idle between requests, 15 s by default.
     pub idle_timeout: f64,
 }
 
@@ -79,230 +94,197 @@
     }
 }
 
-/// The fields of an item, as they are asked for.
-struct Fields<'a> {
-    kind: ItemKind,
-    item: &'a Item,
-    values: Vec<(&'a str, Json)>,
-}
-
-impl<'a> Fields<'a> {
-    fn of(item: &'a Item) -> Result<Fields<'a>, ConfigError> {
-        let (kind, mut values) = (item.kind(), Vec::new());
-        for field in &item.fields {
-            let value = parse(field.json.as_bytes()).map_err(|why| {
-                ConfigError::InvalidField(kind, item.name.clone(), item.version, "value", why)
-            })?;
-            values.push((field.name.as_str(), value));
-        }
-        Ok(Fields { kind, item, values })
-    }
-
-    fn get(&self, name: &str) -> Option<&Json> {
-        self.values
-            .iter()
-            .find(|(known, _)| *known == name)
-            .map(|(_, value)| value)
-    }
-
-    fn wrong(&self, field: &'static str, why: &str) -> ConfigError {
-        ConfigError::InvalidField(
-            self.kind,
-            self.item.name.clone(),
-            self.item.version,
-            field,
-            why.to_owned(),
-        )
-    }
-
-    fn text(&self, field: &'static str) -> Result<String, ConfigError> {
-        let text = self
-            .get(field)
-            .and_then(Json::as_string)
-            .map(|text| text.as_str().to_owned());
-        text.filter(|text| !text.is_empty())
-            .ok_or_else(|| self.wrong(field, "no text"))
-    }
-
-    /// A figure of nought at least; `None` where it is left out.
-    fn figure(&self, field: &'static str) -> Result<Option<f64>, ConfigError> {
-        let Some(value) = self.get(field) else {
-            return Ok(None);
-        };
-        let figure = value.as_number().map(|number| number.to_f64_lossy());
-        let figure = figure.filter(|x| x.is_finite() && *x >= 0.0);
-        figure
-            .map(Some)
-            .ok_or_else(|| self.wrong(field, "no figure of nought at least"))
-    }
-
-    fn whole(&self, field: &'static str) -> Result<Option<u32>, ConfigError> {
-        let figure = self.figure(field)?;
-        let whole = |x: f64| x.fract() == 0.0 && x <= f64::from(u32::MAX);
-        match figure {
-            Some(x) if !whole(x) => Err(self.wrong(field, "no whole number")),
-            figure => Ok(figure.map(|x| x as u32)),
-        }
-    }
-
-    fn truth(&self, field: &'static str) -> Result<bool, ConfigError> {
-        match self.get(field) {
-            None => Ok(false),
-            Some(value) => value
-                .as_bool()
-                .ok_or_else(|| self.wrong(field, "neither true nor false")),
-        }
-    }
-}
-
-/// Whether an item can be used, by itself.
-pub fn check(item: &Item) -> Result<(), ConfigError> {
+/// Checks that an item can be used, regardless of other items.
+///
+/// # Errors
+/// [`ConfigError::InvalidField`].
+pub(crate) fn check(item: &Item) -> Result<(), ConfigError> {
     if item.dropped {
         return Ok(());
     }
     match item.kind() {
-        ItemKind::Route => Route::of(item).map(|_| ()),
-        ItemKind::Tenant => Tenant::of(item).map(|_| ()),
-        ItemKind::Service => Service::of(item).map(|_| ()),
-        ItemKind::Limits => Limits::of(item).map(|_| ()),
+        ItemKind::Route => Route::from_item(item).map(|_| ()),
+        ItemKind::Tenant => Tenant::from_item(item).map(|_| ()),
+        ItemKind::Service => Service::from_item(item).map(|_| ()),
+        ItemKind::Limits => Limits::from_item(item).map(|_| ()),
     }
 }
 
 impl Route {
     /// Reads a route.
-    pub fn of(item: &Item) -> Result<Route, ConfigError> {
-        let fields = Fields::of(item)?;
-        let prefix = fields.text("PathPrefix")?;
-        if !prefix.starts_with('/') {
-            return Err(fields.wrong("PathPrefix", "does not begin with a slash"));
-        }
-        let safe = match fields.text("RouteKind")?.as_str() {
-            "safe" => true,
-            "nonidempotent" => false,
-            other => return Err(fields.wrong("RouteKind", &format!("unknown kind {other}"))),
-        };
-        let timeout = fields.figure("TimeoutS")?.filter(|s| *s > 0.0);
-        let timeout = timeout.ok_or_else(|| fields.wrong("TimeoutS", "none"))?;
-        if timeout > LONGEST_TIMEOUT_S {
-            return Err(fields.wrong("TimeoutS", "over ten minutes"));
-        }
-        let attempts = fields.whole("MaxAttempts")?.unwrap_or(1);
-        if attempts == 0 {
-            return Err(fields.wrong("MaxAttempts", "nought"));
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`].
+    pub fn from_item(item: &Item) -> Result<Route, ConfigError> {
+        let fields = FieldReader::new(item)?;
+        let prefix = read_path_prefix(&fields)?;
+        let idempotent = read_idempotent(&fields)?;
+        let timeout_s = read_timeout_s(&fields)?;
+        let max_attempts = fields.integer("MaxAttempts")?.unwrap_or(1);
+        if max_attempts == 0 {
+            return Err(fields.invalid("MaxAttempts", "nought"));
         }
-        let to = match fields.get("TrafficSplit") {
-            Some(split) => shares(&fields, split)?,
-            None => vec![(fields.text("Service")?, 1.0)],
-        };
+        let destinations = read_destinations(&fields)?;
+        let host = fields.string("Host")?.to_ascii_lowercase();
+        let latency_target_s = fields
+            .number("SetpointS")?
+            .filter(|seconds| *seconds > 0.0)
+            .unwrap_or(timeout_s);
         Ok(Route {
             name: item.name.clone(),
-            host: fields.text("Host")?.to_ascii_lowercase(),
+            host,
             prefix,
-            idempotent: safe,
-            timeout: timeout * 1000.0,
-            latency_target: fields
-                .figure("SetpointS")?
-                .filter(|s| *s > 0.0)
-                .unwrap_or(timeout)
-                * 1000.0,
-            priority: fields.whole("Priority")?.unwrap_or(0),
-            max_attempts: attempts,
-            public: fields.truth("Public")?,
-            destinations: to,
+            idempotent,
+            timeout: timeout_s * MILLIS_PER_SECOND,
+            latency_target: latency_target_s * MILLIS_PER_SECOND,
+            priority: fields.integer("Priority")?.unwrap_or(0),
+            max_attempts,
+            public: fields.boolean("Public")?,
+            destinations,
         })
     }
 }
 
-/// The services of a split with their weights.
-fn shares(fields: &Fields<'_>, split: &Json) -> Result<Vec<(String, f64)>, ConfigError> {
-    let field = "TrafficSplit";
+fn read_path_prefix(fields: &FieldReader<'_>) -> Result<String, ConfigError> {
+    let prefix = fields.string("PathPrefix")?;
+    if !prefix.starts_with('/') {
+        return Err(fields.invalid("PathPrefix", "does not begin with a slash"));
+    }
+    Ok(prefix)
+}
+
+fn read_idempotent(fields: &FieldReader<'_>) -> Result<bool, ConfigError> {
+    match fields.string("RouteKind")?.as_str() {
+        "safe" => Ok(true),
+        "nonidempotent" => Ok(false),
+        other => Err(fields.invalid("RouteKind", format!("unknown kind {other}"))),
+    }
+}
+
+fn read_timeout_s(fields: &FieldReader<'_>) -> Result<f64, ConfigError> {
+    let timeout_s = fields
+        .number("TimeoutS")?
+        .filter(|seconds| *seconds > 0.0)
+        .ok_or_else(|| fields.invalid("TimeoutS", "none"))?;
+    if timeout_s > MAX_TIMEOUT_S {
+        return Err(fields.invalid("TimeoutS", "over ten minutes"));
+    }
+    Ok(timeout_s)
+}
+
+/// The destinations of a route: those of its traffic split, or its only service.
+fn read_destinations(fields: &FieldReader<'_>) -> Result<Vec<Destination>, ConfigError> {
+    match fields.get("TrafficSplit") {
+        Some(split) => read_traffic_split(fields, split),
+        None => Ok(vec![Destination {
+            service: fields.string("Service")?,
+            weight: 1.0,
+        }]),
+    }
+}
+
+fn read_traffic_split(
+    fields: &FieldReader<'_>,
+    split: &Json,
+) -> Result<Vec<Destination>, ConfigError> {
+    let invalid = |reason: &str| fields.invalid("TrafficSplit", reason);
     if fields.get("Service").is_some() {
-        return Err(fields.wrong(field, "stands beside Service"));
+        return Err(invalid("stands beside Service"));
     }
-    let mut shares = Vec::new();
-    for share in split
-        .as_array()
-        .ok_or_else(|| fields.wrong(field, "no list"))?
-        .iter()
-    {
-        let share = share
-            .as_object()
-            .ok_or_else(|| fields.wrong(field, "no object"))?;
-        let service = share
+    let entries = split.as_array().ok_or_else(|| invalid("no list"))?;
+    let mut destinations = Vec::with_capacity(entries.len());
+    for entry in entries.iter() {
+        let entry = entry.as_object().ok_or_else(|| invalid("no object"))?;
+        let service = entry
             .get("Service")
             .and_then(Json::as_string)
-            .map(|text| text.as_str());
-        let service = service.filter(|text| !text.is_empty());
-        let service = service.ok_or_else(|| fields.wrong(field, "a share without a Service"))?;
-        let weight = share
+            .map(|text| text.as_str())
+            .filter(|text| !text.is_empty())
+            .ok_or_else(|| invalid("a share without a Service"))?;
+        let weight = entry
             .get("Weight")
-            .and_then(Json::as_number)
-            .map(|number| number.to_f64_lossy());
-        let weight = weight.filter(|weight| weight.is_finite() && *weight >= 0.0);
-        let weight =
-            weight.ok_or_else(|| fields.wrong(field, "a Weight that is none or below nought"))?;
-        shares.push((service.to_owned(), weight));
+            .and_then(non_negative_number)
+            .ok_or_else(|| invalid("a Weight that is none or below nought"))?;
+        destinations.push(Destination {
+            service: service.to_owned(),
+            weight,
+        });
     }
-    if shares.iter().map(|(_, weight)| weight).sum::<f64>() <= 0.0 {
-        return Err(fields.wrong(field, "no weight above nought"));
+    let total: f64 = destinations.iter().map(|to| to.weight).sum();
+    if total <= 0.0 {
+        return Err(invalid("no weight above nought"));
     }
-    Ok(shares)
+    Ok(destinations)
 }
 
 impl Tenant {
     /// Reads a tenant.
-    pub fn of(item: &Item) -> Result<Tenant, ConfigError> {
-        let fields = Fields::of(item)?;
-        let mut keys = Vec::new();
-        if let Some(list) = fields.get("ApiKeys") {
-            for key in list
-                .as_array()
-                .ok_or_else(|| fields.wrong("ApiKeys", "no list"))?
-                .iter()
-            {
-                let key = key
-                    .as_string()
-                    .map(|key| key.as_str())
-                    .filter(|key| !key.is_empty());
-                keys.push(
-                    key.ok_or_else(|| fields.wrong("ApiKeys", "a key that is no text"))?
-                        .to_owned(),
-                );
-            }
-        }
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`].
+    pub fn from_item(item: &Item) -> Result<Tenant, ConfigError> {
+        let fields = FieldReader::new(item)?;
         Ok(Tenant {
             name: item.name.clone(),
-            keys,
-            priority: fields.whole("Priority")?.unwrap_or(0),
-            rate: fields.figure("RatePerS")?.unwrap_or(0.0),
-            burst: fields.figure("BurstSize")?.unwrap_or(0.0),
+            keys: read_api_keys(&fields)?,
+            priority: fields.integer("Priority")?.unwrap_or(0),
+            rate: fields.number("RatePerS")?.unwrap_or(0.0),
+            burst: fields.number("BurstSize")?.unwrap_or(0.0),
         })
     }
 }
 
+fn read_api_keys(fields: &FieldReader<'_>) -> Result<Vec<String>, ConfigError> {
+    let Some(list) = fields.get("ApiKeys") else {
+        return Ok(Vec::new());
+    };
+    let list = list
+        .as_array()
+        .ok_or_else(|| fields.invalid("ApiKeys", "no list"))?;
+    list.iter()
+        .map(|key| {
+            key.as_string()
+                .map(|key| key.as_str().to_owned())
+                .filter(|key| !key.is_empty())
+                .ok_or_else(|| fields.invalid("ApiKeys", "a key that is no text"))
+        })
+        .collect()
+}
+
 impl Service {
     /// Reads a service.
-    pub fn of(item: &Item) -> Result<Service, ConfigError> {
-        let fields = Fields::of(item)?;
-        let conn_limit = fields.whole("ConnLimit")?.unwrap_or(u32::MAX);
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`].
+    pub fn from_item(item: &Item) -> Result<Service, ConfigError> {
+        let fields = FieldReader::new(item)?;
         Ok(Service {
             name: item.name.clone(),
-            conn_limit,
+            conn_limit: fields.integer("ConnLimit")?.unwrap_or(u32::MAX),
         })
     }
 }
 
 impl Limits {
-    /// Reads the limits.
-    pub fn of(item: &Item) -> Result<Limits, ConfigError> {
-        let (fields, usual) = (Fields::of(item)?, Limits::default());
-        let bytes = |field, usual| Ok(fields.whole(field)?.map_or(usual, |bytes| bytes as usize));
-        let time = |field, usual| Ok(fields.figure(field)?.map_or(usual, |s| s * 1000.0));
+    /// Reads the limits; what is left out has its default.
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`].
+    pub fn from_item(item: &Item) -> Result<Limits, ConfigError> {
+        let fields = FieldReader::new(item)?;
+        let default = Limits::default();
+        let bytes = |field, default: usize| -> Result<usize, ConfigError> {
+            Ok(fields.integer(field)?.map_or(default, |n| n as usize))
+        };
+        let millis = |field, default: f64| -> Result<f64, ConfigError> {
+            let seconds = fields.number(field)?;
+            Ok(seconds.map_or(default, |seconds| seconds * MILLIS_PER_SECOND))
+        };
         Ok(Limits {
-            header_bytes: bytes("HeaderBytes", usual.header_bytes)?,
-            body_bytes: bytes("BodyBytes", usual.body_bytes)?,
-            header_timeout: time("HeaderS", usual.header_timeout)?,
-            idle_timeout: time("IdleS", usual.idle_timeout)?,
+            header_bytes: bytes("HeaderBytes", default.header_bytes)?,
+            body_bytes: bytes("BodyBytes", default.body_bytes)?,
+            header_timeout: millis("HeaderS", default.header_timeout)?,
+            idle_timeout: millis("IdleS", default.idle_timeout)?,
         })
     }
 }
--- a/crates/gateway-config/src/pending.rs
+++ b/crates/gateway-config/src/pending.rs
@@ -1,131 +1,105 @@
-//! Changes that come after a board and are not in it: those that are not agreed on yet, and one that is judged.
+//! Changes that are proposed and not yet applied, indexed by item and by what the items claim.
 
+use crate::claims::{Claims, RouteKey};
 use crate::history::{digest, Digest};
-use crate::item::{Change, ConfigError, Item, ItemKind};
-use crate::item_set::KINDS;
-use crate::model::{Route, Tenant};
+use crate::item::{Change, Item, ItemKind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What an item claims or asks for, besides its own fields; nothing where it is dropped.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Claims {
-    /// The host and prefix of a route.
-    pub(crate) place: Option<(String, String)>,
-    /// The services that a route names.
-    pub(crate) services: Vec<String>,
-    /// The keys of a tenant.
-    pub(crate) keys: Vec<String>,
+/// A version of an item in a pending change.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PendingVersion {
+    pub(crate) version: u32,
+    pub(crate) digest: Digest,
+    /// The index of the log entry that has it.
+    pub(crate) index: u64,
 }
 
-impl Claims {
-    pub(crate) fn of(item: &Item) -> Result<Claims, ConfigError> {
-        Ok(match item.kind() {
-            _ if item.dropped => Claims::default(),
-            ItemKind::Route => {
-                let route = Route::of(item)?;
-                let services: BTreeSet<String> = route
-                    .destinations
-                    .into_iter()
-                    .map(|(name, _)| name)
-                    .collect();
-                Claims {
-                    place: Some((route.host, route.prefix)),
-                    services: services.into_iter().collect(),
-                    keys: Vec::new(),
-                }
-            }
-            ItemKind::Tenant => {
-                let keys: BTreeSet<String> = Tenant::of(item)?.keys.into_iter().collect();
-                Claims {
-                    keys: keys.into_iter().collect(),
-                    ..Claims::default()
-                }
-            }
-            ItemKind::Service | ItemKind::Limits => Claims::default(),
-        })
-    }
-}
-
-/// A name that is changed ahead.
+/// An item that pending changes set or remove.
 #[derive(Clone, Debug)]
-pub(crate) struct Over {
-    /// Its highest version ahead.
-    pub(crate) top: Arc<Item>,
-    /// What that claims.
+pub(crate) struct PendingItem {
+    /// Its highest pending version.
+    pub(crate) latest: Arc<Item>,
+    /// The claims of that version.
     pub(crate) claims: Claims,
-    /// All its numbers ahead: the digest of each, and the index of the entry that it is in.
-    pub(crate) numbers: Vec<(u32, Digest, u64)>,
+    /// All its pending versions.
+    pub(crate) versions: Vec<PendingVersion>,
 }
 
-/// Names by what they claim, in any of their versions: whether one still does is looked up.
-type Claimants<K> = BTreeMap<K, BTreeSet<String>>;
+impl PendingItem {
+    pub(crate) fn find(&self, version: u32) -> Option<&PendingVersion> {
+        self.versions.iter().find(|known| known.version == version)
+    }
+}
+
+/// Names of items by what any of their pending versions claims; whether the latest still does is in [`PendingItem::claims`].
+pub(crate) type ClaimIndex<K> = BTreeMap<K, BTreeSet<String>>;
 
-/// Changes that come after a board, in order, by name and by what they claim. It may hold some that are in the board by now.
+/// Changes in the order of the log that come after a [`ConfigState`](crate::ConfigState). Some may be applied there already.
 #[derive(Clone, Debug, Default)]
 pub struct PendingChanges {
-    pub(crate) kinds: [BTreeMap<String, Over>; KINDS],
-    pub(crate) places: Claimants<(String, String)>,
-    pub(crate) users: Claimants<String>,
-    pub(crate) keys: Claimants<String>,
+    pub(crate) kinds: [BTreeMap<String, PendingItem>; ItemKind::COUNT],
+    pub(crate) route_keys: ClaimIndex<RouteKey>,
+    pub(crate) service_users: ClaimIndex<String>,
+    pub(crate) api_keys: ClaimIndex<String>,
 }
 
 impl PendingChanges {
-    /// Adds the change in the entry of this index. It was judged; what cannot be read of it claims nothing.
+    /// Adds the change of the log entry with this index. It was validated; an item that cannot be read claims nothing.
     pub fn add(&mut self, index: u64, change: &Change) {
         for item in &change.items {
-            let claims = Claims::of(item).unwrap_or_default();
-            self.put(index, item, claims);
+            let claims = Claims::from_item(item).unwrap_or_default();
+            self.insert(index, item, claims);
         }
     }
 
-    pub(crate) fn put(&mut self, index: u64, item: &Item, claims: Claims) {
-        let name = &item.name;
-        if let Some(place) = &claims.place {
-            self.places
-                .entry(place.clone())
-                .or_default()
-                .insert(name.clone());
+    pub(crate) fn insert(&mut self, index: u64, item: &Item, claims: Claims) {
+        self.index_claims(&item.name, &claims);
+        let version = PendingVersion {
+            version: item.version,
+            digest: digest(item),
+            index,
+        };
+        let items = &mut self.kinds[item.kind() as usize];
+        let Some(pending) = items.get_mut(&item.name) else {
+            let pending = PendingItem {
+                latest: Arc::new(item.clone()),
+                claims,
+                versions: vec![version],
+            };
+            items.insert(item.name.clone(), pending);
+            return;
+        };
+        // A repeated version belongs to the first entry that has it.
+        if pending.find(item.version).is_none() {
+            pending.versions.push(version);
         }
-        for service in &claims.services {
-            self.users
-                .entry(service.clone())
-                .or_default()
-                .insert(name.clone());
+        if item.version > pending.latest.version {
+            pending.latest = Arc::new(item.clone());
+            pending.claims = claims;
         }
-        for key in &claims.keys {
-            self.keys
-                .entry(key.clone())
-                .or_default()
-                .insert(name.clone());
+    }
+
+    fn index_claims(&mut self, name: &str, claims: &Claims) {
+        if let Some(route_key) = &claims.route_key {
+            index_claim(&mut self.route_keys, route_key, name);
+        }
+        for service in &claims.services {
+            index_claim(&mut self.service_users, service, name);
         }
-        let number = (item.version, digest(item), index);
-        match self.kinds[item.kind() as usize].get_mut(name) {
-            None => {
-                let over = Over {
-                    top: Arc::new(item.clone()),
-                    claims,
-                    numbers: vec![number],
-                };
-                self.kinds[item.kind() as usize].insert(name.clone(), over);
-            }
-            Some(over) => {
-                // The first entry with a number is the one that it is taken by.
-                if over
-                    .numbers
-                    .iter()
-                    .all(|(version, ..)| *version != item.version)
-                {
-                    over.numbers.push(number);
-                }
-                if item.version > over.top.version {
-                    (over.top, over.claims) = (Arc::new(item.clone()), claims);
-                }
-            }
+        for api_key in &claims.api_keys {
+            index_claim(&mut self.api_keys, api_key, name);
         }
     }
 
-    pub(crate) fn get(&self, kind: ItemKind, name: &str) -> Option<&Over> {
+    pub(crate) fn get(&self, kind: ItemKind, name: &str) -> Option<&PendingItem> {
         self.kinds[kind as usize].get(name)
     }
 }
+
+fn index_claim<K: Clone + Ord>(index: &mut ClaimIndex<K>, claim: &K, name: &str) {
+    index
+        .entry(claim.clone())
+        .or_default()
+        .insert(name.to_owned());
+}
--- a/crates/gateway-config/src/route_table.rs
+++ b/crates/gateway-config/src/route_table.rs
@@ -1,12 +1,15 @@
-//! The board as a door looks requests up in it.
+//! The lookup of requests in a proxy: routes by host and path prefix, tenants by API key.
+//!
+//! Invariant: a table that follows its items by [`RouteTable::patch`] equals the table built from them.
 
 use crate::item::{Change, Item, ItemKind};
 use crate::item_set::ItemSet;
 use crate::model::{Limits, Route, Service, Tenant};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Routes by host and path, tenants by key. It follows its items change by change: see [`Plan::patch`].
+/// The active routes, tenants, services and limits, indexed for requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     /// All routes by name.
@@ -15,40 +18,38 @@
     pub tenants: BTreeMap<String, Arc<Tenant>>,
     /// All services by name.
     pub services: BTreeMap<String, Service>,
-    /// What clients may send.
+    /// The limits on client requests.
     pub limits: Limits,
-    /// Routes of each host, the longest prefix first.
+    /// The routes of each host, the longest prefix first, then by name.
     hosts: HashMap<String, Vec<Arc<Route>>>,
+    /// The tenant of each API key.
     keys: HashMap<String, Arc<Tenant>>,
 }
 
-/// Where a request goes.
+/// The result of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteMatch<'a> {
-    /// To this route; with the tenant whose key came, if one did.
+    /// This route, and the tenant whose API key came with the request, if any.
     Matched(&'a Route, Option<&'a Tenant>),
-    /// There is no route.
+    /// No route has this host and a prefix of this path.
     NoRoute,
-    /// The route asks for a key that is known.
+    /// The route needs a known API key and the request has none.
     UnknownKey,
 }
 
 impl RouteTable {
-    /// What these items say. What cannot be used is left out; no board that was checked holds any.
+    /// The table of these items. Items that cannot be read are left out; a validated configuration has none.
     pub fn from_items(items: &impl AsRef<ItemSet>) -> RouteTable {
-        let (items, mut plan) = (items.as_ref(), RouteTable::default());
-        for kind in [
-            ItemKind::Route,
-            ItemKind::Tenant,
-            ItemKind::Service,
-            ItemKind::Limits,
-        ] {
-            items.active(kind).for_each(|item| plan.put(item));
+        let mut table = RouteTable::default();
+        for kind in ItemKind::ALL {
+            for item in items.as_ref().active(kind) {
+                table.insert(item);
+            }
         }
-        plan
+        table
     }
 
-    /// Follows changes that these items have joined: only the names in them are looked at.
+    /// Follows changes that were applied to these items. The work grows with the changes, not with the items.
     pub fn patch<'a>(
         &mut self,
         items: &impl AsRef<ItemSet>,
@@ -59,71 +60,56 @@
             .map(|item| (item.kind(), item.name.as_str()))
             .collect();
         for (kind, name) in names {
-            // Two names may have swapped a key: what another holds by now is left.
-            self.take_out(kind, name);
+            self.remove(kind, name);
             if let Some(item) = items.as_ref().get(kind, name).filter(|item| !item.dropped) {
-                self.put(item);
+                self.insert(item);
             }
         }
     }
 
-    fn put(&mut self, item: &Item) {
+    fn insert(&mut self, item: &Item) {
         match item.kind() {
             ItemKind::Route => {
-                let Ok(route) = Route::of(item).map(Arc::new) else {
-                    return;
-                };
-                if !self.hosts.contains_key(&route.host) {
-                    self.hosts.insert(route.host.clone(), Vec::new());
-                }
-                if let Some(routes) = self.hosts.get_mut(&route.host) {
-                    let order =
-                        |route: &Route| (std::cmp::Reverse(route.prefix.len()), route.name.clone());
-                    let at = routes.partition_point(|other| order(other) < order(&route));
-                    routes.insert(at, route.clone());
+                if let Ok(route) = Route::from_item(item) {
+                    self.insert_route(Arc::new(route));
                 }
-                self.routes.insert(route.name.clone(), route);
             }
             ItemKind::Tenant => {
-                let Ok(tenant) = Tenant::of(item).map(Arc::new) else {
-                    return;
-                };
-                self.keys
-                    .extend(tenant.keys.iter().map(|key| (key.clone(), tenant.clone())));
-                self.tenants.insert(tenant.name.clone(), tenant);
+                if let Ok(tenant) = Tenant::from_item(item) {
+                    self.insert_tenant(Arc::new(tenant));
+                }
             }
             ItemKind::Service => {
-                if let Ok(service) = Service::of(item) {
+                if let Ok(service) = Service::from_item(item) {
                     self.services.insert(service.name.clone(), service);
                 }
             }
-            ItemKind::Limits => self.limits = Limits::of(item).unwrap_or_default(),
+            ItemKind::Limits => self.limits = Limits::from_item(item).unwrap_or_default(),
+        }
+    }
+
+    fn insert_route(&mut self, route: Arc<Route>) {
+        if !self.hosts.contains_key(&route.host) {
+            self.hosts.insert(route.host.clone(), Vec::new());
+        }
+        if let Some(routes) = self.hosts.get_mut(&route.host) {
+            let order = |route: &Route| (Reverse(route.prefix.len()), route.name.clone());
+            let index = routes.partition_point(|other| order(other) < order(&route));
+            routes.insert(index, route.clone());
         }
+        self.routes.insert(route.name.clone(), route);
     }
 
-    fn take_out(&mut self, kind: ItemKind, name: &str) {
+    fn insert_tenant(&mut self, tenant: Arc<Tenant>) {
+        self.keys
+            .extend(tenant.keys.iter().map(|key| (key.clone(), tenant.clone())));
+        self.tenants.insert(tenant.name.clone(), tenant);
+    }
+
+    fn remove(&mut self, kind: ItemKind, name: &str) {
         match kind {
-            ItemKind::Route => {
-                let Some(route) = self.routes.remove(name) else {
-                    return;
-                };
-                if let Some(routes) = self.hosts.get_mut(&route.host) {
-                    routes.retain(|other| other.name != name);
-                    if routes.is_empty() {
-                        self.hosts.remove(&route.host);
-                    }
-                }
-            }
-            ItemKind::Tenant => {
-                let Some(tenant) = self.tenants.remove(name) else {
-                    return;
-                };
-                for key in &tenant.keys {
-                    if self.keys.get(key).is_some_and(|holder| holder.name == name) {
-                        self.keys.remove(key);
-                    }
-                }
-            }
+            ItemKind::Route => self.remove_route(name),
+            ItemKind::Tenant => self.remove_tenant(name),
             ItemKind::Service => {
                 self.services.remove(name);
             }
@@ -131,7 +117,32 @@
         }
     }
 
-    /// The route of a host and path: the longest prefix.
+    fn remove_route(&mut self, name: &str) {
+        let Some(route) = self.routes.remove(name) else {
+            return;
+        };
+        let Some(routes) = self.hosts.get_mut(&route.host) else {
+            return;
+        };
+        routes.retain(|other| other.name != name);
+        if routes.is_empty() {
+            self.hosts.remove(&route.host);
+        }
+    }
+
+    fn remove_tenant(&mut self, name: &str) {
+        let Some(tenant) = self.tenants.remove(name) else {
+            return;
+        };
+        for key in &tenant.keys {
+            // Another tenant of the same change may have the key by now.
+            if self.keys.get(key).is_some_and(|owner| owner.name == name) {
+                self.keys.remove(key);
+            }
+        }
+    }
+
+    /// The route with the longest prefix of a path at a host. The host may have a port and any case.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, port)| {
             if port.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -147,12 +158,12 @@
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The tenant that holds a key.
+    /// The tenant with this API key.
     pub fn tenant(&self, key: &str) -> Option<&Tenant> {
         self.keys.get(key).map(|tenant| &**tenant)
     }
 
-    /// Where a request goes that came with this key. Without tenants no key is asked for.
+    /// Looks a request up by host, path and API key. If there are no tenants, no key is needed.
     pub fn resolve(&self, host: &str, path: &str, key: Option<&str>) -> RouteMatch<'_> {
         let Some(route) = self.route(host, path) else {
             return RouteMatch::NoRoute;
--- a/crates/gateway-config/tests/plain/mod.rs
+++ b/crates/gateway-config/tests/plain/mod.rs
@@ -1,58 +1,66 @@
-//! What a board has to decide, by a slow plain model: everything that was ever taken is kept in order, and all that would hold is
-//! looked at for every call.
+//! A reference model of validation: it keeps all versions that were ever accepted and checks the whole configuration for every
+//! call.
 
 use maplefall_gateway_config::{Change, Item, ItemKind, Route, Tenant};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Everything that was ever taken.
+/// All versions that were ever accepted, in their order.
 #[derive(Clone, Debug, Default)]
 pub struct Plain(pub Vec<Item>);
 
-/// What becomes of a call.
+/// The result of validating a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Judgement {
-    /// All of it was taken before.
+    /// All its items exist already.
     Taken,
-    /// Something in it is new.
+    /// Some of its items are new.
     New,
-    /// 409.
+    /// Rejected with 409.
     Conflict,
-    /// 400.
+    /// Rejected with 400.
     Invalid,
 }
 
-fn number(item: &Item) -> (ItemKind, String, u32) {
+fn version_key(item: &Item) -> (ItemKind, String, u32) {
     (item.kind(), item.name.clone(), item.version)
 }
 
 impl Plain {
-    /// Takes what is new of a change.
+    /// Adds the new items of a change.
     pub fn take(&mut self, change: &Change) {
         for item in &change.items {
-            if !self.0.iter().any(|known| number(known) == number(item)) {
+            if !self
+                .0
+                .iter()
+                .any(|known| version_key(known) == version_key(item))
+            {
                 self.0.push(item.clone());
             }
         }
     }
 
-    /// The highest version of each name, dropped ones too.
+    /// The highest version of each item, removed ones included.
     pub fn held(&self) -> BTreeMap<(ItemKind, String), Item> {
-        let mut held: BTreeMap<(ItemKind, String), Item> = BTreeMap::new();
+        let mut latest: BTreeMap<(ItemKind, String), Item> = BTreeMap::new();
         for item in &self.0 {
             let key = (item.kind(), item.name.clone());
-            if held
+            if latest
                 .get(&key)
                 .is_none_or(|known| known.version < item.version)
             {
-                held.insert(key, item.clone());
+                latest.insert(key, item.clone());
             }
         }
-        held
+        latest
     }
 
-    /// What becomes of a call.
+    /// The result of validating a call.
     pub fn judge(&self, change: &Change) -> Judgement {
-        let known = |item: &Item| self.0.iter().find(|known| number(known) == number(item));
+        let known = |item: &Item| {
+            self.0
+                .iter()
+                .find(|known| version_key(known) == version_key(item))
+        };
         if change
             .items
             .iter()
@@ -60,63 +68,62 @@
         {
             return Judgement::Conflict;
         }
-        let news: Vec<Item> = change
+        let new: Vec<Item> = change
             .items
             .iter()
             .filter(|item| known(item).is_none())
             .cloned()
             .collect();
-        if news.is_empty() {
+        if new.is_empty() {
             return Judgement::Taken;
         }
-        let mut then = self.clone();
-        then.take(&Change {
-            items: news.clone(),
-        });
-        if then.sound(&news) {
+        let mut merged = self.clone();
+        merged.take(&Change { items: new.clone() });
+        if merged.is_consistent(&new) {
             Judgement::New
         } else {
             Judgement::Invalid
         }
     }
 
-    /// Whether all that stands goes together, and what these items ask for is there, even where they are late.
-    pub fn sound(&self, asked: &[Item]) -> bool {
-        let held = self.held();
-        let standing = |kind: ItemKind| {
-            held.values()
+    /// Whether the active items are consistent, and the services exist that these items need, also if they are superseded.
+    pub fn is_consistent(&self, proposed: &[Item]) -> bool {
+        let latest = self.held();
+        let active = |kind: ItemKind| {
+            latest
+                .values()
                 .filter(move |item| item.kind() == kind && !item.dropped)
         };
-        let services: BTreeSet<&str> = standing(ItemKind::Service)
+        let services: BTreeSet<&str> = active(ItemKind::Service)
             .map(|service| service.name.as_str())
             .collect();
-        let asked = asked
+        let proposed = proposed
             .iter()
             .filter(|item| item.kind() == ItemKind::Route && !item.dropped);
-        for item in asked.chain(standing(ItemKind::Route)) {
-            let Ok(route) = Route::of(item) else {
+        for item in proposed.chain(active(ItemKind::Route)) {
+            let Ok(route) = Route::from_item(item) else {
                 return false;
             };
             if route
                 .destinations
                 .iter()
-                .any(|(name, _)| !services.contains(name.as_str()))
+                .any(|to| !services.contains(to.service.as_str()))
             {
                 return false;
             }
         }
-        let mut places: BTreeSet<(String, String)> = BTreeSet::new();
-        for item in standing(ItemKind::Route) {
-            let Ok(route) = Route::of(item) else {
+        let mut route_keys: BTreeSet<(String, String)> = BTreeSet::new();
+        for item in active(ItemKind::Route) {
+            let Ok(route) = Route::from_item(item) else {
                 return false;
             };
-            if !places.insert((route.host, route.prefix)) {
+            if !route_keys.insert((route.host, route.prefix)) {
                 return false;
             }
         }
         let mut keys: BTreeMap<String, String> = BTreeMap::new();
-        for item in standing(ItemKind::Tenant) {
-            let Ok(tenant) = Tenant::of(item) else {
+        for item in active(ItemKind::Tenant) {
+            let Ok(tenant) = Tenant::from_item(item) else {
                 return false;
             };
             for key in tenant.keys {
--- a/crates/proxy/src/core.rs
+++ b/crates/proxy/src/core.rs
@@ -653,16 +653,12 @@
 
     /// The service that a request goes to, drawn by the weights of a split.
     fn choose_service(&mut self, route: &Route) -> usize {
-        let all: f64 = route.destinations.iter().map(|(_, weight)| weight).sum();
+        let all: f64 = route.destinations.iter().map(|to| to.weight).sum();
         let mut drawn = f64::from(self.rng.next_u32()) / 4_294_967_296.0 * all;
         let mut chosen = "";
-        for (name, weight) in route
-            .destinations
-            .iter()
-            .filter(|(_, weight)| *weight > 0.0)
-        {
-            chosen = name;
-            drawn -= weight;
+        for to in route.destinations.iter().filter(|to| to.weight > 0.0) {
+            chosen = &to.service;
+            drawn -= to.weight;
             if drawn < 0.0 {
                 break;
             }
