--- a/crates/shared-counts/benches/schedules.rs
+++ b/crates/shared-counts/benches/schedules.rs
@@ -1,27 +1,27 @@
-//! Random schedules by the thousand: `cargo bench -p maplefall-shared-counts --bench schedules [-- DOORS MANY]`. Each holds or panics
-//! with its seed; a few are played in CI (`tests/laws.rs`).
+//! Thousands of random schedules: `cargo bench -p maplefall-shared-counts --bench schedules [-- NODES RUNS]`. A failing one panics with
+//! its seed; a few run in CI (`tests/properties.rs`).
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
 use std::time::Instant;
 
 fn main() {
-    let words: Vec<usize> = std::env::args()
-        .filter_map(|word| word.parse().ok())
+    let arguments: Vec<usize> = std::env::args()
+        .filter_map(|argument| argument.parse().ok())
         .collect();
-    let table = match words[..] {
-        [doors, many] => vec![(doors, many)],
+    let table = match arguments[..] {
+        [nodes, runs] => vec![(nodes, runs)],
         _ => vec![(3, 2000), (10, 200), (100, 4), (300, 1)],
     };
-    for (doors, many) in table {
-        let begun = Instant::now();
-        for seed in 0..many {
-            world::schedule(doors, 40, 10_000 + seed as u64);
+    for (nodes, runs) in table {
+        let started_at = Instant::now();
+        for seed in 0..runs {
+            simulation::schedule(nodes, 40, 10_000 + seed as u64);
         }
         eprintln!(
-            "{doors} doors: {many} schedules held, {:.1} s",
-            begun.elapsed().as_secs_f64()
+            "{nodes} nodes: {runs} schedules passed, {:.1} s",
+            started_at.elapsed().as_secs_f64()
         );
     }
 }
--- a/crates/shared-counts/benches/worth.rs
+++ b/crates/shared-counts/benches/worth.rs
@@ -4,13 +4,13 @@
 //! Backends serve everything, so what is refused is refused for quotas alone. A store for each customer that sees all doors
 //! tells which refusals and which uses were right.
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
 use maplefall_policy::*;
 use maplefall_shared_counts::Settings as Sharing;
+use simulation::*;
 use std::collections::BTreeMap;
-use world::*;
 
 const CUSTOMERS: usize = 60;
 const SECONDS: f64 = 40.0;
@@ -117,18 +117,18 @@
     };
     let link = Link {
         loss,
-        doubled: 0.0,
+        duplicated: 0.0,
         delay: (0.5, 20.0),
     };
     let sharing = Sharing {
         most_members: 1024,
         ..Sharing::usual("quito", vec![7; 32])
     };
-    let mut world = World::new(doors, sharing, link, seed);
+    let mut simulation = Simulation::new(doors, sharing, link, seed);
     if mode == Mode::Gossip {
-        world.meet(120_000.0);
+        simulation.run_until_met(120_000.0);
     }
-    let start = world.now;
+    let start = simulation.now;
     let entry = |id| BackendEntry {
         id: BackendId(id),
         zone: ZoneId(0),
@@ -143,7 +143,7 @@
         .map(|at| {
             let mut gateway = Gateway::new(set.clone(), seed * 1000 + at as u64);
             gateway.handle(
-                world.clock(at),
+                simulation.clock(at),
                 Event::Backends(ListKind::Full, list.clone()),
                 &mut actions,
             );
@@ -160,13 +160,13 @@
     // Answers that are due: a request's door, number and backend.
     let mut due: BTreeMap<(u64, u32), (usize, BackendId)> = BTreeMap::new();
     let (mut sum, mut number) = (Sum::default(), 0u32);
-    while world.now - start < SECONDS * 1000.0 {
-        world.play(10.0);
+    while simulation.now - start < SECONDS * 1000.0 {
+        simulation.run(10.0);
         if mode == Mode::Gossip {
             for (door, gateway) in gateways.iter_mut().enumerate() {
-                let now = world.clock(door);
-                while let Some((customer, fact)) = world.node(door).poll_fact(now) {
-                    let heard = world.node(door).news(now).1 as f64 / doors as f64;
+                let now = simulation.clock(door);
+                while let Some((customer, fact)) = simulation.node(door).poll_fact(now) {
+                    let heard = simulation.node(door).news(now).1 as f64 / doors as f64;
                     let (units, as_of, error) = (fact.units, fact.as_of, fact.error);
                     let (whose, plan) = (CustomerId(customer), PlanId(plan_of(customer as usize)));
                     let told = Elsewhere {
@@ -183,7 +183,7 @@
         }
         while let Some((&(at, id), _)) = due
             .first_key_value()
-            .filter(|((at, _), _)| *at as f64 <= world.now)
+            .filter(|((at, _), _)| *at as f64 <= simulation.now)
         {
             let (door, backend) = due.remove(&(at, id)).expect("it was there");
             let settled = Settled {
@@ -198,25 +198,29 @@
                 report: Report::default(),
                 broken: 0,
             };
-            gateways[door].handle(world.clock(door), Event::Settled(settled), &mut actions);
+            gateways[door].handle(
+                simulation.clock(door),
+                Event::Settled(settled),
+                &mut actions,
+            );
             actions.clear();
         }
         for customer in 0..CUSTOMERS {
             let plan = &plans[plan_of(customer)];
             // Requests of 3 units on average, drawn for each hundredth of a second.
             let rate = plan.rate * demand(customer) / 3.0;
-            if chance(&mut world.rng) >= rate * 0.01 {
+            if uniform(&mut simulation.rng) >= rate * 0.01 {
                 continue;
             }
-            let units = 1.0 + (5.0 * chance(&mut world.rng)).floor();
+            let units = 1.0 + (5.0 * uniform(&mut simulation.rng)).floor();
             // A few doors are busier than the others.
-            let door = (chance(&mut world.rng).powf(1.5) * doors as f64) as usize;
-            let room = stores[customer].holds(world.now, plan, units);
-            if oracle[customer].holds(world.now, plan, units) {
+            let door = (uniform(&mut simulation.rng).powf(1.5) * doors as f64) as usize;
+            let room = stores[customer].holds(simulation.now, plan, units);
+            if oracle[customer].holds(simulation.now, plan, units) {
                 oracle[customer].left -= units;
                 sum.sold += units;
             }
-            let now = world.clock(door);
+            let now = simulation.clock(door);
             let told = |units, as_of, error, heard| {
                 let (customer, plan) = (CustomerId(customer as u64), PlanId(plan_of(customer)));
                 Event::Elsewhere(Elsewhere {
@@ -231,8 +235,8 @@
             match mode {
                 Mode::Without => {}
                 Mode::Gossip => {
-                    if let Some(fact) = world.node(door).fact(now, customer as u64) {
-                        let heard = world.node(door).news(now).1 as f64 / doors as f64;
+                    if let Some(fact) = simulation.node(door).fact(now, customer as u64) {
+                        let heard = simulation.node(door).news(now).1 as f64 / doors as f64;
                         let event = told(fact.units, fact.as_of, fact.error, heard);
                         gateways[door].handle(now, event, &mut actions);
                     }
@@ -263,13 +267,13 @@
             } else {
                 sum.beyond += units;
             }
-            due.insert(((world.now + 80.0) as u64, number), (door, backend));
+            due.insert(((simulation.now + 80.0) as u64, number), (door, backend));
             match mode {
                 Mode::Without => {}
-                Mode::Gossip => world.used(door, customer as u64, units),
+                Mode::Gossip => simulation.used(door, customer as u64, units),
                 Mode::Perfect => {
                     for other in (0..doors).filter(|other| *other != door) {
-                        let now = world.clock(other);
+                        let now = simulation.clock(other);
                         let (customer, plan) =
                             (CustomerId(customer as u64), PlanId(plan_of(customer)));
                         let told = Elsewhere {
--- a/crates/shared-counts/src/count.rs
+++ b/crates/shared-counts/src/count.rs
@@ -1,22 +1,22 @@
-//! One count: what was taken and what was given back, each a number that only grows.
+//! One count: what was taken and what was returned, each a number that only grows.
 
-/// Thousandths of a unit that a count holds at most: there it stays, and its door says so.
-pub const MOST: u64 = 1 << 50;
+/// The largest value of either number, in thousandths of a unit. A count that reaches it stays there.
+pub const MAX_MILLI_UNITS: u64 = 1 << 50;
 
-/// What one life of a door has counted of one customer in one epoch, in thousandths of a unit.
+/// What one incarnation of a node has counted of one customer in one epoch, in thousandths of a unit.
 ///
-/// A pair of grow-only counters (a PN-counter, Shapiro et al. 2011). Both change at one door alone and only upwards, so all
-/// values that it ever had lie on one rising line, and the larger of two is the later.
+/// A pair of grow-only counters (a PN-counter, Shapiro et al. 2011). Both change only at one node and only upwards, so of two states
+/// the one with the larger numbers is the later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Taken when requests were first sent on.
+    /// Taken when requests were first forwarded.
     pub taken: u64,
-    /// Given back when their true units turned out to be fewer, or nothing had run.
+    /// Returned when a request turned out to use fewer units, or did not run.
     pub returned: u64,
 }
 
 impl Count {
-    /// The later of two states of one count: idempotent, commutative and associative.
+    /// The later of two states of one count. The join is idempotent, commutative and associative.
     #[must_use]
     pub fn join(self, other: Count) -> Count {
         Count {
@@ -25,20 +25,23 @@
         }
     }
 
-    /// Adds a change; `false` where the count has come to its width and holds less than was used.
+    /// Adds a change in thousandths of a unit, negative if units are returned. Returns `false` if the number is at
+    /// [`MAX_MILLI_UNITS`], so that the change may not be counted in full.
     pub fn add(&mut self, milli: i64) -> bool {
         let side = if milli >= 0 {
             &mut self.taken
         } else {
             &mut self.returned
         };
-        *side = side.saturating_add(milli.unsigned_abs()).min(MOST);
-        *side < MOST
+        *side = side
+            .saturating_add(milli.unsigned_abs())
+            .min(MAX_MILLI_UNITS);
+        *side < MAX_MILLI_UNITS
     }
 
-    /// What has been used, in thousandths of a unit; below nought where more came back than this epoch took.
+    /// What is used, in thousandths of a unit; negative if more was returned than this epoch took.
     pub fn net(self) -> i64 {
         // Both are at most 2^50 wherever they come from, so neither cast nor difference can wrap.
-        self.taken.min(MOST) as i64 - self.returned.min(MOST) as i64
+        self.taken.min(MAX_MILLI_UNITS) as i64 - self.returned.min(MAX_MILLI_UNITS) as i64
     }
 }
--- /dev/null
+++ b/crates/shared-counts/src/failure_detector.rs
@@ -0,0 +1,44 @@
+//! The phi accrual failure detector (Hayashibara et al., "The phi accrual failure detector", 2004).
+//!
+//! A silent node is suspected by how its heartbeats came recently and not after a fixed timeout, because their intervals depend on the
+//! number of nodes and on the loss of the network.
+
+use maplefall_policy::Millis;
+
+/// The number of intervals that the mean looks back on.
+const MAX_SAMPLES: f64 = 32.0;
+/// The assumed mean interval before any heartbeat, in gossip intervals.
+const INITIAL_INTERVALS: f64 = 4.0;
+/// A longer silence than this many mean intervals is an outage. It counts as this many, since it says nothing of how heartbeats come.
+const MAX_INTERVALS: f64 = 20.0;
+
+/// The mean interval between heartbeats of one incarnation.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct HeartbeatIntervals {
+    mean: Millis,
+    samples: f64,
+}
+
+impl HeartbeatIntervals {
+    pub(crate) fn new(gossip_interval: Millis) -> HeartbeatIntervals {
+        HeartbeatIntervals {
+            mean: INITIAL_INTERVALS * gossip_interval,
+            samples: 1.0,
+        }
+    }
+
+    /// Adds the interval between two heartbeats.
+    pub(crate) fn add(&mut self, interval: Millis, gossip_interval: Millis) {
+        let interval = interval.min(MAX_INTERVALS * self.mean.max(gossip_interval));
+        self.samples = (self.samples + 1.0).min(MAX_SAMPLES);
+        self.mean += (interval - self.mean) / self.samples;
+    }
+
+    /// The suspicion level of a silence: minus the decimal logarithm of the probability that an interval is longer.
+    ///
+    /// Heartbeats that are forwarded at random have intervals like those of a Poisson process, so this is Cassandra's exponential
+    /// form and not the normal one of the paper, by which one of 100 nodes was suspected without cause every few seconds.
+    pub(crate) fn phi(&self, silence: Millis) -> f64 {
+        silence.max(0.0) / self.mean.max(1.0) * std::f64::consts::LOG10_E
+    }
+}
--- a/crates/shared-counts/src/members.rs
+++ b/crates/shared-counts/src/members.rs
@@ -1,332 +1,354 @@
-//! Who takes part: lives of doors, how old their news is, who is suspected and who is gone.
+//! Membership: the incarnations of each node, how old their heartbeats are, and which nodes are suspected or gone.
 //!
-//! A life shows that it goes on by its own time, which everybody passes on (a heartbeat as in chitchat and Cassandra), so a
-//! door that reaches only some others is heard through them, and a link that works one way alone accuses nobody. A silent
-//! one is judged by phi accrual (Hayashibara et al., "The phi accrual failure detector", 2004): by how its news has come of
-//! late, not by a fixed limit, as that depends on the number of doors and on what the network loses. SWIM was weighed: its
-//! pings would cost datagrams of their own, where heartbeats ride on digests that are sent anyway.
+//! Heartbeats are forwarded by every node (as in chitchat and Cassandra), so a node that reaches only some others is known to all
+//! through them, and a link that works one way does not make anybody suspected. SWIM was considered: its pings would cost datagrams of
+//! their own, while heartbeats are part of digests that are sent anyway. Suspicion is decided by `failure_detector`.
+//!
+//! Invariant: the number of a node's current incarnation never falls, and a bounded number of earlier ones is kept.
 
+use crate::failure_detector::HeartbeatIntervals;
+use crate::replay_window::ReplayWindow;
 use crate::replica::Replica;
-use crate::{DoorId, Life};
+use crate::{epoch_at, DoorId, Life, Settings};
 use maplefall_policy::Millis;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Pauses between news that are looked back on.
-const MEMORY: f64 = 32.0;
-/// Earlier lives of one door that are kept.
-const FORMER_KEPT: usize = 2;
-/// Heartbeats after which a door that was only told of is taken to be alive.
-const PROOF: u32 = 2;
+/// How many earlier incarnations of a node are kept. Beyond it the one with the lowest number is dropped.
+const MAX_FORMER_INCARNATIONS: usize = 2;
+/// The number of heartbeats after which a node that is only known through others counts as alive.
+const MIN_HEARTBEATS_ALIVE: u32 = 2;
 
-/// What is thought of a life.
+/// What is thought of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
-    /// Told of by others; it has shown no life since.
+pub enum MemberState {
+    /// Known through others, without heartbeats since.
     Unproven,
-    /// Its time goes on.
+    /// Its heartbeats arrive.
     Alive,
-    /// Silent for longer than by chance.
+    /// Silent for longer than its heartbeats make likely.
     Suspected,
-    /// Suspected for so long that it is not waited for.
+    /// Suspected or unproven for so long that it is not waited for.
     Gone,
 }
 
-/// The mean pause between news of one life.
-#[derive(Clone, Copy, Debug)]
-struct Pauses {
-    mean: f64,
-    seen: f64,
-}
-
-impl Pauses {
-    fn add(&mut self, pause: Millis) {
-        self.seen = (self.seen + 1.0).min(MEMORY);
-        self.mean += (pause - self.mean) / self.seen;
-    }
-
-    /// How little a silence is like chance: minus the decimal logarithm of the part of pauses that are longer. Whose news is
-    /// passed on by chance has pauses like those of a Poisson process, so it is Cassandra's exponential form and not the
-    /// normal one of the paper: by that one, of 100 doors one was suspected without cause every few seconds.
-    fn phi(&self, silence: Millis) -> f64 {
-        silence.max(0.0) / self.mean.max(1.0) * std::f64::consts::LOG10_E
-    }
+/// A sign of life of an incarnation, as it is forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Heartbeat {
+    /// The incarnation.
+    pub source: Life,
+    /// Its uptime in milliseconds.
+    pub uptime: u64,
+    /// The version of its counts at that uptime.
+    pub version: u64,
+    /// How long ago the sender received it, in milliseconds.
+    pub age: u64,
 }
 
-/// One life of a door, as known here.
+/// One incarnation of a node, as known here.
 #[derive(Clone, Debug)]
-pub struct Known {
-    /// Its own time when it was last heard of, and the version of its counts by then.
-    pub time: u64,
-    /// See `time`.
+pub struct IncarnationState {
+    /// Its uptime by its last heartbeat, in milliseconds.
+    pub uptime: u64,
+    /// The version of its counts by its last heartbeat.
     pub version: u64,
-    /// When that was told here, less the time it took on its way where others passed it on.
-    pub heard: Millis,
-    /// The least that the clock here was ahead of its own, over all that was heard: the way there at its shortest.
-    ahead: f64,
-    /// Its own time up to which all its counts are known.
-    pub complete: u64,
-    /// What it has counted.
+    /// When its last heartbeat was received here, less the time that it took through other nodes.
+    pub last_heartbeat: Millis,
+    /// The least difference between the clock here and its uptime, over all heartbeats: it includes the shortest delay.
+    clock_offset: Millis,
+    /// The uptime up to which all its counts are known, in milliseconds.
+    pub complete_uptime: u64,
+    /// Its counts.
     pub replica: Replica,
 }
 
-impl Known {
-    fn new(time: u64, version: u64, heard: Millis) -> Known {
-        let ahead = heard - time as f64;
-        Known {
-            time,
-            version,
-            heard,
-            ahead,
-            complete: 0,
+impl IncarnationState {
+    fn new(heartbeat: &Heartbeat, received_at: Millis) -> IncarnationState {
+        IncarnationState {
+            uptime: heartbeat.uptime,
+            version: heartbeat.version,
+            last_heartbeat: received_at,
+            clock_offset: received_at - heartbeat.uptime as f64,
+            complete_uptime: 0,
             replica: Replica::default(),
         }
     }
 
-    /// When, on the clock here, its counts were as they are known; they came here by the shortest way or later.
+    /// The time here up to which all its counts are known, if they came with the shortest delay.
     pub fn as_of(&self) -> Millis {
-        self.complete as f64 + self.ahead
+        self.complete_uptime as f64 + self.clock_offset
+    }
+
+    /// Its estimated uptime now, in milliseconds.
+    pub fn uptime_at(&self, now: Millis) -> u64 {
+        (now - self.clock_offset).max(self.uptime as f64) as u64
+    }
+
+    /// Its counts are complete up to its last heartbeat if all versions up to then are known.
+    pub fn update_complete_uptime(&mut self) {
+        if self.replica.complete_version() >= self.version {
+            self.complete_uptime = self.complete_uptime.max(self.uptime);
+        }
     }
 
-    /// Its own time now, as far as it can be told here.
-    pub fn own_time(&self, now: Millis) -> u64 {
-        (now - self.ahead).max(self.time as f64) as u64
+    /// The heartbeat to forward.
+    pub fn heartbeat(&self, source: Life, now: Millis) -> Heartbeat {
+        Heartbeat {
+            source,
+            uptime: self.uptime,
+            version: self.version,
+            age: (now - self.last_heartbeat).max(0.0) as u64,
+        }
+    }
+
+    /// Drops the epochs that have expired at an uptime of it, and returns how many counts were dropped.
+    pub(crate) fn expire_epochs(&mut self, uptime: u64, settings: &Settings) -> usize {
+        let current = epoch_at(uptime, settings.epoch);
+        self.replica
+            .expire_before(current.saturating_sub(settings.epochs_kept - 1))
     }
 
-    /// Its counts are complete up to the last news, if all versions by then are known.
-    pub fn look_whether_complete(&mut self) {
-        if self.replica.known() >= self.version {
-            self.complete = self.complete.max(self.time);
+    /// Applies a heartbeat; returns whether it is newer than the last one.
+    fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, received_at: Millis) -> bool {
+        let is_newer = heartbeat.uptime > self.uptime
+            || (heartbeat.uptime == self.uptime && heartbeat.version > self.version);
+        if is_newer {
+            self.uptime = heartbeat.uptime;
+            self.version = self.version.max(heartbeat.version);
+            self.last_heartbeat = self.last_heartbeat.max(received_at);
+            self.clock_offset = self.clock_offset.min(received_at - heartbeat.uptime as f64);
         }
+        self.update_complete_uptime();
+        is_newer
     }
 }
 
-/// A door that takes part.
+/// A node that takes part.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// The number of its present life.
+    /// The number of its current incarnation.
     pub incarnation: u64,
-    /// What is known of that life.
-    pub now: Known,
-    /// Its earlier lives whose counts still matter, by number.
-    pub former: BTreeMap<u64, Known>,
-    /// Lives up to this one are over and forgotten.
-    pub over: u64,
-    /// What is thought of it, and since when.
-    pub state: State,
-    /// See `state`.
-    pub since: Millis,
-    /// The number that it wants to see in what it is sent; none before its first greeting.
+    /// Its current incarnation.
+    pub current: IncarnationState,
+    /// Its earlier incarnations whose counts still matter, by number.
+    pub former: BTreeMap<u64, IncarnationState>,
+    /// Incarnations up to this number are forgotten.
+    forgotten_up_to: u64,
+    /// What is thought of it.
+    pub state: MemberState,
+    /// Since when.
+    pub state_since: Millis,
+    /// The nonce that it wants to see in what it is sent; none before its first hello.
     pub nonce: Option<u64>,
-    /// Numbers of its datagrams that have come: the highest, and which of the 64 before it.
-    seen: (u64, u64),
-    beats: u32,
-    pauses: Pauses,
-}
-
-/// What is told of a life in passing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Beat {
-    /// Whose.
-    pub life: Life,
-    /// Its own time.
-    pub time: u64,
-    /// The version of its counts then.
-    pub version: u64,
-    /// How long ago the teller heard that, in milliseconds.
-    pub age: u64,
+    replay_window: ReplayWindow,
+    heartbeats: u32,
+    intervals: HeartbeatIntervals,
 }
 
 impl Member {
-    /// A door that was told of or has come itself.
+    /// A node that has sent a datagram or that another node has told of.
     pub fn new(
         name: &str,
         address: SocketAddr,
-        beat: &Beat,
+        heartbeat: &Heartbeat,
         now: Millis,
-        interval: Millis,
+        gossip_interval: Millis,
     ) -> Member {
         Member {
             name: name.to_owned(),
             address,
-            incarnation: beat.life.incarnation,
-            now: Known::new(beat.time, beat.version, now - beat.age as f64),
+            incarnation: heartbeat.source.incarnation,
+            current: IncarnationState::new(heartbeat, now - heartbeat.age as f64),
             former: BTreeMap::new(),
-            over: 0,
-            state: State::Unproven,
-            since: now,
+            forgotten_up_to: 0,
+            state: MemberState::Unproven,
+            state_since: now,
             nonce: None,
-            seen: (0, 0),
-            beats: 0,
-            pauses: Pauses {
-                mean: 4.0 * interval,
-                seen: 1.0,
-            },
+            replay_window: ReplayWindow::default(),
+            heartbeats: 0,
+            intervals: HeartbeatIntervals::new(gossip_interval),
         }
     }
 
-    /// What is known of one of its lives.
-    pub fn life(&self, incarnation: u64) -> Option<&Known> {
-        if incarnation == self.incarnation {
-            Some(&self.now)
+    /// One of its incarnations.
+    pub fn incarnation(&self, number: u64) -> Option<&IncarnationState> {
+        if number == self.incarnation {
+            Some(&self.current)
         } else {
-            self.former.get(&incarnation)
+            self.former.get(&number)
         }
     }
 
-    /// What is known of one of its lives.
-    pub fn life_mut(&mut self, incarnation: u64) -> Option<&mut Known> {
-        if incarnation == self.incarnation {
-            Some(&mut self.now)
+    /// One of its incarnations.
+    pub fn incarnation_mut(&mut self, number: u64) -> Option<&mut IncarnationState> {
+        if number == self.incarnation {
+            Some(&mut self.current)
+        } else {
+            self.former.get_mut(&number)
+        }
+    }
+
+    /// All its incarnations that are kept, the current one first.
+    pub fn incarnations(&self) -> impl Iterator<Item = (u64, &IncarnationState)> {
+        let former = self.former.iter().map(|(number, state)| (*number, state));
+        std::iter::once((self.incarnation, &self.current)).chain(former)
+    }
+
+    /// How many counts there are of all its incarnations.
+    pub fn count_len(&self) -> usize {
+        self.incarnations()
+            .map(|(_, incarnation)| incarnation.replica.len())
+            .sum()
+    }
+
+    /// The heartbeat of its current incarnation to forward.
+    pub fn heartbeat(&self, id: DoorId, now: Millis) -> Heartbeat {
+        let source = Life {
+            door: id,
+            incarnation: self.incarnation,
+        };
+        self.current.heartbeat(source, now)
+    }
+
+    /// Applies a heartbeat of one of its incarnations; returns whether it is new.
+    pub fn apply_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        now: Millis,
+        gossip_interval: Millis,
+    ) -> bool {
+        let received_at = now - heartbeat.age as f64;
+        let number = heartbeat.source.incarnation;
+        if number > self.incarnation {
+            self.begin_incarnation(heartbeat, received_at, now, gossip_interval);
+            true
+        } else if number < self.incarnation {
+            self.apply_former_heartbeat(heartbeat, received_at)
         } else {
-            self.former.get_mut(&incarnation)
+            self.apply_current_heartbeat(heartbeat, received_at, now, gossip_interval)
         }
     }
 
-    /// All its lives that matter, the present one first.
-    pub fn lives(&self) -> impl Iterator<Item = (u64, &Known)> {
-        std::iter::once((self.incarnation, &self.now))
-            .chain(self.former.iter().map(|(n, known)| (*n, known)))
+    /// Replaces the current incarnation by a newer one. The counts of the old one still matter.
+    fn begin_incarnation(
+        &mut self,
+        heartbeat: &Heartbeat,
+        received_at: Millis,
+        now: Millis,
+        gossip_interval: Millis,
+    ) {
+        let new = IncarnationState::new(heartbeat, received_at);
+        let old = std::mem::replace(&mut self.current, new);
+        self.keep_former(self.incarnation, old);
+        self.incarnation = heartbeat.source.incarnation;
+        self.state = MemberState::Unproven;
+        self.state_since = now;
+        self.heartbeats = 0;
+        self.nonce = None;
+        self.replay_window = ReplayWindow::default();
+        self.intervals = HeartbeatIntervals::new(gossip_interval);
     }
 
-    /// Takes in a heartbeat of one of its lives; whether it was news.
-    pub fn beat(&mut self, beat: &Beat, now: Millis, interval: Millis) -> bool {
-        let heard = now - beat.age as f64;
-        let incarnation = beat.life.incarnation;
-        if incarnation > self.incarnation {
-            // A new life: what the old one has counted still matters.
-            let fresh = Known::new(beat.time, beat.version, heard);
-            let old = std::mem::replace(&mut self.now, fresh);
-            self.keep_former(self.incarnation, old);
-            self.incarnation = incarnation;
-            (self.state, self.since, self.beats) = (State::Unproven, now, 0);
-            (self.nonce, self.seen) = (None, (0, 0));
-            self.pauses = Pauses {
-                mean: 4.0 * interval,
-                seen: 1.0,
-            };
-            return true;
+    fn apply_former_heartbeat(&mut self, heartbeat: &Heartbeat, received_at: Millis) -> bool {
+        let number = heartbeat.source.incarnation;
+        if number <= self.forgotten_up_to {
+            return false;
         }
-        if incarnation < self.incarnation {
-            if incarnation <= self.over {
-                return false;
-            }
-            if let Some(known) = self.former.get_mut(&incarnation) {
-                return known.beat(beat, heard);
-            }
-            self.keep_former(incarnation, Known::new(beat.time, beat.version, heard));
-            return self.former.contains_key(&incarnation);
+        if let Some(former) = self.former.get_mut(&number) {
+            return former.apply_heartbeat(heartbeat, received_at);
         }
-        let (before, last) = (self.now.time, self.now.heard);
-        if !self.now.beat(beat, heard) {
+        self.keep_former(number, IncarnationState::new(heartbeat, received_at));
+        self.former.contains_key(&number)
+    }
+
+    fn apply_current_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        received_at: Millis,
+        now: Millis,
+        gossip_interval: Millis,
+    ) -> bool {
+        let last_uptime = self.current.uptime;
+        let last_heartbeat = self.current.last_heartbeat;
+        if !self.current.apply_heartbeat(heartbeat, received_at) {
             return false;
         }
-        if beat.time > before {
-            self.beats = self.beats.saturating_add(1);
-            if heard > last {
-                // What was silent for an outage says nothing of how its news usually comes.
-                self.pauses
-                    .add((heard - last).min(20.0 * self.pauses.mean.max(interval)));
+        if heartbeat.uptime > last_uptime {
+            self.heartbeats = self.heartbeats.saturating_add(1);
+            if received_at > last_heartbeat {
+                self.intervals
+                    .add(received_at - last_heartbeat, gossip_interval);
             }
-            if self.beats >= PROOF && self.state != State::Alive {
-                (self.state, self.since) = (State::Alive, now);
+            if self.heartbeats >= MIN_HEARTBEATS_ALIVE {
+                self.set_state(MemberState::Alive, now);
             }
         }
         true
     }
 
-    fn keep_former(&mut self, incarnation: u64, known: Known) {
-        self.former.insert(incarnation, known);
-        while self.former.len() > FORMER_KEPT {
+    fn keep_former(&mut self, number: u64, incarnation: IncarnationState) {
+        self.former.insert(number, incarnation);
+        while self.former.len() > MAX_FORMER_INCARNATIONS {
             if let Some((number, _)) = self.former.pop_first() {
-                self.over = self.over.max(number);
+                self.forgotten_up_to = self.forgotten_up_to.max(number);
             }
         }
     }
 
-    /// Forgets an earlier life for good; how many counts went with it.
-    pub fn forget_former(&mut self, incarnation: u64) -> usize {
-        self.over = self.over.max(incarnation);
+    /// Forgets an earlier incarnation for good, and returns how many counts were dropped.
+    pub fn forget_former(&mut self, number: u64) -> usize {
+        self.forgotten_up_to = self.forgotten_up_to.max(number);
         self.former
-            .remove(&incarnation)
-            .map_or(0, |known| known.replica.len())
+            .remove(&number)
+            .map_or(0, |former| former.replica.len())
     }
 
-    /// It has come itself, with an answer to what only this process could have told it: it is alive.
-    pub fn proven(&mut self, now: Millis) {
-        if self.state != State::Alive {
-            (self.state, self.since) = (State::Alive, now);
-        }
-        self.beats = self.beats.max(PROOF);
+    /// It has sent a datagram with the nonce of this process, so it is alive.
+    pub fn prove_alive(&mut self, now: Millis) {
+        self.set_state(MemberState::Alive, now);
+        self.heartbeats = self.heartbeats.max(MIN_HEARTBEATS_ALIVE);
     }
 
-    /// Whether a datagram of its present life with this number is new; it is not from then on (a window as in RFC 4303,
-    /// appendix A2).
-    pub fn is_new(&mut self, number: u64) -> bool {
-        let (top, bits) = self.seen;
-        if number > top {
-            let shift = number - top;
-            let moved = if shift < 64 { bits << shift } else { 0 };
-            self.seen = (number, moved | 1);
-            return true;
-        }
-        let back = top - number;
-        if back >= 64 || bits & (1 << back) != 0 {
-            return false;
-        }
-        self.seen = (top, bits | (1 << back));
-        true
+    /// Whether a datagram of its current incarnation with this number is new. It is not new from then on.
+    pub fn accept_number(&mut self, number: u64) -> bool {
+        self.replay_window.accept(number)
     }
 
-    /// How suspicious its silence is.
+    /// The suspicion level of its silence.
     pub fn phi(&self, now: Millis) -> f64 {
-        self.pauses.phi(now - self.now.heard)
+        self.intervals.phi(now - self.current.last_heartbeat)
     }
 
-    /// What is thought of it at this time.
-    pub fn judge(&mut self, now: Millis, suspect: f64, gone_after: Millis) {
-        let state = match self.state {
-            State::Alive if self.phi(now) > suspect => State::Suspected,
-            State::Suspected | State::Unproven if now - self.since > gone_after => State::Gone,
-            state => state,
-        };
-        if state != self.state {
-            (self.state, self.since) = (state, now);
-            if state == State::Gone {
-                self.beats = 0;
-            }
-        }
+    /// Whether it is alive or suspected: it has shown life and is still waited for.
+    pub fn is_present(&self) -> bool {
+        matches!(self.state, MemberState::Alive | MemberState::Suspected)
     }
-}
 
-impl Known {
-    /// Takes in later news of this life; whether it was later.
-    fn beat(&mut self, beat: &Beat, heard: Millis) -> bool {
-        let later =
-            beat.time > self.time || (beat.time == self.time && beat.version > self.version);
-        if later {
-            self.time = beat.time;
-            self.version = self.version.max(beat.version);
-            self.heard = self.heard.max(heard);
-            self.ahead = self.ahead.min(heard - beat.time as f64);
+    /// Updates its state by its silence: it is suspected from this suspicion level on, and gone after `gone_after` without a change.
+    pub fn update_state(&mut self, now: Millis, suspect_phi: f64, gone_after: Millis) {
+        let is_overdue = now - self.state_since > gone_after;
+        match self.state {
+            MemberState::Alive if self.phi(now) > suspect_phi => {
+                self.set_state(MemberState::Suspected, now);
+            }
+            MemberState::Suspected | MemberState::Unproven if is_overdue => {
+                self.set_state(MemberState::Gone, now);
+                self.heartbeats = 0;
+            }
+            _ => {}
         }
-        self.look_whether_complete();
-        later
     }
-}
 
-/// What a beat would say of a life.
-pub fn beat_of(door: DoorId, incarnation: u64, known: &Known, now: Millis) -> Beat {
-    let age = (now - known.heard).max(0.0) as u64;
-    Beat {
-        life: Life { door, incarnation },
-        time: known.time,
-        version: known.version,
-        age,
+    /// Sets the state, and since when unless it is the same.
+    fn set_state(&mut self, state: MemberState, now: Millis) {
+        if state != self.state {
+            self.state = state;
+            self.state_since = now;
+        }
     }
 }
--- /dev/null
+++ b/crates/shared-counts/src/node/anti_entropy.rs
@@ -0,0 +1,268 @@
+//! Anti-entropy: merging of received counts, and the exchange of what digests show to be missing.
+//!
+//! Invariant: a replica's complete version rises only by deltas that begin at or before it and were merged in full, so nothing is
+//! skipped whatever is lost, repeated or reordered.
+
+use super::gossip::MAX_MEMBERS_PER_DATAGRAM;
+use super::Node;
+use crate::random::shuffle;
+use crate::replica::{CapacityReached, Delta, Increase, VersionedCount};
+use crate::wire::{
+    count_bytes, DigestEntry, Kind, RejectReason, Section, Writer, USUAL_COUNTS_HEAD_BYTES,
+    USUAL_DIGEST_ENTRY_BYTES,
+};
+use crate::{DoorId, Life, TAIL};
+use maplefall_policy::Millis;
+use std::collections::VecDeque;
+
+/// The most datagrams in reply to one.
+const MAX_REPLY_DATAGRAMS: usize = 3;
+
+/// Counts that a peer is missing.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct MissingCounts {
+    source: Life,
+    /// The version up to which the peer has them.
+    after: u64,
+}
+
+/// What a datagram is replied with. No list is longer than the datagram had entries.
+#[derive(Debug, Default)]
+pub(super) struct Reply {
+    /// What the sender is missing.
+    missing: Vec<MissingCounts>,
+    /// What is missing here.
+    wanted: Vec<DigestEntry>,
+    /// Nodes that the sender may not know.
+    members: Vec<DoorId>,
+    /// Whether the sender has just started and is sent as many members as fit.
+    to_newcomer: bool,
+}
+
+impl Reply {
+    pub(super) fn new(to_newcomer: bool) -> Reply {
+        Reply {
+            to_newcomer,
+            ..Reply::default()
+        }
+    }
+
+    fn is_empty(&self) -> bool {
+        self.missing.is_empty()
+            && self.wanted.is_empty()
+            && self.members.is_empty()
+            && !self.to_newcomer
+    }
+}
+
+impl Node {
+    // ---- Digests ------------------------------------------------------------------------------------
+
+    /// Applies an entry of a digest: what is missing on either side goes into the reply.
+    pub(super) fn apply_digest_entry(
+        &mut self,
+        now: Millis,
+        entry: &DigestEntry,
+        reply: &mut Reply,
+    ) {
+        let Some(known_version) = self.compare_entry(now, entry, reply) else {
+            return;
+        };
+        if entry.known_version > known_version || known_version == 0 {
+            reply.wanted.push(DigestEntry {
+                known_version,
+                ..*entry
+            });
+        }
+    }
+
+    /// Applies a request for counts.
+    pub(super) fn apply_wanted_entry(
+        &mut self,
+        now: Millis,
+        entry: &DigestEntry,
+        reply: &mut Reply,
+    ) {
+        self.compare_entry(now, entry, reply);
+        // A peer without any counts of a node may not know the node either.
+        if entry.known_version == 0 {
+            reply.members.push(entry.heartbeat.source.door);
+        }
+    }
+
+    /// Applies the heartbeat of an entry, and notes counts that its sender is missing. Returns the version up to which the counts are
+    /// known here; `None` if the incarnation is forgotten.
+    fn compare_entry(
+        &mut self,
+        now: Millis,
+        entry: &DigestEntry,
+        reply: &mut Reply,
+    ) -> Option<u64> {
+        let heartbeat = &entry.heartbeat;
+        let source = heartbeat.source;
+        if source.door == self.id {
+            if source != self.life() || heartbeat.uptime > self.uptime(now) {
+                self.apply_own_heartbeat(now, heartbeat);
+            }
+        } else if let Some(peer) = self.peers.get_mut(&source.door) {
+            peer.apply_heartbeat(heartbeat, now, self.settings.interval);
+        } else {
+            return Some(0);
+        }
+        let known_version = self
+            .member(source.door)?
+            .incarnation(source.incarnation)?
+            .replica
+            .complete_version();
+        if known_version > entry.known_version {
+            reply.missing.push(MissingCounts {
+                source,
+                after: entry.known_version,
+            });
+        }
+        Some(known_version)
+    }
+
+    // ---- Merging ------------------------------------------------------------------------------------
+
+    /// Joins received counts of an incarnation.
+    pub(super) fn merge_counts(&mut self, now: Millis, source: Life, delta: &Delta) {
+        // No other node knows more of this incarnation than it does itself.
+        if source == self.life() {
+            return;
+        }
+        let max_counts = self.settings.most_counts;
+        let mut count_len = self.count_len;
+        let mut without_capacity = 0;
+        let mut increased: Vec<(VersionedCount, Increase)> = Vec::new();
+        let Some(incarnation) = self
+            .member_mut(source.door)
+            .and_then(|member| member.incarnation_mut(source.incarnation))
+        else {
+            return;
+        };
+        for received in &delta.counts {
+            let len_before = incarnation.replica.len();
+            match incarnation.replica.join(received, count_len < max_counts) {
+                Ok(Some(increase)) => increased.push((*received, increase)),
+                Ok(None) => {}
+                Err(CapacityReached) => without_capacity += 1,
+            }
+            count_len += incarnation.replica.len() - len_before;
+        }
+        if without_capacity == 0 && delta.up_to > 0 {
+            incarnation.replica.complete_up_to(delta.after, delta.up_to);
+        }
+        incarnation.update_complete_uptime();
+        self.count_len = count_len;
+        for _ in 0..without_capacity {
+            self.reject(RejectReason::NoRoom);
+        }
+        self.freshness = None;
+        let is_rumour = delta.up_to == 0;
+        for (received, increase) in increased {
+            self.report_increase(now, source, &received, increase, is_rumour);
+        }
+    }
+
+    /// Reports an increase as usage elsewhere, and forwards it if it came as a rumour.
+    fn report_increase(
+        &mut self,
+        now: Millis,
+        source: Life,
+        received: &VersionedCount,
+        increase: Increase,
+        is_rumour: bool,
+    ) {
+        let Increase { taken, returned } = increase;
+        if received.customer != TAIL {
+            self.remote_usage
+                .add(now, received.customer, taken, returned);
+        }
+        if is_rumour {
+            self.add_rumour(source, received.epoch, received.customer, taken + returned);
+        }
+    }
+
+    // ---- Replies ------------------------------------------------------------------------------------
+
+    /// Sends a peer what it is missing, and requests what is missing here.
+    pub(super) fn send_reply(&mut self, now: Millis, to: DoorId, reply: Reply) {
+        let Some(peer) = self.peers.get(&to) else {
+            return;
+        };
+        let (address, Some(echo)) = (peer.address, peer.nonce) else {
+            return;
+        };
+        if reply.is_empty() {
+            return;
+        }
+        let mut missing = reply.missing;
+        // A peer that is missing much of many nodes receives some of each in turn.
+        shuffle(&mut self.rng, &mut missing);
+        let mut missing = VecDeque::from(missing);
+        for index in 0..MAX_REPLY_DATAGRAMS {
+            let is_first = index == 0;
+            let mut writer = self.begin_datagram(now, Kind::Gossip, echo);
+            if is_first {
+                write_wanted(&mut writer, &reply.wanted);
+                self.write_requested_members(now, &mut writer, &reply.members);
+            } else if missing.is_empty() {
+                break;
+            }
+            self.write_missing_counts(&mut writer, &mut missing);
+            if is_first && reply.to_newcomer {
+                self.write_members(now, &mut writer, usize::MAX);
+            }
+            self.send(now, address, writer);
+        }
+    }
+
+    fn write_requested_members(&self, now: Millis, writer: &mut Writer, members: &[DoorId]) {
+        let members = members
+            .iter()
+            .take(MAX_MEMBERS_PER_DATAGRAM)
+            .filter_map(|id| self.peer_info(now, *id));
+        for member in members {
+            writer.add(&Section::Cards(vec![member]));
+        }
+    }
+
+    /// Fills what is left of a datagram with missing counts; what does not fit stays in the list.
+    fn write_missing_counts(&self, writer: &mut Writer, missing: &mut VecDeque<MissingCounts>) {
+        while let Some(MissingCounts { source, after }) = missing.pop_front() {
+            let incarnation = self
+                .member(source.door)
+                .and_then(|member| member.incarnation(source.incarnation));
+            let Some(incarnation) = incarnation else {
+                continue;
+            };
+            let replica = &incarnation.replica;
+            let mut remaining = writer.remaining().saturating_sub(USUAL_COUNTS_HEAD_BYTES);
+            let delta = replica.delta(after, |count| {
+                let bytes = count_bytes(count);
+                let fits = bytes <= remaining;
+                remaining = remaining.saturating_sub(bytes);
+                fits
+            });
+            let up_to = delta.up_to;
+            if up_to > after && writer.remaining() > USUAL_COUNTS_HEAD_BYTES {
+                writer.add(&Section::Counts(source, delta));
+            }
+            if up_to != replica.complete_version() {
+                missing.push_front(MissingCounts {
+                    source,
+                    after: up_to,
+                });
+                break;
+            }
+        }
+    }
+}
+
+/// Requests what is missing here, in at most half of a datagram.
+fn write_wanted(writer: &mut Writer, wanted: &[DigestEntry]) {
+    let max_entries = writer.remaining() / 2 / USUAL_DIGEST_ENTRY_BYTES;
+    let wanted = &wanted[..wanted.len().min(max_entries)];
+    writer.add(&Section::Want(wanted.to_vec()));
+}
--- /dev/null
+++ b/crates/shared-counts/src/node/facts.rs
@@ -0,0 +1,63 @@
+//! Usage at other nodes as it is passed to the policy, and how stale it may be.
+
+use super::Node;
+use crate::members::MemberState;
+use crate::{Customer, Fact};
+use maplefall_policy::Millis;
+
+/// How long the staleness of all counts is used before it is computed again.
+const FRESHNESS_TTL: Millis = 20.0;
+
+/// The staleness of the counts of all nodes that are alive.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Freshness {
+    computed_at: Millis,
+    /// All counts are complete up to this time.
+    as_of: Millis,
+    /// How many nodes are alive, this one included.
+    nodes: usize,
+}
+
+impl Node {
+    /// Usage of a customer at other nodes that no earlier fact has reported; `None` if there never was any.
+    pub fn fact(&mut self, now: Millis, customer: Customer) -> Option<Fact> {
+        let (as_of, _) = self.news(now);
+        let untracked = self.max_untracked_units();
+        self.remote_usage.report(now, customer, as_of, untracked)
+    }
+
+    /// The next customer with unreported usage at other nodes, and the usage.
+    pub fn poll_fact(&mut self, now: Millis) -> Option<(Customer, Fact)> {
+        let customer = self.remote_usage.next_unreported()?;
+        self.fact(now, customer).map(|fact| (customer, fact))
+    }
+
+    /// The time up to which the counts of all nodes that are alive are complete here, and how many nodes are alive, this one included.
+    pub fn news(&mut self, now: Millis) -> (Millis, usize) {
+        if let Some(known) = &self.freshness {
+            if now - known.computed_at < FRESHNESS_TTL {
+                return (known.as_of, known.nodes);
+            }
+        }
+        let mut freshness = Freshness {
+            computed_at: now,
+            as_of: now,
+            nodes: 1,
+        };
+        let alive = self
+            .peers
+            .values()
+            .filter(|member| member.state == MemberState::Alive);
+        for member in alive {
+            freshness.as_of = freshness.as_of.min(member.current.as_of());
+            freshness.nodes += 1;
+        }
+        self.freshness = Some(freshness);
+        (freshness.as_of, freshness.nodes)
+    }
+
+    /// Units that one customer may have used elsewhere without a count of its own, if all nodes are as full as this one.
+    pub(super) fn max_untracked_units(&self) -> f64 {
+        self.admission.max_untracked() as f64 / 1000.0 * self.peers.len() as f64
+    }
+}
--- /dev/null
+++ b/crates/shared-counts/src/node/report.rs
@@ -0,0 +1,131 @@
+//! The status for operators, and its transfer in parts.
+
+use super::Node;
+use crate::members::Member;
+use crate::status::{CustomerStatus, MemberStatus, Status};
+use crate::wire::{Head, Kind, RejectReason, Section, Writer, MOST_DATAGRAM};
+use crate::{whose, Customer, TAIL};
+use maplefall_policy::Millis;
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// The bytes of the status in one datagram.
+const STATUS_PART_BYTES: usize = 1000;
+/// How many customers a requested status has.
+const STATUS_CUSTOMERS: usize = 50;
+
+impl Node {
+    /// The status, with at most this many customers.
+    pub fn status(&mut self, now: Millis, max_customers: usize) -> Status {
+        self.freshness = None;
+        let (as_of, nodes) = self.news(now);
+        let mut totals = self.totals();
+        let tail = totals.remove(&TAIL).unwrap_or(0);
+        let stats = &self.stats;
+        Status {
+            name: self.local.name.clone(),
+            incarnation: self.local.incarnation,
+            nodes,
+            members: self
+                .peers
+                .values()
+                .map(|member| member_status(member, now))
+                .collect(),
+            customers: largest_customers(totals, max_customers),
+            tail_units: tail as f64 / 1000.0,
+            counts: self.count_len,
+            staleness_ms: (now - as_of).max(0.0).round(),
+            untracked_units: self.max_untracked_units(),
+            datagrams_in: stats.received.datagrams,
+            bytes_in: stats.received.bytes,
+            datagrams_out: stats.sent.datagrams,
+            bytes_out: stats.sent.bytes,
+            unsent: stats.unsent,
+            renamed: stats.renumbered,
+            refused: stats.rejected.clone(),
+        }
+    }
+
+    /// What each customer has used at all nodes in the epochs that are kept, in thousandths of a unit.
+    fn totals(&self) -> BTreeMap<Customer, i64> {
+        let mut totals = BTreeMap::new();
+        for (_, incarnation) in self.all_members().flat_map(Member::incarnations) {
+            for (_, customer, count) in incarnation.replica.counts() {
+                *totals.entry(customer).or_default() += count.net();
+            }
+        }
+        totals
+    }
+
+    /// Sends an operator a part of the status, once the request has the nonce of this process.
+    pub(super) fn answer_status_request(
+        &mut self,
+        now: Millis,
+        from: SocketAddr,
+        head: &Head,
+        sections: &[Section],
+    ) -> Result<(), RejectReason> {
+        if head.echo != self.nonce {
+            self.send_hello(now, from, head.nonce);
+            return Err(RejectReason::Unproven);
+        }
+        let part = sections
+            .iter()
+            .find_map(|section| match section {
+                Section::Part(part) => Some(*part as usize),
+                _ => None,
+            })
+            .ok_or(RejectReason::Absurd)?;
+        // All parts are of the status at the time of the first request.
+        if part == 0 {
+            let status = self.status(now, STATUS_CUSTOMERS);
+            self.requested_status = status.json().into_bytes();
+        }
+        let parts = self.requested_status.len().div_ceil(STATUS_PART_BYTES);
+        let text = self
+            .requested_status
+            .chunks(STATUS_PART_BYTES)
+            .nth(part)
+            .ok_or(RejectReason::Absurd)?
+            .to_vec();
+        let head = self.next_head(Kind::Told, head.nonce);
+        let mut writer = Writer::new(&self.seal, &head, MOST_DATAGRAM);
+        writer.add(&Section::Text(parts as u32, text));
+        self.send(now, from, writer);
+        Ok(())
+    }
+}
+
+fn member_status(member: &Member, now: Millis) -> MemberStatus {
+    let current = &member.current;
+    let staleness_ms = (now - current.as_of()).max(0.0).round();
+    MemberStatus {
+        name: member.name.clone(),
+        address: member.address,
+        state: member.state,
+        incarnation: member.incarnation,
+        former: member.former.len(),
+        heartbeat_age_ms: (now - current.last_heartbeat).max(0.0).round(),
+        staleness_ms: (current.complete_uptime > 0).then_some(staleness_ms),
+        counts: member.count_len(),
+    }
+}
+
+/// The customers that have used most, the largest first.
+fn largest_customers(totals: BTreeMap<Customer, i64>, max_customers: usize) -> Vec<CustomerStatus> {
+    let mut totals: Vec<(Customer, i64)> = totals.into_iter().collect();
+    totals.sort_by_key(|(quota, milli)| (Reverse(*milli), *quota));
+    totals
+        .into_iter()
+        .take(max_customers)
+        .map(|(quota, milli)| {
+            let (plan, customer) = whose(quota);
+            CustomerStatus {
+                customer,
+                plan,
+                units: milli as f64 / 1000.0,
+            }
+        })
+        .collect()
+}
--- a/crates/shared-counts/src/replica.rs
+++ b/crates/shared-counts/src/replica.rs
@@ -1,78 +1,88 @@
-//! What one life of one door has counted, as far as it is known here, and the deltas by which it is passed on.
+//! The counts of one incarnation of a node, as far as they are known here, and the deltas that bring them to others.
 //!
-//! Each change at the door gives its count the next version. Whoever holds a replica knows all versions up to
-//! [`Replica::known`] and may hold some later ones, so one number says what it lacks, and a delta in the order of versions
-//! can be cut anywhere (Scuttlebutt: van Renesse et al., "Efficient Reconciliation and Flow Control for Anti-Entropy
+//! Invariant: each change at the node gives its count the next version, and a replica has all versions up to
+//! [`Replica::complete_version`] and possibly some later ones. So one number says what a replica lacks, and a delta in the order of
+//! versions can be cut anywhere (Scuttlebutt: van Renesse et al., "Efficient Reconciliation and Flow Control for Anti-Entropy
 //! Protocols", 2008).
 
 use crate::{Count, Customer, Epoch};
 use std::collections::BTreeMap;
 
-/// A count with the version at which it last changed.
+/// A count with the version of its last change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Versioned {
-    /// When, in changes of its door.
+pub struct VersionedCount {
+    /// The version: the number of the change at its node.
     pub version: u64,
-    /// Of which stretch of its door's time.
+    /// The epoch of its node.
     pub epoch: Epoch,
-    /// Whose use.
+    /// The customer.
     pub customer: Customer,
-    /// How much.
+    /// The count.
     pub count: Count,
 }
 
-/// What changed here by something that was heard.
+/// How much a count has grown by a join, in thousandths of a unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Change {
-    /// More taken, in thousandths of a unit.
+pub struct Increase {
+    /// More taken.
     pub taken: u64,
     /// More returned.
     pub returned: u64,
 }
 
-/// Some of the counts of one life, in the order of their versions.
+/// Some counts of one incarnation, in the order of their versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// It holds every count whose version is after this ...
+    /// It has every count whose version is after this ...
     pub after: u64,
-    /// ... up to this; both are nought where it holds just some.
+    /// ... up to this. Both are 0 if it has only some counts.
     pub up_to: u64,
     /// The counts.
-    pub counts: Vec<Versioned>,
+    pub counts: Vec<VersionedCount>,
 }
 
-/// What is known of one life of one door.
+/// The counts of one incarnation of a node, as known here.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     counts: BTreeMap<(Epoch, Customer), (u64, Count)>,
-    order: BTreeMap<u64, (Epoch, Customer)>,
-    /// Everything up to this version is known, but for epochs that are over.
-    known: u64,
-    /// Epochs before this one are over.
-    first: Epoch,
+    by_version: BTreeMap<u64, (Epoch, Customer)>,
+    complete_version: u64,
+    /// Earlier epochs have expired.
+    first_epoch: Epoch,
 }
 
 impl Replica {
-    /// All changes up to this one are known.
-    pub fn known(&self) -> u64 {
-        self.known
+    /// The version up to which all changes are known, but for those of expired epochs.
+    pub fn complete_version(&self) -> u64 {
+        self.complete_version
     }
 
-    /// Counts held.
+    /// How many counts there are.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether there is no count.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// A count, if it is held.
+    /// The count of a customer in an epoch.
     pub fn get(&self, epoch: Epoch, customer: Customer) -> Option<Count> {
         self.counts.get(&(epoch, customer)).map(|(_, count)| *count)
     }
 
+    /// The count of a customer in an epoch, with its version.
+    pub fn get_versioned(&self, epoch: Epoch, customer: Customer) -> Option<VersionedCount> {
+        let (version, count) = *self.counts.get(&(epoch, customer))?;
+        Some(VersionedCount {
+            version,
+            epoch,
+            customer,
+            count,
+        })
+    }
+
     /// All counts, by epoch and customer.
     pub fn counts(&self) -> impl Iterator<Item = (Epoch, Customer, Count)> + '_ {
         self.counts
@@ -80,17 +90,16 @@
             .map(|((epoch, customer), (_, count))| (*epoch, *customer, *count))
     }
 
-    /// What a customer has used in all epochs that are held, in thousandths of a unit.
+    /// What a customer has used in all epochs that are kept, in thousandths of a unit.
     pub fn total(&self, customer: Customer) -> i64 {
-        let epochs = self.epochs();
-        epochs
+        self.epochs()
             .iter()
             .filter_map(|epoch| self.get(*epoch, customer))
             .map(Count::net)
             .sum()
     }
 
-    /// Epochs of which anything is held: there are few, so they are stepped through.
+    /// The epochs with counts. There are few, so the map is searched for each instead of iterated.
     fn epochs(&self) -> Vec<Epoch> {
         let mut epochs = Vec::new();
         let mut from = 0;
@@ -104,22 +113,27 @@
         epochs
     }
 
-    /// Counts a change at the door itself; `None` where the count has come to its width.
-    pub fn change(&mut self, epoch: Epoch, customer: Customer, milli: i64) -> Option<Versioned> {
-        self.known += 1;
-        let version = self.known;
-        let (old, count) = self
+    /// Counts a change at the node itself, in thousandths of a unit. Returns `None` if the count is at its largest value.
+    pub fn change(
+        &mut self,
+        epoch: Epoch,
+        customer: Customer,
+        milli: i64,
+    ) -> Option<VersionedCount> {
+        self.complete_version += 1;
+        let version = self.complete_version;
+        let (old_version, count) = self
             .counts
             .entry((epoch, customer))
             .or_insert((version, Count::default()));
-        let whole = count.add(milli);
+        let complete = count.add(milli);
         let count = *count;
-        if *old != version {
-            self.order.remove(old);
+        if *old_version != version {
+            self.by_version.remove(old_version);
         }
-        *old = version;
-        self.order.insert(version, (epoch, customer));
-        whole.then_some(Versioned {
+        *old_version = version;
+        self.by_version.insert(version, (epoch, customer));
+        complete.then_some(VersionedCount {
             version,
             epoch,
             customer,
@@ -127,93 +141,90 @@
         })
     }
 
-    /// Takes in one count that was heard; what it changed, or `None` where it is no news. A count that is new here needs
-    /// `room`.
-    pub fn join(&mut self, heard: &Versioned, room: bool) -> Result<Option<Change>, NoRoom> {
-        if heard.epoch < self.first {
+    /// Joins a count that was received. Returns its increase, or `None` if it is not newer than what is known.
+    ///
+    /// # Errors
+    /// [`CapacityReached`] if the count is new here and `has_capacity` is false.
+    pub fn join(
+        &mut self,
+        received: &VersionedCount,
+        has_capacity: bool,
+    ) -> Result<Option<Increase>, CapacityReached> {
+        if received.epoch < self.first_epoch {
             return Ok(None);
         }
-        let key = (heard.epoch, heard.customer);
-        let before = self.counts.get(&key).copied();
-        if before.is_some_and(|(version, _)| version >= heard.version) {
+        let key = (received.epoch, received.customer);
+        let known = self.counts.get(&key).copied();
+        if known.is_some_and(|(version, _)| version >= received.version) {
             return Ok(None);
         }
-        if before.is_none() && !room {
-            return Err(NoRoom);
+        if known.is_none() && !has_capacity {
+            return Err(CapacityReached);
         }
-        let (old, was) = before.unwrap_or_default();
-        let now = was.join(heard.count);
-        if before.is_some() {
-            self.order.remove(&old);
+        if let Some((old_version, _)) = known {
+            self.by_version.remove(&old_version);
         }
-        self.counts.insert(key, (heard.version, now));
-        self.order.insert(heard.version, key);
-        Ok(Some(Change {
-            taken: now.taken - was.taken,
-            returned: now.returned - was.returned,
+        let (_, before) = known.unwrap_or_default();
+        let joined = before.join(received.count);
+        self.counts.insert(key, (received.version, joined));
+        self.by_version.insert(received.version, key);
+        Ok(Some(Increase {
+            taken: joined.taken - before.taken,
+            returned: joined.returned - before.returned,
         }))
     }
 
-    /// Everything up to a version has been heard, by a delta that began at or before what was known.
-    pub fn heard_all(&mut self, after: u64, up_to: u64) {
-        if after <= self.known {
-            self.known = self.known.max(up_to);
+    /// Notes that a delta after one version and up to another was joined in full. It proves nothing if changes before it may be
+    /// missing.
+    pub fn complete_up_to(&mut self, after: u64, up_to: u64) {
+        if after <= self.complete_version {
+            self.complete_version = self.complete_version.max(up_to);
         }
     }
 
-    /// What somebody lacks who knows everything up to `after`, as long as `fits` takes it.
-    pub fn delta(&self, after: u64, mut fits: impl FnMut(&Versioned) -> bool) -> Delta {
+    /// What a replica lacks that is complete up to `after`, as long as `fits` accepts counts.
+    pub fn delta(&self, after: u64, mut fits: impl FnMut(&VersionedCount) -> bool) -> Delta {
         let mut delta = Delta {
             after,
             up_to: after,
             counts: Vec::new(),
         };
-        if after >= self.known {
+        if after >= self.complete_version {
             return delta;
         }
-        for (version, (epoch, customer)) in self.order.range(after + 1..=self.known) {
+        for (version, (epoch, customer)) in self.by_version.range(after + 1..=self.complete_version)
+        {
             let Some((_, count)) = self.counts.get(&(*epoch, *customer)) else {
                 continue;
             };
-            let told = Versioned {
+            let versioned = VersionedCount {
                 version: *version,
                 epoch: *epoch,
                 customer: *customer,
                 count: *count,
             };
-            if !fits(&told) {
+            if !fits(&versioned) {
                 return delta;
             }
             delta.up_to = *version;
-            delta.counts.push(told);
+            delta.counts.push(versioned);
         }
-        delta.up_to = self.known;
+        delta.up_to = self.complete_version;
         delta
     }
 
-    /// A count as it would be told.
-    pub fn told(&self, epoch: Epoch, customer: Customer) -> Option<Versioned> {
-        let (version, count) = *self.counts.get(&(epoch, customer))?;
-        Some(Versioned {
-            version,
-            epoch,
-            customer,
-            count,
-        })
-    }
-
-    /// Drops all epochs before this one; how many counts went.
-    pub fn forget_before(&mut self, first: Epoch) -> usize {
-        self.first = self.first.max(first);
-        let kept = self.counts.split_off(&(self.first, 0));
-        let gone = std::mem::replace(&mut self.counts, kept);
-        for (version, _) in gone.values() {
-            self.order.remove(version);
+    /// Drops all epochs before this one, and returns how many counts were dropped.
+    pub fn expire_before(&mut self, first_epoch: Epoch) -> usize {
+        self.first_epoch = self.first_epoch.max(first_epoch);
+        let kept = self.counts.split_off(&(self.first_epoch, 0));
+        let expired = std::mem::replace(&mut self.counts, kept);
+        for (version, _) in expired.values() {
+            self.by_version.remove(version);
         }
-        gone.len()
+        expired.len()
     }
 }
 
-/// A count was heard for which there is no room.
+/// A count was received that is new here, and there are as many counts as there may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoRoom;
+pub struct CapacityReached;
--- a/crates/shared-counts/src/settings.rs
+++ b/crates/shared-counts/src/settings.rs
@@ -1,51 +1,56 @@
-//! What an operator may set of shared counts.
+//! What an operator may set of shared counts, and its validation.
 
 use maplefall_policy::Millis;
 
-/// How counts are shared. [`Settings::mistakes`] tells what cannot be used.
+/// How counts are shared. The defaults are those of [`Settings::usual`]; [`Settings::mistakes`] validates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The cluster's name: datagrams of others change nothing.
+    /// The cluster's name: datagrams of other clusters are rejected.
     pub cluster: String,
-    /// The key that all doors of the cluster share.
+    /// The secret key that all nodes of the cluster share.
     pub key: Vec<u8>,
-    /// Time between two rounds of gossip.
+    /// The mean time between two gossip rounds, 200 ms by default.
     pub interval: Millis,
-    /// Peers that are told in each round.
+    /// How many peers are sent to in each round, 3 by default.
     pub fan_out: usize,
-    /// Length of an epoch.
+    /// The length of an epoch, 5 s by default.
     pub epoch: Millis,
-    /// Epochs that are kept, the present one with them.
+    /// How many epochs are kept, the current one included, 4 by default.
     pub epochs_kept: u32,
-    /// Bytes of a datagram at most.
+    /// The most bytes of a datagram that is sent, 1200 by default.
     pub datagram: usize,
-    /// Datagrams that are taken in a second, and sent in a second, at most.
+    /// The most datagrams that are received per second, and sent per second, 2000 by default.
     pub most_per_second: f64,
-    /// Doors at most, this one with them.
+    /// The most nodes, this one included, 512 by default.
     pub most_members: usize,
-    /// Customers with a count of their own, for each epoch of this door.
+    /// The most customers with a count of their own in an epoch of this node, 1024 by default.
     pub most_told: usize,
-    /// Counts of all doors and epochs that are held at most.
+    /// The most counts, over all nodes and epochs, 65,536 by default.
     pub most_counts: usize,
-    /// Suspicion (phi) from which on a silent door is suspected.
+    /// The suspicion level (phi) from which on a silent node is suspected, 8 by default.
     pub suspect: f64,
-    /// How long a door stays suspected before it is taken for gone.
+    /// How long a node is suspected before it is gone, 10 s by default.
     pub gone_after: Millis,
-    /// How long a door that is gone is remembered, and called now and then.
+    /// How long a node that is gone is remembered and sent to now and then, 10 minutes by default.
     pub forget_after: Millis,
 }
 
-/// A figure that cannot be used.
+/// A value that is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
-    /// The field.
+    /// The field in the settings file.
     pub field: &'static str,
-    /// What was expected there.
+    /// What is allowed there.
     pub expected: String,
 }
 
-/// Bytes of a datagram for each line of its digest, with what stands beside the digest.
-const BYTES_A_LINE: f64 = 44.0;
+/// Bytes of a datagram per entry of its digest, the other sections included.
+const BYTES_PER_DIGEST_ENTRY: f64 = 44.0;
+
+/// The longest name of a cluster.
+const MAX_CLUSTER_NAME_BYTES: usize = 64;
+/// The lengths of a key.
+const KEY_BYTES: std::ops::RangeInclusive<usize> = 16..=64;
 
 impl Settings {
     /// The defaults, for a cluster and a key.
@@ -68,56 +73,56 @@
         }
     }
 
-    /// How long a count is kept at least, from its last change on.
-    pub fn horizon(&self) -> Millis {
+    /// How long a count is kept at least after its last change.
+    pub fn retention(&self) -> Millis {
         self.epoch * f64::from(self.epochs_kept.saturating_sub(1))
     }
 
-    /// How old news is at most, in milliseconds, while all of so many doors are up, this part of the datagrams is lost and
-    /// none takes longer than `delay`: four times the rounds that a rumour takes through all doors, and the rounds in which all
-    /// are told of once.
-    pub fn news_bound(&self, doors: usize, loss: f64, delay: Millis) -> Millis {
-        let (doors, kept) = (doors.max(2) as f64, (1.0 - loss).clamp(0.01, 1.0));
-        let lines = self.datagram as f64 / BYTES_A_LINE;
-        let rounds = doors.ln() / (1.0 + self.fan_out as f64 * kept).ln() + doors / lines;
-        4.0 * self.interval * rounds / kept + 2.0 * delay * doors.log2()
+    /// The bound on the staleness of counts, in milliseconds, while all of so many nodes run, this part of the datagrams is lost and
+    /// none takes longer than `delay`: four times the rounds in which a rumour reaches all nodes, and the rounds in which digests
+    /// have named all nodes once.
+    pub fn max_staleness(&self, nodes: usize, loss: f64, delay: Millis) -> Millis {
+        let (nodes, delivered) = (nodes.max(2) as f64, (1.0 - loss).clamp(0.01, 1.0));
+        let entries = self.datagram as f64 / BYTES_PER_DIGEST_ENTRY;
+        let rounds = nodes.ln() / (1.0 + self.fan_out as f64 * delivered).ln() + nodes / entries;
+        4.0 * self.interval * rounds / delivered + 2.0 * delay * nodes.log2()
     }
 
-    /// All that cannot be used.
+    /// All values that are not allowed.
     pub fn mistakes(&self) -> Vec<Mistake> {
         let mut found = Vec::new();
-        let mut within = |field, value: f64, least: f64, most: f64| {
-            if !(least..=most).contains(&value) {
+        let mut check_range = |field, value: f64, min: f64, max: f64| {
+            if !(min..=max).contains(&value) {
                 found.push(Mistake {
                     field,
-                    expected: format!("a number from {least} to {most}"),
+                    expected: format!("a number from {min} to {max}"),
                 });
             }
         };
-        within("interval_ms", self.interval, 20.0, 10_000.0);
-        within("fan_out", self.fan_out as f64, 1.0, 16.0);
-        within("epoch_ms", self.epoch, 500.0, 600_000.0);
-        within("epochs_kept", f64::from(self.epochs_kept), 2.0, 16.0);
-        within(
+        check_range("interval_ms", self.interval, 20.0, 10_000.0);
+        check_range("fan_out", self.fan_out as f64, 1.0, 16.0);
+        check_range("epoch_ms", self.epoch, 500.0, 600_000.0);
+        check_range("epochs_kept", f64::from(self.epochs_kept), 2.0, 16.0);
+        check_range(
             "datagram_bytes",
             self.datagram as f64,
             512.0,
             crate::wire::MOST_DATAGRAM as f64,
         );
-        within("most_per_second", self.most_per_second, 10.0, 100_000.0);
-        within("most_members", self.most_members as f64, 2.0, 1024.0);
-        within("most_told", self.most_told as f64, 1.0, 65_536.0);
-        within("most_counts", self.most_counts as f64, 1024.0, 4_194_304.0);
-        within("suspect_phi", self.suspect, 1.0, 16.0);
-        within("gone_after_ms", self.gone_after, 100.0, 600_000.0);
-        within("forget_after_ms", self.forget_after, 1000.0, 86_400_000.0);
-        if self.cluster.is_empty() || self.cluster.len() > 64 {
+        check_range("most_per_second", self.most_per_second, 10.0, 100_000.0);
+        check_range("most_members", self.most_members as f64, 2.0, 1024.0);
+        check_range("most_told", self.most_told as f64, 1.0, 65_536.0);
+        check_range("most_counts", self.most_counts as f64, 1024.0, 4_194_304.0);
+        check_range("suspect_phi", self.suspect, 1.0, 16.0);
+        check_range("gone_after_ms", self.gone_after, 100.0, 600_000.0);
+        check_range("forget_after_ms", self.forget_after, 1000.0, 86_400_000.0);
+        if self.cluster.is_empty() || self.cluster.len() > MAX_CLUSTER_NAME_BYTES {
             found.push(Mistake {
                 field: "cluster",
                 expected: "a name of 1 to 64 bytes".to_owned(),
             });
         }
-        if self.key.len() < 16 || self.key.len() > 64 {
+        if !KEY_BYTES.contains(&self.key.len()) {
             found.push(Mistake {
                 field: "key",
                 expected: "32 to 128 hexadecimal digits".to_owned(),
--- a/crates/shared-counts/src/status.rs
+++ b/crates/shared-counts/src/status.rs
@@ -1,87 +1,94 @@
-//! What operators are shown of shared counts (`maplefall counts`).
+//! What operators are shown of shared counts (`maplefall counts`). The JSON field names and the text are read by their tools.
 
-use crate::members::State;
-use crate::wire::Refused;
+use crate::members::MemberState;
+use crate::wire::RejectReason;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// A door as another one sees it.
+/// A node as another one sees it.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct MemberStatus {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// What is thought of it.
-    pub state: State,
-    /// The number of its life.
+    pub state: MemberState,
+    /// The number of its current incarnation.
     pub incarnation: u64,
-    /// Earlier lives of it whose counts are still held.
+    /// How many earlier incarnations of it are kept.
     pub former: usize,
-    /// How long ago it was heard of, in milliseconds.
-    pub news_ms: f64,
-    /// How far back its counts are complete, in milliseconds; none before they were complete once.
-    pub complete_ms: Option<f64>,
-    /// Counts of it that are held.
+    /// The age of its last heartbeat, in milliseconds.
+    #[serde(rename = "news_ms")]
+    pub heartbeat_age_ms: f64,
+    /// How long ago its counts were complete here, in milliseconds; none if they never were.
+    #[serde(rename = "complete_ms")]
+    pub staleness_ms: Option<f64>,
+    /// How many counts of it there are.
     pub counts: usize,
 }
 
-/// What a customer has used, over all doors and the epochs that are kept.
+/// What a customer has used, over all nodes and the epochs that are kept.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
-pub struct UseStatus {
-    /// Whose use.
+pub struct CustomerStatus {
+    /// The customer.
     pub customer: u64,
-    /// By which plan, by its number in the settings.
+    /// Its plan, by the number in the settings.
     pub plan: u16,
     /// Units.
     pub units: f64,
 }
 
-/// All that is shown.
+/// The status of a node.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Status {
-    /// The door that was asked.
+    /// Its name.
     pub name: String,
-    /// The number of its life.
+    /// The number of its current incarnation.
     pub incarnation: u64,
-    /// Doors that are heard of, the one asked with them.
-    pub doors: usize,
-    /// The others.
+    /// How many nodes are alive, this one included.
+    #[serde(rename = "doors")]
+    pub nodes: usize,
+    /// The other nodes.
     pub members: Vec<MemberStatus>,
-    /// The largest customers.
-    pub customers: Vec<UseStatus>,
-    /// Units of all that have no count of their own.
+    /// The customers that have used most.
+    pub customers: Vec<CustomerStatus>,
+    /// Units of all customers without a count of their own.
     pub tail_units: f64,
-    /// Counts that are held.
+    /// How many counts there are.
     pub counts: usize,
-    /// How old the oldest news is among the doors that are heard of, in milliseconds.
-    pub behind_ms: f64,
-    /// Units that one customer may have used elsewhere without being told, if all doors are as full as this one.
-    pub untold_units: f64,
-    /// Datagrams and bytes in and out since the start.
+    /// The staleness of the counts of the nodes that are alive, in milliseconds.
+    #[serde(rename = "behind_ms")]
+    pub staleness_ms: f64,
+    /// Units that one customer may have used elsewhere without a count of its own, if all nodes are as full as this one.
+    #[serde(rename = "untold_units")]
+    pub untracked_units: f64,
+    /// Datagrams received since the start.
     pub datagrams_in: u64,
-    /// See above.
+    /// Bytes received since the start.
     pub bytes_in: u64,
-    /// See above.
+    /// Datagrams sent since the start.
     pub datagrams_out: u64,
-    /// See above.
+    /// Bytes sent since the start.
     pub bytes_out: u64,
-    /// Datagrams that were not sent for want of budget.
-    pub held_back: u64,
-    /// Times that another life of the same name was met.
+    /// Datagrams that were not sent because of the rate limit or a full queue.
+    #[serde(rename = "held_back")]
+    pub unsent: u64,
+    /// How often this node took a new incarnation number because another process had its name.
     pub renamed: u64,
-    /// What changed nothing, by reason.
-    pub refused: BTreeMap<Refused, u64>,
+    /// Rejected datagrams and parts of them, by reason.
+    pub refused: BTreeMap<RejectReason, u64>,
 }
 
 impl Status {
-    /// One line of JSON. Nothing in it can fail to be written.
+    /// One line of JSON.
     pub fn json(&self) -> String {
+        // No field can fail to be written.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// As a person reads it.
+    /// Text for a terminal.
     pub fn plain(&self) -> String {
         plain_status(self)
     }
@@ -93,7 +100,7 @@
     let _ = writeln!(
         text,
         "{}: {} doors heard of, {} counts, oldest news {} ms, untold at most {:.1} units a customer",
-        status.name, status.doors, status.counts, status.behind_ms, status.untold_units
+        status.name, status.nodes, status.counts, status.staleness_ms, status.untracked_units
     );
     let _ = writeln!(
         text,
@@ -101,21 +108,21 @@
         "door", "address", "state", "news ms", "complete ms", "counts"
     );
     for member in &status.members {
-        let complete = member
-            .complete_ms
+        let staleness = member
+            .staleness_ms
             .map_or("-".to_owned(), |ms| format!("{ms}"));
         let state = format!("{:?}", member.state).to_lowercase();
         let _ = writeln!(
             text,
             "{:<20} {:<22} {:<10} {:>9} {:>12} {:>7}",
-            member.name, member.address, state, member.news_ms, complete, member.counts
+            member.name, member.address, state, member.heartbeat_age_ms, staleness, member.counts
         );
     }
-    for one in &status.customers {
+    for customer in &status.customers {
         let _ = writeln!(
             text,
             "customer {:<20} plan {:<4} {:>12.3} units",
-            one.customer, one.plan, one.units
+            customer.customer, customer.plan, customer.units
         );
     }
     if status.tail_units != 0.0 {
--- /dev/null
+++ b/crates/shared-counts/tests/faults.rs
@@ -0,0 +1,606 @@
+//! The faults that shared counts have to survive, each injected.
+
+mod simulation;
+use maplefall_shared_counts::members::MemberState;
+use maplefall_shared_counts::wire::RejectReason;
+use maplefall_shared_counts::{Settings, TAIL};
+use rand_core::RngCore;
+use simulation::*;
+
+/// Usage of eight customers at all nodes that run, for this long and at this interval, in milliseconds.
+fn run_traffic(simulation: &mut Simulation, duration: f64, interval: f64) {
+    let end = simulation.now + duration;
+    while simulation.now < end {
+        let at = (simulation.rng.next_u32() as usize) % simulation.nodes.len();
+        if simulation.nodes[at].node.is_some() {
+            let customer = 1 + u64::from(simulation.rng.next_u32() % 8);
+            let units = 0.5 + 8.0 * uniform(&mut simulation.rng);
+            simulation.used(at, customer, units);
+            if uniform(&mut simulation.rng) < 0.3 {
+                // The response had fewer units than estimated.
+                simulation.used(at, customer, -units * 0.4);
+            }
+        }
+        simulation.run(interval);
+    }
+}
+
+/// Guards against loss of 30%, duplicates and reordering: totals never exceed the usage, and are equal once it is quiet.
+#[test]
+fn totals_never_exceed_usage_and_become_equal() {
+    for seed in 0..6 {
+        let mut simulation = Simulation::new(10, settings(), LOSSY, seed);
+        simulation.run_until_met(20_000.0);
+        for _ in 0..10 {
+            run_traffic(&mut simulation, 500.0, 10.0);
+            simulation.assert_never_over_truth();
+        }
+        let took = simulation.run_until_equal(20_000.0);
+        println!("equal after {took} ms");
+    }
+}
+
+/// Guards against delays far longer than gossip rounds.
+#[test]
+fn delays_of_seconds_only_make_counts_late() {
+    let slow = Link {
+        loss: 0.1,
+        duplicated: 0.2,
+        delay: (1000.0, 5000.0),
+    };
+    let mut simulation = Simulation::new(5, settings(), slow, 3);
+    simulation.run_until_met(90_000.0);
+    run_traffic(&mut simulation, 5000.0, 20.0);
+    simulation.assert_never_over_truth();
+    simulation.run_until_equal(90_000.0);
+}
+
+/// Guards a node that returns from a long partition: nothing is counted twice, and it receives what it missed.
+#[test]
+fn a_node_back_from_a_partition_is_counted_once() {
+    let mut simulation = Simulation::new(6, settings(), RELIABLE, 1);
+    simulation.run_until_met(10_000.0);
+    run_traffic(&mut simulation, 1000.0, 10.0);
+    for other in 0..5 {
+        simulation.blocked.extend([(5, other), (other, 5)]);
+    }
+    run_traffic(&mut simulation, 40_000.0, 100.0);
+    assert_eq!(simulation.alive(0), 4, "the silent node is not waited for");
+    assert!(simulation.check_equal().is_err());
+    simulation.assert_never_over_truth();
+    simulation.blocked.clear();
+    simulation.run_until_met(20_000.0);
+    simulation.run_until_equal(10_000.0);
+}
+
+/// Guards restarts: a node loses its counts and receives them from the others, as usage elsewhere.
+#[test]
+fn a_restarted_node_receives_the_counts_of_its_earlier_incarnation() {
+    let mut simulation = Simulation::new(4, settings(), RELIABLE, 1);
+    simulation.run_until_met(10_000.0);
+    simulation.used(2, 9, 100.0);
+    simulation.run_until_equal(10_000.0);
+    simulation.start(2);
+    assert_eq!(simulation.node(2).total(9), 0);
+    simulation.run_until_equal(20_000.0);
+    let now = simulation.clock(2);
+    let fact = simulation.node(2).fact(now, 9).expect("usage was received");
+    assert_eq!(fact.units, 100.0);
+    assert_eq!(
+        simulation.node(2).fact(now, 9).map(|fact| fact.units),
+        Some(0.0),
+        "reported once"
+    );
+    simulation.used(2, 9, 7.0);
+    simulation.run_until_equal(10_000.0);
+    // The others have the counts of both incarnations.
+    let id = simulation.id(2);
+    assert_eq!(simulation.node(0).total_of(id, 9), 107_000);
+}
+
+/// Guards against a date that went back: the new incarnation takes a number above the earlier one's, and no count of either is lost or
+/// mistaken for the other's.
+#[test]
+fn an_incarnation_with_a_smaller_number_than_an_earlier_one_takes_a_larger() {
+    let mut simulation = Simulation::new(4, settings(), RELIABLE, 1);
+    simulation.nodes[3].date_offset = 3_600_000;
+    simulation.start(3);
+    simulation.run_until_met(10_000.0);
+    simulation.used(3, 9, 100.0);
+    simulation.run_until_equal(10_000.0);
+    simulation.nodes[3].date_offset = 0;
+    simulation.start(3);
+    simulation.used(3, 9, 5.0);
+    simulation.run_until_equal(30_000.0);
+    assert_eq!(simulation.node(3).stats.renumbered, 1);
+    assert_eq!(simulation.node(0).total(9), 105_000);
+    simulation.used(3, 9, 1.0);
+    simulation.run_until_equal(10_000.0);
+}
+
+/// Guards against two processes with the same name: they do not renumber each other for ever.
+#[test]
+fn two_nodes_with_the_same_name_renumber_a_bounded_number_of_times() {
+    let mut simulation = Simulation::new(4, settings(), RELIABLE, 1);
+    simulation.nodes[3].name = "d2".to_owned();
+    simulation.nodes[3].date_offset = 5;
+    simulation.start(3);
+    simulation.run(20_000.0);
+    let renumbered = simulation.node(2).stats.renumbered + simulation.node(3).stats.renumbered;
+    assert!((1..=4).contains(&renumbered), "{renumbered}");
+}
+
+/// Guards against a partition of a minute, in which a third of the usage is in epochs that expire.
+#[test]
+fn a_partition_heals() {
+    let mut simulation = Simulation::new(8, settings(), RELIABLE, 2);
+    simulation.run_until_met(10_000.0);
+    for left in 0..4 {
+        for right in 4..8 {
+            simulation.blocked.extend([(left, right), (right, left)]);
+        }
+    }
+    run_traffic(&mut simulation, 60_000.0, 50.0);
+    simulation.assert_never_over_truth();
+    assert_eq!((simulation.alive(0), simulation.alive(7)), (3, 3));
+    let now = simulation.clock(0);
+    assert_eq!(
+        simulation.node(0).news(now).1,
+        4,
+        "only nodes that are alive are reported"
+    );
+    simulation.blocked.clear();
+    simulation.run_until_met(30_000.0);
+    simulation.run_until_equal(10_000.0);
+}
+
+/// Guards against links that work one way: heartbeats arrive through others, and no node is suspected.
+#[test]
+fn one_way_links_make_no_node_suspected() {
+    let mut simulation = Simulation::new(6, settings(), RELIABLE, 4);
+    simulation.run_until_met(10_000.0);
+    simulation.blocked.extend([(0, 1), (2, 3), (3, 4), (5, 0)]);
+    for _ in 0..20 {
+        run_traffic(&mut simulation, 1000.0, 50.0);
+        assert!((0..6).all(|at| simulation.alive(at) == 5));
+    }
+    simulation.run_until_equal(10_000.0);
+}
+
+/// Guards a node that receives nothing while others count a flood: afterwards it receives all of it, once.
+#[test]
+fn a_node_far_behind_catches_up() {
+    let mut simulation = Simulation::new(5, settings(), RELIABLE, 5);
+    simulation.run_until_met(10_000.0);
+    for other in 0..4 {
+        simulation.blocked.insert((other, 4));
+    }
+    for _ in 0..2000 {
+        simulation.used(1, 7, 8.0);
+        let customer = 1000 + u64::from(simulation.rng.next_u32() % 400);
+        simulation.used(2, customer, 1.0);
+    }
+    simulation.run(5000.0);
+    let now = simulation.clock(4);
+    let staleness = now - simulation.node(4).news(now).0;
+    assert!(
+        staleness > 4000.0 || simulation.node(4).news(now).1 == 1,
+        "its counts are known to be stale: {staleness} ms"
+    );
+    simulation.blocked.clear();
+    simulation.run_until_equal(20_000.0);
+    let now = simulation.clock(4);
+    assert_eq!(
+        simulation.node(4).fact(now, 7).map(|fact| fact.units),
+        Some(16_000.0)
+    );
+}
+
+/// Guards epochs that end while datagrams are in flight, at each node at another time.
+#[test]
+fn epochs_end_while_datagrams_are_in_flight() {
+    let settings = Settings {
+        epoch: 1000.0,
+        epochs_kept: 3,
+        ..settings()
+    };
+    let mut simulation = Simulation::new(6, settings, LOSSY, 6);
+    simulation.run_until_met(20_000.0);
+    for _ in 0..40 {
+        run_traffic(&mut simulation, 250.0, 10.0);
+        simulation.assert_never_over_truth();
+    }
+    simulation.run(10_000.0);
+    for at in 0..6 {
+        assert_eq!(
+            simulation.node(at).counts(),
+            0,
+            "all epochs have expired at node {at}"
+        );
+        assert_eq!(simulation.node(at).total(1), 0);
+    }
+}
+
+/// Guards a hundred nodes that start at the same time, with two of them as seeds.
+#[test]
+fn a_hundred_nodes_start_together() {
+    let mut simulation = Simulation::new(100, settings(), RELIABLE, 7);
+    let took = simulation.run_until_met(60_000.0);
+    println!("all have met after {took} ms");
+    let unsent: u64 = (0..100).map(|at| simulation.node(at).stats.unsent).sum();
+    assert_eq!(unsent, 0, "no node reaches its rate limit");
+    run_traffic(&mut simulation, 1000.0, 10.0);
+    println!("equal after {} ms", simulation.run_until_equal(20_000.0));
+}
+
+/// Guards against a hundred thousand customers with a single use: the table stays within its bound, returning customers get a count, and
+/// nothing is lost from the total.
+#[test]
+fn customers_with_a_single_use_do_not_fill_the_table() {
+    let settings = Settings {
+        most_told: 256,
+        ..settings()
+    };
+    let mut simulation = Simulation::new(2, settings, RELIABLE, 8);
+    simulation.run_until_met(10_000.0);
+    let mut all = 0;
+    for customer in 0..100_000u64 {
+        let now = simulation.clock(0);
+        simulation.node(0).used(now, 1_000_000 + customer, 1.0);
+        all += 1000;
+        // This customer begins after thousands of others that use less.
+        if customer >= 50_000 && customer % 50 == 0 {
+            simulation.node(0).used(now, 42, 8.0);
+            all += 8000;
+        }
+    }
+    let node = simulation.node(0);
+    assert!(node.counts() <= 257, "{}", node.counts());
+    let counted = node.total(42);
+    assert!(
+        counted >= 8_000_000 - 512_000,
+        "of 8,000 units of a heavy customer {counted} thousandths are counted"
+    );
+    let sum: i64 = (0..100_000u64)
+        .map(|customer| node.total(1_000_000 + customer))
+        .sum();
+    assert_eq!(
+        sum + counted + node.total(TAIL),
+        all,
+        "the tail has what has no count of its own"
+    );
+}
+
+/// Guards the largest value of a count: it stays there, and that is counted.
+#[test]
+fn a_count_stays_at_its_largest_value() {
+    let mut simulation = Simulation::new(2, settings(), RELIABLE, 9);
+    simulation.run_until_met(10_000.0);
+    for _ in 0..3 {
+        let now = simulation.clock(0);
+        simulation.node(0).used(now, 5, 1e300);
+        simulation.node(0).used(now, 5, -1e300);
+        simulation.node(0).used(now, 6, 6e11);
+    }
+    simulation.run(5000.0);
+    assert!(simulation.node(0).stats.saturated >= 6);
+    assert_eq!(simulation.node(0).total(5), 0);
+    let (here, there) = (simulation.node(0).total(6), simulation.node(1).total(6));
+    assert_eq!((here, there), (1 << 50, 1 << 50));
+    let now = simulation.clock(0);
+    simulation.node(0).used(now, 7, f64::NAN);
+    simulation.node(0).used(now, 7, f64::INFINITY);
+    assert_eq!(simulation.node(0).total(7), 0);
+}
+
+/// Guards against replayed datagrams, at once or later, to any node and to a later incarnation: they change nothing.
+#[test]
+fn replays_change_nothing() {
+    let mut simulation = Simulation::new(3, settings(), RELIABLE, 10);
+    simulation.run_until_met(10_000.0);
+    run_traffic(&mut simulation, 1000.0, 10.0);
+    simulation.run_until_equal(10_000.0);
+    let recorded = std::mem::take(&mut simulation.recorded);
+    let before: Vec<_> = (0..3)
+        .map(|at| {
+            (1..9)
+                .map(|c| simulation.node(at).total(c))
+                .collect::<Vec<_>>()
+        })
+        .collect();
+    for (from, to, bytes) in &recorded {
+        simulation.deliver(*from, *to, bytes);
+        simulation.deliver(*from, (*to + 1) % 3, bytes);
+    }
+    let after: Vec<_> = (0..3)
+        .map(|at| {
+            (1..9)
+                .map(|c| simulation.node(at).total(c))
+                .collect::<Vec<_>>()
+        })
+        .collect();
+    assert_eq!(before, after);
+    let rejected = &simulation.node(1).stats.rejected;
+    assert!(
+        rejected[&RejectReason::Repeated] > 0 && rejected[&RejectReason::Unproven] > 0,
+        "{rejected:?}"
+    );
+    // A later incarnation of the receiver has another nonce.
+    simulation.start(1);
+    for (from, to, bytes) in recorded.iter().filter(|(_, to, _)| *to == 1) {
+        let now = simulation.clock(1);
+        simulation.node(1).receive(now, address(*from), bytes);
+        assert_eq!(*to, 1);
+    }
+    assert_eq!(
+        simulation.alive(1),
+        0,
+        "datagrams to an earlier incarnation make no node known"
+    );
+    assert_eq!(simulation.node(1).counts(), 0);
+}
+
+/// Guards against replayed datagrams of a node that has stopped: it does not stay alive.
+#[test]
+fn a_stopped_node_is_not_kept_alive_by_replays() {
+    let mut simulation = Simulation::new(3, settings(), RELIABLE, 13);
+    simulation.run_until_met(10_000.0);
+    simulation.run(2000.0);
+    simulation.stop(2);
+    let recorded: Vec<_> = simulation
+        .recorded
+        .iter()
+        .filter(|(from, to, _)| (*from, *to) == (2, 0))
+        .cloned()
+        .collect();
+    assert!(recorded.len() > 10);
+    for _ in 0..40 {
+        simulation.run(500.0);
+        for (from, to, bytes) in &recorded {
+            simulation.deliver(*from, *to, bytes);
+        }
+    }
+    assert_eq!(simulation.alive(0), 1);
+}
+
+/// Guards against a node that restarts again and again: the others keep no more than two earlier incarnations.
+#[test]
+fn a_node_that_restarts_often_leaves_a_bounded_number_of_incarnations() {
+    let mut simulation = Simulation::new(3, settings(), RELIABLE, 14);
+    for _ in 0..8 {
+        simulation.run_until_met(20_000.0);
+        simulation.used(2, 5, 1.0);
+        simulation.run(2000.0);
+        simulation.start(2);
+    }
+    simulation.run_until_met(20_000.0);
+    let now = simulation.clock(0);
+    let max_former = simulation
+        .node(0)
+        .status(now, 5)
+        .members
+        .iter()
+        .map(|member| member.former)
+        .max();
+    assert_eq!(max_former, Some(2));
+    assert!(simulation.node(0).total(5) <= 8000);
+}
+
+/// Guards against datagrams of another cluster, key or version, truncated or changed: each is counted by its reason and changes nothing.
+#[test]
+fn foreign_forged_and_truncated_datagrams_are_rejected() {
+    let mut simulation = Simulation::new(2, settings(), RELIABLE, 11);
+    simulation.run_until_met(10_000.0);
+    simulation.used(0, 5, 3.0);
+    simulation.run_until_equal(10_000.0);
+    let (from, to, valid) = simulation
+        .recorded
+        .last()
+        .cloned()
+        .expect("a datagram was sent");
+    let counts = simulation.node(to).counts();
+    let reject_reason = |simulation: &mut Simulation, bytes: &[u8]| {
+        let before = simulation.node(to).stats.rejected.clone();
+        let now = simulation.clock(to);
+        simulation.node(to).receive(now, address(from), bytes);
+        let after = simulation.node(to).stats.rejected.clone();
+        after
+            .into_iter()
+            .find(|(reason, count)| before.get(reason).copied().unwrap_or(0) < *count)
+            .map(|(reason, _)| reason)
+    };
+    assert_eq!(reject_reason(&mut simulation, &[]), Some(RejectReason::Cut));
+    assert_eq!(
+        reject_reason(&mut simulation, &valid[..5]),
+        Some(RejectReason::Cut)
+    );
+    assert_eq!(
+        reject_reason(&mut simulation, &valid[..valid.len() - 1]),
+        Some(RejectReason::Forged)
+    );
+    assert_eq!(
+        reject_reason(&mut simulation, &vec![0; 1500]),
+        Some(RejectReason::TooLong)
+    );
+    assert_eq!(
+        reject_reason(&mut simulation, b"GET / HTTP/1.1"),
+        Some(RejectReason::Foreign)
+    );
+    let mut changed = valid.clone();
+    changed[4] = 2;
+    assert_eq!(
+        reject_reason(&mut simulation, &changed),
+        Some(RejectReason::OtherVersion)
+    );
+    for at in 14..valid.len() {
+        let mut changed = valid.clone();
+        changed[at] ^= 0x10;
+        assert_eq!(
+            reject_reason(&mut simulation, &changed),
+            Some(RejectReason::Forged),
+            "byte {at}"
+        );
+    }
+    let mut other = Simulation::new(
+        1,
+        Settings {
+            cluster: "cuenca".to_owned(),
+            ..settings()
+        },
+        RELIABLE,
+        1,
+    );
+    other.nodes[0]
+        .node
+        .as_mut()
+        .expect("the node runs")
+        .tick(1e9);
+    let foreign = other.node(0).poll().map(|output| output.bytes);
+    assert_eq!(
+        foreign.and_then(|bytes| reject_reason(&mut simulation, &bytes)),
+        Some(RejectReason::OtherCluster)
+    );
+    assert_eq!(simulation.node(to).counts(), counts);
+    let text = simulation.node(to).status(0.0, 5).plain();
+    assert!(
+        text.contains("Forged") && text.contains("OtherCluster"),
+        "{text}"
+    );
+}
+
+/// Guards against a node with the key that invents a thousand others: the bound on nodes holds, and those without heartbeats are
+/// forgotten.
+#[test]
+fn invented_nodes_stay_within_the_bound_and_are_forgotten() {
+    use maplefall_shared_counts::members::Heartbeat;
+    use maplefall_shared_counts::wire::{Head, Kind, MemberInfo, Seal, Section, Writer};
+    use maplefall_shared_counts::{DoorId, Life};
+    let settings = Settings {
+        most_members: 64,
+        gone_after: 5000.0,
+        forget_after: 5000.0,
+        ..settings()
+    };
+    let mut simulation = Simulation::new(3, settings.clone(), RELIABLE, 12);
+    simulation.run_until_met(10_000.0);
+    let seal = Seal::new(&settings.cluster, &settings.key);
+    // Node 2 sends the false datagrams: it has the nonce of node 0, which node 0 gives to all that it contacts.
+    let (from, _, bytes) = simulation
+        .recorded
+        .iter()
+        .rev()
+        .find(|(from, to, _)| (*from, *to) == (0, 2))
+        .cloned()
+        .expect("node 0 has contacted node 2");
+    assert_eq!(from, 0);
+    let (head, _) = maplefall_shared_counts::wire::read(&seal, &bytes).expect("it is valid");
+    let sender = simulation.node(2).life();
+    let date = sender.incarnation;
+    // A node whose last heartbeat is an hour old is gone at every node.
+    let source = Life {
+        door: DoorId::of("z"),
+        incarnation: date,
+    };
+    let heartbeat = Heartbeat {
+        source,
+        uptime: 1,
+        version: 0,
+        age: 3_600_000,
+    };
+    let mut writer = Writer::new(
+        &seal,
+        &Head {
+            kind: Kind::Gossip,
+            from: sender,
+            number: 900_000,
+            nonce: 77,
+            echo: head.nonce,
+        },
+        1200,
+    );
+    assert!(writer.add(&Section::Cards(vec![MemberInfo {
+        heartbeat,
+        address: address(9),
+        name: "z".to_owned()
+    }])));
+    let bytes = writer.seal(&seal);
+    simulation.deliver(2, 0, &bytes);
+    assert!(simulation
+        .node(0)
+        .members()
+        .all(|member| member.name != "z"));
+    for index in 0..1000u64 {
+        let name = format!("x{index}");
+        let source = Life {
+            door: DoorId::of(&name),
+            incarnation: date,
+        };
+        let heartbeat = Heartbeat {
+            source,
+            uptime: 1,
+            version: 0,
+            age: 0,
+        };
+        let head = Head {
+            kind: Kind::Gossip,
+            from: sender,
+            number: 1_000_000 + index,
+            nonce: 77,
+            echo: head.nonce,
+        };
+        let mut writer = Writer::new(&seal, &head, 1200);
+        assert!(writer.add(&Section::Cards(vec![MemberInfo {
+            heartbeat,
+            address: address(9),
+            name
+        }])));
+        let bytes = writer.seal(&seal);
+        simulation.deliver(2, 0, &bytes);
+    }
+    assert_eq!(simulation.node(0).members().count(), 63);
+    assert!(simulation.node(0).stats.rejected[&RejectReason::NoMember] > 900);
+    assert_eq!(
+        simulation.alive(0),
+        2,
+        "no node is alive without heartbeats"
+    );
+    // An impossible one: an incarnation of the day after tomorrow.
+    let source = Life {
+        door: DoorId::of("y"),
+        incarnation: date + 2 * 86_400_000,
+    };
+    let heartbeat = Heartbeat {
+        source,
+        uptime: 1,
+        version: 0,
+        age: 0,
+    };
+    let head = Head {
+        kind: Kind::Gossip,
+        from: sender,
+        number: 2_000_000,
+        nonce: 77,
+        echo: head.nonce,
+    };
+    let mut writer = Writer::new(&seal, &head, 1200);
+    assert!(writer.add(&Section::Cards(vec![MemberInfo {
+        heartbeat,
+        address: address(9),
+        name: "y".to_owned()
+    }])));
+    let bytes = writer.seal(&seal);
+    simulation.deliver(2, 0, &bytes);
+    assert_eq!(simulation.node(0).stats.rejected[&RejectReason::Absurd], 1);
+    // Others may have received some and forward them; each has no heartbeats and is forgotten for good.
+    simulation.run(60_000.0);
+    let states: Vec<MemberState> = simulation
+        .node(0)
+        .members()
+        .map(|member| member.state)
+        .collect();
+    assert_eq!(
+        states,
+        [MemberState::Alive; 2],
+        "the invented nodes are forgotten"
+    );
+}
