--- a/crates/shared-counts/benches/worth.rs
+++ b/crates/shared-counts/benches/worth.rs
@@ -1,90 +1,103 @@
-//! What shared counts are worth: the same traffic through the decision module of every door, with news of the others by gossip,
-//! without any, and with news that is always new. `cargo bench -p maplefall-shared-counts --bench worth`; some seconds.
+//! The benefit of shared counts: the same traffic through the policy of every node, with counts of the others by gossip, without any,
+//! and with counts that are never late. `cargo bench -p maplefall-shared-counts --bench worth`; a minute or two.
 //!
-//! Backends serve everything, so what is refused is refused for quotas alone. A store for each customer that sees all doors
-//! tells which refusals and which uses were right.
+//! Backends serve everything, so a request is only rejected because of its quota. A token bucket for each customer that sees the requests
+//! of all nodes decides which rejections and which admissions were right.
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
 
 use maplefall_policy::*;
-use maplefall_shared_counts::Settings as Sharing;
+use maplefall_shared_counts::{Fact, Settings as SharedCountsSettings};
 use simulation::*;
 use std::collections::BTreeMap;
 
 const CUSTOMERS: usize = 60;
-const SECONDS: f64 = 40.0;
+const BACKENDS: u32 = 10;
+const MAX_ATTEMPTS: u32 = 3;
+/// The simulated time of a run.
+const RUN_MS: f64 = 40_000.0;
+/// The time between two steps of a run.
+const STEP_MS: f64 = 10.0;
+/// The latency of every backend.
+const LATENCY_MS: f64 = 80.0;
+/// The time that a client waits.
+const DEADLINE_MS: f64 = 2500.0;
+/// The mean units of a request.
+const MEAN_UNITS: f64 = 3.0;
+/// The seeds of the runs of each row.
+const SEEDS: std::ops::Range<u64> = 0..2;
 
+/// How nodes know of usage elsewhere.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
     Without,
     Gossip,
+    /// Every use is known everywhere at once.
     Perfect,
 }
 
+/// Units of one run.
 #[derive(Default)]
-struct Sum {
-    /// Units that one door which sees all would let in, those let in here within quotas, and those beyond.
-    sold: f64,
-    within: f64,
-    beyond: f64,
+struct Totals {
+    /// What one node that sees all requests would admit.
+    ideal: f64,
+    /// What was admitted within quotas.
+    within_quota: f64,
+    /// What was admitted beyond quotas.
+    beyond_quota: f64,
 }
 
+/// The quota of one customer over all nodes.
 #[derive(Clone, Copy)]
-struct Store {
-    left: f64,
-    t: f64,
+struct TokenBucket {
+    tokens: f64,
+    updated_at: f64,
 }
 
-impl Store {
-    /// Whether it holds so many units now.
-    fn holds(&mut self, now: f64, plan: &Plan, units: f64) -> bool {
-        self.left = (self.left + plan.rate * (now - self.t) / 1000.0).min(plan.burst);
-        self.t = now;
-        self.left >= units
+impl TokenBucket {
+    /// Refills the bucket; whether it has this many units now.
+    fn has_units(&mut self, now: f64, plan: &Plan, units: f64) -> bool {
+        let refill = plan.rate * (now - self.updated_at) / 1000.0;
+        self.tokens = (self.tokens + refill).min(plan.burst);
+        self.updated_at = now;
+        self.tokens >= units
     }
 }
 
 fn main() {
     println!(
-        "of what one door that sees all would let in: doors, loss, news, refused %, let in beyond quotas %"
+        "of what one node that sees all requests would admit: nodes, loss, counts, rejected %, admitted beyond quotas %"
     );
-    for (doors, loss) in [(4, 0.01), (20, 0.01), (20, 0.3), (100, 0.01)] {
+    for (nodes, loss) in [(4, 0.01), (20, 0.01), (20, 0.3), (100, 0.01)] {
         for (name, mode) in [
             ("without", Mode::Without),
             ("gossip", Mode::Gossip),
             ("perfect", Mode::Perfect),
         ] {
-            let mut rows = Vec::new();
-            for seed in 0..2 {
-                let sum = play(doors, loss, mode, seed);
-                rows.push((
-                    100.0 * (1.0 - sum.within / sum.sold),
-                    100.0 * sum.beyond / sum.sold,
-                ));
-            }
-            let show = |of: fn(&(f64, f64)) -> f64| {
-                let list: Vec<f64> = rows.iter().map(of).collect();
-                let mean = list.iter().sum::<f64>() / list.len() as f64;
-                let span = list
-                    .iter()
-                    .fold(0.0f64, |most, one| most.max((one - mean).abs()));
-                format!("{mean:.1} +-{span:.1}")
-            };
-            println!(
-                "{doors:>5} {loss:>5} {name:>8} {:>14} {:>14}",
-                show(|row| row.0),
-                show(|row| row.1)
-            );
+            let runs: Vec<Totals> = SEEDS.map(|seed| run(nodes, loss, mode, seed)).collect();
+            let rejected = percentages(&runs, |run| 1.0 - run.within_quota / run.ideal);
+            let beyond = percentages(&runs, |run| run.beyond_quota / run.ideal);
+            println!("{nodes:>5} {loss:>5} {name:>8} {rejected:>14} {beyond:>14}");
         }
     }
 }
 
+/// The mean of a part over the runs, and the greatest distance from it, in percent.
+fn percentages(runs: &[Totals], part: fn(&Totals) -> f64) -> String {
+    let percentages: Vec<f64> = runs.iter().map(|run| 100.0 * part(run)).collect();
+    let mean = percentages.iter().sum::<f64>() / percentages.len() as f64;
+    let distance = percentages
+        .iter()
+        .fold(0.0f64, |max, percentage| max.max((percentage - mean).abs()));
+    format!("{mean:.1} +-{distance:.1}")
+}
+
 fn plan_of(customer: usize) -> usize {
     customer % 3
 }
 
-/// How much of its quota a customer asks for: most well under it, some all, some several times.
+/// The part of its quota that a customer requests: most well under it, some all, some several times.
 fn demand(customer: usize) -> f64 {
     match customer % 10 {
         0..=5 => 0.35,
@@ -93,43 +106,35 @@
     }
 }
 
-fn play(doors: usize, loss: f64, mode: Mode, seed: u64) -> Sum {
+fn plans() -> Vec<Plan> {
+    let plan = |rate: f64, burst_seconds: f64| Plan {
+        rate,
+        burst: rate * burst_seconds,
+        ..Plan::default()
+    };
+    vec![plan(2.0, 5.0), plan(10.0, 2.0), plan(30.0, 2.0)]
+}
+
+fn policy_settings(nodes: usize) -> Settings {
     let class = Class {
         aim: 600.0,
-        deadline: 2500.0,
+        deadline: DEADLINE_MS,
         effect: Effect::Safe,
         ..Class::default()
     };
-    let plan = |rate: f64, span: f64| Plan {
-        rate,
-        burst: rate * span,
-        ..Plan::default()
-    };
-    let plans = vec![plan(2.0, 5.0), plan(10.0, 2.0), plan(30.0, 2.0)];
-    let set = Settings {
-        gateways: doors as u32,
+    Settings {
+        gateways: nodes as u32,
         tick: 2.0,
         classes: vec![class],
-        plans: plans.clone(),
+        plans: plans(),
         max_units: 8.0,
-        max_attempts: 3,
+        max_attempts: MAX_ATTEMPTS,
         ..Settings::default()
-    };
-    let link = Link {
-        loss,
-        duplicated: 0.0,
-        delay: (0.5, 20.0),
-    };
-    let sharing = Sharing {
-        most_members: 1024,
-        ..Sharing::usual("quito", vec![7; 32])
-    };
-    let mut simulation = Simulation::new(doors, sharing, link, seed);
-    if mode == Mode::Gossip {
-        simulation.run_until_met(120_000.0);
     }
-    let start = simulation.now;
-    let entry = |id| BackendEntry {
+}
+
+fn backends() -> Vec<BackendEntry> {
+    let backend = |id| BackendEntry {
         id: BackendId(id),
         zone: ZoneId(0),
         cell: CellId(0),
@@ -137,158 +142,232 @@
         started: None,
         size: 1.0,
     };
-    let list: Vec<BackendEntry> = (0..10).map(entry).collect();
-    let mut actions = Vec::new();
-    let mut gateways: Vec<Gateway> = (0..doors)
-        .map(|at| {
-            let mut gateway = Gateway::new(set.clone(), seed * 1000 + at as u64);
-            gateway.handle(
-                simulation.clock(at),
-                Event::Backends(ListKind::Full, list.clone()),
-                &mut actions,
-            );
-            gateway
-        })
-        .collect();
-    let mut stores: Vec<Store> = (0..CUSTOMERS)
-        .map(|c| Store {
-            left: plans[plan_of(c)].burst,
-            t: start,
-        })
-        .collect();
-    let mut oracle = stores.clone();
-    // Answers that are due: a request's door, number and backend.
-    let mut due: BTreeMap<(u64, u32), (usize, BackendId)> = BTreeMap::new();
-    let (mut sum, mut number) = (Sum::default(), 0u32);
-    while simulation.now - start < SECONDS * 1000.0 {
-        simulation.run(10.0);
+    (0..BACKENDS).map(backend).collect()
+}
+
+/// A run of the nodes and their policies.
+struct Run {
+    mode: Mode,
+    nodes: usize,
+    simulation: Simulation,
+    plans: Vec<Plan>,
+    gateways: Vec<Gateway>,
+    actions: Vec<Action>,
+    /// The quota of each customer, less what the nodes have admitted within it.
+    quotas: Vec<TokenBucket>,
+    /// The quota of each customer, less what one node that sees all requests would admit.
+    ideal_quotas: Vec<TokenBucket>,
+    /// The responses of backends, by their time and request: the node and the backend.
+    responses: BTreeMap<(u64, u32), (usize, BackendId)>,
+    last_request: u32,
+    totals: Totals,
+}
+
+fn run(nodes: usize, loss: f64, mode: Mode, seed: u64) -> Totals {
+    let mut run = Run::new(nodes, loss, mode, seed);
+    let started_at = run.simulation.now;
+    while run.simulation.now - started_at < RUN_MS {
+        run.simulation.run(STEP_MS);
         if mode == Mode::Gossip {
-            for (door, gateway) in gateways.iter_mut().enumerate() {
-                let now = simulation.clock(door);
-                while let Some((customer, fact)) = simulation.node(door).poll_fact(now) {
-                    let heard = simulation.node(door).news(now).1 as f64 / doors as f64;
-                    let (units, as_of, error) = (fact.units, fact.as_of, fact.error);
-                    let (whose, plan) = (CustomerId(customer), PlanId(plan_of(customer as usize)));
-                    let told = Elsewhere {
-                        customer: whose,
-                        plan,
-                        units,
-                        as_of,
-                        error,
-                        heard,
-                    };
-                    gateway.handle(now, Event::Elsewhere(told), &mut actions);
-                }
+            run.pass_facts();
+        }
+        run.deliver_responses();
+        for customer in 0..CUSTOMERS {
+            run.maybe_request(customer);
+        }
+    }
+    run.totals
+}
+
+impl Run {
+    fn new(nodes: usize, loss: f64, mode: Mode, seed: u64) -> Run {
+        let link = Link {
+            loss,
+            duplicated: 0.0,
+            delay: (0.5, 20.0),
+        };
+        let settings = SharedCountsSettings {
+            most_members: 1024,
+            ..SharedCountsSettings::usual("quito", vec![7; 32])
+        };
+        let mut simulation = Simulation::new(nodes, settings, link, seed);
+        if mode == Mode::Gossip {
+            simulation.run_until_met(120_000.0);
+        }
+        let mut actions = Vec::new();
+        let policy_settings = policy_settings(nodes);
+        let gateways = (0..nodes)
+            .map(|node| {
+                let mut gateway = Gateway::new(policy_settings.clone(), seed * 1000 + node as u64);
+                let event = Event::Backends(ListKind::Full, backends());
+                gateway.handle(simulation.clock(node), event, &mut actions);
+                gateway
+            })
+            .collect();
+        let plans = plans();
+        let quotas: Vec<TokenBucket> = (0..CUSTOMERS)
+            .map(|customer| TokenBucket {
+                tokens: plans[plan_of(customer)].burst,
+                updated_at: simulation.now,
+            })
+            .collect();
+        Run {
+            mode,
+            nodes,
+            simulation,
+            plans,
+            gateways,
+            actions,
+            ideal_quotas: quotas.clone(),
+            quotas,
+            responses: BTreeMap::new(),
+            last_request: 0,
+            totals: Totals::default(),
+        }
+    }
+
+    /// Passes the usage that each node has received from others to its policy.
+    fn pass_facts(&mut self) {
+        for node in 0..self.nodes {
+            let now = self.simulation.clock(node);
+            while let Some((customer, fact)) = self.simulation.node(node).poll_fact(now) {
+                self.pass_fact(now, node, customer as usize, fact);
             }
         }
-        while let Some((&(at, id), _)) = due
-            .first_key_value()
-            .filter(|((at, _), _)| *at as f64 <= simulation.now)
-        {
-            let (door, backend) = due.remove(&(at, id)).expect("it was there");
+    }
+
+    fn pass_fact(&mut self, now: f64, node: usize, customer: usize, fact: Fact) {
+        let alive = self.simulation.node(node).news(now).1;
+        let event = usage_elsewhere(customer, fact, alive as f64 / self.nodes as f64);
+        self.gateways[node].handle(now, event, &mut self.actions);
+    }
+
+    fn deliver_responses(&mut self) {
+        while let Some((&(due, request), &(node, backend))) = self.responses.first_key_value() {
+            if due as f64 > self.simulation.now {
+                return;
+            }
+            self.responses.remove(&(due, request));
             let settled = Settled {
-                request: RequestId(id),
+                request: RequestId(request),
                 attempt: 0,
                 backend,
                 outcome: Outcome::Ok,
-                elapsed: 80.0,
+                elapsed: LATENCY_MS,
                 closed: true,
                 use_of_quota: None,
                 true_units: None,
                 report: Report::default(),
                 broken: 0,
             };
-            gateways[door].handle(
-                simulation.clock(door),
-                Event::Settled(settled),
-                &mut actions,
-            );
-            actions.clear();
+            let now = self.simulation.clock(node);
+            self.gateways[node].handle(now, Event::Settled(settled), &mut self.actions);
+            self.actions.clear();
         }
-        for customer in 0..CUSTOMERS {
-            let plan = &plans[plan_of(customer)];
-            // Requests of 3 units on average, drawn for each hundredth of a second.
-            let rate = plan.rate * demand(customer) / 3.0;
-            if uniform(&mut simulation.rng) >= rate * 0.01 {
-                continue;
-            }
-            let units = 1.0 + (5.0 * uniform(&mut simulation.rng)).floor();
-            // A few doors are busier than the others.
-            let door = (uniform(&mut simulation.rng).powf(1.5) * doors as f64) as usize;
-            let room = stores[customer].holds(simulation.now, plan, units);
-            if oracle[customer].holds(simulation.now, plan, units) {
-                oracle[customer].left -= units;
-                sum.sold += units;
-            }
-            let now = simulation.clock(door);
-            let told = |units, as_of, error, heard| {
-                let (customer, plan) = (CustomerId(customer as u64), PlanId(plan_of(customer)));
-                Event::Elsewhere(Elsewhere {
-                    customer,
-                    plan,
-                    units,
-                    as_of,
-                    error,
-                    heard,
-                })
-            };
-            match mode {
-                Mode::Without => {}
-                Mode::Gossip => {
-                    if let Some(fact) = simulation.node(door).fact(now, customer as u64) {
-                        let heard = simulation.node(door).news(now).1 as f64 / doors as f64;
-                        let event = told(fact.units, fact.as_of, fact.error, heard);
-                        gateways[door].handle(now, event, &mut actions);
-                    }
+    }
+
+    /// Draws whether a customer sends a request in this step, and sends it to some node.
+    fn maybe_request(&mut self, customer: usize) {
+        let plan = &self.plans[plan_of(customer)];
+        let requests_per_second = plan.rate * demand(customer) / MEAN_UNITS;
+        if uniform(&mut self.simulation.rng) >= requests_per_second * 0.01 {
+            return;
+        }
+        let units = 1.0 + (5.0 * uniform(&mut self.simulation.rng)).floor();
+        // Some nodes are busier than others.
+        let position = uniform(&mut self.simulation.rng).powf(1.5);
+        let node = (position * self.nodes as f64) as usize;
+        let is_within_quota = self.quotas[customer].has_units(self.simulation.now, plan, units);
+        if self.ideal_quotas[customer].has_units(self.simulation.now, plan, units) {
+            self.ideal_quotas[customer].tokens -= units;
+            self.totals.ideal += units;
+        }
+        self.pass_usage_before_request(node, customer);
+        let Some(backend) = self.send_request(node, customer, units) else {
+            return;
+        };
+        if is_within_quota {
+            self.totals.within_quota += units;
+            self.quotas[customer].tokens -= units;
+        } else {
+            self.totals.beyond_quota += units;
+        }
+        let due = (self.simulation.now + LATENCY_MS) as u64;
+        self.responses
+            .insert((due, self.last_request), (node, backend));
+        self.share_usage(node, customer, units);
+    }
+
+    fn pass_usage_before_request(&mut self, node: usize, customer: usize) {
+        let now = self.simulation.clock(node);
+        match self.mode {
+            Mode::Without => {}
+            Mode::Gossip => {
+                if let Some(fact) = self.simulation.node(node).fact(now, customer as u64) {
+                    self.pass_fact(now, node, customer, fact);
                 }
-                Mode::Perfect => gateways[door].handle(now, told(0.0, now, 0.0, 1.0), &mut actions),
             }
-            number += 1;
-            let request = Request {
-                id: RequestId(number),
-                customer: CustomerId(customer as u64),
-                plan: PlanId(plan_of(customer)),
-                class: ClassId(0),
-                units,
-                deadline: now + 2500.0,
-                checked: true,
-                spread: doors as f64,
-            };
-            actions.clear();
-            gateways[door].handle(now, Event::Arrival(request), &mut actions);
-            let sent = actions.iter().find_map(|action| match action {
-                Action::Send { backend, .. } => Some(*backend),
-                _ => None,
-            });
-            let Some(backend) = sent else { continue };
-            if room {
-                sum.within += units;
-                stores[customer].left -= units;
-            } else {
-                sum.beyond += units;
+            Mode::Perfect => {
+                let event = usage_elsewhere(customer, current_fact(now, 0.0), 1.0);
+                self.gateways[node].handle(now, event, &mut self.actions);
             }
-            due.insert(((simulation.now + 80.0) as u64, number), (door, backend));
-            match mode {
-                Mode::Without => {}
-                Mode::Gossip => simulation.used(door, customer as u64, units),
-                Mode::Perfect => {
-                    for other in (0..doors).filter(|other| *other != door) {
-                        let now = simulation.clock(other);
-                        let (customer, plan) =
-                            (CustomerId(customer as u64), PlanId(plan_of(customer)));
-                        let told = Elsewhere {
-                            customer,
-                            plan,
-                            units,
-                            as_of: now,
-                            error: 0.0,
-                            heard: 1.0,
-                        };
-                        gateways[other].handle(now, Event::Elsewhere(told), &mut actions);
-                    }
+        }
+    }
+
+    /// Sends a request to a node; the backend that the node chooses, `None` if the request is rejected.
+    fn send_request(&mut self, node: usize, customer: usize, units: f64) -> Option<BackendId> {
+        let now = self.simulation.clock(node);
+        self.last_request += 1;
+        let request = Request {
+            id: RequestId(self.last_request),
+            customer: CustomerId(customer as u64),
+            plan: PlanId(plan_of(customer)),
+            class: ClassId(0),
+            units,
+            deadline: now + DEADLINE_MS,
+            checked: true,
+            spread: self.nodes as f64,
+        };
+        self.actions.clear();
+        self.gateways[node].handle(now, Event::Arrival(request), &mut self.actions);
+        self.actions.iter().find_map(|action| match action {
+            Action::Send { backend, .. } => Some(*backend),
+            _ => None,
+        })
+    }
+
+    /// Makes a use at one node known to the others.
+    fn share_usage(&mut self, node: usize, customer: usize, units: f64) {
+        match self.mode {
+            Mode::Without => {}
+            Mode::Gossip => self.simulation.used(node, customer as u64, units),
+            Mode::Perfect => {
+                for other in (0..self.nodes).filter(|other| *other != node) {
+                    let now = self.simulation.clock(other);
+                    let event = usage_elsewhere(customer, current_fact(now, units), 1.0);
+                    self.gateways[other].handle(now, event, &mut self.actions);
                 }
             }
         }
     }
-    sum
+}
+
+/// A fact without delay or error.
+fn current_fact(now: f64, units: f64) -> Fact {
+    Fact {
+        units,
+        as_of: now,
+        error: 0.0,
+    }
+}
+
+fn usage_elsewhere(customer: usize, fact: Fact, alive_part: f64) -> Event {
+    Event::Elsewhere(Elsewhere {
+        customer: CustomerId(customer as u64),
+        plan: PlanId(plan_of(customer)),
+        units: fact.units,
+        as_of: fact.as_of,
+        error: fact.error,
+        heard: alive_part,
+    })
 }
