--- a/crates/membership/examples/churn.rs
+++ b/crates/membership/examples/churn.rs
@@ -1,5 +1,5 @@
-//! What a change costs: `cargo run --release -p maplefall-membership --example churn`. So many nodes of two sources, then a
-//! flood of changes to one node after the other; prints the time for each, by the number of nodes: it must hardly grow.
+//! The cost of a change: `cargo run --release -p maplefall-membership --example churn`. Two sources with the same nodes, then changes of
+//! one node after the other; prints the time per change by the number of nodes, which must hardly grow.
 
 use maplefall_membership::{Event, Roster, SourceSettings};
 use maplefall_protocol::{Health, Member, Members};
@@ -10,7 +10,7 @@
 fn main() {
     println!(
         "{:>6} {:>12} {:>14}",
-        "nodes", "us a change", "ms whole list"
+        "nodes", "us a change", "ms a snapshot"
     );
     for nodes in [50u64, 500, 5_000, 20_000] {
         let node = |i: u64, health| Member {
@@ -29,7 +29,7 @@
             SourceSettings::trusted("etcd"),
         ]);
         let hosts: Vec<Member> = (0..nodes).map(|i| node(i, Health::Up)).collect();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for source in 0..2 {
             let members = Members {
                 seq: 1,
@@ -45,9 +45,9 @@
                 },
             );
         }
-        let whole = begun.elapsed().as_secs_f64() * 1e3 / 2.0;
-        let begun = Instant::now();
-        let mut told = 0;
+        let snapshot = started_at.elapsed().as_secs_f64() * 1e3 / 2.0;
+        let started_at = Instant::now();
+        let mut changes = 0;
         for i in 0..CHANGES {
             let health = if (i / nodes) % 2 == 0 {
                 Health::Draining
@@ -59,13 +59,13 @@
                 whole: false,
                 hosts: vec![node(i % nodes, health)],
             };
-            told += roster
+            changes += roster
                 .take(0.0, Event::Change { source: 1, members })
                 .changes
                 .len();
         }
-        let each = begun.elapsed().as_secs_f64() * 1e6 / CHANGES as f64;
-        assert!(told > 0, "nothing was told");
-        println!("{nodes:>6} {each:>12.2} {whole:>14.2}");
+        let per_change = started_at.elapsed().as_secs_f64() * 1e6 / CHANGES as f64;
+        assert!(changes > 0, "no change was returned");
+        println!("{nodes:>6} {per_change:>12.2} {snapshot:>14.2}");
     }
 }
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -1,28 +1,28 @@
-//! What passes between a roster and whoever feeds it: settings and events in, changes and reports out.
+//! Settings and events that a roster takes, and the changes and reports that it returns.
 
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
 
-/// Nodes that a roster holds at most; further ones are reported and left out.
+/// The most nodes of one source; further ones are reported and left out.
 pub const MOST_NODES: usize = 20_000;
 
-/// How a source is treated.
+/// Settings of a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceSettings {
-    /// What it is called in reports.
+    /// Its name in reports.
     pub name: String,
-    /// Whether its drains and removals win over what others say. One that is not may only add nodes.
+    /// Whether its drains and removals win over other sources. A source without authority may only add nodes.
     pub authoritative: bool,
-    /// Part of its nodes that a whole list of it may lack and be believed at once; 1 believes all.
+    /// The part of its nodes that a snapshot may lack and be believed at once; 1 believes all.
     pub believed_part: f64,
-    /// How long missing nodes are doubted beyond that.
+    /// The suspicion timeout: how long missing nodes stay beyond that, in milliseconds.
     pub doubt: Millis,
-    /// After how long nodes that only lost sources know are given up, while another source is there.
+    /// The timeout after which nodes that only lost sources know expire while another source is connected, in milliseconds.
     pub keep: Millis,
 }
 
 impl SourceSettings {
-    /// An authoritative source whose every word is believed at once, as the platform's agent is.
+    /// An authoritative source whose every event is believed at once, like the platform's agent.
     pub fn trusted(name: &str) -> SourceSettings {
         SourceSettings {
             name: name.to_owned(),
@@ -34,81 +34,81 @@
     }
 }
 
-/// What a source learned. `source` is its place in the settings; the first goes before the others.
+/// What a source has learned. `source` is its index in the settings; the first has precedence.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The whole list at a version.
+    /// The complete list at a version.
     Snapshot {
-        /// Which source.
+        /// The source.
         source: usize,
-        /// The list; its `whole` is not looked at.
+        /// The list; its `whole` is ignored.
         members: Members,
-        /// Nodes that stand in the list with entries that could not be read: what was said of them before stands.
+        /// Nodes in the list whose entries could not be read; their previous entries stay.
         unread: Vec<String>,
     },
-    /// What changed up to a version, as one change: a drain and the start of a replacement are seen together.
+    /// What changed up to a version, applied as one: a drain and the start of a replacement are seen together.
     Change {
-        /// Which source.
+        /// The source.
         source: usize,
         /// The changed entries.
         members: Members,
     },
-    /// The source is not heard any more.
+    /// The connection to the source is lost.
     Lost {
-        /// Which source.
+        /// The source.
         source: usize,
     },
-    /// It is heard again.
+    /// The connection is back.
     Resumed {
-        /// Which source.
+        /// The source.
         source: usize,
     },
-    /// Another service answers under its name: its versions begin anew, and all that it said before stands only until its
-    /// next whole list, which is doubted like any other.
+    /// Another service answers under its name: its versions restart, and its entries stay until its next snapshot, which is subject to
+    /// suspicion like any other.
     Reborn {
-        /// Which source.
+        /// The source.
         source: usize,
     },
 }
 
-/// Something that people should know.
+/// Something for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
-    /// A whole list lacks so many of the nodes that the source had that it is not believed yet.
-    Doubted {
+    /// A snapshot lacks so many nodes of the source that they are suspected.
+    NodesSuspected {
         /// The source.
         source: String,
-        /// Nodes that are missing.
+        /// How many nodes are missing.
         missing: usize,
-        /// Nodes that it had.
+        /// How many nodes it had.
         of: usize,
     },
-    /// So many nodes were removed at once.
+    /// Many nodes were removed at once.
     MassRemoval {
         /// The source.
         source: String,
-        /// Nodes that went.
+        /// How many nodes were removed.
         removed: usize,
-        /// Nodes that it had.
+        /// How many nodes it had.
         of: usize,
     },
-    /// Two nodes at one address; the second counts as removed.
+    /// Two nodes have the same address.
     SharedAddress {
-        /// Who holds it.
-        holder: String,
-        /// Who does not.
-        other: String,
+        /// The node that owns it.
+        owner: String,
+        /// The node that counts as removed.
+        displaced: String,
     },
-    /// A node that only lost sources knew was given up.
-    GivenUp {
-        /// Which.
+    /// A node that only lost sources knew has expired.
+    Expired {
+        /// The node.
         host: String,
     },
-    /// There was no room for so many nodes of this source.
-    NoRoom {
+    /// The source has more than [`MOST_NODES`] nodes.
+    CapacityReached {
         /// The source.
         source: String,
-        /// Nodes left out.
+        /// How many nodes were left out.
         left_out: usize,
     },
 }
@@ -116,7 +116,7 @@
 impl std::fmt::Display for Report {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Report::Doubted {
+            Report::NodesSuspected {
                 source,
                 missing,
                 of,
@@ -130,13 +130,13 @@
             } => {
                 write!(f, "{source}: {removed} of {of} nodes were removed at once")
             }
-            Report::SharedAddress { holder, other } => {
-                write!(f, "{other} has the address of {holder}, which started later or comes first by name: not used")
+            Report::SharedAddress { owner, displaced } => {
+                write!(f, "{displaced} has the address of {owner}, which started later or comes first by name: not used")
             }
-            Report::GivenUp { host } => {
+            Report::Expired { host } => {
                 write!(f, "{host} was known from lost sources only: given up")
             }
-            Report::NoRoom { source, left_out } => {
+            Report::CapacityReached { source, left_out } => {
                 write!(
                     f,
                     "{source}: {left_out} nodes left out; {MOST_NODES} are held at most"
@@ -146,12 +146,11 @@
     }
 }
 
-/// What came of an event.
+/// The result of an event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
-    /// Changes for the decision module, each node once: stops first, so that nothing new goes there while the rest is
-    /// taken in.
+    /// Changes for the policy, each node once. Stops come first, so that no request goes to a stopped node while the rest is applied.
     pub changes: Vec<Member>,
-    /// What people should know.
+    /// For the log.
     pub reports: Vec<Report>,
 }
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,55 +1,46 @@
-//! One entry out of what all sources say of a node, and one node to an address.
+//! Merges what all sources say of a node into one entry (rules 2 and 6).
 
 use crate::source::Source;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member};
 
-/// The entry of a node, unless it is gone or nobody knows it.
+/// The merged entry of a node; `None` if it is removed or unknown. Sources come in the order of their precedence.
 pub(crate) fn merge(sources: &[Source], host: &str) -> Option<Member> {
-    let mut best: Option<&Member> = None;
-    let mut life: Millis = 0.0;
-    // Stops by authoritative sources: what they say, and the latest life that they are for.
-    let mut stops: Vec<(Health, Millis)> = Vec::new();
+    let mut details: Option<&Member> = None;
+    let mut latest_start: Millis = 0.0;
+    // The latest starts for which authoritative sources have removed or drained the node.
+    let mut removed_up_to = f64::NEG_INFINITY;
+    let mut drained_up_to = f64::NEG_INFINITY;
     for source in sources {
-        let Some(said) = source.said(host) else {
+        let Some(record) = source.record(host) else {
             continue;
         };
-        life = life.max(said.member.born_ms);
-        // Sources come in the order of their precedence: an equal life does not displace.
-        let newer = best.is_none_or(|best| said.member.born_ms > best.born_ms);
-        if said.member.health != Health::Removed && !source.aged() && newer {
-            best = Some(&said.member);
+        let member = &record.member;
+        latest_start = latest_start.max(member.born_ms);
+        // An instance that an earlier source has too is left to that source.
+        let is_newer = details.is_none_or(|details| member.born_ms > details.born_ms);
+        if record.is_listed() && !source.is_expired() && is_newer {
+            details = Some(member);
         }
-        if said.member.health != Health::Up && source.settings.authoritative {
-            stops.push((said.member.health, said.stopped_life));
+        if source.settings.authoritative {
+            match member.health {
+                Health::Up => {}
+                Health::Draining => drained_up_to = drained_up_to.max(record.stopped_up_to),
+                Health::Removed => removed_up_to = removed_up_to.max(record.stopped_up_to),
+            }
         }
     }
-    let best = best?;
-    // A stop is for the lives known when it was told: a newer one is free of it.
-    let holds = |wanted| {
-        stops
-            .iter()
-            .any(|(health, until)| *health == wanted && life <= *until)
-    };
-    if holds(Health::Removed) {
+    let details = details?;
+    if latest_start <= removed_up_to {
         return None;
     }
-    let health = if holds(Health::Draining) {
+    let health = if latest_start <= drained_up_to {
         Health::Draining
     } else {
         Health::Up
     };
     Some(Member {
         health,
-        ..best.clone()
-    })
-}
-
-/// Which of the nodes at one address holds it: the one that started last, then the lower name.
-pub(crate) fn holder<'a>(nodes: impl Iterator<Item = &'a Member>) -> Option<&'a Member> {
-    nodes.min_by(|a, b| {
-        b.born_ms
-            .total_cmp(&a.born_ms)
-            .then_with(|| a.host.cmp(&b.host))
+        ..details.clone()
     })
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,281 +1,239 @@
-//! The roster: what is true of the backends when several sources tell of them.
+//! The roster: keeps the list that it has returned in line with its sources.
 //!
-//! Sources (the platform's agent, etcd, a file) hand in what they learn as [`Event`]s with the time; out comes one ordered
-//! list of changes for the decision module, and [`Report`]s for people. Nothing here does I/O or reads a clock.
-//!
-//! The rules:
-//!
-//! 1. **Versions.** A source's word is taken only if its version is above the last one taken from it. What comes late, on
-//!    a second stream or from a member that lags, changes nothing. [`Event::Reborn`] begins the versions anew.
-//! 2. **Stops win.** A drain or a removal told by an authoritative source holds, whoever else says *up*, until that
-//!    source takes it back or anybody tells of a newer life of the node (a later start). A stop is for the lives known when
-//!    it was told, and for no later one.
-//! 3. **Whole lists.** A node that a source had and a whole list of it lacks was removed by that source; but where the list
-//!    lacks more than a part, the missing are doubted: they stay until the source, still heard, has not told of them for the
-//!    time of doubt; what is doubted already says nothing of later lists. An entry that stands there and cannot be read is not missing: what was said of it stands. Removals told one by one are believed at once.
-//! 4. **Lost sources.** What a lost source said stands. Nodes known from lost sources alone age out after a time, but only
-//!    while another source is there; with all sources lost nothing ages, for a failing discovery must not empty the list.
-//! 5. **One address, one node.** Of several nodes that are not gone at one address, the one that started last holds it, then
-//!    the lower name; the others count as removed for as long as that lasts.
-//! 6. **Details** (address, zone, size) come from the newest life, then from the source named first.
-
-mod interface;
-mod merge;
-mod source;
-
-pub use interface::{Event, Report, SourceSettings, Update, MOST_NODES};
+//! Invariant: the changes that were returned, applied one after the other, give the merged list by the rules of the package.
 
+use crate::addresses::Addresses;
+use crate::interface::{Event, Report, SourceSettings, Update};
+use crate::merge::merge;
+use crate::source::{Changed, LatestStarts, Source};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
-use source::{Lives, Source, Touched};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The roster.
+/// The list of backends, merged from several sources.
 #[derive(Debug)]
 pub struct Roster {
     sources: Vec<Source>,
-    /// What the sources come to for each node that is not gone, before addresses are looked at.
+    /// The merged entries of nodes that are not removed, before addresses are considered.
     merged: BTreeMap<String, Member>,
-    /// The same nodes by their addresses: nearly always one to an address, so that a list costs least.
-    at: HashMap<SocketAddr, Vec<String>>,
-    /// What has been handed out of each node that is not gone.
-    told: BTreeMap<String, Member>,
-    /// Nodes that give way at their address, and to whom, as reported.
-    giving_way: BTreeMap<String, String>,
+    /// The same nodes by address.
+    addresses: Addresses,
+    /// The entries that were returned, of nodes that are not removed.
+    returned: BTreeMap<String, Member>,
 }
 
 impl Roster {
-    /// An empty roster over these sources, the one that goes before the others first.
+    /// An empty roster with these sources, the one with precedence first.
     pub fn new(sources: Vec<SourceSettings>) -> Roster {
         Roster {
             sources: sources.into_iter().map(Source::new).collect(),
             merged: BTreeMap::new(),
-            at: HashMap::new(),
-            told: BTreeMap::new(),
-            giving_way: BTreeMap::new(),
+            addresses: Addresses::default(),
+            returned: BTreeMap::new(),
         }
     }
 
-    /// Begins with a list that an earlier life had: as if the source had told it, at no version, so that its first own word
-    /// goes before it.
+    /// Starts with a list that an earlier incarnation of this process had, as if the source had sent it without a version: any event
+    /// of the source supersedes it.
     pub fn recall(&mut self, now: Millis, source: usize, members: &Members) -> Update {
-        let Some(known) = self.sources.get_mut(source) else {
+        let Some(source) = self.sources.get_mut(source) else {
             return Update::default();
         };
-        let touched = known.recall(&members.hosts);
-        self.settle(now, touched)
+        let changed = source.recall(&members.hosts);
+        self.update(now, changed)
     }
 
-    /// All that each source says, stops too: what a later life may [`Roster::recall`], source by source.
+    /// All entries of each source, stops included: what a later incarnation may [`Roster::recall`], source by source.
     pub fn words(&self) -> impl Iterator<Item = (&SourceSettings, Members)> {
         self.sources.iter().map(|source| {
-            (
-                &source.settings,
-                Members {
-                    seq: 0,
-                    whole: true,
-                    hosts: source.words(),
-                },
-            )
+            let members = Members {
+                seq: 0,
+                whole: true,
+                hosts: source.entries(),
+            };
+            (&source.settings, members)
         })
     }
 
-    /// Takes what a source learned at `now`. The cost is that of the nodes that the event names, and of those that share
-    /// their addresses; only a whole list, and a source that is lost for long or comes back, touch all nodes of a source.
+    /// Applies an event of a source. The cost is that of the nodes in the event and of those that share their addresses; only a snapshot,
+    /// and a source that expires or comes back, touch all nodes of a source.
     pub fn take(&mut self, now: Millis, event: Event) -> Update {
-        // What anybody knows of each node's lives bears on what a stop is for.
-        let mut hosts: Vec<&str> = Vec::new();
-        if let Event::Snapshot { members, .. } | Event::Change { members, .. } = &event {
-            hosts.extend(members.hosts.iter().map(|member| member.host.as_str()));
-        }
-        if let Event::Snapshot { source, .. } = &event {
-            hosts.extend(
-                self.sources
-                    .get(*source)
-                    .into_iter()
-                    .flat_map(Source::hosts),
-            );
-        }
-        let lives = self.lives(hosts.into_iter());
+        let latest_starts = self.latest_starts_for(&event);
         let (Event::Snapshot { source, .. }
         | Event::Change { source, .. }
         | Event::Lost { source }
         | Event::Resumed { source }
         | Event::Reborn { source }) = event;
-        let Some(of) = self.sources.get_mut(source) else {
+        let Some(source) = self.sources.get_mut(source) else {
             return Update::default();
         };
-        let touched = match event {
+        let mut changed = Changed::default();
+        match event {
             Event::Snapshot {
                 members, unread, ..
-            } => of.snapshot(now, members, &unread, &lives),
-            Event::Change { members, .. } => of.change(members, &lives),
-            Event::Lost { .. } => {
-                of.lose(now);
-                Touched::default()
-            }
-            Event::Resumed { .. } => {
-                of.resume();
-                Touched::default()
-            }
-            Event::Reborn { .. } => {
-                of.reborn();
-                Touched::default()
-            }
-        };
-        self.settle(now, touched)
-    }
-
-    /// The latest start of each of these nodes, by anybody's word.
-    fn lives<'a>(&self, hosts: impl Iterator<Item = &'a str>) -> Lives {
-        let life = |host: &str| {
-            let starts = self.sources.iter().filter_map(|source| source.said(host));
-            starts.map(|said| said.member.born_ms).fold(0.0, f64::max)
-        };
-        hosts.map(|host| (host.to_owned(), life(host))).collect()
+            } => changed = source.apply_snapshot(now, members, &unread, &latest_starts),
+            Event::Change { members, .. } => changed = source.apply_change(members, &latest_starts),
+            Event::Lost { .. } => source.lose(now),
+            Event::Resumed { .. } => source.resume(),
+            Event::Reborn { .. } => source.restart_versions(),
+        }
+        self.update(now, changed)
     }
 
-    /// Carries out what has come due: sources that have been lost for long, nodes that have been doubted for long.
+    /// Does what is due by time: sources that expire, and nodes whose suspicion timeout is over.
     pub fn tick(&mut self, now: Millis) -> Update {
-        self.settle(now, Touched::default())
+        self.update(now, Changed::default())
     }
 
-    /// When [`Roster::tick`] has something to do next.
+    /// When [`Roster::tick`] is due; `None` if nothing is.
     pub fn next_due(&self) -> Option<Millis> {
-        let due = self.sources.iter().filter_map(Source::due);
+        let due = self.sources.iter().filter_map(Source::next_due);
         due.min_by(f64::total_cmp)
     }
 
-    /// The nodes that are not gone, as they have been handed out.
+    /// The nodes that are not removed, as they were returned.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.told.values()
+        self.returned.values()
     }
 
-    /// Brings what has been handed out in line with what the sources say now.
-    fn settle(&mut self, now: Millis, mut touched: Touched) -> Update {
-        for at in 0..self.sources.len() {
-            let over = self.sources[at].doubts_over(now);
-            if !over.is_empty() {
-                let lives = self.lives(over.iter().map(String::as_str));
-                self.sources[at].believe(&over, &lives, &mut touched);
-            }
-        }
-        let heard = self.sources.iter().any(Source::heard);
-        let mut aged = BTreeSet::new();
-        for source in &mut self.sources {
-            if source.pass_time(now, heard) {
-                touched.hosts.extend(source.hosts().map(str::to_owned));
-                if source.aged() {
-                    aged.extend(source.hosts().map(str::to_owned));
-                }
-            }
+    // ---- Instances ----------------------------------------------------------------------------------
+
+    /// The latest starts of all nodes that an event is about: a stop is for the instances that any source knows.
+    fn latest_starts_for(&self, event: &Event) -> LatestStarts {
+        let (Event::Snapshot { members, .. } | Event::Change { members, .. }) = event else {
+            return LatestStarts::new();
+        };
+        let mut hosts: Vec<&str> = Vec::new();
+        hosts.extend(members.hosts.iter().map(|member| member.host.as_str()));
+        if let Event::Snapshot { source, .. } = event {
+            let source = self.sources.get(*source);
+            hosts.extend(source.into_iter().flat_map(Source::hosts));
         }
+        self.latest_starts(hosts.into_iter())
+    }
+
+    /// The latest start of each of these nodes that any source knows.
+    fn latest_starts<'a>(&self, hosts: impl Iterator<Item = &'a str>) -> LatestStarts {
+        let latest_start = |host: &str| {
+            let records = self.sources.iter().filter_map(|source| source.record(host));
+            records
+                .map(|record| record.member.born_ms)
+                .fold(0.0, f64::max)
+        };
+        hosts
+            .map(|host| (host.to_owned(), latest_start(host)))
+            .collect()
+    }
+
+    // ---- Updates ------------------------------------------------------------------------------------
+
+    /// Brings the returned list in line with the sources, after this was changed.
+    fn update(&mut self, now: Millis, mut changed: Changed) -> Update {
+        self.remove_suspected(now, &mut changed);
+        let expired = self.expire_sources(now, &mut changed);
+        let Changed {
+            mut hosts,
+            mut reports,
+        } = changed;
         let mut addresses = BTreeSet::new();
-        for host in &touched.hosts {
-            self.remerge(host, &mut addresses);
+        for host in &hosts {
+            self.merge_node(host, &mut addresses);
         }
-        let mut hosts = touched.hosts;
-        for address in &addresses {
-            self.share(*address, &mut hosts, &mut touched.reports);
+        for address in addresses {
+            self.addresses
+                .assign_owner(address, &self.merged, &mut hosts, &mut reports);
         }
-        let (mut changes, mut ups) = (Vec::new(), Vec::new());
-        for host in hosts {
-            let now_is = self
-                .merged
-                .get(&host)
-                .filter(|_| !self.giving_way.contains_key(&host));
-            let before = match now_is {
-                Some(member) if self.told.get(&host) == Some(member) => continue,
-                Some(member) => {
-                    let list = if member.health == Health::Up {
-                        &mut ups
-                    } else {
-                        &mut changes
-                    };
-                    list.push(member.clone());
-                    self.told.insert(host.clone(), member.clone())
-                }
-                None => self.told.remove(&host),
-            };
-            if now_is.is_none() {
-                let Some(before) = before else { continue };
-                changes.push(Member {
-                    health: Health::Removed,
-                    ..before
-                });
-                if aged.contains(&host) {
-                    touched.reports.push(Report::GivenUp { host });
-                }
+        let changes = self.return_changes(hosts, &expired, &mut reports);
+        Update { changes, reports }
+    }
+
+    /// Removes nodes whose suspicion timeout is over (rule 3).
+    fn remove_suspected(&mut self, now: Millis, changed: &mut Changed) {
+        for index in 0..self.sources.len() {
+            let due = self.sources[index].suspicions_due(now);
+            if !due.is_empty() {
+                let latest_starts = self.latest_starts(due.iter().map(String::as_str));
+                self.sources[index].remove_suspected(&due, &latest_starts, changed);
             }
         }
-        changes.append(&mut ups);
-        Update {
-            changes,
-            reports: touched.reports,
+    }
+
+    /// Expires lost sources, or brings their nodes back (rule 4). Returns the nodes of sources that have just expired.
+    fn expire_sources(&mut self, now: Millis, changed: &mut Changed) -> BTreeSet<String> {
+        let any_connected = self.sources.iter().any(Source::is_connected);
+        let mut expired = BTreeSet::new();
+        for source in &mut self.sources {
+            if !source.update_expiry(now, any_connected) {
+                continue;
+            }
+            changed.hosts.extend(source.hosts().map(str::to_owned));
+            if source.is_expired() {
+                expired.extend(source.hosts().map(str::to_owned));
+            }
         }
+        expired
     }
 
-    /// Puts together anew what the sources say of a node; notes the addresses where something changed.
-    fn remerge(&mut self, host: &str, addresses: &mut BTreeSet<SocketAddr>) {
-        let now_is = merge::merge(&self.sources, host);
-        let before = self.merged.get(host);
-        if before == now_is.as_ref() {
+    /// Merges the entry of a node again, and adds the addresses where something changed.
+    fn merge_node(&mut self, host: &str, addresses: &mut BTreeSet<SocketAddr>) {
+        let merged = merge(&self.sources, host);
+        let previous = self.merged.get(host);
+        if previous == merged.as_ref() {
             return;
         }
-        if let Some(before) = before {
-            addresses.insert(before.dial);
-            if let Some(there) = self.at.get_mut(&before.dial) {
-                there.retain(|other| other != host);
-                if there.is_empty() {
-                    self.at.remove(&before.dial);
-                }
-            }
+        if let Some(previous) = previous {
+            addresses.insert(previous.dial);
+            self.addresses.remove(previous.dial, host);
         }
-        match now_is {
+        match merged {
             Some(member) => {
                 addresses.insert(member.dial);
-                let there = self
-                    .at
-                    .entry(member.dial)
-                    .or_insert_with(|| Vec::with_capacity(1));
-                there.push(host.to_owned());
+                self.addresses.add(member.dial, host);
                 self.merged.insert(host.to_owned(), member);
             }
             None => {
                 self.merged.remove(host);
-                self.giving_way.remove(host);
+                self.addresses.forget(host);
             }
         }
     }
 
-    /// Settles who holds an address; adds the nodes there to those that are looked at.
-    fn share(
+    /// The changes of these nodes since they were last returned, stops first.
+    fn return_changes(
         &mut self,
-        address: SocketAddr,
-        hosts: &mut BTreeSet<String>,
+        hosts: BTreeSet<String>,
+        expired: &BTreeSet<String>,
         reports: &mut Vec<Report>,
-    ) {
-        let Some(there) = self.at.get(&address) else {
-            return;
-        };
-        let holder = merge::holder(there.iter().filter_map(|host| self.merged.get(host)));
-        let Some(holder) = holder.map(|member| member.host.clone()) else {
-            return;
-        };
-        for host in there {
-            hosts.insert(host.clone());
-            if *host == holder {
-                self.giving_way.remove(host);
-            } else if self
-                .giving_way
-                .insert(host.clone(), holder.clone())
-                .as_ref()
-                != Some(&holder)
-            {
-                let (holder, other) = (holder.clone(), host.clone());
-                reports.push(Report::SharedAddress { holder, other });
+    ) -> Vec<Member> {
+        let (mut stops, mut ups) = (Vec::new(), Vec::new());
+        for host in hosts {
+            let current = self
+                .merged
+                .get(&host)
+                .filter(|_| !self.addresses.is_displaced(&host));
+            if let Some(member) = current {
+                if self.returned.get(&host) == Some(member) {
+                    continue;
+                }
+                let changes = if member.health == Health::Up {
+                    &mut ups
+                } else {
+                    &mut stops
+                };
+                changes.push(member.clone());
+                self.returned.insert(host, member.clone());
+            } else if let Some(previous) = self.returned.remove(&host) {
+                stops.push(Member {
+                    health: Health::Removed,
+                    ..previous
+                });
+                if expired.contains(&host) {
+                    reports.push(Report::Expired { host });
+                }
             }
         }
+        stops.append(&mut ups);
+        stops
     }
 }
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,340 +1,372 @@
-//! What one source has said of each node, and how far it is believed.
+//! The entries of one source, its versions, and how far it is believed (rules 1, 3 and 4).
 
 use crate::interface::{Report, SourceSettings, MOST_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Removed nodes that a source is remembered to have stopped; beyond it the oldest are forgotten.
-pub(crate) const MOST_STOPS: usize = 4096;
-/// Removals in one word from which they are reported, if they are over half of what the source had.
-const MASS: usize = 3;
+/// The most removed nodes whose stops a source keeps; beyond it the oldest are forgotten.
+const MAX_STOPS: usize = 4096;
+/// Removals in one event from which on they are reported, if they are over half of the source's nodes.
+const MIN_MASS_REMOVAL: usize = 3;
 
 /// What a source says of a node.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Said {
-    /// Its entry. Once removed it is kept, for the stop that it is.
-    pub member: Member,
-    /// For a stop: the latest life known when it was told.
-    pub stopped_life: Millis,
-    /// Tells this word from earlier ones on the same node.
-    word: u64,
+pub(crate) struct Record {
+    /// Its entry. A removed node's is kept, as it is a stop.
+    pub(crate) member: Member,
+    /// For a stop: the latest start that was known when it came.
+    pub(crate) stopped_up_to: Millis,
+    /// The number of the record among all of the source.
+    sequence: u64,
 }
 
-impl Said {
-    fn listed(&self) -> bool {
+impl Record {
+    pub(crate) fn is_listed(&self) -> bool {
         self.member.health != Health::Removed
     }
 }
 
-/// The latest start of each node that bears on an event, by anybody's word.
-pub(crate) type Lives = BTreeMap<String, Millis>;
+/// The latest start of each node that an event is about, as any source knows it.
+pub(crate) type LatestStarts = BTreeMap<String, Millis>;
 
 /// What an event changed.
 #[derive(Debug, Default)]
-pub(crate) struct Touched {
-    /// Nodes of which the source now says something else.
-    pub hosts: BTreeSet<String>,
-    /// What people should know.
-    pub reports: Vec<Report>,
+pub(crate) struct Changed {
+    /// Nodes whose records have changed.
+    pub(crate) hosts: BTreeSet<String>,
+    /// For the log.
+    pub(crate) reports: Vec<Report>,
 }
 
 /// One source.
 #[derive(Debug)]
 pub(crate) struct Source {
-    pub settings: SourceSettings,
-    said: BTreeMap<String, Said>,
-    /// How many of these it lists as not gone.
+    pub(crate) settings: SourceSettings,
+    records: BTreeMap<String, Record>,
+    /// How many of the records are not removed.
     listed: usize,
-    words: u64,
+    last_sequence: u64,
     version: Option<u64>,
-    lost: Option<Millis>,
-    /// Whether it has been heard at all.
-    begun: bool,
-    /// Whether it has been lost for so long that its nodes are given up.
-    aged: bool,
-    /// Removals, the oldest first, each with its word: stops are remembered, but not without end.
-    removed: VecDeque<(String, u64)>,
-    /// Nodes that whole lists have lacked and that are not given up yet, and since when.
-    doubts: BTreeMap<String, Millis>,
+    lost_since: Option<Millis>,
+    /// Whether any event was applied.
+    has_begun: bool,
+    /// Whether it was lost for so long that its nodes have expired.
+    is_expired: bool,
+    /// Removed nodes with the sequence numbers of their records, the oldest first.
+    stops: VecDeque<(String, u64)>,
+    /// Nodes that snapshots have lacked, and since when.
+    suspected: BTreeMap<String, Millis>,
 }
 
 impl Source {
-    pub fn new(settings: SourceSettings) -> Source {
+    pub(crate) fn new(settings: SourceSettings) -> Source {
         Source {
             settings,
-            said: BTreeMap::new(),
+            records: BTreeMap::new(),
             listed: 0,
-            words: 0,
+            last_sequence: 0,
             version: None,
-            lost: None,
-            begun: false,
-            aged: false,
-            removed: VecDeque::new(),
-            doubts: BTreeMap::new(),
+            lost_since: None,
+            has_begun: false,
+            is_expired: false,
+            stops: VecDeque::new(),
+            suspected: BTreeMap::new(),
         }
     }
 
-    /// Whether it is there, so that what it does not say means something.
-    pub fn heard(&self) -> bool {
-        self.begun && self.lost.is_none()
+    /// Whether it is connected, so that it would name a missing node again.
+    pub(crate) fn is_connected(&self) -> bool {
+        self.has_begun && self.lost_since.is_none()
     }
 
-    pub fn said(&self, host: &str) -> Option<&Said> {
-        self.said.get(host)
+    pub(crate) fn is_expired(&self) -> bool {
+        self.is_expired
     }
 
-    pub fn hosts(&self) -> impl Iterator<Item = &str> {
-        self.said.keys().map(String::as_str)
+    pub(crate) fn record(&self, host: &str) -> Option<&Record> {
+        self.records.get(host)
     }
 
-    /// All that it says, stops too, as [`Source::recall`] takes it: a removal has the start of the latest life that it is for.
-    pub fn words(&self) -> Vec<Member> {
-        let word = |said: &Said| match said.member.health {
+    pub(crate) fn hosts(&self) -> impl Iterator<Item = &str> {
+        self.records.keys().map(String::as_str)
+    }
+
+    // ---- Persistence --------------------------------------------------------------------------------
+
+    /// All entries, as [`Source::recall`] takes them: a removal has the latest start that it is for.
+    pub(crate) fn entries(&self) -> Vec<Member> {
+        let entry = |record: &Record| match record.member.health {
             Health::Removed => Member {
-                born_ms: said.stopped_life,
-                ..said.member.clone()
+                born_ms: record.stopped_up_to,
+                ..record.member.clone()
             },
-            Health::Up | Health::Draining => said.member.clone(),
+            Health::Up | Health::Draining => record.member.clone(),
         };
-        self.said.values().map(word).collect()
+        self.records.values().map(entry).collect()
     }
 
-    pub fn aged(&self) -> bool {
-        self.aged
+    pub(crate) fn recall(&mut self, members: &[Member]) -> Changed {
+        let mut changed = Changed::default();
+        self.apply_members(members.to_vec(), &LatestStarts::new(), &mut changed);
+        changed
     }
 
-    pub fn recall(&mut self, members: &[Member]) -> Touched {
-        let mut touched = Touched::default();
-        self.take_in(members.to_vec(), &Lives::new(), &mut touched);
-        touched
-    }
+    // ---- Connection and versions --------------------------------------------------------------------
 
-    pub fn lose(&mut self, now: Millis) {
-        self.lost.get_or_insert(now);
+    pub(crate) fn lose(&mut self, now: Millis) {
+        self.lost_since.get_or_insert(now);
     }
 
-    pub fn resume(&mut self) {
-        self.lost = None;
+    pub(crate) fn resume(&mut self) {
+        self.lost_since = None;
     }
 
-    pub fn reborn(&mut self) {
+    /// Another service answers under this source's name. It may have the nodes that the previous one lacked.
+    pub(crate) fn restart_versions(&mut self) {
         self.version = None;
-        // What the old one did not list, the new one may.
-        self.doubts.clear();
+        self.suspected.clear();
     }
 
-    /// Whether a word of this version is news.
-    fn news(&mut self, version: u64) -> bool {
+    /// Whether an event with this version is new; its version is the last one then.
+    fn accept_version(&mut self, version: u64) -> bool {
         if self.version.is_some_and(|last| version <= last) {
             return false;
         }
         self.version = Some(version);
-        self.begun = true;
-        self.lost = None;
+        self.has_begun = true;
+        self.lost_since = None;
         true
     }
 
-    pub fn snapshot(
+    // ---- Events -------------------------------------------------------------------------------------
+
+    pub(crate) fn apply_snapshot(
         &mut self,
         now: Millis,
         members: Members,
         unread: &[String],
-        lives: &Lives,
-    ) -> Touched {
-        let mut touched = Touched::default();
-        if !self.news(members.seq) {
-            return touched;
+        latest_starts: &LatestStarts,
+    ) -> Changed {
+        let mut changed = Changed::default();
+        if !self.accept_version(members.seq) {
+            return changed;
         }
-        // A list of many is looked up by name, not walked for each.
         let named: BTreeSet<&str> = members
             .hosts
             .iter()
             .map(|member| member.host.as_str())
             .chain(unread.iter().map(String::as_str))
             .collect();
-        self.doubts.retain(|host, _| !named.contains(host.as_str()));
+        self.suspected
+            .retain(|host, _| !named.contains(host.as_str()));
         let missing = self
-            .said
+            .records
             .iter()
-            .filter(|(host, said)| said.listed() && !named.contains(host.as_str()));
-        let mut missing: Vec<String> = missing.map(|(host, _)| host.clone()).collect();
-        let believed =
-            |missing: usize, had: usize| missing as f64 <= self.settings.believed_part * had as f64;
-        let mut had = self.listed;
-        if !believed(missing.len(), had) {
-            // What is doubted already has its own time and says nothing of this list: counted with the rest, it would draw
-            // every later removal into doubt.
-            missing.retain(|host| !self.doubts.contains_key(host));
-            had -= self.doubts.len();
+            .filter(|(host, record)| record.is_listed() && !named.contains(host.as_str()))
+            .map(|(host, _)| host.clone())
+            .collect();
+        self.remove_or_suspect(now, missing, latest_starts, &mut changed);
+        self.apply_members(members.hosts, latest_starts, &mut changed);
+        changed
+    }
+
+    /// Removes nodes that a snapshot lacks, or suspects them if they are too many.
+    fn remove_or_suspect(
+        &mut self,
+        now: Millis,
+        mut missing: Vec<String>,
+        latest_starts: &LatestStarts,
+        changed: &mut Changed,
+    ) {
+        let believed_part = self.settings.believed_part;
+        let is_believed = |missing: usize, of: usize| missing as f64 <= believed_part * of as f64;
+        let mut of = self.listed;
+        if !is_believed(missing.len(), of) {
+            // Nodes that are suspected already have their own timeout. If they were counted, they would make every later removal
+            // suspect.
+            missing.retain(|host| !self.suspected.contains_key(host));
+            of -= self.suspected.len();
         }
-        if believed(missing.len(), had) {
-            self.report_mass(missing.len(), had, &mut touched);
-            self.remove(&missing, lives, &mut touched);
-        } else {
-            let source = self.settings.name.clone();
-            touched.reports.push(Report::Doubted {
-                source,
-                missing: missing.len(),
-                of: had,
+        if is_believed(missing.len(), of) {
+            self.report_mass_removal(missing.len(), of, changed);
+            self.remove(&missing, latest_starts, changed);
+            return;
+        }
+        changed.reports.push(Report::NodesSuspected {
+            source: self.settings.name.clone(),
+            missing: missing.len(),
+            of,
+        });
+        let suspected = missing.into_iter().map(|host| (host, now));
+        self.suspected.extend(suspected);
+    }
+
+    pub(crate) fn apply_change(
+        &mut self,
+        members: Members,
+        latest_starts: &LatestStarts,
+    ) -> Changed {
+        let mut changed = Changed::default();
+        if !self.accept_version(members.seq) {
+            return changed;
+        }
+        let removed = members
+            .hosts
+            .iter()
+            .filter(|member| member.health == Health::Removed)
+            .count();
+        self.report_mass_removal(removed, self.listed, &mut changed);
+        self.apply_members(members.hosts, latest_starts, &mut changed);
+        changed
+    }
+
+    fn report_mass_removal(&self, removed: usize, of: usize, changed: &mut Changed) {
+        if removed >= MIN_MASS_REMOVAL && removed * 2 > of {
+            changed.reports.push(Report::MassRemoval {
+                source: self.settings.name.clone(),
+                removed,
+                of,
             });
-            self.doubts
-                .extend(missing.into_iter().map(|host| (host, now)));
         }
-        self.take_in(members.hosts, lives, &mut touched);
-        touched
     }
 
-    /// Nodes that have been missing for the time of doubt while the source was there to tell otherwise.
-    pub fn doubts_over(&self, now: Millis) -> Vec<String> {
-        if self.doubts.is_empty() || !self.heard() {
+    // ---- Suspicion ----------------------------------------------------------------------------------
+
+    /// Nodes that were missing for the suspicion timeout, while the source is connected.
+    pub(crate) fn suspicions_due(&self, now: Millis) -> Vec<String> {
+        if self.suspected.is_empty() || !self.is_connected() {
             return Vec::new();
         }
-        let over = self
-            .doubts
+        self.suspected
             .iter()
-            .filter(|(_, since)| now - **since >= self.settings.doubt);
-        over.map(|(host, _)| host.clone()).collect()
+            .filter(|(_, since)| now - **since >= self.settings.doubt)
+            .map(|(host, _)| host.clone())
+            .collect()
     }
 
-    /// Takes nodes for removed that were doubted.
-    pub fn believe(&mut self, hosts: &[String], lives: &Lives, touched: &mut Touched) {
-        self.report_mass(hosts.len(), self.listed, touched);
-        self.remove(hosts, lives, touched);
-        self.forget_old_stops(touched);
+    /// Removes nodes that were suspected.
+    pub(crate) fn remove_suspected(
+        &mut self,
+        hosts: &[String],
+        latest_starts: &LatestStarts,
+        changed: &mut Changed,
+    ) {
+        self.report_mass_removal(hosts.len(), self.listed, changed);
+        self.remove(hosts, latest_starts, changed);
+        self.evict_stops(changed);
     }
 
-    /// What the source lists no more, it has removed.
-    fn remove(&mut self, hosts: &[String], lives: &Lives, touched: &mut Touched) {
+    // ---- Records ------------------------------------------------------------------------------------
+
+    fn remove(&mut self, hosts: &[String], latest_starts: &LatestStarts, changed: &mut Changed) {
         for host in hosts {
-            let Some(said) = self.said.get(host) else {
+            let Some(record) = self.records.get(host) else {
                 continue;
             };
             let member = Member {
                 health: Health::Removed,
-                ..said.member.clone()
+                ..record.member.clone()
             };
-            self.put(member, lives, touched);
-        }
-    }
-
-    pub fn change(&mut self, members: Members, lives: &Lives) -> Touched {
-        let mut touched = Touched::default();
-        if self.news(members.seq) {
-            let removed = members
-                .hosts
-                .iter()
-                .filter(|m| m.health == Health::Removed)
-                .count();
-            self.report_mass(removed, self.listed, &mut touched);
-            self.take_in(members.hosts, lives, &mut touched);
-        }
-        touched
-    }
-
-    fn report_mass(&self, removed: usize, of: usize, touched: &mut Touched) {
-        if removed >= MASS && removed * 2 > of {
-            let source = self.settings.name.clone();
-            touched.reports.push(Report::MassRemoval {
-                source,
-                removed,
-                of,
-            });
+            self.set_record(member, latest_starts, changed);
         }
     }
 
-    fn take_in(&mut self, members: Vec<Member>, lives: &Lives, touched: &mut Touched) {
+    fn apply_members(
+        &mut self,
+        members: Vec<Member>,
+        latest_starts: &LatestStarts,
+        changed: &mut Changed,
+    ) {
         let mut left_out = 0;
         for member in members {
-            // Kept stops have a bound of their own and take nobody's room.
-            let full =
-                self.listed >= MOST_NODES && !self.said.get(&member.host).is_some_and(Said::listed);
-            if full && member.health != Health::Removed {
+            // Stops have a bound of their own.
+            if member.health != Health::Removed && !self.has_capacity(&member.host) {
                 left_out += 1;
             } else {
-                self.put(member, lives, touched);
+                self.set_record(member, latest_starts, changed);
             }
         }
-        self.forget_old_stops(touched);
+        self.evict_stops(changed);
         if left_out > 0 {
-            touched.reports.push(Report::NoRoom {
+            changed.reports.push(Report::CapacityReached {
                 source: self.settings.name.clone(),
                 left_out,
             });
         }
     }
 
-    fn forget_old_stops(&mut self, touched: &mut Touched) {
-        while self.removed.len() > MOST_STOPS {
-            let Some((host, word)) = self.removed.pop_front() else {
+    fn has_capacity(&self, host: &str) -> bool {
+        self.listed < MOST_NODES || self.record(host).is_some_and(Record::is_listed)
+    }
+
+    fn evict_stops(&mut self, changed: &mut Changed) {
+        while self.stops.len() > MAX_STOPS {
+            let Some((host, sequence)) = self.stops.pop_front() else {
                 break;
             };
-            // It may have come back, and may have been removed again since.
-            if self.said.get(&host).is_some_and(|said| said.word == word) {
-                self.said.remove(&host);
-                touched.hosts.insert(host);
+            // The node may have come back, and may have been removed again since.
+            let record = self.records.get(&host);
+            if record.is_some_and(|record| record.sequence == sequence) {
+                self.records.remove(&host);
+                changed.hosts.insert(host);
             }
         }
     }
 
-    /// The source's word on one node from now on.
-    fn put(&mut self, member: Member, lives: &Lives, touched: &mut Touched) {
-        self.words += 1;
-        let life = lives
-            .get(&member.host)
-            .copied()
-            .unwrap_or(0.0)
-            .max(member.born_ms);
-        let said = Said {
+    /// Replaces the record of a node.
+    fn set_record(&mut self, member: Member, latest_starts: &LatestStarts, changed: &mut Changed) {
+        self.last_sequence += 1;
+        let host = member.host.clone();
+        let latest_start = latest_starts.get(&host).copied().unwrap_or(0.0);
+        let record = Record {
+            stopped_up_to: latest_start.max(member.born_ms),
             member,
-            stopped_life: life,
-            word: self.words,
+            sequence: self.last_sequence,
         };
-        let host = said.member.host.clone();
-        self.doubts.remove(&host);
-        touched.hosts.insert(host.clone());
-        if said.listed() {
+        self.suspected.remove(&host);
+        changed.hosts.insert(host.clone());
+        if record.is_listed() {
             self.listed += 1;
         } else {
-            self.removed.push_back((host.clone(), self.words));
+            self.stops.push_back((host.clone(), self.last_sequence));
         }
-        if self
-            .said
-            .insert(host, said)
-            .is_some_and(|before| before.listed())
-        {
+        let previous = self.records.insert(host, record);
+        if previous.is_some_and(|previous| previous.is_listed()) {
             self.listed -= 1;
         }
     }
 
-    /// Lets time pass. Tells whether it has aged or is heard again: then what it says of nodes counts for nothing, or
-    /// counts again; its stops stand throughout.
-    pub fn pass_time(&mut self, now: Millis, another: bool) -> bool {
-        let before = self.aged;
-        self.aged = another
+    // ---- Time ---------------------------------------------------------------------------------------
+
+    /// Updates whether it is expired, and returns whether that changed. The nodes of an expired source count as not listed; its stops
+    /// stay in force.
+    pub(crate) fn update_expiry(&mut self, now: Millis, any_connected: bool) -> bool {
+        let was_expired = self.is_expired;
+        self.is_expired = any_connected
             && self
-                .lost
+                .lost_since
                 .is_some_and(|since| now - since >= self.settings.keep);
-        self.aged != before
+        self.is_expired != was_expired
     }
 
-    /// When it has something to do by itself.
-    pub fn due(&self) -> Option<Millis> {
-        let waits = self.listed > 0 && !self.aged;
-        let aging = self
-            .lost
-            .map(|since| since + self.settings.keep)
-            .filter(|_| waits);
-        let first = self
-            .doubts
+    /// When something is due by time alone.
+    pub(crate) fn next_due(&self) -> Option<Millis> {
+        let may_expire = self.listed > 0 && !self.is_expired;
+        let expiry = self
+            .lost_since
+            .filter(|_| may_expire)
+            .map(|since| since + self.settings.keep);
+        let first_suspicion = self
+            .suspected
             .values()
             .copied()
             .min_by(f64::total_cmp)
-            .filter(|_| self.heard());
-        let doubt = first.map(|since| since + self.settings.doubt);
-        aging
+            .filter(|_| self.is_connected())
+            .map(|since| since + self.settings.doubt);
+        expiry
             .into_iter()
-            .chain(doubt)
+            .chain(first_suspicion)
             .filter(|due| due.is_finite())
             .min_by(f64::total_cmp)
     }
--- a/crates/membership/tests/reference_model.rs
+++ b/crates/membership/tests/reference_model.rs
@@ -1,6 +1,6 @@
-//! Random histories of three sources against a plain model that puts everything together anew after each event, by the
-//! rules as they are written: after every event the roster equals the model, and the changes that it hands out, applied one
-//! after the other, give the same list.
+//! Random histories of three sources against a reference model that merges everything again after each event, by the rules of the
+//! package: after every event the roster equals the model, and the changes that it returned, applied one after the other, give the same
+//! list.
 
 use maplefall_membership::{Event, Roster, SourceSettings};
 use maplefall_protocol::{Health, Member, Members};
@@ -27,16 +27,21 @@
     ]
 }
 
-/// What one source has said of a node: its entry, the life a stop is for, since when it is missing.
-type Word = (Member, f64, Option<f64>);
+/// What one source says of a node.
+struct Record {
+    member: Member,
+    /// The latest start that a stop is for.
+    stopped_up_to: f64,
+    suspected_since: Option<f64>,
+}
 
 #[derive(Default)]
 struct ModelSource {
-    said: BTreeMap<String, Word>,
+    records: BTreeMap<String, Record>,
     version: Option<u64>,
-    lost: Option<f64>,
-    begun: bool,
-    aged: bool,
+    lost_since: Option<f64>,
+    has_begun: bool,
+    is_expired: bool,
 }
 
 struct Model {
@@ -45,33 +50,38 @@
 }
 
 impl Model {
-    fn life(&self, host: &str) -> f64 {
+    fn latest_start(&self, host: &str) -> f64 {
         self.sources
             .iter()
-            .filter_map(|s| s.said.get(host))
-            .map(|word| word.0.born_ms)
+            .filter_map(|source| source.records.get(host))
+            .map(|record| record.member.born_ms)
             .fold(0.0, f64::max)
     }
 
-    fn word(&mut self, source: usize, member: &Member) {
-        let life = self.life(&member.host).max(member.born_ms);
-        self.sources[source]
-            .said
-            .insert(member.host.clone(), (member.clone(), life, None));
+    fn set_record(&mut self, source: usize, member: &Member) {
+        let stopped_up_to = self.latest_start(&member.host).max(member.born_ms);
+        self.sources[source].records.insert(
+            member.host.clone(),
+            Record {
+                member: member.clone(),
+                stopped_up_to,
+                suspected_since: None,
+            },
+        );
     }
 
     fn take(&mut self, now: f64, event: &Event) {
         match event {
             Event::Lost { source } => {
-                self.sources[*source].lost.get_or_insert(now);
+                self.sources[*source].lost_since.get_or_insert(now);
             }
-            Event::Resumed { source } => self.sources[*source].lost = None,
+            Event::Resumed { source } => self.sources[*source].lost_since = None,
             Event::Reborn { source } => {
                 self.sources[*source].version = None;
                 self.sources[*source]
-                    .said
+                    .records
                     .values_mut()
-                    .for_each(|word| word.2 = None);
+                    .for_each(|record| record.suspected_since = None);
             }
             Event::Snapshot {
                 source, members, ..
@@ -79,73 +89,80 @@
             | Event::Change { source, members } => {
                 let of = &mut self.sources[*source];
                 if of.version.is_some_and(|last| members.seq <= last) {
-                    return self.age(now);
+                    return self.pass_time(now);
                 }
-                (of.version, of.begun, of.lost) = (Some(members.seq), true, None);
+                (of.version, of.has_begun, of.lost_since) = (Some(members.seq), true, None);
                 if let Event::Snapshot { unread, .. } = event {
-                    self.missing(now, *source, members, unread);
+                    self.apply_missing(now, *source, members, unread);
                 }
-                // Lives are those known before the event: a stop in it is not for a life that it tells of elsewhere.
+                // Starts are those known before the event: a stop in it is not for an instance that it has elsewhere.
                 members
                     .hosts
                     .iter()
-                    .for_each(|member| self.word(*source, member));
+                    .for_each(|member| self.set_record(*source, member));
             }
         }
-        self.age(now);
+        self.pass_time(now);
     }
 
-    fn missing(&mut self, now: f64, source: usize, members: &Members, unread: &[String]) {
-        let set = self.settings[source].clone();
+    fn apply_missing(&mut self, now: f64, source: usize, members: &Members, unread: &[String]) {
+        let settings = self.settings[source].clone();
         let of = &mut self.sources[source];
         for host in unread {
-            if let Some(word) = of.said.get_mut(host) {
-                word.2 = None;
+            if let Some(record) = of.records.get_mut(host) {
+                record.suspected_since = None;
             }
         }
         let named =
             |host: &String| members.hosts.iter().any(|m| m.host == *host) || unread.contains(host);
-        for (host, word) in &mut of.said {
+        for (host, record) in &mut of.records {
             if named(host) {
-                word.2 = None;
+                record.suspected_since = None;
             }
         }
-        let believed =
-            |missing: usize, had: usize| missing as f64 <= set.believed_part * had as f64;
-        let here = of
-            .said
+        let is_believed =
+            |missing: usize, of: usize| missing as f64 <= settings.believed_part * of as f64;
+        let listed = of
+            .records
             .iter()
-            .filter(|(_, word)| word.0.health != Health::Removed);
-        let here: Vec<(String, bool)> = here
-            .map(|(host, word)| (host.clone(), word.2.is_some()))
+            .filter(|(_, record)| record.member.health != Health::Removed);
+        let listed: Vec<(String, bool)> = listed
+            .map(|(host, record)| (host.clone(), record.suspected_since.is_some()))
             .collect();
-        let all: Vec<&String> = here
+        let missing: Vec<&String> = listed
             .iter()
             .map(|(host, _)| host)
             .filter(|host| !named(host))
             .collect();
-        if believed(all.len(), here.len()) {
-            return all.into_iter().for_each(|host| self.gone(source, host));
+        if is_believed(missing.len(), listed.len()) {
+            return missing
+                .into_iter()
+                .for_each(|host| self.remove(source, host));
         }
-        // What is in doubt already counts neither among those that were there nor among those that are missing.
-        let sure: Vec<&String> = here
+        // Nodes that are suspected already count neither as listed nor as missing.
+        let trusted: Vec<&String> = listed
             .iter()
-            .filter(|(_, doubted)| !doubted)
+            .filter(|(_, suspected)| !suspected)
             .map(|(host, _)| host)
             .collect();
-        let fresh: Vec<&String> = sure.iter().copied().filter(|host| !named(host)).collect();
-        for host in &fresh {
-            if believed(fresh.len(), sure.len()) {
-                self.gone(source, host);
+        let newly_missing: Vec<&String> = trusted
+            .iter()
+            .copied()
+            .filter(|host| !named(host))
+            .collect();
+        for host in &newly_missing {
+            if is_believed(newly_missing.len(), trusted.len()) {
+                self.remove(source, host);
             } else {
-                self.sources[source].said.get_mut(*host).unwrap().2 = Some(now);
+                let record = self.sources[source].records.get_mut(*host).unwrap();
+                record.suspected_since = Some(now);
             }
         }
     }
 
-    fn gone(&mut self, source: usize, host: &str) {
-        let member = self.sources[source].said[host].0.clone();
-        self.word(
+    fn remove(&mut self, source: usize, host: &str) {
+        let member = self.sources[source].records[host].member.clone();
+        self.set_record(
             source,
             &Member {
                 health: Health::Removed,
@@ -154,54 +171,63 @@
         );
     }
 
-    fn age(&mut self, now: f64) {
+    fn pass_time(&mut self, now: f64) {
         for source in 0..self.sources.len() {
             let of = &self.sources[source];
-            if !of.begun || of.lost.is_some() {
+            if !of.has_begun || of.lost_since.is_some() {
                 continue;
             }
-            let doubt = self.settings[source].doubt;
-            let over = of
-                .said
-                .iter()
-                .filter(|(_, word)| word.2.is_some_and(|since| now - since >= doubt));
-            let over: Vec<String> = over.map(|(host, _)| host.clone()).collect();
-            over.iter().for_each(|host| self.gone(source, host));
+            let timeout = self.settings[source].doubt;
+            let due = of.records.iter().filter(|(_, record)| {
+                record
+                    .suspected_since
+                    .is_some_and(|since| now - since >= timeout)
+            });
+            let due: Vec<String> = due.map(|(host, _)| host.clone()).collect();
+            due.iter().for_each(|host| self.remove(source, host));
         }
-        let heard = self
+        let any_connected = self
             .sources
             .iter()
-            .any(|source| source.begun && source.lost.is_none());
-        for (source, set) in self.sources.iter_mut().zip(&self.settings) {
-            source.aged = heard && source.lost.is_some_and(|since| now - since >= set.keep);
+            .any(|source| source.has_begun && source.lost_since.is_none());
+        for (source, settings) in self.sources.iter_mut().zip(&self.settings) {
+            source.is_expired = any_connected
+                && source
+                    .lost_since
+                    .is_some_and(|since| now - since >= settings.keep);
         }
     }
 
     fn list(&self) -> BTreeMap<String, Member> {
         let mut list = BTreeMap::new();
         for host in HOSTS {
-            let life = self.life(host);
-            let (mut best, mut gone, mut drains): (Option<&Member>, bool, bool) =
+            let latest_start = self.latest_start(host);
+            let (mut details, mut removed, mut draining): (Option<&Member>, bool, bool) =
                 (None, false, false);
-            for (source, set) in self.sources.iter().zip(&self.settings) {
-                let Some((member, stopped, _)) = source.said.get(host) else {
+            for (source, settings) in self.sources.iter().zip(&self.settings) {
+                let Some(record) = source.records.get(host) else {
                     continue;
                 };
-                let holds = set.authoritative && life <= *stopped;
-                gone |= holds && member.health == Health::Removed;
-                drains |= holds && member.health == Health::Draining;
-                let newer = best.is_none_or(|best| member.born_ms > best.born_ms);
-                if member.health != Health::Removed && !source.aged && newer {
-                    best = Some(member);
+                let member = &record.member;
+                let is_stopped = settings.authoritative && latest_start <= record.stopped_up_to;
+                removed |= is_stopped && member.health == Health::Removed;
+                draining |= is_stopped && member.health == Health::Draining;
+                let is_newer = details.is_none_or(|details| member.born_ms > details.born_ms);
+                if member.health != Health::Removed && !source.is_expired && is_newer {
+                    details = Some(member);
                 }
             }
-            if let Some(best) = best.filter(|_| !gone) {
-                let health = if drains { Health::Draining } else { Health::Up };
+            if let Some(details) = details.filter(|_| !removed) {
+                let health = if draining {
+                    Health::Draining
+                } else {
+                    Health::Up
+                };
                 list.insert(
                     host.to_owned(),
                     Member {
                         health,
-                        ..best.clone()
+                        ..details.clone()
                     },
                 );
             }
@@ -242,7 +268,7 @@
         })
 }
 
-/// An event whose version is near the last one: sometimes late, sometimes the same again.
+/// An event whose version is near the last one: sometimes late, sometimes repeated.
 fn event() -> impl Strategy<Value = (u8, usize, i64, Vec<Member>, Vec<&'static str>, f64)> {
     let unread = prop::collection::vec(prop::sample::select(HOSTS.to_vec()), 0..2);
     (
@@ -271,7 +297,7 @@
     })]
 
     #[test]
-    fn the_roster_is_what_its_rules_say(history in prop::collection::vec(event(), 1..80)) {
+    fn the_roster_agrees_with_the_reference_model(history in prop::collection::vec(event(), 1..80)) {
         let mut roster = Roster::new(settings());
         let sources = (0..3).map(|_| ModelSource::default()).collect();
         let mut model = Model { settings: settings(), sources };
@@ -280,7 +306,7 @@
         for (kind, source, step, mut hosts, unread, pause) in history {
             now += pause;
             let mut seen = std::collections::BTreeSet::new();
-            // One version tells of a node once.
+            // One version has a node once.
             hosts.retain(|member| seen.insert(member.host.clone()));
             let version = (versions[source] + step).max(1);
             let members = Members { seq: version as u64, whole: false, hosts };
@@ -301,19 +327,19 @@
             let update = roster.take(now, event);
             let mut once = std::collections::BTreeSet::new();
             for change in &update.changes {
-                prop_assert!(once.insert(change.host.clone()), "told twice: {}", change.host);
+                prop_assert!(once.insert(change.host.clone()), "returned twice: {}", change.host);
                 let before = match change.health {
                     Health::Removed => mirror.remove(&change.host),
                     _ => mirror.insert(change.host.clone(), change.clone()),
                 };
-                prop_assert!(before.as_ref() != Some(change), "told as new: {change:?}");
-                prop_assert!(change.health != Health::Removed || before.is_some(), "removed unknown: {change:?}");
+                prop_assert!(before.as_ref() != Some(change), "returned without a change: {change:?}");
+                prop_assert!(change.health != Health::Removed || before.is_some(), "removed an unknown node: {change:?}");
             }
             let list = model.list();
             prop_assert_eq!(&mirror, &list);
-            let told: BTreeMap<String, Member> =
+            let returned: BTreeMap<String, Member> =
                 roster.members().map(|member| (member.host.clone(), member.clone())).collect();
-            prop_assert_eq!(&told, &list);
+            prop_assert_eq!(&returned, &list);
         }
     }
 }
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule of the roster, by hand.
+//! Each rule of the package by an example.
 
 use maplefall_membership::{Event, Report, Roster, SourceSettings, Update};
 use maplefall_protocol::{Health, Member, Members};
@@ -8,7 +8,7 @@
 const ETCD: usize = 1;
 
 fn node(host: &str, health: Health, born_ms: f64) -> Member {
-    // An address of its own for each name, unless a test says otherwise.
+    // Each name has an address of its own, unless a test sets one.
     let port = 1000
         + host.bytes().fold(0u16, |sum, byte| {
             sum.wrapping_mul(31).wrapping_add(u16::from(byte))
@@ -51,14 +51,14 @@
     }
 }
 
-fn two() -> Roster {
+fn agent_and_etcd() -> Roster {
     Roster::new(vec![
         SourceSettings::trusted("agent"),
         SourceSettings::trusted("etcd"),
     ])
 }
 
-/// The changes of an update, as names with their states.
+/// The names and states in an update.
 fn changes(update: &Update) -> Vec<(&str, Health)> {
     update
         .changes
@@ -67,15 +67,17 @@
         .collect()
 }
 
-fn state(roster: &Roster) -> Vec<(&str, Health)> {
+/// The names and states of all nodes.
+fn states(roster: &Roster) -> Vec<(&str, Health)> {
     roster
         .members()
         .map(|member| (member.host.as_str(), member.health))
         .collect()
 }
 
+/// Guards a single trusted source: all its events are applied at once.
 #[test]
-fn one_trusted_source_is_handed_through() {
+fn events_of_a_single_trusted_source_are_applied() {
     let mut roster = Roster::new(vec![SourceSettings::trusted("agent")]);
     let update = roster.take(
         0.0,
@@ -97,12 +99,13 @@
     );
 }
 
+/// Guards rule 1 against late events, and a restart of the versions.
 #[test]
-fn what_comes_late_changes_nothing() {
-    let mut roster = two();
+fn late_events_change_nothing() {
+    let mut roster = agent_and_etcd();
     roster.take(0.0, snapshot(ETCD, 10, &[node("a", Up, 0.0)]));
     roster.take(1.0, change(ETCD, 12, &[node("a", Draining, 0.0)]));
-    // An old event on a second stream, and a whole list of a member that lags.
+    // An old event on a second stream, and a snapshot of a replica that lags.
     assert_eq!(
         changes(&roster.take(2.0, change(ETCD, 11, &[node("a", Up, 0.0)]))),
         []
@@ -112,8 +115,8 @@
         []
     );
     assert_eq!(changes(&roster.take(3.0, snapshot(ETCD, 9, &[]))), []);
-    assert_eq!(state(&roster), [("a", Draining)]);
-    // Another service under the same name counts anew.
+    assert_eq!(states(&roster), [("a", Draining)]);
+    // Another service under the same name restarts the versions.
     roster.take(4.0, Event::Reborn { source: ETCD });
     assert_eq!(
         changes(&roster.take(5.0, snapshot(ETCD, 3, &[node("a", Up, 0.0)]))),
@@ -121,14 +124,15 @@
     );
 }
 
+/// Guards rule 2 in either order of the sources.
 #[test]
-fn a_drain_wins_whichever_comes_first_until_its_source_takes_it_back() {
+fn a_drain_wins_until_its_source_takes_it_back() {
     for order in [[AGENT, ETCD], [ETCD, AGENT]] {
-        let mut roster = two();
+        let mut roster = agent_and_etcd();
         roster.take(0.0, snapshot(order[0], 1, &[node("a", Up, 7.0)]));
         roster.take(1.0, snapshot(order[1], 1, &[node("a", Draining, 7.0)]));
-        assert_eq!(state(&roster), [("a", Draining)]);
-        // The other one says up once more: it cannot undo what it did not tell.
+        assert_eq!(states(&roster), [("a", Draining)]);
+        // The other source says up again: it cannot undo a drain that is not its own.
         assert_eq!(
             changes(&roster.take(2.0, change(order[0], 2, &[node("a", Up, 7.0)]))),
             []
@@ -138,28 +142,30 @@
     }
 }
 
+/// Guards rule 2 for a node that starts again.
 #[test]
-fn a_newer_life_is_free_of_older_stops() {
-    let mut roster = two();
+fn a_stop_is_not_for_a_newer_instance() {
+    let mut roster = agent_and_etcd();
     roster.take(0.0, snapshot(AGENT, 1, &[node("a", Up, 7.0)]));
     roster.take(1.0, change(ETCD, 1, &[node("a", Removed, 7.0)]));
-    assert_eq!(state(&roster), []);
+    assert_eq!(states(&roster), []);
     assert_eq!(
         changes(&roster.take(2.0, change(AGENT, 2, &[node("a", Up, 7.0)]))),
         [],
-        "the same life"
+        "the same instance"
     );
     assert_eq!(
         changes(&roster.take(3.0, change(AGENT, 3, &[node("a", Up, 9.0)]))),
         [("a", Up)]
     );
-    // A stop that tells no start is for the lives known then, not for a later one.
+    // A stop without a start is for the instances known then, not for a later one.
     roster.take(4.0, change(ETCD, 2, &[node("a", Draining, 0.0)]));
-    assert_eq!(state(&roster), [("a", Draining)]);
+    assert_eq!(states(&roster), [("a", Draining)]);
     roster.take(5.0, change(AGENT, 4, &[node("a", Up, 11.0)]));
-    assert_eq!(state(&roster), [("a", Up)]);
+    assert_eq!(states(&roster), [("a", Up)]);
 }
 
+/// Guards rule 2 against sources without authority.
 #[test]
 fn a_source_without_authority_only_adds() {
     let mut roster = Roster::new(vec![
@@ -176,25 +182,26 @@
     );
     assert_eq!(changes(&update), [("b", Up)]);
     roster.take(2.0, change(AGENT, 2, &[node("b", Draining, 0.0)]));
-    assert_eq!(state(&roster), [("a", Up), ("b", Draining)]);
+    assert_eq!(states(&roster), [("a", Up), ("b", Draining)]);
 }
 
+/// Guards rule 3 against a snapshot that lacks too many nodes.
 #[test]
-fn a_shrunken_list_is_doubted_for_its_time_and_then_believed() {
-    let doubtful = SourceSettings {
+fn nodes_missing_in_a_shrunken_snapshot_stay_for_the_suspicion_timeout() {
+    let etcd = SourceSettings {
         believed_part: 0.5,
         doubt: 1000.0,
         ..SourceSettings::trusted("etcd")
     };
-    let mut roster = Roster::new(vec![doubtful]);
+    let mut roster = Roster::new(vec![etcd]);
     let all: Vec<Member> = ["a", "b", "c", "d"].map(|host| node(host, Up, 0.0)).into();
     roster.take(0.0, snapshot(0, 1, &all));
-    // Half may go at once; what is drained in the same list counts at once too.
+    // Half may go at once; a drain in the same snapshot is applied at once too.
     let update = roster.take(1.0, snapshot(0, 2, &[node("a", Draining, 0.0)]));
     assert_eq!(changes(&update), [("a", Draining)]);
     assert_eq!(
         update.reports,
-        [Report::Doubted {
+        [Report::NodesSuspected {
             source: "etcd".into(),
             missing: 3,
             of: 4
@@ -213,19 +220,19 @@
     assert_eq!(
         changes(&roster.take(1599.0, snapshot(0, 5, &[]))),
         [],
-        "still doubted"
+        "still suspected"
     );
     assert_eq!(roster.next_due(), Some(1600.0));
-    // A source that watches does not say again what has not changed: the time alone decides.
+    // A source that watches does not repeat what has not changed: the timeout alone decides.
     assert_eq!(
         changes(&roster.tick(1600.0)),
         [("a", Removed), ("b", Removed)]
     );
     assert_eq!(roster.next_due(), None);
-    // Removals told one by one are believed at once, however many; people are told.
+    // Removals by name are believed at once, however many, and reported.
     roster.take(2000.0, snapshot(0, 7, &all));
-    let gone: Vec<Member> = ["a", "b", "c"].map(|host| node(host, Removed, 0.0)).into();
-    let update = roster.take(2001.0, change(0, 8, &gone));
+    let removed: Vec<Member> = ["a", "b", "c"].map(|host| node(host, Removed, 0.0)).into();
+    let update = roster.take(2001.0, change(0, 8, &removed));
     assert_eq!(update.changes.len(), 3);
     assert_eq!(
         update.reports,
@@ -237,14 +244,15 @@
     );
 }
 
+/// Guards rule 3: suspicion ends when the node is named again, and does not time out while the source is lost.
 #[test]
-fn doubt_ends_with_the_nodes_return_and_waits_while_the_source_is_lost() {
-    let doubtful = SourceSettings {
+fn suspicion_ends_with_the_nodes_return_and_waits_for_a_lost_source() {
+    let etcd = SourceSettings {
         believed_part: 0.5,
         doubt: 1000.0,
         ..SourceSettings::trusted("etcd")
     };
-    let mut roster = Roster::new(vec![doubtful]);
+    let mut roster = Roster::new(vec![etcd]);
     let all: Vec<Member> = ["a", "b", "c", "d"].map(|host| node(host, Up, 0.0)).into();
     roster.take(0.0, snapshot(0, 1, &all));
     roster.take(1.0, snapshot(0, 2, &[]));
@@ -254,7 +262,7 @@
     assert_eq!(
         changes(&roster.tick(5000.0)),
         [],
-        "nobody is there to confirm it"
+        "no source is connected to confirm it"
     );
     let update = roster.take(5001.0, Event::Resumed { source: 0 });
     assert_eq!(
@@ -271,9 +279,10 @@
     );
 }
 
+/// Guards a restart of this process: the entries of each source and its stops are recalled.
 #[test]
-fn a_later_life_recalls_each_sources_words_and_its_stops() {
-    let mut first = two();
+fn a_later_incarnation_recalls_entries_and_stops() {
+    let mut first = agent_and_etcd();
     first.take(
         0.0,
         snapshot(
@@ -287,14 +296,14 @@
         snapshot(ETCD, 1, &[node("a", Draining, 7.0), node("c", Up, 3.0)]),
     );
     first.take(1.0, change(ETCD, 2, &[node("c", Removed, 0.0)]));
-    let mut later = two();
-    let words: Vec<Members> = first.words().map(|(_, members)| members).collect();
-    for (source, members) in words.iter().enumerate() {
+    let mut later = agent_and_etcd();
+    let recorded: Vec<Members> = first.words().map(|(_, members)| members).collect();
+    for (source, members) in recorded.iter().enumerate() {
         later.recall(2.0, source, members);
     }
-    assert_eq!(state(&later), [("a", Draining), ("b", Up)]);
-    assert_eq!(state(&later), state(&first));
-    // The agent speaks first: what etcd stopped stays stopped; a newer life is free of it.
+    assert_eq!(states(&later), [("a", Draining), ("b", Up)]);
+    assert_eq!(states(&later), states(&first));
+    // The agent is first: what etcd stopped stays stopped, but for a newer instance.
     let update = later.take(
         3.0,
         snapshot(
@@ -310,21 +319,22 @@
     );
 }
 
+/// Guards rule 3: nodes that are suspected do not make later removals suspect.
 #[test]
-fn nodes_in_doubt_do_not_draw_later_removals_into_doubt() {
-    let doubtful = SourceSettings {
+fn suspected_nodes_do_not_make_later_removals_suspect() {
+    let etcd = SourceSettings {
         believed_part: 0.5,
         doubt: 1000.0,
         ..SourceSettings::trusted("etcd")
     };
-    let mut roster = Roster::new(vec![doubtful]);
+    let mut roster = Roster::new(vec![etcd]);
     let many = |from: u32, to: u32| {
         (from..to)
             .map(|n| node(&format!("n{n}"), Up, 0.0))
             .collect::<Vec<_>>()
     };
     roster.take(0.0, snapshot(0, 1, &many(0, 10)));
-    // Eight of ten vanish at once, and are doubted; of what is left and what came, one goes as usual.
+    // Eight of ten are missing at once and suspected; of the rest and the new ones, one is removed as usual.
     assert_eq!(
         changes(&roster.take(1.0, snapshot(0, 2, &many(8, 14)))).len(),
         4
@@ -337,8 +347,9 @@
     assert_eq!(roster.members().count(), 5);
 }
 
+/// Guards rules 3 and 4: all sources are lost for a minute and come back with half of the nodes.
 #[test]
-fn all_sources_lost_for_a_minute_and_back_with_half_the_nodes_empties_nothing_at_once() {
+fn an_outage_of_all_sources_removes_nothing_at_once() {
     let etcd = SourceSettings {
         believed_part: 0.3,
         doubt: 10_000.0,
@@ -363,9 +374,9 @@
     assert_eq!(
         changes(&roster.tick(60_000.0)),
         [],
-        "with nobody there nothing ages"
+        "nothing expires while no source is connected"
     );
-    // The first one back knows half of them; so does the second.
+    // Both have half of the nodes when they come back.
     assert_eq!(
         changes(&roster.take(61_000.0, snapshot(AGENT, 2, &all[..2]))),
         []
@@ -382,9 +393,10 @@
     );
 }
 
+/// Guards rule 3 for entries that cannot be read.
 #[test]
-fn an_entry_that_cannot_be_read_is_not_missing() {
-    let mut roster = two();
+fn an_unreadable_entry_is_not_missing() {
+    let mut roster = agent_and_etcd();
     roster.take(
         0.0,
         snapshot(
@@ -407,11 +419,12 @@
         },
     );
     assert_eq!(changes(&update), [("c", Removed)]);
-    assert_eq!(state(&roster), [("a", Draining), ("b", Up)]);
+    assert_eq!(states(&roster), [("a", Draining), ("b", Up)]);
 }
 
+/// Guards rule 4.
 #[test]
-fn a_lost_sources_nodes_age_only_while_another_is_there_and_come_back_with_it() {
+fn nodes_of_a_lost_source_expire_only_while_another_is_connected_and_come_back_with_it() {
     let keep = 1000.0;
     let mut roster = Roster::new(vec![
         SourceSettings::trusted("agent"),
@@ -433,16 +446,16 @@
         ),
     );
     roster.take(0.0, Event::Lost { source: ETCD });
-    // All are lost: nothing ages.
+    // All sources are lost: nothing expires.
     assert_eq!(changes(&roster.tick(10_000.0)), []);
     roster.take(
         10_000.0,
         snapshot(AGENT, 1, &[node("b", Up, 0.0), node("d", Up, 0.0)]),
     );
     assert_eq!(
-        state(&roster),
+        states(&roster),
         [("b", Up), ("d", Draining)],
-        "the stop of a lost source stands"
+        "the stop of a lost source stays in force"
     );
     let update = roster.take(10_001.0, Event::Resumed { source: ETCD });
     assert_eq!(changes(&update), [("a", Up)]);
@@ -451,17 +464,18 @@
     assert_eq!(changes(&roster.tick(20_999.0)), []);
     let update = roster.tick(21_000.0);
     assert_eq!(changes(&update), [("a", Removed)]);
-    assert_eq!(update.reports, [Report::GivenUp { host: "a".into() }]);
+    assert_eq!(update.reports, [Report::Expired { host: "a".into() }]);
     assert_eq!(roster.next_due(), None);
 }
 
+/// Guards rule 5.
 #[test]
-fn one_address_holds_the_node_that_started_last() {
+fn the_node_that_started_last_owns_an_address() {
     let at = |host: &str, born| Member {
         dial: "127.0.0.1:9".parse().unwrap(),
         ..node(host, Up, born)
     };
-    let mut roster = two();
+    let mut roster = agent_and_etcd();
     roster.take(0.0, snapshot(AGENT, 1, &[at("old", 5.0)]));
     let update = roster.take(1.0, change(AGENT, 2, &[at("new", 9.0)]));
     assert_eq!(
@@ -470,8 +484,8 @@
         "stops come first"
     );
     let shared = Report::SharedAddress {
-        holder: "new".into(),
-        other: "old".into(),
+        owner: "new".into(),
+        displaced: "old".into(),
     };
     assert_eq!(update.reports, [shared]);
     assert_eq!(
@@ -481,7 +495,7 @@
         [],
         "reported once"
     );
-    // The holder goes: the other is back.
+    // The owner is removed: the other is back.
     let update = roster.take(
         3.0,
         change(
@@ -496,24 +510,26 @@
     assert_eq!(changes(&update), [("new", Removed), ("old", Up)]);
 }
 
+/// Guards a restart of this process: the recalled list is superseded by the first event of its source.
 #[test]
-fn an_earlier_lifes_list_serves_until_a_source_speaks() {
-    let mut roster = two();
+fn a_recalled_list_is_used_until_its_source_has_an_event() {
+    let mut roster = agent_and_etcd();
     let update = roster.recall(
         0.0,
         AGENT,
         &list(41, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
     );
     assert_eq!(changes(&update), [("a", Up), ("b", Up)]);
-    // Its own first word goes before it, at any version.
+    // Its first event supersedes the list, at any version.
     assert_eq!(
         changes(&roster.take(1.0, snapshot(AGENT, 2, &[node("b", Up, 0.0)]))),
         [("a", Removed)]
     );
 }
 
+/// Guards the bound on nodes.
 #[test]
-fn the_roster_is_bounded() {
+fn nodes_beyond_the_bound_are_left_out() {
     let mut roster = Roster::new(vec![SourceSettings::trusted("agent")]);
     let many: Vec<Member> = (0..maplefall_membership::MOST_NODES + 5)
         .map(|i| {
@@ -527,7 +543,7 @@
     let update = roster.take(0.0, snapshot(AGENT, 1, &many));
     assert_eq!(
         update.reports,
-        [Report::NoRoom {
+        [Report::CapacityReached {
             source: "agent".into(),
             left_out: 5
         }]
@@ -535,11 +551,10 @@
     assert_eq!(roster.members().count(), maplefall_membership::MOST_NODES);
 }
 
-/// Guards a service in which ever new nodes come and go: they find room without end, the stops of late are remembered, and
-/// the oldest are forgotten.
+/// Guards the bound on stops while ever new nodes come and go: the recent ones are kept, and the oldest are forgotten.
 #[test]
-fn old_stops_are_forgotten_and_those_of_late_are_not() {
-    let mut roster = two();
+fn only_the_oldest_stops_are_forgotten() {
+    let mut roster = agent_and_etcd();
     let ids = 10_000u64;
     for i in 0..ids {
         let host = format!("n{i}");
@@ -551,21 +566,21 @@
     assert_eq!(
         changes(&roster.take(1.0, change(AGENT, 1, &[node(&last, Up, 1.0)]))),
         [],
-        "stopped of late"
+        "stopped recently"
     );
     assert_eq!(
         changes(&roster.take(2.0, change(AGENT, 2, &[node("n0", Up, 1.0)]))),
         [("n0", Up)]
     );
-    // One that came back meanwhile is not forgotten with its old stop.
-    let mut roster = two();
-    roster.take(0.0, change(ETCD, 1, &[node("kept", Removed, 1.0)]));
-    roster.take(0.0, change(ETCD, 2, &[node("kept", Draining, 2.0)]));
+    // A node that came back meanwhile is not forgotten with its old stop.
+    let mut roster = agent_and_etcd();
+    roster.take(0.0, change(ETCD, 1, &[node("back", Removed, 1.0)]));
+    roster.take(0.0, change(ETCD, 2, &[node("back", Draining, 2.0)]));
     for i in 0..ids {
         roster.take(
             0.0,
             change(ETCD, 3 + i, &[node(&format!("n{i}"), Removed, 1.0)]),
         );
     }
-    assert_eq!(state(&roster), [("kept", Draining)]);
+    assert_eq!(states(&roster), [("back", Draining)]);
 }
