--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -1,11 +1,11 @@
-//! How long to wait before a service is asked again that every front door of a fleet asks.
+//! Delays between the retries of one client of a shared service, bounded by the load of the whole fleet.
 //!
-//! One door that asks again four times a second is harmless; a hundred that do so keep a service overbooked that could
-//! have answered each of them once. So what is bounded here is what the *fleet* asks: the longest pause grows with the
-//! number of doors, and pauses are drawn evenly from the whole span, as doors that failed together would else come
-//! together again (Brooker, "Exponential Backoff and Jitter", AWS Architecture Blog 2015: full jitter).
+//! One client that retries four times per second is harmless; a hundred of them keep a service overloaded that could have answered each
+//! of them once. So the rate of the *fleet* is bounded: the longest delay grows with the number of clients. Delays are drawn uniformly,
+//! since clients that fail together would otherwise retry together (Brooker, "Exponential Backoff and Jitter", AWS Architecture Blog
+//! 2015: full jitter).
 //!
-//! Nothing here reads a clock; whoever waits hands the pause to its timer.
+//! Nothing here reads a clock; the caller waits.
 
 #![forbid(unsafe_code)]
 
@@ -13,62 +13,63 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Calls a second that a whole fleet makes to a service that goes on turning it away, at most.
-pub const FLEET_CALLS_A_SECOND: f64 = 6.0;
-/// The longest pause, however large the fleet.
-pub const LONGEST: Millis = 30_000.0;
-/// Part of the longest pause over which the first calls of doors that start together are spread.
-const START_PART: f64 = 0.125;
-/// Doublings from the span of a first pause to that of the longest.
+/// The most calls per second of a whole fleet to a service that keeps rejecting them.
+pub const MAX_FLEET_CALLS_PER_SECOND: f64 = 6.0;
+/// The longest delay, however large the fleet.
+pub const MAX_DELAY: Millis = 30_000.0;
+/// The part of the longest delay over which clients that start together spread their first calls.
+const INITIAL_PART: f64 = 0.125;
+/// How often the longest delay doubles after the first failure.
 const DOUBLINGS: u32 = 1;
 
-/// The pauses of one door before it asks one service again.
+/// The delays between one client's calls to one service.
 #[derive(Clone, Debug)]
-pub struct BackOff {
-    shortest: Millis,
-    longest: Millis,
-    failed: u32,
+pub struct Backoff {
+    min_delay: Millis,
+    max_delay: Millis,
+    failures: u32,
     rng: Pcg32,
 }
 
-impl BackOff {
-    /// For one of so many doors; no pause is shorter than `shortest` milliseconds. Sizes that make no sense are taken for
-    /// the nearest that does. `seed` is the only source of chance.
-    pub fn new(doors: u32, shortest: Millis, seed: u64) -> BackOff {
-        let shortest = if shortest.is_finite() {
-            shortest.clamp(1.0, LONGEST)
+impl Backoff {
+    /// For one of this many clients, at least 1. No delay is shorter than `min_delay`, which is from 1 ms to [`MAX_DELAY`]; a value out
+    /// of range is clamped, and one that is not finite is [`MAX_DELAY`]. `seed` determines all draws.
+    pub fn new(clients: u32, min_delay: Millis, seed: u64) -> Backoff {
+        let min_delay = if min_delay.is_finite() {
+            min_delay.clamp(1.0, MAX_DELAY)
         } else {
-            LONGEST
+            MAX_DELAY
         };
-        let longest = 1000.0 * f64::from(doors.max(1)) / FLEET_CALLS_A_SECOND;
-        let rng = Pcg32::seed_from_u64(seed);
-        BackOff {
-            shortest,
-            longest: longest.clamp(shortest, LONGEST),
-            failed: 0,
-            rng,
+        let max_delay = 1000.0 * f64::from(clients.max(1)) / MAX_FLEET_CALLS_PER_SECOND;
+        Backoff {
+            min_delay,
+            max_delay: max_delay.clamp(min_delay, MAX_DELAY),
+            failures: 0,
+            rng: Pcg32::seed_from_u64(seed),
         }
     }
 
-    /// How many milliseconds to wait before the first call, where a door can do without its answer for a while.
-    pub fn at_the_start(&mut self) -> Millis {
-        (self.longest - self.shortest) * START_PART * self.chance()
+    /// The delay before the first call, for a client that can do without its answer for a while.
+    pub fn initial_delay(&mut self) -> Millis {
+        (self.max_delay - self.min_delay) * INITIAL_PART * self.uniform()
     }
 
-    /// The service has served: the next failure is a first one.
-    pub fn served(&mut self) {
-        self.failed = 0;
+    /// The service has answered: the next failure is a first one.
+    pub fn reset(&mut self) {
+        self.failures = 0;
     }
 
-    /// The service has failed: how many milliseconds to wait before it is asked again.
-    pub fn pause(&mut self) -> Millis {
-        let part = 0.5f64.powi((DOUBLINGS - self.failed.min(DOUBLINGS)) as i32);
-        self.failed = self.failed.saturating_add(1);
-        let span = (self.longest * part - self.shortest).max(0.0);
-        self.shortest + span * self.chance()
+    /// The service has failed: the delay before the next call.
+    pub fn next_delay(&mut self) -> Millis {
+        let doublings_left = DOUBLINGS - self.failures.min(DOUBLINGS);
+        let part = 0.5f64.powi(doublings_left as i32);
+        self.failures = self.failures.saturating_add(1);
+        let range = (self.max_delay * part - self.min_delay).max(0.0);
+        self.min_delay + range * self.uniform()
     }
 
-    fn chance(&mut self) -> f64 {
+    /// A number drawn uniformly from 0 to 1, 1 excluded.
+    fn uniform(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / 4_294_967_296.0
     }
 }
--- a/crates/backoff/tests/fleet.rs
+++ b/crates/backoff/tests/fleet.rs
@@ -1,101 +1,115 @@
-//! Pauses put in terms of a fleet: doors that fail together do not come together again.
+//! Delays in a fleet: clients that fail together do not retry together.
 
-use maplefall_backoff::{BackOff, FLEET_CALLS_A_SECOND, LONGEST};
+use maplefall_backoff::{Backoff, MAX_DELAY, MAX_FLEET_CALLS_PER_SECOND};
 use maplefall_policy::Millis;
 
-/// A service that all doors ask at once: it takes a call each `each` milliseconds, and turns one away whose turn would
-/// come only after `patience`, when that has passed. Tells when each door was served, and how many calls it took.
-fn play(
-    doors: u32,
-    each: Millis,
-    patience: Millis,
-    pause: &mut dyn FnMut(u32) -> Millis,
-) -> (Vec<Millis>, u32) {
-    let mut calls: Vec<(Millis, u32)> = (0..doors).map(|door| (0.0, door)).collect();
-    let (mut served, mut made, mut free) = (Vec::new(), 0, 0.0f64);
-    while let Some(next) = (0..calls.len()).min_by(|a, b| calls[*a].0.total_cmp(&calls[*b].0)) {
-        let (now, door) = calls.swap_remove(next);
-        made += 1;
-        free = free.max(now);
-        // Turning away costs it as much as half an answer.
-        if free + each - now > patience {
-            free += each / 2.0;
-            calls.push((now + patience + pause(door), door));
+/// What a simulated fleet has experienced.
+struct Run {
+    /// When each client was answered.
+    answered: Vec<Millis>,
+    calls: u32,
+}
+
+/// Simulates a service that all clients call at once: an answer takes `service_time`, and a call that would be answered later than
+/// `timeout` is rejected after that time.
+fn simulate(
+    clients: u32,
+    service_time: Millis,
+    timeout: Millis,
+    delay: &mut dyn FnMut(u32) -> Millis,
+) -> Run {
+    let mut due: Vec<(Millis, u32)> = (0..clients).map(|client| (0.0, client)).collect();
+    let mut run = Run {
+        answered: Vec::new(),
+        calls: 0,
+    };
+    let mut idle_at = 0.0f64;
+    while let Some(next) = (0..due.len()).min_by(|a, b| due[*a].0.total_cmp(&due[*b].0)) {
+        let (now, client) = due.swap_remove(next);
+        run.calls += 1;
+        idle_at = idle_at.max(now);
+        // A rejection costs the service half as much as an answer.
+        if idle_at + service_time - now > timeout {
+            idle_at += service_time / 2.0;
+            due.push((now + timeout + delay(client), client));
         } else {
-            free += each;
-            served.push(free);
+            idle_at += service_time;
+            run.answered.push(idle_at);
         }
-        if made > 100 * doors {
+        if run.calls > 100 * clients {
             break;
         }
     }
-    (served, made)
+    run
 }
 
-/// Guards a service that has turned a whole fleet away: with an even pause, as short for a hundred doors as for one, the
-/// calls alone keep it busy for good; with pauses by the size of the fleet all are served.
+/// Guards a service that has rejected a whole fleet: without a delay the calls alone keep it overloaded; with delays by the size of the
+/// fleet all clients are answered.
 #[test]
-fn a_fleet_that_was_turned_away_is_served_in_the_end() {
-    let (each, patience) = (60.0, 2000.0);
-    let (served, _) = play(100, each, patience, &mut |_| 0.0);
+fn a_rejected_fleet_is_answered_in_the_end() {
+    let (service_time, timeout) = (60.0, 2000.0);
+    let run = simulate(100, service_time, timeout, &mut |_| 0.0);
     assert!(
-        served.len() < 100 || served[99] > 14_000.0,
-        "an even pause should show what is guarded against"
+        run.answered.len() < 100 || run.answered[99] > 14_000.0,
+        "without a delay the overload should persist"
     );
     for seed in 0..20u64 {
-        let mut doors: Vec<_> = (0..100)
-            .map(|door| BackOff::new(100, 250.0, seed * 1000 + door))
+        let mut backoffs: Vec<_> = (0..100)
+            .map(|client| Backoff::new(100, 250.0, seed * 1000 + client))
             .collect();
-        let (served, made) = play(100, each, patience, &mut |door| {
-            doors[door as usize].pause()
+        let Run { answered, calls } = simulate(100, service_time, timeout, &mut |client| {
+            backoffs[client as usize].next_delay()
         });
-        assert_eq!(served.len(), 100, "seed {seed}");
+        assert_eq!(answered.len(), 100, "seed {seed}");
         assert!(
-            served[99] < 60_000.0,
+            answered[99] < 60_000.0,
             "seed {seed}: the last after {} ms",
-            served[99]
+            answered[99]
         );
-        assert!(made < 500, "seed {seed}: {made} calls");
+        assert!(calls < 500, "seed {seed}: {calls} calls");
     }
 }
 
-/// Guards few doors: one of four waits hardly longer than the shortest pause, as ever.
+/// Guards small fleets: one of four clients waits hardly longer than the shortest delay.
 #[test]
-fn few_doors_hardly_wait_and_none_waits_for_ever() {
-    for (doors, most) in [
+fn small_fleets_wait_little_and_all_delays_are_bounded() {
+    for (clients, max_delay) in [
         (0, 250.0),
         (1, 250.0),
         (4, 670.0),
         (100, 16_670.0),
-        (u32::MAX, LONGEST),
+        (u32::MAX, MAX_DELAY),
     ] {
-        let mut pauses = BackOff::new(doors, 250.0, 7);
-        let drawn: Vec<_> = (0..200).map(|_| pauses.pause()).collect();
+        let mut backoff = Backoff::new(clients, 250.0, 7);
+        let delays: Vec<_> = (0..200).map(|_| backoff.next_delay()).collect();
         assert!(
-            drawn.iter().all(|pause| (250.0..=most).contains(pause)),
-            "{doors} doors"
+            delays
+                .iter()
+                .all(|delay| (250.0..=max_delay).contains(delay)),
+            "{clients} clients"
         );
-        let calls = f64::from(doors.min(100)) * 1000.0 / (drawn.iter().sum::<f64>() / 200.0);
+        let calls_per_second =
+            f64::from(clients.min(100)) * 1000.0 / (delays.iter().sum::<f64>() / 200.0);
         assert!(
-            calls <= 2.5 * FLEET_CALLS_A_SECOND || doors < 10,
-            "{doors} doors call {calls} times a second"
+            calls_per_second <= 2.5 * MAX_FLEET_CALLS_PER_SECOND || clients < 10,
+            "{clients} clients call {calls_per_second} times per second"
         );
     }
-    for shortest in [f64::NAN, -1.0, f64::INFINITY] {
-        assert!((1.0..=LONGEST).contains(&BackOff::new(3, shortest, 7).pause()));
+    for min_delay in [f64::NAN, -1.0, f64::INFINITY] {
+        assert!((1.0..=MAX_DELAY).contains(&Backoff::new(3, min_delay, 7).next_delay()));
     }
 }
 
-/// Guards the first failure after a good time: it is waited for as little as the first of all.
+/// Guards the first failure after an answer: its delay is as short as that of the first of all.
 #[test]
-fn a_service_that_has_served_is_asked_soon_again() {
-    let mut pauses = BackOff::new(100, 250.0, 7);
-    (0..10).for_each(|_| _ = pauses.pause());
-    let longest = (0..50).map(|_| pauses.pause()).fold(0.0, f64::max);
-    let firsts = (0..50).map(|_| {
-        pauses.served();
-        pauses.pause()
+fn an_answer_resets_the_delay() {
+    let mut backoff = Backoff::new(100, 250.0, 7);
+    (0..10).for_each(|_| _ = backoff.next_delay());
+    let longest = (0..50).map(|_| backoff.next_delay()).fold(0.0, f64::max);
+    let first_delays = (0..50).map(|_| {
+        backoff.reset();
+        backoff.next_delay()
     });
-    let first = firsts.fold(0.0, f64::max);
+    let first = first_delays.fold(0.0, f64::max);
     assert!(longest > 9000.0 && first <= 8400.0, "{longest} {first}");
 }
--- a/crates/discovery-agent/src/follower.rs
+++ b/crates/discovery-agent/src/follower.rs
@@ -23,7 +23,7 @@
 use crate::interface::{Believed, CallId, End, Heard, Output, Report, Settings, What};
 use crate::line::{line, Line, Word};
 use crate::list::List;
-use maplefall_backoff::BackOff;
+use maplefall_backoff::Backoff;
 use maplefall_membership::Event;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
@@ -83,7 +83,7 @@
     places: Vec<SocketAddr>,
     /// Which of the places is asked next.
     place: usize,
-    pauses: BackOff,
+    pauses: Backoff,
     calls: u64,
     /// The call whose words hold, and one beside it that has said nothing yet.
     main: Option<Call>,
@@ -127,10 +127,10 @@
             places,
             known,
         } = settings;
-        let mut pauses = BackOff::new(sharing, SHORTEST_PAUSE, seed);
+        let mut pauses = Backoff::new(sharing, SHORTEST_PAUSE, seed);
         // Doors that were started together ask a shared agent one after another, as long as each has a list to serve from.
         let wait = if known.is_some() && !own {
-            pauses.at_the_start()
+            pauses.initial_delay()
         } else {
             0.0
         };
@@ -284,7 +284,7 @@
                 if let Some(behind) = self.behind.as_mut().filter(|_| gap) {
                     behind.heard_since = now;
                 }
-                self.pauses.served();
+                self.pauses.reset();
                 match line(&text) {
                     Ok(Line::Alive) => {
                         self.down = false;
@@ -329,7 +329,7 @@
         let pause = if self.own {
             self.answers_within.min(SHORTEST_PAUSE)
         } else {
-            self.pauses.pause()
+            self.pauses.next_delay()
         };
         self.ask_at = Some(now + pause);
     }
