--- /dev/null
+++ b/crates/discovery-agent/src/follower/calls.rs
@@ -0,0 +1,240 @@
+//! The calls to the agent: when they are made and closed, and what is received.
+
+use super::{Call, Follower, CALL_TIMEOUT, HEARTBEAT_TIMEOUT, MIN_RETRY_DELAY, TOLD_WITHIN};
+use crate::interface::{CallId, End, Heard, Output, Report, TrustReason, What};
+use crate::parse::{line, Line};
+use maplefall_membership::Event;
+use maplefall_policy::Millis;
+
+/// The status of an agent that is overloaded.
+const SERVICE_UNAVAILABLE: u16 = 503;
+
+impl Follower {
+    // ---- Timeouts -----------------------------------------------------------------------------------
+
+    /// How long a call may be silent before the agent is called beside it.
+    pub(super) fn silence_timeout(&self, call: &Call) -> Millis {
+        match (self.is_local, call.has_line) {
+            (false, _) => CALL_TIMEOUT,
+            (true, true) => HEARTBEAT_TIMEOUT,
+            // The head of an answer alone does not show that the agent is alive: it may be all that was written.
+            (true, false) => self.answer_timeout,
+        }
+    }
+
+    fn is_silent(&self, now: Millis, call: &Call) -> bool {
+        now >= call.active_at + self.silence_timeout(call)
+    }
+
+    pub(super) fn close_silent_second_call(&mut self, now: Millis, out: &mut Vec<Output>) {
+        if let Some(call) = self.second.filter(|call| self.is_silent(now, call)) {
+            out.push(Output::HangUp(call.id));
+            self.second = None;
+            self.next_address();
+        }
+    }
+
+    /// Closes the main call after its timeout. The second call replaces it if there is one.
+    pub(super) fn close_silent_main_call(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let is_timed_out = |call: &Call| now >= call.active_at + CALL_TIMEOUT;
+        let Some(call) = self.main.filter(is_timed_out) else {
+            return;
+        };
+        out.push(Output::HangUp(call.id));
+        self.source_lost("silent", out);
+        self.main = self.second.take();
+        if self.main.is_some() {
+            return;
+        }
+        self.next_address();
+        if self.is_local {
+            self.next_call_at = Some(now);
+        } else {
+            self.call_after_delay(now);
+        }
+    }
+
+    /// Calls a local agent whose main call is silent a second time.
+    pub(super) fn make_second_call(&mut self, now: Millis, out: &mut Vec<Output>) {
+        if !self.is_local || self.second.is_some() || now < self.next_second_call_at {
+            return;
+        }
+        if let Some(main) = self.main.filter(|call| self.is_silent(now, call)) {
+            if !main.has_line {
+                self.next_address();
+            }
+            self.second = Some(self.make_call(now, out));
+        }
+    }
+
+    // ---- Making calls -------------------------------------------------------------------------------
+
+    fn next_address(&mut self) {
+        self.address = (self.address + 1) % self.addresses.len().max(1);
+    }
+
+    pub(super) fn call_after_delay(&mut self, now: Millis) {
+        let delay = if self.is_local {
+            self.answer_timeout.min(MIN_RETRY_DELAY)
+        } else {
+            self.backoff.next_delay()
+        };
+        self.next_call_at = Some(now + delay);
+    }
+
+    pub(super) fn make_call(&mut self, now: Millis, out: &mut Vec<Output>) -> Call {
+        self.last_call += 1;
+        let id = CallId(self.last_call);
+        // An agent whose list is outdated continues from its own version.
+        let outdated_version = self.outdated.as_ref().map(|outdated| outdated.version);
+        let what = match outdated_version.or(self.version) {
+            Some(from) if !self.needs_complete_list => What::Watch(from),
+            _ => What::Whole,
+        };
+        if let Some(address) = self.addresses.get(self.address) {
+            out.push(Output::Ask {
+                call: id,
+                place: *address,
+                what,
+            });
+        }
+        Call {
+            id,
+            what,
+            active_at: now,
+            has_line: false,
+        }
+    }
+
+    // ---- Receiving ----------------------------------------------------------------------------------
+
+    /// Handles what happened to a call. A call that was closed is ignored.
+    pub fn heard_of(&mut self, now: Millis, call: CallId, heard: Heard) -> Vec<Output> {
+        let mut out = Vec::new();
+        if self.second.is_some_and(|second| second.id == call)
+            && !self.replace_main_call(now, &heard, &mut out)
+        {
+            return out;
+        }
+        let Some(main) = self.main.as_mut().filter(|main| main.id == call) else {
+            return out;
+        };
+        match heard {
+            Heard::Begun => main.active_at = now,
+            Heard::Line(text) => {
+                main.active_at = now;
+                let is_first_line = !std::mem::replace(&mut main.has_line, true);
+                self.line_received(now, call, is_first_line, &text, &mut out);
+            }
+            Heard::Ended(end) => self.main_call_ended(now, end, &mut out),
+        }
+        out
+    }
+
+    /// Handles what happened to the second call. Returns whether it has replaced the main call, as it received a line first.
+    fn replace_main_call(&mut self, now: Millis, heard: &Heard, out: &mut Vec<Output>) -> bool {
+        match heard {
+            Heard::Line(_) => {
+                if let Some(main) = std::mem::replace(&mut self.main, self.second.take()) {
+                    out.push(Output::HangUp(main.id));
+                }
+                true
+            }
+            // The head of an answer alone does not show that the agent is alive.
+            Heard::Begun => false,
+            Heard::Ended(_) => {
+                // A refused call takes no time: without a delay it would be made again and again.
+                self.next_second_call_at = now + self.answer_timeout;
+                self.second = None;
+                self.next_address();
+                false
+            }
+        }
+    }
+
+    /// Handles a line of the main call.
+    fn line_received(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        is_first_line: bool,
+        text: &[u8],
+        out: &mut Vec<Output>,
+    ) {
+        let was_interrupted = std::mem::take(&mut self.was_interrupted);
+        let has_gap = was_interrupted || now - self.last_line_at > HEARTBEAT_TIMEOUT;
+        self.last_line_at = now;
+        if let Some(second) = self.second.take() {
+            out.push(Output::HangUp(second.id));
+        }
+        if let Some(outdated) = self.outdated.as_mut().filter(|_| has_gap) {
+            outdated.received_since = now;
+        }
+        self.backoff.reset();
+        match line(text) {
+            Ok(Line::Heartbeat) => {
+                self.is_outage_reported = false;
+                out.push(Output::Tell(Event::Resumed {
+                    source: self.source,
+                }));
+            }
+            Ok(Line::Word(update)) => {
+                self.is_outage_reported = false;
+                self.apply_update(now, is_first_line, &update, out);
+            }
+            Err(error) => {
+                out.push(Output::HangUp(call));
+                self.main_call_ended(now, End::Unreadable(error.to_string()), out);
+            }
+        }
+        let outdated = self.outdated.as_ref();
+        if outdated.is_some_and(|outdated| now - outdated.received_since >= TOLD_WITHIN) {
+            let reason = TrustReason::ReceivedThroughout(TOLD_WITHIN);
+            self.trust_outdated_list(now, reason, out);
+        }
+    }
+
+    fn main_call_ended(&mut self, now: Millis, end: End, out: &mut Vec<Output>) {
+        let Some(call) = self.main.take() else {
+            return;
+        };
+        if call.what == What::Whole && call.has_line && end == End::Whole {
+            // The complete list was received; a watch continues from it.
+            self.main = Some(self.make_call(now, out));
+            return;
+        }
+        let reason = match end {
+            End::Whole => "closed".to_owned(),
+            End::Broken(reason) => reason,
+            End::Status(status) => {
+                // An agent that does not know the version is asked for the complete list. An overloaded one is not, as that costs it
+                // more than changes.
+                self.needs_complete_list |= status != SERVICE_UNAVAILABLE;
+                format!("status {status}")
+            }
+            End::Unreadable(reason) => {
+                self.needs_complete_list = true;
+                reason
+            }
+        };
+        self.source_lost(&reason, out);
+        if !call.has_line {
+            self.next_address();
+        }
+        self.main = self.second.take();
+        if self.main.is_none() {
+            self.call_after_delay(now);
+        }
+    }
+
+    /// Tells the roster that the source is lost, and reports it once for an outage.
+    fn source_lost(&mut self, reason: &str, out: &mut Vec<Output>) {
+        self.was_interrupted = true;
+        out.push(Output::Tell(Event::Lost {
+            source: self.source,
+        }));
+        if !std::mem::replace(&mut self.is_outage_reported, true) {
+            out.push(Output::Report(Report::WatchEnded(reason.to_owned())));
+        }
+    }
+}
--- a/crates/discovery-agent/src/interface.rs
+++ b/crates/discovery-agent/src/interface.rs
@@ -1,4 +1,4 @@
-//! What passes between a [`crate::Follower`] and whoever carries it out.
+//! The inputs and outputs of a [`crate::Follower`].
 
 use maplefall_membership::Event;
 use maplefall_policy::Millis;
@@ -8,34 +8,34 @@
 /// How an agent is followed.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The agent's place among the roster's sources.
+    /// The agent's index among the roster's sources.
     pub source: usize,
-    /// Whether the agent is this door's own, answers at once and costs nothing; else it is shared by the fleet, and asked
-    /// no more often than its pauses allow.
+    /// Whether the agent is local to this process: it answers at once and calls cost nothing. Otherwise it is shared by the fleet, and
+    /// calls are delayed by a backoff.
     pub own: bool,
-    /// How many doors share it; 1 for one's own.
+    /// How many processes share it; 1 for a local one.
     pub sharing: u32,
-    /// Within how many milliseconds after a stop was told no more may be sent (the rule on drains).
+    /// The time within which requests to a draining backend have to stop, in milliseconds (the rule on drains).
     pub stop_within: Millis,
-    /// The only source of chance.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Where it may be, the likeliest first; not empty.
+    /// The addresses at which it may be, the likeliest first; not empty.
     pub places: Vec<SocketAddr>,
-    /// The list that the door was started with.
+    /// The list that the process was started with.
     pub known: Option<Members>,
 }
 
-/// What is asked for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum What {
-    /// The whole list.
+    /// The complete list.
     Whole,
-    /// What has changed since this version, and a watch on what changes from then on.
+    /// The changes since this version, and a watch on further ones.
     Watch(u64),
 }
 
 impl What {
-    /// The path that asks for it.
+    /// The path of the request.
     pub fn path(self) -> String {
         match self {
             What::Whole => "/catalog/members".to_owned(),
@@ -44,112 +44,114 @@
     }
 }
 
-/// Tells one call from others; each number is used once.
+/// Identifies a call; each number is used once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
 /// What happened to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
-    /// The head of its answer has come: 200.
+    /// The head of the response was received: status 200.
     Begun,
-    /// A line of it, without its end.
+    /// A line was received, without its end.
     Line(Vec<u8>),
-    /// It has ended by itself.
+    /// The call has ended by itself.
     Ended(End),
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    /// The answer has ended as it should.
+    /// The response was complete.
     Whole,
-    /// The connection refused, broke, or spoke something else.
+    /// The connection was refused, was reset, or is not HTTP.
     Broken(String),
-    /// Another status.
+    /// The response has another status than 200.
     Status(u16),
-    /// A line of it cannot be used.
+    /// A line cannot be parsed.
     Unreadable(String),
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Make a call.
     Ask {
-        /// Its number.
+        /// Its id.
         call: CallId,
-        /// To whom.
+        /// The address of the agent.
         place: SocketAddr,
-        /// What for.
+        /// What it requests.
         what: What,
     },
-    /// End a call; nothing of it is heard any more.
+    /// Close a call; nothing of it is passed in any more.
     HangUp(CallId),
-    /// Hand this to the roster.
+    /// Pass this to the roster.
     Tell(Event),
-    /// Tell people.
+    /// Log this.
     Report(Report),
 }
 
-/// Something that people should know.
+/// Something for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
-    /// The watch has ended; told once for an outage.
-    Lost(String),
+    /// The watch has ended; reported once for an outage.
+    WatchEnded(String),
     /// An entry cannot be used.
-    PassedOver {
-        /// Whose it is.
+    EntryRejected {
+        /// The backend, as far as it can be read.
         host: String,
         /// Why.
-        why: String,
+        reason: String,
     },
-    /// The agent's list is older than what has been told: its stops are taken, the rest waits.
-    Behind {
+    /// The agent's list may be older than the applied one: only its stops are applied.
+    ListOutdated {
         /// The agent's version.
         version: u64,
-        /// The version that has been told.
-        told: u64,
+        /// The applied version.
+        applied: u64,
     },
-    /// It is not older any more, and its list holds.
-    Believed {
+    /// The list is not older any more and is applied.
+    ListTrusted {
         /// Why.
-        why: Believed,
+        reason: TrustReason,
         /// Its version.
         version: u64,
     },
 }
 
-/// Why a list that seemed to be older is believed.
+/// Why a list that seemed to be older is applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Believed {
-    /// Its version has passed what had been told.
-    Passed,
-    /// It names a backend that started after that had been told.
-    NewerLife,
-    /// It has been heard for so long that it must have heard all that had been told.
-    HeardForLong(Millis),
+pub enum TrustReason {
+    /// Its version is above the applied one.
+    CaughtUp,
+    /// It has a backend that started after the applied version came.
+    NewerInstance,
+    /// Its agent was received without a gap for this long, so it has all stops that were reported before.
+    ReceivedThroughout(Millis),
 }
 
 impl std::fmt::Display for Report {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Report::Lost(why) => write!(f, "watch ended: {why}"),
-            Report::PassedOver { host, why } => write!(f, "{host}: passed over: {why}"),
-            Report::Behind { version, told } => {
+            Report::WatchEnded(reason) => write!(f, "watch ended: {reason}"),
+            Report::EntryRejected { host, reason } => {
+                write!(f, "{host}: passed over: {reason}")
+            }
+            Report::ListOutdated { version, applied } => {
                 write!(
                     f,
-                    "its list is of version {version}, and {told} has been told: only its stops are taken"
+                    "its list is of version {version}, and {applied} has been told: only its stops are taken"
                 )
             }
-            Report::Believed {
-                why: Believed::Passed,
+            Report::ListTrusted {
+                reason: TrustReason::CaughtUp,
                 version,
             } => {
                 write!(f, "it has caught up with version {version}")
             }
-            Report::Believed {
-                why: Believed::NewerLife,
+            Report::ListTrusted {
+                reason: TrustReason::NewerInstance,
                 version,
             } => {
                 write!(
@@ -157,8 +159,8 @@
                     "it counts anew: version {version} names a backend that started since"
                 )
             }
-            Report::Believed {
-                why: Believed::HeardForLong(ms),
+            Report::ListTrusted {
+                reason: TrustReason::ReceivedThroughout(ms),
                 version,
             } => {
                 write!(
--- a/crates/discovery-agent/src/lib.rs
+++ b/crates/discovery-agent/src/lib.rs
@@ -1,19 +1,19 @@
-//! How the platform's discovery agent is followed, and what of its words holds (protocol page, "Discovery").
+//! Follows the platform's discovery agent (protocol page, "Discovery").
 //!
-//! [`Follower`] decides, with the time handed in: which calls are made to which place, when an agent counts as silent, and
-//! what becomes of a word that is older than what has been told. Whoever carries it out opens the calls that it asks for,
-//! cuts what comes into [`Lines`] and hands them in; what comes out goes to the roster. Nothing here does I/O or reads a
-//! clock.
+//! [`Follower`] decides, with the time as an input: which calls are made to which address, when an agent counts as silent, and what
+//! becomes of an update that is older than what was applied. The caller opens the calls that it asks for, splits what is received with
+//! [`Lines`] and passes the lines in; the events that come out go to the roster. Nothing here does I/O or reads a clock.
 
+mod backend_list;
 mod follower;
 mod interface;
-mod line;
-mod lines;
-mod list;
+mod line_splitter;
+mod parse;
 
 pub use follower::{
-    Follower, ANSWERS_WITHIN, GIVEN_UP, HEARTBEAT, MISSED, SHORTEST_PAUSE, TOLD_WITHIN,
+    Follower, ANSWER_TIMEOUT, CALL_TIMEOUT, HEARTBEAT, HEARTBEAT_TIMEOUT, MIN_RETRY_DELAY,
+    TOLD_WITHIN,
 };
-pub use interface::{Believed, CallId, End, Heard, Output, Report, Settings, What};
-pub use line::{line, Line, PassedOver, Spoilt, Unreadable, Word, LONGEST_NAME};
-pub use lines::{Lines, LONGEST_LINE};
+pub use interface::{CallId, End, Heard, Output, Report, Settings, TrustReason, What};
+pub use line_splitter::{Lines, MAX_LINE_BYTES};
+pub use parse::{line, Line, LineError, PartialEntry, RejectedEntry, Word, MAX_NAME_BYTES};
--- a/crates/discovery-agent/tests/follower.rs
+++ b/crates/discovery-agent/tests/follower.rs
@@ -224,7 +224,7 @@
         let call = played.call();
         played.end(call, End::Status(status));
         assert!(played.open.is_empty() && played.lost);
-        played.pass(SHORTEST_PAUSE);
+        played.pass(MIN_RETRY_DELAY);
         assert_eq!(played.asked(), [(1, then)], "after {status}");
     }
     assert_eq!(
@@ -244,7 +244,7 @@
         "{:?}",
         played.reports
     );
-    played.pass(SHORTEST_PAUSE);
+    played.pass(MIN_RETRY_DELAY);
     assert_eq!(played.asked(), [(1, What::Whole)]);
     // It turns out to be what is known; nothing has changed.
     let call = played.call();
@@ -264,7 +264,7 @@
         let first = played.call();
         played.hear(first, Heard::Begun);
         played.beat(first);
-        played.pass(MISSED - 1.0);
+        played.pass(HEARTBEAT_TIMEOUT - 1.0);
         assert_eq!(played.open.len(), 1, "not before one is missed");
         played.pass(1.0);
         assert_eq!(played.asked(), [(1, What::Watch(9)), (1, What::Watch(9))]);
@@ -320,8 +320,8 @@
                 }
             };
             // A watch that has spoken may be silent for a heartbeat, and nothing is known before that is over.
-            let latest = if back < MISSED {
-                1e6 + MISSED
+            let latest = if back < HEARTBEAT_TIMEOUT {
+                1e6 + HEARTBEAT_TIMEOUT
             } else {
                 returned
             } + grace;
@@ -412,7 +412,7 @@
         played.pass(10.0);
     }
     let call = played.call();
-    played.pass(GIVEN_UP - 10.0);
+    played.pass(CALL_TIMEOUT - 10.0);
     assert_eq!(played.call(), call);
     played.pass(11.0);
     assert!(played.open.is_empty() && played.lost);
@@ -431,7 +431,7 @@
     );
     let call = played.call();
     played.end(call, End::Broken("refused".into()));
-    played.pass(SHORTEST_PAUSE);
+    played.pass(MIN_RETRY_DELAY);
     assert_eq!(played.asked(), [(2, What::Whole)]);
     // One that hangs keeps its call, and the other is asked beside it.
     let mut played = Played::new(
@@ -506,7 +506,7 @@
     );
     assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
     assert_eq!(played.asked(), []);
-    played.pass(SHORTEST_PAUSE);
+    played.pass(MIN_RETRY_DELAY);
     assert_eq!(played.asked(), [(1, What::Whole)]);
     let call = played.call();
     played.say(
@@ -527,8 +527,8 @@
         assert!(played
             .follower
             .next_due()
-            .is_some_and(|due| due >= played.now + SHORTEST_PAUSE));
-        played.pass(SHORTEST_PAUSE);
+            .is_some_and(|due| due >= played.now + MIN_RETRY_DELAY));
+        played.pass(MIN_RETRY_DELAY);
     }
     assert_eq!(played.states(), [("a", Up), ("b", Draining)]);
 }
@@ -741,7 +741,7 @@
     assert_eq!(heard, [&b"one"[..], b"two", b"", b"three"]);
     assert_eq!(lines.rest(), b"rest");
     let mut lines = Lines::default();
-    assert!(lines.push(&vec![b'x'; LONGEST_LINE], |_| Ok(())).is_ok());
+    assert!(lines.push(&vec![b'x'; MAX_LINE_BYTES], |_| Ok(())).is_ok());
     assert!(lines
         .push(b"x", |_| Ok(()))
         .unwrap_err()
--- a/crates/discovery-agent/tests/lines.rs
+++ b/crates/discovery-agent/tests/lines.rs
@@ -1,6 +1,6 @@
 //! What is taken of a line, by hand and at random.
 
-use maplefall_discovery_agent::{line, Line, Word, LONGEST_NAME};
+use maplefall_discovery_agent::{line, Line, Word, MAX_NAME_BYTES};
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -32,7 +32,7 @@
     let left = word
         .passed_over
         .iter()
-        .filter_map(|passed| passed.host.as_ref());
+        .filter_map(|rejected| rejected.partial.as_ref());
     left.map(|spoilt| (spoilt.host.as_str(), spoilt.stop))
         .collect()
 }
@@ -69,7 +69,7 @@
             ]);
             assert_eq!(states(&word), [("a", Up), ("b", Draining)], "{bad}");
             assert_eq!(left(&word), [("bad", stop)], "{bad}");
-            assert!(!word.passed_over[0].why.is_empty());
+            assert!(!word.passed_over[0].reason.is_empty());
         }
     }
 }
@@ -91,7 +91,7 @@
             "{nameless}"
         );
     }
-    let long = "x".repeat(LONGEST_NAME + 1);
+    let long = "x".repeat(MAX_NAME_BYTES + 1);
     assert_eq!(left(&word(&[entry(&long, "draining", 0.0)])), []);
     // A state that nobody knows says nothing of the backend.
     assert_eq!(left(&word(&[entry("a", "resting", 0.0)])), [("a", None)]);
@@ -113,7 +113,7 @@
 #[test]
 fn what_is_no_line_is_told_and_an_empty_one_says_that_nothing_changed() {
     for empty in ["", " ", "\r"] {
-        assert_eq!(line(empty.as_bytes()).unwrap(), Line::Alive);
+        assert_eq!(line(empty.as_bytes()).unwrap(), Line::Heartbeat);
     }
     let no_lines = [
         "{",
