--- a/crates/discovery-agent/tests/follower.rs
+++ b/crates/discovery-agent/tests/follower.rs
@@ -1,4 +1,4 @@
-//! Which calls a follower makes and what of the words holds, by hand.
+//! The calls that a follower makes and the updates that it applies, by examples.
 
 use maplefall_discovery_agent::*;
 use maplefall_membership::{Event, MOST_NODES};
@@ -44,25 +44,25 @@
     }
 }
 
-/// A follower with the clock and the calls that it has open.
-struct Played {
+/// A follower with a clock, its open calls and the list of the roster.
+struct Harness {
     follower: Follower,
     now: Millis,
     open: Vec<(CallId, SocketAddr, What)>,
-    /// What the roster would hold.
+    /// The state and start of each node in the roster.
     list: std::collections::BTreeMap<String, (Health, f64)>,
     reports: Vec<String>,
     lost: bool,
 }
 
-impl Played {
-    fn new(settings: Settings, now: Millis) -> Played {
+impl Harness {
+    fn new(settings: Settings, now: Millis) -> Harness {
         let known = settings.known.iter().flat_map(|known| &known.hosts);
         let list = known
             .map(|m| (m.host.clone(), (m.health, m.born_ms)))
             .collect();
         let follower = Follower::new(settings, now);
-        let mut played = Played {
+        let mut harness = Harness {
             follower,
             now,
             open: Vec::new(),
@@ -70,11 +70,11 @@
             reports: Vec::new(),
             lost: false,
         };
-        played.pass(0.0);
-        played
+        harness.advance(0.0);
+        harness
     }
 
-    fn carry_out(&mut self, out: Vec<Output>) {
+    fn apply_outputs(&mut self, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Ask { call, place, what } => self.open.push((call, place, what)),
@@ -87,18 +87,18 @@
                 }) => {
                     self.lost = false;
                     self.list.retain(|host, _| unread.contains(host));
-                    self.put(&members);
+                    self.apply_members(&members);
                 }
                 Output::Tell(Event::Change { members, .. }) => {
                     self.lost = false;
-                    self.put(&members);
+                    self.apply_members(&members);
                 }
                 Output::Tell(other) => panic!("{other:?}"),
             }
         }
     }
 
-    fn put(&mut self, members: &Members) {
+    fn apply_members(&mut self, members: &Members) {
         for member in &members.hosts {
             match member.health {
                 Removed => self.list.remove(&member.host),
@@ -109,48 +109,48 @@
         }
     }
 
-    /// Lets time pass, with everything that comes due in it.
-    fn pass(&mut self, by: Millis) {
-        let end = self.now + by;
+    /// Advances the clock, with everything that is due in this time.
+    fn advance(&mut self, duration: Millis) {
+        let end = self.now + duration;
         while let Some(due) = self.follower.next_due().filter(|due| *due <= end) {
             self.now = self.now.max(due);
             let out = self.follower.tick(self.now);
-            self.carry_out(out);
+            self.apply_outputs(out);
         }
         self.now = end;
     }
 
-    fn hear(&mut self, call: CallId, heard: Heard) {
+    fn handle(&mut self, call: CallId, heard: Heard) {
         let out = self.follower.heard_of(self.now, call, heard);
-        self.carry_out(out);
+        self.apply_outputs(out);
     }
 
-    fn say(&mut self, call: CallId, members: &Members) {
-        let text = serde_json::to_vec(members).expect("a line");
-        self.hear(call, Heard::Line(text));
+    fn receive(&mut self, call: CallId, members: &Members) {
+        let text = serde_json::to_vec(members).expect("members serialize");
+        self.handle(call, Heard::Line(text));
     }
 
-    fn beat(&mut self, call: CallId) {
-        self.hear(call, Heard::Line(Vec::new()));
+    fn receive_heartbeat(&mut self, call: CallId) {
+        self.handle(call, Heard::Line(Vec::new()));
     }
 
     fn end(&mut self, call: CallId, end: End) {
         self.open.retain(|open| open.0 != call);
-        self.hear(call, Heard::Ended(end));
+        self.handle(call, Heard::Ended(end));
     }
 
     fn moved(&mut self, to: SocketAddr) {
         let out = self.follower.moved(self.now, to);
-        self.carry_out(out);
+        self.apply_outputs(out);
     }
 
     /// The only open call.
-    fn call(&self) -> CallId {
+    fn only_call(&self) -> CallId {
         assert_eq!(self.open.len(), 1, "{:?}", self.open);
         self.open[0].0
     }
 
-    fn asked(&self) -> Vec<(u16, What)> {
+    fn requests(&self) -> Vec<(u16, What)> {
         self.open
             .iter()
             .map(|(_, place, what)| (place.port(), *what))
@@ -165,18 +165,18 @@
     }
 }
 
-/// A door that knows version 9, in which `a` is up and `b` drains, with its watch open.
-fn known() -> Played {
+/// A follower that has applied version 9, in which `a` is up and `b` is draining, with an open watch.
+fn watching() -> Harness {
     let hosts = [node("a", Up, 0.0), node("b", Draining, 0.0)];
-    Played::new(settings(true, Some(members(9, true, &hosts))), 1e6)
+    Harness::new(settings(true, Some(members(9, true, &hosts))), 1e6)
 }
 
-/// Guards the rule on drains in a large fleet: a door that starts with an old list may send to no backend 500 ms after
-/// the agent beside it has heard of the drain, so it cannot take turns with doors whose agents are their own.
+/// Guards the rule on drains in a large fleet: a process that starts with an old list may send nothing to a backend 500 ms after its local
+/// agent knows of the drain, so its first call is not delayed.
 #[test]
-fn an_agent_of_its_own_is_asked_at_once_however_large_the_fleet() {
+fn a_local_agent_is_called_at_once_in_a_fleet_of_any_size() {
     for sharing in [1, 4, 100, 315, u32::MAX] {
-        let first = |own, seed| {
+        let first_call_at = |own, seed| {
             let known = Some(members(9, true, &[]));
             let settings = Settings {
                 sharing,
@@ -188,423 +188,430 @@
                 .expect("a first call")
         };
         assert!(
-            (0..50).all(|seed| first(true, seed) == 0.0),
-            "{sharing} doors"
+            (0..50).all(|seed| first_call_at(true, seed) == 0.0),
+            "{sharing} processes"
         );
-        let longest = (0..50).map(|seed| first(false, seed)).fold(0.0, f64::max);
-        assert_eq!(longest > 1000.0, sharing >= 100, "{sharing} doors");
+        let latest = (0..50)
+            .map(|seed| first_call_at(false, seed))
+            .fold(0.0, f64::max);
+        assert_eq!(latest > 1000.0, sharing >= 100, "{sharing} processes");
     }
 }
 
+/// Guards a start without a list.
 #[test]
-fn without_a_list_the_whole_is_asked_for_and_then_watched() {
-    let mut played = Played::new(settings(true, None), 0.0);
-    assert_eq!(played.asked(), [(1, What::Whole)]);
-    let call = played.call();
-    played.say(call, &members(4, true, &[node("a", Up, 0.0)]));
-    played.end(call, End::Whole);
+fn without_a_list_the_complete_one_is_requested_and_then_watched() {
+    let mut harness = Harness::new(settings(true, None), 0.0);
+    assert_eq!(harness.requests(), [(1, What::Whole)]);
+    let call = harness.only_call();
+    harness.receive(call, &members(4, true, &[node("a", Up, 0.0)]));
+    harness.end(call, End::Whole);
     assert_eq!(
-        (played.asked(), played.states()),
+        (harness.requests(), harness.states()),
         (vec![(1, What::Watch(4))], vec![("a", Up)])
     );
-    assert!(!played.lost, "a list that ends is no outage");
+    assert!(!harness.lost, "the end of a complete list is no outage");
 }
 
-/// Guards a discovery that has too much to do against being asked for more: turned away, a door goes on from the
-/// version that it has; only where that is unknown is the whole list asked for.
+/// Guards an overloaded agent against expensive requests: after status 503 changes are requested again; the complete list is requested only
+/// if the agent does not know the version.
 #[test]
-fn a_door_that_is_turned_away_asks_for_changes_again_and_not_for_the_whole_list() {
-    let mut played = known();
-    for (status, then) in [
+fn after_an_overload_changes_are_requested_and_not_the_complete_list() {
+    let mut harness = watching();
+    for (status, request) in [
         (503, What::Watch(9)),
         (503, What::Watch(9)),
         (404, What::Whole),
         (503, What::Whole),
     ] {
-        let call = played.call();
-        played.end(call, End::Status(status));
-        assert!(played.open.is_empty() && played.lost);
-        played.pass(MIN_RETRY_DELAY);
-        assert_eq!(played.asked(), [(1, then)], "after {status}");
+        let call = harness.only_call();
+        harness.end(call, End::Status(status));
+        assert!(harness.open.is_empty() && harness.lost);
+        harness.advance(MIN_RETRY_DELAY);
+        assert_eq!(harness.requests(), [(1, request)], "after {status}");
     }
     assert_eq!(
-        played.reports,
+        harness.reports,
         ["watch ended: status 503"],
-        "once for an outage"
+        "reported once for an outage"
     );
 }
 
+/// Guards against malformed lines.
 #[test]
-fn what_cannot_be_read_is_told_and_the_whole_list_is_asked_for() {
-    let mut played = known();
-    let call = played.call();
-    played.hear(call, Heard::Line(b"{\"seq\":10,".to_vec()));
+fn a_malformed_line_is_reported_and_the_complete_list_requested() {
+    let mut harness = watching();
+    let call = harness.only_call();
+    harness.handle(call, Heard::Line(b"{\"seq\":10,".to_vec()));
     assert!(
-        played.reports[0].contains("unreadable line"),
+        harness.reports[0].contains("unreadable line"),
         "{:?}",
-        played.reports
+        harness.reports
     );
-    played.pass(MIN_RETRY_DELAY);
-    assert_eq!(played.asked(), [(1, What::Whole)]);
-    // It turns out to be what is known; nothing has changed.
-    let call = played.call();
-    played.say(
+    harness.advance(MIN_RETRY_DELAY);
+    assert_eq!(harness.requests(), [(1, What::Whole)]);
+    // It is equal to the applied one: nothing has changed.
+    let call = harness.only_call();
+    harness.receive(
         call,
         &members(9, true, &[node("a", Up, 0.0), node("b", Draining, 0.0)]),
     );
-    assert_eq!(played.states(), [("a", Up), ("b", Draining)]);
+    assert_eq!(harness.states(), [("a", Up), ("b", Draining)]);
 }
 
-/// Guards against silence: an agent that has missed a heartbeat is asked beside the open call, and whoever speaks first
-/// goes on alone.
+/// Guards against silence: after a missed heartbeat a second call is made, and the call that receives a line first continues alone.
 #[test]
-fn a_missed_heartbeat_makes_a_second_call_and_the_first_word_wins() {
-    for second_speaks in [true, false] {
-        let mut played = known();
-        let first = played.call();
-        played.hear(first, Heard::Begun);
-        played.beat(first);
-        played.pass(HEARTBEAT_TIMEOUT - 1.0);
-        assert_eq!(played.open.len(), 1, "not before one is missed");
-        played.pass(1.0);
-        assert_eq!(played.asked(), [(1, What::Watch(9)), (1, What::Watch(9))]);
-        let second = played.open[1].0;
-        // The head alone says nothing of the list.
-        played.hear(second, Heard::Begun);
-        assert_eq!(played.open.len(), 2);
-        let (speaks, silent) = if second_speaks {
+fn after_a_missed_heartbeat_the_first_of_two_calls_with_a_line_continues() {
+    for second_is_first in [true, false] {
+        let mut harness = watching();
+        let first = harness.only_call();
+        harness.handle(first, Heard::Begun);
+        harness.receive_heartbeat(first);
+        harness.advance(HEARTBEAT_TIMEOUT - 1.0);
+        assert_eq!(harness.open.len(), 1, "not before a heartbeat is missed");
+        harness.advance(1.0);
+        assert_eq!(
+            harness.requests(),
+            [(1, What::Watch(9)), (1, What::Watch(9))]
+        );
+        let second = harness.open[1].0;
+        // The head of a response is not a line.
+        harness.handle(second, Heard::Begun);
+        assert_eq!(harness.open.len(), 2);
+        let (active, silent) = if second_is_first {
             (second, first)
         } else {
             (first, second)
         };
-        played.say(speaks, &members(10, false, &[node("a", Draining, 0.0)]));
-        assert_eq!(played.call(), speaks);
-        assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
-        // The other one was hung up: what it said meanwhile counts for nothing.
-        played.say(silent, &members(11, true, &[node("a", Up, 0.0)]));
-        assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
+        harness.receive(active, &members(10, false, &[node("a", Draining, 0.0)]));
+        assert_eq!(harness.only_call(), active);
+        assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
+        // The other call was closed: its line is ignored.
+        harness.receive(silent, &members(11, true, &[node("a", Up, 0.0)]));
+        assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
     }
 }
 
-/// Guards the rule on drains against an agent that comes back and answers no call that was made while it was away: what it
-/// has counts as told from that moment, so whenever that is, a call has to be made and heard within the grace.
+/// Guards the rule on drains against an agent that restarts and answers no call from before: what it knows counts as reported from that
+/// moment, so a new call has to be answered within the grace period.
 #[test]
-fn an_agent_that_is_away_is_asked_so_often_that_its_return_is_heard_within_the_grace() {
+fn a_restarted_agent_is_received_within_the_grace_period() {
     for grace in [100.0, 300.0, 500.0, 1000.0] {
-        for back in [400.0, 2300.0, 2349.0, 5555.0, 6500.0, 8123.0, 31_000.0] {
+        for downtime in [400.0, 2300.0, 2349.0, 5555.0, 6500.0, 8123.0, 31_000.0] {
             let known = Some(members(9, true, &[node("a", Up, 0.0)]));
-            let mut played = Played::new(
+            let mut harness = Harness::new(
                 Settings {
                     stop_within: grace,
                     ..settings(true, known)
                 },
                 1e6,
             );
-            let first = played.call();
-            played.beat(first);
-            played.pass(back);
-            let before = played.open.iter().map(|open| open.0 .0).max().unwrap_or(0);
-            // From here on each call that is made is answered at once; those from before never are.
-            let returned = played.now;
-            let heard = loop {
-                played.pass(1.0);
-                assert!(played.open.len() <= 2, "{:?}", played.open);
-                let fresh = played
+            let first = harness.only_call();
+            harness.receive_heartbeat(first);
+            harness.advance(downtime);
+            let last_call = harness.open.iter().map(|open| open.0 .0).max().unwrap_or(0);
+            // From here on each new call is answered at once; those from before never are.
+            let restarted_at = harness.now;
+            let received_at = loop {
+                harness.advance(1.0);
+                assert!(harness.open.len() <= 2, "{:?}", harness.open);
+                let new_call = harness
                     .open
                     .iter()
-                    .find(|open| open.0 .0 > before)
+                    .find(|open| open.0 .0 > last_call)
                     .map(|open| open.0);
-                if let Some(call) = fresh {
-                    played.say(call, &members(10, false, &[node("a", Draining, 0.0)]));
-                    break played.now;
+                if let Some(call) = new_call {
+                    harness.receive(call, &members(10, false, &[node("a", Draining, 0.0)]));
+                    break harness.now;
                 }
             };
-            // A watch that has spoken may be silent for a heartbeat, and nothing is known before that is over.
-            let latest = if back < HEARTBEAT_TIMEOUT {
+            // An open watch may be silent until a heartbeat is missed.
+            let latest = if downtime < HEARTBEAT_TIMEOUT {
                 1e6 + HEARTBEAT_TIMEOUT
             } else {
-                returned
+                restarted_at
             } + grace;
             assert!(
-                heard <= latest,
-                "grace {grace}, back after {back}: heard after {}",
-                heard - returned
+                received_at <= latest,
+                "grace {grace}, down for {downtime}: received after {}",
+                received_at - restarted_at
             );
-            assert_eq!(played.states(), [("a", Draining)]);
+            assert_eq!(harness.states(), [("a", Draining)]);
         }
     }
 }
 
-/// Guards a start, and a call that is made anew, against an agent that writes a head and nothing more.
+/// Guards against an agent that sends the head of a response and nothing more.
 #[test]
-fn a_head_without_a_line_is_no_answer() {
-    let mut played = known();
-    let first = played.call();
-    played.hear(first, Heard::Begun);
-    played.pass(250.0);
-    let second = played.open[1].0;
-    played.hear(second, Heard::Begun);
-    played.pass(250.0);
+fn the_head_of_a_response_is_no_answer() {
+    let mut harness = watching();
+    let first = harness.only_call();
+    harness.handle(first, Heard::Begun);
+    harness.advance(250.0);
+    let second = harness.open[1].0;
+    harness.handle(second, Heard::Begun);
+    harness.advance(250.0);
     assert!(
-        played.open.len() == 2 && played.open[1].0 > second,
+        harness.open.len() == 2 && harness.open[1].0 > second,
         "{:?}",
-        played.open
+        harness.open
     );
-    played.say(first, &members(10, false, &[node("a", Draining, 0.0)]));
+    harness.receive(first, &members(10, false, &[node("a", Draining, 0.0)]));
     assert_eq!(
-        (played.call(), played.states()),
+        (harness.only_call(), harness.states()),
         (first, vec![("a", Draining), ("b", Draining)])
     );
 }
 
-/// Guards an agent that is down against being asked without end: so many calls, two of them open at most.
+/// Guards an agent that is down against too many calls: two are open at most.
 #[test]
-fn second_calls_that_nobody_answers_come_after_half_the_grace() {
-    let mut played = known();
-    let mut made = 0;
+fn unanswered_second_calls_are_repeated_after_half_the_grace_period() {
+    let mut harness = watching();
+    let mut calls = 0;
     let mut last = 0;
     for _ in 0..120_000 {
-        played.pass(1.0);
-        let newest = played.open.iter().map(|open| open.0 .0).max().unwrap_or(0);
-        made += u64::from(newest > last);
+        harness.advance(1.0);
+        let newest = harness.open.iter().map(|open| open.0 .0).max().unwrap_or(0);
+        calls += u64::from(newest > last);
         last = last.max(newest);
-        assert!(played.open.len() <= 2);
+        assert!(harness.open.len() <= 2);
     }
-    assert!((450..=490).contains(&made), "{made} calls in two minutes");
-    assert_eq!(played.reports, ["watch ended: silent"]);
+    assert!((450..=490).contains(&calls), "{calls} calls in two minutes");
+    assert_eq!(harness.reports, ["watch ended: silent"]);
 }
 
-/// Guards the processor: a second call that is refused at once is not made again at once. (A watch that is silent while its
-/// place takes no new connection: the fleet model ran without end here.)
+/// Guards against a busy loop: a second call that is refused is not made again at once, as when a watch is silent while its address accepts
+/// no connection.
 #[test]
-fn a_second_call_that_is_refused_is_made_again_after_a_pause() {
-    let mut played = known();
-    let first = played.call();
-    played.beat(first);
-    let mut made = 0;
+fn a_refused_second_call_is_made_again_after_a_delay() {
+    let mut harness = watching();
+    let first = harness.only_call();
+    harness.receive_heartbeat(first);
+    let mut calls = 0;
     for _ in 0..60 {
-        played.pass(100.0);
-        for (call, _, _) in played.open.clone() {
+        harness.advance(100.0);
+        for (call, _, _) in harness.open.clone() {
             if call != first {
-                made += 1;
-                played.end(call, End::Broken("refused".into()));
+                calls += 1;
+                harness.end(call, End::Broken("refused".into()));
                 assert!(
-                    played
+                    harness
                         .follower
                         .next_due()
-                        .is_none_or(|due| due > played.now),
+                        .is_none_or(|due| due > harness.now),
                     "due again at once"
                 );
             }
         }
     }
     assert!(
-        (8..=15).contains(&made),
-        "{made} calls in six seconds, the first after a missed heartbeat"
+        (8..=15).contains(&calls),
+        "{calls} calls in six seconds, the first after a missed heartbeat"
     );
 }
 
-/// Guards a discovery that all doors share: it is not asked a second time while a call is open.
+/// Guards a shared agent: it is not called a second time while a call is open.
 #[test]
-fn a_shared_agent_is_asked_again_only_once_its_call_is_given_up() {
-    let mut played = Played::new(settings(false, Some(members(9, true, &[]))), 0.0);
-    while played.open.is_empty() {
-        played.pass(10.0);
+fn a_shared_agent_is_called_again_only_after_a_timeout() {
+    let mut harness = Harness::new(settings(false, Some(members(9, true, &[]))), 0.0);
+    while harness.open.is_empty() {
+        harness.advance(10.0);
     }
-    let call = played.call();
-    played.pass(CALL_TIMEOUT - 10.0);
-    assert_eq!(played.call(), call);
-    played.pass(11.0);
-    assert!(played.open.is_empty() && played.lost);
+    let call = harness.only_call();
+    harness.advance(CALL_TIMEOUT - 10.0);
+    assert_eq!(harness.only_call(), call);
+    harness.advance(11.0);
+    assert!(harness.open.is_empty() && harness.lost);
 }
 
-/// Guards the second place: a door that is started again after a move may be told two.
+/// Guards the second address, which a process has that restarts after a move.
 #[test]
-fn a_place_that_says_nothing_or_refuses_is_followed_by_the_next() {
+fn an_address_that_is_silent_or_refuses_is_followed_by_the_next() {
     let places = vec![place(1), place(2)];
-    let mut played = Played::new(
+    let mut harness = Harness::new(
         Settings {
             places: places.clone(),
             ..settings(true, None)
         },
         0.0,
     );
-    let call = played.call();
-    played.end(call, End::Broken("refused".into()));
-    played.pass(MIN_RETRY_DELAY);
-    assert_eq!(played.asked(), [(2, What::Whole)]);
-    // One that hangs keeps its call, and the other is asked beside it.
-    let mut played = Played::new(
+    let call = harness.only_call();
+    harness.end(call, End::Broken("refused".into()));
+    harness.advance(MIN_RETRY_DELAY);
+    assert_eq!(harness.requests(), [(2, What::Whole)]);
+    // A call to a silent address stays open, and the other address is called beside it.
+    let mut harness = Harness::new(
         Settings {
             places,
             ..settings(true, None)
         },
         0.0,
     );
-    played.pass(250.0);
-    assert_eq!(played.asked(), [(1, What::Whole), (2, What::Whole)]);
+    harness.advance(250.0);
+    assert_eq!(harness.requests(), [(1, What::Whole), (2, What::Whole)]);
 }
 
 // ---- Versions ---------------------------------------------------------------------------------------
 
-/// Guards drains against an agent that is behind: asked from a version that it has not reached it gives its whole list, and
-/// then what it hears, one by one.
+/// Guards drains against an agent that is behind: it sends its complete list, and then the changes one by one.
 #[test]
-fn an_older_list_takes_no_stop_back_and_empties_nothing() {
-    let mut played = known();
-    played.moved(place(2));
-    assert_eq!(played.asked(), [(2, What::Watch(9))]);
-    let call = played.call();
-    // It does not know `a` yet, and still has `c`, which is long gone.
-    played.say(
+fn an_outdated_list_takes_no_stop_back_and_removes_nothing() {
+    let mut harness = watching();
+    harness.moved(place(2));
+    assert_eq!(harness.requests(), [(2, What::Watch(9))]);
+    let call = harness.only_call();
+    // It does not know `a` yet, and still has `c`, which was removed.
+    harness.receive(
         call,
         &members(6, true, &[node("b", Up, 0.0), node("c", Up, 0.0)]),
     );
-    assert_eq!(played.states(), [("a", Up), ("b", Draining)]);
+    assert_eq!(harness.states(), [("a", Up), ("b", Draining)]);
     for (seq, change) in [
         (7, node("c", Removed, 0.0)),
         (8, node("a", Up, 0.0)),
         (9, node("b", Draining, 0.0)),
     ] {
-        played.say(call, &members(seq, false, &[change]));
-        assert_eq!(played.states(), [("a", Up), ("b", Draining)], "at {seq}");
+        harness.receive(call, &members(seq, false, &[change]));
+        assert_eq!(harness.states(), [("a", Up), ("b", Draining)], "at {seq}");
     }
-    // It has caught up; from here on its words are the newest.
-    played.say(
+    // It has caught up: from here on its updates are applied.
+    harness.receive(
         call,
         &members(10, false, &[node("b", Up, 0.0), node("d", Up, 0.0)]),
     );
-    assert_eq!(played.states(), [("a", Up), ("b", Up), ("d", Up)]);
+    assert_eq!(harness.states(), [("a", Up), ("b", Up), ("d", Up)]);
     assert!(
-        played.reports[0].contains("version 6, and 9 has been told"),
+        harness.reports[0].contains("version 6, and 9 has been told"),
         "{:?}",
-        played.reports
+        harness.reports
     );
 }
 
+/// Guards stops in outdated lists.
 #[test]
-fn the_stops_of_an_older_list_hold_but_not_for_a_later_life() {
+fn stops_of_an_outdated_list_are_applied_but_not_to_a_later_instance() {
     let hosts = [node("a", Up, 0.0), node("b", Up, 50.0), node("c", Up, 0.0)];
-    let mut played = Played::new(settings(true, Some(members(9, true, &hosts))), 1e6);
-    let call = played.call();
-    let older = [
+    let mut harness = Harness::new(settings(true, Some(members(9, true, &hosts))), 1e6);
+    let call = harness.only_call();
+    let outdated = [
         node("a", Draining, 0.0),
         node("b", Draining, 40.0),
         node("c", Removed, 0.0),
     ];
-    played.say(call, &members(5, true, &older));
-    assert_eq!(played.states(), [("a", Draining), ("b", Up)]);
+    harness.receive(call, &members(5, true, &outdated));
+    assert_eq!(harness.states(), [("a", Draining), ("b", Up)]);
 }
 
+/// Guards against a change with a lower version.
 #[test]
-fn a_change_that_goes_back_asks_for_the_whole_list() {
-    let mut played = known();
-    let call = played.call();
-    played.say(
+fn an_outdated_change_makes_the_complete_list_requested() {
+    let mut harness = watching();
+    let call = harness.only_call();
+    harness.receive(
         call,
         &members(3, false, &[node("a", Draining, 0.0), node("b", Up, 0.0)]),
     );
-    assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
-    assert_eq!(played.asked(), []);
-    played.pass(MIN_RETRY_DELAY);
-    assert_eq!(played.asked(), [(1, What::Whole)]);
-    let call = played.call();
-    played.say(
+    assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
+    assert_eq!(harness.requests(), []);
+    harness.advance(MIN_RETRY_DELAY);
+    assert_eq!(harness.requests(), [(1, What::Whole)]);
+    let call = harness.only_call();
+    harness.receive(
         call,
         &members(3, true, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
     );
-    assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
+    assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
 }
 
-/// Guards the processor and the agent: one that goes back and never gives its whole list is asked after pauses.
+/// Guards against a busy loop with an agent that never sends its complete list.
 #[test]
-fn an_agent_that_never_gives_its_whole_list_is_asked_after_pauses() {
-    let mut played = known();
+fn an_agent_that_sends_outdated_changes_is_called_after_delays() {
+    let mut harness = watching();
     for _ in 0..5 {
-        let call = played.call();
-        played.say(call, &members(3, false, &[node("b", Up, 0.0)]));
-        assert!(played.open.is_empty(), "{:?}", played.open);
-        assert!(played
+        let call = harness.only_call();
+        harness.receive(call, &members(3, false, &[node("b", Up, 0.0)]));
+        assert!(harness.open.is_empty(), "{:?}", harness.open);
+        assert!(harness
             .follower
             .next_due()
-            .is_some_and(|due| due >= played.now + MIN_RETRY_DELAY));
-        played.pass(MIN_RETRY_DELAY);
+            .is_some_and(|due| due >= harness.now + MIN_RETRY_DELAY));
+        harness.advance(MIN_RETRY_DELAY);
     }
-    assert_eq!(played.states(), [("a", Up), ("b", Draining)]);
+    assert_eq!(harness.states(), [("a", Up), ("b", Draining)]);
 }
 
-/// Guards stops and the rest of a list against entries that are spoilt: a stop is carried out all the same, in a change and in
-/// a whole list, what was said of the others stands, and each is told of once until it is whole again.
+/// Guards against invalid entries in changes and complete lists: their stops are applied, otherwise the previous entry stays, and each is
+/// reported once until it is valid again.
 #[test]
-fn a_spoilt_entry_stops_or_stands_and_is_told_of_once() {
+fn an_invalid_entry_stops_or_leaves_its_node_and_is_reported_once() {
     let hosts = [node("a", Up, 0.0), node("b", Up, 0.0), node("c", Up, 0.0)];
     for whole in [true, false] {
-        let mut played = Played::new(settings(true, Some(members(9, true, &hosts))), 1e6);
-        let call = played.call();
-        let spoilt = |host: &str, health: &str| json!({"host": host, "health": health, "dial": 7});
-        let good = serde_json::to_value(node("c", Up, 0.0)).expect("an entry");
+        let mut harness = Harness::new(settings(true, Some(members(9, true, &hosts))), 1e6);
+        let call = harness.only_call();
+        let invalid = |host: &str, health: &str| json!({"host": host, "health": health, "dial": 7});
+        let valid = serde_json::to_value(node("c", Up, 0.0)).expect("an entry");
         for seq in [10, 11] {
-            let hosts = json!([spoilt("a", "draining"), spoilt("b", "up"), good]);
+            let hosts = json!([invalid("a", "draining"), invalid("b", "up"), valid]);
             let text = json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string();
-            played.hear(call, Heard::Line(text.into_bytes()));
+            harness.handle(call, Heard::Line(text.into_bytes()));
             assert_eq!(
-                played.states(),
+                harness.states(),
                 [("a", Draining), ("b", Up), ("c", Up)],
                 "whole: {whole}"
             );
         }
-        assert_eq!(played.reports.len(), 2, "{:?}", played.reports);
-        played.say(call, &members(12, false, &[node("b", Draining, 0.0)]));
-        let text = json!({"seq": 13, "whole": false, "hosts": [spoilt("b", "up")]}).to_string();
-        played.hear(call, Heard::Line(text.into_bytes()));
+        assert_eq!(harness.reports.len(), 2, "{:?}", harness.reports);
+        harness.receive(call, &members(12, false, &[node("b", Draining, 0.0)]));
+        let text = json!({"seq": 13, "whole": false, "hosts": [invalid("b", "up")]}).to_string();
+        harness.handle(call, Heard::Line(text.into_bytes()));
         assert_eq!(
-            (played.states()[1], played.reports.len()),
+            (harness.states()[1], harness.reports.len()),
             (("b", Draining), 3),
-            "it was whole meanwhile"
+            "it was valid meanwhile"
         );
     }
-    // What stands after a whole list can still be stopped by no more than its name.
-    let mut played = Played::new(settings(true, Some(members(9, true, &hosts))), 1e6);
-    let call = played.call();
+    // An entry that stayed after a complete list can still be stopped by its name alone.
+    let mut harness = Harness::new(settings(true, Some(members(9, true, &hosts))), 1e6);
+    let call = harness.only_call();
     for (seq, health) in [(10, "up"), (11, "draining")] {
         let hosts = json!([{"host": "b", "health": health, "dial": 7}]);
         let text = json!({"seq": seq, "whole": true, "hosts": hosts}).to_string();
-        played.hear(call, Heard::Line(text.into_bytes()));
+        harness.handle(call, Heard::Line(text.into_bytes()));
     }
-    assert_eq!(played.states(), [("b", Draining)]);
+    assert_eq!(harness.states(), [("b", Draining)]);
 }
 
-/// Guards memory against an agent that lists without end: the follower holds no more than the roster does.
+/// Guards memory against an endless list: the follower keeps no more nodes than the roster.
 #[test]
-fn no_more_backends_are_held_than_the_roster_holds() {
-    let mut played = Played::new(settings(true, None), 0.0);
-    let call = played.call();
+fn the_list_is_bounded_like_the_roster() {
+    let mut harness = Harness::new(settings(true, None), 0.0);
+    let call = harness.only_call();
     let name = |n: usize| node(&format!("n{n:06}"), Up, 0.0);
-    let some: Vec<Member> = (0..MOST_NODES + 5).map(name).collect();
-    played.say(call, &members(1, true, &some));
-    played.end(call, End::Whole);
-    // Whether it holds the last one shows where its stop is taken from an entry that names no more than that.
-    let call = played.call();
+    let nodes: Vec<Member> = (0..MOST_NODES + 5).map(name).collect();
+    harness.receive(call, &members(1, true, &nodes));
+    harness.end(call, End::Whole);
+    // A stop by name alone is only applied to a node that was kept.
+    let call = harness.only_call();
     let stop = |n: usize| json!({"host": format!("n{n:06}"), "health": "draining", "dial": 7});
     let text = json!({"seq": 2, "whole": false, "hosts": [stop(MOST_NODES - 1), stop(MOST_NODES)]})
         .to_string();
-    played.hear(call, Heard::Line(text.into_bytes()));
-    let states: Vec<Health> = played.states()[MOST_NODES - 1..=MOST_NODES]
+    harness.handle(call, Heard::Line(text.into_bytes()));
+    let states: Vec<Health> = harness.states()[MOST_NODES - 1..=MOST_NODES]
         .iter()
         .map(|state| state.1)
         .collect();
     assert_eq!(states, [Draining, Up]);
 }
 
-/// Guards against an agent that counts anew and is believed late or never.
+/// Guards against an agent that restarts its numbering and is never trusted.
 #[test]
-fn an_agent_that_counts_anew_is_believed_by_a_newer_life_or_once_it_was_heard_for_long() {
-    let anew = [node("a", Up, 0.0), node("b", Up, 0.0)];
-    let mut played = known();
-    let call = played.call();
-    let born = played.now + 1.0;
-    played.pass(100.0);
-    played.say(
+fn a_restarted_numbering_is_trusted_by_a_newer_instance_or_after_its_time() {
+    let restarted = [node("a", Up, 0.0), node("b", Up, 0.0)];
+    let mut harness = watching();
+    let call = harness.only_call();
+    let born = harness.now + 1.0;
+    harness.advance(100.0);
+    harness.receive(
         call,
         &members(
             1,
@@ -613,132 +620,134 @@
         ),
     );
     assert_eq!(
-        played.states(),
+        harness.states(),
         [("a", Up), ("b", Up), ("d", Up)],
-        "a life that began since"
+        "an instance that started since"
     );
-    // With nothing new in it, it is believed once it must have heard of all stops that had been told before it spoke.
-    let mut played = known();
-    let call = played.call();
-    played.say(call, &members(1, true, &anew));
+    // Without a newer instance it is trusted once it must have all stops that were reported before.
+    let mut harness = watching();
+    let call = harness.only_call();
+    harness.receive(call, &members(1, true, &restarted));
     for _ in 0..3 {
         assert_eq!(
-            played.states(),
+            harness.states(),
             [("a", Up), ("b", Draining)],
             "at {}",
-            played.now
+            harness.now
         );
-        played.pass(HEARTBEAT);
-        played.beat(call);
+        harness.advance(HEARTBEAT);
+        harness.receive_heartbeat(call);
     }
-    assert_eq!(played.states(), [("a", Up), ("b", Up)]);
-    // A gap in what is heard begins that time anew.
-    let mut played = known();
-    let first = played.call();
-    played.say(first, &members(1, true, &anew));
-    played.pass(HEARTBEAT * 2.0);
-    let second = played.open[1].0;
-    played.beat(second);
-    assert_eq!(played.call(), second);
-    played.pass(HEARTBEAT);
-    played.beat(second);
-    assert_eq!(played.states(), [("a", Up), ("b", Draining)]);
+    assert_eq!(harness.states(), [("a", Up), ("b", Up)]);
+    // A gap restarts that time.
+    let mut harness = watching();
+    let first = harness.only_call();
+    harness.receive(first, &members(1, true, &restarted));
+    harness.advance(HEARTBEAT * 2.0);
+    let second = harness.open[1].0;
+    harness.receive_heartbeat(second);
+    assert_eq!(harness.only_call(), second);
+    harness.advance(HEARTBEAT);
+    harness.receive_heartbeat(second);
+    assert_eq!(harness.states(), [("a", Up), ("b", Draining)]);
     for _ in 0..2 {
-        played.pass(HEARTBEAT);
-        played.beat(second);
+        harness.advance(HEARTBEAT);
+        harness.receive_heartbeat(second);
     }
-    assert_eq!(played.states(), [("a", Up), ("b", Up)]);
+    assert_eq!(harness.states(), [("a", Up), ("b", Up)]);
 }
 
-/// Guards a stop that was taken from an agent that is behind, or counts anew, against the agent that is asked next: nobody
-/// knows which of the two is older, so neither the next one's versions nor lives that began before the stop show it.
+/// Guards a stop from an outdated list against the next agent: which of the two is older is unknown, so neither its versions nor instances
+/// that started before the stop take it back.
 #[test]
-fn a_stop_from_a_list_that_was_left_holds_until_the_next_agent_must_know_it() {
-    let mut played = known();
-    let call = played.call();
-    played.pass(1000.0);
-    let between = played.now - 500.0;
-    played.say(call, &members(1, true, &[node("a", Draining, 0.0)]));
-    played.moved(place(2));
-    assert_eq!(played.asked(), [(2, What::Whole)]);
-    let call = played.call();
-    played.say(
+fn a_stop_from_a_list_that_was_left_stays_until_the_next_agent_must_have_it() {
+    let mut harness = watching();
+    let call = harness.only_call();
+    harness.advance(1000.0);
+    let between = harness.now - 500.0;
+    harness.receive(call, &members(1, true, &[node("a", Draining, 0.0)]));
+    harness.moved(place(2));
+    assert_eq!(harness.requests(), [(2, What::Whole)]);
+    let call = harness.only_call();
+    harness.receive(
         call,
         &members(12, true, &[node("a", Up, 0.0), node("d", Up, between)]),
     );
-    assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
-    played.say(call, &members(13, false, &[node("e", Up, 0.0)]));
-    assert_eq!(played.states(), [("a", Draining), ("b", Draining)]);
+    assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
+    harness.receive(call, &members(13, false, &[node("e", Up, 0.0)]));
+    assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
     for _ in 0..3 {
-        played.pass(HEARTBEAT);
-        played.beat(call);
+        harness.advance(HEARTBEAT);
+        harness.receive_heartbeat(call);
     }
-    assert_eq!(played.states(), [("a", Up), ("d", Up), ("e", Up)]);
+    assert_eq!(harness.states(), [("a", Up), ("d", Up), ("e", Up)]);
 }
 
-/// Guards a numbering that has taken the place of another against an agent that still counts by the old one.
+/// Guards a numbering that has superseded another against an agent that still uses the old one.
 #[test]
-fn an_agent_of_a_numbering_that_was_given_up_is_behind() {
-    let mut played = known();
-    let call = played.call();
-    let born = played.now + 1.0;
-    played.pass(10.0);
-    played.say(
+fn an_agent_with_a_superseded_numbering_is_outdated() {
+    let mut harness = watching();
+    let call = harness.only_call();
+    let born = harness.now + 1.0;
+    harness.advance(10.0);
+    harness.receive(
         call,
         &members(1, true, &[node("a", Draining, 0.0), node("d", Up, born)]),
     );
-    assert_eq!(played.states(), [("a", Draining), ("d", Up)]);
-    played.moved(place(2));
-    let call = played.call();
-    played.say(
+    assert_eq!(harness.states(), [("a", Draining), ("d", Up)]);
+    harness.moved(place(2));
+    let call = harness.only_call();
+    harness.receive(
         call,
         &members(12, true, &[node("a", Up, 0.0), node("b", Draining, 0.0)]),
     );
-    assert_eq!(played.states(), [("a", Draining), ("d", Up)]);
-    // A numbering that reaches the old one's versions by its own steps is not taken for it.
-    played.moved(place(1));
+    assert_eq!(harness.states(), [("a", Draining), ("d", Up)]);
+    // A numbering that reaches the old one's versions step by step is not mistaken for it.
+    harness.moved(place(1));
     for seq in 2..12 {
-        let call = played.call();
-        played.say(call, &members(seq, false, &[node("f", Up, seq as f64)]));
+        let call = harness.only_call();
+        harness.receive(call, &members(seq, false, &[node("f", Up, seq as f64)]));
     }
-    assert_eq!(played.states(), [("a", Draining), ("d", Up), ("f", Up)]);
+    assert_eq!(harness.states(), [("a", Draining), ("d", Up), ("f", Up)]);
 }
 
+/// Guards a repeated version.
 #[test]
-fn a_list_of_the_version_that_is_known_changes_nothing_unless_it_differs() {
-    let mut played = known();
-    let call = played.call();
-    played.say(call, &members(9, false, &[]));
-    played.say(
+fn the_applied_version_again_changes_nothing_and_is_outdated_if_it_differs() {
+    let mut harness = watching();
+    let call = harness.only_call();
+    harness.receive(call, &members(9, false, &[]));
+    harness.receive(
         call,
         &members(9, true, &[node("b", Draining, 0.0), node("a", Up, 0.0)]),
     );
     assert_eq!(
-        (played.states(), played.reports.len()),
+        (harness.states(), harness.reports.len()),
         (vec![("a", Up), ("b", Draining)], 0)
     );
-    played.say(
+    harness.receive(
         call,
         &members(9, true, &[node("b", Up, 0.0), node("a", Up, 0.0)]),
     );
     assert_eq!(
-        (played.states(), played.reports.len()),
+        (harness.states(), harness.reports.len()),
         (vec![("a", Up), ("b", Draining)], 1)
     );
 }
 
+/// Guards lines that arrive in pieces, and their bound.
 #[test]
-fn long_lines_and_pieces_are_cut_as_they_come() {
+fn pieces_are_joined_and_split_into_lines() {
     let mut lines = Lines::default();
-    let mut heard: Vec<Vec<u8>> = Vec::new();
+    let mut received: Vec<Vec<u8>> = Vec::new();
     for piece in [&b"one\ntw"[..], b"", b"o\n\nthr", b"ee\n", b"rest"] {
         let take = |line: &[u8]| {
-            heard.push(line.to_vec());
+            received.push(line.to_vec());
             Ok(())
         };
         lines.push(piece, take).expect("short lines");
     }
-    assert_eq!(heard, [&b"one"[..], b"two", b"", b"three"]);
+    assert_eq!(received, [&b"one"[..], b"two", b"", b"three"]);
     assert_eq!(lines.rest(), b"rest");
     let mut lines = Lines::default();
     assert!(lines.push(&vec![b'x'; MAX_LINE_BYTES], |_| Ok(())).is_ok());
--- a/crates/discovery-agent/tests/lines.rs
+++ b/crates/discovery-agent/tests/parse.rs
@@ -1,4 +1,4 @@
-//! What is taken of a line, by hand and at random.
+//! Parsing of lines: by examples and with random entries.
 
 use maplefall_discovery_agent::{line, Line, Word, MAX_NAME_BYTES};
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
@@ -11,41 +11,43 @@
            "share": 1.0, "born_ms": born_ms})
 }
 
-fn word(hosts: &[Value]) -> Word {
+fn parse(hosts: &[Value]) -> Word {
     let text = json!({"seq": 9, "whole": true, "hosts": hosts}).to_string();
     match line(text.as_bytes()) {
-        Ok(Line::Word(word)) => word,
+        Ok(Line::Word(update)) => update,
         other => panic!("{other:?} from {text}"),
     }
 }
 
-fn states(word: &Word) -> Vec<(&str, Health)> {
-    word.members
+fn states(update: &Word) -> Vec<(&str, Health)> {
+    update
+        .members
         .hosts
         .iter()
         .map(|member| (member.host.as_str(), member.health))
         .collect()
 }
 
-/// What is left of the entries that were passed over.
-fn left(word: &Word) -> Vec<(&str, Option<Health>)> {
-    let left = word
+/// What can be read of the rejected entries.
+fn partial_entries(update: &Word) -> Vec<(&str, Option<Health>)> {
+    let partial = update
         .passed_over
         .iter()
         .filter_map(|rejected| rejected.partial.as_ref());
-    left.map(|spoilt| (spoilt.host.as_str(), spoilt.stop))
+    partial
+        .map(|entry| (entry.host.as_str(), entry.stop))
         .collect()
 }
 
-/// Guards the list against one bad entry: the others are taken, and a stop is taken from whatever still tells one.
+/// Guards the list against an invalid entry: the others are used, and a stop is used if it can be read.
 #[test]
-fn one_spoilt_entry_spoils_no_other() {
-    let spoil = |field: &str, value: Value, health: &str| {
-        let mut spoilt = entry("bad", health, 0.0);
-        spoilt[field] = value;
-        spoilt
+fn an_invalid_entry_does_not_invalidate_others() {
+    let invalid_entry = |field: &str, value: Value, health: &str| {
+        let mut entry = entry("bad", health, 0.0);
+        entry[field] = value;
+        entry
     };
-    let ways = [
+    let invalid_values = [
         ("dial", json!("nowhere")),
         ("dial", json!(7)),
         ("block", json!(-1)),
@@ -55,27 +57,28 @@
         ("born_ms", json!(-5.0)),
         ("site", json!(["a"])),
     ];
-    for (field, value) in ways {
+    for (field, value) in invalid_values {
         for (health, stop) in [
             ("up", None),
             ("draining", Some(Draining)),
             ("removed", Some(Removed)),
         ] {
-            let bad = spoil(field, value.clone(), health);
-            let word = word(&[
+            let invalid = invalid_entry(field, value.clone(), health);
+            let update = parse(&[
                 entry("a", "up", 0.0),
-                bad.clone(),
+                invalid.clone(),
                 entry("b", "draining", 0.0),
             ]);
-            assert_eq!(states(&word), [("a", Up), ("b", Draining)], "{bad}");
-            assert_eq!(left(&word), [("bad", stop)], "{bad}");
-            assert!(!word.passed_over[0].reason.is_empty());
+            assert_eq!(states(&update), [("a", Up), ("b", Draining)], "{invalid}");
+            assert_eq!(partial_entries(&update), [("bad", stop)], "{invalid}");
+            assert!(!update.passed_over[0].reason.is_empty());
         }
     }
 }
 
+/// Guards entries without a usable name: nothing of them is used.
 #[test]
-fn an_entry_without_a_readable_name_is_passed_over_whole() {
+fn an_entry_without_a_name_is_rejected() {
     for nameless in [
         json!(null),
         json!(3),
@@ -83,23 +86,30 @@
         json!({"host": 5, "health": "draining"}),
         entry("", "up", 0.0),
     ] {
-        let word = word(&[nameless.clone(), entry("a", "up", 0.0)]);
-        assert_eq!(states(&word), [("a", Up)], "{nameless}");
+        let update = parse(&[nameless.clone(), entry("a", "up", 0.0)]);
+        assert_eq!(states(&update), [("a", Up)], "{nameless}");
         assert_eq!(
-            (word.passed_over.len(), left(&word).len()),
+            (update.passed_over.len(), partial_entries(&update).len()),
             (1, 0),
             "{nameless}"
         );
     }
     let long = "x".repeat(MAX_NAME_BYTES + 1);
-    assert_eq!(left(&word(&[entry(&long, "draining", 0.0)])), []);
-    // A state that nobody knows says nothing of the backend.
-    assert_eq!(left(&word(&[entry("a", "resting", 0.0)])), [("a", None)]);
+    assert_eq!(
+        partial_entries(&parse(&[entry(&long, "draining", 0.0)])),
+        []
+    );
+    // An unknown state is not a stop.
+    assert_eq!(
+        partial_entries(&parse(&[entry("a", "resting", 0.0)])),
+        [("a", None)]
+    );
 }
 
+/// Guards names that occur more than once in a line.
 #[test]
-fn a_name_that_stands_twice_in_a_line_holds_by_its_latest_start_and_its_strongest_stop() {
-    let word = word(&[
+fn of_duplicate_entries_the_latest_start_and_the_strongest_stop_is_used() {
+    let update = parse(&[
         entry("a", "up", 5.0),
         entry("a", "draining", 5.0),
         entry("b", "removed", 5.0),
@@ -107,15 +117,19 @@
         entry("c", "removed", 5.0),
         entry("c", "draining", 5.0),
     ]);
-    assert_eq!(states(&word), [("a", Draining), ("b", Up), ("c", Removed)]);
+    assert_eq!(
+        states(&update),
+        [("a", Draining), ("b", Up), ("c", Removed)]
+    );
 }
 
+/// Guards lines that are not updates.
 #[test]
-fn what_is_no_line_is_told_and_an_empty_one_says_that_nothing_changed() {
+fn empty_lines_are_heartbeats_and_malformed_ones_errors() {
     for empty in ["", " ", "\r"] {
         assert_eq!(line(empty.as_bytes()).unwrap(), Line::Heartbeat);
     }
-    let no_lines = [
+    let malformed = [
         "{",
         "[]",
         "7",
@@ -125,7 +139,7 @@
         "{\"seq\":1,\"whole\":\"yes\",\"hosts\":[]}",
         "\u{fffd}",
     ];
-    for text in no_lines {
+    for text in malformed {
         assert!(
             line(text.as_bytes())
                 .unwrap_err()
@@ -136,8 +150,8 @@
     }
 }
 
-/// Any value where an entry should be.
-fn anything() -> impl Strategy<Value = Value> {
+/// Any value in place of an entry.
+fn any_entry() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -164,26 +178,26 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(38), failure_persistence: None, ..Config::default() })]
 
-    /// Whatever stands beside them, good entries are taken as they are, and each other one is passed over or usable.
+    /// Guards valid entries beside any others: they are used as they are, and each other one is rejected or valid.
     #[test]
-    fn good_entries_are_taken_whatever_stands_beside_them(
-        others in proptest::collection::vec(anything(), 0..6), at in 0usize..6,
+    fn valid_entries_are_used_whatever_the_others_are(
+        others in proptest::collection::vec(any_entry(), 0..6), index in 0usize..6,
     ) {
-        let good = [entry("a", "up", 3.0), entry("b", "draining", 0.0)];
+        let valid = [entry("a", "up", 3.0), entry("b", "draining", 0.0)];
         let mut hosts = others.clone();
-        hosts.insert(at.min(hosts.len()), good[0].clone());
-        hosts.push(good[1].clone());
-        let word = word(&hosts);
-        prop_assert!(states(&word).contains(&("a", Up)) && states(&word).contains(&("b", Draining)));
-        prop_assert!(word.members.hosts.len() + word.passed_over.len() <= hosts.len());
-        for member in &word.members.hosts {
+        hosts.insert(index.min(hosts.len()), valid[0].clone());
+        hosts.push(valid[1].clone());
+        let update = parse(&hosts);
+        prop_assert!(states(&update).contains(&("a", Up)) && states(&update).contains(&("b", Draining)));
+        prop_assert!(update.members.hosts.len() + update.passed_over.len() <= hosts.len());
+        for member in &update.members.hosts {
             prop_assert!(member.share >= 0.0 && member.born_ms >= 0.0 && !member.host.is_empty());
         }
     }
 
-    /// Bytes of any kind end in a line or an error, never in a panic.
+    /// Guards against any bytes: they are a line or an error.
     #[test]
-    fn any_bytes_are_a_line_or_an_error(text in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_parsed_or_rejected(text in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = line(&text);
     }
 }
--- a/crates/discovery-agent/tests/schedules.rs
+++ b/crates/discovery-agent/tests/schedules.rs
@@ -1,9 +1,9 @@
-//! Random schedules of two agents that lag behind the truth, repeat themselves, begin to count anew, go silent, lose
-//! connections and are moved between, against a plain observer that keeps every word. (Numberings that two agents use at
-//! one time are not among them: a door that has heard of only one of these cannot tell.) Two laws:
+//! Random schedules of two agents that lag, repeat themselves, restart their numbering, go silent, lose connections and are switched
+//! between, against an observer that records every update. (Two numberings at the same time are not among them: a process that knows only
+//! one of them cannot distinguish them.) Two invariants:
 //!
-//! 1. A life that was once told to be leaving is never called up again but by a word that is newer than that.
-//! 2. Once an agent has been heard for a while, the list is that agent's list: nothing is frozen, and nothing lost.
+//! 1. An instance that was stopped is up again only by an update that is newer than the stop.
+//! 2. Once an agent was received for a while, the list is that agent's list: nothing is frozen, and nothing lost.
 
 use maplefall_discovery_agent::*;
 use maplefall_membership::Event;
@@ -14,15 +14,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// One step of the clock.
+/// The time between two steps.
 const STEP: Millis = 100.0;
-/// The second numbering begins far below the first, as one that begins anew does.
-const FIRST: u64 = 1000;
+/// The base of the first numbering. The second one begins far below.
+const FIRST_NUMBERING: u64 = 1000;
 
-/// A life of a backend.
-type Life = (String, u64);
+/// An instance of a backend: its name and start.
+type Instance = (String, u64);
 
-/// The truth: each change with its time.
+/// A change of the truth, with its time.
 #[derive(Clone, Debug)]
 struct Change {
     at: Millis,
@@ -33,11 +33,11 @@
     SocketAddr::from(([127, 0, 0, 1], 8500 + agent as u16))
 }
 
-fn life(member: &Member) -> Life {
+fn instance(member: &Member) -> Instance {
     (member.host.clone(), member.born_ms as u64)
 }
 
-/// The list after so many changes.
+/// The list after this many changes.
 fn list_at(truth: &[Change], known: usize) -> BTreeMap<String, Member> {
     let mut list = BTreeMap::new();
     for Change { member, .. } in &truth[..known] {
@@ -52,14 +52,16 @@
 
 #[derive(Debug)]
 struct Agent {
-    /// Changes of the truth that it knows, and the time up to which it knows all.
+    /// How many changes of the truth it knows.
     known: usize,
+    /// The time up to which it knows all.
     knows_until: Millis,
     lag: Millis,
-    /// Its version is this and the changes that it knows; none before this many are in its history.
+    /// Its version is this plus the changes that it knows.
     base: u64,
-    since: usize,
-    silent: bool,
+    /// Its history begins after this many changes.
+    history_start: usize,
+    is_silent: bool,
 }
 
 impl Agent {
@@ -68,8 +70,8 @@
     }
 
     fn answer(&self, truth: &[Change], from: Option<u64>) -> Members {
-        let known_from =
-            from.filter(|from| (self.base + self.since as u64..=self.version()).contains(from));
+        let known_from = from
+            .filter(|from| (self.base + self.history_start as u64..=self.version()).contains(from));
         let hosts = match known_from {
             None => list_at(truth, self.known).into_values().collect(),
             Some(from) => {
@@ -89,68 +91,68 @@
     }
 }
 
-/// An open call as its agent has it.
+/// An open call.
 #[derive(Debug)]
-struct Open {
+struct OpenCall {
     call: CallId,
     agent: usize,
     what: What,
-    /// What it has been told of, once it was answered.
-    told: Option<usize>,
-    last: Millis,
+    /// How many changes were sent to it, once it was answered.
+    sent: Option<usize>,
+    last_line_at: Millis,
 }
 
-/// What the observer has heard of a life: when it was last told to leave, by the time of that change, and up to which time
-/// it was told to be up.
+/// What the observer knows of an instance.
 #[derive(Clone, Copy, Debug)]
-struct Words {
-    stopped: Millis,
+struct Observed {
+    /// The time of its last stop that was sent.
+    stopped_at: Millis,
+    /// The time up to which it was sent as up.
     up_until: Millis,
 }
 
-impl Default for Words {
-    fn default() -> Words {
-        Words {
-            stopped: f64::NEG_INFINITY,
+impl Default for Observed {
+    fn default() -> Observed {
+        Observed {
+            stopped_at: f64::NEG_INFINITY,
             up_until: f64::NEG_INFINITY,
         }
     }
 }
 
-struct World {
+struct Simulation {
     now: Millis,
     truth: Vec<Change>,
     agents: [Agent; 2],
-    /// Who listens: the other refuses.
-    at: usize,
-    open: Vec<Open>,
-    waiting: VecDeque<Output>,
+    /// The agent that accepts calls; the other refuses.
+    current_agent: usize,
+    open_calls: Vec<OpenCall>,
+    outputs: VecDeque<Output>,
     follower: Follower,
     roster: BTreeMap<String, Member>,
-    words: BTreeMap<Life, Words>,
-    /// What the open call's agent has told so far, and whether it has told all of it.
+    observed: BTreeMap<Instance, Observed>,
     reports: Vec<String>,
 }
 
-impl World {
-    fn new(known: bool) -> World {
+impl Simulation {
+    fn new(known: bool) -> Simulation {
         let now = 1_000_000.0;
         let up = |host: &str| Change {
             at: 0.0,
             member: member(host, Health::Up, 0.0),
         };
         let truth: Vec<Change> = ["a", "b", "c"].map(up).to_vec();
-        let agent = |since| Agent {
+        let agent = |history_start| Agent {
             known: 3,
             knows_until: now,
             lag: 0.0,
-            base: FIRST,
-            since,
-            silent: false,
+            base: FIRST_NUMBERING,
+            history_start,
+            is_silent: false,
         };
         let agents = [agent(0), agent(3)];
         let known = known.then(|| agents[0].answer(&truth, None));
-        let mut world = World {
+        let mut simulation = Simulation {
             now,
             follower: Follower::new(
                 Settings {
@@ -166,49 +168,52 @@
             ),
             truth,
             agents,
-            at: 0,
-            open: Vec::new(),
-            waiting: VecDeque::new(),
+            current_agent: 0,
+            open_calls: Vec::new(),
+            outputs: VecDeque::new(),
             roster: BTreeMap::new(),
-            words: BTreeMap::new(),
+            observed: BTreeMap::new(),
             reports: Vec::new(),
         };
         if let Some(known) = known {
-            world.observe(&known, 0, 3, now);
-            world.roster = known
+            simulation.observe(&known, 0, 3, now);
+            simulation.roster = known
                 .hosts
                 .into_iter()
                 .map(|member| (member.host.clone(), member))
                 .collect();
         }
-        world
+        simulation
     }
 
-    /// Notes what an agent that knows so much until then has just told.
-    fn observe(&mut self, told: &Members, from: usize, known: usize, until: Millis) {
+    /// Records what an agent that knows this many changes up to this time has sent.
+    fn observe(&mut self, sent: &Members, from: usize, known: usize, until: Millis) {
         for change in &self.truth[from.min(known)..known] {
-            // Of what it tells, each stop that is still in force there.
-            let words = self.words.entry(life(&change.member)).or_default();
-            let named = told.hosts.iter().find(|m| life(m) == life(&change.member));
+            // Each stop that is sent and still in force there.
+            let observed = self.observed.entry(instance(&change.member)).or_default();
+            let named = sent
+                .hosts
+                .iter()
+                .find(|m| instance(m) == instance(&change.member));
             if named.is_some_and(|named| {
                 named.health != Health::Up && named.health == change.member.health
             }) {
-                words.stopped = words.stopped.max(change.at);
+                observed.stopped_at = observed.stopped_at.max(change.at);
             }
         }
-        for member in told
+        for member in sent
             .hosts
             .iter()
             .filter(|member| member.health == Health::Up)
         {
-            let words = self.words.entry(life(member)).or_default();
-            words.up_until = words.up_until.max(until);
+            let observed = self.observed.entry(instance(member)).or_default();
+            observed.up_until = observed.up_until.max(until);
         }
     }
 
-    fn carry_out(&mut self, out: Vec<Output>) {
-        self.waiting.extend(out);
-        while let Some(output) = self.waiting.pop_front() {
+    fn apply_outputs(&mut self, out: Vec<Output>) {
+        self.outputs.extend(out);
+        while let Some(output) = self.outputs.pop_front() {
             match output {
                 Output::Ask {
                     call,
@@ -216,36 +221,36 @@
                     what,
                 } => {
                     let agent = usize::from(to == place(1));
-                    if agent == self.at {
-                        self.open.push(Open {
+                    if agent == self.current_agent {
+                        self.open_calls.push(OpenCall {
                             call,
                             agent,
                             what,
-                            told: None,
-                            last: self.now,
+                            sent: None,
+                            last_line_at: self.now,
                         });
                     } else {
                         let refused = Heard::Ended(End::Broken("refused".into()));
                         let more = self.follower.heard_of(self.now, call, refused);
-                        self.waiting.extend(more);
+                        self.outputs.extend(more);
                     }
                 }
-                Output::HangUp(call) => self.open.retain(|open| open.call != call),
+                Output::HangUp(call) => self.open_calls.retain(|open| open.call != call),
                 Output::Report(report) => self.reports.push(report.to_string()),
                 Output::Tell(Event::Snapshot {
                     members, unread, ..
                 }) => {
                     assert!(unread.is_empty());
                     self.roster.clear();
-                    self.put(members);
+                    self.apply_members(members);
                 }
-                Output::Tell(Event::Change { members, .. }) => self.put(members),
+                Output::Tell(Event::Change { members, .. }) => self.apply_members(members),
                 Output::Tell(_) => {}
             }
         }
     }
 
-    fn put(&mut self, members: Members) {
+    fn apply_members(&mut self, members: Members) {
         for member in members.hosts {
             if member.health == Health::Removed {
                 self.roster.remove(&member.host);
@@ -255,13 +260,13 @@
         }
     }
 
-    fn hear(&mut self, call: CallId, heard: Heard) {
+    fn handle(&mut self, call: CallId, heard: Heard) {
         let out = self.follower.heard_of(self.now, call, heard);
-        self.carry_out(out);
+        self.apply_outputs(out);
     }
 
-    /// Agents learn, and say what they have to.
-    fn speak(&mut self) {
+    /// Agents learn changes and send them.
+    fn run_agents(&mut self) {
         for agent in &mut self.agents {
             agent.knows_until = agent.knows_until.max(self.now - agent.lag);
             let until = agent.knows_until;
@@ -272,62 +277,62 @@
                     .count(),
             );
         }
-        let mut at = 0;
-        while at < self.open.len() {
-            let Open {
+        let mut index = 0;
+        while index < self.open_calls.len() {
+            let OpenCall {
                 call,
                 agent,
                 what,
-                told,
-                last,
-            } = self.open[at];
+                sent,
+                last_line_at,
+            } = self.open_calls[index];
             let Agent {
                 known,
                 knows_until,
-                silent,
+                is_silent,
                 base,
                 ..
             } = self.agents[agent];
-            at += 1;
-            let news = told.is_none_or(|told| told < known);
-            if silent || !(news || self.now - last >= HEARTBEAT) {
+            index += 1;
+            let has_update = sent.is_none_or(|sent| sent < known);
+            if is_silent || !(has_update || self.now - last_line_at >= HEARTBEAT) {
                 continue;
             }
-            self.open[at - 1].last = self.now;
-            self.open[at - 1].told = Some(known);
+            self.open_calls[index - 1].last_line_at = self.now;
+            self.open_calls[index - 1].sent = Some(known);
             let mut text = Vec::new();
-            let from = match (told, what) {
-                (Some(told), _) => Some(base + told as u64),
+            let from = match (sent, what) {
+                (Some(sent), _) => Some(base + sent as u64),
                 (None, What::Watch(from)) => Some(from),
                 (None, What::Whole) => None,
             };
-            if news {
+            if has_update {
                 let members = self.agents[agent].answer(&self.truth, from);
-                // A whole list names all that is known, a change what has changed.
+                // A complete list has all that is known, a change what has changed.
                 let since = if members.whole {
                     0
                 } else {
                     from.map_or(0, |from| (from - base) as usize)
                 };
                 self.observe(&members, since, known, knows_until);
-                text = serde_json::to_vec(&members).expect("a line");
+                text = serde_json::to_vec(&members).expect("members serialize");
             }
-            // What it has told of the rest still holds.
-            let holds = Members {
+            // What it has sent before is still in force.
+            let in_force = Members {
                 seq: 0,
                 whole: false,
                 hosts: list_at(&self.truth, known).into_values().collect(),
             };
-            if told.is_some() {
-                self.observe(&holds, known, known, knows_until);
+            if sent.is_some() {
+                self.observe(&in_force, known, known, knows_until);
             }
-            self.hear(call, Heard::Line(text));
-            if what == What::Whole && self.open.iter().any(|open| open.call == call) {
-                self.open.retain(|open| open.call != call);
-                self.hear(call, Heard::Ended(End::Whole));
+            self.handle(call, Heard::Line(text));
+            if what == What::Whole && self.open_calls.iter().any(|open| open.call == call) {
+                self.open_calls.retain(|open| open.call != call);
+                self.handle(call, Heard::Ended(End::Whole));
             }
             // Calls may have come and gone.
-            at = 0;
+            index = 0;
         }
     }
 
@@ -335,22 +340,26 @@
         self.now += STEP;
         while self.follower.next_due().is_some_and(|due| due <= self.now) {
             let out = self.follower.tick(self.now);
-            self.carry_out(out);
+            self.apply_outputs(out);
         }
-        self.speak();
+        self.run_agents();
     }
 
-    /// The first law.
+    /// The first invariant.
     fn check(&self) -> Result<(), TestCaseError> {
         for member in self
             .roster
             .values()
             .filter(|member| member.health == Health::Up)
         {
-            let words = self.words.get(&life(member)).copied().unwrap_or_default();
+            let observed = self
+                .observed
+                .get(&instance(member))
+                .copied()
+                .unwrap_or_default();
             prop_assert!(
-                words.up_until >= words.stopped,
-                "{member:?} is up at {}: {words:?}; {:?}",
+                observed.up_until >= observed.stopped_at,
+                "{member:?} is up at {}: {observed:?}; {:?}",
                 self.now,
                 self.reports
             );
@@ -373,40 +382,40 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
-    /// Something becomes of a backend.
+enum Action {
+    /// A backend changes.
     Change(usize, u8),
-    /// An agent hears this much late from now on.
+    /// An agent lags by this much from now on.
     Lag(usize, u16),
     Silent(usize, bool),
-    /// The door is told to ask the other one.
-    Move,
-    /// The open calls break.
-    Break,
-    /// Discovery is replaced by one that counts anew: both agents forget their history.
-    Anew,
-    Pass(u8),
+    /// The process is switched to the other agent.
+    Switch,
+    /// The open calls are reset.
+    ResetCalls,
+    /// Discovery restarts its numbering: both agents lose their history.
+    RestartNumbering,
+    Run(u8),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        4 => (0usize..4, any::<u8>()).prop_map(|(host, way)| Act::Change(host, way)),
-        2 => (0usize..2, 0u16..5900).prop_map(|(agent, lag)| Act::Lag(agent, lag)),
-        1 => (0usize..2, any::<bool>()).prop_map(|(agent, silent)| Act::Silent(agent, silent)),
-        1 => Just(Act::Move),
-        1 => Just(Act::Break),
-        1 => Just(Act::Anew),
-        6 => (1u8..40).prop_map(Act::Pass),
+        4 => (0usize..4, any::<u8>()).prop_map(|(host, kind)| Action::Change(host, kind)),
+        2 => (0usize..2, 0u16..5900).prop_map(|(agent, lag)| Action::Lag(agent, lag)),
+        1 => (0usize..2, any::<bool>()).prop_map(|(agent, is_silent)| Action::Silent(agent, is_silent)),
+        1 => Just(Action::Switch),
+        1 => Just(Action::ResetCalls),
+        1 => Just(Action::RestartNumbering),
+        6 => (1u8..40).prop_map(Action::Run),
     ]
 }
 
-impl World {
-    fn act(&mut self, act: &Act) -> Result<(), TestCaseError> {
-        match *act {
-            Act::Change(host, way) => {
+impl Simulation {
+    fn perform(&mut self, action: &Action) -> Result<(), TestCaseError> {
+        match *action {
+            Action::Change(host, kind) => {
                 let host = ["a", "b", "c", "d"][host];
                 let now = list_at(&self.truth, self.truth.len()).remove(host);
-                let member = match (now, way % 3) {
+                let member = match (now, kind % 3) {
                     (None, _) => member(host, Health::Up, self.now),
                     (Some(m), 0) if m.health == Health::Up => Member {
                         health: Health::Draining,
@@ -430,25 +439,29 @@
                     member,
                 });
             }
-            Act::Lag(agent, lag) => self.agents[agent].lag = f64::from(lag),
-            Act::Silent(agent, silent) => self.agents[agent].silent = silent,
-            Act::Move => {
-                self.at = 1 - self.at;
-                let out = self.follower.moved(self.now, place(self.at));
-                self.carry_out(out);
+            Action::Lag(agent, lag) => self.agents[agent].lag = f64::from(lag),
+            Action::Silent(agent, is_silent) => self.agents[agent].is_silent = is_silent,
+            Action::Switch => {
+                self.current_agent = 1 - self.current_agent;
+                let out = self.follower.moved(self.now, place(self.current_agent));
+                self.apply_outputs(out);
             }
-            Act::Break => {
-                for Open { call, .. } in std::mem::take(&mut self.open) {
-                    self.hear(call, Heard::Ended(End::Broken("reset".into())));
+            Action::ResetCalls => {
+                for OpenCall { call, .. } in std::mem::take(&mut self.open_calls) {
+                    self.handle(call, Heard::Ended(End::Broken("reset".into())));
                 }
             }
-            Act::Anew => {
-                for agent in self.agents.iter_mut().filter(|agent| agent.base == FIRST) {
-                    (agent.base, agent.since) = (1, agent.known);
+            Action::RestartNumbering => {
+                for agent in self
+                    .agents
+                    .iter_mut()
+                    .filter(|agent| agent.base == FIRST_NUMBERING)
+                {
+                    (agent.base, agent.history_start) = (1, agent.known);
                 }
-                return self.act(&Act::Break);
+                return self.perform(&Action::ResetCalls);
             }
-            Act::Pass(steps) => {
+            Action::Run(steps) => {
                 for _ in 0..steps {
                     self.step();
                     self.check()?;
@@ -465,22 +478,22 @@
     })]
 
     #[test]
-    fn no_drain_is_taken_back_by_an_older_word_and_no_list_is_frozen(
-        known in any::<bool>(), acts in proptest::collection::vec(act(), 0..60),
+    fn no_drain_is_taken_back_by_an_older_update_and_no_list_is_frozen(
+        known in any::<bool>(), actions in proptest::collection::vec(action(), 0..60),
     ) {
-        let mut world = World::new(known);
-        for act in &acts {
-            world.act(act)?;
+        let mut simulation = Simulation::new(known);
+        for action in &actions {
+            simulation.perform(action)?;
         }
-        // Now everybody speaks, and nothing lags.
-        for agent in &mut world.agents {
-            (agent.silent, agent.lag) = (false, 0.0);
+        // From here on all agents send, and none lags.
+        for agent in &mut simulation.agents {
+            (agent.is_silent, agent.lag) = (false, 0.0);
         }
         for _ in 0..150 {
-            world.step();
-            world.check()?;
+            simulation.step();
+            simulation.check()?;
         }
-        let truth = list_at(&world.truth, world.truth.len());
-        prop_assert_eq!(&world.roster, &truth, "{:?}", world.reports);
+        let truth = list_at(&simulation.truth, simulation.truth.len());
+        prop_assert_eq!(&simulation.roster, &truth, "{:?}", simulation.reports);
     }
 }
