--- a/crates/shared-counts/tests/faults.rs
+++ b/crates/shared-counts/tests/faults.rs
@@ -1,9 +1,11 @@
 //! The faults that shared counts have to survive, each injected.
 
 mod simulation;
-use maplefall_shared_counts::members::MemberState;
-use maplefall_shared_counts::wire::RejectReason;
-use maplefall_shared_counts::{Settings, TAIL};
+use maplefall_shared_counts::members::{Heartbeat, MemberState};
+use maplefall_shared_counts::wire::{
+    self, Head, Kind, MemberInfo, RejectReason, Seal, Section, Writer,
+};
+use maplefall_shared_counts::{DoorId, Life, Settings, TAIL};
 use rand_core::RngCore;
 use simulation::*;
 
@@ -468,13 +470,48 @@
     );
 }
 
+/// A node with the key that sends datagrams about nodes that do not exist.
+struct Inventor {
+    seal: Seal,
+    sender: Life,
+    /// The nonce of the receiver.
+    echo: u64,
+}
+
+impl Inventor {
+    /// A datagram about a node whose last heartbeat has this age in milliseconds.
+    fn invent(&self, number: u64, name: &str, incarnation: u64, age: u64) -> Vec<u8> {
+        let head = Head {
+            kind: Kind::Gossip,
+            from: self.sender,
+            number,
+            nonce: 77,
+            echo: self.echo,
+        };
+        let source = Life {
+            door: DoorId::of(name),
+            incarnation,
+        };
+        let member = MemberInfo {
+            heartbeat: Heartbeat {
+                source,
+                uptime: 1,
+                version: 0,
+                age,
+            },
+            address: address(9),
+            name: name.to_owned(),
+        };
+        let mut writer = Writer::new(&self.seal, &head, 1200);
+        assert!(writer.add(&Section::Cards(vec![member])));
+        writer.seal(&self.seal)
+    }
+}
+
 /// Guards against a node with the key that invents a thousand others: the bound on nodes holds, and those without heartbeats are
 /// forgotten.
 #[test]
 fn invented_nodes_stay_within_the_bound_and_are_forgotten() {
-    use maplefall_shared_counts::members::Heartbeat;
-    use maplefall_shared_counts::wire::{Head, Kind, MemberInfo, Seal, Section, Writer};
-    use maplefall_shared_counts::{DoorId, Life};
     let settings = Settings {
         most_members: 64,
         gone_after: 5000.0,
@@ -493,68 +530,23 @@
         .cloned()
         .expect("node 0 has contacted node 2");
     assert_eq!(from, 0);
-    let (head, _) = maplefall_shared_counts::wire::read(&seal, &bytes).expect("it is valid");
+    let (head, _) = wire::read(&seal, &bytes).expect("it is valid");
     let sender = simulation.node(2).life();
+    let inventor = Inventor {
+        seal,
+        sender,
+        echo: head.nonce,
+    };
     let date = sender.incarnation;
     // A node whose last heartbeat is an hour old is gone at every node.
-    let source = Life {
-        door: DoorId::of("z"),
-        incarnation: date,
-    };
-    let heartbeat = Heartbeat {
-        source,
-        uptime: 1,
-        version: 0,
-        age: 3_600_000,
-    };
-    let mut writer = Writer::new(
-        &seal,
-        &Head {
-            kind: Kind::Gossip,
-            from: sender,
-            number: 900_000,
-            nonce: 77,
-            echo: head.nonce,
-        },
-        1200,
-    );
-    assert!(writer.add(&Section::Cards(vec![MemberInfo {
-        heartbeat,
-        address: address(9),
-        name: "z".to_owned()
-    }])));
-    let bytes = writer.seal(&seal);
+    let bytes = inventor.invent(900_000, "z", date, 3_600_000);
     simulation.deliver(2, 0, &bytes);
     assert!(simulation
         .node(0)
         .members()
         .all(|member| member.name != "z"));
     for index in 0..1000u64 {
-        let name = format!("x{index}");
-        let source = Life {
-            door: DoorId::of(&name),
-            incarnation: date,
-        };
-        let heartbeat = Heartbeat {
-            source,
-            uptime: 1,
-            version: 0,
-            age: 0,
-        };
-        let head = Head {
-            kind: Kind::Gossip,
-            from: sender,
-            number: 1_000_000 + index,
-            nonce: 77,
-            echo: head.nonce,
-        };
-        let mut writer = Writer::new(&seal, &head, 1200);
-        assert!(writer.add(&Section::Cards(vec![MemberInfo {
-            heartbeat,
-            address: address(9),
-            name
-        }])));
-        let bytes = writer.seal(&seal);
+        let bytes = inventor.invent(1_000_000 + index, &format!("x{index}"), date, 0);
         simulation.deliver(2, 0, &bytes);
     }
     assert_eq!(simulation.node(0).members().count(), 63);
@@ -565,30 +557,7 @@
         "no node is alive without heartbeats"
     );
     // An impossible one: an incarnation of the day after tomorrow.
-    let source = Life {
-        door: DoorId::of("y"),
-        incarnation: date + 2 * 86_400_000,
-    };
-    let heartbeat = Heartbeat {
-        source,
-        uptime: 1,
-        version: 0,
-        age: 0,
-    };
-    let head = Head {
-        kind: Kind::Gossip,
-        from: sender,
-        number: 2_000_000,
-        nonce: 77,
-        echo: head.nonce,
-    };
-    let mut writer = Writer::new(&seal, &head, 1200);
-    assert!(writer.add(&Section::Cards(vec![MemberInfo {
-        heartbeat,
-        address: address(9),
-        name: "y".to_owned()
-    }])));
-    let bytes = writer.seal(&seal);
+    let bytes = inventor.invent(2_000_000, "y", date + 2 * 86_400_000, 0);
     simulation.deliver(2, 0, &bytes);
     assert_eq!(simulation.node(0).stats.rejected[&RejectReason::Absurd], 1);
     // Others may have received some and forward them; each has no heartbeats and is forgotten for good.
