--- a/crates/controller/src/core/replicated_state.rs
+++ b/crates/controller/src/core/replicated_state.rs
@@ -23,7 +23,7 @@
         let items = config.items().cloned().collect();
         ReplicatedState {
             items,
-            taken: Some(config.taken()),
+            taken: Some(config.version_history()),
             owners: Some(slots.clone()),
         }
     }
--- a/crates/controller/tests/common/operators/checks.rs
+++ b/crates/controller/tests/common/operators/checks.rs
@@ -1,7 +1,7 @@
 //! Checks of responses against all changes that were committed.
 
 use super::{Activity, Amendment, Operators, SentCall, OPERATORS};
-use crate::plain::{Judgement, Plain};
+use crate::reference_model::{ReferenceModel, ValidationOutcome};
 use maplefall_controller::core::CallResponse;
 use maplefall_gateway_config::ItemSet;
 use std::collections::BTreeSet;
@@ -14,9 +14,13 @@
         }
         let last = self.lengths.last().map_or(0, |(index, _)| *index);
         for (index, change) in self.simulation.committed.range(last + 1..) {
-            let outcome = self.committed.judge(change);
-            assert_eq!(outcome, Judgement::New, "committed at {index}: {change:?}");
-            self.committed.take(change);
+            let outcome = self.committed.validate(change);
+            assert_eq!(
+                outcome,
+                ValidationOutcome::Accepted,
+                "committed at {index}: {change:?}"
+            );
+            self.committed.accept(change);
             self.lengths.push((*index, self.committed.0.len()));
         }
         assert_eq!(
@@ -27,11 +31,11 @@
     }
 
     /// The reference model after this many changes.
-    pub(super) fn model_after(&self, changes: usize) -> Plain {
+    pub(super) fn model_after(&self, changes: usize) -> ReferenceModel {
         let length = changes
             .checked_sub(1)
             .map_or(self.initial.len(), |last| self.lengths[last].1);
-        Plain(self.committed.0[..length].to_vec())
+        ReferenceModel(self.committed.0[..length].to_vec())
     }
 
     /// Checks the response of a controller, whether or not it reaches the caller.
@@ -65,7 +69,7 @@
         let is_consistent = (sent_call.committed..=self.lengths.len())
             .rev()
             .any(|changes| {
-                ItemSet::from_items(self.model_after(changes).held().into_values().collect())
+                ItemSet::from_items(self.model_after(changes).latest().into_values().collect())
                     .read_back()
                     == json
             });
@@ -113,13 +117,13 @@
             return;
         };
         let cause = if status == 409 {
-            Judgement::Conflict
+            ValidationOutcome::Conflict
         } else {
-            Judgement::Invalid
+            ValidationOutcome::Invalid
         };
         let has_cause = (amendment.sent_after..=self.lengths.len())
             .rev()
-            .any(|n| self.model_after(n).judge(change) == cause);
+            .any(|n| self.model_after(n).validate(change) == cause);
         assert!(
             has_cause,
             "{status} {reason} without a cause: {}",
--- a/crates/controller/tests/common/operators/mod.rs
+++ b/crates/controller/tests/common/operators/mod.rs
@@ -7,7 +7,7 @@
 mod calls;
 mod checks;
 
-use crate::plain::Plain;
+use crate::reference_model::ReferenceModel;
 use crate::simulation::{Millis, Occurrence, Simulation};
 use maplefall_gateway_config::{Change, Item, ItemKind};
 use std::collections::BTreeMap;
@@ -84,7 +84,7 @@
     /// The configuration before the first change that the proxies were sent by itself.
     initial: Vec<Item>,
     /// Every committed item in order, and the index of each change with the number of items after it.
-    committed: Plain,
+    committed: ReferenceModel,
     lengths: Vec<(u64, usize)>,
     version: u32,
     nonce: u32,
@@ -112,7 +112,7 @@
             sent_calls: BTreeMap::new(),
             confirmed: BTreeMap::new(),
             initial: Vec::new(),
-            committed: Plain::default(),
+            committed: ReferenceModel::default(),
             lengths: Vec::new(),
             version: 2,
             nonce: 0,
@@ -145,7 +145,7 @@
             .items()
             .cloned()
             .collect();
-        operators.committed = Plain(operators.initial.clone());
+        operators.committed = ReferenceModel(operators.initial.clone());
         let names = operators.simulation.names().to_vec();
         assert!(
             names
--- a/crates/controller/tests/operator_calls_under_faults.rs
+++ b/crates/controller/tests/operator_calls_under_faults.rs
@@ -2,8 +2,8 @@
 
 #[path = "common/operators/mod.rs"]
 mod operators;
-#[path = "../../gateway-config/tests/plain/mod.rs"]
-mod plain;
+#[path = "../../gateway-config/tests/reference_model/mod.rs"]
+mod reference_model;
 #[path = "common/simulation/mod.rs"]
 mod simulation;
 
--- a/crates/gateway-config/src/state.rs
+++ b/crates/gateway-config/src/state.rs
@@ -73,7 +73,7 @@
     }
 
     /// The superseded versions, as a snapshot stores them.
-    pub fn taken(&self) -> VersionHistory {
+    pub fn version_history(&self) -> VersionHistory {
         self.superseded.to_message()
     }
 
--- a/crates/gateway-config/tests/plain/mod.rs
+++ b/crates/gateway-config/tests/reference_model/mod.rs
@@ -6,15 +6,15 @@
 
 /// All versions that were ever accepted, in their order.
 #[derive(Clone, Debug, Default)]
-pub struct Plain(pub Vec<Item>);
+pub struct ReferenceModel(pub Vec<Item>);
 
 /// The result of validating a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum ValidationOutcome {
     /// All its items exist already.
-    Taken,
+    AlreadyApplied,
     /// Some of its items are new.
-    New,
+    Accepted,
     /// Rejected with 409.
     Conflict,
     /// Rejected with 400.
@@ -25,9 +25,9 @@
     (item.kind(), item.name.clone(), item.version)
 }
 
-impl Plain {
+impl ReferenceModel {
     /// Adds the new items of a change.
-    pub fn take(&mut self, change: &Change) {
+    pub fn accept(&mut self, change: &Change) {
         for item in &change.items {
             if !self
                 .0
@@ -40,7 +40,7 @@
     }
 
     /// The highest version of each item, removed ones included.
-    pub fn held(&self) -> BTreeMap<(ItemKind, String), Item> {
+    pub fn latest(&self) -> BTreeMap<(ItemKind, String), Item> {
         let mut latest: BTreeMap<(ItemKind, String), Item> = BTreeMap::new();
         for item in &self.0 {
             let key = (item.kind(), item.name.clone());
@@ -55,7 +55,7 @@
     }
 
     /// The result of validating a call.
-    pub fn judge(&self, change: &Change) -> Judgement {
+    pub fn validate(&self, change: &Change) -> ValidationOutcome {
         let known = |item: &Item| {
             self.0
                 .iter()
@@ -66,7 +66,7 @@
             .iter()
             .any(|item| known(item).is_some_and(|known| known != item))
         {
-            return Judgement::Conflict;
+            return ValidationOutcome::Conflict;
         }
         let new: Vec<Item> = change
             .items
@@ -75,20 +75,20 @@
             .cloned()
             .collect();
         if new.is_empty() {
-            return Judgement::Taken;
+            return ValidationOutcome::AlreadyApplied;
         }
         let mut merged = self.clone();
-        merged.take(&Change { items: new.clone() });
+        merged.accept(&Change { items: new.clone() });
         if merged.is_consistent(&new) {
-            Judgement::New
+            ValidationOutcome::Accepted
         } else {
-            Judgement::Invalid
+            ValidationOutcome::Invalid
         }
     }
 
     /// Whether the active items are consistent, and the services exist that these items need, also if they are superseded.
     pub fn is_consistent(&self, proposed: &[Item]) -> bool {
-        let latest = self.held();
+        let latest = self.latest();
         let active = |kind: ItemKind| {
             latest
                 .values()
--- a/crates/gateway-config/tests/validation.rs
+++ b/crates/gateway-config/tests/validation.rs
@@ -1,14 +1,14 @@
 //! Validation against a reference model that checks the whole configuration, and the limits of the version history.
 
-mod plain;
+mod reference_model;
 
 use maplefall_gateway_config::{
     Change, ConfigState, Field, Item, ItemKind, ItemSet, PendingChanges, RouteTable, Validation,
     VersionHistory,
 };
-use plain::{Judgement as Outcome, Plain as ReferenceModel};
 use prost::Message;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
+use reference_model::{ReferenceModel, ValidationOutcome as Outcome};
 
 fn field(name: &str, json: String) -> Field {
     Field {
@@ -115,8 +115,8 @@
     validation: &Result<Validation, maplefall_gateway_config::ConfigError>,
 ) -> Option<Outcome> {
     Some(match validation {
-        Ok(Validation::AlreadyApplied(_)) => Outcome::Taken,
-        Ok(Validation::Accepted(_)) => Outcome::New,
+        Ok(Validation::AlreadyApplied(_)) => Outcome::AlreadyApplied,
+        Ok(Validation::Accepted(_)) => Outcome::Accepted,
         Ok(Validation::HistoryEvicted(..)) => return None,
         Err(error) if error.status() == 409 => Outcome::Conflict,
         Err(_) => Outcome::Invalid,
@@ -140,14 +140,14 @@
         let mut pending: Vec<(u64, Change)> = Vec::new();
         for (index, call) in (1..).zip(&calls) {
             let validation = state.validate(&pending_changes, call);
-            let expected = model.judge(call);
+            let expected = model.validate(call);
             if outcome(&validation) != Some(expected) {
                 println!("{call:?}\n{validation:?} is not {expected:?}");
                 return false;
             }
             match validation {
                 Ok(Validation::Accepted(new)) => {
-                    model.take(&new);
+                    model.accept(&new);
                     pending_changes.add(index, &new);
                     pending.push((index, new));
                 }
@@ -175,8 +175,9 @@
             }
             if draw(6) == 0 {
                 let items = state.items().cloned().collect();
-                let history = VersionHistory::decode(state.taken().encode_to_vec().as_slice())
-                    .expect("a message");
+                let history =
+                    VersionHistory::decode(state.version_history().encode_to_vec().as_slice())
+                        .expect("a message");
                 let restored = ConfigState::restore(items, history);
                 if restored != state {
                     return false;
@@ -187,7 +188,7 @@
         pending.iter().for_each(|(_, change)| {
             state.apply(change);
         });
-        let expected: Vec<Item> = model.held().into_values().collect();
+        let expected: Vec<Item> = model.latest().into_values().collect();
         model.is_consistent(&[]) && state.items().cloned().collect::<Vec<_>>() == expected
     }
     println!("seed 11");
@@ -266,11 +267,14 @@
         state.apply(&service_change("a", version, version));
     }
     // The highest and the four before it.
-    assert_eq!(validate_service(&state, "a", 10, 10), Some(Outcome::Taken));
+    assert_eq!(
+        validate_service(&state, "a", 10, 10),
+        Some(Outcome::AlreadyApplied)
+    );
     for version in 6..=10 {
         assert_eq!(
             validate_service(&state, "a", version, version),
-            Some(Outcome::Taken),
+            Some(Outcome::AlreadyApplied),
             "{version}"
         );
         assert_eq!(
@@ -293,9 +297,12 @@
     }
     // Versions that arrive late are remembered too.
     state.apply(&service_change("b", 7, 7));
-    assert_eq!(validate_service(&state, "b", 5, 5), Some(Outcome::New));
+    assert_eq!(validate_service(&state, "b", 5, 5), Some(Outcome::Accepted));
     state.apply(&service_change("b", 5, 5));
-    assert_eq!(validate_service(&state, "b", 5, 5), Some(Outcome::Taken));
+    assert_eq!(
+        validate_service(&state, "b", 5, 5),
+        Some(Outcome::AlreadyApplied)
+    );
     assert_eq!(validate_service(&state, "b", 5, 6), Some(Outcome::Conflict));
     // Over all items the older half is evicted; items without superseded versions lose nothing.
     state.apply(&service_change("quiet", 3, 3));
@@ -310,16 +317,19 @@
     );
     assert_eq!(
         validate_service(&state, "c7", 1, 1),
-        Some(Outcome::Taken),
+        Some(Outcome::AlreadyApplied),
         "the newest is known"
     );
     assert_eq!(
         validate_service(&state, "quiet", 3, 3),
-        Some(Outcome::Taken)
+        Some(Outcome::AlreadyApplied)
+    );
+    assert_eq!(
+        validate_service(&state, "quiet", 2, 3),
+        Some(Outcome::Accepted)
     );
-    assert_eq!(validate_service(&state, "quiet", 2, 3), Some(Outcome::New));
     let remembered: usize = state
-        .taken()
+        .version_history()
         .items
         .iter()
         .map(|name| name.versions.len())
