--- a/crates/proxy/src/controllers.rs
+++ b/crates/proxy/src/controllers.rs
@@ -18,7 +18,7 @@
 pub async fn follow(door: Rc<Proxy>, hello: Hello, port: u16) {
     let mut dialled: BTreeSet<String> = BTreeSet::new();
     loop {
-        let all = door.ask(|core| core.exchanges().clone());
+        let all = door.ask(|core| core.controllers().clone());
         // Doors begin with different ones.
         let turn = hello.incarnation as usize % all.len().max(1);
         for ip in all.iter().cycle().skip(turn).take(all.len()) {
--- /dev/null
+++ b/crates/proxy/src/core/admission.rs
@@ -0,0 +1,185 @@
+//! Admission of a request: route and tenant, deadline, service, quota token. A request that lacks something which is
+//! expected within [`MAX_ADMISSION_WAIT`] may be tried again by the caller.
+
+use super::requests::{PendingRequest, MAX_PENDING_REQUESTS};
+use super::timers::Timer;
+use super::{
+    AdmittedRequest, Core, IncomingRequest, LocalResponse, Output, Rejection,
+    RETRY_AFTER_LATENCY_TARGETS, RETURN_TIME,
+};
+use maplefall_gateway_config::{Route, RouteMatch, Tenant};
+use maplefall_policy::{ClassId, CustomerId, Event, Millis, PlanId, Request, RequestId, Turned};
+use rand_core::RngCore;
+use std::rc::Rc;
+
+/// `Retry-After` of a proxy that has no configuration yet.
+const RETRY_AFTER_WITHOUT_CONFIG: Millis = 300.0;
+/// How long a request may wait for what a proxy that has just started still lacks.
+const MAX_ADMISSION_WAIT: Millis = 120.0;
+
+impl Core {
+    /// Admits a request, or rejects it with its response.
+    pub fn admit(
+        &mut self,
+        now: Millis,
+        incoming: &IncomingRequest<'_>,
+        out: &mut Vec<Output>,
+    ) -> Result<AdmittedRequest, Rejection> {
+        if self.config_index == 0 {
+            // Without a configuration nothing is known: neither that there is no route nor that a key is wrong.
+            return Err(Rejection::RejectedUnless(
+                LocalResponse::not_run(503, RETRY_AFTER_WITHOUT_CONFIG),
+                MAX_ADMISSION_WAIT,
+            ));
+        }
+        let route_table = self.route_table.clone();
+        let (route, tenant) =
+            match route_table.resolve(incoming.host, incoming.path, incoming.api_key) {
+                RouteMatch::Matched(route, tenant) => (route, tenant),
+                RouteMatch::NoRoute => return Err(self.unroutable(404)),
+                RouteMatch::UnknownKey => return Err(self.unroutable(401)),
+            };
+        let unavailable =
+            || LocalResponse::not_run(503, RETRY_AFTER_LATENCY_TARGETS * route.latency_target);
+        let deadline = response_deadline(incoming, route);
+        if self.requests.len() >= MAX_PENDING_REQUESTS || deadline <= now {
+            return Err(Rejection::Rejected(unavailable()));
+        }
+        let service = self.choose_service(route);
+        if !self.services.has_ready_backend(service) {
+            return Err(Rejection::RejectedUnless(unavailable(), MAX_ADMISSION_WAIT));
+        }
+        self.stats.arrived += 1;
+        let tenant_name = tenant.map(|tenant| self.intern_tenant(&tenant.name));
+        let token_wait = match (tenant, &tenant_name) {
+            (Some(tenant), Some(name)) => {
+                self.take_quota_token(now, incoming.is_retry, route, tenant, name, out)?
+            }
+            _ => 0.0,
+        };
+        let class = self.services.class(service, route);
+        let id = self.next_request_id();
+        let pending = PendingRequest {
+            service,
+            tenant: tenant_name.clone(),
+            latency_target: route.latency_target,
+            deadline,
+            attempts: 0,
+            in_flight: None,
+            may_have_run: false,
+            responded: false,
+            sent: false,
+            waiting_for_token: None,
+        };
+        self.start_request(now, id, pending, class, token_wait, out);
+        Ok(AdmittedRequest {
+            id,
+            tenant: tenant_name,
+        })
+    }
+
+    fn unroutable(&mut self, status: u16) -> Rejection {
+        self.stats.unroutable += 1;
+        Rejection::Rejected(LocalResponse::with_status(status))
+    }
+
+    /// Hands an admitted request to the policy, at once or when its quota token is available.
+    fn start_request(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        pending: PendingRequest,
+        class: ClassId,
+        token_wait: Millis,
+        out: &mut Vec<Output>,
+    ) {
+        let request = Request {
+            id,
+            customer: CustomerId(0),
+            plan: PlanId(0),
+            class,
+            units: 1.0,
+            deadline: pending.deadline,
+            checked: true,
+            spread: 1.0,
+        };
+        if token_wait > 0.0 {
+            let pending = PendingRequest {
+                waiting_for_token: Some(request),
+                ..pending
+            };
+            self.requests.insert(id, pending);
+            self.timers.set(now + token_wait, Timer::QuotaToken(id));
+        } else {
+            let service = pending.service;
+            self.requests.insert(id, pending);
+            self.handle_policy_event(now, service, Event::Arrival(request), out);
+        }
+    }
+
+    /// Takes a token from the tenant's bucket; returns how long the request has to wait for it.
+    fn take_quota_token(
+        &mut self,
+        now: Millis,
+        is_retry: bool,
+        route: &Route,
+        tenant: &Tenant,
+        name: &Rc<str>,
+        out: &mut Vec<Output>,
+    ) -> Result<Millis, Rejection> {
+        let quota = self.tenant_quota(now, tenant, route.latency_target);
+        let taken = if is_retry {
+            self.tenants.take(now, name, 1.0, quota)
+        } else {
+            self.tenants.arrived(now, name, 1.0, quota)
+        };
+        let response = |wait: Millis| LocalResponse::not_run(429, wait.min(route.timeout));
+        match taken {
+            Ok(wait) => Ok(wait),
+            Err(Turned::Box(wait)) => {
+                self.stats.penalty_box_rejected += 1;
+                Err(Rejection::Rejected(response(wait)))
+            }
+            Err(Turned::Bucket(wait)) => {
+                self.stats.quota_rejected += 1;
+                *self
+                    .stats
+                    .quota_rejected_by_tenant
+                    .entry(name.clone())
+                    .or_default() += 1;
+                Err(match self.request_more_quota(now, name, out) {
+                    Some(lease_wait) => Rejection::RejectedUnless(response(wait), lease_wait),
+                    None => Rejection::Rejected(response(wait)),
+                })
+            }
+        }
+    }
+
+    /// The service that a request goes to, drawn by the weights of a traffic split.
+    fn choose_service(&mut self, route: &Route) -> usize {
+        let total: f64 = route.destinations.iter().map(|(_, weight)| weight).sum();
+        let mut drawn = f64::from(self.rng.next_u32()) / 4_294_967_296.0 * total;
+        let mut chosen = "";
+        for (name, weight) in route
+            .destinations
+            .iter()
+            .filter(|(_, weight)| *weight > 0.0)
+        {
+            chosen = name;
+            drawn -= weight;
+            if drawn < 0.0 {
+                break;
+            }
+        }
+        self.services.index_of(chosen)
+    }
+}
+
+/// When the response has to leave the proxy: the client's time, at most the route's timeout, less the way back.
+fn response_deadline(incoming: &IncomingRequest<'_>, route: &Route) -> Millis {
+    let timeout = incoming
+        .remaining
+        .unwrap_or(route.timeout)
+        .min(route.timeout);
+    incoming.received_at + timeout - RETURN_TIME
+}
--- /dev/null
+++ b/crates/proxy/src/core/attempts.rs
@@ -0,0 +1,161 @@
+//! Attempts: carries out the decisions of a service's policy and reports the ends of attempts back to it.
+
+use super::requests::InFlightAttempt;
+use super::timers::Timer;
+use super::{AttemptEnd, Core, Output};
+use maplefall_policy::{
+    Action, BackendId, Care, Event, Millis, Outcome, Report, RequestId, Settled,
+};
+
+/// Whether a request whose attempt ended so cannot have run.
+fn has_not_run(outcome: Outcome) -> bool {
+    matches!(
+        outcome,
+        Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent
+    )
+}
+
+impl Core {
+    /// An attempt has ended. One that is no longer in flight is ignored.
+    pub fn attempt_ended(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        number: u32,
+        end: AttemptEnd,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = pending
+            .in_flight
+            .take_if(|attempt| attempt.number == number)
+        else {
+            return;
+        };
+        pending.may_have_run |= !has_not_run(end.outcome);
+        if end.outcome == Outcome::Ok && !pending.responded {
+            pending.responded = true;
+            self.stats.forwarded += 1;
+            out.push(Output::ForwardResponse(id));
+        }
+        let (service, closed) = (pending.service, pending.responded);
+        if end.wrong_instance {
+            self.expire_wrong_instance(now, attempt.backend, out);
+        }
+        let settled = Settled {
+            request: id,
+            attempt: number,
+            backend: attempt.backend,
+            outcome: end.outcome,
+            elapsed: now - attempt.sent_at,
+            closed,
+            use_of_quota: None,
+            true_units: None,
+            report: Report::default(),
+            broken: end.broken_connections,
+        };
+        self.handle_policy_event(now, service, Event::Settled(settled), out);
+        self.remove_if_finished(id);
+    }
+
+    /// Hands an event to a service's policy and carries out its decisions.
+    pub(super) fn handle_policy_event(
+        &mut self,
+        now: Millis,
+        service: usize,
+        event: Event,
+        out: &mut Vec<Output>,
+    ) {
+        let mut actions = Vec::new();
+        let Some(service) = self.services.get_mut(service) else {
+            return;
+        };
+        service.gateway.handle(now, event, &mut actions);
+        for action in actions {
+            self.carry_out(now, action, out);
+        }
+    }
+
+    fn carry_out(&mut self, now: Millis, action: Action, out: &mut Vec<Output>) {
+        match action {
+            Action::Send {
+                request,
+                backend,
+                limit,
+                care,
+            } => self.send(now, request, backend, limit, care, out),
+            Action::Refuse {
+                request,
+                reason,
+                retry_after,
+            } => self.reject(request, reason, retry_after, out),
+            Action::Fail(request) => self.fail(now, request, out),
+            Action::CallOff { request, attempt } => {
+                out.push(Output::CancelAttempt(request, attempt));
+            }
+            Action::SetAlarm { at, alarm } => {
+                if let Ok(id) = u32::try_from(alarm.0) {
+                    self.timers.set(at, Timer::Alarm(RequestId(id)));
+                }
+            }
+            Action::CloseIdle(backend) => out.push(Output::CloseIdle(backend)),
+            Action::Log(text) => {
+                out.push(Output::Log(format!("event=backend_health text={text:?}")));
+            }
+            // Clients are authenticated by their keys, controllers push the instances, and controllers run the health checks.
+            Action::Check(_) | Action::Subscribe | Action::FetchList | Action::Probe(_) => {}
+        }
+    }
+
+    /// Starts the next attempt of a request, or ends it at once if its backend or its time is gone.
+    fn send(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        backend: BackendId,
+        limit: Option<Millis>,
+        care: Care,
+        out: &mut Vec<Output>,
+    ) {
+        let instance = self
+            .services
+            .backend(backend)
+            .map(|backend| backend.instance.clone());
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let number = pending.attempts;
+        pending.attempts += 1;
+        self.stats.retries += u64::from(number > 0);
+        let remaining = pending.deadline - now;
+        let timeout = limit.unwrap_or(f64::INFINITY).min(remaining);
+        pending.in_flight = Some(InFlightAttempt {
+            number,
+            backend,
+            sent_at: now,
+        });
+        let Some(instance) = instance.filter(|_| timeout > 0.0) else {
+            let end = AttemptEnd::without_response(Outcome::NotSent);
+            self.attempt_ended(now, id, number, end, out);
+            return;
+        };
+        pending.sent = true;
+        self.timers.set(
+            now + timeout,
+            Timer::AttemptTimeout {
+                request: id,
+                attempt: number,
+            },
+        );
+        out.push(Output::Send {
+            request: id,
+            attempt: number,
+            backend,
+            instance,
+            limit: remaining,
+            care,
+        });
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/core/config.rs
@@ -0,0 +1,74 @@
+//! Configuration updates from controllers. The index only rises: an update that is not newer is ignored.
+
+use super::{Core, Output};
+use maplefall_control_messages::ConfigUpdate;
+use maplefall_gateway_config::{Change, ItemSet, RouteTable};
+use maplefall_policy::Millis;
+use std::rc::Rc;
+
+impl Core {
+    pub(super) fn apply_config_update(
+        &mut self,
+        now: Millis,
+        update: ConfigUpdate,
+        out: &mut Vec<Output>,
+    ) {
+        self.add_controllers(update.controllers.iter().cloned(), out);
+        let is_stale = update.index <= self.config_index;
+        let has_gap = update.after > self.config_index;
+        if is_stale || has_gap {
+            return;
+        }
+        let index = update.index;
+        self.update_route_table(update);
+        self.config_index = index;
+        out.push(Output::Log(format!(
+            "event=config_applied index={} routes={} tenants={}",
+            self.config_index,
+            self.route_table.routes.len(),
+            self.route_table.tenants.len()
+        )));
+        self.refresh_quotas(now);
+        self.more_requested_at.clear();
+        self.rejected_at.clear();
+        // No quota of new tenants is leased to this proxy yet.
+        self.request_leases(now, out);
+        self.tenant_names
+            .retain(|_, name| Rc::strong_count(name) > 1);
+        out.push(Output::StateChanged);
+    }
+
+    fn update_route_table(&mut self, update: ConfigUpdate) {
+        if update.after == 0 {
+            self.items = ItemSet::from_items(update.items);
+            self.route_table = Rc::new(RouteTable::from_items(&self.items));
+            return;
+        }
+        let changes: Vec<Change> = update
+            .changes
+            .into_iter()
+            .filter(|indexed| indexed.index > self.config_index)
+            .filter_map(|indexed| indexed.change)
+            .collect();
+        for change in &changes {
+            self.items.apply(change);
+        }
+        // No other reference to the table is alive between two inputs, so this does not copy it.
+        Rc::make_mut(&mut self.route_table).patch(&self.items, changes.iter());
+    }
+
+    /// Adds to the known controllers; none is ever removed.
+    pub(super) fn add_controllers(
+        &mut self,
+        controllers: impl Iterator<Item = String>,
+        out: &mut Vec<Output>,
+    ) {
+        let known = self.controllers.len();
+        self.controllers.extend(controllers);
+        if self.controllers.len() > known {
+            out.push(Output::ControllersChanged(
+                self.controllers.iter().cloned().collect(),
+            ));
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/core/stats.rs
@@ -0,0 +1,72 @@
+//! Counts of what happened to requests since the last log line about it.
+
+use super::Core;
+use maplefall_policy::Millis;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// Counters since the last `stats` line. `quota_rejected_by_tenant` has at most the configured tenants.
+#[derive(Default)]
+pub(super) struct Stats {
+    /// Requests with a route, a valid key and a backend.
+    pub arrived: u64,
+    /// Backend responses that were forwarded as a success.
+    pub forwarded: u64,
+    /// Requests rejected because their tenant's bucket was empty.
+    pub quota_rejected: u64,
+    /// Requests rejected because their tenant is in the penalty box.
+    pub penalty_box_rejected: u64,
+    /// Requests that no backend took, and that have not run.
+    pub no_backend: u64,
+    /// Requests that failed and may have run.
+    pub failed: u64,
+    /// Attempts beyond the first of a request.
+    pub retries: u64,
+    /// Requests without a route or with an unknown key.
+    pub unroutable: u64,
+    /// `quota_rejected`, by tenant.
+    pub quota_rejected_by_tenant: HashMap<Rc<str>, u64>,
+}
+
+impl Stats {
+    /// The tenant that was rejected most often, with its count; of equals the first by name.
+    fn most_rejected_tenant(&self) -> Option<(&Rc<str>, u64)> {
+        self.quota_rejected_by_tenant
+            .iter()
+            .max_by(|a, b| a.1.cmp(b.1).then_with(|| b.0.cmp(a.0)))
+            .map(|(tenant, count)| (tenant, *count))
+    }
+}
+
+impl Core {
+    /// A log line of what happened since the last call; `None` if no request arrived. It names the tenant that was rejected
+    /// most often, with the fraction of its quota that is leased to this proxy.
+    pub fn stats_line(&mut self, now: Millis) -> Option<String> {
+        let stats = std::mem::take(&mut self.stats);
+        if stats.arrived == 0 {
+            return None;
+        }
+        let tenant = stats
+            .most_rejected_tenant()
+            .map(|(tenant, rejected)| {
+                format!(
+                    " tenant={tenant} rejected={rejected} share={:.3} controllers={}",
+                    self.lease_client.fraction(now, tenant),
+                    self.connected_controllers.len()
+                )
+            })
+            .unwrap_or_default();
+        Some(format!(
+            "event=stats arrived={} forwarded={} quota_rejected={} penalty_box_rejected={} no_backend={} failed={} \
+             retries={} unroutable={}{tenant}",
+            stats.arrived,
+            stats.forwarded,
+            stats.quota_rejected,
+            stats.penalty_box_rejected,
+            stats.no_backend,
+            stats.failed,
+            stats.retries,
+            stats.unroutable,
+        ))
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/core/timers.rs
@@ -0,0 +1,91 @@
+//! Timers of pending requests: policy alarms, waits for quota tokens and attempt timeouts.
+
+use super::requests::PendingRequest;
+use super::{Core, Output};
+use maplefall_policy::{AlarmId, Event, Millis, RequestId};
+use std::collections::HashMap;
+
+/// What is due at a time. A timer whose request has ended is obsolete and does nothing.
+pub(super) enum Timer {
+    /// The policy asked to be woken for this request.
+    Alarm(RequestId),
+    /// The request's quota token has become available.
+    QuotaToken(RequestId),
+    /// The attempt has had its time.
+    AttemptTimeout { request: RequestId, attempt: u32 },
+}
+
+impl Timer {
+    fn is_obsolete(&self, requests: &HashMap<RequestId, PendingRequest>) -> bool {
+        match self {
+            Timer::Alarm(id) | Timer::QuotaToken(id) => !requests.contains_key(id),
+            Timer::AttemptTimeout { request, attempt } => !requests
+                .get(request)
+                .is_some_and(|pending| pending.is_in_flight(*attempt)),
+        }
+    }
+}
+
+impl Core {
+    /// When the next timer is due; `None` if none is set.
+    pub fn next_due(&mut self) -> Option<Millis> {
+        let requests = &self.requests;
+        self.timers.next_due(|timer| timer.is_obsolete(requests))
+    }
+
+    /// Runs the timers that are due.
+    pub fn run_timers(&mut self, now: Millis, out: &mut Vec<Output>) {
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                Timer::Alarm(id) => self.policy_alarm(now, id, out),
+                Timer::QuotaToken(id) => self.quota_token_available(now, id, out),
+                Timer::AttemptTimeout { request, attempt } => {
+                    self.attempt_timed_out(now, request, attempt, out);
+                }
+            }
+        }
+    }
+
+    fn policy_alarm(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
+        let Some(service) = self.requests.get(&id).map(|pending| pending.service) else {
+            return;
+        };
+        let alarm = Event::Alarm(AlarmId(u64::from(id.0)));
+        self.handle_policy_event(now, service, alarm, out);
+        self.remove_if_finished(id);
+    }
+
+    fn quota_token_available(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let service = pending.service;
+        if let Some(request) = pending.waiting_for_token.take() {
+            self.handle_policy_event(now, service, Event::Arrival(request), out);
+        }
+    }
+
+    fn attempt_timed_out(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        attempt: u32,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        let deadline = pending.deadline;
+        if !pending.is_in_flight(attempt) {
+            return;
+        }
+        // Guards in-flight requests at a planned stop: a slow backend is no reason to give up before the client does.
+        if self.shutting_down && now < deadline {
+            let request = id;
+            self.timers
+                .set(deadline, Timer::AttemptTimeout { request, attempt });
+        } else {
+            out.push(Output::CancelAttempt(id, attempt));
+        }
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod driver;
 pub mod forward;
 mod services;
-mod timers;
+mod timer_queue;
 
 pub use crate::core::{quota, AttemptEnd, Core, IncomingRequest, LocalResponse, Output, Rejection};
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -1,138 +1,157 @@
-//! The services of a door: for each, the decision module with its backends.
+//! The services that a proxy routes to: for each one [`Gateway`] (the policy that selects backends), and the backend
+//! instances of all. An instance keeps its [`BackendId`] from its first record until it is gone, and ids are not reused while
+//! one is known.
 
 use maplefall_gateway_config::Route;
 use maplefall_node_settings::Bounds;
-use maplefall_policy::*;
+use maplefall_policy::{
+    Availability, BackendEntry, BackendId, CellId, Class, ClassId, Effect, Gateway, Millis, Plan,
+    Settings, ZoneId,
+};
 use maplefall_service_registry::{InstanceRecord, InstanceState};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time after which a backend that started is warm, where it does not say.
+/// Duration of a backend's slow start.
 const WARM_UP: Millis = 3000.0;
-/// Part of its capacity that a backend starts with, at least.
+/// Least fraction of its capacity that a backend starts with.
 const START_CAPACITY: f64 = 0.5;
-/// Price of crossing zones for the choice among backends, as a part of the worth: enough to decide between equals.
-const CROSSING: f64 = 0.002;
-/// Part of the late worth that a request keeps: what is late is still worth an answer.
-const LATE_WORTH: f64 = 0.1;
-/// Longest advice to come back.
-const LONGEST_ADVICE: Millis = 1000.0;
-/// Part of the slack of the budget of repeats that all doors together may save up.
-const SAVED: f64 = 0.6;
+/// Price of crossing zones when a backend is selected, as a fraction of a request's value: enough to decide between equals.
+const CROSS_ZONE_PRICE: f64 = 0.002;
+/// Fraction of its value that a request keeps beyond its latency target: a late response is still of use.
+const LATE_VALUE: f64 = 0.1;
+/// Largest `Retry-After`.
+const MAX_RETRY_AFTER: Millis = 1000.0;
+/// Fraction of the retry budget's slack that all proxies together may save up.
+const SAVED_RETRY_SLACK: f64 = 0.6;
 
-/// One life of a backend, as the door knows it.
+/// A known backend instance.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its id on the wire.
+    /// Its instance id on the wire.
     pub instance: Rc<str>,
-    /// Its service.
+    /// Index of its service.
     pub service: usize,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     entry: BackendEntry,
 }
 
 /// One service.
 pub struct Service {
-    /// Its decisions.
+    /// The policy that selects backends, retries and rejects.
     pub gateway: Gateway,
     classes: Vec<Class>,
 }
 
-/// All services.
+/// All services and their backends. Services are never removed; their number is bounded by the names that a configuration
+/// has had since the start.
 pub struct Services {
     bounds: Bounds,
     seed: u64,
-    doors: u32,
+    /// Proxies that share the retry budget, this one included.
+    proxy_count: u32,
     zone: String,
     zones: BTreeMap<String, ZoneId>,
-    list: Vec<Service>,
-    names: HashMap<String, usize>,
-    lives: HashMap<String, BackendId>,
+    services: Vec<Service>,
+    indexes: HashMap<String, usize>,
+    instances: HashMap<String, BackendId>,
     backends: HashMap<BackendId, Backend>,
-    last: u32,
+    last_backend_id: u32,
 }
 
-/// What becomes of a backend's connections.
+/// A change of a backend's connection pool.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolCommand {
-    /// It may be sent to, at this address.
+    /// The backend takes requests, at this address.
     Open(BackendId, SocketAddr),
-    /// Nothing new.
+    /// The backend takes no new requests.
     Drain(BackendId),
-    /// It is gone.
+    /// The backend is gone.
     Remove(BackendId),
 }
 
+/// What a record changed about a backend.
+#[derive(Clone, Debug)]
+pub struct BackendChange {
+    /// Index of the backend's service.
+    pub service: usize,
+    /// The backend as the policy is to see it.
+    pub entry: BackendEntry,
+    /// What becomes of its connections.
+    pub pool: PoolCommand,
+}
+
 impl Services {
-    /// No services yet.
+    /// No services yet; `zone` is the proxy's own, `seed` that of the gateways' randomness.
     pub fn new(bounds: Bounds, zone: &str, seed: u64) -> Services {
         Services {
             bounds,
             seed,
-            doors: 1,
+            proxy_count: 1,
             zone: zone.to_owned(),
             zones: BTreeMap::new(),
-            list: Vec::new(),
-            names: HashMap::new(),
-            lives: HashMap::new(),
+            services: Vec::new(),
+            indexes: HashMap::new(),
+            instances: HashMap::new(),
             backends: HashMap::new(),
-            last: 0,
+            last_backend_id: 0,
         }
     }
 
     /// Whether any service has a backend.
-    pub fn any(&self) -> bool {
+    pub fn has_backends(&self) -> bool {
         !self.backends.is_empty()
     }
 
-    /// A backend by its number.
+    /// A backend by its id.
     pub fn backend(&self, id: BackendId) -> Option<&Backend> {
         self.backends.get(&id)
     }
 
-    /// A service by its place.
-    pub fn get(&mut self, place: usize) -> Option<&mut Service> {
-        self.list.get_mut(place)
+    /// A service by its index.
+    pub fn get_mut(&mut self, index: usize) -> Option<&mut Service> {
+        self.services.get_mut(index)
     }
 
     /// Whether a service has a backend that takes requests.
-    pub fn has_any(&self, place: usize) -> bool {
-        let takes = |b: &Backend| b.service == place && b.entry.availability == Availability::Ready;
-        self.backends.values().any(takes)
+    pub fn has_ready_backend(&self, service: usize) -> bool {
+        self.backends.values().any(|backend| {
+            backend.service == service && backend.entry.availability == Availability::Ready
+        })
     }
 
-    /// The place of a service; a name that is new gets one.
-    pub fn place(&mut self, name: &str) -> usize {
-        if let Some(place) = self.names.get(name) {
-            return *place;
+    /// The index of a service; a new name adds a service.
+    pub fn index_of(&mut self, name: &str) -> usize {
+        if let Some(index) = self.indexes.get(name) {
+            return *index;
         }
-        let place = self.list.len();
+        let index = self.services.len();
         let zone = self.zone(&self.zone.clone());
-        let seed = self.seed.wrapping_add(place as u64);
-        let gateway = Gateway::new(self.settings(zone), seed);
-        self.list.push(Service {
+        let seed = self.seed.wrapping_add(index as u64);
+        let gateway = Gateway::new(self.gateway_settings(zone), seed);
+        self.services.push(Service {
             gateway,
             classes: Vec::new(),
         });
-        self.names.insert(name.to_owned(), place);
-        place
+        self.indexes.insert(name.to_owned(), index);
+        index
     }
 
-    fn settings(&self, zone: ZoneId) -> Settings {
+    fn gateway_settings(&self, zone: ZoneId) -> Settings {
         Settings {
-            gateways: self.doors,
+            gateways: self.proxy_count,
             zone,
             tick: 1.0,
             plans: vec![Plan::default()],
             max_attempts: u32::MAX,
             retry_share: self.bounds.retry_budget_ratio,
             retry_start: 0.0,
-            retry_depth: self.saved(),
+            retry_depth: self.retry_depth(),
             retry_after: true,
-            max_retry_after: LONGEST_ADVICE,
-            cross_zone_price: CROSSING,
+            max_retry_after: MAX_RETRY_AFTER,
+            cross_zone_price: CROSS_ZONE_PRICE,
             drain_grace: self.bounds.drain_s * 1000.0,
             start_capacity: START_CAPACITY,
             warm_up: WARM_UP,
@@ -140,41 +159,45 @@
         }
     }
 
-    /// Repeats that one door may save up for one service: with all others as many, they stay within the slack.
-    fn saved(&self) -> f64 {
-        SAVED * self.bounds.retry_slack / f64::from(self.doors)
+    /// Retries that one proxy may save up for one service: if all others save as many, they stay within the slack.
+    fn retry_depth(&self) -> f64 {
+        SAVED_RETRY_SLACK * self.bounds.retry_slack / f64::from(self.proxy_count)
     }
 
-    /// So many doors are known.
-    pub fn set_doors(&mut self, doors: u32) {
-        if doors != self.doors {
-            self.doors = doors;
-            self.amend();
+    /// Sets how many proxies share the retry budget.
+    pub fn set_proxy_count(&mut self, proxies: u32) {
+        if proxies != self.proxy_count {
+            self.proxy_count = proxies;
+            self.update_gateways();
         }
     }
 
-    /// Goes by these bounds from now on.
+    /// Sets the bounds of the settings file.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
-        self.amend();
+        self.update_gateways();
     }
 
-    fn amend(&mut self) {
-        let (doors, saved, share) = (self.doors, self.saved(), self.bounds.retry_budget_ratio);
-        for service in &mut self.list {
-            service.gateway.amend(|set| {
-                (set.gateways, set.retry_depth, set.retry_share) = (doors, saved, share);
+    fn update_gateways(&mut self) {
+        let proxies = self.proxy_count;
+        let retry_depth = self.retry_depth();
+        let retry_share = self.bounds.retry_budget_ratio;
+        for service in &mut self.services {
+            service.gateway.amend(|settings| {
+                settings.gateways = proxies;
+                settings.retry_depth = retry_depth;
+                settings.retry_share = retry_share;
             });
         }
     }
 
-    /// The class of a route at a service: routes that say the same share one.
-    pub fn class(&mut self, place: usize, route: &Route) -> ClassId {
+    /// The class of a route at a service; routes with equal settings share one.
+    pub fn class(&mut self, service: usize, route: &Route) -> ClassId {
         let class = Class {
             aim: route.latency_target,
             deadline: route.timeout,
             worth: 1.0,
-            late_worth: LATE_WORTH,
+            late_worth: LATE_VALUE,
             effect: if route.idempotent {
                 Effect::Safe
             } else {
@@ -183,7 +206,7 @@
             streaming: false,
             max_attempts: route.max_attempts,
         };
-        let Some(service) = self.list.get_mut(place) else {
+        let Some(service) = self.services.get_mut(service) else {
             return ClassId(0);
         };
         if let Some(known) = service.classes.iter().position(|known| *known == class) {
@@ -191,50 +214,21 @@
         }
         service.classes.push(class);
         let classes = service.classes.clone();
-        service.gateway.amend(|set| set.classes = classes);
+        service.gateway.amend(|settings| settings.classes = classes);
         ClassId(service.classes.len() - 1)
     }
 
-    /// Takes in a word about a backend: its service, what its decisions are to hear, and what becomes of its connections.
-    pub fn hear(
-        &mut self,
-        now: Millis,
-        word: &InstanceRecord,
-    ) -> Option<(usize, BackendEntry, PoolCommand)> {
-        let known = self.lives.get(&word.id).copied();
-        let availability = match word.state() {
+    /// Applies an instance's record. `None` if it is about an unknown instance that is gone, or has no valid address.
+    pub fn apply_record(&mut self, now: Millis, record: &InstanceRecord) -> Option<BackendChange> {
+        let availability = match record.state() {
             InstanceState::Serving => Availability::Ready,
             InstanceState::Draining => Availability::Draining,
             InstanceState::Expired | InstanceState::Deregistered => Availability::Gone,
         };
-        let id = match known {
+        let id = match self.instances.get(&record.id).copied() {
             Some(id) => id,
             None if availability == Availability::Gone => return None,
-            None => {
-                let address = word.address.parse().ok()?;
-                let zone = self.zone(&word.zone);
-                let service = self.place(&word.service);
-                self.last = self.last.wrapping_add(1);
-                let id = BackendId(self.last);
-                let cold = f64::from(word.warmup_left_ms);
-                let entry = BackendEntry {
-                    id,
-                    zone,
-                    cell: CellId(0),
-                    availability,
-                    started: (cold > 0.0).then(|| now - (WARM_UP - cold.min(WARM_UP))),
-                    size: f64::from(word.capacity.max(1)),
-                };
-                self.lives.insert(word.id.clone(), id);
-                let backend = Backend {
-                    instance: word.id.as_str().into(),
-                    service,
-                    address,
-                    entry,
-                };
-                self.backends.insert(id, backend);
-                id
-            }
+            None => self.add_backend(now, record, availability)?,
         };
         let backend = self.backends.get_mut(&id)?;
         backend.entry.availability = availability;
@@ -243,12 +237,47 @@
             Availability::Ready => PoolCommand::Open(id, address),
             Availability::Draining => PoolCommand::Drain(id),
             Availability::Gone => {
-                self.lives.remove(&word.id);
+                self.instances.remove(&record.id);
                 self.backends.remove(&id);
                 PoolCommand::Remove(id)
             }
         };
-        Some((service, entry, pool))
+        Some(BackendChange {
+            service,
+            entry,
+            pool,
+        })
+    }
+
+    fn add_backend(
+        &mut self,
+        now: Millis,
+        record: &InstanceRecord,
+        availability: Availability,
+    ) -> Option<BackendId> {
+        let address = record.address.parse().ok()?;
+        let zone = self.zone(&record.zone);
+        let service = self.index_of(&record.service);
+        self.last_backend_id = self.last_backend_id.wrapping_add(1);
+        let id = BackendId(self.last_backend_id);
+        let warm_up_left = f64::from(record.warmup_left_ms);
+        let entry = BackendEntry {
+            id,
+            zone,
+            cell: CellId(0),
+            availability,
+            started: (warm_up_left > 0.0).then(|| now - (WARM_UP - warm_up_left.min(WARM_UP))),
+            size: f64::from(record.capacity.max(1)),
+        };
+        self.instances.insert(record.id.clone(), id);
+        let backend = Backend {
+            instance: record.id.as_str().into(),
+            service,
+            address,
+            entry,
+        };
+        self.backends.insert(id, backend);
+        Some(id)
     }
 
     fn zone(&mut self, name: &str) -> ZoneId {
--- a/crates/proxy/tests/held_back.rs
+++ b/crates/proxy/tests/held_back.rs
@@ -63,7 +63,7 @@
         assert_eq!(statuses(&mut core, now), 503);
     }
     assert!(
-        core.exchanges().contains("10.0.0.2"),
+        core.controllers().contains("10.0.0.2"),
         "it has not learned where else to ask"
     );
     let item = Item {
