--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -10,7 +10,7 @@
 };
 use maplefall_protocol::{Ended, Order, LONGEST_BODY};
 use maplefall_settings::{self as settings, Metric, Told};
-use maplefall_upstream::{send_request, AttemptHandle, Pools};
+use maplefall_upstream::{send_request, AttemptHandle, Pools, RequestOptions};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
@@ -132,10 +132,14 @@
 ) -> Ended {
     let carried = send_request(
         pools,
-        backend,
-        (care, limit),
+        RequestOptions {
+            backend,
+            care,
+            timeout: limit,
+            body_bytes: order.body.len(),
+        },
         line,
-        (order.body.len(), |left| request(order, left)),
+        |left| request(order, left),
         async |answer| read(reading, answer).await,
         |ended: &Ended| ended.outcome == Outcome::Full,
     )
--- a/crates/proxy/src/controllers.rs
+++ b/crates/proxy/src/controllers.rs
@@ -1,9 +1,12 @@
-//! Connections to the exchanges: one to each, kept for as long as the door runs.
+//! Connections to the controllers: one to each, for as long as the proxy runs. A connection that ends is made again after a
+//! backoff.
 
 use crate::driver::Proxy;
+use bytes::Bytes;
 use maplefall_control_messages::Hello;
 use maplefall_control_transport::{
-    connect, run_connection, Event, Handshake, ReconnectBackoff, OUTGOING_QUEUE_FRAMES,
+    connect, run_connection, ConnectionError, Event, Handshake, ReconnectBackoff,
+    OUTGOING_QUEUE_FRAMES,
 };
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -11,86 +14,125 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How long the others wait for the first to bring the configuration, so that not all of them do.
-const HEAD_START: Duration = Duration::from_millis(150);
+/// How long further controllers wait for the first one to bring the configuration, so that not all of them send it.
+const FIRST_CONTROLLER_HEAD_START: Duration = Duration::from_millis(150);
 
-/// Dials every exchange that is known, now and later.
-pub async fn follow(door: Rc<Proxy>, hello: Hello, port: u16) {
-    let mut dialled: BTreeSet<String> = BTreeSet::new();
+/// Connects to every known controller, now and whenever more become known. `hello` introduces this proxy; `port` is the one that
+/// controllers listen on for proxies.
+pub async fn connect_to_controllers(proxy: Rc<Proxy>, hello: Hello, port: u16) {
+    let mut connected_to: BTreeSet<String> = BTreeSet::new();
     loop {
-        let all = door.ask(|core| core.controllers().clone());
-        // Doors begin with different ones.
-        let turn = hello.incarnation as usize % all.len().max(1);
-        for ip in all.iter().cycle().skip(turn).take(all.len()) {
+        let controllers = proxy.with_core(|core| core.controllers().clone());
+        // Proxies begin with different controllers.
+        let offset = hello.incarnation as usize % controllers.len().max(1);
+        let from_offset = controllers
+            .iter()
+            .cycle()
+            .skip(offset)
+            .take(controllers.len());
+        for ip in from_offset {
             let Ok(address) = ip.parse::<IpAddr>() else {
                 continue;
             };
-            if dialled.insert(ip.clone()) {
-                let head_start = if dialled.len() > 1 {
-                    HEAD_START
+            if connected_to.insert(ip.clone()) {
+                let connection = ControllerConnection {
+                    proxy: proxy.clone(),
+                    hello: hello.clone(),
+                    address: SocketAddr::new(address, port),
+                    controller: address.to_string(),
+                };
+                let delay = if connected_to.len() > 1 {
+                    FIRST_CONTROLLER_HEAD_START
                 } else {
                     Duration::ZERO
                 };
-                let (door, hello) = (door.clone(), hello.clone());
-                tokio::task::spawn_local(keep(
-                    door,
-                    hello,
-                    SocketAddr::new(address, port),
-                    head_start,
-                ));
+                tokio::task::spawn_local(connection.maintain(delay));
             }
         }
-        door.more_exchanges.notified().await;
+        proxy.controllers_changed.notified().await;
     }
 }
 
-async fn keep(door: Rc<Proxy>, hello: Hello, address: SocketAddr, head_start: Duration) {
-    let name = address.ip().to_string();
-    // The settings have been read: it is an address.
-    let Ok(from) = hello.ip.parse::<IpAddr>() else {
-        return;
-    };
-    if !head_start.is_zero() {
-        tokio::time::sleep(head_start).await;
-    }
-    let (mut known, mut pause) = (true, ReconnectBackoff::default());
-    loop {
-        let mut up = false;
-        let end = match connect(from, address).await {
-            Ok(stream) => {
-                let (sender, outgoing) = mpsc::channel(OUTGOING_QUEUE_FRAMES);
-                let mut sender = Some(sender);
-                let hello = Hello {
-                    config_index: door.ask(|core| core.index()),
-                    ..hello.clone()
-                };
-                run_connection(stream, outgoing, Handshake::Initiator(hello), |event| {
-                    match (event, sender.take()) {
-                        (Event::Up, Some(sender)) => {
-                            up = true;
-                            door.exchanges.borrow_mut().insert(name.clone(), sender);
-                            log::info!("event=exchange_up exchange={name}");
-                            door.drive(|core, now, out| core.controller_connected(now, &name, out));
-                        }
-                        (Event::Frame(frame), _) => {
-                            door.drive(|core, now, out| core.receive(now, &name, frame, out));
-                        }
-                        _ => {}
-                    }
-                    true
-                })
-                .await
-            }
-            Err(end) => end,
+/// The connection to one controller.
+struct ControllerConnection {
+    proxy: Rc<Proxy>,
+    hello: Hello,
+    address: SocketAddr,
+    /// The controller's IP address as text, as the core names it.
+    controller: String,
+}
+
+impl ControllerConnection {
+    /// Connects after `delay`, and again whenever the connection ends. Only the first failure since the last established
+    /// connection is logged.
+    async fn maintain(self, delay: Duration) {
+        // The settings file was validated: it is an address.
+        let Ok(local_ip) = self.hello.ip.parse::<IpAddr>() else {
+            return;
         };
-        if up {
-            (known, pause) = (true, ReconnectBackoff::default());
-            door.exchanges.borrow_mut().remove(&name);
-            door.ask(|core| core.controller_disconnected(&name));
+        if !delay.is_zero() {
+            tokio::time::sleep(delay).await;
         }
-        if std::mem::take(&mut known) {
-            log::info!("event=exchange_down exchange={name} {end}");
+        let mut log_failure = true;
+        let mut backoff = ReconnectBackoff::default();
+        loop {
+            let mut was_established = false;
+            let error = self.run(local_ip, &mut was_established).await;
+            if was_established {
+                log_failure = true;
+                backoff = ReconnectBackoff::default();
+                self.proxy
+                    .controller_queues
+                    .borrow_mut()
+                    .remove(&self.controller);
+                self.proxy
+                    .with_core(|core| core.controller_disconnected(&self.controller));
+            }
+            if std::mem::take(&mut log_failure) {
+                log::info!(
+                    "event=controller_disconnected controller={} {error}",
+                    self.controller
+                );
+            }
+            backoff.wait().await;
         }
-        pause.wait().await;
+    }
+
+    /// Runs one connection until it ends, and returns why. Sets `established` once the handshake is complete.
+    async fn run(&self, local_ip: IpAddr, established: &mut bool) -> ConnectionError {
+        let stream = match connect(local_ip, self.address).await {
+            Ok(stream) => stream,
+            Err(error) => return error,
+        };
+        let (queue, outgoing) = mpsc::channel(OUTGOING_QUEUE_FRAMES);
+        let mut queue = Some(queue);
+        let hello = Hello {
+            config_index: self.proxy.with_core(|core| core.index()),
+            ..self.hello.clone()
+        };
+        run_connection(stream, outgoing, Handshake::Initiator(hello), |event| {
+            match (event, queue.take()) {
+                (Event::Up, Some(queue)) => {
+                    *established = true;
+                    self.established(queue);
+                }
+                (Event::Frame(frame), _) => self.proxy.drive(|core, now, out| {
+                    core.receive(now, &self.controller, frame, out);
+                }),
+                _ => {}
+            }
+            true
+        })
+        .await
+    }
+
+    fn established(&self, queue: mpsc::Sender<Bytes>) {
+        self.proxy
+            .controller_queues
+            .borrow_mut()
+            .insert(self.controller.clone(), queue);
+        log::info!("event=controller_connected controller={}", self.controller);
+        self.proxy
+            .drive(|core, now, out| core.controller_connected(now, &self.controller, out));
     }
 }
--- /dev/null
+++ b/crates/proxy/src/downstream/connection.rs
@@ -0,0 +1,129 @@
+//! One connection of a client, from accept to close.
+
+use super::connection_state::{CloseDeadline, CloseMode, ConnectionState};
+use super::socket::ObservedSocket;
+use super::DownstreamServer;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use maplefall_downstream::{ConnectionGuard, ShutdownPhase};
+use maplefall_policy::Millis;
+use std::cell::{Cell, RefCell};
+use std::convert::Infallible;
+use std::rc::Rc;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// Least bytes that a connection buffers in each direction, whatever the configured limit of a head is.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
+/// Most bytes that a connection buffers in each direction, whatever the configured limit of a head is.
+const MAX_BUFFER_BYTES: usize = 1 << 20;
+
+/// A client's connection, as shared between its task, its socket and the accept loop.
+pub(super) struct ClientConnection {
+    state: RefCell<ConnectionState>,
+    /// Whether it was asked to close.
+    closing: Cell<bool>,
+    /// Notified when its close deadline may have changed.
+    deadline_changed: Notify,
+}
+
+impl ClientConnection {
+    pub fn new(now: Millis) -> ClientConnection {
+        ClientConnection {
+            state: RefCell::new(ConnectionState::new(now)),
+            closing: Cell::new(false),
+            deadline_changed: Notify::new(),
+        }
+    }
+
+    /// Asks the connection to close once its pending response, if any, is written.
+    pub fn close_gracefully(&self) {
+        self.state.borrow_mut().closing();
+        self.closing.set(true);
+        self.deadline_changed.notify_one();
+    }
+
+    /// Since when it has been idle; `None` while a request is being read or processed.
+    pub fn idle_since(&self) -> Option<Millis> {
+        self.state.borrow().idle_since()
+    }
+
+    pub fn bytes_received(&self, now: Millis) {
+        if self.state.borrow_mut().bytes_received(now) {
+            self.deadline_changed.notify_one();
+        }
+    }
+
+    pub fn head_received(&self) {
+        self.state.borrow_mut().head_received();
+    }
+
+    pub fn response_ready(&self, now: Millis) {
+        self.state.borrow_mut().response_ready(now);
+        self.deadline_changed.notify_one();
+    }
+}
+
+impl DownstreamServer {
+    /// Serves a connection until it is closed by either side, its close deadline, or the shutdown.
+    pub(super) async fn serve_connection(
+        self: Rc<Self>,
+        stream: TcpStream,
+        guard: ConnectionGuard<ClientConnection>,
+    ) {
+        let connection = guard.state();
+        // Without it responses are late, not wrong.
+        let _ = stream.set_nodelay(true);
+        let max_head_bytes = self.proxy.with_core(|core| core.limits().header_bytes);
+        let socket = ObservedSocket::new(stream, connection.clone(), self.proxy.clock);
+        let service = service_fn(|request| {
+            let (server, connection) = (self.clone(), connection.clone());
+            async move { Ok::<_, Infallible>(server.handle(request, &connection).await) }
+        });
+        let http = hyper::server::conn::http1::Builder::new()
+            .max_buf_size(max_head_bytes.clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES))
+            .serve_connection(TokioIo::new(socket), service);
+        let mut http = std::pin::pin!(http);
+        let mut phase = self.phase.subscribe();
+        let mut closing_idle = false;
+        loop {
+            let deadline = self
+                .close_deadline(connection)
+                .map(|deadline| self.proxy.clock.instant(deadline.at));
+            tokio::select! {
+                // An error is a client that went away or wrote no HTTP; the library has answered the latter.
+                _ = http.as_mut() => return,
+                _ = phase.wait_for(|phase| *phase == ShutdownPhase::ClosingIdle), if !closing_idle => {
+                    closing_idle = true;
+                }
+                () = tokio::time::sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => {
+                    match self.due_close_mode(connection) {
+                        Some(CloseMode::Immediate) => return,
+                        Some(CloseMode::Graceful) => connection.close_gracefully(),
+                        None => continue,
+                    }
+                }
+                () = connection.deadline_changed.notified() => {
+                    if !connection.closing.get() {
+                        continue;
+                    }
+                }
+            }
+            http.as_mut().graceful_shutdown();
+        }
+    }
+
+    /// By the newest limits: a configuration update also applies to idle connections.
+    fn close_deadline(&self, connection: &ClientConnection) -> Option<CloseDeadline> {
+        let limits = self.proxy.with_core(|core| core.limits());
+        connection.state.borrow().close_deadline(&limits)
+    }
+
+    /// How to close the connection now. `None` if bytes or other limits have arrived since the timer was set.
+    fn due_close_mode(&self, connection: &ClientConnection) -> Option<CloseMode> {
+        self.close_deadline(connection)
+            .filter(|deadline| deadline.at <= self.proxy.clock.now())
+            .map(|deadline| deadline.mode)
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/mod.rs
@@ -0,0 +1,46 @@
+//! The clients' side of a proxy: accepts connections within the descriptor limit, reads requests complete, and writes exactly
+//! one final response to each, in order.
+
+mod body;
+mod connection;
+pub mod connection_state;
+mod listener;
+mod request;
+mod response;
+mod shutdown;
+mod socket;
+
+use crate::driver::Proxy;
+use body::BodyMemory;
+use connection::ClientConnection;
+use maplefall_downstream::{CloseNotification, ConnectionTable, ShutdownPhase};
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+
+/// The server that clients connect to.
+pub struct DownstreamServer {
+    proxy: Rc<Proxy>,
+    body_memory: BodyMemory,
+    connections: Rc<ConnectionTable<ClientConnection>>,
+    accept_task: RefCell<Option<JoinHandle<()>>>,
+    phase: watch::Sender<ShutdownPhase>,
+}
+
+impl DownstreamServer {
+    /// A server without a listener. `max_sockets` is the process's budget of descriptors, of which connections to backends take
+    /// their part; `max_body_bytes` is the memory for all request bodies together.
+    pub fn new(proxy: Rc<Proxy>, max_sockets: usize, max_body_bytes: usize) -> Rc<Self> {
+        Rc::new(DownstreamServer {
+            proxy,
+            body_memory: BodyMemory::new(max_body_bytes),
+            connections: ConnectionTable::new(
+                maplefall_upstream::downstream_budget(max_sockets),
+                CloseNotification::Remembered,
+            ),
+            accept_task: RefCell::default(),
+            phase: watch::Sender::new(ShutdownPhase::Serving),
+        })
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/request.rs
@@ -0,0 +1,259 @@
+//! Requests of clients: validated, read complete, admitted, and answered.
+
+use super::connection::ClientConnection;
+use super::response::{backend_response, error_response, local_response};
+use super::DownstreamServer;
+use crate::core::{IncomingRequest, LocalResponse, Rejection};
+use crate::driver::{ClientResponse, PendingResponse, Proxy};
+use crate::forward::{tenant_header, ForwardedRequest, ATTEMPT_ID, TENANT, TIME_REMAINING};
+use http_body_util::Full;
+use hyper::body::{Bytes, Incoming};
+use hyper::header::{HeaderName, HeaderValue, AUTHORIZATION, CONNECTION, HOST};
+use hyper::http::request::Parts;
+use hyper::http::uri::PathAndQuery;
+use hyper::{HeaderMap, Method, Request, Response, Uri};
+use maplefall_downstream::ShutdownPhase;
+use maplefall_policy::{Millis, RequestId};
+use std::fmt;
+use std::rc::Rc;
+
+/// Time for a body where the client does not say how long it waits.
+const DEFAULT_BODY_TIMEOUT: Millis = 10_000.0;
+/// Fraction of its time for which a request may wait for what the proxy still lacks.
+const ADMISSION_WAIT_FRACTION: f64 = 0.1;
+/// The longest such wait.
+const MAX_ADMISSION_WAIT: Millis = 120.0;
+
+/// Why a request is not read. `Display` is the body of its response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RequestError {
+    /// It is not a valid request; the field that is wrong.
+    Invalid(&'static str),
+    /// Its body is too long.
+    BodyTooLong,
+    /// Its body did not arrive in time.
+    BodyTimeout,
+    /// There is no memory for its body now.
+    OutOfMemory,
+}
+
+impl RequestError {
+    /// The status code of its response.
+    pub fn status(&self) -> u16 {
+        match self {
+            RequestError::Invalid(_) => 400,
+            RequestError::BodyTooLong => 413,
+            RequestError::BodyTimeout => 408,
+            RequestError::OutOfMemory => 503,
+        }
+    }
+}
+
+impl fmt::Display for RequestError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // Clients see these words.
+        let field = match self {
+            RequestError::Invalid(field) => field,
+            RequestError::BodyTooLong | RequestError::BodyTimeout => "body",
+            RequestError::OutOfMemory => "room",
+        };
+        write!(f, "step=read field={field}")
+    }
+}
+
+/// What admission needs of a valid head.
+struct RequestHead {
+    host: String,
+    remaining: Option<Millis>,
+    path: PathAndQuery,
+}
+
+impl RequestHead {
+    fn validate(head: &Parts) -> Result<RequestHead, RequestError> {
+        let host = single_header(&head.headers, &HOST)?
+            .ok_or(RequestError::Invalid("host"))?
+            .to_owned();
+        let remaining = remaining_time(&head.headers)?;
+        // Only its id shows that a response belongs to this request; a backend would not run one without.
+        if single_header(&head.headers, &ATTEMPT_ID)?.is_none_or(str::is_empty) {
+            return Err(RequestError::Invalid("x-attempt-id"));
+        }
+        // A target that names another host than the header asks for two routes.
+        if head
+            .uri
+            .authority()
+            .is_some_and(|authority| !authority.as_str().eq_ignore_ascii_case(&host))
+        {
+            return Err(RequestError::Invalid("host"));
+        }
+        if head.method == Method::CONNECT {
+            return Err(RequestError::Invalid("method"));
+        }
+        let path = head
+            .uri
+            .path_and_query()
+            .cloned()
+            .ok_or(RequestError::Invalid("path"))?;
+        Ok(RequestHead {
+            host,
+            remaining,
+            path,
+        })
+    }
+}
+
+fn remaining_time(headers: &HeaderMap) -> Result<Option<Millis>, RequestError> {
+    let Some(text) = single_header(headers, &TIME_REMAINING)? else {
+        return Ok(None);
+    };
+    match text.trim().parse::<f64>() {
+        Ok(ms) if ms.is_finite() && ms > 0.0 => Ok(Some(ms)),
+        _ => Err(RequestError::Invalid("x-time-remaining")),
+    }
+}
+
+fn api_key(headers: &HeaderMap) -> Result<Option<String>, RequestError> {
+    let key =
+        single_header(headers, &AUTHORIZATION)?.and_then(|value| value.strip_prefix("Token "));
+    Ok(key.map(|key| key.trim().to_owned()))
+}
+
+/// The value of a header that occurs once at most and is plain text.
+fn single_header<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a str>, RequestError> {
+    let mut values = headers.get_all(name).iter();
+    match (values.next(), values.next()) {
+        (None, _) => Ok(None),
+        (Some(value), None) => value
+            .to_str()
+            .map(Some)
+            .map_err(|_| RequestError::Invalid("header")),
+        _ => Err(RequestError::Invalid("header")),
+    }
+}
+
+impl DownstreamServer {
+    /// Responds to one request.
+    pub(super) async fn handle(
+        &self,
+        request: Request<Incoming>,
+        connection: &ClientConnection,
+    ) -> Response<Full<Bytes>> {
+        connection.head_received();
+        let attempt_id = request.headers().get(ATTEMPT_ID).cloned();
+        let result = self.process(request).await;
+        // After an invalid request nothing that follows on the connection can be trusted to be a request.
+        let close = result.is_err()
+            || self.connections.is_saturated()
+            || *self.phase.borrow() != ShutdownPhase::Serving;
+        let mut response = match result {
+            Ok(ClientResponse::Backend(response)) => backend_response(response),
+            Ok(ClientResponse::Local(local)) => local_response(&local, attempt_id),
+            Err(error) => error_response(&error, attempt_id),
+        };
+        if close {
+            response
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        connection.response_ready(self.proxy.clock.now());
+        response
+    }
+
+    async fn process(&self, request: Request<Incoming>) -> Result<ClientResponse, RequestError> {
+        let received_at = self.proxy.clock.now();
+        let (parts, body) = request.into_parts();
+        let head = RequestHead::validate(&parts)?;
+        let body_timeout = head.remaining.unwrap_or(DEFAULT_BODY_TIMEOUT);
+        let body_deadline = self.proxy.clock.instant(received_at + body_timeout);
+        let (body, _reservation) = self.read_body(body, body_deadline).await?;
+        let api_key = api_key(&parts.headers)?;
+        let incoming = IncomingRequest {
+            host: &head.host,
+            path: head.path.path(),
+            api_key: api_key.as_deref(),
+            remaining: head.remaining,
+            received_at,
+            is_retry: false,
+        };
+        let admitted = self
+            .admit(incoming, &head.path, parts.method, parts.headers, body)
+            .await;
+        let pending = match admitted {
+            Ok(pending) => pending,
+            Err(local) => return Ok(ClientResponse::Local(local)),
+        };
+        let mut disconnect_guard = DisconnectGuard {
+            proxy: &self.proxy,
+            request: Some(pending.id),
+        };
+        let response = pending.response.await;
+        disconnect_guard.request = None;
+        Ok(response.unwrap_or(ClientResponse::Local(LocalResponse {
+            status: 502,
+            retry_after: None,
+            prefer_backend_response: false,
+        })))
+    }
+
+    /// Admits a request. What the proxy lacks may arrive in a moment, as after a start: within [`ADMISSION_WAIT_FRACTION`] of its
+    /// time the client is not worse off than by coming again.
+    async fn admit(
+        &self,
+        mut incoming: IncomingRequest<'_>,
+        path: &PathAndQuery,
+        method: Method,
+        headers: HeaderMap,
+        body: Bytes,
+    ) -> Result<PendingResponse, LocalResponse> {
+        let max_wait = incoming.remaining.map_or(0.0, |ms| {
+            (ms * ADMISSION_WAIT_FRACTION).min(MAX_ADMISSION_WAIT)
+        });
+        let wait_until = incoming.received_at + max_wait;
+        let mut parts = Some((method, headers, body));
+        loop {
+            // Created before the decision, so that a change that follows it is not missed.
+            let state_changed = self.proxy.state_changed.notified();
+            let admitted = self.proxy.admit(&incoming, |admitted| {
+                let (method, headers, body) = parts.take().unwrap_or_default();
+                let mut request =
+                    ForwardedRequest::new(method, Uri::from(path.clone()), headers, body);
+                if let Some(tenant) = tenant_header(admitted) {
+                    request.headers.insert(TENANT, tenant);
+                }
+                request
+            });
+            match admitted {
+                Ok(pending) => return Ok(pending),
+                Err(Rejection::Rejected(local)) => return Err(local),
+                Err(Rejection::RejectedUnless(local, wait)) => {
+                    incoming.is_retry = true;
+                    let clock = &self.proxy.clock;
+                    let deadline = clock.instant(wait_until.min(clock.now() + wait));
+                    if tokio::time::timeout_at(deadline, state_changed)
+                        .await
+                        .is_err()
+                    {
+                        return Err(local);
+                    }
+                }
+            }
+        }
+    }
+}
+
+/// Tells the core when a client goes away before its response.
+struct DisconnectGuard<'a> {
+    proxy: &'a Rc<Proxy>,
+    request: Option<RequestId>,
+}
+
+impl Drop for DisconnectGuard<'_> {
+    fn drop(&mut self) {
+        if let Some(request) = self.request {
+            self.proxy.client_disconnected(request);
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/response.rs
@@ -0,0 +1,54 @@
+//! Final responses as they are written to clients.
+
+use super::request::RequestError;
+use crate::core::LocalResponse;
+use crate::forward::{BackendResponse, ATTEMPT_ID};
+use http_body_util::Full;
+use hyper::body::Bytes;
+use hyper::header::{HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+use maplefall_downstream::retry_after_value;
+use maplefall_policy::Millis;
+
+/// `Retry-After` of a request that was rejected for lack of memory.
+const OUT_OF_MEMORY_RETRY_AFTER: Millis = 200.0;
+
+/// A backend's response.
+pub(super) fn backend_response(backend: BackendResponse) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(backend.body));
+    *response.status_mut() = backend.status;
+    *response.headers_mut() = backend.headers;
+    response
+}
+
+/// The proxy's own response, with the request's attempt id.
+pub(super) fn local_response(
+    local: &LocalResponse,
+    attempt_id: Option<HeaderValue>,
+) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = StatusCode::from_u16(local.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    if let Some(retry_after) = local.retry_after.and_then(retry_after_value) {
+        response.headers_mut().insert(RETRY_AFTER, retry_after);
+    }
+    if let Some(attempt_id) = attempt_id {
+        response.headers_mut().insert(ATTEMPT_ID, attempt_id);
+    }
+    response
+}
+
+/// The response to what is not a valid request; its body names the field.
+pub(super) fn error_response(
+    error: &RequestError,
+    attempt_id: Option<HeaderValue>,
+) -> Response<Full<Bytes>> {
+    let is_unavailable = matches!(error, RequestError::OutOfMemory);
+    let local = LocalResponse {
+        status: error.status(),
+        retry_after: is_unavailable.then_some(OUT_OF_MEMORY_RETRY_AFTER),
+        prefer_backend_response: false,
+    };
+    let mut response = local_response(&local, attempt_id);
+    *response.body_mut() = Full::new(Bytes::from(format!("{error}\n")));
+    response
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/shutdown.rs
@@ -0,0 +1,46 @@
+//! Graceful shutdown: no request that has arrived is dropped while there is time, and no connection is accepted that could not
+//! be served.
+
+use super::DownstreamServer;
+use maplefall_downstream::ShutdownPhase;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How long connections are accepted and kept after SIGTERM: the platform checks readiness every second and goes by the second
+/// failure.
+const MAX_DRAIN_DELAY: Duration = Duration::from_millis(2400);
+/// What is kept of the grace period for the process's own end.
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
+
+impl DownstreamServer {
+    /// Shuts down within the grace period: goes on accepting for a while, responds to what has arrived, closes idle
+    /// connections, and returns with the listener closed.
+    pub async fn shut_down(&self, grace: Duration) {
+        let deadline = Instant::now() + grace.saturating_sub(EXIT_RESERVE);
+        self.shut_down_by(MAX_DRAIN_DELAY.min(grace / 2), deadline)
+            .await;
+    }
+
+    /// The same with explicit times: for `drain_delay` idle connections stay open, at `deadline` connections are abandoned.
+    pub async fn shut_down_by(&self, drain_delay: Duration, deadline: Instant) {
+        self.phase.send_replace(ShutdownPhase::ClosingAfterResponse);
+        tokio::time::sleep(drain_delay).await;
+        self.phase.send_replace(ShutdownPhase::ClosingIdle);
+        while self.has_open_work() {
+            let closed = tokio::time::timeout_at(deadline, self.connections.closed()).await;
+            if closed.is_err() {
+                log::warn!("event=shutdown_timeout open={}", self.connections.len());
+                break;
+            }
+        }
+        // Guards connections that would be accepted and cut while the process ends: the listener is closed when this returns,
+        // so that clients are refused and try another proxy.
+        if let Some(accept_task) = self.close_listener() {
+            let _ = accept_task.await;
+        }
+    }
+
+    fn has_open_work(&self) -> bool {
+        !self.connections.is_empty() || self.proxy.with_core(|core| core.has_pending_requests())
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/socket.rs
@@ -0,0 +1,71 @@
+//! A client's socket that notes when bytes arrive, which the HTTP library does not show before a head is complete.
+
+use super::connection::ClientConnection;
+use maplefall_upstream::Clock;
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+pub(super) struct ObservedSocket {
+    stream: TcpStream,
+    connection: Rc<ClientConnection>,
+    clock: Clock,
+}
+
+impl ObservedSocket {
+    pub fn new(stream: TcpStream, connection: Rc<ClientConnection>, clock: Clock) -> Self {
+        ObservedSocket {
+            stream,
+            connection,
+            clock,
+        }
+    }
+}
+
+impl AsyncRead for ObservedSocket {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let filled_before = buf.filled().len();
+        let read = Pin::new(&mut self.stream).poll_read(cx, buf);
+        if buf.filled().len() > filled_before {
+            self.connection.bytes_received(self.clock.now());
+        }
+        read
+    }
+}
+
+impl AsyncWrite for ObservedSocket {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write(cx, buf)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write_vectored(cx, bufs)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.stream.is_write_vectored()
+    }
+}
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -1,105 +1,139 @@
-//! The driver: hands what happens to [`Core`] and carries out what comes back.
+//! The driver: hands inputs with the time to [`Core`] and carries out its outputs on connections, timers and waiting clients.
 
 use crate::core::{
     AdmittedRequest, AttemptEnd, Core, IncomingRequest, LocalResponse, Output, Rejection,
 };
-use crate::forward::{promises, BackendResponse, ForwardedRequest};
+use crate::forward::{promises_not_run, BackendResponse, ForwardedRequest};
 use crate::services::PoolCommand;
 use bytes::Bytes;
-use hyper::header::HeaderValue;
 use maplefall_control_messages::encode_frame;
 use maplefall_node_settings::Settings;
 use maplefall_policy::{BackendId, Care, Millis, Outcome, RequestId};
 use maplefall_settings::Links;
-use maplefall_upstream::{send_request, upstream_budget, AttemptHandle, Clock, Pools};
+use maplefall_upstream::{
+    send_request, upstream_budget, AttemptHandle, Clock, Pools, RequestOptions,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// A connection to a backend that is not made within this has failed.
-const DIAL: Millis = 400.0;
-/// Backends close connections that have been idle for so long, where they do not say.
-const IDLE: Millis = 8000.0;
-/// Descriptors that are kept for files.
-const FILES: usize = 200;
+/// A connection to a backend that is not established within this has failed.
+const CONNECT_TIMEOUT: Millis = 400.0;
+/// Backends close connections that have been idle for so long.
+const BACKEND_IDLE_TIMEOUT: Millis = 8000.0;
+/// Descriptors reserved for files.
+pub const RESERVED_DESCRIPTORS: usize = 200;
+
+/// The final response to a client.
+pub enum ClientResponse {
+    /// A backend's.
+    Backend(BackendResponse),
+    /// The proxy's own.
+    Local(LocalResponse),
+}
+
+/// An admitted request whose response is to come.
+pub struct PendingResponse {
+    /// The request, for [`Proxy::client_disconnected`].
+    pub id: RequestId,
+    /// Its response.
+    pub response: oneshot::Receiver<ClientResponse>,
+}
 
-/// What a client gets.
-pub enum Answer {
-    /// A backend's answer.
-    Reply(BackendResponse),
-    /// The door's own.
-    Own(LocalResponse),
+struct InFlightAttempt {
+    number: u32,
+    handle: AttemptHandle,
 }
 
-struct Pending {
-    order: Option<Rc<ForwardedRequest>>,
-    answer: Option<oneshot::Sender<Answer>>,
-    /// The last answer of a backend.
-    reply: Option<BackendResponse>,
-    out: Option<(u32, AttemptHandle)>,
-    /// The hold on its last attempt, which knows where those before went.
-    line: AttemptHandle,
+/// An admitted request until it has its response and no attempt is in flight. As many as the core has pending.
+struct PendingRequest {
+    request: Rc<ForwardedRequest>,
+    /// `None` once the response is given or the client has gone.
+    responder: Option<oneshot::Sender<ClientResponse>>,
+    /// The response that the last attempt brought.
+    backend_response: Option<BackendResponse>,
+    in_flight: Option<InFlightAttempt>,
+    /// That of the last attempt, which knows the connections of those before.
+    last_handle: AttemptHandle,
 }
 
-/// A door: decisions, connections to backends, requests that wait.
+impl PendingRequest {
+    fn take_in_flight(&mut self, number: u32) -> Option<InFlightAttempt> {
+        self.in_flight.take_if(|attempt| attempt.number == number)
+    }
+}
+
+/// An attempt to start, as in [`Output::Send`].
+struct Attempt {
+    request: RequestId,
+    number: u32,
+    backend: BackendId,
+    instance: Rc<str>,
+    remaining: Millis,
+    care: Care,
+}
+
+/// A proxy: the core, the connections to backends and the requests that wait for them.
 pub struct Proxy {
-    /// The one clock.
+    /// The clock of all inputs.
     pub clock: Clock,
     core: RefCell<Core>,
     pools: Pools,
-    pending: RefCell<HashMap<RequestId, Pending>>,
-    earlier: Notify,
-    wakes: Cell<Millis>,
-    /// What goes to exchanges, by address.
-    pub exchanges: RefCell<HashMap<String, mpsc::Sender<Bytes>>>,
-    /// Told when there are more exchanges than before.
-    pub more_exchanges: Notify,
-    /// Told when something has come that requests may have waited for.
-    pub changed: Notify,
+    pending: RefCell<HashMap<RequestId, PendingRequest>>,
+    /// Notified when a timer was set before `next_wakeup`.
+    timer_set: Notify,
+    next_wakeup: Cell<Millis>,
+    /// Queues of encoded frames to the connected controllers, by IP address.
+    pub controller_queues: RefCell<HashMap<String, mpsc::Sender<Bytes>>>,
+    /// Notified when more controllers are known.
+    pub controllers_changed: Notify,
+    /// Notified when configuration, backends or leases have changed.
+    pub state_changed: Notify,
 }
 
 impl Proxy {
-    /// A door that knows nothing yet.
+    /// A proxy without configuration and backends. `seed` is the core's.
     pub fn new(settings: &Settings, seed: u64) -> Rc<Proxy> {
-        let sockets = settings.limits.file_limit.saturating_sub(FILES);
+        let max_sockets = settings
+            .limits
+            .file_limit
+            .saturating_sub(RESERVED_DESCRIPTORS);
+        let links = Links {
+            dial_timeout: CONNECT_TIMEOUT,
+            idle_close: BACKEND_IDLE_TIMEOUT,
+        };
         Rc::new(Proxy {
             clock: Clock::new(),
             core: RefCell::new(Core::new(settings, seed)),
-            pools: Pools::new(
-                Links {
-                    dial_timeout: DIAL,
-                    idle_close: IDLE,
-                },
-                upstream_budget(sockets),
-            ),
+            pools: Pools::new(links, upstream_budget(max_sockets)),
             pending: RefCell::default(),
-            earlier: Notify::new(),
-            wakes: Cell::new(f64::INFINITY),
-            exchanges: RefCell::default(),
-            more_exchanges: Notify::new(),
-            changed: Notify::new(),
+            timer_set: Notify::new(),
+            next_wakeup: Cell::new(f64::INFINITY),
+            controller_queues: RefCell::default(),
+            controllers_changed: Notify::new(),
+            state_changed: Notify::new(),
         })
     }
 
-    /// Asks the core something.
-    pub fn ask<T>(&self, question: impl FnOnce(&mut Core) -> T) -> T {
-        question(&mut self.core.borrow_mut())
+    /// Calls the core with what has no outputs.
+    pub fn with_core<T>(&self, call: impl FnOnce(&mut Core) -> T) -> T {
+        call(&mut self.core.borrow_mut())
     }
 
-    /// Hands something that happened to the core, and carries out what comes back.
+    /// Hands an input to the core and carries out its outputs.
     pub fn drive<T>(
         self: &Rc<Self>,
-        step: impl FnOnce(&mut Core, Millis, &mut Vec<Output>) -> T,
+        input: impl FnOnce(&mut Core, Millis, &mut Vec<Output>) -> T,
     ) -> T {
-        let mut out = Vec::new();
-        let result = step(&mut self.core.borrow_mut(), self.clock.now(), &mut out);
-        for output in out {
+        let mut outputs = Vec::new();
+        let result = input(&mut self.core.borrow_mut(), self.clock.now(), &mut outputs);
+        for output in outputs {
             self.carry_out(output);
         }
-        let next = self.core.borrow_mut().next_due().unwrap_or(f64::INFINITY);
-        if next < self.wakes.get() {
-            self.earlier.notify_one();
+        let next_due = self.core.borrow_mut().next_due().unwrap_or(f64::INFINITY);
+        if next_due < self.next_wakeup.get() {
+            self.timer_set.notify_one();
         }
         result
     }
@@ -113,221 +147,222 @@
                 instance,
                 limit,
                 care,
-            } => {
-                self.send(request, attempt, backend, instance, (limit, care));
-            }
-            Output::ForwardResponse(id) => {
-                let mut pending = self.pending.borrow_mut();
-                let Some(entry) = pending.get_mut(&id) else {
-                    return;
-                };
-                if let (Some(answer), Some(reply)) = (entry.answer.take(), entry.reply.take()) {
-                    let _ = answer.send(Answer::Reply(reply));
-                }
-            }
-            Output::Respond(id, last) => {
-                let mut pending = self.pending.borrow_mut();
-                let Some(entry) = pending.get_mut(&id) else {
-                    return;
-                };
-                // One that says that it has not run promises what a later attempt may have broken; one whose status promises that
-                // without the word for it may have run.
-                let passes = |reply: &BackendResponse| {
-                    reply.outcome == Outcome::Error && !promises(reply.status)
-                };
-                let reply = entry
-                    .reply
-                    .take()
-                    .filter(|reply| last.prefer_backend_response && passes(reply));
-                if let Some(answer) = entry.answer.take() {
-                    let _ = answer.send(reply.map_or(Answer::Own(last), Answer::Reply));
-                }
-                if entry.out.is_none() {
-                    pending.remove(&id);
-                }
-            }
-            Output::CancelAttempt(id, number) => {
-                let line = {
-                    let mut pending = self.pending.borrow_mut();
-                    let out = pending
-                        .get_mut(&id)
-                        .and_then(|entry| entry.out.take_if(|(n, _)| *n == number));
-                    out.map(|(_, line)| line)
-                };
-                // One that is not out has not been carried that far: its task has yet to run.
-                let outcome = match &line {
-                    Some(line) if line.fully_written() => Outcome::Timeout,
-                    _ => Outcome::ConnectFailed,
-                };
-                if let Some(line) = line {
-                    line.abort();
-                }
-                self.ended(
-                    id,
-                    number,
-                    AttemptEnd {
-                        outcome,
-                        broken_connections: 0,
-                        wrong_instance: false,
-                    },
-                );
-            }
+            } => self.send(Attempt {
+                request,
+                number: attempt,
+                backend,
+                instance,
+                remaining: limit,
+                care,
+            }),
+            Output::ForwardResponse(id) => self.forward_response(id),
+            Output::Respond(id, response) => self.respond(id, response),
+            Output::CancelAttempt(id, attempt) => self.cancel_attempt(id, attempt),
             Output::Pool(PoolCommand::Open(id, address)) => self.pools.open(id, address, 0.0),
             Output::Pool(PoolCommand::Drain(id)) => self.pools.drain(id),
             Output::Pool(PoolCommand::Remove(id)) => self.pools.remove(id),
             Output::CloseIdle(id) => self.pools.close_idle(id),
-            Output::SendToController(exchange, frame) => {
-                let sender = self.exchanges.borrow().get(&exchange).cloned();
-                // A connection whose queue is full ends by its silence.
-                let _ = sender.map(|sender| sender.try_send(encode_frame(frame)));
+            Output::SendToController(controller, frame) => {
+                let queue = self.controller_queues.borrow().get(&controller).cloned();
+                // A connection whose queue is full ends by its keep-alive timeout.
+                let _ = queue.map(|queue| queue.try_send(encode_frame(frame)));
             }
-            Output::ControllersChanged(_) => self.more_exchanges.notify_one(),
-            Output::StateChanged => self.changed.notify_waiters(),
+            Output::ControllersChanged(_) => self.controllers_changed.notify_one(),
+            Output::StateChanged => self.state_changed.notify_waiters(),
             Output::Log(line) => log::info!("{line}"),
         }
     }
 
-    /// Takes a request in. What is answered at once comes back at once.
-    pub fn arrive(
+    fn forward_response(&self, id: RequestId) {
+        let mut pending = self.pending.borrow_mut();
+        let Some(request) = pending.get_mut(&id) else {
+            return;
+        };
+        let responder = request.responder.take();
+        let response = request.backend_response.take();
+        if let (Some(responder), Some(response)) = (responder, response) {
+            let _ = responder.send(ClientResponse::Backend(response));
+        }
+    }
+
+    fn respond(&self, id: RequestId, local: LocalResponse) {
+        let mut pending = self.pending.borrow_mut();
+        let Some(request) = pending.get_mut(&id) else {
+            return;
+        };
+        // A response that says that the request has not run may be wrong by a later attempt; one whose status alone promises
+        // that may have run.
+        let may_forward = |response: &BackendResponse| {
+            response.outcome == Outcome::Error && !promises_not_run(response.status)
+        };
+        let backend_response = request
+            .backend_response
+            .take()
+            .filter(|response| local.prefer_backend_response && may_forward(response));
+        if let Some(responder) = request.responder.take() {
+            let response =
+                backend_response.map_or(ClientResponse::Local(local), ClientResponse::Backend);
+            let _ = responder.send(response);
+        }
+        if request.in_flight.is_none() {
+            pending.remove(&id);
+        }
+    }
+
+    fn cancel_attempt(self: &Rc<Self>, id: RequestId, number: u32) {
+        let attempt = self
+            .pending
+            .borrow_mut()
+            .get_mut(&id)
+            .and_then(|request| request.take_in_flight(number));
+        // One that is not in flight has not been written: its task has yet to run.
+        let outcome = match &attempt {
+            Some(attempt) if attempt.handle.fully_written() => Outcome::Timeout,
+            _ => Outcome::ConnectFailed,
+        };
+        if let Some(attempt) = attempt {
+            attempt.handle.abort();
+        }
+        self.attempt_ended(id, number, AttemptEnd::without_response(outcome));
+    }
+
+    /// Admits a request, or rejects it with its response. `build` makes the request that is forwarded.
+    pub fn admit(
         self: &Rc<Self>,
-        arrival: &IncomingRequest<'_>,
-        order: impl FnOnce(&AdmittedRequest) -> ForwardedRequest,
-    ) -> Result<(RequestId, oneshot::Receiver<Answer>), Rejection> {
-        let (sender, receiver) = oneshot::channel();
-        let mut out = Vec::new();
+        incoming: &IncomingRequest<'_>,
+        build: impl FnOnce(&AdmittedRequest) -> ForwardedRequest,
+    ) -> Result<PendingResponse, Rejection> {
+        let mut outputs = Vec::new();
         let now = self.clock.now();
-        let accepted = self.core.borrow_mut().admit(now, arrival, &mut out);
-        if let Ok(accepted) = &accepted {
-            let order = Some(Rc::new(order(accepted)));
-            let entry = Pending {
-                order,
-                answer: Some(sender),
-                reply: None,
-                out: None,
-                line: AttemptHandle::default(),
+        let admitted = self.core.borrow_mut().admit(now, incoming, &mut outputs);
+        let result = admitted.map(|admitted| {
+            let (responder, response) = oneshot::channel();
+            let request = PendingRequest {
+                request: Rc::new(build(&admitted)),
+                responder: Some(responder),
+                backend_response: None,
+                in_flight: None,
+                last_handle: AttemptHandle::default(),
             };
-            self.pending.borrow_mut().insert(accepted.id, entry);
-        }
-        self.drive(|_, _, more| more.append(&mut out));
-        accepted.map(|accepted| (accepted.id, receiver))
+            self.pending.borrow_mut().insert(admitted.id, request);
+            PendingResponse {
+                id: admitted.id,
+                response,
+            }
+        });
+        // Only now: an output may concern the request that was just inserted.
+        self.drive(|_, _, out| out.append(&mut outputs));
+        result
     }
 
-    /// A client has gone away before its answer.
-    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+    /// A client has gone away before its response.
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.drive(|core, now, out| core.client_disconnected(now, id, out));
         let mut pending = self.pending.borrow_mut();
-        if let Some(entry) = pending.get_mut(&id) {
-            entry.answer = None;
-            if entry.out.is_none() {
+        if let Some(request) = pending.get_mut(&id) {
+            request.responder = None;
+            if request.in_flight.is_none() {
                 pending.remove(&id);
             }
         }
     }
 
-    fn send(
-        self: &Rc<Self>,
-        id: RequestId,
-        attempt: u32,
-        backend: BackendId,
-        instance: Rc<str>,
-        (limit, care): (Millis, Care),
-    ) {
-        let (order, line) = {
+    /// Starts the task of an attempt.
+    fn send(self: &Rc<Self>, attempt: Attempt) {
+        let (request, handle) = {
             let mut pending = self.pending.borrow_mut();
-            let Some(entry) = pending.get_mut(&id) else {
+            let Some(entry) = pending.get_mut(&attempt.request) else {
                 return;
             };
-            entry.line = entry.line.for_retry();
-            let line = entry.line.clone();
-            entry.out = Some((attempt, line.clone()));
-            entry.reply = None;
-            (entry.order.clone(), line)
+            entry.last_handle = entry.last_handle.for_retry();
+            entry.in_flight = Some(InFlightAttempt {
+                number: attempt.number,
+                handle: entry.last_handle.clone(),
+            });
+            entry.backend_response = None;
+            (entry.request.clone(), entry.last_handle.clone())
         };
-        let Some(order) = order else { return };
-        let (door, on) = (self.clone(), line.clone());
-        let task = tokio::task::spawn_local(async move {
-            let carried = send_request(
-                &door.pools,
-                backend,
-                (care, limit),
-                &on,
-                (order.body.len(), |left| order.request(&instance, left)),
-                async |answer| order.read(answer).await,
-                |reply: &BackendResponse| reply.outcome == Outcome::Full,
-            )
-            .await;
-            let broken = carried.broken_connections;
-            let (outcome, reply) = match carried.result {
-                Ok(reply) => (reply.outcome, Some(reply)),
-                Err(outcome) => (outcome, None),
+        let task =
+            tokio::task::spawn_local(self.clone().run_attempt(attempt, request, handle.clone()));
+        handle.attach_task(task.abort_handle());
+    }
+
+    async fn run_attempt(
+        self: Rc<Self>,
+        attempt: Attempt,
+        request: Rc<ForwardedRequest>,
+        handle: AttemptHandle,
+    ) {
+        let options = RequestOptions {
+            backend: attempt.backend,
+            care: attempt.care,
+            timeout: attempt.remaining,
+            body_bytes: request.body.len(),
+        };
+        let result = send_request(
+            &self.pools,
+            options,
+            &handle,
+            |remaining| request.to_backend(&attempt.instance, remaining),
+            async |response| request.read_response(response).await,
+            |response: &BackendResponse| response.outcome == Outcome::Full,
+        )
+        .await;
+        let (outcome, response) = match result.result {
+            Ok(response) => (response.outcome, Some(response)),
+            Err(outcome) => (outcome, None),
+        };
+        let end = AttemptEnd {
+            outcome,
+            broken_connections: result.broken_connections,
+            wrong_instance: response
+                .as_ref()
+                .is_some_and(|response| response.wrong_instance),
+        };
+        {
+            let mut pending = self.pending.borrow_mut();
+            let Some(entry) = pending.get_mut(&attempt.request) else {
+                return;
             };
-            let stranger = reply.as_ref().is_some_and(|reply| reply.wrong_instance);
-            {
-                let mut pending = door.pending.borrow_mut();
-                let Some(entry) = pending.get_mut(&id) else {
-                    return;
-                };
-                if entry
-                    .out
-                    .take_if(|(number, _)| *number == attempt)
-                    .is_none()
-                {
-                    return;
-                }
-                entry.reply = reply;
+            if entry.take_in_flight(attempt.number).is_none() {
+                return;
             }
-            door.ended(
-                id,
-                attempt,
-                AttemptEnd {
-                    outcome,
-                    broken_connections: broken,
-                    wrong_instance: stranger,
-                },
-            );
-        });
-        line.attach_task(task.abort_handle());
+            entry.backend_response = response;
+        }
+        self.attempt_ended(attempt.request, attempt.number, end);
     }
 
-    fn ended(self: &Rc<Self>, id: RequestId, attempt: u32, ended: AttemptEnd) {
-        self.drive(|core, now, out| core.attempt_ended(now, id, attempt, ended, out));
+    fn attempt_ended(self: &Rc<Self>, id: RequestId, number: u32, end: AttemptEnd) {
+        self.drive(|core, now, out| core.attempt_ended(now, id, number, end, out));
         let mut pending = self.pending.borrow_mut();
         if pending
             .get(&id)
-            .is_some_and(|entry| entry.answer.is_none() && entry.out.is_none())
+            .is_some_and(|request| request.responder.is_none() && request.in_flight.is_none())
         {
             pending.remove(&id);
         }
     }
 
-    /// Fires what comes due, for as long as the door runs.
-    pub async fn keep_time(self: Rc<Self>) {
+    /// Runs timers when they are due, for as long as the process runs.
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.core.borrow_mut().next_due();
-            self.wakes.set(next.unwrap_or(f64::INFINITY));
-            match next {
+            let next_due = self.core.borrow_mut().next_due();
+            self.next_wakeup.set(next_due.unwrap_or(f64::INFINITY));
+            match next_due {
                 Some(at) if at <= self.clock.now() => {
                     self.drive(|core, now, out| core.run_timers(now, out));
                 }
                 Some(at) => tokio::select! {
                     () = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                    () = self.earlier.notified() => {}
+                    () = self.timer_set.notified() => {}
                 },
-                None => self.earlier.notified().await,
+                None => self.timer_set.notified().await,
             }
         }
     }
 
-    /// Disposes of idle connections before backends do, for as long as the door runs.
-    pub async fn tidy(self: Rc<Self>) {
+    /// Closes idle connections before backends do, for as long as the process runs.
+    pub async fn close_idle_periodically(self: Rc<Self>) {
         self.pools.close_idle_periodically().await;
     }
 }
-
-/// The header that tells a backend whose request it is.
-pub fn tenant_value(accepted: &AdmittedRequest) -> Option<HeaderValue> {
-    accepted
-        .tenant
-        .as_ref()
-        .and_then(|tenant| HeaderValue::from_str(tenant).ok())
-}
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,5 +1,7 @@
-//! What goes on to a backend, and what of its answer is passed on.
+//! Requests as they are forwarded to backends, and backends' responses as they are forwarded to clients. Only a response that is
+//! certainly complete and certainly that of the request's own attempt is forwarded.
 
+use crate::core::AdmittedRequest;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{
@@ -9,21 +11,21 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use maplefall_policy::{Millis, Outcome};
 
-/// The id of a try.
+/// The id of the client's attempt, which a response repeats.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
-/// Milliseconds that the client will wait.
+/// Milliseconds that the client goes on waiting.
 pub const TIME_REMAINING: HeaderName = HeaderName::from_static("x-time-remaining");
-/// The backend that is meant.
+/// The instance id of the backend that is meant.
 pub const TARGET: HeaderName = HeaderName::from_static("x-target-instance");
-/// Whose request it is.
+/// The tenant's name.
 pub const TENANT: HeaderName = HeaderName::from_static("x-tenant");
-/// The backend's stamp on its answers.
+/// The backend's seal on its successful responses.
 pub const SEAL: HeaderName = HeaderName::from_static("x-server-seal");
-/// The backend has not run it.
+/// The backend has not run the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
 
-/// Longest answer of a backend.
-const LONGEST_ANSWER: usize = 16 << 20;
+/// Longest body of a backend's response; a longer one counts as broken.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// Headers that concern one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -37,47 +39,47 @@
     HeaderName::from_static("proxy-authorization"),
 ];
 
-/// A request as it goes on.
+/// A request as it is forwarded.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, as received.
     pub uri: Uri,
-    /// What is passed on.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Its id.
-    pub id: Option<HeaderValue>,
-    /// All of its body.
+    /// The value of [`ATTEMPT_ID`].
+    pub attempt_id: Option<HeaderValue>,
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A backend's answer.
+/// A backend's response.
 #[derive(Debug)]
 pub struct BackendResponse {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// What is passed on.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// All of its body.
+    /// The complete body.
     pub body: Bytes,
-    /// What it means.
+    /// What it means for retries.
     pub outcome: Outcome,
-    /// Somebody else is there.
+    /// Whether another instance listens at the address (status 421).
     pub wrong_instance: bool,
 }
 
-/// Takes out what concerns one connection only, by name or because `Connection` says so.
-pub fn end_to_end(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+/// Removes headers that concern one connection only, by name or because `Connection` lists them.
+fn remove_hop_by_hop(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
-        // Neither side may have taken out what the other goes by.
+    for name in listed {
+        // Neither side may have headers removed that the other relies on.
         if ![HOST, ATTEMPT_ID, SEAL, NOT_EXECUTED].contains(&name) {
             headers.remove(name);
         }
@@ -87,8 +89,8 @@
     }
 }
 
-/// Whether an answer with this status promises that the request has not run and never will.
-pub fn promises(status: StatusCode) -> bool {
+/// Whether a response with this status promises that the request has not run and never will.
+pub fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -98,33 +100,33 @@
     )
 }
 
-/// The value of a header that stands there exactly once.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
+/// The value of a header that occurs exactly once.
+fn single_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
 
-/// Whether the end of an answer's body shows: by one way of framing and no other. One that ends with its connection may have been
-/// cut, one that is coded is not the backend's, and one that is framed in two ways has two ends.
-fn framed(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
-    let bodiless = *method == Method::HEAD
+/// Whether the end of a response's body is certain: by one kind of framing and no other. A body that ends with its connection may
+/// be truncated, and one that is framed in two ways has two ends.
+fn is_framed(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
+    let has_no_body = *method == Method::HEAD
         || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     match (
         headers.contains_key(CONTENT_LENGTH),
         headers.contains_key(TRANSFER_ENCODING),
     ) {
-        (false, false) => bodiless,
-        (true, false) => single(headers, &CONTENT_LENGTH).is_some(),
-        (false, true) => single(headers, &TRANSFER_ENCODING)
+        (false, false) => has_no_body,
+        (true, false) => single_header(headers, &CONTENT_LENGTH).is_some(),
+        (false, true) => single_header(headers, &TRANSFER_ENCODING)
             .is_some_and(|coding| coding.as_bytes().eq_ignore_ascii_case(b"chunked")),
         (true, true) => false,
     }
 }
 
 impl ForwardedRequest {
-    /// What of a client's request goes on; the tenant is put in once it is known.
+    /// A client's request without the headers that concern only the proxy; the tenant is inserted once it is known.
     pub fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: Bytes) -> ForwardedRequest {
-        end_to_end(&mut headers);
+        remove_hop_by_hop(&mut headers);
         for name in [
             AUTHORIZATION,
             TENANT,
@@ -135,18 +137,18 @@
         ] {
             headers.remove(name);
         }
-        let id = headers.get(ATTEMPT_ID).cloned();
+        let attempt_id = headers.get(ATTEMPT_ID).cloned();
         ForwardedRequest {
             method,
             uri,
             headers,
-            id,
+            attempt_id,
             body,
         }
     }
 
-    /// The request for one backend, which is told how long the client waits.
-    pub fn request(&self, instance: &str, left: Millis) -> Request<Full<Bytes>> {
+    /// The request for one backend instance, with the client's remaining time.
+    pub fn to_backend(&self, instance: &str, remaining: Millis) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -155,54 +157,62 @@
         if let Ok(instance) = HeaderValue::from_str(instance) {
             headers.insert(TARGET, instance);
         }
-        headers.insert(TIME_REMAINING, HeaderValue::from(left.max(1.0) as u64));
+        headers.insert(TIME_REMAINING, HeaderValue::from(remaining.max(1.0) as u64));
         request
     }
 
-    /// Reads an answer; `None` if it does not come whole, or is not the answer to this.
-    pub async fn read(&self, answer: Response<Incoming>) -> Option<BackendResponse> {
-        let (head, body) = answer.into_parts();
+    /// Reads a response; `None` if it is not certainly complete, or not certainly the one to this request.
+    pub async fn read_response(&self, response: Response<Incoming>) -> Option<BackendResponse> {
+        let (head, body) = response.into_parts();
         let headers = &head.headers;
-        // An answer to somebody else's question may come where this one's should; a success without the seal, or coded on the
-        // way, is not the backend's; and nobody gives a status beyond the known classes.
-        let mine = self.id.is_some() && single(headers, &ATTEMPT_ID) == self.id.as_ref();
-        let success = head.status.is_success();
-        let sealed = !success || single(headers, &SEAL).is_some();
-        if !framed(&self.method, head.status, headers)
-            || !mine
-            || !sealed
+        // The response to another request may arrive in place of this one's; a success without the seal, or encoded on the way, is
+        // not the backend's; and no backend sends a status beyond the known classes.
+        let has_attempt_id = self.attempt_id.is_some()
+            && single_header(headers, &ATTEMPT_ID) == self.attempt_id.as_ref();
+        let is_success = head.status.is_success();
+        let is_sealed = !is_success || single_header(headers, &SEAL).is_some();
+        if !is_framed(&self.method, head.status, headers)
+            || !has_attempt_id
+            || !is_sealed
             || !(200..600).contains(&head.status.as_u16())
             || headers.contains_key(CONTENT_ENCODING)
         {
             return None;
         }
-        if body.size_hint().lower() > LONGEST_ANSWER as u64 {
+        if body.size_hint().lower() > MAX_RESPONSE_BYTES as u64 {
             return None;
         }
-        let body = Limited::new(body, LONGEST_ANSWER)
+        let body = Limited::new(body, MAX_RESPONSE_BYTES)
             .collect()
             .await
             .ok()?
             .to_bytes();
-        let not_run =
-            headers.contains_key(NOT_EXECUTED) || head.status == StatusCode::MISDIRECTED_REQUEST;
+        let wrong_instance = head.status == StatusCode::MISDIRECTED_REQUEST;
+        let not_run = wrong_instance || headers.contains_key(NOT_EXECUTED);
         let outcome = match head.status {
-            _ if not_run && !success => Outcome::Full,
+            _ if not_run && !is_success => Outcome::Full,
             status if status.is_server_error() => Outcome::Error,
-            // Without the word that it has not run, such an answer promises nothing.
+            // Without the header that it has not run, such a response promises nothing.
             StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT => Outcome::Error,
             _ => Outcome::Ok,
         };
         let mut headers = head.headers;
-        end_to_end(&mut headers);
+        remove_hop_by_hop(&mut headers);
         headers.remove(CONTENT_LENGTH);
-        let stranger = head.status == StatusCode::MISDIRECTED_REQUEST;
         Some(BackendResponse {
             status: head.status,
             headers,
             body,
             outcome,
-            wrong_instance: stranger,
+            wrong_instance,
         })
     }
 }
+
+/// The value of [`TENANT`] for an admitted request.
+pub fn tenant_header(admitted: &AdmittedRequest) -> Option<HeaderValue> {
+    admitted
+        .tenant
+        .as_ref()
+        .and_then(|tenant| HeaderValue::from_str(tenant).ok())
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,12 +1,13 @@
-//! The door of the system. [`Core`] decides and does no I/O: which route and tenant, whether it is let in, where it goes and what
-//! is answered. [`door`] carries that out; [`clients`] reads requests and writes answers; [`links`] follows the exchanges.
+//! The data plane's proxy. [`Core`] decides without I/O: which route and tenant a request has, whether it is admitted, which backend
+//! it goes to and what is responded. [`driver`] carries that out; [`downstream`] serves clients; [`controllers`] holds the
+//! connections to the controllers; [`forward`] translates requests and responses; [`readiness`] answers the platform's probe.
 
-pub mod clients;
-pub mod connection_state;
 pub mod controllers;
 mod core;
+pub mod downstream;
 pub mod driver;
 pub mod forward;
+pub mod readiness;
 mod services;
 mod timer_queue;
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,15 +1,12 @@
-//! `switchboard`: takes clients' requests, admits them by tenant, and sends them on to backends.
+//! `maplefall-proxy`: accepts clients' requests, admits them by tenant, and forwards them to backends.
 
-use bytes::Bytes;
 use clap::{Parser, Subcommand};
-use http_body_util::Full;
-use hyper::{Response, StatusCode};
 use maplefall_control_messages::{Hello, PROTOCOL_VERSION};
 use maplefall_node_settings::{Settings, SettingsFile};
-use maplefall_proxy::clients::Clients;
-use maplefall_proxy::controllers;
-use maplefall_proxy::driver::Proxy;
-use std::convert::Infallible;
+use maplefall_proxy::controllers::connect_to_controllers;
+use maplefall_proxy::downstream::DownstreamServer;
+use maplefall_proxy::driver::{Proxy, RESERVED_DESCRIPTORS};
+use maplefall_proxy::readiness;
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,23 +14,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Descriptors that are kept for files.
-const FILES: usize = 200;
-/// Part of the memory that bodies of requests may take.
-const BODIES: u64 = 3;
-/// Ticks between two lines about what was served.
-const ACCOUNT: u32 = 10;
-/// How often the settings file is looked at.
-const LOOK: Duration = Duration::from_secs(2);
-/// Time for the last words to the exchanges.
-const FAREWELL: Duration = Duration::from_millis(20);
+/// Bodies of requests may take this fraction of the memory limit: one in so many.
+const BODY_MEMORY_DIVISOR: u64 = 3;
+/// How often the core's tick runs.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// Ticks between two `stats` lines.
+const STATS_TICKS: u32 = 10;
+/// How often the settings file is checked for a change.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Time for the last frames to the controllers at a shutdown.
+const FINAL_FLUSH: Duration = Duration::from_millis(20);
 
-/// The door of the system.
+/// The proxy of the data plane.
 #[derive(Parser)]
 #[command(version)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -42,7 +39,7 @@
 enum Command {
     /// Serves; the same as no command.
     Run,
-    /// Reads a settings file and tells whether it can be used.
+    /// Validates a settings file.
     Check {
         /// The file; by default the one that MAPLEFALL_CONFIG names.
         file: Option<PathBuf>,
@@ -50,15 +47,15 @@
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let result = match line.command.unwrap_or(Command::Run) {
+    let arguments = Arguments::parse();
+    let result = match arguments.command.unwrap_or(Command::Run) {
         Command::Run => run(),
         Command::Check { file } => check(&file.unwrap_or_else(Settings::path)),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("event=ended {error}");
+            eprintln!("event=fatal {error}");
             ExitCode::FAILURE
         }
     }
@@ -75,7 +72,7 @@
         .ready_probe
         .ok_or("step=check missing=Bind.ReadyProbe")?;
     println!(
-        "event=checked node={} file={}",
+        "event=settings_checked node={} file={}",
         settings.node,
         path.display()
     );
@@ -87,12 +84,12 @@
         flexi_logger::Logger::try_with_env_or_str("info").map_err(|error| error.to_string())?;
     let _logger = logger
         .log_to_stderr()
-        .format(line)
+        .format(write_log_line)
         .start()
         .map_err(|error| error.to_string())?;
     let path = Settings::path();
     let settings = Settings::load(&path).map_err(|error| error.to_string())?;
-    // The standard library's hashers are keyed from the system's source of chance.
+    // The standard library's hashers are keyed from the system's random number generator.
     let seed = std::collections::hash_map::RandomState::new()
         .build_hasher()
         .finish();
@@ -106,8 +103,8 @@
 
 async fn serve(settings: Settings, path: PathBuf, seed: u64) -> Result<(), String> {
     let signals = |error: std::io::Error| format!("step=signals error={:?}", error.kind());
-    let mut term = signal(SignalKind::terminate()).map_err(signals)?;
-    let mut hup = signal(SignalKind::hangup()).map_err(signals)?;
+    let terminate = signal(SignalKind::terminate()).map_err(signals)?;
+    let hangup = signal(SignalKind::hangup()).map_err(signals)?;
     let front = settings
         .bind
         .front_http
@@ -116,16 +113,39 @@
         .bind
         .ready_probe
         .ok_or("step=settings missing=Bind.ReadyProbe")?;
-    let (clients_at, probes_at) = (listen(front).await?, listen(probe).await?);
+    let client_listener = listen(front).await?;
+    let probe_listener = listen(probe).await?;
     log::info!(
         "event=start node={} front={front} probe={probe} bootstrap={}",
         settings.node,
         settings.bootstrap
     );
-    let door = Proxy::new(&settings, seed);
-    let sockets = settings.limits.file_limit.saturating_sub(FILES);
-    let room = (settings.limits.memory_mb / BODIES) << 20;
-    let clients = Clients::new(door.clone(), sockets, room as usize);
+    let proxy = Proxy::new(&settings, seed);
+    let server = new_server(&proxy, &settings);
+    spawn_tasks(&proxy, &settings, seed);
+    server.serve(client_listener);
+    tokio::task::spawn_local(readiness::serve(proxy.clone(), probe_listener));
+    tokio::task::spawn_local(tick(proxy.clone()));
+    reload_until_terminated(&proxy, SettingsFile::new(path), terminate, hangup).await;
+    log::info!("event=shutdown node={}", settings.node);
+    proxy.with_core(|core| core.shut_down());
+    let grace = Duration::from_secs_f64(settings.bounds.grace_s);
+    server.shut_down(grace).await;
+    proxy.drive(|core, now, out| core.release_leases(now, out));
+    tokio::time::sleep(FINAL_FLUSH).await;
+    Ok(())
+}
+
+fn new_server(proxy: &Rc<Proxy>, settings: &Settings) -> Rc<DownstreamServer> {
+    let max_sockets = settings
+        .limits
+        .file_limit
+        .saturating_sub(RESERVED_DESCRIPTORS);
+    let body_memory = (settings.limits.memory_mb / BODY_MEMORY_DIVISOR) << 20;
+    DownstreamServer::new(proxy.clone(), max_sockets, body_memory as usize)
+}
+
+fn spawn_tasks(proxy: &Rc<Proxy>, settings: &Settings, seed: u64) {
     let hello = Hello {
         version: PROTOCOL_VERSION,
         ip: settings.ip.to_string(),
@@ -134,41 +154,39 @@
         is_controller: false,
         config_index: 0,
     };
-    tokio::task::spawn_local(door.clone().keep_time());
-    tokio::task::spawn_local(door.clone().tidy());
-    tokio::task::spawn_local(controllers::follow(
-        door.clone(),
+    tokio::task::spawn_local(proxy.clone().run_timers());
+    tokio::task::spawn_local(proxy.clone().close_idle_periodically());
+    tokio::task::spawn_local(connect_to_controllers(
+        proxy.clone(),
         hello,
         settings.internal_ports.0,
     ));
-    clients.open(clients_at);
-    tokio::task::spawn_local(probes(door.clone(), probes_at));
-    tokio::task::spawn_local(tick(door.clone()));
-    let grace = Duration::from_secs_f64(settings.bounds.grace_s);
-    let mut file = SettingsFile::new(path);
+}
+
+/// Reloads the settings file on SIGHUP and when it has changed, until SIGTERM.
+async fn reload_until_terminated(
+    proxy: &Rc<Proxy>,
+    mut file: SettingsFile,
+    mut terminate: Signal,
+    mut hangup: Signal,
+) {
     loop {
-        let told = tokio::select! {
-            _ = term.recv() => break,
-            _ = hup.recv() => true,
-            () = tokio::time::sleep(LOOK) => false,
+        let signalled = tokio::select! {
+            _ = terminate.recv() => return,
+            _ = hangup.recv() => true,
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
-        // Both are asked: what a signal told is not told again by the file.
-        if file.changed() || told {
+        // The file is checked in any case, so that a change which a signal announced is not reloaded twice.
+        if file.changed() || signalled {
             match Settings::load(file.path()) {
                 Ok(settings) => {
-                    log::info!("event=reload node={} signal={told}", settings.node);
-                    door.drive(|core, _, out| core.reload(&settings, out));
+                    log::info!("event=reload node={} signal={signalled}", settings.node);
+                    proxy.drive(|core, _, out| core.reload(&settings, out));
                 }
-                Err(error) => log::warn!("event=reload signal={told} {error}"),
+                Err(error) => log::warn!("event=reload signal={signalled} {error}"),
             }
         }
     }
-    log::info!("event=stop node={}", settings.node);
-    door.ask(|core| core.shut_down());
-    clients.stop(grace).await;
-    door.drive(|core, now, out| core.release_leases(now, out));
-    tokio::time::sleep(FAREWELL).await;
-    Ok(())
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, String> {
@@ -176,57 +194,25 @@
     listener.map_err(|error| format!("step=listen address={address} error={:?}", error.kind()))
 }
 
-async fn tick(door: Rc<Proxy>) {
+async fn tick(proxy: Rc<Proxy>) {
     let mut ticks = 0_u32;
-    let mut tick = tokio::time::interval(Duration::from_millis(500));
-    tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        tick.tick().await;
-        door.drive(|core, now, out| core.tick(now, out));
+        interval.tick().await;
+        proxy.drive(|core, now, out| core.tick(now, out));
         ticks += 1;
-        if ticks.is_multiple_of(ACCOUNT) {
-            let now = door.clock.now();
-            if let Some(line) = door.ask(|core| core.stats_line(now)) {
+        if ticks.is_multiple_of(STATS_TICKS) {
+            let now = proxy.clock.now();
+            if let Some(line) = proxy.with_core(|core| core.stats_line(now)) {
                 log::info!("{line}");
             }
         }
     }
 }
 
-/// Answers the platform's question whether this door is ready.
-async fn probes(door: Rc<Proxy>, listener: TcpListener) {
-    loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(FAREWELL).await;
-            continue;
-        };
-        let door = door.clone();
-        tokio::task::spawn_local(async move {
-            let service =
-                hyper::service::service_fn(|request: hyper::Request<hyper::body::Incoming>| {
-                    let door = door.clone();
-                    async move {
-                        let mut response = Response::new(Full::<Bytes>::default());
-                        *response.status_mut() = match request.uri().path() {
-                            "/api/readiness" if door.ask(|core| core.ready()) => StatusCode::OK,
-                            "/api/readiness" => StatusCode::SERVICE_UNAVAILABLE,
-                            _ => StatusCode::NOT_FOUND,
-                        };
-                        Ok::<_, Infallible>(response)
-                    }
-                });
-            let connection = hyper::server::conn::http1::Builder::new()
-                .timer(hyper_util::rt::TokioTimer::new())
-                .header_read_timeout(Duration::from_secs(5))
-                .serve_connection(hyper_util::rt::TokioIo::new(stream), service);
-            // A prober that goes is no event.
-            let _ = connection.await;
-        });
-    }
-}
-
 /// One line of key=value pairs for each event.
-fn line(
+fn write_log_line(
     to: &mut dyn std::io::Write,
     _: &mut flexi_logger::DeferredNow,
     record: &log::Record<'_>,
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use maplefall_control_messages::{ConfigUpdate, Frame, InstanceUpdates};
 use maplefall_gateway_config::parse_amend;
 use maplefall_node_settings::Settings;
-use maplefall_proxy::clients::Clients;
+use maplefall_proxy::downstream::DownstreamServer;
 use maplefall_proxy::driver::Proxy;
 use maplefall_service_registry::{InstanceRecord, InstanceState};
 use rand_core::{RngCore, SeedableRng};
@@ -46,7 +46,7 @@
 /// A door with its clients' side.
 pub struct Front {
     pub door: Rc<Proxy>,
-    pub clients: Rc<Clients>,
+    pub clients: Rc<DownstreamServer>,
     pub address: SocketAddr,
     tasks: Vec<AbortHandle>,
 }
@@ -102,11 +102,11 @@
             core.receive(now, "x", Frame::ConfigUpdate(plans), out);
             core.receive(now, "x", Frame::InstanceUpdates(words), out);
         });
-        let clients = Clients::new(door.clone(), sockets, 256 << 20);
-        clients.open(listener);
+        let clients = DownstreamServer::new(door.clone(), sockets, 256 << 20);
+        clients.serve(listener);
         let tasks = vec![
-            tokio::task::spawn_local(door.clone().keep_time()).abort_handle(),
-            tokio::task::spawn_local(door.clone().tidy()).abort_handle(),
+            tokio::task::spawn_local(door.clone().run_timers()).abort_handle(),
+            tokio::task::spawn_local(door.clone().close_idle_periodically()).abort_handle(),
         ];
         Front {
             door,
@@ -120,7 +120,7 @@
 impl Drop for Front {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
-        self.clients.close();
+        self.clients.close_listener();
     }
 }
 
--- a/crates/proxy/tests/stop.rs
+++ b/crates/proxy/tests/stop.rs
@@ -6,7 +6,7 @@
 use maplefall_control_messages::{ConfigUpdate, Frame, InstanceUpdates};
 use maplefall_gateway_config::{parse_amend, Limits};
 use maplefall_node_settings::Settings;
-use maplefall_proxy::connection_state::{CloseMode, ConnectionState};
+use maplefall_proxy::downstream::connection_state::{CloseDeadline, CloseMode, ConnectionState};
 use maplefall_proxy::{Core, IncomingRequest, Output};
 use maplefall_service_registry::{InstanceRecord, InstanceState};
 use std::cell::{Cell, RefCell};
@@ -107,7 +107,7 @@
         let clients = front.clients.clone();
         let stop = tokio::task::spawn_local(async move {
             clients
-                .stop_by(Duration::ZERO, Instant::now() + PATIENCE)
+                .shut_down_by(Duration::ZERO, Instant::now() + PATIENCE)
                 .await;
         });
         // Until the stop has begun, connections are kept.
@@ -227,41 +227,42 @@
         header_timeout: 3000.0,
         ..Limits::default()
     };
-    let mut visit = ConnectionState::new(0.0);
+    let closes = |at, mode| Some(CloseDeadline { at, mode });
+    let mut state = ConnectionState::new(0.0);
     assert_eq!(
-        visit.due(&limits(15_000.0)),
-        Some((15_000.0, CloseMode::Immediate))
+        state.close_deadline(&limits(15_000.0)),
+        closes(15_000.0, CloseMode::Immediate)
     );
-    assert!(visit.heard(1000.0) && !visit.heard(1500.0));
+    assert!(state.bytes_received(1000.0) && !state.bytes_received(1500.0));
     assert_eq!(
-        visit.due(&limits(15_000.0)),
-        Some((4000.0, CloseMode::Immediate))
+        state.close_deadline(&limits(15_000.0)),
+        closes(4000.0, CloseMode::Immediate)
     );
-    visit.asked();
-    assert!(!visit.heard(1600.0), "its body is no head");
+    state.head_received();
+    assert!(!state.bytes_received(1600.0), "its body is no head");
     assert_eq!(
-        (visit.due(&limits(15_000.0)), visit.resting()),
+        (state.close_deadline(&limits(15_000.0)), state.idle_since()),
         (None, None)
     );
-    visit.answered(9000.0);
+    state.response_ready(9000.0);
     assert_eq!(
-        visit.due(&limits(15_000.0)),
-        Some((24_000.0, CloseMode::Graceful))
+        state.close_deadline(&limits(15_000.0)),
+        closes(24_000.0, CloseMode::Graceful)
     );
     assert_eq!(
-        visit.due(&limits(40_000.0)),
-        Some((49_000.0, CloseMode::Graceful))
+        state.close_deadline(&limits(40_000.0)),
+        closes(49_000.0, CloseMode::Graceful)
     );
-    assert_eq!(visit.resting(), Some(9000.0));
+    assert_eq!(state.idle_since(), Some(9000.0));
     // It begins again after four fifths: its head has all its time.
-    visit.heard(9000.0 + 0.8 * 15_000.0);
+    state.bytes_received(9000.0 + 0.8 * 15_000.0);
     assert_eq!(
-        visit.due(&limits(15_000.0)),
-        Some((24_000.0, CloseMode::Immediate))
+        state.close_deadline(&limits(15_000.0)),
+        closes(24_000.0, CloseMode::Immediate)
     );
-    visit.leaves();
+    state.closing();
     assert_eq!(
-        (visit.due(&limits(15_000.0)), visit.resting()),
+        (state.close_deadline(&limits(15_000.0)), state.idle_since()),
         (None, None)
     );
 }
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -15,17 +15,30 @@
     pub broken_connections: u32,
 }
 
-/// Carries one request to a backend and reads the answer. Kept connections that break before the request was whole
-/// stand in for one another. `request` makes it, told how many milliseconds are left; `read` reads an answer, `None`
-/// if it does not come whole or is none; `unseen` tells of an answer that says that the request was not looked at.
+/// What [`send_request`] has to know of an attempt besides the request itself.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestOptions {
+    /// The backend to send to.
+    pub backend: BackendId,
+    /// How to guard the request against a connection that breaks.
+    pub care: Care,
+    /// The client's remaining time, in milliseconds from now. It is handed to the request's builder and does not end the attempt.
+    pub timeout: Millis,
+    /// Length of the request's body.
+    pub body_bytes: usize,
+}
+
+/// Sends one request to a backend and reads the response. A pooled connection that breaks before the request was completely
+/// written is replaced by the next one. `build_request` makes the request, given the remaining milliseconds; `read_response`
+/// reads a response, `None` if it is incomplete or not valid; `is_unread` tells a response which says that the request was not
+/// processed.
 pub async fn send_request<A>(
     pools: &Pools,
-    backend: BackendId,
-    (care, limit): (Care, Millis),
-    line: &AttemptHandle,
-    (body, request): (usize, impl Fn(Millis) -> Request<Full<Bytes>>),
-    read: impl AsyncFn(Response<Incoming>) -> Option<A>,
-    unseen: impl Fn(&A) -> bool,
+    options: RequestOptions,
+    handle: &AttemptHandle,
+    build_request: impl Fn(Millis) -> Request<Full<Bytes>>,
+    read_response: impl AsyncFn(Response<Incoming>) -> Option<A>,
+    is_unread: impl Fn(&A) -> bool,
 ) -> AttemptResult<A> {
     let begun = Instant::now();
     let mut broken = 0;
@@ -33,11 +46,11 @@
         result: Err(outcome),
         broken_connections: broken,
     };
-    let Some(dial) = pools.dial_address(backend) else {
+    let Some(dial) = pools.dial_address(options.backend) else {
         return over(0, Outcome::NotSent);
     };
     loop {
-        let pooled = pools.take_idle(backend, care, line);
+        let pooled = pools.take_idle(options.backend, options.care, handle);
         let idle = pooled
             .as_ref()
             .map(|connection| connection.idle(Instant::now()));
@@ -52,16 +65,18 @@
         };
         // The wait for a connection may have outlasted the backend's place in the list, or its life: what is up by that name
         // now may listen elsewhere, and who listened here may be leaving.
-        if pools.dial_address(backend) != Some(dial) {
+        if pools.dial_address(options.backend) != Some(dial) {
             return over(broken, Outcome::NotSent);
         }
-        line.attach_socket(&connection.wire);
-        connection.wire.begin_request(body, care != Care::Usual);
-        let left = limit - begun.elapsed().as_secs_f64() * 1000.0;
+        handle.attach_socket(&connection.wire);
+        connection
+            .wire
+            .begin_request(options.body_bytes, options.care != Care::Usual);
+        let left = options.timeout - begun.elapsed().as_secs_f64() * 1000.0;
         let sent = match connection.sender.ready().await {
             Ok(()) => connection
                 .sender
-                .send_request(request(left.max(1.0)))
+                .send_request(build_request(left.max(1.0)))
                 .await
                 .ok(),
             Err(_) => None,
@@ -70,14 +85,14 @@
             pools.record_reuse(idle, sent.is_none());
         }
         let answer = match sent {
-            Some(answer) => read(answer).await,
+            Some(answer) => read_response(answer).await,
             None => None,
         };
         let whole = connection.wire.fully_written();
         // What is answered before it was written whole was answered unseen, and its connection is of no more use.
-        if let Some(answer) = answer.filter(|answer| whole || unseen(answer)) {
+        if let Some(answer) = answer.filter(|answer| whole || is_unread(answer)) {
             if whole {
-                pools.put_back(backend, dial, connection);
+                pools.put_back(options.backend, dial, connection);
             }
             return AttemptResult {
                 result: Ok(answer),
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -5,7 +5,7 @@
 mod clock;
 mod pool;
 
-pub use attempt::{send_request, AttemptResult};
+pub use attempt::{send_request, AttemptResult, RequestOptions};
 pub use clock::Clock;
 pub use pool::{
     downstream_budget, upstream_budget, AttemptHandle, ConnectError, Connection, Pools,
