--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -1,20 +1,32 @@
-//! One exchange of a request and its answer with a backend.
+//! One attempt of a request: on a pooled connection if there is one, else on a new one.
 
-use crate::pool::{AttemptHandle, ConnectError, Pools};
+use crate::attempt_handle::AttemptHandle;
+use crate::connection::{ConnectError, Connection};
+use crate::pool::Pools;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response};
 use maplefall_policy::{BackendId, Care, Millis, Outcome};
-use std::time::Instant;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
 
-/// How an exchange ended.
+/// How an attempt ended.
 pub struct AttemptResult<A> {
-    /// The answer, or what the lack of one means.
+    /// The response, or what the lack of one means.
     pub result: Result<A, Outcome>,
-    /// Connections that had come up and broke under it.
+    /// Established connections that broke during the attempt.
     pub broken_connections: u32,
 }
 
+impl<A> AttemptResult<A> {
+    fn failed(outcome: Outcome, broken_connections: u32) -> AttemptResult<A> {
+        AttemptResult {
+            result: Err(outcome),
+            broken_connections,
+        }
+    }
+}
+
 /// What [`send_request`] has to know of an attempt besides the request itself.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOptions {
@@ -40,79 +52,85 @@
     read_response: impl AsyncFn(Response<Incoming>) -> Option<A>,
     is_unread: impl Fn(&A) -> bool,
 ) -> AttemptResult<A> {
-    let begun = Instant::now();
-    let mut broken = 0;
-    let over = |broken, outcome| AttemptResult {
-        result: Err(outcome),
-        broken_connections: broken,
-    };
-    let Some(dial) = pools.dial_address(options.backend) else {
-        return over(0, Outcome::NotSent);
+    let started = Instant::now();
+    let mut broken_connections = 0;
+    let Some(address) = pools.dial_address(options.backend) else {
+        return AttemptResult::failed(Outcome::NotSent, 0);
     };
     loop {
-        let pooled = pools.take_idle(options.backend, options.care, handle);
-        let idle = pooled
-            .as_ref()
-            .map(|connection| connection.idle(Instant::now()));
-        let mut connection = match pooled {
-            Some(connection) => connection,
-            None => match pools.connect(dial).await {
+        let (mut connection, pooled_idle) =
+            match take_or_connect(pools, &options, handle, address).await {
                 Ok(connection) => connection,
-                Err(ConnectError::LocalLimit) => return over(broken, Outcome::NotSent),
-                // Refused: that says more than what broke before.
-                Err(ConnectError::Unreachable) => return over(0, Outcome::ConnectFailed),
-            },
-        };
-        // The wait for a connection may have outlasted the backend's place in the list, or its life: what is up by that name
-        // now may listen elsewhere, and who listened here may be leaving.
-        if pools.dial_address(options.backend) != Some(dial) {
-            return over(broken, Outcome::NotSent);
+                Err(ConnectError::LocalLimit) => {
+                    return AttemptResult::failed(Outcome::NotSent, broken_connections);
+                }
+                // The backend refuses connections: that says more than the ones that broke before.
+                Err(ConnectError::Unreachable) => {
+                    return AttemptResult::failed(Outcome::ConnectFailed, 0);
+                }
+            };
+        // While the connection was established the backend may have been removed or replaced: another instance may have its
+        // address now, or it may be draining.
+        if pools.dial_address(options.backend) != Some(address) {
+            return AttemptResult::failed(Outcome::NotSent, broken_connections);
         }
         handle.attach_socket(&connection.wire);
         connection
             .wire
             .begin_request(options.body_bytes, options.care != Care::Usual);
-        let left = options.timeout - begun.elapsed().as_secs_f64() * 1000.0;
+        let remaining = options.timeout - started.elapsed().as_secs_f64() * 1000.0;
         let sent = match connection.sender.ready().await {
             Ok(()) => connection
                 .sender
-                .send_request(build_request(left.max(1.0)))
+                .send_request(build_request(remaining.max(1.0)))
                 .await
                 .ok(),
             Err(_) => None,
         };
-        if let Some(idle) = idle {
+        if let Some(idle) = pooled_idle {
             pools.record_reuse(idle, sent.is_none());
         }
-        let answer = match sent {
-            Some(answer) => read_response(answer).await,
+        let response = match sent {
+            Some(response) => read_response(response).await,
             None => None,
         };
-        let whole = connection.wire.fully_written();
-        // What is answered before it was written whole was answered unseen, and its connection is of no more use.
-        if let Some(answer) = answer.filter(|answer| whole || is_unread(answer)) {
-            if whole {
-                pools.put_back(options.backend, dial, connection);
+        let fully_written = connection.wire.fully_written();
+        // A response that came before the request was completely written is to no request of ours, unless it says that the request
+        // was not processed; the connection cannot be reused in either case.
+        if let Some(response) = response.filter(|response| fully_written || is_unread(response)) {
+            if fully_written {
+                pools.put_back(options.backend, address, connection);
             }
             return AttemptResult {
-                result: Ok(answer),
-                broken_connections: broken,
+                result: Ok(response),
+                broken_connections,
             };
         }
-        broken += 1;
-        // A connection from the pool that broke before the request was whole tells little of the backend, and
-        // nothing ran: the next one stands in. Each turn takes one out of the pool, so this ends.
-        if !whole && idle.is_some() {
+        broken_connections += 1;
+        // A pooled connection that broke before the request was completely written says little about the backend, and nothing has
+        // run: the next connection is tried. Each iteration takes one out of the pool, so this ends.
+        if !fully_written && pooled_idle.is_some() {
             continue;
         }
-        // Only what was written whole may have run.
-        return over(
-            broken,
-            if whole {
-                Outcome::Reset
-            } else {
-                Outcome::ConnectFailed
-            },
-        );
+        let outcome = if fully_written {
+            Outcome::Reset
+        } else {
+            Outcome::ConnectFailed
+        };
+        return AttemptResult::failed(outcome, broken_connections);
+    }
+}
+
+/// A pooled connection with how long it has been idle, or a new one.
+async fn take_or_connect(
+    pools: &Pools,
+    options: &RequestOptions,
+    handle: &AttemptHandle,
+    address: SocketAddr,
+) -> Result<(Connection, Option<Duration>), ConnectError> {
+    if let Some(connection) = pools.take_idle(options.backend, options.care, handle) {
+        let idle = connection.idle(Instant::now());
+        return Ok((connection, Some(idle)));
     }
+    Ok((pools.connect(address).await?, None))
 }
--- /dev/null
+++ b/crates/upstream/src/attempt_handle.rs
@@ -0,0 +1,80 @@
+//! Control over an attempt from outside its task: abort it, and know whether it may have run.
+
+use crate::socket::UpstreamSocket;
+use std::cell::{Cell, RefCell};
+use std::rc::{Rc, Weak};
+use tokio::task::AbortHandle;
+
+/// The driver's control over an attempt in flight. Clones control the same attempt.
+#[derive(Clone, Default)]
+pub struct AttemptHandle {
+    /// The socket of the connection that carries the attempt now.
+    socket: Rc<RefCell<Option<Rc<UpstreamSocket>>>>,
+    /// Whether a call was sent on a connection that carries others too.
+    multiplexed: Rc<Cell<bool>>,
+    task: Rc<RefCell<Option<AbortHandle>>>,
+    /// The connections that have carried this attempt so far.
+    used: Rc<RefCell<Vec<Weak<UpstreamSocket>>>>,
+    /// The connections that carried earlier attempts of the same request.
+    used_before: Rc<Vec<Weak<UpstreamSocket>>>,
+}
+
+impl AttemptHandle {
+    /// The handle of a further attempt of the same request. Guards against a late response to the first attempt, which has the same
+    /// id: it can only arrive where the first attempt was sent, so no further one is sent there.
+    pub fn for_retry(&self) -> AttemptHandle {
+        let used_before = self
+            .used_before
+            .iter()
+            .chain(self.used.borrow().iter())
+            .cloned()
+            .collect();
+        AttemptHandle {
+            used_before: Rc::new(used_before),
+            ..AttemptHandle::default()
+        }
+    }
+
+    /// Whether a connection has carried an earlier attempt of this request.
+    pub(crate) fn was_sent_on(&self, socket: &Rc<UpstreamSocket>) -> bool {
+        self.used_before
+            .iter()
+            .any(|used| std::ptr::eq(used.as_ptr(), Rc::as_ptr(socket)))
+    }
+
+    /// Sets the connection that carries the attempt.
+    pub fn attach_socket(&self, socket: &Rc<UpstreamSocket>) {
+        self.used.borrow_mut().push(Rc::downgrade(socket));
+        *self.socket.borrow_mut() = Some(socket.clone());
+    }
+
+    /// Sets the task that runs the attempt.
+    pub fn attach_task(&self, task: AbortHandle) {
+        *self.task.borrow_mut() = Some(task);
+    }
+
+    /// A call was sent on a connection that carries others too: from now on it may run.
+    pub fn mark_multiplexed(&self) {
+        self.multiplexed.set(true);
+    }
+
+    /// Whether the request has been completely written: before that, it cannot have run.
+    pub fn fully_written(&self) -> bool {
+        self.multiplexed.get()
+            || self
+                .socket
+                .borrow()
+                .as_ref()
+                .is_some_and(|socket| socket.fully_written())
+    }
+
+    /// Aborts the attempt: its connection is closed before this returns.
+    pub fn abort(&self) {
+        if let Some(socket) = self.socket.borrow_mut().take() {
+            socket.close();
+        }
+        if let Some(task) = self.task.borrow_mut().take() {
+            task.abort();
+        }
+    }
+}
--- a/crates/upstream/src/clock.rs
+++ b/crates/upstream/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one clock of a front door.
+//! The clock of a process that forwards requests.
 
 use maplefall_policy::Millis;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    unix: Millis,
+    unix_start: Millis,
 }
 
 impl Default for Clock {
@@ -17,25 +17,26 @@
 }
 
 impl Clock {
-    /// Starts at the system's present time.
+    /// A clock that starts at the present system time.
     pub fn new() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
             start: Instant::now(),
-            unix: unix.as_secs_f64() * 1000.0,
+            unix_start: unix.as_secs_f64() * 1000.0,
         }
     }
 
-    /// The time now.
+    /// The present time, in Unix milliseconds.
     pub fn now(&self) -> Millis {
-        self.unix + self.start.elapsed().as_secs_f64() * 1000.0
+        self.unix_start + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// A time of this clock as the runtime counts it.
+    /// A time of this clock as an instant of the runtime; times before the start are the start.
     pub fn instant(&self, at: Millis) -> tokio::time::Instant {
-        let after = Duration::try_from_secs_f64((at - self.unix) / 1000.0).unwrap_or_default();
+        let after =
+            Duration::try_from_secs_f64((at - self.unix_start) / 1000.0).unwrap_or_default();
         tokio::time::Instant::from_std(self.start + after)
     }
 }
--- /dev/null
+++ b/crates/upstream/src/connection.rs
@@ -0,0 +1,89 @@
+//! One connection to a backend.
+
+use crate::socket::{ConnectionPermit, SocketIo, UpstreamSocket};
+use http_body_util::Full;
+use hyper::body::Bytes;
+use hyper::client::conn::http1::{Builder, SendRequest};
+use hyper_util::rt::TokioIo;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+use tokio::task::AbortHandle;
+
+/// Bytes that a connection buffers at most in each direction; a longer head of a request is answered 431.
+pub const MAX_BUFFER_BYTES: usize = 32 * 1024;
+
+/// An established connection to a backend; dropped, it is closed at once.
+pub struct Connection {
+    /// Sends requests on it.
+    pub sender: SendRequest<Full<Bytes>>,
+    /// Its socket.
+    pub wire: Rc<UpstreamSocket>,
+    task: AbortHandle,
+    pub(crate) idle_since: Instant,
+}
+
+impl Connection {
+    /// Connects to a backend, and starts the task that drives the connection.
+    pub(crate) async fn establish(
+        address: SocketAddr,
+        permit: ConnectionPermit,
+    ) -> Result<Connection, ConnectError> {
+        let stream = TcpStream::connect(address).await?;
+        stream.set_nodelay(true)?;
+        let wire = Rc::new(UpstreamSocket::new(stream, permit));
+        let io = TokioIo::new(SocketIo(wire.clone()));
+        let (sender, connection) = Builder::new()
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(io)
+            .await
+            .map_err(|_| ConnectError::Unreachable)?;
+        let socket = wire.clone();
+        let task = tokio::task::spawn_local(async move {
+            // The attempt on it, if there is one, gets the error.
+            let _ = connection.await;
+            socket.close();
+        });
+        Ok(Connection {
+            sender,
+            wire,
+            task: task.abort_handle(),
+            idle_since: Instant::now(),
+        })
+    }
+
+    /// How long it has been idle.
+    pub fn idle(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.idle_since)
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.wire.close();
+        self.task.abort();
+    }
+}
+
+/// Why there is no connection to a backend.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectError {
+    /// The connection limit is reached, or this process has no descriptor left: no fault of the backend.
+    LocalLimit,
+    /// The backend refuses, does not respond in time or cannot be reached.
+    Unreachable,
+}
+
+impl From<io::Error> for ConnectError {
+    fn from(error: io::Error) -> ConnectError {
+        use io::ErrorKind::*;
+        match error.kind() {
+            ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut
+            | HostUnreachable | NetworkUnreachable | BrokenPipe | NotConnected | UnexpectedEof
+            | InvalidInput => ConnectError::Unreachable,
+            _ => ConnectError::LocalLimit,
+        }
+    }
+}
--- /dev/null
+++ b/crates/upstream/src/idle_age.rs
@@ -0,0 +1,71 @@
+//! Up to which idle age pooled connections turn out to be alive. Backends close idle connections earlier than they announce, and
+//! middleboxes in between forget connections without notice.
+
+#[cfg(test)]
+mod tests;
+
+use std::time::{Duration, Instant};
+
+/// Upper bound in milliseconds of the first band of idle ages; each further band reaches twice as far.
+const FIRST_BAND_MS: f64 = 4.0;
+/// Bands of idle ages: the last begins at about 16 s.
+const BANDS: usize = 13;
+/// Observations of a band count half after this.
+const HALF_LIFE: Duration = Duration::from_secs(4);
+/// Broken connections from which on a band may count as failing.
+const MIN_BROKEN: f64 = 2.0;
+/// Fraction of broken connections from which on a band counts as failing.
+const MIN_BROKEN_FRACTION: f64 = 0.2;
+
+/// Decayed observations of one band of idle ages.
+#[derive(Clone, Copy, Default)]
+struct Band {
+    reused: f64,
+    broken: f64,
+    updated_at: Option<Instant>,
+}
+
+impl Band {
+    /// The factor by which its observations have decayed.
+    fn decay(&self, now: Instant) -> f64 {
+        let age = self
+            .updated_at
+            .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
+        (-age / HALF_LIFE.as_secs_f64()).exp2()
+    }
+
+    fn is_failing(&self, now: Instant) -> bool {
+        self.broken * self.decay(now) >= MIN_BROKEN
+            && self.broken >= MIN_BROKEN_FRACTION * self.reused
+    }
+}
+
+/// What has become of requests on pooled connections, by how long those had been idle. It learns from every reuse; idempotent
+/// requests go on using old connections, so a recovery is learned too. It does not cover a single backend that breaks young
+/// connections, and where more connections break than [`MIN_BROKEN_FRACTION`] for reasons other than age it costs new
+/// connections that were not needed.
+#[derive(Default)]
+pub(crate) struct IdleAgeStats([Band; BANDS]);
+
+impl IdleAgeStats {
+    fn band(idle: Duration) -> usize {
+        let doublings = (idle.as_secs_f64() * 1000.0 / FIRST_BAND_MS).log2();
+        (doublings.max(-1.0) as isize + 1).clamp(0, BANDS as isize - 1) as usize
+    }
+
+    /// Records a request on a connection that had been idle so long, and whether the connection broke.
+    pub fn record(&mut self, now: Instant, idle: Duration, broke: bool) {
+        let band = &mut self.0[Self::band(idle)];
+        let decay = band.decay(now);
+        band.reused = band.reused * decay + 1.0;
+        band.broken = band.broken * decay + f64::from(u8::from(broke));
+        band.updated_at = Some(now);
+    }
+
+    /// Whether connections of this idle age, and of every lower one, are alive.
+    pub fn survives(&self, now: Instant, idle: Duration) -> bool {
+        !self.0[..=Self::band(idle)]
+            .iter()
+            .any(|band| band.is_failing(now))
+    }
+}
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,13 +1,20 @@
-//! Connections to backends, for every program that forwards: pools, at what idle age kept connections hold, a request
-//! written with caution, and what is known of it once its connection breaks.
+//! Connections to backends, for every program that forwards requests: pools of connections, up to which idle age these are
+//! reused, one attempt of a request on them, and whether it may have run when its connection breaks.
 
 mod attempt;
+mod attempt_handle;
 mod clock;
+mod connection;
+mod idle_age;
+mod limits;
 mod pool;
+mod socket;
+mod written_bytes;
 
 pub use attempt::{send_request, AttemptResult, RequestOptions};
+pub use attempt_handle::AttemptHandle;
 pub use clock::Clock;
-pub use pool::{
-    downstream_budget, upstream_budget, AttemptHandle, ConnectError, Connection, Pools,
-    UpstreamSocket, MAX_BUFFER_BYTES,
-};
+pub use connection::{ConnectError, Connection, MAX_BUFFER_BYTES};
+pub use limits::{downstream_budget, upstream_budget};
+pub use pool::Pools;
+pub use socket::UpstreamSocket;
--- /dev/null
+++ b/crates/upstream/src/socket.rs
@@ -0,0 +1,151 @@
+//! The socket of a connection to a backend, below the HTTP library: it knows how much of a request has been written, can delay
+//! the last byte, and is closed at once when its attempt is given up.
+
+use crate::written_bytes::WrittenBytes;
+use socket2::SockRef;
+use std::cell::{Cell, RefCell};
+use std::future::Future;
+use std::io;
+use std::mem::MaybeUninit;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::time::Sleep;
+
+/// How long the last byte of a guarded request is delayed: within one data centre a reset is back by then. Where the round trip is
+/// longer, the guard finds less and costs no more.
+const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
+
+/// A socket that can be closed at once from outside the HTTP library, and that counts towards the connection limit until it
+/// is.
+pub struct UpstreamSocket {
+    socket: RefCell<Option<(TcpStream, ConnectionPermit)>>,
+    written: RefCell<WrittenBytes>,
+    /// Whether the last byte of the request is delayed to probe the connection.
+    delay_last_byte: Cell<bool>,
+    /// Until when it is delayed, once all bytes before it are written.
+    last_byte_delay: RefCell<Option<Pin<Box<Sleep>>>>,
+}
+
+impl UpstreamSocket {
+    pub(crate) fn new(stream: TcpStream, permit: ConnectionPermit) -> UpstreamSocket {
+        UpstreamSocket {
+            socket: RefCell::new(Some((stream, permit))),
+            written: RefCell::default(),
+            delay_last_byte: Cell::default(),
+            last_byte_delay: RefCell::default(),
+        }
+    }
+
+    /// Whether the request has been completely written: before that, it cannot have run.
+    pub fn fully_written(&self) -> bool {
+        self.written.borrow().is_complete()
+    }
+
+    /// A request with a body of this length is about to be written. With `delay_last_byte` the connection is probed before the last
+    /// byte is written.
+    pub fn begin_request(&self, body_bytes: usize, delay_last_byte: bool) {
+        *self.written.borrow_mut() = WrittenBytes::new(body_bytes);
+        self.delay_last_byte.set(delay_last_byte);
+        self.last_byte_delay.borrow_mut().take();
+    }
+
+    /// How many of these bytes may be written now. Guards requests against connections that the backend has closed unnoticed: all
+    /// but the last byte is written first, and that one only if nothing came back. A backend begins with the last byte, so a
+    /// request whose connection breaks before has not run and may be sent again even if it is not idempotent.
+    fn writable_bytes(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        if !self.delay_last_byte.get() || !self.written.borrow().would_complete(bytes) {
+            return Poll::Ready(Ok(bytes.len()));
+        }
+        if bytes.len() > 1 {
+            return Poll::Ready(Ok(bytes.len() - 1));
+        }
+        let mut delay = self.last_byte_delay.borrow_mut();
+        let delay = delay.get_or_insert_with(|| Box::pin(tokio::time::sleep(LAST_BYTE_DELAY)));
+        ready!(delay.as_mut().poll(cx));
+        // A reset may have arrived meanwhile; only the kernel knows yet.
+        Poll::Ready(if self.is_open_and_empty() {
+            Ok(1)
+        } else {
+            Err(io::ErrorKind::ConnectionReset.into())
+        })
+    }
+
+    pub(crate) fn close(&self) {
+        self.socket.borrow_mut().take();
+    }
+
+    /// Whether the socket is open and has nothing to read. Guards against taking an unsolicited response for that of the next
+    /// request. The kernel is asked, since the runtime learns of arrived bytes only between two tasks.
+    pub(crate) fn is_open_and_empty(&self) -> bool {
+        let mut byte = [MaybeUninit::uninit()];
+        let socket = self.socket.borrow();
+        let peeked = socket
+            .as_ref()
+            .map(|(stream, _)| SockRef::from(stream).peek(&mut byte));
+        matches!(peeked, Some(Err(error)) if error.kind() == io::ErrorKind::WouldBlock)
+    }
+}
+
+/// Counts a connection towards the limit, from before it is established until its socket is closed.
+pub(crate) struct ConnectionPermit(Rc<Cell<usize>>);
+
+impl ConnectionPermit {
+    pub fn acquire(open_connections: &Rc<Cell<usize>>) -> ConnectionPermit {
+        open_connections.set(open_connections.get() + 1);
+        ConnectionPermit(open_connections.clone())
+    }
+}
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+/// The HTTP library's end of an [`UpstreamSocket`].
+pub(crate) struct SocketIo(pub Rc<UpstreamSocket>);
+
+impl AsyncRead for SocketIo {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        match self.0.socket.borrow_mut().as_mut() {
+            Some((stream, _)) => Pin::new(stream).poll_read(cx, buf),
+            None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
+        }
+    }
+}
+
+impl AsyncWrite for SocketIo {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        let writable = ready!(self.0.writable_bytes(cx, buf))?;
+        let mut socket = self.0.socket.borrow_mut();
+        let Some((stream, _)) = socket.as_mut() else {
+            return Poll::Ready(Err(io::ErrorKind::NotConnected.into()));
+        };
+        let written = Pin::new(stream).poll_write(cx, &buf[..writable]);
+        if let Poll::Ready(Ok(count)) = &written {
+            self.0.written.borrow_mut().record(&buf[..*count]);
+        }
+        written
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.0.close();
+        Poll::Ready(Ok(()))
+    }
+}
