--- a/crates/maplefall/src/net/clients.rs
+++ b/crates/maplefall/src/net/clients.rs
@@ -11,11 +11,13 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use maplefall_downstream::{
+    retry_after_value, CloseNotification, ConnectionGuard, ConnectionTable, ShutdownPhase,
+};
 use maplefall_policy::{Millis, RequestId};
 use maplefall_protocol::Answer;
 use maplefall_upstream::{downstream_budget, MAX_BUFFER_BYTES};
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use std::cell::Cell;
 use std::convert::Infallible;
 use std::io;
 use std::net::IpAddr;
@@ -30,13 +32,13 @@
 /// The readiness check of the front before the front doors.
 const HEALTH: &str = "/_health";
 /// New connections go on coming for up to 0.4 s after SIGTERM; idle ones are kept until they have come.
-const LINGER: Duration = Duration::from_millis(550);
+const DRAIN_DELAY: Duration = Duration::from_millis(550);
 /// Longest time after SIGTERM beyond the longest deadline: SIGKILL comes 0.7 s beyond it.
 const LAST_CALL: Duration = Duration::from_millis(550);
 /// Time to accept what came just before the end.
 const LAST_LOOK: Duration = Duration::from_millis(5);
-/// Pause when the system has no descriptor for a new connection.
-const NO_DESCRIPTOR: Duration = Duration::from_millis(10);
+/// Pause after an accept that failed, as when the process has no descriptor left.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// Time for a whole request from its first byte, and for the first one on a connection from the connect.
 const READ_TIME: Millis = 2000.0;
 /// What is added before a connection is closed without a word, so that an answer can tell why.
@@ -49,32 +51,14 @@
 const SWEEP: Duration = Duration::from_millis(100);
 /// When a client whose caller could not be checked is told to come again: a breaker's first pause is over by then.
 const UNCHECKED_WAIT: Millis = 1000.0;
-/// How long a full house waits for one that is asked to leave.
-const MAKE_ROOM: Duration = Duration::from_millis(20);
-
-/// How far a planned stop has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
-    Serving,
-    /// Answers close their connections.
-    Closing,
-    /// Idle connections are closed too.
-    Sweeping,
-}
 
 /// The clients' side of a front door.
 pub struct Clients {
     door: Rc<Door>,
     /// Who checks callers, if anybody does.
     auth: Option<Rc<Auth>>,
-    most: usize,
-    /// The open connections, at most `most`.
-    peers: RefCell<HashMap<u64, Rc<Peer>>>,
-    accepted: Cell<u64>,
-    closed: Notify,
-    /// Whether a new connection waits and nobody can be asked to leave: answers then close theirs.
-    crowded: Cell<bool>,
-    phase: watch::Sender<Phase>,
+    connections: Rc<ConnectionTable<Peer>>,
+    phase: watch::Sender<ShutdownPhase>,
 }
 
 impl Clients {
@@ -83,12 +67,11 @@
         Rc::new(Clients {
             door,
             auth,
-            most: downstream_budget(sockets),
-            peers: RefCell::default(),
-            accepted: Cell::new(0),
-            closed: Notify::new(),
-            crowded: Cell::new(false),
-            phase: watch::Sender::new(Phase::Serving),
+            connections: ConnectionTable::new(
+                downstream_budget(sockets),
+                CloseNotification::Waiting,
+            ),
+            phase: watch::Sender::new(ShutdownPhase::Serving),
         })
     }
 
@@ -97,39 +80,33 @@
         loop {
             match listener.accept().await {
                 Ok((stream, address)) => {
-                    self.make_room().await;
-                    let peer = Rc::new(Peer::new(self.door.clock.now(), address.ip()));
-                    self.accepted.set(self.accepted.get() + 1);
-                    self.peers
-                        .borrow_mut()
-                        .insert(self.accepted.get(), peer.clone());
-                    tokio::task::spawn_local(self.clone().serve(stream, self.accepted.get(), peer));
+                    self.wait_for_capacity().await;
+                    let peer = Peer::new(self.door.clock.now(), address.ip());
+                    let guard = self.connections.insert(peer);
+                    tokio::task::spawn_local(self.clone().serve(stream, guard));
                 }
-                Err(_) => tokio::time::sleep(NO_DESCRIPTOR).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await,
             }
         }
     }
 
-    /// Waits until there is room for one more. What the system has accepted for us counts as ours, so a full
-    /// house must not keep it waiting: just one connection is closed, and the one that is least missed.
-    async fn make_room(&self) {
-        while self.peers.borrow().len() >= self.most {
-            let now = self.door.clock.now();
-            let victim = {
-                let peers = self.peers.borrow();
-                peers
-                    .values()
-                    .filter_map(|peer| Some((peer.dispensable(now)?, peer.clone())))
-                    .max_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)))
-            };
-            match victim {
-                Some(((Spare::Idle, _), peer)) => peer.leave(Leave::Idle),
-                Some((_, peer)) => peer.leave(Leave::Now),
-                None => self.crowded.set(true),
-            }
-            let _ = tokio::time::timeout(MAKE_ROOM, self.closed.notified()).await;
-        }
-        self.crowded.set(false);
+    /// Waits for the connection limit. A connection that the kernel has accepted for us counts as ours, so it must not wait long:
+    /// one other connection is closed, the one that is missed least.
+    async fn wait_for_capacity(&self) {
+        self.connections
+            .wait_for_capacity(
+                |peers| {
+                    let now = self.door.clock.now();
+                    peers
+                        .filter_map(|peer| Some((peer.dispensable(now)?, peer.clone())))
+                        .max_by(|(a, _), (b, _)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)))
+                },
+                |((kind, _), peer)| match kind {
+                    Spare::Idle => peer.leave(Leave::Idle),
+                    _ => peer.leave(Leave::Now),
+                },
+            )
+            .await;
     }
 
     /// Closes what has had its time, for as long as the front door runs.
@@ -137,19 +114,16 @@
         loop {
             tokio::time::sleep(SWEEP).await;
             let now = self.door.clock.now();
-            for peer in self.peers.borrow().values() {
+            self.connections.for_each(|peer| {
                 if let Some(how) = peer.overdue(now) {
                     peer.leave(how);
                 }
-            }
+            });
         }
     }
 
-    async fn serve(self: Rc<Self>, stream: TcpStream, number: u64, peer: Rc<Peer>) {
-        let _open = Open {
-            clients: &self,
-            number,
-        };
+    async fn serve(self: Rc<Self>, stream: TcpStream, guard: ConnectionGuard<Peer>) {
+        let peer = guard.state();
         // Without it answers are late, not wrong.
         let _ = stream.set_nodelay(true);
         let io = TokioIo::new(Watched {
@@ -171,7 +145,7 @@
             tokio::select! {
                 // An error is a client that went away or wrote no HTTP; the library has answered the latter.
                 _ = connection.as_mut() => return,
-                _ = phase.wait_for(|phase| *phase == Phase::Sweeping), if !leaving => {}
+                _ = phase.wait_for(|phase| *phase == ShutdownPhase::ClosingIdle), if !leaving => {}
                 () = peer.asked.notified() => if peer.left.get() == Some(Leave::Now) { return },
             }
             leaving = true;
@@ -190,15 +164,15 @@
             .fold(0.0, f64::max);
         let longest = Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default();
         let end = tokio::time::Instant::now() + longest + LAST_CALL;
-        self.phase.send_replace(Phase::Closing);
+        self.phase.send_replace(ShutdownPhase::ClosingAfterResponse);
         #[cfg(feature = "breakages")]
         if breakages::is(breakages::Breakage::DropsOnTerm) {
             return;
         }
-        tokio::time::sleep(LINGER).await;
-        self.phase.send_replace(Phase::Sweeping);
-        while !self.peers.borrow().is_empty() {
-            let closed = tokio::time::timeout_at(end, self.closed.notified()).await;
+        tokio::time::sleep(DRAIN_DELAY).await;
+        self.phase.send_replace(ShutdownPhase::ClosingIdle);
+        while !self.connections.is_empty() {
+            let closed = tokio::time::timeout_at(end, self.connections.closed()).await;
             if closed.is_err() {
                 eprintln!(
                     "stopped with {} requests unanswered",
@@ -212,7 +186,7 @@
     }
 
     async fn answer(&self, request: Request<IncomingBody>, peer: &Peer) -> Response<Full<Bytes>> {
-        let mut close = self.crowded.get();
+        let mut close = self.connections.is_saturated();
         let mut response = if request.uri().path() == HEALTH {
             peer.whole();
             self.health()
@@ -225,7 +199,7 @@
                 response
             })
         };
-        if close || *self.phase.borrow() != Phase::Serving {
+        if close || *self.phase.borrow() != ShutdownPhase::Serving {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -303,7 +277,7 @@
         let settings = &self.door.settings;
         if settings.retry_after {
             let wait = UNCHECKED_WAIT.min(settings.max_retry_after);
-            if let Ok(wait) = HeaderValue::try_from(format!("{:.3}", wait / 1000.0)) {
+            if let Some(wait) = retry_after_value(wait) {
                 response.headers_mut().insert(RETRY_AFTER, wait);
             }
         }
@@ -332,19 +306,6 @@
     response
 }
 
-/// Counts a connection of a client while it is open.
-struct Open<'a> {
-    clients: &'a Clients,
-    number: u64,
-}
-
-impl Drop for Open<'_> {
-    fn drop(&mut self) {
-        self.clients.peers.borrow_mut().remove(&self.number);
-        self.clients.closed.notify_waiters();
-    }
-}
-
 /// Tells the driver when a client goes away before its answer.
 struct Waiting<'a> {
     door: &'a Rc<Door>,
@@ -541,8 +502,7 @@
     };
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
-    let wait = wait.and_then(|wait| HeaderValue::try_from(format!("{:.3}", wait / 1000.0)).ok());
-    if let Some(wait) = wait {
+    if let Some(wait) = wait.and_then(retry_after_value) {
         response.headers_mut().insert(RETRY_AFTER, wait);
     }
     response
