--- a/crates/proxy/tests/end_to_end.rs
+++ b/crates/proxy/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path over loopback: an exchange with its disk, a door as a process, played backends, an operator and clients.
+//! End to end over loopback: a controller with its state on disk, a proxy as a process, backends, an operator and clients.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,7 +8,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// Longest time that anything may take here; only a fault uses it up.
+/// Longest time that anything may take; only a fault uses it up.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct ClientResponse {
@@ -43,7 +43,7 @@
     Some(ClientResponse { status, head, body })
 }
 
-/// Asks again until the answer is as wanted.
+/// Repeats a request until its response is as expected.
 fn request_until(
     to: SocketAddr,
     text: &str,
@@ -54,8 +54,8 @@
         match request_once(to, text) {
             Some(response) if is_expected(&response) => return response,
             response => {
-                let forwarded = response.map(|response| (response.status, response.body));
-                assert!(Instant::now() < end, "{text}: {forwarded:?}");
+                let last = response.map(|response| (response.status, response.body));
+                assert!(Instant::now() < end, "{text}: {last:?}");
                 std::thread::yield_now();
             }
         }
@@ -69,7 +69,7 @@
     )
 }
 
-/// A backend that hands every request to its script and writes what that says; nothing for silence.
+/// A backend that writes what `script` returns for each request, nothing for `None`.
 fn start_backend(
     script: impl Fn(&str) -> Option<String> + Send + Clone + 'static,
 ) -> (SocketAddr, mpsc::Receiver<String>) {
@@ -137,8 +137,8 @@
         let directory =
             std::env::temp_dir().join(format!("maplefall-whole-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&directory);
-        fs::create_dir_all(&directory).expect("a folder");
-        // One address for each machine: the inner port is the same on both.
+        fs::create_dir_all(&directory).expect("a directory");
+        // One address for each machine: the internal port is the same on both.
         let [controller_ip, edge_ip] = [2, 3].map(|n| IpAddr::V4(Ipv4Addr::new(127, 0, 0, n)));
         let (control, internal_port) = (
             free_address(controller_ip),
@@ -165,7 +165,7 @@
                     settings_file,
                     7,
                 )))
-                .expect("an exchange");
+                .expect("a controller");
         });
         let edge_file = directory.join("edge.toml");
         let edge_ip = format!("Node = \"edge\"\nIp = \"{edge_ip}\"\n{common_settings}[Bind]\nFrontHttp = \"{front}\"\nReadyProbe = \"{probe}\"\n");
@@ -175,7 +175,7 @@
             .env("MAPLEFALL_CONFIG", &edge_file)
             .stderr(Stdio::null())
             .spawn()
-            .expect("a door");
+            .expect("a proxy");
         let system = TestSystem {
             directory,
             proxy,
@@ -208,10 +208,10 @@
     format!("GET {path} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: abc\r\nAuthorization: Token k1\r\n{headers}\r\n")
 }
 
-/// Guards the whole path: a request comes to the backend as it should and its answer back unchanged; who has no key or no
-/// route is told so; what the client says of its tenant does not pass.
+/// Guards the whole path: a request reaches the backend with the right headers and its response comes back unchanged; a request without
+/// a key or a route is rejected; a tenant header of the client is not forwarded.
 #[test]
-fn a_request_goes_all_the_way_and_its_answer_back() {
+fn a_request_reaches_its_backend_and_the_response_its_client() {
     let (backend_address, requests) = start_backend(|head| {
         response(
             head,
@@ -222,7 +222,7 @@
     });
     let system = TestSystem::start("way", &[("one-1", backend_address)]);
     let headers = "X-Tenant: other\r\nX-Target-Instance: x\r\nConnection: X-Odd\r\nX-Odd: 1\r\nX-Time-Remaining: 20000\r\n";
-    // Its bucket is empty at first, and fills as soon as the loan is there.
+    // The tenant's bucket is empty at first, and fills as soon as the lease is granted.
     let response = request_until(system.front, &get("/one/a?b=%20c", headers), |response| {
         response.status != 429
     });
@@ -264,7 +264,7 @@
         |text: &str| request_until(system.front, text, |response| response.status != 429).status;
     assert_eq!(status(&get("/one/", "").replace("k1", "k2")), 401);
     assert_eq!(status(&get("/three/", "")), 404);
-    // Chunks come as a body with a length; two lengths, or a length beside chunks, are no request to pass on as they are.
+    // A chunked body is forwarded with a length; a request with two lengths is invalid.
     let chunked = get("/one/", "Transfer-Encoding: chunked\r\n").replace("GET", "PUT")
         + "3\r\nabc\r\n0\r\n\r\n";
     assert_eq!(status(&chunked), 200);
@@ -294,44 +294,44 @@
     );
     assert_eq!(
         request_once(system.control, &bad)
-            .expect("an answer")
+            .expect("a response")
             .status,
         400
     );
 }
 
-/// Guards requests that must not run twice: one that a backend has turned away and another may have run gets no promise, also
-/// not the one that the first gave. Seen on the bench: "answered 503, and a server ran it".
+/// Guards requests that must not run twice: one that a backend rejected and another may have run gets no promise that it has not run,
+/// not even the one that the first backend gave. Seen on the bench: "answered 503, and a server ran it".
 #[test]
-fn what_may_have_run_gets_no_promise() {
+fn a_request_that_may_have_run_gets_no_promise() {
     let shed = |head: &str| response(head, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
     let (shedding_backend, rejected_requests) = start_backend(shed);
-    // It takes the request and says nothing; whoever comes a second time would have run it twice.
-    let (silent_backend, run_requests) = start_backend(|_| None);
+    // It reads requests and never responds; a request that it gets twice would have run twice.
+    let (silent_backend, runs) = start_backend(|_| None);
     let system = TestSystem::start(
         "promise",
         &[("two-1", shedding_backend), ("two-2", silent_backend)],
     );
     let mut second_attempts = 0;
     let end = Instant::now() + TIMEOUT;
-    // Repeats are earned, and the first requests find their bucket empty.
+    // The retry budget grows with requests, and the first requests find an empty bucket.
     while second_attempts < 1 {
         assert!(
             Instant::now() < end,
-            "the silent one was never tried second"
+            "the silent backend never got a second attempt"
         );
         let post = get("/two/", "X-Time-Remaining: 400\r\nContent-Length: 2\r\n")
             .replace("GET", "POST")
             + "ab";
-        let response = request_once(system.front, &post).expect("an answer");
-        let run_requests = run_requests.try_iter().count();
-        // One that was turned away first and ran then.
-        second_attempts += run_requests.min(rejected_requests.try_iter().count());
-        assert!(run_requests <= 1, "it was sent on twice");
+        let response = request_once(system.front, &post).expect("a response");
+        let runs = runs.try_iter().count();
+        // A request that was rejected first and then ran.
+        second_attempts += runs.min(rejected_requests.try_iter().count());
+        assert!(runs <= 1, "it was forwarded twice");
         assert_eq!(
-            run_requests == 1,
+            runs == 1,
             !matches!(response.status, 429 | 503 | 408 | 421),
-            "{} where {run_requests} ran",
+            "{} where {runs} ran",
             response.status
         );
     }
--- a/crates/proxy/tests/quota_leases.rs
+++ b/crates/proxy/tests/quota_leases.rs
@@ -1,9 +1,9 @@
-//! Doors and lenders over a played network: reports and answers are late, lost, or lost with their connection; what an earlier
-//! connection or life of a door has left behind comes late; doors are cut off, die and come back; lenders die and come back, with
-//! their disk or without it, are frozen, cut off from the doors or from the other exchanges, and go on meanwhile; members join, go and are
-//! replaced, also those that are cut off or frozen just then. Steady clocks run apart by two in a hundred at most. Whatever
-//! happens, what is held adds up to the whole at most, so does what the lenders count as out, and in no window do all doors together
-//! let in more than the quota's bound. Seeds are printed.
+//! Proxies and lease servers over a simulated network: requests and grants are late, lost, or lost with their connection; messages of an
+//! earlier connection or incarnation of a proxy arrive late; proxies are partitioned, crash and restart; controllers crash and restart,
+//! with their disk or without it, are paused, partitioned from the proxies or from the other controllers, and go on meanwhile; members
+//! join, leave and are replaced, also those that are partitioned or paused just then. Monotonic clocks drift apart by 2 % at most.
+//! Whatever happens, the leased shares add up to the quota at most, so do those that the servers count as outstanding, and in no window
+//! do all proxies together admit more than the quota's bound. Seeds are printed.
 
 use maplefall_node_settings::Bounds;
 use maplefall_policy::Tenants;
@@ -21,35 +21,35 @@
     ("small", 6.0, 6.0),
     ("odd", 20.0, 0.0),
 ];
-/// How long a day is, ms.
-const DAY: f64 = 75_000.0;
-/// A leader that has been replaced may go on for this long, and its followers with it.
-const DEPOSED: f64 = 1000.0;
+/// Simulated time, in milliseconds.
+const SIMULATED_MS: f64 = 75_000.0;
+/// A deposed leader may go on for this long, and its followers with it.
+const DEPOSED_LEADER_MS: f64 = 1000.0;
 
 type Members = BTreeSet<String>;
 
-struct Door {
-    purse: LeaseClient,
+struct SimulatedProxy {
+    lease_client: LeaseClient,
     tenants: Tenants<&'static str>,
-    life: u64,
-    /// Which lenders it is connected to, each connection by its number.
-    links: BTreeMap<usize, u64>,
-    down: f64,
-    cut: f64,
-    /// How fast its steady clock runs.
+    incarnation: u64,
+    /// The controllers that it is connected to, with the id of each connection.
+    open_connections: BTreeMap<usize, u64>,
+    down_until: f64,
+    partitioned_until: f64,
+    /// The rate of its monotonic clock.
     rate: f64,
-    /// Requests a second for each tenant.
-    asks: [f64; 3],
+    /// Requests per second of each tenant.
+    request_rates: [f64; 3],
 }
 
-/// What the exchanges have agreed on: the members, by the index of each entry that changed them, from the first.
-struct Agreed {
+/// The committed membership changes: the index of each entry and the members from then on.
+struct MembershipLog {
     losses: u32,
     entries: Vec<(u64, Members)>,
 }
 
-impl Agreed {
-    /// The slots as they follow from the first entries, so many.
+impl MembershipLog {
+    /// The slots after the first `entries` entries.
     fn slots(&self, entries: usize) -> Slots {
         let (index, first) = &self.entries[0];
         let mut slots = Slots::initial(first, self.losses, *index, false);
@@ -63,539 +63,682 @@
         &self.entries[self.entries.len() - 1].1
     }
 
-    fn agree(&mut self, members: Members) {
+    fn append(&mut self, members: Members) {
         let index = self.entries[self.entries.len() - 1].0 + 1;
         self.entries.push((index, members));
     }
 }
 
-/// What is on an exchange's disk.
+/// A controller's disk.
 #[derive(Clone, Default)]
 struct Disk {
     names: BTreeSet<String>,
-    known: bool,
-    waited: BTreeSet<u64>,
-    /// How many entries are folded; nought for a disk that came empty.
-    folded: usize,
+    names_known: bool,
+    completed_waits: BTreeSet<u64>,
+    /// How many entries are compacted; 0 for an empty disk.
+    compacted_entries: usize,
 }
 
-/// One life of an exchange.
-struct Life {
-    shares: OwnedSlots,
-    lender: LeaseServer,
-    born: f64,
+/// One incarnation of a controller.
+struct ServerInstance {
+    owned_slots: OwnedSlots,
+    lease_server: LeaseServer,
+    started_at: f64,
     /// How many entries are applied.
     applied: usize,
-    contact: f64,
+    quorum_contact_at: f64,
 }
 
-struct Exchange {
+struct SimulatedController {
     name: String,
-    /// How fast its steady clock runs.
+    /// The rate of its monotonic clock.
     rate: f64,
     disk: Disk,
-    life: Option<Life>,
-    /// Starts then; never, where it is gone for good or not there yet.
-    starts: f64,
-    frozen: f64,
-    /// Cut off from the other exchanges, since when and until when.
-    alone: (f64, f64),
-    /// Cut off from the doors until then.
-    away: f64,
-    /// It ends once more then, and comes back with its disk.
-    again: f64,
+    incarnation: Option<ServerInstance>,
+    /// When it starts; infinite if it is gone for good or not there yet.
+    starts_at: f64,
+    paused_until: f64,
+    /// From when until when it is partitioned from the other controllers.
+    partitioned_between: (f64, f64),
+    /// Until when it is partitioned from the proxies.
+    unreachable_until: f64,
+    /// When it restarts once more, with its disk.
+    restarts_at: f64,
 }
 
-impl Exchange {
+impl SimulatedController {
     fn clock(&self, now: f64) -> f64 {
         now * self.rate
     }
 
-    fn runs(&self, now: f64) -> bool {
-        self.life.is_some() && now >= self.frozen
+    fn is_running(&self, now: f64) -> bool {
+        self.incarnation.is_some() && now >= self.paused_until
     }
 
-    fn start(&mut self, now: f64, life: u32, agreed: &Agreed) {
+    fn start(&mut self, now: f64, incarnation: u32, membership_log: &MembershipLog) {
         let clock = self.clock(now);
-        let known = self.disk.known.then(|| self.disk.names.clone());
-        let lender = LeaseServer::new(clock, life, 0, known);
-        let slots = if self.disk.folded > 0 {
-            agreed.slots(self.disk.folded)
+        let names_known = self.disk.names_known.then(|| self.disk.names.clone());
+        let lease_server = LeaseServer::new(clock, incarnation, 0, names_known);
+        let slots = if self.disk.compacted_entries > 0 {
+            membership_log.slots(self.disk.compacted_entries)
         } else {
             Slots::default()
         };
-        let (shares, _) = OwnedSlots::new(clock, &self.name, slots, self.disk.waited.clone());
-        let mut life = Life {
-            shares,
-            lender,
-            born: clock,
-            applied: self.disk.folded,
-            contact: f64::NEG_INFINITY,
+        let (owned_slots, _) =
+            OwnedSlots::new(clock, &self.name, slots, self.disk.completed_waits.clone());
+        let mut incarnation = ServerInstance {
+            owned_slots,
+            lease_server,
+            started_at: clock,
+            applied: self.disk.compacted_entries,
+            quorum_contact_at: f64::NEG_INFINITY,
         };
-        assert!(life.lender.set_limit(life.shares.limit()).is_empty());
-        self.life = Some(life);
+        assert!(incarnation
+            .lease_server
+            .set_limit(incarnation.owned_slots.limit())
+            .is_empty());
+        self.incarnation = Some(incarnation);
     }
 
-    /// It hears of what is agreed, up to the entry of this number; tells what doors are to be told.
+    /// Applies the committed entries up to this number; returns the grants that proxies get.
     fn apply(
         &mut self,
         now: f64,
-        agreed: &Agreed,
+        membership_log: &MembershipLog,
         to: usize,
-        written: bool,
+        is_persisted: bool,
     ) -> Vec<(String, LeaseGrant)> {
         let clock = self.clock(now);
-        let mut told = Vec::new();
-        let Some(life) = &mut self.life else {
-            return told;
+        let mut grants = Vec::new();
+        let Some(incarnation) = &mut self.incarnation else {
+            return grants;
         };
-        let mut turns = Vec::new();
-        if life.applied == 0 {
-            // It gets a whole state first.
-            life.applied = to;
-            turns.extend(life.shares.install(clock, agreed.slots(to)));
+        let mut slot_events = Vec::new();
+        if incarnation.applied == 0 {
+            // It installs a snapshot first.
+            incarnation.applied = to;
+            slot_events.extend(
+                incarnation
+                    .owned_slots
+                    .install(clock, membership_log.slots(to)),
+            );
         }
-        while life.applied < to {
-            let (index, members) = &agreed.entries[life.applied];
-            turns.extend(life.shares.members_changed(clock, members, *index));
-            life.applied += 1;
+        while incarnation.applied < to {
+            let (index, members) = &membership_log.entries[incarnation.applied];
+            slot_events.extend(
+                incarnation
+                    .owned_slots
+                    .members_changed(clock, members, *index),
+            );
+            incarnation.applied += 1;
         }
-        turns.extend(life.shares.tick(clock));
-        for turn in turns {
-            if let (SlotEvent::WaitOver(since), true) = (turn, written) {
-                self.disk.waited.insert(since);
+        slot_events.extend(incarnation.owned_slots.tick(clock));
+        for slot_event in slot_events {
+            if let (SlotEvent::WaitOver(since), true) = (slot_event, is_persisted) {
+                self.disk.completed_waits.insert(since);
             }
         }
-        told.extend(life.lender.set_limit(life.shares.limit()));
-        if clock - life.born >= LEASE_DURATION + CLOCK_SKEW {
-            self.disk.known = true;
+        grants.extend(
+            incarnation
+                .lease_server
+                .set_limit(incarnation.owned_slots.limit()),
+        );
+        if clock - incarnation.started_at >= LEASE_DURATION + CLOCK_SKEW {
+            self.disk.names_known = true;
         }
-        told
+        grants
     }
 }
 
-enum Mail {
-    /// From a door, to a lender in this life, on this connection, from the door's life.
-    Report(usize, usize, u32, u64, u64, LeaseRequest),
-    Lent(usize, usize, u64, LeaseGrant),
+/// A message on a connection between a proxy and a controller.
+enum WireMessage {
+    /// To a lease server, if it is still the same incarnation.
+    Request {
+        proxy: usize,
+        controller: usize,
+        server_incarnation: u32,
+        connection: u64,
+        proxy_incarnation: u64,
+        request: LeaseRequest,
+    },
+    /// From a lease server.
+    Grant {
+        proxy: usize,
+        controller: usize,
+        connection: u64,
+        grant: LeaseGrant,
+    },
 }
 
-fn day(seed: u64) {
+fn run_simulation(seed: u64) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut draw = move || f64::from(rng.next_u32()) / 4_294_967_296.0;
     let bounds = Bounds::default();
-    let doors_there = 2 + (draw() * 9.0) as usize;
-    // Three are told of at the first start; where two may be lost there are five, and the others join then.
+    let proxy_count = 2 + (draw() * 9.0) as usize;
+    // Three are members at the first start; where two may be lost there are five, and the others join later.
     let losses = if draw() < 0.4 { 2 } else { 1 };
     let mut rates: Vec<f64> = (0..32).map(|_| 0.99 + draw() * 0.02).collect();
-    let mut fresh = |life: u32, full: bool| Door {
-        purse: LeaseClient::new(u64::from(life)),
+    let mut new_client = |incarnation: u32, full: bool| SimulatedProxy {
+        lease_client: LeaseClient::new(u64::from(incarnation)),
         tenants: Tenants::new(full),
-        life: u64::from(life),
-        links: BTreeMap::new(),
-        down: 0.0,
-        cut: 0.0,
+        incarnation: u64::from(incarnation),
+        open_connections: BTreeMap::new(),
+        down_until: 0.0,
+        partitioned_until: 0.0,
         rate: rates.pop().unwrap_or(1.0),
-        asks: [0.0; 3],
+        request_rates: [0.0; 3],
     };
-    let mut doors: Vec<Door> = (0..doors_there)
-        .map(|n| fresh(n as u32 + 1, true))
+    let mut clients: Vec<SimulatedProxy> = (0..proxy_count)
+        .map(|n| new_client(n as u32 + 1, true))
         .collect();
-    // Machines: the first three, those that join, and those that replace others.
-    let mut exchanges: Vec<Exchange> = (0..9)
-        .map(|n| Exchange {
+    // The first three, those that join, and those that replace others.
+    let mut controllers: Vec<SimulatedController> = (0..9)
+        .map(|n| SimulatedController {
             name: format!("10.0.0.{n}"),
             rate: 0.99 + draw() * 0.02,
             disk: Disk::default(),
-            life: None,
-            starts: f64::INFINITY,
-            frozen: 0.0,
-            alone: (0.0, 0.0),
-            away: 0.0,
-            again: f64::INFINITY,
+            incarnation: None,
+            starts_at: f64::INFINITY,
+            paused_until: 0.0,
+            partitioned_between: (0.0, 0.0),
+            unreachable_until: 0.0,
+            restarts_at: f64::INFINITY,
         })
         .collect();
-    let first: Members = (0..3).map(|n| exchanges[n].name.clone()).collect();
-    let mut agreed = Agreed {
+    let first: Members = (0..3).map(|n| controllers[n].name.clone()).collect();
+    let mut membership_log = MembershipLog {
         losses,
         entries: vec![(0, first)],
     };
-    let (mut lives, mut conns, mut served) = (100_u32, 0_u64, 0_u64);
-    for exchange in &mut exchanges[..3] {
-        exchange.disk = Disk {
-            known: true,
-            folded: 1,
+    let (mut last_incarnation, mut last_connection, mut admitted) = (100_u32, 0_u64, 0_u64);
+    for simulated_controller in &mut controllers[..3] {
+        simulated_controller.disk = Disk {
+            names_known: true,
+            compacted_entries: 1,
             ..Disk::default()
         };
-        exchange.start(0.0, lives, &agreed);
-        lives += 1;
+        simulated_controller.start(0.0, last_incarnation, &membership_log);
+        last_incarnation += 1;
     }
-    let mut next = 3;
-    let mut joins: Vec<f64> = Vec::new();
+    let mut next_controller = 3;
+    let mut joins_at: Vec<f64> = Vec::new();
     if losses == 2 {
-        joins = vec![200.0 + draw() * 3000.0, 200.0 + draw() * 3000.0];
+        joins_at = vec![200.0 + draw() * 3000.0, 200.0 + draw() * 3000.0];
     }
-    let mut mail: Vec<(f64, Mail)> = Vec::new();
-    // A connection keeps its order: when the last thing comes on it, each way.
-    let mut last: BTreeMap<(u64, bool), f64> = BTreeMap::new();
-    let mut order = move |conn: u64, up: bool, at: f64| {
-        let earliest = last.entry((conn, up)).or_insert(at);
+    let mut in_transit: Vec<(f64, WireMessage)> = Vec::new();
+    // Connections deliver in order: when the last message arrives, in each direction.
+    let mut last_delivery: BTreeMap<(u64, bool), f64> = BTreeMap::new();
+    let mut in_order = move |connection_id: u64, up: bool, at: f64| {
+        let earliest = last_delivery.entry((connection_id, up)).or_insert(at);
         *earliest = earliest.max(at);
         *earliest
     };
-    let mut runs: Vec<VecDeque<f64>> = vec![VecDeque::new(); TENANTS.len()];
-    let mut lives_of: BTreeMap<(u64, usize), u32> = BTreeMap::new();
+    let mut run_times: Vec<VecDeque<f64>> = vec![VecDeque::new(); TENANTS.len()];
+    let mut server_incarnations: BTreeMap<(u64, usize), u32> = BTreeMap::new();
     let mut now = 0.0;
-    while now < DAY {
+    while now < SIMULATED_MS {
         now += 10.0;
-        // Troubles, and demand that moves about.
+        // Faults of proxies.
         if draw() < 0.003 {
-            let hit = (draw() * doors.len() as f64) as usize;
+            let chosen = (draw() * clients.len() as f64) as usize;
             match (draw() * 6.0) as u32 {
                 0 => {
-                    lives += 1;
-                    doors[hit] = Door {
-                        down: now + draw() * 2000.0,
-                        rate: doors[hit].rate,
-                        ..fresh(lives, false)
+                    last_incarnation += 1;
+                    clients[chosen] = SimulatedProxy {
+                        down_until: now + draw() * 2000.0,
+                        rate: clients[chosen].rate,
+                        ..new_client(last_incarnation, false)
                     };
                 }
-                1 => doors[hit].cut = now + draw() * 15_000.0,
+                1 => clients[chosen].partitioned_until = now + draw() * 15_000.0,
                 2 => {
-                    for door in &mut doors {
+                    for client in &mut clients {
                         if draw() > 0.6 {
                             continue;
                         }
-                        lives += 1;
-                        *door = Door {
-                            down: now + draw() * 2000.0,
-                            rate: door.rate,
-                            ..fresh(lives, false)
+                        last_incarnation += 1;
+                        *client = SimulatedProxy {
+                            down_until: now + draw() * 2000.0,
+                            rate: client.rate,
+                            ..new_client(last_incarnation, false)
                         };
                     }
                 }
                 3 => {
-                    // A planned stop: it gives back, and comes again at once.
-                    let clock = now * doors[hit].rate;
-                    for (lender, conn) in doors[hit].links.clone() {
-                        let report =
-                            doors[hit]
-                                .purse
-                                .next_request(clock, &lender.to_string(), Vec::new());
-                        let report = LeaseRequest {
+                    // A planned stop: it releases its leases and restarts at once.
+                    let clock = now * clients[chosen].rate;
+                    for (lease_server, connection_id) in clients[chosen].open_connections.clone() {
+                        let lease_request = clients[chosen].lease_client.next_request(
+                            clock,
+                            &lease_server.to_string(),
+                            Vec::new(),
+                        );
+                        let lease_request = LeaseRequest {
                             release: true,
-                            ..report
+                            ..lease_request
                         };
-                        let at = order(
-                            conn,
+                        let at = in_order(
+                            connection_id,
                             true,
                             now + draw() * if draw() < 0.3 { 3000.0 } else { 20.0 },
                         );
-                        let to = lives_of.get(&(conn, lender)).copied().unwrap_or(0);
-                        mail.push((
+                        let to = server_incarnations
+                            .get(&(connection_id, lease_server))
+                            .copied()
+                            .unwrap_or(0);
+                        in_transit.push((
                             at,
-                            Mail::Report(hit, lender, to, conn, doors[hit].life, report),
+                            WireMessage::Request {
+                                proxy: chosen,
+                                controller: lease_server,
+                                server_incarnation: to,
+                                connection: connection_id,
+                                proxy_incarnation: clients[chosen].incarnation,
+                                request: lease_request,
+                            },
                         ));
                     }
-                    lives += 1;
-                    doors[hit] = Door {
-                        down: now + draw() * 500.0,
-                        rate: doors[hit].rate,
-                        ..fresh(lives, false)
+                    last_incarnation += 1;
+                    clients[chosen] = SimulatedProxy {
+                        down_until: now + draw() * 500.0,
+                        rate: clients[chosen].rate,
+                        ..new_client(last_incarnation, false)
                     };
                 }
                 _ => {
-                    let lender = (draw() * exchanges.len() as f64) as usize;
-                    doors[hit].links.remove(&lender);
+                    let lease_server = (draw() * controllers.len() as f64) as usize;
+                    clients[chosen].open_connections.remove(&lease_server);
                 }
             }
         }
         if draw() < 0.003 {
-            let members: Vec<usize> = (0..exchanges.len())
-                .filter(|n| agreed.members().contains(&exchanges[*n].name))
+            let members: Vec<usize> = (0..controllers.len())
+                .filter(|n| membership_log.members().contains(&controllers[*n].name))
                 .collect();
-            let hit = members[(draw() * members.len() as f64) as usize];
+            let chosen = members[(draw() * members.len() as f64) as usize];
             match (draw() * 9.0) as u32 {
-                // It ends and comes back, with its disk or without it.
+                // It crashes and restarts, with its disk or without it.
                 0 | 1 => {
-                    let lost = draw() < 0.4;
-                    let it = &mut exchanges[hit];
-                    it.life = None;
-                    it.starts = now + draw() * 3000.0;
-                    if lost {
-                        it.disk = Disk::default();
-                        it.again = it.starts + 500.0 + draw() * 6000.0;
+                    let loses_disk = draw() < 0.4;
+                    let target = &mut controllers[chosen];
+                    target.incarnation = None;
+                    target.starts_at = now + draw() * 3000.0;
+                    if loses_disk {
+                        target.disk = Disk::default();
+                        target.restarts_at = target.starts_at + 500.0 + draw() * 6000.0;
                     } else if draw() < 0.5 {
-                        it.disk.folded = it.disk.folded.max(1);
+                        target.disk.compacted_entries = target.disk.compacted_entries.max(1);
                     }
                 }
-                2 => exchanges[hit].frozen = now + draw() * 25_000.0,
-                3 => exchanges[hit].alone = (now, now + draw() * 25_000.0),
-                4 => exchanges[hit].away = now + draw() * 8000.0,
-                // Taken out, or replaced in one step: it has gone for good, or is cut off or frozen and goes on.
-                5..=7 if next < exchanges.len() || draw() < 0.5 => {
+                2 => controllers[chosen].paused_until = now + draw() * 25_000.0,
+                3 => controllers[chosen].partitioned_between = (now, now + draw() * 25_000.0),
+                4 => controllers[chosen].unreachable_until = now + draw() * 8000.0,
+                // Removed, or replaced in one step: it has gone for good, or is partitioned or paused and goes on.
+                5..=7 if next_controller < controllers.len() || draw() < 0.5 => {
                     match (draw() * 4.0) as u32 {
-                        0 => (exchanges[hit].life, exchanges[hit].starts) = (None, f64::INFINITY),
-                        1 => exchanges[hit].frozen = now + 2000.0 + draw() * 25_000.0,
-                        2 => exchanges[hit].alone = (now, now + 10_000.0 + draw() * 30_000.0),
-                        // It runs and can be reached: it may hear of it or not, and be taken in again soon.
-                        _ => joins.push(now + draw() * 20_000.0),
+                        0 => {
+                            (
+                                controllers[chosen].incarnation,
+                                controllers[chosen].starts_at,
+                            ) = (None, f64::INFINITY)
+                        }
+                        1 => controllers[chosen].paused_until = now + 2000.0 + draw() * 25_000.0,
+                        2 => {
+                            controllers[chosen].partitioned_between =
+                                (now, now + 10_000.0 + draw() * 30_000.0)
+                        }
+                        // It runs and can be reached: it may learn of its removal or not, and join again soon.
+                        _ => joins_at.push(now + draw() * 20_000.0),
                     }
-                    let mut members = agreed.members().clone();
-                    members.remove(&exchanges[hit].name);
-                    if next < exchanges.len() && (members.len() < 2 || draw() < 0.8) {
-                        members.insert(exchanges[next].name.clone());
-                        exchanges[next].start(now, lives, &agreed);
-                        lives += 1;
-                        next += 1;
+                    let mut members = membership_log.members().clone();
+                    members.remove(&controllers[chosen].name);
+                    if next_controller < controllers.len() && (members.len() < 2 || draw() < 0.8) {
+                        members.insert(controllers[next_controller].name.clone());
+                        controllers[next_controller].start(now, last_incarnation, &membership_log);
+                        last_incarnation += 1;
+                        next_controller += 1;
                     }
                     if !members.is_empty() {
-                        agreed.agree(members);
+                        membership_log.append(members);
                     }
                 }
-                // One more, or one of those that were taken out comes back.
-                _ => joins.push(now),
+                // One more joins, or one of those that were removed.
+                _ => joins_at.push(now),
             }
         }
-        let due = joins.iter().filter(|at| **at <= now).count();
-        joins.retain(|at| *at > now);
+        let due = joins_at.iter().filter(|at| **at <= now).count();
+        joins_at.retain(|at| *at > now);
         for _ in 0..due {
-            let mut members = agreed.members().clone();
-            let out = (0..next).find(|n| {
-                let it = &exchanges[*n];
-                !members.contains(&it.name) && it.runs(now) && now >= it.alone.1 && draw() < 0.5
+            let mut members = membership_log.members().clone();
+            let out = (0..next_controller).find(|n| {
+                let target = &controllers[*n];
+                !members.contains(&target.name)
+                    && target.is_running(now)
+                    && now >= target.partitioned_between.1
+                    && draw() < 0.5
             });
-            let joiner = out.or_else(|| {
-                (next < exchanges.len()).then(|| {
-                    exchanges[next].start(now, lives, &agreed);
-                    lives += 1;
-                    next += 1;
-                    next - 1
+            let joining_controller = out.or_else(|| {
+                (next_controller < controllers.len()).then(|| {
+                    controllers[next_controller].start(now, last_incarnation, &membership_log);
+                    last_incarnation += 1;
+                    next_controller += 1;
+                    next_controller - 1
                 })
             });
-            if let Some(joiner) = joiner.filter(|_| members.len() < 6) {
-                members.insert(exchanges[joiner].name.clone());
-                agreed.agree(members);
+            if let Some(joining_controller) = joining_controller.filter(|_| members.len() < 6) {
+                members.insert(controllers[joining_controller].name.clone());
+                membership_log.append(members);
             }
         }
-        // What the exchanges hear of one another.
-        for (n, it) in exchanges.iter_mut().enumerate() {
-            if it.life.is_some() && now >= it.again {
-                (it.life, it.starts, it.again) = (None, now + draw() * 300.0, f64::INFINITY);
+        // Replication among the controllers.
+        for (n, target) in controllers.iter_mut().enumerate() {
+            if target.incarnation.is_some() && now >= target.restarts_at {
+                (target.incarnation, target.starts_at, target.restarts_at) =
+                    (None, now + draw() * 300.0, f64::INFINITY);
             }
-            if it.life.is_none() && now >= it.starts && next > n {
-                it.starts = f64::INFINITY;
-                it.start(now, lives, &agreed);
-                lives += 1;
+            if target.incarnation.is_none() && now >= target.starts_at && next_controller > n {
+                target.starts_at = f64::INFINITY;
+                target.start(now, last_incarnation, &membership_log);
+                last_incarnation += 1;
             }
-            if !it.runs(now) {
+            if !target.is_running(now) {
                 continue;
             }
-            let there = agreed.entries.len();
-            let member = agreed.members().contains(&it.name);
-            let cut = now >= it.alone.0 && now < it.alone.1;
-            let (spoken, heard) = (draw() < 0.05, draw() < 0.7);
-            let applied = it.life.as_ref().map_or(0, |life| life.applied);
-            // A member hears all; whoever was taken out may not hear of that.
-            let to = if !cut && spoken && (member || heard) {
+            let there = membership_log.entries.len();
+            let member = membership_log.members().contains(&target.name);
+            let partitioned_until =
+                now >= target.partitioned_between.0 && now < target.partitioned_between.1;
+            let (has_contact, hears_of_removal) = (draw() < 0.05, draw() < 0.7);
+            let applied = target
+                .incarnation
+                .as_ref()
+                .map_or(0, |incarnation| incarnation.applied);
+            // A member gets all entries; a removed one may not learn of its removal.
+            let to = if !partitioned_until && has_contact && (member || hears_of_removal) {
                 there
             } else {
                 applied
             };
-            let clock = it.clock(now);
+            let clock = target.clock(now);
             if to > 0 {
-                let told = it.apply(now, &agreed, to, draw() < 0.9);
+                let grants = target.apply(now, &membership_log, to, draw() < 0.9);
                 if draw() < 0.01 {
-                    it.disk.folded = to;
+                    target.disk.compacted_entries = to;
                 }
-                for (door, lent) in told {
-                    let to: usize = door.trim_start_matches("door-").parse().expect("a door");
-                    let Some(conn) = doors[to].links.get(&n).copied() else {
+                for (client, lease_grant) in grants {
+                    let to: usize = client
+                        .trim_start_matches("proxy-")
+                        .parse()
+                        .expect("a proxy");
+                    let Some(connection_id) = clients[to].open_connections.get(&n).copied() else {
                         continue;
                     };
-                    mail.push((
-                        order(conn, false, now + draw() * 20.0),
-                        Mail::Lent(to, n, conn, lent),
+                    in_transit.push((
+                        in_order(connection_id, false, now + draw() * 20.0),
+                        WireMessage::Grant {
+                            proxy: to,
+                            controller: n,
+                            connection: connection_id,
+                            grant: lease_grant,
+                        },
                     ));
                 }
             }
-            // Followers of a leader that has been replaced since the cut may not know for a while.
-            let led = !cut || now < it.alone.0 + DEPOSED;
-            if let Some(life) = it
-                .life
+            // Followers of a leader that was deposed since the partition may not know for a while.
+            let has_leader =
+                !partitioned_until || now < target.partitioned_between.0 + DEPOSED_LEADER_MS;
+            if let Some(incarnation) = target
+                .incarnation
                 .as_mut()
-                .filter(|life| led && spoken && life.applied > 0)
+                .filter(|incarnation| has_leader && has_contact && incarnation.applied > 0)
             {
-                let counted = agreed.entries[life.applied - 1].1.contains(&it.name);
-                if (cut || life.applied == there) && counted {
-                    life.contact = clock;
+                let is_counted = membership_log.entries[incarnation.applied - 1]
+                    .1
+                    .contains(&target.name);
+                if (partitioned_until || incarnation.applied == there) && is_counted {
+                    incarnation.quorum_contact_at = clock;
                 }
             }
         }
         if draw() < 0.01 {
-            for door in &mut doors {
-                let hot = if draw() < 0.2 { 8.0 } else { 1.0 };
-                door.asks = [draw() * 12.0 * hot, draw() * 2.0 * hot, draw() * 6.0 * hot];
+            for client in &mut clients {
+                let peak = if draw() < 0.2 { 8.0 } else { 1.0 };
+                client.request_rates = [
+                    draw() * 12.0 * peak,
+                    draw() * 2.0 * peak,
+                    draw() * 6.0 * peak,
+                ];
             }
         }
-        for (n, door) in doors
+        for (n, client) in clients
             .iter_mut()
             .enumerate()
-            .filter(|(_, door)| now >= door.down)
+            .filter(|(_, client)| now >= client.down_until)
         {
-            let clock = now * door.rate;
-            for (lender, it) in exchanges.iter().enumerate() {
-                let Some(life) = &it.life else {
-                    door.links.remove(&lender);
+            let clock = now * client.rate;
+            for (lease_server, target) in controllers.iter().enumerate() {
+                let Some(incarnation) = &target.incarnation else {
+                    client.open_connections.remove(&lease_server);
                     continue;
                 };
-                let away = now < door.cut || now < it.away;
-                if (away || now < it.frozen) && draw() < 0.01 {
-                    door.links.remove(&lender);
+                let unreachable_until =
+                    now < client.partitioned_until || now < target.unreachable_until;
+                if (unreachable_until || now < target.paused_until) && draw() < 0.01 {
+                    client.open_connections.remove(&lease_server);
                 }
-                // One that is frozen still has a queue for new connections.
-                if !away && !door.links.contains_key(&lender) && draw() < 0.1 {
-                    conns += 1;
-                    door.links.insert(lender, conns);
-                    lives_of.insert((conns, lender), life.lender.life());
-                    door.purse.connected(&lender.to_string());
+                // A paused process still has a backlog for new connections.
+                if !unreachable_until
+                    && !client.open_connections.contains_key(&lease_server)
+                    && draw() < 0.1
+                {
+                    last_connection += 1;
+                    client
+                        .open_connections
+                        .insert(lease_server, last_connection);
+                    server_incarnations.insert(
+                        (last_connection, lease_server),
+                        incarnation.lease_server.life(),
+                    );
+                    client.lease_client.connected(&lease_server.to_string());
                 }
-                let Some(conn) = door.links.get(&lender).copied() else {
+                let Some(connection_id) = client.open_connections.get(&lease_server).copied()
+                else {
                     continue;
                 };
-                if lives_of.get(&(conn, lender)) != Some(&life.lender.life()) {
-                    door.links.remove(&lender);
+                if server_incarnations.get(&(connection_id, lease_server))
+                    != Some(&incarnation.lease_server.life())
+                {
+                    client.open_connections.remove(&lease_server);
                     continue;
                 }
                 if draw() < 0.03 {
-                    let demand = door.tenants.demand(now);
+                    let demand = client.tenants.demand(now);
                     let demand = demand.map(|(who, rate)| Demand {
                         tenant: (*who).to_owned(),
                         milli_rps: (rate * 1000.0) as u32,
                         starved: draw() < 0.3,
                     });
-                    let report =
-                        door.purse
-                            .next_request(clock, &lender.to_string(), demand.collect());
-                    if !away {
+                    let lease_request = client.lease_client.next_request(
+                        clock,
+                        &lease_server.to_string(),
+                        demand.collect(),
+                    );
+                    if !unreachable_until {
                         let at = now + draw() * if draw() < 0.05 { 3000.0 } else { 20.0 };
-                        let at = order(conn, true, at);
-                        let to = life.lender.life();
-                        mail.push((at, Mail::Report(n, lender, to, conn, door.life, report)));
+                        let at = in_order(connection_id, true, at);
+                        let to = incarnation.lease_server.life();
+                        in_transit.push((
+                            at,
+                            WireMessage::Request {
+                                proxy: n,
+                                controller: lease_server,
+                                server_incarnation: to,
+                                connection: connection_id,
+                                proxy_incarnation: client.incarnation,
+                                request: lease_request,
+                            },
+                        ));
                     }
                 }
             }
         }
-        let frozen: Vec<bool> = exchanges.iter().map(|it| now < it.frozen).collect();
-        let (mut come, wait): (Vec<_>, Vec<_>) = mail.into_iter().partition(|(at, one)| {
-            let waits = matches!(one, Mail::Report(_, lender, ..) if frozen[*lender]);
+        let paused_until: Vec<bool> = controllers
+            .iter()
+            .map(|target| now < target.paused_until)
+            .collect();
+        let (mut due_messages, remaining_wait): (Vec<_>, Vec<_>) = in_transit.into_iter().partition(|(at, wire_message)| {
+            let waits = matches!(wire_message, WireMessage::Request { controller, .. } if paused_until[*controller]);
             *at <= now && !waits
         });
-        mail = wait;
-        // What waited for one that was frozen: by connections in any order, each in its own.
+        in_transit = remaining_wait;
+        // What waited for a paused controller: connections in any order, each one in its own order.
         if draw() < 0.5 {
-            come.sort_by_key(|(_, one)| match one {
-                Mail::Report(_, _, _, conn, ..) | Mail::Lent(_, _, conn, _) => u64::MAX - conn,
+            due_messages.sort_by_key(|(_, wire_message)| match wire_message {
+                WireMessage::Request { connection, .. } | WireMessage::Grant { connection, .. } => {
+                    u64::MAX - connection
+                }
             });
         }
-        for (_, one) in come {
-            match one {
-                Mail::Report(n, lender, to, conn, from, report) => {
-                    // It arrives, also if its door has gone since; not at another life of the lender.
-                    let it = &mut exchanges[lender];
-                    let clock = it.clock(now);
-                    let Some(life) = it.life.as_mut().filter(|life| life.lender.life() == to)
+        for (_, wire_message) in due_messages {
+            match wire_message {
+                WireMessage::Request {
+                    proxy: n,
+                    controller: lease_server,
+                    server_incarnation: to,
+                    connection: connection_id,
+                    proxy_incarnation: from,
+                    request: lease_request,
+                } => {
+                    // It arrives even if its proxy has gone since; not at another incarnation of the lease server.
+                    let target = &mut controllers[lease_server];
+                    let clock = target.clock(now);
+                    let Some(incarnation) = target
+                        .incarnation
+                        .as_mut()
+                        .filter(|incarnation| incarnation.lease_server.life() == to)
                     else {
                         continue;
                     };
-                    if now < doors[n].cut || now < it.away {
+                    if now < clients[n].partitioned_until || now < target.unreachable_until {
                         continue;
                     }
-                    if !membership_lease_valid(clock, life.contact) && !report.release {
+                    if !membership_lease_valid(clock, incarnation.quorum_contact_at)
+                        && !lease_request.release
+                    {
                         continue;
                     }
-                    let name = format!("door-{n}");
-                    if !report.release {
-                        it.disk.names.insert(name.clone());
+                    let name = format!("proxy-{n}");
+                    if !lease_request.release {
+                        target.disk.names.insert(name.clone());
                     }
                     let tenants = TENANTS.iter().map(|(name, _, _)| *name);
                     let caller = ClientId {
                         name: &name,
                         incarnation: from,
-                        connection: conn,
+                        connection: connection_id,
                     };
-                    for (to, lent) in life.lender.handle_request(clock, caller, &report, tenants) {
-                        let to: usize = to.trim_start_matches("door-").parse().expect("a door");
-                        // To the latest connection, which may be another life's than the one that is meant.
-                        let Some(conn) = doors[to].links.get(&lender).copied() else {
+                    for (to, lease_grant) in incarnation.lease_server.handle_request(
+                        clock,
+                        caller,
+                        &lease_request,
+                        tenants,
+                    ) {
+                        let to: usize = to.trim_start_matches("proxy-").parse().expect("a proxy");
+                        // To the latest connection, which may be that of another incarnation than the one that is meant.
+                        let Some(connection_id) =
+                            clients[to].open_connections.get(&lease_server).copied()
+                        else {
                             continue;
                         };
-                        let at = order(conn, false, now + draw() * 20.0);
-                        mail.push((at, Mail::Lent(to, lender, conn, lent)));
+                        let at = in_order(connection_id, false, now + draw() * 20.0);
+                        in_transit.push((
+                            at,
+                            WireMessage::Grant {
+                                proxy: to,
+                                controller: lease_server,
+                                connection: connection_id,
+                                grant: lease_grant,
+                            },
+                        ));
                     }
                 }
-                Mail::Lent(n, lender, conn, lent) => {
-                    if doors[n].links.get(&lender) == Some(&conn) && now >= doors[n].cut {
-                        let clock = now * doors[n].rate;
-                        let _ = doors[n]
-                            .purse
-                            .handle_grant(clock, &lender.to_string(), &lent);
+                WireMessage::Grant {
+                    proxy: n,
+                    controller: lease_server,
+                    connection: connection_id,
+                    grant: lease_grant,
+                } => {
+                    if clients[n].open_connections.get(&lease_server) == Some(&connection_id)
+                        && now >= clients[n].partitioned_until
+                    {
+                        let clock = now * clients[n].rate;
+                        let _ = clients[n].lease_client.handle_grant(
+                            clock,
+                            &lease_server.to_string(),
+                            &lease_grant,
+                        );
                     }
                 }
             }
         }
         for (t, (tenant, rate, burst)) in TENANTS.iter().enumerate() {
-            let all: f64 = doors
+            let all: f64 = clients
                 .iter()
-                .map(|door| door.purse.fraction(now * door.rate, tenant))
+                .map(|client| client.lease_client.fraction(now * client.rate, tenant))
                 .sum();
             assert!(
                 all <= 1.0 + 1e-6,
-                "seed {seed}: {all} of {tenant} is held at {now}"
+                "seed {seed}: {all} of {tenant} is leased at {now}"
             );
-            let lent = exchanges
+            let lease_grant = controllers
                 .iter()
-                .filter_map(|it| Some((it.clock(now), it.life.as_ref()?)));
-            let out: u32 = lent
-                .map(|(clock, life)| life.lender.outstanding_at(clock, tenant))
+                .filter_map(|target| Some((target.clock(now), target.incarnation.as_ref()?)));
+            let out: u32 = lease_grant
+                .map(|(clock, incarnation)| incarnation.lease_server.outstanding_at(clock, tenant))
                 .sum();
             assert!(
                 out <= WHOLE_QUOTA_PPM,
-                "seed {seed}: {out} of {tenant} is out at {now}"
+                "seed {seed}: {out} of {tenant} is outstanding at {now}"
             );
-            for door in doors.iter_mut().filter(|door| now >= door.down) {
-                let part = door.purse.fraction(now * door.rate, tenant);
-                door.tenants
-                    .hold(now, tenant, quota(&bounds, *rate, *burst, part, 500.0));
-                let mut due = door.asks[t] * 0.01;
+            for client in clients.iter_mut().filter(|client| now >= client.down_until) {
+                let share = client.lease_client.fraction(now * client.rate, tenant);
+                client
+                    .tenants
+                    .hold(now, tenant, quota(&bounds, *rate, *burst, share, 500.0));
+                let mut due = client.request_rates[t] * 0.01;
                 while due > draw() {
                     due -= 1.0;
-                    let held = quota(&bounds, *rate, *burst, part, 500.0);
-                    // It runs once its token is there, whatever becomes of the loan meanwhile.
-                    if let Ok(wait) = door.tenants.arrived(now, tenant, 1.0, held) {
-                        runs[t].push_back(now + wait);
-                        served += 1;
+                    let present_quota = quota(&bounds, *rate, *burst, share, 500.0);
+                    // It runs once its token is available, whatever becomes of the lease meanwhile.
+                    if let Ok(remaining_wait) =
+                        client.tenants.arrived(now, tenant, 1.0, present_quota)
+                    {
+                        run_times[t].push_back(now + remaining_wait);
+                        admitted += 1;
                     }
                 }
             }
             let window = bounds.quota_window_s * 1000.0;
-            runs[t].retain(|at| *at > now - window);
-            let most = (rate * bounds.quota_window_s + burst) * (1.0 + bounds.quota_overshoot)
+            run_times[t].retain(|at| *at > now - window);
+            let limit = (rate * bounds.quota_window_s + burst) * (1.0 + bounds.quota_overshoot)
                 + bounds.quota_slack;
-            let ran = runs[t].iter().filter(|at| **at <= now).count() as f64;
+            let run_count = run_times[t].iter().filter(|at| **at <= now).count() as f64;
             assert!(
-                ran <= most,
-                "seed {seed}: {ran} runs of {tenant} in a window of {most} at {now}"
+                run_count <= limit,
+                "seed {seed}: {run_count} runs of {tenant} in a window of {limit} at {now}"
             );
         }
     }
-    assert!(served > 200, "seed {seed}: hardly anything was let in");
+    assert!(
+        admitted > 200,
+        "seed {seed}: hardly any request was admitted"
+    );
 }
 
 #[test]
-fn what_is_lent_never_adds_up_to_more_than_the_quota() {
+fn leased_shares_never_exceed_the_quota() {
     for seed in 0..100 {
         println!("seed {seed}");
-        day(seed);
+        run_simulation(seed);
     }
 }
--- a/crates/proxy/tests/readiness.rs
+++ b/crates/proxy/tests/readiness.rs
@@ -39,7 +39,7 @@
     core.controller_connected(0.0, "10.0.0.1", &mut out);
     let controllers = vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()];
     let without_items = ConfigUpdate {
-        controllers: controllers,
+        controllers,
         ..ConfigUpdate::default()
     };
     core.receive(
