--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -14,7 +14,6 @@
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 use maplefall_downstream::ShutdownPhase;
 use maplefall_policy::{Millis, RequestId};
-use std::fmt;
 use std::rc::Rc;
 
 /// Time for a body where the client does not say how long it waits.
@@ -25,15 +24,19 @@
 const MAX_ADMISSION_WAIT: Millis = 120.0;
 
 /// Why a request is not read. `Display` is the body of its response.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
     /// It is not a valid request; the field that is wrong.
+    #[error("step=read field={0}")]
     Invalid(&'static str),
     /// Its body is too long.
+    #[error("step=read field=body")]
     BodyTooLong,
     /// Its body did not arrive in time.
+    #[error("step=read field=body")]
     BodyTimeout,
     /// There is no memory for its body now.
+    #[error("step=read field=room")]
     OutOfMemory,
 }
 
@@ -49,18 +52,6 @@
     }
 }
 
-impl fmt::Display for RequestError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Clients see these words.
-        let field = match self {
-            RequestError::Invalid(field) => field,
-            RequestError::BodyTooLong | RequestError::BodyTimeout => "body",
-            RequestError::OutOfMemory => "room",
-        };
-        write!(f, "step=read field={field}")
-    }
-}
-
 /// What admission needs of a valid head.
 struct RequestHead {
     host: String,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -8,6 +8,7 @@
 use maplefall_proxy::driver::{Proxy, RESERVED_DESCRIPTORS};
 use maplefall_proxy::readiness;
 use std::hash::{BuildHasher, Hasher};
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -27,6 +28,29 @@
 /// Time for the last frames to the controllers at a shutdown.
 const FINAL_FLUSH: Duration = Duration::from_millis(20);
 
+/// Why the process cannot start. `Display` is what the `fatal` event says.
+#[derive(Debug, thiserror::Error)]
+enum StartError {
+    #[error(transparent)]
+    Logger(#[from] flexi_logger::FlexiLoggerError),
+    #[error(transparent)]
+    Settings(#[from] maplefall_node_settings::Error),
+    #[error("step={step} missing={field}")]
+    MissingSetting {
+        step: &'static str,
+        field: &'static str,
+    },
+    #[error("step=runtime error={:?}", .0.kind())]
+    Runtime(io::Error),
+    #[error("step=signals error={:?}", .0.kind())]
+    Signals(io::Error),
+    #[error("step=listen address={address} error={:?}", .error.kind())]
+    Listen {
+        address: SocketAddr,
+        error: io::Error,
+    },
+}
+
 /// The proxy of the data plane.
 #[derive(Parser)]
 #[command(version)]
@@ -61,16 +85,27 @@
     }
 }
 
-fn check(path: &std::path::Path) -> Result<(), String> {
-    let settings = Settings::load(path).map_err(|error| error.to_string())?;
-    settings
-        .bind
-        .front_http
-        .ok_or("step=check missing=Bind.FrontHttp")?;
-    settings
-        .bind
-        .ready_probe
-        .ok_or("step=check missing=Bind.ReadyProbe")?;
+/// The addresses to listen on.
+struct Listeners {
+    front: SocketAddr,
+    probe: SocketAddr,
+}
+
+impl Listeners {
+    /// Both are mandatory for a proxy; `step` is what an error names.
+    fn of(settings: &Settings, step: &'static str) -> Result<Listeners, StartError> {
+        let missing = |field| StartError::MissingSetting { step, field };
+        let bind = &settings.bind;
+        Ok(Listeners {
+            front: bind.front_http.ok_or(missing("Bind.FrontHttp"))?,
+            probe: bind.ready_probe.ok_or(missing("Bind.ReadyProbe"))?,
+        })
+    }
+}
+
+fn check(path: &std::path::Path) -> Result<(), StartError> {
+    let settings = Settings::load(path)?;
+    Listeners::of(&settings, "check")?;
     println!(
         "event=settings_checked node={} file={}",
         settings.node,
@@ -79,16 +114,13 @@
     Ok(())
 }
 
-fn run() -> Result<(), String> {
-    let logger =
-        flexi_logger::Logger::try_with_env_or_str("info").map_err(|error| error.to_string())?;
-    let _logger = logger
+fn run() -> Result<(), StartError> {
+    let _logger = flexi_logger::Logger::try_with_env_or_str("info")?
         .log_to_stderr()
         .format(write_log_line)
-        .start()
-        .map_err(|error| error.to_string())?;
+        .start()?;
     let path = Settings::path();
-    let settings = Settings::load(&path).map_err(|error| error.to_string())?;
+    let settings = Settings::load(&path)?;
     // The standard library's hashers are keyed from the system's random number generator.
     let seed = std::collections::hash_map::RandomState::new()
         .build_hasher()
@@ -96,23 +128,15 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|error| format!("step=runtime error={:?}", error.kind()))?;
+        .map_err(StartError::Runtime)?;
     let local = tokio::task::LocalSet::new();
     runtime.block_on(local.run_until(serve(settings, path, seed)))
 }
 
-async fn serve(settings: Settings, path: PathBuf, seed: u64) -> Result<(), String> {
-    let signals = |error: std::io::Error| format!("step=signals error={:?}", error.kind());
-    let terminate = signal(SignalKind::terminate()).map_err(signals)?;
-    let hangup = signal(SignalKind::hangup()).map_err(signals)?;
-    let front = settings
-        .bind
-        .front_http
-        .ok_or("step=settings missing=Bind.FrontHttp")?;
-    let probe = settings
-        .bind
-        .ready_probe
-        .ok_or("step=settings missing=Bind.ReadyProbe")?;
+async fn serve(settings: Settings, path: PathBuf, seed: u64) -> Result<(), StartError> {
+    let terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
+    let hangup = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
+    let Listeners { front, probe } = Listeners::of(&settings, "settings")?;
     let client_listener = listen(front).await?;
     let probe_listener = listen(probe).await?;
     log::info!(
@@ -189,9 +213,10 @@
     }
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, String> {
-    let listener = TcpListener::bind(address).await;
-    listener.map_err(|error| format!("step=listen address={address} error={:?}", error.kind()))
+async fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|error| StartError::Listen { address, error })
 }
 
 async fn tick(proxy: Rc<Proxy>) {
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -79,14 +79,7 @@
             .wire
             .begin_request(options.body_bytes, options.care != Care::Usual);
         let remaining = options.timeout - started.elapsed().as_secs_f64() * 1000.0;
-        let sent = match connection.sender.ready().await {
-            Ok(()) => connection
-                .sender
-                .send_request(build_request(remaining.max(1.0)))
-                .await
-                .ok(),
-            Err(_) => None,
-        };
+        let sent = send_on(&mut connection, || build_request(remaining.max(1.0))).await;
         if let Some(idle) = pooled_idle {
             pools.record_reuse(idle, sent.is_none());
         }
@@ -134,3 +127,12 @@
     }
     Ok((pools.connect(address).await?, None))
 }
+
+/// Writes a request and waits for the head of the response; `None` if the connection breaks before.
+async fn send_on(
+    connection: &mut Connection,
+    build_request: impl FnOnce() -> Request<Full<Bytes>>,
+) -> Option<Response<Incoming>> {
+    connection.sender.ready().await.ok()?;
+    connection.sender.send_request(build_request()).await.ok()
+}
