--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,10 +1,10 @@
 //! `maplefall-controller`: keeps the operator's configuration and the service registry, and leases proxies their shares of quotas.
 
-use clap::{Parser, Subcommand};
+use clap::Parser;
 use maplefall_controller::net;
 use maplefall_node_settings::{Settings, SettingsFile};
-use std::hash::{BuildHasher, Hasher};
-use std::path::{Path, PathBuf};
+use maplefall_process::{exit_code, random_seed, start_logger, Command};
+use std::path::Path;
 use std::process::ExitCode;
 
 /// The control plane: configuration, service registry, quota leases.
@@ -15,30 +15,13 @@
     command: Option<Command>,
 }
 
-#[derive(Subcommand)]
-enum Command {
-    /// Serves; the same as no command.
-    Run,
-    /// Reads a settings file and says whether it can be used.
-    Check {
-        /// The file; by default the one that MAPLEFALL_CONFIG names.
-        file: Option<PathBuf>,
-    },
-}
-
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let result = match arguments.command.unwrap_or(Command::Run) {
         Command::Run => run(),
         Command::Check { file } => check(&file.unwrap_or_else(Settings::path)),
     };
-    match result {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("event=fatal {error}");
-            ExitCode::FAILURE
-        }
-    }
+    exit_code(result)
 }
 
 fn check(path: &Path) -> Result<(), String> {
@@ -72,32 +55,3 @@
         .block_on(local.run_until(net::run(settings, file, random_seed())))
         .map_err(|error| error.to_string())
 }
-
-/// The standard library's hashers are keyed from the system's source of randomness.
-fn random_seed() -> u64 {
-    std::collections::hash_map::RandomState::new()
-        .build_hasher()
-        .finish()
-}
-
-/// Logs to standard error, `info` and above unless `RUST_LOG` says otherwise.
-fn start_logger() -> Result<flexi_logger::LoggerHandle, flexi_logger::FlexiLoggerError> {
-    flexi_logger::Logger::try_with_env_or_str("info")?
-        .log_to_stderr()
-        .format(format_record)
-        .start()
-}
-
-/// One line of `key=value` pairs for each event.
-fn format_record(
-    to: &mut dyn std::io::Write,
-    _: &mut flexi_logger::DeferredNow,
-    record: &log::Record<'_>,
-) -> Result<(), std::io::Error> {
-    write!(
-        to,
-        "level={} {}",
-        record.level().as_str().to_ascii_lowercase(),
-        record.args()
-    )
-}
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,13 +1,13 @@
 //! `maplefall-proxy`: accepts clients' requests, admits them by tenant, and forwards them to backends.
 
-use clap::{Parser, Subcommand};
+use clap::Parser;
 use maplefall_control_messages::{Hello, PROTOCOL_VERSION};
 use maplefall_node_settings::{Settings, SettingsFile};
+use maplefall_process::{exit_code, random_seed, start_logger, Command};
 use maplefall_proxy::controllers::connect_to_controllers;
 use maplefall_proxy::downstream::DownstreamServer;
 use maplefall_proxy::driver::{Proxy, RESERVED_DESCRIPTORS};
 use maplefall_proxy::readiness;
-use std::hash::{BuildHasher, Hasher};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -31,8 +31,8 @@
 /// Why the process cannot start. `Display` is what the `fatal` event says.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    #[error(transparent)]
-    Logger(#[from] flexi_logger::FlexiLoggerError),
+    #[error("{0}")]
+    Logger(String),
     #[error(transparent)]
     Settings(#[from] maplefall_node_settings::SettingsError),
     #[error("step={step} missing={field}")]
@@ -59,30 +59,13 @@
     command: Option<Command>,
 }
 
-#[derive(Subcommand)]
-enum Command {
-    /// Serves; the same as no command.
-    Run,
-    /// Validates a settings file.
-    Check {
-        /// The file; by default the one that MAPLEFALL_CONFIG names.
-        file: Option<PathBuf>,
-    },
-}
-
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let result = match arguments.command.unwrap_or(Command::Run) {
         Command::Run => run(),
         Command::Check { file } => check(&file.unwrap_or_else(Settings::path)),
     };
-    match result {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("event=fatal {error}");
-            ExitCode::FAILURE
-        }
-    }
+    exit_code(result)
 }
 
 /// The addresses to listen on.
@@ -115,22 +98,15 @@
 }
 
 fn run() -> Result<(), StartError> {
-    let _logger = flexi_logger::Logger::try_with_env_or_str("info")?
-        .log_to_stderr()
-        .format(write_log_line)
-        .start()?;
+    let _logger = start_logger().map_err(|error| StartError::Logger(error.to_string()))?;
     let path = Settings::path();
     let settings = Settings::load(&path)?;
-    // The standard library's hashers are keyed from the system's random number generator.
-    let seed = std::collections::hash_map::RandomState::new()
-        .build_hasher()
-        .finish();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(StartError::Runtime)?;
     let local = tokio::task::LocalSet::new();
-    runtime.block_on(local.run_until(serve(settings, path, seed)))
+    runtime.block_on(local.run_until(serve(settings, path, random_seed())))
 }
 
 async fn serve(settings: Settings, path: PathBuf, seed: u64) -> Result<(), StartError> {
@@ -235,17 +211,3 @@
         }
     }
 }
-
-/// One line of key=value pairs for each event.
-fn write_log_line(
-    to: &mut dyn std::io::Write,
-    _: &mut flexi_logger::DeferredNow,
-    record: &log::Record<'_>,
-) -> Result<(), std::io::Error> {
-    write!(
-        to,
-        "level={} {}",
-        record.level().as_str().to_ascii_lowercase(),
-        record.args()
-    )
-}
