--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -4,7 +4,6 @@
 //! decision module as it comes, and how old that is by now with each request ([`Counts::elsewhere`]).
 
 use super::counts_settings::CountsSettings;
-use super::door::Door;
 use maplefall_policy::{CustomerId, Elsewhere, Millis, PlanId};
 use maplefall_shared_counts::node::{Node, Start};
 use maplefall_shared_counts::wire::MOST_DATAGRAM;
@@ -130,8 +129,9 @@
         }
     }
 
-    /// Takes datagrams and keeps the rounds, for as long as the front door runs.
-    pub async fn run(self: Rc<Self>, door: Rc<Door>) {
+    /// Receives datagrams and keeps the gossip rounds, for as long as the process runs. `notify` gets each change of what is
+    /// known of a customer's usage at peers, with the time.
+    pub async fn run(self: Rc<Self>, notify: impl Fn(Millis, Elsewhere)) {
         eprintln!("{}", self.line);
         let mut bytes = [0; MOST_DATAGRAM + 1];
         loop {
@@ -145,8 +145,8 @@
                 }
             }
             let now = self.clock.now();
-            while let Some(told) = self.next_heard(now) {
-                door.used_elsewhere(now, told);
+            while let Some(usage) = self.next_heard(now) {
+                notify(now, usage);
             }
             // A flood of datagrams must not keep requests from their turn.
             tokio::task::yield_now().await;
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -76,7 +76,9 @@
         )
         .await?;
         door.share(counts.clone());
-        tokio::task::spawn_local(counts.run(door.clone()));
+        let driver = door.clone();
+        let notify = move |at, usage| driver.used_elsewhere(at, usage);
+        tokio::task::spawn_local(counts.run(notify));
     }
     tokio::task::spawn_local(door.clone().keep_time());
     tokio::task::spawn_local(door.clone().tidy());
