--- a/crates/maplefall/src/counts.rs
+++ b/crates/maplefall/src/counts.rs
@@ -10,20 +10,20 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// How long an answer is waited for before it is asked again, and how often.
-const PATIENCE: Duration = Duration::from_millis(400);
-const TRIES: u32 = 5;
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+const MAX_ATTEMPTS: u32 = 5;
 /// Parts of a status at most.
-const MOST_PARTS: u32 = 1024;
+const MAX_STATUS_PARTS: u32 = 1024;
 
 /// What is shown.
 #[derive(clap::Subcommand)]
 pub enum Command {
     /// Who takes part, how old the news of each is, and what was refused
-    Members(Whom),
+    Members(Target),
     /// The customers that have used most, over all doors and the epochs that are kept
-    Customers(Whom),
+    Customers(Target),
     /// All of it
-    Status(Whom),
+    Status(Target),
     /// What a datagram says, if it was made with the file's key
     Dump {
         /// The file of shared counts
@@ -36,13 +36,13 @@
 
 /// Which front door is asked.
 #[derive(clap::Args)]
-pub struct Whom {
+pub struct Target {
     /// The file of shared counts that the front door was started with: for its cluster and key
     #[arg(long)]
     file: PathBuf,
     /// Another address than the file's `gossip`
-    #[arg(long)]
-    ask: Option<SocketAddr>,
+    #[arg(long = "ask", value_name = "ASK")]
+    address: Option<SocketAddr>,
     /// As one line of JSON
     #[arg(long)]
     json: bool,
@@ -54,30 +54,30 @@
 /// One line: what cannot be used, or that nobody answers.
 pub fn run(command: Command) -> Result<(), String> {
     match command {
-        Command::Members(whom) => show(&whom, |status| {
+        Command::Members(target) => show_status(&target, |status| {
             status.customers.clear();
         }),
-        Command::Customers(whom) => show(&whom, |status| {
+        Command::Customers(target) => show_status(&target, |status| {
             status.members.clear();
             status.refused.clear();
         }),
-        Command::Status(whom) => show(&whom, |_| {}),
-        Command::Dump { file, datagram } => dump(&file, &datagram),
+        Command::Status(target) => show_status(&target, |_| {}),
+        Command::Dump { file, datagram } => dump_datagram(&file, &datagram),
     }
 }
 
-fn settings(file: &Path) -> Result<CountsSettings, String> {
+fn read_settings(file: &Path) -> Result<CountsSettings, String> {
     counts_settings::read(file).map_err(|found| found.join("\n"))
 }
 
-fn show(whom: &Whom, part: impl Fn(&mut Status)) -> Result<(), String> {
-    let settings = settings(&whom.file)?;
-    let to = whom.ask.unwrap_or(settings.listen);
-    let text = ask(&settings, to)?;
+fn show_status(target: &Target, select: impl Fn(&mut Status)) -> Result<(), String> {
+    let settings = read_settings(&target.file)?;
+    let to = target.address.unwrap_or(settings.listen);
+    let text = fetch_status(&settings, to)?;
     let mut status: Status = serde_json::from_str(&text)
         .map_err(|error| format!("{to}: its status cannot be read: {error}"))?;
-    part(&mut status);
-    if whom.json {
+    select(&mut status);
+    if target.json {
         println!("{}", status.json());
     } else {
         print!("{}", status.plain());
@@ -86,22 +86,22 @@
 }
 
 /// A conversation with one front door.
-struct Conversation {
+struct StatusClient {
     socket: UdpSocket,
     to: SocketAddr,
     seal: Seal,
-    me: Life,
+    instance: Life,
     nonce: u64,
-    sent: u64,
+    last_number: u64,
 }
 
-impl Conversation {
+impl StatusClient {
     fn send(&mut self, kind: Kind, echo: u64, section: Option<Section>) -> Result<(), String> {
-        self.sent += 1;
+        self.last_number += 1;
         let head = Head {
             kind,
-            from: self.me,
-            number: self.sent,
+            from: self.instance,
+            number: self.last_number,
             nonce: self.nonce,
             echo,
         };
@@ -117,8 +117,8 @@
     }
 
     /// The next datagram of a kind that answers this conversation; `None` if there is none in time.
-    fn next(&self, kind: Kind) -> Option<(Head, Vec<Section>)> {
-        let until = Instant::now() + PATIENCE;
+    fn receive(&self, kind: Kind) -> Option<(Head, Vec<Section>)> {
+        let until = Instant::now() + RESPONSE_TIMEOUT;
         let mut bytes = [0; MOST_DATAGRAM + 1];
         while Instant::now() < until {
             let Ok((length, _)) = self.socket.recv_from(&mut bytes) else {
@@ -135,12 +135,12 @@
     }
 
     /// Asks until there is an answer.
-    fn until_answered<T>(
+    fn retry<T>(
         &mut self,
-        mut turn: impl FnMut(&mut Self) -> Result<Option<T>, String>,
+        mut attempt: impl FnMut(&mut Self) -> Result<Option<T>, String>,
     ) -> Result<T, String> {
-        for _ in 0..TRIES {
-            if let Some(answer) = turn(self)? {
+        for _ in 0..MAX_ATTEMPTS {
+            if let Some(answer) = attempt(self)? {
                 return Ok(answer);
             }
         }
@@ -152,42 +152,42 @@
 }
 
 /// A front door's status, as text.
-fn ask(settings: &CountsSettings, to: SocketAddr) -> Result<String, String> {
-    let here: SocketAddr = if to.is_ipv4() {
+fn fetch_status(settings: &CountsSettings, to: SocketAddr) -> Result<String, String> {
+    let local_address: SocketAddr = if to.is_ipv4() {
         ([0, 0, 0, 0], 0).into()
     } else {
         ([0u16; 8], 0).into()
     };
     let no_socket = |error: std::io::Error| format!("no socket: {error}");
-    let socket = UdpSocket::bind(here).map_err(no_socket)?;
+    let socket = UdpSocket::bind(local_address).map_err(no_socket)?;
     socket
-        .set_read_timeout(Some(PATIENCE / 4))
+        .set_read_timeout(Some(RESPONSE_TIMEOUT / 4))
         .map_err(no_socket)?;
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    let door = DoorId::of(&format!("operator of {:?}", socket.local_addr().ok()));
-    let mut talk = Conversation {
+    let id = DoorId::of(&format!("operator of {:?}", socket.local_addr().ok()));
+    let mut client = StatusClient {
         socket,
         to,
         seal: Seal::new(&settings.sharing.cluster, &settings.sharing.key),
-        me: Life {
-            door,
+        instance: Life {
+            door: id,
             incarnation: (since.as_millis() as u64).max(1),
         },
         nonce: (since.as_nanos() as u64) | 1,
-        sent: 0,
+        last_number: 0,
     };
-    let echo = talk.until_answered(|talk| {
-        talk.send(Kind::Hello, 0, None)?;
-        Ok(talk.next(Kind::Hello).map(|(head, _)| head.nonce))
+    let echo = client.retry(|client| {
+        client.send(Kind::Hello, 0, None)?;
+        Ok(client.receive(Kind::Hello).map(|(head, _)| head.nonce))
     })?;
-    let (mut text, mut part, mut parts) = (Vec::new(), 0, 1);
-    while part < parts {
-        let (of, more) = talk.until_answered(|talk| {
-            talk.send(Kind::Ask, echo, Some(Section::Part(part)))?;
-            let told = talk.next(Kind::Told).map(|(_, sections)| sections);
-            Ok(told
+    let (mut text, mut index, mut total_parts) = (Vec::new(), 0, 1);
+    while index < total_parts {
+        let (total, chunk) = client.retry(|client| {
+            client.send(Kind::Ask, echo, Some(Section::Part(index)))?;
+            let sections = client.receive(Kind::Told).map(|(_, sections)| sections);
+            Ok(sections
                 .into_iter()
                 .flatten()
                 .find_map(|section| match section {
@@ -195,19 +195,19 @@
                     _ => None,
                 }))
         })?;
-        if of > MOST_PARTS {
+        if total > MAX_STATUS_PARTS {
             return Err(format!(
-                "{to}: a status of {of} parts, {MOST_PARTS} at most were expected"
+                "{to}: a status of {total} parts, {MAX_STATUS_PARTS} at most were expected"
             ));
         }
-        text.extend(more);
-        (part, parts) = (part + 1, of);
+        text.extend(chunk);
+        (index, total_parts) = (index + 1, total);
     }
     String::from_utf8(text).map_err(|_| format!("{to}: its status is no text"))
 }
 
-fn dump(file: &Path, datagram: &str) -> Result<(), String> {
-    let settings = settings(file)?;
+fn dump_datagram(file: &Path, datagram: &str) -> Result<(), String> {
+    let settings = read_settings(file)?;
     let digits: Option<Vec<u32>> = datagram
         .trim()
         .chars()
--- a/crates/maplefall/src/main.rs
+++ b/crates/maplefall/src/main.rs
@@ -11,7 +11,8 @@
 /// Counts what is allocated, in builds for the bench alone.
 #[cfg(feature = "count-allocations")]
 #[global_allocator]
-static COUNTED: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
+static ALLOCATIONS: &stats_alloc::StatsAlloc<std::alloc::System> =
+    &stats_alloc::INSTRUMENTED_SYSTEM;
 
 const ABOUT: &str = "\
 The front door of a service sold by plan: holds each customer to its quota over all front doors, chooses a backend for
@@ -37,7 +38,7 @@
 
 #[derive(Parser)]
 #[command(name = "maplefall", version, about = ABOUT, after_help = VARIABLES)]
-struct Asked {
+struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
 }
@@ -56,7 +57,7 @@
 }
 
 fn main() -> ExitCode {
-    let asked = match Asked::try_parse() {
+    let arguments = match Arguments::try_parse() {
         Ok(asked) => asked,
         Err(error) => {
             // Help and versions go to standard output and are no failure.
@@ -68,12 +69,12 @@
             };
         }
     };
-    let ended = match asked.command {
+    let result = match arguments.command {
         None => serve(),
         Some(Command::Check { file }) => return check(&file),
         Some(Command::Counts(command)) => counts::run(command),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("maplefall: {error}");
@@ -84,16 +85,19 @@
 
 /// Tells every mistake in a configuration on a line of its own.
 fn check(file: &str) -> ExitCode {
-    let named = |mistake: String| format!("{file}: {mistake}");
-    let found = match std::fs::read_to_string(file) {
-        Ok(text) if file.ends_with(".toml") => net::check::source_mistakes(file.as_ref(), &text),
-        Ok(text) => net::check::mistakes(&text).into_iter().map(named).collect(),
-        Err(error) => vec![named(error.to_string())],
+    let with_file_name = |mistake: String| format!("{file}: {mistake}");
+    let errors = match std::fs::read_to_string(file) {
+        Ok(text) if file.ends_with(".toml") => net::check::toml_file_errors(file.as_ref(), &text),
+        Ok(text) => net::check::config_errors(&text)
+            .into_iter()
+            .map(with_file_name)
+            .collect(),
+        Err(error) => vec![with_file_name(error.to_string())],
     };
-    for mistake in &found {
+    for mistake in &errors {
         println!("{mistake}");
     }
-    if found.is_empty() {
+    if errors.is_empty() {
         println!("{file}: no mistakes");
         ExitCode::SUCCESS
     } else {
@@ -113,8 +117,8 @@
     #[cfg(feature = "count-allocations")]
     eprintln!(
         "allocations {} bytes {}",
-        COUNTED.stats().allocations,
-        COUNTED.stats().bytes_allocated
+        ALLOCATIONS.stats().allocations,
+        ALLOCATIONS.stats().bytes_allocated
     );
     served
 }
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -1,10 +1,10 @@
 //! Forward authentication: sub-requests to the service, on kept connections, and what its answers mean. Who is asked, for
 //! how long and what becomes of the verdict, `maplefall-forward-auth` decides; this file only carries.
 
-use super::auth_settings::{AuthSettings, Part};
+use super::auth_settings::{AuthSettings, KeyPart};
 #[cfg(feature = "breakages")]
 use super::breakages::{self, Breakage};
-use super::door::Door;
+use super::driver::Driver;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming as IncomingBody};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
@@ -27,13 +27,13 @@
 use tokio::task::AbortHandle;
 
 /// How long a connection to the service may take to come up.
-const DIAL: Millis = 250.0;
+const DIAL_TIMEOUT: Millis = 250.0;
 /// Most questions out where descriptors are few: one for so many of them.
-const SOCKETS_EACH: usize = 16;
+const SOCKETS_PER_CHECK: usize = 16;
 
 /// What goes with a verdict.
 #[derive(Debug)]
-pub enum Carried {
+pub enum AuthResponse {
     /// Headers that go on to the backend.
     Onward(Vec<(HeaderName, HeaderValue)>),
     /// The service's own answer.
@@ -54,7 +54,7 @@
     /// The decisions ended it first.
     Answered(Answer),
     /// The service's own answer is its answer.
-    Denied(Rc<Carried>),
+    Denied(Rc<AuthResponse>),
     /// Its caller could not be checked: nothing has run.
     Unchecked,
 }
@@ -62,44 +62,44 @@
 /// What is known of a caller before it is asked for.
 pub struct Caller {
     key: Key,
-    sent: Rc<HeaderMap>,
+    headers: Rc<HeaderMap>,
     class: ClassId,
 }
 
 /// Headers of a question that requests wait for.
-struct Asked {
-    sent: Rc<HeaderMap>,
-    waiting: usize,
+struct PendingCheck {
+    headers: Rc<HeaderMap>,
+    waiters: usize,
 }
 
 struct Waiter {
     key: Key,
-    tell: oneshot::Sender<Decision<Carried>>,
+    decision_sender: oneshot::Sender<Decision<AuthResponse>>,
 }
 
 /// The checks of one front door.
 pub struct Auth {
     settings: AuthSettings,
     clock: Clock,
-    ring: Keyring,
-    gate: RefCell<Gate<Carried>>,
-    waiting: RefCell<HashMap<u64, Waiter>>,
-    last: Cell<u64>,
+    key_ring: Keyring,
+    gate: RefCell<Gate<AuthResponse>>,
+    waiters: RefCell<HashMap<u64, Waiter>>,
+    last_waiter_id: Cell<u64>,
     /// By question; as many as there are waiting requests at most.
-    asked: RefCell<HashMap<Key, Asked>>,
+    pending_checks: RefCell<HashMap<Key, PendingCheck>>,
     /// Tasks of the questions that are out.
-    out: RefCell<HashMap<CheckId, AbortHandle>>,
+    in_flight: RefCell<HashMap<CheckId, AbortHandle>>,
     pools: Pools,
-    stirred: Notify,
+    timer_changed: Notify,
 }
 
 /// Descriptors that checks may take, out of those for backends.
-pub fn sockets(settings: Option<&AuthSettings>, descriptors: usize) -> usize {
+pub fn reserved_sockets(settings: Option<&AuthSettings>, descriptors: usize) -> usize {
     settings.map_or(0, |settings| {
         settings
             .gate
             .most_out
-            .min((descriptors / SOCKETS_EACH).max(1))
+            .min((descriptors / SOCKETS_PER_CHECK).max(1))
     })
 }
 
@@ -113,7 +113,7 @@
         settings.gate.most_out = settings.gate.most_out.min(sockets);
         settings.gate.seed = seed;
         let links = Links {
-            dial_timeout: DIAL,
+            dial_timeout: DIAL_TIMEOUT,
             idle_close: settings.idle_close,
         };
         let pools = Pools::new(links, sockets);
@@ -129,23 +129,23 @@
             gate: RefCell::new(Gate::new(settings.gate.clone())),
             settings,
             clock,
-            ring: Keyring::new(secret),
-            waiting: RefCell::default(),
-            last: Cell::new(0),
-            asked: RefCell::default(),
-            out: RefCell::default(),
+            key_ring: Keyring::new(secret),
+            waiters: RefCell::default(),
+            last_waiter_id: Cell::new(0),
+            pending_checks: RefCell::default(),
+            in_flight: RefCell::default(),
             pools,
-            stirred: Notify::new(),
+            timer_changed: Notify::new(),
         })
     }
 
     /// Whether callers of a class are checked.
-    pub fn checks(&self, class: ClassId) -> bool {
+    pub fn checks_class(&self, class: ClassId) -> bool {
         self.settings.checked.get(class.0).copied().unwrap_or(false)
     }
 
     /// Forgets all kept verdicts.
-    pub fn forget(&self) {
+    pub fn clear_cache(&self) {
         self.gate.borrow_mut().forget();
     }
 
@@ -170,20 +170,20 @@
             .uri
             .path_and_query()
             .map_or("/", |target| target.as_str());
-        let part = |part: &Part| match part {
-            Part::Class => class.0.to_be_bytes().to_vec(),
-            Part::Plan => plan.to_be_bytes().to_vec(),
-            Part::Method => head.method.as_str().as_bytes().to_vec(),
-            Part::Host => host.as_bytes().to_vec(),
-            Part::Uri => target.as_bytes().to_vec(),
+        let key_part = |part: &KeyPart| match part {
+            KeyPart::Class => class.0.to_be_bytes().to_vec(),
+            KeyPart::Plan => plan.to_be_bytes().to_vec(),
+            KeyPart::Method => head.method.as_str().as_bytes().to_vec(),
+            KeyPart::Host => host.as_bytes().to_vec(),
+            KeyPart::Uri => target.as_bytes().to_vec(),
         };
-        let more: Vec<Vec<u8>> = self.settings.key.iter().map(part).collect();
+        let key_parts: Vec<Vec<u8>> = self.settings.key.iter().map(key_part).collect();
         let parts = credentials
             .iter()
             .map(Option::as_deref)
-            .chain(more.iter().map(|part| Some(part.as_slice())));
-        let key = self.ring.key(parts);
-        let about = About {
+            .chain(key_parts.iter().map(|part| Some(part.as_slice())));
+        let key = self.key_ring.key(parts);
+        let context = About {
             method: &head.method,
             uri: &head.uri,
             host: &host,
@@ -192,44 +192,48 @@
         };
         Caller {
             key,
-            sent: Rc::new(self.settings.headers.sub_request(&headers, &about)),
+            headers: Rc::new(self.settings.headers.sub_request(&headers, &context)),
             class,
         }
     }
 
     /// Has a caller checked; the decision is there by the budget's end, which lies before the deadline.
-    pub async fn check(self: &Rc<Self>, caller: Caller, deadline: Millis) -> Decision<Carried> {
-        let id = self.last.get() + 1;
-        self.last.set(id);
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(
+    pub async fn check(
+        self: &Rc<Self>,
+        caller: Caller,
+        deadline: Millis,
+    ) -> Decision<AuthResponse> {
+        let id = self.last_waiter_id.get() + 1;
+        self.last_waiter_id.set(id);
+        let (decision_sender, decision) = oneshot::channel();
+        self.waiters.borrow_mut().insert(
             id,
             Waiter {
                 key: caller.key,
-                tell,
+                decision_sender,
             },
         );
-        self.asked
+        self.pending_checks
             .borrow_mut()
             .entry(caller.key)
-            .or_insert_with(|| Asked {
-                sent: caller.sent.clone(),
-                waiting: 0,
+            .or_insert_with(|| PendingCheck {
+                headers: caller.headers.clone(),
+                waiters: 0,
             })
-            .waiting += 1;
+            .waiters += 1;
         // Whatever ends this wait ends its place.
-        let _leaving = Leaving { auth: self, id };
+        let _wait_guard = WaitGuard { auth: self, id };
         self.gate
             .borrow_mut()
             .ask(self.clock.now(), id, caller.key, caller.class.0, deadline);
-        self.carry_out();
-        told.await.unwrap_or(Decision::Refuse(Refusal::GivenUp))
+        self.execute_outputs();
+        decision.await.unwrap_or(Decision::Refuse(Refusal::GivenUp))
     }
 
     /// Has a held request's caller checked, and tells the driver what came of it.
-    pub async fn settle(
+    pub async fn authorize(
         self: &Rc<Self>,
-        door: &Rc<Door>,
+        driver: &Rc<Driver>,
         caller: Caller,
         id: RequestId,
         deadline: Millis,
@@ -247,28 +251,28 @@
             }
             decision => decision,
         };
-        let ended = match decision {
-            Decision::Pass(carried) => {
-                let onward = match &*carried {
-                    Carried::Onward(headers) => headers.as_slice(),
-                    Carried::Denial { .. } => &[],
+        let outcome = match decision {
+            Decision::Pass(response) => {
+                let onward = match &*response {
+                    AuthResponse::Onward(headers) => headers.as_slice(),
+                    AuthResponse::Denial { .. } => &[],
                 };
-                door.passed(id, onward);
+                driver.check_passed(id, onward);
                 #[cfg(feature = "breakages")]
                 if breakages::is(Breakage::CheckedAgain) {
-                    door.send_on_again(id);
+                    driver.resend_in_flight(id);
                 }
                 return Checked::Passed;
             }
             Decision::PassUnchecked(_) => {
-                door.passed(id, &[]);
+                driver.check_passed(id, &[]);
                 return Checked::Passed;
             }
-            Decision::Deny(carried) => Checked::Denied(carried),
+            Decision::Deny(response) => Checked::Denied(response),
             Decision::Refuse(_) => Checked::Unchecked,
         };
-        match door.turned_down(id) {
-            true => ended,
+        match driver.check_denied(id) {
+            true => outcome,
             false => Checked::Answered(answer.await.unwrap_or(Answer::Failed)),
         }
     }
@@ -279,13 +283,13 @@
     }
 
     /// Lets time pass for the gate, and closes idle connections, for as long as the front door runs.
-    pub async fn keep_time(self: Rc<Self>) {
-        let tidy = self.clone();
-        tokio::task::spawn_local(async move { tidy.pools.close_idle_periodically().await });
+    pub async fn run_timers(self: Rc<Self>) {
+        let pools_owner = self.clone();
+        tokio::task::spawn_local(async move { pools_owner.pools.close_idle_periodically().await });
         loop {
-            let due = self.gate.borrow().due();
+            let deadline = self.gate.borrow().due();
             let sleep = async {
-                match due {
+                match deadline {
                     Some(due) => tokio::time::sleep_until(self.clock.instant(due)).await,
                     None => std::future::pending().await,
                 }
@@ -293,27 +297,27 @@
             tokio::select! {
                 () = sleep => {
                     self.gate.borrow_mut().pass_time(self.clock.now());
-                    self.carry_out();
+                    self.execute_outputs();
                 }
-                () = self.stirred.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>) {
+    fn execute_outputs(self: &Rc<Self>) {
         loop {
             let Some(output) = self.gate.borrow_mut().output() else {
                 break;
             };
             match output {
                 Output::Decided { request, decision } => {
-                    if let Some(waiter) = self.take(request) {
+                    if let Some(waiter) = self.remove_waiter(request) {
                         // One whose client has gone is told to nobody.
-                        let _ = waiter.tell.send(decision);
+                        let _ = waiter.decision_sender.send(decision);
                     }
                 }
                 Output::CallOff { check } => {
-                    if let Some(task) = self.out.borrow_mut().remove(&check) {
+                    if let Some(task) = self.in_flight.borrow_mut().remove(&check) {
                         task.abort();
                     }
                 }
@@ -324,18 +328,18 @@
                     server,
                     ..
                 } => {
-                    let Some(sent) = self
-                        .asked
+                    let Some(headers) = self
+                        .pending_checks
                         .borrow()
                         .get(&key)
-                        .map(|asked| asked.sent.clone())
+                        .map(|check| check.headers.clone())
                     else {
                         continue;
                     };
                     let auth = self.clone();
                     let task = tokio::task::spawn_local(async move {
-                        let answer = auth.put(server, &sent).await;
-                        auth.out.borrow_mut().remove(&check);
+                        let answer = auth.send_check(server, &headers).await;
+                        auth.in_flight.borrow_mut().remove(&check);
                         let now = auth.clock.now();
                         match answer {
                             Ok(verdict) => auth
@@ -346,39 +350,45 @@
                                 auth.gate.borrow_mut().failed(now, check, attempt, failure)
                             }
                         }
-                        auth.carry_out();
+                        auth.execute_outputs();
                     });
-                    self.out.borrow_mut().insert(check, task.abort_handle());
+                    self.in_flight
+                        .borrow_mut()
+                        .insert(check, task.abort_handle());
                 }
             }
         }
-        self.stirred.notify_one();
+        self.timer_changed.notify_one();
     }
 
     /// Ends a request's wait.
-    fn take(&self, id: u64) -> Option<Waiter> {
-        let waiter = self.waiting.borrow_mut().remove(&id)?;
-        let mut asked = self.asked.borrow_mut();
-        if let Some(of) = asked.get_mut(&waiter.key) {
-            of.waiting -= 1;
-            if of.waiting == 0 {
-                asked.remove(&waiter.key);
+    fn remove_waiter(&self, id: u64) -> Option<Waiter> {
+        let waiter = self.waiters.borrow_mut().remove(&id)?;
+        let mut pending_checks = self.pending_checks.borrow_mut();
+        if let Some(check) = pending_checks.get_mut(&waiter.key) {
+            check.waiters -= 1;
+            if check.waiters == 0 {
+                pending_checks.remove(&waiter.key);
             }
         }
         Some(waiter)
     }
 
     /// Puts a question to a server once.
-    async fn put(&self, server: usize, sent: &HeaderMap) -> Result<Verdict<Carried>, Failure> {
-        let at = self.settings.servers.get(server).ok_or(Failure::Server)?;
+    async fn send_check(
+        &self,
+        server: usize,
+        headers: &HeaderMap,
+    ) -> Result<Verdict<AuthResponse>, Failure> {
+        let endpoint = self.settings.servers.get(server).ok_or(Failure::Server)?;
         let id = server_id(server);
         let pooled = self.pools.take_settled(id);
-        let kept = pooled.is_some();
+        let reused = pooled.is_some();
         let mut connection = match pooled {
             Some(connection) => connection,
             None => self
                 .pools
-                .connect(at.dial)
+                .connect(endpoint.dial)
                 .await
                 .map_err(|error| match error {
                     // No fault of the server; a moment later there may be room.
@@ -388,51 +398,59 @@
         };
         let mut request = Request::new(Full::<Bytes>::default());
         *request.method_mut() = Method::GET;
-        *request.uri_mut() = at.target.clone();
-        *request.headers_mut() = sent.clone();
-        if let Ok(host) = HeaderValue::try_from(at.dial.to_string()) {
+        *request.uri_mut() = endpoint.target.clone();
+        *request.headers_mut() = headers.clone();
+        if let Ok(host) = HeaderValue::try_from(endpoint.dial.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
         connection.wire.begin_request(0, false);
-        let died = if kept {
+        let connection_failure = if reused {
             Failure::KeptConnection
         } else {
             Failure::Server
         };
-        connection.sender.ready().await.map_err(|_| died)?;
+        connection
+            .sender
+            .ready()
+            .await
+            .map_err(|_| connection_failure)?;
         let answer = connection
             .sender
             .send_request(request)
             .await
-            .map_err(|_| died)?;
-        let verdict = self.read(answer).await.ok_or(Failure::Server)?;
-        self.pools.put_back(id, at.dial, connection);
+            .map_err(|_| connection_failure)?;
+        let verdict = self.read_verdict(answer).await.ok_or(Failure::Server)?;
+        self.pools.put_back(id, endpoint.dial, connection);
         Ok(verdict)
     }
 
     /// What an answer means; `None` if it is none: an error of the service itself, broken off, or too long.
-    async fn read(&self, answer: Response<IncomingBody>) -> Option<Verdict<Carried>> {
+    async fn read_verdict(&self, answer: Response<IncomingBody>) -> Option<Verdict<AuthResponse>> {
         let (head, body) = answer.into_parts();
         if head.status.is_server_error() || head.status.is_informational() {
             return None;
         }
-        let most = self.settings.headers.most_bytes;
-        let body = Limited::new(body, most).collect().await.ok()?.to_bytes();
+        let max_bytes = self.settings.headers.most_bytes;
+        let body = Limited::new(body, max_bytes)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
         let passes = head.status.is_success();
-        let carried = if passes {
-            Carried::Onward(self.settings.headers.onward(&head.headers).ok()?)
+        let response = if passes {
+            AuthResponse::Onward(self.settings.headers.onward(&head.headers).ok()?)
         } else {
             let headers = self.settings.headers.back(&head.headers).ok()?;
-            Carried::Denial {
+            AuthResponse::Denial {
                 status: head.status,
                 headers,
                 body,
             }
         };
-        let bytes = size(&carried);
+        let bytes = cached_size(&response);
         Some(Verdict {
             passes,
-            answer: Rc::new(carried),
+            answer: Rc::new(response),
             bytes,
             keep: keep(&head.headers),
         })
@@ -440,10 +458,10 @@
 }
 
 /// Bytes that a verdict takes while it is kept.
-fn size(carried: &Carried) -> usize {
-    let (headers, body) = match carried {
-        Carried::Onward(headers) => (headers, 0),
-        Carried::Denial { headers, body, .. } => (headers, body.len()),
+fn cached_size(response: &AuthResponse) -> usize {
+    let (headers, body) = match response {
+        AuthResponse::Onward(headers) => (headers, 0),
+        AuthResponse::Denial { headers, body, .. } => (headers, body.len()),
     };
     headers
         .iter()
@@ -462,19 +480,19 @@
 }
 
 /// Ends a wait when its request is decided or its client goes.
-struct Leaving<'a> {
+struct WaitGuard<'a> {
     auth: &'a Rc<Auth>,
     id: u64,
 }
 
-impl Drop for Leaving<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        if self.auth.take(self.id).is_some() {
+        if self.auth.remove_waiter(self.id).is_some() {
             self.auth
                 .gate
                 .borrow_mut()
                 .leave(self.auth.clock.now(), self.id);
-            self.auth.carry_out();
+            self.auth.execute_outputs();
         }
     }
 }
--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -15,13 +15,13 @@
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_FORWARD_AUTH";
 /// Most servers, and most headers of a list.
-const MOST_SERVERS: usize = 16;
-const MOST_HEADERS: usize = 32;
+const MAX_SERVERS: usize = 16;
+const MAX_HEADERS: usize = 32;
 
 /// What a request is besides its credentials, for the key of a kept verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Part {
+pub enum KeyPart {
     /// Its class.
     Class,
     /// Its plan.
@@ -55,7 +55,7 @@
     /// Which headers go where.
     pub headers: Headers,
     /// What makes two questions the same, besides the credentials.
-    pub key: Vec<Part>,
+    pub key: Vec<KeyPart>,
     /// What the service is told of the way that requests come by.
     pub proto: &'static str,
     /// After how long the service closes an idle connection.
@@ -64,13 +64,13 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct AuthFile {
     servers: Vec<String>,
     classes: BTreeMap<String, Mode>,
     credentials: Vec<String>,
     #[serde(default)]
     onward: Vec<String>,
-    key: Option<Vec<Part>>,
+    key: Option<Vec<KeyPart>>,
     proto: Option<Proto>,
     share: Option<f64>,
     room_ms: Option<Millis>,
@@ -131,50 +131,50 @@
 }
 
 /// Whether a text is a file of this kind rather than one of sources.
-pub fn is_one(text: &str) -> bool {
+pub fn is_auth_file(text: &str) -> bool {
     text.parse::<toml::Table>()
         .is_ok_and(|table| table.contains_key("servers"))
 }
 
 fn parse(text: &str, classes: Option<(&[String], &[Effect])>) -> Result<AuthSettings, Vec<String>> {
-    let told: Text =
+    let file: AuthFile =
         toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
-    let mut found = Vec::new();
+    let mut errors = Vec::new();
     let mut servers = Vec::new();
-    if !(1..=MOST_SERVERS).contains(&told.servers.len()) {
-        found.push(format!(
-            "servers: a list of 1 to {MOST_SERVERS} of http://IP:PORT/PATH was expected"
+    if !(1..=MAX_SERVERS).contains(&file.servers.len()) {
+        errors.push(format!(
+            "servers: a list of 1 to {MAX_SERVERS} of http://IP:PORT/PATH was expected"
         ));
     }
-    for (at, server) in told.servers.iter().enumerate() {
-        match server_of(server) {
+    for (at, server) in file.servers.iter().enumerate() {
+        match parse_server(server) {
             Some(server) => servers.push(server),
-            None => found.push(format!(
+            None => errors.push(format!(
                 "servers.{at}: http://IP:PORT/PATH was expected, not {server:?}"
             )),
         }
     }
     let mut names = |list: &[String], field: &str, least: usize| {
-        if !(least..=MOST_HEADERS).contains(&list.len()) {
-            found.push(format!(
-                "{field}: a list of {least} to {MOST_HEADERS} names of headers was expected"
+        if !(least..=MAX_HEADERS).contains(&list.len()) {
+            errors.push(format!(
+                "{field}: a list of {least} to {MAX_HEADERS} names of headers was expected"
             ));
         }
         let mut names = Vec::new();
         for (at, name) in list.iter().enumerate() {
             match name.parse::<HeaderName>() {
                 Ok(name) => names.push(name),
-                Err(_) => found.push(format!(
+                Err(_) => errors.push(format!(
                     "{field}.{at}: the name of a header was expected, not {name:?}"
                 )),
             }
         }
         names
     };
-    let credentials = names(&told.credentials, "credentials", 1);
-    let onward = names(&told.onward, "onward", 0);
+    let credentials = names(&file.credentials, "credentials", 1);
+    let onward = names(&file.onward, "onward", 0);
     if let Some(both) = onward.iter().find(|name| credentials.contains(name)) {
-        found.push(format!(
+        errors.push(format!(
             "onward: {both} is a credential; what the service sets is stripped from requests"
         ));
     }
@@ -198,17 +198,17 @@
         .iter()
         .filter(|name| own.iter().chain(&hops).any(|own| own == &name.as_str()))
     {
-        found.push(format!(
+        errors.push(format!(
             "onward: {name} belongs to the request itself and cannot be set by the service"
         ));
     }
-    let count = classes.map_or(told.classes.len(), |(names, _)| names.len());
+    let count = classes.map_or(file.classes.len(), |(names, _)| names.len());
     let mut modes = vec![Mode::Off; count];
-    for (at, (name, mode)) in told.classes.iter().enumerate() {
+    for (at, (name, mode)) in file.classes.iter().enumerate() {
         match classes {
             Some((known, _)) => match known.iter().position(|known| *known == plain(name)) {
                 Some(class) => modes[class] = *mode,
-                None => found.push(format!(
+                None => errors.push(format!(
                     "classes.{name}: one of {} was expected",
                     known.join(", ")
                 )),
@@ -216,32 +216,32 @@
             None => modes[at] = *mode,
         }
     }
-    let usual = GateSettings::usual(servers.len().max(1), count);
+    let defaults = GateSettings::usual(servers.len().max(1), count);
     let gate = GateSettings {
-        share: told.share.unwrap_or(usual.share),
-        room: told.room_ms.unwrap_or(usual.room),
-        limit: told.limit_ms.unwrap_or(usual.limit),
-        tries: told.tries.unwrap_or(usual.tries),
-        most_out: told.most_out.unwrap_or(usual.most_out),
-        most_waiting: told.most_waiting.unwrap_or(usual.most_waiting),
-        failures: told.failures.unwrap_or(usual.failures),
-        pause: told.pause_ms.unwrap_or(usual.pause),
-        keep: told.keep_ms.unwrap_or(usual.keep),
-        cache_bytes: told.cache_bytes.unwrap_or(usual.cache_bytes),
+        share: file.share.unwrap_or(defaults.share),
+        room: file.room_ms.unwrap_or(defaults.room),
+        limit: file.limit_ms.unwrap_or(defaults.limit),
+        tries: file.tries.unwrap_or(defaults.tries),
+        most_out: file.most_out.unwrap_or(defaults.most_out),
+        most_waiting: file.most_waiting.unwrap_or(defaults.most_waiting),
+        failures: file.failures.unwrap_or(defaults.failures),
+        pause: file.pause_ms.unwrap_or(defaults.pause),
+        keep: file.keep_ms.unwrap_or(defaults.keep),
+        cache_bytes: file.cache_bytes.unwrap_or(defaults.cache_bytes),
         fail_open: modes.iter().map(|mode| *mode == Mode::Open).collect(),
-        ..usual
+        ..defaults
     };
     let effects = classes.map_or(&[][..], |(_, effects)| effects);
     for wrong in gate.mistakes(effects) {
-        found.push(format!("{}: {} was expected", wrong.field, wrong.expected));
+        errors.push(format!("{}: {} was expected", wrong.field, wrong.expected));
     }
-    let answer_bytes = told.answer_bytes.unwrap_or(16 * 1024);
+    let answer_bytes = file.answer_bytes.unwrap_or(16 * 1024);
     if !(256..=64 * 1024).contains(&answer_bytes) {
-        found.push("answer_bytes: a whole number from 256 to 65536 was expected".to_owned());
+        errors.push("answer_bytes: a whole number from 256 to 65536 was expected".to_owned());
     }
-    let idle_close = told.idle_close_ms.unwrap_or(5000.0);
+    let idle_close = file.idle_close_ms.unwrap_or(5000.0);
     if !(100.0..=600_000.0).contains(&idle_close) {
-        found.push("idle_close_ms: a number from 100 to 600000 was expected".to_owned());
+        errors.push("idle_close_ms: a number from 100 to 600000 was expected".to_owned());
     }
     let settings = AuthSettings {
         servers,
@@ -252,21 +252,21 @@
             onward,
             most_bytes: answer_bytes,
         },
-        key: told.key.unwrap_or(vec![Part::Class, Part::Plan]),
-        proto: match told.proto {
+        key: file.key.unwrap_or(vec![KeyPart::Class, KeyPart::Plan]),
+        proto: match file.proto {
             Some(Proto::Https) => "https",
             Some(Proto::Http) | None => "http",
         },
         idle_close,
     };
-    match found.is_empty() {
+    match errors.is_empty() {
         true => Ok(settings),
-        false => Err(found),
+        false => Err(errors),
     }
 }
 
 /// A server by its address; names are not looked up.
-fn server_of(text: &str) -> Option<Server> {
+fn parse_server(text: &str) -> Option<Server> {
     let uri: Uri = text.parse().ok()?;
     let dial = uri.authority()?.as_str().parse().ok()?;
     let target = uri.path_and_query()?.clone();
@@ -291,7 +291,9 @@
     #[test]
     fn the_shipped_example_can_be_used() {
         let text = include_str!("../../../../deploy/forward-auth.toml");
-        assert!(is_one(text) && !is_one(include_str!("../../../../deploy/sources.toml")));
+        assert!(
+            is_auth_file(text) && !is_auth_file(include_str!("../../../../deploy/sources.toml"))
+        );
         let settings = parse(text, None).unwrap();
         assert_eq!(
             (settings.servers.len(), settings.servers[0].target.path()),
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -16,78 +16,78 @@
 
 /// Longest body of an answer at all. Backends are met that send far more than the agreed 64 KiB, and their good
 /// answers are worth passing on; one that is said to be longer than this is none.
-const LONGEST_ANSWER: u64 = 1 << 20;
+const MAX_RESPONSE_BYTES: u64 = 1 << 20;
 /// Part of the memory that long answers may take together, from the first byte read to the last one written.
-const ROOM_PART: usize = 4;
+const RESPONSE_MEMORY_DIVISOR: usize = 4;
 /// A use over this many percent of a rate is no figure to go by.
-pub const MOST_USAGE: f64 = 100_000.0;
+pub const MAX_USAGE_PERCENT: f64 = 100_000.0;
 
 /// The memory that long answers may still take.
 #[derive(Clone)]
-struct Room(Arc<AtomicUsize>);
+struct ResponseMemory(Arc<AtomicUsize>);
 
-impl Room {
+impl ResponseMemory {
     /// Sets `length` bytes aside; `None` if there is no room for them.
-    fn take(&self, length: usize) -> Option<Share> {
-        let left = self.0.load(Ordering::Relaxed).checked_sub(length)?;
-        self.0.store(left, Ordering::Relaxed);
-        Some(Share {
+    fn reserve(&self, length: usize) -> Option<ReservedBody> {
+        let available = self.0.load(Ordering::Relaxed).checked_sub(length)?;
+        self.0.store(available, Ordering::Relaxed);
+        Some(ReservedBody {
             length,
-            room: self.clone(),
+            memory: self.clone(),
             body: Bytes::new(),
         })
     }
 }
 
 /// A long answer with the room that it takes, given back when the last byte of it is dropped.
-struct Share {
+struct ReservedBody {
     length: usize,
-    room: Room,
+    memory: ResponseMemory,
     body: Bytes,
 }
 
-impl AsRef<[u8]> for Share {
+impl AsRef<[u8]> for ReservedBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
 }
 
-impl Drop for Share {
+impl Drop for ReservedBody {
     fn drop(&mut self) {
-        self.room.0.fetch_add(self.length, Ordering::Relaxed);
+        self.memory.0.fetch_add(self.length, Ordering::Relaxed);
     }
 }
 
 /// How answers are read.
-pub struct Reading {
+pub struct ResponseReader {
     /// Names of their values.
-    pub names: Vec<String>,
+    pub metric_names: Vec<String>,
     /// What the values are.
     pub metrics: Vec<Metric>,
     /// Most units of a request, by the settings.
     pub max_units: f64,
-    room: Room,
+    memory: ResponseMemory,
 }
 
-impl Reading {
+impl ResponseReader {
     /// Reads as the settings tell, within `memory` bytes for all.
-    pub fn new(told: &Told, memory: usize) -> Reading {
-        Reading {
-            names: told.names.metrics.clone(),
-            metrics: told.metrics.clone(),
-            max_units: told.settings.max_units,
-            room: Room(Arc::new(AtomicUsize::new(memory / ROOM_PART))),
+    pub fn new(settings_file: &Told, memory: usize) -> ResponseReader {
+        ResponseReader {
+            metric_names: settings_file.names.metrics.clone(),
+            metrics: settings_file.metrics.clone(),
+            max_units: settings_file.settings.max_units,
+            memory: ResponseMemory(Arc::new(AtomicUsize::new(memory / RESPONSE_MEMORY_DIVISOR))),
         }
     }
 
-    fn report(&self, text: &str) -> Report {
+    fn parse_report(&self, text: &str) -> Report {
         let mut report = Report::default();
         for (name, value) in text
             .split(',')
             .filter_map(|field| field.trim().split_once('='))
         {
-            let place = self.names.iter().position(|known| known == name);
-            if let (Some(place), Ok(value)) = (place, value.parse::<f32>()) {
+            let position = self.metric_names.iter().position(|known| known == name);
+            if let (Some(place), Ok(value)) = (position, value.parse::<f32>()) {
                 settings::tell(&mut report, self.metrics[place], value);
             }
         }
@@ -98,109 +98,110 @@
 // ---- Attempts ---------------------------------------------------------------------------------------
 
 /// An order as it is written to a backend, which is told how long the front door will wait.
-fn request(order: &Order, limit: Millis) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(order.body.clone()));
-    *request.method_mut() = order.method.clone();
-    *request.uri_mut() = order.uri.clone();
+fn build_request(forwarded: &Order, timeout: Millis) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(forwarded.body.clone()));
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.uri.clone();
     let headers = request.headers_mut();
-    headers.insert(HOST, order.host.clone());
-    headers.insert(REQUEST_ID, order.id_value.clone());
-    if let Ok(limit) = HeaderValue::try_from(format!("{:.3}", limit / 1000.0)) {
+    headers.insert(HOST, forwarded.host.clone());
+    headers.insert(REQUEST_ID, forwarded.id_value.clone());
+    if let Ok(limit) = HeaderValue::try_from(format!("{:.3}", timeout / 1000.0)) {
         headers.insert(REQUEST_TIMEOUT, limit);
     }
-    if let Some(key) = &order.key {
+    if let Some(key) = &forwarded.key {
         headers.insert(IDEMPOTENCY_KEY, key.clone());
     }
-    if let Some(kind) = &order.content_type {
+    if let Some(kind) = &forwarded.content_type {
         headers.insert(hyper::header::CONTENT_TYPE, kind.clone());
     }
-    for (name, value) in &order.onward {
+    for (name, value) in &forwarded.onward {
         headers.append(name.clone(), value.clone());
     }
     request
 }
 
 /// Carries out one attempt and tells how it ended.
-pub async fn attempt(
+pub async fn send_attempt(
     pools: &Pools,
-    reading: &Reading,
+    reader: &ResponseReader,
     backend: BackendId,
-    order: &Order,
-    limit: Millis,
+    forwarded: &Order,
+    timeout: Millis,
     care: Care,
-    line: &AttemptHandle,
+    handle: &AttemptHandle,
 ) -> Ended {
-    let carried = send_request(
+    let result = send_request(
         pools,
         backend,
-        (care, limit),
-        line,
-        (order.body.len(), |left| request(order, left)),
-        async |answer| read(reading, answer).await,
+        (care, timeout),
+        handle,
+        (forwarded.body.len(), |left| build_request(forwarded, left)),
+        async |answer| read_response(reader, answer).await,
         |ended: &Ended| ended.outcome == Outcome::Full,
     )
     .await;
     Ended {
-        broken: carried.broken_connections,
-        ..carried.result.unwrap_or_else(Ended::of)
+        broken: result.broken_connections,
+        ..result.result.unwrap_or_else(Ended::of)
     }
 }
 
 /// Reads a whole answer; `None` if the connection ends before it does, or if nobody could tell that it is whole: an
 /// answer that ends with its connection may have been cut. After 101 the connection speaks something else.
-async fn read(reading: &Reading, answer: Response<Incoming>) -> Option<Ended> {
+async fn read_response(reader: &ResponseReader, answer: Response<Incoming>) -> Option<Ended> {
     let (head, body) = answer.into_parts();
-    let measured =
+    let has_framing =
         head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
-    if !measured || head.status.is_informational() {
+    if !has_framing || head.status.is_informational() {
         return None;
     }
-    let body = whole_body(&reading.room, body).await?;
-    let outcome = outcome(head.status, &head.headers);
+    let body = read_body(&reader.memory, body).await?;
+    let outcome_of = outcome(head.status, &head.headers);
     Some(Ended {
-        outcome,
-        body: if outcome == Outcome::Ok {
+        outcome: outcome_of,
+        body: if outcome_of == Outcome::Ok {
             body
         } else {
             Bytes::new()
         },
-        used: number(&head.headers, &API_USAGE, MOST_USAGE).map(|percent| percent / 100.0),
-        charge: number(&head.headers, &API_CHARGE, reading.max_units),
+        used: header_number(&head.headers, &API_USAGE, MAX_USAGE_PERCENT)
+            .map(|percent| percent / 100.0),
+        charge: header_number(&head.headers, &API_CHARGE, reader.max_units),
         report: text(&head.headers, &SERVER_LOAD)
-            .map(|text| reading.report(text))
+            .map(|header_text| reader.parse_report(header_text))
             .unwrap_or_default(),
         broken: 0,
     })
 }
 
 /// Reads a body to its end, within the bounds on one answer and on all.
-async fn whole_body(room: &Room, mut body: Incoming) -> Option<Bytes> {
-    let told = body.size_hint().exact();
-    if told.is_some_and(|length| length > LONGEST_ANSWER) {
+async fn read_body(memory: &ResponseMemory, mut body: Incoming) -> Option<Bytes> {
+    let declared_length = body.size_hint().exact();
+    if declared_length.is_some_and(|length| length > MAX_RESPONSE_BYTES) {
         return None;
     }
     // In chunks no length is told: once it proves long, the whole bound is set aside.
-    let most = usize::try_from(told.unwrap_or(LONGEST_ANSWER)).ok()?;
-    if told.is_some() && most <= LONGEST_BODY {
+    let max_length = usize::try_from(declared_length.unwrap_or(MAX_RESPONSE_BYTES)).ok()?;
+    if declared_length.is_some() && max_length <= LONGEST_BODY {
         return Some(body.collect().await.ok()?.to_bytes());
     }
-    let mut share = None;
-    let mut held = Vec::new();
+    let mut reserved = None;
+    let mut received = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
-        let length = held.len() + data.len();
-        if length > most {
+        let length = received.len() + data.len();
+        if length > max_length {
             return None;
         }
-        if length > LONGEST_BODY && share.is_none() {
-            share = Some(room.take(most)?);
+        if length > LONGEST_BODY && reserved.is_none() {
+            reserved = Some(memory.reserve(max_length)?);
         }
-        held.extend_from_slice(&data);
+        received.extend_from_slice(&data);
     }
-    let body = Bytes::from(held);
-    Some(match share {
+    let body = Bytes::from(received);
+    Some(match reserved {
         Some(mut share) => {
             share.body = body;
             Bytes::from_owner(share)
@@ -229,12 +230,12 @@
 }
 
 /// The first figure under this name that can be read and makes sense. One that does not spoils no answer.
-pub fn number(headers: &HeaderMap, name: &HeaderName, most: f64) -> Option<f64> {
+pub fn header_number(headers: &HeaderMap, name: &HeaderName, max: f64) -> Option<f64> {
     let mut values = headers
         .get_all(name)
         .iter()
         .filter_map(|value| value.to_str().ok()?.trim().parse().ok());
-    values.find(|number: &f64| number.is_finite() && (0.0..=most).contains(number))
+    values.find(|number: &f64| number.is_finite() && (0.0..=max).contains(number))
 }
 
 #[cfg(test)]
@@ -252,13 +253,13 @@
     fn a_load_report_is_read_by_its_names() {
         let names = vec!["depth".to_owned(), "load_share".to_owned()];
         let metrics = vec![Metric::Queue, Metric::Utilisation];
-        let reading = Reading {
-            names,
+        let reading = ResponseReader {
+            metric_names: names,
             metrics,
             max_units: 8.0,
-            room: Room(Arc::default()),
+            memory: ResponseMemory(Arc::default()),
         };
-        let report = reading.report("other=3, depth=2,load_share=0.61,broken");
+        let report = reading.parse_report("other=3, depth=2,load_share=0.61,broken");
         assert_eq!((report.queue, report.in_flight), (Some(2.0), None));
         assert!((report.utilisation.unwrap() - 0.61).abs() < 1e-6);
     }
@@ -266,16 +267,16 @@
     /// Longest time that a scene may take.
     const SCENE: Duration = Duration::from_secs(20);
 
-    fn pools() -> (Pools, Reading) {
+    fn pools() -> (Pools, ResponseReader) {
         let links = Links {
             dial_timeout: 20_000.0,
             idle_close: 600_000.0,
         };
-        let reading = Reading {
-            names: Vec::new(),
+        let reading = ResponseReader {
+            metric_names: Vec::new(),
             metrics: Vec::new(),
             max_units: 8.0,
-            room: Room(Arc::default()),
+            memory: ResponseMemory(Arc::default()),
         };
         (Pools::new(links, 8), reading)
     }
@@ -334,7 +335,7 @@
             let mut ends = Vec::new();
             for _ in 0..3 {
                 ends.push(
-                    attempt(
+                    send_attempt(
                         &pools,
                         &reading,
                         id,
@@ -392,7 +393,7 @@
             let ((pools, reading), order, id, line) =
                 (pools(), order(), BackendId(1), AttemptHandle::default());
             pools.open(id, address, 0.0);
-            let send = |care| attempt(&pools, &reading, id, &order, 20_000.0, care, &line);
+            let send = |care| send_attempt(&pools, &reading, id, &order, 20_000.0, care, &line);
             for _ in 0..3 {
                 assert_eq!(send(Care::Usual).await.outcome, Outcome::Ok);
                 pools.age(old);
@@ -421,7 +422,7 @@
             let ((pools, reading), order, id, line) =
                 (pools(), order(), BackendId(1), AttemptHandle::default());
             pools.open(id, address, 0.0);
-            let send = attempt(&pools, &reading, id, &order, 20_000.0, Care::Usual, &line);
+            let send = send_attempt(&pools, &reading, id, &order, 20_000.0, Care::Usual, &line);
             // While it is dialled.
             let move_on = async {
                 pools.drain(id);
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -171,11 +171,11 @@
 }
 
 /// Part of the front doors that the decision module takes to be heard of.
-pub fn heard(part: f64) -> f64 {
+pub fn live_share(share: f64) -> f64 {
     if is(Breakage::NewsNeverOld) {
         1.0
     } else {
-        part
+        share
     }
 }
 
@@ -192,11 +192,11 @@
 }
 
 /// An order as it goes on to a backend.
-pub fn order(order: Rc<Order>) -> Rc<Order> {
+pub fn forwarded_request(forwarded: Rc<Order>) -> Rc<Order> {
     if !is(Breakage::ChangedOnTheWay) {
-        return order;
+        return forwarded;
     }
-    let mut changed = (*order).clone();
+    let mut changed = (*forwarded).clone();
     if let Ok(uri) = Uri::try_from(format!("{}&x=1", changed.uri)) {
         changed.uri = uri;
     }
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -1,7 +1,7 @@
 //! `maplefall check FILE`: every mistake in a configuration at once, each with its path, where the start tells only that
 //! there is one. It also tells what can be read and cannot be meant.
 
-use super::config::{least_memory, LEAST_SOCKETS};
+use super::config::{min_memory_mb, MIN_SOCKETS};
 use super::{auth_settings, counts_settings, grpc, membership, sources};
 use maplefall_protocol::Members;
 use maplefall_settings::{self as settings, Told};
@@ -11,14 +11,14 @@
 
 /// All mistakes in a file of sources and in the files that it names, or in one of forward authentication or of gRPC: their
 /// names end in `.toml`.
-pub fn source_mistakes(path: &Path, text: &str) -> Vec<String> {
-    if grpc::is_one(text) {
+pub fn toml_file_errors(path: &Path, text: &str) -> Vec<String> {
+    if grpc::is_grpc_file(text) {
         return grpc::read(path, None).err().unwrap_or_default();
     }
-    if counts_settings::is_one(text) {
+    if counts_settings::is_counts_file(text) {
         return counts_settings::read(path).err().unwrap_or_default();
     }
-    if auth_settings::is_one(text) {
+    if auth_settings::is_auth_file(text) {
         return auth_settings::read(path, None).err().unwrap_or_default();
     }
     match sources::read(path) {
@@ -39,7 +39,7 @@
 }
 
 /// All mistakes in a configuration's text; none if it can be used.
-pub fn mistakes(text: &str) -> Vec<String> {
+pub fn config_errors(text: &str) -> Vec<String> {
     let value: Value = match serde_json::from_str(text) {
         Ok(value) => value,
         Err(error) => return vec![format!("the file is no JSON: {error}")],
@@ -47,16 +47,16 @@
     if !value.is_object() {
         return vec!["the file: an object was expected".to_owned()];
     }
-    let mut found = Vec::new();
+    let mut errors = Vec::new();
     // The variables may stand in for these three; what is there must be usable all the same.
     for (path, address) in [("name", false), ("listen", true), ("discovery", true)] {
         match value.get(path).map(|value| value.as_str()) {
             None => {}
             Some(Some(text)) if !address || text.parse::<SocketAddr>().is_ok() => {}
             Some(_) if address => {
-                found.push(format!("{path}: an address with a port was expected"))
+                errors.push(format!("{path}: an address with a port was expected"))
             }
-            Some(_) => found.push(format!("{path}: a text was expected")),
+            Some(_) => errors.push(format!("{path}: a text was expected")),
         }
     }
     match value
@@ -65,71 +65,71 @@
         .map(|text| u64::from_str_radix(text, 16))
     {
         Some(Ok(_)) => {}
-        _ => found.push("seed: up to 16 hexadecimal digits in quotes were expected".to_owned()),
+        _ => errors.push("seed: up to 16 hexadecimal digits in quotes were expected".to_owned()),
     }
-    let least = [
-        ("sockets", LEAST_SOCKETS, true),
-        ("memory_mb", least_memory(), false),
+    let minimums = [
+        ("sockets", MIN_SOCKETS, true),
+        ("memory_mb", min_memory_mb(), false),
     ];
-    for (key, least, needed) in least {
+    for (key, least, needed) in minimums {
         let limit = value.pointer(&format!("/limits/{key}"));
         let number = limit
             .and_then(Value::as_u64)
             .and_then(|number| usize::try_from(number).ok());
         if number.is_none_or(|number| number < least) && (needed || limit.is_some()) {
-            found.push(format!(
+            errors.push(format!(
                 "limits.{key}: a whole number of {least} or more was expected"
             ));
         }
     }
     if let Some(known) = value.get("known").filter(|known| !known.is_null()) {
-        known_list(known, &mut found);
+        check_known_list(known, &mut errors);
     }
     match value.get("settings") {
-        None => found.push("settings: an object was expected".to_owned()),
+        None => errors.push("settings: an object was expected".to_owned()),
         Some(told) => match settings::parse_all(&settings::facts(told)) {
-            Ok(told) => meant(&told, &mut found),
-            Err(mistakes) => found.extend(mistakes),
+            Ok(told) => check_plausibility(&told, &mut errors),
+            Err(mistakes) => errors.extend(mistakes),
         },
     }
-    found
+    errors
 }
 
 /// The list of backends, entry by entry.
-fn known_list(known: &Value, found: &mut Vec<String>) {
+fn check_known_list(known: &Value, errors: &mut Vec<String>) {
     if known.get("seq").and_then(Value::as_u64).is_none() {
-        found.push("known.seq: a whole number was expected".to_owned());
+        errors.push("known.seq: a whole number was expected".to_owned());
     }
     let Some(hosts) = known.get("hosts").and_then(Value::as_array) else {
-        return found.push("known.hosts: a list was expected".to_owned());
+        return errors.push("known.hosts: a list was expected".to_owned());
     };
-    let before = found.len();
+    let before = errors.len();
     for (at, host) in hosts.iter().enumerate() {
         // One entry as a list of its own, so that each mistake is told with its place.
         let alone = serde_json::json!({"seq": 1, "whole": true, "hosts": [host]});
         if let Err(error) = serde_json::from_value::<Members>(alone) {
-            found.push(format!("known.hosts.{at}: {error}"));
+            errors.push(format!("known.hosts.{at}: {error}"));
         }
     }
-    if found.len() == before && serde_json::from_value::<Members>(known.clone()).is_err() {
-        found.push("known.whole: true or false was expected".to_owned());
+    if errors.len() == before && serde_json::from_value::<Members>(known.clone()).is_err() {
+        errors.push("known.whole: true or false was expected".to_owned());
     }
 }
 
 /// What can be read and cannot be meant.
-fn meant(told: &Told, found: &mut Vec<String>) {
-    let (set, names) = (&told.settings, &told.names);
+fn check_plausibility(parsed: &Told, errors: &mut Vec<String>) {
+    let (set, names) = (&parsed.settings, &parsed.names);
     for (list, known) in [("grades", &names.classes), ("plans", &names.plans)] {
         if known.is_empty() {
-            found.push(format!(
+            errors.push(format!(
                 "settings.{list}: at least one was expected; nothing can be served without"
             ));
         }
         for (at, name) in known.iter().enumerate() {
             if name.is_empty() {
-                found.push(format!("settings.{list}.{at}.name: a name was expected"));
+                errors.push(format!("settings.{list}.{at}.name: a name was expected"));
             } else if known[..at].contains(name) {
-                found.push(format!(
+                errors.push(format!(
                     "settings.{list}.{at}.name: {name} stands there twice"
                 ));
             }
@@ -137,40 +137,40 @@
     }
     for (at, class) in set.classes.iter().enumerate() {
         if class.deadline <= 0.0 || class.aim <= 0.0 {
-            found.push(format!(
+            errors.push(format!(
                 "settings.grades.{at}: aim and give_up above 0 were expected"
             ));
         } else if class.aim > class.deadline {
             let (aim, end) = (class.aim, class.deadline);
-            found.push(format!(
+            errors.push(format!(
                 "settings.grades.{at}.aim: {aim} is over its give_up of {end}"
             ));
         }
     }
     for (at, plan) in set.plans.iter().enumerate() {
         if plan.rate < 0.0 || plan.burst < 0.0 {
-            found.push(format!(
+            errors.push(format!(
                 "settings.plans.{at}: per_second and peak_units of 0 or more were expected"
             ));
         } else if plan.rate > 0.0 && plan.burst < set.max_units {
             let (burst, most) = (plan.burst, set.max_units);
-            found.push(format!(
+            errors.push(format!(
                 "settings.plans.{at}.peak_units: {burst} is under extra.max_units of {most}: its largest requests are \
                  always refused"
             ));
         }
         if let Some(ceiling) = plan.ceiling.filter(|ceiling| ceiling.burst <= 0.0) {
             let rate = ceiling.rate;
-            found.push(format!(
+            errors.push(format!(
                 "settings.plans.{at}.never_over_depth: above 0 was expected where cap_rate is {rate}"
             ));
         }
     }
     if set.max_attempts == 0 {
-        found.push("settings.policy_limits.send_cap: 1 or more was expected".to_owned());
+        errors.push("settings.policy_limits.send_cap: 1 or more was expected".to_owned());
     }
     if set.gateways == 0 {
-        found.push("settings.fleet_size: 1 or more was expected".to_owned());
+        errors.push("settings.fleet_size: 1 or more was expected".to_owned());
     }
 }
 
@@ -182,7 +182,7 @@
     #[test]
     fn the_shipped_example_has_no_mistakes() {
         let text = include_str!("../../../../deploy/example.json");
-        assert_eq!(mistakes(text), Vec::<String>::new());
+        assert_eq!(config_errors(text), Vec::<String>::new());
     }
 
     #[test]
@@ -191,7 +191,7 @@
             "known": {"seq": 1, "whole": true, "hosts": [
                 {"host": "a", "dial": "127.0.0.1:1", "health": "up"}, {"host": "b", "dial": "b:1", "health": "up"}]},
             "settings": {"tick": "soon", "plans": [{"name": "x", "per_second": "much"}]}}"#;
-        let found = mistakes(text);
+        let found = config_errors(text);
         let begins = [
             "listen:",
             "seed:",
@@ -214,7 +214,7 @@
         let with = |settings: Value| {
             let text =
                 serde_json::json!({"seed": "1f", "limits": {"sockets": 64}, "settings": settings});
-            mistakes(&text.to_string())
+            config_errors(&text.to_string())
         };
         let class = |aim: f64| serde_json::json!({"name": "c", "aim": aim, "give_up": 1000.0});
         let plan =
@@ -229,7 +229,7 @@
         assert!(with(settings(500.0, 7.0))[0]
             .contains("plans.0.peak_units: 7 is under extra.max_units of 8"));
         assert_eq!(with(serde_json::json!({})).len(), 2);
-        assert!(mistakes("[]")[0].contains("an object was expected"));
-        assert!(mistakes("{")[0].contains("no JSON"));
+        assert!(config_errors("[]")[0].contains("an object was expected"));
+        assert!(config_errors("{")[0].contains("no JSON"));
     }
 }
--- a/crates/maplefall/src/net/clients.rs
+++ b/crates/maplefall/src/net/clients.rs
@@ -1,9 +1,9 @@
 //! Clients: the listener, how long a connection may take, and the one final answer of each request.
 
-use super::auth::{Auth, Carried, Checked};
+use super::auth::{Auth, AuthResponse, Checked};
 #[cfg(feature = "breakages")]
 use super::breakages;
-use super::door::Door;
+use super::driver::Driver;
 use super::request::{read_body, read_head, Bad};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming as IncomingBody};
@@ -64,7 +64,7 @@
 
 /// The clients' side of a front door.
 pub struct Clients {
-    door: Rc<Door>,
+    door: Rc<Driver>,
     /// Who checks callers, if anybody does.
     auth: Option<Rc<Auth>>,
     most: usize,
@@ -79,7 +79,7 @@
 
 impl Clients {
     /// The clients' side of `door` within `sockets` descriptors for all.
-    pub fn new(door: Rc<Door>, auth: Option<Rc<Auth>>, sockets: usize) -> Rc<Clients> {
+    pub fn new(door: Rc<Driver>, auth: Option<Rc<Auth>>, sockets: usize) -> Rc<Clients> {
         Rc::new(Clients {
             door,
             auth,
@@ -256,20 +256,20 @@
         incoming.at = peer.last.get();
         peer.whole();
         let (class, plan, deadline) = (incoming.class, incoming.plan.0, incoming.deadline);
-        let auth = self.auth.as_ref().filter(|auth| auth.checks(class));
+        let auth = self.auth.as_ref().filter(|auth| auth.checks_class(class));
         incoming.checked = auth.is_none();
         #[cfg(feature = "breakages")]
         let incoming_deadline = incoming.deadline;
-        let (id, mut answer) = self.door.arrive(incoming).ok_or(Bad::Twice)?;
+        let (id, mut answer) = self.door.start_request(incoming).ok_or(Bad::Twice)?;
         let mut waiting = Waiting {
             door: &self.door,
             id: Some(id),
         };
-        let checked = match auth.filter(|_| self.door.held(id)) {
+        let checked = match auth.filter(|_| self.door.awaits_check(id)) {
             None => Checked::Passed,
             Some(auth) => {
                 let caller = auth.caller(&head, class, plan, peer.address);
-                auth.settle(&self.door, caller, id, deadline, &mut answer)
+                auth.authorize(&self.door, caller, id, deadline, &mut answer)
                     .await
             }
         };
@@ -312,8 +312,8 @@
 }
 
 /// The service's own answer, whole.
-fn denial(carried: &Carried) -> Response<Full<Bytes>> {
-    let Carried::Denial {
+fn denial(carried: &AuthResponse) -> Response<Full<Bytes>> {
+    let AuthResponse::Denial {
         status,
         headers,
         body,
@@ -347,14 +347,14 @@
 
 /// Tells the driver when a client goes away before its answer.
 struct Waiting<'a> {
-    door: &'a Rc<Door>,
+    door: &'a Rc<Driver>,
     id: Option<RequestId>,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            self.door.client_gone(id);
+            self.door.client_disconnected(id);
         }
     }
 }
@@ -469,7 +469,7 @@
 struct Watched {
     stream: TcpStream,
     peer: Rc<Peer>,
-    door: Rc<Door>,
+    door: Rc<Driver>,
 }
 
 impl AsyncRead for Watched {
--- a/crates/maplefall/src/net/config.rs
+++ b/crates/maplefall/src/net/config.rs
@@ -47,18 +47,18 @@
     /// File descriptors that the process may hold.
     pub sockets: usize,
     /// Memory that the process may take.
-    #[serde(default = "least_memory")]
+    #[serde(default = "min_memory_mb")]
     pub memory_mb: usize,
 }
 
 /// What every deployment gives at least.
-pub fn least_memory() -> usize {
+pub fn min_memory_mb() -> usize {
     32
 }
 
 /// The file as it stands.
 #[derive(Debug, Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -87,22 +87,22 @@
     /// The list of backends as this front door last had it.
     pub known: Option<Members>,
     /// The settings.
-    pub told: Told,
+    pub parsed: Told,
 }
 
 /// Fewest descriptors with which a front door can do its work.
-pub const LEAST_SOCKETS: usize = 32;
+pub const MIN_SOCKETS: usize = 32;
 
 impl Config {
     /// Reads the variables and the file. A variable goes before the file's own entry.
     pub fn from_env() -> Result<Config, ConfigError> {
-        let file = File::read()?;
-        let told_or =
+        let file = ConfigFile::read()?;
+        let variable_or =
             |name: &str, otherwise: &str| std::env::var(name).unwrap_or(otherwise.to_owned());
-        let (seed, told) = file.check()?;
-        let mut discovery = vec![address(
+        let (seed, parsed) = file.check()?;
+        let mut discovery = vec![parse_address(
             "BALANCER_DISCOVERY",
-            &told_or("BALANCER_DISCOVERY", &file.discovery),
+            &variable_or("BALANCER_DISCOVERY", &file.discovery),
         )?];
         // A door that is started again after discovery has moved may be told the old place by one and the new one by the
         // other: the file's is asked where the variable's says nothing.
@@ -112,29 +112,32 @@
             }
         }
         Ok(Config {
-            name: told_or("BALANCER_NAME", &file.name),
-            listen: address("BALANCER_LISTEN", &told_or("BALANCER_LISTEN", &file.listen))?,
+            name: variable_or("BALANCER_NAME", &file.name),
+            listen: parse_address(
+                "BALANCER_LISTEN",
+                &variable_or("BALANCER_LISTEN", &file.listen),
+            )?,
             discovery,
             seed,
             limits: file.limits,
             known: file.known,
-            told,
+            parsed,
         })
     }
 
     /// Where discovery answers from now on, by a file that was replaced while the program runs. The file goes
     /// before the variable here: a variable cannot change in a running process, so it tells the old address.
     /// The whole file must be usable.
-    pub fn told_discovery() -> Result<SocketAddr, ConfigError> {
-        let file = File::read()?;
+    pub fn reload_discovery() -> Result<SocketAddr, ConfigError> {
+        let file = ConfigFile::read()?;
         file.check()?;
-        address("discovery", &file.discovery)
+        parse_address("discovery", &file.discovery)
     }
 }
 
-impl File {
+impl ConfigFile {
     /// Reads the file that the variable names.
-    fn read() -> Result<File, ConfigError> {
+    fn read() -> Result<ConfigFile, ConfigError> {
         let path = std::env::var("BALANCER_CONFIG").map_err(|_| ConfigError::Missing)?;
         let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::Unreadable {
             path: path.clone(),
@@ -148,9 +151,9 @@
         let seed = u64::from_str_radix(&self.seed, 16).map_err(|_| {
             ConfigError::Value(format!("seed: {:?} is not a hexadecimal number", self.seed))
         })?;
-        if self.limits.sockets < LEAST_SOCKETS {
+        if self.limits.sockets < MIN_SOCKETS {
             let text = format!(
-                "limits.sockets: {} is under {LEAST_SOCKETS}",
+                "limits.sockets: {} is under {MIN_SOCKETS}",
                 self.limits.sockets
             );
             return Err(ConfigError::Value(text));
@@ -162,7 +165,7 @@
     }
 }
 
-fn address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
+fn parse_address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|_| ConfigError::Address {
         name,
         value: value.to_owned(),
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -1,7 +1,7 @@
 //! Shared counts on a socket: between the driver, the state machine of `maplefall-shared-counts` and UDP.
 //!
-//! Nothing is decided here. What customers use is counted by [`Counts::used`]; what others tell of them is handed to the
-//! decision module as it comes, and how old that is by now with each request ([`Counts::elsewhere`]).
+//! Nothing is decided here. What customers use is counted by [`SharedCounts::record_usage`]; what others tell of them is handed to the
+//! decision module as it comes, and how old that is by now with each request ([`SharedCounts::usage_elsewhere`]).
 
 use super::counts_settings::CountsSettings;
 use maplefall_policy::{CustomerId, Elsewhere, Millis, PlanId};
@@ -15,20 +15,20 @@
 use tokio::net::UdpSocket;
 
 /// Datagrams that are read before others get their turn.
-const READ_AT_ONCE: usize = 64;
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 /// This door's part in sharing counts.
-pub struct Counts {
+pub struct SharedCounts {
     node: RefCell<Node>,
     socket: UdpSocket,
     clock: Clock,
     /// What the log is told when it runs.
-    line: String,
+    start_message: String,
     /// Doors in the settings: those that are not heard of keep their part of each quota.
-    doors: u32,
+    configured_proxies: u32,
 }
 
-impl Counts {
+impl SharedCounts {
     /// Opens the socket and begins a new life of the door of this name.
     ///
     /// # Errors
@@ -38,66 +38,71 @@
         name: &str,
         clock: Clock,
         seed: u64,
-        doors: u32,
-    ) -> Result<Rc<Counts>, String> {
+        configured_proxies: u32,
+    ) -> Result<Rc<SharedCounts>, String> {
         let listen = settings.listen;
         let no_socket = |error| format!("cannot share counts on {listen}: {error}");
         let socket = UdpSocket::bind(listen).await.map_err(no_socket)?;
         let bound = socket.local_addr().map_err(no_socket)?;
         // A date before 1970 or a nameless door is no reason not to serve: the life's number and the name then come of the
         // address, and others tell this door if an earlier life had a larger number.
-        let date = SystemTime::now()
+        let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(1, |since| since.as_millis() as u64);
         let address = settings.advertise.unwrap_or(bound);
-        let plain: String = name
+        let printable: String = name
             .chars()
             .filter(char::is_ascii_graphic)
             .take(64)
             .collect();
-        let name = if plain.is_empty() {
+        let name = if printable.is_empty() {
             address.to_string()
         } else {
-            plain
+            printable
         };
         let start = Start {
             name,
             address,
             seeds: settings.seeds,
-            date,
+            date: unix_ms,
             seed,
         };
-        let line = format!("{}: shares counts on {bound} as {address}", start.name);
+        let start_message = format!("{}: shares counts on {bound} as {address}", start.name);
         let node = RefCell::new(Node::new(settings.sharing, start, clock.now()));
-        Ok(Rc::new(Counts {
+        Ok(Rc::new(SharedCounts {
             node,
             socket,
             clock,
-            doors,
-            line,
+            configured_proxies,
+            start_message,
         }))
     }
 
     /// A customer has used so many units here, or was given so many back where it is below nought.
-    pub fn used(&self, now: Millis, customer: CustomerId, plan: PlanId, units: f64) {
+    pub fn record_usage(&self, now: Millis, customer: CustomerId, plan: PlanId, units: f64) {
         self.node
             .borrow_mut()
             .used(now, quota_of(customer, plan), units);
     }
 
     /// What other doors have let in for a customer and the decision module has not been told, and how old that is.
-    pub fn elsewhere(&self, now: Millis, customer: CustomerId, plan: PlanId) -> Option<Elsewhere> {
+    pub fn usage_elsewhere(
+        &self,
+        now: Millis,
+        customer: CustomerId,
+        plan: PlanId,
+    ) -> Option<Elsewhere> {
         let mut node = self.node.borrow_mut();
         let fact = node.fact(now, quota_of(customer, plan))?;
-        Some(self.told(&mut node, now, customer, plan, fact))
+        Some(self.usage_of(&mut node, now, customer, plan, fact))
     }
 
     /// The next customer of whom something was heard.
-    fn next_heard(&self, now: Millis) -> Option<Elsewhere> {
+    fn next_change(&self, now: Millis) -> Option<Elsewhere> {
         let mut node = self.node.borrow_mut();
         let (quota, fact) = node.poll_fact(now)?;
         let (plan, customer) = whose(quota);
-        Some(self.told(
+        Some(self.usage_of(
             &mut node,
             now,
             CustomerId(customer),
@@ -106,7 +111,7 @@
         ))
     }
 
-    fn told(
+    fn usage_of(
         &self,
         node: &mut Node,
         now: Millis,
@@ -116,36 +121,37 @@
     ) -> Elsewhere {
         #[cfg(feature = "breakages")]
         let fact = super::breakages::fact(fact, now);
-        let heard = (node.news(now).1 as f64 / f64::from(self.doors.max(1))).min(1.0);
+        let live_share =
+            (node.news(now).1 as f64 / f64::from(self.configured_proxies.max(1))).min(1.0);
         #[cfg(feature = "breakages")]
-        let heard = super::breakages::heard(heard);
+        let live_share = super::breakages::live_share(live_share);
         Elsewhere {
             customer,
             plan,
             units: fact.units,
             as_of: fact.as_of,
             error: fact.error,
-            heard,
+            heard: live_share,
         }
     }
 
     /// Receives datagrams and keeps the gossip rounds, for as long as the process runs. `notify` gets each change of what is
     /// known of a customer's usage at peers, with the time.
     pub async fn run(self: Rc<Self>, notify: impl Fn(Millis, Elsewhere)) {
-        eprintln!("{}", self.line);
+        eprintln!("{}", self.start_message);
         let mut bytes = [0; MOST_DATAGRAM + 1];
         loop {
             self.send();
-            let due = self.node.borrow().due();
+            let deadline = self.node.borrow().due();
             tokio::select! {
                 // An error of a socket without a peer is of an earlier datagram that found nobody; the next is waited for.
-                _ = self.socket.readable() => self.read(&mut bytes),
-                () = tokio::time::sleep_until(self.clock.instant(due)) => {
+                _ = self.socket.readable() => self.receive_datagrams(&mut bytes),
+                () = tokio::time::sleep_until(self.clock.instant(deadline)) => {
                     self.node.borrow_mut().tick(self.clock.now());
                 }
             }
             let now = self.clock.now();
-            while let Some(usage) = self.next_heard(now) {
+            while let Some(usage) = self.next_change(now) {
                 notify(now, usage);
             }
             // A flood of datagrams must not keep requests from their turn.
@@ -153,8 +159,8 @@
         }
     }
 
-    fn read(&self, bytes: &mut [u8]) {
-        for _ in 0..READ_AT_ONCE {
+    fn receive_datagrams(&self, bytes: &mut [u8]) {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Ok((length, from)) = self.socket.try_recv_from(bytes) else {
                 return;
             };
--- a/crates/maplefall/src/net/counts_settings.rs
+++ b/crates/maplefall/src/net/counts_settings.rs
@@ -10,7 +10,7 @@
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_SHARED_COUNTS";
 /// Most seeds.
-const MOST_SEEDS: usize = 64;
+const MAX_SEEDS: usize = 64;
 
 /// How this door shares counts.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,7 +27,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct CountsFile {
     cluster: String,
     gossip: String,
     advertise: Option<String>,
@@ -72,44 +72,44 @@
 }
 
 /// Whether a text is a file of this kind.
-pub fn is_one(text: &str) -> bool {
+pub fn is_counts_file(text: &str) -> bool {
     text.parse::<toml::Table>()
         .is_ok_and(|table| table.contains_key("gossip"))
 }
 
 fn parse(text: &str, folder: Option<&Path>) -> Result<CountsSettings, Vec<String>> {
-    let told: Text =
+    let file: CountsFile =
         toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
-    let mut found = Vec::new();
+    let mut errors = Vec::new();
     let mut address = |field: &str, text: &str, known: bool| match text.parse::<SocketAddr>() {
         Ok(address) if !known || (address.port() != 0 && !address.ip().is_unspecified()) => {
             Some(address)
         }
         _ => {
-            found.push(format!(
+            errors.push(format!(
                 "{field}: an address with a port was expected, not {text:?}"
             ));
             None
         }
     };
-    let listen = address("gossip", &told.gossip, false);
-    let advertise = told
+    let listen = address("gossip", &file.gossip, false);
+    let advertise = file
         .advertise
         .as_deref()
         .and_then(|text| address("advertise", text, true));
-    let seeds: Vec<SocketAddr> = told
+    let seeds: Vec<SocketAddr> = file
         .seeds
         .iter()
         .enumerate()
         .filter_map(|(at, text)| address(&format!("seeds.{at}"), text, true))
         .collect();
-    if told.seeds.len() > MOST_SEEDS {
-        found.push(format!("seeds: {MOST_SEEDS} at most were expected"));
+    if file.seeds.len() > MAX_SEEDS {
+        errors.push(format!("seeds: {MAX_SEEDS} at most were expected"));
     }
-    if listen.is_some_and(|listen| listen.ip().is_unspecified()) && told.advertise.is_none() {
-        found.push("advertise: an address was expected, as gossip names no single one".to_owned());
+    if listen.is_some_and(|listen| listen.ip().is_unspecified()) && file.advertise.is_none() {
+        errors.push("advertise: an address was expected, as gossip names no single one".to_owned());
     }
-    let key = match (&told.key, &told.key_file) {
+    let key = match (&file.key, &file.key_file) {
         (Some(key), None) => Ok(key.clone()),
         (None, Some(path)) => {
             let path = folder.map_or(path.clone(), |folder| folder.join(path));
@@ -122,39 +122,39 @@
         hexadecimal(text.trim()).ok_or("key: 32 to 128 hexadecimal digits were expected".to_owned())
     });
     let key = key.unwrap_or_else(|mistake| {
-        found.push(mistake);
+        errors.push(mistake);
         vec![0; 32]
     });
-    let usual = Settings::usual(&told.cluster, key);
+    let defaults = Settings::usual(&file.cluster, key);
     let sharing = Settings {
-        interval: told.interval_ms.unwrap_or(usual.interval),
-        fan_out: told.fan_out.unwrap_or(usual.fan_out),
-        epoch: told.epoch_ms.unwrap_or(usual.epoch),
-        epochs_kept: told.epochs_kept.unwrap_or(usual.epochs_kept),
-        datagram: told.datagram_bytes.unwrap_or(usual.datagram),
-        most_per_second: told.most_per_second.unwrap_or(usual.most_per_second),
-        most_members: told.most_members.unwrap_or(usual.most_members),
-        most_told: told.most_told.unwrap_or(usual.most_told),
-        most_counts: told.most_counts.unwrap_or(usual.most_counts),
-        suspect: told.suspect_phi.unwrap_or(usual.suspect),
-        gone_after: told.gone_after_ms.unwrap_or(usual.gone_after),
-        forget_after: told.forget_after_ms.unwrap_or(usual.forget_after),
-        ..usual
+        interval: file.interval_ms.unwrap_or(defaults.interval),
+        fan_out: file.fan_out.unwrap_or(defaults.fan_out),
+        epoch: file.epoch_ms.unwrap_or(defaults.epoch),
+        epochs_kept: file.epochs_kept.unwrap_or(defaults.epochs_kept),
+        datagram: file.datagram_bytes.unwrap_or(defaults.datagram),
+        most_per_second: file.most_per_second.unwrap_or(defaults.most_per_second),
+        most_members: file.most_members.unwrap_or(defaults.most_members),
+        most_told: file.most_told.unwrap_or(defaults.most_told),
+        most_counts: file.most_counts.unwrap_or(defaults.most_counts),
+        suspect: file.suspect_phi.unwrap_or(defaults.suspect),
+        gone_after: file.gone_after_ms.unwrap_or(defaults.gone_after),
+        forget_after: file.forget_after_ms.unwrap_or(defaults.forget_after),
+        ..defaults
     };
-    found.extend(
+    errors.extend(
         sharing
             .mistakes()
             .into_iter()
             .map(|wrong| format!("{}: {} was expected", wrong.field, wrong.expected)),
     );
-    match (listen, found.is_empty()) {
+    match (listen, errors.is_empty()) {
         (Some(listen), true) => Ok(CountsSettings {
             listen,
             advertise,
             seeds,
             sharing,
         }),
-        _ => Err(found),
+        _ => Err(errors),
     }
 }
 
@@ -186,7 +186,9 @@
     #[test]
     fn the_shipped_example_can_be_used() {
         let text = include_str!("../../../../deploy/shared-counts.toml");
-        assert!(is_one(text) && !is_one(include_str!("../../../../deploy/grpc.toml")));
+        assert!(
+            is_counts_file(text) && !is_counts_file(include_str!("../../../../deploy/grpc.toml"))
+        );
         let settings = parse(text, None).unwrap();
         assert_eq!((settings.seeds.len(), settings.sharing.key.len()), (2, 32));
     }
--- a/crates/maplefall/src/net/discovery.rs
+++ b/crates/maplefall/src/net/discovery.rs
@@ -17,10 +17,10 @@
 
 /// Lines of calls that wait to be taken in; a call that has more to say waits itself. Each may be as long as `LONGEST_LINE`, and
 /// two calls are open at most: so few, that an agent that says much fills no memory.
-const WAITING: usize = 1;
+const CALL_CHANNEL_CAPACITY: usize = 1;
 
 /// What a call said.
-type Said = (CallId, Heard);
+type CallUpdate = (CallId, Heard);
 
 /// Follows the agent for as long as the front door runs, and hands on what comes out but for the calls. When `moved` tells
 /// another address, the old watch is left at once and opened there.
@@ -28,51 +28,51 @@
     mut follower: Follower,
     clock: Clock,
     mut moved: watch::Receiver<SocketAddr>,
-    take: impl Fn(Output),
+    deliver: impl Fn(Output),
 ) {
-    let (says, mut hear) = mpsc::channel::<Said>(WAITING);
+    let (updates, mut received) = mpsc::channel::<CallUpdate>(CALL_CHANNEL_CAPACITY);
     let mut calls: HashMap<CallId, AbortHandle> = HashMap::new();
     // Ends with this function: the set ends its tasks when it is dropped.
     let mut tasks = tokio::task::JoinSet::new();
     loop {
-        let due = async {
+        let deadline = async {
             match follower.next_due() {
                 Some(due) if due <= clock.now() => {}
                 Some(due) => tokio::time::sleep_until(clock.instant(due)).await,
                 None => std::future::pending().await,
             }
         };
-        let out = tokio::select! {
+        let outputs = tokio::select! {
             // What has been said goes before what is due: a watch is not taken for silent that has just spoken.
             biased;
-            Some((call, heard)) = hear.recv() => {
-                if let Heard::Ended(_) = heard {
+            Some((call, event)) = received.recv() => {
+                if let Heard::Ended(_) = event {
                     calls.remove(&call);
                 }
                 #[cfg(feature = "breakages")]
-                let heard = breakages::as_heard(heard);
+                let event = breakages::as_heard(event);
                 #[cfg(feature = "breakages")]
-                let as_it_came = heard.clone();
-                let out = follower.heard_of(clock.now(), call, heard);
+                let original = event.clone();
+                let outputs = follower.heard_of(clock.now(), call, event);
                 #[cfg(feature = "breakages")]
-                let out = breakages::as_told(&as_it_came, out);
-                out
+                let outputs = breakages::as_told(&original, outputs);
+                outputs
             }
             Ok(()) = moved.changed() => {
-                let place = *moved.borrow_and_update();
-                follower.moved(clock.now(), place)
+                let address = *moved.borrow_and_update();
+                follower.moved(clock.now(), address)
             }
-            () = due => follower.tick(clock.now()),
+            () = deadline => follower.tick(clock.now()),
         };
         while tasks.try_join_next().is_some() {}
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Ask { call, place, what } => {
-                    let says = says.clone();
+                    let updates = updates.clone();
                     let task = tasks.spawn_local(async move {
-                        let end = ask(call, place, what, &says).await;
+                        let end = run_call(call, place, what, &updates).await;
                         // Nobody hears it only when the front door has ended.
-                        let _ = says.send((call, Heard::Ended(end))).await;
+                        let _ = updates.send((call, Heard::Ended(end))).await;
                     });
                     calls.insert(call, task);
                 }
@@ -81,67 +81,74 @@
                         task.abort();
                     }
                 }
-                output => take(output),
+                output => deliver(output),
             }
         }
     }
 }
 
 /// Makes a call and says each line of its answer until it ends.
-async fn ask(call: CallId, place: SocketAddr, what: What, says: &mpsc::Sender<Said>) -> End {
-    read(call, place, what, says)
+async fn run_call(
+    call: CallId,
+    address: SocketAddr,
+    kind: What,
+    updates: &mpsc::Sender<CallUpdate>,
+) -> End {
+    read_response(call, address, kind, updates)
         .await
         .unwrap_or_else(|end| end)
 }
 
-fn broken(error: impl std::fmt::Display) -> End {
+fn broken_connection(error: impl std::fmt::Display) -> End {
     End::Broken(error.to_string())
 }
 
-async fn read(
+async fn read_response(
     call: CallId,
-    place: SocketAddr,
-    what: What,
-    says: &mpsc::Sender<Said>,
+    address: SocketAddr,
+    kind: What,
+    updates: &mpsc::Sender<CallUpdate>,
 ) -> Result<End, End> {
-    let stream = TcpStream::connect(place).await.map_err(broken)?;
-    stream.set_nodelay(true).map_err(broken)?;
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(broken_connection)?;
+    stream.set_nodelay(true).map_err(broken_connection)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(broken)?;
-    let mut tied = tokio::task::JoinSet::new();
-    tied.spawn_local(connection);
-    let request = Request::get(what.path())
-        .header(HOST, place.to_string())
+        .map_err(broken_connection)?;
+    let mut connection_task = tokio::task::JoinSet::new();
+    connection_task.spawn_local(connection);
+    let request = Request::get(kind.path())
+        .header(HOST, address.to_string())
         .body(Empty::<Bytes>::new());
-    let answer = sender
-        .send_request(request.map_err(broken)?)
+    let response = sender
+        .send_request(request.map_err(broken_connection)?)
         .await
-        .map_err(broken)?;
-    if answer.status() != StatusCode::OK {
-        return Err(End::Status(answer.status().as_u16()));
+        .map_err(broken_connection)?;
+    if response.status() != StatusCode::OK {
+        return Err(End::Status(response.status().as_u16()));
     }
-    let say = |heard| async { says.send((call, heard)).await.map_err(broken) };
-    say(Heard::Begun).await?;
-    let mut body = answer.into_body();
+    let send = |event| async { updates.send((call, event)).await.map_err(broken_connection) };
+    send(Heard::Begun).await?;
+    let mut body = response.into_body();
     let mut lines = Lines::default();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(broken)?.into_data() else {
+        let Ok(data) = frame.map_err(broken_connection)?.into_data() else {
             continue;
         };
-        let mut whole = Vec::new();
-        let cut = lines.push(&data, |line| {
-            whole.push(line.to_vec());
+        let mut complete = Vec::new();
+        let pushed = lines.push(&data, |line| {
+            complete.push(line.to_vec());
             Ok(())
         });
-        for line in whole {
-            say(Heard::Line(line)).await?;
+        for line in complete {
+            send(Heard::Line(line)).await?;
         }
-        cut.map_err(|error| End::Unreadable(error.to_string()))?;
+        pushed.map_err(|error| End::Unreadable(error.to_string()))?;
     }
     let rest = lines.rest();
     if !rest.is_empty() {
-        say(Heard::Line(rest)).await?;
+        send(Heard::Line(rest)).await?;
     }
     Ok(End::Whole)
 }
--- a/crates/maplefall/src/net/door.rs
+++ b/crates/maplefall/src/net/driver/mod.rs
@@ -1,15 +1,15 @@
 //! The driver: hands events to the decision module and carries out what comes back.
 //!
 //! It owns the gateway, the tables of requests and attempts, the alarms, and the maps between names on the
-//! wire and the module's numbers. [`Door::post`] is the only place that calls the module; events that arise
+//! wire and the module's numbers. [`Driver::post`] is the only place that calls the module; events that arise
 //! while actions are carried out wait in a queue, so the module is never re-entered.
 
-use super::backends::{self, Reading};
+use crate::net::backends::{self, ResponseReader};
 #[cfg(feature = "breakages")]
-use super::breakages;
-use super::config::Config;
-use super::counts::Counts;
-use super::grpc::{self, GrpcSettings, Passage};
+use crate::net::breakages;
+use crate::net::config::Config;
+use crate::net::counts::SharedCounts;
+use crate::net::grpc::{self, GrpcSettings, ProxiedCall};
 use hyper::header::{HeaderName, HeaderValue};
 use maplefall_policy::*;
 use maplefall_protocol::{Answer, Ended, Health, Incoming, Member, Order};
@@ -24,17 +24,17 @@
 
 /// How long after its deadline the id of a request that is over is turned down. Every request has its own, a client's retry too: one
 /// that comes again is somebody else's, and sent on it would run a second time.
-const ID_MEMORY: Millis = 5000.0;
+const REQUEST_ID_RETENTION: Millis = 5000.0;
 /// Ids of requests that are over that are kept at most.
-const IDS_KEPT: usize = 8192;
+const MAX_RETAINED_REQUEST_IDS: usize = 8192;
 
 /// What comes due at a time.
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum TimerEvent {
     /// An alarm of the module.
     Alarm(AlarmId),
     /// The time-out of an attempt.
-    TimeOut(RequestId, u32),
+    AttemptTimeout(RequestId, u32),
     /// The client of a request stops waiting.
     Deadline(RequestId),
 }
@@ -43,15 +43,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Timer {
     at: Millis,
-    order: u64,
-    due: Due,
+    sequence: u64,
+    event: TimerEvent,
 }
 
 impl Ord for Timer {
     fn cmp(&self, other: &Self) -> Ordering {
         self.at
             .total_cmp(&other.at)
-            .then(self.order.cmp(&other.order))
+            .then(self.sequence.cmp(&other.sequence))
     }
 }
 
@@ -70,49 +70,49 @@
 impl Eq for Timer {}
 
 /// A request that has no final answer yet, or an attempt of which is still out.
-struct Entry {
-    order: Rc<Order>,
+struct PendingRequest {
+    forwarded: Rc<Order>,
     customer: CustomerId,
     plan: PlanId,
     /// Units that its quota was asked for.
-    units: f64,
+    reserved_units: f64,
     deadline: Millis,
     /// Present until the one final answer has been handed over.
-    answer: Option<oneshot::Sender<Answer>>,
-    attempts: u32,
-    out: Option<Attempt>,
+    answer_sender: Option<oneshot::Sender<Answer>>,
+    attempts_started: u32,
+    in_flight: Option<Attempt>,
     /// Whether the module waits for its caller's check.
-    held: bool,
+    awaits_check: bool,
     /// The call that it is, if it came over gRPC.
-    passage: Option<Rc<Passage>>,
+    call: Option<Rc<ProxiedCall>>,
     /// Whether its answer is on its way to the client: there can be no other attempt.
-    started: bool,
+    response_started: bool,
 }
 
 /// An attempt that is out.
 struct Attempt {
     number: u32,
     backend: BackendId,
-    sent: Millis,
-    line: AttemptHandle,
+    sent_at: Millis,
+    handle: AttemptHandle,
 }
 
 struct State {
     gateway: Gateway,
-    requests: HashMap<RequestId, Entry>,
-    /// Ids on the wire of the requests in the table, and of those over for less than [`ID_MEMORY`].
-    ids: HashSet<Rc<str>>,
-    /// The latter, the oldest first; at most [`IDS_KEPT`].
-    past_ids: VecDeque<(Millis, Rc<str>)>,
-    last_request: u32,
-    backends: HashMap<String, BackendId>,
-    last_backend: u32,
+    requests: HashMap<RequestId, PendingRequest>,
+    /// Ids on the wire of the requests in the table, and of those over for less than [`REQUEST_ID_RETENTION`].
+    known_ids: HashSet<Rc<str>>,
+    /// The latter, the oldest first; at most [`MAX_RETAINED_REQUEST_IDS`].
+    retired_ids: VecDeque<(Millis, Rc<str>)>,
+    last_request_number: u32,
+    backend_ids: HashMap<String, BackendId>,
+    last_backend_number: u32,
     timers: BinaryHeap<Reverse<Timer>>,
-    timers_set: u64,
+    timer_sequence: u64,
 }
 
 /// A front door's driver.
-pub struct Door {
+pub struct Driver {
     /// The one clock.
     pub clock: Clock,
     /// The settings.
@@ -120,15 +120,15 @@
     /// The names that the settings give to numbers.
     pub names: Names,
     pools: Rc<Pools>,
-    calls: grpc::Backends,
+    grpc_backends: grpc::Backends,
     /// Set once before anything is served, where doors share counts.
-    counts: OnceCell<Rc<Counts>>,
-    reading: Rc<Reading>,
+    shared_counts: OnceCell<Rc<SharedCounts>>,
+    response_reader: Rc<ResponseReader>,
     state: RefCell<State>,
-    queue: RefCell<VecDeque<(Millis, Event)>>,
-    last_event: Cell<Millis>,
-    busy: Cell<bool>,
-    earlier: Notify,
+    event_queue: RefCell<VecDeque<(Millis, Event)>>,
+    last_event_at: Cell<Millis>,
+    handling: Cell<bool>,
+    timer_advanced: Notify,
     #[cfg(feature = "breakages")]
     last_body: RefCell<hyper::body::Bytes>,
     #[cfg(feature = "breakages")]
@@ -136,16 +136,16 @@
 }
 
 /// The settings that the decision module goes by.
-fn for_the_module(settings: Settings) -> Settings {
+fn policy_settings(settings: Settings) -> Settings {
     #[cfg(feature = "breakages")]
     let settings = breakages::settings(settings);
     settings
 }
 
 /// Ends the process if the module panics: a front door that cannot decide must not go on taking requests.
-struct Deciding;
+struct ExitOnPanic;
 
-impl Drop for Deciding {
+impl Drop for ExitOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             std::process::exit(70);
@@ -153,45 +153,49 @@
     }
 }
 
-impl Door {
+impl Driver {
     /// A front door with an empty list of backends; so many of the descriptors for backends are needed elsewhere.
-    pub fn new(config: &Config, elsewhere: usize, grpc: Option<&GrpcSettings>) -> Rc<Door> {
-        let told = &config.told;
+    pub fn new(
+        config: &Config,
+        reserved_sockets: usize,
+        grpc: Option<&GrpcSettings>,
+    ) -> Rc<Driver> {
+        let parsed = &config.parsed;
         let (connections, streams) =
             grpc.map_or((0, 0), |grpc| (grpc.backend_connections, grpc.streams));
-        let reading = Reading::new(told, config.limits.memory_mb << 20);
+        let response_reader = ResponseReader::new(parsed, config.limits.memory_mb << 20);
         let pools = Pools::new(
-            told.links,
-            pool::upstream_budget(config.limits.sockets).saturating_sub(elsewhere),
+            parsed.links,
+            pool::upstream_budget(config.limits.sockets).saturating_sub(reserved_sockets),
         );
-        Rc::new(Door {
+        Rc::new(Driver {
             clock: Clock::new(),
-            settings: told.settings.clone(),
-            names: told.names.clone(),
+            settings: parsed.settings.clone(),
+            names: parsed.names.clone(),
             pools: Rc::new(pools),
-            calls: grpc::Backends::new(
-                told.links,
+            grpc_backends: grpc::Backends::new(
+                parsed.links,
                 connections,
                 streams as usize,
-                told.settings.max_units,
+                parsed.settings.max_units,
             ),
-            counts: OnceCell::new(),
-            reading: Rc::new(reading),
+            shared_counts: OnceCell::new(),
+            response_reader: Rc::new(response_reader),
             state: RefCell::new(State {
-                gateway: Gateway::new(for_the_module(told.settings.clone()), config.seed),
+                gateway: Gateway::new(policy_settings(parsed.settings.clone()), config.seed),
                 requests: HashMap::new(),
-                ids: HashSet::new(),
-                past_ids: VecDeque::new(),
-                last_request: 0,
-                backends: HashMap::new(),
-                last_backend: 0,
+                known_ids: HashSet::new(),
+                retired_ids: VecDeque::new(),
+                last_request_number: 0,
+                backend_ids: HashMap::new(),
+                last_backend_number: 0,
                 timers: BinaryHeap::new(),
-                timers_set: 0,
+                timer_sequence: 0,
             }),
-            queue: RefCell::default(),
-            last_event: Cell::new(0.0),
-            busy: Cell::new(false),
-            earlier: Notify::new(),
+            event_queue: RefCell::default(),
+            last_event_at: Cell::new(0.0),
+            handling: Cell::new(false),
+            timer_advanced: Notify::new(),
             #[cfg(feature = "breakages")]
             last_body: RefCell::default(),
             #[cfg(feature = "breakages")]
@@ -200,14 +204,14 @@
     }
 
     /// From now on counts are shared with other doors.
-    pub fn share(&self, counts: Rc<Counts>) {
+    pub fn enable_shared_counts(&self, counts: Rc<SharedCounts>) {
         // A second call would change nothing.
-        let _ = self.counts.set(counts);
+        let _ = self.shared_counts.set(counts);
     }
 
     /// Whether there is a list to serve from.
     pub fn ready(&self) -> bool {
-        !self.state.borrow().backends.is_empty()
+        !self.state.borrow().backend_ids.is_empty()
     }
 
     /// Requests that have no final answer yet.
@@ -216,36 +220,36 @@
             .borrow()
             .requests
             .values()
-            .filter(|entry| entry.answer.is_some())
+            .filter(|entry| entry.answer_sender.is_some())
             .count()
     }
 
     /// Hands an event to the module, or queues it behind the one that is being handled.
     fn post(self: &Rc<Self>, at: Millis, event: Event) {
-        self.queue.borrow_mut().push_back((at, event));
-        if self.busy.replace(true) {
+        self.event_queue.borrow_mut().push_back((at, event));
+        if self.handling.replace(true) {
             return;
         }
         let mut actions = Vec::new();
         loop {
-            let Some((at, event)) = self.queue.borrow_mut().pop_front() else {
+            let Some((at, event)) = self.event_queue.borrow_mut().pop_front() else {
                 break;
             };
             // Two events may have been read in another order than they came; the clock never goes back.
-            let at = at.max(self.last_event.get());
-            self.last_event.set(at);
-            let deciding = Deciding;
+            let at = at.max(self.last_event_at.get());
+            self.last_event_at.set(at);
+            let exit_on_panic = ExitOnPanic;
             self.state
                 .borrow_mut()
                 .gateway
                 .handle(at, event, &mut actions);
-            drop(deciding);
-            actions.drain(..).for_each(|action| self.carry_out(action));
+            drop(exit_on_panic);
+            actions.drain(..).for_each(|action| self.execute(action));
         }
-        self.busy.set(false);
+        self.handling.set(false);
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         #[cfg(feature = "breakages")]
         let action = breakages::action(action);
         match action {
@@ -257,19 +261,19 @@
             } => self.send(request, backend, limit, care),
             Action::Check(request) => {
                 if let Some(entry) = self.state.borrow_mut().requests.get_mut(&request) {
-                    entry.held = true;
+                    entry.awaits_check = true;
                 }
             }
             Action::Refuse {
                 request,
                 retry_after,
                 ..
-            } => self.answer(request, Answer::Refused(retry_after)),
-            Action::Fail(request) => self.answer(request, Answer::Failed),
+            } => self.send_answer(request, Answer::Refused(retry_after)),
+            Action::Fail(request) => self.send_answer(request, Answer::Failed),
             Action::CallOff { request, attempt } => {
-                self.settle(request, attempt, Ended::of(Outcome::Cancelled))
+                self.finish_attempt(request, attempt, Ended::of(Outcome::Cancelled))
             }
-            Action::SetAlarm { at, alarm } => self.set_timer(at, Due::Alarm(alarm)),
+            Action::SetAlarm { at, alarm } => self.set_timer(at, TimerEvent::Alarm(alarm)),
             Action::CloseIdle(backend) => self.pools.close_idle(backend),
             Action::Log(text) => eprintln!("{text}"),
             // Changes of the list come unasked, and probes are not permitted.
@@ -280,44 +284,44 @@
     // ---- Requests -----------------------------------------------------------------------------------
 
     /// Takes a request in; `None` if one with its id has come before.
-    pub fn arrive(
+    pub fn start_request(
         self: &Rc<Self>,
         incoming: Incoming,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
-        self.arrive_by(incoming, None)
+        self.start_call(incoming, None)
     }
 
     /// Takes a request in that may have come over gRPC; `None` if one with its id has come before.
-    pub fn arrive_by(
+    pub fn start_call(
         self: &Rc<Self>,
         incoming: Incoming,
-        passage: Option<Rc<Passage>>,
+        call: Option<Rc<ProxiedCall>>,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let (sender, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
-            state.forget_ids(incoming.at);
-            if !state.ids.insert(incoming.order.id.clone()) {
+            state.expire_request_ids(incoming.at);
+            if !state.known_ids.insert(incoming.order.id.clone()) {
                 return None;
             }
-            let id = state.new_request();
-            let entry = Entry {
-                order: Rc::new(incoming.order),
+            let id = state.allocate_request_id();
+            let entry = PendingRequest {
+                forwarded: Rc::new(incoming.order),
                 customer: incoming.customer,
                 plan: incoming.plan,
-                units: incoming.units,
+                reserved_units: incoming.units,
                 deadline: incoming.deadline,
-                answer: Some(sender),
-                attempts: 0,
-                out: None,
-                held: false,
-                passage,
-                started: false,
+                answer_sender: Some(sender),
+                attempts_started: 0,
+                in_flight: None,
+                awaits_check: false,
+                call,
+                response_started: false,
             };
             state.requests.insert(id, entry);
             id
         };
-        self.set_timer(incoming.deadline, Due::Deadline(id));
+        self.set_timer(incoming.deadline, TimerEvent::Deadline(id));
         let request = Request {
             id,
             customer: incoming.customer,
@@ -328,10 +332,11 @@
             checked: incoming.checked,
             spread: incoming.spread,
         };
-        if let Some(counts) = self.counts.get() {
+        if let Some(counts) = self.shared_counts.get() {
             // What is known of the customer's use elsewhere goes first, so that this request is decided by it.
-            if let Some(told) = counts.elsewhere(incoming.at, request.customer, request.plan) {
-                self.post(incoming.at, Event::Elsewhere(told));
+            if let Some(usage) = counts.usage_elsewhere(incoming.at, request.customer, request.plan)
+            {
+                self.post(incoming.at, Event::Elsewhere(usage));
             }
         }
         self.post(incoming.at, Event::Arrival(request));
@@ -339,35 +344,35 @@
     }
 
     /// Other doors have let in more for a customer.
-    pub fn used_elsewhere(self: &Rc<Self>, at: Millis, told: Elsewhere) {
-        self.post(at, Event::Elsewhere(told));
+    pub fn record_usage_elsewhere(self: &Rc<Self>, at: Millis, usage: Elsewhere) {
+        self.post(at, Event::Elsewhere(usage));
     }
 
     /// Whether a request waits for its caller's check.
-    pub fn held(&self, id: RequestId) -> bool {
+    pub fn awaits_check(&self, id: RequestId) -> bool {
         self.state
             .borrow()
             .requests
             .get(&id)
-            .is_some_and(|entry| entry.held)
+            .is_some_and(|entry| entry.awaits_check)
     }
 
     /// A held request's caller passes, with these headers for the backend. One that has its answer by now stays as it is.
-    pub fn passed(self: &Rc<Self>, id: RequestId, onward: &[(HeaderName, HeaderValue)]) {
+    pub fn check_passed(self: &Rc<Self>, id: RequestId, onward: &[(HeaderName, HeaderValue)]) {
         if let Some(entry) = self
             .state
             .borrow_mut()
             .requests
             .get_mut(&id)
-            .filter(|entry| entry.held)
+            .filter(|entry| entry.awaits_check)
         {
-            entry.held = false;
+            entry.awaits_check = false;
             if !onward.is_empty() {
                 let order = Order {
                     onward: onward.to_vec(),
-                    ..(*entry.order).clone()
+                    ..(*entry.forwarded).clone()
                 };
-                entry.order = Rc::new(order);
+                entry.forwarded = Rc::new(order);
             }
         }
         self.post(
@@ -380,15 +385,15 @@
     }
 
     /// A held request's caller does not pass, and whoever says so answers it; `false` if it has its answer by now.
-    pub fn turned_down(self: &Rc<Self>, id: RequestId) -> bool {
-        let waited = {
+    pub fn check_denied(self: &Rc<Self>, id: RequestId) -> bool {
+        let unanswered = {
             let mut state = self.state.borrow_mut();
             state
                 .requests
                 .get_mut(&id)
-                .is_some_and(|entry| entry.answer.take().is_some())
+                .is_some_and(|entry| entry.answer_sender.take().is_some())
         };
-        if waited {
+        if unanswered {
             self.post(
                 self.clock.now(),
                 Event::Checked {
@@ -396,78 +401,85 @@
                     passes: false,
                 },
             );
-            self.state.borrow_mut().forget_if_over(id);
+            self.state.borrow_mut().remove_if_finished(id);
         }
-        waited
+        unanswered
     }
 
     /// Notes that a client has gone away; nothing happens if its request has been answered.
-    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
-        let waited = {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
+        let unanswered = {
             let mut state = self.state.borrow_mut();
             state
                 .requests
                 .get_mut(&id)
-                .is_some_and(|entry| entry.answer.take().is_some())
+                .is_some_and(|entry| entry.answer_sender.take().is_some())
         };
-        if waited {
+        if unanswered {
             self.post(self.clock.now(), Event::ClientGone(id));
-            self.state.borrow_mut().forget_if_over(id);
+            self.state.borrow_mut().remove_if_finished(id);
         }
     }
 
     /// A call's answer is on its way to its client: no further attempt can take the place of this one.
-    pub fn started(self: &Rc<Self>, id: RequestId) {
+    pub fn response_started(self: &Rc<Self>, id: RequestId) {
         if let Some(entry) = self.state.borrow_mut().requests.get_mut(&id) {
-            entry.started = true;
+            entry.response_started = true;
         }
         self.post(self.clock.now(), Event::StreamStarted(id));
     }
 
     /// Ends the attempt of a call whose client has gone, where the settings allow it.
-    pub fn call_off(self: &Rc<Self>, id: RequestId) {
-        let out = self
+    pub fn cancel_if_permitted(self: &Rc<Self>, id: RequestId) {
+        let number = self
             .state
             .borrow()
             .requests
             .get(&id)
-            .and_then(|entry| Some(entry.out.as_ref()?.number));
-        if let Some(number) = out.filter(|_| self.settings.cancel) {
-            self.settle(id, number, Ended::of(Outcome::Cancelled));
+            .and_then(|entry| Some(entry.in_flight.as_ref()?.number));
+        if let Some(number) = number.filter(|_| self.settings.cancel) {
+            self.finish_attempt(id, number, Ended::of(Outcome::Cancelled));
         }
     }
 
     /// Gives a request its final answer, unless it has one.
-    fn answer(&self, id: RequestId, answer: Answer) {
+    fn send_answer(&self, id: RequestId, answer: Answer) {
         let mut state = self.state.borrow_mut();
         if let Some(sender) = state
             .requests
             .get_mut(&id)
-            .and_then(|entry| entry.answer.take())
+            .and_then(|entry| entry.answer_sender.take())
         {
             // The client may be gone; then there is nobody to tell.
             let _ = sender.send(answer);
         }
-        state.forget_if_over(id);
+        state.remove_if_finished(id);
     }
 
     // ---- Attempts -----------------------------------------------------------------------------------
 
-    fn send(self: &Rc<Self>, id: RequestId, backend: BackendId, limit: Option<Millis>, care: Care) {
+    fn send(
+        self: &Rc<Self>,
+        id: RequestId,
+        backend: BackendId,
+        timeout: Option<Millis>,
+        care: Care,
+    ) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let Some(entry) = state.requests.get_mut(&id) else {
             return;
         };
-        let number = entry.attempts;
-        entry.attempts += 1;
-        let limit = limit.unwrap_or(f64::INFINITY).min(entry.deadline - now);
-        let over = entry.answer.is_none() || entry.out.is_some() || limit <= 0.0;
-        if over || number >= self.settings.max_attempts {
+        let number = entry.attempts_started;
+        entry.attempts_started += 1;
+        let timeout = timeout.unwrap_or(f64::INFINITY).min(entry.deadline - now);
+        let not_needed =
+            entry.answer_sender.is_none() || entry.in_flight.is_some() || timeout <= 0.0;
+        if not_needed || number >= self.settings.max_attempts {
             drop(state);
             self.post(
                 now,
-                Event::Settled(settled(
+                Event::Settled(settlement(
                     id,
                     number,
                     backend,
@@ -478,76 +490,84 @@
             );
             return;
         }
-        if let Some(counts) = self.counts.get().filter(|_| number == 0) {
-            counts.used(now, entry.customer, entry.plan, entry.units);
+        if let Some(counts) = self.shared_counts.get().filter(|_| number == 0) {
+            counts.record_usage(now, entry.customer, entry.plan, entry.reserved_units);
         }
-        let order = entry.order.clone();
+        let forwarded = entry.forwarded.clone();
         #[cfg(feature = "breakages")]
-        let order = breakages::order(order);
-        let line = AttemptHandle::default();
-        let (door, on) = (self.clone(), line.clone());
-        let to = backend;
+        let forwarded = breakages::forwarded_request(forwarded);
+        let handle = AttemptHandle::default();
+        let (driver, task_handle) = (self.clone(), handle.clone());
+        let target = backend;
         #[cfg(feature = "breakages")]
-        let to = match self.last_started.get() {
+        let target = match self.last_started.get() {
             Some(last) if breakages::is(breakages::Breakage::ColdFavoured) => last,
-            _ => to,
+            _ => target,
         };
-        let passage = entry.passage.clone();
+        let call = entry.call.clone();
         let task = tokio::task::spawn_local(async move {
-            let ended = match &passage {
+            let ended = match &call {
                 None => {
-                    backends::attempt(&door.pools, &door.reading, to, &order, limit, care, &on)
-                        .await
+                    backends::send_attempt(
+                        &driver.pools,
+                        &driver.response_reader,
+                        target,
+                        &forwarded,
+                        timeout,
+                        care,
+                        &task_handle,
+                    )
+                    .await
                 }
-                Some(passage) => {
-                    let (pools, clock) = (&*door.pools, door.clock);
-                    let committed = &|| door.started(id);
-                    let (order, line) = (&*order, &on);
-                    let errand = grpc::Errand {
+                Some(call) => {
+                    let (pools, clock) = (&*driver.pools, driver.clock);
+                    let committed = &|| driver.response_started(id);
+                    let (forwarded, handle) = (&*forwarded, &task_handle);
+                    let context = grpc::AttemptContext {
                         pools,
                         clock,
-                        order,
-                        passage,
-                        limit,
+                        forwarded,
+                        call,
+                        timeout,
                         care,
-                        line,
+                        handle,
                         committed,
                     };
-                    door.calls.attempt(to, errand).await
+                    driver.grpc_backends.attempt(target, context).await
                 }
             };
-            door.settle(id, number, ended);
+            driver.finish_attempt(id, number, ended);
         });
-        line.attach_task(task.abort_handle());
+        handle.attach_task(task.abort_handle());
         #[cfg(feature = "breakages")]
         if breakages::is(breakages::Breakage::TwoOut) {
-            self.send_again(backend, entry.order.clone(), 0);
+            self.resend(backend, entry.forwarded.clone(), 0);
         }
-        entry.out = Some(Attempt {
+        entry.in_flight = Some(Attempt {
             number,
             backend,
-            sent: now,
-            line,
+            sent_at: now,
+            handle,
         });
         drop(state);
-        self.set_timer(now + limit, Due::TimeOut(id, number));
+        self.set_timer(now + timeout, TimerEvent::AttemptTimeout(id, number));
     }
 
     /// Sends an order once more, past the decision module, after so many milliseconds.
     #[cfg(feature = "breakages")]
-    fn send_again(self: &Rc<Self>, backend: BackendId, order: Rc<Order>, after_ms: u64) {
-        let door = self.clone();
+    fn resend(self: &Rc<Self>, backend: BackendId, forwarded: Rc<Order>, after_ms: u64) {
+        let driver = self.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(std::time::Duration::from_millis(after_ms)).await;
-            let line = AttemptHandle::default();
-            backends::attempt(
-                &door.pools,
-                &door.reading,
+            let handle = AttemptHandle::default();
+            backends::send_attempt(
+                &driver.pools,
+                &driver.response_reader,
                 backend,
-                &order,
+                &forwarded,
                 2000.0,
                 Care::Usual,
-                &line,
+                &handle,
             )
             .await;
         });
@@ -555,88 +575,97 @@
 
     /// Sends a request's order on once more, past the decision module, to wherever it is out.
     #[cfg(feature = "breakages")]
-    pub fn send_on_again(self: &Rc<Self>, id: RequestId) {
+    pub fn resend_in_flight(self: &Rc<Self>, id: RequestId) {
         let state = self.state.borrow();
         let Some(entry) = state.requests.get(&id) else {
             return;
         };
-        let Some(backend) = entry.out.as_ref().map(|out| out.backend) else {
+        let Some(backend) = entry.in_flight.as_ref().map(|out| out.backend) else {
             return;
         };
-        let order = entry.order.clone();
+        let forwarded = entry.forwarded.clone();
         drop(state);
-        self.send_again(backend, order, 30);
+        self.resend(backend, forwarded, 30);
     }
 
     /// Settles an attempt, once: whatever ends it later finds it gone.
-    fn settle(self: &Rc<Self>, id: RequestId, number: u32, mut ended: Ended) {
+    fn finish_attempt(self: &Rc<Self>, id: RequestId, number: u32, mut end: Ended) {
         let now = self.clock.now();
         let event = {
             let mut state = self.state.borrow_mut();
             let Some(entry) = state.requests.get_mut(&id) else {
                 return;
             };
-            let Some(attempt) = entry.out.take_if(|attempt| attempt.number == number) else {
+            let Some(attempt) = entry.in_flight.take_if(|attempt| attempt.number == number) else {
                 return;
             };
-            if matches!(ended.outcome, Outcome::Cancelled | Outcome::Timeout) {
+            if matches!(end.outcome, Outcome::Cancelled | Outcome::Timeout) {
                 // What has not been written whole when its connection is closed cannot run.
-                if ended.outcome == Outcome::Timeout && !attempt.line.fully_written() {
-                    ended.outcome = Outcome::ConnectFailed;
+                if end.outcome == Outcome::Timeout && !attempt.handle.fully_written() {
+                    end.outcome = Outcome::ConnectFailed;
                 }
-                attempt.line.abort();
+                attempt.handle.abort();
             }
             #[cfg(feature = "breakages")]
-            if ended.outcome == Outcome::Ok && breakages::is(breakages::Breakage::StaleBody) {
-                std::mem::swap(&mut ended.body, &mut *self.last_body.borrow_mut());
+            if end.outcome == Outcome::Ok && breakages::is(breakages::Breakage::StaleBody) {
+                std::mem::swap(&mut end.body, &mut *self.last_body.borrow_mut());
             }
             #[cfg(feature = "breakages")]
-            if ended.outcome == Outcome::Ok && breakages::is(breakages::Breakage::SentAfterAnswer) {
-                self.send_again(attempt.backend, entry.order.clone(), 150);
+            if end.outcome == Outcome::Ok && breakages::is(breakages::Breakage::SentAfterAnswer) {
+                self.resend(attempt.backend, entry.forwarded.clone(), 150);
             }
-            if let Some(sender) = entry.answer.take_if(|_| ended.outcome == Outcome::Ok) {
-                let _ = sender.send(Answer::Served(ended.body.clone()));
+            if let Some(sender) = entry.answer_sender.take_if(|_| end.outcome == Outcome::Ok) {
+                let _ = sender.send(Answer::Served(end.body.clone()));
             }
-            if let (Some(counts), Some(charge)) = (self.counts.get(), ended.charge) {
-                counts.used(now, entry.customer, entry.plan, charge - entry.units);
+            if let (Some(counts), Some(charge)) = (self.shared_counts.get(), end.charge) {
+                counts.record_usage(
+                    now,
+                    entry.customer,
+                    entry.plan,
+                    charge - entry.reserved_units,
+                );
             }
-            let closed = entry.answer.is_none();
-            settled(
+            let closed = entry.answer_sender.is_none();
+            settlement(
                 id,
                 number,
                 attempt.backend,
-                now - attempt.sent,
-                &ended,
+                now - attempt.sent_at,
+                &end,
                 closed,
             )
         };
         self.post(now, Event::Settled(event));
-        self.state.borrow_mut().forget_if_over(id);
+        self.state.borrow_mut().remove_if_finished(id);
     }
 
     // ---- Time ---------------------------------------------------------------------------------------
 
-    fn set_timer(&self, at: Millis, due: Due) {
+    fn set_timer(&self, at: Millis, event: TimerEvent) {
         let mut state = self.state.borrow_mut();
-        let earliest = state
+        let is_earliest = state
             .timers
             .peek()
             .is_none_or(|Reverse(first)| at < first.at);
-        state.timers_set += 1;
-        let order = state.timers_set;
-        state.timers.push(Reverse(Timer { at, order, due }));
-        if earliest {
-            self.earlier.notify_one();
+        state.timer_sequence += 1;
+        let sequence = state.timer_sequence;
+        state.timers.push(Reverse(Timer {
+            at,
+            sequence,
+            event,
+        }));
+        if is_earliest {
+            self.timer_advanced.notify_one();
         }
     }
 
     /// Fires what comes due, for as long as the front door runs.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let now = self.clock.now();
             let next = {
                 let mut state = self.state.borrow_mut();
-                state.drop_dead_timers();
+                state.discard_stale_timers();
                 match state.timers.peek() {
                     Some(Reverse(first)) if first.at <= now => {
                         state.timers.pop().map(|Reverse(first)| Ok(first))
@@ -646,43 +675,45 @@
                 }
             };
             match next {
-                Some(Ok(timer)) => self.fire(now, timer.due),
+                Some(Ok(timer)) => self.handle_timer(now, timer.event),
                 Some(Err(at)) => tokio::select! {
                     () = tokio::time::sleep_until(self.clock.instant(at)) => {}
-                    () = self.earlier.notified() => {}
+                    () = self.timer_advanced.notified() => {}
                 },
-                None => self.earlier.notified().await,
+                None => self.timer_advanced.notified().await,
             }
         }
     }
 
-    fn fire(self: &Rc<Self>, now: Millis, due: Due) {
-        match due {
-            Due::Alarm(alarm) => self.post(now, Event::Alarm(alarm)),
-            Due::TimeOut(id, number) => {
+    fn handle_timer(self: &Rc<Self>, now: Millis, event: TimerEvent) {
+        match event {
+            TimerEvent::Alarm(alarm) => self.post(now, Event::Alarm(alarm)),
+            TimerEvent::AttemptTimeout(id, number) => {
                 // A stream that has begun is not given up for its length: its client's deadline ends it.
                 let state = self.state.borrow();
-                let goes_on = state
+                let streaming = state
                     .requests
                     .get(&id)
-                    .filter(|entry| entry.started && entry.deadline > now);
-                let later = goes_on.map(|entry| entry.deadline);
+                    .filter(|entry| entry.response_started && entry.deadline > now);
+                let later = streaming.map(|entry| entry.deadline);
                 drop(state);
                 match later {
-                    Some(deadline) => self.set_timer(deadline, Due::TimeOut(id, number)),
-                    None => self.settle(id, number, Ended::of(Outcome::Timeout)),
+                    Some(deadline) => {
+                        self.set_timer(deadline, TimerEvent::AttemptTimeout(id, number))
+                    }
+                    None => self.finish_attempt(id, number, Ended::of(Outcome::Timeout)),
                 }
             }
-            Due::Deadline(id) => {
+            TimerEvent::Deadline(id) => {
                 // The module answers before this; a request that it holds must not stay without an answer.
-                let waited = self
+                let unanswered = self
                     .state
                     .borrow()
                     .requests
                     .get(&id)
-                    .is_some_and(|e| e.answer.is_some());
-                if waited {
-                    self.answer(id, Answer::Failed);
+                    .is_some_and(|entry| entry.answer_sender.is_some());
+                if unanswered {
+                    self.send_answer(id, Answer::Failed);
                     self.post(now, Event::ClientGone(id));
                 }
             }
@@ -693,29 +724,29 @@
 
     /// Takes in changes of the list of backends, later.
     #[cfg(feature = "breakages")]
-    pub fn list_changed(self: &Rc<Self>, changes: Vec<Member>) {
+    pub fn apply_changes(self: &Rc<Self>, changes: Vec<Member>) {
         if !breakages::is(breakages::Breakage::DrainLate) {
-            return self.list_heard(&changes);
+            return self.apply_changes_now(&changes);
         }
-        let door = self.clone();
+        let driver = self.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(std::time::Duration::from_millis(breakages::LATE_MS)).await;
-            door.list_heard(&changes);
+            driver.apply_changes_now(&changes);
         });
     }
 
     /// Takes in changes of the list of backends.
     #[cfg(not(feature = "breakages"))]
-    pub fn list_changed(self: &Rc<Self>, changes: Vec<Member>) {
-        self.list_heard(&changes);
+    pub fn apply_changes(self: &Rc<Self>, changes: Vec<Member>) {
+        self.apply_changes_now(&changes);
     }
 
-    fn list_heard(self: &Rc<Self>, changes: &[Member]) {
+    fn apply_changes_now(self: &Rc<Self>, changes: &[Member]) {
         let entries = {
             let mut state = self.state.borrow_mut();
             changes
                 .iter()
-                .filter_map(|member| self.entry(&mut state, member))
+                .filter_map(|member| self.apply_change(&mut state, member))
                 .collect()
         };
         self.post(
@@ -725,12 +756,12 @@
     }
 
     /// An entry as the module hears it.
-    fn entry(&self, state: &mut State, member: &Member) -> Option<BackendEntry> {
+    fn apply_change(&self, state: &mut State, member: &Member) -> Option<BackendEntry> {
         #[cfg(feature = "breakages")]
         if member.health != Health::Up && breakages::is(breakages::Breakage::DrainIgnored) {
             return None;
         }
-        let id = state.backend(&member.host);
+        let id = state.backend_id(&member.host);
         let availability = match member.health {
             Health::Up => Availability::Ready,
             Health::Draining => Availability::Draining,
@@ -741,7 +772,7 @@
             Health::Draining => self.pools.drain(id),
             Health::Removed => {
                 self.pools.remove(id);
-                state.backends.remove(&member.host);
+                state.backend_ids.remove(&member.host);
             }
         }
         let site = settings::plain(&member.site);
@@ -764,19 +795,19 @@
     }
 
     /// Disposes of idle connections before backends do, for as long as the front door runs.
-    pub async fn tidy(self: Rc<Self>) {
+    pub async fn close_idle_connections(self: Rc<Self>) {
         tokio::join!(
             self.pools.close_idle_periodically(),
-            self.calls.tidy(&self.pools)
+            self.grpc_backends.close_idle_connections(&self.pools)
         );
     }
 }
 
 impl State {
-    fn new_request(&mut self) -> RequestId {
+    fn allocate_request_id(&mut self) -> RequestId {
         loop {
-            self.last_request = self.last_request.wrapping_add(1);
-            let id = RequestId(self.last_request);
+            self.last_request_number = self.last_request_number.wrapping_add(1);
+            let id = RequestId(self.last_request_number);
             if !self.requests.contains_key(&id) {
                 return id;
             }
@@ -785,79 +816,84 @@
 
     /// Drops what would fire first but has nothing left to do, so that nobody wakes for it. Most requests are
     /// over long before their times are up. What an alarm means only the module knows: it always fires.
-    fn drop_dead_timers(&mut self) {
+    fn discard_stale_timers(&mut self) {
         while let Some(Reverse(first)) = self.timers.peek() {
-            let dead = match first.due {
-                Due::Alarm(_) => false,
-                Due::Deadline(id) => self
+            let stale = match first.event {
+                TimerEvent::Alarm(_) => false,
+                TimerEvent::Deadline(id) => self
                     .requests
                     .get(&id)
-                    .is_none_or(|entry| entry.answer.is_none()),
-                Due::TimeOut(id, number) => {
-                    let out = self.requests.get(&id).and_then(|entry| entry.out.as_ref());
+                    .is_none_or(|entry| entry.answer_sender.is_none()),
+                TimerEvent::AttemptTimeout(id, number) => {
+                    let out = self
+                        .requests
+                        .get(&id)
+                        .and_then(|entry| entry.in_flight.as_ref());
                     out.is_none_or(|attempt| attempt.number != number)
                 }
             };
-            if !dead {
+            if !stale {
                 return;
             }
             self.timers.pop();
         }
     }
 
-    fn backend(&mut self, host: &str) -> BackendId {
-        if let Some(id) = self.backends.get(host) {
+    fn backend_id(&mut self, host: &str) -> BackendId {
+        if let Some(id) = self.backend_ids.get(host) {
             return *id;
         }
-        self.last_backend = self.last_backend.wrapping_add(1);
-        let id = BackendId(self.last_backend);
-        self.backends.insert(host.to_owned(), id);
+        self.last_backend_number = self.last_backend_number.wrapping_add(1);
+        let id = BackendId(self.last_backend_number);
+        self.backend_ids.insert(host.to_owned(), id);
         id
     }
 
-    fn forget_if_over(&mut self, id: RequestId) {
-        let over = self
+    fn remove_if_finished(&mut self, id: RequestId) {
+        let finished = self
             .requests
             .get(&id)
-            .is_some_and(|entry| entry.answer.is_none() && entry.out.is_none());
-        if over {
+            .is_some_and(|entry| entry.answer_sender.is_none() && entry.in_flight.is_none());
+        if finished {
             if let Some(entry) = self.requests.remove(&id) {
-                self.past_ids
-                    .push_back((entry.deadline, entry.order.id.clone()));
+                self.retired_ids
+                    .push_back((entry.deadline, entry.forwarded.id.clone()));
             }
         }
     }
 
-    fn forget_ids(&mut self, now: Millis) {
-        while let Some((since, _)) = self.past_ids.front() {
-            if now - since < ID_MEMORY && self.past_ids.len() <= IDS_KEPT {
+    fn expire_request_ids(&mut self, now: Millis) {
+        while let Some((since, _)) = self.retired_ids.front() {
+            if now - since < REQUEST_ID_RETENTION
+                && self.retired_ids.len() <= MAX_RETAINED_REQUEST_IDS
+            {
                 return;
             }
-            if let Some((_, id)) = self.past_ids.pop_front() {
-                self.ids.remove(&id);
+            if let Some((_, id)) = self.retired_ids.pop_front() {
+                self.known_ids.remove(&id);
             }
         }
     }
 }
 
-fn settled(
+fn settlement(
     request: RequestId,
     attempt: u32,
     backend: BackendId,
     elapsed: Millis,
-    ended: &Ended,
+    end: &Ended,
     closed: bool,
 ) -> Settled {
     Settled {
         request,
         attempt,
         backend,
-        outcome: ended.outcome,
+        outcome: end.outcome,
         elapsed,
         closed,
-        use_of_quota: ended.used,
-        true_units: ended.charge,
-        report: ended.report,
-        broken: ended.broken,
+        use_of_quota: end.used,
+        true_units: end.charge,
+        report: end.report,
+        broken: end.broken,
     }
 }
--- a/crates/maplefall/src/net/grpc/back.rs
+++ b/crates/maplefall/src/net/grpc/back.rs
@@ -1,7 +1,7 @@
 //! Attempts of calls: connections to backends, many calls on each, and what comes back on them.
 
-use super::super::backends::{number, MOST_USAGE};
-use super::passage::Passage;
+use super::super::backends::{header_number, MAX_USAGE_PERCENT};
+use super::passage::ProxiedCall;
 use h2::client::{self, SendRequest};
 use h2::{Ping, PingPong, RecvStream, SendStream};
 use hyper::body::Bytes;
@@ -25,17 +25,17 @@
 /// `grpc-timeout`.
 pub const GRPC_TIMEOUT: HeaderName = HeaderName::from_static("grpc-timeout");
 /// How many attempts came before this one (gRFC A6).
-const PREVIOUS: HeaderName = HeaderName::from_static("grpc-previous-rpc-attempts");
+const PREVIOUS_ATTEMPTS: HeaderName = HeaderName::from_static("grpc-previous-rpc-attempts");
 /// Bytes of heads and trailers of a backend's answer at most.
-const LONGEST_HEAD: u32 = 32 * 1024;
+const MAX_HEADER_BYTES: u32 = 32 * 1024;
 /// How often idle connections are looked through.
-const TIDY: Duration = Duration::from_millis(500);
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// A connection that was heard of within this time is taken to be alive by a call that must not run twice.
-const HEARD: Duration = Duration::from_millis(20);
+const LIVENESS_WINDOW: Duration = Duration::from_millis(20);
 /// How long such a call waits at most for the connection to prove itself, as a part of its time.
-const PROOF_PART: f64 = 0.25;
+const PING_TIMEOUT_FRACTION: f64 = 0.25;
 /// Connections that are tried for one attempt at most, where they break before anything is sent.
-const TRIES: usize = 3;
+const MAX_CONNECTIONS_PER_ATTEMPT: usize = 3;
 
 /// A connection to a backend.
 struct Connection {
@@ -44,12 +44,12 @@
     /// Calls on it.
     calls: Cell<usize>,
     idle_since: Cell<Instant>,
-    heard: Cell<Instant>,
+    last_activity: Cell<Instant>,
     ping: Mutex<Option<PingPong>>,
     task: AbortHandle,
     /// Whether it takes no further call.
-    over: Rc<Cell<bool>>,
-    _slot: Slot,
+    closed: Rc<Cell<bool>>,
+    _slot: ConnectionSlot,
 }
 
 impl Drop for Connection {
@@ -62,16 +62,16 @@
 }
 
 /// A call's place on a connection.
-struct OnIt(Rc<Connection>);
+struct CallGuard(Rc<Connection>);
 
-impl OnIt {
-    fn new(connection: Rc<Connection>) -> OnIt {
+impl CallGuard {
+    fn new(connection: Rc<Connection>) -> CallGuard {
         connection.calls.set(connection.calls.get() + 1);
-        OnIt(connection)
+        CallGuard(connection)
     }
 }
 
-impl Drop for OnIt {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.0.calls.set(self.0.calls.get() - 1);
         self.0.idle_since.set(Instant::now());
@@ -79,9 +79,9 @@
 }
 
 /// A place in the budget of connections.
-struct Slot(Rc<Cell<usize>>);
+struct ConnectionSlot(Rc<Cell<usize>>);
 
-impl Drop for Slot {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -100,21 +100,21 @@
 }
 
 /// What an attempt is carried out with.
-pub struct Errand<'a> {
+pub struct AttemptContext<'a> {
     /// Which backends take new work, and where they are.
     pub pools: &'a Pools,
     /// The clock.
     pub clock: Clock,
     /// What belongs to the request.
-    pub order: &'a Order,
+    pub forwarded: &'a Order,
     /// The call.
-    pub passage: &'a Passage,
+    pub call: &'a ProxiedCall,
     /// How long the attempt may take.
-    pub limit: Millis,
+    pub timeout: Millis,
     /// What is done lest a broken connection takes it along.
     pub care: Care,
     /// The driver's hold on it.
-    pub line: &'a AttemptHandle,
+    pub handle: &'a AttemptHandle,
     /// Tells the decision module that there will be no further attempt.
     pub committed: &'a dyn Fn(),
 }
@@ -134,78 +134,95 @@
     }
 
     /// Carries out one attempt and tells how it ended.
-    pub async fn attempt(&self, to: BackendId, errand: Errand<'_>) -> Ended {
-        let Ok(number_of) = errand.passage.begin() else {
+    pub async fn attempt(&self, to: BackendId, context: AttemptContext<'_>) -> Ended {
+        let Ok(attempt_number) = context.call.begin_attempt() else {
             return Ended::of(Outcome::NotSent);
         };
-        let until = errand.clock.now() + errand.limit;
-        let shape = errand.passage.shape();
-        let mut attempt = Attempt::new(shape, until, errand.passage.deadline());
-        let mut told = Told {
+        let deadline = context.clock.now() + context.timeout;
+        let shape = context.call.shape();
+        let mut attempt = Attempt::new(shape, deadline, context.call.deadline());
+        let mut metadata = ResponseMetadata {
             max_units: self.max_units,
-            ..Told::default()
+            ..ResponseMetadata::default()
         };
         let end = self
-            .carry(to, &errand, number_of, until, &mut attempt, &mut told)
+            .run_attempt(
+                to,
+                &context,
+                attempt_number,
+                deadline,
+                &mut attempt,
+                &mut metadata,
+            )
             .await;
         let outcome = end.outcome;
-        errand.passage.ended(number_of, end, told.trailers);
+        context
+            .call
+            .end_attempt(attempt_number, end, metadata.trailers);
         Ended {
-            used: told.used,
-            charge: told.charge,
+            used: metadata.used,
+            charge: metadata.charge,
             ..Ended::of(outcome)
         }
     }
 
-    async fn carry(
+    async fn run_attempt(
         &self,
         to: BackendId,
-        errand: &Errand<'_>,
-        number_of: u32,
-        until: Millis,
+        context: &AttemptContext<'_>,
+        attempt_number: u32,
+        deadline: Millis,
         attempt: &mut Attempt,
-        told: &mut Told,
+        metadata: &mut ResponseMetadata,
     ) -> End {
-        let end = |end: Option<End>| end.unwrap_or_else(|| END_TOLD.clone());
-        for _ in 0..TRIES {
-            let on_it = match self.connection(to, errand.pools).await {
-                Ok(connection) => OnIt::new(connection),
+        let end = |end: Option<End>| end.unwrap_or_else(|| ALREADY_ENDED.clone());
+        for _ in 0..MAX_CONNECTIONS_PER_ATTEMPT {
+            let guard = match self.connection(to, context.pools).await {
+                Ok(connection) => CallGuard::new(connection),
                 Err(ConnectError::LocalLimit) => return NOT_SENT.clone(),
                 Err(ConnectError::Unreachable) => return end(attempt.unreachable()),
             };
-            let connection = &on_it.0;
-            if errand.care != Care::Usual
-                && !connection.proves_itself(errand.limit * PROOF_PART).await
+            let connection = &guard.0;
+            if context.care != Care::Usual
+                && !connection
+                    .is_alive(context.timeout * PING_TIMEOUT_FRACTION)
+                    .await
             {
-                connection.over.set(true);
+                connection.closed.set(true);
                 continue;
             }
             let Ok(mut sender) = connection.sender.clone().ready().await else {
-                connection.over.set(true);
+                connection.closed.set(true);
                 continue;
             };
             // The wait may have outlasted the backend's place in the list, or its life.
-            if errand.pools.dial_address(to) != Some(connection.dial) {
+            if context.pools.dial_address(to) != Some(connection.dial) {
                 return NOT_SENT.clone();
             }
-            let left = until - errand.clock.now();
-            let Some(request) = request(errand, left, number_of) else {
+            let time_left = deadline - context.clock.now();
+            let Some(request) = build_request(context, time_left, attempt_number) else {
                 return NOT_SENT.clone();
             };
-            let bare = errand.passage.ends_at(0);
-            let Ok((answer, upload)) = sender.send_request(request, bare) else {
-                connection.over.set(true);
+            let no_body = context.call.upload_ends_at(0);
+            let Ok((response, upload)) = sender.send_request(request, no_body) else {
+                connection.closed.set(true);
                 continue;
             };
             attempt.sent();
-            errand.line.mark_multiplexed();
-            let mut upload = std::pin::pin!(send_up(errand, upload, bare));
-            let mut answer =
-                std::pin::pin!(read(errand, connection, number_of, attempt, told, answer));
+            context.handle.mark_multiplexed();
+            let mut upload = std::pin::pin!(send_upload(context, upload, no_body));
+            let mut response = std::pin::pin!(read_response(
+                context,
+                connection,
+                attempt_number,
+                attempt,
+                metadata,
+                response
+            ));
             let mut uploading = true;
             return loop {
                 tokio::select! {
-                    ended = &mut answer => break end(ended),
+                    ended = &mut response => break end(ended),
                     () = &mut upload, if uploading => uploading = false,
                 }
             };
@@ -222,20 +239,20 @@
         let Some(dial) = pools.dial_address(to) else {
             return Err(ConnectError::LocalLimit);
         };
-        if let Some(connection) = self.known(to, dial) {
+        if let Some(connection) = self.open_connection(to, dial) {
             return Ok(connection);
         }
         let dialling = self.dialling.borrow_mut().entry(to).or_default().clone();
         let _turn = dialling.lock().await;
         // Whoever dialled meanwhile may have left room.
-        if let Some(connection) = self.known(to, dial) {
+        if let Some(connection) = self.open_connection(to, dial) {
             return Ok(connection);
         }
         if self.open.get() >= self.budget && !self.close_oldest() {
             return Err(ConnectError::LocalLimit);
         }
         self.open.set(self.open.get() + 1);
-        let slot = Slot(self.open.clone());
+        let slot = ConnectionSlot(self.open.clone());
         let limit =
             Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
         let dialled = tokio::time::timeout(limit, dial_h2(dial)).await;
@@ -243,8 +260,8 @@
             return Err(ConnectError::Unreachable);
         };
         let ping = Mutex::new(connection.ping_pong());
-        let over = Rc::new(Cell::new(false));
-        let ended = over.clone();
+        let closed = Rc::new(Cell::new(false));
+        let ended = closed.clone();
         let task = tokio::task::spawn_local(async move {
             // Whatever ends it, the calls on it are told.
             let _ = connection.await;
@@ -256,10 +273,10 @@
             dial,
             calls: Cell::new(0),
             idle_since: Cell::new(now),
-            heard: Cell::new(now - HEARD),
+            last_activity: Cell::new(now - LIVENESS_WINDOW),
             ping,
             task: task.abort_handle(),
-            over,
+            closed,
             _slot: slot,
         });
         self.connections
@@ -271,13 +288,13 @@
     }
 
     /// A connection that is open already and has room.
-    fn known(&self, to: BackendId, dial: SocketAddr) -> Option<Rc<Connection>> {
+    fn open_connection(&self, to: BackendId, dial: SocketAddr) -> Option<Rc<Connection>> {
         let mut connections = self.connections.borrow_mut();
         let known = connections.get_mut(&to)?;
-        known.retain(|connection| !connection.over.get() && connection.dial == dial);
+        known.retain(|connection| !connection.closed.get() && connection.dial == dial);
         known
             .iter()
-            .find(|connection| connection.calls.get() < connection.most(self.streams))
+            .find(|connection| connection.calls.get() < connection.max_calls(self.streams))
             .cloned()
     }
 
@@ -301,17 +318,17 @@
     }
 
     /// Closes connections that nobody needs, for as long as the front door runs.
-    pub async fn tidy(&self, pools: &Pools) {
-        let longest =
+    pub async fn close_idle_connections(&self, pools: &Pools) {
+        let max_idle =
             Duration::try_from_secs_f64(self.links.idle_close / 1000.0).unwrap_or_default();
         loop {
-            tokio::time::sleep(TIDY).await;
+            tokio::time::sleep(IDLE_SWEEP_INTERVAL).await;
             self.connections.borrow_mut().retain(|id, known| {
                 let takes_new = pools.accepts_requests(*id);
                 known.retain(|connection| {
                     let idle = connection.calls.get() == 0;
-                    let old = connection.idle_since.get().elapsed() > longest;
-                    !connection.over.get() && !(idle && (old || !takes_new))
+                    let old = connection.idle_since.get().elapsed() > max_idle;
+                    !connection.closed.get() && !(idle && (old || !takes_new))
                 });
                 !known.is_empty()
             });
@@ -325,27 +342,27 @@
 
 impl Connection {
     /// Calls that it takes at most: the backend's own limit counts too, as far as it has told one.
-    fn most(&self, streams: usize) -> usize {
+    fn max_calls(&self, streams: usize) -> usize {
         streams.min(self.sender.current_max_send_streams())
     }
 
     /// Guards calls that must not run twice against connections that are dead unseen: one that has not been heard of for
     /// a moment is asked first, by a `PING` (RFC 9113, 6.7).
-    async fn proves_itself(&self, wait: Millis) -> bool {
-        if self.heard.get().elapsed() < HEARD {
+    async fn is_alive(&self, wait: Millis) -> bool {
+        if self.last_activity.get().elapsed() < LIVENESS_WINDOW {
             return true;
         }
         let wait = Duration::try_from_secs_f64(wait / 1000.0).unwrap_or_default();
-        let asked = async {
+        let pong = async {
             let mut ping = self.ping.lock().await;
             match ping.as_mut() {
                 Some(ping) => ping.ping(Ping::opaque()).await.is_ok(),
                 None => false,
             }
         };
-        let alive = tokio::time::timeout(wait, asked).await == Ok(true);
+        let alive = tokio::time::timeout(wait, pong).await == Ok(true);
         if alive {
-            self.heard.set(Instant::now());
+            self.last_activity.set(Instant::now());
         }
         alive
     }
@@ -357,7 +374,7 @@
     why: "not sent",
 };
 /// An attempt tells its end once, and it is taken once.
-const END_TOLD: &End = &End {
+const ALREADY_ENDED: &End = &End {
     outcome: Outcome::Reset,
     code: maplefall_grpc::Code::Internal,
     why: "over",
@@ -365,19 +382,22 @@
 
 /// What came with an end.
 #[derive(Default)]
-struct Told {
+struct ResponseMetadata {
     trailers: HeaderMap,
     used: Option<f64>,
     charge: Option<f64>,
     max_units: f64,
 }
 
-impl Told {
+impl ResponseMetadata {
     /// What heads and trailers tell of the customer; the first word counts.
-    fn hear(&mut self, headers: &HeaderMap) {
-        let used = number(headers, &API_USAGE, MOST_USAGE).map(|percent| percent / 100.0);
+    fn read_usage(&mut self, headers: &HeaderMap) {
+        let used =
+            header_number(headers, &API_USAGE, MAX_USAGE_PERCENT).map(|percent| percent / 100.0);
         self.used = self.used.or(used);
-        self.charge = self.charge.or(number(headers, &API_CHARGE, self.max_units));
+        self.charge = self
+            .charge
+            .or(header_number(headers, &API_CHARGE, self.max_units));
     }
 }
 
@@ -390,17 +410,21 @@
     let mut builder = client::Builder::new();
     builder
         .enable_push(false)
-        .max_header_list_size(LONGEST_HEAD);
+        .max_header_list_size(MAX_HEADER_BYTES);
     builder.handshake(stream).await.ok()
 }
 
 /// A call as it is written to a backend, which is told what is left of its time.
-fn request(errand: &Errand<'_>, left: Millis, number_of: u32) -> Option<Request<()>> {
-    let passage = errand.passage;
+fn build_request(
+    context: &AttemptContext<'_>,
+    time_left: Millis,
+    attempt_number: u32,
+) -> Option<Request<()>> {
+    let call = context.call;
     let uri = Uri::builder()
         .scheme("http")
-        .authority(passage.authority.as_str())
-        .path_and_query(passage.path.clone())
+        .authority(call.authority.as_str())
+        .path_and_query(call.path.clone())
         .build()
         .ok()?;
     let mut request = Request::new(());
@@ -408,51 +432,51 @@
     *request.uri_mut() = uri;
     *request.version_mut() = Version::HTTP_2;
     let headers = request.headers_mut();
-    *headers = passage.metadata.clone();
+    *headers = call.metadata.clone();
     headers.insert(TE, HeaderValue::from_static("trailers"));
-    headers.insert(REQUEST_ID, errand.order.id_value.clone());
+    headers.insert(REQUEST_ID, context.forwarded.id_value.clone());
     headers.insert(
         GRPC_TIMEOUT,
-        HeaderValue::try_from(timeout::format(left)).ok()?,
+        HeaderValue::try_from(timeout::format(time_left)).ok()?,
     );
-    if number_of > 0 {
-        headers.insert(PREVIOUS, HeaderValue::from(number_of));
+    if attempt_number > 0 {
+        headers.insert(PREVIOUS_ATTEMPTS, HeaderValue::from(attempt_number));
     }
-    for (name, value) in &errand.order.onward {
+    for (name, value) in &context.forwarded.onward {
         headers.append(name.clone(), value.clone());
     }
     Some(request)
 }
 
 /// Sends what the client sends, as far as the backend takes it.
-async fn send_up(errand: &Errand<'_>, mut upload: SendStream<Bytes>, bare: bool) {
-    if bare {
+async fn send_upload(context: &AttemptContext<'_>, mut upload: SendStream<Bytes>, no_body: bool) {
+    if no_body {
         return;
     }
-    let mut place = 0;
+    let mut index = 0;
     loop {
-        match errand.passage.next(place, errand.committed).await {
+        match context.call.next_upload(index, context.committed).await {
             Next::Chunk(mut chunk) => {
                 while !chunk.is_empty() {
                     upload.reserve_capacity(chunk.len());
                     // The library wakes for more room alone, not for what there is.
-                    let room = match upload.capacity() {
+                    let capacity = match upload.capacity() {
                         0 => match std::future::poll_fn(|cx| upload.poll_capacity(cx)).await {
-                            Some(Ok(room)) => room,
+                            Some(Ok(capacity)) => capacity,
                             // The backend wants no more: its answer says why.
                             _ => return,
                         },
-                        room => room,
+                        capacity => capacity,
                     };
                     if upload
-                        .send_data(chunk.split_to(room.min(chunk.len())), false)
+                        .send_data(chunk.split_to(capacity.min(chunk.len())), false)
                         .is_err()
                     {
                         return;
                     }
                 }
-                place += 1;
-                errand.passage.took(place);
+                index += 1;
+                context.call.mark_sent(index);
             }
             Next::End => {
                 let _ = upload.send_data(Bytes::new(), true);
@@ -465,68 +489,68 @@
 }
 
 /// Reads the answer; `None` if its end has been told.
-async fn read(
-    errand: &Errand<'_>,
+async fn read_response(
+    context: &AttemptContext<'_>,
     connection: &Connection,
-    number_of: u32,
+    attempt_number: u32,
     attempt: &mut Attempt,
-    told: &mut Told,
-    answer: client::ResponseFuture,
+    metadata: &mut ResponseMetadata,
+    response: client::ResponseFuture,
 ) -> Option<End> {
-    let now = || errand.clock.now();
-    let answer = match answer.await {
-        Ok(answer) => answer,
-        Err(error) => return broken(attempt, connection, now(), &error),
+    let now = || context.clock.now();
+    let response = match response.await {
+        Ok(response) => response,
+        Err(error) => return transport_error(attempt, connection, now(), &error),
     };
-    connection.heard.set(Instant::now());
-    let (head, mut body): (_, RecvStream) = answer.into_parts();
-    told.hear(&head.headers);
+    connection.last_activity.set(Instant::now());
+    let (head, mut body): (_, RecvStream) = response.into_parts();
+    metadata.read_usage(&head.headers);
     if let Some(end) = attempt.head(
         now(),
         head.status.as_u16(),
         &head.headers,
         body.is_end_stream(),
     ) {
-        told.trailers = head.headers;
+        metadata.trailers = head.headers;
         return Some(end);
     }
-    errand
-        .passage
-        .with(|call, outputs| call.head(number_of, head.headers, outputs));
+    context
+        .call
+        .update(|call, outputs| call.head(attempt_number, head.headers, outputs));
     while let Some(data) = body.data().await {
         let data = match data {
             Ok(data) => data,
-            Err(error) => return broken(attempt, connection, now(), &error),
+            Err(error) => return transport_error(attempt, connection, now(), &error),
         };
-        connection.heard.set(Instant::now());
+        connection.last_activity.set(Instant::now());
         if let Some(end) = attempt.data(&data) {
             return Some(end);
         }
         let length = data.len();
-        if errand
-            .passage
-            .with(|call: &mut Call, outputs| call.data(number_of, data, outputs))
+        if context
+            .call
+            .update(|call: &mut Call, outputs| call.data(attempt_number, data, outputs))
         {
-            (errand.committed)();
+            (context.committed)();
         }
-        errand.passage.room().await;
+        context.call.wait_for_capacity().await;
         // Where the stream is over there is no window to open.
         let _ = body.flow_control().release_capacity(length);
     }
     match body.trailers().await {
         Ok(Some(trailers)) => {
-            told.hear(&trailers);
+            metadata.read_usage(&trailers);
             let end = attempt.trailers(now(), &trailers);
-            told.trailers = trailers;
+            metadata.trailers = trailers;
             end
         }
         Ok(None) => attempt.ended_bare(),
-        Err(error) => broken(attempt, connection, now(), &error),
+        Err(error) => transport_error(attempt, connection, now(), &error),
     }
 }
 
 /// What an error of the transport means for an attempt.
-fn broken(
+fn transport_error(
     attempt: &mut Attempt,
     connection: &Connection,
     now: Millis,
@@ -536,7 +560,7 @@
         let reason = error.reason().map_or(0, u32::from);
         return attempt.reset(now, reason);
     }
-    connection.over.set(true);
+    connection.closed.set(true);
     if error.is_go_away() && error.is_remote() {
         attempt.unprocessed()
     } else {
--- a/crates/maplefall/src/net/grpc/mod.rs
+++ b/crates/maplefall/src/net/grpc/mod.rs
@@ -7,13 +7,13 @@
 mod passage;
 mod settings;
 
-pub use back::{Backends, Errand};
-pub use front::Front;
-pub use passage::Passage;
-pub use settings::{from_env, is_one, read, GrpcSettings};
+pub use back::{AttemptContext, Backends};
+pub use front::GrpcServer;
+pub use passage::ProxiedCall;
+pub use settings::{from_env, is_grpc_file, read, GrpcSettings};
 
 /// Descriptors that connections for calls take, to clients, to backends and for the listener.
-pub fn sockets(settings: Option<&GrpcSettings>) -> usize {
+pub fn reserved_sockets(settings: Option<&GrpcSettings>) -> usize {
     settings.map_or(0, |settings| {
         settings.connections + settings.backend_connections + 1
     })
--- a/crates/maplefall/src/net/grpc/passage.rs
+++ b/crates/maplefall/src/net/grpc/passage.rs
@@ -11,10 +11,10 @@
 use tokio::sync::Notify;
 
 /// Bytes on their way to a client that is slow to take them, at which an attempt stops reading.
-const QUEUED: usize = 64 * 1024;
+const MAX_QUEUED_BYTES: usize = 64 * 1024;
 
 /// A call on its way.
-pub struct Passage {
+pub struct ProxiedCall {
     /// Where it goes at a backend.
     pub path: PathAndQuery,
     /// What it names as its host.
@@ -26,25 +26,25 @@
     outputs: RefCell<VecDeque<Output>>,
     queued: Cell<usize>,
     /// Who waits for something to send to the client.
-    sender: Cell<Option<Waker>>,
+    output_waker: Cell<Option<Waker>>,
     /// The client has taken something.
-    room: Notify,
+    output_taken: Notify,
     /// The client has sent something.
-    uploaded: Notify,
+    upload_added: Notify,
     /// An attempt has taken something that the client sent.
-    taken: Notify,
+    upload_taken: Notify,
 }
 
-impl Passage {
+impl ProxiedCall {
     /// A call of this shape whose client waits until `deadline`.
     pub fn new(
         uri: &Uri,
         metadata: HeaderMap,
         shape: Shape,
         deadline: Millis,
-        held: usize,
-    ) -> Passage {
-        Passage {
+        max_replay_bytes: usize,
+    ) -> ProxiedCall {
+        ProxiedCall {
             path: uri
                 .path_and_query()
                 .cloned()
@@ -54,14 +54,14 @@
                 .map_or("localhost", |authority| authority.as_str())
                 .to_owned(),
             metadata,
-            call: RefCell::new(Call::new(shape, deadline, held)),
-            replay: RefCell::new(Replay::new(held)),
+            call: RefCell::new(Call::new(shape, deadline, max_replay_bytes)),
+            replay: RefCell::new(Replay::new(max_replay_bytes)),
             outputs: RefCell::default(),
             queued: Cell::new(0),
-            sender: Cell::new(None),
-            room: Notify::new(),
-            uploaded: Notify::new(),
-            taken: Notify::new(),
+            output_waker: Cell::new(None),
+            output_taken: Notify::new(),
+            upload_added: Notify::new(),
+            upload_taken: Notify::new(),
         }
     }
 
@@ -77,7 +77,7 @@
 
     /// Lets the call decide, and queues what is to go to the client. `true` if the call was committed by it: then the
     /// decision module is to be told before anything else happens.
-    pub fn with(&self, decide: impl FnOnce(&mut Call, &mut Vec<Output>)) -> bool {
+    pub fn update(&self, decide: impl FnOnce(&mut Call, &mut Vec<Output>)) -> bool {
         let mut outputs = Vec::new();
         decide(&mut self.call.borrow_mut(), &mut outputs);
         let mut committed = false;
@@ -90,26 +90,26 @@
                 }
             }
         }
-        if let Some(waker) = self.sender.take() {
+        if let Some(waker) = self.output_waker.take() {
             waker.wake();
         }
         committed
     }
 
     /// An attempt begins; its number.
-    pub fn begin(&self) -> Result<u32, Closed> {
+    pub fn begin_attempt(&self) -> Result<u32, Closed> {
         self.call.borrow_mut().begin()
     }
 
     /// An attempt has ended.
-    pub fn ended(&self, attempt: u32, end: End, trailers: HeaderMap) {
+    pub fn end_attempt(&self, attempt: u32, end: End, trailers: HeaderMap) {
         self.call.borrow_mut().ended(attempt, end, trailers);
     }
 
     /// Waits until the client has taken most of what is on its way to it.
-    pub async fn room(&self) {
-        while self.queued.get() > QUEUED && !self.call.borrow().over() {
-            self.room.notified().await;
+    pub async fn wait_for_capacity(&self) {
+        while self.queued.get() > MAX_QUEUED_BYTES && !self.call.borrow().over() {
+            self.output_taken.notified().await;
         }
     }
 
@@ -121,21 +121,21 @@
             Some(Output::Data(data)) => Poll::Ready(NextOutput::Data(data.len())),
             Some(_) => Poll::Ready(NextOutput::Other),
             None => {
-                self.sender.set(Some(cx.waker().clone()));
+                self.output_waker.set(Some(cx.waker().clone()));
                 Poll::Pending
             }
         }
     }
 
     /// Takes what goes to the client next; of messages no more than `most` bytes.
-    pub fn take_output(&self, most: usize) -> Option<Output> {
+    pub fn take_output(&self, max: usize) -> Option<Output> {
         let mut outputs = self.outputs.borrow_mut();
         let taken = match outputs.front_mut() {
-            Some(Output::Data(data)) if data.len() > most => Output::Data(data.split_to(most)),
+            Some(Output::Data(data)) if data.len() > max => Output::Data(data.split_to(max)),
             _ => outputs.pop_front()?,
         };
         self.queued.set(self.queued.get() - size(&taken));
-        self.room.notify_one();
+        self.output_taken.notify_one();
         Some(taken)
     }
 
@@ -145,59 +145,59 @@
             .borrow_mut()
             .retain(|output| !matches!(output, Output::Data(_)));
         self.queued.set(0);
-        self.room.notify_one();
+        self.output_taken.notify_one();
     }
 
     // ---- From the client ----------------------------------------------------------------------------
 
     /// The client has sent this.
-    pub fn push(&self, chunk: Bytes) {
+    pub fn push_upload(&self, chunk: Bytes) {
         self.replay.borrow_mut().push(chunk);
-        self.uploaded.notify_one();
+        self.upload_added.notify_one();
     }
 
     /// The client has ended its half.
-    pub fn end(&self) {
+    pub fn end_upload(&self) {
         self.replay.borrow_mut().end();
-        self.uploaded.notify_one();
+        self.upload_added.notify_one();
     }
 
     /// Waits until more may be taken from the client.
-    pub async fn upload_room(&self) {
+    pub async fn wait_for_upload_capacity(&self) {
         while !self.replay.borrow().has_room() {
-            self.taken.notified().await;
+            self.upload_taken.notified().await;
         }
     }
 
     /// What comes at a place of what the client sends; waits for it. `committed` is called where the call has to be
     /// committed to go on.
-    pub async fn next(&self, place: u64, committed: &dyn Fn()) -> Next {
+    pub async fn next_upload(&self, index: u64, committed: &dyn Fn()) -> Next {
         loop {
-            let next = self.replay.borrow().next(place);
+            let next = self.replay.borrow().next(index);
             if next != Next::Wait {
                 return next;
             }
             // All that can be kept has been sent and the client has more: it can't be sent again any more.
             if !self.replay.borrow().has_room() {
-                if self.with(Call::commit) {
+                if self.update(Call::commit) {
                     committed();
                 }
-                self.replay.borrow_mut().commit(place);
-                self.taken.notify_one();
+                self.replay.borrow_mut().commit(index);
+                self.upload_taken.notify_one();
             }
-            self.uploaded.notified().await;
+            self.upload_added.notified().await;
         }
     }
 
     /// The present attempt has taken all before a place.
-    pub fn took(&self, place: u64) {
-        self.replay.borrow_mut().taken(place);
-        self.taken.notify_one();
+    pub fn mark_sent(&self, index: u64) {
+        self.replay.borrow_mut().taken(index);
+        self.upload_taken.notify_one();
     }
 
     /// Whether the client has ended its half and sent nothing beyond a place.
-    pub fn ends_at(&self, place: u64) -> bool {
-        self.replay.borrow().next(place) == Next::End
+    pub fn upload_ends_at(&self, index: u64) -> bool {
+        self.replay.borrow().next(index) == Next::End
     }
 }
 
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -37,7 +37,7 @@
     /// Connections to backends at most.
     pub backend_connections: usize,
     /// Bytes of a client's messages, and of an answer, that are held for one call at most.
-    pub held_bytes: usize,
+    pub max_buffered_bytes: usize,
     /// After how long without a call a connection is closed.
     pub idle: Millis,
     /// Which method is what.
@@ -46,7 +46,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct GrpcFile {
     listen: String,
     connections: Option<usize>,
     streams: Option<u32>,
@@ -55,22 +55,22 @@
     held_bytes: Option<usize>,
     idle_ms: Option<Millis>,
     #[serde(default, rename = "route")]
-    routes: Vec<Row>,
+    routes: Vec<RouteEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Row {
+struct RouteEntry {
     method: String,
     class: String,
     #[serde(default)]
-    shape: Form,
+    shape: ShapeName,
     units: Option<f64>,
 }
 
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Form {
+enum ShapeName {
     #[default]
     Unary,
     ServerStream,
@@ -102,35 +102,35 @@
 }
 
 /// Whether a text is a file of this kind.
-pub fn is_one(text: &str) -> bool {
+pub fn is_grpc_file(text: &str) -> bool {
     text.parse::<toml::Table>()
         .is_ok_and(|table| table.contains_key("listen"))
 }
 
 fn parse(text: &str, classes: Option<&[String]>) -> Result<GrpcSettings, Vec<String>> {
-    let told: Text =
+    let file: GrpcFile =
         toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
-    let mut found = Vec::new();
-    let listen = told.listen.parse::<SocketAddr>();
+    let mut errors = Vec::new();
+    let listen = file.listen.parse::<SocketAddr>();
     if listen.is_err() {
-        found.push(format!(
+        errors.push(format!(
             "listen: an address with a port was expected, not {:?}",
-            told.listen
+            file.listen
         ));
     }
-    let mut within = |field: &str, value: f64, least: f64, most: f64| {
-        if !(least..=most).contains(&value) {
-            found.push(format!(
-                "{field}: a number from {least} to {most} was expected"
+    let mut within = |field: &str, value: f64, min: f64, max: f64| {
+        if !(min..=max).contains(&value) {
+            errors.push(format!(
+                "{field}: a number from {min} to {max} was expected"
             ));
         }
     };
-    let connections = told.connections.unwrap_or(32);
-    let streams = told.streams.unwrap_or(64);
-    let calls = told.calls.unwrap_or(512);
-    let backend_connections = told.backend_connections.unwrap_or(32);
-    let held_bytes = told.held_bytes.unwrap_or(64 * 1024);
-    let idle = told.idle_ms.unwrap_or(60_000.0);
+    let connections = file.connections.unwrap_or(32);
+    let streams = file.streams.unwrap_or(64);
+    let calls = file.calls.unwrap_or(512);
+    let backend_connections = file.backend_connections.unwrap_or(32);
+    let held_bytes = file.held_bytes.unwrap_or(64 * 1024);
+    let idle = file.idle_ms.unwrap_or(60_000.0);
     within("connections", connections as f64, 1.0, 65_536.0);
     within("streams", f64::from(streams), 1.0, 65_536.0);
     within("calls", calls as f64, 1.0, 65_536.0);
@@ -142,14 +142,14 @@
     );
     within("held_bytes", held_bytes as f64, 1024.0, 4_194_304.0);
     within("idle_ms", idle, 100.0, 86_400_000.0);
-    if told.routes.is_empty() {
-        found.push("route: at least one [[route]] was expected".to_owned());
+    if file.routes.is_empty() {
+        errors.push("route: at least one [[route]] was expected".to_owned());
     }
     let mut rows = Vec::new();
-    for (at, row) in told.routes.iter().enumerate() {
+    for (at, row) in file.routes.iter().enumerate() {
         let known = classes.map(|known| known.iter().position(|known| *known == plain(&row.class)));
         if let (Some(None), Some(known)) = (known, classes) {
-            found.push(format!(
+            errors.push(format!(
                 "route.{at}.class: one of {} was expected, not {:?}",
                 known.join(", "),
                 row.class
@@ -157,13 +157,13 @@
         }
         let units = row.units.unwrap_or(1.0);
         if !(units > 0.0 && units.is_finite()) {
-            found.push(format!("route.{at}.units: a number over 0 was expected"));
+            errors.push(format!("route.{at}.units: a number over 0 was expected"));
         }
         let shape = match row.shape {
-            Form::Unary => Shape::Unary,
-            Form::ServerStream => Shape::ServerStream,
-            Form::ClientStream => Shape::ClientStream,
-            Form::Bidi => Shape::Bidi,
+            ShapeName::Unary => Shape::Unary,
+            ShapeName::ServerStream => Shape::ServerStream,
+            ShapeName::ClientStream => Shape::ClientStream,
+            ShapeName::Bidi => Shape::Bidi,
         };
         rows.push((
             row.method.as_str(),
@@ -176,20 +176,20 @@
     }
     let routes = Routes::new(rows);
     if let Err(wrong) = &routes {
-        found.extend(wrong.iter().map(|wrong: &Wrong| format!("route: {wrong}")));
+        errors.extend(wrong.iter().map(|wrong: &Wrong| format!("route: {wrong}")));
     }
     match (listen, routes) {
-        (Ok(listen), Ok(routes)) if found.is_empty() => Ok(GrpcSettings {
+        (Ok(listen), Ok(routes)) if errors.is_empty() => Ok(GrpcSettings {
             listen,
             connections,
             streams,
             calls,
             backend_connections,
-            held_bytes,
+            max_buffered_bytes: held_bytes,
             idle,
             routes,
         }),
-        _ => Err(found),
+        _ => Err(errors),
     }
 }
 
@@ -201,8 +201,10 @@
     #[test]
     fn the_shipped_example_can_be_used() {
         let text = include_str!("../../../../../deploy/grpc.toml");
-        assert!(is_one(text) && !is_one(include_str!("../../../../../deploy/sources.toml")));
-        assert!(!is_one(include_str!(
+        assert!(
+            is_grpc_file(text) && !is_grpc_file(include_str!("../../../../../deploy/sources.toml"))
+        );
+        assert!(!is_grpc_file(include_str!(
             "../../../../../deploy/forward-auth.toml"
         )));
         let classes = ["consulta", "extension", "cobro"].map(str::to_owned);
