--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -5,7 +5,7 @@
 
 #[cfg(feature = "breakages")]
 use super::breakages;
-use super::door::Door;
+use super::driver::Driver;
 use super::sources::{Kind, Source, Sources};
 use maplefall_etcd::client::{self, Place};
 use maplefall_etcd::{one_line, value, Output, Report, Told};
@@ -22,50 +22,50 @@
 use tokio::sync::{watch, Notify};
 
 /// A change that comes later than this after it was written is told of.
-const LATE: Millis = 500.0;
+const LATE_CHANGE_THRESHOLD: Millis = 500.0;
 /// At most once in this time.
-const LATE_AGAIN: Millis = 10_000.0;
+const LATE_CHANGE_LOG_INTERVAL: Millis = 10_000.0;
 /// Shortest time from one writing down to the next.
-const WRITTEN_EVERY: Duration = Duration::from_secs(1);
+const PERSIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest file of nodes, or of what a last life wrote down, that is read.
-const LONGEST_FILE: u64 = 64 << 20;
+const MAX_FILE_BYTES: u64 = 64 << 20;
 /// Lines of the log that all sources together may fill in one span; the rest is counted. What peers write may cause lines.
-const MOST_LINES: u32 = 40;
+const MAX_LOG_LINES: u32 = 40;
 /// The span.
-const LINES_SPAN: Millis = 10_000.0;
+const LOG_WINDOW: Millis = 10_000.0;
 
-/// The sources of one front door.
+/// The sources of one front driver.
 pub struct Membership {
-    door: Rc<Door>,
-    roster: RefCell<Roster>,
+    driver: Rc<Driver>,
+    endpoints: RefCell<Roster>,
     /// As they were read at the start.
     sources: Vec<Source>,
     /// Where what they said is written down for a later life.
-    remember: Option<PathBuf>,
+    state_file: Option<PathBuf>,
     /// The agent's place among them.
-    agent: Option<usize>,
+    agent_index: Option<usize>,
     /// Where each etcd is, by its place among the sources.
-    places: BTreeMap<usize, watch::Sender<Place>>,
+    etcd_places: BTreeMap<usize, watch::Sender<Place>>,
     /// Versions of the files of nodes: each reading is one.
-    readings: Cell<u64>,
+    file_reads: Cell<u64>,
     /// When a late change was last told of.
-    late_told: Cell<Millis>,
+    late_logged_at: Cell<Millis>,
     /// How much the log has been told lately.
-    lines: Cell<Lines>,
+    log_limit: Cell<LogLimit>,
     /// Something may have come due earlier.
-    stirred: Notify,
+    timer_changed: Notify,
     /// Something was said that is not written down yet.
-    unwritten: Notify,
+    state_changed: Notify,
 }
 
 impl Membership {
     /// With these sources, the one that goes before the others first.
-    pub fn new(door: Rc<Door>, sources: Sources) -> Rc<Membership> {
+    pub fn new(driver: Rc<Driver>, sources: Sources) -> Rc<Membership> {
         let Sources {
             list: sources,
             remember,
         } = sources;
-        let place = |(at, source): (usize, &Source)| match &source.kind {
+        let etcd_place = |(at, source): (usize, &Source)| match &source.kind {
             Kind::Etcd { place, .. } => Some((at, watch::Sender::new(place.clone()))),
             Kind::Agent | Kind::File(_) => None,
         };
@@ -74,100 +74,100 @@
             .map(|source| source.settings.clone())
             .collect();
         Rc::new(Membership {
-            door,
-            roster: RefCell::new(Roster::new(settings)),
-            agent: sources.iter().position(|source| source.kind == Kind::Agent),
-            places: sources.iter().enumerate().filter_map(place).collect(),
+            driver,
+            endpoints: RefCell::new(Roster::new(settings)),
+            agent_index: sources.iter().position(|source| source.kind == Kind::Agent),
+            etcd_places: sources.iter().enumerate().filter_map(etcd_place).collect(),
             sources,
-            remember,
-            readings: Cell::new(0),
-            late_told: Cell::new(f64::NEG_INFINITY),
-            lines: Cell::default(),
-            stirred: Notify::new(),
-            unwritten: Notify::new(),
+            state_file: remember,
+            file_reads: Cell::new(0),
+            late_logged_at: Cell::new(f64::NEG_INFINITY),
+            log_limit: Cell::default(),
+            timer_changed: Notify::new(),
+            state_changed: Notify::new(),
         })
     }
 
-    /// Begins with the list that the front door was started with: as the first source's word, until it speaks.
-    pub fn recall(&self, known: &Members) {
-        let first = self.agent.unwrap_or(0);
-        let update = self
-            .roster
-            .borrow_mut()
-            .recall(self.door.clock.now(), first, known);
-        self.hand_on(update);
+    /// Begins with the list that the front driver was started with: as the first source's word, until it speaks.
+    pub fn restore_known_list(&self, known: &Members) {
+        let source_index = self.agent_index.unwrap_or(0);
+        let update =
+            self.endpoints
+                .borrow_mut()
+                .recall(self.driver.clock.now(), source_index, known);
+        self.publish(update);
     }
 
-    /// Begins with what each source had said in the last life, where that is written down. The list that the front door was
+    /// Begins with what each source had said in the last life, where that is written down. The list that the front driver was
     /// started with is newer than the agent's part of it, and comes after.
-    pub fn recall_last_life(&self) {
-        let Some(path) = &self.remember else { return };
-        let words: BTreeMap<String, Members> = match bounded(path) {
+    pub fn restore_state_file(&self) {
+        let Some(path) = &self.state_file else { return };
+        let memberships: BTreeMap<String, Members> = match read_bounded(path) {
             Ok(None) => return,
             Ok(Some(text)) => match serde_json::from_slice(&text) {
                 Ok(words) => words,
                 Err(error) => {
-                    return self.say(&format_args!("{}: not recalled: {error}", path.display()))
+                    return self.log(&format_args!("{}: not recalled: {error}", path.display()))
                 }
             },
             Err(error) => {
-                return self.say(&format_args!("{}: not recalled: {error}", path.display()))
+                return self.log(&format_args!("{}: not recalled: {error}", path.display()))
             }
         };
         for (at, source) in self.sources.iter().enumerate() {
-            if let Some(members) = words.get(&source.settings.name) {
-                let update = self
-                    .roster
-                    .borrow_mut()
-                    .recall(self.door.clock.now(), at, members);
-                self.hand_on(update);
+            if let Some(members) = memberships.get(&source.settings.name) {
+                let update =
+                    self.endpoints
+                        .borrow_mut()
+                        .recall(self.driver.clock.now(), at, members);
+                self.publish(update);
             }
         }
     }
 
-    /// Writes down what the sources say whenever it has changed, at most once in [`WRITTEN_EVERY`].
-    async fn write_down(self: Rc<Self>, path: PathBuf) {
+    /// Writes down what the sources say whenever it has changed, at most once in [`PERSIST_INTERVAL`].
+    async fn persist_changes(self: Rc<Self>, path: PathBuf) {
         let mut failing = false;
         loop {
-            self.unwritten.notified().await;
-            let words: BTreeMap<String, Members> = {
-                let roster = self.roster.borrow();
-                roster
+            self.state_changed.notified().await;
+            let memberships: BTreeMap<String, Members> = {
+                let endpoints = self.endpoints.borrow();
+                endpoints
                     .words()
                     .map(|(settings, members)| (settings.name.clone(), members))
                     .collect()
             };
-            let (to, fresh) = (path.clone(), path.with_extension("new"));
+            let (target, temporary) = (path.clone(), path.with_extension("new"));
             // Off the one thread: a slow disk holds up no request. A file that is there is whole at any moment.
             let written = tokio::task::spawn_blocking(move || {
-                std::fs::write(&fresh, serde_json::to_vec(&words)?)?;
-                std::fs::rename(&fresh, &to)
+                std::fs::write(&temporary, serde_json::to_vec(&memberships)?)?;
+                std::fs::rename(&temporary, &target)
             });
             let written = written
                 .await
                 .unwrap_or_else(|error| Err(std::io::Error::other(error)));
             if let Err(error) = &written {
                 if !failing {
-                    self.say(&format_args!("{}: not written: {error}", path.display()));
+                    self.log(&format_args!("{}: not written: {error}", path.display()));
                 }
             }
             failing = written.is_err();
-            tokio::time::sleep(WRITTEN_EVERY).await;
+            tokio::time::sleep(PERSIST_INTERVAL).await;
         }
     }
 
-    /// Follows every source but the agent, and carries out what comes due, for as long as the front door runs.
+    /// Follows every source but the agent, and carries out what comes due, for as long as the front driver runs.
     pub fn start(self: &Rc<Self>, seed: u64) {
-        tokio::task::spawn_local(self.clone().keep_time());
-        if let Some(path) = &self.remember {
-            tokio::task::spawn_local(self.clone().write_down(path.clone()));
+        tokio::task::spawn_local(self.clone().run_timers());
+        if let Some(path) = &self.state_file {
+            tokio::task::spawn_local(self.clone().persist_changes(path.clone()));
         }
         for (at, source) in self.sources.iter().enumerate() {
             match &source.kind {
                 Kind::Agent => {}
-                Kind::File(path) => self.read_file(at, path),
+                Kind::File(path) => self.read_nodes_file(at, path),
                 Kind::Etcd { follow, .. } => {
-                    let Some(place) = self.places.get(&at) else {
+                    let Some(place) = self.etcd_places.get(&at) else {
                         continue;
                     };
                     // The driver's clock counts in Unix time.
@@ -175,15 +175,15 @@
                         seed: seed ^ at as u64,
                         ..follow.clone()
                     };
-                    let (clock, told) = (self.door.clone(), self.clone());
+                    let (clock, membership) = (self.driver.clone(), self.clone());
                     let clock = move || clock.clock.now();
-                    let take = move |output| told.etcd_said(at, output);
+                    let apply = move |output| membership.apply_etcd_output(at, output);
                     tokio::task::spawn_local(client::follow(
                         settings,
                         place.subscribe(),
                         clock,
-                        take,
-                        seam(),
+                        apply,
+                        etcd_seam(),
                     ));
                 }
             }
@@ -192,7 +192,7 @@
 
     /// Goes over to sources that were read anew at SIGHUP: endpoints, credentials and files of nodes move at once, what is
     /// known stays; what else has changed takes a restart.
-    pub fn take_up(&self, sources: &Sources) {
+    pub fn reload(&self, sources: &Sources) {
         let remember = &sources.remember;
         let sources = &sources.list;
         let same = |(old, new): (&Source, &Source)| {
@@ -210,24 +210,24 @@
                     (old, new) => old == new,
                 }
         };
-        let fits = self.remember == *remember
+        let reloadable = self.state_file == *remember
             && self.sources.len() == sources.len()
             && self.sources.iter().zip(sources).all(same);
-        if !fits {
-            self.say(&"the sources have changed in more than places and credentials: that takes a restart");
+        if !reloadable {
+            self.log(&"the sources have changed in more than places and credentials: that takes a restart");
         }
         for (at, (old, new)) in self.sources.iter().zip(sources).enumerate() {
             match (&old.kind, &new.kind) {
                 (Kind::Etcd { .. }, Kind::Etcd { place, .. }) => {
-                    if let Some(told) = self.places.get(&at) {
-                        told.send_if_modified(|old| {
+                    if let Some(place_sender) = self.etcd_places.get(&at) {
+                        place_sender.send_if_modified(|old| {
                             let moved = old != place;
                             old.clone_from(place);
                             moved
                         });
                     }
                 }
-                (Kind::File(path), Kind::File(_)) => self.read_file(at, path),
+                (Kind::File(path), Kind::File(_)) => self.read_nodes_file(at, path),
                 _ => {}
             }
         }
@@ -235,15 +235,15 @@
 
     /// The agent's place among the sources, if it is one.
     pub fn agent(&self) -> Option<usize> {
-        self.agent
+        self.agent_index
     }
 
     /// Takes in what came of following the agent.
-    pub fn agent_said(&self, output: maplefall_discovery_agent::Output) {
+    pub fn apply_agent_output(&self, output: maplefall_discovery_agent::Output) {
         match output {
             maplefall_discovery_agent::Output::Tell(event) => self.take(event),
             maplefall_discovery_agent::Output::Report(report) => {
-                self.say(&format_args!(
+                self.log(&format_args!(
                     "discovery: {}",
                     one_line(&report.to_string())
                 ));
@@ -254,26 +254,27 @@
         }
     }
 
-    fn etcd_said(&self, at: usize, output: Output) {
+    fn apply_etcd_output(&self, at: usize, output: Output) {
         let name = &self.sources[at].settings.name;
         match output {
             Output::Command(_) => {}
             // Ordinary comings and goings of nodes are not told of one by one; these are about the source.
             Output::Report(report @ Report::Unreadable { .. }) => {
-                self.say(&format_args!("{name}: passed over: {report}"));
+                self.log(&format_args!("{name}: passed over: {report}"));
             }
-            Output::Report(report) => self.say(&format_args!("{name}: {report}")),
+            Output::Report(report) => self.log(&format_args!("{name}: {report}")),
             Output::Tell(Told {
                 event,
                 behind,
                 late,
             }) => {
-                let now = self.door.clock.now();
-                if late.is_some_and(|late| late > LATE) && now - self.late_told.get() >= LATE_AGAIN
+                let now = self.driver.clock.now();
+                if late.is_some_and(|late| late > LATE_CHANGE_THRESHOLD)
+                    && now - self.late_logged_at.get() >= LATE_CHANGE_LOG_INTERVAL
                 {
-                    self.late_told.set(now);
+                    self.late_logged_at.set(now);
                     let late = late.unwrap_or(0.0);
-                    self.say(&format_args!(
+                    self.log(&format_args!(
                         "{name}: a change came {late:.0} ms after it was written, {behind} revisions behind"
                     ));
                 }
@@ -282,13 +283,13 @@
         }
     }
 
-    fn read_file(&self, source: usize, path: &Path) {
-        match nodes_of(path) {
+    fn read_nodes_file(&self, source: usize, path: &Path) {
+        match read_nodes(path) {
             Ok((hosts, unread)) => {
-                let seq = self.readings.get() + 1;
-                self.readings.set(seq);
+                let seq = self.file_reads.get() + 1;
+                self.file_reads.set(seq);
                 for (id, why) in &unread {
-                    self.say(&format_args!(
+                    self.log(&format_args!(
                         "{}: {}: passed over: {why}",
                         path.display(),
                         one_line(id)
@@ -307,18 +308,18 @@
                 });
             }
             Err(error) => {
-                self.say(&format_args!("{}: {error}", path.display()));
+                self.log(&format_args!("{}: {error}", path.display()));
                 self.take(Event::Lost { source });
             }
         }
     }
 
     /// A line of the log, unless there were many.
-    fn say(&self, line: &dyn Display) {
-        let mut lines = self.lines.get();
-        let may = lines.may(self.door.clock.now());
-        self.lines.set(lines);
-        if let Some(left_out) = may {
+    fn log(&self, line: &dyn Display) {
+        let mut lines = self.log_limit.get();
+        let admitted = lines.admit(self.driver.clock.now());
+        self.log_limit.set(lines);
+        if let Some(left_out) = admitted {
             if left_out > 0 {
                 eprintln!("membership: {left_out} lines were left out");
             }
@@ -326,96 +327,99 @@
         }
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
-            let due = self.roster.borrow().next_due();
+            let deadline = self.endpoints.borrow().next_due();
             let sleep = async {
-                match due {
-                    Some(due) => tokio::time::sleep_until(self.door.clock.instant(due)).await,
+                match deadline {
+                    Some(due) => tokio::time::sleep_until(self.driver.clock.instant(due)).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
                 () = sleep => {
-                    let update = self.roster.borrow_mut().tick(self.door.clock.now());
-                    self.hand_on(update);
+                    let update = self.endpoints.borrow_mut().tick(self.driver.clock.now());
+                    self.publish(update);
                 }
-                () = self.stirred.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 
     fn take(&self, event: Event) {
         #[cfg(feature = "breakages")]
-        if let Some(update) = breakages::past_the_roster(&event, &self.roster.borrow()) {
-            return self.hand_on(update);
+        if let Some(update) = breakages::past_the_roster(&event, &self.endpoints.borrow()) {
+            return self.publish(update);
         }
-        let said = matches!(event, Event::Snapshot { .. } | Event::Change { .. });
-        let update = self.roster.borrow_mut().take(self.door.clock.now(), event);
-        self.hand_on(update);
-        if said {
-            self.unwritten.notify_one();
+        let changed = matches!(event, Event::Snapshot { .. } | Event::Change { .. });
+        let update = self
+            .endpoints
+            .borrow_mut()
+            .take(self.driver.clock.now(), event);
+        self.publish(update);
+        if changed {
+            self.state_changed.notify_one();
         }
     }
 
-    fn hand_on(&self, update: Update) {
+    fn publish(&self, update: Update) {
         for report in &update.reports {
-            self.say(report);
+            self.log(report);
         }
         if !update.changes.is_empty() {
-            self.door.list_changed(update.changes);
+            self.driver.apply_changes(update.changes);
         }
-        self.stirred.notify_one();
+        self.timer_changed.notify_one();
     }
 }
 
 #[cfg(feature = "breakages")]
-fn seam() -> breakages::EtcdSeam {
+fn etcd_seam() -> breakages::EtcdSeam {
     breakages::EtcdSeam::default()
 }
 
 #[cfg(not(feature = "breakages"))]
-fn seam() -> client::Straight {
+fn etcd_seam() -> client::Straight {
     client::Straight
 }
 
 /// How many lines the log was told in a span.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lines {
-    since: Millis,
-    told: u32,
-    left_out: u32,
+struct LogLimit {
+    window_start: Millis,
+    written: u32,
+    suppressed: u32,
 }
 
-impl Lines {
+impl LogLimit {
     /// Whether a line may be told now; if so, how many were left out before it.
-    fn may(&mut self, now: Millis) -> Option<u32> {
-        if now - self.since >= LINES_SPAN {
-            (self.since, self.told) = (now, 0);
+    fn admit(&mut self, now: Millis) -> Option<u32> {
+        if now - self.window_start >= LOG_WINDOW {
+            (self.window_start, self.written) = (now, 0);
         }
-        if self.told < MOST_LINES {
-            self.told += 1;
-            Some(std::mem::take(&mut self.left_out))
+        if self.written < MAX_LOG_LINES {
+            self.written += 1;
+            Some(std::mem::take(&mut self.suppressed))
         } else {
-            self.left_out += 1;
+            self.suppressed += 1;
             None
         }
     }
 }
 
 /// A file of bounded length; `None` if there is none.
-fn bounded(path: &Path) -> Result<Option<Vec<u8>>, String> {
-    let read = || {
+fn read_bounded(path: &Path) -> Result<Option<Vec<u8>>, String> {
+    let parsed = || {
         let mut text = Vec::new();
         // The length is that of what is read: a file may grow while it is.
         let count = std::fs::File::open(path)?
-            .take(LONGEST_FILE + 1)
+            .take(MAX_FILE_BYTES + 1)
             .read_to_end(&mut text)?;
         std::io::Result::Ok((text, count as u64))
     };
-    match read() {
-        Ok((_, count)) if count > LONGEST_FILE => {
-            Err(format!("{LONGEST_FILE} bytes at most were expected"))
+    match parsed() {
+        Ok((_, count)) if count > MAX_FILE_BYTES => {
+            Err(format!("{MAX_FILE_BYTES} bytes at most were expected"))
         }
         Ok((text, _)) => Ok(Some(text)),
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
@@ -424,18 +428,18 @@
 }
 
 /// Ids that could not be used, each with the reason.
-type Unread = Vec<(String, String)>;
+type UnusableNodes = Vec<(String, String)>;
 
 /// The nodes of a file: one JSON object, from ids to the documents that etcd's values hold too.
-fn nodes_of(path: &Path) -> Result<(Vec<Member>, Unread), String> {
-    let text = bounded(path)?.ok_or("there is no such file")?;
-    let told: BTreeMap<String, serde_json::Value> =
+fn read_nodes(path: &Path) -> Result<(Vec<Member>, UnusableNodes), String> {
+    let text = read_bounded(path)?.ok_or("there is no such file")?;
+    let documents: BTreeMap<String, serde_json::Value> =
         serde_json::from_slice(&text).map_err(|error| error.to_string())?;
-    if told.len() > MOST_NODES {
+    if documents.len() > MOST_NODES {
         return Err(format!("{MOST_NODES} nodes at most were expected"));
     }
     let (mut nodes, mut unread) = (Vec::new(), Vec::new());
-    for (id, document) in told {
+    for (id, document) in documents {
         let read = value::id(id.as_bytes(), b"")
             .and_then(|id| value::member(id, document.to_string().as_bytes()));
         match read {
@@ -448,7 +452,7 @@
 
 /// Where a file of nodes is, for `check`.
 pub fn file_mistakes(path: &Path) -> Vec<String> {
-    match nodes_of(path) {
+    match read_nodes(path) {
         Ok((_, unread)) => unread
             .into_iter()
             .map(|(id, why)| format!("{}: {}: {why}", path.display(), one_line(&id)))
@@ -464,12 +468,12 @@
     /// Guards against a log that a peer fills: it is told so much in a span, and how much was left out.
     #[test]
     fn the_log_is_told_so_much_in_a_span_and_the_rest_is_counted() {
-        let mut lines = Lines::default();
+        let mut lines = LogLimit::default();
         let told = (0..10_000)
-            .filter(|n| lines.may(1e6 + f64::from(*n) / 10.0).is_some())
+            .filter(|n| lines.admit(1e6 + f64::from(*n) / 10.0).is_some())
             .count();
-        assert_eq!(told, MOST_LINES as usize);
-        assert_eq!(lines.may(1e6 + LINES_SPAN), Some(10_000 - MOST_LINES));
-        assert_eq!(lines.may(1e6 + LINES_SPAN), Some(0));
+        assert_eq!(told, MAX_LOG_LINES as usize);
+        assert_eq!(lines.admit(1e6 + LOG_WINDOW), Some(10_000 - MAX_LOG_LINES));
+        assert_eq!(lines.admit(1e6 + LOG_WINDOW), Some(0));
     }
 }
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The front door on real sockets: the parts round the decision module and how they start and stop.
+//! The grpc_server door on real sockets: the parts round the decision module and how they start and stop.
 
 mod auth;
 mod auth_settings;
@@ -11,7 +11,7 @@
 mod counts;
 pub mod counts_settings;
 mod discovery;
-mod door;
+mod driver;
 mod grpc;
 mod membership;
 mod request;
@@ -20,8 +20,8 @@
 use auth::Auth;
 use clients::Clients;
 use config::Config;
-use door::Door;
-use grpc::{Front, GrpcSettings};
+use driver::Driver;
+use grpc::{GrpcServer, GrpcSettings};
 use maplefall_discovery_agent::Follower;
 use maplefall_policy::Discovery;
 use membership::Membership;
@@ -33,15 +33,15 @@
 
 /// How soon a configuration that could not be used at SIGHUP is read again, and how many times: whoever writes it is done
 /// within a minute.
-const READ_AGAIN: Duration = Duration::from_millis(200);
-const READ_AGAIN_TIMES: u32 = 300;
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+const MAX_RELOAD_RETRIES: u32 = 300;
 
 /// Serves until a SIGTERM has been carried out.
 pub async fn run() -> Result<(), String> {
     let no_signals = |error| format!("no signals: {error}");
     // Before anything else: until they are caught, both end the process.
-    let mut reload = signal(SignalKind::hangup()).map_err(no_signals)?;
-    let mut stop = signal(SignalKind::terminate()).map_err(no_signals)?;
+    let mut hangup = signal(SignalKind::hangup()).map_err(no_signals)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(no_signals)?;
     let config = Config::from_env().map_err(|error| error.to_string())?;
     let listen = config.listen;
     let listener = tokio::net::TcpListener::bind(listen)
@@ -51,46 +51,47 @@
         .local_addr()
         .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
     let sources = sources::from_env()?;
-    let classes = &config.told.settings.classes;
+    let classes = &config.parsed.settings.classes;
     let effects: Vec<_> = classes.iter().map(|class| class.effect).collect();
-    let auth_settings = auth_settings::from_env(&config.told.names.classes, &effects)?;
-    let auth_sockets = auth::sockets(auth_settings.as_ref(), config.limits.sockets);
-    let grpc_settings = grpc::from_env(&config.told.names.classes)?;
+    let auth_settings = auth_settings::from_env(&config.parsed.names.classes, &effects)?;
+    let auth_sockets = auth::reserved_sockets(auth_settings.as_ref(), config.limits.sockets);
+    let grpc_settings = grpc::from_env(&config.parsed.names.classes)?;
     let shared = counts_settings::from_env()?;
-    let elsewhere =
-        auth_sockets + grpc::sockets(grpc_settings.as_ref()) + usize::from(shared.is_some());
-    let door = Door::new(&config, elsewhere, grpc_settings.as_ref());
+    let reserved_sockets = auth_sockets
+        + grpc::reserved_sockets(grpc_settings.as_ref())
+        + usize::from(shared.is_some());
+    let driver = Driver::new(&config, reserved_sockets, grpc_settings.as_ref());
     let auth =
-        auth_settings.map(|settings| Auth::new(settings, door.clock, config.seed, auth_sockets));
+        auth_settings.map(|settings| Auth::new(settings, driver.clock, config.seed, auth_sockets));
     if let Some(auth) = &auth {
-        tokio::task::spawn_local(auth.clone().keep_time());
+        tokio::task::spawn_local(auth.clone().run_timers());
     }
     if let Some(shared) = shared {
         let name = config.name.clone();
-        let counts = counts::Counts::start(
+        let counts = counts::SharedCounts::start(
             shared,
             &name,
-            door.clock,
+            driver.clock,
             config.seed,
-            door.settings.gateways,
+            driver.settings.gateways,
         )
         .await?;
-        door.share(counts.clone());
-        let driver = door.clone();
-        let notify = move |at, usage| driver.used_elsewhere(at, usage);
+        driver.enable_shared_counts(counts.clone());
+        let driver = driver.clone();
+        let notify = move |at, usage| driver.record_usage_elsewhere(at, usage);
         tokio::task::spawn_local(counts.run(notify));
     }
-    tokio::task::spawn_local(door.clone().keep_time());
-    tokio::task::spawn_local(door.clone().tidy());
+    tokio::task::spawn_local(driver.clone().run_timers());
+    tokio::task::spawn_local(driver.clone().close_idle_connections());
     let agent = watch::Sender::new(config.discovery[0]);
-    let membership = Membership::new(door.clone(), sources);
-    membership.recall_last_life();
+    let membership = Membership::new(driver.clone(), sources);
+    membership.restore_state_file();
     if let Some(known) = &config.known {
-        membership.recall(known);
+        membership.restore_known_list(known);
     }
     membership.start(config.seed);
     if let Some(source) = membership.agent() {
-        let settings = &config.told.settings;
+        let settings = &config.parsed.settings;
         let follower = Follower::new(
             maplefall_discovery_agent::Settings {
                 source,
@@ -103,52 +104,52 @@
                 places: config.discovery.clone(),
                 known: config.known.clone(),
             },
-            door.clock.now(),
+            driver.clock.now(),
         );
-        let told = membership.clone();
-        let take = move |output| told.agent_said(output);
+        let subscriber = membership.clone();
+        let deliver = move |output| subscriber.apply_agent_output(output);
         tokio::task::spawn_local(discovery::follow(
             follower,
-            door.clock,
+            driver.clock,
             agent.subscribe(),
-            take,
+            deliver,
         ));
     }
-    let clients = Clients::new(door.clone(), auth.clone(), config.limits.sockets);
+    let clients = Clients::new(driver.clone(), auth.clone(), config.limits.sockets);
     tokio::task::spawn_local(clients.clone().accept(listener));
     tokio::task::spawn_local(clients.clone().sweep());
     eprintln!("{}: serving on {bound}", config.name);
-    let front = match grpc_settings {
-        Some(settings) => Some(listen_for_calls(&config.name, &door, &auth, settings).await?),
+    let grpc_server = match grpc_settings {
+        Some(settings) => Some(start_grpc(&config.name, &driver, &auth, settings).await?),
         None => None,
     };
     // For as long as anything is served, so also while the program stops: discovery may move in that time, and what it
     // tells of backends that leave binds the last request as it binds the first.
     let reloads = async {
-        let mut again = 0;
+        let mut retries_left = 0;
         loop {
             // A file that is not whole when its signal comes is read again: nobody sends a second one.
-            let told = tokio::select! {
-                told = reload.recv() => told.is_some(),
-                () = tokio::time::sleep(READ_AGAIN), if again > 0 => false,
+            let signalled = tokio::select! {
+                received = hangup.recv() => received.is_some(),
+                () = tokio::time::sleep(RELOAD_RETRY_INTERVAL), if retries_left > 0 => false,
             };
-            let taken = take_up(&config.name, &agent, &membership, told);
-            again = match (taken, told) {
+            let usable = reload_configuration(&config.name, &agent, &membership, signalled);
+            retries_left = match (usable, signalled) {
                 (true, _) => 0,
-                (false, true) => READ_AGAIN_TIMES,
-                (false, false) => again.saturating_sub(1),
+                (false, true) => MAX_RELOAD_RETRIES,
+                (false, false) => retries_left.saturating_sub(1),
             };
-            if let Some(auth) = auth.as_ref().filter(|_| told) {
-                auth.forget();
+            if let Some(auth) = auth.as_ref().filter(|_| signalled) {
+                auth.clear_cache();
             }
         }
     };
     let stopped = async {
-        stop.recv().await;
+        terminate.recv().await;
         eprintln!("{}: stopping", config.name);
         let calls = async {
-            if let Some(front) = &front {
-                front.stop().await;
+            if let Some(grpc_server) = &grpc_server {
+                grpc_server.stop().await;
             }
         };
         tokio::join!(clients.stop(), calls);
@@ -161,48 +162,48 @@
 }
 
 /// Opens the port for gRPC.
-async fn listen_for_calls(
+async fn start_grpc(
     name: &str,
-    door: &Rc<Door>,
+    driver: &Rc<Driver>,
     auth: &Option<Rc<Auth>>,
     settings: GrpcSettings,
-) -> Result<Rc<Front>, String> {
+) -> Result<Rc<GrpcServer>, String> {
     let listen = settings.listen;
     let no_port = |error| format!("cannot listen on {listen} for gRPC: {error}");
     let listener = tokio::net::TcpListener::bind(listen)
         .await
         .map_err(no_port)?;
     let bound = listener.local_addr().map_err(no_port)?;
-    let front = Front::new(door.clone(), auth.clone(), settings);
-    tokio::task::spawn_local(front.clone().accept(listener));
+    let grpc_server = GrpcServer::new(driver.clone(), auth.clone(), settings);
+    tokio::task::spawn_local(grpc_server.clone().accept(listener));
     eprintln!("{name}: gRPC on {bound}");
-    Ok(front)
+    Ok(grpc_server)
 }
 
 /// Re-reads the configuration and the file of sources after SIGHUP. Only where discovery and etcd answer, and credentials,
 /// can change while the program runs; what cannot be used is told (once: where `told`), and the old goes on. Tells whether the
 /// configuration could be used.
-fn take_up(
+fn reload_configuration(
     name: &str,
     agent: &watch::Sender<SocketAddr>,
     membership: &Membership,
-    told: bool,
+    signalled: bool,
 ) -> bool {
-    let config = Config::told_discovery();
-    let taken = config.is_ok();
+    let config = Config::reload_discovery();
+    let usable = config.is_ok();
     match config {
         Ok(address) => {
             eprintln!("{name}: discovery is at {address}");
             // Also where it is the same: the watch is opened anew.
             agent.send_replace(address);
         }
-        Err(error) if told => eprintln!("{name}: the old configuration goes on: {error}"),
+        Err(error) if signalled => eprintln!("{name}: the old configuration goes on: {error}"),
         Err(_) => {}
     }
     match sources::from_env() {
-        _ if !told => {}
-        Ok(sources) => membership.take_up(&sources),
+        _ if !signalled => {}
+        Ok(sources) => membership.reload(&sources),
         Err(error) => eprintln!("{name}: the old sources go on: {error}"),
     }
-    taken
+    usable
 }
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -14,9 +14,9 @@
 use maplefall_settings::{plain, Names};
 
 /// A customer's number is below this.
-const CUSTOMERS: u64 = 1 << 33;
+const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 /// Longest id of a request, and longest key.
-const LONGEST_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 
 /// Why a request is turned down unread by the decisions.
 #[derive(Debug, thiserror::Error)]
@@ -87,7 +87,8 @@
         .iter()
         .position(|name| *name == plan_name)
         .ok_or(Bad::Plan)?;
-    let timeout = positive(text(headers, &REQUEST_TIMEOUT)?).ok_or(Bad::Header(REQUEST_TIMEOUT))?;
+    let timeout =
+        parse_positive(text(headers, &REQUEST_TIMEOUT)?).ok_or(Bad::Header(REQUEST_TIMEOUT))?;
     // No client waits for longer than its class allows.
     let timeout = (timeout * 1000.0).min(settings.classes[class].deadline);
     let terms = Terms::read(text(headers, &API_TERMS)?, settings).ok_or(Bad::Header(API_TERMS))?;
@@ -166,26 +167,26 @@
 impl Terms {
     /// Only what the settings have room for: the decisions would clamp a figure beyond it and serve the request.
     pub fn read(text: &str, settings: &Settings) -> Option<Terms> {
-        let doors = settings.gateways.max(1);
+        let proxies = settings.gateways.max(1);
         let (mut units, mut spread, mut first) = (None, None, None);
         for field in text.split(',') {
             let (name, value) = field.trim().split_once('=')?;
-            let again = match name {
+            let repeated = match name {
                 "units" => {
-                    let most = settings.max_units.max(1.0) * (1.0 + 1e-6);
+                    let max_units = settings.max_units.max(1.0) * (1.0 + 1e-6);
                     units
-                        .replace(positive(value).filter(|units| *units <= most)?)
+                        .replace(parse_positive(value).filter(|units| *units <= max_units)?)
                         .is_some()
                 }
                 "spread" => spread
-                    .replace(whole(value).filter(|n| (1..=doors).contains(n))?)
+                    .replace(parse_integer(value).filter(|n| (1..=proxies).contains(n))?)
                     .is_some(),
                 "first" => first
-                    .replace(whole(value).filter(|n| *n < doors)?)
+                    .replace(parse_integer(value).filter(|n| *n < proxies)?)
                     .is_some(),
                 _ => false,
             };
-            if again {
+            if repeated {
                 return None;
             }
         }
@@ -210,20 +211,20 @@
 /// A header that names something: neither empty nor long, and no spaces.
 pub fn name<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, Bad> {
     let value = text(headers, name)?;
-    let good = (1..=LONGEST_NAME).contains(&value.len())
+    let good = (1..=MAX_NAME_BYTES).contains(&value.len())
         && value.bytes().all(|byte| byte.is_ascii_graphic());
     good.then_some(value)
         .ok_or_else(|| Bad::Header(name.clone()))
 }
 
-fn positive(text: &str) -> Option<f64> {
+fn parse_positive(text: &str) -> Option<f64> {
     text.parse()
         .ok()
         .filter(|number: &f64| number.is_finite() && *number > 0.0)
 }
 
 /// A whole number, also where it is written with decimals.
-fn whole(text: &str) -> Option<u32> {
+fn parse_integer(text: &str) -> Option<u32> {
     let number: f64 = text.parse().ok()?;
     (number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX))
         .then_some(number as u32)
@@ -239,7 +240,7 @@
     let hex = name.len() == 16 && name.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = u64::from_str_radix(name, 16)
         .ok()
-        .filter(|number| hex && *number < CUSTOMERS)?;
+        .filter(|number| hex && *number < CUSTOMER_ID_LIMIT)?;
     names.next().is_none().then_some(CustomerId(number))
 }
 
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -10,8 +10,8 @@
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_SOURCES";
 /// Most sources, and endpoints of one.
-const MOST_SOURCES: usize = 8;
-const MOST_ENDPOINTS: usize = 16;
+const MAX_SOURCES: usize = 8;
+const MAX_ENDPOINTS: usize = 16;
 
 /// One source.
 #[derive(Clone, Debug, PartialEq)]
@@ -48,7 +48,7 @@
 }
 
 /// What there is without a file.
-pub fn agent_alone() -> Sources {
+pub fn agent_only() -> Sources {
     let agent = Source {
         settings: SourceSettings::trusted("agent"),
         kind: Kind::Agent,
@@ -61,18 +61,18 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct SourcesFile {
     remember: Option<PathBuf>,
     #[serde(default)]
-    source: Vec<Entry>,
+    source: Vec<SourceEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Entry {
-    kind: Kinds,
+struct SourceEntry {
+    kind: SourceKindName,
     name: Option<String>,
-    #[serde(default = "yes")]
+    #[serde(default = "default_authoritative")]
     authoritative: bool,
     believed_part: Option<f64>,
     doubt_ms: Option<Millis>,
@@ -94,13 +94,13 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-enum Kinds {
+enum SourceKindName {
     Agent,
     Etcd,
     File,
 }
 
-fn yes() -> bool {
+fn default_authoritative() -> bool {
     true
 }
 
@@ -110,7 +110,7 @@
 /// Every mistake, one to a line.
 pub fn from_env() -> Result<Sources, String> {
     let Some(path) = std::env::var_os(VARIABLE) else {
-        return Ok(agent_alone());
+        return Ok(agent_only());
     };
     read(Path::new(&path)).map_err(|found| found.join("\n"))
 }
@@ -130,53 +130,53 @@
 /// # Errors
 /// Every mistake, each with the field's path.
 fn parse(text: &str) -> Result<Sources, Vec<String>> {
-    let told: Text =
+    let file: SourcesFile =
         toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
-    let mut found = Vec::new();
-    if told.source.is_empty() || told.source.len() > MOST_SOURCES {
-        found.push(format!("source: 1 to {MOST_SOURCES} tables were expected"));
+    let mut errors = Vec::new();
+    if file.source.is_empty() || file.source.len() > MAX_SOURCES {
+        errors.push(format!("source: 1 to {MAX_SOURCES} tables were expected"));
     }
     let mut list: Vec<Source> = Vec::new();
-    for (at, entry) in told.source.iter().enumerate() {
-        let mut wrong =
-            |field: &str, expected: &str| found.push(format!("source.{at}.{field}: {expected}"));
-        let usual = match entry.kind {
-            Kinds::Agent => SourceSettings::trusted("agent"),
+    for (at, entry) in file.source.iter().enumerate() {
+        let mut report =
+            |field: &str, expected: &str| errors.push(format!("source.{at}.{field}: {expected}"));
+        let defaults = match entry.kind {
+            SourceKindName::Agent => SourceSettings::trusted("agent"),
             // Half of the list gone in one reading is rather a mistake than a wish.
-            Kinds::Etcd => SourceSettings {
+            SourceKindName::Etcd => SourceSettings {
                 believed_part: 0.5,
                 doubt: 10_000.0,
                 keep: 300_000.0,
                 ..SourceSettings::trusted("etcd")
             },
-            Kinds::File => SourceSettings {
+            SourceKindName::File => SourceSettings {
                 authoritative: false,
                 ..SourceSettings::trusted("file")
             },
         };
         let settings = SourceSettings {
-            name: entry.name.clone().unwrap_or(usual.name),
-            authoritative: entry.authoritative && entry.kind != Kinds::File,
-            believed_part: entry.believed_part.unwrap_or(usual.believed_part),
-            doubt: entry.doubt_ms.unwrap_or(usual.doubt),
-            keep: entry.keep_ms.unwrap_or(usual.keep),
+            name: entry.name.clone().unwrap_or(defaults.name),
+            authoritative: entry.authoritative && entry.kind != SourceKindName::File,
+            believed_part: entry.believed_part.unwrap_or(defaults.believed_part),
+            doubt: entry.doubt_ms.unwrap_or(defaults.doubt),
+            keep: entry.keep_ms.unwrap_or(defaults.keep),
         };
         if settings.name.is_empty()
             || list
                 .iter()
                 .any(|other| other.settings.name == settings.name)
         {
-            wrong("name", "a name that no other source has was expected");
+            report("name", "a name that no other source has was expected");
         }
         if !(0.0..=1.0).contains(&settings.believed_part) {
-            wrong("believed_part", "a number from 0 to 1 was expected");
+            report("believed_part", "a number from 0 to 1 was expected");
         }
         for (field, value) in [("doubt_ms", settings.doubt), ("keep_ms", settings.keep)] {
             if value.is_nan() || value < 0.0 {
-                wrong(field, "a number of 0 or more was expected");
+                report(field, "a number of 0 or more was expected");
             }
         }
-        let of_etcd = [
+        let etcd_fields = [
             ("endpoints", !entry.endpoints.is_empty()),
             ("prefix", entry.prefix.is_some()),
             ("user", entry.user.is_some()),
@@ -187,54 +187,54 @@
             ("answer_ms", entry.answer_ms.is_some()),
             ("retry_ms", entry.retry_ms.is_some()),
         ];
-        for (field, _) in of_etcd
+        for (field, _) in etcd_fields
             .iter()
-            .filter(|(_, told)| *told && entry.kind != Kinds::Etcd)
+            .filter(|(_, present)| *present && entry.kind != SourceKindName::Etcd)
         {
-            wrong(field, "this belongs to sources of kind etcd");
+            report(field, "this belongs to sources of kind etcd");
         }
-        if entry.path.is_some() && entry.kind != Kinds::File {
-            wrong("path", "this belongs to sources of kind file");
+        if entry.path.is_some() && entry.kind != SourceKindName::File {
+            report("path", "this belongs to sources of kind file");
         }
         let kind = match entry.kind {
-            Kinds::Agent => {
+            SourceKindName::Agent => {
                 if list.iter().any(|other| other.kind == Kind::Agent) {
-                    wrong("kind", "one agent at most was expected");
+                    report("kind", "one agent at most was expected");
                 }
                 Kind::Agent
             }
-            Kinds::File => match &entry.path {
+            SourceKindName::File => match &entry.path {
                 Some(path) => Kind::File(path.clone()),
                 None => {
-                    wrong("path", "the path of a file of nodes was expected");
+                    report("path", "the path of a file of nodes was expected");
                     continue;
                 }
             },
-            Kinds::Etcd => etcd(at, entry, &mut wrong),
+            SourceKindName::Etcd => parse_etcd(at, entry, &mut report),
         };
         list.push(Source { settings, kind });
     }
-    match found.is_empty() {
+    match errors.is_empty() {
         true => Ok(Sources {
             list,
-            remember: told.remember,
+            remember: file.remember,
         }),
-        false => Err(found),
+        false => Err(errors),
     }
 }
 
-fn etcd(at: usize, entry: &Entry, wrong: &mut impl FnMut(&str, &str)) -> Kind {
+fn parse_etcd(at: usize, entry: &SourceEntry, report: &mut impl FnMut(&str, &str)) -> Kind {
     let prefix = entry.prefix.clone().unwrap_or_default();
     if prefix.is_empty() {
-        wrong(
+        report(
             "prefix",
             "the prefix of the keys was expected, as in /maplefall",
         );
     }
-    if !(1..=MOST_ENDPOINTS).contains(&entry.endpoints.len()) {
-        wrong(
+    if !(1..=MAX_ENDPOINTS).contains(&entry.endpoints.len()) {
+        report(
             "endpoints",
-            &format!("a list of 1 to {MOST_ENDPOINTS} of http://HOST:PORT was expected"),
+            &format!("a list of 1 to {MAX_ENDPOINTS} of http://HOST:PORT was expected"),
         );
     }
     for endpoint in &entry.endpoints {
@@ -244,8 +244,10 @@
         match scheme {
             Some(("http", true)) => {}
             Some(("https", true)) if cfg!(feature = "tls") => {}
-            Some(("https", true)) => wrong("endpoints", "https needs a build with the feature tls"),
-            _ => wrong(
+            Some(("https", true)) => {
+                report("endpoints", "https needs a build with the feature tls")
+            }
+            _ => report(
                 "endpoints",
                 &format!("http://HOST:PORT was expected, not {endpoint:?}"),
             ),
@@ -261,10 +263,10 @@
             }
         }
     };
-    let password = file(&entry.password_file, "password_file", wrong);
-    let authority = file(&entry.authority_file, "authority_file", wrong);
+    let password = file(&entry.password_file, "password_file", report);
+    let authority = file(&entry.authority_file, "authority_file", report);
     if entry.user.is_some() != entry.password_file.is_some() {
-        wrong("user", "user and password_file were expected together");
+        report("user", "user and password_file were expected together");
     }
     let user = entry.user.clone().zip(password).map(|(user, password)| {
         (
@@ -274,25 +276,25 @@
                 .to_owned(),
         )
     });
-    let usual = maplefall_etcd::Settings::usual(at, entry.endpoints.len(), &prefix);
+    let defaults = maplefall_etcd::Settings::usual(at, entry.endpoints.len(), &prefix);
     let follow = maplefall_etcd::Settings {
-        page: entry.page.unwrap_or(usual.page),
-        silence: entry.silence_ms.unwrap_or(usual.silence),
-        answer: entry.answer_ms.unwrap_or(usual.answer),
-        retry: entry.retry_ms.unwrap_or(usual.retry),
-        ..usual
+        page: entry.page.unwrap_or(defaults.page),
+        silence: entry.silence_ms.unwrap_or(defaults.silence),
+        answer: entry.answer_ms.unwrap_or(defaults.answer),
+        retry: entry.retry_ms.unwrap_or(defaults.retry),
+        ..defaults
     };
     if !(1..=10_000).contains(&follow.page) {
-        wrong("page", "a whole number from 1 to 10000 was expected");
+        report("page", "a whole number from 1 to 10000 was expected");
     }
     for (field, value) in [("silence_ms", follow.silence), ("answer_ms", follow.answer)] {
         if !(100.0..=600_000.0).contains(&value) {
-            wrong(field, "a number from 100 to 600000 was expected");
+            report(field, "a number from 100 to 600000 was expected");
         }
     }
-    let [least, most] = follow.retry;
-    if !(least >= 1.0 && least <= most && most <= 600_000.0) {
-        wrong(
+    let [min, max] = follow.retry;
+    if !(min >= 1.0 && min <= max && max <= 600_000.0) {
+        report(
             "retry_ms",
             "the shortest pause from 1 and the longest to 600000 were expected",
         );
@@ -352,7 +354,7 @@
                 "{begin} {found:#?}"
             );
         }
-        let many = vec!["\"http://127.0.0.1:1\""; MOST_ENDPOINTS + 1].join(", ");
+        let many = vec!["\"http://127.0.0.1:1\""; MAX_ENDPOINTS + 1].join(", ");
         let text = format!("[[source]]\nkind = \"etcd\"\nprefix = \"/x\"\nendpoints = [{many}]\n");
         assert!(parse(&text).unwrap_err()[0].contains("1 to 16"));
         // A file of nodes stops nobody, whatever it says of itself.
