--- /dev/null
+++ b/crates/maplefall/src/net/driver/attempts.rs
@@ -0,0 +1,250 @@
+//! Attempts: what the decision module sends to backends, and how each attempt ends.
+//!
+//! Invariant: an attempt is finished once, by its response, its timeout or its cancellation, whichever comes first; what comes
+//! later finds it gone from the table.
+
+use super::state::Attempt;
+use super::timers::TimerEvent;
+use super::Driver;
+use crate::net::backends;
+#[cfg(feature = "breakages")]
+use crate::net::breakages::{self, Breakage};
+use crate::net::grpc::{self, ProxiedCall};
+use maplefall_policy::{BackendId, Care, Event, Millis, Outcome, RequestId, Settled};
+use maplefall_protocol::{Answer, Ended, Order};
+use maplefall_upstream::AttemptHandle;
+use std::rc::Rc;
+
+/// An attempt as its task needs it.
+struct OutgoingAttempt {
+    request: RequestId,
+    number: u32,
+    backend: BackendId,
+    forwarded: Rc<Order>,
+    /// The call, if the request came over gRPC.
+    call: Option<Rc<ProxiedCall>>,
+    /// How long it may take, in milliseconds.
+    timeout: Millis,
+    /// What is done lest a broken connection takes it along.
+    care: Care,
+}
+
+impl Driver {
+    /// Sends a request to a backend. `timeout` ends the attempt; the request's deadline does so without one.
+    pub(super) fn send(
+        self: &Rc<Self>,
+        id: RequestId,
+        backend: BackendId,
+        timeout: Option<Millis>,
+        care: Care,
+    ) {
+        let now = self.clock.now();
+        let mut state = self.state.borrow_mut();
+        let Some(request) = state.requests.get_mut(&id) else {
+            return;
+        };
+        let number = request.attempts_started;
+        request.attempts_started += 1;
+        let timeout = timeout.unwrap_or(f64::INFINITY).min(request.deadline - now);
+        let not_needed =
+            request.answer_sender.is_none() || request.in_flight.is_some() || timeout <= 0.0;
+        if not_needed || number >= self.settings.max_attempts {
+            drop(state);
+            let end = Ended::of(Outcome::NotSent);
+            let event = settlement(id, number, backend, 0.0, &end, false);
+            return self.post(now, Event::Settled(event));
+        }
+        if let Some(counts) = self.shared_counts.get().filter(|_| number == 0) {
+            counts.record_usage(now, request.customer, request.plan, request.reserved_units);
+        }
+        let handle = self.spawn_attempt(OutgoingAttempt {
+            request: id,
+            number,
+            backend,
+            forwarded: request.forwarded.clone(),
+            call: request.call.clone(),
+            timeout,
+            care,
+        });
+        #[cfg(feature = "breakages")]
+        if breakages::is(Breakage::TwoOut) {
+            self.resend(backend, request.forwarded.clone(), 0);
+        }
+        request.in_flight = Some(Attempt {
+            number,
+            backend,
+            sent_at: now,
+            handle,
+        });
+        drop(state);
+        self.set_timer(now + timeout, TimerEvent::AttemptTimeout(id, number));
+    }
+
+    /// Starts the task of an attempt.
+    fn spawn_attempt(self: &Rc<Self>, attempt: OutgoingAttempt) -> AttemptHandle {
+        #[cfg(feature = "breakages")]
+        let attempt = self.break_attempt(attempt);
+        let handle = AttemptHandle::default();
+        let (driver, task_handle) = (self.clone(), handle.clone());
+        let task = tokio::task::spawn_local(async move {
+            let end = driver.run_attempt(&attempt, &task_handle).await;
+            driver.finish_attempt(attempt.request, attempt.number, end);
+        });
+        handle.attach_task(task.abort_handle());
+        handle
+    }
+
+    /// Runs an attempt to its end.
+    async fn run_attempt(
+        self: &Rc<Self>,
+        attempt: &OutgoingAttempt,
+        handle: &AttemptHandle,
+    ) -> Ended {
+        let Some(call) = &attempt.call else {
+            return backends::send_attempt(
+                &self.pools,
+                &self.response_reader,
+                attempt.backend,
+                &attempt.forwarded,
+                attempt.timeout,
+                attempt.care,
+                handle,
+            )
+            .await;
+        };
+        let context = grpc::AttemptContext {
+            pools: &self.pools,
+            clock: self.clock,
+            forwarded: &attempt.forwarded,
+            call,
+            timeout: attempt.timeout,
+            care: attempt.care,
+            handle,
+            committed: &|| self.response_started(attempt.request),
+        };
+        self.grpc_backends.attempt(attempt.backend, context).await
+    }
+
+    /// Finishes an attempt, unless it is finished.
+    pub(super) fn finish_attempt(self: &Rc<Self>, id: RequestId, number: u32, mut end: Ended) {
+        let now = self.clock.now();
+        let event = {
+            let mut state = self.state.borrow_mut();
+            let Some(request) = state.requests.get_mut(&id) else {
+                return;
+            };
+            let Some(attempt) = request
+                .in_flight
+                .take_if(|attempt| attempt.number == number)
+            else {
+                return;
+            };
+            if matches!(end.outcome, Outcome::Cancelled | Outcome::Timeout) {
+                // What has not been written to its last byte when its connection is closed cannot run.
+                if end.outcome == Outcome::Timeout && !attempt.handle.fully_written() {
+                    end.outcome = Outcome::ConnectFailed;
+                }
+                attempt.handle.abort();
+            }
+            #[cfg(feature = "breakages")]
+            self.break_end(&mut end, attempt.backend, &request.forwarded);
+            if let Some(sender) = request
+                .answer_sender
+                .take_if(|_| end.outcome == Outcome::Ok)
+            {
+                let _ = sender.send(Answer::Served(end.body.clone()));
+            }
+            if let (Some(counts), Some(charge)) = (self.shared_counts.get(), end.charge) {
+                let correction = charge - request.reserved_units;
+                counts.record_usage(now, request.customer, request.plan, correction);
+            }
+            let elapsed = now - attempt.sent_at;
+            let answered = request.answer_sender.is_none();
+            settlement(id, number, attempt.backend, elapsed, &end, answered)
+        };
+        self.post(now, Event::Settled(event));
+        self.state.borrow_mut().remove_if_finished(id);
+    }
+}
+
+/// The end of an attempt as the decision module takes it. `closed`: the request has its final answer.
+fn settlement(
+    request: RequestId,
+    attempt: u32,
+    backend: BackendId,
+    elapsed: Millis,
+    end: &Ended,
+    closed: bool,
+) -> Settled {
+    Settled {
+        request,
+        attempt,
+        backend,
+        outcome: end.outcome,
+        elapsed,
+        closed,
+        use_of_quota: end.used,
+        true_units: end.charge,
+        report: end.report,
+        broken: end.broken,
+    }
+}
+
+/// Breakages of rehearsals; no released build has them.
+#[cfg(feature = "breakages")]
+impl Driver {
+    fn break_attempt(&self, mut attempt: OutgoingAttempt) -> OutgoingAttempt {
+        attempt.forwarded = breakages::forwarded_request(attempt.forwarded);
+        if let Some(last) = self.last_started.get() {
+            if breakages::is(Breakage::ColdFavoured) {
+                attempt.backend = last;
+            }
+        }
+        attempt
+    }
+
+    fn break_end(self: &Rc<Self>, end: &mut Ended, backend: BackendId, forwarded: &Rc<Order>) {
+        if end.outcome != Outcome::Ok {
+            return;
+        }
+        if breakages::is(Breakage::StaleBody) {
+            std::mem::swap(&mut end.body, &mut *self.last_body.borrow_mut());
+        }
+        if breakages::is(Breakage::SentAfterAnswer) {
+            self.resend(backend, forwarded.clone(), 150);
+        }
+    }
+
+    /// Sends a request once more, past the decision module, after so many milliseconds.
+    fn resend(self: &Rc<Self>, backend: BackendId, forwarded: Rc<Order>, after_ms: u64) {
+        let driver = self.clone();
+        tokio::task::spawn_local(async move {
+            tokio::time::sleep(std::time::Duration::from_millis(after_ms)).await;
+            let handle = AttemptHandle::default();
+            backends::send_attempt(
+                &driver.pools,
+                &driver.response_reader,
+                backend,
+                &forwarded,
+                2000.0,
+                Care::Usual,
+                &handle,
+            )
+            .await;
+        });
+    }
+
+    /// Sends a request once more, past the decision module, to the backend that has its attempt in flight.
+    pub fn resend_in_flight(self: &Rc<Self>, id: RequestId) {
+        let state = self.state.borrow();
+        let Some(request) = state.requests.get(&id) else {
+            return;
+        };
+        let Some(backend) = request.in_flight.as_ref().map(|attempt| attempt.backend) else {
+            return;
+        };
+        let forwarded = request.forwarded.clone();
+        drop(state);
+        self.resend(backend, forwarded, 30);
+    }
+}
