--- /dev/null
+++ b/crates/maplefall/src/net/grpc/call_handler.rs
@@ -0,0 +1,208 @@
+//! One call of a client, from its head to its one final status.
+//!
+//! Invariant: a call that the driver has started either gets its status here or is reported as disconnected
+//! (`PendingCallGuard`).
+
+use super::client_stream::{trailers_only, ResponseStream, Step, UploadReader};
+use super::proxied_call::ProxiedCall;
+use super::server::GrpcServer;
+use super::validation::{forwarded_metadata, read_single_message, CallRejection, CallRules};
+use crate::net::auth::{AuthResponse, Checked};
+use crate::net::driver::Driver;
+use h2::server::SendResponse;
+use h2::RecvStream;
+use hyper::body::Bytes;
+use hyper::http::request::Parts;
+use hyper::{Request, Response, StatusCode};
+use maplefall_grpc::{status_trailers, Call, Code};
+use maplefall_policy::{Millis, RequestId};
+use maplefall_protocol::{Answer, Incoming};
+use std::net::IpAddr;
+use std::rc::Rc;
+
+/// How long a message that has to be complete before the call starts may take, in milliseconds.
+const MESSAGE_TIMEOUT: Millis = 2000.0;
+/// After how long a client whose caller could not be checked is asked to retry, in milliseconds.
+const UNCHECKED_RETRY_AFTER: Millis = 1000.0;
+
+impl GrpcServer {
+    /// Handles a call until its client has its status or has disconnected.
+    pub(super) async fn handle_call(
+        &self,
+        request: Request<RecvStream>,
+        mut respond: SendResponse<Bytes>,
+        peer: IpAddr,
+    ) {
+        let (head, mut body) = request.into_parts();
+        match self.read_call(&head, &mut body).await {
+            Ok((incoming, call)) => {
+                self.proxy_call(&head, body, respond, peer, incoming, call)
+                    .await
+            }
+            Err(CallRejection::Disconnected) => {}
+            Err(CallRejection::Http(status)) => {
+                let mut response = Response::new(());
+                *response.status_mut() = status;
+                // Where it cannot be sent, the client has disconnected.
+                let _ = respond.send_response(response, true);
+            }
+            Err(CallRejection::Grpc(code, message)) => {
+                let trailers = status_trailers(code, &message);
+                let _ = respond.send_response(trailers_only(trailers), true);
+            }
+        }
+    }
+
+    /// Reads the head of a call, and its message where there is one only.
+    async fn read_call(
+        &self,
+        head: &Parts,
+        body: &mut RecvStream,
+    ) -> Result<(Incoming, Rc<ProxiedCall>), CallRejection> {
+        let now = self.driver.clock.now();
+        let rules = CallRules {
+            settings: &self.driver.settings,
+            names: &self.driver.names,
+            routes: &self.settings.routes,
+        };
+        let (incoming, route) = rules.read_head(head, now)?;
+        let call = Rc::new(ProxiedCall::new(
+            &head.uri,
+            forwarded_metadata(&head.headers, self.auth.as_deref()),
+            route.shape,
+            incoming.deadline,
+            self.settings.max_buffered_bytes,
+        ));
+        if !route.shape.request_streams() {
+            let end = incoming.deadline.min(now + MESSAGE_TIMEOUT);
+            let end = self.driver.clock.instant(end);
+            tokio::time::timeout_at(end, read_single_message(body, &call))
+                .await
+                .map_err(|_| {
+                    let message = "the message did not come in time";
+                    CallRejection::Grpc(Code::DeadlineExceeded, message.to_owned())
+                })??;
+        }
+        Ok((incoming, call))
+    }
+
+    /// Starts a call at the driver and carries its response to the client.
+    async fn proxy_call(
+        &self,
+        head: &Parts,
+        body: RecvStream,
+        respond: SendResponse<Bytes>,
+        peer: IpAddr,
+        mut incoming: Incoming,
+        call: Rc<ProxiedCall>,
+    ) {
+        let mut response = ResponseStream::AwaitingHead(respond);
+        let (class, plan, deadline) = (incoming.class, incoming.plan.0, incoming.deadline);
+        let auth = self.auth.as_ref().filter(|auth| auth.checks_class(class));
+        incoming.at = self.driver.clock.now();
+        incoming.checked = auth.is_none();
+        let Some((id, mut answer)) = self.driver.start_call(incoming, Some(call.clone())) else {
+            let message = "a call with this id has come before";
+            call.update(|call, outputs| call.turn_down(Code::AlreadyExists, message, outputs));
+            return response.send_all(&call).await;
+        };
+        let mut guard = PendingCallGuard {
+            driver: &self.driver,
+            call: &call,
+            id: Some(id),
+        };
+        // Of a call with one message everything has been read.
+        let _reader = call
+            .shape()
+            .request_streams()
+            .then(|| UploadReader::start(body, call.clone()));
+        if let Some(auth) = auth.filter(|_| self.driver.awaits_check(id)) {
+            let caller = auth.caller(head, class, plan, peer);
+            let checked = tokio::select! {
+                checked = auth.authorize(&self.driver, caller, id, deadline, &mut answer) => checked,
+                () = response.disconnected() => return,
+            };
+            if !matches!(checked, Checked::Passed) {
+                guard.id = None;
+                self.apply_check(&call, checked);
+                return response.send_all(&call).await;
+            }
+        }
+        let mut answered = false;
+        loop {
+            tokio::select! {
+                biased;
+                received = &mut answer, if !answered => {
+                    answered = true;
+                    guard.id = None;
+                    self.apply_answer(&call, received.unwrap_or(Answer::Failed));
+                }
+                step = response.step(&call) => if step != Step::Sent { return },
+            }
+        }
+    }
+
+    /// Ends a call whose caller has not passed its check.
+    fn apply_check(&self, call: &ProxiedCall, checked: Checked) {
+        match checked {
+            Checked::Passed => {}
+            Checked::Answered(answer) => self.apply_answer(call, answer),
+            Checked::Denied(auth_response) => {
+                let (code, message) = denial_status(&auth_response);
+                call.update(|call, outputs| call.turn_down(code, message, outputs));
+            }
+            Checked::Unchecked => {
+                let retry_after = self
+                    .driver
+                    .settings
+                    .retry_after
+                    .then_some(UNCHECKED_RETRY_AFTER);
+                call.update(|call, outputs| call.refuse(retry_after, outputs));
+            }
+        }
+    }
+
+    /// Ends a call by the final answer of the decision module.
+    fn apply_answer(&self, call: &ProxiedCall, answer: Answer) {
+        let now = self.driver.clock.now();
+        if !matches!(answer, Answer::Served(_)) {
+            call.drop_messages();
+        }
+        call.update(|call: &mut Call, outputs| match answer {
+            Answer::Served(_) => call.serve(outputs),
+            Answer::Refused(retry_after) => call.refuse(retry_after, outputs),
+            Answer::Failed => call.fail(now, outputs),
+        });
+    }
+}
+
+/// The status of a call that the authentication service has denied.
+fn denial_status(auth_response: &AuthResponse) -> (Code, &'static str) {
+    match auth_response {
+        // A redirect to a page where callers sign in is of no use to a client of gRPC.
+        AuthResponse::Denial { status, .. }
+            if *status == StatusCode::UNAUTHORIZED || status.is_redirection() =>
+        {
+            (Code::Unauthenticated, "the caller is not signed in")
+        }
+        _ => (Code::PermissionDenied, "the caller may not"),
+    }
+}
+
+/// Reports to the driver when a client disconnects before its call has a status.
+struct PendingCallGuard<'a> {
+    driver: &'a Rc<Driver>,
+    call: &'a ProxiedCall,
+    /// Absent once the call has its status.
+    id: Option<RequestId>,
+}
+
+impl Drop for PendingCallGuard<'_> {
+    fn drop(&mut self) {
+        if let Some(id) = self.id {
+            self.call.update(|call, _| call.gone());
+            self.driver.client_disconnected(id);
+            self.driver.cancel_if_permitted(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/maplefall/src/net/grpc/connections.rs
@@ -0,0 +1,287 @@
+//! Connections to backends for calls: many calls on each, within a bound for all.
+//!
+//! Invariant: there are never more connections than the budget (`ConnectionSlot`), and a connection is closed with its last call or
+//! when it has been idle for too long.
+
+use h2::client::{self, SendRequest};
+use h2::{Ping, PingPong};
+use hyper::body::Bytes;
+use maplefall_policy::{BackendId, Millis};
+use maplefall_settings::Links;
+use maplefall_upstream::{ConnectError, Pools};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+use tokio::sync::Mutex;
+use tokio::task::AbortHandle;
+
+/// Bytes of the head and of the trailers of a backend's response at most.
+const MAX_HEADER_BYTES: u32 = 32 * 1024;
+/// How often idle connections are looked for.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// A connection that has received something within this time counts as alive for a call that must not run twice.
+const LIVENESS_WINDOW: Duration = Duration::from_millis(20);
+
+/// A connection to a backend.
+pub(super) struct Connection {
+    sender: SendRequest<Bytes>,
+    address: SocketAddr,
+    /// Calls in flight on it.
+    calls: Cell<usize>,
+    idle_since: Cell<Instant>,
+    last_activity: Cell<Instant>,
+    ping: Mutex<Option<PingPong>>,
+    task: AbortHandle,
+    /// Whether it takes no further call.
+    closed: Rc<Cell<bool>>,
+    _slot: ConnectionSlot,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        // With calls in flight the task goes on until they end.
+        if self.calls.get() == 0 {
+            self.task.abort();
+        }
+    }
+}
+
+impl Connection {
+    /// Calls that it takes at most: the smaller of `streams` and the backend's own limit, as far as it is known.
+    fn max_calls(&self, streams: usize) -> usize {
+        streams.min(self.sender.current_max_send_streams())
+    }
+
+    /// What sends requests on it.
+    pub(super) fn sender(&self) -> SendRequest<Bytes> {
+        self.sender.clone()
+    }
+
+    /// The address of the backend.
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Gives it no further call.
+    pub(super) fn mark_closed(&self) {
+        self.closed.set(true);
+    }
+
+    /// Something has been received on it.
+    pub(super) fn record_activity(&self) {
+        self.last_activity.set(Instant::now());
+    }
+
+    /// Whether it is alive, for calls that must not run twice: one that has received nothing for a moment has to answer a
+    /// `PING` (RFC 9113, 6.7) within `wait` milliseconds.
+    pub(super) async fn is_alive(&self, wait: Millis) -> bool {
+        if self.last_activity.get().elapsed() < LIVENESS_WINDOW {
+            return true;
+        }
+        let wait = Duration::try_from_secs_f64(wait / 1000.0).unwrap_or_default();
+        let pong = async {
+            let mut ping = self.ping.lock().await;
+            match ping.as_mut() {
+                Some(ping) => ping.ping(Ping::opaque()).await.is_ok(),
+                None => false,
+            }
+        };
+        let alive = tokio::time::timeout(wait, pong).await == Ok(true);
+        if alive {
+            self.record_activity();
+        }
+        alive
+    }
+}
+
+/// Counts a call on a connection while it is in flight.
+pub(super) struct CallGuard(Rc<Connection>);
+
+impl CallGuard {
+    /// Counts one more call.
+    pub(super) fn new(connection: Rc<Connection>) -> CallGuard {
+        connection.calls.set(connection.calls.get() + 1);
+        CallGuard(connection)
+    }
+
+    /// The connection.
+    pub(super) fn connection(&self) -> &Connection {
+        &self.0
+    }
+}
+
+impl Drop for CallGuard {
+    fn drop(&mut self) {
+        self.0.calls.set(self.0.calls.get() - 1);
+        self.0.idle_since.set(Instant::now());
+    }
+}
+
+/// Counts a connection against the budget while it exists.
+struct ConnectionSlot(Rc<Cell<usize>>);
+
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+/// Connections for calls to all backends.
+pub struct Backends {
+    links: Links,
+    /// Connections at most.
+    budget: usize,
+    /// Calls on one connection at most.
+    streams: usize,
+    open: Rc<Cell<usize>>,
+    /// Units that a backend may charge for a call at most.
+    pub(super) max_units: f64,
+    connections: RefCell<HashMap<BackendId, Vec<Rc<Connection>>>>,
+    /// Locked by the attempt that dials a backend; others wait for its connection rather than dial too.
+    dialing: RefCell<HashMap<BackendId, Rc<Mutex<()>>>>,
+}
+
+impl Backends {
+    /// No connections yet, `budget` at most, with `streams` calls on each; a call is charged `max_units` at most.
+    pub fn new(links: Links, budget: usize, streams: usize, max_units: f64) -> Backends {
+        Backends {
+            links,
+            budget,
+            streams,
+            open: Rc::default(),
+            max_units,
+            connections: RefCell::default(),
+            dialing: RefCell::default(),
+        }
+    }
+
+    /// A connection with capacity for one more call, dialed where there is none.
+    ///
+    /// # Errors
+    /// `LocalLimit` if the backend takes no calls or the budget is used up, `Unreachable` if it cannot be dialed in time.
+    pub(super) async fn connection(
+        &self,
+        to: BackendId,
+        pools: &Pools,
+    ) -> Result<Rc<Connection>, ConnectError> {
+        let Some(address) = pools.dial_address(to) else {
+            return Err(ConnectError::LocalLimit);
+        };
+        if let Some(connection) = self.open_connection(to, address) {
+            return Ok(connection);
+        }
+        let dialing = self.dialing.borrow_mut().entry(to).or_default().clone();
+        let _dial_guard = dialing.lock().await;
+        // The attempt that dialed meanwhile may have left capacity.
+        if let Some(connection) = self.open_connection(to, address) {
+            return Ok(connection);
+        }
+        if self.open.get() >= self.budget && !self.close_oldest() {
+            return Err(ConnectError::LocalLimit);
+        }
+        self.open.set(self.open.get() + 1);
+        let slot = ConnectionSlot(self.open.clone());
+        let limit =
+            Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
+        let dialed = tokio::time::timeout(limit, dial_h2(address)).await;
+        let Ok(Some((sender, mut connection))) = dialed else {
+            return Err(ConnectError::Unreachable);
+        };
+        let ping = Mutex::new(connection.ping_pong());
+        let closed = Rc::new(Cell::new(false));
+        let ended = closed.clone();
+        let task = tokio::task::spawn_local(async move {
+            // Whatever ends it, the calls on it are notified by the library.
+            let _ = connection.await;
+            ended.set(true);
+        });
+        let now = Instant::now();
+        let connection = Rc::new(Connection {
+            sender,
+            address,
+            calls: Cell::new(0),
+            idle_since: Cell::new(now),
+            last_activity: Cell::new(now - LIVENESS_WINDOW),
+            ping,
+            task: task.abort_handle(),
+            closed,
+            _slot: slot,
+        });
+        self.connections
+            .borrow_mut()
+            .entry(to)
+            .or_default()
+            .push(connection.clone());
+        Ok(connection)
+    }
+
+    /// A connection that is open already and has capacity.
+    fn open_connection(&self, to: BackendId, address: SocketAddr) -> Option<Rc<Connection>> {
+        let mut connections = self.connections.borrow_mut();
+        let known = connections.get_mut(&to)?;
+        known.retain(|connection| !connection.closed.get() && connection.address == address);
+        known
+            .iter()
+            .find(|connection| connection.calls.get() < connection.max_calls(self.streams))
+            .cloned()
+    }
+
+    /// Closes the connection that has been idle for longest; `false` if none is idle.
+    fn close_oldest(&self) -> bool {
+        let mut connections = self.connections.borrow_mut();
+        let idle = connections.iter().flat_map(|(id, known)| {
+            let idle = known
+                .iter()
+                .enumerate()
+                .filter(|(_, connection)| connection.calls.get() == 0);
+            idle.map(|(at, connection)| (connection.idle_since.get(), *id, at))
+        });
+        let Some((_, id, at)) = idle.min_by_key(|(since, _, _)| *since) else {
+            return false;
+        };
+        connections
+            .get_mut(&id)
+            .map(|known| known.remove(at))
+            .is_some()
+    }
+
+    /// Closes connections that have been idle for too long, or whose backend takes no new calls, for as long as the process
+    /// runs.
+    pub async fn close_idle_connections(&self, pools: &Pools) {
+        let max_idle =
+            Duration::try_from_secs_f64(self.links.idle_close / 1000.0).unwrap_or_default();
+        loop {
+            tokio::time::sleep(IDLE_SWEEP_INTERVAL).await;
+            self.connections.borrow_mut().retain(|id, known| {
+                let takes_new = pools.accepts_requests(*id);
+                known.retain(|connection| {
+                    let idle = connection.calls.get() == 0;
+                    let old = connection.idle_since.get().elapsed() > max_idle;
+                    !connection.closed.get() && !(idle && (old || !takes_new))
+                });
+                !known.is_empty()
+            });
+            let connections = self.connections.borrow();
+            self.dialing
+                .borrow_mut()
+                .retain(|id, lock| connections.contains_key(id) || Rc::strong_count(lock) > 1);
+        }
+    }
+}
+
+/// Opens a connection; `None` if the backend cannot be reached or speaks no HTTP/2.
+async fn dial_h2(
+    address: SocketAddr,
+) -> Option<(SendRequest<Bytes>, client::Connection<TcpStream, Bytes>)> {
+    let stream = TcpStream::connect(address).await.ok()?;
+    // Without TCP_NODELAY calls are late, not wrong.
+    let _ = stream.set_nodelay(true);
+    let mut builder = client::Builder::new();
+    builder
+        .enable_push(false)
+        .max_header_list_size(MAX_HEADER_BYTES);
+    builder.handshake(stream).await.ok()
+}
--- a/crates/maplefall/src/net/grpc/passage.rs
+++ b/crates/maplefall/src/net/grpc/proxied_call.rs
@@ -1,4 +1,7 @@
-//! A call between its client's stream and its attempts: what goes either way, in bounded queues.
+//! A call between its client's stream and its attempts.
+//!
+//! Invariant: what goes either way is in bounded queues: a client that reads slowly stops the attempt from reading, and what the
+//! client uploads is kept for retries up to a limit, beyond which the call is committed to its attempt.
 
 use hyper::body::Bytes;
 use hyper::http::uri::PathAndQuery;
@@ -10,22 +13,22 @@
 use std::task::{Context, Poll, Waker};
 use tokio::sync::Notify;
 
-/// Bytes on their way to a client that is slow to take them, at which an attempt stops reading.
+/// Bytes queued for a client that reads slowly, beyond which an attempt stops reading.
 const MAX_QUEUED_BYTES: usize = 64 * 1024;
 
-/// A call on its way.
+/// A call in flight.
 pub struct ProxiedCall {
-    /// Where it goes at a backend.
+    /// Its method, as the path at a backend.
     pub path: PathAndQuery,
-    /// What it names as its host.
+    /// Its `:authority`.
     pub authority: String,
-    /// Its metadata, less what belongs to the hop.
+    /// Its metadata, without what belongs to the client's connection.
     pub metadata: HeaderMap,
     call: RefCell<Call>,
     replay: RefCell<Replay>,
     outputs: RefCell<VecDeque<Output>>,
     queued: Cell<usize>,
-    /// Who waits for something to send to the client.
+    /// Wakes the sender of the response once there is something to send.
     output_waker: Cell<Option<Waker>>,
     /// The client has taken something.
     output_taken: Notify,
@@ -65,18 +68,18 @@
         }
     }
 
-    /// When its client gives up.
+    /// Until when its client waits.
     pub fn deadline(&self) -> Millis {
         self.call.borrow().deadline()
     }
 
-    /// How its messages go.
+    /// Whether its client and its backend send one message or many.
     pub fn shape(&self) -> Shape {
         self.call.borrow().shape()
     }
 
-    /// Lets the call decide, and queues what is to go to the client. `true` if the call was committed by it: then the
-    /// decision module is to be told before anything else happens.
+    /// Updates the call, and queues the outputs for the client. `true` if that committed the call: then the decision module has
+    /// to be notified before anything else happens.
     pub fn update(&self, decide: impl FnOnce(&mut Call, &mut Vec<Output>)) -> bool {
         let mut outputs = Vec::new();
         decide(&mut self.call.borrow_mut(), &mut outputs);
@@ -96,17 +99,20 @@
         committed
     }
 
-    /// An attempt begins; its number.
+    /// Begins an attempt and gives its number.
+    ///
+    /// # Errors
+    /// The call is committed or has its status.
     pub fn begin_attempt(&self) -> Result<u32, Closed> {
         self.call.borrow_mut().begin()
     }
 
-    /// An attempt has ended.
+    /// Ends an attempt.
     pub fn end_attempt(&self, attempt: u32, end: End, trailers: HeaderMap) {
         self.call.borrow_mut().ended(attempt, end, trailers);
     }
 
-    /// Waits until the client has taken most of what is on its way to it.
+    /// Waits until no more than [`MAX_QUEUED_BYTES`] are queued for the client.
     pub async fn wait_for_capacity(&self) {
         while self.queued.get() > MAX_QUEUED_BYTES && !self.call.borrow().over() {
             self.output_taken.notified().await;
@@ -115,7 +121,7 @@
 
     // ---- To the client ------------------------------------------------------------------------------
 
-    /// What goes to the client next, once there is something; of messages, their length alone.
+    /// What is sent to the client next, once there is something.
     pub fn poll_output(&self, cx: &mut Context<'_>) -> Poll<NextOutput> {
         match self.outputs.borrow().front() {
             Some(Output::Data(data)) => Poll::Ready(NextOutput::Data(data.len())),
@@ -127,7 +133,7 @@
         }
     }
 
-    /// Takes what goes to the client next; of messages no more than `most` bytes.
+    /// Takes what is sent to the client next; of messages `max` bytes at most.
     pub fn take_output(&self, max: usize) -> Option<Output> {
         let mut outputs = self.outputs.borrow_mut();
         let taken = match outputs.front_mut() {
@@ -139,7 +145,7 @@
         Some(taken)
     }
 
-    /// Drops messages that the client has not taken: its time is over, and its status must not wait behind them.
+    /// Drops the queued messages: the call's deadline has passed, and its status must not wait behind them.
     pub fn drop_messages(&self) {
         self.outputs
             .borrow_mut()
@@ -150,34 +156,33 @@
 
     // ---- From the client ----------------------------------------------------------------------------
 
-    /// The client has sent this.
+    /// Adds what the client has uploaded.
     pub fn push_upload(&self, chunk: Bytes) {
         self.replay.borrow_mut().push(chunk);
         self.upload_added.notify_one();
     }
 
-    /// The client has ended its half.
+    /// The client has ended its half of the stream.
     pub fn end_upload(&self) {
         self.replay.borrow_mut().end();
         self.upload_added.notify_one();
     }
 
-    /// Waits until more may be taken from the client.
+    /// Waits until more may be read from the client.
     pub async fn wait_for_upload_capacity(&self) {
         while !self.replay.borrow().has_room() {
             self.upload_taken.notified().await;
         }
     }
 
-    /// What comes at a place of what the client sends; waits for it. `committed` is called where the call has to be
-    /// committed to go on.
+    /// Waits for the chunk of the upload with this index. `committed` is called where the call has to be committed to go on.
     pub async fn next_upload(&self, index: u64, committed: &dyn Fn()) -> Next {
         loop {
             let next = self.replay.borrow().next(index);
             if next != Next::Wait {
                 return next;
             }
-            // All that can be kept has been sent and the client has more: it can't be sent again any more.
+            // All that can be kept for a retry has been sent and the client has more: there is no retry from here on.
             if !self.replay.borrow().has_room() {
                 if self.update(Call::commit) {
                     committed();
@@ -189,24 +194,24 @@
         }
     }
 
-    /// The present attempt has taken all before a place.
+    /// The present attempt has sent all chunks before this index.
     pub fn mark_sent(&self, index: u64) {
         self.replay.borrow_mut().taken(index);
         self.upload_taken.notify_one();
     }
 
-    /// Whether the client has ended its half and sent nothing beyond a place.
+    /// Whether the client has ended its half and uploaded nothing from this index on.
     pub fn upload_ends_at(&self, index: u64) -> bool {
         self.replay.borrow().next(index) == Next::End
     }
 }
 
-/// What goes to a client next.
+/// What is sent to a client next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextOutput {
     /// So many bytes of messages.
     Data(usize),
-    /// A head or an end.
+    /// The head or the status.
     Other,
 }
 
--- /dev/null
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -0,0 +1,227 @@
+//! Validation of calls: what a client's call must look like before the decision module sees it.
+//!
+//! A request that is no gRPC is answered in HTTP, a call that cannot be used with a status of gRPC.
+
+use super::attempt::GRPC_TIMEOUT;
+use super::proxied_call::ProxiedCall;
+use super::settings::Route;
+use crate::net::auth::Auth;
+use crate::net::request::{customer, name, text, Terms};
+use h2::RecvStream;
+use hyper::body::Bytes;
+use hyper::header::{
+    HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE, COOKIE, HOST, TE, TRANSFER_ENCODING, UPGRADE,
+};
+use hyper::http::request::Parts;
+use hyper::{HeaderMap, Method, StatusCode};
+use maplefall_grpc::frames::Frames;
+use maplefall_grpc::routes::Routes;
+use maplefall_grpc::{is_grpc, timeout, Code};
+use maplefall_policy::{Class, Effect, Millis, PlanId, Settings};
+use maplefall_protocol::headers::{API_PLAN, API_TERMS, IDEMPOTENCY_KEY, REQUEST_ID};
+use maplefall_protocol::{Incoming, Order, LONGEST_BODY};
+use maplefall_settings::{plain, Names};
+
+/// Bytes in front of each message: a flag and its length.
+const FRAME_HEADER_BYTES: usize = 5;
+
+/// Why a call is rejected before the decision module sees it.
+#[derive(Debug)]
+pub(super) enum CallRejection {
+    /// It is no gRPC; the status of the answer in HTTP.
+    Http(StatusCode),
+    /// It is gRPC and cannot be used; its status and the message beside it.
+    Grpc(Code, String),
+    /// Its client has disconnected.
+    Disconnected,
+}
+
+impl CallRejection {
+    fn invalid_argument(message: &str) -> CallRejection {
+        CallRejection::Grpc(Code::InvalidArgument, message.to_owned())
+    }
+
+    fn invalid_header(header: &HeaderName) -> CallRejection {
+        CallRejection::Grpc(
+            Code::InvalidArgument,
+            format!("{header} is missing, repeated or cannot be read"),
+        )
+    }
+}
+
+/// What calls are validated against.
+pub(super) struct CallRules<'a> {
+    /// The settings of the configuration file.
+    pub(super) settings: &'a Settings,
+    /// The names of its classes and plans.
+    pub(super) names: &'a Names,
+    /// The class and shape of each method.
+    pub(super) routes: &'a Routes<Route>,
+}
+
+impl CallRules<'_> {
+    /// Reads the head of a call that came at `now`.
+    ///
+    /// # Errors
+    /// The first rule that it breaks.
+    pub(super) fn read_head(
+        &self,
+        head: &Parts,
+        now: Millis,
+    ) -> Result<(Incoming, Route), CallRejection> {
+        let headers = &head.headers;
+        let route = self.route(head)?;
+        let id =
+            name(headers, &REQUEST_ID).map_err(|_| CallRejection::invalid_header(&REQUEST_ID))?;
+        let plan = self.plan(headers)?;
+        let class = &self.settings.classes[route.class.0];
+        check_idempotency_key(headers, class)?;
+        let timeout = read_timeout(headers)?;
+        let (units, spread) = self.units_and_spread(headers, route)?;
+        let path = head
+            .uri
+            .path_and_query()
+            .ok_or(CallRejection::Http(StatusCode::BAD_REQUEST))?;
+        let authority = head
+            .uri
+            .authority()
+            .map_or("localhost", |authority| authority.as_str());
+        let host =
+            HeaderValue::from_str(authority).map_err(|_| CallRejection::invalid_header(&HOST))?;
+        let incoming = Incoming {
+            at: now,
+            // No client waits for longer than its class allows.
+            deadline: now + timeout.min(class.deadline),
+            checked: true,
+            customer: customer(headers).ok_or_else(|| CallRejection::invalid_header(&COOKIE))?,
+            plan,
+            class: route.class,
+            units,
+            spread,
+            order: Order {
+                id: id.into(),
+                id_value: headers[REQUEST_ID].clone(),
+                host,
+                method: Method::POST,
+                uri: path.clone().into(),
+                key: headers.get(IDEMPOTENCY_KEY).cloned(),
+                content_type: headers.get(CONTENT_TYPE).cloned(),
+                onward: Vec::new(),
+                body: Bytes::new(),
+            },
+        };
+        Ok((incoming, route))
+    }
+
+    /// The route of the method that is called.
+    fn route(&self, head: &Parts) -> Result<Route, CallRejection> {
+        if head.method != Method::POST {
+            return Err(CallRejection::Http(StatusCode::METHOD_NOT_ALLOWED));
+        }
+        if !text(&head.headers, &CONTENT_TYPE).is_ok_and(|kind| is_grpc(kind.as_bytes())) {
+            return Err(CallRejection::Http(StatusCode::UNSUPPORTED_MEDIA_TYPE));
+        }
+        self.routes
+            .find(head.uri.path())
+            .ok_or_else(|| CallRejection::Grpc(Code::Unimplemented, "no such method".to_owned()))
+    }
+
+    fn plan(&self, headers: &HeaderMap) -> Result<PlanId, CallRejection> {
+        let plan_name = plain(header_text(headers, &API_PLAN)?);
+        self.names
+            .plans
+            .iter()
+            .position(|name| *name == plan_name)
+            .map(PlanId)
+            .ok_or_else(|| CallRejection::invalid_argument("unknown plan"))
+    }
+
+    /// Units of a call, and over how many proxies its customer's calls are spread.
+    fn units_and_spread(
+        &self,
+        headers: &HeaderMap,
+        route: Route,
+    ) -> Result<(f64, f64), CallRejection> {
+        if !headers.contains_key(&API_TERMS) {
+            // A client that names no set of proxies comes through all of them.
+            return Ok((route.units, f64::from(self.settings.gateways.max(1))));
+        }
+        let terms = Terms::read(header_text(headers, &API_TERMS)?, self.settings)
+            .ok_or_else(|| CallRejection::invalid_header(&API_TERMS))?;
+        Ok((terms.units, terms.spread))
+    }
+}
+
+fn header_text<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Result<&'a str, CallRejection> {
+    text(headers, header).map_err(|_| CallRejection::invalid_header(header))
+}
+
+/// A key has to be there for classes that need one, and for no others.
+fn check_idempotency_key(headers: &HeaderMap, class: &Class) -> Result<(), CallRejection> {
+    let keyed = headers.contains_key(IDEMPOTENCY_KEY);
+    let readable = !keyed || name(headers, &IDEMPOTENCY_KEY).is_ok();
+    if keyed != matches!(class.effect, Effect::Keyed { .. }) || !readable {
+        return Err(CallRejection::invalid_header(&IDEMPOTENCY_KEY));
+    }
+    Ok(())
+}
+
+/// How long the client waits, in milliseconds; without end where it does not say.
+fn read_timeout(headers: &HeaderMap) -> Result<Millis, CallRejection> {
+    if !headers.contains_key(&GRPC_TIMEOUT) {
+        return Ok(f64::INFINITY);
+    }
+    timeout::parse(header_text(headers, &GRPC_TIMEOUT)?.as_bytes())
+        .ok_or_else(|| CallRejection::invalid_header(&GRPC_TIMEOUT))
+}
+
+/// The metadata that is forwarded: all but what belongs to the connection or to this hop's timeout, and what only the
+/// authentication service may set.
+pub(super) fn forwarded_metadata(headers: &HeaderMap, auth: Option<&Auth>) -> HeaderMap {
+    let mut metadata = headers.clone();
+    for name in [
+        CONNECTION,
+        HOST,
+        TE,
+        TRANSFER_ENCODING,
+        UPGRADE,
+        GRPC_TIMEOUT,
+    ] {
+        metadata.remove(name);
+    }
+    if let Some(auth) = auth {
+        auth.strip(&mut metadata);
+    }
+    metadata
+}
+
+/// Reads the one message of a call whose client sends one, of [`LONGEST_BODY`] bytes at most.
+///
+/// # Errors
+/// There is no message, more than one, or a longer one; or the client has disconnected.
+pub(super) async fn read_single_message(
+    body: &mut RecvStream,
+    call: &ProxiedCall,
+) -> Result<(), CallRejection> {
+    let not_one = || CallRejection::invalid_argument("one message was expected");
+    let mut frames = Frames::default();
+    let mut received = 0;
+    while let Some(data) = body.data().await {
+        let data = data.map_err(|_| CallRejection::Disconnected)?;
+        received += data.len();
+        let _ = body.flow_control().release_capacity(data.len());
+        if frames.take(&data).is_err() || frames.messages() + u64::from(frames.within()) > 1 {
+            return Err(not_one());
+        }
+        if received > LONGEST_BODY + FRAME_HEADER_BYTES || frames.length() as usize > LONGEST_BODY {
+            let message = format!("a message of {LONGEST_BODY} bytes at most was expected");
+            return Err(CallRejection::Grpc(Code::ResourceExhausted, message));
+        }
+        call.push_upload(data);
+    }
+    if frames.messages() != 1 {
+        return Err(not_one());
+    }
+    call.end_upload();
+    Ok(())
+}
