--- /dev/null
+++ b/crates/maplefall/src/net/check/tests.rs
@@ -0,0 +1,59 @@
+//! `maplefall check` on configurations.
+
+use super::*;
+
+/// Guards the example that ships: whoever copies it begins with a configuration that can be used.
+#[test]
+fn the_shipped_example_has_no_mistakes() {
+    let text = include_str!("../../../../../deploy/example.json");
+    assert_eq!(config_errors(text), Vec::<String>::new());
+}
+
+#[test]
+fn every_mistake_is_told_at_once_with_its_path() {
+    let text = r#"{"listen": "here", "seed": "xyz", "limits": {"sockets": 3},
+        "known": {"seq": 1, "whole": true, "hosts": [
+            {"host": "a", "dial": "127.0.0.1:1", "health": "up"}, {"host": "b", "dial": "b:1", "health": "up"}]},
+        "settings": {"tick": "soon", "plans": [{"name": "x", "per_second": "much"}]}}"#;
+    let found = config_errors(text);
+    let begins = [
+        "listen:",
+        "seed:",
+        "limits.sockets:",
+        "known.hosts.1:",
+        "settings: tick=",
+        "settings: plans.0.",
+    ];
+    for begin in begins {
+        assert!(
+            found.iter().any(|line| line.starts_with(begin)),
+            "{begin} {found:#?}"
+        );
+    }
+    assert_eq!(found.len(), begins.len(), "{found:#?}");
+}
+
+#[test]
+fn what_cannot_be_meant_is_told() {
+    let with = |settings: Value| {
+        let text =
+            serde_json::json!({"seed": "1f", "limits": {"sockets": 64}, "settings": settings});
+        config_errors(&text.to_string())
+    };
+    let class = |aim: f64| serde_json::json!({"name": "c", "aim": aim, "give_up": 1000.0});
+    let plan =
+        |burst: f64| serde_json::json!({"name": "p", "per_second": 1.0, "peak_units": burst});
+    let settings = |aim: f64, burst: f64| {
+        serde_json::json!({"grades": [class(aim)], "plans": [plan(burst)], "extra": {"max_units": 8},
+            "policy_limits": {"send_cap": 3}})
+    };
+    assert_eq!(with(settings(500.0, 8.0)), Vec::<String>::new());
+    assert!(
+        with(settings(2000.0, 8.0))[0].contains("grades.0.aim: 2000 is over its give_up of 1000")
+    );
+    assert!(with(settings(500.0, 7.0))[0]
+        .contains("plans.0.peak_units: 7 is under extra.max_units of 8"));
+    assert_eq!(with(serde_json::json!({})).len(), 2);
+    assert!(config_errors("[]")[0].contains("an object was expected"));
+    assert!(config_errors("{")[0].contains("no JSON"));
+}
