--- a/crates/maplefall/src/counts.rs
+++ b/crates/maplefall/src/counts.rs
@@ -1,5 +1,5 @@
-//! `maplefall counts`: asks a running front door what it knows by shared counts, over its own protocol and with the key of its
-//! cluster; and shows what a datagram says.
+//! `maplefall counts`: fetches the status of shared counts from a running process, over its own protocol and with the key of its
+//! cluster; and decodes datagrams.
 
 use crate::net::counts_settings::{self, CountsSettings};
 use maplefall_shared_counts::status::Status;
@@ -9,10 +9,11 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long an answer is waited for before it is asked again, and how often.
+/// How long a response is waited for before the request is sent again.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Requests for one response at most.
 const MAX_ATTEMPTS: u32 = 5;
-/// Parts of a status at most.
+/// Chunks of a status at most.
 const MAX_STATUS_PARTS: u32 = 1024;
 
 /// What is shown.
@@ -48,10 +49,10 @@
     json: bool,
 }
 
-/// Carries out a command.
+/// Runs a command.
 ///
 /// # Errors
-/// One line: what cannot be used, or that nobody answers.
+/// One line: what cannot be used, or that there is no response.
 pub fn run(command: Command) -> Result<(), String> {
     match command {
         Command::Members(target) => show_status(&target, |status| {
@@ -85,7 +86,7 @@
     Ok(())
 }
 
-/// A conversation with one front door.
+/// The client's side of one exchange with a running process.
 struct StatusClient {
     socket: UdpSocket,
     to: SocketAddr,
@@ -116,7 +117,7 @@
         Ok(())
     }
 
-    /// The next datagram of a kind that answers this conversation; `None` if there is none in time.
+    /// Receives the next datagram of a kind that belongs to this exchange; `None` if there is none in time.
     fn receive(&self, kind: Kind) -> Option<(Head, Vec<Section>)> {
         let until = Instant::now() + RESPONSE_TIMEOUT;
         let mut bytes = [0; MOST_DATAGRAM + 1];
@@ -134,7 +135,7 @@
         None
     }
 
-    /// Asks until there is an answer.
+    /// Repeats an attempt until it has a result.
     fn retry<T>(
         &mut self,
         mut attempt: impl FnMut(&mut Self) -> Result<Option<T>, String>,
@@ -151,7 +152,7 @@
     }
 }
 
-/// A front door's status, as text.
+/// Fetches the status of a process, as JSON text.
 fn fetch_status(settings: &CountsSettings, to: SocketAddr) -> Result<String, String> {
     let local_address: SocketAddr = if to.is_ipv4() {
         ([0, 0, 0, 0], 0).into()
--- a/crates/maplefall/src/main.rs
+++ b/crates/maplefall/src/main.rs
@@ -1,4 +1,4 @@
-//! The front door: starts up, serves until it is told to stop, and ends with an exit code.
+//! The program `maplefall`: serves until SIGTERM, or runs a command, and ends with an exit code.
 
 #![forbid(unsafe_code)]
 
@@ -8,7 +8,7 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// Counts what is allocated, in builds for the bench alone.
+/// Counts allocations, in builds for the benchmark only.
 #[cfg(feature = "count-allocations")]
 #[global_allocator]
 static ALLOCATIONS: &stats_alloc::StatsAlloc<std::alloc::System> =
@@ -83,7 +83,7 @@
     }
 }
 
-/// Tells every mistake in a configuration on a line of its own.
+/// Prints every mistake in a configuration on a line of its own.
 fn check(file: &str) -> ExitCode {
     let with_file_name = |mistake: String| format!("{file}: {mistake}");
     let errors = match std::fs::read_to_string(file) {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Serves on one thread: a front door has one core, and nothing on the path needs a lock.
+/// Serves on one thread: a process has one core, and nothing on the path of a request needs a lock.
 fn serve() -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -1,5 +1,7 @@
-//! Forward authentication: sub-requests to the service, on kept connections, and what its answers mean. Who is asked, for
-//! how long and what becomes of the verdict, `maplefall-forward-auth` decides; this file only carries.
+//! Forward authentication: sub-requests to the service on pooled connections, and what its responses mean.
+//!
+//! `maplefall-forward-auth` decides which server is asked, for how long, and what is cached. Invariant: a caller's decision is
+//! there before its request's deadline, and a wait that is dropped leaves nothing behind (`WaitGuard`).
 
 use super::auth_settings::{AuthSettings, KeyPart};
 #[cfg(feature = "breakages")]
@@ -26,17 +28,17 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-/// How long a connection to the service may take to come up.
+/// How long a connection to the service may take to be established, in milliseconds.
 const DIAL_TIMEOUT: Millis = 250.0;
-/// Most questions out where descriptors are few: one for so many of them.
+/// Where descriptors are few, one check may be in flight for so many of them.
 const SOCKETS_PER_CHECK: usize = 16;
 
-/// What goes with a verdict.
+/// What the service's response gives to the request.
 #[derive(Debug)]
 pub enum AuthResponse {
-    /// Headers that go on to the backend.
+    /// Headers for the backend.
     Onward(Vec<(HeaderName, HeaderValue)>),
-    /// The service's own answer.
+    /// The service's own response, for the client.
     Denial {
         /// Its status.
         status: StatusCode,
@@ -49,24 +51,24 @@
 
 /// What became of a request whose caller was to be checked.
 pub enum Checked {
-    /// It goes on: its answer is to come.
+    /// It goes on.
     Passed,
-    /// The decisions ended it first.
+    /// The decision module answered it first.
     Answered(Answer),
-    /// The service's own answer is its answer.
+    /// The service's response is its answer.
     Denied(Rc<AuthResponse>),
-    /// Its caller could not be checked: nothing has run.
+    /// Its caller could not be checked: no attempt was made.
     Unchecked,
 }
 
-/// What is known of a caller before it is asked for.
+/// A caller to be checked.
 pub struct Caller {
     key: Key,
     headers: Rc<HeaderMap>,
     class: ClassId,
 }
 
-/// Headers of a question that requests wait for.
+/// A check that requests wait for.
 struct PendingCheck {
     headers: Rc<HeaderMap>,
     waiters: usize,
@@ -77,7 +79,7 @@
     decision_sender: oneshot::Sender<Decision<AuthResponse>>,
 }
 
-/// The checks of one front door.
+/// The checks of callers.
 pub struct Auth {
     settings: AuthSettings,
     clock: Clock,
@@ -85,9 +87,9 @@
     gate: RefCell<Gate<AuthResponse>>,
     waiters: RefCell<HashMap<u64, Waiter>>,
     last_waiter_id: Cell<u64>,
-    /// By question; as many as there are waiting requests at most.
+    /// By the key of the caller; as many as there are waiting requests at most.
     pending_checks: RefCell<HashMap<Key, PendingCheck>>,
-    /// Tasks of the questions that are out.
+    /// Tasks of the checks in flight.
     in_flight: RefCell<HashMap<CheckId, AbortHandle>>,
     pools: Pools,
     timer_changed: Notify,
@@ -108,7 +110,7 @@
 }
 
 impl Auth {
-    /// Checks by these settings, with so many descriptors.
+    /// Checks by these settings, on `sockets` connections at most.
     pub fn new(mut settings: AuthSettings, clock: Clock, seed: u64, sockets: usize) -> Rc<Auth> {
         settings.gate.most_out = settings.gate.most_out.min(sockets);
         settings.gate.seed = seed;
@@ -120,7 +122,7 @@
         for (at, server) in settings.servers.iter().enumerate() {
             pools.open(server_id(at), server.dial, 0.0);
         }
-        // Of this process and of nobody else: keys of one life say nothing in another.
+        // Known to this process only: keys of one start mean nothing in another.
         let secret = [seed.to_be_bytes(), process_secret()]
             .concat()
             .try_into()
@@ -144,12 +146,12 @@
         self.settings.checked.get(class.0).copied().unwrap_or(false)
     }
 
-    /// Forgets all kept verdicts.
+    /// Drops all cached verdicts.
     pub fn clear_cache(&self) {
         self.gate.borrow_mut().forget();
     }
 
-    /// What is known of the caller of a request that came from `peer`.
+    /// The caller of a request that came from `peer`.
     pub fn caller(&self, head: &Parts, class: ClassId, plan: usize, peer: IpAddr) -> Caller {
         let mut headers = head.headers.clone();
         self.settings.headers.strip(&mut headers);
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Has a caller checked; the decision is there by the budget's end, which lies before the deadline.
+    /// Checks a caller; the decision is there by the end of the check's budget, which is before the deadline.
     pub async fn check(
         self: &Rc<Self>,
         caller: Caller,
@@ -221,7 +223,7 @@
                 waiters: 0,
             })
             .waiters += 1;
-        // Whatever ends this wait ends its place.
+        // Whatever ends this wait removes its waiter.
         let _wait_guard = WaitGuard { auth: self, id };
         self.gate
             .borrow_mut()
@@ -230,7 +232,7 @@
         decision.await.unwrap_or(Decision::Refuse(Refusal::GivenUp))
     }
 
-    /// Has a held request's caller checked, and tells the driver what came of it.
+    /// Checks the caller of a pending request, and reports the result to the driver.
     pub async fn authorize(
         self: &Rc<Self>,
         driver: &Rc<Driver>,
@@ -240,7 +242,7 @@
         answer: &mut oneshot::Receiver<Answer>,
     ) -> Checked {
         let decision = tokio::select! {
-            // The decisions may end it first: its time is up, or its backends are gone.
+            // The decision module may answer first: its deadline has passed, or it has no backends left.
             answer = &mut *answer => return Checked::Answered(answer.unwrap_or(Answer::Failed)),
             decision = self.check(caller, deadline) => decision,
         };
@@ -277,12 +279,12 @@
         }
     }
 
-    /// Takes from a client's headers what only the service may say.
+    /// Removes from a client's headers those that only the service may set.
     pub fn strip(&self, headers: &mut HeaderMap) {
         self.settings.headers.strip(headers);
     }
 
-    /// Lets time pass for the gate, and closes idle connections, for as long as the front door runs.
+    /// Handles deadlines of checks, and closes idle connections, for as long as the process runs.
     pub async fn run_timers(self: Rc<Self>) {
         let pools_owner = self.clone();
         tokio::task::spawn_local(async move { pools_owner.pools.close_idle_periodically().await });
@@ -312,7 +314,7 @@
             match output {
                 Output::Decided { request, decision } => {
                     if let Some(waiter) = self.remove_waiter(request) {
-                        // One whose client has gone is told to nobody.
+                        // Nobody receives it if the client has disconnected.
                         let _ = waiter.decision_sender.send(decision);
                     }
                 }
@@ -361,7 +363,7 @@
         self.timer_changed.notify_one();
     }
 
-    /// Ends a request's wait.
+    /// Removes a request's waiter, and its check with the last one.
     fn remove_waiter(&self, id: u64) -> Option<Waiter> {
         let waiter = self.waiters.borrow_mut().remove(&id)?;
         let mut pending_checks = self.pending_checks.borrow_mut();
@@ -374,7 +376,7 @@
         Some(waiter)
     }
 
-    /// Puts a question to a server once.
+    /// Sends a check to a server once.
     async fn send_check(
         &self,
         server: usize,
@@ -391,7 +393,7 @@
                 .connect(endpoint.dial)
                 .await
                 .map_err(|error| match error {
-                    // No fault of the server; a moment later there may be room.
+                    // No fault of the server; a moment later there may be capacity.
                     ConnectError::LocalLimit => Failure::KeptConnection,
                     ConnectError::Unreachable => Failure::Server,
                 })?,
@@ -424,7 +426,7 @@
         Ok(verdict)
     }
 
-    /// What an answer means; `None` if it is none: an error of the service itself, broken off, or too long.
+    /// The verdict of a response; `None` for an error of the service itself, and if it is truncated or too long.
     async fn read_verdict(&self, answer: Response<IncomingBody>) -> Option<Verdict<AuthResponse>> {
         let (head, body) = answer.into_parts();
         if head.status.is_server_error() || head.status.is_informational() {
@@ -457,7 +459,7 @@
     }
 }
 
-/// Bytes that a verdict takes while it is kept.
+/// Bytes that a verdict takes in the cache.
 fn cached_size(response: &AuthResponse) -> usize {
     let (headers, body) = match response {
         AuthResponse::Onward(headers) => (headers, 0),
@@ -470,7 +472,7 @@
         + body
 }
 
-/// Bits that nobody outside this process knows: the standard library's own, from the system's source of chance.
+/// Bits that nobody outside this process knows: the standard library's own, from the system's random source.
 fn process_secret() -> [u8; 8] {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new()
@@ -479,7 +481,7 @@
         .to_be_bytes()
 }
 
-/// Ends a wait when its request is decided or its client goes.
+/// Ends a wait when its request is decided or its client disconnects.
 struct WaitGuard<'a> {
     auth: &'a Rc<Auth>,
     id: u64,
--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -1,5 +1,5 @@
 //! The file of forward authentication (`MAPLEFALL_FORWARD_AUTH`, a TOML file; `deploy/forward-auth.toml` is one): which
-//! callers are checked, by whom, and what goes there and back. Without it nobody is checked.
+//! callers are checked, by which servers, and which headers go there and back. Without it no caller is checked.
 
 use hyper::header::HeaderName;
 use hyper::Uri;
@@ -14,11 +14,11 @@
 
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_FORWARD_AUTH";
-/// Most servers, and most headers of a list.
+/// Servers at most, and headers of a list at most.
 const MAX_SERVERS: usize = 16;
 const MAX_HEADERS: usize = 32;
 
-/// What a request is besides its credentials, for the key of a kept verdict.
+/// A part of the request that the key of a cached verdict has besides the credentials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyPart {
@@ -50,13 +50,13 @@
     pub servers: Vec<Server>,
     /// For each class, whether its callers are checked.
     pub checked: Vec<bool>,
-    /// What the gate goes by.
+    /// Budgets, retries and the cache.
     pub gate: GateSettings,
     /// Which headers go where.
     pub headers: Headers,
-    /// What makes two questions the same, besides the credentials.
+    /// What the key of a cached verdict has besides the credentials.
     pub key: Vec<KeyPart>,
-    /// What the service is told of the way that requests come by.
+    /// The protocol by which requests come, for the service: `http` or `https`.
     pub proto: &'static str,
     /// After how long the service closes an idle connection.
     pub idle_close: Millis,
--- a/crates/maplefall/src/net/auth_settings/tests.rs
+++ b/crates/maplefall/src/net/auth_settings/tests.rs
@@ -11,7 +11,7 @@
 
 /// Guards the example that ships: whoever copies it begins with a file that can be used.
 #[test]
-fn the_shipped_example_can_be_used() {
+fn shipped_example_is_valid() {
     let text = include_str!("../../../../../deploy/forward-auth.toml");
     assert!(
         is_auth_file(text) && !is_auth_file(include_str!("../../../../../deploy/sources.toml"))
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn every_mistake_is_told_with_its_field() {
+fn reports_every_mistake_with_its_field() {
     let text = "servers = [\"https://a/b\", \"127.0.0.1:3\"]\nclasses = {}\ncredentials = []\n\
                 onward = [\"host\", \"a b\"]\nshare = 2.0\npause_ms = [5, 1]\nanswer_bytes = 1\nidle_close_ms = 1\n";
     let found = parse(text, None).unwrap_err();
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -1,4 +1,7 @@
-//! Attempts: what goes on to a backend, what comes back, and what the end of an attempt means.
+//! Attempts over HTTP/1.1: the request to a backend, its response, and what the end of an attempt means.
+//!
+//! Invariant: a response is served only if its framing shows that it is complete, and all long responses together take a bounded
+//! part of the memory.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
@@ -14,20 +17,20 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Longest body of an answer at all. Backends are met that send far more than the agreed 64 KiB, and their good
-/// answers are worth passing on; one that is said to be longer than this is none.
+/// Bytes of a response's body at most. Some backends send far more than the agreed 64 KiB, and their responses are good; a
+/// longer one than this counts as broken.
 const MAX_RESPONSE_BYTES: u64 = 1 << 20;
-/// Part of the memory that long answers may take together, from the first byte read to the last one written.
+/// Long responses take one part in so many of the memory together, from the first byte read to the last one written.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
-/// A use over this many percent of a rate is no figure to go by.
+/// A usage over this many percent of a rate is ignored.
 pub const MAX_USAGE_PERCENT: f64 = 100_000.0;
 
-/// The memory that long answers may still take.
+/// The bytes that long responses may still take.
 #[derive(Clone)]
 struct ResponseMemory(Arc<AtomicUsize>);
 
 impl ResponseMemory {
-    /// Sets `length` bytes aside; `None` if there is no room for them.
+    /// Reserves `length` bytes; `None` if fewer are left.
     fn reserve(&self, length: usize) -> Option<ReservedBody> {
         let available = self.0.load(Ordering::Relaxed).checked_sub(length)?;
         self.0.store(available, Ordering::Relaxed);
@@ -39,7 +42,7 @@
     }
 }
 
-/// A long answer with the room that it takes, given back when the last byte of it is dropped.
+/// A long response with the memory reserved for it, which is released when the last reference to it is dropped.
 struct ReservedBody {
     length: usize,
     memory: ResponseMemory,
@@ -58,19 +61,19 @@
     }
 }
 
-/// How answers are read.
+/// How responses are read.
 pub struct ResponseReader {
-    /// Names of their values.
+    /// Names of the values in load reports.
     pub metric_names: Vec<String>,
-    /// What the values are.
+    /// What each value measures.
     pub metrics: Vec<Metric>,
-    /// Most units of a request, by the settings.
+    /// Units that a backend may charge for a request at most.
     pub max_units: f64,
     memory: ResponseMemory,
 }
 
 impl ResponseReader {
-    /// Reads as the settings tell, within `memory` bytes for all.
+    /// A reader by the settings, in a process that may take `memory` bytes.
     pub fn new(settings_file: &Told, memory: usize) -> ResponseReader {
         ResponseReader {
             metric_names: settings_file.names.metrics.clone(),
@@ -87,17 +90,15 @@
             .filter_map(|field| field.trim().split_once('='))
         {
             let position = self.metric_names.iter().position(|known| known == name);
-            if let (Some(place), Ok(value)) = (position, value.parse::<f32>()) {
-                settings::tell(&mut report, self.metrics[place], value);
+            if let (Some(position), Ok(value)) = (position, value.parse::<f32>()) {
+                settings::tell(&mut report, self.metrics[position], value);
             }
         }
         report
     }
 }
 
-// ---- Attempts ---------------------------------------------------------------------------------------
-
-/// An order as it is written to a backend, which is told how long the front door will wait.
+/// The request to a backend, with the attempt's timeout in a header.
 fn build_request(forwarded: &Order, timeout: Millis) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(forwarded.body.clone()));
     *request.method_mut() = forwarded.method.clone();
@@ -105,8 +106,8 @@
     let headers = request.headers_mut();
     headers.insert(HOST, forwarded.host.clone());
     headers.insert(REQUEST_ID, forwarded.id_value.clone());
-    if let Ok(limit) = HeaderValue::try_from(format!("{:.3}", timeout / 1000.0)) {
-        headers.insert(REQUEST_TIMEOUT, limit);
+    if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", timeout / 1000.0)) {
+        headers.insert(REQUEST_TIMEOUT, seconds);
     }
     if let Some(key) = &forwarded.key {
         headers.insert(IDEMPOTENCY_KEY, key.clone());
@@ -120,7 +121,7 @@
     request
 }
 
-/// Carries out one attempt and tells how it ended.
+/// Runs one attempt to its end, `timeout` milliseconds at most by its header; the driver's timer aborts it.
 pub async fn send_attempt(
     pools: &Pools,
     reader: &ResponseReader,
@@ -136,7 +137,7 @@
         (care, timeout),
         handle,
         (forwarded.body.len(), |left| build_request(forwarded, left)),
-        async |answer| read_response(reader, answer).await,
+        async |response| read_response(reader, response).await,
         |ended: &Ended| ended.outcome == Outcome::Full,
     )
     .await;
@@ -146,20 +147,20 @@
     }
 }
 
-/// Reads a whole answer; `None` if the connection ends before it does, or if nobody could tell that it is whole: an
-/// answer that ends with its connection may have been cut. After 101 the connection speaks something else.
-async fn read_response(reader: &ResponseReader, answer: Response<Incoming>) -> Option<Ended> {
-    let (head, body) = answer.into_parts();
+/// Reads a complete response; `None` if the connection ends before it does, or if its end cannot be known: a response without
+/// framing ends with its connection and may be truncated. After 101 the connection speaks another protocol.
+async fn read_response(reader: &ResponseReader, response: Response<Incoming>) -> Option<Ended> {
+    let (head, body) = response.into_parts();
     let has_framing =
         head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
     if !has_framing || head.status.is_informational() {
         return None;
     }
     let body = read_body(&reader.memory, body).await?;
-    let outcome_of = outcome(head.status, &head.headers);
+    let outcome = outcome_of(head.status, &head.headers);
     Some(Ended {
-        outcome: outcome_of,
-        body: if outcome_of == Outcome::Ok {
+        outcome,
+        body: if outcome == Outcome::Ok {
             body
         } else {
             Bytes::new()
@@ -167,20 +168,20 @@
         used: header_number(&head.headers, &API_USAGE, MAX_USAGE_PERCENT)
             .map(|percent| percent / 100.0),
         charge: header_number(&head.headers, &API_CHARGE, reader.max_units),
-        report: text(&head.headers, &SERVER_LOAD)
-            .map(|header_text| reader.parse_report(header_text))
+        report: header_text(&head.headers, &SERVER_LOAD)
+            .map(|text| reader.parse_report(text))
             .unwrap_or_default(),
         broken: 0,
     })
 }
 
-/// Reads a body to its end, within the bounds on one answer and on all.
+/// Reads a body to its end, within the bounds on one response and on all.
 async fn read_body(memory: &ResponseMemory, mut body: Incoming) -> Option<Bytes> {
     let declared_length = body.size_hint().exact();
     if declared_length.is_some_and(|length| length > MAX_RESPONSE_BYTES) {
         return None;
     }
-    // In chunks no length is told: once it proves long, the whole bound is set aside.
+    // A body in chunks declares no length: once it proves long, the maximum is reserved.
     let max_length = usize::try_from(declared_length.unwrap_or(MAX_RESPONSE_BYTES)).ok()?;
     if declared_length.is_some() && max_length <= LONGEST_BODY {
         return Some(body.collect().await.ok()?.to_bytes());
@@ -202,34 +203,35 @@
     }
     let body = Bytes::from(received);
     Some(match reserved {
-        Some(mut share) => {
-            share.body = body;
-            Bytes::from_owner(share)
+        Some(mut reserved) => {
+            reserved.body = body;
+            Bytes::from_owner(reserved)
         }
         None => body,
     })
 }
 
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
+/// What a complete response means: 200 is served, and 503 or 504 that says that nothing was started may be retried.
+fn outcome_of(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unavailable = matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
     );
     match status {
         StatusCode::OK => Outcome::Ok,
-        _ if unavailable && text(headers, &NOT_STARTED) == Some("1") => Outcome::Full,
+        _ if unavailable && header_text(headers, &NOT_STARTED) == Some("1") => Outcome::Full,
         _ => Outcome::Error,
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
         .map(str::trim)
 }
 
-/// The first figure under this name that can be read and makes sense. One that does not spoils no answer.
+/// The first value of a header that is a number from 0 to `max`. Others are ignored: they do not make a response unusable.
 pub fn header_number(headers: &HeaderMap, name: &HeaderName, max: f64) -> Option<f64> {
     let mut values = headers
         .get_all(name)
--- a/crates/maplefall/src/net/backends/tests.rs
+++ b/crates/maplefall/src/net/backends/tests.rs
@@ -10,7 +10,7 @@
 
 /// Guards load reports: the values that the settings name are read, whatever stands between them.
 #[test]
-fn a_load_report_is_read_by_its_names() {
+fn reads_a_load_report_by_its_names() {
     let names = vec!["depth".to_owned(), "load_share".to_owned()];
     let metrics = vec![Metric::Queue, Metric::Utilisation];
     let reading = ResponseReader {
@@ -24,8 +24,8 @@
     assert!((report.utilisation.unwrap() - 0.61).abs() < 1e-6);
 }
 
-/// Longest time that a scene may take.
-const SCENE: Duration = Duration::from_secs(20);
+/// Longest time that a scenario may take.
+const SCENARIO_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn pools() -> (Pools, ResponseReader) {
     let links = Links {
@@ -71,8 +71,8 @@
 /// answers the bytes before the last, so nothing ran. A kept one has the next connection stand in for it
 /// within the attempt; a new one ends it as never run.
 #[test]
-fn what_a_dead_connection_swallows_has_not_run() {
-    let ends = play(async {
+fn request_lost_on_a_dead_connection_has_not_run() {
+    let ends = run_scenario(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
@@ -112,12 +112,12 @@
             .expect("a backend that saw what it waited for");
         ends
     });
-    let told: Vec<_> = ends
+    let ends_seen: Vec<_> = ends
         .iter()
         .map(|end| (end.outcome, end.body.as_ref(), end.broken))
         .collect();
     assert_eq!(
-        told,
+        ends_seen,
         [
             (Outcome::Ok, &b"one"[..], 0),
             (Outcome::Ok, b"two", 1),
@@ -129,9 +129,9 @@
 /// Guards requests that must not run twice against connections that only look alive: where kept ones of some age
 /// have taken a request and broken, such a request gets a new one, and others go on finding out.
 #[test]
-fn what_must_not_run_twice_takes_no_connection_of_an_age_that_fails() {
+fn non_idempotent_request_avoids_connections_of_an_age_that_fails() {
     let old = Duration::from_millis(300);
-    play(async {
+    run_scenario(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
@@ -173,8 +173,8 @@
 /// Guards drains against a wait for a connection that outlasts a life: by the time it is up the backend has drained and
 /// has come back elsewhere, and who answers at the old address may get nothing.
 #[test]
-fn what_was_dialled_for_an_earlier_life_is_not_used() {
-    play(async {
+fn connection_dialed_for_an_earlier_instance_is_not_used() {
+    run_scenario(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port");
@@ -211,14 +211,14 @@
     stream.write_all(answer.as_bytes()).await.expect("a reader");
 }
 
-/// Plays a scene on one thread, within a time that only a fault uses up.
-fn play<T>(scene: impl std::future::Future<Output = T>) -> T {
+/// Plays a scenario on one thread, within a time that only a fault uses up.
+fn run_scenario<T>(scenario: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     let local = tokio::task::LocalSet::new();
-    let all = async { tokio::time::timeout(SCENE, scene).await };
+    let all = async { tokio::time::timeout(SCENARIO_TIMEOUT, scenario).await };
     runtime
         .block_on(local.run_until(all))
         .expect("an end in time")
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -1,5 +1,5 @@
-//! `maplefall check FILE`: every mistake in a configuration at once, each with its path, where the start tells only that
-//! there is one. It also tells what can be read and cannot be meant.
+//! `maplefall check FILE`: every mistake in a configuration at once, each with its path, where the start reports only the first.
+//! It also reports what is valid and yet cannot be meant.
 
 use super::config::{min_memory_mb, MIN_SOCKETS};
 use super::{auth_settings, counts_settings, grpc, membership, sources};
@@ -105,7 +105,7 @@
     };
     let before = errors.len();
     for (at, host) in hosts.iter().enumerate() {
-        // One entry as a list of its own, so that each mistake is told with its place.
+        // Each entry as a list of its own, so that each mistake is reported with its index.
         let alone = serde_json::json!({"seq": 1, "whole": true, "hosts": [host]});
         if let Err(error) = serde_json::from_value::<Members>(alone) {
             errors.push(format!("known.hosts.{at}: {error}"));
@@ -116,7 +116,7 @@
     }
 }
 
-/// What can be read and cannot be meant.
+/// Reports what is valid and yet cannot be meant.
 fn check_plausibility(parsed: &Told, errors: &mut Vec<String>) {
     let (set, names) = (&parsed.settings, &parsed.names);
     for (list, known) in [("grades", &names.classes), ("plans", &names.plans)] {
--- a/crates/maplefall/src/net/config.rs
+++ b/crates/maplefall/src/net/config.rs
@@ -1,4 +1,7 @@
-//! What a front door is told: the `BALANCER_*` variables and the JSON file that one of them names.
+//! The configuration: the `BALANCER_*` variables and the JSON file that one of them names.
+//!
+//! Invariant: at the start a variable has precedence over the file's entry; on reload the file has, as variables of a running
+//! process cannot change.
 
 use maplefall_protocol::Members;
 use maplefall_settings::{self as settings, Told};
@@ -6,7 +9,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Why a configuration cannot be used; each is one plain line.
+/// Why a configuration cannot be used; each is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable that names the file is not set.
@@ -41,22 +44,22 @@
     Value(String),
 }
 
-/// Limits of the machine that bear on how the front door is built.
+/// Limits of the machine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// File descriptors that the process may hold.
+    /// File descriptors of the process at most.
     pub sockets: usize,
-    /// Memory that the process may take.
+    /// Memory of the process at most, in MiB; 32 by default.
     #[serde(default = "min_memory_mb")]
     pub memory_mb: usize,
 }
 
-/// What every deployment gives at least.
+/// The memory that every deployment has at least, in MiB.
 pub fn min_memory_mb() -> usize {
     32
 }
 
-/// The file as it stands.
+/// The file as it is deserialized.
 #[derive(Debug, Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -71,30 +74,33 @@
     settings: Value,
 }
 
-/// What a front door goes by.
+/// The configuration of a process.
 #[derive(Debug)]
 pub struct Config {
     /// Its name, for its log.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery may answer, the likeliest first; never empty.
+    /// Addresses of discovery, the likeliest first; never empty.
     pub discovery: Vec<SocketAddr>,
-    /// For random numbers; new with each start.
+    /// The seed of random numbers; new with each start.
     pub seed: u64,
     /// Limits of the machine.
     pub limits: Limits,
-    /// The list of backends as this front door last had it.
+    /// The list of backends as this process last had it.
     pub known: Option<Members>,
-    /// The settings.
+    /// The settings, as they were parsed.
     pub parsed: Told,
 }
 
-/// Fewest descriptors with which a front door can do its work.
+/// Descriptors that the process needs at least.
 pub const MIN_SOCKETS: usize = 32;
 
 impl Config {
-    /// Reads the variables and the file. A variable goes before the file's own entry.
+    /// Reads the variables and the file. A variable has precedence over the file's entry.
+    ///
+    /// # Errors
+    /// The first mistake.
     pub fn from_env() -> Result<Config, ConfigError> {
         let file = ConfigFile::read()?;
         let variable_or =
@@ -104,8 +110,8 @@
             "BALANCER_DISCOVERY",
             &variable_or("BALANCER_DISCOVERY", &file.discovery),
         )?];
-        // A door that is started again after discovery has moved may be told the old place by one and the new one by the
-        // other: the file's is asked where the variable's says nothing.
+        // After discovery has moved, one of the two may have the old address: the file's is used where the variable's does not
+        // answer.
         if let Ok(other) = file.discovery.parse() {
             if !discovery.contains(&other) {
                 discovery.push(other);
@@ -125,9 +131,11 @@
         })
     }
 
-    /// Where discovery answers from now on, by a file that was replaced while the program runs. The file goes
-    /// before the variable here: a variable cannot change in a running process, so it tells the old address.
-    /// The whole file must be usable.
+    /// The address of discovery by a file that was replaced while the process runs. The file has precedence over the variable
+    /// here: a variable cannot change in a running process, so it has the old address.
+    ///
+    /// # Errors
+    /// Any mistake in the file, also elsewhere in it.
     pub fn reload_discovery() -> Result<SocketAddr, ConfigError> {
         let file = ConfigFile::read()?;
         file.check()?;
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -1,7 +1,7 @@
 //! Shared counts on a socket: between the driver, the state machine of `maplefall-shared-counts` and UDP.
 //!
-//! Nothing is decided here. What customers use is counted by [`SharedCounts::record_usage`]; what others tell of them is handed to the
-//! decision module as it comes, and how old that is by now with each request ([`SharedCounts::usage_elsewhere`]).
+//! Nothing is decided here. Usage at this proxy is recorded by [`SharedCounts::record_usage`]. Usage at peers goes to the decision
+//! module when it changes, and with each request together with its age ([`SharedCounts::usage_elsewhere`]).
 
 use super::counts_settings::CountsSettings;
 use maplefall_policy::{CustomerId, Elsewhere, Millis, PlanId};
@@ -14,22 +14,22 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 
-/// Datagrams that are read before others get their turn.
+/// Datagrams that are read at once at most, before other tasks run.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// This door's part in sharing counts.
+/// This proxy as a member of those that share counts.
 pub struct SharedCounts {
     node: RefCell<Node>,
     socket: UdpSocket,
     clock: Clock,
-    /// What the log is told when it runs.
+    /// Logged when the task starts.
     start_message: String,
-    /// Doors in the settings: those that are not heard of keep their part of each quota.
+    /// Proxies by the settings: those that are not live keep their share of each quota.
     configured_proxies: u32,
 }
 
 impl SharedCounts {
-    /// Opens the socket and begins a new life of the door of this name.
+    /// Opens the socket and begins a new incarnation of the proxy of this name.
     ///
     /// # Errors
     /// One line that names the address.
@@ -44,8 +44,8 @@
         let no_socket = |error| format!("cannot share counts on {listen}: {error}");
         let socket = UdpSocket::bind(listen).await.map_err(no_socket)?;
         let bound = socket.local_addr().map_err(no_socket)?;
-        // A date before 1970 or a nameless door is no reason not to serve: the life's number and the name then come of the
-        // address, and others tell this door if an earlier life had a larger number.
+        // A clock before 1970 or a missing name is no reason not to serve: the incarnation is then 1 and the name is the address,
+        // and peers answer with the larger number of an earlier incarnation.
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(1, |since| since.as_millis() as u64);
@@ -78,14 +78,14 @@
         }))
     }
 
-    /// A customer has used so many units here, or was given so many back where it is below nought.
+    /// Records units that a customer used at this proxy, or that are returned to it where they are negative.
     pub fn record_usage(&self, now: Millis, customer: CustomerId, plan: PlanId, units: f64) {
         self.node
             .borrow_mut()
             .used(now, quota_of(customer, plan), units);
     }
 
-    /// What other doors have let in for a customer and the decision module has not been told, and how old that is.
+    /// What peers have admitted for a customer and the decision module does not know yet, and how old that is.
     pub fn usage_elsewhere(
         &self,
         now: Millis,
@@ -97,7 +97,7 @@
         Some(self.usage_of(&mut node, now, customer, plan, fact))
     }
 
-    /// The next customer of whom something was heard.
+    /// The next customer whose usage at peers has changed.
     fn next_change(&self, now: Millis) -> Option<Elsewhere> {
         let mut node = self.node.borrow_mut();
         let (quota, fact) = node.poll_fact(now)?;
@@ -144,7 +144,8 @@
             self.send();
             let deadline = self.node.borrow().due();
             tokio::select! {
-                // An error of a socket without a peer is of an earlier datagram that found nobody; the next is waited for.
+                // An error of a socket without a peer belongs to an earlier datagram that could not be delivered; the next one
+                // is waited for.
                 _ = self.socket.readable() => self.receive_datagrams(&mut bytes),
                 () = tokio::time::sleep_until(self.clock.instant(deadline)) => {
                     self.node.borrow_mut().tick(self.clock.now());
@@ -154,7 +155,7 @@
             while let Some(usage) = self.next_change(now) {
                 notify(now, usage);
             }
-            // A flood of datagrams must not keep requests from their turn.
+            // A flood of datagrams must not starve requests.
             tokio::task::yield_now().await;
         }
     }
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Sends what waits; what the system does not take now is lost, as the network might have lost it.
+    /// Sends what is queued; a datagram that the system does not take now is lost, as it may be lost on the network.
     fn send(&self) {
         while let Some(output) = self.node.borrow_mut().poll() {
             let _ = self.socket.try_send_to(&output.bytes, output.to);
@@ -178,7 +179,7 @@
     }
 }
 
-/// The quota that a customer of a plan uses. A plan past the 65,535th would be taken for that one; settings hold 4,096 at most.
+/// The quota that a customer of a plan uses. Plans beyond the 65,535th would share one; settings have 4,096 at most.
 fn quota_of(customer: CustomerId, plan: PlanId) -> u64 {
     quota(u16::try_from(plan.0).unwrap_or(u16::MAX), customer.0)
 }
--- a/crates/maplefall/src/net/counts_settings.rs
+++ b/crates/maplefall/src/net/counts_settings.rs
@@ -1,5 +1,5 @@
-//! The file of shared counts (`MAPLEFALL_SHARED_COUNTS`, a TOML file; `deploy/shared-counts.toml` is one): where this door and
-//! its peers tell each other what customers have used. Without it nothing is told and no socket is opened.
+//! The file of shared counts (`MAPLEFALL_SHARED_COUNTS`, a TOML file; `deploy/shared-counts.toml` is one): how this proxy and
+//! its peers share what customers have used. Without it nothing is shared and no socket is opened.
 
 use maplefall_policy::Millis;
 use maplefall_shared_counts::Settings;
@@ -9,17 +9,17 @@
 
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_SHARED_COUNTS";
-/// Most seeds.
+/// Seeds at most.
 const MAX_SEEDS: usize = 64;
 
-/// How this door shares counts.
+/// How this proxy shares counts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CountsSettings {
-    /// Where it takes datagrams.
+    /// Where it receives datagrams.
     pub listen: SocketAddr,
-    /// Where others reach it; the address that it listens on if none is told.
+    /// Where peers reach it; the address that it listens on by default.
     pub advertise: Option<SocketAddr>,
-    /// Doors to call first.
+    /// Peers to contact first.
     pub seeds: Vec<SocketAddr>,
     /// How counts are shared.
     pub sharing: Settings,
--- a/crates/maplefall/src/net/counts_settings/tests.rs
+++ b/crates/maplefall/src/net/counts_settings/tests.rs
@@ -4,7 +4,7 @@
 
 /// Guards the example that ships: whoever copies it begins with a file that can be used.
 #[test]
-fn the_shipped_example_can_be_used() {
+fn shipped_example_is_valid() {
     let text = include_str!("../../../../../deploy/shared-counts.toml");
     assert!(
         is_counts_file(text) && !is_counts_file(include_str!("../../../../../deploy/grpc.toml"))
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn every_mistake_is_told_with_its_field() {
+fn reports_every_mistake_with_its_field() {
     let text =
         "cluster = \"\"\ngossip = \"0.0.0.0:7946\"\nseeds = [\"a\", \"127.0.0.1:0\"]\nkey = \"zz\"\n\
                 interval_ms = 0\nepochs_kept = 1\nmost_members = 1000000\nsuspect_phi = nan\n";
--- a/crates/maplefall/src/net/discovery.rs
+++ b/crates/maplefall/src/net/discovery.rs
@@ -1,4 +1,7 @@
-//! The platform's agent: carries out the calls that `maplefall-discovery-agent` asks for, and hands on what comes of them.
+//! The platform's agent: makes the calls that `maplefall-discovery-agent` asks for, and delivers their results.
+//!
+//! Invariant: a call that the follower has ended delivers nothing further, and a call that sends faster than the follower takes
+//! is slowed down rather than buffered.
 
 #[cfg(feature = "breakages")]
 use super::breakages;
@@ -15,15 +18,15 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::AbortHandle;
 
-/// Lines of calls that wait to be taken in; a call that has more to say waits itself. Each may be as long as `LONGEST_LINE`, and
-/// two calls are open at most: so few, that an agent that says much fills no memory.
+/// Lines of all calls that are buffered at most; a call with more waits. Each may be as long as `LONGEST_LINE`, so that an agent
+/// that sends much fills no memory.
 const CALL_CHANNEL_CAPACITY: usize = 1;
 
-/// What a call said.
+/// Something that a call has received.
 type CallUpdate = (CallId, Heard);
 
-/// Follows the agent for as long as the front door runs, and hands on what comes out but for the calls. When `moved` tells
-/// another address, the old watch is left at once and opened there.
+/// Follows the agent for as long as the process runs, and delivers the follower's outputs other than calls. When `moved` gives
+/// an address, the old watch is closed at once and opened there.
 pub async fn follow(
     mut follower: Follower,
     clock: Clock,
@@ -43,7 +46,7 @@
             }
         };
         let outputs = tokio::select! {
-            // What has been said goes before what is due: a watch is not taken for silent that has just spoken.
+            // What has been received goes before deadlines: a watch that has just received something has not timed out.
             biased;
             Some((call, event)) = received.recv() => {
                 if let Heard::Ended(_) = event {
@@ -71,7 +74,7 @@
                     let updates = updates.clone();
                     let task = tasks.spawn_local(async move {
                         let end = run_call(call, place, what, &updates).await;
-                        // Nobody hears it only when the front door has ended.
+                        // Nobody receives it when the process ends.
                         let _ = updates.send((call, Heard::Ended(end))).await;
                     });
                     calls.insert(call, task);
@@ -87,7 +90,7 @@
     }
 }
 
-/// Makes a call and says each line of its answer until it ends.
+/// Makes a call and sends each line of its response until it ends.
 async fn run_call(
     call: CallId,
     address: SocketAddr,
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -1,4 +1,4 @@
-//! The file of gRPC pass-through (`MAPLEFALL_GRPC`, a TOML file; `deploy/grpc.toml` is one): where calls are taken, and which
+//! The file of gRPC pass-through (`MAPLEFALL_GRPC`, a TOML file; `deploy/grpc.toml` is one): where calls are accepted, and which
 //! class each method belongs to. Without it no further port is opened.
 
 use maplefall_grpc::routes::{Routes, Wrong};
@@ -12,35 +12,35 @@
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_GRPC";
 
-/// What a method's calls are.
+/// How calls of a method are handled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Route {
     /// Their class.
     pub class: ClassId,
-    /// How their messages go.
+    /// Whether client and backend send one message or many.
     pub shape: Shape,
-    /// Units of one whose client names none.
+    /// Units of a call whose client names none.
     pub units: f64,
 }
 
-/// How calls are taken and passed on.
+/// How calls are accepted and proxied.
 #[derive(Clone, Debug)]
 pub struct GrpcSettings {
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Connections of clients at most.
+    /// Connections of clients at most; 32 by default.
     pub connections: usize,
-    /// Calls on one connection at most, either side.
+    /// Calls on one connection at most, on either side; 64 by default.
     pub streams: u32,
-    /// Calls at most, over all connections.
+    /// Calls at most, over all connections; 512 by default.
     pub calls: usize,
-    /// Connections to backends at most.
+    /// Connections to backends at most; 32 by default.
     pub backend_connections: usize,
-    /// Bytes of a client's messages, and of an answer, that are held for one call at most.
+    /// Bytes of a client's messages, and of a response, that are buffered for one call at most; 64 KiB by default.
     pub max_buffered_bytes: usize,
-    /// After how long without a call a connection is closed.
+    /// After how long without a call a connection is closed, in milliseconds; 60,000 by default.
     pub idle: Millis,
-    /// Which method is what.
+    /// The route of each method.
     pub routes: Routes<Route>,
 }
 
--- a/crates/maplefall/src/net/grpc/settings/tests.rs
+++ b/crates/maplefall/src/net/grpc/settings/tests.rs
@@ -4,7 +4,7 @@
 
 /// Guards the example that ships.
 #[test]
-fn the_shipped_example_can_be_used() {
+fn shipped_example_is_valid() {
     let text = include_str!("../../../../../../deploy/grpc.toml");
     assert!(
         is_grpc_file(text) && !is_grpc_file(include_str!("../../../../../../deploy/sources.toml"))
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn every_mistake_is_told_with_its_field() {
+fn reports_every_mistake_with_its_field() {
     let text =
         "listen = \"here\"\nstreams = 0\nheld_bytes = 5\nidle_ms = nan\n[[route]]\nmethod = \"/a.B/C\"\n\
                 class = \"pago\"\nunits = 0\n[[route]]\nmethod = \"a\"\nclass = \"cobro\"\n[[route]]\n\
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -1,7 +1,8 @@
-//! Who the backends are: hands what each source learns to the roster, and what comes out of it to the driver.
+//! The membership of backends: feeds what each source reports to the merged endpoint list, and its changes to the driver.
 //!
-//! What is true where sources disagree, `maplefall-membership` decides, and how an etcd is followed `maplefall-etcd`; this file
-//! only carries.
+//! `maplefall-membership` decides what holds where sources disagree, and `maplefall-etcd` how an etcd is followed; here are the
+//! tasks, the log, the state file and the files of nodes. Invariant: the driver sees each change of the merged list once, in
+//! order (rules: docs/operators/membership.md).
 
 #[cfg(feature = "breakages")]
 use super::breakages;
@@ -21,45 +22,45 @@
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
-/// A change that comes later than this after it was written is told of.
+/// A change that arrives later than this after it was written is logged.
 const LATE_CHANGE_THRESHOLD: Millis = 500.0;
-/// At most once in this time.
+/// Late changes are logged at most once in this time.
 const LATE_CHANGE_LOG_INTERVAL: Millis = 10_000.0;
-/// Shortest time from one writing down to the next.
+/// Shortest time between two writes of the state file.
 const PERSIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest file of nodes, or of what a last life wrote down, that is read.
+/// Bytes of a file of nodes, or of a state file, at most.
 const MAX_FILE_BYTES: u64 = 64 << 20;
-/// Lines of the log that all sources together may fill in one span; the rest is counted. What peers write may cause lines.
+/// Log lines of all sources together in one window at most; the rest is counted. What others write to a source may cause lines.
 const MAX_LOG_LINES: u32 = 40;
-/// The span.
+/// The window.
 const LOG_WINDOW: Millis = 10_000.0;
 
-/// The sources of one front driver.
+/// The sources of the endpoint list and the list itself.
 pub struct Membership {
     driver: Rc<Driver>,
     endpoints: RefCell<Roster>,
-    /// As they were read at the start.
+    /// The sources as they were read at the start, in order of precedence.
     sources: Vec<Source>,
-    /// Where what they said is written down for a later life.
+    /// Where the list of each source is persisted for a restart.
     state_file: Option<PathBuf>,
-    /// The agent's place among them.
+    /// The agent's index among the sources.
     agent_index: Option<usize>,
-    /// Where each etcd is, by its place among the sources.
+    /// The endpoints of each etcd, by its index among the sources.
     etcd_places: BTreeMap<usize, watch::Sender<Place>>,
-    /// Versions of the files of nodes: each reading is one.
+    /// Reads of files of nodes: each is a version.
     file_reads: Cell<u64>,
-    /// When a late change was last told of.
+    /// When a late change was last logged.
     late_logged_at: Cell<Millis>,
-    /// How much the log has been told lately.
+    /// What was logged in the present window.
     log_limit: Cell<LogLimit>,
-    /// Something may have come due earlier.
+    /// The next deadline may have changed.
     timer_changed: Notify,
-    /// Something was said that is not written down yet.
+    /// The state file is out of date.
     state_changed: Notify,
 }
 
 impl Membership {
-    /// With these sources, the one that goes before the others first.
+    /// An empty list of these sources.
     pub fn new(driver: Rc<Driver>, sources: Sources) -> Rc<Membership> {
         let Sources {
             list: sources,
@@ -88,7 +89,7 @@
         })
     }
 
-    /// Begins with the list that the front driver was started with: as the first source's word, until it speaks.
+    /// Restores the list of the configuration file: it counts as the agent's list until the agent reports.
     pub fn restore_known_list(&self, known: &Members) {
         let source_index = self.agent_index.unwrap_or(0);
         let update =
@@ -98,8 +99,8 @@
         self.publish(update);
     }
 
-    /// Begins with what each source had said in the last life, where that is written down. The list that the front driver was
-    /// started with is newer than the agent's part of it, and comes after.
+    /// Restores the list of each source from the state file. The list of the configuration file is newer than the agent's part
+    /// of it, and is restored after it.
     pub fn restore_state_file(&self) {
         let Some(path) = &self.state_file else { return };
         let memberships: BTreeMap<String, Members> = match read_bounded(path) {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Writes down what the sources say whenever it has changed, at most once in [`PERSIST_INTERVAL`].
+    /// Writes the state file whenever a list has changed, at most once in [`PERSIST_INTERVAL`].
     async fn persist_changes(self: Rc<Self>, path: PathBuf) {
         let mut failing = false;
         loop {
@@ -138,7 +139,7 @@
                     .collect()
             };
             let (target, temporary) = (path.clone(), path.with_extension("new"));
-            // Off the one thread: a slow disk holds up no request. A file that is there is whole at any moment.
+            // On another thread: a slow disk delays no request. The file is replaced at once, so it is complete at any moment.
             let written = tokio::task::spawn_blocking(move || {
                 std::fs::write(&temporary, serde_json::to_vec(&memberships)?)?;
                 std::fs::rename(&temporary, &target)
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Follows every source but the agent, and carries out what comes due, for as long as the front driver runs.
+    /// Follows every source but the agent, and handles deadlines, for as long as the process runs.
     pub fn start(self: &Rc<Self>, seed: u64) {
         tokio::task::spawn_local(self.clone().run_timers());
         if let Some(path) = &self.state_file {
@@ -170,7 +171,6 @@
                     let Some(place) = self.etcd_places.get(&at) else {
                         continue;
                     };
-                    // The driver's clock counts in Unix time.
                     let settings = maplefall_etcd::Settings {
                         seed: seed ^ at as u64,
                         ..follow.clone()
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Goes over to sources that were read anew at SIGHUP: endpoints, credentials and files of nodes move at once, what is
-    /// known stays; what else has changed takes a restart.
+    /// Applies sources that were read again at SIGHUP: endpoints, credentials and files of nodes change at once and the list
+    /// stays; any other change needs a restart, and is logged.
     pub fn reload(&self, sources: &Sources) {
         let remember = &sources.remember;
         let sources = &sources.list;
@@ -233,12 +233,12 @@
         }
     }
 
-    /// The agent's place among the sources, if it is one.
+    /// The agent's index among the sources, if it is one.
     pub fn agent(&self) -> Option<usize> {
         self.agent_index
     }
 
-    /// Takes in what came of following the agent.
+    /// Applies an output of the agent's follower.
     pub fn apply_agent_output(&self, output: maplefall_discovery_agent::Output) {
         match output {
             maplefall_discovery_agent::Output::Tell(event) => self.take(event),
@@ -248,7 +248,7 @@
                     one_line(&report.to_string())
                 ));
             }
-            // Calls are the carrier's.
+            // Calls are made by `discovery`.
             maplefall_discovery_agent::Output::Ask { .. }
             | maplefall_discovery_agent::Output::HangUp(_) => {}
         }
@@ -258,7 +258,7 @@
         let name = &self.sources[at].settings.name;
         match output {
             Output::Command(_) => {}
-            // Ordinary comings and goings of nodes are not told of one by one; these are about the source.
+            // Ordinary changes of nodes are not logged one by one; these are about the source.
             Output::Report(report @ Report::Unreadable { .. }) => {
                 self.log(&format_args!("{name}: passed over: {report}"));
             }
@@ -314,14 +314,14 @@
         }
     }
 
-    /// A line of the log, unless there were many.
+    /// Writes a log line, unless there were many.
     fn log(&self, line: &dyn Display) {
-        let mut lines = self.log_limit.get();
-        let admitted = lines.admit(self.driver.clock.now());
-        self.log_limit.set(lines);
-        if let Some(left_out) = admitted {
-            if left_out > 0 {
-                eprintln!("membership: {left_out} lines were left out");
+        let mut log_limit = self.log_limit.get();
+        let admitted = log_limit.admit(self.driver.clock.now());
+        self.log_limit.set(log_limit);
+        if let Some(suppressed) = admitted {
+            if suppressed > 0 {
+                eprintln!("membership: {suppressed} lines were left out");
             }
             eprintln!("membership: {line}");
         }
@@ -332,7 +332,9 @@
             let deadline = self.endpoints.borrow().next_due();
             let sleep = async {
                 match deadline {
-                    Some(due) => tokio::time::sleep_until(self.driver.clock.instant(due)).await,
+                    Some(deadline) => {
+                        tokio::time::sleep_until(self.driver.clock.instant(deadline)).await
+                    }
                     None => std::future::pending().await,
                 }
             };
@@ -383,7 +385,7 @@
     client::Straight
 }
 
-/// How many lines the log was told in a span.
+/// How many lines were logged in the present window.
 #[derive(Clone, Copy, Debug, Default)]
 struct LogLimit {
     window_start: Millis,
@@ -392,7 +394,7 @@
 }
 
 impl LogLimit {
-    /// Whether a line may be told now; if so, how many were left out before it.
+    /// Whether a line may be logged now; if so, how many were suppressed before it.
     fn admit(&mut self, now: Millis) -> Option<u32> {
         if now - self.window_start >= LOG_WINDOW {
             (self.window_start, self.written) = (now, 0);
@@ -409,15 +411,15 @@
 
 /// A file of bounded length; `None` if there is none.
 fn read_bounded(path: &Path) -> Result<Option<Vec<u8>>, String> {
-    let parsed = || {
+    let read = || {
         let mut text = Vec::new();
-        // The length is that of what is read: a file may grow while it is.
+        // The bytes read are counted: a file may grow while it is read.
         let count = std::fs::File::open(path)?
             .take(MAX_FILE_BYTES + 1)
             .read_to_end(&mut text)?;
         std::io::Result::Ok((text, count as u64))
     };
-    match parsed() {
+    match read() {
         Ok((_, count)) if count > MAX_FILE_BYTES => {
             Err(format!("{MAX_FILE_BYTES} bytes at most were expected"))
         }
@@ -427,10 +429,13 @@
     }
 }
 
-/// Ids that could not be used, each with the reason.
+/// Ids of nodes that cannot be used, each with the reason.
 type UnusableNodes = Vec<(String, String)>;
 
-/// The nodes of a file: one JSON object, from ids to the documents that etcd's values hold too.
+/// The nodes of a file: one JSON object, from ids to the documents that are values in etcd too.
+///
+/// # Errors
+/// The file cannot be read, is too long, is no JSON object, or has too many nodes.
 fn read_nodes(path: &Path) -> Result<(Vec<Member>, UnusableNodes), String> {
     let text = read_bounded(path)?.ok_or("there is no such file")?;
     let documents: BTreeMap<String, serde_json::Value> =
@@ -450,7 +455,7 @@
     Ok((nodes, unread))
 }
 
-/// Where a file of nodes is, for `check`.
+/// Every mistake in a file of nodes, for `maplefall check`.
 pub fn file_mistakes(path: &Path) -> Vec<String> {
     match read_nodes(path) {
         Ok((_, unread)) => unread
--- a/crates/maplefall/src/net/membership/tests.rs
+++ b/crates/maplefall/src/net/membership/tests.rs
@@ -2,14 +2,17 @@
 
 use super::*;
 
-/// Guards against a log that a peer fills: it is told so much in a span, and how much was left out.
+/// Guards against a log that a peer fills: so many lines are admitted in a window, and the rest is counted.
 #[test]
-fn the_log_is_told_so_much_in_a_span_and_the_rest_is_counted() {
-    let mut lines = LogLimit::default();
-    let told = (0..10_000)
-        .filter(|n| lines.admit(1e6 + f64::from(*n) / 10.0).is_some())
+fn log_lines_are_limited_per_window_and_the_rest_is_counted() {
+    let mut log_limit = LogLimit::default();
+    let admitted = (0..10_000)
+        .filter(|n| log_limit.admit(1e6 + f64::from(*n) / 10.0).is_some())
         .count();
-    assert_eq!(told, MAX_LOG_LINES as usize);
-    assert_eq!(lines.admit(1e6 + LOG_WINDOW), Some(10_000 - MAX_LOG_LINES));
-    assert_eq!(lines.admit(1e6 + LOG_WINDOW), Some(0));
+    assert_eq!(admitted, MAX_LOG_LINES as usize);
+    assert_eq!(
+        log_limit.admit(1e6 + LOG_WINDOW),
+        Some(10_000 - MAX_LOG_LINES)
+    );
+    assert_eq!(log_limit.admit(1e6 + LOG_WINDOW), Some(0));
 }
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -1,4 +1,7 @@
-//! The grpc_server door on real sockets: the parts round the decision module and how they start and stop.
+//! The decision module on real sockets: the parts round it, and how they start, reload and stop.
+//!
+//! All run on one thread. Imports run one way: `clients`, `grpc::server`, `auth` and `membership` use `driver`; the driver uses
+//! `backends`, `grpc::{attempt, proxied_call}` and `counts`.
 
 mod auth;
 mod auth_settings;
@@ -20,70 +23,113 @@
 use auth::Auth;
 use clients::Clients;
 use config::Config;
+use counts::SharedCounts;
+use counts_settings::CountsSettings;
 use driver::Driver;
 use grpc::{GrpcServer, GrpcSettings};
 use maplefall_discovery_agent::Follower;
 use maplefall_policy::Discovery;
 use membership::Membership;
+use sources::Sources;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 
-/// How soon a configuration that could not be used at SIGHUP is read again, and how many times: whoever writes it is done
-/// within a minute.
+/// How long after a configuration could not be used at SIGHUP it is read again. Its writer is done within a minute.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Reads of such a configuration at most.
 const MAX_RELOAD_RETRIES: u32 = 300;
 
-/// Serves until a SIGTERM has been carried out.
+/// Serves until a SIGTERM has been handled.
+///
+/// # Errors
+/// One line: what cannot be used, or which address cannot be listened on.
 pub async fn run() -> Result<(), String> {
     let no_signals = |error| format!("no signals: {error}");
     // Before anything else: until they are caught, both end the process.
-    let mut hangup = signal(SignalKind::hangup()).map_err(no_signals)?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(no_signals)?;
+    let hangup = signal(SignalKind::hangup()).map_err(no_signals)?;
+    let terminate = signal(SignalKind::terminate()).map_err(no_signals)?;
     let config = Config::from_env().map_err(|error| error.to_string())?;
-    let listen = config.listen;
-    let listener = tokio::net::TcpListener::bind(listen)
-        .await
-        .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
-    let bound = listener
-        .local_addr()
-        .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
+    let (listener, bound) = listen_for_clients(config.listen).await?;
     let sources = sources::from_env()?;
     let classes = &config.parsed.settings.classes;
     let effects: Vec<_> = classes.iter().map(|class| class.effect).collect();
     let auth_settings = auth_settings::from_env(&config.parsed.names.classes, &effects)?;
     let auth_sockets = auth::reserved_sockets(auth_settings.as_ref(), config.limits.sockets);
     let grpc_settings = grpc::from_env(&config.parsed.names.classes)?;
-    let shared = counts_settings::from_env()?;
+    let counts_settings = counts_settings::from_env()?;
     let reserved_sockets = auth_sockets
         + grpc::reserved_sockets(grpc_settings.as_ref())
-        + usize::from(shared.is_some());
+        + usize::from(counts_settings.is_some());
     let driver = Driver::new(&config, reserved_sockets, grpc_settings.as_ref());
     let auth =
         auth_settings.map(|settings| Auth::new(settings, driver.clock, config.seed, auth_sockets));
     if let Some(auth) = &auth {
         tokio::task::spawn_local(auth.clone().run_timers());
     }
-    if let Some(shared) = shared {
-        let name = config.name.clone();
-        let counts = counts::SharedCounts::start(
-            shared,
-            &name,
-            driver.clock,
-            config.seed,
-            driver.settings.gateways,
-        )
-        .await?;
-        driver.enable_shared_counts(counts.clone());
-        let driver = driver.clone();
-        let notify = move |at, usage| driver.record_usage_elsewhere(at, usage);
-        tokio::task::spawn_local(counts.run(notify));
+    if let Some(settings) = counts_settings {
+        start_shared_counts(&config, &driver, settings).await?;
     }
     tokio::task::spawn_local(driver.clone().run_timers());
     tokio::task::spawn_local(driver.clone().close_idle_connections());
-    let agent = watch::Sender::new(config.discovery[0]);
+    let agent_address = watch::Sender::new(config.discovery[0]);
+    let membership = start_membership(&config, &driver, sources, &agent_address);
+    let clients = Clients::new(driver.clone(), auth.clone(), config.limits.sockets);
+    tokio::task::spawn_local(clients.clone().accept(listener));
+    tokio::task::spawn_local(clients.clone().sweep());
+    eprintln!("{}: serving on {bound}", config.name);
+    let grpc_server = match grpc_settings {
+        Some(settings) => Some(start_grpc(&config.name, &driver, &auth, settings).await?),
+        None => None,
+    };
+    // Reloads go on while the process drains: discovery may move in that time, and drains of backends bind the last request as
+    // they bind the first.
+    tokio::select! {
+        () = reload_on(hangup, &config.name, &agent_address, &membership, auth.as_deref()) => {}
+        () = stop_on(terminate, &config.name, &clients, grpc_server.as_deref()) => {}
+    }
+    Ok(())
+}
+
+/// Opens the port for clients of HTTP/1.1.
+async fn listen_for_clients(listen: SocketAddr) -> Result<(TcpListener, SocketAddr), String> {
+    let no_port = |error| format!("cannot listen on {listen}: {error}");
+    let listener = TcpListener::bind(listen).await.map_err(no_port)?;
+    let bound = listener.local_addr().map_err(no_port)?;
+    Ok((listener, bound))
+}
+
+/// Starts to share usage with peers.
+async fn start_shared_counts(
+    config: &Config,
+    driver: &Rc<Driver>,
+    settings: CountsSettings,
+) -> Result<(), String> {
+    let counts = SharedCounts::start(
+        settings,
+        &config.name,
+        driver.clock,
+        config.seed,
+        driver.settings.gateways,
+    )
+    .await?;
+    driver.enable_shared_counts(counts.clone());
+    let driver = driver.clone();
+    let notify = move |at, usage| driver.record_usage_elsewhere(at, usage);
+    tokio::task::spawn_local(counts.run(notify));
+    Ok(())
+}
+
+/// Restores the list of backends and starts to follow its sources.
+fn start_membership(
+    config: &Config,
+    driver: &Rc<Driver>,
+    sources: Sources,
+    agent_address: &watch::Sender<SocketAddr>,
+) -> Rc<Membership> {
     let membership = Membership::new(driver.clone(), sources);
     membership.restore_state_file();
     if let Some(known) = &config.known {
@@ -91,74 +137,78 @@
     }
     membership.start(config.seed);
     if let Some(source) = membership.agent() {
-        let settings = &config.parsed.settings;
-        let follower = Follower::new(
-            maplefall_discovery_agent::Settings {
-                source,
-                // Where it pushes, it is an agent on this machine, which answers at once and at no cost, and what it has
-                // been sent counts as told. Where it must be asked, it is one service for all doors.
-                own: settings.discovery == Discovery::Pushed,
-                sharing: settings.gateways,
-                stop_within: settings.drain_grace,
-                seed: config.seed,
-                places: config.discovery.clone(),
-                known: config.known.clone(),
-            },
-            driver.clock.now(),
-        );
+        let settings = agent_settings(config, source);
+        let follower = Follower::new(settings, driver.clock.now());
         let subscriber = membership.clone();
         let deliver = move |output| subscriber.apply_agent_output(output);
         tokio::task::spawn_local(discovery::follow(
             follower,
             driver.clock,
-            agent.subscribe(),
+            agent_address.subscribe(),
             deliver,
         ));
     }
-    let clients = Clients::new(driver.clone(), auth.clone(), config.limits.sockets);
-    tokio::task::spawn_local(clients.clone().accept(listener));
-    tokio::task::spawn_local(clients.clone().sweep());
-    eprintln!("{}: serving on {bound}", config.name);
-    let grpc_server = match grpc_settings {
-        Some(settings) => Some(start_grpc(&config.name, &driver, &auth, settings).await?),
-        None => None,
-    };
-    // For as long as anything is served, so also while the program stops: discovery may move in that time, and what it
-    // tells of backends that leave binds the last request as it binds the first.
-    let reloads = async {
-        let mut retries_left = 0;
-        loop {
-            // A file that is not whole when its signal comes is read again: nobody sends a second one.
-            let signalled = tokio::select! {
-                received = hangup.recv() => received.is_some(),
-                () = tokio::time::sleep(RELOAD_RETRY_INTERVAL), if retries_left > 0 => false,
-            };
-            let usable = reload_configuration(&config.name, &agent, &membership, signalled);
-            retries_left = match (usable, signalled) {
-                (true, _) => 0,
-                (false, true) => MAX_RELOAD_RETRIES,
-                (false, false) => retries_left.saturating_sub(1),
-            };
-            if let Some(auth) = auth.as_ref().filter(|_| signalled) {
-                auth.clear_cache();
-            }
-        }
-    };
-    let stopped = async {
-        terminate.recv().await;
-        eprintln!("{}: stopping", config.name);
-        let calls = async {
-            if let Some(grpc_server) = &grpc_server {
-                grpc_server.stop().await;
-            }
+    membership
+}
+
+/// How the agent is followed, which is the source with this index.
+fn agent_settings(config: &Config, source: usize) -> maplefall_discovery_agent::Settings {
+    let settings = &config.parsed.settings;
+    maplefall_discovery_agent::Settings {
+        source,
+        // Where discovery pushes, it is an agent on this machine, which answers at once and at no cost, and what it has sent
+        // counts as acknowledged. Where it is polled, it is one service for all proxies.
+        own: settings.discovery == Discovery::Pushed,
+        sharing: settings.gateways,
+        stop_within: settings.drain_grace,
+        seed: config.seed,
+        places: config.discovery.clone(),
+        known: config.known.clone(),
+    }
+}
+
+/// Reloads the configuration at each SIGHUP, and for a while after one whose configuration could not be used: a file that is
+/// incomplete when the signal comes is read again, as there is no second signal.
+async fn reload_on(
+    mut hangup: Signal,
+    name: &str,
+    agent_address: &watch::Sender<SocketAddr>,
+    membership: &Membership,
+    auth: Option<&Auth>,
+) {
+    let mut retries_left = 0;
+    loop {
+        let signalled = tokio::select! {
+            received = hangup.recv() => received.is_some(),
+            () = tokio::time::sleep(RELOAD_RETRY_INTERVAL), if retries_left > 0 => false,
         };
-        tokio::join!(clients.stop(), calls);
-    };
-    tokio::select! {
-        () = reloads => {}
-        () = stopped => {}
+        let usable = reload_configuration(name, agent_address, membership, signalled);
+        retries_left = match (usable, signalled) {
+            (true, _) => 0,
+            (false, true) => MAX_RELOAD_RETRIES,
+            (false, false) => retries_left.saturating_sub(1),
+        };
+        if let Some(auth) = auth.filter(|_| signalled) {
+            auth.clear_cache();
+        }
     }
-    Ok(())
+}
+
+/// Drains all clients after SIGTERM.
+async fn stop_on(
+    mut terminate: Signal,
+    name: &str,
+    clients: &Clients,
+    grpc_server: Option<&GrpcServer>,
+) {
+    terminate.recv().await;
+    eprintln!("{name}: stopping");
+    let calls = async {
+        if let Some(grpc_server) = grpc_server {
+            grpc_server.stop().await;
+        }
+    };
+    tokio::join!(clients.stop(), calls);
 }
 
 /// Opens the port for gRPC.
@@ -170,9 +220,7 @@
 ) -> Result<Rc<GrpcServer>, String> {
     let listen = settings.listen;
     let no_port = |error| format!("cannot listen on {listen} for gRPC: {error}");
-    let listener = tokio::net::TcpListener::bind(listen)
-        .await
-        .map_err(no_port)?;
+    let listener = TcpListener::bind(listen).await.map_err(no_port)?;
     let bound = listener.local_addr().map_err(no_port)?;
     let grpc_server = GrpcServer::new(driver.clone(), auth.clone(), settings);
     tokio::task::spawn_local(grpc_server.clone().accept(listener));
@@ -180,12 +228,12 @@
     Ok(grpc_server)
 }
 
-/// Re-reads the configuration and the file of sources after SIGHUP. Only where discovery and etcd answer, and credentials,
-/// can change while the program runs; what cannot be used is told (once: where `told`), and the old goes on. Tells whether the
-/// configuration could be used.
+/// Reads the configuration and the file of sources again after SIGHUP; `true` if the configuration could be used. Only the
+/// addresses of discovery and of etcd, and credentials, can change while the process runs. What cannot be used is logged, once
+/// for a signal, and the old remains.
 fn reload_configuration(
     name: &str,
-    agent: &watch::Sender<SocketAddr>,
+    agent_address: &watch::Sender<SocketAddr>,
     membership: &Membership,
     signalled: bool,
 ) -> bool {
@@ -194,8 +242,8 @@
     match config {
         Ok(address) => {
             eprintln!("{name}: discovery is at {address}");
-            // Also where it is the same: the watch is opened anew.
-            agent.send_replace(address);
+            // Also where it is the same: the watch is opened again.
+            agent_address.send_replace(address);
         }
         Err(error) if signalled => eprintln!("{name}: the old configuration goes on: {error}"),
         Err(_) => {}
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -1,5 +1,5 @@
-//! Validation: what a client's request must look like before the decisions see it. Nothing here is lenient:
-//! what goes on to a backend is what a client of this service would have written, or it is answered 400.
+//! Validation: what a client's request must look like before the decision module sees it. Nothing here is lenient: what is
+//! forwarded is what a client of this service would have written, and anything else is rejected.
 
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Bytes, Incoming as IncomingBody};
@@ -13,12 +13,12 @@
 use maplefall_protocol::{Incoming, Order, LONGEST_BODY};
 use maplefall_settings::{plain, Names};
 
-/// A customer's number is below this.
+/// Numbers of customers are below this.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
-/// Longest id of a request, and longest key.
+/// Bytes of a request's id, and of an idempotency key, at most.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Why a request is turned down unread by the decisions.
+/// Why a request is rejected before the decision module sees it.
 #[derive(Debug, thiserror::Error)]
 pub enum Bad {
     /// A header is missing, repeated or not what it should be.
@@ -156,16 +156,16 @@
     }
 }
 
-/// What a request takes from its owner's quota, and how many front doors its owner's set has.
+/// What a request takes from its customer's quota, and over how many proxies its customer's requests are spread.
 pub struct Terms {
     /// Units.
     pub units: f64,
-    /// Front doors.
+    /// Proxies.
     pub spread: f64,
 }
 
 impl Terms {
-    /// Only what the settings have room for: the decisions would clamp a figure beyond it and serve the request.
+    /// Reads the header; `None` for figures beyond the settings, which the decision module would clamp and serve.
     pub fn read(text: &str, settings: &Settings) -> Option<Terms> {
         let proxies = settings.gateways.max(1);
         let (mut units, mut spread, mut first) = (None, None, None);
@@ -223,14 +223,14 @@
         .filter(|number: &f64| number.is_finite() && *number > 0.0)
 }
 
-/// A whole number, also where it is written with decimals.
+/// An integer, also where it is written with decimals.
 fn parse_integer(text: &str) -> Option<u32> {
     let number: f64 = text.parse().ok()?;
     (number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX))
         .then_some(number as u32)
 }
 
-/// The customer that the one cookie of that name tells.
+/// The customer that the one cookie `client` names.
 pub fn customer(headers: &HeaderMap) -> Option<CustomerId> {
     let line = text(headers, &COOKIE).ok()?;
     let mut names = line
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -1,5 +1,5 @@
-//! The file of sources (`MAPLEFALL_SOURCES`, a TOML file; `deploy/sources.toml` is one): who may tell of backends, in which
-//! order of precedence. Without it the platform's agent is the only source.
+//! The file of sources (`MAPLEFALL_SOURCES`, a TOML file; `deploy/sources.toml` is one): where the list of backends comes from,
+//! in order of precedence. Without it the platform's agent is the only source.
 
 use maplefall_etcd::client::Place;
 use maplefall_membership::SourceSettings;
@@ -9,14 +9,14 @@
 
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_SOURCES";
-/// Most sources, and endpoints of one.
+/// Sources at most, and endpoints of one.
 const MAX_SOURCES: usize = 8;
 const MAX_ENDPOINTS: usize = 16;
 
 /// One source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Source {
-    /// How the roster treats it.
+    /// How its reports are merged with those of other sources.
     pub settings: SourceSettings,
     /// What it is.
     pub kind: Kind,
@@ -29,25 +29,25 @@
     Agent,
     /// A prefix of an etcd.
     Etcd {
-        /// Where.
+        /// Its endpoints and credentials.
         place: Place,
-        /// How.
+        /// The prefix and the timeouts.
         follow: maplefall_etcd::Settings,
     },
     /// A file of nodes, read at the start and at SIGHUP.
     File(PathBuf),
 }
 
-/// All that a file of sources says.
+/// The contents of a file of sources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sources {
-    /// The sources, the one that goes before the others first.
+    /// The sources, the one with precedence first.
     pub list: Vec<Source>,
-    /// Where what they said is written down for a later life.
+    /// Where the list of each source is persisted for a restart; nowhere by default.
     pub remember: Option<PathBuf>,
 }
 
-/// What there is without a file.
+/// The sources without a file.
 pub fn agent_only() -> Sources {
     let agent = Source {
         settings: SourceSettings::trusted("agent"),
--- a/crates/maplefall/src/net/sources/tests.rs
+++ b/crates/maplefall/src/net/sources/tests.rs
@@ -4,7 +4,7 @@
 
 /// Guards the example that ships: whoever copies it begins with a file that can be used.
 #[test]
-fn the_shipped_example_names_an_agent_and_an_etcd() {
+fn shipped_example_names_an_agent_and_an_etcd() {
     let list = parse(include_str!("../../../../../deploy/sources.toml"))
         .unwrap()
         .list;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn every_mistake_is_told_with_its_field() {
+fn reports_every_mistake_with_its_field() {
     let text = "[[source]]\nkind = \"agent\"\nprefix = \"/x\"\nbelieved_part = 2\n\
                 [[source]]\nkind = \"etcd\"\nendpoints = [\"ftp://a\"]\nuser = \"u\"\nretry_ms = [5, 1]\n\
                 [[source]]\nkind = \"agent\"\n[[source]]\nkind = \"file\"\n";
@@ -60,7 +60,7 @@
 
 #[cfg(not(feature = "tls"))]
 #[test]
-fn a_build_without_tls_says_so() {
+fn https_needs_a_build_with_tls() {
     let text = "[[source]]\nkind = \"etcd\"\nprefix = \"/x\"\nendpoints = [\"https://a:1\"]\n";
     assert!(parse(text).unwrap_err()[0].contains("feature tls"));
 }
