--- /dev/null
+++ b/crates/maplefall/tests/grpc/connections.rs
@@ -0,0 +1,263 @@
+//! Connections to backends: GOAWAY, liveness, limits, drains and shutdown.
+
+use crate::harness::*;
+use maplefall_event_trace::Recorder;
+use maplefall_test_servers::agent::{Agent, List};
+use maplefall_test_servers::grpc::{framed, Client, Fault, Service};
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+#[test]
+fn client_that_disconnects_ends_its_attempt_without_a_retry() {
+    run(async {
+        let bed = bed(2, "");
+        bed.faults(&[(Fault::Silent, 1.0)]);
+        let client = bed.client().await;
+        let (answer, mut stream) = client.begin(&call("gone", READ, "8S")).await.unwrap();
+        stream.send_data(framed(b"x"), true).unwrap();
+        while bed.attempts("gone") == 0 {
+            tokio::task::yield_now().await;
+        }
+        drop((answer, stream));
+        // The same connection serves others meanwhile, and nothing more comes of the one that left.
+        bed.faults(&[]);
+        for n in 0..30 {
+            assert_eq!(
+                client
+                    .call(&call(&format!("o{n}"), READ, "8S"))
+                    .await
+                    .code(),
+                Some(0)
+            );
+            tokio::time::sleep(Duration::from_millis(5)).await;
+        }
+        assert_eq!(bed.attempts("gone"), 1);
+    });
+}
+
+/// A backend written frame by frame: what the library would not do on call.
+async fn raw_backend(listener: TcpListener, answer: impl Fn(usize) -> Vec<u8>) -> usize {
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    listener.set_nonblocking(true).unwrap();
+    let listener = tokio::net::TcpListener::from_std(listener).unwrap();
+    let mut connections = 0;
+    loop {
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let bytes = answer(connections);
+        connections += 1;
+        let mut got = Vec::new();
+        // SETTINGS, empty; then whatever is called for, once the call has come whole (END_STREAM on its DATA).
+        stream
+            .write_all(&[0, 0, 0, 4, 0, 0, 0, 0, 0])
+            .await
+            .unwrap();
+        let ended = loop {
+            if stream.read_buf(&mut got).await.unwrap_or(0) == 0 {
+                break false;
+            }
+            // A PING is answered.
+            if let Some(at) = got.windows(9).position(|w| w[..5] == [0, 0, 8, 6, 0]) {
+                if got.len() >= at + 17 {
+                    let mut pong = got[at..at + 17].to_vec();
+                    pong[4] = 1;
+                    stream.write_all(&pong).await.unwrap();
+                    got.drain(..at + 17);
+                }
+            }
+            if got
+                .windows(9)
+                .any(|w| w[3] == 0 && w[4] & 1 == 1 && w[5..9] == [0, 0, 0, 1])
+            {
+                break true;
+            }
+        };
+        if ended {
+            stream.write_all(&bytes).await.unwrap();
+        }
+    }
+}
+
+fn go_away(last: u8) -> Vec<u8> {
+    vec![0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, last, 0, 0, 0, 0]
+}
+
+/// Guards the two meanings of a `GOAWAY`: streams above its last were never looked at, those up to it may have run though the
+/// connection ends behind it.
+#[test]
+fn last_stream_of_a_goaway_says_what_may_have_run() {
+    run(async {
+        for (last, runs) in [(0, false), (1, true)] {
+            let raw = listener();
+            let well = listener();
+            let addresses = [raw.local_addr().unwrap(), well.local_addr().unwrap()];
+            tokio::task::spawn_local(raw_backend(raw, move |_| go_away(last)));
+            let service = Service::new(1);
+            tokio::task::spawn_local(service.clone().serve(well));
+            let (program, grpc) = start(&addresses, "", &[], settings_without_quota());
+            let client = Client::open(grpc).await.unwrap();
+            let (mut served, mut failed, mut refused) = (0, 0, 0);
+            for n in 0..12 {
+                let seen = client.call(&call(&format!("g{n}"), CHARGE, "5S")).await;
+                match seen.code() {
+                    Some(0) => served += 1,
+                    Some(2) if seen.trailer("grpc-retry-pushback-ms") == Some("-1") => failed += 1,
+                    // Turned away by both, or with no third attempt left.
+                    Some(14) => refused += 1,
+                    _ => panic!("{seen:?}"),
+                }
+                tokio::time::sleep(Duration::from_millis(30)).await;
+            }
+            let told =
+                format!("last stream {last}: {served} served, {failed} failed, {refused} refused");
+            assert!(served > 6 && (failed > 0) == runs, "{told}");
+            drop(program);
+        }
+    });
+}
+
+/// Guards calls that must not run twice against connections that are dead unseen: they are asked before anything goes out.
+#[test]
+fn non_idempotent_call_avoids_connections_that_do_not_answer_a_ping() {
+    run(async {
+        let dead = listener();
+        let well = listener();
+        let addresses = [dead.local_addr().unwrap(), well.local_addr().unwrap()];
+        // The system accepts for it; nobody ever answers.
+        let service = Service::new(1);
+        tokio::task::spawn_local(service.clone().serve(well));
+        let (_program, grpc) = start(&addresses, "", &[], settings_without_quota());
+        let client = Client::open(grpc).await.unwrap();
+        for n in 0..6 {
+            let seen = client.call(&call(&format!("c{n}"), CHARGE, "2S")).await;
+            assert_eq!(seen.code(), Some(0), "{seen:?}");
+        }
+        drop(dead);
+    });
+}
+
+#[test]
+fn backend_with_few_streams_gets_more_connections() {
+    run(async {
+        let bed = bed(1, "streams = 64");
+        bed.services[0].streams(2);
+        bed.services[0].work(Duration::from_millis(5));
+        let client = bed.client().await;
+        let calls = (0..40).map(|n| {
+            let client = client.clone();
+            tokio::task::spawn_local(async move {
+                client.call(&call(&format!("n{n}"), READ, "8S")).await
+            })
+        });
+        for seen in calls.collect::<Vec<_>>() {
+            assert!(matches!(seen.await.unwrap().code(), Some(0 | 14)));
+        }
+    });
+}
+
+/// Guards drains where connections stay open for hundreds of calls: nothing new begins at a node that drains, and what it has
+/// is finished.
+#[test]
+fn draining_backend_gets_no_new_call_on_open_connections() {
+    use maplefall_protocol::{Health, Member};
+    run(async {
+        let listeners = [listener(), listener()];
+        let services: Vec<Rc<Service>> = (0..2).map(Service::new).collect();
+        let members: Vec<Member> = listeners
+            .iter()
+            .enumerate()
+            .map(|(n, listener)| Member {
+                host: format!("node-{n}"),
+                dial: listener.local_addr().unwrap(),
+                site: "uio-1".to_owned(),
+                block: 0,
+                health: Health::Up,
+                share: 1.0,
+                born_ms: 0.0,
+            })
+            .collect();
+        for (service, listener) in services.iter().zip(listeners) {
+            service.work(Duration::from_millis(20));
+            tokio::task::spawn_local(service.clone().serve(listener));
+        }
+        let place = listener();
+        let discovery = place.local_addr().unwrap();
+        place.set_nonblocking(true).unwrap();
+        let list = List::new(members.clone());
+        let known = serde_json::to_value(list.whole()).unwrap();
+        let agent = Agent::new(0, list, Recorder::new(), 0.0);
+        agent.listen(place, Duration::ZERO);
+        let (_program, grpc) = start_known("", &[], settings_without_quota(), discovery, known);
+        let over = Rc::new(std::cell::Cell::new(false));
+        let mut clients = tokio::task::JoinSet::new();
+        for number in 0..16 {
+            let over = over.clone();
+            clients.spawn_local(async move {
+                let client = Client::open(grpc).await.unwrap();
+                let (mut served, mut asked) = (0, 0);
+                while !over.get() {
+                    let path = [READ, WATCH, CHARGE][asked % 3];
+                    let seen = client
+                        .call(&call(&format!("d{number}-{asked}"), path, "5S"))
+                        .await;
+                    // What was begun at the draining node is finished; some may be turned away.
+                    assert!(matches!(seen.code(), Some(0 | 14)), "{seen:?}");
+                    asked += 1;
+                    served += usize::from(seen.code() == Some(0));
+                }
+                served
+            });
+        }
+        while services[0].seen() < 100 {
+            tokio::time::sleep(Duration::from_millis(2)).await;
+        }
+        let told = Instant::now();
+        agent.tell(&Member {
+            health: Health::Draining,
+            ..members[0].clone()
+        });
+        tokio::time::sleep(Duration::from_millis(900)).await;
+        over.set(true);
+        let mut calls = 0;
+        while let Some(served) = clients.join_next().await {
+            calls += served.unwrap();
+        }
+        let last = services[0].last().unwrap();
+        let after = last.saturating_duration_since(told);
+        let before = told.saturating_duration_since(last);
+        println!("{calls} calls; the last new one {after:?} after the drain was told, or {before:?} before");
+        assert!(after < Duration::from_millis(500), "{after:?}");
+        assert!(
+            before < Duration::from_millis(200),
+            "{before:?}: it was not in use"
+        );
+        assert!(
+            services[1].last().unwrap() > told + Duration::from_millis(700),
+            "the other went on"
+        );
+    });
+}
+
+#[test]
+fn accepted_calls_are_finished_on_sigterm() {
+    run(async {
+        let mut bed = bed(1, "");
+        bed.services[0].work(Duration::from_millis(300));
+        let client = bed.client().await;
+        let open = tokio::task::spawn_local({
+            let client = client.clone();
+            async move { client.call(&call("t", CHARGE, "5S")).await }
+        });
+        while bed.attempts("t") == 0 {
+            tokio::time::sleep(Duration::from_millis(2)).await;
+        }
+        bed.program.terminate();
+        assert_eq!(open.await.unwrap().code(), Some(0));
+        drop(client);
+        assert!(tokio::task::spawn_blocking(move || bed.program.wait())
+            .await
+            .unwrap()
+            .success());
+        let _ = bed.addresses;
+    });
+}
--- /dev/null
+++ b/crates/maplefall/tests/grpc/mixed_faults.rs
@@ -0,0 +1,126 @@
+//! All faults at once.
+
+use crate::harness::*;
+use maplefall_test_servers::grpc::{Client, Fault};
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// Guards the one status and the attempts of each call under everything at once: over 10,000 calls of all classes and shapes.
+#[test]
+fn ten_thousand_calls_under_mixed_faults_have_one_status_and_no_attempt_too_many() {
+    const CLIENTS: usize = 40;
+    const EACH: usize = 255;
+    const PATHS: [&str; 6] = [READ, EXTEND, CHARGE, WATCH, WATCH_CHARGE, UPLOAD];
+    run(async {
+        // Backends that are wanted to answer within 200 ms: what takes longer than a client's time is refused unseen.
+        let mut quick = settings_without_quota();
+        (0..3).for_each(|class| quick["grades"][class]["aim"] = serde_json::json!(200.0));
+        let bed = test_bed_with(3, "connections = 64", &[], quick);
+        let late = Duration::from_millis(700);
+        bed.faults(&[
+            (Fault::Status(14), 0.02),
+            (Fault::Status(5), 0.02),
+            (Fault::Status(13), 0.01),
+            (Fault::TurnedAway(14), 0.02),
+            (Fault::Refused, 0.02),
+            (Fault::ResetUnanswered(2), 0.02),
+            (Fault::ResetUnanswered(8), 0.01),
+            (Fault::ResetWithin(2), 0.02),
+            (Fault::CutMessage, 0.02),
+            (Fault::NoStatus, 0.01),
+            (Fault::NoMessage, 0.01),
+            (Fault::LateTrailers(late), 0.003),
+            (Fault::LateHead(late), 0.003),
+            (Fault::Silent, 0.003),
+            (Fault::Drop, 0.002),
+            (Fault::Page(503), 0.01),
+            (Fault::StreamCut(1), 0.01),
+        ]);
+        let began = Instant::now();
+        let mut clients = tokio::task::JoinSet::new();
+        for number in 0..CLIENTS {
+            let address = bed.grpc;
+            clients.spawn_local(async move {
+                let client = Client::open(address).await.unwrap();
+                let mut seen = Vec::new();
+                for n in 0..EACH {
+                    let (id, path) = (format!("m{number}-{n}"), PATHS[(n + number) % PATHS.len()]);
+                    let answer = client.call(&call(&id, path, "600m")).await;
+                    seen.push((id, path, answer));
+                }
+                seen
+            });
+        }
+        let mut all = Vec::new();
+        while let Some(seen) = clients.join_next().await {
+            all.extend(seen.unwrap());
+        }
+        let mut codes: BTreeMap<u8, usize> = BTreeMap::new();
+        let mut again = 0;
+        for (id, path, seen) in &all {
+            // One status, from the front door, in time: the reader would have told a reset or a second one.
+            let code = seen
+                .code()
+                .unwrap_or_else(|| panic!("{id} {path}: no status: {seen:?}"));
+            assert_eq!(seen.reset, None, "{id}: {seen:?}");
+            assert!(
+                seen.took < Duration::from_millis(600 + 58),
+                "{id} {path} was late: {:?} {seen:?}",
+                seen.took
+            );
+            *codes.entry(code).or_default() += 1;
+            let (attempts, ran) = (bed.attempts(id), bed.ran(id));
+            again += usize::from(attempts > 1);
+            assert!(attempts <= 3, "{id}: {attempts} attempts");
+            let unsafe_ = [CHARGE, WATCH_CHARGE].contains(path);
+            if unsafe_ {
+                assert!(ran <= 1, "{id} {path} ran {ran} times");
+                // What is refused has not run.
+                assert!(code != 14 || ran == 0, "{id} was refused and ran: {seen:?}");
+            }
+            match code {
+                0 => {
+                    // A stream may be empty, and is whole all the same.
+                    let counts = if [WATCH, WATCH_CHARGE].contains(path) {
+                        [0, 3]
+                    } else {
+                        [1, 1]
+                    };
+                    assert!(
+                        counts.contains(&seen.messages.len()) && seen.cut == 0,
+                        "{id}: {seen:?}"
+                    );
+                    assert!(
+                        seen.messages.iter().all(|message| message == id.as_bytes()),
+                        "{id}: {seen:?}"
+                    );
+                    assert!(ran >= 1, "{id} was served and did not run");
+                }
+                5 => assert_eq!(
+                    seen.trailer("receipt-bin"),
+                    Some("AAEC"),
+                    "the application's own word: {seen:?}"
+                ),
+                14 => {}
+                // A failure tells its client not to call again.
+                _ => assert_eq!(
+                    seen.trailer("grpc-retry-pushback-ms"),
+                    Some("-1"),
+                    "{id} {path}: {seen:?}"
+                ),
+            }
+        }
+        println!(
+            "{} calls in {:.1} s, {} attempts, {again} calls sent again, by status {codes:?}",
+            all.len(),
+            began.elapsed().as_secs_f64(),
+            bed.services
+                .iter()
+                .map(|service| service.seen())
+                .sum::<usize>()
+        );
+        assert_eq!(all.len(), CLIENTS * EACH);
+        assert!(all.len() >= 10_000 && again > 100, "{again}");
+        assert!(codes[&0] > 7000, "{codes:?}");
+    });
+}
