--- a/crates/maplefall/tests/forward_auth.rs
+++ b/crates/maplefall/tests/forward_auth.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn who_passes_is_served_with_the_services_word_and_who_does_not_gets_its_answer_whole() {
+fn allowed_caller_is_served_with_the_services_headers_and_denied_caller_gets_its_response() {
     run(async {
         let bed = bed(1, "");
         bed.auth.grant(
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_flood_past_quota_is_not_passed_on_to_the_service() {
+fn flood_over_quota_is_not_forwarded_to_the_service() {
     run(async {
         let bed = bed(1, "");
         bed.auth.grant("ana", &["Cache-Control: no-store"]);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_dead_service_is_found_out_and_what_it_cannot_say_is_answered_at_once() {
+fn dead_service_is_detected_and_its_callers_are_answered_at_once() {
     run(async {
         let bed = bed(
             1,
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_died_while_idle_costs_no_denial() {
+fn pooled_connection_that_died_while_idle_causes_no_denial() {
     run(async {
         let bed = bed(1, "tries = 1\nfailures = 1");
         bed.auth.grant("ana", &[]);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn what_would_split_a_response_or_has_no_end_is_no_verdict() {
+fn response_that_smuggles_or_has_no_end_is_no_verdict() {
     run(async {
         for fault in [
             Fault::Splitting,
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_its_check_is_carried_to_its_end_on_sigterm() {
+fn request_that_waits_for_its_check_is_finished_on_sigterm() {
     run(async {
         let mut bed = bed(1, "limit_ms = 2000");
         bed.auth.grant("ana", &[]);
--- a/crates/maplefall/tests/http/client_connections.rs
+++ b/crates/maplefall/tests/http/client_connections.rs
@@ -6,8 +6,8 @@
 /// Guards against a front door full of idle connections: a new client gets in all the same.
 #[test]
 fn idle_connections_are_closed_for_new_clients() {
-    let discovery = Place::new();
-    let backend = Place::new();
+    let discovery = Listener::new();
+    let backend = Listener::new();
     let known = members(1, true, &[member("s-0", backend.address(), "up")]);
     // Few enough descriptors that 60 connections are too many.
     let mut program = Program::start_within(64, settings(), discovery.address(), known);
@@ -27,11 +27,11 @@
 /// Guards against clients that begin a request and never end it: at the limit they make room too.
 #[test]
 fn stalled_requests_are_closed_for_new_clients() {
-    let discovery = Place::new();
-    let backend = Place::new();
+    let discovery = Listener::new();
+    let backend = Listener::new();
     let known = members(1, true, &[member("s-0", backend.address(), "up")]);
     let program = Program::start_within(64, settings(), discovery.address(), known);
-    let stalled: Vec<Wire> = (0..40)
+    let stalled: Vec<Connection> = (0..40)
         .map(|_| {
             let mut client = program.client();
             client.write("GET /_health HTTP/1.1\r\nHo");
@@ -49,14 +49,14 @@
 /// served may stay.
 #[test]
 fn connection_without_a_complete_request_is_closed_in_time() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let mut usual = scene.program.client();
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     usual.write(health);
     usual.read();
-    let good = request_of("id-1", "charge", "wide", LONG);
+    let good = request_of("id-1", "charge", "wide", LONG_TIMEOUT);
     let begun = std::time::Instant::now();
-    let mut clients: Vec<Wire> = ["", &good[..40], &good[..good.len() - 2]]
+    let mut clients: Vec<Connection> = ["", &good[..40], &good[..good.len() - 2]]
         .iter()
         .map(|text| {
             let mut client = scene.program.client();
@@ -90,12 +90,12 @@
 /// Guards usual clients in a crowd: to make room, those that never spoke go before one that did.
 #[test]
 fn silent_connections_are_closed_before_used_ones() {
-    let discovery = Place::new();
-    let backend = Place::new();
+    let discovery = Listener::new();
+    let backend = Listener::new();
     let known = members(1, true, &[member("s-0", backend.address(), "up")]);
     let program = Program::start_within(64, settings(), discovery.address(), known);
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-    let mut usual: Vec<Wire> = (0..8).map(|_| program.client()).collect();
+    let mut usual: Vec<Connection> = (0..8).map(|_| program.client()).collect();
     let mut ask = |silent: usize| {
         for client in &mut usual {
             client.write(health);
@@ -103,7 +103,7 @@
         }
     };
     ask(0);
-    let held: Vec<Wire> = (1..=60)
+    let held: Vec<Connection> = (1..=60)
         .map(|number| {
             let client = program.client();
             ask(number);
--- a/crates/maplefall/tests/http/discovery.rs
+++ b/crates/maplefall/tests/http/discovery.rs
@@ -6,9 +6,9 @@
 /// backend left a request is refused at once.
 #[test]
 fn draining_backend_gets_nothing_new() {
-    let mut scene = Scene::new(1);
+    let mut scene = TestBed::new(1);
     let mut client = scene.program.client();
-    client.write(request_of("id-1", "read", "wide", LONG));
+    client.write(request_of("id-1", "read", "wide", LONG_TIMEOUT));
     let mut backend = scene.backends[0].accept();
     backend.read();
     backend.answer(200, "", "ok");
@@ -20,7 +20,7 @@
     );
     scene.watch.line(&line.to_string());
     backend.expect_end();
-    client.write(request_of("id-2", "read", "wide", LONG));
+    client.write(request_of("id-2", "read", "wide", LONG_TIMEOUT));
     assert_eq!(client.read().status(), 429);
     assert!(scene.nobody_called());
     // Told that it is back, the front door sends again; until the line has come, it refuses.
@@ -29,7 +29,12 @@
         .line(&members(9, true, &[member("s-0", scene.backends[0].address(), "up")]).to_string());
     let mut backend = (3..)
         .find_map(|id| {
-            client.write(request_of(&format!("id-{id}"), "read", "wide", LONG));
+            client.write(request_of(
+                &format!("id-{id}"),
+                "read",
+                "wide",
+                LONG_TIMEOUT,
+            ));
             let accepted = scene.backends[0].accept_or(&client);
             if accepted.is_none() {
                 assert_eq!(client.read().status(), 429);
@@ -46,21 +51,21 @@
 /// before the first byte is written. Nothing was sent, so the request is refused.
 #[test]
 fn backend_that_drains_while_it_is_dialed_gets_nothing() {
-    let discovery = Place::new();
-    let (backend, fillers) = crowded_place();
+    let discovery = Listener::new();
+    let (backend, fillers) = listener_with_full_backlog();
     let up = [member("s-0", backend.address(), "up")];
     let program = Program::start(settings(), discovery.address(), members(7, true, &up));
     let mut wire = discovery.accept();
     wire.read();
-    let mut watch = Watch::begin(wire);
+    let mut watch = AgentWatch::begin(wire);
     let mut client = program.client();
-    client.write(request_of("id-1", "charge", "wide", LONG));
+    client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
     wait_for("a dial that hangs", || {
-        dialling(backend.address()).then_some(())
+        has_pending_connect(backend.address()).then_some(())
     });
     watch.line(&members(8, false, &[member("s-0", backend.address(), "draining")]).to_string());
     watch.end();
-    // Asking from 8 shows that the line has been taken in.
+    // OpenBackends from 8 shows that the line has been taken in.
     discovery.asked("?watch=1&from=8");
     for _ in &fillers {
         backend.accept();
@@ -73,13 +78,13 @@
 /// by asking for the whole list.
 #[test]
 fn watch_is_resumed_and_an_unreadable_line_fetches_the_full_list() {
-    let mut scene = Scene::new(1);
+    let mut scene = TestBed::new(1);
     let hosts = [member("s-0", scene.backends[0].address(), "up")];
     scene.watch.line("");
     scene.watch.line(&members(12, false, &hosts).to_string());
     scene.watch.end();
     let wire = scene.discovery.asked("?watch=1&from=12");
-    let mut watch = Watch::begin(wire);
+    let mut watch = AgentWatch::begin(wire);
     watch.line("{\"seq\":13,\"whole\":");
     let mut wire = scene.discovery.asked("");
     wire.answer(200, "", &members(20, true, &hosts).to_string());
@@ -89,7 +94,7 @@
 /// Guards against a watch whose other end has vanished: it says nothing and does not end.
 #[test]
 fn silent_watch_is_reopened() {
-    let mut scene = Scene::new(1);
+    let mut scene = TestBed::new(1);
     scene.watch.fall_silent();
     scene.discovery.asked("?watch=1&from=7");
 }
@@ -97,14 +102,14 @@
 /// Guards the start: the front is told to come only when there is a list to serve from.
 #[test]
 fn readiness_waits_for_a_list() {
-    let discovery = Place::new();
+    let discovery = Listener::new();
     let program = Program::start(settings(), discovery.address(), serde_json::Value::Null);
     let mut wire = discovery.asked("");
     let mut client = program.client();
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
     client.write(health);
     assert_eq!(client.read().status(), 503);
-    let backend = Place::new();
+    let backend = Listener::new();
     wire.answer(
         200,
         "",
--- a/crates/maplefall/tests/http/process.rs
+++ b/crates/maplefall/tests/http/process.rs
@@ -8,7 +8,7 @@
 /// close theirs, and the program ends by itself with 0.
 #[test]
 fn sigterm_answers_accepted_requests_and_exits_with_0() {
-    let mut scene = Scene::new(1);
+    let mut scene = TestBed::new(1);
     let mut idle = scene.program.client();
     idle.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(idle.read().header("connection"), None);
@@ -17,10 +17,10 @@
     scene.program.terminate();
     assert_eq!(scene.program.log_line(), "n0: stopping\n");
     let mut late = scene.program.client();
-    late.write(request_of("id-2", "charge", "wide", LONG));
+    late.write(request_of("id-2", "charge", "wide", LONG_TIMEOUT));
     let mut second = scene.backends[0].accept();
     assert_eq!(second.read().header("request-id"), Some("id-2"));
-    let kept = |backend: &mut Wire, client: &mut Wire| {
+    let kept = |backend: &mut Connection, client: &mut Connection| {
         backend.answer(200, "", "kept");
         let answer = client.read();
         assert_eq!(
@@ -86,7 +86,7 @@
 /// discovery is followed at once, from the version last seen, though the variable still tells the old one.
 #[test]
 fn new_configuration_moves_the_watch_and_a_bad_one_does_not() {
-    let mut scene = Scene::new(1);
+    let mut scene = TestBed::new(1);
     let (mut client, mut backend) = scene.hold("id-1");
     let mut config = scene.program.config.clone();
     for bad in [
@@ -98,10 +98,10 @@
         assert!(line.contains("old configuration goes on"), "{line}");
     }
     // The old watch is still the one that counts.
-    let moved = Place::new();
+    let moved = Listener::new();
     let hosts = [member("s-0", moved.address(), "up")];
     scene.watch.line(&members(8, false, &hosts).to_string());
-    let fresh = Place::new();
+    let fresh = Listener::new();
     config["discovery"] = fresh.address().to_string().into();
     wait_for("the line to be taken in", || {
         scene.program.reload(&config.to_string());
--- a/crates/maplefall/tests/http/requests.rs
+++ b/crates/maplefall/tests/http/requests.rs
@@ -5,9 +5,9 @@
 /// Guards the way there and back: what must go on unchanged does, and the answer's body too.
 #[test]
 fn request_is_forwarded_unchanged_and_its_response_comes_back() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let mut client = scene.program.client();
-    client.write(request_of("id-1", "extend", "wide", LONG));
+    client.write(request_of("id-1", "extend", "wide", LONG_TIMEOUT));
     let mut backend = scene.backends[0].accept();
     let sent = backend.read();
     assert_eq!(sent.first, "POST /extend/a?b=c HTTP/1.1");
@@ -31,9 +31,9 @@
 /// Guards against a new connection for every request: they cost the backend work.
 #[test]
 fn connections_on_both_sides_are_reused() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let mut client = scene.program.client();
-    client.write(request_of("id-1", "read", "wide", LONG));
+    client.write(request_of("id-1", "read", "wide", LONG_TIMEOUT));
     let mut backend = scene.backends[0].accept();
     for id in ["id-1", "id-2", "id-3"] {
         assert_eq!(backend.read().header("request-id"), Some(id));
@@ -44,7 +44,7 @@
                 if id == "id-1" { "id-2" } else { "id-3" },
                 "read",
                 "wide",
-                LONG,
+                LONG_TIMEOUT,
             ));
         }
     }
@@ -54,10 +54,10 @@
 /// Guards against two attempts out for one id: a copy that comes while the first is out is turned down.
 #[test]
 fn id_in_flight_is_rejected() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let (mut client, mut backend) = scene.hold("id-1");
     let mut second = scene.program.client();
-    second.write(request_of("id-1", "charge", "wide", LONG));
+    second.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
     assert_eq!(second.read().status(), 409);
     assert!(scene.nobody_called());
     backend.answer(200, "", "once");
@@ -67,8 +67,8 @@
 /// Guards against bad input: each gets one plain answer, and nothing of it reaches a backend.
 #[test]
 fn bad_requests_are_rejected() {
-    let scene = Scene::new(1);
-    let good = request_of("id-1", "charge", "wide", LONG);
+    let scene = TestBed::new(1);
+    let good = request_of("id-1", "charge", "wide", LONG_TIMEOUT);
     let without = |name: &str| {
         let lines = good.split("\r\n").filter(|line| !line.starts_with(name));
         lines.collect::<Vec<_>>().join("\r\n")
@@ -163,10 +163,14 @@
 /// Guards memory: a head that goes on and on is turned down, not kept.
 #[test]
 fn endless_head_is_rejected() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let mut client = scene.program.client();
     let long = format!("X: {}\r\nHost: ser", "x".repeat(70_000));
-    client.write(request_of("id-1", "charge", "wide", LONG).replacen("Host: ser", &long, 1));
+    client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT).replacen(
+        "Host: ser",
+        &long,
+        1,
+    ));
     assert_eq!(client.read().status(), 431);
     assert!(scene.nobody_called());
 }
@@ -174,9 +178,9 @@
 /// Guards quotas: beyond its quota a customer is refused at once and told when to come back.
 #[test]
 fn customer_over_its_quota_is_rejected_with_retry_after() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let mut client = scene.program.client();
-    client.write(request_of("id-0", "read", "narrow", LONG));
+    client.write(request_of("id-0", "read", "narrow", LONG_TIMEOUT));
     let mut backend = scene.backends[0].accept();
     let mut served = 0;
     for id in 1.. {
@@ -185,7 +189,12 @@
         backend.answer(200, "", "ok");
         assert_eq!(client.read().status(), 200);
         served += 1;
-        client.write(request_of(&format!("id-{id}"), "read", "narrow", LONG));
+        client.write(request_of(
+            &format!("id-{id}"),
+            "read",
+            "narrow",
+            LONG_TIMEOUT,
+        ));
         if client.speaks_before(&backend) {
             break;
         }
@@ -205,15 +214,15 @@
 /// is not served, and its connection is closed before anything behind it is read.
 #[test]
 fn chunks_beside_a_length_are_rejected_and_smuggle_nothing() {
-    let scene = Scene::new(1);
-    let hidden = request_of("id-2", "charge", "wide", LONG);
+    let scene = TestBed::new(1);
+    let hidden = request_of("id-2", "charge", "wide", LONG_TIMEOUT);
     let (length, chunks) = ("Content-Length: 5", "Transfer-Encoding: chunked");
     for framing in [
         format!("{length}\r\n{chunks}"),
         format!("{chunks}\r\n{length}"),
         chunks.to_owned(),
     ] {
-        let good = request_of("id-1", "charge", "wide", LONG).replacen(length, &framing, 1);
+        let good = request_of("id-1", "charge", "wide", LONG_TIMEOUT).replacen(length, &framing, 1);
         let head = good.strip_suffix("hello").unwrap();
         let mut client = scene.program.client();
         client.write(format!("{head}0\r\n\r\n{hidden}"));
@@ -227,7 +236,7 @@
 /// somebody else's. It guards memory too: no wait is longer than the class allows.
 #[test]
 fn id_is_accepted_once_and_no_wait_exceeds_the_class_deadline() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let mut client = scene.program.client();
     client.write(request_of("id-1", "charge", "wide", "1e12"));
     let mut backend = scene.backends[0].accept();
@@ -240,7 +249,7 @@
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
     backend.answer(200, "", "once");
     assert_eq!(client.read().status(), 200);
-    client.write(request_of("id-1", "charge", "wide", LONG));
+    client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
     assert_eq!(client.read().status(), 409);
     client.expect_end();
     assert!(scene.nobody_called());
--- a/crates/maplefall/tests/http/responses.rs
+++ b/crates/maplefall/tests/http/responses.rs
@@ -13,9 +13,9 @@
         (copy, false),
         ("noise", false),
     ] {
-        let scene = Scene::new(1);
+        let scene = TestBed::new(1);
         let mut client = scene.program.client();
-        client.write(request_of("id-1", "charge", "wide", LONG));
+        client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
         let mut backend = scene.backends[0].accept();
         backend.read();
         let good = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
@@ -27,7 +27,7 @@
             assert_eq!(client.read().body, b"one");
             backend.write(behind);
         }
-        client.write(request_of("id-2", "charge", "wide", LONG));
+        client.write(request_of("id-2", "charge", "wide", LONG_TIMEOUT));
         let mut second = scene.backends[0].accept();
         assert_eq!(second.read().header("request-id"), Some("id-2"));
         second.answer(200, "", "two");
@@ -74,9 +74,9 @@
         ("a head without end", head.as_str()),
     ];
     for (name, text) in cases {
-        let scene = Scene::new(1);
+        let scene = TestBed::new(1);
         let mut client = scene.program.client();
-        client.write(request_of("id-1", "charge", "wide", LONG));
+        client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
         let mut backend = scene.backends[0].accept();
         backend.read();
         let begun = std::time::Instant::now();
@@ -88,7 +88,7 @@
             "{name}: waited for more"
         );
         backend.expect_end();
-        client.write(request_of("id-2", "charge", "wide", LONG));
+        client.write(request_of("id-2", "charge", "wide", LONG_TIMEOUT));
         let mut second = scene.backends[0].accept();
         assert_eq!(second.read().header("request-id"), Some("id-2"));
         second.answer(200, "", "fine");
@@ -99,7 +99,7 @@
 /// Guards good answers with odd company: 1xx ahead and figures that say nothing spoil nothing.
 #[test]
 fn good_response_with_odd_figures_is_served() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let (mut client, mut backend) = scene.hold("id-1");
     backend.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
     backend.answer(
@@ -118,10 +118,10 @@
 /// again and again: the room that each takes is given back.
 #[test]
 fn long_response_is_passed_on_completely() {
-    let scene = Scene::new(1);
+    let scene = TestBed::new(1);
     let mut client = scene.program.client();
     let long = "0123456789abcdef".repeat(25_000);
-    client.write(request_of("id-0", "charge", "wide", LONG));
+    client.write(request_of("id-0", "charge", "wide", LONG_TIMEOUT));
     let mut backend = scene.backends[0].accept();
     // More than the memory would hold together.
     for number in 1..=200 {
@@ -139,6 +139,11 @@
             "number {number}: {} bytes",
             answer.body.len()
         );
-        client.write(request_of(&format!("id-{number}"), "charge", "wide", LONG));
+        client.write(request_of(
+            &format!("id-{number}"),
+            "charge",
+            "wide",
+            LONG_TIMEOUT,
+        ));
     }
 }
--- a/crates/maplefall/tests/membership.rs
+++ b/crates/maplefall/tests/membership.rs
@@ -89,8 +89,8 @@
 }
 
 fn file(text: &str) -> String {
-    static FILES: AtomicU32 = AtomicU32::new(0);
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let path = format!(
         "{}/sources-{}-{number}.toml",
         env!("CARGO_TARGET_TMPDIR"),
@@ -109,17 +109,17 @@
 }
 
 #[test]
-fn etcd_alone_feeds_the_list_and_its_endpoints_move_at_sighup() {
+fn etcd_alone_feeds_the_list_and_its_endpoints_change_at_sighup() {
     let cluster = Cluster::new();
-    let backends = [Place::new(), Place::new(), Place::new()];
+    let backends = [Listener::new(), Listener::new(), Listener::new()];
     cluster.put("a", backends[0].address(), "up");
     let sources = file(&cluster.source(&[0]));
-    let nobody = Place::new();
+    let nobody = Listener::new();
     let variables = [("MAPLEFALL_SOURCES", sources.as_str())];
     let program = Program::start_with(&variables, 256, settings(), nobody.address(), Value::Null);
     ready(&program);
     assert!(!nobody.called(), "an agent that is no source is not asked");
-    let mut asking = Asking::new(&program, &backends);
+    let mut asking = OpenBackends::new(&program, &backends);
     asking.only(0);
     cluster.put("b", backends[1].address(), "up");
     cluster.put("a", backends[0].address(), "draining");
@@ -134,9 +134,9 @@
 }
 
 #[test]
-fn a_drain_told_by_etcd_holds_against_the_agent() {
+fn drain_reported_by_etcd_overrides_the_agent() {
     let cluster = Cluster::new();
-    let backends = [Place::new(), Place::new(), Place::new()];
+    let backends = [Listener::new(), Listener::new(), Listener::new()];
     for (id, backend) in ["a", "b"].iter().zip(&backends) {
         cluster.put(id, backend.address(), "up");
     }
@@ -144,7 +144,7 @@
         "[[source]]\nkind = \"agent\"\n{}",
         cluster.source(&[0, 1])
     ));
-    let discovery = Place::new();
+    let discovery = Listener::new();
     let list: Vec<Value> = ["a", "b", "c"]
         .iter()
         .zip(&backends)
@@ -156,10 +156,10 @@
     let mut program = Program::start_with(&variables, 256, settings(), discovery.address(), known);
     let mut wire = discovery.accept();
     wire.read();
-    let mut watch = Watch::begin(wire);
+    let mut watch = AgentWatch::begin(wire);
     // Both are heard: from here on nothing goes to a.
     while !program.log_line().contains("watching from revision") {}
-    let mut asking = Asking::new(&program, &backends);
+    let mut asking = OpenBackends::new(&program, &backends);
     assert!(asking.only(1).is_empty(), "a drained backend was used");
     // The agent says up, in a change and in a whole list; then it drains b, which leaves c alone.
     let draining = |id: &str, at: usize| member(id, backends[at].address(), "draining");
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_file_of_sources_with_mistakes_is_told_field_by_field() {
+fn mistakes_in_a_file_of_sources_are_reported_by_field() {
     let path = file("[[source]]\nkind = \"etcd\"\nendpoints = [\"127.0.0.1:1\"]\n");
     let output = Command::new(env!("CARGO_BIN_EXE_maplefall"))
         .args(["check", &path])
@@ -210,8 +210,8 @@
 }
 
 #[test]
-fn a_file_of_nodes_adds_nodes_and_is_read_again_at_sighup() {
-    let backends = [Place::new(), Place::new()];
+fn file_of_nodes_adds_nodes_and_is_reloaded_at_sighup() {
+    let backends = [Listener::new(), Listener::new()];
     let nodes = file("");
     let write = |which: usize| {
         let text =
@@ -222,7 +222,7 @@
     let sources = file(&format!(
         "[[source]]\nkind = \"file\"\npath = \"{nodes}\"\n"
     ));
-    let nobody = Place::new();
+    let nobody = Listener::new();
     let known = Value::Null;
     let config = serde_json::json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": nobody.address().to_string(), "seed": "1",
@@ -248,7 +248,7 @@
         config,
         path,
     };
-    let mut asking = Asking::new(&program, &backends);
+    let mut asking = OpenBackends::new(&program, &backends);
     asking.only(0);
     write(1);
     program.reload(&program.config.to_string());
@@ -257,11 +257,11 @@
 
 /// Guards the ageing of what only a lost source knows, and that it goes on by itself, with nothing said.
 #[test]
-fn what_only_a_lost_agent_knows_is_given_up_while_etcd_is_there() {
+fn nodes_known_to_a_lost_agent_only_are_removed_while_etcd_is_up() {
     let cluster = Cluster::new();
-    let backends = [Place::new(), Place::new()];
+    let backends = [Listener::new(), Listener::new()];
     cluster.put("b", backends[1].address(), "up");
-    let (refusing, _held) = refusing_place();
+    let (refusing, _held) = refusing_address();
     let text = format!(
         "[[source]]\nkind = \"agent\"\nkeep_ms = 300\n{}",
         cluster.source(&[0])
@@ -275,19 +275,19 @@
         .log_line()
         .contains("a was known from lost sources only: given up")
     {}
-    Asking::new(&program, &backends).only(1);
+    OpenBackends::new(&program, &backends).only(1);
 }
 
 /// Guards against an agent that has begun to count anew and is not believed any more: a backend that started since shows
 /// at once that its word is the newer one.
 #[test]
-fn an_agent_that_counts_anew_is_believed() {
-    let Scene {
+fn agent_that_restarts_its_versions_is_accepted() {
+    let TestBed {
         program,
         mut watch,
         backends,
         ..
-    } = Scene::new(2);
+    } = TestBed::new(2);
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
@@ -307,7 +307,7 @@
         list(3, true, ["up", "draining"], [born, 0.0]),
         list(4, false, ["draining", "up"], [born, 0.0]),
     ];
-    let mut asking = Asking::new(&program, &backends);
+    let mut asking = OpenBackends::new(&program, &backends);
     for (line, serves) in lines.iter().zip([1, 0, 1]) {
         watch.line(line);
         asking.only(serves);
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_file_that_is_too_long_is_not_read() {
+fn file_that_is_too_long_is_not_read() {
     let nodes = file("");
     std::fs::File::options()
         .write(true)
@@ -339,9 +339,9 @@
 
 /// Guards a restart while etcd is away: the list, and who stopped what, outlive the process where there is a disk.
 #[test]
-fn a_later_life_begins_with_what_the_last_one_wrote_down() {
+fn restart_restores_the_persisted_list() {
     let cluster = Cluster::new();
-    let backends = [Place::new(), Place::new()];
+    let backends = [Listener::new(), Listener::new()];
     cluster.put("a", backends[0].address(), "draining");
     cluster.put("b", backends[1].address(), "up");
     let path = file("");
@@ -352,7 +352,7 @@
         cluster.source(&[0])
     ));
     let variables = [("MAPLEFALL_SOURCES", sources.as_str())];
-    let discovery = Place::new();
+    let discovery = Listener::new();
     let list: Vec<Value> = ["a", "b"]
         .iter()
         .zip(&backends)
@@ -382,17 +382,17 @@
     // The agent says up of both; etcd's drain of a holds, though etcd is away.
     let mut wire = discovery.accept();
     wire.read();
-    let mut watch = Watch::begin(wire);
+    let mut watch = AgentWatch::begin(wire);
     watch.line(&members(1, true, &list).to_string());
-    Asking::new(&program, &backends).only(1);
+    OpenBackends::new(&program, &backends).only(1);
     // The list that it is started with comes to what is written down, and does not take its place.
     drop(program);
     drop(watch);
     while discovery.called() {}
-    let nobody = Place::new();
+    let nobody = Listener::new();
     let only_etcd = file(&format!("remember = \"{path}\"\n{}", cluster.source(&[0])));
     let variables_too = [("MAPLEFALL_SOURCES", only_etcd.as_str())];
-    let (refusing, _held) = refusing_place();
+    let (refusing, _held) = refusing_address();
     for serves in [0, 1] {
         // One of the two is of no use: whoever is served is so by the other.
         let at = |which: usize| {
@@ -406,7 +406,7 @@
         std::fs::write(&path, words.to_string()).expect("a file");
         let known = members(7, true, &[member("b", at(1), "up")]);
         let program = Program::start_with(&variables_too, 256, settings(), nobody.address(), known);
-        Asking::new(&program, &backends).only(serves);
+        OpenBackends::new(&program, &backends).only(serves);
     }
     // What cannot be read is told, and all begins with nothing.
     std::fs::write(&path, "{").expect("a file");
--- a/crates/maplefall/tests/shared_counts.rs
+++ b/crates/maplefall/tests/shared_counts.rs
@@ -240,7 +240,7 @@
 /// Never over the truth while a third is lost, a tenth doubled and all held back; under it by no more than what was let in
 /// during the stated time; equal once all is quiet.
 #[test]
-fn shared_totals_against_the_true_use() {
+fn shared_totals_match_the_true_usage() {
     run(async {
         let bed = bed(4, settings());
         bed.met().await;
@@ -283,7 +283,7 @@
 
 /// A split that heals, and a door that is killed, comes back with nothing and hears of its own earlier life.
 #[test]
-fn a_split_heals_and_a_restarted_door_is_counted_once() {
+fn partition_heals_and_a_restarted_proxy_is_counted_once() {
     run(async {
         let mut bed = bed(4, settings());
         bed.met().await;
@@ -330,7 +330,7 @@
 /// and a quarter of it without. It asks for four times its quota; what was sold is what the backend charged in the end, since
 /// a third of the requests are settled at half of what they were let in for. Both bounds go by the time that really passed.
 #[test]
-fn what_is_really_left_is_given_where_the_requests_come() {
+fn remaining_quota_is_available_where_the_requests_come() {
     const RATE: f64 = 20.0;
     const BURST: f64 = 40.0;
     const CUSTOMER: u64 = 9;
@@ -386,7 +386,7 @@
 
 /// The command line against a running door: members, customers, a wrong key, nobody there.
 #[test]
-fn the_command_line_shows_members_and_customers() {
+fn command_line_shows_members_and_customers() {
     run(async {
         let bed = bed(2, settings());
         bed.met().await;
