--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -1,10 +1,12 @@
-//! Forward authentication: sub-requests to the service, on kept connections, and what its answers mean. Who is asked, for
-//! how long and what becomes of the verdict, `maplefall-forward-auth` decides; this file only carries.
+//! Forward authentication: sub-requests to the service on pooled connections, and what its responses mean.
+//!
+//! `maplefall-forward-auth` decides which server is asked, for how long, and what is cached. Invariant: a caller's decision is
+//! there before its request's deadline, and a wait that is dropped leaves nothing behind (`WaitGuard`).
 
-use super::auth_settings::{AuthSettings, Part};
+use super::auth_settings::{AuthSettings, KeyPart};
 #[cfg(feature = "breakages")]
 use super::breakages::{self, Breakage};
-use super::door::Door;
+use super::driver::Driver;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming as IncomingBody};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
@@ -26,17 +28,17 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-/// How long a connection to the service may take to come up.
-const DIAL: Millis = 250.0;
-/// Most questions out where descriptors are few: one for so many of them.
-const SOCKETS_EACH: usize = 16;
+/// How long a connection to the service may take to be established, in milliseconds.
+const DIAL_TIMEOUT: Millis = 250.0;
+/// Where descriptors are few, one check may be in flight for so many of them.
+const SOCKETS_PER_CHECK: usize = 16;
 
-/// What goes with a verdict.
+/// What the service's response gives to the request.
 #[derive(Debug)]
-pub enum Carried {
-    /// Headers that go on to the backend.
+pub enum AuthResponse {
+    /// Headers for the backend.
     Onward(Vec<(HeaderName, HeaderValue)>),
-    /// The service's own answer.
+    /// The service's own response, for the client.
     Denial {
         /// Its status.
         status: StatusCode,
@@ -49,57 +51,57 @@
 
 /// What became of a request whose caller was to be checked.
 pub enum Checked {
-    /// It goes on: its answer is to come.
+    /// It goes on.
     Passed,
-    /// The decisions ended it first.
+    /// The decision module answered it first.
     Answered(Answer),
-    /// The service's own answer is its answer.
-    Denied(Rc<Carried>),
-    /// Its caller could not be checked: nothing has run.
+    /// The service's response is its answer.
+    Denied(Rc<AuthResponse>),
+    /// Its caller could not be checked: no attempt was made.
     Unchecked,
 }
 
-/// What is known of a caller before it is asked for.
+/// A caller to be checked.
 pub struct Caller {
     key: Key,
-    sent: Rc<HeaderMap>,
+    headers: Rc<HeaderMap>,
     class: ClassId,
 }
 
-/// Headers of a question that requests wait for.
-struct Asked {
-    sent: Rc<HeaderMap>,
-    waiting: usize,
+/// A check that requests wait for.
+struct PendingCheck {
+    headers: Rc<HeaderMap>,
+    waiters: usize,
 }
 
 struct Waiter {
     key: Key,
-    tell: oneshot::Sender<Decision<Carried>>,
+    decision_sender: oneshot::Sender<Decision<AuthResponse>>,
 }
 
-/// The checks of one front door.
+/// The checks of callers.
 pub struct Auth {
     settings: AuthSettings,
     clock: Clock,
-    ring: Keyring,
-    gate: RefCell<Gate<Carried>>,
-    waiting: RefCell<HashMap<u64, Waiter>>,
-    last: Cell<u64>,
-    /// By question; as many as there are waiting requests at most.
-    asked: RefCell<HashMap<Key, Asked>>,
-    /// Tasks of the questions that are out.
-    out: RefCell<HashMap<CheckId, AbortHandle>>,
+    key_ring: Keyring,
+    gate: RefCell<Gate<AuthResponse>>,
+    waiters: RefCell<HashMap<u64, Waiter>>,
+    last_waiter_id: Cell<u64>,
+    /// By the key of the caller; as many as there are waiting requests at most.
+    pending_checks: RefCell<HashMap<Key, PendingCheck>>,
+    /// Tasks of the checks in flight.
+    in_flight: RefCell<HashMap<CheckId, AbortHandle>>,
     pools: Pools,
-    stirred: Notify,
+    timer_changed: Notify,
 }
 
 /// Descriptors that checks may take, out of those for backends.
-pub fn sockets(settings: Option<&AuthSettings>, descriptors: usize) -> usize {
+pub fn reserved_sockets(settings: Option<&AuthSettings>, descriptors: usize) -> usize {
     settings.map_or(0, |settings| {
         settings
             .gate
             .most_out
-            .min((descriptors / SOCKETS_EACH).max(1))
+            .min((descriptors / SOCKETS_PER_CHECK).max(1))
     })
 }
 
@@ -108,19 +110,19 @@
 }
 
 impl Auth {
-    /// Checks by these settings, with so many descriptors.
+    /// Checks by these settings, on `sockets` connections at most.
     pub fn new(mut settings: AuthSettings, clock: Clock, seed: u64, sockets: usize) -> Rc<Auth> {
         settings.gate.most_out = settings.gate.most_out.min(sockets);
         settings.gate.seed = seed;
         let links = Links {
-            dial_timeout: DIAL,
+            dial_timeout: DIAL_TIMEOUT,
             idle_close: settings.idle_close,
         };
         let pools = Pools::new(links, sockets);
         for (at, server) in settings.servers.iter().enumerate() {
             pools.open(server_id(at), server.dial, 0.0);
         }
-        // Of this process and of nobody else: keys of one life say nothing in another.
+        // Known to this process only: keys of one start mean nothing in another.
         let secret = [seed.to_be_bytes(), process_secret()]
             .concat()
             .try_into()
@@ -129,27 +131,27 @@
             gate: RefCell::new(Gate::new(settings.gate.clone())),
             settings,
             clock,
-            ring: Keyring::new(secret),
-            waiting: RefCell::default(),
-            last: Cell::new(0),
-            asked: RefCell::default(),
-            out: RefCell::default(),
+            key_ring: Keyring::new(secret),
+            waiters: RefCell::default(),
+            last_waiter_id: Cell::new(0),
+            pending_checks: RefCell::default(),
+            in_flight: RefCell::default(),
             pools,
-            stirred: Notify::new(),
+            timer_changed: Notify::new(),
         })
     }
 
     /// Whether callers of a class are checked.
-    pub fn checks(&self, class: ClassId) -> bool {
+    pub fn checks_class(&self, class: ClassId) -> bool {
         self.settings.checked.get(class.0).copied().unwrap_or(false)
     }
 
-    /// Forgets all kept verdicts.
-    pub fn forget(&self) {
+    /// Drops all cached verdicts.
+    pub fn clear_cache(&self) {
         self.gate.borrow_mut().forget();
     }
 
-    /// What is known of the caller of a request that came from `peer`.
+    /// The caller of a request that came from `peer`.
     pub fn caller(&self, head: &Parts, class: ClassId, plan: usize, peer: IpAddr) -> Caller {
         let mut headers = head.headers.clone();
         self.settings.headers.strip(&mut headers);
@@ -170,20 +172,20 @@
             .uri
             .path_and_query()
             .map_or("/", |target| target.as_str());
-        let part = |part: &Part| match part {
-            Part::Class => class.0.to_be_bytes().to_vec(),
-            Part::Plan => plan.to_be_bytes().to_vec(),
-            Part::Method => head.method.as_str().as_bytes().to_vec(),
-            Part::Host => host.as_bytes().to_vec(),
-            Part::Uri => target.as_bytes().to_vec(),
+        let key_part = |part: &KeyPart| match part {
+            KeyPart::Class => class.0.to_be_bytes().to_vec(),
+            KeyPart::Plan => plan.to_be_bytes().to_vec(),
+            KeyPart::Method => head.method.as_str().as_bytes().to_vec(),
+            KeyPart::Host => host.as_bytes().to_vec(),
+            KeyPart::Uri => target.as_bytes().to_vec(),
         };
-        let more: Vec<Vec<u8>> = self.settings.key.iter().map(part).collect();
+        let key_parts: Vec<Vec<u8>> = self.settings.key.iter().map(key_part).collect();
         let parts = credentials
             .iter()
             .map(Option::as_deref)
-            .chain(more.iter().map(|part| Some(part.as_slice())));
-        let key = self.ring.key(parts);
-        let about = About {
+            .chain(key_parts.iter().map(|part| Some(part.as_slice())));
+        let key = self.key_ring.key(parts);
+        let context = About {
             method: &head.method,
             uri: &head.uri,
             host: &host,
@@ -192,51 +194,55 @@
         };
         Caller {
             key,
-            sent: Rc::new(self.settings.headers.sub_request(&headers, &about)),
+            headers: Rc::new(self.settings.headers.sub_request(&headers, &context)),
             class,
         }
     }
 
-    /// Has a caller checked; the decision is there by the budget's end, which lies before the deadline.
-    pub async fn check(self: &Rc<Self>, caller: Caller, deadline: Millis) -> Decision<Carried> {
-        let id = self.last.get() + 1;
-        self.last.set(id);
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(
+    /// Checks a caller; the decision is there by the end of the check's budget, which is before the deadline.
+    pub async fn check(
+        self: &Rc<Self>,
+        caller: Caller,
+        deadline: Millis,
+    ) -> Decision<AuthResponse> {
+        let id = self.last_waiter_id.get() + 1;
+        self.last_waiter_id.set(id);
+        let (decision_sender, decision) = oneshot::channel();
+        self.waiters.borrow_mut().insert(
             id,
             Waiter {
                 key: caller.key,
-                tell,
+                decision_sender,
             },
         );
-        self.asked
+        self.pending_checks
             .borrow_mut()
             .entry(caller.key)
-            .or_insert_with(|| Asked {
-                sent: caller.sent.clone(),
-                waiting: 0,
+            .or_insert_with(|| PendingCheck {
+                headers: caller.headers.clone(),
+                waiters: 0,
             })
-            .waiting += 1;
-        // Whatever ends this wait ends its place.
-        let _leaving = Leaving { auth: self, id };
+            .waiters += 1;
+        // Whatever ends this wait removes its waiter.
+        let _wait_guard = WaitGuard { auth: self, id };
         self.gate
             .borrow_mut()
             .ask(self.clock.now(), id, caller.key, caller.class.0, deadline);
-        self.carry_out();
-        told.await.unwrap_or(Decision::Refuse(Refusal::GivenUp))
+        self.execute_outputs();
+        decision.await.unwrap_or(Decision::Refuse(Refusal::GivenUp))
     }
 
-    /// Has a held request's caller checked, and tells the driver what came of it.
-    pub async fn settle(
+    /// Checks the caller of a pending request, and reports the result to the driver.
+    pub async fn authorize(
         self: &Rc<Self>,
-        door: &Rc<Door>,
+        driver: &Rc<Driver>,
         caller: Caller,
         id: RequestId,
         deadline: Millis,
         answer: &mut oneshot::Receiver<Answer>,
     ) -> Checked {
         let decision = tokio::select! {
-            // The decisions may end it first: its time is up, or its backends are gone.
+            // The decision module may answer first: its deadline has passed, or it has no backends left.
             answer = &mut *answer => return Checked::Answered(answer.unwrap_or(Answer::Failed)),
             decision = self.check(caller, deadline) => decision,
         };
@@ -247,45 +253,45 @@
             }
             decision => decision,
         };
-        let ended = match decision {
-            Decision::Pass(carried) => {
-                let onward = match &*carried {
-                    Carried::Onward(headers) => headers.as_slice(),
-                    Carried::Denial { .. } => &[],
+        let outcome = match decision {
+            Decision::Pass(response) => {
+                let onward = match &*response {
+                    AuthResponse::Onward(headers) => headers.as_slice(),
+                    AuthResponse::Denial { .. } => &[],
                 };
-                door.passed(id, onward);
+                driver.check_passed(id, onward);
                 #[cfg(feature = "breakages")]
                 if breakages::is(Breakage::CheckedAgain) {
-                    door.send_on_again(id);
+                    driver.resend_in_flight(id);
                 }
                 return Checked::Passed;
             }
             Decision::PassUnchecked(_) => {
-                door.passed(id, &[]);
+                driver.check_passed(id, &[]);
                 return Checked::Passed;
             }
-            Decision::Deny(carried) => Checked::Denied(carried),
+            Decision::Deny(response) => Checked::Denied(response),
             Decision::Refuse(_) => Checked::Unchecked,
         };
-        match door.turned_down(id) {
-            true => ended,
+        match driver.check_denied(id) {
+            true => outcome,
             false => Checked::Answered(answer.await.unwrap_or(Answer::Failed)),
         }
     }
 
-    /// Takes from a client's headers what only the service may say.
+    /// Removes from a client's headers those that only the service may set.
     pub fn strip(&self, headers: &mut HeaderMap) {
         self.settings.headers.strip(headers);
     }
 
-    /// Lets time pass for the gate, and closes idle connections, for as long as the front door runs.
-    pub async fn keep_time(self: Rc<Self>) {
-        let tidy = self.clone();
-        tokio::task::spawn_local(async move { tidy.pools.close_idle_periodically().await });
+    /// Handles deadlines of checks, and closes idle connections, for as long as the process runs.
+    pub async fn run_timers(self: Rc<Self>) {
+        let pools_owner = self.clone();
+        tokio::task::spawn_local(async move { pools_owner.pools.close_idle_periodically().await });
         loop {
-            let due = self.gate.borrow().due();
+            let deadline = self.gate.borrow().due();
             let sleep = async {
-                match due {
+                match deadline {
                     Some(due) => tokio::time::sleep_until(self.clock.instant(due)).await,
                     None => std::future::pending().await,
                 }
@@ -293,27 +299,27 @@
             tokio::select! {
                 () = sleep => {
                     self.gate.borrow_mut().pass_time(self.clock.now());
-                    self.carry_out();
+                    self.execute_outputs();
                 }
-                () = self.stirred.notified() => {}
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>) {
+    fn execute_outputs(self: &Rc<Self>) {
         loop {
             let Some(output) = self.gate.borrow_mut().output() else {
                 break;
             };
             match output {
                 Output::Decided { request, decision } => {
-                    if let Some(waiter) = self.take(request) {
-                        // One whose client has gone is told to nobody.
-                        let _ = waiter.tell.send(decision);
+                    if let Some(waiter) = self.remove_waiter(request) {
+                        // Nobody receives it if the client has disconnected.
+                        let _ = waiter.decision_sender.send(decision);
                     }
                 }
                 Output::CallOff { check } => {
-                    if let Some(task) = self.out.borrow_mut().remove(&check) {
+                    if let Some(task) = self.in_flight.borrow_mut().remove(&check) {
                         task.abort();
                     }
                 }
@@ -324,18 +330,18 @@
                     server,
                     ..
                 } => {
-                    let Some(sent) = self
-                        .asked
+                    let Some(headers) = self
+                        .pending_checks
                         .borrow()
                         .get(&key)
-                        .map(|asked| asked.sent.clone())
+                        .map(|check| check.headers.clone())
                     else {
                         continue;
                     };
                     let auth = self.clone();
                     let task = tokio::task::spawn_local(async move {
-                        let answer = auth.put(server, &sent).await;
-                        auth.out.borrow_mut().remove(&check);
+                        let answer = auth.send_check(server, &headers).await;
+                        auth.in_flight.borrow_mut().remove(&check);
                         let now = auth.clock.now();
                         match answer {
                             Ok(verdict) => auth
@@ -346,104 +352,118 @@
                                 auth.gate.borrow_mut().failed(now, check, attempt, failure)
                             }
                         }
-                        auth.carry_out();
+                        auth.execute_outputs();
                     });
-                    self.out.borrow_mut().insert(check, task.abort_handle());
+                    self.in_flight
+                        .borrow_mut()
+                        .insert(check, task.abort_handle());
                 }
             }
         }
-        self.stirred.notify_one();
+        self.timer_changed.notify_one();
     }
 
-    /// Ends a request's wait.
-    fn take(&self, id: u64) -> Option<Waiter> {
-        let waiter = self.waiting.borrow_mut().remove(&id)?;
-        let mut asked = self.asked.borrow_mut();
-        if let Some(of) = asked.get_mut(&waiter.key) {
-            of.waiting -= 1;
-            if of.waiting == 0 {
-                asked.remove(&waiter.key);
+    /// Removes a request's waiter, and its check with the last one.
+    fn remove_waiter(&self, id: u64) -> Option<Waiter> {
+        let waiter = self.waiters.borrow_mut().remove(&id)?;
+        let mut pending_checks = self.pending_checks.borrow_mut();
+        if let Some(check) = pending_checks.get_mut(&waiter.key) {
+            check.waiters -= 1;
+            if check.waiters == 0 {
+                pending_checks.remove(&waiter.key);
             }
         }
         Some(waiter)
     }
 
-    /// Puts a question to a server once.
-    async fn put(&self, server: usize, sent: &HeaderMap) -> Result<Verdict<Carried>, Failure> {
-        let at = self.settings.servers.get(server).ok_or(Failure::Server)?;
+    /// Sends a check to a server once.
+    async fn send_check(
+        &self,
+        server: usize,
+        headers: &HeaderMap,
+    ) -> Result<Verdict<AuthResponse>, Failure> {
+        let endpoint = self.settings.servers.get(server).ok_or(Failure::Server)?;
         let id = server_id(server);
         let pooled = self.pools.take_settled(id);
-        let kept = pooled.is_some();
+        let reused = pooled.is_some();
         let mut connection = match pooled {
             Some(connection) => connection,
             None => self
                 .pools
-                .connect(at.dial)
+                .connect(endpoint.dial)
                 .await
                 .map_err(|error| match error {
-                    // No fault of the server; a moment later there may be room.
+                    // No fault of the server; a moment later there may be capacity.
                     ConnectError::LocalLimit => Failure::KeptConnection,
                     ConnectError::Unreachable => Failure::Server,
                 })?,
         };
         let mut request = Request::new(Full::<Bytes>::default());
         *request.method_mut() = Method::GET;
-        *request.uri_mut() = at.target.clone();
-        *request.headers_mut() = sent.clone();
-        if let Ok(host) = HeaderValue::try_from(at.dial.to_string()) {
+        *request.uri_mut() = endpoint.target.clone();
+        *request.headers_mut() = headers.clone();
+        if let Ok(host) = HeaderValue::try_from(endpoint.dial.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
         connection.wire.begin_request(0, false);
-        let died = if kept {
+        let connection_failure = if reused {
             Failure::KeptConnection
         } else {
             Failure::Server
         };
-        connection.sender.ready().await.map_err(|_| died)?;
+        connection
+            .sender
+            .ready()
+            .await
+            .map_err(|_| connection_failure)?;
         let answer = connection
             .sender
             .send_request(request)
             .await
-            .map_err(|_| died)?;
-        let verdict = self.read(answer).await.ok_or(Failure::Server)?;
-        self.pools.put_back(id, at.dial, connection);
+            .map_err(|_| connection_failure)?;
+        let verdict = self.read_verdict(answer).await.ok_or(Failure::Server)?;
+        self.pools.put_back(id, endpoint.dial, connection);
         Ok(verdict)
     }
 
-    /// What an answer means; `None` if it is none: an error of the service itself, broken off, or too long.
-    async fn read(&self, answer: Response<IncomingBody>) -> Option<Verdict<Carried>> {
+    /// The verdict of a response; `None` for an error of the service itself, and if it is truncated or too long.
+    async fn read_verdict(&self, answer: Response<IncomingBody>) -> Option<Verdict<AuthResponse>> {
         let (head, body) = answer.into_parts();
         if head.status.is_server_error() || head.status.is_informational() {
             return None;
         }
-        let most = self.settings.headers.most_bytes;
-        let body = Limited::new(body, most).collect().await.ok()?.to_bytes();
+        let max_bytes = self.settings.headers.most_bytes;
+        let body = Limited::new(body, max_bytes)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
         let passes = head.status.is_success();
-        let carried = if passes {
-            Carried::Onward(self.settings.headers.onward(&head.headers).ok()?)
+        let response = if passes {
+            AuthResponse::Onward(self.settings.headers.onward(&head.headers).ok()?)
         } else {
             let headers = self.settings.headers.back(&head.headers).ok()?;
-            Carried::Denial {
+            AuthResponse::Denial {
                 status: head.status,
                 headers,
                 body,
             }
         };
-        let bytes = size(&carried);
+        let bytes = cached_size(&response);
         Some(Verdict {
             passes,
-            answer: Rc::new(carried),
+            answer: Rc::new(response),
             bytes,
             keep: keep(&head.headers),
         })
     }
 }
 
-/// Bytes that a verdict takes while it is kept.
-fn size(carried: &Carried) -> usize {
-    let (headers, body) = match carried {
-        Carried::Onward(headers) => (headers, 0),
-        Carried::Denial { headers, body, .. } => (headers, body.len()),
+/// Bytes that a verdict takes in the cache.
+fn cached_size(response: &AuthResponse) -> usize {
+    let (headers, body) = match response {
+        AuthResponse::Onward(headers) => (headers, 0),
+        AuthResponse::Denial { headers, body, .. } => (headers, body.len()),
     };
     headers
         .iter()
@@ -452,7 +472,7 @@
         + body
 }
 
-/// Bits that nobody outside this process knows: the standard library's own, from the system's source of chance.
+/// Bits that nobody outside this process knows: the standard library's own, from the system's random source.
 fn process_secret() -> [u8; 8] {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new()
@@ -461,20 +481,20 @@
         .to_be_bytes()
 }
 
-/// Ends a wait when its request is decided or its client goes.
-struct Leaving<'a> {
+/// Ends a wait when its request is decided or its client disconnects.
+struct WaitGuard<'a> {
     auth: &'a Rc<Auth>,
     id: u64,
 }
 
-impl Drop for Leaving<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        if self.auth.take(self.id).is_some() {
+        if self.auth.remove_waiter(self.id).is_some() {
             self.auth
                 .gate
                 .borrow_mut()
                 .leave(self.auth.clock.now(), self.id);
-            self.auth.carry_out();
+            self.auth.execute_outputs();
         }
     }
 }
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -1,4 +1,7 @@
-//! Attempts: what goes on to a backend, what comes back, and what the end of an attempt means.
+//! Attempts over HTTP/1.1: the request to a backend, its response, and what the end of an attempt means.
+//!
+//! Invariant: a response is served only if its framing shows that it is complete, and all long responses together take a bounded
+//! part of the memory.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
@@ -14,153 +17,151 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Longest body of an answer at all. Backends are met that send far more than the agreed 64 KiB, and their good
-/// answers are worth passing on; one that is said to be longer than this is none.
-const LONGEST_ANSWER: u64 = 1 << 20;
-/// Part of the memory that long answers may take together, from the first byte read to the last one written.
-const ROOM_PART: usize = 4;
-/// A use over this many percent of a rate is no figure to go by.
-pub const MOST_USAGE: f64 = 100_000.0;
+/// Bytes of a response's body at most. Some backends send far more than the agreed 64 KiB, and their responses are good; a
+/// longer one than this counts as broken.
+const MAX_RESPONSE_BYTES: u64 = 1 << 20;
+/// Long responses take one part in so many of the memory together, from the first byte read to the last one written.
+const RESPONSE_MEMORY_DIVISOR: usize = 4;
+/// A usage over this many percent of a rate is ignored.
+pub const MAX_USAGE_PERCENT: f64 = 100_000.0;
 
-/// The memory that long answers may still take.
+/// The bytes that long responses may still take.
 #[derive(Clone)]
-struct Room(Arc<AtomicUsize>);
-
-impl Room {
-    /// Sets `length` bytes aside; `None` if there is no room for them.
-    fn take(&self, length: usize) -> Option<Share> {
-        let left = self.0.load(Ordering::Relaxed).checked_sub(length)?;
-        self.0.store(left, Ordering::Relaxed);
-        Some(Share {
+struct ResponseMemory(Arc<AtomicUsize>);
+
+impl ResponseMemory {
+    /// Reserves `length` bytes; `None` if fewer are left.
+    fn reserve(&self, length: usize) -> Option<ReservedBody> {
+        let available = self.0.load(Ordering::Relaxed).checked_sub(length)?;
+        self.0.store(available, Ordering::Relaxed);
+        Some(ReservedBody {
             length,
-            room: self.clone(),
+            memory: self.clone(),
             body: Bytes::new(),
         })
     }
 }
 
-/// A long answer with the room that it takes, given back when the last byte of it is dropped.
-struct Share {
+/// A long response with the memory reserved for it, which is released when the last reference to it is dropped.
+struct ReservedBody {
     length: usize,
-    room: Room,
+    memory: ResponseMemory,
     body: Bytes,
 }
 
-impl AsRef<[u8]> for Share {
+impl AsRef<[u8]> for ReservedBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
 }
 
-impl Drop for Share {
+impl Drop for ReservedBody {
     fn drop(&mut self) {
-        self.room.0.fetch_add(self.length, Ordering::Relaxed);
+        self.memory.0.fetch_add(self.length, Ordering::Relaxed);
     }
 }
 
-/// How answers are read.
-pub struct Reading {
-    /// Names of their values.
-    pub names: Vec<String>,
-    /// What the values are.
+/// How responses are read.
+pub struct ResponseReader {
+    /// Names of the values in load reports.
+    pub metric_names: Vec<String>,
+    /// What each value measures.
     pub metrics: Vec<Metric>,
-    /// Most units of a request, by the settings.
+    /// Units that a backend may charge for a request at most.
     pub max_units: f64,
-    room: Room,
+    memory: ResponseMemory,
 }
 
-impl Reading {
-    /// Reads as the settings tell, within `memory` bytes for all.
-    pub fn new(told: &Told, memory: usize) -> Reading {
-        Reading {
-            names: told.names.metrics.clone(),
-            metrics: told.metrics.clone(),
-            max_units: told.settings.max_units,
-            room: Room(Arc::new(AtomicUsize::new(memory / ROOM_PART))),
+impl ResponseReader {
+    /// A reader by the settings, in a process that may take `memory` bytes.
+    pub fn new(settings_file: &Told, memory: usize) -> ResponseReader {
+        ResponseReader {
+            metric_names: settings_file.names.metrics.clone(),
+            metrics: settings_file.metrics.clone(),
+            max_units: settings_file.settings.max_units,
+            memory: ResponseMemory(Arc::new(AtomicUsize::new(memory / RESPONSE_MEMORY_DIVISOR))),
         }
     }
 
-    fn report(&self, text: &str) -> Report {
+    fn parse_report(&self, text: &str) -> Report {
         let mut report = Report::default();
         for (name, value) in text
             .split(',')
             .filter_map(|field| field.trim().split_once('='))
         {
-            let place = self.names.iter().position(|known| known == name);
-            if let (Some(place), Ok(value)) = (place, value.parse::<f32>()) {
-                settings::tell(&mut report, self.metrics[place], value);
+            let position = self.metric_names.iter().position(|known| known == name);
+            if let (Some(position), Ok(value)) = (position, value.parse::<f32>()) {
+                settings::tell(&mut report, self.metrics[position], value);
             }
         }
         report
     }
 }
 
-// ---- Attempts ---------------------------------------------------------------------------------------
-
-/// An order as it is written to a backend, which is told how long the front door will wait.
-fn request(order: &Order, limit: Millis) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(order.body.clone()));
-    *request.method_mut() = order.method.clone();
-    *request.uri_mut() = order.uri.clone();
+/// The request to a backend, with the attempt's timeout in a header.
+fn build_request(forwarded: &Order, timeout: Millis) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(forwarded.body.clone()));
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.uri.clone();
     let headers = request.headers_mut();
-    headers.insert(HOST, order.host.clone());
-    headers.insert(REQUEST_ID, order.id_value.clone());
-    if let Ok(limit) = HeaderValue::try_from(format!("{:.3}", limit / 1000.0)) {
-        headers.insert(REQUEST_TIMEOUT, limit);
+    headers.insert(HOST, forwarded.host.clone());
+    headers.insert(REQUEST_ID, forwarded.id_value.clone());
+    if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", timeout / 1000.0)) {
+        headers.insert(REQUEST_TIMEOUT, seconds);
     }
-    if let Some(key) = &order.key {
+    if let Some(key) = &forwarded.key {
         headers.insert(IDEMPOTENCY_KEY, key.clone());
     }
-    if let Some(kind) = &order.content_type {
+    if let Some(kind) = &forwarded.content_type {
         headers.insert(hyper::header::CONTENT_TYPE, kind.clone());
     }
-    for (name, value) in &order.onward {
+    for (name, value) in &forwarded.onward {
         headers.append(name.clone(), value.clone());
     }
     request
 }
 
-/// Carries out one attempt and tells how it ended.
-pub async fn attempt(
+/// Runs one attempt to its end, `timeout` milliseconds at most by its header; the driver's timer aborts it.
+pub async fn send_attempt(
     pools: &Pools,
-    reading: &Reading,
+    reader: &ResponseReader,
     backend: BackendId,
-    order: &Order,
-    limit: Millis,
+    forwarded: &Order,
+    timeout: Millis,
     care: Care,
-    line: &AttemptHandle,
+    handle: &AttemptHandle,
 ) -> Ended {
-    let carried = send_request(
+    let result = send_request(
         pools,
         RequestOptions {
             backend,
             care,
-            timeout: limit,
-            body_bytes: order.body.len(),
+            timeout,
+            body_bytes: forwarded.body.len(),
         },
-        line,
-        |left| request(order, left),
-        async |answer| read(reading, answer).await,
+        handle,
+        |left| build_request(forwarded, left),
+        async |response| read_response(reader, response).await,
         |ended: &Ended| ended.outcome == Outcome::Full,
     )
     .await;
     Ended {
-        broken: carried.broken_connections,
-        ..carried.result.unwrap_or_else(Ended::of)
+        broken: result.broken_connections,
+        ..result.result.unwrap_or_else(Ended::of)
     }
 }
 
-/// Reads a whole answer; `None` if the connection ends before it does, or if nobody could tell that it is whole: an
-/// answer that ends with its connection may have been cut. After 101 the connection speaks something else.
-async fn read(reading: &Reading, answer: Response<Incoming>) -> Option<Ended> {
-    let (head, body) = answer.into_parts();
-    let measured =
+/// Reads a complete response; `None` if the connection ends before it does, or if its end cannot be known: a response without
+/// framing ends with its connection and may be truncated. After 101 the connection speaks another protocol.
+async fn read_response(reader: &ResponseReader, response: Response<Incoming>) -> Option<Ended> {
+    let (head, body) = response.into_parts();
+    let has_framing =
         head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
-    if !measured || head.status.is_informational() {
+    if !has_framing || head.status.is_informational() {
         return None;
     }
-    let body = whole_body(&reading.room, body).await?;
-    let outcome = outcome(head.status, &head.headers);
+    let body = read_body(&reader.memory, body).await?;
+    let outcome = outcome_of(head.status, &head.headers);
     Some(Ended {
         outcome,
         body: if outcome == Outcome::Ok {
@@ -168,308 +169,80 @@
         } else {
             Bytes::new()
         },
-        used: number(&head.headers, &API_USAGE, MOST_USAGE).map(|percent| percent / 100.0),
-        charge: number(&head.headers, &API_CHARGE, reading.max_units),
-        report: text(&head.headers, &SERVER_LOAD)
-            .map(|text| reading.report(text))
+        used: header_number(&head.headers, &API_USAGE, MAX_USAGE_PERCENT)
+            .map(|percent| percent / 100.0),
+        charge: header_number(&head.headers, &API_CHARGE, reader.max_units),
+        report: header_text(&head.headers, &SERVER_LOAD)
+            .map(|text| reader.parse_report(text))
             .unwrap_or_default(),
         broken: 0,
     })
 }
 
-/// Reads a body to its end, within the bounds on one answer and on all.
-async fn whole_body(room: &Room, mut body: Incoming) -> Option<Bytes> {
-    let told = body.size_hint().exact();
-    if told.is_some_and(|length| length > LONGEST_ANSWER) {
+/// Reads a body to its end, within the bounds on one response and on all.
+async fn read_body(memory: &ResponseMemory, mut body: Incoming) -> Option<Bytes> {
+    let declared_length = body.size_hint().exact();
+    if declared_length.is_some_and(|length| length > MAX_RESPONSE_BYTES) {
         return None;
     }
-    // In chunks no length is told: once it proves long, the whole bound is set aside.
-    let most = usize::try_from(told.unwrap_or(LONGEST_ANSWER)).ok()?;
-    if told.is_some() && most <= LONGEST_BODY {
+    // A body in chunks declares no length: once it proves long, the maximum is reserved.
+    let max_length = usize::try_from(declared_length.unwrap_or(MAX_RESPONSE_BYTES)).ok()?;
+    if declared_length.is_some() && max_length <= LONGEST_BODY {
         return Some(body.collect().await.ok()?.to_bytes());
     }
-    let mut share = None;
-    let mut held = Vec::new();
+    let mut reserved = None;
+    let mut received = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
-        let length = held.len() + data.len();
-        if length > most {
+        let length = received.len() + data.len();
+        if length > max_length {
             return None;
         }
-        if length > LONGEST_BODY && share.is_none() {
-            share = Some(room.take(most)?);
+        if length > LONGEST_BODY && reserved.is_none() {
+            reserved = Some(memory.reserve(max_length)?);
         }
-        held.extend_from_slice(&data);
+        received.extend_from_slice(&data);
     }
-    let body = Bytes::from(held);
-    Some(match share {
-        Some(mut share) => {
-            share.body = body;
-            Bytes::from_owner(share)
+    let body = Bytes::from(received);
+    Some(match reserved {
+        Some(mut reserved) => {
+            reserved.body = body;
+            Bytes::from_owner(reserved)
         }
         None => body,
     })
 }
 
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
+/// What a complete response means: 200 is served, and 503 or 504 that says that nothing was started may be retried.
+fn outcome_of(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unavailable = matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
     );
     match status {
         StatusCode::OK => Outcome::Ok,
-        _ if unavailable && text(headers, &NOT_STARTED) == Some("1") => Outcome::Full,
+        _ if unavailable && header_text(headers, &NOT_STARTED) == Some("1") => Outcome::Full,
         _ => Outcome::Error,
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
         .map(str::trim)
 }
 
-/// The first figure under this name that can be read and makes sense. One that does not spoils no answer.
-pub fn number(headers: &HeaderMap, name: &HeaderName, most: f64) -> Option<f64> {
+/// The first value of a header that is a number from 0 to `max`. Others are ignored: they do not make a response unusable.
+pub fn header_number(headers: &HeaderMap, name: &HeaderName, max: f64) -> Option<f64> {
     let mut values = headers
         .get_all(name)
         .iter()
         .filter_map(|value| value.to_str().ok()?.trim().parse().ok());
-    values.find(|number: &f64| number.is_finite() && (0.0..=most).contains(number))
+    values.find(|number: &f64| number.is_finite() && (0.0..=max).contains(number))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use hyper::{Method, Uri};
-    use maplefall_settings::Links;
-    use socket2::SockRef;
-    use std::time::Duration;
-    use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    use tokio::net::TcpStream;
-
-    /// Guards load reports: the values that the settings name are read, whatever stands between them.
-    #[test]
-    fn a_load_report_is_read_by_its_names() {
-        let names = vec!["depth".to_owned(), "load_share".to_owned()];
-        let metrics = vec![Metric::Queue, Metric::Utilisation];
-        let reading = Reading {
-            names,
-            metrics,
-            max_units: 8.0,
-            room: Room(Arc::default()),
-        };
-        let report = reading.report("other=3, depth=2,load_share=0.61,broken");
-        assert_eq!((report.queue, report.in_flight), (Some(2.0), None));
-        assert!((report.utilisation.unwrap() - 0.61).abs() < 1e-6);
-    }
-
-    /// Longest time that a scene may take.
-    const SCENE: Duration = Duration::from_secs(20);
-
-    fn pools() -> (Pools, Reading) {
-        let links = Links {
-            dial_timeout: 20_000.0,
-            idle_close: 600_000.0,
-        };
-        let reading = Reading {
-            names: Vec::new(),
-            metrics: Vec::new(),
-            max_units: 8.0,
-            room: Room(Arc::default()),
-        };
-        (Pools::new(links, 8), reading)
-    }
-
-    fn order() -> Order {
-        let value = HeaderValue::from_static("id-1");
-        Order {
-            id: "id-1".into(),
-            id_value: value.clone(),
-            host: value,
-            method: Method::POST,
-            uri: Uri::from_static("/charge"),
-            key: None,
-            content_type: None,
-            onward: Vec::new(),
-            body: Bytes::from_static(b"hello"),
-        }
-    }
-
-    /// Reads until the request has come up to its last byte but one, or whole.
-    async fn receive(stream: &mut TcpStream, to: &[u8]) {
-        let mut got = Vec::new();
-        while !got.ends_with(to) {
-            assert!(
-                stream.read_buf(&mut got).await.expect("a request") > 0,
-                "ended"
-            );
-        }
-    }
-
-    /// Guards requests that must not run twice against connections that are dead unseen, kept or new: the reset
-    /// answers the bytes before the last, so nothing ran. A kept one has the next connection stand in for it
-    /// within the attempt; a new one ends it as never run.
-    #[test]
-    fn what_a_dead_connection_swallows_has_not_run() {
-        let ends = play(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-                .await
-                .expect("a port");
-            let address = listener.local_addr().expect("an address");
-            let backend = tokio::task::spawn_local(async move {
-                let (mut kept, _) = listener.accept().await.expect("a connection");
-                serve(&mut kept, "one").await;
-                receive(&mut kept, b"hell").await;
-                reset(kept);
-                let (mut fresh, _) = listener.accept().await.expect("a connection in its place");
-                serve(&mut fresh, "two").await;
-                receive(&mut fresh, b"hell").await;
-                reset(fresh);
-                let (mut fresh, _) = listener.accept().await.expect("a connection in its place");
-                receive(&mut fresh, b"hell").await;
-                reset(fresh);
-            });
-            let ((pools, reading), order, id) = (pools(), order(), BackendId(1));
-            pools.open(id, address, 0.0);
-            let mut ends = Vec::new();
-            for _ in 0..3 {
-                ends.push(
-                    attempt(
-                        &pools,
-                        &reading,
-                        id,
-                        &order,
-                        20_000.0,
-                        Care::Once,
-                        &AttemptHandle::default(),
-                    )
-                    .await,
-                );
-            }
-            backend
-                .await
-                .expect("a backend that saw what it waited for");
-            ends
-        });
-        let told: Vec<_> = ends
-            .iter()
-            .map(|end| (end.outcome, end.body.as_ref(), end.broken))
-            .collect();
-        assert_eq!(
-            told,
-            [
-                (Outcome::Ok, &b"one"[..], 0),
-                (Outcome::Ok, b"two", 1),
-                (Outcome::ConnectFailed, b"", 2)
-            ]
-        );
-    }
-
-    /// Guards requests that must not run twice against connections that only look alive: where kept ones of some age
-    /// have taken a request and broken, such a request gets a new one, and others go on finding out.
-    #[test]
-    fn what_must_not_run_twice_takes_no_connection_of_an_age_that_fails() {
-        let old = Duration::from_millis(300);
-        play(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-                .await
-                .expect("a port");
-            let address = listener.local_addr().expect("an address");
-            let backend = tokio::task::spawn_local(async move {
-                for _ in 0..3 {
-                    let (mut failing, _) = listener.accept().await.expect("a connection");
-                    serve(&mut failing, "good").await;
-                    receive(&mut failing, b"hello").await;
-                    reset(failing);
-                }
-                let (mut old, _) = listener.accept().await.expect("a connection");
-                serve(&mut old, "first").await;
-                let (mut new, _) = listener.accept().await.expect("a new connection");
-                serve(&mut new, "on a new one").await;
-                serve(&mut new, "on a kept one").await;
-                drop(old);
-            });
-            let ((pools, reading), order, id, line) =
-                (pools(), order(), BackendId(1), AttemptHandle::default());
-            pools.open(id, address, 0.0);
-            let send = |care| attempt(&pools, &reading, id, &order, 20_000.0, care, &line);
-            for _ in 0..3 {
-                assert_eq!(send(Care::Usual).await.outcome, Outcome::Ok);
-                pools.age(old);
-                assert_eq!(send(Care::Usual).await.outcome, Outcome::Reset);
-            }
-            assert_eq!(send(Care::Usual).await.body, "first");
-            pools.age(old);
-            assert_eq!(send(Care::Once).await.body, "on a new one");
-            pools.age(old);
-            assert_eq!(send(Care::Usual).await.body, "on a kept one");
-            backend
-                .await
-                .expect("a backend that saw what it waited for");
-        });
-    }
-
-    /// Guards drains against a wait for a connection that outlasts a life: by the time it is up the backend has drained and
-    /// has come back elsewhere, and who answers at the old address may get nothing.
-    #[test]
-    fn what_was_dialled_for_an_earlier_life_is_not_used() {
-        play(async {
-            let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
-                .await
-                .expect("a port");
-            let address = listener.local_addr().expect("an address");
-            let ((pools, reading), order, id, line) =
-                (pools(), order(), BackendId(1), AttemptHandle::default());
-            pools.open(id, address, 0.0);
-            let send = attempt(&pools, &reading, id, &order, 20_000.0, Care::Usual, &line);
-            // While it is dialled.
-            let move_on = async {
-                pools.drain(id);
-                pools.open(id, "127.0.0.1:9".parse().expect("an address"), 5.0);
-            };
-            let (ended, ()) = tokio::join!(send, move_on);
-            assert_eq!(ended.outcome, Outcome::NotSent);
-            let (mut stream, _) = listener
-                .accept()
-                .await
-                .expect("the connection that was on its way");
-            assert_eq!(
-                stream.read(&mut [0; 8]).await.expect("an end"),
-                0,
-                "nothing was written to it"
-            );
-        });
-    }
-
-    async fn serve(stream: &mut TcpStream, body: &str) {
-        receive(stream, b"hello").await;
-        let answer = format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-            body.len()
-        );
-        stream.write_all(answer.as_bytes()).await.expect("a reader");
-    }
-
-    /// Plays a scene on one thread, within a time that only a fault uses up.
-    fn play<T>(scene: impl std::future::Future<Output = T>) -> T {
-        let runtime = tokio::runtime::Builder::new_current_thread()
-            .enable_all()
-            .build()
-            .expect("a runtime");
-        let local = tokio::task::LocalSet::new();
-        let all = async { tokio::time::timeout(SCENE, scene).await };
-        runtime
-            .block_on(local.run_until(all))
-            .expect("an end in time")
-    }
-
-    fn reset(stream: TcpStream) {
-        SockRef::from(&stream)
-            .set_linger(Some(Duration::ZERO))
-            .expect("a socket");
-    }
-}
+mod tests;
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -1,10 +1,9 @@
 //! Shared counts on a socket: between the driver, the state machine of `maplefall-shared-counts` and UDP.
 //!
-//! Nothing is decided here. What customers use is counted by [`Counts::used`]; what others tell of them is handed to the
-//! decision module as it comes, and how old that is by now with each request ([`Counts::elsewhere`]).
+//! Nothing is decided here. Usage at this proxy is recorded by [`SharedCounts::record_usage`]. Usage at peers goes to the decision
+//! module when it changes, and with each request together with its age ([`SharedCounts::usage_elsewhere`]).
 
 use super::counts_settings::CountsSettings;
-use super::door::Door;
 use maplefall_policy::{CustomerId, Elsewhere, Millis, PlanId};
 use maplefall_shared_counts::node::{Node, Start};
 use maplefall_shared_counts::wire::MOST_DATAGRAM;
@@ -15,22 +14,22 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 
-/// Datagrams that are read before others get their turn.
-const READ_AT_ONCE: usize = 64;
+/// Datagrams that are read at once at most, before other tasks run.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// This door's part in sharing counts.
-pub struct Counts {
+/// This proxy as a member of those that share counts.
+pub struct SharedCounts {
     node: RefCell<Node>,
     socket: UdpSocket,
     clock: Clock,
-    /// What the log is told when it runs.
-    line: String,
-    /// Doors in the settings: those that are not heard of keep their part of each quota.
-    doors: u32,
+    /// Logged when the task starts.
+    start_message: String,
+    /// Proxies by the settings: those that are not live keep their share of each quota.
+    configured_proxies: u32,
 }
 
-impl Counts {
-    /// Opens the socket and begins a new life of the door of this name.
+impl SharedCounts {
+    /// Opens the socket and begins a new incarnation of the proxy of this name.
     ///
     /// # Errors
     /// One line that names the address.
@@ -39,66 +38,71 @@
         name: &str,
         clock: Clock,
         seed: u64,
-        doors: u32,
-    ) -> Result<Rc<Counts>, String> {
+        configured_proxies: u32,
+    ) -> Result<Rc<SharedCounts>, String> {
         let listen = settings.listen;
         let no_socket = |error| format!("cannot share counts on {listen}: {error}");
         let socket = UdpSocket::bind(listen).await.map_err(no_socket)?;
         let bound = socket.local_addr().map_err(no_socket)?;
-        // A date before 1970 or a nameless door is no reason not to serve: the life's number and the name then come of the
-        // address, and others tell this door if an earlier life had a larger number.
-        let date = SystemTime::now()
+        // A clock before 1970 or a missing name is no reason not to serve: the incarnation is then 1 and the name is the address,
+        // and peers answer with the larger number of an earlier incarnation.
+        let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(1, |since| since.as_millis() as u64);
         let address = settings.advertise.unwrap_or(bound);
-        let plain: String = name
+        let printable: String = name
             .chars()
             .filter(char::is_ascii_graphic)
             .take(64)
             .collect();
-        let name = if plain.is_empty() {
+        let name = if printable.is_empty() {
             address.to_string()
         } else {
-            plain
+            printable
         };
         let start = Start {
             name,
             address,
             seeds: settings.seeds,
-            date,
+            date: unix_ms,
             seed,
         };
-        let line = format!("{}: shares counts on {bound} as {address}", start.name);
+        let start_message = format!("{}: shares counts on {bound} as {address}", start.name);
         let node = RefCell::new(Node::new(settings.sharing, start, clock.now()));
-        Ok(Rc::new(Counts {
+        Ok(Rc::new(SharedCounts {
             node,
             socket,
             clock,
-            doors,
-            line,
+            configured_proxies,
+            start_message,
         }))
     }
 
-    /// A customer has used so many units here, or was given so many back where it is below nought.
-    pub fn used(&self, now: Millis, customer: CustomerId, plan: PlanId, units: f64) {
+    /// Records units that a customer used at this proxy, or that are returned to it where they are negative.
+    pub fn record_usage(&self, now: Millis, customer: CustomerId, plan: PlanId, units: f64) {
         self.node
             .borrow_mut()
             .used(now, quota_of(customer, plan), units);
     }
 
-    /// What other doors have let in for a customer and the decision module has not been told, and how old that is.
-    pub fn elsewhere(&self, now: Millis, customer: CustomerId, plan: PlanId) -> Option<Elsewhere> {
+    /// What peers have admitted for a customer and the decision module does not know yet, and how old that is.
+    pub fn usage_elsewhere(
+        &self,
+        now: Millis,
+        customer: CustomerId,
+        plan: PlanId,
+    ) -> Option<Elsewhere> {
         let mut node = self.node.borrow_mut();
         let fact = node.fact(now, quota_of(customer, plan))?;
-        Some(self.told(&mut node, now, customer, plan, fact))
+        Some(self.usage_of(&mut node, now, customer, plan, fact))
     }
 
-    /// The next customer of whom something was heard.
-    fn next_heard(&self, now: Millis) -> Option<Elsewhere> {
+    /// The next customer whose usage at peers has changed.
+    fn next_change(&self, now: Millis) -> Option<Elsewhere> {
         let mut node = self.node.borrow_mut();
         let (quota, fact) = node.poll_fact(now)?;
         let (plan, customer) = whose(quota);
-        Some(self.told(
+        Some(self.usage_of(
             &mut node,
             now,
             CustomerId(customer),
@@ -107,7 +111,7 @@
         ))
     }
 
-    fn told(
+    fn usage_of(
         &self,
         node: &mut Node,
         now: Millis,
@@ -117,44 +121,47 @@
     ) -> Elsewhere {
         #[cfg(feature = "breakages")]
         let fact = super::breakages::fact(fact, now);
-        let heard = (node.news(now).1 as f64 / f64::from(self.doors.max(1))).min(1.0);
+        let live_share =
+            (node.news(now).1 as f64 / f64::from(self.configured_proxies.max(1))).min(1.0);
         #[cfg(feature = "breakages")]
-        let heard = super::breakages::heard(heard);
+        let live_share = super::breakages::live_share(live_share);
         Elsewhere {
             customer,
             plan,
             units: fact.units,
             as_of: fact.as_of,
             error: fact.error,
-            heard,
+            heard: live_share,
         }
     }
 
-    /// Takes datagrams and keeps the rounds, for as long as the front door runs.
-    pub async fn run(self: Rc<Self>, door: Rc<Door>) {
-        eprintln!("{}", self.line);
+    /// Receives datagrams and keeps the gossip rounds, for as long as the process runs. `notify` gets each change of what is
+    /// known of a customer's usage at peers, with the time.
+    pub async fn run(self: Rc<Self>, notify: impl Fn(Millis, Elsewhere)) {
+        eprintln!("{}", self.start_message);
         let mut bytes = [0; MOST_DATAGRAM + 1];
         loop {
             self.send();
-            let due = self.node.borrow().due();
+            let deadline = self.node.borrow().due();
             tokio::select! {
-                // An error of a socket without a peer is of an earlier datagram that found nobody; the next is waited for.
-                _ = self.socket.readable() => self.read(&mut bytes),
-                () = tokio::time::sleep_until(self.clock.instant(due)) => {
+                // An error of a socket without a peer belongs to an earlier datagram that could not be delivered; the next one
+                // is waited for.
+                _ = self.socket.readable() => self.receive_datagrams(&mut bytes),
+                () = tokio::time::sleep_until(self.clock.instant(deadline)) => {
                     self.node.borrow_mut().tick(self.clock.now());
                 }
             }
             let now = self.clock.now();
-            while let Some(told) = self.next_heard(now) {
-                door.used_elsewhere(now, told);
+            while let Some(usage) = self.next_change(now) {
+                notify(now, usage);
             }
-            // A flood of datagrams must not keep requests from their turn.
+            // A flood of datagrams must not starve requests.
             tokio::task::yield_now().await;
         }
     }
 
-    fn read(&self, bytes: &mut [u8]) {
-        for _ in 0..READ_AT_ONCE {
+    fn receive_datagrams(&self, bytes: &mut [u8]) {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Ok((length, from)) = self.socket.try_recv_from(bytes) else {
                 return;
             };
@@ -164,7 +171,7 @@
         }
     }
 
-    /// Sends what waits; what the system does not take now is lost, as the network might have lost it.
+    /// Sends what is queued; a datagram that the system does not take now is lost, as it may be lost on the network.
     fn send(&self) {
         while let Some(output) = self.node.borrow_mut().poll() {
             let _ = self.socket.try_send_to(&output.bytes, output.to);
@@ -172,7 +179,7 @@
     }
 }
 
-/// The quota that a customer of a plan uses. A plan past the 65,535th would be taken for that one; settings hold 4,096 at most.
+/// The quota that a customer of a plan uses. Plans beyond the 65,535th would share one; settings have 4,096 at most.
 fn quota_of(customer: CustomerId, plan: PlanId) -> u64 {
     quota(u16::try_from(plan.0).unwrap_or(u16::MAX), customer.0)
 }
--- /dev/null
+++ b/crates/maplefall/src/net/grpc/proxied_call.rs
@@ -0,0 +1,223 @@
+//! A call between its client's stream and its attempts.
+//!
+//! Invariant: what goes either way is in bounded queues: a client that reads slowly stops the attempt from reading, and what the
+//! client uploads is kept for retries up to a limit, beyond which the call is committed to its attempt.
+
+use hyper::body::Bytes;
+use hyper::http::uri::PathAndQuery;
+use hyper::{HeaderMap, Uri};
+use maplefall_grpc::{Call, Closed, End, Next, Output, Replay, Shape};
+use maplefall_policy::Millis;
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::task::{Context, Poll, Waker};
+use tokio::sync::Notify;
+
+/// Bytes queued for a client that reads slowly, beyond which an attempt stops reading.
+const MAX_QUEUED_BYTES: usize = 64 * 1024;
+
+/// A call in flight.
+pub struct ProxiedCall {
+    /// Its method, as the path at a backend.
+    pub path: PathAndQuery,
+    /// Its `:authority`.
+    pub authority: String,
+    /// Its metadata, without what belongs to the client's connection.
+    pub metadata: HeaderMap,
+    call: RefCell<Call>,
+    replay: RefCell<Replay>,
+    outputs: RefCell<VecDeque<Output>>,
+    queued: Cell<usize>,
+    /// Wakes the sender of the response once there is something to send.
+    output_waker: Cell<Option<Waker>>,
+    /// The client has taken something.
+    output_taken: Notify,
+    /// The client has sent something.
+    upload_added: Notify,
+    /// An attempt has taken something that the client sent.
+    upload_taken: Notify,
+}
+
+impl ProxiedCall {
+    /// A call of this shape whose client waits until `deadline`.
+    pub fn new(
+        uri: &Uri,
+        metadata: HeaderMap,
+        shape: Shape,
+        deadline: Millis,
+        max_replay_bytes: usize,
+    ) -> ProxiedCall {
+        ProxiedCall {
+            path: uri
+                .path_and_query()
+                .cloned()
+                .unwrap_or_else(|| PathAndQuery::from_static("/")),
+            authority: uri
+                .authority()
+                .map_or("localhost", |authority| authority.as_str())
+                .to_owned(),
+            metadata,
+            call: RefCell::new(Call::new(shape, deadline, max_replay_bytes)),
+            replay: RefCell::new(Replay::new(max_replay_bytes)),
+            outputs: RefCell::default(),
+            queued: Cell::new(0),
+            output_waker: Cell::new(None),
+            output_taken: Notify::new(),
+            upload_added: Notify::new(),
+            upload_taken: Notify::new(),
+        }
+    }
+
+    /// Until when its client waits.
+    pub fn deadline(&self) -> Millis {
+        self.call.borrow().deadline()
+    }
+
+    /// Whether its client and its backend send one message or many.
+    pub fn shape(&self) -> Shape {
+        self.call.borrow().shape()
+    }
+
+    /// Updates the call, and queues the outputs for the client. `true` if that committed the call: then the decision module has
+    /// to be notified before anything else happens.
+    pub fn update(&self, decide: impl FnOnce(&mut Call, &mut Vec<Output>)) -> bool {
+        let mut outputs = Vec::new();
+        decide(&mut self.call.borrow_mut(), &mut outputs);
+        let mut committed = false;
+        for output in outputs {
+            match output {
+                Output::Commit => committed = true,
+                output => {
+                    self.queued.set(self.queued.get() + size(&output));
+                    self.outputs.borrow_mut().push_back(output);
+                }
+            }
+        }
+        if let Some(waker) = self.output_waker.take() {
+            waker.wake();
+        }
+        committed
+    }
+
+    /// Begins an attempt and gives its number.
+    ///
+    /// # Errors
+    /// The call is committed or has its status.
+    pub fn begin_attempt(&self) -> Result<u32, Closed> {
+        self.call.borrow_mut().begin()
+    }
+
+    /// Ends an attempt.
+    pub fn end_attempt(&self, attempt: u32, end: End, trailers: HeaderMap) {
+        self.call.borrow_mut().ended(attempt, end, trailers);
+    }
+
+    /// Waits until no more than [`MAX_QUEUED_BYTES`] are queued for the client.
+    pub async fn wait_for_capacity(&self) {
+        while self.queued.get() > MAX_QUEUED_BYTES && !self.call.borrow().over() {
+            self.output_taken.notified().await;
+        }
+    }
+
+    // ---- To the client ------------------------------------------------------------------------------
+
+    /// What is sent to the client next, once there is something.
+    pub fn poll_output(&self, cx: &mut Context<'_>) -> Poll<NextOutput> {
+        match self.outputs.borrow().front() {
+            Some(Output::Data(data)) => Poll::Ready(NextOutput::Data(data.len())),
+            Some(_) => Poll::Ready(NextOutput::Other),
+            None => {
+                self.output_waker.set(Some(cx.waker().clone()));
+                Poll::Pending
+            }
+        }
+    }
+
+    /// Takes what is sent to the client next; of messages `max` bytes at most.
+    pub fn take_output(&self, max: usize) -> Option<Output> {
+        let mut outputs = self.outputs.borrow_mut();
+        let taken = match outputs.front_mut() {
+            Some(Output::Data(data)) if data.len() > max => Output::Data(data.split_to(max)),
+            _ => outputs.pop_front()?,
+        };
+        self.queued.set(self.queued.get() - size(&taken));
+        self.output_taken.notify_one();
+        Some(taken)
+    }
+
+    /// Drops the queued messages: the call's deadline has passed, and its status must not wait behind them.
+    pub fn drop_messages(&self) {
+        self.outputs
+            .borrow_mut()
+            .retain(|output| !matches!(output, Output::Data(_)));
+        self.queued.set(0);
+        self.output_taken.notify_one();
+    }
+
+    // ---- From the client ----------------------------------------------------------------------------
+
+    /// Adds what the client has uploaded.
+    pub fn push_upload(&self, chunk: Bytes) {
+        self.replay.borrow_mut().push(chunk);
+        self.upload_added.notify_one();
+    }
+
+    /// The client has ended its half of the stream.
+    pub fn end_upload(&self) {
+        self.replay.borrow_mut().end();
+        self.upload_added.notify_one();
+    }
+
+    /// Waits until more may be read from the client.
+    pub async fn wait_for_upload_capacity(&self) {
+        while !self.replay.borrow().has_room() {
+            self.upload_taken.notified().await;
+        }
+    }
+
+    /// Waits for the chunk of the upload with this index. `committed` is called where the call has to be committed to go on.
+    pub async fn next_upload(&self, index: u64, committed: &dyn Fn()) -> Next {
+        loop {
+            let next = self.replay.borrow().next(index);
+            if next != Next::Wait {
+                return next;
+            }
+            // All that can be kept for a retry has been sent and the client has more: there is no retry from here on.
+            if !self.replay.borrow().has_room() {
+                if self.update(Call::commit) {
+                    committed();
+                }
+                self.replay.borrow_mut().commit(index);
+                self.upload_taken.notify_one();
+            }
+            self.upload_added.notified().await;
+        }
+    }
+
+    /// The present attempt has sent all chunks before this index.
+    pub fn mark_sent(&self, index: u64) {
+        self.replay.borrow_mut().taken(index);
+        self.upload_taken.notify_one();
+    }
+
+    /// Whether the client has ended its half and uploaded nothing from this index on.
+    pub fn upload_ends_at(&self, index: u64) -> bool {
+        self.replay.borrow().next(index) == Next::End
+    }
+}
+
+/// What is sent to a client next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NextOutput {
+    /// So many bytes of messages.
+    Data(usize),
+    /// The head or the status.
+    Other,
+}
+
+fn size(output: &Output) -> usize {
+    match output {
+        Output::Data(data) => data.len(),
+        _ => 0,
+    }
+}
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -1,4 +1,4 @@
-//! The file of gRPC pass-through (`MAPLEFALL_GRPC`, a TOML file; `deploy/grpc.toml` is one): where calls are taken, and which
+//! The file of gRPC pass-through (`MAPLEFALL_GRPC`, a TOML file; `deploy/grpc.toml` is one): where calls are accepted, and which
 //! class each method belongs to. Without it no further port is opened.
 
 use maplefall_grpc::routes::{Routes, Wrong};
@@ -12,41 +12,41 @@
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_GRPC";
 
-/// What a method's calls are.
+/// How calls of a method are handled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Route {
     /// Their class.
     pub class: ClassId,
-    /// How their messages go.
+    /// Whether client and backend send one message or many.
     pub shape: Shape,
-    /// Units of one whose client names none.
+    /// Units of a call whose client names none.
     pub units: f64,
 }
 
-/// How calls are taken and passed on.
+/// How calls are accepted and proxied.
 #[derive(Clone, Debug)]
 pub struct GrpcSettings {
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Connections of clients at most.
+    /// Connections of clients at most; 32 by default.
     pub connections: usize,
-    /// Calls on one connection at most, either side.
+    /// Calls on one connection at most, on either side; 64 by default.
     pub streams: u32,
-    /// Calls at most, over all connections.
+    /// Calls at most, over all connections; 512 by default.
     pub calls: usize,
-    /// Connections to backends at most.
+    /// Connections to backends at most; 32 by default.
     pub backend_connections: usize,
-    /// Bytes of a client's messages, and of an answer, that are held for one call at most.
-    pub held_bytes: usize,
-    /// After how long without a call a connection is closed.
+    /// Bytes of a client's messages, and of a response, that are buffered for one call at most; 64 KiB by default.
+    pub max_buffered_bytes: usize,
+    /// After how long without a call a connection is closed, in milliseconds; 60,000 by default.
     pub idle: Millis,
-    /// Which method is what.
+    /// The route of each method.
     pub routes: Routes<Route>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Text {
+struct GrpcFile {
     listen: String,
     connections: Option<usize>,
     streams: Option<u32>,
@@ -55,22 +55,22 @@
     held_bytes: Option<usize>,
     idle_ms: Option<Millis>,
     #[serde(default, rename = "route")]
-    routes: Vec<Row>,
+    routes: Vec<RouteEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Row {
+struct RouteEntry {
     method: String,
     class: String,
     #[serde(default)]
-    shape: Form,
+    shape: ShapeName,
     units: Option<f64>,
 }
 
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Form {
+enum ShapeName {
     #[default]
     Unary,
     ServerStream,
@@ -102,35 +102,35 @@
 }
 
 /// Whether a text is a file of this kind.
-pub fn is_one(text: &str) -> bool {
+pub fn is_grpc_file(text: &str) -> bool {
     text.parse::<toml::Table>()
         .is_ok_and(|table| table.contains_key("listen"))
 }
 
 fn parse(text: &str, classes: Option<&[String]>) -> Result<GrpcSettings, Vec<String>> {
-    let told: Text =
+    let file: GrpcFile =
         toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
-    let mut found = Vec::new();
-    let listen = told.listen.parse::<SocketAddr>();
+    let mut errors = Vec::new();
+    let listen = file.listen.parse::<SocketAddr>();
     if listen.is_err() {
-        found.push(format!(
+        errors.push(format!(
             "listen: an address with a port was expected, not {:?}",
-            told.listen
+            file.listen
         ));
     }
-    let mut within = |field: &str, value: f64, least: f64, most: f64| {
-        if !(least..=most).contains(&value) {
-            found.push(format!(
-                "{field}: a number from {least} to {most} was expected"
+    let mut within = |field: &str, value: f64, min: f64, max: f64| {
+        if !(min..=max).contains(&value) {
+            errors.push(format!(
+                "{field}: a number from {min} to {max} was expected"
             ));
         }
     };
-    let connections = told.connections.unwrap_or(32);
-    let streams = told.streams.unwrap_or(64);
-    let calls = told.calls.unwrap_or(512);
-    let backend_connections = told.backend_connections.unwrap_or(32);
-    let held_bytes = told.held_bytes.unwrap_or(64 * 1024);
-    let idle = told.idle_ms.unwrap_or(60_000.0);
+    let connections = file.connections.unwrap_or(32);
+    let streams = file.streams.unwrap_or(64);
+    let calls = file.calls.unwrap_or(512);
+    let backend_connections = file.backend_connections.unwrap_or(32);
+    let held_bytes = file.held_bytes.unwrap_or(64 * 1024);
+    let idle = file.idle_ms.unwrap_or(60_000.0);
     within("connections", connections as f64, 1.0, 65_536.0);
     within("streams", f64::from(streams), 1.0, 65_536.0);
     within("calls", calls as f64, 1.0, 65_536.0);
@@ -142,14 +142,14 @@
     );
     within("held_bytes", held_bytes as f64, 1024.0, 4_194_304.0);
     within("idle_ms", idle, 100.0, 86_400_000.0);
-    if told.routes.is_empty() {
-        found.push("route: at least one [[route]] was expected".to_owned());
+    if file.routes.is_empty() {
+        errors.push("route: at least one [[route]] was expected".to_owned());
     }
     let mut rows = Vec::new();
-    for (at, row) in told.routes.iter().enumerate() {
+    for (at, row) in file.routes.iter().enumerate() {
         let known = classes.map(|known| known.iter().position(|known| *known == plain(&row.class)));
         if let (Some(None), Some(known)) = (known, classes) {
-            found.push(format!(
+            errors.push(format!(
                 "route.{at}.class: one of {} was expected, not {:?}",
                 known.join(", "),
                 row.class
@@ -157,13 +157,13 @@
         }
         let units = row.units.unwrap_or(1.0);
         if !(units > 0.0 && units.is_finite()) {
-            found.push(format!("route.{at}.units: a number over 0 was expected"));
+            errors.push(format!("route.{at}.units: a number over 0 was expected"));
         }
         let shape = match row.shape {
-            Form::Unary => Shape::Unary,
-            Form::ServerStream => Shape::ServerStream,
-            Form::ClientStream => Shape::ClientStream,
-            Form::Bidi => Shape::Bidi,
+            ShapeName::Unary => Shape::Unary,
+            ShapeName::ServerStream => Shape::ServerStream,
+            ShapeName::ClientStream => Shape::ClientStream,
+            ShapeName::Bidi => Shape::Bidi,
         };
         rows.push((
             row.method.as_str(),
@@ -176,67 +176,22 @@
     }
     let routes = Routes::new(rows);
     if let Err(wrong) = &routes {
-        found.extend(wrong.iter().map(|wrong: &Wrong| format!("route: {wrong}")));
+        errors.extend(wrong.iter().map(|wrong: &Wrong| format!("route: {wrong}")));
     }
     match (listen, routes) {
-        (Ok(listen), Ok(routes)) if found.is_empty() => Ok(GrpcSettings {
+        (Ok(listen), Ok(routes)) if errors.is_empty() => Ok(GrpcSettings {
             listen,
             connections,
             streams,
             calls,
             backend_connections,
-            held_bytes,
+            max_buffered_bytes: held_bytes,
             idle,
             routes,
         }),
-        _ => Err(found),
+        _ => Err(errors),
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards the example that ships.
-    #[test]
-    fn the_shipped_example_can_be_used() {
-        let text = include_str!("../../../../../deploy/grpc.toml");
-        assert!(is_one(text) && !is_one(include_str!("../../../../../deploy/sources.toml")));
-        assert!(!is_one(include_str!(
-            "../../../../../deploy/forward-auth.toml"
-        )));
-        let classes = ["consulta", "extension", "cobro"].map(str::to_owned);
-        let settings = parse(text, Some(&classes)).unwrap();
-        let route = settings.routes.find("/lots.v1.Sessions/Charge").unwrap();
-        assert_eq!((route.class, route.shape), (ClassId(2), Shape::Unary));
-        assert!(parse(text, None).is_ok());
-    }
-
-    #[test]
-    fn every_mistake_is_told_with_its_field() {
-        let text =
-            "listen = \"here\"\nstreams = 0\nheld_bytes = 5\nidle_ms = nan\n[[route]]\nmethod = \"/a.B/C\"\n\
-                    class = \"pago\"\nunits = 0\n[[route]]\nmethod = \"a\"\nclass = \"cobro\"\n[[route]]\n\
-                    method = \"/a.B/C\"\nclass = \"cobro\"\n";
-        let found = parse(text, Some(&["cobro".to_owned()])).unwrap_err();
-        let begins = [
-            "listen:",
-            "streams:",
-            "held_bytes:",
-            "idle_ms:",
-            "route.0.class: one of cobro",
-            "route.0.units:",
-            "route: \"a\":",
-            "route: \"/a.B/C\" stands there twice",
-        ];
-        for begin in begins {
-            assert!(
-                found.iter().any(|line| line.starts_with(begin)),
-                "{begin} {found:#?}"
-            );
-        }
-        assert_eq!(found.len(), begins.len(), "{found:#?}");
-        assert!(parse("listen = \"127.0.0.1:1\"", None).unwrap_err()[0].starts_with("route:"));
-        assert!(parse("listen = \"a\"\nshape = 1", None).unwrap_err()[0].contains("unknown field"));
-    }
-}
+mod tests;
