--- a/crates/grpc/src/attempt.rs
+++ b/crates/grpc/src/attempt.rs
@@ -1,36 +1,35 @@
-//! One attempt at a backend: what comes of it, by its status, its transport and the time, which may contradict each other.
+//! One attempt at a backend: how it ended, from its status, its transport and the time, which may contradict each other.
+//!
+//! The retry rules rest on [`End::never_ran`]. Invariant: an attempt whose head was sent counts as possibly run unless the
+//! backend rules it out, by `REFUSED_STREAM` before a response (RFC 9113, 8.7), by a `GOAWAY` whose last stream is an earlier
+//! one (RFC 9113, 6.8), or by a rejecting status with `not-started: 1` before any message (protocol page). These are gRPC's
+//! cases of a transparent retry (gRFC A6), and the gateway's own header.
 
 use crate::frames::Frames;
-use crate::status::{Code, Meaning, CANCEL, REFUSED_STREAM};
+use crate::headers::{is_grpc, GRPC_STATUS, NOT_STARTED};
+use crate::status::{Code, StatusClass, CANCEL, REFUSED_STREAM};
 use crate::Shape;
-use http::{HeaderMap, HeaderName};
+use http::{HeaderMap, StatusCode};
 use maplefall_policy::{Millis, Outcome};
 
-/// The status.
-pub const GRPC_STATUS: HeaderName = HeaderName::from_static("grpc-status");
-/// Its text.
-pub const GRPC_MESSAGE: HeaderName = HeaderName::from_static("grpc-message");
-/// With a status that turns a call away: it has not run (protocol page, the same word as over HTTP).
-pub const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
-
-/// What became of an attempt.
+/// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
-    /// As the decision module hears it.
+    /// The outcome that the decision module is given.
     pub outcome: Outcome,
-    /// As the client would hear it.
+    /// The status that the client would get.
     pub code: Code,
-    /// Why, where it is not the backend's own word.
+    /// The reason in words; empty if the status is the backend's own.
     pub why: &'static str,
 }
 
 impl End {
-    /// An end by this code, for this reason.
+    /// An end with this outcome and status, for this reason.
     pub fn new(outcome: Outcome, code: Code, why: &'static str) -> End {
         End { outcome, code, why }
     }
 
-    /// Whether it is certain that nothing has run.
+    /// Whether it is certain that the backend did not start the call, so that a retry cannot run it twice.
     pub fn never_ran(&self) -> bool {
         matches!(
             self.outcome,
@@ -39,61 +38,67 @@
     }
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// Nothing was sent.
     Unsent,
-    /// Its head has been handed to a live connection: from now on it may run.
+    /// The request head was handed to a live connection: from now on the call may run.
     Sent,
-    /// The answer's head is there.
-    Answering,
-    Over,
+    /// The response head was received.
+    Responding,
+    /// The end was reported.
+    Ended,
 }
 
-/// One attempt. Each of its methods tells an end once; what comes behind it is not listened to.
+/// One attempt of a call. Its methods take the events of the transport; the first that ends the attempt returns its [`End`],
+/// and all later ones return `None`.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     shape: Shape,
-    /// When it is given up; when the client gives up.
-    until: Millis,
-    deadline: Millis,
+    /// When the gateway gives up the attempt.
+    attempt_deadline: Millis,
+    /// When the client gives up the call.
+    call_deadline: Millis,
     phase: Phase,
     frames: Frames,
 }
 
 impl Attempt {
-    /// One that is given up at `until`, of a call whose client waits until `deadline`.
+    /// An attempt that is given up at `until`, of a call whose client waits until `deadline`. Both are times of the caller's
+    /// clock, in milliseconds.
     pub fn new(shape: Shape, until: Millis, deadline: Millis) -> Attempt {
         Attempt {
             shape,
-            until,
-            deadline,
+            attempt_deadline: until,
+            call_deadline: deadline,
             phase: Phase::Unsent,
             frames: Frames::default(),
         }
     }
 
-    /// Its head goes to a live connection.
+    /// The request head is handed to a live connection.
     pub fn sent(&mut self) {
         if self.phase == Phase::Unsent {
             self.phase = Phase::Sent;
         }
     }
 
-    /// Whole messages of the answer so far.
+    /// Complete messages of the response so far.
     pub fn messages(&self) -> u64 {
         self.frames.messages()
     }
 
-    fn over(&mut self, outcome: Outcome, code: Code, why: &'static str) -> Option<End> {
-        if self.phase == Phase::Over {
+    /// Ends the attempt unless it has ended.
+    fn end(&mut self, outcome: Outcome, code: Code, why: &'static str) -> Option<End> {
+        if self.phase == Phase::Ended {
             return None;
         }
-        self.phase = Phase::Over;
+        self.phase = Phase::Ended;
         Some(End { outcome, code, why })
     }
 
-    /// The head of the answer; `ends` if nothing follows it.
+    /// The response head was received; `ends` if the stream ends with it.
     pub fn head(
         &mut self,
         now: Millis,
@@ -104,54 +109,57 @@
         if self.phase != Phase::Sent {
             return None;
         }
-        // A status counts wherever it stands: `Trailers-Only` where the stream ends with it, and with a foreign HTTP
-        // status the backend's own word still says more.
+        // `Trailers-Only`: the gRPC status counts with any HTTP status, since it says more.
         if ends && headers.contains_key(GRPC_STATUS) {
             return self.status(now, headers);
         }
-        if status != 200 {
-            let code = Code::of_http(status);
-            let turned_away = code.meaning() == Meaning::TurnedAway && not_started(headers);
-            let outcome = if turned_away {
-                Outcome::Full
-            } else {
-                Outcome::Error
-            };
-            return self.over(
-                outcome,
-                code,
-                "the backend answered with an HTTP status of its own",
-            );
+        if status != StatusCode::OK.as_u16() {
+            return self.http_error(status, headers);
         }
         if !headers
             .get(http::header::CONTENT_TYPE)
-            .is_some_and(|kind| is_grpc(kind.as_bytes()))
+            .is_some_and(|content_type| is_grpc(content_type.as_bytes()))
         {
-            return self.over(Outcome::Error, Code::Unknown, "the answer is no gRPC");
+            return self.end(Outcome::Error, Code::Unknown, "the answer is no gRPC");
         }
         if ends {
-            return self.over(Outcome::Reset, Code::Unknown, "the answer has no status");
+            return self.ended_bare();
         }
-        self.phase = Phase::Answering;
+        self.phase = Phase::Responding;
         None
     }
 
-    /// Some more of the answer's messages.
+    /// An HTTP status other than 200 without a gRPC status (`http-grpc-status-mapping.md`).
+    fn http_error(&mut self, status: u16, headers: &HeaderMap) -> Option<End> {
+        let code = Code::from_http_status(status);
+        let rejected = code.class() == StatusClass::Rejected && is_not_started(headers);
+        let outcome = if rejected {
+            Outcome::Full
+        } else {
+            Outcome::Error
+        };
+        self.end(
+            outcome,
+            code,
+            "the backend answered with an HTTP status of its own",
+        )
+    }
+
+    /// Further bytes of the response's messages were received.
     pub fn data(&mut self, bytes: &[u8]) -> Option<End> {
-        if self.phase != Phase::Answering {
+        if self.phase != Phase::Responding {
             return None;
         }
         if self.frames.take(bytes).is_err() {
-            return self.over(
+            return self.end(
                 Outcome::Reset,
                 Code::Internal,
                 "the answer's messages cannot be told apart",
             );
         }
-        if !self.shape.answer_streams()
-            && self.frames.messages() + u64::from(self.frames.within()) > 1
-        {
-            return self.over(
+        let begun = self.frames.messages() + u64::from(self.frames.within());
+        if !self.shape.response_streams() && begun > 1 {
+            return self.end(
                 Outcome::Reset,
                 Code::Internal,
                 "a unary answer has more than one message",
@@ -160,84 +168,89 @@
         None
     }
 
-    /// The trailers.
+    /// The trailers were received.
     pub fn trailers(&mut self, now: Millis, trailers: &HeaderMap) -> Option<End> {
         match self.phase {
-            Phase::Answering => self.status(now, trailers),
+            Phase::Responding => self.status(now, trailers),
             _ => None,
         }
     }
 
-    /// What a status comes to, where time and transport may say otherwise.
+    /// Ends the attempt by a gRPC status, unless the time or the messages contradict it.
     fn status(&mut self, now: Millis, headers: &HeaderMap) -> Option<End> {
         let Some(status) = headers.get(GRPC_STATUS) else {
-            return self.over(Outcome::Reset, Code::Unknown, "the answer has no status");
+            return self.ended_bare();
         };
         let code = Code::from_wire(status.as_bytes());
-        if now >= self.deadline {
-            // Whatever it says, its client has gone by now.
-            return self.over(
+        if now >= self.call_deadline {
+            // The client has given up by now, whatever the status.
+            return self.end(
                 Outcome::Timeout,
                 Code::DeadlineExceeded,
                 "the status came after the deadline",
             );
         }
         if self.frames.within() {
-            // The status may say OK: a message was cut all the same.
-            return self.over(
+            // A truncated message overrides an `OK`.
+            return self.end(
                 Outcome::Reset,
                 Code::Internal,
                 "the answer was cut within a message",
             );
         }
-        if code == Code::Ok && !self.shape.answer_streams() && self.frames.messages() != 1 {
-            return self.over(
+        if code == Code::Ok && !self.shape.response_streams() && self.frames.messages() != 1 {
+            return self.end(
                 Outcome::Error,
                 Code::Internal,
                 "a unary answer without a message",
             );
         }
-        let outcome = match code.meaning() {
-            Meaning::Answer => Outcome::Ok,
-            Meaning::Fault => Outcome::Error,
-            Meaning::Late => Outcome::Timeout,
-            // Its own word that it has not run counts only where nothing of it has come.
-            Meaning::TurnedAway if not_started(headers) && self.frames.messages() == 0 => {
+        let outcome = self.outcome_of(code, headers);
+        self.end(outcome, code, "")
+    }
+
+    /// The outcome of a status that nothing contradicts.
+    fn outcome_of(&self, code: Code, headers: &HeaderMap) -> Outcome {
+        match code.class() {
+            StatusClass::Answered => Outcome::Ok,
+            StatusClass::Failed => Outcome::Error,
+            StatusClass::TimedOut => Outcome::Timeout,
+            // `not-started` is believed only if no message was received.
+            StatusClass::Rejected if is_not_started(headers) && self.frames.messages() == 0 => {
                 Outcome::Full
             }
-            Meaning::TurnedAway => Outcome::Error,
-        };
-        self.over(outcome, code, "")
+            StatusClass::Rejected => Outcome::Error,
+        }
     }
 
-    /// The answer ended with neither trailers nor a reset.
+    /// The response ended with neither trailers nor a reset.
     pub fn ended_bare(&mut self) -> Option<End> {
-        self.over(Outcome::Reset, Code::Unknown, "the answer has no status")
+        self.end(Outcome::Reset, Code::Unknown, "the answer has no status")
     }
 
-    /// The backend reset the stream.
+    /// The backend reset the stream with this HTTP/2 error code.
     pub fn reset(&mut self, now: Millis, error: u32) -> Option<End> {
         match error {
-            // Only before an answer: afterwards the word contradicts what was seen.
-            REFUSED_STREAM if self.phase != Phase::Answering => self.over(
+            // After a response head the code contradicts what was received.
+            REFUSED_STREAM if self.phase != Phase::Responding => self.end(
                 Outcome::Full,
                 Code::Unavailable,
                 "the backend refused the stream",
             ),
-            // Servers reset with CANCEL what is past the time that they were told.
-            CANCEL if now >= self.until.min(self.deadline) => self.timed_out(),
-            _ => self.over(
+            // Servers reset with CANCEL a call whose `grpc-timeout` has run out.
+            CANCEL if now >= self.attempt_deadline.min(self.call_deadline) => self.timed_out(),
+            _ => self.end(
                 Outcome::Reset,
-                Code::of_reset(error),
+                Code::from_reset_code(error),
                 "the backend reset the stream",
             ),
         }
     }
 
-    /// The backend said that it never looked at this stream: its `GOAWAY` names an earlier one as the last.
+    /// The backend did not process the stream: its `GOAWAY` names an earlier one as the last (RFC 9113, 6.8).
     pub fn unprocessed(&mut self) -> Option<End> {
         match self.phase {
-            Phase::Unsent | Phase::Sent => self.over(
+            Phase::Unsent | Phase::Sent => self.end(
                 Outcome::Full,
                 Code::Unavailable,
                 "the backend left before the stream",
@@ -250,28 +263,28 @@
     pub fn lost(&mut self) -> Option<End> {
         match self.phase {
             Phase::Unsent => self.unreachable(),
-            _ => self.over(Outcome::Reset, Code::Unavailable, "the connection broke"),
+            _ => self.end(Outcome::Reset, Code::Unavailable, "the connection broke"),
         }
     }
 
-    /// No connection came up.
+    /// No connection could be made.
     pub fn unreachable(&mut self) -> Option<End> {
-        self.over(
+        self.end(
             Outcome::ConnectFailed,
             Code::Unavailable,
             "no connection to the backend",
         )
     }
 
-    /// Its time is over.
+    /// The attempt's time is over.
     pub fn timed_out(&mut self) -> Option<End> {
         match self.phase {
-            Phase::Unsent => self.over(
+            Phase::Unsent => self.end(
                 Outcome::ConnectFailed,
                 Code::DeadlineExceeded,
                 "no connection in time",
             ),
-            _ => self.over(
+            _ => self.end(
                 Outcome::Timeout,
                 Code::DeadlineExceeded,
                 "no answer in time",
@@ -280,16 +293,7 @@
     }
 }
 
-fn not_started(headers: &HeaderMap) -> bool {
+/// Whether the backend states that it did not start the call.
+fn is_not_started(headers: &HeaderMap) -> bool {
     headers.get(NOT_STARTED).is_some_and(|value| value == "1")
 }
-
-/// Whether a content type is gRPC's: the bare one, or with a suffix or parameters.
-pub fn is_grpc(kind: &[u8]) -> bool {
-    const KIND: &[u8] = b"application/grpc";
-    kind.len() >= KIND.len()
-        && kind[..KIND.len()].eq_ignore_ascii_case(KIND)
-        && kind
-            .get(KIND.len())
-            .is_none_or(|next| matches!(next, b'+' | b';' | b' '))
-}
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -1,267 +1,278 @@
-//! One call of a client: what of its attempts may be seen, and its one final status.
+//! One call of a client: what of its attempts the client may see, and its one final status.
+//!
+//! Invariants: nothing of an attempt is sent before the call is committed or served (gRFC A6, "When Retries are Valid"), the
+//! buffered response is bounded, and the final status is sent once.
 
-use crate::attempt::{End, GRPC_MESSAGE, GRPC_STATUS};
+use crate::attempt::End;
+use crate::headers::{GRPC_MESSAGE, GRPC_STATUS, RETRY_PUSHBACK};
+use crate::percent_encoding;
 use crate::status::Code;
-use crate::text;
 use crate::Shape;
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue};
 use maplefall_policy::{Millis, Outcome};
 use std::collections::VecDeque;
 
-/// When to call again, in milliseconds, or `-1`: not at all (gRFC A6).
-pub const PUSHBACK: HeaderName = HeaderName::from_static("grpc-retry-pushback-ms");
+/// Pushback that forbids a retry (gRFC A6).
+const NO_RETRY: &str = "-1";
 
-/// How a call ended, in the platform's words.
+/// Result of a call in the platform's terms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Result {
-    /// The application's answer, whatever its status.
+pub enum CallResult {
+    /// The client got the application's response, whatever its status.
     Served,
-    /// Trying again is harmless.
-    Refused,
-    /// Nothing promised.
+    /// The call did not run, or may run twice: a retry is harmless.
+    Rejected,
+    /// The call may have run.
     Failed,
 }
 
-/// What the client is to be sent next.
+/// What to do next for the client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Nothing to the client: the call can have no further attempt from now on, and the decision module is to be told.
+    /// Nothing to send: from now on the call can have no further attempt, which the decision module has to know.
     Commit,
-    /// The head of the answer.
+    /// Send the response head.
     Head(HeaderMap),
-    /// Bytes of its messages.
+    /// Send bytes of the response's messages.
     Data(Bytes),
-    /// The end, once: trailers if a head has gone out, else the head alone.
-    Final(Result, HeaderMap),
+    /// Send the final status, once: as trailers if a head was sent, else as a `Trailers-Only` response.
+    Final(CallResult, HeaderMap),
 }
 
-/// A call. Until it is committed nothing of an attempt goes out, so that another may take its place.
+/// The call has its final status, or is committed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the call can have no further attempt")]
+pub struct Closed;
+
+/// A call. Until it is committed, the response of the current attempt is buffered, so that a retry may replace it.
 #[derive(Debug)]
 pub struct Call {
     shape: Shape,
     deadline: Millis,
-    /// Bytes of an answer that are held back at most.
-    most: usize,
+    /// Buffered bytes of a response beyond which the call is committed.
+    max_buffered_bytes: usize,
+    /// Attempts begun so far.
     attempts: u32,
-    /// The attempt that is out.
-    out: Option<u32>,
-    held: VecDeque<Output>,
-    bytes: usize,
+    current_attempt: Option<u32>,
+    buffered: VecDeque<Output>,
+    buffered_bytes: usize,
     committed: bool,
-    over: bool,
+    finished: bool,
     /// How the last attempt ended, and its trailers.
-    last: Option<(End, HeaderMap)>,
+    last_end: Option<(End, HeaderMap)>,
 }
 
-/// The call has its final status, or can have no further attempt.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Closed;
-
 impl Call {
-    /// A call whose client waits until `deadline`; at most `most` bytes of an answer are held back.
-    pub fn new(shape: Shape, deadline: Millis, most: usize) -> Call {
+    /// A call whose client waits until `deadline`, in milliseconds of the caller's clock. A response of more than
+    /// `max_buffered_bytes` commits it.
+    pub fn new(shape: Shape, deadline: Millis, max_buffered_bytes: usize) -> Call {
         Call {
             shape,
             deadline,
-            most,
+            max_buffered_bytes,
             attempts: 0,
-            out: None,
-            held: VecDeque::new(),
-            bytes: 0,
+            current_attempt: None,
+            buffered: VecDeque::new(),
+            buffered_bytes: 0,
             committed: false,
-            over: false,
-            last: None,
+            finished: false,
+            last_end: None,
         }
     }
 
-    /// When its client gives up.
+    /// When the client gives up.
     pub fn deadline(&self) -> Millis {
         self.deadline
     }
 
-    /// How its messages go.
+    /// Cardinality of the method's messages.
     pub fn shape(&self) -> Shape {
         self.shape
     }
 
-    /// Whether it can have no further attempt.
+    /// Whether the call is committed to its current attempt.
     pub fn committed(&self) -> bool {
         self.committed
     }
 
-    /// An attempt begins; its number, from 0. What was held of an earlier one is dropped.
+    /// Begins an attempt and returns its number, from 0. The buffered response of the attempt before is dropped.
     ///
     /// # Errors
-    /// If the call can have none.
-    pub fn begin(&mut self) -> std::result::Result<u32, Closed> {
-        if self.over || self.committed {
+    /// [`Closed`] if the call is committed or has its final status.
+    pub fn begin(&mut self) -> Result<u32, Closed> {
+        if self.finished || self.committed {
             return Err(Closed);
         }
         let number = self.attempts;
         self.attempts += 1;
-        self.out = Some(number);
-        self.drop_held();
+        self.current_attempt = Some(number);
+        self.drop_buffered();
         Ok(number)
     }
 
-    fn drop_held(&mut self) {
-        self.held.clear();
-        self.bytes = 0;
+    fn drop_buffered(&mut self) {
+        self.buffered.clear();
+        self.buffered_bytes = 0;
+    }
+
+    /// Sends what is buffered.
+    fn flush(&mut self, outputs: &mut Vec<Output>) {
+        outputs.extend(self.buffered.drain(..));
+        self.buffered_bytes = 0;
     }
 
-    fn hears(&self, attempt: u32) -> bool {
-        !self.over && self.out == Some(attempt)
+    /// Whether events of this attempt count.
+    fn is_current(&self, attempt: u32) -> bool {
+        !self.finished && self.current_attempt == Some(attempt)
     }
 
-    /// The head of an attempt's answer.
+    /// An attempt received its response head. Ignored unless it is the current attempt.
     pub fn head(&mut self, attempt: u32, head: HeaderMap, outputs: &mut Vec<Output>) {
-        if self.hears(attempt) {
-            self.pass(Output::Head(head), 0, outputs);
-            // Its client may wait for this before it says anything.
+        if self.is_current(attempt) {
+            self.buffer_or_send(Output::Head(head), 0, outputs);
+            // The client may wait for the head before it sends its first message.
             if self.shape == Shape::Bidi {
                 self.commit(outputs);
             }
         }
     }
 
-    /// Bytes of an attempt's answer.
+    /// An attempt received bytes of its response. Ignored unless it is the current attempt.
     pub fn data(&mut self, attempt: u32, data: Bytes, outputs: &mut Vec<Output>) {
-        // An empty frame says nothing, and without end they would take no room by their bytes.
-        if self.hears(attempt) && !data.is_empty() {
+        // Empty frames are dropped: without end they would fill the buffer and count no bytes.
+        if self.is_current(attempt) && !data.is_empty() {
             let length = data.len();
-            self.pass(Output::Data(data), length, outputs);
-            // A stream's messages are wanted as they come; a unary answer is worth nothing before its status.
-            if !self.committed && (self.shape.answer_streams() || self.bytes > self.most) {
+            self.buffer_or_send(Output::Data(data), length, outputs);
+            // A stream's messages are wanted as they come; a unary response is worth nothing before its status.
+            let over_limit = self.buffered_bytes > self.max_buffered_bytes;
+            if !self.committed && (self.shape.response_streams() || over_limit) {
                 self.commit(outputs);
             }
         }
     }
 
-    fn pass(&mut self, output: Output, length: usize, outputs: &mut Vec<Output>) {
+    fn buffer_or_send(&mut self, output: Output, length: usize, outputs: &mut Vec<Output>) {
         if self.committed {
             outputs.push(output);
         } else {
-            self.bytes += length;
-            self.held.push_back(output);
+            self.buffered_bytes += length;
+            self.buffered.push_back(output);
         }
     }
 
-    /// The call can have no further attempt: what it holds goes out.
+    /// Commits the call to its current attempt and sends what is buffered.
     pub fn commit(&mut self, outputs: &mut Vec<Output>) {
-        if !self.over && !self.committed {
+        if !self.finished && !self.committed {
             self.committed = true;
             outputs.push(Output::Commit);
-            outputs.extend(self.held.drain(..));
-            self.bytes = 0;
+            self.flush(outputs);
         }
     }
 
-    /// An attempt has ended, with these trailers. Whether another follows is not decided here.
+    /// An attempt ended, with these trailers. The decision module decides whether another follows.
     pub fn ended(&mut self, attempt: u32, end: End, trailers: HeaderMap) {
-        if !self.hears(attempt) {
+        if !self.is_current(attempt) {
             return;
         }
-        self.out = None;
-        self.last = Some((end, trailers));
+        self.current_attempt = None;
+        self.last_end = Some((end, trailers));
     }
 
-    /// Its client has gone: nothing goes out any more.
+    /// The client cancelled the call or its connection broke: nothing is sent any more.
     pub fn gone(&mut self) {
-        self.over = true;
-        self.out = None;
-        self.drop_held();
+        self.finished = true;
+        self.current_attempt = None;
+        self.drop_buffered();
     }
 
-    /// Whether it has its final status, or nobody waits for one.
+    /// Whether the call has its final status, or its client has gone.
     pub fn over(&self) -> bool {
-        self.over
+        self.finished
     }
 
-    /// It is served: the last attempt's answer goes out whole.
+    /// Ends the call with the complete response of the last attempt.
     pub fn serve(&mut self, outputs: &mut Vec<Output>) {
-        match self.last.take() {
+        match self.last_end.take() {
             Some((end, trailers)) if end.outcome == Outcome::Ok => {
-                if !self.over {
-                    outputs.extend(self.held.drain(..));
-                    self.bytes = 0;
+                if !self.finished {
+                    self.flush(outputs);
                 }
-                self.finish(Result::Served, trailers, outputs);
+                self.finish(CallResult::Served, trailers, outputs);
             }
-            // Nobody says so without such an attempt; a status made of nothing would be worse than a failure.
-            last => {
-                self.last = last;
+            // Not asked for without a successful attempt; a made-up status would be worse than a failure.
+            last_end => {
+                self.last_end = last_end;
                 self.fail(f64::NEG_INFINITY, outputs);
             }
         }
     }
 
-    /// It is refused: trying again is harmless, after this time where it is advised.
+    /// Rejects the call: a retry is harmless, after `wait` where that is advised.
     pub fn refuse(&mut self, wait: Option<Millis>, outputs: &mut Vec<Output>) {
-        let text = match &self.last {
+        let text = match &self.last_end {
             Some((end, _)) => format!(
                 "refused; trying again is harmless ({:?}: {})",
                 end.code, end.why
             ),
             None => "refused; trying again is harmless".to_owned(),
         };
-        let mut trailers = status(Code::Unavailable, &text);
+        let mut trailers = status_trailers(Code::Unavailable, &text);
         if let Some(wait) = wait.filter(|wait| wait.is_finite()) {
             insert(
                 &mut trailers,
-                PUSHBACK,
+                RETRY_PUSHBACK,
                 &format!("{}", wait.max(0.0).ceil() as u64),
             );
         }
-        self.finish(Result::Refused, trailers, outputs);
+        self.finish(CallResult::Rejected, trailers, outputs);
     }
 
-    /// It has failed: it may have run. No status says so that client libraries answer with a call of their own, and the
-    /// pushback tells them not to.
+    /// Fails the call, which may have run: with no status that client libraries retry, and a pushback that forbids retries.
     pub fn fail(&mut self, now: Millis, outputs: &mut Vec<Output>) {
-        let late = now >= self.deadline || self.out.is_some();
-        let mut trailers = match self.last.take() {
-            _ if late => status(Code::DeadlineExceeded, "no answer in time"),
-            None => status(Code::Unknown, "it may have run"),
-            Some((end, _)) if end.code.invites_repeats() => status(
+        let timed_out = now >= self.deadline || self.current_attempt.is_some();
+        let mut trailers = match self.last_end.take() {
+            _ if timed_out => status_trailers(Code::DeadlineExceeded, "no answer in time"),
+            None => status_trailers(Code::Unknown, "it may have run"),
+            Some((end, _)) if end.code.is_retried_by_clients() => status_trailers(
                 Code::Unknown,
                 &format!("it may have run ({:?}: {})", end.code, end.why),
             ),
-            // The backend's own word, if it is one.
+            // The status is the backend's own.
             Some((end, trailers)) if end.why.is_empty() => trailers,
-            Some((end, _)) => status(end.code, end.why),
+            Some((end, _)) => status_trailers(end.code, end.why),
         };
-        insert(&mut trailers, PUSHBACK, "-1");
-        self.finish(Result::Failed, trailers, outputs);
+        insert(&mut trailers, RETRY_PUSHBACK, NO_RETRY);
+        self.finish(CallResult::Failed, trailers, outputs);
     }
 
-    /// It ends by this status without having been let in: it is malformed, or its caller may not.
+    /// Ends the call with a status of the gateway's: the call is malformed, or its caller is not permitted.
     pub fn turn_down(&mut self, code: Code, why: &str, outputs: &mut Vec<Output>) {
-        self.finish(Result::Failed, status(code, why), outputs);
+        self.finish(CallResult::Failed, status_trailers(code, why), outputs);
     }
 
-    fn finish(&mut self, result: Result, trailers: HeaderMap, outputs: &mut Vec<Output>) {
-        if !self.over {
-            self.over = true;
-            self.out = None;
-            self.drop_held();
+    fn finish(&mut self, result: CallResult, trailers: HeaderMap, outputs: &mut Vec<Output>) {
+        if !self.finished {
+            self.finished = true;
+            self.current_attempt = None;
+            self.drop_buffered();
             outputs.push(Output::Final(result, trailers));
         }
     }
 }
 
-/// Trailers of a status.
-pub fn status(code: Code, text: &str) -> HeaderMap {
+/// Trailers with a status and, unless it is empty, its text.
+pub fn status_trailers(code: Code, text: &str) -> HeaderMap {
     let mut trailers = HeaderMap::new();
     insert(&mut trailers, GRPC_STATUS, &code.number().to_string());
     if !text.is_empty() {
-        insert(&mut trailers, GRPC_MESSAGE, &text::encode(text));
+        insert(&mut trailers, GRPC_MESSAGE, &percent_encoding::encode(text));
     }
     trailers
 }
 
 fn insert(trailers: &mut HeaderMap, name: HeaderName, value: &str) {
-    // What is written here is printable ASCII.
+    // All values written here are printable ASCII, so the conversion does not fail.
     if let Ok(value) = HeaderValue::from_str(value) {
         trailers.insert(name, value);
     }
--- a/crates/grpc/src/frames.rs
+++ b/crates/grpc/src/frames.rs
@@ -1,119 +1,89 @@
-//! Length-prefixed messages (`PROTOCOL-HTTP2.md`): a flag byte, four bytes of length, so many bytes. Only counted: what is
-//! passed through is not taken apart.
+//! Length-prefixed messages (`PROTOCOL-HTTP2.md`, "Length-Prefixed-Message"): a compression flag of one byte, a length of
+//! four bytes, and the message.
+//!
+//! Messages are only counted, not decoded. Invariant: the count does not depend on the transport's chunk boundaries.
 
-/// How far a sequence of messages has come.
+/// Bytes before each message: the flag and the length.
+const PREFIX_BYTES: u8 = 5;
+
+/// Position in a sequence of messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Frames {
-    /// Bytes of the present prefix that have come.
-    prefix: u8,
+    /// Bytes received of the current message's prefix; 0 between messages.
+    prefix_bytes: u8,
+    /// Length of the current message.
     length: u32,
-    /// Bytes of the present message still to come.
-    left: u32,
+    /// Bytes of the current message that are missing.
+    remaining: u32,
+    /// Complete messages.
     messages: u64,
 }
 
-/// A flag that is neither 0 nor 1: what follows cannot be told apart any more.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoMessage;
+/// A compression flag is neither 0 nor 1, so that the bytes that follow cannot be divided into messages.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the compression flag of a message is neither 0 nor 1")]
+pub struct InvalidFlag;
 
 impl Frames {
-    /// Takes in the next bytes, cut wherever the transport cut them.
+    /// Counts the next bytes of the stream, which may end anywhere.
     ///
     /// # Errors
-    /// If they are no messages.
-    pub fn take(&mut self, mut bytes: &[u8]) -> Result<(), NoMessage> {
+    /// [`InvalidFlag`] if they are no messages; the position is then undefined.
+    pub fn take(&mut self, mut bytes: &[u8]) -> Result<(), InvalidFlag> {
         while let Some((first, rest)) = bytes.split_first() {
-            if self.left > 0 {
-                let part = bytes.len().min(self.left as usize);
-                self.left -= part as u32;
-                bytes = &bytes[part..];
-                self.end_of_message();
+            if self.remaining > 0 {
+                let taken = bytes.len().min(self.remaining as usize);
+                self.remaining -= taken as u32;
+                bytes = &bytes[taken..];
+                self.finish_complete_message();
                 continue;
             }
-            if self.prefix == 0 {
+            if self.prefix_bytes == 0 {
                 if *first > 1 {
-                    return Err(NoMessage);
+                    return Err(InvalidFlag);
                 }
                 self.length = 0;
             } else {
                 self.length = self.length << 8 | u32::from(*first);
             }
-            self.prefix += 1;
+            self.prefix_bytes += 1;
             bytes = rest;
-            if self.prefix == 5 {
-                self.left = self.length;
-                self.end_of_message();
+            if self.prefix_bytes == PREFIX_BYTES {
+                self.remaining = self.length;
+                self.finish_complete_message();
             }
         }
         Ok(())
     }
 
-    fn end_of_message(&mut self) {
-        if self.left == 0 {
+    fn finish_complete_message(&mut self) {
+        if self.remaining == 0 {
             self.messages += 1;
-            self.prefix = 0;
+            self.prefix_bytes = 0;
         }
     }
 
-    /// Whole messages so far.
+    /// Complete messages so far.
     pub fn messages(&self) -> u64 {
         self.messages
     }
 
-    /// Whether the bytes so far end within a message.
+    /// Whether the bytes so far end within a message or its prefix.
     pub fn within(&self) -> bool {
-        self.prefix > 0
+        self.prefix_bytes > 0
     }
 
-    /// Length of the message whose prefix came last.
+    /// Length in bytes of the message whose prefix was received last.
     pub fn length(&self) -> u32 {
         self.length
     }
 }
 
-/// The prefix of a message that is not compressed.
-pub fn prefix(length: u32) -> [u8; 5] {
+/// Prefix of an uncompressed message of `length` bytes.
+pub fn prefix(length: u32) -> [u8; PREFIX_BYTES as usize] {
     let [a, b, c, d] = length.to_be_bytes();
     [0, a, b, c, d]
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        /// Guards against a message taken for whole, or for cut, because of where the transport cut it.
-        #[test]
-        fn any_cuts_tell_the_same(lengths in proptest::collection::vec(0u32..40, 0..6), cuts in proptest::collection::vec(0usize..9, 1..60), end in 0usize..200) {
-            let mut text = Vec::new();
-            let mut ends = vec![0];
-            for length in &lengths {
-                text.extend(prefix(*length));
-                text.extend(std::iter::repeat_n(7, *length as usize));
-                ends.push(text.len());
-            }
-            let text = &text[..end.min(text.len())];
-            let mut frames = Frames::default();
-            let (mut at, mut next) = (0, cuts.iter().cycle());
-            while at < text.len() {
-                let to = (at + 1 + next.next().unwrap()).min(text.len());
-                frames.take(&text[at..to]).unwrap();
-                at = to;
-            }
-            let whole = ends.iter().rposition(|end| *end <= text.len()).unwrap();
-            prop_assert_eq!(frames.messages(), whole as u64);
-            prop_assert_eq!(frames.within(), ends[whole] != text.len());
-        }
-    }
-
-    #[test]
-    fn a_flag_that_is_none_is_told() {
-        let mut frames = Frames::default();
-        assert_eq!(
-            frames.take(&[0, 0, 0, 0, 1, 9, 1, 0, 0, 0, 0, 2]),
-            Err(NoMessage)
-        );
-        assert_eq!(frames.messages(), 2);
-    }
-}
+mod tests;
--- a/crates/grpc/src/lib.rs
+++ b/crates/grpc/src/lib.rs
@@ -1,54 +1,63 @@
-//! gRPC pass-through, the part that decides: which class a method belongs to, what an attempt's end means, what of it the
-//! client may see, and the one final status of a call. No I/O and no clock: events with the time go in, what is to be sent
-//! comes out. It chooses no backend and repeats nothing: that stays with the decision module.
+//! gRPC pass-through, the part that decides: the route of a method, how an attempt ended, what of it the client may see, and
+//! the one final status of a call.
 //!
-//! The rules:
+//! A state machine without I/O: events come in with their time, what to send is returned. It neither chooses backends nor
+//! decides on retries; the decision module (`maplefall-policy`) does.
 //!
-//! 1. **One final status for each call**, and nothing after it. Late words of attempts are not listened to.
-//! 2. **Nothing of an attempt is seen before it is certain to be the last**: a unary answer waits for its status, a stream
-//!    commits its call with its first message, one that goes both ways with its head ([`Call`]). A committed call has no further attempt, whatever its class.
-//! 3. **An attempt may have run once its head has gone to a live connection.** That it has not is believed only of
-//!    `REFUSED_STREAM`, a `GOAWAY` that names an earlier stream, and a status that turns away with `not-started: 1` ([`Attempt`]).
-//! 4. **Where status, transport and time contradict each other the worse one counts**: a message that was cut goes before an
-//!    `OK`, a deadline that is over before any status.
-//! 5. **A failed call carries no status that client libraries answer by calling again**, and tells them not to.
-//! 6. **Deadlines shrink**: what a backend is told is never longer than what is left.
+//! Invariants:
+//!
+//! 1. **A call has one final status**, and nothing is sent after it. Late events of former attempts are ignored.
+//! 2. **Nothing of an attempt is sent to the client before it is certain to be the last one.** A unary response waits for its
+//!    status, a server stream commits its call with the first message, a bidirectional stream with the response head
+//!    ([`Call`]). A committed call has no further attempt, whatever its class (gRFC A6, "When Retries are Valid").
+//! 3. **An attempt may have run once its head was sent on a live connection.** The exceptions are `REFUSED_STREAM`, a
+//!    `GOAWAY` that names an earlier stream, and a rejecting status with `not-started: 1` ([`Attempt`]).
+//! 4. **Where status, transport and time contradict each other, the worse one counts**: a truncated message overrides an
+//!    `OK`, an expired deadline overrides any status.
+//! 5. **A failed call carries no status that client libraries retry**, and a pushback that forbids retries.
+//! 6. **Deadlines shrink**: the timeout that a backend receives never exceeds the time that is left ([`timeout`]).
+//!
+//! Modules: [`routes`] (the route trie), [`timeout`] (deadlines), [`Code`] (status codes and the mapping of HTTP and reset
+//! codes), [`Attempt`] (what may be retried), [`Call`] (what the client sees), [`Replay`] (the request, kept for retries),
+//! [`frames`] (message boundaries), [`percent_encoding`] (`grpc-message`).
 
 mod attempt;
 mod call;
 pub mod frames;
+mod headers;
+pub mod percent_encoding;
 mod replay;
 pub mod routes;
 mod status;
-pub mod text;
 pub mod timeout;
 
-pub use attempt::{is_grpc, Attempt, End, GRPC_MESSAGE, GRPC_STATUS, NOT_STARTED};
-pub use call::{status as status_trailers, Call, Closed, Output, Result, PUSHBACK};
+pub use attempt::{Attempt, End};
+pub use call::{status_trailers, Call, CallResult, Closed, Output};
+pub use headers::{is_grpc, GRPC_MESSAGE, GRPC_STATUS, NOT_STARTED, RETRY_PUSHBACK};
 pub use replay::{Next, Replay};
-pub use status::{Code, Meaning, CANCEL, REFUSED_STREAM};
+pub use status::{Code, StatusClass, CANCEL, REFUSED_STREAM};
 
-/// How the messages of a method go.
+/// Cardinality of a method's messages (gRPC's "Core concepts", "Service definition").
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// One there, one back.
+    /// One request message, one response message.
     Unary,
-    /// One there, many back.
+    /// One request message, any number of response messages.
     ServerStream,
-    /// Many there, one back.
+    /// Any number of request messages, one response message.
     ClientStream,
-    /// Many both ways.
+    /// Any number of messages both ways.
     Bidi,
 }
 
 impl Shape {
-    /// Whether the client sends many messages.
+    /// Whether the client may send any number of messages.
     pub fn request_streams(self) -> bool {
         matches!(self, Shape::ClientStream | Shape::Bidi)
     }
 
-    /// Whether the backend does.
-    pub fn answer_streams(self) -> bool {
+    /// Whether the backend may send any number of messages.
+    pub fn response_streams(self) -> bool {
         matches!(self, Shape::ServerStream | Shape::Bidi)
     }
 }
--- /dev/null
+++ b/crates/grpc/src/routes/tests.rs
@@ -0,0 +1,54 @@
+use super::*;
+use proptest::prelude::*;
+
+#[test]
+fn longest_match_wins() {
+    let rows = [
+        ("*", 0),
+        ("/lot.*", 1),
+        ("/lot.Session/*", 2),
+        ("/lot.Session/Charge", 3),
+        ("/lot.v2.*", 4),
+    ];
+    let routes = Routes::new(rows).unwrap();
+    let expected = [
+        ("/lot.Session/Charge", Some(3)),
+        ("/lot.Session/Start", Some(2)),
+        ("/lot.Other/Charge", Some(1)),
+        ("/lot.v2.Session/Charge", Some(4)),
+        ("/lot/Charge", Some(0)),
+        ("/lots.Session/Charge", Some(0)),
+        ("/lot.Session/Charge/More", None),
+        ("/lot.Session", None),
+        ("/lot.Session/", None),
+        ("lot.Session/Charge", None),
+    ];
+    for (path, route) in expected {
+        assert_eq!(routes.find(path), route, "{path}");
+    }
+}
+
+#[test]
+fn every_unusable_pattern_is_reported() {
+    let rows = [
+        "/a.B/C", "/a.B/C", "a.B/C", "/a..B/C", "/a.B/", "/a.*/C", "/a.B/C*", "/*", "", "/a.B",
+    ];
+    let wrong = Routes::new(rows.map(|row| (row, 0))).unwrap_err();
+    assert_eq!(wrong.len(), 9, "{wrong:?}");
+    assert_eq!(wrong[0], Wrong::Duplicate("/a.B/C".to_owned()));
+    let many: Vec<String> = (0..=MAX_ROUTES).map(|n| format!("/a.B/C{n}")).collect();
+    let wrong = Routes::new(many.iter().map(|row| (row.as_str(), 0))).unwrap_err();
+    assert_eq!(wrong, [Wrong::TooManyRoutes(MAX_ROUTES + 1)]);
+}
+
+proptest! {
+    /// The trie agrees with the reference implementation.
+    #[test]
+    fn trie_finds_what_the_pattern_map_finds(patterns in proptest::collection::btree_set("\\*|/[ab](\\.[ab]){0,2}(/[cd*]|\\.\\*)", 0..20), paths in proptest::collection::vec("/[ab](\\.[ab]){0,3}/[cde]", 1..20)) {
+        let rows = || patterns.iter().map(String::as_str).zip(0..);
+        let (routes, map) = (Routes::new(rows()).unwrap(), PatternMap::new(rows()));
+        for path in paths {
+            prop_assert_eq!(routes.find(&path), map.find(&path), "{}", path);
+        }
+    }
+}
--- a/crates/grpc/src/status.rs
+++ b/crates/grpc/src/status.rs
@@ -1,7 +1,9 @@
-//! Status codes, and what a transport's end stands for where no status came (gRPC's `statuscodes.md`,
-//! `http-grpc-status-mapping.md` and the table of error codes in `PROTOCOL-HTTP2.md`).
+//! Status codes (gRPC's `statuscodes.md`), and the codes for a transport's end without a status: of an HTTP status by
+//! `http-grpc-status-mapping.md`, of a `RST_STREAM` by the table of error codes in `PROTOCOL-HTTP2.md`.
+//!
+//! Invariant: only a code of [`StatusClass::Rejected`] can mean that a call was not started.
 
-/// A status code of gRPC.
+/// A gRPC status code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum Code {
@@ -41,21 +43,21 @@
     Unauthenticated = 16,
 }
 
-/// What a status says of the backend's work.
+/// What a status code says about the backend's work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
-    /// The application has answered: its word goes to the client as it is, and asking again would change nothing.
-    Answer,
-    /// The call went wrong; it may have run.
-    Fault,
-    /// Time ran out on the way or at the backend; it may have run, or may yet.
-    Late,
-    /// The backend turned it away: never run, if the backend says so too.
-    TurnedAway,
+pub enum StatusClass {
+    /// The application answered: its status goes to the client unchanged, and a retry would not change it.
+    Answered,
+    /// The call failed; it may have run.
+    Failed,
+    /// The time was over on the way or at the backend; the call may have run, or may run yet.
+    TimedOut,
+    /// The backend rejected the call; it was not started if the backend states so too ([`NOT_STARTED`](crate::NOT_STARTED)).
+    Rejected,
 }
 
 impl Code {
-    /// All codes, each in the place of its number.
+    /// All codes, indexed by their numbers.
     pub const ALL: [Code; 17] = [
         Code::Ok,
         Code::Cancelled,
@@ -81,7 +83,7 @@
         self as u8
     }
 
-    /// The code in a `grpc-status`. One that is no number or not known counts as `UNKNOWN`, as in the published clients.
+    /// The code of a `grpc-status` value. Anything but a known number is `UNKNOWN`, as in the published clients.
     pub fn from_wire(text: &[u8]) -> Code {
         let number = std::str::from_utf8(text)
             .ok()
@@ -91,8 +93,8 @@
             .unwrap_or(Code::Unknown)
     }
 
-    /// What an HTTP status without a `grpc-status` stands for.
-    pub fn of_http(status: u16) -> Code {
+    /// The code for an HTTP status without a `grpc-status` (`http-grpc-status-mapping.md`).
+    pub fn from_http_status(status: u16) -> Code {
         match status {
             400 => Code::Internal,
             401 => Code::Unauthenticated,
@@ -103,23 +105,23 @@
         }
     }
 
-    /// What a `RST_STREAM` with this error code stands for (RFC 9113, 7).
-    pub fn of_reset(error: u32) -> Code {
+    /// The code for a `RST_STREAM` with this error code (`PROTOCOL-HTTP2.md`, "Errors"; RFC 9113, 7).
+    pub fn from_reset_code(error: u32) -> Code {
         match error {
             // NO_ERROR to INTERNAL_ERROR and FLOW_CONTROL_ERROR, SETTINGS_TIMEOUT, FRAME_SIZE_ERROR, COMPRESSION_ERROR,
             // CONNECT_ERROR.
             0..=4 | 6 | 9 | 10 => Code::Internal,
             REFUSED_STREAM => Code::Unavailable,
             CANCEL => Code::Cancelled,
-            0xb => Code::ResourceExhausted,
-            0xc => Code::PermissionDenied,
-            // STREAM_CLOSED has no mapping, what is not known none either.
+            ENHANCE_YOUR_CALM => Code::ResourceExhausted,
+            INADEQUATE_SECURITY => Code::PermissionDenied,
+            // STREAM_CLOSED and unknown codes have no mapping.
             _ => Code::Unknown,
         }
     }
 
-    /// What it says of the backend's work.
-    pub fn meaning(self) -> Meaning {
+    /// What the code says about the backend's work.
+    pub fn class(self) -> StatusClass {
         match self {
             Code::Ok
             | Code::InvalidArgument
@@ -130,15 +132,17 @@
             | Code::Aborted
             | Code::OutOfRange
             | Code::Unimplemented
-            | Code::Unauthenticated => Meaning::Answer,
-            Code::Cancelled | Code::Unknown | Code::Internal | Code::DataLoss => Meaning::Fault,
-            Code::DeadlineExceeded => Meaning::Late,
-            Code::ResourceExhausted | Code::Unavailable => Meaning::TurnedAway,
+            | Code::Unauthenticated => StatusClass::Answered,
+            Code::Cancelled | Code::Unknown | Code::Internal | Code::DataLoss => {
+                StatusClass::Failed
+            }
+            Code::DeadlineExceeded => StatusClass::TimedOut,
+            Code::ResourceExhausted | Code::Unavailable => StatusClass::Rejected,
         }
     }
 
-    /// Whether client libraries send such a call again by themselves: their usual retry policies name these.
-    pub fn invites_repeats(self) -> bool {
+    /// Whether client libraries retry such a call by themselves: the usual retry policies list these codes (gRFC A6).
+    pub fn is_retried_by_clients(self) -> bool {
         matches!(
             self,
             Code::Unavailable | Code::ResourceExhausted | Code::Aborted
@@ -146,65 +150,14 @@
     }
 }
 
-/// `REFUSED_STREAM`: nothing of the stream was looked at (RFC 9113, 8.7).
+/// HTTP/2 error code `REFUSED_STREAM`: the stream was not processed (RFC 9113, 8.7).
 pub const REFUSED_STREAM: u32 = 7;
-/// `CANCEL`.
+/// HTTP/2 error code `CANCEL`: the stream is no longer needed (RFC 9113, 7).
 pub const CANCEL: u32 = 8;
+/// HTTP/2 error code `ENHANCE_YOUR_CALM` (RFC 9113, 7).
+const ENHANCE_YOUR_CALM: u32 = 0xb;
+/// HTTP/2 error code `INADEQUATE_SECURITY` (RFC 9113, 7).
+const INADEQUATE_SECURITY: u32 = 0xc;
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn numbers_are_places_and_what_is_not_known_is_unknown() {
-        for (number, code) in Code::ALL.iter().enumerate() {
-            assert_eq!(usize::from(code.number()), number);
-            assert_eq!(Code::from_wire(number.to_string().as_bytes()), *code);
-        }
-        for odd in ["17", "-1", "", "0x0", " 0", "99999999999999999999", "OK"] {
-            assert_eq!(Code::from_wire(odd.as_bytes()), Code::Unknown, "{odd:?}");
-        }
-    }
-
-    /// The rows of the published tables, by hand.
-    #[test]
-    fn the_published_mappings_hold() {
-        let http = [
-            (400, 13),
-            (401, 16),
-            (403, 7),
-            (404, 12),
-            (429, 14),
-            (502, 14),
-            (503, 14),
-            (504, 14),
-        ];
-        for (status, code) in http {
-            assert_eq!(Code::of_http(status).number(), code, "{status}");
-        }
-        assert!([200, 204, 302, 418, 500]
-            .iter()
-            .all(|status| Code::of_http(*status) == Code::Unknown));
-        let resets = [
-            (0, 13),
-            (1, 13),
-            (2, 13),
-            (3, 13),
-            (4, 13),
-            (6, 13),
-            (7, 14),
-            (8, 1),
-            (9, 13),
-            (10, 13),
-            (11, 8),
-            (12, 7),
-        ];
-        for (error, code) in resets {
-            assert_eq!(Code::of_reset(error).number(), code, "{error}");
-        }
-        assert_eq!(
-            (Code::of_reset(5), Code::of_reset(13)),
-            (Code::Unknown, Code::Unknown)
-        );
-    }
-}
+mod tests;
--- a/crates/grpc/tests/attempt.rs
+++ b/crates/grpc/tests/attempt.rs
@@ -1,75 +1,81 @@
-//! What an attempt comes to where status, transport and time say different things: a row for each case.
+//! How an attempt ends where status, transport and deadline contradict each other, a table row for each case.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use maplefall_grpc::frames::prefix;
 use maplefall_grpc::{Attempt, Code, End, Shape, CANCEL, REFUSED_STREAM};
 use maplefall_policy::Outcome;
 
-const UNTIL: f64 = 500.0;
+const ATTEMPT_DEADLINE: f64 = 500.0;
 const DEADLINE: f64 = 1000.0;
 
-fn map(lines: &[(&str, &str)]) -> HeaderMap {
-    let mut map = HeaderMap::new();
-    for (name, value) in lines {
-        map.append(
+fn headers(entries: &[(&str, &str)]) -> HeaderMap {
+    let mut headers = HeaderMap::new();
+    for (name, value) in entries {
+        headers.append(
             name.parse::<HeaderName>().unwrap(),
             HeaderValue::from_str(value).unwrap(),
         );
     }
-    map
+    headers
 }
 
-fn head() -> HeaderMap {
-    map(&[("content-type", "application/grpc+proto")])
+fn response_head() -> HeaderMap {
+    headers(&[("content-type", "application/grpc+proto")])
 }
 
 fn message() -> Vec<u8> {
     [&prefix(3)[..], b"abc"].concat()
 }
 
-/// One whose head has gone out.
-fn sent(shape: Shape) -> Attempt {
-    let mut attempt = Attempt::new(shape, UNTIL, DEADLINE);
+/// An attempt whose request head was sent.
+fn sent_attempt(shape: Shape) -> Attempt {
+    let mut attempt = Attempt::new(shape, ATTEMPT_DEADLINE, DEADLINE);
     attempt.sent();
     attempt
 }
 
-/// One whose answer has begun, with these bytes of messages.
-fn answering(shape: Shape, data: &[u8]) -> Attempt {
-    let mut attempt = sent(shape);
-    assert_eq!(attempt.head(1.0, 200, &head(), false), None);
+/// An attempt whose response has begun, with these bytes of messages.
+fn responding_attempt(shape: Shape, data: &[u8]) -> Attempt {
+    let mut attempt = sent_attempt(shape);
+    assert_eq!(attempt.head(1.0, 200, &response_head(), false), None);
     assert_eq!(attempt.data(data), None);
     attempt
 }
 
-fn told(end: Option<End>) -> (Outcome, Code) {
+fn outcome_and_code(end: Option<End>) -> (Outcome, Code) {
     let end = end.expect("an end");
     (end.outcome, end.code)
 }
 
 #[test]
-fn a_status_counts_with_what_came_before_it() {
-    let cut = &message()[..5];
-    let two = [message(), message()].concat();
+fn status_is_weighed_against_the_messages_before_it() {
+    let truncated = &message()[..5];
+    let two_messages = [message(), message()].concat();
     let rows: [(Shape, &[u8], &str, Outcome, Code); 12] = [
         (Shape::Unary, &message(), "0", Outcome::Ok, Code::Ok),
         (Shape::Unary, &[], "0", Outcome::Error, Code::Internal),
-        (Shape::Unary, cut, "0", Outcome::Reset, Code::Internal),
+        (Shape::Unary, truncated, "0", Outcome::Reset, Code::Internal),
         (
             Shape::ServerStream,
-            cut,
+            truncated,
             "0",
             Outcome::Reset,
             Code::Internal,
         ),
         (
             Shape::ServerStream,
-            cut,
+            truncated,
             "5",
             Outcome::Reset,
             Code::Internal,
         ),
-        (Shape::ServerStream, &two, "0", Outcome::Ok, Code::Ok),
+        (
+            Shape::ServerStream,
+            &two_messages,
+            "0",
+            Outcome::Ok,
+            Code::Ok,
+        ),
         (Shape::ServerStream, &[], "0", Outcome::Ok, Code::Ok),
         (
             Shape::ClientStream,
@@ -102,113 +108,119 @@
         ),
     ];
     for (shape, data, status, outcome, code) in rows {
-        let end = answering(shape, data).trailers(10.0, &map(&[("grpc-status", status)]));
-        assert_eq!(told(end), (outcome, code), "{shape:?} {data:?} {status}");
+        let end =
+            responding_attempt(shape, data).trailers(10.0, &headers(&[("grpc-status", status)]));
+        assert_eq!(
+            outcome_and_code(end),
+            (outcome, code),
+            "{shape:?} {data:?} {status}"
+        );
     }
 }
 
 #[test]
-fn a_unary_answer_has_one_message() {
-    let mut attempt = answering(Shape::Unary, &message());
+fn unary_response_has_exactly_one_message() {
+    let mut attempt = responding_attempt(Shape::Unary, &message());
     assert_eq!(
-        told(attempt.data(&[0])),
+        outcome_and_code(attempt.data(&[0])),
         (Outcome::Reset, Code::Internal),
         "a second one begins"
     );
-    let mut attempt = answering(Shape::Unary, &[]);
+    let mut attempt = responding_attempt(Shape::Unary, &[]);
     assert_eq!(
-        told(attempt.data(&[9, 0, 0])),
+        outcome_and_code(attempt.data(&[9, 0, 0])),
         (Outcome::Reset, Code::Internal),
         "no message at all"
     );
 }
 
 #[test]
-fn a_deadline_that_is_over_goes_before_any_status() {
+fn expired_deadline_overrides_any_status() {
     for status in ["0", "5", "14"] {
-        let trailers = map(&[("grpc-status", status), ("not-started", "1")]);
-        let late = answering(Shape::Unary, &message()).trailers(DEADLINE, &trailers);
+        let trailers = headers(&[("grpc-status", status), ("not-started", "1")]);
+        let late = responding_attempt(Shape::Unary, &message()).trailers(DEADLINE, &trailers);
         assert_eq!(
-            told(late),
+            outcome_and_code(late),
             (Outcome::Timeout, Code::DeadlineExceeded),
             "{status}"
         );
-        let late = sent(Shape::Unary).head(DEADLINE, 200, &trailers, true);
+        let late = sent_attempt(Shape::Unary).head(DEADLINE, 200, &trailers, true);
         assert_eq!(
-            told(late),
+            outcome_and_code(late),
             (Outcome::Timeout, Code::DeadlineExceeded),
             "{status}"
         );
-        let in_time = answering(Shape::Unary, &message()).trailers(DEADLINE - 0.1, &trailers);
-        assert_ne!(told(in_time).0, Outcome::Timeout, "{status}");
+        let in_time =
+            responding_attempt(Shape::Unary, &message()).trailers(DEADLINE - 0.1, &trailers);
+        assert_ne!(outcome_and_code(in_time).0, Outcome::Timeout, "{status}");
     }
 }
 
-/// The only words that are believed of what may run twice.
+/// Guards calls that are not idempotent against a retry of an attempt that may have run.
 #[test]
-fn that_nothing_ran_is_believed_of_few() {
-    let turned_away = [("grpc-status", "14"), ("not-started", "1")];
-    let believed = [
-        sent(Shape::Unary).reset(1.0, REFUSED_STREAM),
-        sent(Shape::Unary).unprocessed(),
-        sent(Shape::Unary).head(1.0, 200, &map(&turned_away), true),
-        sent(Shape::Unary).head(1.0, 503, &map(&[("not-started", "1")]), false),
-        Attempt::new(Shape::Unary, UNTIL, DEADLINE).lost(),
-        Attempt::new(Shape::Unary, UNTIL, DEADLINE).unreachable(),
-        Attempt::new(Shape::Unary, UNTIL, DEADLINE).timed_out(),
+fn only_unambiguous_signals_count_as_never_run() {
+    let rejected = [("grpc-status", "14"), ("not-started", "1")];
+    let never_run = [
+        sent_attempt(Shape::Unary).reset(1.0, REFUSED_STREAM),
+        sent_attempt(Shape::Unary).unprocessed(),
+        sent_attempt(Shape::Unary).head(1.0, 200, &headers(&rejected), true),
+        sent_attempt(Shape::Unary).head(1.0, 503, &headers(&[("not-started", "1")]), false),
+        Attempt::new(Shape::Unary, ATTEMPT_DEADLINE, DEADLINE).lost(),
+        Attempt::new(Shape::Unary, ATTEMPT_DEADLINE, DEADLINE).unreachable(),
+        Attempt::new(Shape::Unary, ATTEMPT_DEADLINE, DEADLINE).timed_out(),
     ];
-    for end in believed {
+    for end in never_run {
         let end = end.expect("an end");
         assert!(end.never_ran(), "{end:?}");
     }
-    let not_believed = [
-        sent(Shape::Unary).head(1.0, 200, &map(&turned_away[..1]), true),
-        sent(Shape::Unary).head(
+    let may_have_run = [
+        sent_attempt(Shape::Unary).head(1.0, 200, &headers(&rejected[..1]), true),
+        sent_attempt(Shape::Unary).head(
             1.0,
             200,
-            &map(&[("grpc-status", "13"), ("not-started", "1")]),
+            &headers(&[("grpc-status", "13"), ("not-started", "1")]),
             true,
         ),
-        sent(Shape::Unary).head(
+        sent_attempt(Shape::Unary).head(
             1.0,
             200,
-            &map(&[("grpc-status", "14"), ("not-started", "yes")]),
+            &headers(&[("grpc-status", "14"), ("not-started", "yes")]),
             true,
         ),
-        sent(Shape::Unary).head(1.0, 503, &map(&[]), false),
-        sent(Shape::Unary).head(1.0, 500, &map(&[("not-started", "1")]), false),
-        sent(Shape::Unary).lost(),
-        sent(Shape::Unary).timed_out(),
-        sent(Shape::Unary).reset(1.0, CANCEL),
-        sent(Shape::Unary).reset(1.0, 0),
-        answering(Shape::Unary, &[]).reset(1.0, REFUSED_STREAM),
-        answering(Shape::Unary, &[]).unprocessed(),
-        answering(Shape::ServerStream, &message()).trailers(1.0, &map(&turned_away)),
+        sent_attempt(Shape::Unary).head(1.0, 503, &headers(&[]), false),
+        sent_attempt(Shape::Unary).head(1.0, 500, &headers(&[("not-started", "1")]), false),
+        sent_attempt(Shape::Unary).lost(),
+        sent_attempt(Shape::Unary).timed_out(),
+        sent_attempt(Shape::Unary).reset(1.0, CANCEL),
+        sent_attempt(Shape::Unary).reset(1.0, 0),
+        responding_attempt(Shape::Unary, &[]).reset(1.0, REFUSED_STREAM),
+        responding_attempt(Shape::Unary, &[]).unprocessed(),
+        responding_attempt(Shape::ServerStream, &message()).trailers(1.0, &headers(&rejected)),
     ];
-    for (row, end) in not_believed.into_iter().enumerate() {
+    for (row, end) in may_have_run.into_iter().enumerate() {
         let end = end.expect("an end");
         assert!(!end.never_ran(), "row {row}: {end:?}");
     }
 }
 
 #[test]
-fn a_reset_at_the_end_of_its_time_is_a_time_out() {
+fn cancel_reset_after_the_deadline_is_a_timeout() {
     assert_eq!(
-        told(sent(Shape::Unary).reset(UNTIL, CANCEL)),
+        outcome_and_code(sent_attempt(Shape::Unary).reset(ATTEMPT_DEADLINE, CANCEL)),
         (Outcome::Timeout, Code::DeadlineExceeded)
     );
     assert_eq!(
-        told(sent(Shape::Unary).reset(UNTIL - 1.0, CANCEL)),
+        outcome_and_code(sent_attempt(Shape::Unary).reset(ATTEMPT_DEADLINE - 1.0, CANCEL)),
         (Outcome::Reset, Code::Cancelled)
     );
     assert_eq!(
-        told(sent(Shape::Unary).reset(UNTIL, 2)),
+        outcome_and_code(sent_attempt(Shape::Unary).reset(ATTEMPT_DEADLINE, 2)),
         (Outcome::Reset, Code::Internal)
     );
 }
 
 #[test]
-fn what_is_no_answer_of_grpc_is_told_by_its_http_status() {
+fn non_grpc_response_is_mapped_by_its_http_status() {
     let rows = [
         (401, "text/html", Outcome::Error, Code::Unauthenticated),
         (404, "text/html", Outcome::Error, Code::Unimplemented),
@@ -217,41 +229,59 @@
         (200, "application/grpcx", Outcome::Error, Code::Unknown),
         (200, "application/json", Outcome::Error, Code::Unknown),
     ];
-    for (status, kind, outcome, code) in rows {
-        let end = sent(Shape::Unary).head(1.0, status, &map(&[("content-type", kind)]), false);
-        assert_eq!(told(end), (outcome, code), "{status} {kind}");
+    for (status, content_type, outcome, code) in rows {
+        let end = sent_attempt(Shape::Unary).head(
+            1.0,
+            status,
+            &headers(&[("content-type", content_type)]),
+            false,
+        );
+        assert_eq!(
+            outcome_and_code(end),
+            (outcome, code),
+            "{status} {content_type}"
+        );
     }
-    let bare = sent(Shape::Unary).head(1.0, 200, &head(), true);
+    let status_missing = sent_attempt(Shape::Unary).head(1.0, 200, &response_head(), true);
     assert_eq!(
-        told(bare),
+        outcome_and_code(status_missing),
         (Outcome::Reset, Code::Unknown),
         "neither message nor status"
     );
     assert_eq!(
-        told(answering(Shape::Unary, &message()).ended_bare()),
+        outcome_and_code(responding_attempt(Shape::Unary, &message()).ended_bare()),
+        (Outcome::Reset, Code::Unknown)
+    );
+    let without_status =
+        responding_attempt(Shape::Unary, &message()).trailers(1.0, &headers(&[("x", "1")]));
+    assert_eq!(
+        outcome_and_code(without_status),
         (Outcome::Reset, Code::Unknown)
     );
-    let none = answering(Shape::Unary, &message()).trailers(1.0, &map(&[("x", "1")]));
-    assert_eq!(told(none), (Outcome::Reset, Code::Unknown));
-    for kind in [
+    for content_type in [
         "application/grpc",
         "Application/gRPC",
         "application/grpc+json",
         "application/grpc;a=b",
     ] {
         assert_eq!(
-            sent(Shape::Unary).head(1.0, 200, &map(&[("content-type", kind)]), false),
+            sent_attempt(Shape::Unary).head(
+                1.0,
+                200,
+                &headers(&[("content-type", content_type)]),
+                false
+            ),
             None,
-            "{kind}"
+            "{content_type}"
         );
     }
 }
 
 #[test]
-fn an_end_is_told_once() {
-    let mut attempt = answering(Shape::Unary, &message());
+fn end_is_reported_once() {
+    let mut attempt = responding_attempt(Shape::Unary, &message());
     assert!(attempt
-        .trailers(1.0, &map(&[("grpc-status", "0")]))
+        .trailers(1.0, &headers(&[("grpc-status", "0")]))
         .is_some());
     assert_eq!(
         attempt.reset(2.0, 0),
@@ -267,9 +297,15 @@
         ),
         (None, None, None, None)
     );
-    assert_eq!(attempt.trailers(3.0, &map(&[("grpc-status", "13")])), None);
     assert_eq!(
-        (attempt.data(&[9]), attempt.head(3.0, 500, &map(&[]), true)),
+        attempt.trailers(3.0, &headers(&[("grpc-status", "13")])),
+        None
+    );
+    assert_eq!(
+        (
+            attempt.data(&[9]),
+            attempt.head(3.0, 500, &headers(&[]), true)
+        ),
         (None, None)
     );
 }
--- a/crates/grpc/tests/call.rs
+++ b/crates/grpc/tests/call.rs
@@ -1,29 +1,29 @@
-//! What a client may see of a call, step by step.
+//! What a client sees of a call, step by step.
 
 use bytes::Bytes;
 use http::HeaderMap;
 use maplefall_grpc::{
-    Call, Closed, Code, End, Output, Result as Ended, Shape, GRPC_STATUS, PUSHBACK,
+    Call, CallResult, Closed, Code, End, Output, Shape, GRPC_STATUS, RETRY_PUSHBACK,
 };
 use maplefall_policy::Outcome;
 
 const DEADLINE: f64 = 1000.0;
-const HELD: usize = 10;
+const MAX_BUFFERED_BYTES: usize = 10;
 
 fn call(shape: Shape) -> Call {
-    Call::new(shape, DEADLINE, HELD)
+    Call::new(shape, DEADLINE, MAX_BUFFERED_BYTES)
 }
 
-fn told(outputs: &[Output]) -> String {
-    let letter = |output: &Output| match output {
+fn summary(outputs: &[Output]) -> String {
+    let symbol = |output: &Output| match output {
         Output::Commit => 'c',
         Output::Head(_) => 'h',
         Output::Data(_) => 'd',
-        Output::Final(Ended::Served, _) => 'S',
-        Output::Final(Ended::Refused, _) => 'R',
-        Output::Final(Ended::Failed, _) => 'F',
+        Output::Final(CallResult::Served, _) => 'S',
+        Output::Final(CallResult::Rejected, _) => 'R',
+        Output::Final(CallResult::Failed, _) => 'F',
     };
-    outputs.iter().map(letter).collect()
+    outputs.iter().map(symbol).collect()
 }
 
 /// The status of the last output.
@@ -33,7 +33,9 @@
             let code = Code::from_wire(trailers[GRPC_STATUS].as_bytes());
             (
                 code,
-                trailers.get(PUSHBACK).and_then(|told| told.to_str().ok()),
+                trailers
+                    .get(RETRY_PUSHBACK)
+                    .and_then(|value| value.to_str().ok()),
             )
         }
         other => panic!("{other:?}"),
@@ -41,14 +43,14 @@
 }
 
 #[test]
-fn a_unary_answer_is_held_until_it_is_served_and_no_longer_than_there_is_room() {
+fn unary_response_is_buffered_until_served_or_over_the_limit() {
     let (mut call, mut outputs) = (call(Shape::Unary), Vec::new());
     let first = call.begin().unwrap();
     call.head(first, HeaderMap::new(), &mut outputs);
     call.data(first, Bytes::from_static(b"0123456789"), &mut outputs);
-    assert_eq!(told(&outputs), "", "there may be another attempt");
+    assert_eq!(summary(&outputs), "", "there may be another attempt");
     call.data(first, Bytes::from_static(b"0"), &mut outputs);
-    assert_eq!(told(&outputs), "chdd");
+    assert_eq!(summary(&outputs), "chdd");
     assert!(call.committed());
     assert_eq!(
         call.begin(),
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn a_stream_is_committed_by_its_first_message_and_one_both_ways_by_its_head() {
+fn server_streams_commit_at_the_first_message_and_bidi_at_the_head() {
     for (shape, at_head, at_data) in [
         (Shape::Unary, "", ""),
         (Shape::ClientStream, "", ""),
@@ -68,14 +70,14 @@
         let (mut call, mut outputs) = (call(shape), Vec::new());
         let first = call.begin().unwrap();
         call.head(first, HeaderMap::new(), &mut outputs);
-        assert_eq!(told(&outputs), at_head, "{shape:?}");
+        assert_eq!(summary(&outputs), at_head, "{shape:?}");
         call.data(first, Bytes::from_static(b"1"), &mut outputs);
-        assert_eq!(told(&outputs), at_data, "{shape:?}");
+        assert_eq!(summary(&outputs), at_data, "{shape:?}");
     }
 }
 
 #[test]
-fn nothing_is_seen_of_an_attempt_that_another_took_the_place_of() {
+fn replaced_attempt_is_never_visible_to_the_client() {
     let (mut call, mut outputs) = (call(Shape::Unary), Vec::new());
     let first = call.begin().unwrap();
     call.head(first, HeaderMap::new(), &mut outputs);
@@ -95,12 +97,12 @@
         maplefall_grpc::status_trailers(Code::Ok, ""),
     );
     call.serve(&mut outputs);
-    assert_eq!(told(&outputs), "hdS");
+    assert_eq!(summary(&outputs), "hdS");
     assert_eq!(outputs[1], Output::Data(Bytes::from_static(b"two")));
 }
 
 #[test]
-fn a_call_has_one_end_whatever_is_said_then() {
+fn call_has_one_final_status() {
     let (mut call, mut outputs) = (call(Shape::ServerStream), Vec::new());
     let first = call.begin().unwrap();
     call.refuse(Some(120.4), &mut outputs);
@@ -112,8 +114,11 @@
     call.head(first, HeaderMap::new(), &mut outputs);
     call.data(first, Bytes::from_static(b"1"), &mut outputs);
     call.commit(&mut outputs);
-    assert_eq!((told(&outputs).as_str(), call.begin()), ("R", Err(Closed)));
-    // Nobody is told anything once the client has gone.
+    assert_eq!(
+        (summary(&outputs).as_str(), call.begin()),
+        ("R", Err(Closed))
+    );
+    // Nothing is sent once the client has gone.
     let (mut gone, mut outputs) = (self::call(Shape::Unary), Vec::new());
     gone.begin().unwrap();
     gone.gone();
@@ -122,7 +127,7 @@
 }
 
 #[test]
-fn a_failure_says_what_it_knows_and_invites_nobody() {
+fn failed_call_carries_no_status_that_clients_retry() {
     let failed = |end: Option<End>, now| {
         let (mut call, mut outputs) = (call(Shape::Unary), Vec::new());
         let first = call.begin().unwrap();
@@ -131,7 +136,7 @@
             call.ended(first, end, trailers);
         }
         call.fail(now, &mut outputs);
-        assert_eq!(told(&outputs), "F");
+        assert_eq!(summary(&outputs), "F");
         let (code, pushback) = status(&outputs);
         assert_eq!(pushback, Some("-1"));
         code
@@ -152,22 +157,22 @@
     }
 }
 
-/// Guards memory against a backend that sends frames with nothing in them for ever.
+/// Guards memory against a backend that sends empty frames without end.
 #[test]
-fn empty_frames_are_neither_held_nor_passed_on() {
+fn empty_frames_are_neither_buffered_nor_forwarded() {
     for shape in [Shape::Unary, Shape::Bidi] {
         let (mut call, mut outputs) = (call(shape), Vec::new());
         let first = call.begin().unwrap();
         call.head(first, HeaderMap::new(), &mut outputs);
         (0..1000).for_each(|_| call.data(first, Bytes::new(), &mut outputs));
         call.commit(&mut outputs);
-        assert_eq!(told(&outputs), "ch", "{shape:?}");
+        assert_eq!(summary(&outputs), "ch", "{shape:?}");
     }
 }
 
-/// Guards against a status made of nothing: nobody is served whose last attempt did not end well.
+/// Guards against a made-up status: a call is served only by an attempt that succeeded.
 #[test]
-fn what_did_not_end_well_is_not_served() {
+fn only_a_successful_attempt_is_served() {
     let (mut call, mut outputs) = (call(Shape::Unary), Vec::new());
     let first = call.begin().unwrap();
     call.ended(
@@ -177,7 +182,7 @@
     );
     call.serve(&mut outputs);
     assert_eq!(
-        (told(&outputs).as_str(), status(&outputs).0),
+        (summary(&outputs).as_str(), status(&outputs).0),
         ("F", Code::Internal)
     );
 }
--- a/crates/grpc/tests/schedules.rs
+++ b/crates/grpc/tests/schedules.rs
@@ -1,348 +1,461 @@
-//! Random schedules of attempts, answers, ends and times, against what the rules promise, with a world that knows the truth:
+//! Random schedules of transport events, checked against the invariants of the package by a model that knows what ran:
 //!
-//! - a call has one final status, and nothing behind it; what it is shown comes from one attempt alone, in order;
-//! - it is served only by an attempt that ended well and in time, and then by the whole of it;
-//! - an attempt that ran in truth is never told as one that has not, so what must not run twice does not;
-//! - a refused call that must not run twice has not run, and a failed one carries no status that invites a repeat;
-//! - what is held stays within its bound.
+//! - a call has one final status and nothing after it; all that its client sees comes from one attempt, in order;
+//! - it is served only by an attempt that succeeded in time, and then completely;
+//! - an attempt that ran is never reported as one that did not, so that a call that is not idempotent runs once;
+//! - a rejected call that is not idempotent did not run, and a failed one carries no status that clients retry;
+//! - the buffered response stays within its bound.
 //!
-//! `GRPC_SCHEDULES=N` plays more.
+//! `GRPC_SCHEDULES=N` runs N schedules.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
-use maplefall_grpc::frames::prefix;
+use maplefall_grpc::frames::{prefix, Frames};
 use maplefall_grpc::{
-    Attempt, Call, Code, End, Output, Result as Ended, Shape, GRPC_STATUS, PUSHBACK,
+    Attempt, Call, CallResult, Code, End, Output, Shape, CANCEL, GRPC_STATUS, NOT_STARTED,
+    REFUSED_STREAM, RETRY_PUSHBACK,
 };
 use maplefall_policy::Outcome;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
+/// When the client gives up, in milliseconds.
 const DEADLINE: f64 = 100.0;
-const HELD: usize = 64;
+/// Time of one attempt, in milliseconds.
+const ATTEMPT_TIMEOUT: f64 = 60.0;
+/// Attempts of a call at most.
+const MAX_ATTEMPTS: u32 = 4;
+const MAX_BUFFERED_BYTES: usize = 64;
+/// Schedules of a run without `GRPC_SCHEDULES`.
+const DEFAULT_SCHEDULES: u32 = 4_000;
 
-/// How the carrier is broken, to show that the checks find it.
+/// A fault that is built into the driver, to show that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    /// Every reset is taken for a refusal.
-    ResetIsRefusal,
-    /// What comes of a former attempt is handed in for the present one.
-    FormerAttempt,
-    /// A cut stream is told as ended well.
-    CutIsOk,
-    /// Nobody looks at the time.
-    NoTime,
+enum Defect {
+    /// Every reset counts as a rejection.
+    ResetIsRejection,
+    /// Data of a previous attempt is delivered as the current attempt's.
+    DataOfPreviousAttempt,
+    /// A reset stream is reported as ended well.
+    ResetIsOk,
+    /// Deadlines are ignored.
+    IgnoresTime,
 }
 
-/// What a backend does next with the attempt that is out.
+/// What happens next to the current attempt.
 #[derive(Clone, Debug)]
-enum Move {
+enum Event {
     Head,
-    /// A message of so many bytes, cut after so many of its frame's.
-    Data(u8, Option<u8>),
-    Trailers(u8, bool),
-    Bare(u8, bool),
-    EndsBare,
+    /// A message of `length` bytes, truncated to `truncated_at` bytes with its prefix.
+    Data {
+        length: u8,
+        truncated_at: Option<u8>,
+    },
+    /// A status behind a response head.
+    Trailers {
+        code: u8,
+        not_started: bool,
+    },
+    /// A status without a response head.
+    TrailersOnly {
+        code: u8,
+        not_started: bool,
+    },
+    /// The response ends without a status.
+    EndsWithoutStatus,
     Reset(u32),
     Unprocessed,
-    Lost,
+    ConnectionLost,
     Unreachable,
+    /// So many milliseconds pass.
     Wait(u8),
 }
 
-fn a_move() -> impl Strategy<Value = Move> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => Just(Move::Head),
-        6 => (0..40u8, proptest::option::weighted(0.1, 0..6u8)).prop_map(|(length, cut)| Move::Data(length, cut)),
-        5 => (prop_oneof![3 => Just(0u8), 2 => 0..18u8], any::<bool>()).prop_map(|(code, not)| Move::Trailers(code, not)),
-        1 => (0..18u8, any::<bool>()).prop_map(|(code, not)| Move::Bare(code, not)),
-        1 => Just(Move::EndsBare),
-        2 => prop_oneof![Just(0u32), Just(2), Just(7), Just(8), 0..14u32].prop_map(Move::Reset),
-        1 => Just(Move::Unprocessed),
-        1 => Just(Move::Lost),
-        1 => Just(Move::Unreachable),
-        2 => (0..40u8).prop_map(Move::Wait),
+        4 => Just(Event::Head),
+        6 => (0..40u8, proptest::option::weighted(0.1, 0..6u8)).prop_map(|(length, truncated_at)| Event::Data { length, truncated_at }),
+        5 => (prop_oneof![3 => Just(0u8), 2 => 0..18u8], any::<bool>()).prop_map(|(code, not_started)| Event::Trailers { code, not_started }),
+        1 => (0..18u8, any::<bool>()).prop_map(|(code, not_started)| Event::TrailersOnly { code, not_started }),
+        1 => Just(Event::EndsWithoutStatus),
+        2 => prop_oneof![Just(0u32), Just(2), Just(REFUSED_STREAM), Just(CANCEL), 0..14u32].prop_map(Event::Reset),
+        1 => Just(Event::Unprocessed),
+        1 => Just(Event::ConnectionLost),
+        1 => Just(Event::Unreachable),
+        2 => (0..40u8).prop_map(Event::Wait),
     ]
 }
 
-/// What the client was sent.
+/// What the client received.
 #[derive(Default)]
 struct Client {
-    head: bool,
+    has_head: bool,
     data: Vec<u8>,
-    end: Option<(Ended, HeaderMap)>,
+    end: Option<(CallResult, HeaderMap)>,
 }
 
+impl Client {
+    fn receive(&mut self, outputs: Vec<Output>) -> Result<(), String> {
+        for output in outputs {
+            if self.end.is_some() {
+                return Err(format!("{output:?} after the end"));
+            }
+            match output {
+                Output::Commit if self.has_head => return Err("committed after a head".to_owned()),
+                Output::Commit => {}
+                Output::Head(_) if self.has_head => return Err("two heads".to_owned()),
+                Output::Head(_) => self.has_head = true,
+                Output::Data(_) if !self.has_head => return Err("data before a head".to_owned()),
+                Output::Data(data) => self.data.extend(data),
+                Output::Final(result, trailers) => self.end = Some((result, trailers)),
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The current attempt, and what is true of it.
+struct CurrentAttempt {
+    number: u32,
+    attempt: Attempt,
+    /// Whether the backend ran the call.
+    has_run: bool,
+    /// Bytes of the response that were delivered; `None` before its head.
+    response: Option<Vec<u8>>,
+}
+
+impl CurrentAttempt {
+    fn has_response(&self) -> bool {
+        self.response.is_some()
+    }
+
+    /// Whether the backend can still state that it did nothing.
+    fn is_untouched(&self) -> bool {
+        !self.has_run && !self.has_response()
+    }
+}
+
+/// An attempt that ended.
+struct EndedAttempt {
+    response: Vec<u8>,
+    end: End,
+}
+
+/// A call, its client and its backends.
 struct World {
     shape: Shape,
-    /// Whether it must not run twice.
-    unsafe_: bool,
-    broken: Option<Broken>,
+    idempotent: bool,
+    defect: Option<Defect>,
     call: Call,
     client: Client,
     now: f64,
     attempts: u32,
-    /// The attempt that is out, whether it has run in truth, and what of its answer was handed in.
-    out: Option<(u32, Attempt, bool, Vec<u8>)>,
-    ran: u32,
-    /// The answer of the attempt that ended last, and how.
-    last: Option<(Vec<u8>, End)>,
-    former: Option<u32>,
+    current: Option<CurrentAttempt>,
+    /// How often the call ran.
+    runs: u32,
+    last: Option<EndedAttempt>,
+    previous_number: Option<u32>,
 }
 
 impl World {
-    fn new(shape: Shape, unsafe_: bool, broken: Option<Broken>) -> World {
+    fn new(shape: Shape, idempotent: bool, defect: Option<Defect>) -> World {
         World {
             shape,
-            unsafe_,
-            broken,
-            call: Call::new(shape, DEADLINE, HELD),
+            idempotent,
+            defect,
+            call: Call::new(shape, DEADLINE, MAX_BUFFERED_BYTES),
             client: Client::default(),
             now: 0.0,
             attempts: 0,
-            out: None,
-            ran: 0,
+            current: None,
+            runs: 0,
             last: None,
-            former: None,
+            previous_number: None,
         }
     }
 
-    fn sees(&mut self, outputs: Vec<Output>) -> Result<(), String> {
-        for output in outputs {
-            if self.client.end.is_some() {
-                return Err(format!("{output:?} after the end"));
-            }
-            match output {
-                Output::Commit if self.client.head => {
-                    return Err("committed after a head".to_owned())
-                }
-                Output::Commit => {}
-                Output::Head(_) if self.client.head => return Err("two heads".to_owned()),
-                Output::Head(_) => self.client.head = true,
-                Output::Data(_) if !self.client.head => return Err("data before a head".to_owned()),
-                Output::Data(data) => self.client.data.extend(data),
-                Output::Final(ended, trailers) => self.client.end = Some((ended, trailers)),
-            }
+    /// The time as the code under test is given it.
+    fn clock(&self) -> f64 {
+        if self.defect == Some(Defect::IgnoresTime) {
+            0.0
+        } else {
+            self.now
         }
-        Ok(())
     }
 
-    /// The part of the decision module: another attempt where the class permits it, or the last word.
+    /// Acts as the decision module: a further attempt where the class permits one, else the end of the call.
     fn decide(&mut self) -> Result<(), String> {
-        let served = matches!(&self.last, Some((_, end)) if end.outcome == Outcome::Ok);
-        let never = self.last.as_ref().is_none_or(|(_, end)| end.never_ran());
+        let last_end = self.last.as_ref().map(|last| &last.end);
+        let succeeded = last_end.is_some_and(|end| end.outcome == Outcome::Ok);
+        let may_retry = self.idempotent || last_end.is_none_or(End::never_ran);
         let mut outputs = Vec::new();
-        if served {
+        if succeeded {
             self.call.serve(&mut outputs);
         } else if self.now >= DEADLINE {
             self.call.fail(self.now, &mut outputs);
-        } else if self.attempts < 4 && !self.call.committed() && (never || !self.unsafe_) {
-            let number = self
-                .call
-                .begin()
-                .map_err(|_| "an open call takes no attempt")?;
-            if number != self.attempts {
-                return Err(format!("attempt {number} is the {}th", self.attempts));
-            }
-            self.attempts += 1;
-            let attempt = Attempt::new(self.shape, self.now + 60.0, DEADLINE);
-            self.out = Some((number, attempt, false, Vec::new()));
-            return Ok(());
-        } else if never || !self.unsafe_ {
+        } else if self.attempts < MAX_ATTEMPTS && !self.call.committed() && may_retry {
+            return self.begin_attempt();
+        } else if may_retry {
             self.call.refuse(Some(5.0), &mut outputs);
         } else {
             self.call.fail(self.now, &mut outputs);
         }
-        self.sees(outputs)
+        self.client.receive(outputs)
+    }
+
+    fn begin_attempt(&mut self) -> Result<(), String> {
+        let number = self
+            .call
+            .begin()
+            .map_err(|_| "an open call takes no attempt")?;
+        if number != self.attempts {
+            return Err(format!("attempt {number} is the {}th", self.attempts));
+        }
+        self.attempts += 1;
+        self.current = Some(CurrentAttempt {
+            number,
+            attempt: Attempt::new(self.shape, self.now + ATTEMPT_TIMEOUT, DEADLINE),
+            has_run: false,
+            response: None,
+        });
+        Ok(())
     }
 
-    fn step(&mut self, step: &Move) -> Result<(), String> {
+    fn step(&mut self, event: &Event) -> Result<(), String> {
         if self.client.end.is_some() {
             return Ok(());
         }
-        if self.out.is_none() {
+        let Some(mut current) = self.current.take() else {
             return self.decide();
-        }
-        let Some((number, attempt, ran, answer)) = &mut self.out else {
-            return Ok(());
         };
         let (mut outputs, mut trailers) = (Vec::new(), HeaderMap::new());
-        let clock = if self.broken == Some(Broken::NoTime) {
-            0.0
-        } else {
-            self.now
-        };
-        // Whatever does not say that it has not run has.
-        let runs = |ran: &mut bool, all: &mut u32, attempt: &mut Attempt| {
-            attempt.sent();
-            if !*ran {
-                (*ran, *all) = (true, *all + 1);
-            }
-        };
-        let status = |code: u8, not: bool| {
-            let mut map = HeaderMap::new();
-            map.insert(GRPC_STATUS, HeaderValue::from(u16::from(code)));
-            if not {
-                map.insert("not-started", HeaderValue::from_static("1"));
-            }
-            map
-        };
-        let mut end = match step {
-            Move::Head => {
-                attempt.sent();
-                let mut head = HeaderMap::new();
-                head.insert("content-type", HeaderValue::from_static("application/grpc"));
-                let end = attempt.head(clock, 200, &head, false);
-                if answer.is_empty() && end.is_none() {
-                    // Marks that the answer has begun.
-                    answer.push(b'H');
-                    self.call.head(*number, head, &mut outputs);
-                }
-                end
+        let end = self.deliver(event, &mut current, &mut trailers, &mut outputs);
+        match end.map(|end| self.distort(end)) {
+            Some(end) => self.end_attempt(current, end, trailers)?,
+            None => self.current = Some(current),
+        }
+        self.client.receive(outputs)
+    }
+
+    /// Applies the defect to an end.
+    fn distort(&self, mut end: End) -> End {
+        if end.outcome == Outcome::Reset {
+            match self.defect {
+                Some(Defect::ResetIsRejection) => end.outcome = Outcome::Full,
+                Some(Defect::ResetIsOk) => end.outcome = Outcome::Ok,
+                _ => {}
             }
-            Move::Data(length, cut) if !answer.is_empty() => {
-                runs(ran, &mut self.ran, attempt);
-                let mut data = prefix(u32::from(*length)).to_vec();
-                data.extend(std::iter::repeat_n(*number as u8, usize::from(*length)));
-                data.truncate(cut.map_or(usize::MAX, usize::from).max(1));
-                let end = attempt.data(&data);
-                if end.is_none() {
-                    answer.extend(&data);
-                    self.call.data(*number, Bytes::from(data), &mut outputs);
-                }
-                if let (Some(Broken::FormerAttempt), Some(former)) = (self.broken, self.former) {
-                    let late = [&prefix(1)[..], &[former as u8]].concat();
-                    self.call.data(*number, Bytes::from(late), &mut outputs);
-                } else if let Some(former) = self.former {
-                    // A late word of a former attempt, under its own number.
-                    self.call
-                        .data(former, Bytes::from_static(b"late"), &mut outputs);
-                }
-                end
+        }
+        end
+    }
+
+    fn end_attempt(
+        &mut self,
+        current: CurrentAttempt,
+        end: End,
+        trailers: HeaderMap,
+    ) -> Result<(), String> {
+        if current.has_run && end.never_ran() {
+            return Err(format!("an attempt that ran is reported as {end:?}"));
+        }
+        self.previous_number = Some(current.number);
+        self.call.ended(current.number, end.clone(), trailers);
+        self.last = Some(EndedAttempt {
+            response: current.response.unwrap_or_default(),
+            end,
+        });
+        Ok(())
+    }
+
+    /// The backend runs the call, as in all cases in which it does not state that it has not.
+    fn run(&mut self, current: &mut CurrentAttempt) {
+        current.attempt.sent();
+        if !current.has_run {
+            current.has_run = true;
+            self.runs += 1;
+        }
+    }
+
+    /// Delivers an event to the current attempt; events that cannot happen now are skipped.
+    fn deliver(
+        &mut self,
+        event: &Event,
+        current: &mut CurrentAttempt,
+        trailers: &mut HeaderMap,
+        outputs: &mut Vec<Output>,
+    ) -> Option<End> {
+        let clock = self.clock();
+        match event {
+            Event::Head => self.deliver_head(current, outputs),
+            Event::Data {
+                length,
+                truncated_at,
+            } if current.has_response() => {
+                self.deliver_data(*length, *truncated_at, current, outputs)
             }
-            Move::Trailers(code, not) if !answer.is_empty() => {
-                // A backend that turns away says so in truth.
-                let away = *not && matches!(code, 8 | 14) && !*ran;
-                if !away {
-                    runs(ran, &mut self.ran, attempt);
-                }
-                trailers = status(*code, away);
-                attempt.trailers(clock, &trailers)
+            Event::Trailers { code, not_started } if current.has_response() => {
+                *trailers = self.status(*code, *not_started, current);
+                current.attempt.trailers(clock, trailers)
             }
-            Move::Bare(code, not) if answer.is_empty() => {
-                let turned_away = *not && matches!(code, 8 | 14);
-                if turned_away && !*ran {
-                    attempt.sent();
-                } else {
-                    runs(ran, &mut self.ran, attempt);
-                }
-                trailers = status(*code, turned_away && !*ran);
-                attempt.head(clock, 200, &trailers, true)
+            Event::TrailersOnly { code, not_started } if !current.has_response() => {
+                *trailers = self.status(*code, *not_started, current);
+                current.attempt.head(clock, 200, trailers, true)
             }
-            Move::EndsBare if !answer.is_empty() => {
-                runs(ran, &mut self.ran, attempt);
-                attempt.ended_bare()
+            Event::EndsWithoutStatus if current.has_response() => {
+                self.run(current);
+                current.attempt.ended_bare()
             }
-            Move::Reset(7) if answer.is_empty() && !*ran => {
-                attempt.sent();
-                attempt.reset(clock, 7)
+            Event::Reset(REFUSED_STREAM) if current.is_untouched() => {
+                current.attempt.sent();
+                current.attempt.reset(clock, REFUSED_STREAM)
             }
-            Move::Reset(error) if *error != 7 || !answer.is_empty() => {
-                runs(ran, &mut self.ran, attempt);
-                attempt.reset(clock, *error)
+            Event::Reset(error) if *error != REFUSED_STREAM || current.has_response() => {
+                self.run(current);
+                current.attempt.reset(clock, *error)
             }
-            Move::Unprocessed if !*ran && answer.is_empty() => attempt.unprocessed(),
-            Move::Lost => {
-                runs(ran, &mut self.ran, attempt);
-                attempt.lost()
+            Event::Unprocessed if current.is_untouched() => current.attempt.unprocessed(),
+            Event::ConnectionLost => {
+                self.run(current);
+                current.attempt.lost()
             }
-            Move::Unreachable if !*ran && answer.is_empty() => attempt.unreachable(),
-            Move::Wait(time) => {
+            Event::Unreachable if current.is_untouched() => current.attempt.unreachable(),
+            Event::Wait(time) => {
                 self.now += f64::from(*time);
-                // The driver gives it up; nothing of it is heard any more.
-                let over = self.now >= DEADLINE && self.broken != Some(Broken::NoTime);
-                if over {
-                    attempt.timed_out()
-                } else {
-                    None
-                }
+                // The driver gives up the attempt.
+                let expired = self.now >= DEADLINE && self.defect != Some(Defect::IgnoresTime);
+                expired.then(|| current.attempt.timed_out()).flatten()
             }
             _ => None,
-        };
-        match (self.broken, &mut end) {
-            (Some(Broken::ResetIsRefusal), Some(end)) if end.outcome == Outcome::Reset => {
-                end.outcome = Outcome::Full;
-            }
-            (Some(Broken::CutIsOk), Some(end)) if end.outcome == Outcome::Reset => {
-                end.outcome = Outcome::Ok
+        }
+    }
+
+    fn deliver_head(
+        &mut self,
+        current: &mut CurrentAttempt,
+        outputs: &mut Vec<Output>,
+    ) -> Option<End> {
+        current.attempt.sent();
+        let mut head = HeaderMap::new();
+        head.insert("content-type", HeaderValue::from_static("application/grpc"));
+        let end = current.attempt.head(self.clock(), 200, &head, false);
+        if !current.has_response() && end.is_none() {
+            current.response = Some(Vec::new());
+            self.call.head(current.number, head, outputs);
+        }
+        end
+    }
+
+    fn deliver_data(
+        &mut self,
+        length: u8,
+        truncated_at: Option<u8>,
+        current: &mut CurrentAttempt,
+        outputs: &mut Vec<Output>,
+    ) -> Option<End> {
+        self.run(current);
+        let mut data = prefix(u32::from(length)).to_vec();
+        data.extend(std::iter::repeat_n(
+            current.number as u8,
+            usize::from(length),
+        ));
+        data.truncate(truncated_at.map_or(usize::MAX, usize::from).max(1));
+        let end = current.attempt.data(&data);
+        if end.is_none() {
+            if let Some(response) = &mut current.response {
+                response.extend(&data);
             }
-            _ => {}
+            self.call.data(current.number, Bytes::from(data), outputs);
         }
-        let number = *number;
-        if let Some(end) = end {
-            let Some((_, _, ran, answer)) = self.out.take() else {
-                return Ok(());
-            };
-            if ran && end.never_ran() {
-                return Err(format!("an attempt that ran is told as {end:?}"));
+        if let Some(previous) = self.previous_number {
+            if self.defect == Some(Defect::DataOfPreviousAttempt) {
+                let late = [&prefix(1)[..], &[previous as u8]].concat();
+                self.call.data(current.number, Bytes::from(late), outputs);
+            } else {
+                // Late data of a previous attempt, under its own number.
+                self.call
+                    .data(previous, Bytes::from_static(b"late"), outputs);
             }
-            self.former = Some(number);
-            self.call.ended(number, end.clone(), trailers);
-            self.last = Some((answer, end));
         }
-        self.sees(outputs)
+        end
+    }
+
+    /// Headers of a status. A backend says `not-started` only with a rejection, and only if it has not run the call.
+    fn status(&mut self, code: u8, not_started: bool, current: &mut CurrentAttempt) -> HeaderMap {
+        let rejects = matches!(
+            Code::ALL.get(usize::from(code)),
+            Some(Code::ResourceExhausted | Code::Unavailable)
+        );
+        let rejected = not_started && rejects && !current.has_run;
+        if rejected {
+            current.attempt.sent();
+        } else {
+            self.run(current);
+        }
+        let mut headers = HeaderMap::new();
+        headers.insert(GRPC_STATUS, HeaderValue::from(u16::from(code)));
+        if rejected {
+            headers.insert(NOT_STARTED, HeaderValue::from_static("1"));
+        }
+        headers
     }
 
     fn check(&self) -> Result<(), String> {
-        if self.unsafe_ && self.ran > 1 {
-            return Err(format!("it ran {} times", self.ran));
+        if !self.idempotent && self.runs > 1 {
+            return Err(format!("it ran {} times", self.runs));
         }
-        let Some((ended, trailers)) = &self.client.end else {
+        let Some((result, trailers)) = &self.client.end else {
             return Ok(());
         };
         let code = trailers
             .get(GRPC_STATUS)
             .map(|code| Code::from_wire(code.as_bytes()))
             .ok_or("no status")?;
-        match ended {
-            Ended::Served => {
-                let (answer, end) = self.last.as_ref().ok_or("served by nobody")?;
-                if self.now >= DEADLINE {
-                    return Err("served too late".to_owned());
-                }
-                if end.outcome != Outcome::Ok || end.code != code {
-                    return Err(format!("served with {code:?} after {end:?}"));
-                }
-                let whole = answer.strip_prefix(b"H").unwrap_or_default();
-                if self.client.data != whole {
-                    return Err(format!("served {:?} of {whole:?}", self.client.data));
-                }
-                let mut frames = maplefall_grpc::frames::Frames::default();
-                frames
-                    .take(whole)
-                    .map_err(|_| "served what is no message")?;
-                if frames.within() {
-                    return Err("served a cut message".to_owned());
-                }
-            }
-            Ended::Refused if self.unsafe_ && self.ran > 0 => {
-                return Err("refused, and it ran".to_owned())
-            }
-            Ended::Refused => {}
-            Ended::Failed => {
-                if code == Code::Ok || code.invites_repeats() {
-                    return Err(format!("failed with {code:?}"));
-                }
-                if trailers.get(PUSHBACK).is_none_or(|told| told != "-1") {
-                    return Err("failed without telling not to call again".to_owned());
-                }
+        match result {
+            CallResult::Served => self.check_served(code),
+            CallResult::Rejected if !self.idempotent && self.runs > 0 => {
+                Err("rejected, and it ran".to_owned())
             }
+            CallResult::Rejected => Ok(()),
+            CallResult::Failed => check_failed(code, trailers),
+        }
+    }
+
+    fn check_served(&self, code: Code) -> Result<(), String> {
+        let EndedAttempt { response, end } = self.last.as_ref().ok_or("served by no attempt")?;
+        if self.now >= DEADLINE {
+            return Err("served too late".to_owned());
+        }
+        if end.outcome != Outcome::Ok || end.code != code {
+            return Err(format!("served with {code:?} after {end:?}"));
+        }
+        if self.client.data != *response {
+            return Err(format!("served {:?} of {response:?}", self.client.data));
+        }
+        let mut frames = Frames::default();
+        frames
+            .take(response)
+            .map_err(|_| "served what is no message")?;
+        if frames.within() {
+            return Err("served a truncated message".to_owned());
         }
         Ok(())
     }
 }
 
-fn shapes() -> impl Strategy<Value = Shape> {
+fn check_failed(code: Code, trailers: &HeaderMap) -> Result<(), String> {
+    if code == Code::Ok || code.is_retried_by_clients() {
+        return Err(format!("failed with {code:?}"));
+    }
+    if trailers
+        .get(RETRY_PUSHBACK)
+        .is_none_or(|value| value != "-1")
+    {
+        return Err("failed without forbidding a retry".to_owned());
+    }
+    Ok(())
+}
+
+fn shape() -> impl Strategy<Value = Shape> {
     prop_oneof![
         Just(Shape::Unary),
         Just(Shape::ServerStream),
@@ -351,33 +464,44 @@
     ]
 }
 
-fn schedule() -> impl Strategy<Value = (Shape, bool, Vec<Move>)> {
+/// A method's shape, whether a call of it must not run twice, and the events.
+fn schedule() -> impl Strategy<Value = (Shape, bool, Vec<Event>)> {
     (
-        shapes(),
+        shape(),
         any::<bool>(),
-        proptest::collection::vec(a_move(), 1..60),
+        proptest::collection::vec(event(), 1..60),
     )
 }
 
-fn play(
+/// How a schedule ended.
+struct Run {
+    attempts: u32,
+    /// `None` if the call is still open.
+    result: Option<CallResult>,
+}
+
+fn run_schedule(
     shape: Shape,
-    unsafe_: bool,
-    moves: &[Move],
-    broken: Option<Broken>,
-) -> Result<(u32, Option<Ended>), String> {
-    let mut world = World::new(shape, unsafe_, broken);
-    for step in moves {
-        world.step(step)?;
+    must_not_repeat: bool,
+    events: &[Event],
+    defect: Option<Defect>,
+) -> Result<Run, String> {
+    let mut world = World::new(shape, !must_not_repeat, defect);
+    for event in events {
+        world.step(event)?;
         world.check()?;
     }
-    Ok((world.attempts, world.client.end.map(|(ended, _)| ended)))
+    Ok(Run {
+        attempts: world.attempts,
+        result: world.client.end.map(|(result, _)| result),
+    })
 }
 
-fn cases(usual: u32) -> u32 {
+fn schedules() -> u32 {
     std::env::var("GRPC_SCHEDULES")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(usual)
+        .unwrap_or(DEFAULT_SCHEDULES)
 }
 
 fn runner(cases: u32) -> TestRunner {
@@ -390,46 +514,70 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
 }
 
+/// Counts over all schedules.
+#[derive(Clone, Copy, Default)]
+struct Tally {
+    attempts: u64,
+    open: u64,
+    served: u64,
+    rejected: u64,
+    failed: u64,
+}
+
+impl Tally {
+    fn add(&mut self, run: &Run) {
+        self.attempts += u64::from(run.attempts);
+        let count = match run.result {
+            None => &mut self.open,
+            Some(CallResult::Served) => &mut self.served,
+            Some(CallResult::Rejected) => &mut self.rejected,
+            Some(CallResult::Failed) => &mut self.failed,
+        };
+        *count += 1;
+    }
+}
+
 #[test]
 fn no_schedule_breaks_a_rule() {
-    let tally = std::cell::RefCell::new([0u64; 5]);
-    let run = runner(cases(4_000)).run(&schedule(), |(shape, unsafe_, moves)| {
-        let (attempts, end) = play(shape, unsafe_, &moves, None).map_err(TestCaseError::fail)?;
-        let mut tally = tally.borrow_mut();
-        tally[0] += u64::from(attempts);
-        let place = match end {
-            None => 1,
-            Some(Ended::Served) => 2,
-            Some(Ended::Refused) => 3,
-            Some(Ended::Failed) => 4,
-        };
-        tally[place] += 1;
+    let tally = std::cell::Cell::new(Tally::default());
+    let outcome = runner(schedules()).run(&schedule(), |(shape, must_not_repeat, events)| {
+        let run =
+            run_schedule(shape, must_not_repeat, &events, None).map_err(TestCaseError::fail)?;
+        let mut counts = tally.get();
+        counts.add(&run);
+        tally.set(counts);
         Ok(())
     });
-    let [attempts, open, served, refused, failed] = *tally.borrow();
+    let Tally {
+        attempts,
+        open,
+        served,
+        rejected,
+        failed,
+    } = tally.get();
     println!(
-        "{attempts} attempts; {served} calls served, {refused} refused, {failed} failed, {open} left open"
+        "{attempts} attempts; {served} calls served, {rejected} rejected, {failed} failed, {open} left open"
     );
-    run.unwrap();
+    outcome.unwrap();
     assert!(
-        [served, refused, failed].iter().all(|count| *count > 200),
+        [served, rejected, failed].iter().all(|count| *count > 200),
         "every end is met"
     );
 }
 
 #[test]
-fn each_way_to_be_broken_is_found() {
-    for broken in [
-        Broken::ResetIsRefusal,
-        Broken::FormerAttempt,
-        Broken::CutIsOk,
-        Broken::NoTime,
+fn every_defect_is_found() {
+    for defect in [
+        Defect::ResetIsRejection,
+        Defect::DataOfPreviousAttempt,
+        Defect::ResetIsOk,
+        Defect::IgnoresTime,
     ] {
-        let run = runner(1_000).run(&schedule(), |(shape, unsafe_, moves)| {
-            play(shape, unsafe_, &moves, Some(broken))
+        let run = runner(1_000).run(&schedule(), |(shape, must_not_repeat, events)| {
+            run_schedule(shape, must_not_repeat, &events, Some(defect))
                 .map_err(TestCaseError::fail)
                 .map(drop)
         });
-        assert!(run.is_err(), "{broken:?} was not found");
+        assert!(run.is_err(), "{defect:?} was not found");
     }
 }
