--- /dev/null
+++ b/crates/settings/src/flatten.rs
@@ -0,0 +1,68 @@
+//! Nested JSON as `path=value` lines, the form that the simulator sends.
+//!
+//! Keys are joined by dots. A list of objects becomes `list.count=N` and `list.0.key=value`, a list of scalars one line with
+//! commas between the values; `null` is left out.
+
+use serde_json::Value;
+use std::fmt::Write;
+
+/// A string value as it stands in a line: spaces and commas, which separate values on the wire, become underscores.
+pub fn plain(value: &str) -> String {
+    value.replace([' ', ','], "_")
+}
+
+/// Nested settings as `path=value` lines, to be read by [`parse`](crate::parse).
+pub fn facts(settings: &Value) -> String {
+    let mut lines = String::new();
+    flatten("", settings, &mut lines);
+    lines
+}
+
+fn flatten(path: &str, value: &Value, lines: &mut String) {
+    match value {
+        Value::Object(entries) => entries
+            .iter()
+            .for_each(|(key, value)| flatten(&join(path, key), value, lines)),
+        Value::Array(items) if items.iter().any(is_nested) => {
+            write_line(&join(path, "count"), &items.len().to_string(), lines);
+            for (index, item) in items.iter().enumerate() {
+                flatten(&join(path, &index.to_string()), item, lines);
+            }
+        }
+        Value::Array(items) => {
+            let values: Vec<String> = items.iter().filter_map(scalar).collect();
+            write_line(path, &values.join(","), lines);
+        }
+        value => {
+            if let Some(value) = scalar(value) {
+                write_line(path, &value, lines);
+            }
+        }
+    }
+}
+
+fn join(path: &str, key: &str) -> String {
+    if path.is_empty() {
+        key.to_owned()
+    } else {
+        format!("{path}.{key}")
+    }
+}
+
+fn write_line(path: &str, value: &str, lines: &mut String) {
+    // Writing to a string cannot fail.
+    let _ = writeln!(lines, "{path}={value}");
+}
+
+fn is_nested(value: &Value) -> bool {
+    value.is_object() || value.is_array()
+}
+
+/// The text of a scalar; `None` for `null`, lists and objects.
+fn scalar(value: &Value) -> Option<String> {
+    match value {
+        Value::String(text) => Some(plain(text)),
+        Value::Bool(_) | Value::Number(_) => Some(value.to_string()),
+        Value::Null | Value::Array(_) | Value::Object(_) => None,
+    }
+}
--- /dev/null
+++ b/crates/settings/src/mapping.rs
@@ -0,0 +1,244 @@
+//! The mapping of wire names to settings, with units and defaults.
+//!
+//! | wire name | setting | unit | default |
+//! | --- | --- | --- | --- |
+//! | `fleet_size` | [`Settings::gateways`] | gateways | 1 |
+//! | `my_zone` | [`Settings::zone`] | index in `zones` | 0 |
+//! | `zones` | [`Names::zones`] | names | none |
+//! | `tick` | [`Settings::tick`] | ms | 1 |
+//! | `extra.max_units` | [`Settings::max_units`] | units | 1 |
+//! | `extra.meter` | [`Settings::meter_period`] | ms; 0 for no meter | 0 |
+//! | `registry_mode` | [`Settings::discovery`] | `pushed`, `on_request` | `pushed` |
+//! | `report.via` | [`Settings::reports`] | `off`, `inline`, `on_probe` | `off` |
+//! | `report.names` | [`Told::metrics`] | names of [`Metric`] | none |
+//! | `policy_limits.send_cap` | [`Settings::max_attempts`] | attempts | 1 |
+//! | `policy_limits.second_copies` | [`Settings::second_copies`] | `true`, `false` | `false` |
+//! | `policy_limits.cancel` | [`Settings::cancel`] | `true`, `false` | `false` |
+//! | `policy_limits.probes` | [`Settings::probes`] | `true`, `false` | `false` |
+//! | `policy_limits.retry_after` | [`Settings::retry_after`] | `true`, `false` | `false` |
+//! | `policy_limits.max_retry_after` | [`Settings::max_retry_after`] | ms | 0 |
+//! | `policy_limits.dial_timeout` | [`Links::dial_timeout`] | ms | 250 |
+//! | `policy_limits.idle_close` | [`Links::idle_close`] | ms | 10 000 |
+//! | `charges.cross_zone` | [`Settings::cross_zone_price`] | fraction of the value | 0 |
+//! | `rules.answer_slack` | [`Settings::answer_slack`] | ms | 0 |
+//! | `rules.stop_sending_within` | [`Settings::drain_grace`] | ms | 0 |
+//! | `rules.ask_within` | [`Settings::ask_within`] | ms | 10 000 |
+//! | `rules.start_capacity` | [`Settings::start_capacity`] | fraction of the capacity | 0.1 |
+//! | `rules.warm_up` | [`Settings::warm_up`] | ms | 30 000 |
+//! | `rules.overload_factor` | [`Settings::overload_factor`] | factor | 2 |
+//! | `rules.fall` | [`Settings::overload_window`] | ms | 1000 |
+//!
+//! Lists of objects have their length in `grades.count` and `plans.count`, 4096 at most, and a `name` for each entry:
+//!
+//! | wire name | setting | unit | default |
+//! | --- | --- | --- | --- |
+//! | `grades.N.aim` | [`Class::aim`] | ms | 1000 |
+//! | `grades.N.give_up` | [`Class::deadline`] | ms | 2000 |
+//! | `grades.N.credit` | [`Class::worth`] | value of a unit | 1 |
+//! | `grades.N.late_worth` | [`Class::late_worth`] | fraction of the value | 0 |
+//! | `grades.N.idempotency` | [`Class::effect`] | `safe`, `keyed`, `unsafe` | `unsafe` |
+//! | `grades.N.group` | [`Effect::Keyed`], `group` | `all`, `zone`, `cell` | `cell` |
+//! | `grades.N.memory_span` | [`Effect::Keyed`], `memory` | ms | 0 |
+//! | `grades.N.streaming` | [`Class::streaming`] | `true`, `false` | `false` |
+//! | `plans.N.per_second` | [`Plan::rate`] | units a second; 0 for no quota | 0 |
+//! | `plans.N.peak_units` | [`Plan::burst`] | units | 0 |
+//! | `plans.N.max_out` | [`Plan::max_open`] | attempts; 0 for no limit | 0 |
+//! | `plans.N.pays` | [`Plan::price`] | factor | 1 |
+//! | `plans.N.excess_worth` | [`Plan::over_worth`] | fraction of the value | 0 |
+//! | `plans.N.over_cost` | [`Plan::over_cost`] | fraction of the value | 0 |
+//! | `plans.N.cap_rate` | [`Ceiling::rate`] | units a second; 0 for no rate limit | 0 |
+//! | `plans.N.never_over_depth` | [`Ceiling::burst`] | units | 0 |
+//! | `plans.N.hard_slack` | [`Ceiling::slack`] | units | 0 |
+
+use crate::load_report::Metric;
+use crate::reader::Reader;
+use maplefall_policy::{
+    Ceiling, Class, Discovery, Effect, Group, Millis, Plan, Reports, Settings, ZoneId,
+};
+
+/// Parsed settings.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Told {
+    /// Settings of the decision module.
+    pub settings: Settings,
+    /// Metrics of a load report, in the order of its values.
+    pub metrics: Vec<Metric>,
+    /// Names of what the settings number.
+    pub names: Names,
+    /// Limits of connections to backends.
+    pub links: Links,
+}
+
+/// Names of classes, plans, zones and metrics, each at the index that the settings use.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Names {
+    /// Names of the request classes (`grades.N.name`).
+    pub classes: Vec<String>,
+    /// Names of the plans (`plans.N.name`).
+    pub plans: Vec<String>,
+    /// Names of the zones (`zones`).
+    pub zones: Vec<String>,
+    /// Names of the values of a load report (`report.names`).
+    pub metrics: Vec<String>,
+}
+
+/// Time limits of a connection to a backend.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Links {
+    /// Time to establish a connection before the attempt counts as failed, in milliseconds.
+    pub dial_timeout: Millis,
+    /// Time after which a backend closes an idle connection, in milliseconds.
+    pub idle_close: Millis,
+}
+
+impl Default for Links {
+    fn default() -> Self {
+        Links {
+            dial_timeout: 250.0,
+            idle_close: 10_000.0,
+        }
+    }
+}
+
+/// Parses `path=value` lines.
+///
+/// # Errors
+/// All values that cannot be read, each with its path, joined by `; `.
+pub fn parse(text: &str) -> Result<Told, String> {
+    parse_all(text).map_err(|errors| errors.join("; "))
+}
+
+/// Parses `path=value` lines.
+///
+/// # Errors
+/// All values that cannot be read, each with its path.
+pub fn parse_all(text: &str) -> Result<Told, Vec<String>> {
+    let reader = Reader::new(text);
+    let parsed = read_all(&reader);
+    let errors = reader.finish();
+    if errors.is_empty() {
+        Ok(parsed)
+    } else {
+        Err(errors.iter().map(ToString::to_string).collect())
+    }
+}
+
+fn read_all(reader: &Reader<'_>) -> Told {
+    let names = read_names(reader);
+    let settings = read_settings(reader, &names);
+    let metrics = names.metrics.iter();
+    Told {
+        settings,
+        metrics: metrics.map(|name| Metric::from_wire(name)).collect(),
+        names,
+        links: read_links(reader),
+    }
+}
+
+fn read_names(reader: &Reader<'_>) -> Names {
+    Names {
+        classes: reader.entry_names("grades"),
+        plans: reader.entry_names("plans"),
+        zones: reader.list("zones"),
+        metrics: reader.list("report.names"),
+    }
+}
+
+fn read_settings(reader: &Reader<'_>, names: &Names) -> Settings {
+    const DISCOVERY: [(&str, Discovery); 2] = [
+        ("pushed", Discovery::Pushed),
+        ("on_request", Discovery::OnRequest),
+    ];
+    const REPORTS: [(&str, Reports); 3] = [
+        ("off", Reports::Off),
+        ("inline", Reports::Inline),
+        ("on_probe", Reports::OnProbe),
+    ];
+    let default = Settings::default();
+    let limit = |key: &str| format!("policy_limits.{key}");
+    Settings {
+        gateways: reader.get("fleet_size", default.gateways),
+        zone: ZoneId(reader.get("my_zone", default.zone.0)),
+        tick: reader.number("tick", default.tick),
+        classes: (0..names.classes.len())
+            .map(|index| read_class(reader, index))
+            .collect(),
+        plans: (0..names.plans.len())
+            .map(|index| read_plan(reader, index))
+            .collect(),
+        max_units: reader.number("extra.max_units", default.max_units),
+        meter_period: reader.number("extra.meter", default.meter_period),
+        discovery: reader.choice("registry_mode", default.discovery, &DISCOVERY),
+        reports: reader.choice("report.via", default.reports, &REPORTS),
+        max_attempts: reader.get(&limit("send_cap"), default.max_attempts),
+        second_copies: reader.get(&limit("second_copies"), default.second_copies),
+        cancel: reader.get(&limit("cancel"), default.cancel),
+        probes: reader.get(&limit("probes"), default.probes),
+        retry_after: reader.get(&limit("retry_after"), default.retry_after),
+        max_retry_after: reader.number(&limit("max_retry_after"), default.max_retry_after),
+        cross_zone_price: reader.number("charges.cross_zone", default.cross_zone_price),
+        answer_slack: reader.number("rules.answer_slack", default.answer_slack),
+        drain_grace: reader.number("rules.stop_sending_within", default.drain_grace),
+        ask_within: reader.number("rules.ask_within", default.ask_within),
+        start_capacity: reader.number("rules.start_capacity", default.start_capacity),
+        warm_up: reader.number("rules.warm_up", default.warm_up),
+        overload_factor: reader.number("rules.overload_factor", default.overload_factor),
+        overload_window: reader.number("rules.fall", default.overload_window),
+        ..default
+    }
+}
+
+fn read_links(reader: &Reader<'_>) -> Links {
+    let default = Links::default();
+    Links {
+        dial_timeout: reader.number("policy_limits.dial_timeout", default.dial_timeout),
+        idle_close: reader.number("policy_limits.idle_close", default.idle_close),
+    }
+}
+
+fn read_class(reader: &Reader<'_>, index: usize) -> Class {
+    const GROUPS: [(&str, Group); 3] = [
+        ("all", Group::All),
+        ("zone", Group::Zone),
+        ("cell", Group::Cell),
+    ];
+    let path = |key: &str| format!("grades.{index}.{key}");
+    let default = Class::default();
+    let keyed = Effect::Keyed {
+        group: reader.choice(&path("group"), Group::Cell, &GROUPS),
+        memory: reader.number(&path("memory_span"), 0.0),
+    };
+    let effects = [
+        ("safe", Effect::Safe),
+        ("keyed", keyed),
+        ("unsafe", Effect::Unsafe),
+    ];
+    Class {
+        aim: reader.number(&path("aim"), default.aim),
+        deadline: reader.number(&path("give_up"), default.deadline),
+        worth: reader.number(&path("credit"), default.worth),
+        late_worth: reader.number(&path("late_worth"), default.late_worth),
+        effect: reader.choice(&path("idempotency"), default.effect, &effects),
+        streaming: reader.get(&path("streaming"), default.streaming),
+        max_attempts: u32::MAX,
+    }
+}
+
+fn read_plan(reader: &Reader<'_>, index: usize) -> Plan {
+    let path = |key: &str| format!("plans.{index}.{key}");
+    let default = Plan::default();
+    let rate_limit = Ceiling {
+        rate: reader.number(&path("cap_rate"), 0.0),
+        burst: reader.number(&path("never_over_depth"), 0.0),
+        slack: reader.number(&path("hard_slack"), 0.0),
+    };
+    Plan {
+        rate: reader.number(&path("per_second"), default.rate),
+        burst: reader.number(&path("peak_units"), default.burst),
+        max_open: reader.get(&path("max_out"), default.max_open),
+        price: reader.number(&path("pays"), default.price),
+        over_worth: reader.number(&path("excess_worth"), default.over_worth),
+        over_cost: reader.number(&path("over_cost"), default.over_cost),
+        ceiling: (rate_limit.rate > 0.0).then_some(rate_limit),
+    }
+}
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,14 +1,13 @@
 use super::*;
+use maplefall_policy::{Ceiling, Discovery, Effect, Group, Settings};
 
 #[test]
-fn what_is_told_is_read_and_the_rest_defaulted() {
+fn missing_settings_take_their_defaults() {
     let text = "fleet_size=3\nplans.count=1\nplans.0.per_second=2.5\nplans.0.cap_rate=5\nnew.key=x\n\
                 grades.count=1\ngrades.0.idempotency=keyed\ngrades.0.group=zone\ngrades.0.memory_span=6000\n\
                 report.names=depth,strange,concurrent\nregistry_mode=on_request";
     let Told {
-        settings,
-        metrics: order,
-        ..
+        settings, metrics, ..
     } = parse(text).unwrap();
     assert_eq!((settings.gateways, settings.plans[0].rate), (3, 2.5));
     assert_eq!(
@@ -28,35 +27,35 @@
     );
     assert_eq!(settings.discovery, Discovery::OnRequest);
     assert_eq!(settings.max_attempts, Settings::default().max_attempts);
-    let told = report(&order, &[4.0, 9.0, 6.0]);
+    let report = super::report(&metrics, &[4.0, 9.0, 6.0]);
     assert_eq!(
-        (told.queue, told.in_flight, told.utilisation),
+        (report.queue, report.in_flight, report.utilisation),
         (Some(4.0), Some(6.0), None)
     );
 }
 
-/// Guards operators against mending one mistake after the other: all are told at once.
+/// Guards operators against correcting one error after the other: all are reported together.
 #[test]
-fn all_that_cannot_be_read_is_told_at_once() {
+fn all_invalid_values_are_reported_together() {
     let text =
         "tick=soon\nplans.count=1\nplans.0.per_second=much\ngrades.count=99999999999\nreport.via=post";
-    let mistakes = parse_all(text).unwrap_err();
+    let errors = parse_all(text).unwrap_err();
     let expected = [
         "settings: grades.count=99999999999 is over 4096",
         "settings: tick=soon cannot be read",
         "settings: plans.0.per_second=much cannot be read",
         "settings: report.via=post is not a known choice",
     ];
-    let of = |text: &&str| mistakes.iter().filter(|mistake| mistake == text).count();
+    let occurrences = |text: &&str| errors.iter().filter(|error| error == text).count();
     assert_eq!(
-        expected.iter().map(of).collect::<Vec<_>>(),
+        expected.iter().map(occurrences).collect::<Vec<_>>(),
         [1, 1, 1, 1],
-        "{mistakes:#?}"
+        "{errors:#?}"
     );
 }
 
 #[test]
-fn what_cannot_be_read_is_named() {
+fn errors_name_the_path() {
     assert_eq!(
         parse("tick=soon").unwrap_err(),
         "settings: tick=soon cannot be read"
@@ -71,7 +70,7 @@
 }
 
 #[test]
-fn nested_settings_become_the_facts_of_the_wire() {
+fn nested_settings_become_path_value_lines() {
     let value = serde_json::json!({
         "tick": 2.0, "zones": ["a b", "c"], "none": null, "report": {"names": []},
         "plans": [{"name": "x,y", "max_out": 2}], "policy_limits": {"cancel": true},
