--- a/crates/protocol/src/answer.rs
+++ b/crates/protocol/src/answer.rs
@@ -1,38 +1,38 @@
-//! How an attempt ended, and the one final answer of a request.
+//! The final response of a request, and how an attempt at a backend ended.
 
 use bytes::Bytes;
 use maplefall_policy::{Millis, Outcome, Report};
 
-/// The one final answer of a request.
+/// The final response of a request. Each request has exactly one.
 #[derive(Debug)]
 pub enum Answer {
-    /// A backend's answer.
+    /// A backend's response body.
     Served(Bytes),
-    /// Trying again is harmless; when, if advised.
+    /// The request did not run, or may run again: a retry is harmless, after this many milliseconds if a time is advised.
     Refused(Option<Millis>),
-    /// Nothing promised.
+    /// The request may have run.
     Failed,
 }
 
-/// How an attempt ended and what its answer told.
+/// How an attempt ended, with the metadata of its response.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// The outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The whole body of a good answer.
+    /// Complete body of a successful response; else empty.
     pub body: Bytes,
-    /// The customer's use, as a part of its rate.
+    /// The tenant's usage over the last metered period, as a fraction of its quota (`api-usage`).
     pub used: Option<f64>,
-    /// The true units.
+    /// Units that the request actually took (`api-charge`).
     pub charge: Option<f64>,
-    /// The backend's load.
+    /// The backend's load report (`server-load`).
     pub report: Report,
-    /// Connections that had come up and broke under it.
+    /// Established connections that broke during the attempt.
     pub broken: u32,
 }
 
 impl Ended {
-    /// An end without an answer.
+    /// An end without a response.
     pub fn of(outcome: Outcome) -> Ended {
         Ended {
             outcome,
--- a/crates/protocol/src/headers.rs
+++ b/crates/protocol/src/headers.rs
@@ -1,24 +1,24 @@
-//! Header names of the protocol page.
+//! Names of the protocol's headers (protocol page).
 
 use http::HeaderName;
 
-/// Names a request; new with every request, also with a client's retry.
+/// Request id, unique for each request; a client's retry has a new one.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// The class, which is also the first part of the path.
+/// Request class, which is also the first segment of the path.
 pub const REQUEST_CLASS: HeaderName = HeaderName::from_static("request-class");
-/// How long the sender will wait, in seconds with decimals.
+/// Timeout of the sender, in seconds with decimals.
 pub const REQUEST_TIMEOUT: HeaderName = HeaderName::from_static("request-timeout");
-/// The key by which backends drop repeats of a keyed request.
+/// Key by which backends deduplicate a keyed request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// The customer's plan.
+/// The tenant's plan.
 pub const API_PLAN: HeaderName = HeaderName::from_static("api-plan");
-/// `units` of the request, and `spread` and `first` of the customer's set of front doors.
+/// `units` of the request, and `spread` and `first` of the tenant's set of proxies.
 pub const API_TERMS: HeaderName = HeaderName::from_static("api-terms");
-/// `1` with 503 or 504: the request never ran.
+/// `1` beside 503 or 504: the request was not started.
 pub const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
-/// The customer's use of its quota over the last metered period, in percent.
+/// The tenant's usage of its quota over the last metered period, in percent.
 pub const API_USAGE: HeaderName = HeaderName::from_static("api-usage");
-/// The true units of a served request.
+/// Units that a served request actually took.
 pub const API_CHARGE: HeaderName = HeaderName::from_static("api-charge");
 /// A backend's load report.
 pub const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,7 @@
-//! What passes between the rooms of a front door, and between it and the systems round it: the platform's protocol
-//! as plain types. Nothing here does I/O, and nothing here decides.
+//! The platform's protocol as plain types: header names, requests, responses and endpoint lists, as the modules of a proxy
+//! pass them on and as the systems around it send them. No I/O and no decisions.
+//!
+//! Invariant: JSON field names and header names are those of the protocol page; `tests/wire.rs` reads its forms.
 
 mod answer;
 pub mod headers;
@@ -10,5 +12,5 @@
 pub use members::{Health, Member, Members};
 pub use request::{Incoming, Order};
 
-/// Longest body of a request, and of an answer that is taken in without asking for room, in bytes.
+/// Length in bytes of a request's body at most, and of a response's body that is buffered without a memory reservation.
 pub const LONGEST_BODY: usize = 64 * 1024;
--- a/crates/protocol/src/members.rs
+++ b/crates/protocol/src/members.rs
@@ -1,54 +1,55 @@
-//! The list of backends as discovery tells it (protocol page, "Discovery").
+//! The endpoint list as discovery sends it (protocol page, "Discovery"). Field names are those of the JSON on the wire.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A list of backends, or what changed in it.
+/// An endpoint list, or the changes since the one before.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Members {
-    /// Its version.
+    /// Version of the list, which rises with every change.
     pub seq: u64,
-    /// Whether it is the whole list.
+    /// Whether the list is complete; else it holds only the changed entries.
     pub whole: bool,
-    /// Its entries.
+    /// The entries.
     pub hosts: Vec<Member>,
 }
 
-/// One entry of the list.
+/// A backend instance of the list.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Member {
-    /// Its name, the same at every front door.
+    /// Name of the backend, the same at every proxy.
     pub host: String,
-    /// Where it listens.
+    /// Address that the backend listens at.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// Zone; empty if unknown.
     #[serde(default)]
     pub site: String,
-    /// Its cell.
+    /// Cell (a group of backends that remember the same idempotency keys); 0 by default.
     #[serde(default)]
     pub block: u32,
-    /// Its state.
+    /// State.
     pub health: Health,
-    /// Its size relative to others.
-    #[serde(default = "whole_share")]
+    /// Capacity relative to other backends; 1 by default.
+    #[serde(default = "default_share")]
     pub share: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of the last start, in Unix milliseconds; 0 (the default) if it is long ago.
     #[serde(default)]
     pub born_ms: f64,
 }
 
-/// State of a backend in the list.
+/// State of a backend in the list, in lower case on the wire.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// May be sent to.
+    /// Accepts requests.
     Up,
-    /// Finishing its work.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// Gone.
+    /// Removed from the list.
     Removed,
 }
 
-fn whole_share() -> f64 {
+/// Capacity of a backend that gives none.
+fn default_share() -> f64 {
     1.0
 }
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -1,52 +1,52 @@
-//! A client's request: as the decisions see it, and as it goes on to a backend.
+//! A client's request: what the decision module reads, and what is forwarded to a backend.
 
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Method, Uri};
 use maplefall_policy::{ClassId, CustomerId, Millis, PlanId};
 use std::rc::Rc;
 
-/// A client's request, read whole and found well formed.
+/// A client's request, received completely and validated.
 #[derive(Debug)]
 pub struct Incoming {
-    /// When its last byte came.
+    /// When its last byte was received, in milliseconds of the process's clock.
     pub at: Millis,
-    /// When its client stops waiting.
+    /// When the client gives up, on the same clock.
     pub deadline: Millis,
-    /// Whether its caller needs no check.
+    /// Whether the caller needs no (further) authorization check.
     pub checked: bool,
-    /// Its owner.
+    /// The tenant.
     pub customer: CustomerId,
-    /// Its owner's plan.
+    /// The tenant's plan.
     pub plan: PlanId,
-    /// Its class.
+    /// Request class.
     pub class: ClassId,
-    /// Units that it takes.
+    /// Quota units that it takes; an estimate until the response brings the actual ones.
     pub units: f64,
-    /// Front doors in its owner's set.
+    /// Number of proxies that serve the tenant.
     pub spread: f64,
-    /// What goes on to a backend.
+    /// What is forwarded to a backend.
     pub order: Order,
 }
 
-/// What goes on to a backend, the same with every attempt.
+/// The request as it is forwarded, the same with every attempt.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// The id on the wire.
+    /// Request id as text.
     pub id: Rc<str>,
-    /// The id as it came.
+    /// Request id as the header value that was received.
     pub id_value: HeaderValue,
-    /// The host that the client named.
+    /// `host` of the client's request.
     pub host: HeaderValue,
-    /// The method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The key of a keyed request.
+    /// Idempotency key of a keyed request.
     pub key: Option<HeaderValue>,
-    /// The content type, if the client named one.
+    /// `content-type`, if the client sent one.
     pub content_type: Option<HeaderValue>,
-    /// Headers that the caller's check brought.
+    /// Headers added by the authorization check.
     pub onward: Vec<(HeaderName, HeaderValue)>,
-    /// The body.
+    /// Complete body, at most [`LONGEST_BODY`](crate::LONGEST_BODY) bytes.
     pub body: Bytes,
 }
