--- a/crates/grpc/tests/schedules.rs
+++ b/crates/grpc/tests/schedules/world.rs
@@ -1,23 +1,13 @@
-//! Random schedules of transport events, checked against the invariants of the package by a model that knows what ran:
-//!
-//! - a call has one final status and nothing after it; all that its client sees comes from one attempt, in order;
-//! - it is served only by an attempt that succeeded in time, and then completely;
-//! - an attempt that ran is never reported as one that did not, so that a call that is not idempotent runs once;
-//! - a rejected call that is not idempotent did not run, and a failed one carries no status that clients retry;
-//! - the buffered response stays within its bound.
-//!
-//! `GRPC_SCHEDULES=N` runs N schedules.
+//! The model: a call with its client and its backends, which knows what ran, and the checks of the invariants.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
 use maplefall_grpc::frames::{prefix, Frames};
 use maplefall_grpc::{
-    Attempt, Call, CallResult, Code, End, Output, Shape, CANCEL, GRPC_STATUS, NOT_STARTED,
-    REFUSED_STREAM, RETRY_PUSHBACK,
+    Attempt, Call, CallResult, Code, End, Output, Shape, GRPC_STATUS, NOT_STARTED, REFUSED_STREAM,
+    RETRY_PUSHBACK,
 };
 use maplefall_policy::Outcome;
-use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 /// When the client gives up, in milliseconds.
 const DEADLINE: f64 = 100.0;
@@ -26,12 +16,10 @@
 /// Attempts of a call at most.
 const MAX_ATTEMPTS: u32 = 4;
 const MAX_BUFFERED_BYTES: usize = 64;
-/// Schedules of a run without `GRPC_SCHEDULES`.
-const DEFAULT_SCHEDULES: u32 = 4_000;
 
 /// A fault that is built into the driver, to show that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Defect {
+pub enum Defect {
     /// Every reset counts as a rejection.
     ResetIsRejection,
     /// Data of a previous attempt is delivered as the current attempt's.
@@ -44,7 +32,7 @@
 
 /// What happens next to the current attempt.
 #[derive(Clone, Debug)]
-enum Event {
+pub enum Event {
     Head,
     /// A message of `length` bytes, truncated to `truncated_at` bytes with its prefix.
     Data {
@@ -71,21 +59,6 @@
     Wait(u8),
 }
 
-fn event() -> impl Strategy<Value = Event> {
-    prop_oneof![
-        4 => Just(Event::Head),
-        6 => (0..40u8, proptest::option::weighted(0.1, 0..6u8)).prop_map(|(length, truncated_at)| Event::Data { length, truncated_at }),
-        5 => (prop_oneof![3 => Just(0u8), 2 => 0..18u8], any::<bool>()).prop_map(|(code, not_started)| Event::Trailers { code, not_started }),
-        1 => (0..18u8, any::<bool>()).prop_map(|(code, not_started)| Event::TrailersOnly { code, not_started }),
-        1 => Just(Event::EndsWithoutStatus),
-        2 => prop_oneof![Just(0u32), Just(2), Just(REFUSED_STREAM), Just(CANCEL), 0..14u32].prop_map(Event::Reset),
-        1 => Just(Event::Unprocessed),
-        1 => Just(Event::ConnectionLost),
-        1 => Just(Event::Unreachable),
-        2 => (0..40u8).prop_map(Event::Wait),
-    ]
-}
-
 /// What the client received.
 #[derive(Default)]
 struct Client {
@@ -455,32 +428,19 @@
     Ok(())
 }
 
-fn shape() -> impl Strategy<Value = Shape> {
-    prop_oneof![
-        Just(Shape::Unary),
-        Just(Shape::ServerStream),
-        Just(Shape::ClientStream),
-        Just(Shape::Bidi)
-    ]
-}
-
-/// A method's shape, whether a call of it must not run twice, and the events.
-fn schedule() -> impl Strategy<Value = (Shape, bool, Vec<Event>)> {
-    (
-        shape(),
-        any::<bool>(),
-        proptest::collection::vec(event(), 1..60),
-    )
-}
-
 /// How a schedule ended.
-struct Run {
-    attempts: u32,
+pub struct Run {
+    /// Attempts begun.
+    pub attempts: u32,
     /// `None` if the call is still open.
-    result: Option<CallResult>,
+    pub result: Option<CallResult>,
 }
 
-fn run_schedule(
+/// Runs a schedule and checks the invariants after each event.
+///
+/// # Errors
+/// The invariant that was broken.
+pub fn run_schedule(
     shape: Shape,
     must_not_repeat: bool,
     events: &[Event],
@@ -496,88 +456,3 @@
         result: world.client.end.map(|(result, _)| result),
     })
 }
-
-fn schedules() -> u32 {
-    std::env::var("GRPC_SCHEDULES")
-        .ok()
-        .and_then(|text| text.parse().ok())
-        .unwrap_or(DEFAULT_SCHEDULES)
-}
-
-fn runner(cases: u32) -> TestRunner {
-    let config = Config {
-        cases,
-        failure_persistence: None,
-        max_shrink_iters: 300,
-        ..Config::default()
-    };
-    TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
-}
-
-/// Counts over all schedules.
-#[derive(Clone, Copy, Default)]
-struct Tally {
-    attempts: u64,
-    open: u64,
-    served: u64,
-    rejected: u64,
-    failed: u64,
-}
-
-impl Tally {
-    fn add(&mut self, run: &Run) {
-        self.attempts += u64::from(run.attempts);
-        let count = match run.result {
-            None => &mut self.open,
-            Some(CallResult::Served) => &mut self.served,
-            Some(CallResult::Rejected) => &mut self.rejected,
-            Some(CallResult::Failed) => &mut self.failed,
-        };
-        *count += 1;
-    }
-}
-
-#[test]
-fn no_schedule_breaks_a_rule() {
-    let tally = std::cell::Cell::new(Tally::default());
-    let outcome = runner(schedules()).run(&schedule(), |(shape, must_not_repeat, events)| {
-        let run =
-            run_schedule(shape, must_not_repeat, &events, None).map_err(TestCaseError::fail)?;
-        let mut counts = tally.get();
-        counts.add(&run);
-        tally.set(counts);
-        Ok(())
-    });
-    let Tally {
-        attempts,
-        open,
-        served,
-        rejected,
-        failed,
-    } = tally.get();
-    println!(
-        "{attempts} attempts; {served} calls served, {rejected} rejected, {failed} failed, {open} left open"
-    );
-    outcome.unwrap();
-    assert!(
-        [served, rejected, failed].iter().all(|count| *count > 200),
-        "every end is met"
-    );
-}
-
-#[test]
-fn every_defect_is_found() {
-    for defect in [
-        Defect::ResetIsRejection,
-        Defect::DataOfPreviousAttempt,
-        Defect::ResetIsOk,
-        Defect::IgnoresTime,
-    ] {
-        let run = runner(1_000).run(&schedule(), |(shape, must_not_repeat, events)| {
-            run_schedule(shape, must_not_repeat, &events, Some(defect))
-                .map_err(TestCaseError::fail)
-                .map(drop)
-        });
-        assert!(run.is_err(), "{defect:?} was not found");
-    }
-}
