--- a/crates/model/benches/structures.rs
+++ b/crates/model/benches/structures.rs
@@ -1,8 +1,8 @@
 //! The structures made for the model against plain ones: the alias method against a search in sums, the heap of events against a
 //! calendar queue. `cargo bench -p maplefall-model --bench structures`.
 
-use maplefall_model::chance::{Alias, Dice};
 use maplefall_model::queue::Queue;
+use maplefall_model::random::{AliasTable, RandomSource};
 use std::time::Instant;
 
 /// A search in the sums of the weights.
@@ -18,8 +18,8 @@
         Sums(sums.collect())
     }
 
-    fn draw(&self, dice: &mut Dice) -> usize {
-        let spot = dice.one() * self.0.last().copied().unwrap_or(0.0);
+    fn draw(&self, random: &mut RandomSource) -> usize {
+        let spot = random.one() * self.0.last().copied().unwrap_or(0.0);
         self.0.partition_point(|sum| *sum <= spot)
     }
 }
@@ -81,17 +81,17 @@
         let weights: Vec<f64> = (0..customers)
             .map(|rank| 1.0 / (rank as f64 + 1.0))
             .collect();
-        let alias = Alias::new(&weights);
+        let alias = AliasTable::new(&weights);
         let plain = Sums::new(&weights);
-        let mut dice = Dice::new(1);
+        let mut random = RandomSource::new(1);
         let begun = Instant::now();
         let one: usize = (0..2_000_000)
-            .map(|_| alias.draw(&mut dice))
+            .map(|_| alias.draw(&mut random))
             .fold(0, usize::wrapping_add);
         let by_alias = begun.elapsed().as_nanos() as f64 / 2e6;
         let begun = Instant::now();
         let other: usize = (0..2_000_000)
-            .map(|_| plain.draw(&mut dice))
+            .map(|_| plain.draw(&mut random))
             .fold(0, usize::wrapping_add);
         let by_sums = begun.elapsed().as_nanos() as f64 / 2e6;
         println!(
@@ -101,24 +101,24 @@
     }
     // The hold model: each event that comes out goes in again an exponential time later.
     for events in [1000usize, 100_000, 1_000_000] {
-        let mut dice = Dice::new(1);
+        let mut random = RandomSource::new(1);
         let (mut heap, mut calendar) = (Queue::default(), Calendar::new(events, 1000.0));
         for event in 0..events as u64 {
-            let at = dice.exponential(1000.0);
+            let at = random.exponential(1000.0);
             heap.push(at, event);
             calendar.push(at, event);
         }
         let begun = Instant::now();
         for _ in 0..2_000_000 {
             if let Some((at, event)) = heap.pop() {
-                heap.push(at + dice.exponential(1000.0), event);
+                heap.push(at + random.exponential(1000.0), event);
             }
         }
         let by_heap = begun.elapsed().as_nanos() as f64 / 2e6;
         let begun = Instant::now();
         for _ in 0..2_000_000 {
             if let Some((at, event)) = calendar.pop() {
-                calendar.push(at + dice.exponential(1000.0), event);
+                calendar.push(at + random.exponential(1000.0), event);
             }
         }
         let by_calendar = begun.elapsed().as_nanos() as f64 / 2e6;
--- a/crates/model/src/agents.rs
+++ b/crates/model/src/agent.rs
@@ -1,4 +1,4 @@
-//! Discovery's agents, one beside each door: what each knows of the list, when it speaks, and where the door follows it. The
+//! Discovery's agents, one beside each proxy: what each knows of the list, when it speaks, and where the proxy follows it. The
 //! real follower and roster stand between an agent's words and the decision module; this file plays the other end.
 
 use maplefall_discovery_agent::{
@@ -12,11 +12,11 @@
 
 /// The list through time: each version is a change of some entries.
 #[derive(Debug, Default)]
-pub struct History {
+pub struct EndpointHistory {
     changes: Vec<Vec<BackendEntry>>,
 }
 
-impl History {
+impl EndpointHistory {
     /// Notes a change; tells its version.
     pub fn push(&mut self, entries: &[BackendEntry]) -> u64 {
         self.changes.push(entries.to_vec());
@@ -104,7 +104,7 @@
     id: CallId,
     place: usize,
     what: What,
-    /// The version that it has been told, once it has been answered.
+    /// The version that it has been notified, once it has been answered.
     told: Option<u64>,
     /// When something was last said on it.
     said: f64,
@@ -112,9 +112,9 @@
     dead: bool,
 }
 
-/// One door with its agent, which may move once, from the first place to the second.
+/// One proxy with its agent, which may move once, from the first place to the second.
 #[derive(Debug)]
-pub struct Beside {
+pub struct ProxyAgent {
     follower: Follower,
     roster: Roster,
     calls: Vec<Call>,
@@ -127,7 +127,7 @@
     silent_until: f64,
     /// Whether what it is asked while it is silent is never answered.
     deaf: bool,
-    /// The last version that has been said to the door.
+    /// The last version that has been said to the proxy.
     said: u64,
 }
 
@@ -151,14 +151,14 @@
     )
 }
 
-impl Beside {
-    /// A door that starts at `now` with the list of the first version.
-    pub fn new(history: &History, seed: u64, now: f64) -> Beside {
+impl ProxyAgent {
+    /// A proxy that starts at `now` with the list of the first version.
+    pub fn new(history: &EndpointHistory, seed: u64, now: f64) -> ProxyAgent {
         let knows = history.version();
         let known = history.answer(None, knows);
         let mut roster = Roster::new(vec![SourceSettings::trusted("agent")]);
         roster.recall(now, 0, &known);
-        Beside {
+        ProxyAgent {
             follower: follower(known, seed, 0, now),
             roster,
             calls: Vec::new(),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The door starts again with the list that it last had.
+    /// The proxy starts again with the list that it last had.
     pub fn restart(&mut self, seed: u64, now: f64) {
         let hosts = self.roster.members().cloned().collect();
         let known = Members {
@@ -200,9 +200,9 @@
         self.place
     }
 
-    /// When what it has at `now` counts as told: at once, or where it is silent once it speaks, and where its watch has lost
-    /// the door without a word some seconds later.
-    pub fn counts_as_told(&self, now: f64) -> f64 {
+    /// When what it has at `now` counts as notified: at once, or where it is silent once it speaks, and where its watch has lost
+    /// the proxy without a word some seconds later.
+    pub fn notified_at(&self, now: f64) -> f64 {
         let latest = now + TOLD_WITHIN;
         let lost = !self.calls.is_empty() && self.calls.iter().all(|call| call.dead);
         if lost && !self.deaf {
@@ -224,8 +224,8 @@
         (self.place, self.knows[1], self.closes_at) = (1, knows, now + close_ms);
     }
 
-    /// The door is told of the move.
-    pub fn told_of_move(&mut self, now: f64) -> Vec<BackendEntry> {
+    /// The proxy is notified of the move.
+    pub fn notify_move(&mut self, now: f64) -> Vec<BackendEntry> {
         let out = self.follower.moved(now, place(self.place));
         self.carry_out(now, out)
     }
@@ -255,7 +255,7 @@
     }
 
     /// Says and does all that is due; what comes out is for the decision module.
-    pub fn go_on(&mut self, now: f64, history: &History) -> Vec<BackendEntry> {
+    pub fn go_on(&mut self, now: f64, history: &EndpointHistory) -> Vec<BackendEntry> {
         let mut entries = Vec::new();
         while self.follower.next_due().is_some_and(|due| due <= now) {
             let out = self.follower.tick(now);
@@ -293,7 +293,7 @@
     }
 
     /// What is said next, if anything is.
-    fn next_word(&mut self, now: f64, history: &History) -> Option<(CallId, Vec<u8>)> {
+    fn next_word(&mut self, now: f64, history: &EndpointHistory) -> Option<(CallId, Vec<u8>)> {
         if now < self.silent_until {
             return None;
         }
--- a/crates/model/src/backend.rs
+++ b/crates/model/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend: cores that work, a waiting room, a cold start, connections.
+//! A backend: cores that work, a waiting room, slow start, connections.
 
 use std::collections::VecDeque;
 
@@ -15,27 +15,27 @@
 
 /// What a backend is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shape {
+pub struct BackendConfig {
     /// Cores.
     pub cores: usize,
-    /// Requests that may wait; beyond that they are turned away unseen.
+    /// Requests that may wait; beyond that they are rejected unseen.
     pub queue: usize,
     /// Part of its capacity with which it starts, and after how long it is warm, in milliseconds.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// See above.
-    pub cold_ms: f64,
+    pub warm_up_ms: f64,
 }
 
 /// State of a backend.
 #[derive(Clone, Debug)]
 pub struct Backend {
     /// What it is.
-    pub shape: Shape,
+    pub shape: BackendConfig,
     /// When it started; `None` if long ago.
     pub started: Option<f64>,
     /// Whether its process runs.
     pub up: bool,
-    /// When its drain was told to all, if it was.
+    /// When its drain was announced to all, if it was.
     pub drained: Option<f64>,
     /// Speed of a core against the usual one.
     pub speed: f64,
@@ -43,24 +43,24 @@
     waiting: VecDeque<Job>,
     /// Work sent to it, in milliseconds of a warm core.
     pub work: f64,
-    /// When, and how much, it was sent of late while cold.
+    /// When, and how much, it was sent of late while warming up.
     recent: VecDeque<(f64, f64)>,
 }
 
 /// What became of a job that came.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
+pub enum JobAdmission {
     /// It is worked on, until then.
     Begun(f64),
     /// It waits.
     Waits,
-    /// It was turned away unseen.
+    /// It was rejected unseen.
     Full,
 }
 
 impl Backend {
     /// One of this shape.
-    pub fn new(shape: Shape, speed: f64, started: Option<f64>) -> Backend {
+    pub fn new(shape: BackendConfig, speed: f64, started: Option<f64>) -> Backend {
         Backend {
             shape,
             started,
@@ -75,31 +75,31 @@
     }
 
     /// Part of its capacity that it has now.
-    pub fn warmth(&self, now: f64) -> f64 {
+    pub fn capacity_fraction(&self, now: f64) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
         };
-        let part = ((now - started) / self.shape.cold_ms.max(1.0)).clamp(0.0, 1.0);
-        self.shape.cold_from + (1.0 - self.shape.cold_from) * part
+        let fraction = ((now - started) / self.shape.warm_up_ms.max(1.0)).clamp(0.0, 1.0);
+        self.shape.initial_capacity + (1.0 - self.shape.initial_capacity) * fraction
     }
 
     fn time_of(&self, job: &Job, now: f64) -> f64 {
-        job.work / (self.speed * self.warmth(now)).max(1e-6)
+        job.work / (self.speed * self.capacity_fraction(now)).max(1e-6)
     }
 
     /// A job comes.
-    pub fn take(&mut self, job: Job, now: f64) -> Taken {
+    pub fn take(&mut self, job: Job, now: f64) -> JobAdmission {
         if self.busy < self.shape.cores {
             self.busy += 1;
             self.work += job.work;
-            return Taken::Begun(now + self.time_of(&job, now));
+            return JobAdmission::Begun(now + self.time_of(&job, now));
         }
         if self.waiting.len() >= self.shape.queue {
-            return Taken::Full;
+            return JobAdmission::Full;
         }
         self.work += job.work;
         self.waiting.push_back(job);
-        Taken::Waits
+        JobAdmission::Waits
     }
 
     /// A core has become free: the next job, and when it will be done.
@@ -126,8 +126,8 @@
         self.busy + self.waiting.len()
     }
 
-    /// Whether what was sent to it while cold is over the multiple of its present capacity within the window.
-    pub fn pushed_over(
+    /// Whether what was sent to it while warming up is over the multiple of its present capacity within the window.
+    pub fn is_overloaded(
         &mut self,
         now: f64,
         work: f64,
@@ -135,8 +135,8 @@
         window: f64,
         slack: f64,
     ) -> bool {
-        let warmth = self.warmth(now);
-        if warmth >= 1.0 {
+        let capacity_fraction = self.capacity_fraction(now);
+        if capacity_fraction >= 1.0 {
             self.recent.clear();
             return false;
         }
@@ -145,6 +145,6 @@
             self.recent.pop_front();
         }
         let sent: f64 = self.recent.iter().map(|(_, work)| work).sum();
-        sent > multiple * self.speed * warmth * self.shape.cores as f64 * window + slack
+        sent > multiple * self.speed * capacity_fraction * self.shape.cores as f64 * window + slack
     }
 }
--- a/crates/model/src/door.rs
+++ b/crates/model/src/balancer.rs
@@ -1,18 +1,18 @@
-//! A front door: the real decision module, or a plain policy beside it, behind one trait. A plain policy knows what the module
+//! A proxy: the real decision module, or a plain policy beside it, behind one trait. A plain policy knows what the module
 //! knows and nothing more.
 
-use crate::chance::Dice;
-use crate::world::{Admission, Choice};
+use crate::random::RandomSource;
+use crate::world::{Admission, LoadBalancer};
 use maplefall_policy::*;
 use std::collections::BTreeMap;
 
 /// What decides: events in, actions out, as the decision module has it.
-pub trait Policy {
+pub trait DecisionPolicy {
     /// Takes an event and appends what is to be done.
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>);
 }
 
-impl Policy for Gateway {
+impl DecisionPolicy for Gateway {
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         Gateway::handle(self, now, event, actions);
     }
@@ -20,79 +20,84 @@
 
 /// A store of units.
 #[derive(Clone, Copy, Debug)]
-pub struct Store {
+pub struct TokenBucket {
     /// Units in it, as of `at`.
-    pub left: f64,
+    pub tokens: f64,
     /// See above.
     pub at: Millis,
 }
 
-impl Store {
+impl TokenBucket {
     /// A full one.
-    pub fn full(burst: f64, at: Millis) -> Store {
-        Store { left: burst, at }
+    pub fn full(burst: f64, at: Millis) -> TokenBucket {
+        TokenBucket { tokens: burst, at }
     }
 
     /// Fills it up to now; whether it holds so many units.
     pub fn holds(&mut self, now: Millis, rate: f64, burst: f64, units: f64) -> bool {
-        self.left = (self.left + rate * (now - self.at) / 1000.0).min(burst);
+        self.tokens = (self.tokens + rate * (now - self.at) / 1000.0).min(burst);
         self.at = now;
-        self.left >= units
+        self.tokens >= units
     }
 }
 
-/// A textbook policy: one attempt each, to a backend chosen in one way, let in in another.
-pub struct Plain {
-    choice: Choice,
+/// A textbook policy: one attempt each, to a backend chosen in one way, admitted in another.
+pub struct BaselinePolicy {
+    load_balancer: LoadBalancer,
     admission: Admission,
     set: Settings,
-    dice: Dice,
+    random: RandomSource,
     ready: Vec<BackendId>,
     /// Attempts out at each.
-    out: BTreeMap<BackendId, u32>,
+    in_flight: BTreeMap<BackendId, u32>,
     /// Where each request is.
     at: BTreeMap<RequestId, BackendId>,
-    stores: BTreeMap<CustomerId, Store>,
+    buckets: BTreeMap<CustomerId, TokenBucket>,
     turn: usize,
 }
 
-impl Plain {
+impl BaselinePolicy {
     /// One of these kinds.
-    pub fn new(choice: Choice, admission: Admission, set: Settings, seed: u64) -> Plain {
-        Plain {
-            choice,
+    pub fn new(
+        load_balancer: LoadBalancer,
+        admission: Admission,
+        set: Settings,
+        seed: u64,
+    ) -> BaselinePolicy {
+        BaselinePolicy {
+            load_balancer,
             admission,
             set,
-            dice: Dice::new(seed),
+            random: RandomSource::new(seed),
             ready: Vec::new(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             at: BTreeMap::new(),
-            stores: BTreeMap::new(),
+            buckets: BTreeMap::new(),
             turn: 0,
         }
     }
 
-    fn lets_in(&mut self, now: Millis, request: &Request) -> bool {
+    fn admits(&mut self, now: Millis, request: &Request) -> bool {
         let Some(plan) = self.set.plans.get(request.plan.0) else {
             return false;
         };
-        let parts = match self.admission {
+        let fractions = match self.admission {
             Admission::None => return true,
-            Admission::Even => request.spread.max(1.0),
-            Admission::Whole => 1.0,
+            Admission::EvenShare => request.spread.max(1.0),
+            Admission::FullQuota => 1.0,
         };
-        // A part of the burst holds one of the largest requests at least: else nothing would ever be let in.
+        // A part of the burst holds one of the largest requests at least: else nothing would ever be admitted.
         let (rate, burst) = (
-            plan.rate / parts,
-            (plan.burst / parts).max(self.set.max_units),
+            plan.rate / fractions,
+            (plan.burst / fractions).max(self.set.max_units),
         );
-        let store = self
-            .stores
+        let bucket = self
+            .buckets
             .entry(request.customer)
-            .or_insert(Store::full(burst, now));
-        let holds = store.holds(now, rate, burst, request.units);
+            .or_insert(TokenBucket::full(burst, now));
+        let holds = bucket.holds(now, rate, burst, request.units);
         if holds {
-            store.left -= request.units;
+            bucket.tokens -= request.units;
         }
         holds
     }
@@ -101,34 +106,36 @@
         if self.ready.is_empty() {
             return None;
         }
-        let out = |id: &BackendId| self.out.get(id).copied().unwrap_or(0);
+        let in_flight = |id: &BackendId| self.in_flight.get(id).copied().unwrap_or(0);
         let count = self.ready.len();
-        let chosen = match self.choice {
-            Choice::Module | Choice::Oracle | Choice::Random => self.dice.below(count),
-            Choice::RoundRobin => {
+        let chosen = match self.load_balancer {
+            LoadBalancer::Module | LoadBalancer::Oracle | LoadBalancer::Random => {
+                self.random.below(count)
+            }
+            LoadBalancer::RoundRobin => {
                 self.turn = (self.turn + 1) % count;
                 self.turn
             }
-            Choice::LeastOut => {
-                let from = self.dice.below(count);
+            LoadBalancer::LeastOutstanding => {
+                let from = self.random.below(count);
                 (0..count)
                     .map(|at| (at + from) % count)
-                    .min_by_key(|at| out(&self.ready[*at]))
+                    .min_by_key(|at| in_flight(&self.ready[*at]))
                     .unwrap_or(0)
             }
-            Choice::TwoChoices => {
-                let (one, other) = (self.dice.below(count), self.dice.below(count));
-                if out(&self.ready[one]) <= out(&self.ready[other]) {
+            LoadBalancer::TwoChoices => {
+                let (one, other) = (self.random.below(count), self.random.below(count));
+                if in_flight(&self.ready[one]) <= in_flight(&self.ready[other]) {
                     one
                 } else {
                     other
                 }
             }
-            // The first few of an order that each door draws for itself, two of them at a time (Finagle's aperture, fixed).
-            Choice::Aperture(width) => {
+            // The first few of an order that each proxy draws for itself, two of them at a time (Finagle's aperture, fixed).
+            LoadBalancer::Aperture(width) => {
                 let width = width.clamp(1, count);
-                let (one, other) = (self.dice.below(width), self.dice.below(width));
-                if out(&self.ready[one]) <= out(&self.ready[other]) {
+                let (one, other) = (self.random.below(width), self.random.below(width));
+                if in_flight(&self.ready[one]) <= in_flight(&self.ready[other]) {
                     one
                 } else {
                     other
@@ -138,7 +145,7 @@
         self.ready.get(chosen).copied()
     }
 
-    fn hear(&mut self, kind: ListKind, entries: &[BackendEntry]) {
+    fn update_endpoints(&mut self, kind: ListKind, entries: &[BackendEntry]) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             self.ready.clear();
         }
@@ -146,7 +153,7 @@
             let at = self.ready.iter().position(|id| *id == entry.id);
             match (entry.availability, at) {
                 (Availability::Ready, None) => {
-                    let spot = self.dice.below(self.ready.len() + 1);
+                    let spot = self.random.below(self.ready.len() + 1);
                     self.ready.insert(spot, entry.id);
                 }
                 (Availability::Draining | Availability::Gone, Some(at)) => {
@@ -158,16 +165,16 @@
     }
 }
 
-impl Policy for Plain {
+impl DecisionPolicy for BaselinePolicy {
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Backends(kind, entries) => self.hear(kind, &entries),
+            Event::Backends(kind, entries) => self.update_endpoints(kind, &entries),
             Event::Arrival(request) => {
-                let let_in = self.lets_in(now, &request);
-                let backend = if let_in { self.choose() } else { None };
+                let admitted = self.admits(now, &request);
+                let backend = if admitted { self.choose() } else { None };
                 match backend {
                     Some(backend) => {
-                        *self.out.entry(backend).or_default() += 1;
+                        *self.in_flight.entry(backend).or_default() += 1;
                         self.at.insert(request.id, backend);
                         let limit = Some(request.deadline - now);
                         actions.push(Action::Send {
@@ -178,7 +185,7 @@
                         });
                     }
                     None => {
-                        let reason = if let_in {
+                        let reason = if admitted {
                             Reason::Backends
                         } else {
                             Reason::Slice
@@ -193,8 +200,8 @@
             }
             Event::Settled(settled) => {
                 if let Some(backend) = self.at.remove(&settled.request) {
-                    if let Some(out) = self.out.get_mut(&backend) {
-                        *out = out.saturating_sub(1);
+                    if let Some(in_flight) = self.in_flight.get_mut(&backend) {
+                        *in_flight = in_flight.saturating_sub(1);
                     }
                 }
                 match settled.outcome {
--- a/crates/model/src/compare.rs
+++ b/crates/model/src/compare.rs
@@ -1,6 +1,6 @@
 //! Whether two sets of runs differ: paired by seed, with a confidence interval by bootstrap (Efron 1979).
 
-use crate::chance::Dice;
+use crate::random::RandomSource;
 use serde::Serialize;
 
 /// Samples that the interval is made of.
@@ -37,15 +37,17 @@
         return None;
     }
     let mean = |list: &[f64]| list.iter().sum::<f64>() / list.len() as f64;
-    let mut dice = Dice::new(seed);
+    let mut random = RandomSource::new(seed);
     let mut means: Vec<f64> = (0..SAMPLES)
         .map(|_| {
-            let sample: Vec<f64> = (0..off.len()).map(|_| off[dice.below(off.len())]).collect();
+            let sample: Vec<f64> = (0..off.len())
+                .map(|_| off[random.below(off.len())])
+                .collect();
             mean(&sample)
         })
         .collect();
     means.sort_by(f64::total_cmp);
-    let at = |part: f64| means[((SAMPLES - 1) as f64 * part) as usize];
+    let at = |fraction: f64| means[((SAMPLES - 1) as f64 * fraction) as usize];
     Some(Difference {
         pairs: off.len(),
         mean: mean(&off),
--- a/crates/model/src/frontier.rs
+++ b/crates/model/src/frontier.rs
@@ -1,29 +1,35 @@
-//! How much a fleet can sell: a world played over numbers of doors and unevenness by each policy, beside the bound on all rules
+//! How much a fleet can sell: a world played over numbers of proxies and unevenness by each policy, beside the bound on all rules
 //! without talk ([`crate::bound`]).
 
 use crate::bound::{bound, Bound, Case};
-use crate::world::{Admission, Choice, World};
+use crate::world::{Admission, LoadBalancer, World};
 use serde::Serialize;
 
 /// Who decides, by name.
-pub const WHO: [(&str, Choice, Admission); 4] = [
-    ("module", Choice::Module, Admission::Even),
-    ("even", Choice::LeastOut, Admission::Even),
-    ("whole", Choice::LeastOut, Admission::Whole),
-    ("oracle", Choice::Oracle, Admission::Even),
+pub const WHO: [(&str, LoadBalancer, Admission); 4] = [
+    ("module", LoadBalancer::Module, Admission::EvenShare),
+    ("even", LoadBalancer::LeastOutstanding, Admission::EvenShare),
+    (
+        "whole",
+        LoadBalancer::LeastOutstanding,
+        Admission::FullQuota,
+    ),
+    ("oracle", LoadBalancer::Oracle, Admission::EvenShare),
 ];
 
 /// A point of the frontier: the mean of some runs, or the bound.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// Doors, and the part of a customer's requests that come through its busiest one.
-    pub doors: usize,
+    /// Proxies, and the part of a customer's requests that come through its busiest one.
+    #[serde(rename = "doors")]
+    pub proxies: usize,
     /// See above.
     pub uneven: f64,
     /// One of [`WHO`], or `bound`.
     pub who: String,
-    /// Worth inside quotas, worth beyond, and the first less the cost of the second.
-    pub worth: f64,
+    /// Value inside quotas, value beyond, and the first less the cost of the second.
+    #[serde(rename = "worth")]
+    pub served_value: f64,
     /// See above.
     pub over: f64,
     /// See above.
@@ -31,19 +37,19 @@
 }
 
 impl Point {
-    /// Whether another one has as much worth with as little beyond quotas, and is better in one of them.
+    /// Whether another one has as much value with as little beyond quotas, and is better in one of them.
     pub fn dominated_by(&self, other: &Point) -> bool {
-        let no_worse = other.worth >= self.worth && other.over <= self.over;
-        no_worse && (other.worth > self.worth || other.over < self.over)
+        let no_worse = other.served_value >= self.served_value && other.over <= self.over;
+        no_worse && (other.served_value > self.served_value || other.over < self.over)
     }
 }
 
 /// The worlds of one place of the grid, one for each of [`WHO`].
-pub fn worlds(base: &World, doors: usize, uneven: f64) -> Vec<World> {
-    let one = |(_, choice, admission): &(&str, Choice, Admission)| World {
-        doors,
+pub fn worlds(base: &World, proxies: usize, uneven: f64) -> Vec<World> {
+    let one = |(_, load_balancer, admission): &(&str, LoadBalancer, Admission)| World {
+        proxies,
         uneven,
-        choice: *choice,
+        load_balancer: *load_balancer,
         admission: *admission,
         ..base.clone()
     };
@@ -69,26 +75,26 @@
     }
     // All plans are scaled by one factor to the load; its bursts keep their length, but for the least.
     let shares: f64 = world.demand.iter().map(|group| group.share).sum();
-    let mid = |group: &crate::world::DemandSpec| 0.5 * (group.part[0] + group.part[1]);
+    let mid = |group: &crate::world::DemandSpec| 0.5 * (group.fraction[0] + group.fraction[1]);
     let within: f64 = world
         .demand
         .iter()
         .map(|group| group.share / shares * mid(group).min(1.0))
         .sum();
     let rate = world.requests_per_second() * world.units / (world.customers as f64 * within);
-    let burst = (plan.burst * rate / plan.rate).max(2.0 * world.most_units);
+    let burst = (plan.burst * rate / plan.rate).max(2.0 * world.max_units);
     Ok(Case {
-        doors: if world.spread == 0 {
-            world.doors
+        proxies: if world.spread == 0 {
+            world.proxies
         } else {
-            world.spread.min(world.doors)
+            world.spread.min(world.proxies)
         },
         uneven: world.uneven,
         seconds: world.seconds,
         burst_s: burst / rate,
         requests_per_second: rate / world.units,
-        tries: world.retries + 1,
-        parts: world
+        proxy_requests: world.retries + 1,
+        fractions: world
             .demand
             .iter()
             .map(|group| (mid(group), group.share / shares))
@@ -102,12 +108,16 @@
 /// # Errors
 /// As [`case`] and [`bound`].
 pub fn bound_of(world: &World, cost: f64) -> Result<Point, String> {
-    let Bound { worth, over, value } = bound(&case(world, cost)?)?;
+    let Bound {
+        served_value,
+        over,
+        value,
+    } = bound(&case(world, cost)?)?;
     Ok(Point {
-        doors: world.doors,
+        proxies: world.proxies,
         uneven: world.uneven,
         who: "bound".to_owned(),
-        worth,
+        served_value,
         over,
         value,
     })
@@ -122,13 +132,16 @@
     let mean = |runs: &[crate::Outcome], of: fn(&crate::Outcome) -> f64| {
         runs.iter().map(of).sum::<f64>() / runs.len().max(1) as f64
     };
-    let point = |(runs, (who, ..)): (&[crate::Outcome], &(&str, Choice, Admission))| {
-        let (worth, over) = (mean(runs, |one| one.worth), mean(runs, |one| one.over));
+    let point = |(runs, (who, ..)): (&[crate::Outcome], &(&str, LoadBalancer, Admission))| {
+        let (served_value, over) = (
+            mean(runs, |one| one.served_value),
+            mean(runs, |one| one.over_quota_value),
+        );
         Point {
             who: (*who).to_owned(),
-            worth,
+            served_value,
             over,
-            value: worth - cost * over,
+            value: served_value - cost * over,
             ..place.clone()
         }
     };
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,15 +1,15 @@
-//! A model of the fleet: front doors with the real decision module between clients and backends that are drawn, in simulated
+//! A model of the fleet: proxies with the real decision module between clients and backends that are drawn, in simulated
 //! time, at sizes that sockets don't reach.
 //!
 //! | file | job |
 //! | --- | --- |
 //! | [`world`] | what is played, as data: a TOML file, and every mistake in it |
-//! | [`chance`] | drawing: one generator a run, distributions, the alias method |
+//! | [`random`] | drawing: one generator a run, distributions, the alias method |
 //! | [`queue`] | what happens next |
-//! | [`backend`] | a backend: cores, waiting room, cold start, connections |
-//! | [`door`] | a front door: the decision module, or a plain policy beside it |
-//! | [`run`] | one run: the world's clock, the network, clients, troubles |
-//! | [`agents`] | discovery's agents, with the real follower and roster before the doors |
+//! | [`backend`] | a backend: cores, waiting room, slow start, connections |
+//! | [`balancer`] | a proxy: the decision module, or a plain policy beside it |
+//! | [`run`] | one run: the world's clock, the network, clients, faults |
+//! | [`agent`] | discovery's agents, with the real follower and roster before the proxies |
 //! | [`metrics`] | what is counted |
 //! | [`bound`], [`frontier`] | what any rule without talk can earn, and how near each policy comes |
 //! | [`search`] | the smallest seed and world at which a figure breaks a bound |
@@ -20,15 +20,15 @@
 
 #![forbid(unsafe_code)]
 
-pub mod agents;
+pub mod agent;
 pub mod backend;
+pub mod balancer;
 pub mod bound;
-pub mod chance;
 pub mod compare;
-pub mod door;
 pub mod frontier;
 pub mod metrics;
 pub mod queue;
+pub mod random;
 pub mod run;
 pub mod search;
 pub mod world;
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::{Parser, Subcommand};
 use maplefall_model::compare::paired;
-use maplefall_model::search::{search, Looked};
+use maplefall_model::search::{search, Target};
 use maplefall_model::{frontier, play, Outcome, World};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 use std::sync::Mutex;
 
 /// Worlds that a sweep plays at most.
-const MOST_RUNS: usize = 100_000;
+const MAX_RUNS: usize = 100_000;
 
 #[derive(Parser)]
 #[command(
@@ -23,7 +23,7 @@
     version,
     about = "A model of a fleet of front doors, with the real decision module in each"
 )]
-struct Asked {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -80,8 +80,13 @@
         /// The world, a TOML file: one plan, groups of demand that each ask for one part, no meter
         world: PathBuf,
         /// Numbers of doors
-        #[arg(long, value_delimiter = ',', default_value = "1,4,10,30,100,300")]
-        doors: Vec<usize>,
+        #[arg(
+            long = "doors",
+            value_name = "DOORS",
+            value_delimiter = ',',
+            default_value = "1,4,10,30,100,300"
+        )]
+        proxies: Vec<usize>,
         /// Parts of a customer's requests that come through its busiest door
         #[arg(long, value_delimiter = ',', default_value = "0,0.3,0.6")]
         uneven: Vec<f64>,
@@ -139,7 +144,7 @@
 }
 
 fn main() -> ExitCode {
-    match carry_out(Asked::parse().command) {
+    match carry_out(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(lines) => {
             for line in lines {
@@ -185,7 +190,7 @@
         }
         Command::Frontier {
             world,
-            doors,
+            proxies,
             uneven,
             cost,
             seeds,
@@ -194,24 +199,24 @@
         } => {
             let base = read(&world)?;
             let named = |line: String| vec![format!("{}: {line}", world.display())];
-            let places: Vec<(usize, f64)> = doors
+            let places: Vec<(usize, f64)> = proxies
                 .iter()
-                .flat_map(|doors| uneven.iter().map(move |uneven| (*doors, *uneven)))
+                .flat_map(|proxies| uneven.iter().map(move |uneven| (*proxies, *uneven)))
                 .collect();
             let mut bounds = Vec::new();
             let mut runs = Vec::new();
-            for (doors, uneven) in &places {
+            for (proxies, uneven) in &places {
                 let here = World {
-                    doors: *doors,
+                    proxies: *proxies,
                     uneven: *uneven,
                     ..base.clone()
                 };
-                let found = here.mistakes();
+                let found = here.errors();
                 if !found.is_empty() {
                     return Err(found.into_iter().flat_map(named).collect());
                 }
                 bounds.push(frontier::bound_of(&here, cost).map_err(named)?);
-                for one in frontier::worlds(&base, *doors, *uneven) {
+                for one in frontier::worlds(&base, *proxies, *uneven) {
                     runs.extend((1..=seeds.max(1)).map(|seed| (one.clone(), seed)));
                 }
             }
@@ -231,21 +236,24 @@
                 let cells: Vec<String> = points
                     .iter()
                     .map(|point| {
-                        format!("{:.3} ({:.3}, {:.3})", point.value, point.worth, point.over)
+                        format!(
+                            "{:.3} ({:.3}, {:.3})",
+                            point.value, point.served_value, point.over
+                        )
                     })
                     .collect();
-                let part = points
+                let fraction = points
                     .first()
                     .map_or(0.0, |module| module.value / bound.value);
                 println!(
                     "{} {} | {:.3} ({:.3}, {:.3}) | {} {:.3} | {}",
-                    bound.doors,
+                    bound.proxies,
                     bound.uneven,
                     bound.value,
-                    bound.worth,
+                    bound.served_value,
                     bound.over,
                     cells[0],
-                    part,
+                    fraction,
                     cells[1..].join(" | ")
                 );
             }
@@ -259,7 +267,7 @@
         } => {
             let base = read(&world)?;
             let looked_for =
-                Looked::read(&breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
+                Target::read(&breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
             match search(&base, &looked_for, seeds, runs) {
                 Some(found) => {
                     eprintln!(
@@ -347,9 +355,9 @@
             }
         }
         grid = next;
-        if grid.len() as u64 * seeds > MOST_RUNS as u64 {
+        if grid.len() as u64 * seeds > MAX_RUNS as u64 {
             return Err(vec![format!(
-                "--over: {MOST_RUNS} runs at most were expected"
+                "--over: {MAX_RUNS} runs at most were expected"
             )]);
         }
     }
--- a/crates/model/src/metrics.rs
+++ b/crates/model/src/metrics.rs
@@ -11,57 +11,73 @@
     pub world: String,
     /// The seed.
     pub seed: u64,
-    /// First tries, and all tries.
-    pub first_tries: u64,
+    /// Client requests, and all requests at proxies.
+    #[serde(rename = "first_tries")]
+    pub client_requests: u64,
     /// See above.
-    pub tries: u64,
-    /// Tries by their final answers.
+    #[serde(rename = "tries")]
+    pub proxy_requests: u64,
+    /// Requests at proxies by their final answers.
     pub served: u64,
     /// See above.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// See above.
     pub failed: u64,
-    /// Tries that a front door held when it was killed.
+    /// Requests at proxies that a proxy held when it was killed.
     pub lost: u64,
-    /// Of what one door that sees all would let in, by worth: the part that was served in time.
-    pub worth: f64,
-    /// Worth sent on beyond quotas, as a part of the same worth.
-    pub over: f64,
+    /// Of what one proxy that sees all would admit, by value: the part that was served in time.
+    #[serde(rename = "worth")]
+    pub served_value: f64,
+    /// Value forwarded beyond quotas, as a part of the same value.
+    #[serde(rename = "over")]
+    pub over_quota_value: f64,
     /// Both by plan.
-    pub worth_by_plan: Vec<f64>,
+    #[serde(rename = "worth_by_plan")]
+    pub served_value_by_plan: Vec<f64>,
     /// See above.
-    pub over_by_plan: Vec<f64>,
-    /// The same, and units let in beyond quotas, by group of demand.
-    pub worth_by_demand: Vec<f64>,
+    #[serde(rename = "over_by_plan")]
+    pub over_quota_value_by_plan: Vec<f64>,
+    /// The same, and units admitted beyond quotas, by group of demand.
+    #[serde(rename = "worth_by_demand")]
+    pub served_value_by_demand: Vec<f64>,
     /// See above.
-    pub beyond_by_demand: Vec<f64>,
-    /// Units let in beyond quotas, as a part of what that door would let in.
-    pub beyond: f64,
-    /// Tries turned away, by reason, and those of them that a door which sees all would have let in.
-    pub refusals: BTreeMap<&'static str, u64>,
+    #[serde(rename = "beyond_by_demand")]
+    pub over_quota_units_by_demand: Vec<f64>,
+    /// Units admitted beyond quotas, as a part of what that proxy would admit.
+    #[serde(rename = "beyond")]
+    pub over_quota_units: f64,
+    /// Rejected requests at proxies, by reason, and those of them that a proxy which sees all would have admitted.
+    #[serde(rename = "refusals")]
+    pub rejections: BTreeMap<&'static str, u64>,
     /// See above.
-    pub refused_with_room: BTreeMap<&'static str, u64>,
-    /// First tries that were let in within their quotas and not served in time.
+    #[serde(rename = "refused_with_room")]
+    pub rejected_within_quota: BTreeMap<&'static str, u64>,
+    /// Client requests that were admitted within their quotas and not served in time.
     pub late: u64,
-    /// Tries sent on over a hard ceiling.
+    /// Requests forwarded over a hard ceiling.
     pub over_ceiling: u64,
     /// Attempts to another zone, as a part of all.
-    pub crossings: f64,
-    /// Attempts for each first try.
+    #[serde(rename = "crossings")]
+    pub cross_zone_attempts: f64,
+    /// Attempts for each client request.
     pub attempts: f64,
     /// Connections opened for each attempt.
     pub handshakes: f64,
     /// Attempts at backends that were dead.
     pub dead: u64,
     /// Cold backends that were pushed over.
-    pub fell_over: u64,
-    /// Attempts to a backend later than the grace after its drain was told.
+    #[serde(rename = "fell_over")]
+    pub overload_failures: u64,
+    /// Attempts to a backend later than the grace after its drain was announced.
     pub late_sends: u64,
     /// Answers beyond one for a try.
-    pub doubled: u64,
+    #[serde(rename = "doubled")]
+    pub duplicate_answers: u64,
     /// Unsafe requests that ran twice.
-    pub ran_twice: u64,
-    /// Time from a first try to its served answer, in milliseconds: median, and the 99th in a hundred.
+    #[serde(rename = "ran_twice")]
+    pub executed_twice: u64,
+    /// Time from a client request to its served answer, in milliseconds: median, and the 99th in a hundred.
     pub p50_ms: f64,
     /// See above.
     pub p99_ms: f64,
@@ -72,10 +88,12 @@
     /// Mean time in a backend, waiting and work together.
     pub sojourn_ms: f64,
     /// Work of the busiest and of the idlest backend, as multiples of the mean.
-    pub most_loaded: f64,
+    #[serde(rename = "most_loaded")]
+    pub max_load: f64,
     /// See above.
-    pub least_loaded: f64,
-    /// Worth served in time in each second.
+    #[serde(rename = "least_loaded")]
+    pub min_load: f64,
+    /// Value served in time in each second.
     pub by_second: Vec<f64>,
     /// Events played.
     pub events: u64,
@@ -117,10 +135,10 @@
     }
 
     /// The time within which this part of them lies, in milliseconds; 0 where there is none.
-    pub fn quantile(&self, part: f64) -> f64 {
+    pub fn quantile(&self, fraction: f64) -> f64 {
         if self.0.is_empty() {
             return 0.0;
         }
-        self.0.value_at_quantile(part) as f64 / 1000.0
+        self.0.value_at_quantile(fraction) as f64 / 1000.0
     }
 }
--- a/crates/model/src/plot.rs
+++ b/crates/model/src/plot.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 /// Lines of results that are read at most.
-const MOST_LINES: usize = 100_000;
+const MAX_LINES: usize = 100_000;
 
 /// Points by line.
 type Series = BTreeMap<String, Vec<(f64, f64)>>;
@@ -17,7 +17,7 @@
 
 fn points(text: &str, x: &str, y: &str, by: Option<&str>) -> Result<Series, String> {
     let mut series = Series::new();
-    for (at, line) in text.lines().take(MOST_LINES).enumerate() {
+    for (at, line) in text.lines().take(MAX_LINES).enumerate() {
         let result: Value =
             serde_json::from_str(line).map_err(|error| format!("line {}: {error}", at + 1))?;
         let name = by.map_or(String::new(), |by| {
--- a/crates/model/src/chance.rs
+++ b/crates/model/src/random.rs
@@ -5,12 +5,12 @@
 
 /// The one source of chance of a run.
 #[derive(Clone, Debug)]
-pub struct Dice(Pcg64Mcg);
+pub struct RandomSource(Pcg64Mcg);
 
-impl Dice {
+impl RandomSource {
     /// From a seed.
-    pub fn new(seed: u64) -> Dice {
-        Dice(Pcg64Mcg::seed_from_u64(seed))
+    pub fn new(seed: u64) -> RandomSource {
+        RandomSource(Pcg64Mcg::seed_from_u64(seed))
     }
 
     /// Evenly from nought to below one.
@@ -50,42 +50,42 @@
 /// Draws one of many by weight in constant time (the alias method: Walker 1977, Vose 1991). Against a search in sums
 /// (`benches/structures.rs`) it wins from thousands of customers on.
 #[derive(Clone, Debug)]
-pub struct Alias {
+pub struct AliasTable {
     /// For each place, the part of it that is its own, and who has the rest.
     places: Vec<(f64, u32)>,
 }
 
-impl Alias {
+impl AliasTable {
     /// For weights that are not below nought; all the same where none is above.
-    pub fn new(weights: &[f64]) -> Alias {
+    pub fn new(weights: &[f64]) -> AliasTable {
         let sum: f64 = weights.iter().sum();
         let count = weights.len();
         if sum <= 0.0 || !sum.is_finite() {
-            return Alias {
+            return AliasTable {
                 places: (0..count).map(|at| (1.0, at as u32)).collect(),
             };
         }
-        let mut parts: Vec<f64> = weights
+        let mut fractions: Vec<f64> = weights
             .iter()
             .map(|weight| weight * count as f64 / sum)
             .collect();
         let (mut small, mut large): (Vec<usize>, Vec<usize>) =
-            (0..count).partition(|at| parts[*at] < 1.0);
+            (0..count).partition(|at| fractions[*at] < 1.0);
         let mut places: Vec<(f64, u32)> = (0..count).map(|at| (1.0, at as u32)).collect();
         while let (Some(less), Some(&more)) = (small.pop(), large.last()) {
-            places[less] = (parts[less], more as u32);
-            parts[more] -= 1.0 - parts[less];
-            if parts[more] < 1.0 {
+            places[less] = (fractions[less], more as u32);
+            fractions[more] -= 1.0 - fractions[less];
+            if fractions[more] < 1.0 {
                 large.pop();
                 small.push(more);
             }
         }
-        Alias { places }
+        AliasTable { places }
     }
 
     /// One of them; nought where there are none.
-    pub fn draw(&self, dice: &mut Dice) -> usize {
-        let spot = dice.one() * self.places.len() as f64;
+    pub fn draw(&self, random: &mut RandomSource) -> usize {
+        let spot = random.one() * self.places.len() as f64;
         let at = (spot as usize).min(self.places.len().saturating_sub(1));
         match self.places.get(at) {
             Some((own, _)) if spot - at as f64 <= *own => at,
--- a/crates/model/src/run/clients.rs
+++ b/crates/model/src/run/clients.rs
@@ -1,50 +1,50 @@
 //! Clients.
 
-use super::event::Happens;
-use super::request::{First, Try};
+use super::event::RunEvent;
+use super::request::{ClientRequest, ProxyRequest};
 use super::Run;
 use maplefall_policy as policy;
 use maplefall_policy::{Event, RequestId};
 
 impl Run<'_> {
-    pub(super) fn ask(&mut self) {
+    pub(super) fn schedule_next_request(&mut self) {
         let end = self.world.seconds * 1000.0;
         if self.now >= end {
             return;
         }
-        let pause = self.dice.exponential(1000.0 / self.rate);
-        self.queue.push(self.now + pause, Happens::Ask);
-        let customer = self.ranks.draw(&mut self.dice);
-        self.ask_for(customer);
+        let pause = self.random.exponential(1000.0 / self.rate);
+        self.queue.push(self.now + pause, RunEvent::NextRequest);
+        let customer = self.ranks.draw(&mut self.random);
+        self.start_client_request(customer);
     }
 
-    pub(super) fn spike(&mut self, customer: usize) {
+    pub(super) fn start_spike(&mut self, customer: usize) {
         let demand = self.world.demand[self.groups[customer]].clone();
         let rate = self.settings.plans[self.customers[customer].plan].rate;
         let pause = 1000.0 * self.world.units / (rate * demand.spike).max(1e-9);
         let end = self.world.seconds * 1000.0;
         let until = (self.now + demand.spike_s * 1000.0).min(end);
         self.queue.push(
-            self.now + self.dice.exponential(pause),
-            Happens::Flood {
+            self.now + self.random.exponential(pause),
+            RunEvent::FloodRequest {
                 customer,
                 pause,
                 until,
             },
         );
-        let next = self.now + demand.every_s * 1000.0 * self.dice.within([0.7, 1.3]);
+        let next = self.now + demand.every_s * 1000.0 * self.random.within([0.7, 1.3]);
         if next < end {
-            self.queue.push(next, Happens::Spike(customer));
+            self.queue.push(next, RunEvent::SpikeStart(customer));
         }
     }
 
-    /// A first try of a customer.
-    pub(super) fn ask_for(&mut self, customer: usize) {
-        let class = self.classes.draw(&mut self.dice);
+    /// A client request of a customer.
+    pub(super) fn start_client_request(&mut self, customer: usize) {
+        let class = self.classes.draw(&mut self.random);
         // A geometric number of units with this mean, cut off at the most.
         let more = 1.0 - 1.0 / self.world.units;
         let mut units = 1.0;
-        while units < self.world.most_units.floor() && self.dice.one() < more {
+        while units < self.world.max_units.floor() && self.random.one() < more {
             units += 1.0;
         }
         let spec = &self.world.class[class];
@@ -52,34 +52,34 @@
         let work = if spec.cv <= 0.0 {
             mean
         } else if (spec.cv - 1.0).abs() < 1e-9 {
-            self.dice.exponential(mean)
+            self.random.exponential(mean)
         } else {
-            self.dice.log_normal(mean, spec.cv)
+            self.random.log_normal(mean, spec.cv)
         };
         let true_units = units;
-        if self.world.guess_cv > 0.0 {
+        if self.world.estimate_cv > 0.0 {
             units = self
-                .dice
-                .log_normal(units, self.world.guess_cv)
+                .random
+                .log_normal(units, self.world.estimate_cv)
                 .round()
-                .clamp(1.0, self.world.most_units);
+                .clamp(1.0, self.world.max_units);
         }
         let now = self.now;
         let plan = &self.settings.plans[self.customers[customer].plan];
-        let ideal = &mut self.customers[customer].ideal;
-        if ideal.holds(now, plan.rate, plan.burst, units) {
-            ideal.left = (ideal.left - true_units).min(plan.burst);
-            self.offered += spec.worth * plan.price * true_units;
-            self.offered_by_plan[self.customers[customer].plan] +=
-                spec.worth * plan.price * true_units;
+        let ideal_bucket = &mut self.customers[customer].ideal_bucket;
+        if ideal_bucket.holds(now, plan.rate, plan.burst, units) {
+            ideal_bucket.tokens = (ideal_bucket.tokens - true_units).min(plan.burst);
+            self.offered += spec.value * plan.price * true_units;
+            self.offered_value_by_plan[self.customers[customer].plan] +=
+                spec.value * plan.price * true_units;
             if let Some(group) = self.groups.get(customer) {
-                self.offered_by_demand[*group].0 += spec.worth * plan.price * true_units;
+                self.offered_by_demand[*group].0 += spec.value * plan.price * true_units;
                 self.offered_by_demand[*group].1 += true_units;
             }
             self.offered_units += true_units;
         }
-        self.outcome.first_tries += 1;
-        let one = First {
+        self.outcome.client_requests += 1;
+        let one = ClientRequest {
             asked: now,
             customer,
             class,
@@ -87,206 +87,216 @@
             true_units,
             work,
             served: false,
-            let_in: false,
+            admitted: false,
         };
-        self.firsts.push(one);
-        self.begin_try(self.firsts.len() - 1, 0, None);
+        self.client_requests.push(one);
+        self.send_to_proxy(self.client_requests.len() - 1, 0, None);
     }
 
-    /// The door that a request of a customer comes to: the busiest of its set at present, or another.
-    pub(super) fn door_for(&mut self, customer: usize, kept: Option<usize>) -> Option<usize> {
-        let (spread, doors, now) = (self.spread(customer), self.doors.len(), self.now);
+    /// The proxy that a request of a customer comes to: the busiest of its set at present, or another.
+    pub(super) fn choose_proxy(&mut self, customer: usize, kept: Option<usize>) -> Option<usize> {
+        let (spread, proxies, now) = (self.spread(customer), self.proxies.len(), self.now);
         let shifts = self.world.shift_s[1] > 0.0 && self.world.uneven > 0.0;
-        if self.world.uneven > 0.0 && now >= self.customers[customer].until {
-            let busiest = self.dice.below(spread);
+        if self.world.uneven > 0.0 && now >= self.customers[customer].busiest_until {
+            let busiest = self.random.below(spread);
             let lasts = if shifts {
-                self.dice.within(self.world.shift_s) * 1000.0
+                self.random.within(self.world.shift_s) * 1000.0
             } else {
                 f64::INFINITY
             };
             let one = &mut self.customers[customer];
-            (one.busiest, one.until) = (busiest, now + lasts.max(1.0));
+            (one.busiest, one.busiest_until) = (busiest, now + lasts.max(1.0));
         }
         let (home, busiest, through) = {
             let one = &self.customers[customer];
             (one.home, one.busiest, one.through)
         };
         let from = if through > 0 {
-            self.dice.below(through.min(spread))
-        } else if self.world.uneven > 0.0 && self.dice.one() < self.world.uneven {
+            self.random.below(through.min(spread))
+        } else if self.world.uneven > 0.0 && self.random.one() < self.world.uneven {
             busiest
         } else {
-            self.dice.below(spread)
+            self.random.below(spread)
         };
-        // A door that is down takes nothing; its clients find another one of the customer's set.
-        let set = (0..spread).map(|at| (home + (from + at) % spread) % doors);
+        // A proxy that is down takes nothing; its clients find another one of the customer's set.
+        let set = (0..spread).map(|at| (home + (from + at) % spread) % proxies);
         kept.into_iter()
             .chain(set)
-            .find(|door| self.doors[*door].up && !self.doors[*door].stopping)
+            .find(|proxy| self.proxies[*proxy].up && !self.proxies[*proxy].stopping)
     }
 
-    pub(super) fn begin_try(&mut self, first: usize, number: u32, kept: Option<usize>) {
-        let one = self.firsts[first].clone();
+    pub(super) fn send_to_proxy(
+        &mut self,
+        client_request: usize,
+        number: u32,
+        kept: Option<usize>,
+    ) {
+        let one = self.client_requests[client_request].clone();
         let class = &self.world.class[one.class];
-        let last = one.asked + class.give_up_ms;
+        let last = one.asked + class.client_timeout_ms;
         if self.now >= last {
             return;
         }
-        let Some(door) = self.door_for(one.customer, kept) else {
-            return self.come_back(first, number, None, None);
+        let Some(proxy) = self.choose_proxy(one.customer, kept) else {
+            return self.schedule_retry(client_request, number, None, None);
         };
-        self.outcome.tries += 1;
-        self.next_try += 1;
-        let id = self.next_try;
-        let life = self.doors[door].life;
-        let one = Try {
-            first,
+        self.outcome.proxy_requests += 1;
+        self.next_proxy_request += 1;
+        let id = self.next_proxy_request;
+        let incarnation = self.proxies[proxy].incarnation;
+        let one = ProxyRequest {
+            client_request,
             number,
-            door,
-            life,
+            proxy,
+            incarnation,
             deadline: last,
             answered: false,
-            sends: 0,
-            out: None,
-            inside: false,
-            ran: 0,
+            attempts_sent: 0,
+            pending_attempt: None,
+            within_quota: false,
+            executions: 0,
         };
-        self.tries.insert(id, one);
+        self.proxy_requests.insert(id, one);
         let delay = self.delay();
-        self.queue.push(self.now + delay, Happens::Come(id));
-        self.queue.push(last, Happens::GiveUp(id));
+        self.queue
+            .push(self.now + delay, RunEvent::ProxyReceives(id));
+        self.queue.push(last, RunEvent::ClientTimeout(id));
     }
 
-    /// Doors that a customer's requests come through. Where its plan has a ceiling no more than hold two of the largest requests
+    /// Proxies that a customer's requests come through. Where its plan has a ceiling no more than hold two of the largest requests
     /// each: else these could go through none of them.
     pub(super) fn spread(&self, customer: usize) -> usize {
         let most = match self.world.spread {
-            0 => self.doors.len(),
-            spread => spread.min(self.doors.len()),
+            0 => self.proxies.len(),
+            spread => spread.min(self.proxies.len()),
         };
         let ceiling = self.settings.plans[self.customers[customer].plan].ceiling;
         let fits = ceiling.map_or(usize::MAX, |c| {
-            (c.burst / (2.0 * self.world.most_units)) as usize
+            (c.burst / (2.0 * self.world.max_units)) as usize
         });
-        most.min(fits.max(2)).min(self.doors.len())
+        most.min(fits.max(2)).min(self.proxies.len())
     }
 
-    /// A client whose try was turned away tries again, if it has tries and time left.
-    pub(super) fn come_back(
+    /// A client whose request was rejected tries again, if it has retries and time left.
+    pub(super) fn schedule_retry(
         &mut self,
-        first: usize,
+        client_request: usize,
         number: u32,
         advised: Option<f64>,
-        door: Option<usize>,
+        proxy: Option<usize>,
     ) {
         if number < self.world.retries {
-            let follows = self.world.honour >= 1.0 || self.dice.one() < self.world.honour;
+            let follows = self.world.honour >= 1.0 || self.random.one() < self.world.honour;
             let advised = advised.filter(|_| follows);
-            let wait = advised.unwrap_or_else(|| self.dice.within(self.world.backoff_ms));
-            let keeps = self.world.sticky > 0.0 && self.dice.one() < self.world.sticky;
-            let again = Happens::Again {
-                first,
+            let wait = advised.unwrap_or_else(|| self.random.within(self.world.backoff_ms));
+            let keeps = self.world.sticky > 0.0 && self.random.one() < self.world.sticky;
+            let again = RunEvent::Retry {
+                client_request,
                 number: number + 1,
-                door: door.filter(|_| keeps),
+                proxy: proxy.filter(|_| keeps),
             };
             self.queue.push(self.now + wait, again);
         }
     }
 
-    /// A door was killed with a try in hand: its client notices and tries again.
-    pub(super) fn lose(&mut self, id: u32) {
-        let Some(one) = self.tries.get_mut(&id).filter(|one| !one.answered) else {
+    /// A proxy was killed with a request in hand: its client notices and tries again.
+    pub(super) fn lose_request(&mut self, id: u32) {
+        let Some(one) = self.proxy_requests.get_mut(&id).filter(|one| !one.answered) else {
             return;
         };
         one.answered = true;
-        let (first, number) = (one.first, one.number);
+        let (client_request, number) = (one.client_request, one.number);
         self.outcome.lost += 1;
-        self.tries.remove(&id);
-        self.come_back(first, number, None, None);
+        self.proxy_requests.remove(&id);
+        self.schedule_retry(client_request, number, None, None);
     }
 
-    pub(super) fn give_up(&mut self, id: u32) {
-        let Some(one) = self.tries.get_mut(&id) else {
+    pub(super) fn expire_request(&mut self, id: u32) {
+        let Some(one) = self.proxy_requests.get_mut(&id) else {
             return;
         };
         if one.answered {
-            self.forget(id);
+            self.forget_request(id);
             return;
         }
         one.answered = true;
         self.outcome.failed += 1;
-        let (door, life) = (one.door, one.life);
-        if self.doors[door].up && self.doors[door].life == life {
-            self.tell(door, Event::ClientGone(RequestId(id)));
+        let (proxy, incarnation) = (one.proxy, one.incarnation);
+        if self.proxies[proxy].up && self.proxies[proxy].incarnation == incarnation {
+            self.deliver_event(proxy, Event::ClientGone(RequestId(id)));
         }
-        self.forget(id);
+        self.forget_request(id);
     }
 
-    /// Lets go of a try that is answered and has no attempt out.
-    pub(super) fn forget(&mut self, id: u32) {
+    /// Lets go of a request that is answered and has no attempt out.
+    pub(super) fn forget_request(&mut self, id: u32) {
         if self
-            .tries
+            .proxy_requests
             .get(&id)
-            .is_some_and(|one| one.answered && one.out.is_none())
+            .is_some_and(|one| one.answered && one.pending_attempt.is_none())
         {
-            self.tries.remove(&id);
+            self.proxy_requests.remove(&id);
         }
     }
 
-    pub(super) fn answer(
+    pub(super) fn answer_client(
         &mut self,
         id: u32,
         served: bool,
         advised: Option<f64>,
-        refused: Option<policy::Reason>,
+        rejected: Option<policy::Reason>,
     ) {
-        let Some(one) = self.tries.get_mut(&id) else {
+        let Some(one) = self.proxy_requests.get_mut(&id) else {
             return;
         };
         if one.answered {
-            self.outcome.doubled += 1;
+            self.outcome.duplicate_answers += 1;
             return;
         }
         one.answered = true;
-        let (first, number, inside, door) = (one.first, one.number, one.inside, one.door);
+        let (client_request, number, within_quota, proxy) =
+            (one.client_request, one.number, one.within_quota, one.proxy);
         if served {
             self.outcome.served += 1;
-            let took = self.now - self.firsts[first].asked;
+            let took = self.now - self.client_requests[client_request].asked;
             self.times.add(took);
-            let one = &mut self.firsts[first];
+            let one = &mut self.client_requests[client_request];
             let spec = &self.world.class[one.class];
-            if inside && !one.served && took <= spec.aim_ms {
+            if within_quota && !one.served && took <= spec.latency_target_ms {
                 let price = self.settings.plans[self.customers[one.customer].plan].price;
-                let worth = spec.worth * price * one.true_units;
-                self.gained += worth;
-                self.outcome.worth_by_plan[self.customers[one.customer].plan] += worth;
+                let value = spec.value * price * one.true_units;
+                self.served_value += value;
+                self.outcome.served_value_by_plan[self.customers[one.customer].plan] += value;
                 if let Some(group) = self.groups.get(one.customer) {
-                    self.outcome.worth_by_demand[*group] += worth;
+                    self.outcome.served_value_by_demand[*group] += value;
                 }
                 if let Some(second) = self
                     .outcome
                     .by_second
                     .get_mut((one.asked / 1000.0) as usize)
                 {
-                    *second += worth;
+                    *second += value;
                 }
             }
             one.served = true;
-        } else if let Some(reason) = refused {
-            self.outcome.refused += 1;
-            *self.outcome.refusals.entry(reason.name()).or_default() += 1;
-            let (customer, units) = (self.firsts[first].customer, self.firsts[first].units);
-            if self.holds(customer, units) {
+        } else if let Some(reason) = rejected {
+            self.outcome.rejected += 1;
+            *self.outcome.rejections.entry(reason.name()).or_default() += 1;
+            let (customer, units) = (
+                self.client_requests[client_request].customer,
+                self.client_requests[client_request].units,
+            );
+            if self.has_quota(customer, units) {
                 *self
                     .outcome
-                    .refused_with_room
+                    .rejected_within_quota
                     .entry(reason.name())
                     .or_default() += 1;
             }
-            self.come_back(first, number, advised, Some(door));
+            self.schedule_retry(client_request, number, advised, Some(proxy));
         } else {
             self.outcome.failed += 1;
         }
-        self.forget(id);
+        self.forget_request(id);
     }
 }
--- a/crates/model/src/run/discovery.rs
+++ b/crates/model/src/run/discovery.rs
@@ -1,136 +1,140 @@
 //! Discovery.
 
-use super::event::Happens;
-use super::{Run, AFTER};
+use super::event::RunEvent;
+use super::{Run, AGENT_TAIL_MS};
 use maplefall_policy as policy;
 use maplefall_policy::{BackendEntry, Event};
 
 impl Run<'_> {
-    pub(super) fn learn(&mut self, door: usize, at: usize, version: u64) {
+    pub(super) fn update_agent(&mut self, proxy: usize, at: usize, version: u64) {
         let now = self.now;
-        let Some(agent) = &mut self.doors[door].agent else {
+        let Some(agent) = &mut self.proxies[proxy].agent else {
             return;
         };
         agent.learn(at, version);
         if at == agent.place() {
-            // What an agent has counts as told; while it is silent, once it speaks or some seconds later.
-            let told = agent.counts_as_told(now);
-            self.queue.push(told, Happens::Told { door, version });
+            // What an agent has counts as notified; while it is silent, once it speaks or some seconds later.
+            let notified = agent.notified_at(now);
+            self.queue
+                .push(notified, RunEvent::Notified { proxy, version });
         }
-        self.wait_for_agent(door);
+        self.schedule_agent(proxy);
     }
 
-    /// From now on a door is held to all stops up to this version; a version in which a backend is up again takes its stop back.
-    pub(super) fn count_as_told(&mut self, door: usize, version: u64) {
+    /// From now on a proxy is held to all stops up to this version; a version in which a backend is up again takes its stop back.
+    pub(super) fn mark_notified(&mut self, proxy: usize, version: u64) {
         let now = self.now;
-        for version in self.doors[door].told_until + 1..=version {
+        for version in self.proxies[proxy].notified_until + 1..=version {
             for entry in self.history.change(version) {
                 let at = entry.id.0 as usize;
                 if entry.availability == policy::Availability::Ready {
-                    self.doors[door].told.remove(&at);
+                    self.proxies[proxy].notified.remove(&at);
                 } else {
-                    self.doors[door].told.entry(at).or_insert((now, version));
+                    self.proxies[proxy]
+                        .notified
+                        .entry(at)
+                        .or_insert((now, version));
                 }
             }
         }
-        self.doors[door].told_until = self.doors[door].told_until.max(version);
+        self.proxies[proxy].notified_until = self.proxies[proxy].notified_until.max(version);
     }
 
-    pub(super) fn agent_moves(&mut self, door: usize, close_ms: f64, behind_ms: f64) {
+    pub(super) fn move_agent(&mut self, proxy: usize, close_ms: f64, lag_ms: f64) {
         let now = self.now;
-        let up = self.doors[door].up;
-        self.doors[door].behind_ms = behind_ms;
-        let Some(agent) = &mut self.doors[door].agent else {
+        let up = self.proxies[proxy].up;
+        self.proxies[proxy].lag_ms = lag_ms;
+        let Some(agent) = &mut self.proxies[proxy].agent else {
             return;
         };
         // It has what was known so long ago, and hears of the rest as late as of all that comes.
         let had = agent.version();
-        let behind = had.saturating_sub((behind_ms / 100.0) as u64).max(1);
+        let behind = had.saturating_sub((lag_ms / 100.0) as u64).max(1);
         agent.moved(now, behind, close_ms);
         let entries = if up {
-            agent.told_of_move(now)
+            agent.notify_move(now)
         } else {
             Vec::new()
         };
         for version in behind + 1..=had {
-            let at = now + behind_ms * (version - behind) as f64 / (had - behind) as f64;
+            let at = now + lag_ms * (version - behind) as f64 / (had - behind) as f64;
             self.queue.push(
                 at,
-                Happens::Learn {
-                    door,
+                RunEvent::AgentUpdated {
+                    proxy,
                     at: 1,
                     version,
                 },
             );
         }
-        self.list_heard(door, entries);
-        self.wait_for_agent(door);
+        self.apply_endpoint_changes(proxy, entries);
+        self.schedule_agent(proxy);
     }
 
-    /// Lets a door and its agent go on.
-    pub(super) fn follow(&mut self, door: usize) {
-        if self.doors[door].up {
+    /// Lets a proxy and its agent go on.
+    pub(super) fn run_agent(&mut self, proxy: usize) {
+        if self.proxies[proxy].up {
             let (now, history) = (self.now, std::mem::take(&mut self.history));
-            let entries = match &mut self.doors[door].agent {
+            let entries = match &mut self.proxies[proxy].agent {
                 Some(agent) => agent.go_on(now, &history),
                 None => Vec::new(),
             };
             self.history = history;
-            self.list_heard(door, entries);
+            self.apply_endpoint_changes(proxy, entries);
         }
-        self.wait_for_agent(door);
+        self.schedule_agent(proxy);
     }
 
-    pub(super) fn wait_for_agent(&mut self, door: usize) {
+    pub(super) fn schedule_agent(&mut self, proxy: usize) {
         let now = self.now;
-        let held = &mut self.doors[door];
+        let held = &mut self.proxies[proxy];
         let due = held
             .agent
             .as_ref()
             .filter(|_| held.up)
             .and_then(|agent| agent.next_due(now));
         // Heartbeats alone would go on for ever: they end once the last request that the world draws must be over.
-        let end = self.world.seconds * 1000.0 + AFTER;
-        if let Some(at) = due.filter(|at| *at < held.follow_at && *at <= end) {
-            held.follow_at = at;
-            self.queue.push(at, Happens::Follow { door, at });
+        let end = self.world.seconds * 1000.0 + AGENT_TAIL_MS;
+        if let Some(at) = due.filter(|at| *at < held.agent_due_at && *at <= end) {
+            held.agent_due_at = at;
+            self.queue.push(at, RunEvent::AgentDue { proxy, at });
         }
     }
 
-    /// What came out of a door's roster.
-    pub(super) fn list_heard(&mut self, door: usize, entries: Vec<BackendEntry>) {
+    /// What came out of a proxy's roster.
+    pub(super) fn apply_endpoint_changes(&mut self, proxy: usize, entries: Vec<BackendEntry>) {
         if entries.is_empty() {
             return;
         }
         for entry in &entries {
             let at = entry.id.0 as usize;
             if entry.availability == policy::Availability::Gone {
-                self.doors[door].list.remove(&at);
+                self.proxies[proxy].endpoints.remove(&at);
             } else {
-                self.doors[door].list.insert(at, *entry);
+                self.proxies[proxy].endpoints.insert(at, *entry);
             }
         }
-        self.tell(door, Event::Backends(policy::ListKind::Changes, entries));
+        self.deliver_event(proxy, Event::Backends(policy::ListKind::Changes, entries));
     }
 
-    pub(super) fn spread_news(&mut self, entries: &[BackendEntry]) {
+    pub(super) fn publish_change(&mut self, entries: &[BackendEntry]) {
         let version = self.history.push(entries);
-        for door in 0..self.doors.len() {
-            let late = self.dice.within(self.world.notice_ms);
-            if self.doors[door].agent.is_some() {
+        for proxy in 0..self.proxies.len() {
+            let late = self.random.within(self.world.discovery_delay_ms);
+            if self.proxies[proxy].agent.is_some() {
                 self.queue.push(
                     self.now + late,
-                    Happens::Learn {
-                        door,
+                    RunEvent::AgentUpdated {
+                        proxy,
                         at: 0,
                         version,
                     },
                 );
-                let late = late + self.doors[door].behind_ms;
+                let late = late + self.proxies[proxy].lag_ms;
                 self.queue.push(
                     self.now + late,
-                    Happens::Learn {
-                        door,
+                    RunEvent::AgentUpdated {
+                        proxy,
                         at: 1,
                         version,
                     },
@@ -139,8 +143,8 @@
             }
             self.queue.push(
                 self.now + late,
-                Happens::Hear {
-                    door,
+                RunEvent::EndpointsChanged {
+                    proxy,
                     entries: entries.to_vec(),
                 },
             );
--- a/crates/model/src/run/event.rs
+++ b/crates/model/src/run/event.rs
@@ -5,88 +5,88 @@
 
 /// Something that happens.
 #[derive(Clone, Debug)]
-pub(super) enum Happens {
-    /// The next first try is made.
-    Ask,
-    /// A client tries again.
-    Again {
-        first: usize,
+pub(super) enum RunEvent {
+    /// The next client request is made.
+    NextRequest,
+    /// A client retries.
+    Retry {
+        client_request: usize,
         number: u32,
-        door: Option<usize>,
+        proxy: Option<usize>,
     },
-    /// A try comes to its door.
-    Come(u32),
-    /// A client stops waiting for a try.
-    GiveUp(u32),
+    /// A request reaches its proxy.
+    ProxyReceives(u32),
+    /// A client stops waiting for an answer.
+    ClientTimeout(u32),
     /// An attempt comes to its backend.
-    Reach(u64),
+    BackendReceives(u64),
     /// A backend has done a job.
-    Done {
+    JobDone {
         backend: usize,
-        life: u32,
+        incarnation: u32,
         attempt: u64,
     },
-    /// The end of an attempt comes to its door.
-    Reply(u64, policy::Outcome),
+    /// The end of an attempt comes to its proxy.
+    AttemptEnded(u64, policy::Outcome),
     /// An attempt's limit is over.
-    Limit(u64),
-    /// An alarm of a door's.
+    AttemptTimeout(u64),
+    /// An alarm of a proxy's.
     Alarm {
-        door: usize,
-        life: u32,
+        proxy: usize,
+        incarnation: u32,
         alarm: AlarmId,
     },
-    /// A door hears of backends.
-    Hear {
-        door: usize,
+    /// A proxy hears of backends.
+    EndpointsChanged {
+        proxy: usize,
         entries: Vec<BackendEntry>,
     },
-    /// A door's agent hears of a version at one of its places.
-    Learn {
-        door: usize,
+    /// A proxy's agent hears of a version at one of its places.
+    AgentUpdated {
+        proxy: usize,
         at: usize,
         version: u64,
     },
-    /// What a door's agent has to tell counts as told.
-    Told { door: usize, version: u64 },
-    /// Something is due between a door and its agent.
-    Follow { door: usize, at: f64 },
-    /// A door is told that its agent has moved.
-    Moved {
-        door: usize,
+    /// What a proxy's agent has to tell counts as notified.
+    Notified { proxy: usize, version: u64 },
+    /// Something is due between a proxy and its agent.
+    AgentDue { proxy: usize, at: f64 },
+    /// A proxy is notified that its agent has moved.
+    AgentMoved {
+        proxy: usize,
         close_ms: f64,
-        behind_ms: f64,
+        lag_ms: f64,
     },
-    /// A door begins to stop; has stopped.
-    Stop {
-        door: usize,
+    /// A proxy begins to stop; has stopped.
+    ProxyStopping {
+        proxy: usize,
         stop_ms: f64,
         down_ms: f64,
     },
     /// See above.
-    Stopped { door: usize, down_ms: f64 },
-    /// A trouble begins.
-    Trouble(usize),
-    /// A door comes back.
-    Back(usize),
+    ProxyStopped { proxy: usize, down_ms: f64 },
+    /// A fault begins.
+    Fault(usize),
+    /// A proxy comes back.
+    ProxyRestart(usize),
     /// A backend begins to drain; ends.
-    Drain(usize),
+    BackendDrain(usize),
     /// See above.
-    End(usize),
+    BackendEnd(usize),
     /// A backend's speed changes.
-    Speed(usize, f64),
+    BackendSpeed(usize, f64),
     /// The next request of a flood's customer, or of one that comes once, until then.
-    Flood {
+    FloodRequest {
         customer: usize,
         pause: f64,
         until: f64,
     },
     /// A customer's spike begins.
-    Spike(usize),
+    SpikeStart(usize),
     /// See above.
-    OneShot { pause: f64, until: f64 },
+    OneShotRequest { pause: f64, until: f64 },
     /// A partition ends.
-    Heal,
+    PartitionHealed,
     /// The backends of a zone start again.
-    Revive(Vec<usize>),
+    BackendsRestart(Vec<usize>),
 }
--- a/crates/model/src/run/faults.rs
+++ b/crates/model/src/run/faults.rs
@@ -1,106 +1,117 @@
 //! Faults.
 
-use super::event::Happens;
+use super::event::RunEvent;
 use super::Run;
-use crate::world::Trouble;
+use crate::world::Fault;
 use maplefall_policy as policy;
 use maplefall_policy::BackendEntry;
 
 impl Run<'_> {
-    pub(super) fn some(&mut self, count: usize, part: f64) -> Vec<usize> {
-        self.some_of(count, (part * count as f64).ceil() as usize)
+    pub(super) fn pick_fraction(&mut self, count: usize, fraction: f64) -> Vec<usize> {
+        self.pick(count, (fraction * count as f64).ceil() as usize)
     }
 
-    pub(super) fn some_of(&mut self, count: usize, many: usize) -> Vec<usize> {
+    pub(super) fn pick(&mut self, count: usize, many: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..count).collect();
         (0..many.min(count))
-            .map(|_| all.swap_remove(self.dice.below(all.len())))
+            .map(|_| all.swap_remove(self.random.below(all.len())))
             .collect()
     }
 
-    pub(super) fn trouble(&mut self, at: usize) {
-        match self.world.trouble[at].clone() {
-            Trouble::RestartDoors { part, down_ms, .. } => {
-                for door in self.some(self.doors.len(), part) {
+    pub(super) fn inject_fault(&mut self, at: usize) {
+        match self.world.faults[at].clone() {
+            Fault::RestartProxies {
+                fraction, down_ms, ..
+            } => {
+                for proxy in self.pick_fraction(self.proxies.len(), fraction) {
                     // One that is down already, or has a time to come back at, is passed over.
-                    if !self.doors[door].up || self.doors[door].stopping {
+                    if !self.proxies[proxy].up || self.proxies[proxy].stopping {
                         continue;
                     }
-                    self.goes_down(door);
-                    let down = self.dice.within(down_ms);
-                    self.queue.push(self.now + down, Happens::Back(door));
+                    self.stop_proxy(proxy);
+                    let down = self.random.within(down_ms);
+                    self.queue
+                        .push(self.now + down, RunEvent::ProxyRestart(proxy));
                 }
             }
-            Trouble::RollDoors {
+            Fault::RollProxies {
                 over_s,
                 stop_ms,
                 down_ms,
                 ..
             } => {
-                for door in 0..self.doors.len() {
-                    let when = self.now + self.dice.within([0.0, over_s * 1000.0]);
-                    let down_ms = self.dice.within(down_ms);
+                for proxy in 0..self.proxies.len() {
+                    let when = self.now + self.random.within([0.0, over_s * 1000.0]);
+                    let down_ms = self.random.within(down_ms);
                     self.queue.push(
                         when,
-                        Happens::Stop {
-                            door,
+                        RunEvent::ProxyStopping {
+                            proxy,
                             stop_ms,
                             down_ms,
                         },
                     );
                 }
             }
-            Trouble::MoveAgents {
+            Fault::MoveAgents {
                 over_s,
                 close_ms,
-                behind_ms,
+                lag_ms,
                 ..
             } => {
-                for door in 0..self.doors.len() {
-                    let when = self.now + self.dice.within([0.0, over_s * 1000.0]);
-                    let behind_ms = self.dice.within(behind_ms);
+                for proxy in 0..self.proxies.len() {
+                    let when = self.now + self.random.within([0.0, over_s * 1000.0]);
+                    let lag_ms = self.random.within(lag_ms);
                     self.queue.push(
                         when,
-                        Happens::Moved {
-                            door,
+                        RunEvent::AgentMoved {
+                            proxy,
                             close_ms,
-                            behind_ms,
+                            lag_ms,
                         },
                     );
                 }
             }
-            Trouble::SilenceAgents {
-                for_s, part, dead, ..
+            Fault::SilenceAgents {
+                for_s,
+                fraction,
+                dead,
+                ..
             } => {
                 let (now, until) = (self.now, self.now + for_s * 1000.0);
-                for door in self.some(self.doors.len(), part) {
-                    if let Some(agent) = &mut self.doors[door].agent {
+                for proxy in self.pick_fraction(self.proxies.len(), fraction) {
+                    if let Some(agent) = &mut self.proxies[proxy].agent {
                         agent.silence(now, until, dead);
                     }
-                    self.wait_for_agent(door);
+                    self.schedule_agent(proxy);
                 }
             }
-            Trouble::ReplaceBackends { part, over_s, .. } => {
+            Fault::ReplaceBackends {
+                fraction, over_s, ..
+            } => {
                 let up: Vec<usize> = (0..self.backends.len())
                     .filter(|at| self.backends[*at].up)
                     .collect();
-                for at in self.some(up.len(), part) {
-                    let when = self.now + self.dice.within([0.0, over_s * 1000.0]);
-                    self.queue.push(when, Happens::Drain(up[at]));
+                for at in self.pick_fraction(up.len(), fraction) {
+                    let when = self.now + self.random.within([0.0, over_s * 1000.0]);
+                    self.queue.push(when, RunEvent::BackendDrain(up[at]));
                 }
             }
-            Trouble::SlowBackends {
-                part, speed, for_s, ..
+            Fault::SlowBackends {
+                fraction,
+                speed,
+                for_s,
+                ..
             } => {
-                for backend in self.some(self.backends.len(), part) {
+                for backend in self.pick_fraction(self.backends.len(), fraction) {
                     self.backends[backend].speed *= speed;
                     self.queue.push(
                         self.now + for_s * 1000.0,
-                        Happens::Speed(backend, 1.0 / speed),
+                        RunEvent::BackendSpeed(backend, 1.0 / speed),
                     );
                 }
             }
-            Trouble::Flood {
+            Fault::Flood {
                 for_s,
                 customers,
                 times,
@@ -108,14 +119,14 @@
                 ..
             } => {
                 let until = self.now + for_s * 1000.0;
-                for customer in self.some_of(self.world.customers, customers) {
+                for customer in self.pick(self.world.customers, customers) {
                     let rate = self.settings.plans[self.customers[customer].plan].rate;
                     let pause = 1000.0 * self.world.units / (rate * times).max(1e-9);
                     self.customers[customer].through = through;
-                    let next = self.now + self.dice.exponential(pause);
+                    let next = self.now + self.random.exponential(pause);
                     self.queue.push(
                         next,
-                        Happens::Flood {
+                        RunEvent::FloodRequest {
                             customer,
                             pause,
                             until,
@@ -123,40 +134,44 @@
                     );
                 }
             }
-            Trouble::OneShots { for_s, share, .. } => {
+            Fault::OneShots { for_s, share, .. } => {
                 let pause = 1000.0 / (share * self.rate).max(1e-9);
                 let until = self.now + for_s * 1000.0;
                 self.queue
-                    .push(self.now + pause, Happens::OneShot { pause, until });
+                    .push(self.now + pause, RunEvent::OneShotRequest { pause, until });
             }
-            Trouble::Partition {
+            Fault::Partition {
                 for_s,
-                doors,
+                proxies,
                 backends,
                 ..
             } => {
-                let doors = self.some(self.doors.len(), doors).into_iter().collect();
+                let proxies = self
+                    .pick_fraction(self.proxies.len(), proxies)
+                    .into_iter()
+                    .collect();
                 let backends = self
-                    .some(self.backends.len(), backends)
+                    .pick_fraction(self.backends.len(), backends)
                     .into_iter()
                     .collect();
-                self.apart = Some((doors, backends));
-                self.queue.push(self.now + for_s * 1000.0, Happens::Heal);
+                self.partition = Some((proxies, backends));
+                self.queue
+                    .push(self.now + for_s * 1000.0, RunEvent::PartitionHealed);
             }
-            Trouble::LoseZone { for_s, zone, .. } => {
+            Fault::LoseZone { for_s, zone, .. } => {
                 let lost: Vec<usize> = (0..self.backends.len())
                     .filter(|at| at % self.world.zones == zone && self.backends[*at].up)
                     .collect();
                 for backend in &lost {
-                    self.die(*backend);
-                    let gone = BackendEntry {
+                    self.kill_backend(*backend);
+                    let gone_entry = BackendEntry {
                         availability: policy::Availability::Gone,
-                        ..self.entry(*backend, None)
+                        ..self.backend_entry(*backend, None)
                     };
-                    self.spread_news(&[gone]);
+                    self.publish_change(&[gone_entry]);
                 }
                 self.queue
-                    .push(self.now + for_s * 1000.0, Happens::Revive(lost));
+                    .push(self.now + for_s * 1000.0, RunEvent::BackendsRestart(lost));
             }
         }
     }
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -1,69 +1,69 @@
-//! One run: the world's clock, the network, clients and troubles round the doors.
+//! One run: the world's clock, the network, clients and faults round the proxies.
 
 mod backends;
 mod clients;
-mod customer;
 mod discovery;
 mod event;
 mod faults;
 mod network;
 mod proxy;
+mod quota;
 mod request;
 mod results;
 mod setup;
 
-use crate::agents::History;
+use crate::agent::EndpointHistory;
 use crate::backend::Backend;
-use crate::chance::{Alias, Dice};
 use crate::metrics::{Outcome, Times};
 use crate::queue::Queue;
+use crate::random::{AliasTable, RandomSource};
 use crate::world::World;
-use customer::{customer, Customer};
-use event::Happens;
+use event::RunEvent;
 use maplefall_policy as policy;
 use maplefall_policy::{Action, Event};
-use proxy::Door;
-use request::{Attempt, First, Try};
+use proxy::Proxy;
+use quota::{customer, Customer};
+use request::{Attempt, ClientRequest, ProxyRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after the last first try agents are followed, in milliseconds: longer than any client waits with its tries.
-const AFTER: f64 = 20_000.0;
+/// How long after the last client request agents are followed, in milliseconds: longer than any client waits between its retries.
+const AGENT_TAIL_MS: f64 = 20_000.0;
 
 struct Run<'a> {
     world: &'a World,
-    history: History,
-    dice: Dice,
+    history: EndpointHistory,
+    random: RandomSource,
     now: f64,
-    queue: Queue<Happens>,
+    queue: Queue<RunEvent>,
     settings: policy::Settings,
-    ranks: Alias,
-    plans: Alias,
+    ranks: AliasTable,
+    plans: AliasTable,
     customers: Vec<Customer>,
-    classes: Alias,
-    /// First tries a second, spikes and floods left out.
+    classes: AliasTable,
+    /// Client requests a second, spikes and floods left out.
     rate: f64,
     /// The group of demand of each customer.
     groups: Vec<usize>,
-    doors: Vec<Door>,
+    proxies: Vec<Proxy>,
     backends: Vec<Backend>,
-    lives: Vec<u32>,
-    firsts: Vec<First>,
-    tries: BTreeMap<u32, Try>,
+    incarnations: Vec<u32>,
+    client_requests: Vec<ClientRequest>,
+    proxy_requests: BTreeMap<u32, ProxyRequest>,
     attempts: BTreeMap<u64, Attempt>,
-    next_try: u32,
+    next_proxy_request: u32,
     next_attempt: u64,
-    /// Doors and backends that do not reach each other.
-    apart: Option<(BTreeSet<usize>, BTreeSet<usize>)>,
-    crossings: u64,
-    meter_late: f64,
+    /// Proxies and backends that do not reach each other.
+    partition: Option<(BTreeSet<usize>, BTreeSet<usize>)>,
+    cross_zone_attempts: u64,
+    meter_delay: f64,
     offered: f64,
-    offered_by_plan: Vec<f64>,
-    /// Worth and units.
+    offered_value_by_plan: Vec<f64>,
+    /// Value and units.
     offered_by_demand: Vec<(f64, f64)>,
     offered_units: f64,
-    beyond: f64,
-    gained: f64,
+    over_quota_units: f64,
+    served_value: f64,
     handshakes: u64,
     sent: u64,
     times: Times,
@@ -79,12 +79,12 @@
 /// Plays a world; the same world and seed always give the same outcome.
 pub fn play(world: &World, seed: u64) -> Outcome {
     let mut run = Run::new(world, seed);
-    run.begin();
-    run.go();
-    run.close(seed)
+    run.schedule_start();
+    run.run_events();
+    run.finish(seed)
 }
 
-/// A first try, with what the rehearsal kit's clients know of one.
+/// A client request, with what the rehearsal kit's clients know of one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ask {
@@ -98,18 +98,18 @@
     pub class: usize,
     /// Units that it counts.
     pub units: f64,
-    /// Doors of the customer's set, in a row from `first`.
+    /// Proxies of the customer's set, in a row from `first`.
     pub spread: u32,
     /// See above.
     pub first: u32,
 }
 
-/// The first tries that a world draws; which of them are asked does not go by what becomes of them.
+/// The client requests that a world draws; which of them are asked does not go by what becomes of them.
 pub fn load(world: &World, seed: u64) -> Vec<Ask> {
     let mut run = Run::new(world, seed);
-    run.begin();
-    run.go();
-    let ask = |one: &First| Ask {
+    run.schedule_start();
+    run.run_events();
+    let ask = |one: &ClientRequest| Ask {
         at: one.asked,
         customer: one.customer as u64,
         plan: run.customers[one.customer].plan,
@@ -118,107 +118,121 @@
         spread: run.spread(one.customer) as u32,
         first: run.customers[one.customer].home as u32,
     };
-    run.firsts.iter().map(ask).collect()
+    run.client_requests.iter().map(ask).collect()
 }
 
 impl Run<'_> {
-    pub(super) fn go(&mut self) {
+    pub(super) fn run_events(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
             self.outcome.events += 1;
             match event {
-                Happens::Ask => self.ask(),
-                Happens::Again {
-                    first,
+                RunEvent::NextRequest => self.schedule_next_request(),
+                RunEvent::Retry {
+                    client_request,
                     number,
-                    door,
-                } => self.begin_try(first, number, door),
-                Happens::Come(id) => self.come(id),
-                Happens::GiveUp(id) => self.give_up(id),
-                Happens::Reach(attempt) => self.reach(attempt),
-                Happens::Done {
+                    proxy,
+                } => self.send_to_proxy(client_request, number, proxy),
+                RunEvent::ProxyReceives(id) => self.receive_request(id),
+                RunEvent::ClientTimeout(id) => self.expire_request(id),
+                RunEvent::BackendReceives(attempt) => self.receive_attempt(attempt),
+                RunEvent::JobDone {
                     backend,
-                    life,
+                    incarnation,
                     attempt,
-                } => self.done(backend, life, attempt),
-                Happens::Reply(attempt, outcome) => self.settle(attempt, outcome),
-                Happens::Limit(attempt) => self.settle(attempt, policy::Outcome::Timeout),
-                Happens::Alarm { door, life, alarm } => {
-                    if self.doors[door].up && self.doors[door].life == life {
-                        self.tell(door, Event::Alarm(alarm));
+                } => self.finish_job(backend, incarnation, attempt),
+                RunEvent::AttemptEnded(attempt, outcome) => self.end_attempt(attempt, outcome),
+                RunEvent::AttemptTimeout(attempt) => {
+                    self.end_attempt(attempt, policy::Outcome::Timeout)
+                }
+                RunEvent::Alarm {
+                    proxy,
+                    incarnation,
+                    alarm,
+                } => {
+                    if self.proxies[proxy].up && self.proxies[proxy].incarnation == incarnation {
+                        self.deliver_event(proxy, Event::Alarm(alarm));
                     }
                 }
-                Happens::Hear { door, entries } => self.hear(door, entries),
-                Happens::Learn { door, at, version } => self.learn(door, at, version),
-                Happens::Told { door, version } => self.count_as_told(door, version),
-                Happens::Follow { door, at } => {
-                    // Of several for one door the one that was set last counts.
-                    if self.doors[door].follow_at == at {
-                        self.doors[door].follow_at = f64::INFINITY;
-                        self.follow(door);
+                RunEvent::EndpointsChanged { proxy, entries } => {
+                    self.update_endpoints(proxy, entries)
+                }
+                RunEvent::AgentUpdated { proxy, at, version } => {
+                    self.update_agent(proxy, at, version)
+                }
+                RunEvent::Notified { proxy, version } => self.mark_notified(proxy, version),
+                RunEvent::AgentDue { proxy, at } => {
+                    // Of several for one proxy the one that was set last counts.
+                    if self.proxies[proxy].agent_due_at == at {
+                        self.proxies[proxy].agent_due_at = f64::INFINITY;
+                        self.run_agent(proxy);
                     }
                 }
-                Happens::Moved {
-                    door,
+                RunEvent::AgentMoved {
+                    proxy,
                     close_ms,
-                    behind_ms,
-                } => self.agent_moves(door, close_ms, behind_ms),
-                Happens::Stop {
-                    door,
+                    lag_ms,
+                } => self.move_agent(proxy, close_ms, lag_ms),
+                RunEvent::ProxyStopping {
+                    proxy,
                     stop_ms,
                     down_ms,
                 } => {
-                    if self.doors[door].up && !self.doors[door].stopping {
-                        self.doors[door].stopping = true;
-                        self.queue
-                            .push(self.now + stop_ms, Happens::Stopped { door, down_ms });
+                    if self.proxies[proxy].up && !self.proxies[proxy].stopping {
+                        self.proxies[proxy].stopping = true;
+                        self.queue.push(
+                            self.now + stop_ms,
+                            RunEvent::ProxyStopped { proxy, down_ms },
+                        );
                     }
                 }
-                Happens::Stopped { door, down_ms } => {
-                    if self.doors[door].stopping {
-                        self.goes_down(door);
-                        self.queue.push(self.now + down_ms, Happens::Back(door));
+                RunEvent::ProxyStopped { proxy, down_ms } => {
+                    if self.proxies[proxy].stopping {
+                        self.stop_proxy(proxy);
+                        self.queue
+                            .push(self.now + down_ms, RunEvent::ProxyRestart(proxy));
                     }
                 }
-                Happens::Trouble(at) => self.trouble(at),
-                Happens::Back(door) => self.back(door),
-                Happens::Drain(backend) => self.drain(backend),
-                Happens::End(backend) => self.end(backend),
-                Happens::Speed(backend, factor) => self.backends[backend].speed *= factor,
-                Happens::Flood {
+                RunEvent::Fault(at) => self.inject_fault(at),
+                RunEvent::ProxyRestart(proxy) => self.restart_proxy(proxy),
+                RunEvent::BackendDrain(backend) => self.drain_backend(backend),
+                RunEvent::BackendEnd(backend) => self.replace_backend(backend),
+                RunEvent::BackendSpeed(backend, factor) => self.backends[backend].speed *= factor,
+                RunEvent::FloodRequest {
                     customer,
                     pause,
                     until,
                 } => {
                     if self.now < until {
-                        let next = self.now + self.dice.exponential(pause);
+                        let next = self.now + self.random.exponential(pause);
                         self.queue.push(
                             next,
-                            Happens::Flood {
+                            RunEvent::FloodRequest {
                                 customer,
                                 pause,
                                 until,
                             },
                         );
-                        self.ask_for(customer);
+                        self.start_client_request(customer);
                     } else {
                         self.customers[customer].through = 0;
                     }
                 }
-                Happens::Spike(customer) => self.spike(customer),
-                Happens::OneShot { pause, until } => {
+                RunEvent::SpikeStart(customer) => self.start_spike(customer),
+                RunEvent::OneShotRequest { pause, until } => {
                     if self.now < until {
-                        let next = self.now + self.dice.exponential(pause);
-                        self.queue.push(next, Happens::OneShot { pause, until });
-                        let plan = self.plans.draw(&mut self.dice);
-                        let home = self.dice.below(self.world.doors);
+                        let next = self.now + self.random.exponential(pause);
+                        self.queue
+                            .push(next, RunEvent::OneShotRequest { pause, until });
+                        let plan = self.plans.draw(&mut self.random);
+                        let home = self.random.below(self.world.proxies);
                         let one = customer(&self.settings, plan, home, self.now);
                         self.customers.push(one);
-                        self.ask_for(self.customers.len() - 1);
+                        self.start_client_request(self.customers.len() - 1);
                     }
                 }
-                Happens::Heal => self.apart = None,
-                Happens::Revive(backends) => self.revive(backends),
+                RunEvent::PartitionHealed => self.partition = None,
+                RunEvent::BackendsRestart(backends) => self.restart_backends(backends),
             }
         }
     }
--- a/crates/model/src/run/network.rs
+++ b/crates/model/src/run/network.rs
@@ -4,27 +4,27 @@
 
 impl Run<'_> {
     pub(super) fn delay(&mut self) -> f64 {
-        self.dice.within(self.world.delay_ms)
+        self.random.within(self.world.delay_ms)
     }
 
-    /// One way between a door and a backend.
-    pub(super) fn way(&mut self, door: usize, backend: usize) -> f64 {
-        let cross = self.crosses(door, backend);
+    /// One way between a proxy and a backend.
+    pub(super) fn network_delay(&mut self, proxy: usize, backend: usize) -> f64 {
+        let cross = self.crosses_zones(proxy, backend);
         self.delay()
             + if cross {
-                self.dice.within(self.world.cross_ms)
+                self.random.within(self.world.cross_zone_ms)
             } else {
                 0.0
             }
     }
 
-    pub(super) fn crosses(&self, door: usize, backend: usize) -> bool {
-        door % self.world.zones != backend % self.world.zones
+    pub(super) fn crosses_zones(&self, proxy: usize, backend: usize) -> bool {
+        proxy % self.world.zones != backend % self.world.zones
     }
 
-    pub(super) fn cut(&self, door: usize, backend: usize) -> bool {
-        self.apart
-            .as_ref()
-            .is_some_and(|(doors, backends)| doors.contains(&door) && backends.contains(&backend))
+    pub(super) fn is_partitioned(&self, proxy: usize, backend: usize) -> bool {
+        self.partition.as_ref().is_some_and(|(proxies, backends)| {
+            proxies.contains(&proxy) && backends.contains(&backend)
+        })
     }
 }
--- a/crates/model/src/run/proxy.rs
+++ b/crates/model/src/run/proxy.rs
@@ -1,78 +1,83 @@
 //! Proxies.
 
-use super::event::Happens;
-use super::request::{Attempt, First};
+use super::event::RunEvent;
+use super::request::{Attempt, ClientRequest};
 use super::Run;
-use crate::agents::Beside;
+use crate::agent::ProxyAgent;
 use crate::backend::Backend;
-use crate::door::Policy;
-use crate::world::Choice;
+use crate::balancer::DecisionPolicy;
+use crate::world::LoadBalancer;
 use maplefall_policy as policy;
 use maplefall_policy::{
     Action, BackendEntry, BackendId, ClassId, CustomerId, Event, PlanId, RequestId,
 };
 use std::collections::BTreeMap;
 
-pub(super) struct Door {
-    pub(super) policy: Box<dyn Policy>,
-    pub(super) life: u32,
+pub(super) struct Proxy {
+    pub(super) policy: Box<dyn DecisionPolicy>,
+    pub(super) incarnation: u32,
     pub(super) up: bool,
-    /// When it was told that a backend drains or is gone, and by which version of the list.
-    pub(super) told: BTreeMap<usize, (f64, u64)>,
-    /// Up to which version of the list it counts as told.
-    pub(super) told_until: u64,
-    /// Its agent, where doors have some, and when something is next due there.
-    pub(super) agent: Option<Beside>,
-    pub(super) follow_at: f64,
+    /// When it was notified that a backend drains or is gone, and by which version of the list.
+    pub(super) notified: BTreeMap<usize, (f64, u64)>,
+    /// Up to which version of the list it counts as notified.
+    pub(super) notified_until: u64,
+    /// Its agent, where proxies have some, and when something is next due there.
+    pub(super) agent: Option<ProxyAgent>,
+    pub(super) agent_due_at: f64,
     /// Whether it is stopping: it takes nothing new.
     pub(super) stopping: bool,
     /// By how much its agent is behind where it has moved to.
-    pub(super) behind_ms: f64,
+    pub(super) lag_ms: f64,
     /// The list as it has it.
-    pub(super) list: BTreeMap<usize, BackendEntry>,
+    pub(super) endpoints: BTreeMap<usize, BackendEntry>,
     /// When a connection to a backend was used last.
     pub(super) connected: BTreeMap<usize, f64>,
 }
 
 impl Run<'_> {
-    pub(super) fn come(&mut self, id: u32) {
-        let Some(one) = self.tries.get(&id) else {
+    pub(super) fn receive_request(&mut self, id: u32) {
+        let Some(one) = self.proxy_requests.get(&id) else {
             return;
         };
-        let (door, life) = (one.door, one.life);
-        if !self.doors[door].up || self.doors[door].life != life {
-            return self.lose(id);
+        let (proxy, incarnation) = (one.proxy, one.incarnation);
+        if !self.proxies[proxy].up || self.proxies[proxy].incarnation != incarnation {
+            return self.lose_request(id);
         }
-        let first = self.firsts[one.first].clone();
+        let client_request = self.client_requests[one.client_request].clone();
         let request = policy::Request {
             id: RequestId(id),
-            customer: CustomerId(first.customer as u64),
-            plan: PlanId(self.customers[first.customer].plan),
-            class: ClassId(first.class),
-            units: first.units,
+            customer: CustomerId(client_request.customer as u64),
+            plan: PlanId(self.customers[client_request.customer].plan),
+            class: ClassId(client_request.class),
+            units: client_request.units,
             deadline: one.deadline,
             checked: true,
-            spread: self.spread(first.customer) as f64,
+            spread: self.spread(client_request.customer) as f64,
         };
-        if self.world.choice == Choice::Oracle {
-            return self.by_truth(id, door, &first);
+        if self.world.load_balancer == LoadBalancer::Oracle {
+            return self.decide_as_oracle(id, proxy, &client_request);
         }
-        self.tell(door, Event::Arrival(request));
+        self.deliver_event(proxy, Event::Arrival(request));
     }
 
     /// Decides for a request by the true state of all backends and quotas.
-    pub(super) fn by_truth(&mut self, id: u32, door: usize, first: &First) {
+    pub(super) fn decide_as_oracle(
+        &mut self,
+        id: u32,
+        proxy: usize,
+        client_request: &ClientRequest,
+    ) {
         let now = self.now;
-        let room = self.holds(first.customer, first.units);
+        let room = self.has_quota(client_request.customer, client_request.units);
         let free = |backend: &Backend| {
             (backend.holds() as f64 + 1.0)
-                / (backend.shape.cores as f64 * backend.warmth(now) * backend.speed)
+                / (backend.shape.cores as f64 * backend.capacity_fraction(now) * backend.speed)
         };
         let best = (0..self.backends.len())
             .filter(|at| {
                 self.backends[*at].up
                     && self.backends[*at].drained.is_none()
-                    && !self.cut(door, *at)
+                    && !self.is_partitioned(proxy, *at)
             })
             .min_by(|one, other| {
                 free(&self.backends[*one]).total_cmp(&free(&self.backends[*other]))
@@ -97,65 +102,74 @@
                 }
             }
         };
-        self.carry_out(door, action);
+        self.perform(proxy, action);
     }
 
-    pub(super) fn tell(&mut self, door: usize, event: Event) {
+    pub(super) fn deliver_event(&mut self, proxy: usize, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.doors[door]
+        self.proxies[proxy]
             .policy
             .handle(self.now, event, &mut actions);
         let mut done: Vec<Action> = std::mem::take(&mut actions);
         for action in done.drain(..) {
-            self.carry_out(door, action);
+            self.perform(proxy, action);
         }
         self.actions = done;
     }
 
-    pub(super) fn carry_out(&mut self, door: usize, action: Action) {
+    pub(super) fn perform(&mut self, proxy: usize, action: Action) {
         match action {
             Action::Send {
                 request,
                 backend,
                 limit,
                 ..
-            } => self.send(door, request.0, backend.0 as usize, limit),
+            } => self.send(proxy, request.0, backend.0 as usize, limit),
             Action::Refuse {
                 request,
                 reason,
                 retry_after,
-            } => self.answer(request.0, false, retry_after, Some(reason)),
-            Action::Fail(request) => self.answer(request.0, false, None, None),
+            } => self.answer_client(request.0, false, retry_after, Some(reason)),
+            Action::Fail(request) => self.answer_client(request.0, false, None, None),
             Action::CallOff { request, .. } => {
-                let out = self.tries.get(&request.0).and_then(|one| one.out);
-                if let Some(attempt) = out {
-                    self.settle(attempt, policy::Outcome::Cancelled);
+                let pending_attempt = self
+                    .proxy_requests
+                    .get(&request.0)
+                    .and_then(|one| one.pending_attempt);
+                if let Some(attempt) = pending_attempt {
+                    self.end_attempt(attempt, policy::Outcome::Cancelled);
                 }
             }
             Action::SetAlarm { at, alarm } => {
-                let life = self.doors[door].life;
-                self.queue
-                    .push(at.max(self.now), Happens::Alarm { door, life, alarm });
+                let incarnation = self.proxies[proxy].incarnation;
+                self.queue.push(
+                    at.max(self.now),
+                    RunEvent::Alarm {
+                        proxy,
+                        incarnation,
+                        alarm,
+                    },
+                );
             }
             _ => {}
         }
     }
 
-    pub(super) fn send(&mut self, door: usize, id: u32, backend: usize, limit: Option<f64>) {
+    pub(super) fn send(&mut self, proxy: usize, id: u32, backend: usize, limit: Option<f64>) {
         let now = self.now;
-        let Some(one) = self.tries.get_mut(&id) else {
+        let Some(one) = self.proxy_requests.get_mut(&id) else {
             return;
         };
-        let number = one.sends;
-        one.sends += 1;
+        let number = one.attempts_sent;
+        one.attempts_sent += 1;
         self.next_attempt += 1;
         let attempt = self.next_attempt;
-        one.out = Some(attempt);
-        let (first, life) = (one.first, one.life);
-        let customer = self.firsts[first].customer;
+        one.pending_attempt = Some(attempt);
+        let (client_request, incarnation) = (one.client_request, one.incarnation);
+        let customer = self.client_requests[client_request].customer;
         if number == 0 {
-            let units = self.firsts[first].units;
-            let inside = self.holds(customer, units);
+            let units = self.client_requests[client_request].units;
+            let within_quota = self.has_quota(customer, units);
             let plan = self.settings.plans[self.customers[customer].plan].clone();
             let period = if self.world.meter_ms > 0.0 {
                 (now / self.world.meter_ms) as u64
@@ -163,124 +177,139 @@
                 0
             };
             let held = &mut self.customers[customer];
-            if inside {
-                held.store.left -= units;
-                self.firsts[first].let_in = true;
+            if within_quota {
+                held.bucket.tokens -= units;
+                self.client_requests[client_request].admitted = true;
             } else {
-                self.beyond += units;
-                let worth = self.world.class[self.firsts[first].class].worth * plan.price * units;
-                self.outcome.over_by_plan[held.plan] += worth;
+                self.over_quota_units += units;
+                let value = self.world.class[self.client_requests[client_request].class].value
+                    * plan.price
+                    * units;
+                self.outcome.over_quota_value_by_plan[held.plan] += value;
                 if let Some(group) = self.groups.get(customer) {
-                    self.outcome.beyond_by_demand[*group] += units;
+                    self.outcome.over_quota_units_by_demand[*group] += units;
                 }
             }
             held.meter(period, units);
             if let Some(ceiling) = plan.ceiling {
                 held.ceiling.holds(now, ceiling.rate, ceiling.burst, units);
-                held.ceiling.left -= units;
-                self.outcome.over_ceiling += u64::from(held.ceiling.left < -ceiling.slack);
+                held.ceiling.tokens -= units;
+                self.outcome.over_ceiling += u64::from(held.ceiling.tokens < -ceiling.slack);
             }
-            if let Some(one) = self.tries.get_mut(&id) {
-                one.inside = inside;
+            if let Some(one) = self.proxy_requests.get_mut(&id) {
+                one.within_quota = within_quota;
             }
         }
         self.customers[customer].open += 1;
         self.sent += 1;
-        let late = self.doors[door]
-            .told
+        let late = self.proxies[proxy]
+            .notified
             .get(&backend)
-            .is_some_and(|told| now > told.0 + self.world.drain_grace_ms);
+            .is_some_and(|notified| now > notified.0 + self.world.drain_grace_ms);
         self.outcome.late_sends += u64::from(late);
-        let used = self.doors[door].connected.insert(backend, now);
+        let used = self.proxies[proxy].connected.insert(backend, now);
         let mut dials = false;
-        let mut delay = self.way(door, backend);
-        self.crossings += u64::from(self.crosses(door, backend));
+        let mut delay = self.network_delay(proxy, backend);
+        self.cross_zone_attempts += u64::from(self.crosses_zones(proxy, backend));
         if used.is_none_or(|used| now - used > self.world.idle_ms) {
             self.handshakes += 1;
             delay += self.world.handshake_ms;
-            if self.cut(door, backend) {
-                self.doors[door].connected.remove(&backend);
+            if self.is_partitioned(proxy, backend) {
+                self.proxies[proxy].connected.remove(&backend);
                 dials = true;
             }
         }
-        let there = true;
+        let at_backend = true;
         let one = Attempt {
             id,
             number,
             backend,
-            door,
-            life,
+            proxy,
+            incarnation,
             sent: now,
-            first,
-            settled: false,
-            there,
+            client_request,
+            reported: false,
+            at_backend,
         };
         self.attempts.insert(attempt, one);
         if dials {
-            self.leave(attempt);
-            let failed = Happens::Reply(attempt, policy::Outcome::ConnectFailed);
-            self.queue.push(now + self.world.dial_ms, failed);
+            self.detach_from_backend(attempt);
+            let failed = RunEvent::AttemptEnded(attempt, policy::Outcome::ConnectFailed);
+            self.queue.push(now + self.world.connect_timeout_ms, failed);
         } else {
-            self.queue.push(now + delay, Happens::Reach(attempt));
+            self.queue
+                .push(now + delay, RunEvent::BackendReceives(attempt));
         }
         if let Some(limit) = limit.filter(|limit| limit.is_finite()) {
-            self.queue.push(now + limit, Happens::Limit(attempt));
+            self.queue
+                .push(now + limit, RunEvent::AttemptTimeout(attempt));
         }
     }
 
-    /// An attempt ends for its door, once.
-    pub(super) fn settle(&mut self, attempt: u64, outcome: policy::Outcome) {
+    /// An attempt ends for its proxy, once.
+    pub(super) fn end_attempt(&mut self, attempt: u64, outcome: policy::Outcome) {
         let Some(one) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        let over = one.settled;
-        one.settled = true;
+        let over = one.reported;
+        one.reported = true;
         let one = one.clone();
-        if !one.there {
+        if !one.at_backend {
             self.attempts.remove(&attempt);
         }
         if over {
             return;
         }
-        let alive = self.doors[one.door].up && self.doors[one.door].life == one.life;
+        let alive =
+            self.proxies[one.proxy].up && self.proxies[one.proxy].incarnation == one.incarnation;
         let (customer, units, true_units) = {
-            let first = &self.firsts[one.first];
-            (first.customer, first.units, first.true_units)
+            let client_request = &self.client_requests[one.client_request];
+            (
+                client_request.customer,
+                client_request.units,
+                client_request.true_units,
+            )
         };
         let served = outcome == policy::Outcome::Ok;
         self.customers[customer].open = self.customers[customer].open.saturating_sub(1);
         if served
             && self
-                .tries
+                .proxy_requests
                 .get(&one.id)
-                .is_some_and(|held| held.inside && !held.answered)
+                .is_some_and(|held| held.within_quota && !held.answered)
         {
             let burst = self.settings.plans[self.customers[customer].plan].burst;
-            let store = &mut self.customers[customer].store;
-            store.left = (store.left + units - true_units).min(burst);
+            let bucket = &mut self.customers[customer].bucket;
+            bucket.tokens = (bucket.tokens + units - true_units).min(burst);
         }
         let answers = matches!(
             outcome,
             policy::Outcome::Ok | policy::Outcome::Error | policy::Outcome::Full
         );
         let use_of_quota = if answers {
-            self.use_of_quota(customer)
+            self.quota_use(customer)
         } else {
             None
         };
-        if let Some(held) = self.tries.get_mut(&one.id) {
-            held.out = None;
+        if let Some(held) = self.proxy_requests.get_mut(&one.id) {
+            held.pending_attempt = None;
         }
         if !alive {
-            return self.forget(one.id);
+            return self.forget_request(one.id);
         }
         if outcome == policy::Outcome::Ok
-            && self.tries.get(&one.id).is_some_and(|held| !held.answered)
+            && self
+                .proxy_requests
+                .get(&one.id)
+                .is_some_and(|held| !held.answered)
         {
-            self.answer(one.id, true, None, None);
+            self.answer_client(one.id, true, None, None);
         }
-        let closed = self.tries.get(&one.id).is_none_or(|held| held.answered);
-        let settled = policy::Settled {
+        let closed = self
+            .proxy_requests
+            .get(&one.id)
+            .is_none_or(|held| held.answered);
+        let reported = policy::Settled {
             request: RequestId(one.id),
             attempt: one.number,
             backend: BackendId(one.backend as u32),
@@ -288,71 +317,73 @@
             elapsed: self.now - one.sent,
             closed,
             use_of_quota,
-            true_units: (served && self.world.guess_cv > 0.0).then_some(true_units),
+            true_units: (served && self.world.estimate_cv > 0.0).then_some(true_units),
             report: policy::Report::default(),
             broken: 0,
         };
-        if self.world.choice == Choice::Oracle {
+        if self.world.load_balancer == LoadBalancer::Oracle {
             if !closed {
                 let full = (outcome == policy::Outcome::Full).then_some(policy::Reason::Attempts);
-                self.answer(one.id, false, None, full);
+                self.answer_client(one.id, false, None, full);
             }
         } else {
-            self.tell(one.door, Event::Settled(settled));
+            self.deliver_event(one.proxy, Event::Settled(reported));
         }
-        self.forget(one.id);
+        self.forget_request(one.id);
     }
 
-    pub(super) fn hear(&mut self, door: usize, entries: Vec<BackendEntry>) {
+    pub(super) fn update_endpoints(&mut self, proxy: usize, entries: Vec<BackendEntry>) {
         for entry in &entries {
             let at = entry.id.0 as usize;
             if entry.availability == policy::Availability::Ready {
-                self.doors[door].told.remove(&at);
+                self.proxies[proxy].notified.remove(&at);
             } else {
                 let now = self.now;
-                self.doors[door].told.entry(at).or_insert((now, 0));
+                self.proxies[proxy].notified.entry(at).or_insert((now, 0));
             }
             if entry.availability == policy::Availability::Gone {
-                self.doors[door].list.remove(&at);
+                self.proxies[proxy].endpoints.remove(&at);
             } else {
-                self.doors[door].list.insert(at, *entry);
+                self.proxies[proxy].endpoints.insert(at, *entry);
             }
         }
-        if self.doors[door].up {
-            self.tell(door, Event::Backends(policy::ListKind::Changes, entries));
+        if self.proxies[proxy].up {
+            self.deliver_event(proxy, Event::Backends(policy::ListKind::Changes, entries));
         }
     }
 
-    pub(super) fn goes_down(&mut self, door: usize) {
-        self.doors[door].up = false;
-        self.doors[door].stopping = false;
-        self.doors[door].life += 1;
+    pub(super) fn stop_proxy(&mut self, proxy: usize) {
+        self.proxies[proxy].up = false;
+        self.proxies[proxy].stopping = false;
+        self.proxies[proxy].incarnation += 1;
         let held: Vec<u32> = self
-            .tries
+            .proxy_requests
             .iter()
-            .filter(|(_, one)| one.door == door)
+            .filter(|(_, one)| one.proxy == proxy)
             .map(|(id, _)| *id)
             .collect();
         for id in held {
-            self.lose(id);
+            self.lose_request(id);
         }
     }
 
-    pub(super) fn back(&mut self, door: usize) {
-        let policy = self.policy(door);
+    pub(super) fn restart_proxy(&mut self, proxy: usize) {
+        let policy = self.new_policy(proxy);
         let now = self.now;
-        let old = &mut self.doors[door];
+        let old = &mut self.proxies[proxy];
         (old.policy, old.up) = (policy, true);
         old.connected.clear();
         if let Some(agent) = &mut old.agent {
-            // What was told to an earlier life is told to this one when it starts: it knows nothing before.
-            agent.restart(now as u64 ^ door as u64, now);
-            let from = agent.counts_as_told(now);
-            old.told.values_mut().for_each(|told| told.0 = from);
+            // What was notified to an earlier incarnation is notified to this one when it starts: it knows nothing before.
+            agent.restart(now as u64 ^ proxy as u64, now);
+            let from = agent.notified_at(now);
+            old.notified
+                .values_mut()
+                .for_each(|notified| notified.0 = from);
         }
-        self.wait_for_agent(door);
-        let old = &mut self.doors[door];
-        let list = old.list.values().copied().collect();
-        self.tell(door, Event::Backends(policy::ListKind::Cached, list));
+        self.schedule_agent(proxy);
+        let old = &mut self.proxies[proxy];
+        let endpoints = old.endpoints.values().copied().collect();
+        self.deliver_event(proxy, Event::Backends(policy::ListKind::Cached, endpoints));
     }
 }
--- a/crates/model/src/run/customer.rs
+++ b/crates/model/src/run/quota.rs
@@ -1,29 +1,29 @@
 //! Customers and what is left of their quotas.
 
 use super::Run;
-use crate::door::Store;
+use crate::balancer::TokenBucket;
 use maplefall_policy as policy;
 
 /// A customer as it is; those that come once are added as they come.
 pub(super) struct Customer {
     pub(super) plan: usize,
-    /// The first door of its set, the busiest one (counted from there), and until when it is that.
+    /// The first proxy of its set, the busiest one (counted from there), and until when it is that.
     pub(super) home: usize,
     pub(super) busiest: usize,
-    pub(super) until: f64,
-    /// Doors that a flood of it comes through; 0 for its whole set.
+    pub(super) busiest_until: f64,
+    /// Proxies that a flood of it comes through; 0 for its whole set.
     pub(super) through: usize,
-    /// What really is left of its quota, and what one door that sees all would have left.
-    pub(super) store: Store,
-    pub(super) ideal: Store,
-    pub(super) ceiling: Store,
+    /// What really is left of its quota, and what one proxy that sees all would have left.
+    pub(super) bucket: TokenBucket,
+    pub(super) ideal_bucket: TokenBucket,
+    pub(super) ceiling: TokenBucket,
     /// Attempts out.
     pub(super) open: u32,
-    /// Units sent on in the meter's period of this number, and in those before it.
+    /// Units forwarded in the meter's period of this number, and in those before it.
     pub(super) metered: (u64, [f64; 4]),
 }
 
-/// A customer with full stores.
+/// A customer with full token buckets.
 pub(super) fn customer(
     settings: &policy::Settings,
     plan: usize,
@@ -35,25 +35,25 @@
         plan,
         home,
         busiest: 0,
-        until: 0.0,
+        busiest_until: 0.0,
         through: 0,
-        store: Store::full(burst, now),
-        ideal: Store::full(burst, now),
-        ceiling: Store::full(ceiling.map_or(0.0, |ceiling| ceiling.burst), now),
+        bucket: TokenBucket::full(burst, now),
+        ideal_bucket: TokenBucket::full(burst, now),
+        ceiling: TokenBucket::full(ceiling.map_or(0.0, |ceiling| ceiling.burst), now),
         open: 0,
         metered: (0, [0.0; 4]),
     }
 }
 
 impl Customer {
-    /// Counts units that were sent on in a period.
+    /// Counts units that were forwarded in a period.
     pub(super) fn meter(&mut self, period: u64, units: f64) {
-        self.turn(period);
+        self.advance_to(period);
         self.metered.1[0] += units;
     }
 
     /// Moves the counts on to a period; the first is that period's, the next are those before it.
-    pub(super) fn turn(&mut self, period: u64) {
+    pub(super) fn advance_to(&mut self, period: u64) {
         let (now, counts) = &mut self.metered;
         let on = (period.saturating_sub(*now) as usize).min(counts.len());
         counts.rotate_right(on);
@@ -64,26 +64,26 @@
 
 impl Run<'_> {
     /// Whether a customer's quota really holds so many units now, and covers one more attempt.
-    pub(super) fn holds(&mut self, customer: usize, units: f64) -> bool {
+    pub(super) fn has_quota(&mut self, customer: usize, units: f64) -> bool {
         let one = &mut self.customers[customer];
         let plan = &self.settings.plans[one.plan];
         let fits = plan.max_open == 0 || one.open < plan.max_open;
-        one.store.holds(self.now, plan.rate, plan.burst, units) && fits
+        one.bucket.holds(self.now, plan.rate, plan.burst, units) && fits
     }
 
     /// What the meter says: use in the last period that it has added up, as a part of the rate.
-    pub(super) fn use_of_quota(&mut self, customer: usize) -> Option<f64> {
+    pub(super) fn quota_use(&mut self, customer: usize) -> Option<f64> {
         let period = self.world.meter_ms;
-        if period <= 0.0 || self.now < period + self.meter_late {
+        if period <= 0.0 || self.now < period + self.meter_delay {
             return None;
         }
-        let (now, told) = (
+        let (now, notified) = (
             (self.now / period) as u64,
-            ((self.now - self.meter_late) / period) as u64 - 1,
+            ((self.now - self.meter_delay) / period) as u64 - 1,
         );
         let one = &mut self.customers[customer];
-        one.turn(now);
-        let used = one.metered.1.get((now - told) as usize)?;
+        one.advance_to(now);
+        let used = one.metered.1.get((now - notified) as usize)?;
         Some(used / (self.settings.plans[one.plan].rate * period / 1000.0))
     }
 }
--- a/crates/model/src/run/setup.rs
+++ b/crates/model/src/run/setup.rs
@@ -1,25 +1,25 @@
 //! How a run starts.
 
-use super::customer::customer;
-use super::event::Happens;
-use super::proxy::Door;
+use super::event::RunEvent;
+use super::proxy::Proxy;
+use super::quota::customer;
 use super::Run;
-use crate::agents::{Beside, History};
-use crate::backend::{Backend, Shape};
-use crate::chance::{Alias, Dice};
-use crate::door::{Plain, Policy};
+use crate::agent::{EndpointHistory, ProxyAgent};
+use crate::backend::{Backend, BackendConfig};
+use crate::balancer::{BaselinePolicy, DecisionPolicy};
 use crate::metrics::{Outcome, Times};
 use crate::queue::Queue;
-use crate::world::{Choice, World};
+use crate::random::{AliasTable, RandomSource};
+use crate::world::{LoadBalancer, World};
 use maplefall_policy as policy;
 use maplefall_policy::{BackendEntry, Effect, Event};
 use std::collections::BTreeMap;
 
 fn settings(world: &World) -> policy::Settings {
     let class = |class: &crate::world::ClassSpec| policy::Class {
-        aim: class.aim_ms,
-        deadline: class.give_up_ms,
-        worth: class.worth,
+        aim: class.latency_target_ms,
+        deadline: class.client_timeout_ms,
+        worth: class.value,
         late_worth: 0.0,
         effect: World::effect(class).unwrap_or(Effect::Unsafe),
         streaming: false,
@@ -35,39 +35,42 @@
         ..policy::Plan::default()
     };
     policy::Settings {
-        gateways: world.doors as u32,
+        gateways: world.proxies as u32,
         tick: 2.0,
         classes: world.class.iter().map(class).collect(),
         plans: world.plan.iter().map(plan).collect(),
-        max_units: world.most_units,
+        max_units: world.max_units,
         meter_period: world.meter_ms,
-        cross_zone_price: world.cross_price,
+        cross_zone_price: world.cross_zone_price,
         max_attempts: world.attempts,
         cancel: true,
         retry_after: true,
         max_retry_after: 2000.0,
         drain_grace: world.drain_grace_ms,
-        start_capacity: world.cold_from,
-        warm_up: world.cold_ms,
-        overload_factor: world.fall_multiple,
-        overload_window: world.fall_ms,
+        start_capacity: world.initial_capacity,
+        warm_up: world.warm_up_ms,
+        overload_factor: world.overload_factor,
+        overload_window: world.overload_window_ms,
         ..policy::Settings::default()
     }
 }
 
 impl<'a> Run<'a> {
     pub(super) fn new(world: &'a World, seed: u64) -> Run<'a> {
-        let mut dice = Dice::new(seed);
+        let mut random = RandomSource::new(seed);
         let mut weights: Vec<f64> = (0..world.customers)
             .map(|rank| 1.0 / (rank as f64 + 1.0).powf(world.zipf))
             .collect();
-        let plans = Alias::new(&world.plan.iter().map(|plan| plan.share).collect::<Vec<_>>());
-        let plan_of: Vec<usize> = weights.iter().map(|_| plans.draw(&mut dice)).collect();
-        let home: Vec<usize> = weights.iter().map(|_| dice.below(world.doors)).collect();
+        let plans = AliasTable::new(&world.plan.iter().map(|plan| plan.share).collect::<Vec<_>>());
+        let plan_of: Vec<usize> = weights.iter().map(|_| plans.draw(&mut random)).collect();
+        let home: Vec<usize> = weights
+            .iter()
+            .map(|_| random.below(world.proxies))
+            .collect();
         let mut settings = settings(world);
         let (mut rate, mut groups) = (world.requests_per_second(), Vec::new());
         if !world.demand.is_empty() {
-            let shares = Alias::new(
+            let shares = AliasTable::new(
                 &world
                     .demand
                     .iter()
@@ -76,16 +79,16 @@
             );
             let mut within = 0.0;
             for (weight, plan) in weights.iter_mut().zip(&plan_of) {
-                let group = shares.draw(&mut dice);
-                let part = dice.within(world.demand[group].part);
-                *weight = part * world.plan[*plan].rate;
-                within += part.min(1.0) * world.plan[*plan].rate;
+                let group = shares.draw(&mut random);
+                let fraction = random.within(world.demand[group].fraction);
+                *weight = fraction * world.plan[*plan].rate;
+                within += fraction.min(1.0) * world.plan[*plan].rate;
                 groups.push(group);
             }
             let factor = rate * world.units / within.max(1e-9);
             rate = weights.iter().sum::<f64>() * factor / world.units;
             for plan in &mut settings.plans {
-                plan.burst = (plan.burst * factor).max(2.0 * world.most_units);
+                plan.burst = (plan.burst * factor).max(2.0 * world.max_units);
                 plan.rate *= factor;
             }
         } else if world.usage > 0.0 {
@@ -102,13 +105,13 @@
                 let mean = of.iter().sum::<f64>() / of.len().max(1) as f64 / all * units;
                 let span = plan.burst / plan.rate;
                 plan.rate = (mean / world.usage).max(1e-3);
-                plan.burst = (plan.rate * span).max(2.0 * world.most_units);
+                plan.burst = (plan.rate * span).max(2.0 * world.max_units);
             }
         }
         for (plan, spec) in settings.plans.iter_mut().zip(&world.plan) {
             if spec.ceiling > 0.0 {
-                let burst = (spec.ceiling * plan.burst).max(4.0 * world.most_units);
-                let slack = (0.1 * burst).max(world.most_units);
+                let burst = (spec.ceiling * plan.burst).max(4.0 * world.max_units);
+                let slack = (0.1 * burst).max(world.max_units);
                 plan.ceiling = Some(policy::Ceiling {
                     rate: spec.ceiling * plan.rate,
                     burst,
@@ -121,51 +124,51 @@
             .zip(home)
             .map(|(plan, home)| customer(&settings, *plan, home, 0.0))
             .collect();
-        let meter_late = dice.within(world.meter_late_ms);
-        let shape = Shape {
+        let meter_delay = random.within(world.meter_delay_ms);
+        let shape = BackendConfig {
             cores: world.cores,
             queue: world.queue,
-            cold_from: world.cold_from,
-            cold_ms: world.cold_ms,
+            initial_capacity: world.initial_capacity,
+            warm_up_ms: world.warm_up_ms,
         };
         let backends: Vec<Backend> = (0..world.backends)
-            .map(|_| Backend::new(shape, dice.log_normal(1.0, world.speed_cv), None))
+            .map(|_| Backend::new(shape, random.log_normal(1.0, world.speed_cv), None))
             .collect();
         Run {
             world,
-            history: History::default(),
+            history: EndpointHistory::default(),
             now: 0.0,
             queue: Queue::default(),
             settings,
-            ranks: Alias::new(&weights),
+            ranks: AliasTable::new(&weights),
             plans,
             customers,
             rate,
             groups,
-            classes: Alias::new(
+            classes: AliasTable::new(
                 &world
                     .class
                     .iter()
                     .map(|class| class.share)
                     .collect::<Vec<_>>(),
             ),
-            doors: Vec::new(),
-            lives: vec![0; backends.len()],
+            proxies: Vec::new(),
+            incarnations: vec![0; backends.len()],
             backends,
-            firsts: Vec::new(),
-            tries: BTreeMap::new(),
+            client_requests: Vec::new(),
+            proxy_requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            next_try: 0,
+            next_proxy_request: 0,
             next_attempt: 0,
-            apart: None,
-            crossings: 0,
-            meter_late,
+            partition: None,
+            cross_zone_attempts: 0,
+            meter_delay,
             offered: 0.0,
-            offered_by_plan: vec![0.0; world.plan.len()],
+            offered_value_by_plan: vec![0.0; world.plan.len()],
             offered_by_demand: vec![(0.0, 0.0); world.demand.len()],
             offered_units: 0.0,
-            beyond: 0.0,
-            gained: 0.0,
+            over_quota_units: 0.0,
+            served_value: 0.0,
             handshakes: 0,
             sent: 0,
             times: Times::default(),
@@ -176,74 +179,78 @@
             holding: 0,
             outcome: Outcome::default(),
             actions: Vec::new(),
-            dice,
+            random,
         }
     }
 
-    pub(super) fn policy(&mut self, door: usize) -> Box<dyn Policy> {
-        let zone = policy::ZoneId((door % self.world.zones) as u32);
+    pub(super) fn new_policy(&mut self, proxy: usize) -> Box<dyn DecisionPolicy> {
+        let zone = policy::ZoneId((proxy % self.world.zones) as u32);
         let (set, seed) = (
             policy::Settings {
                 zone,
                 ..self.settings.clone()
             },
-            self.dice.seed(),
+            self.random.seed(),
         );
-        match self.world.choice {
-            Choice::Module => Box::new(policy::Gateway::new(set, seed)),
-            choice => Box::new(Plain::new(choice, self.world.admission, set, seed)),
+        match self.world.load_balancer {
+            LoadBalancer::Module => Box::new(policy::Gateway::new(set, seed)),
+            load_balancer => Box::new(BaselinePolicy::new(
+                load_balancer,
+                self.world.admission,
+                set,
+                seed,
+            )),
         }
     }
 
-    pub(super) fn begin(&mut self) {
+    pub(super) fn schedule_start(&mut self) {
         let entries: BTreeMap<usize, BackendEntry> = (0..self.backends.len())
-            .map(|at| (at, self.entry(at, None)))
+            .map(|at| (at, self.backend_entry(at, None)))
             .collect();
         self.history
             .push(&entries.values().copied().collect::<Vec<_>>());
-        for door in 0..self.world.doors {
-            let policy = self.policy(door);
-            let list = entries.clone();
-            let (told, connected) = (BTreeMap::new(), BTreeMap::new());
+        for proxy in 0..self.world.proxies {
+            let policy = self.new_policy(proxy);
+            let endpoints = entries.clone();
+            let (notified, connected) = (BTreeMap::new(), BTreeMap::new());
             let agent = self
                 .world
                 .agents
-                .then(|| Beside::new(&self.history, door as u64, 0.0));
-            self.doors.push(Door {
+                .then(|| ProxyAgent::new(&self.history, proxy as u64, 0.0));
+            self.proxies.push(Proxy {
                 policy,
-                life: 0,
+                incarnation: 0,
                 up: true,
-                told,
-                told_until: 1,
+                notified,
+                notified_until: 1,
                 agent,
-                follow_at: f64::INFINITY,
+                agent_due_at: f64::INFINITY,
                 stopping: false,
-                behind_ms: 0.0,
-                list,
+                lag_ms: 0.0,
+                endpoints,
                 connected,
             });
-            self.wait_for_agent(door);
+            self.schedule_agent(proxy);
         }
-        for door in 0..self.doors.len() {
-            let list = self.doors[door].list.values().copied().collect();
-            self.tell(door, Event::Backends(policy::ListKind::Full, list));
+        for proxy in 0..self.proxies.len() {
+            let endpoints = self.proxies[proxy].endpoints.values().copied().collect();
+            self.deliver_event(proxy, Event::Backends(policy::ListKind::Full, endpoints));
         }
-        self.queue.push(0.0, Happens::Ask);
+        self.queue.push(0.0, RunEvent::NextRequest);
         for (customer, group) in self.groups.clone().into_iter().enumerate() {
             let demand = &self.world.demand[group];
             if demand.spike > 0.0 {
-                let at = self.dice.within([0.0, demand.every_s * 1000.0]);
-                self.queue.push(at, Happens::Spike(customer));
+                let at = self.random.within([0.0, demand.every_s * 1000.0]);
+                self.queue.push(at, RunEvent::SpikeStart(customer));
             }
         }
-        for (at, trouble) in self.world.trouble.iter().enumerate() {
-            self.queue
-                .push(trouble.at_s() * 1000.0, Happens::Trouble(at));
+        for (at, fault) in self.world.faults.iter().enumerate() {
+            self.queue.push(fault.at_s() * 1000.0, RunEvent::Fault(at));
         }
-        self.outcome.over_by_plan = vec![0.0; self.world.plan.len()];
-        self.outcome.worth_by_plan = vec![0.0; self.world.plan.len()];
-        self.outcome.worth_by_demand = vec![0.0; self.world.demand.len()];
-        self.outcome.beyond_by_demand = vec![0.0; self.world.demand.len()];
+        self.outcome.over_quota_value_by_plan = vec![0.0; self.world.plan.len()];
+        self.outcome.served_value_by_plan = vec![0.0; self.world.plan.len()];
+        self.outcome.served_value_by_demand = vec![0.0; self.world.demand.len()];
+        self.outcome.over_quota_units_by_demand = vec![0.0; self.world.demand.len()];
         self.outcome.by_second = vec![0.0; self.world.seconds.ceil() as usize];
     }
 }
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -6,22 +6,22 @@
 
 /// What is looked for: a figure above or below a bound.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Looked {
+pub struct Target {
     figure: String,
     above: bool,
     bound: f64,
 }
 
-impl Looked {
+impl Target {
     /// Reads `figure>bound` or `figure<bound`.
     ///
     /// # Errors
     /// What was expected.
-    pub fn read(text: &str) -> Result<Looked, String> {
+    pub fn read(text: &str) -> Result<Target, String> {
         let expected = || format!("figure>bound or figure<bound was expected, not {text}");
         let at = text.find(['>', '<']).ok_or_else(expected)?;
         let bound = text[at + 1..].trim().parse().map_err(|_| expected())?;
-        let looked = Looked {
+        let looked = Target {
             figure: text[..at].trim().to_owned(),
             above: text[at..].starts_with('>'),
             bound,
@@ -59,9 +59,9 @@
 /// The next smaller worlds, those first that take away most.
 fn smaller(world: &World) -> Vec<World> {
     let mut all = Vec::new();
-    for at in 0..world.trouble.len() {
+    for at in 0..world.faults.len() {
         let mut one = world.clone();
-        one.trouble.remove(at);
+        one.faults.remove(at);
         all.push(one);
     }
     for at in 0..world.demand.len() {
@@ -71,7 +71,7 @@
     }
     let halved = |of: usize| (of / 2).max(1);
     all.push(World {
-        doors: halved(world.doors),
+        proxies: halved(world.proxies),
         ..world.clone()
     });
     all.push(World {
@@ -104,15 +104,15 @@
         ..world.clone()
     });
     all.push(World {
-        guess_cv: 0.0,
+        estimate_cv: 0.0,
         ..world.clone()
     });
-    all.retain(|one| one != world && one.mistakes().is_empty());
+    all.retain(|one| one != world && one.errors().is_empty());
     all
 }
 
-/// Tries so many seeds of a world, from 1, and of each smaller one; `None` where none breaks it. At most `most` runs.
-pub fn search(world: &World, looked: &Looked, seeds: u64, most: usize) -> Option<Found> {
+/// Requests at proxies so many seeds of a world, from 1, and of each smaller one; `None` where none breaks it. At most `most` runs.
+pub fn search(world: &World, looked: &Target, seeds: u64, most: usize) -> Option<Found> {
     let mut runs = 0;
     let mut first = |world: &World| {
         (1..=seeds).find_map(|seed| {
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 /// Requests that a run may draw at most: what a world needs of memory and time follows from it.
-const MOST_REQUESTS: f64 = 50e6;
+const MAX_REQUESTS: f64 = 50e6;
 /// Bytes that a world may need at most.
-const MOST_BYTES: f64 = 8e9;
+const MAX_BYTES: f64 = 8e9;
 
 /// How a backend is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Choice {
+pub enum LoadBalancer {
     /// By the project's decision module, admission too.
     Module,
     /// By who sees the true state of all backends and quotas: what is within reach.
@@ -21,24 +21,27 @@
     Random,
     /// In turn.
     RoundRobin,
-    /// The one with the fewest of the door's own attempts out.
-    LeastOut,
+    /// The one with the fewest of the proxy's own attempts out.
+    #[serde(rename = "least-out")]
+    LeastOutstanding,
     /// The better of two by chance (Mitzenmacher).
     TwoChoices,
     /// The better of two among so many (a fixed aperture).
     Aperture(usize),
 }
 
-/// What is let in, where a plain policy decides.
+/// What is admitted, where a plain policy decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Admission {
     /// All.
     None,
-    /// Each door its even share of a quota.
-    Even,
-    /// Each door a whole quota.
-    Whole,
+    /// Each proxy its even share of a quota.
+    #[serde(rename = "even")]
+    EvenShare,
+    /// Each proxy a whole quota.
+    #[serde(rename = "whole")]
+    FullQuota,
 }
 
 /// A class of requests.
@@ -51,12 +54,15 @@
     pub work_ms: f64,
     /// Coefficient of variation of the work; 1 is drawn exponentially, 0 not at all.
     pub cv: f64,
-    /// An answer within this earns its worth.
-    pub aim_ms: f64,
+    /// An answer within this earns its value.
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: f64,
     /// How long a client waits.
-    pub give_up_ms: f64,
-    /// Worth of a unit.
-    pub worth: f64,
+    #[serde(rename = "give_up_ms")]
+    pub client_timeout_ms: f64,
+    /// Value of a unit.
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// `safe`, `keyed` or `unsafe`.
     pub effect: String,
 }
@@ -71,7 +77,7 @@
     pub rate: f64,
     /// Units at once.
     pub burst: f64,
-    /// Factor on the worth.
+    /// Factor on the value.
     pub price: f64,
     /// Attempts out at once that the quota covers; 0 for no such quota.
     #[serde(default)]
@@ -88,7 +94,8 @@
     /// Part of the customers.
     pub share: f64,
     /// Asked for on average, as a part of the quota's rate: drawn for each customer.
-    pub part: [f64; 2],
+    #[serde(rename = "part")]
+    pub fraction: [f64; 2],
     /// Now and then so many times the rate on top; 0 for never.
     #[serde(default)]
     pub spike: f64,
@@ -103,22 +110,25 @@
 /// Something that goes wrong.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Trouble {
-    /// Doors are killed and come back with their last list, each after a time drawn from the range.
-    RestartDoors {
+pub enum Fault {
+    /// Proxies are killed and come back with their last list, each after a time drawn from the range.
+    #[serde(rename = "restart-doors")]
+    RestartProxies {
         /// When.
         at_s: f64,
         /// Part of them.
-        part: f64,
+        #[serde(rename = "part")]
+        fraction: f64,
         /// How long each is down.
         down_ms: [f64; 2],
     },
-    /// Backends drain, go and are replaced by cold ones.
+    /// Backends drain, go and are replaced by new ones, which warm up.
     ReplaceBackends {
         /// When.
         at_s: f64,
         /// Part of them.
-        part: f64,
+        #[serde(rename = "part")]
+        fraction: f64,
         /// Over which time their drains begin.
         over_s: f64,
         /// From drain to end.
@@ -129,7 +139,8 @@
         /// When.
         at_s: f64,
         /// Part of them.
-        part: f64,
+        #[serde(rename = "part")]
+        fraction: f64,
         /// Speed that is left.
         speed: f64,
         /// For how long.
@@ -145,7 +156,7 @@
         customers: usize,
         /// The multiple.
         times: f64,
-        /// Through so many doors of each one's set; 0 for all of them.
+        /// Through so many proxies of each one's set; 0 for all of them.
         #[serde(default)]
         through: usize,
     },
@@ -158,18 +169,19 @@
         /// As a part of the usual requests.
         share: f64,
     },
-    /// Doors and backends that do not reach each other: new connections time out, kept ones go silent.
+    /// Proxies and backends that do not reach each other: new connections time out, kept ones go silent.
     Partition {
         /// When.
         at_s: f64,
         /// For how long.
         for_s: f64,
-        /// Part of the doors, part of the backends.
-        doors: f64,
+        /// Part of the proxies, part of the backends.
+        #[serde(rename = "doors")]
+        proxies: f64,
         /// See above.
         backends: f64,
     },
-    /// The backends of a zone die and come back cold.
+    /// The backends of a zone die and start again and warm up.
     LoseZone {
         /// When.
         at_s: f64,
@@ -178,9 +190,10 @@
         /// Which, from 0.
         zone: usize,
     },
-    /// Doors are stopped one after another, as a release does: each takes nothing new, ends what it has, goes, and comes back with
+    /// Proxies are stopped one after another, as a release does: each takes nothing new, ends what it has, goes, and comes back with
     /// its last list.
-    RollDoors {
+    #[serde(rename = "roll-doors")]
+    RollProxies {
         /// When.
         at_s: f64,
         /// Over which time.
@@ -190,45 +203,47 @@
         /// How long each is down.
         down_ms: [f64; 2],
     },
-    /// Discovery moves: each door's agent answers elsewhere, the old one closes a while later. Only where doors have agents.
+    /// Discovery moves: each proxy's agent answers elsewhere, the old one closes a while later. Only where proxies have agents.
     MoveAgents {
         /// When.
         at_s: f64,
-        /// Over which time doors are told.
+        /// Over which time proxies are notified.
         over_s: f64,
         /// From the telling to the close of the old place.
         close_ms: f64,
         /// By how much the new agents are behind the truth, beside the usual lateness.
-        behind_ms: [f64; 2],
+        #[serde(rename = "behind_ms")]
+        lag_ms: [f64; 2],
     },
-    /// Agents fall silent. Only where doors have agents.
+    /// Agents fall silent. Only where proxies have agents.
     SilenceAgents {
         /// When.
         at_s: f64,
         /// For how long.
         for_s: f64,
         /// Part of them.
-        part: f64,
+        #[serde(rename = "part")]
+        fraction: f64,
         /// Whether open watches stay silent for good, as those of a machine that has vanished, and calls that are made meanwhile.
         #[serde(default)]
         dead: bool,
     },
 }
 
-impl Trouble {
+impl Fault {
     /// When it begins.
     pub fn at_s(&self) -> f64 {
         match self {
-            Trouble::RestartDoors { at_s, .. }
-            | Trouble::ReplaceBackends { at_s, .. }
-            | Trouble::SlowBackends { at_s, .. }
-            | Trouble::Flood { at_s, .. }
-            | Trouble::OneShots { at_s, .. }
-            | Trouble::Partition { at_s, .. }
-            | Trouble::LoseZone { at_s, .. }
-            | Trouble::RollDoors { at_s, .. }
-            | Trouble::MoveAgents { at_s, .. }
-            | Trouble::SilenceAgents { at_s, .. } => *at_s,
+            Fault::RestartProxies { at_s, .. }
+            | Fault::ReplaceBackends { at_s, .. }
+            | Fault::SlowBackends { at_s, .. }
+            | Fault::Flood { at_s, .. }
+            | Fault::OneShots { at_s, .. }
+            | Fault::Partition { at_s, .. }
+            | Fault::LoseZone { at_s, .. }
+            | Fault::RollProxies { at_s, .. }
+            | Fault::MoveAgents { at_s, .. }
+            | Fault::SilenceAgents { at_s, .. } => *at_s,
         }
     }
 }
@@ -241,8 +256,9 @@
     pub name: String,
     /// Simulated time.
     pub seconds: f64,
-    /// Front doors.
-    pub doors: usize,
+    /// Proxies.
+    #[serde(rename = "doors")]
+    pub proxies: usize,
     /// Backends.
     pub backends: usize,
     /// Cores of each, requests that may wait there.
@@ -250,25 +266,30 @@
     /// See above.
     pub queue: usize,
     /// Cold start: part of the capacity at first, time until warm.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub initial_capacity: f64,
     /// See above.
-    pub cold_ms: f64,
+    #[serde(rename = "cold_ms")]
+    pub warm_up_ms: f64,
     /// Coefficient of variation of backends' speeds.
     pub speed_cv: f64,
-    /// Multiple of its present capacity, and for how long, by which a cold backend falls over.
-    pub fall_multiple: f64,
+    /// Multiple of its present capacity, and for how long, by which a backend that warms up fails.
+    #[serde(rename = "fall_multiple")]
+    pub overload_factor: f64,
     /// See above.
-    pub fall_ms: f64,
-    /// One way between a door and a backend, or a client.
+    #[serde(rename = "fall_ms")]
+    pub overload_window_ms: f64,
+    /// One way between a proxy and a backend, or a client.
     pub delay_ms: [f64; 2],
     /// Time that a new connection takes, and work that it costs the backend.
     pub handshake_ms: f64,
     /// See above.
     /// After how long without use a connection is closed.
     pub idle_ms: f64,
-    /// How late doors hear of changes of the list.
-    pub notice_ms: [f64; 2],
-    /// Grace after a drain was told.
+    /// How late proxies hear of changes of the list.
+    #[serde(rename = "notice_ms")]
+    pub discovery_delay_ms: [f64; 2],
+    /// Grace after a drain was announced.
     pub drain_grace_ms: f64,
     /// Customers, and the exponent of their sizes by rank (Zipf).
     pub customers: usize,
@@ -276,43 +297,50 @@
     pub zipf: f64,
     /// Part of what all backends can do that is asked for.
     pub load: f64,
-    /// Doors that a customer's requests come through; 0 for all.
+    /// Proxies that a customer's requests come through; 0 for all.
     pub spread: usize,
-    /// Part of a customer's requests that come through the busiest door of its set; the rest come evenly. 0 for all evenly.
+    /// Part of a customer's requests that come through the busiest proxy of its set; the rest come evenly. 0 for all evenly.
     pub uneven: f64,
-    /// After how long another door of the set is the busiest, drawn anew for each customer; 0 for never.
+    /// After how long another proxy of the set is the busiest, drawn anew for each customer; 0 for never.
     pub shift_s: [f64; 2],
-    /// Part of the further tries that come to the same door, as connections are kept.
+    /// Part of the retries that come to the same proxy, as connections are kept.
     pub sticky: f64,
     /// Part of the clients that follow a time to come back.
     pub honour: f64,
-    /// Zones, over which doors and backends are dealt in turn; what a way between two zones takes longer, one way; and the
-    /// price of such an attempt, as a part of the whole worth.
+    /// Zones, over which proxies and backends are dealt in turn; what a way between two zones takes longer, one way; and the
+    /// price of such an attempt, as a part of the whole value.
     pub zones: usize,
     /// See above.
-    pub cross_ms: [f64; 2],
+    #[serde(rename = "cross_ms")]
+    pub cross_zone_ms: [f64; 2],
     /// See above.
-    pub cross_price: f64,
+    #[serde(rename = "cross_price")]
+    pub cross_zone_price: f64,
     /// Period of the use meter, 0 for none, and how late it tells of a period.
     pub meter_ms: f64,
     /// See above.
-    pub meter_late_ms: [f64; 2],
+    #[serde(rename = "meter_late_ms")]
+    pub meter_delay_ms: [f64; 2],
     /// Coefficient of variation of what is guessed against the true units, which an answer settles; 0 for no guess.
-    pub guess_cv: f64,
+    #[serde(rename = "guess_cv")]
+    pub estimate_cv: f64,
     /// How long a dial into a partition takes to fail.
-    pub dial_ms: f64,
+    #[serde(rename = "dial_ms")]
+    pub connect_timeout_ms: f64,
     /// Mean units of a request; they are drawn from 1 up to `most_units`.
     pub units: f64,
     /// See above.
-    pub most_units: f64,
+    #[serde(rename = "most_units")]
+    pub max_units: f64,
     /// Quotas are set so that customers use this part of theirs on average; 0 leaves the plans' rates as they stand.
     pub usage: f64,
-    /// Tries after the first, and the wait before each where nothing is advised.
+    /// Retries of a client request, and the wait before each where nothing is advised.
     pub retries: u32,
     /// See above.
     pub backoff_ms: [f64; 2],
     /// How a backend is chosen.
-    pub choice: Choice,
+    #[serde(rename = "choice")]
+    pub load_balancer: LoadBalancer,
     /// What a plain policy lets in.
     pub admission: Admission,
     /// Attempts for one request at most.
@@ -324,21 +352,22 @@
     pub class: Vec<ClassSpec>,
     /// Plans; the usual three if none is named.
     pub plan: Vec<PlanSpec>,
-    /// Whether each door has an agent of discovery that it follows; else each change comes to each door by itself.
+    /// Whether each proxy has an agent of discovery that it follows; else each change comes to each proxy by itself.
     pub agents: bool,
     /// What goes wrong.
-    pub trouble: Vec<Trouble>,
+    #[serde(rename = "trouble")]
+    pub faults: Vec<Fault>,
 }
 
 impl Default for World {
     fn default() -> Self {
-        let class = |share, aim_ms, give_up_ms, worth, effect: &str| ClassSpec {
+        let class = |share, latency_target_ms, client_timeout_ms, value, effect: &str| ClassSpec {
             share,
             work_ms: 80.0,
             cv: 1.0,
-            aim_ms,
-            give_up_ms,
-            worth,
+            latency_target_ms,
+            client_timeout_ms,
+            value,
             effect: effect.to_owned(),
         };
         let plan = |share, rate, burst, price| PlanSpec {
@@ -352,19 +381,19 @@
         World {
             name: "world".to_owned(),
             seconds: 20.0,
-            doors: 4,
+            proxies: 4,
             backends: 12,
             cores: 2,
             queue: 24,
-            cold_from: 0.25,
-            cold_ms: 10_000.0,
+            initial_capacity: 0.25,
+            warm_up_ms: 10_000.0,
             speed_cv: 0.1,
-            fall_multiple: 3.0,
-            fall_ms: 1500.0,
+            overload_factor: 3.0,
+            overload_window_ms: 1500.0,
             delay_ms: [0.2, 1.0],
             handshake_ms: 2.0,
             idle_ms: 30_000.0,
-            notice_ms: [200.0, 2500.0],
+            discovery_delay_ms: [200.0, 2500.0],
             drain_grace_ms: 500.0,
             customers: 200,
             zipf: 0.8,
@@ -375,19 +404,19 @@
             sticky: 0.0,
             honour: 1.0,
             zones: 1,
-            cross_ms: [0.3, 0.8],
-            cross_price: 0.0,
+            cross_zone_ms: [0.3, 0.8],
+            cross_zone_price: 0.0,
             meter_ms: 0.0,
-            meter_late_ms: [200.0, 1500.0],
-            guess_cv: 0.0,
-            dial_ms: 250.0,
+            meter_delay_ms: [200.0, 1500.0],
+            estimate_cv: 0.0,
+            connect_timeout_ms: 250.0,
             units: 3.0,
-            most_units: 8.0,
+            max_units: 8.0,
             usage: 0.6,
             retries: 2,
             backoff_ms: [50.0, 250.0],
-            choice: Choice::Module,
-            admission: Admission::Even,
+            load_balancer: LoadBalancer::Module,
+            admission: Admission::EvenShare,
             attempts: 3,
             demand: Vec::new(),
             class: vec![
@@ -401,7 +430,7 @@
                 plan(0.1, 20.0, 30.0, 1.5),
             ],
             agents: false,
-            trouble: Vec::new(),
+            faults: Vec::new(),
         }
     }
 }
@@ -414,11 +443,11 @@
     pub fn read(text: &str) -> Result<World, Vec<String>> {
         let world: World =
             toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
-        let mistakes = world.mistakes();
-        if mistakes.is_empty() {
+        let errors = world.errors();
+        if errors.is_empty() {
             Ok(world)
         } else {
-            Err(mistakes)
+            Err(errors)
         }
     }
 
@@ -433,12 +462,12 @@
         self.load * (self.backends * self.cores) as f64 * 1000.0 * share / work.max(1e-9)
     }
 
-    /// First tries of a run, roughly: the usual ones, those of floods and of customers that come once.
+    /// Client requests of a run, roughly: the usual ones, those of floods and of customers that come once.
     pub fn requests(&self) -> f64 {
         let usual = self.requests_per_second();
-        let more = |trouble: &Trouble| match trouble {
-            Trouble::OneShots { for_s, share, .. } => share * usual * for_s,
-            Trouble::Flood {
+        let more = |fault: &Fault| match fault {
+            Fault::OneShots { for_s, share, .. } => share * usual * for_s,
+            Fault::Flood {
                 for_s,
                 customers,
                 times,
@@ -455,36 +484,36 @@
             } else {
                 0.0
             };
-            demand.share * (demand.part[1] + spikes)
+            demand.share * (demand.fraction[1] + spikes)
         };
         let shares: f64 = self.demand.iter().map(|demand| demand.share).sum();
-        let part: f64 = self
+        let fraction: f64 = self
             .demand
             .iter()
-            .map(|demand| demand.share * demand.part[0].min(1.0))
+            .map(|demand| demand.share * demand.fraction[0].min(1.0))
             .sum();
         let asked =
-            self.demand.iter().map(excess).sum::<f64>() / part.max(0.001 * shares.max(1e-9));
+            self.demand.iter().map(excess).sum::<f64>() / fraction.max(0.001 * shares.max(1e-9));
         let usual = if self.demand.is_empty() {
             usual
         } else {
             usual * asked.max(1.0)
         };
-        usual * self.seconds + self.trouble.iter().map(more).sum::<f64>()
+        usual * self.seconds + self.faults.iter().map(more).sum::<f64>()
     }
 
     /// Bytes that a run needs, roughly.
     pub fn bytes(&self) -> f64 {
-        let doors = self.doors as f64;
+        let proxies = self.proxies as f64;
         let spread = if self.spread == 0 {
-            doors
+            proxies
         } else {
-            doors.min(self.spread as f64)
+            proxies.min(self.spread as f64)
         };
-        // Every door holds every backend, and each customer at as many doors as its requests come through, but no more than
+        // Every proxy holds every backend, and each customer at as many proxies as its requests come through, but no more than
         // there are requests.
         let requests = self.requests();
-        doors * self.backends as f64 * 400.0
+        proxies * self.backends as f64 * 400.0
             + (self.customers as f64 * spread).min(requests) * 250.0
             + requests * 8.0
     }
@@ -503,7 +532,7 @@
     }
 
     /// All that cannot be used.
-    pub fn mistakes(&self) -> Vec<String> {
+    pub fn errors(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut within = |field: &str, value: f64, least: f64, most: f64| {
             if !(least..=most).contains(&value) {
@@ -513,15 +542,15 @@
             }
         };
         within("seconds", self.seconds, 0.1, 3600.0);
-        within("doors", self.doors as f64, 1.0, 10_000.0);
+        within("doors", self.proxies as f64, 1.0, 10_000.0);
         within("backends", self.backends as f64, 1.0, 100_000.0);
         within("cores", self.cores as f64, 1.0, 1024.0);
         within("queue", self.queue as f64, 0.0, 1e9);
-        within("cold_from", self.cold_from, 0.01, 1.0);
-        within("cold_ms", self.cold_ms, 0.0, 3.6e6);
+        within("cold_from", self.initial_capacity, 0.01, 1.0);
+        within("cold_ms", self.warm_up_ms, 0.0, 3.6e6);
         within("speed_cv", self.speed_cv, 0.0, 2.0);
-        within("fall_multiple", self.fall_multiple, 1.0, 1e6);
-        within("fall_ms", self.fall_ms, 1.0, 1e6);
+        within("fall_multiple", self.overload_factor, 1.0, 1e6);
+        within("fall_ms", self.overload_window_ms, 1.0, 1e6);
         within("handshake_ms", self.handshake_ms, 0.0, 1e4);
         within("idle_ms", self.idle_ms, 1.0, 3.6e6);
         within("drain_grace_ms", self.drain_grace_ms, 0.0, 1e6);
@@ -529,29 +558,29 @@
         within("zipf", self.zipf, 0.0, 4.0);
         within("load", self.load, 0.001, 100.0);
         within("spread", self.spread as f64, 0.0, 10_000.0);
-        within("most_units", self.most_units, 1.0, 1e6);
-        within("units", self.units, 1.0, self.most_units.max(1.0));
+        within("most_units", self.max_units, 1.0, 1e6);
+        within("units", self.units, 1.0, self.max_units.max(1.0));
         within("usage", self.usage, 0.0, 100.0);
         within("uneven", self.uneven, 0.0, 1.0);
         within("sticky", self.sticky, 0.0, 1.0);
         within("honour", self.honour, 0.0, 1.0);
         within("zones", self.zones as f64, 1.0, 64.0);
-        within("cross_price", self.cross_price, 0.0, 10.0);
+        within("cross_price", self.cross_zone_price, 0.0, 10.0);
         within("meter_ms", self.meter_ms, 0.0, 1e6);
-        within("guess_cv", self.guess_cv, 0.0, 5.0);
-        within("dial_ms", self.dial_ms, 1.0, 1e5);
+        within("guess_cv", self.estimate_cv, 0.0, 5.0);
+        within("dial_ms", self.connect_timeout_ms, 1.0, 1e5);
         within("retries", f64::from(self.retries), 0.0, 10.0);
         within("attempts", f64::from(self.attempts), 1.0, 10.0);
-        if let Choice::Aperture(width) = self.choice {
+        if let LoadBalancer::Aperture(width) = self.load_balancer {
             within("choice.aperture", width as f64, 1.0, 100_000.0);
         }
         let ranges = [
             ("delay_ms", self.delay_ms),
-            ("notice_ms", self.notice_ms),
+            ("notice_ms", self.discovery_delay_ms),
             ("backoff_ms", self.backoff_ms),
             ("shift_s", self.shift_s),
-            ("cross_ms", self.cross_ms),
-            ("meter_late_ms", self.meter_late_ms),
+            ("cross_ms", self.cross_zone_ms),
+            ("meter_late_ms", self.meter_delay_ms),
         ];
         for (field, range) in ranges {
             within(&format!("{field}.0"), range[0], 0.0, 1e6);
@@ -561,14 +590,19 @@
             within(&format!("class.{at}.share"), class.share, 0.0, 1e6);
             within(&format!("class.{at}.work_ms"), class.work_ms, 0.001, 1e6);
             within(&format!("class.{at}.cv"), class.cv, 0.0, 20.0);
-            within(&format!("class.{at}.aim_ms"), class.aim_ms, 1.0, 1e7);
+            within(
+                &format!("class.{at}.aim_ms"),
+                class.latency_target_ms,
+                1.0,
+                1e7,
+            );
             within(
                 &format!("class.{at}.give_up_ms"),
-                class.give_up_ms,
-                class.aim_ms.max(1.0),
+                class.client_timeout_ms,
+                class.latency_target_ms.max(1.0),
                 1e7,
             );
-            within(&format!("class.{at}.worth"), class.worth, 0.0, 1e6);
+            within(&format!("class.{at}.worth"), class.value, 0.0, 1e6);
         }
         for (at, plan) in self.plan.iter().enumerate() {
             within(&format!("plan.{at}.share"), plan.share, 0.0, 1e6);
@@ -581,14 +615,14 @@
             within(&format!("demand.{at}.share"), demand.share, 0.0, 1e6);
             within(
                 &format!("demand.{at}.part.0"),
-                demand.part[0],
+                demand.fraction[0],
                 0.001,
                 1000.0,
             );
             within(
                 &format!("demand.{at}.part.1"),
-                demand.part[1],
-                demand.part[0].max(0.001),
+                demand.fraction[1],
+                demand.fraction[0].max(0.001),
                 1000.0,
             );
             within(&format!("demand.{at}.spike"), demand.spike, 0.0, 1000.0);
@@ -607,17 +641,19 @@
                 );
             }
         }
-        for (at, trouble) in self.trouble.iter().enumerate() {
+        for (at, fault) in self.faults.iter().enumerate() {
             // What is drawn after the end would never be played.
             within(
                 &format!("trouble.{at}.at_s"),
-                trouble.at_s(),
+                fault.at_s(),
                 0.0,
                 self.seconds,
             );
-            match trouble {
-                Trouble::RestartDoors { part, down_ms, .. } => {
-                    within(&format!("trouble.{at}.part"), *part, 0.0, 1.0);
+            match fault {
+                Fault::RestartProxies {
+                    fraction, down_ms, ..
+                } => {
+                    within(&format!("trouble.{at}.part"), *fraction, 0.0, 1.0);
                     within(&format!("trouble.{at}.down_ms.0"), down_ms[0], 0.0, 1e6);
                     within(
                         &format!("trouble.{at}.down_ms.1"),
@@ -626,24 +662,27 @@
                         1e6,
                     );
                 }
-                Trouble::ReplaceBackends {
-                    part,
+                Fault::ReplaceBackends {
+                    fraction,
                     over_s,
                     drain_ms,
                     ..
                 } => {
-                    within(&format!("trouble.{at}.part"), *part, 0.0, 1.0);
+                    within(&format!("trouble.{at}.part"), *fraction, 0.0, 1.0);
                     within(&format!("trouble.{at}.over_s"), *over_s, 0.0, 3600.0);
                     within(&format!("trouble.{at}.drain_ms"), *drain_ms, 0.0, 1e6);
                 }
-                Trouble::SlowBackends {
-                    part, speed, for_s, ..
+                Fault::SlowBackends {
+                    fraction,
+                    speed,
+                    for_s,
+                    ..
                 } => {
-                    within(&format!("trouble.{at}.part"), *part, 0.0, 1.0);
+                    within(&format!("trouble.{at}.part"), *fraction, 0.0, 1.0);
                     within(&format!("trouble.{at}.speed"), *speed, 0.001, 10.0);
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
                 }
-                Trouble::Flood {
+                Fault::Flood {
                     for_s,
                     customers,
                     times,
@@ -665,21 +704,21 @@
                         10_000.0,
                     );
                 }
-                Trouble::OneShots { for_s, share, .. } => {
+                Fault::OneShots { for_s, share, .. } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
                     within(&format!("trouble.{at}.share"), *share, 0.0, 100.0);
                 }
-                Trouble::Partition {
+                Fault::Partition {
                     for_s,
-                    doors,
+                    proxies,
                     backends,
                     ..
                 } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
-                    within(&format!("trouble.{at}.doors"), *doors, 0.0, 1.0);
+                    within(&format!("trouble.{at}.doors"), *proxies, 0.0, 1.0);
                     within(&format!("trouble.{at}.backends"), *backends, 0.0, 1.0);
                 }
-                Trouble::RollDoors {
+                Fault::RollProxies {
                     over_s,
                     stop_ms,
                     down_ms,
@@ -695,27 +734,29 @@
                         1e6,
                     );
                 }
-                Trouble::MoveAgents {
+                Fault::MoveAgents {
                     over_s,
                     close_ms,
-                    behind_ms,
+                    lag_ms,
                     ..
                 } => {
                     within(&format!("trouble.{at}.over_s"), *over_s, 0.0, 3600.0);
                     within(&format!("trouble.{at}.close_ms"), *close_ms, 0.0, 1e6);
-                    within(&format!("trouble.{at}.behind_ms.0"), behind_ms[0], 0.0, 1e6);
+                    within(&format!("trouble.{at}.behind_ms.0"), lag_ms[0], 0.0, 1e6);
                     within(
                         &format!("trouble.{at}.behind_ms.1"),
-                        behind_ms[1],
-                        behind_ms[0].max(0.0),
+                        lag_ms[1],
+                        lag_ms[0].max(0.0),
                         1e6,
                     );
                 }
-                Trouble::SilenceAgents { for_s, part, .. } => {
+                Fault::SilenceAgents {
+                    for_s, fraction, ..
+                } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
-                    within(&format!("trouble.{at}.part"), *part, 0.0, 1.0);
+                    within(&format!("trouble.{at}.part"), *fraction, 0.0, 1.0);
                 }
-                Trouble::LoseZone { for_s, zone, .. } => {
+                Fault::LoseZone { for_s, zone, .. } => {
                     within(&format!("trouble.{at}.for_s"), *for_s, 0.0, 3600.0);
                     within(
                         &format!("trouble.{at}.zone"),
@@ -746,14 +787,14 @@
         }
         if found.is_empty() {
             let (requests, bytes) = (self.requests(), self.bytes());
-            if requests > MOST_REQUESTS {
+            if requests > MAX_REQUESTS {
                 found.push(format!(
-                    "load: {requests:.0} requests, {MOST_REQUESTS:.0} at most were expected"
+                    "load: {requests:.0} requests, {MAX_REQUESTS:.0} at most were expected"
                 ));
             }
-            if bytes > MOST_BYTES {
+            if bytes > MAX_BYTES {
                 found.push(format!(
-                    "doors: a world of {bytes:.0} bytes, {MOST_BYTES:.0} at most were expected"
+                    "doors: a world of {bytes:.0} bytes, {MAX_BYTES:.0} at most were expected"
                 ));
             }
         }
--- a/crates/model/tests/closed_forms.rs
+++ b/crates/model/tests/closed_forms.rs
@@ -1,27 +1,27 @@
 //! The model against closed forms of queueing theory, each within its confidence interval over fixed seeds, and each seen to fail
 //! when the model is off by a tenth.
 
-use maplefall_model::world::{Admission, Choice, ClassSpec, World};
+use maplefall_model::world::{Admission, ClassSpec, LoadBalancer, World};
 use maplefall_model::{play, Outcome};
 
 /// Normal quantile of the interval that a check may miss once in some thousand times.
 const SURE: f64 = 3.3;
 const SEEDS: u64 = 10;
 
-/// Backends behind one door that lets all in, with no delays and nothing that gives up.
+/// Backends behind one proxy that lets all in, with no delays and nothing that gives up.
 fn queueing(backends: usize, cores: usize, load: f64, work_ms: f64, cv: f64) -> World {
     let class = ClassSpec {
         share: 1.0,
         work_ms,
         cv,
-        aim_ms: 1e6,
-        give_up_ms: 1e7,
-        worth: 1.0,
+        latency_target_ms: 1e6,
+        client_timeout_ms: 1e7,
+        value: 1.0,
         effect: "safe".to_owned(),
     };
     World {
         seconds: 300.0,
-        doors: 1,
+        proxies: 1,
         backends,
         cores,
         queue: 1_000_000,
@@ -31,10 +31,10 @@
         customers: 1,
         load,
         units: 1.0,
-        most_units: 1.0,
+        max_units: 1.0,
         usage: 0.0,
         retries: 0,
-        choice: Choice::Random,
+        load_balancer: LoadBalancer::Random,
         admission: Admission::None,
         class: vec![class],
         ..World::default()
@@ -78,7 +78,7 @@
     let mut slow = queueing(1, 1, 0.66, 11.0, 1.0);
     assert!(!fits(&slow, |one| one.wait_ms, expected));
     assert!(fits(&slow, |one| one.wait_ms, wait_of_one(0.66, 11.0, 1.0)));
-    // A lost event: one request in so many turned away by a short queue.
+    // A lost event: one request in so many rejected by a short queue.
     slow = World {
         queue: 6,
         ..queueing(1, 1, 0.6, 10.0, 1.0)
@@ -116,7 +116,7 @@
     let world = queueing(8, 1, 0.6, 10.0, 1.0);
     assert!(fits(&world, |one| one.wait_ms, wait_of_one(0.6, 10.0, 1.0)));
     let better = World {
-        choice: Choice::LeastOut,
+        load_balancer: LoadBalancer::LeastOutstanding,
         ..world.clone()
     };
     let [random, least] = [&world, &better].map(|world| play(world, 1).wait_ms);
@@ -129,7 +129,7 @@
     let world = queueing(4, 2, 0.7, 20.0, 1.0);
     for seed in 0..3 {
         let one = play(&world, seed);
-        let rate = one.first_tries as f64 / (world.seconds * 1000.0);
+        let rate = one.client_requests as f64 / (world.seconds * 1000.0);
         let expected = rate * one.sojourn_ms;
         // The last requests leave a little after the end.
         assert!(
@@ -137,7 +137,7 @@
             "{} {expected}",
             one.in_backends
         );
-        assert_eq!(one.served, one.first_tries);
+        assert_eq!(one.served, one.client_requests);
     }
 }
 
@@ -153,16 +153,26 @@
         max_open: 0,
         ceiling: 0.0,
     }];
-    world.admission = Admission::Whole;
+    world.admission = Admission::FullQuota;
     let one = play(&world, 1);
-    assert_eq!((one.beyond, one.worth), (0.0, 1.0));
+    assert_eq!((one.over_quota_units, one.served_value), (0.0, 1.0));
     let most = 50.0 + 100.0 * world.seconds;
     assert!(
         one.served as f64 <= most && one.served as f64 > most * 0.98,
         "{} {most}",
         one.served
     );
-    // Four doors with a whole quota each let in four times as much.
-    let four = play(&World { doors: 4, ..world }, 1);
-    assert!((2.9..3.1).contains(&four.beyond), "{}", four.beyond);
+    // Four proxies with a whole quota each admitted four times as much.
+    let four = play(
+        &World {
+            proxies: 4,
+            ..world
+        },
+        1,
+    );
+    assert!(
+        (2.9..3.1).contains(&four.over_quota_units),
+        "{}",
+        four.over_quota_units
+    );
 }
--- a/crates/model/tests/frontier.rs
+++ b/crates/model/tests/frontier.rs
@@ -6,31 +6,31 @@
 
 fn case() -> Case {
     Case {
-        doors: 50,
+        proxies: 50,
         uneven: 0.0,
         seconds: 20.0,
         burst_s: 2.0,
         requests_per_second: 1.0,
-        tries: 1,
-        parts: vec![(0.4, 0.6), (1.0, 0.2), (3.0, 0.2)],
+        proxy_requests: 1,
+        fractions: vec![(0.4, 0.6), (1.0, 0.2), (3.0, 0.2)],
         cost: 0.8,
     }
 }
 
-/// The same sum by trying every rule that knows the number of earlier tries (up to three and more) by steps of a tenth, in a
+/// The same sum by trying every rule that knows the number of earlier requests at proxies (up to three and more) by steps of a tenth, in a
 /// single stretch: what the programme gives for one stretch is no less, and no more than a step allows.
-fn by_hand(case: &Case, seen_for: f64) -> f64 {
+fn bound_by_enumeration(case: &Case, seen_for: f64) -> f64 {
     let room = 1.0 + case.burst_s / case.seconds;
     let offered: f64 = case
-        .parts
+        .fractions
         .iter()
-        .map(|(part, share)| share * part.min(room))
+        .map(|(fraction, share)| share * fraction.min(room))
         .sum();
     let chances: Vec<[f64; 4]> = case
-        .parts
+        .fractions
         .iter()
-        .map(|(part, _)| {
-            let mean = part * case.requests_per_second * seen_for / case.doors as f64;
+        .map(|(fraction, _)| {
+            let mean = fraction * case.requests_per_second * seen_for / case.proxies as f64;
             let none = (-mean).exp();
             let [one, two] = [none * mean, none * mean * mean / 2.0];
             [none, one, two, 1.0 - none - one - two]
@@ -42,17 +42,17 @@
             .map(|at| (rule / 11usize.pow(at) % 11) as f64 / 10.0)
             .collect();
         let value: f64 = case
-            .parts
+            .fractions
             .iter()
             .zip(&chances)
-            .map(|((part, share), chances)| {
-                let let_in = part
+            .map(|((fraction, share), chances)| {
+                let admitted = fraction
                     * chances
                         .iter()
                         .zip(&f)
-                        .map(|(chance, f)| chance * f)
+                        .map(|(random, f)| random * f)
                         .sum::<f64>();
-                share * (let_in.min(room) - case.cost * (let_in - room).max(0.0))
+                share * (admitted.min(room) - case.cost * (admitted - room).max(0.0))
             })
             .sum();
         best = best.max(value / offered);
@@ -62,38 +62,38 @@
 
 #[test]
 fn the_bound_is_what_trying_all_rules_gives() {
-    for (cost, doors) in [(0.3, 50), (0.8, 50), (2.0, 50), (0.8, 200), (5.0, 20)] {
+    for (cost, proxies) in [(0.3, 50), (0.8, 50), (2.0, 50), (0.8, 200), (5.0, 20)] {
         let case = Case {
             cost,
-            doors,
+            proxies,
             ..case()
         };
         let found = bound(&case).expect("a bound");
         // A rule that knows at once what others know at the end earns no less than the bound, which learns in stretches; one
         // that never learns more than in the first stretch no more.
         let (most, least) = (
-            by_hand(&case, case.seconds),
-            by_hand(&case, case.seconds / 4.0),
+            bound_by_enumeration(&case, case.seconds),
+            bound_by_enumeration(&case, case.seconds / 4.0),
         );
         assert!(
             found.value <= most + 0.02,
-            "{cost} {doors}: {found:?} {most}"
+            "{cost} {proxies}: {found:?} {most}"
         );
         assert!(
             found.value >= least - 1e-6,
-            "{cost} {doors}: {found:?} {least}"
+            "{cost} {proxies}: {found:?} {least}"
         );
-        assert!((found.worth - cost * found.over - found.value).abs() < 1e-9);
+        assert!((found.served_value - cost * found.over - found.value).abs() < 1e-9);
     }
 }
 
-/// Where nothing is unknown nothing is lost: one door, one part, or no cost.
+/// Where nothing is unknown nothing is lost: one proxy, one part, or no cost.
 #[test]
 fn what_is_known_costs_nothing() {
     let value = |case: Case| bound(&case).expect("a bound").value;
     assert!(
         (value(Case {
-            doors: 1,
+            proxies: 1,
             requests_per_second: 20.0,
             ..case()
         }) - 1.0)
@@ -102,7 +102,7 @@
     );
     assert!(
         (value(Case {
-            parts: vec![(3.0, 1.0)],
+            fractions: vec![(3.0, 1.0)],
             ..case()
         }) - 1.0)
             .abs()
@@ -117,27 +117,31 @@
             < 1e-6
     );
     assert!(value(case()) < 0.95, "and what is not known costs");
-    // More doors know less, a busier one knows more.
+    // More proxies know less, a busier one knows more.
     let [few, many, uneven] = [
         value(Case {
-            doors: 10,
+            proxies: 10,
             ..case()
         }),
         value(Case {
-            doors: 100,
+            proxies: 100,
             ..case()
         }),
         value(Case {
-            doors: 100,
+            proxies: 100,
             uneven: 0.9,
             ..case()
         }),
     ];
     assert!(few > many && uneven > many, "{few} {many} {uneven}");
     assert!(
-        bound(&Case { doors: 0, ..case() }).is_err()
+        bound(&Case {
+            proxies: 0,
+            ..case()
+        })
+        .is_err()
             && bound(&Case {
-                parts: vec![],
+                fractions: vec![],
                 ..case()
             })
             .is_err()
@@ -154,28 +158,28 @@
 
 const COST: f64 = 0.8;
 
-fn points(doors: usize, uneven: f64) -> Vec<Point> {
-    worlds(&base(), doors, uneven)
+fn points(proxies: usize, uneven: f64) -> Vec<Point> {
+    worlds(&base(), proxies, uneven)
         .iter()
         .zip(WHO)
         .map(|(world, (who, ..))| {
             let runs: Vec<_> = (1..=3).map(|seed| play(world, seed)).collect();
             let mean =
                 |of: fn(&maplefall_model::Outcome) -> f64| runs.iter().map(of).sum::<f64>() / 3.0;
-            let (worth, over) = (mean(|one| one.worth), mean(|one| one.over));
+            let (served_value, over) = (mean(|one| one.served_value), mean(|one| one.over_quota_value));
             Point {
-                doors,
+                proxies,
                 uneven,
                 who: who.to_owned(),
-                worth,
+                served_value,
                 over,
-                value: worth - COST * over,
+                value: served_value - COST * over,
             }
         })
         .collect()
 }
 
-/// In terms of the fleet, for 4, 30 and 100 doors: nowhere is the module dominated by even shares, and it keeps its distance to what
+/// In terms of the fleet, for 4, 30 and 100 proxies: nowhere is the module dominated by even shares, and it keeps its distance to what
 /// is possible without talk (measured: 0.95 and 0.87 of it, 0.88 and 0.64, 0.83 and 0.56). The bound is one: nobody who talks to
 /// nobody passes it by more than chance.
 #[test]
@@ -188,21 +192,21 @@
         (100, 0.0, 0.8),
         (100, 0.6, 0.52),
     ];
-    for (doors, uneven, least) in grid {
-        let points = points(doors, uneven);
+    for (proxies, uneven, least) in grid {
+        let points = points(proxies, uneven);
         let [module, even, whole, oracle] = points.as_slice() else {
             panic!("four")
         };
         let most = bound_of(
             &World {
-                doors,
+                proxies,
                 uneven,
                 ..base()
             },
             COST,
         )
         .expect("a bound");
-        println!("{doors} {uneven}: bound {most:?}\n{points:#?}");
+        println!("{proxies} {uneven}: bound {most:?}\n{points:#?}");
         assert!(!module.dominated_by(even), "{module:?} {even:?}");
         assert!(module.value >= least * most.value, "{module:?} {most:?}");
         for one in [module, even, whole] {
@@ -214,11 +218,11 @@
 
 #[test]
 fn a_point_is_dominated_by_one_that_is_nowhere_worse() {
-    let point = |worth, over| Point {
-        doors: 1,
+    let point = |served_value, over| Point {
+        proxies: 1,
         uneven: 0.0,
         who: String::new(),
-        worth,
+        served_value,
         over,
         value: 0.0,
     };
--- a/crates/model/tests/mass.rs
+++ b/crates/model/tests/mass.rs
@@ -1,19 +1,19 @@
-//! The full fleet without sockets: the decision module in 300 doors before 200 backends, on `worlds/mass.toml`, where seven in ten doors
-//! are killed at once, six in ten backends replaced within 7 s, a zone is lost and comes back cold, lists come late and customers flood.
+//! The full fleet without sockets: the decision module in 300 proxies before 200 backends, on `worlds/mass.toml`, where seven in ten proxies
+//! are killed at once, six in ten backends replaced within 7 s, a zone is lost and comes back warming up, lists come late and customers flood.
 //! More seeds: `maplefall-model run worlds/mass.toml --seeds 20 --jobs 8`.
 
-use maplefall_model::world::{Admission, Choice, World};
+use maplefall_model::world::{Admission, LoadBalancer, World};
 use maplefall_model::{play, Outcome};
 
-fn world(name: &str, troubles: usize) -> World {
+fn world(name: &str, faults: usize) -> World {
     let text = std::fs::read_to_string(format!(
         "{}/../../worlds/{name}.toml",
         env!("CARGO_MANIFEST_DIR")
     ));
     let world = World::read(&text.expect("a world file")).expect("a world");
     assert_eq!(
-        (world.doors, world.backends, world.trouble.len()),
-        (300, 200, troubles),
+        (world.proxies, world.backends, world.faults.len()),
+        (300, 200, faults),
         "what is meant"
     );
     world
@@ -23,19 +23,19 @@
     world("mass", 4)
 }
 
-/// What the rules count: second attempts while one is out, unsafe ones run twice, sends after a drain was told, cold backends pushed
+/// What the rules count: second attempts while one is out, unsafe ones run twice, sends after a drain was announced, warming up backends pushed
 /// over, ceilings passed.
 fn broken(one: &Outcome) -> [u64; 5] {
     [
-        one.doubled,
-        one.ran_twice,
+        one.duplicate_answers,
+        one.executed_twice,
         one.late_sends,
-        one.fell_over,
+        one.overload_failures,
         one.over_ceiling,
     ]
 }
 
-/// The rules over the sum of all doors, and enough of the worth served.
+/// The rules over the sum of all proxies, and enough of the value served.
 #[test]
 fn the_rules_hold_over_the_sum_of_three_hundred_doors() {
     let world = mass();
@@ -44,38 +44,42 @@
         let one = play(&world, seed);
         assert_eq!(broken(&one), [0; 5], "seed {seed}");
         assert_eq!(
-            one.tries,
-            one.served + one.refused + one.failed + one.lost,
+            one.proxy_requests,
+            one.served + one.rejected + one.failed + one.lost,
             "seed {seed}"
         );
         assert!(
-            one.dead > 0 && one.worth > 0.4,
+            one.dead > 0 && one.served_value > 0.4,
             "seed {seed}: {} {}",
             one.dead,
-            one.worth
+            one.served_value
+        );
+        assert!(
+            one.over_quota_units < 0.35,
+            "seed {seed}: {}",
+            one.over_quota_units
         );
-        assert!(one.beyond < 0.35, "seed {seed}: {}", one.beyond);
     }
 }
 
-/// The checks are no empty ones: doors that let all in, to backends of their own choice, break ceilings and push cold backends over.
+/// The checks are no empty ones: proxies that let all in, to backends of their own choice, break ceilings and push warming up backends over.
 #[test]
 fn a_fleet_without_rules_breaks_them_there() {
     let world = World {
-        choice: Choice::Aperture(1),
+        load_balancer: LoadBalancer::Aperture(1),
         admission: Admission::None,
         load: 0.9,
         ..mass()
     };
     let one = play(&world, 1);
     assert!(
-        one.fell_over > 0 && one.over_ceiling > 0,
+        one.overload_failures > 0 && one.over_ceiling > 0,
         "{:?}",
         broken(&one)
     );
 }
 
-/// Drains whatever becomes of a door or its agent: stopped, killed, moved to an agent that is behind, with a watch that is dead unseen,
+/// Drains whatever becomes of a proxy or its agent: stopped, killed, moved to an agent that is behind, with a watch that is dead unseen,
 /// before an agent that never answers what it was asked while it was away. The real follower and roster stand between the agents'
 /// words and the module. Seen to fail where a word of any version holds, and where second calls are made once in a heartbeat.
 #[test]
@@ -85,6 +89,6 @@
         println!("seed {seed}");
         let one = play(&world, seed);
         assert_eq!(broken(&one), [0; 5], "seed {seed}");
-        assert!(one.worth > 0.4, "seed {seed}: {}", one.worth);
+        assert!(one.served_value > 0.4, "seed {seed}: {}", one.served_value);
     }
 }
