--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -1,31 +1,31 @@
 //! The invariants of the rules over many seeds, the same bytes for the same seed, and files that cannot be used.
 
 use maplefall_model::play;
-use maplefall_model::world::{Choice, Trouble, World};
+use maplefall_model::world::{Fault, LoadBalancer, World};
 use std::process::{Command, Output};
 
-fn troubled() -> World {
+fn faulty_world() -> World {
     World {
         seconds: 8.0,
-        doors: 6,
+        proxies: 6,
         backends: 10,
         load: 0.7,
-        cold_ms: 4000.0,
-        trouble: vec![
-            Trouble::RestartDoors {
+        warm_up_ms: 4000.0,
+        faults: vec![
+            Fault::RestartProxies {
                 at_s: 2.0,
-                part: 0.5,
+                fraction: 0.5,
                 down_ms: [300.0, 1500.0],
             },
-            Trouble::ReplaceBackends {
+            Fault::ReplaceBackends {
                 at_s: 3.0,
-                part: 0.5,
+                fraction: 0.5,
                 over_s: 2.0,
                 drain_ms: 1500.0,
             },
-            Trouble::SlowBackends {
+            Fault::SlowBackends {
                 at_s: 1.0,
-                part: 0.3,
+                fraction: 0.3,
                 speed: 0.4,
                 for_s: 3.0,
             },
@@ -34,65 +34,73 @@
     }
 }
 
-/// The five rules in the model, over a hundred seeds with doors killed, backends replaced and slow ones: one answer each, nothing
-/// unsafe twice, no late send after a drain, no cold backend pushed over, and all tries accounted for.
+/// The five rules in the model, over a hundred seeds with proxies killed, backends replaced and slow ones: one answer each, nothing
+/// unsafe twice, no late send after a drain, no warming up backend pushed over, and all requests at proxies accounted for.
 #[test]
 fn the_rules_hold_over_a_hundred_seeds() {
-    let world = troubled();
+    let world = faulty_world();
     for seed in 0..100 {
         let one = play(&world, seed);
         assert_eq!(
-            (one.doubled, one.ran_twice, one.late_sends, one.fell_over),
+            (
+                one.duplicate_answers,
+                one.executed_twice,
+                one.late_sends,
+                one.overload_failures
+            ),
             (0, 0, 0, 0),
             "seed {seed}"
         );
         assert_eq!(
-            one.tries,
-            one.served + one.refused + one.failed + one.lost,
+            one.proxy_requests,
+            one.served + one.rejected + one.failed + one.lost,
             "seed {seed}"
         );
         assert!(
-            one.worth > 0.3 && one.worth <= 1.0,
+            one.served_value > 0.3 && one.served_value <= 1.0,
             "seed {seed}: {}",
-            one.worth
+            one.served_value
         );
     }
 }
 
-/// The checks are no empty ones: a policy that knows nothing of cold backends pushes them over, and one that lets all in passes
+/// The checks are no empty ones: a policy that knows nothing of warming up backends pushes them over, and one that lets all in passes
 /// quotas.
 #[test]
 fn a_policy_without_rules_breaks_them() {
     let mut world = World {
-        choice: Choice::Aperture(1),
+        load_balancer: LoadBalancer::Aperture(1),
         load: 0.9,
-        ..troubled()
+        ..faulty_world()
     };
     world.admission = maplefall_model::world::Admission::None;
     let outcomes: Vec<_> = (0..10).map(|seed| play(&world, seed)).collect();
-    assert!(outcomes.iter().any(|one| one.fell_over > 0));
-    assert!(outcomes.iter().all(|one| one.beyond > 0.01));
+    assert!(outcomes.iter().any(|one| one.overload_failures > 0));
+    assert!(outcomes.iter().all(|one| one.over_quota_units > 0.01));
 }
 
 #[test]
 fn who_sees_the_truth_serves_more_than_who_does_not() {
-    let worth = |choice| {
+    let served_value = |load_balancer| {
         play(
             &World {
-                choice,
-                ..troubled()
+                load_balancer,
+                ..faulty_world()
             },
             3,
         )
-        .worth
+        .served_value
     };
-    let (module, oracle) = (worth(Choice::Module), worth(Choice::Oracle));
+    let (module, oracle) = (
+        served_value(LoadBalancer::Module),
+        served_value(LoadBalancer::Oracle),
+    );
     assert!(oracle > module, "{oracle} {module}");
 }
 
 #[test]
 fn the_same_seed_is_the_same_run() {
-    let world = troubled();
+    let world = faulty_world();
     assert_eq!(play(&world, 7), play(&world, 7));
     assert_ne!(play(&world, 7), play(&world, 8));
 }
@@ -167,7 +175,7 @@
     assert!(compare(&one, &one).starts_with("no difference seen"));
 }
 
-/// A sweep drawn: one line for each kind, and what cannot be drawn is told.
+/// A sweep drawn: one line for each kind, and what cannot be drawn is notified.
 #[test]
 fn results_are_drawn() {
     let path = file("drawn", "seconds = 2\n");
@@ -224,7 +232,7 @@
     assert_eq!(model(&["run", "/nowhere.toml"]).status.code(), Some(2));
 }
 
-/// A world with all that days have: uneven customers whose busiest door changes, groups of demand with spikes, guesses that are
+/// A world with all that days have: uneven customers whose busiest proxy changes, groups of demand with spikes, guesses that are
 /// settled, a meter that is late, caps, ceilings, zones, clients that follow advice at times.
 fn days() -> World {
     let text = std::fs::read_to_string(concat!(
@@ -242,26 +250,26 @@
 #[test]
 fn rules_and_ceilings_hold_on_uneven_days() {
     let mut world = World { zones: 3, ..days() };
-    world.trouble = vec![
-        Trouble::Flood {
+    world.faults = vec![
+        Fault::Flood {
             at_s: 2.0,
             for_s: 4.0,
             customers: 3,
             times: 10.0,
             through: 2,
         },
-        Trouble::OneShots {
+        Fault::OneShots {
             at_s: 3.0,
             for_s: 3.0,
             share: 0.3,
         },
-        Trouble::Partition {
+        Fault::Partition {
             at_s: 4.0,
             for_s: 2.0,
-            doors: 0.5,
+            proxies: 0.5,
             backends: 0.3,
         },
-        Trouble::LoseZone {
+        Fault::LoseZone {
             at_s: 5.0,
             for_s: 2.0,
             zone: 1,
@@ -270,19 +278,24 @@
     for seed in 0..50 {
         let one = play(&world, seed);
         assert_eq!(
-            (one.doubled, one.ran_twice, one.late_sends, one.fell_over),
+            (
+                one.duplicate_answers,
+                one.executed_twice,
+                one.late_sends,
+                one.overload_failures
+            ),
             (0, 0, 0, 0),
             "seed {seed}"
         );
         assert_eq!(one.over_ceiling, 0, "seed {seed}");
         assert_eq!(
-            one.tries,
-            one.served + one.refused + one.failed + one.lost,
+            one.proxy_requests,
+            one.served + one.rejected + one.failed + one.lost,
             "seed {seed}"
         );
-        let by_reason: u64 = one.refusals.values().sum();
-        assert_eq!(by_reason, one.refused, "seed {seed}");
-        assert!(one.worth > 0.3, "seed {seed}: {}", one.worth);
+        let by_reason: u64 = one.rejections.values().sum();
+        assert_eq!(by_reason, one.rejected, "seed {seed}");
+        assert!(one.served_value > 0.3, "seed {seed}: {}", one.served_value);
     }
 }
 
@@ -290,11 +303,11 @@
 #[test]
 fn a_policy_that_lets_all_in_breaks_ceilings() {
     let mut world = World {
-        choice: Choice::LeastOut,
+        load_balancer: LoadBalancer::LeastOutstanding,
         ..days()
     };
     world.admission = maplefall_model::world::Admission::None;
-    world.trouble = vec![Trouble::Flood {
+    world.faults = vec![Fault::Flood {
         at_s: 1.0,
         for_s: 8.0,
         customers: 30,
@@ -310,10 +323,10 @@
     let mean = |world: &World, of: &dyn Fn(&maplefall_model::Outcome) -> f64| {
         (0..6).map(|seed| of(&play(world, seed))).sum::<f64>() / 6.0
     };
-    let worth = |world: &World| mean(world, &|one| one.worth);
+    let served_value = |world: &World| mean(world, &|one| one.served_value);
     // Even shares lose by unevenness, and one that sees all does not.
     let even = World {
-        choice: Choice::LeastOut,
+        load_balancer: LoadBalancer::LeastOutstanding,
         uneven: 0.0,
         ..days()
     };
@@ -322,16 +335,16 @@
         ..even.clone()
     };
     assert!(
-        worth(&even) > worth(&uneven) + 0.05,
+        served_value(&even) > served_value(&uneven) + 0.05,
         "{} {}",
-        worth(&even),
-        worth(&uneven)
+        served_value(&even),
+        served_value(&uneven)
     );
     let seen = World {
-        choice: Choice::Oracle,
+        load_balancer: LoadBalancer::Oracle,
         ..uneven
     };
-    assert!(worth(&seen) > 0.97, "{}", worth(&seen));
+    assert!(served_value(&seen) > 0.97, "{}", served_value(&seen));
     // Slices rise where a meter would tell of too much, so that uneven customers get more of their quotas.
     let metered = World {
         uneven: 0.6,
@@ -342,41 +355,44 @@
         ..metered.clone()
     };
     assert!(
-        worth(&metered) > worth(&blind) + 0.02,
+        served_value(&metered) > served_value(&blind) + 0.02,
         "{} {}",
-        worth(&metered),
-        worth(&blind)
+        served_value(&metered),
+        served_value(&blind)
     );
     // Backends of other zones are left alone where crossing has a price.
     let free = World {
         zones: 2,
-        cross_ms: [0.0, 0.0],
+        cross_zone_ms: [0.0, 0.0],
         ..days()
     };
     let dear = World {
-        cross_price: 0.05,
+        cross_zone_price: 0.05,
         ..free.clone()
     };
-    let crossings = |world: &World| mean(world, &|one| one.crossings);
+    let cross_zone_attempts = |world: &World| mean(world, &|one| one.cross_zone_attempts);
     assert!(
-        crossings(&free) > 2.0 * crossings(&dear),
+        cross_zone_attempts(&free) > 2.0 * cross_zone_attempts(&dear),
         "{} {}",
-        crossings(&free),
-        crossings(&dear)
+        cross_zone_attempts(&free),
+        cross_zone_attempts(&dear)
     );
     // A partition costs attempts, not answers.
-    let mut cut = World { doors: 2, ..days() };
-    cut.trouble = vec![Trouble::Partition {
+    let mut cut = World {
+        proxies: 2,
+        ..days()
+    };
+    cut.faults = vec![Fault::Partition {
         at_s: 2.0,
         for_s: 4.0,
-        doors: 1.0,
+        proxies: 1.0,
         backends: 0.5,
     }];
-    assert!(worth(&cut) > 0.5, "{}", worth(&cut));
+    assert!(served_value(&cut) > 0.5, "{}", served_value(&cut));
     assert!(mean(&cut, &|one| one.failed as f64) > mean(&days(), &|one| one.failed as f64));
-    // A lost zone comes back cold.
+    // A lost zone comes back warming up.
     let mut lost = World { zones: 3, ..days() };
-    lost.trouble = vec![Trouble::LoseZone {
+    lost.faults = vec![Fault::LoseZone {
         at_s: 3.0,
         for_s: 2.0,
         zone: 0,
@@ -412,13 +428,13 @@
     );
     let small = World::read(&text).expect("what is printed is a world");
     assert!(
-        small.trouble.is_empty() && small.doors == 1 && small.zones == 1,
+        small.faults.is_empty() && small.proxies == 1 && small.zones == 1,
         "{text}"
     );
     assert!(
-        play(&small, 1).beyond > 0.05
-            || play(&small, 2).beyond > 0.05
-            || play(&small, 3).beyond > 0.05
+        play(&small, 1).over_quota_units > 0.05
+            || play(&small, 2).over_quota_units > 0.05
+            || play(&small, 3).over_quota_units > 0.05
     );
     let none = model(&["search", &path, "--breaks", "ran_twice>0", "--seeds", "2"]);
     assert!(String::from_utf8_lossy(&none.stdout).starts_with("not seen"));
@@ -431,7 +447,7 @@
     }
 }
 
-/// The load of a world is its first tries in the order of their times, whoever decides.
+/// The load of a world is its client requests in the order of their times, whoever decides.
 #[test]
 fn the_load_of_a_world_goes_by_its_seed_alone() {
     let world = World {
@@ -439,7 +455,7 @@
         ..days()
     };
     let asks = maplefall_model::run::load(&world, 4);
-    assert_eq!(asks.len() as u64, play(&world, 4).first_tries);
+    assert_eq!(asks.len() as u64, play(&world, 4).client_requests);
     assert!(asks.windows(2).all(|pair| pair[0].at <= pair[1].at));
     assert!(asks
         .iter()
@@ -459,7 +475,7 @@
     );
 }
 
-/// A frontier's table has a row for each place, and what the bound does not cover is told.
+/// A frontier's table has a row for each place, and what the bound does not cover is notified.
 #[test]
 fn a_frontier_is_a_table_or_lines() {
     let path = file(
