--- a/crates/model/tests/frontier.rs
+++ b/crates/model/tests/frontier.rs
@@ -166,7 +166,10 @@
             let runs: Vec<_> = (1..=3).map(|seed| play(world, seed)).collect();
             let mean =
                 |of: fn(&maplefall_model::Outcome) -> f64| runs.iter().map(of).sum::<f64>() / 3.0;
-            let (served_value, over) = (mean(|one| one.served_value), mean(|one| one.over_quota_value));
+            let (served_value, over) = (
+                mean(|one| one.served_value),
+                mean(|one| one.over_quota_value),
+            );
             Point {
                 proxies,
                 uneven,
