--- a/crates/model/src/run/clients.rs
+++ b/crates/model/src/run/clients.rs
@@ -1,6 +1,7 @@
 //! Clients.
 
 use super::event::RunEvent;
+use super::quota::customer;
 use super::request::{ClientRequest, ProxyRequest};
 use super::Run;
 use maplefall_policy as policy;
@@ -299,4 +300,36 @@
         }
         self.forget_request(id);
     }
+
+    /// Makes a request of a flood and schedules the next, until the flood's end.
+    pub(super) fn continue_flood(&mut self, customer: usize, pause: f64, until: f64) {
+        if self.now < until {
+            let next = self.now + self.random.exponential(pause);
+            self.queue.push(
+                next,
+                RunEvent::FloodRequest {
+                    customer,
+                    pause,
+                    until,
+                },
+            );
+            self.start_client_request(customer);
+        } else {
+            self.customers[customer].through = 0;
+        }
+    }
+
+    /// Makes the request of a new customer and schedules the next one, until the end.
+    pub(super) fn continue_one_shots(&mut self, pause: f64, until: f64) {
+        if self.now < until {
+            let next = self.now + self.random.exponential(pause);
+            self.queue
+                .push(next, RunEvent::OneShotRequest { pause, until });
+            let plan = self.plans.draw(&mut self.random);
+            let home = self.random.below(self.world.proxies);
+            let one = customer(&self.settings, plan, home, self.now);
+            self.customers.push(one);
+            self.start_client_request(self.customers.len() - 1);
+        }
+    }
 }
--- a/crates/model/src/run/discovery.rs
+++ b/crates/model/src/run/discovery.rs
@@ -150,4 +150,13 @@
             );
         }
     }
+
+    /// Runs a proxy's agent, unless another time was set since.
+    pub(super) fn run_agent_if_due(&mut self, proxy: usize, at: f64) {
+        // Of several for one proxy the one that was set last counts.
+        if self.proxies[proxy].agent_due_at == at {
+            self.proxies[proxy].agent_due_at = f64::INFINITY;
+            self.run_agent(proxy);
+        }
+    }
 }
--- a/crates/model/src/run/faults.rs
+++ b/crates/model/src/run/faults.rs
@@ -1,4 +1,6 @@
-//! Faults.
+//! Faults: what the world's `[[trouble]]` tables do to proxies, agents, backends, customers and the network.
+//!
+//! Who is hit is drawn at the time of the fault, so that a run is a function of its world and seed alone.
 
 use super::event::RunEvent;
 use super::Run;
@@ -7,172 +9,205 @@
 use maplefall_policy::BackendEntry;
 
 impl Run<'_> {
-    pub(super) fn pick_fraction(&mut self, count: usize, fraction: f64) -> Vec<usize> {
+    /// Draws a fraction of `count` indexes, rounded up, without repetition.
+    fn pick_fraction(&mut self, count: usize, fraction: f64) -> Vec<usize> {
         self.pick(count, (fraction * count as f64).ceil() as usize)
     }
 
-    pub(super) fn pick(&mut self, count: usize, many: usize) -> Vec<usize> {
+    /// Draws up to `many` of `count` indexes without repetition.
+    fn pick(&mut self, count: usize, many: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..count).collect();
         (0..many.min(count))
             .map(|_| all.swap_remove(self.random.below(all.len())))
             .collect()
     }
 
+    /// Begins the fault of this index in the world.
     pub(super) fn inject_fault(&mut self, at: usize) {
-        match self.world.faults[at].clone() {
+        match self.world.faults[at] {
             Fault::RestartProxies {
                 fraction, down_ms, ..
-            } => {
-                for proxy in self.pick_fraction(self.proxies.len(), fraction) {
-                    // One that is down already, or has a time to come back at, is passed over.
-                    if !self.proxies[proxy].up || self.proxies[proxy].stopping {
-                        continue;
-                    }
-                    self.stop_proxy(proxy);
-                    let down = self.random.within(down_ms);
-                    self.queue
-                        .push(self.now + down, RunEvent::ProxyRestart(proxy));
-                }
-            }
+            } => self.restart_proxies(fraction, down_ms),
             Fault::RollProxies {
                 over_s,
                 stop_ms,
                 down_ms,
                 ..
-            } => {
-                for proxy in 0..self.proxies.len() {
-                    let when = self.now + self.random.within([0.0, over_s * 1000.0]);
-                    let down_ms = self.random.within(down_ms);
-                    self.queue.push(
-                        when,
-                        RunEvent::ProxyStopping {
-                            proxy,
-                            stop_ms,
-                            down_ms,
-                        },
-                    );
-                }
-            }
+            } => self.roll_proxies(over_s, stop_ms, down_ms),
             Fault::MoveAgents {
                 over_s,
                 close_ms,
                 lag_ms,
                 ..
-            } => {
-                for proxy in 0..self.proxies.len() {
-                    let when = self.now + self.random.within([0.0, over_s * 1000.0]);
-                    let lag_ms = self.random.within(lag_ms);
-                    self.queue.push(
-                        when,
-                        RunEvent::AgentMoved {
-                            proxy,
-                            close_ms,
-                            lag_ms,
-                        },
-                    );
-                }
-            }
+            } => self.move_agents(over_s, close_ms, lag_ms),
             Fault::SilenceAgents {
                 for_s,
                 fraction,
                 dead,
                 ..
-            } => {
-                let (now, until) = (self.now, self.now + for_s * 1000.0);
-                for proxy in self.pick_fraction(self.proxies.len(), fraction) {
-                    if let Some(agent) = &mut self.proxies[proxy].agent {
-                        agent.silence(now, until, dead);
-                    }
-                    self.schedule_agent(proxy);
-                }
-            }
+            } => self.silence_agents(for_s, fraction, dead),
             Fault::ReplaceBackends {
                 fraction, over_s, ..
-            } => {
-                let up: Vec<usize> = (0..self.backends.len())
-                    .filter(|at| self.backends[*at].up)
-                    .collect();
-                for at in self.pick_fraction(up.len(), fraction) {
-                    let when = self.now + self.random.within([0.0, over_s * 1000.0]);
-                    self.queue.push(when, RunEvent::BackendDrain(up[at]));
-                }
-            }
+            } => self.replace_backends(fraction, over_s),
             Fault::SlowBackends {
                 fraction,
                 speed,
                 for_s,
                 ..
-            } => {
-                for backend in self.pick_fraction(self.backends.len(), fraction) {
-                    self.backends[backend].speed *= speed;
-                    self.queue.push(
-                        self.now + for_s * 1000.0,
-                        RunEvent::BackendSpeed(backend, 1.0 / speed),
-                    );
-                }
-            }
+            } => self.slow_backends(fraction, speed, for_s),
             Fault::Flood {
                 for_s,
                 customers,
                 times,
                 through,
                 ..
-            } => {
-                let until = self.now + for_s * 1000.0;
-                for customer in self.pick(self.world.customers, customers) {
-                    let rate = self.settings.plans[self.customers[customer].plan].rate;
-                    let pause = 1000.0 * self.world.units / (rate * times).max(1e-9);
-                    self.customers[customer].through = through;
-                    let next = self.now + self.random.exponential(pause);
-                    self.queue.push(
-                        next,
-                        RunEvent::FloodRequest {
-                            customer,
-                            pause,
-                            until,
-                        },
-                    );
-                }
-            }
-            Fault::OneShots { for_s, share, .. } => {
-                let pause = 1000.0 / (share * self.rate).max(1e-9);
-                let until = self.now + for_s * 1000.0;
-                self.queue
-                    .push(self.now + pause, RunEvent::OneShotRequest { pause, until });
-            }
+            } => self.start_floods(for_s, customers, times, through),
+            Fault::OneShots { for_s, share, .. } => self.start_one_shots(for_s, share),
             Fault::Partition {
                 for_s,
                 proxies,
                 backends,
                 ..
-            } => {
-                let proxies = self
-                    .pick_fraction(self.proxies.len(), proxies)
-                    .into_iter()
-                    .collect();
-                let backends = self
-                    .pick_fraction(self.backends.len(), backends)
-                    .into_iter()
-                    .collect();
-                self.partition = Some((proxies, backends));
-                self.queue
-                    .push(self.now + for_s * 1000.0, RunEvent::PartitionHealed);
+            } => self.partition_network(for_s, proxies, backends),
+            Fault::LoseZone { for_s, zone, .. } => self.lose_zone(for_s, zone),
+        }
+    }
+
+    /// Kills a fraction of the proxies; each comes back after a drawn time.
+    fn restart_proxies(&mut self, fraction: f64, down_ms: [f64; 2]) {
+        for proxy in self.pick_fraction(self.proxies.len(), fraction) {
+            // One that is down already, or has a time to come back at, is passed over.
+            if !self.proxies[proxy].up || self.proxies[proxy].stopping {
+                continue;
             }
-            Fault::LoseZone { for_s, zone, .. } => {
-                let lost: Vec<usize> = (0..self.backends.len())
-                    .filter(|at| at % self.world.zones == zone && self.backends[*at].up)
-                    .collect();
-                for backend in &lost {
-                    self.kill_backend(*backend);
-                    let gone_entry = BackendEntry {
-                        availability: policy::Availability::Gone,
-                        ..self.backend_entry(*backend, None)
-                    };
-                    self.publish_change(&[gone_entry]);
-                }
-                self.queue
-                    .push(self.now + for_s * 1000.0, RunEvent::BackendsRestart(lost));
+            self.stop_proxy(proxy);
+            let down = self.random.within(down_ms);
+            self.queue
+                .push(self.now + down, RunEvent::ProxyRestart(proxy));
+        }
+    }
+
+    /// Stops and starts all proxies, each at a drawn time.
+    fn roll_proxies(&mut self, over_s: f64, stop_ms: f64, down_ms: [f64; 2]) {
+        for proxy in 0..self.proxies.len() {
+            let when = self.now + self.random.within([0.0, over_s * 1000.0]);
+            let down_ms = self.random.within(down_ms);
+            self.queue.push(
+                when,
+                RunEvent::ProxyStopping {
+                    proxy,
+                    stop_ms,
+                    down_ms,
+                },
+            );
+        }
+    }
+
+    /// Moves discovery: each proxy is notified at a drawn time.
+    fn move_agents(&mut self, over_s: f64, close_ms: f64, lag_ms: [f64; 2]) {
+        for proxy in 0..self.proxies.len() {
+            let when = self.now + self.random.within([0.0, over_s * 1000.0]);
+            let lag_ms = self.random.within(lag_ms);
+            self.queue.push(
+                when,
+                RunEvent::AgentMoved {
+                    proxy,
+                    close_ms,
+                    lag_ms,
+                },
+            );
+        }
+    }
+
+    /// Lets a fraction of the agents send nothing for a while.
+    fn silence_agents(&mut self, for_s: f64, fraction: f64, dead: bool) {
+        let (now, until) = (self.now, self.now + for_s * 1000.0);
+        for proxy in self.pick_fraction(self.proxies.len(), fraction) {
+            if let Some(agent) = &mut self.proxies[proxy].agent {
+                agent.silence(now, until, dead);
             }
+            self.schedule_agent(proxy);
+        }
+    }
+
+    /// Drains a fraction of the running backends, each at a drawn time.
+    fn replace_backends(&mut self, fraction: f64, over_s: f64) {
+        let up: Vec<usize> = (0..self.backends.len())
+            .filter(|at| self.backends[*at].up)
+            .collect();
+        for at in self.pick_fraction(up.len(), fraction) {
+            let when = self.now + self.random.within([0.0, over_s * 1000.0]);
+            self.queue.push(when, RunEvent::BackendDrain(up[at]));
+        }
+    }
+
+    /// Slows a fraction of the backends for a while.
+    fn slow_backends(&mut self, fraction: f64, speed: f64, for_s: f64) {
+        for backend in self.pick_fraction(self.backends.len(), fraction) {
+            self.backends[backend].speed *= speed;
+            self.queue.push(
+                self.now + for_s * 1000.0,
+                RunEvent::BackendSpeed(backend, 1.0 / speed),
+            );
+        }
+    }
+
+    /// Starts floods of some customers beside their usual requests.
+    fn start_floods(&mut self, for_s: f64, customers: usize, times: f64, through: usize) {
+        let until = self.now + for_s * 1000.0;
+        for customer in self.pick(self.world.customers, customers) {
+            let rate = self.settings.plans[self.customers[customer].plan].rate;
+            let pause = 1000.0 * self.world.units / (rate * times).max(1e-9);
+            self.customers[customer].through = through;
+            let next = self.now + self.random.exponential(pause);
+            self.queue.push(
+                next,
+                RunEvent::FloodRequest {
+                    customer,
+                    pause,
+                    until,
+                },
+            );
+        }
+    }
+
+    /// Starts requests of customers that come once.
+    fn start_one_shots(&mut self, for_s: f64, share: f64) {
+        let pause = 1000.0 / (share * self.rate).max(1e-9);
+        let until = self.now + for_s * 1000.0;
+        self.queue
+            .push(self.now + pause, RunEvent::OneShotRequest { pause, until });
+    }
+
+    /// Parts a fraction of the proxies from a fraction of the backends.
+    fn partition_network(&mut self, for_s: f64, proxy_fraction: f64, backend_fraction: f64) {
+        let proxies = self
+            .pick_fraction(self.proxies.len(), proxy_fraction)
+            .into_iter()
+            .collect();
+        let backends = self
+            .pick_fraction(self.backends.len(), backend_fraction)
+            .into_iter()
+            .collect();
+        self.partition = Some((proxies, backends));
+        self.queue
+            .push(self.now + for_s * 1000.0, RunEvent::PartitionHealed);
+    }
+
+    /// Kills the backends of a zone; they start again later.
+    fn lose_zone(&mut self, for_s: f64, zone: usize) {
+        let lost: Vec<usize> = (0..self.backends.len())
+            .filter(|at| at % self.world.zones == zone && self.backends[*at].up)
+            .collect();
+        for backend in &lost {
+            self.kill_backend(*backend);
+            let gone_entry = BackendEntry {
+                availability: policy::Availability::Gone,
+                ..self.backend_entry(*backend, None)
+            };
+            self.publish_change(&[gone_entry]);
         }
+        self.queue
+            .push(self.now + for_s * 1000.0, RunEvent::BackendsRestart(lost));
     }
 }
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -1,5 +1,6 @@
 //! One run: the world's clock, the network, clients and faults round the proxies.
 
+mod attempt;
 mod backends;
 mod clients;
 mod discovery;
@@ -20,9 +21,9 @@
 use crate::world::World;
 use event::RunEvent;
 use maplefall_policy as policy;
-use maplefall_policy::{Action, Event};
+use maplefall_policy::Action;
 use proxy::Proxy;
-use quota::{customer, Customer};
+use quota::Customer;
 use request::{Attempt, ClientRequest, ProxyRequest};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -122,7 +123,8 @@
 }
 
 impl Run<'_> {
-    pub(super) fn run_events(&mut self) {
+    /// Handles events in the order of their times until none is left.
+    fn run_events(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
             self.outcome.events += 1;
@@ -149,11 +151,7 @@
                     proxy,
                     incarnation,
                     alarm,
-                } => {
-                    if self.proxies[proxy].up && self.proxies[proxy].incarnation == incarnation {
-                        self.deliver_event(proxy, Event::Alarm(alarm));
-                    }
-                }
+                } => self.fire_alarm(proxy, incarnation, alarm),
                 RunEvent::EndpointsChanged { proxy, entries } => {
                     self.update_endpoints(proxy, entries)
                 }
@@ -161,13 +159,7 @@
                     self.update_agent(proxy, at, version)
                 }
                 RunEvent::Notified { proxy, version } => self.mark_notified(proxy, version),
-                RunEvent::AgentDue { proxy, at } => {
-                    // Of several for one proxy the one that was set last counts.
-                    if self.proxies[proxy].agent_due_at == at {
-                        self.proxies[proxy].agent_due_at = f64::INFINITY;
-                        self.run_agent(proxy);
-                    }
-                }
+                RunEvent::AgentDue { proxy, at } => self.run_agent_if_due(proxy, at),
                 RunEvent::AgentMoved {
                     proxy,
                     close_ms,
@@ -177,22 +169,8 @@
                     proxy,
                     stop_ms,
                     down_ms,
-                } => {
-                    if self.proxies[proxy].up && !self.proxies[proxy].stopping {
-                        self.proxies[proxy].stopping = true;
-                        self.queue.push(
-                            self.now + stop_ms,
-                            RunEvent::ProxyStopped { proxy, down_ms },
-                        );
-                    }
-                }
-                RunEvent::ProxyStopped { proxy, down_ms } => {
-                    if self.proxies[proxy].stopping {
-                        self.stop_proxy(proxy);
-                        self.queue
-                            .push(self.now + down_ms, RunEvent::ProxyRestart(proxy));
-                    }
-                }
+                } => self.begin_proxy_stop(proxy, stop_ms, down_ms),
+                RunEvent::ProxyStopped { proxy, down_ms } => self.end_proxy_stop(proxy, down_ms),
                 RunEvent::Fault(at) => self.inject_fault(at),
                 RunEvent::ProxyRestart(proxy) => self.restart_proxy(proxy),
                 RunEvent::BackendDrain(backend) => self.drain_backend(backend),
@@ -202,35 +180,9 @@
                     customer,
                     pause,
                     until,
-                } => {
-                    if self.now < until {
-                        let next = self.now + self.random.exponential(pause);
-                        self.queue.push(
-                            next,
-                            RunEvent::FloodRequest {
-                                customer,
-                                pause,
-                                until,
-                            },
-                        );
-                        self.start_client_request(customer);
-                    } else {
-                        self.customers[customer].through = 0;
-                    }
-                }
+                } => self.continue_flood(customer, pause, until),
                 RunEvent::SpikeStart(customer) => self.start_spike(customer),
-                RunEvent::OneShotRequest { pause, until } => {
-                    if self.now < until {
-                        let next = self.now + self.random.exponential(pause);
-                        self.queue
-                            .push(next, RunEvent::OneShotRequest { pause, until });
-                        let plan = self.plans.draw(&mut self.random);
-                        let home = self.random.below(self.world.proxies);
-                        let one = customer(&self.settings, plan, home, self.now);
-                        self.customers.push(one);
-                        self.start_client_request(self.customers.len() - 1);
-                    }
-                }
+                RunEvent::OneShotRequest { pause, until } => self.continue_one_shots(pause, until),
                 RunEvent::PartitionHealed => self.partition = None,
                 RunEvent::BackendsRestart(backends) => self.restart_backends(backends),
             }
--- a/crates/model/src/run/proxy.rs
+++ b/crates/model/src/run/proxy.rs
@@ -1,7 +1,10 @@
-//! Proxies.
+//! Proxies: they hand requests to their decision module, carry out its actions, and are stopped and started again.
+//!
+//! A proxy's `incarnation` grows with each stop, so that what is still on its way for an earlier one (requests, alarms, ends of
+//! attempts) is told apart from what is for this one.
 
 use super::event::RunEvent;
-use super::request::{Attempt, ClientRequest};
+use super::request::ClientRequest;
 use super::Run;
 use crate::agent::ProxyAgent;
 use crate::backend::Backend;
@@ -9,7 +12,7 @@
 use crate::world::LoadBalancer;
 use maplefall_policy as policy;
 use maplefall_policy::{
-    Action, BackendEntry, BackendId, ClassId, CustomerId, Event, PlanId, RequestId,
+    Action, AlarmId, BackendEntry, BackendId, ClassId, CustomerId, Event, PlanId, RequestId,
 };
 use std::collections::BTreeMap;
 
@@ -155,183 +158,6 @@
         }
     }
 
-    pub(super) fn send(&mut self, proxy: usize, id: u32, backend: usize, limit: Option<f64>) {
-        let now = self.now;
-        let Some(one) = self.proxy_requests.get_mut(&id) else {
-            return;
-        };
-        let number = one.attempts_sent;
-        one.attempts_sent += 1;
-        self.next_attempt += 1;
-        let attempt = self.next_attempt;
-        one.pending_attempt = Some(attempt);
-        let (client_request, incarnation) = (one.client_request, one.incarnation);
-        let customer = self.client_requests[client_request].customer;
-        if number == 0 {
-            let units = self.client_requests[client_request].units;
-            let within_quota = self.has_quota(customer, units);
-            let plan = self.settings.plans[self.customers[customer].plan].clone();
-            let period = if self.world.meter_ms > 0.0 {
-                (now / self.world.meter_ms) as u64
-            } else {
-                0
-            };
-            let held = &mut self.customers[customer];
-            if within_quota {
-                held.bucket.tokens -= units;
-                self.client_requests[client_request].admitted = true;
-            } else {
-                self.over_quota_units += units;
-                let value = self.world.class[self.client_requests[client_request].class].value
-                    * plan.price
-                    * units;
-                self.outcome.over_quota_value_by_plan[held.plan] += value;
-                if let Some(group) = self.groups.get(customer) {
-                    self.outcome.over_quota_units_by_demand[*group] += units;
-                }
-            }
-            held.meter(period, units);
-            if let Some(ceiling) = plan.ceiling {
-                held.ceiling.holds(now, ceiling.rate, ceiling.burst, units);
-                held.ceiling.tokens -= units;
-                self.outcome.over_ceiling += u64::from(held.ceiling.tokens < -ceiling.slack);
-            }
-            if let Some(one) = self.proxy_requests.get_mut(&id) {
-                one.within_quota = within_quota;
-            }
-        }
-        self.customers[customer].open += 1;
-        self.sent += 1;
-        let late = self.proxies[proxy]
-            .notified
-            .get(&backend)
-            .is_some_and(|notified| now > notified.0 + self.world.drain_grace_ms);
-        self.outcome.late_sends += u64::from(late);
-        let used = self.proxies[proxy].connected.insert(backend, now);
-        let mut dials = false;
-        let mut delay = self.network_delay(proxy, backend);
-        self.cross_zone_attempts += u64::from(self.crosses_zones(proxy, backend));
-        if used.is_none_or(|used| now - used > self.world.idle_ms) {
-            self.handshakes += 1;
-            delay += self.world.handshake_ms;
-            if self.is_partitioned(proxy, backend) {
-                self.proxies[proxy].connected.remove(&backend);
-                dials = true;
-            }
-        }
-        let at_backend = true;
-        let one = Attempt {
-            id,
-            number,
-            backend,
-            proxy,
-            incarnation,
-            sent: now,
-            client_request,
-            reported: false,
-            at_backend,
-        };
-        self.attempts.insert(attempt, one);
-        if dials {
-            self.detach_from_backend(attempt);
-            let failed = RunEvent::AttemptEnded(attempt, policy::Outcome::ConnectFailed);
-            self.queue.push(now + self.world.connect_timeout_ms, failed);
-        } else {
-            self.queue
-                .push(now + delay, RunEvent::BackendReceives(attempt));
-        }
-        if let Some(limit) = limit.filter(|limit| limit.is_finite()) {
-            self.queue
-                .push(now + limit, RunEvent::AttemptTimeout(attempt));
-        }
-    }
-
-    /// An attempt ends for its proxy, once.
-    pub(super) fn end_attempt(&mut self, attempt: u64, outcome: policy::Outcome) {
-        let Some(one) = self.attempts.get_mut(&attempt) else {
-            return;
-        };
-        let over = one.reported;
-        one.reported = true;
-        let one = one.clone();
-        if !one.at_backend {
-            self.attempts.remove(&attempt);
-        }
-        if over {
-            return;
-        }
-        let alive =
-            self.proxies[one.proxy].up && self.proxies[one.proxy].incarnation == one.incarnation;
-        let (customer, units, true_units) = {
-            let client_request = &self.client_requests[one.client_request];
-            (
-                client_request.customer,
-                client_request.units,
-                client_request.true_units,
-            )
-        };
-        let served = outcome == policy::Outcome::Ok;
-        self.customers[customer].open = self.customers[customer].open.saturating_sub(1);
-        if served
-            && self
-                .proxy_requests
-                .get(&one.id)
-                .is_some_and(|held| held.within_quota && !held.answered)
-        {
-            let burst = self.settings.plans[self.customers[customer].plan].burst;
-            let bucket = &mut self.customers[customer].bucket;
-            bucket.tokens = (bucket.tokens + units - true_units).min(burst);
-        }
-        let answers = matches!(
-            outcome,
-            policy::Outcome::Ok | policy::Outcome::Error | policy::Outcome::Full
-        );
-        let use_of_quota = if answers {
-            self.quota_use(customer)
-        } else {
-            None
-        };
-        if let Some(held) = self.proxy_requests.get_mut(&one.id) {
-            held.pending_attempt = None;
-        }
-        if !alive {
-            return self.forget_request(one.id);
-        }
-        if outcome == policy::Outcome::Ok
-            && self
-                .proxy_requests
-                .get(&one.id)
-                .is_some_and(|held| !held.answered)
-        {
-            self.answer_client(one.id, true, None, None);
-        }
-        let closed = self
-            .proxy_requests
-            .get(&one.id)
-            .is_none_or(|held| held.answered);
-        let reported = policy::Settled {
-            request: RequestId(one.id),
-            attempt: one.number,
-            backend: BackendId(one.backend as u32),
-            outcome,
-            elapsed: self.now - one.sent,
-            closed,
-            use_of_quota,
-            true_units: (served && self.world.estimate_cv > 0.0).then_some(true_units),
-            report: policy::Report::default(),
-            broken: 0,
-        };
-        if self.world.load_balancer == LoadBalancer::Oracle {
-            if !closed {
-                let full = (outcome == policy::Outcome::Full).then_some(policy::Reason::Attempts);
-                self.answer_client(one.id, false, None, full);
-            }
-        } else {
-            self.deliver_event(one.proxy, Event::Settled(reported));
-        }
-        self.forget_request(one.id);
-    }
-
     pub(super) fn update_endpoints(&mut self, proxy: usize, entries: Vec<BackendEntry>) {
         for entry in &entries {
             let at = entry.id.0 as usize;
@@ -386,4 +212,31 @@
         let endpoints = old.endpoints.values().copied().collect();
         self.deliver_event(proxy, Event::Backends(policy::ListKind::Cached, endpoints));
     }
+
+    /// Delivers an alarm to the incarnation that set it, if it still runs.
+    pub(super) fn fire_alarm(&mut self, proxy: usize, incarnation: u32, alarm: AlarmId) {
+        if self.proxies[proxy].up && self.proxies[proxy].incarnation == incarnation {
+            self.deliver_event(proxy, Event::Alarm(alarm));
+        }
+    }
+
+    /// Begins an orderly stop: the proxy takes nothing new and goes on with what it has for `stop_ms`.
+    pub(super) fn begin_proxy_stop(&mut self, proxy: usize, stop_ms: f64, down_ms: f64) {
+        if self.proxies[proxy].up && !self.proxies[proxy].stopping {
+            self.proxies[proxy].stopping = true;
+            self.queue.push(
+                self.now + stop_ms,
+                RunEvent::ProxyStopped { proxy, down_ms },
+            );
+        }
+    }
+
+    /// Ends an orderly stop; the proxy starts again after `down_ms`.
+    pub(super) fn end_proxy_stop(&mut self, proxy: usize, down_ms: f64) {
+        if self.proxies[proxy].stopping {
+            self.stop_proxy(proxy);
+            self.queue
+                .push(self.now + down_ms, RunEvent::ProxyRestart(proxy));
+        }
+    }
 }
