--- a/crates/model/src/agent.rs
+++ b/crates/model/src/agent.rs
@@ -1,5 +1,5 @@
 //! Discovery's agents, one beside each proxy: what each knows of the list, when it speaks, and where the proxy follows it. The
-//! real follower and roster stand between an agent's words and the decision module; this file plays the other end.
+//! real follower and membership stand between an agent's words and the decision module; this file plays the other end.
 
 use maplefall_discovery_agent::{
     CallId, Follower, Heard, Output, Settings, What, HEARTBEAT, TOLD_WITHIN,
@@ -102,12 +102,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Call {
     id: CallId,
-    place: usize,
+    address: usize,
     what: What,
     /// The version that it has been notified, once it has been answered.
-    told: Option<u64>,
+    sent_version: Option<u64>,
     /// When something was last said on it.
-    said: f64,
+    sent_at: f64,
     /// Its other end has vanished without a word.
     dead: bool,
 }
@@ -116,27 +116,27 @@
 #[derive(Debug)]
 pub struct ProxyAgent {
     follower: Follower,
-    roster: Roster,
+    membership: Roster,
     calls: Vec<Call>,
     /// Versions that the agent knows at each place.
-    knows: [u64; 2],
+    versions: [u64; 2],
     /// Where it is.
-    place: usize,
+    address: usize,
     /// When the first place closes for good.
     closes_at: f64,
-    silent_until: f64,
+    paused_until: f64,
     /// Whether what it is asked while it is silent is never answered.
-    deaf: bool,
+    drops_calls: bool,
     /// The last version that has been said to the proxy.
-    said: u64,
+    sent_version: u64,
 }
 
-fn place(at: usize) -> SocketAddr {
+fn address(at: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 8500 + at as u16))
 }
 
 fn follower(known: Members, seed: u64, at: usize, now: f64) -> Follower {
-    let places = vec![place(at)];
+    let places = vec![address(at)];
     Follower::new(
         Settings {
             source: 0,
@@ -156,48 +156,48 @@
     pub fn new(history: &EndpointHistory, seed: u64, now: f64) -> ProxyAgent {
         let knows = history.version();
         let known = history.answer(None, knows);
-        let mut roster = Roster::new(vec![SourceSettings::trusted("agent")]);
-        roster.recall(now, 0, &known);
+        let mut membership = Roster::new(vec![SourceSettings::trusted("agent")]);
+        membership.recall(now, 0, &known);
         ProxyAgent {
             follower: follower(known, seed, 0, now),
-            roster,
+            membership,
             calls: Vec::new(),
-            knows: [knows; 2],
-            place: 0,
+            versions: [knows; 2],
+            address: 0,
             closes_at: f64::INFINITY,
-            silent_until: 0.0,
-            deaf: false,
-            said: knows,
+            paused_until: 0.0,
+            drops_calls: false,
+            sent_version: knows,
         }
     }
 
     /// The proxy starts again with the list that it last had.
     pub fn restart(&mut self, seed: u64, now: f64) {
-        let hosts = self.roster.members().cloned().collect();
+        let hosts = self.membership.members().cloned().collect();
         let known = Members {
-            seq: self.said,
+            seq: self.sent_version,
             whole: true,
             hosts,
         };
-        self.roster = Roster::new(vec![SourceSettings::trusted("agent")]);
-        self.roster.recall(now, 0, &known);
+        self.membership = Roster::new(vec![SourceSettings::trusted("agent")]);
+        self.membership.recall(now, 0, &known);
         self.calls.clear();
-        self.follower = follower(known, seed, self.place, now);
+        self.follower = follower(known, seed, self.address, now);
     }
 
     /// The agent hears of a version at a place.
-    pub fn learn(&mut self, at: usize, version: u64) {
-        self.knows[at] = self.knows[at].max(version);
+    pub fn set_version(&mut self, at: usize, version: u64) {
+        self.versions[at] = self.versions[at].max(version);
     }
 
     /// The version that the agent has where it is now.
     pub fn version(&self) -> u64 {
-        self.knows[self.place]
+        self.versions[self.address]
     }
 
     /// Where the agent is now.
-    pub fn place(&self) -> usize {
-        self.place
+    pub fn address_index(&self) -> usize {
+        self.address
     }
 
     /// When what it has at `now` counts as notified: at once, or where it is silent once it speaks, and where its watch has lost
@@ -205,49 +205,49 @@
     pub fn notified_at(&self, now: f64) -> f64 {
         let latest = now + TOLD_WITHIN;
         let lost = !self.calls.is_empty() && self.calls.iter().all(|call| call.dead);
-        if lost && !self.deaf {
+        if lost && !self.drops_calls {
             latest
         } else {
-            self.silent_until.min(latest).max(now)
+            self.paused_until.min(latest).max(now)
         }
     }
 
     /// It says nothing until then; with `dead` the open calls stay silent for good, and so do those that are made meanwhile.
-    pub fn silence(&mut self, now: f64, until: f64, dead: bool) {
-        self.silent_until = until;
-        self.deaf = dead && until > now;
+    pub fn pause(&mut self, now: f64, until: f64, dead: bool) {
+        self.paused_until = until;
+        self.drops_calls = dead && until > now;
         self.calls.iter_mut().for_each(|call| call.dead |= dead);
     }
 
     /// Discovery moves: the agent answers elsewhere, with what was known up to `knows`, and where it was it goes on for a while.
-    pub fn moved(&mut self, now: f64, knows: u64, close_ms: f64) {
-        (self.place, self.knows[1], self.closes_at) = (1, knows, now + close_ms);
+    pub fn move_to_second(&mut self, now: f64, knows: u64, close_ms: f64) {
+        (self.address, self.versions[1], self.closes_at) = (1, knows, now + close_ms);
     }
 
     /// The proxy is notified of the move.
     pub fn notify_move(&mut self, now: f64) -> Vec<BackendEntry> {
-        let out = self.follower.moved(now, place(self.place));
-        self.carry_out(now, out)
+        let outputs = self.follower.moved(now, address(self.address));
+        self.handle_outputs(now, outputs)
     }
 
     /// When something comes due here by itself.
     pub fn next_due(&self, now: f64) -> Option<f64> {
-        let speaks = |call: &Call| match call.told {
+        let message_due = |call: &Call| match call.sent_version {
             _ if call.dead => None,
-            Some(told) if told == self.knows[call.place] => Some(call.said + HEARTBEAT),
+            Some(sent) if sent == self.versions[call.address] => Some(call.sent_at + HEARTBEAT),
             _ => Some(now),
         };
-        let words = self
+        let messages = self
             .calls
             .iter()
-            .filter_map(speaks)
-            .map(|at| at.max(self.silent_until));
+            .filter_map(message_due)
+            .map(|at| at.max(self.paused_until));
         let closes = self
             .calls
             .iter()
-            .filter(|call| call.place == 0)
+            .filter(|call| call.address == 0)
             .map(|_| self.closes_at);
-        let due = words
+        let due = messages
             .chain(closes)
             .chain(self.follower.next_due())
             .min_by(f64::total_cmp);
@@ -255,63 +255,63 @@
     }
 
     /// Says and does all that is due; what comes out is for the decision module.
-    pub fn go_on(&mut self, now: f64, history: &EndpointHistory) -> Vec<BackendEntry> {
+    pub fn run_until(&mut self, now: f64, history: &EndpointHistory) -> Vec<BackendEntry> {
         let mut entries = Vec::new();
         while self.follower.next_due().is_some_and(|due| due <= now) {
-            let out = self.follower.tick(now);
-            entries.extend(self.carry_out(now, out));
+            let outputs = self.follower.tick(now);
+            entries.extend(self.handle_outputs(now, outputs));
         }
         if now >= self.closes_at {
             let closed: Vec<CallId> = self
                 .calls
                 .iter()
-                .filter(|c| c.place == 0)
+                .filter(|c| c.address == 0)
                 .map(|c| c.id)
                 .collect();
             for call in closed {
                 entries.extend(self.end(now, call, "closed"));
             }
         }
-        while let Some((call, text)) = self.next_word(now, history) {
-            let out = self.follower.heard_of(now, call, Heard::Line(text));
-            entries.extend(self.carry_out(now, out));
+        while let Some((call, text)) = self.next_message(now, history) {
+            let outputs = self.follower.heard_of(now, call, Heard::Line(text));
+            entries.extend(self.handle_outputs(now, outputs));
             let whole = self
                 .calls
                 .iter()
                 .any(|open| open.id == call && open.what == What::Whole);
             if whole {
                 self.calls.retain(|open| open.id != call);
-                let out = self.follower.heard_of(
+                let outputs = self.follower.heard_of(
                     now,
                     call,
                     Heard::Ended(maplefall_discovery_agent::End::Whole),
                 );
-                entries.extend(self.carry_out(now, out));
+                entries.extend(self.handle_outputs(now, outputs));
             }
         }
         entries
     }
 
     /// What is said next, if anything is.
-    fn next_word(&mut self, now: f64, history: &EndpointHistory) -> Option<(CallId, Vec<u8>)> {
-        if now < self.silent_until {
+    fn next_message(&mut self, now: f64, history: &EndpointHistory) -> Option<(CallId, Vec<u8>)> {
+        if now < self.paused_until {
             return None;
         }
         for call in self.calls.iter_mut().filter(|call| !call.dead) {
-            let knows = self.knows[call.place];
-            let news = call.told != Some(knows);
+            let knows = self.versions[call.address];
+            let changed = call.sent_version != Some(knows);
             // The same sum as in `next_due`: a difference may round to the other side.
-            if !news && now < call.said + HEARTBEAT {
+            if !changed && now < call.sent_at + HEARTBEAT {
                 continue;
             }
-            let from = call.told.or(match call.what {
+            let from = call.sent_version.or(match call.what {
                 What::Watch(from) => Some(from),
                 What::Whole => None,
             });
-            (call.told, call.said) = (Some(knows), now);
-            self.said = self.said.max(knows);
-            let text = if news {
-                line(&history.answer(from, knows))
+            (call.sent_version, call.sent_at) = (Some(knows), now);
+            self.sent_version = self.sent_version.max(knows);
+            let text = if changed {
+                encode(&history.answer(from, knows))
             } else {
                 Vec::new()
             };
@@ -322,41 +322,41 @@
 
     fn end(&mut self, now: f64, call: CallId, why: &str) -> Vec<BackendEntry> {
         self.calls.retain(|open| open.id != call);
-        let out = self.follower.heard_of(
+        let outputs = self.follower.heard_of(
             now,
             call,
             Heard::Ended(maplefall_discovery_agent::End::Broken(why.to_owned())),
         );
-        self.carry_out(now, out)
+        self.handle_outputs(now, outputs)
     }
 
-    fn carry_out(&mut self, now: f64, out: Vec<Output>) -> Vec<BackendEntry> {
+    fn handle_outputs(&mut self, now: f64, outputs: Vec<Output>) -> Vec<BackendEntry> {
         let mut entries = Vec::new();
-        for output in out {
+        for output in outputs {
             match output {
                 Output::Ask {
                     call,
                     place: to,
                     what,
                 } => {
-                    let at = usize::from(to == place(1));
+                    let at = usize::from(to == address(1));
                     // Nobody answers at a place that is closed, or not open yet.
-                    if (at == 0 && now >= self.closes_at) || at > self.place {
+                    if (at == 0 && now >= self.closes_at) || at > self.address {
                         entries.extend(self.end(now, call, "refused"));
                     } else {
                         self.calls.push(Call {
                             id: call,
-                            place: at,
+                            address: at,
                             what,
-                            told: None,
-                            said: now,
-                            dead: self.deaf && now < self.silent_until,
+                            sent_version: None,
+                            sent_at: now,
+                            dead: self.drops_calls && now < self.paused_until,
                         });
                     }
                 }
                 Output::HangUp(call) => self.calls.retain(|open| open.id != call),
                 Output::Tell(event) => {
-                    let update = self.roster.take(now, event);
+                    let update = self.membership.take(now, event);
                     entries.extend(update.changes.iter().filter_map(entry));
                 }
                 Output::Report(_) => {}
@@ -366,7 +366,7 @@
     }
 }
 
-fn line(members: &Members) -> Vec<u8> {
+fn encode(members: &Members) -> Vec<u8> {
     // Figures and text alone: this cannot fail, and an empty line says nothing.
     serde_json::to_vec(members).unwrap_or_default()
 }
--- a/crates/model/src/backend.rs
+++ b/crates/model/src/backend.rs
@@ -10,7 +10,7 @@
     /// Its work on a warm core, in milliseconds.
     pub work: f64,
     /// When it came.
-    pub came: f64,
+    pub arrived: f64,
 }
 
 /// What a backend is.
@@ -39,7 +39,7 @@
     pub drained: Option<f64>,
     /// Speed of a core against the usual one.
     pub speed: f64,
-    busy: usize,
+    busy_cores: usize,
     waiting: VecDeque<Job>,
     /// Work sent to it, in milliseconds of a warm core.
     pub work: f64,
@@ -51,9 +51,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobAdmission {
     /// It is worked on, until then.
-    Begun(f64),
+    Started(f64),
     /// It waits.
-    Waits,
+    Queued,
     /// It was rejected unseen.
     Full,
 }
@@ -67,7 +67,7 @@
             up: true,
             drained: None,
             speed,
-            busy: 0,
+            busy_cores: 0,
             waiting: VecDeque::new(),
             work: 0.0,
             recent: VecDeque::new(),
@@ -88,42 +88,42 @@
     }
 
     /// A job comes.
-    pub fn take(&mut self, job: Job, now: f64) -> JobAdmission {
-        if self.busy < self.shape.cores {
-            self.busy += 1;
+    pub fn admit(&mut self, job: Job, now: f64) -> JobAdmission {
+        if self.busy_cores < self.shape.cores {
+            self.busy_cores += 1;
             self.work += job.work;
-            return JobAdmission::Begun(now + self.time_of(&job, now));
+            return JobAdmission::Started(now + self.time_of(&job, now));
         }
         if self.waiting.len() >= self.shape.queue {
             return JobAdmission::Full;
         }
         self.work += job.work;
         self.waiting.push_back(job);
-        JobAdmission::Waits
+        JobAdmission::Queued
     }
 
     /// A core has become free: the next job, and when it will be done.
-    pub fn next(&mut self, now: f64) -> Option<(Job, f64)> {
+    pub fn start_next(&mut self, now: f64) -> Option<(Job, f64)> {
         match self.waiting.pop_front() {
             Some(job) => Some((job, now + self.time_of(&job, now))),
             None => {
-                self.busy = self.busy.saturating_sub(1);
+                self.busy_cores = self.busy_cores.saturating_sub(1);
                 None
             }
         }
     }
 
     /// Its process ends: what it held.
-    pub fn die(&mut self) -> usize {
-        let held = self.busy + self.waiting.len();
-        (self.up, self.busy) = (false, 0);
+    pub fn stop(&mut self) -> usize {
+        let in_flight = self.busy_cores + self.waiting.len();
+        (self.up, self.busy_cores) = (false, 0);
         self.waiting.clear();
-        held
+        in_flight
     }
 
     /// Requests in it.
-    pub fn holds(&self) -> usize {
-        self.busy + self.waiting.len()
+    pub fn in_flight(&self) -> usize {
+        self.busy_cores + self.waiting.len()
     }
 
     /// Whether what was sent to it while warming up is over the multiple of its present capacity within the window.
@@ -131,7 +131,7 @@
         &mut self,
         now: f64,
         work: f64,
-        multiple: f64,
+        factor: f64,
         window: f64,
         slack: f64,
     ) -> bool {
@@ -145,6 +145,6 @@
             self.recent.pop_front();
         }
         let sent: f64 = self.recent.iter().map(|(_, work)| work).sum();
-        sent > multiple * self.speed * capacity_fraction * self.shape.cores as f64 * window + slack
+        sent > factor * self.speed * capacity_fraction * self.shape.cores as f64 * window + slack
     }
 }
--- a/crates/model/src/balancer.rs
+++ b/crates/model/src/balancer.rs
@@ -34,7 +34,7 @@
     }
 
     /// Fills it up to now; whether it holds so many units.
-    pub fn holds(&mut self, now: Millis, rate: f64, burst: f64, units: f64) -> bool {
+    pub fn has(&mut self, now: Millis, rate: f64, burst: f64, units: f64) -> bool {
         self.tokens = (self.tokens + rate * (now - self.at) / 1000.0).min(burst);
         self.at = now;
         self.tokens >= units
@@ -45,7 +45,7 @@
 pub struct BaselinePolicy {
     load_balancer: LoadBalancer,
     admission: Admission,
-    set: Settings,
+    settings: Settings,
     random: RandomSource,
     ready: Vec<BackendId>,
     /// Attempts out at each.
@@ -53,7 +53,7 @@
     /// Where each request is.
     at: BTreeMap<RequestId, BackendId>,
     buckets: BTreeMap<CustomerId, TokenBucket>,
-    turn: usize,
+    next_index: usize,
 }
 
 impl BaselinePolicy {
@@ -61,24 +61,24 @@
     pub fn new(
         load_balancer: LoadBalancer,
         admission: Admission,
-        set: Settings,
+        settings: Settings,
         seed: u64,
     ) -> BaselinePolicy {
         BaselinePolicy {
             load_balancer,
             admission,
-            set,
+            settings,
             random: RandomSource::new(seed),
             ready: Vec::new(),
             in_flight: BTreeMap::new(),
             at: BTreeMap::new(),
             buckets: BTreeMap::new(),
-            turn: 0,
+            next_index: 0,
         }
     }
 
     fn admits(&mut self, now: Millis, request: &Request) -> bool {
-        let Some(plan) = self.set.plans.get(request.plan.0) else {
+        let Some(plan) = self.settings.plans.get(request.plan.0) else {
             return false;
         };
         let fractions = match self.admission {
@@ -89,17 +89,17 @@
         // A part of the burst holds one of the largest requests at least: else nothing would ever be admitted.
         let (rate, burst) = (
             plan.rate / fractions,
-            (plan.burst / fractions).max(self.set.max_units),
+            (plan.burst / fractions).max(self.settings.max_units),
         );
         let bucket = self
             .buckets
             .entry(request.customer)
             .or_insert(TokenBucket::full(burst, now));
-        let holds = bucket.holds(now, rate, burst, request.units);
-        if holds {
+        let has_units = bucket.has(now, rate, burst, request.units);
+        if has_units {
             bucket.tokens -= request.units;
         }
-        holds
+        has_units
     }
 
     fn choose(&mut self) -> Option<BackendId> {
@@ -113,8 +113,8 @@
                 self.random.below(count)
             }
             LoadBalancer::RoundRobin => {
-                self.turn = (self.turn + 1) % count;
-                self.turn
+                self.next_index = (self.next_index + 1) % count;
+                self.next_index
             }
             LoadBalancer::LeastOutstanding => {
                 let from = self.random.below(count);
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -167,7 +167,7 @@
             let runs = (seed..seed.saturating_add(seeds))
                 .map(|seed| (world.clone(), seed))
                 .collect();
-            tell(runs, jobs, |_, outcome| {
+            print_runs(runs, jobs, |_, outcome| {
                 serde_json::to_string(outcome).unwrap_or_default()
             })
         }
@@ -199,13 +199,13 @@
         } => {
             let base = read(&world)?;
             let named = |line: String| vec![format!("{}: {line}", world.display())];
-            let places: Vec<(usize, f64)> = proxies
+            let grid_points: Vec<(usize, f64)> = proxies
                 .iter()
                 .flat_map(|proxies| uneven.iter().map(move |uneven| (*proxies, *uneven)))
                 .collect();
             let mut bounds = Vec::new();
             let mut runs = Vec::new();
-            for (proxies, uneven) in &places {
+            for (proxies, uneven) in &grid_points {
                 let here = World {
                     proxies: *proxies,
                     uneven: *uneven,
@@ -220,7 +220,7 @@
                     runs.extend((1..=seeds.max(1)).map(|seed| (one.clone(), seed)));
                 }
             }
-            let outcomes = all(&runs, jobs);
+            let outcomes = run_all(&runs, jobs);
             let mut groups = outcomes.chunks(seeds.max(1) as usize);
             if !json {
                 println!("doors uneven | bound | module (worth, beyond) of bound | even | whole | oracle");
@@ -266,9 +266,9 @@
             runs,
         } => {
             let base = read(&world)?;
-            let looked_for =
-                Target::read(&breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
-            match search(&base, &looked_for, seeds, runs) {
+            let target =
+                Target::parse(&breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
+            match search(&base, &target, seeds, runs) {
                 Some(found) => {
                     eprintln!(
                         "{} at seed {} after {} runs",
@@ -284,8 +284,8 @@
             Ok(())
         }
         Command::Load { world, seed } => {
-            for ask in maplefall_model::run::load(&read(&world)?, seed) {
-                let line = serde_json::to_string(&ask).unwrap_or_default();
+            for request in maplefall_model::run::load(&read(&world)?, seed) {
+                let line = serde_json::to_string(&request).unwrap_or_default();
                 // A reader that has gone needs no more lines.
                 if writeln!(std::io::stdout(), "{line}").is_err() {
                     break;
@@ -305,7 +305,7 @@
                 .iter()
                 .flat_map(|world| (1..=seeds).map(move |seed| (world.clone(), seed)))
                 .collect::<Vec<_>>();
-            let outcomes = all(&runs, jobs);
+            let outcomes = run_all(&runs, jobs);
             let figures: Option<Vec<f64>> = outcomes
                 .iter()
                 .map(|outcome| outcome.field(&figure))
@@ -383,7 +383,7 @@
             );
         }
     }
-    tell(runs, jobs, move |at, outcome| {
+    print_runs(runs, jobs, move |at, outcome| {
         let mut line = serde_json::Map::new();
         for (field, value) in &points[at] {
             line.insert(
@@ -400,13 +400,13 @@
 }
 
 /// Plays all, and prints a line for each as soon as those before it are there; what is interrupted has printed what was done.
-fn tell(
+fn print_runs(
     runs: Vec<(World, u64)>,
     jobs: usize,
     line: impl Fn(usize, &Outcome) -> String + Sync,
 ) -> Result<(), Vec<String>> {
     let printed = Mutex::new((0usize, std::collections::BTreeMap::new()));
-    side_by_side(&runs, jobs, |at, outcome| {
+    run_in_parallel(&runs, jobs, |at, outcome| {
         let text = line(at, &outcome);
         let mut printed = printed
             .lock()
@@ -425,9 +425,9 @@
     Ok(())
 }
 
-fn all(runs: &[(World, u64)], jobs: usize) -> Vec<Outcome> {
+fn run_all(runs: &[(World, u64)], jobs: usize) -> Vec<Outcome> {
     let outcomes = Mutex::new(vec![Outcome::default(); runs.len()]);
-    side_by_side(runs, jobs, |at, outcome| {
+    run_in_parallel(runs, jobs, |at, outcome| {
         outcomes
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[at] = outcome;
@@ -438,7 +438,7 @@
 }
 
 /// Plays all on so many threads, each run alone on its own.
-fn side_by_side(runs: &[(World, u64)], jobs: usize, done: impl Fn(usize, Outcome) + Sync) {
+fn run_in_parallel(runs: &[(World, u64)], jobs: usize, done: impl Fn(usize, Outcome) + Sync) {
     let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..jobs.clamp(1, 64).min(runs.len()) {
--- a/crates/model/src/run/attempt.rs
+++ b/crates/model/src/run/attempt.rs
@@ -36,7 +36,7 @@
             self.charge_quota(id, client_request);
         }
         self.customers[customer].open += 1;
-        self.sent += 1;
+        self.attempts_sent += 1;
         self.count_late_send(proxy, backend);
         let connection = self.connect(proxy, backend);
         let sent = Attempt {
@@ -96,7 +96,7 @@
         if let Some(ceiling) = plan.ceiling {
             account
                 .ceiling
-                .holds(self.now, ceiling.rate, ceiling.burst, units);
+                .has(self.now, ceiling.rate, ceiling.burst, units);
             account.ceiling.tokens -= units;
             self.outcome.over_ceiling += u64::from(account.ceiling.tokens < -ceiling.slack);
         }
--- a/crates/model/src/run/backends.rs
+++ b/crates/model/src/run/backends.rs
@@ -10,9 +10,9 @@
 impl Run<'_> {
     /// Counts time by requests in backends, for Little's law.
     pub(super) fn change_occupancy(&mut self, change: isize) {
-        self.held += self.holding as f64 * (self.now - self.held_at);
-        self.held_at = self.now;
-        self.holding = self.holding.saturating_add_signed(change);
+        self.occupancy_integral += self.occupancy as f64 * (self.now - self.occupancy_since);
+        self.occupancy_since = self.now;
+        self.occupancy = self.occupancy.saturating_add_signed(change);
     }
 
     pub(super) fn receive_attempt(&mut self, attempt: u64) {
@@ -38,21 +38,21 @@
         }
         let work = client_request.work;
         let slack = 2.0 * self.world.max_units / self.world.units * 80.0;
-        let (multiple, window) = (self.world.overload_factor, self.world.overload_window_ms);
-        if backend.is_overloaded(now, work, multiple, window, slack) {
+        let (factor, window) = (self.world.overload_factor, self.world.overload_window_ms);
+        if backend.is_overloaded(now, work, factor, window, slack) {
             self.outcome.overload_failures += 1;
             self.kill_backend(one.backend);
             return;
         }
-        match backend.take(
+        match backend.admit(
             Job {
                 attempt,
                 work,
-                came: now,
+                arrived: now,
             },
             now,
         ) {
-            JobAdmission::Begun(until) => {
+            JobAdmission::Started(until) => {
                 let incarnation = self.incarnations[one.backend];
                 self.queue.push(
                     until,
@@ -67,7 +67,7 @@
                 self.sojourn.1 += 1;
                 self.change_occupancy(1);
             }
-            JobAdmission::Waits => self.change_occupancy(1),
+            JobAdmission::Queued => self.change_occupancy(1),
             JobAdmission::Full => {
                 self.detach_from_backend(attempt);
                 self.queue.push(
@@ -95,9 +95,9 @@
         self.change_occupancy(-1);
         if let Some(one) = self.attempts.get(&attempt).cloned() {
             let class = &self.world.class[self.client_requests[one.client_request].class];
-            if let Some(held) = self.proxy_requests.get_mut(&one.id) {
-                held.executions += 1;
-                let twice = held.executions > 1 && World::effect(class) == Some(Effect::Unsafe);
+            if let Some(request) = self.proxy_requests.get_mut(&one.id) {
+                request.executions += 1;
+                let twice = request.executions > 1 && World::effect(class) == Some(Effect::Unsafe);
                 self.outcome.executed_twice += u64::from(twice);
             }
             self.detach_from_backend(attempt);
@@ -110,10 +110,10 @@
             }
         }
         let now = self.now;
-        if let Some((job, until)) = self.backends[backend].next(now) {
-            self.waits.0 += now - job.came;
+        if let Some((job, until)) = self.backends[backend].start_next(now) {
+            self.waits.0 += now - job.arrived;
             self.waits.1 += 1;
-            self.sojourn.0 += until - job.came;
+            self.sojourn.0 += until - job.arrived;
             self.sojourn.1 += 1;
             self.queue.push(
                 until,
@@ -127,8 +127,8 @@
     }
 
     pub(super) fn kill_backend(&mut self, backend: usize) {
-        let held = self.backends[backend].die();
-        self.change_occupancy(-(held as isize));
+        let in_flight = self.backends[backend].stop();
+        self.change_occupancy(-(in_flight as isize));
         self.incarnations[backend] += 1;
         // Those that it held, and those on their way: these find nobody.
         let lost: Vec<u64> = self
@@ -166,11 +166,11 @@
     /// A backend ends, and a new one, which warms up, replaces it under a new index.
     pub(super) fn replace_backend(&mut self, backend: usize) {
         self.kill_backend(backend);
-        let gone_entry = BackendEntry {
+        let removed = BackendEntry {
             availability: policy::Availability::Gone,
             ..self.backend_entry(backend, None)
         };
-        self.publish_change(&[gone_entry]);
+        self.publish_change(&[removed]);
         let speed = self.random.log_normal(1.0, self.world.speed_cv);
         let shape = self.backends[backend].shape;
         self.backends
--- a/crates/model/src/run/clients.rs
+++ b/crates/model/src/run/clients.rs
@@ -68,9 +68,9 @@
         let now = self.now;
         let plan = &self.settings.plans[self.customers[customer].plan];
         let ideal_bucket = &mut self.customers[customer].ideal_bucket;
-        if ideal_bucket.holds(now, plan.rate, plan.burst, units) {
+        if ideal_bucket.has(now, plan.rate, plan.burst, units) {
             ideal_bucket.tokens = (ideal_bucket.tokens - true_units).min(plan.burst);
-            self.offered += spec.value * plan.price * true_units;
+            self.offered_value += spec.value * plan.price * true_units;
             self.offered_value_by_plan[self.customers[customer].plan] +=
                 spec.value * plan.price * true_units;
             if let Some(group) = self.groups.get(customer) {
@@ -81,7 +81,7 @@
         }
         self.outcome.client_requests += 1;
         let one = ClientRequest {
-            asked: now,
+            started_at: now,
             customer,
             class,
             units,
@@ -100,13 +100,13 @@
         let shifts = self.world.shift_s[1] > 0.0 && self.world.uneven > 0.0;
         if self.world.uneven > 0.0 && now >= self.customers[customer].busiest_until {
             let busiest = self.random.below(spread);
-            let lasts = if shifts {
+            let duration = if shifts {
                 self.random.within(self.world.shift_s) * 1000.0
             } else {
                 f64::INFINITY
             };
             let one = &mut self.customers[customer];
-            (one.busiest, one.busiest_until) = (busiest, now + lasts.max(1.0));
+            (one.busiest, one.busiest_until) = (busiest, now + duration.max(1.0));
         }
         let (home, busiest, through) = {
             let one = &self.customers[customer];
@@ -134,8 +134,8 @@
     ) {
         let one = self.client_requests[client_request].clone();
         let class = &self.world.class[one.class];
-        let last = one.asked + class.client_timeout_ms;
-        if self.now >= last {
+        let deadline = one.started_at + class.client_timeout_ms;
+        if self.now >= deadline {
             return;
         }
         let Some(proxy) = self.choose_proxy(one.customer, kept) else {
@@ -150,7 +150,7 @@
             number,
             proxy,
             incarnation,
-            deadline: last,
+            deadline,
             answered: false,
             attempts_sent: 0,
             pending_attempt: None,
@@ -161,13 +161,13 @@
         let delay = self.delay();
         self.queue
             .push(self.now + delay, RunEvent::ProxyReceives(id));
-        self.queue.push(last, RunEvent::ClientTimeout(id));
+        self.queue.push(deadline, RunEvent::ClientTimeout(id));
     }
 
     /// Proxies that a customer's requests come through. Where its plan has a ceiling no more than hold two of the largest requests
     /// each: else these could go through none of them.
     pub(super) fn spread(&self, customer: usize) -> usize {
-        let most = match self.world.spread {
+        let configured = match self.world.spread {
             0 => self.proxies.len(),
             spread => spread.min(self.proxies.len()),
         };
@@ -175,7 +175,7 @@
         let fits = ceiling.map_or(usize::MAX, |c| {
             (c.burst / (2.0 * self.world.max_units)) as usize
         });
-        most.min(fits.max(2)).min(self.proxies.len())
+        configured.min(fits.max(2)).min(self.proxies.len())
     }
 
     /// A client whose request was rejected tries again, if it has retries and time left.
@@ -259,11 +259,11 @@
             (one.client_request, one.number, one.within_quota, one.proxy);
         if served {
             self.outcome.served += 1;
-            let took = self.now - self.client_requests[client_request].asked;
-            self.times.add(took);
+            let latency = self.now - self.client_requests[client_request].started_at;
+            self.times.add(latency);
             let one = &mut self.client_requests[client_request];
             let spec = &self.world.class[one.class];
-            if within_quota && !one.served && took <= spec.latency_target_ms {
+            if within_quota && !one.served && latency <= spec.latency_target_ms {
                 let price = self.settings.plans[self.customers[one.customer].plan].price;
                 let value = spec.value * price * one.true_units;
                 self.served_value += value;
@@ -274,7 +274,7 @@
                 if let Some(second) = self
                     .outcome
                     .by_second
-                    .get_mut((one.asked / 1000.0) as usize)
+                    .get_mut((one.started_at / 1000.0) as usize)
                 {
                     *second += value;
                 }
--- a/crates/model/src/run/discovery.rs
+++ b/crates/model/src/run/discovery.rs
@@ -11,8 +11,8 @@
         let Some(agent) = &mut self.proxies[proxy].agent else {
             return;
         };
-        agent.learn(at, version);
-        if at == agent.place() {
+        agent.set_version(at, version);
+        if at == agent.address_index() {
             // What an agent has counts as notified; while it is silent, once it speaks or some seconds later.
             let notified = agent.notified_at(now);
             self.queue
@@ -50,7 +50,7 @@
         // It has what was known so long ago, and hears of the rest as late as of all that comes.
         let had = agent.version();
         let behind = had.saturating_sub((lag_ms / 100.0) as u64).max(1);
-        agent.moved(now, behind, close_ms);
+        agent.move_to_second(now, behind, close_ms);
         let entries = if up {
             agent.notify_move(now)
         } else {
@@ -76,7 +76,7 @@
         if self.proxies[proxy].up {
             let (now, history) = (self.now, std::mem::take(&mut self.history));
             let entries = match &mut self.proxies[proxy].agent {
-                Some(agent) => agent.go_on(now, &history),
+                Some(agent) => agent.run_until(now, &history),
                 None => Vec::new(),
             };
             self.history = history;
@@ -87,16 +87,16 @@
 
     pub(super) fn schedule_agent(&mut self, proxy: usize) {
         let now = self.now;
-        let held = &mut self.proxies[proxy];
-        let due = held
+        let state = &mut self.proxies[proxy];
+        let due = state
             .agent
             .as_ref()
-            .filter(|_| held.up)
+            .filter(|_| state.up)
             .and_then(|agent| agent.next_due(now));
         // Heartbeats alone would go on for ever: they end once the last request that the world draws must be over.
         let end = self.world.seconds * 1000.0 + AGENT_TAIL_MS;
-        if let Some(at) = due.filter(|at| *at < held.agent_due_at && *at <= end) {
-            held.agent_due_at = at;
+        if let Some(at) = due.filter(|at| *at < state.agent_due_at && *at <= end) {
+            state.agent_due_at = at;
             self.queue.push(at, RunEvent::AgentDue { proxy, at });
         }
     }
--- a/crates/model/src/run/faults.rs
+++ b/crates/model/src/run/faults.rs
@@ -124,7 +124,7 @@
         let (now, until) = (self.now, self.now + for_s * 1000.0);
         for proxy in self.pick_fraction(self.proxies.len(), fraction) {
             if let Some(agent) = &mut self.proxies[proxy].agent {
-                agent.silence(now, until, dead);
+                agent.pause(now, until, dead);
             }
             self.schedule_agent(proxy);
         }
@@ -201,11 +201,11 @@
             .collect();
         for backend in &lost {
             self.kill_backend(*backend);
-            let gone_entry = BackendEntry {
+            let removed = BackendEntry {
                 availability: policy::Availability::Gone,
                 ..self.backend_entry(*backend, None)
             };
-            self.publish_change(&[gone_entry]);
+            self.publish_change(&[removed]);
         }
         self.queue
             .push(self.now + for_s * 1000.0, RunEvent::BackendsRestart(lost));
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -58,7 +58,7 @@
     partition: Option<(BTreeSet<usize>, BTreeSet<usize>)>,
     cross_zone_attempts: u64,
     meter_delay: f64,
-    offered: f64,
+    offered_value: f64,
     offered_value_by_plan: Vec<f64>,
     /// Value and units.
     offered_by_demand: Vec<(f64, f64)>,
@@ -66,13 +66,14 @@
     over_quota_units: f64,
     served_value: f64,
     handshakes: u64,
-    sent: u64,
+    attempts_sent: u64,
     times: Times,
     waits: (f64, u64),
     sojourn: (f64, u64),
-    held: f64,
-    held_at: f64,
-    holding: usize,
+    /// Requests in backends now, since when, and their integral over time in milliseconds (for Little's law).
+    occupancy_integral: f64,
+    occupancy_since: f64,
+    occupancy: usize,
     outcome: Outcome,
     actions: Vec<Action>,
 }
@@ -88,7 +89,7 @@
 /// A client request, with what the rehearsal kit's clients know of one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ask {
+pub struct GeneratedRequest {
     /// When it is made, in milliseconds from the start.
     pub at: f64,
     /// Whose it is.
@@ -105,13 +106,13 @@
     pub first: u32,
 }
 
-/// The client requests that a world draws; which of them are asked does not go by what becomes of them.
-pub fn load(world: &World, seed: u64) -> Vec<Ask> {
+/// The client requests that a world draws; they depend on the seed alone, not on what becomes of them.
+pub fn load(world: &World, seed: u64) -> Vec<GeneratedRequest> {
     let mut run = Run::new(world, seed);
     run.schedule_start();
     run.run_events();
-    let ask = |one: &ClientRequest| Ask {
-        at: one.asked,
+    let generated = |one: &ClientRequest| GeneratedRequest {
+        at: one.started_at,
         customer: one.customer as u64,
         plan: run.customers[one.customer].plan,
         class: one.class,
@@ -119,7 +120,7 @@
         spread: run.spread(one.customer) as u32,
         first: run.customers[one.customer].home as u32,
     };
-    run.client_requests.iter().map(ask).collect()
+    run.client_requests.iter().map(generated).collect()
 }
 
 impl Run<'_> {
--- a/crates/model/src/run/proxy.rs
+++ b/crates/model/src/run/proxy.rs
@@ -71,9 +71,9 @@
         client_request: &ClientRequest,
     ) {
         let now = self.now;
-        let room = self.has_quota(client_request.customer, client_request.units);
+        let has_quota = self.has_quota(client_request.customer, client_request.units);
         let free = |backend: &Backend| {
-            (backend.holds() as f64 + 1.0)
+            (backend.in_flight() as f64 + 1.0)
                 / (backend.shape.cores as f64 * backend.capacity_fraction(now) * backend.speed)
         };
         let best = (0..self.backends.len())
@@ -85,7 +85,7 @@
             .min_by(|one, other| {
                 free(&self.backends[*one]).total_cmp(&free(&self.backends[*other]))
             });
-        let action = match best.filter(|_| room) {
+        let action = match best.filter(|_| has_quota) {
             Some(backend) => Action::Send {
                 request: RequestId(id),
                 backend: BackendId(backend as u32),
@@ -93,7 +93,7 @@
                 care: policy::Care::Usual,
             },
             None => {
-                let reason = if room {
+                let reason = if has_quota {
                     policy::Reason::Backends
                 } else {
                     policy::Reason::SoldOut
@@ -182,13 +182,13 @@
         self.proxies[proxy].up = false;
         self.proxies[proxy].stopping = false;
         self.proxies[proxy].incarnation += 1;
-        let held: Vec<u32> = self
+        let pending: Vec<u32> = self
             .proxy_requests
             .iter()
             .filter(|(_, one)| one.proxy == proxy)
             .map(|(id, _)| *id)
             .collect();
-        for id in held {
+        for id in pending {
             self.lose_request(id);
         }
     }
--- a/crates/model/src/run/quota.rs
+++ b/crates/model/src/run/quota.rs
@@ -68,7 +68,7 @@
         let one = &mut self.customers[customer];
         let plan = &self.settings.plans[one.plan];
         let fits = plan.max_open == 0 || one.open < plan.max_open;
-        one.bucket.holds(self.now, plan.rate, plan.burst, units) && fits
+        one.bucket.has(self.now, plan.rate, plan.burst, units) && fits
     }
 
     /// What the meter says: use in the last period that it has added up, as a part of the rate.
--- a/crates/model/src/run/request.rs
+++ b/crates/model/src/run/request.rs
@@ -3,7 +3,7 @@
 /// A client request and what came of it.
 #[derive(Clone, Debug)]
 pub(super) struct ClientRequest {
-    pub(super) asked: f64,
+    pub(super) started_at: f64,
     pub(super) customer: usize,
     pub(super) class: usize,
     /// What it is estimated to take, and what it takes in truth.
--- a/crates/model/src/run/results.rs
+++ b/crates/model/src/run/results.rs
@@ -8,9 +8,11 @@
         let mut outcome = std::mem::take(&mut self.outcome);
         (outcome.world, outcome.seed) = (self.world.name.clone(), seed);
         let fraction = |of: f64, all: f64| if all > 0.0 { of / all } else { 0.0 };
-        outcome.served_value = fraction(self.served_value, self.offered);
-        outcome.over_quota_value =
-            fraction(outcome.over_quota_value_by_plan.iter().sum(), self.offered);
+        outcome.served_value = fraction(self.served_value, self.offered_value);
+        outcome.over_quota_value = fraction(
+            outcome.over_quota_value_by_plan.iter().sum(),
+            self.offered_value,
+        );
         for (over_quota_value, offered) in outcome
             .over_quota_value_by_plan
             .iter_mut()
@@ -37,13 +39,14 @@
             .iter()
             .filter(|one| one.admitted && !one.served)
             .count() as u64;
-        outcome.cross_zone_attempts = fraction(self.cross_zone_attempts as f64, self.sent as f64);
-        outcome.attempts = fraction(self.sent as f64, outcome.client_requests as f64);
-        outcome.handshakes = fraction(self.handshakes as f64, self.sent as f64);
+        outcome.cross_zone_attempts =
+            fraction(self.cross_zone_attempts as f64, self.attempts_sent as f64);
+        outcome.attempts = fraction(self.attempts_sent as f64, outcome.client_requests as f64);
+        outcome.handshakes = fraction(self.handshakes as f64, self.attempts_sent as f64);
         (outcome.p50_ms, outcome.p99_ms) = (self.times.quantile(0.5), self.times.quantile(0.99));
         outcome.wait_ms = fraction(self.waits.0, self.waits.1 as f64);
         outcome.sojourn_ms = fraction(self.sojourn.0, self.sojourn.1 as f64);
-        outcome.in_backends = fraction(self.held, self.held_at);
+        outcome.in_backends = fraction(self.occupancy_integral, self.occupancy_since);
         let loads: Vec<f64> = self
             .backends
             .iter()
--- a/crates/model/src/run/setup.rs
+++ b/crates/model/src/run/setup.rs
@@ -55,6 +55,73 @@
     }
 }
 
+/// Draws each customer's group of demand and what it asks for, and scales all plans by one factor so that demand within quotas
+/// fits the world's load. Returns the client requests a second, and the group of each customer.
+fn scale_to_demand(
+    world: &World,
+    settings: &mut policy::Settings,
+    weights: &mut [f64],
+    plan_of: &[usize],
+    random: &mut RandomSource,
+) -> (f64, Vec<usize>) {
+    let shares: Vec<f64> = world.demand.iter().map(|demand| demand.share).collect();
+    let shares = AliasTable::new(&shares);
+    let mut groups = Vec::new();
+    let mut within = 0.0;
+    for (weight, plan) in weights.iter_mut().zip(plan_of) {
+        let group = shares.draw(random);
+        let fraction = random.within(world.demand[group].fraction);
+        *weight = fraction * world.plan[*plan].rate;
+        within += fraction.min(1.0) * world.plan[*plan].rate;
+        groups.push(group);
+    }
+    let factor = world.requests_per_second() * world.units / within.max(1e-9);
+    for plan in &mut settings.plans {
+        plan.burst = (plan.burst * factor).max(2.0 * world.max_units);
+        plan.rate *= factor;
+    }
+    let rate = weights.iter().sum::<f64>() * factor / world.units;
+    (rate, groups)
+}
+
+/// Scales each plan so that its customers use the world's `usage` of it on average; its burst keeps its length in time.
+fn scale_to_usage(
+    world: &World,
+    settings: &mut policy::Settings,
+    weights: &[f64],
+    plan_of: &[usize],
+) {
+    let all: f64 = weights.iter().sum();
+    let units = world.requests_per_second() * world.units;
+    for (at, plan) in settings.plans.iter_mut().enumerate() {
+        let of: Vec<f64> = weights
+            .iter()
+            .zip(plan_of)
+            .filter(|(_, plan)| **plan == at)
+            .map(|(weight, _)| *weight)
+            .collect();
+        let mean = of.iter().sum::<f64>() / of.len().max(1) as f64 / all * units;
+        let span = plan.burst / plan.rate;
+        plan.rate = (mean / world.usage).max(1e-3);
+        plan.burst = (plan.rate * span).max(2.0 * world.max_units);
+    }
+}
+
+/// Sets the hard ceilings, as multiples of the scaled rates and bursts.
+fn set_ceilings(world: &World, settings: &mut policy::Settings) {
+    for (plan, spec) in settings.plans.iter_mut().zip(&world.plan) {
+        if spec.ceiling > 0.0 {
+            let burst = (spec.ceiling * plan.burst).max(4.0 * world.max_units);
+            let slack = (0.1 * burst).max(world.max_units);
+            plan.ceiling = Some(policy::Ceiling {
+                rate: spec.ceiling * plan.rate,
+                burst,
+                slack,
+            });
+        }
+    }
+}
+
 impl<'a> Run<'a> {
     pub(super) fn new(world: &'a World, seed: u64) -> Run<'a> {
         let mut random = RandomSource::new(seed);
@@ -70,55 +137,12 @@
         let mut settings = settings(world);
         let (mut rate, mut groups) = (world.requests_per_second(), Vec::new());
         if !world.demand.is_empty() {
-            let shares = AliasTable::new(
-                &world
-                    .demand
-                    .iter()
-                    .map(|demand| demand.share)
-                    .collect::<Vec<_>>(),
-            );
-            let mut within = 0.0;
-            for (weight, plan) in weights.iter_mut().zip(&plan_of) {
-                let group = shares.draw(&mut random);
-                let fraction = random.within(world.demand[group].fraction);
-                *weight = fraction * world.plan[*plan].rate;
-                within += fraction.min(1.0) * world.plan[*plan].rate;
-                groups.push(group);
-            }
-            let factor = rate * world.units / within.max(1e-9);
-            rate = weights.iter().sum::<f64>() * factor / world.units;
-            for plan in &mut settings.plans {
-                plan.burst = (plan.burst * factor).max(2.0 * world.max_units);
-                plan.rate *= factor;
-            }
+            (rate, groups) =
+                scale_to_demand(world, &mut settings, &mut weights, &plan_of, &mut random);
         } else if world.usage > 0.0 {
-            // Each plan is as large as its customers' use asks for; its burst keeps its length in time.
-            let all: f64 = weights.iter().sum();
-            let units = world.requests_per_second() * world.units;
-            for (at, plan) in settings.plans.iter_mut().enumerate() {
-                let of: Vec<f64> = weights
-                    .iter()
-                    .zip(&plan_of)
-                    .filter(|(_, plan)| **plan == at)
-                    .map(|(w, _)| *w)
-                    .collect();
-                let mean = of.iter().sum::<f64>() / of.len().max(1) as f64 / all * units;
-                let span = plan.burst / plan.rate;
-                plan.rate = (mean / world.usage).max(1e-3);
-                plan.burst = (plan.rate * span).max(2.0 * world.max_units);
-            }
-        }
-        for (plan, spec) in settings.plans.iter_mut().zip(&world.plan) {
-            if spec.ceiling > 0.0 {
-                let burst = (spec.ceiling * plan.burst).max(4.0 * world.max_units);
-                let slack = (0.1 * burst).max(world.max_units);
-                plan.ceiling = Some(policy::Ceiling {
-                    rate: spec.ceiling * plan.rate,
-                    burst,
-                    slack,
-                });
-            }
+            scale_to_usage(world, &mut settings, &weights, &plan_of);
         }
+        set_ceilings(world, &mut settings);
         let customers = plan_of
             .iter()
             .zip(home)
@@ -163,20 +187,20 @@
             partition: None,
             cross_zone_attempts: 0,
             meter_delay,
-            offered: 0.0,
+            offered_value: 0.0,
             offered_value_by_plan: vec![0.0; world.plan.len()],
             offered_by_demand: vec![(0.0, 0.0); world.demand.len()],
             offered_units: 0.0,
             over_quota_units: 0.0,
             served_value: 0.0,
             handshakes: 0,
-            sent: 0,
+            attempts_sent: 0,
             times: Times::default(),
             waits: (0.0, 0),
             sojourn: (0.0, 0),
-            held: 0.0,
-            held_at: 0.0,
-            holding: 0,
+            occupancy_integral: 0.0,
+            occupancy_since: 0.0,
+            occupancy: 0,
             outcome: Outcome::default(),
             actions: Vec::new(),
             random,
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -4,7 +4,7 @@
 use crate::world::World;
 use crate::Outcome;
 
-/// What is looked for: a figure above or below a bound.
+/// What is target for: a figure above or below a bound.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     figure: String,
@@ -17,19 +17,19 @@
     ///
     /// # Errors
     /// What was expected.
-    pub fn read(text: &str) -> Result<Target, String> {
+    pub fn parse(text: &str) -> Result<Target, String> {
         let expected = || format!("figure>bound or figure<bound was expected, not {text}");
         let at = text.find(['>', '<']).ok_or_else(expected)?;
         let bound = text[at + 1..].trim().parse().map_err(|_| expected())?;
-        let looked = Target {
+        let target = Target {
             figure: text[..at].trim().to_owned(),
             above: text[at..].starts_with('>'),
             bound,
         };
-        if Outcome::default().field(&looked.figure).is_none() {
-            return Err(format!("{} is no figure of a run", looked.figure));
+        if Outcome::default().field(&target.figure).is_none() {
+            return Err(format!("{} is no figure of a run", target.figure));
         }
-        Ok(looked)
+        Ok(target)
     }
 
     fn seen(&self, outcome: &Outcome) -> Option<f64> {
@@ -112,15 +112,15 @@
 }
 
 /// Requests at proxies so many seeds of a world, from 1, and of each smaller one; `None` where none breaks it. At most `most` runs.
-pub fn search(world: &World, looked: &Target, seeds: u64, most: usize) -> Option<Found> {
+pub fn search(world: &World, target: &Target, seeds: u64, max_runs: usize) -> Option<Found> {
     let mut runs = 0;
     let mut first = |world: &World| {
         (1..=seeds).find_map(|seed| {
-            if runs >= most {
+            if runs >= max_runs {
                 return None;
             }
             runs += 1;
-            looked
+            target
                 .seen(&play(world, seed))
                 .map(|value| (seed, value, runs))
         })
@@ -137,7 +137,7 @@
     Some(Found {
         world: at,
         seed,
-        what: format!("{} {value}", looked.figure),
+        what: format!("{} {value}", target.figure),
         runs: played,
     })
 }
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -470,7 +470,7 @@
         .map(str::to_owned)
         .expect("a line");
     assert!(
-        serde_json::from_str::<maplefall_model::run::Ask>(&first).is_ok(),
+        serde_json::from_str::<maplefall_model::run::GeneratedRequest>(&first).is_ok(),
         "{first}"
     );
 }
