--- a/crates/model/src/agent.rs
+++ b/crates/model/src/agent.rs
@@ -1,5 +1,8 @@
-//! Discovery's agents, one beside each proxy: what each knows of the list, when it speaks, and where the proxy follows it. The
-//! real follower and membership stand between an agent's words and the decision module; this file plays the other end.
+//! Discovery agents, one beside each proxy: which version of the endpoint list each has, when it sends, and at which address it
+//! answers.
+//!
+//! The proxy's side is real (`maplefall-discovery-agent` and `maplefall-membership`); this module plays the agent. A proxy counts
+//! as notified of a drain when its agent could first have delivered it, whatever becomes of the connection.
 
 use maplefall_discovery_agent::{
     CallId, Follower, Heard, Output, Settings, What, HEARTBEAT, TOLD_WITHIN,
@@ -98,36 +101,37 @@
     })
 }
 
-/// An open call at one of the two places.
+/// An open call at one of the two addresses.
 #[derive(Clone, Copy, Debug)]
 struct Call {
     id: CallId,
     address: usize,
     what: What,
-    /// The version that it has been notified, once it has been answered.
+    /// The version that was sent last on it, once it has been answered.
     sent_version: Option<u64>,
-    /// When something was last said on it.
+    /// When a message was last sent on it.
     sent_at: f64,
-    /// Its other end has vanished without a word.
+    /// Its other end vanished without closing it.
     dead: bool,
 }
 
-/// One proxy with its agent, which may move once, from the first place to the second.
+/// A proxy's follower and membership, and the agent at the other end, which may move once from its first address to its second.
 #[derive(Debug)]
 pub struct ProxyAgent {
     follower: Follower,
     membership: Roster,
     calls: Vec<Call>,
-    /// Versions that the agent knows at each place.
+    /// The version of the list that the agent has at each address.
     versions: [u64; 2],
-    /// Where it is.
+    /// Index of its present address.
     address: usize,
-    /// When the first place closes for good.
+    /// When the first address closes for good.
     closes_at: f64,
+    /// Until when it sends nothing.
     paused_until: f64,
-    /// Whether what it is asked while it is silent is never answered.
+    /// Whether calls made while it is paused are never answered.
     drops_calls: bool,
-    /// The last version that has been said to the proxy.
+    /// The last version that was sent to the proxy.
     sent_version: u64,
 }
 
@@ -136,7 +140,7 @@
 }
 
 fn follower(known: Members, seed: u64, at: usize, now: f64) -> Follower {
-    let places = vec![address(at)];
+    let addresses = vec![address(at)];
     Follower::new(
         Settings {
             source: 0,
@@ -144,7 +148,7 @@
             sharing: 1,
             stop_within: 500.0,
             seed,
-            places,
+            places: addresses,
             known: Some(known),
         },
         now,
@@ -185,17 +189,17 @@
         self.follower = follower(known, seed, self.address, now);
     }
 
-    /// The agent hears of a version at a place.
+    /// The agent receives a version at one of its addresses.
     pub fn set_version(&mut self, at: usize, version: u64) {
         self.versions[at] = self.versions[at].max(version);
     }
 
-    /// The version that the agent has where it is now.
+    /// The version that the agent has at its present address.
     pub fn version(&self) -> u64 {
         self.versions[self.address]
     }
 
-    /// Where the agent is now.
+    /// Index of the agent's present address.
     pub fn address_index(&self) -> usize {
         self.address
     }
@@ -224,7 +228,7 @@
         (self.address, self.versions[1], self.closes_at) = (1, knows, now + close_ms);
     }
 
-    /// The proxy is notified of the move.
+    /// Notifies the proxy of the move.
     pub fn notify_move(&mut self, now: f64) -> Vec<BackendEntry> {
         let outputs = self.follower.moved(now, address(self.address));
         self.handle_outputs(now, outputs)
@@ -292,7 +296,7 @@
         entries
     }
 
-    /// What is said next, if anything is.
+    /// The next message that is due, if any.
     fn next_message(&mut self, now: f64, history: &EndpointHistory) -> Option<(CallId, Vec<u8>)> {
         if now < self.paused_until {
             return None;
@@ -340,7 +344,7 @@
                     what,
                 } => {
                     let at = usize::from(to == address(1));
-                    // Nobody answers at a place that is closed, or not open yet.
+                    // An address that is closed, or not open yet, refuses connections.
                     if (at == 0 && now >= self.closes_at) || at > self.address {
                         entries.extend(self.end(now, call, "refused"));
                     } else {
--- a/crates/model/src/balancer.rs
+++ b/crates/model/src/balancer.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// A store of units.
+/// A token bucket of quota units.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     /// Units in it, as of `at`.
@@ -28,12 +28,12 @@
 }
 
 impl TokenBucket {
-    /// A full one.
+    /// A full bucket.
     pub fn full(burst: f64, at: Millis) -> TokenBucket {
         TokenBucket { tokens: burst, at }
     }
 
-    /// Fills it up to now; whether it holds so many units.
+    /// Refills the bucket up to `now` (`rate` in units a second) and returns whether it has this many units.
     pub fn has(&mut self, now: Millis, rate: f64, burst: f64, units: f64) -> bool {
         self.tokens = (self.tokens + rate * (now - self.at) / 1000.0).min(burst);
         self.at = now;
@@ -41,16 +41,16 @@
     }
 }
 
-/// A textbook policy: one attempt each, to a backend chosen in one way, admitted in another.
+/// A textbook policy to compare with: one attempt per request, a [`LoadBalancer`] and an [`Admission`] rule.
 pub struct BaselinePolicy {
     load_balancer: LoadBalancer,
     admission: Admission,
     settings: Settings,
     random: RandomSource,
     ready: Vec<BackendId>,
-    /// Attempts out at each.
+    /// Pending attempts at each backend.
     in_flight: BTreeMap<BackendId, u32>,
-    /// Where each request is.
+    /// The backend of each request.
     at: BTreeMap<RequestId, BackendId>,
     buckets: BTreeMap<CustomerId, TokenBucket>,
     next_index: usize,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -3,15 +3,15 @@
 //!
 //! | file | job |
 //! | --- | --- |
-//! | [`world`] | what is played, as data: a TOML file, and every mistake in it |
-//! | [`random`] | drawing: one generator a run, distributions, the alias method |
-//! | [`queue`] | what happens next |
+//! | [`world`] | a world as data: a TOML file, its faults, defaults and checks |
+//! | [`random`] | the random generator of a run, distributions, the alias method |
+//! | [`queue`] | the event queue |
 //! | [`backend`] | a backend: cores, waiting room, slow start, connections |
-//! | [`balancer`] | a proxy: the decision module, or a plain policy beside it |
+//! | [`balancer`] | the decision policy of a proxy: the decision module, or a baseline |
 //! | [`run`] | one run: the world's clock, the network, clients, faults |
-//! | [`agent`] | discovery's agents, with the real follower and roster before the proxies |
+//! | [`agent`] | discovery agents, with the real follower and membership in front of the proxies |
 //! | [`metrics`] | what is counted |
-//! | [`bound`], [`frontier`] | what any rule without talk can earn, and how near each policy comes |
+//! | [`bound`], [`frontier`] | an upper bound for rules without communication, and how near each policy comes |
 //! | [`search`] | the smallest seed and world at which a figure breaks a bound |
 //! | [`compare`] | whether two sets of runs differ: paired by seed, by bootstrap |
 //!
--- a/crates/model/src/metrics.rs
+++ b/crates/model/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted in a run.
+//! The figures of a run. Outside names (`worth`, `refusals`, ...) are read by users' scripts and stay; attributes keep them.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -11,10 +11,10 @@
     pub world: String,
     /// The seed.
     pub seed: u64,
-    /// Client requests, and all requests at proxies.
+    /// Client requests.
     #[serde(rename = "first_tries")]
     pub client_requests: u64,
-    /// See above.
+    /// Requests at proxies, retries included.
     #[serde(rename = "tries")]
     pub proxy_requests: u64,
     /// Requests at proxies by their final answers.
@@ -24,12 +24,12 @@
     pub rejected: u64,
     /// See above.
     pub failed: u64,
-    /// Requests at proxies that a proxy held when it was killed.
+    /// Requests that were pending at a proxy when it was stopped.
     pub lost: u64,
-    /// Of what one proxy that sees all would admit, by value: the part that was served in time.
+    /// Value served within the latency target, as a fraction of what one proxy that sees all requests would admit.
     #[serde(rename = "worth")]
     pub served_value: f64,
-    /// Value forwarded beyond quotas, as a part of the same value.
+    /// Value forwarded beyond quotas, as a fraction of the same.
     #[serde(rename = "over")]
     pub over_quota_value: f64,
     /// Both by plan.
@@ -44,13 +44,13 @@
     /// See above.
     #[serde(rename = "beyond_by_demand")]
     pub over_quota_units_by_demand: Vec<f64>,
-    /// Units admitted beyond quotas, as a part of what that proxy would admit.
+    /// Units admitted beyond quotas, as a fraction of the units that such a proxy would admit.
     #[serde(rename = "beyond")]
     pub over_quota_units: f64,
-    /// Rejected requests at proxies, by reason, and those of them that a proxy which sees all would have admitted.
+    /// Rejected requests at proxies, by reason.
     #[serde(rename = "refusals")]
     pub rejections: BTreeMap<&'static str, u64>,
-    /// See above.
+    /// Those of them that the customer's true quota would have covered.
     #[serde(rename = "refused_with_room")]
     pub rejected_within_quota: BTreeMap<&'static str, u64>,
     /// Client requests that were admitted within their quotas and not served in time.
--- a/crates/model/src/run/backends.rs
+++ b/crates/model/src/run/backends.rs
@@ -1,4 +1,6 @@
-//! Backends.
+//! Backends: arrivals, jobs, failures, drains and replacements.
+//!
+//! A backend's number in `incarnations` grows when it dies, so that jobs of the process before are not finished by the next one.
 
 use super::event::RunEvent;
 use super::Run;
@@ -8,20 +10,21 @@
 use maplefall_policy::{BackendEntry, BackendId, Effect};
 
 impl Run<'_> {
-    /// Counts time by requests in backends, for Little's law.
+    /// Adds the time since the last change to the occupancy's integral (Little's law), then changes the occupancy.
     pub(super) fn change_occupancy(&mut self, change: isize) {
         self.occupancy_integral += self.occupancy as f64 * (self.now - self.occupancy_since);
         self.occupancy_since = self.now;
         self.occupancy = self.occupancy.saturating_add_signed(change);
     }
 
+    /// An attempt arrives at its backend: it starts, is queued, or is rejected.
     pub(super) fn receive_attempt(&mut self, attempt: u64) {
         let Some(one) = self.attempts.get(&attempt).cloned() else {
             return;
         };
         let now = self.now;
         if self.is_partitioned(one.proxy, one.backend) {
-            // Nothing comes of it: its proxy waits until its limit.
+            // The packets are lost: the proxy waits until its time limit.
             return self.detach_from_backend(attempt);
         }
         let delay = self.network_delay(one.proxy, one.backend);
@@ -88,6 +91,7 @@
         }
     }
 
+    /// A job is done: its reply goes to the proxy, and the next one starts.
     pub(super) fn finish_job(&mut self, backend: usize, incarnation: u32, attempt: u64) {
         if self.incarnations[backend] != incarnation {
             return;
@@ -126,11 +130,12 @@
         }
     }
 
+    /// Ends a backend process at once; its attempts are reset.
     pub(super) fn kill_backend(&mut self, backend: usize) {
         let in_flight = self.backends[backend].stop();
         self.change_occupancy(-(in_flight as isize));
         self.incarnations[backend] += 1;
-        // Those that it held, and those on their way: these find nobody.
+        // Attempts in the backend, and those still on their way to it.
         let lost: Vec<u64> = self
             .attempts
             .iter()
@@ -147,6 +152,7 @@
         }
     }
 
+    /// Announces a drain; the backend ends after the world's `drain_ms`.
     pub(super) fn drain_backend(&mut self, backend: usize) {
         self.backends[backend].drained = Some(self.now);
         let drain_ms = self.world.faults.iter().find_map(|fault| match fault {
@@ -180,6 +186,7 @@
         self.publish_change(&[fresh]);
     }
 
+    /// The endpoint entry of a ready backend; `started` is `None` for one that is warm since before the run.
     pub(super) fn backend_entry(&self, backend: usize, started: Option<f64>) -> BackendEntry {
         BackendEntry {
             id: BackendId(backend as u32),
@@ -191,6 +198,7 @@
         }
     }
 
+    /// Starts backends again under their old indexes; they warm up.
     pub(super) fn restart_backends(&mut self, backends: Vec<usize>) {
         for at in backends {
             let old = &self.backends[at];
--- a/crates/model/src/run/clients.rs
+++ b/crates/model/src/run/clients.rs
@@ -1,4 +1,7 @@
-//! Clients.
+//! Clients: when they make requests, which proxy they choose, how they retry, and what an answer is worth.
+//!
+//! A client request is drawn before anything becomes of it, so that the load of a seed is the same under every policy. It earns
+//! its value at most once.
 
 use super::event::RunEvent;
 use super::quota::customer;
@@ -8,6 +11,7 @@
 use maplefall_policy::{Event, RequestId};
 
 impl Run<'_> {
+    /// Schedules the next client request and makes this one, until the end of the world.
     pub(super) fn schedule_next_request(&mut self) {
         let end = self.world.seconds * 1000.0;
         if self.now >= end {
@@ -19,6 +23,7 @@
         self.start_client_request(customer);
     }
 
+    /// Begins a spike of a customer and schedules its next one.
     pub(super) fn start_spike(&mut self, customer: usize) {
         let demand = self.world.demand[self.groups[customer]].clone();
         let rate = self.settings.plans[self.customers[customer].plan].rate;
@@ -39,7 +44,7 @@
         }
     }
 
-    /// A client request of a customer.
+    /// Draws a client request of a customer and sends it to a proxy.
     pub(super) fn start_client_request(&mut self, customer: usize) {
         let class = self.classes.draw(&mut self.random);
         // A geometric number of units with this mean, cut off at the most.
@@ -126,6 +131,7 @@
             .find(|proxy| self.proxies[*proxy].up && !self.proxies[*proxy].stopping)
     }
 
+    /// Sends a client request, or a retry of it, to a proxy: to the one `kept` from before if it is up.
     pub(super) fn send_to_proxy(
         &mut self,
         client_request: usize,
@@ -164,8 +170,8 @@
         self.queue.push(deadline, RunEvent::ClientTimeout(id));
     }
 
-    /// Proxies that a customer's requests come through. Where its plan has a ceiling no more than hold two of the largest requests
-    /// each: else these could go through none of them.
+    /// Number of proxies that a customer's requests come through. A plan with a ceiling is spread over no more proxies than can
+    /// admit two of the largest requests each; otherwise those could pass none of them.
     pub(super) fn spread(&self, customer: usize) -> usize {
         let configured = match self.world.spread {
             0 => self.proxies.len(),
@@ -212,6 +218,7 @@
         self.schedule_retry(client_request, number, None, None);
     }
 
+    /// The client stops waiting: an unanswered request fails, and its proxy is notified.
     pub(super) fn expire_request(&mut self, id: u32) {
         let Some(one) = self.proxy_requests.get_mut(&id) else {
             return;
@@ -229,7 +236,7 @@
         self.forget_request(id);
     }
 
-    /// Lets go of a request that is answered and has no attempt out.
+    /// Drops a request that is answered and has no pending attempt.
     pub(super) fn forget_request(&mut self, id: u32) {
         if self
             .proxy_requests
@@ -240,6 +247,7 @@
         }
     }
 
+    /// Answers a request: served, rejected for a reason (with an advised delay in milliseconds), or else failed.
     pub(super) fn answer_client(
         &mut self,
         id: u32,
--- a/crates/model/src/run/discovery.rs
+++ b/crates/model/src/run/discovery.rs
@@ -1,4 +1,6 @@
-//! Discovery.
+//! Discovery: how changes of the endpoint list reach proxies, directly or through each proxy's agent.
+//!
+//! `notified` of a proxy is the reference for late sends: from the time when a drain counts as delivered, the grace runs.
 
 use super::event::RunEvent;
 use super::{Run, AGENT_TAIL_MS};
@@ -6,6 +8,7 @@
 use maplefall_policy::{BackendEntry, Event};
 
 impl Run<'_> {
+    /// An agent receives a version of the endpoint list, at one of its two addresses.
     pub(super) fn update_agent(&mut self, proxy: usize, at: usize, version: u64) {
         let now = self.now;
         let Some(agent) = &mut self.proxies[proxy].agent else {
@@ -13,7 +16,7 @@
         };
         agent.set_version(at, version);
         if at == agent.address_index() {
-            // What an agent has counts as notified; while it is silent, once it speaks or some seconds later.
+            // A paused agent notifies when it resumes, or some seconds later at the latest.
             let notified = agent.notified_at(now);
             self.queue
                 .push(notified, RunEvent::Notified { proxy, version });
@@ -21,7 +24,7 @@
         self.schedule_agent(proxy);
     }
 
-    /// From now on a proxy is held to all stops up to this version; a version in which a backend is up again takes its stop back.
+    /// From now on the proxy counts as notified of all drains up to this version; a backend that is ready again cancels its drain.
     pub(super) fn mark_notified(&mut self, proxy: usize, version: u64) {
         let now = self.now;
         for version in self.proxies[proxy].notified_until + 1..=version {
@@ -40,6 +43,7 @@
         self.proxies[proxy].notified_until = self.proxies[proxy].notified_until.max(version);
     }
 
+    /// Moves a proxy's agent to its second address, where it lags by `lag_ms`; the first closes after `close_ms`.
     pub(super) fn move_agent(&mut self, proxy: usize, close_ms: f64, lag_ms: f64) {
         let now = self.now;
         let up = self.proxies[proxy].up;
@@ -47,7 +51,7 @@
         let Some(agent) = &mut self.proxies[proxy].agent else {
             return;
         };
-        // It has what was known so long ago, and hears of the rest as late as of all that comes.
+        // It starts at an older version, and receives the later ones with the same lag.
         let had = agent.version();
         let behind = had.saturating_sub((lag_ms / 100.0) as u64).max(1);
         agent.move_to_second(now, behind, close_ms);
@@ -71,7 +75,7 @@
         self.schedule_agent(proxy);
     }
 
-    /// Lets a proxy and its agent go on.
+    /// Delivers what is due between a proxy and its agent.
     pub(super) fn run_agent(&mut self, proxy: usize) {
         if self.proxies[proxy].up {
             let (now, history) = (self.now, std::mem::take(&mut self.history));
@@ -85,6 +89,7 @@
         self.schedule_agent(proxy);
     }
 
+    /// Schedules the next time at which something is due between a proxy and its agent.
     pub(super) fn schedule_agent(&mut self, proxy: usize) {
         let now = self.now;
         let state = &mut self.proxies[proxy];
@@ -93,7 +98,7 @@
             .as_ref()
             .filter(|_| state.up)
             .and_then(|agent| agent.next_due(now));
-        // Heartbeats alone would go on for ever: they end once the last request that the world draws must be over.
+        // Heartbeats alone would go on for ever: they end once the last client request must be over.
         let end = self.world.seconds * 1000.0 + AGENT_TAIL_MS;
         if let Some(at) = due.filter(|at| *at < state.agent_due_at && *at <= end) {
             state.agent_due_at = at;
@@ -101,7 +106,7 @@
         }
     }
 
-    /// What came out of a proxy's roster.
+    /// Applies changes from the proxy's membership and hands them to the decision module.
     pub(super) fn apply_endpoint_changes(&mut self, proxy: usize, entries: Vec<BackendEntry>) {
         if entries.is_empty() {
             return;
@@ -117,6 +122,7 @@
         self.deliver_event(proxy, Event::Backends(policy::ListKind::Changes, entries));
     }
 
+    /// Publishes a change of the endpoint list; each proxy, or its agent, receives it after a drawn delay.
     pub(super) fn publish_change(&mut self, entries: &[BackendEntry]) {
         let version = self.history.push(entries);
         for proxy in 0..self.proxies.len() {
--- a/crates/model/src/run/event.rs
+++ b/crates/model/src/run/event.rs
@@ -1,9 +1,10 @@
-//! The events of a run.
+//! The events of a run. Each is handled by the module whose name it carries; `u32` is the id of a request at a proxy, `u64`
+//! that of an attempt.
 
 use maplefall_policy as policy;
 use maplefall_policy::{AlarmId, BackendEntry};
 
-/// Something that happens.
+/// An event of a run.
 #[derive(Clone, Debug)]
 pub(super) enum RunEvent {
     /// The next client request is made.
@@ -18,7 +19,7 @@
     ProxyReceives(u32),
     /// A client stops waiting for an answer.
     ClientTimeout(u32),
-    /// An attempt comes to its backend.
+    /// An attempt reaches its backend.
     BackendReceives(u64),
     /// A backend has done a job.
     JobDone {
@@ -26,28 +27,28 @@
         incarnation: u32,
         attempt: u64,
     },
-    /// The end of an attempt comes to its proxy.
+    /// The end of an attempt reaches its proxy.
     AttemptEnded(u64, policy::Outcome),
-    /// An attempt's limit is over.
+    /// An attempt's time limit is reached.
     AttemptTimeout(u64),
-    /// An alarm of a proxy's.
+    /// An alarm of a proxy's decision module is due.
     Alarm {
         proxy: usize,
         incarnation: u32,
         alarm: AlarmId,
     },
-    /// A proxy hears of backends.
+    /// A proxy without an agent receives changes of the endpoint list.
     EndpointsChanged {
         proxy: usize,
         entries: Vec<BackendEntry>,
     },
-    /// A proxy's agent hears of a version at one of its places.
+    /// A proxy's agent receives a version of the endpoint list at one of its addresses.
     AgentUpdated {
         proxy: usize,
         at: usize,
         version: u64,
     },
-    /// What a proxy's agent has to tell counts as notified.
+    /// The proxy counts as notified of all versions up to this one.
     Notified { proxy: usize, version: u64 },
     /// Something is due between a proxy and its agent.
     AgentDue { proxy: usize, at: f64 },
@@ -57,25 +58,25 @@
         close_ms: f64,
         lag_ms: f64,
     },
-    /// A proxy begins to stop; has stopped.
+    /// A proxy begins an orderly stop.
     ProxyStopping {
         proxy: usize,
         stop_ms: f64,
         down_ms: f64,
     },
-    /// See above.
+    /// An orderly stop ends.
     ProxyStopped { proxy: usize, down_ms: f64 },
     /// A fault begins.
     Fault(usize),
-    /// A proxy comes back.
+    /// A proxy starts again.
     ProxyRestart(usize),
-    /// A backend begins to drain; ends.
+    /// A backend begins to drain.
     BackendDrain(usize),
-    /// See above.
+    /// A drained backend ends and is replaced.
     BackendEnd(usize),
-    /// A backend's speed changes.
+    /// A backend's speed changes by this factor.
     BackendSpeed(usize, f64),
-    /// The next request of a flood's customer, or of one that comes once, until then.
+    /// The next request of a flood, which ends at `until`; `pause` is the mean gap in milliseconds.
     FloodRequest {
         customer: usize,
         pause: f64,
@@ -83,7 +84,7 @@
     },
     /// A customer's spike begins.
     SpikeStart(usize),
-    /// See above.
+    /// The next request of a customer that comes once.
     OneShotRequest { pause: f64, until: f64 },
     /// A partition ends.
     PartitionHealed,
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -1,4 +1,21 @@
-//! One run: the world's clock, the network, clients and faults round the proxies.
+//! One run of a world: the event loop and the state that all its parts share.
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `setup` | settings, customers, backends, first events |
+//! | `event` | the events |
+//! | `clients` | client requests, choice of a proxy, retries, answers |
+//! | `quota` | true quotas of customers, the use meter |
+//! | `proxy` | proxies: actions of the decision module, stops and starts |
+//! | `attempt` | attempts at backends: quota, connection, end |
+//! | `backends` | arrivals, jobs, drains, replacements |
+//! | `discovery` | how changes of the endpoint list reach proxies |
+//! | `faults` | what goes wrong |
+//! | `network` | delays, zones, partitions |
+//! | `results` | figures of the outcome |
+//!
+//! Invariant: a run is a function of its world and seed. All randomness comes from one generator, so the order of events and of
+//! draws must not change without need: every published figure would.
 
 mod attempt;
 mod backends;
@@ -28,7 +45,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after the last client request agents are followed, in milliseconds: longer than any client waits between its retries.
+/// How long agents run on after the last client request, in milliseconds; longer than any client goes on retrying.
 const AGENT_TAIL_MS: f64 = 20_000.0;
 
 struct Run<'a> {
@@ -86,7 +103,7 @@
     run.finish(seed)
 }
 
-/// A client request, with what the rehearsal kit's clients know of one.
+/// A client request as a load generator outside needs it; one line of `maplefall-model load`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GeneratedRequest {
--- a/crates/model/src/run/network.rs
+++ b/crates/model/src/run/network.rs
@@ -1,13 +1,16 @@
-//! The network between clients, proxies and backends.
+//! The network between clients, proxies and backends: delays, zones and partitions.
+//!
+//! Each delay is drawn anew; messages may overtake each other.
 
 use super::Run;
 
 impl Run<'_> {
+    /// One way between a client and a proxy, in milliseconds.
     pub(super) fn delay(&mut self) -> f64 {
         self.random.within(self.world.delay_ms)
     }
 
-    /// One way between a proxy and a backend.
+    /// One way between a proxy and a backend, in milliseconds; longer between zones.
     pub(super) fn network_delay(&mut self, proxy: usize, backend: usize) -> f64 {
         let cross = self.crosses_zones(proxy, backend);
         self.delay()
@@ -18,10 +21,12 @@
             }
     }
 
+    /// Whether proxy and backend are in different zones.
     pub(super) fn crosses_zones(&self, proxy: usize, backend: usize) -> bool {
         proxy % self.world.zones != backend % self.world.zones
     }
 
+    /// Whether the network is partitioned between proxy and backend.
     pub(super) fn is_partitioned(&self, proxy: usize, backend: usize) -> bool {
         self.partition.as_ref().is_some_and(|(proxies, backends)| {
             proxies.contains(&proxy) && backends.contains(&backend)
--- a/crates/model/src/run/quota.rs
+++ b/crates/model/src/run/quota.rs
@@ -1,25 +1,28 @@
-//! Customers and what is left of their quotas.
+//! Customers: their true quotas, and the use meter that proxies are shown.
+//!
+//! The buckets here are what the whole fleet has used. No proxy sees them; they are the reference for what is over a quota.
 
 use super::Run;
 use crate::balancer::TokenBucket;
 use maplefall_policy as policy;
 
-/// A customer as it is; those that come once are added as they come.
+/// A customer; one-shot customers are added when they arrive.
 pub(super) struct Customer {
     pub(super) plan: usize,
-    /// The first proxy of its set, the busiest one (counted from there), and until when it is that.
+    /// The first proxy of its set.
     pub(super) home: usize,
+    /// Offset of its busiest proxy in the set, and the time until which it is that.
     pub(super) busiest: usize,
     pub(super) busiest_until: f64,
     /// Proxies that a flood of it comes through; 0 for its whole set.
     pub(super) through: usize,
-    /// What really is left of its quota, and what one proxy that sees all would have left.
+    /// What is left of its quota, and what one proxy that sees everything would have left.
     pub(super) bucket: TokenBucket,
     pub(super) ideal_bucket: TokenBucket,
     pub(super) ceiling: TokenBucket,
-    /// Attempts out.
+    /// Pending attempts.
     pub(super) open: u32,
-    /// Units forwarded in the meter's period of this number, and in those before it.
+    /// A period of the meter, and the units forwarded in it and in the periods before.
     pub(super) metered: (u64, [f64; 4]),
 }
 
@@ -52,7 +55,7 @@
         self.metered.1[0] += units;
     }
 
-    /// Moves the counts on to a period; the first is that period's, the next are those before it.
+    /// Advances the counts to a period: the first count is that period's, the next ones are those before it.
     pub(super) fn advance_to(&mut self, period: u64) {
         let (now, counts) = &mut self.metered;
         let on = (period.saturating_sub(*now) as usize).min(counts.len());
@@ -63,7 +66,7 @@
 }
 
 impl Run<'_> {
-    /// Whether a customer's quota really holds so many units now, and covers one more attempt.
+    /// Whether the customer's true quota covers this many units now, and one more open attempt.
     pub(super) fn has_quota(&mut self, customer: usize, units: f64) -> bool {
         let one = &mut self.customers[customer];
         let plan = &self.settings.plans[one.plan];
@@ -71,7 +74,7 @@
         one.bucket.has(self.now, plan.rate, plan.burst, units) && fits
     }
 
-    /// What the meter says: use in the last period that it has added up, as a part of the rate.
+    /// The use meter: units of the last period that it has reported, as a fraction of the rate.
     pub(super) fn quota_use(&mut self, customer: usize) -> Option<f64> {
         let period = self.world.meter_ms;
         if period <= 0.0 || self.now < period + self.meter_delay {
--- a/crates/model/src/run/request.rs
+++ b/crates/model/src/run/request.rs
@@ -1,4 +1,5 @@
-//! Client requests, requests at proxies and attempts that a run follows.
+//! What a run follows of a request, on three levels: the client's request, each request at a proxy (the first or a retry of the
+//! client's), and each attempt of a proxy at a backend.
 
 /// A client request and what came of it.
 #[derive(Clone, Debug)]
@@ -6,16 +7,16 @@
     pub(super) started_at: f64,
     pub(super) customer: usize,
     pub(super) class: usize,
-    /// What it is estimated to take, and what it takes in truth.
+    /// Estimated units, and the units that it really takes.
     pub(super) units: f64,
     pub(super) true_units: f64,
     pub(super) work: f64,
     pub(super) served: bool,
-    /// Whether an attempt of it was admitted within its quota.
+    /// Whether one of its requests at proxies was admitted within the quota.
     pub(super) admitted: bool,
 }
 
-/// A request at a proxy that is not over.
+/// A request at a proxy, until it is answered and has no pending attempt.
 #[derive(Clone, Debug)]
 pub(super) struct ProxyRequest {
     pub(super) client_request: usize,
@@ -30,7 +31,7 @@
     pub(super) executions: u32,
 }
 
-/// An attempt that is not over.
+/// An attempt at a backend, until its end was reported and it has left the backend.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub(super) id: u32,
@@ -40,7 +41,7 @@
     pub(super) incarnation: u32,
     pub(super) sent: f64,
     pub(super) client_request: usize,
-    /// Whether its end has been notified to its proxy.
+    /// Whether its end was reported to its proxy.
     pub(super) reported: bool,
     /// Whether it is in its backend, or on its way there.
     pub(super) at_backend: bool,
--- a/crates/model/src/run/results.rs
+++ b/crates/model/src/run/results.rs
@@ -1,9 +1,10 @@
-//! Results.
+//! Results: the counters of a run as figures of its [`Outcome`], parts of what one proxy that sees everything would admit.
 
 use super::Run;
 use crate::metrics::Outcome;
 
 impl Run<'_> {
+    /// The outcome of the run; a figure whose reference is 0 is 0.
     pub(super) fn finish(mut self, seed: u64) -> Outcome {
         let mut outcome = std::mem::take(&mut self.outcome);
         (outcome.world, outcome.seed) = (self.world.name.clone(), seed);
--- a/crates/model/src/run/setup.rs
+++ b/crates/model/src/run/setup.rs
@@ -1,4 +1,6 @@
-//! How a run starts.
+//! Setup of a run: settings of the decision module, customers, backends, proxies and the first events.
+//!
+//! Everything is drawn here in a fixed order; a change of the order changes every run of every seed.
 
 use super::event::RunEvent;
 use super::proxy::Proxy;
@@ -15,6 +17,7 @@
 use maplefall_policy::{BackendEntry, Effect, Event};
 use std::collections::BTreeMap;
 
+/// The decision module's settings for a world, before plans are scaled.
 fn settings(world: &World) -> policy::Settings {
     let class = |class: &crate::world::ClassSpec| policy::Class {
         aim: class.latency_target_ms,
@@ -123,6 +126,7 @@
 }
 
 impl<'a> Run<'a> {
+    /// Draws a run from its world and seed.
     pub(super) fn new(world: &'a World, seed: u64) -> Run<'a> {
         let mut random = RandomSource::new(seed);
         let mut weights: Vec<f64> = (0..world.customers)
@@ -207,6 +211,7 @@
         }
     }
 
+    /// A fresh decision policy for a proxy.
     pub(super) fn new_policy(&mut self, proxy: usize) -> Box<dyn DecisionPolicy> {
         let zone = policy::ZoneId((proxy % self.world.zones) as u32);
         let (set, seed) = (
@@ -227,6 +232,7 @@
         }
     }
 
+    /// Starts the proxies with the full endpoint list and schedules the first events.
     pub(super) fn schedule_start(&mut self) {
         let entries: BTreeMap<usize, BackendEntry> = (0..self.backends.len())
             .map(|at| (at, self.backend_entry(at, None)))
--- a/crates/model/src/world/mod.rs
+++ b/crates/model/src/world/mod.rs
@@ -1,5 +1,7 @@
-//! What is played, as data: a TOML file, and every mistake in it with its field. Times are milliseconds where a name ends in
-//! `_ms`, seconds where it ends in `_s`.
+//! A world as data, read from a TOML file.
+//!
+//! Times are milliseconds where a name ends in `_ms`, seconds where it ends in `_s`. Keys of world files are fixed: where a Rust name
+//! differs from its key, a serde attribute keeps the key, and errors name the key.
 
 mod default;
 mod fault;
@@ -108,18 +110,18 @@
     pub every_s: f64,
 }
 
-/// A world.
+/// A world: a fleet, its load and its faults. Every field has a default; outside names are keys of world files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct World {
-    /// Its name.
+    /// Name, repeated in each outcome.
     pub name: String,
-    /// Simulated time.
+    /// Simulated time in seconds during which clients make requests.
     pub seconds: f64,
-    /// Proxies.
+    /// Number of proxies.
     #[serde(rename = "doors")]
     pub proxies: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
     /// Cores of each, requests that may wait there.
     pub cores: usize,
@@ -141,9 +143,8 @@
     pub overload_window_ms: f64,
     /// One way between a proxy and a backend, or a client.
     pub delay_ms: [f64; 2],
-    /// Time that a new connection takes, and work that it costs the backend.
+    /// Time that a new connection takes.
     pub handshake_ms: f64,
-    /// See above.
     /// After how long without use a connection is closed.
     pub idle_ms: f64,
     /// How late proxies hear of changes of the list.
@@ -165,7 +166,7 @@
     pub shift_s: [f64; 2],
     /// Part of the retries that come to the same proxy, as connections are kept.
     pub sticky: f64,
-    /// Part of the clients that follow a time to come back.
+    /// Fraction of the clients that honour a `Retry-After`.
     pub honour: f64,
     /// Zones, over which proxies and backends are dealt in turn; what a way between two zones takes longer, one way; and the
     /// price of such an attempt, as a part of the whole value.
@@ -181,13 +182,13 @@
     /// See above.
     #[serde(rename = "meter_late_ms")]
     pub meter_delay_ms: [f64; 2],
-    /// Coefficient of variation of what is guessed against the true units, which an answer settles; 0 for no guess.
+    /// Coefficient of variation of the estimated against the true units, which an answer corrects; 0 for no estimate.
     #[serde(rename = "guess_cv")]
     pub estimate_cv: f64,
-    /// How long a dial into a partition takes to fail.
+    /// How long connecting into a partition takes to time out.
     #[serde(rename = "dial_ms")]
     pub connect_timeout_ms: f64,
-    /// Mean units of a request; they are drawn from 1 up to `most_units`.
+    /// Mean units of a request; they are drawn from 1 up to `max_units`.
     pub units: f64,
     /// See above.
     #[serde(rename = "most_units")]
@@ -201,7 +202,7 @@
     /// How a backend is chosen.
     #[serde(rename = "choice")]
     pub load_balancer: LoadBalancer,
-    /// What a plain policy lets in.
+    /// The admission rule of a baseline policy.
     pub admission: Admission,
     /// Attempts for one request at most.
     pub attempts: u32,
@@ -212,7 +213,7 @@
     pub class: Vec<ClassSpec>,
     /// Plans; the usual three if none is named.
     pub plan: Vec<PlanSpec>,
-    /// Whether each proxy has an agent of discovery that it follows; else each change comes to each proxy by itself.
+    /// Whether each proxy follows a discovery agent; otherwise each change reaches each proxy directly.
     pub agents: bool,
     /// What goes wrong.
     #[serde(rename = "trouble")]
--- a/crates/model/tests/closed_forms.rs
+++ b/crates/model/tests/closed_forms.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn m_m_1_waits_as_it_should_and_a_tenth_off_is_noticed() {
+fn m_m_1_wait_matches_theory_and_ten_percent_error_is_detected() {
     let world = queueing(1, 1, 0.6, 10.0, 1.0);
     let expected = wait_of_one(0.6, 10.0, 1.0);
     assert!(fits(&world, |one| one.wait_ms, expected));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn m_m_c_waits_as_erlang_says() {
+fn m_m_c_wait_matches_erlang_c() {
     for (cores, load) in [(2, 0.7), (4, 0.8), (16, 0.8)] {
         let world = queueing(1, cores, load, 20.0, 1.0);
         let expected = wait_of_many(cores, load, 20.0);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn m_g_1_waits_as_pollaczek_and_khinchine_say() {
+fn m_g_1_wait_matches_pollaczek_khinchine() {
     for cv in [0.0, 0.5, 1.5] {
         let world = queueing(1, 1, 0.5, 10.0, cv);
         assert!(
@@ -112,7 +112,7 @@
 
 /// Several queues chosen by chance are several M/M/1.
 #[test]
-fn split_at_random_each_backend_is_a_queue_of_its_own() {
+fn random_split_gives_independent_queues() {
     let world = queueing(8, 1, 0.6, 10.0, 1.0);
     assert!(fits(&world, |one| one.wait_ms, wait_of_one(0.6, 10.0, 1.0)));
     let better = World {
@@ -143,7 +143,7 @@
 
 /// A token bucket lets in its burst and its rate, and nothing beyond.
 #[test]
-fn one_store_for_all_lets_in_what_it_holds() {
+fn single_full_quota_admits_exactly_its_quota() {
     let mut world = queueing(8, 4, 0.5, 5.0, 0.0);
     world.plan = vec![maplefall_model::world::PlanSpec {
         share: 1.0,
--- a/crates/model/tests/frontier.rs
+++ b/crates/model/tests/frontier.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_bound_is_what_trying_all_rules_gives() {
+fn bound_equals_enumeration_of_rules() {
     for (cost, proxies) in [(0.3, 50), (0.8, 50), (2.0, 50), (0.8, 200), (5.0, 20)] {
         let case = Case {
             cost,
@@ -89,7 +89,7 @@
 
 /// Where nothing is unknown nothing is lost: one proxy, one part, or no cost.
 #[test]
-fn what_is_known_costs_nothing() {
+fn known_demand_reaches_full_value() {
     let value = |case: Case| bound(&case).expect("a bound").value;
     assert!(
         (value(Case {
@@ -186,7 +186,7 @@
 /// is possible without talk (measured: 0.95 and 0.87 of it, 0.88 and 0.64, 0.83 and 0.56). The bound is one: nobody who talks to
 /// nobody passes it by more than chance.
 #[test]
-fn the_module_is_not_dominated_and_keeps_its_distance_to_the_bound() {
+fn module_is_not_dominated_and_stays_near_bound() {
     let grid = [
         (4, 0.0, 0.92),
         (4, 0.6, 0.83),
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_point_is_dominated_by_one_that_is_nowhere_worse() {
+fn dominance_requires_no_worse_figure() {
     let point = |served_value, over| Point {
         proxies: 1,
         uneven: 0.0,
--- a/crates/model/tests/mass.rs
+++ b/crates/model/tests/mass.rs
@@ -37,7 +37,7 @@
 
 /// The rules over the sum of all proxies, and enough of the value served.
 #[test]
-fn the_rules_hold_over_the_sum_of_three_hundred_doors() {
+fn invariants_hold_with_three_hundred_proxies() {
     let world = mass();
     for seed in [1, 2] {
         println!("seed {seed}");
@@ -64,7 +64,7 @@
 
 /// The checks are no empty ones: proxies that let all in, to backends of their own choice, break ceilings and push warming up backends over.
 #[test]
-fn a_fleet_without_rules_breaks_them_there() {
+fn baseline_fleet_breaks_invariants() {
     let world = World {
         load_balancer: LoadBalancer::Aperture(1),
         admission: Admission::None,
@@ -83,7 +83,7 @@
 /// before an agent that never answers what it was asked while it was away. The real follower and roster stand between the agents'
 /// words and the module. Seen to fail where a word of any version holds, and where second calls are made once in a heartbeat.
 #[test]
-fn drains_are_kept_whatever_becomes_of_a_door_or_its_agent() {
+fn drains_are_respected_through_proxy_and_agent_faults() {
     let world = world("leaving", 7);
     for seed in [1, 2] {
         println!("seed {seed}");
--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -37,7 +37,7 @@
 /// The five rules in the model, over a hundred seeds with proxies killed, backends replaced and slow ones: one answer each, nothing
 /// unsafe twice, no late send after a drain, no warming up backend pushed over, and all requests at proxies accounted for.
 #[test]
-fn the_rules_hold_over_a_hundred_seeds() {
+fn invariants_hold_over_a_hundred_seeds() {
     let world = faulty_world();
     for seed in 0..100 {
         let one = play(&world, seed);
@@ -67,7 +67,7 @@
 /// The checks are no empty ones: a policy that knows nothing of warming up backends pushes them over, and one that lets all in passes
 /// quotas.
 #[test]
-fn a_policy_without_rules_breaks_them() {
+fn baseline_policy_breaks_invariants() {
     let mut world = World {
         load_balancer: LoadBalancer::Aperture(1),
         load: 0.9,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn who_sees_the_truth_serves_more_than_who_does_not() {
+fn oracle_serves_more_value_than_module() {
     let served_value = |load_balancer| {
         play(
             &World {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn the_same_seed_is_the_same_run() {
+fn same_seed_gives_same_outcome() {
     let world = faulty_world();
     assert_eq!(play(&world, 7), play(&world, 7));
     assert_ne!(play(&world, 7), play(&world, 8));
@@ -124,7 +124,7 @@
 
 /// Two processes, one run at a time and eight, a grid and its parts: the same bytes.
 #[test]
-fn processes_and_jobs_give_the_same_bytes() {
+fn output_is_independent_of_process_and_jobs() {
     let path = file(
         "same",
         "seconds = 2\n[[trouble]]\nwhat = \"restart-doors\"\nat_s = 1\npart = 0.5\ndown_ms = [100, 300]\n",
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_difference_is_seen_where_there_is_one_and_not_where_there_is_none() {
+fn compare_reports_real_differences_only() {
     let one = file(
         "one",
         "seconds = 4\nchoice = \"random\"\nadmission = \"none\"\n",
@@ -177,7 +177,7 @@
 
 /// A sweep drawn: one line for each kind, and what cannot be drawn is notified.
 #[test]
-fn results_are_drawn() {
+fn plot_draws_results() {
     let path = file("drawn", "seconds = 2\n");
     let sweep = model(&[
         "sweep",
@@ -208,7 +208,7 @@
 
 /// One line each with file, field and what was expected, exit code 2, and nothing played.
 #[test]
-fn files_that_cannot_be_used_are_told() {
+fn invalid_world_files_are_reported() {
     for (text, expected) in [
         ("second = 3", "unknown field `second`"),
         ("seconds = \"long\"", "seconds"),
@@ -248,7 +248,7 @@
 
 /// The rules and the ceilings over fifty seeds of such days with floods, customers that come once, a partition and a lost zone.
 #[test]
-fn rules_and_ceilings_hold_on_uneven_days() {
+fn invariants_and_ceilings_hold_on_uneven_load() {
     let mut world = World { zones: 3, ..days() };
     world.faults = vec![
         Fault::Flood {
@@ -301,7 +301,7 @@
 
 /// Who knows no ceilings breaks them, so that keeping them is no empty word.
 #[test]
-fn a_policy_that_lets_all_in_breaks_ceilings() {
+fn policy_without_admission_breaks_ceilings() {
     let mut world = World {
         load_balancer: LoadBalancer::LeastOutstanding,
         ..days()
@@ -319,7 +319,7 @@
 
 /// What the new parts of a world are for can be seen in its figures.
 #[test]
-fn what_a_world_says_shows_in_its_figures() {
+fn world_fields_affect_figures() {
     let mean = |world: &World, of: &dyn Fn(&maplefall_model::Outcome) -> f64| {
         (0..6).map(|seed| of(&play(world, seed))).sum::<f64>() / 6.0
     };
@@ -402,7 +402,7 @@
 
 /// A search finds the smallest seed, and its world is as small as it can be read: what is not needed is gone.
 #[test]
-fn a_search_shrinks_what_it_finds() {
+fn search_shrinks_world() {
     let path = file(
         "searched",
         "seconds = 8\ndoors = 6\nzones = 2\nchoice = \"least-out\"\nadmission = \"none\"\n\
@@ -449,7 +449,7 @@
 
 /// The load of a world is its client requests in the order of their times, whoever decides.
 #[test]
-fn the_load_of_a_world_goes_by_its_seed_alone() {
+fn load_depends_on_seed_alone() {
     let world = World {
         seconds: 3.0,
         ..days()
@@ -477,7 +477,7 @@
 
 /// A frontier's table has a row for each place, and what the bound does not cover is notified.
 #[test]
-fn a_frontier_is_a_table_or_lines() {
+fn frontier_prints_table_or_json_lines() {
     let path = file(
         "frontier",
         "seconds = 3\ncustomers = 20\n[[plan]]\nshare = 1\nrate = 4\nburst = 16\nprice = 1\n\
