--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -1,4 +1,6 @@
-//! `maplefall-model`: plays worlds, sweeps over their fields, compares two of them.
+//! `maplefall-model`: plays worlds, sweeps over their fields, searches and compares them.
+//!
+//! Output is independent of `--jobs`: lines are printed in the order of the runs. Doc comments of commands and flags are help texts.
 
 #![forbid(unsafe_code)]
 
@@ -144,7 +146,7 @@
 }
 
 fn main() -> ExitCode {
-    match carry_out(Arguments::parse().command) {
+    match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(lines) => {
             for line in lines {
@@ -155,7 +157,8 @@
     }
 }
 
-fn carry_out(command: Command) -> Result<(), Vec<String>> {
+/// Runs a command; the error is lines for stderr.
+fn execute(command: Command) -> Result<(), Vec<String>> {
     match command {
         Command::Run {
             world,
@@ -196,145 +199,188 @@
             seeds,
             jobs,
             json,
-        } => {
-            let base = read(&world)?;
-            let named = |line: String| vec![format!("{}: {line}", world.display())];
-            let grid_points: Vec<(usize, f64)> = proxies
-                .iter()
-                .flat_map(|proxies| uneven.iter().map(move |uneven| (*proxies, *uneven)))
-                .collect();
-            let mut bounds = Vec::new();
-            let mut runs = Vec::new();
-            for (proxies, uneven) in &grid_points {
-                let here = World {
-                    proxies: *proxies,
-                    uneven: *uneven,
-                    ..base.clone()
-                };
-                let found = here.errors();
-                if !found.is_empty() {
-                    return Err(found.into_iter().flat_map(named).collect());
-                }
-                bounds.push(frontier::bound_of(&here, cost).map_err(named)?);
-                for one in frontier::worlds(&base, *proxies, *uneven) {
-                    runs.extend((1..=seeds.max(1)).map(|seed| (one.clone(), seed)));
-                }
-            }
-            let outcomes = run_all(&runs, jobs);
-            let mut groups = outcomes.chunks(seeds.max(1) as usize);
-            if !json {
-                println!("doors uneven | bound | module (worth, beyond) of bound | even | whole | oracle");
-            }
-            for bound in bounds {
-                let points = frontier::points(&bound, cost, &mut groups);
-                if json {
-                    for point in std::iter::once(&bound).chain(&points) {
-                        println!("{}", serde_json::to_string(point).unwrap_or_default());
-                    }
-                    continue;
-                }
-                let cells: Vec<String> = points
-                    .iter()
-                    .map(|point| {
-                        format!(
-                            "{:.3} ({:.3}, {:.3})",
-                            point.value, point.served_value, point.over
-                        )
-                    })
-                    .collect();
-                let fraction = points
-                    .first()
-                    .map_or(0.0, |module| module.value / bound.value);
-                println!(
-                    "{} {} | {:.3} ({:.3}, {:.3}) | {} {:.3} | {}",
-                    bound.proxies,
-                    bound.uneven,
-                    bound.value,
-                    bound.served_value,
-                    bound.over,
-                    cells[0],
-                    fraction,
-                    cells[1..].join(" | ")
-                );
-            }
-            Ok(())
-        }
+        } => print_frontier(
+            &world,
+            &Grid { proxies, uneven },
+            cost,
+            seeds.max(1),
+            jobs,
+            json,
+        ),
         Command::Search {
             world,
             breaks,
             seeds,
             runs,
-        } => {
-            let base = read(&world)?;
-            let target =
-                Target::parse(&breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
-            match search(&base, &target, seeds, runs) {
-                Some(found) => {
-                    eprintln!(
-                        "{} at seed {} after {} runs",
-                        found.what, found.seed, found.runs
-                    );
-                    print!(
-                        "{}",
-                        toml::to_string(&found.world).map_err(|error| vec![error.to_string()])?
-                    );
-                }
-                None => println!("not seen in {seeds} seeds"),
-            }
-            Ok(())
-        }
-        Command::Load { world, seed } => {
-            for request in maplefall_model::run::load(&read(&world)?, seed) {
-                let line = serde_json::to_string(&request).unwrap_or_default();
-                // A reader that has gone needs no more lines.
-                if writeln!(std::io::stdout(), "{line}").is_err() {
-                    break;
-                }
-            }
-            Ok(())
-        }
+        } => search_world(&world, &breaks, seeds, runs),
+        Command::Load { world, seed } => print_load(&world, seed),
         Command::Compare {
             first,
             second,
             figure,
             seeds,
             jobs,
-        } => {
-            let worlds = [read(&first)?, read(&second)?];
-            let runs = worlds
-                .iter()
-                .flat_map(|world| (1..=seeds).map(move |seed| (world.clone(), seed)))
-                .collect::<Vec<_>>();
-            let outcomes = run_all(&runs, jobs);
-            let figures: Option<Vec<f64>> = outcomes
-                .iter()
-                .map(|outcome| outcome.field(&figure))
-                .collect();
-            let figures =
-                figures.ok_or(vec![format!("--figure: {figure} is no figure of a run")])?;
-            let (one, other) = figures.split_at(seeds as usize);
-            let found = paired(one, other, 1)
-                .ok_or(vec!["--seeds: one at least was expected".to_owned()])?;
-            let word = if found.seen() {
-                ""
-            } else {
-                "no difference seen: "
-            };
-            println!(
-                "{word}{figure}: {:+.4} ({:+.4} to {:+.4}, 95 of 100) over {} pairs",
-                found.mean, found.from, found.to, found.pairs
+        } => compare([&first, &second], &figure, seeds, jobs),
+    }
+}
+
+/// Prints the frontier of a world over a grid, beside the bound: a table, or lines of JSON.
+fn print_frontier(
+    path: &Path,
+    grid: &Grid,
+    cost: f64,
+    seeds: u64,
+    jobs: usize,
+    json: bool,
+) -> Result<(), Vec<String>> {
+    let base = read(path)?;
+    let named = |line: String| vec![format!("{}: {line}", path.display())];
+    let grid_points = grid.points();
+    let mut bounds = Vec::new();
+    let mut runs = Vec::new();
+    for (proxies, uneven) in &grid_points {
+        let here = World {
+            proxies: *proxies,
+            uneven: *uneven,
+            ..base.clone()
+        };
+        let found = here.errors();
+        if !found.is_empty() {
+            return Err(found.into_iter().flat_map(named).collect());
+        }
+        bounds.push(frontier::bound_of(&here, cost).map_err(named)?);
+        for one in frontier::worlds(&base, *proxies, *uneven) {
+            runs.extend((1..=seeds).map(|seed| (one.clone(), seed)));
+        }
+    }
+    let outcomes = run_all(&runs, jobs);
+    let mut groups = outcomes.chunks(seeds as usize);
+    if !json {
+        println!("doors uneven | bound | module (worth, beyond) of bound | even | whole | oracle");
+    }
+    for bound in bounds {
+        let points = frontier::points(&bound, cost, &mut groups);
+        if json {
+            for point in std::iter::once(&bound).chain(&points) {
+                println!("{}", serde_json::to_string(point).unwrap_or_default());
+            }
+            continue;
+        }
+        print_frontier_row(&bound, &points);
+    }
+    Ok(())
+}
+
+/// Searches the smallest seed and world that break a bound, and prints the world.
+fn search_world(path: &Path, breaks: &str, seeds: u64, runs: usize) -> Result<(), Vec<String>> {
+    let base = read(path)?;
+    let target = Target::parse(breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
+    match search(&base, &target, seeds, runs) {
+        Some(found) => {
+            eprintln!(
+                "{} at seed {} after {} runs",
+                found.what, found.seed, found.runs
+            );
+            print!(
+                "{}",
+                toml::to_string(&found.world).map_err(|error| vec![error.to_string()])?
             );
-            Ok(())
         }
+        None => println!("not seen in {seeds} seeds"),
+    }
+    Ok(())
+}
+
+/// Prints the client requests of a world, a line of JSON each.
+fn print_load(path: &Path, seed: u64) -> Result<(), Vec<String>> {
+    for request in maplefall_model::run::load(&read(path)?, seed) {
+        let line = serde_json::to_string(&request).unwrap_or_default();
+        // A reader that has gone needs no more lines.
+        if writeln!(std::io::stdout(), "{line}").is_err() {
+            break;
+        }
+    }
+    Ok(())
+}
+
+/// Compares a figure of two worlds over the same seeds.
+fn compare(paths: [&Path; 2], figure: &str, seeds: u64, jobs: usize) -> Result<(), Vec<String>> {
+    let worlds = [read(paths[0])?, read(paths[1])?];
+    let runs = worlds
+        .iter()
+        .flat_map(|world| (1..=seeds).map(move |seed| (world.clone(), seed)))
+        .collect::<Vec<_>>();
+    let outcomes = run_all(&runs, jobs);
+    let figures: Option<Vec<f64>> = outcomes
+        .iter()
+        .map(|outcome| outcome.field(figure))
+        .collect();
+    let figures = figures.ok_or(vec![format!("--figure: {figure} is no figure of a run")])?;
+    let (one, other) = figures.split_at(seeds as usize);
+    let found =
+        paired(one, other, 1).ok_or(vec!["--seeds: one at least was expected".to_owned()])?;
+    let word = if found.seen() {
+        ""
+    } else {
+        "no difference seen: "
+    };
+    println!(
+        "{word}{figure}: {:+.4} ({:+.4} to {:+.4}, 95 of 100) over {} pairs",
+        found.mean, found.from, found.to, found.pairs
+    );
+    Ok(())
+}
+
+/// Prints a row of the frontier's table: the bound, the module with its part of the bound, and the other policies.
+fn print_frontier_row(bound: &frontier::Point, points: &[frontier::Point]) {
+    let cells: Vec<String> = points
+        .iter()
+        .map(|point| {
+            format!(
+                "{:.3} ({:.3}, {:.3})",
+                point.value, point.served_value, point.over
+            )
+        })
+        .collect();
+    let fraction = points
+        .first()
+        .map_or(0.0, |module| module.value / bound.value);
+    println!(
+        "{} {} | {:.3} ({:.3}, {:.3}) | {} {:.3} | {}",
+        bound.proxies,
+        bound.uneven,
+        bound.value,
+        bound.served_value,
+        bound.over,
+        cells[0],
+        fraction,
+        cells[1..].join(" | ")
+    );
+}
+
+/// The grid of a frontier: numbers of proxies by unevenness.
+struct Grid {
+    proxies: Vec<usize>,
+    uneven: Vec<f64>,
+}
+
+impl Grid {
+    fn points(&self) -> Vec<(usize, f64)> {
+        self.proxies
+            .iter()
+            .flat_map(|proxies| self.uneven.iter().map(move |uneven| (*proxies, *uneven)))
+            .collect()
     }
 }
 
+/// Reads a world file; each error names the file.
 fn read(path: &Path) -> Result<World, Vec<String>> {
     let named = |line: String| format!("{}: {line}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| vec![named(error.to_string())])?;
     World::read(&text).map_err(|found| found.into_iter().map(named).collect())
 }
 
+/// Plays a world over a grid of values of its fields.
 fn sweep(path: &Path, over: &[String], seeds: u64, jobs: usize) -> Result<(), Vec<String>> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| vec![format!("{}: {error}", path.display())])?;
@@ -425,6 +471,7 @@
     Ok(())
 }
 
+/// Plays all runs and returns their outcomes in order.
 fn run_all(runs: &[(World, u64)], jobs: usize) -> Vec<Outcome> {
     let outcomes = Mutex::new(vec![Outcome::default(); runs.len()]);
     run_in_parallel(runs, jobs, |at, outcome| {
--- a/crates/model/src/run/clients.rs
+++ b/crates/model/src/run/clients.rs
@@ -266,42 +266,9 @@
         let (client_request, number, within_quota, proxy) =
             (one.client_request, one.number, one.within_quota, one.proxy);
         if served {
-            self.outcome.served += 1;
-            let latency = self.now - self.client_requests[client_request].started_at;
-            self.times.add(latency);
-            let one = &mut self.client_requests[client_request];
-            let spec = &self.world.class[one.class];
-            if within_quota && !one.served && latency <= spec.latency_target_ms {
-                let price = self.settings.plans[self.customers[one.customer].plan].price;
-                let value = spec.value * price * one.true_units;
-                self.served_value += value;
-                self.outcome.served_value_by_plan[self.customers[one.customer].plan] += value;
-                if let Some(group) = self.groups.get(one.customer) {
-                    self.outcome.served_value_by_demand[*group] += value;
-                }
-                if let Some(second) = self
-                    .outcome
-                    .by_second
-                    .get_mut((one.started_at / 1000.0) as usize)
-                {
-                    *second += value;
-                }
-            }
-            one.served = true;
+            self.record_served(client_request, within_quota);
         } else if let Some(reason) = rejected {
-            self.outcome.rejected += 1;
-            *self.outcome.rejections.entry(reason.name()).or_default() += 1;
-            let (customer, units) = (
-                self.client_requests[client_request].customer,
-                self.client_requests[client_request].units,
-            );
-            if self.has_quota(customer, units) {
-                *self
-                    .outcome
-                    .rejected_within_quota
-                    .entry(reason.name())
-                    .or_default() += 1;
-            }
+            self.record_rejected(client_request, reason);
             self.schedule_retry(client_request, number, advised, Some(proxy));
         } else {
             self.outcome.failed += 1;
@@ -309,6 +276,45 @@
         self.forget_request(id);
     }
 
+    /// Counts a served request; its value counts once, if it was within the quota and within the latency target.
+    fn record_served(&mut self, client_request: usize, within_quota: bool) {
+        self.outcome.served += 1;
+        let request = &mut self.client_requests[client_request];
+        let latency = self.now - request.started_at;
+        self.times.add(latency);
+        let class = &self.world.class[request.class];
+        if within_quota && !request.served && latency <= class.latency_target_ms {
+            let plan = self.customers[request.customer].plan;
+            let value = class.value * self.settings.plans[plan].price * request.true_units;
+            self.served_value += value;
+            self.outcome.served_value_by_plan[plan] += value;
+            if let Some(group) = self.groups.get(request.customer) {
+                self.outcome.served_value_by_demand[*group] += value;
+            }
+            let second = (request.started_at / 1000.0) as usize;
+            if let Some(value_of_second) = self.outcome.by_second.get_mut(second) {
+                *value_of_second += value;
+            }
+        }
+        request.served = true;
+    }
+
+    /// Counts a rejected request by reason, and whether the customer's true quota would have covered it.
+    fn record_rejected(&mut self, client_request: usize, reason: policy::Reason) {
+        self.outcome.rejected += 1;
+        *self.outcome.rejections.entry(reason.name()).or_default() += 1;
+        let ClientRequest {
+            customer, units, ..
+        } = self.client_requests[client_request];
+        if self.has_quota(customer, units) {
+            *self
+                .outcome
+                .rejected_within_quota
+                .entry(reason.name())
+                .or_default() += 1;
+        }
+    }
+
     /// Makes a request of a flood and schedules the next, until the flood's end.
     pub(super) fn continue_flood(&mut self, customer: usize, pause: f64, until: f64) {
         if self.now < until {
