--- /dev/null
+++ b/crates/model/src/balancer.rs
@@ -0,0 +1,223 @@
+//! A proxy: the real decision module, or a plain policy beside it, behind one trait. A plain policy knows what the module
+//! knows and nothing more.
+
+use crate::random::RandomSource;
+use crate::world::{Admission, LoadBalancer};
+use maplefall_policy::*;
+use std::collections::BTreeMap;
+
+/// What decides: events in, actions out, as the decision module has it.
+pub trait DecisionPolicy {
+    /// Takes an event and appends what is to be done.
+    fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>);
+}
+
+impl DecisionPolicy for Gateway {
+    fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
+        Gateway::handle(self, now, event, actions);
+    }
+}
+
+/// A token bucket of quota units.
+#[derive(Clone, Copy, Debug)]
+pub struct TokenBucket {
+    /// Units in it, as of `at`.
+    pub tokens: f64,
+    /// See above.
+    pub at: Millis,
+}
+
+impl TokenBucket {
+    /// A full bucket.
+    pub fn full(burst: f64, at: Millis) -> TokenBucket {
+        TokenBucket { tokens: burst, at }
+    }
+
+    /// Refills the bucket up to `now` (`rate` in units a second) and returns whether it has this many units.
+    pub fn has(&mut self, now: Millis, rate: f64, burst: f64, units: f64) -> bool {
+        self.tokens = (self.tokens + rate * (now - self.at) / 1000.0).min(burst);
+        self.at = now;
+        self.tokens >= units
+    }
+}
+
+/// A textbook policy to compare with: one attempt per request, a [`LoadBalancer`] and an [`Admission`] rule.
+pub struct BaselinePolicy {
+    load_balancer: LoadBalancer,
+    admission: Admission,
+    settings: Settings,
+    random: RandomSource,
+    ready: Vec<BackendId>,
+    /// Pending attempts at each backend.
+    in_flight: BTreeMap<BackendId, u32>,
+    /// The backend of each request.
+    at: BTreeMap<RequestId, BackendId>,
+    buckets: BTreeMap<CustomerId, TokenBucket>,
+    next_index: usize,
+}
+
+impl BaselinePolicy {
+    /// One of these kinds.
+    pub fn new(
+        load_balancer: LoadBalancer,
+        admission: Admission,
+        settings: Settings,
+        seed: u64,
+    ) -> BaselinePolicy {
+        BaselinePolicy {
+            load_balancer,
+            admission,
+            settings,
+            random: RandomSource::new(seed),
+            ready: Vec::new(),
+            in_flight: BTreeMap::new(),
+            at: BTreeMap::new(),
+            buckets: BTreeMap::new(),
+            next_index: 0,
+        }
+    }
+
+    fn admits(&mut self, now: Millis, request: &Request) -> bool {
+        let Some(plan) = self.settings.plans.get(request.plan.0) else {
+            return false;
+        };
+        let fractions = match self.admission {
+            Admission::None => return true,
+            Admission::EvenShare => request.spread.max(1.0),
+            Admission::FullQuota => 1.0,
+        };
+        // A part of the burst holds one of the largest requests at least: else nothing would ever be admitted.
+        let (rate, burst) = (
+            plan.rate / fractions,
+            (plan.burst / fractions).max(self.settings.max_units),
+        );
+        let bucket = self
+            .buckets
+            .entry(request.customer)
+            .or_insert(TokenBucket::full(burst, now));
+        let has_units = bucket.has(now, rate, burst, request.units);
+        if has_units {
+            bucket.tokens -= request.units;
+        }
+        has_units
+    }
+
+    fn choose(&mut self) -> Option<BackendId> {
+        if self.ready.is_empty() {
+            return None;
+        }
+        let in_flight = |id: &BackendId| self.in_flight.get(id).copied().unwrap_or(0);
+        let count = self.ready.len();
+        let chosen = match self.load_balancer {
+            LoadBalancer::Module | LoadBalancer::Oracle | LoadBalancer::Random => {
+                self.random.below(count)
+            }
+            LoadBalancer::RoundRobin => {
+                self.next_index = (self.next_index + 1) % count;
+                self.next_index
+            }
+            LoadBalancer::LeastOutstanding => {
+                let from = self.random.below(count);
+                (0..count)
+                    .map(|at| (at + from) % count)
+                    .min_by_key(|at| in_flight(&self.ready[*at]))
+                    .unwrap_or(0)
+            }
+            LoadBalancer::TwoChoices => {
+                let (one, other) = (self.random.below(count), self.random.below(count));
+                if in_flight(&self.ready[one]) <= in_flight(&self.ready[other]) {
+                    one
+                } else {
+                    other
+                }
+            }
+            // The first few of an order that each proxy draws for itself, two of them at a time (Finagle's aperture, fixed).
+            LoadBalancer::Aperture(width) => {
+                let width = width.clamp(1, count);
+                let (one, other) = (self.random.below(width), self.random.below(width));
+                if in_flight(&self.ready[one]) <= in_flight(&self.ready[other]) {
+                    one
+                } else {
+                    other
+                }
+            }
+        };
+        self.ready.get(chosen).copied()
+    }
+
+    fn update_endpoints(&mut self, kind: ListKind, entries: &[BackendEntry]) {
+        if matches!(kind, ListKind::Full | ListKind::Cached) {
+            self.ready.clear();
+        }
+        for entry in entries {
+            let at = self.ready.iter().position(|id| *id == entry.id);
+            match (entry.availability, at) {
+                (Availability::Ready, None) => {
+                    let spot = self.random.below(self.ready.len() + 1);
+                    self.ready.insert(spot, entry.id);
+                }
+                (Availability::Draining | Availability::Gone, Some(at)) => {
+                    self.ready.remove(at);
+                }
+                _ => {}
+            }
+        }
+    }
+}
+
+impl DecisionPolicy for BaselinePolicy {
+    fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Backends(kind, entries) => self.update_endpoints(kind, &entries),
+            Event::Arrival(request) => {
+                let admitted = self.admits(now, &request);
+                let backend = if admitted { self.choose() } else { None };
+                match backend {
+                    Some(backend) => {
+                        *self.in_flight.entry(backend).or_default() += 1;
+                        self.at.insert(request.id, backend);
+                        let limit = Some(request.deadline - now);
+                        actions.push(Action::Send {
+                            request: request.id,
+                            backend,
+                            limit,
+                            care: Care::Usual,
+                        });
+                    }
+                    None => {
+                        let reason = if admitted {
+                            Reason::Backends
+                        } else {
+                            Reason::Slice
+                        };
+                        actions.push(Action::Refuse {
+                            request: request.id,
+                            reason,
+                            retry_after: None,
+                        });
+                    }
+                }
+            }
+            Event::Settled(settled) => {
+                if let Some(backend) = self.at.remove(&settled.request) {
+                    if let Some(in_flight) = self.in_flight.get_mut(&backend) {
+                        *in_flight = in_flight.saturating_sub(1);
+                    }
+                }
+                match settled.outcome {
+                    _ if settled.closed => {}
+                    Outcome::Ok => {}
+                    Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent => {
+                        actions.push(Action::Refuse {
+                            request: settled.request,
+                            reason: Reason::Attempts,
+                            retry_after: None,
+                        });
+                    }
+                    _ => actions.push(Action::Fail(settled.request)),
+                }
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -1,4 +1,6 @@
-//! `maplefall-model`: plays worlds, sweeps over their fields, compares two of them.
+//! `maplefall-model`: plays worlds, sweeps over their fields, searches and compares them.
+//!
+//! Output is independent of `--jobs`: lines are printed in the order of the runs. Doc comments of commands and flags are help texts.
 
 #![forbid(unsafe_code)]
 
@@ -6,7 +8,7 @@
 
 use clap::{Parser, Subcommand};
 use maplefall_model::compare::paired;
-use maplefall_model::search::{search, Looked};
+use maplefall_model::search::{search, Target};
 use maplefall_model::{frontier, play, Outcome, World};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -15,7 +17,7 @@
 use std::sync::Mutex;
 
 /// Worlds that a sweep plays at most.
-const MOST_RUNS: usize = 100_000;
+const MAX_RUNS: usize = 100_000;
 
 #[derive(Parser)]
 #[command(
@@ -23,7 +25,7 @@
     version,
     about = "A model of a fleet of front doors, with the real decision module in each"
 )]
-struct Asked {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -80,8 +82,13 @@
         /// The world, a TOML file: one plan, groups of demand that each ask for one part, no meter
         world: PathBuf,
         /// Numbers of doors
-        #[arg(long, value_delimiter = ',', default_value = "1,4,10,30,100,300")]
-        doors: Vec<usize>,
+        #[arg(
+            long = "doors",
+            value_name = "DOORS",
+            value_delimiter = ',',
+            default_value = "1,4,10,30,100,300"
+        )]
+        proxies: Vec<usize>,
         /// Parts of a customer's requests that come through its busiest door
         #[arg(long, value_delimiter = ',', default_value = "0,0.3,0.6")]
         uneven: Vec<f64>,
@@ -139,7 +146,7 @@
 }
 
 fn main() -> ExitCode {
-    match carry_out(Asked::parse().command) {
+    match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(lines) => {
             for line in lines {
@@ -150,7 +157,8 @@
     }
 }
 
-fn carry_out(command: Command) -> Result<(), Vec<String>> {
+/// Runs a command; the error is lines for stderr.
+fn execute(command: Command) -> Result<(), Vec<String>> {
     match command {
         Command::Run {
             world,
@@ -162,7 +170,7 @@
             let runs = (seed..seed.saturating_add(seeds))
                 .map(|seed| (world.clone(), seed))
                 .collect();
-            tell(runs, jobs, |_, outcome| {
+            print_runs(runs, jobs, |_, outcome| {
                 serde_json::to_string(outcome).unwrap_or_default()
             })
         }
@@ -185,148 +193,194 @@
         }
         Command::Frontier {
             world,
-            doors,
+            proxies,
             uneven,
             cost,
             seeds,
             jobs,
             json,
-        } => {
-            let base = read(&world)?;
-            let named = |line: String| vec![format!("{}: {line}", world.display())];
-            let places: Vec<(usize, f64)> = doors
-                .iter()
-                .flat_map(|doors| uneven.iter().map(move |uneven| (*doors, *uneven)))
-                .collect();
-            let mut bounds = Vec::new();
-            let mut runs = Vec::new();
-            for (doors, uneven) in &places {
-                let here = World {
-                    doors: *doors,
-                    uneven: *uneven,
-                    ..base.clone()
-                };
-                let found = here.mistakes();
-                if !found.is_empty() {
-                    return Err(found.into_iter().flat_map(named).collect());
-                }
-                bounds.push(frontier::bound_of(&here, cost).map_err(named)?);
-                for one in frontier::worlds(&base, *doors, *uneven) {
-                    runs.extend((1..=seeds.max(1)).map(|seed| (one.clone(), seed)));
-                }
-            }
-            let outcomes = all(&runs, jobs);
-            let mut groups = outcomes.chunks(seeds.max(1) as usize);
-            if !json {
-                println!("doors uneven | bound | module (worth, beyond) of bound | even | whole | oracle");
-            }
-            for bound in bounds {
-                let points = frontier::points(&bound, cost, &mut groups);
-                if json {
-                    for point in std::iter::once(&bound).chain(&points) {
-                        println!("{}", serde_json::to_string(point).unwrap_or_default());
-                    }
-                    continue;
-                }
-                let cells: Vec<String> = points
-                    .iter()
-                    .map(|point| {
-                        format!("{:.3} ({:.3}, {:.3})", point.value, point.worth, point.over)
-                    })
-                    .collect();
-                let part = points
-                    .first()
-                    .map_or(0.0, |module| module.value / bound.value);
-                println!(
-                    "{} {} | {:.3} ({:.3}, {:.3}) | {} {:.3} | {}",
-                    bound.doors,
-                    bound.uneven,
-                    bound.value,
-                    bound.worth,
-                    bound.over,
-                    cells[0],
-                    part,
-                    cells[1..].join(" | ")
-                );
-            }
-            Ok(())
-        }
+        } => print_frontier(
+            &world,
+            &Grid { proxies, uneven },
+            cost,
+            seeds.max(1),
+            jobs,
+            json,
+        ),
         Command::Search {
             world,
             breaks,
             seeds,
             runs,
-        } => {
-            let base = read(&world)?;
-            let looked_for =
-                Looked::read(&breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
-            match search(&base, &looked_for, seeds, runs) {
-                Some(found) => {
-                    eprintln!(
-                        "{} at seed {} after {} runs",
-                        found.what, found.seed, found.runs
-                    );
-                    print!(
-                        "{}",
-                        toml::to_string(&found.world).map_err(|error| vec![error.to_string()])?
-                    );
-                }
-                None => println!("not seen in {seeds} seeds"),
-            }
-            Ok(())
-        }
-        Command::Load { world, seed } => {
-            for ask in maplefall_model::run::load(&read(&world)?, seed) {
-                let line = serde_json::to_string(&ask).unwrap_or_default();
-                // A reader that has gone needs no more lines.
-                if writeln!(std::io::stdout(), "{line}").is_err() {
-                    break;
-                }
-            }
-            Ok(())
-        }
+        } => search_world(&world, &breaks, seeds, runs),
+        Command::Load { world, seed } => print_load(&world, seed),
         Command::Compare {
             first,
             second,
             figure,
             seeds,
             jobs,
-        } => {
-            let worlds = [read(&first)?, read(&second)?];
-            let runs = worlds
-                .iter()
-                .flat_map(|world| (1..=seeds).map(move |seed| (world.clone(), seed)))
-                .collect::<Vec<_>>();
-            let outcomes = all(&runs, jobs);
-            let figures: Option<Vec<f64>> = outcomes
-                .iter()
-                .map(|outcome| outcome.field(&figure))
-                .collect();
-            let figures =
-                figures.ok_or(vec![format!("--figure: {figure} is no figure of a run")])?;
-            let (one, other) = figures.split_at(seeds as usize);
-            let found = paired(one, other, 1)
-                .ok_or(vec!["--seeds: one at least was expected".to_owned()])?;
-            let word = if found.seen() {
-                ""
-            } else {
-                "no difference seen: "
-            };
-            println!(
-                "{word}{figure}: {:+.4} ({:+.4} to {:+.4}, 95 of 100) over {} pairs",
-                found.mean, found.from, found.to, found.pairs
+        } => compare([&first, &second], &figure, seeds, jobs),
+    }
+}
+
+/// Prints the frontier of a world over a grid, beside the bound: a table, or lines of JSON.
+fn print_frontier(
+    path: &Path,
+    grid: &Grid,
+    cost: f64,
+    seeds: u64,
+    jobs: usize,
+    json: bool,
+) -> Result<(), Vec<String>> {
+    let base = read(path)?;
+    let named = |line: String| vec![format!("{}: {line}", path.display())];
+    let grid_points = grid.points();
+    let mut bounds = Vec::new();
+    let mut runs = Vec::new();
+    for (proxies, uneven) in &grid_points {
+        let here = World {
+            proxies: *proxies,
+            uneven: *uneven,
+            ..base.clone()
+        };
+        let found = here.errors();
+        if !found.is_empty() {
+            return Err(found.into_iter().flat_map(named).collect());
+        }
+        bounds.push(frontier::bound_of(&here, cost).map_err(named)?);
+        for one in frontier::worlds(&base, *proxies, *uneven) {
+            runs.extend((1..=seeds).map(|seed| (one.clone(), seed)));
+        }
+    }
+    let outcomes = run_all(&runs, jobs);
+    let mut groups = outcomes.chunks(seeds as usize);
+    if !json {
+        println!("doors uneven | bound | module (worth, beyond) of bound | even | whole | oracle");
+    }
+    for bound in bounds {
+        let points = frontier::points(&bound, cost, &mut groups);
+        if json {
+            for point in std::iter::once(&bound).chain(&points) {
+                println!("{}", serde_json::to_string(point).unwrap_or_default());
+            }
+            continue;
+        }
+        print_frontier_row(&bound, &points);
+    }
+    Ok(())
+}
+
+/// Searches the smallest seed and world that break a bound, and prints the world.
+fn search_world(path: &Path, breaks: &str, seeds: u64, runs: usize) -> Result<(), Vec<String>> {
+    let base = read(path)?;
+    let target = Target::parse(breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
+    match search(&base, &target, seeds, runs) {
+        Some(found) => {
+            eprintln!(
+                "{} at seed {} after {} runs",
+                found.what, found.seed, found.runs
+            );
+            print!(
+                "{}",
+                toml::to_string(&found.world).map_err(|error| vec![error.to_string()])?
             );
-            Ok(())
         }
+        None => println!("not seen in {seeds} seeds"),
+    }
+    Ok(())
+}
+
+/// Prints the client requests of a world, a line of JSON each.
+fn print_load(path: &Path, seed: u64) -> Result<(), Vec<String>> {
+    for request in maplefall_model::run::load(&read(path)?, seed) {
+        let line = serde_json::to_string(&request).unwrap_or_default();
+        // A reader that has gone needs no more lines.
+        if writeln!(std::io::stdout(), "{line}").is_err() {
+            break;
+        }
+    }
+    Ok(())
+}
+
+/// Compares a figure of two worlds over the same seeds.
+fn compare(paths: [&Path; 2], figure: &str, seeds: u64, jobs: usize) -> Result<(), Vec<String>> {
+    let worlds = [read(paths[0])?, read(paths[1])?];
+    let runs = worlds
+        .iter()
+        .flat_map(|world| (1..=seeds).map(move |seed| (world.clone(), seed)))
+        .collect::<Vec<_>>();
+    let outcomes = run_all(&runs, jobs);
+    let figures: Option<Vec<f64>> = outcomes
+        .iter()
+        .map(|outcome| outcome.field(figure))
+        .collect();
+    let figures = figures.ok_or(vec![format!("--figure: {figure} is no figure of a run")])?;
+    let (one, other) = figures.split_at(seeds as usize);
+    let found =
+        paired(one, other, 1).ok_or(vec!["--seeds: one at least was expected".to_owned()])?;
+    let word = if found.seen() {
+        ""
+    } else {
+        "no difference seen: "
+    };
+    println!(
+        "{word}{figure}: {:+.4} ({:+.4} to {:+.4}, 95 of 100) over {} pairs",
+        found.mean, found.from, found.to, found.pairs
+    );
+    Ok(())
+}
+
+/// Prints a row of the frontier's table: the bound, the module with its part of the bound, and the other policies.
+fn print_frontier_row(bound: &frontier::Point, points: &[frontier::Point]) {
+    let cells: Vec<String> = points
+        .iter()
+        .map(|point| {
+            format!(
+                "{:.3} ({:.3}, {:.3})",
+                point.value, point.served_value, point.over
+            )
+        })
+        .collect();
+    let fraction = points
+        .first()
+        .map_or(0.0, |module| module.value / bound.value);
+    println!(
+        "{} {} | {:.3} ({:.3}, {:.3}) | {} {:.3} | {}",
+        bound.proxies,
+        bound.uneven,
+        bound.value,
+        bound.served_value,
+        bound.over,
+        cells[0],
+        fraction,
+        cells[1..].join(" | ")
+    );
+}
+
+/// The grid of a frontier: numbers of proxies by unevenness.
+struct Grid {
+    proxies: Vec<usize>,
+    uneven: Vec<f64>,
+}
+
+impl Grid {
+    fn points(&self) -> Vec<(usize, f64)> {
+        self.proxies
+            .iter()
+            .flat_map(|proxies| self.uneven.iter().map(move |uneven| (*proxies, *uneven)))
+            .collect()
     }
 }
 
+/// Reads a world file; each error names the file.
 fn read(path: &Path) -> Result<World, Vec<String>> {
     let named = |line: String| format!("{}: {line}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| vec![named(error.to_string())])?;
     World::read(&text).map_err(|found| found.into_iter().map(named).collect())
 }
 
+/// Plays a world over a grid of values of its fields.
 fn sweep(path: &Path, over: &[String], seeds: u64, jobs: usize) -> Result<(), Vec<String>> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| vec![format!("{}: {error}", path.display())])?;
@@ -347,9 +401,9 @@
             }
         }
         grid = next;
-        if grid.len() as u64 * seeds > MOST_RUNS as u64 {
+        if grid.len() as u64 * seeds > MAX_RUNS as u64 {
             return Err(vec![format!(
-                "--over: {MOST_RUNS} runs at most were expected"
+                "--over: {MAX_RUNS} runs at most were expected"
             )]);
         }
     }
@@ -375,7 +429,7 @@
             );
         }
     }
-    tell(runs, jobs, move |at, outcome| {
+    print_runs(runs, jobs, move |at, outcome| {
         let mut line = serde_json::Map::new();
         for (field, value) in &points[at] {
             line.insert(
@@ -392,13 +446,13 @@
 }
 
 /// Plays all, and prints a line for each as soon as those before it are there; what is interrupted has printed what was done.
-fn tell(
+fn print_runs(
     runs: Vec<(World, u64)>,
     jobs: usize,
     line: impl Fn(usize, &Outcome) -> String + Sync,
 ) -> Result<(), Vec<String>> {
     let printed = Mutex::new((0usize, std::collections::BTreeMap::new()));
-    side_by_side(&runs, jobs, |at, outcome| {
+    run_in_parallel(&runs, jobs, |at, outcome| {
         let text = line(at, &outcome);
         let mut printed = printed
             .lock()
@@ -417,9 +471,10 @@
     Ok(())
 }
 
-fn all(runs: &[(World, u64)], jobs: usize) -> Vec<Outcome> {
+/// Plays all runs and returns their outcomes in order.
+fn run_all(runs: &[(World, u64)], jobs: usize) -> Vec<Outcome> {
     let outcomes = Mutex::new(vec![Outcome::default(); runs.len()]);
-    side_by_side(runs, jobs, |at, outcome| {
+    run_in_parallel(runs, jobs, |at, outcome| {
         outcomes
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[at] = outcome;
@@ -430,7 +485,7 @@
 }
 
 /// Plays all on so many threads, each run alone on its own.
-fn side_by_side(runs: &[(World, u64)], jobs: usize, done: impl Fn(usize, Outcome) + Sync) {
+fn run_in_parallel(runs: &[(World, u64)], jobs: usize, done: impl Fn(usize, Outcome) + Sync) {
     let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..jobs.clamp(1, 64).min(runs.len()) {
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -4,32 +4,32 @@
 use crate::world::World;
 use crate::Outcome;
 
-/// What is looked for: a figure above or below a bound.
+/// What is target for: a figure above or below a bound.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Looked {
+pub struct Target {
     figure: String,
     above: bool,
     bound: f64,
 }
 
-impl Looked {
+impl Target {
     /// Reads `figure>bound` or `figure<bound`.
     ///
     /// # Errors
     /// What was expected.
-    pub fn read(text: &str) -> Result<Looked, String> {
+    pub fn parse(text: &str) -> Result<Target, String> {
         let expected = || format!("figure>bound or figure<bound was expected, not {text}");
         let at = text.find(['>', '<']).ok_or_else(expected)?;
         let bound = text[at + 1..].trim().parse().map_err(|_| expected())?;
-        let looked = Looked {
+        let target = Target {
             figure: text[..at].trim().to_owned(),
             above: text[at..].starts_with('>'),
             bound,
         };
-        if Outcome::default().field(&looked.figure).is_none() {
-            return Err(format!("{} is no figure of a run", looked.figure));
+        if Outcome::default().field(&target.figure).is_none() {
+            return Err(format!("{} is no figure of a run", target.figure));
         }
-        Ok(looked)
+        Ok(target)
     }
 
     fn seen(&self, outcome: &Outcome) -> Option<f64> {
@@ -59,9 +59,9 @@
 /// The next smaller worlds, those first that take away most.
 fn smaller(world: &World) -> Vec<World> {
     let mut all = Vec::new();
-    for at in 0..world.trouble.len() {
+    for at in 0..world.faults.len() {
         let mut one = world.clone();
-        one.trouble.remove(at);
+        one.faults.remove(at);
         all.push(one);
     }
     for at in 0..world.demand.len() {
@@ -71,7 +71,7 @@
     }
     let halved = |of: usize| (of / 2).max(1);
     all.push(World {
-        doors: halved(world.doors),
+        proxies: halved(world.proxies),
         ..world.clone()
     });
     all.push(World {
@@ -104,23 +104,23 @@
         ..world.clone()
     });
     all.push(World {
-        guess_cv: 0.0,
+        estimate_cv: 0.0,
         ..world.clone()
     });
-    all.retain(|one| one != world && one.mistakes().is_empty());
+    all.retain(|one| one != world && one.errors().is_empty());
     all
 }
 
-/// Tries so many seeds of a world, from 1, and of each smaller one; `None` where none breaks it. At most `most` runs.
-pub fn search(world: &World, looked: &Looked, seeds: u64, most: usize) -> Option<Found> {
+/// Requests at proxies so many seeds of a world, from 1, and of each smaller one; `None` where none breaks it. At most `most` runs.
+pub fn search(world: &World, target: &Target, seeds: u64, max_runs: usize) -> Option<Found> {
     let mut runs = 0;
     let mut first = |world: &World| {
         (1..=seeds).find_map(|seed| {
-            if runs >= most {
+            if runs >= max_runs {
                 return None;
             }
             runs += 1;
-            looked
+            target
                 .seen(&play(world, seed))
                 .map(|value| (seed, value, runs))
         })
@@ -137,7 +137,7 @@
     Some(Found {
         world: at,
         seed,
-        what: format!("{} {value}", looked.figure),
+        what: format!("{} {value}", target.figure),
         runs: played,
     })
 }
