--- a/crates/event-trace/src/lines.rs
+++ b/crates/event-trace/src/lines.rs
@@ -28,21 +28,25 @@
     /// Whether it may run again.
     pub effect: Effect,
     /// For how long a repeat of its key is dropped, from the first attempt that may have run.
-    pub memory_ms: Millis,
+    #[serde(rename = "memory_ms")]
+    pub dedup_window_ms: Millis,
     /// An answer within this earns its full worth.
-    pub aim_ms: Millis,
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: Millis,
     /// Worth of one unit.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_value_factor: f64,
     /// Whether it may pass where its caller cannot be checked.
-    #[serde(default)]
-    pub unchecked: bool,
+    #[serde(default, rename = "unchecked")]
+    pub auth_optional: bool,
 }
 
 /// A hard ceiling on what all front doors send on for one customer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ceiling {
+pub struct RateLimit {
     /// Units a second that refill it.
     pub rate: f64,
     /// Units that it holds at most, and at the start.
@@ -61,16 +65,19 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Factor on the worth.
-    pub price: f64,
+    #[serde(rename = "price")]
+    pub value_factor: f64,
     /// The hard ceiling, if it has one.
-    pub ceiling: Option<Ceiling>,
+    #[serde(rename = "ceiling")]
+    pub rate_limit: Option<RateLimit>,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     /// Time after a client's deadline in which a final answer still counts.
-    pub answer_slack_ms: Millis,
+    #[serde(rename = "answer_slack_ms")]
+    pub response_slack_ms: Millis,
     /// Time after a drain was told within which new work must stop.
     pub drain_grace_ms: Millis,
     /// Multiple of its present capacity that pushes a cold node over.
@@ -78,48 +85,50 @@
     /// Window over which that multiple is taken.
     pub overload_window_ms: Millis,
     /// Work by which a cold node's budget may be passed by chance, in milliseconds of a warm core.
-    pub cold_slack_ms: Millis,
+    #[serde(rename = "cold_slack_ms")]
+    pub warmup_slack_ms: Millis,
     /// Most attempts of one request.
-    pub most_attempts: u32,
+    #[serde(rename = "most_attempts")]
+    pub max_attempts: u32,
     /// What every limit is widened by for the sockets (protocol page: 50 ms).
     pub socket_slack_ms: Millis,
     /// For how long after a credential is revoked its requests may go on: kept verdicts, and checks that are out.
-    #[serde(default)]
-    pub revoked_ms: Millis,
+    #[serde(default, rename = "revoked_ms")]
+    pub revocation_grace_ms: Millis,
     /// How long after a source has something to tell it counts as told, whether or not it came (protocol page: 6 s).
-    #[serde(default = "told_within_ms")]
-    pub told_within_ms: Millis,
+    #[serde(default = "default_notification_timeout_ms", rename = "told_within_ms")]
+    pub notification_timeout_ms: Millis,
     /// Where front doors share counts: by how much of a quota's time use may pass it, beside its burst; 0 where they do not.
-    #[serde(default)]
-    pub shared_ms: Millis,
+    #[serde(default, rename = "shared_ms")]
+    pub sharing_delay_ms: Millis,
 }
 
-fn told_within_ms() -> Millis {
+fn default_notification_timeout_ms() -> Millis {
     6000.0
 }
 
 impl Rules {
     /// The figures of the platform (BRIEF, "The rules in figures"; PROTOCOL, "The rules on sockets"), with what chance may
     /// add to a cold node's budget in milliseconds of a warm core.
-    pub fn platform(cold_slack_ms: Millis) -> Rules {
+    pub fn platform(warmup_slack_ms: Millis) -> Rules {
         Rules {
-            answer_slack_ms: 8.0,
+            response_slack_ms: 8.0,
             drain_grace_ms: 500.0,
             overload_factor: 3.0,
             overload_window_ms: 1500.0,
-            cold_slack_ms,
-            most_attempts: 3,
+            warmup_slack_ms,
+            max_attempts: 3,
             socket_slack_ms: 50.0,
-            revoked_ms: 0.0,
-            told_within_ms: told_within_ms(),
-            shared_ms: 0.0,
+            revocation_grace_ms: 0.0,
+            notification_timeout_ms: default_notification_timeout_ms(),
+            sharing_delay_ms: 0.0,
         }
     }
 }
 
 /// What of a request must go on unchanged (protocol page, "Front doors to backends"): method, target, key and body, as one
 /// figure (FNV-1a, each part ended by a byte that none of them holds).
-pub fn form(method: &str, target: &str, key: Option<&str>, body: &[u8]) -> u64 {
+pub fn request_fingerprint(method: &str, target: &str, key: Option<&str>, body: &[u8]) -> u64 {
     let parts = [
         method.as_bytes(),
         target.as_bytes(),
@@ -144,7 +153,8 @@
     /// The seed that its script was drawn from.
     pub seed: u64,
     /// Front doors.
-    pub doors: u32,
+    #[serde(rename = "doors")]
+    pub proxies: u32,
     /// The classes, by number.
     pub classes: Vec<Class>,
     /// The plans, by number.
@@ -156,7 +166,7 @@
 /// State of a front door's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
-pub enum DoorState {
+pub enum ProxyState {
     /// The process was started.
     Started,
     /// It answered its readiness check.
@@ -183,16 +193,20 @@
         /// Its cores, each doing one millisecond of work in a millisecond when warm.
         cores: f64,
         /// Part of its capacity that it starts with; 1 for a warm one.
-        cold_from: f64,
+        #[serde(rename = "cold_from")]
+        initial_capacity: f64,
         /// Time until it is warm, over which its capacity rises evenly.
-        cold_ms: Millis,
+        #[serde(rename = "cold_ms")]
+        warmup_ms: Millis,
     },
     /// It finishes what it has.
     Draining,
     /// Its process ended.
-    Gone,
+    #[serde(rename = "gone")]
+    Stopped,
     /// It was pushed over while cold, and stays down.
-    Fell,
+    #[serde(rename = "fell")]
+    Overloaded,
 }
 
 /// What a front door was told of a node.
@@ -210,57 +224,68 @@
 /// How an attempt ended at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum AttemptEnd {
     /// Its 200 was written.
     Served,
     /// A 500 was written: it may have run.
     Error,
     /// A 503 with `Not-Started: 1` was written: it never ran.
-    TurnedAway,
+    #[serde(rename = "turned_away")]
+    Rejected,
     /// The node broke the connection: it may have run.
     Reset,
     /// Something that is no answer was written: it may have run.
-    Spoilt,
+    #[serde(rename = "spoilt")]
+    Malformed,
     /// The front door closed the connection or ended its sending.
-    GivenUp,
+    #[serde(rename = "given_up")]
+    Cancelled,
 }
 
 /// Why a client's try has no whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Lost {
+pub enum FailureReason {
     /// No connection came up, or it broke before the request was written whole: it was not taken.
-    NotTaken,
+    #[serde(rename = "not_taken")]
+    NotAccepted,
     /// The connection ended with no byte of an answer.
     Closed,
     /// The connection ended within the answer.
-    Cut,
+    #[serde(rename = "cut")]
+    Truncated,
     /// Nothing came within the client's time and the slack.
-    Silent,
+    #[serde(rename = "silent")]
+    TimedOut,
 }
 
 /// One thing seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum Entry {
+pub enum EventKind {
     /// Something happened to a front door's process.
-    Door {
+    #[serde(rename = "door")]
+    Proxy {
         /// Which.
-        door: u32,
+        #[serde(rename = "door")]
+        proxy: u32,
         /// What.
         #[serde(flatten)]
-        state: DoorState,
+        state: ProxyState,
     },
     /// A source of the list wrote to a front door, a front door said that it had seen it, or started with it in its list.
-    Told {
+    #[serde(rename = "told")]
+    NodeUpdate {
         /// Which front door.
-        door: u32,
+        #[serde(rename = "door")]
+        proxy: u32,
         /// Which node.
         node: u32,
         /// What it was told.
         health: Health,
         /// When the node last started; `None` for long ago.
-        born: Option<Millis>,
+        #[serde(rename = "born")]
+        started_at: Option<Millis>,
         /// By which source of the list: 0 for its agent, and what it was started with.
         #[serde(default)]
         source: u32,
@@ -269,9 +294,11 @@
         version: u64,
     },
     /// A front door's source has this to tell, whether or not it can: it counts as told some seconds later at the latest.
-    Due {
+    #[serde(rename = "due")]
+    NodeUpdateDue {
         /// Which front door.
-        door: u32,
+        #[serde(rename = "door")]
+        proxy: u32,
         /// Which node.
         node: u32,
         /// What there is to tell.
@@ -294,17 +321,21 @@
         passes: bool,
     },
     /// The last byte of a client's request was written.
-    Asked {
+    #[serde(rename = "asked")]
+    RequestSent {
         /// The request's id on the wire.
         id: String,
         /// Number of the first try that this one belongs to.
-        item: u64,
+        #[serde(rename = "item")]
+        original_request: u64,
         /// Tries before this one.
         retry: u32,
         /// Which front door.
-        door: u32,
+        #[serde(rename = "door")]
+        proxy: u32,
         /// Which of the client's connections.
-        link: u64,
+        #[serde(rename = "link")]
+        connection: u64,
         /// Whose request.
         customer: u64,
         /// Its plan, by number.
@@ -316,14 +347,17 @@
         /// When the client stops waiting.
         deadline: Millis,
         /// What it sent that must come to a node unchanged, as one figure ([`form`]).
-        form: u64,
+        #[serde(rename = "form")]
+        fingerprint: u64,
     },
     /// The last byte of its answer came.
-    Answered {
+    #[serde(rename = "answered")]
+    ResponseReceived {
         /// Which request.
         id: String,
         /// On which connection.
-        link: u64,
+        #[serde(rename = "link")]
+        connection: u64,
         /// The status.
         status: u16,
         /// The attempt that a served body names.
@@ -332,57 +366,71 @@
         retry_after_ms: Option<Millis>,
     },
     /// It has no whole answer.
-    Unanswered {
+    #[serde(rename = "unanswered")]
+    RequestFailed {
         /// Which request.
         id: String,
         /// Which front door.
-        door: u32,
+        #[serde(rename = "door")]
+        proxy: u32,
         /// On which connection; 0 where none came up.
-        link: u64,
+        #[serde(rename = "link")]
+        connection: u64,
         /// Why.
-        why: Lost,
+        #[serde(rename = "why")]
+        reason: FailureReason,
     },
     /// Bytes came on a client's connection on which nothing was asked.
-    Surplus {
+    #[serde(rename = "surplus")]
+    UnexpectedBytes {
         /// Which front door.
-        door: u32,
+        #[serde(rename = "door")]
+        proxy: u32,
         /// On which connection.
-        link: u64,
+        #[serde(rename = "link")]
+        connection: u64,
         /// The last request on it.
         id: String,
     },
     /// An attempt came to a node, whole or in part.
-    Came {
+    #[serde(rename = "came")]
+    AttemptReceived {
         /// Its number.
         attempt: u64,
         /// Which node.
         node: u32,
         /// Which front door sent it.
-        door: u32,
+        #[serde(rename = "door")]
+        proxy: u32,
         /// The request's id on the wire; empty where it broke off before that could be read.
         id: String,
         /// Its key.
         key: Option<String>,
         /// What came of what must be unchanged, as one figure ([`form`]); 0 where it is not whole.
-        form: u64,
+        #[serde(rename = "form")]
+        fingerprint: u64,
         /// When its first byte was read.
-        first: Millis,
+        #[serde(rename = "first")]
+        first_byte_at: Millis,
         /// Whether its last byte came.
-        whole: bool,
+        #[serde(rename = "whole")]
+        complete: bool,
         /// Work that it is, in milliseconds of one warm core.
         work: Millis,
     },
     /// An attempt's effect ran.
-    Ran {
+    #[serde(rename = "ran")]
+    EffectApplied {
         /// Which attempt.
         attempt: u64,
     },
     /// An attempt ended.
-    Over {
+    #[serde(rename = "over")]
+    AttemptEnded {
         /// Which attempt.
         attempt: u64,
         /// How.
-        end: End,
+        end: AttemptEnd,
     },
     /// Something happened to a node.
     Node {
@@ -393,14 +441,17 @@
         state: NodeState,
     },
     /// A failure by script begins or ends.
-    Failure {
+    #[serde(rename = "failure")]
+    Fault {
         /// What it is called.
         name: String,
         /// Whether it begins.
-        begins: bool,
+        #[serde(rename = "begins")]
+        is_start: bool,
     },
     /// What a client that sends what cannot be used was left with.
-    Rude {
+    #[serde(rename = "rude")]
+    MalformedClient {
         /// What it sent.
         kind: String,
         /// The status that it was answered, 0 for a close without a word.
@@ -409,9 +460,11 @@
         neglected: bool,
     },
     /// What a front door's process used, told when it ends.
-    Used {
+    #[serde(rename = "used")]
+    ResourceUsage {
         /// Which.
-        door: u32,
+        #[serde(rename = "door")]
+        proxy: u32,
         /// Processor time.
         cpu_ms: Millis,
         /// Largest resident memory seen, in KiB.
@@ -426,32 +479,33 @@
         /// How late, at the 99th percentile.
         p99_ms: Millis,
         /// How late at most.
-        most_ms: Millis,
+        #[serde(rename = "most_ms")]
+        max_ms: Millis,
     },
 }
 
 /// One line of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct Event {
     /// When it was seen.
     pub at: Millis,
     /// What was seen.
     #[serde(flatten)]
-    pub entry: Entry,
+    pub kind: EventKind,
 }
 
 /// A whole record.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct Trace {
     /// What it begins with.
     pub header: Header,
     /// Its lines, in the order in which they were seen.
-    pub lines: Vec<Line>,
+    pub events: Vec<Event>,
 }
 
 /// Why a text is no record.
 #[derive(Debug, thiserror::Error)]
-pub enum NoRecord {
+pub enum TraceError {
     /// There is no first line.
     #[error("line 1: a header was expected, and the record is empty")]
     Empty,
@@ -460,7 +514,7 @@
     Version(u32),
     /// A line cannot be read.
     #[error("line {line}: {error}")]
-    Line {
+    Event {
         /// Which, from 1.
         line: usize,
         /// Why.
@@ -471,7 +525,7 @@
     Order(usize),
 }
 
-impl Record {
+impl Trace {
     /// The record as text, one JSON object a line.
     ///
     /// # Errors
@@ -479,7 +533,7 @@
     pub fn to_text(&self) -> Result<String, serde_json::Error> {
         let mut text = serde_json::to_string(&self.header)?;
         text.push('\n');
-        for line in &self.lines {
+        for line in &self.events {
             text.push_str(&serde_json::to_string(line)?);
             text.push('\n');
         }
@@ -490,27 +544,27 @@
     ///
     /// # Errors
     /// The first line that is not what it should be, by its number.
-    pub fn from_text(text: &str) -> Result<Record, NoRecord> {
+    pub fn from_text(text: &str) -> Result<Trace, TraceError> {
         let mut lines = text.lines();
-        let first = lines.next().ok_or(NoRecord::Empty)?;
+        let first = lines.next().ok_or(TraceError::Empty)?;
         let header: Header =
-            serde_json::from_str(first).map_err(|error| NoRecord::Line { line: 1, error })?;
+            serde_json::from_str(first).map_err(|error| TraceError::Event { line: 1, error })?;
         if header.version != VERSION {
-            return Err(NoRecord::Version(header.version));
+            return Err(TraceError::Version(header.version));
         }
-        let mut record = Record {
+        let mut record = Trace {
             header,
-            lines: Vec::new(),
+            events: Vec::new(),
         };
         for (at, text) in lines.enumerate() {
-            let line: Line = serde_json::from_str(text).map_err(|error| NoRecord::Line {
+            let line: Event = serde_json::from_str(text).map_err(|error| TraceError::Event {
                 line: at + 2,
                 error,
             })?;
-            if record.lines.last().is_some_and(|last| line.at < last.at) {
-                return Err(NoRecord::Order(at + 2));
+            if record.events.last().is_some_and(|last| line.at < last.at) {
+                return Err(TraceError::Order(at + 2));
             }
-            record.lines.push(line);
+            record.events.push(line);
         }
         Ok(record)
     }
--- a/crates/event-trace/src/recorder.rs
+++ b/crates/event-trace/src/recorder.rs
@@ -1,15 +1,15 @@
 //! The one place that stamps what is seen, so that the record has one order and one clock.
 
-use crate::lines::{Entry, Line, Millis};
+use crate::lines::{Event, EventKind, Millis};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 /// Lines that a record holds at most; what comes later is dropped and the record is void.
-pub const MOST_LINES: usize = 4_000_000;
+pub const MAX_EVENTS: usize = 4_000_000;
 
 #[derive(Debug, Default)]
 struct Inner {
-    lines: Vec<Line>,
+    events: Vec<Event>,
     dropped: u64,
 }
 
@@ -51,12 +51,12 @@
     }
 
     /// Appends what was seen just now; tells when that was.
-    pub fn note(&self, entry: Entry) -> Millis {
+    pub fn record(&self, entry: EventKind) -> Millis {
         let mut inner = self.inner();
         // Read under the lock: the order of the lines is the order of their times.
         let at = self.now();
-        if inner.lines.len() < MOST_LINES {
-            inner.lines.push(Line { at, entry });
+        if inner.events.len() < MAX_EVENTS {
+            inner.events.push(Event { at, kind: entry });
         } else {
             inner.dropped += 1;
         }
@@ -70,7 +70,7 @@
 
     /// Lines so far.
     pub fn len(&self) -> usize {
-        self.inner().lines.len()
+        self.inner().events.len()
     }
 
     /// Whether nothing has been seen yet.
@@ -79,7 +79,7 @@
     }
 
     /// Hands out the lines and begins an empty list on the same clock.
-    pub fn take(&self) -> Vec<Line> {
-        std::mem::take(&mut self.inner().lines)
+    pub fn take_events(&self) -> Vec<Event> {
+        std::mem::take(&mut self.inner().events)
     }
 }
--- a/crates/invariants/src/drain_times.rs
+++ b/crates/invariants/src/drain_times.rs
@@ -1,36 +1,36 @@
 //! How long drains take: from the moment at which one was committed, and from the moment at which each front door learned
 //! of it, to the last byte of new work that the front door began at the node.
 
-use crate::view::View;
-use maplefall_event_trace::{Health, Millis, Record};
+use crate::trace_index::TraceIndex;
+use maplefall_event_trace::{Health, Millis, Trace};
 
 /// One drain at one front door.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainTime {
     /// Which front door.
-    pub door: u32,
+    pub proxy: u32,
     /// Which node.
     pub node: u32,
     /// From the commit to the front door's learning of it; `None` where nothing was committed (an agent tells by itself).
-    pub learned: Option<Millis>,
+    pub notification_delay: Option<Millis>,
     /// From the moment at which its source had it to tell to the telling; `None` where that is not in the record.
-    pub late: Option<Millis>,
+    pub watch_delay: Option<Millis>,
     /// From the commit to the last byte of new work; 0 if there was none after it, `None` as above.
-    pub from_commit: Option<Millis>,
+    pub until_quiet_after_commit: Option<Millis>,
     /// From learning to the last byte of new work; 0 if there was none after it.
-    pub from_learning: Millis,
+    pub until_quiet_after_notification: Millis,
 }
 
 /// Every drain that a front door was told of, in the order of the telling. A front door that was told of a node twice
 /// counts once for each life of the node.
-pub fn drain_times(record: &Record) -> Vec<DrainTime> {
-    let view = View::new(record);
+pub fn drain_times(record: &Trace) -> Vec<DrainTime> {
+    let view = TraceIndex::new(record);
     let mut found = Vec::new();
     let mut stopped: std::collections::BTreeMap<(u32, u32, u32), bool> = Default::default();
-    for telling in &view.tellings {
+    for telling in &view.updates {
         let (key, by) = (
-            (telling.door, telling.node),
-            (telling.door, telling.node, telling.source),
+            (telling.proxy, telling.node),
+            (telling.proxy, telling.node, telling.source),
         );
         if telling.health == Health::Up {
             stopped.insert(by, false);
@@ -64,23 +64,26 @@
         }
         let last = |from: Millis| {
             let new = view.attempts.iter().filter(|attempt| {
-                (attempt.door, attempt.node) == key && attempt.first > from && attempt.first < until
+                (attempt.proxy, attempt.node) == key
+                    && attempt.first_byte_at > from
+                    && attempt.first_byte_at < until
             });
-            new.map(|attempt| attempt.at - from).fold(0.0, f64::max)
+            new.map(|attempt| attempt.received_at - from)
+                .fold(0.0, f64::max)
         };
         found.push(DrainTime {
-            door: telling.door,
+            proxy: telling.proxy,
             node: telling.node,
-            late: view
-                .due
+            watch_delay: view
+                .updates_due
                 .iter()
-                .filter(|due| (due.door, due.node) == key && due.health != Health::Up)
-                .map(|due| due.at - record.header.rules.told_within_ms)
+                .filter(|due| (due.proxy, due.node) == key && due.health != Health::Up)
+                .map(|due| due.at - record.header.rules.notification_timeout_ms)
                 .rfind(|at| *at <= telling.at)
                 .map(|at| telling.at - at),
-            learned: commit.map(|commit| telling.at - commit),
-            from_commit: commit.map(last),
-            from_learning: last(telling.at),
+            notification_delay: commit.map(|commit| telling.at - commit),
+            until_quiet_after_commit: commit.map(last),
+            until_quiet_after_notification: last(telling.at),
         });
     }
     found
@@ -89,30 +92,30 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplefall_event_trace::{Entry, Header, Line, Rules, VERSION};
+    use maplefall_event_trace::{Event, EventKind, Header, Rules, VERSION};
 
-    fn came(attempt: u64, node: u32, first: Millis) -> Entry {
+    fn came(attempt: u64, node: u32, first: Millis) -> EventKind {
         let (id, key) = (format!("r{attempt}"), None);
-        Entry::Came {
+        EventKind::AttemptReceived {
             attempt,
             node,
-            door: 0,
+            proxy: 0,
             id,
             key,
-            form: 0,
-            first,
-            whole: true,
+            fingerprint: 0,
+            first_byte_at: first,
+            complete: true,
             work: 1.0,
         }
     }
 
     #[test]
     fn new_work_after_the_commit_counts_and_work_begun_before_does_not() {
-        let told = |health| Entry::Told {
-            door: 0,
+        let told = |health| EventKind::NodeUpdate {
+            proxy: 0,
             node: 1,
             health,
-            born: None,
+            started_at: None,
             source: 1,
             version: 0,
         };
@@ -120,15 +123,15 @@
             (0.0, told(Health::Up)),
             (
                 100.0,
-                Entry::Committed {
+                EventKind::Committed {
                     node: 1,
                     health: Health::Draining,
                 },
             ),
             (
                 105.0,
-                Entry::Due {
-                    door: 0,
+                EventKind::NodeUpdateDue {
+                    proxy: 0,
                     node: 1,
                     health: Health::Draining,
                     version: 2,
@@ -145,7 +148,7 @@
             // Up again: what comes now is no work of a drained node.
             (
                 180.0,
-                Entry::Committed {
+                EventKind::Committed {
                     node: 1,
                     health: Health::Up,
                 },
@@ -156,23 +159,26 @@
             version: VERSION,
             scenario: "x".into(),
             seed: 1,
-            doors: 1,
+            proxies: 1,
             classes: Vec::new(),
             plans: Vec::new(),
             rules: Rules::platform(1.0),
         };
         let lines = lines
             .into_iter()
-            .map(|(at, entry)| Line { at, entry })
+            .map(|(at, entry)| Event { at, kind: entry })
             .collect();
-        let found = drain_times(&Record { header, lines });
+        let found = drain_times(&Trace {
+            header,
+            events: lines,
+        });
         let expected = DrainTime {
-            door: 0,
+            proxy: 0,
             node: 1,
-            learned: Some(30.0),
-            late: Some(25.0),
-            from_commit: Some(50.0),
-            from_learning: 20.0,
+            notification_delay: Some(30.0),
+            watch_delay: Some(25.0),
+            until_quiet_after_commit: Some(50.0),
+            until_quiet_after_notification: 20.0,
         };
         assert_eq!(found, [expected]);
     }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -5,61 +5,65 @@
 //! sockets"), each in a file: [`answers`], [`repeats`], [`drains`], [`cold`], [`ceilings`]; and where callers are checked a
 //! sixth, [`callers`]; where front doors share counts a seventh, [`quotas`].
 
-pub mod answers;
-pub mod callers;
-pub mod ceilings;
-pub mod cold;
+pub mod credentials;
 pub mod drain_times;
 pub mod drains;
-pub mod figures;
+pub mod metrics;
 pub mod quotas;
-pub mod repeats;
-mod ruling;
-mod stores;
-pub mod view;
+pub mod rate_limits;
+pub mod responses;
+pub mod retries;
+mod rule_result;
+mod token_buckets;
+pub mod trace_index;
+pub mod warm_up;
 
-pub use ruling::{Finding, Ruling, Verdict, BLUR, MOST_FINDINGS, STRETCH};
+pub use rule_result::{
+    RuleResult, Verdict, Violation, MARGIN_INTERVAL, MAX_VIOLATIONS, ORDERING_TOLERANCE,
+};
 
-use figures::Figures;
-use maplefall_event_trace::{Entry, Millis, Record};
+use maplefall_event_trace::{EventKind, Millis, Trace};
+use metrics::Metrics;
 use serde::Serialize;
-use view::View;
+use trace_index::TraceIndex;
 
 /// Lateness of the stand-ins beyond which a run says nothing of the front doors.
-pub const MOST_LATE_P99: Millis = 15.0;
+pub const MAX_LATENESS_P99: Millis = 15.0;
 /// Lateness of a single action beyond which it does not either.
-pub const MOST_LATE: Millis = 250.0;
+pub const MAX_LATENESS: Millis = 250.0;
 
 /// All that the judge says of a record.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Judgement {
+pub struct Evaluation {
     /// Name of the scenario.
     pub scenario: String,
     /// Its seed.
     pub seed: u64,
     /// Why the run says nothing of the front doors, if it does not.
-    pub void: Option<String>,
+    #[serde(rename = "void")]
+    pub invalid_reason: Option<String>,
     /// The rules.
-    pub rules: Vec<Ruling>,
+    pub rules: Vec<RuleResult>,
     /// What else was measured.
-    pub figures: Figures,
+    #[serde(rename = "figures")]
+    pub metrics: Metrics,
 }
 
-impl Judgement {
+impl Evaluation {
     /// Whether any rule was broken.
-    pub fn broken(&self) -> bool {
+    pub fn has_violations(&self) -> bool {
         self.rules
             .iter()
-            .any(|ruling| ruling.verdict == Verdict::Broken)
+            .any(|ruling| ruling.verdict == Verdict::Violated)
     }
 
     /// Of these rules, those that the run never put to the test.
-    pub fn untested(&self, rules: &[u32]) -> Vec<u32> {
-        let untested = self
+    pub fn not_exercised(&self, rules: &[u32]) -> Vec<u32> {
+        let not_exercised = self
             .rules
             .iter()
             .filter(|ruling| ruling.verdict == Verdict::NotExercised);
-        untested
+        not_exercised
             .map(|ruling| ruling.rule)
             .filter(|rule| rules.contains(rule))
             .collect()
@@ -67,32 +71,32 @@
 }
 
 /// Judges a record.
-pub fn judge(record: &Record) -> Judgement {
-    let view = View::new(record);
-    Judgement {
+pub fn evaluate(record: &Trace) -> Evaluation {
+    let view = TraceIndex::new(record);
+    Evaluation {
         scenario: record.header.scenario.clone(),
         seed: record.header.seed,
-        void: void(record),
+        invalid_reason: invalid_reason(record),
         rules: vec![
-            answers::judge(&view),
-            repeats::judge(&view),
-            drains::judge(&view),
-            cold::judge(&view),
-            ceilings::judge(&view),
-            callers::judge(&view),
-            quotas::judge(&view),
+            responses::check(&view),
+            retries::check(&view),
+            drains::check(&view),
+            warm_up::check(&view),
+            rate_limits::check(&view),
+            credentials::check(&view),
+            quotas::check(&view),
         ],
-        figures: figures::count(&view),
+        metrics: metrics::measure(&view),
     }
 }
 
 /// Why a run says nothing: its stand-ins were late, or did not say how late.
-fn void(record: &Record) -> Option<String> {
-    let told = record.lines.iter().rev().find_map(|line| match line.entry {
-        Entry::Lateness {
+fn invalid_reason(record: &Trace) -> Option<String> {
+    let told = record.events.iter().rev().find_map(|line| match line.kind {
+        EventKind::Lateness {
             actions,
             p99_ms,
-            most_ms,
+            max_ms: most_ms,
             ..
         } => Some((actions, p99_ms, most_ms)),
         _ => None,
@@ -100,11 +104,11 @@
     match told {
         None => Some("the record does not tell how late the stand-ins were".to_owned()),
         Some((0, _, _)) => Some("the stand-ins did nothing".to_owned()),
-        Some((_, p99, _)) if p99 > MOST_LATE_P99 => Some(format!(
-            "the stand-ins were late: {p99:.1} ms at the 99th percentile, {MOST_LATE_P99} ms at most"
+        Some((_, p99, _)) if p99 > MAX_LATENESS_P99 => Some(format!(
+            "the stand-ins were late: {p99:.1} ms at the 99th percentile, {MAX_LATENESS_P99} ms at most"
         )),
-        Some((_, _, most)) if most > MOST_LATE => {
-            Some(format!("the stand-ins were late once by {most:.0} ms, {MOST_LATE} ms at most"))
+        Some((_, _, most)) if most > MAX_LATENESS => {
+            Some(format!("the stand-ins were late once by {most:.0} ms, {MAX_LATENESS} ms at most"))
         }
         Some(_) => None,
     }
--- a/crates/invariants/src/ceilings.rs
+++ b/crates/invariants/src/rate_limits.rs
@@ -1,29 +1,29 @@
 //! Rule 5: where a plan has a hard ceiling, all front doors together never send on more for one customer than its store
 //! gives.
 
-use crate::ruling::Ruling;
-use crate::stores::{self, Gives};
-use crate::view::View;
+use crate::rule_result::RuleResult;
+use crate::token_buckets::{self, BucketLimits};
+use crate::trace_index::TraceIndex;
 
 /// Longest time on the sockets by which what is sent on at one rate may come closer together (protocol page: 150 ms).
-const BUNCHED_MS: f64 = 150.0;
+const MAX_SOCKET_DELAY_MS: f64 = 150.0;
 
 /// Judges it.
-pub fn judge(view: &View<'_>) -> Ruling {
+pub fn check(view: &TraceIndex<'_>) -> RuleResult {
     let tested_by = "customers that used more than half of their ceiling's store";
-    let ruling = Ruling::new(
+    let ruling = RuleResult::new(
         5,
         "hard ceilings",
         tested_by,
         "units left to the slack's end",
     );
-    stores::judge(view, ruling, "ceiling", |plan| {
-        let ceiling = plan.ceiling?;
-        let slack = ceiling.slack + ceiling.rate * BUNCHED_MS / 1000.0;
-        Some(Gives {
+    token_buckets::check(view, ruling, "ceiling", |plan| {
+        let ceiling = plan.rate_limit?;
+        let slack = ceiling.slack + ceiling.rate * MAX_SOCKET_DELAY_MS / 1000.0;
+        Some(BucketLimits {
             rate: ceiling.rate,
             burst: ceiling.burst,
-            slack,
+            allowed_overdraft: slack,
         })
     })
 }
--- a/crates/invariants/src/repeats.rs
+++ b/crates/invariants/src/retries.rs
@@ -2,41 +2,41 @@
 //! request is neither sent again nor refused, and a keyed one is sent again only while the nodes remember its key; no
 //! more attempts than the settings allow; and nothing comes to a node that no client sent in this form.
 
-use crate::ruling::{Ruling, BLUR};
-use crate::view::{Attempt, View};
-use maplefall_event_trace::{Effect, End};
+use crate::rule_result::{RuleResult, ORDERING_TOLERANCE};
+use crate::trace_index::{Attempt, TraceIndex};
+use maplefall_event_trace::{AttemptEnd, Effect};
 
 /// Judges it.
-pub fn judge(view: &View<'_>) -> Ruling {
+pub fn check(view: &TraceIndex<'_>) -> RuleResult {
     let tested_by = "requests whose attempt failed, or that were sent on more than once";
-    let mut ruling = Ruling::new(
+    let mut ruling = RuleResult::new(
         2,
         "repeats as the class permits",
         tested_by,
         "ms of a key's memory left",
     );
-    let rules = view.record.header.rules;
-    for id in view.whole_by_id.keys() {
-        let Some(one) = view.try_of(id) else {
+    let rules = view.trace.header.rules;
+    for id in view.complete_by_id.keys() {
+        let Some(one) = view.request(id) else {
             // Hidden in another request, or made up: an effect that nobody asked for.
             for attempt in view.attempts_of(id) {
                 let text = format!(
                     "node {} was sent a request that no client sent",
                     attempt.node
                 );
-                ruling.broken(attempt.at, id, &[attempt.line], text);
+                ruling.record_violation(attempt.received_at, id, &[attempt.line], text);
             }
             continue;
         };
         for attempt in view
             .attempts_of(id)
-            .filter(|attempt| attempt.form != one.form)
+            .filter(|attempt| attempt.fingerprint != one.fingerprint)
         {
             let text = format!(
                 "what came to node {} is not what its client sent",
                 attempt.node
             );
-            ruling.broken(attempt.at, id, &[one.line, attempt.line], text);
+            ruling.record_violation(attempt.received_at, id, &[one.line, attempt.line], text);
         }
         let Some(class) = view.class(one) else {
             continue;
@@ -44,77 +44,88 @@
         let attempts: Vec<&Attempt<'_>> = view.attempts_of(id).collect();
         let failed = attempts
             .iter()
-            .any(|a| !matches!(a.over, Some((_, End::Served, _))));
+            .any(|a| !matches!(a.end, Some((_, AttemptEnd::Served, _))));
         ruling.tested += u64::from(failed || attempts.len() > 1);
-        if attempts.len() > rules.most_attempts as usize {
+        if attempts.len() > rules.max_attempts as usize {
             let lines: Vec<usize> = attempts.iter().map(|attempt| attempt.line).collect();
             let text = format!(
                 "{} attempts; {} are allowed",
                 attempts.len(),
-                rules.most_attempts
+                rules.max_attempts
             );
-            ruling.broken(attempts[0].at, id, &lines, text);
+            ruling.record_violation(attempts[0].received_at, id, &lines, text);
         }
         for (before, attempt) in attempts.iter().zip(&attempts[1..]) {
-            let out_until = before.over.map_or(f64::INFINITY, |(at, _, _)| at);
-            if out_until > attempt.at + BLUR {
+            let out_until = before.end.map_or(f64::INFINITY, |(at, _, _)| at);
+            if out_until > attempt.received_at + ORDERING_TOLERANCE {
                 let text = format!(
                     "two attempts out: node {} had it from {:.1} to {out_until:.1} ms, node {} from {:.1} ms",
-                    before.node, before.at, attempt.node, attempt.at
+                    before.node, before.received_at, attempt.node, attempt.received_at
+                );
+                ruling.record_violation(
+                    attempt.received_at,
+                    id,
+                    &[before.line, attempt.line],
+                    text,
                 );
-                ruling.broken(attempt.at, id, &[before.line, attempt.line], text);
             }
         }
-        repeats(
+        check_retries(
             class.effect,
-            class.memory_ms + rules.socket_slack_ms,
+            class.dedup_window_ms + rules.socket_slack_ms,
             id,
             &attempts,
             &mut ruling,
         );
         let may_have_run = |attempt: &&&Attempt<'_>| !attempt.never_ran();
         for place in &view.by_id[id] {
-            let Some(answer) = view.tries[*place].answer else {
+            let Some(answer) = view.requests[*place].response else {
                 continue;
             };
-            if !answer.refuses() || class.effect != Effect::Unsafe {
+            if !answer.is_rejection() || class.effect != Effect::Unsafe {
                 continue;
             }
             let ran = attempts
                 .iter()
                 .filter(may_have_run)
-                .find(|a| a.at <= answer.at);
+                .find(|a| a.received_at <= answer.at);
             if let Some(attempt) = ran {
                 let text = format!(
                     "refused with {}, and it may have run at node {}",
                     answer.status, attempt.node
                 );
-                ruling.broken(answer.at, id, &[attempt.line, answer.line], text);
+                ruling.record_violation(answer.at, id, &[attempt.line, answer.line], text);
             }
         }
         let ran: Vec<(f64, usize)> = attempts
             .iter()
-            .flat_map(|a| a.ran.iter().copied())
+            .flat_map(|a| a.effects.iter().copied())
             .collect();
         if let ([first, second, ..], true) = (&ran[..], class.effect != Effect::Safe) {
             let text = format!(
                 "its effect ran at {:.1} ms and again at {:.1} ms",
                 first.0, second.0
             );
-            ruling.broken(second.0, id, &[first.1, second.1], text);
+            ruling.record_violation(second.0, id, &[first.1, second.1], text);
         }
     }
-    ruling.close()
+    ruling.finish()
 }
 
 /// Attempts after one that may have run.
-fn repeats(effect: Effect, memory: f64, id: &str, attempts: &[&Attempt<'_>], ruling: &mut Ruling) {
+fn check_retries(
+    effect: Effect,
+    memory: f64,
+    id: &str,
+    attempts: &[&Attempt<'_>],
+    ruling: &mut RuleResult,
+) {
     let Some(first) = attempts.iter().position(|attempt| !attempt.never_ran()) else {
         return;
     };
     let ran = attempts[first];
     for attempt in &attempts[first + 1..] {
-        let age = attempt.at - ran.at;
+        let age = attempt.received_at - ran.received_at;
         let lines = [ran.line, attempt.line];
         match effect {
             Effect::Safe => {}
@@ -123,22 +134,35 @@
                     "sent to node {} though it may have run at node {}, {}",
                     attempt.node,
                     ran.node,
-                    ran.over
+                    ran.end
                         .map_or("and is still out".into(), |(_, end, _)| format!(
-                            "which ended as {end:?}"
+                            "which ended as {}",
+                            end_label(end)
                         ))
                 );
-                ruling.broken(attempt.at, id, &lines, text);
+                ruling.record_violation(attempt.received_at, id, &lines, text);
             }
             Effect::Keyed => {
-                ruling.margin(attempt.at, memory - age);
+                ruling.record_margin(attempt.received_at, memory - age);
                 if age > memory {
                     let text = format!(
                         "sent again {age:.0} ms after it may have run; its key is kept {memory:.0} ms"
                     );
-                    ruling.broken(attempt.at, id, &lines, text);
+                    ruling.record_violation(attempt.received_at, id, &lines, text);
                 }
             }
         }
     }
 }
+
+/// How a violation names the end of an attempt; printed in reports, so it doesn't follow the names of the variants.
+fn end_label(end: AttemptEnd) -> &'static str {
+    match end {
+        AttemptEnd::Served => "Served",
+        AttemptEnd::Error => "Error",
+        AttemptEnd::Rejected => "TurnedAway",
+        AttemptEnd::Reset => "Reset",
+        AttemptEnd::Malformed => "Spoilt",
+        AttemptEnd::Cancelled => "GivenUp",
+    }
+}
--- a/crates/invariants/src/view.rs
+++ b/crates/invariants/src/trace_index.rs
@@ -2,23 +2,23 @@
 //! nodes with their lives. One pass, and nothing is decided here.
 
 use maplefall_event_trace::{
-    Class, DoorState, End, Entry, Health, Lost, Millis, NodeState, Plan, Record,
+    AttemptEnd, Class, EventKind, FailureReason, Health, Millis, NodeState, Plan, ProxyState, Trace,
 };
 use std::collections::BTreeMap;
 
 /// One sending of a request by its client.
 #[derive(Clone, Debug)]
-pub struct Try<'r> {
+pub struct ClientRequest<'r> {
     /// The request's id on the wire.
     pub id: &'r str,
     /// The first try that it belongs to.
-    pub item: u64,
+    pub original_request: u64,
     /// Tries before it.
     pub retry: u32,
     /// Where it went.
-    pub door: u32,
+    pub proxy: u32,
     /// On which connection.
-    pub link: u64,
+    pub connection: u64,
     /// Whose it is.
     pub customer: u64,
     /// The plan, by number.
@@ -28,22 +28,22 @@
     /// Units that it counts.
     pub units: f64,
     /// When its last byte was written.
-    pub asked: Millis,
+    pub sent_at: Millis,
     /// When its client stops waiting.
     pub deadline: Millis,
     /// What it sent that must come to a node unchanged.
-    pub form: u64,
+    pub fingerprint: u64,
     /// Its line in the record.
     pub line: usize,
     /// Its whole answer.
-    pub answer: Option<Answer>,
+    pub response: Option<Response>,
     /// That it has none, and why.
-    pub lost: Option<(Millis, Lost, usize)>,
+    pub failure: Option<(Millis, FailureReason, usize)>,
 }
 
 /// A whole answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct Response {
     /// When its last byte came.
     pub at: Millis,
     /// The status.
@@ -54,9 +54,9 @@
     pub line: usize,
 }
 
-impl Answer {
+impl Response {
     /// Whether it tells that trying again is harmless.
-    pub fn refuses(&self) -> bool {
+    pub fn is_rejection(&self) -> bool {
         matches!(self.status, 429 | 503)
     }
 }
@@ -69,76 +69,78 @@
     /// Which node.
     pub node: u32,
     /// Which front door sent it.
-    pub door: u32,
+    pub proxy: u32,
     /// The request's id.
     pub id: &'r str,
     /// What came of what must be unchanged.
-    pub form: u64,
+    pub fingerprint: u64,
     /// When its first byte came.
-    pub first: Millis,
+    pub first_byte_at: Millis,
     /// When its last byte came, or it broke off.
-    pub at: Millis,
+    pub received_at: Millis,
     /// Whether it came whole.
-    pub whole: bool,
+    pub complete: bool,
     /// Its work.
     pub work: Millis,
     /// Its line.
     pub line: usize,
     /// When and how it ended.
-    pub over: Option<(Millis, End, usize)>,
+    pub end: Option<(Millis, AttemptEnd, usize)>,
     /// When its effect ran.
-    pub ran: Vec<(Millis, usize)>,
+    pub effects: Vec<(Millis, usize)>,
 }
 
 impl Attempt<'_> {
     /// Whether its end proves that it never ran.
     pub fn never_ran(&self) -> bool {
-        matches!(self.over, Some((_, End::TurnedAway, _)))
+        matches!(self.end, Some((_, AttemptEnd::Rejected, _)))
     }
 }
 
 /// One life of a node's process.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
+pub struct NodeInstance {
     /// Which node.
     pub node: u32,
     /// When it started.
-    pub from: Millis,
+    pub started_at: Millis,
     /// When it ended.
-    pub to: Millis,
+    pub ended_at: Millis,
     /// Its cores.
     pub cores: f64,
     /// Part of its capacity that it started with.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time until it was warm.
-    pub cold_ms: Millis,
+    pub warmup_ms: Millis,
     /// The line of its start.
     pub line: usize,
 }
 
-impl Life {
+impl NodeInstance {
     /// Part of its capacity that it has.
-    pub fn warmth(&self, at: Millis) -> f64 {
-        if self.cold_ms <= 0.0 {
+    pub fn capacity_factor(&self, at: Millis) -> f64 {
+        if self.warmup_ms <= 0.0 {
             return 1.0;
         }
-        self.cold_from + (1.0 - self.cold_from) * ((at - self.from) / self.cold_ms).clamp(0.0, 1.0)
+        self.initial_capacity
+            + (1.0 - self.initial_capacity)
+                * ((at - self.started_at) / self.warmup_ms).clamp(0.0, 1.0)
     }
 }
 
 /// One telling of a node to a front door.
 #[derive(Clone, Copy, Debug)]
-pub struct Telling {
+pub struct NodeUpdate {
     /// When.
     pub at: Millis,
     /// To whom.
-    pub door: u32,
+    pub proxy: u32,
     /// Of which node.
     pub node: u32,
     /// Its state.
     pub health: Health,
     /// When it was said to have started.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// By which source.
     pub source: u32,
     /// The version of that source's list; 0 where it is not known.
@@ -148,78 +150,78 @@
 }
 
 /// A record, sorted.
-pub struct View<'r> {
+pub struct TraceIndex<'r> {
     /// The record.
-    pub record: &'r Record,
+    pub trace: &'r Trace,
     /// All tries, by the time they were asked.
-    pub tries: Vec<Try<'r>>,
+    pub requests: Vec<ClientRequest<'r>>,
     /// Places in `tries` by the request's id.
     pub by_id: BTreeMap<&'r str, Vec<usize>>,
     /// All attempts, in the order in which they came.
     pub attempts: Vec<Attempt<'r>>,
     /// Places in `attempts` of those that came whole, by the request's id.
-    pub whole_by_id: BTreeMap<&'r str, Vec<usize>>,
+    pub complete_by_id: BTreeMap<&'r str, Vec<usize>>,
     /// Lives of nodes.
-    pub lives: Vec<Life>,
+    pub instances: Vec<NodeInstance>,
     /// What front doors were told.
-    pub tellings: Vec<Telling>,
+    pub updates: Vec<NodeUpdate>,
     /// What front doors' sources had to tell, and since when: counted as told at the latest, in the order of that.
-    pub due: Vec<Telling>,
+    pub updates_due: Vec<NodeUpdate>,
     /// When a node's change was committed where front doors watch, and to which state.
     pub committed: Vec<(Millis, u32, Health)>,
     /// What happened to front doors.
-    pub doors: Vec<(Millis, u32, DoorState, usize)>,
+    pub proxy_states: Vec<(Millis, u32, ProxyState, usize)>,
     /// Bytes that nobody asked for: when, on which front door's connection, after which request.
-    pub surplus: Vec<(Millis, u32, &'r str, usize)>,
+    pub unexpected_bytes: Vec<(Millis, u32, &'r str, usize)>,
     /// What rude clients were left with: their kind, the status, and whether with nothing.
-    pub rude: Vec<(Millis, &'r str, Option<u16>, bool, usize)>,
+    pub malformed_clients: Vec<(Millis, &'r str, Option<u16>, bool, usize)>,
 }
 
-impl<'r> View<'r> {
+impl<'r> TraceIndex<'r> {
     /// Sorts a record.
-    pub fn new(record: &'r Record) -> View<'r> {
-        let mut view = View {
-            record,
-            tries: Vec::new(),
+    pub fn new(record: &'r Trace) -> TraceIndex<'r> {
+        let mut view = TraceIndex {
+            trace: record,
+            requests: Vec::new(),
             by_id: BTreeMap::new(),
             attempts: Vec::new(),
-            whole_by_id: BTreeMap::new(),
-            lives: Vec::new(),
-            tellings: Vec::new(),
-            due: Vec::new(),
+            complete_by_id: BTreeMap::new(),
+            instances: Vec::new(),
+            updates: Vec::new(),
+            updates_due: Vec::new(),
             committed: Vec::new(),
-            doors: Vec::new(),
-            surplus: Vec::new(),
-            rude: Vec::new(),
+            proxy_states: Vec::new(),
+            unexpected_bytes: Vec::new(),
+            malformed_clients: Vec::new(),
         };
         let mut numbers: BTreeMap<u64, usize> = BTreeMap::new();
-        for (at, line) in record.lines.iter().enumerate() {
-            view.take(at + 2, line.at, &line.entry, &mut numbers);
+        for (at, line) in record.events.iter().enumerate() {
+            view.index_event(at + 2, line.at, &line.kind, &mut numbers);
         }
         view
     }
 
     /// A class of the record; tries of a class that it does not name are left out.
-    pub fn class(&self, of: &Try<'_>) -> Option<&'r Class> {
-        self.record.header.classes.get(of.class)
+    pub fn class(&self, of: &ClientRequest<'_>) -> Option<&'r Class> {
+        self.trace.header.classes.get(of.class)
     }
 
     /// A plan of the record.
-    pub fn plan(&self, of: &Try<'_>) -> Option<&'r Plan> {
-        self.record.header.plans.get(of.plan)
+    pub fn plan(&self, of: &ClientRequest<'_>) -> Option<&'r Plan> {
+        self.trace.header.plans.get(of.plan)
     }
 
     /// The first try with an id.
-    pub fn try_of(&self, id: &str) -> Option<&Try<'r>> {
+    pub fn request(&self, id: &str) -> Option<&ClientRequest<'r>> {
         self.by_id
             .get(id)
             .and_then(|places| places.first())
-            .map(|place| &self.tries[*place])
+            .map(|place| &self.requests[*place])
     }
 
     /// The attempts of a request that came whole, in the order in which they came.
     pub fn attempts_of(&self, id: &str) -> impl Iterator<Item = &Attempt<'r>> {
-        self.whole_by_id
+        self.complete_by_id
             .get(id)
             .into_iter()
             .flatten()
@@ -227,62 +229,62 @@
     }
 
     /// Whether a front door was killed, ended or not yet there within this span.
-    pub fn down_within(&self, door: u32, from: Millis, to: Millis) -> bool {
-        self.doors.iter().any(|(at, which, state, _)| {
-            let ends = matches!(state, DoorState::Killed);
+    pub fn was_killed_within(&self, door: u32, from: Millis, to: Millis) -> bool {
+        self.proxy_states.iter().any(|(at, which, state, _)| {
+            let ends = matches!(state, ProxyState::Killed);
             *which == door && ends && (from..=to).contains(at)
         })
     }
 
-    fn take(
+    fn index_event(
         &mut self,
         line: usize,
         at: Millis,
-        entry: &'r Entry,
+        entry: &'r EventKind,
         numbers: &mut BTreeMap<u64, usize>,
     ) {
         match entry {
-            Entry::Asked {
+            EventKind::RequestSent {
                 id,
-                item,
+                original_request: item,
                 retry,
-                door,
-                link,
+                proxy: door,
+                connection: link,
                 customer,
                 plan,
                 class,
                 units,
                 deadline,
-                form,
+                fingerprint: form,
             } => {
-                self.by_id.entry(id).or_default().push(self.tries.len());
-                self.tries.push(Try {
+                self.by_id.entry(id).or_default().push(self.requests.len());
+                self.requests.push(ClientRequest {
                     id,
-                    item: *item,
+                    original_request: *item,
                     retry: *retry,
-                    door: *door,
-                    link: *link,
+                    proxy: *door,
+                    connection: *link,
                     customer: *customer,
                     plan: *plan,
                     class: *class,
                     units: *units,
-                    asked: at,
+                    sent_at: at,
                     deadline: *deadline,
-                    form: *form,
+                    fingerprint: *form,
                     line,
-                    answer: None,
-                    lost: None,
+                    response: None,
+                    failure: None,
                 });
             }
-            Entry::Answered {
+            EventKind::ResponseReceived {
                 id,
-                link,
+                connection: link,
                 status,
                 attempt,
                 ..
             } => {
-                if let Some(of) = self.try_on(id, *link) {
-                    of.answer = Some(Answer {
+                if let Some(of) = self.request_on(id, *link) {
+                    of.response = Some(Response {
                         at,
                         status: *status,
                         attempt: *attempt,
@@ -290,26 +292,33 @@
                     });
                 }
             }
-            Entry::Unanswered { id, link, why, .. } => {
-                if let Some(of) = self.try_on(id, *link) {
-                    of.lost = Some((at, *why, line));
+            EventKind::RequestFailed {
+                id,
+                connection: link,
+                reason: why,
+                ..
+            } => {
+                if let Some(of) = self.request_on(id, *link) {
+                    of.failure = Some((at, *why, line));
                 }
             }
-            Entry::Surplus { door, id, .. } => self.surplus.push((at, *door, id, line)),
-            Entry::Came {
+            EventKind::UnexpectedBytes {
+                proxy: door, id, ..
+            } => self.unexpected_bytes.push((at, *door, id, line)),
+            EventKind::AttemptReceived {
                 attempt,
                 node,
-                door,
+                proxy: door,
                 id,
-                form,
-                first,
-                whole,
+                fingerprint: form,
+                first_byte_at: first,
+                complete: whole,
                 work,
                 ..
             } => {
                 numbers.insert(*attempt, self.attempts.len());
                 if *whole {
-                    self.whole_by_id
+                    self.complete_by_id
                         .entry(id)
                         .or_default()
                         .push(self.attempts.len());
@@ -317,117 +326,125 @@
                 self.attempts.push(Attempt {
                     number: *attempt,
                     node: *node,
-                    door: *door,
+                    proxy: *door,
                     id,
-                    form: *form,
-                    first: *first,
-                    at,
-                    whole: *whole,
+                    fingerprint: *form,
+                    first_byte_at: *first,
+                    received_at: at,
+                    complete: *whole,
                     work: *work,
                     line,
-                    over: None,
-                    ran: Vec::new(),
+                    end: None,
+                    effects: Vec::new(),
                 });
             }
-            Entry::Ran { attempt } => {
+            EventKind::EffectApplied { attempt } => {
                 if let Some(place) = numbers.get(attempt) {
-                    self.attempts[*place].ran.push((at, line));
+                    self.attempts[*place].effects.push((at, line));
                 }
             }
-            Entry::Over { attempt, end } => {
+            EventKind::AttemptEnded { attempt, end } => {
                 if let Some(place) = numbers.get(attempt) {
-                    self.attempts[*place].over.get_or_insert((at, *end, line));
+                    self.attempts[*place].end.get_or_insert((at, *end, line));
                 }
             }
-            Entry::Node { node, state } => self.take_node(line, at, *node, *state),
-            Entry::Told {
-                door,
+            EventKind::Node { node, state } => self.index_node(line, at, *node, *state),
+            EventKind::NodeUpdate {
+                proxy: door,
                 node,
                 health,
-                born,
+                started_at: born,
                 source,
                 version,
-            } => self.tellings.push(Telling {
+            } => self.updates.push(NodeUpdate {
                 at,
-                door: *door,
+                proxy: *door,
                 node: *node,
                 health: *health,
-                born: *born,
+                started_at: *born,
                 source: *source,
                 version: *version,
                 line,
             }),
-            Entry::Due {
-                door,
+            EventKind::NodeUpdateDue {
+                proxy: door,
                 node,
                 health,
                 version,
-            } => self.due.push(Telling {
-                at: at + self.record.header.rules.told_within_ms,
-                door: *door,
+            } => self.updates_due.push(NodeUpdate {
+                at: at + self.trace.header.rules.notification_timeout_ms,
+                proxy: *door,
                 node: *node,
                 health: *health,
-                born: None,
+                started_at: None,
                 source: 0,
                 version: *version,
                 line,
             }),
-            Entry::Committed { node, health } => self.committed.push((at, *node, *health)),
-            Entry::Door { door, state } => self.doors.push((at, *door, *state, line)),
-            Entry::Rude {
+            EventKind::Committed { node, health } => self.committed.push((at, *node, *health)),
+            EventKind::Proxy { proxy: door, state } => {
+                self.proxy_states.push((at, *door, *state, line))
+            }
+            EventKind::MalformedClient {
                 kind,
                 status,
                 neglected,
             } => {
-                self.rude.push((at, kind, *status, *neglected, line));
+                self.malformed_clients
+                    .push((at, kind, *status, *neglected, line));
             }
-            Entry::Failure { .. }
-            | Entry::Credential { .. }
-            | Entry::Used { .. }
-            | Entry::Lateness { .. } => {}
+            EventKind::Fault { .. }
+            | EventKind::Credential { .. }
+            | EventKind::ResourceUsage { .. }
+            | EventKind::Lateness { .. } => {}
         }
     }
 
     /// The last try of a request on a connection.
-    fn try_on(&mut self, id: &str, link: u64) -> Option<&mut Try<'r>> {
+    fn request_on(&mut self, id: &str, link: u64) -> Option<&mut ClientRequest<'r>> {
         let place = self
             .by_id
             .get(id)?
             .iter()
             .rev()
-            .find(|place| self.tries[**place].link == link)?;
-        Some(&mut self.tries[*place])
+            .find(|place| self.requests[**place].connection == link)?;
+        Some(&mut self.requests[*place])
     }
 
-    fn take_node(&mut self, line: usize, at: Millis, node: u32, state: NodeState) {
+    fn index_node(&mut self, line: usize, at: Millis, node: u32, state: NodeState) {
         match state {
             NodeState::Up {
                 cores,
-                cold_from,
-                cold_ms,
+                initial_capacity: cold_from,
+                warmup_ms: cold_ms,
             } => {
                 let to = f64::INFINITY;
-                self.lives.push(Life {
+                self.instances.push(NodeInstance {
                     node,
-                    from: at,
-                    to,
+                    started_at: at,
+                    ended_at: to,
                     cores,
-                    cold_from,
-                    cold_ms,
+                    initial_capacity: cold_from,
+                    warmup_ms: cold_ms,
                     line,
                 });
             }
             NodeState::Draining => {}
-            NodeState::Gone | NodeState::Fell => {
-                if let Some(life) = self.lives.iter_mut().rev().find(|life| life.node == node) {
-                    life.to = life.to.min(at);
+            NodeState::Stopped | NodeState::Overloaded => {
+                if let Some(life) = self
+                    .instances
+                    .iter_mut()
+                    .rev()
+                    .find(|life| life.node == node)
+                {
+                    life.ended_at = life.ended_at.min(at);
                 }
                 // Its connections broke with it.
                 let open = self
                     .attempts
                     .iter_mut()
-                    .filter(|a| a.node == node && a.whole && a.over.is_none());
-                open.for_each(|attempt| attempt.over = Some((at, End::Reset, line)));
+                    .filter(|a| a.node == node && a.complete && a.end.is_none());
+                open.for_each(|attempt| attempt.end = Some((at, AttemptEnd::Reset, line)));
             }
         }
     }
--- a/crates/invariants/tests/properties.rs
+++ b/crates/invariants/tests/properties.rs
@@ -2,7 +2,7 @@
 
 mod tale;
 
-use maplefall_event_trace::{End, Health};
+use maplefall_event_trace::{AttemptEnd, Health};
 use maplefall_invariants::Verdict;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -43,14 +43,14 @@
         at += 20.0;
         // An unsafe request ends with the first attempt that may have run.
         let end = match (kind, course.class) {
-            (0, _) => End::Served,
-            (1, _) => End::TurnedAway,
-            (_, UNSAFE) => End::TurnedAway,
-            (2, _) => End::Reset,
-            _ => End::GivenUp,
+            (0, _) => AttemptEnd::Served,
+            (1, _) => AttemptEnd::Rejected,
+            (_, UNSAFE) => AttemptEnd::Rejected,
+            (2, _) => AttemptEnd::Reset,
+            _ => AttemptEnd::Cancelled,
         };
         tale = tale.over(at, attempt, end);
-        if end == End::Served {
+        if end == AttemptEnd::Served {
             return tale
                 .ran(at, attempt)
                 .answered(at + 1.0, &id, 200, Some(attempt));
@@ -70,29 +70,29 @@
     ) {
         let told = tale_with(&courses).told(drain, 1, 3, Health::Draining, None);
         let judgement = told.judge();
-        let found: Vec<_> = judgement.rules.iter().flat_map(|ruling| &ruling.findings).collect();
-        prop_assert!(!judgement.broken(), "{found:#?}");
-        prop_assert_eq!(judgement.figures.tries, courses.len() as u64);
+        let found: Vec<_> = judgement.rules.iter().flat_map(|ruling| &ruling.violations).collect();
+        prop_assert!(!judgement.has_violations(), "{found:#?}");
+        prop_assert_eq!(judgement.metrics.client_requests, courses.len() as u64);
     }
 
     #[test]
     fn one_unsafe_repeat_is_always_found_and_only_it(
         courses in prop::collection::vec(course(), 1..60),
         at in 0.0..20_000.0f64,
-        end in prop::sample::select(vec![End::Reset, End::Error, End::Spoilt, End::GivenUp]),
+        end in prop::sample::select(vec![AttemptEnd::Reset, AttemptEnd::Error, AttemptEnd::Malformed, AttemptEnd::Cancelled]),
     ) {
         let bad = tale_with(&courses)
             .asked(at, "bad", UNSAFE)
             .came(at + 5.0, 9001, "bad", 1)
             .over(at + 30.0, 9001, end)
             .came(at + 60.0, 9002, "bad", 2)
-            .over(at + 90.0, 9002, End::Served)
+            .over(at + 90.0, 9002, AttemptEnd::Served)
             .answered(at + 91.0, "bad", 200, Some(9002));
         let judgement = bad.judge();
         let broken: Vec<_> =
-            judgement.rules.iter().filter(|r| r.verdict == Verdict::Broken).map(|r| r.rule).collect();
+            judgement.rules.iter().filter(|r| r.verdict == Verdict::Violated).map(|r| r.rule).collect();
         prop_assert_eq!(broken, vec![2]);
-        let finding = &judgement.rules[1].findings[0];
+        let finding = &judgement.rules[1].violations[0];
         prop_assert_eq!(finding.request.as_str(), "bad");
     }
 
@@ -105,9 +105,9 @@
         let at = drain + DRAIN_GRACE + late;
         let told = tale_with(&courses).told(drain, 0, 99, Health::Removed, None);
         let judgement = told.asked(at - 3.0, "bad", SAFE).came(at, 9001, "bad", 99)
-            .over(at + 9.0, 9001, End::Served).answered(at + 10.0, "bad", 200, Some(9001)).judge();
+            .over(at + 9.0, 9001, AttemptEnd::Served).answered(at + 10.0, "bad", 200, Some(9001)).judge();
         let ruling = &judgement.rules[2];
-        prop_assert_eq!(ruling.breaks, 1);
+        prop_assert_eq!(ruling.violation_count, 1);
         prop_assert!((ruling.margin.unwrap() + late).abs() < 1e-6);
     }
 }
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -2,8 +2,10 @@
 
 mod tale;
 
-use maplefall_event_trace::{DoorState, End, Entry, Health, Line, Lost, NodeState, Record};
-use maplefall_invariants::Verdict::{Broken, Kept, NotExercised};
+use maplefall_event_trace::{
+    AttemptEnd, Event, EventKind, FailureReason, Health, NodeState, ProxyState, Trace,
+};
+use maplefall_invariants::Verdict::{NotExercised, Satisfied, Violated};
 use tale::*;
 
 fn tale() -> Tale {
@@ -19,19 +21,19 @@
         .rules
         .iter()
         .all(|ruling| ruling.verdict == NotExercised));
-    assert_eq!(judgement.untested(&[1, 3]), [1, 3]);
+    assert_eq!(judgement.not_exercised(&[1, 3]), [1, 3]);
 }
 
 #[test]
 fn a_served_request_keeps_rule_one() {
     let ruling = tale().served(100.0, 1, "a", UNSAFE, 0).rule(1);
-    assert_eq!((ruling.verdict, ruling.tested), (Kept, 1));
+    assert_eq!((ruling.verdict, ruling.tested), (Satisfied, 1));
     assert_eq!(ruling.margin, Some(1000.0 + ANSWER_SLACK - 52.0));
 }
 
 #[test]
 fn an_answer_counts_up_to_the_last_moment_and_no_longer() {
-    for (late, verdict) in [(ANSWER_SLACK, Kept), (ANSWER_SLACK + 0.5, Broken)] {
+    for (late, verdict) in [(ANSWER_SLACK, Satisfied), (ANSWER_SLACK + 0.5, Violated)] {
         let ruling = tale()
             .asked(0.0, "a", SAFE)
             .answered(1000.0 + late, "a", 502, None)
@@ -44,29 +46,36 @@
 fn a_request_without_an_answer_is_lost() {
     let ruling = tale()
         .asked(0.0, "a", SAFE)
-        .lost(1100.0, "a", Lost::Silent)
+        .lost(1100.0, "a", FailureReason::TimedOut)
         .rule(1);
     assert_eq!(
-        (ruling.verdict, ruling.findings[0].lines.clone()),
-        (Broken, vec![2, 3])
+        (ruling.verdict, ruling.violations[0].trace_lines.clone()),
+        (Violated, vec![2, 3])
     );
-    assert_eq!(ruling.findings[0].request, "a");
+    assert_eq!(ruling.violations[0].request, "a");
     let ruling = tale()
         .asked(0.0, "a", SAFE)
-        .lost(300.0, "a", Lost::Cut)
+        .lost(300.0, "a", FailureReason::Truncated)
         .rule(1);
-    assert_eq!(ruling.verdict, Broken);
+    assert_eq!(ruling.verdict, Violated);
 }
 
 #[test]
 fn a_connection_closed_with_nothing_sent_on_loses_nothing_and_with_something_all() {
-    let closed = |tale: Tale| tale.asked(0.0, "a", SAFE).lost(300.0, "a", Lost::Closed);
+    let closed = |tale: Tale| {
+        tale.asked(0.0, "a", SAFE)
+            .lost(300.0, "a", FailureReason::Closed)
+    };
     assert_eq!(closed(tale()).rule(1).verdict, NotExercised);
     assert_eq!(
-        closed(tale().came(5.0, 1, "a", 0).over(290.0, 1, End::GivenUp))
-            .rule(1)
-            .verdict,
-        Broken
+        closed(
+            tale()
+                .came(5.0, 1, "a", 0)
+                .over(290.0, 1, AttemptEnd::Cancelled)
+        )
+        .rule(1)
+        .verdict,
+        Violated
     );
 }
 
@@ -75,23 +84,23 @@
     let held = |tale: Tale| {
         tale.asked(0.0, "a", UNSAFE)
             .came(5.0, 1, "a", 0)
-            .over(300.0, 1, End::GivenUp)
-            .lost(300.0, "a", Lost::Closed)
+            .over(300.0, 1, AttemptEnd::Cancelled)
+            .lost(300.0, "a", FailureReason::Closed)
     };
     assert_eq!(
-        held(tale().door(299.0, DoorState::Killed)).rule(1).verdict,
+        held(tale().door(299.0, ProxyState::Killed)).rule(1).verdict,
         NotExercised
     );
     // One that was told to stop owes its answers; so does one that was killed before or after.
     assert_eq!(
-        held(tale().door(200.0, DoorState::Terminated))
+        held(tale().door(200.0, ProxyState::Terminated))
             .rule(1)
             .verdict,
-        Broken
+        Violated
     );
     assert_eq!(
-        held(tale().door(400.0, DoorState::Killed)).rule(1).verdict,
-        Broken
+        held(tale().door(400.0, ProxyState::Killed)).rule(1).verdict,
+        Violated
     );
 }
 
@@ -99,10 +108,10 @@
 fn two_answers_are_one_too_many() {
     let twice = tale().served(0.0, 1, "a", SAFE, 0);
     let twice = twice.asked(60.0, "a", SAFE).answered(90.0, "a", 502, None);
-    assert_eq!(twice.rule(1).verdict, Broken);
-    let surplus = Entry::Surplus {
-        door: 0,
-        link: 1,
+    assert_eq!(twice.rule(1).verdict, Violated);
+    let surplus = EventKind::UnexpectedBytes {
+        proxy: 0,
+        connection: 1,
         id: "a".into(),
     };
     assert_eq!(
@@ -111,7 +120,7 @@
             .line(80.0, surplus)
             .rule(1)
             .verdict,
-        Broken
+        Violated
     );
 }
 
@@ -120,17 +129,17 @@
     let after = |gap: f64| {
         let tale = tale().asked(0.0, "a", SAFE).answered(100.0, "a", 502, None);
         tale.came(100.0 + gap, 1, "a", 0)
-            .over(200.0 + gap, 1, End::Served)
+            .over(200.0 + gap, 1, AttemptEnd::Served)
             .rule(1)
             .verdict
     };
     // Two threads see an answer and an attempt of one moment in either order.
     assert_eq!(
         (
-            after(maplefall_invariants::BLUR),
-            after(maplefall_invariants::BLUR + 1.0)
+            after(maplefall_invariants::ORDERING_TOLERANCE),
+            after(maplefall_invariants::ORDERING_TOLERANCE + 1.0)
         ),
-        (Kept, Broken)
+        (Satisfied, Violated)
     );
 }
 
@@ -140,43 +149,45 @@
         let tale = tale()
             .served(0.0, 1, "other", SAFE, 0)
             .asked(100.0, "a", SAFE);
-        let tale = tale.came(102.0, 2, "a", 0).over(150.0, 2, End::Served);
+        let tale = tale
+            .came(102.0, 2, "a", 0)
+            .over(150.0, 2, AttemptEnd::Served);
         tale.answered(160.0, "a", 200, attempt).rule(1).verdict
     };
     assert_eq!(
         [served(Some(2)), served(Some(1)), served(None)],
-        [Kept, Broken, Broken]
+        [Satisfied, Violated, Violated]
     );
 }
 
 #[test]
 fn a_front_door_that_ends_by_itself_or_badly_has_crashed() {
-    let ended = |first: Option<DoorState>, code| {
+    let ended = |first: Option<ProxyState>, code| {
         let tale = tale()
             .served(0.0, 1, "a", SAFE, 0)
-            .door(0.0, DoorState::Started);
+            .door(0.0, ProxyState::Started);
         let tale = first
             .into_iter()
             .fold(tale, |tale, state| tale.door(500.0, state));
-        tale.door(600.0, DoorState::Ended { code }).rule(1).verdict
+        tale.door(600.0, ProxyState::Ended { code }).rule(1).verdict
     };
-    assert_eq!(ended(Some(DoorState::Terminated), Some(0)), Kept);
-    assert_eq!(ended(Some(DoorState::Killed), None), Kept);
-    assert_eq!(ended(Some(DoorState::Terminated), Some(70)), Broken);
-    assert_eq!(ended(Some(DoorState::Reloaded), Some(0)), Broken);
-    assert_eq!(ended(None, Some(70)), Broken);
+    assert_eq!(ended(Some(ProxyState::Terminated), Some(0)), Satisfied);
+    assert_eq!(ended(Some(ProxyState::Killed), None), Satisfied);
+    assert_eq!(ended(Some(ProxyState::Terminated), Some(70)), Violated);
+    assert_eq!(ended(Some(ProxyState::Reloaded), Some(0)), Violated);
+    assert_eq!(ended(None, Some(70)), Violated);
 }
 
 // ---- Rule 2 -------------------------------------------------------------------------------------------
 
 /// A request whose first attempt ends so at 100 ms, and whose second comes at `second`.
-fn repeated(class: usize, end: End, second: f64) -> Tale {
+fn repeated(class: usize, end: AttemptEnd, second: f64) -> Tale {
     tale()
         .asked(0.0, "a", class)
         .came(5.0, 1, "a", 0)
         .over(100.0, 1, end)
         .came(second, 2, "a", 1)
-        .over(second + 40.0, 2, End::Served)
+        .over(second + 40.0, 2, AttemptEnd::Served)
         .ran(second + 40.0, 2)
         .answered(second + 42.0, "a", 200, Some(2))
 }
@@ -184,14 +195,14 @@
 #[test]
 fn only_what_never_ran_is_repeated_whatever_its_class() {
     for (class, end, verdict) in [
-        (SAFE, End::Reset, Kept),
-        (SAFE, End::TurnedAway, Kept),
-        (KEYED, End::Error, Kept),
-        (UNSAFE, End::TurnedAway, Kept),
-        (UNSAFE, End::Reset, Broken),
-        (UNSAFE, End::Error, Broken),
-        (UNSAFE, End::Spoilt, Broken),
-        (UNSAFE, End::GivenUp, Broken),
+        (SAFE, AttemptEnd::Reset, Satisfied),
+        (SAFE, AttemptEnd::Rejected, Satisfied),
+        (KEYED, AttemptEnd::Error, Satisfied),
+        (UNSAFE, AttemptEnd::Rejected, Satisfied),
+        (UNSAFE, AttemptEnd::Reset, Violated),
+        (UNSAFE, AttemptEnd::Error, Violated),
+        (UNSAFE, AttemptEnd::Malformed, Violated),
+        (UNSAFE, AttemptEnd::Cancelled, Violated),
     ] {
         assert_eq!(
             repeated(class, end, 120.0).rule(2).verdict,
@@ -211,56 +222,60 @@
     let at = |age: f64| {
         let tale = tale().line(
             0.0,
-            Entry::Asked {
+            EventKind::RequestSent {
                 id: "a".into(),
-                item: 1,
+                original_request: 1,
                 retry: 0,
-                door: 0,
-                link: 1,
+                proxy: 0,
+                connection: 1,
                 customer: 7,
                 plan: 0,
                 class: KEYED,
                 units: 1.0,
                 deadline: 9000.0,
-                form: FORM,
+                fingerprint: FORM,
             },
         );
         tale.came(5.0, 1, "a", 0)
-            .over(100.0, 1, End::Reset)
+            .over(100.0, 1, AttemptEnd::Reset)
             .came(5.0 + age, 2, "a", 1)
-            .over(4000.0, 2, End::Served)
+            .over(4000.0, 2, AttemptEnd::Served)
     };
-    assert_eq!(at(MEMORY).rule(2).verdict, Kept);
+    assert_eq!(at(MEMORY).rule(2).verdict, Satisfied);
     let ruling = at(MEMORY + 1.0).rule(2);
-    assert_eq!((ruling.verdict, ruling.margin), (Broken, Some(-1.0)));
+    assert_eq!((ruling.verdict, ruling.margin), (Violated, Some(-1.0)));
 }
 
 #[test]
 fn two_attempts_are_never_out_together() {
-    let gap = |gap| repeated(SAFE, End::GivenUp, 100.0 - gap).rule(2).verdict;
+    let gap = |gap| {
+        repeated(SAFE, AttemptEnd::Cancelled, 100.0 - gap)
+            .rule(2)
+            .verdict
+    };
     // Both ends of one moment are seen in either order.
     assert_eq!(
         (
-            gap(maplefall_invariants::BLUR),
-            gap(maplefall_invariants::BLUR + 1.0)
+            gap(maplefall_invariants::ORDERING_TOLERANCE),
+            gap(maplefall_invariants::ORDERING_TOLERANCE + 1.0)
         ),
-        (Kept, Broken)
+        (Satisfied, Violated)
     );
     let never_ended = tale()
         .asked(0.0, "a", SAFE)
         .came(5.0, 1, "a", 0)
         .came(400.0, 2, "a", 1);
-    assert_eq!(never_ended.rule(2).verdict, Broken);
+    assert_eq!(never_ended.rule(2).verdict, Violated);
     // A node whose process ended has let go of what it had.
     let gone = tale()
         .line(
             0.0,
-            Entry::Node {
+            EventKind::Node {
                 node: 0,
                 state: NodeState::Up {
                     cores: 2.0,
-                    cold_from: 1.0,
-                    cold_ms: 0.0,
+                    initial_capacity: 1.0,
+                    warmup_ms: 0.0,
                 },
             },
         )
@@ -268,14 +283,14 @@
         .came(5.0, 1, "a", 0)
         .line(
             50.0,
-            Entry::Node {
+            EventKind::Node {
                 node: 0,
-                state: NodeState::Gone,
+                state: NodeState::Stopped,
             },
         )
         .came(60.0, 2, "a", 1)
-        .over(90.0, 2, End::Served);
-    assert_eq!(gone.rule(2).verdict, Kept);
+        .over(90.0, 2, AttemptEnd::Served);
+    assert_eq!(gone.rule(2).verdict, Satisfied);
 }
 
 #[test]
@@ -287,12 +302,12 @@
             .over(50.0, 1, end);
         tale.answered(60.0, "a", status, None).rule(2).verdict
     };
-    assert_eq!(refused(UNSAFE, End::TurnedAway, 429), Kept);
-    assert_eq!(refused(UNSAFE, End::Error, 502), Kept);
-    assert_eq!(refused(UNSAFE, End::Error, 429), Broken);
-    assert_eq!(refused(UNSAFE, End::GivenUp, 503), Broken);
-    assert_eq!(refused(KEYED, End::Error, 429), Kept);
-    assert_eq!(refused(SAFE, End::Reset, 429), Kept);
+    assert_eq!(refused(UNSAFE, AttemptEnd::Rejected, 429), Satisfied);
+    assert_eq!(refused(UNSAFE, AttemptEnd::Error, 502), Satisfied);
+    assert_eq!(refused(UNSAFE, AttemptEnd::Error, 429), Violated);
+    assert_eq!(refused(UNSAFE, AttemptEnd::Cancelled, 503), Violated);
+    assert_eq!(refused(KEYED, AttemptEnd::Error, 429), Satisfied);
+    assert_eq!(refused(SAFE, AttemptEnd::Reset, 429), Satisfied);
 }
 
 #[test]
@@ -300,47 +315,48 @@
     let many = |count: u64| {
         let tale = (0..count).fold(tale().asked(0.0, "a", SAFE), |tale, i| {
             let at = 10.0 + 100.0 * i as f64;
-            tale.came(at, i, "a", 0).over(at + 20.0, i, End::Reset)
+            tale.came(at, i, "a", 0)
+                .over(at + 20.0, i, AttemptEnd::Reset)
         });
         tale.rule(2).verdict
     };
-    assert_eq!((many(3), many(4)), (Kept, Broken));
-    let twice = repeated(KEYED, End::Reset, 120.0).ran(99.0, 1);
-    assert_eq!(twice.rule(2).verdict, Broken);
+    assert_eq!((many(3), many(4)), (Satisfied, Violated));
+    let twice = repeated(KEYED, AttemptEnd::Reset, 120.0).ran(99.0, 1);
+    assert_eq!(twice.rule(2).verdict, Violated);
 }
 
 /// Guards requests on their way: what comes to a node is what its client sent, and what nobody sent does not come.
 #[test]
 fn what_comes_to_a_node_is_what_its_client_sent() {
     let came = |form| {
-        let entry = Entry::Came {
+        let entry = EventKind::AttemptReceived {
             attempt: 1,
             node: 0,
-            door: 0,
+            proxy: 0,
             id: "a".into(),
             key: None,
-            form,
-            first: 5.0,
-            whole: true,
+            fingerprint: form,
+            first_byte_at: 5.0,
+            complete: true,
             work: 1.0,
         };
         let tale = tale()
             .asked(0.0, "a", SAFE)
             .line(5.0, entry)
-            .over(50.0, 1, End::Served);
+            .over(50.0, 1, AttemptEnd::Served);
         tale.answered(52.0, "a", 200, Some(1)).rule(2)
     };
     assert_eq!(came(FORM).verdict, NotExercised);
     let changed = came(FORM + 1);
     assert_eq!(
-        (changed.verdict, changed.findings[0].lines.clone()),
-        (Broken, vec![2, 3])
+        (changed.verdict, changed.violations[0].trace_lines.clone()),
+        (Violated, vec![2, 3])
     );
     let nobodys = tale()
         .served(0.0, 1, "a", SAFE, 0)
         .came(60.0, 2, "hidden", 0)
-        .over(70.0, 2, End::Served);
-    assert_eq!(nobodys.rule(2).verdict, Broken);
+        .over(70.0, 2, AttemptEnd::Served);
+    assert_eq!(nobodys.rule(2).verdict, Violated);
 }
 
 // ---- Rule 3 -------------------------------------------------------------------------------------------
@@ -356,9 +372,9 @@
     let last = sent(DRAIN_GRACE);
     assert_eq!(
         (last.verdict, last.margin, last.tested),
-        (Kept, Some(0.0), 1)
+        (Satisfied, Some(0.0), 1)
     );
-    assert_eq!(sent(DRAIN_GRACE + 1.0).verdict, Broken);
+    assert_eq!(sent(DRAIN_GRACE + 1.0).verdict, Violated);
 }
 
 #[test]
@@ -371,30 +387,36 @@
     let other = |tale: Tale| {
         tale.asked(2000.0, "b", SAFE)
             .came_from(1, 2002.0, 2, "b", 3, 10.0)
-            .over(2050.0, 2, End::Served)
+            .over(2050.0, 2, AttemptEnd::Served)
     };
-    assert_eq!(other(drained()).rule(3).verdict, Kept);
+    assert_eq!(other(drained()).rule(3).verdict, Satisfied);
     let elsewhere = drained().served(2000.0, 2, "b", SAFE, 4);
-    assert_eq!(elsewhere.rule(3).verdict, Kept);
+    assert_eq!(elsewhere.rule(3).verdict, Satisfied);
     // Gone after draining does not begin a new grace; up again ends it.
     let gone = drained().told(1500.0, 0, 3, Health::Removed, None);
-    assert_eq!(gone.served(1700.0, 2, "b", SAFE, 3).rule(3).verdict, Broken);
+    assert_eq!(
+        gone.served(1700.0, 2, "b", SAFE, 3).rule(3).verdict,
+        Violated
+    );
     let back = drained().told(1500.0, 0, 3, Health::Up, Some(1400.0));
-    assert_eq!(back.served(1900.0, 2, "b", SAFE, 3).rule(3).verdict, Kept);
+    assert_eq!(
+        back.served(1900.0, 2, "b", SAFE, 3).rule(3).verdict,
+        Satisfied
+    );
 }
 
 #[test]
 fn a_send_counts_from_its_first_byte_whole_or_not() {
     let broken_off = |first| {
-        let entry = Entry::Came {
+        let entry = EventKind::AttemptReceived {
             attempt: 2,
             node: 3,
-            door: 0,
+            proxy: 0,
             id: String::new(),
             key: None,
-            form: 0,
-            first,
-            whole: false,
+            fingerprint: 0,
+            first_byte_at: first,
+            complete: false,
             work: 0.0,
         };
         tale()
@@ -402,8 +424,8 @@
             .told(1000.0, 0, 3, Health::Removed, None)
             .line(2000.0, entry)
     };
-    assert_eq!(broken_off(1540.0).rule(3).verdict, Kept);
-    assert_eq!(broken_off(1560.0).rule(3).verdict, Broken);
+    assert_eq!(broken_off(1540.0).rule(3).verdict, Satisfied);
+    assert_eq!(broken_off(1560.0).rule(3).verdict, Violated);
 }
 
 /// Guards the rule on sources that disagree: what one says of a stop another cannot undo, but for a newer life.
@@ -417,15 +439,15 @@
     let other = drained()
         .told_by(0, 1200.0, 0, 3, Health::Up, None)
         .served(2000.0, 2, "b", SAFE, 3);
-    assert_eq!(other.rule(3).verdict, Broken);
+    assert_eq!(other.rule(3).verdict, Violated);
     let undone = drained()
         .told_by(1, 1200.0, 0, 3, Health::Up, None)
         .served(2000.0, 2, "b", SAFE, 3);
-    assert_eq!(undone.rule(3).verdict, Kept);
+    assert_eq!(undone.rule(3).verdict, Satisfied);
     let newer = drained()
         .told_by(0, 1800.0, 0, 3, Health::Up, Some(1700.0))
         .served(2000.0, 2, "b", SAFE, 3);
-    assert_eq!(newer.rule(3).verdict, Kept);
+    assert_eq!(newer.rule(3).verdict, Satisfied);
 }
 
 /// Guards the rule against an agent that is behind: a word of a lower version than the drain's takes it back as little as no
@@ -435,11 +457,11 @@
     let told = |tale: Tale, at, health, version| {
         tale.line(
             at,
-            Entry::Told {
-                door: 0,
+            EventKind::NodeUpdate {
+                proxy: 0,
                 node: 3,
                 health,
-                born: None,
+                started_at: None,
                 source: 0,
                 version,
             },
@@ -454,18 +476,18 @@
         )
     };
     let sent = |tale: Tale| tale.served(2000.0, 2, "b", SAFE, 3).rule(3).verdict;
-    assert_eq!(sent(told(drained(), 1200.0, Health::Up, 8)), Broken);
-    assert_eq!(sent(told(drained(), 1200.0, Health::Up, 10)), Kept);
+    assert_eq!(sent(told(drained(), 1200.0, Health::Up, 8)), Violated);
+    assert_eq!(sent(told(drained(), 1200.0, Health::Up, 10)), Satisfied);
     // Told again by a later version, it takes a word above that one.
     let again = || told(drained(), 1100.0, Health::Draining, 12);
-    assert_eq!(sent(told(again(), 1200.0, Health::Up, 11)), Broken);
+    assert_eq!(sent(told(again(), 1200.0, Health::Up, 11)), Violated);
 }
 
 /// Guards what counts as told though it never came: what a source has to tell binds a front door 6 s later at the latest.
 #[test]
 fn what_there_is_to_tell_counts_as_told_in_the_end() {
-    let due = |health, version| Entry::Due {
-        door: 0,
+    let due = |health, version| EventKind::NodeUpdateDue {
+        proxy: 0,
         node: 3,
         health,
         version,
@@ -480,23 +502,23 @@
             .rule(3)
             .verdict
     };
-    assert_eq!(sent(drained(), DRAIN_GRACE), Kept);
-    assert_eq!(sent(drained(), DRAIN_GRACE + 1.0), Broken);
+    assert_eq!(sent(drained(), DRAIN_GRACE), Satisfied);
+    assert_eq!(sent(drained(), DRAIN_GRACE + 1.0), Violated);
     // Told earlier, it binds from then on; taken back before it counted, it never does.
-    let told = Entry::Told {
-        door: 0,
+    let told = EventKind::NodeUpdate {
+        proxy: 0,
         node: 3,
         health: Health::Draining,
-        born: None,
+        started_at: None,
         source: 0,
         version: 2,
     };
-    assert_eq!(sent(drained().line(5000.0, told), 0.0), Broken);
-    let back = Entry::Told {
-        door: 0,
+    assert_eq!(sent(drained().line(5000.0, told), 0.0), Violated);
+    let back = EventKind::NodeUpdate {
+        proxy: 0,
         node: 3,
         health: Health::Up,
-        born: None,
+        started_at: None,
         source: 0,
         version: 3,
     };
@@ -507,7 +529,7 @@
                 .line(7200.0, back),
             DRAIN_GRACE + 500.0
         ),
-        Kept
+        Satisfied
     );
 }
 
@@ -530,7 +552,7 @@
     let last = tale()
         .served(0.0, 1, "a", SAFE, 3)
         .told(1000.0, 0, 3, Health::Draining, None);
-    assert_eq!(last.rule(3).verdict, Kept);
+    assert_eq!(last.rule(3).verdict, Satisfied);
 }
 
 // ---- Rule 4 -------------------------------------------------------------------------------------------
@@ -540,25 +562,25 @@
 fn cold(count: u64, from: impl Fn(u64) -> u32) -> Tale {
     let up = NodeState::Up {
         cores: 2.0,
-        cold_from: 0.25,
-        cold_ms: 1e9,
+        initial_capacity: 0.25,
+        warmup_ms: 1e9,
     };
     let tale = tale()
-        .line(1000.0, Entry::Node { node: 5, state: up })
+        .line(1000.0, EventKind::Node { node: 5, state: up })
         .told(1001.0, 0, 5, Health::Up, Some(1000.0))
         .told(1001.0, 1, 5, Health::Up, Some(1000.0));
     (0..count).fold(tale, |tale, i| {
         let id = format!("c{i}");
         tale.asked(1010.0, &id, SAFE)
             .came_from(from(i), 1100.0, 100 + i, &id, 5, 100.0)
-            .over(1200.0, 100 + i, End::TurnedAway)
+            .over(1200.0, 100 + i, AttemptEnd::Rejected)
     })
 }
 
 #[test]
 fn a_cold_node_bears_its_budget_and_no_more() {
-    assert_eq!(cold(23, |i| (i % 2) as u32).rule(4).verdict, Kept);
-    assert_eq!(cold(24, |i| (i % 2) as u32).rule(4).verdict, Broken);
+    assert_eq!(cold(23, |i| (i % 2) as u32).rule(4).verdict, Satisfied);
+    assert_eq!(cold(24, |i| (i % 2) as u32).rule(4).verdict, Violated);
     // Too few attempts are no test.
     assert_eq!(cold(4, |_| 0).rule(4).verdict, NotExercised);
 }
@@ -568,13 +590,13 @@
     // Front door 2 was never told: with more than a third of the work from there, nobody could have known.
     assert_eq!(
         cold(24, |i| if i % 2 == 0 { 2 } else { 0 }).rule(4).verdict,
-        Kept
+        Satisfied
     );
     assert_eq!(
         cold(30, |i| if i % 10 == 0 { 2 } else { 0 })
             .rule(4)
             .verdict,
-        Broken
+        Violated
     );
 }
 
@@ -586,11 +608,11 @@
             let at = 1100.0 + gap;
             tale.asked(at - 5.0, &id, SAFE)
                 .came_from(0, at, 200 + i, &id, 5, 100.0)
-                .over(at + 10.0, 200 + i, End::Served)
+                .over(at + 10.0, 200 + i, AttemptEnd::Served)
         })
     };
-    assert_eq!(two(1400.0).rule(4).verdict, Broken);
-    assert_eq!(two(1600.0).rule(4).verdict, Kept);
+    assert_eq!(two(1400.0).rule(4).verdict, Violated);
+    assert_eq!(two(1600.0).rule(4).verdict, Satisfied);
 }
 
 // ---- Rule 5 -------------------------------------------------------------------------------------------
@@ -601,7 +623,7 @@
         let id = format!("u{i}");
         tale.asked_of(0.0, &id, SAFE, 1, 9, 1.0)
             .came_from((i % 2) as u32, 10.0, i, &id, 0, 1.0)
-            .over(20.0, i, End::Served)
+            .over(20.0, i, AttemptEnd::Served)
     })
 }
 
@@ -609,8 +631,8 @@
 fn a_ceiling_holds_over_all_front_doors_with_its_slack() {
     assert_eq!(ceiling(15).rule(5).verdict, NotExercised);
     let last = ceiling(47).rule(5);
-    assert_eq!((last.verdict, last.margin), (Kept, Some(0.0)));
-    assert_eq!(ceiling(48).rule(5).verdict, Broken);
+    assert_eq!((last.verdict, last.margin), (Satisfied, Some(0.0)));
+    assert_eq!(ceiling(48).rule(5).verdict, Violated);
 }
 
 #[test]
@@ -620,17 +642,17 @@
             let id = format!("v{i}");
             tale.asked_of(at, &id, SAFE, 1, 9, 1.0)
                 .came_from(0, at + 10.0, 100 + i, &id, 0, 1.0)
-                .over(at + 20.0, 100 + i, End::Served)
+                .over(at + 20.0, 100 + i, AttemptEnd::Served)
         })
     };
-    assert_eq!(later(500.0).rule(5).verdict, Broken);
-    assert_eq!(later(1000.0).rule(5).verdict, Kept);
+    assert_eq!(later(500.0).rule(5).verdict, Violated);
+    assert_eq!(later(1000.0).rule(5).verdict, Satisfied);
     // A second attempt takes nothing.
     let again = (0..40).fold(ceiling(40), |tale, i| {
         tale.came_from(0, 30.0, 300 + i, &format!("u{i}"), 0, 1.0)
-            .over(40.0, 300 + i, End::Served)
+            .over(40.0, 300 + i, AttemptEnd::Served)
     });
-    assert_eq!(again.rule(5).verdict, Kept);
+    assert_eq!(again.rule(5).verdict, Satisfied);
 }
 
 // ---- The whole judgement ------------------------------------------------------------------------------
@@ -638,36 +660,36 @@
 #[test]
 fn late_stand_ins_void_a_run_and_blame_nobody() {
     let judge = |p99_ms, most_ms| {
-        let lateness = Entry::Lateness {
+        let lateness = EventKind::Lateness {
             actions: 100,
             p50_ms: 0.5,
             p99_ms,
-            most_ms,
+            max_ms: most_ms,
         };
-        let lines = vec![Line {
+        let lines = vec![Event {
             at: 1.0,
-            entry: lateness,
+            kind: lateness,
         }];
-        maplefall_invariants::judge(&Record {
+        maplefall_invariants::evaluate(&Trace {
             header: header(),
-            lines,
+            events: lines,
         })
-        .void
+        .invalid_reason
     };
     assert_eq!(
         judge(
-            maplefall_invariants::MOST_LATE_P99,
-            maplefall_invariants::MOST_LATE
+            maplefall_invariants::MAX_LATENESS_P99,
+            maplefall_invariants::MAX_LATENESS
         ),
         None
     );
-    assert!(judge(maplefall_invariants::MOST_LATE_P99 + 0.1, 20.0).is_some());
-    assert!(judge(1.0, maplefall_invariants::MOST_LATE + 1.0).is_some());
-    let silent = maplefall_invariants::judge(&Record {
+    assert!(judge(maplefall_invariants::MAX_LATENESS_P99 + 0.1, 20.0).is_some());
+    assert!(judge(1.0, maplefall_invariants::MAX_LATENESS + 1.0).is_some());
+    let silent = maplefall_invariants::evaluate(&Trace {
         header: header(),
-        lines: Vec::new(),
+        events: Vec::new(),
     });
-    assert!(silent.void.is_some());
+    assert!(silent.invalid_reason.is_some());
 }
 
 #[test]
@@ -677,22 +699,26 @@
         let id = format!("w{i}");
         let tale = tale.asked(0.0, &id, SAFE).came(5.0, i, &id, 0);
         if i < 10 {
-            tale.over(30.0, i, End::Served)
+            tale.over(30.0, i, AttemptEnd::Served)
                 .answered(40.0, &id, 200, Some(i))
         } else {
-            tale.over(30.0, i, End::TurnedAway)
+            tale.over(30.0, i, AttemptEnd::Rejected)
                 .answered(40.0, &id, 429, None)
         }
     });
-    let figures = tale.judge().figures;
+    let figures = tale.judge().metrics;
     assert_eq!(
-        (figures.requests, figures.served, figures.refused),
+        (
+            figures.requests,
+            figures.served,
+            figures.rejected_without_retry_after
+        ),
         (21, 10, 11)
     );
     assert!(
-        (figures.worth_share - 0.5).abs() < 1e-9,
+        (figures.value_share - 0.5).abs() < 1e-9,
         "{}",
-        figures.worth_share
+        figures.value_share
     );
 }
 
@@ -701,7 +727,7 @@
 fn credential(tale: Tale, at: f64, customer: u64) -> Tale {
     tale.line(
         at,
-        Entry::Credential {
+        EventKind::Credential {
             customer,
             passes: false,
         },
@@ -722,13 +748,13 @@
         .asked(100.0, "a", UNSAFE)
         .answered(120.0, "a", 401, None)
         .rule(6);
-    assert_eq!((denied.verdict, denied.tested), (Kept, 1));
+    assert_eq!((denied.verdict, denied.tested), (Satisfied, 1));
     let sent = credential(tale(), 0.0, 7)
         .served(100.0, 1, "a", UNSAFE, 0)
         .rule(6);
     assert_eq!(
-        (sent.verdict, sent.findings[0].request.as_str()),
-        (Broken, "a")
+        (sent.verdict, sent.violations[0].request.as_str()),
+        (Violated, "a")
     );
     // One that may pass where nobody can be asked.
     assert_eq!(
@@ -736,7 +762,7 @@
             .served(100.0, 1, "a", SAFE, 0)
             .rule(6)
             .verdict,
-        Kept
+        Satisfied
     );
     // Another's request goes on.
     assert_eq!(
@@ -751,7 +777,7 @@
 #[test]
 fn a_revoked_credential_lives_on_for_as_long_as_verdicts_are_kept_and_no_longer() {
     // 500 ms, 50 ms of the sockets, 25 ms that are not told apart.
-    for (late, verdict) in [(570.0, Kept), (580.0, Broken)] {
+    for (late, verdict) in [(570.0, Satisfied), (580.0, Violated)] {
         let before = credential(tale().served(100.0, 1, "a", UNSAFE, 0), 1000.0, 7);
         let ruling = before
             .served(1000.0 + late - 2.0, 2, "b", UNSAFE, 0)
@@ -764,7 +790,7 @@
             .served(1100.0, 1, "a", UNSAFE, 0)
             .rule(6)
             .verdict,
-        Broken
+        Violated
     );
 }
 
@@ -773,7 +799,7 @@
     let tale = credential(tale(), 0.0, 8)
         .asked(100.0, "a", SAFE)
         .answered(120.0, "a", 401, None);
-    assert_eq!(tale.rule(6).verdict, Broken);
+    assert_eq!(tale.rule(6).verdict, Violated);
 }
 
 // ---- Rule 7 -------------------------------------------------------------------------------------------
@@ -785,10 +811,10 @@
         let id = format!("q{i}");
         tale.asked(0.0, &id, SAFE)
             .came(20.0, i, &id, 0)
-            .over(30.0, i, End::Served)
+            .over(30.0, i, AttemptEnd::Served)
             .answered(40.0, &id, 200, Some(i))
     });
-    tale.header.rules.shared_ms = 2000.0;
+    tale.header.rules.sharing_delay_ms = 2000.0;
     tale
 }
 
@@ -798,10 +824,10 @@
     let allowed = (2.0 * plan.burst + plan.rate * 2.0) as u64;
     assert_eq!(shared(1).rule(7).verdict, NotExercised);
     let last = shared(allowed).rule(7);
-    assert_eq!((last.verdict, last.margin), (Kept, Some(0.0)));
-    assert_eq!(shared(allowed + 1).rule(7).verdict, Broken);
+    assert_eq!((last.verdict, last.margin), (Satisfied, Some(0.0)));
+    assert_eq!(shared(allowed + 1).rule(7).verdict, Violated);
     // Where counts are not shared nobody promised it.
     let mut alone = shared(allowed + 1);
-    alone.header.rules.shared_ms = 0.0;
+    alone.header.rules.sharing_delay_ms = 0.0;
     assert_eq!(alone.rule(7).verdict, NotExercised);
 }
--- a/crates/invariants/tests/tale/mod.rs
+++ b/crates/invariants/tests/tale/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use maplefall_event_trace::*;
-use maplefall_invariants::{judge, Judgement, Ruling};
+use maplefall_invariants::{evaluate, Evaluation, RuleResult};
 
 /// What all requests of a tale send.
 pub const FORM: u64 = 77;
@@ -20,7 +20,7 @@
 
 /// A record in the making; lines may be told in any order and are sorted by their times.
 pub struct Tale {
-    lines: Vec<Line>,
+    lines: Vec<Event>,
     pub header: Header,
 }
 
@@ -28,24 +28,24 @@
     let class = |name: &str, effect| Class {
         name: name.into(),
         effect,
-        memory_ms: 2000.0,
-        aim_ms: 500.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        unchecked: name == "read",
+        dedup_window_ms: 2000.0,
+        latency_target_ms: 500.0,
+        value: 1.0,
+        late_value_factor: 0.0,
+        auth_optional: name == "read",
     };
     let plan = |name: &str, ceiling| Plan {
         name: name.into(),
         rate: 10.0,
         burst: 20.0,
-        price: 1.0,
-        ceiling,
+        value_factor: 1.0,
+        rate_limit: ceiling,
     };
     Header {
         version: VERSION,
         scenario: "by hand".into(),
         seed: 0,
-        doors: 2,
+        proxies: 2,
         classes: vec![
             class("read", Effect::Safe),
             class("extend", Effect::Keyed),
@@ -55,7 +55,7 @@
             plan("open", None),
             plan(
                 "capped",
-                Some(Ceiling {
+                Some(RateLimit {
                     rate: 20.0,
                     burst: 40.0,
                     slack: 4.0,
@@ -63,7 +63,7 @@
             ),
         ],
         rules: Rules {
-            revoked_ms: 500.0,
+            revocation_grace_ms: 500.0,
             ..Rules::platform(100.0)
         },
     }
@@ -79,8 +79,8 @@
 }
 
 impl Tale {
-    pub fn line(mut self, at: Millis, entry: Entry) -> Tale {
-        self.lines.push(Line { at, entry });
+    pub fn line(mut self, at: Millis, entry: EventKind) -> Tale {
+        self.lines.push(Event { at, kind: entry });
         self
     }
 
@@ -101,18 +101,18 @@
         let item = id.bytes().fold(0, |sum, byte| sum * 31 + u64::from(byte));
         self.line(
             at,
-            Entry::Asked {
+            EventKind::RequestSent {
                 id: id.into(),
-                item,
+                original_request: item,
                 retry: 0,
-                door: 0,
-                link: 1,
+                proxy: 0,
+                connection: 1,
                 customer,
                 plan,
                 class,
                 units,
                 deadline: at + 1000.0,
-                form: FORM,
+                fingerprint: FORM,
             },
         )
     }
@@ -120,9 +120,9 @@
     pub fn answered(self, at: Millis, id: &str, status: u16, attempt: Option<u64>) -> Tale {
         self.line(
             at,
-            Entry::Answered {
+            EventKind::ResponseReceived {
                 id: id.into(),
-                link: 1,
+                connection: 1,
                 status,
                 attempt,
                 retry_after_ms: None,
@@ -130,14 +130,14 @@
         )
     }
 
-    pub fn lost(self, at: Millis, id: &str, why: Lost) -> Tale {
+    pub fn lost(self, at: Millis, id: &str, why: FailureReason) -> Tale {
         self.line(
             at,
-            Entry::Unanswered {
+            EventKind::RequestFailed {
                 id: id.into(),
-                door: 0,
-                link: 1,
-                why,
+                proxy: 0,
+                connection: 1,
+                reason: why,
             },
         )
     }
@@ -158,26 +158,26 @@
         let id = id.to_owned();
         self.line(
             at,
-            Entry::Came {
+            EventKind::AttemptReceived {
                 attempt,
                 node,
-                door,
+                proxy: door,
                 id,
                 key: None,
-                form: FORM,
-                first: at,
-                whole: true,
+                fingerprint: FORM,
+                first_byte_at: at,
+                complete: true,
                 work,
             },
         )
     }
 
-    pub fn over(self, at: Millis, attempt: u64, end: End) -> Tale {
-        self.line(at, Entry::Over { attempt, end })
+    pub fn over(self, at: Millis, attempt: u64, end: AttemptEnd) -> Tale {
+        self.line(at, EventKind::AttemptEnded { attempt, end })
     }
 
     pub fn ran(self, at: Millis, attempt: u64) -> Tale {
-        self.line(at, Entry::Ran { attempt })
+        self.line(at, EventKind::EffectApplied { attempt })
     }
 
     pub fn told(
@@ -202,19 +202,19 @@
     ) -> Tale {
         self.line(
             at,
-            Entry::Told {
-                door,
+            EventKind::NodeUpdate {
+                proxy: door,
                 node,
                 health,
-                born,
+                started_at: born,
                 source,
                 version: 0,
             },
         )
     }
 
-    pub fn door(self, at: Millis, state: DoorState) -> Tale {
-        self.line(at, Entry::Door { door: 0, state })
+    pub fn door(self, at: Millis, state: ProxyState) -> Tale {
+        self.line(at, EventKind::Proxy { proxy: 0, state })
     }
 
     /// One request that is served by one attempt.
@@ -222,37 +222,41 @@
         self.asked(at, id, class)
             .came(at + 2.0, attempt, id, node)
             .ran(at + 50.0, attempt)
-            .over(at + 50.0, attempt, End::Served)
+            .over(at + 50.0, attempt, AttemptEnd::Served)
             .answered(at + 52.0, id, 200, Some(attempt))
     }
 
-    pub fn judge(mut self) -> Judgement {
+    pub fn judge(mut self) -> Evaluation {
         self.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
         let end = self.lines.last().map_or(0.0, |line| line.at);
-        let lateness = Entry::Lateness {
+        let lateness = EventKind::Lateness {
             actions: 9,
             p50_ms: 0.1,
             p99_ms: 1.0,
-            most_ms: 2.0,
+            max_ms: 2.0,
         };
-        self.lines.push(Line {
+        self.lines.push(Event {
             at: end,
-            entry: lateness,
+            kind: lateness,
         });
-        judge(&Record {
+        evaluate(&Trace {
             header: self.header,
-            lines: self.lines,
+            events: self.lines,
         })
     }
 
-    pub fn rule(self, number: u32) -> Ruling {
+    pub fn rule(self, number: u32) -> RuleResult {
         let judgement = self.judge();
         let others = judgement
             .rules
             .iter()
             .filter(|ruling| ruling.rule != number);
         for other in others {
-            assert_eq!(other.breaks, 0, "another rule: {:?}", other.findings);
+            assert_eq!(
+                other.violation_count, 0,
+                "another rule: {:?}",
+                other.violations
+            );
         }
         judgement
             .rules
--- a/crates/rehearsal/src/carry.rs
+++ b/crates/rehearsal/src/carry.rs
@@ -2,7 +2,7 @@
 //! rising rates, until they are late. What a rehearsal asks of them must stay well below.
 
 use crate::settings;
-use maplefall_event_trace::{Effect, Entry, Millis, Recorder};
+use maplefall_event_trace::{Effect, EventKind, Millis, Recorder};
 use maplefall_test_servers::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
 use maplefall_test_servers::lateness::Lateness;
 use maplefall_test_servers::node::{
@@ -149,13 +149,15 @@
     // The nodes may have ended already; then there is nobody to tell.
     let _ = stop.send(());
     let _ = nodes.join();
-    let lines = recorder.take();
+    let lines = recorder.take_events();
     let served = lines
         .iter()
-        .filter(|line| matches!(line.entry, Entry::Answered { status: 200, .. }))
+        .filter(|line| matches!(line.kind, EventKind::ResponseReceived { status: 200, .. }))
         .count() as u64;
-    let Entry::Lateness {
-        p99_ms, most_ms, ..
+    let EventKind::Lateness {
+        p99_ms,
+        max_ms: most_ms,
+        ..
     } = lateness.entry()
     else {
         return Err(io::ErrorKind::Other.into());
--- a/crates/rehearsal/src/drains.rs
+++ b/crates/rehearsal/src/drains.rs
@@ -41,10 +41,14 @@
         "{name:<18}{:>6} {:>9} | {} | {} | {} | {}",
         nodes.len(),
         times.len(),
-        three(times.iter().filter_map(|time| time.late)),
-        three(times.iter().filter_map(|time| time.learned)),
-        three(times.iter().filter_map(|time| time.from_commit)),
-        three(times.iter().map(|time| time.from_learning)),
+        three(times.iter().filter_map(|time| time.watch_delay)),
+        three(times.iter().filter_map(|time| time.notification_delay)),
+        three(
+            times
+                .iter()
+                .filter_map(|time| time.until_quiet_after_commit)
+        ),
+        three(times.iter().map(|time| time.until_quiet_after_notification)),
     )
 }
 
--- a/crates/rehearsal/src/etcd_world.rs
+++ b/crates/rehearsal/src/etcd_world.rs
@@ -7,7 +7,7 @@
     prefix_end, request_op, DeleteRangeRequest, Event, PutRequest, RangeRequest, RequestOp,
     TxnRequest,
 };
-use maplefall_event_trace::{Entry, Health, Millis, Recorder};
+use maplefall_event_trace::{EventKind, Health, Millis, Recorder};
 use maplefall_test_servers::agent;
 use maplefall_test_servers::etcd::store::Store;
 use maplefall_test_servers::etcd::{Etcd, Known, Member};
@@ -142,7 +142,7 @@
             let before = store.revision();
             // Puts on no lease and removals are never refused.
             let _ = store.txn(&txn, before);
-            recorder.note(Entry::Committed { node, health });
+            recorder.record(EventKind::Committed { node, health });
             lock(log).push(Word {
                 revision: store.revision(),
                 node,
@@ -269,11 +269,11 @@
         if health == Health::Removed && !lock(&self.gone).insert((member, node)) {
             return;
         }
-        self.recorder.note(Entry::Told {
-            door: member as u32,
+        self.recorder.record(EventKind::NodeUpdate {
+            proxy: member as u32,
             node,
             health,
-            born,
+            started_at: born,
             source: SOURCE,
             version: 0,
         });
--- a/crates/rehearsal/src/html.rs
+++ b/crates/rehearsal/src/html.rs
@@ -1,8 +1,8 @@
 //! The report as one page that needs nothing but itself: verdicts, a timeline of traffic, answers, failures and margins,
 //! the figures, and what proves each break.
 
-use maplefall_event_trace::{Entry, Lost, Millis, Record};
-use maplefall_invariants::{Judgement, Ruling, Verdict, STRETCH};
+use maplefall_event_trace::{EventKind, FailureReason, Millis, Trace};
+use maplefall_invariants::{Evaluation, RuleResult, Verdict, MARGIN_INTERVAL};
 use std::fmt::Write;
 
 const WIDTH: f64 = 1080.0;
@@ -37,8 +37,8 @@
 
 fn word(verdict: Verdict) -> (&'static str, &'static str) {
     match verdict {
-        Verdict::Kept => ("kept", "kept"),
-        Verdict::Broken => ("broken", "broken"),
+        Verdict::Satisfied => ("kept", "kept"),
+        Verdict::Violated => ("broken", "broken"),
         Verdict::NotExercised => ("none", "not exercised"),
     }
 }
@@ -53,22 +53,27 @@
 }
 
 impl Timeline {
-    fn of(record: &Record) -> Timeline {
-        let times = |wanted: fn(&Entry) -> bool| {
+    fn of(record: &Trace) -> Timeline {
+        let times = |wanted: fn(&EventKind) -> bool| {
             record
-                .lines
+                .events
                 .iter()
-                .filter(move |line| wanted(&line.entry))
+                .filter(move |line| wanted(&line.kind))
                 .map(|line| line.at)
         };
-        let from = times(|e| matches!(e, Entry::Asked { .. }))
+        let from = times(|e| matches!(e, EventKind::RequestSent { .. }))
             .next()
             .unwrap_or(0.0);
-        let to = times(|e| matches!(e, Entry::Answered { .. } | Entry::Unanswered { .. }))
-            .next_back()
-            .unwrap_or(from)
-            .max(from + STRETCH);
-        let count = ((to - from) / STRETCH).ceil() as usize + 1;
+        let to = times(|e| {
+            matches!(
+                e,
+                EventKind::ResponseReceived { .. } | EventKind::RequestFailed { .. }
+            )
+        })
+        .next_back()
+        .unwrap_or(from)
+        .max(from + MARGIN_INTERVAL);
+        let count = ((to - from) / MARGIN_INTERVAL).ceil() as usize + 1;
         let mut line = Timeline {
             from,
             to,
@@ -77,20 +82,23 @@
             bands: Vec::new(),
         };
         let mut open: Vec<(String, Millis)> = Vec::new();
-        for seen in &record.lines {
-            let at = (((seen.at - from) / STRETCH).max(0.0) as usize).min(count - 1);
-            let kind = match &seen.entry {
-                Entry::Asked { .. } => {
+        for seen in &record.events {
+            let at = (((seen.at - from) / MARGIN_INTERVAL).max(0.0) as usize).min(count - 1);
+            let kind = match &seen.kind {
+                EventKind::RequestSent { .. } => {
                     line.asked[at] += 1.0;
                     continue;
                 }
-                Entry::Failure { name, begins: true } => {
+                EventKind::Fault {
+                    name,
+                    is_start: true,
+                } => {
                     open.push((name.clone(), seen.at));
                     continue;
                 }
-                Entry::Failure {
+                EventKind::Fault {
                     name,
-                    begins: false,
+                    is_start: false,
                 } => {
                     if let Some(place) = open.iter().position(|(known, _)| known == name) {
                         let (name, since) = open.remove(place);
@@ -98,16 +106,16 @@
                     }
                     continue;
                 }
-                Entry::Answered { status: 200, .. } => 0,
-                Entry::Answered {
+                EventKind::ResponseReceived { status: 200, .. } => 0,
+                EventKind::ResponseReceived {
                     status: 429 | 503, ..
                 } => 1,
-                Entry::Answered { .. } => 2,
-                Entry::Unanswered {
-                    why: Lost::NotTaken,
+                EventKind::ResponseReceived { .. } => 2,
+                EventKind::RequestFailed {
+                    reason: FailureReason::NotAccepted,
                     ..
                 } => 3,
-                Entry::Unanswered { .. } => 4,
+                EventKind::RequestFailed { .. } => 4,
                 _ => continue,
             };
             line.kinds[at][kind] += 1.0;
@@ -134,9 +142,9 @@
     whole.unwrap_or(10.0) * power
 }
 
-fn plot(record: &Record, judgement: &Judgement) -> String {
+fn plot(record: &Trace, judgement: &Evaluation) -> String {
     let line = Timeline::of(record);
-    let per_second = 1000.0 / STRETCH;
+    let per_second = 1000.0 / MARGIN_INTERVAL;
     let tallest = line
         .asked
         .iter()
@@ -144,7 +152,7 @@
         .chain(line.kinds.iter().map(|kinds| kinds.iter().sum()));
     let tallest = tallest.fold(1.0, f64::max) * per_second;
     let bands = line.bands.len() as f64 * (BAND + 2.0);
-    let margins: Vec<&Ruling> = judgement
+    let margins: Vec<&RuleResult> = judgement
         .rules
         .iter()
         .filter(|rule| !rule.margins.is_empty())
@@ -168,9 +176,9 @@
         );
         rate += grid;
     }
-    let wide = (line.x(line.from + STRETCH) - line.x(line.from)).max(0.5);
+    let wide = (line.x(line.from + MARGIN_INTERVAL) - line.x(line.from)).max(0.5);
     for (at, kinds) in line.kinds.iter().enumerate() {
-        let x = line.x(line.from + at as f64 * STRETCH);
+        let x = line.x(line.from + at as f64 * MARGIN_INTERVAL);
         let mut sum = 0.0;
         for (count, (_, colour)) in kinds.iter().zip(KINDS) {
             let (top, bottom) = (y((sum + count) * per_second), y(sum * per_second));
@@ -185,7 +193,7 @@
         }
     }
     let asked = line.asked.iter().enumerate().map(|(at, count)| {
-        let x = line.x(line.from + (at as f64 + 0.5) * STRETCH);
+        let x = line.x(line.from + (at as f64 + 0.5) * MARGIN_INTERVAL);
         format!("{x:.1},{:.1}", y(count * per_second))
     });
     let asked: Vec<String> = asked.collect();
@@ -231,7 +239,7 @@
 }
 
 /// One rule's margin: the least of each stretch, from nought, where the rule breaks, up.
-fn margin(svg: &mut String, line: &Timeline, ruling: &Ruling, top: f64) {
+fn margin(svg: &mut String, line: &Timeline, ruling: &RuleResult, top: f64) {
     let most = ruling
         .margins
         .iter()
@@ -266,17 +274,17 @@
         let _ = write!(
             svg,
             "<circle cx=\"{:.1}\" cy=\"{:.1}\" r=\"2\" fill=\"{colour}\"/>",
-            line.x(at + STRETCH / 2.0),
+            line.x(at + MARGIN_INTERVAL / 2.0),
             y(*margin)
         );
     }
 }
 
 /// The whole page.
-pub fn page(record: &Record, judgement: &Judgement) -> String {
-    let figures = &judgement.figures;
+pub fn page(record: &Trace, judgement: &Evaluation) -> String {
+    let figures = &judgement.metrics;
     let name = escape(&judgement.scenario);
-    let (class, said) = match (&judgement.void, judgement.broken()) {
+    let (class, said) = match (&judgement.invalid_reason, judgement.has_violations()) {
         (_, true) => ("broken", "a rule was broken".to_owned()),
         (Some(void), _) => ("none", format!("void: {}", escape(void))),
         (None, false) => (
@@ -309,22 +317,26 @@
         );
     }
     page.push_str("</table>");
-    for ruling in judgement.rules.iter().filter(|ruling| ruling.breaks > 0) {
+    for ruling in judgement
+        .rules
+        .iter()
+        .filter(|ruling| ruling.violation_count > 0)
+    {
         let _ = write!(
             page,
             "<h2>Rule {}, {}: {} breaks</h2><table><tr><th class=n>ms<th>request<th>what<th>lines</tr>",
             ruling.rule,
             escape(ruling.name),
-            ruling.breaks
+            ruling.violation_count
         );
-        for finding in &ruling.findings {
-            let lines: Vec<String> = finding.lines.iter().map(usize::to_string).collect();
+        for finding in &ruling.violations {
+            let lines: Vec<String> = finding.trace_lines.iter().map(usize::to_string).collect();
             let _ = write!(
                 page,
                 "<tr><td class=n>{:.1}<td><code>{}</code><td>{}<td>{}</tr>",
                 finding.at,
                 escape(&finding.request),
-                escape(&finding.text),
+                escape(&finding.description),
                 lines.join(", ")
             );
         }
@@ -343,7 +355,7 @@
     }
     let _ = write!(
         page,
-        "(a bar is {STRETCH} ms; failures as bands below; margins last)</p>"
+        "(a bar is {MARGIN_INTERVAL} ms; failures as bands below; margins last)</p>"
     );
     page.push_str(&plot(record, judgement));
     page.push_str("<h2>Figures</h2><table>");
@@ -353,61 +365,67 @@
         .map(|(status, n)| format!("{n} x {status}"))
         .collect();
     let plans: Vec<String> = figures
-        .worth_by_plan
+        .value_by_plan
         .iter()
         .map(|(plan, share)| format!("{} {share:.3}", escape(plan)))
         .collect();
-    let times = figures.times;
+    let times = figures.latency;
     let rows = [
         (
             "worth served in time, inside quotas",
-            format!("{:.3} ({})", figures.worth_share, plans.join(", ")),
+            format!("{:.3} ({})", figures.value_share, plans.join(", ")),
         ),
         (
             "requests, tries",
-            format!("{}, {}", figures.requests, figures.tries),
+            format!("{}, {}", figures.requests, figures.client_requests),
         ),
         ("served", figures.served.to_string()),
         (
             "refused, with and without a word on when to come back",
-            format!("{}, {}", figures.refused_with_advice, figures.refused),
+            format!(
+                "{}, {}",
+                figures.rejected_with_retry_after, figures.rejected_without_retry_after
+            ),
         ),
         ("failed", failed.join(", ")),
         (
             "not taken; closed with nothing sent on; no whole answer",
             format!(
                 "{}; {}; {}",
-                figures.not_taken, figures.closed_unsent, figures.unanswered
+                figures.not_accepted, figures.closed_before_forwarding, figures.unanswered
             ),
         ),
         (
             "time to a served answer, ms",
             format!(
                 "p50 {:.0}, p90 {:.0}, p99 {:.0}, most {:.0}",
-                times.p50_ms, times.p90_ms, times.p99_ms, times.most_ms
+                times.p50_ms, times.p90_ms, times.p99_ms, times.max_ms
             ),
         ),
         (
             "attempts for each request sent on",
-            format!("{:.3}", figures.attempts_per_sent),
+            format!("{:.3}", figures.attempts_per_forwarded),
         ),
         (
             "CPU of the front doors for each try",
-            format!("{:.0} us", figures.cpu_us_per_try),
+            format!("{:.0} us", figures.cpu_us_per_request),
         ),
         (
             "most memory of a front door",
-            format!("{} KiB", figures.memory_kib),
+            format!("{} KiB", figures.max_memory_kib),
         ),
         (
             "bad clients, of them neglected",
-            format!("{}, {}", figures.rude, figures.rude_neglected),
+            format!(
+                "{}, {}",
+                figures.malformed_clients, figures.malformed_clients_neglected
+            ),
         ),
         (
             "the stand-ins' own lateness, ms",
             format!(
                 "p99 {:.2}, most {:.1}, over {} actions",
-                figures.late_p99_ms, figures.late_most_ms, figures.actions
+                figures.lateness_p99_ms, figures.lateness_max_ms, figures.actions
             ),
         ),
     ];
@@ -421,7 +439,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplefall_event_trace::{Header, Line, Rules, VERSION};
+    use maplefall_event_trace::{Event, Header, Rules, VERSION};
 
     #[test]
     fn a_page_needs_nothing_but_itself_and_escapes_what_it_shows() {
@@ -430,23 +448,23 @@
             version: VERSION,
             scenario: "<b>x</b>".into(),
             seed: 1,
-            doors: 1,
+            proxies: 1,
             classes: Vec::new(),
             plans: Vec::new(),
             rules,
         };
-        let failure = |at, begins| Line {
+        let failure = |at, begins| Event {
             at,
-            entry: Entry::Failure {
+            kind: EventKind::Fault {
                 name: "a & b".into(),
-                begins,
+                is_start: begins,
             },
         };
-        let record = Record {
+        let record = Trace {
             header,
-            lines: vec![failure(5.0, true), failure(900.0, false)],
+            events: vec![failure(5.0, true), failure(900.0, false)],
         };
-        let page = page(&record, &maplefall_invariants::judge(&record));
+        let page = page(&record, &maplefall_invariants::evaluate(&record));
         assert!(
             page.contains("&lt;b&gt;x&lt;/b&gt;")
                 && page.contains("a &amp; b")
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -5,6 +5,7 @@
 mod drains;
 mod etcd_world;
 mod find;
+mod header_text;
 mod html;
 mod library;
 mod members;
@@ -18,8 +19,8 @@
 
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use maplefall_event_trace::Record;
-use maplefall_invariants::{Judgement, Verdict};
+use maplefall_event_trace::Trace;
+use maplefall_invariants::{Evaluation, Verdict};
 use play::Play;
 use prove::{Proof, PROOFS};
 use scenario::Scenario;
@@ -303,7 +304,7 @@
     daemon: &Path,
     breakage: Option<&str>,
     folder: PathBuf,
-) -> Result<Record, String> {
+) -> Result<Trace, String> {
     let script = script::draw(scenario, seed);
     let bar = ProgressBar::new((script.length + play::AFTER) as u64);
     let style = ProgressStyle::with_template("{prefix} {wide_bar} {elapsed}");
@@ -329,25 +330,25 @@
 }
 
 /// That less was served than the scenario asks for.
-fn too_little(judgement: &Judgement, scenario: &Scenario) -> Option<String> {
-    let (served, least) = (judgement.figures.worth_share, scenario.least_worth);
+fn too_little(judgement: &Evaluation, scenario: &Scenario) -> Option<String> {
+    let (served, least) = (judgement.metrics.value_share, scenario.least_worth);
     (served < least)
         .then(|| format!("worth {served:.3} was served, {least} at least was asked for"))
 }
 
 /// What the judgement of a scenario's run comes to.
-fn verdict(judgement: &Judgement, scenario: &Scenario) -> Result<Ended, String> {
-    if judgement.broken() {
+fn verdict(judgement: &Evaluation, scenario: &Scenario) -> Result<Ended, String> {
+    if judgement.has_violations() {
         return Ok(Ended::Broken);
     }
-    if let Some(void) = &judgement.void {
+    if let Some(void) = &judgement.invalid_reason {
         return Err(format!("the run is void: {void}"));
     }
     if let Some(text) = too_little(judgement, scenario) {
         println!("  {}: {text}", scenario.name);
         return Ok(Ended::Broken);
     }
-    match judgement.untested(&scenario.strains)[..] {
+    match judgement.not_exercised(&scenario.strains)[..] {
         [] => Ok(Ended::Held),
         ref rules => Err(format!(
             "the run never put to the test what it is for: rules {rules:?}"
@@ -366,7 +367,7 @@
     let daemon = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
     let folder = folder(options, &scenario.name, seed);
     let record = play(&scenario, seed, &daemon, breakage, folder.clone())?;
-    let judgement = maplefall_invariants::judge(&record);
+    let judgement = maplefall_invariants::evaluate(&record);
     told(&record, &judgement, files)?;
     println!("  logs of the front doors: {}", folder.display());
     verdict(&judgement, &scenario)
@@ -446,7 +447,7 @@
     for name in names {
         let scenario = library::find(name).map_err(plainly)?;
         let record = play(&scenario, seed, &daemon, None, folder(options, name, seed))?;
-        let judgement = maplefall_invariants::judge(&record);
+        let judgement = maplefall_invariants::evaluate(&record);
         println!(
             "{}",
             drains::row(
@@ -454,17 +455,17 @@
                 &maplefall_invariants::drain_times::drain_times(&record)
             )
         );
-        let times = &judgement.figures.times;
+        let times = &judgement.metrics.latency;
         println!(
             "{:18}answers p50 {:.0} p99 {:.0} ms; stand-ins late by {:.1} ms at p99; rules 1-6 {}",
             "",
             times.p50_ms,
             times.p99_ms,
-            judgement.figures.late_p99_ms,
+            judgement.metrics.lateness_p99_ms,
             letters(&judgement)
         );
-        broken |= judgement.broken();
-        if let Some(void) = judgement.void {
+        broken |= judgement.has_violations();
+        if let Some(void) = judgement.invalid_reason {
             return Err(format!("the run is void: {void}"));
         }
     }
@@ -496,10 +497,10 @@
 }
 
 /// The verdicts of all rules, as one letter each: kept, broken, not exercised.
-fn letters(judgement: &Judgement) -> String {
-    let letter = |ruling: &maplefall_invariants::Ruling| match ruling.verdict {
-        Verdict::Kept => 'k',
-        Verdict::Broken => 'B',
+fn letters(judgement: &Evaluation) -> String {
+    let letter = |ruling: &maplefall_invariants::RuleResult| match ruling.verdict {
+        Verdict::Satisfied => 'k',
+        Verdict::Violated => 'B',
         Verdict::NotExercised => '-',
     };
     judgement.rules.iter().map(letter).collect()
@@ -535,14 +536,14 @@
         let played = library::find(name).map_err(plainly).and_then(|scenario| {
             let folder = folder(options, name, *seed);
             let record = play(&scenario, *seed, &daemon, None, folder)?;
-            let judgement = maplefall_invariants::judge(&record);
+            let judgement = maplefall_invariants::evaluate(&record);
             let end = verdict(&judgement, &scenario);
             Ok((judgement, end))
         });
         let wall = begun.elapsed().as_secs_f64();
         match played {
             Ok((judgement, end)) => {
-                let figures = &judgement.figures;
+                let figures = &judgement.metrics;
                 let note = end
                     .as_ref()
                     .err()
@@ -551,19 +552,19 @@
                 println!(
                     "{name:<12} {seed:>5} {:<10} {:>5.3} {:>7.0} {:>9.2} {wall:>7.1}{note}",
                     letters(&judgement),
-                    figures.worth_share,
-                    figures.times.p99_ms,
-                    figures.late_p99_ms,
+                    figures.value_share,
+                    figures.latency.p99_ms,
+                    figures.lateness_p99_ms,
                 );
                 for ruling in judgement
                     .rules
                     .iter()
-                    .filter(|ruling| ruling.verdict == Verdict::Broken)
+                    .filter(|ruling| ruling.verdict == Verdict::Violated)
                 {
-                    for finding in ruling.findings.iter().take(2) {
+                    for finding in ruling.violations.iter().take(2) {
                         println!(
                             "    rule {}: {:.1} ms {}",
-                            ruling.rule, finding.at, finding.text
+                            ruling.rule, finding.at, finding.description
                         );
                     }
                 }
@@ -633,15 +634,15 @@
             seed,
         );
         let judgement =
-            maplefall_invariants::judge(&play(&scenario, seed, daemon, breakage, folder)?);
+            maplefall_invariants::evaluate(&play(&scenario, seed, daemon, breakage, folder)?);
         let found: Vec<u32> = judgement
             .rules
             .iter()
-            .filter(|r| r.verdict == Verdict::Broken)
+            .filter(|r| r.verdict == Verdict::Violated)
             .map(|r| r.rule)
             .collect();
         let little = too_little(&judgement, &scenario);
-        let good = judgement.void.is_none()
+        let good = judgement.invalid_reason.is_none()
             && match proof {
                 Some(proof) if proof.rule == prove::WORTH => little.is_some(),
                 Some(proof) => found.contains(&proof.rule),
@@ -652,8 +653,12 @@
             rule => rule.to_string(),
         });
         let first = proof.and_then(|proof| judgement.rules.iter().find(|r| r.rule == proof.rule));
-        let first =
-            first.and_then(|ruling| ruling.findings.first().map(|finding| finding.text.clone()));
+        let first = first.and_then(|ruling| {
+            ruling
+                .violations
+                .first()
+                .map(|finding| finding.description.clone())
+        });
         let first = first.or(little);
         println!(
             "{:<18} {name:<11} {:<10} {by:<8} {}  {}{}",
@@ -662,7 +667,7 @@
             if good { "yes" } else { "NO" },
             first.unwrap_or_default(),
             judgement
-                .void
+                .invalid_reason
                 .as_ref()
                 .map(|void| format!("  VOID: {void}"))
                 .unwrap_or_default(),
@@ -671,16 +676,16 @@
             for finding in judgement
                 .rules
                 .iter()
-                .flat_map(|ruling| &ruling.findings)
+                .flat_map(|ruling| &ruling.violations)
                 .take(3)
             {
                 println!(
                     "    {:.1} ms {} {}",
-                    finding.at, finding.request, finding.text
+                    finding.at, finding.request, finding.description
                 );
             }
         }
-        match &judgement.void {
+        match &judgement.invalid_reason {
             Some(void) => Err(format!("{name} is void: {void}")),
             None => Ok(good),
         }
@@ -700,7 +705,7 @@
     html: Option<PathBuf>,
 }
 
-fn told(record: &Record, judgement: &Judgement, files: &Files) -> Result<(), String> {
+fn told(record: &Trace, judgement: &Evaluation, files: &Files) -> Result<(), String> {
     print!("{}", report::text(judgement));
     if let Some(path) = &files.json {
         write(
@@ -744,12 +749,11 @@
 fn judge_again(path: &Path, files: &Files) -> Result<Ended, String> {
     let text =
         std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    let record =
-        Record::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))?;
-    let judgement = maplefall_invariants::judge(&record);
+    let record = Trace::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))?;
+    let judgement = maplefall_invariants::evaluate(&record);
     told(&record, &judgement, files)?;
-    match &judgement.void {
-        _ if judgement.broken() => Ok(Ended::Broken),
+    match &judgement.invalid_reason {
+        _ if judgement.has_violations() => Ok(Ended::Broken),
         Some(void) => Err(format!("the run is void: {void}")),
         None => Ok(Ended::Held),
     }
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -7,7 +7,7 @@
 use crate::script::{DoorAct, Script, WorldAct};
 use crate::settings;
 use maplefall_event_trace as record;
-use maplefall_event_trace::{DoorState, Entry, Millis, Record, Recorder};
+use maplefall_event_trace::{EventKind, Millis, ProxyState, Recorder, Trace};
 use maplefall_protocol::{Health, Member, Members};
 use maplefall_test_servers::agent::{self, Agent, List};
 use maplefall_test_servers::auth::{self, Auth};
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     /// Why it could not be played; a front door that misbehaves is no reason.
-    pub fn play(&self) -> Result<Record, NotPlayed> {
+    pub fn play(&self) -> Result<Trace, NotPlayed> {
         let (scenario, script) = (self.scenario, self.script);
         std::fs::create_dir_all(&self.folder)
             .map_err(io_error(format!("the folder {}", self.folder.display())))?;
@@ -274,11 +274,11 @@
             clients.map_err(|_| NotPlayed::StandIn("clients"))?;
             nodes.map_err(|_| NotPlayed::StandIn("nodes"))
         })?;
-        recorder.note(lateness.entry());
+        recorder.record(lateness.entry());
         match recorder.dropped() {
-            0 => Ok(Record {
+            0 => Ok(Trace {
                 header: script.header.clone(),
-                lines: recorder.take(),
+                events: recorder.take_events(),
             }),
             dropped => Err(NotPlayed::Overflow(dropped)),
         }
@@ -314,9 +314,9 @@
         loop {
             let now = recorder.now() - zero;
             while let Some((_, name, begins)) = failures.next_if(|(at, _, _)| *at <= now) {
-                recorder.note(Entry::Failure {
+                recorder.record(EventKind::Fault {
                     name: name.clone(),
-                    begins: *begins,
+                    is_start: *begins,
                 });
             }
             while let Some((_, door, act)) = acts.next_if(|(at, _, _)| *at <= now) {
@@ -339,9 +339,9 @@
         }
         for (door, slot) in slots.iter_mut().enumerate() {
             if let Some(process) = &slot.door {
-                recorder.note(Entry::Door {
-                    door: door as u32,
-                    state: DoorState::Terminated,
+                recorder.record(EventKind::Proxy {
+                    proxy: door as u32,
+                    state: ProxyState::Terminated,
                 });
                 process.terminate();
                 slot.stopping = Some(f64::INFINITY);
@@ -356,9 +356,9 @@
             if let Some(mut process) = slot.door.take() {
                 process.kill();
                 // It was told to stop and did not: that is an end by a signal of nobody's script.
-                recorder.note(Entry::Door {
-                    door: door as u32,
-                    state: DoorState::Ended { code: None },
+                recorder.record(EventKind::Proxy {
+                    proxy: door as u32,
+                    state: ProxyState::Ended { code: None },
                 });
             }
         }
@@ -395,9 +395,9 @@
         };
         slot.life += 1;
         let known = self.configure(slot, door)?;
-        recorder.note(Entry::Door {
-            door: door as u32,
-            state: DoorState::Started,
+        recorder.record(EventKind::Proxy {
+            proxy: door as u32,
+            state: ProxyState::Started,
         });
         if self.scenario.sources != Sources::Etcd {
             agent::told(recorder, door as u32, &known, unix_start);
@@ -442,18 +442,18 @@
                 let down = *down;
                 let (cpu_ms, memory_kib) = process.used();
                 // Before the signal: what is lost from here on is the killer's doing.
-                recorder.note(Entry::Door {
-                    door: number,
-                    state: DoorState::Killed,
+                recorder.record(EventKind::Proxy {
+                    proxy: number,
+                    state: ProxyState::Killed,
                 });
                 process.kill();
                 left(false);
-                recorder.note(Entry::Door {
-                    door: number,
-                    state: DoorState::Ended { code: None },
+                recorder.record(EventKind::Proxy {
+                    proxy: number,
+                    state: ProxyState::Ended { code: None },
                 });
-                recorder.note(Entry::Used {
-                    door: number,
+                recorder.record(EventKind::ResourceUsage {
+                    proxy: number,
                     cpu_ms,
                     memory_kib,
                 });
@@ -461,9 +461,9 @@
                 slot.restart_at = Some(recorder.now() + down);
             }
             DoorAct::Stop(down) => {
-                recorder.note(Entry::Door {
-                    door: number,
-                    state: DoorState::Terminated,
+                recorder.record(EventKind::Proxy {
+                    proxy: number,
+                    state: ProxyState::Terminated,
                 });
                 process.terminate();
                 left(true);
@@ -473,9 +473,9 @@
             DoorAct::Reload => {
                 slot.discovery = moved[door];
                 self.configure(slot, door)?;
-                recorder.note(Entry::Door {
-                    door: number,
-                    state: DoorState::Reloaded,
+                recorder.record(EventKind::Proxy {
+                    proxy: number,
+                    state: ProxyState::Reloaded,
                 });
                 if let Some(process) = &slot.door {
                     process.reload();
@@ -506,15 +506,15 @@
                             log: slot.files.last_line(),
                         });
                     }
-                    let state = DoorState::Ended {
+                    let state = ProxyState::Ended {
                         code: status.code(),
                     };
-                    recorder.note(Entry::Door {
-                        door: number,
+                    recorder.record(EventKind::Proxy {
+                        proxy: number,
                         state,
                     });
-                    recorder.note(Entry::Used {
-                        door: number,
+                    recorder.record(EventKind::ResourceUsage {
+                        proxy: number,
                         cpu_ms,
                         memory_kib,
                     });
@@ -540,9 +540,9 @@
             if let Some(by) = slot.ready_by {
                 if healthy(slot.listen) {
                     slot.ready_by = None;
-                    recorder.note(Entry::Door {
-                        door: number,
-                        state: DoorState::Ready,
+                    recorder.record(EventKind::Proxy {
+                        proxy: number,
+                        state: ProxyState::Ready,
                     });
                     board.set(
                         door,
@@ -621,7 +621,7 @@
         overload: Overload {
             factor: rules.overload_factor,
             window_ms: rules.overload_window_ms,
-            slack_ms: rules.cold_slack_ms,
+            slack_ms: rules.warmup_slack_ms,
         },
     };
     let world = World::new(deployment, recorder.clone(), lateness.clone());
@@ -768,7 +768,7 @@
                         });
                     }
                     None => {
-                        recorder.note(Entry::Committed { node, health });
+                        recorder.record(EventKind::Committed { node, health });
                     }
                 },
                 WorldAct::Noise { lot } => {
@@ -790,7 +790,7 @@
                     auths
                         .iter()
                         .for_each(|auth| auth.revoke(&credential(customer)));
-                    recorder.note(Entry::Credential {
+                    recorder.record(EventKind::Credential {
                         customer,
                         passes: false,
                     });
@@ -819,7 +819,7 @@
     let mut passes: BTreeSet<u64> = script.asks.iter().map(|ask| ask.customer).collect();
     passes.retain(|customer| !denied.contains(customer));
     for customer in &denied {
-        recorder.note(Entry::Credential {
+        recorder.record(EventKind::Credential {
             customer: *customer,
             passes: false,
         });
@@ -880,7 +880,8 @@
         notice_ms: script.notice_ms,
         stop_ms: STOP_MS,
         busiest_ms: scenario.busiest_ms,
-        answer_slack_ms: script.header.rules.answer_slack_ms + script.header.rules.socket_slack_ms,
+        answer_slack_ms: script.header.rules.response_slack_ms
+            + script.header.rules.socket_slack_ms,
     };
     let plans = scenario
         .plans
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,17 +1,17 @@
 //! The report on a terminal.
 
-use maplefall_invariants::{Judgement, Ruling, Verdict};
+use maplefall_invariants::{Evaluation, RuleResult, Verdict};
 use std::fmt::Write;
 
 fn word(verdict: Verdict) -> &'static str {
     match verdict {
-        Verdict::Kept => "kept",
-        Verdict::Broken => "BROKEN",
+        Verdict::Satisfied => "kept",
+        Verdict::Violated => "BROKEN",
         Verdict::NotExercised => "not exercised",
     }
 }
 
-fn rule(text: &mut String, ruling: &Ruling) {
+fn rule(text: &mut String, ruling: &RuleResult) {
     // A string takes any text; the errors are those of a writer that can fail.
     let margin = match ruling.margin {
         Some(margin) => format!("least {margin:.2} {}", ruling.margin_unit),
@@ -25,8 +25,8 @@
         word(ruling.verdict),
         ruling.tested
     );
-    for finding in ruling.findings.iter().take(3) {
-        let lines: Vec<String> = finding.lines.iter().map(usize::to_string).collect();
+    for finding in ruling.violations.iter().take(3) {
+        let lines: Vec<String> = finding.trace_lines.iter().map(usize::to_string).collect();
         let request = if finding.request.is_empty() {
             String::new()
         } else {
@@ -36,18 +36,18 @@
             text,
             "      {:.1} ms{request}: {} (lines {})",
             finding.at,
-            finding.text,
+            finding.description,
             lines.join(", ")
         );
     }
-    if ruling.breaks > 3 {
-        let _ = writeln!(text, "      and {} more", ruling.breaks - 3);
+    if ruling.violation_count > 3 {
+        let _ = writeln!(text, "      and {} more", ruling.violation_count - 3);
     }
 }
 
 /// The report of one run, in plain text.
-pub fn text(judgement: &Judgement) -> String {
-    let figures = &judgement.figures;
+pub fn text(judgement: &Evaluation) -> String {
+    let figures = &judgement.metrics;
     let mut text = format!("{} (seed {})\n", judgement.scenario, judgement.seed);
     judgement
         .rules
@@ -64,51 +64,51 @@
         failed.join(", ")
     };
     let plans: Vec<String> = figures
-        .worth_by_plan
+        .value_by_plan
         .iter()
         .map(|(plan, share)| format!("{plan} {share:.2}"))
         .collect();
     let _ = writeln!(
         text,
         "  worth served in time, inside quotas {:.3} ({})",
-        figures.worth_share,
+        figures.value_share,
         plans.join(", ")
     );
     let _ = writeln!(
         text,
         "  {} requests, {} tries: {} served, {} refused ({} with advice), failed {failed}, {} not taken, {} unanswered",
         figures.requests,
-        figures.tries,
+        figures.client_requests,
         figures.served,
-        figures.refused + figures.refused_with_advice,
-        figures.refused_with_advice,
-        figures.not_taken,
+        figures.rejected_without_retry_after + figures.rejected_with_retry_after,
+        figures.rejected_with_retry_after,
+        figures.not_accepted,
         figures.unanswered
     );
-    let times = figures.times;
+    let times = figures.latency;
     let _ = writeln!(
         text,
         "  served after {:.0} ms at the median, p90 {:.0}, p99 {:.0}, at most {:.0}; {:.3} attempts a request sent on",
-        times.p50_ms, times.p90_ms, times.p99_ms, times.most_ms, figures.attempts_per_sent
+        times.p50_ms, times.p90_ms, times.p99_ms, times.max_ms, figures.attempts_per_forwarded
     );
     let _ = writeln!(
         text,
         "  front doors: {:.0} us of CPU a try, {} KiB of memory at most",
-        figures.cpu_us_per_try, figures.memory_kib
+        figures.cpu_us_per_request, figures.max_memory_kib
     );
-    if figures.rude > 0 {
+    if figures.malformed_clients > 0 {
         let _ = writeln!(
             text,
             "  bad clients: {} of {} neglected",
-            figures.rude_neglected, figures.rude
+            figures.malformed_clients_neglected, figures.malformed_clients
         );
     }
     let _ = writeln!(
         text,
         "  stand-ins late by {:.2} ms at p99, {:.1} at most, over {} actions",
-        figures.late_p99_ms, figures.late_most_ms, figures.actions
+        figures.lateness_p99_ms, figures.lateness_max_ms, figures.actions
     );
-    if let Some(void) = &judgement.void {
+    if let Some(void) = &judgement.invalid_reason {
         let _ = writeln!(text, "  VOID: {void}");
     }
     text
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -1,9 +1,10 @@
 //! What will be played, drawn ahead from a scenario and a seed: the same seed gives the same script byte for byte.
 //! Nothing here does I/O.
 
+use crate::header_text::HeaderText;
 use crate::scenario::{AuthTrouble, Range, Scenario, Sources, Strike, Teller, What};
 use maplefall_event_trace as record;
-use maplefall_event_trace::{Ceiling, Header, Millis, Rules};
+use maplefall_event_trace::{Header, Millis, RateLimit, Rules};
 use maplefall_test_servers::agent::Lapse;
 use maplefall_test_servers::client::Ask;
 use maplefall_test_servers::etcd::Cut;
@@ -882,11 +883,11 @@
     let class = |class: &crate::scenario::Class| record::Class {
         name: class.name.clone(),
         effect: class.effect,
-        memory_ms: class.memory_ms,
-        aim_ms: class.aim_ms,
-        worth: class.worth,
-        late_worth: class.late_worth,
-        unchecked: scenario
+        dedup_window_ms: class.memory_ms,
+        latency_target_ms: class.aim_ms,
+        value: class.worth,
+        late_value_factor: class.late_worth,
+        auth_optional: scenario
             .checks
             .as_ref()
             .is_some_and(|checks| checks.open.contains(&class.name)),
@@ -895,8 +896,8 @@
         name: plan.name.clone(),
         rate: plan.rate,
         burst: plan.burst,
-        price: plan.price,
-        ceiling: (plan.ceiling_rate > 0.0).then_some(Ceiling {
+        value_factor: plan.price,
+        rate_limit: (plan.ceiling_rate > 0.0).then_some(RateLimit {
             rate: plan.ceiling_rate,
             burst: plan.ceiling_burst,
             slack: plan.ceiling_slack,
@@ -911,17 +912,17 @@
         version: record::VERSION,
         scenario: scenario.name.clone(),
         seed,
-        doors: scenario.doors,
+        proxies: scenario.doors,
         classes: scenario.classes.iter().map(class).collect(),
         plans: scenario.plans.iter().map(plan).collect(),
         // Two of the largest requests may come by chance.
         rules: Rules {
             // A check that is out when the credential is revoked may bring its pass later, which is kept from then on.
-            revoked_ms: scenario
+            revocation_grace_ms: scenario
                 .checks
                 .as_ref()
                 .map_or(0.0, |checks| checks.keep_ms + 2.0 * checks.limit_ms),
-            shared_ms: scenario
+            sharing_delay_ms: scenario
                 .sharing
                 .as_ref()
                 .map_or(0.0, |sharing| sharing.error_ms),
@@ -935,7 +936,7 @@
     pub fn to_text(&self) -> String {
         let mut text = String::new();
         // A string takes any text; the errors are those of a writer that can fail.
-        let _ = writeln!(text, "{:?}", self.header);
+        let _ = writeln!(text, "{:?}", HeaderText(&self.header));
         let _ = writeln!(text, "length {:?} places {}", self.length, self.places);
         let _ = writeln!(
             text,
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -39,11 +39,11 @@
         "grades": scenario.classes.iter().map(class).collect::<Vec<_>>(),
         "plans": scenario.plans.iter().map(plan).collect::<Vec<_>>(),
         "extra": {"max_units": scenario.most_units, "meter": METER_MS, "cost_after": true, "has_counter": false},
-        "policy_limits": {"send_cap": rules.most_attempts, "second_copies": false, "cancel": true,
+        "policy_limits": {"send_cap": rules.max_attempts, "second_copies": false, "cancel": true,
             "probes": false, "peers": false, "retry_after": true, "max_retry_after": MOST_WAIT_MS,
             "dial_timeout": 250.0, "idle_close": IDLE_MS},
         "report": {"names": [], "via": "off"},
-        "rules": {"answer_slack": rules.answer_slack_ms, "stop_sending_within": rules.drain_grace_ms,
+        "rules": {"answer_slack": rules.response_slack_ms, "stop_sending_within": rules.drain_grace_ms,
             "start_capacity": scenario.cold_from, "warm_up": scenario.cold_ms,
             "overload_factor": rules.overload_factor, "fall": rules.overload_window_ms},
     })
--- a/crates/test-servers/src/agent.rs
+++ b/crates/test-servers/src/agent.rs
@@ -2,7 +2,7 @@
 //! heartbeats; and failures: silent, broken off, moved. How late it hears of a change is up to whoever tells it.
 
 use crate::wire::Link;
-use maplefall_event_trace::{Entry, Health, Millis, Recorder};
+use maplefall_event_trace::{EventKind, Health, Millis, Recorder};
 use maplefall_protocol::{Health as Wire, Member, Members};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -222,8 +222,8 @@
         let version = self.list.change(member);
         if let Some(node) = number(&member.host) {
             let (door, health) = (self.door, health(member.health));
-            self.recorder.note(Entry::Due {
-                door,
+            self.recorder.record(EventKind::NodeUpdateDue {
+                proxy: door,
                 node,
                 health,
                 version,
@@ -432,11 +432,11 @@
         };
         let (health, version) = (health(member.health), members.seq);
         let born = (member.born_ms > 0.0).then_some(member.born_ms - unix_start);
-        recorder.note(Entry::Told {
-            door,
+        recorder.record(EventKind::NodeUpdate {
+            proxy: door,
             node,
             health,
-            born,
+            started_at: born,
             source: 0,
             version,
         });
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -4,7 +4,9 @@
 use crate::lateness::Lateness;
 use crate::wire::{Link, Message, NoMessage};
 use crate::{draw, hash};
-use maplefall_event_trace::{form, Effect, Entry, Lost, Millis, Recorder};
+use maplefall_event_trace::{
+    request_fingerprint, Effect, EventKind, FailureReason, Millis, Recorder,
+};
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -220,9 +222,9 @@
     }
 
     fn surplus(&self, door: usize, link: u64, last: &str) {
-        self.recorder.note(Entry::Surplus {
-            door: door as u32,
-            link,
+        self.recorder.record(EventKind::UnexpectedBytes {
+            proxy: door as u32,
+            connection: link,
             id: last.to_owned(),
         });
     }
@@ -362,27 +364,27 @@
                 None => self.fresh(door).await,
             };
             let Some(mut connection) = connection else {
-                let lost = Entry::Unanswered {
+                let lost = EventKind::RequestFailed {
                     id: id.clone(),
-                    door: door as u32,
-                    link: 0,
-                    why: Lost::NotTaken,
+                    proxy: door as u32,
+                    connection: 0,
+                    reason: FailureReason::NotAccepted,
                 };
-                self.recorder.note(lost);
+                self.recorder.record(lost);
                 return Try::NotTaken;
             };
             let link = connection.number;
             let lost = |why| {
-                self.recorder.note(Entry::Unanswered {
+                self.recorder.record(EventKind::RequestFailed {
                     id: id.clone(),
-                    door: door as u32,
-                    link,
-                    why,
+                    proxy: door as u32,
+                    connection: link,
+                    reason: why,
                 })
             };
             let (text, form) = self.request(&id, ask, kind, retry, timeout);
             if connection.link.write(text.as_bytes()).await.is_err() {
-                lost(Lost::NotTaken);
+                lost(FailureReason::NotAccepted);
                 // A connection that was closed between two requests: once more on a new one.
                 if reused {
                     continue;
@@ -390,18 +392,18 @@
                 return Try::NotTaken;
             }
             let deadline = self.recorder.now() + timeout;
-            self.recorder.note(Entry::Asked {
+            self.recorder.record(EventKind::RequestSent {
                 id: id.clone(),
-                item: ask.item,
+                original_request: ask.item,
                 retry,
-                door: door as u32,
-                link,
+                proxy: door as u32,
+                connection: link,
                 customer: ask.customer,
                 plan: ask.plan,
                 class: ask.class,
                 units: ask.units,
                 deadline,
-                form,
+                fingerprint: form,
             });
             connection.last = id.clone();
             let end = deadline + self.crowd.habits.answer_slack_ms + LISTEN_ON;
@@ -413,18 +415,18 @@
             match answer {
                 Ok(Ok(answer)) => return self.answered(door, connection, &id, &answer),
                 Ok(Err(NoMessage::Closed)) => {
-                    lost(Lost::Closed);
+                    lost(FailureReason::Closed);
                     if reused {
                         continue;
                     }
                     return Try::Failed;
                 }
                 Ok(Err(NoMessage::Cut(_) | NoMessage::Garbage(_))) => {
-                    lost(Lost::Cut);
+                    lost(FailureReason::Truncated);
                     return Try::Failed;
                 }
                 Err(_) => {
-                    lost(Lost::Silent);
+                    lost(FailureReason::TimedOut);
                     return Try::Failed;
                 }
             }
@@ -443,9 +445,9 @@
             (true, Some(number)) => number.parse().ok(),
             _ => None,
         };
-        self.recorder.note(Entry::Answered {
+        self.recorder.record(EventKind::ResponseReceived {
             id: id.to_owned(),
-            link: connection.number,
+            connection: connection.number,
             status: answer.status,
             attempt,
             retry_after_ms,
@@ -528,7 +530,10 @@
             let _ = write!(text, "Content-Length: {}\r\n", body.len());
         }
         let _ = write!(text, "\r\n{body}");
-        (text, form(method, &target, key.as_deref(), body.as_bytes()))
+        (
+            text,
+            request_fingerprint(method, &target, key.as_deref(), body.as_bytes()),
+        )
     }
 }
 
--- a/crates/test-servers/src/lateness.rs
+++ b/crates/test-servers/src/lateness.rs
@@ -1,7 +1,7 @@
 //! How late the stand-ins themselves are: a run in which they were late says nothing of the front door.
 
 use hdrhistogram::Histogram;
-use maplefall_event_trace::{Entry, Millis};
+use maplefall_event_trace::{EventKind, Millis};
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// Longest lateness told apart, in microseconds.
@@ -33,14 +33,14 @@
     }
 
     /// The summary that closes a record.
-    pub fn entry(&self) -> Entry {
+    pub fn entry(&self) -> EventKind {
         let table = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let at = |part| table.value_at_quantile(part) as f64 / 1000.0;
-        Entry::Lateness {
+        EventKind::Lateness {
             actions: table.len(),
             p50_ms: at(0.5),
             p99_ms: at(0.99),
-            most_ms: table.max() as f64 / 1000.0,
+            max_ms: table.max() as f64 / 1000.0,
         }
     }
 }
--- a/crates/test-servers/src/node.rs
+++ b/crates/test-servers/src/node.rs
@@ -7,7 +7,9 @@
 use crate::lateness::Lateness;
 use crate::wire::{Link, Message, NoMessage};
 use crate::{draw, hash};
-use maplefall_event_trace::{form, Effect, End, Entry, Millis, NodeState, Recorder};
+use maplefall_event_trace::{
+    request_fingerprint, AttemptEnd, Effect, EventKind, Millis, NodeState, Recorder,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
@@ -284,10 +286,10 @@
         let cores = f64::from(spec.cores);
         let state = NodeState::Up {
             cores,
-            cold_from: spec.cold_from,
-            cold_ms: spec.cold_ms,
+            initial_capacity: spec.cold_from,
+            warmup_ms: spec.cold_ms,
         };
-        let born = world.recorder.note(Entry::Node {
+        let born = world.recorder.record(EventKind::Node {
             node: spec.number,
             state,
         });
@@ -329,7 +331,7 @@
 
     /// Its process ends: its connections are reset.
     pub fn end(&self) {
-        self.turn(Life::Gone, NodeState::Gone);
+        self.turn(Life::Gone, NodeState::Stopped);
     }
 
     fn down(&self) -> bool {
@@ -338,7 +340,7 @@
 
     fn turn(&self, life: Life, state: NodeState) {
         self.life.send_replace(life);
-        self.world.recorder.note(Entry::Node {
+        self.world.recorder.record(EventKind::Node {
             node: self.spec.number,
             state,
         });
@@ -394,7 +396,7 @@
         let sum: Millis = pressure.iter().map(|(_, work)| work).sum();
         let budget = factor * warmth * f64::from(self.spec.cores) * window + slack_ms;
         if sum > budget {
-            self.turn(Life::Fell, NodeState::Fell);
+            self.turn(Life::Fell, NodeState::Overloaded);
         }
     }
 
@@ -465,9 +467,9 @@
                 {
                     if link.pending() >= head + length {
                         partly.came(&message, 0.0);
-                        recorder.note(Entry::Over {
+                        recorder.record(EventKind::AttemptEnded {
                             attempt,
-                            end: End::Reset,
+                            end: AttemptEnd::Reset,
                         });
                     }
                 }
@@ -510,7 +512,7 @@
         came: &Partly<'_>,
     ) -> Talk {
         let (world, recorder) = (&self.world, &self.world.recorder);
-        let over = |end| recorder.note(Entry::Over { attempt, end });
+        let over = |end| recorder.record(EventKind::AttemptEnded { attempt, end });
         let name = message
             .target
             .trim_start_matches('/')
@@ -544,7 +546,7 @@
         self.press(now, work);
         if *self.life.borrow() == Life::Fell {
             // The one that pushes it over breaks with it.
-            over(End::Reset);
+            over(AttemptEnd::Reset);
             return Talk::Reset;
         }
         let usage = world.usage(now, customer, plan);
@@ -553,7 +555,7 @@
             .unwrap_or_default();
         let full = self.held.get() >= self.spec.cores as usize + self.spec.queue;
         if full || *self.life.borrow() != Life::Up {
-            over(End::TurnedAway);
+            over(AttemptEnd::Rejected);
             let text =
                 format!("HTTP/1.1 503 X\r\nNot-Started: 1\r\n{usage}Content-Length: 0\r\n\r\n");
             return Talk::after(link.write(text.as_bytes()).await);
@@ -571,21 +573,21 @@
         let repeats = || key.is_some_and(|key| world.repeat(key, now, class.memory_ms));
         match trouble {
             Some(Trouble::FastError) => {
-                over(End::Error);
+                over(AttemptEnd::Error);
                 let text = format!("HTTP/1.1 500 X\r\n{usage}Content-Length: 0\r\n\r\n");
                 return Talk::after(link.write(text.as_bytes()).await);
             }
             Some(Trouble::ResetAfter) => {
                 // What runs is remembered, and what is remembered does not run.
                 if draw(world.deployment.seed, attempt, 7) < 0.5 && !repeats() {
-                    recorder.note(Entry::Ran { attempt });
+                    recorder.record(EventKind::EffectApplied { attempt });
                 }
-                over(End::Reset);
+                over(AttemptEnd::Reset);
                 return Talk::Reset;
             }
             Some(Trouble::Stall) => {
                 link.until_closed().await;
-                over(End::GivenUp);
+                over(AttemptEnd::Cancelled);
                 return Talk::Close;
             }
             _ => {}
@@ -604,32 +606,32 @@
                 () = self.until(done) => {}
                 () = link.until_closed() => {
                     // Giving up stops nothing: the work goes on to its end.
-                    over(End::GivenUp);
+                    over(AttemptEnd::Cancelled);
                     let (node, recorder) = (self.clone(), recorder.clone());
                     tokio::task::spawn_local(async move {
                         node.until(done).await;
                         if !node.down() {
-                            recorder.note(Entry::Ran { attempt });
+                            recorder.record(EventKind::EffectApplied { attempt });
                         }
                         drop(held);
                     });
                     return Talk::Close;
                 }
             }
-            recorder.note(Entry::Ran { attempt });
+            recorder.record(EventKind::EffectApplied { attempt });
         }
         if late > 0.0 {
             tokio::select! {
                 () = self.until(recorder.now() + late) => {}
                 () = link.until_closed() => {
-                    over(End::GivenUp);
+                    over(AttemptEnd::Cancelled);
                     return Talk::Close;
                 }
             }
         }
         match trouble {
             Some(Trouble::Spoilt) => {
-                over(End::Spoilt);
+                over(AttemptEnd::Malformed);
                 let _ = link
                     .write(b"HTTP/1.1 \x00\x01 2oo\r\nContent-Length: 1\r\n\r\n{")
                     .await;
@@ -637,7 +639,7 @@
                 Talk::Close
             }
             Some(Trouble::Endless) => {
-                over(End::Spoilt);
+                over(AttemptEnd::Malformed);
                 let mut wrote = link
                     .write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
                     .await;
@@ -657,7 +659,7 @@
                     body.len()
                 );
                 // Noted before the write: whoever reads the answer must not come before its line.
-                over(End::Served);
+                over(AttemptEnd::Served);
                 Talk::after(link.write(text.as_bytes()).await)
             }
         }
@@ -694,22 +696,22 @@
 impl Partly<'_> {
     fn note(&self, id: &str, key: Option<String>, form: u64, whole: bool, work: Millis) -> Millis {
         self.told.set(true);
-        self.node.world.recorder.note(Entry::Came {
+        self.node.world.recorder.record(EventKind::AttemptReceived {
             attempt: self.attempt,
             node: self.node.spec.number,
-            door: self.door,
+            proxy: self.door,
             id: id.to_owned(),
             key,
-            form,
-            first: self.first,
-            whole,
+            fingerprint: form,
+            first_byte_at: self.first,
+            complete: whole,
             work,
         })
     }
 
     fn came(&self, message: &Message, work: Millis) -> Millis {
         let key = message.header("idempotency-key").map(str::to_owned);
-        let form = form(
+        let form = request_fingerprint(
             &message.method,
             &message.target,
             key.as_deref(),
--- a/crates/test-servers/src/rude.rs
+++ b/crates/test-servers/src/rude.rs
@@ -3,7 +3,7 @@
 
 use crate::hash;
 use crate::wire::{Link, NoMessage};
-use maplefall_event_trace::{Entry, Millis, Recorder};
+use maplefall_event_trace::{EventKind, Millis, Recorder};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -134,7 +134,7 @@
         Ok(Err(_)) => (None, false),
         Err(_) => (None, true),
     };
-    recorder.note(Entry::Rude {
+    recorder.record(EventKind::MalformedClient {
         kind: kind.name(),
         status,
         neglected,
--- a/crates/test-servers/tests/played.rs
+++ b/crates/test-servers/tests/played.rs
@@ -1,7 +1,9 @@
 //! The stand-ins over loopback sockets: each does what its scripts and reports rely on. Nothing waits for a time where
 //! an event will do; what does not come within `PATIENCE` fails the test.
 
-use maplefall_event_trace::{Effect, End, Entry, Line, Lost, Millis, NodeState, Recorder};
+use maplefall_event_trace::{
+    AttemptEnd, Effect, Event, EventKind, FailureReason, Millis, NodeState, Recorder,
+};
 use maplefall_protocol::{Health, Member};
 use maplefall_test_servers::agent::{host, Agent, Lapse, List};
 use maplefall_test_servers::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
@@ -105,11 +107,11 @@
     }
 
     /// What was recorded so far, without its times.
-    fn seen(&self) -> Vec<Entry> {
+    fn seen(&self) -> Vec<EventKind> {
         self.recorder
-            .take()
+            .take_events()
             .into_iter()
-            .map(|line| line.entry)
+            .map(|line| line.kind)
             .collect()
     }
 }
@@ -126,10 +128,13 @@
     link.message().await.expect("an answer")
 }
 
-fn came(entry: &Entry) -> Option<(&str, u32, bool)> {
+fn came(entry: &EventKind) -> Option<(&str, u32, bool)> {
     match entry {
-        Entry::Came {
-            id, door, whole, ..
+        EventKind::AttemptReceived {
+            id,
+            proxy: door,
+            complete: whole,
+            ..
         } => Some((id, *door, *whole)),
         _ => None,
     }
@@ -150,7 +155,7 @@
     assert_eq!((status, body.as_str()), (200, "a 1 3"));
     assert!(matches!(
         seen[0],
-        Entry::Node {
+        EventKind::Node {
             node: 3,
             state: NodeState::Up { .. }
         }
@@ -159,10 +164,10 @@
     assert_eq!(
         seen[2..],
         [
-            Entry::Ran { attempt: 1 },
-            Entry::Over {
+            EventKind::EffectApplied { attempt: 1 },
+            EventKind::AttemptEnded {
                 attempt: 1,
-                end: End::Served
+                end: AttemptEnd::Served
             }
         ]
     );
@@ -195,7 +200,7 @@
     });
     let ran = seen
         .iter()
-        .filter(|entry| matches!(entry, Entry::Ran { .. }))
+        .filter(|entry| matches!(entry, EventKind::EffectApplied { .. }))
         .count();
     assert_eq!((ran, seen.iter().filter_map(came).count()), (2, 3));
 }
@@ -222,7 +227,7 @@
         scene
             .seen()
             .iter()
-            .filter(|entry| matches!(entry, Entry::Ran { .. }))
+            .filter(|entry| matches!(entry, EventKind::EffectApplied { .. }))
             .count()
     });
     assert_eq!(ran, 1);
@@ -288,11 +293,11 @@
         assert_eq!(
             seen[2..],
             [
-                Entry::Over {
+                EventKind::AttemptEnded {
                     attempt: 1,
-                    end: End::GivenUp
+                    end: AttemptEnd::Cancelled
                 },
-                Entry::Ran { attempt: 1 }
+                EventKind::EffectApplied { attempt: 1 }
             ]
         );
     });
@@ -315,7 +320,7 @@
                 .map(|(_, _, whole)| whole)
                 .next();
             let end = seen.iter().find_map(|entry| match entry {
-                Entry::Over { end, .. } => Some(*end),
+                EventKind::AttemptEnded { end, .. } => Some(*end),
                 _ => None,
             });
             (answer.map(|answer| answer.status).ok(), whole, end)
@@ -323,26 +328,29 @@
     };
     assert_eq!(
         ends(Trouble::FastError),
-        (Some(500), Some(true), Some(End::Error))
+        (Some(500), Some(true), Some(AttemptEnd::Error))
     );
     assert_eq!(
         ends(Trouble::Late(5.0)),
-        (Some(200), Some(true), Some(End::Served))
+        (Some(200), Some(true), Some(AttemptEnd::Served))
+    );
+    assert_eq!(
+        ends(Trouble::Spoilt),
+        (None, Some(true), Some(AttemptEnd::Malformed))
     );
-    assert_eq!(ends(Trouble::Spoilt), (None, Some(true), Some(End::Spoilt)));
     assert_eq!(
         ends(Trouble::Endless),
-        (None, Some(true), Some(End::Spoilt))
+        (None, Some(true), Some(AttemptEnd::Malformed))
     );
     assert_eq!(
         ends(Trouble::ResetAfter),
-        (None, Some(true), Some(End::Reset))
+        (None, Some(true), Some(AttemptEnd::Reset))
     );
     assert_eq!(ends(Trouble::ResetBefore), (None, None, None));
     // What was read before the reset was whole here, and is told so.
     assert_eq!(
         ends(Trouble::ResetWithin),
-        (None, Some(true), Some(End::Reset))
+        (None, Some(true), Some(AttemptEnd::Reset))
     );
 }
 
@@ -412,11 +420,11 @@
             let text = request(&format!("r{i}"), "read", None);
             let _ = link.write(text.as_bytes()).await;
             let _ = tokio::time::timeout(Duration::from_millis(20), link.message()).await;
-            let down = |entry: &Entry| {
+            let down = |entry: &EventKind| {
                 matches!(
                     entry,
-                    Entry::Node {
-                        state: NodeState::Fell,
+                    EventKind::Node {
+                        state: NodeState::Overloaded,
                         ..
                     }
                 )
@@ -511,9 +519,9 @@
         assert!(late.reads(&["\"seq\":3", "removed"]).await);
         assert!(!String::from_utf8_lossy(late.0.pending_bytes()).contains("draining"));
         let told = recorder
-            .take()
+            .take_events()
             .into_iter()
-            .filter(|line| matches!(line.entry, Entry::Told { door: 7, .. }));
+            .filter(|line| matches!(line.kind, EventKind::NodeUpdate { proxy: 7, .. }));
         assert_eq!(told.count(), 2 + 1 + 1 + 1);
     });
 }
@@ -577,17 +585,24 @@
         );
         assert!(open.reads(&["\"seq\":3", "removed"]).await);
         // What there is to tell stands in the record when it is there, not when it is told.
-        let due = |line: &maplefall_event_trace::Line| {
+        let due = |line: &maplefall_event_trace::Event| {
             matches!(
-                line.entry,
-                Entry::Due {
-                    door: 0,
+                line.kind,
+                EventKind::NodeUpdateDue {
+                    proxy: 0,
                     version: 2..,
                     ..
                 }
             )
         };
-        assert_eq!(recorder.take().iter().filter(|line| due(line)).count(), 2);
+        assert_eq!(
+            recorder
+                .take_events()
+                .iter()
+                .filter(|line| due(line))
+                .count(),
+            2
+        );
     });
 }
 
@@ -685,7 +700,7 @@
 };
 
 /// What a client does whose front door answers so, one answer for each request; what was recorded.
-fn client(effect: Effect, give_up_ms: Millis, answers: &'static [&'static str]) -> Vec<Entry> {
+fn client(effect: Effect, give_up_ms: Millis, answers: &'static [&'static str]) -> Vec<EventKind> {
     play(async move {
         let (here, address) = listener();
         let recorder = Recorder::new();
@@ -741,7 +756,11 @@
         };
         clients.play([ask]).await;
         door.abort();
-        recorder.take().into_iter().map(|line| line.entry).collect()
+        recorder
+            .take_events()
+            .into_iter()
+            .map(|line| line.kind)
+            .collect()
     })
 }
 
@@ -749,9 +768,9 @@
 const REFUSED: &str = "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n";
 const FAILED: &str = "HTTP/1.1 502 X\r\nContent-Length: 0\r\n\r\n";
 
-fn asked(seen: &[Entry]) -> usize {
+fn asked(seen: &[EventKind]) -> usize {
     seen.iter()
-        .filter(|entry| matches!(entry, Entry::Asked { .. }))
+        .filter(|entry| matches!(entry, EventKind::RequestSent { .. }))
         .count()
 }
 
@@ -782,25 +801,25 @@
 
 #[test]
 fn clients_tell_a_cut_answer_a_silent_door_and_bytes_that_nobody_asked_for() {
-    let lost = |seen: &[Entry]| {
+    let lost = |seen: &[EventKind]| {
         seen.iter().find_map(|entry| match entry {
-            Entry::Unanswered { why, .. } => Some(*why),
+            EventKind::RequestFailed { reason: why, .. } => Some(*why),
             _ => None,
         })
     };
     let cut = client(Effect::Unsafe, 20_000.0, &["HTTP/1.1 200 OK\r\nContent-"]);
-    assert_eq!(lost(&cut), Some(Lost::Cut));
+    assert_eq!(lost(&cut), Some(FailureReason::Truncated));
     let silent = client(
         Effect::Unsafe,
         200.0,
         &["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nha"],
     );
-    assert_eq!(lost(&silent), Some(Lost::Silent));
+    assert_eq!(lost(&silent), Some(FailureReason::TimedOut));
     let twice: &[&str] = &["HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n"];
     let seen = client(Effect::Safe, 20_000.0, twice);
     assert!(
         seen.iter()
-            .any(|entry| matches!(entry, Entry::Surplus { .. })),
+            .any(|entry| matches!(entry, EventKind::UnexpectedBytes { .. })),
         "{seen:?}"
     );
 }
@@ -826,10 +845,10 @@
             let recorder = Recorder::new();
             rude::visit(&recorder, address, rude::Kind::Units, 1, "read", "plan").await;
             door.abort();
-            match &recorder.take()[..] {
-                [Line {
-                    entry:
-                        Entry::Rude {
+            match &recorder.take_events()[..] {
+                [Event {
+                    kind:
+                        EventKind::MalformedClient {
                             kind,
                             status,
                             neglected,
