--- a/crates/event-trace/src/lib.rs
+++ b/crates/event-trace/src/lib.rs
@@ -1,110 +1,17 @@
-//! The record of a rehearsal: what clients, api nodes, the agent and the driver of the front doors saw, in one order
-//! and on one clock. The stand-ins write it, the judge reads it; neither knows the other.
+//! The trace of a test run: what clients, backend nodes, the discovery agent and the test driver observed, in one order and
+//! on one clock. The test servers write it through a [`Recorder`]; `maplefall-invariants` reads it. Neither knows the other.
 //!
-//! As a file it is one JSON object a line: first the [`Header`], then the [`Line`]s. Line numbers in verdicts count
+//! A trace file holds one JSON object per line: first the [`Header`], then the [`Event`]s. Line numbers in violations count
 //! from 1, the header being line 1.
 
-mod lines;
+mod event;
+mod fingerprint;
+mod header;
 mod recorder;
+mod trace;
 
-pub use lines::*;
+pub use event::*;
+pub use fingerprint::request_fingerprint;
+pub use header::*;
 pub use recorder::{Recorder, MAX_EVENTS};
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn header() -> Header {
-        Header {
-            version: VERSION,
-            scenario: "calm".into(),
-            seed: 7,
-            proxies: 2,
-            classes: Vec::new(),
-            plans: Vec::new(),
-            rules: Rules::platform(700.0),
-        }
-    }
-
-    /// Guards records that are judged later: every kind of line comes back as it was written.
-    #[test]
-    fn a_record_comes_back_as_it_was_written() {
-        let recorder = Recorder::new();
-        recorder.record(EventKind::Proxy {
-            proxy: 1,
-            state: ProxyState::Ended { code: Some(3) },
-        });
-        recorder.record(EventKind::Node {
-            node: 4,
-            state: NodeState::Up {
-                cores: 2.0,
-                initial_capacity: 0.2,
-                warmup_ms: 9e3,
-            },
-        });
-        recorder.record(EventKind::RequestFailed {
-            id: "a".into(),
-            proxy: 0,
-            connection: 3,
-            reason: FailureReason::Truncated,
-        });
-        recorder.record(EventKind::AttemptEnded {
-            attempt: 9,
-            end: AttemptEnd::Cancelled,
-        });
-        for i in 1..2000 {
-            let deadline = f64::from(i) * 1.234_567_890_123 + 1.0 / f64::from(i);
-            recorder.record(EventKind::AttemptReceived {
-                attempt: 1,
-                node: 0,
-                proxy: 0,
-                id: "a".into(),
-                key: None,
-                fingerprint: request_fingerprint("GET", "/a", None, b""),
-                first_byte_at: deadline,
-                complete: true,
-                work: deadline / 3.0,
-            });
-        }
-        let record = Trace {
-            header: header(),
-            events: recorder.take_events(),
-        };
-        let text = record.to_text().unwrap();
-        assert_eq!(Trace::from_text(&text).unwrap(), record);
-    }
-
-    /// Guards the comparison of what was sent with what came: a change of any part, or of where one ends, shows.
-    #[test]
-    fn a_form_tells_every_part_apart() {
-        let forms = [
-            request_fingerprint("GET", "/a", None, b""),
-            request_fingerprint("POST", "/a", None, b""),
-            request_fingerprint("GET", "/b", None, b""),
-            request_fingerprint("GET", "/a", Some("k"), b""),
-            request_fingerprint("GET", "/a", None, b"k"),
-            request_fingerprint("GET", "/ak", None, b""),
-        ];
-        for (i, one) in forms.iter().enumerate() {
-            assert!(!forms[..i].contains(one), "{i}");
-        }
-        assert_eq!(forms[3], request_fingerprint("GET", "/a", Some("k"), b""));
-    }
-
-    #[test]
-    fn what_is_no_record_is_told_by_its_line() {
-        assert!(matches!(Trace::from_text(""), Err(TraceError::Empty)));
-        let first = serde_json::to_string(&header()).unwrap();
-        let later = r#"{"at":5.0,"what":"ran","attempt":1}"#;
-        let earlier = r#"{"at":4.0,"what":"ran","attempt":2}"#;
-        let error = Trace::from_text(&format!("{first}\n{later}\n{earlier}\n")).unwrap_err();
-        assert!(error.to_string().starts_with("line 3: "), "{error}");
-        let error = Trace::from_text(&format!("{first}\n{{\"at\":1}}\n")).unwrap_err();
-        assert!(error.to_string().starts_with("line 2: "), "{error}");
-        let other = first.replace("\"version\":1", "\"version\":9");
-        assert!(matches!(
-            Trace::from_text(&other),
-            Err(TraceError::Version(9))
-        ));
-    }
-}
+pub use trace::{Trace, TraceError};
--- a/crates/event-trace/src/recorder.rs
+++ b/crates/event-trace/src/recorder.rs
@@ -1,10 +1,11 @@
-//! The one place that stamps what is seen, so that the record has one order and one clock.
+//! The writer of a trace. It is the only place that takes timestamps, so all events share one order and one clock.
 
-use crate::lines::{Event, EventKind, Millis};
+use crate::event::{Event, EventKind};
+use crate::header::Millis;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines that a record holds at most; what comes later is dropped and the record is void.
+/// Maximum events of a trace; later ones are dropped and counted ([`Recorder::dropped`]).
 pub const MAX_EVENTS: usize = 4_000_000;
 
 #[derive(Debug, Default)]
@@ -13,7 +14,7 @@
     dropped: u64,
 }
 
-/// Writes a record from any number of threads. Clones write the same one.
+/// Appends events to a trace from any number of threads. Clones write to the same trace.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     start: Instant,
@@ -27,7 +28,7 @@
 }
 
 impl Recorder {
-    /// An empty record that begins now.
+    /// An empty trace whose clock starts now.
     pub fn new() -> Recorder {
         Recorder {
             start: Instant::now(),
@@ -36,49 +37,49 @@
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        // A writer that panicked has left whole lines behind.
+        // A thread that panicked while it held the lock has left complete events behind: a push is its only write.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Milliseconds since the record began.
+    /// Milliseconds since the trace began.
     pub fn now(&self) -> Millis {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// A time of the record on the system's monotonic clock.
+    /// The instant on the monotonic clock of a time of the trace.
     pub fn instant(&self, at: Millis) -> Instant {
         self.start + Duration::try_from_secs_f64(at / 1000.0).unwrap_or_default()
     }
 
-    /// Appends what was seen just now; tells when that was.
-    pub fn record(&self, entry: EventKind) -> Millis {
+    /// Appends an event that was observed now and returns its time.
+    pub fn record(&self, kind: EventKind) -> Millis {
         let mut inner = self.inner();
-        // Read under the lock: the order of the lines is the order of their times.
+        // Read under the lock: the order of the events is the order of their times.
         let at = self.now();
         if inner.events.len() < MAX_EVENTS {
-            inner.events.push(Event { at, kind: entry });
+            inner.events.push(Event { at, kind });
         } else {
             inner.dropped += 1;
         }
         at
     }
 
-    /// Lines that found no room.
+    /// Events that were dropped beyond [`MAX_EVENTS`].
     pub fn dropped(&self) -> u64 {
         self.inner().dropped
     }
 
-    /// Lines so far.
+    /// Events so far.
     pub fn len(&self) -> usize {
         self.inner().events.len()
     }
 
-    /// Whether nothing has been seen yet.
+    /// Whether no event was recorded yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Hands out the lines and begins an empty list on the same clock.
+    /// Takes the events so far; the clock goes on.
     pub fn take_events(&self) -> Vec<Event> {
         std::mem::take(&mut self.inner().events)
     }
