--- a/crates/scenario-generator/src/error.rs
+++ b/crates/scenario-generator/src/error.rs
@@ -1,59 +1,28 @@
-//! What can go wrong with input and output.
+//! Errors of reading the inputs and writing the scenarios, printed as `key=value` pairs.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// What was being done, with which file, and what went wrong.
-#[derive(Debug)]
+/// The step that failed, the file and the cause.
+#[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A file could not be read.
+    /// A file cannot be read.
+    #[error("step=read file={} error={:?}", .0.display(), .1.kind())]
     Read(PathBuf, std::io::Error),
-    /// A file or a folder could not be written.
+    /// A file or a folder cannot be written.
+    #[error("step=write file={} error={:?}", .0.display(), .1.kind())]
     Write(PathBuf, std::io::Error),
-    /// A site file is no TOML, or lacks what a day needs.
+    /// A site file is not TOML, or lacks what a scenario needs.
+    #[error("step=site file={} error={:?}", .0.display(), .1)]
     Site(PathBuf, String),
-    /// A list of kinds names none.
+    /// A list of kinds has no kind.
+    #[error("step=kinds file={} error=\"no kind is named\"", .0.display())]
     NoKinds(PathBuf),
 }
 
 impl Error {
-    /// A site file that cannot be used.
-    pub fn site(file: &Path, what: impl fmt::Display) -> Error {
-        Error::Site(file.to_owned(), what.to_string())
+    /// A site file that is not usable.
+    pub fn site(file: &Path, cause: impl fmt::Display) -> Error {
+        Error::Site(file.to_owned(), cause.to_string())
     }
 }
-
-impl fmt::Display for Error {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Error::Read(file, error) => {
-                write!(
-                    to,
-                    "step=read file={} error={:?}",
-                    file.display(),
-                    error.kind()
-                )
-            }
-            Error::Write(file, error) => {
-                write!(
-                    to,
-                    "step=write file={} error={:?}",
-                    file.display(),
-                    error.kind()
-                )
-            }
-            Error::Site(file, what) => {
-                write!(to, "step=site file={} error={what:?}", file.display())
-            }
-            Error::NoKinds(file) => {
-                write!(
-                    to,
-                    "step=kinds file={} error=\"no kind is named\"",
-                    file.display()
-                )
-            }
-        }
-    }
-}
-
-impl std::error::Error for Error {}
--- a/crates/scenario-generator/src/kinds.rs
+++ b/crates/scenario-generator/src/kinds.rs
@@ -1,86 +1,89 @@
-//! The list of kinds, read from the bench's text.
+//! The list of fault and change kinds, parsed from the bench's text.
 //!
-//! The text has a head of prose and then a line for each kind: `kind: what it does; how: a, b (what b is), c`. A value that an
-//! entry has where it says nothing stands in brackets behind the field's name: `share (.15)`, `x ms (2000)`.
+//! The text has a head of prose and then a line per kind: `kind: what it does; how: a, b (what b is), c`. The default of a field
+//! stands in parentheses behind its name: `share (.15)`, `x ms (2000)`.
 
 use crate::error::Error;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Numbers that an entry may have.
-pub const FIELDS: [&str; 5] = ["for_s", "gap_s", "share", "count", "x"];
+/// Numeric fields that an entry may have.
+pub const NUMERIC_FIELDS: [&str; 5] = ["for_s", "gap_s", "share", "count", "x"];
 
-/// What a kind strikes first.
+/// What a kind affects first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Struck {
-    /// Machines whose loss is counted.
+pub enum Target {
+    /// Control plane machines, whose failures the site limits.
     Counted,
-    /// Machines of any class, those whose loss is counted among them.
+    /// Machines of any class.
     Machines,
     /// Backends.
     Backends,
-    /// Orders of the operator.
+    /// Configuration changes of the operator.
     Orders,
-    /// Whatever else: clients, clocks.
+    /// Anything else, such as clients and clocks.
     Other,
 }
 
-/// A kind of trouble or of planned work.
+/// A kind of fault or of planned change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
     /// Its name.
     pub name: String,
-    /// What the list says about it.
+    /// Its description in the list.
     pub text: String,
     /// Its own variants.
-    pub hows: Vec<String>,
-    /// The numbers that it has, with the values that hold where an entry names none.
+    pub variants: Vec<String>,
+    /// Its numeric fields with their defaults.
     pub fields: BTreeMap<String, Option<f64>>,
-    /// What it strikes.
-    pub struck: Struck,
-    /// Whether what it strikes stays away.
-    pub leaves: Leaves,
+    /// What it affects.
+    pub target: Target,
+    /// Whether what it affects is removed for good.
+    pub permanence: Permanence,
 }
 
-/// Whether what a kind strikes stays away for the rest of the day.
+/// Whether a kind removes what it affects for the rest of the scenario.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Leaves {
-    /// It comes back, or others come for it.
+pub enum Permanence {
+    /// It returns or is replaced.
     Never,
-    /// With this word among its `how`.
+    /// Only with this word in `how`.
     With(String),
-    /// It does.
+    /// It is removed.
     Always,
 }
 
-/// All kinds, and what the head of the list says of all of them.
+/// All kinds, and what the head of the list says about all of them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kinds {
     /// The kinds.
     pub kinds: Vec<Kind>,
-    /// Words that an entry's `how` may hold besides its kind's own, as far as the head names them.
-    pub words: BTreeSet<String>,
-    /// Kinds of faults at a day's end.
-    pub closings: Vec<String>,
+    /// Known modifiers that the head names; any entry's `how` may hold them besides the kind's variants.
+    pub modifiers: BTreeSet<String>,
+    /// Kinds of closing faults, at the end of a scenario.
+    pub closing_kinds: Vec<String>,
     /// Their variants.
-    pub closing_hows: Vec<String>,
+    pub closing_variants: Vec<String>,
 }
 
-/// Words for which machine is struck.
-pub const WHICH: [&str; 3] = ["leader", "reader", "seed"];
-/// Words for what is done besides, after those for which machine.
-pub const BESIDES: [&str; 4] = ["meet", "race", "hard", "drain"];
-/// Words for which backends are struck.
-pub const BACKENDS: [&str; 2] = ["across", NONE_SPARED];
-/// The word with which all of a service's backends are struck, whatever the share.
-pub const NONE_SPARED: &str = "all";
-/// Words for how a cut shows.
-pub const CUTS: [&str; 2] = ["reset", "refuse"];
-/// The word for a stop in the middle of an answer; the head says for which kind.
-pub const BUSY: &str = "busy";
+/// Modifiers that select the affected machine.
+pub const MACHINE_SELECTORS: [&str; 3] = ["leader", "reader", "seed"];
+/// Modifiers for what happens besides, after the selector.
+pub const MACHINE_MODIFIERS: [&str; 4] = ["meet", "race", "hard", "drain"];
+/// Modifiers that select the affected backends.
+pub const BACKEND_SELECTORS: [&str; 2] = ["across", ALL_BACKENDS];
+/// The modifier that affects all backends of a service, whatever the share.
+pub const ALL_BACKENDS: &str = "all";
+/// Modifiers for how a partition shows.
+pub const PARTITION_EFFECTS: [&str; 2] = ["reset", "refuse"];
+/// The modifier for a stop in the middle of a response; the head says for which kind.
+pub const MID_RESPONSE_STOP: &str = "busy";
 
 impl Kinds {
     /// Reads a list that the bench has printed.
+    ///
+    /// # Errors
+    /// The file cannot be read or names no kind.
     pub fn load(file: &Path) -> Result<Kinds, Error> {
         let text =
             std::fs::read_to_string(file).map_err(|error| Error::Read(file.to_owned(), error))?;
@@ -91,7 +94,7 @@
         Ok(kinds)
     }
 
-    /// Reads the text of a list. Lines that are neither are passed over.
+    /// Parses the text of a list; lines that are no kind belong to the head.
     pub fn read(text: &str) -> Kinds {
         let (mut kinds, mut head) = (Vec::new(), Vec::new());
         for line in text.lines() {
@@ -100,27 +103,27 @@
                     let kind = Kind::read(name, text.trim(), kinds.last());
                     kinds.push(kind);
                 }
-                // Prose may have colons too; what stands before them is no name.
+                // Prose may have colons too, but no name before them.
                 _ => head.push(line),
             }
         }
         let head = head.join(" ");
-        let all_words: BTreeSet<&str> = words(&head).collect();
-        let general = WHICH
+        let words_of_head: BTreeSet<&str> = words(&head).collect();
+        let general = MACHINE_SELECTORS
             .iter()
-            .chain(&BESIDES)
-            .chain(&BACKENDS)
-            .chain(&CUTS)
-            .chain([&BUSY]);
+            .chain(&MACHINE_MODIFIERS)
+            .chain(&BACKEND_SELECTORS)
+            .chain(&PARTITION_EFFECTS)
+            .chain([&MID_RESPONSE_STOP]);
         let general = general
-            .filter(|word| all_words.contains(**word))
+            .filter(|word| words_of_head.contains(**word))
             .map(|word| (*word).to_owned());
-        let (closings, closing_hows) = closing(&head);
+        let (closing_kinds, closing_variants) = closing(&head);
         Kinds {
-            words: general.collect(),
+            modifiers: general.collect(),
             kinds,
-            closings,
-            closing_hows,
+            closing_kinds,
+            closing_variants,
         }
     }
 
@@ -129,20 +132,20 @@
         self.kinds.iter().find(|kind| kind.name == name)
     }
 
-    /// Those of some words that the head names.
+    /// Those of the given modifiers that the head names.
     pub fn named<'a>(&self, of: &[&'a str]) -> Vec<&'a str> {
         of.iter()
             .copied()
-            .filter(|word| self.words.contains(*word))
+            .filter(|word| self.modifiers.contains(*word))
             .collect()
     }
 }
 
 impl Kind {
     fn read(name: &str, text: &str, before: Option<&Kind>) -> Kind {
-        let mut hows = Vec::new();
-        let mut told = Vec::new();
-        let mut leaves = Leaves::Never;
+        let mut variants = Vec::new();
+        let mut description = Vec::new();
+        let mut permanence = Permanence::Never;
         for part in split(text, ';') {
             let part = part.trim();
             match part.strip_prefix("how") {
@@ -150,11 +153,11 @@
                 Some(rest) if rest.starts_with(':') => {
                     for one in split(&rest[1..], ',') {
                         if one.contains("leave") || one.contains("for good") {
-                            leaves = words(one)
-                                .next()
-                                .map_or(Leaves::Never, |word| Leaves::With(word.to_owned()));
+                            permanence = words(one).next().map_or(Permanence::Never, |word| {
+                                Permanence::With(word.to_owned())
+                            });
                         }
-                        hows.extend(
+                        variants.extend(
                             words(&outside(one))
                                 .filter(|word| is_name(word))
                                 .map(str::to_owned),
@@ -164,55 +167,55 @@
                 // `how a: what a is`.
                 Some(rest) if rest.starts_with(' ') && rest.contains(':') => {
                     let name = rest.split(':').next().unwrap_or_default().trim();
-                    hows.extend(is_name(name).then(|| name.to_owned()));
+                    variants.extend(is_name(name).then(|| name.to_owned()));
                 }
-                _ => told.push(part),
+                _ => description.push(part),
             }
         }
-        let told = told.join("; ");
-        let fields = FIELDS
+        let description = description.join("; ");
+        let fields = NUMERIC_FIELDS
             .iter()
-            .filter_map(|field| Some(((*field).to_owned(), field_of(&told, field)?)));
+            .filter_map(|field| Some(((*field).to_owned(), field_of(&description, field)?)));
         let mut fields: BTreeMap<String, Option<f64>> = fields.collect();
-        if words(&told).any(|word| word == "leave") {
-            leaves = Leaves::Always;
+        if words(&description).any(|word| word == "leave") {
+            permanence = Permanence::Always;
         }
-        // What does the same as the kind before it has the same variants and numbers.
-        if let Some(before) = before.filter(|_| told.starts_with("the same")) {
-            hows.extend(
+        // "The same" refers to the kind before it, with its variants and numbers.
+        if let Some(before) = before.filter(|_| description.starts_with("the same")) {
+            variants.extend(
                 before
-                    .hows
+                    .variants
                     .iter()
-                    .filter(|how| !hows.contains(how))
+                    .filter(|how| !variants.contains(how))
                     .cloned()
                     .collect::<Vec<_>>(),
             );
             fields.extend(before.fields.clone());
         }
-        let struck = struck(name, &told);
+        let target = target(name, &description);
         Kind {
             name: name.to_owned(),
             text: text.to_owned(),
-            hows,
+            variants,
             fields,
-            struck,
-            leaves,
+            target,
+            permanence,
         }
     }
 
-    /// Whether the kind has this number.
+    /// Whether the kind has this numeric field.
     pub fn has(&self, field: &str) -> bool {
         self.fields.contains_key(field)
     }
 
-    /// Whether links are cut.
-    pub fn cuts(&self) -> bool {
+    /// Whether it partitions the network.
+    pub fn is_partition(&self) -> bool {
         self.name.ends_with("_cut") || self.text.contains("cut off")
     }
 
     /// Whether an entry may name a class of machines.
     pub fn has_class(&self) -> bool {
-        self.struck == Struck::Machines && !self.cuts()
+        self.target == Target::Machines && !self.is_partition()
     }
 }
 
@@ -228,7 +231,7 @@
         .filter(|word| !word.is_empty())
 }
 
-/// Splits where no bracket is open.
+/// Splits at a character outside of parentheses.
 fn split(text: &str, at: char) -> Vec<&str> {
     let (mut parts, mut from, mut open) = (Vec::new(), 0, 0_u32);
     for (place, one) in text.char_indices() {
@@ -246,7 +249,7 @@
     parts
 }
 
-/// What stands in no bracket.
+/// The text outside of parentheses.
 fn outside(text: &str) -> String {
     let mut open = 0_u32;
     let mut kept = String::new();
@@ -261,7 +264,7 @@
     kept
 }
 
-/// Whether a text names a field, and its value if one stands in brackets behind it, at most one word (a unit) between.
+/// Whether a text names a field, with the default in parentheses behind it, at most one word (a unit) between.
 fn field_of(text: &str, field: &str) -> Option<Option<f64>> {
     let mut named = None;
     let mut from = 0;
@@ -287,29 +290,29 @@
     named
 }
 
-/// What a kind strikes, by what is said of it.
-fn struck(name: &str, told: &str) -> Struck {
-    let says = |of: &[&str]| words(told).any(|word| of.contains(&word));
-    if name.split('_').any(|part| part == "config") || says(&["keys"]) {
-        Struck::Orders
-    } else if told.contains("time of day") {
-        Struck::Other
-    } else if says(&["disk", "disks", "acknowledges"])
-        || says(&["counted"]) && !name.starts_with("node_")
+/// What a kind affects, by its description.
+fn target(name: &str, description: &str) -> Target {
+    let mentions = |of: &[&str]| words(description).any(|word| of.contains(&word));
+    if name.split('_').any(|part| part == "config") || mentions(&["keys"]) {
+        Target::Orders
+    } else if description.contains("time of day") {
+        Target::Other
+    } else if mentions(&["disk", "disks", "acknowledges"])
+        || mentions(&["counted"]) && !name.starts_with("node_")
     {
-        Struck::Counted
-    } else if says(&["machine", "machines", "killed", "SIGKILL", "SIGTERM"]) {
-        Struck::Machines
-    } else if says(&[
+        Target::Counted
+    } else if mentions(&["machine", "machines", "killed", "SIGKILL", "SIGTERM"]) {
+        Target::Machines
+    } else if mentions(&[
         "server", "servers", "answer", "answers", "replaced", "drain", "drains",
     ]) {
-        Struck::Backends
+        Target::Backends
     } else {
-        Struck::Other
+        Target::Other
     }
 }
 
-/// Kinds and variants of the fault at a day's end: `closing = { kind = a | b, down_s } ... how c: ...; how d: ...`.
+/// Kinds and variants of the closing fault: `closing = { kind = a | b, down_s } ... how c: ...; how d: ...`.
 fn closing(head: &str) -> (Vec<String>, Vec<String>) {
     let Some((_, rest)) = head.split_once("closing = {") else {
         return (Vec::new(), Vec::new());
@@ -326,16 +329,16 @@
         .filter(|kind| is_name(kind))
         .map(str::to_owned)
         .collect();
-    let mut hows = Vec::new();
+    let mut variants = Vec::new();
     for (place, _) in prose.match_indices("how ") {
         let word = prose[place + 4..]
             .split(':')
             .next()
             .unwrap_or_default()
             .trim();
-        if is_name(word) && !hows.iter().any(|known| known == word) {
-            hows.push(word.to_owned());
+        if is_name(word) && !variants.iter().any(|known| known == word) {
+            variants.push(word.to_owned());
         }
     }
-    (kinds, hows)
+    (kinds, variants)
 }
--- a/crates/scenario-generator/src/lib.rs
+++ b/crates/scenario-generator/src/lib.rs
@@ -1,11 +1,14 @@
-//! Draws days with many troubles at once, the busiest hours that a deployment may have.
+//! Generates scenarios with several concurrent faults for the users' bench.
 //!
-//! What may happen is read from the text in which the bench lists its kinds of troubles ([`kinds`]), where it may happen from a
-//! deployment's site file ([`site`]); [`draw`] puts days together. Nothing is written from one deployment: a kind that is new
-//! here is drawn with the values that the list gives for it and with its own variants.
+//! The kinds of faults and planned changes come from the text in which the bench lists them ([`kinds`]), machines, zones and
+//! services from a deployment's site file ([`site`]); [`generator`] combines both into a [`scenario`]. Nothing is tied to one
+//! deployment: an unknown kind is generated with the default values and the variants that the list gives for it.
+//!
+//! The same seed, list and site give the same scenarios: every draw goes through [`random`], in a fixed order.
 
-pub mod draw;
 pub mod error;
+pub mod generator;
 pub mod kinds;
-pub mod luck;
+pub mod random;
+pub mod scenario;
 pub mod site;
--- a/crates/scenario-generator/src/main.rs
+++ b/crates/scenario-generator/src/main.rs
@@ -1,8 +1,8 @@
 //! `maplefall-scenario-generator`: draws scenarios with several concurrent faults for the users' bench.
 
 use clap::{Parser, Subcommand, ValueEnum};
-use maplefall_scenario_generator::draw::{Drawer, Pile};
 use maplefall_scenario_generator::error::Error;
+use maplefall_scenario_generator::generator::{Emphasis, ScenarioGenerator};
 use maplefall_scenario_generator::kinds::Kinds;
 use maplefall_scenario_generator::site::Site;
 use std::path::{Path, PathBuf};
@@ -18,7 +18,7 @@
 /// Exit code: 0 all days are written, 2 something could not be read or written.
 #[derive(Parser)]
 #[command(name = "maplefall-scenario-generator", version, max_term_width = 100)]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -40,8 +40,8 @@
         #[arg(long)]
         seed: u64,
         /// What the days lean to.
-        #[arg(long, value_enum, default_value_t = Lean::Mixed)]
-        pile: Lean,
+        #[arg(long, value_enum, default_value_t = EmphasisArgument::Mixed)]
+        pile: EmphasisArgument,
         /// The folder for the files; it is made if it is not there.
         #[arg(long, value_name = "DIR")]
         out: PathBuf,
@@ -55,7 +55,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Lean {
+enum EmphasisArgument {
     /// To nothing: all kinds alike.
     Mixed,
     /// To cuts, losses, wipes and replacements of counted machines, races of orders, clocks.
@@ -67,7 +67,7 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().command {
+    let done = match Arguments::parse().command {
         Command::Draw {
             site,
             kinds,
@@ -76,7 +76,7 @@
             pile,
             out,
         } => draw(&site, &kinds, (days, seed), pile, &out),
-        Command::Kinds { kinds } => tell(&kinds),
+        Command::Kinds { kinds } => print_kinds(&kinds),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -91,21 +91,23 @@
     site: &Path,
     kinds: &Path,
     (days, seed): (u32, u64),
-    pile: Lean,
+    pile: EmphasisArgument,
     out: &Path,
 ) -> Result<(), Error> {
     let (site, kinds) = (Site::load(site)?, Kinds::load(kinds)?);
     let pile = match pile {
-        Lean::Mixed => Pile::Mixed,
-        Lean::Control => Pile::Control,
-        Lean::Answers => Pile::Answers,
-        Lean::Long => Pile::Long,
+        EmphasisArgument::Mixed => Emphasis::Mixed,
+        EmphasisArgument::Control => Emphasis::Control,
+        EmphasisArgument::Answers => Emphasis::Answers,
+        EmphasisArgument::Long => Emphasis::Long,
     };
     std::fs::create_dir_all(out).map_err(|error| Error::Write(out.to_owned(), error))?;
-    let mut drawer = Drawer::new(&site, &kinds, pile, seed);
+    let mut generator = ScenarioGenerator::new(&site, &kinds, pile, seed);
     let mut written = 0;
     for number in 0..days {
-        let Some(day) = drawer.day(number) else { break };
+        let Some(day) = generator.scenario(number) else {
+            break;
+        };
         let file = out.join(format!("{}.toml", day.name));
         std::fs::write(&file, day.text()).map_err(|error| Error::Write(file, error))?;
         written += 1;
@@ -118,7 +120,7 @@
     Ok(())
 }
 
-fn tell(file: &Path) -> Result<(), Error> {
+fn print_kinds(file: &Path) -> Result<(), Error> {
     let kinds = Kinds::load(file)?;
     for kind in &kinds.kinds {
         let numbers = kind.fields.iter().map(|(field, usual)| match usual {
@@ -129,17 +131,17 @@
         println!(
             "kind={} struck={:?} how={:?} numbers={:?}",
             kind.name,
-            kind.struck,
-            kind.hows.join(" "),
+            kind.target,
+            kind.variants.join(" "),
             numbers.join(" ")
         );
     }
-    let words: Vec<&str> = kinds.words.iter().map(String::as_str).collect();
+    let words: Vec<&str> = kinds.modifiers.iter().map(String::as_str).collect();
     println!("words={:?}", words.join(" "));
     println!(
         "closing={:?} how={:?}",
-        kinds.closings.join(" "),
-        kinds.closing_hows.join(" ")
+        kinds.closing_kinds.join(" "),
+        kinds.closing_variants.join(" ")
     );
     Ok(())
 }
--- a/crates/scenario-generator/src/site.rs
+++ b/crates/scenario-generator/src/site.rs
@@ -1,4 +1,4 @@
-//! What a site file tells that days are drawn from.
+//! The site file of a deployment, as far as scenarios are generated from it.
 
 use crate::error::Error;
 use serde::Deserialize;
@@ -6,33 +6,33 @@
 use std::path::Path;
 use toml::{Table, Value};
 
-/// A deployment.
+/// A deployment and what its own scenarios use.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Its name.
     pub name: String,
-    /// How long its days are, in seconds.
+    /// Length of a scenario in seconds; at least 5.
     pub length_s: f64,
-    /// How many counted machines may be lost at once.
-    pub losses: u32,
+    /// Control plane machines that may fail at once; 1 by default.
+    pub tolerated_losses: u32,
     /// Its zones.
     pub zones: Vec<String>,
     /// Its services.
     pub services: Vec<String>,
     /// Classes of machines.
     pub classes: BTreeSet<String>,
-    /// Its standard days, as they stand there.
+    /// Its standard scenarios, unchanged.
     pub days: Vec<Table>,
-    /// Kinds that its days have as planned work.
+    /// Kinds that its scenarios use as planned changes.
     pub planned: BTreeSet<String>,
-    /// Kinds that its days have as faults.
+    /// Kinds that its scenarios use as faults.
     pub faults: BTreeSet<String>,
-    /// Variants in use there, by kind.
-    pub hows: BTreeMap<String, BTreeSet<String>>,
-    /// Numbers in use there, by kind and field.
+    /// Variants that its scenarios use, by kind.
+    pub variants: BTreeMap<String, BTreeSet<String>>,
+    /// The first number that its scenarios use, by kind and field.
     pub numbers: BTreeMap<(String, String), f64>,
-    /// Variants of the faults at the ends of its days, by kind.
-    pub closing_hows: BTreeMap<String, BTreeSet<String>>,
+    /// Variants of closing faults, by kind.
+    pub closing_variants: BTreeMap<String, BTreeSet<String>>,
 }
 
 #[derive(Deserialize)]
@@ -69,13 +69,19 @@
 
 impl Site {
     /// Reads a site file.
+    ///
+    /// # Errors
+    /// The file cannot be read or is not a usable site file.
     pub fn load(file: &Path) -> Result<Site, Error> {
         let text =
             std::fs::read_to_string(file).map_err(|error| Error::Read(file.to_owned(), error))?;
         Site::read(&text).map_err(|what| Error::site(file, what))
     }
 
-    /// Reads the text of a site file.
+    /// Parses the text of a site file.
+    ///
+    /// # Errors
+    /// The text is not TOML, has no scenario, or a length under 5 seconds.
     pub fn read(text: &str) -> Result<Site, String> {
         let file: File = toml::from_str(text).map_err(|error| error.message().to_owned())?;
         if file.day.is_empty() {
@@ -87,7 +93,7 @@
         let mut site = Site {
             name: file.name,
             length_s: file.length_s,
-            losses: file.tolerate.map_or(1, |tolerate| tolerate.machines),
+            tolerated_losses: file.tolerate.map_or(1, |tolerate| tolerate.machines),
             zones: file.zones.into_iter().map(|zone| zone.name).collect(),
             services: file
                 .services
@@ -102,12 +108,12 @@
             days: file.day,
             planned: BTreeSet::new(),
             faults: BTreeSet::new(),
-            hows: BTreeMap::new(),
+            variants: BTreeMap::new(),
             numbers: BTreeMap::new(),
-            closing_hows: BTreeMap::new(),
+            closing_variants: BTreeMap::new(),
         };
         for entry in &file.troubles {
-            site.learn(entry);
+            site.record_usage(entry);
         }
         for day in site.days.clone() {
             for (list, planned) in [("plan", true), ("faults", false)] {
@@ -120,7 +126,7 @@
                     let Some(entry) = entry.as_table() else {
                         continue;
                     };
-                    site.learn(entry);
+                    site.record_usage(entry);
                     let Some(kind) = entry.get("kind").and_then(Value::as_str) else {
                         continue;
                     };
@@ -139,7 +145,7 @@
                     .and_then(Value::as_str)
             };
             if let (Some(kind), Some(how)) = (text("kind"), text("how")) {
-                site.closing_hows
+                site.closing_variants
                     .entry(kind.to_owned())
                     .or_default()
                     .insert(how.to_owned());
@@ -148,7 +154,7 @@
         Ok(site)
     }
 
-    fn learn(&mut self, entry: &Table) {
+    fn record_usage(&mut self, entry: &Table) {
         let Some(kind) = entry.get("kind").and_then(Value::as_str) else {
             return;
         };
@@ -157,7 +163,7 @@
             .and_then(Value::as_str)
             .filter(|how| !how.is_empty())
         {
-            self.hows
+            self.variants
                 .entry(kind.to_owned())
                 .or_default()
                 .insert(how.to_owned());
--- a/crates/scenario-generator/tests/days.rs
+++ b/crates/scenario-generator/tests/scenarios.rs
@@ -1,8 +1,9 @@
 //! Days as they are drawn: each can be read again, holds what is listed and nothing else, and comes again from its seed.
 
-use maplefall_scenario_generator::draw::{Drawer, Pile};
+use maplefall_scenario_generator::generator::{Emphasis, ScenarioGenerator};
 use maplefall_scenario_generator::kinds::{
-    Kinds, Leaves, Struck, BACKENDS, BESIDES, BUSY, CUTS, WHICH,
+    Kinds, Permanence, Target, BACKEND_SELECTORS, MACHINE_MODIFIERS, MACHINE_SELECTORS,
+    MID_RESPONSE_STOP, PARTITION_EFFECTS,
 };
 use maplefall_scenario_generator::site::Site;
 use std::collections::BTreeSet;
@@ -61,16 +62,21 @@
 faults = [{ at = 2, kind = "herd_kill", share = 0.4 }]
 "#;
 
-const PILES: [Pile; 4] = [Pile::Mixed, Pile::Control, Pile::Answers, Pile::Long];
+const ALL_EMPHASES: [Emphasis; 4] = [
+    Emphasis::Mixed,
+    Emphasis::Control,
+    Emphasis::Answers,
+    Emphasis::Long,
+];
 
 fn site() -> Site {
     Site::read(SITE).expect("the test's site can be read")
 }
 
-fn drawn(pile: Pile, seed: u64, days: u32) -> Vec<(String, Table)> {
+fn drawn(pile: Emphasis, seed: u64, days: u32) -> Vec<(String, Table)> {
     let (site, kinds) = (site(), Kinds::read(KINDS));
-    let mut drawer = Drawer::new(&site, &kinds, pile, seed);
-    let days = (0..days).map(|number| drawer.day(number).expect("the site has days"));
+    let mut generator = ScenarioGenerator::new(&site, &kinds, pile, seed);
+    let days = (0..days).map(|number| generator.scenario(number).expect("the site has days"));
     days.map(|day| {
         (
             day.name.clone(),
@@ -102,61 +108,64 @@
 }
 
 #[test]
-fn the_list_is_read() {
+fn the_list_of_kinds_is_parsed() {
     let kinds = Kinds::read(KINDS);
     assert_eq!(kinds.kinds.len(), 17);
-    let hows = |name: &str| kinds.kind(name).expect("listed").hows.join(" ");
-    assert_eq!(hows("srv_crash"), "dark gone");
-    assert_eq!(hows("herd_kill"), "power taken");
-    assert_eq!(hows("after_ack_kill"), "kill timed taken");
+    let variants = |name: &str| kinds.kind(name).expect("listed").variants.join(" ");
+    assert_eq!(variants("srv_crash"), "dark gone");
+    assert_eq!(variants("herd_kill"), "power taken");
+    assert_eq!(variants("after_ack_kill"), "kill timed taken");
     assert_eq!(
-        hows("after_ack_wipe"),
+        variants("after_ack_wipe"),
         "kill timed taken",
         "it does the same as the one before it"
     );
-    assert_eq!(hows("core_cut"), "one_way seeds both");
-    assert_eq!(hows("clock_step"), "back ahead");
-    assert_eq!(hows("solar_flare"), "left right");
+    assert_eq!(variants("core_cut"), "one_way seeds both");
+    assert_eq!(variants("clock_step"), "back ahead");
+    assert_eq!(variants("solar_flare"), "left right");
     let field =
         |name: &str, field: &str| kinds.kind(name).expect("listed").fields.get(field).copied();
     assert_eq!(field("clock_step", "x"), Some(Some(2000.0)));
     assert_eq!(field("srv_crash", "share"), Some(Some(0.15)));
     assert_eq!(field("hot_tenant", "x"), Some(None));
     assert_eq!(field("disk_stall", "share"), None);
-    let struck = |name: &str| kinds.kind(name).expect("listed").struck;
-    assert_eq!(struck("disk_stall"), Struck::Counted);
-    assert_eq!(struck("after_ack_wipe"), Struck::Counted);
-    assert_eq!(struck("core_cut"), Struck::Counted);
-    assert_eq!(struck("roll_term"), Struck::Machines);
-    assert_eq!(struck("node_cut"), Struck::Machines);
-    assert_eq!(struck("srv_crash"), Struck::Backends);
-    assert_eq!(struck("config_race"), Struck::Orders);
-    assert_eq!(struck("solar_flare"), Struck::Other);
-    let leaves = |name: &str| kinds.kind(name).expect("listed").leaves.clone();
-    assert_eq!(leaves("roll_term"), Leaves::With("remove".to_owned()));
-    assert_eq!(leaves("srv_crash"), Leaves::With("gone".to_owned()));
-    assert_eq!(leaves("scale_in"), Leaves::Always);
-    assert_eq!(leaves("node_kill"), Leaves::Never);
-    assert_eq!(kinds.closings, ["power_off_all", "wipe_after_ack"]);
-    assert_eq!(kinds.closing_hows, ["timed", "taken"]);
+    let target = |name: &str| kinds.kind(name).expect("listed").target;
+    assert_eq!(target("disk_stall"), Target::Counted);
+    assert_eq!(target("after_ack_wipe"), Target::Counted);
+    assert_eq!(target("core_cut"), Target::Counted);
+    assert_eq!(target("roll_term"), Target::Machines);
+    assert_eq!(target("node_cut"), Target::Machines);
+    assert_eq!(target("srv_crash"), Target::Backends);
+    assert_eq!(target("config_race"), Target::Orders);
+    assert_eq!(target("solar_flare"), Target::Other);
+    let permanence = |name: &str| kinds.kind(name).expect("listed").permanence.clone();
+    assert_eq!(
+        permanence("roll_term"),
+        Permanence::With("remove".to_owned())
+    );
+    assert_eq!(permanence("srv_crash"), Permanence::With("gone".to_owned()));
+    assert_eq!(permanence("scale_in"), Permanence::Always);
+    assert_eq!(permanence("node_kill"), Permanence::Never);
+    assert_eq!(kinds.closing_kinds, ["power_off_all", "wipe_after_ack"]);
+    assert_eq!(kinds.closing_variants, ["timed", "taken"]);
     // Words that the head does not name are not used.
-    assert!(!kinds.words.contains("race") && !kinds.words.contains("reader"));
+    assert!(!kinds.modifiers.contains("race") && !kinds.modifiers.contains("reader"));
 }
 
 #[test]
-fn only_what_is_listed_comes_and_within_the_day() {
+fn entries_are_listed_kinds_within_the_scenario() {
     let kinds = Kinds::read(KINDS);
     let site = site();
-    let general: BTreeSet<&str> = WHICH
+    let general: BTreeSet<&str> = MACHINE_SELECTORS
         .iter()
-        .chain(&BESIDES)
-        .chain(&BACKENDS)
-        .chain(&CUTS)
-        .chain([&BUSY])
+        .chain(&MACHINE_MODIFIERS)
+        .chain(&BACKEND_SELECTORS)
+        .chain(&PARTITION_EFFECTS)
+        .chain([&MID_RESPONSE_STOP])
         .copied()
-        .filter(|word| kinds.words.contains(*word))
+        .filter(|word| kinds.modifiers.contains(*word))
         .collect();
-    for pile in PILES {
+    for pile in ALL_EMPHASES {
         for (name, day) in drawn(pile, 11, 40) {
             assert_eq!(text(&day, "name"), name);
             for list in ["plan", "faults"] {
@@ -175,11 +184,11 @@
                         .split(' ')
                         .filter(|word| !word.is_empty())
                     {
-                        let own = kind.hows.iter().any(|how| how == word);
+                        let own = kind.variants.iter().any(|how| how == word);
                         let seen = site
-                            .hows
+                            .variants
                             .get(&kind.name)
-                            .is_some_and(|hows| hows.contains(word));
+                            .is_some_and(|variants| variants.contains(word));
                         assert!(own || seen || general.contains(word), "{name}: {entry}");
                     }
                     let share = number(entry, "share").unwrap_or(0.5);
@@ -196,19 +205,21 @@
             }
             if let Some(closing) = day.get("closing").and_then(Value::as_table) {
                 assert!(kinds
-                    .closings
+                    .closing_kinds
                     .iter()
                     .any(|kind| kind == text(closing, "kind")));
                 let how = text(closing, "how");
                 let aimed = how == "aimed" && text(closing, "kind") == "wipe_after_ack";
-                assert!(how.is_empty() || aimed || kinds.closing_hows.iter().any(|one| one == how));
+                assert!(
+                    how.is_empty() || aimed || kinds.closing_variants.iter().any(|one| one == how)
+                );
             }
         }
     }
 }
 
 #[test]
-fn many_troubles_come_and_planned_work_is_planned() {
+fn faults_and_planned_changes_are_kept_apart() {
     let planned = [
         "config_change",
         "config_race",
@@ -217,7 +228,7 @@
         "scale_in",
     ];
     let mut seen = BTreeSet::new();
-    for (name, day) in drawn(Pile::Mixed, 3, 60) {
+    for (name, day) in drawn(Emphasis::Mixed, 3, 60) {
         let (plan, faults) = (entries(&day, "plan"), entries(&day, "faults"));
         assert!(
             (3..=40).contains(&plan.len()),
@@ -256,36 +267,44 @@
 }
 
 #[test]
-fn long_days_hold_hundreds_of_changes_and_control_strikes_the_core() {
-    for (name, day) in drawn(Pile::Long, 5, 10) {
+fn long_scenarios_have_hundreds_of_changes() {
+    for (name, day) in drawn(Emphasis::Long, 5, 10) {
         let changes = entries(&day, "plan")
             .iter()
             .filter(|entry| text(entry, "kind") == "config_change")
             .count();
         assert!(changes >= 120, "{name}: {changes} changes");
     }
-    let of_core = |pile: Pile| -> f64 {
+    let of_core = |pile: Emphasis| -> f64 {
         let (mut core, mut all) = (0, 0);
         for (_, day) in drawn(pile, 6, 60) {
             for entry in entries(&day, "faults") {
                 let kind = Kinds::read(KINDS)
                     .kind(text(entry, "kind"))
                     .expect("listed")
-                    .struck;
+                    .target;
                 all += 1;
-                core += u32::from(kind == Struck::Counted || text(entry, "on") == "core");
+                core += u32::from(kind == Target::Counted || text(entry, "on") == "core");
             }
         }
         f64::from(core) / f64::from(all)
     };
-    assert!(of_core(Pile::Control) > 0.6, "{}", of_core(Pile::Control));
-    assert!(of_core(Pile::Answers) < 0.2, "{}", of_core(Pile::Answers));
+    assert!(
+        of_core(Emphasis::Control) > 0.6,
+        "{}",
+        of_core(Emphasis::Control)
+    );
+    assert!(
+        of_core(Emphasis::Answers) < 0.2,
+        "{}",
+        of_core(Emphasis::Answers)
+    );
 }
 
 #[test]
-fn every_closing_comes_with_every_variant() {
+fn every_closing_kind_is_drawn_with_every_variant() {
     let mut seen = BTreeSet::new();
-    for (_, day) in drawn(Pile::Control, 8, 200) {
+    for (_, day) in drawn(Emphasis::Control, 8, 200) {
         match day.get("closing").and_then(Value::as_table) {
             Some(closing) => seen.insert(format!(
                 "{} {}",
@@ -311,8 +330,8 @@
 }
 
 #[test]
-fn half_of_the_doors_and_of_the_backends_stay() {
-    for pile in PILES {
+fn half_of_the_proxies_and_of_the_backends_remain() {
+    for pile in ALL_EMPHASES {
         for (name, day) in drawn(pile, 21, 60) {
             let (mut doors, mut backends) = (0.0, 0.0);
             for entry in entries(&day, "plan")
@@ -345,16 +364,16 @@
 }
 
 #[test]
-fn the_same_seed_draws_the_same_days() {
-    for pile in PILES {
+fn the_same_seed_gives_the_same_scenarios() {
+    for pile in ALL_EMPHASES {
         assert_eq!(drawn(pile, 42, 12), drawn(pile, 42, 12));
         assert_ne!(drawn(pile, 42, 12), drawn(pile, 43, 12));
     }
 }
 
 #[test]
-fn the_standard_days_lend_their_traffic_and_floors() {
-    for (name, day) in drawn(Pile::Mixed, 9, 20) {
+fn scenarios_keep_traffic_and_goal_of_the_site() {
+    for (name, day) in drawn(Emphasis::Mixed, 9, 20) {
         let base = site()
             .days
             .into_iter()
@@ -366,7 +385,7 @@
 }
 
 #[test]
-fn a_site_that_cannot_be_used_is_told() {
+fn an_unusable_site_is_rejected() {
     assert!(Site::read("name = 1").is_err());
     assert!(Site::read("name = \"a\"\nlength_s = 20.0")
         .expect_err("no day")
