--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! Puts the decisions of maplefall on the simulator's wire: frames on standard input and output.
+//! Connects the decision module of maplefall to the simulator: frames of events on standard input, of actions on standard output.
 //!
-//! One [`Gateway`] for each instance; this program translates and decides nothing.
+//! Each simulated instance has its own [`Gateway`]; this program only translates. An instance whose decision code panics is
+//! reported and removed, the others continue.
 
 #![forbid(unsafe_code)]
 
@@ -15,7 +16,7 @@
 use std::process::ExitCode;
 use std::sync::Mutex;
 
-/// Where and why the decision code last panicked.
+/// Message of the last panic in the decision code.
 static PANIC: Mutex<String> = Mutex::new(String::new());
 
 struct Instance {
@@ -52,14 +53,14 @@
             .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))?;
         let mut reply = Reply::default();
         let mut actions = Vec::new();
-        for (door, record) in records {
-            if let Err(text) = play(&mut instances, now, door, record, &mut actions) {
-                reply.broken(door, &text);
-                instances.remove(&door);
+        for (instance_id, record) in records {
+            if let Err(text) = dispatch(&mut instances, now, instance_id, record, &mut actions) {
+                reply.instance_failed(instance_id, &text);
+                instances.remove(&instance_id);
             }
             actions
                 .drain(..)
-                .for_each(|action| encode(&mut reply, door, action));
+                .for_each(|action| encode(&mut reply, instance_id, action));
         }
         output.write_all(&reply.into_frame())?;
         output.flush()?;
@@ -81,40 +82,43 @@
     }
 }
 
-/// Hands a record to its instance; an error is the text of a failure of that instance.
-fn play(
+/// Delivers a record to its instance. An error is the message of that instance's failure.
+fn dispatch(
     instances: &mut BTreeMap<u32, Instance>,
     now: Millis,
-    door: u32,
+    instance_id: u32,
     record: Record,
     actions: &mut Vec<Action>,
 ) -> Result<(), String> {
     match record {
-        Record::Create { seed, facts } => {
+        Record::Create {
+            seed,
+            settings_text,
+        } => {
             let Told {
                 settings, metrics, ..
-            } = settings::parse(&facts)?;
-            let gateway = guarded(|| Gateway::new(settings, seed))?;
-            instances.insert(door, Instance { gateway, metrics });
+            } = settings::parse(&settings_text)?;
+            let gateway = catch_panic(|| Gateway::new(settings, seed))?;
+            instances.insert(instance_id, Instance { gateway, metrics });
             Ok(())
         }
         Record::Retire => {
-            instances.remove(&door);
+            instances.remove(&instance_id);
             Ok(())
         }
         record => {
-            let Some(instance) = instances.get_mut(&door) else {
+            let Some(instance) = instances.get_mut(&instance_id) else {
                 return Ok(());
             };
             let Some(event) = event(record, &instance.metrics) else {
                 return Ok(());
             };
-            guarded(|| instance.gateway.handle(now, event, actions))
+            catch_panic(|| instance.gateway.handle(now, event, actions))
         }
     }
 }
 
-fn guarded<T>(call: impl FnOnce() -> T) -> Result<T, String> {
+fn catch_panic<T>(call: impl FnOnce() -> T) -> Result<T, String> {
     panic::catch_unwind(AssertUnwindSafe(call)).map_err(|_| {
         PANIC
             .lock()
@@ -124,18 +128,18 @@
 
 fn event(record: Record, metrics: &[Metric]) -> Option<Event> {
     Some(match record {
-        Record::Roster { kind, entries } => {
+        Record::BackendList { kind, backends } => {
             let kind = match kind {
                 0 => ListKind::Changes,
                 1 => ListKind::Full,
                 2 => ListKind::Cached,
                 _ => ListKind::Failed,
             };
-            Event::Backends(kind, entries.iter().map(backend_entry).collect())
+            Event::Backends(kind, backends.iter().map(backend_entry).collect())
         }
-        Record::Ingress {
+        Record::RequestArrived {
             id,
-            doors,
+            gateways,
             customer,
             deadline,
             plan,
@@ -150,39 +154,39 @@
             deadline,
             // The simulator plays no authentication service.
             checked: true,
-            spread: f64::from(doors),
+            spread: f64::from(gateways),
         }),
         Record::FirstByte { id } => Event::StreamStarted(RequestId(id)),
-        Record::Settled(o) => Event::Settled(Settled {
-            request: RequestId(o.id),
-            attempt: u32::from(o.attempt),
-            backend: BackendId(o.backend),
-            outcome: outcome(o.outcome),
-            elapsed: o.waited,
-            closed: o.closed,
-            use_of_quota: (o.used > 0).then(|| f64::from(o.used - 1) / 100.0),
-            true_units: (o.actual > 0).then(|| f64::from(o.actual)),
+        Record::AttemptEnded(ended) => Event::Settled(Settled {
+            request: RequestId(ended.id),
+            attempt: u32::from(ended.attempt),
+            backend: BackendId(ended.backend),
+            outcome: outcome(ended.outcome),
+            elapsed: ended.elapsed_ms,
+            closed: ended.connection_closed,
+            use_of_quota: (ended.quota_use > 0).then(|| f64::from(ended.quota_use - 1) / 100.0),
+            true_units: (ended.true_units > 0).then(|| f64::from(ended.true_units)),
             broken: 0,
-            report: settings::report(metrics, &o.stats),
+            report: settings::report(metrics, &ended.stats),
         }),
-        Record::ClientGone { id } => Event::ClientGone(RequestId(id)),
-        Record::Alarm { name } => Event::Alarm(AlarmId(name)),
-        Record::Probed {
-            waited,
+        Record::ClientDisconnected { id } => Event::ClientGone(RequestId(id)),
+        Record::TimerFired { timer_id } => Event::Alarm(AlarmId(timer_id)),
+        Record::ProbeEnded {
+            elapsed_ms,
             backend,
-            outcome: how,
+            outcome: code,
             stats,
         } => Event::Probed {
             backend: BackendId(backend),
-            outcome: outcome(how),
-            elapsed: waited,
+            outcome: outcome(code),
+            elapsed: elapsed_ms,
             report: settings::report(metrics, &stats),
         },
         Record::Create { .. } | Record::Retire | Record::Unused => return None,
     })
 }
 
-fn backend_entry(entry: &codec::Entry) -> BackendEntry {
+fn backend_entry(entry: &codec::ListedBackend) -> BackendEntry {
     BackendEntry {
         id: BackendId(entry.backend),
         zone: ZoneId(u32::from(entry.zone)),
@@ -192,7 +196,7 @@
             1 => Availability::Draining,
             _ => Availability::Gone,
         },
-        started: (entry.came_up != 0.0).then_some(entry.came_up),
+        started: (entry.started_at != 0.0).then_some(entry.started_at),
         size: f64::from(entry.size),
     }
 }
@@ -210,7 +214,7 @@
     }
 }
 
-fn encode(reply: &mut Reply, door: u32, action: Action) {
+fn encode(reply: &mut Reply, instance_id: u32, action: Action) {
     match action {
         Action::Send {
             request,
@@ -218,23 +222,27 @@
             limit,
             ..
         } => {
-            reply.send(door, request.0, backend.0, limit.unwrap_or(0.0));
+            reply.send(instance_id, request.0, backend.0, limit.unwrap_or(0.0));
         }
         Action::Refuse {
             request,
             retry_after,
             ..
-        } => reply.refuse(door, request.0, retry_after.unwrap_or(0.0)),
-        Action::Fail(request) => reply.fail(door, request.0),
+        } => reply.reject(instance_id, request.0, retry_after.unwrap_or(0.0)),
+        Action::Fail(request) => reply.fail(instance_id, request.0),
         Action::Check(_) => {}
         Action::CallOff { request, attempt } => {
-            reply.call_off(door, request.0, attempt.min(u32::from(u16::MAX)) as u16);
+            reply.cancel(
+                instance_id,
+                request.0,
+                attempt.min(u32::from(u16::MAX)) as u16,
+            );
         }
-        Action::SetAlarm { at, alarm } => reply.set_alarm(door, at, alarm.0),
-        Action::Probe(backend) => reply.probe(door, backend.0),
-        Action::CloseIdle(backend) => reply.close_idle(door, backend.0),
-        Action::Subscribe => reply.subscribe(door),
-        Action::FetchList => reply.fetch_list(door),
-        Action::Log(text) => reply.log(door, &text),
+        Action::SetAlarm { at, alarm } => reply.set_timer(instance_id, at, alarm.0),
+        Action::Probe(backend) => reply.probe(instance_id, backend.0),
+        Action::CloseIdle(backend) => reply.close_idle(instance_id, backend.0),
+        Action::Subscribe => reply.subscribe(instance_id),
+        Action::FetchList => reply.fetch_list(instance_id),
+        Action::Log(text) => reply.log(instance_id, &text),
     }
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -30,19 +30,19 @@
         .collect()
 }
 
-fn record(code: u16, door: u32, fields: &[&[u8]]) -> Vec<u8> {
+fn record(code: u16, instance: u32, fields: &[&[u8]]) -> Vec<u8> {
     [
         &code.to_le_bytes()[..],
-        &door.to_le_bytes()[..],
+        &instance.to_le_bytes()[..],
         &fields.concat(),
     ]
     .concat()
 }
 
-fn create(door: u32, facts: &str) -> Vec<u8> {
+fn create(instance: u32, facts: &str) -> Vec<u8> {
     record(
         256,
-        door,
+        instance,
         &[
             &7u64.to_le_bytes(),
             &(facts.len() as u32).to_le_bytes(),
@@ -51,7 +51,7 @@
     )
 }
 
-fn cached_list(door: u32) -> Vec<u8> {
+fn cached_list(instance: u32) -> Vec<u8> {
     let line = [
         &[0u8][..],
         &0f64.to_le_bytes(),
@@ -62,18 +62,18 @@
     .concat();
     record(
         257,
-        door,
+        instance,
         &[&[2], &1u32.to_le_bytes(), &1u32.to_le_bytes(), &line],
     )
 }
 
-fn ingress(door: u32, id: u32) -> Vec<u8> {
+fn ingress(instance: u32, id: u32) -> Vec<u8> {
     let (one, zero) = (1f32.to_le_bytes(), 0f32.to_le_bytes());
     let deadline = 5000f64.to_le_bytes();
     let plan = 0u32.to_le_bytes();
     record(
         258,
-        door,
+        instance,
         &[
             &id.to_le_bytes(),
             &one,
@@ -132,7 +132,7 @@
         sent[2..14],
         [3u32.to_le_bytes(), 77u32.to_le_bytes(), 9u32.to_le_bytes()].concat()
     );
-    // The same instance, dead and born again in one batch, knows nothing of request 77.
+    // The same instance, retired and created again in one batch, knows nothing of request 77.
     let again = [
         record(265, 3, &[]),
         create(3, FACTS),
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_read_are_told_as_broken() {
+fn invalid_settings_are_reported_as_instance_failure() {
     let mut child = start();
     say(&mut child, &frame(1.0, &[create(3, "tick=soon")]));
     let (count, body) = reply(&mut child);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_frame_that_ends_early_or_makes_no_sense_ends_the_adapter_with_a_plain_line() {
+fn a_truncated_or_malformed_frame_ends_the_adapter_with_an_error() {
     let cases: [(Vec<u8>, &str); 3] = [
         (vec![40, 0, 0, 0, 1, 2], "truncated frame"),
         (
