--- a/crates/invariants/src/credentials.rs
+++ b/crates/invariants/src/credentials.rs
@@ -42,38 +42,42 @@
     let rules = index.trace.header.rules;
     // First request of each customer: a decision may be cached only for one that asked before the revocation.
     let mut first_asked: BTreeMap<u64, Millis> = BTreeMap::new();
-    for one in &index.requests {
-        let first = first_asked.entry(one.customer).or_insert(one.sent_at);
-        *first = first.min(one.sent_at);
-        let from = denied.get(&one.customer);
-        let may_not = from.is_some_and(|(from, _)| *from <= one.sent_at);
+    for request in &index.requests {
+        let first = first_asked
+            .entry(request.customer)
+            .or_insert(request.sent_at);
+        *first = first.min(request.sent_at);
+        let from = denied.get(&request.customer);
+        let may_not = from.is_some_and(|(from, _)| *from <= request.sent_at);
         result.tested += u64::from(may_not);
-        match (one.response, from) {
+        match (request.response, from) {
             (Some(answer), None) if matches!(answer.status, 401 | 403) => {
                 let text = format!(
                     "customer {:x} passes and was denied with {}",
-                    one.customer, answer.status
+                    request.customer, answer.status
                 );
-                result.record_violation(answer.at, one.id, &[one.line, answer.line], text);
+                result.record_violation(answer.at, request.id, &[request.line, answer.line], text);
             }
             _ => {}
         }
     }
     for attempt in index.attempts.iter().filter(|attempt| attempt.complete) {
-        let Some(one) = index.request(attempt.id) else {
+        let Some(request) = index.request(attempt.id) else {
             continue;
         };
-        let Some((from, line)) = denied.get(&one.customer) else {
+        let Some((from, line)) = denied.get(&request.customer) else {
             continue;
         };
-        if index.class(one).is_some_and(|class| class.auth_optional)
+        if index
+            .class(request)
+            .is_some_and(|class| class.auth_optional)
             || attempt.first_byte_at < *from
         {
             continue;
         }
         // No decision is cached for a customer that never passed.
         let known = first_asked
-            .get(&one.customer)
+            .get(&request.customer)
             .is_some_and(|first| first < from);
         let kept = if known {
             rules.revocation_grace_ms
@@ -87,12 +91,12 @@
         if left < 0.0 || kept == 0.0 {
             let text = format!(
                 "customer {:x} does not pass since {from:.1} ms, and was sent on to node {} at {:.1} ms",
-                one.customer, attempt.node, attempt.first_byte_at
+                request.customer, attempt.node, attempt.first_byte_at
             );
             result.record_violation(
                 attempt.first_byte_at,
-                one.id,
-                &[*line, one.line, attempt.line],
+                request.id,
+                &[*line, request.line, attempt.line],
                 text,
             );
         }
--- a/crates/invariants/src/metrics.rs
+++ b/crates/invariants/src/metrics.rs
@@ -128,9 +128,11 @@
             _ => {}
         }
     }
-    for one in &index.requests {
-        match one.failure {
-            Some((_, FailureReason::Closed, _)) if index.attempts_of(one.id).next().is_none() => {
+    for request in &index.requests {
+        match request.failure {
+            Some((_, FailureReason::Closed, _))
+                if index.attempts_of(request.id).next().is_none() =>
+            {
                 figures.closed_before_forwarding += 1;
             }
             Some((
@@ -148,12 +150,12 @@
         .iter()
         .filter(|(_, _, _, neglected, _)| *neglected)
         .count() as u64;
-    let whole = index
+    let complete = index
         .attempts
         .iter()
         .filter(|attempt| attempt.complete)
         .count();
-    figures.attempts_per_forwarded = whole as f64 / index.complete_by_id.len().max(1) as f64;
+    figures.attempts_per_forwarded = complete as f64 / index.complete_by_id.len().max(1) as f64;
     figures.cpu_us_per_request = cpu * 1000.0 / figures.client_requests.max(1) as f64;
     measure_value_and_latency(index, &mut figures);
     figures
@@ -162,14 +164,17 @@
 /// Value and latency; a client's retries belong to the original request.
 fn measure_value_and_latency(index: &TraceIndex<'_>, figures: &mut Metrics) {
     let mut items: BTreeMap<u64, Vec<&ClientRequest<'_>>> = BTreeMap::new();
-    for one in &index.requests {
-        items.entry(one.original_request).or_default().push(one);
+    for request in &index.requests {
+        items
+            .entry(request.original_request)
+            .or_default()
+            .push(request);
     }
     figures.requests = items.len() as u64;
     let mut order: Vec<&Vec<&ClientRequest<'_>>> = items.values().collect();
     order.sort_by(|a, b| a[0].sent_at.total_cmp(&b[0].sent_at));
     let mut stores: BTreeMap<u64, (f64, Millis)> = BTreeMap::new();
-    let mut worth: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
+    let mut value: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     let denied = crate::credentials::denied_customers(index);
     // Three significant digits are enough, and the table stays small.
     let mut times = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).ok();
@@ -180,7 +185,7 @@
         };
         let served = tries
             .iter()
-            .filter_map(|one| one.response)
+            .filter_map(|request| request.response)
             .find(|answer| answer.status == 200);
         let took = served.map(|answer| answer.at - first.sent_at);
         if let (Some(took), Some(times)) = (took, &mut times) {
@@ -209,15 +214,15 @@
             Some(_) => full * class.late_value_factor,
             None => 0.0,
         };
-        let sums = worth.entry(first.plan).or_default();
+        let sums = value.entry(first.plan).or_default();
         (sums.0, sums.1) = (sums.0 + got, sums.1 + full);
     }
-    let sum = worth
+    let sum = value
         .values()
-        .fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+        .fold((0.0, 0.0), |sum, plan| (sum.0 + plan.0, sum.1 + plan.1));
     let share = |(got, full): (f64, f64)| if full > 0.0 { got / full } else { 0.0 };
     figures.value_share = share(sum);
-    for (plan, sums) in worth {
+    for (plan, sums) in value {
         figures
             .value_by_plan
             .insert(index.trace.header.plans[plan].name.clone(), share(sums));
--- a/crates/invariants/src/token_buckets.rs
+++ b/crates/invariants/src/token_buckets.rs
@@ -39,10 +39,10 @@
             .attempts_of(attempt.id)
             .next()
             .is_some_and(|first| first.number == attempt.number);
-        let Some(one) = index.request(attempt.id).filter(|_| first) else {
+        let Some(request) = index.request(attempt.id).filter(|_| first) else {
             continue;
         };
-        let Some(gives) = index.plan(one).and_then(&gives) else {
+        let Some(gives) = index.plan(request).and_then(&gives) else {
             continue;
         };
         let fresh = || TokenBucket {
@@ -50,9 +50,9 @@
             updated_at: attempt.received_at,
             tested: false,
         };
-        let store = stores.entry(one.customer).or_insert_with(fresh);
+        let store = stores.entry(request.customer).or_insert_with(fresh);
         let gained = gives.rate * (attempt.received_at - store.updated_at) / 1000.0;
-        store.level = (store.level + gained).min(gives.burst) - one.units;
+        store.level = (store.level + gained).min(gives.burst) - request.units;
         store.updated_at = attempt.received_at;
         if store.level < (1.0 - EXERCISED_FRACTION) * gives.burst && !store.tested {
             store.tested = true;
@@ -62,9 +62,14 @@
         if store.level < -gives.allowed_overdraft {
             let text = format!(
                 "customer {:x}: the {name}'s store fell to {:.1} units; {:.1} below nought are allowed",
-                one.customer, store.level, gives.allowed_overdraft
+                request.customer, store.level, gives.allowed_overdraft
+            );
+            result.record_violation(
+                attempt.received_at,
+                request.id,
+                &[request.line, attempt.line],
+                text,
             );
-            result.record_violation(attempt.received_at, one.id, &[one.line, attempt.line], text);
         }
     }
     result.finish()
--- a/crates/invariants/src/trace_index.rs
+++ b/crates/invariants/src/trace_index.rs
@@ -240,37 +240,63 @@
         &mut self,
         line: usize,
         at: Millis,
-        entry: &'r EventKind,
-        numbers: &mut BTreeMap<u64, usize>,
+        event: &'r EventKind,
+        positions: &mut BTreeMap<u64, usize>,
     ) {
-        match entry {
+        match event {
+            EventKind::RequestSent { .. }
+            | EventKind::ResponseReceived { .. }
+            | EventKind::RequestFailed { .. }
+            | EventKind::UnexpectedBytes { .. }
+            | EventKind::MalformedClient { .. } => self.index_client_event(line, at, event),
+            EventKind::AttemptReceived { .. }
+            | EventKind::EffectApplied { .. }
+            | EventKind::AttemptEnded { .. } => {
+                self.index_attempt_event(line, at, event, positions);
+            }
+            EventKind::Node { node, state } => self.index_node(line, at, *node, *state),
+            EventKind::NodeUpdate { .. } | EventKind::NodeUpdateDue { .. } => {
+                self.index_notification(line, at, event);
+            }
+            EventKind::Committed { node, health } => self.committed.push((at, *node, *health)),
+            EventKind::Proxy { proxy, state } => self.proxy_states.push((at, *proxy, *state, line)),
+            EventKind::Fault { .. }
+            | EventKind::Credential { .. }
+            | EventKind::ResourceUsage { .. }
+            | EventKind::Lateness { .. } => {}
+        }
+    }
+
+    /// What clients sent and received.
+    fn index_client_event(&mut self, line: usize, at: Millis, event: &'r EventKind) {
+        match event {
             EventKind::RequestSent {
                 id,
-                original_request: item,
+                original_request,
                 retry,
-                proxy: door,
-                connection: link,
+                proxy,
+                connection,
                 customer,
                 plan,
                 class,
                 units,
                 deadline,
-                fingerprint: form,
+                fingerprint,
             } => {
                 self.by_id.entry(id).or_default().push(self.requests.len());
                 self.requests.push(ClientRequest {
                     id,
-                    original_request: *item,
+                    original_request: *original_request,
                     retry: *retry,
-                    proxy: *door,
-                    connection: *link,
+                    proxy: *proxy,
+                    connection: *connection,
                     customer: *customer,
                     plan: *plan,
                     class: *class,
                     units: *units,
                     sent_at: at,
                     deadline: *deadline,
-                    fingerprint: *form,
+                    fingerprint: *fingerprint,
                     line,
                     response: None,
                     failure: None,
@@ -278,13 +304,13 @@
             }
             EventKind::ResponseReceived {
                 id,
-                connection: link,
+                connection,
                 status,
                 attempt,
                 ..
             } => {
-                if let Some(of) = self.request_on(id, *link) {
-                    of.response = Some(Response {
+                if let Some(request) = self.request_on(id, *connection) {
+                    request.response = Some(Response {
                         at,
                         status: *status,
                         attempt: *attempt,
@@ -294,30 +320,51 @@
             }
             EventKind::RequestFailed {
                 id,
-                connection: link,
-                reason: why,
+                connection,
+                reason,
                 ..
             } => {
-                if let Some(of) = self.request_on(id, *link) {
-                    of.failure = Some((at, *why, line));
+                if let Some(request) = self.request_on(id, *connection) {
+                    request.failure = Some((at, *reason, line));
                 }
             }
-            EventKind::UnexpectedBytes {
-                proxy: door, id, ..
-            } => self.unexpected_bytes.push((at, *door, id, line)),
+            EventKind::UnexpectedBytes { proxy, id, .. } => {
+                self.unexpected_bytes.push((at, *proxy, id, line))
+            }
+            EventKind::MalformedClient {
+                kind,
+                status,
+                neglected,
+            } => {
+                self.malformed_clients
+                    .push((at, kind, *status, *neglected, line));
+            }
+            _ => {}
+        }
+    }
+
+    /// What nodes received; `positions` has the positions in `attempts` by number.
+    fn index_attempt_event(
+        &mut self,
+        line: usize,
+        at: Millis,
+        event: &'r EventKind,
+        positions: &mut BTreeMap<u64, usize>,
+    ) {
+        match event {
             EventKind::AttemptReceived {
                 attempt,
                 node,
-                proxy: door,
+                proxy,
                 id,
-                fingerprint: form,
-                first_byte_at: first,
-                complete: whole,
+                fingerprint,
+                first_byte_at,
+                complete,
                 work,
                 ..
             } => {
-                numbers.insert(*attempt, self.attempts.len());
-                if *whole {
+                positions.insert(*attempt, self.attempts.len());
+                if *complete {
                     self.complete_by_id
                         .entry(id)
                         .or_default()
@@ -326,12 +373,12 @@
                 self.attempts.push(Attempt {
                     number: *attempt,
                     node: *node,
-                    proxy: *door,
+                    proxy: *proxy,
                     id,
-                    fingerprint: *form,
-                    first_byte_at: *first,
+                    fingerprint: *fingerprint,
+                    first_byte_at: *first_byte_at,
                     received_at: at,
-                    complete: *whole,
+                    complete: *complete,
                     work: *work,
                     line,
                     end: None,
@@ -339,41 +386,47 @@
                 });
             }
             EventKind::EffectApplied { attempt } => {
-                if let Some(place) = numbers.get(attempt) {
-                    self.attempts[*place].effects.push((at, line));
+                if let Some(position) = positions.get(attempt) {
+                    self.attempts[*position].effects.push((at, line));
                 }
             }
             EventKind::AttemptEnded { attempt, end } => {
-                if let Some(place) = numbers.get(attempt) {
-                    self.attempts[*place].end.get_or_insert((at, *end, line));
+                if let Some(position) = positions.get(attempt) {
+                    self.attempts[*position].end.get_or_insert((at, *end, line));
                 }
             }
-            EventKind::Node { node, state } => self.index_node(line, at, *node, *state),
+            _ => {}
+        }
+    }
+
+    /// What proxies were notified of, or count as notified of.
+    fn index_notification(&mut self, line: usize, at: Millis, event: &'r EventKind) {
+        match event {
             EventKind::NodeUpdate {
-                proxy: door,
+                proxy,
                 node,
                 health,
-                started_at: born,
+                started_at,
                 source,
                 version,
             } => self.updates.push(NodeUpdate {
                 at,
-                proxy: *door,
+                proxy: *proxy,
                 node: *node,
                 health: *health,
-                started_at: *born,
+                started_at: *started_at,
                 source: *source,
                 version: *version,
                 line,
             }),
             EventKind::NodeUpdateDue {
-                proxy: door,
+                proxy,
                 node,
                 health,
                 version,
             } => self.updates_due.push(NodeUpdate {
                 at: at + self.trace.header.rules.notification_timeout_ms,
-                proxy: *door,
+                proxy: *proxy,
                 node: *node,
                 health: *health,
                 started_at: None,
@@ -381,22 +434,7 @@
                 version: *version,
                 line,
             }),
-            EventKind::Committed { node, health } => self.committed.push((at, *node, *health)),
-            EventKind::Proxy { proxy: door, state } => {
-                self.proxy_states.push((at, *door, *state, line))
-            }
-            EventKind::MalformedClient {
-                kind,
-                status,
-                neglected,
-            } => {
-                self.malformed_clients
-                    .push((at, kind, *status, *neglected, line));
-            }
-            EventKind::Fault { .. }
-            | EventKind::Credential { .. }
-            | EventKind::ResourceUsage { .. }
-            | EventKind::Lateness { .. } => {}
+            _ => {}
         }
     }
 
