--- a/crates/event-trace/tests/trace.rs
+++ b/crates/event-trace/tests/trace.rs
@@ -117,6 +117,19 @@
 {"at":43.5,"what":"door","door":1,"state":"ended","code":null}
 {"at":44.5,"what":"used","door":1,"cpu_ms":240.0,"memory_kib":14484}
 {"at":45.5,"what":"lateness","actions":1060,"p50_ms":1.25,"p99_ms":5.375,"most_ms":13.75}
+{"at":46.5,"what":"surplus","door":0,"link":1,"id":"0e15"}
+{"at":47.5,"what":"rude","kind":"half a head","status":null,"neglected":true}
+{"at":48.5,"what":"credential","customer":7,"passes":false}
+{"at":49.5,"what":"node","node":1,"state":"fell"}
+{"at":50.5,"what":"over","attempt":2,"end":"spoilt"}
+{"at":51.5,"what":"over","attempt":3,"end":"reset"}
+{"at":52.5,"what":"over","attempt":4,"end":"error"}
+{"at":53.5,"what":"unanswered","id":"1a75","door":1,"link":19,"why":"cut"}
+{"at":54.5,"what":"unanswered","id":"1a75","door":1,"link":19,"why":"silent"}
+{"at":55.5,"what":"door","door":1,"state":"killed"}
+{"at":56.5,"what":"door","door":1,"state":"terminated"}
+{"at":57.5,"what":"door","door":1,"state":"reloaded"}
+{"at":58.5,"what":"door","door":1,"state":"ready"}
 "#;
 
 /// The header that goes with them.
@@ -127,6 +140,6 @@
 fn a_trace_of_version_1_is_read_and_written_byte_for_byte() {
     let text = format!("{HEADER_OF_VERSION_1}\n{EVENTS_OF_VERSION_1}");
     let trace = Trace::from_text(&text).unwrap();
-    assert_eq!(trace.events.len(), 20);
+    assert_eq!(trace.events.len(), 33);
     assert_eq!(trace.to_text().unwrap(), text);
 }
--- a/crates/invariants/src/rule_result.rs
+++ b/crates/invariants/src/rule_result.rs
@@ -36,6 +36,7 @@
     /// Time in the trace.
     pub at: Millis,
     /// The trace lines that prove it; the header is line 1.
+    #[serde(rename = "lines")]
     pub trace_lines: Vec<usize>,
 }
 
