--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,110 +1,114 @@
-//! The judge of a rehearsal: reads one ordered record and decides rule by rule whether it was kept, broken, or never put
-//! to the test. No I/O, no clock: a record that was kept can be judged again at any time.
+//! Checks the platform's rules on the trace of a test run. For each rule it returns whether it was kept, violated or not
+//! exercised. No I/O and no clock: the same trace always gives the same result.
 //!
-//! The rules are those of the platform's pages (BRIEF "The five rules", WIRE "Invariants", PROTOCOL "The rules on
-//! sockets"), each in a file: [`answers`], [`repeats`], [`drains`], [`cold`], [`ceilings`]; and where callers are checked a
-//! sixth, [`callers`]; where front doors share counts a seventh, [`quotas`].
+//! The rules come from the platform's pages (BRIEF "The five rules", WIRE "Invariants", PROTOCOL "The rules on sockets"):
+//! 1 [`responses`], 2 [`retries`], 3 [`drains`], 4 [`warm_up`], 5 [`rate_limits`]; where callers are authenticated
+//! 6 [`credentials`]; where proxies share counts 7 [`quotas`].
 
-pub mod answers;
-pub mod callers;
-pub mod ceilings;
-pub mod cold;
+pub mod credentials;
 pub mod drain_times;
 pub mod drains;
-pub mod figures;
+pub mod metrics;
 pub mod quotas;
-pub mod repeats;
-mod ruling;
-mod stores;
-pub mod view;
+pub mod rate_limits;
+pub mod responses;
+pub mod retries;
+mod rule_result;
+mod token_buckets;
+pub mod trace_index;
+pub mod warm_up;
 
-pub use ruling::{Finding, Ruling, Verdict, BLUR, MOST_FINDINGS, STRETCH};
+pub use rule_result::{
+    RuleResult, Verdict, Violation, MARGIN_INTERVAL, MAX_VIOLATIONS, ORDERING_TOLERANCE,
+};
 
-use figures::Figures;
-use maplefall_event_trace::{Entry, Millis, Record};
+use maplefall_event_trace::{EventKind, Millis, Trace};
+use metrics::Metrics;
 use serde::Serialize;
-use view::View;
+use trace_index::TraceIndex;
 
-/// Lateness of the stand-ins beyond which a run says nothing of the front doors.
-pub const MOST_LATE_P99: Millis = 15.0;
-/// Lateness of a single action beyond which it does not either.
-pub const MOST_LATE: Millis = 250.0;
+/// Maximum lateness of the test servers at the 99th percentile; beyond it a run is invalid.
+pub const MAX_LATENESS_P99: Millis = 15.0;
+/// Maximum lateness of a single action; beyond it a run is invalid.
+pub const MAX_LATENESS: Millis = 250.0;
 
-/// All that the judge says of a record.
+/// The result of all rules on a trace, with its metrics.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Judgement {
+pub struct Evaluation {
     /// Name of the scenario.
     pub scenario: String,
     /// Its seed.
     pub seed: u64,
-    /// Why the run says nothing of the front doors, if it does not.
-    pub void: Option<String>,
-    /// The rules.
-    pub rules: Vec<Ruling>,
-    /// What else was measured.
-    pub figures: Figures,
+    /// Why the run proves nothing about the proxies; `None` if it is valid.
+    #[serde(rename = "void")]
+    pub invalid_reason: Option<String>,
+    /// The results of the rules, in order of their numbers.
+    pub rules: Vec<RuleResult>,
+    /// Metrics of the run.
+    #[serde(rename = "figures")]
+    pub metrics: Metrics,
 }
 
-impl Judgement {
-    /// Whether any rule was broken.
-    pub fn broken(&self) -> bool {
+impl Evaluation {
+    /// Whether any rule was violated.
+    pub fn has_violations(&self) -> bool {
         self.rules
             .iter()
-            .any(|ruling| ruling.verdict == Verdict::Broken)
+            .any(|result| result.verdict == Verdict::Violated)
     }
 
-    /// Of these rules, those that the run never put to the test.
-    pub fn untested(&self, rules: &[u32]) -> Vec<u32> {
-        let untested = self
+    /// Those of the given rules that the run did not exercise.
+    pub fn not_exercised(&self, rules: &[u32]) -> Vec<u32> {
+        let not_exercised = self
             .rules
             .iter()
-            .filter(|ruling| ruling.verdict == Verdict::NotExercised);
-        untested
-            .map(|ruling| ruling.rule)
+            .filter(|result| result.verdict == Verdict::NotExercised);
+        not_exercised
+            .map(|result| result.rule)
             .filter(|rule| rules.contains(rule))
             .collect()
     }
 }
 
-/// Judges a record.
-pub fn judge(record: &Record) -> Judgement {
-    let view = View::new(record);
-    Judgement {
+/// Checks all rules on a trace.
+pub fn evaluate(record: &Trace) -> Evaluation {
+    let index = TraceIndex::new(record);
+    Evaluation {
         scenario: record.header.scenario.clone(),
         seed: record.header.seed,
-        void: void(record),
+        invalid_reason: invalid_reason(record),
         rules: vec![
-            answers::judge(&view),
-            repeats::judge(&view),
-            drains::judge(&view),
-            cold::judge(&view),
-            ceilings::judge(&view),
-            callers::judge(&view),
-            quotas::judge(&view),
+            responses::check(&index),
+            retries::check(&index),
+            drains::check(&index),
+            warm_up::check(&index),
+            rate_limits::check(&index),
+            credentials::check(&index),
+            quotas::check(&index),
         ],
-        figures: figures::count(&view),
+        metrics: metrics::measure(&index),
     }
 }
 
-/// Why a run says nothing: its stand-ins were late, or did not say how late.
-fn void(record: &Record) -> Option<String> {
-    let told = record.lines.iter().rev().find_map(|line| match line.entry {
-        Entry::Lateness {
+/// Why a run is invalid: the test servers were late, or did not report how late.
+fn invalid_reason(record: &Trace) -> Option<String> {
+    let lateness = record.events.iter().rev().find_map(|line| match line.kind {
+        EventKind::Lateness {
             actions,
             p99_ms,
-            most_ms,
+            max_ms: most_ms,
             ..
         } => Some((actions, p99_ms, most_ms)),
         _ => None,
     });
-    match told {
+    match lateness {
         None => Some("the record does not tell how late the stand-ins were".to_owned()),
         Some((0, _, _)) => Some("the stand-ins did nothing".to_owned()),
-        Some((_, p99, _)) if p99 > MOST_LATE_P99 => Some(format!(
-            "the stand-ins were late: {p99:.1} ms at the 99th percentile, {MOST_LATE_P99} ms at most"
+        Some((_, p99, _)) if p99 > MAX_LATENESS_P99 => Some(format!(
+            "the stand-ins were late: {p99:.1} ms at the 99th percentile, {MAX_LATENESS_P99} ms at most"
         )),
-        Some((_, _, most)) if most > MOST_LATE => {
-            Some(format!("the stand-ins were late once by {most:.0} ms, {MOST_LATE} ms at most"))
+        Some((_, _, most)) if most > MAX_LATENESS => {
+            Some(format!("the stand-ins were late once by {most:.0} ms, {MAX_LATENESS} ms at most"))
         }
         Some(_) => None,
     }
