--- a/crates/gateway-config/src/state.rs
+++ b/crates/gateway-config/src/state.rs
@@ -62,7 +62,7 @@
         ConfigState::restore(items, VersionHistory::default())
     }
 
-    /// The state of a snapshot: [`items`](ConfigState::items) and [`taken`](ConfigState::taken).
+    /// The state of a snapshot: [`items`](ConfigState::items) and [`version_history`](ConfigState::version_history).
     pub fn restore(items: Vec<Item>, version_history: VersionHistory) -> ConfigState {
         let mut state = ConfigState::default();
         for item in items {
--- a/crates/raft/src/raft/config.rs
+++ b/crates/raft/src/raft/config.rs
@@ -25,7 +25,7 @@
 /// What the caller has to do after an input.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// Updates to write to disk in this order, each with its number. [`Raft::written`](super::Raft::written) with a
+    /// Updates to write to disk in this order, each with its number. [`Raft::persisted`](super::Raft::persisted) with a
     /// number confirms all up to it.
     pub writes: Vec<(u64, PersistentUpdate)>,
     /// Messages to send, each with its receiver's name; an empty name means every known node.
