--- a/crates/controller/src/net/controller.rs
+++ b/crates/controller/src/net/controller.rs
@@ -2,6 +2,7 @@
 
 use super::disk_thread::DiskWriter;
 use super::internal_connections::Remote;
+use super::load::{CallName, InputKind, Load, Outcome};
 use crate::core::{Call, CallResponse, Core, Millis, Output};
 use crate::store::{StoreRecord, StoredState};
 use bytes::Bytes;
@@ -34,6 +35,7 @@
     pub(super) fence: RefCell<ConnectionFence<Remote>>,
     calls: RefCell<HashMap<u64, oneshot::Sender<CallResponse>>>,
     last_call: Cell<u64>,
+    load: RefCell<Load>,
     disk: DiskWriter,
 }
 
@@ -68,6 +70,7 @@
             fence: RefCell::default(),
             calls: RefCell::default(),
             last_call: Cell::new(0),
+            load: RefCell::new(Load::new(Instant::now())),
             disk,
         });
         controller.carry_out(out);
@@ -83,11 +86,25 @@
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Gives the core an input, and carries out what it returns.
-    pub(super) fn drive(self: &Rc<Self>, input: impl FnOnce(&mut Core, Millis, &mut Vec<Output>)) {
+    /// Gives the core an input of this kind, and carries out what it returns.
+    pub(super) fn drive(
+        self: &Rc<Self>,
+        kind: InputKind,
+        input: impl FnOnce(&mut Core, Millis, &mut Vec<Output>),
+    ) {
+        let from = Instant::now();
         let mut out = Vec::new();
         input(&mut self.core.borrow_mut(), self.now(), &mut out);
         self.carry_out(out);
+        self.load.borrow_mut().handled(kind, from, Instant::now());
+    }
+
+    /// Lets time pass.
+    pub(super) fn tick(self: &Rc<Self>) {
+        self.drive(InputKind::Tick, |core, now, out| core.tick(now, out));
+        if let Some(line) = self.load.borrow_mut().tick(Instant::now()) {
+            log::info!("{line}");
+        }
     }
 
     /// Looks at the core, without an input.
@@ -143,23 +160,39 @@
         let number = self.last_call.get() + 1;
         self.last_call.set(number);
         self.calls.borrow_mut().insert(number, sender);
-        let _registration = CallRegistration {
+        let mut registration = CallRegistration {
             controller: self,
             number,
+            received_at: Instant::now(),
+            name: CallName::new(&call),
         };
-        self.drive(|core, now, out| core.call(now, number, call, out));
-        receiver.await.unwrap_or(CallResponse::Unavailable)
+        let kind = InputKind::of_call(&call);
+        self.drive(kind, |core, now, out| core.call(now, number, call, out));
+        let response = receiver.await.unwrap_or(CallResponse::Unavailable);
+        registration.name.outcome = Outcome::of(&response);
+        response
     }
 }
 
-/// Forgets a call where its caller has gone: the future that waits for the response is dropped then.
+/// Forgets a call once it has ended, also where its caller has gone: the future that waits for the response is dropped then.
 struct CallRegistration<'a> {
     controller: &'a Controller,
     number: u64,
+    received_at: Instant,
+    name: CallName,
 }
 
 impl Drop for CallRegistration<'_> {
     fn drop(&mut self) {
         self.controller.calls.borrow_mut().remove(&self.number);
+        let duration = self.received_at.elapsed();
+        let slow = self
+            .controller
+            .load
+            .borrow_mut()
+            .call_ended(&self.name, duration);
+        if let Some(line) = slow {
+            log::info!("{line}");
+        }
     }
 }
--- a/crates/controller/src/net/internal_connections.rs
+++ b/crates/controller/src/net/internal_connections.rs
@@ -1,6 +1,7 @@
 //! Connections that proxies and other controllers open to this one.
 
 use super::controller::Controller;
+use super::load::InputKind;
 use super::ACCEPT_RETRY_INTERVAL;
 use bytes::Bytes;
 use maplefall_control_messages::{Frame, Hello, PROTOCOL_VERSION};
@@ -132,7 +133,9 @@
             self.controller.proxies.borrow_mut().insert(token, queue);
         }
         self.controller
-            .drive(|core, now, out| core.proxy_connected(now, token, hello, out));
+            .drive(InputKind::Connection, |core, now, out| {
+                core.proxy_connected(now, token, hello, out)
+            });
     }
 
     fn receive(&self, remote: &Remote, frame: Frame) -> bool {
@@ -144,7 +147,11 @@
         if !is_current {
             return false;
         }
-        self.controller.drive(|core, now, out| match remote {
+        let kind = match remote {
+            Remote::Controller(_) => InputKind::PeerFrame,
+            Remote::Proxy(_) => InputKind::LeaseRequest,
+        };
+        self.controller.drive(kind, |core, now, out| match remote {
             Remote::Controller(ip) => core.receive_from_peer(now, ip, frame, out),
             Remote::Proxy(_) => core.receive_from_proxy(now, self.token, frame, out),
         });
@@ -180,7 +187,9 @@
     /// Drops a proxy's queue, with which its connection ends.
     fn disconnect_proxy(self: &Rc<Self>, connection: u64) {
         if self.proxies.borrow_mut().remove(&connection).is_some() {
-            self.drive(|core, _, out| core.proxy_disconnected(connection, out));
+            self.drive(InputKind::Connection, |core, _, out| {
+                core.proxy_disconnected(connection, out)
+            });
         }
     }
 }
--- /dev/null
+++ b/crates/controller/src/net/load.rs
@@ -0,0 +1,218 @@
+//! What this controller's thread spends its time on, and which calls it answered late, for the log.
+//!
+//! One thread decides everything, so an input that takes long delays all others: Raft messages, pongs and callers alike. The `load` line
+//! says which kind of input that was; `max_tick_gap_ms` says for how long nothing else was done.
+
+use crate::core::{Call, CallResponse};
+use std::fmt;
+use std::time::{Duration, Instant};
+
+/// How often the `load` line is written.
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
+/// A call that was answered after this time, or not at all, is slow: callers move on after a second.
+const SLOW_CALL: Duration = Duration::from_millis(500);
+/// Slow calls that are logged one by one in a [`REPORT_INTERVAL`]; further ones are counted only.
+const MAX_LOGGED_SLOW_CALLS: u32 = 16;
+
+/// What an input of the core is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum InputKind {
+    /// `instances.beat` and `instances.leave`.
+    InstanceCall,
+    /// `config.amend` and `config.read`.
+    OperatorCall,
+    /// A frame of another controller.
+    PeerFrame,
+    /// A frame of a proxy: a lease request.
+    LeaseRequest,
+    /// A connection has come up or ended.
+    Connection,
+    /// Records are on disk.
+    DiskWrite,
+    /// Time passes.
+    Tick,
+}
+
+impl InputKind {
+    const ALL: [InputKind; 7] = [
+        InputKind::InstanceCall,
+        InputKind::OperatorCall,
+        InputKind::PeerFrame,
+        InputKind::LeaseRequest,
+        InputKind::Connection,
+        InputKind::DiskWrite,
+        InputKind::Tick,
+    ];
+
+    /// The kind of a call.
+    pub(super) fn of_call(call: &Call) -> InputKind {
+        match call {
+            Call::Heartbeat(..) | Call::Deregister(_) => InputKind::InstanceCall,
+            Call::Amend(_) | Call::ReadConfig => InputKind::OperatorCall,
+        }
+    }
+
+    fn name(self) -> &'static str {
+        match self {
+            InputKind::InstanceCall => "instance_calls",
+            InputKind::OperatorCall => "operator_calls",
+            InputKind::PeerFrame => "peer_frames",
+            InputKind::LeaseRequest => "lease_requests",
+            InputKind::Connection => "connections",
+            InputKind::DiskWrite => "disk_writes",
+            InputKind::Tick => "ticks",
+        }
+    }
+}
+
+/// Inputs of one kind.
+#[derive(Clone, Copy, Debug, Default)]
+struct InputLoad {
+    count: u64,
+    busy: Duration,
+}
+
+/// Counts since the last report.
+pub(super) struct Load {
+    since: Instant,
+    last_tick: Instant,
+    max_tick_gap: Duration,
+    max_input: Duration,
+    inputs: [InputLoad; InputKind::ALL.len()],
+    slow_calls: u32,
+}
+
+impl Load {
+    pub(super) fn new(now: Instant) -> Load {
+        Load {
+            since: now,
+            last_tick: now,
+            max_tick_gap: Duration::ZERO,
+            max_input: Duration::ZERO,
+            inputs: Default::default(),
+            slow_calls: 0,
+        }
+    }
+
+    /// The core has handled an input, and its outputs were carried out, between these moments.
+    pub(super) fn handled(&mut self, kind: InputKind, from: Instant, until: Instant) {
+        let busy = until - from;
+        let input = &mut self.inputs[kind as usize];
+        input.count += 1;
+        input.busy += busy;
+        self.max_input = self.max_input.max(busy);
+    }
+
+    /// Time passes; returns the `load` line when it is due.
+    pub(super) fn tick(&mut self, now: Instant) -> Option<String> {
+        self.max_tick_gap = self.max_tick_gap.max(now - self.last_tick);
+        self.last_tick = now;
+        if now - self.since < REPORT_INTERVAL {
+            return None;
+        }
+        let line = self.to_string();
+        *self = Load::new(now);
+        Some(line)
+    }
+
+    /// A call has ended; returns a line about it if it was slow.
+    pub(super) fn call_ended(&mut self, call: &CallName, duration: Duration) -> Option<String> {
+        let is_slow = duration >= SLOW_CALL || call.outcome == Outcome::Unavailable;
+        if !is_slow {
+            return None;
+        }
+        self.slow_calls += 1;
+        let ms = duration.as_millis();
+        (self.slow_calls <= MAX_LOGGED_SLOW_CALLS)
+            .then(|| format!("event=slow_call {call} ms={ms}"))
+    }
+}
+
+impl fmt::Display for Load {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let busy: Duration = self.inputs.iter().map(|input| input.busy).sum();
+        write!(
+            f,
+            "event=load busy_ms={} max_input_ms={} max_tick_gap_ms={} slow_calls={}",
+            busy.as_millis(),
+            self.max_input.as_millis(),
+            self.max_tick_gap.as_millis(),
+            self.slow_calls,
+        )?;
+        for kind in InputKind::ALL {
+            let input = self.inputs[kind as usize];
+            let name = kind.name();
+            let ms = input.busy.as_millis();
+            write!(f, " {name}={} {name}_ms={ms}", input.count)?;
+        }
+        Ok(())
+    }
+}
+
+/// How a call has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Outcome {
+    Ok,
+    Rejected,
+    Redirected,
+    Unavailable,
+    /// The caller has closed its connection before there was an answer.
+    Abandoned,
+}
+
+impl Outcome {
+    /// The outcome of a call with this response.
+    pub(super) fn of(response: &CallResponse) -> Outcome {
+        match response {
+            CallResponse::Ok(_) => Outcome::Ok,
+            CallResponse::Rejected(..) => Outcome::Rejected,
+            CallResponse::Redirect(_) => Outcome::Redirected,
+            CallResponse::Unavailable => Outcome::Unavailable,
+        }
+    }
+
+    fn name(self) -> &'static str {
+        match self {
+            Outcome::Ok => "ok",
+            Outcome::Rejected => "rejected",
+            Outcome::Redirected => "redirected",
+            Outcome::Unavailable => "unavailable",
+            Outcome::Abandoned => "abandoned",
+        }
+    }
+}
+
+/// A call as the log names it: as its caller does.
+pub(super) struct CallName {
+    call: &'static str,
+    /// Id of the backend, empty for the operator's calls.
+    instance: String,
+    pub(super) outcome: Outcome,
+}
+
+impl CallName {
+    /// A call that has no answer yet.
+    pub(super) fn new(call: &Call) -> CallName {
+        let (call, instance) = match call {
+            Call::Heartbeat(id, _) => ("instances.beat", id.clone()),
+            Call::Deregister(id) => ("instances.leave", id.clone()),
+            Call::Amend(_) => ("config.amend", String::new()),
+            Call::ReadConfig => ("config.read", String::new()),
+        };
+        CallName {
+            call,
+            instance,
+            outcome: Outcome::Abandoned,
+        }
+    }
+}
+
+impl fmt::Display for CallName {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "call={}", self.call)?;
+        if !self.instance.is_empty() {
+            write!(f, " of={}", self.instance)?;
+        }
+        write!(f, " outcome={}", self.outcome.name())
+    }
+}
--- a/crates/controller/src/net/mod.rs
+++ b/crates/controller/src/net/mod.rs
@@ -7,12 +7,14 @@
 //! - `internal_connections`: connections that proxies and other controllers open to this one;
 //! - `api`: the calls of backends and of the operator over HTTP;
 //! - `disk_thread`: the thread that owns the store;
+//! - `load`: what the thread spends its time on, for the log;
 //! - `settings_reload`, `shutdown`: changes of the settings file, planned stops.
 
 mod api;
 mod controller;
 mod disk_thread;
 mod internal_connections;
+mod load;
 mod peers;
 mod settings_reload;
 mod shutdown;
@@ -21,6 +23,7 @@
 use crate::store::Error as StoreError;
 use controller::Controller;
 use disk_thread::{DiskThread, WriteResult};
+use load::InputKind;
 use maplefall_node_settings::{Settings, SettingsFile};
 use settings_reload::{ReloadTrigger, SettingsReload};
 use shutdown::Shutdown;
@@ -160,14 +163,14 @@
             _ = signals.hang_up.recv() => reload.reload(controller, ReloadTrigger::Signal),
             result = write_results.recv() => match result {
                 Some(Ok(number)) => {
-                    controller.drive(|core, now, out| core.persisted(now, number, out));
+                    controller.drive(InputKind::DiskWrite, |core, now, out| core.persisted(now, number, out));
                 }
                 // Only a new start can find out what is on disk now.
                 Some(Err(error)) => return Err(Error::Store(error)),
                 None => return Ok(()),
             },
             _ = ticks.tick() => {
-                controller.drive(|core, now, out| core.tick(now, out));
+                controller.tick();
                 controller.connect_to_voters();
                 reload.tick(controller);
                 if shutdown.as_ref().is_some_and(|shutdown| shutdown.is_complete(controller)) {
--- a/crates/controller/src/net/peers.rs
+++ b/crates/controller/src/net/peers.rs
@@ -2,6 +2,7 @@
 //! that it has accepted.
 
 use super::controller::Controller;
+use super::load::InputKind;
 use bytes::Bytes;
 use maplefall_control_transport::{
     connect, run_connection, ConnectionError, Event, Handshake, ReconnectBackoff,
@@ -128,6 +129,8 @@
     fn peer_up(self: &Rc<Self>, peer: &str, queue: mpsc::Sender<Bytes>) {
         self.peers.borrow_mut().insert(peer.to_owned(), queue);
         log::info!("event=peer_connected peer={peer}");
-        self.drive(|core, now, out| core.peer_connected(now, peer, out));
+        self.drive(InputKind::Connection, |core, now, out| {
+            core.peer_connected(now, peer, out)
+        });
     }
 }
--- a/crates/controller/src/net/shutdown.rs
+++ b/crates/controller/src/net/shutdown.rs
@@ -1,6 +1,7 @@
 //! A planned stop: proxies and callers find another controller, another one leads, and nothing committed rests on this one alone.
 
 use super::controller::Controller;
+use super::load::InputKind;
 use maplefall_node_settings::Settings;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +29,9 @@
 impl Shutdown {
     pub(super) fn begin(controller: &Rc<Controller>, max_duration: Duration) -> Shutdown {
         log::info!("event=shutdown node={}", controller.node());
-        controller.drive(|core, now, out| core.shut_down(now, out));
+        controller.drive(InputKind::Connection, |core, now, out| {
+            core.shut_down(now, out)
+        });
         Shutdown {
             started_at: Instant::now(),
             max_duration,
