--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -42,6 +42,10 @@
         }
     }
 
+    pub(super) fn server(&self) -> &LeaseServer {
+        &self.server
+    }
+
     pub(super) fn slots(&self) -> &OwnedSlots {
         &self.slots
     }
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -206,6 +206,11 @@
         core
     }
 
+    /// Records of proxies that lease requests have made this controller look at since its start: what its work for leases grows with.
+    pub fn visited_lease_records(&self) -> u64 {
+        self.leasing.server().visited_clients()
+    }
+
     /// Addresses of the controllers that vote.
     pub fn voters(&self) -> &BTreeSet<String> {
         self.raft.voters()
--- /dev/null
+++ b/crates/controller/tests/common/processor/mod.rs
@@ -0,0 +1,273 @@
+//! A fleet in which controllers take time: each [`Core`] has one processor, which handles one input after the other, in the order in
+//! which they arrive, as long as each of them costs. Proxies ask for leases as `crates/proxy` does. Simulated time, no sockets.
+//!
+//! The cost of an input is what the bench charged on grown deployments (journal 793e3ba3): [`INPUT_COST`] for any, and
+//! [`RECORD_COST`] for each client record that a lease request makes the lease server look at.
+
+mod controller;
+mod proxy;
+
+use controller::{Controller, Input};
+use maplefall_control_messages::Frame;
+use maplefall_controller::core::TICK;
+use maplefall_controller::{Call, CallResponse, Output};
+use proxy::Proxy;
+use std::collections::BTreeMap;
+
+/// Delay of the network, in milliseconds.
+const NETWORK_DELAY: f64 = 1.0;
+const DISK_DELAY: f64 = 2.0;
+/// Fraction of a processor that a controller has.
+const PROCESSOR_SHARE: f64 = 0.3;
+/// Processor time of any input, in milliseconds.
+const INPUT_COST: f64 = 0.05;
+/// Processor time of a client record that is looked at, in milliseconds.
+const RECORD_COST: f64 = 0.0001;
+/// A caller goes on to another controller after this time without an answer.
+const CALLER_TIMEOUT: f64 = 1000.0;
+/// Pause of a caller before it calls again.
+const CALLER_PAUSE: f64 = 100.0;
+
+/// Something that happens at a time.
+enum Event {
+    /// An input arrives at a controller.
+    Arrive(usize, Input),
+    /// A controller has finished an input.
+    Finished(usize),
+    /// A controller's frame arrives at a proxy.
+    ToProxy {
+        controller: usize,
+        proxy: usize,
+        frame: Frame,
+    },
+    /// A proxy's timer.
+    ProxyTick(usize),
+}
+
+/// How a fleet is made.
+pub struct FleetSize {
+    pub controllers: usize,
+    pub proxies: usize,
+    pub tenants: usize,
+}
+
+pub struct Fleet {
+    pub now: f64,
+    events: BTreeMap<(u64, u64), Event>,
+    last_event: u64,
+    controllers: Vec<Controller>,
+    proxies: Vec<Proxy>,
+    responses: BTreeMap<u64, CallResponse>,
+    last_call: u64,
+}
+
+impl Fleet {
+    /// All controllers and proxies start now, with empty disks.
+    pub fn new(size: &FleetSize) -> Fleet {
+        let mut fleet = Fleet {
+            now: 0.0,
+            events: BTreeMap::new(),
+            last_event: 0,
+            controllers: Vec::new(),
+            proxies: Vec::new(),
+            responses: BTreeMap::new(),
+            last_call: 0,
+        };
+        for node in 0..size.controllers {
+            let (controller, out) = Controller::new(node, size.controllers);
+            fleet.controllers.push(controller);
+            fleet.carry_out(node, out);
+            fleet.schedule(TICK, Event::Arrive(node, Input::Tick));
+        }
+        for node in 0..size.controllers {
+            for peer in (0..size.controllers).filter(|peer| *peer != node) {
+                fleet.schedule(1.0, Event::Arrive(node, Input::PeerConnected(peer)));
+            }
+        }
+        for proxy in 0..size.proxies {
+            fleet.proxies.push(Proxy::new(proxy, size));
+            // Machines start within 0.3 s of each other.
+            let start = 300.0 * proxy as f64 / size.proxies as f64;
+            for node in 0..size.controllers {
+                fleet.schedule(start, Event::Arrive(node, Input::ProxyConnected(proxy)));
+            }
+            fleet.schedule(start + 5.0, Event::ProxyTick(proxy));
+        }
+        fleet
+    }
+
+    fn schedule(&mut self, delay: f64, event: Event) {
+        self.last_event += 1;
+        let at_us = ((self.now + delay) * 1000.0) as u64;
+        self.events.insert((at_us, self.last_event), event);
+    }
+
+    /// Lets this much time pass, in milliseconds.
+    pub fn run(&mut self, duration: f64) {
+        let until = self.now + duration;
+        while let Some(entry) = self.events.first_entry() {
+            let at = entry.key().0 as f64 / 1000.0;
+            if at > until {
+                break;
+            }
+            let event = entry.remove();
+            self.now = self.now.max(at);
+            self.handle(event);
+        }
+        self.now = until;
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Arrive(node, input) => {
+                self.controllers[node].inputs.push_back(input);
+                self.start_next(node);
+            }
+            Event::Finished(node) => {
+                self.controllers[node].is_busy = false;
+                self.start_next(node);
+            }
+            Event::ToProxy {
+                controller,
+                proxy,
+                frame,
+            } => {
+                let frame = self.proxies[proxy].receive(self.now, controller, &frame);
+                self.send_to_controller(proxy, controller, frame);
+            }
+            Event::ProxyTick(proxy) => {
+                for controller in 0..self.controllers.len() {
+                    let frame = self.proxies[proxy].request(self.now, controller);
+                    self.send_to_controller(proxy, controller, Some(frame));
+                }
+                let delay = self.proxies[proxy].next_tick_delay(self.now);
+                self.schedule(delay, Event::ProxyTick(proxy));
+            }
+        }
+    }
+
+    fn send_to_controller(&mut self, proxy: usize, controller: usize, frame: Option<Frame>) {
+        if let Some(frame) = frame {
+            let input = Input::ProxyFrame(proxy, frame);
+            self.schedule(NETWORK_DELAY, Event::Arrive(controller, input));
+        }
+    }
+
+    /// Has the controller handle its next input, if it is idle.
+    fn start_next(&mut self, node: usize) {
+        let controller = &mut self.controllers[node];
+        if controller.is_busy {
+            return;
+        }
+        let Some(input) = controller.inputs.pop_front() else {
+            return;
+        };
+        if matches!(input, Input::Tick) {
+            self.schedule(TICK, Event::Arrive(node, Input::Tick));
+        }
+        let controller = &mut self.controllers[node];
+        let (out, records) = controller.handle(self.now, input);
+        controller.is_busy = true;
+        let cost = (INPUT_COST + RECORD_COST * records as f64) / PROCESSOR_SHARE;
+        self.schedule(cost, Event::Finished(node));
+        self.carry_out(node, out);
+    }
+
+    fn carry_out(&mut self, node: usize, out: Vec<Output>) {
+        for output in out {
+            match output {
+                Output::Write(number, _) => {
+                    self.schedule(DISK_DELAY, Event::Arrive(node, Input::Persisted(number)));
+                }
+                Output::SendToPeer(to, bytes) => {
+                    let frame = controller::decode(&bytes);
+                    if let Some(to) = controller::node_of(&to) {
+                        self.send_to_peer(node, to, frame);
+                    }
+                }
+                Output::SendToAllPeers(bytes) => {
+                    for to in (0..self.controllers.len()).filter(|to| *to != node) {
+                        self.send_to_peer(node, to, controller::decode(&bytes));
+                    }
+                }
+                Output::SendToProxy(connection, bytes) => {
+                    let event = Event::ToProxy {
+                        controller: node,
+                        proxy: connection as usize - 1,
+                        frame: controller::decode(&bytes),
+                    };
+                    self.schedule(NETWORK_DELAY, event);
+                }
+                Output::Respond(call, response) => {
+                    self.responses.insert(call, response);
+                }
+                Output::Log(line) | Output::Debug(line) => {
+                    self.controllers[node].log_lines.push((self.now, line));
+                }
+            }
+        }
+    }
+
+    fn send_to_peer(&mut self, from: usize, to: usize, frame: Frame) {
+        let input = Input::PeerFrame(from, frame);
+        self.schedule(NETWORK_DELAY, Event::Arrive(to, input));
+    }
+
+    /// Calls controllers as the operator does until one of them answers 200; returns how long that took, `None` if it took longer
+    /// than `timeout`.
+    pub fn call_until_ok(&mut self, call: &Call, timeout: f64) -> Option<f64> {
+        let started_at = self.now;
+        let mut node = 0;
+        while self.now - started_at < timeout {
+            match self.call(node, call.clone()) {
+                Some(CallResponse::Ok(_)) => return Some(self.now - started_at),
+                Some(CallResponse::Redirect(to)) => {
+                    node = controller::node_of(&to).expect("a controller");
+                    continue;
+                }
+                Some(CallResponse::Unavailable) | None => {}
+                Some(CallResponse::Rejected(status, why)) => panic!("rejected: {status} {why}"),
+            }
+            node = (node + 1) % self.controllers.len();
+            self.run(CALLER_PAUSE);
+        }
+        None
+    }
+
+    /// One call; `None` if it has no answer within a second.
+    fn call(&mut self, node: usize, call: Call) -> Option<CallResponse> {
+        self.last_call += 1;
+        let number = self.last_call;
+        let input = Input::Call(number, call);
+        self.schedule(NETWORK_DELAY, Event::Arrive(node, input));
+        let until = self.now + CALLER_TIMEOUT;
+        while self.now < until && !self.responses.contains_key(&number) {
+            self.run(1.0);
+        }
+        self.responses.remove(&number)
+    }
+
+    /// Log lines of all controllers after a time that contain this text.
+    pub fn logged_since(&self, since: f64, text: &str) -> Vec<String> {
+        self.controllers
+            .iter()
+            .flat_map(|controller| &controller.log_lines)
+            .filter(|(at, line)| *at > since && line.contains(text))
+            .map(|(at, line)| format!("{at:.0} ms: {line}"))
+            .collect()
+    }
+
+    /// The longest queue of inputs at any controller now.
+    pub fn longest_queue(&self) -> usize {
+        let lengths = self.controllers.iter().map(|node| node.inputs.len());
+        lengths.max().unwrap_or(0)
+    }
+
+    /// The fraction of a tenant's quota that all proxies together hold now.
+    pub fn leased_fraction(&self, tenant: usize) -> f64 {
+        self.proxies
+            .iter()
+            .map(|proxy| proxy.fraction(self.now, tenant))
+            .sum()
+    }
+}
--- /dev/null
+++ b/crates/controller/tests/common/processor/proxy.rs
@@ -0,0 +1,93 @@
+//! A proxy as far as controllers notice it: when it asks for leases, and for what.
+
+use super::FleetSize;
+use maplefall_control_messages::Frame;
+use maplefall_quota_lease::{Demand, LeaseClient};
+
+/// Between two requests of a proxy that has what it needs.
+const REQUEST_INTERVAL: f64 = 500.0;
+/// Between two requests of a proxy that is starved: `MIN_LEASE_REQUEST_INTERVAL` of `crates/proxy`.
+const URGENT_REQUEST_INTERVAL: f64 = 60.0;
+/// A third of the tenants have requests at a proxy, and they change every second.
+const TENANTS_PER_DEMAND: u64 = 3;
+const DEMAND_INTERVAL: f64 = 1000.0;
+/// Every fourth of these has used up what it has here.
+const DEMANDS_PER_STARVED: u64 = 4;
+
+pub fn name(proxy: usize) -> String {
+    format!("edge-{proxy}")
+}
+
+pub fn tenant_name(tenant: usize) -> String {
+    format!("tenant{tenant}")
+}
+
+pub struct Proxy {
+    number: usize,
+    tenants: usize,
+    lease_client: LeaseClient,
+}
+
+impl Proxy {
+    pub fn new(number: usize, size: &FleetSize) -> Proxy {
+        let mut lease_client = LeaseClient::new(1);
+        for controller in 0..size.controllers {
+            lease_client.connected(&controller.to_string());
+        }
+        Proxy {
+            number,
+            tenants: size.tenants,
+            lease_client,
+        }
+    }
+
+    /// A number that looks random, the same for the same arguments.
+    fn draw(&self, now: f64, tenant: usize) -> u64 {
+        let period = (now / DEMAND_INTERVAL) as u64;
+        let seed = (self.number as u64 * 1_000_003 + tenant as u64) * 1_000_033 + period;
+        let mixed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 33
+    }
+
+    fn demand(&self, now: f64) -> Vec<Demand> {
+        (0..self.tenants)
+            .map(|tenant| (tenant, self.draw(now, tenant)))
+            .filter(|(_, draw)| draw.is_multiple_of(TENANTS_PER_DEMAND))
+            .map(|(tenant, draw)| Demand {
+                tenant: tenant_name(tenant),
+                milli_rps: 200 + (draw % 1000) as u32,
+                starved: draw.is_multiple_of(TENANTS_PER_DEMAND * DEMANDS_PER_STARVED),
+            })
+            .collect()
+    }
+
+    pub fn request(&mut self, now: f64, controller: usize) -> Frame {
+        let demand = self.demand(now);
+        let server = controller.to_string();
+        Frame::LeaseRequest(self.lease_client.next_request(now, &server, demand))
+    }
+
+    /// A frame has arrived; returns what is sent at once.
+    pub fn receive(&mut self, now: f64, controller: usize, frame: &Frame) -> Option<Frame> {
+        let Frame::LeaseGrant(grant) = frame else {
+            return None;
+        };
+        let server = controller.to_string();
+        let effect = self.lease_client.handle_grant(now, &server, grant);
+        effect.decreased.then(|| self.request(now, controller))
+    }
+
+    /// When it asks again: soon while a request of a tenant finds no token, which is half of the time.
+    pub fn next_tick_delay(&self, now: f64) -> f64 {
+        let is_starved = self.draw(now, self.tenants).is_multiple_of(2);
+        if is_starved {
+            URGENT_REQUEST_INTERVAL
+        } else {
+            REQUEST_INTERVAL
+        }
+    }
+
+    pub fn fraction(&self, now: f64, tenant: usize) -> f64 {
+        self.lease_client.fraction(now, &tenant_name(tenant))
+    }
+}
--- a/crates/quota-lease/src/server/mod.rs
+++ b/crates/quota-lease/src/server/mod.rs
@@ -56,6 +56,8 @@
     limit: u32,
     clients: BTreeMap<String, ClientRecord>,
     recovery: Recovery,
+    /// Client records that were looked at.
+    visited_clients: u64,
 }
 
 impl LeaseServer {
@@ -79,6 +81,7 @@
                 ends_at: now + LEASE_DURATION + CLOCK_SKEW,
                 was_active: true,
             },
+            visited_clients: 0,
         }
     }
 
@@ -105,6 +108,11 @@
         self.limit
     }
 
+    /// Client records that requests have made this server look at since its start: its work grows with that.
+    pub fn visited_clients(&self) -> u64 {
+        self.visited_clients
+    }
+
     /// Whether a client of this name may have a lease: by this incarnation, or by an earlier one that has recorded its name.
     pub fn may_hold_lease(&self, now: Millis, name: &str) -> bool {
         let by_earlier_incarnation =
@@ -254,6 +262,7 @@
         let mut record = ClientRecord::new(now, client, previous);
         for lease in request.leases.iter().filter(|_| request.full) {
             // The request may have been on its way for long: what has expired meanwhile may be leased to others.
+            self.visited_clients += self.clients.len() as u64;
             let available = self.limit.saturating_sub(self.outstanding(&lease.tenant));
             let ppm = lease.ppm.min(available);
             record.leases.insert(
--- a/crates/quota-lease/src/server/rebalance.rs
+++ b/crates/quota-lease/src/server/rebalance.rs
@@ -117,6 +117,7 @@
         request: &RebalanceRequest<'_>,
         changed: &mut ChangedLeases,
     ) {
+        self.visited_clients += 2 * self.clients.len() as u64;
         let targets = self.target_shares(now, request.tenant);
         let outstanding = self.outstanding(request.tenant);
         if self.must_take_back(now, request, &targets, outstanding) {
@@ -167,6 +168,7 @@
         targets: &TargetShares,
         changed: &mut ChangedLeases,
     ) {
+        self.visited_clients += self.clients.len() as u64;
         for (name, record) in &mut self.clients {
             let target = targets.target_ppm(record.demand_rps(now, tenant));
             let Some(lease) = record.leases.get_mut(tenant) else {
@@ -190,6 +192,7 @@
         changed: &mut ChangedLeases,
     ) {
         let limit = self.limit;
+        self.visited_clients += self.clients.len() as u64;
         for (name, record) in &mut self.clients {
             let target = targets.target_ppm(record.demand_rps(now, request.tenant));
             let is_requester = name == request.client;
