--- a/crates/controller/tests/lease_overload.rs
+++ b/crates/controller/tests/lease_overload.rs
@@ -13,6 +13,9 @@
 /// How much of a quota proxies hold at least: leases are renewed, and what is taken back from one goes to another.
 const MIN_LEASED_FRACTION: f64 = 0.8;
 
+/// The whole of a quota, and what adding up fractions may be wrong by.
+const MAX_LEASED_FRACTION: f64 = 1.0 + 1e-9;
+
 /// An order that sets all of these tenants, with this version.
 fn amend(tenants: usize, version: u32) -> Call {
     let rows: Vec<String> = (0..tenants)
@@ -43,7 +46,7 @@
         for tenant in 0..size.tenants {
             let leased = fleet.leased_fraction(tenant);
             assert!(
-                (MIN_LEASED_FRACTION..=1.0).contains(&leased),
+                (MIN_LEASED_FRACTION..=MAX_LEASED_FRACTION).contains(&leased),
                 "{leased} of the quota of tenant {tenant} is leased"
             );
         }
--- a/crates/quota-lease/src/server/client_record.rs
+++ b/crates/quota-lease/src/server/client_record.rs
@@ -18,13 +18,13 @@
     pub(super) grant_sequence: u64,
 }
 
-/// Requests per second of each tenant.
-type DemandRps = BTreeMap<String, f64>;
+/// Demand of each tenant, in thousandths of a request per second.
+type TenantDemand = BTreeMap<String, u32>;
 
 /// Demand of the client's previous incarnation, which counts for a short while.
 #[derive(Clone, Debug)]
 struct InheritedDemand {
-    demand: DemandRps,
+    demand: TenantDemand,
     valid_until: Millis,
 }
 
@@ -33,11 +33,11 @@
     /// The client does not know this incarnation of the server: all its leases are rebalanced and granted anew.
     pub(super) full: bool,
     /// The client's demand before this request.
-    pub(super) previous_demand: DemandRps,
+    pub(super) previous_demand: TenantDemand,
     /// Tenants that the client is starved of.
     pub(super) starved: BTreeSet<String>,
-    /// Tenants of which a decrease was acknowledged, so that others can have the difference.
-    pub(super) freed: BTreeSet<String>,
+    /// Tenants of which a decrease was acknowledged, and the difference in ppm, which others can have.
+    pub(super) freed: BTreeMap<String, u32>,
 }
 
 /// One client of a lease server.
@@ -51,7 +51,8 @@
     /// When all its leases have expired.
     pub(super) expires_at: Millis,
     pub(super) leases: BTreeMap<String, OutstandingLease>,
-    demand: DemandRps,
+    /// What counts for its target shares: its own, or the previous incarnation's where that was higher and is still inherited.
+    demand: TenantDemand,
     inherited: InheritedDemand,
     /// Sequence number of the last grant that the client has applied.
     acknowledged: u64,
@@ -64,15 +65,16 @@
 impl ClientRecord {
     /// A new incarnation of a client, without leases. `previous` is the record of the incarnation before.
     pub(super) fn new(now: Millis, client: ClientId<'_>, previous: Option<ClientRecord>) -> Self {
+        let inherited = previous.map(|record| record.demand).unwrap_or_default();
         ClientRecord {
             incarnation: client.incarnation,
             connection: client.connection,
             knows_server: false,
             expires_at: now,
             leases: BTreeMap::new(),
-            demand: BTreeMap::new(),
+            demand: inherited.clone(),
             inherited: InheritedDemand {
-                demand: previous.map(|record| record.demand).unwrap_or_default(),
+                demand: inherited,
                 valid_until: now + DEMAND_INHERITANCE,
             },
             acknowledged: 0,
@@ -110,21 +112,30 @@
         };
         RequestEffect {
             full: request.full,
-            previous_demand: self.replace_demand(&request.demand),
+            previous_demand: self.replace_demand(now, &request.demand),
             starved: starved_tenants(&request.demand),
             freed: self.apply_acknowledgement(),
         }
     }
 
-    /// The tenant's requests per second that count for its target share: its own, or the previous incarnation's while they are inherited.
-    pub(super) fn demand_rps(&self, now: Millis, tenant: &str) -> f64 {
-        let own = self.demand.get(tenant).copied().unwrap_or(0.0);
-        let inherited = self
-            .inherited
-            .demand
-            .get(tenant)
-            .filter(|_| now < self.inherited.valid_until);
-        own.max(inherited.copied().unwrap_or(0.0))
+    /// The demand that counts for its target shares, by tenant.
+    pub(super) fn demand(&self) -> &BTreeMap<String, u32> {
+        &self.demand
+    }
+
+    /// The tenant's demand that counts for its target share, in thousandths of a request per second.
+    pub(super) fn demand_milli_rps(&self, tenant: &str) -> u32 {
+        self.demand.get(tenant).copied().unwrap_or(0)
+    }
+
+    /// The lease of a tenant; an empty one if there is none.
+    pub(super) fn lease(&self, tenant: &str) -> OutstandingLease {
+        self.leases.get(tenant).copied().unwrap_or_default()
+    }
+
+    /// The lease of a tenant, to be changed; an empty one is made if there is none.
+    pub(super) fn lease_mut(&mut self, tenant: &str) -> &mut OutstandingLease {
+        self.leases.entry(tenant.to_owned()).or_default()
     }
 
     /// Whether all leases are to be rebalanced because clients have come or gone; from then on they count as rebalanced.
@@ -171,22 +182,32 @@
         }
     }
 
-    fn replace_demand(&mut self, demand: &[Demand]) -> DemandRps {
-        let demand = demand
+    /// Replaces the demand, by that of the previous incarnation where that is higher and still inherited; returns the one before.
+    fn replace_demand(&mut self, now: Millis, demand: &[Demand]) -> TenantDemand {
+        let mut next: TenantDemand = demand
             .iter()
-            .map(|demand| (demand.tenant.clone(), f64::from(demand.milli_rps) / 1000.0));
-        std::mem::replace(&mut self.demand, demand.collect())
+            .map(|demand| (demand.tenant.clone(), demand.milli_rps))
+            .collect();
+        if now >= self.inherited.valid_until {
+            self.inherited.demand.clear();
+        }
+        for (tenant, milli_rps) in &self.inherited.demand {
+            let own = next.entry(tenant.clone()).or_default();
+            *own = (*own).max(*milli_rps);
+        }
+        std::mem::replace(&mut self.demand, next)
     }
 
-    /// Acknowledged shares are what the client spends at most. Returns the tenants whose bound has become smaller.
-    fn apply_acknowledgement(&mut self) -> BTreeSet<String> {
-        let mut freed = BTreeSet::new();
+    /// Acknowledged shares are what the client spends at most. Returns the tenants whose bound has become smaller, and by how much.
+    fn apply_acknowledgement(&mut self) -> BTreeMap<String, u32> {
+        let mut freed = BTreeMap::new();
         for (tenant, lease) in &mut self.leases {
             if lease.grant_sequence > self.acknowledged {
                 continue;
             }
             if lease.upper_bound_ppm > lease.granted_ppm {
-                freed.insert(tenant.clone());
+                let difference = lease.upper_bound_ppm - lease.granted_ppm;
+                freed.insert(tenant.clone(), difference);
             }
             lease.upper_bound_ppm = lease.granted_ppm;
         }
--- a/crates/quota-lease/src/server/mod.rs
+++ b/crates/quota-lease/src/server/mod.rs
@@ -4,10 +4,14 @@
 //! at most, except for a while after the limit has shrunk, in which nothing is increased.
 
 mod client_record;
+mod clients;
 mod rebalance;
+mod round;
 
 use crate::*;
-use client_record::{ClientRecord, OutstandingLease};
+use client_record::ClientRecord;
+use clients::Clients;
+use round::RebalanceRound;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Clients of one server. A client beyond that is granted nothing until another one has expired.
@@ -54,7 +58,8 @@
     last_grant: u64,
     /// What this server may lease of each quota, in ppm.
     limit: u32,
-    clients: BTreeMap<String, ClientRecord>,
+    clients: Clients,
+    round: RebalanceRound,
     recovery: Recovery,
     /// Client records that were looked at.
     visited_clients: u64,
@@ -74,7 +79,8 @@
             incarnation,
             last_grant: 0,
             limit,
-            clients: BTreeMap::new(),
+            clients: Clients::default(),
+            round: RebalanceRound::new(now),
             recovery: Recovery {
                 unknown_clients: leased_to.is_none(),
                 known_clients: leased_to.unwrap_or_default(),
@@ -139,7 +145,7 @@
         request: &LeaseRequest,
         tenants: impl Iterator<Item = &'a str>,
     ) -> Vec<(String, LeaseGrant)> {
-        self.expire_clients(now);
+        self.clients.expire(now);
         if self.is_stale(client, request) {
             return Vec::new();
         }
@@ -154,10 +160,12 @@
             self.register(now, client, request);
         }
         self.recovery.known_clients.remove(client.name);
-        let Some(record) = self.clients.get_mut(client.name) else {
+        let effect = self
+            .clients
+            .record_request(now, client, request, self.incarnation);
+        let Some(effect) = effect else {
             return Vec::new();
         };
-        let effect = record.record_request(now, client.connection, request, self.incarnation);
         self.update_recovery(now);
         let changed = self.rebalance_tenants(now, client.name, &effect, tenants);
         self.build_grants(client.name, request.full, changed)
@@ -165,10 +173,7 @@
 
     /// Upper bound of what is leased of a tenant's quota, in ppm, as of the last request.
     pub fn outstanding(&self, tenant: &str) -> u32 {
-        self.clients
-            .values()
-            .filter_map(|record| Some(record.leases.get(tenant)?.upper_bound_ppm))
-            .sum()
+        self.clients.totals(tenant).outstanding_ppm
     }
 
     /// Upper bound of what is leased of a tenant's quota, in ppm, without leases that have expired by `now`.
@@ -185,7 +190,7 @@
         let limit = u64::from(self.limit);
         let client_count = self.clients.len() as u32;
         let mut grants = Vec::new();
-        for (name, record) in &mut self.clients {
+        for (name, record) in self.clients.iter_mut() {
             self.last_grant += 1;
             let mut leases = Vec::new();
             for (tenant, lease) in &mut record.leases {
@@ -217,10 +222,6 @@
             .for_each(|record| record.rebalanced_among = 0);
     }
 
-    fn expire_clients(&mut self, now: Millis) {
-        self.clients.retain(|_, record| now < record.expires_at);
-    }
-
     fn is_stale(&self, client: ClientId<'_>, request: &LeaseRequest) -> bool {
         self.clients
             .get(client.name)
@@ -240,7 +241,7 @@
     }
 
     fn is_full_for(&self, name: &str) -> bool {
-        self.clients.len() >= MAX_CLIENTS && !self.clients.contains_key(name)
+        self.clients.len() >= MAX_CLIENTS && self.clients.get(name).is_none()
     }
 
     /// A grant of nothing, for a client beyond [`MAX_CLIENTS`].
@@ -259,22 +260,14 @@
     /// confirmed as far as they fit into the limit.
     fn register(&mut self, now: Millis, client: ClientId<'_>, request: &LeaseRequest) {
         let previous = self.clients.remove(client.name);
-        let mut record = ClientRecord::new(now, client, previous);
+        self.clients
+            .insert(client.name, ClientRecord::new(now, client, previous));
         for lease in request.leases.iter().filter(|_| request.full) {
             // The request may have been on its way for long: what has expired meanwhile may be leased to others.
-            self.visited_clients += self.clients.len() as u64;
             let available = self.limit.saturating_sub(self.outstanding(&lease.tenant));
             let ppm = lease.ppm.min(available);
-            record.leases.insert(
-                lease.tenant.clone(),
-                OutstandingLease {
-                    granted_ppm: ppm,
-                    upper_bound_ppm: ppm,
-                    grant_sequence: 0,
-                },
-            );
+            self.clients.raise_lease(client.name, &lease.tenant, ppm);
         }
-        self.clients.insert(client.name.to_owned(), record);
     }
 
     /// Once the server has recovered, all tenants are rebalanced.
--- a/crates/quota-lease/src/server/rebalance.rs
+++ b/crates/quota-lease/src/server/rebalance.rs
@@ -3,7 +3,8 @@
 //! Invariant: a lease is only increased while the sum of the upper bounds stays within the server's limit. A decrease frees nothing until
 //! its acknowledgement has come.
 
-use super::client_record::RequestEffect;
+use super::client_record::{ClientRecord, RequestEffect};
+use super::round::TenantRound;
 use super::{ChangedLeases, LeaseServer};
 use crate::*;
 
@@ -17,30 +18,6 @@
 /// Changes below this fraction of the lease are not granted.
 const MIN_CHANGE_OF_LEASE: f64 = 0.08;
 
-/// Which lease is rebalanced, and why.
-struct RebalanceRequest<'a> {
-    /// The client whose request is being handled.
-    client: &'a str,
-    tenant: &'a str,
-    /// Leases by earlier incarnations of the server may be outstanding: nothing new is leased.
-    recovering: bool,
-    /// The client has acknowledged a decrease: others may get what it gave back.
-    freed: bool,
-    /// The client needs its target share at once, also at the cost of others.
-    urgent: bool,
-}
-
-impl RebalanceRequest<'_> {
-    /// What may be leased in addition to what is outstanding, in ppm.
-    fn unleased_ppm(&self, limit: u32, outstanding: u32) -> u32 {
-        if self.recovering {
-            0
-        } else {
-            limit.saturating_sub(outstanding)
-        }
-    }
-}
-
 /// Target shares of one tenant's quota, from the demand at all clients.
 struct TargetShares {
     limit: f64,
@@ -57,6 +34,11 @@
         (self.limit * (EVEN_FRACTION * even_share + (1.0 - EVEN_FRACTION) * demand_share)) as u32
     }
 
+    /// The share that this client should have.
+    fn target_of(&self, record: &ClientRecord, tenant: &str) -> u32 {
+        self.target_ppm(f64::from(record.demand_milli_rps(tenant)) / 1000.0)
+    }
+
     /// Whether a change of a lease is large enough to be granted.
     fn is_significant(&self, next_ppm: u32, granted_ppm: u32) -> bool {
         let min_change = (MIN_CHANGE_OF_LIMIT * self.limit)
@@ -68,6 +50,8 @@
 impl LeaseServer {
     /// Rebalances every tenant whose leases a request of `client` may change. Returns the changed leases, with an entry for the client
     /// itself even if nothing has changed.
+    ///
+    /// The client gets its targets as far as there is unleased quota. Leases of others are moved in the next [round](super::round).
     pub(super) fn rebalance_tenants<'a>(
         &mut self,
         now: Millis,
@@ -83,10 +67,12 @@
         let recovering = self.recovering(now);
         let mut changed = ChangedLeases::from([(client.to_owned(), Vec::new())]);
         for tenant in tenants {
-            let record = self.clients.get(client);
-            let has_demand = record.is_some_and(|record| record.demand_rps(now, tenant) > 0.0);
-            let never_granted = record.is_some_and(|record| !record.leases.contains_key(tenant));
-            let freed = effect.freed.contains(tenant);
+            let Some(record) = self.clients.get(client) else {
+                continue;
+            };
+            let has_demand = record.demand_milli_rps(tenant) > 0;
+            let never_granted = !record.leases.contains_key(tenant);
+            let freed = effect.freed.contains_key(tenant);
             let is_affected = effect.full
                 || freed
                 || effect.previous_demand.contains_key(tenant)
@@ -96,81 +82,111 @@
             if !is_affected {
                 continue;
             }
-            let request = RebalanceRequest {
-                client,
-                tenant,
-                recovering,
-                freed,
-                urgent: effect.starved.contains(tenant) || client_count_changed || never_granted,
-            };
-            self.rebalance(now, &request, &mut changed);
+            let is_urgent =
+                effect.starved.contains(tenant) || client_count_changed || never_granted;
+            let is_short = self.increase_own_lease(client, tenant, recovering, &mut changed);
+            if freed || (is_urgent && is_short) {
+                self.round.add(tenant, is_urgent && is_short);
+            }
+        }
+        if let Some(pending) = self.round.begin(now, client_count) {
+            for (tenant, round) in pending {
+                self.rebalance_among_all(&tenant, round, recovering, &mut changed);
+            }
         }
         changed
     }
 
-    /// Moves one tenant's leases towards their targets, and adds the changed ones to `changed`. The client of the request gets its
-    /// target as far as there is unleased quota. Leases of others are decreased only where it lacks that: whatever a client's token
-    /// bucket has saved up goes with its lease, and demand moves to and fro.
-    fn rebalance(
-        &mut self,
-        now: Millis,
-        request: &RebalanceRequest<'_>,
-        changed: &mut ChangedLeases,
-    ) {
-        self.visited_clients += 2 * self.clients.len() as u64;
-        let targets = self.target_shares(now, request.tenant);
-        let outstanding = self.outstanding(request.tenant);
-        if self.must_take_back(now, request, &targets, outstanding) {
-            self.decrease_leases(now, request.tenant, &targets, changed);
+    /// What may be leased of a tenant's quota in addition to what is outstanding, in ppm. While leases by earlier incarnations of
+    /// the server may be outstanding, nothing new is leased.
+    fn unleased_ppm(&self, tenant: &str, recovering: bool) -> u32 {
+        if recovering {
+            0
+        } else {
+            self.limit.saturating_sub(self.outstanding(tenant))
         }
-        self.increase_leases(now, request, &targets, outstanding, changed);
     }
 
-    fn target_shares(&self, now: Millis, tenant: &str) -> TargetShares {
+    fn target_shares(&self, tenant: &str) -> TargetShares {
         TargetShares {
             limit: f64::from(self.limit),
             client_count: self.clients.len().max(1) as f64,
-            total_demand_rps: self
-                .clients
-                .values()
-                .map(|record| record.demand_rps(now, tenant))
-                .sum(),
+            total_demand_rps: self.clients.totals(tenant).demand_milli_rps as f64 / 1000.0,
         }
     }
 
-    /// Whether the client needs more than the unleased quota allows.
-    fn must_take_back(
-        &self,
-        now: Millis,
-        request: &RebalanceRequest<'_>,
-        targets: &TargetShares,
-        outstanding: u32,
+    /// Increases the lease of one client towards its target as far as there is unleased quota. Returns whether it needs more than that.
+    fn increase_own_lease(
+        &mut self,
+        client: &str,
+        tenant: &str,
+        recovering: bool,
+        changed: &mut ChangedLeases,
     ) -> bool {
-        self.clients.get(request.client).is_some_and(|record| {
-            let lease = record
-                .leases
-                .get(request.tenant)
-                .copied()
-                .unwrap_or_default();
-            let target = targets.target_ppm(record.demand_rps(now, request.tenant));
-            let unleased = request.unleased_ppm(self.limit, outstanding);
-            request.urgent
-                && targets.is_significant(target, lease.granted_ppm)
-                && target > lease.upper_bound_ppm.saturating_add(unleased)
-        })
+        let targets = self.target_shares(tenant);
+        self.visited_clients += 1;
+        let Some(record) = self.clients.get_mut(client) else {
+            return false;
+        };
+        let target = targets.target_of(record, tenant);
+        // From now on it has a lease, if an empty one.
+        let before = *record.lease_mut(tenant);
+        let unleased = self.unleased_ppm(tenant, recovering);
+        let is_short = targets.is_significant(target, before.granted_ppm)
+            && target > before.upper_bound_ppm.saturating_add(unleased);
+        self.increase_lease(client, tenant, target, unleased, changed);
+        is_short
     }
 
-    /// Decreases the leases above their targets. They stay outstanding until the decrease has been acknowledged.
-    fn decrease_leases(
+    /// Increases a lease to its target, as far as `unleased` allows and if that is significant.
+    fn increase_lease(
         &mut self,
-        now: Millis,
+        client: &str,
         tenant: &str,
-        targets: &TargetShares,
+        target: u32,
+        unleased: u32,
         changed: &mut ChangedLeases,
     ) {
+        let targets = self.target_shares(tenant);
+        let is_over_limit = self.outstanding(tenant) > self.limit;
+        let Some(record) = self.clients.get(client) else {
+            return;
+        };
+        let lease = record.lease(tenant);
+        // While more is outstanding than the limit, nobody gets back what is still to be acknowledged.
+        let reachable_ppm = if is_over_limit {
+            lease.granted_ppm
+        } else {
+            lease.upper_bound_ppm
+        };
+        let next_ppm = target.min(reachable_ppm.saturating_add(unleased));
+        if next_ppm > lease.granted_ppm && targets.is_significant(next_ppm, lease.granted_ppm) {
+            self.clients.raise_lease(client, tenant, next_ppm);
+            add_change(changed, client, tenant, next_ppm);
+        }
+    }
+
+    /// Moves the leases of all clients towards their targets. Leases are decreased only where some client lacks what others have above
+    /// their targets: whatever a client's token bucket has saved up goes with its lease, and demand moves to and fro.
+    fn rebalance_among_all(
+        &mut self,
+        tenant: &str,
+        round: TenantRound,
+        recovering: bool,
+        changed: &mut ChangedLeases,
+    ) {
+        if round.take_back {
+            self.decrease_leases(tenant, changed);
+        }
+        self.increase_leases(tenant, recovering, changed);
+    }
+
+    /// Decreases the leases above their targets. They stay outstanding until the decrease has been acknowledged.
+    fn decrease_leases(&mut self, tenant: &str, changed: &mut ChangedLeases) {
+        let targets = self.target_shares(tenant);
         self.visited_clients += self.clients.len() as u64;
-        for (name, record) in &mut self.clients {
-            let target = targets.target_ppm(record.demand_rps(now, tenant));
+        for (name, record) in self.clients.iter_mut() {
+            let target = targets.target_of(record, tenant);
             let Some(lease) = record.leases.get_mut(tenant) else {
                 continue;
             };
@@ -181,47 +197,28 @@
         }
     }
 
-    /// Increases leases below their targets as far as there is unleased quota: the one of the request's client, and those of all others
-    /// if that client has given something back.
-    fn increase_leases(
-        &mut self,
-        now: Millis,
-        request: &RebalanceRequest<'_>,
-        targets: &TargetShares,
-        mut outstanding: u32,
-        changed: &mut ChangedLeases,
-    ) {
-        let limit = self.limit;
+    /// Increases leases below their targets as far as there is unleased quota.
+    fn increase_leases(&mut self, tenant: &str, recovering: bool, changed: &mut ChangedLeases) {
+        let targets = self.target_shares(tenant);
         self.visited_clients += self.clients.len() as u64;
-        for (name, record) in &mut self.clients {
-            let target = targets.target_ppm(record.demand_rps(now, request.tenant));
-            let is_requester = name == request.client;
-            // A client that was never granted this tenant gets its first lease when it sends a request.
-            if !is_requester && !record.leases.contains_key(request.tenant) {
-                continue;
-            }
-            let lease = record.leases.entry(request.tenant.to_owned()).or_default();
-            let unleased = request.unleased_ppm(limit, outstanding);
-            // While more is outstanding than the limit, nobody gets back what is still to be acknowledged.
-            let reachable_ppm = if outstanding > limit {
-                lease.granted_ppm
-            } else {
-                lease.upper_bound_ppm
-            };
-            let next_ppm = target.min(reachable_ppm.saturating_add(unleased));
-            if next_ppm > lease.granted_ppm
-                && targets.is_significant(next_ppm, lease.granted_ppm)
-                && (request.freed || is_requester)
-            {
-                outstanding += next_ppm.saturating_sub(lease.upper_bound_ppm);
-                lease.granted_ppm = next_ppm;
-                lease.upper_bound_ppm = lease.upper_bound_ppm.max(next_ppm);
-                add_change(changed, name, request.tenant, next_ppm);
-            }
+        // A client that was never granted this tenant gets its first lease when it sends a request.
+        let below_target: Vec<(String, u32)> = self
+            .clients
+            .iter_mut()
+            .filter_map(|(name, record)| {
+                let lease = record.leases.get(tenant)?;
+                let target = targets.target_of(record, tenant);
+                (target > lease.granted_ppm).then(|| (name.clone(), target))
+            })
+            .collect();
+        for (name, target) in below_target {
+            let unleased = self.unleased_ppm(tenant, recovering);
+            self.increase_lease(&name, tenant, target, unleased, changed);
         }
     }
 }
 
+/// The latest share of a tenant counts: a request can both get more of it and have it moved.
 fn add_change(changed: &mut ChangedLeases, client: &str, tenant: &str, ppm: u32) {
     let lease = Lease {
         tenant: tenant.to_owned(),
