--- a/crates/controller/src/core/instances.rs
+++ b/crates/controller/src/core/instances.rs
@@ -328,27 +328,21 @@
             .filter(|(_, proxy)| !proxy.has_complete_instances)
             .map(|(connection, _)| *connection)
             .collect();
-        for connection in incomplete {
-            self.send_all_instances(now, connection, out);
-        }
+        self.send_all_instances(now, &incomplete, out);
     }
 
-    /// Sends a proxy all instances that serve or drain. A controller without quorum contact sends nothing of what it found on its
+    /// Sends proxies all instances that serve or drain, encoded once for all of them. A controller without quorum contact sends nothing of what it found on its
     /// disk: others may know that an instance has ended.
     pub(super) fn send_all_instances(
         &mut self,
         now: Millis,
-        connection: u64,
+        connections: &[u64],
         out: &mut Vec<Output>,
     ) {
-        let complete = self.knows_all_instances(now);
-        if !self.has_quorum_contact(now) {
+        if connections.is_empty() || !self.has_quorum_contact(now) {
             return;
         }
-        let Some(proxy) = self.proxies.get_mut(&connection) else {
-            return;
-        };
-        proxy.has_complete_instances = complete;
+        let complete = self.knows_all_instances(now);
         let mut records = self.registry.records(now);
         records.retain(|record| {
             matches!(
@@ -356,7 +350,13 @@
                 InstanceState::Serving | InstanceState::Draining
             )
         });
-        self.send_to_proxy(connection, encode_instances(records, complete, 0), out);
+        let bytes = encode_instances(records, complete, 0);
+        for connection in connections {
+            if let Some(proxy) = self.proxies.get_mut(connection) {
+                proxy.has_complete_instances = complete;
+                out.push(Output::SendToProxy(*connection, bytes.clone()));
+            }
+        }
     }
 }
 
--- a/crates/controller/src/core/proxies.rs
+++ b/crates/controller/src/core/proxies.rs
@@ -55,7 +55,7 @@
         self.proxies.insert(connection, proxy);
         // Also where nothing has changed: the proxy learns which controllers there are.
         self.send_config(now, connection, true, out);
-        self.send_all_instances(now, connection, out);
+        self.send_all_instances(now, &[connection], out);
     }
 
     /// A proxy's connection has ended.
--- a/crates/controller/src/core/quorum_contact.rs
+++ b/crates/controller/src/core/quorum_contact.rs
@@ -120,9 +120,8 @@
         // No heartbeat could be received in the meantime.
         self.registry.restart_timeouts(now);
         self.distribute_config(now, out);
-        for connection in self.proxy_connections() {
-            self.send_all_instances(now, connection, out);
-        }
+        let connections = self.proxy_connections();
+        self.send_all_instances(now, &connections, out);
     }
 
     pub(super) fn lose_quorum_contact(&mut self, now: Millis, out: &mut Vec<Output>) {
--- a/crates/proxy/src/core/mod.rs
+++ b/crates/proxy/src/core/mod.rs
@@ -23,7 +23,7 @@
 use maplefall_gateway_config::{ItemSet, Limits, RouteTable};
 use maplefall_node_settings::{Bounds, Settings};
 use maplefall_policy::{Millis, RequestId, Tenants};
-use maplefall_quota_lease::LeaseClient;
+use maplefall_quota_lease::{LeaseClient, Pacer};
 use maplefall_service_registry::Registry;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -56,6 +56,8 @@
     controllers: BTreeSet<String>,
     /// When leases were last requested outside of a tick.
     last_urgent_request: Millis,
+    /// Spaces out the urgent requests of all tenants.
+    urgent_requests: Pacer,
     /// When controllers were asked for more of a tenant's quota.
     more_requested_at: HashMap<Rc<str>, Millis>,
     /// When a tenant's bucket was last found empty.
@@ -86,6 +88,7 @@
             connected_controllers: BTreeSet::new(),
             controllers: seed_controllers(settings).collect(),
             last_urgent_request: 0.0,
+            urgent_requests: Pacer::new(0.0, quota_leases::MAX_URGENT_CREDIT),
             more_requested_at: HashMap::new(),
             rejected_at: HashMap::new(),
             registry: Registry::default(),
--- a/crates/proxy/src/core/quota_leases.rs
+++ b/crates/proxy/src/core/quota_leases.rs
@@ -9,7 +9,12 @@
 use maplefall_quota_lease::{Demand, LeaseGrant, LeaseRequest};
 use std::rc::Rc;
 
-/// Shortest time between two lease requests to one controller beyond those of the ticks.
+/// Time that a lease request beyond those of the ticks costs, for each proxy that the controllers know: together the proxies ask a
+/// controller 500 times a second at most, however many they are. A controller moves leases among all of them no more often.
+const URGENT_INTERVAL_PER_PROXY: Millis = 2.0;
+/// Time for which urgent requests go out without a pause after a while with fewer.
+pub(super) const MAX_URGENT_CREDIT: Millis = 200.0;
+/// Shortest time between two lease requests to one controller beyond those of the ticks, for tenants that it was asked for before.
 const MIN_LEASE_REQUEST_INTERVAL: Millis = 60.0;
 /// Controllers grant a lease within this time, or are taken not to.
 const LEASE_GRANT_TIMEOUT: Millis = 30.0;
@@ -108,23 +113,28 @@
     ) -> Option<Millis> {
         self.rejected_at.insert(tenant.clone(), now);
         let requested_at = self.more_requested_at.get(tenant).copied();
-        if requested_at.is_none_or(|at| now - at >= LEASE_RETRY_INTERVAL)
-            && !self.connected_controllers.is_empty()
-        {
+        let may_ask = self.urgent_requests.is_due(now) && !self.connected_controllers.is_empty();
+        if may_ask && requested_at.is_none_or(|at| now - at >= LEASE_RETRY_INTERVAL) {
             self.more_requested_at.insert(tenant.clone(), now);
-            self.last_urgent_request = now;
-            self.request_leases(now, out);
+            self.request_leases_urgently(now, out);
             return Some(LEASE_GRANT_TIMEOUT);
         }
-        if now - self.last_urgent_request >= MIN_LEASE_REQUEST_INTERVAL {
-            self.last_urgent_request = now;
-            self.request_leases(now, out);
+        if may_ask && now - self.last_urgent_request >= MIN_LEASE_REQUEST_INTERVAL {
+            self.request_leases_urgently(now, out);
         }
         requested_at
             .map(|at| at + LEASE_GRANT_TIMEOUT - now)
             .filter(|left| *left > 0.0)
     }
 
+    fn request_leases_urgently(&mut self, now: Millis, out: &mut Vec<Output>) {
+        let proxies = f64::from(self.lease_client.client_count());
+        self.urgent_requests
+            .charge(now, URGENT_INTERVAL_PER_PROXY * proxies);
+        self.last_urgent_request = now;
+        self.request_leases(now, out);
+    }
+
     pub(super) fn handle_lease_grant(
         &mut self,
         now: Millis,
