--- a/crates/controller/src/core/lease_requests.rs
+++ b/crates/controller/src/core/lease_requests.rs
@@ -120,13 +120,14 @@
     /// A proxy's name is on disk.
     pub(super) fn lease_holder_persisted(&mut self, node: &str, out: &mut Vec<Output>) {
         self.leasing.holders.recorded(node);
-        let waiting: Vec<(u64, LeaseRequest)> = self
+        let Some(connection) = self.latest_connection(node) else {
+            return;
+        };
+        let waiting = self
             .proxies
-            .iter_mut()
-            .filter(|(_, proxy)| proxy.node == node)
-            .filter_map(|(connection, proxy)| Some((*connection, proxy.awaits_disk.take()?)))
-            .collect();
-        for (connection, request) in waiting {
+            .get_mut(&connection)
+            .and_then(|proxy| proxy.awaits_disk.take());
+        if let Some(request) = waiting {
             self.queue_lease_request(connection, request, out);
         }
     }
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -152,6 +152,8 @@
     unsent_heartbeats: BTreeMap<String, u64>,
     deregistrations: Deregistrations,
     proxies: BTreeMap<u64, ProxyConnection>,
+    /// The latest connection of each proxy, by its name.
+    connections_by_node: BTreeMap<String, u64>,
     leasing: Leasing,
 }
 
@@ -194,6 +196,7 @@
             unsent_heartbeats: BTreeMap::new(),
             deregistrations: Deregistrations::new(seed & 0xffff_ffff),
             proxies: BTreeMap::new(),
+            connections_by_node: BTreeMap::new(),
             leasing: Leasing::new(slots, server, holders),
             ip,
         };
--- a/crates/controller/src/core/proxies.rs
+++ b/crates/controller/src/core/proxies.rs
@@ -53,6 +53,9 @@
             awaits_disk: None,
         };
         self.proxies.insert(connection, proxy);
+        let latest = self.connections_by_node.entry(hello.node.clone());
+        let latest = latest.or_insert(connection);
+        *latest = connection.max(*latest);
         // Also where nothing has changed: the proxy learns which controllers there are.
         self.send_config(now, connection, true, out);
         self.send_all_instances(now, &[connection], out);
@@ -62,6 +65,7 @@
     pub fn proxy_disconnected(&mut self, connection: u64, out: &mut Vec<Output>) {
         self.lease_requests_mut().remove(connection);
         if let Some(proxy) = self.proxies.remove(&connection) {
+            self.forget_connection(connection, &proxy.node);
             out.push(Event::ProxyDisconnected { node: &proxy.node }.into());
         }
     }
@@ -73,11 +77,24 @@
 
     /// The latest connection of a proxy.
     pub(super) fn latest_connection(&self, node: &str) -> Option<u64> {
-        self.proxies
+        self.connections_by_node.get(node).copied()
+    }
+
+    /// A connection of this proxy has ended; an earlier one may still be there.
+    fn forget_connection(&mut self, connection: u64, node: &str) {
+        if self.connections_by_node.get(node) != Some(&connection) {
+            return;
+        }
+        let earlier = self
+            .proxies
             .iter()
             .rev()
             .find(|(_, proxy)| proxy.node == node)
-            .map(|(connection, _)| *connection)
+            .map(|(earlier, _)| *earlier);
+        match earlier {
+            Some(earlier) => self.connections_by_node.insert(node.to_owned(), earlier),
+            None => self.connections_by_node.remove(node),
+        };
     }
 
     pub(super) fn send_to_proxy(&self, connection: u64, bytes: Bytes, out: &mut Vec<Output>) {
--- a/crates/controller/src/net/controller.rs
+++ b/crates/controller/src/net/controller.rs
@@ -2,7 +2,7 @@
 
 use super::disk_thread::DiskWriter;
 use super::internal_connections::Remote;
-use super::load::{CallName, InputKind, Load, Outcome};
+use super::load::{CallSummary, InputKind, Load, Outcome};
 use crate::core::{Call, CallResponse, Core, Millis, Output};
 use crate::store::{StoreRecord, StoredState};
 use bytes::Bytes;
@@ -169,12 +169,12 @@
             controller: self,
             number,
             received_at: Instant::now(),
-            name: CallName::new(&call),
+            summary: CallSummary::new(&call),
         };
         let kind = InputKind::of_call(&call);
         self.drive(kind, |core, now, out| core.call(now, number, call, out));
         let response = receiver.await.unwrap_or(CallResponse::Unavailable);
-        registration.name.outcome = Outcome::of(&response);
+        registration.summary.outcome = Outcome::of(&response);
         response
     }
 }
@@ -184,7 +184,7 @@
     controller: &'a Controller,
     number: u64,
     received_at: Instant,
-    name: CallName,
+    summary: CallSummary,
 }
 
 impl Drop for CallRegistration<'_> {
@@ -195,7 +195,7 @@
             .controller
             .load
             .borrow_mut()
-            .call_ended(&self.name, duration);
+            .call_ended(&self.summary, duration);
         if let Some(line) = slow {
             log::info!("{line}");
         }
--- a/crates/controller/src/net/load.rs
+++ b/crates/controller/src/net/load.rs
@@ -120,7 +120,7 @@
     }
 
     /// A call has ended; returns a line about it if it was slow.
-    pub(super) fn call_ended(&mut self, call: &CallName, duration: Duration) -> Option<String> {
+    pub(super) fn call_ended(&mut self, call: &CallSummary, duration: Duration) -> Option<String> {
         let is_slow = duration >= SLOW_CALL || call.outcome == Outcome::Unavailable;
         if !is_slow {
             return None;
@@ -186,24 +186,24 @@
     }
 }
 
-/// A call as the log names it: as its caller does.
-pub(super) struct CallName {
+/// A call as the log tells of it, with the names that its caller uses.
+pub(super) struct CallSummary {
     call: &'static str,
     /// Id of the backend, empty for the operator's calls.
     instance: String,
     pub(super) outcome: Outcome,
 }
 
-impl CallName {
+impl CallSummary {
     /// A call that has no answer yet.
-    pub(super) fn new(call: &Call) -> CallName {
+    pub(super) fn new(call: &Call) -> CallSummary {
         let (call, instance) = match call {
             Call::Heartbeat(id, _) => ("instances.beat", id.clone()),
             Call::Deregister(id) => ("instances.leave", id.clone()),
             Call::Amend(_) => ("config.amend", String::new()),
             Call::ReadConfig => ("config.read", String::new()),
         };
-        CallName {
+        CallSummary {
             call,
             instance,
             outcome: Outcome::Abandoned,
@@ -211,7 +211,7 @@
     }
 }
 
-impl fmt::Display for CallName {
+impl fmt::Display for CallSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "call={}", self.call)?;
         if !self.instance.is_empty() {
@@ -220,3 +220,6 @@
         write!(f, " outcome={}", self.outcome.name())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/tests/leasing.rs
+++ b/crates/controller/tests/leasing.rs
@@ -10,16 +10,22 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// A proxy is granted nothing before its name is on disk, also where it sends several requests meanwhile: a restarted controller has
-/// to know which proxies hold leases.
-#[test]
-fn nothing_is_granted_before_the_proxys_name_is_on_disk() {
+/// A controller with one tenant, and a proxy that is connected to it and has asked for nothing.
+fn controller_with_proxy() -> (LeaseCluster, LeaseClient) {
     let mut cluster = LeaseCluster::new(&["10.0.0.1"], 0);
     cluster.run(2000.0);
     cluster.add_tenant();
     let mut client = LeaseClient::new(5);
     client.connected("x");
     cluster.connect_proxy("10.0.0.1", 1, "proxy", 5);
+    (cluster, client)
+}
+
+/// A proxy is granted nothing before its name is on disk, also where it sends several requests meanwhile: a restarted controller has
+/// to know which proxies hold leases.
+#[test]
+fn nothing_is_granted_before_the_proxys_name_is_on_disk() {
+    let (mut cluster, mut client) = controller_with_proxy();
     cluster
         .nodes
         .get_mut("10.0.0.1")
@@ -47,12 +53,7 @@
 /// its answer is that to the last; a release takes effect at once, and nothing is granted behind it.
 #[test]
 fn a_later_request_replaces_the_one_that_waits() {
-    let mut cluster = LeaseCluster::new(&["10.0.0.1"], 0);
-    cluster.run(2000.0);
-    cluster.add_tenant();
-    let mut client = LeaseClient::new(5);
-    client.connected("x");
-    cluster.connect_proxy("10.0.0.1", 1, "proxy", 5);
+    let (mut cluster, mut client) = controller_with_proxy();
     let request = client.next_request(cluster.now, "x", Vec::new());
     assert_eq!(
         granted_ppm(&cluster.request_lease("10.0.0.1", 1, request)),
--- a/crates/quota-lease/src/server/mod.rs
+++ b/crates/quota-lease/src/server/mod.rs
@@ -6,12 +6,12 @@
 mod client_record;
 mod clients;
 mod rebalance;
-mod round;
+mod rebalance_queue;
 
 use crate::*;
 use client_record::ClientRecord;
 use clients::Clients;
-use round::RebalanceRound;
+use rebalance_queue::RebalanceQueue;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Clients of one server. A client beyond that is granted nothing until another one has expired.
@@ -59,7 +59,7 @@
     /// What this server may lease of each quota, in ppm.
     limit: u32,
     clients: Clients,
-    round: RebalanceRound,
+    rebalance_queue: RebalanceQueue,
     recovery: Recovery,
     /// Client records that were looked at.
     visited_clients: u64,
@@ -80,7 +80,7 @@
             last_grant: 0,
             limit,
             clients: Clients::default(),
-            round: RebalanceRound::new(now),
+            rebalance_queue: RebalanceQueue::new(now),
             recovery: Recovery {
                 unknown_clients: leased_to.is_none(),
                 known_clients: leased_to.unwrap_or_default(),
--- a/crates/quota-lease/src/server/rebalance.rs
+++ b/crates/quota-lease/src/server/rebalance.rs
@@ -4,7 +4,7 @@
 //! its acknowledgement has come.
 
 use super::client_record::{ClientRecord, RequestEffect};
-use super::round::TenantRound;
+use super::rebalance_queue::PendingRebalance;
 use super::{ChangedLeases, LeaseServer};
 use crate::*;
 
@@ -47,11 +47,18 @@
     }
 }
 
+/// Where a lease is to go, in ppm.
+struct TargetLease {
+    target: u32,
+    /// What may be leased in addition to what is outstanding.
+    unleased: u32,
+}
+
 impl LeaseServer {
     /// Rebalances every tenant whose leases a request of `client` may change. Returns the changed leases, with an entry for the client
     /// itself even if nothing has changed.
     ///
-    /// The client gets its targets as far as there is unleased quota. Leases of others are moved in the next [round](super::round).
+    /// The client gets its targets as far as there is unleased quota. Those of others are moved by the [rebalance queue](super::rebalance_queue).
     pub(super) fn rebalance_tenants<'a>(
         &mut self,
         now: Millis,
@@ -86,13 +93,11 @@
                 effect.starved.contains(tenant) || client_count_changed || never_granted;
             let is_short = self.increase_own_lease(client, tenant, recovering, &mut changed);
             if freed || (is_urgent && is_short) {
-                self.round.add(tenant, is_urgent && is_short);
+                self.rebalance_queue.add(tenant, is_urgent && is_short);
             }
         }
-        if let Some(pending) = self.round.begin(now, client_count) {
-            for (tenant, round) in pending {
-                self.rebalance_among_all(&tenant, round, recovering, &mut changed);
-            }
+        for (tenant, pending) in self.rebalance_queue.take_due(now, client_count) {
+            self.rebalance_among_all(&tenant, pending, recovering, &mut changed);
         }
         changed
     }
@@ -134,20 +139,20 @@
         let unleased = self.unleased_ppm(tenant, recovering);
         let is_short = targets.is_significant(target, before.granted_ppm)
             && target > before.upper_bound_ppm.saturating_add(unleased);
-        self.increase_lease(client, tenant, target, unleased, changed);
+        let next = TargetLease { target, unleased };
+        self.increase_lease(client, tenant, &targets, &next, changed);
         is_short
     }
 
-    /// Increases a lease to its target, as far as `unleased` allows and if that is significant.
+    /// Increases a lease to its target, as far as there is unleased quota and if that is significant.
     fn increase_lease(
         &mut self,
         client: &str,
         tenant: &str,
-        target: u32,
-        unleased: u32,
+        targets: &TargetShares,
+        next: &TargetLease,
         changed: &mut ChangedLeases,
     ) {
-        let targets = self.target_shares(tenant);
         let is_over_limit = self.outstanding(tenant) > self.limit;
         let Some(record) = self.clients.get(client) else {
             return;
@@ -159,7 +164,7 @@
         } else {
             lease.upper_bound_ppm
         };
-        let next_ppm = target.min(reachable_ppm.saturating_add(unleased));
+        let next_ppm = next.target.min(reachable_ppm.saturating_add(next.unleased));
         if next_ppm > lease.granted_ppm && targets.is_significant(next_ppm, lease.granted_ppm) {
             self.clients.raise_lease(client, tenant, next_ppm);
             add_change(changed, client, tenant, next_ppm);
@@ -171,11 +176,11 @@
     fn rebalance_among_all(
         &mut self,
         tenant: &str,
-        round: TenantRound,
+        pending: PendingRebalance,
         recovering: bool,
         changed: &mut ChangedLeases,
     ) {
-        if round.take_back {
+        if pending.take_back {
             self.decrease_leases(tenant, changed);
         }
         self.increase_leases(tenant, recovering, changed);
@@ -213,7 +218,8 @@
             .collect();
         for (name, target) in below_target {
             let unleased = self.unleased_ppm(tenant, recovering);
-            self.increase_lease(&name, tenant, target, unleased, changed);
+            let next = TargetLease { target, unleased };
+            self.increase_lease(&name, tenant, &targets, &next, changed);
         }
     }
 }
--- /dev/null
+++ b/crates/quota-lease/tests/pacer.rs
@@ -0,0 +1,33 @@
+//! Pacing: a bounded rate in the long run, and no wait for what comes now and then.
+
+use maplefall_quota_lease::Pacer;
+
+/// Work that is always there is done once for each interval, beyond what was saved up.
+#[test]
+fn steady_work_is_done_once_an_interval() {
+    let mut pacer = Pacer::new(0.0, 100.0);
+    let mut done = 0;
+    for ms in 0..10_000 {
+        let now = f64::from(ms);
+        if pacer.is_due(now) {
+            pacer.charge(now, 50.0);
+            done += 1;
+        }
+        assert!(pacer.wait(now) <= 50.0);
+    }
+    assert!((200..=203).contains(&done), "{done} times in 10 s");
+}
+
+/// A pause of any length saves up no more than the credit.
+#[test]
+fn a_pause_saves_up_a_bounded_credit() {
+    let mut pacer = Pacer::new(0.0, 100.0);
+    let now = 1e9;
+    let mut done = 0;
+    while pacer.is_due(now) {
+        pacer.charge(now, 40.0);
+        done += 1;
+    }
+    assert_eq!(done, 3);
+    assert!((pacer.wait(now) - 20.0).abs() < 1e-6);
+}
