--- a/crates/controller/src/core/lease_requests.rs
+++ b/crates/controller/src/core/lease_requests.rs
@@ -91,6 +91,11 @@
         }
     }
 
+    /// Whether a lease request waits to be answered.
+    pub fn has_lease_requests(&self) -> bool {
+        !self.leasing.requests.by_connection.is_empty()
+    }
+
     /// Answers the lease request that has waited longest; returns whether there was one.
     pub fn answer_lease_request(&mut self, now: Millis, out: &mut Vec<Output>) -> bool {
         let Some((connection, request)) = self.lease_requests_mut().pop() else {
--- a/crates/controller/src/net/lease_requests.rs
+++ b/crates/controller/src/net/lease_requests.rs
@@ -5,7 +5,7 @@
 
 use super::controller::Controller;
 use super::load::InputKind;
-use crate::core::{MAX_LEASE_CREDIT, MAX_LEASE_LOAD};
+use crate::core::{Core, MAX_LEASE_CREDIT, MAX_LEASE_LOAD};
 use maplefall_quota_lease::Pacer;
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 pub(super) async fn answer(controller: Rc<Controller>) {
     let mut pacer = Pacer::new(controller.now(), MAX_LEASE_CREDIT);
     loop {
-        let from = controller.now();
-        let any = controller.drive(InputKind::LeaseRequest, |core, now, out| {
-            core.answer_lease_request(now, out)
-        });
-        if !any {
+        if !controller.inspect(Core::has_lease_requests) {
             controller.lease_requests_queued.notified().await;
             continue;
         }
+        let from = controller.now();
+        controller.drive(InputKind::LeaseRequest, |core, now, out| {
+            core.answer_lease_request(now, out)
+        });
         let now = controller.now();
         pacer.charge(now, (now - from) / MAX_LEASE_LOAD);
         if pacer.is_due(now) {
