--- a/crates/gateway-config/src/amend.rs
+++ b/crates/gateway-config/src/amend.rs
@@ -1,24 +1,25 @@
-//! Parses the body of `config.amend`: JSON with lists of items to set (`Upsert`) and to remove (`Remove`).
+//! Parses the body of a `config.amend` call: JSON with lists of items to set (`Upsert`) and to
+//! remove (`Remove`).
 
 use crate::error::ConfigError;
 use crate::item::{Change, Field, Item, ItemKind};
 use crate::json::{parse, Json};
 use crate::model;
 
-/// The most items in one call; a call with more is rejected.
+/// Maximum number of items in one call; a call with more is rejected.
 const MAX_ITEMS: usize = 100_000;
 
-/// Digits of a version.
+/// Number of hexadecimal digits of a version.
 const VERSION_DIGITS: usize = 8;
 
-/// A field of an item with its value, before the item is built.
+/// The name and value of a field, before the item is built.
 type NamedValue<'a> = (String, &'a Json);
 
-/// Parses a call and checks each of its items by itself. Whether they are consistent with each other and with the configuration is
-/// checked by [`ConfigState::validate`](crate::ConfigState::validate).
+/// Parses a call and checks each of its items individually. Consistency among the items and with
+/// the configuration is checked by [`ConfigState::validate`](crate::ConfigState::validate).
 ///
 /// # Errors
-/// [`ConfigError::Malformed`] and [`ConfigError::InvalidField`].
+/// Returns [`ConfigError::Malformed`] or [`ConfigError::InvalidField`].
 pub fn parse_amend(body: &[u8]) -> Result<Change, ConfigError> {
     let items = parse_items(body)?;
     if items.len() > MAX_ITEMS {
@@ -41,14 +42,15 @@
         match name.as_str() {
             "Upsert" => parse_upsert(value, &mut items)?,
             "Remove" => parse_remove(value, &mut items)?,
-            // Sections of newer operators are ignored.
+            // Unknown sections, which newer operator tools may send, are ignored.
             _ => {}
         }
     }
     Ok(items)
 }
 
-/// An item may occur more than once in a call, with several versions or in both sections; but one version has one content.
+/// Rejects a call with two different contents for one version of an item. An item may otherwise
+/// occur more than once: with several versions, or in both sections.
 fn reject_ambiguous_versions(items: &[Item]) -> Result<(), ConfigError> {
     fn key(item: &Item) -> (i32, &str, u32) {
         (item.kind, &item.name, item.version)
@@ -93,7 +95,7 @@
     Ok(())
 }
 
-/// Parses a list of items as `ColumnNames` and `DataRows`.
+/// Parses a list of items in the form of `ColumnNames` and `DataRows`.
 fn parse_table(kind: ItemKind, value: &Json, items: &mut Vec<Item>) -> Result<(), ConfigError> {
     let malformed = |reason: &str| ConfigError::malformed(kind.list(), reason);
     let table = value.as_object().ok_or_else(|| malformed("no object"))?;
@@ -163,7 +165,7 @@
         .collect())
 }
 
-/// Builds an item; fields that are null are left out.
+/// Builds an item; null fields are omitted.
 fn build_item(kind: ItemKind, values: Vec<NamedValue<'_>>) -> Result<Item, ConfigError> {
     let mut name = String::new();
     let mut version = None;
--- a/crates/gateway-config/src/claims.rs
+++ b/crates/gateway-config/src/claims.rs
@@ -1,27 +1,27 @@
-//! What an item claims for itself alone (host and path prefix, API keys) and which services it needs.
+//! The claims of an item: the keys that no other item may have (host and path prefix, API keys) and
+//! the services that it refers to.
 
 use crate::error::ConfigError;
 use crate::item::{Item, ItemKind};
 use crate::model::{Route, Tenant};
 use std::collections::BTreeSet;
 
-/// What distinguishes active routes: no two may have the same.
+/// The host and path prefix of a route; unique among the active routes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct RouteKey {
     /// The host, in lower case.
     pub(crate) host: String,
-    /// The prefix of the paths.
     pub(crate) path_prefix: String,
 }
 
-/// The claims of one version of an item; none if it removes the item.
+/// The claims of one version of an item; empty if that version removes the item.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Claims {
-    /// The host and path prefix of a route.
+    /// The key of a route; `None` for other kinds of items.
     pub(crate) route_key: Option<RouteKey>,
-    /// The services that a route needs, sorted and each once.
+    /// The services that a route refers to, sorted and without duplicates.
     pub(crate) services: Vec<String>,
-    /// The API keys of a tenant, sorted and each once.
+    /// The API keys of a tenant, sorted and without duplicates.
     pub(crate) api_keys: Vec<String>,
 }
 
@@ -39,7 +39,10 @@
     }
 
     fn of_route(route: Route) -> Claims {
-        let services = route.destinations.into_iter().map(|to| to.service);
+        let services = route
+            .destinations
+            .into_iter()
+            .map(|destination| destination.service);
         Claims {
             route_key: Some(RouteKey {
                 host: route.host,
--- a/crates/gateway-config/src/error.rs
+++ b/crates/gateway-config/src/error.rs
@@ -1,10 +1,11 @@
-//! Why a call of the operator is rejected.
+//! Errors for which an operator's call is rejected.
 //!
-//! The displayed text is the body of the error answer, so operators' tools read it: it must not change.
+//! The displayed text is the body of the error response, which operators' tools parse, so it must
+//! not change.
 
 use crate::item::ItemKind;
 
-/// Why a call is rejected. What concerns one item gives its name and version.
+/// The reason why a call is rejected. An error about a single item contains its name and version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// The call cannot be parsed.
@@ -59,7 +60,7 @@
         /// The name of the other tenant.
         other: String,
     },
-    /// This version of the item exists already with another content.
+    /// This version of the item already exists with different content.
     #[error("step=join list={} item={name:?} version={version:08x} why=\"taken with another content\"", .kind.list())]
     VersionConflict {
         /// The kind of the item.
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The HTTP status of the answer.
+    /// Returns the HTTP status of the error response.
     pub fn status(&self) -> u16 {
         match self {
             ConfigError::VersionConflict { .. } => 409,
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Whether the call is invalid whatever the configuration is. Otherwise the error depends on items that are committed or
-    /// pending, and the same call may be valid later.
+    /// Returns whether the call is invalid regardless of the configuration. The other errors depend
+    /// on committed or pending items, so the same call may be valid later.
     pub fn is_permanent(&self) -> bool {
         matches!(
             self,
--- a/crates/gateway-config/src/field_reader.rs
+++ b/crates/gateway-config/src/field_reader.rs
@@ -4,14 +4,14 @@
 use crate::item::Item;
 use crate::json::{parse, Json};
 
-/// The parsed fields of an item. Each method's error names the item, the field and what is wrong.
+/// The parsed fields of an item. Errors identify the item and the field, and give the reason.
 pub(crate) struct FieldReader<'a> {
     item: &'a Item,
     values: Vec<(&'a str, Json)>,
 }
 
 impl<'a> FieldReader<'a> {
-    /// Parses all fields, also those that are not read afterwards.
+    /// Parses all fields, including those that are not read afterwards.
     pub(crate) fn new(item: &'a Item) -> Result<FieldReader<'a>, ConfigError> {
         let mut reader = FieldReader {
             item,
@@ -25,7 +25,7 @@
         Ok(reader)
     }
 
-    /// The value of a field; `None` if it is left out.
+    /// Returns the value of a field; `None` if the field is missing.
     pub(crate) fn get(&self, name: &str) -> Option<&Json> {
         self.values
             .iter()
@@ -33,7 +33,7 @@
             .map(|(_, value)| value)
     }
 
-    /// The error that a field has a value that is not allowed.
+    /// Returns an error for a field whose value is not allowed.
     pub(crate) fn invalid(&self, field: &'static str, reason: impl Into<String>) -> ConfigError {
         ConfigError::InvalidField {
             kind: self.item.kind(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A string that is required and not empty.
+    /// Reads a required, non-empty string.
     pub(crate) fn string(&self, field: &'static str) -> Result<String, ConfigError> {
         self.get(field)
             .and_then(Json::as_string)
@@ -53,7 +53,7 @@
             .ok_or_else(|| self.invalid(field, "no text"))
     }
 
-    /// A finite number that is not negative; `None` if it is left out.
+    /// Reads a finite, non-negative number; `None` if the field is missing.
     pub(crate) fn number(&self, field: &'static str) -> Result<Option<f64>, ConfigError> {
         let Some(value) = self.get(field) else {
             return Ok(None);
@@ -63,7 +63,7 @@
             .ok_or_else(|| self.invalid(field, "no figure of nought at least"))
     }
 
-    /// An integer of 32 bits that is not negative; `None` if it is left out.
+    /// Reads an unsigned 32-bit integer; `None` if the field is missing.
     pub(crate) fn integer(&self, field: &'static str) -> Result<Option<u32>, ConfigError> {
         let is_integer = |number: f64| number.fract() == 0.0 && number <= f64::from(u32::MAX);
         match self.number(field)? {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A boolean; `false` if it is left out.
+    /// Reads a boolean; `false` if the field is missing.
     pub(crate) fn boolean(&self, field: &'static str) -> Result<bool, ConfigError> {
         match self.get(field) {
             None => Ok(false),
@@ -83,7 +83,7 @@
     }
 }
 
-/// The value as a finite number that is not negative.
+/// Returns the value as a finite, non-negative number; `None` if it is anything else.
 pub(crate) fn non_negative_number(value: &Json) -> Option<f64> {
     value
         .as_number()
--- a/crates/gateway-config/src/history.rs
+++ b/crates/gateway-config/src/history.rs
@@ -1,7 +1,8 @@
-//! Superseded versions: a digest of each content, so that a repeated call is recognised and another content under an old version is
-//! rejected.
+//! Superseded versions of items. A digest of each version's content is kept, so that a repeated
+//! call is recognised and different content under an old version is rejected.
 //!
-//! Invariant: the history depends only on the order of committed changes, so it is the same at every controller.
+//! Invariant: the history depends only on the order of committed changes, so it is the same at
+//! every controller.
 
 use crate::item::{Item, ItemKind};
 use prost::Message;
@@ -9,18 +10,19 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Superseded versions of one item that are remembered. Beyond it the lowest is evicted.
+/// Maximum number of superseded versions kept for one item; beyond it, the lowest is evicted.
 pub const MAX_VERSIONS_PER_ITEM: usize = 256;
-/// Superseded versions of all items together that are remembered. Beyond it the older half is evicted.
+/// Maximum number of superseded versions kept for all items together; beyond it, the older half is
+/// evicted.
 pub const MAX_VERSIONS: usize = 1 << 19;
 
 const DIGEST_BYTES: usize = 16;
 
-/// The first and the second half of the fixed key of [`digest`].
+/// The two halves of the fixed key of [`digest`].
 const DIGEST_KEY: (u64, u64) = (0x6d61_706c_6566_616c, 0x6c2e_6e75_6d62_6572);
 
-/// Identifies the content of an item: SipHash-2-4 of 128 bits with a fixed key over its protobuf encoding. It is stored in
-/// snapshots, so it must be the same in every process and every release.
+/// A digest of an item's content: 128-bit SipHash-2-4 with a fixed key over the protobuf encoding.
+/// Digests are stored in snapshots, so they must be the same in every process and every release.
 pub(crate) type Digest = [u8; DIGEST_BYTES];
 
 pub(crate) fn digest(item: &Item) -> Digest {
@@ -29,7 +31,7 @@
     hasher.finish128().as_bytes()
 }
 
-/// The superseded versions of one item, as a snapshot stores them.
+/// The superseded versions of one item, as stored in a snapshot.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ItemHistory {
     /// The kind of the item.
@@ -38,48 +40,49 @@
     /// The name of the item.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// The highest version that was evicted; what is not listed up to it may have been applied.
+    /// The highest evicted version. An unlisted version up to this one may have been applied.
     #[prost(uint32, optional, tag = "3")]
     pub evicted_up_to: Option<u32>,
-    /// The versions, rising.
+    /// The versions, in ascending order.
     #[prost(uint32, repeated, tag = "4")]
     pub versions: Vec<u32>,
-    /// The sequence number of each, in the order in which they were recorded.
+    /// The sequence number of each version, in the order of `versions`; sequence numbers increase
+    /// in the order of recording.
     #[prost(uint64, repeated, tag = "5")]
     pub sequences: Vec<u64>,
-    /// The digests of the contents, 16 bytes for each.
+    /// The digest of each version's content, in the order of `versions`; 16 bytes each.
     #[prost(bytes = "vec", tag = "6")]
     pub digests: Vec<u8>,
 }
 
-/// All superseded versions, as a snapshot stores them.
+/// The superseded versions of all items, as stored in a snapshot.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct VersionHistory {
-    /// By kind and name.
+    /// The histories of the items, in the order of kind and name.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<ItemHistory>,
-    /// How many versions were ever recorded.
+    /// Number of versions ever recorded, including evicted ones.
     #[prost(uint64, tag = "2")]
     pub recorded: u64,
 }
 
-/// What is known of a version of an item, compared with the content that came with it.
+/// The status of an item's version, compared with the content given for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VersionStatus {
-    /// It does not exist yet.
+    /// The version does not exist yet.
     New,
-    /// It exists with this content.
+    /// The version exists with this content.
     Identical,
-    /// It exists with another content.
+    /// The version exists with different content.
     Conflicting,
-    /// It may exist; its digest was evicted.
+    /// The version may exist; its digest was evicted.
     Evicted,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct SupersededVersion {
     version: u32,
-    /// Its number in the order of recording, over all items.
+    /// Position in the order of recording, across all items.
     sequence: u64,
     digest: Digest,
 }
@@ -88,19 +91,19 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ItemVersions {
     evicted_up_to: Option<u32>,
-    /// Rising by version.
-    known: Vec<SupersededVersion>,
+    /// Sorted by version, in ascending order.
+    entries: Vec<SupersededVersion>,
 }
 
 impl ItemVersions {
     fn find(&self, version: u32) -> Result<usize, usize> {
-        self.known
-            .binary_search_by_key(&version, |known| known.version)
+        self.entries
+            .binary_search_by_key(&version, |entry| entry.version)
     }
 
     fn status(&self, item: &Item) -> VersionStatus {
         match self.find(item.version) {
-            Ok(index) if self.known[index].digest == digest(item) => VersionStatus::Identical,
+            Ok(index) if self.entries[index].digest == digest(item) => VersionStatus::Identical,
             Ok(_) => VersionStatus::Conflicting,
             Err(_) if self.evicted_up_to >= Some(item.version) => VersionStatus::Evicted,
             Err(_) => VersionStatus::New,
@@ -108,16 +111,16 @@
     }
 
     fn evict_lowest(&mut self) {
-        let evicted = self.known.remove(0);
+        let evicted = self.entries.remove(0);
         self.evicted_up_to = self.evicted_up_to.max(Some(evicted.version));
     }
 
     fn evict_recorded_before(&mut self, sequence: u64) {
         let evicted_up_to = &mut self.evicted_up_to;
-        self.known.retain(|known| {
-            let retained = known.sequence >= sequence;
+        self.entries.retain(|entry| {
+            let retained = entry.sequence >= sequence;
             if !retained {
-                *evicted_up_to = (*evicted_up_to).max(Some(known.version));
+                *evicted_up_to = (*evicted_up_to).max(Some(entry.version));
             }
             retained
         });
@@ -128,9 +131,9 @@
             kind: kind as i32,
             name: name.to_owned(),
             evicted_up_to: self.evicted_up_to,
-            versions: self.known.iter().map(|known| known.version).collect(),
-            sequences: self.known.iter().map(|known| known.sequence).collect(),
-            digests: self.known.iter().flat_map(|known| known.digest).collect(),
+            versions: self.entries.iter().map(|entry| entry.version).collect(),
+            sequences: self.entries.iter().map(|entry| entry.sequence).collect(),
+            digests: self.entries.iter().flat_map(|entry| entry.digest).collect(),
         }
     }
 
@@ -139,7 +142,7 @@
             .digests
             .chunks_exact(DIGEST_BYTES)
             .filter_map(|bytes| bytes.try_into().ok());
-        let known = message
+        let entries = message
             .versions
             .iter()
             .zip(&message.sequences)
@@ -152,7 +155,7 @@
             .collect();
         ItemVersions {
             evicted_up_to: message.evicted_up_to,
-            known,
+            entries,
         }
     }
 }
@@ -161,9 +164,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct SupersededVersions {
     kinds: [BTreeMap<String, ItemVersions>; ItemKind::COUNT],
-    /// How many versions are known, over all items.
-    known: usize,
-    /// How many versions were ever recorded.
+    /// Number of versions kept, across all items.
+    version_count: usize,
+    /// Number of versions ever recorded, including evicted ones.
     recorded: u64,
     max_versions_per_item: usize,
     max_versions: usize,
@@ -176,14 +179,14 @@
     ) -> SupersededVersions {
         SupersededVersions {
             kinds: Default::default(),
-            known: 0,
+            version_count: 0,
             recorded: 0,
             max_versions_per_item,
             max_versions,
         }
     }
 
-    /// What is known of the item's version.
+    /// Returns the status of the item's version.
     pub(crate) fn status(&self, item: &Item) -> VersionStatus {
         match self.kinds[item.kind() as usize].get(&item.name) {
             Some(versions) => versions.status(item),
@@ -191,7 +194,8 @@
         }
     }
 
-    /// Remembers the content of a superseded version. The first content that is recorded stays.
+    /// Records the content of a superseded version. A version that is already recorded keeps its
+    /// content.
     pub(crate) fn record(&mut self, item: &Item) {
         let kind = &mut self.kinds[item.kind() as usize];
         if !kind.contains_key(&item.name) {
@@ -209,13 +213,13 @@
             sequence: self.recorded,
             digest: digest(item),
         };
-        versions.known.insert(index, superseded);
-        self.known += 1;
-        if versions.known.len() > self.max_versions_per_item {
+        versions.entries.insert(index, superseded);
+        self.version_count += 1;
+        if versions.entries.len() > self.max_versions_per_item {
             versions.evict_lowest();
-            self.known -= 1;
+            self.version_count -= 1;
         }
-        if self.known > self.max_versions {
+        if self.version_count > self.max_versions {
             self.evict_older_half();
         }
     }
@@ -223,14 +227,14 @@
     fn evict_older_half(&mut self) {
         let mut sequences: Vec<u64> = self
             .iter()
-            .flat_map(|(_, _, versions)| versions.known.iter().map(|known| known.sequence))
+            .flat_map(|(_, _, versions)| versions.entries.iter().map(|entry| entry.sequence))
             .collect();
         let middle = sequences.len() / 2;
         let first_retained = *sequences.select_nth_unstable(middle).1;
-        self.known = 0;
+        self.version_count = 0;
         for versions in self.kinds.iter_mut().flat_map(BTreeMap::values_mut) {
             versions.evict_recorded_before(first_retained);
-            self.known += versions.known.len();
+            self.version_count += versions.entries.len();
         }
     }
 
@@ -242,7 +246,7 @@
         })
     }
 
-    /// The history as a snapshot stores it.
+    /// Returns the history as stored in a snapshot.
     pub(crate) fn to_message(&self) -> VersionHistory {
         VersionHistory {
             items: self
@@ -253,12 +257,12 @@
         }
     }
 
-    /// Adds the history of a snapshot.
+    /// Adds the history stored in a snapshot.
     pub(crate) fn restore(&mut self, history: VersionHistory) {
         self.recorded = history.recorded;
         for message in history.items {
             let versions = ItemVersions::from_message(&message);
-            self.known += versions.known.len();
+            self.version_count += versions.entries.len();
             self.kinds[message.kind() as usize].insert(message.name, versions);
         }
     }
--- a/crates/gateway-config/src/item.rs
+++ b/crates/gateway-config/src/item.rs
@@ -2,7 +2,7 @@
 //!
 //! Field tags and enum numbers are part of the stored format and must not change.
 
-/// The kind of an item; its number is also an index into arrays by kind.
+/// The kind of an item; its number is also the index into arrays by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum ItemKind {
@@ -25,10 +25,9 @@
         ItemKind::Limits,
     ];
 
-    /// How many kinds there are.
     pub(crate) const COUNT: usize = ItemKind::ALL.len();
 
-    /// The name of its list in a call of the operator.
+    /// Returns the name of the kind's list in an operator's call.
     pub fn list(self) -> &'static str {
         match self {
             ItemKind::Route => "RouteTable",
@@ -39,8 +38,8 @@
     }
 }
 
-/// A field of an item: its name and its value as JSON. Stored as sent, whether known here or not, so that it reads back the
-/// same.
+/// A field of an item: its name and its value as JSON. Known and unknown fields are stored as sent,
+/// so that the configuration reads back unchanged.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Field {
     /// The name of the field.
@@ -60,13 +59,13 @@
     /// Its name; empty for `Limits`.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Its version: the highest one is in force.
+    /// Its version; the highest version is in force.
     #[prost(uint32, tag = "3")]
     pub version: u32,
     /// Whether this version removes the item.
     #[prost(bool, tag = "4")]
     pub dropped: bool,
-    /// All fields but name and version, sorted by name; empty if the item is removed.
+    /// All fields except name and version, sorted by name; empty if this version removes the item.
     #[prost(message, repeated, tag = "5")]
     pub fields: Vec<Field>,
 }
--- a/crates/gateway-config/src/item_set.rs
+++ b/crates/gateway-config/src/item_set.rs
@@ -1,6 +1,7 @@
-//! Items by kind and name, each in its highest version.
+//! A set of items by kind and name, each in its highest version.
 //!
-//! Invariant: removed items are kept, so that a late call with an older version does not bring them back.
+//! Invariant: removed items are kept, so that a late call with an older version does not restore
+//! them.
 
 use crate::item::{Change, Item, ItemKind};
 use crate::json::quoted;
@@ -10,7 +11,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-/// An item that is ordered by and found by its name.
+/// An item that is ordered and looked up by its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct NamedItem(pub(crate) Arc<Item>);
 
@@ -38,14 +39,14 @@
     }
 }
 
-/// An item to store, without the spare capacity that decoding leaves.
+/// Prepares an item for storage: releases the spare capacity that decoding leaves.
 pub(crate) fn compact(mut item: Item) -> Arc<Item> {
     item.fields.shrink_to_fit();
     Arc::new(item)
 }
 
-/// All items by kind and name, removed ones included. This is what a proxy keeps; a controller's
-/// [`ConfigState`](crate::ConfigState) adds what is needed to validate calls.
+/// All items by kind and name, including removed ones. A proxy keeps an item set; the
+/// [`ConfigState`](crate::ConfigState) of a controller adds what is needed to validate calls.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ItemSet {
     kinds: [BTreeSet<NamedItem>; ItemKind::COUNT],
@@ -58,7 +59,7 @@
 }
 
 impl ItemSet {
-    /// The highest version of each of these items.
+    /// Creates a set with the highest version of each of these items.
     pub fn from_items(items: Vec<Item>) -> ItemSet {
         let mut set = ItemSet::default();
         for item in items {
@@ -67,22 +68,22 @@
         set
     }
 
-    /// Whether no item was ever set.
+    /// Returns whether no item was ever set.
     pub fn is_empty(&self) -> bool {
         self.kinds.iter().all(BTreeSet::is_empty)
     }
 
-    /// All items, removed ones included, by kind and name.
+    /// Returns all items, including removed ones, in the order of kind and name.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.kinds.iter().flatten().map(|named| &*named.0)
     }
 
-    /// The item of this kind and name; it may be removed.
+    /// Returns the item of this kind and name, which may be a removed one.
     pub fn get(&self, kind: ItemKind, name: &str) -> Option<&Arc<Item>> {
         self.kinds[kind as usize].get(name).map(|named| &named.0)
     }
 
-    /// The items of a kind that are not removed, by name.
+    /// Returns the items of a kind that are not removed, in the order of their names.
     pub fn active(&self, kind: ItemKind) -> impl Iterator<Item = &Item> {
         self.kinds[kind as usize]
             .iter()
@@ -90,7 +91,8 @@
             .filter(|item| !item.dropped)
     }
 
-    /// Applies a change; versions that are not higher than the current one change nothing. Returns whether any item changed.
+    /// Applies a change. Items whose version is not higher than the current one are ignored.
+    /// Returns whether any item changed.
     pub fn apply(&mut self, change: &Change) -> bool {
         let mut changed = false;
         for item in &change.items {
@@ -116,7 +118,8 @@
             .map(|named| named.0)
     }
 
-    /// The body of the answer to `config.read`: all items that are not removed, in the layout of an `Upsert`.
+    /// Returns the body of the response to `config.read`: all items that are not removed, in the
+    /// layout of an `Upsert`.
     pub fn read_back(&self) -> String {
         let mut text = String::from("{");
         for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service] {
--- a/crates/gateway-config/src/json.rs
+++ b/crates/gateway-config/src/json.rs
@@ -1,29 +1,30 @@
-//! JSON of callers, parsed with `facet-json`.
+//! Parsing of JSON from callers, with `facet-json`.
 //!
-//! The library leaves what follows a value unread and recurses without a bound, so the text is checked first: it must be exactly one
-//! value, nested no deeper than [`MAX_DEPTH`].
+//! The library ignores text after a value and recurses without a limit, so the text is checked
+//! first: it must be exactly one value, nested no deeper than [`MAX_DEPTH`].
 
 pub use facet_value::Value as Json;
 
-/// The deepest nesting that is parsed. A call of the operator has five levels.
+/// Maximum nesting depth. An operator's call has five levels.
 const MAX_DEPTH: usize = 24;
 
 /// Parses a text that is exactly one JSON value.
 ///
 /// # Errors
-/// What is wrong with the text, in a few words.
+/// Returns a short description of what is wrong with the text.
 pub fn parse(text: &[u8]) -> Result<Json, String> {
     let text = std::str::from_utf8(text).map_err(|_| "not UTF-8".to_owned())?;
     check_structure(text)?;
     facet_json::from_str(text).map_err(|error| error.to_string())
 }
 
-/// The text as a JSON string, with its quotes.
+/// Returns the text as a JSON string literal, including its quotes.
 pub fn quoted(text: &str) -> String {
     facet_json::to_string(&text.to_owned()).unwrap_or_else(|_| "\"\"".to_owned())
 }
 
-/// Rejects text after the first object or list, nesting that would use up the stack, and a value that ends too early.
+/// Rejects text after the first object or list, nesting that would exhaust the stack, and truncated
+/// values.
 fn check_structure(text: &str) -> Result<(), String> {
     let mut depth = 0_usize;
     let mut in_string = false;
--- a/crates/gateway-config/src/lib.rs
+++ b/crates/gateway-config/src/lib.rs
@@ -1,11 +1,13 @@
-//! The operator's configuration: routes, tenants, services and limits as named items, each with a version of its own.
+//! The operator's configuration: routes, tenants, services and limits as named items, each with its
+//! own version.
 //!
-//! A call of the operator is parsed into a [`Change`] by [`parse_amend`]. A controller keeps a [`ConfigState`], which validates the
-//! change against everything that is committed or pending, applies it once it is committed, and reads the configuration back. A
-//! proxy keeps an [`ItemSet`] and looks requests up in a [`RouteTable`] built from it.
+//! An operator's call is parsed into a [`Change`] by [`parse_amend`]. A controller keeps a
+//! [`ConfigState`], which validates the change against all committed and pending changes, applies
+//! it once it is committed, and returns the configuration for `config.read`. A proxy keeps an
+//! [`ItemSet`] and looks up requests in a [`RouteTable`] built from it.
 //!
-//! Invariant: of each item the highest version wins, so applying the same changes in any order and any number of times gives the
-//! same configuration. Nothing here does I/O.
+//! Invariant: the highest version of each item wins, so applying the same changes in any order and
+//! any number of times gives the same configuration. This crate does no I/O.
 
 mod amend;
 mod claims;
--- a/crates/gateway-config/src/model.rs
+++ b/crates/gateway-config/src/model.rs
@@ -1,13 +1,14 @@
-//! Routes, tenants, services and limits as the programs use them, read from items.
+//! Routes, tenants, services and limits as typed values, read from items.
 //!
-//! Reading an item also checks it by itself: an item that [`check`] accepts can be read later without an error.
+//! Reading an item also checks it in isolation: an item that [`check`] accepts can be read later
+//! without an error.
 
 use crate::error::ConfigError;
 use crate::field_reader::{non_negative_number, FieldReader};
 use crate::item::{Item, ItemKind};
 use crate::json::Json;
 
-/// The longest `TimeoutS`, in seconds.
+/// Maximum `TimeoutS`, in seconds.
 const MAX_TIMEOUT_S: f64 = 600.0;
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -21,19 +22,21 @@
     pub host: String,
     /// The prefix of its requests' paths.
     pub prefix: String,
-    /// Whether its requests may run more than once (`RouteKind` `safe`).
+    /// Whether its requests are idempotent, that is, may run more than once (`RouteKind` `safe`).
     pub idempotent: bool,
-    /// The time within which a request must be answered (`TimeoutS`).
+    /// The time limit for the response to a request (`TimeoutS`).
     pub timeout: f64,
-    /// The latency within which an answer has its full value (`SetpointS`); the timeout by default.
+    /// The latency target, within which a response earns its full value (`SetpointS`); the timeout
+    /// by default.
     pub latency_target: f64,
     /// Its priority; 0, the default, is the highest.
     pub priority: u32,
-    /// How many backends one request may be sent to, 1 by default.
+    /// Maximum number of backends that one request is sent to, 1 by default.
     pub max_attempts: u32,
     /// Whether its requests need no API key.
     pub public: bool,
-    /// Where its requests go; at least one destination, and the sum of the weights is positive.
+    /// The services that its requests are forwarded to; at least one, with a positive sum of
+    /// weights.
     pub destinations: Vec<Destination>,
 }
 
@@ -53,11 +56,11 @@
     pub name: String,
     /// Its API keys.
     pub keys: Vec<String>,
-    /// Its priority, which goes before that of the route; 0, the default, is the highest.
+    /// Its priority, which takes precedence over that of the route; 0, the default, is the highest.
     pub priority: u32,
     /// Its rate limit in requests per second; 0, the default, is no limit.
     pub rate: f64,
-    /// How many requests a burst may have beyond the rate.
+    /// Number of requests by which a burst may exceed the rate.
     pub burst: f64,
 }
 
@@ -66,20 +69,21 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// How many connections one backend accepts from all callers together; unlimited by default.
+    /// Maximum number of connections that one backend accepts from all callers together; unlimited
+    /// by default.
     pub conn_limit: u32,
 }
 
-/// What a client may send and how long it may take. Times are in milliseconds.
+/// Limits on the size and duration of client requests. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// The size limit of a request head in bytes, 16 KiB by default.
     pub header_bytes: usize,
     /// The size limit of a request body in bytes, 64 MiB by default.
     pub body_bytes: usize,
-    /// The time to receive a request head, 3 s by default.
+    /// The time limit for receiving a request head, 3 s by default.
     pub header_timeout: f64,
-    /// The time that a connection may be idle between requests, 15 s by default.
+    /// The time limit for an idle connection between requests, 15 s by default.
     pub idle_timeout: f64,
 }
 
@@ -94,10 +98,10 @@
     }
 }
 
-/// Checks that an item can be used, regardless of other items.
+/// Checks that an item is valid, regardless of other items.
 ///
 /// # Errors
-/// [`ConfigError::InvalidField`].
+/// Returns [`ConfigError::InvalidField`] if a field is invalid.
 pub(crate) fn check(item: &Item) -> Result<(), ConfigError> {
     if item.dropped {
         return Ok(());
@@ -114,7 +118,7 @@
     /// Reads a route.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`].
+    /// Returns [`ConfigError::InvalidField`] if a field is invalid.
     pub fn from_item(item: &Item) -> Result<Route, ConfigError> {
         let fields = FieldReader::new(item)?;
         let prefix = read_path_prefix(&fields)?;
@@ -172,7 +176,7 @@
     Ok(timeout_s)
 }
 
-/// The destinations of a route: those of its traffic split, or its only service.
+/// Reads the destinations of a route: those of its traffic split, or its only service.
 fn read_destinations(fields: &FieldReader<'_>) -> Result<Vec<Destination>, ConfigError> {
     match fields.get("TrafficSplit") {
         Some(split) => read_traffic_split(fields, split),
@@ -210,7 +214,10 @@
             weight,
         });
     }
-    let total: f64 = destinations.iter().map(|to| to.weight).sum();
+    let total: f64 = destinations
+        .iter()
+        .map(|destination| destination.weight)
+        .sum();
     if total <= 0.0 {
         return Err(invalid("no weight above nought"));
     }
@@ -221,7 +228,7 @@
     /// Reads a tenant.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`].
+    /// Returns [`ConfigError::InvalidField`] if a field is invalid.
     pub fn from_item(item: &Item) -> Result<Tenant, ConfigError> {
         let fields = FieldReader::new(item)?;
         Ok(Tenant {
@@ -255,7 +262,7 @@
     /// Reads a service.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`].
+    /// Returns [`ConfigError::InvalidField`] if a field is invalid.
     pub fn from_item(item: &Item) -> Result<Service, ConfigError> {
         let fields = FieldReader::new(item)?;
         Ok(Service {
@@ -266,10 +273,10 @@
 }
 
 impl Limits {
-    /// Reads the limits; what is left out has its default.
+    /// Reads the limits; missing fields have their defaults.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`].
+    /// Returns [`ConfigError::InvalidField`] if a field is invalid.
     pub fn from_item(item: &Item) -> Result<Limits, ConfigError> {
         let fields = FieldReader::new(item)?;
         let default = Limits::default();
--- a/crates/gateway-config/src/pending.rs
+++ b/crates/gateway-config/src/pending.rs
@@ -1,4 +1,4 @@
-//! Changes that are proposed and not yet applied, indexed by item and by what the items claim.
+//! Changes that are proposed but not yet applied, indexed by item and by claim.
 
 use crate::claims::{Claims, RouteKey};
 use crate::history::{digest, Digest};
@@ -11,7 +11,7 @@
 pub(crate) struct PendingVersion {
     pub(crate) version: u32,
     pub(crate) digest: Digest,
-    /// The index of the log entry that has it.
+    /// Index of the log entry that contains this version.
     pub(crate) index: u64,
 }
 
@@ -20,7 +20,7 @@
 pub(crate) struct PendingItem {
     /// Its highest pending version.
     pub(crate) latest: Arc<Item>,
-    /// The claims of that version.
+    /// The claims of `latest`.
     pub(crate) claims: Claims,
     /// All its pending versions.
     pub(crate) versions: Vec<PendingVersion>,
@@ -32,10 +32,12 @@
     }
 }
 
-/// Names of items by what any of their pending versions claims; whether the latest still does is in [`PendingItem::claims`].
+/// Names of items by a claim that any of their pending versions has. [`PendingItem::claims`] shows
+/// whether the latest version still has the claim.
 pub(crate) type ClaimIndex<K> = BTreeMap<K, BTreeSet<String>>;
 
-/// Changes in the order of the log that come after a [`ConfigState`](crate::ConfigState). Some may be applied there already.
+/// Changes that follow a [`ConfigState`](crate::ConfigState) in the log, in log order. Some of them
+/// may already be applied to that state.
 #[derive(Clone, Debug, Default)]
 pub struct PendingChanges {
     pub(crate) kinds: [BTreeMap<String, PendingItem>; ItemKind::COUNT],
@@ -45,7 +47,8 @@
 }
 
 impl PendingChanges {
-    /// Adds the change of the log entry with this index. It was validated; an item that cannot be read claims nothing.
+    /// Adds the validated change of the log entry with this index. An item that cannot be read has
+    /// no claims.
     pub fn add(&mut self, index: u64, change: &Change) {
         for item in &change.items {
             let claims = Claims::from_item(item).unwrap_or_default();
@@ -70,7 +73,7 @@
             items.insert(item.name.clone(), pending);
             return;
         };
-        // A repeated version belongs to the first entry that has it.
+        // A repeated version is attributed to the first entry that contains it.
         if pending.find(item.version).is_none() {
             pending.versions.push(version);
         }
--- a/crates/gateway-config/src/route_table.rs
+++ b/crates/gateway-config/src/route_table.rs
@@ -1,6 +1,7 @@
-//! The lookup of requests in a proxy: routes by host and path prefix, tenants by API key.
+//! Request lookup in a proxy: routes by host and path prefix, tenants by API key.
 //!
-//! Invariant: a table that follows its items by [`RouteTable::patch`] equals the table built from them.
+//! Invariant: a table that is kept up to date by [`RouteTable::patch`] equals a table built from
+//! the same items.
 
 use crate::item::{Change, Item, ItemKind};
 use crate::item_set::ItemSet;
@@ -9,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The active routes, tenants, services and limits, indexed for requests.
+/// The active routes, tenants, services and limits, indexed for request lookup.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     /// All routes by name.
@@ -20,25 +21,26 @@
     pub services: BTreeMap<String, Service>,
     /// The limits on client requests.
     pub limits: Limits,
-    /// The routes of each host, the longest prefix first, then by name.
+    /// The routes of each host, sorted by descending prefix length, then by name.
     hosts: HashMap<String, Vec<Arc<Route>>>,
     /// The tenant of each API key.
     keys: HashMap<String, Arc<Tenant>>,
 }
 
-/// The result of a lookup.
+/// The result of a request lookup.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RouteMatch<'a> {
-    /// This route, and the tenant whose API key came with the request, if any.
+    /// The route of the request, and the tenant of its API key, if any.
     Matched(&'a Route, Option<&'a Tenant>),
     /// No route has this host and a prefix of this path.
     NoRoute,
-    /// The route needs a known API key and the request has none.
+    /// The route requires a known API key, which the request does not have.
     UnknownKey,
 }
 
 impl RouteTable {
-    /// The table of these items. Items that cannot be read are left out; a validated configuration has none.
+    /// Builds the table of these items. Items that cannot be read are skipped; a validated
+    /// configuration has none.
     pub fn from_items(items: &impl AsRef<ItemSet>) -> RouteTable {
         let mut table = RouteTable::default();
         for kind in ItemKind::ALL {
@@ -49,13 +51,14 @@
         table
     }
 
-    /// The shortest timeout of all routes, in milliseconds; `None` without routes.
+    /// Returns the shortest timeout of all routes, in milliseconds; `None` if there are no routes.
     pub fn shortest_timeout(&self) -> Option<f64> {
         let timeouts = self.routes.values().map(|route| route.timeout);
         timeouts.min_by(f64::total_cmp)
     }
 
-    /// Follows changes that were applied to these items. The work grows with the changes, not with the items.
+    /// Updates the table after `changes` were applied to `items`. The cost grows with the changes,
+    /// not with the items.
     pub fn patch<'a>(
         &mut self,
         items: &impl AsRef<ItemSet>,
@@ -141,14 +144,15 @@
             return;
         };
         for key in &tenant.keys {
-            // Another tenant of the same change may have the key by now.
+            // Another tenant in the same change may have the key by now.
             if self.keys.get(key).is_some_and(|owner| owner.name == name) {
                 self.keys.remove(key);
             }
         }
     }
 
-    /// The route with the longest prefix of a path at a host. The host may have a port and any case.
+    /// Returns the route of this host with the longest prefix of the path. The host may include a
+    /// port and is compared case-insensitively.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, port)| {
             if port.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -164,12 +168,12 @@
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The tenant with this API key.
+    /// Returns the tenant with this API key.
     pub fn tenant(&self, key: &str) -> Option<&Tenant> {
         self.keys.get(key).map(|tenant| &**tenant)
     }
 
-    /// Looks a request up by host, path and API key. If there are no tenants, no key is needed.
+    /// Looks up a request by host, path and API key. No key is required if there are no tenants.
     pub fn resolve(&self, host: &str, path: &str, key: Option<&str>) -> RouteMatch<'_> {
         let Some(route) = self.route(host, path) else {
             return RouteMatch::NoRoute;
--- a/crates/gateway-config/src/state.rs
+++ b/crates/gateway-config/src/state.rs
@@ -1,7 +1,8 @@
 //! The committed configuration of a controller.
 //!
-//! Invariants: of each item the highest version is kept, removed items included, and the indexes by claim follow from the active
-//! items. Applying the same changes in the same order gives an equal state at every controller.
+//! Invariants: the highest version of each item is kept, including removed items, and the indexes
+//! by claim are derived from the active items. Applying the same changes in the same order gives an
+//! equal state at every controller.
 
 use crate::claims::{Claims, RouteKey};
 use crate::history::{SupersededVersions, VersionHistory, MAX_VERSIONS, MAX_VERSIONS_PER_ITEM};
@@ -12,8 +13,8 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// All items, each in its highest version; digests of superseded versions; and which item claims which route key, API key and
-/// service.
+/// The highest version of each item, digests of superseded versions, and indexes of the items by
+/// route key, API key and service.
 #[derive(Clone, Debug)]
 pub struct ConfigState {
     pub(crate) items: ItemSet,
@@ -22,7 +23,7 @@
     pub(crate) route_keys: HashMap<RouteKey, Arc<Item>>,
     /// The active tenant of each API key.
     pub(crate) api_keys: HashMap<Box<str>, Arc<Item>>,
-    /// The active routes that need a service.
+    /// The active routes that refer to each service.
     pub(crate) service_users: HashMap<Box<str>, BTreeSet<NamedItem>>,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// The indexes follow from the items.
+/// Does not compare the indexes, which are derived from the items.
 impl PartialEq for ConfigState {
     fn eq(&self, other: &ConfigState) -> bool {
         self.items == other.items && self.superseded == other.superseded
@@ -46,7 +47,8 @@
 }
 
 impl ConfigState {
-    /// An empty state that remembers this many superseded versions of each item, and of all items together.
+    /// Creates an empty state that keeps at most this many superseded versions of each item, and of
+    /// all items together.
     pub fn with_history_limits(max_versions_per_item: usize, max_versions: usize) -> ConfigState {
         ConfigState {
             items: ItemSet::default(),
@@ -57,12 +59,13 @@
         }
     }
 
-    /// A state with these items and no superseded versions.
+    /// Creates a state with these items and no superseded versions.
     pub fn from_items(items: Vec<Item>) -> ConfigState {
         ConfigState::restore(items, VersionHistory::default())
     }
 
-    /// The state of a snapshot: [`items`](ConfigState::items) and [`version_history`](ConfigState::version_history).
+    /// Restores the state from a snapshot of [`items`](ConfigState::items) and
+    /// [`version_history`](ConfigState::version_history).
     pub fn restore(items: Vec<Item>, version_history: VersionHistory) -> ConfigState {
         let mut state = ConfigState::default();
         for item in items {
@@ -72,36 +75,37 @@
         state
     }
 
-    /// The superseded versions, as a snapshot stores them.
+    /// Returns the superseded versions, as stored in a snapshot.
     pub fn version_history(&self) -> VersionHistory {
         self.superseded.to_message()
     }
 
-    /// Whether no item was ever set.
+    /// Returns whether no item was ever set.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// All items, removed ones included.
+    /// Returns all items, including removed ones.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.items.items()
     }
 
-    /// The items of a kind that are not removed.
+    /// Returns the items of a kind that are not removed.
     pub fn active(&self, kind: ItemKind) -> impl Iterator<Item = &Item> {
         self.items.active(kind)
     }
 
-    /// The body of the answer to `config.read`.
+    /// Returns the body of the response to `config.read`.
     pub fn read_back(&self) -> String {
         self.items.read_back()
     }
 
-    /// Applies a committed change. Versions that are not higher than the current one are only remembered. Returns whether any item
-    /// changed.
+    /// Applies a committed change. Versions below the current one are only recorded in the history.
+    /// Returns whether any item changed.
     pub fn apply(&mut self, change: &Change) -> bool {
         let latest = self.select_latest(change);
-        // All old claims are released before new ones are made: one change may swap the claims of two items.
+        // All old claims are released before new ones are added, since one change may swap the
+        // claims of two items.
         for (kind, name) in latest.keys() {
             if let Some(current) = self.items.get(*kind, name).cloned() {
                 self.release_claims(&current);
@@ -113,7 +117,8 @@
         !latest.is_empty()
     }
 
-    /// The items of a change that supersede the current ones, each in its highest version. Records what is superseded.
+    /// Returns the items of a change that supersede the current ones, each in its highest version.
+    /// Records the superseded versions.
     fn select_latest<'a>(&mut self, change: &'a Change) -> BTreeMap<(ItemKind, &'a str), &'a Item> {
         let mut latest: BTreeMap<(ItemKind, &str), &Item> = BTreeMap::new();
         for item in &change.items {
@@ -154,10 +159,10 @@
     fn release_claims(&mut self, item: &Item) {
         let claims = Claims::from_item(item).unwrap_or_default();
         if let Some(route_key) = &claims.route_key {
-            remove_owned(&mut self.route_keys, route_key, &item.name);
+            remove_if_owned(&mut self.route_keys, route_key, &item.name);
         }
         for api_key in &claims.api_keys {
-            remove_owned(&mut self.api_keys, api_key.as_str(), &item.name);
+            remove_if_owned(&mut self.api_keys, api_key.as_str(), &item.name);
         }
         for service in &claims.services {
             let Some(users) = self.service_users.get_mut(service.as_str()) else {
@@ -171,8 +176,8 @@
     }
 }
 
-/// Removes a claim unless another item has it by now.
-fn remove_owned<K, Q>(index: &mut HashMap<K, Arc<Item>>, claim: &Q, name: &str)
+/// Removes a claim from an index unless another item has the claim by now.
+fn remove_if_owned<K, Q>(index: &mut HashMap<K, Arc<Item>>, claim: &Q, name: &str)
 where
     K: Borrow<Q> + Eq + Hash,
     Q: Eq + Hash + ?Sized,
--- a/crates/gateway-config/src/validation.rs
+++ b/crates/gateway-config/src/validation.rs
@@ -1,7 +1,8 @@
 //! Validation of a call against the committed configuration and the pending changes.
 //!
-//! Invariant: if the committed and pending changes together are consistent, they stay consistent with every accepted call. A call is
-//! validated by what it changes, so the work grows with the call and the pending changes, not with the configuration.
+//! Invariant: if the committed and pending changes together are consistent, they remain consistent
+//! with every accepted call. Only what a call changes is validated, so the cost grows with the call
+//! and the pending changes, not with the configuration.
 
 use crate::claims::Claims;
 use crate::error::ConfigError;
@@ -11,53 +12,54 @@
 use crate::state::ConfigState;
 use std::collections::BTreeSet;
 
-/// The log index given to the call that is validated: it comes after all pending ones.
+/// The log index assigned to the call under validation: after all pending entries.
 const PROPOSED_INDEX: u64 = u64::MAX;
 
 /// The result for a call that is not rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Validation {
-    /// All its items exist already. The number is the highest index of the pending log entries that have them; 0 if all are
-    /// committed.
+    /// All items of the call exist already. The number is the highest index of the pending log
+    /// entries that contain them; 0 if all are committed.
     AlreadyApplied(u64),
-    /// These of its items are new.
+    /// The items of the call that are new.
     Accepted(Change),
-    /// The history of this version of an item was evicted: it may have been applied or not, with this content or another.
+    /// The history of this version of an item was evicted: the version may or may not have been
+    /// applied, with this content or different content.
     HistoryEvicted(ItemKind, String, u32),
 }
 
-/// The items of a call by what is known of their versions.
+/// The items of a call, by the status of their versions.
 #[derive(Default)]
 struct ClassifiedItems<'a> {
     new: Vec<&'a Item>,
     /// The last item whose history was evicted.
     evicted: Option<&'a Item>,
-    /// The highest index of pending log entries that have items of the call; 0 if none does.
+    /// The highest index of the pending log entries that contain items of the call; 0 if none does.
     pending_index: u64,
 }
 
-/// A service that a route of the call needs.
+/// A reference from a route of the call to a service.
 struct ServiceReference<'a> {
     route: &'a Item,
     service: String,
 }
 
 impl ConfigState {
-    /// Whether a change can be applied if nothing is pending: see [`ConfigState::validate`].
+    /// Checks whether a change can be applied if nothing is pending; see [`ConfigState::validate`].
     ///
     /// # Errors
-    /// Those of [`ConfigState::validate`].
+    /// Returns the errors of [`ConfigState::validate`].
     pub fn check(&self, change: &Change) -> Result<(), ConfigError> {
         self.validate(&PendingChanges::default(), change)
             .map(|_| ())
     }
 
-    /// Validates a call against the committed configuration and all pending changes. Items that exist already are not validated
-    /// again.
+    /// Validates a call against the committed configuration and all pending changes. Items that
+    /// exist already are not validated again.
     ///
     /// # Errors
-    /// [`ConfigError::VersionConflict`] if a version exists with another content; otherwise the inconsistency that the new items
-    /// would cause.
+    /// Returns [`ConfigError::VersionConflict`] if a version exists with different content;
+    /// otherwise the error for the inconsistency that the new items would cause.
     pub fn validate(
         &self,
         pending: &PendingChanges,
@@ -74,7 +76,7 @@
         if items.new.is_empty() {
             return Ok(Validation::AlreadyApplied(items.pending_index));
         }
-        let (proposed, references) = propose(&items.new)?;
+        let (proposed, references) = index_proposed(&items.new)?;
         let merged = MergedView {
             committed: self,
             pending,
@@ -111,7 +113,8 @@
         Ok(items)
     }
 
-    /// The status of an item's version, and the index of the pending log entry that has it; 0 if none does.
+    /// Returns the status of an item's version, and the index of the pending log entry that
+    /// contains it; 0 if none does.
     fn version_status(&self, pending: &PendingChanges, item: &Item) -> (VersionStatus, u64) {
         let committed = self.committed_status(item);
         if committed != VersionStatus::New {
@@ -142,8 +145,9 @@
     }
 }
 
-/// Indexes the new items of a call, and lists the services that its routes need, in the order of the call.
-fn propose<'a>(
+/// Indexes the new items of a call, and collects the service references of its routes in the order
+/// of the call.
+fn index_proposed<'a>(
     items: &[&'a Item],
 ) -> Result<(PendingChanges, Vec<ServiceReference<'a>>), ConfigError> {
     let mut proposed = PendingChanges::default();
@@ -166,16 +170,17 @@
     proposed: &'a PendingChanges,
 }
 
-/// Who may have a claim, by each layer's index.
+/// The items that may have a claim, from the index of each layer.
 struct Claimants<'a, I> {
-    /// Names of committed items that have it.
+    /// Names of committed items that have the claim.
     committed: I,
-    /// Names of pending and proposed items of which any version has it.
+    /// Names of pending items and of proposed items with any version that has the claim.
     uncommitted: [Option<&'a BTreeSet<String>>; 2],
 }
 
 impl<'a> MergedView<'a> {
-    /// The highest uncommitted version of an item; `None` if the committed one is in force.
+    /// Returns the highest uncommitted version of an item; `None` if the committed version is in
+    /// force.
     fn uncommitted(&self, kind: ItemKind, name: &str) -> Option<&'a PendingItem> {
         let committed = self
             .committed
@@ -189,7 +194,7 @@
             .max_by_key(|item| item.latest.version)
     }
 
-    /// The version of an item that would be in force.
+    /// Returns the version of an item that would be in force.
     fn latest(&self, kind: ItemKind, name: &str) -> Option<&'a Item> {
         match self.uncommitted(kind, name) {
             Some(item) => Some(&item.latest),
@@ -201,7 +206,7 @@
         self.latest(kind, name).is_some_and(|item| !item.dropped)
     }
 
-    /// The first item other than `owner` that would have a claim.
+    /// Returns the name of the first item other than `owner` that would have a claim.
     fn conflicting_claimant(
         &self,
         kind: ItemKind,
@@ -209,7 +214,7 @@
         claimants: Claimants<'a, impl Iterator<Item = &'a str>>,
         has_claim: impl Fn(&Claims) -> bool,
     ) -> Option<&'a str> {
-        // The committed index is right for items without uncommitted versions.
+        // The committed index is valid only for items without uncommitted versions.
         let committed = claimants
             .committed
             .filter(|name| self.uncommitted(kind, name).is_none());
@@ -228,7 +233,8 @@
             .find(|name| Some(*name) != owner)
     }
 
-    /// The items that the call would change: those whose highest version is one of the call's.
+    /// Returns the items that the call would change: those whose highest version comes from the
+    /// call.
     fn changed(&self, kind: ItemKind) -> impl Iterator<Item = (&'a String, &'a PendingItem)> + '_ {
         let proposed = self.proposed.kinds[kind as usize].iter();
         proposed.filter(move |(name, item)| {
@@ -237,8 +243,9 @@
         })
     }
 
-    /// Checks that the merged configuration is consistent, and that the services exist which the call's new items need, also those
-    /// of superseded versions. The configuration without the call is consistent, so only what the call changes is checked.
+    /// Checks that the merged configuration is consistent, and that the services exist to which the
+    /// call's new items refer, even if those items are superseded. The configuration without the
+    /// call is consistent, so only what the call changes is checked.
     fn check_consistency(&self, references: &[ServiceReference<'_>]) -> Result<(), ConfigError> {
         self.check_references(references)?;
         self.check_removed_services()?;
--- a/crates/gateway-config/tests/config_state.rs
+++ b/crates/gateway-config/tests/config_state.rs
@@ -1,11 +1,12 @@
-//! Applying changes against a reference model, parsing, rejected calls and request lookup.
+//! Tests of applying changes (against a reference model), parsing, rejected calls and request
+//! lookup.
 
 use maplefall_gateway_config::{
     parse, parse_amend, Change, ConfigState, Field, Item, ItemKind, RouteMatch, RouteTable,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// A fixed seed: the same result on every run.
+/// Uses a fixed seed, so that every run gives the same result.
 fn quickcheck() -> QuickCheck {
     println!("seed 7");
     QuickCheck::new()
@@ -26,7 +27,7 @@
             let version = u32::from(u8::arbitrary(g) % 6);
             let name = ["a", "b", "c"][usize::arbitrary(g) % 3];
             let dropped = u8::arbitrary(g) % 3 == 0;
-            // One version has one content.
+            // The content is derived from the version, so that one version has one content.
             let field = Field {
                 name: "BurstSize".into(),
                 json: (version * 7 + name.len() as u32).to_string(),
@@ -53,7 +54,8 @@
     }
 }
 
-/// The active tenants and their versions by a reference model: of each name the highest version.
+/// Returns the active tenants and their versions according to a reference model: the highest
+/// version of each name wins.
 fn expected_tenants(changes: &[Change]) -> Vec<(String, u32)> {
     let mut latest: Vec<(String, u32, bool)> = Vec::new();
     for item in changes.iter().flat_map(|change| &change.items) {
@@ -72,13 +74,14 @@
     active
 }
 
-/// Guards late and repeated calls: whatever their order, the highest version of each item is in force.
+/// Guards against late and repeated calls that replace a newer version: in any order of calls, the
+/// highest version of each item is in force.
 #[test]
 fn the_highest_version_wins_in_any_order_and_with_repetitions() {
     fn property(schedule: Schedule) -> bool {
         let mut state = ConfigState::default();
         let Schedule { changes, repeated } = schedule;
-        // No version is both set and removed: validation rejects that.
+        // Validation rejects a version that is both set and removed.
         for change in &changes {
             state.apply(change);
         }
@@ -114,12 +117,13 @@
     state
 }
 
-/// Guards `config.read`: unknown fields are returned too, and sending the answer again gives the same state.
+/// Guards against a `config.read` that loses data: the response includes unknown fields, and
+/// sending it back gives the same state.
 #[test]
 fn read_back_returns_what_was_sent() {
     let text = initial_state().read_back();
-    let answer = parse(text.as_bytes()).expect("JSON");
-    let table = answer
+    let response = parse(text.as_bytes()).expect("JSON");
+    let table = response
         .as_object()
         .and_then(|all| all.get("RouteTable"))
         .expect("routes");
@@ -128,13 +132,14 @@
         text_of(table).contains("\"Later\"") && text_of(table).contains("\"x\""),
         "{text}"
     );
-    let again = parse_amend(format!("{{\"Upsert\":{text}}}").as_bytes()).expect("a call");
+    let resent = parse_amend(format!("{{\"Upsert\":{text}}}").as_bytes()).expect("a call");
     let mut state = ConfigState::default();
-    state.apply(&again);
+    state.apply(&resent);
     assert_eq!(state, initial_state());
 }
 
-/// Guards the rejection of invalid and malformed calls, with the step and field of the error.
+/// Guards against accepting invalid or malformed calls: each is rejected with an error that names
+/// the step and the field.
 #[test]
 fn invalid_calls_are_rejected_with_step_and_field() {
     let state = initial_state();
@@ -192,13 +197,13 @@
     assert!(validate(used_service)
         .expect_err("a service that is in use")
         .contains("unknown=\"s2\""));
-    // An older version changes nothing, and the same again is no conflict.
+    // An older version is valid and changes nothing, and repeating a call is no conflict.
     assert!(validate(&FIRST_CALL.replace("00000007", "00000003")).is_ok());
     assert!(validate(FIRST_CALL).is_ok());
     for length in 1..FIRST_CALL.len() {
         assert!(
             validate(&FIRST_CALL[..length]).is_err(),
-            "cut after {length}"
+            "truncated after {length} bytes"
         );
     }
     for malformed in [
@@ -217,9 +222,10 @@
     }
 }
 
-/// Guards two calls that are valid alone and inconsistent together: the second is rejected once the first is applied.
+/// Guards against accepting two calls that are each valid but inconsistent together: the second is
+/// rejected once the first is applied.
 #[test]
-fn a_valid_call_may_be_inconsistent_after_another() {
+fn a_call_that_is_inconsistent_with_an_applied_call_is_rejected() {
     let remove = parse_amend(br#"{"Upsert":{"RouteTable":{"ColumnNames":["Name","Host","PathPrefix","RouteKind","TimeoutS","Service","Version"],"DataRows":[["r1","one.example","/a/","safe",1,"s1","00000008"]]}},"Remove":{"Services":[{"Name":"s2","Version":"00000008"}]}}"#).expect("a call");
     let add = parse_amend(br#"{"Upsert":{"RouteTable":{"ColumnNames":["Name","Host","PathPrefix","RouteKind","TimeoutS","Service","Version"],"DataRows":[["r9","nine.example","/","safe",1,"s2","00000008"]]}}}"#).expect("a call");
     let mut state = initial_state();
@@ -228,7 +234,9 @@
     assert!(state.check(&add).is_err());
 }
 
-/// Guards request lookup: the longest prefix at the host in any case and with a port; API keys only where they are needed.
+/// Guards against wrong matches in request lookup: the longest prefix of the host wins, the host
+/// may be in any case and have a port, and an API key is required only on routes that are not
+/// public.
 #[test]
 fn requests_match_the_most_specific_prefix_of_their_host() {
     let table = RouteTable::from_items(&initial_state());
--- a/crates/gateway-config/tests/error_text.rs
+++ b/crates/gateway-config/tests/error_text.rs
@@ -1,8 +1,8 @@
-//! The bodies of error answers, which operators' tools read.
+//! Tests of the bodies of error responses, which operators' tools parse.
 
 use maplefall_gateway_config::{ConfigError, ItemKind};
 
-/// Guards the text and the status of each error against changes.
+/// Guards against changes of the text and the status of each error.
 #[test]
 fn each_error_has_its_text_and_status() {
     let malformed = ConfigError::Malformed {
--- a/crates/gateway-config/tests/reference_model/mod.rs
+++ b/crates/gateway-config/tests/reference_model/mod.rs
@@ -1,19 +1,19 @@
-//! A reference model of validation: it keeps all versions that were ever accepted and checks the whole configuration for every
-//! call.
+//! A reference model of validation: it keeps all versions that were ever accepted and checks the
+//! whole configuration for every call.
 
 use maplefall_gateway_config::{Change, Item, ItemKind, Route, Tenant};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All versions that were ever accepted, in their order.
+/// All versions that were ever accepted, in the order of acceptance.
 #[derive(Clone, Debug, Default)]
 pub struct ReferenceModel(pub Vec<Item>);
 
 /// The result of validating a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValidationOutcome {
-    /// All its items exist already.
+    /// All items of the call exist already.
     AlreadyApplied,
-    /// Some of its items are new.
+    /// Some items of the call are new.
     Accepted,
     /// Rejected with 409.
     Conflict,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The highest version of each item, removed ones included.
+    /// Returns the highest version of each item, including removed ones.
     pub fn latest(&self) -> BTreeMap<(ItemKind, String), Item> {
         let mut latest: BTreeMap<(ItemKind, String), Item> = BTreeMap::new();
         for item in &self.0 {
@@ -54,7 +54,7 @@
         latest
     }
 
-    /// The result of validating a call.
+    /// Validates a call against all accepted versions.
     pub fn validate(&self, change: &Change) -> ValidationOutcome {
         let known = |item: &Item| {
             self.0
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Whether the active items are consistent, and the services exist that these items need, also if they are superseded.
+    /// Returns whether the active items are consistent, and the services exist to which the
+    /// proposed items refer, even if those items are superseded.
     pub fn is_consistent(&self, proposed: &[Item]) -> bool {
         let latest = self.latest();
         let active = |kind: ItemKind| {
@@ -107,7 +108,7 @@
             if route
                 .destinations
                 .iter()
-                .any(|to| !services.contains(to.service.as_str()))
+                .any(|destination| !services.contains(destination.service.as_str()))
             {
                 return false;
             }
--- a/crates/gateway-config/tests/validation.rs
+++ b/crates/gateway-config/tests/validation.rs
@@ -1,4 +1,5 @@
-//! Validation against a reference model that checks the whole configuration, and the limits of the version history.
+//! Tests of validation against a reference model that checks the whole configuration, and of the
+//! limits of the version history.
 
 mod reference_model;
 
@@ -17,7 +18,8 @@
     }
 }
 
-/// Few names, route keys, API keys and versions, so that conflicts are frequent.
+/// Generates an item from few names, route keys, API keys and versions, so that conflicts are
+/// frequent.
 fn item(g: &mut Gen) -> Item {
     let mut draw = |bound: u32| u32::arbitrary(g) % bound;
     let version = draw(12);
@@ -65,7 +67,7 @@
     }
 }
 
-/// Calls, and the seed of what happens between them.
+/// Calls, and the seed of the random events between them.
 #[derive(Clone, Debug)]
 struct Schedule {
     calls: Vec<Change>,
@@ -76,7 +78,7 @@
     fn arbitrary(g: &mut Gen) -> Schedule {
         let mut calls: Vec<Change> = Vec::new();
         for _ in 0..2 + usize::arbitrary(g) % 40 {
-            // A third are repeated, some of them with new items.
+            // A third of the calls repeat an earlier one, some of them with new items.
             let repeated = g
                 .choose(&calls)
                 .cloned()
@@ -88,7 +90,7 @@
                     (known.kind, &known.name, known.version)
                         == (item.kind, &item.name, item.version)
                 };
-                // One version has one conn_limit within a call: the parser rejects anything else.
+                // One version has one content within a call: the parser rejects anything else.
                 if !change.items.iter().any(same_version) {
                     change.items.push(item);
                 }
@@ -123,8 +125,9 @@
     })
 }
 
-/// Guards validation by what a call changes: it gives the result of a check of everything. Some entries are committed while others
-/// are pending, some stay pending after they are applied, and the state is restored from a snapshot now and then.
+/// Guards against incremental validation that differs from a check of the whole configuration. Some
+/// entries are committed while others are pending, some stay in the pending changes after they are
+/// applied, and the state is restored from a snapshot from time to time.
 #[test]
 fn validation_agrees_with_a_check_of_the_whole_configuration() {
     fn property(schedule: Schedule) -> bool {
@@ -198,7 +201,8 @@
         .quickcheck(property as fn(Schedule) -> bool);
 }
 
-/// Guards proxies: a route table that follows its items change by change, or several at once, equals the table built from them.
+/// Guards against outdated route tables in proxies: a table that is patched after every change, or
+/// after several at once, equals the table built from the items.
 #[test]
 fn a_patched_route_table_equals_a_rebuilt_one() {
     fn property(schedule: Schedule) -> bool {
@@ -259,14 +263,15 @@
     ))
 }
 
-/// Guards the memory of a controller and its answers: a version whose history was evicted is neither confirmed nor rejected.
+/// Guards against unbounded memory use of a controller and against wrong responses: a version whose
+/// history was evicted is neither confirmed nor rejected.
 #[test]
 fn evicted_versions_are_neither_confirmed_nor_rejected() {
     let mut state = ConfigState::with_history_limits(4, 12);
     for version in 1..=10 {
         state.apply(&service_change("a", version, version));
     }
-    // The highest and the four before it.
+    // The highest version and the four before it are known.
     assert_eq!(
         validate_service(&state, "a", 10, 10),
         Some(Outcome::AlreadyApplied)
@@ -295,7 +300,7 @@
             "{version}"
         );
     }
-    // Versions that arrive late are remembered too.
+    // Versions that arrive late are recorded too.
     state.apply(&service_change("b", 7, 7));
     assert_eq!(validate_service(&state, "b", 5, 5), Some(Outcome::Accepted));
     state.apply(&service_change("b", 5, 5));
@@ -304,7 +309,8 @@
         Some(Outcome::AlreadyApplied)
     );
     assert_eq!(validate_service(&state, "b", 5, 6), Some(Outcome::Conflict));
-    // Over all items the older half is evicted; items without superseded versions lose nothing.
+    // Beyond the limit for all items, the older half is evicted; items without superseded versions
+    // lose nothing.
     state.apply(&service_change("quiet", 3, 3));
     for name in 0..8 {
         state.apply(&service_change(&format!("c{name}"), 1, 1));
@@ -328,11 +334,11 @@
         validate_service(&state, "quiet", 2, 3),
         Some(Outcome::Accepted)
     );
-    let remembered: usize = state
+    let recorded: usize = state
         .version_history()
         .items
         .iter()
         .map(|name| name.versions.len())
         .sum();
-    assert!(remembered <= 12, "{remembered}");
+    assert!(recorded <= 12, "{recorded}");
 }
