--- a/crates/control-messages/src/framing.rs
+++ b/crates/control-messages/src/framing.rs
@@ -1,22 +1,23 @@
-//! Framing: a message is preceded by its length, four bytes in network byte order. A length above [`MAX_FRAME_BYTES`] is rejected before any
-//! memory is reserved for it.
+//! Framing: a message is preceded by its length, four bytes in network byte order. A length above
+//! [`MAX_FRAME_BYTES`] is rejected before any memory is allocated for it.
 
 use crate::{Envelope, Frame};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 
-/// Longest message in bytes, without its length prefix: 64 MiB.
+/// Maximum size of a message in bytes, without its length prefix: 64 MiB.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
-/// Bytes of the length prefix of a frame.
+/// Size of the length prefix of a frame in bytes.
 pub const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why received bytes are not a frame. The connection has to be closed, since the start of the next frame is unknown.
+/// The reason why received bytes are not a frame. The connection must be closed, since the start of
+/// the next frame is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The length prefix, given here in bytes, is above [`MAX_FRAME_BYTES`].
+    /// The length in the prefix, given here in bytes, is above [`MAX_FRAME_BYTES`].
     #[error("step=frame length={0}")]
     TooLong(usize),
-    /// The bytes do not decode, or the message is of an unknown kind.
+    /// The bytes cannot be decoded, or the message is of an unknown kind.
     #[error("step=decode")]
     Malformed,
 }
@@ -27,16 +28,17 @@
     let length = envelope.encoded_len();
     let mut bytes = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + length);
     bytes.put_u32(length as u32);
-    // Encoding fails only for lack of capacity, and there is enough.
+    // Encoding fails only for lack of capacity, which has been reserved.
     let _ = envelope.encode(&mut bytes);
     bytes.freeze()
 }
 
-/// Removes one complete frame from the front of the received bytes; `None` if more bytes are needed.
+/// Removes one complete frame from the front of the received bytes; `None` if more bytes are
+/// needed.
 ///
 /// # Errors
 ///
-/// [`FrameError`] if the bytes are not a frame of this protocol.
+/// Returns [`FrameError`] if the bytes are not a frame of this protocol.
 pub fn decode_frame(received: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
     let Some(length) = peek_length(received) else {
         return Ok(None);
--- a/crates/control-messages/src/lib.rs
+++ b/crates/control-messages/src/lib.rs
@@ -1,9 +1,11 @@
-//! The protocol between proxies and controllers, and among controllers: protobuf messages ([`Frame`] is any of them) and their framing
-//! on a byte stream. Nothing here does I/O; connections are in `maplefall-control-transport`.
+//! The protocol between proxies and controllers, and among controllers: protobuf messages
+//! ([`Frame`] is any of them) and their framing on a byte stream. This crate does no I/O;
+//! connections are in `maplefall-control-transport`.
 //!
-//! **Invariant.** A connection begins with a [`Hello`] by the process that opened it, with [`PROTOCOL_VERSION`]; anything else ends the
-//! connection. Prost tags and the framing are the wire format: tags are never reused, and unknown fields are ignored, so a
-//! field can be added without a new protocol version.
+//! **Invariant.** A connection begins with a [`Hello`] of the current [`PROTOCOL_VERSION`] from the
+//! process that opened it; anything else ends the connection. Prost tags and the framing are the
+//! wire format: tags are never reused, and unknown fields are ignored, so a field can be added
+//! without a new protocol version.
 
 mod framing;
 mod messages;
--- a/crates/control-messages/tests/frames.rs
+++ b/crates/control-messages/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Decoding of frames from any sequence of reads, and of bytes that are not frames.
+//! Tests of decoding frames from any sequence of reads, and bytes that are not frames.
 
 use bytes::{Bytes, BytesMut};
 use maplefall_control_messages::{
@@ -15,7 +15,7 @@
     })
 }
 
-/// Guards against reads that end in the middle of a frame.
+/// Guards against frames that are lost or corrupt because a read ended in the middle of a frame.
 #[test]
 fn frames_are_decoded_wherever_a_read_ends() {
     let bytes = [
@@ -40,7 +40,8 @@
     }
 }
 
-/// Guards against other clients on an internal port: no panic, and no memory reserved for a length that is only claimed.
+/// Guards against foreign clients on an internal port: their bytes cause no panic, and no memory is
+/// allocated for a length that is only announced.
 #[test]
 fn bytes_that_are_not_a_frame_are_rejected() {
     let mut too_long = BytesMut::from(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
