--- a/crates/service-registry/src/record.rs
+++ b/crates/service-registry/src/record.rs
@@ -1,48 +1,51 @@
-//! The record of one instance, as it is sent between processes and stored, and the order of two records of the same instance.
+//! The record of one instance, as it is sent between processes and stored, and the order of two
+//! records of the same instance.
 
-/// The state of an instance. Later variants are further along in its life.
+/// The state of an instance. Later variants are further along in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum InstanceState {
-    /// Takes requests.
+    /// Accepts requests.
     Serving = 0,
-    /// Takes no new requests and completes those in flight.
+    /// Accepts no new requests and completes those in flight.
     Draining = 1,
-    /// No heartbeat within the timeout. A later heartbeat brings it back.
+    /// No heartbeat arrived within the timeout. A later heartbeat makes the instance live again.
     Expired = 2,
-    /// Has ended. Nothing brings it back.
+    /// The instance has ended. This state is final.
     Deregistered = 3,
 }
 
 impl InstanceState {
-    /// Whether the instance is serving or draining; otherwise its record is a tombstone.
+    /// Returns whether the instance is serving or draining; otherwise its record is a tombstone.
     pub(crate) fn is_live(self) -> bool {
         matches!(self, InstanceState::Serving | InstanceState::Draining)
     }
 }
 
-/// What is known of one instance. The prost tags are the wire and disk format.
+/// The record of one instance. The prost tags are the wire and disk format.
 ///
-/// Two records of one instance are ordered by what they say, not by when they arrive:
+/// Two records of one instance are ordered by their contents, not by when they arrive:
 ///
 /// 1. a deregistration is later than everything else: an instance that has ended stays ended;
 /// 2. otherwise the record with the higher `seq` is later, as the backend numbers its calls;
-/// 3. with the same `seq`, the state that is further along is later: an expiry follows the heartbeat that it waited after.
+/// 3. with the same `seq`, the state that is further along is later: an instance expires after the
+///    heartbeat with that `seq`.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct InstanceRecord {
     /// Id of the instance, unique to this start of the backend.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Name of its service; empty in a deregistration by a registry that does not know the instance.
+    /// Name of its service; empty in a deregistration by a registry that does not know the
+    /// instance.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// The IP address and port at which it takes requests.
+    /// The IP address and port at which it accepts requests.
     #[prost(string, tag = "3")]
     pub address: String,
     /// Its zone.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// Number of requests that it processes at the same time.
+    /// Number of requests that it processes concurrently.
     #[prost(uint32, tag = "5")]
     pub capacity: u32,
     /// Its [`InstanceState`].
@@ -51,13 +54,13 @@
     /// Sequence number of the backend's call that this record comes from.
     #[prost(uint64, tag = "7")]
     pub seq: u64,
-    /// Milliseconds until it has warmed up, from when this record is sent.
+    /// Milliseconds until it has warmed up, counted from the sending of this record.
     #[prost(uint32, tag = "8")]
     pub warmup_left_ms: u32,
 }
 
 impl InstanceRecord {
-    /// The key by which two records of one instance are ordered.
+    /// Returns the key by which two records of one instance are ordered.
     pub(crate) fn order(&self) -> RecordOrder {
         RecordOrder {
             deregistered: self.state() == InstanceState::Deregistered,
@@ -66,7 +69,8 @@
         }
     }
 
-    /// Whether proxies would treat the instance the same by either record: all fields but the sequence number and the warm-up time.
+    /// Returns whether proxies would treat the instance the same by either record: all fields
+    /// except the sequence number and the warm-up time are equal.
     pub(crate) fn is_equivalent(&self, other: &InstanceRecord) -> bool {
         self.state == other.state
             && self.service == other.service
@@ -76,7 +80,8 @@
     }
 }
 
-/// Order of the records of one instance; see [`InstanceRecord`]. The order of the fields is the order of comparison.
+/// Order of the records of one instance; see [`InstanceRecord`]. The order of the fields is the
+/// order of comparison.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RecordOrder {
     deregistered: bool,
--- a/crates/service-registry/src/registry.rs
+++ b/crates/service-registry/src/registry.rs
@@ -1,23 +1,25 @@
-//! The table of all known instances. Late records change nothing, and the table is bounded: tombstones are dropped after
-//! [`TOMBSTONE_RETENTION`], and beyond [`MAX_INSTANCES`] the instance seen longest ago goes, tombstones first.
+//! The table of all known instances. Late records are ignored, and the table is bounded: tombstones
+//! are removed after [`TOMBSTONE_RETENTION`], and beyond [`MAX_INSTANCES`] the least recently seen
+//! instance is evicted, tombstones first.
 
 use crate::{InstanceRecord, InstanceState, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Instances in the table, tombstones included.
+/// Maximum number of instances in the table, including tombstones.
 const MAX_INSTANCES: usize = 50_000;
-/// For how long an expired or deregistered instance is remembered, so that late records of it change nothing.
+/// Time for which an expired or deregistered instance is kept, so that its late records are
+/// ignored.
 const TOMBSTONE_RETENTION: Millis = 60_000.0;
-/// Interval at which old tombstones are looked for.
+/// Interval between sweeps for old tombstones.
 const TOMBSTONE_SWEEP_INTERVAL: Millis = TOMBSTONE_RETENTION / 4.0;
 
 /// One instance in the table.
 #[derive(Clone, Debug)]
 struct Instance {
     record: InstanceRecord,
-    /// When any process last received a heartbeat or record of it.
+    /// When any process last received a heartbeat or record of the instance.
     last_seen: Millis,
-    /// When it has warmed up.
+    /// When the instance has warmed up.
     warm_at: Millis,
 }
 
@@ -30,8 +32,8 @@
         }
     }
 
-    /// Replaces the record by a later one. A deregistration may carry nothing but the id: then the rest of the record is kept, since
-    /// proxies and operators are shown it.
+    /// Replaces the record with a later one. A deregistration may contain only the id; the rest of
+    /// the record is then kept, since it is shown to proxies and operators.
     fn replace_record(&mut self, now: Millis, record: InstanceRecord) {
         self.last_seen = now;
         self.warm_at = now + f64::from(record.warmup_left_ms);
@@ -51,7 +53,7 @@
         now - self.last_seen >= timeout
     }
 
-    /// The record as it is to be sent now.
+    /// Returns the record to send now, with the remaining warm-up time.
     fn current_record(&self, now: Millis) -> InstanceRecord {
         InstanceRecord {
             warmup_left_ms: (self.warm_at - now).max(0.0) as u32,
@@ -59,25 +61,25 @@
         }
     }
 
-    /// Marks it as expired. Returns the record to be sent.
+    /// Marks the instance as expired. Returns the record to send.
     fn expire(&mut self, now: Millis) -> InstanceRecord {
         self.record.state = InstanceState::Expired.into();
         self.current_record(now)
     }
 }
 
-/// What a record has changed in a registry.
+/// The effect of a record on a registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// Something that proxies have to know: the instance's record as it is now.
+    /// A change that is relevant to proxies, with the current record of the instance.
     Changed(InstanceRecord),
-    /// Only a sign of life.
+    /// No change that is relevant to proxies: the instance is still alive.
     Refreshed,
-    /// Nothing: the registry knows this or a later record.
+    /// No change: the registry has this record or a later one.
     Stale,
 }
 
-/// All known instances.
+/// The table of all known instances.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     instances: BTreeMap<String, Instance>,
@@ -85,7 +87,7 @@
 }
 
 impl Registry {
-    /// Applies a record that a backend or another process has sent.
+    /// Applies a record from a backend or another process.
     pub fn apply(&mut self, now: Millis, record: InstanceRecord) -> Applied {
         let Some(instance) = self.instances.get_mut(&record.id) else {
             return Applied::Changed(self.insert(now, record));
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The instance of this id says that it ends.
+    /// Deregisters the instance of this id, at its own request.
     pub fn deregister(&mut self, now: Millis, id: &str) -> Applied {
         let known = self
             .instances
@@ -125,7 +127,8 @@
         )
     }
 
-    /// Another process has received a heartbeat of this instance, with this sequence number.
+    /// Records a heartbeat of this instance, with this sequence number, that another process has
+    /// received.
     pub fn refresh(&mut self, now: Millis, id: &str, seq: u64) -> Applied {
         let Some(instance) = self.instances.get_mut(id) else {
             return Applied::Stale;
@@ -135,7 +138,8 @@
             return Applied::Stale;
         }
         if seq > instance.record.seq && state == InstanceState::Expired {
-            // Whether it serves or drains is not known from this; its next heartbeat says so.
+            // The sequence number does not show whether the instance is serving or draining; its
+            // next heartbeat does.
             return Applied::Stale;
         }
         instance.record.seq = seq;
@@ -143,22 +147,24 @@
         Applied::Refreshed
     }
 
-    /// The record of one instance; `None` if it is unknown.
+    /// Returns the current record of one instance; `None` if it is unknown.
     pub fn record(&self, now: Millis, id: &str) -> Option<InstanceRecord> {
         self.instances
             .get(id)
             .map(|instance| instance.current_record(now))
     }
 
-    /// Expires the live instances that no process has seen for `timeout`. Returns their records. Drops old tombstones.
+    /// Expires the live instances that no process has seen for `timeout`, and removes old
+    /// tombstones. Returns the records of the expired instances.
     pub fn expire(&mut self, now: Millis, timeout: Millis) -> Vec<InstanceRecord> {
         let expired = self.expire_where(now, |_, instance| instance.timed_out(now, timeout));
-        self.drop_old_tombstones(now);
+        self.remove_old_tombstones(now);
         expired
     }
 
-    /// A process that knows all instances has sent `complete`, the ids of all of them: expires the live instances that it does not name
-    /// and that no process has seen for `timeout`. Returns their records.
+    /// Expires the live instances that are missing from `complete` and that no process has seen for
+    /// `timeout`. `complete` are the ids sent by a process that knows all instances. Returns the
+    /// records of the expired instances.
     pub fn reconcile(
         &mut self,
         now: Millis,
@@ -170,20 +176,22 @@
         })
     }
 
-    /// Expires one instance, whatever its state: it turned out to have ended. Returns its record; `None` if it is unknown.
+    /// Expires one instance, regardless of its state, after it was found to have ended. Returns its
+    /// record; `None` if it is unknown.
     pub fn mark_expired(&mut self, now: Millis, id: &str) -> Option<InstanceRecord> {
         let instance = self.instances.get_mut(id)?;
         Some(instance.expire(now))
     }
 
-    /// Counts all instances as seen now: a process that was frozen or disconnected could not receive their heartbeats.
+    /// Restarts the timeouts of all instances: a process that was frozen or disconnected could not
+    /// receive their heartbeats.
     pub fn restart_timeouts(&mut self, now: Millis) {
         self.instances
             .values_mut()
             .for_each(|instance| instance.last_seen = instance.last_seen.max(now));
     }
 
-    /// The records of all instances, tombstones included, by id.
+    /// Returns the records of all instances, including tombstones, in the order of their ids.
     pub fn records(&self, now: Millis) -> Vec<InstanceRecord> {
         self.instances
             .values()
@@ -191,17 +199,17 @@
             .collect()
     }
 
-    /// Number of known instances, tombstones included.
+    /// Returns the number of known instances, including tombstones.
     pub fn len(&self) -> usize {
         self.instances.len()
     }
 
-    /// Whether no instance is known.
+    /// Returns whether no instance is known.
     pub fn is_empty(&self) -> bool {
         self.instances.is_empty()
     }
 
-    /// Adds an instance. Returns the record to be sent.
+    /// Adds an instance. Returns the record to send.
     fn insert(&mut self, now: Millis, record: InstanceRecord) -> InstanceRecord {
         let instance = Instance::new(now, record);
         let record = instance.current_record(now);
@@ -213,18 +221,18 @@
     fn expire_where(
         &mut self,
         now: Millis,
-        is_lost: impl Fn(&str, &Instance) -> bool,
+        should_expire: impl Fn(&str, &Instance) -> bool,
     ) -> Vec<InstanceRecord> {
         let mut expired = Vec::new();
         for (id, instance) in &mut self.instances {
-            if instance.is_live() && is_lost(id, instance) {
+            if instance.is_live() && should_expire(id, instance) {
                 expired.push(instance.expire(now));
             }
         }
         expired
     }
 
-    fn drop_old_tombstones(&mut self, now: Millis) {
+    fn remove_old_tombstones(&mut self, now: Millis) {
         if now - self.last_sweep <= TOMBSTONE_SWEEP_INTERVAL {
             return;
         }
@@ -234,7 +242,8 @@
         });
     }
 
-    /// Makes room for one more instance: the tombstone seen longest ago goes, or the live instance if there is no tombstone.
+    /// Evicts one instance if the table is full: the least recently seen tombstone, or the least
+    /// recently seen live instance if there is no tombstone.
     fn evict_if_full(&mut self) {
         if self.instances.len() < MAX_INSTANCES {
             return;
--- a/crates/service-registry/tests/registry.rs
+++ b/crates/service-registry/tests/registry.rs
@@ -1,4 +1,5 @@
-//! The registry against a simple model: whatever the order in which records arrive, the latest one is kept.
+//! Tests of the registry against a simple model: the latest record is kept, in any order of
+//! arrival.
 
 use maplefall_service_registry::{Applied, InstanceRecord, InstanceState, Registry};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -29,7 +30,9 @@
     }
 }
 
-/// The model: of all records of an instance, its deregistration, else the highest sequence number, else the state furthest along.
+/// The model: returns the state and sequence number of an instance's latest record, which is its
+/// deregistration, else the record with the highest sequence number, else the one whose state is
+/// furthest along.
 fn latest(records: &[InstanceRecord], id: &str) -> Option<(i32, u64)> {
     let of_instance = records.iter().filter(|record| record.id == id);
     of_instance
@@ -43,7 +46,8 @@
         .map(|record| (record.state, record.seq))
 }
 
-/// Guards draining and deregistered instances against late calls, which arrive through several processes and in any order.
+/// Guards against late calls that revert the state of a draining or deregistered instance. Calls
+/// arrive through several processes and in any order.
 #[test]
 fn the_latest_record_is_kept_in_any_order_of_arrival() {
     fn latest_is_kept(records: Records) -> bool {
@@ -80,17 +84,17 @@
     }
 }
 
-/// Guards backends whose heartbeats are lost for a while: they expire once, and the next heartbeat brings them back, unless they have
-/// deregistered.
+/// Guards against losing a backend whose heartbeats do not arrive for some time: it expires once,
+/// and the next heartbeat makes it live again, unless it has deregistered.
 #[test]
-fn an_expired_instance_returns_with_its_next_heartbeat() {
+fn an_expired_instance_is_live_again_after_its_next_heartbeat() {
     let mut registry = Registry::default();
     registry.apply(0.0, serving(1));
     assert_eq!(registry.refresh(5000.0, "i-1", 3), Applied::Refreshed);
     assert!(registry.expire(10_000.0, 6000.0).is_empty());
     assert_eq!(registry.expire(11_100.0, 6000.0).len(), 1);
     assert!(registry.expire(12_000.0, 6000.0).is_empty());
-    // A late call does not bring it reversed, a new one does.
+    // A late call does not make it live again; a new one does.
     assert_eq!(registry.apply(12_000.0, serving(2)), Applied::Stale);
     assert!(matches!(
         registry.apply(12_000.0, serving(4)),
@@ -109,7 +113,8 @@
     );
 }
 
-/// Guards a deregistration that reaches a controller which does not know the instance: late heartbeats do not register it.
+/// Guards against late heartbeats that register an instance after its deregistration has reached a
+/// controller that does not know the instance.
 #[test]
 fn a_deregistration_of_an_unknown_instance_is_kept() {
     let mut registry = Registry::default();
