--- a/crates/node-settings/src/bounds.rs
+++ b/crates/node-settings/src/bounds.rs
@@ -1,31 +1,36 @@
-//! The figures of the users' rules: time limits, and how far retries and quotas may be exceeded.
+//! Numeric limits of the users' rules: time limits, and how far the limits on retries and quotas
+//! may be exceeded.
 
-/// Figures of the users' rules, from the list `Bounds` of `Name=value` texts. The defaults are those of the users' first deployments.
+/// Numeric limits of the users' rules, from the list `Bounds` of `Name=value` strings. The defaults
+/// are those of the users' first deployments.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// `ContactS`: seconds for which a machine must be connected before it counts; 3 by default.
     pub contact_s: f64,
     /// `AckS`: seconds within which an operator's call is acknowledged; 5 by default.
     pub ack_s: f64,
-    /// `DrainS`: seconds after an acknowledged `decaying` in which requests may still be sent to the instance; 2.5 by default.
+    /// `DrainS`: seconds after an acknowledged `decaying` during which requests may still be sent
+    /// to the instance; 2.5 by default.
     pub drain_s: f64,
     /// `GraceS`: seconds from SIGTERM to SIGKILL; 6 by default.
     pub grace_s: f64,
-    /// `ConvergeS`: seconds from the acknowledgement of a change until all proxies apply it; 2.5 by default.
+    /// `ConvergeS`: seconds from the acknowledgement of a change until all proxies apply it; 2.5 by
+    /// default.
     pub converge_s: f64,
-    /// `ReuseDelayS`: seconds after the end of an instance in which no other one gets its address; 2 by default.
+    /// `ReuseDelayS`: seconds after the end of an instance during which no other instance gets its
+    /// address; 2 by default.
     pub reuse_delay_s: f64,
-    /// `RetryBudgetRatio`: retries allowed for each request; 0.2 by default.
+    /// `RetryBudgetRatio`: retries allowed per request; 0.2 by default.
     pub retry_budget_ratio: f64,
     /// `RetryWindowS`: seconds over which retries are counted; 10 by default.
     pub retry_window_s: f64,
-    /// `RetrySlack`: retries allowed in a window in addition; 62 by default.
+    /// `RetrySlack`: additional retries allowed in a window; 62 by default.
     pub retry_slack: f64,
     /// `QuotaWindowS`: seconds over which a quota's requests are counted; 5 by default.
     pub quota_window_s: f64,
     /// `QuotaOvershoot`: fraction of a quota by which it may be exceeded; 0.1 by default.
     pub quota_overshoot: f64,
-    /// `QuotaSlack`: requests by which a quota may be exceeded in addition; 20 by default.
+    /// `QuotaSlack`: additional requests by which a quota may be exceeded; 20 by default.
     pub quota_slack: f64,
 }
 
@@ -48,12 +53,13 @@
     }
 }
 
-/// A bound whose value is not a finite number of at least zero, as it is written in the file.
+/// A bound, as written in the file, whose value is not a finite, non-negative number.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct InvalidBound(pub(crate) String);
 
 impl Bounds {
-    /// Parses `Name=value` texts; one text may list several, separated by commas. Unknown names are ignored.
+    /// Parses `Name=value` strings, each of which may list several bounds separated by commas.
+    /// Unknown names are ignored.
     pub(crate) fn parse(texts: &[String]) -> Result<Bounds, InvalidBound> {
         let mut bounds = Bounds::default();
         for text in texts.iter().flat_map(|text| text.split(',')) {
--- a/crates/node-settings/src/error.rs
+++ b/crates/node-settings/src/error.rs
@@ -1,8 +1,8 @@
-//! Why a settings file cannot be used, as `key=value` pairs for the log.
+//! Errors of settings files, displayed as `key=value` pairs for the log.
 
 use std::path::PathBuf;
 
-/// Why a settings file cannot be used.
+/// The reason why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
@@ -10,7 +10,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The file is not TOML, or a field is missing or has the wrong type.
@@ -18,7 +18,7 @@
     Parse {
         /// The file.
         path: PathBuf,
-        /// What the parser said.
+        /// The error of the parser.
         error: toml::de::Error,
     },
     /// A field has an invalid value.
@@ -28,7 +28,7 @@
         path: PathBuf,
         /// Name of the field in the file.
         field: &'static str,
-        /// The value, or the invalid part of it.
+        /// The value, or its invalid part.
         value: String,
     },
 }
--- a/crates/node-settings/src/lib.rs
+++ b/crates/node-settings/src/lib.rs
@@ -1,7 +1,8 @@
 //! The settings file of a proxy or controller: read, validated and watched for changes.
 //!
-//! The platform writes the file in TOML, one for each process. **Invariant:** fields that are unknown are ignored, so that a newer
-//! platform can start an older program; a known field with an invalid value is an error that names the field, never a guess.
+//! The platform writes one file in TOML for each process. **Invariant:** unknown fields are
+//! ignored, so that a newer platform can start an older program; a known field with an invalid
+//! value is an error that names the field, and is never replaced by a default.
 
 mod bounds;
 mod error;
--- a/crates/node-settings/src/schema.rs
+++ b/crates/node-settings/src/schema.rs
@@ -5,7 +5,8 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
-/// The file as it is written, before validation; see [`Settings`](crate::Settings) for the meaning of its fields.
+/// The contents of the file before validation; see [`Settings`](crate::Settings) for the meaning of
+/// the fields.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct RawSettings {
@@ -47,7 +48,8 @@
     1.5
 }
 
-/// Table `Bind`: the addresses on which a process listens; none by default, for services that it does not have.
+/// Table `Bind`: the addresses on which a process listens. A service that the process does not
+/// provide has no address, which is the default.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Bind {
@@ -81,15 +83,15 @@
     }
 }
 
-/// Table `Tolerance`: how much the system has to survive losing at the same time.
+/// Table `Tolerance`: how many simultaneous losses the system must survive.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Tolerance {
-    /// `MachineLosses`: voters; 1 by default.
+    /// `MachineLosses`: losses of voters; 1 by default.
     pub machine_losses: u32,
-    /// `Zones`: zones; 0 by default.
+    /// `Zones`: losses of zones; 0 by default.
     pub zones: u32,
-    /// `RegionLosses`: regions; 0 by default.
+    /// `RegionLosses`: losses of regions; 0 by default.
     pub region_losses: u32,
 }
 
--- a/crates/node-settings/src/settings.rs
+++ b/crates/node-settings/src/settings.rs
@@ -7,19 +7,21 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// The environment variable with the path of the settings file.
+/// The environment variable that contains the path of the settings file.
 pub const PATH_VARIABLE: &str = "MAPLEFALL_CONFIG";
 /// The path of the settings file if [`PATH_VARIABLE`] is not set.
 pub const DEFAULT_PATH: &str = "/etc/maplefall/local.toml";
 
-/// The settings of a process. Each field names the one in the file; those without a default are required.
+/// The settings of a process. The comment of each field begins with its name in the file; fields
+/// without a default are required.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// `Node`: name of the machine, not empty.
     pub node: String,
     /// `Role`: role of the machine; empty by default.
     pub role: String,
-    /// `Serves`: the services that the machine offers, such as `edge` or `controller`; empty by default.
+    /// `Serves`: the services that the machine offers, such as `edge` or `controller`; empty by
+    /// default.
     pub serves: Vec<String>,
     /// `Ip`: IP address of the machine.
     pub ip: IpAddr,
@@ -41,7 +43,7 @@
     pub heartbeat_s: f64,
     /// `ActiveLaws`: names of the users' rules in force; empty by default.
     pub active_laws: Vec<String>,
-    /// `Bounds`: figures of the users' rules.
+    /// `Bounds`: numeric limits of the users' rules.
     pub bounds: Bounds,
     /// `Zones`: the region of each zone; empty by default.
     pub zones: BTreeMap<String, String>,
@@ -49,12 +51,12 @@
     pub bind: Bind,
     /// `Limits`: resources of the machine.
     pub limits: Limits,
-    /// `Tolerance`: losses that the system has to survive.
+    /// `Tolerance`: losses that the system must survive.
     pub tolerance: Tolerance,
 }
 
 impl Settings {
-    /// The path of the settings file: the value of [`PATH_VARIABLE`], or [`DEFAULT_PATH`].
+    /// Returns the path of the settings file: the value of [`PATH_VARIABLE`], or [`DEFAULT_PATH`].
     pub fn path() -> PathBuf {
         std::env::var_os(PATH_VARIABLE).map_or_else(|| PathBuf::from(DEFAULT_PATH), PathBuf::from)
     }
@@ -63,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the file cannot be read or parsed, or a field is invalid.
+    /// Returns [`SettingsError`] if the file cannot be read or parsed, or a field is invalid.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Read {
             path: path.into(),
@@ -72,11 +74,11 @@
         Settings::parse(&text, path)
     }
 
-    /// Parses and validates the text of a settings file; `path` is only for errors.
+    /// Parses and validates the text of a settings file; `path` is only used in errors.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the text cannot be parsed or a field is invalid.
+    /// Returns [`SettingsError`] if the text cannot be parsed or a field is invalid.
     pub fn parse(text: &str, path: &Path) -> Result<Settings, SettingsError> {
         let raw: RawSettings = toml::from_str(text).map_err(|error| SettingsError::Parse {
             path: path.into(),
--- a/crates/node-settings/src/settings_file.rs
+++ b/crates/node-settings/src/settings_file.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// What a change of the file is recognised by.
+/// The file metadata by which a change is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     modified: SystemTime,
@@ -14,12 +14,12 @@
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
-    /// As of the last look at it; `None` before it could be read.
+    /// The version at the last check; `None` if the file could not be read yet.
     version: Option<FileVersion>,
 }
 
 impl SettingsFile {
-    /// Watches the file from its present version on.
+    /// Starts watching a file, from its current version on.
     pub fn new(path: PathBuf) -> SettingsFile {
         let version = file_version(&path);
         SettingsFile { path, version }
@@ -30,8 +30,8 @@
         &self.path
     }
 
-    /// Whether the file has changed since the last call. A file that is missing just now has not changed: it may be about to be
-    /// replaced.
+    /// Returns whether the file has changed since the last call. A missing file counts as
+    /// unchanged, since it may be about to be replaced.
     pub fn changed(&mut self) -> bool {
         let Some(version) = file_version(&self.path) else {
             return false;
--- a/crates/node-settings/tests/settings.rs
+++ b/crates/node-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading, validating and watching a settings file.
+//! Tests of reading, validating and watching a settings file.
 
 use maplefall_node_settings::{Settings, SettingsFile};
 use std::path::Path;
@@ -21,7 +21,8 @@
 CpuShare = 0.2
 "#;
 
-/// Guards a platform that writes fields which this program does not know, and bounds that are not in the file.
+/// Guards against rejecting the file of a newer platform: fields that this program does not know
+/// are ignored, and bounds that are not in the file have their defaults.
 #[test]
 fn unknown_fields_are_ignored_and_missing_bounds_have_their_defaults() {
     let settings = Settings::parse(PROXY, Path::new("x")).expect("settings");
@@ -36,9 +37,10 @@
     assert_eq!(settings.bind.front_http.map(|a| a.port()), Some(8388));
 }
 
-/// Guards a file that changes without a signal, or is missing for a moment while it is replaced.
+/// Guards against missing a change of the file, which comes without a signal, and against reporting
+/// a file that is missing for a moment while it is replaced.
 #[test]
-fn a_changed_file_is_noticed_once() {
+fn a_changed_file_is_detected_once() {
     let path = std::env::temp_dir().join(format!("maplefall-watched-{}", std::process::id()));
     std::fs::write(&path, PROXY).expect("a file");
     let mut watched = SettingsFile::new(path.clone());
@@ -49,7 +51,7 @@
     assert!(!watched.changed());
 }
 
-/// Guards the operator: an invalid value is reported with its field and never guessed at.
+/// Guards against replacing an invalid value by a default: it is reported with its field.
 #[test]
 fn an_invalid_value_is_reported_with_its_field() {
     for (from, to, field) in [
