--- a/crates/control-transport/src/chunking.rs
+++ b/crates/control-transport/src/chunking.rs
@@ -1,22 +1,23 @@
-//! Long frames are sent in chunks, so that pings and pongs can go between them: a ping behind 64 MiB would come too late to prove
-//! anything.
+//! Long frames are sent in chunks, so that pings and pongs can be sent between the chunks: a ping
+//! queued behind 64 MiB would arrive too late to prove that the connection is alive.
 //!
-//! Invariant: the receiver buffers at most one frame of [`MAX_FRAME_BYTES`], and chunks that do not add up to exactly one frame are an error.
+//! Invariant: the receiver buffers at most one frame of [`MAX_FRAME_BYTES`], and chunks that do not
+//! add up to exactly one frame are an error.
 
 use bytes::{Bytes, BytesMut};
 use maplefall_control_messages::{
     decode_frame, encode_frame, Chunk, Frame, FrameError, LENGTH_PREFIX_BYTES, MAX_FRAME_BYTES,
 };
 
-/// Longest data of a chunk; longer frames are split.
+/// Maximum size of a chunk's data in bytes; longer encoded frames are split.
 const MAX_CHUNK_BYTES: usize = 64 << 10;
 
-/// Whether an encoded frame is sent in chunks.
+/// Returns whether an encoded frame is sent in chunks.
 pub(crate) fn needs_chunking(encoded: &Bytes) -> bool {
     encoded.len() > MAX_CHUNK_BYTES
 }
 
-/// Splits an encoded frame. Each item is an encoded [`Frame::Chunk`]; their data are slices of the frame.
+/// Splits an encoded frame into encoded [`Frame::Chunk`]s. Their data are slices of the frame.
 pub(crate) fn split_into_chunks(mut encoded: Bytes) -> impl Iterator<Item = Bytes> {
     std::iter::from_fn(move || {
         if encoded.is_empty() {
@@ -28,15 +29,15 @@
     })
 }
 
-/// Puts the chunks of a connection together.
+/// Reassembles the chunks of a connection into frames.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkAssembler {
     buffer: BytesMut,
 }
 
 impl ChunkAssembler {
-    /// Takes the next frame of a connection. Returns it, or the frame that it completes as the last chunk; `None` for a chunk before the
-    /// last.
+    /// Processes the next frame of a connection. Returns the frame itself if it is not a chunk, the
+    /// reassembled frame if it is the last chunk, and `None` if it is an earlier chunk.
     pub(crate) fn push(&mut self, frame: Frame) -> Result<Option<Frame>, FrameError> {
         let Frame::Chunk(chunk) = frame else {
             return Ok(Some(frame));
--- a/crates/control-transport/src/chunking/tests.rs
+++ b/crates/control-transport/src/chunking/tests.rs
@@ -1,4 +1,4 @@
-//! Splitting and reassembly of long frames.
+//! Tests of splitting and reassembling long frames.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     Ok(None)
 }
 
-/// A frame whose encoding is longer than `bytes`.
+/// Returns a frame whose encoding is longer than `bytes`.
 fn long_frame(bytes: usize) -> Frame {
     Frame::Chunk(Chunk {
         data: vec![7; bytes].into(),
@@ -29,7 +29,8 @@
     chunk
 }
 
-/// Guards long frames: the chunks are the frame's bytes in order, none is too long, and only the last one is marked so.
+/// Guards against corrupt long frames: the chunks contain the frame's bytes in order, none is too
+/// long, and only the last one is marked as the last.
 #[test]
 fn chunks_add_up_to_the_encoded_frame() {
     let encoded = encode_frame(long_frame(3 * MAX_CHUNK_BYTES));
@@ -47,7 +48,8 @@
     assert_eq!(last, [false, false, false, true]);
 }
 
-/// Guards against other clients: chunks that never end take no more memory than a frame may.
+/// Guards against foreign clients that send chunks without end: they take no more memory than one
+/// frame may.
 #[test]
 fn endless_chunks_are_rejected() {
     let data = Bytes::from(vec![0; 8 << 20]);
@@ -61,7 +63,8 @@
     );
 }
 
-/// Guards against chunks that hold anything but exactly one frame: less, more, or a chunk again.
+/// Guards against chunks that contain anything but exactly one frame: a truncated frame, two
+/// frames, or another chunk.
 #[test]
 fn chunks_that_are_not_exactly_one_frame_are_rejected() {
     let ping = encode_frame(Frame::Ping(1));
--- a/crates/control-transport/src/connect.rs
+++ b/crates/control-transport/src/connect.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// How long establishing a connection may take.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Wait after the first failed attempt.
+/// Delay after the first failed attempt.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait between two attempts.
+/// Maximum delay between two attempts.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(400);
 
-/// Exponential backoff between connection attempts: 50 ms after the first, twice as long after each further one, 400 ms at most. A
-/// new one is to be used after a connection that was established.
+/// Exponential backoff between connection attempts: 50 ms after the first, doubled after each
+/// further one, up to 400 ms. A new value must be used after a connection was established.
 #[derive(Clone, Copy, Debug)]
 pub struct ReconnectBackoff {
     next_delay: Duration,
@@ -36,22 +36,25 @@
     }
 }
 
-/// Opens a connection to `address` from the local address `from`, by which the other end identifies this machine.
+/// Opens a connection to `address` from the local address `local_ip`, by which the peer identifies
+/// this machine.
 ///
 /// # Errors
 ///
-/// [`ConnectionError::Connect`] if it is not established within 400 ms.
-pub async fn connect(from: IpAddr, address: SocketAddr) -> Result<TcpStream, ConnectionError> {
-    let failed = |error| ConnectionError::Connect { address, error };
-    let socket = if from.is_ipv4() {
+/// Returns [`ConnectionError::Connect`] if the connection is not established within 400 ms.
+pub async fn connect(local_ip: IpAddr, address: SocketAddr) -> Result<TcpStream, ConnectionError> {
+    let connect_error = |error| ConnectionError::Connect { address, error };
+    let socket = if local_ip.is_ipv4() {
         TcpSocket::new_v4()
     } else {
         TcpSocket::new_v6()
     }
-    .map_err(failed)?;
-    socket.bind(SocketAddr::new(from, 0)).map_err(failed)?;
+    .map_err(connect_error)?;
+    socket
+        .bind(SocketAddr::new(local_ip, 0))
+        .map_err(connect_error)?;
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(address)).await;
     connected
-        .map_err(|_| failed(io::ErrorKind::TimedOut.into()))?
-        .map_err(failed)
+        .map_err(|_| connect_error(io::ErrorKind::TimedOut.into()))?
+        .map_err(connect_error)
 }
--- a/crates/control-transport/src/connection.rs
+++ b/crates/control-transport/src/connection.rs
@@ -1,7 +1,9 @@
-//! One established connection: a reader, a writer and a timer run side by side until one of them ends it.
+//! One established connection: a reader, a writer and a timer run concurrently until one of them
+//! ends the connection.
 //!
-//! They share the [`Liveness`] state machine. The reader feeds it and delivers frames, the timer asks it when a ping is due or the other
-//! end is dead, and the writer sends pongs and pings before everything else, so that they never wait behind the queue.
+//! They share the state machine [`Liveness`]. The reader passes received messages to it and
+//! delivers frames, the timer asks it whether a ping is due or the peer is dead, and the writer
+//! sends pongs and pings ahead of all other frames, so that they never wait behind the queue.
 
 use crate::chunking::{needs_chunking, split_into_chunks, ChunkAssembler};
 use crate::liveness::{Actions, Liveness, Millis, Received, Side};
@@ -19,29 +21,32 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
 
-/// Capacity that the outgoing queue of a connection should have, in frames. A connection whose queue is full is to be dropped.
+/// Capacity that the outgoing queue of a connection should have, in frames. A connection whose
+/// queue is full should be dropped.
 pub const OUTGOING_QUEUE_FRAMES: usize = 1024;
-/// TCP_USER_TIMEOUT: how long the kernel waits for an acknowledgement of what it has sent.
+/// TCP_USER_TIMEOUT: how long the kernel waits for an acknowledgement of sent data.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Bytes reserved for each read, and the size up to which queued frames are joined into one write.
+/// Bytes reserved for each read, and the size up to which queued frames are combined into one
+/// write.
 const IO_BUFFER_BYTES: usize = 16 << 10;
 
-/// How a connection begins, from this end.
+/// The role of this end in the handshake of a connection.
 #[derive(Clone, Debug)]
 pub enum Handshake {
-    /// This end has opened it, and sends this first.
+    /// This end opened the connection and first sends this hello.
     Initiator(Hello),
-    /// The other end has opened it, and sends its hello.
+    /// The peer opened the connection and sends its hello.
     Acceptor,
 }
 
-/// What happens on a connection.
+/// An event on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// At the initiator: the other end reads and answers. Frames in the outgoing queue are sent from now on.
+    /// At the initiator: the peer reads and responds. Frames in the outgoing queue are sent from
+    /// now on.
     Established,
-    /// At the acceptor: a hello has been read, and its sender is asked to prove that it is alive. Fencing tokens are given out in the
-    /// order of these events.
+    /// At the acceptor: a hello has been read, and a ping asks its sender to prove that it is
+    /// alive. Fencing tokens are assigned in the order of these events.
     HelloReceived,
     /// At the acceptor: the sender of this hello was alive after the hello had been read.
     Verified(Hello),
@@ -49,8 +54,10 @@
     Frame(Frame),
 }
 
-/// Runs a connection until it ends, and returns why. It ends within [`liveness`](crate::liveness)'s bound once it no longer carries data
-/// both ways. Frames of `outgoing`, already encoded, are sent once the connection is up. `on_event` says whether to go on.
+/// Runs a connection until it ends, and returns the reason. The connection ends within the bound of
+/// [`liveness`](crate::liveness) once it no longer carries data in both directions. The frames in
+/// `outgoing` are already encoded and are sent once the connection is established. `on_event`
+/// returns whether the connection continues.
 pub async fn run_connection(
     stream: TcpStream,
     outgoing: mpsc::Receiver<Bytes>,
@@ -87,17 +94,18 @@
     }
 }
 
-/// Without these a broken connection is noticed later, so a failure to set them does not matter.
+/// Sets the socket options. Failures are ignored: without the options, a broken connection is only
+/// detected later.
 fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
-/// What the reader, the writer and the timer of a connection share.
+/// The state shared by the reader, the writer and the timer of a connection.
 struct Connection {
     started: Instant,
     probes: RefCell<Probes>,
-    /// Wakes the writer: a pong or a ping is to be written, or the connection has come up.
+    /// Wakes the writer: a pong or ping is pending, or the connection is established.
     writer_wakeup: Notify,
     /// Wakes the timer: the next deadline has changed.
     timer_wakeup: Notify,
@@ -118,7 +126,7 @@
         }
     }
 
-    /// Milliseconds since the connection was established.
+    /// Returns the milliseconds since this end started to run the connection.
     fn now(&self) -> Millis {
         millis_since(self.started)
     }
@@ -128,14 +136,14 @@
     started.elapsed().as_secs_f64() * 1000.0
 }
 
-/// The liveness of a connection, and the pong and the ping to be written next.
+/// The liveness of a connection, and its pending pong and ping.
 struct Probes {
     liveness: Liveness,
     pong: Option<u64>,
     ping: Option<u64>,
 }
 
-/// What a write consists of.
+/// The content of a write.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteContent {
     ProbesOnly,
@@ -143,7 +151,8 @@
 }
 
 impl Probes {
-    /// Takes the encoded pong and ping that go in front of a write. A ping that is due soon goes with any write but one of a single ping.
+    /// Takes and encodes the pending pong and ping, which precede the frames of a write. A ping
+    /// that is due soon is added, except to a write that has neither a pong nor frames.
     fn take_encoded(&mut self, now: Millis, content: WriteContent) -> BytesMut {
         let may_piggyback = content == WriteContent::ProbesAndFrames || self.pong.is_some();
         if self.ping.is_none() && may_piggyback {
@@ -166,7 +175,7 @@
     connection: &'a Connection,
     stream: OwnedReadHalf,
     chunks: ChunkAssembler,
-    /// At the acceptor, the hello of the other end until that has proven to be alive.
+    /// At the acceptor, the hello of the peer until the peer has proven that it is alive.
     unverified: Option<Hello>,
     on_event: F,
 }
@@ -201,7 +210,8 @@
         }
     }
 
-    /// Feeds a frame to the state machine, and notifies the writer and the timer of what follows from it.
+    /// Passes a frame to the state machine, and wakes the writer and the timer if the resulting
+    /// actions require it.
     fn update_liveness(&self, frame: &Frame) -> Result<Actions, ConnectionError> {
         let received = match frame {
             Frame::Hello(_) => Received::Hello,
@@ -236,7 +246,7 @@
     }
 }
 
-/// Queues pings when they are due, and ends the connection when the other end is dead.
+/// Queues pings when they are due, and ends the connection when the peer is dead.
 async fn run_timer(connection: &Connection) -> Result<Infallible, ConnectionError> {
     loop {
         let deadline = connection.probes.borrow().liveness.next_deadline();
@@ -273,19 +283,20 @@
             };
             let bytes = self.take_probes(content);
             if !bytes.is_empty() {
-                // A ping may have been piggybacked: the timer need not wake for that one.
+                // A ping may have been piggybacked, in which case the timer need not wake for that
+                // ping.
                 self.connection.timer_wakeup.notify_one();
             }
             self.write_frames(bytes, next).await?;
         }
     }
 
-    /// Waits for a queued frame, once the connection is up, or for a wake-up (`None`).
+    /// Waits for a queued frame, if the connection is established, or for a wake-up (`None`).
     async fn next_frame(&mut self) -> Result<Option<Bytes>, ConnectionError> {
-        let is_up = self.connection.probes.borrow().liveness.is_established();
+        let is_established = self.connection.probes.borrow().liveness.is_established();
         tokio::select! {
             biased;
-            frame = self.outgoing.recv(), if is_up => match frame {
+            frame = self.outgoing.recv(), if is_established => match frame {
                 Some(frame) => Ok(Some(frame)),
                 None => Err(ConnectionError::Dropped),
             },
@@ -293,8 +304,8 @@
         }
     }
 
-    /// Writes `bytes`, the given frame and further queued ones, as far as they fit into the buffer, in one write. Long frames go in
-    /// chunks.
+    /// Writes `bytes`, the given frame and further queued frames, as far as they fit into the
+    /// buffer, in one write. Long frames are written in chunks.
     async fn write_frames(
         &mut self,
         mut bytes: BytesMut,
@@ -313,7 +324,8 @@
         write_all(&mut self.stream, &bytes).await
     }
 
-    /// Writes `bytes` and a long frame in chunks, with pongs and pings between them. Leaves `bytes` empty.
+    /// Writes `bytes` and a long frame in chunks, with pongs and pings between them. Leaves `bytes`
+    /// empty.
     async fn write_chunked(
         &mut self,
         bytes: &mut BytesMut,
--- a/crates/control-transport/src/fencing.rs
+++ b/crates/control-transport/src/fencing.rs
@@ -1,13 +1,16 @@
-//! Fencing of stale connections: of several connections by one peer only the latest is used, whatever arrives late on older ones.
+//! Fencing of stale connections: of several connections from one peer only the latest is used, even
+//! if data arrives late on older ones.
 //!
-//! Each connection gets a fencing token when its hello is read, and tokens rise. [`crate::liveness`] proves that a connection with a higher
-//! token that has been verified is the later one. Invariant: once a connection is admitted, nothing of one with a lower token is.
+//! Each connection is assigned a fencing token when its hello is read, and tokens increase.
+//! [`crate::liveness`] proves that a verified connection is later than those with lower tokens.
+//! Invariant: once a connection is admitted, no data from a connection with a lower token is
+//! accepted.
 
 use std::collections::BTreeMap;
 
-/// Number of peers beyond which disconnected ones are forgotten. An older connection is verified within
-/// [`crate::liveness::PONG_TIMEOUT`] or never, so a disconnected peer need not be remembered for long.
-const MAX_DISCONNECTED_PEERS: usize = 16_384;
+/// Number of peers at which disconnected ones are evicted. An older connection is verified within
+/// [`crate::liveness::PONG_TIMEOUT`] or never, so a disconnected peer need not be kept for long.
+const PEER_EVICTION_THRESHOLD: usize = 16_384;
 
 /// The latest admitted connection of a peer.
 #[derive(Clone, Copy, Debug)]
@@ -16,14 +19,14 @@
     connected: bool,
 }
 
-/// Whether a verified connection is to be used.
+/// The decision on a verified connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Yes, and the peer has no other connection.
+    /// The connection is used, and the peer has no other connection.
     New,
-    /// Yes, in place of the connection with this token, which is to be closed.
+    /// The connection is used in place of the one with this token, which must be closed.
     Replaces(u64),
-    /// No: a later one has been admitted.
+    /// The connection is not used, since a later one has been admitted.
     Stale,
 }
 
@@ -44,15 +47,15 @@
 }
 
 impl<K: Ord + Clone> ConnectionFence<K> {
-    /// The token of a connection whose hello has just been read.
+    /// Returns the token of a connection whose hello has just been read.
     pub fn next_token(&mut self) -> u64 {
         self.last_token += 1;
         self.last_token
     }
 
-    /// Decides whether a connection that has just been verified is to be used.
+    /// Decides whether a connection that has just been verified is used.
     pub fn admit(&mut self, peer: &K, token: u64) -> Admission {
-        if self.latest.len() >= MAX_DISCONNECTED_PEERS {
+        if self.latest.len() >= PEER_EVICTION_THRESHOLD {
             self.latest.retain(|_, latest| latest.connected);
         }
         let admitted = LatestConnection {
@@ -74,14 +77,15 @@
         }
     }
 
-    /// Whether the connection with this token is the one in use, so that what arrives on it may be applied.
+    /// Returns whether the connection with this token is the one in use, so that messages received
+    /// on it may be applied.
     pub fn is_current(&self, peer: &K, token: u64) -> bool {
         self.latest
             .get(peer)
             .is_some_and(|latest| latest.token == token)
     }
 
-    /// A connection has ended.
+    /// Records that a connection has ended.
     pub fn disconnected(&mut self, peer: &K, token: u64) {
         if let Some(latest) = self.latest.get_mut(peer) {
             latest.connected &= latest.token != token;
--- a/crates/control-transport/src/liveness.rs
+++ b/crates/control-transport/src/liveness.rs
@@ -1,55 +1,63 @@
-//! Whether a connection is alive: both of its directions, and the process at the other end. A state machine without I/O.
+//! Liveness of a connection: of both directions, and of the process at the other end. A state
+//! machine without I/O.
 //!
-//! Received data prove one direction only, and a successful write proves nothing, since the kernel only buffers it. So each end sends a
-//! numbered ping at least every [`PING_INTERVAL`], and answers each ping with a pong of the same number. A pong proves that the ping
-//! arrived, that the process there read it, and that its answer came back.
+//! Received data prove one direction only, and a successful write proves nothing, since the kernel
+//! only buffers the data. Each end therefore sends a numbered ping at least every
+//! [`PING_INTERVAL`], and responds to each ping with a pong of the same number. A pong proves that
+//! the ping arrived, that the process at the other end read it, and that the pong came back.
 //!
-//! **The bound.** An end takes the connection for dead once the last ping that was answered is older than [`PONG_TIMEOUT`] +
-//! [`PING_INTERVAL`], counted from when that ping was *sent*. So a connection that no longer carries one of its directions, or whose other
-//! end is frozen, is known to be dead at both ends within 2.5 s. One that carries everything within `PONG_TIMEOUT / 2` each
-//! way stays alive.
+//! **The bound.** An end considers the connection dead once the last acknowledged ping is older
+//! than [`PONG_TIMEOUT`] + [`PING_INTERVAL`], counted from when that ping was *sent*. A connection
+//! that no longer carries data in one direction, or whose peer is frozen, is therefore detected as
+//! dead at both ends within 2.5 s. A connection that delivers everything within `PONG_TIMEOUT / 2`
+//! each way stays alive.
 //!
-//! **Nothing older is delivered.** What arrives after the pong for a ping was sent after that ping. Since anything that arrives after the
-//! bound is an error, whatever is delivered was sent at most `PONG_TIMEOUT + PING_INTERVAL` before. So a process that was
-//! frozen for longer delivers nothing of what its sockets have buffered meanwhile.
+//! **No older message is delivered.** A message that arrives after the pong for a ping was sent
+//! after that ping. Since any message that arrives after the bound is an error, every delivered
+//! message was sent at most `PONG_TIMEOUT + PING_INTERVAL` earlier. A process that was frozen for
+//! longer therefore delivers nothing that its sockets buffered meanwhile.
 //!
-//! **Which of two connections is the later.** The acceptor pings as soon as it has read the hello, and delivers nothing before the pong; the
-//! initiator sends nothing but its hello before that ping. Connections are numbered in the order in which their hellos were read. The
-//! pong on connection n shows that its process was alive, and still read that connection, after hello n had been read. A process reads no
-//! connection that it has closed, and of one machine's incarnations only the last one runs. So if a connection with a higher number
-//! has been verified, what is left on connection n is stale, whichever incarnation its hello names. Neither synchronized clocks nor
-//! ordered incarnations are needed ([`crate::fencing`]).
+//! **Which of two connections is the later.** The acceptor pings as soon as it has read the hello,
+//! and delivers nothing before the pong; the initiator sends nothing but its hello before that
+//! ping. Connections are numbered in the order in which their hellos were read. The pong on
+//! connection n shows that the process was alive, and still read that connection, after hello n had
+//! been read. A process does not read a connection that it has closed, and of one machine's
+//! incarnations only the last one runs. So once a connection with a higher number has been
+//! verified, the remaining data on connection n is stale, whichever incarnation its hello names.
+//! Neither synchronized clocks nor ordered incarnations are needed ([`crate::fencing`]).
 
 use std::collections::VecDeque;
 
 /// Milliseconds on the caller's monotonic clock.
 pub type Millis = f64;
 
-/// Longest time between two pings.
+/// Maximum time between two pings.
 pub const PING_INTERVAL: Millis = 500.0;
-/// A ping that has not been answered for this long ends the connection. With [`PING_INTERVAL`] it is the bound within which an end
-/// knows.
+/// Time after which an unacknowledged ping ends the connection. Together with [`PING_INTERVAL`]
+/// this is the bound within which an end detects a dead connection.
 pub const PONG_TIMEOUT: Millis = 2000.0;
 /// Fraction of [`PING_INTERVAL`] after which a ping is sent with other data.
 const PIGGYBACK_FRACTION: f64 = 0.7;
-/// Unanswered pings that are remembered: twice as many as are due before the oldest ends the connection.
-const MAX_UNANSWERED_PINGS: usize = (2.0 * (PONG_TIMEOUT + PING_INTERVAL) / PING_INTERVAL) as usize;
+/// Maximum number of unacknowledged pings that are kept: twice as many as are due before the oldest
+/// ends the connection.
+const MAX_UNACKNOWLEDGED_PINGS: usize =
+    (2.0 * (PONG_TIMEOUT + PING_INTERVAL) / PING_INTERVAL) as usize;
 
 /// Which end of a connection this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// Has opened the connection, and sends its hello first.
+    /// The end that opened the connection, and sends its hello first.
     Initiator,
-    /// Waits for a hello.
+    /// The end that accepted the connection, and waits for a hello.
     Acceptor,
 }
 
-/// A received message, as far as it matters here.
+/// The kind of a received message, as far as it is relevant to liveness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Received {
     /// A hello.
     Hello,
-    /// The other end's ping of this number.
+    /// The peer's ping of this number.
     Ping(u64),
     /// The pong for this end's ping of this number, and for all before it.
     Pong(u64),
@@ -57,23 +65,24 @@
     Other,
 }
 
-/// What to do about a received message.
+/// The actions that a received message requires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Actions {
     /// Send this pong, before anything else.
     pub pong: Option<u64>,
     /// Send this ping.
     pub ping: Option<u64>,
-    /// The connection is established by this message: the other end is alive, and messages may be delivered from now on.
+    /// The connection is established by this message: the peer is alive, and messages may be
+    /// delivered from now on.
     pub established: bool,
     /// Deliver the message.
     pub deliver: bool,
 }
 
-/// Why a connection is dead.
+/// The reason why a connection is dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LivenessError {
-    /// The other end has answered no ping that was sent within the bound.
+    /// The peer has acknowledged no ping that was sent within the bound.
     #[error("why=timeout")]
     Timeout,
     /// No hello has arrived within [`PONG_TIMEOUT`].
@@ -88,7 +97,8 @@
 enum Stage {
     /// The acceptor waits for a hello.
     AwaitingHello,
-    /// The initiator has sent its hello and waits for the first ping, or the acceptor has sent that ping and waits for the pong.
+    /// The initiator has sent its hello and waits for the first ping, or the acceptor has sent that
+    /// ping and waits for the pong.
     AwaitingProof,
     Established,
 }
@@ -104,16 +114,17 @@
 pub struct Liveness {
     side: Side,
     stage: Stage,
-    /// When the last ping that was answered was sent; before there is one, when this end began to wait.
+    /// When the last acknowledged ping was sent; before the first acknowledgement, when this end
+    /// began to wait.
     proven_at: Millis,
     /// The last ping; number zero before the first.
     last_ping: SentPing,
-    /// Pings without a pong, the oldest first.
-    unanswered: VecDeque<SentPing>,
+    /// Pings without a pong, oldest first.
+    unacknowledged: VecDeque<SentPing>,
 }
 
 impl Liveness {
-    /// A connection that was opened or accepted just now.
+    /// Creates the state of a connection that was opened or accepted just now.
     pub fn new(side: Side, now: Millis) -> Liveness {
         let stage = match side {
             Side::Initiator => Stage::AwaitingProof,
@@ -127,16 +138,16 @@
                 number: 0,
                 sent_at: now,
             },
-            unanswered: VecDeque::new(),
+            unacknowledged: VecDeque::new(),
         }
     }
 
-    /// Whether the connection is established.
+    /// Returns whether the connection is established.
     pub fn is_established(&self) -> bool {
         self.stage == Stage::Established
     }
 
-    /// The latest time at which [`Liveness::tick`] has to be called.
+    /// Returns the time by which [`Liveness::tick`] must be called.
     pub fn next_deadline(&self) -> Millis {
         let dead_at = self.proven_at + self.timeout();
         if self.is_established() {
@@ -150,25 +161,27 @@
     ///
     /// # Errors
     ///
-    /// [`LivenessError`] if the connection is dead.
+    /// Returns [`LivenessError`] if the connection is dead.
     pub fn tick(&mut self, now: Millis) -> Result<Option<u64>, LivenessError> {
         self.check_timeout(now)?;
         let due = self.is_established() && now >= self.last_ping.sent_at + PING_INTERVAL;
         Ok(due.then(|| self.next_ping(now)))
     }
 
-    /// Other data are about to be written. Returns the number of a ping to send with them, if one is due soon.
+    /// Returns the number of a ping to send with other data that are about to be written, if one is
+    /// due soon.
     pub fn piggyback_ping(&mut self, now: Millis) -> Option<u64> {
         let due_soon = self.is_established()
             && now >= self.last_ping.sent_at + PING_INTERVAL * PIGGYBACK_FRACTION;
         due_soon.then(|| self.next_ping(now))
     }
 
-    /// A message was received. Returns what to do about it.
+    /// Processes a received message. Returns the actions that it requires.
     ///
     /// # Errors
     ///
-    /// [`LivenessError`] if the connection is dead, or the message is not allowed at this stage.
+    /// Returns [`LivenessError`] if the connection is dead, or the message is not allowed at this
+    /// stage.
     pub fn received(&mut self, now: Millis, message: Received) -> Result<Actions, LivenessError> {
         self.check_timeout(now)?;
         match self.stage {
@@ -239,7 +252,7 @@
         }
     }
 
-    /// How long after `proven_at` the connection is dead.
+    /// Time after `proven_at` at which the connection is dead.
     fn timeout(&self) -> Millis {
         if self.is_established() {
             PONG_TIMEOUT + PING_INTERVAL
@@ -264,23 +277,24 @@
             number: self.last_ping.number + 1,
             sent_at: now,
         };
-        if self.unanswered.len() < MAX_UNANSWERED_PINGS {
-            self.unanswered.push_back(self.last_ping);
+        if self.unacknowledged.len() < MAX_UNACKNOWLEDGED_PINGS {
+            self.unacknowledged.push_back(self.last_ping);
         }
         self.last_ping.number
     }
 
-    /// A pong answers its ping and all before it. Returns whether any of these was unanswered.
+    /// Processes a pong, which acknowledges its ping and all before it. Returns whether any of
+    /// these was unacknowledged.
     fn acknowledge(&mut self, number: u64) -> bool {
-        let mut any_answered = false;
-        while let Some(ping) = self.unanswered.front().copied() {
+        let mut any_acknowledged = false;
+        while let Some(ping) = self.unacknowledged.front().copied() {
             if ping.number > number {
                 break;
             }
-            self.unanswered.pop_front();
+            self.unacknowledged.pop_front();
             self.proven_at = self.proven_at.max(ping.sent_at);
-            any_answered = true;
+            any_acknowledged = true;
         }
-        any_answered
+        any_acknowledged
     }
 }
--- a/crates/control-transport/src/write.rs
+++ b/crates/control-transport/src/write.rs
@@ -1,4 +1,4 @@
-//! Writing to a socket with a limit on how long it may make no progress.
+//! Socket writes with a limit on the time without progress.
 
 use crate::liveness::PONG_TIMEOUT;
 use crate::ConnectionError;
@@ -10,7 +10,7 @@
 /// A write that makes no progress for this long ends the connection.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_millis(PONG_TIMEOUT as u64);
 
-/// Writes all bytes, as long as each write makes some progress.
+/// Writes all bytes; fails if a write makes no progress within [`WRITE_STALL_TIMEOUT`].
 pub(crate) async fn write_all(
     stream: &mut OwnedWriteHalf,
     mut bytes: &[u8],
--- a/crates/control-transport/tests/fencing.rs
+++ b/crates/control-transport/tests/fencing.rs
@@ -1,4 +1,5 @@
-//! Fencing over a simulated network on which everything may arrive late. Seeds are printed; the same seed gives the same run.
+//! Tests of fencing over a simulated network on which any message may arrive late. Seeds are
+//! printed; the same seed gives the same run.
 
 use maplefall_control_transport::fencing::{Admission, ConnectionFence};
 use maplefall_control_transport::liveness::{Liveness, Received, Side};
@@ -9,33 +10,34 @@
 /// Step of the simulation, in milliseconds.
 const STEP: f64 = 10.0;
 
-/// What the acceptor does.
+/// The behaviour of the acceptor.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Variant {
     Correct,
-    /// Without the guard: a connection is admitted with its hello, in place of all before.
+    /// Faulty: a connection is admitted by its hello, in place of all earlier ones.
     AdmittedByHello,
-    /// Without the guard: tokens follow the order of verification, not of hellos.
+    /// Faulty: tokens follow the order of verification, not of hellos.
     TokenByPong,
 }
 
-/// When messages were sent: incarnation of the process, and number of the connection in it.
-type Age = (u32, u32);
+/// The order in which messages were sent: incarnation of the process, and number of the connection
+/// in that incarnation.
+type SendOrder = (u32, u32);
 
-/// One connection of a proxy, with what arrives on it at the controller, in that order.
+/// A connection of a proxy, with the messages in transit to the controller in the order of arrival.
 struct Connection {
-    age: Age,
+    send_order: SendOrder,
     liveness: Liveness,
     token: u64,
-    /// When each message arrives.
+    /// The time of arrival of each message.
     in_transit: VecDeque<(f64, Received)>,
-    /// Whether the process still reads it.
+    /// Whether the process still reads the connection.
     is_read: bool,
     closed: bool,
 }
 
 impl Connection {
-    /// Five other messages, 20 ms apart, arrive from `first` on.
+    /// Adds five other messages, which arrive 20 ms apart from `first` on.
     fn send_others(&mut self, first: f64) {
         self.in_transit
             .extend((0..5).map(|n| (first + f64::from(n) * 20.0, Received::Other)));
@@ -51,15 +53,16 @@
     }
 }
 
-/// A controller's ping on its way to the proxy.
+/// A controller's ping in transit to the proxy.
 struct PingInTransit {
     arrives_at: f64,
     connection: usize,
     number: u64,
 }
 
-/// A proxy opens connection after connection to a controller, in incarnation after incarnation. What an earlier incarnation has sent
-/// arrives late, since the system retransmits it, even its hello and pong.
+/// A proxy that opens one connection after another to a controller, in one incarnation after
+/// another. Messages of an earlier incarnation, even its hello and pong, may arrive late, since the
+/// operating system retransmits them.
 struct Simulation {
     variant: Variant,
     rng: Pcg32,
@@ -68,9 +71,9 @@
     connections: Vec<Connection>,
     next_connection_at: f64,
     pings: Vec<PingInTransit>,
-    age: Age,
-    newest_delivered: Age,
-    /// Whether anything was delivered that is older than what had been delivered before.
+    send_order: SendOrder,
+    newest_delivered: SendOrder,
+    /// Whether a message was delivered that is older than one delivered before.
     delivered_stale: bool,
 }
 
@@ -84,7 +87,7 @@
             connections: Vec::new(),
             next_connection_at: 0.0,
             pings: Vec::new(),
-            age: (0, 0),
+            send_order: (0, 0),
             newest_delivered: (0, 0),
             delivered_stale: false,
         }
@@ -108,20 +111,21 @@
         self.delivered_stale
     }
 
-    /// The previous connection is closed; now and then its process has died.
+    /// Opens a connection. The previous connection is closed; in 30% of the cases its process has
+    /// ended.
     fn open_connection(&mut self) {
         for connection in &mut self.connections {
             connection.is_read = false;
         }
-        self.age = if self.draw(1.0) < 0.3 {
-            (self.age.0 + 1, 0)
+        self.send_order = if self.draw(1.0) < 0.3 {
+            (self.send_order.0 + 1, 0)
         } else {
-            (self.age.0, self.age.1 + 1)
+            (self.send_order.0, self.send_order.1 + 1)
         };
         let is_late = self.draw(1.0) < 0.4;
         let hello_at = self.now + self.draw(if is_late { 3000.0 } else { 5.0 });
         let mut connection = Connection {
-            age: self.age,
+            send_order: self.send_order,
             liveness: Liveness::new(Side::Acceptor, self.now),
             token: 0,
             in_transit: VecDeque::from([(hello_at, Received::Hello)]),
@@ -135,7 +139,8 @@
         self.next_connection_at = self.now + 100.0 + self.draw(2500.0);
     }
 
-    /// The controller's pings arrive at the process. If it still reads that connection, it answers and sends more.
+    /// Delivers the controller's pings to the process. If the process still reads the connection,
+    /// it sends a pong and further messages.
     fn deliver_pings(&mut self) {
         let now = self.now;
         let (arrived, in_transit): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pings)
@@ -171,13 +176,13 @@
             let connection = &self.connections[index];
             let is_current = self.fence.is_current(&(), connection.token);
             if delivered && !connection.closed && is_current {
-                self.delivered_stale |= connection.age < self.newest_delivered;
-                self.newest_delivered = self.newest_delivered.max(connection.age);
+                self.delivered_stale |= connection.send_order < self.newest_delivered;
+                self.newest_delivered = self.newest_delivered.max(connection.send_order);
             }
         }
     }
 
-    /// Returns whether the message is to be delivered.
+    /// Processes a message. Returns whether the message is to be delivered.
     fn receive_unverified(&mut self, index: usize, message: Received) -> bool {
         if message == Received::Hello {
             let token = self.fence.next_token();
@@ -187,7 +192,7 @@
         message == Received::Other
     }
 
-    /// Returns whether the message is to be delivered.
+    /// Processes a message. Returns whether the message is to be delivered.
     fn receive(&mut self, index: usize, message: Received) -> bool {
         let connection = &mut self.connections[index];
         let Ok(actions) = connection.liveness.received(self.now, message) else {
@@ -217,20 +222,21 @@
     Simulation::new(seed, variant).run(20_000.0)
 }
 
-/// Guards every message between processes: nothing of an earlier incarnation or connection is delivered once a later connection was
-/// admitted. Without the guard the same runs deliver it.
+/// Guards against stale messages between processes: no message of an earlier incarnation or
+/// connection is delivered once a later connection was admitted. In the same runs, the faulty
+/// variants deliver such messages.
 #[test]
-fn nothing_of_an_earlier_connection_is_delivered_after_a_later_one() {
+fn no_message_of_an_earlier_connection_is_delivered_after_a_later_one() {
     println!("seeds 2000 to 2399");
     let stale_runs = (2000..2400)
         .filter(|seed| delivers_stale_messages(*seed, Variant::Correct))
         .count();
     assert_eq!(stale_runs, 0, "runs that delivered stale messages");
-    for without in [Variant::AdmittedByHello, Variant::TokenByPong] {
-        let unfenced = (2000..2400)
-            .filter(|seed| delivers_stale_messages(*seed, without))
+    for faulty_variant in [Variant::AdmittedByHello, Variant::TokenByPong] {
+        let faulty_runs = (2000..2400)
+            .filter(|seed| delivers_stale_messages(*seed, faulty_variant))
             .count();
-        println!("stale messages delivered without the guard ({without:?}): in {unfenced} of 400");
-        assert!(unfenced > 0, "{without:?}");
+        println!("stale messages delivered by faulty variant {faulty_variant:?}: in {faulty_runs} of 400");
+        assert!(faulty_runs > 0, "{faulty_variant:?}");
     }
 }
--- a/crates/control-transport/tests/liveness.rs
+++ b/crates/control-transport/tests/liveness.rs
@@ -1,6 +1,7 @@
-//! Connections over a simulated network: a direction loses what it is given, for good or for a while, everything is delayed, an end is
-//! frozen and thaws with full sockets. Whatever happens, both ends know within the bound that their connection is dead, a working one
-//! is never taken for dead, and nothing old is delivered. Seeds are printed; the same seed gives the same run.
+//! Tests of connections over a simulated network: a direction loses or delays messages, permanently
+//! or for some time, or an end is frozen and resumes with full sockets. In every case both ends
+//! detect a dead connection within the bound, a working connection is never considered dead, and no
+//! old message is delivered. Seeds are printed; the same seed gives the same run.
 
 use maplefall_control_transport::liveness::{
     Liveness, Received, Side, PING_INTERVAL, PONG_TIMEOUT,
@@ -17,24 +18,25 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Variant {
     Correct,
-    /// Without the guard: received data count as proof of both directions, as they did before there were pings.
+    /// Faulty: received data count as proof of both directions, as before pings were introduced.
     ReceivedDataOnly,
 }
 
 /// One direction of a connection.
 struct Direction {
-    /// When each message arrives, what it is, and when it was sent.
+    /// The time of arrival, the kind and the time of sending of each message.
     in_transit: VecDeque<(f64, Received, f64)>,
     delay: f64,
-    /// Messages sent from now on never arrive.
+    /// Whether messages sent from now on are lost.
     loses_all: bool,
-    /// Messages arrive only after this: the system retransmits them.
+    /// Messages sent from now on arrive no earlier than this, since the operating system
+    /// retransmits them.
     delayed_until: f64,
 }
 
 struct End {
     liveness: Liveness,
-    /// When it last received something: all that the variant without the guard uses.
+    /// When the end last received a message; the only input of the faulty variant.
     last_received: f64,
     frozen_until: f64,
     dead_since: Option<f64>,
@@ -178,7 +180,7 @@
             if self.now < self.ends[end].frozen_until {
                 continue;
             }
-            // The scheduler may run either first.
+            // The scheduler may run the reader or the timer first.
             if self.rng.next_u32() & 1 == 0 {
                 self.read(end);
                 self.advance_timers(end);
@@ -195,8 +197,9 @@
         }
     }
 
-    /// Runs for the bound from `since` on. Returns the ends that do not know then that the connection is dead.
-    fn unaware_ends(&mut self, since: f64) -> Vec<usize> {
+    /// Runs until the bound, counted from `since`, has passed. Returns the ends that have not
+    /// detected by then that the connection is dead.
+    fn ends_without_detection(&mut self, since: f64) -> Vec<usize> {
         self.run(since + PONG_TIMEOUT + PING_INTERVAL + 2.0 * STEP);
         (0..2)
             .filter(|end| self.ends[*end].dead_since.is_none())
@@ -204,7 +207,7 @@
     }
 }
 
-/// What breaks a connection; directions and ends by index.
+/// A fault that breaks a connection; directions and ends are given by index.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     DirectionLost(usize),
@@ -223,8 +226,9 @@
     Fault::EndFrozen(1),
 ];
 
-/// Simulates a working connection, then a fault. Returns the ends that do not know of it in time.
-fn ends_unaware_of(seed: u64, fault: Fault, variant: Variant) -> Vec<usize> {
+/// Simulates a working connection, then a fault. Returns the ends that do not detect the fault in
+/// time.
+fn ends_that_miss(seed: u64, fault: Fault, variant: Variant) -> Vec<usize> {
     let mut simulation = Simulation::new(seed, variant);
     for direction in 0..2 {
         simulation.directions[direction].delay = simulation.draw(290.0);
@@ -245,70 +249,72 @@
             .directions
             .iter_mut()
             .for_each(|direction| direction.loses_all = true),
-        // The system retransmits until it gives up, and reports nothing.
+        // The operating system retransmits until it gives up, and reports no error.
         Fault::DirectionDelayed(direction) => {
             simulation.directions[direction].delayed_until = f64::INFINITY;
         }
         Fault::EndFrozen(end) => {
             simulation.ends[end].frozen_until =
                 at + PONG_TIMEOUT + PING_INTERVAL + 4.0 * STEP + simulation.draw(20_000.0);
-            let thaws_at = simulation.ends[end].frozen_until;
-            let unaware: Vec<usize> = simulation
-                .unaware_ends(at)
+            let resumes_at = simulation.ends[end].frozen_until;
+            let undetected_at: Vec<usize> = simulation
+                .ends_without_detection(at)
                 .into_iter()
-                .filter(|unaware| *unaware != end)
+                .filter(|other| *other != end)
                 .collect();
             assert!(simulation.ends[end].dead_since.is_none());
-            simulation.run(thaws_at + 2.0 * STEP);
+            simulation.run(resumes_at + 2.0 * STEP);
             assert!(
                 variant != Variant::Correct || simulation.ends[end].dead_since.is_some(),
-                "seed {seed}: thawed"
+                "seed {seed}: not detected after resuming"
             );
             assert!(
                 simulation.oldest_delivered <= PONG_TIMEOUT + PING_INTERVAL,
                 "seed {seed}: delivered after {} ms",
                 simulation.oldest_delivered
             );
-            return unaware;
+            return undetected_at;
         }
     }
-    let unaware = simulation.unaware_ends(at);
+    let undetected_at = simulation.ends_without_detection(at);
     assert!(
         simulation.oldest_delivered <= PONG_TIMEOUT + PING_INTERVAL,
         "seed {seed}: delivered after {} ms",
         simulation.oldest_delivered
     );
-    unaware
+    undetected_at
 }
 
-/// Guards the bound within which both ends know that a connection is dead: one direction that loses or delays everything for good,
-/// both directions, and a frozen end. Received data alone do not show it, as the same runs show.
+/// Guards against dead connections that are detected too late: one direction loses or delays all
+/// messages permanently, both directions lose them, or an end is frozen. In the same runs, the
+/// faulty variant misses faults, since received data prove only one direction.
 #[test]
-fn both_ends_know_within_the_bound() {
+fn both_ends_detect_a_dead_connection_within_the_bound() {
     println!("seeds 0 to 199 for each of seven faults");
     let mut missed = [0; 7];
     for seed in 0..200 {
         for (fault, missed) in FAULTS.into_iter().zip(&mut missed) {
-            let unaware = ends_unaware_of(seed, fault, Variant::Correct);
+            let undetected_at = ends_that_miss(seed, fault, Variant::Correct);
             assert!(
-                unaware.is_empty(),
-                "seed {seed}, {fault:?}: {unaware:?} do not know"
+                undetected_at.is_empty(),
+                "seed {seed}, {fault:?}: not detected at ends {undetected_at:?}"
             );
-            *missed += ends_unaware_of(seed, fault, Variant::ReceivedDataOnly).len();
+            *missed += ends_that_miss(seed, fault, Variant::ReceivedDataOnly).len();
         }
     }
-    println!("not known in time from received data alone, by fault: {missed:?}");
+    println!("not detected in time from received data alone, by fault: {missed:?}");
     assert!(
         missed[0] > 0 && missed[1] > 0,
-        "received data alone show one direction: {missed:?}"
+        "received data alone prove one direction only: {missed:?}"
     );
 }
 
-/// Guards working connections: with varying delays below 300 ms each way, none of these ends one: either process frozen for just below
-/// 1 s every 2.5 s (two of these and their delays in a row take 2.8 s, more than the bound), frozen for less than 0.2 s all the time, a
-/// direction delayed by 0.7 s.
+/// Guards against working connections that are considered dead. With varying delays below 300 ms
+/// each way, none of these faults ends a connection: either process is frozen for just below 1 s
+/// every 2.5 s (two of these freezes and their delays in a row take 2.8 s, more than the bound), a
+/// process is frozen again and again for less than 0.2 s, or a direction is delayed by 0.7 s.
 #[test]
-fn a_working_connection_is_never_taken_for_dead() {
+fn a_working_connection_is_never_considered_dead() {
     println!("seeds 1000 to 1299");
     for seed in 1000..1300 {
         let mut simulation = Simulation::new(seed, Variant::Correct);
@@ -343,8 +349,8 @@
     }
 }
 
-/// Guards against messages out of order: nothing is delivered before the other end has proven to be alive, and an end that sends no hello
-/// is known in time.
+/// Guards against messages out of order: no message is delivered before the peer has proven that it
+/// is alive, and a peer that sends no hello is detected in time.
 #[test]
 fn messages_out_of_order_are_rejected() {
     for premature in [Received::Other, Received::Ping(1), Received::Pong(1)] {
--- a/crates/control-transport/tests/sockets.rs
+++ b/crates/control-transport/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Connections over real sockets with a paused clock: time stands still while anything can be read or written, and advances at once
-//! when nothing can.
+//! Tests of connections over real sockets with a paused clock: time does not advance while anything
+//! can be read or written, and advances at once when nothing can.
 
 use bytes::{Bytes, BytesMut};
 use maplefall_control_messages::{
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Within this time both ends know that a connection is dead.
+/// Time within which both ends detect a dead connection.
 const DETECTION_BOUND: Duration = Duration::from_millis((PONG_TIMEOUT + PING_INTERVAL) as u64 + 50);
 
 fn hello() -> Hello {
@@ -42,7 +42,7 @@
     mpsc::channel(OUTGOING_QUEUE_FRAMES)
 }
 
-/// Reads the next frame without a [`run_connection`] at this end.
+/// Reads the next frame from a stream without [`run_connection`] at this end.
 async fn read_frame(stream: &mut TcpStream, received: &mut BytesMut) -> Frame {
     loop {
         if let Some(frame) = decode_frame(received).expect("frames") {
@@ -55,7 +55,8 @@
     }
 }
 
-/// Guards a working connection: it is established, carries frames both ways, a chunked one too, and stays up.
+/// Guards against faults on a working connection: it is established, carries frames both ways,
+/// including a chunked one, and stays up.
 #[tokio::test(start_paused = true)]
 async fn a_working_connection_carries_frames_both_ways_and_stays_up() {
     let (initiator, acceptor) = connected_pair().await;
@@ -67,13 +68,13 @@
     let ((to_acceptor, initiator_queue), (to_initiator, acceptor_queue)) = (queue(), queue());
     to_acceptor
         .try_send(encode_frame(long.clone()))
-        .expect("queue has room");
+        .expect("queue has capacity");
     to_acceptor
         .try_send(encode_frame(Frame::InstancesPersisted(1)))
-        .expect("queue has room");
+        .expect("queue has capacity");
     to_initiator
         .try_send(encode_frame(Frame::InstancesPersisted(2)))
-        .expect("queue has room");
+        .expect("queue has capacity");
     let (at_initiator, at_acceptor) = (RefCell::new(Vec::new()), RefCell::new(Vec::new()));
     let initiator_end = run_connection(
         initiator,
@@ -89,8 +90,8 @@
         true
     });
     tokio::select! {
-        end = initiator_end => panic!("it ended: {end}"),
-        end = acceptor_end => panic!("it ended: {end}"),
+        end = initiator_end => panic!("connection ended: {end}"),
+        end = acceptor_end => panic!("connection ended: {end}"),
         () = tokio::time::sleep(Duration::from_secs(60)) => {}
     }
     assert_eq!(
@@ -117,14 +118,15 @@
     }
 }
 
-/// Guards an initiator whose other end accepts and then neither reads nor writes: the connection is never established, and ends in time.
+/// Guards against a peer that accepts a connection and then neither reads nor writes: the
+/// connection is never established, and ends in time.
 #[tokio::test(start_paused = true)]
 async fn an_acceptor_that_does_nothing_is_detected_in_time() {
     let (initiator, _acceptor) = connected_pair().await;
     let (_sender, outgoing) = queue();
     let started = Instant::now();
     let end = run_connection(initiator, outgoing, Handshake::Initiator(hello()), |_| {
-        panic!("it was established")
+        panic!("connection was established")
     })
     .await;
     assert!(
@@ -138,14 +140,14 @@
     );
 }
 
-/// Guards an acceptor whose other end sends nothing.
+/// Guards against a peer that opens a connection and sends nothing.
 #[tokio::test(start_paused = true)]
 async fn an_initiator_that_sends_nothing_is_detected_in_time() {
     let (_initiator, acceptor) = connected_pair().await;
     let (_sender, outgoing) = queue();
     let started = Instant::now();
     let end = run_connection(acceptor, outgoing, Handshake::Acceptor, |_| {
-        panic!("it was established")
+        panic!("connection was established")
     })
     .await;
     assert!(
@@ -159,7 +161,8 @@
     );
 }
 
-/// Guards an established connection whose other end from then on writes and never reads: what it sends does not keep it alive.
+/// Guards against a peer that, once the connection is established, writes and never reads: the data
+/// that it sends do not keep the connection alive.
 #[tokio::test(start_paused = true)]
 async fn a_peer_that_writes_and_never_reads_is_detected_in_time() {
     let (initiator, mut peer) = connected_pair().await;
@@ -193,7 +196,7 @@
     let started = Instant::now();
     tokio::select! {
         end = end => assert!(matches!(end, ConnectionError::Liveness(LivenessError::Timeout)), "{end}"),
-        () = writing_peer => panic!("it stayed up"),
+        () = writing_peer => panic!("connection stayed up"),
     }
     assert!(
         started.elapsed() <= DETECTION_BOUND,
@@ -202,7 +205,8 @@
     );
 }
 
-/// Guards writes without progress: the other end sends one ping and then reads nothing more while the socket buffers fill up.
+/// Guards against writes without progress: the peer sends one ping and then reads nothing more
+/// while the socket buffers fill up.
 #[tokio::test(start_paused = true)]
 async fn a_peer_that_stops_reading_is_detected_in_time() {
     let (initiator, mut peer) = connected_pair().await;
@@ -213,7 +217,7 @@
                 records: vec![record_of_size(1 << 20)],
                 ..InstanceUpdates::default()
             })))
-            .expect("queue has room");
+            .expect("queue has capacity");
     }
     let end = run_connection(initiator, outgoing, Handshake::Initiator(hello()), |_| true);
     let idle_peer = async {
@@ -239,7 +243,7 @@
     );
 }
 
-/// Guards against other clients: chunks that do not add up to a frame end the connection.
+/// Guards against foreign clients: chunks that do not add up to a frame end the connection.
 #[tokio::test(start_paused = true)]
 async fn chunks_that_make_no_frame_end_the_connection() {
     let (mut initiator, acceptor) = connected_pair().await;
@@ -253,7 +257,7 @@
         .await
         .expect("written");
     let end = run_connection(acceptor, outgoing, Handshake::Acceptor, |_| {
-        panic!("it was established")
+        panic!("connection was established")
     })
     .await;
     assert!(matches!(end, ConnectionError::Frame(_)), "{end}");
