--- a/crates/forward-auth/src/interface.rs
+++ b/crates/forward-auth/src/interface.rs
@@ -1,7 +1,7 @@
 //! What passes between the gate and whoever asks the service.
 
 use crate::key::Key;
-use maplefall_policy::{Effect, Millis};
+use maplefall_policy::{Idempotency, Millis};
 use std::rc::Rc;
 
 /// Number of a request, as whoever hands it in counts.
@@ -70,7 +70,7 @@
     }
 
     /// Every mistake, for classes of these effects.
-    pub fn mistakes(&self, classes: &[Effect]) -> Vec<Wrong> {
+    pub fn mistakes(&self, classes: &[Idempotency]) -> Vec<Wrong> {
         let mut found = Vec::new();
         let mut least = |held: bool, field: &str, expected| {
             if !held {
@@ -111,11 +111,11 @@
             "keep",
             "0 or more",
         );
-        for (at, effect) in classes.iter().enumerate() {
+        for (at, idempotency) in classes.iter().enumerate() {
             let open = self.fail_open.get(at).copied().unwrap_or(false);
             let field = format!("fail_open.{at}");
             least(
-                !open || *effect != Effect::Unsafe,
+                !open || *idempotency != Idempotency::NonIdempotent,
                 &field,
                 "false: a class that must not run twice never fails open",
             );
--- a/crates/forward-auth/tests/gate.rs
+++ b/crates/forward-auth/tests/gate.rs
@@ -3,7 +3,7 @@
 use maplefall_forward_auth::{
     Decision, Failure, Gate, Key, Keyring, Output, Refusal, Settings, Verdict,
 };
-use maplefall_policy::Effect;
+use maplefall_policy::Idempotency;
 use std::rc::Rc;
 
 fn key(caller: &str) -> Key {
@@ -329,7 +329,11 @@
         tries: 1,
         ..settings()
     };
-    let wrong = open.mistakes(&[Effect::Safe, Effect::Safe, Effect::Unsafe]);
+    let wrong = open.mistakes(&[
+        Idempotency::Idempotent,
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+    ]);
     assert_eq!(
         wrong
             .iter()
@@ -342,7 +346,7 @@
             fail_open: vec![true, false, false],
             ..open.clone()
         }
-        .mistakes(&[Effect::Unsafe; 0]),
+        .mistakes(&[Idempotency::NonIdempotent; 0]),
         []
     );
     let mut gate = Gate::new(open);
--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -5,7 +5,7 @@
 use hyper::Uri;
 use maplefall_forward_auth::headers::Headers;
 use maplefall_forward_auth::Settings as GateSettings;
-use maplefall_policy::{Effect, Millis};
+use maplefall_policy::{Idempotency, Millis};
 use maplefall_settings::plain;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -108,7 +108,10 @@
 ///
 /// # Errors
 /// Every mistake, one to a line.
-pub fn from_env(classes: &[String], effects: &[Effect]) -> Result<Option<AuthSettings>, String> {
+pub fn from_env(
+    classes: &[String],
+    effects: &[Idempotency],
+) -> Result<Option<AuthSettings>, String> {
     let Some(path) = std::env::var_os(VARIABLE) else {
         return Ok(None);
     };
@@ -123,7 +126,7 @@
 /// Every mistake, each with the file's name and the field.
 pub fn read(
     path: &Path,
-    classes: Option<(&[String], &[Effect])>,
+    classes: Option<(&[String], &[Idempotency])>,
 ) -> Result<AuthSettings, Vec<String>> {
     let named = |text: String| format!("{}: {text}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| vec![named(error.to_string())])?;
@@ -136,7 +139,10 @@
         .is_ok_and(|table| table.contains_key("servers"))
 }
 
-fn parse(text: &str, classes: Option<(&[String], &[Effect])>) -> Result<AuthSettings, Vec<String>> {
+fn parse(
+    text: &str,
+    classes: Option<(&[String], &[Idempotency])>,
+) -> Result<AuthSettings, Vec<String>> {
     let file: AuthFile =
         toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
     let mut errors = Vec::new();
--- a/crates/maplefall/src/net/auth_settings/tests.rs
+++ b/crates/maplefall/src/net/auth_settings/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-fn classes() -> (Vec<String>, Vec<Effect>) {
+fn classes() -> (Vec<String>, Vec<Idempotency>) {
     (
         vec!["consulta".to_owned(), "cobro".to_owned()],
-        vec![Effect::Safe, Effect::Unsafe],
+        vec![Idempotency::Idempotent, Idempotency::NonIdempotent],
     )
 }
 
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{HeaderName, HeaderValue, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Request, Response, StatusCode};
-use maplefall_policy::{BackendId, Care, Millis, Outcome, Report};
+use maplefall_policy::{BackendId, Millis, Outcome, Report, SendMode};
 use maplefall_protocol::headers::{
     API_CHARGE, API_USAGE, IDEMPOTENCY_KEY, NOT_STARTED, REQUEST_ID, REQUEST_TIMEOUT, SERVER_LOAD,
 };
@@ -128,14 +128,14 @@
     backend: BackendId,
     forwarded: &Order,
     timeout: Millis,
-    care: Care,
+    send_mode: SendMode,
     handle: &AttemptHandle,
 ) -> Ended {
     let result = send_request(
         pools,
         RequestOptions {
             backend,
-            care,
+            send_mode,
             timeout,
             body_bytes: forwarded.body.len(),
         },
--- a/crates/maplefall/src/net/backends/tests.rs
+++ b/crates/maplefall/src/net/backends/tests.rs
@@ -101,7 +101,7 @@
                     id,
                     &order,
                     20_000.0,
-                    Care::Once,
+                    SendMode::WithholdLastByteOnProvenConnection,
                     &AttemptHandle::default(),
                 )
                 .await,
@@ -153,17 +153,23 @@
         let ((pools, reading), order, id, line) =
             (pools(), order(), BackendId(1), AttemptHandle::default());
         pools.open(id, address, 0.0);
-        let send = |care| send_attempt(&pools, &reading, id, &order, 20_000.0, care, &line);
+        let send =
+            |send_mode| send_attempt(&pools, &reading, id, &order, 20_000.0, send_mode, &line);
         for _ in 0..3 {
-            assert_eq!(send(Care::Usual).await.outcome, Outcome::Ok);
+            assert_eq!(send(SendMode::Immediate).await.outcome, Outcome::Ok);
             pools.age(old);
-            assert_eq!(send(Care::Usual).await.outcome, Outcome::Reset);
+            assert_eq!(send(SendMode::Immediate).await.outcome, Outcome::Reset);
         }
-        assert_eq!(send(Care::Usual).await.body, "first");
+        assert_eq!(send(SendMode::Immediate).await.body, "first");
         pools.age(old);
-        assert_eq!(send(Care::Once).await.body, "on a new one");
+        assert_eq!(
+            send(SendMode::WithholdLastByteOnProvenConnection)
+                .await
+                .body,
+            "on a new one"
+        );
         pools.age(old);
-        assert_eq!(send(Care::Usual).await.body, "on a kept one");
+        assert_eq!(send(SendMode::Immediate).await.body, "on a kept one");
         backend
             .await
             .expect("a backend that saw what it waited for");
@@ -182,7 +188,15 @@
         let ((pools, reading), order, id, line) =
             (pools(), order(), BackendId(1), AttemptHandle::default());
         pools.open(id, address, 0.0);
-        let send = send_attempt(&pools, &reading, id, &order, 20_000.0, Care::Usual, &line);
+        let send = send_attempt(
+            &pools,
+            &reading,
+            id,
+            &order,
+            20_000.0,
+            SendMode::Immediate,
+            &line,
+        );
         // While it is dialled.
         let move_on = async {
             pools.drain(id);
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -7,7 +7,7 @@
 use maplefall_etcd::client::Seam;
 use maplefall_etcd::{Command, Input};
 use maplefall_membership::{Event, Roster, Update};
-use maplefall_policy::{Action, BackendEntry, Effect, Millis, Reason, Settings};
+use maplefall_policy::{Action, BackendEntry, Idempotency, Millis, RejectReason, Settings};
 use maplefall_protocol::{Health, Member, Order};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -132,25 +132,27 @@
 /// The settings that the decision module is handed.
 pub fn settings(mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
-        match &mut class.effect {
-            effect @ Effect::Unsafe if is(Breakage::UnsafeAgain) => *effect = Effect::Safe,
-            Effect::Keyed { memory, .. } if is(Breakage::KeyForEver) => *memory = 1e9,
+        match &mut class.idempotency {
+            idempotency @ Idempotency::NonIdempotent if is(Breakage::UnsafeAgain) => {
+                *idempotency = Idempotency::Idempotent
+            }
+            Idempotency::Keyed { window, .. } if is(Breakage::KeyForEver) => *window = 1e9,
             _ => {}
         }
     }
     let doors = f64::from(settings.gateways);
     for plan in &mut settings.plans {
         if is(Breakage::NoCeiling) {
-            plan.ceiling = None;
+            plan.rate_limit = None;
         }
-        if let Some(ceiling) = plan
-            .ceiling
+        if let Some(rate_limit) = plan
+            .rate_limit
             .as_mut()
             .filter(|_| is(Breakage::CeilingPerDoor))
         {
-            ceiling.rate *= doors;
-            ceiling.burst *= doors;
-            ceiling.slack *= doors;
+            rate_limit.rate *= doors;
+            rate_limit.burst *= doors;
+            rate_limit.slack *= doors;
         }
     }
     settings
@@ -182,9 +184,9 @@
 /// An action as it is carried out.
 pub fn action(action: Action) -> Action {
     match action {
-        Action::Fail(request) if is(Breakage::RefusedAfter) => Action::Refuse {
+        Action::Fail(request) if is(Breakage::RefusedAfter) => Action::Reject {
             request,
-            reason: Reason::Attempts,
+            reason: RejectReason::AttemptsFailed,
             retry_after: None,
         },
         action => action,
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -136,12 +136,12 @@
         }
     }
     for (at, class) in set.classes.iter().enumerate() {
-        if class.deadline <= 0.0 || class.aim <= 0.0 {
+        if class.deadline <= 0.0 || class.latency_target <= 0.0 {
             errors.push(format!(
                 "settings.grades.{at}: aim and give_up above 0 were expected"
             ));
-        } else if class.aim > class.deadline {
-            let (aim, end) = (class.aim, class.deadline);
+        } else if class.latency_target > class.deadline {
+            let (aim, end) = (class.latency_target, class.deadline);
             errors.push(format!(
                 "settings.grades.{at}.aim: {aim} is over its give_up of {end}"
             ));
@@ -159,8 +159,8 @@
                  always refused"
             ));
         }
-        if let Some(ceiling) = plan.ceiling.filter(|ceiling| ceiling.burst <= 0.0) {
-            let rate = ceiling.rate;
+        if let Some(rate_limit) = plan.rate_limit.filter(|rate_limit| rate_limit.burst <= 0.0) {
+            let rate = rate_limit.rate;
             errors.push(format!(
                 "settings.plans.{at}.never_over_depth: above 0 was expected where cap_rate is {rate}"
             ));
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -4,7 +4,7 @@
 //! module when it changes, and with each request together with its age ([`SharedCounts::usage_elsewhere`]).
 
 use super::counts_settings::CountsSettings;
-use maplefall_policy::{CustomerId, Elsewhere, Millis, PlanId};
+use maplefall_policy::{CustomerId, Millis, PlanId, RemoteUsage};
 use maplefall_shared_counts::node::{Node, Start};
 use maplefall_shared_counts::wire::MOST_DATAGRAM;
 use maplefall_shared_counts::{quota, whose, Fact};
@@ -91,14 +91,14 @@
         now: Millis,
         customer: CustomerId,
         plan: PlanId,
-    ) -> Option<Elsewhere> {
+    ) -> Option<RemoteUsage> {
         let mut node = self.node.borrow_mut();
         let fact = node.fact(now, quota_of(customer, plan))?;
         Some(self.usage_of(&mut node, now, customer, plan, fact))
     }
 
     /// The next customer whose usage at peers has changed.
-    fn next_change(&self, now: Millis) -> Option<Elsewhere> {
+    fn next_change(&self, now: Millis) -> Option<RemoteUsage> {
         let mut node = self.node.borrow_mut();
         let (quota, fact) = node.poll_fact(now)?;
         let (plan, customer) = whose(quota);
@@ -118,26 +118,26 @@
         customer: CustomerId,
         plan: PlanId,
         fact: Fact,
-    ) -> Elsewhere {
+    ) -> RemoteUsage {
         #[cfg(feature = "breakages")]
         let fact = super::breakages::fact(fact, now);
         let live_share =
             (node.news(now).1 as f64 / f64::from(self.configured_proxies.max(1))).min(1.0);
         #[cfg(feature = "breakages")]
         let live_share = super::breakages::live_share(live_share);
-        Elsewhere {
+        RemoteUsage {
             customer,
             plan,
             units: fact.units,
             as_of: fact.as_of,
             error: fact.error,
-            heard: live_share,
+            reporting_fraction: live_share,
         }
     }
 
     /// Receives datagrams and keeps the gossip rounds, for as long as the process runs. `notify` gets each change of what is
     /// known of a customer's usage at peers, with the time.
-    pub async fn run(self: Rc<Self>, notify: impl Fn(Millis, Elsewhere)) {
+    pub async fn run(self: Rc<Self>, notify: impl Fn(Millis, RemoteUsage)) {
         eprintln!("{}", self.start_message);
         let mut bytes = [0; MOST_DATAGRAM + 1];
         loop {
--- a/crates/maplefall/src/net/driver/attempts.rs
+++ b/crates/maplefall/src/net/driver/attempts.rs
@@ -10,7 +10,7 @@
 #[cfg(feature = "breakages")]
 use crate::net::breakages::{self, Breakage};
 use crate::net::grpc::{self, ProxiedCall};
-use maplefall_policy::{BackendId, Care, Event, Millis, Outcome, RequestId, Settled};
+use maplefall_policy::{AttemptEnded, BackendId, Event, Millis, Outcome, RequestId, SendMode};
 use maplefall_protocol::{Answer, Ended, Order};
 use maplefall_upstream::AttemptHandle;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     /// How long it may take, in milliseconds.
     timeout: Millis,
     /// What is done lest a broken connection takes it along.
-    care: Care,
+    send_mode: SendMode,
 }
 
 impl Driver {
@@ -36,7 +36,7 @@
         id: RequestId,
         backend: BackendId,
         timeout: Option<Millis>,
-        care: Care,
+        send_mode: SendMode,
     ) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
@@ -52,7 +52,7 @@
             drop(state);
             let end = Ended::of(Outcome::NotSent);
             let event = settlement(id, number, backend, 0.0, &end, false);
-            return self.post(now, Event::Settled(event));
+            return self.post(now, Event::AttemptEnded(event));
         }
         if let Some(counts) = self.shared_counts.get().filter(|_| number == 0) {
             counts.record_usage(now, request.customer, request.plan, request.reserved_units);
@@ -64,7 +64,7 @@
             forwarded: request.forwarded.clone(),
             call: request.call.clone(),
             timeout,
-            care,
+            send_mode,
         });
         #[cfg(feature = "breakages")]
         if breakages::is(Breakage::TwoOut) {
@@ -107,7 +107,7 @@
                 attempt.backend,
                 &attempt.forwarded,
                 attempt.timeout,
-                attempt.care,
+                attempt.send_mode,
                 handle,
             )
             .await;
@@ -118,7 +118,7 @@
             forwarded: &attempt.forwarded,
             call,
             timeout: attempt.timeout,
-            care: attempt.care,
+            send_mode: attempt.send_mode,
             handle,
             committed: &|| self.response_started(attempt.request),
         };
@@ -162,31 +162,31 @@
             let answered = request.answer_sender.is_none();
             settlement(id, number, attempt.backend, elapsed, &end, answered)
         };
-        self.post(now, Event::Settled(event));
+        self.post(now, Event::AttemptEnded(event));
         self.state.borrow_mut().remove_if_finished(id);
     }
 }
 
-/// The end of an attempt as the decision module takes it. `closed`: the request has its final answer.
+/// The end of an attempt as the decision module takes it. `request_closed`: the request has its final answer.
 fn settlement(
     request: RequestId,
     attempt: u32,
     backend: BackendId,
     elapsed: Millis,
     end: &Ended,
-    closed: bool,
-) -> Settled {
-    Settled {
+    request_closed: bool,
+) -> AttemptEnded {
+    AttemptEnded {
         request,
         attempt,
         backend,
         outcome: end.outcome,
         elapsed,
-        closed,
-        use_of_quota: end.used,
+        request_closed,
+        metered_usage: end.used,
         true_units: end.charge,
         report: end.report,
-        broken: end.broken,
+        broken_connections: end.broken,
     }
 }
 
@@ -227,7 +227,7 @@
                 backend,
                 &forwarded,
                 2000.0,
-                Care::Usual,
+                SendMode::Immediate,
                 &handle,
             )
             .await;
--- a/crates/maplefall/src/net/driver/backend_list.rs
+++ b/crates/maplefall/src/net/driver/backend_list.rs
@@ -64,7 +64,7 @@
             Health::Removed => {
                 self.pools.remove(id);
                 state.remove_backend(&member.host);
-                Availability::Gone
+                Availability::Removed
             }
         };
         let site = settings::plain(&member.site);
--- a/crates/maplefall/src/net/driver/mod.rs
+++ b/crates/maplefall/src/net/driver/mod.rs
@@ -164,28 +164,28 @@
             Action::Send {
                 request,
                 backend,
-                limit,
-                care,
-            } => self.send(request, backend, limit, care),
-            Action::Check(request) => {
+                timeout,
+                mode,
+            } => self.send(request, backend, timeout, mode),
+            Action::Authorize(request) => {
                 if let Some(entry) = self.state.borrow_mut().requests.get_mut(&request) {
                     entry.awaits_check = true;
                 }
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
                 ..
             } => self.send_answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.send_answer(request, Answer::Failed),
-            Action::CallOff { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 self.finish_attempt(request, attempt, Ended::of(Outcome::Cancelled))
             }
-            Action::SetAlarm { at, alarm } => self.set_timer(at, TimerEvent::Alarm(alarm)),
+            Action::SetTimer { at, timer } => self.set_timer(at, TimerEvent::Alarm(timer)),
             Action::CloseIdle(backend) => self.pools.close_idle(backend),
             Action::Log(text) => eprintln!("{text}"),
             // Changes of the list come without a subscription, and health checks are not permitted.
-            Action::Subscribe | Action::FetchList | Action::Probe(_) => {}
+            Action::Subscribe | Action::FetchBackends | Action::Probe(_) => {}
         }
     }
 
--- a/crates/maplefall/src/net/driver/requests.rs
+++ b/crates/maplefall/src/net/driver/requests.rs
@@ -8,7 +8,7 @@
 use super::Driver;
 use crate::net::grpc::ProxiedCall;
 use hyper::header::{HeaderName, HeaderValue};
-use maplefall_policy::{Elsewhere, Event, Millis, Outcome, Request, RequestId};
+use maplefall_policy::{Event, Millis, Outcome, RemoteUsage, Request, RequestId};
 use maplefall_protocol::{Answer, Ended, Incoming, Order};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -57,14 +57,14 @@
             class: incoming.class,
             units: incoming.units,
             deadline: incoming.deadline,
-            checked: incoming.checked,
-            spread: incoming.spread,
+            authorized: incoming.checked,
+            gateways: incoming.spread,
         };
         if let Some(counts) = self.shared_counts.get() {
             // What is known of the customer's usage at peers goes first, so that this request is decided by it.
             if let Some(usage) = counts.usage_elsewhere(incoming.at, request.customer, request.plan)
             {
-                self.post(incoming.at, Event::Elsewhere(usage));
+                self.post(incoming.at, Event::RemoteUsage(usage));
             }
         }
         self.post(incoming.at, Event::Arrival(request));
@@ -72,8 +72,8 @@
     }
 
     /// Records that peers have admitted more for a customer.
-    pub fn record_usage_elsewhere(self: &Rc<Self>, at: Millis, usage: Elsewhere) {
-        self.post(at, Event::Elsewhere(usage));
+    pub fn record_usage_elsewhere(self: &Rc<Self>, at: Millis, usage: RemoteUsage) {
+        self.post(at, Event::RemoteUsage(usage));
     }
 
     /// Whether a request waits for its caller's check.
@@ -104,9 +104,9 @@
                 request.forwarded = Rc::new(forwarded);
             }
         }
-        let event = Event::Checked {
+        let event = Event::Authorized {
             request: id,
-            passes: true,
+            allowed: true,
         };
         self.post(self.clock.now(), event);
     }
@@ -114,16 +114,16 @@
     /// The caller of a pending request has failed its check, and the caller of this function answers it; `false` if the
     /// request has been answered already.
     pub fn check_denied(self: &Rc<Self>, id: RequestId) -> bool {
-        let event = Event::Checked {
+        let event = Event::Authorized {
             request: id,
-            passes: false,
+            allowed: false,
         };
         self.end_unanswered(id, event)
     }
 
     /// The client of a request has disconnected; nothing happens if the request has been answered.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
-        self.end_unanswered(id, Event::ClientGone(id));
+        self.end_unanswered(id, Event::ClientDisconnected(id));
     }
 
     /// Ends a request without an answer from here and posts the reason; `false` if it has been answered already.
@@ -152,7 +152,7 @@
             .requests
             .get(&id)
             .and_then(|request| Some(request.in_flight.as_ref()?.number));
-        if let Some(number) = number.filter(|_| self.settings.cancel) {
+        if let Some(number) = number.filter(|_| self.settings.cancellation) {
             self.finish_attempt(id, number, Ended::of(Outcome::Cancelled));
         }
     }
--- a/crates/maplefall/src/net/driver/timers.rs
+++ b/crates/maplefall/src/net/driver/timers.rs
@@ -4,7 +4,7 @@
 
 use super::state::{PendingRequest, State};
 use super::Driver;
-use maplefall_policy::{AlarmId, Event, Millis, Outcome, RequestId};
+use maplefall_policy::{Event, Millis, Outcome, RequestId, TimerId};
 use maplefall_protocol::{Answer, Ended};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap};
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerEvent {
     /// An alarm of the decision module.
-    Alarm(AlarmId),
+    Alarm(TimerId),
     /// The timeout of a request's attempt of this number.
     AttemptTimeout(RequestId, u32),
     /// The client of a request stops waiting.
@@ -170,7 +170,7 @@
 
     fn handle_timer(self: &Rc<Self>, now: Millis, event: TimerEvent) {
         match event {
-            TimerEvent::Alarm(alarm) => self.post(now, Event::Alarm(alarm)),
+            TimerEvent::Alarm(timer) => self.post(now, Event::Timer(timer)),
             TimerEvent::AttemptTimeout(id, number) => self.handle_timeout(now, id, number),
             TimerEvent::Deadline(id) => self.handle_deadline(now, id),
         }
@@ -196,7 +196,7 @@
         let unanswered = self.state.borrow().is_unanswered(id);
         if unanswered {
             self.send_answer(id, Answer::Failed);
-            self.post(now, Event::ClientGone(id));
+            self.post(now, Event::ClientDisconnected(id));
         }
     }
 }
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::header::{HeaderName, HeaderValue, TE};
 use hyper::{HeaderMap, Method, Request, Uri, Version};
 use maplefall_grpc::{timeout, Attempt, Call, End, Next};
-use maplefall_policy::{BackendId, Care, Millis, Outcome};
+use maplefall_policy::{BackendId, Millis, Outcome, SendMode};
 use maplefall_protocol::headers::{API_CHARGE, API_USAGE, REQUEST_ID};
 use maplefall_protocol::{Ended, Order};
 use maplefall_upstream::{AttemptHandle, Clock, ConnectError, Pools};
@@ -37,7 +37,7 @@
     /// How long the attempt may take, in milliseconds.
     pub timeout: Millis,
     /// What is done lest a broken connection takes it along.
-    pub care: Care,
+    pub send_mode: SendMode,
     /// What the driver aborts the attempt by.
     pub handle: &'a AttemptHandle,
     /// Notifies the decision module that there will be no further attempt.
@@ -97,7 +97,7 @@
                 Err(ConnectError::Unreachable) => return end(attempt.unreachable()),
             };
             let connection = guard.connection();
-            if context.care != Care::Usual
+            if context.send_mode != SendMode::Immediate
                 && !connection
                     .is_alive(context.timeout * PING_TIMEOUT_FRACTION)
                     .await
--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -17,7 +17,7 @@
 use maplefall_grpc::frames::Frames;
 use maplefall_grpc::routes::Routes;
 use maplefall_grpc::{is_grpc, timeout, Code};
-use maplefall_policy::{Class, Effect, Millis, PlanId, Settings};
+use maplefall_policy::{Class, Idempotency, Millis, PlanId, Settings};
 use maplefall_protocol::headers::{API_PLAN, API_TERMS, IDEMPOTENCY_KEY, REQUEST_ID};
 use maplefall_protocol::{Incoming, Order, LONGEST_BODY};
 use maplefall_settings::{plain, Names};
@@ -160,7 +160,7 @@
 fn check_idempotency_key(headers: &HeaderMap, class: &Class) -> Result<(), CallRejection> {
     let keyed = headers.contains_key(IDEMPOTENCY_KEY);
     let readable = !keyed || name(headers, &IDEMPOTENCY_KEY).is_ok();
-    if keyed != matches!(class.effect, Effect::Keyed { .. }) || !readable {
+    if keyed != matches!(class.idempotency, Idempotency::Keyed { .. }) || !readable {
         return Err(CallRejection::invalid_header(&IDEMPOTENCY_KEY));
     }
     Ok(())
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -56,7 +56,7 @@
     let (listener, bound) = listen_for_clients(config.listen).await?;
     let sources = sources::from_env()?;
     let classes = &config.parsed.settings.classes;
-    let effects: Vec<_> = classes.iter().map(|class| class.effect).collect();
+    let effects: Vec<_> = classes.iter().map(|class| class.idempotency).collect();
     let auth_settings = auth_settings::from_env(&config.parsed.names.classes, &effects)?;
     let auth_sockets = auth::reserved_sockets(auth_settings.as_ref(), config.limits.sockets);
     let grpc_settings = grpc::from_env(&config.parsed.names.classes)?;
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderName, CONTENT_TYPE, COOKIE, HOST, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode, Uri};
-use maplefall_policy::{ClassId, CustomerId, Effect, Millis, PlanId, Settings};
+use maplefall_policy::{ClassId, CustomerId, Idempotency, Millis, PlanId, Settings};
 use maplefall_protocol::headers::{
     API_PLAN, API_TERMS, IDEMPOTENCY_KEY, REQUEST_CLASS, REQUEST_ID, REQUEST_TIMEOUT,
 };
@@ -144,10 +144,10 @@
         return Err(Bad::Class);
     }
     let keyed = head.headers.contains_key(IDEMPOTENCY_KEY);
-    let agrees = match settings.classes[class].effect {
-        Effect::Safe => head.method == Method::GET && !keyed,
-        Effect::Keyed { .. } => head.method == Method::POST && keyed,
-        Effect::Unsafe => head.method == Method::POST && !keyed,
+    let agrees = match settings.classes[class].idempotency {
+        Idempotency::Idempotent => head.method == Method::GET && !keyed,
+        Idempotency::Keyed { .. } => head.method == Method::POST && keyed,
+        Idempotency::NonIdempotent => head.method == Method::POST && !keyed,
     };
     if agrees {
         Ok(class)
--- a/crates/model/src/agent.rs
+++ b/crates/model/src/agent.rs
@@ -57,7 +57,7 @@
         let since = from.filter(|from| *from <= knows);
         let entries = self.between(since.unwrap_or(0), knows);
         let listed =
-            |entry: &&BackendEntry| since.is_some() || entry.availability != Availability::Gone;
+            |entry: &&BackendEntry| since.is_some() || entry.availability != Availability::Removed;
         let hosts = entries.values().filter(listed).map(member).collect();
         Members {
             seq: knows,
@@ -71,7 +71,7 @@
     let health = match entry.availability {
         Availability::Ready => Health::Up,
         Availability::Draining => Health::Draining,
-        Availability::Gone => Health::Removed,
+        Availability::Removed => Health::Removed,
     };
     let id = entry.id.0;
     Member {
@@ -94,7 +94,7 @@
         availability: match member.health {
             Health::Up => Availability::Ready,
             Health::Draining => Availability::Draining,
-            Health::Removed => Availability::Gone,
+            Health::Removed => Availability::Removed,
         },
         started: (member.born_ms > 0.0).then_some(member.born_ms),
         size: member.share,
--- a/crates/model/src/balancer.rs
+++ b/crates/model/src/balancer.rs
@@ -83,7 +83,7 @@
         };
         let fractions = match self.admission {
             Admission::None => return true,
-            Admission::EvenShare => request.spread.max(1.0),
+            Admission::EvenShare => request.gateways.max(1.0),
             Admission::FullQuota => 1.0,
         };
         // A part of the burst holds one of the largest requests at least: else nothing would ever be admitted.
@@ -156,7 +156,7 @@
                     let spot = self.random.below(self.ready.len() + 1);
                     self.ready.insert(spot, entry.id);
                 }
-                (Availability::Draining | Availability::Gone, Some(at)) => {
+                (Availability::Draining | Availability::Removed, Some(at)) => {
                     self.ready.remove(at);
                 }
                 _ => {}
@@ -176,21 +176,21 @@
                     Some(backend) => {
                         *self.in_flight.entry(backend).or_default() += 1;
                         self.at.insert(request.id, backend);
-                        let limit = Some(request.deadline - now);
+                        let timeout = Some(request.deadline - now);
                         actions.push(Action::Send {
                             request: request.id,
                             backend,
-                            limit,
-                            care: Care::Usual,
+                            timeout,
+                            mode: SendMode::Immediate,
                         });
                     }
                     None => {
                         let reason = if admitted {
-                            Reason::Backends
+                            RejectReason::NoBackend
                         } else {
-                            Reason::Slice
+                            RejectReason::Slice
                         };
-                        actions.push(Action::Refuse {
+                        actions.push(Action::Reject {
                             request: request.id,
                             reason,
                             retry_after: None,
@@ -198,23 +198,23 @@
                     }
                 }
             }
-            Event::Settled(settled) => {
-                if let Some(backend) = self.at.remove(&settled.request) {
+            Event::AttemptEnded(ended) => {
+                if let Some(backend) = self.at.remove(&ended.request) {
                     if let Some(in_flight) = self.in_flight.get_mut(&backend) {
                         *in_flight = in_flight.saturating_sub(1);
                     }
                 }
-                match settled.outcome {
-                    _ if settled.closed => {}
+                match ended.outcome {
+                    _ if ended.request_closed => {}
                     Outcome::Ok => {}
                     Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent => {
-                        actions.push(Action::Refuse {
-                            request: settled.request,
-                            reason: Reason::Attempts,
+                        actions.push(Action::Reject {
+                            request: ended.request,
+                            reason: RejectReason::AttemptsFailed,
                             retry_after: None,
                         });
                     }
-                    _ => actions.push(Action::Fail(settled.request)),
+                    _ => actions.push(Action::Fail(ended.request)),
                 }
             }
             _ => {}
--- a/crates/model/src/run/attempt.rs
+++ b/crates/model/src/run/attempt.rs
@@ -93,12 +93,12 @@
             }
         }
         account.meter(period, units);
-        if let Some(ceiling) = plan.ceiling {
+        if let Some(rate_limit) = plan.rate_limit {
             account
                 .ceiling
-                .has(self.now, ceiling.rate, ceiling.burst, units);
+                .has(self.now, rate_limit.rate, rate_limit.burst, units);
             account.ceiling.tokens -= units;
-            self.outcome.over_ceiling += u64::from(account.ceiling.tokens < -ceiling.slack);
+            self.outcome.over_ceiling += u64::from(account.ceiling.tokens < -rate_limit.slack);
         }
         if let Some(request) = self.proxy_requests.get_mut(&id) {
             request.within_quota = within_quota;
@@ -157,7 +157,7 @@
             outcome,
             policy::Outcome::Ok | policy::Outcome::Error | policy::Outcome::Full
         );
-        let use_of_quota = if answers {
+        let metered_usage = if answers {
             self.quota_use(customer)
         } else {
             None
@@ -171,7 +171,7 @@
         if served && !self.is_answered(ended.id) {
             self.answer_client(ended.id, true, None, None);
         }
-        self.report_end(&ended, outcome, use_of_quota);
+        self.report_end(&ended, outcome, metered_usage);
         self.forget_request(ended.id);
     }
 
@@ -203,29 +203,35 @@
     }
 
     /// Reports the end of an attempt to the proxy's decision module; the oracle fails the request at once.
-    fn report_end(&mut self, ended: &Attempt, outcome: policy::Outcome, use_of_quota: Option<f64>) {
+    fn report_end(
+        &mut self,
+        ended: &Attempt,
+        outcome: policy::Outcome,
+        metered_usage: Option<f64>,
+    ) {
         let closed = self.is_answered(ended.id);
         if self.world.load_balancer == LoadBalancer::Oracle {
             if !closed {
-                let full = (outcome == policy::Outcome::Full).then_some(policy::Reason::Attempts);
+                let full = (outcome == policy::Outcome::Full)
+                    .then_some(policy::RejectReason::AttemptsFailed);
                 self.answer_client(ended.id, false, None, full);
             }
             return;
         }
         let served = outcome == policy::Outcome::Ok;
         let true_units = self.client_requests[ended.client_request].true_units;
-        let report = policy::Settled {
+        let report = policy::AttemptEnded {
             request: RequestId(ended.id),
             attempt: ended.number,
             backend: BackendId(ended.backend as u32),
             outcome,
             elapsed: self.now - ended.sent,
-            closed,
-            use_of_quota,
+            request_closed: closed,
+            metered_usage,
             true_units: (served && self.world.estimate_cv > 0.0).then_some(true_units),
             report: policy::Report::default(),
-            broken: 0,
+            broken_connections: 0,
         };
-        self.deliver_event(ended.proxy, Event::Settled(report));
+        self.deliver_event(ended.proxy, Event::AttemptEnded(report));
     }
 }
--- a/crates/model/src/run/backends.rs
+++ b/crates/model/src/run/backends.rs
@@ -7,7 +7,7 @@
 use crate::backend::{Backend, Job, JobAdmission};
 use crate::world::{Fault, World};
 use maplefall_policy as policy;
-use maplefall_policy::{BackendEntry, BackendId, Effect};
+use maplefall_policy::{BackendEntry, BackendId, Idempotency};
 
 impl Run<'_> {
     /// Adds the time since the last change to the occupancy's integral (Little's law), then changes the occupancy.
@@ -101,7 +101,8 @@
             let class = &self.world.class[self.client_requests[one.client_request].class];
             if let Some(request) = self.proxy_requests.get_mut(&one.id) {
                 request.executions += 1;
-                let twice = request.executions > 1 && World::effect(class) == Some(Effect::Unsafe);
+                let twice = request.executions > 1
+                    && World::effect(class) == Some(Idempotency::NonIdempotent);
                 self.outcome.executed_twice += u64::from(twice);
             }
             self.detach_from_backend(attempt);
@@ -173,7 +174,7 @@
     pub(super) fn replace_backend(&mut self, backend: usize) {
         self.kill_backend(backend);
         let removed = BackendEntry {
-            availability: policy::Availability::Gone,
+            availability: policy::Availability::Removed,
             ..self.backend_entry(backend, None)
         };
         self.publish_change(&[removed]);
--- a/crates/model/src/run/clients.rs
+++ b/crates/model/src/run/clients.rs
@@ -177,8 +177,8 @@
             0 => self.proxies.len(),
             spread => spread.min(self.proxies.len()),
         };
-        let ceiling = self.settings.plans[self.customers[customer].plan].ceiling;
-        let fits = ceiling.map_or(usize::MAX, |c| {
+        let rate_limit = self.settings.plans[self.customers[customer].plan].rate_limit;
+        let fits = rate_limit.map_or(usize::MAX, |c| {
             (c.burst / (2.0 * self.world.max_units)) as usize
         });
         configured.min(fits.max(2)).min(self.proxies.len())
@@ -231,7 +231,7 @@
         self.outcome.failed += 1;
         let (proxy, incarnation) = (one.proxy, one.incarnation);
         if self.proxies[proxy].up && self.proxies[proxy].incarnation == incarnation {
-            self.deliver_event(proxy, Event::ClientGone(RequestId(id)));
+            self.deliver_event(proxy, Event::ClientDisconnected(RequestId(id)));
         }
         self.forget_request(id);
     }
@@ -253,7 +253,7 @@
         id: u32,
         served: bool,
         advised: Option<f64>,
-        rejected: Option<policy::Reason>,
+        rejected: Option<policy::RejectReason>,
     ) {
         let Some(one) = self.proxy_requests.get_mut(&id) else {
             return;
@@ -300,7 +300,7 @@
     }
 
     /// Counts a rejected request by reason, and whether the customer's true quota would have covered it.
-    fn record_rejected(&mut self, client_request: usize, reason: policy::Reason) {
+    fn record_rejected(&mut self, client_request: usize, reason: policy::RejectReason) {
         self.outcome.rejected += 1;
         *self.outcome.rejections.entry(reason.name()).or_default() += 1;
         let ClientRequest {
--- a/crates/model/src/run/discovery.rs
+++ b/crates/model/src/run/discovery.rs
@@ -113,7 +113,7 @@
         }
         for entry in &entries {
             let at = entry.id.0 as usize;
-            if entry.availability == policy::Availability::Gone {
+            if entry.availability == policy::Availability::Removed {
                 self.proxies[proxy].endpoints.remove(&at);
             } else {
                 self.proxies[proxy].endpoints.insert(at, *entry);
--- a/crates/model/src/run/event.rs
+++ b/crates/model/src/run/event.rs
@@ -2,7 +2,7 @@
 //! that of an attempt.
 
 use maplefall_policy as policy;
-use maplefall_policy::{AlarmId, BackendEntry};
+use maplefall_policy::{BackendEntry, TimerId};
 
 /// An event of a run.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     Alarm {
         proxy: usize,
         incarnation: u32,
-        alarm: AlarmId,
+        alarm: TimerId,
     },
     /// A proxy without an agent receives changes of the endpoint list.
     EndpointsChanged {
--- a/crates/model/src/run/faults.rs
+++ b/crates/model/src/run/faults.rs
@@ -202,7 +202,7 @@
         for backend in &lost {
             self.kill_backend(*backend);
             let removed = BackendEntry {
-                availability: policy::Availability::Gone,
+                availability: policy::Availability::Removed,
                 ..self.backend_entry(*backend, None)
             };
             self.publish_change(&[removed]);
--- a/crates/model/src/run/proxy.rs
+++ b/crates/model/src/run/proxy.rs
@@ -12,7 +12,7 @@
 use crate::world::LoadBalancer;
 use maplefall_policy as policy;
 use maplefall_policy::{
-    Action, AlarmId, BackendEntry, BackendId, ClassId, CustomerId, Event, PlanId, RequestId,
+    Action, BackendEntry, BackendId, ClassId, CustomerId, Event, PlanId, RequestId, TimerId,
 };
 use std::collections::BTreeMap;
 
@@ -54,8 +54,8 @@
             class: ClassId(client_request.class),
             units: client_request.units,
             deadline: one.deadline,
-            checked: true,
-            spread: self.spread(client_request.customer) as f64,
+            authorized: true,
+            gateways: self.spread(client_request.customer) as f64,
         };
         if self.world.load_balancer == LoadBalancer::Oracle {
             return self.decide_as_oracle(id, proxy, &client_request);
@@ -89,16 +89,16 @@
             Some(backend) => Action::Send {
                 request: RequestId(id),
                 backend: BackendId(backend as u32),
-                limit: None,
-                care: policy::Care::Usual,
+                timeout: None,
+                mode: policy::SendMode::Immediate,
             },
             None => {
                 let reason = if has_quota {
-                    policy::Reason::Backends
+                    policy::RejectReason::NoBackend
                 } else {
-                    policy::Reason::SoldOut
+                    policy::RejectReason::QuotaExhausted
                 };
-                Action::Refuse {
+                Action::Reject {
                     request: RequestId(id),
                     reason,
                     retry_after: None,
@@ -125,16 +125,16 @@
             Action::Send {
                 request,
                 backend,
-                limit,
+                timeout,
                 ..
-            } => self.send(proxy, request.0, backend.0 as usize, limit),
-            Action::Refuse {
+            } => self.send(proxy, request.0, backend.0 as usize, timeout),
+            Action::Reject {
                 request,
                 reason,
                 retry_after,
             } => self.answer_client(request.0, false, retry_after, Some(reason)),
             Action::Fail(request) => self.answer_client(request.0, false, None, None),
-            Action::CallOff { request, .. } => {
+            Action::CancelAttempt { request, .. } => {
                 let pending_attempt = self
                     .proxy_requests
                     .get(&request.0)
@@ -143,14 +143,14 @@
                     self.end_attempt(attempt, policy::Outcome::Cancelled);
                 }
             }
-            Action::SetAlarm { at, alarm } => {
+            Action::SetTimer { at, timer } => {
                 let incarnation = self.proxies[proxy].incarnation;
                 self.queue.push(
                     at.max(self.now),
                     RunEvent::Alarm {
                         proxy,
                         incarnation,
-                        alarm,
+                        alarm: timer,
                     },
                 );
             }
@@ -167,7 +167,7 @@
                 let now = self.now;
                 self.proxies[proxy].notified.entry(at).or_insert((now, 0));
             }
-            if entry.availability == policy::Availability::Gone {
+            if entry.availability == policy::Availability::Removed {
                 self.proxies[proxy].endpoints.remove(&at);
             } else {
                 self.proxies[proxy].endpoints.insert(at, *entry);
@@ -214,9 +214,9 @@
     }
 
     /// Delivers an alarm to the incarnation that set it, if it still runs.
-    pub(super) fn fire_alarm(&mut self, proxy: usize, incarnation: u32, alarm: AlarmId) {
+    pub(super) fn fire_alarm(&mut self, proxy: usize, incarnation: u32, alarm: TimerId) {
         if self.proxies[proxy].up && self.proxies[proxy].incarnation == incarnation {
-            self.deliver_event(proxy, Event::Alarm(alarm));
+            self.deliver_event(proxy, Event::Timer(alarm));
         }
     }
 
--- a/crates/model/src/run/quota.rs
+++ b/crates/model/src/run/quota.rs
@@ -33,7 +33,7 @@
     home: usize,
     now: f64,
 ) -> Customer {
-    let (burst, ceiling) = (settings.plans[plan].burst, settings.plans[plan].ceiling);
+    let (burst, rate_limit) = (settings.plans[plan].burst, settings.plans[plan].rate_limit);
     Customer {
         plan,
         home,
@@ -42,7 +42,7 @@
         through: 0,
         bucket: TokenBucket::full(burst, now),
         ideal_bucket: TokenBucket::full(burst, now),
-        ceiling: TokenBucket::full(ceiling.map_or(0.0, |ceiling| ceiling.burst), now),
+        ceiling: TokenBucket::full(rate_limit.map_or(0.0, |limit| limit.burst), now),
         open: 0,
         metered: (0, [0.0; 4]),
     }
@@ -70,7 +70,7 @@
     pub(super) fn has_quota(&mut self, customer: usize, units: f64) -> bool {
         let one = &mut self.customers[customer];
         let plan = &self.settings.plans[one.plan];
-        let fits = plan.max_open == 0 || one.open < plan.max_open;
+        let fits = plan.max_in_flight == 0 || one.open < plan.max_in_flight;
         one.bucket.has(self.now, plan.rate, plan.burst, units) && fits
     }
 
--- a/crates/model/src/run/setup.rs
+++ b/crates/model/src/run/setup.rs
@@ -14,17 +14,17 @@
 use crate::random::{AliasTable, RandomSource};
 use crate::world::{LoadBalancer, World};
 use maplefall_policy as policy;
-use maplefall_policy::{BackendEntry, Effect, Event};
+use maplefall_policy::{BackendEntry, Event, Idempotency};
 use std::collections::BTreeMap;
 
 /// The decision module's settings for a world, before plans are scaled.
 fn settings(world: &World) -> policy::Settings {
     let class = |class: &crate::world::ClassSpec| policy::Class {
-        aim: class.latency_target_ms,
+        latency_target: class.latency_target_ms,
         deadline: class.client_timeout_ms,
-        worth: class.value,
-        late_worth: 0.0,
-        effect: World::effect(class).unwrap_or(Effect::Unsafe),
+        value: class.value,
+        late_value: 0.0,
+        idempotency: World::effect(class).unwrap_or(Idempotency::NonIdempotent),
         streaming: false,
         ..policy::Class::default()
     };
@@ -32,9 +32,9 @@
         rate: plan.rate,
         burst: plan.burst,
         price: plan.price,
-        over_cost: 1.0,
-        max_open: plan.max_open,
-        ceiling: None,
+        over_quota_cost: 1.0,
+        max_in_flight: plan.max_open,
+        rate_limit: None,
         ..policy::Plan::default()
     };
     policy::Settings {
@@ -46,7 +46,7 @@
         meter_period: world.meter_ms,
         cross_zone_price: world.cross_zone_price,
         max_attempts: world.attempts,
-        cancel: true,
+        cancellation: true,
         retry_after: true,
         max_retry_after: 2000.0,
         drain_grace: world.drain_grace_ms,
@@ -116,7 +116,7 @@
         if spec.ceiling > 0.0 {
             let burst = (spec.ceiling * plan.burst).max(4.0 * world.max_units);
             let slack = (0.1 * burst).max(world.max_units);
-            plan.ceiling = Some(policy::Ceiling {
+            plan.rate_limit = Some(policy::RateLimit {
                 rate: spec.ceiling * plan.rate,
                 burst,
                 slack,
--- a/crates/model/src/world/mod.rs
+++ b/crates/model/src/world/mod.rs
@@ -9,7 +9,7 @@
 
 pub use fault::Fault;
 
-use maplefall_policy::Effect;
+use maplefall_policy::Idempotency;
 use serde::{Deserialize, Serialize};
 
 /// How a backend is chosen.
@@ -304,14 +304,14 @@
     }
 
     /// The effect of a class by its name.
-    pub fn effect(class: &ClassSpec) -> Option<Effect> {
+    pub fn effect(class: &ClassSpec) -> Option<Idempotency> {
         match class.effect.as_str() {
-            "safe" => Some(Effect::Safe),
-            "keyed" => Some(Effect::Keyed {
-                group: maplefall_policy::Group::All,
-                memory: 2000.0,
+            "safe" => Some(Idempotency::Idempotent),
+            "keyed" => Some(Idempotency::Keyed {
+                scope: maplefall_policy::DedupScope::All,
+                window: 2000.0,
             }),
-            "unsafe" => Some(Effect::Unsafe),
+            "unsafe" => Some(Idempotency::NonIdempotent),
             _ => None,
         }
     }
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -22,7 +22,7 @@
     let settings = Settings {
         gateways,
         classes: vec![Class {
-            aim: 600.0,
+            latency_target: 600.0,
             deadline: 2500.0,
             ..Class::default()
         }],
@@ -59,8 +59,8 @@
             class: ClassId(0),
             units: 1.0,
             deadline: now + 2500.0,
-            checked: true,
-            spread: 1.0,
+            authorized: true,
+            gateways: 1.0,
         };
         actions.clear();
         gateway.handle(now, Event::Arrival(request), &mut actions);
@@ -69,19 +69,19 @@
             _ => None,
         });
         let Some(backend) = sent else { continue };
-        let settled = Settled {
+        let ended = AttemptEnded {
             request: RequestId(id),
             attempt: 0,
             backend,
             outcome: Outcome::Ok,
             elapsed: 80.0,
-            closed: true,
-            use_of_quota: None,
+            request_closed: true,
+            metered_usage: None,
             true_units: None,
             report: Report::default(),
-            broken: 0,
+            broken_connections: 0,
         };
-        gateway.handle(now + 10.0, Event::Settled(settled), &mut actions);
+        gateway.handle(now + 10.0, Event::AttemptEnded(ended), &mut actions);
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
 }
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -53,8 +53,8 @@
         let is_idle = self.estimator.is_idle();
         let state = match self.entry.availability {
             Availability::Ready => State::Ready,
-            Availability::Gone if is_idle => State::Drained,
-            Availability::Gone | Availability::Draining => State::Draining,
+            Availability::Removed if is_idle => State::Drained,
+            Availability::Removed | Availability::Draining => State::Draining,
         };
         Entry {
             state,
--- a/crates/policy/src/gateway/attempts.rs
+++ b/crates/policy/src/gateway/attempts.rs
@@ -9,17 +9,17 @@
     pub(super) fn answer_by(&self, pending: &Pending) -> Millis {
         let class = self.settings.class(&pending.request);
         let last = pending.request.deadline - 2.0 * self.settings.tick;
-        if class.late_worth > 0.0 {
+        if class.late_value > 0.0 {
             return last;
         }
-        last.min(pending.arrived_at + class.aim)
+        last.min(pending.arrived_at + class.latency_target)
     }
 
     /// When an answer is slow. It counts at once: by its timeout the queues would long be full.
     pub(super) fn slow_at(&self, pending: &Pending) -> Millis {
         let size = (pending.request.units / self.typical_units.max(0.01)).max(1.0);
         pending.ready_at
-            + (SLOW_TARGETS * size).min(1.0) * self.settings.class(&pending.request).aim
+            + (SLOW_TARGETS * size).min(1.0) * self.settings.class(&pending.request).latency_target
     }
 
     pub(super) fn send(&mut self, mut pending: Pending, to: BackendId) {
@@ -42,21 +42,21 @@
         self.actions.push(Action::Send {
             request: id,
             backend: to,
-            limit: Some(timeout.max(self.settings.tick)),
-            care: self.care(&request),
+            timeout: Some(timeout.max(self.settings.tick)),
+            mode: self.send_mode(&request),
         });
     }
 
     /// Protects against connections that are dead unseen: each takes along a request that must not
     /// run twice. Other requests can be repeated, so they are sent without caution while no
     /// connection breaks, because caution costs each of them a round trip.
-    fn care(&self, request: &Request) -> Care {
-        if self.settings.class(request).effect == Effect::Unsafe {
-            Care::Once
+    fn send_mode(&self, request: &Request) -> SendMode {
+        if self.settings.class(request).idempotency == Idempotency::NonIdempotent {
+            SendMode::WithholdLastByteOnProvenConnection
         } else if self.now - self.connection_broke_at < CAUTION_TARGETS * self.target {
-            Care::Proof
+            SendMode::WithholdLastByte
         } else {
-            Care::Usual
+            SendMode::Immediate
         }
     }
 
@@ -65,13 +65,15 @@
     /// has as much time. The last attempt gets all that is left.
     fn attempt_timeout(&self, pending: &Pending, expected: Millis) -> Millis {
         let class = self.settings.class(&pending.request);
-        let is_repeatable = match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed { group, memory } => group == Group::All && memory > class.aim,
-            Effect::Unsafe => false,
+        let is_repeatable = match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { scope, window } => {
+                scope == DedupScope::All && window > class.latency_target
+            }
+            Idempotency::NonIdempotent => false,
         };
         let timeout = ATTEMPT_TIMEOUT_FACTOR * expected;
-        let timeout = timeout.max(MIN_ATTEMPT_TIMEOUT_TARGETS * class.aim);
+        let timeout = timeout.max(MIN_ATTEMPT_TIMEOUT_TARGETS * class.latency_target);
         let has_time = 2.0 * timeout <= self.answer_by(pending) - self.now;
         let may_retry = pending.attempts + 1 < self.settings.attempt_limit(&pending.request);
         // Where answers are slow everywhere, a retry would only add to the queues.
@@ -84,27 +86,27 @@
         f64::INFINITY
     }
 
-    pub(super) fn settled(&mut self, settled: &Settled) {
-        let pending = self.requests.remove_if(settled.request, |pending| {
-            pending.end_attempt(settled.backend, settled.attempt)
+    pub(super) fn attempt_ended(&mut self, ended: &AttemptEnded) {
+        let pending = self.requests.remove_if(ended.request, |pending| {
+            pending.end_attempt(ended.backend, ended.attempt)
         });
         let Some(mut pending) = pending else {
             return;
         };
-        let is_served = settled.outcome == Outcome::Ok;
+        let is_served = ended.outcome == Outcome::Ok;
         if is_served && !pending.known_slow {
             let elapsed = self.now - pending.ready_at;
             let slow_after = self.slow_at(&pending) - pending.ready_at;
             self.record_answer_time((SLOW_TARGETS * elapsed / slow_after).min(1.0));
         }
-        self.record_outcome(&pending.request, settled);
-        self.settle_quota(&pending.request, settled);
-        if settled.closed || pending.answered || is_served {
+        self.record_outcome(&pending.request, ended);
+        self.settle_quota(&pending.request, ended);
+        if ended.request_closed || pending.answered || is_served {
             return;
         }
-        if !matches!(settled.outcome, Full | ConnectFailed | NotSent) {
-            let sent_at = self.now - settled.elapsed.max(0.0);
-            let exposure = Exposure::new(sent_at, self.backends.get(&settled.backend));
+        if !matches!(ended.outcome, Full | ConnectFailed | NotSent) {
+            let sent_at = self.now - ended.elapsed.max(0.0);
+            let exposure = Exposure::new(sent_at, self.backends.get(&ended.backend));
             pending.first_exposure.get_or_insert(exposure);
         }
         if let Some(backend) = self.backend_for_retry(&pending) {
@@ -150,19 +152,18 @@
         };
         let age = self.now - exposure.sent_at;
         let margin = 2.0 * self.settings.tick;
-        match self.settings.class(request).effect {
-            Effect::Safe => Reach::Anywhere,
-            Effect::Unsafe => Reach::Nowhere,
-            Effect::Keyed { memory, .. } if age >= memory - margin => Reach::Nowhere,
-            Effect::Keyed { group, .. } => match group {
-                Group::All => Reach::Anywhere,
-                Group::Zone => Reach::Zone(exposure.zone),
-                Group::Cell => Reach::Cell(exposure.cell),
+        match self.settings.class(request).idempotency {
+            Idempotency::Idempotent => Reach::Anywhere,
+            Idempotency::NonIdempotent => Reach::Nowhere,
+            Idempotency::Keyed { window, .. } if age >= window - margin => Reach::Nowhere,
+            Idempotency::Keyed { scope, .. } => match scope {
+                DedupScope::All => Reach::Anywhere,
+                DedupScope::Zone => Reach::Zone(exposure.zone),
+                DedupScope::Cell => Reach::Cell(exposure.cell),
             },
         }
     }
 
-    /// The attempt of a request that is in flight, and its backend.
     fn attempt_in_flight(&self, pending: &Pending) -> Option<(&Backend, &Attempt)> {
         let backend = self.backends.get(&pending.in_flight_to?)?;
         Some((backend, backend.estimator.attempt(&pending.request.id)?))
@@ -175,20 +176,22 @@
         let in_flight = in_flight.map(|(b, attempt)| Exposure::new(attempt.sent_at, Some(b)));
         let exposure = pending.first_exposure.or(in_flight);
         match self.reach(&pending.request, exposure) {
-            Reach::Anywhere => self.rejection(pending.request.id, Reason::Attempts, None),
+            Reach::Anywhere => {
+                self.rejection(pending.request.id, RejectReason::AttemptsFailed, None)
+            }
             _ => Action::Fail(pending.request.id),
         }
     }
 
-    pub(super) fn alarm_due(&mut self, alarm: AlarmId) {
-        let request = alarm.request();
+    pub(super) fn timer_fired(&mut self, timer: TimerId) {
+        let request = timer.request();
         let Some(pending) = request.and_then(|id| self.requests.get(id)) else {
             return;
         };
         let id = pending.request.id;
         let answer_by = self.answer_by(pending);
         let is_early = self.now < answer_by;
-        if pending.answered || pending.stream_started || (pending.awaits_check && is_early) {
+        if pending.answered || pending.stream_started || (pending.awaits_auth && is_early) {
             return;
         }
         if !is_early || pending.known_slow {
@@ -202,7 +205,7 @@
             let estimator = &backend.estimator;
             estimator.is_overdue(self.now, attempt, self.prior())
         });
-        self.set_alarm(alarm, answer_by);
+        self.set_timer(timer, answer_by);
         if !hangs {
             self.record_answer_time(1.0);
         }
@@ -216,35 +219,36 @@
             return;
         };
         if pending.in_flight_to.is_some() {
-            if self.settings.cancel && !pending.stream_started {
+            if self.settings.cancellation && !pending.stream_started {
                 let (request, attempt) = (id, pending.attempts - 1);
-                self.actions.push(Action::CallOff { request, attempt });
+                self.actions
+                    .push(Action::CancelAttempt { request, attempt });
             }
             return;
         }
         let request = pending.request;
-        if pending.awaits_check {
+        if pending.awaits_auth {
             self.give_back(&request);
         }
         self.requests.remove(id);
     }
 
-    fn settle_quota(&mut self, request: &Request, settled: &Settled) {
+    fn settle_quota(&mut self, request: &Request, ended: &AttemptEnded) {
         let quota = self.quota_share(request);
         let plan = self.settings.plan(request);
         let Some(customer) = self.customers.get_mut(&request.customer) else {
             return;
         };
-        let open_share = customers::open_share(plan, request.spread);
+        let open_share = customers::open_share(plan, request.gateways);
         customer.open.advance(self.now, open_share, self.target);
         customer.open.in_flight = customer.open.in_flight.saturating_sub(1);
-        if let Some(true_units) = settled.true_units.filter(|units| units.is_finite()) {
-            // The quota counts true units, and so does the slice; the ceiling counts the estimate.
+        if let Some(true_units) = ended.true_units.filter(|units| units.is_finite()) {
+            // The quota counts true units, and so does the slice; the rate limit counts the estimate.
             customer.slice = (customer.slice + request.units - true_units).min(quota.depth);
             let balances = &mut self.shared_balances;
             balances.draw(request.customer, true_units - request.units);
         }
-        if let Some(used) = settled.use_of_quota.filter(|used| used.is_finite()) {
+        if let Some(used) = ended.metered_usage.filter(|used| used.is_finite()) {
             let elapsed = customer.metered.elapsed(self.now);
             let allowed = plan.rate * (elapsed.min(self.settings.meter_period) / 1000.0);
             let requested = used * allowed / customer.admitted_fraction;
@@ -254,27 +258,27 @@
     }
 
     /// Records what the end of an attempt tells of its backend.
-    fn record_outcome(&mut self, request: &Request, settled: &Settled) {
-        let end = settled.attempt_end(request);
+    fn record_outcome(&mut self, request: &Request, ended: &AttemptEnded) {
+        let end = ended.attempt_end(request);
         let (now, target, prior) = (self.now, self.target, self.prior());
-        let finished = self.backends.update(settled.backend, |backend| {
+        let finished = self.backends.update(ended.backend, |backend| {
             let estimator = &mut backend.estimator;
             estimator.finish(now, target, prior, &request.id, end)
         });
         let Some(finished) = finished else {
             return;
         };
-        if settled.broken > 0 {
+        if ended.broken_connections > 0 {
             self.connection_broke_at = now;
         }
         if let Some(load) = finished.measured_load {
             let others = self.backends.len() - 1;
             self.service_time.record(others, end.elapsed, load);
         }
-        if finished.was_silent && settled.outcome == Outcome::Timeout {
-            self.actions.push(Action::CloseIdle(settled.backend));
+        if finished.was_silent && ended.outcome == Outcome::Timeout {
+            self.actions.push(Action::CloseIdle(ended.backend));
         }
-        let (id, outcome) = (settled.backend.0, settled.outcome);
+        let (id, outcome) = (ended.backend.0, ended.outcome);
         let change = finished.ejection.map(|change| match change {
             EjectionChange::Ejected => format!("backend {id} set aside: {outcome:?}"),
             EjectionChange::Restored => format!("backend {id} taken back"),
--- a/crates/policy/src/gateway/backends.rs
+++ b/crates/policy/src/gateway/backends.rs
@@ -14,7 +14,7 @@
         self.backends.update_many(changed, |backends| {
             if is_complete {
                 for backend in backends.values_mut() {
-                    backend.entry.availability = Availability::Gone;
+                    backend.entry.availability = Availability::Removed;
                 }
             }
             for entry in entries {
@@ -33,8 +33,8 @@
             ListKind::Cached => self.actions.push(Action::Subscribe),
             ListKind::Failed => {
                 let jitter = 0.5 + uniform(&mut self.rng);
-                let at = self.now + self.settings.ask_within / 8.0 * jitter;
-                self.set_alarm(SUBSCRIBE_ALARM, at);
+                let at = self.now + self.settings.max_unrequested_list_age / 8.0 * jitter;
+                self.set_timer(SUBSCRIBE_TIMER, at);
             }
             ListKind::Full | ListKind::Changes => {}
         }
--- a/crates/policy/src/gateway/choice.rs
+++ b/crates/policy/src/gateway/choice.rs
@@ -3,14 +3,11 @@
 use super::*;
 use maplefall_backend_index::Found;
 
-/// What a backend is chosen for.
 struct Search<'a> {
     request: &'a Request,
     reach: Reach,
-    /// Highest position of a preferred backend.
     last_preferred: f64,
     prior: ServiceTimePrior,
-    /// The backend in slow start that is due for a request.
     due: Option<BackendId>,
 }
 
@@ -71,7 +68,7 @@
         let overdue = estimator.overdue(now, target, search.prior, class);
         let mut cost = wait.max(overdue) + service_time;
         let mut fault = estimator.health().fault_score(now, target, plan, class);
-        if self.settings.class(request).effect == Effect::Unsafe {
+        if self.settings.class(request).idempotency == Idempotency::NonIdempotent {
             fault *= 2.0;
         }
         cost += (fault - HealthScore::HEALTHY).max(0.0) * target;
--- a/crates/policy/src/gateway/customers.rs
+++ b/crates/policy/src/gateway/customers.rs
@@ -1,11 +1,10 @@
-//! Admission of customers: recent average, penalty box, slice of the quota and ceiling.
+//! Admission of customers: recent average, penalty box, slice of the quota and rate limit.
 
 use super::*;
 
 /// Why a request is rejected, and how long the reason is expected to last.
-struct Rejection(Reason, Option<Millis>);
+struct Rejection(RejectReason, Option<Millis>);
 
-/// The result of one check of a request.
 type Verdict = Result<(), Rejection>;
 
 /// A valid request at its arrival, with what its admission depends on.
@@ -31,16 +30,16 @@
 impl Gateway {
     pub(super) fn arrived(&mut self, request: Request) {
         let Some(request) = self.settings.validated(self.now, request) else {
-            return self.reject(request.id, Rejection(Reason::Unknown, None));
+            return self.reject(request.id, Rejection(RejectReason::Unknown, None));
         };
         let longest_halflife = self.longest_halflife();
         let max_idle = EVICT_HALFLIVES * longest_halflife;
         self.evict(max_idle, longest_halflife);
         let pending = Pending::new(self.now, request);
         match self.admit(&request, max_idle) {
-            Ok(_) if pending.awaits_check => {
-                self.set_alarm(request.id.into(), self.answer_by(&pending));
-                self.actions.push(Action::Check(request.id));
+            Ok(_) if pending.awaits_auth => {
+                self.set_timer(request.id.into(), self.answer_by(&pending));
+                self.actions.push(Action::Authorize(request.id));
                 self.requests.insert(pending);
             }
             Ok(backend) => self.forward(pending, backend),
@@ -51,33 +50,33 @@
     /// Sends a request on for the first time.
     fn forward(&mut self, pending: Pending, backend: BackendId) {
         self.retries.earn(self.now, self.settings.retry_limits());
-        let alarm_at = self.slow_at(&pending).min(self.answer_by(&pending));
-        self.set_alarm(pending.request.id.into(), alarm_at);
+        let timer_at = self.slow_at(&pending).min(self.answer_by(&pending));
+        self.set_timer(pending.request.id.into(), timer_at);
         self.send(pending, backend);
     }
 
     /// Forwards a request whose caller passed its check as if it had arrived now, except that its
     /// units are taken already and that its deadline has not moved.
-    pub(super) fn checked(&mut self, id: RequestId, passes: bool) {
-        let Some(mut pending) = self.requests.remove_if(id, |p| p.awaits_check) else {
+    pub(super) fn authorized(&mut self, id: RequestId, allowed: bool) {
+        let Some(mut pending) = self.requests.remove_if(id, |p| p.awaits_auth) else {
             return;
         };
-        pending.awaits_check = false;
+        pending.awaits_auth = false;
         pending.ready_at = self.now;
         let request = pending.request;
-        let backend = passes.then(|| self.backend_after_check(&request));
+        let backend = allowed.then(|| self.backend_after_auth(&request));
         match backend.flatten() {
             Some(backend) => self.forward(pending, backend),
             None => {
                 self.give_back(&request);
-                if passes {
-                    self.reject(id, Rejection(Reason::Backends, None));
+                if allowed {
+                    self.reject(id, Rejection(RejectReason::NoBackend, None));
                 }
             }
         }
     }
 
-    fn backend_after_check(&mut self, request: &Request) -> Option<BackendId> {
+    fn backend_after_auth(&mut self, request: &Request) -> Option<BackendId> {
         let plan = &self.settings.plans[request.plan.0];
         let customer = self.customers.get_mut(&request.customer)?;
         if !customer.may_open(self.now, request, plan, self.target) {
@@ -91,7 +90,7 @@
         if let Some(customer) = self.customers.get_mut(&request.customer) {
             // The next refill takes off what is beyond the depth.
             customer.slice += request.units;
-            customer.ceiling += request.units;
+            customer.rate_limit_units += request.units;
         }
         self.shared_balances.draw(request.customer, -request.units);
     }
@@ -99,7 +98,7 @@
     /// Takes in what other gateways have admitted. Where they report it, a quota has one balance
     /// again, known a little late: a request that it certainly covers is admitted, one that it
     /// certainly doesn't is rejected, and the slice decides in between.
-    pub(super) fn usage_reported(&mut self, report: &Elsewhere) {
+    pub(super) fn usage_reported(&mut self, report: &RemoteUsage) {
         let plan = self.settings.plans.get(report.plan.0);
         if let Some(plan) = plan.filter(|plan| plan.has_quota()) {
             let (rate, burst) = (plan.rate, plan.burst);
@@ -108,11 +107,10 @@
         }
     }
 
-    /// Admits a request and names its backend, or says why not.
     fn admit(&mut self, request: &Request, max_idle: Millis) -> Result<BackendId, Rejection> {
         let now = self.now;
         let started_at = self.started_at.unwrap_or(now);
-        // A customer that was forgotten may have used up its share of the ceiling just before.
+        // A customer that was forgotten may have used up its share of the rate limit just before.
         let unseen_since = started_at.max(now - max_idle);
         let quota = self.quota_share(request);
         let service_time = self.prior().per_unit / 1000.0;
@@ -146,17 +144,17 @@
             arrival.check_slice(customer)?;
         }
         if !customer.may_open(self.now, request, plan, self.target) {
-            return Err(Rejection(Reason::Open, None));
+            return Err(Rejection(RejectReason::InFlightLimit, None));
         }
-        if plan.ceiling.is_some() && customer.ceiling < request.units {
-            return Err(Rejection(Reason::Ceiling, None));
+        if plan.rate_limit.is_some() && customer.rate_limit_units < request.units {
+            return Err(Rejection(RejectReason::RateLimit, None));
         }
         let backend = self.backend_with_room(request);
-        let backend = backend.ok_or(Rejection(Reason::Backends, None))?;
+        let backend = backend.ok_or(Rejection(RejectReason::NoBackend, None))?;
         if let Some(customer) = self.customers.get_mut(&request.customer) {
             // A request that the shared balance covers may take more than the slice holds.
             customer.slice = (customer.slice - request.units).max(0.0);
-            customer.ceiling -= request.units;
+            customer.rate_limit_units -= request.units;
         }
         self.shared_balances.draw(request.customer, request.units);
         Ok(backend)
@@ -171,7 +169,6 @@
         (!too_slow && !too_late).then_some(candidate.key)
     }
 
-    /// The longest half-life of the recent average of all plans with a rate.
     fn longest_halflife(&self) -> Millis {
         let plans = self.settings.plans_with_quota();
         plans.map(average_halflife).fold(1000.0, f64::max)
@@ -187,9 +184,10 @@
             self.settings.longest_deadline()
         };
         let usage_lambda = LN_2 * AVERAGE_HALFLIFE_BURSTS / USAGE_HALFLIFE_BURSTS / halflife;
-        let spare = 0.5 * USAGE_HALFLIFE_BURSTS * plan.burst.max(largest) / request.spread;
+        let spare = 0.5 * USAGE_HALFLIFE_BURSTS * plan.burst.max(largest) / request.gateways;
         let min_depth = (largest + spare).min(MIN_SLICE_REQUESTS * largest);
-        let is_sliver = request.spread > 1.0 && plan.burst / request.spread < self.typical_units;
+        let is_sliver =
+            request.gateways > 1.0 && plan.burst / request.gateways < self.typical_units;
         let (lambda, meter_lambda) = if is_sliver {
             // Too few requests to tell a lasting flood from chance by the long average alone.
             (usage_lambda, usage_lambda)
@@ -200,8 +198,8 @@
             lambda,
             usage_lambda,
             meter_lambda,
-            even_rate: plan.rate / request.spread,
-            depth: (plan.burst / request.spread).max(min_depth),
+            even_rate: plan.rate / request.gateways,
+            depth: (plan.burst / request.gateways).max(min_depth),
             is_sliver,
         }
     }
@@ -232,10 +230,14 @@
         self.actions.push(self.rejection(request, reason, wait));
     }
 
-    /// The rejection of a request; `wait` is how long the reason is expected to last.
-    pub(super) fn rejection(&self, id: RequestId, reason: Reason, wait: Option<Millis>) -> Action {
+    pub(super) fn rejection(
+        &self,
+        id: RequestId,
+        reason: RejectReason,
+        wait: Option<Millis>,
+    ) -> Action {
         let advised = wait.filter(|_| self.settings.retry_after);
-        Action::Refuse {
+        Action::Reject {
             request: id,
             reason,
             retry_after: advised.map(|wait| wait.clamp(0.0, self.settings.max_retry_after)),
@@ -243,16 +245,15 @@
     }
 }
 
-/// The half-life of the recent average of a plan that has a rate.
 fn average_halflife(plan: &Plan) -> Millis {
     AVERAGE_HALFLIFE_BURSTS * 1000.0 * plan.burst / plan.rate
 }
 
 /// One gateway's share of the attempts that may be in flight at once.
 pub(super) fn open_share(plan: &Plan, gateways: f64) -> f64 {
-    match plan.max_open {
+    match plan.max_in_flight {
         0 => f64::INFINITY,
-        max_open => f64::from(max_open) / gateways,
+        max_in_flight => f64::from(max_in_flight) / gateways,
     }
 }
 
@@ -286,14 +287,14 @@
         if quota.is_sliver {
             let local = customer.average.decayed(self.now, quota.lambda);
             let memory = 1.0 - (-quota.lambda * self.gateway_age).exp();
-            let burst = self.plan.burst / self.request.spread;
+            let burst = self.plan.burst / self.request.gateways;
             usage.requested = usage.requested + self.typical_units + local;
             usage.allowed += quota.even_rate / 1000.0 / quota.lambda * memory + burst;
         }
         usage
     }
 
-    /// Refills the slice and the share of the ceiling; the slice's rate follows demand (design).
+    /// Refills the slice and the share of the rate limit; the slice's rate follows demand (design).
     fn refill(&self, customer: &mut Customer, usage: Usage) {
         let quota = &self.quota;
         let elapsed = (self.now - customer.refilled_at).max(0.0) / 1000.0;
@@ -314,10 +315,11 @@
         let raised = customer.refill_rate + (target - customer.refill_rate).max(0.0) * rise;
         customer.refill_rate = target.min(raised).max(quota.even_rate);
         customer.slice = (customer.slice + customer.refill_rate * elapsed).min(quota.depth);
-        if let Some(ceiling) = self.plan.ceiling {
-            let spread = self.request.spread;
-            let depth = (ceiling.burst + CEILING_SLACK_FRACTION * ceiling.slack) / spread;
-            customer.ceiling = (customer.ceiling + ceiling.rate / spread * elapsed).min(depth);
+        if let Some(limit) = self.plan.rate_limit {
+            let gateways = self.request.gateways;
+            let depth = (limit.burst + RATE_LIMIT_SLACK_FRACTION * limit.slack) / gateways;
+            customer.rate_limit_units =
+                (customer.rate_limit_units + limit.rate / gateways * elapsed).min(depth);
         }
         customer.refilled_at = self.now;
     }
@@ -334,14 +336,16 @@
         }
         let (plan, lambda) = (self.plan, quota.lambda);
         let wait = box_closed_for(rate, plan.rate, plan.burst, lambda);
-        wait.map_or(Ok(()), |wait| Err(Rejection(Reason::Box, Some(wait))))
+        wait.map_or(Ok(()), |wait| {
+            Err(Rejection(RejectReason::PenaltyBox, Some(wait)))
+        })
     }
 
     fn check_balance(&self) -> Verdict {
         let missing = self.balance.map_or(0.0, |b| self.request.units - b.max);
         if missing > 0.0 {
             let wait = 1000.0 * missing / self.plan.rate;
-            return Err(Rejection(Reason::SoldOut, Some(wait)));
+            return Err(Rejection(RejectReason::QuotaExhausted, Some(wait)));
         }
         Ok(())
     }
@@ -361,14 +365,14 @@
         let mut fraction = customer.admitted_fraction;
         // By Little's law a limit on attempts in flight is a limit on the rate. Those of other
         // gateways aren't seen, so they are estimated.
-        let others_share = 1.0 - 1.0 / self.request.spread;
+        let others_share = 1.0 - 1.0 / self.request.gateways;
         let others = excess.min(1.0) * self.plan.rate * self.service_time * others_share;
-        if open_share(self.plan, self.request.spread) < 1.0 && others > 0.0 {
-            let spare = f64::from(self.plan.max_open) - f64::from(customer.open.in_flight);
+        if open_share(self.plan, self.request.gateways) < 1.0 && others > 0.0 {
+            let spare = f64::from(self.plan.max_in_flight) - f64::from(customer.open.in_flight);
             fraction = fraction.min(spare / (others + others.sqrt()));
         }
         if self.draw > fraction {
-            return Err(Rejection(Reason::Share, None));
+            return Err(Rejection(RejectReason::Backpressure, None));
         }
         Ok(())
     }
@@ -383,10 +387,10 @@
             let mut wait = 1000.0 * missing / self.quota.even_rate;
             // The retry may come to another gateway, whose slice may hold it; that is worth less
             // the longer it waits.
-            if self.request.spread > 1.0 {
+            if self.request.gateways > 1.0 {
                 wait = wait.min(MAX_SLICE_RETRY_TARGETS * self.target);
             }
-            return Err(Rejection(Reason::Slice, Some(wait)));
+            return Err(Rejection(RejectReason::Slice, Some(wait)));
         }
         Ok(())
     }
@@ -406,9 +410,9 @@
         }
     }
 
-    /// Whether one more attempt may be in flight.
     fn may_open(&mut self, now: Millis, request: &Request, plan: &Plan, target: Millis) -> bool {
-        let (share, total) = (open_share(plan, request.spread), f64::from(plan.max_open));
+        let share = open_share(plan, request.gateways);
+        let total = f64::from(plan.max_in_flight);
         self.open.has_room(now, share, total, target)
     }
 }
--- a/crates/policy/src/gateway/mod.rs
+++ b/crates/policy/src/gateway/mod.rs
@@ -61,8 +61,8 @@
 const CAUTION_TARGETS: f64 = 8.0;
 /// A request crosses zones to save a wait of this multiple of the crossing's price, in targets.
 const CROSS_ZONE_TARGETS: f64 = 10.0;
-/// Fraction of a ceiling's slack that its shares use; the rest covers rounding.
-const CEILING_SLACK_FRACTION: f64 = 0.9;
+/// Fraction of a rate limit's slack that its shares use; the rest covers rounding.
+const RATE_LIMIT_SLACK_FRACTION: f64 = 0.9;
 /// Fraction of the overload factor that all gateways may use up at a backend in slow start.
 const SLOW_START_OVERLOAD_FRACTION: f64 = 0.6;
 /// Longest advised retry time, in latency targets, where another gateway may admit the retry.
@@ -75,10 +75,8 @@
 const MIN_PREFERRED_BACKENDS: usize = 8;
 /// A backend that is not preferred must be better by so many latency targets.
 const UNPREFERRED_TARGETS: f64 = 0.25;
-/// The alarm that subscribes to the list of backends again.
-const SUBSCRIBE_ALARM: AlarmId = AlarmId(u64::MAX);
+const SUBSCRIBE_TIMER: TimerId = TimerId(u64::MAX);
 
-/// A backend that a request could be sent to.
 type Candidate = maplefall_backend_index::Candidate<BackendId>;
 
 /// The recent average rate of the design: an impulse at each arrival, decaying exponentially.
@@ -116,20 +114,18 @@
 #[derive(Clone, Debug, Default)]
 struct Customer {
     average: Cewma,
-    /// Units of the largest request so far.
     largest_units: f64,
     /// Units that the slice may hold.
     slice_depth: f64,
-    /// Units in this gateway's slice of the quota and share of the ceiling, as of `refilled_at`.
+    /// Units in this gateway's slice of the quota and share of the rate limit, as of `refilled_at`.
     slice: f64,
-    ceiling: f64,
+    rate_limit_units: f64,
     refilled_at: Millis,
     /// Refill rate of the slice, in units a second.
     refill_rate: f64,
     open: ConcurrencyLimit,
     /// Usage at all gateways.
     metered: MeteredUsage,
-    /// Fraction of the requests that is admitted at present.
     admitted_fraction: f64,
 }
 
@@ -165,7 +161,6 @@
     shared_balances: SharedBalances<CustomerId>,
     backends: BackendTable<BackendId, Backend>,
     requests: PendingRequests,
-    /// Of all backends.
     service_time: ServiceTime,
     backpressure: Backpressure,
     retries: RetryBudget,
@@ -190,7 +185,7 @@
             requests: PendingRequests::default(),
             service_time: ServiceTime::default(),
             backpressure: Backpressure::new(settings.gateways),
-            retries: RetryBudget::new(settings.retry_start),
+            retries: RetryBudget::new(settings.initial_retries),
             connection_broke_at: f64::NEG_INFINITY,
             typical_units: 1.0,
             settings,
@@ -205,15 +200,15 @@
         match event {
             Event::Backends(kind, entries) => self.list_changed(kind, &entries),
             Event::Arrival(request) => self.arrived(request),
-            Event::Checked { request, passes } => self.checked(request, passes),
-            Event::Elsewhere(report) => self.usage_reported(&report),
+            Event::Authorized { request, allowed } => self.authorized(request, allowed),
+            Event::RemoteUsage(report) => self.usage_reported(&report),
             Event::StreamStarted(id) => {
                 self.requests.update(id, |p| p.stream_started = true);
             }
-            Event::Settled(settled) => self.settled(&settled),
-            Event::ClientGone(id) => self.abandon(id),
-            Event::Alarm(SUBSCRIBE_ALARM) => self.actions.push(Action::Subscribe),
-            Event::Alarm(alarm) => self.alarm_due(alarm),
+            Event::AttemptEnded(ended) => self.attempt_ended(&ended),
+            Event::ClientDisconnected(id) => self.abandon(id),
+            Event::Timer(SUBSCRIBE_TIMER) => self.actions.push(Action::Subscribe),
+            Event::Timer(timer) => self.timer_fired(timer),
             // No health checks are sent: this gateway's own attempts tell enough.
             Event::Probed { .. } => {}
         }
@@ -233,14 +228,14 @@
     }
 
     /// The size of its state, and how many backends its choices have examined.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn stats(&self) -> GatewayStats {
+        GatewayStats {
             customers: self.customers.len(),
-            looked_at: self.backends.index().examined(),
+            backends_examined: self.backends.index().examined(),
         }
     }
 
-    fn set_alarm(&mut self, alarm: AlarmId, at: Millis) {
-        self.actions.push(Action::SetAlarm { at, alarm });
+    fn set_timer(&mut self, timer: TimerId, at: Millis) {
+        self.actions.push(Action::SetTimer { at, timer });
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -33,13 +33,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// An alarm, named by the module.
+/// A timer, named by the module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AlarmId(pub u64);
+pub struct TimerId(pub u64);
 
 /// The backends that drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every backend.
     All,
     /// Those in the zone of the first attempt.
@@ -50,42 +50,42 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeating it is harmless.
-    Safe,
+    Idempotent,
     /// Repeats are dropped within a group of backends for a time.
     Keyed {
         /// Who drops the repeats.
-        group: Group,
+        scope: DedupScope,
         /// For how long, from the send of the first attempt that may have run.
-        memory: Millis,
+        window: Millis,
     },
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns its full worth.
-    pub aim: Millis,
+    pub latency_target: Millis,
     /// How long a client waits at most, over all its tries.
     pub deadline: Millis,
     /// Worth of one unit of it.
-    pub worth: f64,
+    pub value: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Whether its answer is a stream.
     pub streaming: bool,
     /// Most attempts for one of its requests, besides [`Settings::max_attempts`].
     pub max_attempts: u32,
 }
 
-/// A hard ceiling on what all gateways send on for one customer.
+/// A hard rate limit on what all gateways send on for one customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ceiling {
+pub struct RateLimit {
     /// Units a second that refill it.
     pub rate: f64,
     /// Units it holds at most.
@@ -102,15 +102,15 @@
     /// Units of quota that may be used at once.
     pub burst: f64,
     /// Attempts out at once that the quota covers; 0 means no such quota.
-    pub max_open: u32,
+    pub max_in_flight: u32,
     /// Factor on the worth of a request.
     pub price: f64,
     /// Part of its worth that a request sent on beyond the quota earns.
-    pub over_worth: f64,
+    pub over_quota_value: f64,
     /// Part of its worth that a request sent on beyond the quota costs.
-    pub over_cost: f64,
-    /// The hard ceiling, if the plan has one.
-    pub ceiling: Option<Ceiling>,
+    pub over_quota_cost: f64,
+    /// The hard rate limit, if the plan has one.
+    pub rate_limit: Option<RateLimit>,
 }
 
 /// How the list of backends reaches a gateway.
@@ -157,18 +157,18 @@
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Further attempts earned with each first one; so many are there at the start, and saved up at most.
-    pub retry_share: f64,
+    pub retry_ratio: f64,
     /// See above.
-    pub retry_start: f64,
+    pub initial_retries: f64,
     /// See above.
-    pub retry_depth: f64,
-    /// The span over which the fleet's retries are counted, where a gateway whose `retry_depth` is below one
+    pub max_saved_retries: f64,
+    /// The span over which the fleet's retries are counted, where a gateway whose `max_saved_retries` is below one
     /// retry may save what it has earned in that span; 0 where it may not.
     pub retry_window: Millis,
     /// Whether one request may have two attempts out at a time.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether attempts may be called off.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Whether probes are permitted.
     pub probes: bool,
     /// Whether clients are handed a retry-after time.
@@ -178,11 +178,11 @@
     /// Price of an attempt that crosses zones, as a part of the whole worth.
     pub cross_zone_price: f64,
     /// Time after the client's deadline in which a final answer still counts.
-    pub answer_slack: Millis,
+    pub response_grace: Millis,
     /// Grace within which sends to a draining or gone backend must stop.
     pub drain_grace: Millis,
     /// With [`Discovery::OnRequest`]: how old an unasked list may be before it counts as known.
-    pub ask_within: Millis,
+    pub max_unrequested_list_age: Millis,
     /// Part of its capacity with which a backend starts, at least.
     pub start_capacity: f64,
     /// Time after which a started backend is warm, at most.
@@ -201,7 +201,7 @@
     /// Finishing its work.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of backends.
@@ -250,10 +250,10 @@
     /// When the client stops waiting for this try.
     pub deadline: Millis,
     /// Whether its caller needs no check any more. One that does is admitted or refused like any other, and if it is
-    /// admitted, held until [`Event::Checked`].
-    pub checked: bool,
+    /// admitted, held until [`Event::Authorized`].
+    pub authorized: bool,
     /// Through how many gateways this customer's requests come.
-    pub spread: f64,
+    pub gateways: f64,
 }
 
 /// How an attempt ended.
@@ -279,13 +279,13 @@
 
 /// What is done lest a connection that breaks takes a request along.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Care {
+pub enum SendMode {
     /// Nothing: the request is written at once, to any connection.
-    Usual,
+    Immediate,
     /// Its last byte waits until the connection has stood the rest: it cannot have run where that breaks before.
-    Proof,
+    WithholdLastByte,
     /// So it does, and a kept connection is used only at an age at which others have held of late.
-    Once,
+    WithholdLastByteOnProvenConnection,
 }
 
 /// A load report of a backend; late and not exact.
@@ -307,7 +307,7 @@
 
 /// The end of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settled {
+pub struct AttemptEnded {
     /// Whose attempt.
     pub request: RequestId,
     /// Which attempt of the request, from 0.
@@ -319,20 +319,20 @@
     /// Time since it was sent.
     pub elapsed: Millis,
     /// Whether the request is over.
-    pub closed: bool,
+    pub request_closed: bool,
     /// The customer's use by all gateways in the last metered period, as a part of its rate.
-    pub use_of_quota: Option<f64>,
+    pub metered_usage: Option<f64>,
     /// True units, where they are settled with the answer.
     pub true_units: Option<f64>,
     /// The backend's load, if it came along.
     pub report: Report,
     /// Connections that had come up and broke under this attempt; others may have stood in for them.
-    pub broken: u32,
+    pub broken_connections: u32,
 }
 
 /// What other gateways have let in for a customer, where gateways can tell one another.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Elsewhere {
+pub struct RemoteUsage {
     /// Whose quota.
     pub customer: CustomerId,
     /// Its plan.
@@ -344,7 +344,7 @@
     /// Units at most that may have been used elsewhere and are not told.
     pub error: f64,
     /// Part of the gateways that are heard of, this one with them; from nought to one.
-    pub heard: f64,
+    pub reporting_fraction: f64,
 }
 
 /// Something that happened at a front door.
@@ -356,22 +356,22 @@
     Arrival(Request),
     /// The caller of a held request was checked. One that does not pass takes nothing from its quota, and whoever told
     /// this answers it; one that does is sent on or refused.
-    Checked {
+    Authorized {
         /// Which request.
         request: RequestId,
         /// Whether its caller passes.
-        passes: bool,
+        allowed: bool,
     },
     /// More was used elsewhere. Without such news, or once it is old, a gateway decides by itself.
-    Elsewhere(Elsewhere),
+    RemoteUsage(RemoteUsage),
     /// A streamed answer has begun.
     StreamStarted(RequestId),
     /// An attempt ended.
-    Settled(Settled),
+    AttemptEnded(AttemptEnded),
     /// The client went away.
-    ClientGone(RequestId),
-    /// An alarm came due.
-    Alarm(AlarmId),
+    ClientDisconnected(RequestId),
+    /// A timer came due.
+    Timer(TimerId),
     /// A probe ended.
     Probed {
         /// Which backend.
@@ -387,53 +387,53 @@
 
 /// Why a request is turned away, in the order in which it is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Reason {
+pub enum RejectReason {
     /// Its plan or class is in no settings.
     Unknown,
     /// Its customer's recent average is over the limit: the box is shut.
-    Box,
+    PenaltyBox,
     /// Its quota is used up, as other gateways tell.
-    SoldOut,
+    QuotaExhausted,
     /// It was not drawn: a part is let in, by how slow answers are and what use is known.
-    Share,
+    Backpressure,
     /// This gateway's slice of its quota is used up.
     Slice,
-    /// Its customer is at its ceiling.
-    Ceiling,
+    /// Its customer is at its rate limit.
+    RateLimit,
     /// Its customer has as many attempts out as it may.
-    Open,
+    InFlightLimit,
     /// No backend would answer it in time.
-    Backends,
+    NoBackend,
     /// It was sent on, and no attempt has served it or can.
-    Attempts,
+    AttemptsFailed,
 }
 
-impl Reason {
+impl RejectReason {
     /// All, in their order.
-    pub const ALL: [Reason; 9] = [
-        Reason::Unknown,
-        Reason::Box,
-        Reason::SoldOut,
-        Reason::Share,
-        Reason::Slice,
-        Reason::Ceiling,
-        Reason::Open,
-        Reason::Backends,
-        Reason::Attempts,
+    pub const ALL: [RejectReason; 9] = [
+        RejectReason::Unknown,
+        RejectReason::PenaltyBox,
+        RejectReason::QuotaExhausted,
+        RejectReason::Backpressure,
+        RejectReason::Slice,
+        RejectReason::RateLimit,
+        RejectReason::InFlightLimit,
+        RejectReason::NoBackend,
+        RejectReason::AttemptsFailed,
     ];
 
     /// Its name in tables and results.
     pub fn name(self) -> &'static str {
         match self {
-            Reason::Unknown => "unknown",
-            Reason::Box => "box",
-            Reason::SoldOut => "sold-out",
-            Reason::Share => "share",
-            Reason::Slice => "slice",
-            Reason::Ceiling => "ceiling",
-            Reason::Open => "open",
-            Reason::Backends => "backends",
-            Reason::Attempts => "attempts",
+            RejectReason::Unknown => "unknown",
+            RejectReason::PenaltyBox => "box",
+            RejectReason::QuotaExhausted => "sold-out",
+            RejectReason::Backpressure => "share",
+            RejectReason::Slice => "slice",
+            RejectReason::RateLimit => "ceiling",
+            RejectReason::InFlightLimit => "open",
+            RejectReason::NoBackend => "backends",
+            RejectReason::AttemptsFailed => "attempts",
         }
     }
 }
@@ -441,43 +441,43 @@
 /// Something the front door is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; `limit` is its time-out, `None` until the client gives up.
+    /// Start an attempt; `timeout` is its time-out, `None` until the client gives up.
     Send {
         /// Which request.
         request: RequestId,
         /// To which backend.
         backend: BackendId,
         /// Its time-out.
-        limit: Option<Millis>,
+        timeout: Option<Millis>,
         /// What is done lest a broken connection takes the request along.
-        care: Care,
+        mode: SendMode,
     },
-    /// Have the caller of a request checked, and tell by [`Event::Checked`]. Nothing is sent on until then.
-    Check(RequestId),
+    /// Have the caller of a request checked, and tell by [`Event::Authorized`]. Nothing is sent on until then.
+    Authorize(RequestId),
     /// Final answer: turned away, trying again is harmless.
-    Refuse {
+    Reject {
         /// Which request.
         request: RequestId,
         /// Why.
-        reason: Reason,
+        reason: RejectReason,
         /// When to come back, if advised.
         retry_after: Option<Millis>,
     },
     /// Final answer: failed, nothing promised.
     Fail(RequestId),
     /// Stop waiting for an attempt.
-    CallOff {
+    CancelAttempt {
         /// Which request.
         request: RequestId,
         /// Which attempt.
         attempt: u32,
     },
-    /// Ask for an [`Event::Alarm`] at a time.
-    SetAlarm {
+    /// Ask for an [`Event::Timer`] at a time.
+    SetTimer {
         /// When.
         at: Millis,
         /// Its name.
-        alarm: AlarmId,
+        timer: TimerId,
     },
     /// Check a backend.
     Probe(BackendId),
@@ -486,7 +486,7 @@
     /// Ask for changes of the list of backends from now on.
     Subscribe,
     /// Ask for the whole list once.
-    FetchList,
+    FetchBackends,
     /// A line for the operators.
     Log(String),
 }
@@ -494,11 +494,11 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: 1000.0,
+            latency_target: 1000.0,
             deadline: 2000.0,
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: Effect::Unsafe,
+            value: 1.0,
+            late_value: 0.0,
+            idempotency: Idempotency::NonIdempotent,
             streaming: false,
             max_attempts: u32::MAX,
         }
@@ -510,11 +510,11 @@
         Plan {
             rate: 0.0,
             burst: 0.0,
-            max_open: 0,
+            max_in_flight: 0,
             price: 1.0,
-            over_worth: 0.0,
-            over_cost: 0.0,
-            ceiling: None,
+            over_quota_value: 0.0,
+            over_quota_cost: 0.0,
+            rate_limit: None,
         }
     }
 }
@@ -533,19 +533,19 @@
             discovery: Discovery::Pushed,
             reports: Reports::Off,
             max_attempts: 1,
-            retry_share: 0.2,
-            retry_start: 10.0,
-            retry_depth: 10.0,
+            retry_ratio: 0.2,
+            initial_retries: 10.0,
+            max_saved_retries: 10.0,
             retry_window: 0.0,
-            second_copies: false,
-            cancel: false,
+            hedging: false,
+            cancellation: false,
             probes: false,
             retry_after: false,
             max_retry_after: 0.0,
             cross_zone_price: 0.0,
-            answer_slack: 0.0,
+            response_grace: 0.0,
             drain_grace: 0.0,
-            ask_within: 10_000.0,
+            max_unrequested_list_age: 10_000.0,
             start_capacity: 0.1,
             warm_up: 30_000.0,
             overload_factor: 2.0,
@@ -556,9 +556,9 @@
 
 /// What a gateway holds, and what its choices took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct GatewayStats {
     /// Customers of which it holds an entry.
     pub customers: usize,
     /// Backends that its choices have looked at one by one so far.
-    pub looked_at: u64,
+    pub backends_examined: u64,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -8,7 +8,7 @@
 //! use maplefall_policy::*;
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { aim: 500.0, deadline: 2000.0, ..Class::default() }],
+//!     classes: vec![Class { latency_target: 500.0, deadline: 2000.0, ..Class::default() }],
 //!     plans: vec![Plan { rate: 10.0, burst: 20.0, ..Plan::default() }],
 //!     ..Settings::default()
 //! };
@@ -30,14 +30,14 @@
 //!     class: ClassId(0),
 //!     units: 1.0,
 //!     deadline: 2000.0,
-//!     checked: true,
-//!     spread: 1.0,
+//!     authorized: true,
+//!     gateways: 1.0,
 //! };
 //! gateway.handle(5.0, Event::Arrival(request), &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
 //!         Action::Send { request, backend, .. } => assert_eq!((request.0, backend.0), (1, 1)),
-//!         Action::SetAlarm { at, .. } => assert!(at <= 2000.0),
+//!         Action::SetTimer { at, .. } => assert!(at <= 2000.0),
 //!         other => panic!("a quiet gateway would not do {other:?}"),
 //!     }
 //! }
@@ -52,4 +52,4 @@
 
 pub use gateway::{Cewma, Gateway};
 pub use interface::*;
-pub use tenants::{Quota, Tenants, Turned};
+pub use tenants::{Quota, QuotaRejection, Tenants};
--- a/crates/policy/src/lookup.rs
+++ b/crates/policy/src/lookup.rs
@@ -2,7 +2,8 @@
 //! into those of the estimators.
 
 use crate::interface::{
-    AlarmId, Class, Elsewhere, Millis, Outcome, Plan, PlanId, Request, RequestId, Settings, Settled,
+    AttemptEnded, Class, Millis, Outcome, Plan, PlanId, RemoteUsage, Request, RequestId, Settings,
+    TimerId,
 };
 use maplefall_load_estimators::{
     clamp_or, AttemptEnd, AttemptResult, RetryLimits, SlowStart, UsageReport,
@@ -38,7 +39,7 @@
 
     /// The shortest latency target of all classes.
     pub(crate) fn shortest_target(&self) -> Millis {
-        let targets = self.classes.iter().map(|class| class.aim);
+        let targets = self.classes.iter().map(|class| class.latency_target);
         let shortest = targets.fold(f64::INFINITY, f64::min);
         if shortest.is_finite() {
             shortest.max(MIN_TARGET_MS)
@@ -56,8 +57,8 @@
     /// What this gateway may use of the fleet's retry budget.
     pub(crate) fn retry_limits(&self) -> RetryLimits {
         RetryLimits {
-            share: self.retry_share,
-            depth: self.retry_depth,
+            share: self.retry_ratio,
+            depth: self.max_saved_retries,
             window: self.retry_window,
         }
     }
@@ -77,7 +78,7 @@
         let gateways = f64::from(self.gateways.max(1));
         let deadline = now + class.deadline;
         request.units = clamp_or(request.units, 0.0, self.max_units.max(1.0), 1.0);
-        request.spread = clamp_or(request.spread, 1.0, gateways, 1.0).round();
+        request.gateways = clamp_or(request.gateways, 1.0, gateways, 1.0).round();
         request.deadline = clamp_or(request.deadline, now, deadline, deadline);
         Some(request)
     }
@@ -90,32 +91,32 @@
     }
 }
 
-impl From<&Elsewhere> for UsageReport {
-    fn from(report: &Elsewhere) -> Self {
+impl From<&RemoteUsage> for UsageReport {
+    fn from(report: &RemoteUsage) -> Self {
         UsageReport {
             units: report.units,
             as_of: report.as_of,
             error: report.error,
-            coverage: report.heard,
+            coverage: report.reporting_fraction,
         }
     }
 }
 
-/// The alarm that is named after a request.
-impl From<RequestId> for AlarmId {
+/// The timer that is named after a request.
+impl From<RequestId> for TimerId {
     fn from(RequestId(id): RequestId) -> Self {
-        AlarmId(u64::from(id))
+        TimerId(u64::from(id))
     }
 }
 
-impl AlarmId {
+impl TimerId {
     /// The request that it is named after, if any.
     pub(crate) fn request(self) -> Option<RequestId> {
         u32::try_from(self.0).ok().map(RequestId)
     }
 }
 
-impl Settled {
+impl AttemptEnded {
     /// What the end of an attempt of `request` says about its backend.
     pub(crate) fn attempt_end(&self, request: &Request) -> AttemptEnd {
         AttemptEnd {
@@ -128,7 +129,7 @@
     fn attempt_result(&self, plan: PlanId) -> AttemptResult {
         match self.outcome {
             Outcome::Ok => AttemptResult::Served,
-            Outcome::ConnectFailed | Outcome::Reset if self.broken > 0 => {
+            Outcome::ConnectFailed | Outcome::Reset if self.broken_connections > 0 => {
                 AttemptResult::ConnectionBroken
             }
             Outcome::ConnectFailed => AttemptResult::ConnectionRefused,
--- a/crates/policy/src/lookup/tests.rs
+++ b/crates/policy/src/lookup/tests.rs
@@ -2,8 +2,8 @@
 use crate::interface::{BackendId, ClassId, CustomerId, PlanId, Report};
 
 fn settings() -> Settings {
-    let class = |aim, deadline| Class {
-        aim,
+    let class = |latency_target, deadline| Class {
+        latency_target,
         deadline,
         max_attempts: 2,
         ..Class::default()
@@ -26,8 +26,8 @@
         class: ClassId(0),
         units: 2.0,
         deadline: 600.0,
-        checked: true,
-        spread: 3.0,
+        authorized: true,
+        gateways: 3.0,
     }
 }
 
@@ -53,13 +53,13 @@
 fn figures_out_of_range_are_clamped() {
     let wild = Request {
         units: 99.0,
-        spread: f64::NAN,
+        gateways: f64::NAN,
         deadline: f64::INFINITY,
         ..request()
     };
     let request = settings().validated(100.0, wild).expect("it is known");
     assert_eq!(request.units, 8.0);
-    assert_eq!(request.spread, 1.0);
+    assert_eq!(request.gateways, 1.0);
     assert_eq!(request.deadline, 1000.0);
 }
 
@@ -79,31 +79,31 @@
 
 #[test]
 fn an_alarm_names_its_request() {
-    let alarm = AlarmId::from(RequestId(7));
-    assert_eq!(alarm.request(), Some(RequestId(7)));
-    assert_eq!(AlarmId(u64::MAX).request(), None);
+    let timer = TimerId::from(RequestId(7));
+    assert_eq!(timer.request(), Some(RequestId(7)));
+    assert_eq!(TimerId(u64::MAX).request(), None);
 }
 
 #[test]
 fn a_reset_breaks_a_connection_only_if_one_was_established() {
-    let settled = Settled {
+    let ended = AttemptEnded {
         request: RequestId(7),
         attempt: 0,
         backend: BackendId(1),
         outcome: Outcome::Reset,
         elapsed: -5.0,
-        closed: false,
-        use_of_quota: None,
+        request_closed: false,
+        metered_usage: None,
         true_units: None,
         report: Report::default(),
-        broken: 1,
+        broken_connections: 1,
     };
-    let end = settled.attempt_end(&request());
+    let end = ended.attempt_end(&request());
     assert_eq!(end.result, AttemptResult::ConnectionBroken);
     assert_eq!(end.elapsed, 0.0, "no time is negative");
-    let other = Settled {
-        broken: 0,
-        ..settled
+    let other = AttemptEnded {
+        broken_connections: 0,
+        ..ended
     };
     let end = other.attempt_end(&request());
     assert_eq!(end.result, AttemptResult::ConnectionReset);
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -12,7 +12,7 @@
     /// When it could be forwarded first: at its arrival, or after the check of its caller.
     pub(crate) ready_at: Millis,
     /// Whether its caller has yet to be checked.
-    pub(crate) awaits_check: bool,
+    pub(crate) awaits_auth: bool,
     /// How many attempts were sent.
     pub(crate) attempts: u32,
     /// Where an attempt is in flight.
@@ -39,7 +39,7 @@
             request,
             arrived_at: now,
             ready_at: now,
-            awaits_check: !request.checked,
+            awaits_auth: !request.authorized,
             attempts: 0,
             in_flight_to: None,
             first_exposure: None,
--- a/crates/policy/src/pending/tests.rs
+++ b/crates/policy/src/pending/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::interface::{ClassId, CustomerId, PlanId};
 
-fn pending(id: u32, checked: bool) -> Pending {
+fn pending(id: u32, authorized: bool) -> Pending {
     let request = Request {
         id: RequestId(id),
         customer: CustomerId(1),
@@ -9,8 +9,8 @@
         class: ClassId(0),
         units: 1.0,
         deadline: 100.0,
-        checked,
-        spread: 1.0,
+        authorized,
+        gateways: 1.0,
     };
     Pending::new(5.0, request)
 }
@@ -34,10 +34,10 @@
     let mut requests = PendingRequests::default();
     requests.insert(pending(1, true));
     requests.insert(pending(2, false));
-    let awaits_check = |pending: &mut Pending| pending.awaits_check;
-    assert!(requests.remove_if(RequestId(1), awaits_check).is_none());
-    assert!(requests.remove_if(RequestId(2), awaits_check).is_some());
-    assert!(requests.remove_if(RequestId(2), awaits_check).is_none());
+    let awaits_auth = |pending: &mut Pending| pending.awaits_auth;
+    assert!(requests.remove_if(RequestId(1), awaits_auth).is_none());
+    assert!(requests.remove_if(RequestId(2), awaits_auth).is_some());
+    assert!(requests.remove_if(RequestId(2), awaits_auth).is_none());
     assert!(requests.get(RequestId(1)).is_some());
     assert!(requests.get(RequestId(2)).is_none());
 }
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -8,7 +8,6 @@
 
 /// Half-life of the recent average, in burst lengths (design: at least one).
 const AVERAGE_HALFLIFE_BURSTS: f64 = 4.0;
-/// Bounds of that half-life.
 const MIN_AVERAGE_HALFLIFE_MS: Millis = 1000.0;
 const MAX_AVERAGE_HALFLIFE_MS: Millis = EVICT_AFTER_MS / 4.0;
 /// Decay of the demand that is reported to lessors, with a half-life of 1.5 s.
@@ -28,22 +27,22 @@
     /// Units that all buckets may hold together.
     pub depth: f64,
     /// This proxy's share of the quota, from 0 to 1.
-    pub part: f64,
+    pub share: f64,
     /// Longest wait for tokens that are sure to come.
-    pub wait: Millis,
+    pub max_wait: Millis,
 }
 
 /// Why a tenant's request is rejected, and how long that lasts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turned {
+pub enum QuotaRejection {
     /// The penalty box is closed.
-    Box(Millis),
+    PenaltyBox(Millis),
     /// This proxy's bucket is empty.
     Bucket(Millis),
 }
 
 /// How long a request waits for its tokens, or why it is rejected.
-type Decision = Result<Millis, Turned>;
+type Decision = Result<Millis, QuotaRejection>;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Tenant {
@@ -89,10 +88,10 @@
             ..Tenant::default()
         };
         let tenant = self.tenants.entry(who.clone()).or_insert(fresh);
-        let refill_rate = quota.rate * quota.part / 1000.0;
+        let refill_rate = quota.rate * quota.share / 1000.0;
         tenant
             .bucket
-            .refill(now, refill_rate, quota.depth * quota.part);
+            .refill(now, refill_rate, quota.depth * quota.share);
         tenant
     }
 
@@ -108,7 +107,7 @@
         tenant.last_arrival = now;
         let recent = tenant.average.rate(now, lambda);
         match box_closed_for(recent, quota.rate, quota.burst, lambda) {
-            Some(wait) if quota.rate > 0.0 => Err(Turned::Box(wait)),
+            Some(wait) if quota.rate > 0.0 => Err(QuotaRejection::PenaltyBox(wait)),
             _ => tenant.take(now, units, quota),
         }
     }
@@ -142,9 +141,9 @@
         }
         let wait = self.bucket.wait(units);
         let is_within = self.demand.rate(now, DEMAND_LAMBDA) <= 1000.0 * self.bucket.refill_rate();
-        let longest = if is_within { quota.wait } else { 0.0 };
-        if wait > longest {
-            return Err(Turned::Bucket(wait));
+        let max_wait = if is_within { quota.max_wait } else { 0.0 };
+        if wait > max_wait {
+            return Err(QuotaRejection::Bucket(wait));
         }
         self.bucket.take(units);
         Ok(wait)
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -84,7 +84,7 @@
         }
         let now = f64::from(seconds) * 1000.0 + 1500.0;
         stage.serve(now, request(1_000_000, 0, now));
-        reason(&stage) == Some(Reason::Box)
+        reason(&stage) == Some(RejectReason::PenaltyBox)
     };
     assert!(!boxed(6) && boxed(32));
 }
@@ -102,17 +102,17 @@
         let served = (0..150).filter(|i| {
             let now = f64::from(from + i) * 100.0;
             let request = Request {
-                spread: 4.0,
+                gateways: 4.0,
                 ..request(*i, 0, now)
             };
             let Some(at) = stage.arrive(now, request) else {
                 return false;
             };
-            let end = Settled {
-                use_of_quota: Some(0.5),
-                ..settled(*i, 0, at, Outcome::Ok)
+            let end = AttemptEnded {
+                metered_usage: Some(0.5),
+                ..attempt_ended(*i, 0, at, Outcome::Ok)
             };
-            stage.play(now + 10.0, Event::Settled(end));
+            stage.play(now + 10.0, Event::AttemptEnded(end));
             true
         });
         served.count()
@@ -135,18 +135,18 @@
             let Some(at) = stage.arrive(
                 now,
                 Request {
-                    spread: 2.0,
+                    gateways: 2.0,
                     ..request(i, 0, now)
                 },
             ) else {
                 continue;
             };
             served += u32::from(i >= 240); // the slice has had time to rise
-            let end = Settled {
-                use_of_quota: Some(used),
-                ..settled(i, 0, at, Outcome::Ok)
+            let end = AttemptEnded {
+                metered_usage: Some(used),
+                ..attempt_ended(i, 0, at, Outcome::Ok)
             };
-            stage.play(now + 10.0, Event::Settled(end));
+            stage.play(now + 10.0, Event::AttemptEnded(end));
         }
         served
     };
@@ -170,11 +170,11 @@
         ..request(1, 0, 0.0)
     };
     let at = stage.arrive(1.0, first).unwrap();
-    let end = Settled {
+    let end = AttemptEnded {
         true_units: Some(19.0),
-        ..settled(1, 0, at, Outcome::Ok)
+        ..attempt_ended(1, 0, at, Outcome::Ok)
     };
-    stage.play(2.0, Event::Settled(end));
+    stage.play(2.0, Event::AttemptEnded(end));
     assert!(stage.serve(3.0, request(2, 0, 3.0)));
     assert!(!stage.serve(4.0, request(3, 0, 4.0)));
 }
@@ -191,7 +191,7 @@
         };
         assert!(stage.serve(now, once));
     }
-    assert!(stage.gateway.figures().customers < 1000);
+    assert!(stage.gateway.stats().customers < 1000);
     // The first customer is back: its slice is full, as it would have been.
     let now = 302_000.0;
     let served = (0..40)
@@ -202,7 +202,7 @@
 
 #[test]
 fn the_share_of_a_ceiling_starts_empty_and_holds_through_restarts() {
-    let ceiling = Ceiling {
+    let rate_limit = RateLimit {
         rate: 20.0,
         burst: 40.0,
         slack: 4.0,
@@ -210,7 +210,7 @@
     let plan = Plan {
         rate: 10.0,
         burst: 2000.0,
-        ceiling: Some(ceiling),
+        rate_limit: Some(rate_limit),
         ..Plan::default()
     };
     let mut sent = 0.0;
@@ -222,7 +222,7 @@
             sent += f64::from(u8::from(stage.serve(
                 now,
                 Request {
-                    spread: 2.0,
+                    gateways: 2.0,
                     ..request(i, 0, now)
                 },
             )));
@@ -238,7 +238,7 @@
 /// Guards a ceiling that fills more slowly than customers are forgotten: one that comes back would else find it full again.
 #[test]
 fn the_share_of_a_ceiling_is_no_fuller_for_a_customer_that_was_evicted() {
-    let ceiling = Ceiling {
+    let rate_limit = RateLimit {
         rate: 0.1,
         burst: 20.0,
         slack: 0.0,
@@ -246,7 +246,7 @@
     let plan = Plan {
         rate: 1000.0,
         burst: 300.0,
-        ceiling: Some(ceiling),
+        rate_limit: Some(rate_limit),
         ..Plan::default()
     };
     let mut stage = Stage::new(settings(plan, 1), vec![ready(1, 0)]);
@@ -268,7 +268,7 @@
     // It uses all of its part, is forgotten while another comes, and comes back when six units have come in since.
     let first = tries(&mut stage, 200_000.0, 60, 1);
     (0..300u32).for_each(|i| _ = tries(&mut stage, 201_000.0 + f64::from(i) * 200.0, 1, 2));
-    assert_eq!(stage.gateway.figures().customers, 1, "forgotten");
+    assert_eq!(stage.gateway.stats().customers, 1, "forgotten");
     let again = tries(&mut stage, 261_000.0, 60, 1);
     assert!(
         first <= 20 && again <= 6 && again > 0,
@@ -279,7 +279,7 @@
 #[test]
 fn open_attempts_keep_to_the_share_of_this_gateway_rounded_up_while_time_is_saved() {
     let plan = Plan {
-        max_open: 3,
+        max_in_flight: 3,
         ..plan()
     };
     let mut stage = Stage::new(
@@ -289,12 +289,12 @@
     assert!(stage.serve(
         1.0,
         Request {
-            spread: 2.0,
+            gateways: 2.0,
             ..request(99, 0, 1.0)
         }
     ));
     let late = |i| Request {
-        spread: 2.0,
+        gateways: 2.0,
         ..request(i, 0, 2000.0)
     };
     let sent = (0..5).filter(|i| stage.arrive(2000.0, late(*i)).is_some());
@@ -310,7 +310,7 @@
         stage.serve(
             spike(*i),
             Request {
-                spread: 2.0,
+                gateways: 2.0,
                 ..request(*i, 0, 0.0)
             },
         )
@@ -325,7 +325,7 @@
     let plan = Plan {
         rate: 120.0,
         burst: 240.0,
-        max_open: 6,
+        max_in_flight: 6,
         ..Plan::default()
     };
     let backends = || (1..=8).map(|id| ready(id, 0)).collect::<Vec<_>>();
@@ -345,16 +345,16 @@
             .partition(|(.., since)| now - since >= 100.0);
         out = rest;
         for (door, id, at, _) in Vec::<(usize, u32, BackendId, f64)>::from_iter(due) {
-            let end = Settled {
+            let end = AttemptEnded {
                 elapsed: 100.0,
-                use_of_quota: Some(0.8),
-                ..settled(id, 0, at, Outcome::Ok)
+                metered_usage: Some(0.8),
+                ..attempt_ended(id, 0, at, Outcome::Ok)
             };
-            stages[door].play(now, Event::Settled(end));
+            stages[door].play(now, Event::AttemptEnded(end));
         }
         let door = (i as usize * 7) % 12;
         let asked = Request {
-            spread: 12.0,
+            gateways: 12.0,
             deadline: now + 3000.0,
             ..request(i, 0, now)
         };
@@ -390,7 +390,7 @@
 }
 
 /// A customer spread over a hundred gateways, whose part of the burst holds no request: a small request first, a large one next.
-fn large_after_small(spread: f64, later: Millis, seed: u64) -> Option<Reason> {
+fn large_after_small(spread: f64, later: Millis, seed: u64) -> Option<RejectReason> {
     let plan = Plan {
         rate: 4.0,
         burst: 20.0,
@@ -400,11 +400,11 @@
     set.max_units = 8.0;
     let mut stage = Stage::seeded(set, seed, vec![ready(1, 0)]);
     let small = Request {
-        spread,
+        gateways: spread,
         ..request(1, 0, 0.0)
     };
     if !stage.serve(0.0, small) {
-        return Some(Reason::Share);
+        return Some(RejectReason::Backpressure);
     }
     let large = Request {
         id: RequestId(2),
@@ -414,7 +414,7 @@
     };
     stage.serve(later, large);
     stage.actions.iter().find_map(|action| match action {
-        Action::Refuse { reason, .. } => Some(*reason),
+        Action::Reject { reason, .. } => Some(*reason),
         _ => None,
     })
 }
@@ -426,19 +426,20 @@
     let reasons: Vec<_> = (0..60)
         .map(|seed| large_after_small(100.0, 20_000.0, seed))
         .collect();
-    assert!(!reasons.contains(&Some(Reason::Slice)), "{reasons:?}");
+    assert!(!reasons.contains(&Some(RejectReason::Slice)), "{reasons:?}");
     let served = reasons.iter().filter(|reason| reason.is_none()).count();
     assert!((5..60).contains(&served), "{served} of 60");
-    let waits = (0..60).all(|seed| large_after_small(4.0, 100.0, seed) == Some(Reason::Slice));
+    let waits =
+        (0..60).all(|seed| large_after_small(4.0, 100.0, seed) == Some(RejectReason::Slice));
     assert!(
         waits,
         "a slice of a quarter of the burst is none that grows"
     );
 }
 
-fn reason(stage: &Stage) -> Option<Reason> {
+fn reason(stage: &Stage) -> Option<RejectReason> {
     stage.actions.iter().find_map(|action| match action {
-        Action::Refuse { reason, .. } => Some(*reason),
+        Action::Reject { reason, .. } => Some(*reason),
         _ => None,
     })
 }
@@ -455,48 +456,51 @@
             ..request(0, 0, 0.0)
         }),
     );
-    assert_eq!(reason(&stage), Some(Reason::Unknown));
+    assert_eq!(reason(&stage), Some(RejectReason::Unknown));
     for id in 1..30 {
         stage.serve(1.0, request(id, 0, 1.0));
     }
-    assert_eq!(reason(&stage), Some(Reason::Slice));
+    assert_eq!(reason(&stage), Some(RejectReason::Slice));
     for id in 30..4000 {
         stage.serve(1.0, request(id, 0, 1.0));
     }
-    assert_eq!(reason(&stage), Some(Reason::Box));
-    let told = Elsewhere {
+    assert_eq!(reason(&stage), Some(RejectReason::PenaltyBox));
+    let told = RemoteUsage {
         customer: CustomerId(1),
         plan: PlanId(0),
         units: 20.0,
         as_of: 0.0,
         error: 0.0,
-        heard: 1.0,
+        reporting_fraction: 1.0,
     };
     let mut stage = one(plan());
-    stage.play(0.0, Event::Elsewhere(told));
+    stage.play(0.0, Event::RemoteUsage(told));
     stage.play(0.0, Event::Arrival(request(1, 0, 0.0)));
-    assert_eq!(reason(&stage), Some(Reason::SoldOut));
-    let ceiling = Some(Ceiling {
+    assert_eq!(reason(&stage), Some(RejectReason::QuotaExhausted));
+    let rate_limit = Some(RateLimit {
         rate: 1.0,
         burst: 3.0,
         slack: 0.0,
     });
-    let mut stage = one(Plan { ceiling, ..plan() });
+    let mut stage = one(Plan {
+        rate_limit,
+        ..plan()
+    });
     for id in 0..4 {
         stage.serve(0.0, request(id, 0, 0.0));
     }
-    assert_eq!(reason(&stage), Some(Reason::Ceiling));
+    assert_eq!(reason(&stage), Some(RejectReason::RateLimit));
     let mut stage = one(Plan {
-        max_open: 1,
+        max_in_flight: 1,
         ..plan()
     });
     for id in 0..2 {
         stage.arrive(0.0, request(id, 0, 0.0));
     }
-    assert_eq!(reason(&stage), Some(Reason::Open));
+    assert_eq!(reason(&stage), Some(RejectReason::InFlightLimit));
     let mut stage = Stage::new(settings(plan(), 1), vec![]);
     stage.play(0.0, Event::Arrival(request(1, 0, 0.0)));
-    assert_eq!(reason(&stage), Some(Reason::Backends));
+    assert_eq!(reason(&stage), Some(RejectReason::NoBackend));
     let mut stage = one(plan());
     let at = stage.arrive(0.0, request(1, 0, 0.0)).expect("sent");
     stage.settle(10.0, 1, 0, at, Outcome::ConnectFailed);
@@ -504,10 +508,12 @@
         let Some(again) = stage.sent() else { break };
         stage.settle(10.0, 1, attempt, again, Outcome::ConnectFailed);
     }
-    assert_eq!(reason(&stage), Some(Reason::Attempts));
-    let names: std::collections::BTreeSet<_> =
-        Reason::ALL.iter().map(|reason| reason.name()).collect();
-    assert_eq!(names.len(), Reason::ALL.len());
+    assert_eq!(reason(&stage), Some(RejectReason::AttemptsFailed));
+    let names: std::collections::BTreeSet<_> = RejectReason::ALL
+        .iter()
+        .map(|reason| reason.name())
+        .collect();
+    assert_eq!(names.len(), RejectReason::ALL.len());
 }
 
 /// Alone, a gateway tells when its slice will hold the request; one of several asks the client back while another one's may, and
@@ -523,15 +529,15 @@
         };
         let mut stage = Stage::new(set, vec![ready(1, 0)]);
         let ask = |id: u32| Request {
-            spread,
+            gateways: spread,
             units: 8.0,
             ..request(id, 0, 1.0)
         };
         (0..9).find_map(|id| {
             stage.serve(1.0, ask(id));
             stage.actions.iter().find_map(|action| match action {
-                Action::Refuse {
-                    reason: Reason::Slice,
+                Action::Reject {
+                    reason: RejectReason::Slice,
                     retry_after,
                     ..
                 } => *retry_after,
@@ -569,7 +575,7 @@
                 stage.serve(
                     f64::from(*i) * 100.0,
                     Request {
-                        spread: 4.0,
+                        gateways: 4.0,
                         ..request(*i, 0, f64::from(*i) * 100.0)
                     },
                 )
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -16,7 +16,7 @@
 fn answer(actions: &[Action]) -> &'static str {
     let mut words = actions.iter().filter_map(|a| match a {
         Action::Send { .. } => Some("send"),
-        Action::Refuse { .. } => Some("refuse"),
+        Action::Reject { .. } => Some("refuse"),
         Action::Fail(_) => Some("fail"),
         _ => None,
     });
@@ -54,29 +54,29 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_group_and_its_time() {
-    for group in [Group::All, Group::Zone, Group::Cell] {
+    for group in [DedupScope::All, DedupScope::Zone, DedupScope::Cell] {
         for late in [false, true] {
             let mut set = settings(open_plan(), 1);
-            set.classes[1].effect = Effect::Keyed {
-                group,
-                memory: 500.0,
+            set.classes[1].idempotency = Idempotency::Keyed {
+                scope: group,
+                window: 500.0,
             };
             // One backend in each zone and cell, so the group of the first attempt has no other member.
             let mut stage = Stage::new(set, vec![ready(1, 0), ready(2, 1)]);
             let at = stage.arrive(1.0, request(1, 1, 1.0)).unwrap();
             let now = if late { 601.0 } else { 101.0 };
-            let end = Settled {
+            let end = AttemptEnded {
                 elapsed: now - 1.0,
-                ..settled(1, 0, at, Outcome::Error)
+                ..attempt_ended(1, 0, at, Outcome::Error)
             };
-            stage.play(now, Event::Settled(end));
+            stage.play(now, Event::AttemptEnded(end));
             match (late, group) {
                 (true, _) => assert_eq!(
                     answer(&stage.actions),
                     "fail",
                     "{group:?}: its key is forgotten"
                 ),
-                (false, Group::All) => assert_eq!(answer(&stage.actions), "send"),
+                (false, DedupScope::All) => assert_eq!(answer(&stage.actions), "send"),
                 (false, _) => assert_eq!(stage.sent(), Some(at), "{group:?}"),
             }
         }
@@ -86,25 +86,25 @@
 #[test]
 fn the_memory_counts_from_the_first_attempt_that_may_have_run() {
     let mut set = settings(open_plan(), 1);
-    set.classes[1].effect = Effect::Keyed {
-        group: Group::All,
-        memory: 500.0,
+    set.classes[1].idempotency = Idempotency::Keyed {
+        scope: DedupScope::All,
+        window: 500.0,
     };
     let mut stage = Stage::new(set, (1..=4).map(|id| ready(id, 0)).collect());
     let first = stage.arrive(1.0, request(1, 1, 1.0)).unwrap();
     stage.play(
         301.0,
-        Event::Settled(Settled {
+        Event::AttemptEnded(AttemptEnded {
             elapsed: 300.0,
-            ..settled(1, 0, first, Outcome::Error)
+            ..attempt_ended(1, 0, first, Outcome::Error)
         }),
     );
     let second = stage.sent().unwrap();
     stage.play(
         551.0,
-        Event::Settled(Settled {
+        Event::AttemptEnded(AttemptEnded {
             elapsed: 250.0,
-            ..settled(1, 1, second, Outcome::Error)
+            ..attempt_ended(1, 1, second, Outcome::Error)
         }),
     );
     assert_eq!(answer(&stage.actions), "fail");
@@ -115,7 +115,7 @@
     for class in 0..3 {
         let mut stage = Stage::new(
             Settings {
-                cancel: true,
+                cancellation: true,
                 ..settings(open_plan(), 1)
             },
             vec![ready(1, 0)],
@@ -125,15 +125,15 @@
             ..request(1, class, 1.0)
         };
         let at = stage.arrive(1.0, asked).unwrap();
-        let alarm = stage.actions.iter().find_map(|a| match a {
-            Action::SetAlarm { at, alarm } => Some((*at, *alarm)),
+        let timer = stage.actions.iter().find_map(|a| match a {
+            Action::SetTimer { at, timer } => Some((*at, *timer)),
             _ => None,
         });
-        let (when, alarm) = alarm.unwrap();
+        let (when, timer) = timer.unwrap();
         assert!(when < 400.0);
         let word = if class == 0 { "refuse" } else { "fail" };
-        assert_eq!(answer(stage.play(when, Event::Alarm(alarm))), word);
-        assert!(stage.actions.contains(&Action::CallOff {
+        assert_eq!(answer(stage.play(when, Event::Timer(timer))), word);
+        assert!(stage.actions.contains(&Action::CancelAttempt {
             request: RequestId(1),
             attempt: 0
         }));
@@ -143,11 +143,11 @@
             "nothing"
         );
         assert_eq!(
-            answer(stage.play(when + 2.0, Event::Alarm(alarm))),
+            answer(stage.play(when + 2.0, Event::Timer(timer))),
             "nothing"
         );
         assert_eq!(
-            answer(stage.play(when + 3.0, Event::ClientGone(RequestId(1)))),
+            answer(stage.play(when + 3.0, Event::ClientDisconnected(RequestId(1)))),
             "nothing"
         );
     }
@@ -169,7 +169,7 @@
 
 #[test]
 fn nothing_goes_to_a_backend_that_drains_or_is_gone() {
-    for availability in [Availability::Draining, Availability::Gone] {
+    for availability in [Availability::Draining, Availability::Removed] {
         let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0), ready(2, 0)]);
         let leaving = BackendEntry {
             availability,
@@ -292,7 +292,7 @@
             let now = f64::from(i) * 1000.0 + f64::from(seed) * 10.0;
             if i == 20 {
                 let gone = |id: &u32| BackendEntry {
-                    availability: Availability::Gone,
+                    availability: Availability::Removed,
                     ..ready(*id, 0)
                 };
                 let cold = |id: &u32| BackendEntry {
@@ -476,12 +476,12 @@
             Outcome::Ok
         };
         let elapsed = if outcome == Outcome::Ok { 15.0 } else { 1.0 };
-        let end = Settled {
+        let end = AttemptEnded {
             elapsed,
-            closed: outcome == Outcome::Ok,
-            ..settled(i, 0, at, outcome)
+            request_closed: outcome == Outcome::Ok,
+            ..attempt_ended(i, 0, at, outcome)
         };
-        stage.play(now + elapsed, Event::Settled(end));
+        stage.play(now + elapsed, Event::AttemptEnded(end));
     }
     assert!(
         to_bad[0] < 20,
@@ -512,9 +512,9 @@
         } else {
             stage.play(
                 now + 8.0,
-                Event::Settled(Settled {
+                Event::AttemptEnded(AttemptEnded {
                     elapsed: 8.0,
-                    ..settled(i, 0, at, Outcome::Ok)
+                    ..attempt_ended(i, 0, at, Outcome::Ok)
                 }),
             );
         }
@@ -542,25 +542,25 @@
 fn what_is_unknown_or_not_a_number_does_no_harm() {
     let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0)]);
     stage.settle(1.0, 77, 0, BackendId(9), Outcome::Ok);
-    stage.play(2.0, Event::Alarm(AlarmId(12345)));
-    stage.play(2.0, Event::ClientGone(RequestId(5)));
+    stage.play(2.0, Event::Timer(TimerId(12345)));
+    stage.play(2.0, Event::ClientDisconnected(RequestId(5)));
     stage.play(2.0, Event::StreamStarted(RequestId(5)));
     for (i, odd) in [f64::NAN, f64::INFINITY, -1.0, 0.0].into_iter().enumerate() {
         let id = i as u32;
         let asked = Request {
             units: odd,
-            spread: odd,
+            gateways: odd,
             deadline: 3000.0 + odd,
             ..request(id, 0, 3.0)
         };
         if let Some(at) = stage.arrive(3.0, asked) {
-            let end = Settled {
+            let end = AttemptEnded {
                 elapsed: odd,
-                use_of_quota: Some(odd),
+                metered_usage: Some(odd),
                 true_units: Some(odd),
-                ..settled(id, 0, at, Outcome::Ok)
+                ..attempt_ended(id, 0, at, Outcome::Ok)
             };
-            stage.play(4.0, Event::Settled(end));
+            stage.play(4.0, Event::AttemptEnded(end));
         }
     }
     let unknown = Request {
@@ -581,12 +581,12 @@
     let mut stage = Stage::new(set, vec![ready(1, 0)]);
     assert!(stage.actions.contains(&Action::Subscribe));
     stage.play(10.0, Event::Backends(ListKind::Failed, vec![]));
-    let Some(Action::SetAlarm { at, alarm }) = stage.actions.first().cloned() else {
+    let Some(Action::SetTimer { at, timer }) = stage.actions.first().cloned() else {
         panic!("no new try")
     };
     assert!(at < 10.0 + 10_000.0);
     assert!(stage
-        .play(at, Event::Alarm(alarm))
+        .play(at, Event::Timer(timer))
         .contains(&Action::Subscribe));
     assert_eq!(
         stage.arrive(at, request(1, 0, at)),
@@ -615,16 +615,16 @@
     // Nothing is ever answered: the marks at half of the aim alone tell, and less is let in.
     let set = settings(open_plan(), 1);
     let mut stage = Stage::new(set, (0..99).map(|id| ready(id, 0)).collect());
-    let mut alarms: Vec<(f64, AlarmId)> = Vec::new();
+    let mut timers: Vec<(f64, TimerId)> = Vec::new();
     let mut sent = [0; 2];
     for i in 0..250u32 {
         let now = f64::from(i) * 10.0;
-        let (due, rest) = std::mem::take(&mut alarms)
+        let (due, rest) = std::mem::take(&mut timers)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        alarms = rest;
-        for (at, alarm) in Vec::<(f64, AlarmId)>::from_iter(due) {
-            stage.play(at, Event::Alarm(alarm));
+        timers = rest;
+        for (at, timer) in Vec::<(f64, TimerId)>::from_iter(due) {
+            stage.play(at, Event::Timer(timer));
         }
         let asked = Request {
             customer: CustomerId(u64::from(i)),
@@ -632,8 +632,8 @@
         };
         stage.play(now, Event::Arrival(asked));
         sent[usize::from(i >= 200)] += u32::from(stage.sent().is_some());
-        alarms.extend(stage.actions.iter().filter_map(|a| match a {
-            Action::SetAlarm { at, alarm } => Some((*at, *alarm)),
+        timers.extend(stage.actions.iter().filter_map(|a| match a {
+            Action::SetTimer { at, timer } => Some((*at, *timer)),
             _ => None,
         }));
     }
@@ -657,9 +657,9 @@
             for (_, id, at) in done {
                 stage.play(
                     now,
-                    Event::Settled(Settled {
+                    Event::AttemptEnded(AttemptEnded {
                         elapsed: time,
-                        ..settled(id, 0, at, Outcome::Ok)
+                        ..attempt_ended(id, 0, at, Outcome::Ok)
                     }),
                 );
             }
@@ -692,9 +692,9 @@
             .expect("a patient client is served");
         stage.play(
             now + 200.0,
-            Event::Settled(Settled {
+            Event::AttemptEnded(AttemptEnded {
                 elapsed: 200.0,
-                ..settled(i, 0, at, Outcome::Ok)
+                ..attempt_ended(i, 0, at, Outcome::Ok)
             }),
         );
     }
@@ -759,26 +759,26 @@
 /// idle connections.
 #[test]
 fn only_repeatable_attempts_get_a_shorter_timeout() {
-    let limit_of = |actions: &[Action]| {
+    let timeout_of = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Send { limit, .. } => *limit,
+            Action::Send { timeout, .. } => *timeout,
             _ => None,
         })
     };
     for (class, shorter) in [(0, true), (1, false), (2, false)] {
         let mut set = settings(open_plan(), 1);
-        set.classes[class].late_worth = 0.5;
+        set.classes[class].late_value = 0.5;
         set.max_attempts = 2;
         let mut stage = Stage::new(set, (1..=4).map(|id| ready(id, 0)).collect());
         let at = stage.arrive(1.0, request(1, class, 1.0)).unwrap();
-        let limit = limit_of(&stage.actions).unwrap();
-        assert_eq!(limit < 1500.0, shorter, "class {class}: {limit}");
+        let timeout = timeout_of(&stage.actions).unwrap();
+        assert_eq!(timeout < 1500.0, shorter, "class {class}: {timeout}");
         if shorter {
             stage.play(
-                1.0 + limit,
-                Event::Settled(Settled {
-                    elapsed: limit,
-                    ..settled(1, 0, at, Outcome::Timeout)
+                1.0 + timeout,
+                Event::AttemptEnded(AttemptEnded {
+                    elapsed: timeout,
+                    ..attempt_ended(1, 0, at, Outcome::Timeout)
                 }),
             );
             assert!(
@@ -786,8 +786,8 @@
                 "{:?}",
                 stage.actions
             );
-            let last = limit_of(&stage.actions).unwrap();
-            assert!(last > 2990.0 - limit, "{last} of {}", 3000.0 - limit);
+            let last = timeout_of(&stage.actions).unwrap();
+            assert!(last > 2990.0 - timeout, "{last} of {}", 3000.0 - timeout);
         }
     }
 }
@@ -804,17 +804,17 @@
     for i in 0..300 {
         let now = f64::from(i) * 20.0;
         let at = stage.arrive(now, request(i, 2, now)).expect("room");
-        let (outcome, broken) = if i % 3 == 0 {
+        let (outcome, broken_connections) = if i % 3 == 0 {
             (Outcome::Reset, 1)
         } else {
             (Outcome::Ok, 0)
         };
-        let end = Settled {
-            broken,
-            ..settled(i, 0, at, outcome)
+        let end = AttemptEnded {
+            broken_connections,
+            ..attempt_ended(i, 0, at, outcome)
         };
         assert!(
-            !aside(stage.play(now + 10.0, Event::Settled(end))),
+            !aside(stage.play(now + 10.0, Event::AttemptEnded(end))),
             "request {i}"
         );
     }
@@ -834,32 +834,37 @@
 #[test]
 fn caution_is_for_unsafe_requests_and_for_times_of_broken_connections() {
     let mut stage = Stage::new(settings(open_plan(), 1), vec![ready(1, 0), ready(2, 0)]);
-    let mut care = |now: Millis, id: u32, class: usize, broken: u32| {
+    let mut mode = |now: Millis, id: u32, class: usize, broken_connections: u32| {
         let at = stage.arrive(now, request(id, class, now)).expect("room");
         let sent = stage.actions.iter().find_map(|a| match a {
-            Action::Send { care, .. } => Some(*care),
+            Action::Send { mode, .. } => Some(*mode),
             _ => None,
         });
         stage.play(
             now + 1.0,
-            Event::Settled(Settled {
-                broken,
-                ..settled(id, 0, at, Outcome::Ok)
+            Event::AttemptEnded(AttemptEnded {
+                broken_connections,
+                ..attempt_ended(id, 0, at, Outcome::Ok)
             }),
         );
         sent
     };
     assert_eq!(
-        [0, 1, 2].map(|class| care(10.0, class as u32 + 1, class, 0)),
-        [Care::Usual, Care::Usual, Care::Once].map(Some)
+        [0, 1, 2].map(|class| mode(10.0, class as u32 + 1, class, 0)),
+        [
+            SendMode::Immediate,
+            SendMode::Immediate,
+            SendMode::WithholdLastByteOnProvenConnection
+        ]
+        .map(Some)
     );
     // One that broke under a good attempt counts too.
-    assert_eq!(care(20.0, 4, 0, 1), Some(Care::Usual));
+    assert_eq!(mode(20.0, 4, 0, 1), Some(SendMode::Immediate));
     assert_eq!(
-        [0, 1].map(|class| care(30.0, class as u32 + 5, class, 0)),
-        [Care::Proof; 2].map(Some)
+        [0, 1].map(|class| mode(30.0, class as u32 + 5, class, 0)),
+        [SendMode::WithholdLastByte; 2].map(Some)
     );
-    assert_eq!(care(60_000.0, 7, 0, 0), Some(Care::Usual));
+    assert_eq!(mode(60_000.0, 7, 0, 0), Some(SendMode::Immediate));
 }
 
 /// Guards against a backend that lets one class hang and answers the others: that class avoids it for a while, the
@@ -873,12 +878,12 @@
     } else {
         BackendId(1)
     };
-    let end = Settled {
+    let end = AttemptEnded {
         elapsed: 2900.0,
-        closed: true,
-        ..settled(1, 0, bad, Outcome::Cancelled)
+        request_closed: true,
+        ..attempt_ended(1, 0, bad, Outcome::Cancelled)
     };
-    stage.play(2900.0, Event::Settled(end));
+    stage.play(2900.0, Event::AttemptEnded(end));
     // Another one is out there, as if sent for want of a choice.
     let draining = BackendEntry {
         availability: Availability::Draining,
--- a/crates/policy/tests/caller_check.rs
+++ b/crates/policy/tests/caller_check.rs
@@ -19,7 +19,7 @@
 
 fn held(id: u32, class: usize, now: Millis) -> Request {
     Request {
-        checked: false,
+        authorized: false,
         ..request(id, class, now)
     }
 }
@@ -27,16 +27,16 @@
 fn checks(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|action| matches!(action, Action::Check(_)))
+        .filter(|action| matches!(action, Action::Authorize(_)))
         .count()
 }
 
-fn checked(stage: &mut Stage, now: Millis, id: u32, passes: bool) -> Option<BackendId> {
+fn authorized(stage: &mut Stage, now: Millis, id: u32, allowed: bool) -> Option<BackendId> {
     stage.play(
         now,
-        Event::Checked {
+        Event::Authorized {
             request: RequestId(id),
-            passes,
+            allowed,
         },
     );
     stage.sent()
@@ -55,10 +55,10 @@
         let mut stage = stage();
         let actions = stage.play(0.0, Event::Arrival(held(1, class, 0.0)));
         assert_eq!((checks(actions), stage.sent()), (1, None));
-        let to = checked(&mut stage, 50.0, 1, true);
+        let to = authorized(&mut stage, 50.0, 1, true);
         assert!(to.is_some());
-        assert_eq!(checked(&mut stage, 51.0, 1, true), None, "told twice");
-        assert_eq!(checked(&mut stage, 52.0, 1, false), None);
+        assert_eq!(authorized(&mut stage, 51.0, 1, true), None, "told twice");
+        assert_eq!(authorized(&mut stage, 52.0, 1, false), None);
         let actions = stage.settle(60.0, 1, 0, to.unwrap(), Outcome::Ok);
         assert!(actions.is_empty(), "{actions:?}");
     }
@@ -73,7 +73,7 @@
         let mut asked = 0;
         asked += checks(stage.play(0.0, Event::Arrival(held(id, 0, 0.0))));
         assert_eq!(asked, 1, "{id}");
-        checked(&mut stage, 0.0, id, false);
+        authorized(&mut stage, 0.0, id, false);
         assert!(stage.actions.is_empty(), "{:?}", stage.actions);
     }
     assert_eq!(served(&mut stage, 0.0, 1000, 40), quota);
@@ -95,25 +95,25 @@
     let mut left = stage();
     for id in 0..5 {
         left.play(0.0, Event::Arrival(held(id, 0, 0.0)));
-        left.play(0.0, Event::ClientGone(RequestId(id)));
-        assert_eq!(checked(&mut left, 0.0, id, true), None);
+        left.play(0.0, Event::ClientDisconnected(RequestId(id)));
+        assert_eq!(authorized(&mut left, 0.0, id, true), None);
     }
     assert_eq!(served(&mut left, 0.0, 1000, 40), quota);
     // The alarm that was asked for comes: it is refused at once, and a late word changes nothing.
     let mut late = stage();
     let actions = late.play(0.0, Event::Arrival(held(1, 2, 0.0))).to_vec();
-    let alarm = actions.iter().find_map(|action| match action {
-        Action::SetAlarm { at, alarm } => Some((*at, *alarm)),
+    let timer = actions.iter().find_map(|action| match action {
+        Action::SetTimer { at, timer } => Some((*at, *timer)),
         _ => None,
     });
-    let (at, alarm) = alarm.expect("an alarm");
+    let (at, timer) = timer.expect("an alarm");
     assert!(at < 3000.0, "before its client gives up: {at}");
-    let actions = late.play(at, Event::Alarm(alarm));
+    let actions = late.play(at, Event::Timer(timer));
     assert!(
-        matches!(actions, [Action::Refuse { .. }]),
+        matches!(actions, [Action::Reject { .. }]),
         "nothing has run: {actions:?}"
     );
-    assert_eq!(checked(&mut late, at + 1.0, 1, true), None);
+    assert_eq!(authorized(&mut late, at + 1.0, 1, true), None);
 }
 
 #[test]
@@ -127,7 +127,7 @@
     let mut now = 0.0;
     for id in 0..300 {
         stage.play(now, Event::Arrival(held(id, 0, now)));
-        let to = checked(&mut stage, now + 900.0, id, true);
+        let to = authorized(&mut stage, now + 900.0, id, true);
         let to = to.unwrap_or_else(|| panic!("request {id} was refused: {:?}", stage.actions));
         stage.settle(now + 910.0, id, 0, to, Outcome::Ok);
         now += 950.0;
@@ -146,23 +146,23 @@
         ..ready(1, 0)
     };
     stage.play(10.0, Event::Backends(ListKind::Changes, vec![drained]));
-    assert_eq!(checked(&mut stage, 20.0, 1, true), Some(BackendId(2)));
+    assert_eq!(authorized(&mut stage, 20.0, 1, true), Some(BackendId(2)));
     // With none left it is refused, and has taken nothing.
     stage.play(30.0, Event::Arrival(held(2, 2, 30.0)));
     let gone = BackendEntry {
-        availability: Availability::Gone,
+        availability: Availability::Removed,
         ..ready(2, 0)
     };
     stage.play(40.0, Event::Backends(ListKind::Changes, vec![gone]));
     stage.play(
         50.0,
-        Event::Checked {
+        Event::Authorized {
             request: RequestId(2),
-            passes: true,
+            allowed: true,
         },
     );
     assert!(
-        matches!(stage.actions[..], [Action::Refuse { .. }]),
+        matches!(stage.actions[..], [Action::Reject { .. }]),
         "{:?}",
         stage.actions
     );
@@ -171,7 +171,7 @@
 #[test]
 fn a_ceiling_is_reserved_during_the_check_and_given_back_by_those_denied() {
     // It begins empty and is full after a second.
-    let ceiling = Some(Ceiling {
+    let rate_limit = Some(RateLimit {
         rate: 5.0,
         burst: 5.0,
         slack: 0.0,
@@ -179,7 +179,7 @@
     let plan = Plan {
         rate: 1000.0,
         burst: 1000.0,
-        ceiling,
+        rate_limit,
         ..Plan::default()
     };
     let mut stage = Stage::new(settings(plan, 1), vec![ready(1, 0), ready(2, 0)]);
@@ -193,7 +193,7 @@
         "no more wait than the ceiling lets through"
     );
     for id in &waiting {
-        checked(&mut stage, now, *id, false);
+        authorized(&mut stage, now, *id, false);
     }
     assert_eq!(served(&mut stage, now, 1000, 20), 5);
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -10,19 +10,23 @@
 
 /// One gateway of `spread` with a plan and a class of each effect: 0 safe, 1 keyed, 2 unsafe.
 pub fn settings(plan: Plan, gateways: u32) -> Settings {
-    let class = |effect| Class {
-        aim: 1000.0,
+    let class = |idempotency| Class {
+        latency_target: 1000.0,
         deadline: 3000.0,
-        effect,
+        idempotency,
         ..Class::default()
     };
-    let keyed = Effect::Keyed {
-        group: Group::Zone,
-        memory: 2000.0,
+    let keyed = Idempotency::Keyed {
+        scope: DedupScope::Zone,
+        window: 2000.0,
     };
     Settings {
         gateways,
-        classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NonIdempotent),
+        ],
         plans: vec![plan],
         max_attempts: 4,
         ..Settings::default()
@@ -50,8 +54,8 @@
         class: ClassId(class),
         units: 1.0,
         deadline: now + 3000.0,
-        checked: true,
-        spread: 1.0,
+        authorized: true,
+        gateways: 1.0,
     }
 }
 
@@ -102,7 +106,10 @@
         at: BackendId,
         outcome: Outcome,
     ) -> &[Action] {
-        self.play(now, Event::Settled(settled(id, attempt, at, outcome)))
+        self.play(
+            now,
+            Event::AttemptEnded(attempt_ended(id, attempt, at, outcome)),
+        )
     }
 
     /// Plays an arrival that is answered 10 ms later if it is sent; tells whether it was.
@@ -116,17 +123,17 @@
 }
 
 /// The end of an attempt after 10 ms; a good one closes the request.
-pub fn settled(id: u32, attempt: u32, at: BackendId, outcome: Outcome) -> Settled {
-    Settled {
+pub fn attempt_ended(id: u32, attempt: u32, at: BackendId, outcome: Outcome) -> AttemptEnded {
+    AttemptEnded {
         request: RequestId(id),
         attempt,
         backend: at,
         outcome,
         elapsed: 10.0,
-        closed: outcome == Outcome::Ok,
-        use_of_quota: None,
+        request_closed: outcome == Outcome::Ok,
+        metered_usage: None,
         true_units: None,
         report: Report::default(),
-        broken: 0,
+        broken_connections: 0,
     }
 }
--- a/crates/policy/tests/fleet_input.rs
+++ b/crates/policy/tests/fleet_input.rs
@@ -8,7 +8,7 @@
     Plan {
         rate: 50.0,
         burst: 100.0,
-        max_open: 4,
+        max_in_flight: 4,
         ..Plan::default()
     }
 }
@@ -21,7 +21,7 @@
         let Some(at) = stage.arrive(
             now,
             Request {
-                spread,
+                gateways: spread,
                 ..request(id, 0, now)
             },
         ) else {
--- a/crates/policy/tests/index_equivalence.rs
+++ b/crates/policy/tests/index_equivalence.rs
@@ -20,7 +20,7 @@
     one: Gateway,
     other: Gateway,
     out: Vec<Out>,
-    alarms: Vec<(Millis, AlarmId)>,
+    timers: Vec<(Millis, TimerId)>,
     sends: u64,
 }
 
@@ -44,7 +44,7 @@
                     });
                     self.sends += 1;
                 }
-                Action::SetAlarm { at, alarm } => self.alarms.push((at, alarm)),
+                Action::SetTimer { at, timer } => self.timers.push((at, timer)),
                 _ => {}
             }
         }
@@ -79,7 +79,7 @@
         one,
         other,
         out: Vec::new(),
-        alarms: Vec::new(),
+        timers: Vec::new(),
         sends: 0,
     };
     let list: Vec<_> = (0..backends).map(|id| ready(id, id % 3)).collect();
@@ -101,10 +101,10 @@
     let mut now = 1.0;
     for id in 0..1200u32 {
         now += f64::from(pick(30));
-        twins.alarms.sort_by(|a, b| a.0.total_cmp(&b.0));
-        while twins.alarms.first().is_some_and(|(at, _)| *at <= now) {
-            let (at, alarm) = twins.alarms.remove(0);
-            twins.play(at.max(1.0), Event::Alarm(alarm));
+        twins.timers.sort_by(|a, b| a.0.total_cmp(&b.0));
+        while twins.timers.first().is_some_and(|(at, _)| *at <= now) {
+            let (at, timer) = twins.timers.remove(0);
+            twins.play(at.max(1.0), Event::Timer(timer));
         }
         match pick(16) {
             0..=6 => {
@@ -117,7 +117,7 @@
                     Event::Arrival(Request {
                         customer,
                         units,
-                        spread,
+                        gateways: spread,
                         ..asked
                     }),
                 );
@@ -139,13 +139,13 @@
                 }
                 let outcome = outcomes[pick(10) as usize];
                 let elapsed = (now - sent).max(pace(backend));
-                let broken = u32::from(pick(9) == 0);
-                let end = settled(request, attempt, backend, outcome);
+                let broken_connections = u32::from(pick(9) == 0);
+                let end = attempt_ended(request, attempt, backend, outcome);
                 twins.play(
                     now,
-                    Event::Settled(Settled {
+                    Event::AttemptEnded(AttemptEnded {
                         elapsed,
-                        broken,
+                        broken_connections,
                         ..end
                     }),
                 );
@@ -160,7 +160,7 @@
             14 => {
                 let draw = |at: u32| match at % 4 {
                     0 => Availability::Draining,
-                    1 => Availability::Gone,
+                    1 => Availability::Removed,
                     _ => Availability::Ready,
                 };
                 let lines: Vec<_> = (0..1 + pick(4))
@@ -203,7 +203,7 @@
 }
 
 /// Backends that are looked at for a request, in steady traffic of one of 300 gateways.
-fn looked_at(backends: u32, walking: bool) -> f64 {
+fn backends_examined(backends: u32, walking: bool) -> f64 {
     const REQUESTS: u32 = 2000;
     let plan = Plan {
         rate: 1000.0,
@@ -232,19 +232,22 @@
         })
         .count();
     assert!(served > REQUESTS as usize / 2, "{served} served");
-    stage.gateway.figures().looked_at as f64 / f64::from(REQUESTS)
+    stage.gateway.stats().backends_examined as f64 / f64::from(REQUESTS)
 }
 
 /// Guards the cost of a request in a large fleet: it goes by the backends that a gateway prefers, not by those that there are.
 #[test]
 fn what_a_request_looks_at_does_not_grow_with_the_list() {
-    let few = looked_at(10, false);
+    let few = backends_examined(10, false);
     for backends in [60, 200, 1000] {
-        let now = looked_at(backends, false);
+        let now = backends_examined(backends, false);
         println!("{backends} backends: {now} looked at for a request, {few} of 10");
         // Of 1,000 backends 54 are preferred, as each should be by some of the 300 gateways.
         let preferred = (16.0 * f64::from(backends) / 300.0).ceil().max(8.0);
         assert!(now <= preferred + 0.1, "{now} of {backends}");
     }
-    assert!(looked_at(1000, true) > 500.0, "the one that walks does");
+    assert!(
+        backends_examined(1000, true) > 500.0,
+        "the one that walks does"
+    );
 }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -26,7 +26,7 @@
     zones: BTreeMap<BackendId, u32>,
     leaving: BTreeMap<BackendId, bool>,
     open: BTreeMap<u32, Open>,
-    alarms: Vec<(f64, AlarmId)>,
+    timers: Vec<(f64, TimerId)>,
 }
 
 impl Door {
@@ -37,9 +37,9 @@
                 Action::Send {
                     request, backend, ..
                 } => self.sent(now, request.0, backend),
-                Action::Refuse { request, .. } => self.answered(now, request.0, true),
+                Action::Reject { request, .. } => self.answered(now, request.0, true),
                 Action::Fail(request) => self.answered(now, request.0, false),
-                Action::SetAlarm { at, alarm } => self.alarms.push((at, alarm)),
+                Action::SetTimer { at, timer } => self.timers.push((at, timer)),
                 _ => {}
             }
         }
@@ -85,13 +85,13 @@
     }
 }
 
-fn run(seed: u64, backends: u32, rate: f64, max_open: u32) {
+fn run(seed: u64, backends: u32, rate: f64, max_in_flight: u32) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut pick = move |n: u32| rng.next_u32() % n;
     let plan = Plan {
         rate,
         burst: 2.0 * rate,
-        max_open,
+        max_in_flight,
         ..Plan::default()
     };
     let list: Vec<_> = (0..backends).map(|id| ready(id, id % 2)).collect();
@@ -103,7 +103,7 @@
         zones,
         leaving,
         open: BTreeMap::new(),
-        alarms: Vec::new(),
+        timers: Vec::new(),
     };
     let outcomes = [
         Outcome::Ok,
@@ -117,12 +117,12 @@
     let mut now = 1.0;
     for id in 0..1500u32 {
         now += f64::from(pick(40));
-        let (due, rest) = std::mem::take(&mut door.alarms)
+        let (due, rest) = std::mem::take(&mut door.timers)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        door.alarms = rest;
-        for (at, alarm) in Vec::<(f64, AlarmId)>::from_iter(due) {
-            door.play(at, Event::Alarm(alarm));
+        door.timers = rest;
+        for (at, timer) in Vec::<(f64, TimerId)>::from_iter(due) {
+            door.play(at, Event::Timer(timer));
         }
         match pick(10) {
             0..=4 => {
@@ -142,7 +142,7 @@
                 let asked = Request {
                     customer,
                     deadline,
-                    spread: 2.0,
+                    gateways: 2.0,
                     ..request(id, class, now)
                 };
                 door.play(now, Event::Arrival(asked));
@@ -165,15 +165,15 @@
                 if !proven {
                     open.ran = open.ran.or(Some((open.sent_at, door.zones[&backend])));
                 }
-                let closed = open.answered || outcome == Outcome::Ok;
-                open.answered = closed;
+                let request_closed = open.answered || outcome == Outcome::Ok;
+                open.answered = request_closed;
                 let elapsed = now - open.sent_at;
-                let end = Settled {
+                let end = AttemptEnded {
                     elapsed,
-                    closed,
-                    ..settled(id, attempt, backend, outcome)
+                    request_closed,
+                    ..attempt_ended(id, attempt, backend, outcome)
                 };
-                door.play(now, Event::Settled(end));
+                door.play(now, Event::AttemptEnded(end));
             }
             _ => {
                 let id = pick(backends);
@@ -192,9 +192,9 @@
             }
         }
     }
-    while !door.alarms.is_empty() {
-        for (at, alarm) in std::mem::take(&mut door.alarms) {
-            door.play(at.max(now), Event::Alarm(alarm));
+    while !door.timers.is_empty() {
+        for (at, timer) in std::mem::take(&mut door.timers) {
+            door.play(at.max(now), Event::Timer(timer));
         }
     }
     let unanswered = door
@@ -218,8 +218,8 @@
         seed in any::<u64>(),
         backends in 1u32..8,
         rate in 1.0f64..200.0,
-        max_open in 0u32..6,
+        max_in_flight in 0u32..6,
     ) {
-        run(seed, backends, rate, max_open);
+        run(seed, backends, rate, max_in_flight);
     }
 }
--- a/crates/policy/tests/usage_reports.rs
+++ b/crates/policy/tests/usage_reports.rs
@@ -28,13 +28,13 @@
 
 fn news(units: f64, as_of: Millis, error: f64) -> Event {
     let (customer, plan) = (CustomerId(1), PlanId(0));
-    Event::Elsewhere(Elsewhere {
+    Event::RemoteUsage(RemoteUsage {
         customer,
         plan,
         units,
         as_of,
         error,
-        heard: 1.0,
+        reporting_fraction: 1.0,
     })
 }
 
@@ -43,7 +43,7 @@
     let play = |id: &u32| {
         let wanted = Request {
             units: 2.0,
-            spread: 50.0,
+            gateways: 50.0,
             ..request(*id, 0, now)
         };
         let Some(at) = stage.arrive(now, wanted) else {
@@ -77,12 +77,12 @@
         1.0,
         Event::Arrival(Request {
             units: 2.0,
-            spread: 50.0,
+            gateways: 50.0,
             ..request(1, 0, 1.0)
         }),
     );
     let refused = stage.actions.iter().find_map(|action| match action {
-        Action::Refuse { retry_after, .. } => Some(*retry_after),
+        Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     });
     assert_eq!(
@@ -107,21 +107,21 @@
 /// Guards two halves that each take themselves for the whole: each fills only its part of the store.
 #[test]
 fn gateways_that_do_not_report_keep_their_share() {
-    let part = |heard| {
+    let part = |reporting_fraction| {
         let mut stage = stage();
         let (customer, plan) = (CustomerId(1), PlanId(0));
-        let told = Elsewhere {
+        let told = RemoteUsage {
             customer,
             plan,
             units: 0.0,
             as_of: 0.0,
             error: 0.0,
-            heard,
+            reporting_fraction,
         };
         let mut sent = 0;
         for step in 0..200u32 {
             let now = f64::from(step) * 100.0;
-            stage.play(now, Event::Elsewhere(Elsewhere { as_of: now, ..told }));
+            stage.play(now, Event::RemoteUsage(RemoteUsage { as_of: now, ..told }));
             sent += burst(&mut stage, now, 10 * step, 1);
         }
         sent as f64
@@ -150,29 +150,29 @@
                 Event::Arrival(Request {
                     customer,
                     units,
-                    spread,
+                    gateways: spread,
                     ..request(id, pick(3) as usize, now)
                 })
             } else {
                 let (id, at) = open.swap_remove(pick(open.len() as u32) as usize);
                 let outcome =
                     [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Full][pick(4) as usize];
-                let use_of_quota = Some(f64::from(pick(30)) / 10.0);
-                Event::Settled(Settled {
-                    use_of_quota,
+                let metered_usage = Some(f64::from(pick(30)) / 10.0);
+                Event::AttemptEnded(AttemptEnded {
+                    metered_usage,
                     true_units: Some(2.0),
-                    ..settled(id, 0, at, outcome)
+                    ..attempt_ended(id, 0, at, outcome)
                 })
             };
-            let old = Elsewhere {
+            let old = RemoteUsage {
                 customer: CustomerId(u64::from(pick(5))),
                 plan: PlanId(0),
                 units: f64::from(pick(40)),
                 as_of: now - 50_000.0,
                 error: 0.0,
-                heard: 1.0,
+                reporting_fraction: 1.0,
             };
-            right.play(now, Event::Elsewhere(old));
+            right.play(now, Event::RemoteUsage(old));
             assert!(right.actions.is_empty());
             left.play(now, event.clone());
             right.play(now, event);
@@ -194,7 +194,7 @@
 /// Guards the ceiling: no news makes it wider.
 #[test]
 fn a_ceiling_holds_whatever_is_reported() {
-    let ceiling = Some(Ceiling {
+    let rate_limit = Some(RateLimit {
         rate: 12.0,
         burst: 10.0,
         slack: 0.0,
@@ -202,7 +202,7 @@
     let plan = Plan {
         rate: 10.0,
         burst: 200.0,
-        ceiling,
+        rate_limit,
         ..Plan::default()
     };
     let set = Settings {
@@ -217,7 +217,7 @@
         for id in 0..5 {
             let wanted = Request {
                 units: 2.0,
-                spread: 2.0,
+                gateways: 2.0,
                 ..request(10 * step + id, 0, now)
             };
             if let Some(at) = stage.arrive(now, wanted) {
@@ -238,18 +238,18 @@
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, 1e300, -1e300] {
         let mut stage = stage();
         let (customer, plan) = (CustomerId(1), PlanId(0));
-        let told = Elsewhere {
+        let told = RemoteUsage {
             customer,
             plan,
             units: bad,
             as_of: bad,
             error: bad,
-            heard: bad,
+            reporting_fraction: bad,
         };
-        stage.play(1.0, Event::Elsewhere(told));
+        stage.play(1.0, Event::RemoteUsage(told));
         stage.play(
             1.0,
-            Event::Elsewhere(Elsewhere {
+            Event::RemoteUsage(RemoteUsage {
                 plan: PlanId(99),
                 ..told
             }),
--- a/crates/proxy/src/core/admission.rs
+++ b/crates/proxy/src/core/admission.rs
@@ -8,7 +8,9 @@
     RETRY_AFTER_LATENCY_TARGETS, RETURN_TIME,
 };
 use maplefall_gateway_config::{Route, RouteMatch, Tenant};
-use maplefall_policy::{ClassId, CustomerId, Event, Millis, PlanId, Request, RequestId, Turned};
+use maplefall_policy::{
+    ClassId, CustomerId, Event, Millis, PlanId, QuotaRejection, Request, RequestId,
+};
 use rand_core::RngCore;
 use std::rc::Rc;
 
@@ -102,8 +104,8 @@
             class,
             units: 1.0,
             deadline: pending.deadline,
-            checked: true,
-            spread: 1.0,
+            authorized: true,
+            gateways: 1.0,
         };
         if token_wait > 0.0 {
             let pending = PendingRequest {
@@ -138,14 +140,14 @@
         let response = |wait: Millis| LocalResponse::not_run(429, wait.min(route.timeout));
         match taken {
             Ok(wait) => Ok(wait),
-            Err(Turned::Box(wait)) => {
+            Err(QuotaRejection::PenaltyBox(wait)) => {
                 self.stats.penalty_box_rejected += 1;
                 Err(Rejection::Rejected(response(wait)))
             }
-            Err(Turned::Bucket(_)) if self.uses_tokens(tenant) => {
+            Err(QuotaRejection::Bucket(_)) if self.uses_tokens(tenant) => {
                 self.take_single_token(now, is_retry, route, name, out)
             }
-            Err(Turned::Bucket(wait)) => {
+            Err(QuotaRejection::Bucket(wait)) => {
                 self.stats.quota_rejected += 1;
                 *self
                     .stats
--- a/crates/proxy/src/core/attempts.rs
+++ b/crates/proxy/src/core/attempts.rs
@@ -4,7 +4,7 @@
 use super::timers::Timer;
 use super::{AttemptEnd, Core, Output};
 use maplefall_policy::{
-    Action, BackendId, Care, Event, Millis, Outcome, Report, RequestId, Settled,
+    Action, AttemptEnded, BackendId, Event, Millis, Outcome, Report, RequestId, SendMode,
 };
 
 /// Whether a request whose attempt ended so cannot have run.
@@ -40,23 +40,23 @@
             self.stats.forwarded += 1;
             out.push(Output::ForwardResponse(id));
         }
-        let (service, closed) = (pending.service, pending.responded);
+        let (service, request_closed) = (pending.service, pending.responded);
         if end.wrong_instance {
             self.expire_wrong_instance(now, attempt.backend, out);
         }
-        let settled = Settled {
+        let ended = AttemptEnded {
             request: id,
             attempt: number,
             backend: attempt.backend,
             outcome: end.outcome,
             elapsed: now - attempt.sent_at,
-            closed,
-            use_of_quota: None,
+            request_closed,
+            metered_usage: None,
             true_units: None,
             report: Report::default(),
-            broken: end.broken_connections,
+            broken_connections: end.broken_connections,
         };
-        self.handle_policy_event(now, service, Event::Settled(settled), out);
+        self.handle_policy_event(now, service, Event::AttemptEnded(ended), out);
         self.remove_if_finished(id);
     }
 
@@ -83,20 +83,20 @@
             Action::Send {
                 request,
                 backend,
-                limit,
-                care,
-            } => self.send(now, request, backend, limit, care, out),
-            Action::Refuse {
+                timeout,
+                mode,
+            } => self.send(now, request, backend, timeout, mode, out),
+            Action::Reject {
                 request,
                 reason,
                 retry_after,
             } => self.reject(request, reason, retry_after, out),
             Action::Fail(request) => self.fail(now, request, out),
-            Action::CallOff { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 out.push(Output::CancelAttempt(request, attempt));
             }
-            Action::SetAlarm { at, alarm } => {
-                if let Ok(id) = u32::try_from(alarm.0) {
+            Action::SetTimer { at, timer } => {
+                if let Ok(id) = u32::try_from(timer.0) {
                     self.timers.set(at, Timer::Alarm(RequestId(id)));
                 }
             }
@@ -105,7 +105,8 @@
                 out.push(Output::Log(format!("event=backend_health text={text:?}")));
             }
             // Clients are authenticated by their keys, controllers push the instances, and controllers run the health checks.
-            Action::Check(_) | Action::Subscribe | Action::FetchList | Action::Probe(_) => {}
+            Action::Authorize(_) | Action::Subscribe | Action::FetchBackends | Action::Probe(_) => {
+            }
         }
     }
 
@@ -115,8 +116,8 @@
         now: Millis,
         id: RequestId,
         backend: BackendId,
-        limit: Option<Millis>,
-        care: Care,
+        timeout: Option<Millis>,
+        send_mode: SendMode,
         out: &mut Vec<Output>,
     ) {
         let instance = self
@@ -130,7 +131,7 @@
         pending.attempts += 1;
         self.stats.retries += u64::from(number > 0);
         let remaining = pending.deadline - now;
-        let timeout = limit.unwrap_or(f64::INFINITY).min(remaining);
+        let timeout = timeout.unwrap_or(f64::INFINITY).min(remaining);
         pending.in_flight = Some(InFlightAttempt {
             number,
             backend,
@@ -155,7 +156,7 @@
             backend,
             instance,
             limit: remaining,
-            care,
+            send_mode,
         });
     }
 }
--- a/crates/proxy/src/core/messages.rs
+++ b/crates/proxy/src/core/messages.rs
@@ -3,7 +3,7 @@
 
 use crate::services::PoolCommand;
 use maplefall_control_messages::Frame;
-use maplefall_policy::{BackendId, Care, Millis, Outcome, RequestId};
+use maplefall_policy::{BackendId, Millis, Outcome, RequestId, SendMode};
 use std::rc::Rc;
 
 /// Smallest `Retry-After`: a client that comes back sooner finds the same state.
@@ -122,7 +122,7 @@
         /// The client's remaining time, which the backend gets in `x-time-remaining`.
         limit: Millis,
         /// How to guard the request against a connection that breaks.
-        care: Care,
+        send_mode: SendMode,
     },
     /// Forward the response that the last attempt brought.
     ForwardResponse(RequestId),
--- a/crates/proxy/src/core/quota_leases.rs
+++ b/crates/proxy/src/core/quota_leases.rs
@@ -31,13 +31,13 @@
 pub fn quota(bounds: &Bounds, rate: f64, burst: f64, share: f64, latency_target: Millis) -> Quota {
     let whole = whole_quota(bounds, rate, burst);
     let spare = 1000.0 * 0.2 * bounds.quota_overshoot * bounds.quota_window_s;
-    let wait = spare.min(TOKEN_WAIT_LATENCY_TARGETS * latency_target);
+    let max_wait = spare.min(TOKEN_WAIT_LATENCY_TARGETS * latency_target);
     Quota {
         rate: whole.rate,
         burst,
         depth: whole.depth,
-        part: share,
-        wait,
+        share,
+        max_wait,
     }
 }
 
--- a/crates/proxy/src/core/requests.rs
+++ b/crates/proxy/src/core/requests.rs
@@ -2,7 +2,7 @@
 //! response, and one that may have run gets no promise that it has not.
 
 use super::{Core, LocalResponse, Output, RETRY_AFTER_LATENCY_TARGETS, RETURN_TIME};
-use maplefall_policy::{BackendId, Event, Millis, Reason, Request, RequestId};
+use maplefall_policy::{BackendId, Event, Millis, RejectReason, Request, RequestId};
 use std::rc::Rc;
 
 /// Requests at most that are pending; beyond it a request is rejected with 503.
@@ -77,7 +77,7 @@
                 self.tenants.give_back(tenant, 1.0);
             }
         }
-        self.handle_policy_event(now, service, Event::ClientGone(id), out);
+        self.handle_policy_event(now, service, Event::ClientDisconnected(id), out);
         if let Some(attempt) = in_flight {
             out.push(Output::AbandonAttempt {
                 request: id,
@@ -92,7 +92,7 @@
     pub(super) fn reject(
         &mut self,
         id: RequestId,
-        reason: Reason,
+        reason: RejectReason,
         retry_after: Option<Millis>,
         out: &mut Vec<Output>,
     ) {
@@ -111,7 +111,8 @@
                 let default = RETRY_AFTER_LATENCY_TARGETS * pending.latency_target;
                 LocalResponse::not_run(503, retry_after.unwrap_or(default))
             };
-            if let (Some(tenant), false, Reason::Backends) = (&pending.tenant, pending.sent, reason)
+            if let (Some(tenant), false, RejectReason::NoBackend) =
+                (&pending.tenant, pending.sent, reason)
             {
                 self.tenants.give_back(tenant, 1.0);
             }
--- a/crates/proxy/src/core/timers.rs
+++ b/crates/proxy/src/core/timers.rs
@@ -2,7 +2,7 @@
 
 use super::requests::PendingRequest;
 use super::{Core, Output};
-use maplefall_policy::{AlarmId, Event, Millis, RequestId};
+use maplefall_policy::{Event, Millis, RequestId, TimerId};
 use std::collections::HashMap;
 
 /// What is due at a time. A timer whose request has ended is obsolete and does nothing.
@@ -64,8 +64,8 @@
         let Some(service) = self.requests.get(&id).map(|pending| pending.service) else {
             return;
         };
-        let alarm = Event::Alarm(AlarmId(u64::from(id.0)));
-        self.handle_policy_event(now, service, alarm, out);
+        let timer = Event::Timer(TimerId(u64::from(id.0)));
+        self.handle_policy_event(now, service, timer, out);
         self.remove_if_finished(id);
     }
 
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use maplefall_control_messages::encode_frame;
 use maplefall_node_settings::Settings;
-use maplefall_policy::{BackendId, Care, Millis, Outcome, RequestId};
+use maplefall_policy::{BackendId, Millis, Outcome, RequestId, SendMode};
 use maplefall_settings::Links;
 use maplefall_upstream::{
     send_request, upstream_budget, AttemptHandle, Clock, Pools, RequestOptions,
@@ -71,7 +71,7 @@
     backend: BackendId,
     instance: Rc<str>,
     remaining: Millis,
-    care: Care,
+    send_mode: SendMode,
 }
 
 /// A proxy: the core, the connections to backends and the requests that wait for them.
@@ -146,14 +146,14 @@
                 backend,
                 instance,
                 limit,
-                care,
+                send_mode,
             } => self.send(Attempt {
                 request,
                 number: attempt,
                 backend,
                 instance,
                 remaining: limit,
-                care,
+                send_mode,
             }),
             Output::ForwardResponse(id) => self.forward_response(id),
             Output::Respond(id, response) => self.respond(id, response),
@@ -316,7 +316,7 @@
     ) {
         let options = RequestOptions {
             backend: attempt.backend,
-            care: attempt.care,
+            send_mode: attempt.send_mode,
             timeout: attempt.remaining,
             body_bytes: request.body.len(),
         };
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -5,8 +5,8 @@
 use maplefall_gateway_config::Route;
 use maplefall_node_settings::Bounds;
 use maplefall_policy::{
-    Availability, BackendEntry, BackendId, CellId, Class, ClassId, Effect, Gateway, Millis, Plan,
-    Settings, ZoneId,
+    Availability, BackendEntry, BackendId, CellId, Class, ClassId, Gateway, Idempotency, Millis,
+    Plan, Settings, ZoneId,
 };
 use maplefall_service_registry::{InstanceRecord, InstanceState};
 use std::collections::{BTreeMap, HashMap};
@@ -151,9 +151,9 @@
             tick: 1.0,
             plans: vec![Plan::default()],
             max_attempts: u32::MAX,
-            retry_share: self.bounds.retry_budget_ratio,
-            retry_start: 0.0,
-            retry_depth: self.retry_depth(),
+            retry_ratio: self.bounds.retry_budget_ratio,
+            initial_retries: 0.0,
+            max_saved_retries: self.max_saved_retries(),
             retry_window: self.bounds.retry_window_s * 1000.0,
             retry_after: true,
             max_retry_after: MAX_RETRY_AFTER,
@@ -166,7 +166,7 @@
     }
 
     /// Retries that one proxy may save up for one service: if all others save as many, they stay within the slack.
-    fn retry_depth(&self) -> f64 {
+    fn max_saved_retries(&self) -> f64 {
         SAVED_RETRY_SLACK * self.bounds.retry_slack / f64::from(self.proxy_count)
     }
 
@@ -186,15 +186,15 @@
 
     fn update_gateways(&mut self) {
         let proxies = self.proxy_count;
-        let retry_depth = self.retry_depth();
+        let max_saved_retries = self.max_saved_retries();
         let retry_window = self.bounds.retry_window_s * 1000.0;
-        let retry_share = self.bounds.retry_budget_ratio;
+        let retry_ratio = self.bounds.retry_budget_ratio;
         for service in &mut self.services {
             service.gateway.amend(|settings| {
                 settings.gateways = proxies;
-                settings.retry_depth = retry_depth;
+                settings.max_saved_retries = max_saved_retries;
                 settings.retry_window = retry_window;
-                settings.retry_share = retry_share;
+                settings.retry_ratio = retry_ratio;
             });
         }
     }
@@ -202,14 +202,14 @@
     /// The class of a route at a service; routes with equal settings share one.
     pub fn class(&mut self, service: usize, route: &Route) -> ClassId {
         let class = Class {
-            aim: route.latency_target,
+            latency_target: route.latency_target,
             deadline: route.timeout,
-            worth: 1.0,
-            late_worth: LATE_VALUE,
-            effect: if route.idempotent {
-                Effect::Safe
+            value: 1.0,
+            late_value: LATE_VALUE,
+            idempotency: if route.idempotent {
+                Idempotency::Idempotent
             } else {
-                Effect::Unsafe
+                Idempotency::NonIdempotent
             },
             streaming: false,
             max_attempts: route.max_attempts,
@@ -231,11 +231,11 @@
         let availability = match record.state() {
             InstanceState::Serving => Availability::Ready,
             InstanceState::Draining => Availability::Draining,
-            InstanceState::Expired | InstanceState::Deregistered => Availability::Gone,
+            InstanceState::Expired | InstanceState::Deregistered => Availability::Removed,
         };
         let id = match self.instances.get(&record.id).copied() {
             Some(id) => id,
-            None if availability == Availability::Gone => return None,
+            None if availability == Availability::Removed => return None,
             None => self.add_backend(now, record, availability)?,
         };
         let backend = self.backends.get_mut(&id)?;
@@ -244,7 +244,7 @@
         let pool = match availability {
             Availability::Ready => PoolCommand::Open(id, address),
             Availability::Draining => PoolCommand::Drain(id),
-            Availability::Gone => {
+            Availability::Removed => {
                 self.instances.remove(&record.id);
                 self.backends.remove(&id);
                 PoolCommand::Remove(id)
--- a/crates/settings/src/mapping.rs
+++ b/crates/settings/src/mapping.rs
@@ -12,17 +12,17 @@
 //! | `report.via` | [`Settings::reports`] | `off`, `inline`, `on_probe` | `off` |
 //! | `report.names` | [`Told::metrics`] | names of [`Metric`] | none |
 //! | `policy_limits.send_cap` | [`Settings::max_attempts`] | attempts | 1 |
-//! | `policy_limits.second_copies` | [`Settings::second_copies`] | `true`, `false` | `false` |
-//! | `policy_limits.cancel` | [`Settings::cancel`] | `true`, `false` | `false` |
+//! | `policy_limits.second_copies` | [`Settings::hedging`] | `true`, `false` | `false` |
+//! | `policy_limits.cancel` | [`Settings::cancellation`] | `true`, `false` | `false` |
 //! | `policy_limits.probes` | [`Settings::probes`] | `true`, `false` | `false` |
 //! | `policy_limits.retry_after` | [`Settings::retry_after`] | `true`, `false` | `false` |
 //! | `policy_limits.max_retry_after` | [`Settings::max_retry_after`] | ms | 0 |
 //! | `policy_limits.dial_timeout` | [`Links::dial_timeout`] | ms | 250 |
 //! | `policy_limits.idle_close` | [`Links::idle_close`] | ms | 10 000 |
 //! | `charges.cross_zone` | [`Settings::cross_zone_price`] | fraction of the value | 0 |
-//! | `rules.answer_slack` | [`Settings::answer_slack`] | ms | 0 |
+//! | `rules.answer_slack` | [`Settings::response_grace`] | ms | 0 |
 //! | `rules.stop_sending_within` | [`Settings::drain_grace`] | ms | 0 |
-//! | `rules.ask_within` | [`Settings::ask_within`] | ms | 10 000 |
+//! | `rules.ask_within` | [`Settings::max_unrequested_list_age`] | ms | 10 000 |
 //! | `rules.start_capacity` | [`Settings::start_capacity`] | fraction of the capacity | 0.1 |
 //! | `rules.warm_up` | [`Settings::warm_up`] | ms | 30 000 |
 //! | `rules.overload_factor` | [`Settings::overload_factor`] | factor | 2 |
@@ -32,28 +32,28 @@
 //!
 //! | wire name | setting | unit | default |
 //! | --- | --- | --- | --- |
-//! | `grades.N.aim` | [`Class::aim`] | ms | 1000 |
+//! | `grades.N.aim` | [`Class::latency_target`] | ms | 1000 |
 //! | `grades.N.give_up` | [`Class::deadline`] | ms | 2000 |
-//! | `grades.N.credit` | [`Class::worth`] | value of a unit | 1 |
-//! | `grades.N.late_worth` | [`Class::late_worth`] | fraction of the value | 0 |
-//! | `grades.N.idempotency` | [`Class::effect`] | `safe`, `keyed`, `unsafe` | `unsafe` |
-//! | `grades.N.group` | [`Effect::Keyed`], `group` | `all`, `zone`, `cell` | `cell` |
-//! | `grades.N.memory_span` | [`Effect::Keyed`], `memory` | ms | 0 |
+//! | `grades.N.credit` | [`Class::value`] | value of a unit | 1 |
+//! | `grades.N.late_worth` | [`Class::late_value`] | fraction of the value | 0 |
+//! | `grades.N.idempotency` | [`Class::idempotency`] | `safe`, `keyed`, `unsafe` | `unsafe` |
+//! | `grades.N.group` | [`Idempotency::Keyed`], `scope` | `all`, `zone`, `cell` | `cell` |
+//! | `grades.N.memory_span` | [`Idempotency::Keyed`], `window` | ms | 0 |
 //! | `grades.N.streaming` | [`Class::streaming`] | `true`, `false` | `false` |
 //! | `plans.N.per_second` | [`Plan::rate`] | units a second; 0 for no quota | 0 |
 //! | `plans.N.peak_units` | [`Plan::burst`] | units | 0 |
-//! | `plans.N.max_out` | [`Plan::max_open`] | attempts; 0 for no limit | 0 |
+//! | `plans.N.max_out` | [`Plan::max_in_flight`] | attempts; 0 for no limit | 0 |
 //! | `plans.N.pays` | [`Plan::price`] | factor | 1 |
-//! | `plans.N.excess_worth` | [`Plan::over_worth`] | fraction of the value | 0 |
-//! | `plans.N.over_cost` | [`Plan::over_cost`] | fraction of the value | 0 |
-//! | `plans.N.cap_rate` | [`Ceiling::rate`] | units a second; 0 for no rate limit | 0 |
-//! | `plans.N.never_over_depth` | [`Ceiling::burst`] | units | 0 |
-//! | `plans.N.hard_slack` | [`Ceiling::slack`] | units | 0 |
+//! | `plans.N.excess_worth` | [`Plan::over_quota_value`] | fraction of the value | 0 |
+//! | `plans.N.over_cost` | [`Plan::over_quota_cost`] | fraction of the value | 0 |
+//! | `plans.N.cap_rate` | [`RateLimit::rate`] | units a second; 0 for no rate limit | 0 |
+//! | `plans.N.never_over_depth` | [`RateLimit::burst`] | units | 0 |
+//! | `plans.N.hard_slack` | [`RateLimit::slack`] | units | 0 |
 
 use crate::load_report::Metric;
 use crate::reader::Reader;
 use maplefall_policy::{
-    Ceiling, Class, Discovery, Effect, Group, Millis, Plan, Reports, Settings, ZoneId,
+    Class, DedupScope, Discovery, Idempotency, Millis, Plan, RateLimit, Reports, Settings, ZoneId,
 };
 
 /// Parsed settings.
@@ -171,15 +171,16 @@
         discovery: reader.choice("registry_mode", default.discovery, &DISCOVERY),
         reports: reader.choice("report.via", default.reports, &REPORTS),
         max_attempts: reader.get(&limit("send_cap"), default.max_attempts),
-        second_copies: reader.get(&limit("second_copies"), default.second_copies),
-        cancel: reader.get(&limit("cancel"), default.cancel),
+        hedging: reader.get(&limit("second_copies"), default.hedging),
+        cancellation: reader.get(&limit("cancel"), default.cancellation),
         probes: reader.get(&limit("probes"), default.probes),
         retry_after: reader.get(&limit("retry_after"), default.retry_after),
         max_retry_after: reader.number(&limit("max_retry_after"), default.max_retry_after),
         cross_zone_price: reader.number("charges.cross_zone", default.cross_zone_price),
-        answer_slack: reader.number("rules.answer_slack", default.answer_slack),
+        response_grace: reader.number("rules.answer_slack", default.response_grace),
         drain_grace: reader.number("rules.stop_sending_within", default.drain_grace),
-        ask_within: reader.number("rules.ask_within", default.ask_within),
+        max_unrequested_list_age: reader
+            .number("rules.ask_within", default.max_unrequested_list_age),
         start_capacity: reader.number("rules.start_capacity", default.start_capacity),
         warm_up: reader.number("rules.warm_up", default.warm_up),
         overload_factor: reader.number("rules.overload_factor", default.overload_factor),
@@ -197,28 +198,28 @@
 }
 
 fn read_class(reader: &Reader<'_>, index: usize) -> Class {
-    const GROUPS: [(&str, Group); 3] = [
-        ("all", Group::All),
-        ("zone", Group::Zone),
-        ("cell", Group::Cell),
+    const SCOPES: [(&str, DedupScope); 3] = [
+        ("all", DedupScope::All),
+        ("zone", DedupScope::Zone),
+        ("cell", DedupScope::Cell),
     ];
     let path = |key: &str| format!("grades.{index}.{key}");
     let default = Class::default();
-    let keyed = Effect::Keyed {
-        group: reader.choice(&path("group"), Group::Cell, &GROUPS),
-        memory: reader.number(&path("memory_span"), 0.0),
+    let keyed = Idempotency::Keyed {
+        scope: reader.choice(&path("group"), DedupScope::Cell, &SCOPES),
+        window: reader.number(&path("memory_span"), 0.0),
     };
-    let effects = [
-        ("safe", Effect::Safe),
+    let idempotencies = [
+        ("safe", Idempotency::Idempotent),
         ("keyed", keyed),
-        ("unsafe", Effect::Unsafe),
+        ("unsafe", Idempotency::NonIdempotent),
     ];
     Class {
-        aim: reader.number(&path("aim"), default.aim),
+        latency_target: reader.number(&path("aim"), default.latency_target),
         deadline: reader.number(&path("give_up"), default.deadline),
-        worth: reader.number(&path("credit"), default.worth),
-        late_worth: reader.number(&path("late_worth"), default.late_worth),
-        effect: reader.choice(&path("idempotency"), default.effect, &effects),
+        value: reader.number(&path("credit"), default.value),
+        late_value: reader.number(&path("late_worth"), default.late_value),
+        idempotency: reader.choice(&path("idempotency"), default.idempotency, &idempotencies),
         streaming: reader.get(&path("streaming"), default.streaming),
         max_attempts: u32::MAX,
     }
@@ -227,7 +228,7 @@
 fn read_plan(reader: &Reader<'_>, index: usize) -> Plan {
     let path = |key: &str| format!("plans.{index}.{key}");
     let default = Plan::default();
-    let rate_limit = Ceiling {
+    let rate_limit = RateLimit {
         rate: reader.number(&path("cap_rate"), 0.0),
         burst: reader.number(&path("never_over_depth"), 0.0),
         slack: reader.number(&path("hard_slack"), 0.0),
@@ -235,10 +236,10 @@
     Plan {
         rate: reader.number(&path("per_second"), default.rate),
         burst: reader.number(&path("peak_units"), default.burst),
-        max_open: reader.get(&path("max_out"), default.max_open),
+        max_in_flight: reader.get(&path("max_out"), default.max_in_flight),
         price: reader.number(&path("pays"), default.price),
-        over_worth: reader.number(&path("excess_worth"), default.over_worth),
-        over_cost: reader.number(&path("over_cost"), default.over_cost),
-        ceiling: (rate_limit.rate > 0.0).then_some(rate_limit),
+        over_quota_value: reader.number(&path("excess_worth"), default.over_quota_value),
+        over_quota_cost: reader.number(&path("over_cost"), default.over_quota_cost),
+        rate_limit: (rate_limit.rate > 0.0).then_some(rate_limit),
     }
 }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use maplefall_policy::{Ceiling, Discovery, Effect, Group, Settings};
+use maplefall_policy::{DedupScope, Discovery, Idempotency, RateLimit, Settings};
 
 #[test]
 fn missing_settings_take_their_defaults() {
@@ -11,18 +11,18 @@
     } = parse(text).unwrap();
     assert_eq!((settings.gateways, settings.plans[0].rate), (3, 2.5));
     assert_eq!(
-        settings.plans[0].ceiling,
-        Some(Ceiling {
+        settings.plans[0].rate_limit,
+        Some(RateLimit {
             rate: 5.0,
             burst: 0.0,
             slack: 0.0
         })
     );
     assert_eq!(
-        settings.classes[0].effect,
-        Effect::Keyed {
-            group: Group::Zone,
-            memory: 6000.0
+        settings.classes[0].idempotency,
+        Idempotency::Keyed {
+            scope: DedupScope::Zone,
+            window: 6000.0
         }
     );
     assert_eq!(settings.discovery, Discovery::OnRequest);
--- a/crates/shared-counts/benches/worth.rs
+++ b/crates/shared-counts/benches/worth.rs
@@ -117,9 +117,9 @@
 
 fn policy_settings(nodes: usize) -> Settings {
     let class = Class {
-        aim: 600.0,
+        latency_target: 600.0,
         deadline: DEADLINE_MS,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         ..Class::default()
     };
     Settings {
@@ -248,20 +248,20 @@
                 return;
             }
             self.responses.remove(&(due, request));
-            let settled = Settled {
+            let settled = AttemptEnded {
                 request: RequestId(request),
                 attempt: 0,
                 backend,
                 outcome: Outcome::Ok,
                 elapsed: LATENCY_MS,
-                closed: true,
-                use_of_quota: None,
+                request_closed: true,
+                metered_usage: None,
                 true_units: None,
                 report: Report::default(),
-                broken: 0,
+                broken_connections: 0,
             };
             let now = self.simulation.clock(node);
-            self.gateways[node].handle(now, Event::Settled(settled), &mut self.actions);
+            self.gateways[node].handle(now, Event::AttemptEnded(settled), &mut self.actions);
             self.actions.clear();
         }
     }
@@ -325,8 +325,8 @@
             class: ClassId(0),
             units,
             deadline: now + DEADLINE_MS,
-            checked: true,
-            spread: self.nodes as f64,
+            authorized: true,
+            gateways: self.nodes as f64,
         };
         self.actions.clear();
         self.gateways[node].handle(now, Event::Arrival(request), &mut self.actions);
@@ -362,12 +362,12 @@
 }
 
 fn usage_elsewhere(customer: usize, fact: Fact, alive_part: f64) -> Event {
-    Event::Elsewhere(Elsewhere {
+    Event::RemoteUsage(RemoteUsage {
         customer: CustomerId(customer as u64),
         plan: PlanId(plan_of(customer)),
         units: fact.units,
         as_of: fact.as_of,
         error: fact.error,
-        heard: alive_part,
+        reporting_fraction: alive_part,
     })
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -153,24 +153,24 @@
             units: f64::from(units),
             deadline,
             // The simulator plays no authentication service.
-            checked: true,
-            spread: f64::from(gateways),
+            authorized: true,
+            gateways: f64::from(gateways),
         }),
         Record::FirstByte { id } => Event::StreamStarted(RequestId(id)),
-        Record::AttemptEnded(ended) => Event::Settled(Settled {
+        Record::AttemptEnded(ended) => Event::AttemptEnded(AttemptEnded {
             request: RequestId(ended.id),
             attempt: u32::from(ended.attempt),
             backend: BackendId(ended.backend),
             outcome: outcome(ended.outcome),
             elapsed: ended.elapsed_ms,
-            closed: ended.connection_closed,
-            use_of_quota: (ended.quota_use > 0).then(|| f64::from(ended.quota_use - 1) / 100.0),
+            request_closed: ended.connection_closed,
+            metered_usage: (ended.quota_use > 0).then(|| f64::from(ended.quota_use - 1) / 100.0),
             true_units: (ended.true_units > 0).then(|| f64::from(ended.true_units)),
-            broken: 0,
+            broken_connections: 0,
             report: settings::report(metrics, &ended.stats),
         }),
-        Record::ClientDisconnected { id } => Event::ClientGone(RequestId(id)),
-        Record::TimerFired { timer_id } => Event::Alarm(AlarmId(timer_id)),
+        Record::ClientDisconnected { id } => Event::ClientDisconnected(RequestId(id)),
+        Record::TimerFired { timer_id } => Event::Timer(TimerId(timer_id)),
         Record::ProbeEnded {
             elapsed_ms,
             backend,
@@ -194,7 +194,7 @@
         availability: match entry.availability {
             2 => Availability::Ready,
             1 => Availability::Draining,
-            _ => Availability::Gone,
+            _ => Availability::Removed,
         },
         started: (entry.started_at != 0.0).then_some(entry.started_at),
         size: f64::from(entry.size),
@@ -219,30 +219,30 @@
         Action::Send {
             request,
             backend,
-            limit,
+            timeout,
             ..
         } => {
-            reply.send(instance_id, request.0, backend.0, limit.unwrap_or(0.0));
+            reply.send(instance_id, request.0, backend.0, timeout.unwrap_or(0.0));
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
             ..
         } => reply.reject(instance_id, request.0, retry_after.unwrap_or(0.0)),
         Action::Fail(request) => reply.fail(instance_id, request.0),
-        Action::Check(_) => {}
-        Action::CallOff { request, attempt } => {
+        Action::Authorize(_) => {}
+        Action::CancelAttempt { request, attempt } => {
             reply.cancel(
                 instance_id,
                 request.0,
                 attempt.min(u32::from(u16::MAX)) as u16,
             );
         }
-        Action::SetAlarm { at, alarm } => reply.set_timer(instance_id, at, alarm.0),
+        Action::SetTimer { at, timer } => reply.set_timer(instance_id, at, timer.0),
         Action::Probe(backend) => reply.probe(instance_id, backend.0),
         Action::CloseIdle(backend) => reply.close_idle(instance_id, backend.0),
         Action::Subscribe => reply.subscribe(instance_id),
-        Action::FetchList => reply.fetch_list(instance_id),
+        Action::FetchBackends => reply.fetch_list(instance_id),
         Action::Log(text) => reply.log(instance_id, &text),
     }
 }
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response};
-use maplefall_policy::{BackendId, Care, Millis, Outcome};
+use maplefall_policy::{BackendId, Millis, Outcome, SendMode};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -33,7 +33,7 @@
     /// The backend to send to.
     pub backend: BackendId,
     /// How to guard the request against a connection that breaks.
-    pub care: Care,
+    pub send_mode: SendMode,
     /// The client's remaining time, in milliseconds from now. It is handed to the request's builder and does not end the attempt.
     pub timeout: Millis,
     /// Length of the request's body.
@@ -77,7 +77,7 @@
         handle.attach_socket(&connection.wire);
         connection
             .wire
-            .begin_request(options.body_bytes, options.care != Care::Usual);
+            .begin_request(options.body_bytes, options.send_mode != SendMode::Immediate);
         let remaining = options.timeout - started.elapsed().as_secs_f64() * 1000.0;
         let sent = send_on(&mut connection, || build_request(remaining.max(1.0))).await;
         if let Some(idle) = pooled_idle {
@@ -121,7 +121,7 @@
     handle: &AttemptHandle,
     address: SocketAddr,
 ) -> Result<(Connection, Option<Duration>), ConnectError> {
-    if let Some(connection) = pools.take_idle(options.backend, options.care, handle) {
+    if let Some(connection) = pools.take_idle(options.backend, options.send_mode, handle) {
         let idle = connection.idle(Instant::now());
         return Ok((connection, Some(idle)));
     }
