--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -4,7 +4,7 @@
 use crate::connection::{ConnectError, Connection};
 use crate::idle_age::IdleAgeStats;
 use crate::socket::ConnectionPermit;
-use maplefall_policy::{BackendId, Care};
+use maplefall_policy::{BackendId, SendMode};
 use maplefall_settings::Links;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -115,28 +115,28 @@
     }
 
     /// The most recently used idle connection that is still good, preferably one that is quiescent. For a request that must not run
-    /// twice ([`Care::Once`]), none of an idle age at which connections broke recently; and none that carried an earlier attempt of
-    /// the same request.
+    /// twice ([`SendMode::WithholdLastByteOnProvenConnection`]), none of an idle age at which
+    /// connections broke recently; and none that carried an earlier attempt of the same request.
     pub fn take_idle(
         &self,
         id: BackendId,
-        care: Care,
+        send_mode: SendMode,
         handle: &AttemptHandle,
     ) -> Option<Connection> {
-        self.take(id, care, Quiescence::Preferred, handle)
+        self.take(id, send_mode, Quiescence::Preferred, handle)
     }
 
     /// The same, but only a quiescent connection: bytes that were sent behind its last response have arrived and show, and cannot be
     /// taken for the response to the next request.
     pub fn take_settled(&self, id: BackendId) -> Option<Connection> {
         let handle = AttemptHandle::default();
-        self.take(id, Care::Usual, Quiescence::Required, &handle)
+        self.take(id, SendMode::Immediate, Quiescence::Required, &handle)
     }
 
     fn take(
         &self,
         id: BackendId,
-        care: Care,
+        send_mode: SendMode,
         quiescence: Quiescence,
         handle: &AttemptHandle,
     ) -> Option<Connection> {
@@ -156,7 +156,9 @@
                 .filter(|_| quiescence == Quiescence::Preferred);
             let next = quiescent.or(any)?;
             let idle = pool.idle[next].idle(now);
-            if care == Care::Once && !self.idle_ages.borrow().survives(now, idle) {
+            if send_mode == SendMode::WithholdLastByteOnProvenConnection
+                && !self.idle_ages.borrow().survives(now, idle)
+            {
                 return None;
             }
             let connection = pool.idle.remove(next);
