--- a/benches/examples/slopes.rs
+++ b/benches/examples/slopes.rs
@@ -17,7 +17,7 @@
 use maplefall_policy::Outcome;
 use maplefall_proxy::{AttemptEnd, Core as Door, IncomingRequest, Output as DoorOutput};
 use maplefall_quota_lease::{
-    ClientId, Demand, Lease, LeaseClient, LeaseGrant, LeaseRequest, LeaseServer, WHOLE_QUOTA_PPM,
+    ClientId, Demand, Lease, LeaseClient, LeaseGrant, LeaseRequest, LeaseServer, FULL_QUOTA_PPM,
 };
 use maplefall_raft::{Entry, EntryKind, PersistentUpdate};
 use maplefall_service_registry::Registry;
@@ -331,7 +331,7 @@
                 connection: 1,
             };
             let mut lender =
-                LeaseServer::new(0.0, LENDER, WHOLE_QUOTA_PPM / 3, Some(Default::default()));
+                LeaseServer::new(0.0, LENDER, FULL_QUOTA_PPM / 3, Some(Default::default()));
             // All doors are there before the first hears of a tenant.
             let none = || std::iter::empty::<&str>();
             for n in 0..d {
@@ -534,7 +534,7 @@
         let loans = (0..t)
             .map(|n| Lease {
                 tenant: made::tenant(n),
-                ppm: WHOLE_QUOTA_PPM,
+                ppm: FULL_QUOTA_PPM,
             })
             .collect();
         let lent = LeaseGrant {
--- a/crates/backend-index/src/lib.rs
+++ b/crates/backend-index/src/lib.rs
@@ -14,7 +14,7 @@
 
 mod table;
 
-pub use table::{BackendTable, Candidate, Found, Indexed};
+pub use table::{BackendTable, Candidate, Indexed, SearchResult};
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/backend-index/src/table.rs
+++ b/crates/backend-index/src/table.rs
@@ -21,12 +21,12 @@
     /// Expected time until the request is begun.
     pub wait: f64,
     /// Expected time until the request is answered.
-    pub answer: f64,
+    pub response_time: f64,
 }
 
 /// What a search found.
 #[derive(Clone, Debug)]
-pub struct Found<K> {
+pub struct SearchResult<K> {
     /// The backend that is due, if it is eligible.
     pub due: Option<Candidate<K>>,
     /// The cheapest of the other eligible backends.
@@ -121,7 +121,7 @@
         rng: &Pcg32,
         is_eligible: impl Fn(K, &V) -> bool,
         evaluate: impl Fn(K, &V, f64) -> Candidate<K>,
-    ) -> Found<K> {
+    ) -> SearchResult<K> {
         let (mut found_due, mut cheapest) = (None, None::<Candidate<K>>);
         let mut draws = RankedDraws::new(rng);
         let is_partial = keys.len() < self.index.ready().len();
@@ -143,7 +143,7 @@
         if is_partial {
             draws.skip_to(self.index.warm_count(due));
         }
-        Found {
+        SearchResult {
             due: found_due,
             cheapest,
             rng: draws.into_rng(),
--- a/crates/backend-index/tests/table.rs
+++ b/crates/backend-index/tests/table.rs
@@ -102,7 +102,7 @@
             key,
             cost: 10.0 * backend.position + draw,
             wait: 0.0,
-            answer: 0.0,
+            response_time: 0.0,
         },
     );
     let key = |candidate: Option<Candidate<u32>>| candidate.map(|candidate| candidate.key);
--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -205,7 +205,7 @@
                 },
                 SlotEvent::Waiting(since, wait) => Event::SlotWaiting { since, wait },
                 SlotEvent::Lost(since) => Event::SlotLost { since },
-                SlotEvent::WaitOver(since) => {
+                SlotEvent::WaitCompleted(since) => {
                     // A later start with this disk need not wait again.
                     let record = StoreRecord {
                         waited_slots: vec![since],
--- a/crates/controller/tests/leasing.rs
+++ b/crates/controller/tests/leasing.rs
@@ -6,7 +6,7 @@
 use lease_cluster::{granted_ppm, settings, LeaseCluster, TemporaryDirectory};
 use maplefall_controller::store::StoredState;
 use maplefall_quota_lease::{
-    Lease, LeaseClient, LeaseRequest, CLOCK_SKEW, LEASE_DURATION, MEMBERSHIP_LEASE, WHOLE_QUOTA_PPM,
+    Lease, LeaseClient, LeaseRequest, CLOCK_SKEW, FULL_QUOTA_PPM, LEASE_DURATION, MEMBERSHIP_LEASE,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -42,7 +42,7 @@
         .is_disk_stalled = false;
     cluster.deliver_all();
     let grants = cluster.take_grants("10.0.0.1", 1);
-    assert_eq!(granted_ppm(&grants[..1]), [WHOLE_QUOTA_PPM]);
+    assert_eq!(granted_ppm(&grants[..1]), [FULL_QUOTA_PPM]);
     let stored_records = &cluster.nodes["10.0.0.1"].stored_records;
     assert!(stored_records
         .iter()
@@ -57,7 +57,7 @@
     let request = client.next_request(cluster.now, "x", Vec::new());
     assert_eq!(
         granted_ppm(&cluster.request_lease("10.0.0.1", 1, request)),
-        [WHOLE_QUOTA_PPM]
+        [FULL_QUOTA_PPM]
     );
     cluster.answers_lease_requests = false;
     let mut last = 0;
@@ -100,7 +100,7 @@
         let request = client.next_request(cluster.now, "x", Vec::new());
         assert_eq!(
             granted_ppm(&cluster.request_lease(isolated, 1, request)),
-            [WHOLE_QUOTA_PPM / 3]
+            [FULL_QUOTA_PPM / 3]
         );
         cluster.nodes.get_mut(isolated).expect("a node").is_isolated = true;
         // A leader that hears no peer notices after a second.
@@ -148,7 +148,7 @@
         let request = client.next_request(cluster.now, "x", Vec::new());
         assert_eq!(
             granted_ppm(&cluster.request_lease(ip, 1, request)),
-            [WHOLE_QUOTA_PPM / 5]
+            [FULL_QUOTA_PPM / 5]
         );
     }
     // A fourth joins, and gets a slot that was never leased.
@@ -162,7 +162,7 @@
     let request = client.next_request(cluster.now, "x", Vec::new());
     assert_eq!(
         granted_ppm(&cluster.request_lease("10.0.0.4", 1, request)),
-        [WHOLE_QUOTA_PPM / 5]
+        [FULL_QUOTA_PPM / 5]
     );
 }
 
@@ -185,7 +185,7 @@
                 ..LeaseRequest::default()
             },
         );
-        assert_eq!(granted_ppm(&grants), [WHOLE_QUOTA_PPM / 3]);
+        assert_eq!(granted_ppm(&grants), [FULL_QUOTA_PPM / 3]);
     }
     let disks: Vec<StoredState> = ips
         .iter()
@@ -214,7 +214,7 @@
                 ..LeaseRequest::default()
             },
         );
-        assert_eq!(granted_ppm(&grants), [WHOLE_QUOTA_PPM / 3], "{ip}");
+        assert_eq!(granted_ppm(&grants), [FULL_QUOTA_PPM / 3], "{ip}");
     }
 }
 
@@ -311,7 +311,7 @@
     cluster.connect_proxy("10.0.0.1", 2, "other", 6);
     let leased = vec![Lease {
         tenant: "t".to_owned(),
-        ppm: WHOLE_QUOTA_PPM / 2,
+        ppm: FULL_QUOTA_PPM / 2,
     }];
     let request = LeaseRequest {
         sequence: 1,
@@ -321,7 +321,7 @@
     };
     assert_eq!(
         granted_ppm(&cluster.request_lease("10.0.0.1", 2, request)),
-        [WHOLE_QUOTA_PPM / 2]
+        [FULL_QUOTA_PPM / 2]
     );
     cluster.run(LEASE_DURATION + CLOCK_SKEW);
     let request = client.next_request(cluster.now, "x", Vec::new());
--- a/crates/load-estimators/src/backend.rs
+++ b/crates/load-estimators/src/backend.rs
@@ -47,7 +47,7 @@
 pub struct Finished {
     /// Whether the backend had not answered anything since the attempt was sent: its other
     /// connections may be as dead.
-    pub was_silent: bool,
+    pub was_unresponsive: bool,
     /// The load at which the attempt was sent, if its time says something about the service time.
     pub measured_load: Option<f64>,
     /// Whether the backend was ejected or restored.
@@ -116,7 +116,7 @@
             elapsed,
         } = end;
         let attempt = self.in_flight.remove(key);
-        let was_silent = attempt.is_some_and(|attempt| attempt.sent_at >= self.last_answer);
+        let was_unresponsive = attempt.is_some_and(|attempt| attempt.sent_at >= self.last_answer);
         let hung = attempt.is_some_and(|attempt| self.is_overdue(now, &attempt, prior));
         let is_answer = matches!(result, Served | Failed | AtCapacity(_));
         let is_late = matches!(result, TimedOut | Cancelled);
@@ -129,7 +129,7 @@
             self.service_time.record(1, elapsed, load);
         }
         Finished {
-            was_silent,
+            was_unresponsive,
             measured_load,
             ejection: self.health.record(now, target, result),
         }
@@ -191,7 +191,10 @@
         let overdue = self.in_flight.iter().map(|attempt| {
             if attempt.class == class {
                 self.attempt_overdue(now, attempt, prior)
-            } else if self.health.hangs(now, target, attempt.class) {
+            } else if self
+                .health
+                .is_class_unresponsive(now, target, attempt.class)
+            {
                 0.0
             } else {
                 self.overdue_since(now, attempt, self.last_answer, prior)
@@ -206,7 +209,7 @@
     }
 
     fn attempt_overdue(&self, now: Millis, attempt: &Attempt, prior: ServiceTimePrior) -> Millis {
-        let last_answer = self.health.last_answer(attempt.class);
+        let last_answer = self.health.last_response(attempt.class);
         let last_answer = last_answer.unwrap_or(attempt.sent_at);
         self.overdue_since(now, attempt, last_answer, prior)
     }
--- a/crates/load-estimators/src/backpressure.rs
+++ b/crates/load-estimators/src/backpressure.rs
@@ -68,7 +68,7 @@
     /// It guards against queues that other gateways fill: where many share the backends, each has
     /// hardly any attempt in flight, and its own load shows nothing while all answers get slow. All
     /// gateways admit less by the same rule until the mean answer time is stable.
-    pub fn record_answer(&mut self, now: Millis, target: Millis, gateways: u32, fraction: f64) {
+    pub fn record_response(&mut self, now: Millis, target: Millis, gateways: u32, fraction: f64) {
         let step = FRACTION_STEP * ((now - self.answer_at) / target).min(1.0);
         // One or two gateways see much of the queues themselves.
         let stable = STABLE_LATENCY * (1.0 + 1.0 / f64::from(gateways.max(1)).powi(2));
--- a/crates/load-estimators/src/concurrency_limit.rs
+++ b/crates/load-estimators/src/concurrency_limit.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether one more may be started. A share below one is bounded by the `total` of all shares.
-    pub fn has_room(&mut self, now: Millis, share: f64, total: f64, max_saved: Millis) -> bool {
+    pub fn has_capacity(&mut self, now: Millis, share: f64, total: f64, max_saved: Millis) -> bool {
         self.advance(now, share, max_saved);
         let next = f64::from(self.in_flight + 1);
         let limit = if share < 1.0 { total } else { share };
--- a/crates/load-estimators/src/health.rs
+++ b/crates/load-estimators/src/health.rs
@@ -52,12 +52,12 @@
     pub const HEALTHY: f64 = HEALTHY_FAULT_SCORE;
 
     /// When a request of `class` was last answered, counting from its first attempt.
-    pub fn last_answer(&self, class: usize) -> Option<Millis> {
+    pub fn last_response(&self, class: usize) -> Option<Millis> {
         self.classes.get(&class).map(|known| known.last_answer)
     }
 
     /// Whether requests of `class` hang there.
-    pub fn hangs(&self, now: Millis, target: Millis, class: usize) -> bool {
+    pub fn is_class_unresponsive(&self, now: Millis, target: Millis, class: usize) -> bool {
         self.hang_score(now, target, class) > HEALTHY_FAULT_SCORE
     }
 
--- a/crates/load-estimators/tests/backend.rs
+++ b/crates/load-estimators/tests/backend.rs
@@ -93,10 +93,10 @@
     let mut estimator = BackendEstimator::new(0.0);
     estimator.start(0.0, 1, 0, 1.0);
     let finished = finish(&mut estimator, 500.0, 1, 0, AttemptResult::TimedOut);
-    assert!(finished.was_silent);
+    assert!(finished.was_unresponsive);
     assert_eq!(finished.measured_load, None, "its time says nothing");
-    assert!(estimator.health().hangs(500.0, TARGET, 0));
-    assert!(!estimator.health().hangs(500.0, TARGET, 1));
+    assert!(estimator.health().is_class_unresponsive(500.0, TARGET, 0));
+    assert!(!estimator.health().is_class_unresponsive(500.0, TARGET, 1));
     estimator.start(600.0, 2, 0, 1.0);
     assert!(estimator.overdue(900.0, TARGET, PRIOR, 0) > 0.0);
     assert_eq!(estimator.overdue(900.0, TARGET, PRIOR, 1), 0.0);
@@ -109,7 +109,7 @@
     estimator.start(0.0, 2, 0, 1.0);
     finish(&mut estimator, 100.0, 2, 0, AttemptResult::Served);
     let finished = finish(&mut estimator, 110.0, 1, 0, AttemptResult::TimedOut);
-    assert!(!finished.was_silent);
+    assert!(!finished.was_unresponsive);
     assert_eq!(finished.measured_load, Some(1.0));
 }
 
--- a/crates/load-estimators/tests/limits.rs
+++ b/crates/load-estimators/tests/limits.rs
@@ -6,10 +6,10 @@
 fn whole_shares_are_always_available() {
     let mut limit = ConcurrencyLimit::new(0.0);
     for in_flight in 0..3 {
-        assert!(limit.has_room(0.0, 3.0, 12.0, 1000.0), "{in_flight}");
+        assert!(limit.has_capacity(0.0, 3.0, 12.0, 1000.0), "{in_flight}");
         limit.in_flight += 1;
     }
-    assert!(!limit.has_room(0.0, 3.0, 12.0, 1000.0));
+    assert!(!limit.has_capacity(0.0, 3.0, 12.0, 1000.0));
 }
 
 #[test]
@@ -19,7 +19,7 @@
     for step in 0..steps {
         limit.in_flight = 1;
         let now = f64::from(step);
-        if limit.has_room(now, 1.25, 5.0, 1000.0) {
+        if limit.has_capacity(now, 1.25, 5.0, 1000.0) {
             limit.in_flight = 2;
             used += 1;
         }
@@ -33,17 +33,17 @@
 fn a_share_below_one_is_bounded_by_the_total() {
     let mut limit = ConcurrencyLimit::new(0.0);
     for in_flight in 0..3 {
-        assert!(limit.has_room(0.0, 0.25, 3.0, 1000.0), "{in_flight}");
+        assert!(limit.has_capacity(0.0, 0.25, 3.0, 1000.0), "{in_flight}");
         limit.in_flight += 1;
     }
-    assert!(!limit.has_room(0.0, 0.25, 3.0, 1000.0));
+    assert!(!limit.has_capacity(0.0, 0.25, 3.0, 1000.0));
 }
 
 #[test]
 fn unlimited_shares_stay_finite() {
     let mut limit = ConcurrencyLimit::new(0.0);
     limit.advance(1e9, f64::INFINITY, 1000.0);
-    assert!(limit.has_room(1e9, f64::INFINITY, 0.0, 1000.0));
+    assert!(limit.has_capacity(1e9, f64::INFINITY, 0.0, 1000.0));
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let mut answers = |backpressure: &mut Backpressure, fraction| {
         for _ in 0..200 {
             now += 1000.0;
-            backpressure.record_answer(now, 1000.0, 100, fraction);
+            backpressure.record_response(now, 1000.0, 100, fraction);
         }
         backpressure.admitted_fraction
     };
--- a/crates/policy/src/gateway/attempts.rs
+++ b/crates/policy/src/gateway/attempts.rs
@@ -118,7 +118,7 @@
     fn record_answer_time(&mut self, fraction: f64) {
         let gateways = self.settings.gateways;
         self.backpressure
-            .record_answer(self.now, self.target, gateways, fraction);
+            .record_response(self.now, self.target, gateways, fraction);
     }
 
     /// Whether an attempt that is given up at `now` is followed by another; several may have been
@@ -271,7 +271,7 @@
             let others = self.backends.len() - 1;
             self.service_time.record(others, end.elapsed, load);
         }
-        if finished.was_silent && settled.outcome == Outcome::Timeout {
+        if finished.was_unresponsive && settled.outcome == Outcome::Timeout {
             self.actions.push(Action::CloseIdle(settled.backend));
         }
         let (id, outcome) = (settled.backend.0, settled.outcome);
--- a/crates/policy/src/gateway/choice.rs
+++ b/crates/policy/src/gateway/choice.rs
@@ -1,7 +1,7 @@
 //! Choice of a backend, and the protection of backends that are warming up.
 
 use super::*;
-use maplefall_backend_index::Found;
+use maplefall_backend_index::SearchResult;
 
 /// What a backend is chosen for.
 struct Search<'a> {
@@ -50,7 +50,7 @@
         }
     }
 
-    fn search(&self, search: &Search, ids: &[BackendId]) -> Found<BackendId> {
+    fn search(&self, search: &Search, ids: &[BackendId]) -> SearchResult<BackendId> {
         let slow_start = self.settings.slow_start();
         let is_eligible = |id, backend: &Backend| {
             let is_warm = backend.capacity(self.now, slow_start) >= 1.0;
@@ -86,7 +86,7 @@
             key: id,
             cost,
             wait,
-            answer: wait + service_time,
+            response_time: wait + service_time,
         }
     }
 
--- a/crates/policy/src/gateway/customers.rs
+++ b/crates/policy/src/gateway/customers.rs
@@ -167,7 +167,7 @@
     fn backend_with_room(&mut self, request: &Request) -> Option<BackendId> {
         let candidate = self.choose(request, Reach::Anywhere)?;
         let too_slow = candidate.wait > MAX_WAIT_TARGETS * self.target;
-        let too_late = DEADLINE_FACTOR * candidate.answer > request.deadline - self.now;
+        let too_late = DEADLINE_FACTOR * candidate.response_time > request.deadline - self.now;
         (!too_slow && !too_late).then_some(candidate.key)
     }
 
@@ -409,6 +409,6 @@
     /// Whether one more attempt may be in flight.
     fn may_open(&mut self, now: Millis, request: &Request, plan: &Plan, target: Millis) -> bool {
         let (share, total) = (open_share(plan, request.spread), f64::from(plan.max_open));
-        self.open.has_room(now, share, total, target)
+        self.open.has_capacity(now, share, total, target)
     }
 }
--- a/crates/proxy/src/core/tokens.rs
+++ b/crates/proxy/src/core/tokens.rs
@@ -6,7 +6,7 @@
 use maplefall_gateway_config::{Route, Tenant};
 use maplefall_node_settings::Bounds;
 use maplefall_policy::Millis;
-use maplefall_quota_lease::{token_lifetime, TokenExpectation, TokenGrant};
+use maplefall_quota_lease::{token_lifetime, TokenGrant, TokenStatus};
 use std::rc::Rc;
 
 /// How long a token may be spent after it was requested.
@@ -36,20 +36,20 @@
             return Ok(0.0);
         }
         let expectation = if is_retry {
-            self.token_client.expectation(now, tenant)
+            self.token_client.status(now, tenant)
         } else {
             self.stats.tokens_requested += 1;
-            self.token_client.ask(now, tenant)
+            self.token_client.request_token(now, tenant)
         };
         self.send_token_requests(now, out);
         let retry_after = RETRY_AFTER_LATENCY_TARGETS * route.latency_target;
         match expectation {
-            TokenExpectation::Requested => {
+            TokenStatus::Requested => {
                 let response = LocalResponse::not_run(429, retry_after);
                 let longest = self.token_client.lifetime();
                 Err(Rejection::RejectedUnless(response, longest))
             }
-            TokenExpectation::Refused(wait) => {
+            TokenStatus::Unavailable(wait) => {
                 self.stats.quota_rejected += 1;
                 let rejected = &mut self.stats.quota_rejected_by_tenant;
                 *rejected.entry(tenant.clone()).or_default() += 1;
--- a/crates/proxy/tests/quota_leases.rs
+++ b/crates/proxy/tests/quota_leases.rs
@@ -10,8 +10,8 @@
 use maplefall_proxy::quota;
 use maplefall_quota_lease::{
     membership_lease_valid, token_lifetime, ClientId, Demand, LeaseClient, LeaseGrant,
-    LeaseRequest, LeaseServer, OwnedSlots, SlotEvent, Slots, TenantQuota, TokenClient,
-    TokenExpectation, TokenGrant, TokenRequest, CLOCK_SKEW, LEASE_DURATION, WHOLE_QUOTA_PPM,
+    LeaseRequest, LeaseServer, OwnedSlots, SlotEvent, Slots, TenantQuota, TokenClient, TokenGrant,
+    TokenRequest, TokenStatus, CLOCK_SKEW, FULL_QUOTA_PPM, LEASE_DURATION,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -191,7 +191,7 @@
         }
         slot_events.extend(incarnation.owned_slots.tick(clock));
         for slot_event in slot_events {
-            if let (SlotEvent::WaitOver(since), true) = (slot_event, is_persisted) {
+            if let (SlotEvent::WaitCompleted(since), true) = (slot_event, is_persisted) {
                 self.disk.completed_waits.insert(since);
             }
         }
@@ -805,7 +805,7 @@
                 .map(|(clock, incarnation)| incarnation.lease_server.outstanding_at(clock, tenant))
                 .sum();
             assert!(
-                out <= WHOLE_QUOTA_PPM,
+                out <= FULL_QUOTA_PPM,
                 "seed {seed}: {out} of {tenant} is outstanding at {now}"
             );
             for (n, client) in clients.iter_mut().enumerate() {
@@ -818,9 +818,7 @@
                         run_times[t].push_back(now);
                         admitted += 1;
                         tokens_spent += 1;
-                    } else if client.token_client.expectation(clock, tenant)
-                        == TokenExpectation::Requested
-                    {
+                    } else if client.token_client.status(clock, tenant) == TokenStatus::Requested {
                         client.waiting[t] += 1;
                     }
                 }
@@ -839,7 +837,8 @@
                         run_times[t].push_back(now + remaining_wait);
                         admitted += 1;
                     } else if whole_quota(&bounds, *rate, *burst).is_pooled(proxy_count)
-                        && client.token_client.ask(clock, tenant) == TokenExpectation::Requested
+                        && client.token_client.request_token(clock, tenant)
+                            == TokenStatus::Requested
                     {
                         client.waiting[t] += 1;
                     }
--- a/crates/quota-lease/src/client.rs
+++ b/crates/quota-lease/src/client.rs
@@ -175,7 +175,7 @@
         let ppm: u32 = valid
             .filter_map(|server| server.leases.get(tenant))
             .fold(0, |sum, ppm| sum.saturating_add(*ppm));
-        f64::from(ppm.min(WHOLE_QUOTA_PPM)) / f64::from(WHOLE_QUOTA_PPM)
+        f64::from(ppm.min(FULL_QUOTA_PPM)) / f64::from(FULL_QUOTA_PPM)
     }
 
     /// The number of proxies that the servers know, at least one.
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -42,13 +42,13 @@
 pub use server::{ClientId, LeaseServer};
 pub use slots::{Slot, Slots};
 pub use tenant_quota::{token_lifetime, TenantQuota};
-pub use token_client::{TokenClient, TokenExpectation};
+pub use token_client::{TokenClient, TokenStatus};
 
 /// Milliseconds on the caller's monotonic clock.
 pub type Millis = f64;
 
 /// The whole of a quota, in parts per million.
-pub const WHOLE_QUOTA_PPM: u32 = 1_000_000;
+pub const FULL_QUOTA_PPM: u32 = 1_000_000;
 /// How long a lease lasts after the request that renewed it was sent: 12 s.
 pub const LEASE_DURATION: Millis = 12_000.0;
 /// By how much longer than [`LEASE_DURATION`] a server counts a lease as outstanding: monotonic clocks of two machines may drift apart by
--- a/crates/quota-lease/src/owned_slots.rs
+++ b/crates/quota-lease/src/owned_slots.rs
@@ -17,7 +17,7 @@
     /// Owned by the entry of this index, and leased after so many milliseconds.
     Waiting(u64, Millis),
     /// The takeover delay is over. To be written to disk, so that the next incarnation does not wait again.
-    WaitOver(u64),
+    WaitCompleted(u64),
     /// The slot that the entry of this index gave to this controller has another owner or none.
     Lost(u64),
 }
@@ -36,7 +36,7 @@
 
 impl OwnedSlots {
     /// The slots of the controller at the address `owner`, with their first events. `completed` are the indexes of all
-    /// [`SlotEvent::WaitOver`] that earlier incarnations have written to this disk.
+    /// [`SlotEvent::WaitCompleted`] that earlier incarnations have written to this disk.
     pub fn new(
         now: Millis,
         owner: &str,
@@ -93,7 +93,7 @@
         while self.completed.len() > MAX_REMEMBERED_TAKEOVERS {
             self.completed.pop_first();
         }
-        over.into_iter().map(SlotEvent::WaitOver).collect()
+        over.into_iter().map(SlotEvent::WaitCompleted).collect()
     }
 
     /// What this controller may lease of every quota now, in ppm.
--- a/crates/quota-lease/src/server/rebalance.rs
+++ b/crates/quota-lease/src/server/rebalance.rs
@@ -124,7 +124,7 @@
 
     /// The same as a fraction of the whole quota.
     pub(super) fn unleased_fraction(&self, tenant: &str, recovering: bool) -> f64 {
-        f64::from(self.unleased_ppm(tenant, recovering)) / f64::from(WHOLE_QUOTA_PPM)
+        f64::from(self.unleased_ppm(tenant, recovering)) / f64::from(FULL_QUOTA_PPM)
     }
 
     fn target_shares(&self, tenant: &str) -> TargetShares {
--- a/crates/quota-lease/src/slots.rs
+++ b/crates/quota-lease/src/slots.rs
@@ -84,6 +84,6 @@
 
     /// The size of one slot, in ppm of the quota.
     pub fn slot_ppm(&self) -> u32 {
-        WHOLE_QUOTA_PPM / self.all.len().max(1) as u32
+        FULL_QUOTA_PPM / self.all.len().max(1) as u32
     }
 }
--- a/crates/quota-lease/src/token_client.rs
+++ b/crates/quota-lease/src/token_client.rs
@@ -53,11 +53,11 @@
 
 /// Whether a token can be expected.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum TokenExpectation {
+pub enum TokenStatus {
     /// One was asked for, and the answer is due within [`TokenClient::lifetime`].
     Requested,
     /// No server has one now; they may after this time.
-    Refused(Millis),
+    Unavailable(Millis),
 }
 
 /// Single tokens of one incarnation of a proxy.
@@ -145,25 +145,25 @@
     }
 
     /// Asks for a token, or tells that there is none to be had. What is to be sent comes with [`Self::next_requests`].
-    pub fn ask(&mut self, now: Millis, tenant: &str) -> TokenExpectation {
+    pub fn request_token(&mut self, now: Millis, tenant: &str) -> TokenStatus {
         let ask = Ask {
             tenant: tenant.to_owned(),
             count: 1,
             refused_by: BTreeSet::new(),
         };
         if !self.queue(now, ask) {
-            return TokenExpectation::Refused(self.refusal_left(now, tenant));
+            return TokenStatus::Unavailable(self.refusal_left(now, tenant));
         }
         *self.awaited.entry(tenant.to_owned()).or_default() += 1;
-        TokenExpectation::Requested
+        TokenStatus::Requested
     }
 
     /// What a request that has asked may expect now.
-    pub fn expectation(&self, now: Millis, tenant: &str) -> TokenExpectation {
+    pub fn status(&self, now: Millis, tenant: &str) -> TokenStatus {
         if self.awaited.contains_key(tenant) {
-            TokenExpectation::Requested
+            TokenStatus::Requested
         } else {
-            TokenExpectation::Refused(self.refusal_left(now, tenant))
+            TokenStatus::Unavailable(self.refusal_left(now, tenant))
         }
     }
 
--- a/crates/quota-lease/tests/server.rs
+++ b/crates/quota-lease/tests/server.rs
@@ -2,7 +2,7 @@
 
 use maplefall_quota_lease::{
     ClientId, Demand, Lease, LeaseClient, LeaseGrant, LeaseRequest, LeaseServer, CLOCK_SKEW,
-    LEASE_DURATION, WHOLE_QUOTA_PPM,
+    FULL_QUOTA_PPM, LEASE_DURATION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let server = LeaseServer::new(0.0, 1, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+        let server = LeaseServer::new(0.0, 1, FULL_QUOTA_PPM, Some(BTreeSet::new()));
         Fixture {
             tenants: vec!["t"],
             server,
@@ -146,7 +146,7 @@
     fixture.now += 1000.0;
     fixture.request("a", 2, 0.0, false);
     assert!(fixture.fraction("a") > 0.8, "{}", fixture.fraction("a"));
-    assert!(fixture.server.outstanding("t") <= WHOLE_QUOTA_PPM);
+    assert!(fixture.server.outstanding("t") <= FULL_QUOTA_PPM);
 }
 
 /// Guards tenants with few requests and many clients: which client gets the next request is chance, so a client without recent demand
@@ -213,7 +213,7 @@
 /// Guards a controller that was frozen: it may read requests of an earlier incarnation of a client after those of the present one.
 #[test]
 fn requests_of_an_earlier_incarnation_or_connection_are_ignored() {
-    let mut server = LeaseServer::new(0.0, 9, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+    let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM, Some(BTreeSet::new()));
     let (mut old, mut new) = (LeaseClient::new(1), LeaseClient::new(2));
     old.connected("x");
     new.connected("x");
@@ -223,7 +223,7 @@
             &server.handle_request(0.0, client_id("a", 2, 5), &request, ["t"].into_iter()),
             "a"
         ),
-        [WHOLE_QUOTA_PPM]
+        [FULL_QUOTA_PPM]
     );
     let stale = old.next_request(0.0, "x", Vec::new());
     let stale_release = LeaseRequest {
@@ -234,7 +234,7 @@
         assert!(server
             .handle_request(1.0, client_id("a", 1, 4), request, ["t"].into_iter())
             .is_empty());
-        assert_eq!(server.outstanding("t"), WHOLE_QUOTA_PPM);
+        assert_eq!(server.outstanding("t"), FULL_QUOTA_PPM);
     }
     // Neither on the same connection, nor with an older sequence number of the same incarnation on another one.
     assert!(server
@@ -243,11 +243,11 @@
     assert!(server
         .handle_request(1.0, client_id("a", 2, 6), &request, ["t"].into_iter())
         .is_empty());
-    assert_eq!(server.outstanding("t"), WHOLE_QUOTA_PPM);
+    assert_eq!(server.outstanding("t"), FULL_QUOTA_PPM);
     // A later incarnation on a later connection proves that the previous one has ended.
     let request = LeaseClient::new(3).next_request(2.0, "x", Vec::new());
     server.handle_request(2.0, client_id("a", 3, 6), &request, ["t"].into_iter());
-    assert_eq!(server.outstanding("t"), WHOLE_QUOTA_PPM);
+    assert_eq!(server.outstanding("t"), FULL_QUOTA_PPM);
 }
 
 /// Guards a client against grants by another incarnation of a server, and against grants that are older than the last one applied.
@@ -268,10 +268,10 @@
         server_incarnation: server,
         grants_tokens: true,
     };
-    client.handle_grant(1.0, "x", &grant(7, 4, request, WHOLE_QUOTA_PPM / 2));
-    client.handle_grant(1.0, "x", &grant(8, 5, request, WHOLE_QUOTA_PPM));
-    client.handle_grant(1.0, "x", &grant(7, 4, request, WHOLE_QUOTA_PPM));
-    client.handle_grant(1.0, "x", &grant(7, 3, request, WHOLE_QUOTA_PPM));
+    client.handle_grant(1.0, "x", &grant(7, 4, request, FULL_QUOTA_PPM / 2));
+    client.handle_grant(1.0, "x", &grant(8, 5, request, FULL_QUOTA_PPM));
+    client.handle_grant(1.0, "x", &grant(7, 4, request, FULL_QUOTA_PPM));
+    client.handle_grant(1.0, "x", &grant(7, 3, request, FULL_QUOTA_PPM));
     assert!((client.fraction(1.0, "t") - 0.5).abs() < 1e-9);
     // A request names the incarnation whose grants it acknowledges. On a new connection it lists all leases until it is answered.
     let request = client.next_request(1.0, "x", Vec::new());
@@ -284,7 +284,7 @@
         (7, 4, false)
     );
     client.connected("x");
-    client.handle_grant(2.0, "x", &grant(7, 9, request.sequence, WHOLE_QUOTA_PPM));
+    client.handle_grant(2.0, "x", &grant(7, 9, request.sequence, FULL_QUOTA_PPM));
     assert!((client.fraction(2.0, "t") - 0.5).abs() < 1e-9);
     for _ in 0..2 {
         let request = client.next_request(2.0, "x", Vec::new());
@@ -303,7 +303,7 @@
 /// Guards servers that have restarted: the sequence number of an earlier incarnation's grant acknowledges nothing of this one's.
 #[test]
 fn an_acknowledgement_of_another_incarnation_is_ignored() {
-    let mut server = LeaseServer::new(0.0, 9, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+    let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM, Some(BTreeSet::new()));
     let request = LeaseRequest {
         sequence: 1,
         full: true,
@@ -323,7 +323,7 @@
     };
     let grants = server.handle_request(0.0, client_id("b", 1, 2), &request, ["t"].into_iter());
     assert!(
-        granted_ppm(&grants, "a")[0] < WHOLE_QUOTA_PPM
+        granted_ppm(&grants, "a")[0] < FULL_QUOTA_PPM
             && granted_ppm(&grants, "b").iter().sum::<u32>() == 0
     );
     for (incarnation, expect_increase) in [(8, false), (9, true)] {
@@ -346,7 +346,7 @@
 /// decrease has been acknowledged.
 #[test]
 fn a_lower_limit_shrinks_all_leases_at_once() {
-    let mut server = LeaseServer::new(0.0, 9, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+    let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM, Some(BTreeSet::new()));
     let mut clients: Vec<LeaseClient> = (0..4).map(|_| LeaseClient::new(1)).collect();
     let names = ["a", "b", "c", "d"];
     let mut now = 0.0;
@@ -384,20 +384,17 @@
         round(&mut server, &mut clients, None, now);
     }
     assert!(
-        server.outstanding("t") <= WHOLE_QUOTA_PPM
-            && server.outstanding("t") > WHOLE_QUOTA_PPM * 9 / 10
+        server.outstanding("t") <= FULL_QUOTA_PPM
+            && server.outstanding("t") > FULL_QUOTA_PPM * 9 / 10
     );
     let even_share = clients[0].fraction(now, "t");
     assert!((even_share - 0.25).abs() < 0.03, "{even_share}");
-    let grants = server.set_limit(WHOLE_QUOTA_PPM / 5);
+    let grants = server.set_limit(FULL_QUOTA_PPM / 5);
     let sum: u32 = names
         .iter()
         .flat_map(|name| granted_ppm(&grants, name))
         .sum();
-    assert!(
-        grants.len() == 4 && sum <= WHOLE_QUOTA_PPM / 5,
-        "{grants:?}"
-    );
+    assert!(grants.len() == 4 && sum <= FULL_QUOTA_PPM / 5, "{grants:?}");
     // None of these grants reaches one of the clients; the others go on.
     for _ in 0..8 {
         now += 100.0;
@@ -416,7 +413,7 @@
         .map(|client| client.fraction(now + 100.0, "t"))
         .sum();
     assert!(
-        total <= 0.2 + 1e-6 && server.outstanding("t") <= WHOLE_QUOTA_PPM / 5,
+        total <= 0.2 + 1e-6 && server.outstanding("t") <= FULL_QUOTA_PPM / 5,
         "{total}"
     );
     // The controller has lost all its slots: nothing is left.
@@ -467,7 +464,7 @@
     /// more is outstanding than the highest limit so far.
     fn the_sums_are_those_over_all_clients(steps: Vec<(u8, u8, u16)>) -> bool {
         let tenants = ["t0", "t1", "t2"];
-        let mut server = LeaseServer::new(0.0, 9, WHOLE_QUOTA_PPM / 3, Some(BTreeSet::new()));
+        let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM / 3, Some(BTreeSet::new()));
         let mut highest_limit = server.limit();
         let mut clients: BTreeMap<u8, (u64, LeaseClient)> = BTreeMap::new();
         let mut now = 0.0;
--- a/crates/quota-lease/tests/slots.rs
+++ b/crates/quota-lease/tests/slots.rs
@@ -1,8 +1,8 @@
 //! Owners of slots and takeover delays, over any sequence of member sets.
 
 use maplefall_quota_lease::{
-    membership_lease_valid, OwnedSlots, Slot, SlotEvent, Slots, CLOCK_SKEW, LEASE_DURATION,
-    MEMBERSHIP_LEASE, TAKEOVER_DELAY, WHOLE_QUOTA_PPM,
+    membership_lease_valid, OwnedSlots, Slot, SlotEvent, Slots, CLOCK_SKEW, FULL_QUOTA_PPM,
+    LEASE_DURATION, MEMBERSHIP_LEASE, TAKEOVER_DELAY,
 };
 use quickcheck::quickcheck;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,7 +49,7 @@
             let any_free = slots.all.iter().any(|slot| slot.owner.is_empty());
             let any_without_slot = current.iter().any(|member| slots.owned_by(member).next().is_none());
             let sum: u32 = current.iter().map(|member| slots.slot_ppm() * slots.owned_by(member).count() as u32).sum();
-            let valid = all_kept && marked_used && owners_are_members && !(any_free && any_without_slot) && sum <= WHOLE_QUOTA_PPM;
+            let valid = all_kept && marked_used && owners_are_members && !(any_free && any_without_slot) && sum <= FULL_QUOTA_PPM;
             if !valid || *replica != slots || slots.all.len() != count {
                 return false;
             }
@@ -137,12 +137,9 @@
 #[test]
 fn fewer_than_three_controllers_own_the_whole_quota() {
     let slots = Slots::initial(&set(&["a"]), 1, 0, false);
-    assert_eq!((slots.all.len(), slots.slot_ppm()), (1, WHOLE_QUOTA_PPM));
+    assert_eq!((slots.all.len(), slots.slot_ppm()), (1, FULL_QUOTA_PPM));
     let slots = Slots::initial(&set(&["a", "b"]), 1, 0, false);
-    assert_eq!(
-        (slots.all.len(), slots.slot_ppm()),
-        (2, WHOLE_QUOTA_PPM / 2)
-    );
+    assert_eq!((slots.all.len(), slots.slot_ppm()), (2, FULL_QUOTA_PPM / 2));
 }
 
 /// Guards replacements: a new owner leases nothing until every lease by the previous owner has expired. A restart within the takeover
@@ -162,18 +159,21 @@
         OwnedSlots::new(20_000.0, "d", d.slots().clone(), BTreeSet::new());
     assert_eq!(events, [SlotEvent::Waiting(5, TAKEOVER_DELAY)]);
     assert!(restarted.tick(1001.0 + TAKEOVER_DELAY).is_empty());
-    assert_eq!(d.tick(1000.0 + TAKEOVER_DELAY), [SlotEvent::WaitOver(5)]);
-    assert_eq!(d.limit(), WHOLE_QUOTA_PPM / 3);
+    assert_eq!(
+        d.tick(1000.0 + TAKEOVER_DELAY),
+        [SlotEvent::WaitCompleted(5)]
+    );
+    assert_eq!(d.limit(), FULL_QUOTA_PPM / 3);
     // A restart after it, with its end recorded on disk.
     let (restarted_later, events) =
         OwnedSlots::new(0.0, "d", d.slots().clone(), BTreeSet::from([5]));
     assert_eq!(
         (events, restarted_later.limit()),
-        (vec![SlotEvent::Owned(5)], WHOLE_QUOTA_PPM / 3)
+        (vec![SlotEvent::Owned(5)], FULL_QUOTA_PPM / 3)
     );
     // A member that was removed and is added again waits again.
     let mut b = OwnedSlots::new(0.0, "b", first, BTreeSet::from([0])).0;
-    assert_eq!(b.limit(), WHOLE_QUOTA_PPM / 3);
+    assert_eq!(b.limit(), FULL_QUOTA_PPM / 3);
     assert_eq!(
         b.members_changed(10.0, &set(&["a", "c"]), 5),
         [SlotEvent::Lost(0)]
--- a/crates/quota-lease/tests/tokens.rs
+++ b/crates/quota-lease/tests/tokens.rs
@@ -2,7 +2,7 @@
 
 use maplefall_quota_lease::{
     token_lifetime, ClientId, GrantedTokens, LeaseRequest, LeaseServer, TenantQuota, TokenClient,
-    TokenCount, TokenExpectation, TokenGrant, TokenRequest, WHOLE_QUOTA_PPM,
+    TokenCount, TokenGrant, TokenRequest, TokenStatus, FULL_QUOTA_PPM,
 };
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 
 /// A server that may lease everything of tenant `t`: ten tokens a second, twenty at most.
 fn server() -> LeaseServer {
-    let mut server = LeaseServer::new(0.0, 1, WHOLE_QUOTA_PPM, Some(BTreeSet::new()));
+    let mut server = LeaseServer::new(0.0, 1, FULL_QUOTA_PPM, Some(BTreeSet::new()));
     server.set_quota(0.0, "t", Some(quota()));
     server
 }
@@ -95,15 +95,15 @@
 fn a_lower_limit_empties_the_pools() {
     let mut server = server();
     assert_eq!(granted(&mut server, 10_000.0, 1), 1);
-    server.set_limit(WHOLE_QUOTA_PPM / 2);
-    server.set_limit(WHOLE_QUOTA_PPM);
+    server.set_limit(FULL_QUOTA_PPM / 2);
+    server.set_limit(FULL_QUOTA_PPM);
     assert_eq!(granted(&mut server, 10_000.0, 100), 0);
 }
 
 /// Guards QUOTA after a restart: nobody knows what an earlier incarnation has leased.
 #[test]
 fn a_server_that_recovers_grants_nothing() {
-    let mut server = LeaseServer::new(0.0, 1, WHOLE_QUOTA_PPM, None);
+    let mut server = LeaseServer::new(0.0, 1, FULL_QUOTA_PPM, None);
     server.set_quota(0.0, "t", Some(quota()));
     assert_eq!(granted(&mut server, 10_000.0, 100), 0);
 }
@@ -171,7 +171,7 @@
         (150.0, 150.0, false),
     ] {
         let mut client = client_of(&["a"]);
-        assert_eq!(client.ask(0.0, "t"), TokenExpectation::Requested);
+        assert_eq!(client.request_token(0.0, "t"), TokenStatus::Requested);
         let requests = client.next_requests(0.0);
         client.handle_grant(arrives_at, "a", &answer(&requests[0].1, 1, 0));
         assert_eq!(
@@ -186,20 +186,20 @@
 #[test]
 fn an_answer_to_another_request_or_connection_brings_nothing() {
     let mut client = client_of(&["a"]);
-    client.ask(0.0, "t");
+    client.request_token(0.0, "t");
     let requests = client.next_requests(0.0);
     let late = answer(&requests[0].1, 1, 0);
     client.connected("a");
     assert!(!client.handle_grant(1.0, "a", &late));
     client.set_grants_tokens("a", true);
-    client.ask(1.0, "t");
+    client.request_token(1.0, "t");
     assert_eq!(client.next_requests(1.0).len(), 1);
     assert!(!client.handle_grant(1.0, "a", &late));
     assert!(!client.take(1.0, "t"));
     client.disconnected("a");
     assert!(matches!(
-        client.expectation(1.0, "t"),
-        TokenExpectation::Refused(_)
+        client.status(1.0, "t"),
+        TokenStatus::Unavailable(_)
     ));
 }
 
@@ -207,11 +207,11 @@
 #[test]
 fn one_request_to_a_server_is_under_way_at_a_time() {
     let mut client = client_of(&["a"]);
-    client.ask(0.0, "t");
+    client.request_token(0.0, "t");
     let first = client.next_requests(0.0);
     for _ in 0..50 {
-        client.ask(1.0, "t");
-        client.ask(1.0, "u");
+        client.request_token(1.0, "t");
+        client.request_token(1.0, "u");
         assert!(client.next_requests(1.0).is_empty());
     }
     client.handle_grant(2.0, "a", &answer(&first[0].1, 1, 0));
@@ -219,7 +219,7 @@
     let counts: Vec<u32> = second[0].1.tokens.iter().map(|of| of.count).collect();
     assert_eq!((second.len(), counts), (1, vec![50, 50]));
     // One that is not answered holds up nothing for longer than its tokens would be good for.
-    client.ask(101.0, "t");
+    client.request_token(101.0, "t");
     assert!(client.next_requests(101.0).is_empty());
     assert_eq!(client.next_requests(102.0).len(), 1);
 }
@@ -227,7 +227,7 @@
 #[test]
 fn what_one_server_refuses_is_asked_of_the_next_one_until_all_have_refused() {
     let mut client = client_of(&["a", "b", "c"]);
-    assert_eq!(client.ask(0.0, "t"), TokenExpectation::Requested);
+    assert_eq!(client.request_token(0.0, "t"), TokenStatus::Requested);
     let mut asked = BTreeSet::new();
     for _ in 0..3 {
         let requests = client.next_requests(0.0);
@@ -237,13 +237,13 @@
         client.handle_grant(0.0, server, &answer(request, 0, 70));
     }
     assert_eq!(asked.len(), 3);
+    assert_eq!(client.status(0.0, "t"), TokenStatus::Unavailable(70.0));
+    // They are not asked before they have a token again.
     assert_eq!(
-        client.expectation(0.0, "t"),
-        TokenExpectation::Refused(70.0)
+        client.request_token(69.0, "t"),
+        TokenStatus::Unavailable(10.0)
     );
-    // They are not asked before they have a token again.
-    assert_eq!(client.ask(69.0, "t"), TokenExpectation::Refused(10.0));
-    assert_eq!(client.ask(70.0, "t"), TokenExpectation::Requested);
+    assert_eq!(client.request_token(70.0, "t"), TokenStatus::Requested);
 }
 
 #[test]
@@ -251,7 +251,10 @@
     let mut client = TokenClient::new(LIFETIME);
     client.connected("a");
     assert!(!client.has_servers());
-    assert!(matches!(client.ask(0.0, "t"), TokenExpectation::Refused(_)));
+    assert!(matches!(
+        client.request_token(0.0, "t"),
+        TokenStatus::Unavailable(_)
+    ));
     assert!(client.next_requests(0.0).is_empty());
 }
 
