--- a/crates/backend-index/src/table.rs
+++ b/crates/backend-index/src/table.rs
@@ -1,4 +1,4 @@
-//! A table of backends that keeps its index up to date.
+//! A table of backends that updates its index with each change.
 
 use crate::{Entry, Index};
 use maplefall_load_estimators::RankedDraws;
@@ -7,7 +7,7 @@
 
 /// A backend that can be indexed.
 pub trait Indexed {
-    /// Its entry in the index.
+    /// The backend's entry in the index.
     fn index_entry(&self) -> Entry;
 }
 
@@ -16,18 +16,18 @@
 pub struct Candidate<K> {
     /// Its key.
     pub key: K,
-    /// Expected cost of sending the request there, as time.
+    /// Expected cost of sending the request to the backend, as time.
     pub cost: f64,
-    /// Expected time until the request is begun.
+    /// Expected time until the backend starts to process the request.
     pub wait: f64,
-    /// Expected time until the request is answered.
+    /// Expected time until the response.
     pub response_time: f64,
 }
 
-/// What a search found.
+/// Result of [`BackendTable::search`].
 #[derive(Clone, Debug)]
 pub struct SearchResult<K> {
-    /// The backend that is due, if it is eligible.
+    /// The backend in slow start that is due for a request, if it is eligible.
     pub due: Option<Candidate<K>>,
     /// The cheapest of the other eligible backends.
     pub cheapest: Option<Candidate<K>>,
@@ -57,12 +57,12 @@
         &self.index
     }
 
-    /// The index, to take lists of candidates from it and to give them back.
+    /// The index, for taking lists of candidates from it and returning them.
     pub fn index_mut(&mut self) -> &mut Index<K> {
         &mut self.index
     }
 
-    /// How many backends there are, with those that are draining.
+    /// Number of backends, including those that are draining.
     pub fn len(&self) -> usize {
         self.backends.len()
     }
@@ -72,7 +72,7 @@
         self.backends.is_empty()
     }
 
-    /// A backend.
+    /// The backend with this key.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.backends.get(key)
     }
@@ -85,8 +85,8 @@
         Some(result)
     }
 
-    /// Changes any number of backends at once, and updates the index for `changed` ones: for all
-    /// where that is `None`. Then removes those that are drained.
+    /// Changes any number of backends at once and updates the index for the `changed` ones, or for
+    /// all if that is `None`. Then removes the drained backends.
     pub fn update_many(&mut self, changed: Option<&[K]>, change: impl FnOnce(&mut BTreeMap<K, V>)) {
         change(&mut self.backends);
         match changed {
@@ -108,12 +108,14 @@
         self.index.set(*key, entry);
     }
 
-    /// Evaluates the eligible ones of `keys`, which are in order and hold all ready backends or the
-    /// preferred ones. `due` is one that is warming up and eligible all the same.
+    /// Evaluates the eligible backends among `keys`, which are in order and contain either all
+    /// ready backends or the preferred ones. `due` is a backend that is warming up and may be
+    /// eligible nevertheless.
     ///
-    /// Each eligible backend has its own random draw, whether all backends are searched or some: so
-    /// a search of some finds what one of all would, if no other backend is cheaper. Where some are
-    /// searched, all that are ready and warm must be eligible.
+    /// Each eligible backend has its own random draw, which does not depend on whether all backends
+    /// are searched or only some. A search of some therefore finds the same as a search of all,
+    /// unless another backend is cheaper. If only some are searched, all ready backends that are
+    /// not warming up must be eligible.
     pub fn search(
         &self,
         keys: &[K],
@@ -150,21 +152,21 @@
         }
     }
 
-    /// Those that are ready, if all of them are in use; none otherwise.
+    /// Ready backends if all of them are in use; none otherwise.
     pub fn ready_if_all_in_use(&self) -> impl Iterator<Item = &V> {
         let keys = self.index.ready_if_all_in_use();
         keys.iter().filter_map(|key| self.backends.get(key))
     }
 
-    /// Those that are ready and may be warming up.
+    /// Ready backends that may be warming up.
     pub fn warming(&self) -> impl Iterator<Item = &V> {
         self.index
             .warming()
             .filter_map(|key| self.backends.get(&key))
     }
 
-    /// Visits those that are ready and may be warming up. The index is not updated, so what it holds
-    /// must not be changed.
+    /// Visits the ready backends that may be warming up. The index is not updated, so `visit` must
+    /// not change the properties that it holds.
     pub fn for_each_warming(&mut self, mut visit: impl FnMut(K, &mut V)) {
         for key in self.index.warming() {
             if let Some(backend) = self.backends.get_mut(&key) {
@@ -173,14 +175,14 @@
         }
     }
 
-    /// Removes those that `is_warming` denies from the list of those that may be warming up.
+    /// Removes the backends for which `is_warming` is false from the list of warming backends.
     pub fn retain_warming(&mut self, is_warming: impl Fn(&V) -> bool) {
         let backends = &self.backends;
         self.index
             .retain_warming(|key| backends.get(&key).is_some_and(&is_warming));
     }
 
-    /// Removes those that `is_suspect` denies from the list of those whose health may be suspect.
+    /// Removes the backends for which `is_suspect` is false from the list of suspect backends.
     pub fn retain_suspects(&mut self, is_suspect: impl Fn(&V) -> bool) {
         let backends = &self.backends;
         self.index
--- a/crates/backend-index/tests/linear_scan.rs
+++ b/crates/backend-index/tests/linear_scan.rs
@@ -1,11 +1,12 @@
-//! The index against a table that is scanned for each question, over random histories.
+//! Compares the index with a table that is scanned for each query, over random sequences of
+//! changes.
 
 use maplefall_backend_index::{Entry, Index, State};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The table: the last entry of each backend, and which were removed from a list since.
+/// The scanned table: the last entry of each backend, and the backends removed from a list since.
 #[derive(Default)]
 struct LinearScan {
     all: BTreeMap<u32, Entry>,
@@ -15,11 +16,11 @@
 
 impl LinearScan {
     fn set(&mut self, key: u32, entry: Option<Entry>) {
-        let before = match entry {
+        let previous = match entry {
             Some(entry) => self.all.insert(key, entry),
             None => self.all.remove(&key),
         };
-        if before != entry {
+        if previous != entry {
             self.removed_warming.remove(&key);
             self.removed_suspects.remove(&key);
         }
@@ -92,9 +93,9 @@
 proptest! {
     #![proptest_config(Config { cases: 2000, rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..Config::default() })]
 
-    /// Each answer of the index is that of a scan, whatever happened before.
+    /// Each query of the index returns the same as a scan, after any sequence of changes.
     #[test]
-    fn each_answer_equals_that_of_a_scan(steps in proptest::collection::vec(step(), 1..60)) {
+    fn each_query_equals_a_scan(steps in proptest::collection::vec(step(), 1..60)) {
         let (mut index, mut scan) = (Index::default(), LinearScan::default());
         for step in steps {
             match step {
@@ -120,9 +121,9 @@
             prop_assert_eq!(index.ready_if_all_in_use(), if idle { &[] } else { &keys[..] });
             let warming = scan.warming();
             prop_assert!(index.warming().eq(warming.iter().copied()));
-            let one_more = warming.first().copied();
+            let extra = warming.first().copied();
             prop_assert_eq!(index.warm_count(None), (ready.len() - warming.len()) as u64);
-            prop_assert_eq!(index.warm_count(one_more), (ready.len() - warming.len() + warming.len().min(1)) as u64);
+            prop_assert_eq!(index.warm_count(extra), (ready.len() - warming.len() + warming.len().min(1)) as u64);
             let healthy = scan.healthy_positions();
             prop_assert_eq!(index.healthy_count(), healthy.len());
             prop_assert_eq!(index.healthy_position(0), None);
@@ -139,8 +140,8 @@
             for key in 0..13 {
                 let before = keys.iter().filter(|other| **other < key && !warming.contains(other)).count();
                 prop_assert_eq!(index.warm_rank(key, None), before as u64);
-                let expected = before + usize::from(one_more.is_some_and(|one| one < key));
-                prop_assert_eq!(index.warm_rank(key, one_more), expected as u64);
+                let expected = before + usize::from(extra.is_some_and(|extra| extra < key));
+                prop_assert_eq!(index.warm_rank(key, extra), expected as u64);
             }
             let least = ready.iter().filter_map(|(_, s)| s.time_per_unit).min_by(f64::total_cmp);
             prop_assert_eq!(index.least_time_per_unit(), least);
--- a/crates/backend-index/tests/table.rs
+++ b/crates/backend-index/tests/table.rs
@@ -1,5 +1,5 @@
-//! The table of backends: its index follows every change, and searching some backends finds what
-//! searching all does.
+//! The table of backends: its index follows every change, and a search of some backends finds the
+//! same as a search of all.
 
 use maplefall_backend_index::{BackendTable, Candidate, Entry, Indexed, State};
 use rand_pcg::Pcg32;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_index_follows_a_change() {
+fn an_update_changes_the_index() {
     let mut table = table(3);
     assert_eq!(table.index().ready(), [0, 1, 2]);
     let result = table.update(1, |backend| {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn ready_backends_are_named_only_if_all_are_in_use() {
+fn ready_backends_are_listed_only_if_all_are_in_use() {
     let mut table = table(2);
     table.update(0, |backend| backend.in_use = true);
     assert_eq!(table.ready_if_all_in_use().count(), 0);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn backends_that_are_warm_leave_the_list_of_those_that_warm_up() {
+fn warm_backends_are_removed_from_the_list_of_warming_backends() {
     let mut table = table(7);
     table.retain_warming(|backend| backend.position > 0.0);
     let mut warming = Vec::new();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_search_of_the_preferred_finds_what_one_of_all_does() {
+fn a_search_of_the_preferred_backends_finds_the_same_as_a_search_of_all() {
     let table = table(30);
     let all: Vec<u32> = (0..30).collect();
     for due in [None, Some(0), Some(3)] {
@@ -125,5 +125,5 @@
     let table = table(1);
     let (due, cheapest, rng) = search(&table, &[0], None);
     assert_eq!((due, cheapest), (None, None));
-    assert_eq!(rng, Pcg32::new(7, 7), "nothing was drawn");
+    assert_eq!(rng, Pcg32::new(7, 7), "no number was drawn");
 }
--- a/crates/load-estimators/src/backend.rs
+++ b/crates/load-estimators/src/backend.rs
@@ -1,31 +1,33 @@
-//! What is measured of one backend: attempts in flight, service time and health.
+//! Estimates of one backend: attempts in flight, service time and health.
 
 use crate::in_flight::InFlight;
 use crate::{Attempt, EjectionChange, HealthScore, Millis, ServiceTime, ServiceTimePrior};
 
-/// A backend is overdue once it is silent for this multiple of its oldest attempt's expected time.
+/// A backend is overdue if it has not responded for this multiple of its oldest attempt's expected
+/// time.
 const OVERDUE_FACTOR: f64 = 3.0;
 
-/// How an attempt ended, as far as it says something about its backend.
+/// Result of an attempt, as far as it is evidence about its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// The request was served.
     Served,
-    /// The backend answered with an error.
+    /// The backend responded with an error.
     Failed,
     /// The backend rejected the plan with this index for lack of capacity.
     AtCapacity(usize),
-    /// No answer came in time.
+    /// No response arrived in time.
     TimedOut,
     /// The attempt was cancelled.
     Cancelled,
     /// No connection could be established.
     ConnectionRefused,
-    /// An established connection broke. Where connections break everywhere the network is at fault,
-    /// not the backends, and ejecting each in turn would crowd the rest: so it says little. A
-    /// backend whose process died refuses the next connection, which says enough.
+    /// An established connection broke. This is weak evidence: if connections break everywhere, the
+    /// network is at fault and not the backends, and ejecting one after another would overload the
+    /// rest. A backend whose process has died refuses the next connection, which is strong
+    /// evidence.
     ConnectionBroken,
-    /// The connection was reset, though none that was established broke.
+    /// The connection was reset, but no established connection broke.
     ConnectionReset,
     /// The request was never sent.
     NotSent,
@@ -36,19 +38,20 @@
 pub struct AttemptEnd {
     /// The index of its request's class.
     pub class: usize,
-    /// How it ended.
+    /// Its result.
     pub result: AttemptResult,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Millis,
 }
 
-/// What [`BackendEstimator::finish`] found besides the figures that it updated.
+/// Findings of [`BackendEstimator::finish`], besides the estimates that it updates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finished {
-    /// Whether the backend had not answered anything since the attempt was sent: its other
-    /// connections may be as dead.
+    /// Whether no other attempt at the backend had ended since this one was sent: its other
+    /// connections may be dead too.
     pub was_unresponsive: bool,
-    /// The load at which the attempt was sent, if its time says something about the service time.
+    /// The load at which the attempt was sent, if its time counts as a measurement of the service
+    /// time.
     pub measured_load: Option<f64>,
     /// Whether the backend was ejected or restored.
     pub ejection: Option<EjectionChange>,
@@ -56,27 +59,28 @@
 
 /// Estimates of one backend from the attempts that one gateway sends to it.
 ///
-/// `Key` names the request of an attempt. Classes and plans are given by index.
+/// `Key` identifies the request of an attempt. Classes and plans are given by index.
 #[derive(Clone, Debug)]
 pub struct BackendEstimator<Key> {
     in_flight: InFlight<Key>,
     service_time: ServiceTime,
-    last_answer: Millis,
+    /// When the last attempt ended; initially when the estimator was created or reset.
+    last_end: Millis,
     health: HealthScore,
 }
 
 impl<Key: Ord> BackendEstimator<Key> {
-    /// A backend of which nothing is known.
+    /// An estimator of a backend without any attempts so far.
     pub fn new(now: Millis) -> Self {
         BackendEstimator {
             in_flight: InFlight::default(),
             service_time: ServiceTime::default(),
-            last_answer: now,
+            last_end: now,
             health: HealthScore::default(),
         }
     }
 
-    /// Forgets everything but the attempts in flight, after a restart of the backend.
+    /// Discards all estimates except the attempts in flight, after a restart of the backend.
     pub fn reset(&mut self, now: Millis) {
         *self = BackendEstimator {
             in_flight: std::mem::take(&mut self.in_flight),
@@ -96,11 +100,12 @@
         self.in_flight.insert(key, attempt);
     }
 
-    /// Records the end of the attempt of a request.
+    /// Records the end of a request's attempt.
     ///
-    /// A backend may let one class hang and answer the others. That counts against it for this class
-    /// alone, whether the attempt timed out or was cancelled, and its time is not averaged. A backend
-    /// that hangs for all classes is covered too; a single answer that was lost causes a detour.
+    /// A backend may be unresponsive for one class and serve the others. An overdue attempt that
+    /// timed out or was cancelled therefore counts against the backend for its class alone, and its
+    /// time is not averaged. A backend that is unresponsive for all classes is covered too; a
+    /// single lost response diverts requests to other backends.
     pub fn finish(
         &mut self,
         now: Millis,
@@ -116,15 +121,15 @@
             elapsed,
         } = end;
         let attempt = self.in_flight.remove(key);
-        let was_unresponsive = attempt.is_some_and(|attempt| attempt.sent_at >= self.last_answer);
-        let hung = attempt.is_some_and(|attempt| self.is_overdue(now, &attempt, prior));
-        let is_answer = matches!(result, Served | Failed | AtCapacity(_));
-        let is_late = matches!(result, TimedOut | Cancelled);
+        let was_unresponsive = attempt.is_some_and(|attempt| attempt.sent_at >= self.last_end);
+        let was_overdue = attempt.is_some_and(|attempt| self.is_overdue(now, &attempt, prior));
+        let has_response = matches!(result, Served | Failed | AtCapacity(_));
+        let is_abandoned = matches!(result, TimedOut | Cancelled);
         self.health
-            .record_class(now, class, is_answer, is_late && hung);
-        self.last_answer = now;
-        let is_timed = result == Served || (is_late && !hung);
-        let measured_load = attempt.filter(|_| is_timed).map(|attempt| attempt.load);
+            .record_class(now, class, has_response, is_abandoned && was_overdue);
+        self.last_end = now;
+        let is_measured = result == Served || (is_abandoned && !was_overdue);
+        let measured_load = attempt.filter(|_| is_measured).map(|attempt| attempt.load);
         if let Some(load) = measured_load {
             self.service_time.record(1, elapsed, load);
         }
@@ -140,7 +145,7 @@
         self.in_flight.get(key)
     }
 
-    /// Whether nothing is in flight.
+    /// Whether no attempt is in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
@@ -150,17 +155,17 @@
         self.in_flight.load()
     }
 
-    /// Its health.
+    /// Health of the backend.
     pub fn health(&self) -> &HealthScore {
         &self.health
     }
 
-    /// Milliseconds per unit of load by its own answers, if there are any.
+    /// Milliseconds per unit of load over the backend's own attempts, if any were measured.
     pub fn measured_time_per_unit(&self) -> Option<f64> {
         self.service_time.per_unit()
     }
 
-    /// Milliseconds per unit of load; with few answers, close to the prior.
+    /// Milliseconds per unit of load; with few measured attempts, close to the prior.
     pub fn time_per_unit(&self, prior: ServiceTimePrior) -> f64 {
         self.service_time.per_unit_with(prior)
     }
@@ -170,17 +175,17 @@
         self.time_per_unit(prior) * (self.load() + units)
     }
 
-    /// Time until a request that is sent now would be begun, by the gateway's own load.
+    /// Expected queueing time of a request that is sent now, by the gateway's own load.
     ///
-    /// Load that the backend reports is not used: it is late, and the same for all gateways. What
-    /// others send shows in the time per unit.
+    /// Load that the backend reports is not used: it is outdated, and the same for all gateways.
+    /// Load from other gateways shows in the time per unit.
     pub fn wait(&self, prior: ServiceTimePrior) -> Millis {
         self.time_per_unit(prior) * self.load()
     }
 
-    /// How long the backend has been silent beyond the time that its oldest attempt should take; 0
-    /// if it isn't overdue. Attempts of another class than `class` don't count if that class is
-    /// known to hang there.
+    /// How long the backend has not responded, beyond the time that its oldest attempt should take;
+    /// 0 if it is not overdue. Attempts of other classes than `class` do not count if the backend
+    /// is known to be unresponsive for their class.
     pub fn overdue(
         &self,
         now: Millis,
@@ -197,31 +202,31 @@
             {
                 0.0
             } else {
-                self.overdue_since(now, attempt, self.last_answer, prior)
+                self.overdue_since(now, attempt, self.last_end, prior)
             }
         });
         overdue.fold(0.0, f64::max)
     }
 
-    /// Whether an attempt is overdue since the last answer to its class.
+    /// Whether an attempt is overdue, counted from the last response to its class.
     pub fn is_overdue(&self, now: Millis, attempt: &Attempt, prior: ServiceTimePrior) -> bool {
         self.attempt_overdue(now, attempt, prior) > 0.0
     }
 
     fn attempt_overdue(&self, now: Millis, attempt: &Attempt, prior: ServiceTimePrior) -> Millis {
-        let last_answer = self.health.last_response(attempt.class);
-        let last_answer = last_answer.unwrap_or(attempt.sent_at);
-        self.overdue_since(now, attempt, last_answer, prior)
+        let last_response = self.health.last_response(attempt.class);
+        let last_response = last_response.unwrap_or(attempt.sent_at);
+        self.overdue_since(now, attempt, last_response, prior)
     }
 
     fn overdue_since(
         &self,
         now: Millis,
         attempt: &Attempt,
-        last_answer: Millis,
+        since: Millis,
         prior: ServiceTimePrior,
     ) -> Millis {
         let expected = OVERDUE_FACTOR * self.time_per_unit(prior) * attempt.load;
-        now - attempt.sent_at.max(last_answer) - expected
+        now - attempt.sent_at.max(since) - expected
     }
 }
--- a/crates/load-estimators/src/backpressure.rs
+++ b/crates/load-estimators/src/backpressure.rs
@@ -1,39 +1,41 @@
-//! How short of capacity the backends behind a gateway are.
+//! Backpressure: how short of capacity the backends of a gateway are.
 
 use crate::Millis;
 
 /// Time constant of the average pressure, in latency targets.
 const PRESSURE_TARGETS: f64 = 2.0;
-/// Step of the admitted fraction for an answer that took no time, per latency target elapsed.
+/// Step of the admitted fraction for a response that took no time, per latency target elapsed.
 const FRACTION_STEP: f64 = 0.15;
-/// Mean answer time, as a fraction of its latency target, at which the admitted fraction is stable.
+/// Mean response time, as a fraction of its latency target, at which the admitted fraction is
+/// stable.
 const STABLE_LATENCY: f64 = 0.25;
-/// The admitted fraction at the start of one of very many gateways.
+/// Initial admitted fraction of a gateway in a very large fleet.
 const INITIAL_FRACTION: f64 = 0.6;
-/// The least admitted fraction: some answers are always needed to measure by.
+/// Minimum admitted fraction: some responses are always needed to measure response times.
 const MIN_FRACTION: f64 = 0.05;
 
-/// Backpressure as one gateway measures it, by waits and by answer times.
+/// Backpressure as measured by one gateway, from waits and from response times.
 #[derive(Clone, Copy, Debug)]
 pub struct Backpressure {
-    /// By the waits behind the gateway's own attempts, from 0 to 1.
+    /// Pressure by the waits behind the gateway's own attempts, from 0 to 1.
     pub pressure: f64,
     pressure_at: Millis,
-    /// Fraction of the requests that the backends can bear, by answer times.
+    /// Fraction of the requests that the backends have capacity for, by response times.
     pub admitted_fraction: f64,
-    answer_at: Millis,
+    response_at: Millis,
 }
 
 impl Backpressure {
-    /// The start of one of `gateways`. It doesn't see what all of them admit together, so it
-    /// starts with a part of its requests; a single one with all.
+    /// Initial state of one of `gateways`. A gateway does not see how much all of them admit
+    /// together, so it first admits a fraction of its requests; a single gateway admits all of
+    /// them.
     pub fn new(gateways: u32) -> Self {
         let own_share = (1.0 - INITIAL_FRACTION) / f64::from(gateways.max(1));
         Backpressure {
             pressure: 0.0,
             pressure_at: 0.0,
             admitted_fraction: INITIAL_FRACTION + own_share,
-            answer_at: 0.0,
+            response_at: 0.0,
         }
     }
 
@@ -42,8 +44,9 @@
         self.pressure.max(1.0 - self.admitted_fraction)
     }
 
-    /// Records the waits at the backends that are in use, where all of them are; `max_wait` is the
-    /// longest acceptable one. The shortest wait counts; none at all is no pressure.
+    /// Records the waits at the backends if all of them are in use, no waits otherwise; `max_wait`
+    /// is the maximum acceptable wait. The shortest wait counts; without any wait there is no
+    /// pressure.
     pub fn record_waits(
         &mut self,
         now: Millis,
@@ -51,7 +54,7 @@
         max_wait: Millis,
         waits: impl Iterator<Item = Millis>,
     ) {
-        let keep = (-(now - self.pressure_at) / (PRESSURE_TARGETS * target)).exp();
+        let decay = (-(now - self.pressure_at) / (PRESSURE_TARGETS * target)).exp();
         let fraction = waits.fold(f64::INFINITY, f64::min) / max_wait;
         let wait = if fraction.is_finite() {
             fraction.min(1.0)
@@ -59,21 +62,22 @@
             0.0
         };
         let pressure = (2.0 * wait - 1.0).clamp(0.0, 1.0);
-        self.pressure = self.pressure * keep + pressure * (1.0 - keep);
+        self.pressure = self.pressure * decay + pressure * (1.0 - decay);
         self.pressure_at = now;
     }
 
-    /// Records an answer that took `fraction` of its latency target.
+    /// Records a response that took `fraction` of its latency target.
     ///
-    /// It guards against queues that other gateways fill: where many share the backends, each has
-    /// hardly any attempt in flight, and its own load shows nothing while all answers get slow. All
-    /// gateways admit less by the same rule until the mean answer time is stable.
+    /// Response times reveal queues that other gateways fill: where many gateways share the
+    /// backends, each has hardly any attempt in flight, and its own load shows nothing while all
+    /// responses get slow. All gateways admit less by the same rule until the mean response time is
+    /// stable.
     pub fn record_response(&mut self, now: Millis, target: Millis, gateways: u32, fraction: f64) {
-        let step = FRACTION_STEP * ((now - self.answer_at) / target).min(1.0);
-        // One or two gateways see much of the queues themselves.
+        let step = FRACTION_STEP * ((now - self.response_at) / target).min(1.0);
+        // With one or two gateways, each sees much of the queues in its own load.
         let stable = STABLE_LATENCY * (1.0 + 1.0 / f64::from(gateways.max(1)).powi(2));
         let change = step * (1.0 - fraction / stable);
         self.admitted_fraction = (self.admitted_fraction + change).clamp(MIN_FRACTION, 1.0);
-        self.answer_at = now;
+        self.response_at = now;
     }
 }
--- a/crates/load-estimators/src/bounds.rs
+++ b/crates/load-estimators/src/bounds.rs
@@ -1,6 +1,6 @@
-//! Validation of figures that come from outside.
+//! Validation of numbers from external input.
 
-/// `value` clamped to `min..=max`, or `default` where it is not a finite number.
+/// Returns `value` clamped to `min..=max`, or `default` if it is not a finite number.
 ///
 /// A `max` below `min` counts as `min`.
 pub fn clamp_or(value: f64, min: f64, max: f64, default: f64) -> f64 {
--- a/crates/load-estimators/src/decay.rs
+++ b/crates/load-estimators/src/decay.rs
@@ -8,12 +8,12 @@
 pub struct Decaying {
     /// The value at the time it was set.
     pub value: f64,
-    /// When it was set.
+    /// When the value was set.
     pub set_at: Millis,
 }
 
 impl Decaying {
-    /// What is left of the value at `now`, with a half-life of `halflife` milliseconds.
+    /// The decayed value at `now`, with a half-life of `halflife` milliseconds.
     pub fn at(&self, now: Millis, halflife: Millis) -> f64 {
         if self.value == 0.0 {
             return 0.0;
--- a/crates/load-estimators/src/evicting_map.rs
+++ b/crates/load-estimators/src/evicting_map.rs
@@ -1,10 +1,10 @@
-//! A map that evicts entries in a sweep from time to time.
+//! A map that evicts entries in periodic sweeps.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
 
-/// A map whose entries are swept at intervals. Otherwise it is used like the [`BTreeMap`] inside.
+/// A map whose entries are swept at intervals. It dereferences to the [`BTreeMap`] inside.
 #[derive(Clone, Debug)]
 pub struct EvictingMap<K, V> {
     entries: BTreeMap<K, V>,
@@ -21,8 +21,8 @@
 }
 
 impl<K: Ord, V> EvictingMap<K, V> {
-    /// Evicts the entries that `keep` denies, if the last sweep was `interval` or longer ago;
-    /// returns how many.
+    /// Evicts the entries for which `keep` is false, if the last sweep was `interval` or longer
+    /// ago; returns the number of evicted entries.
     pub fn sweep(&mut self, now: Millis, interval: Millis, keep: impl Fn(&V) -> bool) -> usize {
         if now < self.next_sweep {
             return 0;
--- a/crates/load-estimators/src/health.rs
+++ b/crates/load-estimators/src/health.rs
@@ -5,16 +5,18 @@
 
 /// Half-life of a fault score without new results, in latency targets.
 const FAULT_HALFLIFE_TARGETS: f64 = 4.0;
-/// Half-life of the fault score of one class, in latency targets. Longer, because finding out
-/// whether the class still hangs costs a request all of its time.
-const HANG_HALFLIFE_TARGETS: f64 = 8.0;
-/// Fault score up to which a backend counts as healthy, so that it is tried again after a fault.
+/// Half-life of the fault score of one class, in latency targets. It is longer, because the request
+/// that shows whether the backend still does not respond to the class loses all of its time.
+const CLASS_FAULT_HALFLIFE_TARGETS: f64 = 8.0;
+/// Fault score up to which a backend counts as healthy, so that it gets requests again after a
+/// fault.
 const HEALTHY_FAULT_SCORE: f64 = 0.1;
-/// Fraction of the way to 1 that one failure moves a fault score.
+/// Fraction of its distance to 1 by which one failure raises a fault score.
 const FAILURE_STEP: f64 = 0.4;
-/// The same for a connection that breaks: less, because a refused or silent one proves far more.
+/// The same for a broken connection: less, because a refused or unresponsive connection is far
+/// stronger evidence.
 const BROKEN_CONNECTION_STEP: f64 = 0.1;
-/// Fraction of the way to 0 that one success moves a fault score.
+/// Fraction of its value by which one success lowers a fault score.
 const SUCCESS_STEP: f64 = 0.2;
 /// Fault score above which a backend is reported as ejected; below half of it, as restored.
 const EJECTION_FAULT_SCORE: f64 = 0.5;
@@ -30,43 +32,46 @@
 
 /// Fault scores of one backend, from 0 (healthy) to 1: overall, by plan and by class.
 ///
-/// All scores decay while nothing is sent. Half-lives are counted in the caller's latency target.
+/// All scores decay over time. Half-lives are multiples of the caller's latency target.
 #[derive(Clone, Debug, Default)]
 pub struct HealthScore {
     overall: Decaying,
-    /// From rejections for lack of capacity, by plan.
+    /// Scores from rejections for lack of capacity, by plan.
     plans: BTreeMap<usize, Decaying>,
-    /// By class that was sent there.
+    /// By class of the attempts that have ended.
     classes: BTreeMap<usize, ClassHealth>,
     ejected: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct ClassHealth {
-    last_answer: Millis,
-    hangs: Decaying,
+    last_response: Millis,
+    fault: Decaying,
 }
 
 impl HealthScore {
     /// Fault score up to which a backend counts as healthy.
     pub const HEALTHY: f64 = HEALTHY_FAULT_SCORE;
 
-    /// When a request of `class` was last answered, counting from its first attempt.
+    /// When a request of `class` last got a response; initially when its first attempt ended.
     pub fn last_response(&self, class: usize) -> Option<Millis> {
-        self.classes.get(&class).map(|known| known.last_answer)
+        self.classes.get(&class).map(|health| health.last_response)
     }
 
-    /// Whether requests of `class` hang there.
+    /// Whether the backend counts as unresponsive to requests of `class`.
     pub fn is_class_unresponsive(&self, now: Millis, target: Millis, class: usize) -> bool {
-        self.hang_score(now, target, class) > HEALTHY_FAULT_SCORE
+        self.class_fault_score(now, target, class) > HEALTHY_FAULT_SCORE
     }
 
     /// The fault score for a request of this plan and class: the highest that applies.
     pub fn fault_score(&self, now: Millis, target: Millis, plan: usize, class: usize) -> f64 {
         let halflife = FAULT_HALFLIFE_TARGETS * target;
-        let full = self.plans.get(&plan).map_or(0.0, |s| s.at(now, halflife));
-        let hanging = self.hang_score(now, target, class);
-        self.overall.at(now, halflife).max(full).max(hanging)
+        let plan_score = self.plans.get(&plan).map_or(0.0, |s| s.at(now, halflife));
+        let class_score = self.class_fault_score(now, target, class);
+        self.overall
+            .at(now, halflife)
+            .max(plan_score)
+            .max(class_score)
     }
 
     /// Whether the overall fault score is above [`HealthScore::HEALTHY`] at `now`.
@@ -79,18 +84,18 @@
         (self.overall.value > HEALTHY_FAULT_SCORE).then_some(self.overall.set_at)
     }
 
-    /// Records that an attempt of `class` was answered, hung (no answer came long after one was due)
-    /// or neither.
-    pub fn record_class(&mut self, now: Millis, class: usize, answered: bool, hung: bool) {
-        let known = self.classes.entry(class).or_insert(ClassHealth {
-            last_answer: now,
-            hangs: Decaying::default(),
+    /// Records that an attempt of `class` got a response, was abandoned while overdue (no response
+    /// long after one was due), or neither.
+    pub fn record_class(&mut self, now: Millis, class: usize, responded: bool, overdue: bool) {
+        let health = self.classes.entry(class).or_insert(ClassHealth {
+            last_response: now,
+            fault: Decaying::default(),
         });
-        if answered {
-            known.last_answer = now;
-            known.hangs.value *= 0.5;
-        } else if hung {
-            known.hangs = Decaying {
+        if responded {
+            health.last_response = now;
+            health.fault.value *= 0.5;
+        } else if overdue {
+            health.fault = Decaying {
                 value: 1.0,
                 set_at: now,
             };
@@ -132,14 +137,14 @@
         }
     }
 
-    fn hang_score(&self, now: Millis, target: Millis, class: usize) -> f64 {
-        let halflife = HANG_HALFLIFE_TARGETS * target;
-        let known = self.classes.get(&class);
-        known.map_or(0.0, |known| known.hangs.at(now, halflife))
+    fn class_fault_score(&self, now: Millis, target: Millis, class: usize) -> f64 {
+        let halflife = CLASS_FAULT_HALFLIFE_TARGETS * target;
+        let health = self.classes.get(&class);
+        health.map_or(0.0, |health| health.fault.at(now, halflife))
     }
 }
 
-/// The fault score after a result, where it was `before`.
+/// The fault score after a result; `before` is the score before it.
 fn updated_score(before: f64, result: AttemptResult) -> f64 {
     use AttemptResult::*;
     match result {
--- a/crates/load-estimators/src/in_flight.rs
+++ b/crates/load-estimators/src/in_flight.rs
@@ -6,13 +6,13 @@
 /// An attempt that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Millis,
     /// The index of its request's class.
     pub class: usize,
     /// Units of its request.
     pub units: f64,
-    /// Units in flight to the backend when it was sent, its own included.
+    /// Units in flight to the backend when the attempt was sent, its own included.
     pub load: f64,
 }
 
@@ -51,7 +51,7 @@
         self.attempts.values()
     }
 
-    /// Whether nothing is in flight.
+    /// Whether no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
--- a/crates/load-estimators/src/lib.rs
+++ b/crates/load-estimators/src/lib.rs
@@ -1,9 +1,9 @@
 //! Estimators of load and health for a load balancer: decaying scores, service times, concurrency
 //! limits, backpressure and the bookkeeping around them.
 //!
-//! A type here answers "what has been seen of late"; what follows from the answer is up to its
-//! caller. None of them reads a clock or does I/O: each method that depends on time takes `now`, in
-//! milliseconds on the caller's clock.
+//! The types here summarise recent observations; decisions are up to the caller. None of them reads
+//! a clock or does I/O: each method that depends on time takes `now`, in milliseconds on the
+//! caller's clock.
 
 mod backend;
 mod backpressure;
--- a/crates/load-estimators/src/metered_usage.rs
+++ b/crates/load-estimators/src/metered_usage.rs
@@ -1,8 +1,8 @@
-//! Use of a quota as a meter reports it.
+//! Quota usage as reported by a meter.
 
 use crate::Millis;
 
-/// Units over a stretch of time.
+/// Units over a period of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Units that were requested.
@@ -18,7 +18,7 @@
     }
 }
 
-/// Decaying sums of what a meter has reported.
+/// Decaying sums of the usage that a meter has reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MeteredUsage {
     sum: Usage,
@@ -26,7 +26,7 @@
 }
 
 impl MeteredUsage {
-    /// Nothing was reported; the meter is read from `now` on.
+    /// Sums without any report; the first report covers the time from `now` on.
     pub fn new(now: Millis) -> Self {
         MeteredUsage {
             sum: Usage::default(),
@@ -51,10 +51,10 @@
 
     /// The sums at `now`; `lambda` is ln 2 / half-life, per millisecond.
     pub fn recent(&self, now: Millis, lambda: f64) -> Usage {
-        let keep = (lambda * (self.updated_at - now)).exp();
+        let decay = (lambda * (self.updated_at - now)).exp();
         Usage {
-            requested: self.sum.requested * keep,
-            allowed: self.sum.allowed * keep,
+            requested: self.sum.requested * decay,
+            allowed: self.sum.allowed * decay,
         }
     }
 }
--- a/crates/load-estimators/src/random.rs
+++ b/crates/load-estimators/src/random.rs
@@ -8,10 +8,10 @@
     f64::from(rng.next_u32()) / 4_294_967_296.0
 }
 
-/// One draw for each rank of a sequence, of which some may be left out.
+/// One draw for each rank of a sequence, of which some may be skipped.
 ///
-/// A caller that visits only some of the ranks draws the same number for each of them as one that
-/// visits all: the numbers of the ranks between are skipped, in logarithmic time.
+/// A caller that visits only some of the ranks draws the same number for each of them as a caller
+/// that visits all: the draws of the ranks in between are skipped, in logarithmic time.
 #[derive(Clone, Debug)]
 pub struct RankedDraws {
     rng: Pcg32,
--- a/crates/load-estimators/src/retry_budget.rs
+++ b/crates/load-estimators/src/retry_budget.rs
@@ -1,29 +1,32 @@
-//! The part of a fleet's retry budget that one gateway may use without asking the others.
+//! A gateway's share of its fleet's retry budget, used without coordination with the others.
 
 use crate::Millis;
 
-/// The window is counted in so many slots.
+/// Number of slots in which the events of a window are counted.
 const SLOTS: usize = 10;
 
-/// How many retries a gateway earns and saves.
+/// How many retries a gateway earns and accumulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryLimits {
     /// Retries earned with each request.
     pub share: f64,
-    /// Retries that are saved at most, however old they are: this gateway's part of what the fleet may use without any request.
+    /// Maximum number of retries that accumulate without expiring: this gateway's share of the
+    /// retries that the fleet may use without any request.
     pub depth: f64,
-    /// The span over which the fleet's retries are counted, in milliseconds; 0 where retries are saved by `depth` alone.
+    /// The window over which the fleet's retries are counted, in milliseconds; 0 if retries
+    /// accumulate up to `depth` alone.
     pub window: Millis,
 }
 
 impl RetryLimits {
-    /// Retries that are earned with each request and may be used at any time, and those that are earned with it and expire with the
-    /// window.
+    /// Retries earned with each request: those that may be used at any time, and those that expire
+    /// with the window.
     ///
-    /// A retry is whole. A gateway that may save less than one would never make any, so it saves what it has earned of late; in
-    /// turn it earns half as much. Summed over a fleet, what is used in one window was earned in it or in the window before, that
-    /// is `share / 2` of the requests of each, or is saved within `depth`: no more than `share` of the requests of the window that
-    /// has more, and the sum of the depths.
+    /// Only whole retries can be used. A gateway with a `depth` of less than one would never retry,
+    /// so it also accumulates what it has earned recently, and earns half as much in return. Summed
+    /// over a fleet, the retries that are used in one window were earned in it or in the window
+    /// before, which is `share / 2` of the requests of each, or have accumulated within `depth`: at
+    /// most `share` of the requests of the window with more requests, plus the sum of the depths.
     fn rates(&self) -> (f64, f64) {
         if self.depth >= 1.0 || self.window <= 0.0 {
             (self.share, 0.0)
@@ -33,49 +36,50 @@
     }
 }
 
-/// A gateway's retry budget: retries that it has earned with requests and not used.
+/// A gateway's retry budget: the retries that it has earned with requests and not used yet.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    saved: f64,
-    /// As of the last request.
+    available: f64,
+    /// Limits as of the last request.
     limits: RetryLimits,
     recent: RecentCount,
 }
 
 impl RetryBudget {
-    /// A budget that holds so many retries.
-    pub fn new(saved: f64) -> RetryBudget {
+    /// A budget with `available` retries.
+    pub fn new(available: f64) -> RetryBudget {
         RetryBudget {
-            saved,
+            available,
             ..RetryBudget::default()
         }
     }
 
-    /// A request is forwarded; the limits hold until the next one.
+    /// Records a forwarded request; `limits` apply until the next one.
     pub fn earn(&mut self, now: Millis, limits: RetryLimits) {
         self.limits = limits;
         self.recent.add(now, limits.window);
         let (earned, _) = limits.rates();
-        self.saved = (self.saved + earned).min(self.max_saved(now));
+        self.available = (self.available + earned).min(self.max_available(now));
     }
 
-    /// Whether there is a whole retry.
+    /// Whether a whole retry is available.
     pub fn has_retry(&self, now: Millis) -> bool {
-        self.saved.min(self.max_saved(now)) >= 1.0
+        self.available.min(self.max_available(now)) >= 1.0
     }
 
-    /// A retry is made.
+    /// Records a retry.
     pub fn spend(&mut self, now: Millis) {
-        self.saved = self.saved.min(self.max_saved(now)) - 1.0;
+        self.available = self.available.min(self.max_available(now)) - 1.0;
     }
 
-    fn max_saved(&self, now: Millis) -> f64 {
+    fn max_available(&self, now: Millis) -> f64 {
         let (_, expiring) = self.limits.rates();
         self.limits.depth + expiring * self.recent.count(now, self.limits.window)
     }
 }
 
-/// Counts events of the last window: none that is older, and all but those of up to one slot that are younger.
+/// Counts the events of the last window. Older events are never counted; events of up to one slot
+/// at the start of the window may be missing.
 #[derive(Clone, Debug, Default)]
 struct RecentCount {
     /// Events by slot; the slot with number `n` is at index `n % SLOTS`.
@@ -101,10 +105,10 @@
         if window <= 0.0 {
             return 0.0;
         }
-        // The oldest of the slots that reach into the window has begun before it.
+        // The oldest slot that overlaps the window began before it, and is not counted.
         let oldest = slot_number(now, window) - SLOTS as i64 + 1;
-        let known = self.newest - SLOTS as i64 + 1;
-        (oldest.max(known)..=self.newest)
+        let oldest_kept = self.newest - SLOTS as i64 + 1;
+        (oldest.max(oldest_kept)..=self.newest)
             .map(|number| self.slots[index(number)])
             .sum()
     }
--- a/crates/load-estimators/src/service_time.rs
+++ b/crates/load-estimators/src/service_time.rs
@@ -5,7 +5,7 @@
 /// Number of attempts over which the service time of one backend is averaged.
 const WINDOW: f64 = 16.0;
 
-/// What a backend's service time is assumed to be before it is measured.
+/// Assumed service time of a backend before it is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceTimePrior {
     /// Weight, in units of load.
@@ -14,7 +14,8 @@
     pub per_unit: f64,
 }
 
-/// Decaying sums of time and of load over recent attempts; their ratio is the time per unit of load.
+/// Decaying sums of time and of load over recent attempts; their ratio is the time per unit of
+/// load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceTime {
     time: Millis,
@@ -24,9 +25,9 @@
 impl ServiceTime {
     /// Adds an attempt that took `time` at `load`, to the average over `backends` backends.
     pub fn record(&mut self, backends: usize, time: Millis, load: f64) {
-        let keep = 1.0 - 1.0 / (WINDOW * backends.max(1) as f64);
-        self.time = self.time * keep + time;
-        self.load = self.load * keep + load;
+        let decay = 1.0 - 1.0 / (WINDOW * backends.max(1) as f64);
+        self.time = self.time * decay + time;
+        self.load = self.load * decay + load;
     }
 
     /// Milliseconds per unit of load, if any attempt was recorded.
@@ -35,7 +36,7 @@
     }
 
     /// This service time as a prior for that of a single backend, with the weight of one attempt;
-    /// `default` milliseconds per unit of load where nothing was recorded.
+    /// `default` milliseconds per unit of load if no attempt was recorded.
     pub fn prior(&self, default: f64) -> ServiceTimePrior {
         let mean_load = self.load / WINDOW;
         ServiceTimePrior {
--- a/crates/load-estimators/src/shared_balance.rs
+++ b/crates/load-estimators/src/shared_balance.rs
@@ -1,36 +1,37 @@
-//! The balance of a quota that several gateways draw on, by what they report to one another.
+//! The balance of a quota shared by several gateways, from the usage that they report to one
+//! another.
 
 use crate::{clamp_or, EvictingMap, Millis};
 
-/// What other gateways have drawn.
+/// Usage of a quota by other gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageReport {
-    /// Units that were not reported before; negative where more was returned than drawn.
+    /// Units drawn and not reported before; negative if more were returned than drawn.
     pub units: f64,
-    /// Everything drawn until then is reported, except for `error`.
+    /// Time up to which all drawn units are reported, except for `error`.
     pub as_of: Millis,
-    /// Units at most that were drawn and are not reported.
+    /// Maximum number of units that were drawn and are not reported.
     pub error: f64,
     /// Fraction of the gateways that the report covers, this one included.
     pub coverage: f64,
 }
 
-/// Units that a quota holds at least and at most.
+/// Lower and upper bound of the units that a quota holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BalanceBounds {
-    /// It holds at least so much.
+    /// The lower bound.
     pub min: f64,
-    /// It holds at most so much.
+    /// The upper bound.
     pub max: f64,
 }
 
 /// The balance of one shared quota, as one gateway knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedBalance {
-    /// Units by all use that is known, as of `updated_at`; there may be less, never more.
+    /// Units left after all known usage, as of `updated_at`; the quota may hold less, never more.
     balance: f64,
     updated_at: Millis,
-    /// Figures of the last report.
+    /// Values of the last report.
     as_of: Millis,
     error: f64,
     coverage: f64,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Refills it up to `burst` with the reporting gateways' fraction of `rate` units a second.
+    /// Refills the balance up to `burst`, with the reporting gateways' fraction of `rate` units a
+    /// second.
     pub fn refill(&mut self, now: Millis, rate: f64, burst: f64) {
         let elapsed = (now - self.updated_at).max(0.0);
         let gained = rate * self.coverage * elapsed / 1000.0;
@@ -56,7 +58,7 @@
         self.updated_at = now;
     }
 
-    /// Takes in a report. Each gateway that it doesn't cover may use its own fraction of the rate.
+    /// Applies a report. Each gateway that it does not cover may use its own fraction of the rate.
     pub fn record(&mut self, now: Millis, burst: f64, report: UsageReport) {
         let units = clamp_or(report.units, -burst, 2.0 * burst, 0.0);
         self.balance = (self.balance - units).clamp(-burst, burst);
@@ -65,12 +67,12 @@
         self.error = clamp_or(report.error, 0.0, f64::MAX, f64::MAX);
     }
 
-    /// Takes `units` out of it, or returns them where negative.
+    /// Takes `units` out of the balance, or returns them if negative.
     pub fn draw(&mut self, units: f64) {
         self.balance -= units;
     }
 
-    /// The bounds of the balance; `None` where the last report is older than `max_age`.
+    /// The bounds of the balance; `None` if the last report is older than `max_age`.
     pub fn bounds(&self, now: Millis, max_age: Millis) -> Option<BalanceBounds> {
         (now - self.as_of <= max_age).then_some(BalanceBounds {
             min: self.balance - self.error,
@@ -79,7 +81,7 @@
     }
 }
 
-/// Shared balances by owner; empty where gateways report nothing to one another.
+/// Shared balances by owner; empty if gateways report nothing to one another.
 #[derive(Clone, Debug)]
 pub struct SharedBalances<Key> {
     balances: EvictingMap<Key, SharedBalance>,
@@ -94,7 +96,7 @@
 }
 
 impl<Key: Ord> SharedBalances<Key> {
-    /// Takes in a report on a quota of `rate` units a second and `burst` units at once.
+    /// Applies a report on a quota of `rate` units a second and a burst of `burst` units.
     pub fn record(&mut self, now: Millis, key: Key, rate: f64, burst: f64, report: UsageReport) {
         let full = SharedBalance::full(now, burst);
         let balance = self.balances.entry(key).or_insert(full);
@@ -102,7 +104,7 @@
         balance.record(now, burst, report);
     }
 
-    /// Takes `units` out of a balance, if there is one, or returns them where negative.
+    /// Takes `units` out of a balance, if there is one, or returns them if negative.
     pub fn draw(&mut self, key: Key, units: f64) {
         if let Some(balance) = self.balances.get_mut(&key) {
             balance.draw(units);
@@ -130,7 +132,7 @@
             .sweep(now, interval, |balance| now - balance.updated_at < max_idle);
     }
 
-    /// How many balances there are.
+    /// The number of balances.
     pub fn len(&self) -> usize {
         self.balances.len()
     }
--- a/crates/load-estimators/src/slow_start.rs
+++ b/crates/load-estimators/src/slow_start.rs
@@ -13,7 +13,8 @@
 }
 
 impl SlowStart {
-    /// Fraction of its full capacity that a backend has at `now`; 1 where it started long ago.
+    /// Fraction of its full capacity that a backend has at `now`; 1 if it started long ago
+    /// (`None`).
     pub fn capacity(&self, now: Millis, started_at: Option<Millis>) -> f64 {
         let Some(started_at) = started_at else {
             return 1.0;
--- a/crates/load-estimators/tests/backend.rs
+++ b/crates/load-estimators/tests/backend.rs
@@ -1,4 +1,4 @@
-//! What is estimated of one backend, against sequences of attempts with known results.
+//! Estimates of one backend, after sequences of attempts with known results.
 
 use maplefall_load_estimators::{
     AttemptEnd, AttemptResult, BackendEstimator, EjectionChange, Finished, Millis, ServiceTime,
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_service_time_moves_from_the_prior_to_what_is_measured() {
+fn the_service_time_moves_from_the_prior_to_the_measured_time() {
     let mut estimator = BackendEstimator::new(0.0);
     assert_eq!(estimator.measured_time_per_unit(), None);
     assert_eq!(estimator.time_per_unit(PRIOR), 10.0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn errors_say_nothing_of_the_service_time() {
+fn errors_do_not_change_the_service_time() {
     let mut estimator = BackendEstimator::new(0.0);
     for (key, result) in [
         AttemptResult::Failed,
@@ -78,23 +78,26 @@
 }
 
 #[test]
-fn a_silent_backend_is_overdue_after_three_expected_times() {
+fn an_unresponsive_backend_is_overdue_after_three_expected_times() {
     let mut estimator = BackendEstimator::new(0.0);
     estimator.start(100.0, 1, 0, 1.0);
     assert_eq!(estimator.overdue(129.0, TARGET, PRIOR, 0), 0.0);
     assert_eq!(estimator.overdue(135.0, TARGET, PRIOR, 0), 5.0);
-    let attempt = *estimator.attempt(&1).expect("it is in flight");
+    let attempt = *estimator.attempt(&1).expect("attempt in flight");
     assert!(!estimator.is_overdue(130.0, &attempt, PRIOR));
     assert!(estimator.is_overdue(131.0, &attempt, PRIOR));
 }
 
 #[test]
-fn a_class_that_hangs_counts_for_itself_only() {
+fn an_unresponsive_class_counts_against_the_backend_for_that_class_only() {
     let mut estimator = BackendEstimator::new(0.0);
     estimator.start(0.0, 1, 0, 1.0);
     let finished = finish(&mut estimator, 500.0, 1, 0, AttemptResult::TimedOut);
     assert!(finished.was_unresponsive);
-    assert_eq!(finished.measured_load, None, "its time says nothing");
+    assert_eq!(
+        finished.measured_load, None,
+        "its time is not a measurement"
+    );
     assert!(estimator.health().is_class_unresponsive(500.0, TARGET, 0));
     assert!(!estimator.health().is_class_unresponsive(500.0, TARGET, 1));
     estimator.start(600.0, 2, 0, 1.0);
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn a_timeout_of_a_backend_that_answers_is_measured() {
+fn a_timeout_at_a_responsive_backend_is_measured() {
     let mut estimator = BackendEstimator::new(0.0);
     estimator.start(0.0, 1, 0, 1.0);
     estimator.start(0.0, 2, 0, 1.0);
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn a_broken_connection_says_less_than_a_failure() {
+fn a_broken_connection_raises_the_fault_score_less_than_a_reset() {
     let score = |result| {
         let mut estimator = BackendEstimator::new(0.0);
         finish(&mut estimator, 0.0, 1, 0, result);
--- a/crates/load-estimators/tests/limits.rs
+++ b/crates/load-estimators/tests/limits.rs
@@ -3,7 +3,7 @@
 use maplefall_load_estimators::{Backpressure, ConcurrencyLimit, SlowStart};
 
 #[test]
-fn whole_shares_are_always_available() {
+fn integer_shares_are_always_available() {
     let mut limit = ConcurrencyLimit::new(0.0);
     for in_flight in 0..3 {
         assert!(limit.has_capacity(0.0, 3.0, 12.0, 1000.0), "{in_flight}");
@@ -47,45 +47,45 @@
 }
 
 #[test]
-fn one_gateway_starts_open_and_one_of_many_does_not() {
+fn a_single_gateway_first_admits_all_and_one_of_many_only_a_fraction() {
     assert_eq!(Backpressure::new(1).admitted_fraction, 1.0);
     let many = Backpressure::new(1000).admitted_fraction;
     assert!((0.6..0.61).contains(&many), "{many}");
 }
 
 #[test]
-fn slow_answers_lower_the_admitted_fraction_to_its_minimum_and_fast_ones_raise_it() {
+fn slow_responses_lower_the_admitted_fraction_to_its_minimum_and_fast_ones_raise_it() {
     let mut backpressure = Backpressure::new(100);
     let mut now = 0.0;
-    let mut answers = |backpressure: &mut Backpressure, fraction| {
+    let mut record = |backpressure: &mut Backpressure, fraction| {
         for _ in 0..200 {
             now += 1000.0;
             backpressure.record_response(now, 1000.0, 100, fraction);
         }
         backpressure.admitted_fraction
     };
-    assert_eq!(answers(&mut backpressure, 1.0), 0.05);
+    assert_eq!(record(&mut backpressure, 1.0), 0.05);
     assert_eq!(backpressure.combined(), 0.95);
-    assert_eq!(answers(&mut backpressure, 0.0), 1.0);
-    let stable = answers(&mut backpressure, 0.25);
+    assert_eq!(record(&mut backpressure, 0.0), 1.0);
+    let stable = record(&mut backpressure, 0.25);
     assert!(stable > 0.99, "{stable}");
 }
 
 #[test]
-fn pressure_follows_the_shortest_wait_beyond_half_of_the_longest_acceptable() {
+fn pressure_follows_the_shortest_wait_beyond_half_of_the_maximum() {
     let mut backpressure = Backpressure::new(1);
     let mut now = 0.0;
-    let mut waits = |backpressure: &mut Backpressure, waits: &[f64]| {
+    let mut record = |backpressure: &mut Backpressure, waits: &[f64]| {
         for _ in 0..100 {
             now += 1000.0;
             backpressure.record_waits(now, 1000.0, 400.0, waits.iter().copied());
         }
         backpressure.pressure
     };
-    assert!(waits(&mut backpressure, &[200.0, 900.0]) < 1e-9);
-    assert!((waits(&mut backpressure, &[300.0, 900.0]) - 0.5).abs() < 1e-9);
-    assert!((waits(&mut backpressure, &[900.0, 900.0]) - 1.0).abs() < 1e-9);
-    assert!(waits(&mut backpressure, &[]) < 1e-9);
+    assert!(record(&mut backpressure, &[200.0, 900.0]) < 1e-9);
+    assert!((record(&mut backpressure, &[300.0, 900.0]) - 0.5).abs() < 1e-9);
+    assert!((record(&mut backpressure, &[900.0, 900.0]) - 1.0).abs() < 1e-9);
+    assert!(record(&mut backpressure, &[]) < 1e-9);
 }
 
 #[test]
--- a/crates/load-estimators/tests/random.rs
+++ b/crates/load-estimators/tests/random.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg32;
 
 quickcheck! {
-    /// Whoever visits some ranks draws what one that visits all draws for them.
+    /// A caller that visits some ranks draws the same numbers for them as a caller that visits all.
     fn each_rank_has_its_own_draw(seed: u64, visited: Vec<bool>) -> bool {
         let mut rng = Pcg32::seed_from_u64(seed);
         let mut draws = RankedDraws::new(&rng);
--- a/crates/load-estimators/tests/retry_budget.rs
+++ b/crates/load-estimators/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of a gateway, and that a fleet of them stays within the budget of all.
+//! The retry budget of one gateway, and that a fleet of gateways stays within the fleet's budget.
 
 use maplefall_load_estimators::{RetryBudget, RetryLimits};
 use quickcheck::quickcheck;
@@ -8,10 +8,10 @@
 const WINDOW_MS: f64 = 10_000.0;
 const SHARE: f64 = 0.2;
 
-/// Guards gateways of a large fleet: each one's part of the slack is less than a retry, so that none ever retried (more than 128
-/// proxies with a slack of 214, more than 37 with 62).
+/// Guards gateways of a large fleet: each gateway's share of the slack was less than one retry, so
+/// that none ever retried (more than 128 proxies with a slack of 214, more than 37 with 62).
 #[test]
-fn a_gateway_whose_part_of_the_slack_is_below_one_retry_makes_retries() {
+fn a_gateway_with_a_slack_of_less_than_one_retry_makes_retries() {
     let limits = RetryLimits {
         share: SHARE,
         depth: 0.1,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_is_earned_beyond_the_depth_expires_with_the_window() {
+fn retries_earned_beyond_the_depth_expire_with_the_window() {
     let limits = RetryLimits {
         share: SHARE,
         depth: 0.5,
@@ -46,9 +46,10 @@
     assert!(!budget.has_retry(1000.0 + 1.1 * WINDOW_MS));
 }
 
-/// Guards small fleets and the program in service: with a depth of a retry and more, or without a window, the budget is what it was.
+/// Guards small fleets: with a depth of one retry or more, with or without a window, retries are
+/// earned at the full share and do not expire.
 #[test]
-fn a_whole_depth_is_earned_at_the_full_share() {
+fn a_depth_of_one_retry_or_more_is_earned_at_the_full_share() {
     for window in [0.0, WINDOW_MS] {
         let limits = RetryLimits {
             share: SHARE,
@@ -63,7 +64,7 @@
         for _ in 0..100 {
             budget.earn(0.0, limits);
         }
-        // What is saved does not expire.
+        // Retries within the depth do not expire.
         let later = 100.0 * WINDOW_MS;
         for _ in 0..2 {
             assert!(budget.has_retry(later));
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn without_a_window_less_than_a_retry_is_never_enough() {
+fn without_a_window_a_depth_of_less_than_one_retry_allows_none() {
     let limits = RetryLimits {
         share: SHARE,
         depth: 0.9,
@@ -88,16 +89,17 @@
 }
 
 /// Requests and retries of a fleet, each at a time in milliseconds.
-struct Played {
+struct Traffic {
     requests: Vec<f64>,
     retries: Vec<f64>,
 }
 
-/// Gateways that get requests in bursts, and at drawn moments use up all retries that they have.
-fn play(seed: u64, gateways: usize, limits: RetryLimits) -> Played {
+/// Runs gateways that get requests in bursts, and at random times use all of their available
+/// retries.
+fn run_fleet(seed: u64, gateways: usize, limits: RetryLimits) -> Traffic {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut fleet = vec![RetryBudget::new(0.0); gateways];
-    let mut played = Played {
+    let mut traffic = Traffic {
         requests: Vec::new(),
         retries: Vec::new(),
     };
@@ -105,19 +107,19 @@
     for _ in 0..400 {
         now += f64::from(rng.next_u32() % 1500);
         let burst = rng.next_u32() % 40;
-        let is_strike = rng.next_u32() % 4 == 0;
+        let uses_retries = rng.next_u32() % 4 == 0;
         for budget in &mut fleet {
             for _ in 0..burst {
                 budget.earn(now, limits);
-                played.requests.push(now);
+                traffic.requests.push(now);
             }
-            while is_strike && budget.has_retry(now) {
+            while uses_retries && budget.has_retry(now) {
                 budget.spend(now);
-                played.retries.push(now);
+                traffic.retries.push(now);
             }
         }
     }
-    played
+    traffic
 }
 
 fn count(times: &[f64], from: f64, to: f64) -> f64 {
@@ -125,23 +127,25 @@
     (at(to) - at(from)) as f64
 }
 
-/// The users' rule BUDGET: in no window more retries than the share of the requests of that window, the one before it or the one half
-/// a window before it, whichever has the most, and the slack.
-fn most_over_budget(played: &Played, slack: f64) -> f64 {
-    let ends = played.retries.iter();
+/// The maximum excess over the requirement BUDGET: no window has more retries than the share of the
+/// requests of that window, of the one before it or of the one half a window before it, whichever
+/// has the most requests, plus the slack.
+fn max_excess(traffic: &Traffic, slack: f64) -> f64 {
+    let ends = traffic.retries.iter();
     ends.map(|end| {
-        let requests_until = |end: f64| count(&played.requests, end - WINDOW_MS, end);
-        let most = [0.0, 0.5, 1.0]
+        let requests_until = |end: f64| count(&traffic.requests, end - WINDOW_MS, end);
+        let max_requests = [0.0, 0.5, 1.0]
             .map(|windows| requests_until(end - windows * WINDOW_MS))
             .into_iter()
             .fold(0.0, f64::max);
-        count(&played.retries, end - WINDOW_MS, *end) - SHARE * most - slack
+        count(&traffic.retries, end - WINDOW_MS, *end) - SHARE * max_requests - slack
     })
     .fold(f64::NEG_INFINITY, f64::max)
 }
 
 quickcheck! {
-    /// Guards the fleet's budget: however many gateways there are, and whenever they use what they have saved.
+    /// Guards the fleet's budget, for any number of gateways and any times at which they use their
+    /// accumulated retries.
     fn a_fleet_stays_within_its_budget(seed: u64, size: u8) -> bool {
         let gateways = 1 + usize::from(size % 60);
         let slack = 0.6 * 20.0;
@@ -150,19 +154,20 @@
             depth: slack / gateways as f64,
             window: WINDOW_MS,
         };
-        let played = play(seed, gateways, limits);
-        !played.retries.is_empty() && most_over_budget(&played, slack) <= 1e-6
+        let traffic = run_fleet(seed, gateways, limits);
+        !traffic.retries.is_empty() && max_excess(&traffic, slack) <= 1e-6
     }
 }
 
-/// Guards the property above: gateways that earn twice as much break it.
+/// Guards the property above against passing vacuously: gateways that earn twice as much must
+/// violate it.
 #[test]
-fn a_fleet_that_earns_the_full_share_and_saves_is_found() {
+fn a_fleet_that_earns_twice_its_share_exceeds_the_budget() {
     let limits = RetryLimits {
         share: 2.0 * SHARE,
         depth: 0.2,
         window: WINDOW_MS,
     };
-    let found = (0..20).any(|seed| most_over_budget(&play(seed, 60, limits), 12.0) > 0.0);
-    assert!(found);
+    let is_exceeded = (0..20).any(|seed| max_excess(&run_fleet(seed, 60, limits), 12.0) > 0.0);
+    assert!(is_exceeded);
 }
--- a/crates/load-estimators/tests/scheduling_delay.rs
+++ b/crates/load-estimators/tests/scheduling_delay.rs
@@ -1,13 +1,14 @@
-//! How late a process expects to act.
+//! The scheduling delay that a process expects.
 
 use maplefall_load_estimators::SchedulingDelay;
 
 #[test]
-fn it_is_the_largest_delay_and_decays() {
+fn the_largest_delay_counts_and_decays() {
     let mut delay = SchedulingDelay::default();
     assert_eq!(delay.current(0.0), 0.0);
     delay.record(140.0, 100.0);
-    // A smaller one does not replace it, nor does a timer that runs in time or early.
+    // A smaller delay does not replace the largest one, nor does a timer that runs in time or
+    // early.
     delay.record(150.0, 145.0);
     delay.record(150.0, 150.0);
     delay.record(150.0, 151.0);
--- a/crates/load-estimators/tests/usage.rs
+++ b/crates/load-estimators/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage of quotas: metered usage, shared balances and the map they are kept in.
+//! Usage of quotas: metered usage, shared balances and the map that stores them.
 
 use maplefall_load_estimators::{
     clamp_or, EvictingMap, MeteredUsage, SharedBalance, SharedBalances, Usage, UsageReport,
@@ -34,7 +34,7 @@
     let mut balance = SharedBalance::full(0.0, 100.0);
     balance.record(0.0, 100.0, report(30.0, 20.0, 1.0));
     balance.draw(10.0);
-    let bounds = balance.bounds(5.0, 5.0).expect("the report is valid");
+    let bounds = balance.bounds(5.0, 5.0).expect("a recent report");
     assert_eq!((bounds.min, bounds.max), (40.0, 60.0));
     assert_eq!(balance.bounds(5.1, 5.0), None, "the report is too old");
 }
@@ -44,7 +44,7 @@
     let mut balance = SharedBalance::full(0.0, 100.0);
     balance.record(0.0, 100.0, report(80.0, 0.0, 0.5));
     balance.refill(1000.0, 20.0, 100.0);
-    let bounds = balance.bounds(1000.0, 1000.0).expect("it is valid");
+    let bounds = balance.bounds(1000.0, 1000.0).expect("a recent report");
     assert_eq!(bounds.max, 30.0);
 }
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_map_is_swept_once_in_an_interval() {
+fn a_map_is_swept_once_per_interval() {
     let mut map = EvictingMap::default();
     map.insert("old", 1);
     map.insert("new", 2);
@@ -80,7 +80,7 @@
 }
 
 quickcheck! {
-    fn a_report_of_any_numbers_leaves_a_balance_in_bounds(
+    fn a_report_with_any_numbers_keeps_a_balance_in_bounds(
         units: f64,
         as_of: f64,
         error: f64,
