--- a/crates/quota-lease/src/client.rs
+++ b/crates/quota-lease/src/client.rs
@@ -1,23 +1,25 @@
-//! The lease client of a proxy: the shares of quotas that it may spend, as granted by the lease servers of all controllers.
+//! The lease client of a proxy: the quota shares that the proxy may spend, as granted by the lease
+//! servers of all controllers.
 //!
-//! It keeps the proxy's half of the invariant in the crate's docs: a share counts only for [`LEASE_DURATION`] from when the request was
-//! sent that renewed it, and grants by another incarnation, for another connection or older than one already applied are ignored.
+//! The client maintains the proxy's half of the invariant in the crate's docs: a share is valid
+//! only for [`LEASE_DURATION`] from when the request that renewed it was sent, and grants by
+//! another incarnation, for another connection or older than one already applied are ignored.
 
 use crate::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests to one server whose send time is remembered until they are answered. Beyond that the oldest is forgotten, and a late answer to
-/// it renews nothing.
+/// Maximum number of unanswered requests to one server whose send times are kept. Beyond that the
+/// oldest is dropped, and a late grant for it renews nothing.
 const MAX_UNANSWERED_REQUESTS: usize = 64;
 
-/// A request that has not been answered yet.
+/// A request without a grant so far.
 #[derive(Clone, Copy, Debug)]
 struct UnansweredRequest {
     sequence: u64,
     sent_at: Millis,
 }
 
-/// What the client knows of one server.
+/// State of the client for one server.
 #[derive(Clone, Debug, Default)]
 struct ServerRecord {
     /// Leased share of each tenant's quota, in ppm.
@@ -26,10 +28,10 @@
     last_request: u64,
     /// Sequence number of the last grant applied.
     acknowledged: u64,
-    /// Incarnation of the server at the other end; zero until it has answered on this connection.
+    /// Incarnation of the connected server; zero until its first grant on this connection.
     incarnation: u32,
     unanswered: VecDeque<UnansweredRequest>,
-    /// Number of proxies that the server knows.
+    /// Number of clients of the server.
     client_count: u32,
 }
 
@@ -40,7 +42,8 @@
         }
     }
 
-    /// When the request was sent; `None` if it was not sent on this connection or was answered by a later grant.
+    /// When the request was sent; `None` if it was not sent on this connection, or if a grant for a
+    /// later request was applied.
     fn sent_at(&self, sequence: u64) -> Option<Millis> {
         self.unanswered
             .iter()
@@ -48,8 +51,8 @@
             .map(|request| request.sent_at)
     }
 
-    /// Whether the grant is by another incarnation than the one that answered first on this connection, or no newer than the last one
-    /// applied.
+    /// Whether the grant is by another incarnation than the first one on this connection, or no
+    /// newer than the last one applied.
     fn is_stale(&self, grant: &LeaseGrant) -> bool {
         let other_incarnation = self.incarnation != 0
             && grant.server_incarnation != 0
@@ -57,7 +60,7 @@
         other_incarnation || grant.sequence <= self.acknowledged
     }
 
-    /// Applies a grant that answers a request sent at `sent_at`.
+    /// Applies a grant for a request sent at `sent_at`.
     fn apply(&mut self, grant: &LeaseGrant, sent_at: Millis) -> GrantEffect {
         if grant.server_incarnation != 0 {
             self.incarnation = grant.server_incarnation;
@@ -80,13 +83,13 @@
     }
 }
 
-/// How a grant has changed the client's leases. Neither for a grant that was ignored.
+/// How a grant has changed the client's leases. Both are false for a grant that was ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantEffect {
-    /// Some share has become smaller: the next request is to be sent at once, because the server can lease the difference to others
-    /// only after the acknowledgement.
+    /// Some share has decreased: the next request must be sent at once, because the server can
+    /// lease the difference to others only after the acknowledgement.
     pub decreased: bool,
-    /// Some share has become larger: requests that wait for quota may be admitted.
+    /// Some share has increased: requests that wait for quota may be admitted.
     pub increased: bool,
 }
 
@@ -98,7 +101,7 @@
 }
 
 impl LeaseClient {
-    /// A client without leases, for this incarnation of a proxy.
+    /// A client without leases, for one incarnation of a proxy.
     pub fn new(incarnation: u64) -> LeaseClient {
         LeaseClient {
             incarnation,
@@ -106,15 +109,17 @@
         }
     }
 
-    /// There is a new connection to a server, which may be a new incarnation of it: grants that are still on the way are void.
+    /// Records a new connection to a server, which may be a new incarnation of it. Grants that are
+    /// still in transit on earlier connections will be ignored.
     pub fn connected(&mut self, server: &str) {
         let server = self.servers.entry(server.to_owned()).or_default();
         server.unanswered.clear();
         (server.acknowledged, server.incarnation) = (0, 0);
     }
 
-    /// The next request for a server, to be sent now. It lists all leases until the server has answered on this connection: one request
-    /// with them could be lost, since a server without a valid membership lease ignores requests.
+    /// Returns the next request for a server, to be sent now. All requests list all leases until
+    /// the server's first grant on this connection: a single such request could be lost, since a
+    /// server without a valid membership lease ignores requests.
     pub fn next_request(&mut self, now: Millis, server: &str, demand: Vec<Demand>) -> LeaseRequest {
         let server = self.servers.entry(server.to_owned()).or_default();
         server.drop_expired_leases(now);
@@ -145,10 +150,10 @@
         }
     }
 
-    /// Applies a server's grant: the answer to a request, or a change after it. Leases that have expired are void and do not come back
-    /// with it. A stale grant is ignored.
+    /// Applies a server's grant: the response to a request, or a later change. The grant does not
+    /// restore leases that have expired. A stale grant is ignored.
     pub fn handle_grant(&mut self, now: Millis, server: &str, grant: &LeaseGrant) -> GrantEffect {
-        // A grant to an earlier incarnation of this proxy is not for this one.
+        // Grants to an earlier incarnation of this proxy are ignored.
         let Some(server) = self
             .servers
             .get_mut(server)
@@ -166,7 +171,8 @@
         server.apply(grant, sent_at)
     }
 
-    /// The fraction of a tenant's quota that this proxy may spend now, from 0 to 1: the sum of the unexpired leases of all servers.
+    /// The fraction of a tenant's quota that this proxy may spend now, from 0 to 1: the sum of the
+    /// unexpired leases from all servers.
     pub fn fraction(&self, now: Millis, tenant: &str) -> f64 {
         let valid = self
             .servers
@@ -178,7 +184,7 @@
         f64::from(ppm.min(FULL_QUOTA_PPM)) / f64::from(FULL_QUOTA_PPM)
     }
 
-    /// The number of proxies that the servers know, at least one.
+    /// The maximum number of clients reported by the servers, at least one.
     pub fn client_count(&self) -> u32 {
         self.servers
             .values()
--- a/crates/quota-lease/src/owned_slots.rs
+++ b/crates/quota-lease/src/owned_slots.rs
@@ -1,24 +1,30 @@
-//! The slots that one controller owns, and from when on it may lease each of them.
+//! The slots that one controller owns, and the time from which it may lease each of them.
 //!
-//! Invariant: a slot that another controller may have leased is not leased for [`TAKEOVER_DELAY`] after its new owner has applied the
-//! entry that made it the owner (`docs/design/control-leases.md`).
+//! Invariant: a slot that another controller may have leased is not leased for [`TAKEOVER_DELAY`]
+//! after its new owner has applied the entry that made it the owner
+//! (`docs/design/control-leases.md`).
 
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Takeover delays that are remembered as over. The oldest is forgotten first, and its delay then starts again after a restart.
-const MAX_REMEMBERED_TAKEOVERS: usize = 64;
+/// Maximum number of completed takeover delays that are kept. The oldest is dropped first, and its
+/// delay then starts again after a restart.
+const MAX_COMPLETED_DELAYS: usize = 64;
 
-/// A change of a slot that this controller owns or has owned. Slots are named by the index of the log entry that made it the owner.
+/// A change of a slot that this controller owns or has owned. Slots are identified by the index of
+/// the log entry that made this controller the owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SlotEvent {
-    /// Owned by the entry of this index, and leased from now on.
+    /// The slot is owned since the entry with this index, and may be leased from now on.
     Owned(u64),
-    /// Owned by the entry of this index, and leased after so many milliseconds.
+    /// The slot is owned since the entry with this index, and may be leased after this many
+    /// milliseconds.
     Waiting(u64, Millis),
-    /// The takeover delay is over. To be written to disk, so that the next incarnation does not wait again.
+    /// The takeover delay is over. The caller persists this, so that the next incarnation does not
+    /// wait again.
     WaitCompleted(u64),
-    /// The slot that the entry of this index gave to this controller has another owner or none.
+    /// The slot that the entry with this index assigned to this controller has another owner or
+    /// none.
     Lost(u64),
 }
 
@@ -28,15 +34,16 @@
     /// Address of this controller.
     owner: String,
     slots: Slots,
-    /// End of the takeover delay of each slot that still waits, by the entry that made this controller the owner.
+    /// End of each takeover delay in progress, by the entry that made this controller the owner.
     waiting_until: BTreeMap<u64, Millis>,
     /// Entries whose slots have completed their takeover delay.
     completed: BTreeSet<u64>,
 }
 
 impl OwnedSlots {
-    /// The slots of the controller at the address `owner`, with their first events. `completed` are the indexes of all
-    /// [`SlotEvent::WaitCompleted`] that earlier incarnations have written to this disk.
+    /// Returns the slots of the controller at the address `owner`, with their first events.
+    /// `completed` are the indexes of all [`SlotEvent::WaitCompleted`] that earlier incarnations
+    /// have persisted.
     pub fn new(
         now: Millis,
         owner: &str,
@@ -58,7 +65,7 @@
         &self.slots
     }
 
-    /// The entry at `index` was committed and changes the members.
+    /// Applies the committed entry at `index`, which changes the members.
     pub fn members_changed(
         &mut self,
         now: Millis,
@@ -70,7 +77,8 @@
         self.install(now, slots)
     }
 
-    /// Replaces all slots, for example by those of a snapshot. Slots are the same as before where the entry that assigned them is.
+    /// Replaces all slots, for example by those of a snapshot. A slot counts as unchanged if the
+    /// entry that assigned it to this controller is the same.
     pub fn install(&mut self, now: Millis, slots: Slots) -> Vec<SlotEvent> {
         let previous = std::mem::replace(&mut self.slots, slots);
         let mut events = self.remove_lost(&previous);
@@ -78,25 +86,25 @@
         events
     }
 
-    /// Ends the takeover delays that are over by now.
+    /// Completes the takeover delays that have ended by `now`.
     pub fn tick(&mut self, now: Millis) -> Vec<SlotEvent> {
-        let over: Vec<u64> = self
+        let ended: Vec<u64> = self
             .waiting_until
             .iter()
             .filter(|(_, until)| now >= **until)
             .map(|(since, _)| *since)
             .collect();
-        for since in &over {
+        for since in &ended {
             self.waiting_until.remove(since);
             self.completed.insert(*since);
         }
-        while self.completed.len() > MAX_REMEMBERED_TAKEOVERS {
+        while self.completed.len() > MAX_COMPLETED_DELAYS {
             self.completed.pop_first();
         }
-        over.into_iter().map(SlotEvent::WaitCompleted).collect()
+        ended.into_iter().map(SlotEvent::WaitCompleted).collect()
     }
 
-    /// What this controller may lease of every quota now, in ppm.
+    /// The share of every quota that this controller may lease now, in ppm.
     pub fn limit(&self) -> u32 {
         let leasable = self
             .slots
--- a/crates/quota-lease/src/server/client_record.rs
+++ b/crates/quota-lease/src/server/client_record.rs
@@ -1,10 +1,11 @@
-//! What a lease server knows of one client (proxy): its leases, its demand, and which requests of it are stale.
+//! State of a lease server for one client (proxy): its leases, its demand, and which of its
+//! requests are stale.
 
 use super::ClientId;
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For how long a new incarnation of a client is assumed to have the demand of the previous one.
+/// How long a new incarnation of a client is assumed to have the demand of the previous one.
 const DEMAND_INHERITANCE: Millis = 2_000.0;
 
 /// The lease of one tenant's quota to one client, as the server counts it.
@@ -12,7 +13,7 @@
 pub(super) struct OutstandingLease {
     /// The share in the latest grant.
     pub(super) granted_ppm: u32,
-    /// The highest share that the client may be spending: no grant below it has been acknowledged.
+    /// The highest share that the client may be spending: no lower grant has been acknowledged.
     pub(super) upper_bound_ppm: u32,
     /// Sequence number of the grant with `granted_ppm`.
     pub(super) grant_sequence: u64,
@@ -21,22 +22,24 @@
 /// Demand of each tenant, in thousandths of a request per second.
 type TenantDemand = BTreeMap<String, u32>;
 
-/// Demand of the client's previous incarnation, which counts for a short while.
+/// Demand of the client's previous incarnation, which counts for [`DEMAND_INHERITANCE`].
 #[derive(Clone, Debug)]
 struct InheritedDemand {
     demand: TenantDemand,
     valid_until: Millis,
 }
 
-/// What a request has changed in the record of its client.
+/// Changes that a request has made to the record of its client.
 pub(super) struct RequestEffect {
-    /// The client does not know this incarnation of the server: all its leases are rebalanced and granted anew.
+    /// The client has no grant of this incarnation of the server yet: all its leases are rebalanced
+    /// and granted again.
     pub(super) full: bool,
     /// The client's demand before this request.
     pub(super) previous_demand: TenantDemand,
-    /// Tenants that the client is starved of.
+    /// Tenants for which the client has rejected requests because its share was used up.
     pub(super) starved: BTreeSet<String>,
-    /// Tenants of which a decrease was acknowledged, and the difference in ppm, which others can have.
+    /// Tenants of which a decrease was acknowledged, with the difference in ppm, which may be
+    /// leased to others.
     pub(super) freed: BTreeMap<String, u32>,
 }
 
@@ -47,31 +50,34 @@
     /// Number of its latest connection.
     connection: u64,
     /// Whether its last request names this incarnation of the server.
-    knows_server: bool,
+    names_server: bool,
     /// When all its leases have expired.
     pub(super) expires_at: Millis,
     pub(super) leases: BTreeMap<String, OutstandingLease>,
-    /// What counts for its target shares: its own, or the previous incarnation's where that was higher and is still inherited.
+    /// Demand that counts for its target shares: its own, or that of the previous incarnation if
+    /// that was higher and is still inherited.
     demand: TenantDemand,
     inherited: InheritedDemand,
     /// Sequence number of the last grant that the client has applied.
     acknowledged: u64,
     /// Sequence number of the client's last request.
     pub(super) last_request: u64,
-    /// Number of clients when all leases of this one were rebalanced last; zero if they are to be rebalanced with its next request.
-    pub(super) rebalanced_among: usize,
+    /// Number of clients when all leases of this one were last rebalanced; zero if its next request
+    /// rebalances them.
+    pub(super) rebalanced_client_count: usize,
     /// Whether it requests single tokens.
     pub(super) uses_tokens: bool,
 }
 
 impl ClientRecord {
-    /// A new incarnation of a client, without leases. `previous` is the record of the incarnation before.
+    /// A record of a new incarnation of a client, without leases. `previous` is the record of the
+    /// previous incarnation.
     pub(super) fn new(now: Millis, client: ClientId<'_>, previous: Option<ClientRecord>) -> Self {
         let inherited = previous.map(|record| record.demand).unwrap_or_default();
         ClientRecord {
             incarnation: client.incarnation,
             connection: client.connection,
-            knows_server: false,
+            names_server: false,
             expires_at: now,
             leases: BTreeMap::new(),
             demand: inherited.clone(),
@@ -81,13 +87,13 @@
             },
             acknowledged: 0,
             last_request: 0,
-            rebalanced_among: 0,
+            rebalanced_client_count: 0,
             uses_tokens: false,
         }
     }
 
-    /// Whether a request comes from an earlier incarnation or connection, or is no newer than the last one: a process that was frozen
-    /// may read old connections after new ones.
+    /// Whether a request comes from an earlier incarnation or connection, or is no newer than the
+    /// last one: a process that was suspended may read old connections after new ones.
     pub(super) fn is_stale(&self, client: ClientId<'_>, request: &LeaseRequest) -> bool {
         let same_incarnation = self.incarnation == client.incarnation;
         client.connection < self.connection
@@ -95,7 +101,7 @@
             || (!same_incarnation && client.connection == self.connection)
     }
 
-    /// Takes in a request: renews the leases, replaces the demand and applies the acknowledgement.
+    /// Applies a request: renews the leases, replaces the demand and applies the acknowledgement.
     pub(super) fn record_request(
         &mut self,
         now: Millis,
@@ -107,9 +113,10 @@
         self.connection = connection;
         self.last_request = request.sequence;
         self.uses_tokens = request.uses_tokens;
-        self.knows_server = request.server_incarnation == server_incarnation;
-        // A sequence number of an earlier incarnation's grant acknowledges nothing of this one's.
-        self.acknowledged = if self.knows_server {
+        self.names_server = request.server_incarnation == server_incarnation;
+        // The sequence number of an earlier incarnation's grant does not acknowledge any grant of
+        // this one.
+        self.acknowledged = if self.names_server {
             request.acknowledged
         } else {
             0
@@ -122,12 +129,13 @@
         }
     }
 
-    /// The demand that counts for its target shares, by tenant.
+    /// The demand that counts for the client's target shares, by tenant.
     pub(super) fn demand(&self) -> &BTreeMap<String, u32> {
         &self.demand
     }
 
-    /// The tenant's demand that counts for its target share, in thousandths of a request per second.
+    /// The demand that counts for the client's target share of a tenant, in thousandths of a
+    /// request per second.
     pub(super) fn demand_milli_rps(&self, tenant: &str) -> u32 {
         self.demand.get(tenant).copied().unwrap_or(0)
     }
@@ -137,17 +145,19 @@
         self.leases.get(tenant).copied().unwrap_or_default()
     }
 
-    /// The lease of a tenant, to be changed; an empty one is made if there is none.
+    /// The lease of a tenant, for changes; an empty one is added if there is none.
     pub(super) fn lease_mut(&mut self, tenant: &str) -> &mut OutstandingLease {
         self.leases.entry(tenant.to_owned()).or_default()
     }
 
-    /// Whether all leases are to be rebalanced because clients have come or gone; from then on they count as rebalanced.
+    /// Whether all leases need rebalancing because the number of clients has changed; afterwards
+    /// they count as rebalanced.
     pub(super) fn client_count_changed(&mut self, client_count: usize) -> bool {
-        std::mem::replace(&mut self.rebalanced_among, client_count) != client_count
+        std::mem::replace(&mut self.rebalanced_client_count, client_count) != client_count
     }
 
-    /// Shares by tenant of the grants that the client has not acknowledged, or of all its leases.
+    /// Shares by tenant of the leases whose grants the client has not acknowledged, or of all its
+    /// leases.
     pub(super) fn leases_to_repeat(&self, all: bool) -> BTreeMap<String, u32> {
         self.leases
             .iter()
@@ -156,7 +166,8 @@
             .collect()
     }
 
-    /// Builds a grant of these shares (ppm by tenant) and notes its sequence number with their leases.
+    /// Builds a grant of these shares (ppm by tenant) and records its sequence number in their
+    /// leases.
     pub(super) fn build_grant(
         &mut self,
         sequence: u64,
@@ -178,7 +189,7 @@
                 .collect(),
             client_count,
             client_incarnation: self.incarnation,
-            server_incarnation: if self.knows_server {
+            server_incarnation: if self.names_server {
                 0
             } else {
                 server_incarnation
@@ -187,7 +198,8 @@
         }
     }
 
-    /// Replaces the demand, by that of the previous incarnation where that is higher and still inherited; returns the one before.
+    /// Replaces the demand, using that of the previous incarnation where it is higher and still
+    /// inherited; returns the replaced demand.
     fn replace_demand(&mut self, now: Millis, demand: &[Demand]) -> TenantDemand {
         let mut next: TenantDemand = demand
             .iter()
@@ -203,7 +215,8 @@
         std::mem::replace(&mut self.demand, next)
     }
 
-    /// Acknowledged shares are what the client spends at most. Returns the tenants whose bound has become smaller, and by how much.
+    /// Lowers the upper bounds to the acknowledged shares. Returns the tenants whose bound has
+    /// decreased, with the difference.
     fn apply_acknowledgement(&mut self) -> BTreeMap<String, u32> {
         let mut freed = BTreeMap::new();
         for (tenant, lease) in &mut self.leases {
--- a/crates/quota-lease/src/server/clients.rs
+++ b/crates/quota-lease/src/server/clients.rs
@@ -1,7 +1,8 @@
-//! All clients of a lease server, with the sums over them that every request needs.
+//! All clients of a lease server, with the totals over them that every request needs.
 //!
-//! Invariant: the totals of a tenant are the sums of the upper bounds of all its leases and of the demand at all clients. Everything that
-//! changes a lease, a demand or a client goes through [`Clients`], so that a request costs nothing for the clients that it is not about.
+//! Invariant: the totals of a tenant are the sums of the upper bounds of all its leases and of the
+//! demand at all clients. Every change of a lease, a demand or a client goes through [`Clients`],
+//! so the cost of a request does not depend on the number of other clients.
 
 use super::client_record::{ClientRecord, RequestEffect};
 use super::ClientId;
@@ -12,7 +13,7 @@
 /// Sums over all clients for one tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct TenantTotals {
-    /// Upper bound of what is leased, in ppm.
+    /// Upper bound of the leased shares, in ppm.
     pub(super) outstanding_ppm: u32,
     /// Demand, in thousandths of a request per second.
     pub(super) demand_milli_rps: u64,
@@ -24,7 +25,7 @@
     records: BTreeMap<String, ClientRecord>,
     /// Tenants with a lease or a demand.
     totals: BTreeMap<String, TenantTotals>,
-    /// No client expires before this.
+    /// No client expires before this time.
     earliest_expiry: Millis,
 }
 
@@ -74,7 +75,7 @@
     pub(super) fn insert(&mut self, name: &str, record: ClientRecord) {
         self.remove(name);
         for (tenant, milli_rps) in record.demand() {
-            change(&mut self.totals, tenant, |totals| {
+            update_totals(&mut self.totals, tenant, |totals| {
                 totals.demand_milli_rps += u64::from(*milli_rps);
             });
         }
@@ -86,12 +87,12 @@
     pub(super) fn remove(&mut self, name: &str) -> Option<ClientRecord> {
         let record = self.records.remove(name)?;
         for (tenant, lease) in &record.leases {
-            change(&mut self.totals, tenant, |totals| {
+            update_totals(&mut self.totals, tenant, |totals| {
                 totals.outstanding_ppm -= lease.upper_bound_ppm;
             });
         }
         for (tenant, milli_rps) in record.demand() {
-            change(&mut self.totals, tenant, |totals| {
+            update_totals(&mut self.totals, tenant, |totals| {
                 totals.demand_milli_rps -= u64::from(*milli_rps);
             });
         }
@@ -117,7 +118,7 @@
         self.earliest_expiry = expiries.fold(f64::INFINITY, f64::min);
     }
 
-    /// Takes in a request of a client that is known.
+    /// Applies a request of a registered client.
     pub(super) fn record_request(
         &mut self,
         now: Millis,
@@ -128,24 +129,25 @@
         let record = self.records.get_mut(client.name)?;
         let effect = record.record_request(now, client.connection, request, server_incarnation);
         for (tenant, milli_rps) in &effect.previous_demand {
-            change(&mut self.totals, tenant, |totals| {
+            update_totals(&mut self.totals, tenant, |totals| {
                 totals.demand_milli_rps -= u64::from(*milli_rps);
             });
         }
         for (tenant, milli_rps) in record.demand() {
-            change(&mut self.totals, tenant, |totals| {
+            update_totals(&mut self.totals, tenant, |totals| {
                 totals.demand_milli_rps += u64::from(*milli_rps);
             });
         }
         for (tenant, ppm) in &effect.freed {
-            change(&mut self.totals, tenant, |totals| {
+            update_totals(&mut self.totals, tenant, |totals| {
                 totals.outstanding_ppm -= ppm
             });
         }
         Some(effect)
     }
 
-    /// Enters a lease that a client reports from an earlier incarnation of this server, or that it is granted in addition.
+    /// Records a lease that a client reports from an earlier incarnation of this server, or an
+    /// increase of a lease.
     pub(super) fn raise_lease(&mut self, name: &str, tenant: &str, ppm: u32) {
         let Some(record) = self.records.get_mut(name) else {
             return;
@@ -154,25 +156,25 @@
         let added = ppm.saturating_sub(lease.upper_bound_ppm);
         lease.granted_ppm = ppm;
         lease.upper_bound_ppm += added;
-        change(&mut self.totals, tenant, |totals| {
+        update_totals(&mut self.totals, tenant, |totals| {
             totals.outstanding_ppm += added
         });
     }
 }
 
-/// Changes the totals of a tenant; those of a tenant without any are not kept.
-fn change(
+/// Updates the totals of a tenant; entries without lease or demand are removed.
+fn update_totals(
     totals: &mut BTreeMap<String, TenantTotals>,
     tenant: &str,
-    change: impl FnOnce(&mut TenantTotals),
+    update: impl FnOnce(&mut TenantTotals),
 ) {
-    let mut changed = totals.get(tenant).copied().unwrap_or_default();
-    change(&mut changed);
-    if changed == TenantTotals::default() {
+    let mut updated = totals.get(tenant).copied().unwrap_or_default();
+    update(&mut updated);
+    if updated == TenantTotals::default() {
         totals.remove(tenant);
-    } else if let Some(known) = totals.get_mut(tenant) {
-        *known = changed;
+    } else if let Some(existing) = totals.get_mut(tenant) {
+        *existing = updated;
     } else {
-        totals.insert(tenant.to_owned(), changed);
+        totals.insert(tenant.to_owned(), updated);
     }
 }
--- a/crates/quota-lease/src/server/mod.rs
+++ b/crates/quota-lease/src/server/mod.rs
@@ -1,7 +1,9 @@
-//! The lease server of a controller: leases shares of its slots of every quota to clients (proxies).
+//! The lease server of a controller: leases shares of its slots of every quota to clients
+//! (proxies).
 //!
-//! It keeps the server's half of the invariant in the crate's docs: for each tenant, the upper bounds of all leases add up to the limit
-//! at most, except for a while after the limit has shrunk, in which nothing is increased.
+//! The server maintains its half of the invariant in the crate's docs: for each tenant, the upper
+//! bounds of all leases add up to at most the limit, except for a while after the limit was
+//! lowered, during which no lease is increased.
 
 mod client_record;
 mod clients;
@@ -16,10 +18,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use token_pools::TokenPools;
 
-/// Clients of one server. A client beyond that is granted nothing until another one has expired.
+/// Maximum number of clients of one server. Further clients are granted nothing until another one
+/// has expired.
 const MAX_CLIENTS: usize = 2048;
 
-/// Tenants at most of which one request gets tokens.
+/// Maximum number of tenants for which one request gets tokens.
 const MAX_TENANTS_PER_TOKEN_REQUEST: usize = 1024;
 
 /// Leases to be granted, by name of the client.
@@ -30,22 +33,23 @@
 pub struct ClientId<'a> {
     /// Name of the proxy.
     pub name: &'a str,
-    /// Incarnation of the proxy: another one for each start of its process.
+    /// Incarnation of the proxy: a different one for each start of its process.
     pub incarnation: u64,
-    /// Number of its connection to this incarnation of the server: later connections have higher numbers.
+    /// Number of its connection to this incarnation of the server: later connections have higher
+    /// numbers.
     pub connection: u64,
 }
 
-/// What a server does not know after a restart: leases by its earlier incarnations.
+/// State of a server while leases by its earlier incarnations may be outstanding.
 #[derive(Clone, Debug)]
 struct Recovery {
     /// Clients that may have leases by earlier incarnations and have not sent a request yet.
     known_clients: BTreeSet<String>,
-    /// Whether there may be others than those.
+    /// Whether clients other than the known ones may have such leases.
     unknown_clients: bool,
     /// When every earlier lease has expired.
     ends_at: Millis,
-    /// Whether it was still going on when the last request was handled.
+    /// Whether the recovery was active when the last request was handled.
     was_active: bool,
 }
 
@@ -55,26 +59,27 @@
     }
 }
 
-/// Leases parts of one controller's slots of every quota.
+/// Leases shares of one controller's slots of every quota.
 #[derive(Clone, Debug)]
 pub struct LeaseServer {
     incarnation: u32,
     /// Sequence number of the last grant to any client.
     last_grant: u64,
-    /// What this server may lease of each quota, in ppm.
+    /// The share of each quota that this server may lease, in ppm.
     limit: u32,
     clients: Clients,
     rebalance_queue: RebalanceQueue,
     pools: TokenPools,
     recovery: Recovery,
-    /// Client records that were looked at.
+    /// Number of client records visited so far.
     visited_clients: u64,
 }
 
 impl LeaseServer {
-    /// A server that may lease `limit` ppm of every quota. `incarnation` is never zero and differs from those of earlier
-    /// starts. `leased_to` are the clients that earlier incarnations have leased to, `None` if that is not known; the last of these
-    /// incarnations ended before `now`.
+    /// A server that may lease `limit` ppm of every quota. `incarnation` is never zero and differs
+    /// from those of earlier starts. `leased_to` are the clients with leases by earlier
+    /// incarnations, or `None` if they are not known; the last of these incarnations ended before
+    /// `now`.
     pub fn new(
         now: Millis,
         incarnation: u32,
@@ -98,8 +103,9 @@
         }
     }
 
-    /// Changes what may be leased, in ppm. A higher limit takes effect with the next requests. If it is lower, every lease shrinks in
-    /// proportion at once, and the returned grants (by name of the client) say so. No later grant renews a lease above that.
+    /// Changes the limit, in ppm. A higher limit takes effect with the next requests. A lower one
+    /// decreases every lease in proportion at once, and the returned grants (by name of the client)
+    /// carry the decreased shares. No later grant renews a lease above these.
     pub fn set_limit(&mut self, limit: u32) -> Vec<(String, LeaseGrant)> {
         let previous = std::mem::replace(&mut self.limit, limit);
         if limit > previous {
@@ -112,15 +118,16 @@
         self.shrink_leases(previous)
     }
 
-    /// Sets a tenant's quota; `None` if it has none any more. Without it no tokens of that tenant are granted, and it is leased to all
-    /// clients, however small it is.
+    /// Sets a tenant's quota, or removes it with `None`. Without a quota, no tokens of that tenant
+    /// are granted, and its shares are leased to all clients, however small they are.
     pub fn set_quota(&mut self, now: Millis, tenant: &str, quota: Option<TenantQuota>) {
         self.pools.set_quota(now, tenant, quota);
         let unleased = self.unleased_fraction(tenant, self.recovering(now));
         self.pools.refill(now, tenant, unleased);
     }
 
-    /// Answers a request for single tokens: what is there of each tenant's unleased quota.
+    /// Handles a request for single tokens: grants the available tokens of each tenant's unleased
+    /// quota.
     pub fn grant_tokens(&mut self, now: Millis, request: &TokenRequest) -> TokenGrant {
         self.clients.expire(now);
         let recovering = self.recovering(now);
@@ -141,17 +148,19 @@
         self.incarnation
     }
 
-    /// What may be leased of every quota, in ppm.
+    /// The share of every quota that may be leased, in ppm.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Client records that requests have made this server look at since its start: its work grows with that.
+    /// Number of client records visited for requests since the start, a measure of the server's
+    /// work.
     pub fn visited_clients(&self) -> u64 {
         self.visited_clients
     }
 
-    /// Whether a client of this name may have a lease: by this incarnation, or by an earlier one that has recorded its name.
+    /// Whether a client of this name may have a lease, by this incarnation or by an earlier one
+    /// that has recorded its name.
     pub fn may_hold_lease(&self, now: Millis, name: &str) -> bool {
         let by_earlier_incarnation =
             now < self.recovery.ends_at && self.recovery.known_clients.contains(name);
@@ -167,9 +176,10 @@
         self.recovery.is_active(now)
     }
 
-    /// Handles a request; `tenants` are all that have a quota. Returns grants by name of the client. The first one answers the request;
-    /// the others decrease leases of clients because this one is starved, or increase them by what it gave back. A stale request is
-    /// ignored, and a release is not answered.
+    /// Handles a request; `tenants` are all tenants with a quota. Returns grants by name of the
+    /// client. The first one is the response to the request; the others decrease leases of other
+    /// clients because this one is starved, or increase them by the share that it has released. A
+    /// stale request is ignored, and a release gets no response.
     pub fn handle_request<'a>(
         &mut self,
         now: Millis,
@@ -185,7 +195,7 @@
             self.release(client.name);
             return Vec::new();
         }
-        if !self.knows_incarnation(client) {
+        if !self.is_registered(client) {
             if self.is_full_for(client.name) {
                 return vec![(client.name.to_owned(), self.reject(client, request))];
             }
@@ -205,12 +215,13 @@
         self.build_grants(client.name, request.full, changed)
     }
 
-    /// Upper bound of what is leased of a tenant's quota, in ppm, as of the last request.
+    /// Upper bound of the leased shares of a tenant's quota, in ppm, as of the last request.
     pub fn outstanding(&self, tenant: &str) -> u32 {
         self.clients.totals(tenant).outstanding_ppm
     }
 
-    /// Upper bound of what is leased of a tenant's quota, in ppm, without leases that have expired by `now`.
+    /// Upper bound of the leased shares of a tenant's quota, in ppm, without leases that have
+    /// expired by `now`.
     pub fn outstanding_at(&self, now: Millis, tenant: &str) -> u32 {
         self.clients
             .values()
@@ -219,7 +230,7 @@
             .sum()
     }
 
-    /// These leases have changed, and so has what is left.
+    /// Refills the pools of the tenants of changed leases with their new unleased shares.
     fn refill_pools<'a>(&mut self, now: Millis, leases: impl Iterator<Item = &'a Lease>) {
         let recovering = self.recovering(now);
         for lease in leases {
@@ -228,7 +239,7 @@
         }
     }
 
-    /// Shrinks every lease in proportion to the limits, and builds a grant for each client.
+    /// Decreases every lease in proportion to the limits, and builds a grant for each client.
     fn shrink_leases(&mut self, previous_limit: u32) -> Vec<(String, LeaseGrant)> {
         let limit = u64::from(self.limit);
         let client_count = self.clients.len() as u32;
@@ -259,11 +270,12 @@
         grants
     }
 
-    /// There is more to lease than before: all tenants are rebalanced with the next request of every client.
+    /// Rebalances all tenants with the next request of every client, because more may be leased
+    /// than before.
     fn rebalance_all_with_next_requests(&mut self) {
         self.clients
             .values_mut()
-            .for_each(|record| record.rebalanced_among = 0);
+            .for_each(|record| record.rebalanced_client_count = 0);
     }
 
     fn is_stale(&self, client: ClientId<'_>, request: &LeaseRequest) -> bool {
@@ -272,13 +284,13 @@
             .is_some_and(|record| record.is_stale(client, request))
     }
 
-    /// A client that shuts down has no leases any more.
+    /// Removes a client that shuts down, with all its leases.
     fn release(&mut self, name: &str) {
         self.clients.remove(name);
         self.recovery.known_clients.remove(name);
     }
 
-    fn knows_incarnation(&self, client: ClientId<'_>) -> bool {
+    fn is_registered(&self, client: ClientId<'_>) -> bool {
         self.clients
             .get(client.name)
             .is_some_and(|record| record.incarnation == client.incarnation)
@@ -288,7 +300,7 @@
         self.clients.len() >= MAX_CLIENTS && self.clients.get(name).is_none()
     }
 
-    /// A grant of nothing, for a client beyond [`MAX_CLIENTS`].
+    /// Returns an empty grant, for a client beyond [`MAX_CLIENTS`].
     fn reject(&mut self, client: ClientId<'_>, request: &LeaseRequest) -> LeaseGrant {
         self.last_grant += 1;
         LeaseGrant {
@@ -300,21 +312,22 @@
         }
     }
 
-    /// Registers a new incarnation of a client. The leases of the previous one have ended with it; those that the client reports are
-    /// confirmed as far as they fit into the limit.
+    /// Registers a new incarnation of a client. The leases of the previous incarnation have ended
+    /// with it; leases that the client reports are confirmed as far as they fit into the limit.
     fn register(&mut self, now: Millis, client: ClientId<'_>, request: &LeaseRequest) {
         let previous = self.clients.remove(client.name);
         self.clients
             .insert(client.name, ClientRecord::new(now, client, previous));
         for lease in request.leases.iter().filter(|_| request.full) {
-            // The request may have been on its way for long: what has expired meanwhile may be leased to others.
+            // The request may have been in transit for long: shares of leases that have expired
+            // meanwhile may be leased to others.
             let available = self.limit.saturating_sub(self.outstanding(&lease.tenant));
             let ppm = lease.ppm.min(available);
             self.clients.raise_lease(client.name, &lease.tenant, ppm);
         }
     }
 
-    /// Once the server has recovered, all tenants are rebalanced.
+    /// Rebalances all tenants once the server has recovered.
     fn update_recovery(&mut self, now: Millis) {
         let is_active = self.recovery.is_active(now);
         let was_active = std::mem::replace(&mut self.recovery.was_active, is_active);
@@ -323,8 +336,9 @@
         }
     }
 
-    /// Builds the grants for a request by `requester`: its answer first, also if nothing has changed, then grants for every other client
-    /// whose leases have changed. `full` repeats all leases of the requester; otherwise only unacknowledged ones are repeated.
+    /// Builds the grants for a request by `requester`: first the response, also if nothing has
+    /// changed, then a grant for every other client whose leases have changed. With `full`, all
+    /// leases of the requester are repeated, otherwise only unacknowledged ones.
     fn build_grants(
         &mut self,
         requester: &str,
--- a/crates/quota-lease/src/server/rebalance.rs
+++ b/crates/quota-lease/src/server/rebalance.rs
@@ -1,17 +1,19 @@
-//! Rebalancing of one tenant's leases: the target share of each client, and which leases are moved towards it.
+//! Rebalancing of one tenant's leases: the target share of each client, and the changes of leases
+//! towards these targets.
 //!
-//! Invariant: a lease is only increased while the sum of the upper bounds stays within the server's limit. A decrease frees nothing until
-//! its acknowledgement has come.
+//! Invariant: a lease is only increased while the sum of the upper bounds stays within the server's
+//! limit. A decrease frees nothing until it has been acknowledged.
 
 use super::client_record::{ClientRecord, RequestEffect};
 use super::rebalance_queue::PendingRebalance;
 use super::{ChangedLeases, LeaseServer};
 use crate::*;
 
-/// Fraction of a quota that is shared out evenly, whatever the demand.
+/// Fraction of a quota that is distributed evenly, regardless of demand.
 const EVEN_FRACTION: f64 = 0.25;
-/// Requests per second that each client is assumed to have in addition to its reported demand. Where the demand is of this size or
-/// less, the recent past says next to nothing about the next request, and leases that follow it would only be moved to and fro.
+/// Requests per second that each client is assumed to have in addition to its reported demand.
+/// Recent demand of this size or less hardly predicts the next request, and leases that followed it
+/// would only oscillate.
 const ASSUMED_DEMAND_RPS: f64 = 1.0;
 /// Changes below this fraction of the server's limit are not granted.
 const MIN_CHANGE_OF_LIMIT: f64 = 0.004;
@@ -23,12 +25,13 @@
     limit: f64,
     client_count: f64,
     total_demand_rps: f64,
-    /// The quota is too small for leases: clients that can request tokens get none.
+    /// Whether the quota is too small for leases: clients that can request tokens get no lease.
     is_pooled: bool,
 }
 
 impl TargetShares {
-    /// The share that a client with this demand should have: an even share of [`EVEN_FRACTION`], the rest by demand.
+    /// The share that a client with this demand should have: an even share of [`EVEN_FRACTION`],
+    /// and a share of the rest by demand.
     fn target_ppm(&self, demand_rps: f64) -> u32 {
         let even_share = 1.0 / self.client_count;
         let demand_share = (demand_rps + ASSUMED_DEMAND_RPS)
@@ -55,18 +58,19 @@
     }
 }
 
-/// Where a lease is to go, in ppm.
+/// Target of a lease, in ppm.
 struct TargetLease {
     target: u32,
-    /// What may be leased in addition to what is outstanding.
+    /// Share that may be leased in addition to the outstanding leases.
     unleased: u32,
 }
 
 impl LeaseServer {
-    /// Rebalances every tenant whose leases a request of `client` may change. Returns the changed leases, with an entry for the client
-    /// itself even if nothing has changed.
+    /// Rebalances every tenant whose leases a request of `client` may change. Returns the changed
+    /// leases, with an entry for the client itself even if nothing has changed.
     ///
-    /// The client gets its targets as far as there is unleased quota. Those of others are moved by the [rebalance queue](super::rebalance_queue).
+    /// The client's leases are increased towards their targets as far as there is unleased quota.
+    /// Leases of other clients are changed through the [rebalance queue](super::rebalance_queue).
     pub(super) fn rebalance_tenants<'a>(
         &mut self,
         now: Millis,
@@ -112,8 +116,8 @@
         changed
     }
 
-    /// What may be leased of a tenant's quota in addition to what is outstanding, in ppm. While leases by earlier incarnations of
-    /// the server may be outstanding, nothing new is leased.
+    /// The share of a tenant's quota that may be leased in addition to the outstanding leases, in
+    /// ppm. It is zero while leases by earlier incarnations of the server may be outstanding.
     fn unleased_ppm(&self, tenant: &str, recovering: bool) -> u32 {
         if recovering {
             0
@@ -122,7 +126,7 @@
         }
     }
 
-    /// The same as a fraction of the whole quota.
+    /// The unleased share as a fraction of the full quota.
     pub(super) fn unleased_fraction(&self, tenant: &str, recovering: bool) -> f64 {
         f64::from(self.unleased_ppm(tenant, recovering)) / f64::from(FULL_QUOTA_PPM)
     }
@@ -136,7 +140,8 @@
         }
     }
 
-    /// Increases the lease of one client towards its target as far as there is unleased quota. Returns whether it needs more than that.
+    /// Increases the lease of one client towards its target as far as there is unleased quota.
+    /// Returns whether the client needs more than that.
     fn increase_own_lease(
         &mut self,
         client: &str,
@@ -150,7 +155,7 @@
             return false;
         };
         let target = targets.target_of(record, tenant);
-        // From now on it has a lease, if an empty one.
+        // This adds an empty lease if the client has none.
         let before = *record.lease_mut(tenant);
         if target == 0 && targets.is_significant(target, before.granted_ppm) {
             record.lease_mut(tenant).granted_ppm = target;
@@ -164,7 +169,8 @@
         is_short
     }
 
-    /// Increases a lease to its target, as far as there is unleased quota and if that is significant.
+    /// Increases a lease towards its target as far as there is unleased quota, if the change is
+    /// significant.
     fn increase_lease(
         &mut self,
         client: &str,
@@ -178,7 +184,7 @@
             return;
         };
         let lease = record.lease(tenant);
-        // While more is outstanding than the limit, nobody gets back what is still to be acknowledged.
+        // While more is outstanding than the limit, unacknowledged decreases are not reverted.
         let reachable_ppm = if is_over_limit {
             lease.granted_ppm
         } else {
@@ -191,8 +197,9 @@
         }
     }
 
-    /// Moves the leases of all clients towards their targets. Leases are decreased only where some client lacks what others have above
-    /// their targets: whatever a client's token bucket has saved up goes with its lease, and demand moves to and fro.
+    /// Changes the leases of all clients towards their targets. Leases are decreased only if some
+    /// client is short of quota that others have above their targets: a client loses the tokens in
+    /// its bucket with its lease, and demand fluctuates.
     fn rebalance_among_all(
         &mut self,
         tenant: &str,
@@ -200,13 +207,14 @@
         recovering: bool,
         changed: &mut ChangedLeases,
     ) {
-        if pending.take_back {
+        if pending.decrease {
             self.decrease_leases(tenant, changed);
         }
         self.increase_leases(tenant, recovering, changed);
     }
 
-    /// Decreases the leases above their targets. They stay outstanding until the decrease has been acknowledged.
+    /// Decreases the leases above their targets. They stay outstanding until the decrease has been
+    /// acknowledged.
     fn decrease_leases(&mut self, tenant: &str, changed: &mut ChangedLeases) {
         let targets = self.target_shares(tenant);
         self.visited_clients += self.clients.len() as u64;
@@ -226,7 +234,7 @@
     fn increase_leases(&mut self, tenant: &str, recovering: bool, changed: &mut ChangedLeases) {
         let targets = self.target_shares(tenant);
         self.visited_clients += self.clients.len() as u64;
-        // A client that was never granted this tenant gets its first lease when it sends a request.
+        // A client without a lease of this tenant gets its first one when it sends a request.
         let below_target: Vec<(String, u32)> = self
             .clients
             .iter_mut()
@@ -244,7 +252,8 @@
     }
 }
 
-/// The latest share of a tenant counts: a request can both get more of it and have it moved.
+/// Adds a changed lease. The last entry of a tenant counts: a request can change a lease twice, by
+/// its own increase and by a rebalance among all clients.
 fn add_change(changed: &mut ChangedLeases, client: &str, tenant: &str, ppm: u32) {
     let lease = Lease {
         tenant: tenant.to_owned(),
--- a/crates/quota-lease/src/server/rebalance_queue.rs
+++ b/crates/quota-lease/src/server/rebalance_queue.rs
@@ -1,27 +1,31 @@
-//! The tenants whose leases are to be moved among all clients.
+//! The tenants whose leases are waiting to be rebalanced among all clients.
 //!
-//! Moving a tenant's leases looks at every client. Requests come from every client too, so that doing it with each request that
-//! wants it makes the work grow with the square of the clients: with some ninety of them, it took the whole processor of a
-//! controller (`docs/incidents/2026-12-acks-grown.md`). So the tenants that want it are collected, and rebalanced together: at most
-//! once for every [`INTERVAL_PER_CLIENT`] and client, however many requests come. The work in a second is then that of 500 clients for
-//! each tenant that wants it, whatever the number of clients.
+//! Rebalancing a tenant visits every client, and every client sends requests. Rebalancing with each
+//! request that needs it makes the work grow with the square of the number of clients: with some
+//! ninety clients, it took all of a controller's processor time
+//! (`docs/incidents/2026-12-acks-grown.md`). Therefore the tenants that need rebalancing are
+//! collected and rebalanced together, at most once per [`INTERVAL_PER_CLIENT`] and client, however
+//! many requests arrive. The work per second is then that of visiting 500 clients for each of these
+//! tenants, whatever the number of clients.
 
 use crate::{Millis, Pacer};
 use std::collections::BTreeMap;
 
-/// Time between two rebalances, for each client.
+/// Time between two rebalances, per client.
 const INTERVAL_PER_CLIENT: Millis = 2.0;
-/// Rebalances that were not needed are made up for later, as many as fit into this time: few clients wait for none.
+/// Maximum credit for rebalances that were not needed: with few clients, none has to wait for a
+/// rebalance.
 const MAX_CREDIT: Millis = 200.0;
 
-/// What is to be done for a tenant.
+/// Pending rebalance of one tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PendingRebalance {
-    /// A client needs its target share, and there is not enough unleased quota for it: leases above their targets are decreased.
-    pub(super) take_back: bool,
+    /// Whether leases above their targets are decreased, because a client needs its target share
+    /// and there is not enough unleased quota for it.
+    pub(super) decrease: bool,
 }
 
-/// The tenants whose leases are to be moved next.
+/// The tenants that the next rebalance includes.
 #[derive(Clone, Debug)]
 pub(super) struct RebalanceQueue {
     pending: BTreeMap<String, PendingRebalance>,
@@ -36,17 +40,18 @@
         }
     }
 
-    /// Has the tenant's leases moved next time.
-    pub(super) fn add(&mut self, tenant: &str, take_back: bool) {
+    /// Adds a tenant to the next rebalance.
+    pub(super) fn add(&mut self, tenant: &str, decrease: bool) {
         if let Some(pending) = self.pending.get_mut(tenant) {
-            pending.take_back |= take_back;
+            pending.decrease |= decrease;
         } else {
-            let pending = PendingRebalance { take_back };
+            let pending = PendingRebalance { decrease };
             self.pending.insert(tenant.to_owned(), pending);
         }
     }
 
-    /// All that is pending, if it is time for a rebalance among so many clients; nothing otherwise.
+    /// Takes all pending tenants if a rebalance among `client_count` clients is due; none
+    /// otherwise.
     pub(super) fn take_due(
         &mut self,
         now: Millis,
--- a/crates/quota-lease/src/server/token_pools.rs
+++ b/crates/quota-lease/src/server/token_pools.rs
@@ -1,14 +1,17 @@
-//! The part of each quota that a lease server has not leased, as a token bucket from which it grants single tokens.
+//! The share of each quota that a lease server has not leased, as a token bucket from which it
+//! grants single tokens.
 //!
-//! Invariant: a pool holds what is not outstanding, no more. Whenever that becomes less, the pool is refilled with its new share in the same
-//! step, which cuts it to size. So the buckets of all clients and pools together are one bucket of the whole quota at most, and a
-//! token that is spent within [`token_lifetime`] of its request was in one of them that long ago.
+//! Invariant: a pool's share of the quota is at most what is not outstanding. Whenever that
+//! decreases, the pool is refilled with its new share in the same step, which limits its tokens to
+//! the new depth. The buckets of all clients and all pools together are therefore at most one
+//! bucket of the full quota, and a token that is spent within [`token_lifetime`] of its request was
+//! in one of these buckets at most that long ago.
 
 use crate::*;
 use maplefall_load_estimators::TokenBucket;
 use std::collections::BTreeMap;
 
-/// What a client is to wait before it asks again for tokens of a tenant that has no quota here.
+/// How long a client waits before it requests tokens again of a tenant without a quota here.
 const UNKNOWN_TENANT_WAIT: Millis = 1_000.0;
 
 /// One tenant's pool.
@@ -18,14 +21,16 @@
     bucket: TokenBucket,
 }
 
-/// The pools of all tenants with a quota; their number is bounded by the configuration's.
+/// The pools of all tenants with a quota; their number is bounded by that of the configured
+/// tenants.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TokenPools {
     by_tenant: BTreeMap<String, TokenPool>,
 }
 
 impl TokenPools {
-    /// Sets or removes a tenant's quota. A pool begins empty: another controller may have granted what was in it.
+    /// Sets or removes a tenant's quota. A new pool is empty: another controller may have granted
+    /// its tokens.
     pub(super) fn set_quota(&mut self, now: Millis, tenant: &str, quota: Option<TenantQuota>) {
         let Some(quota) = quota.filter(|quota| quota.rate > 0.0) else {
             self.by_tenant.remove(tenant);
@@ -40,28 +45,30 @@
             .insert(tenant.to_owned(), TokenPool { quota, bucket });
     }
 
-    /// Whether a tenant's quota is too small for leases to so many clients.
+    /// Whether a tenant's quota is too small for leases to this many clients.
     pub(super) fn is_pooled(&self, tenant: &str, client_count: usize) -> bool {
         self.by_tenant
             .get(tenant)
             .is_some_and(|pool| pool.quota.is_pooled(client_count))
     }
 
-    /// This fraction of a tenant's quota is not leased from now on.
+    /// Refills a tenant's pool. From now on, `unleased` is the fraction of the quota that is not
+    /// leased.
     pub(super) fn refill(&mut self, now: Millis, tenant: &str, unleased: f64) {
         if let Some(pool) = self.by_tenant.get_mut(tenant) {
             pool.refill(now, unleased);
         }
     }
 
-    /// Less may be granted of every quota, how much less is not known yet: the pools are emptied.
+    /// Empties all pools, because less of every quota may be granted and the difference is not
+    /// known yet.
     pub(super) fn empty(&mut self) {
         for pool in self.by_tenant.values_mut() {
             pool.bucket.clear();
         }
     }
 
-    /// Takes as many whole tokens as there are, at most `count`.
+    /// Takes the available whole tokens, at most `count`.
     pub(super) fn take(
         &mut self,
         now: Millis,
@@ -76,7 +83,7 @@
         };
         if let Some(pool) = self.by_tenant.get_mut(tenant) {
             pool.refill(now, unleased);
-            // The cast cuts off fractions, and what is below zero.
+            // The cast truncates fractions and turns negative numbers into zero.
             granted.count = count.min(pool.bucket.tokens() as u32);
             pool.bucket.take(f64::from(granted.count));
             granted.wait_ms = pool.bucket.wait(1.0).ceil() as u32;
--- a/crates/quota-lease/src/slots.rs
+++ b/crates/quota-lease/src/slots.rs
@@ -1,18 +1,20 @@
-//! The owners of slots. Every quota is cut into the same number of equal slots, and a slot's owner is the only controller that may lease
-//! it.
+//! The owners of slots. Every quota is divided into the same number of equal slots, and a slot's
+//! owner is the only controller that may lease it.
 //!
-//! Invariant: the owners are a function of the committed sequence of member sets alone, so every controller that has applied the same
-//! entries computes the same (`docs/design/control-leases.md`).
+//! Invariant: the owners are a function of the committed sequence of member sets alone, so every
+//! controller that has applied the same entries computes the same owners
+//! (`docs/design/control-leases.md`).
 
 use crate::*;
 use std::collections::BTreeSet;
 
-/// Slots of a quota. Controllers beyond that own none.
+/// Maximum number of slots of a quota. Controllers beyond that number own none.
 const MAX_SLOTS: usize = 31;
-/// The settings of a first start name this many controllers at most: where they name fewer, there are no others.
+/// Maximum number of controllers in the settings of a first start: if the settings name fewer,
+/// there are no others.
 const MAX_SEED_CONTROLLERS: usize = 3;
 
-/// One of the equal parts that every quota is cut into.
+/// One of the equal parts of every quota.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Slot {
     /// Address of the controller that may lease it; empty for none.
@@ -35,16 +37,17 @@
 }
 
 impl Slots {
-    /// The slots at the first start: 2 × `losses` + 1, the fewest controllers that tolerate so many losses, and at least one for each of
-    /// the first `members`. `index` is the entry up to which the members are known, and `used` whether other controllers may have leased
-    /// before it.
+    /// Returns the slots at the first start: 2 × `losses` + 1, the minimum number of controllers
+    /// that tolerate this many losses, and at least one for each of the first `members`. `index` is
+    /// the entry up to which the members are known, and `used` whether other controllers may have
+    /// leased slots before that entry.
     pub fn initial(members: &BTreeSet<String>, losses: u32, index: u64, used: bool) -> Slots {
-        let fewest = if members.len() < MAX_SEED_CONTROLLERS {
+        let min_count = if members.len() < MAX_SEED_CONTROLLERS {
             0
         } else {
             (losses as usize).saturating_mul(2) + 1
         };
-        let count = fewest.max(members.len()).clamp(1, MAX_SLOTS);
+        let count = min_count.max(members.len()).clamp(1, MAX_SLOTS);
         let unowned = Slot {
             owner: String::new(),
             since: index,
@@ -57,8 +60,9 @@
         slots
     }
 
-    /// Applies the entry at `index`, which sets the members. Slots whose owner is no longer a member become free, and free ones go to
-    /// members without one, in the order of their addresses; slots that were never leased go first.
+    /// Applies the entry at `index`, which sets the members. Slots whose owner is no longer a
+    /// member become free. Free slots are assigned to members without a slot, in the order of their
+    /// addresses; slots that were never leased are assigned first.
     pub fn reassign(&mut self, members: &BTreeSet<String>, index: u64) {
         for slot in self.all.iter_mut().filter(|slot| !slot.owner.is_empty()) {
             if !members.contains(&slot.owner) {
--- a/crates/quota-lease/src/token_client.rs
+++ b/crates/quota-lease/src/token_client.rs
@@ -1,62 +1,65 @@
-//! The token client of a proxy: requests single tokens of quotas that are too small to be leased to every proxy.
+//! The token client of a proxy: requests single tokens of quotas that are too small to be leased to
+//! every proxy.
 //!
-//! A token is taken out of a server's pool when the request is answered and may be spent until [`token_lifetime`] after the request was
-//! *sent*, by the client's clock: later than that it is void. One request to a server is under way at a time, and what is asked for
-//! meanwhile goes with the next one, so a slow server is asked less often.
+//! A token is taken out of a server's pool when the server handles the request, and expires
+//! [`token_lifetime`] after the request was *sent*, by the client's clock. One request to a server
+//! is in flight at a time. Tokens that are needed meanwhile are requested with the next one, so a
+//! slow server gets fewer requests.
 
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Tenants at most that one server may be asked for at a time; beyond that a request is refused.
-const MAX_QUEUED_ASKS: usize = 256;
-/// Bounds of the time for which a server that has refused a token is not asked for that tenant.
-const MIN_REFUSAL: Millis = 10.0;
-const MAX_REFUSAL: Millis = 1_000.0;
+/// Maximum number of queued entries for one server; a server with a full queue is not available.
+const MAX_QUEUED_NEEDS: usize = 256;
+/// Bounds of the time for which no tokens of a tenant are requested from a server that has denied
+/// one.
+const MIN_BACKOFF: Millis = 10.0;
+const MAX_BACKOFF: Millis = 1_000.0;
 
-/// Tokens of one tenant that are asked for.
+/// Tokens of one tenant that are needed.
 #[derive(Clone, Debug)]
-struct Ask {
+struct TokenNeed {
     tenant: String,
     count: u32,
-    /// Servers that have refused them.
-    refused_by: BTreeSet<String>,
+    /// Servers that have denied these tokens.
+    denied_by: BTreeSet<String>,
 }
 
-/// A request that has not been answered yet.
+/// A request without a response so far.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     sequence: u64,
     sent_at: Millis,
-    asks: Vec<Ask>,
+    needs: Vec<TokenNeed>,
 }
 
-/// What the client knows of one connected server.
+/// State of the client for one connected server.
 #[derive(Clone, Debug, Default)]
 struct TokenServer {
-    /// Whether it grants tokens; earlier programs do not.
+    /// Whether the server grants tokens; earlier releases do not.
     grants_tokens: bool,
     pending: Option<PendingRequest>,
-    queued: VecDeque<Ask>,
-    /// Until when it is not asked, by tenant.
-    refused_until: BTreeMap<String, Millis>,
+    queued: VecDeque<TokenNeed>,
+    /// Until when no tokens are requested from this server, by tenant.
+    backoff_until: BTreeMap<String, Millis>,
 }
 
 impl TokenServer {
-    fn may_be_asked(&self, now: Millis, tenant: &str) -> bool {
-        let is_refused = self
-            .refused_until
+    fn is_available(&self, now: Millis, tenant: &str) -> bool {
+        let is_backing_off = self
+            .backoff_until
             .get(tenant)
             .is_some_and(|until| now < *until);
-        self.grants_tokens && !is_refused && self.queued.len() < MAX_QUEUED_ASKS
+        self.grants_tokens && !is_backing_off && self.queued.len() < MAX_QUEUED_NEEDS
     }
 }
 
 /// Whether a token can be expected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TokenStatus {
-    /// One was asked for, and the answer is due within [`TokenClient::lifetime`].
+    /// A token was requested, and the response is due within [`TokenClient::lifetime`].
     Requested,
-    /// No server has one now; they may after this time.
+    /// No server has a token now; one may be available after this time.
     Unavailable(Millis),
 }
 
@@ -68,16 +71,18 @@
     last_request: u64,
     /// The connected servers.
     servers: BTreeMap<String, TokenServer>,
-    /// When the tokens that are there become void, by tenant.
+    /// When each available token expires, by tenant.
     tokens: BTreeMap<String, VecDeque<Millis>>,
-    /// Tokens that were asked for and neither granted nor refused, by tenant.
+    /// Number of tokens that were requested and neither granted nor denied by all servers, by
+    /// tenant.
     awaited: BTreeMap<String, u32>,
-    /// Number of asks so far: servers take turns.
-    turn: usize,
+    /// Round-robin counter for the choice of a server.
+    round_robin: usize,
 }
 
 impl TokenClient {
-    /// A client without tokens, each of which may be spent for `lifetime` after it was requested (see [`token_lifetime`]).
+    /// A client without tokens. Each token may be spent for `lifetime` after it was requested (see
+    /// [`token_lifetime`]).
     pub fn new(lifetime: Millis) -> TokenClient {
         TokenClient {
             lifetime,
@@ -85,39 +90,41 @@
             servers: BTreeMap::new(),
             tokens: BTreeMap::new(),
             awaited: BTreeMap::new(),
-            turn: 0,
+            round_robin: 0,
         }
     }
 
-    /// How long a token may be spent after it was requested: the answer to a request is worth waiting for that long.
+    /// How long a token may be spent after it was requested, which is also how long a response to
+    /// its request is useful.
     pub fn lifetime(&self) -> Millis {
         self.lifetime
     }
 
-    /// Changes that for tokens that are requested from now on.
+    /// Changes the lifetime of tokens whose grants arrive from now on.
     pub fn set_lifetime(&mut self, lifetime: Millis) {
         self.lifetime = lifetime;
     }
 
-    /// There is a new connection to a server: nothing that was asked on an earlier one is answered.
+    /// Records a new connection to a server. Requests on an earlier connection get no response any
+    /// more.
     pub fn connected(&mut self, server: &str) {
         self.disconnected(server);
         self.servers
             .insert(server.to_owned(), TokenServer::default());
     }
 
-    /// The connection to a server has ended.
+    /// Records the end of the connection to a server.
     pub fn disconnected(&mut self, server: &str) {
         let Some(server) = self.servers.remove(server) else {
             return;
         };
-        let pending = server.pending.map(|pending| pending.asks);
-        for ask in pending.into_iter().flatten().chain(server.queued) {
-            self.no_longer_awaited(&ask.tenant, ask.count);
+        let pending = server.pending.map(|pending| pending.needs);
+        for need in pending.into_iter().flatten().chain(server.queued) {
+            self.reduce_awaited(&need.tenant, need.count);
         }
     }
 
-    /// A server grants tokens, or does not.
+    /// Sets whether a server grants tokens.
     pub fn set_grants_tokens(&mut self, server: &str, grants_tokens: bool) {
         if let Some(server) = self.servers.get_mut(server) {
             server.grants_tokens = grants_tokens;
@@ -129,12 +136,12 @@
         self.servers.values().any(|server| server.grants_tokens)
     }
 
-    /// Takes a token that may be spent now; returns whether there was one.
+    /// Takes a token that may be spent now; returns whether one was available.
     pub fn take(&mut self, now: Millis, tenant: &str) -> bool {
         let Some(tokens) = self.tokens.get_mut(tenant) else {
             return false;
         };
-        while tokens.front().is_some_and(|void_at| *void_at <= now) {
+        while tokens.front().is_some_and(|expiry| *expiry <= now) {
             tokens.pop_front();
         }
         let taken = tokens.pop_front().is_some();
@@ -144,30 +151,31 @@
         taken
     }
 
-    /// Asks for a token, or tells that there is none to be had. What is to be sent comes with [`Self::next_requests`].
+    /// Requests a token, unless none is available. [`Self::next_requests`] returns the requests to
+    /// be sent.
     pub fn request_token(&mut self, now: Millis, tenant: &str) -> TokenStatus {
-        let ask = Ask {
+        let need = TokenNeed {
             tenant: tenant.to_owned(),
             count: 1,
-            refused_by: BTreeSet::new(),
+            denied_by: BTreeSet::new(),
         };
-        if !self.queue(now, ask) {
-            return TokenStatus::Unavailable(self.refusal_left(now, tenant));
+        if !self.queue(now, need) {
+            return TokenStatus::Unavailable(self.remaining_backoff(now, tenant));
         }
         *self.awaited.entry(tenant.to_owned()).or_default() += 1;
         TokenStatus::Requested
     }
 
-    /// What a request that has asked may expect now.
+    /// Returns the status of tokens of a tenant that were requested before.
     pub fn status(&self, now: Millis, tenant: &str) -> TokenStatus {
         if self.awaited.contains_key(tenant) {
             TokenStatus::Requested
         } else {
-            TokenStatus::Unavailable(self.refusal_left(now, tenant))
+            TokenStatus::Unavailable(self.remaining_backoff(now, tenant))
         }
     }
 
-    /// The requests to be sent now, by server.
+    /// Returns the requests to be sent now, by server.
     pub fn next_requests(&mut self, now: Millis) -> Vec<(String, TokenRequest)> {
         self.drop_unanswered(now);
         let mut requests = Vec::new();
@@ -176,10 +184,10 @@
                 continue;
             }
             self.last_request += 1;
-            let asks: Vec<Ask> = server.queued.drain(..).collect();
-            let tokens = asks.iter().map(|ask| TokenCount {
-                tenant: ask.tenant.clone(),
-                count: ask.count,
+            let needs: Vec<TokenNeed> = server.queued.drain(..).collect();
+            let tokens = needs.iter().map(|need| TokenCount {
+                tenant: need.tenant.clone(),
+                count: need.count,
             });
             let request = TokenRequest {
                 sequence: self.last_request,
@@ -188,15 +196,16 @@
             server.pending = Some(PendingRequest {
                 sequence: self.last_request,
                 sent_at: now,
-                asks,
+                needs,
             });
             requests.push((name.clone(), request));
         }
         requests
     }
 
-    /// Applies a server's answer. Returns whether requests that wait may have an outcome now: tokens have come, or some are refused by
-    /// all servers. Others of those that this server has refused are asked for at the next one.
+    /// Applies a server's grant. Returns whether waiting requests may have an outcome now: tokens
+    /// were granted, or some were denied by all available servers. Other tokens that this server
+    /// has denied are requested from the next one.
     pub fn handle_grant(&mut self, now: Millis, name: &str, grant: &TokenGrant) -> bool {
         let Some(server) = self.servers.get_mut(name) else {
             return false;
@@ -207,94 +216,95 @@
         let Some(pending) = pending else {
             return false;
         };
-        let void_at = pending.sent_at + self.lifetime;
+        let expiry = pending.sent_at + self.lifetime;
         let mut has_outcome = false;
-        for (position, mut ask) in pending.asks.into_iter().enumerate() {
-            let answer = grant
+        for (position, mut need) in pending.needs.into_iter().enumerate() {
+            let granted = grant
                 .tokens
                 .get(position)
-                .filter(|answer| answer.tenant == ask.tenant);
-            let count = answer.map_or(0, |answer| answer.count).min(ask.count);
+                .filter(|granted| granted.tenant == need.tenant);
+            let count = granted.map_or(0, |granted| granted.count).min(need.count);
             if count > 0 {
                 has_outcome = true;
-                self.no_longer_awaited(&ask.tenant, count);
-                let tokens = self.tokens.entry(ask.tenant.clone()).or_default();
-                tokens.extend((0..count).map(|_| void_at));
+                self.reduce_awaited(&need.tenant, count);
+                let tokens = self.tokens.entry(need.tenant.clone()).or_default();
+                tokens.extend((0..count).map(|_| expiry));
             }
-            ask.count -= count;
-            if ask.count > 0 {
-                let wait = answer.map_or(MAX_REFUSAL, |answer| f64::from(answer.wait_ms));
-                self.refused(now, name, &ask.tenant, wait);
-                ask.refused_by.insert(name.to_owned());
-                let (tenant, count) = (ask.tenant.clone(), ask.count);
-                if !self.queue(now, ask) {
+            need.count -= count;
+            if need.count > 0 {
+                let wait = granted.map_or(MAX_BACKOFF, |granted| f64::from(granted.wait_ms));
+                self.back_off(now, name, &need.tenant, wait);
+                need.denied_by.insert(name.to_owned());
+                let (tenant, count) = (need.tenant.clone(), need.count);
+                if !self.queue(now, need) {
                     has_outcome = true;
-                    self.no_longer_awaited(&tenant, count);
+                    self.reduce_awaited(&tenant, count);
                 }
             }
         }
         has_outcome
     }
 
-    /// Forgets what has expired; to be called now and then.
+    /// Removes expired requests, tokens and backoffs; called periodically.
     pub fn tick(&mut self, now: Millis) {
         self.drop_unanswered(now);
         self.tokens.retain(|_, tokens| {
-            tokens.retain(|void_at| now < *void_at);
+            tokens.retain(|expiry| now < *expiry);
             !tokens.is_empty()
         });
         for server in self.servers.values_mut() {
-            server.refused_until.retain(|_, until| now < *until);
+            server.backoff_until.retain(|_, until| now < *until);
         }
     }
 
-    /// Queues an ask for the next server that may be asked; returns whether there is one.
-    fn queue(&mut self, now: Millis, ask: Ask) -> bool {
-        let may_be_asked: Vec<&String> = self
+    /// Queues needed tokens for the next available server; returns whether one is available.
+    fn queue(&mut self, now: Millis, need: TokenNeed) -> bool {
+        let available: Vec<&String> = self
             .servers
             .iter()
             .filter(|(name, server)| {
-                !ask.refused_by.contains(*name) && server.may_be_asked(now, &ask.tenant)
+                !need.denied_by.contains(*name) && server.is_available(now, &need.tenant)
             })
             .map(|(name, _)| name)
             .collect();
-        if may_be_asked.is_empty() {
+        if available.is_empty() {
             return false;
         }
-        self.turn = self.turn.wrapping_add(1);
-        let name = may_be_asked[self.turn % may_be_asked.len()].clone();
+        self.round_robin = self.round_robin.wrapping_add(1);
+        let name = available[self.round_robin % available.len()].clone();
         let Some(server) = self.servers.get_mut(&name) else {
             return false;
         };
-        let same =
-            |queued: &&mut Ask| queued.tenant == ask.tenant && queued.refused_by == ask.refused_by;
-        if let Some(queued) = server.queued.iter_mut().find(same) {
-            queued.count += ask.count;
+        let is_same = |queued: &&mut TokenNeed| {
+            queued.tenant == need.tenant && queued.denied_by == need.denied_by
+        };
+        if let Some(queued) = server.queued.iter_mut().find(is_same) {
+            queued.count += need.count;
         } else {
-            server.queued.push_back(ask);
+            server.queued.push_back(need);
         }
         true
     }
 
-    /// A server has no token of a tenant for this long.
-    fn refused(&mut self, now: Millis, server: &str, tenant: &str, wait: Millis) {
+    /// Requests no tokens of a tenant from a server for `wait`.
+    fn back_off(&mut self, now: Millis, server: &str, tenant: &str, wait: Millis) {
         if let Some(server) = self.servers.get_mut(server) {
-            let until = now + wait.clamp(MIN_REFUSAL, MAX_REFUSAL);
-            server.refused_until.insert(tenant.to_owned(), until);
+            let until = now + wait.clamp(MIN_BACKOFF, MAX_BACKOFF);
+            server.backoff_until.insert(tenant.to_owned(), until);
         }
     }
 
-    /// How long it takes until some server may be asked for this tenant again.
-    fn refusal_left(&self, now: Millis, tenant: &str) -> Millis {
+    /// Time until tokens of a tenant may be requested from some server again.
+    fn remaining_backoff(&self, now: Millis, tenant: &str) -> Millis {
         self.servers
             .values()
             .filter(|server| server.grants_tokens)
-            .map(|server| server.refused_until.get(tenant).map_or(0.0, |at| at - now))
-            .fold(MAX_REFUSAL, f64::min)
-            .max(MIN_REFUSAL)
+            .map(|server| server.backoff_until.get(tenant).map_or(0.0, |at| at - now))
+            .fold(MAX_BACKOFF, f64::min)
+            .max(MIN_BACKOFF)
     }
 
-    /// Requests that were not answered in time bring no tokens any more.
+    /// Drops requests without a response in time; their tokens are no longer awaited.
     fn drop_unanswered(&mut self, now: Millis) {
         let lifetime = self.lifetime;
         let mut dropped = Vec::new();
@@ -302,14 +312,14 @@
             let pending = server
                 .pending
                 .take_if(|pending| now >= pending.sent_at + lifetime);
-            dropped.extend(pending.into_iter().flat_map(|pending| pending.asks));
+            dropped.extend(pending.into_iter().flat_map(|pending| pending.needs));
         }
-        for ask in dropped {
-            self.no_longer_awaited(&ask.tenant, ask.count);
+        for need in dropped {
+            self.reduce_awaited(&need.tenant, need.count);
         }
     }
 
-    fn no_longer_awaited(&mut self, tenant: &str, count: u32) {
+    fn reduce_awaited(&mut self, tenant: &str, count: u32) {
         if let Some(awaited) = self.awaited.get_mut(tenant) {
             *awaited = awaited.saturating_sub(count);
             if *awaited == 0 {
--- a/crates/quota-lease/tests/pacer.rs
+++ b/crates/quota-lease/tests/pacer.rs
@@ -1,10 +1,10 @@
-//! Pacing: a bounded rate in the long run, and no wait for what comes now and then.
+//! The pacer: a bounded long-term rate, and no wait for occasional work.
 
 use maplefall_quota_lease::Pacer;
 
-/// Work that is always there is done once for each interval, beyond what was saved up.
+/// Continuous work is done once per interval, plus the initial credit.
 #[test]
-fn steady_work_is_done_once_an_interval() {
+fn steady_work_is_done_once_per_interval() {
     let mut pacer = Pacer::new(0.0, 100.0);
     let mut done = 0;
     for ms in 0..10_000 {
@@ -18,9 +18,9 @@
     assert!((200..=203).contains(&done), "{done} times in 10 s");
 }
 
-/// A pause of any length saves up no more than the credit.
+/// Idle time of any length accumulates no more than the maximum credit.
 #[test]
-fn a_pause_saves_up_a_bounded_credit() {
+fn idle_time_accumulates_a_bounded_credit() {
     let mut pacer = Pacer::new(0.0, 100.0);
     let now = 1e9;
     let mut done = 0;
--- a/crates/quota-lease/tests/server.rs
+++ b/crates/quota-lease/tests/server.rs
@@ -1,4 +1,4 @@
-//! A lease server with clients that join one after the other, report demand, restart and reconnect.
+//! A lease server with clients that join one after another, report demand, restart and reconnect.
 
 use maplefall_quota_lease::{
     ClientId, Demand, Lease, LeaseClient, LeaseGrant, LeaseRequest, LeaseServer, CLOCK_SKEW,
@@ -24,13 +24,13 @@
         }
     }
 
-    /// A client sends a request, and all grants and acknowledgements that follow are delivered.
+    /// Sends a request of a client, and delivers all grants and acknowledgements that follow.
     fn request(&mut self, name: &str, incarnation: u64, rps: f64, starved: bool) {
-        let is_known = self
+        let is_current = self
             .clients
             .get(name)
-            .is_some_and(|(known, _)| *known == incarnation);
-        if !is_known {
+            .is_some_and(|(current, _)| *current == incarnation);
+        if !is_current {
             let mut client = LeaseClient::new(incarnation);
             client.connected("server");
             self.clients.insert(name.to_owned(), (incarnation, client));
@@ -80,9 +80,10 @@
     }
 }
 
-/// Guards the first seconds: the first client has leased everything before the others join, and they must get their share of it.
+/// Guards the start of a fleet: the first client has leased the full quota before the others join,
+/// and they must get their shares of it.
 #[test]
-fn clients_that_join_one_by_one_end_with_even_shares() {
+fn clients_that_join_one_by_one_get_even_shares() {
     let mut fixture = Fixture::new();
     for _ in 0..4 {
         for name in ["a", "b", "c", "d"] {
@@ -96,7 +97,8 @@
     }
 }
 
-/// Guards tenants that are configured after the clients have joined: each client has a share before there is any demand.
+/// Guards tenants that are configured after the clients have joined: each client gets a share
+/// before there is any demand.
 #[test]
 fn tenants_added_later_are_leased_to_all_clients() {
     let mut fixture = Fixture::new();
@@ -116,7 +118,8 @@
     }
 }
 
-/// Guards tenants whose requests all reach one client: once it is starved it gets the unused shares of the others at once.
+/// Guards tenants whose requests all reach one client: once it is starved, it gets the unused
+/// shares of the others at once.
 #[test]
 fn a_starved_client_gets_unused_shares_at_once() {
     let mut fixture = Fixture::new();
@@ -149,13 +152,15 @@
     assert!(fixture.server.outstanding("t") <= FULL_QUOTA_PPM);
 }
 
-/// Guards tenants with few requests and many clients: which client gets the next request is chance, so a client without recent demand
-/// keeps more than half of an even share, however starved others are; with a quarter its token bucket has no whole token.
+/// Guards tenants with few requests and many clients: any client may get the next request, so a
+/// client without recent demand keeps more than half of an even share, even if others are starved;
+/// with a quarter of it, its token bucket has no whole token.
 #[test]
-fn clients_with_little_demand_keep_most_of_an_even_share() {
+fn clients_with_little_demand_keep_more_than_half_of_an_even_share() {
     let mut fixture = Fixture::new();
     let names: Vec<String> = (0..27).map(|index| format!("client-{index}")).collect();
-    // 20 requests per second in all: each client in turn has three times an even share of them, an even share, and none.
+    // 20 requests per second in all: each client in turn has three times an even share of them, an
+    // even share, and none.
     for round in 0..60 {
         for (index, name) in names.iter().enumerate() {
             fixture.now += 20.0;
@@ -175,9 +180,10 @@
     }
 }
 
-/// Guards the purpose of leases: a tenant with high demand at one client has most of its quota there, even among many clients.
+/// Guards the distribution by demand: a client with high demand of a tenant gets most of its quota,
+/// even among many clients.
 #[test]
-fn a_client_with_high_demand_gets_most_of_the_quota() {
+fn a_client_with_high_demand_gets_over_60_percent_of_the_quota() {
     let mut fixture = Fixture::new();
     let names: Vec<String> = (0..27).map(|index| format!("client-{index}")).collect();
     for _ in 0..20 {
@@ -210,7 +216,8 @@
         .collect()
 }
 
-/// Guards a controller that was frozen: it may read requests of an earlier incarnation of a client after those of the present one.
+/// Guards a controller that was suspended: it may read requests of an earlier incarnation of a
+/// client after those of the current one.
 #[test]
 fn requests_of_an_earlier_incarnation_or_connection_are_ignored() {
     let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM, Some(BTreeSet::new()));
@@ -236,7 +243,8 @@
             .is_empty());
         assert_eq!(server.outstanding("t"), FULL_QUOTA_PPM);
     }
-    // Neither on the same connection, nor with an older sequence number of the same incarnation on another one.
+    // Another incarnation on the same connection and an old sequence number of the same incarnation
+    // on a later connection are stale too.
     assert!(server
         .handle_request(1.0, client_id("a", 1, 5), &stale, ["t"].into_iter())
         .is_empty());
@@ -250,7 +258,8 @@
     assert_eq!(server.outstanding("t"), FULL_QUOTA_PPM);
 }
 
-/// Guards a client against grants by another incarnation of a server, and against grants that are older than the last one applied.
+/// Guards a client against grants by another incarnation of a server, and against grants older than
+/// the last one applied.
 #[test]
 fn a_grant_of_another_incarnation_or_an_older_one_is_ignored() {
     let mut client = LeaseClient::new(1);
@@ -273,7 +282,8 @@
     client.handle_grant(1.0, "x", &grant(7, 4, request, FULL_QUOTA_PPM));
     client.handle_grant(1.0, "x", &grant(7, 3, request, FULL_QUOTA_PPM));
     assert!((client.fraction(1.0, "t") - 0.5).abs() < 1e-9);
-    // A request names the incarnation whose grants it acknowledges. On a new connection it lists all leases until it is answered.
+    // A request names the incarnation whose grants it acknowledges. On a new connection, requests
+    // list all leases until the first grant.
     let request = client.next_request(1.0, "x", Vec::new());
     assert_eq!(
         (
@@ -300,7 +310,8 @@
     }
 }
 
-/// Guards servers that have restarted: the sequence number of an earlier incarnation's grant acknowledges nothing of this one's.
+/// Guards servers that have restarted: the sequence number of an earlier incarnation's grant does
+/// not acknowledge any grant of this one.
 #[test]
 fn an_acknowledgement_of_another_incarnation_is_ignored() {
     let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM, Some(BTreeSet::new()));
@@ -342,15 +353,16 @@
     }
 }
 
-/// Guards slots that go to another owner: all leases shrink at once, whatever the demand, and nobody's lease grows again before the
-/// decrease has been acknowledged.
+/// Guards slots that are reassigned to another owner: all leases decrease at once, regardless of
+/// demand, and none increases again before the decrease has been acknowledged.
 #[test]
-fn a_lower_limit_shrinks_all_leases_at_once() {
+fn a_lower_limit_decreases_all_leases_at_once() {
     let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM, Some(BTreeSet::new()));
     let mut clients: Vec<LeaseClient> = (0..4).map(|_| LeaseClient::new(1)).collect();
     let names = ["a", "b", "c", "d"];
     let mut now = 0.0;
-    // No demand at first, so all have even shares; then one client could use the whole quota.
+    // Without demand at first, all clients have even shares; later one client could use the full
+    // quota.
     let demand_of = |index: usize, now: f64| match index {
         0 if now > 600.0 => vec![Demand {
             tenant: "t".into(),
@@ -360,10 +372,10 @@
         _ => Vec::new(),
     };
     clients.iter_mut().for_each(|client| client.connected("x"));
-    let round = |server: &mut LeaseServer,
-                 clients: &mut Vec<LeaseClient>,
-                 unreachable: Option<usize>,
-                 now: f64| {
+    let send_requests = |server: &mut LeaseServer,
+                         clients: &mut Vec<LeaseClient>,
+                         unreachable: Option<usize>,
+                         now: f64| {
         for index in 0..4 {
             let request = clients[index].next_request(now, "x", demand_of(index, now));
             for (to, grant) in server.handle_request(
@@ -381,7 +393,7 @@
     };
     for _ in 0..6 {
         now += 100.0;
-        round(&mut server, &mut clients, None, now);
+        send_requests(&mut server, &mut clients, None, now);
     }
     assert!(
         server.outstanding("t") <= FULL_QUOTA_PPM
@@ -395,10 +407,11 @@
         .flat_map(|name| granted_ppm(&grants, name))
         .sum();
     assert!(grants.len() == 4 && sum <= FULL_QUOTA_PPM / 5, "{grants:?}");
-    // None of these grants reaches one of the clients; the others go on.
+    // Client 1 gets none of these grants and none of the later ones; the other clients get the
+    // later ones.
     for _ in 0..8 {
         now += 100.0;
-        round(&mut server, &mut clients, Some(1), now);
+        send_requests(&mut server, &mut clients, Some(1), now);
         let connected_sum: f64 = [0, 2, 3]
             .iter()
             .map(|index: &usize| clients[*index].fraction(now, "t"))
@@ -406,8 +419,8 @@
         assert!(connected_sum <= 0.2 + 1e-6, "{connected_sum}");
     }
     now += LEASE_DURATION + CLOCK_SKEW;
-    round(&mut server, &mut clients, None, now);
-    round(&mut server, &mut clients, None, now + 100.0);
+    send_requests(&mut server, &mut clients, None, now);
+    send_requests(&mut server, &mut clients, None, now + 100.0);
     let total: f64 = clients
         .iter()
         .map(|client| client.fraction(now + 100.0, "t"))
@@ -416,10 +429,10 @@
         total <= 0.2 + 1e-6 && server.outstanding("t") <= FULL_QUOTA_PPM / 5,
         "{total}"
     );
-    // The controller has lost all its slots: nothing is left.
+    // The controller has lost all its slots: no share may remain leased.
     server.set_limit(0);
-    round(&mut server, &mut clients, None, now + 200.0);
-    round(&mut server, &mut clients, None, now + 300.0);
+    send_requests(&mut server, &mut clients, None, now + 200.0);
+    send_requests(&mut server, &mut clients, None, now + 300.0);
     assert_eq!(
         clients
             .iter()
@@ -430,23 +443,23 @@
     assert_eq!(server.outstanding("t"), 0);
 }
 
-/// One step of a run at random.
+/// One step of a random run.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A client sends a request; the grants that follow arrive, or are lost.
+    /// A client sends a request; the grants that follow arrive or are lost.
     Request { grants_arrive: bool },
-    /// The client's process starts anew.
+    /// The client's process restarts.
     Restart,
-    /// The client gives its leases back.
+    /// The client releases its leases.
     Release,
     /// The server's limit changes.
     Limit,
-    /// Time passes, up to where leases expire.
+    /// Time passes, up to the expiry of leases.
     Wait,
 }
 
 impl Step {
-    fn drawn(draw: u8) -> Step {
+    fn from_draw(draw: u8) -> Step {
         match draw % 16 {
             0 => Step::Restart,
             1 => Step::Release,
@@ -460,29 +473,29 @@
 }
 
 quickcheck::quickcheck! {
-    /// Guards the sums that the server keeps: whatever happens, they are those over all its clients, counted one by one, and no
-    /// more is outstanding than the highest limit so far.
-    fn the_sums_are_those_over_all_clients(steps: Vec<(u8, u8, u16)>) -> bool {
+    /// Guards the totals that the server maintains: after any sequence of steps they equal the sums
+    /// over all its clients, and no more is outstanding than the highest limit so far.
+    fn the_totals_are_the_sums_over_all_clients(steps: Vec<(u8, u8, u16)>) -> bool {
         let tenants = ["t0", "t1", "t2"];
         let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM / 3, Some(BTreeSet::new()));
         let mut highest_limit = server.limit();
         let mut clients: BTreeMap<u8, (u64, LeaseClient)> = BTreeMap::new();
         let mut now = 0.0;
         let mut connections = 0;
-        for (draw, who, amount) in steps {
+        for (draw, number, amount) in steps {
             now += 1.0;
-            let who = who % 6;
-            let name = format!("c{who}");
-            let (incarnation, client) = clients.entry(who).or_insert_with(|| {
+            let number = number % 6;
+            let name = format!("c{number}");
+            let (incarnation, client) = clients.entry(number).or_insert_with(|| {
                 connections += 1;
                 let mut client = LeaseClient::new(connections);
                 client.connected("server");
                 (connections, client)
             });
-            let step = Step::drawn(draw);
+            let step = Step::from_draw(draw);
             match step {
                 Step::Restart => {
-                    clients.remove(&who);
+                    clients.remove(&number);
                     continue;
                 }
                 Step::Limit => {
@@ -515,8 +528,8 @@
                 }
             }
             for tenant in tenants {
-                let counted = server.outstanding_at(now, tenant);
-                if server.outstanding(tenant) != counted || counted > highest_limit {
+                let sum = server.outstanding_at(now, tenant);
+                if server.outstanding(tenant) != sum || sum > highest_limit {
                     return false;
                 }
             }
--- a/crates/quota-lease/tests/slots.rs
+++ b/crates/quota-lease/tests/slots.rs
@@ -1,4 +1,4 @@
-//! Owners of slots and takeover delays, over any sequence of member sets.
+//! Owners of slots and takeover delays, after any sequence of member sets.
 
 use maplefall_quota_lease::{
     membership_lease_valid, OwnedSlots, Slot, SlotEvent, Slots, CLOCK_SKEW, FULL_QUOTA_PPM,
@@ -23,9 +23,10 @@
 }
 
 quickcheck! {
-    /// Guards the quota's total: whatever the members were, a slot has at most one owner, which is a member; no member that stays loses its
-    /// slot; a member has none only where no slot is free; the slots of all owners add up to the whole quota at most; and two controllers
-    /// that apply the same entries, one of them from a snapshot, compute the same.
+    /// Guards the total of a quota. After any sequence of member sets, a slot has at most one
+    /// owner, which is a member; no remaining member loses its slot; a member has no slot only if
+    /// none is free; the slots of all owners add up to at most the full quota; and two controllers
+    /// that apply the same entries, one of them from a snapshot, compute the same owners.
     fn owners_are_a_function_of_the_member_sets(first: u8, losses: u8, changes: Vec<u8>, snapshot_at: usize) -> bool {
         let first = members(first);
         let mut slots = Slots::initial(&first, u32::from(losses % 4), 0, false);
@@ -43,7 +44,7 @@
             let is_kept = |old: &Slot, new: &Slot| !current.contains(&old.owner) || old == new;
             let all_kept = previous.all.iter().zip(&slots.all).all(|(old, new)| is_kept(old, new));
             let changed = previous.all.iter().zip(&slots.all).filter(|(old, new)| old.owner != new.owner);
-            // A slot that was owned once never counts as unused again.
+            // A slot that had an owner never counts as unused again.
             let marked_used = changed.clone().all(|(old, new)| old.owner.is_empty() || new.used);
             let owners_are_members = slots.all.iter().all(|slot| slot.owner.is_empty() || current.contains(&slot.owner));
             let any_free = slots.all.iter().any(|slot| slot.owner.is_empty());
@@ -57,8 +58,10 @@
         true
     }
 
-    /// Guards every moment: over any sequence of members, of which each controller learns when it is connected, no slot is leased by two
-    /// controllers at a time, if a partitioned one stops when its membership lease ends and its leases expire.
+    /// Guards against double leases. With any sequence of member sets, which each controller
+    /// applies while it is connected, no slot is leased by two controllers at the same time,
+    /// provided that a partitioned controller stops leasing when its membership lease ends, and its
+    /// leases expire.
     fn no_slot_is_leased_by_two_controllers(losses: u8, steps: Vec<(u8, u16, u8)>) -> bool {
         let first = members(0b111);
         let mut log = vec![first.clone()];
@@ -97,7 +100,8 @@
                     continue;
                 }
                 let slot_size = owned.slots().slot_ppm();
-                // Either it may lease all of its slots or it is skipped: the limit does not say which slots still wait.
+                // A controller that may not lease all of its slots is skipped: the limit does not
+                // tell which slots are still waiting.
                 let own_slots: Vec<usize> =
                     (0..owned.slots().all.len()).filter(|slot_index| owned.slots().all[*slot_index].owner == names[controller]).collect();
                 if owned.limit() != slot_size * own_slots.len() as u32 {
@@ -116,7 +120,8 @@
     }
 }
 
-/// Guards the first start with five controllers: the three seeds own one slot of five each, and keep it when the others join.
+/// Guards the first start with five controllers: each of the three seeds owns one of five slots,
+/// and keeps it when the others join.
 #[test]
 fn growing_from_three_to_five_reassigns_no_slot() {
     let mut slots = Slots::initial(&set(&["a", "b", "c"]), 2, 0, false);
@@ -125,7 +130,7 @@
     slots.reassign(&set(&["a", "b", "c", "d", "e"]), 9);
     assert_eq!(owners(&slots), ["a", "b", "c", "e", "d"]);
     assert!(slots.all.iter().all(|slot| !slot.used));
-    // A sixth owns none until another one is removed.
+    // A sixth controller owns no slot until another one is removed.
     slots.reassign(&set(&["a", "b", "c", "d", "e", "f"]), 11);
     assert_eq!(slots.owned_by("f").count(), 0);
     slots.reassign(&set(&["a", "c", "d", "e", "f"]), 12);
@@ -133,17 +138,18 @@
     assert!(slots.all[1].used);
 }
 
-/// Guards small systems: where the settings name one or two controllers there are no others, and these lease the whole quota.
+/// Guards small systems: if the settings name one or two controllers, there are no others, and
+/// these lease the full quota.
 #[test]
-fn fewer_than_three_controllers_own_the_whole_quota() {
+fn fewer_than_three_controllers_own_the_full_quota() {
     let slots = Slots::initial(&set(&["a"]), 1, 0, false);
     assert_eq!((slots.all.len(), slots.slot_ppm()), (1, FULL_QUOTA_PPM));
     let slots = Slots::initial(&set(&["a", "b"]), 1, 0, false);
     assert_eq!((slots.all.len(), slots.slot_ppm()), (2, FULL_QUOTA_PPM / 2));
 }
 
-/// Guards replacements: a new owner leases nothing until every lease by the previous owner has expired. A restart within the takeover
-/// delay starts it again, a restart after it does not.
+/// Guards replacements: a new owner leases nothing until every lease by the previous owner has
+/// expired. A restart during the takeover delay starts the delay again, a later restart does not.
 #[test]
 fn a_new_owner_waits_for_the_takeover_delay_once() {
     let first = Slots::initial(&set(&["a", "b", "c"]), 1, 0, false);
@@ -154,7 +160,7 @@
     const { assert!(TAKEOVER_DELAY > LEASE_DURATION + MEMBERSHIP_LEASE) };
     assert!(d.tick(999.0 + TAKEOVER_DELAY).is_empty());
     assert_eq!(d.limit(), 0);
-    // A restart within the takeover delay.
+    // A restart during the takeover delay.
     let (mut restarted, events) =
         OwnedSlots::new(20_000.0, "d", d.slots().clone(), BTreeSet::new());
     assert_eq!(events, [SlotEvent::Waiting(5, TAKEOVER_DELAY)]);
@@ -164,14 +170,14 @@
         [SlotEvent::WaitCompleted(5)]
     );
     assert_eq!(d.limit(), FULL_QUOTA_PPM / 3);
-    // A restart after it, with its end recorded on disk.
+    // A restart after the takeover delay, with the end of the delay persisted.
     let (restarted_later, events) =
         OwnedSlots::new(0.0, "d", d.slots().clone(), BTreeSet::from([5]));
     assert_eq!(
         (events, restarted_later.limit()),
         (vec![SlotEvent::Owned(5)], FULL_QUOTA_PPM / 3)
     );
-    // A member that was removed and is added again waits again.
+    // A member that is removed and added again waits again.
     let mut b = OwnedSlots::new(0.0, "b", first, BTreeSet::from([0])).0;
     assert_eq!(b.limit(), FULL_QUOTA_PPM / 3);
     assert_eq!(
--- a/crates/quota-lease/tests/tokens.rs
+++ b/crates/quota-lease/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! Single tokens: what a lease server has not leased of a quota, and what a client makes of it.
+//! Single tokens: a lease server's pools of unleased quota, and the token client.
 
 use maplefall_quota_lease::{
     token_lifetime, ClientId, GrantedTokens, LeaseRequest, LeaseServer, TenantQuota, TokenClient,
@@ -8,7 +8,7 @@
 
 const LIFETIME: f64 = 100.0;
 
-/// A server that may lease everything of tenant `t`: ten tokens a second, twenty at most.
+/// A server that may lease the full quota of tenant `t`: ten tokens per second, at most twenty.
 fn server() -> LeaseServer {
     let mut server = LeaseServer::new(0.0, 1, FULL_QUOTA_PPM, Some(BTreeSet::new()));
     server.set_quota(0.0, "t", Some(quota()));
@@ -37,7 +37,8 @@
     server.grant_tokens(now, &tokens(count)).tokens[0].count
 }
 
-/// A request of a client; returns the share of tenant `t` that it is granted, and the number of the grant.
+/// Sends a lease request of a client; returns its granted share of tenant `t` and the sequence
+/// number of the grant.
 fn lease(
     server: &mut LeaseServer,
     now: f64,
@@ -66,17 +67,18 @@
 #[test]
 fn a_pool_fills_at_its_rate_and_is_emptied_by_grants() {
     let mut server = server();
-    assert_eq!(granted(&mut server, 0.0, 5), 0, "it begins empty");
-    let answer = server.grant_tokens(50.0, &tokens(1));
-    assert_eq!((answer.tokens[0].count, answer.tokens[0].wait_ms), (0, 50));
+    assert_eq!(granted(&mut server, 0.0, 5), 0, "initially empty");
+    let grant = server.grant_tokens(50.0, &tokens(1));
+    assert_eq!((grant.tokens[0].count, grant.tokens[0].wait_ms), (0, 50));
     assert_eq!(granted(&mut server, 1_000.0, 4), 4);
     assert_eq!(granted(&mut server, 1_000.0, 100), 6);
     assert_eq!(granted(&mut server, 100_000.0, 100), 20, "its depth");
 }
 
-/// Guards QUOTA: a lease takes its share out of the pool, and what the pool would have got meanwhile belongs to the lease.
+/// Guards QUOTA: a lease takes its share out of the pool, and the pool is not refilled for the time
+/// of the lease.
 #[test]
-fn what_is_leased_is_not_in_the_pool() {
+fn leased_shares_are_not_in_the_pool() {
     let mut server = server();
     assert_eq!(granted(&mut server, 10_000.0, 1), 1);
     let leased = lease(&mut server, 10_000.0, "a", &request(1, false));
@@ -86,11 +88,11 @@
         ..request(2, false)
     };
     lease(&mut server, 20_000.0, "a", &release);
-    assert_eq!(granted(&mut server, 20_000.0, 100), 0, "it was all leased");
-    assert_eq!(granted(&mut server, 20_500.0, 100), 5, "from then on");
+    assert_eq!(granted(&mut server, 20_000.0, 100), 0, "all was leased");
+    assert_eq!(granted(&mut server, 20_500.0, 100), 5, "refilled since");
 }
 
-/// Guards QUOTA where a slot moves to another controller: what is left may be granted there.
+/// Guards QUOTA when a slot is reassigned: the other controller may grant the tokens of the pool.
 #[test]
 fn a_lower_limit_empties_the_pools() {
     let mut server = server();
@@ -100,27 +102,28 @@
     assert_eq!(granted(&mut server, 10_000.0, 100), 0);
 }
 
-/// Guards QUOTA after a restart: nobody knows what an earlier incarnation has leased.
+/// Guards QUOTA after a restart: the leases by earlier incarnations are not known.
 #[test]
-fn a_server_that_recovers_grants_nothing() {
+fn a_recovering_server_grants_no_tokens() {
     let mut server = LeaseServer::new(0.0, 1, FULL_QUOTA_PPM, None);
     server.set_quota(0.0, "t", Some(quota()));
     assert_eq!(granted(&mut server, 10_000.0, 100), 0);
 }
 
-/// A quota that is too small for leases to all clients stays in the pool; clients of before are leased their part of it.
+/// A quota that is too small for leases to all clients stays in the pool; only clients of earlier
+/// releases get leases of it.
 #[test]
 fn a_small_quota_is_leased_only_to_clients_that_need_leases() {
     let mut server = server();
     for n in 0..11 {
         lease(&mut server, 0.0, &format!("new-{n}"), &request(1, true));
     }
-    // Its leases of the time when there were few clients go back.
+    // Leases that were granted while there were few clients are decreased to zero.
     for n in 0..11 {
         let name = format!("new-{n}");
-        let lowered = lease(&mut server, 1.0, &name, &request(2, true));
-        let (held, sequence) = lowered.expect("an answer");
-        assert_eq!(held, 0);
+        let decreased = lease(&mut server, 1.0, &name, &request(2, true));
+        let (ppm, sequence) = decreased.expect("a grant");
+        assert_eq!(ppm, 0);
         let acknowledgement = LeaseRequest {
             acknowledged: sequence,
             server_incarnation: 1,
@@ -149,7 +152,7 @@
     client
 }
 
-fn answer(request: &TokenRequest, count: u32, wait_ms: u32) -> TokenGrant {
+fn grant_of(request: &TokenRequest, count: u32, wait_ms: u32) -> TokenGrant {
     let tokens = request.tokens.iter().map(|requested| GrantedTokens {
         tenant: requested.tenant.clone(),
         count: requested.count.min(count),
@@ -161,9 +164,10 @@
     }
 }
 
-/// Guards QUOTA: a token counts in the window in which it was taken out of the pool, and may not be spent long after.
+/// Guards QUOTA: a token counts in the window in which it was taken out of the pool, so it may not
+/// be spent much later.
 #[test]
-fn a_token_is_void_after_its_lifetime() {
+fn a_token_expires_after_its_lifetime() {
     for (arrives_at, spent_at, is_valid) in [
         (50.0, 99.0, true),
         (50.0, 100.0, false),
@@ -173,22 +177,22 @@
         let mut client = client_of(&["a"]);
         assert_eq!(client.request_token(0.0, "t"), TokenStatus::Requested);
         let requests = client.next_requests(0.0);
-        client.handle_grant(arrives_at, "a", &answer(&requests[0].1, 1, 0));
+        client.handle_grant(arrives_at, "a", &grant_of(&requests[0].1, 1, 0));
         assert_eq!(
             client.take(spent_at, "t"),
             is_valid,
             "{arrives_at} {spent_at}"
         );
-        assert!(!client.take(spent_at, "t"), "it is spent once");
+        assert!(!client.take(spent_at, "t"), "spent only once");
     }
 }
 
 #[test]
-fn an_answer_to_another_request_or_connection_brings_nothing() {
+fn a_grant_for_another_request_or_connection_is_ignored() {
     let mut client = client_of(&["a"]);
     client.request_token(0.0, "t");
     let requests = client.next_requests(0.0);
-    let late = answer(&requests[0].1, 1, 0);
+    let late = grant_of(&requests[0].1, 1, 0);
     client.connected("a");
     assert!(!client.handle_grant(1.0, "a", &late));
     client.set_grants_tokens("a", true);
@@ -203,9 +207,10 @@
     ));
 }
 
-/// Guards controllers against a load that grows with the requests: one request at a time, and the next one says all.
+/// Guards controllers against a load that grows with the rate of requests: one token request is in
+/// flight at a time, and the next one carries all tokens needed meanwhile.
 #[test]
-fn one_request_to_a_server_is_under_way_at_a_time() {
+fn one_request_to_a_server_is_in_flight_at_a_time() {
     let mut client = client_of(&["a"]);
     client.request_token(0.0, "t");
     let first = client.next_requests(0.0);
@@ -214,31 +219,32 @@
         client.request_token(1.0, "u");
         assert!(client.next_requests(1.0).is_empty());
     }
-    client.handle_grant(2.0, "a", &answer(&first[0].1, 1, 0));
+    client.handle_grant(2.0, "a", &grant_of(&first[0].1, 1, 0));
     let second = client.next_requests(2.0);
-    let counts: Vec<u32> = second[0].1.tokens.iter().map(|of| of.count).collect();
+    let counts: Vec<u32> = second[0].1.tokens.iter().map(|t| t.count).collect();
     assert_eq!((second.len(), counts), (1, vec![50, 50]));
-    // One that is not answered holds up nothing for longer than its tokens would be good for.
+    // A request without a response blocks the next one for no longer than the lifetime of its
+    // tokens.
     client.request_token(101.0, "t");
     assert!(client.next_requests(101.0).is_empty());
     assert_eq!(client.next_requests(102.0).len(), 1);
 }
 
 #[test]
-fn what_one_server_refuses_is_asked_of_the_next_one_until_all_have_refused() {
+fn tokens_denied_by_one_server_are_requested_from_the_next_until_all_have_denied() {
     let mut client = client_of(&["a", "b", "c"]);
     assert_eq!(client.request_token(0.0, "t"), TokenStatus::Requested);
-    let mut asked = BTreeSet::new();
+    let mut requested_from = BTreeSet::new();
     for _ in 0..3 {
         let requests = client.next_requests(0.0);
         assert_eq!(requests.len(), 1);
         let (server, request) = &requests[0];
-        asked.insert(server.clone());
-        client.handle_grant(0.0, server, &answer(request, 0, 70));
+        requested_from.insert(server.clone());
+        client.handle_grant(0.0, server, &grant_of(request, 0, 70));
     }
-    assert_eq!(asked.len(), 3);
+    assert_eq!(requested_from.len(), 3);
     assert_eq!(client.status(0.0, "t"), TokenStatus::Unavailable(70.0));
-    // They are not asked before they have a token again.
+    // No tokens are requested from the servers until the time at which they have one again.
     assert_eq!(
         client.request_token(69.0, "t"),
         TokenStatus::Unavailable(10.0)
@@ -247,7 +253,7 @@
 }
 
 #[test]
-fn servers_that_do_not_know_tokens_are_not_asked() {
+fn no_tokens_are_requested_from_servers_that_do_not_grant_them() {
     let mut client = TokenClient::new(LIFETIME);
     client.connected("a");
     assert!(!client.has_servers());
@@ -258,13 +264,14 @@
     assert!(client.next_requests(0.0).is_empty());
 }
 
-/// What is spent in a window was refilled in the window and a lifetime, by a clock that is 1 in 100 fast at most.
+/// Tokens spent in a window were refilled within the window or one lifetime before it, by a clock
+/// that runs at most 1 in 100 fast.
 #[test]
-fn the_lifetime_fits_into_the_overshoot() {
+fn the_token_lifetime_stays_within_the_overshoot() {
     for (overshoot, window_s) in [(0.1, 5.0), (0.05, 5.0), (0.2, 1.0), (0.01, 1.0)] {
         let lifetime = token_lifetime(overshoot, window_s);
-        let whole = TenantQuota::new(1.0, 0.0, overshoot, 0.0);
-        let refilled = whole.pool_rate * 1.01 * (window_s + lifetime / 1000.0);
+        let quota = TenantQuota::new(1.0, 0.0, overshoot, 0.0);
+        let refilled = quota.pool_rate * 1.01 * (window_s + lifetime / 1000.0);
         let bound = window_s * (1.0 + overshoot);
         assert!(
             refilled <= bound * 1.0001 || lifetime == 0.0,
