--- a/crates/policy/src/gateway/attempts.rs
+++ b/crates/policy/src/gateway/attempts.rs
@@ -120,7 +120,7 @@
     fn record_answer_time(&mut self, fraction: f64) {
         let gateways = self.settings.gateways;
         self.backpressure
-            .record_answer(self.now, self.target, gateways, fraction);
+            .record_response(self.now, self.target, gateways, fraction);
     }
 
     /// Whether an attempt that is given up at `now` is followed by another; several may have been
@@ -275,7 +275,7 @@
             let others = self.backends.len() - 1;
             self.service_time.record(others, end.elapsed, load);
         }
-        if finished.was_silent && ended.outcome == Outcome::Timeout {
+        if finished.was_unresponsive && ended.outcome == Outcome::Timeout {
             self.actions.push(Action::CloseIdle(ended.backend));
         }
         let (id, outcome) = (ended.backend.0, ended.outcome);
--- a/crates/policy/src/gateway/choice.rs
+++ b/crates/policy/src/gateway/choice.rs
@@ -1,7 +1,7 @@
 //! Choice of a backend, and the protection of backends that are warming up.
 
 use super::*;
-use maplefall_backend_index::Found;
+use maplefall_backend_index::SearchResult;
 
 struct Search<'a> {
     request: &'a Request,
@@ -47,7 +47,7 @@
         }
     }
 
-    fn search(&self, search: &Search, ids: &[BackendId]) -> Found<BackendId> {
+    fn search(&self, search: &Search, ids: &[BackendId]) -> SearchResult<BackendId> {
         let slow_start = self.settings.slow_start();
         let is_eligible = |id, backend: &Backend| {
             let is_warm = backend.capacity(self.now, slow_start) >= 1.0;
@@ -83,7 +83,7 @@
             key: id,
             cost,
             wait,
-            answer: wait + service_time,
+            response_time: wait + service_time,
         }
     }
 
