--- a/crates/controller/src/core/operator_calls.rs
+++ b/crates/controller/src/core/operator_calls.rs
@@ -101,7 +101,7 @@
         out: &mut Vec<Output>,
     ) {
         let response = CallResponse::empty();
-        if proposed.index <= self.raft.commit() {
+        if proposed.index <= self.raft.commit_index() {
             out.push(Output::Respond(call, response));
         } else if self.calls.is_full() {
             out.push(Output::Respond(call, CallResponse::Unavailable));
@@ -152,7 +152,7 @@
             }
             AfterRead::Reject {
                 response, index, ..
-            } if index <= self.raft.commit() => call.respond(response, out),
+            } if index <= self.raft.commit_index() => call.respond(response, out),
             AfterRead::Reject {
                 response,
                 term,
@@ -187,7 +187,8 @@
 
     /// Answers calls that have waited for too long, and those that waited for a leader where there is one now.
     pub(super) fn expire_calls(&mut self, now: Millis, out: &mut Vec<Output>) {
-        self.uncommitted.release_if_committed(self.raft.commit());
+        self.uncommitted
+            .release_if_committed(self.raft.commit_index());
         for (pending, call) in self.calls.take_awaiting_leader() {
             if pending.is_late(now) {
                 pending.respond(CallResponse::Unavailable, out);
--- a/crates/controller/src/core/uncommitted_changes.rs
+++ b/crates/controller/src/core/uncommitted_changes.rs
@@ -21,7 +21,7 @@
 
     /// Decodes what was appended since; returns the index of the last entry.
     pub(super) fn catch_up(&mut self, raft: &Raft) -> u64 {
-        self.discard_committed(raft.term(), raft.commit());
+        self.discard_committed(raft.term(), raft.commit_index());
         for entry in raft.uncommitted() {
             if entry.index <= self.last_index {
                 continue;
--- a/crates/raft/src/raft/status.rs
+++ b/crates/raft/src/raft/status.rs
@@ -55,7 +55,7 @@
     }
 
     /// Index of the last entry that is known to be committed.
-    pub fn commit(&self) -> u64 {
+    pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
--- a/crates/raft/tests/simulator/checks.rs
+++ b/crates/raft/tests/simulator/checks.rs
@@ -124,7 +124,7 @@
         let node = &self.nodes[name];
         let Some(raft) = &node.raft else { return };
         let contact = raft.last_quorum_contact(self.now);
-        let missing = self.first_missing(raft.commit(), contact);
+        let missing = self.first_missing(raft.commit_index(), contact);
         assert!(
             missing.is_none(),
             "{name} lacks {missing:?}, and reports quorum contact at {contact}"
@@ -132,7 +132,7 @@
         if !raft.has_quorum_contact(self.now) {
             return;
         }
-        let missing = self.first_missing(raft.commit(), self.now - QUORUM_CONTACT_TIMEOUT);
+        let missing = self.first_missing(raft.commit_index(), self.now - QUORUM_CONTACT_TIMEOUT);
         assert!(
             missing.is_none(),
             "{name} has quorum contact at {} and lacks {missing:?}",
--- a/crates/raft/tests/simulator/effects.rs
+++ b/crates/raft/tests/simulator/effects.rs
@@ -99,7 +99,7 @@
         let Some(floor) = node.pending_reads.remove(&id) else {
             return;
         };
-        let commit = node.commit();
+        let commit = node.commit_index();
         assert!(
             commit >= floor,
             "{name} reads at {commit}, and {floor} was acknowledged before it was asked"
--- a/crates/raft/tests/simulator/health.rs
+++ b/crates/raft/tests/simulator/health.rs
@@ -143,7 +143,7 @@
                 raft.map(Raft::is_voter),
                 raft.map(Raft::voters),
                 raft.map(Raft::in_joint_configuration),
-                raft.map(Raft::commit),
+                raft.map(Raft::commit_index),
                 node.disk.log.last().map(|entry| (entry.index, entry.term)),
                 node.pending_writes.len(),
                 node.disk.identity,
--- a/crates/raft/tests/simulator/inputs.rs
+++ b/crates/raft/tests/simulator/inputs.rs
@@ -50,7 +50,7 @@
 
     /// Compacts the log of a node.
     pub fn compact(&mut self, name: &str) {
-        let commit = self.nodes[name].commit();
+        let commit = self.nodes[name].commit_index();
         let state = self.state_at(commit);
         self.input(name, |raft, _, ready| raft.compact(state, ready));
     }
--- a/crates/raft/tests/simulator/node.rs
+++ b/crates/raft/tests/simulator/node.rs
@@ -121,7 +121,7 @@
         self.raft.as_ref().is_some_and(Raft::is_leader)
     }
 
-    pub fn commit(&self) -> u64 {
-        self.raft.as_ref().map_or(0, Raft::commit)
+    pub fn commit_index(&self) -> u64 {
+        self.raft.as_ref().map_or(0, Raft::commit_index)
     }
 }
--- a/crates/raft/tests/simulator/scenarios.rs
+++ b/crates/raft/tests/simulator/scenarios.rs
@@ -52,7 +52,7 @@
 
 fn assert_caught_up(cluster: &Cluster, name: &str, seed: u64) {
     let node = &cluster.nodes[name];
-    let (commit, last) = (node.commit(), cluster.last_committed());
+    let (commit, last) = (node.commit_index(), cluster.last_committed());
     assert!(
         commit + MAX_LAG >= last,
         "seed {seed}: {name} is at {commit} of {last}"
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -36,7 +36,7 @@
 
 /// How many committed entries the node does not know of.
 fn lag(cluster: &Cluster, name: &str) -> u64 {
-    cluster.last_committed() - cluster.nodes[name].commit()
+    cluster.last_committed() - cluster.nodes[name].commit_index()
 }
 
 fn count_events(cluster: &Cluster, event: &str) -> usize {
