--- a/crates/raft/src/persistent_state.rs
+++ b/crates/raft/src/persistent_state.rs
@@ -1,7 +1,7 @@
-//! What a node keeps on disk (paper, figure 2, "persistent state"), and how updates of it are applied.
+//! The state that a node keeps on disk (paper, figure 2, "persistent state"), and its updates.
 //!
-//! Invariant: [`PersistentState::apply`] is the only way to change it. A restart reads the disk with it, and a running
-//! node changes its memory with it, so that both agree after every update.
+//! Invariant: [`PersistentState::apply`] is the only way to change the state. A restart reads the
+//! disk with it, and a running node updates its memory with it, so both agree after every update.
 
 use crate::message::*;
 
@@ -10,32 +10,32 @@
 pub struct PersistentState {
     /// The current term.
     pub term: u64,
-    /// The vote in that term; empty for none.
+    /// The candidate voted for in that term; empty for none.
     pub voted_for: String,
-    /// Replaces all entries up to its index; index 0 for none.
+    /// The snapshot, which replaces all entries up to its index; index 0 means there is none.
     pub snapshot: Snapshot,
     /// The entries after the snapshot, without gaps.
     pub log: Vec<Entry>,
-    /// [`Member::identity`] of this disk, once it has been written.
+    /// [`Member::identity`] of this disk; `None` until it is written.
     pub identity: Option<u64>,
     /// Membership entries up to this index are known to be committed.
     pub members_committed: u64,
 }
 
-/// The members as a log gives them.
+/// The membership configuration given by a log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     /// Members of the last membership entry or, without one, of the snapshot.
     pub current: Vec<Member>,
-    /// The members before those; the same where the log has no membership entry.
+    /// Members before that entry; the same as `current` if the log has no membership entry.
     pub previous: Vec<Member>,
     /// Index of the last membership entry, or of the snapshot.
     pub index: u64,
 }
 
 impl PersistentState {
-    /// Applies one update. Updates are applied in the order in which they were written; to repeat some of them changes
-    /// nothing once all have been applied.
+    /// Applies one update. Updates must be applied in the order in which they were written;
+    /// repeating some of them does not change the state once all have been applied.
     pub fn apply(&mut self, update: PersistentUpdate) {
         if let Some(term) = update.term {
             (self.term, self.voted_for) = (term, update.voted_for);
@@ -50,20 +50,22 @@
         }
     }
 
-    /// Entries after the snapshot are kept where they follow it; those up to it go. An older snapshot is ignored.
+    /// Replaces the snapshot and removes the entries up to its index. Later entries are kept only
+    /// if the log matches the snapshot at that index. An older snapshot is ignored.
     fn apply_snapshot(&mut self, snapshot: Snapshot) {
         if snapshot.index < self.snapshot.index {
             return;
         }
-        // Also where this snapshot is here already, whose last entry the log does not have.
+        // Also true if the same snapshot is applied again, when its last entry is no longer in the
+        // log.
         let log_follows = self.term_at(snapshot.index) == Some(snapshot.term);
         self.log
             .retain(|entry| log_follows && entry.index > snapshot.index);
         self.snapshot = snapshot;
     }
 
-    /// Replaces the log from the entry's index on by the entry. One that the snapshot contains, or before which one is
-    /// missing, is ignored.
+    /// Replaces the log from the entry's index on with the entry. Ignores an entry that the
+    /// snapshot covers, or that would leave a gap.
     fn apply_entry(&mut self, entry: Entry) {
         if entry.index <= self.snapshot.index {
             return;
@@ -75,14 +77,15 @@
         }
     }
 
-    /// Index of the last entry, which may be in the snapshot.
+    /// Returns the index of the last entry, which the snapshot may cover.
     pub fn last_index(&self) -> u64 {
         self.log
             .last()
             .map_or(self.snapshot.index, |entry| entry.index)
     }
 
-    /// Term of the entry at an index; `None` before the last entry of the snapshot, and after the end of the log.
+    /// Returns the term of the entry at `index`; `None` before the last entry of the snapshot and
+    /// after the end of the log.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -93,7 +96,7 @@
             .map(|entry| entry.term)
     }
 
-    /// The members by the whole log, committed or not.
+    /// Returns the configuration given by the whole log, committed or not.
     pub fn configuration(&self) -> Configuration {
         let members = &self.snapshot.members;
         let mut configuration = Configuration {
@@ -109,7 +112,7 @@
         configuration
     }
 
-    /// The members by the log up to an index.
+    /// Returns the members given by the log up to `index`.
     pub fn members_at(&self, index: u64) -> &[Member] {
         let last = self
             .log
@@ -119,7 +122,7 @@
         last.map_or(&self.snapshot.members, |entry| &entry.members)
     }
 
-    /// Whether nothing was ever written.
+    /// Returns whether nothing has been written yet.
     pub fn is_empty(&self) -> bool {
         *self == PersistentState::default()
     }
--- a/crates/raft/src/raft/election.rs
+++ b/crates/raft/src/raft/election.rs
@@ -1,9 +1,10 @@
 //! Pre-votes and elections.
 //!
-//! Election safety (paper, 5.2): a node grants one vote in a term, its vote is on disk before it is sent, and a
-//! candidate counts a vote only by the identity of the disk that gave it. Leader completeness (5.4): a vote goes only
-//! to a candidate whose log is at least as up to date. The pre-vote (thesis, 9.6) keeps a node that was cut off from
-//! deposing a leader that the others hear.
+//! Election safety (paper, 5.2): a node grants one vote per term, a vote is persisted before it is
+//! sent, and a candidate counts a vote by the identity of the voter's disk. Leader completeness
+//! (5.4): a vote is granted only to a candidate whose log is at least as up to date as the voter's.
+//! The pre-vote (dissertation, 9.6) keeps a node that was partitioned off from deposing a leader
+//! that the other nodes follow.
 
 use super::constants::*;
 use super::progress::Progress;
@@ -16,8 +17,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 impl Raft {
-    /// Asks the others whether they would elect this node. A request that was rejected or lost is repeated soon: it
-    /// disturbs nobody.
+    /// Requests pre-votes from the other members. A request that was rejected or lost is repeated
+    /// soon, since a pre-vote does not disturb a leader.
     pub(super) fn start_pre_vote(&mut self, now: Millis, ready: &mut Ready) {
         let factor = 1.0 + 2.0 * uniform(&mut self.rng);
         self.election_deadline = now + ELECTION_RETRY_INTERVAL * factor;
@@ -66,15 +67,16 @@
         }
     }
 
-    /// Term and index of the last entry; logs are compared by this pair (paper, 5.4.1).
+    /// Returns term and index of the last entry, by which logs are compared (paper, 5.4.1).
     fn last_log_position(&self) -> (u64, u64) {
         let last_index = self.persistent.last_index();
         let last_term = self.persistent.term_at(last_index).unwrap_or(0);
         (last_term, last_index)
     }
 
-    /// Answers a request for a vote. Any node may grant one, also one that does not know yet that it is a member: the
-    /// candidate counts it only if the identity that comes with it is a member's.
+    /// Responds to a request for a vote or a pre-vote. Any node may grant one, even if it does not
+    /// know yet that it is a member: the candidate counts it only if the response's identity is a
+    /// member's.
     pub(super) fn handle_request_vote(
         &mut self,
         now: Millis,
@@ -111,24 +113,25 @@
         (request.last_log_term, request.last_log_index) >= self.last_log_position()
     }
 
-    /// A leader that this node hears, or is, must not be deposed.
+    /// Returns whether to grant a pre-vote. It must not depose a leader that this node follows, or
+    /// this node itself.
     fn may_grant_pre_vote(&self, now: Millis, term: u64, request: &RequestVote) -> bool {
         self.is_up_to_date(request)
             && term > self.persistent.term
             && !self.has_leader_role()
-            && now - self.last_heard >= MIN_ELECTION_TIMEOUT
+            && now - self.last_leader_message_at >= MIN_ELECTION_TIMEOUT
     }
 
     fn may_grant_vote(&self, from: &str, term: u64, request: &RequestVote) -> bool {
         let voted_for = &self.persistent.voted_for;
-        let is_free = voted_for.is_empty() || voted_for == from;
+        let can_vote_for_candidate = voted_for.is_empty() || voted_for == from;
         self.is_up_to_date(request)
             && term == self.persistent.term
-            && is_free
+            && can_vote_for_candidate
             && matches!(self.role, Role::Follower | Role::PreCandidate { .. })
     }
 
-    /// Counts a vote or a pre-vote.
+    /// Counts a vote or a pre-vote. With a quorum of them, starts an election or becomes leader.
     pub(super) fn handle_vote_response(
         &mut self,
         now: Millis,
@@ -146,10 +149,11 @@
         }
     }
 
-    /// Counts a vote that answers the present request; returns whether there is a quorum of votes.
+    /// Counts a vote if it belongs to the current request. Returns whether there is a quorum of
+    /// votes.
     fn count_vote(&mut self, from: &Member, response: &RequestVoteResponse) -> bool {
         let term = self.persistent.term;
-        let (votes, answers_request) = match &mut self.role {
+        let (votes, matches_request) = match &mut self.role {
             Role::PreCandidate { votes } => (
                 votes,
                 response.pre_vote && response.requested_term == term + 1,
@@ -159,7 +163,7 @@
             }
             Role::Follower | Role::Leader(_) => return false,
         };
-        if !answers_request {
+        if !matches_request {
             return false;
         }
         votes.insert(from.clone());
@@ -185,14 +189,16 @@
             pending_reads: VecDeque::new(),
         }));
         self.leader_id = Some(self.local_member.name.clone());
-        self.last_heard = now;
-        // Entries of earlier terms are committed with the first one of its own term (paper, 5.4.2).
+        self.last_leader_message_at = now;
+        // Entries of earlier terms are committed along with this first entry of the new term
+        // (paper, 5.4.2).
         self.append_entry(EntryKind::NoOp, Vec::new(), Vec::new(), ready);
         self.send_heartbeats(now, ready);
     }
 
-    /// Progress of all other members at the start of a term. A vote proves contact at the time of the request; the last
-    /// leader was last heard when this node heard it.
+    /// Returns the progress of all other members at the start of a term. A vote proves contact at
+    /// the time of the request. For the last leader, the last message is the one that this node
+    /// received as a follower.
     fn initial_progress(
         &self,
         now: Millis,
@@ -203,7 +209,7 @@
         let Member { name, .. } = &self.local_member;
         let configuration = &self.configuration;
         let members = configuration.current.iter().chain(&configuration.previous);
-        let mut all = BTreeMap::new();
+        let mut progress_by_name = BTreeMap::new();
         for member in members.filter(|member| member.name != *name) {
             let mut progress = Progress::new(member.identity, next_index, now);
             if votes.contains(member) {
@@ -211,21 +217,23 @@
             }
             if let Some(leader) = &self.last_leader {
                 if leader.name == member.name {
-                    progress.last_heard = leader.last_heard;
+                    progress.last_message_at = leader.last_message_at;
                 }
             }
             progress.membership_request.voter = true;
-            all.entry(member.name.clone()).or_insert(progress);
+            progress_by_name
+                .entry(member.name.clone())
+                .or_insert(progress);
         }
-        all
+        progress_by_name
     }
 
-    /// Follows a leader, or none until one is heard.
+    /// Becomes a follower of `leader`; `None` until a leader sends a message.
     pub(super) fn become_follower(&mut self, now: Millis, leader: Option<&str>, ready: &mut Ready) {
         if self.has_leader_role() {
             ready.stepped_down = true;
             if self.is_leader() {
-                self.keep_leader_contact(now);
+                self.retain_leader_contact(now);
             }
         }
         if leader.is_none() || leader != self.leader_id.as_deref() {
@@ -234,25 +242,25 @@
         self.leader_id = leader.map(str::to_owned);
         self.role = Role::Follower;
         if let Some(leader) = leader {
-            self.record_leader_heard(now, leader);
+            self.record_leader_message(now, leader);
         }
         self.reset_election_deadline(now);
     }
 
-    fn record_leader_heard(&mut self, now: Millis, leader: &str) {
-        self.last_heard = now;
+    fn record_leader_message(&mut self, now: Millis, leader: &str) {
+        self.last_leader_message_at = now;
         match &mut self.last_leader {
-            Some(last) if last.name == leader => last.last_heard = now,
+            Some(last) if last.name == leader => last.last_message_at = now,
             last => {
                 *last = Some(LastLeader {
                     name: leader.to_owned(),
-                    last_heard: now,
+                    last_message_at: now,
                 });
             }
         }
     }
 
-    /// Enters a term, or votes in the present one. `voted_for` is empty for no vote.
+    /// Enters a term, or votes in the current one. `voted_for` is empty for no vote.
     pub(super) fn set_term(&mut self, term: u64, voted_for: &str, ready: &mut Ready) {
         if term > self.persistent.term {
             self.verified_index = 0;
@@ -271,7 +279,7 @@
         self.election_deadline = now + MIN_ELECTION_TIMEOUT + spread;
     }
 
-    /// Whether this node may be elected: a member that is not shutting down.
+    /// Returns whether this node may be elected: a member that is not shutting down.
     pub(super) fn is_promotable(&self) -> bool {
         self.shutdown_since.is_none() && self.is_active(&self.local_member)
     }
--- a/crates/raft/src/raft/event.rs
+++ b/crates/raft/src/raft/event.rs
@@ -1,15 +1,17 @@
-//! Log events of a node. `Display` gives the line that operators read: `event=...` and further `key=value` pairs.
+//! Log events of a node. `Display` formats the line that operators read: `event=...` and further
+//! `key=value` pairs.
 
 use super::constants::Millis;
 use crate::message::Member;
 use std::fmt;
 
-/// Something that operators should know of.
+/// An event that is logged for operators.
 #[derive(Debug)]
 pub(super) enum Event<'a> {
-    /// This leader had no proof of recent contact with a quorum.
+    /// This leader stepped down, without proof of recent contact with a quorum.
     LeaderSteppedDown { term: u64, last_contact_age: Millis },
-    /// This node's log does not reach up to what the leader sends. Logged once until it has caught up.
+    /// This node's log lacks the entry before those that the leader sent. Logged once until the
+    /// node has caught up.
     ReplicaLagging {
         last_index: u64,
         leader: &'a str,
@@ -17,19 +19,19 @@
     },
     /// A peer sent entries whose indexes are not consecutive.
     BadAppendEntries { peer: &'a str },
-    /// A peer sent a snapshot that is too large, or differs from its checksum.
+    /// A peer sent a snapshot that is too large or does not match its checksum.
     SnapshotCorrupt {
         index: u64,
         defect: SnapshotDefect,
         from: &'a str,
     },
-    /// A complete snapshot has come.
+    /// A complete snapshot was received.
     SnapshotReceived {
         index: u64,
         bytes: usize,
         from: &'a str,
     },
-    /// A peer has all of a snapshot that this leader sent.
+    /// A peer has received the whole snapshot from this leader.
     SnapshotSent {
         to: &'a str,
         index: u64,
@@ -42,28 +44,28 @@
         caught_up: bool,
         last_index: u64,
     },
-    /// A change of members is committed, by which this one comes.
+    /// A committed membership change added this member.
     MemberAdded(MemberChange<'a>),
-    /// A change of members is committed, by which this one goes.
+    /// A committed membership change removed this member.
     MemberRemoved(MemberChange<'a>),
 }
 
-/// What is wrong with a snapshot.
+/// The defect of a received snapshot.
 #[derive(Debug)]
 pub(super) enum SnapshotDefect {
-    /// Its total length is beyond the bound.
+    /// The total length exceeds the maximum.
     Length { bytes: u64 },
-    /// The chunk at this offset differs from its checksum.
+    /// The chunk at this offset does not match its checksum.
     Chunk { offset: u64 },
-    /// All chunks together differ from the checksum of the state.
+    /// The complete state does not match its checksum.
     State { bytes: u64 },
 }
 
-/// One member of a committed change.
+/// A member that a committed membership change adds or removes.
 #[derive(Debug)]
 pub(super) struct MemberChange<'a> {
     pub member: &'a Member,
-    /// The reason as the entry's payload gives it, which may come from an older version of this program.
+    /// The reason in the entry's payload, which may come from an older version of this program.
     pub why: &'a str,
     pub index: u64,
     pub member_count: usize,
--- a/crates/raft/src/raft/follower.rs
+++ b/crates/raft/src/raft/follower.rs
@@ -1,8 +1,9 @@
-//! How a follower takes in what its leader sends.
+//! Processing of a leader's messages by its followers.
 //!
-//! Log matching (paper, 5.3): entries are appended only after an entry whose index and term the leader names, and a
-//! conflicting entry goes with all that follow it. What the leader has confirmed in this way is `verified_index`;
-//! commitment and acknowledgements go no further than that.
+//! Log matching (paper, 5.3): entries are appended only after an entry whose index and term match
+//! those in the leader's message, and a conflicting entry is removed with all that follow it.
+//! `verified_index` is the last entry confirmed in this way; commitment and acknowledgements never
+//! go beyond it.
 
 use super::constants::Millis;
 use super::event::Event;
@@ -49,8 +50,8 @@
         self.acknowledge(from, sequence, ready);
     }
 
-    /// Whether the entry before those sent is in the log. What the snapshot has replaced is committed, and so the same
-    /// everywhere.
+    /// Returns whether the log contains the entry before those sent. Entries that the snapshot has
+    /// replaced are committed, and so the same on all nodes.
     fn has_previous_entry(&self, append: &AppendEntries) -> bool {
         let index = append.prev_log_index;
         index <= self.persistent.last_index()
@@ -58,8 +59,8 @@
                 || self.persistent.term_at(index) == Some(append.prev_log_term))
     }
 
-    /// Tells the leader from where to try next: after the end of the log or, where another entry stands at that index,
-    /// after what is committed, which matches in any case.
+    /// Rejects a message, and reports the index after which the leader continues: the end of the
+    /// log or, if the log has a conflicting entry, the commit index, up to which both logs match.
     fn reject_append(&mut self, leader: &str, append: &AppendEntries, ready: &mut Ready) {
         let last_index = self.persistent.last_index();
         if !std::mem::replace(&mut self.is_lagging, true) {
@@ -83,7 +84,7 @@
         self.respond(leader, response, ready);
     }
 
-    /// Appends entries from the first on that the log lacks, or has with another term.
+    /// Appends entries from the first one on that the log lacks or has with another term.
     fn append_missing_entries(&mut self, entries: Vec<Entry>, ready: &mut Ready) {
         let persistent = &self.persistent;
         let is_present = |entry: &Entry| {
@@ -116,7 +117,8 @@
                 }
             }
         }
-        // A leader has all committed entries (paper, 5.4), so its log matches this one up to there.
+        // A leader has all committed entries (paper, 5.4), so both logs match up to the commit
+        // index.
         self.verified_index = self.verified_index.max(self.commit_index);
         self.acknowledge(from, sequence, ready);
     }
@@ -145,7 +147,8 @@
         ready.installed_snapshot = Some(snapshot);
     }
 
-    /// Tells the leader up to where this node has its log, on disk and in memory. A `sequence` of 0 answers no message.
+    /// Reports to the leader the index up to which this node has the leader's log, on disk and in
+    /// memory. `sequence` is 0 if this responds to no message.
     pub(super) fn acknowledge(&mut self, leader: &str, sequence: u64, ready: &mut Ready) {
         let response = AppendEntriesResponse {
             success: true,
@@ -157,8 +160,8 @@
         self.respond(leader, response, ready);
     }
 
-    /// Sends a response with the next number. Entries need not be on disk for it, the term must be. Its time is that of
-    /// its making, which is not later than its sending.
+    /// Sends a response with the next number, once the term is persisted; entries need not be. The
+    /// recorded time is that of the response's creation, which is not later than its sending.
     fn respond(&mut self, leader: &str, response: AppendEntriesResponse, ready: &mut Ready) {
         let number = self.response_times.next(self.now);
         let response = AppendEntriesResponse {
@@ -170,13 +173,13 @@
         self.send_after_term(leader, body, ready);
     }
 
-    /// A leader of an earlier term learns of the present one by any response.
+    /// Responds to a leader of an earlier term, which learns of the current term from any response.
     pub(super) fn reject_stale_leader(&mut self, leader: &str, ready: &mut Ready) {
         let body = MessageBody::AppendEntriesResponse(AppendEntriesResponse::default());
         self.send_after_term(leader, body, ready);
     }
 
-    /// The leader asks this node to start an election at once (thesis, 3.10).
+    /// Starts an election at once, at the leader's request (dissertation, 3.10).
     pub(super) fn handle_timeout_now(&mut self, now: Millis, from: &str, ready: &mut Ready) {
         if self.leader_id.as_deref() == Some(from) && self.is_promotable() {
             self.start_election(now, ready);
@@ -184,7 +187,7 @@
     }
 }
 
-/// Whether the entries follow one another and the entry before them.
+/// Returns whether the entries have consecutive indexes that start after `prev_log_index`.
 fn has_consecutive_indexes(append: &AppendEntries) -> bool {
     let mut positions = append.entries.iter().enumerate();
     positions.all(|(position, entry)| {
--- a/crates/raft/src/raft/join.rs
+++ b/crates/raft/src/raft/join.rs
@@ -1,7 +1,8 @@
-//! Nodes that hear no leader, and learners: nodes that are sent the log without a vote.
+//! Join requests of nodes without a leader, and learners: nodes that receive the log but have no
+//! vote.
 //!
-//! Invariant: a request to join changes no term and deposes nobody. A learner does not count for a quorum; whether it
-//! becomes a member is decided in `membership`.
+//! Invariant: a join request changes no term and deposes no leader. A learner does not count
+//! towards a quorum; `membership` decides whether it becomes a member.
 
 use super::constants::*;
 use super::progress::Progress;
@@ -9,8 +10,9 @@
 use super::{JoinRequest, Member, MembershipRequest, MessageBody, Raft, Ready};
 
 impl Raft {
-    /// A node that hears no leader asks every known node to be sent the log; the leader answers. Also a member does,
-    /// after a longer silence: it may have been removed while it was cut off.
+    /// Sends a join request to every known node if no leader has sent a message for some time; the
+    /// leader then starts to send the log. A member waits longer before it does so: it may have
+    /// been removed while it was partitioned off.
     pub(super) fn request_to_join(&mut self, now: Millis, is_promotable: bool, ready: &mut Ready) {
         let (timeout, interval, earliest) = if is_promotable {
             let timeout = 2.0 * QUORUM_CONTACT_TIMEOUT;
@@ -18,8 +20,8 @@
         } else {
             (MIN_ELECTION_TIMEOUT, JOIN_REQUEST_INTERVAL, f64::MIN)
         };
-        let since_heard = now - self.last_heard.max(earliest);
-        if now < self.next_join_request || since_heard <= timeout {
+        let time_since_leader_message = now - self.last_leader_message_at.max(earliest);
+        if now < self.next_join_request || time_since_leader_message <= timeout {
             return;
         }
         self.next_join_request = now + interval;
@@ -29,7 +31,8 @@
         self.send_after_term("", MessageBody::JoinRequest(request), ready);
     }
 
-    /// A node that hears no leader is sent the log from now on, as a learner unless it is a member.
+    /// Starts to replicate the log to the sender of a join request, as a learner unless it is a
+    /// member.
     pub(super) fn handle_join_request(
         &mut self,
         now: Millis,
@@ -46,25 +49,25 @@
         if !is_known && learner_count(leader, members) >= MAX_LEARNERS {
             return;
         }
-        let new = Progress::new(from.identity, next_index, now);
+        let new_progress = Progress::new(from.identity, next_index, now);
         let progress = leader
             .progress
             .entry(from.name.clone())
-            .or_insert_with(|| new.clone());
+            .or_insert_with(|| new_progress.clone());
         if !progress.is_for(from) {
-            *progress = new;
+            *progress = new_progress;
         }
-        progress.last_heard = now;
+        progress.last_message_at = now;
         progress.membership_request = membership;
         self.send_to(now, &from.name, ready);
     }
 
-    /// Learners that are gone for good are forgotten.
-    pub(super) fn forget_expired_learners(&mut self, now: Millis) {
+    /// Removes the learners that have sent no message for [`LEARNER_EXPIRY`].
+    pub(super) fn remove_expired_learners(&mut self, now: Millis) {
         let voter_names = &self.voter_names;
         if let Role::Leader(leader) = &mut self.role {
             leader.progress.retain(|name, progress| {
-                voter_names.contains(name) || now - progress.last_heard < LEARNER_EXPIRY
+                voter_names.contains(name) || now - progress.last_message_at < LEARNER_EXPIRY
             });
         }
     }
--- a/crates/raft/src/raft/leadership_transfer.rs
+++ b/crates/raft/src/raft/leadership_transfer.rs
@@ -1,8 +1,9 @@
-//! Planned stops: a leader transfers its leadership (thesis, 3.10), a follower waits to be released.
+//! Graceful shutdown: a leader transfers its leadership (dissertation, 3.10), a follower waits to
+//! be released.
 //!
-//! Invariant: nothing that is committed depends on the disk of a node that may stop. What was committed with its help
-//! is by then on all other reachable disks, and nothing more is committed with it
-//! (`docs/design/control-membership.md`).
+//! Invariant: no committed entry depends on the disk of a node that may stop. Entries that it
+//! helped to commit are by then on all other reachable disks, and it no longer counts towards the
+//! commitment of further entries (`docs/design/control-membership.md`).
 
 use super::constants::Millis;
 use super::event::Event;
@@ -10,17 +11,17 @@
 use super::role::LeaderState;
 use super::{Member, MessageBody, Raft, Ready, TimeoutNow};
 
-/// A leader that shuts down transfers its leadership after this at the latest, whether the others have caught up or
-/// not.
+/// A leader that is shutting down transfers its leadership after this time at the latest, whether
+/// the others have caught up or not.
 const TRANSFER_TIMEOUT: Millis = 1500.0;
 
 /// A reachable voter other than the leader.
 type ReachablePeer<'a> = (&'a String, &'a Progress);
 
 impl Raft {
-    /// Begins a planned stop. From now on this node votes and responds, but is not elected. A leader brings the others
-    /// up to its last entry and transfers its leadership; another node asks its leader to be released.
-    /// [`Raft::may_stop`] tells when it is done.
+    /// Begins a graceful shutdown. From now on this node votes and responds, but is not elected. A
+    /// leader replicates its log up to the last entry and transfers its leadership; another node
+    /// asks its leader for release. [`Raft::may_stop`] returns true once the node may stop.
     pub fn shut_down(&mut self, now: Millis, ready: &mut Ready) {
         self.begin_input(now, ready);
         self.shutdown_since.get_or_insert(now);
@@ -33,33 +34,35 @@
         }
     }
 
-    /// Whether this node, which is shutting down, may stop: nothing committed depends on it alone.
+    /// Returns whether this node is shutting down and may stop: no committed entry depends on it
+    /// alone.
     pub fn may_stop(&self, _now: Millis) -> bool {
         let is_needed = self.is_active(&self.local_member) && !self.peer_names().is_empty();
         self.shutdown_since.is_some() && (self.released || !is_needed)
     }
 
-    /// What a leader does for nodes that shut down, itself included.
+    /// Transfers the leadership of a leader that resigns; another leader releases peers that are
+    /// shutting down.
     pub(super) fn transfer_leadership(&mut self, now: Millis, ready: &mut Ready) {
         let Some(leader) = self.leader_state() else {
             return;
         };
         let peers = self.reachable_peers(now, leader);
-        if let Some(since) = self.resigns_since() {
-            let successor = self.successor(&peers);
-            if !successor.caught_up && now - since < TRANSFER_TIMEOUT {
+        if let Some(since) = self.resigning_since() {
+            let transfer_target = self.transfer_target(&peers);
+            if !transfer_target.caught_up && now - since < TRANSFER_TIMEOUT {
                 return;
             }
-            self.transfer_to(now, successor, ready);
+            self.transfer_to(now, transfer_target, ready);
         } else {
             let names = self.releasable_peers(&peers);
             self.release_peers(now, names, ready);
         }
     }
 
-    /// Since when this leader wants to give up its leadership. One that was removed, by an entry of an earlier leader,
-    /// gives it up at once.
-    fn resigns_since(&self) -> Option<Millis> {
+    /// Returns since when this leader has been resigning, if it is. A leader that an entry of an
+    /// earlier leader has removed resigns at once.
+    fn resigning_since(&self) -> Option<Millis> {
         let is_removed = !self.in_joint_configuration() && !self.is_voter();
         self.shutdown_since
             .or(is_removed.then_some(f64::NEG_INFINITY))
@@ -79,22 +82,22 @@
             .collect()
     }
 
-    /// The peer with the most entries among those that do not shut down themselves.
-    fn successor(&self, peers: &[ReachablePeer]) -> Successor {
+    /// Returns the peer with the highest match index among those that are not shutting down.
+    fn transfer_target(&self, peers: &[ReachablePeer]) -> TransferTarget {
         let last_index = self.persistent.last_index();
-        let staying = || peers.iter().filter(|(_, progress)| !is_stopping(progress));
-        let best = staying().max_by_key(|(_, progress)| progress.match_index);
-        Successor {
+        let candidates = || peers.iter().filter(|(_, progress)| !is_stopping(progress));
+        let best = candidates().max_by_key(|(_, progress)| progress.match_index);
+        TransferTarget {
             name: best.map(|(name, _)| (*name).clone()),
-            caught_up: staying().all(|(_, progress)| progress.match_index >= last_index),
+            caught_up: candidates().all(|(_, progress)| progress.match_index >= last_index),
         }
     }
 
-    fn transfer_to(&mut self, now: Millis, successor: Successor, ready: &mut Ready) {
-        if let Some(name) = successor.name {
+    fn transfer_to(&mut self, now: Millis, transfer_target: TransferTarget, ready: &mut Ready) {
+        if let Some(name) = transfer_target.name {
             ready.log(&Event::LeadershipTransfer {
                 to: &name,
-                caught_up: successor.caught_up,
+                caught_up: transfer_target.caught_up,
                 last_index: self.persistent.last_index(),
             });
             self.send_after_term(&name, MessageBody::TimeoutNow(TimeoutNow {}), ready);
@@ -103,14 +106,15 @@
         self.released = self.shutdown_since.is_some();
     }
 
-    /// Names of the peers that shut down and are not released yet, although all that is committed is on this disk and
-    /// on those of all other reachable voters that stay.
+    /// Returns the names of the peers to release: they are shutting down and not released yet, and
+    /// all committed entries are persisted on this node and on all other reachable voters that are
+    /// not shutting down.
     fn releasable_peers(&self, peers: &[ReachablePeer]) -> Vec<String> {
         if self.persisted_index < self.commit_index {
             return Vec::new();
         }
         let has_committed = |progress: &Progress| progress.match_index >= self.commit_index;
-        let others_suffice = |released: &String| {
+        let others_have_committed = |released: &String| {
             peers.iter().all(|(name, progress)| {
                 *name == released || is_stopping(progress) || has_committed(progress)
             })
@@ -118,7 +122,7 @@
         peers
             .iter()
             .filter(|(_, progress)| is_stopping(progress) && progress.released_at.is_none())
-            .filter(|(name, _)| others_suffice(name))
+            .filter(|(name, _)| others_have_committed(name))
             .map(|(name, _)| (*name).clone())
             .collect()
     }
@@ -135,11 +139,11 @@
     }
 }
 
-/// Whom a leader asks to take over.
-struct Successor {
-    /// `None` where no voter is reachable that stays.
+/// The peer to which a leader transfers its leadership.
+struct TransferTarget {
+    /// `None` if all reachable voters are shutting down.
     name: Option<String>,
-    /// Whether all reachable voters that stay have the whole log.
+    /// Whether all reachable voters that are not shutting down have persisted the whole log.
     caught_up: bool,
 }
 
--- a/crates/raft/src/raft/log.rs
+++ b/crates/raft/src/raft/log.rs
@@ -1,21 +1,23 @@
-//! The log: appending, committing, and what of it is on disk.
+//! The log: appending, committing, and tracking of persisted entries.
 //!
-//! Invariant: memory changes only by [`Raft::write`], which applies the same update that goes to disk, so that a
-//! restart reads what memory held. State machine safety (paper, 5.4.3) rests on committed entries never being replaced.
+//! Invariant: the state in memory changes only through [`Raft::write`], which applies the same
+//! update that goes to disk, so that a restart reads the same state. State machine safety (paper,
+//! 5.4.3) relies on committed entries never being replaced.
 
 use super::{Entry, EntryKind, Member, PersistentUpdate, Raft, Ready};
 
-/// A write of entries that is not known to be on disk.
+/// A write of entries that is not known to be persisted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingEntryWrite {
     /// Number of the write.
     write: u64,
-    /// The log is on disk up to here once the write is; lowered where entries of it were replaced.
+    /// Index up to which the log is persisted once the write is; lowered when entries of the write
+    /// are replaced.
     last_index: u64,
 }
 
 impl Raft {
-    /// Appends one entry of the present term; returns its index.
+    /// Appends one entry of the current term and returns its index.
     pub(super) fn append_entry(
         &mut self,
         kind: EntryKind,
@@ -35,7 +37,7 @@
         index
     }
 
-    /// Appends entries; those in the log from the first one's index on are dropped.
+    /// Appends entries, replacing those in the log from the first one's index on.
     pub(super) fn append_entries(&mut self, entries: Vec<Entry>, ready: &mut Ready) {
         let (Some(first), Some(last)) = (entries.first(), entries.last()) else {
             return;
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Entries after `index` are replaced: what is on disk of them counts no more.
+    /// Stops counting the entries after `index` as persisted, because they are replaced.
     fn lower_persisted_index(&mut self, index: u64) {
         self.persisted_index = self.persisted_index.min(index);
         for pending in &mut self.pending_entry_writes {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// The last write holds the log up to `last_index`.
+    /// Records that the last write contains the log up to `last_index`.
     pub(super) fn track_entry_write(&mut self, last_index: u64) {
         self.pending_entry_writes.push_back(PendingEntryWrite {
             write: self.last_write,
@@ -74,7 +76,7 @@
         });
     }
 
-    /// Takes in that all writes up to `persisted_write` are on disk.
+    /// Advances `persisted_index` once writes up to `persisted_write` are persisted.
     pub(super) fn update_persisted_index(&mut self) {
         while let Some(pending) = self.pending_entry_writes.front().copied() {
             if pending.write > self.persisted_write {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Raises the commit index, and hands the entries up to it to the caller.
+    /// Advances the commit index, and passes the newly committed entries to the caller.
     pub(super) fn commit_up_to(&mut self, index: u64, ready: &mut Ready) {
         if index <= self.commit_index {
             return;
@@ -100,7 +102,7 @@
         ready.committed_entries.extend(entries);
     }
 
-    /// Hands an update to the caller to be written, and applies it as a restart will.
+    /// Passes an update to the caller for writing, and applies it in memory as a restart will.
     pub(super) fn write(&mut self, update: PersistentUpdate, ready: &mut Ready) {
         self.last_write += 1;
         self.compacted.before_update(&self.persistent, &update);
--- a/crates/raft/src/raft/membership.rs
+++ b/crates/raft/src/raft/membership.rs
@@ -1,8 +1,9 @@
-//! Changes of members (paper, section 6; argument and timing in `docs/design/control-membership.md`).
+//! Membership changes (paper, section 6; argument and timing in
+//! `docs/design/control-membership.md`).
 //!
-//! Invariant: one change at a time, proposed only by a leader that has committed an entry of its own term, and
-//! committed by a majority of the members before and of those after. A new member has all committed entries on disk
-//! before it is proposed.
+//! Invariant: there is one change at a time, proposed only by a leader that has committed an entry
+//! of its own term, and committed by a majority of the members before and of those after the
+//! change. A new member has persisted all committed entries before it is proposed.
 
 use super::constants::{Millis, QUORUM_CONTACT_TIMEOUT};
 use super::event::{Event, MemberChange};
@@ -10,28 +11,30 @@
 use super::role::{LeaderState, Role};
 use super::{Entry, EntryKind, Member, PersistentUpdate, Raft, Ready};
 
-/// Members at most.
+/// Maximum number of members.
 pub const MAX_MEMBERS: usize = 9;
-/// A member that has been silent for this long may be replaced by a node that asks to be a voter.
+/// A member that has sent no message for this long may be replaced by a node that requests to be a
+/// voter.
 const REPLACE_TIMEOUT: Millis = 2000.0;
-/// A node that asks to be a voter and replaces nobody is added once it has been caught up for this long.
+/// A node that requests to be a voter and replaces no member is added once it has been caught up
+/// for this long.
 const ADD_DELAY: Millis = 1500.0;
-/// A member that has been silent for longer than this is removed where there are more members than `max_failures`
-/// needs.
+/// A member that has sent no message for longer than this is removed if there are more members than
+/// `max_failures` requires.
 const REMOVE_TIMEOUT: Millis = 2500.0;
 
-/// Why the members change. Only logged; the payload of the entry carries it.
+/// The reason for a membership change: the payload of its entry, which is only logged.
 #[derive(Clone, Copy, Debug)]
 enum ChangeReason {
-    /// A node of the first start of the whole system comes in.
+    /// A node of the first start of the whole system is added.
     Bootstrap,
-    /// A member came back without its disk.
+    /// A member has returned with another disk.
     NewDisk,
-    /// A node takes the place of a member that is silent.
+    /// A node replaces an unreachable member.
     Replaces,
-    /// A node comes in besides the others.
+    /// A node is added to the existing members.
     Added,
-    /// A member that is silent goes, and the others suffice.
+    /// An unresponsive member is removed, and the others suffice.
     Unresponsive,
 }
 
@@ -47,14 +50,15 @@
     }
 }
 
-/// A change of members that is due.
+/// A membership change that is due.
 struct MembershipChange {
     members: Vec<Member>,
     reason: ChangeReason,
 }
 
 impl Raft {
-    /// Takes the configuration from the log, after it has changed. A leader starts to replicate to new members.
+    /// Updates the configuration after the log has changed. A leader starts to replicate to new
+    /// members.
     pub(super) fn refresh_configuration(&mut self) {
         self.configuration = self.persistent.configuration();
         let current = &self.configuration.current;
@@ -66,13 +70,16 @@
         };
         for member in current {
             if member.name != self.local_member.name {
-                let new = Progress::new(member.identity, next_index, self.now);
-                leader.progress.entry(member.name.clone()).or_insert(new);
+                let new_progress = Progress::new(member.identity, next_index, self.now);
+                leader
+                    .progress
+                    .entry(member.name.clone())
+                    .or_insert(new_progress);
             }
         }
     }
 
-    /// Proposes the change of members that is due, if any.
+    /// Proposes the membership change that is due, if any.
     pub(super) fn propose_membership_change(&mut self, now: Millis, ready: &mut Ready) {
         if !self.is_leader()
             || self.in_joint_configuration()
@@ -91,17 +98,18 @@
         }
     }
 
-    /// The change that is due: an admission before a removal.
+    /// Returns the change that is due; a promotion takes precedence over a removal.
     fn due_change(&self, now: Millis, leader: &LeaderState) -> Option<MembershipChange> {
         leader
             .progress
             .iter()
             .filter(|(_, progress)| self.may_become_voter(now, progress))
-            .find_map(|(name, progress)| self.due_admission(now, leader, name, progress))
+            .find_map(|(name, progress)| self.due_promotion(now, leader, name, progress))
             .or_else(|| self.due_removal(now, leader))
     }
 
-    /// Whether the node asks to be a voter, is reachable, and has all committed entries on disk.
+    /// Returns whether the node requests to be a voter, is reachable, and has persisted all
+    /// committed entries.
     fn may_become_voter(&self, now: Millis, progress: &Progress) -> bool {
         progress.membership_request.voter
             && !progress.membership_request.stopping
@@ -109,7 +117,7 @@
             && progress.match_index >= self.commit_index
     }
 
-    fn due_admission(
+    fn due_promotion(
         &self,
         now: Millis,
         leader: &LeaderState,
@@ -117,45 +125,45 @@
         progress: &Progress,
     ) -> Option<MembershipChange> {
         let members = &self.configuration.current;
-        let admit = |replaced: Option<usize>, reason: ChangeReason| {
-            let newcomer = Member {
+        let promote = |replaced: Option<usize>, reason: ChangeReason| {
+            let new_member = Member {
                 name: name.to_owned(),
                 identity: progress.identity,
             };
-            let members = with_member(members, replaced, newcomer);
+            let members = with_member(members, replaced, new_member);
             Some(MembershipChange { members, reason })
         };
         if let Some(position) = members.iter().position(|member| member.name == *name) {
             if progress.is_for(&members[position]) {
                 return None;
             }
-            return admit(Some(position), ChangeReason::NewDisk);
+            return promote(Some(position), ChangeReason::NewDisk);
         }
         let is_below_limit = members.len() < MAX_MEMBERS;
         if progress.membership_request.initial && is_below_limit {
-            return admit(None, ChangeReason::Bootstrap);
+            return promote(None, ChangeReason::Bootstrap);
         }
         if let Some(position) = self.replaceable_member(now, leader) {
-            return admit(Some(position), ChangeReason::Replaces);
+            return promote(Some(position), ChangeReason::Replaces);
         }
         let is_caught_up = progress
             .caught_up_since
             .is_some_and(|since| now - since >= ADD_DELAY);
         let is_reachable = |member: &Member| self.is_member_reachable(now, leader, member);
-        let is_calm = !self.interchangeable || members.iter().all(is_reachable);
-        if is_caught_up && is_calm && is_below_limit {
-            return admit(None, ChangeReason::Added);
+        let needs_no_replacement = !self.interchangeable || members.iter().all(is_reachable);
+        if is_caught_up && needs_no_replacement && is_below_limit {
+            return promote(None, ChangeReason::Added);
         }
         None
     }
 
-    /// Position of the member that has been silent for longest, if that is long enough for another node to take its
-    /// place.
+    /// Returns the position of the member whose last message is the oldest, if it is old enough for
+    /// another node to replace the member.
     fn replaceable_member(&self, now: Millis, leader: &LeaderState) -> Option<usize> {
         if !self.interchangeable {
             return None;
         }
-        let age = |member: &Member| leader.time_since_heard(member, now);
+        let age = |member: &Member| leader.time_since_last_message(member, now);
         let members = self.configuration.current.iter().enumerate();
         members
             .filter(|(_, member)| **member != self.local_member)
@@ -166,33 +174,36 @@
 
     fn is_member_reachable(&self, now: Millis, leader: &LeaderState, member: &Member) -> bool {
         *member == self.local_member
-            || leader.time_since_heard(member, now) < QUORUM_CONTACT_TIMEOUT
+            || leader.time_since_last_message(member, now) < QUORUM_CONTACT_TIMEOUT
     }
 
-    /// The removal of a silent member where there are more than `max_failures` needs. Several may be silent and go one
-    /// by one; all others must have the whole log on disk, and be a majority of those that remain.
+    /// Returns the removal of an unresponsive member if there are more members than `max_failures`
+    /// requires. Several unresponsive members are removed one by one; all others must have
+    /// persisted the whole log, and be a majority of the remaining members.
     fn due_removal(&self, now: Millis, leader: &LeaderState) -> Option<MembershipChange> {
         let members = &self.configuration.current;
         if !self.interchangeable || members.len() <= 2 * self.max_failures + 1 {
             return None;
         }
         let is_unresponsive = |member: &Member| {
-            *member != self.local_member && leader.time_since_heard(member, now) > REMOVE_TIMEOUT
+            *member != self.local_member
+                && leader.time_since_last_message(member, now) > REMOVE_TIMEOUT
         };
         let removed = members.iter().position(is_unresponsive)?;
         let mut remaining = members.clone();
         remaining.remove(removed);
-        let is_safe = |member: &Member| {
+        let tolerates_removal = |member: &Member| {
             is_unresponsive(member)
                 || self.is_member_reachable(now, leader, member)
                     && self.has_complete_log(leader, member)
         };
-        let present = remaining
+        let responsive_count = remaining
             .iter()
             .filter(|member| !is_unresponsive(member))
             .count();
-        let may_remove = remaining.iter().all(is_safe) && present > remaining.len() / 2;
-        may_remove.then_some(MembershipChange {
+        let is_removable =
+            remaining.iter().all(tolerates_removal) && responsive_count > remaining.len() / 2;
+        is_removable.then_some(MembershipChange {
             members: remaining,
             reason: ChangeReason::Unresponsive,
         })
@@ -208,8 +219,9 @@
             .is_some_and(|progress| progress.match_index >= last_index)
     }
 
-    /// Logs the changes of members among entries that have just been committed, and writes that they are: a restart
-    /// then needs no majority of members that were removed. `previous` are the members before.
+    /// Logs the membership changes among newly committed entries, and writes that they are
+    /// committed: a node that restarts then needs no majority of removed members. `previous` are
+    /// the members before these entries.
     pub(super) fn commit_membership(
         &mut self,
         entries: &[Entry],
@@ -234,13 +246,13 @@
     }
 }
 
-/// The members with a further one, in order; the one at position `replaced` goes.
-fn with_member(members: &[Member], replaced: Option<usize>, newcomer: Member) -> Vec<Member> {
+/// Returns the sorted members with `new_member`, and without the one at position `replaced`.
+fn with_member(members: &[Member], replaced: Option<usize>, new_member: Member) -> Vec<Member> {
     let mut members = members.to_vec();
     if let Some(position) = replaced {
         members.remove(position);
     }
-    members.push(newcomer);
+    members.push(new_member);
     members.sort();
     members
 }
--- a/crates/raft/src/raft/mod.rs
+++ b/crates/raft/src/raft/mod.rs
@@ -1,12 +1,12 @@
-//! One Raft node: its state and its inputs.
+//! A Raft node: its state and its inputs.
 //!
-//! Invariants, each kept by the module named:
+//! Invariants, each with the modules that maintain it:
 //!
 //! - election safety, at most one leader in a term (paper, 5.2): `election`;
 //! - log matching (5.3): `follower`, `replication`;
 //! - leader completeness (5.4): `election`, `quorum`;
-//! - a message is sent only once the term, the vote and the identity that it speaks of are on disk: `outbox`;
-//! - what is in memory is what a restart would read once all writes are on disk: `log`.
+//! - a message is sent only after the term, vote and identity in it are persisted: `outbox`;
+//! - the state in memory is the one that a restart would read once all writes are persisted: `log`.
 
 mod config;
 mod constants;
@@ -45,17 +45,17 @@
 use snapshot_transfer::IncomingSnapshot;
 use std::collections::{BTreeSet, VecDeque};
 
-/// One Raft node, without I/O.
+/// A Raft node that does no I/O.
 ///
-/// Every input takes the time in milliseconds on the caller's monotonic clock, and appends what has to be done to a
-/// [`Ready`].
+/// Every input takes the time in milliseconds on the caller's monotonic clock, and appends the
+/// resulting actions to a [`Ready`].
 pub struct Raft {
     local_member: Member,
     rng: Pcg32,
     now: Millis,
     started_at: Millis,
 
-    /// Term, vote, snapshot and log, including writes that are not on disk yet.
+    /// Term, vote, snapshot and log, including writes that are not persisted yet.
     persistent: PersistentState,
     log_size: LogSize,
     compacted: CompactedEntries,
@@ -64,7 +64,7 @@
     configuration: Configuration,
     /// Names of the current members in `configuration`.
     voter_names: BTreeSet<String>,
-    /// The role that this node asks its leader for.
+    /// The role that this node requests from its leader.
     membership_request: MembershipRequest,
     max_failures: usize,
     interchangeable: bool,
@@ -72,51 +72,53 @@
 
     role: Role,
     leader_id: Option<String>,
-    /// When a leader was last heard, or this node was elected.
-    last_heard: Millis,
-    /// The last leader that was heard, also after a new election has begun.
+    /// When a message from a leader was last read, or this node was elected.
+    last_leader_message_at: Millis,
+    /// The last leader that sent a message; kept when a new election starts.
     last_leader: Option<LastLeader>,
     election_deadline: Millis,
     next_join_request: Millis,
 
     commit_index: u64,
-    /// The leader of this term has confirmed the log up to here.
+    /// The log is known to match the current leader's up to this index.
     verified_index: u64,
-    /// Number of the last write that was handed to the caller, and of the last that is on disk.
+    /// Numbers of the last write passed to the caller and of the last persisted one.
     last_write: u64,
     persisted_write: u64,
     pending_entry_writes: VecDeque<PendingEntryWrite>,
-    /// The log is on disk up to here.
+    /// The log is persisted up to this index.
     persisted_index: u64,
-    /// The write with the present term, or with this disk's identity: no message is sent before it is on disk.
+    /// Number of the write with the current term or this disk's identity: no message is sent before
+    /// it is persisted.
     term_write: u64,
     deferred_messages: VecDeque<DeferredMessage>,
 
     last_read_id: u64,
-    /// Numbers of this node's responses to leaders, and when each was made.
+    /// Numbers of this node's responses to leaders, with the time at which each was created.
     response_times: SendTimes,
-    /// The last proven contact with a quorum.
+    /// Time of the last proven contact with a quorum.
     quorum_contact: Millis,
-    /// The same, of the time in which the leader counted this node as a voter.
+    /// Time of the last proven contact with a quorum whose leader counted this node as a voter.
     voter_quorum_contact: Millis,
-    /// Whether `replica_lagging` was logged since this node had last caught up.
+    /// Whether `replica_lagging` has been logged since this node last caught up.
     is_lagging: bool,
 
-    /// Since when this node is shutting down.
+    /// When this node began to shut down.
     shutdown_since: Option<Millis>,
-    /// Whether a node that shuts down may stop: no committed entry depends on its disk.
+    /// Whether this node may stop when it shuts down: no committed entry depends on its disk.
     released: bool,
 }
 
-/// A leader that this node has heard from.
+/// A leader that has sent this node a message.
 #[derive(Debug)]
 struct LastLeader {
     name: String,
-    last_heard: Millis,
+    last_message_at: Millis,
 }
 
 impl Raft {
-    /// A node that has read `persistent` from its disk. `seed` is its only source of randomness.
+    /// Creates a node from the state `persistent` that was read from its disk. `seed` is its only
+    /// source of randomness.
     pub fn new(
         name: &str,
         now: Millis,
@@ -153,7 +155,7 @@
             skip_joint_quorum: config.skip_joint_quorum,
             role: Role::Follower,
             leader_id: None,
-            last_heard: f64::NEG_INFINITY,
+            last_leader_message_at: f64::NEG_INFINITY,
             last_leader: None,
             election_deadline,
             next_join_request: now,
@@ -183,7 +185,8 @@
         node
     }
 
-    /// Writes the identity of a new disk and, at the first start of the whole system, the first members.
+    /// Writes the identity of a new disk and, at the first start of the whole system, the initial
+    /// members.
     fn initialize_disk(&mut self, initial_members: Option<&[String]>, ready: &mut Ready) {
         if initial_members.is_some() {
             self.local_member.identity = 0;
@@ -197,7 +200,7 @@
         self.term_write = self.last_write;
     }
 
-    /// Time passes. To be called about every 100 ms.
+    /// Advances time; must be called about every 100 ms.
     pub fn tick(&mut self, now: Millis, ready: &mut Ready) {
         if self.begin_input(now, ready) {
             return;
@@ -215,7 +218,7 @@
         self.request_to_join(now, is_promotable, ready);
     }
 
-    /// All writes up to this number are on disk.
+    /// Reports that all writes up to `number` are persisted.
     pub fn persisted(&mut self, now: Millis, number: u64, ready: &mut Ready) {
         self.begin_input(now, ready);
         self.persisted_write = self.persisted_write.max(number).min(self.last_write);
@@ -228,8 +231,9 @@
         }
     }
 
-    /// Appends a command to the log and returns its index; `None` unless this node is the leader and not shutting down.
-    /// The command is committed once its entry appears in [`Ready::committed_entries`].
+    /// Appends a command to the log and returns its index; `None` unless this node is the leader
+    /// and not shutting down. The command is committed once its entry appears in
+    /// [`Ready::committed_entries`].
     pub fn propose(&mut self, now: Millis, payload: Vec<u8>, ready: &mut Ready) -> Option<u64> {
         if self.begin_input(now, ready) || !self.is_leader() || self.shutdown_since.is_some() {
             return None;
@@ -239,8 +243,8 @@
         Some(index)
     }
 
-    /// Begins every input: takes the time, and makes a leader without recent quorum contact step down. Returns whether
-    /// it has.
+    /// Starts every input: records the time, and makes a leader without recent quorum contact step
+    /// down. Returns whether this node has stepped down.
     fn begin_input(&mut self, now: Millis, ready: &mut Ready) -> bool {
         self.now = now;
         let steps_down = self.has_leader_role() && self.has_lost_quorum(now);
@@ -251,8 +255,8 @@
     }
 }
 
-/// The first members, with identity 0. The index is 1, so that a node with an empty log lacks this snapshot and is sent
-/// it before any entry.
+/// Returns the snapshot with the initial members, whose identity is 0. Its index is 1, so that a
+/// node with an empty log lacks it and receives it before any entry.
 fn initial_snapshot(names: &[String]) -> Snapshot {
     let names: BTreeSet<&String> = names.iter().collect();
     let members = names.into_iter().map(|name| Member {
--- a/crates/raft/src/raft/outbox.rs
+++ b/crates/raft/src/raft/outbox.rs
@@ -1,22 +1,23 @@
-//! Messages, and those that are deferred until a write is on disk.
+//! Outgoing messages, and their deferral until a write is persisted.
 //!
-//! Invariant: no message leaves before the term and the identity in it are on disk (paper, figure 2: "updated on stable
-//! storage before responding"), and no vote before it is itself.
+//! Invariant: no message is sent before the term and the identity in it are persisted (paper,
+//! figure 2: "updated on stable storage before responding"), and no vote before the vote itself is
+//! persisted.
 
 use super::constants::MAX_DEFERRED_MESSAGES;
 use super::{Message, MessageBody, Raft, Ready};
 
-/// A message that waits for the disk.
+/// A message that waits for a write to be persisted.
 #[derive(Debug)]
 pub(super) struct DeferredMessage {
-    /// Number of the write that has to be on disk.
+    /// Number of the write that must be persisted first.
     after_write: u64,
     to: String,
     message: Message,
 }
 
 impl Raft {
-    /// A message of the present term.
+    /// Creates a message of the current term.
     pub(super) fn message(&self, body: MessageBody) -> Message {
         Message {
             term: self.persistent.term,
@@ -25,7 +26,8 @@
         }
     }
 
-    /// Sends once the present term and this disk's identity are on disk. An empty `to` means every known node.
+    /// Sends a message once the current term and this disk's identity are persisted. An empty `to`
+    /// means every known node.
     pub(super) fn send_after_term(&mut self, to: &str, body: MessageBody, ready: &mut Ready) {
         let message = self.message(body);
         let after_write = if self.term_write > self.persisted_write {
@@ -36,7 +38,7 @@
         self.send_after(after_write, to, message, ready);
     }
 
-    /// Sends once all that was written so far is on disk.
+    /// Sends a message once all writes so far are persisted.
     pub(super) fn send_after_writes(&mut self, to: &str, message: Message, ready: &mut Ready) {
         self.send_after(self.last_write, to, message, ready);
     }
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Sends what waited for writes up to `persisted_write`. What belongs to an earlier term is dropped, except for
-    /// votes.
+    /// Sends the messages that waited for writes up to `persisted_write`. Messages of earlier terms
+    /// are dropped, except for vote responses.
     pub(super) fn release_deferred_messages(&mut self, ready: &mut Ready) {
         while let Some(deferred) = self.deferred_messages.front() {
             if deferred.after_write > self.persisted_write {
--- a/crates/raft/src/raft/quorum.rs
+++ b/crates/raft/src/raft/quorum.rs
@@ -1,8 +1,8 @@
 //! Majorities of the active member sets.
 //!
-//! Invariant: while a change of members is not known to be committed, a quorum is a majority of the members before
-//! *and* of those after, so that any two quorums meet (paper, section 6, joint consensus;
-//! `docs/design/control-membership.md` has the argument for doing it in one entry).
+//! Invariant: while a membership change is not known to be committed, a quorum is a majority of the
+//! members before it *and* of those after it, so that any two quorums intersect (paper, section 6,
+//! joint consensus; `docs/design/control-membership.md` shows why one entry suffices).
 
 use super::Raft;
 use crate::message::Member;
@@ -10,7 +10,8 @@
 use std::collections::BTreeSet;
 
 impl Raft {
-    /// The member sets of which a majority is needed each: two in a joint configuration, otherwise one.
+    /// Returns the member sets of which a quorum needs a majority each: two in a joint
+    /// configuration, otherwise one.
     pub(super) fn active_sets(&self) -> impl Iterator<Item = &Vec<Member>> {
         let previous = self
             .in_joint_configuration()
@@ -18,12 +19,12 @@
         std::iter::once(&self.configuration.current).chain(previous)
     }
 
-    /// Whether the member is in any of the active sets.
+    /// Returns whether the member is in any of the active sets.
     pub(super) fn is_active(&self, member: &Member) -> bool {
         self.active_sets().any(|set| set.contains(member))
     }
 
-    /// Names of all members of the active sets other than this node.
+    /// Returns the names of all members of the active sets other than this node.
     pub(super) fn peer_names(&self) -> BTreeSet<String> {
         self.active_sets()
             .flatten()
@@ -32,7 +33,8 @@
             .collect()
     }
 
-    /// The highest value that a majority of every active set reaches; `lowest` where a set is empty.
+    /// Returns the highest value that a majority of every active set reaches; `lowest` if a set is
+    /// empty.
     pub(super) fn quorum_value<T: PartialOrd + Copy>(
         &self,
         lowest: T,
@@ -48,13 +50,13 @@
         reached_by_all.unwrap_or(lowest)
     }
 
-    /// Whether the predicate holds for a majority of every active set.
+    /// Returns whether the predicate holds for a majority of every active set.
     pub(super) fn has_quorum(&self, predicate: impl Fn(&Member) -> bool) -> bool {
         self.quorum_value(0, |member| u8::from(predicate(member))) > 0
     }
 }
 
-/// The highest value that a majority of the set reaches.
+/// Returns the highest value that a majority of the set reaches; `lowest` if the set is empty.
 fn majority_value<T: PartialOrd + Copy>(
     set: &[Member],
     lowest: T,
--- a/crates/raft/src/raft/quorum_contact.rs
+++ b/crates/raft/src/raft/quorum_contact.rs
@@ -1,17 +1,18 @@
-//! When a node was last in proven contact with a quorum.
+//! The time of a node's last proven contact with a quorum.
 //!
-//! Invariant: the time that a node reports is never later than the true one. A leader counts from when it *sent* what a
-//! quorum has answered; a follower from when it *sent* the response that the leader echoes, less the age of the
-//! leader's own proof (`docs/design/control-connections.md`).
+//! Invariant: the reported time is never later than the true one. A leader takes the time at which
+//! it *sent* the messages that a quorum has responded to; a follower takes the time at which it
+//! *sent* the response that the leader echoes, less the age of the leader's own proof
+//! (`docs/design/control-connections.md`).
 
 use super::constants::{Millis, QUORUM_CONTACT_TIMEOUT};
 use super::event::Event;
 use super::{Raft, Ready};
 
 impl Raft {
-    /// The latest time on this node's clock by which a quorum is proven to have followed a leader that counted this
-    /// node among the voters; all that was committed by then is applied here. Negative infinity before the first
-    /// contact.
+    /// Returns the latest time, on this node's clock, at which a quorum is proven to have followed
+    /// a leader that counted this node as a voter. This node has committed all entries that were
+    /// committed by then. Negative infinity before the first contact.
     pub fn last_quorum_contact(&self, now: Millis) -> Millis {
         if self.is_leader() && self.is_voter() {
             self.voter_quorum_contact.max(self.proven_contact(now))
@@ -20,8 +21,9 @@
         }
     }
 
-    /// Whether this node, voter or not, knows what a quorum had committed within the last second. False for one that
-    /// lags, is partitioned off, or follows a leader that is.
+    /// Returns whether this node, voter or not, had proven quorum contact within the last second,
+    /// and so has committed all entries that were committed by then. False for a node that lags, is
+    /// partitioned off, or follows a leader that is partitioned off.
     pub fn has_quorum_contact(&self, now: Millis) -> bool {
         let contact = if self.is_leader() {
             self.quorum_contact.max(self.proven_contact(now))
@@ -31,7 +33,7 @@
         now - contact < QUORUM_CONTACT_TIMEOUT
     }
 
-    /// The latest time by which a quorum is proven to have followed this leader.
+    /// Returns the latest time at which a quorum is proven to have followed this leader.
     pub(super) fn proven_contact(&self, now: Millis) -> Millis {
         let Some(leader) = self.leader_state() else {
             return f64::NEG_INFINITY;
@@ -46,12 +48,13 @@
         })
     }
 
-    /// Whether a leader has no proof that a quorum followed it within [`QUORUM_CONTACT_TIMEOUT`].
+    /// Returns whether a leader has no proof that a quorum followed it within
+    /// [`QUORUM_CONTACT_TIMEOUT`].
     pub(super) fn has_lost_quorum(&self, now: Millis) -> bool {
         now - self.proven_contact(now) >= QUORUM_CONTACT_TIMEOUT
     }
 
-    /// A leader without quorum contact becomes a follower of nobody.
+    /// Makes a leader without quorum contact a follower without a known leader.
     pub(super) fn step_down(&mut self, now: Millis, ready: &mut Ready) {
         ready.log(&Event::LeaderSteppedDown {
             term: self.persistent.term,
@@ -60,16 +63,17 @@
         self.become_follower(now, None, ready);
     }
 
-    /// Keeps what a leader knew of its contact when it ceases to lead.
-    pub(super) fn keep_leader_contact(&mut self, now: Millis) {
+    /// Carries over a leader's proven contact when it stops leading.
+    pub(super) fn retain_leader_contact(&mut self, now: Millis) {
         let proven = self.proven_contact(now);
         self.quorum_contact = self.quorum_contact.max(proven);
         self.voter_quorum_contact = self.voter_quorum_contact.max(proven);
     }
 
-    /// Takes the proof of contact from a leader's message, whose entries are in the log. The leader had received the
-    /// echoed response, and a quorum followed it `quorum_age_ms` before this node sent that; all that was committed by
-    /// then must be known here.
+    /// Records the proof of contact in a leader's message, whose entries are in the log. The leader
+    /// sent the message after it had received the echoed response, and a quorum followed the leader
+    /// `quorum_age_ms` before the message. All entries committed by then must be known to be
+    /// committed on this node.
     pub(super) fn record_echoed_contact(
         &mut self,
         last_response: u64,
--- a/crates/raft/src/raft/read_index.rs
+++ b/crates/raft/src/raft/read_index.rs
@@ -1,16 +1,18 @@
-//! Linearizable reads without a log entry (read index; thesis, 6.4).
+//! Linearizable reads without a log entry (read index; dissertation, 6.4).
 //!
-//! Invariant: a read is confirmed only after a quorum has answered a message that this leader sent after it was asked,
-//! so that no later leader can have committed anything before that. The state that answers it must reflect the commit
-//! index at that time, which the caller has applied by then.
+//! Invariant: a read is confirmed only after a quorum has responded to a message that this leader
+//! sent after the read was requested, so that no later leader can have committed an entry before
+//! the request. The state that serves the read must reflect the commit index at the time of the
+//! request; the caller has applied the entries up to it by the time of the confirmation.
 
 use super::constants::{Millis, MAX_PENDING_READS};
 use super::role::{PendingRead, Role};
 use super::{Raft, Ready};
 
 impl Raft {
-    /// Asks whether this node still leads. Returns a number that appears in [`Ready::confirmed_reads`] once a quorum
-    /// has confirmed it; `None` unless this node is the leader, and beyond 1024 pending reads.
+    /// Requests confirmation that this node is still the leader. Returns a number that appears in
+    /// [`Ready::confirmed_reads`] once a quorum has confirmed it; `None` unless this node is the
+    /// leader, and beyond 1024 pending reads.
     pub fn read_index(&mut self, now: Millis, ready: &mut Ready) -> Option<u64> {
         if self.begin_input(now, ready) || !self.is_leader() {
             return None;
@@ -30,7 +32,7 @@
         Some(id)
     }
 
-    /// Confirms the reads whose sequence number a quorum has answered.
+    /// Confirms the reads whose sequence number a quorum has responded to.
     pub(super) fn confirm_reads(&mut self, ready: &mut Ready) {
         let Some(leader) = self.leader_state() else {
             return;
@@ -41,7 +43,7 @@
             }
             leader
                 .progress_of(member)
-                .map_or(0, |progress| progress.answered_sequence)
+                .map_or(0, |progress| progress.acknowledged_sequence)
         });
         let Some(leader) = self.leader_state_mut() else {
             return;
--- a/crates/raft/src/raft/replication.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -1,7 +1,8 @@
-//! How a leader replicates its log.
+//! Replication of a leader's log.
 //!
-//! Log matching (paper, 5.3): entries are sent with index and term of the one before them. Commitment (5.4.2): a leader
-//! commits by counting only entries of its own term; earlier ones are committed with them.
+//! Log matching (paper, 5.3): entries are sent with the index and term of the entry before them.
+//! Commitment (5.4.2): a leader counts replicas only of entries of its own term; earlier entries
+//! are committed along with these.
 
 use super::constants::*;
 use super::event::Event;
@@ -60,7 +61,7 @@
         self.transfer_leadership(now, ready);
     }
 
-    /// Sends to all peers what they lack; the message is a heartbeat too.
+    /// Sends to all peers the entries that they lack; each message is also a heartbeat.
     pub(super) fn send_to_all(&mut self, now: Millis, ready: &mut Ready) {
         let Some(leader) = self.leader_state() else {
             return;
@@ -72,9 +73,9 @@
         self.advance_commit(now, ready);
     }
 
-    /// Sends to those peers to which nothing was sent for [`HEARTBEAT_INTERVAL`].
+    /// Sends to all peers to which nothing was sent for [`HEARTBEAT_INTERVAL`].
     pub(super) fn send_heartbeats(&mut self, now: Millis, ready: &mut Ready) {
-        self.forget_expired_learners(now);
+        self.remove_expired_learners(now);
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
@@ -84,8 +85,8 @@
             .filter(|(_, progress)| is_heartbeat_due(progress.last_sent, now))
             .map(|(name, _)| name.clone())
             .collect();
-        // The sequence number advances at this interval also where entries are sent all the while and no heartbeat is
-        // due.
+        // The sequence number advances at this interval even if entries are sent continuously and
+        // no heartbeat is due.
         let send_times = &mut leader.send_times;
         if send_times
             .sent_at(send_times.last_sequence())
@@ -100,19 +101,21 @@
         self.advance_commit(now, ready);
     }
 
-    /// What a peer has not answered may be lost, and is sent again.
+    /// Resets the next index to resend unacknowledged entries, which may be lost, if the peer has
+    /// sent no message for [`RESEND_TIMEOUT`].
     fn rewind_if_unanswered(&mut self, now: Millis, name: &str) {
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
         if let Some(progress) = leader.progress.get_mut(name) {
-            if now - progress.last_heard > RESEND_TIMEOUT && progress.match_index > 0 {
+            if now - progress.last_message_at > RESEND_TIMEOUT && progress.match_index > 0 {
                 progress.next_index = progress.match_index + 1;
             }
         }
     }
 
-    /// Sends a peer the next entries, or the next chunk of a snapshot where the entries that it lacks are compacted.
+    /// Sends a peer the next entries, or the next chunk of a snapshot if the entries that it lacks
+    /// are compacted.
     pub(super) fn send_to(&mut self, now: Millis, name: &str, ready: &mut Ready) {
         let snapshot_index = self.persistent.snapshot.index;
         let Role::Leader(leader) = &mut self.role else {
@@ -147,7 +150,7 @@
         ready.messages.push((name.to_owned(), message));
     }
 
-    /// The next entries for a peer, or none as a heartbeat.
+    /// Returns a message with the next entries for a peer, or with none as a heartbeat.
     fn next_append(&mut self, now: Millis, name: &str) -> Option<AppendEntries> {
         let is_established = self.is_leader();
         let quorum_age = (now - self.proven_contact(now)).max(0.0);
@@ -160,7 +163,8 @@
         let first_index = progress.next_index.max(1);
         let entries = entries_from(&self.persistent, &self.compacted, first_index);
         progress.next_index = (first_index + entries.len() as u64).min(last_index + 1);
-        // What a leader names as committed proves nothing before it knows what earlier leaders have committed.
+        // A leader's commit index proves no contact until the leader knows which entries earlier
+        // leaders have committed.
         let last_response = if is_established {
             progress.last_response
         } else {
@@ -186,7 +190,7 @@
         })
     }
 
-    /// The term of an entry in the log or among the compacted ones; 0 where there is none.
+    /// Returns the term of an entry in the log or among the compacted ones; 0 if there is none.
     fn sendable_term_at(&self, index: u64) -> u64 {
         self.persistent
             .term_at(index)
@@ -194,7 +198,7 @@
             .unwrap_or(0)
     }
 
-    /// Commits what a quorum has on disk.
+    /// Commits the entries that a quorum has persisted.
     pub(super) fn advance_commit(&mut self, now: Millis, ready: &mut Ready) {
         let Some(leader) = self.leader_state() else {
             return;
@@ -210,7 +214,7 @@
         let is_own_term = self.persistent.term_at(replicated) == Some(self.persistent.term);
         if replicated > self.commit_index && is_own_term {
             self.commit_up_to(replicated, ready);
-            // The followers learn of it at once, not with the next heartbeat.
+            // Sends the new commit index to the followers at once, not with the next heartbeat.
             self.send_to_all(now, ready);
         }
     }
@@ -220,7 +224,7 @@
     now - last >= HEARTBEAT_INTERVAL - TICK_TOLERANCE
 }
 
-/// Ends the transfer of a snapshot once the peer's log reaches up to it.
+/// Ends the transfer of a snapshot once the peer's log reaches the snapshot's index.
 fn finish_snapshot(
     progress: &mut Progress,
     name: &str,
@@ -239,7 +243,7 @@
     }
 }
 
-/// As many entries from an index on as one message takes, at least one if there is any.
+/// Returns the entries from an index on that fit into one message, at least one if there is any.
 fn entries_from(
     persistent: &PersistentState,
     compacted: &CompactedEntries,
--- a/crates/raft/src/raft/role.rs
+++ b/crates/raft/src/raft/role.rs
@@ -1,4 +1,4 @@
-//! The roles of a node (paper, 5.1; pre-candidates are from the thesis, 9.6).
+//! The roles of a node (paper, 5.1; pre-candidates are from the dissertation, 9.6).
 
 use super::constants::Millis;
 use super::progress::Progress;
@@ -7,26 +7,26 @@
 use crate::message::Member;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What a node is at present.
+/// The current role of a node.
 #[derive(Debug)]
 pub(super) enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would be elected, in a term that it has not entered.
+    /// Requests pre-votes for a term that it has not entered.
     PreCandidate { votes: BTreeSet<Member> },
-    /// Asks for votes in its term, since `requested_at`.
+    /// Requests votes in its term; the requests date from `requested_at`.
     Candidate {
         votes: BTreeSet<Member>,
         requested_at: Millis,
     },
-    /// Leads its term.
+    /// Leads the current term.
     Leader(Box<LeaderState>),
 }
 
-/// What only a leader keeps.
+/// State that only a leader keeps.
 #[derive(Debug)]
 pub(super) struct LeaderState {
-    /// Voters and learners by name, without the leader itself.
+    /// Progress of voters and learners by name, without the leader itself.
     pub progress: BTreeMap<String, Progress>,
     /// Sequence numbers of heartbeats and of batches of reads.
     pub send_times: SendTimes,
@@ -34,7 +34,7 @@
     pub pending_reads: VecDeque<PendingRead>,
 }
 
-/// A read that waits until a quorum has answered a message of at least this sequence number.
+/// A read that waits until a quorum has responded to a message of at least this sequence number.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingRead {
     pub id: u64,
@@ -42,18 +42,19 @@
 }
 
 impl LeaderState {
-    /// The progress of a member, if it is known for that member's own disk.
+    /// Returns the progress of a member, if it belongs to that member's own disk.
     pub fn progress_of(&self, member: &Member) -> Option<&Progress> {
         self.progress
             .get(&member.name)
             .filter(|progress| progress.is_for(member))
     }
 
-    /// How long the member's address has been silent. An address that returned with another disk is not silent.
-    pub fn time_since_heard(&self, member: &Member, now: Millis) -> Millis {
+    /// Returns the time since the last message from the member's address, 0 if the address is
+    /// unknown. Messages from another disk at that address count too.
+    pub fn time_since_last_message(&self, member: &Member, now: Millis) -> Millis {
         self.progress
             .get(&member.name)
-            .map_or(0.0, |progress| now - progress.last_heard)
+            .map_or(0.0, |progress| now - progress.last_message_at)
     }
 }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Whether this node's role is leader, established or not: see [`Raft::is_leader`].
+    /// Returns whether this node's role is leader, established or not: see [`Raft::is_leader`].
     pub(super) fn has_leader_role(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
--- a/crates/raft/src/raft/send_times.rs
+++ b/crates/raft/src/raft/send_times.rs
@@ -1,8 +1,8 @@
-//! Consecutive sequence numbers and the times at which they were given out.
+//! Consecutive sequence numbers and the times at which they were assigned.
 //!
-//! A response that echoes a number proves that its sender was reachable at some time after the number was given out.
-//! Contact is counted from that time, never from the time at which the response is read: a response may have waited in
-//! a socket.
+//! A response that echoes a number proves that its sender was reachable at some time after the
+//! number was assigned. Contact is dated to the assignment, never to the time at which the response
+//! is read, since a response may have waited in a socket.
 
 use super::constants::{Millis, MAX_SEND_TIMES};
 use std::collections::VecDeque;
@@ -15,7 +15,7 @@
 }
 
 impl SendTimes {
-    /// The next number will be `last_sequence + 1`.
+    /// Creates a sequence that continues with `last_sequence + 1`.
     pub fn after(last_sequence: u64) -> SendTimes {
         SendTimes {
             last_sequence,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Gives out the next number.
+    /// Assigns the next number at the time `now`.
     pub fn next(&mut self, now: Millis) -> u64 {
         if self.times.len() >= MAX_SEND_TIMES {
             self.times.pop_front();
@@ -33,12 +33,12 @@
         self.last_sequence
     }
 
-    /// The number that was given out last.
+    /// Returns the number that was assigned last.
     pub fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
-    /// When a number was given out, if that is remembered.
+    /// Returns when a number was assigned, if that time is still kept.
     pub fn sent_at(&self, sequence: u64) -> Option<Millis> {
         let age = usize::try_from(self.last_sequence.checked_sub(sequence)?).ok()?;
         let position = self.times.len().checked_sub(age + 1)?;
--- a/crates/raft/src/raft/snapshot.rs
+++ b/crates/raft/src/raft/snapshot.rs
@@ -1,23 +1,23 @@
 //! Log compaction (paper, section 7).
 //!
-//! Invariant: only committed entries are compacted. The last of them stay in memory, so that a peer that lags a little
-//! is sent entries rather than a snapshot.
+//! Invariant: only committed entries are compacted. The most recent of them stay in memory, so that
+//! a peer that lags a little receives entries rather than a snapshot.
 
 use super::{Entry, PersistentState, PersistentUpdate, Raft, Ready, Snapshot};
 use std::collections::VecDeque;
 
-/// The log is compacted beyond this number of entries in any case.
+/// The log is compacted beyond this number of entries, whatever their size.
 const MAX_LOG_ENTRIES: usize = 2000;
-/// The log is compacted beyond this many bytes, or as many as the last snapshot has if that is more: compaction then
-/// writes no more than a fixed multiple of what is written anyhow.
+/// The log is compacted beyond this many bytes, or beyond the size of the last snapshot if that is
+/// larger: compaction then writes no more than a fixed multiple of the other writes.
 const MIN_COMPACTION_BYTES: usize = 64 << 10;
-/// Bytes of compacted entries in memory at most; the oldest go first.
+/// Maximum bytes of compacted entries in memory; the oldest are dropped first.
 const MAX_COMPACTED_BYTES: usize = 1 << 20;
-/// Approximate bytes of an entry besides its payload, and of each member in it.
+/// Approximate bytes of an entry without its payload and members, and of each member in an entry.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 const MEMBER_BYTES: usize = 32;
 
-/// Approximate bytes of an entry.
+/// Returns the approximate size of an entry in bytes.
 pub(super) fn entry_bytes(entry: &Entry) -> usize {
     entry.payload.len() + ENTRY_OVERHEAD_BYTES + entry.members.len() * MEMBER_BYTES
 }
@@ -26,7 +26,7 @@
     entries.iter().map(entry_bytes).sum()
 }
 
-/// The size of the log, kept up to date without going through it at each write.
+/// The size of the log, updated without a scan of the log at each write.
 #[derive(Debug)]
 pub(super) struct LogSize {
     entries: usize,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// `update` was applied to `persistent`. The log is counted anew unless entries were appended and none dropped.
+    /// Updates the size after `update` was applied to `persistent`. The log is scanned unless
+    /// entries were appended and none dropped.
     pub fn after_update(&mut self, persistent: &PersistentState, update: &PersistentUpdate) {
         let appended_only = update.snapshot.is_none()
             && self.entries + update.entries.len() == persistent.log.len();
@@ -54,7 +55,7 @@
     }
 }
 
-/// The last compacted entries, up to the one before the log's first.
+/// The most recent compacted entries, up to the one before the log's first.
 #[derive(Debug, Default)]
 pub(super) struct CompactedEntries {
     entries: VecDeque<Entry>,
@@ -62,8 +63,9 @@
 }
 
 impl CompactedEntries {
-    /// `update` is about to be applied to `persistent`: takes over the entries that its snapshot replaces. A snapshot
-    /// from another node, which the log does not lead up to, makes all of them void.
+    /// Takes over the entries that the snapshot in `update` replaces, before `update` is applied to
+    /// `persistent`. A snapshot from another node that does not match the log invalidates all
+    /// compacted entries.
     pub fn before_update(&mut self, persistent: &PersistentState, update: &PersistentUpdate) {
         let Some(snapshot) = &update.snapshot else {
             return;
@@ -88,8 +90,8 @@
         }
     }
 
-    /// Whether the entries from `index` up to the snapshot's last are here, and the one before them, whose term is sent
-    /// with them.
+    /// Returns whether the compacted entries include those from `index` up to the snapshot's last,
+    /// and the one before them, whose term is sent with them.
     pub fn covers(&self, index: u64, snapshot_index: u64) -> bool {
         let first = self.entries.front();
         let last = self.entries.back();
@@ -97,14 +99,14 @@
             && last.is_some_and(|entry| entry.index == snapshot_index)
     }
 
-    /// The entries from `index` on.
+    /// Returns the compacted entries from `index` on.
     pub fn entries_from(&self, index: u64) -> impl Iterator<Item = &Entry> {
         let first = self.entries.front().map_or(index, |entry| entry.index);
         let position = index.saturating_sub(first) as usize;
         self.entries.range(position.min(self.entries.len())..)
     }
 
-    /// The term of a compacted entry.
+    /// Returns the term of a compacted entry.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         let first = self.entries.front()?.index;
         let position = usize::try_from(index.checked_sub(first)?).ok()?;
@@ -113,7 +115,8 @@
 }
 
 impl Raft {
-    /// Whether the log is so long that the caller should encode its state and call [`Raft::compact`].
+    /// Returns whether the log is so long that the caller should encode its state and call
+    /// [`Raft::compact`].
     pub fn should_compact(&self) -> bool {
         let max_bytes = MIN_COMPACTION_BYTES.max(self.persistent.snapshot.state.len());
         let is_long =
@@ -121,7 +124,8 @@
         is_long && self.commit_index > self.persistent.snapshot.index
     }
 
-    /// Replaces all committed entries by a snapshot. `state` is the caller's state with exactly these entries applied.
+    /// Replaces all committed entries with a snapshot. `state` is the caller's state with exactly
+    /// these entries applied.
     pub fn compact(&mut self, state: Vec<u8>, ready: &mut Ready) {
         let index = self.commit_index;
         if index <= self.persistent.snapshot.index {
--- a/crates/raft/src/raft/snapshot_transfer.rs
+++ b/crates/raft/src/raft/snapshot_transfer.rs
@@ -1,17 +1,17 @@
-//! Snapshots in chunks from a leader to one peer (paper, section 7).
+//! Transfer of snapshots in chunks from a leader to one peer (paper, section 7).
 //!
-//! Invariant: a peer installs a state only if its checksum is the one that the leader computed, and the leader sends
-//! the snapshot that it began with to the end, also where it compacts its log meanwhile. Chunks go one at a time; the
-//! receiver tells how much it has.
+//! Invariant: a peer installs a state only if its checksum is the one that the leader computed, and
+//! a transfer ends with the snapshot that it began with, even if the leader compacts its log
+//! meanwhile. One chunk is in flight at a time; the receiver reports how much it has received.
 
 use super::constants::*;
 use super::event::{Event, SnapshotDefect};
 use super::{checksum, InstallSnapshot, Raft, Ready, Snapshot, SnapshotProgress};
 use bytes::Bytes;
 
-/// Bytes of a state in one message.
+/// Maximum bytes of a state in one message.
 const SNAPSHOT_CHUNK_BYTES: usize = 256 << 10;
-/// Bytes of a state that a receiver accepts at most.
+/// Maximum bytes of a state that a receiver accepts.
 const MAX_SNAPSHOT_BYTES: u64 = 256 << 20;
 
 /// A snapshot that a leader sends to one peer.
@@ -19,7 +19,7 @@
 pub(super) struct OutgoingSnapshot {
     snapshot: Snapshot,
     checksum: u64,
-    /// Bytes that the peer has.
+    /// Number of bytes that the peer has received.
     offset: usize,
     in_flight: Option<ChunkInFlight>,
     started_at: Millis,
@@ -28,7 +28,7 @@
 /// A chunk that the peer has not acknowledged.
 #[derive(Clone, Copy, Debug)]
 struct ChunkInFlight {
-    /// Offset of the byte after it.
+    /// Offset of the byte after the chunk.
     end: usize,
     sent_at: Millis,
 }
@@ -44,22 +44,22 @@
         }
     }
 
-    /// Index of the last entry in the snapshot.
+    /// Returns the index of the last entry in the snapshot.
     pub fn index(&self) -> u64 {
         self.snapshot.index
     }
 
-    /// Bytes of the whole state.
+    /// Returns the size of the whole state in bytes.
     pub fn total_bytes(&self) -> usize {
         self.snapshot.state.len()
     }
 
-    /// How long the transfer has taken so far.
+    /// Returns the duration of the transfer so far.
     pub fn duration(&self, now: Millis) -> Millis {
         now - self.started_at
     }
 
-    /// Takes in how much the peer has; returns whether the next chunk is to be sent.
+    /// Records how much the peer has received. Returns whether to send the next chunk.
     pub fn acknowledge(&mut self, received: SnapshotProgress) -> bool {
         if (received.index, received.checksum) != (self.snapshot.index, self.checksum) {
             return false;
@@ -71,8 +71,8 @@
         self.in_flight.is_none()
     }
 
-    /// The next message: the next chunk, or the same again after [`RESEND_TIMEOUT`]; while one is in flight an empty
-    /// chunk as heartbeat, if one is due.
+    /// Returns the next message: the next chunk, or the same one again after [`RESEND_TIMEOUT`];
+    /// while a chunk is in flight, an empty one as a heartbeat if one is due.
     pub fn next_message(
         &mut self,
         now: Millis,
@@ -110,7 +110,7 @@
     }
 }
 
-/// A snapshot of which not all chunks have come.
+/// A snapshot of which not all chunks have been received.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     index: u64,
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Whether the chunk belongs to this snapshot.
-    fn is_of(&self, install: &InstallSnapshot) -> bool {
+    /// Returns whether the chunk belongs to this snapshot.
+    fn matches_chunk(&self, install: &InstallSnapshot) -> bool {
         (self.index, self.term, self.checksum, self.total_bytes)
             == (
                 install.index,
@@ -167,9 +167,9 @@
 }
 
 impl Raft {
-    /// Takes in a chunk; returns the snapshot once it is complete, otherwise how much of it has come. A corrupt chunk
-    /// is ignored; a complete state with another checksum is dropped, and comes again from its beginning. Both are
-    /// logged.
+    /// Processes a chunk. Returns the snapshot once it is complete, otherwise the progress. A
+    /// corrupt chunk is ignored; a complete state with another checksum is dropped, and its
+    /// transfer starts again from the beginning. Both are logged.
     pub(super) fn receive_snapshot_chunk(
         &mut self,
         from: &str,
@@ -193,7 +193,7 @@
         let mut incoming = self
             .incoming_snapshot
             .take()
-            .filter(|incoming| incoming.is_of(&install))
+            .filter(|incoming| incoming.matches_chunk(&install))
             .unwrap_or_else(|| IncomingSnapshot::new(&install));
         if let Err(defect) = incoming.append(&install) {
             log_corrupt(defect);
--- a/crates/raft/src/raft/step.rs
+++ b/crates/raft/src/raft/step.rs
@@ -1,16 +1,17 @@
-//! Receiving a message: terms, then the handler of its kind.
+//! Dispatch of received messages: the check of the term, then the handler for the kind of message.
 //!
-//! A message of a higher term makes its receiver enter that term as a follower; one of an earlier term is answered or
-//! ignored, never acted upon (paper, 5.1).
+//! A message of a higher term makes its receiver enter that term as a follower; a message of an
+//! earlier term is rejected or ignored (paper, 5.1).
 
 use super::constants::{Millis, MAX_TERM_OR_INDEX};
 use super::{Member, Message, MessageBody, Raft, Ready};
 
 impl Raft {
-    /// A message has come from the peer of that name. The caller vouches for the name, not for the content.
+    /// Processes a message from the peer `from`. The caller guarantees the peer's name, not the
+    /// content.
     pub fn step(&mut self, now: Millis, from: &str, message: Message, ready: &mut Ready) {
-        // A leader that lost its quorum steps down before it reads: responses that waited in a socket prove nothing of
-        // the present.
+        // A leader that has lost quorum contact steps down before it processes a response:
+        // responses that waited in a socket do not prove present contact.
         self.begin_input(now, ready);
         let term = message.term;
         let Some(body) = message.body.filter(|_| term < MAX_TERM_OR_INDEX) else {
@@ -67,8 +68,9 @@
     }
 }
 
-/// Whether a message of a higher term makes its receiver enter that term. A request for a pre-vote and its approval
-/// carry a term that nobody has entered, and a node that asks to join deposes nobody.
+/// Returns whether a message of a higher term makes its receiver enter that term. Pre-vote requests
+/// and granted pre-votes carry a term that no node has entered, and a join request must not depose
+/// a leader.
 fn raises_term(body: &MessageBody) -> bool {
     match body {
         MessageBody::RequestVote(request) => !request.pre_vote,
