--- a/crates/raft/tests/consensus_model/actions.rs
+++ b/crates/raft/tests/consensus_model/actions.rs
@@ -1,4 +1,4 @@
-//! Which actions are possible in a state.
+//! The actions that are possible in a state.
 
 use super::state::{NodeId, Payload, SentMessage, State};
 use super::{starts_with, Configuration, ConsensusModel, Members, FAULTY, NODE_COUNT};
@@ -17,7 +17,8 @@
     Replace(NodeId),
 }
 
-/// What the first leader's operator wants, and what the later leaders' does.
+/// The command that the operator proposes to the first leader, and the one proposed to later
+/// leaders.
 const FIRST_COMMAND: u8 = 1;
 const SECOND_COMMAND: u8 = 2;
 
@@ -93,8 +94,8 @@
     }
 }
 
-/// Whether all earlier losses are repaired: every member by what is committed is up, has the disk that is meant, and
-/// has all of it.
+/// Returns whether all earlier losses are repaired: every member of the committed configuration is
+/// up, has the disk with the right identity, and has all committed entries.
 fn is_repaired(state: &State) -> bool {
     let members = Configuration::of(&state.committed).current;
     members.iter().all(|member| {
@@ -103,7 +104,8 @@
     })
 }
 
-/// Whether a message may change anything at a node: most of what was ever sent does not any more.
+/// Returns whether a message may change the state of a node. Most messages that were ever sent no
+/// longer do.
 fn has_effect(state: &State, id: NodeId, message: &SentMessage) -> bool {
     let (node, member) = (state.node(id), state.member(id));
     match message {
--- a/crates/raft/tests/consensus_model/mod.rs
+++ b/crates/raft/tests/consensus_model/mod.rs
@@ -1,10 +1,11 @@
-//! A model of the consensus rules for exhaustive search: three members and a machine that may replace one, two
-//! operators with different commands for the same change, a leader that crashes, a member that loses its disk, a member
-//! that is replaced for good.
+//! A model of the consensus rules for exhaustive search, with three members and a machine that may
+//! replace one of them. Two operators propose different commands for the same change, a leader
+//! crashes, a member loses its disk, and a member is replaced for good.
 //!
-//! It models the design (`docs/design/control.md`), not the code, which `safety.rs` runs in a simulator. Whatever was
-//! sent stays in a set and may arrive at any time, any number of times or never: this covers loss, duplication and
-//! reordering. Disk writes are part of the action that causes them; a crash loses only what is in memory.
+//! The model covers the design (`docs/design/control.md`), not the code, which `safety.rs` runs in
+//! a simulator. Sent messages stay in a set and may arrive at any time, any number of times or
+//! never, which covers loss, duplication and reordering. Disk writes are part of the action that
+//! causes them; a crash loses only the state in memory.
 
 mod actions;
 pub mod properties;
@@ -14,29 +15,29 @@
 use state::{Entry, Log, Member, Members, Node, NodeId, Payload, SentMessage, State};
 use std::collections::BTreeSet;
 
-/// Three initial members and one machine that may replace one.
+/// Number of machines: the initial members, and one that may replace one of them.
 const NODE_COUNT: u8 = 4;
 const INITIAL_MEMBERS: u8 = 3;
-/// The machine that comes in place of another.
-const NEWCOMER: NodeId = NODE_COUNT - 1;
+/// The machine that replaces another one.
+const REPLACEMENT: NodeId = NODE_COUNT - 1;
 /// The member that loses its disk or is replaced.
 const FAULTY: NodeId = 2;
-/// Added to the identity of a disk that was lost, for the new one.
+/// Added to the identity of a lost disk for that of the new disk.
 const NEW_IDENTITY_OFFSET: u8 = 10;
 
-/// The right rules, and deliberately wrong ones that the search has to find.
+/// The correct rules, and deliberately incorrect ones in which the search must find a violation.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    Right,
-    /// What is on the leader's own disk is committed.
-    CommitOnOneDisk,
-    /// A member that has lost its disk returns with its old identity.
-    WipedVotes,
-    /// A change of members is committed by a majority of the new members alone.
+    Correct,
+    /// Entries on the leader's own disk are committed.
+    CommitWithoutQuorum,
+    /// A member that has lost its disk restarts with its old identity.
+    ReusedIdentity,
+    /// A membership change is committed by a majority of the new members alone.
     NewMajorityAlone,
 }
 
-/// The rules, and bounds on what may happen.
+/// The rules, and bounds on the number of faults and terms.
 #[derive(Clone, Copy)]
 pub struct ConsensusModel {
     pub variant: Variant,
@@ -46,11 +47,11 @@
     pub max_term: u8,
 }
 
-/// Members as a log gives them.
+/// The configuration given by a log.
 struct Configuration {
     current: Members,
     previous: Members,
-    /// Length of the log up to and with the last membership entry; 0 for none.
+    /// Length of the log up to and including the last membership entry; 0 if there is none.
     length: usize,
 }
 
@@ -83,7 +84,8 @@
 }
 
 impl ConsensusModel {
-    /// Whether these members are a quorum for a node with this log, of which it knows so much to be committed.
+    /// Returns whether the members `present` are a quorum for a node with this log, of which it
+    /// knows the first `commit` entries to be committed.
     fn is_quorum(&self, log: &[Entry], commit: usize, present: &Members) -> bool {
         let configuration = Configuration::of(log);
         let is_joint = configuration.length > commit && self.variant != Variant::NewMajorityAlone;
@@ -91,7 +93,8 @@
             && (!is_joint || is_majority(&configuration.previous, present))
     }
 
-    /// What a leader sends to all. Its commit length matters to others only where members change.
+    /// Returns the message that a leader sends to all nodes. It contains the commit length only if
+    /// the log changes the members, since it has no effect otherwise.
     fn append_message(&self, node: &Node, leader: NodeId) -> SentMessage {
         let is_membership = |entry: &Entry| matches!(entry.payload, Payload::Membership(_));
         let changes_members = node.log.iter().any(is_membership);
@@ -103,20 +106,21 @@
         }
     }
 
-    /// The greatest length of its log that a leader may commit now.
+    /// Returns the greatest length of its log that a leader may commit now.
     fn committable_length(&self, state: &State, leader: NodeId) -> Option<usize> {
         let node = state.node(leader);
         (node.commit + 1..=node.log.len()).rev().find(|length| {
             let mut present = state.acknowledged_by(node.term, *length);
             present.insert(state.member(leader));
-            let has_quorum = self.variant == Variant::CommitOnOneDisk
+            let has_quorum = self.variant == Variant::CommitWithoutQuorum
                 || self.is_quorum(&node.log, node.commit, &present);
             node.log[length - 1].term == node.term && has_quorum
         })
     }
 
-    /// The members that a leader would change to: with a node that came back with another disk, or one that takes the
-    /// place of one that is down, if that one has all that is committed.
+    /// Returns the members of the change that a leader would propose: it adds a node that has
+    /// restarted with another disk, or the replacement for a node that is down, once the added node
+    /// has all committed entries.
     fn due_membership(&self, state: &State, leader: NodeId) -> Option<Members> {
         let node = state.node(leader);
         let configuration = Configuration::of(&node.log);
@@ -126,21 +130,21 @@
         let members = configuration.current;
         let acknowledged = state.acknowledged_by(node.term, node.commit);
         for id in 0..NODE_COUNT {
-            let newcomer = state.member(id);
+            let new_member = state.member(id);
             let may_join = state.node(id).up
                 && id != leader
-                && !members.contains(&newcomer)
-                && acknowledged.contains(&newcomer);
+                && !members.contains(&new_member)
+                && acknowledged.contains(&new_member);
             if !may_join {
                 continue;
             }
             let is_replaceable = |member: &&Member| {
-                member.node == id || (id == NEWCOMER && !state.node(member.node).up)
+                member.node == id || (id == REPLACEMENT && !state.node(member.node).up)
             };
             if let Some(replaced) = members.iter().find(is_replaceable).copied() {
                 let mut changed: BTreeSet<Member> = members.clone();
                 changed.remove(&replaced);
-                changed.insert(newcomer);
+                changed.insert(new_member);
                 return Some(changed);
             }
         }
@@ -148,7 +152,7 @@
     }
 }
 
-/// Whether a log has all of another at its beginning.
+/// Returns whether a log starts with all entries of another.
 fn starts_with(log: &Log, prefix: &[Entry]) -> bool {
     log.starts_with(prefix)
 }
--- a/crates/raft/tests/consensus_model/properties.rs
+++ b/crates/raft/tests/consensus_model/properties.rs
@@ -6,14 +6,15 @@
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
-/// Name of the property that shows that commands are committed at all.
+/// Name of the property that commands are committed at all.
 pub const COMMAND_IS_COMMITTED: &str = "a command is committed";
 
 impl Model for ConsensusModel {
     type State = State;
     type Action = Action;
 
-    /// Node 0 leads in the first term, and its first entry is on the disks of all members.
+    /// Returns the state in which node 0 leads the first term and all members have persisted its
+    /// first entry.
     fn init_states(&self) -> Vec<State> {
         let first_entry = Entry {
             term: 1,
@@ -55,13 +56,13 @@
     fn properties(&self) -> Vec<Property<ConsensusModel>> {
         vec![
             Property::always(
-                "one leader a term, one entry an index",
+                "at most one leader per term and one entry per index",
                 |_, state: &State| !state.is_violated,
             ),
-            Property::always("one content for the change", |_, state: &State| {
+            Property::always("at most one acknowledged command", |_, state: &State| {
                 state.acknowledged.len() <= 1
             }),
-            Property::always("a leader has all that is committed", |_, state: &State| {
+            Property::always("a leader has all committed entries", |_, state: &State| {
                 is_leader_complete(state)
             }),
             Property::sometimes(COMMAND_IS_COMMITTED, |_, state: &State| {
@@ -71,7 +72,8 @@
     }
 }
 
-/// Leader completeness (paper, 5.4): every leader that no later one has replaced has all that is committed.
+/// Checks leader completeness (paper, 5.4): every leader that no later leader has replaced has all
+/// committed entries.
 fn is_leader_complete(state: &State) -> bool {
     let mut leaders = state.nodes.iter().filter(|node| node.up && node.is_leader);
     leaders.all(|node| {
--- a/crates/raft/tests/consensus_model/state.rs
+++ b/crates/raft/tests/consensus_model/state.rs
@@ -1,4 +1,4 @@
-//! What the model's nodes hold, and what was ever sent and committed.
+//! The state of the model: its nodes, and all messages and entries ever sent and committed.
 
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Payload {
     NoOp,
-    /// The one change that operators make, with this operator's content.
+    /// The change that both operators propose, with the content of one operator.
     Command(u8),
     Membership(Members),
 }
@@ -34,7 +34,7 @@
     pub term: u8,
     pub voted_for: Option<NodeId>,
     pub log: Log,
-    /// How much of its log it knows to be committed.
+    /// Length of the part of its log that the node knows to be committed.
     pub commit: usize,
     pub is_leader: bool,
     pub is_candidate: bool,
@@ -53,14 +53,14 @@
         candidate: NodeId,
         voter: Member,
     },
-    /// A leader sends its whole log.
+    /// Replication of a leader's whole log.
     Append {
         term: u8,
         leader: NodeId,
         log: Log,
         commit: usize,
     },
-    /// The member has so much of the leader's log on its disk.
+    /// Acknowledgement that the member has persisted the leader's log up to `length`.
     Acknowledge {
         term: u8,
         member: Member,
@@ -72,21 +72,21 @@
 pub struct State {
     pub nodes: Vec<Node>,
     pub sent: BTreeSet<SentMessage>,
-    /// What was ever committed.
+    /// All entries that were ever committed.
     pub committed: Log,
-    /// Contents that an operator was told are committed.
+    /// Contents of commands that were acknowledged to an operator as committed.
     pub acknowledged: BTreeSet<u8>,
-    /// Each leader with its term.
+    /// Each leader that there was, with its term.
     pub leaders: BTreeSet<(u8, NodeId)>,
     pub crashes: u8,
     pub disk_losses: u8,
     pub replacements: u8,
-    /// There were two leaders in a term, or two entries were committed at an index.
+    /// Whether there were two leaders in a term, or two entries were committed at an index.
     pub is_violated: bool,
 }
 
 impl Node {
-    /// A machine with an empty disk.
+    /// Creates a node with an empty disk.
     pub fn empty(up: bool, identity: u8) -> Node {
         Node {
             up,
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Whether the last committed entry is of its present term, as a leader needs for proposals.
+    /// Returns whether the last committed entry is of the node's current term, which a leader needs
+    /// before it proposes.
     pub fn has_committed_own_term(&self) -> bool {
         let last = self.log.get(self.commit.wrapping_sub(1));
         last.is_some_and(|entry| entry.term == self.term)
@@ -120,13 +121,14 @@
         &mut self.nodes[usize::from(id)]
     }
 
-    /// The node with its present identity.
+    /// Returns the node with its current identity.
     pub fn member(&self, node: NodeId) -> Member {
         let identity = self.node(node).identity;
         Member { node, identity }
     }
 
-    /// Who has acknowledged at least so much of the log of a term's leader.
+    /// Returns the members that have acknowledged at least `min_length` entries of the log of a
+    /// term's leader.
     pub fn acknowledged_by(&self, leader_term: u8, min_length: usize) -> Members {
         let acknowledgement = |message: &SentMessage| match message {
             SentMessage::Acknowledge {
@@ -139,7 +141,7 @@
         self.sent.iter().filter_map(acknowledgement).collect()
     }
 
-    /// Who has voted for a candidate in a term.
+    /// Returns the members that have voted for a candidate in a term.
     pub fn votes_for(&self, id: NodeId, in_term: u8) -> Members {
         let vote = |message: &SentMessage| match message {
             SentMessage::Vote {
--- a/crates/raft/tests/consensus_model/transitions.rs
+++ b/crates/raft/tests/consensus_model/transitions.rs
@@ -1,11 +1,13 @@
-//! What an action does.
+//! The effects of actions.
 
 use super::actions::Action;
 use super::state::{Entry, Log, Node, NodeId, Payload, SentMessage, State};
-use super::{starts_with, Configuration, ConsensusModel, Variant, NEWCOMER, NEW_IDENTITY_OFFSET};
+use super::{
+    starts_with, Configuration, ConsensusModel, Variant, NEW_IDENTITY_OFFSET, REPLACEMENT,
+};
 
 impl ConsensusModel {
-    /// Does an action; `None` where it is not possible after all.
+    /// Performs an action. Returns `None` if it turns out to be impossible.
     pub(super) fn perform(&self, state: &mut State, action: Action) -> Option<()> {
         match action {
             Action::StartElection(id) => start_election(state, id),
@@ -59,7 +61,7 @@
     }
 
     fn lose_disk(&self, state: &mut State, id: NodeId) {
-        let identity = if self.variant == Variant::WipedVotes {
+        let identity = if self.variant == Variant::ReusedIdentity {
             id
         } else {
             id + NEW_IDENTITY_OFFSET
@@ -95,16 +97,17 @@
     state.crashes += 1;
 }
 
-/// The machine is lost for good, and the newcomer starts.
+/// Removes a machine for good, and starts its replacement.
 fn replace(state: &mut State, id: NodeId) {
     let node = state.node_mut(id);
     (node.up, node.is_leader, node.is_candidate) = (false, false, false);
     (node.log, node.term, node.voted_for) = (Vec::new(), 0, None);
-    state.node_mut(NEWCOMER).up = true;
+    state.node_mut(REPLACEMENT).up = true;
     state.replacements += 1;
 }
 
-/// Votes and acknowledgements are looked up by those who need them, and not received.
+/// Processes a message. Votes and acknowledgements are never received: candidates and leaders look
+/// them up among the sent messages.
 fn receive(state: &mut State, id: NodeId, message: SentMessage) -> Option<()> {
     match message {
         SentMessage::RequestVote {
@@ -144,8 +147,8 @@
     }
     let own_log = (node.last_log_term(), node.log.len());
     let is_member = Configuration::of(&node.log).current.contains(&member);
-    let is_free = node.voted_for.is_none() || node.voted_for == Some(candidate);
-    if is_member && is_free && !node.is_leader && candidate_log >= own_log {
+    let can_vote_for_candidate = node.voted_for.is_none() || node.voted_for == Some(candidate);
+    if is_member && can_vote_for_candidate && !node.is_leader && candidate_log >= own_log {
         node.voted_for = Some(candidate);
         state.sent.insert(SentMessage::Vote {
             term,
--- a/crates/raft/tests/log_events.rs
+++ b/crates/raft/tests/log_events.rs
@@ -1,4 +1,4 @@
-//! Lines for the log: operators search for them by event and field, so their form is fixed.
+//! Log lines: operators search for them by event and field, so their format is fixed.
 
 use maplefall_raft::*;
 
@@ -9,8 +9,9 @@
     }
 }
 
-/// A follower of three that has just committed a membership entry of its leader with this payload; what it has logged.
-fn log_of_membership_change(payload: &[u8]) -> Vec<String> {
+/// Returns the log lines of a follower in a cluster of three that has committed a membership entry
+/// with this payload.
+fn log_lines_of_membership_change(payload: &[u8]) -> Vec<String> {
     let names = ["a", "b", "c"].map(str::to_owned);
     let config = Config {
         initial_members: Some(&names),
@@ -45,10 +46,11 @@
     ready.log_lines
 }
 
-/// Guards the operators' page: a change of members gives one line for each member that comes or goes.
+/// A membership change logs one line for each added and each removed member, as the operators' page
+/// documents.
 #[test]
 fn membership_change_logs_added_and_removed_members() {
-    let lines = log_of_membership_change(b"replaces");
+    let lines = log_lines_of_membership_change(b"replaces");
     assert_eq!(
         lines,
         [
@@ -58,20 +60,21 @@
     );
 }
 
-/// Guards a fleet of two versions: the reason that an older program wrote into the log is logged as it stands there.
+/// In a cluster of mixed versions, a reason that an older version wrote into the entry is logged
+/// unchanged.
 #[test]
 fn reason_of_an_older_version_is_logged_unchanged() {
     for reason in ["first_start", "grows", "silent", "a_word_of_the_future"] {
-        let lines = log_of_membership_change(reason.as_bytes());
+        let lines = log_lines_of_membership_change(reason.as_bytes());
         assert_eq!(lines.len(), 2);
         let why = format!(" why={reason} ");
         assert!(lines.iter().all(|line| line.contains(&why)), "{lines:?}");
     }
 }
 
-/// Guards against a leader that sends entries out of order: the peer is named in the log, and nothing is appended.
+/// Entries with a gap in their indexes are not appended, and the log line contains the peer.
 #[test]
-fn entries_with_gaps_are_logged_and_rejected() {
+fn entries_with_index_gaps_are_logged_and_not_appended() {
     let names = ["a", "b", "c"].map(str::to_owned);
     let config = Config {
         initial_members: Some(&names),
--- a/crates/raft/tests/model_check.rs
+++ b/crates/raft/tests/model_check.rs
@@ -1,5 +1,5 @@
-//! Exhaustive search of a model of the consensus rules (`consensus_model`) with bounded faults, by stateright. Wrong
-//! variants of the rules have to be found.
+//! Exhaustive search of a model of the consensus rules (`consensus_model`) with bounded faults,
+//! using stateright. The search must find violations in incorrect variants of the rules.
 
 mod consensus_model;
 
@@ -7,13 +7,13 @@
 use consensus_model::{ConsensusModel, Variant};
 use stateright::{Checker, Model};
 
-/// What a search has found.
+/// The result of a search.
 struct SearchResult {
     unique_states: usize,
     has_violation: bool,
 }
 
-/// Searches all states, up to the first violation.
+/// Searches all states, until the first violation.
 fn search(model: ConsensusModel) -> SearchResult {
     let checker = model
         .checker()
@@ -40,7 +40,7 @@
 }
 
 const ONE_CRASH: ConsensusModel = ConsensusModel {
-    variant: Variant::Right,
+    variant: Variant::Correct,
     max_crashes: 1,
     max_disk_losses: 0,
     max_replacements: 0,
@@ -59,7 +59,7 @@
     ..ONE_CRASH
 };
 
-/// Guards the design: no order of actions violates a property within these bounds.
+/// No order of actions within these bounds violates a property of the design.
 #[test]
 fn no_order_of_actions_violates_a_property() {
     for model in [ONE_CRASH, ONE_DISK_LOSS, ONE_REPLACEMENT] {
@@ -69,23 +69,31 @@
         } = search(model);
         assert!(
             !has_violation && unique_states > 1000,
-            "{unique_states} states"
+            "violation: {has_violation}, {unique_states} unique states"
         );
     }
 }
 
-fn assert_found(variant: Variant, model: ConsensusModel, description: &str) {
+fn assert_violation_found(variant: Variant, model: ConsensusModel, description: &str) {
     let result = search(ConsensusModel { variant, ..model });
-    assert!(result.has_violation, "{description} is not found");
+    assert!(result.has_violation, "no violation found for {description}");
 }
 
-/// Guards the search: it finds a violation with each wrong variant of the rules.
+/// The search finds a violation in each incorrect variant of the rules.
 #[test]
-fn wrong_variants_are_found() {
-    let variant = Variant::CommitOnOneDisk;
-    assert_found(variant, ONE_CRASH, "commitment by one disk");
-    let variant = Variant::WipedVotes;
-    assert_found(variant, ONE_DISK_LOSS, "a wiped member that votes");
+fn violations_of_incorrect_variants_are_found() {
+    let variant = Variant::CommitWithoutQuorum;
+    assert_violation_found(variant, ONE_CRASH, "commitment without a quorum");
+    let variant = Variant::ReusedIdentity;
+    assert_violation_found(
+        variant,
+        ONE_DISK_LOSS,
+        "a member that votes with its old identity after losing its disk",
+    );
     let variant = Variant::NewMajorityAlone;
-    assert_found(variant, ONE_REPLACEMENT, "a new majority alone");
+    assert_violation_found(
+        variant,
+        ONE_REPLACEMENT,
+        "membership changes committed by a majority of the new members alone",
+    );
 }
--- a/crates/raft/tests/quorum_contact.rs
+++ b/crates/raft/tests/quorum_contact.rs
@@ -1,21 +1,22 @@
-//! Quorum contact is proven, never assumed: a node that was frozen, partitioned off or deposed, or that lags, knows it.
-//! Seeds are printed; what is checked after each input is in `simulator/checks.rs`.
+//! Quorum contact is proven, never assumed: a node that was frozen, partitioned off or deposed, or
+//! that lags, does not report it. Seeds are printed; the checks after each input are in
+//! `simulator/checks.rs`.
 
 mod simulator;
 
 use simulator::scenarios::assert_recovers;
 use simulator::{Cluster, Direction, Variant, QUORUM_CONTACT_TIMEOUT};
 
-/// Five members for each `every`-th seed, otherwise three.
+/// Creates a cluster of five members for each `every`-th seed, otherwise of three.
 fn cluster_of_three_or_five(seed: u64, every: u64) -> Cluster {
     let size = if seed % every == 0 { 5 } else { 3 };
-    Cluster::new(seed, size, Variant::Right)
+    Cluster::new(seed, size, Variant::Correct)
 }
 
-/// Guards against a leader that resumes with old responses in its sockets: its first input of any kind ends its
-/// leadership, and none of those responses restores it or proves contact.
+/// A leader that resumes with old responses in its sockets steps down at its first input of any
+/// kind. None of these responses restores its leadership or proves contact.
 #[test]
-fn frozen_leader_steps_down_before_it_reads_old_responses() {
+fn frozen_leader_steps_down_before_it_processes_old_responses() {
     let mut reads = 0;
     for seed in 0..60 {
         println!("seed {seed}");
@@ -23,16 +24,16 @@
         cluster.proposal_rate = 0.05;
         cluster.run(1500.0);
         for _ in 0..6 {
-            let name = if cluster.chance(0.7) {
+            let name = if cluster.random_bool(0.7) {
                 cluster.leader().unwrap_or_default()
             } else {
-                cluster.any_name()
+                cluster.random_name()
             };
             if name.is_empty() {
                 cluster.run(500.0);
                 continue;
             }
-            // Some of what it asks is answered while it is frozen.
+            // Some of these requests receive responses while the node is frozen.
             cluster.read(&name);
             cluster.propose(&name);
             let before = f64::from(cluster.draw(4));
@@ -49,9 +50,9 @@
     assert!(reads > 500, "only {reads} reads were confirmed");
 }
 
-/// Guards against counting from when a response is read: a leader freezes for less than a second, is partitioned off
-/// meanwhile, and finds earlier responses in its sockets. They prove contact at the time of the request, so it has none
-/// a second after the partition.
+/// Contact is dated to the request, not to the time at which the response is read: a leader freezes
+/// for less than a second, is partitioned off meanwhile, and reads earlier responses when it
+/// resumes. It must report no contact a second after the partition.
 #[test]
 fn responses_read_late_prove_no_later_contact() {
     for seed in 0..60 {
@@ -74,8 +75,8 @@
     }
 }
 
-/// Guards partitions of twenty seconds: a node that is cut off, in both directions or one, reports no contact after a
-/// second, confirms nothing, and has contact again soon after the partition.
+/// A node that is partitioned off for twenty seconds, in one or both directions, reports no contact
+/// after a second, confirms no reads, and regains contact soon after the partition.
 #[test]
 fn partitioned_node_loses_contact_within_a_second_and_regains_it() {
     let mut durations: Vec<f64> = Vec::new();
@@ -86,16 +87,16 @@
         let name = if seed % 2 == 0 {
             cluster.leader().unwrap_or_default()
         } else {
-            cluster.any_name()
+            cluster.random_name()
         };
         let directions = [Direction::Both, Direction::Outgoing, Direction::Incoming];
         cluster.partition(&name, directions[seed as usize % 3]);
         let acknowledged = cluster.acknowledged.len();
-        // Contact is checked after each input of this time.
+        // Contact is checked after each input during this time.
         cluster.run(20_000.0);
         assert!(
             cluster.acknowledged.len() > acknowledged,
-            "seed {seed}: the others do not go on"
+            "seed {seed}: the other members acknowledge no commands"
         );
         cluster.heal_partitions();
         let start = cluster.now;
@@ -108,21 +109,21 @@
     durations.sort_by(f64::total_cmp);
     let median = durations[durations.len() / 2];
     let max = durations[durations.len() - 1];
-    println!("contact again after a partition: median {median:.0} ms, max {max:.0} ms");
-    assert!(max < 3000.0, "contact again only after {max} ms");
+    println!("contact regained after a partition: median {median:.0} ms, max {max:.0} ms");
+    assert!(max < 3000.0, "contact regained only after {max} ms");
 }
 
-/// Guards against a lagging node that passes on what it has: long entries come in several messages, and until the last
-/// of them it reports no contact, which is checked after each input.
+/// A lagging node reports no contact until it has caught up: large entries arrive in several
+/// messages, and contact is checked after the input of each.
 #[test]
 fn lagging_node_has_no_quorum_contact() {
     for seed in 0..6 {
         println!("seed {seed}");
-        let mut cluster = Cluster::new(seed, 3, Variant::Right);
+        let mut cluster = Cluster::new(seed, 3, Variant::Correct);
         cluster.payload_bytes = 400 << 10;
         cluster.run(1500.0);
         for _ in 0..2 {
-            let name = cluster.any_name();
+            let name = cluster.random_name();
             cluster.partition(&name, Direction::Both);
             cluster.run(2000.0);
             cluster.heal_partitions();
@@ -136,13 +137,13 @@
     }
 }
 
-/// Guards against false alarms: without faults, with or without proposals, every node has contact all the time and the
-/// leader stays.
+/// Without faults, with or without proposals, every node has contact all the time and the leader
+/// does not change.
 #[test]
 fn contact_and_leader_are_stable_without_faults() {
-    let mut oldest: f64 = 0.0;
+    let mut max_contact_age: f64 = 0.0;
     for (seed, rate) in [(1, 0.0), (2, 0.001), (3, 0.01), (4, 0.1), (5, 0.5)] {
-        let mut cluster = Cluster::new(seed, 5, Variant::Right);
+        let mut cluster = Cluster::new(seed, 5, Variant::Correct);
         (cluster.loss_rate, cluster.proposal_rate) = (0.0, rate);
         cluster.run(3000.0);
         let leader = cluster.leader();
@@ -150,7 +151,8 @@
             cluster.run(1.0);
             for (name, node) in &cluster.nodes {
                 let raft = node.raft.as_ref().expect("a running node");
-                oldest = oldest.max(cluster.now - raft.last_quorum_contact(cluster.now));
+                max_contact_age =
+                    max_contact_age.max(cluster.now - raft.last_quorum_contact(cluster.now));
                 assert!(
                     raft.has_quorum_contact(cluster.now),
                     "rate {rate}: {name} has no quorum contact at {}",
@@ -161,6 +163,6 @@
         assert_eq!(cluster.leader(), leader, "rate {rate}: the leader changed");
     }
     println!(
-        "the oldest contact without faults: {oldest:.0} ms ago, where one message in fifty is 300 ms late"
+        "maximum age of the last contact without faults: {max_contact_age:.0} ms, with one message in fifty delayed by 300 ms"
     );
 }
--- a/crates/raft/tests/safety.rs
+++ b/crates/raft/tests/safety.rs
@@ -1,44 +1,45 @@
-//! Safety under any mix of faults: what is committed is never lost nor replaced, and every node's disk has what the
-//! node has acknowledged. What is checked after each input is in `simulator/checks.rs`. Seeds are printed; the same
-//! seed gives the same run.
+//! Safety under any mix of faults: committed entries are never lost or replaced, and every node's
+//! disk has the entries that the node has acknowledged. The checks after each input are in
+//! `simulator/checks.rs`. Seeds are printed; the same seed gives the same run.
 
 mod simulator;
 
 use simulator::scenarios::run_with_faults;
 use simulator::{Cluster, Variant};
 
-/// Guards acknowledged commands against any mix of losses that the deployments allow at once.
+/// Acknowledged commands survive any mix of simultaneous failures that the deployments allow.
 #[test]
 fn committed_entries_are_never_lost_or_replaced() {
     for seed in 0..150 {
         println!("seed {seed}");
-        run_with_faults(seed, if seed % 4 == 0 { 5 } else { 3 }, Variant::Right);
+        run_with_faults(seed, if seed % 4 == 0 { 5 } else { 3 }, Variant::Correct);
     }
 }
 
-/// The same with seven members, three of which may be lost at once.
+/// Acknowledged commands survive with seven members, three of which may fail at the same time.
 #[test]
 fn committed_entries_of_seven_members_are_never_lost_or_replaced() {
     for seed in 1000..1030 {
         println!("seed {seed}");
-        run_with_faults(seed, 7, Variant::Right);
+        run_with_faults(seed, 7, Variant::Correct);
     }
 }
 
-/// Guards the next loss after a repair: a member that was readmitted has on its disk what it has acknowledged.
+/// A member that was re-added after a disk loss has persisted the entries that it has acknowledged,
+/// so that the next failure loses none.
 #[test]
-fn acknowledged_entries_of_a_readmitted_member_survive_power_loss() {
+fn acknowledged_entries_of_a_readded_member_survive_power_loss() {
     for seed in 0..40 {
         println!("seed {seed}");
-        let mut cluster = Cluster::new(seed, 3, Variant::Right);
+        let mut cluster = Cluster::new(seed, 3, Variant::Correct);
         cluster.run(2500.0);
         for _ in 0..6 {
-            cluster.lose_readmitted_member();
+            cluster.fail_readded_member();
         }
     }
 }
 
-/// In how many of 100 runs the checks find a violation.
+/// Returns the number of runs, out of 100, in which the checks find a violation.
 fn violations(variant: Variant) -> usize {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
@@ -50,15 +51,18 @@
     violations
 }
 
-/// Guards the simulator: it detects a node that votes again after it has lost its votes, writes that count before they
-/// are synced, and a change of members that the new ones alone commit.
+/// The simulator detects a node that votes again after it has lost its votes, writes that count
+/// before they are synced, and a membership change that the new members alone commit.
 #[test]
-fn wrong_variants_are_detected() {
+fn violations_of_incorrect_variants_are_detected() {
     for variant in [
-        Variant::WipedVotes,
-        Variant::Unsynced,
+        Variant::ReusedIdentity,
+        Variant::UnsyncedWrites,
         Variant::NewMajorityAlone,
     ] {
-        assert!(violations(variant) > 0, "{variant:?} is not detected");
+        assert!(
+            violations(variant) > 0,
+            "no violation detected with {variant:?}"
+        );
     }
 }
--- a/crates/raft/tests/simulator/checks.rs
+++ b/crates/raft/tests/simulator/checks.rs
@@ -1,6 +1,6 @@
-//! What is checked after every input. A violation panics with the node's name.
+//! The checks after every input. A violation panics with the node's name.
 
-use super::node::DiskClaim;
+use super::node::Acknowledgement;
 use super::{Cluster, QUORUM_CONTACT_TIMEOUT};
 use maplefall_raft::{AppendEntriesResponse, Message, MessageBody, Raft, RequestVoteResponse};
 
@@ -13,7 +13,7 @@
         self.check_contact(name);
     }
 
-    /// Election safety (paper, 5.2).
+    /// Checks election safety (paper, 5.2).
     pub(super) fn check_one_leader_per_term(&mut self, name: &str) {
         let node = &self.nodes[name];
         let Some(raft) = node.raft.as_ref().filter(|raft| raft.is_leader()) else {
@@ -23,18 +23,19 @@
             .leaders
             .entry(raft.term())
             .or_insert_with(|| name.to_owned());
-        assert_eq!(leader, name, "two lead in term {}", raft.term());
+        assert_eq!(leader, name, "two leaders in term {}", raft.term());
     }
 
-    /// What a message claims of its sender's disk is on it: a restart would read it.
-    pub(super) fn check_claims(&mut self, name: &str, to: &str, message: &Message) {
+    /// Checks that the state that a message implies is on the sender's disk, so that a restart
+    /// would read it.
+    pub(super) fn check_message_is_persisted(&mut self, name: &str, to: &str, message: &Message) {
         let Some(node) = self.nodes.get(name).filter(|node| node.raft.is_some()) else {
             return;
         };
         assert_eq!(
             node.disk.identity,
             Some(message.identity),
-            "{name} sends an identity that a restart would not know"
+            "{name} sends an identity that is not on its disk"
         );
         match &message.body {
             Some(MessageBody::AppendEntriesResponse(response)) if response.success => {
@@ -60,26 +61,26 @@
         let match_index = response.match_index;
         assert!(
             match_index <= node.disk.last_index(),
-            "{name} acknowledges {match_index}, and a restart has less"
+            "{name} acknowledges entry {match_index}, which is not on its disk"
         );
         for index in node.disk.snapshot.index..=match_index {
             let (on_disk, in_memory) = (node.disk.term_at(index), memory.term_at(index));
             let is_compacted = index < memory.snapshot.index;
             assert!(
                 is_compacted || on_disk == in_memory,
-                "{name} has {in_memory:?} at {index}, a restart {on_disk:?}"
+                "{name} has term {in_memory:?} at {index} in memory and {on_disk:?} on disk"
             );
         }
-        let claim = DiskClaim {
+        let acknowledgement = Acknowledgement {
             index: match_index,
             entry_term: node.disk.term_at(match_index).unwrap_or(0),
             message_term,
         };
-        let is_latest = node.last_claim.is_none_or(|last| {
-            (last.message_term, last.index) <= (claim.message_term, claim.index)
+        let is_latest = node.last_acknowledgement.is_none_or(|last| {
+            (last.message_term, last.index) <= (acknowledgement.message_term, acknowledgement.index)
         });
         if is_latest {
-            node.last_claim = Some(claim);
+            node.last_acknowledgement = Some(acknowledgement);
         }
     }
 
@@ -89,37 +90,38 @@
             || (disk.term == vote.requested_term && disk.voted_for == to);
         assert!(
             is_on_disk,
-            "{name} votes for {to} in {}, and a restart would not know",
+            "{name} votes for {to} in term {}, and the vote is not on its disk",
             vote.requested_term
         );
     }
 
-    /// Memory is what all updates amount to, and the disk still has what the node has acknowledged.
+    /// Checks that the state in memory results from all updates, and that the disk still has the
+    /// entries that the node has acknowledged.
     fn check_state(&self, name: &str) {
         let node = &self.nodes[name];
         if let Some(raft) = &node.raft {
             assert!(
                 *raft.persistent_state() == node.written,
-                "{name} has another state in memory than a restart would read"
+                "{name}: the state in memory differs from the one that a restart would read"
             );
         }
-        if let Some(claim) = node.last_claim {
-            let DiskClaim {
+        if let Some(acknowledgement) = node.last_acknowledgement {
+            let Acknowledgement {
                 index, entry_term, ..
-            } = claim;
+            } = acknowledgement;
             let disk = &node.disk;
-            let is_kept = index < disk.snapshot.index
+            let is_persisted = index < disk.snapshot.index
                 || disk.term_at(index) == Some(entry_term)
-                || disk.term > claim.message_term;
+                || disk.term > acknowledgement.message_term;
             assert!(
-                is_kept,
-                "{name} has acknowledged {index} of term {entry_term}, and a restart lacks it"
+                is_persisted,
+                "{name} has acknowledged entry {index} of term {entry_term}, which is not on its disk"
             );
         }
     }
 
-    /// A node that reports quorum contact at a time has applied all that was committed by then; one that is cut off
-    /// altogether reports none a second later.
+    /// Checks that a node that reports quorum contact at a time has committed all entries that were
+    /// committed by then, and that a node that was partitioned off a second ago reports no contact.
     fn check_contact(&self, name: &str) {
         let node = &self.nodes[name];
         let Some(raft) = &node.raft else { return };
@@ -127,7 +129,7 @@
         let missing = self.first_missing(raft.commit_index(), contact);
         assert!(
             missing.is_none(),
-            "{name} lacks {missing:?}, and reports quorum contact at {contact}"
+            "{name} reports quorum contact at {contact} and lacks entry {missing:?}"
         );
         if !raft.has_quorum_contact(self.now) {
             return;
@@ -135,7 +137,7 @@
         let missing = self.first_missing(raft.commit_index(), self.now - QUORUM_CONTACT_TIMEOUT);
         assert!(
             missing.is_none(),
-            "{name} has quorum contact at {} and lacks {missing:?}",
+            "{name} has quorum contact at {} and lacks entry {missing:?}",
             self.now
         );
         let is_partitioned = node
@@ -143,22 +145,24 @@
             .is_some_and(|partition| self.now - partition.since >= QUORUM_CONTACT_TIMEOUT);
         assert!(
             !is_partitioned,
-            "{name} was cut off for a second and reports quorum contact"
+            "{name} was partitioned off for a second and reports quorum contact"
         );
     }
 
-    /// The first entry after `commit` if it was committed before `time`, with its index and time.
+    /// Returns index and commit time of the first entry after `commit`, if it was committed before
+    /// `time`.
     fn first_missing(&self, commit: u64, time: f64) -> Option<(u64, f64)> {
         let (index, known) = self.committed.range(commit + 1..).next()?;
-        (known.at < time).then_some((*index, known.at))
+        (known.committed_at < time).then_some((*index, known.committed_at))
     }
 
-    /// A node that was frozen for a second neither leads nor reports quorum contact, whatever waited in its sockets.
-    pub(super) fn check_knows_nothing_of_now(&self, name: &str) {
+    /// Checks that a node that was frozen for a second neither leads nor reports quorum contact,
+    /// whatever messages waited in its sockets.
+    pub(super) fn check_has_no_contact(&self, name: &str) {
         let Some(raft) = &self.nodes[name].raft else {
             return;
         };
-        assert!(!raft.is_leader(), "{name} resumes and leads");
+        assert!(!raft.is_leader(), "{name} resumes and is still leader");
         assert!(
             !raft.has_quorum_contact(self.now),
             "{name} resumes and reports quorum contact"
--- a/crates/raft/tests/simulator/cluster.rs
+++ b/crates/raft/tests/simulator/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster: machines, time, and inputs to the nodes.
+//! The cluster: its machines, the passing of time, and the inputs to the nodes.
 
 use super::node::{Node, Shutdown};
 use super::{AfterShutdown, CrashKind, Variant, MAX_SHUTDOWN_DURATION};
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A planned stop takes at least this long, in milliseconds.
+/// Minimum duration of a graceful shutdown, in milliseconds.
 const MIN_SHUTDOWN_DURATION: f64 = 400.0;
 /// Milliseconds between ticks of a node.
 const TICK_INTERVAL: u64 = 100;
@@ -18,22 +18,22 @@
     pub rng: Pcg32,
     /// Milliseconds since the start.
     pub now: f64,
-    /// All machines that run or will run again.
+    /// Names of all machines that run or will run again.
     pub names: Vec<String>,
     initial_names: Vec<String>,
-    /// How many machines may be lost at once.
+    /// Number of machines that may be lost at the same time.
     pub max_failures: usize,
     pub nodes: BTreeMap<String, Node>,
     pub in_flight: Vec<InFlight>,
-    /// Links that are cut, by sender and receiver.
+    /// Blocked links, as pairs of sender and receiver.
     pub blocked_links: BTreeSet<(String, String)>,
     /// Probability that a message is lost.
     pub loss_rate: f64,
-    /// What was ever committed, by index.
+    /// All entries that were ever committed, by index.
     pub committed: BTreeMap<u64, CommittedEntry>,
     /// The established leader of each term.
     pub leaders: BTreeMap<u64, String>,
-    /// Commands that a leader has told a caller are committed.
+    /// Indexes of the commands that a leader has acknowledged to a caller as committed.
     pub acknowledged: BTreeSet<u64>,
     pub last_proposal: u64,
     pub variant: Variant,
@@ -42,22 +42,22 @@
     pub payload_bytes: usize,
     /// Bytes of the encoded state for each entry in it.
     pub state_bytes_per_entry: usize,
-    /// Probability that a chunk of a snapshot is corrupted on its way.
+    /// Probability that a snapshot chunk is corrupted by the network.
     pub corruption_rate: f64,
-    /// Inputs between two checks of a node's state, which are slow for long logs.
+    /// Number of inputs between two checks of a node's state, which are slow for long logs.
     pub check_interval: u64,
     pub inputs: u64,
     pub compactions: u64,
-    /// What was sent to each node.
+    /// Traffic that was sent to each node.
     pub traffic: BTreeMap<String, Traffic>,
     pub messages_sent: u64,
     pub confirmed_reads: u64,
-    /// Log lines of all nodes, each after its time and node.
+    /// Log lines of all nodes, each prefixed with its time and node.
     pub log_lines: Vec<String>,
     machines_added: u64,
 }
 
-/// A message on its way.
+/// A message that the network has not delivered yet.
 pub struct InFlight {
     pub arrives_at: f64,
     pub from: String,
@@ -65,14 +65,14 @@
     pub message: Message,
 }
 
-/// An entry that some node was told is committed, and when the first one was.
+/// An entry that some node has committed, and the time of its first commit.
 #[derive(Debug)]
 pub struct CommittedEntry {
     pub entry: Entry,
-    pub at: f64,
+    pub committed_at: f64,
 }
 
-/// Messages and bytes of entries and snapshots.
+/// Number of messages, and bytes of entries and snapshots in them.
 #[derive(Clone, Copy, Default)]
 pub struct Traffic {
     pub messages: u64,
@@ -80,7 +80,7 @@
 }
 
 impl Cluster {
-    /// A cluster of so many initial members, all of them started.
+    /// Creates a cluster of `size` initial members and starts them.
     pub fn new(seed: u64, size: usize, variant: Variant) -> Cluster {
         let names: Vec<String> = (1..=size).map(|n| format!("10.0.0.{n}")).collect();
         let mut cluster = Cluster {
@@ -119,18 +119,18 @@
 
     // ---- Random draws -------------------------------------------------------------------------------
 
-    /// A number below `bound`.
+    /// Returns a random number below `bound`.
     pub fn draw(&mut self, bound: u32) -> u32 {
         self.rng.next_u32() % bound
     }
 
-    /// True with this probability.
-    pub fn chance(&mut self, probability: f64) -> bool {
+    /// Returns true with this probability.
+    pub fn random_bool(&mut self, probability: f64) -> bool {
         f64::from(self.rng.next_u32()) / 4_294_967_296.0 < probability
     }
 
-    /// The name of any machine.
-    pub fn any_name(&mut self) -> String {
+    /// Returns the name of a random machine.
+    pub fn random_name(&mut self) -> String {
         self.names[self.rng.next_u32() as usize % self.names.len()].clone()
     }
 
@@ -160,7 +160,7 @@
             return;
         };
         node.reset_process();
-        if variant == Variant::WipedVotes && node.disk.is_empty() {
+        if variant == Variant::ReusedIdentity && node.disk.is_empty() {
             node.is_initial = true;
         }
         let config = Config {
@@ -178,7 +178,7 @@
 
     // ---- Time ---------------------------------------------------------------------------------------
 
-    /// Runs the cluster for so many milliseconds, in steps of one.
+    /// Runs the cluster for `duration` milliseconds, in steps of one.
     pub fn run(&mut self, duration: f64) {
         let end = self.now + duration;
         while self.now < end {
@@ -187,12 +187,12 @@
                 self.run_node(&name);
             }
             self.deliver();
-            if self.chance(self.proposal_rate) {
-                let name = self.any_name();
+            if self.random_bool(self.proposal_rate) {
+                let name = self.random_name();
                 self.propose(&name);
             }
-            if self.chance(READ_RATE) {
-                let name = self.any_name();
+            if self.random_bool(READ_RATE) {
+                let name = self.random_name();
                 self.read(&name);
             }
         }
@@ -214,7 +214,8 @@
         }
     }
 
-    /// Stops a machine that shuts down once its node was released, or for too long; returns whether it has.
+    /// Stops a machine that is shutting down once its node was released or the time limit has
+    /// passed. Returns whether the machine has stopped.
     fn finish_shutdown(&mut self, name: &str) -> bool {
         let node = &self.nodes[name];
         let Some(Shutdown { since, after }) = node.shutdown else {
--- a/crates/raft/tests/simulator/effects.rs
+++ b/crates/raft/tests/simulator/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what a node asks for: writes, messages, and what it tells its application.
+//! Execution of a node's actions: its writes, messages, commits and confirmed reads.
 
 use super::cluster::CommittedEntry;
 use super::node::PendingWrite;
@@ -6,7 +6,7 @@
 use maplefall_raft::{Entry, EntryKind, PersistentUpdate, Raft, Ready, Snapshot};
 
 impl Cluster {
-    /// Carries out what an input has led to, and checks the node afterwards.
+    /// Carries out the actions that result from an input, and checks the node afterwards.
     pub(super) fn process_ready(&mut self, name: &str, ready: Ready) {
         let now = self.now;
         let lines = ready.log_lines.iter();
@@ -27,7 +27,7 @@
             self.commit(name, entry);
         }
         for id in ready.confirmed_reads {
-            self.answer_read(name, id);
+            self.complete_read(name, id);
         }
         if ready.stepped_down {
             self.node_mut(name).pending_reads.clear();
@@ -39,7 +39,7 @@
             self.compact(name);
         }
         self.check_one_leader_per_term(name);
-        if let Some(number) = last_write.filter(|_| self.variant == Variant::Unsynced) {
+        if let Some(number) = last_write.filter(|_| self.variant == Variant::UnsyncedWrites) {
             self.input(name, |raft, now, ready| raft.persisted(now, number, ready));
         }
     }
@@ -60,18 +60,20 @@
         });
     }
 
-    /// The state must be what the model has at that index; what is in it was committed before.
+    /// Checks that the installed state is the model's state at that index, and records the entries
+    /// that it covers as committed on the node.
     fn install_snapshot(&mut self, name: &str, snapshot: &Snapshot) {
         assert!(
             self.state_at(snapshot.index) == snapshot.state,
-            "{name} has installed a state that nobody encoded"
+            "{name} has installed a state that no node encoded"
         );
         let committed = self.committed.range(..=snapshot.index);
         let entries = committed.map(|(_, known)| known.entry.clone()).collect();
         self.node_mut(name).committed = entries;
     }
 
-    /// State machine safety (paper, 5.4.3): no two nodes commit different entries at an index.
+    /// Commits an entry on a node, and checks state machine safety (paper, 5.4.3): no two nodes
+    /// commit different entries at an index.
     fn commit(&mut self, name: &str, entry: Entry) {
         let now = self.now;
         let known = self
@@ -79,11 +81,11 @@
             .entry(entry.index)
             .or_insert_with(|| CommittedEntry {
                 entry: entry.clone(),
-                at: now,
+                committed_at: now,
             });
         assert_eq!(
             known.entry, entry,
-            "{name} commits another entry at {}",
+            "{name} commits a different entry at {}",
             entry.index
         );
         let (index, kind) = (entry.index, entry.kind());
@@ -93,16 +95,17 @@
         }
     }
 
-    /// A read sees all that was acknowledged before it was asked.
-    fn answer_read(&mut self, name: &str, id: u64) {
+    /// Checks that a confirmed read sees all commands that were acknowledged before the read was
+    /// requested.
+    fn complete_read(&mut self, name: &str, id: u64) {
         let node = self.node_mut(name);
-        let Some(floor) = node.pending_reads.remove(&id) else {
+        let Some(min_index) = node.pending_reads.remove(&id) else {
             return;
         };
         let commit = node.commit_index();
         assert!(
-            commit >= floor,
-            "{name} reads at {commit}, and {floor} was acknowledged before it was asked"
+            commit >= min_index,
+            "{name} reads at {commit}, but {min_index} was acknowledged before the read was requested"
         );
         self.confirmed_reads += 1;
     }
--- a/crates/raft/tests/simulator/faults.rs
+++ b/crates/raft/tests/simulator/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of single machines: crashes, lost disks, partitions, freezes, planned stops and removals.
+//! Faults of single machines: crashes, lost disks, partitions, freezes, graceful shutdowns and
+//! removals.
 
 use super::node::{Partition, Shutdown};
 use super::{AfterShutdown, Cluster, QUORUM_CONTACT_TIMEOUT};
@@ -7,15 +8,15 @@
 /// How a process ends.
 #[derive(Clone, Copy, PartialEq)]
 pub enum CrashKind {
-    /// The operating system still writes what the process wrote.
+    /// The operating system still syncs the writes of the process.
     ProcessExit,
-    /// What was not synced is lost, all of it or from some write on.
+    /// Unsynced writes are lost, either all of them or those from some write on.
     PowerLoss,
     /// Power and disk are lost.
     DiskLoss,
 }
 
-/// Which messages of a machine a partition stops.
+/// The messages of a machine that a partition blocks.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Direction {
     Both,
@@ -34,41 +35,41 @@
 }
 
 impl Cluster {
-    /// The process ends, and starts again after `down` milliseconds.
+    /// Ends the process, which restarts after `down` milliseconds.
     pub fn crash(&mut self, name: &str, kind: CrashKind, down: f64) {
-        let torn = self.draw(3);
+        let surviving_writes = self.draw(3);
         let now = self.now;
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
         node.raft = None;
         node.down_until = now + down;
-        // A machine that is to be removed is removed all the same.
+        // A machine that shuts down to be removed is still removed.
         node.shutdown = node
             .shutdown
             .filter(|shutdown| shutdown.after == AfterShutdown::Remove);
-        let written = match kind {
+        let applied_writes = match kind {
             CrashKind::ProcessExit => usize::MAX,
-            _ if torn < 2 => torn as usize,
+            _ if surviving_writes < 2 => surviving_writes as usize,
             _ => 0,
         };
-        for write in node.pending_writes.drain(..).take(written) {
+        for write in node.pending_writes.drain(..).take(applied_writes) {
             node.disk.apply(write.update);
         }
         if kind == CrashKind::DiskLoss {
             node.disk = PersistentState::default();
-            node.last_claim = None;
+            node.last_acknowledgement = None;
         }
     }
 
-    /// A machine is lost for good.
+    /// Removes a machine for good.
     pub fn remove_machine(&mut self, name: &str) {
         self.crash(name, CrashKind::DiskLoss, f64::INFINITY);
         self.names.retain(|other| other != name);
         self.nodes.remove(name);
     }
 
-    /// A planned stop begins.
+    /// Begins a graceful shutdown.
     pub fn shut_down(&mut self, name: &str, after: AfterShutdown) {
         let since = self.now;
         self.input(name, |raft, now, ready| raft.shut_down(now, ready));
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The process does not run for so many milliseconds; messages wait in its sockets.
+    /// Stops the process from running for `duration` milliseconds; messages wait in its sockets.
     pub fn freeze(&mut self, name: &str, duration: f64) {
         let now = self.now;
         if let Some(node) = self.nodes.get_mut(name) {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// No write of this machine reaches the disk for so many milliseconds.
+    /// Delays all writes of a machine to its disk for `duration` milliseconds.
     pub fn stall_disk(&mut self, name: &str, duration: f64) {
         let until = self.now + duration;
         if let Some(node) = self.nodes.get_mut(name) {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Cuts a machine off from all others.
+    /// Partitions a machine off from all others.
     pub fn partition(&mut self, name: &str, direction: Direction) {
         for peer in self.names.clone() {
             if peer == name {
@@ -112,7 +113,8 @@
         }
     }
 
-    /// A node that was frozen finds the messages of the meantime and gets other inputs, in any order.
+    /// Resumes a node whose freeze has ended: it receives the messages that arrived meanwhile and
+    /// other inputs, in random order.
     pub(super) fn resume_if_frozen(&mut self, name: &str) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(name) else {
@@ -140,11 +142,11 @@
                 raft.step(now, &from, message, ready);
             });
             if was_long {
-                self.check_knows_nothing_of_now(name);
+                self.check_has_no_contact(name);
             }
         }
         if was_long {
-            self.check_knows_nothing_of_now(name);
+            self.check_has_no_contact(name);
         }
     }
 }
--- a/crates/raft/tests/simulator/health.rs
+++ b/crates/raft/tests/simulator/health.rs
@@ -1,4 +1,4 @@
-//! Questions about the cluster as a whole, and running it until one is answered.
+//! Queries about the whole cluster, and runs until a condition holds.
 
 use super::node::Node;
 use super::{AfterShutdown, Cluster};
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl Cluster {
-    /// The established leader of the highest term.
+    /// Returns the established leader of the highest term.
     pub fn leader(&self) -> Option<String> {
         let leaders = self
             .names
@@ -17,8 +17,8 @@
             .cloned()
     }
 
-    /// The first machine that does not lead.
-    pub fn any_follower(&self) -> Option<String> {
+    /// Returns the first machine that is not the leader.
+    pub fn first_follower(&self) -> Option<String> {
         let leader = self.leader();
         let mut names = self.names.iter();
         names.find(|name| Some(*name) != leader.as_ref()).cloned()
@@ -29,26 +29,26 @@
         raft.is_some_and(|raft| raft.has_quorum_contact(self.now))
     }
 
-    /// Index of the last entry that is committed anywhere; 0 for none.
+    /// Returns the index of the last entry that any node has committed; 0 if there is none.
     pub fn last_committed(&self) -> u64 {
         self.committed.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Whether there is a leader, every node knows that exactly the machines that run are the members, and none is to
-    /// be removed.
+    /// Returns whether there is a leader, the configuration of every node contains exactly the
+    /// running machines, and no machine is shutting down to be removed.
     pub fn is_healthy(&self) -> bool {
         let all: BTreeSet<String> = self.names.iter().cloned().collect();
-        let is_settled = |node: &Node| {
-            let is_leaving = node
+        let is_converged = |node: &Node| {
+            let is_being_removed = node
                 .shutdown
                 .is_some_and(|shutdown| shutdown.after == AfterShutdown::Remove);
             let raft = node.raft.as_ref();
-            !is_leaving
+            !is_being_removed
                 && raft.is_some_and(|raft| {
                     raft.is_voter() && !raft.in_joint_configuration() && *raft.voters() == all
                 })
         };
-        self.leader().is_some() && self.nodes.values().all(is_settled)
+        self.leader().is_some() && self.nodes.values().all(is_converged)
     }
 
     pub fn run_until_healthy(&mut self, max_duration: f64) -> bool {
@@ -59,7 +59,8 @@
         self.is_healthy()
     }
 
-    /// Proposes to all nodes and runs until one of the commands has just been acknowledged, 40 ms at most.
+    /// Proposes a command to every node and runs until one of them is acknowledged, for 40 ms at
+    /// most.
     pub fn run_until_acknowledged(&mut self) {
         let before = self.acknowledged.len();
         for name in self.names.clone() {
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Whether after any loss of `max_failures` members the others could go on with all that is committed, by what is
-    /// on their disks.
+    /// Returns whether, after any loss of `max_failures` members, the others could elect a leader
+    /// that has all committed entries, judging by their disks.
     pub fn tolerates_next_failure(&self) -> bool {
         let running: Vec<&String> = self
             .names
@@ -86,7 +87,7 @@
         let Some(members) = leader.map(Raft::voters) else {
             return false;
         };
-        // Each loss is a set of positions in `running`, as bits.
+        // Each loss is a bit set of positions in `running`.
         let is_lost = |loss: u32, position: usize| loss >> position & 1 == 1;
         (0..1_u32 << running.len())
             .filter(|loss| loss.count_ones() as usize == self.max_failures)
@@ -105,7 +106,8 @@
             })
     }
 
-    /// Whether these voters would elect the node by what is on their disks, and it has all that is committed.
+    /// Returns whether these voters would elect the node, judging by their disks, and it has all
+    /// committed entries.
     fn could_lead(&self, name: &str, voters: &[&String]) -> bool {
         let disk = &self.nodes[name].disk;
         let has_all_committed = disk.last_index() >= self.last_committed();
@@ -156,7 +158,7 @@
     }
 }
 
-/// Term and index of the last entry, by which logs are compared.
+/// Returns term and index of the last entry, by which logs are compared.
 fn log_position(disk: &PersistentState) -> (Option<u64>, u64) {
     let last_index = disk.last_index();
     (disk.term_at(last_index), last_index)
--- a/crates/raft/tests/simulator/inputs.rs
+++ b/crates/raft/tests/simulator/inputs.rs
@@ -1,10 +1,11 @@
-//! Inputs to a node, and the state of its application, which is a plain model.
+//! Inputs to a node, and the model of its application's state.
 
 use super::Cluster;
 use maplefall_raft::{Raft, Ready};
 
 impl Cluster {
-    /// Gives an input to a node, unless it is down or frozen, and carries out what it asks for.
+    /// Passes an input to a node, unless it is down or frozen, and carries out the resulting
+    /// actions.
     pub fn input(&mut self, name: &str, input: impl FnOnce(&mut Raft, f64, &mut Ready)) {
         let (now, mut ready) = (self.now, Ready::default());
         let Some(raft) = self.running_raft(name) else {
@@ -23,7 +24,7 @@
             .as_mut()
     }
 
-    /// Proposes a command with a number of its own.
+    /// Proposes a command with a unique number.
     pub fn propose(&mut self, name: &str) {
         self.last_proposal += 1;
         let mut payload = self.last_proposal.to_be_bytes().to_vec();
@@ -33,16 +34,16 @@
         });
     }
 
-    /// Asks for a read, which has to see all that was acknowledged before.
+    /// Requests a read, which must see all commands that were acknowledged before.
     pub fn read(&mut self, name: &str) {
-        let floor = self.acknowledged.last().copied().unwrap_or(0);
+        let min_index = self.acknowledged.last().copied().unwrap_or(0);
         let (now, mut ready) = (self.now, Ready::default());
         let Some(raft) = self.running_raft(name) else {
             return;
         };
         if let Some(id) = raft.read_index(now, &mut ready) {
             if let Some(node) = self.nodes.get_mut(name) {
-                node.pending_reads.insert(id, floor);
+                node.pending_reads.insert(id, min_index);
             }
         }
         self.process_ready(name, ready);
@@ -55,7 +56,8 @@
         self.input(name, |raft, _, ready| raft.compact(state, ready));
     }
 
-    /// The model's state after all entries up to an index: so many bytes an entry, which depend on the index.
+    /// Returns the model's state after all entries up to `index`: `state_bytes_per_entry` bytes for
+    /// each entry, with content that depends on `index`.
     pub fn state_at(&self, index: u64) -> Vec<u8> {
         let length = if index <= 1 {
             0
--- a/crates/raft/tests/simulator/network.rs
+++ b/crates/raft/tests/simulator/network.rs
@@ -1,17 +1,17 @@
-//! The network: loss, delay, corruption of snapshot chunks, and cut links.
+//! The network: loss, delay, corruption of snapshot chunks, and blocked links.
 
 use super::cluster::{InFlight, Traffic};
 use super::{Cluster, Variant};
 use maplefall_raft::{InstallSnapshot, Message, MessageBody};
 
-/// Messages that a frozen node's sockets hold; further ones are lost.
+/// Maximum number of messages in the sockets of a frozen node; further ones are lost.
 const MAX_UNREAD_MESSAGES: usize = 200;
 
 impl Cluster {
     /// Sends a message to one node, or to all where `to` is empty.
     pub(super) fn send(&mut self, from: &str, to: &str, message: &Message) {
-        if self.variant != Variant::Unsynced {
-            self.check_claims(from, to, message);
+        if self.variant != Variant::UnsyncedWrites {
+            self.check_message_is_persisted(from, to, message);
         }
         let receivers = if to.is_empty() {
             self.names.clone()
@@ -28,11 +28,11 @@
     fn send_to(&mut self, from: &str, to: String, message: &Message) {
         self.messages_sent += 1;
         self.count_traffic(&to, message);
-        if self.chance(self.loss_rate) || self.is_blocked(from, &to) {
+        if self.random_bool(self.loss_rate) || self.is_blocked(from, &to) {
             return;
         }
         let base = 0.5 + f64::from(self.draw(30)) / 10.0;
-        let delay = base + if self.chance(0.02) { 300.0 } else { 0.0 };
+        let delay = base + if self.random_bool(0.02) { 300.0 } else { 0.0 };
         let message = self.maybe_corrupt(message.clone());
         self.in_flight.push(InFlight {
             arrives_at: self.now + delay,
@@ -61,7 +61,7 @@
         self.traffic.insert(to.to_owned(), traffic);
     }
 
-    /// What was sent to a node so far.
+    /// Returns the traffic that was sent to a node so far.
     pub fn traffic_to(&self, name: &str) -> Traffic {
         self.traffic.get(name).copied().unwrap_or_default()
     }
@@ -76,7 +76,7 @@
         if let Some(MessageBody::InstallSnapshot(install)) = &mut message.body {
             if !install.chunk.is_empty()
                 && self.corruption_rate > 0.0
-                && self.chance(self.corruption_rate)
+                && self.random_bool(self.corruption_rate)
             {
                 self.corrupt(install);
             }
@@ -84,25 +84,25 @@
         message
     }
 
-    /// Flips a bit of the chunk, and half the time adapts the chunk's checksum to it.
+    /// Flips a bit of the chunk, and half the time updates the chunk's checksum to match.
     fn corrupt(&mut self, install: &mut InstallSnapshot) {
         let mut bytes = install.chunk.to_vec();
         let position = self.draw(bytes.len() as u32) as usize;
         bytes[position] ^= 0x40;
-        if self.chance(0.5) {
+        if self.random_bool(0.5) {
             install.chunk_checksum = maplefall_raft::checksum(&bytes);
         }
         install.chunk = bytes.into();
     }
 
-    /// Delivers the messages that have arrived, unless their link was cut meanwhile.
+    /// Delivers the messages that are due, unless their link was blocked meanwhile.
     pub(super) fn deliver(&mut self) {
         let now = self.now;
-        let (arrived, waiting): (Vec<InFlight>, Vec<InFlight>) =
+        let (arrived, pending): (Vec<InFlight>, Vec<InFlight>) =
             std::mem::take(&mut self.in_flight)
                 .into_iter()
                 .partition(|message| message.arrives_at <= now);
-        self.in_flight = waiting;
+        self.in_flight = pending;
         for arrived in arrived {
             if !self.is_blocked(&arrived.from, &arrived.to) {
                 self.receive(arrived);
@@ -129,7 +129,7 @@
 
     // ---- Links --------------------------------------------------------------------------------------
 
-    /// Cuts the link in both directions.
+    /// Blocks the link in both directions.
     pub(super) fn block_between(&mut self, a: &str, b: &str) {
         self.block_one_direction(a, b);
         self.block_one_direction(b, a);
@@ -139,7 +139,7 @@
         self.blocked_links.insert((from.to_owned(), to.to_owned()));
     }
 
-    /// Machines that are partitioned off are so from this new one too.
+    /// Extends existing partitions of other machines to a new machine.
     pub(super) fn extend_partitions_to(&mut self, name: &str) {
         let partitioned: Vec<_> = self
             .nodes
--- a/crates/raft/tests/simulator/node.rs
+++ b/crates/raft/tests/simulator/node.rs
@@ -1,4 +1,4 @@
-//! One simulated machine: a node, its disk, and what is known of it.
+//! A simulated machine: a node, its disk, and the records that the checks need.
 
 use maplefall_raft::{Entry, Message, PersistentState, PersistentUpdate, Raft};
 use std::collections::{BTreeMap, VecDeque};
@@ -6,26 +6,26 @@
 pub struct Node {
     /// `None` while the process is down.
     pub raft: Option<Raft>,
-    /// What a restart would read: the synced updates, applied one by one.
+    /// State that a restart would read: the synced updates, applied one by one.
     pub disk: PersistentState,
-    /// All updates since the start of the process applied, synced or not.
+    /// State with all updates since the start of the process applied, synced or not.
     pub written: PersistentState,
-    /// The last acknowledgement that was sent to others.
-    pub last_claim: Option<DiskClaim>,
+    /// The last acknowledgement that was sent to another node.
+    pub last_acknowledgement: Option<Acknowledgement>,
     pub pending_writes: VecDeque<PendingWrite>,
     pub disk_stalled_until: f64,
     pub down_until: f64,
     pub frozen_since: f64,
-    /// 0 where it is not frozen.
+    /// End of the freeze; 0 while the process is not frozen.
     pub frozen_until: f64,
-    /// Messages that came while it was frozen, with their senders.
+    /// Messages that arrived during a freeze, with their senders.
     pub unread: Vec<(String, Message)>,
-    /// Entries that this process was told are committed.
+    /// Entries that this process has committed.
     pub committed: Vec<Entry>,
     pub starts: u64,
-    /// Whether the next start is the first of the whole system.
+    /// Whether the next start belongs to the first start of the whole system.
     pub is_initial: bool,
-    /// Pending reads by number, each with the index that it has to see at least.
+    /// Pending reads by number, each with the minimum index that it must see.
     pub pending_reads: BTreeMap<u64, u64>,
     pub shutdown: Option<Shutdown>,
     pub partition: Option<Partition>,
@@ -33,7 +33,7 @@
 
 /// An acknowledgement: the sender's disk has the log up to an entry.
 #[derive(Clone, Copy)]
-pub struct DiskClaim {
+pub struct Acknowledgement {
     pub index: u64,
     /// Term of that entry.
     pub entry_term: u64,
@@ -41,28 +41,28 @@
     pub message_term: u64,
 }
 
-/// An update that is not on disk yet.
+/// An update that is not synced yet.
 pub struct PendingWrite {
     pub number: u64,
     pub update: PersistentUpdate,
     pub due: f64,
 }
 
-/// A planned stop in progress.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy)]
 pub struct Shutdown {
     pub since: f64,
     pub after: AfterShutdown,
 }
 
-/// What becomes of a machine that has shut down.
+/// What happens to a machine after it has shut down.
 #[derive(Clone, Copy, PartialEq)]
 pub enum AfterShutdown {
     Restart,
     Remove,
 }
 
-/// A machine is cut off from all others.
+/// A partition between a machine and all others.
 #[derive(Clone, Copy)]
 pub struct Partition {
     pub since: f64,
@@ -70,13 +70,13 @@
 }
 
 impl Node {
-    /// A machine with an empty disk, not started.
+    /// Creates a machine with an empty disk, which is not started yet.
     pub fn new(is_initial: bool) -> Node {
         Node {
             raft: None,
             disk: PersistentState::default(),
             written: PersistentState::default(),
-            last_claim: None,
+            last_acknowledgement: None,
             pending_writes: VecDeque::new(),
             disk_stalled_until: 0.0,
             down_until: 0.0,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Forgets what belonged to the last process.
+    /// Resets the state of the last process before a new one starts.
     pub fn reset_process(&mut self) {
         self.starts += 1;
         self.committed.clear();
@@ -104,7 +104,7 @@
         self.written = self.disk.clone();
     }
 
-    /// Takes the next write that has reached the disk.
+    /// Removes and returns the next write that has reached the disk.
     pub fn take_due_write(&mut self, now: f64) -> Option<PendingWrite> {
         let is_due = self
             .pending_writes
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -1,28 +1,28 @@
-//! Compaction, and snapshots sent in chunks: amortised, resumed, checked, and done while commands go on. Seeds are
-//! printed.
+//! Log compaction, and snapshots sent in chunks: the cost is amortised, transfers are resumed and
+//! checked, and commands are committed meanwhile. Seeds are printed.
 
 mod simulator;
 
 use simulator::scenarios::assert_recovers;
 use simulator::{Cluster, CrashKind, Direction, Variant};
 
-/// A cluster of three that has committed so many commands, and the name of a node that was partitioned off since the
-/// first few.
+/// Creates a cluster of three that has committed `commands` commands, and returns it with the name
+/// of a node that was partitioned off before most of them.
 fn cluster_with_lagging_node(seed: u64, commands: u64) -> (Cluster, String) {
-    let mut cluster = Cluster::new(seed, 3, Variant::Right);
+    let mut cluster = Cluster::new(seed, 3, Variant::Correct);
     cluster.payload_bytes = 200;
     cluster.state_bytes_per_entry = 200;
     cluster.check_interval = 500;
     cluster.proposal_rate = 0.0;
     cluster.run(1500.0);
-    let name = cluster.any_follower().unwrap_or_default();
+    let name = cluster.first_follower().unwrap_or_default();
     cluster.partition(&name, Direction::Both);
     let end = cluster.acknowledged.len() as u64 + commands;
     while (cluster.acknowledged.len() as u64) < end {
         propose_to_leader(&mut cluster, 20);
         cluster.run(20.0);
     }
-    // Long enough to lose quorum contact.
+    // Run long enough for the node to lose quorum contact.
     cluster.run(1500.0);
     (cluster, name)
 }
@@ -34,7 +34,7 @@
     }
 }
 
-/// How many committed entries the node does not know of.
+/// Returns the number of committed entries that the node does not know to be committed.
 fn lag(cluster: &Cluster, name: &str) -> u64 {
     cluster.last_committed() - cluster.nodes[name].commit_index()
 }
@@ -44,12 +44,12 @@
     lines.filter(|line| line.contains(event)).count()
 }
 
-/// Guards catching up: a node that lacks hundreds or thousands of commands has them all in bounded time, while 20 a
-/// second are committed.
+/// A node that lacks hundreds or thousands of commands receives them in bounded time, while 20
+/// commands per second are committed.
 #[test]
 fn lagging_node_catches_up_in_bounded_time() {
     for (commands, bound) in [(300, 1000.0), (3000, 1500.0), (30_000, 3000.0)] {
-        let mut worst: f64 = 0.0;
+        let mut max_elapsed: f64 = 0.0;
         for seed in 0..if commands > 3000 { 2 } else { 5 } {
             let (mut cluster, name) = cluster_with_lagging_node(seed, commands);
             let initial_lag = lag(&cluster, &name);
@@ -65,25 +65,28 @@
             let after = cluster.traffic_to(&name);
             let elapsed = cluster.now - start;
             println!(
-                "{commands} commands, seed {seed}: lacked {initial_lag}, caught up after {elapsed:.0} ms, {} messages to it, {} KiB, {} compactions in all",
+                "{commands} commands, seed {seed}: initial lag {initial_lag}, caught up after {elapsed:.0} ms, {} messages to it, {} KiB, {} compactions in all",
                 after.messages - before.messages,
                 (after.bytes - before.bytes) >> 10,
                 cluster.compactions,
             );
-            worst = worst.max(elapsed);
+            max_elapsed = max_elapsed.max(elapsed);
         }
-        assert!(worst < bound, "{commands} commands take {worst} ms");
+        assert!(
+            max_elapsed < bound,
+            "{commands} commands take {max_elapsed} ms"
+        );
     }
 }
 
-/// Guards disk and processor: some hundred commands lead to a compaction, and compaction writes no more than a fixed
-/// multiple of what is written anyhow.
+/// Several hundred commands lead to a compaction, and compaction writes no more than a fixed
+/// multiple of the other writes, which bounds the load on disk and processor.
 #[test]
 fn log_is_compacted_by_bytes_and_not_too_often() {
     for (commands, payload_bytes, state_bytes_per_entry) in
         [(600, 400, 20), (600, 400, 2000), (3000, 10, 1)]
     {
-        let mut cluster = Cluster::new(7, 3, Variant::Right);
+        let mut cluster = Cluster::new(7, 3, Variant::Correct);
         cluster.payload_bytes = payload_bytes;
         cluster.state_bytes_per_entry = state_bytes_per_entry;
         cluster.proposal_rate = 0.0;
@@ -93,11 +96,11 @@
             cluster.run(20.0);
         }
         let disks = || cluster.nodes.values().map(|node| &node.disk);
-        let longest = disks().map(|disk| disk.log.len()).max().unwrap_or(0);
+        let max_log_len = disks().map(|disk| disk.log.len()).max().unwrap_or(0);
         let state_bytes = disks().map(|disk| disk.snapshot.state.len()).max();
         let state_bytes = state_bytes.unwrap_or(0);
         let compactions = cluster.compactions / 3;
-        println!("{commands} commands of {payload_bytes} bytes, {state_bytes_per_entry} bytes of state for each: {compactions} compactions a node, longest log {longest}");
+        println!("{commands} commands of {payload_bytes} bytes, {state_bytes_per_entry} bytes of state for each: {compactions} compactions a node, longest log {max_log_len}");
         assert!(compactions >= 1, "never compacted");
         let max = 4 * (commands * (payload_bytes + 64)) / state_bytes.max(64 << 10) + 2;
         assert!(
@@ -107,9 +110,9 @@
     }
 }
 
-/// One fault while a snapshot may be on its way.
-fn disturb_transfer(cluster: &mut Cluster, receiver: &str) {
-    let other = cluster.any_name();
+/// Injects one fault while a snapshot transfer may be in progress.
+fn inject_transfer_fault(cluster: &mut Cluster, receiver: &str) {
+    let other = cluster.random_name();
     match cluster.draw(6) {
         0 => cluster.crash(receiver, CrashKind::ProcessExit, 30.0),
         1 => cluster.crash(receiver, CrashKind::PowerLoss, 30.0),
@@ -120,10 +123,11 @@
     }
 }
 
-/// Makes a node lag or lose its disk, has all compact their logs, and disturbs the snapshot that it is then sent.
+/// Makes a node lag or lose its disk, compacts the logs of all nodes, and injects faults into the
+/// snapshot transfer that follows.
 fn transfer_with_faults(cluster: &mut Cluster) {
-    let receiver = cluster.any_name();
-    let loses_disk = cluster.is_healthy() && cluster.chance(0.5);
+    let receiver = cluster.random_name();
+    let loses_disk = cluster.is_healthy() && cluster.random_bool(0.5);
     if loses_disk {
         cluster.crash(&receiver, CrashKind::DiskLoss, 100.0);
     } else {
@@ -138,12 +142,12 @@
     for _ in 0..3 {
         let duration = f64::from(cluster.draw(60));
         cluster.run(duration);
-        disturb_transfer(cluster, &receiver);
+        inject_transfer_fault(cluster, &receiver);
     }
     cluster.run(2500.0);
-    // Nodes that were told to shut down start anew.
+    // Some nodes restart, since the faults may have shut them down.
     for name in cluster.names.clone() {
-        if cluster.chance(0.3) {
+        if cluster.random_bool(0.3) {
             cluster.crash(&name, CrashKind::ProcessExit, 10.0);
         }
     }
@@ -151,17 +155,18 @@
     (cluster.corruption_rate, cluster.loss_rate) = (0.0, 0.02);
 }
 
-/// Guards snapshots on their way: chunks are lost, corrupted and delayed; sender and receiver restart in the middle,
-/// with and without power loss; the leader changes; logs are compacted meanwhile. What is installed is what was
-/// encoded, and it is installed.
+/// Snapshots are installed intact although chunks are lost, corrupted and delayed, sender and
+/// receiver restart during the transfer with and without power loss, the leader changes, and logs
+/// are compacted meanwhile.
 #[test]
 fn snapshot_arrives_intact_despite_faults() {
     let mut corrupt = 0;
     let mut received = 0;
     for seed in 0..20 {
         println!("seed {seed}");
-        let mut cluster = Cluster::new(seed, 3, Variant::Right);
-        // About ten chunks, and entries so long that few are kept in memory once they are compacted.
+        let mut cluster = Cluster::new(seed, 3, Variant::Correct);
+        // About ten chunks for each snapshot, and entries so large that few stay in memory after
+        // compaction.
         cluster.payload_bytes = 50_000;
         cluster.state_bytes_per_entry = 20_000;
         cluster.check_interval = 50;
--- a/crates/raft/tests/untrusted_messages.rs
+++ b/crates/raft/tests/untrusted_messages.rs
@@ -1,5 +1,6 @@
-//! Arbitrary messages: whatever decodes may come from the network. No node panics, keeps more than its bounds allow, or
-//! has another state in memory than a restart would read. Seeds are printed.
+//! Arbitrary messages, since any message that decodes may come from the network. No node panics,
+//! exceeds its memory bounds, or has a state in memory that differs from the one that a restart
+//! would read. Seeds are printed.
 
 use maplefall_raft::*;
 use rand_core::{RngCore, SeedableRng};
@@ -8,7 +9,7 @@
 const SEEDS: u64 = 600;
 const INPUTS: u64 = 600;
 
-/// A number: small, near a bound, or any.
+/// Returns a number: small, near a bound, or arbitrary.
 fn any_number(rng: &mut Pcg32) -> u64 {
     match rng.next_u32() % 8 {
         0 => 0,
@@ -32,7 +33,7 @@
     (0..rng.next_u32() % 4).map(|_| any_member(rng)).collect()
 }
 
-/// An entry, mostly with the given index.
+/// Returns an entry, mostly with the given index.
 fn any_entry(rng: &mut Pcg32, index: u64) -> Entry {
     let index = if rng.next_u32() % 6 == 0 {
         any_number(rng)
@@ -89,12 +90,12 @@
     }
 }
 
-/// A chunk; each of its checksums and bounds is right half the time.
+/// Returns a chunk, of which each checksum and bound is correct half the time.
 fn any_install_snapshot(rng: &mut Pcg32) -> InstallSnapshot {
     let chunk: Vec<u8> = vec![7; (rng.next_u32() % 30) as usize];
-    let number_or = |rng: &mut Pcg32, right: u64| {
+    let number_or = |rng: &mut Pcg32, correct: u64| {
         if any_bool(rng) {
-            right
+            correct
         } else {
             any_number(rng)
         }
@@ -138,7 +139,7 @@
     }
 }
 
-/// A message, half the time of the node's own term.
+/// Passes a random message to the node, half the time of the node's own term.
 fn step_any_message(raft: &mut Raft, rng: &mut Pcg32, now: f64, ready: &mut Ready) {
     let term = if any_bool(rng) {
         raft.term()
@@ -154,7 +155,7 @@
     raft.step(now, &from, message, ready);
 }
 
-/// Any input; returns whether it was a message.
+/// Passes a random input to the node. Returns whether it was a message.
 fn any_input(raft: &mut Raft, rng: &mut Pcg32, now: f64, ready: &mut Ready) -> bool {
     match rng.next_u32() % 10 {
         0 => raft.tick(now, ready),
@@ -170,7 +171,7 @@
     false
 }
 
-/// None of these panics, whatever the state.
+/// Calls the queries, none of which may panic in any state.
 fn query_status(raft: &Raft, now: f64) {
     let _ = (
         raft.last_quorum_contact(now),
@@ -180,11 +181,11 @@
     );
 }
 
-/// Runs one node with any inputs; returns how many of them were messages.
+/// Runs one node with random inputs. Returns how many of them were messages.
 fn run_with_any_inputs(seed: u64) -> u64 {
     let mut rng = Pcg32::seed_from_u64(seed);
     let names = ["n0", "n1", "n2"].map(str::to_owned);
-    // The only member, one of three, and one that is new.
+    // The node is the only member, one of three members, or a new node.
     let initial_members = [Some(&names[..1]), Some(&names[..]), None][seed as usize % 3];
     let config = Config {
         initial_members,
@@ -208,7 +209,7 @@
         }
         assert!(
             *raft.persistent_state() == written || !ready.writes.is_empty(),
-            "another state in memory than a restart would read"
+            "the state in memory differs from the one that a restart would read"
         );
         messages += u64::from(any_input(&mut raft, &mut rng, now, &mut ready));
         query_status(&raft, now);
@@ -216,7 +217,8 @@
     messages
 }
 
-/// Guards the internal port: whatever comes, nothing breaks.
+/// Arbitrary messages at the internal port cause no panic, and no difference between memory and
+/// disk.
 #[test]
 fn arbitrary_messages_neither_panic_nor_diverge_from_disk() {
     let mut messages = 0;
