--- a/crates/controller/src/core/config_distribution.rs
+++ b/crates/controller/src/core/config_distribution.rs
@@ -1,21 +1,24 @@
-//! Sends the committed configuration to the proxies.
+//! Distribution of the committed configuration to the proxies.
 
 use super::event::Event;
 use super::{Core, Millis, Output};
 use maplefall_control_messages::{encode_frame, ConfigUpdate, Frame};
 
 impl Core {
-    /// Sends every proxy what it lacks.
+    /// Sends every proxy the configuration changes that it lacks.
     pub(super) fn distribute_config(&mut self, now: Millis, out: &mut Vec<Output>) {
         for connection in self.proxy_connections() {
             self.send_config(now, connection, false, out);
         }
     }
 
-    /// Sends a proxy what it lacks of the configuration; with `always` it is sent the list of controllers even if it lacks nothing.
+    /// Sends a proxy the configuration changes that it lacks. With `always`, the list of
+    /// controllers is sent even if there are no changes.
     ///
-    /// A proxy without a configuration gets one only from a controller in contact with a quorum: it would serve by what may be long out
-    /// of date. One that has a configuration may keep it, and what is sent to it is newer: its index only rises.
+    /// A proxy without a configuration gets one only from a controller in contact with a quorum,
+    /// since it would otherwise route by a configuration that may be long outdated. A proxy that
+    /// has a configuration may keep it, and what is sent to it is newer, since its index only
+    /// rises.
     pub(super) fn send_config(
         &mut self,
         now: Millis,
--- a/crates/controller/src/core/event.rs
+++ b/crates/controller/src/core/event.rs
@@ -1,13 +1,13 @@
-//! The log events of the core; `Display` writes them as `event=NAME` and `key=value` pairs.
+//! Log events of the core; `Display` writes them as `event=NAME` and `key=value` pairs.
 
 use super::{Millis, Output};
 use maplefall_gateway_config::ConfigError;
 use maplefall_service_registry::InstanceRecord;
 use std::fmt;
 
-/// An event that the operator finds in the log.
+/// A log event for the operator.
 pub(super) enum Event<'a> {
-    /// This process did not run between two ticks.
+    /// The process was suspended between two ticks.
     ProcessPaused { duration: Millis },
     /// A backend has sent no heartbeat for too long.
     BackendExpired(&'a InstanceRecord),
@@ -15,32 +15,35 @@
     BackendDraining(&'a InstanceRecord),
     /// A backend has ended.
     BackendDeregistered(&'a InstanceRecord),
-    /// A heartbeat that cannot be read.
+    /// A heartbeat is malformed.
     BadHeartbeat { reason: &'a str },
-    /// This controller follows another leader than before, or none.
+    /// The leader that this controller follows has changed, or there is none now.
     LeaderChanged { leader: Option<&'a str>, term: u64 },
-    /// A change of the configuration is committed.
+    /// A configuration change is committed.
     Committed { index: u64, items: usize },
     /// The state in a snapshot cannot be decoded.
     BadSnapshot {
         index: u64,
         error: &'a prost::DecodeError,
     },
-    /// A proxy has connected with a configuration of this index.
+    /// A proxy has connected; its configuration has this index.
     ProxyConnected { node: &'a str, index: u64 },
     /// The connection of a proxy has ended.
     ProxyDisconnected { node: &'a str },
-    /// A proxy without a configuration gets none, since this one may be out of date.
+    /// A proxy without a configuration is sent none, because that of this controller may be out of
+    /// date.
     ConfigWithheld { node: &'a str },
-    /// This controller leases a slot that it owns since this index.
+    /// This controller leases a slot that it has owned since the log entry at this index.
     SlotOwned { since: u64, waited: bool },
-    /// It owns a slot and leases it once the leases of the former owner have expired.
+    /// This controller owns a slot, and will lease it once the leases of the former owner have
+    /// expired.
     SlotWaiting { since: u64, wait: Millis },
-    /// Another controller owns the slot now.
+    /// The slot is now owned by another controller.
     SlotLost { since: u64 },
-    /// This controller may answer lease requests.
+    /// This controller may now grant leases.
     LeaseAcquired { limit: u32 },
-    /// It may not, since the last contact with a quorum was too long ago.
+    /// This controller may no longer grant leases, because its last contact with a quorum was too
+    /// long ago.
     LeaseExpired { contact_age: Millis },
     /// This controller has lost contact with a quorum.
     QuorumLost {
@@ -48,17 +51,17 @@
         connected: usize,
         voters: usize,
     },
-    /// It is in contact with a quorum again.
+    /// This controller is in contact with a quorum again.
     QuorumRestored { after: Millis },
-    /// A call of the operator is rejected.
+    /// A call of the operator was rejected.
     CallRejected(&'a ConfigError),
-    /// A call has a version that is too old to be known.
+    /// A call contains a version so old that it is no longer in the version history.
     VersionEvicted {
         list: &'a str,
         item: &'a str,
         version: u32,
     },
-    /// A call changes nothing.
+    /// All changes of a call have been applied before.
     AlreadyApplied { items: usize, index: u64 },
 }
 
--- a/crates/controller/src/core/heartbeat.rs
+++ b/crates/controller/src/core/heartbeat.rs
@@ -1,16 +1,18 @@
-//! Parses the heartbeat of a backend: the body of the call `instances.beat`.
+//! Parsing of backends' heartbeats, the body of the call `instances.beat`.
 
 use maplefall_gateway_config::{parse, Json};
 use maplefall_service_registry::{InstanceRecord, InstanceState};
 
-/// Longest warm-up that a backend may announce, in milliseconds; longer ones are cut to it.
+/// Maximum warm-up time that a backend may announce, in milliseconds; longer ones are clamped to
+/// it.
 const MAX_WARMUP_MS: f64 = 600_000.0;
 
-/// Reads the heartbeat of the instance `id`.
+/// Parses the heartbeat of the instance `id`.
 ///
 /// # Errors
 ///
-/// The name of the first field that is missing or malformed; callers see it in the response.
+/// Returns the name of the first field that is missing or malformed; the client gets it in the
+/// response.
 pub(super) fn parse_heartbeat(id: &str, body: &[u8]) -> Result<InstanceRecord, &'static str> {
     let document = parse(body).map_err(|_| "body")?;
     let document = document.as_object().ok_or("body")?;
@@ -39,7 +41,7 @@
     })
 }
 
-/// A string that is not empty.
+/// Returns the string, unless it is empty.
 fn text(value: Option<&Json>) -> Option<String> {
     value
         .and_then(Json::as_string)
@@ -47,7 +49,7 @@
         .filter(|text| !text.is_empty())
 }
 
-/// A finite number that is not negative.
+/// Returns the number, if it is finite and not negative.
 fn non_negative(value: Option<&Json>) -> Option<f64> {
     value
         .and_then(Json::as_number)
--- a/crates/controller/src/core/instances.rs
+++ b/crates/controller/src/core/instances.rs
@@ -1,7 +1,8 @@
-//! Heartbeats and deregistrations of backends: which proxies and peers are notified, and when a call is acknowledged.
+//! Heartbeats and deregistrations of backends: which proxies and peers are notified, and when a
+//! call is acknowledged.
 //!
-//! LOST: that a backend drains or has ended is acknowledged once a majority of the controllers has it on disk, this one among
-//! them, so that it is known whichever minority of them fails in the same moment.
+//! A drain or deregistration of a backend is acknowledged once a majority of the controllers, this
+//! one included, have persisted it. It then survives the simultaneous failure of any minority.
 
 use super::event::Event;
 use super::pending_calls::PendingCall;
@@ -13,34 +14,38 @@
 use maplefall_service_registry::{Applied, InstanceRecord, InstanceState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Instances whose end is remembered as replicated at most; that of others is replicated again when they repeat the call.
+/// Maximum number of instances whose deregistration is remembered as replicated; beyond it, a
+/// repeated call replicates the deregistration again.
 const MAX_REPLICATED_DEREGISTRATIONS: usize = 50_000;
-/// Acknowledgements to peers that wait for the disk at most.
+/// Maximum number of acknowledgements to peers that wait for the disk.
 const MAX_PENDING_PEER_ACKS: usize = 4096;
-/// A controller without quorum contact for this long acknowledges no heartbeats. Longer than an election takes.
+/// A controller that has been without quorum contact for longer than this acknowledges no
+/// heartbeats. Longer than an election takes.
 const UNACKNOWLEDGED_AFTER: Millis = 1500.0;
 
-/// Deregistrations on their way to the disks of a majority.
+/// Deregistrations and their replication to a majority of the controllers.
 pub(super) struct Deregistrations {
-    /// Instances whose end is on the disks of a majority, this one's among them.
+    /// Instances whose deregistration is persisted by a majority, this controller included.
     replicated: BTreeSet<String>,
-    /// Those that wait for that, by the number under which peers acknowledge them.
+    /// Deregistrations that are not yet replicated, by the number with which peers acknowledge
+    /// them.
     pending: BTreeMap<u64, PendingDeregistration>,
     last_ack_number: u64,
-    /// Acknowledgements to peers that wait for this disk.
+    /// Number of acknowledgements to peers that wait for this controller's disk.
     pending_peer_acks: usize,
 }
 
 struct PendingDeregistration {
     id: String,
     call: PendingCall,
-    is_on_own_disk: bool,
-    /// Peers that have it on their disks.
+    is_persisted_here: bool,
+    /// Peers that have persisted the deregistration.
     acknowledged_by: BTreeSet<String>,
 }
 
 impl Deregistrations {
-    /// `first_number` differs from start to start, so that no acknowledgement of an earlier one is taken for one of this.
+    /// Creates an empty set. `first_number` differs between starts, so that an acknowledgement
+    /// meant for an earlier incarnation is not mistaken for one of this incarnation.
     pub(super) fn new(first_number: u64) -> Deregistrations {
         Deregistrations {
             replicated: BTreeSet::new(),
@@ -50,7 +55,7 @@
         }
     }
 
-    /// Answers calls that have waited for too long.
+    /// Responds with unavailable to calls whose deadline has passed.
     pub(super) fn expire(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.pending
             .retain(|_, pending| pending.call.is_in_time(now, out));
@@ -80,8 +85,9 @@
         self.acknowledge_instance(now, call, id, applied, true, out);
     }
 
-    /// Answers a backend. A controller that has had no quorum contact for long, or is not connected to a majority, applies what it
-    /// receives and acknowledges nothing: all others would declare a backend lost whose heartbeats come to this one alone.
+    /// Responds to a backend. A controller that has been without quorum contact for long, or is not
+    /// connected to a majority, applies what it receives but acknowledges nothing: a backend that
+    /// sends its heartbeats to this controller alone would be declared lost by all others.
     fn acknowledge_instance(
         &mut self,
         now: Millis,
@@ -123,7 +129,7 @@
         }
     }
 
-    /// Sends a record to all peers and answers the call once a majority has it on disk.
+    /// Sends a record to all peers, and responds to the call once a majority has persisted it.
     fn replicate_deregistration(
         &mut self,
         now: Millis,
@@ -137,12 +143,12 @@
         let pending = PendingDeregistration {
             id: record.id.clone(),
             call: PendingCall::new(call, now + QUORUM_TIMEOUT),
-            is_on_own_disk: self.writes.is_empty(),
+            is_persisted_here: self.writes.is_empty(),
             acknowledged_by: BTreeSet::new(),
         };
         deregistrations.pending.insert(ack_number, pending);
         if !self.writes.is_empty() {
-            // It may be in any write that is under way, also where it has changed nothing by now.
+            // The record may be part of any pending write, even if this call did not change it.
             self.writes
                 .after_all(WritePurpose::Deregistration(ack_number));
         }
@@ -154,15 +160,15 @@
         self.acknowledge_if_replicated(ack_number, out);
     }
 
-    /// A deregistration is on this controller's disk.
+    /// Handles the notification that a deregistration is persisted by this controller.
     pub(super) fn deregistration_persisted(&mut self, ack_number: u64, out: &mut Vec<Output>) {
         if let Some(pending) = self.deregistrations.pending.get_mut(&ack_number) {
-            pending.is_on_own_disk = true;
+            pending.is_persisted_here = true;
         }
         self.acknowledge_if_replicated(ack_number, out);
     }
 
-    /// A deregistration is on a peer's disk.
+    /// Handles a peer's acknowledgement that it has persisted a deregistration.
     pub(super) fn peer_persisted(&mut self, peer: &str, ack_number: u64, out: &mut Vec<Output>) {
         if let Some(pending) = self.deregistrations.pending.get_mut(&ack_number) {
             pending.acknowledged_by.insert(peer.to_owned());
@@ -170,7 +176,7 @@
         }
     }
 
-    /// Acknowledges a deregistration if a majority has it on disk.
+    /// Acknowledges a deregistration if a majority has persisted it.
     fn acknowledge_if_replicated(&mut self, ack_number: u64, out: &mut Vec<Output>) {
         let voters = self.raft.voters();
         let Some(pending) = self.deregistrations.pending.get(&ack_number) else {
@@ -182,7 +188,7 @@
             .filter(|peer| voters.contains(*peer))
             .count();
         let replicas = on_peers + usize::from(voters.contains(&self.ip));
-        if !pending.is_on_own_disk || replicas < voters.len() / 2 + 1 {
+        if !pending.is_persisted_here || replicas < voters.len() / 2 + 1 {
             return;
         }
         let Some(pending) = self.deregistrations.pending.remove(&ack_number) else {
@@ -194,7 +200,8 @@
         pending.call.respond(CallResponse::empty(), out);
     }
 
-    /// A peer sends instance records, and may want to know when they are on disk here.
+    /// Handles instance records from a peer, which may request an acknowledgement once they are
+    /// persisted.
     pub(super) fn receive_instances(
         &mut self,
         now: Millis,
@@ -217,12 +224,13 @@
         }
     }
 
-    /// Acknowledges records to a peer, once all that is under way is on disk: also records that change nothing may be in it.
+    /// Acknowledges records to a peer once all pending writes are persisted, because even a record
+    /// that changed nothing now may be part of one of them.
     fn acknowledge_to_peer(&mut self, peer: &str, ack_number: u64, out: &mut Vec<Output>) {
         if self.writes.is_empty() {
             return send_peer_ack(peer, ack_number, out);
         }
-        // Beyond the bound the peer's caller is not answered in time.
+        // Beyond the maximum no acknowledgement is sent, and the call at the peer expires.
         if self.deregistrations.pending_peer_acks < MAX_PENDING_PEER_ACKS {
             self.deregistrations.pending_peer_acks += 1;
             self.writes.after_all(WritePurpose::PeerInstances {
@@ -232,7 +240,7 @@
         }
     }
 
-    /// Records that a peer has sent are on disk.
+    /// Handles the notification that records from a peer are persisted.
     pub(super) fn peer_instances_persisted(
         &mut self,
         peer: &str,
@@ -243,7 +251,8 @@
         send_peer_ack(peer, ack_number, out);
     }
 
-    /// Sends a peer on a new connection everything that it may have missed.
+    /// Sends a newly connected peer all instances, since it may have missed any of them, and the
+    /// pending deregistrations.
     pub(super) fn send_all_instances_to_peer(
         &self,
         now: Millis,
@@ -260,7 +269,7 @@
         }
     }
 
-    /// Sends the peers the heartbeats that were received here since the last time.
+    /// Sends the peers the heartbeats received since the last broadcast.
     pub(super) fn broadcast_heartbeats(&mut self, out: &mut Vec<Output>) {
         let heartbeats = std::mem::take(&mut self.unsent_heartbeats)
             .into_iter()
@@ -270,7 +279,8 @@
         out.push(Output::SendToAllPeers(encode_frame(frame)));
     }
 
-    /// Declares backends lost that have sent no heartbeat. A controller without quorum contact could not have received any.
+    /// Declares backends lost that have sent no heartbeat. Without quorum contact this is skipped,
+    /// since heartbeats may not have reached this controller.
     pub(super) fn expire_instances(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.contact.lasts_longer_than(now, self.instance_timeout) {
             return;
@@ -293,7 +303,7 @@
         self.writes.write(record, WritePurpose::Background, out);
     }
 
-    /// Sends changed records to all proxies.
+    /// Logs changed records and sends them to all proxies.
     fn notify_proxies(&mut self, changed: Vec<InstanceRecord>, out: &mut Vec<Output>) {
         if changed.is_empty() {
             return;
@@ -311,15 +321,16 @@
         }
     }
 
-    /// Whether this controller has listened for long enough to know every backend.
-    fn knows_all_instances(&self, now: Millis) -> bool {
+    /// Returns whether this controller has received heartbeats for long enough to know every
+    /// backend.
+    fn has_all_instances(&self, now: Millis) -> bool {
         now - self.started_at > self.instance_timeout
             && self.contact.lasts_longer_than(now, self.instance_timeout)
     }
 
     /// Sends all instances to the proxies whose list could not be complete before.
-    pub(super) fn complete_proxies_instances(&mut self, now: Millis, out: &mut Vec<Output>) {
-        if !self.knows_all_instances(now) {
+    pub(super) fn send_complete_instance_lists(&mut self, now: Millis, out: &mut Vec<Output>) {
+        if !self.has_all_instances(now) {
             return;
         }
         let incomplete: Vec<u64> = self
@@ -331,8 +342,9 @@
         self.send_all_instances(now, &incomplete, out);
     }
 
-    /// Sends proxies all instances that serve or drain, encoded once for all of them. A controller without quorum contact sends nothing of what it found on its
-    /// disk: others may know that an instance has ended.
+    /// Sends proxies all serving and draining instances, encoded once for all of them. A controller
+    /// without quorum contact sends nothing: the instances may come from its disk, and other
+    /// controllers may know that some of them have ended.
     pub(super) fn send_all_instances(
         &mut self,
         now: Millis,
@@ -342,7 +354,7 @@
         if connections.is_empty() || !self.has_quorum_contact(now) {
             return;
         }
-        let complete = self.knows_all_instances(now);
+        let complete = self.has_all_instances(now);
         let mut records = self.registry.records(now);
         records.retain(|record| {
             matches!(
@@ -367,7 +379,7 @@
     ));
 }
 
-/// `ack_number` is zero where no acknowledgement is wanted.
+/// `ack_number` is zero if no acknowledgement is requested.
 fn encode_instances(records: Vec<InstanceRecord>, complete: bool, ack_number: u64) -> Bytes {
     encode_frame(Frame::InstanceUpdates(InstanceUpdates {
         records,
--- a/crates/controller/src/core/lease_requests.rs
+++ b/crates/controller/src/core/lease_requests.rs
@@ -1,9 +1,11 @@
-//! Lease requests that wait to be answered.
+//! The queue of pending lease and token requests.
 //!
-//! A lease lasts for many requests, so one that comes late does no harm, and a later request of the same proxy says all that an earlier
-//! one says. Raft messages, pongs and calls have to be handled at once. So lease requests wait: one for each proxy, replaced by its
-//! later ones, and answered one at a time when the driver has nothing more urgent to do. Whatever proxies ask, the work that waits is
-//! bounded by their number, and each gets its turn (`docs/incidents/2026-12-acks-grown.md`).
+//! A lease lasts for many request intervals, so a late response does no harm, and a later request
+//! of a proxy supersedes an earlier one. Raft messages, pongs and calls, however, have to be
+//! handled at once. Lease requests are therefore queued: at most one per proxy, replaced by its
+//! later ones, and processed one at a time when the driver has no more urgent input. The queued
+//! work is bounded by the number of proxies regardless of their request rate, and every proxy gets
+//! its turn (`docs/incidents/2026-12-acks-grown.md`).
 
 use super::leasing::HolderState;
 use super::writes::WritePurpose;
@@ -13,17 +15,20 @@
 use maplefall_quota_lease::{LeaseRequest, TokenRequest};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Fraction of the time that is to go into lease requests at most, however many there are: the rest is left to Raft, liveness and calls.
+/// Maximum fraction of time spent on lease requests, however many there are; the rest is left to
+/// Raft, liveness and calls.
 pub const MAX_LEASE_LOAD: f64 = 0.5;
-/// Time for which the driver may answer them without a pause after a while with fewer.
+/// Time for which the driver may process lease requests without interruption after a period of
+/// lower load.
 pub const MAX_LEASE_CREDIT: Millis = 20.0;
 
-/// The last request of each connection that has one to be answered, of leases and of tokens. Their number is bounded by that of the
-/// connections.
+/// The latest pending lease request and token request of each connection. Their number is bounded
+/// by that of the connections.
 #[derive(Default)]
 pub(super) struct LeaseRequests {
     leases: RequestQueue<LeaseRequest>,
-    /// A proxy has one under way at a time; one that is replaced has had its time.
+    /// A proxy has one token request in flight at a time; a request that is replaced has timed out
+    /// at the proxy.
     tokens: RequestQueue<TokenRequest>,
 }
 
@@ -32,39 +37,39 @@
         self.leases.by_connection.is_empty() && self.tokens.by_connection.is_empty()
     }
 
-    /// A connection has ended.
+    /// Removes the requests of a connection that has ended.
     pub(super) fn remove(&mut self, connection: u64) {
         self.leases.remove(connection);
         self.tokens.remove(connection);
     }
 }
 
-/// One request for each connection.
+/// A FIFO queue with at most one request per connection.
 struct RequestQueue<R> {
     by_connection: BTreeMap<u64, R>,
-    /// The connections in the order in which they are answered; those without a request are passed over.
-    turns: VecDeque<u64>,
+    /// Connections in the order in which they are served; those without a request are skipped.
+    order: VecDeque<u64>,
 }
 
 impl<R> Default for RequestQueue<R> {
     fn default() -> RequestQueue<R> {
         RequestQueue {
             by_connection: BTreeMap::new(),
-            turns: VecDeque::new(),
+            order: VecDeque::new(),
         }
     }
 }
 
 impl<R> RequestQueue<R> {
-    /// Queues a request, in the place of an earlier one of its connection if that still waits.
+    /// Queues a request, replacing a pending one of the same connection, whose position it takes.
     fn push(&mut self, connection: u64, request: R) {
         if self.by_connection.insert(connection, request).is_none() {
-            self.turns.push_back(connection);
+            self.order.push_back(connection);
         }
     }
 
     fn pop(&mut self) -> Option<(u64, R)> {
-        while let Some(connection) = self.turns.pop_front() {
+        while let Some(connection) = self.order.pop_front() {
             if let Some(request) = self.by_connection.remove(&connection) {
                 return Some((connection, request));
             }
@@ -74,7 +79,7 @@
 
     fn remove(&mut self, connection: u64) {
         if self.by_connection.remove(&connection).is_some() {
-            self.turns.retain(|turn| *turn != connection);
+            self.order.retain(|queued| *queued != connection);
         }
     }
 }
@@ -84,7 +89,7 @@
         &mut self.leasing.requests
     }
 
-    /// A proxy has sent a frame; only requests of leases and tokens are expected of one.
+    /// Handles a frame from a proxy. Frames other than lease and token requests are ignored.
     pub fn receive_from_proxy(
         &mut self,
         now: Millis,
@@ -102,7 +107,7 @@
             _ => return,
         };
         if request.release {
-            // The proxy ends its connection behind it.
+            // The proxy closes its connection after this request.
             self.lease_requests_mut().remove(connection);
             self.grant_leases(now, connection, &request, out);
         } else {
@@ -137,12 +142,13 @@
         push(requests);
     }
 
-    /// Whether a lease request waits to be answered.
+    /// Returns whether a lease or token request is pending.
     pub fn has_lease_requests(&self) -> bool {
         !self.leasing.requests.is_empty()
     }
 
-    /// Answers the request that has waited longest, one of tokens before one of leases; returns whether there was one.
+    /// Responds to the longest pending request, token requests before lease requests. Returns
+    /// whether there was one.
     pub fn answer_lease_request(&mut self, now: Millis, out: &mut Vec<Output>) -> bool {
         if let Some((connection, request)) = self.lease_requests_mut().tokens.pop() {
             self.grant_tokens(now, connection, &request, out);
@@ -157,10 +163,10 @@
         let node = proxy.node.clone();
         match self.leasing.holders.record(&node) {
             HolderState::Recorded => self.grant_leases(now, connection, &request, out),
-            HolderState::BeingRecorded => proxy.awaits_disk = Some(request),
-            HolderState::Refused => {}
+            HolderState::BeingRecorded => proxy.awaiting_disk = Some(request),
+            HolderState::LimitReached => {}
             HolderState::New => {
-                proxy.awaits_disk = Some(request);
+                proxy.awaiting_disk = Some(request);
                 let record = StoreRecord {
                     leased_to: vec![node.clone()],
                     ..StoreRecord::default()
@@ -172,17 +178,18 @@
         true
     }
 
-    /// A proxy's name is on disk.
+    /// Handles the notification that a proxy's name is persisted, and queues the request that
+    /// waited for it.
     pub(super) fn lease_holder_persisted(&mut self, node: &str, out: &mut Vec<Output>) {
         self.leasing.holders.recorded(node);
         let Some(connection) = self.latest_connection(node) else {
             return;
         };
-        let waiting = self
+        let request = self
             .proxies
             .get_mut(&connection)
-            .and_then(|proxy| proxy.awaits_disk.take());
-        if let Some(request) = waiting {
+            .and_then(|proxy| proxy.awaiting_disk.take());
+        if let Some(request) = request {
             self.queue_lease_request(connection, request, out);
         }
     }
--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -1,7 +1,8 @@
-//! Answers the lease requests of proxies, and keeps the disk's record of the proxies that may hold leases.
+//! Responses to lease requests of proxies, and the persisted record of the proxies that may hold
+//! leases.
 //!
-//! Invariant: a proxy's name is on disk before it is granted anything, so that a later start knows which proxies to wait for. The
-//! arithmetic of the leases is in [`maplefall_quota_lease`].
+//! Invariant: a proxy's name is persisted before the proxy is granted anything, so that a later
+//! start knows which proxies to wait for. The lease calculations are in [`maplefall_quota_lease`].
 
 use super::event::Event;
 use super::lease_requests::LeaseRequests;
@@ -17,20 +18,21 @@
 };
 use std::collections::BTreeSet;
 
-/// Proxies whose names are on disk at most: others are granted nothing.
+/// Maximum number of proxies whose names are on disk; further proxies are granted nothing.
 const MAX_LEASE_HOLDERS: usize = 8192;
-/// How often the names of proxies whose leases have expired are removed from the disk.
+/// The interval at which the names of proxies whose leases have expired are removed from the disk.
 const HOLDER_CLEANUP_INTERVAL: Millis = 30_000.0;
-/// A request that was left unanswered for longer is not answered any more: the proxy has sent another.
+/// A request that has been pending for longer than this gets no response, because the proxy has
+/// sent another one.
 const UNANSWERED_REQUEST_TIMEOUT: Millis = 2.0 * HEARTBEAT_BROADCAST_INTERVAL;
 
-/// What this controller may lease, and what it has.
+/// The slots that this controller may lease, and the leases that it has granted.
 pub(super) struct Leasing {
     slots: OwnedSlots,
     server: LeaseServer,
     pub(super) holders: LeaseHolders,
     pub(super) requests: LeaseRequests,
-    /// Whether lease requests were answered until now.
+    /// Whether this controller was allowed to grant leases at the last tick.
     was_allowed: bool,
 }
 
@@ -62,12 +64,13 @@
     }
 }
 
-/// The proxies whose names are on disk, or on their way there.
+/// The proxies whose names are on disk or being written.
 pub(super) struct LeaseHolders {
     names: BTreeSet<String>,
-    /// Whether `names` has every proxy that may hold a lease of this controller, also of its earlier starts.
+    /// Whether `names` contains every proxy that may hold a lease of this controller, including
+    /// leases granted by its earlier incarnations.
     complete: bool,
-    /// Those of `names` that are on their way to the disk.
+    /// The subset of `names` that is being written.
     being_recorded: BTreeSet<String>,
     last_cleanup: Millis,
 }
@@ -76,16 +79,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HolderState {
     Recorded,
-    /// It is on its way there.
+    /// The name is being written.
     BeingRecorded,
-    /// It is to be written now.
+    /// The name has to be written now.
     New,
-    /// There are too many.
-    Refused,
+    /// The maximum number of names is reached.
+    LimitReached,
 }
 
 impl LeaseHolders {
-    /// As recorded on disk.
+    /// Creates the set from the names on disk.
     pub(super) fn new(now: Millis, names: BTreeSet<String>, complete: bool) -> LeaseHolders {
         LeaseHolders {
             names,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// What a lease request of this proxy has to wait for.
+    /// Adds a proxy if it is new; returns what its lease request has to wait for.
     pub(super) fn record(&mut self, node: &str) -> HolderState {
         if self.being_recorded.contains(node) {
             return HolderState::BeingRecorded;
@@ -104,19 +107,19 @@
             return HolderState::Recorded;
         }
         if self.names.len() >= MAX_LEASE_HOLDERS {
-            return HolderState::Refused;
+            return HolderState::LimitReached;
         }
         self.names.insert(node.to_owned());
         self.being_recorded.insert(node.to_owned());
         HolderState::New
     }
 
-    /// This name is on disk.
+    /// Marks this name as persisted.
     pub(super) fn recorded(&mut self, node: &str) {
         self.being_recorded.remove(node);
     }
 
-    /// Removes and returns those that hold no lease of `server` any more.
+    /// Removes and returns the names of proxies that no longer hold a lease of `server`.
     fn take_expired(&mut self, now: Millis, server: &LeaseServer) -> Vec<String> {
         let expired: Vec<String> = self
             .names
@@ -134,13 +137,14 @@
 }
 
 impl Core {
-    /// Whether lease requests may be answered: this controller is known to be a member that had applied all that was committed a
-    /// short while ago.
+    /// Returns whether this controller may grant leases: it is known to have been a member, with
+    /// all committed entries applied, a short while ago.
     pub(super) fn may_lease(&self, now: Millis) -> bool {
         self.raft.is_voter() && membership_lease_valid(now, self.raft.last_quorum_contact(now))
     }
 
-    /// Grants what a request asks for, as far as this controller may lease; a release is accepted at any time.
+    /// Grants what a request asks for, if this controller may lease; a release is accepted at any
+    /// time.
     pub(super) fn grant_leases(
         &mut self,
         now: Millis,
@@ -152,7 +156,7 @@
         let Some(proxy) = self.proxies.get_mut(&connection) else {
             return;
         };
-        // A proxy that shuts down gives its leases back: that is accepted at any time.
+        // A proxy that shuts down releases its leases, which is accepted at any time.
         if !may_lease && !request.release {
             proxy.unanswered = Some(UnansweredRequest {
                 received_at: now,
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Logs what has become of this controller's slots, and leases by them from now on.
+    /// Logs changes of this controller's slots, and applies them to the leases.
     pub(super) fn slots_changed(&mut self, events: Vec<SlotEvent>, out: &mut Vec<Output>) {
         if events.is_empty() {
             return;
@@ -220,7 +224,7 @@
             };
             out.push(event.into());
         }
-        // Leases that shrink are announced at once, others with the next grant.
+        // Proxies whose leases shrink are notified at once, others with their next grant.
         let limit = self.leasing.slots.limit();
         for (node, grant) in self.leasing.server.set_limit(limit) {
             let connection = self.latest_connection(&node);
@@ -228,7 +232,7 @@
         }
     }
 
-    /// Time passes for the leases.
+    /// Advances the time for the leases.
     pub(super) fn tick_leasing(&mut self, now: Millis, out: &mut Vec<Output>) {
         let events = self.leasing.slots.tick(now);
         self.slots_changed(events, out);
@@ -250,7 +254,8 @@
         }
     }
 
-    /// Once this process has run for the duration of a lease, all that earlier starts have leased has expired.
+    /// Marks the names as complete once this process has run for the duration of a lease: all
+    /// leases granted by earlier incarnations have expired by then.
     fn complete_lease_holders(&mut self, now: Millis, out: &mut Vec<Output>) {
         let holders = &mut self.leasing.holders;
         if holders.complete || now - self.started_at < LEASE_DURATION + CLOCK_SKEW {
@@ -276,7 +281,7 @@
             return;
         }
         holders.last_cleanup = now;
-        // A proxy that comes again is recorded again, in a later write.
+        // A proxy that requests a lease later is recorded again by a later write.
         let released = holders.take_expired(now, server);
         if released.is_empty() {
             return;
@@ -288,7 +293,8 @@
         self.writes.write(record, WritePurpose::Background, out);
     }
 
-    /// Proxies that asked just before this controller was allowed to answer need not ask again.
+    /// Queues the lease requests received shortly before this controller was allowed to grant
+    /// leases, so that the proxies need not repeat them.
     fn queue_unanswered_requests(&mut self, now: Millis, out: &mut Vec<Output>) {
         let take_recent = |proxy: &mut ProxyConnection| {
             let unanswered = proxy.unanswered.take()?;
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -1,16 +1,19 @@
-//! What a controller decides, without I/O: [`Core`] takes inputs with their time and returns [`Output`]s.
+//! The decision logic of a controller, without I/O: [`Core`] takes inputs, each with the current
+//! time, and returns [`Output`]s.
 //!
-//! Design: `docs/design/control.md` and the `control-*.md` beside it. One module a concern:
+//! Design: `docs/design/control.md` and the `control-*.md` files beside it. Modules:
 //!
-//! - `replication`: drives raft, applies what is committed, compacts the log;
+//! - `replication`: drives Raft, applies committed entries and compacts the log;
 //! - `operator_calls`, `pending_calls`, `uncommitted_changes`: the operator's calls;
-//! - `replicated_config`, `config_distribution`: the committed configuration and the proxies that follow it;
+//! - `replicated_config`, `config_distribution`: the committed configuration and its distribution
+//!   to proxies;
 //! - `instances`, `heartbeat`: heartbeats and deregistrations of backends;
-//! - `lease_requests`, `leasing`: lease requests of proxies, which wait for one another, and what they are granted;
-//! - `token_requests`: single tokens of quotas that are too small to be leased to all proxies;
-//! - `quorum_contact`: whether this controller is cut off;
-//! - `proxies`, `writes`: connections and writes that are under way;
-//! - `event`: what is logged.
+//! - `lease_requests`, `leasing`: queued lease requests of proxies, and the leases granted to them;
+//! - `token_requests`: requests for single tokens of quotas that are too small to be leased to all
+//!   proxies;
+//! - `quorum_contact`: whether this controller is in contact with a quorum;
+//! - `proxies`, `writes`: connections of proxies, and writes that are not yet persisted;
+//! - `event`: log events.
 
 mod config_distribution;
 mod event;
@@ -52,50 +55,52 @@
 use uncommitted_changes::UncommittedChanges;
 use writes::{PendingWrites, WritePurpose};
 
-/// Milliseconds on the steady clock.
+/// Milliseconds on the monotonic clock.
 pub type Millis = f64;
 
-/// How often [`Core::tick`] wants to be called.
+/// The interval at which the driver calls [`Core::tick`].
 pub const TICK: Millis = 100.0;
-/// How often controllers send one another the heartbeats that they have received.
+/// The interval at which a controller sends the heartbeats that it received from backends to its
+/// peers.
 const HEARTBEAT_BROADCAST_INTERVAL: Millis = 500.0;
-/// Longest time that a call waits for a leader: callers move on after a second.
+/// Maximum time that a call waits for a leader; clients stop waiting for the response after one
+/// second.
 const LEADER_TIMEOUT: Millis = 700.0;
-/// Longest time that a call waits for a majority.
+/// Maximum time that a call waits for a majority.
 const QUORUM_TIMEOUT: Millis = 900.0;
-/// Heartbeats that a backend may miss before it is declared lost.
+/// Number of heartbeats that a backend may miss before it is declared lost.
 const MAX_MISSED_HEARTBEATS: f64 = 4.0;
-/// A gap between ticks that shows that this process was not running.
+/// A gap between two ticks longer than this shows that the process was suspended.
 const MIN_PROCESS_PAUSE: Millis = 1000.0;
 
-/// What a caller asks.
+/// A call of a backend or of the operator.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// `instances.beat`: heartbeat of the backend with this id, and its body.
+    /// `instances.beat`: a heartbeat of the backend with this id, with the body of the call.
     Heartbeat(String, Bytes),
-    /// `instances.leave`: the backend with this id ends.
+    /// `instances.leave`: the backend with this id is deregistered.
     Deregister(String),
-    /// `config.amend`: the operator changes items.
+    /// `config.amend`: the operator changes items of the configuration.
     Amend(Bytes),
     /// `config.read`: the operator reads the configuration.
     ReadConfig,
 }
 
-/// What a caller is answered.
+/// The response to a [`Call`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallResponse {
-    /// 200 with a JSON body.
+    /// Status 200 with a JSON body.
     Ok(String),
-    /// A 4xx with the reason: nothing of the call is in force.
+    /// A 4xx status with the reason; no part of the call has been applied.
     Rejected(u16, String),
-    /// 307 to the controller at this address.
+    /// Status 307: a redirect to the controller at this address.
     Redirect(String),
-    /// 503: the outcome is unknown here, another controller may know it.
+    /// Status 503: the outcome is unknown to this controller; another controller may know it.
     Unavailable,
 }
 
 impl CallResponse {
-    /// A 200 without content.
+    /// A 200 response with an empty JSON object.
     fn empty() -> CallResponse {
         CallResponse::Ok("{}".to_owned())
     }
@@ -105,63 +110,68 @@
     }
 }
 
-/// What the driver is to do, in this order.
+/// An action for the driver. Outputs are carried out in the order in which they were returned.
 #[derive(Debug)]
 pub enum Output {
-    /// Write this record; its number is passed to [`Core::persisted`] once it is on disk.
+    /// Write this record to disk. Once it is persisted, the driver passes its number to
+    /// [`Core::persisted`].
     Write(u64, Box<crate::store::StoreRecord>),
     /// Send a frame to the controller at this address.
     SendToPeer(String, Bytes),
     /// Send a frame to every other controller.
     SendToAllPeers(Bytes),
-    /// Send a frame on the proxy's connection of this number.
+    /// Send a frame on the proxy connection with this number.
     SendToProxy(u64, Bytes),
-    /// Answer the call of this number.
+    /// Respond to the call with this number.
     Respond(u64, CallResponse),
-    /// There are lease requests to be answered: [`Core::answer_lease_request`] is to be called until there are none. Inputs that cannot
-    /// wait go first.
+    /// Lease requests have been queued: the driver calls [`Core::answer_lease_request`] until none
+    /// is left. Inputs that cannot wait take precedence.
     LeaseRequestsQueued,
-    /// A line for the log.
+    /// Write a log line.
     Log(String),
-    /// A line for the log at its debug level.
+    /// Write a log line at debug level.
     Debug(String),
 }
 
 /// The state machine of one controller.
 pub struct Core {
-    /// This controller's address, which is its name among the voters.
+    /// This controller's address, which is also its name among the voters.
     ip: String,
     started_at: Millis,
     last_tick: Millis,
     last_heartbeat_broadcast: Millis,
     is_stopping: bool,
-    /// A backend that is silent for longer is declared lost.
+    /// A backend that has sent no heartbeat for longer than this is declared lost.
     instance_timeout: Millis,
-    /// Machines that may fail at once: the number of slots that quotas are cut into at the first start follows from it.
+    /// Number of machines that may fail at once. The number of slots that quotas are divided into
+    /// at the first start follows from it.
     max_machine_losses: u32,
-    /// Entries after which the log is compacted even if raft does not ask for it: for tests.
-    compact_after: Option<usize>,
+    /// Number of entries after which the log is compacted even if Raft does not request it; set by
+    /// tests.
+    compaction_threshold: Option<usize>,
     raft: Raft,
-    /// The leader that was logged last.
-    known_leader: Option<String>,
+    /// The leader in the last `leader_changed` log line.
+    logged_leader: Option<String>,
     contact: QuorumContact,
     writes: PendingWrites,
     config: ReplicatedConfig,
     uncommitted: UncommittedChanges,
     calls: PendingCalls,
     registry: Registry,
-    /// Sequence numbers of the heartbeats that this controller received since it last sent them to its peers.
+    /// Sequence numbers of the heartbeats received since the last broadcast to the peers, by
+    /// instance id.
     unsent_heartbeats: BTreeMap<String, u64>,
     deregistrations: Deregistrations,
     proxies: BTreeMap<u64, ProxyConnection>,
-    /// The latest connection of each proxy, by its name.
+    /// The latest connection of each proxy, by the proxy's name.
     connections_by_node: BTreeMap<String, u64>,
     leasing: Leasing,
     bounds: Bounds,
 }
 
 impl Core {
-    /// A controller that found `stored` on its disk. `seed` is its only source of randomness.
+    /// Creates a controller from the state `stored` on its disk. `seed` is its only source of
+    /// randomness.
     pub fn new(
         settings: &Settings,
         now: Millis,
@@ -171,7 +181,8 @@
     ) -> Core {
         let ip = settings.ip.to_string();
         let snapshot = stored.raft.snapshot.clone();
-        // The first disk of all has leased nothing; another that came empty may have.
+        // At the first start of the cluster nothing has been leased. A disk that is empty for
+        // another reason may belong to a controller that has granted leases.
         let is_first_start = stored.raft.is_empty() && settings.bootstrap;
         let holders_complete = stored.leased_to_complete || is_first_start;
         let known_holders = holders_complete.then(|| stored.leased_to.clone());
@@ -187,9 +198,9 @@
             is_stopping: false,
             instance_timeout: instance_timeout(settings),
             max_machine_losses: settings.tolerance.machine_losses,
-            compact_after: None,
+            compaction_threshold: None,
             raft,
-            known_leader: None,
+            logged_leader: None,
             contact: QuorumContact::new(&ip, now),
             writes: PendingWrites::new(stored.number),
             config: ReplicatedConfig::default(),
@@ -218,27 +229,29 @@
         core
     }
 
-    /// Records of proxies that lease requests have made this controller look at since its start: what its work for leases grows with.
+    /// Returns the number of proxy records visited by lease requests since the start, a measure of
+    /// the work done for leases.
     pub fn visited_lease_records(&self) -> u64 {
         self.leasing.server().visited_clients()
     }
 
-    /// Addresses of the controllers that vote.
+    /// Returns the addresses of the voting controllers.
     pub fn voters(&self) -> &BTreeSet<String> {
         self.raft.voters()
     }
 
-    /// Whether this controller leads the others.
+    /// Returns whether this controller is the Raft leader.
     pub fn is_leader(&self) -> bool {
         self.raft.is_leader()
     }
 
-    /// Compacts the log after this many entries, where the usual number is too many for a test.
+    /// Sets the number of entries after which the log is compacted, for tests for which the default
+    /// is too high.
     pub fn set_compaction_threshold(&mut self, entries: usize) {
-        self.compact_after = Some(entries);
+        self.compaction_threshold = Some(entries);
     }
 
-    /// Time passes; to be called every [`TICK`].
+    /// Advances the time; the driver calls this every [`TICK`].
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
         let duration = now - self.last_tick;
         if duration > MIN_PROCESS_PAUSE {
@@ -256,10 +269,10 @@
         self.last_heartbeat_broadcast = now;
         self.broadcast_heartbeats(out);
         self.expire_instances(now, out);
-        self.complete_proxies_instances(now, out);
+        self.send_complete_instance_lists(now, out);
     }
 
-    /// All writes up to this number are on disk.
+    /// Handles the notification that all writes up to this number are persisted.
     pub fn persisted(&mut self, now: Millis, number: u64, out: &mut Vec<Output>) {
         while let Some(purpose) = self.writes.pop_persisted(number) {
             match purpose {
@@ -278,19 +291,20 @@
         }
     }
 
-    /// There is a new connection to a peer: what went to it before may be lost, so all instances are sent again.
+    /// Handles a new connection to a peer. Frames sent on an earlier connection may be lost, so all
+    /// instances are sent again.
     pub fn peer_connected(&mut self, now: Millis, ip: &str, out: &mut Vec<Output>) {
         self.contact.peer_connected(ip);
         self.send_all_instances_to_peer(now, ip, out);
     }
 
-    /// The connection to a peer has ended. What it may have missed is sent on the next one; log entries are sent again until they
-    /// are acknowledged.
+    /// Handles the end of the connection to a peer. Instances that the peer may have missed are
+    /// sent on its next connection; Raft resends log entries until they are acknowledged.
     pub fn peer_disconnected(&mut self, ip: &str) {
         self.contact.peer_disconnected(ip);
     }
 
-    /// A peer has sent a frame.
+    /// Handles a frame from a peer.
     pub fn receive_from_peer(
         &mut self,
         now: Millis,
@@ -316,7 +330,7 @@
         }
     }
 
-    /// A caller asks something; the answer bears this number.
+    /// Handles a call. The response is returned as [`Output::Respond`] with this number.
     pub fn call(&mut self, now: Millis, number: u64, call: Call, out: &mut Vec<Output>) {
         match call {
             Call::Heartbeat(id, body) => match parse_heartbeat(&id, &body) {
@@ -333,12 +347,14 @@
         }
     }
 
-    /// The settings file has changed. The interval of heartbeats is taken over; all else takes a restart.
+    /// Applies changed settings. Only the heartbeat interval takes effect; all other settings
+    /// require a restart.
     pub fn reload(&mut self, settings: &Settings) {
         self.instance_timeout = instance_timeout(settings);
     }
 
-    /// A planned stop begins: another controller is to lead, and nothing committed is to rest on this one alone.
+    /// Begins a graceful shutdown: leadership is transferred, and committed entries are replicated
+    /// so that none depends on this controller alone.
     pub fn shut_down(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.is_stopping = true;
         self.drive_raft(now, out, |raft, ready| raft.shut_down(now, ready));
@@ -347,7 +363,8 @@
         }
     }
 
-    /// Whether a planned stop may end: nothing that was committed rests on this controller alone.
+    /// Returns whether the graceful shutdown may end: no committed entry depends on this controller
+    /// alone.
     pub fn may_stop(&self, now: Millis) -> bool {
         self.raft.may_stop(now)
     }
--- a/crates/controller/src/core/operator_calls.rs
+++ b/crates/controller/src/core/operator_calls.rs
@@ -1,8 +1,10 @@
 //! The operator's calls `config.amend` and `config.read`.
 //!
-//! Only what no later leader can contradict is answered with certainty (200 or a rejection): a 200 once the entry is committed; a
-//! rejection for the call's text at once, any other once a read index has confirmed that this controller led when it decided, and
-//! the entries by which it decided are committed. All else is [`CallResponse::Unavailable`], and the operator repeats the call.
+//! A definite response (200 or a rejection) is given only if no later leader can contradict it: a
+//! 200 once the entry is committed; a rejection of the call's text at once; any other rejection
+//! once a read index has confirmed that this controller was the leader when it decided, and the
+//! entries on which the decision was based are committed. All other calls get
+//! [`CallResponse::Unavailable`], and the operator repeats the call.
 
 use super::event::Event;
 use super::pending_calls::{AfterCommit, AfterRead, PendingCall};
@@ -11,14 +13,14 @@
 use maplefall_gateway_config::{parse_amend, Change, ConfigError, Validation};
 use prost::Message;
 
-/// Where an accepted change is in the log.
+/// The position of an accepted change in the log.
 struct ProposedChange {
     index: u64,
     term: u64,
 }
 
 impl Core {
-    /// Validates a change of the configuration, and proposes it to the voters where it has anything new.
+    /// Validates a configuration change, and proposes it to the voters if it contains anything new.
     pub(super) fn amend(&mut self, now: Millis, call: u64, body: Bytes, out: &mut Vec<Output>) {
         let change = match parse_amend(&body) {
             Ok(change) => change,
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Answers with the committed configuration.
+    /// Responds with the committed configuration.
     pub(super) fn read_config(&mut self, now: Millis, call: u64, out: &mut Vec<Output>) {
         if !self.raft.is_leader() {
             return self.redirect(now, call, Call::ReadConfig, out);
@@ -92,7 +94,7 @@
         self.respond_after_read(now, call, AfterRead::ReadConfig, out);
     }
 
-    /// Confirms a call once its entry is committed.
+    /// Responds with a 200 once the entry of the call is committed.
     fn confirm_after_commit(
         &mut self,
         now: Millis,
@@ -106,21 +108,21 @@
         } else if self.calls.is_full() {
             out.push(Output::Respond(call, CallResponse::Unavailable));
         } else {
-            let waiting = AfterCommit {
+            let after_commit = AfterCommit {
                 call: PendingCall::new(call, now + QUORUM_TIMEOUT),
                 term: proposed.term,
                 response,
             };
-            self.calls.await_commit(proposed.index, waiting);
+            self.calls.await_commit(proposed.index, after_commit);
         }
     }
 
-    /// Answers a call once a read index has confirmed that this controller leads.
+    /// Responds to a call once a read index has confirmed that this controller is the leader.
     fn respond_after_read(
         &mut self,
         now: Millis,
         call: u64,
-        then: AfterRead,
+        after_read: AfterRead,
         out: &mut Vec<Output>,
     ) {
         let pending = PendingCall::new(call, now + QUORUM_TIMEOUT);
@@ -130,20 +132,20 @@
         let ticket = self.drive_raft(now, out, |raft, ready| raft.read_index(now, ready));
         let is_confirmed = self.calls.take_confirmed(ticket);
         match ticket {
-            Some(_) if is_confirmed => self.read_confirmed(pending, then, out),
-            Some(ticket) => self.calls.await_read(ticket, pending, then),
+            Some(_) if is_confirmed => self.read_confirmed(pending, after_read, out),
+            Some(ticket) => self.calls.await_read(ticket, pending, after_read),
             None => pending.respond(CallResponse::Unavailable, out),
         }
     }
 
-    /// A read index has confirmed that this controller led after the call had come.
+    /// Handles the confirmation that this controller was the leader after it received the call.
     pub(super) fn read_confirmed(
         &mut self,
         call: PendingCall,
-        then: AfterRead,
+        after_read: AfterRead,
         out: &mut Vec<Output>,
     ) {
-        match then {
+        match after_read {
             AfterRead::ReadConfig => {
                 call.respond(CallResponse::Ok(self.config.state().read_back()), out);
             }
@@ -158,17 +160,17 @@
                 term,
                 index,
             } => {
-                let waiting = AfterCommit {
+                let after_commit = AfterCommit {
                     call,
                     term,
                     response,
                 };
-                self.calls.await_commit(index, waiting);
+                self.calls.await_commit(index, after_commit);
             }
         }
     }
 
-    /// Redirects a call to the leader, or keeps it until there is one.
+    /// Redirects a call to the leader, or keeps the call until a leader is known.
     fn redirect(&mut self, now: Millis, number: u64, call: Call, out: &mut Vec<Output>) {
         match self.raft.leader() {
             Some(leader) if leader != self.ip => {
@@ -185,7 +187,8 @@
         }
     }
 
-    /// Answers calls that have waited for too long, and those that waited for a leader where there is one now.
+    /// Responds with unavailable to calls whose deadline has passed, and retries those that waited
+    /// for a leader if there is one now.
     pub(super) fn expire_calls(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.uncommitted.release_if_committed(self.raft.commit());
         for (pending, call) in self.calls.take_awaiting_leader() {
@@ -204,7 +207,7 @@
     }
 }
 
-/// Rejects a call for its text, by which every controller decides alike.
+/// Rejects a call because of its text alone, on which every controller decides alike.
 fn reject(call: u64, error: &ConfigError, out: &mut Vec<Output>) {
     out.push(Event::CallRejected(error).into());
     out.push(Output::Respond(call, CallResponse::rejected(error)));
--- a/crates/controller/src/core/pending_calls.rs
+++ b/crates/controller/src/core/pending_calls.rs
@@ -1,12 +1,13 @@
-//! Calls that are not answered yet. Each is answered exactly once, and their number is bounded.
+//! Calls that await a response. Each gets exactly one response, and their number is bounded.
 
 use super::{Call, CallResponse, Millis, Output};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Calls that wait for raft at most, and as many that wait for a leader; what comes beyond is answered as unavailable.
+/// Maximum number of calls that wait for Raft, and likewise of calls that wait for a leader;
+/// further calls get an unavailable response.
 const MAX_PENDING_CALLS: usize = 512;
 
-/// A call that waits to be answered.
+/// A call that awaits its response.
 pub(super) struct PendingCall {
     number: u64,
     deadline: Millis,
@@ -29,7 +30,7 @@
         now >= self.deadline
     }
 
-    /// Whether there is time left; a call that is late is answered as unavailable.
+    /// Returns whether the deadline has not passed; otherwise responds with unavailable.
     pub(super) fn is_in_time(&self, now: Millis, out: &mut Vec<Output>) -> bool {
         let late = self.is_late(now);
         if late {
@@ -39,19 +40,19 @@
     }
 }
 
-/// A call that is answered once an entry is committed.
+/// A call that gets its response once an entry is committed.
 pub(super) struct AfterCommit {
     pub(super) call: PendingCall,
-    /// Term of the entry; if one of another term takes its index, the outcome is unknown.
+    /// Term of the entry. If an entry of another term takes its index, the outcome is unknown.
     pub(super) term: u64,
     pub(super) response: CallResponse,
 }
 
-/// What a call that waits for a read index gets (Raft paper, section 8).
+/// What to do with a call once its read index is confirmed (Raft paper, section 8).
 pub(super) enum AfterRead {
-    /// The committed configuration.
+    /// Respond with the committed configuration.
     ReadConfig,
-    /// A rejection that was decided in `term`, by all entries up to `index`.
+    /// Respond with a rejection that was decided in `term`, based on all entries up to `index`.
     Reject {
         response: CallResponse,
         term: u64,
@@ -59,26 +60,26 @@
     },
 }
 
-/// All calls that wait, by what they wait for.
+/// All pending calls, by what they wait for.
 #[derive(Default)]
 pub(super) struct PendingCalls {
     awaiting_leader: Vec<(PendingCall, Call)>,
-    /// By the index of the entry.
+    /// Keyed by the index of the entry.
     awaiting_commit: BTreeMap<u64, Vec<AfterCommit>>,
-    /// By raft's ticket of the read.
+    /// Keyed by Raft's ticket for the read.
     awaiting_read: BTreeMap<u64, (PendingCall, AfterRead)>,
-    /// Reads that raft confirmed before their call was registered here.
+    /// Tickets of reads that Raft confirmed before their calls were registered in `awaiting_read`.
     confirmed_reads: BTreeSet<u64>,
 }
 
 impl PendingCalls {
-    /// Whether no further call may wait for raft.
+    /// Returns whether the maximum number of calls wait for Raft.
     pub(super) fn is_full(&self) -> bool {
         let awaiting_commit: usize = self.awaiting_commit.values().map(Vec::len).sum();
         self.awaiting_read.len() + awaiting_commit >= MAX_PENDING_CALLS
     }
 
-    /// Whether no further call may wait for a leader.
+    /// Returns whether the maximum number of calls wait for a leader.
     pub(super) fn is_full_without_leader(&self) -> bool {
         self.awaiting_leader.len() >= MAX_PENDING_CALLS
     }
@@ -87,7 +88,8 @@
         self.awaiting_leader.push((pending, call));
     }
 
-    /// The calls that wait for a leader; those that still do are given back by [`PendingCalls::await_leader`].
+    /// Takes all calls that wait for a leader; the caller returns those that still wait through
+    /// [`PendingCalls::await_leader`].
     pub(super) fn take_awaiting_leader(&mut self) -> Vec<(PendingCall, Call)> {
         std::mem::take(&mut self.awaiting_leader)
     }
@@ -96,12 +98,12 @@
         self.awaiting_commit.entry(index).or_default().push(call);
     }
 
-    pub(super) fn await_read(&mut self, ticket: u64, call: PendingCall, then: AfterRead) {
-        self.awaiting_read.insert(ticket, (call, then));
+    pub(super) fn await_read(&mut self, ticket: u64, call: PendingCall, after_read: AfterRead) {
+        self.awaiting_read.insert(ticket, (call, after_read));
     }
 
-    /// Raft has confirmed a read. Returns the call, or nothing where the read is confirmed within the request for it, or its call has
-    /// been answered by now.
+    /// Handles Raft's confirmation of a read and returns the call. Returns `None` if the read is
+    /// confirmed during the request for it, or if its call has expired.
     pub(super) fn read_confirmed(&mut self, ticket: u64) -> Option<(PendingCall, AfterRead)> {
         let waiting = self.awaiting_read.remove(&ticket);
         if waiting.is_none() {
@@ -110,17 +112,19 @@
         waiting
     }
 
-    /// Whether this read was confirmed within the request for it; forgets all such.
+    /// Returns whether this read was confirmed during the request for it, and clears all such
+    /// confirmations.
     pub(super) fn take_confirmed(&mut self, ticket: Option<u64>) -> bool {
         let confirmed = ticket.is_some_and(|ticket| self.confirmed_reads.contains(&ticket));
         self.confirmed_reads.clear();
         confirmed
     }
 
-    /// The entry with this index and term is committed.
+    /// Responds to the calls that wait for this entry, which is now committed.
     pub(super) fn entry_committed(&mut self, index: u64, term: u64, out: &mut Vec<Output>) {
         for waiting in self.awaiting_commit.remove(&index).unwrap_or_default() {
-            // One message can bring a leader both the new term and the entry that has replaced its own.
+            // A single message can inform a leader both of a new term and of the entry that
+            // replaced its own.
             let response = if waiting.term == term {
                 waiting.response
             } else {
@@ -130,7 +134,8 @@
         }
     }
 
-    /// This controller has ceased to lead: only the next leader knows what becomes of the calls that wait for raft.
+    /// Responds with unavailable to all calls that wait for Raft, after this controller has lost
+    /// leadership: only the next leader knows their outcome.
     pub(super) fn leadership_lost(&mut self, out: &mut Vec<Output>) {
         let awaiting_commit = std::mem::take(&mut self.awaiting_commit)
             .into_values()
@@ -144,7 +149,7 @@
         }
     }
 
-    /// Answers calls that have waited for raft for too long.
+    /// Responds with unavailable to calls whose deadline has passed while they waited for Raft.
     pub(super) fn expire(&mut self, now: Millis, out: &mut Vec<Output>) {
         for waiting in self.awaiting_commit.values_mut() {
             waiting.retain(|waiting| waiting.call.is_in_time(now, out));
--- a/crates/controller/src/core/proxies.rs
+++ b/crates/controller/src/core/proxies.rs
@@ -1,4 +1,4 @@
-//! The connections of the proxies.
+//! Connections of proxies.
 
 use super::event::Event;
 use super::{Core, Millis, Output};
@@ -9,28 +9,30 @@
 /// A proxy's connection.
 pub(super) struct ProxyConnection {
     pub(super) node: String,
-    /// Number of the proxy's start.
+    /// Incarnation of the proxy: a number that differs between its starts.
     pub(super) incarnation: u64,
-    /// Index of the configuration that was last sent to it or that it came with.
+    /// Index of the configuration that was last sent to the proxy, or that it reported when it
+    /// connected.
     pub(super) config_index: u64,
-    /// Whether the list of instances that it has is complete.
+    /// Whether the proxy has a complete list of instances.
     pub(super) has_complete_instances: bool,
-    /// It has no configuration, and gets one once this controller is in contact with a quorum.
+    /// Whether the proxy has no configuration and is to get one once this controller is in contact
+    /// with a quorum.
     pub(super) config_withheld: bool,
-    /// Its last lease request, where that came while nothing could be answered.
+    /// The last lease request, if it was received while this controller could not grant leases.
     pub(super) unanswered: Option<UnansweredRequest>,
-    /// Its last lease request, where that came while its name was on its way to the disk.
-    pub(super) awaits_disk: Option<LeaseRequest>,
+    /// The last lease request, if it was received while the proxy's name was being written to disk.
+    pub(super) awaiting_disk: Option<LeaseRequest>,
 }
 
-/// A lease request that came while this controller might not answer any.
+/// A lease request received while this controller was not allowed to grant leases.
 pub(super) struct UnansweredRequest {
     pub(super) received_at: Millis,
     pub(super) request: LeaseRequest,
 }
 
 impl Core {
-    /// A proxy has opened a connection, which has this number.
+    /// Handles a new connection of a proxy, which has this number.
     pub fn proxy_connected(
         &mut self,
         now: Millis,
@@ -50,18 +52,19 @@
             has_complete_instances: false,
             config_withheld: false,
             unanswered: None,
-            awaits_disk: None,
+            awaiting_disk: None,
         };
         self.proxies.insert(connection, proxy);
         let latest = self.connections_by_node.entry(hello.node.clone());
         let latest = latest.or_insert(connection);
         *latest = connection.max(*latest);
-        // Also where nothing has changed: the proxy learns which controllers there are.
+        // The update is sent even without configuration changes, because it contains the list of
+        // controllers.
         self.send_config(now, connection, true, out);
         self.send_all_instances(now, &[connection], out);
     }
 
-    /// A proxy's connection has ended.
+    /// Handles the end of a proxy's connection.
     pub fn proxy_disconnected(&mut self, connection: u64, out: &mut Vec<Output>) {
         self.lease_requests_mut().remove(connection);
         if let Some(proxy) = self.proxies.remove(&connection) {
@@ -70,17 +73,18 @@
         }
     }
 
-    /// Numbers of all proxies' connections.
+    /// Returns the numbers of all proxy connections.
     pub(super) fn proxy_connections(&self) -> Vec<u64> {
         self.proxies.keys().copied().collect()
     }
 
-    /// The latest connection of a proxy.
+    /// Returns the latest connection of a proxy.
     pub(super) fn latest_connection(&self, node: &str) -> Option<u64> {
         self.connections_by_node.get(node).copied()
     }
 
-    /// A connection of this proxy has ended; an earlier one may still be there.
+    /// Updates the latest connection of a proxy after one of its connections has ended; an earlier
+    /// one may still be open.
     fn forget_connection(&mut self, connection: u64, node: &str) {
         if self.connections_by_node.get(node) != Some(&connection) {
             return;
--- a/crates/controller/src/core/quorum_contact.rs
+++ b/crates/controller/src/core/quorum_contact.rs
@@ -1,21 +1,21 @@
-//! Whether this controller is in contact with a quorum of the voters, and since when.
+//! Tracks whether, and since when, this controller is in contact with a quorum of the voters.
 //!
-//! A controller that is cut off must not hand an outdated configuration to a proxy that has none, nor declare backends lost
-//! whose heartbeats do not reach it.
+//! A controller in a minority partition must neither send an outdated configuration to a proxy that
+//! has none, nor declare backends lost whose heartbeats do not reach it.
 
 use super::event::Event;
 use super::{Core, Millis, Output};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Contact with the other controllers.
+/// The state of contact with the other controllers.
 ///
-/// Either `since` or `lost_since` is set, never both.
+/// Exactly one of `since` and `lost_since` is set.
 pub(super) struct QuorumContact {
     ip: String,
     started_at: Millis,
-    /// Since when there is contact without a break.
+    /// Start of the current uninterrupted contact with a quorum.
     since: Option<Millis>,
-    /// Since when there is none.
+    /// Start of the current period without contact.
     lost_since: Option<Millis>,
     /// Peers to which there is a live connection.
     connected_peers: BTreeSet<String>,
@@ -24,7 +24,7 @@
 }
 
 impl QuorumContact {
-    /// A controller with this address that starts now, without contact.
+    /// Creates the state of a controller that starts now, without contact, at this address.
     pub(super) fn new(ip: &str, now: Millis) -> QuorumContact {
         QuorumContact {
             ip: ip.to_owned(),
@@ -36,19 +36,19 @@
         }
     }
 
-    /// Whether there is contact.
+    /// Returns whether there is contact with a quorum.
     pub(super) fn is_established(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Whether there has been contact without a break for longer than `span`.
-    pub(super) fn lasts_longer_than(&self, now: Millis, span: Millis) -> bool {
-        self.since.is_some_and(|since| now - since > span)
+    /// Returns whether there has been uninterrupted contact for longer than `duration`.
+    pub(super) fn lasts_longer_than(&self, now: Millis, duration: Millis) -> bool {
+        self.since.is_some_and(|since| now - since > duration)
     }
 
-    /// Whether there has been no contact for longer than `span`.
-    pub(super) fn lost_longer_than(&self, now: Millis, span: Millis) -> bool {
-        self.lost_since.is_some_and(|since| now - since > span)
+    /// Returns whether there has been no contact for longer than `duration`.
+    pub(super) fn lost_longer_than(&self, now: Millis, duration: Millis) -> bool {
+        self.lost_since.is_some_and(|since| now - since > duration)
     }
 
     pub(super) fn peer_connected(&mut self, peer: &str) {
@@ -63,7 +63,8 @@
         self.last_raft_message.insert(voter.to_owned(), now);
     }
 
-    /// Whether there are live connections to a majority of the voters, this controller included.
+    /// Returns whether there are live connections to a majority of the voters, counting this
+    /// controller.
     pub(super) fn is_connected_to_quorum(&self, voters: &BTreeSet<String>) -> bool {
         let reachable = voters
             .iter()
@@ -72,7 +73,8 @@
         reachable > voters.len() / 2
     }
 
-    /// For how long a majority of the voters has sent no Raft message.
+    /// Returns the time since a majority of the voters, counting this controller, had sent a Raft
+    /// message.
     fn time_without_quorum(&self, now: Millis, voters: &BTreeSet<String>) -> Millis {
         let last_message = |voter: &String| {
             if *voter == self.ip {
@@ -87,13 +89,13 @@
         now - quorum_time.unwrap_or(self.started_at)
     }
 
-    /// Notes that there is contact again; returns for how long there was none.
+    /// Records that contact is restored; returns how long there was none.
     fn restore(&mut self, now: Millis) -> Millis {
         self.since = Some(now);
         self.lost_since.take().map_or(0.0, |since| now - since)
     }
 
-    /// Notes that there is none; returns whether there was until now.
+    /// Records that contact is lost; returns whether there was contact until now.
     fn lose(&mut self, now: Millis) -> bool {
         self.lost_since.get_or_insert(now);
         self.since.take().is_some()
@@ -101,12 +103,13 @@
 }
 
 impl Core {
-    /// Whether this controller is in contact with a quorum at this moment.
+    /// Returns whether this controller is in contact with a quorum at this moment.
     pub(super) fn has_quorum_contact(&self, now: Millis) -> bool {
         self.contact.is_established() && self.raft.has_quorum_contact(now)
     }
 
-    /// Notes whether contact with a quorum was lost or restored, and serves the proxies that waited for it.
+    /// Checks whether contact with a quorum was lost or restored; when it is restored, sends the
+    /// configuration and instances to the proxies.
     pub(super) fn update_quorum_contact(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.raft.has_quorum_contact(now) {
             self.lose_quorum_contact(now, out);
@@ -117,7 +120,7 @@
         }
         let after = self.contact.restore(now);
         out.push(Event::QuorumRestored { after }.into());
-        // No heartbeat could be received in the meantime.
+        // Heartbeats may not have reached this controller in the meantime.
         self.registry.restart_timeouts(now);
         self.distribute_config(now, out);
         let connections = self.proxy_connections();
--- a/crates/controller/src/core/replicated_config.rs
+++ b/crates/controller/src/core/replicated_config.rs
@@ -1,10 +1,10 @@
-//! The committed configuration, with the recent changes from which proxies are brought up to date.
+//! The committed configuration, with recent changes for incremental updates of proxies.
 
 use maplefall_control_messages::{ConfigUpdate, IndexedChange};
 use maplefall_gateway_config::{Change, ConfigState};
 use std::collections::VecDeque;
 
-/// Changes that are kept for proxies that lack a few; one that lacks more gets all items.
+/// Number of changes kept for proxies that lack a few; a proxy that lacks more gets all items.
 const MAX_RECENT_CHANGES: usize = 256;
 
 /// The configuration as of the last committed change.
@@ -27,7 +27,7 @@
         self.index
     }
 
-    /// Replaces everything by the state of a snapshot.
+    /// Replaces the configuration by that of a snapshot.
     pub(super) fn restore(&mut self, state: ConfigState, index: u64) {
         self.state = state;
         self.index = index;
@@ -35,7 +35,8 @@
         self.recent.clear();
     }
 
-    /// Applies the change of a committed entry. One that cannot be decoded (`None`) only moves the index, on every controller alike.
+    /// Applies the change of a committed entry. A change that cannot be decoded (`None`) only
+    /// advances the index, on every controller alike.
     pub(super) fn apply(&mut self, index: u64, change: Option<Change>) {
         if let Some(change) = change {
             self.state.apply(&change);
@@ -57,7 +58,8 @@
         }
     }
 
-    /// What leads from the configuration of index `after` to this one: the changes between, or all items.
+    /// Returns the update from the configuration at index `after` to the current one: the changes
+    /// in between, or all items.
     pub(super) fn update_since(&self, after: u64) -> ConfigUpdate {
         let mut update = ConfigUpdate {
             index: self.index,
--- a/crates/controller/src/core/replicated_state.rs
+++ b/crates/controller/src/core/replicated_state.rs
@@ -1,18 +1,19 @@
-//! The state machine's content in the form in which a Raft snapshot keeps it (Raft paper, section 7).
+//! The state machine's content as stored in a Raft snapshot (Raft paper, section 7).
 
 use maplefall_gateway_config::{ConfigState, Item, VersionHistory};
 use maplefall_quota_lease::Slots;
 
-/// The state that the committed changes lead to. Tag 1 is what earlier programs wrote as a `Change`.
+/// The state after applying the committed changes. Tag 1 is compatible with the `Change` message
+/// that earlier versions wrote.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ReplicatedState {
-    /// Every item in its highest version, dropped ones too.
+    /// Every item in its highest version, including dropped items.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<Item>,
-    /// What was accepted under lower versions.
+    /// The history of accepted lower versions.
     #[prost(message, optional, tag = "2")]
     pub taken: Option<VersionHistory>,
-    /// Which controller leases which slot of every quota.
+    /// The controller that owns, and may lease, each slot of every quota.
     #[prost(message, optional, tag = "3")]
     pub owners: Option<Slots>,
 }
--- a/crates/controller/src/core/replication.rs
+++ b/crates/controller/src/core/replication.rs
@@ -1,4 +1,5 @@
-//! Drives [`Raft`] and carries out what it returns: applies committed entries, installs snapshots, and compacts the log.
+//! Drives [`Raft`] and carries out what it returns: applies committed entries, installs snapshots,
+//! and compacts the log.
 
 use super::event::Event;
 use super::writes::WritePurpose;
@@ -12,7 +13,7 @@
 use std::collections::BTreeSet;
 
 impl Core {
-    /// Gives raft an input, and carries out what it returns.
+    /// Passes an input to Raft, and carries out what Raft returns.
     pub(super) fn drive_raft<T>(
         &mut self,
         now: Millis,
@@ -25,7 +26,8 @@
         result
     }
 
-    /// Carries out what raft has returned. The order matters: state is written before the messages that rest on it are handed out.
+    /// Carries out what Raft has returned. The order matters: state is written before the messages
+    /// that depend on it are sent.
     pub(super) fn process_ready(&mut self, now: Millis, ready: Ready, out: &mut Vec<Output>) {
         for (number, update) in ready.writes {
             let record = StoreRecord {
@@ -61,20 +63,20 @@
 
     fn log_leader_change(&mut self, out: &mut Vec<Output>) {
         let leader = self.raft.leader();
-        if self.known_leader.as_deref() == leader {
+        if self.logged_leader.as_deref() == leader {
             return;
         }
         let term = self.raft.term();
         out.push(Event::LeaderChanged { leader, term }.into());
-        self.known_leader = leader.map(str::to_owned);
+        self.logged_leader = leader.map(str::to_owned);
     }
 
-    /// Replaces the committed part of the log by a snapshot once it is long (Raft paper, section 7).
+    /// Replaces the committed part of a long log by a snapshot (Raft paper, section 7).
     fn compact_log(&mut self, now: Millis, out: &mut Vec<Output>) {
-        // What is not committed cannot be compacted, however much it is.
+        // Uncommitted entries cannot be compacted, however many there are.
         let uncommitted = self.raft.uncommitted().count();
         let is_long = self
-            .compact_after
+            .compaction_threshold
             .is_some_and(|entries| self.raft.log_len() > entries + uncommitted);
         if is_long || self.raft.should_compact() {
             let slots = self.leasing.slots().slots();
@@ -140,7 +142,8 @@
         };
         let events = self.leasing.slots_mut().install(now, slots);
         self.slots_changed(events, out);
-        // The state of the first start, and of what had nothing but members since: there is no configuration yet.
+        // An empty state is that of the first start, possibly with only membership changes since:
+        // there is no configuration yet.
         if snapshot.state.is_empty() {
             return;
         }
@@ -151,8 +154,9 @@
         self.set_quotas(now, &tenants);
     }
 
-    /// Slots where a snapshot has none: that of the first start, which is empty, and those of earlier programs. By the time of the
-    /// latter, other controllers may have granted leases.
+    /// Returns the slots for a snapshot that has none: an empty one of the first start, or one
+    /// written by an earlier version. In the latter case other controllers may already have granted
+    /// leases.
     fn initial_slots(&self, snapshot: &Snapshot) -> Slots {
         let members = snapshot.members.iter().map(|member| member.name.clone());
         let may_be_leased = !snapshot.state.is_empty();
@@ -165,7 +169,7 @@
     }
 }
 
-/// Raft addresses a message to all with an empty name.
+/// An empty recipient name in a Raft message means all peers.
 fn raft_message_output(to: String, message: RaftMessage) -> Output {
     let bytes = encode_frame(Frame::Raft(message));
     if to.is_empty() {
--- a/crates/controller/src/core/token_requests.rs
+++ b/crates/controller/src/core/token_requests.rs
@@ -1,4 +1,5 @@
-//! Requests of proxies for single tokens. They wait with the lease requests, before them: a client's request waits behind each.
+//! Token requests of proxies. They are queued with the lease requests and take precedence over
+//! them, because each has a client's request waiting for it.
 
 use super::{Core, Millis, Output};
 use maplefall_control_messages::{encode_frame, Frame};
@@ -6,11 +7,11 @@
 use maplefall_node_settings::Bounds;
 use maplefall_quota_lease::{GrantedTokens, TenantQuota, TokenGrant, TokenRequest};
 
-/// What a proxy is to wait before it asks again a controller that may not grant anything.
+/// Retry delay returned to a proxy by a controller that may not grant anything.
 const UNAVAILABLE_WAIT_MS: u32 = 500;
 
 impl Core {
-    /// Answers a request for tokens, with none while this controller may not lease.
+    /// Responds to a token request, granting no tokens while this controller may not lease.
     pub(super) fn grant_tokens(
         &mut self,
         now: Millis,
@@ -21,13 +22,13 @@
         let grant = if self.may_lease(now) {
             self.leasing.server_mut().grant_tokens(now, request)
         } else {
-            refuse(request)
+            reject(request)
         };
         let bytes = encode_frame(Frame::TokenGrant(grant));
         self.send_to_proxy(connection, bytes, out);
     }
 
-    /// The configuration of these tenants has changed.
+    /// Updates the quotas of tenants whose configuration has changed.
     pub(super) fn set_quotas(&mut self, now: Millis, tenants: &[Item]) {
         let bounds = self.bounds;
         let server = self.leasing.server_mut();
@@ -37,7 +38,7 @@
     }
 }
 
-/// The quota that an item sets; `None` for one that is dropped, or that has no valid quota.
+/// Returns the quota that an item defines; `None` for a dropped item or one without a valid quota.
 fn quota_of(item: &Item, bounds: &Bounds) -> Option<TenantQuota> {
     if item.dropped {
         return None;
@@ -51,14 +52,14 @@
     ))
 }
 
-fn refuse(request: &TokenRequest) -> TokenGrant {
-    let refused = request.tokens.iter().map(|requested| GrantedTokens {
+fn reject(request: &TokenRequest) -> TokenGrant {
+    let rejected = request.tokens.iter().map(|requested| GrantedTokens {
         tenant: requested.tenant.clone(),
         count: 0,
         wait_ms: UNAVAILABLE_WAIT_MS,
     });
     TokenGrant {
         request: request.sequence,
-        tokens: refused.collect(),
+        tokens: rejected.collect(),
     }
 }
--- a/crates/controller/src/core/uncommitted_changes.rs
+++ b/crates/controller/src/core/uncommitted_changes.rs
@@ -1,14 +1,15 @@
-//! The changes in raft's log that are not committed yet, as far as they were decoded: a call is validated against them.
+//! Decoded configuration changes from Raft's log that are not committed yet; calls are validated
+//! against them.
 
 use maplefall_gateway_config::{Change, PendingChanges};
 use maplefall_raft::{EntryKind, Raft};
 use prost::Message;
 
-/// Changes that this leader has proposed; each entry is decoded once a term.
+/// Uncommitted changes that this leader has proposed; each entry is decoded once per term.
 #[derive(Default)]
 pub(super) struct UncommittedChanges {
     term: u64,
-    /// Entries after this index, up to and with `last_index`, are in `changes`.
+    /// `changes` holds the entries after this index, up to and including `last_index`.
     after: u64,
     last_index: u64,
     changes: PendingChanges,
@@ -19,7 +20,7 @@
         &self.changes
     }
 
-    /// Decodes what was appended since; returns the index of the last entry.
+    /// Decodes the entries appended since the last call; returns the index of the last entry.
     pub(super) fn catch_up(&mut self, raft: &Raft) -> u64 {
         self.discard_committed(raft.term(), raft.commit());
         for entry in raft.uncommitted() {
@@ -36,8 +37,8 @@
         self.last_index
     }
 
-    /// Starts over in a new term, or where more of the changes are committed than not: so none is decoded too often, and the
-    /// committed ones that are kept meanwhile stay few.
+    /// Starts over in a new term, or when more of the decoded changes are committed than not. This
+    /// bounds both how often an entry is decoded and how many committed changes are kept.
     fn discard_committed(&mut self, term: u64, commit: u64) {
         let committed = commit.saturating_sub(self.after);
         let uncommitted = self.last_index.saturating_sub(commit);
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Frees the memory of a large call that is committed by now.
+    /// Frees the memory of the decoded changes once all of them are committed, as a single call may
+    /// be large.
     pub(super) fn release_if_committed(&mut self, commit: u64) {
         if self.last_index <= commit {
             *self = UncommittedChanges::default();
--- a/crates/controller/src/core/writes.rs
+++ b/crates/controller/src/core/writes.rs
@@ -1,31 +1,32 @@
-//! Writes that are on their way to the disk, and what is to happen once they are there.
+//! Pending writes, and the actions to take once they are persisted.
 
 use super::Output;
 use crate::store::StoreRecord;
 use std::collections::VecDeque;
 
-/// What a write was for.
+/// The purpose of a write, which determines the action to take once it is persisted.
 pub(super) enum WritePurpose {
-    /// Raft's persistent state, with raft's number of the write.
+    /// Raft's persistent state, with Raft's number of the write.
     Raft(u64),
-    /// Something that only a later start reads: nothing waits for it.
+    /// State that is only read at a later start; nothing waits for it.
     Background,
-    /// The name of this proxy: its requests may be answered now.
+    /// The name of this proxy, whose lease requests may be granted once it is persisted.
     LeaseHolder(String),
-    /// The deregistration with this acknowledgement number, in this write or in one before it.
+    /// The deregistration with this acknowledgement number, contained in this write or in an
+    /// earlier one.
     Deregistration(u64),
-    /// Instance records that a peer wants acknowledged.
+    /// Instance records for which a peer requested an acknowledgement.
     PeerInstances { peer: String, ack_number: u64 },
 }
 
-/// The writes that were handed out and are not known to be on disk, in their order.
+/// Writes that were issued but not yet reported as persisted, in order.
 pub(super) struct PendingWrites {
     last_number: u64,
     purposes: VecDeque<(u64, WritePurpose)>,
 }
 
 impl PendingWrites {
-    /// `last_number` is that of the last record on the disk.
+    /// Creates an empty list; `last_number` is the number of the last record on disk.
     pub(super) fn new(last_number: u64) -> PendingWrites {
         PendingWrites {
             last_number,
@@ -33,12 +34,12 @@
         }
     }
 
-    /// Whether everything that was handed out is on disk.
+    /// Returns whether all issued writes are persisted.
     pub(super) fn is_empty(&self) -> bool {
         self.purposes.is_empty()
     }
 
-    /// Hands out a record for the disk.
+    /// Issues a write of a record.
     pub(super) fn write(
         &mut self,
         record: StoreRecord,
@@ -50,12 +51,12 @@
         out.push(Output::Write(self.last_number, Box::new(record)));
     }
 
-    /// Has this done once all writes that were handed out so far are on disk.
+    /// Registers an action to take once all writes issued so far are persisted.
     pub(super) fn after_all(&mut self, purpose: WritePurpose) {
         self.purposes.push_back((self.last_number, purpose));
     }
 
-    /// The next purpose whose write is on disk, where all writes up to `number` are.
+    /// Returns the next purpose whose write is persisted, given that all writes up to `number` are.
     pub(super) fn pop_persisted(&mut self, number: u64) -> Option<WritePurpose> {
         let (write, _) = self.purposes.front()?;
         if *write > number {
