--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -1,4 +1,5 @@
-//! The calls that the store makes on a disk: a directory of files, behind a trait so that a test can simulate power losses.
+//! The disk operations of the store on a directory of files, behind a trait so that tests can
+//! simulate power losses.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -7,63 +8,70 @@
 
 /// A directory of files.
 ///
-/// Durable is what survives a power loss: the content of a file after [`Disk::sync`] on it, a name that was created, changed or removed
-/// after [`Disk::sync_directory`]. What is not durable may be lost, each write and each name by itself.
+/// Durable state survives a power loss: the content of a file after [`Disk::sync`] on it; a name
+/// that was created, changed or removed after [`Disk::sync_directory`]. Anything else may be lost,
+/// each write and each name independently.
 ///
-/// Errors may be temporary, and any call may be repeated. After a failed [`Disk::sync`] nothing may be assumed about the file's
-/// content, and a second sync that succeeds does not make it durable.
+/// Errors may be temporary, and any operation may be repeated. After a failed [`Disk::sync`] the
+/// content of the file is undefined, and a later successful sync does not make it durable.
 pub trait Disk: Send + 'static {
-    /// A file that is written from its start to its end.
+    /// A file that is written sequentially from its start.
     type File: Write + Send;
-    /// A file that is read from its start to its end.
+    /// A file that is read sequentially from its start.
     type Reader: Read;
 
-    /// Where the directory is, for error messages.
+    /// Returns the path of the directory, for error messages.
     fn path(&self) -> &Path;
 
-    /// Names of all files, in any order.
+    /// Returns the names of all files, in any order.
     ///
     /// # Errors
     ///
-    /// If the directory cannot be read, or not be created.
+    /// If the directory cannot be read or created.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// Opens a file for reading. What is read need not be durable: it may come from the system's memory.
+    /// Opens a file for reading. The content need not be durable: it may come from the system's
+    /// page cache.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::NotFound`] if there is none; any other if it cannot be opened.
+    /// [`io::ErrorKind::NotFound`] if the file does not exist; any other kind if it cannot be
+    /// opened.
     fn read(&self, name: &str) -> io::Result<Self::Reader>;
 
-    /// Creates an empty file, or empties the one of that name. The name is durable after [`Disk::sync_directory`].
+    /// Creates an empty file, or truncates an existing one of that name. The name is durable after
+    /// [`Disk::sync_directory`].
     ///
     /// # Errors
     ///
-    /// If the disk returns an error, for one because it is full.
+    /// If the disk returns an error, for example because it is full.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Waits until all that was written to a file is durable. Its name need not be.
+    /// Waits until all content written to a file is durable. Its name need not be.
     ///
     /// # Errors
     ///
-    /// If the disk returns an error; the content of the file is then unknown.
+    /// If the disk returns an error; the content of the file is then undefined.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
 
-    /// Renames a file; no file may have the new name. A power loss before [`Disk::sync_directory`] leaves either name, or none.
+    /// Renames a file; no file may have the new name. After a power loss before
+    /// [`Disk::sync_directory`], the file has either name, or none.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::NotFound`] if there is none; any other if the disk returns an error.
+    /// [`io::ErrorKind::NotFound`] if the file does not exist; any other kind if the disk returns
+    /// an error.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file. A power loss before [`Disk::sync_directory`] may bring it back.
+    /// Removes a file. A power loss before [`Disk::sync_directory`] may restore it.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::NotFound`] if there is none; any other if the disk returns an error.
+    /// [`io::ErrorKind::NotFound`] if the file does not exist; any other kind if the disk returns
+    /// an error.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Waits until all names are durable.
+    /// Waits until the names of all files are durable.
     ///
     /// # Errors
     ///
@@ -81,7 +89,7 @@
 }
 
 impl Directory {
-    /// The directory at this path; [`Disk::list`] creates it if there is none.
+    /// Returns the directory at this path; [`Disk::list`] creates it if it does not exist.
     pub fn new(path: &Path) -> Directory {
         Directory {
             path: path.to_owned(),
@@ -92,7 +100,8 @@
         self.path.join(name)
     }
 
-    /// Creates the directory with those above it. Its own name is durable after this, those of directories above it need not be.
+    /// Creates the directory and its missing parents. Its own name is durable after this, those of
+    /// its parents need not be.
     fn create_durably(&self) -> io::Result<()> {
         fs::create_dir_all(&self.path)?;
         match self.path.parent() {
@@ -116,7 +125,7 @@
         }
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
-            // A name that is not UTF-8 is not the store's.
+            // Names that are not UTF-8 do not belong to the store.
             names.extend(entry?.file_name().into_string().ok());
         }
         Ok(names)
--- a/crates/controller/src/store/compaction.rs
+++ b/crates/controller/src/store/compaction.rs
@@ -1,8 +1,10 @@
-//! Compaction: replacing old segments by a state file, a slice at a time between writes.
+//! Compaction: replaces old segments by a state file, written one slice at a time between other
+//! writes.
 //!
-//! Invariant: a file is removed only once what replaces it is durable. A state file is written as `fold`, synced, renamed to a name that
-//! no file has had, and the directory synced; only then are the segments and state files before it obsolete. Whatever names a loss of
-//! power takes, there is the new state file, or the older one with all segments after it.
+//! Invariant: a file is removed only once its replacement is durable. A state file is written as
+//! `fold`, synced, renamed to a name that was never used before, and the directory synced; only
+//! then are earlier segments and state files obsolete. Whichever names a power loss removes, either
+//! the new state file exists, or the older one with all segments after it.
 
 use super::error::Error;
 use super::files::{self, UNFINISHED_STATE_FILE};
@@ -16,9 +18,9 @@
 /// Number and length of a state file.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StateFileInfo {
-    /// It holds all records up to this number.
+    /// Number of the last record that the file contains; it contains all records up to it.
     pub(super) number: u64,
-    /// Its length.
+    /// Length of the file.
     pub(super) bytes: u64,
 }
 
@@ -27,9 +29,9 @@
     file: F,
     frame: Frame,
     written_bytes: usize,
-    /// It holds all records up to this number.
+    /// The number of the state file: it contains all records up to this one.
     number: u64,
-    /// The segments that it replaces.
+    /// The segments that the state file replaces.
     replaces: SegmentSet,
 }
 
@@ -68,20 +70,21 @@
     }
 }
 
-/// Decides when to compact, carries it out in steps, and removes what it made obsolete.
+/// Decides when to compact, performs compactions in steps, and removes the files that they made
+/// obsolete.
 pub(super) struct Compactor<F> {
     running: Option<Compaction<F>>,
-    /// Numbers of state files: the last one, and before it any that a loss of power may bring back in its place, because the
-    /// directory could not be synced.
+    /// Numbers of state files: the latest one, preceded by any that a power loss may restore in its
+    /// place because the directory could not be synced.
     state_files: Vec<u64>,
-    /// Length of the last state file.
+    /// Length of the latest state file.
     state_file_bytes: u64,
-    /// Files that are to be removed, the last first.
+    /// Files to be removed, starting with the last.
     obsolete_files: Vec<String>,
 }
 
 impl<F: Send> Compactor<F> {
-    /// For a directory with this state file and these files to be removed.
+    /// Creates a compactor for a directory with this state file and these files to be removed.
     pub(super) fn new(
         state_file: Option<StateFileInfo>,
         obsolete_files: Vec<String>,
@@ -94,21 +97,21 @@
         }
     }
 
-    /// Whether [`Compactor::step`] has something to do.
+    /// Returns whether [`Compactor::step`] has work to do.
     pub(super) fn has_work(&self, limits: &StoreLimits, log: &SegmentLog<F>) -> bool {
         self.running.is_some() || !self.obsolete_files.is_empty() || self.is_due(limits, log)
     }
 
-    /// A state that is longer than the threshold waits for as much log as its own length: each byte is then written about twice,
-    /// however long the state is.
+    /// If the state file is longer than the threshold, compaction is due once the log is as long as
+    /// the state file: each byte is then written about twice, however long the state is.
     fn is_due(&self, limits: &StoreLimits, log: &SegmentLog<F>) -> bool {
         let uncompacted = log.uncompacted();
         uncompacted.bytes >= limits.compact_after_bytes.max(self.state_file_bytes)
             || uncompacted.ids.len() > limits.max_segments
     }
 
-    /// Takes one step: removes an obsolete file, or begins a due compaction or takes it further. A compaction that fails is given up,
-    /// and a later step begins it anew.
+    /// Performs one step: removes an obsolete file, or begins or continues a due compaction. A
+    /// compaction that fails is abandoned, and a later step starts it again.
     pub(super) fn step<D: Disk<File = F>>(
         &mut self,
         disk: &D,
@@ -142,7 +145,8 @@
         let result = if is_written {
             self.publish(disk, &compaction)
         } else {
-            // At least as long as the last batch: otherwise the log grows faster than the state file is written.
+            // The slice is at least as long as the last batch, because otherwise the log grows
+            // faster than the state file is written.
             let max_slice_bytes = limits.write_slice_bytes.max(log.last_frame_bytes());
             compaction.write_slice(disk, max_slice_bytes)
         };
@@ -154,7 +158,7 @@
         result
     }
 
-    /// Puts the state file in the place of what it replaces.
+    /// Replaces the compacted files by the finished state file.
     fn publish<D: Disk<File = F>>(
         &mut self,
         disk: &D,
@@ -165,7 +169,8 @@
         let mut older = std::mem::replace(&mut self.state_files, vec![number]);
         older.retain(|other| *other != number);
         if let Err(error) = files::sync_directory(disk) {
-            // A loss of power may bring back the older name: its file stays until a sync has worked.
+            // A power loss may restore the older name, so its file is kept until a sync has
+            // succeeded.
             self.state_files.splice(0..0, older);
             return Err(error);
         }
--- a/crates/controller/src/store/error.rs
+++ b/crates/controller/src/store/error.rs
@@ -1,11 +1,11 @@
-//! Why the store cannot use its disk.
+//! Errors of the store.
 
 use crate::disk::Disk;
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// The call on the disk that failed: `step=` of an error's line.
+/// A disk operation that failed; the `step=` field of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Listing the directory.
@@ -16,9 +16,9 @@
     Create,
     /// Writing to a file.
     Write,
-    /// Making a file or the directory durable.
+    /// Syncing a file or the directory.
     Sync,
-    /// Giving a file another name.
+    /// Renaming a file.
     Rename,
     /// Removing a file.
     Remove,
@@ -38,42 +38,43 @@
     }
 }
 
-/// Why the store cannot use its disk, shown as `key=value` pairs for the log.
+/// An error of the store, displayed as `key=value` pairs for the log.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A call on the disk failed. It may succeed later.
+    /// A disk operation failed. It may succeed later.
     #[error("step={operation} path={} error={:?}", path.display(), source.to_string())]
     Io {
-        /// The call.
+        /// The operation.
         operation: Operation,
         /// The file or directory.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file does not hold what was written to it, or records before it are missing.
+    /// The content of a file differs from what was written, or records before it are missing.
     #[error("step=read path={} error=corrupt", path.display())]
     Corrupt {
         /// The file.
         path: PathBuf,
     },
-    /// A file was written by a program of another format version. Nothing in the directory is changed.
+    /// A file was written in another format version. Nothing in the directory is changed.
     #[error("step=read path={} format={format}", path.display())]
     UnknownFormat {
         /// The file.
         path: PathBuf,
-        /// Its format version.
+        /// The format version of the file.
         format: u32,
     },
-    /// A record to be written does not follow the one before it.
+    /// The number of a record to be written does not follow that of the previous record.
     #[error("step=write error=order expected={expected} actual={actual}")]
     OutOfOrder {
-        /// Number of the record that was due.
+        /// The expected record number.
         expected: u64,
-        /// Number of the record that came.
+        /// The actual record number.
         actual: u64,
     },
-    /// Too much waits for the disk: the record of this number was not queued, and none after it will be.
+    /// The write queue is full: the record with this number was not queued, and no later one will
+    /// be.
     #[error("step=queue error=full number={number}")]
     QueueFull {
         /// Number of the record.
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The same for the directory itself.
+    /// Turns an I/O error on the store's directory itself into [`Error::Io`].
     pub(super) fn on_directory<D: Disk>(
         disk: &D,
         operation: Operation,
@@ -107,14 +108,14 @@
         }
     }
 
-    /// The file `name` of the store's directory is corrupt.
+    /// Returns the error for a corrupt file `name` in the store's directory.
     pub(super) fn corrupt<D: Disk>(disk: &D, name: &str) -> Error {
         Error::Corrupt {
             path: disk.path().join(name),
         }
     }
 
-    /// The file `name` of the store's directory has another format version.
+    /// Returns the error for a file `name` in the store's directory with another format version.
     pub(super) fn unknown_format<D: Disk>(disk: &D, name: &str, format: u32) -> Error {
         Error::UnknownFormat {
             path: disk.path().join(name),
--- a/crates/controller/src/store/files.rs
+++ b/crates/controller/src/store/files.rs
@@ -1,39 +1,42 @@
-//! The files of the store's directory: their names, and the calls on them with errors that name the file.
+//! The files of the store's directory: their names, and disk operations with errors that name the
+//! file.
 //!
-//! The names are fixed: a start finds the files of earlier versions by them.
+//! The names are fixed, because a start has to find the files of earlier versions.
 
 use super::error::{Error, Operation};
 use crate::disk::Disk;
 use std::io::{self, Read, Write};
 
-/// A state file while it is written. A start ignores and removes it.
+/// A state file that is being written. A start ignores and removes it.
 pub(super) const UNFINISHED_STATE_FILE: &str = "fold";
-/// Exists while corrupt files are being quarantined: until it is gone, some of them may still have their old names.
+/// Exists while corrupt files are being quarantined: as long as it exists, some of them may still
+/// have their old names.
 pub(super) const QUARANTINE_MARKER: &str = "setting-aside";
-/// Stays once files were quarantined, so that this is known also where none of them was left.
-pub(super) const QUARANTINE_NOTE: &str = "spoilt-note";
-/// Before the names of quarantined files.
+/// Exists permanently once files were quarantined, so that the quarantine is known even if none of
+/// them is left.
+pub(super) const PERMANENT_QUARANTINE_MARKER: &str = "spoilt-note";
+/// Prefix of the names of quarantined files.
 pub(super) const QUARANTINE_PREFIX: &str = "spoilt-";
-/// Before the names of files of format 1.
+/// Prefix of the names of format 1 files.
 pub(super) const FORMAT_1_PREFIX: &str = "wal-";
-/// Before the number of a segment.
+/// Prefix of the names of segments, before the number.
 pub(super) const SEGMENT_PREFIX: &str = "log-";
-/// Before the number of a state file.
+/// Prefix of the names of state files, before the number.
 pub(super) const STATE_FILE_PREFIX: &str = "state-";
-/// Digits of a number in a file name, with leading zeros: names sort as their numbers do.
+/// Digits of a number in a file name, with leading zeros, so that names sort by number.
 const NUMBER_DIGITS: usize = 20;
 
-/// The name of a segment.
+/// Returns the name of a segment.
 pub(super) fn segment_name(id: u64) -> String {
     format!("{SEGMENT_PREFIX}{id:0NUMBER_DIGITS$}")
 }
 
-/// The name of the state file that holds all records up to this number.
+/// Returns the name of the state file that contains all records up to this number.
 pub(super) fn state_file_name(number: u64) -> String {
     format!("{STATE_FILE_PREFIX}{number:0NUMBER_DIGITS$}")
 }
 
-/// The number in a file name that has this prefix, and nothing else beside it.
+/// Returns the number in a file name that consists of this prefix and a number.
 pub(super) fn parse_number(name: &str, prefix: &str) -> Option<u64> {
     let digits = name.strip_prefix(prefix)?;
     (digits.len() == NUMBER_DIGITS)
@@ -41,13 +44,13 @@
         .flatten()
 }
 
-/// Names of all files.
+/// Lists the names of all files.
 pub(super) fn list<D: Disk>(disk: &D) -> Result<Vec<String>, Error> {
     disk.list()
         .map_err(Error::on_directory(disk, Operation::List))
 }
 
-/// Reads a file to its end.
+/// Reads a whole file.
 pub(super) fn read<D: Disk>(disk: &D, name: &str) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::new();
     disk.read(name)
@@ -86,13 +89,12 @@
         .map_err(Error::on_file(disk, Operation::Rename, from))
 }
 
-/// Removes a file.
 pub(super) fn remove<D: Disk>(disk: &D, name: &str) -> Result<(), Error> {
     disk.remove(name)
         .map_err(Error::on_file(disk, Operation::Remove, name))
 }
 
-/// Removes a file that an earlier attempt may have removed.
+/// Removes a file that an earlier attempt may have removed already.
 pub(super) fn remove_if_present<D: Disk>(disk: &D, name: &str) -> Result<(), Error> {
     match disk.remove(name) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => {
--- a/crates/controller/src/store/frame.rs
+++ b/crates/controller/src/store/frame.rs
@@ -1,4 +1,4 @@
-//! The frame that carries all content of segments and state files, and its checksums.
+//! The frame format of segments and state files, with its checksums.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -9,21 +9,23 @@
 //! | 20..24 | CRC-32C of bytes 0..20 |
 //! | 24.. | payload, a protobuf message |
 //!
-//! The file's number is in the frame so that the content of a reused disk block is never taken for the file's own. The header has a
-//! checksum of its own so that a corrupt length is not followed.
+//! The frame contains the number of its file, so that the content of a reused disk block is never
+//! mistaken for the file's own. The header has its own checksum, so that a corrupt length is not
+//! used.
 
-/// The first bytes of a frame: format 2.
+/// The first bytes of a frame, for format 2.
 const MAGIC: [u8; 4] = *b"mf2\0";
-/// Bytes before the payload.
+/// Length of the header.
 pub(super) const FRAME_HEADER_BYTES: usize = 24;
-/// Bytes of the header that its own checksum covers.
+/// Number of header bytes that the header's checksum covers.
 const CHECKED_HEADER_BYTES: usize = 20;
 
-/// A frame that is to be written.
+/// A frame to be written.
 pub(super) struct Frame(Vec<u8>);
 
 impl Frame {
-    /// Encodes a payload of this length in place. The header is still to be written.
+    /// Encodes a payload of this length in place. The header is written later by
+    /// [`Frame::write_header`].
     pub(super) fn encode(payload_bytes: usize, encode: impl FnOnce(&mut Vec<u8>)) -> Frame {
         let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + payload_bytes);
         bytes.resize(FRAME_HEADER_BYTES, 0);
@@ -31,7 +33,8 @@
         Frame(bytes)
     }
 
-    /// Makes it a frame of the file with this number; it may have been one of another file before.
+    /// Writes the header for the file with this number, replacing that for another file if there
+    /// was one.
     pub(super) fn write_header(&mut self, file_number: u64) {
         let Some((header, payload)) = self.0.split_first_chunk_mut::<FRAME_HEADER_BYTES>() else {
             return;
@@ -45,30 +48,30 @@
         header[CHECKED_HEADER_BYTES..].copy_from_slice(&checksum.to_le_bytes());
     }
 
-    /// Header and payload.
+    /// Returns the header and the payload.
     pub(super) fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Bytes of header and payload.
+    /// Returns the length of the header and the payload.
     pub(super) fn len(&self) -> usize {
         self.0.len()
     }
 }
 
-/// What a valid header says of its payload.
+/// The fields of a valid header that describe the payload.
 struct FrameHeader {
     payload_bytes: usize,
     payload_checksum: u32,
 }
 
 impl FrameHeader {
-    /// Reads the header at the front, if it is one of this file's frames and not corrupt.
+    /// Parses the header at the start of `bytes`, if it belongs to this file and is not corrupt.
     fn parse(file_number: u64, bytes: &[u8]) -> Option<FrameHeader> {
         let header = bytes.first_chunk::<FRAME_HEADER_BYTES>()?;
-        let is_ours = header[..4] == MAGIC && header[4..12] == file_number.to_le_bytes();
+        let matches_file = header[..4] == MAGIC && header[4..12] == file_number.to_le_bytes();
         let checksum = crc32c::crc32c(&header[..CHECKED_HEADER_BYTES]);
-        (is_ours && read_u32(header, CHECKED_HEADER_BYTES) == checksum).then(|| FrameHeader {
+        (matches_file && read_u32(header, CHECKED_HEADER_BYTES) == checksum).then(|| FrameHeader {
             payload_bytes: read_u32(header, 12) as usize,
             payload_checksum: read_u32(header, 16),
         })
@@ -81,15 +84,17 @@
     u32::from_le_bytes(bytes)
 }
 
-/// The payload of the frame at the front, if the frame is complete and its checksums match.
+/// Returns the payload of the frame at the start of `bytes`, if the frame is complete and its
+/// checksums match.
 pub(super) fn read_payload(file_number: u64, bytes: &[u8]) -> Option<&[u8]> {
     let header = FrameHeader::parse(file_number, bytes)?;
     let payload = bytes[FRAME_HEADER_BYTES..].get(..header.payload_bytes)?;
     (crc32c::crc32c(payload) == header.payload_checksum).then_some(payload)
 }
 
-/// Whether another frame begins after the incomplete one at the front. A frame is begun only once those before it are durable, so the
-/// one at the front is then not the torn end of a write that was never acknowledged, but corrupt.
+/// Returns whether another frame follows the incomplete one at the start of `bytes`. A frame is
+/// written only once those before it are durable, so in that case the incomplete frame is corrupt,
+/// and not the torn end of a write that was never acknowledged.
 pub(super) fn has_later_frame(file_number: u64, bytes: &[u8]) -> bool {
     let from = FrameHeader::parse(file_number, bytes)
         .map_or(1, |header| FRAME_HEADER_BYTES + header.payload_bytes);
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -1,21 +1,25 @@
-//! The durable state of a controller: a write-ahead log in segments, and a state file that replaces old segments.
+//! The durable state of a controller: a write-ahead log in segments, and a state file that replaces
+//! old segments.
 //!
-//! Invariant: what is acknowledged is on the disk first. Whatever the controller has said that it holds (a vote, a log entry, a proxy's
-//! lease, a backend instance), a start finds it, after a loss of power at any step too. `docs/design/control-disk.md` argues why.
+//! Invariant: state is durable before it is acknowledged. Whatever the controller has acknowledged
+//! (a vote, a log entry, a proxy's lease, a backend instance) is found at the next start, even
+//! after a power loss at any step. The argument is in `docs/design/control-disk.md`.
 //!
-//! A thread of its own writes ([`Store::run`]): it takes records from a bounded queue ([`write_queue()`]), writes what has come in the
-//! meantime as one frame, syncs it, and only then reports the records as written.
+//! A dedicated thread writes ([`Store::run`]): it takes records from a bounded queue
+//! ([`write_queue()`]), writes all records queued in the meantime as one frame, syncs it, and only
+//! then reports the records as written.
 //!
 //! | file | content |
 //! | --- | --- |
 //! | `log-N`, N from 1 upwards | a segment: frames, each with a [`Batch`] of records |
 //! | `state-N` | one frame with a [`StateFile`]: all records up to number N, compacted |
-//! | `fold` | a state file while it is written |
-//! | `spoilt-*`, `setting-aside` | quarantined files, and the marker of a quarantine that is under way |
+//! | `fold` | a state file that is being written |
+//! | `spoilt-*`, `setting-aside` | quarantined files, and the marker of a quarantine that is in progress |
 //!
-//! **Bounds.** With S bytes of the longest state and B of the longest batch (4 MiB and one record), at most 4 S + 2 B + 192 KiB are on
-//! the disk (two state files, the segments that are being compacted, those that are written meanwhile), and as much again in
-//! quarantine. In memory: the state, and its encoded bytes while it is compacted.
+//! **Bounds.** If the longest state has S bytes and the longest batch B (4 MiB and one record), the
+//! files take at most 4 S + 2 B + 192 KiB on disk (two state files, the segments being compacted,
+//! those written meanwhile), and quarantined files take as much again. In memory: the state, and
+//! its encoded bytes while it is compacted.
 
 mod compaction;
 mod error;
@@ -44,18 +48,20 @@
 use segment_log::SegmentLog;
 use std::sync::mpsc::TryRecvError;
 
-/// Sizes that the store goes by.
+/// Size limits of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Length of the log at which it is compacted; if the last state file is longer, its length counts instead. Default
-    /// 192 KiB: the two syncs of a compaction are then few beside those of the writes.
+    /// Length of the log at which it is compacted; if the last state file is longer, its length is
+    /// used instead. The default of 192 KiB keeps the two syncs of a compaction few compared with
+    /// those of the writes.
     pub compact_after_bytes: u64,
-    /// Segments above which the log is compacted, however short they are; each start that finds a log begins one. Default 16.
+    /// Number of segments above which the log is compacted, however short they are; each start that
+    /// finds a log begins a new segment. Default 16.
     pub max_segments: usize,
-    /// Bytes of a state file that are written at a time, which a write may have to wait for; as long as the last batch if that is
-    /// longer. Default 1 MiB.
+    /// Bytes of a state file that are written at a time, which may delay a write; the length of the
+    /// last batch if that is longer. Default 1 MiB.
     pub write_slice_bytes: usize,
-    /// Bytes of records after which a frame gets no more of them. Default 4 MiB.
+    /// Bytes of records after which no more records are added to a frame. Default 4 MiB.
     pub max_batch_bytes: usize,
 }
 
@@ -70,18 +76,19 @@
     }
 }
 
-/// A disk that is open for writing.
+/// A store that is open for writing.
 pub struct Store<D: Disk> {
     disk: D,
     limits: StoreLimits,
-    /// All that is on the disk.
+    /// The state on the disk.
     state: StoredState,
     log: SegmentLog<D::File>,
     compactor: Compactor<D::File>,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens the directory and returns what is in it. All of that is durable, also if it was not before.
+    /// Opens the directory and returns the state in it. All of that state is durable afterwards,
+    /// even if it was not before.
     ///
     /// # Errors
     ///
@@ -90,11 +97,11 @@
         Store::open_with(disk, StoreLimits::default())
     }
 
-    /// Opens it with other sizes.
+    /// Opens the directory with other limits.
     ///
     /// # Errors
     ///
-    /// Those of [`Store::open`].
+    /// The same as [`Store::open`].
     pub fn open_with(disk: D, limits: StoreLimits) -> Result<(Store<D>, StoredState), Error> {
         let recovered = RecoveredDirectory::read(&disk)?;
         let (mut store, mut last_frame) = Store::new(disk, limits, recovered);
@@ -102,8 +109,9 @@
         Ok(store.into_opened())
     }
 
-    /// Opens it as [`Store::open`] does, but retries until the disk returns no error. Corrupt content is
-    /// quarantined, and the store is then empty: the controller has lost its disk ([`StoredState::quarantined`]).
+    /// Opens the directory as [`Store::open`] does, but retries until the disk returns no error.
+    /// Corrupt content is quarantined, and the store is then empty: the controller has lost its
+    /// disk ([`StoredState::quarantined`]).
     ///
     /// # Errors
     ///
@@ -133,9 +141,10 @@
         (store, recovered.last_frame)
     }
 
-    /// Makes what was recovered durable. It may have been read from the system's memory only: the last frame, if its sync failed or had
-    /// not begun when the process ended, and names. That frame is written anew, as a second sync after one that failed may report
-    /// success and write nothing.
+    /// Makes the recovered state durable. Two parts of it may have been read from the system's page
+    /// cache only: the last frame, if its sync failed or had not begun when the process ended, and
+    /// file names. That frame is written again to another file, because a second sync after a
+    /// failed one may report success without writing anything.
     fn make_durable(&mut self, last_frame: Option<&mut Frame>) -> Result<(), Error> {
         match last_frame {
             Some(frame) => self.log.append(&self.disk, frame),
@@ -152,8 +161,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::OutOfOrder`] before anything is written. After [`Error::Io`] the records may be on the disk or not; the same ones may
-    /// be written again, and nothing else.
+    /// [`Error::OutOfOrder`] before anything is written. After [`Error::Io`] the records may or may
+    /// not be on the disk; the same records may be written again, but no others.
     pub fn write(&mut self, records: Vec<StoreRecord>) -> Result<(), Error> {
         let batch = Batch::new(records);
         batch.check_follows(self.state.number)?;
@@ -168,22 +177,23 @@
         }
     }
 
-    /// Whether [`Store::step`] has something to do.
+    /// Returns whether [`Store::step`] has work to do.
     pub fn has_background_work(&self) -> bool {
         self.compactor.has_work(&self.limits, &self.log)
     }
 
-    /// Takes one step of what can wait: compaction, a slice at a time, and removing what it made obsolete.
+    /// Performs one step of background work: compaction, one slice at a time, and removal of the
+    /// files that it made obsolete.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`], after which the compaction begins anew with a later step.
+    /// [`Error::Io`], after which a later step restarts the compaction.
     pub fn step(&mut self) -> Result<(), Error> {
         self.compactor
             .step(&self.disk, &self.limits, &self.state, &mut self.log)
     }
 
-    /// Takes all steps that are due and closes the store.
+    /// Performs all pending background work and closes the store.
     ///
     /// # Errors
     ///
@@ -195,13 +205,14 @@
         Ok(())
     }
 
-    /// Runs on a thread of its own until the queue is dropped: writes what comes, in order, and calls `written` with the number of the
-    /// last record that is durable. While the disk returns errors, the same records are retried and nothing is reported. Ends too when
-    /// `written` returns `false`, and after it was called with [`Error::OutOfOrder`].
+    /// Runs on a dedicated thread until the queue is dropped: writes the queued records in order,
+    /// and calls `on_written` with the number of the last durable record. While the disk returns
+    /// errors, the same records are retried and nothing is reported. Also ends when `on_written`
+    /// returns `false`, and after calling it with [`Error::OutOfOrder`].
     pub fn run(
         mut self,
         incoming: &WriteQueueReceiver,
-        mut written: impl FnMut(Result<u64, Error>) -> bool,
+        mut on_written: impl FnMut(Result<u64, Error>) -> bool,
     ) {
         loop {
             let next = if self.has_background_work() {
@@ -213,7 +224,7 @@
                 Ok(first) => {
                     let result = self.write_queued(incoming, first);
                     let failed = result.is_err();
-                    if !written(result) || failed {
+                    if !on_written(result) || failed {
                         return;
                     }
                 }
@@ -226,7 +237,8 @@
         }
     }
 
-    /// Writes this record and those that wait behind it as one frame, with retries. Returns the number of the last.
+    /// Writes this record and those queued behind it as one frame, with retries. Returns the number
+    /// of the last record.
     fn write_queued(
         &mut self,
         incoming: &WriteQueueReceiver,
--- a/crates/controller/src/store/quarantine.rs
+++ b/crates/controller/src/store/quarantine.rs
@@ -1,23 +1,28 @@
-//! Quarantine of corrupt files: the directory is made empty for the store, and its files are kept once under `spoilt-*`.
+//! Quarantine of corrupt files: the store's files are renamed to `spoilt-*`, which leaves the
+//! directory empty for the store. One set of quarantined files is kept.
 //!
-//! Invariant: all files are quarantined or none is. A part of them could pass for all (an intact first segment without its corrupt
-//! second), and the controller would vouch for less than it has acknowledged. So the marker is durable before the first rename, a start
-//! that finds it goes on with the quarantine, and it is gone from the disk before anything else is written.
+//! Invariant: either all files are quarantined or none is. A subset of the files could be mistaken
+//! for a complete directory (an intact first segment without its corrupt second one), and the
+//! controller would then vouch for less than it has acknowledged. Therefore the in-progress marker
+//! is durable before the first rename, a start that finds the marker continues the quarantine, and
+//! the marker's removal is durable before anything else is written.
 
 use super::error::Error;
-use super::files::{self, QUARANTINE_MARKER, QUARANTINE_NOTE, QUARANTINE_PREFIX};
+use super::files::{self, PERMANENT_QUARANTINE_MARKER, QUARANTINE_MARKER, QUARANTINE_PREFIX};
 use super::files::{SEGMENT_PREFIX, STATE_FILE_PREFIX, UNFINISHED_STATE_FILE};
 use crate::disk::Disk;
 
-/// Quarantines all files of the store. After an error it is to be called again, also in a later process.
+/// Quarantines all files of the store. After an error it has to be called again, possibly by a
+/// later process.
 pub(super) fn quarantine_files<D: Disk>(disk: &D) -> Result<(), Error> {
     let names = files::list(disk)?;
     if !names.iter().any(|name| name == QUARANTINE_MARKER) {
         remove_earlier_quarantine(disk, &names)?;
     }
-    // The note with the marker: where no other file is left, only it says that this disk had content, and the controller would start a
-    // new cluster.
-    for name in [QUARANTINE_NOTE, QUARANTINE_MARKER] {
+    // The permanent marker is created together with the in-progress one. If no other file is left,
+    // it is the only evidence that this disk had content, without which the controller would
+    // bootstrap a new cluster.
+    for name in [PERMANENT_QUARANTINE_MARKER, QUARANTINE_MARKER] {
         let mut file = files::create(disk, name)?;
         files::sync(disk, name, &mut file)?;
     }
@@ -25,18 +30,21 @@
     for name in names.iter().filter(|name| is_store_file(name)) {
         files::rename(disk, name, &format!("{QUARANTINE_PREFIX}{name}"))?;
     }
-    // Without this a power loss after the next sync could bring back a part of the old names, and no marker.
+    // Without this sync, a power loss after the next one could restore some of the old names
+    // without the in-progress marker.
     files::sync_directory(disk)?;
     files::remove(disk, QUARANTINE_MARKER)?;
-    // Without this the marker could come back beside new files, which would then be quarantined.
+    // Without this sync, the marker could reappear beside new files, which would then be
+    // quarantined.
     files::sync_directory(disk)
 }
 
-/// One quarantine is kept: a disk that is corrupt again and again does not fill up. The note stays.
+/// Removes the files of an earlier quarantine, so that a disk that is corrupted repeatedly does not
+/// fill up. The permanent marker stays.
 fn remove_earlier_quarantine<D: Disk>(disk: &D, names: &[String]) -> Result<(), Error> {
     names
         .iter()
-        .filter(|name| name.starts_with(QUARANTINE_PREFIX) && *name != QUARANTINE_NOTE)
+        .filter(|name| name.starts_with(QUARANTINE_PREFIX) && *name != PERMANENT_QUARANTINE_MARKER)
         .try_for_each(|name| files::remove(disk, name))
 }
 
--- a/crates/controller/src/store/record.rs
+++ b/crates/controller/src/store/record.rs
@@ -1,6 +1,7 @@
-//! What is written to the log: numbered records, several to a frame.
+//! The records written to the log: numbered, with several to a frame.
 //!
-//! Records are numbered from 1 without a gap. The tags are fixed: disks hold what earlier versions wrote.
+//! Records are numbered consecutively from 1. The protobuf tags are fixed, because disks contain
+//! what earlier versions wrote.
 
 use super::error::Error;
 use super::frame::Frame;
@@ -14,25 +15,27 @@
 /// One change of the durable state ([`StoredState`](super::StoredState)).
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct StoreRecord {
-    /// Its number, one above that of the record before.
+    /// The record's number, one above that of the previous record.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// Change of the Raft state.
     #[prost(message, optional, tag = "2")]
     pub raft: Option<PersistentUpdate>,
-    /// Proxies that may have a quota lease of this controller from here on.
+    /// Proxies that may hold a quota lease of this controller from this record on.
     #[prost(string, repeated, tag = "3")]
     pub leased_to: Vec<String>,
     /// Records of backend instances, which replace earlier ones of the same instance.
     #[prost(message, repeated, tag = "4")]
     pub instances: Vec<InstanceRecord>,
-    /// From here on `leased_to` names every proxy that may have a quota lease of this controller.
+    /// Whether `leased_to` contains every proxy that may hold a quota lease of this controller,
+    /// from this record on.
     #[prost(bool, tag = "8")]
     pub leased_to_complete: bool,
-    /// Raft indices of the entries whose quota slots this controller has waited for before it leases them.
+    /// Raft indices of the entries whose quota slots this controller has waited for before leasing
+    /// them.
     #[prost(uint64, repeated, tag = "9")]
     pub waited_slots: Vec<u64>,
-    /// Proxies that have no quota lease of this controller any more.
+    /// Proxies that no longer hold a quota lease of this controller.
     #[prost(string, repeated, tag = "10")]
     pub released: Vec<String>,
 }
@@ -43,13 +46,13 @@
     /// Format version: 2.
     #[prost(uint32, tag = "1")]
     pub format: u32,
-    /// In order of their numbers.
+    /// The records, in order of their numbers.
     #[prost(message, repeated, tag = "2")]
     pub records: Vec<StoreRecord>,
 }
 
 impl Batch {
-    /// A batch of the current format.
+    /// Creates a batch in the current format.
     pub(super) fn new(records: Vec<StoreRecord>) -> Batch {
         Batch {
             format: FORMAT_VERSION,
@@ -57,18 +60,18 @@
         }
     }
 
-    /// The frame that holds it.
+    /// Encodes the batch as a frame.
     pub(super) fn to_frame(&self) -> Frame {
         Frame::encode(self.encoded_len(), |bytes| self.encode_raw(bytes))
     }
 
-    /// Number of its last record, 0 if it has none.
+    /// Returns the number of the last record, 0 if there is none.
     pub(super) fn last_number(&self) -> u64 {
         self.records.last().map_or(0, |record| record.number)
     }
 
-    /// Checks that its records follow the one of this number without a gap, before anything is written: a start takes a gap for lost
-    /// records.
+    /// Checks, before anything is written, that the records follow the record `number` without a
+    /// gap, because recovery treats a gap as lost records.
     pub(super) fn check_follows(&self, number: u64) -> Result<(), Error> {
         for (expected, record) in (number + 1..).zip(&self.records) {
             if record.number != expected {
--- a/crates/controller/src/store/recovery.rs
+++ b/crates/controller/src/store/recovery.rs
@@ -1,8 +1,9 @@
-//! Reading the directory at a start.
+//! Recovery of the state from the directory at a start.
 //!
-//! Invariant: what is recovered is records 1 to some number, exactly as they were written, and no record that was acknowledged is
-//! missing. A directory where this cannot be said is corrupt as a whole. The one exception has no remedy with one sync a write: if the
-//! very last frame is corrupt, that looks like a write that was never acknowledged.
+//! Invariant: the recovered state consists of records 1 to some number, exactly as they were
+//! written, and no acknowledged record is missing. A directory for which this cannot be established
+//! is corrupt as a whole. There is one exception, which cannot be avoided with one sync per write:
+//! a corrupt last frame cannot be told from a write that was never acknowledged.
 
 use super::compaction::StateFileInfo;
 use super::error::Error;
@@ -18,30 +19,30 @@
 use crate::disk::Disk;
 use prost::Message;
 
-/// What the directory holds.
+/// The content of the directory.
 #[derive(Default)]
 pub(super) struct RecoveredDirectory {
-    /// All records that were found, applied.
+    /// The result of applying all records that were found.
     pub(super) state: StoredState,
-    /// The last state file.
+    /// The latest state file.
     pub(super) state_file: Option<StateFileInfo>,
-    /// Segments with records that no state file holds.
+    /// Segments with records that are in no state file.
     pub(super) uncompacted: SegmentSet,
-    /// The highest number of a segment, 0 if there is none.
+    /// The highest segment number, 0 if there is no segment.
     pub(super) last_segment_id: u64,
-    /// Files that hold nothing of use any more.
+    /// Files whose content is no longer needed.
     pub(super) obsolete_files: Vec<String>,
-    /// The frame with the last record, if no state file holds that.
+    /// The frame with the last record, if that is in no state file.
     pub(super) last_frame: Option<Frame>,
 }
 
 impl RecoveredDirectory {
-    /// Reads all files and changes none.
+    /// Reads all files without changing any.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`], [`Error::Corrupt`] (also in the middle of a quarantine, which then has to be finished) and
-    /// [`Error::UnknownFormat`].
+    /// [`Error::Io`], [`Error::Corrupt`] (also during an unfinished quarantine, which then has to
+    /// be completed) and [`Error::UnknownFormat`].
     pub(super) fn read<D: Disk>(disk: &D) -> Result<RecoveredDirectory, Error> {
         let names = files::list(disk)?;
         if let Some(name) = names.iter().find(|name| name.starts_with(FORMAT_1_PREFIX)) {
@@ -61,7 +62,7 @@
         Ok(recovered)
     }
 
-    /// Reads the last state file; those before it and an unfinished one are obsolete.
+    /// Reads the latest state file; earlier ones and an unfinished one are obsolete.
     fn read_state_files<D: Disk>(&mut self, disk: &D, names: &[String]) -> Result<(), Error> {
         let mut numbers = numbers_of(names, STATE_FILE_PREFIX);
         let last = numbers.pop();
@@ -84,7 +85,8 @@
         Ok(())
     }
 
-    /// Applies the records of all segments, oldest first; those with nothing after the state file are obsolete.
+    /// Applies the records of all segments, oldest first; segments without a record after the state
+    /// file are obsolete.
     fn read_segments<D: Disk>(&mut self, disk: &D, segment_ids: Vec<u64>) -> Result<(), Error> {
         let compacted_number = self.state.number;
         for id in segment_ids {
@@ -101,7 +103,8 @@
         Ok(())
     }
 
-    /// Applies the records of a segment, up to its torn end if it has one. Returns the highest number in it, 0 if it has no record.
+    /// Applies the records of a segment, up to its torn end if it has one. Returns the highest
+    /// record number in it, 0 if it has no record.
     fn replay_segment<D: Disk>(
         &mut self,
         disk: &D,
@@ -120,7 +123,8 @@
             for record in batch.records {
                 last_number = last_number.max(record.number);
                 if record.number > self.state.number + 1 {
-                    // The records in between were durable before this one was written: they are lost.
+                    // The records in between were durable before this one was written, so they have
+                    // been lost.
                     return Err(Error::corrupt(disk, name));
                 }
                 self.state.apply(record);
@@ -136,7 +140,7 @@
     }
 }
 
-/// The numbers of all files with this prefix, in order.
+/// Returns the numbers of all files with this prefix, in ascending order.
 fn numbers_of(names: &[String], prefix: &str) -> Vec<u64> {
     let mut numbers: Vec<u64> = names
         .iter()
@@ -146,8 +150,8 @@
     numbers
 }
 
-/// Reads the directory, with retries while the disk returns errors. Corrupt files are quarantined, after which the directory counts as
-/// empty.
+/// Reads the directory, with retries while the disk returns errors. Corrupt files are quarantined,
+/// after which the directory is treated as empty.
 ///
 /// # Errors
 ///
--- a/crates/controller/src/store/retry.rs
+++ b/crates/controller/src/store/retry.rs
@@ -1,26 +1,27 @@
 //! Retries with backoff while the disk returns errors.
 //!
-//! The process stays up: one that ended would have to be readmitted by the others, and would meet the same disk.
+//! The process keeps running: after a restart it would have to be readmitted by the other
+//! controllers, and would find the same disk.
 
 use super::error::Error;
 use crate::disk::Disk;
 use std::time::Duration;
 
-/// Delay before the first retry; it doubles with each further one.
+/// Delay before the first retry; it doubles with each further retry.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The longest delay: a disk that works again is used within this time.
+/// Maximum delay: a disk that works again is used within this time.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Doublings after which the delay is above [`MAX_RETRY_DELAY`] anyway; bounds the shift.
+/// Number of doublings after which the delay exceeds [`MAX_RETRY_DELAY`] anyway; bounds the shift.
 const MAX_DOUBLINGS: u32 = 9;
 
-/// The attempts at one operation.
+/// Retry state of one operation.
 #[derive(Default)]
 pub(super) struct Retry {
     failed_attempts: u32,
 }
 
 impl Retry {
-    /// Counts a failed attempt and waits until the next is due. Logs the attempts 1, 2, 4, 8, ...
+    /// Counts a failed attempt and waits until the next one is due. Logs attempts 1, 2, 4, 8, ...
     pub(super) fn failed(&mut self, disk: &impl Disk, error: &Error) {
         self.failed_attempts += 1;
         if self.failed_attempts.is_power_of_two() {
@@ -30,7 +31,7 @@
         disk.sleep(MAX_RETRY_DELAY.min(MIN_RETRY_DELAY * (1 << doublings)));
     }
 
-    /// The operation has succeeded; logs it if it had failed before.
+    /// Records that the operation has succeeded, and logs that if it had failed before.
     pub(super) fn succeeded(self, disk: &impl Disk) {
         if self.failed_attempts > 0 {
             log::info!(
--- a/crates/controller/src/store/segment_log.rs
+++ b/crates/controller/src/store/segment_log.rs
@@ -1,25 +1,26 @@
 //! The write-ahead log: segments `log-N`, each a sequence of frames.
 //!
-//! Invariant: a frame is begun only once all frames before it are durable, name of their file included. So only the last frame of a
-//! segment can be torn, and it was never acknowledged. A segment is never renamed, reused or cut, and gets no more frames after a
-//! write or sync of it has failed.
+//! Invariant: a frame is written only once all frames before it, and the names of their files, are
+//! durable. Therefore only the last frame of a segment can be torn, and it was never acknowledged.
+//! A segment is never renamed, reused or truncated, and no frame is appended to it after a write or
+//! sync of it has failed.
 
 use super::error::Error;
 use super::files;
 use super::frame::Frame;
 use crate::disk::Disk;
 
-/// Segments that hold records which no state file holds.
+/// A set of segments with records that are in no state file.
 #[derive(Debug, Default)]
 pub(super) struct SegmentSet {
-    /// Their numbers, oldest first.
+    /// Segment numbers, oldest first.
     pub(super) ids: Vec<u64>,
-    /// Their length, that of writes which failed in them included.
+    /// Total length, including writes that failed in these segments.
     pub(super) bytes: u64,
 }
 
 impl SegmentSet {
-    /// Puts older segments back, whose compaction has failed.
+    /// Puts older segments back after their compaction has failed.
     fn prepend(&mut self, mut older: SegmentSet) {
         older.ids.append(&mut self.ids);
         self.ids = older.ids;
@@ -27,18 +28,19 @@
     }
 }
 
-/// The log that is open for writing.
+/// A log that is open for writing.
 pub(super) struct SegmentLog<F> {
-    /// The segment that gets the next frame, once it has one.
+    /// The segment to which the next frame is appended; `None` if that frame begins a new segment.
     current: Option<F>,
-    /// Its number, or that of the one that is begun next.
+    /// The number of the current segment, or of the next one if there is none.
     current_id: u64,
     uncompacted: SegmentSet,
     last_frame_bytes: usize,
 }
 
 impl<F: Send> SegmentLog<F> {
-    /// A log whose next frame begins the segment of number `next_id`, after these segments.
+    /// Creates a log whose next frame begins segment `next_id`, after the segments in
+    /// `uncompacted`.
     pub(super) fn new(next_id: u64, uncompacted: SegmentSet) -> SegmentLog<F> {
         SegmentLog {
             current: None,
@@ -48,18 +50,18 @@
         }
     }
 
-    /// Segments that hold records which no state file holds.
+    /// Returns the segments with records that are in no state file.
     pub(super) fn uncompacted(&self) -> &SegmentSet {
         &self.uncompacted
     }
 
-    /// Length of the last frame.
+    /// Returns the length of the last frame.
     pub(super) fn last_frame_bytes(&self) -> usize {
         self.last_frame_bytes
     }
 
-    /// Appends a frame and waits until it is durable. After an error it may be on the disk or not; the same frame may be appended
-    /// again, and nothing else.
+    /// Appends a frame and waits until it is durable. After an error the frame may or may not be on
+    /// the disk; the same frame may be appended again, but no other.
     pub(super) fn append<D: Disk<File = F>>(
         &mut self,
         disk: &D,
@@ -73,8 +75,8 @@
         }
     }
 
-    /// After an error the file's content is unknown. It has frames that were acknowledged, so it stays as it is, and the next frame
-    /// begins another segment.
+    /// After an error the content of the file is unknown. The file contains acknowledged frames, so
+    /// it is left as it is, and the next frame begins another segment.
     fn append_to_current<D: Disk<File = F>>(
         &mut self,
         disk: &D,
@@ -91,13 +93,14 @@
         result
     }
 
-    /// After an error the file holds nothing that was acknowledged, and the next attempt empties it: attempts leave one file, however
-    /// many they are.
+    /// After an error the file contains nothing that was acknowledged, and the next attempt
+    /// truncates it, so that any number of attempts leaves only one file.
     fn begin_segment<D: Disk<File = F>>(&mut self, disk: &D, frame: &Frame) -> Result<(), Error> {
         let name = files::segment_name(self.current_id);
         let mut file = files::create(disk, &name)?;
         files::write_and_sync(disk, &name, &mut file, frame.bytes())?;
-        // Without this a loss of power takes the name, and with it all that is synced under it.
+        // Without this sync, a power loss removes the name, and with it all content synced under
+        // it.
         files::sync_directory(disk)?;
         self.current = Some(file);
         self.uncompacted.ids.push(self.current_id);
@@ -105,7 +108,8 @@
         Ok(())
     }
 
-    /// Ends the current segment and hands over all segments for compaction; the next frame begins another.
+    /// Ends the current segment and returns all segments for compaction; the next frame begins
+    /// another segment.
     pub(super) fn take_uncompacted(&mut self) -> SegmentSet {
         if self.current.take().is_some() {
             self.current_id += 1;
@@ -113,7 +117,7 @@
         std::mem::take(&mut self.uncompacted)
     }
 
-    /// Takes segments back whose compaction has failed.
+    /// Takes back segments whose compaction has failed.
     pub(super) fn restore_uncompacted(&mut self, segments: SegmentSet) {
         self.uncompacted.prepend(segments);
     }
--- a/crates/controller/src/store/state_file.rs
+++ b/crates/controller/src/store/state_file.rs
@@ -1,6 +1,6 @@
 //! The payload of a state file: all records up to a number, compacted.
 //!
-//! The tags are fixed: disks hold what earlier versions wrote.
+//! The protobuf tags are fixed, because disks contain what earlier versions wrote.
 
 use super::error::Error;
 use super::frame::{self, Frame, FRAME_HEADER_BYTES};
@@ -22,19 +22,19 @@
     /// Format version: 2.
     #[prost(uint32, tag = "1")]
     pub format: u32,
-    /// It holds all records up to this number.
+    /// Number of the last record that the file contains; it contains all records up to it.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// Raft: the current term.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// Raft: the candidate that got this controller's vote in the term; empty for none.
+    /// Raft: the candidate that received this controller's vote in the term; empty if none did.
     #[prost(string, tag = "4")]
     pub voted_for: String,
     /// Identity of this disk.
     #[prost(uint64, optional, tag = "10")]
     pub identity: Option<u64>,
-    /// Raft: members up to this index are known to be committed.
+    /// Raft: membership entries up to this index are known to be committed.
     #[prost(uint64, tag = "11")]
     pub members_committed: u64,
     /// Raft: the last snapshot.
@@ -43,22 +43,23 @@
     /// Raft: the entries after the snapshot.
     #[prost(message, repeated, tag = "7")]
     pub log: Vec<Entry>,
-    /// Proxies that may have a quota lease of this controller.
+    /// Proxies that may hold a quota lease of this controller.
     #[prost(string, repeated, tag = "8")]
     pub leased_to: Vec<String>,
     /// Records of backend instances.
     #[prost(message, repeated, tag = "9")]
     pub instances: Vec<InstanceRecord>,
-    /// Whether `leased_to` names every proxy that may have a lease.
+    /// Whether `leased_to` contains every proxy that may hold a lease.
     #[prost(bool, tag = "14")]
     pub leased_to_complete: bool,
-    /// Raft indices of entries whose quota slots were waited for.
+    /// Raft indices of the entries whose quota slots this controller has waited for.
     #[prost(uint64, repeated, tag = "15")]
     pub waited_slots: Vec<u64>,
 }
 
 impl StateFile {
-    /// Encodes a state as a frame. The long fields are encoded where they are: a copy of them would double the memory of a state.
+    /// Encodes a state as a frame. The long fields are encoded by reference, because a copy of them
+    /// would double the memory of a state.
     pub(super) fn encode_state(state: &StoredState) -> Frame {
         let short_fields = StateFile {
             format: FORMAT_VERSION,
@@ -82,8 +83,9 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Corrupt`] unless it is exactly one complete frame with that number (a state file got its name after its sync, so no
-    /// part of it can be missing); [`Error::UnknownFormat`] if another version wrote it.
+    /// [`Error::Corrupt`] unless the content is exactly one complete frame with that number (a
+    /// state file gets its name after its sync, so no part of it can be missing);
+    /// [`Error::UnknownFormat`] if the file was written in another format version.
     pub(super) fn decode_file<D: Disk>(
         disk: &D,
         name: &str,
--- a/crates/controller/src/store/write_queue.rs
+++ b/crates/controller/src/store/write_queue.rs
@@ -1,7 +1,8 @@
-//! The bounded queue from the controller to the disk's thread.
+//! The bounded queue from the controller to the disk thread.
 //!
-//! Invariant: records leave it in order and without a gap. The first record that exceeds its capacity closes it for good: a later
-//! record on the disk would say that all before it are there too.
+//! Invariant: records leave the queue in order and without a gap. The first record that exceeds the
+//! capacity closes the queue permanently, because a later record on the disk would imply that all
+//! records before it are there too.
 
 use super::error::Error;
 use super::record::{Batch, StoreRecord};
@@ -9,12 +10,14 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{mpsc, Arc};
 
-/// Records that wait at most.
+/// Maximum number of queued records.
 const MAX_QUEUED_RECORDS: usize = 65_536;
-/// Bytes of records that wait at most; a single record may be longer. An eighth of the memory of a controller's machine.
+/// Maximum bytes of queued records; a single record may be longer. An eighth of the memory of a
+/// controller's machine.
 const MAX_QUEUED_BYTES: usize = 32 << 20;
 
-/// The sending end. Dropping it ends [`Store::run`](super::Store::run) once all records are written.
+/// The sending end. Dropping it ends [`Store::run`](super::Store::run) once all records are
+/// written.
 pub struct WriteQueue {
     sender: mpsc::SyncSender<StoreRecord>,
     queued_bytes: Arc<AtomicUsize>,
@@ -49,7 +52,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::QueueFull`] if the queue has no capacity for it, if the disk's thread has ended, or once a record was rejected.
+    /// [`Error::QueueFull`] if the queue has no capacity for the record, if the disk thread has
+    /// ended, or once a record was rejected.
     pub fn push(&self, record: StoreRecord) -> Result<(), Error> {
         let (number, record_bytes) = (record.number, record.encoded_len());
         if self.closed.load(Ordering::Acquire) || !self.has_capacity(record_bytes) {
@@ -71,20 +75,21 @@
 }
 
 impl WriteQueueReceiver {
-    /// The next record; waits for it. `Disconnected` once the sending end is dropped and all records are taken.
+    /// Waits for the next record. Returns `Disconnected` once the sending end is dropped and all
+    /// records are taken.
     pub(super) fn recv(&self) -> Result<StoreRecord, mpsc::TryRecvError> {
         self.receiver
             .recv()
             .map_err(|_| mpsc::TryRecvError::Disconnected)
     }
 
-    /// The next record, if there is one.
+    /// Returns the next record, if there is one.
     pub(super) fn try_recv(&self) -> Result<StoreRecord, mpsc::TryRecvError> {
         self.receiver.try_recv()
     }
 
-    /// A batch of this record and of those that wait behind it, until it has `max_bytes`: the longer the disk takes, the more records
-    /// share one sync.
+    /// Builds a batch from this record and those queued behind it, until it has `max_bytes`: the
+    /// longer the disk takes, the more records share one sync.
     pub(super) fn batch_from(&self, first: StoreRecord, max_bytes: usize) -> Batch {
         let mut batch_bytes = first.encoded_len();
         let mut records = vec![first];
@@ -98,7 +103,7 @@
         Batch::new(records)
     }
 
-    /// Frees the capacity that the records of a batch took, once they are durable.
+    /// Frees the capacity taken by the records of a batch, once they are durable.
     pub(super) fn release(&self, batch: &Batch) {
         let batch_bytes = batch.records.iter().map(Message::encoded_len).sum();
         self.queued_bytes.fetch_sub(batch_bytes, Ordering::AcqRel);
