--- a/crates/controller/src/net/api.rs
+++ b/crates/controller/src/net/api.rs
@@ -1,4 +1,4 @@
-//! The calls of backends and of the operator, over HTTP/1.1: `POST /api/rpc?call=...`.
+//! The HTTP/1.1 API for backends and the operator: `POST /api/rpc?call=...`.
 
 use super::controller::Controller;
 use super::ACCEPT_RETRY_INTERVAL;
@@ -20,20 +20,21 @@
 
 /// The path of all calls.
 const RPC_PATH: &str = "/api/rpc";
-/// Longest body of a call.
+/// Maximum length of the body of a call.
 const MAX_BODY_BYTES: usize = 32 << 20;
-/// How long the body of a call may take to arrive.
+/// Maximum time for the body of a call to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Callers' connections at most; further ones wait in the system's queue.
-const MAX_CALLER_CONNECTIONS: usize = 1024;
-/// How long a caller's connection may take for the head of a request, or be idle.
+/// Maximum number of API connections; further ones wait in the system's accept queue.
+const MAX_API_CONNECTIONS: usize = 1024;
+/// Maximum time for the head of a request to arrive on an API connection, including idle time
+/// before it.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-type CallerResponse = Response<Full<Bytes>>;
+type HttpResponse = Response<Full<Bytes>>;
 
-/// Accepts callers' connections for as long as the process runs.
-pub(super) async fn accept_callers(controller: Rc<Controller>, listener: TcpListener) {
-    let permits = Arc::new(Semaphore::new(MAX_CALLER_CONNECTIONS));
+/// Accepts API connections until the process ends.
+pub(super) async fn accept_connections(controller: Rc<Controller>, listener: TcpListener) {
+    let permits = Arc::new(Semaphore::new(MAX_API_CONNECTIONS));
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
@@ -42,7 +43,7 @@
             Ok((stream, _)) => {
                 let controller = controller.clone();
                 tokio::task::spawn_local(async move {
-                    serve_caller(controller, stream).await;
+                    serve_api_connection(controller, stream).await;
                     drop(permit);
                 });
             }
@@ -51,7 +52,7 @@
     }
 }
 
-async fn serve_caller(controller: Rc<Controller>, stream: TcpStream) {
+async fn serve_api_connection(controller: Rc<Controller>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
         let controller = controller.clone();
@@ -61,16 +62,16 @@
         .timer(TokioTimer::new())
         .header_read_timeout(REQUEST_HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // A caller that closes its connection or sends no HTTP needs no log line.
+    // A client that closes its connection or does not send HTTP is not logged.
     let _ = connection.await;
 }
 
-/// Why a request is no call. The texts are the bodies of the answers.
+/// Why a request is not a valid call. The texts are the bodies of the responses.
 #[derive(Debug, thiserror::Error)]
 enum BadRequest {
     #[error("step=read field=body")]
     Body,
-    /// The caller may rely on it: nothing of the call was applied.
+    /// Guarantees to the client that no part of the call was applied.
     #[error("step=read field=body late")]
     BodyTimeout,
     #[error("step=route")]
@@ -92,7 +93,7 @@
     }
 }
 
-async fn serve_request(controller: &Rc<Controller>, request: Request<Incoming>) -> CallerResponse {
+async fn serve_request(controller: &Rc<Controller>, request: Request<Incoming>) -> HttpResponse {
     let (head, body) = request.into_parts();
     let call = match read_call(&head, body).await {
         Ok(call) => call,
@@ -136,24 +137,24 @@
     }
 }
 
-/// The first value of a query's parameter.
+/// Returns the first value of a query parameter.
 fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
-        .find(|(known, _)| *known == name)
+        .find(|(key, _)| *key == name)
         .map(|(_, value)| value)
 }
 
-fn json_response(json: String) -> CallerResponse {
+fn json_response(json: String) -> HttpResponse {
     let mut response = text_response(StatusCode::OK, json);
     let content_type = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// The same request, at another controller.
-fn redirect_response(head: &Parts, ip: &str, port: u16) -> CallerResponse {
+/// Redirects the request to the same target at another controller.
+fn redirect_response(head: &Parts, ip: &str, port: u16) -> HttpResponse {
     let mut response = text_response(StatusCode::TEMPORARY_REDIRECT, "");
     let target = head
         .uri
@@ -165,7 +166,7 @@
     response
 }
 
-fn text_response(status: StatusCode, text: impl Into<Bytes>) -> CallerResponse {
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
--- a/crates/controller/src/net/controller.rs
+++ b/crates/controller/src/net/controller.rs
@@ -1,4 +1,4 @@
-//! [`Core`] with its surroundings: gives it inputs, and carries out its outputs in their order.
+//! Connects [`Core`] to its environment: passes inputs to it, and carries out its outputs in order.
 
 use super::disk_thread::DiskWriter;
 use super::internal_connections::Remote;
@@ -20,29 +20,30 @@
 pub(super) struct Controller {
     core: RefCell<Core>,
     started_at: Instant,
-    /// How it introduces itself to its peers.
+    /// The hello that this controller sends to its peers.
     pub(super) hello: Hello,
     pub(super) ip: IpAddr,
     /// The port on which every controller listens for proxies and peers.
     pub(super) internal_port: u16,
-    /// The port on which every controller listens for calls.
+    /// The port on which every controller listens for API calls.
     pub(super) api_port: u16,
-    /// Queues to the other controllers, by address; closed where there is no connection at the moment.
+    /// Send queues to the other controllers, by address; closed if there is no connection at the
+    /// moment.
     pub(super) peers: RefCell<HashMap<String, mpsc::Sender<Bytes>>>,
-    /// Queues to the proxies, by the number of their connection.
+    /// Send queues to the proxies, by connection number.
     pub(super) proxies: RefCell<HashMap<u64, mpsc::Sender<Bytes>>>,
-    /// The latest connection of each process: nothing is taken from older ones.
+    /// The latest connection of each process; frames from older ones are rejected.
     pub(super) fence: RefCell<ConnectionFence<Remote>>,
     calls: RefCell<HashMap<u64, oneshot::Sender<CallResponse>>>,
     last_call: Cell<u64>,
     load: RefCell<Load>,
-    /// Wakes the task that answers lease requests.
+    /// Wakes the task that processes lease requests.
     pub(super) lease_requests_queued: Notify,
     disk: DiskWriter,
 }
 
 impl Controller {
-    /// Starts from what was on the disk, and connects to the seeds.
+    /// Starts from the state on the disk, and connects to the seeds.
     pub(super) fn start(
         settings: &Settings,
         api_address: SocketAddr,
@@ -89,21 +90,23 @@
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Gives the core an input of this kind, and carries out what it returns.
+    /// Passes an input of this kind to the core, and carries out the outputs.
     pub(super) fn drive<T>(
         self: &Rc<Self>,
         kind: InputKind,
         input: impl FnOnce(&mut Core, Millis, &mut Vec<Output>) -> T,
     ) -> T {
-        let from = Instant::now();
+        let started_at = Instant::now();
         let mut out = Vec::new();
         let result = input(&mut self.core.borrow_mut(), self.now(), &mut out);
         self.carry_out(out);
-        self.load.borrow_mut().handled(kind, from, Instant::now());
+        self.load
+            .borrow_mut()
+            .handled(kind, started_at, Instant::now());
         result
     }
 
-    /// Lets time pass.
+    /// Advances the core's time, and logs the load report when it is due.
     pub(super) fn tick(self: &Rc<Self>) {
         self.drive(InputKind::Tick, |core, now, out| core.tick(now, out));
         if let Some(line) = self.load.borrow_mut().tick(Instant::now()) {
@@ -111,9 +114,9 @@
         }
     }
 
-    /// Looks at the core, without an input.
-    pub(super) fn inspect<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
-        look(&self.core.borrow())
+    /// Reads the state of the core.
+    pub(super) fn inspect<T>(&self, read: impl FnOnce(&Core) -> T) -> T {
+        read(&self.core.borrow())
     }
 
     pub(super) fn may_stop(&self) -> bool {
@@ -121,7 +124,7 @@
         self.inspect(|core| core.may_stop(now))
     }
 
-    /// Takes over changed settings.
+    /// Applies changed settings.
     pub(super) fn reload(self: &Rc<Self>, settings: &Settings) {
         self.core.borrow_mut().reload(settings);
         self.connect_to_seeds(settings);
@@ -153,13 +156,13 @@
     }
 
     fn respond(&self, call: u64, response: CallResponse) {
-        if let Some(caller) = self.calls.borrow_mut().remove(&call) {
-            // The caller may have gone.
-            let _ = caller.send(response);
+        if let Some(response_sender) = self.calls.borrow_mut().remove(&call) {
+            // The client may have closed its connection.
+            let _ = response_sender.send(response);
         }
     }
 
-    /// Gives the core a call and waits for its response.
+    /// Passes a call to the core and waits for its response.
     pub(super) async fn call(self: &Rc<Self>, call: Call) -> CallResponse {
         let (sender, receiver) = oneshot::channel();
         let number = self.last_call.get() + 1;
@@ -179,7 +182,8 @@
     }
 }
 
-/// Forgets a call once it has ended, also where its caller has gone: the future that waits for the response is dropped then.
+/// Removes a call once it has ended. This includes the case that the client has closed its
+/// connection, in which the future that waits for the response is dropped.
 struct CallRegistration<'a> {
     controller: &'a Controller,
     number: u64,
@@ -191,12 +195,12 @@
     fn drop(&mut self) {
         self.controller.calls.borrow_mut().remove(&self.number);
         let duration = self.received_at.elapsed();
-        let slow = self
+        let slow_call = self
             .controller
             .load
             .borrow_mut()
             .call_ended(&self.summary, duration);
-        if let Some(line) = slow {
+        if let Some(line) = slow_call {
             log::info!("{line}");
         }
     }
--- a/crates/controller/src/net/disk_thread.rs
+++ b/crates/controller/src/net/disk_thread.rs
@@ -7,45 +7,46 @@
 use std::path::PathBuf;
 use tokio::sync::{mpsc, oneshot};
 
-/// The number up to which all records are on disk, or why the disk cannot be used any more.
+/// The number up to which all records are persisted, or why the disk can no longer be used.
 pub(super) type WriteResult = Result<u64, StoreError>;
 
-/// The ends of the disk's thread that the controller has.
+/// The controller's ends of the channels to the disk thread.
 pub(super) struct DiskThread {
-    /// What the store has found, once it is open.
-    pub(super) opening: oneshot::Receiver<Result<StoredState, StoreError>>,
-    /// One for each batch that was written, so no more than there are batches.
+    /// The state in the store, once the store is open.
+    pub(super) open_result: oneshot::Receiver<Result<StoredState, StoreError>>,
+    /// One result per written batch, so the number of results is bounded by that of the batches.
     pub(super) results: mpsc::UnboundedReceiver<WriteResult>,
     pub(super) writer: DiskWriter,
 }
 
-/// Hands records to the disk's thread.
+/// Queues records for the disk thread.
 pub(super) struct DiskWriter {
     queue: WriteQueue,
-    /// Weak: the thread has the only strong sender, so that its end is noticed.
+    /// Weak, because the thread owns the only strong sender, so that the end of the thread closes
+    /// the channel.
     failures: mpsc::WeakUnboundedSender<WriteResult>,
 }
 
 impl DiskThread {
-    /// Opens the store in this directory, on a thread that retries until it can.
+    /// Starts a thread that opens the store in this directory, with retries until that succeeds.
     pub(super) fn start(data_dir: PathBuf) -> DiskThread {
         let (queue, records) = write_queue();
         let (sender, results) = mpsc::unbounded_channel();
-        let (opened, opening) = oneshot::channel();
+        let (open_result_sender, open_result) = oneshot::channel();
         let failures = sender.downgrade();
         std::thread::spawn(move || {
             match Store::open_with_retries(Directory::new(&data_dir), StoreLimits::default()) {
                 Ok((store, stored)) => {
-                    if opened.send(Ok(stored)).is_ok() {
+                    if open_result_sender.send(Ok(stored)).is_ok() {
                         store.run(&records, |result| sender.send(result).is_ok());
                     }
                 }
-                // Nobody receives it where the process ends meanwhile.
-                Err(error) => drop(opened.send(Err(error))),
+                // The receiver is gone if the process is ending.
+                Err(error) => drop(open_result_sender.send(Err(error))),
             }
         });
         DiskThread {
-            opening,
+            open_result,
             results,
             writer: DiskWriter { queue, failures },
         }
@@ -53,7 +54,8 @@
 }
 
 impl DiskWriter {
-    /// Queues a record. The queue is full only behind a disk that has stopped working: this ends the process, as a failed write does.
+    /// Queues a record. The queue is full only if the disk has stopped working; like a failed
+    /// write, this ends the process.
     pub(super) fn write(&self, record: StoreRecord) {
         if let Err(error) = self.queue.push(record) {
             log::error!("event=write_queue_full {error}");
--- a/crates/controller/src/net/internal_connections.rs
+++ b/crates/controller/src/net/internal_connections.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// The process at the other end of a connection, by the address of its machine.
+/// The process at the other end of a connection, identified by the address of its machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Remote {
     Controller(String),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Accepts connections for as long as the process runs.
+/// Accepts connections until the process ends.
 pub(super) async fn accept(controller: Rc<Controller>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -63,20 +63,20 @@
     }
 }
 
-/// A connection that was accepted.
+/// An accepted connection.
 struct InternalConnection {
     controller: Rc<Controller>,
     from: SocketAddr,
-    /// Its number, in the order in which hellos were received.
+    /// The connection's number, in the order in which hellos were received.
     token: u64,
-    /// Who is at the other end, once that is verified.
+    /// The process at the other end, once it is verified.
     remote: Option<Remote>,
-    /// Where frames to the other end are queued; a proxy's is handed to the controller.
+    /// The send queue; that of a proxy is moved to the controller.
     queue: Option<mpsc::Sender<Bytes>>,
 }
 
 impl InternalConnection {
-    /// Returns whether the connection goes on.
+    /// Handles an event; returns whether the connection is kept.
     fn handle(&mut self, event: Event) -> bool {
         match (event, &self.remote) {
             (Event::HelloReceived, None) => {
@@ -89,12 +89,13 @@
         }
     }
 
-    /// Admits the process at the other end, unless a later connection of its machine has been admitted.
+    /// Admits the process at the other end, unless a later connection from its machine has been
+    /// admitted.
     fn admit(&mut self, hello: &Hello) -> bool {
         if hello.version != PROTOCOL_VERSION || hello.incarnation == 0 {
             return false;
         }
-        // A machine speaks for itself alone.
+        // A process may only present the address of its own machine.
         if hello.ip != self.from.ip().to_string() {
             return false;
         }
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Drops a proxy's queue, with which its connection ends.
+    /// Drops a proxy's send queue, which closes its connection.
     fn disconnect_proxy(self: &Rc<Self>, connection: u64) {
         if self.proxies.borrow_mut().remove(&connection).is_some() {
             self.drive(InputKind::Connection, |core, _, out| {
--- a/crates/controller/src/net/lease_requests.rs
+++ b/crates/controller/src/net/lease_requests.rs
@@ -1,7 +1,8 @@
-//! Answers the lease requests that wait, one at a time, for [`MAX_LEASE_LOAD`] of the time at most.
+//! Responds to pending lease requests one at a time, for a fraction of at most [`MAX_LEASE_LOAD`]
+//! of the time.
 //!
-//! Between two of them every other task has its turn. Beyond that load they wait longer, and proxies go on with the leases that they
-//! have.
+//! Between two requests every other task can run. At higher load lease requests wait longer, and
+//! proxies continue with the leases that they hold.
 
 use super::controller::Controller;
 use super::load::InputKind;
@@ -10,20 +11,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Runs for as long as the process does.
-pub(super) async fn answer(controller: Rc<Controller>) {
+/// Runs until the process ends.
+pub(super) async fn process(controller: Rc<Controller>) {
     let mut pacer = Pacer::new(controller.now(), MAX_LEASE_CREDIT);
     loop {
         if !controller.inspect(Core::has_lease_requests) {
             controller.lease_requests_queued.notified().await;
             continue;
         }
-        let from = controller.now();
+        let started_at = controller.now();
         controller.drive(InputKind::LeaseRequest, |core, now, out| {
             core.answer_lease_request(now, out)
         });
         let now = controller.now();
-        pacer.charge(now, (now - from) / MAX_LEASE_LOAD);
+        pacer.charge(now, (now - started_at) / MAX_LEASE_LOAD);
         if pacer.is_due(now) {
             tokio::task::yield_now().await;
         } else {
--- a/crates/controller/src/net/load.rs
+++ b/crates/controller/src/net/load.rs
@@ -1,37 +1,41 @@
-//! What this controller's thread spends its time on, and which calls it answered late, for the log.
+//! Log reports of the time that the controller's thread spends on each kind of input, and of slow
+//! calls.
 //!
-//! One thread decides everything, so an input that takes long delays all others: Raft messages, pongs and callers alike. The `load` line
-//! says which kind of input that was; `max_tick_gap_ms` says for how long nothing else was done.
+//! One thread handles all inputs, so one that takes long delays all others: Raft messages, pongs
+//! and calls alike. The `load` log line shows which kind of input that was; `max_tick_gap_ms`, the
+//! longest time between two ticks, shows for how long nothing else was done.
 
 use crate::core::{Call, CallResponse};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// How often the `load` line is written.
+/// The interval between two `load` log lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
-/// A call that was answered after this time, or not at all, is slow: callers move on after a second.
-const SLOW_CALL: Duration = Duration::from_millis(500);
-/// Slow calls that are logged one by one in a [`REPORT_INTERVAL`]; further ones are counted only.
+/// A call whose response takes at least this time, or that gets none, is slow: clients stop waiting
+/// after one second.
+const SLOW_CALL_THRESHOLD: Duration = Duration::from_millis(500);
+/// Maximum number of slow calls that are logged per [`REPORT_INTERVAL`]; further ones are only
+/// counted.
 const MAX_LOGGED_SLOW_CALLS: u32 = 16;
 
-/// What an input of the core is.
+/// The kind of an input of the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InputKind {
     /// `instances.beat` and `instances.leave`.
     InstanceCall,
     /// `config.amend` and `config.read`.
     OperatorCall,
-    /// A frame of another controller.
+    /// A frame from another controller.
     PeerFrame,
-    /// A frame of a proxy: a lease request is queued.
+    /// A frame from a proxy; a lease request is only queued.
     ProxyFrame,
-    /// A lease request is answered.
+    /// The processing of a queued lease request.
     LeaseRequest,
-    /// A connection has come up or ended.
+    /// A connection that was established or has ended.
     Connection,
-    /// Records are on disk.
+    /// The notification that records are persisted.
     DiskWrite,
-    /// Time passes.
+    /// A tick.
     Tick,
 }
 
@@ -47,7 +51,7 @@
         InputKind::Tick,
     ];
 
-    /// The kind of a call.
+    /// Returns the kind of a call.
     pub(super) fn of_call(call: &Call) -> InputKind {
         match call {
             Call::Heartbeat(..) | Call::Deregister(_) => InputKind::InstanceCall,
@@ -69,14 +73,14 @@
     }
 }
 
-/// Inputs of one kind.
+/// Number and processing time of the inputs of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct InputLoad {
     count: u64,
-    busy: Duration,
+    processing_time: Duration,
 }
 
-/// Counts since the last report.
+/// Load figures since the last report.
 pub(super) struct Load {
     since: Instant,
     last_tick: Instant,
@@ -98,30 +102,31 @@
         }
     }
 
-    /// The core has handled an input, and its outputs were carried out, between these moments.
+    /// Records that the core handled an input, and its outputs were carried out, between these
+    /// times.
     pub(super) fn handled(&mut self, kind: InputKind, from: Instant, until: Instant) {
-        let busy = until - from;
+        let processing_time = until - from;
         let input = &mut self.inputs[kind as usize];
         input.count += 1;
-        input.busy += busy;
-        self.max_input = self.max_input.max(busy);
+        input.processing_time += processing_time;
+        self.max_input = self.max_input.max(processing_time);
     }
 
-    /// Time passes; returns the `load` line when it is due.
+    /// Records a tick; returns the `load` log line when it is due.
     pub(super) fn tick(&mut self, now: Instant) -> Option<String> {
         self.max_tick_gap = self.max_tick_gap.max(now - self.last_tick);
         self.last_tick = now;
         if now - self.since < REPORT_INTERVAL {
             return None;
         }
-        let line = self.to_string();
+        let report = self.to_string();
         *self = Load::new(now);
-        Some(line)
+        Some(report)
     }
 
-    /// A call has ended; returns a line about it if it was slow.
+    /// Records that a call has ended; returns a log line if it was slow.
     pub(super) fn call_ended(&mut self, call: &CallSummary, duration: Duration) -> Option<String> {
-        let is_slow = duration >= SLOW_CALL || call.outcome == Outcome::Unavailable;
+        let is_slow = duration >= SLOW_CALL_THRESHOLD || call.outcome == Outcome::Unavailable;
         if !is_slow {
             return None;
         }
@@ -134,11 +139,11 @@
 
 impl fmt::Display for Load {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let busy: Duration = self.inputs.iter().map(|input| input.busy).sum();
+        let processing_time: Duration = self.inputs.iter().map(|input| input.processing_time).sum();
         write!(
             f,
             "event=load busy_ms={} max_input_ms={} max_tick_gap_ms={} slow_calls={}",
-            busy.as_millis(),
+            processing_time.as_millis(),
             self.max_input.as_millis(),
             self.max_tick_gap.as_millis(),
             self.slow_calls,
@@ -146,7 +151,7 @@
         for kind in InputKind::ALL {
             let input = self.inputs[kind as usize];
             let name = kind.name();
-            let ms = input.busy.as_millis();
+            let ms = input.processing_time.as_millis();
             write!(f, " {name}={} {name}_ms={ms}", input.count)?;
         }
         Ok(())
@@ -160,12 +165,12 @@
     Rejected,
     Redirected,
     Unavailable,
-    /// The caller has closed its connection before there was an answer.
+    /// The client closed its connection before it got a response.
     Abandoned,
 }
 
 impl Outcome {
-    /// The outcome of a call with this response.
+    /// Returns the outcome of a call with this response.
     pub(super) fn of(response: &CallResponse) -> Outcome {
         match response {
             CallResponse::Ok(_) => Outcome::Ok,
@@ -186,16 +191,16 @@
     }
 }
 
-/// A call as the log tells of it, with the names that its caller uses.
+/// A call as it is logged, with the names that the API uses.
 pub(super) struct CallSummary {
     call: &'static str,
-    /// Id of the backend, empty for the operator's calls.
+    /// Id of the backend; empty for the operator's calls.
     instance: String,
     pub(super) outcome: Outcome,
 }
 
 impl CallSummary {
-    /// A call that has no answer yet.
+    /// Creates the summary of a call without a response.
     pub(super) fn new(call: &Call) -> CallSummary {
         let (call, instance) = match call {
             Call::Heartbeat(id, _) => ("instances.beat", id.clone()),
--- a/crates/controller/src/net/load/tests.rs
+++ b/crates/controller/src/net/load/tests.rs
@@ -1,10 +1,11 @@
-//! The lines for the log.
+//! Tests of the load report and the slow call log lines.
 
 use super::*;
 
-/// The fields that the operators' page names, with times in milliseconds; a report starts the counts anew.
+/// Checks the fields of the load report, with times in milliseconds, and that a report resets the
+/// counts.
 #[test]
-fn the_load_line_tells_inputs_by_kind() {
+fn load_report_counts_inputs_by_kind() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut load = Load::new(start);
@@ -12,23 +13,27 @@
     load.handled(InputKind::LeaseRequest, at(30), at(50));
     load.handled(InputKind::PeerFrame, at(50), at(55));
     assert_eq!(load.tick(at(700)), None);
-    let line = load.tick(at(5000)).expect("it is due");
+    let report = load.tick(at(5000)).expect("it is due");
     assert!(
-        line.starts_with("event=load busy_ms=55 max_input_ms=30 max_tick_gap_ms=4300 slow_calls=0"),
-        "{line}"
+        report
+            .starts_with("event=load busy_ms=55 max_input_ms=30 max_tick_gap_ms=4300 slow_calls=0"),
+        "{report}"
     );
     assert!(
-        line.contains(" lease_requests=2 lease_requests_ms=50 "),
-        "{line}"
+        report.contains(" lease_requests=2 lease_requests_ms=50 "),
+        "{report}"
     );
-    assert!(line.contains(" peer_frames=1 peer_frames_ms=5 "), "{line}");
-    let next = load.tick(at(10_000)).expect("it is due again");
-    assert!(next.contains(" busy_ms=0 "), "{next}");
+    assert!(
+        report.contains(" peer_frames=1 peer_frames_ms=5 "),
+        "{report}"
+    );
+    let next_report = load.tick(at(10_000)).expect("it is due again");
+    assert!(next_report.contains(" busy_ms=0 "), "{next_report}");
 }
 
-/// A backend's call that failed can be followed by its id; a flood of them does not fill the log.
+/// Failed calls are logged with the id of the backend, and a flood of them does not fill the log.
 #[test]
-fn slow_calls_are_named_up_to_a_bound() {
+fn slow_calls_are_logged_up_to_a_limit() {
     let start = Instant::now();
     let mut load = Load::new(start);
     let abandoned = CallSummary::new(&Call::Deregister("i-7f3a91c2".to_owned()));
--- a/crates/controller/src/net/mod.rs
+++ b/crates/controller/src/net/mod.rs
@@ -1,15 +1,16 @@
-//! The driver of [`Core`](crate::Core): owns the sockets, the clock, the signals and the disk's thread, and carries out what the core returns.
+//! The driver of [`Core`](crate::Core): owns the sockets, the clock, the signals and the disk
+//! thread, and carries out the core's outputs.
 //!
-//! Everything but the disk runs on one thread, so that the core's inputs are in one order. One module a concern:
+//! Everything except the disk runs on one thread, which serializes the core's inputs. Modules:
 //!
-//! - `controller`: the core with its outputs;
-//! - `peers`: connections that this controller opens to the others;
+//! - `controller`: the core and the execution of its outputs;
+//! - `peers`: connections that this controller opens to other controllers;
 //! - `internal_connections`: connections that proxies and other controllers open to this one;
 //! - `api`: the calls of backends and of the operator over HTTP;
 //! - `disk_thread`: the thread that owns the store;
-//! - `lease_requests`: answers lease requests when nothing is more urgent;
-//! - `load`: what the thread spends its time on, for the log;
-//! - `settings_reload`, `shutdown`: changes of the settings file, planned stops.
+//! - `lease_requests`: processes lease requests when no other input is pending;
+//! - `load`: the time that the thread spends on each kind of input, for the log;
+//! - `settings_reload`, `shutdown`: changes of the settings file, and graceful shutdown.
 
 mod api;
 mod controller;
@@ -38,35 +39,35 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Interval, MissedTickBehavior};
 
-/// Pause when the system has no descriptor for a new connection.
+/// Delay before the next accept when the system has no file descriptor for a new connection.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a controller ends other than by a planned stop.
+/// Why a controller ends other than by a graceful shutdown.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It cannot listen at this address.
+    /// The controller cannot listen at this address.
     #[error("step=listen address={0} error={kind:?}", kind = .1.kind())]
     Listen(SocketAddr, #[source] std::io::Error),
     /// The settings lack this field.
     #[error("step=settings missing={0}")]
     Missing(&'static str),
-    /// The system does not deliver signals.
+    /// The signal handlers cannot be installed.
     #[error("step=signals error={kind:?}", kind = .0.kind())]
     Signals(#[source] std::io::Error),
-    /// The disk cannot be used, or contains what cannot be read.
+    /// The disk cannot be used, or its content cannot be read.
     #[error("{0}")]
     Store(#[source] StoreError),
-    /// The disk's thread has ended without an error.
+    /// The disk thread has ended without an error.
     #[error("step=disk error=thread_ended")]
     DiskThreadEnded,
 }
 
-/// The signals that a controller obeys.
+/// The signals that a controller handles.
 struct Signals {
-    /// SIGTERM: a planned stop.
+    /// SIGTERM: graceful shutdown.
     terminate: Signal,
-    /// SIGHUP: read the settings file again.
-    hang_up: Signal,
+    /// SIGHUP: reload of the settings file.
+    hangup: Signal,
 }
 
 impl Signals {
@@ -74,14 +75,14 @@
         let install = |kind| signal(kind).map_err(Error::Signals);
         Ok(Signals {
             terminate: install(SignalKind::terminate())?,
-            hang_up: install(SignalKind::hangup())?,
+            hangup: install(SignalKind::hangup())?,
         })
     }
 }
 
-/// The settings that a controller cannot do without.
+/// The addresses and the directory that a controller requires in its settings.
 struct Addresses {
-    /// For backends and the operator, over HTTP.
+    /// For API calls of backends and the operator, over HTTP.
     api: SocketAddr,
     /// For proxies and other controllers.
     internal: SocketAddr,
@@ -100,22 +101,23 @@
     }
 }
 
-/// Runs a controller until a SIGTERM has been carried out. `seed` is its only source of randomness.
+/// Runs a controller until a graceful shutdown, begun by a SIGTERM, is complete. `seed` is its only
+/// source of randomness.
 ///
 /// # Errors
 ///
-/// Where it cannot start, or the disk fails while it runs.
+/// If the controller cannot start, or if the disk fails while it runs.
 pub async fn run(mut settings: Settings, file: SettingsFile, seed: u64) -> Result<(), Error> {
     let mut signals = Signals::new()?;
     let addresses = Addresses::from_settings(&settings)?;
     let api_listener = listen(addresses.api).await?;
     let internal_listener = listen(addresses.internal).await?;
     let disk = DiskThread::start(addresses.data_dir);
-    // A disk that fails delays the start, not a stop.
+    // A failing disk delays the start, but not a SIGTERM.
     let stored = tokio::select! {
         biased;
         _ = signals.terminate.recv() => return Ok(()),
-        opened = disk.opening => opened.map_err(|_| Error::DiskThreadEnded)?.map_err(Error::Store)?,
+        result = disk.open_result => result.map_err(|_| Error::DiskThreadEnded)?.map_err(Error::Store)?,
     };
     settings.bootstrap = stored.may_bootstrap(settings.bootstrap);
     log::info!(
@@ -130,12 +132,12 @@
         stored.raft.identity,
     );
     let controller = Controller::start(&settings, addresses.api, seed, stored, disk.writer);
-    tokio::task::spawn_local(api::accept_callers(controller.clone(), api_listener));
+    tokio::task::spawn_local(api::accept_connections(controller.clone(), api_listener));
     tokio::task::spawn_local(internal_connections::accept(
         controller.clone(),
         internal_listener,
     ));
-    tokio::task::spawn_local(lease_requests::answer(controller.clone()));
+    tokio::task::spawn_local(lease_requests::process(controller.clone()));
     let max_shutdown = shutdown::max_duration(&settings);
     let reload = SettingsReload::new(file);
     serve(&controller, signals, disk.results, reload, max_shutdown).await
@@ -147,7 +149,7 @@
         .map_err(|error| Error::Listen(address, error))
 }
 
-/// Feeds signals, results of writes and time to the controller.
+/// Passes signals, write results and ticks to the controller.
 async fn serve(
     controller: &Rc<Controller>,
     mut signals: Signals,
@@ -163,12 +165,12 @@
             _ = signals.terminate.recv(), if shutdown.is_none() => {
                 shutdown = Some(Shutdown::begin(controller, max_shutdown));
             }
-            _ = signals.hang_up.recv() => reload.reload(controller, ReloadTrigger::Signal),
+            _ = signals.hangup.recv() => reload.reload(controller, ReloadTrigger::Signal),
             result = write_results.recv() => match result {
                 Some(Ok(number)) => {
                     controller.drive(InputKind::DiskWrite, |core, now, out| core.persisted(now, number, out));
                 }
-                // Only a new start can find out what is on disk now.
+                // The state on the disk is unknown now, and only a restart can determine it.
                 Some(Err(error)) => return Err(Error::Store(error)),
                 None => return Ok(()),
             },
--- a/crates/controller/src/net/peers.rs
+++ b/crates/controller/src/net/peers.rs
@@ -1,5 +1,5 @@
-//! Connections that this controller opens to the others. Each controller sends on those that it has opened, and receives on those
-//! that it has accepted.
+//! Connections that this controller opens to the others. Each controller sends on the connections
+//! that it has opened, and receives on those that it has accepted.
 
 use super::controller::Controller;
 use super::load::InputKind;
@@ -14,12 +14,12 @@
 
 /// How a connection to a peer has ended.
 struct Disconnected {
-    /// Whether the peer had proven to be alive on it.
-    was_up: bool,
+    /// Whether the connection had been established.
+    was_established: bool,
     error: ConnectionError,
 }
 
-/// The queue of a peer to which there is no connection: it takes nothing.
+/// Returns a closed queue, for a peer without a connection.
 fn closed_queue() -> mpsc::Sender<Bytes> {
     mpsc::channel(1).0
 }
@@ -33,7 +33,7 @@
             .is_some_and(|queue| queue.try_send(bytes).is_err());
         if is_full {
             if let Some(queue) = self.peers.borrow_mut().get_mut(peer) {
-                // The connection ends with its queue, and is opened anew.
+                // Dropping the queue closes the connection, which is then reopened.
                 *queue = closed_queue();
             }
         }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Connects to the voters that are not known as peers yet.
+    /// Connects to the voters that are not yet known as peers.
     pub(super) fn connect_to_voters(self: &Rc<Self>) {
         let unknown: Vec<IpAddr> = self.inspect(|core| {
             let peers = self.peers.borrow();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Keeps a connection to a peer, for as long as this process runs.
+    /// Keeps a connection to a peer until the process ends.
     pub(super) fn connect_to_peer(self: &Rc<Self>, ip: IpAddr) {
         let peer = ip.to_string();
         if peer == self.hello.ip || self.peers.borrow().contains_key(&peer) {
@@ -80,12 +80,15 @@
 
     async fn keep_peer_connected(self: Rc<Self>, ip: IpAddr, peer: String) {
         let address = SocketAddr::new(ip, self.internal_port);
-        // Of several failures in a row only the first is logged.
+        // Of several failures in a row, only the first is logged.
         let mut log_next_failure = true;
         let mut backoff = ReconnectBackoff::default();
         loop {
-            let Disconnected { was_up, error } = self.run_peer_connection(address, &peer).await;
-            if was_up {
+            let Disconnected {
+                was_established,
+                error,
+            } = self.run_peer_connection(address, &peer).await;
+            if was_established {
                 log_next_failure = true;
                 backoff = ReconnectBackoff::default();
             }
@@ -93,7 +96,7 @@
                 log::info!("event=peer_disconnected peer={peer} {error}");
             }
             self.close_peer_queue(&peer);
-            if was_up {
+            if was_established {
                 self.peer_disconnected(&peer);
             }
             backoff.wait().await;
@@ -105,28 +108,31 @@
             Ok(stream) => stream,
             Err(error) => {
                 return Disconnected {
-                    was_up: false,
+                    was_established: false,
                     error,
                 }
             }
         };
         let (sender, outgoing) = mpsc::channel(OUTGOING_QUEUE_FRAMES);
         let mut sender = Some(sender);
-        let mut was_up = false;
+        let mut was_established = false;
         let handshake = Handshake::Initiator(self.hello.clone());
         let error = run_connection(stream, outgoing, handshake, |event| {
-            // The peer sends nothing on it but that it is alive.
+            // The peer sends no frames on this connection, only liveness messages.
             if let (Event::Established, Some(sender)) = (event, sender.take()) {
-                was_up = true;
-                self.peer_up(peer, sender);
+                was_established = true;
+                self.peer_connected(peer, sender);
             }
             true
         })
         .await;
-        Disconnected { was_up, error }
+        Disconnected {
+            was_established,
+            error,
+        }
     }
 
-    fn peer_up(self: &Rc<Self>, peer: &str, queue: mpsc::Sender<Bytes>) {
+    fn peer_connected(self: &Rc<Self>, peer: &str, queue: mpsc::Sender<Bytes>) {
         self.peers.borrow_mut().insert(peer.to_owned(), queue);
         log::info!("event=peer_connected peer={peer}");
         self.drive(InputKind::Connection, |core, now, out| {
--- a/crates/controller/src/net/settings_reload.rs
+++ b/crates/controller/src/net/settings_reload.rs
@@ -1,13 +1,13 @@
-//! Reads the settings file again, on a SIGHUP or when it has changed.
+//! Reload of the settings file, on a SIGHUP or when the file has changed.
 
 use super::controller::Controller;
 use maplefall_node_settings::{Settings, SettingsFile};
 use std::rc::Rc;
 
-/// The settings file is checked for changes once in this many ticks.
+/// Number of ticks between two checks of the settings file for changes.
 const CHECK_INTERVAL_TICKS: u32 = 20;
 
-/// Why the settings are read again.
+/// Why the settings are reloaded.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReloadTrigger {
     Signal,
@@ -25,7 +25,7 @@
         SettingsReload { file, ticks: 0 }
     }
 
-    /// Reads the file again where it has changed; to be called every tick.
+    /// Reloads the file if it has changed; called every tick.
     pub(super) fn tick(&mut self, controller: &Rc<Controller>) {
         self.ticks += 1;
         if self.ticks.is_multiple_of(CHECK_INTERVAL_TICKS) && self.file.changed() {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Reads the file again; one that cannot be used changes nothing.
+    /// Reloads the file; an invalid file changes nothing.
     pub(super) fn reload(&self, controller: &Rc<Controller>, trigger: ReloadTrigger) {
         let signal = trigger == ReloadTrigger::Signal;
         match Settings::load(self.file.path()) {
--- a/crates/controller/src/net/shutdown.rs
+++ b/crates/controller/src/net/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planned stop: proxies and callers find another controller, another one leads, and nothing committed rests on this one alone.
+//! Graceful shutdown: proxies and clients switch to another controller, leadership is transferred,
+//! and committed entries are replicated so that none depends on this controller alone.
 
 use super::controller::Controller;
 use super::load::InputKind;
@@ -7,20 +8,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a planned stop takes at least, so that whoever is connected finds another controller.
-const MIN_SHUTDOWN: Duration = Duration::from_millis(400);
-/// How long it waits at most for its peers.
-const MAX_SHUTDOWN: Duration = Duration::from_millis(2500);
-/// Longest grace period before the SIGKILL that settings can give, in seconds, halved.
+/// Minimum duration of a graceful shutdown, so that connected processes can find another
+/// controller.
+const MIN_SHUTDOWN_DURATION: Duration = Duration::from_millis(400);
+/// Maximum time that a graceful shutdown waits for the peers.
+const MAX_SHUTDOWN_DURATION: Duration = Duration::from_millis(2500);
+/// Half of the longest grace period before the SIGKILL that the settings can have, in seconds.
 const MAX_HALF_GRACE_S: f64 = 60.0;
 
-/// How long a planned stop takes at most: half of the time until the SIGKILL is left for what comes after.
+/// Returns the maximum duration of a graceful shutdown. It is at most half of the grace period,
+/// which leaves the other half until the SIGKILL for what follows.
 pub(super) fn max_duration(settings: &Settings) -> Duration {
     let half_grace_s = (settings.bounds.grace_s / 2.0).clamp(0.0, MAX_HALF_GRACE_S);
-    MAX_SHUTDOWN.min(Duration::from_secs_f64(half_grace_s))
+    MAX_SHUTDOWN_DURATION.min(Duration::from_secs_f64(half_grace_s))
 }
 
-/// A planned stop that has begun.
+/// A graceful shutdown in progress.
 pub(super) struct Shutdown {
     started_at: Instant,
     max_duration: Duration,
@@ -38,11 +41,12 @@
         }
     }
 
-    /// Whether the process may end.
+    /// Returns whether the process may end.
     pub(super) fn is_complete(&self, controller: &Controller) -> bool {
         let elapsed = self.started_at.elapsed();
         let may_stop = controller.may_stop();
-        let complete = elapsed >= MIN_SHUTDOWN && (may_stop || elapsed >= self.max_duration);
+        let complete =
+            elapsed >= MIN_SHUTDOWN_DURATION && (may_stop || elapsed >= self.max_duration);
         if complete {
             let ms = elapsed.as_millis();
             log::info!("event=shutdown_complete handed_over={may_stop} ms={ms}");
