--- a/crates/controller/benches/amend.rs
+++ b/crates/controller/benches/amend.rs
@@ -1,7 +1,10 @@
-//! The cost of changing one route, by the size of the configuration: the time from the call to the response at a leader, without that
-//! of the disk; the memory of its configuration alone; and the time to build and to patch a proxy's route table.
-//! `cargo bench -p maplefall-controller --bench amend` runs with a hundredth, a tenth and all of 77,000 routes, 8,900 services and
-//! 480,000 tenants; `PART=0.5` runs with one fraction, `TENANTS=0` with routes and services alone.
+//! The cost of changing one route, depending on the size of the configuration: the time from the
+//! call to the response at a leader, excluding the disk; the memory of the configuration alone; and
+//! the time to build and to patch a proxy's route table.
+//!
+//! `cargo bench -p maplefall-controller --bench amend` runs with a hundredth, a tenth and all of
+//! 77,000 routes, 8,900 services and 480,000 tenants; `PART=0.5` runs with one fraction,
+//! `TENANTS=0` with routes and services only.
 
 use maplefall_controller::core::{Call, CallResponse, Core, Output};
 use maplefall_controller::store::StoredState;
@@ -13,9 +16,9 @@
 const ROUTES: usize = 77_000;
 const SERVICES: usize = 8_900;
 const TENANTS: usize = 480_000;
-/// Items in one call while the controller is filled.
+/// Number of items per call while the controller is filled.
 const ITEMS_PER_CALL: usize = 50_000;
-/// Changes that are timed.
+/// Number of changes that are timed.
 const TIMED_CHANGES: usize = 40;
 
 const SETTINGS: &str =
@@ -48,7 +51,7 @@
         controller
     }
 
-    /// Persists writes without delay; returns the response, if there is one.
+    /// Carries out outputs, with writes persisted at once; returns the response, if there is one.
     fn carry_out(&mut self, out: Vec<Output>) -> Option<CallResponse> {
         let mut response = None;
         for output in out {
@@ -58,7 +61,7 @@
                     self.core.persisted(self.now, number, &mut more);
                     response = self.carry_out(more).or(response);
                 }
-                Output::Respond(_, answer) => response = Some(answer),
+                Output::Respond(_, call_response) => response = Some(call_response),
                 _ => {}
             }
         }
@@ -74,8 +77,8 @@
     }
 }
 
-/// Calls that fill a list.
-fn calls<'a>(
+/// Returns the calls that fill a list.
+fn fill_calls<'a>(
     list: &'a str,
     columns: &'a str,
     count: usize,
@@ -92,7 +95,7 @@
     })
 }
 
-const ROUTE: &str = "\"Name\",\"Host\",\"PathPrefix\",\"RouteKind\",\"TimeoutS\",\"SetpointS\",\"Priority\",\"TrafficSplit\",\"MaxAttempts\",\"Public\",\"Version\",\"Service\"";
+const ROUTE_COLUMNS: &str = "\"Name\",\"Host\",\"PathPrefix\",\"RouteKind\",\"TimeoutS\",\"SetpointS\",\"Priority\",\"TrafficSplit\",\"MaxAttempts\",\"Public\",\"Version\",\"Service\"";
 
 fn route(n: usize, services: usize, version: usize) -> String {
     let (a, b) = ((n + version) % services, (n * 7 + 1) % services);
@@ -107,13 +110,13 @@
     )
 }
 
-fn memory(field: &str) -> f64 {
+fn memory_mib(field: &str) -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status
+    let status_line = status
         .lines()
-        .find(|line| line.starts_with(field))
+        .find(|status_line| status_line.starts_with(field))
         .unwrap_or_default();
-    let kib: f64 = line
+    let kib: f64 = status_line
         .split_whitespace()
         .nth(1)
         .and_then(|text| text.parse().ok())
@@ -121,25 +124,25 @@
     kib / 1024.0
 }
 
-/// All calls that fill the system.
-fn all_calls(routes: usize, services: usize, tenants: usize) -> impl Iterator<Item = String> {
+/// Returns all calls that fill the configuration.
+fn all_fill_calls(routes: usize, services: usize, tenants: usize) -> impl Iterator<Item = String> {
     let service = |n| format!("[\"svc{n}\",\"/health\",130,\"h1\",false,\"00000001\"]");
     let tenant = |n| {
         format!("[\"t-{n:06}\",[\"xd9dnn2ctnfzs9{n:06}\",\"wsjnbanfqasnmg{n:06}\"],0,122,122,\"00000001\"]")
     };
     let columns = "\"Name\",\"HealthPath\",\"ConnLimit\",\"Protocol\",\"Tls\",\"Version\"";
-    let keys = "\"Name\",\"ApiKeys\",\"Priority\",\"RatePerS\",\"BurstSize\",\"Version\"";
-    calls("Services", columns, services, service)
-        .chain(calls("RouteTable", ROUTE, routes, move |n| {
+    let tenant_columns = "\"Name\",\"ApiKeys\",\"Priority\",\"RatePerS\",\"BurstSize\",\"Version\"";
+    fill_calls("Services", columns, services, service)
+        .chain(fill_calls("RouteTable", ROUTE_COLUMNS, routes, move |n| {
             route(n, services, 1)
         }))
-        .chain(calls("Tenants", keys, tenants, tenant))
+        .chain(fill_calls("Tenants", tenant_columns, tenants, tenant))
 }
 
-/// A call that changes one route.
-fn one_route(change: usize, routes: usize, services: usize) -> String {
+/// Returns a call that changes one route.
+fn change_route_call(change: usize, routes: usize, services: usize) -> String {
     let row = route(change * 31 % routes, services, 2 + change);
-    format!("{{\"Upsert\":{{\"RouteTable\":{{\"ColumnNames\":[{ROUTE}],\"DataRows\":[{row}]}}}}}}")
+    format!("{{\"Upsert\":{{\"RouteTable\":{{\"ColumnNames\":[{ROUTE_COLUMNS}],\"DataRows\":[{row}]}}}}}}")
 }
 
 fn run(fraction: f64) {
@@ -153,18 +156,19 @@
         scaled(SERVICES),
         (tenants as f64 * fraction) as usize,
     );
-    let before = memory("VmRSS");
+    let before = memory_mib("VmRSS");
     let mut config = ConfigState::default();
-    for body in all_calls(routes, services, tenants) {
+    for body in all_fill_calls(routes, services, tenants) {
         config.apply(&parse_amend(body.as_bytes()).expect("a call"));
     }
-    let config_mb = memory("VmRSS") - before;
+    let config_mb = memory_mib("VmRSS") - before;
     let start = Instant::now();
     let mut table = RouteTable::from_items(&config);
     let table_ms = start.elapsed().as_secs_f64() * 1e3;
     let mut times = Vec::new();
     for change in 0..TIMED_CHANGES {
-        let change = parse_amend(one_route(change, routes, services).as_bytes()).expect("a call");
+        let change =
+            parse_amend(change_route_call(change, routes, services).as_bytes()).expect("a call");
         let start = Instant::now();
         config.apply(&change);
         table.patch(&config, [&change].into_iter());
@@ -175,7 +179,7 @@
     println!("routes={routes_now} config_mb={config_mb:.0} table_ms={table_ms:.1} patch_median_us={patch_us:.0}");
     drop((table, config));
     let mut controller = SingleController::new();
-    for body in all_calls(routes, services, tenants) {
+    for body in all_fill_calls(routes, services, tenants) {
         assert_eq!(
             controller.amend(body),
             Some(CallResponse::Ok("{}".to_owned()))
@@ -183,7 +187,7 @@
     }
     let mut times = Vec::new();
     for change in 0..TIMED_CHANGES {
-        let body = one_route(change, routes, services);
+        let body = change_route_call(change, routes, services);
         let start = Instant::now();
         let response = controller.amend(body);
         times.push(start.elapsed().as_secs_f64() * 1e6);
@@ -194,8 +198,8 @@
         "routes={routes} services={services} tenants={tenants} median_us={:.0} worst_us={:.0} rss_mb={:.0} peak_mb={:.0}",
         times[TIMED_CHANGES / 2],
         times[TIMED_CHANGES - 1],
-        memory("VmRSS"),
-        memory("VmHWM")
+        memory_mib("VmRSS"),
+        memory_mib("VmHWM")
     );
 }
 
--- a/crates/controller/examples/start.rs
+++ b/crates/controller/examples/start.rs
@@ -1,7 +1,8 @@
-//! Measures how long a controller takes to read its disk at a start, by the number of changes that were written to it, and what writing
-//! them cost.
+//! Measures how long a controller takes to read its disk at a start, depending on the number of
+//! changes written to it, and the cost of writing them.
 //!
-//! `cargo run --release -p maplefall-controller --example start -- DIRECTORY`; the directory is on the disk that is measured.
+//! `cargo run --release -p maplefall-controller --example start -- DIRECTORY`; the directory has to
+//! be on the disk to be measured.
 
 use maplefall_controller::disk::Directory;
 use maplefall_controller::store::{Error, Store, StoreRecord};
@@ -9,18 +10,18 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Bytes of one change.
+/// Size of one change.
 const CHANGE_BYTES: usize = 600;
-/// Changes that are written at a time.
+/// Number of changes written at a time.
 const BATCH_CHANGES: u64 = 10;
-/// Starts that are measured; their median is shown.
+/// Number of starts that are measured; their median is printed.
 const STARTS: usize = 9;
 
-/// What is written before the starts.
+/// The changes that are written before the starts.
 #[derive(Clone, Copy)]
 struct Workload {
     changes: u64,
-    /// Changes between two snapshots, 0 for none.
+    /// Number of changes between two snapshots, 0 for none.
     snapshot_interval: u64,
 }
 
@@ -57,13 +58,13 @@
     }
 }
 
-/// What writing has cost.
+/// The cost of writing the changes.
 struct WriteCost {
     elapsed: Duration,
     bytes: u64,
 }
 
-/// Bytes that this process has written so far, as the kernel counts them.
+/// Returns the number of bytes that this process has written so far, according to the kernel.
 fn process_written_bytes() -> u64 {
     let io = std::fs::read_to_string("/proc/self/io").unwrap_or_default();
     io.lines()
@@ -72,7 +73,7 @@
 }
 
 fn write_changes(path: &Path, workload: Workload) -> Result<WriteCost, Error> {
-    let (bytes_before, begun) = (process_written_bytes(), Instant::now());
+    let (bytes_before, started_at) = (process_written_bytes(), Instant::now());
     let (mut store, _) = Store::open(Directory::new(path))?;
     for first in (1..=workload.changes).step_by(BATCH_CHANGES as usize) {
         let numbers = first..first + BATCH_CHANGES;
@@ -83,26 +84,26 @@
     }
     drop(store);
     Ok(WriteCost {
-        elapsed: begun.elapsed(),
+        elapsed: started_at.elapsed(),
         bytes: process_written_bytes() - bytes_before,
     })
 }
 
-/// Milliseconds of each start, sorted.
+/// Returns the duration of each start in milliseconds, sorted.
 fn measure_starts(path: &Path, changes: u64) -> Result<Vec<f64>, Error> {
     let mut starts_ms = Vec::new();
     for _ in 0..STARTS {
-        let begun = Instant::now();
-        let (store, found) = Store::open(Directory::new(path))?;
-        assert_eq!(found.number, changes);
+        let started_at = Instant::now();
+        let (store, stored) = Store::open(Directory::new(path))?;
+        assert_eq!(stored.number, changes);
         drop(store);
-        starts_ms.push(begun.elapsed().as_secs_f64() * 1e3);
+        starts_ms.push(started_at.elapsed().as_secs_f64() * 1e3);
     }
     starts_ms.sort_by(f64::total_cmp);
     Ok(starts_ms)
 }
 
-/// Length of all files in the directory.
+/// Returns the total length of the files in the directory.
 fn directory_bytes(path: &Path) -> u64 {
     std::fs::read_dir(path).map_or(0, |files| {
         files
@@ -143,7 +144,7 @@
                 snapshot_interval,
             };
             let result = measure(&path, workload);
-            // It is this program's own directory; a failure to remove it changes no figure.
+            // Only this program uses the directory, and a failure to remove it affects no result.
             let _ = std::fs::remove_dir_all(&path);
             result?;
         }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,7 +1,8 @@
-//! The control plane: keeps the configuration and the service registry, replicates them among controllers, and leases quota
-//! shares to proxies.
+//! The control plane: keeps the configuration and the service registry, replicates them among
+//! controllers, and leases quota shares to proxies.
 //!
-//! [`Core`] decides and does no I/O; [`net`] carries out what it returns; [`store`] keeps its state on a [`disk`].
+//! [`Core`] contains the decision logic and does no I/O; [`net`] carries out its outputs; [`store`]
+//! keeps its state on a [`disk`].
 
 pub mod core;
 pub mod disk;
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,4 +1,5 @@
-//! `maplefall-controller`: keeps the operator's configuration and the service registry, and leases proxies their shares of quotas.
+//! `maplefall-controller`: keeps the operator's configuration and the service registry, and leases
+//! quota shares to proxies.
 
 use clap::Parser;
 use maplefall_controller::net;
