--- a/crates/controller/tests/common/cluster.rs
+++ b/crates/controller/tests/common/cluster.rs
@@ -1,5 +1,6 @@
-//! A cluster of controllers ([`Core`]) in one process: the network cuts and heals in either direction, connections time out within
-//! their bound, disks are slow, processes pause. Time only passes in [`Cluster::run`].
+//! A cluster of controllers ([`Core`]) in one process, with simulated time that advances only in
+//! [`Cluster::run`]. Links can be blocked in either direction and healed, connections time out
+//! within their bound, writes take time, disks can stall, and processes can pause.
 
 #![allow(dead_code)]
 
@@ -14,13 +15,14 @@
 use maplefall_node_settings::Settings;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Both ends notice a lost connection this long after one direction was cut, at the latest.
+/// Maximum time after one direction of a link is blocked until both ends notice that the connection
+/// is lost.
 pub const CONNECTION_TIMEOUT: f64 = PONG_TIMEOUT + PING_INTERVAL;
-/// A controller without messages from a quorum knows after this long that it has lost contact.
+/// Time without messages from a quorum after which a controller detects that it has lost contact.
 pub const QUORUM_TIMEOUT: f64 = 1000.0;
-/// For delays, ticks and elections.
+/// Allowance for delays, ticks and elections.
 pub const TOLERANCE: f64 = 300.0;
-/// Delay of the network.
+/// In milliseconds, as all times here.
 const NETWORK_DELAY: f64 = 1.0;
 const DISK_DELAY: f64 = 2.0;
 pub const HEARTBEAT_INTERVAL: f64 = 1500.0;
@@ -52,8 +54,8 @@
 
 pub struct Node {
     pub core: Core,
-    /// Numbers of writes that are not on disk, with the time at which they will be.
-    pub disk: VecDeque<(u64, f64)>,
+    /// Numbers of the writes that are not yet persisted, each with the time at which it will be.
+    pub pending_writes: VecDeque<(u64, f64)>,
     pub is_disk_stalled: bool,
     pub is_paused: bool,
     last_tick: f64,
@@ -63,13 +65,13 @@
     pub now: f64,
     pub nodes: Vec<Node>,
     pub network: VecDeque<(f64, usize, usize, Bytes)>,
-    /// Directions that are cut, and since when.
-    pub cut: BTreeMap<(usize, usize), f64>,
-    /// Pairs that have noticed that their connection is lost.
+    /// Blocked directions `(from, to)`, each with the time since which it is blocked.
+    pub blocked_links: BTreeMap<(usize, usize), f64>,
+    /// Pairs whose connection has timed out.
     disconnected: BTreeSet<(usize, usize)>,
     pub responses: BTreeMap<u64, CallResponse>,
     pub last_call: u64,
-    /// Frames to proxies: controller, connection, time, frame.
+    /// Frames sent to proxies: controller, connection, time, frame.
     to_proxies: Vec<(usize, u64, f64, Frame)>,
     last_proxy: u64,
     log_lines: Vec<(f64, usize, String)>,
@@ -81,7 +83,7 @@
             now: 0.0,
             nodes: Vec::new(),
             network: VecDeque::new(),
-            cut: BTreeMap::new(),
+            blocked_links: BTreeMap::new(),
             disconnected: BTreeSet::new(),
             responses: BTreeMap::new(),
             last_call: 0,
@@ -100,12 +102,12 @@
             );
             cluster.nodes.push(Node {
                 core,
-                disk: VecDeque::new(),
+                pending_writes: VecDeque::new(),
                 is_disk_stalled: false,
                 is_paused: false,
                 last_tick: 0.0,
             });
-            cluster.carry_out(node, out);
+            cluster.handle_outputs(node, out);
         }
         for (a, b) in cluster.pairs() {
             cluster.set_connected(a, b, true);
@@ -137,14 +139,14 @@
     pub fn drive(&mut self, node: usize, step: impl FnOnce(&mut Core, f64, &mut Vec<Output>)) {
         let mut out = Vec::new();
         step(&mut self.nodes[node].core, self.now, &mut out);
-        self.carry_out(node, out);
+        self.handle_outputs(node, out);
     }
 
-    fn carry_out(&mut self, node: usize, out: Vec<Output>) {
+    fn handle_outputs(&mut self, node: usize, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Write(number, _) => self.nodes[node]
-                    .disk
+                    .pending_writes
                     .push_back((number, self.now + DISK_DELAY)),
                 Output::SendToPeer(to, bytes) => {
                     let to = (0..self.nodes.len()).find(|node| ip(*node) == to);
@@ -169,7 +171,7 @@
                 Output::Respond(call, response) => {
                     assert!(
                         self.responses.insert(call, response).is_none(),
-                        "call {call} is answered twice"
+                        "call {call} got two responses"
                     );
                 }
                 Output::Log(line) | Output::Debug(line) => {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Lets this much time pass, a millisecond at a time.
+    /// Advances the time by `duration` milliseconds, in steps of one.
     pub fn run(&mut self, duration: f64) {
         let until = self.now + duration;
         while self.now < until {
@@ -200,18 +202,19 @@
         }
     }
 
-    /// Connections over a cut time out, and are opened again once it is healed.
+    /// Closes connections over blocked links after their timeout, and opens them again once the
+    /// links are healed.
     fn update_connections(&mut self) {
-        if self.cut.is_empty() && self.disconnected.is_empty() {
+        if self.blocked_links.is_empty() && self.disconnected.is_empty() {
             return;
         }
         for pair in self.pairs() {
-            let cut = [pair, (pair.1, pair.0)]
+            let blocked_since = [pair, (pair.1, pair.0)]
                 .iter()
-                .filter_map(|direction| self.cut.get(direction))
+                .filter_map(|direction| self.blocked_links.get(direction))
                 .copied()
                 .reduce(f64::min);
-            match cut {
+            match blocked_since {
                 Some(since)
                     if self.now - since >= CONNECTION_TIMEOUT && self.disconnected.insert(pair) =>
                 {
@@ -229,11 +232,12 @@
                 break;
             };
             let pair = (from.min(to), from.max(to));
-            // Frames to a paused process are lost: its connections have timed out when it resumes.
-            let lost = self.cut.contains_key(&(from, to))
+            // Frames to a paused process are lost: its connections have timed out by the time it
+            // resumes.
+            let is_lost = self.blocked_links.contains_key(&(from, to))
                 || self.disconnected.contains(&pair)
                 || self.nodes[to].is_paused;
-            if !lost {
+            if !is_lost {
                 self.drive(to, |core, now, out| {
                     core.receive_from_peer(now, &ip(from), frame(&bytes), out)
                 });
@@ -244,11 +248,11 @@
     fn persist_writes(&mut self, node: usize) {
         while !self.nodes[node].is_disk_stalled
             && self.nodes[node]
-                .disk
+                .pending_writes
                 .front()
                 .is_some_and(|(_, at)| *at <= self.now)
         {
-            let Some((number, _)) = self.nodes[node].disk.pop_front() else {
+            let Some((number, _)) = self.nodes[node].pending_writes.pop_front() else {
                 break;
             };
             self.drive(node, |core, now, out| core.persisted(now, number, out));
@@ -281,14 +285,14 @@
         matches!(self.responses.get(&call), Some(CallResponse::Ok(_)))
     }
 
-    /// Sends a change of a tenant with this version to a controller; returns the number of the call.
+    /// Sends an amendment that sets a tenant to this version; returns the number of the call.
     pub fn amend(&mut self, node: usize, version: u64) -> u64 {
         let body = AMEND.replace("VERSION", &format!("{version:08}"));
         self.call(node, Call::Amend(body.into()))
     }
 
-    /// The controller that commits a change now.
-    pub fn leader(&mut self, version: u64) -> usize {
+    /// Returns the leader: the controller that commits an amendment with this version.
+    pub fn find_leader(&mut self, version: u64) -> usize {
         for _ in 0..40 {
             for node in 0..self.nodes.len() {
                 let call = self.amend(node, version);
@@ -323,7 +327,7 @@
         connection
     }
 
-    /// The configurations that a proxy was sent, with their times.
+    /// Returns the configurations that were sent to a proxy, with their times.
     pub fn config_updates(&self, connection: u64) -> Vec<(f64, &ConfigUpdate)> {
         let frames = self
             .to_proxies
@@ -353,22 +357,22 @@
     pub fn partition(&mut self, node: usize, outgoing: bool, incoming: bool) {
         for other in (0..self.nodes.len()).filter(|other| *other != node) {
             if outgoing {
-                self.cut.insert((node, other), self.now);
+                self.blocked_links.insert((node, other), self.now);
             }
             if incoming {
-                self.cut.insert((other, node), self.now);
+                self.blocked_links.insert((other, node), self.now);
             }
         }
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked_links.clear();
     }
 
-    pub fn count_logged(&self, node: usize, what: &str) -> usize {
+    pub fn count_logged(&self, node: usize, text: &str) -> usize {
         self.log_lines
             .iter()
-            .filter(|(_, at, line)| *at == node && line.contains(what))
+            .filter(|(_, at, line)| *at == node && line.contains(text))
             .count()
     }
 }
--- a/crates/controller/tests/common/lease_cluster.rs
+++ b/crates/controller/tests/common/lease_cluster.rs
@@ -1,4 +1,5 @@
-//! Controllers ([`Core`]) over a network without delay, and what they grant to proxies. Time only passes in [`LeaseCluster::run`].
+//! Controllers ([`Core`]) connected by a network without delay, and the leases that they grant to
+//! proxies. Time advances only in [`LeaseCluster::run`].
 
 #![allow(dead_code)]
 
@@ -13,7 +14,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::path::{Path, PathBuf};
 
-/// Adds one tenant.
+/// An amendment that adds one tenant.
 const AMEND: &str = r#"{"Upsert":{"Tenants":{"ColumnNames":["Name","ApiKeys","RatePerS","BurstSize","Version"],"DataRows":[["t",["k"],100,100,"00000001"]]}}}"#;
 
 pub fn settings(ip: &str, seeds: &[&str], bootstrap: bool, max_losses: u32) -> Settings {
@@ -28,9 +29,9 @@
 
 pub struct Node {
     core: Core,
-    /// Records that were written and are not reported as persisted.
+    /// Records that were written but not yet reported as persisted.
     pending_writes: Vec<(u64, StoreRecord)>,
-    /// Whether its disk reports nothing as persisted.
+    /// While set, the disk reports nothing as persisted.
     pub is_disk_stalled: bool,
     pub stored_records: Vec<StoreRecord>,
     pub is_isolated: bool,
@@ -39,12 +40,11 @@
     has_lease_requests: bool,
 }
 
-/// Controllers over a network without delay.
 pub struct LeaseCluster {
     pub now: f64,
     pub nodes: BTreeMap<String, Node>,
     pub network: VecDeque<(String, String, Frame)>,
-    /// Whether controllers have time for lease requests.
+    /// Whether controllers answer queued lease requests.
     pub answers_lease_requests: bool,
 }
 
@@ -87,11 +87,11 @@
         };
         let ip = settings.ip.to_string();
         self.nodes.insert(ip.clone(), node);
-        self.carry_out(&ip, out);
+        self.handle_outputs(&ip, out);
         self.deliver_all();
     }
 
-    fn carry_out(&mut self, ip: &str, out: Vec<Output>) {
+    fn handle_outputs(&mut self, ip: &str, out: Vec<Output>) {
         let others: Vec<String> = self
             .nodes
             .keys()
@@ -132,11 +132,11 @@
         if let Some(node) = self.nodes.get_mut(ip) {
             step(&mut node.core, self.now, &mut out);
         }
-        self.carry_out(ip, out);
+        self.handle_outputs(ip, out);
         self.deliver_all();
     }
 
-    /// Persists records and delivers frames until there are none.
+    /// Persists records, answers lease requests and delivers frames until nothing is pending.
     pub fn deliver_all(&mut self) {
         loop {
             let writing = self
@@ -152,11 +152,11 @@
                         .extend(pending_writes.into_iter().map(|(_, record)| record));
                     node.core.persisted(self.now, last, &mut out);
                 }
-                self.carry_out(&ip, out);
+                self.handle_outputs(&ip, out);
                 continue;
             }
             if let Some((ip, out)) = self.answer_lease_request() {
-                self.carry_out(&ip, out);
+                self.handle_outputs(&ip, out);
                 continue;
             }
             let Some((from, to, frame)) = self.network.pop_front() else {
@@ -171,11 +171,11 @@
                 node.core
                     .receive_from_peer(self.now, &from, frame, &mut out);
             }
-            self.carry_out(&to, out);
+            self.handle_outputs(&to, out);
         }
     }
 
-    /// Has a controller answer a lease request that waits there; returns which one has, and its outputs.
+    /// Lets one controller answer a queued lease request; returns its address and outputs.
     fn answer_lease_request(&mut self) -> Option<(String, Vec<Output>)> {
         let waiting = self
             .nodes
@@ -225,7 +225,7 @@
         self.take_grants(ip, connection)
     }
 
-    /// What a proxy was granted since the last call.
+    /// Takes the grants that were sent to a proxy since the last call.
     pub fn take_grants(&mut self, ip: &str, connection: u64) -> Vec<LeaseGrant> {
         let Some(node) = self.nodes.get_mut(ip) else {
             return Vec::new();
@@ -262,7 +262,7 @@
         .collect()
 }
 
-/// A directory that is removed in the end.
+/// A temporary directory that is removed on drop.
 pub struct TemporaryDirectory(PathBuf);
 
 impl TemporaryDirectory {
@@ -273,7 +273,8 @@
         TemporaryDirectory(path)
     }
 
-    /// Writes the records that the store in it lacks; returns what is found when it is opened again.
+    /// Writes the records that the store in the directory lacks; returns the state found when it is
+    /// reopened.
     pub fn persist(&self, mut records: Vec<StoreRecord>) -> StoredState {
         let (mut store, found) = self.open();
         records.retain(|record| record.number > found.number);
--- a/crates/controller/tests/common/operators/amendments.rs
+++ b/crates/controller/tests/common/operators/amendments.rs
@@ -1,4 +1,4 @@
-//! Draws amendments, and what each operator does next.
+//! Random amendments, and the choice of an operator's next call.
 
 use super::{Activity, Amendment, Operators};
 use maplefall_gateway_config::parse_amend;
@@ -21,7 +21,7 @@
 
     fn draw_amendment(&mut self) -> usize {
         self.nonce += 1;
-        // The version of another amendment, an old one, or a new one.
+        // The latest version again, an older one, or a new one.
         let version = match self.simulation.draw(10) {
             0 | 1 if self.version > 3 => self.version,
             2 if self.version > 3 => 1 + self.simulation.draw(self.version),
@@ -105,7 +105,8 @@
         ))
     }
 
-    /// Chooses what an operator does next.
+    /// Starts the next call of an operator: a read, an amendment that another operator is sending,
+    /// one that was accepted before, or a new one.
     pub(super) fn choose_next(&mut self, operator: usize) {
         if self.is_winding_down {
             self.operators[operator].activity = Activity::Idle;
@@ -116,20 +117,20 @@
             .collect();
         match self.simulation.draw(10) {
             0 => self.send(operator, None),
-            // The operator sends what another one sends at the moment.
+            // Sends the amendment that another operator is sending at the moment.
             1 if self
                 .operators
                 .iter()
                 .any(|operator| operator.amendment.is_some() && operator.attempts > 0) =>
             {
-                let under_way: Vec<usize> = self
+                let in_progress: Vec<usize> = self
                     .operators
                     .iter()
                     .filter(|operator| operator.attempts > 0)
                     .filter_map(|operator| operator.amendment)
                     .collect();
-                let amendment = under_way
-                    .get(self.simulation.draw(8) as usize % under_way.len().max(1))
+                let amendment = in_progress
+                    .get(self.simulation.draw(8) as usize % in_progress.len().max(1))
                     .copied();
                 if let Some(amendment) = amendment {
                     self.amendments[amendment].is_shared = true;
--- a/crates/controller/tests/common/operators/calls.rs
+++ b/crates/controller/tests/common/operators/calls.rs
@@ -14,7 +14,7 @@
     }
 
     fn attempt(&mut self, operator: usize) {
-        let to = self.simulation.any_controller();
+        let to = self.simulation.random_controller();
         (
             self.operators[operator].redirects,
             self.operators[operator].attempts,
--- a/crates/controller/tests/common/operators/checks.rs
+++ b/crates/controller/tests/common/operators/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of responses against all changes that were committed.
+//! Checks of responses against all committed changes.
 
 use super::{Activity, Amendment, Operators, SentCall, OPERATORS};
 use crate::reference_model::{ReferenceModel, ValidationOutcome};
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Operators {
-    /// Takes over the changes that were committed since the last time.
+    /// Validates and records the changes that were committed since the last call.
     pub(super) fn record_commits(&mut self) {
         if self.initial.is_empty() || self.simulation.committed.len() == self.lengths.len() {
             return;
@@ -26,11 +26,11 @@
         assert_eq!(
             self.simulation.committed.len(),
             self.lengths.len(),
-            "a change came after a later one"
+            "changes were not committed in the order of their indices"
         );
     }
 
-    /// The reference model after this many changes.
+    /// Returns the reference model after this many changes.
     pub(super) fn model_after(&self, changes: usize) -> ReferenceModel {
         let length = changes
             .checked_sub(1)
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A read returns what was committed at one moment since the call.
+    /// Checks that a read returned the configuration as committed at some moment since the call.
     fn check_read(&self, sent_call: &SentCall, json: &str) {
         let is_consistent = (sent_call.committed..=self.lengths.len())
             .rev()
@@ -80,7 +80,8 @@
         );
     }
 
-    /// What is confirmed is committed, with the only content that was ever confirmed under its version.
+    /// Checks that a confirmed amendment is committed, and that no other content was ever confirmed
+    /// under the same version.
     fn check_accepted(&mut self, amendment: usize) {
         let now = self.simulation.now();
         let amendment = &mut self.amendments[amendment];
@@ -101,7 +102,8 @@
         }
     }
 
-    /// What is rejected was not accepted before, and has a cause in what was committed.
+    /// Checks that a rejected amendment had not been accepted when the call was sent, and that the
+    /// rejection has a cause in the committed changes.
     fn check_rejected(&self, amendment: usize, sent_call: &SentCall, status: u16, reason: &str) {
         let amendment = &self.amendments[amendment];
         assert!(
@@ -131,7 +133,7 @@
         );
     }
 
-    /// Every amendment has a definite response.
+    /// Checks that every amendment has a definite response.
     pub(super) fn check_all_finished(&self) {
         let unfinished = self
             .operators
@@ -144,7 +146,7 @@
         );
     }
 
-    /// No amendment was both accepted and rejected, unless two operators sent it.
+    /// Checks that no amendment was both accepted and rejected, unless two operators sent it.
     pub(super) fn check_none_accepted_and_rejected(&self) {
         for amendment in 0..self.amendments.len() {
             let Amendment {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Every amendment that was ever accepted is accepted again.
+    /// Repeats every amendment that was ever accepted, and checks that it is accepted again.
     pub(super) fn repeat_accepted(&mut self) {
         let accepted: Vec<usize> = (0..self.amendments.len())
             .filter(|n| self.amendments[*n].accepted.is_some())
@@ -184,7 +186,8 @@
         }
     }
 
-    /// What was rejected was never committed.
+    /// Checks that no item of a rejected amendment was committed, unless an accepted one contains
+    /// it too.
     pub(super) fn check_rejected_never_committed(&self) {
         let is_rejected =
             |amendment: &&Amendment| amendment.status.is_some_and(|status| status != 200);
@@ -209,7 +212,8 @@
         }
     }
 
-    /// Complete configurations equal the sum of the changes, and every proxy has all of them.
+    /// Checks that complete configurations equal the sum of the changes, and that every proxy has
+    /// received all changes.
     pub(super) fn check_proxies(&self) {
         for (index, items) in &self.simulation.complete_configs {
             let mut replayed = ItemSet::from_items(self.initial.clone());
--- a/crates/controller/tests/common/operators/mod.rs
+++ b/crates/controller/tests/common/operators/mod.rs
@@ -1,5 +1,5 @@
-//! Operators of simulated controllers: several amendments at once, each repeated until there is a definite response; and checks of
-//! every response against all changes that were committed.
+//! Operators of simulated controllers: they send several amendments at once and repeat each until
+//! there is a definite response. Every response is checked against all committed changes.
 
 #![allow(dead_code)]
 
@@ -12,22 +12,24 @@
 use maplefall_gateway_config::{Change, Item, ItemKind};
 use std::collections::BTreeMap;
 
-/// A caller moves on to another controller after this.
+/// Time after which a caller moves on to another controller.
 const CALL_TIMEOUT: Millis = 1000.0;
-/// Amendments that are sent at once.
+/// Number of operators, and so of amendments that are sent at once.
 const OPERATORS: usize = 8;
 
-/// A call `config.amend`, and its outcome.
+/// A `config.amend` call and its outcome.
 pub struct Amendment {
     body: String,
     change: Option<Change>,
-    /// When a controller first accepted it, whether or not the response has reached its operator.
+    /// When a controller first accepted the amendment, whether or not the response reached its
+    /// operator.
     accepted: Option<Millis>,
-    /// The last definite status that its operator received.
+    /// The last definite status that the operator received.
     status: Option<u16>,
-    /// Changes that were committed when it was first sent.
+    /// Number of changes that were committed when the amendment was first sent.
     sent_after: usize,
-    /// Two operators sent it at once: one may be rejected before what it refers to is committed, and the other not.
+    /// Whether two operators sent the amendment at once: one may be rejected before the item it
+    /// refers to is committed, while the other is accepted.
     is_shared: bool,
 }
 
@@ -39,58 +41,58 @@
 }
 
 struct Operator {
-    /// The amendment that is sent; none where the configuration is read.
+    /// The amendment that is being sent; `None` while the configuration is read.
     amendment: Option<usize>,
     activity: Activity,
     redirects: u32,
     attempts: u32,
-    /// Timers of earlier steps are ignored.
+    /// Number of the current step; timers of earlier steps are ignored.
     step: u64,
 }
 
-/// What a call was for.
+/// A call that was sent: its amendment, its time, and the number of changes committed by then.
 struct SentCall {
     amendment: Option<usize>,
     at: Millis,
     committed: usize,
 }
 
-/// How often something happened: a run in which nothing happened proves nothing.
+/// Counts of what happened in a run: a run in which nothing happened proves nothing.
 #[derive(Debug, Default)]
 pub struct Statistics {
-    /// Calls by their responses.
+    /// Number of calls by kind of response.
     pub responses: BTreeMap<&'static str, usize>,
-    /// Amendments that had been accepted and were repeated.
+    /// Number of accepted amendments that were sent again.
     pub repeated: usize,
-    /// Changes that were committed.
+    /// Number of committed changes.
     pub committed: usize,
-    /// Complete configurations that were sent to proxies.
+    /// Number of complete configurations that were sent to proxies.
     pub complete_configs: usize,
-    /// Changes of the leader.
+    /// Number of leader changes.
     pub leader_changes: usize,
 }
 
-/// The operators, and what their responses are checked against.
+/// The operators, and the data that their responses are checked against.
 pub struct Operators {
-    /// The controllers.
+    /// The simulated controllers.
     pub simulation: Simulation,
-    /// How often something happened.
     pub statistics: Statistics,
     amendments: Vec<Amendment>,
     operators: Vec<Operator>,
     sent_calls: BTreeMap<u64, SentCall>,
-    /// The content that was confirmed under each version.
+    /// The content confirmed under each version.
     confirmed: BTreeMap<(ItemKind, String, u32), Item>,
-    /// The configuration before the first change that the proxies were sent by itself.
+    /// The first configuration, which proxies receive as a complete one and not as a change.
     initial: Vec<Item>,
-    /// Every committed item in order, and the index of each change with the number of items after it.
+    /// All committed items in order; `lengths` has the index of each change and the number of items
+    /// after it.
     committed: ReferenceModel,
     lengths: Vec<(u64, usize)>,
     version: u32,
     nonce: u32,
-    /// No new amendments are sent.
+    /// While set, operators send no new amendments.
     pub is_winding_down: bool,
-    /// Number of disks that were lost.
+    /// Number of disks that were wiped.
     pub wiped: usize,
 }
 
@@ -100,7 +102,7 @@
 "Services":{"ColumnNames":["Name","ConnLimit","Version"],"DataRows":[["s0",9,"00000001"],["s1",9,"00000001"],["s2",9,"00000001"]]}}}"#;
 
 impl Operators {
-    /// Controllers whose first configuration has reached every proxy.
+    /// Returns operators of controllers whose first configuration has reached every proxy.
     pub fn new(seed: u64, size: usize) -> Operators {
         let mut simulation = Simulation::new(seed, size);
         simulation.compact_after = Some(12);
@@ -160,7 +162,7 @@
         operators
     }
 
-    /// Goes on for this long.
+    /// Runs the simulation for `span` and checks all responses.
     pub fn run(&mut self, span: Millis) {
         let until = self.simulation.now() + span;
         loop {
@@ -175,7 +177,8 @@
         }
     }
 
-    /// Clears all faults, waits for definite responses to every amendment, repeats all that were ever accepted, and checks the result.
+    /// Clears all faults, waits for a definite response to every amendment, repeats all that were
+    /// ever accepted, and checks the result.
     pub fn finish(&mut self) {
         self.simulation.clear_faults();
         self.is_winding_down = true;
@@ -190,7 +193,7 @@
         self.count_changes();
     }
 
-    /// For the output of a test that fails.
+    /// Prints the members that each disk has, for the output of a failing test.
     fn print_members(&self) {
         for name in self.simulation.names() {
             let disk = &self.simulation.disk(name).raft;
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Reads the configuration once.
+    /// Checks that the configuration can be read.
     fn read_config(&mut self) {
         let reads = self.statistics.responses.get("read").copied();
         self.send(0, None);
@@ -213,7 +216,7 @@
         );
     }
 
-    /// Takes over the counts of the simulation.
+    /// Copies the counts of the simulation into the statistics.
     fn count_changes(&mut self) {
         self.statistics.committed = self.simulation.committed.len();
         self.statistics.complete_configs = self.simulation.complete_configs.len();
--- a/crates/controller/tests/common/processor/controller.rs
+++ b/crates/controller/tests/common/processor/controller.rs
@@ -1,4 +1,4 @@
-//! A controller with its inputs that wait for the processor.
+//! A controller and the inputs that wait for its processor.
 
 use super::proxy;
 use bytes::{Bytes, BytesMut};
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::path::Path;
 
-/// What a controller has to handle.
+/// An input of a controller.
 pub enum Input {
     Tick,
     Persisted(u64),
@@ -20,14 +20,14 @@
     ProxyConnected(usize),
     ProxyFrame(usize, Frame),
     Call(u64, Call),
-    /// Nothing more urgent waits.
+    /// Answers a queued lease request; chosen only while no other input is queued.
     AnswerLeaseRequest,
 }
 
 pub struct Controller {
     core: Core,
     pub inputs: VecDeque<Input>,
-    pub is_busy: bool,
+    pub is_processing: bool,
     pub has_lease_requests: bool,
     pacer: Pacer,
     pub log_lines: Vec<(f64, String)>,
@@ -37,8 +37,8 @@
     format!("10.0.0.{}", node + 1)
 }
 
-/// The controller with this address.
-pub fn node_of(ip: &str) -> Option<usize> {
+/// Returns the index of the controller with this address.
+pub fn node_by_ip(ip: &str) -> Option<usize> {
     let last = ip.rsplit('.').next()?;
     last.parse::<usize>().ok()?.checked_sub(1)
 }
@@ -71,7 +71,7 @@
         let controller = Controller {
             core,
             inputs: VecDeque::new(),
-            is_busy: false,
+            is_processing: false,
             has_lease_requests: false,
             pacer: Pacer::new(0.0, MAX_LEASE_CREDIT),
             log_lines: Vec::new(),
@@ -79,20 +79,23 @@
         (controller, out)
     }
 
-    /// What is to be handled next: lease requests only where nothing else waits, and for a fraction of the time.
+    /// Returns the next input: queued ones first, then lease requests, limited to a fraction of the
+    /// time.
     pub fn next_input(&mut self, now: f64) -> Option<Input> {
         let next = self.inputs.pop_front();
-        let may_answer = self.has_lease_requests && self.pacer.is_due(now);
-        next.or(may_answer.then_some(Input::AnswerLeaseRequest))
+        let is_lease_due = self.has_lease_requests && self.pacer.is_due(now);
+        next.or(is_lease_due.then_some(Input::AnswerLeaseRequest))
     }
 
-    /// A lease request is answered by `now`, which took this long; returns how long the next one has to wait.
+    /// Charges a lease request that took `cost` and ended at `now`; returns how long the next one
+    /// has to wait.
     pub fn charge_lease_request(&mut self, now: f64, cost: f64) -> f64 {
         self.pacer.charge(now, cost / MAX_LEASE_LOAD);
         self.pacer.wait(now)
     }
 
-    /// Handles an input; returns the outputs, and how many client records the lease server has looked at.
+    /// Handles an input; returns the outputs and the number of client records that the lease server
+    /// visited.
     pub fn handle(&mut self, now: f64, input: Input) -> (Vec<Output>, u64) {
         let before = self.core.visited_lease_records();
         let mut out = Vec::new();
--- a/crates/controller/tests/common/processor/gateway_proxy.rs
+++ b/crates/controller/tests/common/processor/gateway_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy with its real core: clients send requests of all tenants to it, backends respond at once.
+//! The real core of a proxy: clients send it requests of all tenants, and backends respond at once.
 
 use super::{controller, proxy, FleetProxy, FleetSize};
 use maplefall_control_messages::{Frame, InstanceUpdates};
@@ -10,34 +10,35 @@
 use rand_pcg::Pcg32;
 use std::path::Path;
 
-/// How often the core's tick is called, in milliseconds.
+/// Interval between calls of the core's tick, in milliseconds.
 const TICK_INTERVAL: f64 = 500.0;
-/// Time between two calls at least: the fleet's clock has whole microseconds, so that a shorter one might not move it.
+/// Minimum time between two calls: the fleet's clock counts whole microseconds, so a shorter delay
+/// might not advance it.
 const MIN_TICK_DELAY: f64 = 0.01;
-/// How long clients wait, in milliseconds.
+/// Timeout of the clients, in milliseconds.
 const CLIENT_TIMEOUT: f64 = 2000.0;
-/// What a request waits at most for what the proxy lacks, as its server has it wait.
+/// Maximum time that a request waits to be admitted, as in the proxy's server.
 const MAX_ADMISSION_WAIT: f64 = 120.0;
 
-/// The requests that clients send.
+/// The load that clients send.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Requests of each tenant a second, over all proxies.
+    /// Requests per second of each tenant, over all proxies.
     pub rate: f64,
-    /// When the first ones are sent, in milliseconds.
+    /// When the first requests are sent, in milliseconds.
     pub begins_at: f64,
     pub seed: u64,
 }
 
-/// What became of a tenant's requests.
+/// The outcome of a tenant's requests.
 #[derive(Clone, Debug, Default)]
 pub struct TenantRequests {
     pub sent: usize,
-    /// When those that were served went to a backend.
+    /// When each served request was sent to a backend.
     pub served_at: Vec<f64>,
 }
 
-/// A request that waits for what the proxy lacks.
+/// A request that waits to be admitted.
 struct WaitingRequest {
     tenant: usize,
     received_at: f64,
@@ -48,7 +49,7 @@
     core: Core,
     rng: Pcg32,
     tenants: usize,
-    /// Requests a millisecond, of all tenants.
+    /// Requests per millisecond, of all tenants.
     rate: f64,
     next_tick: f64,
     next_arrival: f64,
@@ -114,7 +115,7 @@
         self.next_arrival -= self.draw().ln() / self.rate;
     }
 
-    /// A request arrives, or has waited and tries once more.
+    /// Tries to admit a request that has just arrived or, with `is_retry`, has waited.
     fn admit(&mut self, now: f64, request: &WaitingRequest, is_retry: bool, out: &mut Vec<Output>) {
         let key = format!("key{}", request.tenant);
         let incoming = IncomingRequest {
@@ -129,9 +130,9 @@
             Ok(_) => self.requests[request.tenant].served_at.push(now),
             Err(Rejection::Rejected(_)) => {}
             Err(Rejection::RejectedUnless(_, wait)) => {
-                let longest = request.received_at + MAX_ADMISSION_WAIT;
+                let wait_deadline = request.received_at + MAX_ADMISSION_WAIT;
                 self.waiting.push(WaitingRequest {
-                    gives_up_at: longest.min(now + wait),
+                    gives_up_at: wait_deadline.min(now + wait),
                     ..*request
                 });
             }
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Carries out what the core returned; returns the frames for the controllers.
-    fn carry_out(&mut self, now: f64, mut out: Vec<Output>) -> Vec<(usize, Frame)> {
+    /// Handles the core's outputs; returns the frames to controllers.
+    fn handle_outputs(&mut self, now: f64, mut out: Vec<Output>) -> Vec<(usize, Frame)> {
         let mut frames = Vec::new();
         while !out.is_empty() {
             let mut next = Vec::new();
@@ -157,7 +158,7 @@
                         request, attempt, ..
                     } => self.respond(now, request, attempt, &mut next),
                     Output::SendToController(ip, frame) => {
-                        frames.extend(controller::node_of(&ip).map(|node| (node, frame)));
+                        frames.extend(controller::node_by_ip(&ip).map(|node| (node, frame)));
                     }
                     Output::StateChanged => self.retry_waiting(now, &mut next),
                     _ => {}
@@ -183,17 +184,17 @@
         let mut out = Vec::new();
         let ip = controller::ip(node);
         self.core.controller_connected(now, &ip, &mut out);
-        self.carry_out(now, out)
+        self.handle_outputs(now, out)
     }
 
     fn receive(&mut self, now: f64, node: usize, frame: Frame) -> Vec<(usize, Frame)> {
         let mut out = Vec::new();
-        // The backends of the test send no heartbeats.
+        // Ignored: the test's backends send no heartbeats, so controllers have no records of them.
         if !matches!(frame, Frame::InstanceUpdates(_)) {
             self.core
                 .receive(now, &controller::ip(node), frame, &mut out);
         }
-        self.carry_out(now, out)
+        self.handle_outputs(now, out)
     }
 
     fn tick(&mut self, now: f64) -> Vec<(usize, Frame)> {
@@ -214,7 +215,7 @@
             self.admit(now, &request, false, &mut out);
         }
         self.core.run_timers(now, &mut out);
-        self.carry_out(now, out)
+        self.handle_outputs(now, out)
     }
 
     fn next_tick_delay(&mut self, now: f64) -> f64 {
--- a/crates/controller/tests/common/processor/mod.rs
+++ b/crates/controller/tests/common/processor/mod.rs
@@ -1,9 +1,11 @@
-//! A fleet in which controllers take time: each [`Core`] has one processor, which handles one input after the other, in the order in
-//! which they arrive, as long as each of them costs. Proxies are models that ask for leases as `crates/proxy` does ([`Fleet::new`]),
-//! or the real core of a proxy with clients ([`Fleet::with_gateways`]). Simulated time, no sockets.
+//! A fleet whose controllers need processor time: each [`Core`] has one processor, which handles
+//! inputs in order of arrival, each for as long as it costs. Proxies are either models that request
+//! leases as `crates/proxy` does ([`Fleet::new`]) or real proxy cores with clients
+//! ([`Fleet::with_gateways`]). Time is simulated, and there are no sockets.
 //!
-//! The cost of an input is what the bench charged on grown deployments (journal 793e3ba3): [`INPUT_COST`] for any, and
-//! [`RECORD_COST`] for each client record that a lease request makes the lease server look at.
+//! The cost of an input is what the bench charged on grown deployments (journal 793e3ba3):
+//! [`INPUT_COST`] for each input, and [`RECORD_COST`] for each client record that the lease server
+//! visits for a lease request.
 
 #![allow(dead_code, reason = "every test uses a part of it")]
 
@@ -22,37 +24,37 @@
 
 /// A proxy of the fleet, as its controllers see it.
 pub trait FleetProxy {
-    /// A connection to this controller is established; returns what is sent to it.
+    /// Handles a new connection to a controller; returns the frames to send, each with its
+    /// controller.
     fn connected(&mut self, now: f64, controller: usize) -> Vec<(usize, Frame)>;
-    /// A frame of this controller has arrived; returns frames with the controllers that they go to.
+    /// Handles a frame from a controller; returns the frames to send, each with its controller.
     fn receive(&mut self, now: f64, controller: usize, frame: Frame) -> Vec<(usize, Frame)>;
-    /// Its timer; returns frames with the controllers that they go to.
+    /// Handles the proxy's timer; returns the frames to send, each with its controller.
     fn tick(&mut self, now: f64) -> Vec<(usize, Frame)>;
-    /// When its timer is due next, from now.
+    /// Returns the delay until the timer is due next.
     fn next_tick_delay(&mut self, now: f64) -> f64;
-    /// The fraction of a tenant's quota that it holds.
+    /// Returns the fraction of a tenant's quota that the proxy holds.
     fn fraction(&self, now: f64, tenant: usize) -> f64;
-    /// What became of its clients' requests, if it has clients.
+    /// Returns the outcome of the clients' requests by tenant, empty for a proxy without clients.
     fn requests(&self) -> &[TenantRequests] {
         &[]
     }
 }
 
-/// Delay of the network, in milliseconds.
+/// One-way network delay, in milliseconds.
 const NETWORK_DELAY: f64 = 1.0;
 const DISK_DELAY: f64 = 2.0;
-/// Fraction of a processor that a controller has.
+/// Fraction of a processor that each controller gets.
 const PROCESSOR_SHARE: f64 = 0.3;
-/// Processor time of any input, in milliseconds.
+/// Processor time of each input, in milliseconds.
 const INPUT_COST: f64 = 0.05;
-/// Processor time of a client record that is looked at, in milliseconds.
+/// Processor time per visited client record, in milliseconds.
 const RECORD_COST: f64 = 0.0001;
-/// A caller goes on to another controller after this time without an answer.
+/// Time without a response after which a caller moves on to another controller.
 const CALLER_TIMEOUT: f64 = 1000.0;
-/// Pause of a caller before it calls again.
-const CALLER_PAUSE: f64 = 100.0;
+/// Delay before a caller calls again.
+const CALLER_RETRY_DELAY: f64 = 100.0;
 
-/// Something that happens at a time.
 enum Event {
     /// An input arrives at a controller.
     Arrive(usize, Input),
@@ -60,7 +62,7 @@
     Finished(usize),
     /// A controller may answer the next lease request.
     LeaseRequestsDue(usize),
-    /// A controller's frame arrives at a proxy.
+    /// A frame from a controller arrives at a proxy.
     ToProxy {
         controller: usize,
         proxy: usize,
@@ -68,16 +70,17 @@
     },
     /// A proxy's connection to a controller is established.
     ProxyConnected { controller: usize, proxy: usize },
-    /// A proxy's timer.
+    /// A proxy's timer is due.
     ProxyTick(usize),
 }
 
-/// How a fleet is made.
+/// Size of a fleet, and the cost of its lease requests.
 pub struct FleetSize {
     pub controllers: usize,
     pub proxies: usize,
     pub tenants: usize,
-    /// Processor time of an answered lease request beyond that of its records, in milliseconds.
+    /// Processor time of answering a lease request, in addition to that of an input and of its
+    /// records, in milliseconds.
     pub lease_request_cost: f64,
 }
 
@@ -93,12 +96,12 @@
 }
 
 impl Fleet {
-    /// All controllers and model proxies start now, with empty disks.
+    /// Starts all controllers, with empty disks, and all model proxies.
     pub fn new(size: &FleetSize) -> Fleet {
         Fleet::with_proxies(size, |number| Box::new(Proxy::new(number, size)))
     }
 
-    /// The same with real proxies, whose clients begin at a time.
+    /// Starts the same fleet with real proxy cores and clients that send `traffic`.
     pub fn with_gateways(size: &FleetSize, traffic: &Traffic) -> Fleet {
         Fleet::with_proxies(size, |number| {
             Box::new(GatewayProxy::new(number, size, *traffic))
@@ -119,7 +122,7 @@
         for node in 0..size.controllers {
             let (controller, out) = Controller::new(node, size.controllers);
             fleet.controllers.push(controller);
-            fleet.carry_out(node, out);
+            fleet.handle_outputs(node, out);
             fleet.schedule(TICK, Event::Arrive(node, Input::Tick));
         }
         for node in 0..size.controllers {
@@ -150,7 +153,7 @@
         self.events.insert((at_us, self.last_event), event);
     }
 
-    /// Lets this much time pass, in milliseconds.
+    /// Advances the time by `duration` milliseconds.
     pub fn run(&mut self, duration: f64) {
         let until = self.now + duration;
         while let Some(entry) = self.events.first_entry() {
@@ -172,7 +175,7 @@
                 self.start_next(node);
             }
             Event::Finished(node) => {
-                self.controllers[node].is_busy = false;
+                self.controllers[node].is_processing = false;
                 self.start_next(node);
             }
             Event::LeaseRequestsDue(node) => self.start_next(node),
@@ -204,10 +207,10 @@
         }
     }
 
-    /// Has the controller handle its next input, if it is idle.
+    /// Lets the controller handle its next input, if it is idle.
     fn start_next(&mut self, node: usize) {
         let controller = &mut self.controllers[node];
-        if controller.is_busy {
+        if controller.is_processing {
             return;
         }
         let Some(input) = controller.next_input(self.now) else {
@@ -216,7 +219,7 @@
         let is_tick = matches!(input, Input::Tick);
         let is_lease = matches!(input, Input::AnswerLeaseRequest);
         let (out, records) = controller.handle(self.now, input);
-        controller.is_busy = true;
+        controller.is_processing = true;
         let own_cost = if is_lease {
             self.lease_request_cost
         } else {
@@ -231,10 +234,10 @@
             let wait = self.controllers[node].charge_lease_request(self.now + cost, cost);
             self.schedule(cost + wait, Event::LeaseRequestsDue(node));
         }
-        self.carry_out(node, out);
+        self.handle_outputs(node, out);
     }
 
-    fn carry_out(&mut self, node: usize, out: Vec<Output>) {
+    fn handle_outputs(&mut self, node: usize, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Write(number, _) => {
@@ -242,7 +245,7 @@
                 }
                 Output::SendToPeer(to, bytes) => {
                     let frame = controller::decode(&bytes);
-                    if let Some(to) = controller::node_of(&to) {
+                    if let Some(to) = controller::node_by_ip(&to) {
                         self.send_to_peer(node, to, frame);
                     }
                 }
@@ -275,8 +278,8 @@
         self.schedule(NETWORK_DELAY, Event::Arrive(to, input));
     }
 
-    /// Calls controllers as the operator does until one of them answers 200; returns how long that took, `None` if it took longer
-    /// than `timeout`.
+    /// Calls controllers as an operator does until one of them responds with 200. Returns how long
+    /// that took, or `None` if it took longer than `timeout`.
     pub fn call_until_ok(&mut self, call: &Call, timeout: f64) -> Option<f64> {
         let started_at = self.now;
         let mut node = 0;
@@ -284,19 +287,19 @@
             match self.call(node, call.clone()) {
                 Some(CallResponse::Ok(_)) => return Some(self.now - started_at),
                 Some(CallResponse::Redirect(to)) => {
-                    node = controller::node_of(&to).expect("a controller");
+                    node = controller::node_by_ip(&to).expect("a controller");
                     continue;
                 }
                 Some(CallResponse::Unavailable) | None => {}
                 Some(CallResponse::Rejected(status, why)) => panic!("rejected: {status} {why}"),
             }
             node = (node + 1) % self.controllers.len();
-            self.run(CALLER_PAUSE);
+            self.run(CALLER_RETRY_DELAY);
         }
         None
     }
 
-    /// One call; `None` if it has no answer within a second.
+    /// Makes one call; returns `None` if there is no response within a second.
     fn call(&mut self, node: usize, call: Call) -> Option<CallResponse> {
         self.last_call += 1;
         let number = self.last_call;
@@ -309,7 +312,7 @@
         self.responses.remove(&number)
     }
 
-    /// Log lines of all controllers after a time that contain this text.
+    /// Returns the log lines of all controllers after `since` that contain this text.
     pub fn logged_since(&self, since: f64, text: &str) -> Vec<String> {
         self.controllers
             .iter()
@@ -319,13 +322,13 @@
             .collect()
     }
 
-    /// The longest queue of inputs at any controller now.
-    pub fn longest_queue(&self) -> usize {
+    /// Returns the length of the longest input queue of any controller.
+    pub fn max_queue_length(&self) -> usize {
         let lengths = self.controllers.iter().map(|node| node.inputs.len());
         lengths.max().unwrap_or(0)
     }
 
-    /// What became of the requests of all proxies' clients, by tenant.
+    /// Returns the outcome of all clients' requests, by tenant.
     pub fn requests(&self) -> Vec<TenantRequests> {
         let mut sums: Vec<TenantRequests> = Vec::new();
         for proxy in &self.proxies {
@@ -338,7 +341,7 @@
         sums
     }
 
-    /// The fraction of a tenant's quota that all proxies together hold now.
+    /// Returns the fraction of a tenant's quota that all proxies together hold.
     pub fn leased_fraction(&self, tenant: usize) -> f64 {
         self.proxies
             .iter()
--- a/crates/controller/tests/common/processor/proxy.rs
+++ b/crates/controller/tests/common/processor/proxy.rs
@@ -1,24 +1,24 @@
-//! A proxy as far as controllers notice it: when it asks for leases, and for what.
+//! A model of a proxy as controllers see it: when it requests leases, and for which demand.
 
 use super::{FleetProxy, FleetSize};
 use maplefall_control_messages::Frame;
 use maplefall_quota_lease::{Demand, LeaseClient, LeaseRequest};
 
-/// Between two requests of a proxy that has what it needs.
+/// Time between two requests of a proxy whose leases suffice.
 const REQUEST_INTERVAL: f64 = 500.0;
-/// Between two requests of a proxy that is starved: `MIN_LEASE_REQUEST_INTERVAL` of `crates/proxy`.
+/// Time between two requests of a starved proxy: `MIN_LEASE_REQUEST_INTERVAL` of `crates/proxy`.
 const URGENT_REQUEST_INTERVAL: f64 = 60.0;
-/// A third of the tenants have requests at a proxy, and they change every second.
+/// A third of the tenants have requests at a proxy; which ones these are changes every second.
 const TENANTS_PER_DEMAND: u64 = 3;
 const DEMAND_INTERVAL: f64 = 1000.0;
-/// Every fourth of these has used up what it has here.
+/// One in four of these demands is starved: the proxy has used up the tenant's lease.
 const DEMANDS_PER_STARVED: u64 = 4;
 
 pub fn name(proxy: usize) -> String {
     format!("edge-{proxy}")
 }
 
-/// Number of a proxy's only start.
+/// Returns the incarnation of a proxy, which starts only once.
 pub fn incarnation(proxy: usize) -> u64 {
     proxy as u64 + 1
 }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A number that looks random, the same for the same arguments.
+    /// Returns a pseudorandom number that depends only on the proxy and the arguments.
     fn draw(&self, now: f64, tenant: usize) -> u64 {
         let period = (now / DEMAND_INTERVAL) as u64;
         let seed = (self.number as u64 * 1_000_003 + tenant as u64) * 1_000_033 + period;
@@ -68,7 +68,7 @@
         let demand = self.demand(now);
         let server = controller.to_string();
         let request = self.lease_client.next_request(now, &server, demand);
-        // As proxies of before single tokens: what is leased to them is the larger load.
+        // As older proxies, which do not request single tokens: leasing to them is the larger load.
         Frame::LeaseRequest(LeaseRequest {
             uses_tokens: false,
             ..request
@@ -88,10 +88,10 @@
         };
         let server = controller.to_string();
         let effect = self.lease_client.handle_grant(now, &server, &grant);
-        let answer = effect
+        let response = effect
             .decreased
             .then(|| (controller, self.request(now, controller)));
-        answer.into_iter().collect()
+        response.into_iter().collect()
     }
 
     fn tick(&mut self, now: f64) -> Vec<(usize, Frame)> {
@@ -100,7 +100,7 @@
             .collect()
     }
 
-    /// It asks again soon while a request of a tenant finds no token, which is half of the time.
+    /// Returns a short delay while a request of a tenant finds no token, which is half of the time.
     fn next_tick_delay(&mut self, now: f64) -> f64 {
         let is_starved = self.draw(now, self.tenants).is_multiple_of(2);
         if is_starved {
--- a/crates/controller/tests/common/simulation/events.rs
+++ b/crates/controller/tests/common/simulation/events.rs
@@ -1,4 +1,4 @@
-//! How the simulated processes, disks and connections work.
+//! Behaviour of the simulated processes, disks and connections.
 
 use super::{Event, Millis, Occurrence, Simulation, TICK};
 use bytes::{Bytes, BytesMut};
@@ -10,13 +10,13 @@
 use rand_core::RngCore;
 use std::path::Path;
 
-fn settings(names: &[String], me: &str, bootstrap: bool) -> Settings {
+fn settings(names: &[String], ip: &str, bootstrap: bool) -> Settings {
     let seeds: Vec<String> = names
         .iter()
         .map(|name| format!("\"{name}:8381\""))
         .collect();
     let text = format!(
-        "Node = \"core-{me}\"\nServes = [\"controller\"]\nIp = \"{me}\"\nInternalPorts = [7560,7575]\nSeedAddrs = [{}]\n\
+        "Node = \"core-{ip}\"\nServes = [\"controller\"]\nIp = \"{ip}\"\nInternalPorts = [7560,7575]\nSeedAddrs = [{}]\n\
          Bootstrap = {bootstrap}\nQuorumMember = true\nHeartbeatS = 1.5\n",
         seeds.join(",")
     );
@@ -47,7 +47,7 @@
                     self.schedule(TICK, Event::Tick { at, incarnation });
                 }
             }
-            Event::Disk {
+            Event::Persisted {
                 at,
                 incarnation,
                 record,
@@ -71,8 +71,8 @@
                 from,
                 frame,
             } => {
-                let cut = self.cut.contains(&(from.clone(), to.clone()));
-                if !cut
+                let is_blocked = self.blocked_links.contains(&(from.clone(), to.clone()));
+                if !is_blocked
                     && self
                         .nodes
                         .get(&to)
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Events of a paused process happen when it resumes.
+    /// Defers events of a paused process until it resumes.
     fn defer_if_paused(&mut self, event: Event) -> Option<Event> {
         let node_name = match &event {
             Event::Frame { to: at, .. }
-            | Event::Disk { at, .. }
+            | Event::Persisted { at, .. }
             | Event::Tick { at, .. }
             | Event::Call { at, .. } => Some(at.clone()),
             _ => None,
@@ -110,10 +110,10 @@
             .and_then(|at| self.nodes.get(&at))
             .map_or(0.0, |node| node.paused_until);
         if paused_until > self.now {
-            // Whether a process that resumes ticks first or reads its frames first is random.
-            let tick = matches!(event, Event::Tick { .. });
-            let last = tick && (self.frames_first || self.chance(0.5));
-            let delay = paused_until - self.now + if last { 1.0 } else { 0.0 };
+            // Whether a resuming process ticks first or reads its frames first is random.
+            let is_tick = matches!(event, Event::Tick { .. });
+            let is_after_frames = is_tick && (self.frames_first || self.draw_bool(0.5));
+            let delay = paused_until - self.now + if is_after_frames { 1.0 } else { 0.0 };
             self.schedule(delay, event);
             return None;
         }
@@ -139,7 +139,7 @@
         node.bootstrap = false;
         node.core = Some(core);
         let index = node.proxy.index;
-        self.carry_out(name, out);
+        self.handle_outputs(name, out);
         let hello = Hello {
             node: format!("proxy-{name}"),
             incarnation: 1 + incarnation,
@@ -173,10 +173,10 @@
             return;
         };
         step(core, now, &mut out);
-        self.carry_out(name, out);
+        self.handle_outputs(name, out);
     }
 
-    fn carry_out(&mut self, name: &str, out: Vec<Output>) {
+    fn handle_outputs(&mut self, name: &str, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Write(number, record) => {
@@ -191,7 +191,7 @@
                     let (delay, incarnation) = (node.disk_free_at - now, node.incarnation);
                     self.schedule(
                         delay,
-                        Event::Disk {
+                        Event::Persisted {
                             at: name.to_owned(),
                             incarnation,
                             record,
@@ -214,25 +214,29 @@
                 Output::Respond(number, response) => {
                     self.occurrences
                         .push(Occurrence::Responded(number, response.clone()));
-                    if !self.unreachable.contains(name) && !self.chance(self.response_loss) {
+                    if !self.unreachable.contains(name) && !self.draw_bool(self.response_loss) {
                         let delay = 0.2 + f64::from(self.draw(20)) / 10.0;
                         self.schedule(delay, Event::Response { number, response });
                     }
                 }
                 Output::Log(line) => self.log_lines.push((name.to_owned(), line)),
                 Output::Debug(_) => {}
-                // No proxy asks for leases here.
+                // No proxy requests leases in this simulation.
                 Output::LeaseRequestsQueued => {}
             }
         }
     }
 
     fn send(&mut self, from: &str, to: &str, bytes: Bytes) {
-        if self.cut.contains(&(from.to_owned(), to.to_owned())) || self.chance(self.frame_loss) {
+        if self
+            .blocked_links
+            .contains(&(from.to_owned(), to.to_owned()))
+            || self.draw_bool(self.frame_loss)
+        {
             return;
         }
         let Ok(Some(frame)) = decode_frame(&mut BytesMut::from(&bytes[..])) else {
-            panic!("a malformed frame")
+            panic!("malformed frame")
         };
         let delay = 0.3 + f64::from(self.draw(20)) / 10.0;
         let now = self.now;
@@ -254,7 +258,7 @@
         );
     }
 
-    /// Applies a configuration as a proxy does.
+    /// Applies a configuration update as a proxy does.
     fn receive_config(&mut self, name: &str, update: ConfigUpdate) {
         let Some(node) = self.nodes.get_mut(name) else {
             return;
@@ -279,7 +283,7 @@
                 .or_insert_with(|| change.clone());
             assert_eq!(
                 *committed_change, change,
-                "{name} has committed another change at {}",
+                "{name} committed a different change at {}",
                 indexed.index
             );
         }
--- a/crates/controller/tests/common/simulation/faults.rs
+++ b/crates/controller/tests/common/simulation/faults.rs
@@ -1,36 +1,37 @@
-//! What can be done to the simulated system.
+//! Faults that can be injected into the simulated system, and their removal.
 
 use super::{Event, Millis, Simulation};
 use maplefall_controller::store::StoredState;
 
 impl Simulation {
-    /// Cuts the direction from one controller to another; the other direction stays.
-    pub fn cut_one_way(&mut self, from: &str, to: &str) {
-        self.cut.insert((from.to_owned(), to.to_owned()));
+    /// Blocks the link from one controller to another; the other direction stays open.
+    pub fn block_link(&mut self, from: &str, to: &str) {
+        self.blocked_links.insert((from.to_owned(), to.to_owned()));
     }
 
-    /// Cuts a controller off from all others, in both directions.
+    /// Blocks all links of a controller, in both directions.
     pub fn isolate(&mut self, name: &str) {
         for peer in self.names.clone() {
-            self.cut_one_way(name, &peer);
-            self.cut_one_way(&peer, name);
+            self.block_link(name, &peer);
+            self.block_link(&peer, name);
         }
     }
 
-    /// Heals all connections, and no frames or responses get lost any more.
+    /// Heals all links, makes all controllers reachable, and stops the loss of frames and
+    /// responses.
     pub fn clear_faults(&mut self) {
-        self.cut.clear();
+        self.blocked_links.clear();
         self.unreachable.clear();
         (self.frame_loss, self.response_loss) = (0.0, 0.0);
     }
 
-    /// Heals all connections.
+    /// Heals all links.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked_links.clear();
     }
 
-    /// The process ends at once, by a kill or a loss of power: of what it wrote and was not reported as persisted, a prefix may be on
-    /// disk. It starts again after `down`.
+    /// Ends the process at once, as a kill or a power loss does: of the writes that were not
+    /// reported as persisted, a prefix may be on disk. The process starts again after `down`.
     pub fn crash(&mut self, name: &str, down: Millis) {
         let persisted = self.draw(4) as usize;
         let Some(node) = self.nodes.get_mut(name) else {
@@ -40,7 +41,7 @@
         node.incarnation += 1;
         node.paused_until = 0.0;
         let pending_writes = std::mem::take(&mut node.pending_writes);
-        // All of it is as probable as none.
+        // All writes are as likely to be persisted as none.
         let persisted = if persisted == 3 {
             pending_writes.len()
         } else {
@@ -61,7 +62,7 @@
         );
     }
 
-    /// A crash with loss of the disk.
+    /// Ends the process as [`Simulation::crash`] does, and wipes its disk.
     pub fn wipe(&mut self, name: &str, down: Millis) {
         self.crash(name, down);
         if let Some(node) = self.nodes.get_mut(name) {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The process is paused, and goes on with the frames that have come meanwhile.
+    /// Pauses the process; when it resumes it handles the frames that arrived meanwhile.
     pub fn pause(&mut self, name: &str, span: Millis) {
         let until = self.now + span;
         if let Some(node) = self.nodes.get_mut(name).filter(|node| node.core.is_some()) {
@@ -77,15 +78,15 @@
         }
     }
 
-    /// The disk persists nothing for this long.
-    pub fn hang_disk(&mut self, name: &str, span: Millis) {
+    /// Stalls the disk: it persists nothing for `span`.
+    pub fn stall_disk(&mut self, name: &str, span: Millis) {
         let until = self.now + span;
         if let Some(node) = self.nodes.get_mut(name) {
             node.disk_free_at = node.disk_free_at.max(until);
         }
     }
 
-    /// A planned stop begins: the process hands over its leadership.
+    /// Begins a graceful shutdown, in which the process hands over its leadership.
     pub fn stop(&mut self, name: &str) {
         self.drive(name, |core, now, out| core.shut_down(now, out));
     }
--- a/crates/controller/tests/common/simulation/mod.rs
+++ b/crates/controller/tests/common/simulation/mod.rs
@@ -1,8 +1,10 @@
-//! A discrete-event simulation of controllers with their network, disks, callers and one proxy each. Nothing sleeps. Connections are
-//! cut, also one way; processes crash with or without their latest writes, pause, lose their disks; a disk hangs; responses get
-//! lost. The same seed gives the same run.
+//! A discrete-event simulation of controllers with their network, disks, callers and one proxy
+//! each, without real sleeps. Links can be blocked, also in one direction; processes crash with or
+//! without their latest writes, pause, and lose their disks; disks stall; responses get lost. The
+//! same seed gives the same run.
 //!
-//! [`Simulation::next`] goes on until something happens that concerns the caller; `faults` has what can be done to the system.
+//! [`Simulation::next`] runs until an event concerns the caller; `faults` has the faults that can
+//! be injected.
 
 #![allow(dead_code)]
 
@@ -17,22 +19,22 @@
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds.
+/// A time or a duration in milliseconds.
 pub type Millis = f64;
 
-/// How often a process ticks.
+/// Interval between two ticks of a process.
 const TICK: Millis = 100.0;
 
-/// What concerns the caller of [`Simulation::next`].
+/// An event that concerns the caller of [`Simulation::next`].
 #[derive(Debug)]
 pub enum Occurrence {
-    /// A controller has answered a call; the response may still get lost.
+    /// A controller has responded to a call; the response may still be lost.
     Responded(u64, CallResponse),
     /// The response to a call has reached its caller.
     Received(u64, CallResponse),
     /// A timer of the caller has expired.
     Timer(u64),
-    /// The time is over that was to be simulated.
+    /// The time up to which to simulate has been reached.
     Finished,
 }
 
@@ -43,7 +45,7 @@
         from: String,
         frame: Frame,
     },
-    Disk {
+    Persisted {
         at: String,
         incarnation: u64,
         record: StoreRecord,
@@ -68,12 +70,12 @@
     Timer(u64),
 }
 
-/// A proxy that follows one controller over its restarts. Its index only rises.
+/// A proxy that follows one controller across restarts. Its configuration index never decreases.
 #[derive(Default)]
 pub struct SimulatedProxy {
-    /// Index of its configuration.
+    /// Index of the proxy's configuration.
     pub index: u64,
-    /// Its configuration.
+    /// Items of the proxy's configuration.
     pub items: ItemSet,
 }
 
@@ -81,7 +83,7 @@
     core: Option<Core>,
     incarnation: u64,
     disk: StoredState,
-    /// Records that are not on disk yet.
+    /// Records that are not yet persisted.
     pending_writes: Vec<StoreRecord>,
     disk_free_at: Millis,
     paused_until: Millis,
@@ -89,7 +91,6 @@
     proxy: SimulatedProxy,
 }
 
-/// The simulated system.
 pub struct Simulation {
     rng: Pcg32,
     now: Millis,
@@ -97,33 +98,34 @@
     events: BTreeMap<(u64, u64), Event>,
     names: Vec<String>,
     nodes: BTreeMap<String, Node>,
-    /// When the last frame of each connection arrives: frames of a connection arrive in order.
+    /// When the last frame of each connection arrives: frames of one connection keep their order.
     last_arrivals: BTreeMap<(String, String), Millis>,
-    cut: BTreeSet<(String, String)>,
-    /// Fraction of the frames between controllers that get lost.
+    blocked_links: BTreeSet<(String, String)>,
+    /// Fraction of the frames between controllers that are lost.
     pub frame_loss: f64,
-    /// Fraction of the responses that get lost.
+    /// Fraction of the responses that are lost.
     pub response_loss: f64,
-    /// Entries after which a controller compacts its log, where the usual number is too many.
+    /// Number of entries after which a controller compacts its log, if the default is too many.
     pub compact_after: Option<usize>,
-    /// A process that resumes reads its frames before it ticks; otherwise the order is random.
+    /// Whether a resuming process reads its frames before it ticks; otherwise the order is random.
     pub frames_first: bool,
-    /// Controllers that no caller reaches.
+    /// Controllers that callers cannot reach.
     pub unreachable: BTreeSet<String>,
     last_call: u64,
-    /// The controllers to which unanswered calls were sent.
+    /// Calls without a response, each with the controller that it was sent to.
     pending_calls: BTreeMap<u64, String>,
     occurrences: Vec<Occurrence>,
-    /// Every committed change by its index, as it was sent to proxies.
+    /// Every committed change by its index, as sent to proxies.
     pub committed: BTreeMap<u64, Change>,
-    /// Complete configurations that were sent to proxies, to be compared with the changes up to their index.
+    /// Complete configurations sent to proxies, each with its index, to compare with the changes up
+    /// to that index.
     pub complete_configs: Vec<(u64, ItemSet)>,
-    /// Lines of the log, with the controller.
+    /// Log lines, each with its controller.
     pub log_lines: Vec<(String, String)>,
 }
 
 impl Simulation {
-    /// Controllers that start for the first time, all at once.
+    /// Returns a simulation whose controllers all start for the first time, within 300 ms.
     pub fn new(seed: u64, size: usize) -> Simulation {
         let names: Vec<String> = (1..=size).map(|n| format!("10.0.0.{n}")).collect();
         let mut simulation = Simulation {
@@ -134,7 +136,7 @@
             names: names.clone(),
             nodes: BTreeMap::new(),
             last_arrivals: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             frame_loss: 0.0,
             response_loss: 0.0,
             compact_after: None,
@@ -171,48 +173,48 @@
         simulation
     }
 
-    /// A number below `bound`.
+    /// Draws a number below `bound`.
     pub fn draw(&mut self, bound: u32) -> u32 {
         self.rng.next_u32() % bound
     }
 
-    /// True with this probability.
-    pub fn chance(&mut self, probability: f64) -> bool {
+    /// Draws `true` with this probability.
+    pub fn draw_bool(&mut self, probability: f64) -> bool {
         f64::from(self.rng.next_u32()) / 4_294_967_296.0 < probability
     }
 
-    /// A random controller.
-    pub fn any_controller(&mut self) -> String {
+    /// Draws a controller.
+    pub fn random_controller(&mut self) -> String {
         let at = self.draw(self.names.len() as u32) as usize;
         self.names[at].clone()
     }
 
-    /// The names of all controllers.
+    /// Returns the names of all controllers.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// The time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// The proxy that follows a controller.
+    /// Returns the proxy that follows a controller.
     pub fn proxy(&self, name: &str) -> &SimulatedProxy {
         &self.nodes[name].proxy
     }
 
-    /// Whether this controller runs, paused or not.
-    pub fn runs(&self, name: &str) -> bool {
+    /// Returns whether a controller's process is running, paused or not.
+    pub fn is_running(&self, name: &str) -> bool {
         self.nodes[name].core.is_some()
     }
 
-    /// What is on a controller's disk.
+    /// Returns what is on a controller's disk.
     pub fn disk(&self, name: &str) -> &StoredState {
         &self.nodes[name].disk
     }
 
-    /// Sends a call to a controller. The response, if there is one, bears the number that is returned.
+    /// Sends a call to a controller; returns the number that its response, if any, will have.
     pub fn call(&mut self, name: &str, call: Call) -> u64 {
         self.last_call += 1;
         let number = self.last_call;
@@ -231,17 +233,17 @@
         number
     }
 
-    /// The caller has closed its connection: a call that was not received yet is not received any more.
+    /// Closes the caller's connection: a call or response that has not arrived yet is dropped.
     pub fn cancel_call(&mut self, number: u64) {
         self.pending_calls.remove(&number);
     }
 
-    /// Asks for [`Occurrence::Timer`] after this span.
+    /// Schedules [`Occurrence::Timer`] after `span`.
     pub fn timer(&mut self, span: Millis, id: u64) {
         self.schedule(span, Event::Timer(id));
     }
 
-    /// Goes on until something happens that concerns the caller, or this time has come.
+    /// Runs until an event concerns the caller or the time reaches `until`.
     pub fn next(&mut self, until: Millis) -> Occurrence {
         loop {
             if !self.occurrences.is_empty() {
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Goes on for this long, and ignores what happens.
+    /// Runs for `span` and ignores all occurrences.
     pub fn run(&mut self, span: Millis) {
         let until = self.now + span;
         while !matches!(self.next(until), Occurrence::Finished) {}
--- a/crates/controller/tests/deregistration.rs
+++ b/crates/controller/tests/deregistration.rs
@@ -1,4 +1,5 @@
-//! When the deregistration of a backend is acknowledged, to its caller and between controllers (LOST).
+//! When the deregistration of a backend is acknowledged, to the caller and between controllers
+//! (rule LOST).
 
 #[path = "common/cluster.rs"]
 mod cluster;
@@ -7,22 +8,24 @@
 use maplefall_control_messages::{encode_frame, Frame, InstanceUpdates};
 use maplefall_service_registry::{InstanceRecord, InstanceState};
 
-/// A deregistration is acknowledged once it is on the disks of a majority, the answering controller's among them, whichever
-/// controller received it first and however.
+/// A deregistration is acknowledged once a majority of the controllers has it on disk, among them
+/// the one that responds, whichever controller received it first and whether from the backend or
+/// from a peer.
 #[test]
 fn deregistration_is_acknowledged_once_a_majority_has_it_on_disk() {
-    for (size, others) in [(3, 1), (5, 2)] {
+    for (size, peers_needed) in [(3, 1), (5, 2)] {
         let mut cluster = Cluster::new(size, 3);
         cluster.run(2500.0);
-        cluster.leader(1);
+        cluster.find_leader(1);
         cluster
             .nodes
             .iter_mut()
             .for_each(|node| node.is_disk_stalled = true);
-        // All controllers receive it, and no disk has it.
+        // All controllers receive the deregistration, and no disk persists it.
         let first = cluster.heartbeat(0, "b", "decaying", 1);
         cluster.run(100.0);
-        // The backend has had no answer, and repeats its call to controllers that know it already.
+        // Without a response, the backend repeats its call to controllers that already know of the
+        // deregistration.
         let second = cluster.heartbeat(1, "b", "decaying", 2);
         let third = cluster.heartbeat(2, "b", "decaying", 2);
         cluster.run(100.0);
@@ -40,7 +43,7 @@
                 .any(|call| cluster.is_ok(*call)),
             "{size}: on one disk only"
         );
-        for node in 1..others {
+        for node in 1..peers_needed {
             cluster.nodes[node].is_disk_stalled = false;
             cluster.run(100.0);
             assert!(
@@ -51,7 +54,7 @@
                 node + 1
             );
         }
-        cluster.nodes[others].is_disk_stalled = false;
+        cluster.nodes[peers_needed].is_disk_stalled = false;
         cluster.run(100.0);
         assert!(
             cluster.is_ok(first) && cluster.is_ok(second),
@@ -59,21 +62,22 @@
         );
         assert_eq!(
             cluster.is_ok(third),
-            others >= 2,
+            peers_needed >= 2,
             "{size}: acknowledged only with its own disk"
         );
-        // One that is known to be replicated is acknowledged at once.
+        // A deregistration that is known to be replicated is acknowledged at once.
         let again = cluster.heartbeat(0, "b", "decaying", 3);
         assert!(cluster.is_ok(again), "{size}");
     }
 }
 
-/// A deregistration whose frames are lost with their connections is sent again on the new ones, and acknowledged in time.
+/// A deregistration whose frames are lost with their connections is sent again over the new ones,
+/// and acknowledged in time.
 #[test]
 fn deregistration_survives_reconnection() {
     let mut cluster = Cluster::new(3, 13);
     cluster.run(2500.0);
-    cluster.leader(1);
+    cluster.find_leader(1);
     let deregistration = cluster.heartbeat(0, "b", "decaying", 1);
     cluster.network.clear();
     for is_connected in [false, true] {
@@ -88,7 +92,7 @@
     );
 }
 
-/// Acknowledgements to peers that wait for a hanging disk are bounded.
+/// The number of acknowledgements to peers that wait for a stalled disk is bounded.
 #[test]
 fn pending_acknowledgements_to_peers_are_bounded() {
     let mut cluster = Cluster::new(3, 5);
@@ -127,8 +131,8 @@
     };
     assert_eq!(acknowledged(&cluster), 0);
     cluster.nodes[1].is_disk_stalled = false;
-    while cluster.nodes[1].disk.front().is_some() {
-        let Some((number, _)) = cluster.nodes[1].disk.pop_front() else {
+    while cluster.nodes[1].pending_writes.front().is_some() {
+        let Some((number, _)) = cluster.nodes[1].pending_writes.pop_front() else {
             break;
         };
         cluster.drive(1, |core, now, out| core.persisted(now, number, out));
--- a/crates/controller/tests/group/mod.rs
+++ b/crates/controller/tests/group/mod.rs
@@ -1,6 +1,6 @@
-//! Three controllers on the data folders that commit f933aca has left, in one thread and without sockets: each is a [`Core`] with
-//! a [`Store`] on a copy of its folder. A message arrives, and a write is on disk, in the moment in which it is sent; time passes only
-//! in [`Group::wait`].
+//! Three controllers on the data directories written by commit f933aca, in one thread and without
+//! sockets: each is a [`Core`] with a [`Store`] on a copy of its directory. Messages arrive and
+//! writes are persisted at the moment they are issued; time advances only in [`Group::wait`].
 
 use bytes::{Bytes, BytesMut};
 use maplefall_control_messages::{decode_frame, Frame, Hello};
@@ -13,8 +13,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The folders by name, each with the address of the controller that wrote it.
-pub const FOLDERS: [(&str, &str); 3] = [
+/// The data directories by name, each with the address of the controller that wrote it.
+pub const DIRECTORIES: [(&str, &str); 3] = [
     ("leader", "127.0.91.2"),
     ("set-aside", "127.0.91.3"),
     ("readmitted", "127.0.91.4"),
@@ -22,57 +22,58 @@
 
 /// Milliseconds between two calls of [`Core::tick`].
 const TICK_MS: f64 = 100.0;
-/// Ticks within which anything comes about that a test waits for: a minute.
-const PATIENCE: usize = 600;
-/// The number of the only proxy's connection.
+/// Maximum number of ticks to wait for a condition: a minute.
+const MAX_WAIT_TICKS: usize = 600;
+/// Number of the connection of the only proxy.
 const PROXY: u64 = 1;
 
-/// Where the data of commit f933aca is.
-pub fn data() -> PathBuf {
+/// Returns the directory with the data of commit f933aca.
+pub fn data_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/f933aca")
 }
 
-/// A file of that data, as text.
-pub fn text(name: &str) -> String {
-    fs::read_to_string(data().join(name)).expect("a file of the stored data")
+/// Reads a file of the stored data as text.
+pub fn read_data_file(name: &str) -> String {
+    fs::read_to_string(data_directory().join(name)).expect("a file of the stored data")
 }
 
-/// A copy of a data folder that is removed at the end.
-pub struct Copy(pub PathBuf);
+/// A copy of a data directory that is removed on drop.
+pub struct DataCopy(pub PathBuf);
 
-impl Copy {
-    /// Copies the folder of this name.
-    pub fn of(folder: &str) -> Copy {
+impl DataCopy {
+    /// Copies the data directory of this name.
+    pub fn of(directory: &str) -> DataCopy {
         static COPIES: AtomicU32 = AtomicU32::new(0);
         let copy = COPIES.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!(
-            "maplefall-f933aca-{}-{copy}-{folder}",
+            "maplefall-f933aca-{}-{copy}-{directory}",
             std::process::id()
         ));
         let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a temporary folder");
-        for file in fs::read_dir(data().join(folder)).expect("a data folder") {
+        fs::create_dir_all(&path).expect("a temporary directory");
+        for file in fs::read_dir(data_directory().join(directory)).expect("a data directory") {
             let file = file.expect("a file of the stored data");
             fs::copy(file.path(), path.join(file.file_name())).expect("copied");
         }
-        Copy(path)
+        DataCopy(path)
     }
 
-    /// Opens it as a controller does that never meets damaged files.
+    /// Opens the copy as a controller does that finds no corrupt files.
     pub fn open(&self) -> (Store<Directory>, StoredState) {
-        Store::open(Directory::new(&self.0)).expect("a readable folder")
+        Store::open(Directory::new(&self.0)).expect("a readable directory")
     }
 }
 
-impl Drop for Copy {
+impl Drop for DataCopy {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// The settings with which the controller at this address was run, but for `Bootstrap`, which is false.
+/// Returns the settings that the controller at this address ran with, except for `Bootstrap`, which
+/// is false.
 pub fn settings(address: &str) -> Settings {
-    let seeds = FOLDERS
+    let seeds = DIRECTORIES
         .map(|(_, address)| format!("\"{address}:8391\""))
         .join(", ");
     let text = format!(
@@ -82,82 +83,81 @@
     Settings::parse(&text, Path::new("settings of the test")).expect("settings")
 }
 
-/// One controller of the group.
 struct Controller {
     core: Core,
     store: Store<Directory>,
-    folder: Copy,
+    directory: DataCopy,
 }
 
-/// Something that is to happen to the controller at an address.
+/// An event that a controller has yet to handle.
 enum Event {
     Message { from: String, frame: Frame },
     Written(u64),
 }
 
-/// The three controllers.
 pub struct Group {
     controllers: BTreeMap<String, Controller>,
     events: VecDeque<(String, Event)>,
-    answers: BTreeMap<u64, CallResponse>,
-    calls: u64,
+    responses: BTreeMap<u64, CallResponse>,
+    last_call: u64,
     now: f64,
-    /// What the proxy has been sent that is connected to a controller.
+    /// Frames that were sent to the proxy.
     pub to_proxy: Vec<Frame>,
-    /// Lines for the log, of all controllers.
-    pub lines: Vec<String>,
+    /// Log lines of all controllers.
+    pub log_lines: Vec<String>,
 }
 
 impl Group {
-    /// All three start on what they have stored, and the one with the folder of this name becomes leader.
-    pub fn led_by(folder: &str) -> Group {
+    /// Starts all three controllers on their stored data and makes the one with the directory of
+    /// this name leader.
+    pub fn led_by(directory: &str) -> Group {
         let mut group = Group {
             controllers: BTreeMap::new(),
             events: VecDeque::new(),
-            answers: BTreeMap::new(),
-            calls: 0,
+            responses: BTreeMap::new(),
+            last_call: 0,
             now: 0.0,
             to_proxy: Vec::new(),
-            lines: Vec::new(),
+            log_lines: Vec::new(),
         };
-        for (name, address) in FOLDERS {
+        for (name, address) in DIRECTORIES {
             group.start(name, address);
         }
-        for (_, from) in FOLDERS {
-            for (_, to) in FOLDERS.iter().filter(|(_, to)| *to != from) {
+        for (_, from) in DIRECTORIES {
+            for (_, to) in DIRECTORIES.iter().filter(|(_, to)| *to != from) {
                 group.step(from, |core, now, out| core.peer_connected(now, to, out));
             }
         }
-        let (_, leader) = FOLDERS
+        let (_, leader) = DIRECTORIES
             .into_iter()
-            .find(|(name, _)| *name == folder)
-            .expect("a known folder");
-        // Nobody else's time passes, so nobody else stands for election.
+            .find(|(name, _)| *name == directory)
+            .expect("a known directory");
+        // Time passes only for this controller, so no other one stands for election.
         group.wait(&[leader], |group| {
             group.controllers[leader].core.is_leader()
         });
         group
     }
 
-    fn start(&mut self, folder: &str, address: &str) {
-        let copy = Copy::of(folder);
-        let (store, kept) = copy.open();
+    fn start(&mut self, directory: &str, address: &str) {
+        let copy = DataCopy::of(directory);
+        let (store, stored) = copy.open();
         let mut out = Vec::new();
-        let core = Core::new(&settings(address), self.now, 1, kept, &mut out);
+        let core = Core::new(&settings(address), self.now, 1, stored, &mut out);
         self.controllers.insert(
             address.to_owned(),
             Controller {
                 core,
                 store,
-                folder: copy,
+                directory: copy,
             },
         );
-        self.carry_out(address, out);
+        self.handle_outputs(address, out);
     }
 
-    /// Passes time for these controllers until the condition holds.
+    /// Advances the time of these controllers until the condition holds.
     fn wait(&mut self, addresses: &[&str], condition: impl Fn(&Group) -> bool) {
-        for _ in 0..PATIENCE {
+        for _ in 0..MAX_WAIT_TICKS {
             if condition(self) {
                 return;
             }
@@ -166,26 +166,29 @@
                 self.step(address, |core, now, out| core.tick(now, out));
             }
         }
-        panic!("waited in vain; log:\n{}", self.lines.join("\n"));
+        panic!(
+            "the condition did not hold within a minute; log:\n{}",
+            self.log_lines.join("\n")
+        );
     }
 
-    /// The leader answers a call.
+    /// Calls the leader and returns its response.
     pub fn call(&mut self, call: Call) -> CallResponse {
-        self.calls += 1;
-        let number = self.calls;
+        self.last_call += 1;
+        let number = self.last_call;
         let leader = self.leader();
         self.step(&leader, |core, now, out| core.call(now, number, call, out));
-        let all = FOLDERS.map(|(_, address)| address);
-        self.wait(&all, |group| group.answers.contains_key(&number));
-        self.answers.remove(&number).expect("an answer")
+        let all = DIRECTORIES.map(|(_, address)| address);
+        self.wait(&all, |group| group.responses.contains_key(&number));
+        self.responses.remove(&number).expect("a response")
     }
 
-    /// The leader answers a change of the configuration.
+    /// Sends an amendment to the leader and returns its response.
     pub fn amend(&mut self, body: &str) -> CallResponse {
         self.call(Call::Amend(Bytes::copy_from_slice(body.as_bytes())))
     }
 
-    /// Address of the leader.
+    /// Returns the address of the leader.
     fn leader(&self) -> String {
         let leads = |(address, controller): (&String, &Controller)| {
             controller.core.is_leader().then(|| address.clone())
@@ -193,7 +196,8 @@
         self.controllers.iter().find_map(leads).expect("a leader")
     }
 
-    /// A proxy without a configuration connects to the leader, and time passes until it has been sent a list of instances.
+    /// Connects a proxy without a configuration to the leader, and waits until the proxy has been
+    /// sent a list of instances.
     pub fn connect_proxy(&mut self) {
         let leader = self.leader();
         let hello = Hello {
@@ -204,7 +208,7 @@
         self.step(&leader, |core, now, out| {
             core.proxy_connected(now, PROXY, &hello, out)
         });
-        let all = FOLDERS.map(|(_, address)| address);
+        let all = DIRECTORIES.map(|(_, address)| address);
         self.wait(&all, |group| {
             group
                 .to_proxy
@@ -213,7 +217,7 @@
         });
     }
 
-    /// Addresses of the members, as each controller knows them.
+    /// Returns the addresses of the members as each controller has them.
     pub fn members(&self) -> Vec<Vec<String>> {
         self.controllers
             .values()
@@ -221,93 +225,93 @@
             .collect()
     }
 
-    /// Ends all controllers, and tells what a start finds in each folder, by the folder's name.
-    pub fn stored(self) -> BTreeMap<&'static str, StoredState> {
+    /// Ends all controllers; returns what a start finds in each directory, by the directory's name.
+    pub fn into_stored(self) -> BTreeMap<&'static str, StoredState> {
         let mut stored = BTreeMap::new();
         for (
             address,
             Controller {
                 core,
                 store,
-                folder,
+                directory,
             },
         ) in self.controllers
         {
             drop((core, store));
-            let (name, _) = FOLDERS
+            let (name, _) = DIRECTORIES
                 .into_iter()
                 .find(|(_, known)| *known == address)
                 .expect("a known address");
-            stored.insert(name, folder.open().1);
+            stored.insert(name, directory.open().1);
         }
         stored
     }
 
-    /// Takes one step of a controller, and all that follows from it at once.
+    /// Runs one step of a controller, and handles at once all events that follow from it.
     fn step(&mut self, address: &str, step: impl FnOnce(&mut Core, f64, &mut Vec<Output>)) {
-        self.step_alone(address, step);
+        self.step_core(address, step);
         while let Some((address, event)) = self.events.pop_front() {
             match event {
                 Event::Message { from, frame } => {
-                    self.step_alone(&address, |core, now, out| {
+                    self.step_core(&address, |core, now, out| {
                         core.receive_from_peer(now, &from, frame, out)
                     });
                 }
                 Event::Written(number) => {
-                    self.step_alone(&address, |core, now, out| core.persisted(now, number, out));
+                    self.step_core(&address, |core, now, out| core.persisted(now, number, out));
                 }
             }
         }
     }
 
-    fn step_alone(&mut self, address: &str, step: impl FnOnce(&mut Core, f64, &mut Vec<Output>)) {
+    fn step_core(&mut self, address: &str, step: impl FnOnce(&mut Core, f64, &mut Vec<Output>)) {
         let Some(controller) = self.controllers.get_mut(address) else {
             return;
         };
         let mut out = Vec::new();
         step(&mut controller.core, self.now, &mut out);
-        self.carry_out(address, out);
+        self.handle_outputs(address, out);
     }
 
-    fn carry_out(&mut self, address: &str, out: Vec<Output>) {
+    fn handle_outputs(&mut self, address: &str, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Write(number, stored) => {
-                    self.write(address, StoreRecord { number, ..*stored })
+                Output::Write(number, record) => {
+                    self.write(address, StoreRecord { number, ..*record })
                 }
                 Output::SendToPeer(to, bytes) => self.send(address, &to, &bytes),
                 Output::SendToAllPeers(bytes) => {
-                    for (_, to) in FOLDERS.iter().filter(|(_, to)| *to != address) {
+                    for (_, to) in DIRECTORIES.iter().filter(|(_, to)| *to != address) {
                         self.send(address, to, &bytes);
                     }
                 }
                 Output::SendToProxy(_, bytes) => self.to_proxy.push(frame(&bytes)),
-                Output::Respond(number, answer) => {
-                    self.answers.insert(number, answer);
+                Output::Respond(number, response) => {
+                    self.responses.insert(number, response);
                 }
                 Output::LeaseRequestsQueued => {
-                    self.step_alone(
+                    self.step_core(
                         address,
                         |core, now, out| {
                             while core.answer_lease_request(now, out) {}
                         },
                     )
                 }
-                Output::Log(line) => self.lines.push(line),
+                Output::Log(line) => self.log_lines.push(line),
                 Output::Debug(_) => {}
             }
         }
     }
 
-    fn write(&mut self, address: &str, stored: StoreRecord) {
-        let number = stored.number;
+    fn write(&mut self, address: &str, record: StoreRecord) {
+        let number = record.number;
         let controller = self.controllers.get_mut(address).expect("a controller");
         controller
             .store
-            .write(vec![stored])
+            .write(vec![record])
             .expect("the next record");
         while controller.store.has_background_work() {
-            controller.store.step().expect("a step of folding");
+            controller.store.step().expect("a step of compaction");
         }
         self.events
             .push_back((address.to_owned(), Event::Written(number)));
@@ -326,5 +330,5 @@
     decode_frame(&mut BytesMut::from(&bytes[..]))
         .ok()
         .flatten()
-        .expect("a whole frame")
+        .expect("a complete frame")
 }
--- a/crates/controller/tests/lease_overload.rs
+++ b/crates/controller/tests/lease_overload.rs
@@ -1,5 +1,6 @@
-//! Controllers with the processor that they have on grown deployments, before proxies that ask for leases (incident ACKS,
-//! `docs/incidents/2026-12-acks-grown.md`): whatever proxies ask, orders are acknowledged and the controllers stay in contact.
+//! Controllers with the processor share that they have on grown deployments, under the lease
+//! requests of many proxies (incident ACKS, `docs/incidents/2026-12-acks-grown.md`): whatever
+//! proxies request, amendments are acknowledged and the controllers stay in quorum contact.
 
 #[path = "common/processor/mod.rs"]
 mod processor;
@@ -10,13 +11,14 @@
 /// `AckS` of the deployments, in milliseconds.
 const ACK_TIMEOUT: f64 = 6000.0;
 
-/// How much of a quota proxies hold at least: leases are renewed, and what is taken back from one goes to another.
+/// Minimum fraction of a quota that proxies hold: leases are renewed, and a share taken back from
+/// one proxy goes to another.
 const MIN_LEASED_FRACTION: f64 = 0.8;
 
-/// The whole of a quota, and what adding up fractions may be wrong by.
+/// A whole quota, plus the rounding error of the sum of its fractions.
 const MAX_LEASED_FRACTION: f64 = 1.0 + 1e-9;
 
-/// An order that sets all of these tenants, with this version.
+/// Returns an amendment that sets all of these tenants to this version.
 fn amend(tenants: usize, version: u32) -> Call {
     let rows: Vec<String> = (0..tenants)
         .map(|tenant| format!("[\"tenant{tenant}\",[\"key{tenant}\"],40,40,\"{version:08x}\"]"))
@@ -29,18 +31,18 @@
     )
 }
 
-fn orders_are_acknowledged(size: &FleetSize, min_leased: f64) {
+fn assert_amendments_are_acknowledged(size: &FleetSize, min_leased: f64) {
     let mut fleet = Fleet::new(size);
     let first = fleet.call_until_ok(&amend(size.tenants, 1), ACK_TIMEOUT);
-    assert!(first.is_some(), "the first order is not acknowledged");
+    assert!(first.is_some(), "the first amendment is not acknowledged");
     for version in 2..6 {
         fleet.run(5000.0);
-        let queue = fleet.longest_queue();
+        let queue = fleet.max_queue_length();
         let took = fleet.call_until_ok(&amend(size.tenants, version), ACK_TIMEOUT);
         let lost = fleet.logged_since(3000.0, "quorum_lost");
         assert!(
             took.is_some(),
-            "order {version} is not acknowledged within {ACK_TIMEOUT} ms; inputs that wait: {queue}; {lost:?}"
+            "amendment {version} is not acknowledged within {ACK_TIMEOUT} ms; queued inputs: {queue}; {lost:?}"
         );
         assert!(lost.is_empty(), "{lost:?}");
         for tenant in 0..size.tenants {
@@ -55,8 +57,8 @@
 
 /// The deployment of the incident.
 #[test]
-fn orders_are_acknowledged_before_ninety_proxies() {
-    orders_are_acknowledged(
+fn amendments_are_acknowledged_with_ninety_proxies() {
+    assert_amendments_are_acknowledged(
         &FleetSize {
             controllers: 4,
             proxies: 87,
@@ -67,10 +69,11 @@
     );
 }
 
-/// Three times as many proxies, with as much processor: leases may come later, orders may not.
+/// Three times as many proxies with the same processor share: leases may come later,
+/// acknowledgements of amendments may not.
 #[test]
-fn orders_are_acknowledged_before_three_hundred_proxies() {
-    orders_are_acknowledged(
+fn amendments_are_acknowledged_with_three_hundred_proxies() {
+    assert_amendments_are_acknowledged(
         &FleetSize {
             controllers: 3,
             proxies: 260,
@@ -81,11 +84,11 @@
     );
 }
 
-/// Lease requests that are ten times too dear for the processor: leases come late, orders and Raft do not. A proxy is answered every
-/// six seconds.
+/// Lease requests that cost ten times what the processor can take: leases come late, amendments and
+/// Raft do not. Each proxy gets a grant every six seconds.
 #[test]
-fn orders_are_acknowledged_however_dear_lease_requests_are() {
-    orders_are_acknowledged(
+fn amendments_are_acknowledged_with_expensive_lease_requests() {
+    assert_amendments_are_acknowledged(
         &FleetSize {
             controllers: 3,
             proxies: 87,
--- a/crates/controller/tests/lease_takeover.rs
+++ b/crates/controller/tests/lease_takeover.rs
@@ -1,4 +1,4 @@
-//! Slots of quotas that pass from one controller to another (`docs/design/control-leases.md`).
+//! Takeover of quota slots by another controller (`docs/design/control-leases.md`).
 
 #[path = "common/lease_cluster.rs"]
 mod lease_cluster;
@@ -8,14 +8,15 @@
 use maplefall_quota_lease::{LeaseClient, TAKEOVER_DELAY};
 use std::collections::BTreeMap;
 
-/// A controller is cut off from the others, goes on, and is replaced by a new one, while proxies reach both. At no time is more than
-/// the quota leased, and at the end all of it is; the new controller leases only after the takeover delay, also where it
-/// restarts meanwhile, and the old one learns in the end that it owns no slot.
+/// A controller is partitioned from the others, keeps running, and is replaced by a new one, while
+/// proxies reach both. The sum of the leases never exceeds the quota, and at the end the whole
+/// quota is leased. The new controller leases only after the takeover delay, also if it restarts
+/// meanwhile, and the old one learns in the end that it owns no slot.
 #[test]
 fn controller_and_its_successor_never_lease_the_same_share() {
     let seeds = ["10.0.0.1", "10.0.0.2", "10.0.0.3"];
     let all = ["10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"];
-    for (isolated, seconds_away, restarts) in [
+    for (isolated, isolated_seconds, restarts) in [
         (0, 60, false),
         (1, 60, true),
         (2, 8, false),
@@ -26,7 +27,8 @@
         let mut cluster = LeaseCluster::new(&seeds, 1);
         cluster.run(5000.0);
         cluster.add_tenant();
-        // One proxy, with a lease client for each controller, so that the sum of its leases is not capped.
+        // One proxy with a separate lease client for each controller, so that the sum of its leases
+        // is not capped.
         let mut clients: BTreeMap<&str, LeaseClient> =
             all.iter().map(|ip| (*ip, LeaseClient::new(5))).collect();
         let connect = |cluster: &mut LeaseCluster,
@@ -56,11 +58,11 @@
                 );
                 connect(&mut cluster, &mut clients, all[3], 1);
             }
-            if half_second == 4 + 2 * seconds_away {
+            if half_second == 4 + 2 * isolated_seconds {
                 cluster.nodes.get_mut(isolated).expect("a node").is_isolated = false;
             }
             if half_second == 30 && restarts {
-                // It restarts with its disk during the takeover delay.
+                // The new controller restarts with its disk during the takeover delay.
                 let stored_records = cluster.nodes[all[3]].stored_records.clone();
                 let directory = TemporaryDirectory::new("successor");
                 let found = directory.persist(stored_records);
@@ -85,11 +87,12 @@
                 .sum();
             assert!(
                 leased <= 1.0 + 1e-6,
-                "{isolated}, back after {seconds_away} s: {leased} is leased after {elapsed} ms"
+                "{isolated}, reconnected after {isolated_seconds} s: {leased} is leased after {elapsed} ms"
             );
-            let is_logged = |what: &str| {
+            let is_logged = |prefix: &str| {
                 let fourth = cluster.nodes.get(all[3]);
-                fourth.is_some_and(|node| node.log_lines.iter().any(|line| line.starts_with(what)))
+                fourth
+                    .is_some_and(|node| node.log_lines.iter().any(|line| line.starts_with(prefix)))
             };
             if waiting_since.is_none() && is_logged("event=slot_waiting") {
                 waiting_since = Some(cluster.now);
@@ -99,7 +102,7 @@
             }
         }
         let (waiting_since, first_lease) = (
-            waiting_since.expect("a wait"),
+            waiting_since.expect("an event=slot_waiting line"),
             first_lease.expect("a lease"),
         );
         let delay = first_lease - waiting_since;
--- a/crates/controller/tests/leasing.rs
+++ b/crates/controller/tests/leasing.rs
@@ -1,4 +1,5 @@
-//! What controllers lease to proxies, when they answer lease requests at all, and which proxies they remember on disk.
+//! Which leases controllers grant to proxies, when they answer lease requests at all, and which
+//! proxies they record on disk.
 
 #[path = "common/lease_cluster.rs"]
 mod lease_cluster;
@@ -10,7 +11,7 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// A controller with one tenant, and a proxy that is connected to it and has asked for nothing.
+/// Returns a controller with one tenant, and a connected proxy that has requested nothing yet.
 fn controller_with_proxy() -> (LeaseCluster, LeaseClient) {
     let mut cluster = LeaseCluster::new(&["10.0.0.1"], 0);
     cluster.run(2000.0);
@@ -21,8 +22,8 @@
     (cluster, client)
 }
 
-/// A proxy is granted nothing before its name is on disk, also where it sends several requests meanwhile: a restarted controller has
-/// to know which proxies hold leases.
+/// A proxy is granted nothing before its name is on disk, even if it sends several requests
+/// meanwhile: a restarted controller has to know which proxies hold leases.
 #[test]
 fn nothing_is_granted_before_the_proxys_name_is_on_disk() {
     let (mut cluster, mut client) = controller_with_proxy();
@@ -49,8 +50,9 @@
         .any(|record| record.leased_to == ["proxy"]));
 }
 
-/// Guards the memory of a controller that has no time for lease requests: a later request of a proxy replaces the one that waits, and
-/// its answer is that to the last; a release takes effect at once, and nothing is granted behind it.
+/// Guards the memory of a controller that has no time for lease requests: a later request of a
+/// proxy replaces its queued one, and only the last is answered. A release takes effect at once,
+/// and nothing is granted after it.
 #[test]
 fn a_later_request_replaces_the_one_that_waits() {
     let (mut cluster, mut client) = controller_with_proxy();
@@ -85,8 +87,8 @@
     assert!(cluster.take_grants("10.0.0.1", 1).is_empty());
 }
 
-/// A controller that is cut off answers for as long as its membership lease lasts and no longer, and logs that; once it is back it
-/// answers requests that came meanwhile.
+/// A partitioned controller answers lease requests for as long as its membership lease lasts and no
+/// longer, and logs the expiry. Once the partition is healed it answers again.
 #[test]
 fn controller_without_quorum_contact_renews_nothing() {
     let ips = ["10.0.0.1", "10.0.0.2", "10.0.0.3"];
@@ -103,7 +105,7 @@
             [WHOLE_QUOTA_PPM / 3]
         );
         cluster.nodes.get_mut(isolated).expect("a node").is_isolated = true;
-        // A leader that hears no peer notices after a second.
+        // A leader that receives nothing from its peers notices after a second.
         for half_second in 1..=(2.0 * MEMBERSHIP_LEASE / 500.0) as u32 + 4 {
             cluster.run(500.0);
             let request = client.next_request(cluster.now, "x", Vec::new());
@@ -111,18 +113,18 @@
             let elapsed = f64::from(half_second) * 500.0;
             assert!(
                 !answered || elapsed < MEMBERSHIP_LEASE + 1500.0,
-                "{isolated} answers after {elapsed} ms"
+                "{isolated} responds after {elapsed} ms"
             );
             assert!(
                 answered || elapsed >= MEMBERSHIP_LEASE,
-                "{isolated} is silent after {elapsed} ms"
+                "{isolated} does not respond after {elapsed} ms"
             );
         }
-        let is_logged = |cluster: &LeaseCluster, what: &str| {
+        let is_logged = |cluster: &LeaseCluster, prefix: &str| {
             cluster.nodes[isolated]
                 .log_lines
                 .iter()
-                .any(|line| line.starts_with(what))
+                .any(|line| line.starts_with(prefix))
         };
         assert!(is_logged(&cluster, "event=lease_expired"));
         cluster.nodes.get_mut(isolated).expect("a node").is_isolated = false;
@@ -135,7 +137,8 @@
     }
 }
 
-/// A first start with five controllers of which three are seeds: each of these leases a fifth from the start.
+/// First start of a cluster for five controllers of which three are seeds: each of the three leases
+/// a fifth of the quota from the start.
 #[test]
 fn three_of_five_lease_a_fifth_each() {
     let mut cluster = LeaseCluster::new(&["10.0.0.1", "10.0.0.2", "10.0.0.3"], 2);
@@ -151,7 +154,7 @@
             [WHOLE_QUOTA_PPM / 5]
         );
     }
-    // A fourth joins, and gets a slot that was never leased.
+    // A fourth controller joins, and gets a slot that was never leased.
     let mut fourth = settings("10.0.0.4", &["10.0.0.1", "10.0.0.2", "10.0.0.3"], true, 2);
     fourth.quorum_member = true;
     cluster.start(&fourth, StoredState::default(), 99);
@@ -166,8 +169,9 @@
     );
 }
 
-/// After a crash of all controllers, those that find their disks grant leases as soon as they have a quorum and their proxies are
-/// back. An earlier version waited for 23 s, and proxies rejected requests all that while.
+/// After a crash of all controllers, those that find their data grant leases as soon as they have a
+/// quorum and their proxies have reconnected. An earlier version waited for 23 s, during which
+/// proxies rejected requests.
 #[test]
 fn leases_are_granted_at_once_after_a_crash_of_all() {
     let ips = ["10.0.0.1", "10.0.0.2", "10.0.0.3"];
@@ -218,16 +222,16 @@
     }
 }
 
-/// The names of proxies whose leases have expired are removed from the disk, which stays small, and for which no restarted
-/// controller waits.
+/// The names of proxies whose leases have expired are removed from the disk: it stays small, and a
+/// restarted controller does not wait for these proxies.
 #[test]
 fn expired_lease_holders_are_removed_from_disk() {
     let directory = TemporaryDirectory::new("lease-holders");
     let mut cluster = LeaseCluster::new(&["10.0.0.1"], 0);
     cluster.run(2000.0);
     cluster.add_tenant();
-    let mut remaining = LeaseClient::new(5);
-    remaining.connected("x");
+    let mut active_client = LeaseClient::new(5);
+    active_client.connected("x");
     cluster.connect_proxy("10.0.0.1", 1, "stays", 5);
     cluster.connect_proxy("10.0.0.1", 2, "goes", 6);
     cluster.request_lease(
@@ -244,13 +248,13 @@
         let records = cluster.nodes["10.0.0.1"].stored_records.clone();
         directory.persist(records).leased_to
     };
-    for turn in 0..90 {
+    for half_second in 0..90 {
         cluster.run(500.0);
-        let request = remaining.next_request(cluster.now, "x", Vec::new());
+        let request = active_client.next_request(cluster.now, "x", Vec::new());
         for grant in cluster.request_lease("10.0.0.1", 1, request) {
-            remaining.handle_grant(cluster.now, "x", &grant);
+            active_client.handle_grant(cluster.now, "x", &grant);
         }
-        if turn == 10 {
+        if half_second == 10 {
             assert_eq!(
                 recorded_names(&cluster).into_iter().collect::<Vec<_>>(),
                 ["goes", "stays"]
@@ -261,7 +265,7 @@
         recorded_names(&cluster).into_iter().collect::<Vec<_>>(),
         ["stays"]
     );
-    // A proxy that comes again is recorded again.
+    // A proxy that connects again is recorded again.
     cluster.connect_proxy("10.0.0.1", 3, "goes", 6);
     cluster.request_lease(
         "10.0.0.1",
@@ -278,15 +282,15 @@
     );
 }
 
-/// The second start after a disk was lost: what is on it by then does not name the proxies that hold leases of the time before the
-/// loss.
+/// On the second start after a disk was lost, the disk does not name the proxies that hold leases
+/// from before the loss: nothing new is leased until the lease duration has passed.
 #[test]
 fn empty_disk_knows_its_lease_holders_only_after_the_lease_duration() {
     let directory = TemporaryDirectory::new("leasing");
     let mut cluster = LeaseCluster::new(&["10.0.0.1"], 0);
     cluster.run(2000.0);
     cluster.add_tenant();
-    // A disk that does not say that its lease holders are complete: with the log, and no proxies.
+    // A disk that has the log and no proxies, and is not marked as having all lease holders.
     let mut stored_records = cluster.nodes["10.0.0.1"].stored_records.clone();
     stored_records
         .iter_mut()
@@ -297,7 +301,7 @@
     let single = settings("10.0.0.1", &["10.0.0.1"], false, 0);
     cluster.start(&single, found, 50);
     cluster.run(2000.0);
-    // One proxy comes without a lease; another may hold one from before the disk was lost.
+    // One proxy connects without a lease, while another may hold one from before the loss.
     let mut client = LeaseClient::new(5);
     client.connected("x");
     cluster.connect_proxy("10.0.0.1", 1, "proxy", 5);
@@ -307,7 +311,7 @@
         granted_ppm(&grants).iter().all(|ppm| *ppm == 0),
         "{grants:?}"
     );
-    // One that comes with a lease keeps it.
+    // A proxy that reports a lease keeps it.
     cluster.connect_proxy("10.0.0.1", 2, "other", 6);
     let leased = vec![Lease {
         tenant: "t".to_owned(),
--- a/crates/controller/tests/operator_calls.rs
+++ b/crates/controller/tests/operator_calls.rs
@@ -1,5 +1,5 @@
-//! The operator's calls: what was accepted is known, under whatever version, and nothing is answered that a later leader could
-//! contradict (`docs/design/control-operator-calls.md`).
+//! Operator calls: accepted amendments stay known under every version, and no response is given
+//! that a later leader could contradict (`docs/design/control-operator-calls.md`).
 
 #[path = "common/simulation/mod.rs"]
 mod simulation;
@@ -40,7 +40,7 @@
     )
 }
 
-/// The status of one call to the only controller.
+/// Returns the status of one call to the only controller, or 0 without a response.
 fn status(simulation: &mut Simulation, body: String) -> u16 {
     let at = simulation.names()[0].clone();
     let number = simulation.call(&at, Call::Amend(body.into()));
@@ -70,7 +70,8 @@
     simulation
 }
 
-/// Under one version only one content is ever confirmed, also once a higher version is committed and after a restart.
+/// Only one content is ever confirmed under a version, also after a higher version is committed and
+/// after a restart.
 #[test]
 fn one_version_is_confirmed_with_one_content() {
     let mut simulation = single_controller();
@@ -81,7 +82,8 @@
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 1, 7)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 2, 9)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 3, 9)), 409);
-        // A version that was superseded before it was used: the first content is accepted, and changes nothing.
+        // A version that was superseded before it was used: its first content is accepted and
+        // changes nothing.
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 4, 8)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 5, 8)), 409);
         let at = simulation.names()[0].clone();
@@ -92,7 +94,8 @@
     assert!(config.contains("\"00000009\""), "{config}");
 }
 
-/// What was accepted is acknowledged again whatever is committed by now; what was not is validated as usual.
+/// An amendment that was accepted is acknowledged again whatever has been committed since; any
+/// other is validated as usual.
 #[test]
 fn accepted_amendment_is_acknowledged_again() {
     let mut simulation = single_controller();
@@ -103,11 +106,11 @@
     for expected_status in [400, 409] {
         assert_eq!(status(&mut simulation, first.clone()), 200);
         assert_eq!(status(&mut simulation, service("s1", 9, 1)), 200);
-        // Another route that names the service was never accepted.
+        // Another route to the removed service was never accepted.
         assert_eq!(status(&mut simulation, route("q", "c", "s1", 1, 7)), 400);
-        // Nor was this version of the first, though it would change nothing.
+        // Neither was this version of the first route, although it would change nothing.
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 1, 8)), 400);
-        // A call with something new in it is validated by that alone.
+        // Of a call with known and new items, only the new ones are validated.
         let both = |new: &str| {
             first.replace(
                 "]]",
@@ -122,7 +125,7 @@
     }
 }
 
-/// The leader, as callers find it.
+/// Returns the leader: the controller that responds to a read.
 fn leader(simulation: &mut Simulation) -> String {
     for name in simulation.names().to_vec() {
         if response_of(simulation, &name, Call::ReadConfig)
@@ -134,7 +137,7 @@
     panic!("no leader");
 }
 
-/// The response of a controller to a call, if there is one within two seconds.
+/// Returns the response of a controller to a call, if it arrives within two seconds.
 fn response_of(simulation: &mut Simulation, at: &str, call: Call) -> Option<CallResponse> {
     let number = simulation.call(at, call);
     let until = simulation.now() + 2000.0;
@@ -147,10 +150,11 @@
     }
 }
 
-/// A former leader that does not know that it is deposed, or is cut off from the others, confirms nothing new and rejects nothing but
-/// what every controller rejects. It is cut off in both directions, in one and in the other.
+/// A former leader that does not know that it is deposed, or is partitioned from the others,
+/// confirms nothing new and rejects only what every controller rejects. The partition is in both
+/// directions or in either one.
 #[test]
-fn cut_off_leader_rejects_and_confirms_nothing() {
+fn partitioned_leader_neither_confirms_nor_rejects() {
     let conflicting = route("r", "a", "s1", 2, 7);
     let unknown_service = route("q", "b", "s9", 1, 7);
     let new = route("q", "b", "s1", 1, 7);
@@ -171,13 +175,13 @@
         let direction = (seed - 20) / 3;
         for peer in simulation.names().to_vec() {
             if direction != 1 {
-                simulation.cut_one_way(&first, &peer);
+                simulation.block_link(&first, &peer);
             }
             if direction != 2 {
-                simulation.cut_one_way(&peer, &first);
+                simulation.block_link(&peer, &first);
             }
         }
-        // At once, while it still believes that it leads, and when it has stepped down.
+        // At once, while it still believes that it leads, and after it has stepped down.
         for _ in 0..3 {
             let response = response_of(&mut simulation, &first, amend(body));
             let is_indefinite = matches!(
@@ -186,10 +190,10 @@
             );
             assert!(
                 is_indefinite,
-                "cut off, direction {direction}: {response:?} to {body}"
+                "partitioned, direction {direction}: {response:?} to {body}"
             );
         }
-        // What no controller could accept is rejected at once.
+        // An amendment that no controller could accept is rejected at once.
         let response = response_of(
             &mut simulation,
             &first,
@@ -207,7 +211,7 @@
     matches!(response, Some(CallResponse::Rejected(status, _)) if *status == expected)
 }
 
-/// Three controllers with two services and a route, and the leader.
+/// Returns three controllers with two services and a route, and their leader.
 fn three_controllers(seed: u64) -> (Simulation, String) {
     let mut simulation = Simulation::new(seed, 3);
     simulation.run(3000.0);
@@ -225,8 +229,9 @@
     (simulation, first)
 }
 
-/// A leader that was paused with a pending amendment learns, by one message, of the new term and of the entry that was committed at
-/// the amendment's index. The amendment is not committed and may not be confirmed.
+/// A leader that was paused with a pending amendment receives, in one message, the new term and the
+/// entry that was committed at the amendment's index. The amendment is not committed and must not
+/// be confirmed.
 #[test]
 fn amendment_is_not_confirmed_by_another_leaders_entry() {
     let (mut simulation, first) = three_controllers(50);
@@ -237,8 +242,8 @@
         .cloned()
         .collect();
     for peer in &peers {
-        simulation.cut_one_way(&first, peer);
-        simulation.cut_one_way(peer, &first);
+        simulation.block_link(&first, peer);
+        simulation.block_link(peer, &first);
     }
     let body = route("q", "b", "s1", 1, 7);
     let number = simulation.call(&first, amend(&body));
@@ -278,16 +283,23 @@
         .any(|item| item.name == "q" && item.version == 7));
 }
 
-/// An amendment that is repeated while it is pending is confirmed with its entry, without a second one.
+/// An amendment that is repeated while it is pending is confirmed with its entry; no second entry
+/// is appended.
 #[test]
 fn repeated_amendment_waits_for_its_entry() {
     let (mut simulation, first) = three_controllers(60);
     let before = simulation.committed.len();
-    for lost in [true, false] {
-        let body = route("q", "b", "s1", 1 + u32::from(lost), 7 + u32::from(lost));
-        if lost {
+    for is_partitioned in [true, false] {
+        let body = route(
+            "q",
+            "b",
+            "s1",
+            1 + u32::from(is_partitioned),
+            7 + u32::from(is_partitioned),
+        );
+        if is_partitioned {
             for peer in simulation.names().to_vec() {
-                simulation.cut_one_way(&first, &peer);
+                simulation.block_link(&first, &peer);
             }
         }
         let calls = [(); 3].map(|()| simulation.call(&first, amend(&body)));
@@ -301,16 +313,20 @@
                 _ => {}
             }
         }
-        let expected = if lost {
+        let expected = if is_partitioned {
             CallResponse::Unavailable
         } else {
             CallResponse::Ok("{}".to_owned())
         };
-        assert_eq!(responses, vec![expected; 3], "lost: {lost}");
+        assert_eq!(
+            responses,
+            vec![expected; 3],
+            "partitioned: {is_partitioned}"
+        );
         simulation.heal();
         simulation.run(4000.0);
-        if lost {
-            // Until the first leader leads again.
+        if is_partitioned {
+            // Repeats until the first leader leads again.
             while leader(&mut simulation) != first {
                 let now = leader(&mut simulation);
                 simulation.crash(&now, 1500.0);
@@ -341,10 +357,10 @@
     )
 }
 
-/// Of two amendments that are each valid and contradict each other, only the one that comes first is accepted, also when both are
-/// pending at once.
+/// Of two amendments that are each valid and contradict each other, only the first to arrive is
+/// accepted, also when both are pending at once.
 #[test]
-fn of_two_contradicting_amendments_one_is_accepted() {
+fn only_the_first_of_two_contradicting_amendments_is_accepted() {
     let pairs = [
         (
             route("p", "same", "s1", 1, 7),
@@ -391,8 +407,8 @@
     );
 }
 
-/// The history of versions is bounded: a version that was evicted gets no definite response, whatever its content, also after a
-/// restart from a snapshot; the newest versions are known.
+/// The history of versions is bounded: an evicted version gets no definite response, whatever its
+/// content, also after a restart from a snapshot; the newest versions stay known.
 #[test]
 fn evicted_version_gets_no_definite_response() {
     let mut simulation = Simulation::new(3, 1);
--- a/crates/controller/tests/operator_calls_under_faults.rs
+++ b/crates/controller/tests/operator_calls_under_faults.rs
@@ -1,4 +1,5 @@
-//! Random faults of controllers, network and disks while operators send calls; every response is checked.
+//! Random faults of controllers, network and disks while operators send calls. Every response is
+//! checked.
 
 #[path = "common/operators/mod.rs"]
 mod operators;
@@ -10,9 +11,9 @@
 use operators::Operators;
 use simulation::Simulation;
 
-/// Whether every controller runs, and every disk says that exactly these disks are the members', and that no membership change is
-/// pending: a further disk may be lost.
-fn may_lose_a_disk(simulation: &Simulation) -> bool {
+/// Returns whether one more disk may be lost: every controller runs, the members on every disk are
+/// exactly the current disks, and no membership change is pending.
+fn may_wipe_disk(simulation: &Simulation) -> bool {
     let identities: Vec<(String, u64)> = simulation
         .names()
         .iter()
@@ -26,7 +27,7 @@
     simulation.names().iter().all(|name| {
         let disk = &simulation.disk(name).raft;
         let configuration = disk.configuration();
-        let is_membership_settled = configuration.previous == configuration.current
+        let is_membership_committed = configuration.previous == configuration.current
             || disk.members_committed >= configuration.index;
         let mut members: Vec<(String, u64)> = configuration
             .current
@@ -34,21 +35,25 @@
             .map(|member| (member.name, member.identity))
             .collect();
         members.sort();
-        simulation.runs(name) && members == identities && is_membership_settled
+        simulation.is_running(name) && members == identities && is_membership_committed
     })
 }
 
-/// Injects a fault; returns the time until the next.
+/// Injects a random fault; returns the time until the next one.
 fn inject_fault(operators: &mut Operators) -> f64 {
     let simulation = &mut operators.simulation;
-    let (target, peer) = (simulation.any_controller(), simulation.any_controller());
+    let (target, peer) = (
+        simulation.random_controller(),
+        simulation.random_controller(),
+    );
     let down = 50.0 + f64::from(simulation.draw(1500));
     match simulation.draw(14) {
         0 => simulation.crash(&target, down),
-        // One disk at a time, and none before the one that was lost before is replaced; sometimes all others lose power with it.
-        1 | 13 if may_lose_a_disk(simulation) => {
+        // One disk at a time, and none before the previously lost one is replaced. Sometimes all
+        // other controllers lose power with it.
+        1 | 13 if may_wipe_disk(simulation) => {
             simulation.wipe(&target, down);
-            if simulation.chance(0.3) {
+            if simulation.draw_bool(0.3) {
                 for name in simulation.names().to_vec() {
                     let delay = down + f64::from(simulation.draw(300));
                     if name != target {
@@ -66,11 +71,11 @@
             }
         }
         3 | 4 => simulation.isolate(&target),
-        5 | 6 => simulation.cut_one_way(&target, &peer),
+        5 | 6 => simulation.block_link(&target, &peer),
         7 => simulation.pause(&target, 3.0 * down),
-        8 => simulation.hang_disk(&target, down),
+        8 => simulation.stall_disk(&target, down),
         9 => {
-            // A planned stop: the process runs on for a while.
+            // A graceful shutdown: the process keeps running for a while.
             simulation.stop(&target);
             operators.run(30.0);
             operators.simulation.crash(&target, down);
@@ -83,7 +88,7 @@
         }
         _ => simulation.clear_faults(),
     }
-    if simulation.chance(0.2) {
+    if simulation.draw_bool(0.2) {
         simulation.heal();
     }
     100.0 + f64::from(simulation.draw(1500))
@@ -100,10 +105,12 @@
     operators
 }
 
-/// Every response to an operator under random faults: at most one content is ever confirmed under a version; what was confirmed is
-/// confirmed again or unavailable, never rejected; what is rejected had a cause in what was committed, and is never committed;
-/// what is read is all that was committed at one moment since the call. Up to eight amendments at once, repeated until there is a
-/// definite response. `ORDER_FIRST=40 ORDER_DAYS=1000` runs other seeds than CI does.
+/// Checks every response to an operator under random faults: at most one content is ever confirmed
+/// under a version; a confirmed amendment is confirmed again or answered as unavailable, never
+/// rejected; a rejection has a cause in the committed changes, and a rejected amendment is never
+/// committed; a read returns all that was committed at one moment since the call. Up to eight
+/// amendments are sent at once, and repeated until there is a definite response. `ORDER_FIRST=40
+/// ORDER_DAYS=1000` runs other seeds than CI does.
 #[test]
 fn responses_stay_true_under_random_faults() {
     let number_from_environment = |name| {
--- a/crates/controller/tests/quorum_contact.rs
+++ b/crates/controller/tests/quorum_contact.rs
@@ -1,5 +1,5 @@
-//! Controllers that are cut off from the others, or paused: what they send to proxies, what they acknowledge, and what the others
-//! make of it (`docs/design/control-connections.md`).
+//! Partitioned and paused controllers: what they send to proxies, what they acknowledge, and how
+//! the others react (`docs/design/control-connections.md`).
 
 #[path = "common/cluster.rs"]
 mod cluster;
@@ -10,17 +10,18 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-/// A controller that is cut off for twenty seconds, in either direction or both, leader or not: once it has noticed, it sends no
-/// configuration to a proxy that has none, answers no call of the operator, acknowledges no heartbeat and expires no backend. Once
-/// the network is healed it serves the proxies that waited, at once and with the committed configuration.
+/// A controller is partitioned for twenty seconds, in either direction or both, whether or not it
+/// leads. Once it has noticed, it sends no configuration to a proxy that has none, answers no
+/// operator call, acknowledges no heartbeat and expires no backend. Once the network is healed, it
+/// sends the waiting proxies the committed configuration at once.
 #[test]
-fn cut_off_controller_sends_and_acknowledges_nothing() {
+fn partitioned_controller_sends_and_acknowledges_nothing() {
     for (outgoing, incoming) in [(true, false), (false, true), (true, true)] {
-        for leads in [true, false] {
+        for is_leader in [true, false] {
             let mut cluster = Cluster::new(3, 7);
             cluster.run(2000.0);
-            let leader = cluster.leader(1);
-            let isolated = if leads { leader } else { (leader + 1) % 3 };
+            let leader = cluster.find_leader(1);
+            let isolated = if is_leader { leader } else { (leader + 1) % 3 };
             let connected = (isolated + 1) % 3;
             for node in 0..3 {
                 let call = cluster.heartbeat(node, &format!("b{node}"), "in_loop", 1);
@@ -42,19 +43,19 @@
                 });
                 cluster.run((CONNECTION_TIMEOUT + QUORUM_TIMEOUT + TOLERANCE) / 4.0);
             }
-            let case = format!("outgoing {outgoing} incoming {incoming} leads {leads}");
-            let elected = cluster.leader(2);
+            let case = format!("outgoing {outgoing} incoming {incoming} leader {is_leader}");
+            let elected = cluster.find_leader(2);
             assert_ne!(elected, isolated, "{case}");
             let new_proxy = cluster.connect_proxy(isolated, 0);
             cluster.run(HEARTBEAT_INTERVAL);
             let mut seq = 5;
             for _ in 0..13 {
                 seq += 1;
-                let (amend, all) = (
+                let (amend, read) = (
                     cluster.amend(isolated, 9),
                     cluster.call(isolated, Call::ReadConfig),
                 );
-                // A backend that is not acknowledged goes on to another controller.
+                // A backend without an acknowledgement moves on to another controller.
                 for node in 0..3 {
                     let id = format!("b{node}");
                     let heartbeat = cluster.heartbeat(isolated, &id, "in_loop", seq);
@@ -68,7 +69,7 @@
                 }
                 let deregistration = cluster.heartbeat(isolated, "c", "decaying", seq);
                 cluster.run(HEARTBEAT_INTERVAL);
-                for call in [amend, all, deregistration] {
+                for call in [amend, read, deregistration] {
                     assert_eq!(
                         cluster.responses.get(&call),
                         Some(&CallResponse::Unavailable),
@@ -94,7 +95,8 @@
                     "{case}: controller {node}"
                 );
             }
-            // A leader that cannot send may follow another for a while, as long as it receives from that one.
+            // A leader that cannot send may follow another one for a while, as long as it receives
+            // that one's messages.
             let quorum_losses = cluster.count_logged(isolated, "event=quorum_lost");
             assert!((1..=2).contains(&quorum_losses), "{case}: {quorum_losses}");
             assert_eq!(
@@ -137,14 +139,14 @@
     }
 }
 
-/// A process that was paused sends nothing outdated when it resumes until it has contact with a quorum again, and expires no
-/// backend that it could not hear.
+/// A process that resumes from a pause sends nothing outdated before it has quorum contact again,
+/// and expires no backend whose heartbeats could not reach it.
 #[test]
 fn paused_controller_sends_nothing_outdated() {
     for duration in [1300.0, 5000.0, 20_000.0] {
         let mut cluster = Cluster::new(3, 11);
         cluster.run(2000.0);
-        let leader = cluster.leader(1);
+        let leader = cluster.find_leader(1);
         let (paused, connected) = (leader, (leader + 1) % 3);
         assert!(cluster.is_ok(cluster.last_call));
         cluster.heartbeat(connected, "b", "in_loop", 1);
@@ -158,17 +160,21 @@
             cluster.run(100.0);
         }
         let elected = if duration > 3000.0 {
-            cluster.leader(2)
+            cluster.find_leader(2)
         } else {
             connected
         };
         assert_ne!(elected, paused);
-        // It resumes, and a proxy and a call come before it has ticked. Its connections are opened again later.
+        // On resuming, a proxy connects and a call arrives before the first tick. The connections
+        // to peers are opened again later.
         let resumed_at = cluster.now;
         cluster.nodes[paused].is_paused = false;
         let (new_proxy, amend) = (cluster.connect_proxy(paused, 0), cluster.amend(paused, 9));
         cluster.run(400.0);
-        assert!(!cluster.is_ok(amend), "{duration}: confirmed alone");
+        assert!(
+            !cluster.is_ok(amend),
+            "{duration}: confirmed without a quorum"
+        );
         assert!(
             cluster.config_updates(new_proxy).is_empty(),
             "{duration}: sent after a pause"
@@ -183,16 +189,16 @@
         assert_eq!(
             cluster.count_logged(paused, "event=backend_expired"),
             0,
-            "{duration}: expired a backend that it could not hear"
+            "{duration}: expired a backend whose heartbeats could not reach it"
         );
         let updates = cluster.config_updates(new_proxy);
         assert!(updates[0].0 - resumed_at < 3000.0, "{duration}");
     }
 }
 
-/// Random partitions of any controller in either direction, while changes are committed and proxies connect. A proxy that has no
-/// configuration is never sent one older than what was committed before the timeout; no controller expires a backend whose
-/// heartbeats another has acknowledged.
+/// Random partitions of any controller in either direction, while changes are committed and proxies
+/// connect. A proxy without a configuration is never sent one older than what was committed before
+/// the timeout, and no controller expires a backend whose heartbeats another one has acknowledged.
 #[test]
 fn new_proxy_is_never_sent_an_outdated_configuration() {
     println!("seeds 0 to 11");
@@ -204,21 +210,21 @@
         let size = cluster.nodes.len();
         cluster.run(2500.0);
         let (mut version, mut seq, mut backend_at) = (1, 0, seed as usize % size);
-        // Calls that change a tenant, with their versions; and when each version was committed.
+        // Calls that change a tenant, each with its version; and when each version was confirmed.
         let mut amendments: Vec<(u64, u64)> = Vec::new();
         let mut confirmed: BTreeMap<u64, f64> = BTreeMap::new();
-        let (mut heal_at, mut cut_at, mut next_heartbeat) = (0.0, 3000.0, 0.0);
+        let (mut heal_at, mut partition_at, mut next_heartbeat) = (0.0, 3000.0, 0.0);
         let mut new_proxies: Vec<u64> = Vec::new();
         while cluster.now < 40_000.0 {
-            if cluster.now >= cut_at && cluster.cut.is_empty() {
+            if cluster.now >= partition_at && cluster.blocked_links.is_empty() {
                 let (node, direction) = (draw(size as u32) as usize, draw(3));
                 let node = if draw(2) == 0 { backend_at } else { node };
                 cluster.partition(node, direction != 1, direction != 0);
                 heal_at = cluster.now + f64::from(500 + draw(8000));
             }
-            if cluster.now >= heal_at && !cluster.cut.is_empty() {
+            if cluster.now >= heal_at && !cluster.blocked_links.is_empty() {
                 cluster.heal();
-                cut_at = cluster.now + f64::from(draw(3000));
+                partition_at = cluster.now + f64::from(draw(3000));
             }
             if draw(4) == 0 {
                 version += 1;
@@ -237,7 +243,8 @@
                 new_proxies.push(cluster.connect_proxy(draw(size as u32) as usize, 0));
             }
             if cluster.now >= next_heartbeat {
-                // A backend stays with the controller that acknowledges it, and goes on to another where it is not acknowledged.
+                // A backend stays with the controller that acknowledges its heartbeats, and moves
+                // on to another one if they are not acknowledged.
                 (next_heartbeat, seq) = (cluster.now + HEARTBEAT_INTERVAL, seq + 1);
                 for node in (0..size).cycle().skip(backend_at).take(size) {
                     let call = cluster.heartbeat(node, "b", "in_loop", seq);
@@ -259,19 +266,22 @@
                 continue;
             };
             sent += 1;
-            let items = first
+            let sent_version = first
                 .items
                 .iter()
                 .map(|item| item.version)
                 .max()
                 .unwrap_or(0);
-            let due = confirmed
+            let required_version = confirmed
                 .iter()
                 .filter(|(_, when)| **when < at - CONNECTION_TIMEOUT - QUORUM_TIMEOUT - TOLERANCE);
-            let due = due.map(|(version, _)| *version).max().unwrap_or(0);
+            let required_version = required_version
+                .map(|(version, _)| *version)
+                .max()
+                .unwrap_or(0);
             assert!(
-                u64::from(items) >= due,
-                "seed {seed}: a proxy got version {items} at {at}, {due} was committed long before"
+                u64::from(sent_version) >= required_version,
+                "seed {seed}: a proxy got version {sent_version} at {at}, version {required_version} was committed before the timeout"
             );
         }
         for node in 0..size {
--- a/crates/controller/tests/small_tenants.rs
+++ b/crates/controller/tests/small_tenants.rs
@@ -1,5 +1,6 @@
-//! Tenants whose quota is small beside the number of proxies (incident SHORT, `docs/incidents/2026-12-gone-short.md`): what they
-//! send within their quota is served, whichever proxies it comes to, and no more than their quota runs.
+//! Tenants whose quota is small compared with the number of proxies (incident SHORT,
+//! `docs/incidents/2026-12-gone-short.md`): requests within the quota are served by whichever
+//! proxies they reach, and no more than the quota is served.
 
 #[path = "common/processor/mod.rs"]
 mod processor;
@@ -7,24 +8,24 @@
 use maplefall_controller::Call;
 use processor::{Fleet, FleetSize, TenantRequests, Traffic};
 
-/// Requests a second that a tenant may send, and what it may send on top.
+/// Requests per second that a tenant may send, and its burst size.
 const QUOTA: f64 = 37.0;
-/// Tenants send so much of their quota (the deployments' `quota_x` is 1.6).
+/// Fraction of its quota that each tenant sends (`quota_x` of the deployments is 1.6).
 const USED_FRACTION: f64 = 1.0 / 1.6;
-/// Least fraction of the requests that is served, of all and of any one tenant.
+/// Minimum fraction of the requests that is served, of all tenants and of any one of them.
 const MIN_SERVED: f64 = 0.95;
 const MIN_SERVED_OF_TENANT: f64 = 0.8;
 /// `AckS` of the deployments, in milliseconds.
 const ACK_TIMEOUT: f64 = 6000.0;
 const TRAFFIC_BEGINS_AT: f64 = 10_000.0;
 const TRAFFIC_MS: f64 = 15_000.0;
-/// The rule QUOTA with the settings' default bounds: window, overshoot and slack.
+/// Default bounds of the rule QUOTA in the settings: window, overshoot and slack.
 const WINDOW_MS: f64 = 5000.0;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 20.0;
 
-/// The first order: all tenants, and a route.
-fn first_order(tenants: usize) -> Call {
+/// Returns the initial amendment: all tenants, a service and a route.
+fn initial_amendment(tenants: usize) -> Call {
     let rows: Vec<String> = (0..tenants)
         .map(|tenant| {
             format!("[\"tenant{tenant}\",[\"key{tenant}\"],{QUOTA},{QUOTA},\"00000001\"]")
@@ -39,8 +40,8 @@
     )
 }
 
-/// Plays a fleet whose tenants use this fraction of their quotas.
-fn play(size: &FleetSize, used_fraction: f64, seed: u64) -> Vec<TenantRequests> {
+/// Runs a fleet whose tenants send this fraction of their quotas; returns the outcome by tenant.
+fn run_fleet(size: &FleetSize, used_fraction: f64, seed: u64) -> Vec<TenantRequests> {
     let traffic = Traffic {
         rate: QUOTA * used_fraction,
         begins_at: TRAFFIC_BEGINS_AT,
@@ -48,14 +49,14 @@
     };
     let mut fleet = Fleet::with_gateways(size, &traffic);
     fleet.run(500.0);
-    let took = fleet.call_until_ok(&first_order(size.tenants), ACK_TIMEOUT);
-    assert!(took.is_some(), "the first order is not acknowledged");
+    let took = fleet.call_until_ok(&initial_amendment(size.tenants), ACK_TIMEOUT);
+    assert!(took.is_some(), "the initial amendment is not acknowledged");
     fleet.run(TRAFFIC_BEGINS_AT + TRAFFIC_MS - fleet.now);
     fleet.requests()
 }
 
-/// The most requests that ran in any window.
-fn most_in_a_window(served_at: &[f64]) -> usize {
+/// Returns the maximum number of requests served in any window.
+fn max_requests_in_window(served_at: &[f64]) -> usize {
     let mut times = served_at.to_vec();
     times.sort_by(f64::total_cmp);
     let in_window = |(from, at): (usize, &f64)| {
@@ -69,33 +70,34 @@
 
 fn assert_within_quota(requests: &[TenantRequests]) {
     let bound = (QUOTA * WINDOW_MS / 1000.0 + QUOTA) * (1.0 + OVERSHOOT) + SLACK;
-    for (tenant, of_tenant) in requests.iter().enumerate() {
-        let most = most_in_a_window(&of_tenant.served_at);
+    for (tenant, tenant_requests) in requests.iter().enumerate() {
+        let max_served = max_requests_in_window(&tenant_requests.served_at);
         assert!(
-            most as f64 <= bound,
-            "{most} requests of tenant {tenant} in a window, {bound} allowed"
+            max_served as f64 <= bound,
+            "{max_served} requests of tenant {tenant} in a window, {bound} allowed"
         );
     }
 }
 
-fn small_tenants_are_served(size: &FleetSize) {
-    let requests = play(size, USED_FRACTION, 1);
+fn assert_small_tenants_are_served(size: &FleetSize) {
+    let requests = run_fleet(size, USED_FRACTION, 1);
     assert_within_quota(&requests);
-    let served_of = |of: &TenantRequests| of.served_at.len() as f64 / of.sent.max(1) as f64;
-    let sent: usize = requests.iter().map(|of| of.sent).sum();
-    let served: usize = requests.iter().map(|of| of.served_at.len()).sum();
-    let least = requests.iter().map(served_of).fold(1.0, f64::min);
+    let served_fraction =
+        |tenant: &TenantRequests| tenant.served_at.len() as f64 / tenant.sent.max(1) as f64;
+    let sent: usize = requests.iter().map(|tenant| tenant.sent).sum();
+    let served: usize = requests.iter().map(|tenant| tenant.served_at.len()).sum();
+    let min_served = requests.iter().map(served_fraction).fold(1.0, f64::min);
     let fraction = served as f64 / sent as f64;
     assert!(
-        fraction >= MIN_SERVED && least >= MIN_SERVED_OF_TENANT,
-        "{fraction:.2} of {sent} requests were served, {least:.2} of one tenant's"
+        fraction >= MIN_SERVED && min_served >= MIN_SERVED_OF_TENANT,
+        "{fraction:.2} of {sent} requests were served, {min_served:.2} of one tenant's"
     );
 }
 
 /// The deployment of the incident.
 #[test]
 fn small_tenants_are_served_by_ninety_proxies() {
-    small_tenants_are_served(&FleetSize {
+    assert_small_tenants_are_served(&FleetSize {
         controllers: 4,
         proxies: 87,
         tenants: 85,
@@ -103,10 +105,10 @@
     });
 }
 
-/// Three times as many proxies, with as much processor at the controllers.
+/// Three times as many proxies, with the same processor share at the controllers.
 #[test]
 fn small_tenants_are_served_by_three_hundred_proxies() {
-    small_tenants_are_served(&FleetSize {
+    assert_small_tenants_are_served(&FleetSize {
         controllers: 3,
         proxies: 260,
         tenants: 85,
@@ -114,7 +116,7 @@
     });
 }
 
-/// Tenants that send four times their quota get all of it, and no more (QUOTA).
+/// Tenants that send four times their quota get all of it, and no more (rule QUOTA).
 #[test]
 fn greedy_tenants_get_their_quota_and_no_more() {
     let size = FleetSize {
@@ -123,11 +125,11 @@
         tenants: 20,
         lease_request_cost: 0.0,
     };
-    let requests = play(&size, 4.0, 2);
+    let requests = run_fleet(&size, 4.0, 2);
     assert_within_quota(&requests);
     let quota = QUOTA * TRAFFIC_MS / 1000.0;
-    for (tenant, of_tenant) in requests.iter().enumerate() {
-        let served = of_tenant.served_at.len() as f64;
+    for (tenant, tenant_requests) in requests.iter().enumerate() {
+        let served = tenant_requests.served_at.len() as f64;
         assert!(
             served >= 0.9 * quota,
             "{served} requests of tenant {tenant} were served, its quota is {quota}"
--- a/crates/controller/tests/store/corruption.rs
+++ b/crates/controller/tests/store/corruption.rs
@@ -1,10 +1,11 @@
-//! Corrupt files, and their quarantine.
+//! Corrupt files and their quarantine.
 
 use crate::simulated_disk::{CrashingDisk, Faults, SimulatedDisk, SplitMix64};
 use crate::workload::{open_small, record, state_after, write_records, Progress, SMALL_LIMITS};
 use maplefall_controller::store::{Error, Store, StoreLimits, StoredState};
 
-/// A disk that was stopped in the middle of a compaction, so that all kinds of files are there, and the last record on it.
+/// Returns a disk that was stopped in the middle of a compaction, so that it has files of all
+/// kinds, and the number of its last record.
 fn disk_with_all_kinds_of_files() -> (SimulatedDisk, u64) {
     let (disk, mut progress) = (SimulatedDisk::default(), Progress::default());
     let mut store = open_small(&disk);
@@ -23,7 +24,7 @@
     (disk, progress.acknowledged)
 }
 
-/// Changes, cuts, fills up or removes (`None`) a file.
+/// Changes, truncates, zeroes or extends a file, or removes it (`None`).
 fn corrupt_bytes(mut bytes: Vec<u8>, random: &mut SplitMix64) -> Option<Vec<u8>> {
     let offset = random.below(bytes.len());
     match random.below(7) {
@@ -43,8 +44,9 @@
     Some(bytes)
 }
 
-/// Guards starts on corrupt disks: a file that was changed, cut, filled up or lost is rejected, or costs an end that nothing tells
-/// from one that was never acknowledged. Never a gap, never a record that was not written, never a panic.
+/// Guards starts on corrupt disks: a file that was changed, truncated, extended or lost is
+/// rejected, or costs only an end that cannot be told from one that was never acknowledged. There
+/// is never a gap, a record that was not written, or a panic.
 #[test]
 fn corrupt_bytes_are_rejected_or_cost_only_the_end() {
     let (disk, last) = disk_with_all_kinds_of_files();
@@ -81,7 +83,8 @@
     assert!(rejected > 1_000 && shorter > 20 && complete > 100);
 }
 
-/// A disk with several segments and no state file. The last segment is corrupt: without it the others would pass for all.
+/// Returns a disk with several segments and no state file, whose last segment is corrupt: without
+/// it, the others would pass for the complete log.
 fn disk_with_corrupt_last_segment() -> SimulatedDisk {
     let never_compact = StoreLimits {
         compact_after_bytes: 1 << 30,
@@ -104,7 +107,7 @@
     disk
 }
 
-/// What a start finds after a quarantine.
+/// Returns what a start finds after a quarantine.
 fn quarantined_state() -> StoredState {
     StoredState {
         quarantined: true,
@@ -117,7 +120,8 @@
     found
 }
 
-/// Guards the quarantine of corrupt files: however often it is stopped, no part of them is ever taken for all.
+/// Guards the quarantine of corrupt files: wherever it is interrupted, a part of the files is never
+/// taken for all of them.
 #[test]
 fn quarantine_is_atomic() {
     let disk = disk_with_corrupt_last_segment();
@@ -132,7 +136,7 @@
             failing.set_faults(Faults::failures(1 + random.below(4), 1 + crash_step), seed);
             let crashing = failing.fork();
             assert_eq!(open_with_retries(&failing), quarantined_state());
-            // And cut off at a step of it, with a power loss.
+            // Also interrupted at one of its steps, with a power loss.
             crashing.set_faults(Faults::crash_after(crash_step), seed);
             assert!(crashes_while_opening(&crashing));
             crashing.clear_faults();
@@ -152,7 +156,8 @@
     println!("{cases} cases");
 }
 
-/// Opens the disk until it stops; whether it did. A disk that has stopped fails for ever: the delay before a retry ends the attempt.
+/// Opens the disk until it crashes; returns whether it did. A crashed disk fails forever, so the
+/// delay before a retry ends the attempt.
 fn crashes_while_opening(disk: &SimulatedDisk) -> bool {
     let ended = std::panic::catch_unwind(|| {
         Store::open_with_retries(CrashingDisk(disk.clone()), SMALL_LIMITS).is_ok()
--- a/crates/controller/tests/store/disk_errors.rs
+++ b/crates/controller/tests/store/disk_errors.rs
@@ -1,11 +1,11 @@
-//! A disk that fails for a while, and how much of it is used.
+//! Temporary disk failures, and the bound on disk usage.
 
 use crate::simulated_disk::{Faults, SimulatedDisk, SplitMix64};
 use crate::workload::{open_small, record, reopen, Progress, SMALL_LIMITS};
 use maplefall_controller::store::{write_queue, Store};
 
-/// Guards a disk that fails: nothing that was not written is acknowledged, all is written once it works again, and what is there then
-/// survives a power loss.
+/// Guards against a failing disk: nothing is acknowledged that was not written, everything is
+/// written once the disk works again, and what is on it then survives a power loss.
 #[test]
 fn a_failing_disk_is_retried() {
     let mut failures = 0;
@@ -14,11 +14,11 @@
         disk.set_faults(Faults::failures(2 + (seed as usize % 7), 400), seed);
         let (store, _) = Store::open_with_retries(disk.clone(), SMALL_LIMITS).expect("a disk");
         let (queue, incoming) = write_queue();
-        (1..=150).for_each(|number| queue.push(record(number, 60)).expect("room"));
+        (1..=150).for_each(|number| queue.push(record(number, 60)).expect("free capacity"));
         drop(queue);
         let (mut last, mut random) = (0, SplitMix64(seed));
         store.run(&incoming, |result| {
-            let number = result.expect("no error that ends it");
+            let number = result.expect("no error that ends the run");
             assert!(number > last);
             last = number;
             check_durable(&disk, number, &mut random)
@@ -32,7 +32,7 @@
     assert!(failures > 3_000, "{failures} failures");
 }
 
-/// Checks that what was acknowledged is on the disk, whatever has failed.
+/// Checks that acknowledged records are on the disk, whatever has failed.
 fn check_durable(
     disk: &SimulatedDisk,
     acknowledged: u64,
@@ -48,8 +48,8 @@
     reopen(&fork, &mut progress, 60).map(drop)
 }
 
-/// Guards against a heap of files: a disk on which every other step fails for long, while the store runs and while it starts. Files are
-/// created, and their writes or syncs fail.
+/// Guards against an accumulation of files on a disk on which every other step fails for long,
+/// while the store runs and while it starts: files are created, and their writes or syncs fail.
 #[test]
 fn repeated_failures_create_few_files() {
     for seed in 0..20 {
@@ -58,7 +58,7 @@
         store.write(vec![record(1, 60)]).expect("written");
         disk.set_faults(Faults::failures(2, 500), seed);
         let (queue, incoming) = write_queue();
-        queue.push(record(2, 60)).expect("room");
+        queue.push(record(2, 60)).expect("free capacity");
         drop(queue);
         store.run(&incoming, |result| result.is_ok());
         let files_after_run = disk.file_names().len();
@@ -72,13 +72,14 @@
     }
 }
 
-/// Guards the bound on the disk: two state files, the segments that are being compacted, those that are written meanwhile.
+/// Guards the bound on disk usage: two state files, the segments that are being compacted, and
+/// those that are written meanwhile.
 #[test]
 fn disk_usage_is_bounded() {
     for (payload_bytes, last) in [(100, 2_000), (2_000, 200), (30, 4_000)] {
         let disk = SimulatedDisk::default();
         let mut store = open_small(&disk);
-        // Not a step more than `run` takes.
+        // Takes no more steps than `Store::run` does.
         for number in 1..=last {
             store
                 .write(vec![record(number, payload_bytes)])
@@ -97,13 +98,14 @@
     }
 }
 
-/// The longest state, about: a snapshot comes every 40 records.
+/// Returns the approximate maximum length of the state: a snapshot comes every 40 records.
 fn max_state_bytes(last: u64, payload_bytes: usize) -> usize {
     let entries = last.min(41) as usize;
     entries * (payload_bytes + 60) + payload_bytes + 400
 }
 
-/// Guards against segments that nobody removes: a compaction that fails at any of its steps is begun anew, and replaces all segments.
+/// Guards against segments that are never removed: a compaction that fails at any step starts over
+/// and replaces all segments.
 #[test]
 fn a_failed_compaction_is_repeated() {
     const RECORDS: u64 = 12;
@@ -111,7 +113,7 @@
     for failing_step in 0..20 {
         let disk = SimulatedDisk::default();
         let mut store = open_small(&disk);
-        // More bytes of log than may be left uncompacted.
+        // More bytes of log than the limit above which it is compacted.
         for number in 1..=RECORDS {
             store.write(vec![record(number, 200)]).expect("written");
         }
--- a/crates/controller/tests/store/error_text.rs
+++ b/crates/controller/tests/store/error_text.rs
@@ -1,10 +1,10 @@
-//! The text of errors: operators find `step=`, `path=` and `error=` in the log by their names.
+//! Error texts: operators search the log for the keys `step=`, `path=` and `error=`.
 
 use maplefall_controller::store::{Error, Operation};
 use std::io;
 use std::path::PathBuf;
 
-/// Guards the log: each error is a line of `key=value` pairs.
+/// Guards the log format: each error is a line of `key=value` pairs.
 #[test]
 fn errors_are_shown_as_key_value_pairs() {
     let path = PathBuf::from("data/log-1");
--- a/crates/controller/tests/store/format.rs
+++ b/crates/controller/tests/store/format.rs
@@ -1,4 +1,5 @@
-//! The format on disk: frames are read as documented, what is written never changes its bytes, other formats are rejected.
+//! The format on disk: frames are read as documented, the written bytes never change, and other
+//! formats are rejected.
 
 use crate::test_directory::TestDirectory;
 use crate::workload::{entry_record, SMALL_LIMITS};
@@ -9,7 +10,7 @@
 use prost::Message;
 use std::fs;
 
-/// A frame as documented, of the file with this number.
+/// Returns a frame as documented, of the file with this number.
 fn frame(file_number: u64, payload: &[u8]) -> Vec<u8> {
     let mut bytes = b"mf2\0".to_vec();
     bytes.extend(file_number.to_le_bytes());
@@ -19,7 +20,7 @@
     [bytes.as_slice(), payload].concat()
 }
 
-/// Guards disks of another format: rejected, and nothing on them changed.
+/// Guards disks of another format: they are rejected and left unchanged.
 #[test]
 fn unknown_formats_are_rejected_untouched() {
     let later = frame(
@@ -58,7 +59,8 @@
     }
 }
 
-/// Guards the format: frames as documented are read, and a length that no file can have is not followed.
+/// Guards the format: frames are read as documented, and a length that no file can have is not
+/// followed.
 #[test]
 fn frames_are_read_as_documented() {
     let directory = TestDirectory::new("frames");
@@ -81,7 +83,7 @@
     assert_eq!(found.number, 3);
 }
 
-/// A record that sets every field.
+/// Returns a record that sets every field.
 fn record_with_all_fields(number: u64) -> StoreRecord {
     let entry = Entry {
         index: number,
@@ -121,7 +123,8 @@
     }
 }
 
-/// Guards disks in service: names, lengths and checksums are those that the store wrote before it was split into modules.
+/// Guards existing disks: file names, lengths and checksums are those that the store wrote before
+/// it was split into modules.
 #[test]
 fn written_files_keep_their_bytes() {
     let directory = TestDirectory::new("bytes");
--- a/crates/controller/tests/store/main.rs
+++ b/crates/controller/tests/store/main.rs
@@ -1,7 +1,8 @@
-//! The store on its disk: restarts, power losses, failing and corrupt disks.
+//! The store on its disk: restarts, power losses, failing disks and corruption.
 //!
-//! The invariant under test: whatever happens, a start finds all records that were acknowledged, in order, and none that was not
-//! written; what cannot be read is rejected. See `docs/design/control-disk.md`.
+//! The invariant under test: whatever happens, a start finds all acknowledged records in order, and
+//! none that was not written; files that cannot be read are rejected. See
+//! `docs/design/control-disk.md`.
 
 mod corruption;
 mod disk_errors;
--- a/crates/controller/tests/store/power_loss.rs
+++ b/crates/controller/tests/store/power_loss.rs
@@ -5,14 +5,15 @@
 use maplefall_controller::store::{Error, Store, StoreRecord};
 use maplefall_raft::{PersistentUpdate, Snapshot};
 
-/// What a series of runs has come to.
+/// The result of a series of runs.
 struct CrashRuns {
     progress: Progress,
     power_losses: u64,
 }
 
-/// Starts the store `runs` times. Each run is stopped before a step drawn by chance (or ends with all written), by the end of the process
-/// or by a power loss; runs are short, so that starts are stopped too. An error says what breaks the invariant.
+/// Starts the store `runs` times. Each run is ended before a random step (or after all records are
+/// written) by the end of the process or by a power loss; runs are short, so that starts are
+/// interrupted too. An error describes how the invariant is broken.
 fn run_with_crashes(
     seed: u64,
     runs: u64,
@@ -34,7 +35,7 @@
             random.0,
         );
         if let Ok(mut store) = reopen(&disk, &mut progress, payload_bytes)? {
-            // At times there is nothing to write at first, and background work is done.
+            // Sometimes there is nothing to write at first, and only background work is done.
             for _ in 0..random.below(60) * random.below(2) {
                 if store.has_background_work() && store.step().is_err() {
                     break;
@@ -73,7 +74,8 @@
     })
 }
 
-/// Guards what is acknowledged against power losses at any step of writing, compaction and starting, one after the other.
+/// Guards acknowledged records against repeated power losses at any step of writing, compaction and
+/// starting.
 #[test]
 fn acknowledged_records_survive_power_losses() {
     let (mut records, mut power_losses) = (0, 0);
@@ -86,11 +88,11 @@
     println!("150 disks, {power_losses} power losses, {records} records");
     assert!(
         records > 60_000 && power_losses > 2_000,
-        "{records} records, {power_losses} power losses: too few to show anything"
+        "{records} records, {power_losses} power losses: too few for the test"
     );
 }
 
-/// Guards the simulation: with a directory whose sync does nothing it finds what is lost.
+/// Guards the simulation itself: with a directory sync that does nothing, it detects lost records.
 #[test]
 fn the_simulation_detects_a_missing_directory_sync() {
     let faults = Faults {
@@ -104,7 +106,8 @@
     assert!(broken > 40, "{broken} of 50");
 }
 
-/// Writes 100 records, compacts without a write in between, and once more up to a compaction that ends.
+/// Writes 100 records, compacts without writes in between, then writes until another compaction is
+/// due and completes it.
 fn write_and_compact(disk: &SimulatedDisk, progress: &mut Progress) -> Result<(), Error> {
     let open = || Store::open_with(disk.clone(), SMALL_LIMITS);
     let (mut store, _) = open()?;
@@ -118,8 +121,9 @@
     store.close()
 }
 
-/// Guards each step of writing and compaction: stopped before every single one, by both kinds of end, several losses each, and a
-/// second loss at each step of the start after it.
+/// Guards each step of writing and compaction: a crash before every single one, by the end of the
+/// process and by power losses with different outcomes, and a second loss at each step of the
+/// following start.
 #[test]
 fn a_crash_before_any_step_loses_nothing_acknowledged() {
     let complete = SimulatedDisk::default();
@@ -149,7 +153,7 @@
     assert!(steps > 150);
 }
 
-/// Starts the store, with a crash after some steps and a power loss, and once more without.
+/// Starts the store with a crash after some steps and a power loss, then once more without faults.
 fn crash_again(
     disk: &SimulatedDisk,
     mut progress: Progress,
@@ -158,7 +162,7 @@
 ) -> Result<(), String> {
     disk.set_faults(Faults::crash_after(crash_step), random.0);
     if let Ok(mut store) = reopen(disk, &mut progress, 60)? {
-        // Nothing is to be written, and background work is done.
+        // Nothing to write: only background work is done.
         while store.has_background_work() && store.step().is_ok() {}
     }
     disk.lose_power(random);
@@ -170,7 +174,7 @@
     Ok(())
 }
 
-/// Guards records of every size, and hundreds of changes, with restarts in the middle.
+/// Guards records of different sizes and hundreds of changes, with restarts in between.
 #[test]
 fn records_of_all_sizes_survive_many_restarts() {
     for (last, payload_bytes) in [(300, 900), (3_000, 40), (60, 64 << 10)] {
@@ -200,7 +204,7 @@
     }
 }
 
-/// Guards a complete state that comes in one record: 8 MiB, cut at each step.
+/// Guards a complete state in a single record: 8 MiB, interrupted at each step.
 #[test]
 fn a_long_snapshot_is_written_completely_or_not_at_all() {
     let snapshot = Snapshot {
--- a/crates/controller/tests/store/restart.rs
+++ b/crates/controller/tests/store/restart.rs
@@ -1,4 +1,5 @@
-//! Restarts on real files: what was written is there after a stop, after a torn end, and after compaction.
+//! Restarts on real files: written records are found after a stop, after a torn end, and after
+//! compaction.
 
 use crate::test_directory::TestDirectory;
 use crate::workload::entry_record;
@@ -11,7 +12,7 @@
     Store::open(Directory::new(directory.path())).expect("a disk")
 }
 
-/// Guards what is acknowledged: it is there again, in one piece.
+/// Guards acknowledged records: a restart finds them complete.
 #[test]
 fn written_records_survive_a_restart() {
     let directory = TestDirectory::new("restart");
@@ -34,22 +35,24 @@
     );
 }
 
-/// Ways in which the second frame of a segment may be torn at `cut`: missing, zeros after it, zeros before it, garbage after it.
-fn torn_versions(both: &[u8], first_frame_bytes: usize, cut: usize) -> [Vec<u8>; 4] {
+/// Returns both frames of a segment with the second torn at `torn_at` in four ways: the rest is
+/// missing, zeros after it, zeros before it, garbage after it.
+fn torn_versions(both: &[u8], first_frame_bytes: usize, torn_at: usize) -> [Vec<u8>; 4] {
     [
-        both[..cut].to_vec(),
-        [&both[..cut], vec![0; both.len() - cut].as_slice()].concat(),
+        both[..torn_at].to_vec(),
+        [&both[..torn_at], vec![0; both.len() - torn_at].as_slice()].concat(),
         [
             &both[..first_frame_bytes],
-            vec![0; cut - first_frame_bytes].as_slice(),
-            &both[cut..],
+            vec![0; torn_at - first_frame_bytes].as_slice(),
+            &both[torn_at..],
         ]
         .concat(),
-        [&both[..cut], vec![0xff; 5000].as_slice()].concat(),
+        [&both[..torn_at], vec![0xff; 5000].as_slice()].concat(),
     ]
 }
 
-/// Guards starts after a power loss: an end that is torn anywhere costs what was not acknowledged, and nothing before or after.
+/// Guards starts after a power loss: a last frame that is torn anywhere costs only what was not
+/// acknowledged, and nothing before or after it.
 #[test]
 fn a_torn_last_frame_loses_only_itself() {
     let directory = TestDirectory::new("torn");
@@ -60,8 +63,8 @@
     store.write(vec![entry_record(2, 200)]).expect("written");
     drop(store);
     let both = fs::read(&segment).expect("a segment");
-    for cut in (first_frame_bytes..both.len()).step_by(7) {
-        for torn in torn_versions(&both, first_frame_bytes, cut) {
+    for torn_at in (first_frame_bytes..both.len()).step_by(7) {
+        for torn in torn_versions(&both, first_frame_bytes, torn_at) {
             if torn == both {
                 continue;
             }
@@ -71,15 +74,16 @@
                 .for_each(|file| fs::remove_file(file).expect("removed"));
             fs::write(&segment, &torn).expect("written");
             let (mut store, found) = open(&directory);
-            assert_eq!(found.number, 1, "torn after {cut}");
+            assert_eq!(found.number, 1, "torn after {torn_at}");
             store.write(vec![entry_record(2, 50)]).expect("written");
             drop(store);
-            assert_eq!(open(&directory).1.number, 2, "torn after {cut}");
+            assert_eq!(open(&directory).1.number, 2, "torn after {torn_at}");
         }
     }
 }
 
-/// Guards starts after a power loss in the first moment: a segment without a header holds nothing.
+/// Guards starts after a power loss right after a segment was created: a segment without a header
+/// holds no records.
 #[test]
 fn an_empty_segment_is_ignored() {
     let directory = TestDirectory::new("empty-segment");
@@ -90,8 +94,8 @@
     assert_eq!(open(&directory).1, StoredState::default());
 }
 
-/// Guards the disk against filling up: old segments are compacted and removed, and all records are still there. A corrupt state file
-/// is rejected.
+/// Guards the disk against filling up: old segments are compacted and removed, and all records are
+/// still found. A corrupt state file is rejected.
 #[test]
 fn compaction_bounds_the_log_and_keeps_all_records() {
     let directory = TestDirectory::new("compaction");
@@ -114,7 +118,7 @@
     let (store, found) = open(&directory);
     assert_eq!((found.number, found.raft.log.len()), (120, 120));
     drop(store);
-    // A file that was renamed into place after its sync is complete, or not to be trusted.
+    // A file that was renamed into place after its sync is either complete or not to be trusted.
     let state_files = directory.files("state-");
     assert_eq!(state_files.len(), 1, "{state_files:?}");
     let mut file = OpenOptions::new()
@@ -130,8 +134,8 @@
     ));
 }
 
-/// Guards members whose disk is corrupt: they come back as ones that have lost their disk and never start a new cluster, and the
-/// files are kept once.
+/// Guards members whose disk is corrupt: they come back as members that have lost their disk and
+/// never start a new cluster, and the files are kept once.
 #[test]
 fn a_corrupt_disk_is_quarantined() {
     let directory = TestDirectory::new("corrupt");
@@ -146,7 +150,7 @@
                 ..StoredState::default()
             }
         );
-        // Not the first start of the cluster, whatever the settings say.
+        // After a quarantine this is not the first start of the cluster, whatever the settings say.
         assert_eq!(
             (found.may_bootstrap(true), found.may_bootstrap(false)),
             (start == 0, false)
@@ -165,7 +169,7 @@
             Store::open(Directory::new(directory.path())),
             Err(Error::Corrupt { .. })
         ));
-        // One set of files, and the note.
+        // One set of quarantined files, and the note.
         assert_eq!(
             directory.files("spoilt-").len(),
             if start == 0 { 0 } else { 2 }
@@ -173,7 +177,8 @@
     }
 }
 
-/// Guards the order of the log: a record that does not follow is rejected before it is written.
+/// Guards the order of the log: a record whose number does not follow is rejected before it is
+/// written.
 #[test]
 fn records_out_of_order_are_rejected() {
     let directory = TestDirectory::new("order");
@@ -198,13 +203,13 @@
     assert_eq!(open(&directory).1.number, 2);
 }
 
-/// Guards against a gap: once a record had no room, none after it is taken.
+/// Guards against a gap: once a record exceeded the free capacity, no later one is accepted.
 #[test]
 fn a_full_queue_stays_closed() {
     let (queue, incoming) = write_queue();
     queue
         .push(entry_record(1, 33 << 20))
-        .expect("the first may be long");
+        .expect("the first record may exceed the capacity");
     assert!(matches!(
         queue.push(entry_record(2, 10)),
         Err(Error::QueueFull { number: 2 })
@@ -212,7 +217,7 @@
     let directory = TestDirectory::new("full");
     let (store, _) = open(&directory);
     let mut written = Vec::new();
-    // Room again, but not for what comes after the gap.
+    // Capacity is free again, but not for records after the gap.
     store.run(&incoming, |result| {
         written.push(result.expect("written"));
         false
--- a/crates/controller/tests/store/simulated_disk.rs
+++ b/crates/controller/tests/store/simulated_disk.rs
@@ -1,8 +1,9 @@
-//! A disk in memory that can crash before any of its steps, fail, and lose power.
+//! A disk in memory that can crash before any step, fail, and lose power.
 //!
-//! After a power loss, bytes that no sync of their file covers are there, missing or torn; each name that was created, changed or removed
-//! since the last sync of the directory is kept or lost by itself. After a failed sync, the system may take unsynced bytes for clean, so
-//! that no later sync writes them.
+//! After a power loss, bytes that no sync of their file covers are present, missing or torn; each
+//! name that was created, changed or removed since the last sync of the directory is kept or lost
+//! independently. After a failed sync, the system may treat unsynced bytes as clean, so that no
+//! later sync writes them.
 
 use maplefall_controller::disk::Disk;
 use std::collections::BTreeSet;
@@ -16,7 +17,7 @@
 pub struct SplitMix64(pub u64);
 
 impl SplitMix64 {
-    /// A number below the bound; 0 for a bound of 0.
+    /// Returns a number below `bound`, or 0 for a bound of 0.
     pub fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -32,33 +33,34 @@
     bytes: Vec<u8>,
 }
 
-/// One file, whatever its name.
+/// A file, independent of its name.
 #[derive(Clone, Debug, Default)]
 struct SimulatedInode {
-    /// What a reader gets.
+    /// The bytes that a reader gets.
     visible: Vec<u8>,
-    /// What a power loss leaves for certain.
+    /// The bytes that are certain to survive a power loss.
     durable: Vec<u8>,
     unsynced: Vec<UnsyncedWrite>,
-    /// The names it has had since the last sync of the directory, `None` where it had none; the first is the durable one.
+    /// The names of the file since the last sync of the directory, `None` while it had none; the
+    /// first is the durable one.
     names: Vec<Option<String>>,
 }
 
-/// What does not work.
+/// The faults of a disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Steps after which nothing works any more: the process has ended.
+    /// Number of steps after which every step fails: the process has ended.
     pub crash_after: Option<u64>,
-    /// One in this many steps fails; a write may have done a part. 0 for none.
+    /// One in this many steps fails, 0 for none; a failed write may have written a part.
     pub fail_one_in: usize,
-    /// Failures that are left.
+    /// Number of failures that are left.
     pub remaining_failures: u64,
     /// A broken disk, to check the simulation: the sync of the directory does nothing.
     pub ignores_directory_sync: bool,
 }
 
 impl Faults {
-    /// Only a crash after this many steps.
+    /// Returns only a crash after this many steps.
     pub fn crash_after(steps: u64) -> Faults {
         Faults {
             crash_after: Some(steps),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Only failures: one in this many steps, up to a number of them.
+    /// Returns only failures: one in this many steps, up to a number of them.
     pub fn failures(fail_one_in: usize, remaining_failures: u64) -> Faults {
         Faults {
             fail_one_in,
@@ -86,11 +88,11 @@
     failures: u64,
 }
 
-/// The disk; clones are the same one.
+/// The disk; clones share its content.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk(Arc<Mutex<State>>);
 
-/// A file that is being written.
+/// A file that is open for writing.
 pub struct SimulatedFile {
     disk: Arc<Mutex<State>>,
     inode: usize,
@@ -101,7 +103,7 @@
 }
 
 impl State {
-    /// Counts one more step, if it works.
+    /// Counts a step, or returns the error with which it fails.
     fn step(&mut self) -> io::Result<()> {
         if self
             .faults
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Draws what a power loss leaves of each unsynced write.
+    /// Draws which bytes of each unsynced write survive a power loss.
     fn lose_power(&mut self, random: &mut SplitMix64) {
         let mut left = std::mem::take(&mut self.durable);
         for UnsyncedWrite { offset, bytes } in self.unsynced.drain(..) {
@@ -181,7 +183,7 @@
                 left.resize(left.len().max(offset + to), 0);
                 left[offset + from..offset + to].copy_from_slice(&bytes[from..to]);
             } else if random.below(4) == 0 {
-                // Its length came to the disk, and its bytes did not.
+                // The new length reached the disk, but the bytes did not.
                 left.resize(left.len().max(offset + bytes.len()), 0);
             }
         }
@@ -190,38 +192,38 @@
 }
 
 impl SimulatedDisk {
-    /// Sets what does not work from here on, and counts steps from 0.
+    /// Sets the faults from now on, and counts steps from 0.
     pub fn set_faults(&self, faults: Faults, seed: u64) {
         let mut state = lock(&self.0);
         (state.faults, state.steps, state.random) = (faults, 0, Some(SplitMix64(seed)));
     }
 
-    /// Lets everything work from here on.
+    /// Removes all faults.
     pub fn clear_faults(&self) {
         self.set_faults(Faults::default(), 0);
     }
 
-    /// Steps since the faults were set.
+    /// Returns the number of steps since the faults were set.
     pub fn steps(&self) -> u64 {
         lock(&self.0).steps
     }
 
-    /// Steps that have failed so far.
+    /// Returns the number of steps that have failed.
     pub fn failures(&self) -> u64 {
         lock(&self.0).failures
     }
 
-    /// The most bytes that were on it at a time.
+    /// Returns the maximum number of bytes that were on the disk at a time.
     pub fn max_bytes(&self) -> usize {
         lock(&self.0).max_bytes
     }
 
-    /// Another disk with the same content and faults.
+    /// Returns a separate disk with the same content and faults.
     pub fn fork(&self) -> SimulatedDisk {
         SimulatedDisk(Arc::new(Mutex::new(lock(&self.0).clone())))
     }
 
-    /// Names of all files.
+    /// Returns the names of all files.
     pub fn file_names(&self) -> Vec<String> {
         lock(&self.0)
             .inodes
@@ -230,7 +232,7 @@
             .collect()
     }
 
-    /// Changes a file's bytes behind the store's back, durably. `None` removes it.
+    /// Changes the bytes of a file durably, without the store; `None` removes it.
     pub fn corrupt(&self, name: &str, change: impl FnOnce(Vec<u8>) -> Option<Vec<u8>>) {
         let mut state = lock(&self.0);
         let Some(index) = state.find(name) else {
@@ -250,16 +252,17 @@
         }
     }
 
-    /// The machine loses power. A file whose name a later file has taken is lost if the later one keeps that name.
+    /// Simulates a power loss. A file whose name a later file has taken is lost if the later one
+    /// keeps that name.
     pub fn lose_power(&self, random: &mut SplitMix64) {
         let mut state = lock(&self.0);
         let mut taken_names = BTreeSet::new();
         let mut inodes = std::mem::take(&mut state.inodes);
-        // Later files first, so that they take their names before the files they replaced.
+        // Later files first, so that they claim their names before the files they replaced.
         inodes.reverse();
         inodes.retain_mut(|inode| {
             inode.lose_power(random);
-            // A file that was renamed may have lost both names.
+            // A file that was renamed may lose both names.
             let may_lose_all = usize::from(inode.names.len() > 1);
             let drawn = random.below(inode.names.len() + may_lose_all);
             let name = inode.names.get(drawn).cloned().flatten();
@@ -278,7 +281,7 @@
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut state = lock(&self.disk);
         if let Err(error) = state.step() {
-            // A part may have been done, unless the process has ended.
+            // A part may have been written, unless the process has ended.
             let done = state
                 .random
                 .get_or_insert(SplitMix64(2))
@@ -325,7 +328,8 @@
     fn create(&self, name: &str) -> io::Result<SimulatedFile> {
         let mut state = lock(&self.0);
         state.step()?;
-        // A file of that name is emptied. To a power loss that is another file which has taken its name.
+        // An existing file of that name is emptied. In a power loss that counts as another file
+        // that has taken the name.
         if let Some(old) = state.find(name) {
             state.set_name(old, None);
         }
@@ -347,7 +351,8 @@
         let inode = &mut state.inodes[file.inode];
         match &result {
             Ok(()) => inode.sync(),
-            // What a failed sync was to write is clean to the system, and no later sync writes it.
+            // After a failed sync the system may treat the bytes as clean, and no later sync writes
+            // them.
             Err(_) if !may_crash => {
                 let keep = random.below(2) == 0;
                 inode.unsynced.retain(|_| keep && random.below(2) == 0);
@@ -392,7 +397,7 @@
     fn sleep(&self, _: Duration) {}
 }
 
-/// A disk on which the delay before a retry ends the process, by a panic.
+/// A disk that ends the process, by a panic, on the delay before a retry.
 pub struct CrashingDisk(pub SimulatedDisk);
 
 impl Disk for CrashingDisk {
--- a/crates/controller/tests/store/test_directory.rs
+++ b/crates/controller/tests/store/test_directory.rs
@@ -6,7 +6,7 @@
 pub struct TestDirectory(PathBuf);
 
 impl TestDirectory {
-    /// A path that nothing is at; the name is the test's own.
+    /// Returns a path at which nothing exists; each test uses its own name.
     pub fn new(name: &str) -> TestDirectory {
         let path =
             std::env::temp_dir().join(format!("maplefall-disk-{name}-{}", std::process::id()));
@@ -18,7 +18,7 @@
         &self.0
     }
 
-    /// The files whose names have this prefix, sorted.
+    /// Returns the files whose names have this prefix, sorted.
     pub fn files(&self, prefix: &str) -> Vec<PathBuf> {
         let files = fs::read_dir(&self.0)
             .expect("a directory")
--- a/crates/controller/tests/store/workload.rs
+++ b/crates/controller/tests/store/workload.rs
@@ -1,10 +1,11 @@
-//! Records that tell their number in every field, and a model of what a start has to find.
+//! Records whose fields all depend on their number, and a model of the state that a start has to
+//! find.
 
 use crate::simulated_disk::{SimulatedDisk, SplitMix64};
 use maplefall_controller::store::{Error, Store, StoreLimits, StoreRecord, StoredState};
 use maplefall_raft::{Entry, Member, PersistentUpdate, Snapshot};
 
-/// Small, so that much is compacted.
+/// Small limits, so that much is compacted.
 pub const SMALL_LIMITS: StoreLimits = StoreLimits {
     compact_after_bytes: 2_000,
     max_segments: 4,
@@ -12,7 +13,8 @@
     max_batch_bytes: 1_000,
 };
 
-/// The record of this number: every part of it depends on that. Now and then a snapshot takes the place of what was before.
+/// Returns the record of this number: every field depends on it. Every 40th record has a snapshot,
+/// which replaces what was before.
 pub fn record(number: u64, payload_bytes: usize) -> StoreRecord {
     let payload = (0..payload_bytes)
         .map(|index| (index as u64 ^ number.wrapping_mul(31)) as u8)
@@ -42,7 +44,7 @@
     }
 }
 
-/// A record of one entry and no snapshot; its number is the Raft term.
+/// Returns a record with one entry and no snapshot; the record's number is the Raft term.
 pub fn entry_record(number: u64, payload_bytes: usize) -> StoreRecord {
     let entry = Entry {
         index: number,
@@ -76,29 +78,30 @@
     }
 }
 
-/// The state of a disk that records 1 to `number`, and no others, were written to.
+/// Returns the state of a disk to which exactly the records 1 to `number` were written.
 pub fn state_after(number: u64, payload_bytes: usize) -> StoredState {
     let mut state = StoredState::default();
     (1..=number).for_each(|number| state.apply(record(number, payload_bytes)));
     state
 }
 
-/// Opens a simulated disk on which nothing fails.
+/// Opens a simulated disk without faults.
 pub fn open_small(disk: &SimulatedDisk) -> Store<SimulatedDisk> {
     let (store, _) = Store::open_with(disk.clone(), SMALL_LIMITS).expect("a disk");
     store
 }
 
-/// How far a test has written.
+/// The progress of a test's writes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
-    /// The last record that was acknowledged.
+    /// Number of the last acknowledged record.
     pub acknowledged: u64,
-    /// The last record that may be on the disk.
+    /// Number of the last record that may be on the disk.
     pub attempted: u64,
 }
 
-/// Writes records in batches up to a number, with steps of compaction in between, until the disk fails.
+/// Writes records in batches up to `last`, with steps of compaction in between, until the disk
+/// fails.
 pub fn write_records(
     store: &mut Store<SimulatedDisk>,
     progress: &mut Progress,
@@ -116,7 +119,7 @@
                 .collect(),
         )?;
         progress.acknowledged = batch_end;
-        // At times compaction waits, as it does while there is much to write.
+        // Sometimes no step of compaction is taken, as while there is much to write.
         for _ in 0..random.below(4) {
             if store.has_background_work() {
                 store.step()?;
@@ -126,7 +129,8 @@
     Ok(())
 }
 
-/// Opens the disk and checks what is on it. The outer error says what breaks the invariant, the inner one is an I/O error.
+/// Opens the disk and checks its content. The outer error describes how the invariant is broken,
+/// the inner one is an I/O error.
 pub fn reopen(
     disk: &SimulatedDisk,
     progress: &mut Progress,
@@ -145,7 +149,7 @@
                     state.number
                 ));
             }
-            // From here on the controller says that it holds this.
+            // From here on the controller counts these records as acknowledged.
             *progress = Progress {
                 acknowledged: state.number,
                 attempted: state.number,
