--- a/crates/controller/tests/stored_by_f933aca.rs
+++ b/crates/controller/tests/stored_by_f933aca.rs
@@ -1,10 +1,10 @@
-//! Data folders that the programs of commit f933aca have written, opened with the present code. `tests/data/README.md` tells how
-//! they came about; every test works on copies of them.
+//! Data directories written by the programs of commit f933aca, opened with the current code.
+//! `tests/data/README.md` describes how they were made; every test works on copies of them.
 
 mod group;
 
 use bytes::BytesMut;
-use group::{data, settings, text, Copy, Group, FOLDERS};
+use group::{data_directory, read_data_file, settings, DataCopy, Group, DIRECTORIES};
 use maplefall_control_messages::{decode_frame, Frame};
 use maplefall_controller::core::ReplicatedState;
 use maplefall_controller::disk::Directory;
@@ -22,37 +22,37 @@
 use std::fmt::Write;
 use std::fs;
 
-/// The leader's folder.
+/// The leader's directory.
 const LEADER: &str = "leader";
-/// The folder of a controller whose files were damaged once.
+/// The directory of a controller whose files were corrupt once.
 const SET_ASIDE: &str = "set-aside";
-/// The folder of a controller whose disk was wiped once.
+/// The directory of a controller whose disk was wiped once.
 const READMITTED: &str = "readmitted";
 
-/// One call of `config.amend` that the old programs have answered.
-struct Order {
+/// A `config.amend` call that the old programs have answered.
+struct Amendment {
     status: u16,
     body: String,
 }
 
-/// All calls, in the order in which they were sent.
-fn orders() -> Vec<Order> {
+/// Returns all calls in the order in which they were sent.
+fn amendments() -> Vec<Amendment> {
     let parsed = |line: &str| {
         let (status, body) = line.split_once(' ').expect("a status and a body");
-        Order {
+        Amendment {
             status: status.parse().expect("a status"),
             body: body.to_owned(),
         }
     };
-    text("orders.txt").lines().map(parsed).collect()
+    read_data_file("orders.txt").lines().map(parsed).collect()
 }
 
-/// The bodies of all calls that were taken.
-fn taken_bodies() -> Vec<String> {
-    orders()
+/// Returns the bodies of all accepted calls.
+fn accepted_bodies() -> Vec<String> {
+    amendments()
         .into_iter()
-        .filter(|order| order.status == 200)
-        .map(|order| order.body)
+        .filter(|amendment| amendment.status == 200)
+        .map(|amendment| amendment.body)
         .collect()
 }
 
@@ -62,16 +62,16 @@
         .collect()
 }
 
-/// What a start has found, as `tests/data/describe.py` writes it.
-fn describe(kept: &StoredState) -> String {
-    let (tandem, snapshot) = (&kept.raft, &kept.raft.snapshot);
+/// Describes the state found at a start, in the format of `tests/data/describe.py`.
+fn describe(stored: &StoredState) -> String {
+    let (raft, snapshot) = (&stored.raft, &stored.raft.snapshot);
     let mut lines = vec![
-        format!("record {}", kept.number),
-        format!("term {} voted {}", tandem.term, tandem.voted_for),
+        format!("record {}", stored.number),
+        format!("term {} voted {}", raft.term, raft.voted_for),
         format!(
             "identity {:x} settled {}",
-            tandem.identity.expect("an identity"),
-            tandem.members_committed
+            raft.identity.expect("an identity"),
+            raft.members_committed
         ),
         format!(
             "snapshot {} term {} bytes {} crc32c {:08x} members{}",
@@ -82,7 +82,7 @@
             members(&snapshot.members),
         ),
     ];
-    for entry in &tandem.log {
+    for entry in &raft.log {
         lines.push(format!(
             "entry {} term {} kind {} bytes {} crc32c {:08x} members{}",
             entry.index,
@@ -93,44 +93,45 @@
             members(&entry.members),
         ));
     }
-    for word in kept.instances.values() {
+    for instance in stored.instances.values() {
         lines.push(format!(
             "instance {} service {} address {} zone {} capacity {} state {} call {} cold {}",
-            word.id,
-            word.service,
-            word.address,
-            word.zone,
-            word.capacity,
-            word.state,
-            word.seq,
-            word.warmup_left_ms,
+            instance.id,
+            instance.service,
+            instance.address,
+            instance.zone,
+            instance.capacity,
+            instance.state,
+            instance.seq,
+            instance.warmup_left_ms,
         ));
     }
-    let lent_to: Vec<&str> = kept.leased_to.iter().map(String::as_str).collect();
-    let waited: Vec<String> = kept.waited_slots.iter().map(u64::to_string).collect();
+    let leased_to: Vec<&str> = stored.leased_to.iter().map(String::as_str).collect();
+    let waited_slots: Vec<String> = stored.waited_slots.iter().map(u64::to_string).collect();
     lines.push(format!(
         "lent_known {} lent_to {}",
-        kept.leased_to_complete,
-        lent_to.join(" ")
+        stored.leased_to_complete,
+        leased_to.join(" ")
     ));
-    lines.push(format!("waited {}", waited.join(" ")));
-    lines.push(format!("set_aside {}", kept.quarantined));
+    lines.push(format!("waited {}", waited_slots.join(" ")));
+    lines.push(format!("set_aside {}", stored.quarantined));
     lines
         .iter()
         .map(|line| format!("{}\n", line.trim_end()))
         .collect()
 }
 
-/// How many entries of a log change the configuration.
-fn changes(kept: &StoredState) -> usize {
-    kept.raft
+/// Counts the entries of a log that change the configuration.
+fn count_changes(stored: &StoredState) -> usize {
+    stored
+        .raft
         .log
         .iter()
         .filter(|entry| entry.kind() == EntryKind::Command)
         .count()
 }
 
-/// A body of `config.amend` with this item alone.
+/// Returns a body of `config.amend` with only this item.
 fn body_of(item: &Item) -> String {
     let (name, version, list) = (quoted(&item.name), item.version, item.kind().list());
     if item.kind() == ItemKind::Limits {
@@ -151,7 +152,7 @@
     )
 }
 
-/// The same version of an item with another content: a field more.
+/// Returns the same version of an item with other content: one more field.
 fn altered(item: &Item) -> Item {
     let more = Field {
         name: "Altered".to_owned(),
@@ -159,7 +160,7 @@
     };
     let mut fields = item.fields.clone();
     if item.dropped && item.kind() == ItemKind::Route {
-        // A drop has no fields of its own; a route cannot do without some.
+        // A removed item has no fields, and a route requires some.
         fields.extend(valid_route());
     }
     fields.push(more);
@@ -184,20 +185,26 @@
     ]
 }
 
-/// Guards all that is stored, field by field, against a reader of the bytes that shares no code with the project.
+/// Guards all stored fields against an independent reader of the bytes that shares no code with the
+/// project.
 #[test]
-fn each_folder_holds_what_its_bytes_say() {
-    for (folder, _) in FOLDERS {
-        let (_, kept) = Copy::of(folder).open();
-        assert_eq!(describe(&kept), text(&format!("{folder}.txt")), "{folder}");
+fn stored_state_matches_its_independent_description() {
+    for (directory, _) in DIRECTORIES {
+        let (_, stored) = DataCopy::of(directory).open();
+        assert_eq!(
+            describe(&stored),
+            read_data_file(&format!("{directory}.txt")),
+            "{directory}"
+        );
     }
 }
 
-/// Guards fields that no start tells of, such as who lends which part of a quota: of what was written, nothing is unknown.
+/// Guards fields that a start does not show, such as the owners of quota slots: nothing that was
+/// written is unknown.
 #[test]
-fn every_field_is_known() {
-    for (folder, _) in FOLDERS {
-        for file in fs::read_dir(data().join(folder)).expect("a folder") {
+fn stored_bytes_have_no_unknown_fields() {
+    for (directory, _) in DIRECTORIES {
+        for file in fs::read_dir(data_directory().join(directory)).expect("a directory") {
             let path = file.expect("a file").path();
             let name = path
                 .file_name()
@@ -207,21 +214,23 @@
             if name.starts_with("spoilt-") {
                 continue;
             }
-            for payload in frames(&fs::read(&path).expect("read")) {
+            for payload in frame_payloads(&fs::read(&path).expect("read")) {
                 if name.starts_with("state-") {
-                    let folded = StateFile::decode(payload).expect("a state");
-                    // The order of its fields is another than that of their tags.
-                    assert_eq!(folded.encoded_len(), payload.len(), "{folder}/{name}");
-                    every_field_of_a_state_is_known(&folded.snapshot.expect("a snapshot"));
+                    let state_file = StateFile::decode(payload).expect("a state");
+                    // Fields are not written in the order of their tags, so only the lengths are
+                    // compared.
+                    assert_eq!(
+                        state_file.encoded_len(),
+                        payload.len(),
+                        "{directory}/{name}"
+                    );
+                    assert_no_unknown_fields(&state_file.snapshot.expect("a snapshot"));
                 } else {
                     let batch = Batch::decode(payload).expect("a batch");
-                    assert_eq!(batch.encode_to_vec(), payload, "{folder}/{name}");
-                    let records = batch.records.into_iter().filter_map(|stored| stored.raft);
+                    assert_eq!(batch.encode_to_vec(), payload, "{directory}/{name}");
+                    let records = batch.records.into_iter().filter_map(|record| record.raft);
                     for record in records {
-                        record
-                            .snapshot
-                            .iter()
-                            .for_each(every_field_of_a_state_is_known);
+                        record.snapshot.iter().for_each(assert_no_unknown_fields);
                         for entry in record
                             .entries
                             .iter()
@@ -229,7 +238,7 @@
                         {
                             let change =
                                 Change::decode(entry.payload.as_slice()).expect("a change");
-                            assert_eq!(change.encode_to_vec(), entry.payload, "{folder}/{name}");
+                            assert_eq!(change.encode_to_vec(), entry.payload, "{directory}/{name}");
                         }
                     }
                 }
@@ -238,19 +247,20 @@
     }
 }
 
-fn every_field_of_a_state_is_known(snapshot: &Snapshot) {
-    let whole = ReplicatedState::decode(snapshot.state.as_ref()).expect("a state");
+fn assert_no_unknown_fields(snapshot: &Snapshot) {
+    let state = ReplicatedState::decode(snapshot.state.as_ref()).expect("a state");
     assert_eq!(
-        whole.encode_to_vec(),
+        state.encode_to_vec(),
         snapshot.state,
         "the state up to {}",
         snapshot.index
     );
-    assert_eq!(whole.owners.is_some(), !snapshot.state.is_empty());
+    assert_eq!(state.owners.is_some(), !snapshot.state.is_empty());
 }
 
-/// What the frames of a file hold: behind each head of 24 bytes, with the length in its bytes 12 to 15.
-fn frames(mut bytes: &[u8]) -> Vec<&[u8]> {
+/// Returns the payloads of a file's frames: each follows a header of 24 bytes, with its length in
+/// bytes 12 to 15.
+fn frame_payloads(mut bytes: &[u8]) -> Vec<&[u8]> {
     let mut payloads = Vec::new();
     while let Some((head, rest)) = bytes.split_at_checked(24) {
         let length = u32::from_le_bytes(head[12..16].try_into().expect("four bytes")) as usize;
@@ -262,9 +272,9 @@
     payloads
 }
 
-/// Guards fields that the data has no example of, by bytes that the old program writes for them.
+/// Guards fields that do not occur in the data, with bytes as the old program writes them.
 #[test]
-fn fields_that_the_data_lacks_are_known() {
+fn fields_that_the_data_lacks_are_decoded() {
     let stored = StoreRecord::decode(&b"\x08\x07\x40\x01\x4a\x02\x05\x06\x52\x06edge-1"[..])
         .expect("a record");
     let expected = StoreRecord {
@@ -275,9 +285,9 @@
         ..StoreRecord::default()
     };
     assert_eq!(stored, expected);
-    let folded = StateFile::decode(&b"\x08\x02\x10\x07\x7a\x02\x05\x06"[..]).expect("a state");
+    let state_file = StateFile::decode(&b"\x08\x02\x10\x07\x7a\x02\x05\x06"[..]).expect("a state");
     assert_eq!(
-        folded,
+        state_file,
         StateFile {
             format: 2,
             number: 7,
@@ -287,29 +297,31 @@
     );
 }
 
-/// Guards the same against what the old program itself has logged at its start on each folder.
+/// Guards the stored state against what the old program logged when it was started on each
+/// directory.
 #[test]
-fn each_folder_holds_what_the_old_program_has_logged() {
-    let starts = text("starts.txt");
-    for ((folder, _), line) in FOLDERS.into_iter().zip(starts.lines()) {
-        let (_, kept) = Copy::of(folder).open();
+fn stored_state_matches_the_log_of_the_old_program() {
+    let starts = read_data_file("starts.txt");
+    for ((directory, _), line) in DIRECTORIES.into_iter().zip(starts.lines()) {
+        let (_, stored) = DataCopy::of(directory).open();
         let found = format!(
             "term={} snapshot={} log={} identity={:x?}",
-            kept.raft.term,
-            kept.raft.snapshot.index,
-            kept.raft.log.len(),
-            kept.raft.identity,
+            stored.raft.term,
+            stored.raft.snapshot.index,
+            stored.raft.log.len(),
+            stored.raft.identity,
         );
-        assert!(line.ends_with(&found), "{folder}: {found}, not {line}");
+        assert!(line.ends_with(&found), "{directory}: {found}, not {line}");
     }
 }
 
-/// Guards the files: a folded state and segments of the log after it are there, so that both are read by these tests.
+/// Guards the data itself: it has a state file and log segments after it, so that these tests read
+/// both.
 #[test]
-fn the_data_has_a_folded_state_and_a_log() {
-    for folder in [LEADER, READMITTED] {
-        let names: Vec<String> = fs::read_dir(data().join(folder))
-            .expect("a folder")
+fn data_has_a_state_file_and_log_segments() {
+    for directory in [LEADER, READMITTED] {
+        let names: Vec<String> = fs::read_dir(data_directory().join(directory))
+            .expect("a directory")
             .map(|file| {
                 file.expect("a file")
                     .file_name()
@@ -320,16 +332,16 @@
         let count = |prefix: &str| names.iter().filter(|name| name.starts_with(prefix)).count();
         assert!(
             count("state-") == 1 && count("log-") > 1,
-            "{folder}: {names:?}"
+            "{directory}: {names:?}"
         );
     }
 }
 
-/// Guards the numbers of records and the indices of the log: the next follow the last, and nothing else is taken.
+/// Guards record numbers and log indices: only the number after the last one is accepted.
 #[test]
-fn numbers_and_indices_are_carried_on() {
-    for (folder, _) in FOLDERS {
-        let copy = Copy::of(folder);
+fn record_numbers_and_log_indices_continue() {
+    for (directory, _) in DIRECTORIES {
+        let copy = DataCopy::of(directory);
         let (mut store, before) = copy.open();
         let entry = Entry {
             index: before.raft.last_index() + 1,
@@ -345,11 +357,11 @@
             ..StoreRecord::default()
         };
         for wrong in [before.number, before.number + 2] {
-            let refused = store.write(vec![record(wrong)]);
+            let rejected = store.write(vec![record(wrong)]);
             let due = before.number + 1;
             assert!(
-                matches!(refused, Err(Error::OutOfOrder { expected, actual }) if (expected, actual) == (due, wrong)),
-                "{refused:?}"
+                matches!(rejected, Err(Error::OutOfOrder { expected, actual }) if (expected, actual) == (due, wrong)),
+                "{rejected:?}"
             );
         }
         store
@@ -359,55 +371,57 @@
         let mut expected = before.clone();
         expected.number += 1;
         expected.raft.log.push(entry.clone());
-        assert_eq!(copy.open().1, expected, "{folder}");
+        assert_eq!(copy.open().1, expected, "{directory}");
     }
 }
 
-/// Guards the configuration: whichever of the three leads, it answers byte for byte what the old leader answered.
+/// Guards the configuration: whichever of the three leads, it returns byte for byte what the old
+/// leader returned.
 #[test]
-fn the_configuration_reads_back_the_same() {
-    for (folder, _) in FOLDERS {
-        let mut group = Group::led_by(folder);
+fn configuration_is_read_back_unchanged() {
+    for (directory, _) in DIRECTORIES {
+        let mut group = Group::led_by(directory);
         assert_eq!(
             group.call(Call::ReadConfig),
-            CallResponse::Ok(text("config-read.json")),
-            "{folder}"
+            CallResponse::Ok(read_data_file("config-read.json")),
+            "{directory}"
         );
     }
 }
 
-/// Guards operators: what the old leader refused is refused, with the same status.
+/// Guards operators: what the old leader rejected is rejected with the same status.
 #[test]
-fn what_was_refused_is_refused_again() {
-    for (folder, _) in FOLDERS {
-        let mut group = Group::led_by(folder);
-        let refused: Vec<Order> = orders()
+fn rejected_amendments_are_rejected_again() {
+    for (directory, _) in DIRECTORIES {
+        let mut group = Group::led_by(directory);
+        let rejected: Vec<Amendment> = amendments()
             .into_iter()
-            .filter(|order| order.status != 200)
+            .filter(|amendment| amendment.status != 200)
             .collect();
-        assert_eq!(refused.len(), 5);
-        for Order { status, body } in refused {
-            let answer = group.amend(&body);
+        assert_eq!(rejected.len(), 5);
+        for Amendment { status, body } in rejected {
+            let response = group.amend(&body);
             assert!(
-                matches!(answer, CallResponse::Rejected(now, _) if now == status),
-                "{folder}: {answer:?} to {body}"
+                matches!(response, CallResponse::Rejected(now, _) if now == status),
+                "{directory}: {response:?} to {body}"
             );
         }
     }
 }
 
-/// Guards versions: under each that was ever taken, the highest of its name or an overtaken one, no other content is.
+/// Guards versions: under each accepted version, the highest of its name or a superseded one, other
+/// content is a conflict.
 #[test]
-fn another_content_under_a_taken_version_is_a_conflict() {
-    for (folder, _) in FOLDERS {
-        let mut group = Group::led_by(folder);
+fn other_content_under_an_accepted_version_is_a_conflict() {
+    for (directory, _) in DIRECTORIES {
+        let mut group = Group::led_by(directory);
         let mut numbers: BTreeMap<(ItemKind, String), Vec<u32>> = BTreeMap::new();
-        for body in taken_bodies() {
+        for body in accepted_bodies() {
             for item in parse_amend(body.as_bytes()).expect("a call").items {
-                let answer = group.amend(&body_of(&altered(&item)));
+                let response = group.amend(&body_of(&altered(&item)));
                 assert!(
-                    matches!(answer, CallResponse::Rejected(409, _)),
-                    "{folder}: {answer:?} for {item:?}"
+                    matches!(response, CallResponse::Rejected(409, _)),
+                    "{directory}: {response:?} for {item:?}"
                 );
                 numbers
                     .entry((item.kind(), item.name))
@@ -415,58 +429,63 @@
                     .push(item.version);
             }
         }
-        let overtaken: usize = numbers.values().map(|versions| versions.len() - 1).sum();
-        let late = numbers
+        let superseded: usize = numbers.values().map(|versions| versions.len() - 1).sum();
+        let out_of_order = numbers
             .values()
             .flat_map(|versions| versions.windows(2))
             .filter(|pair| pair[0] > pair[1])
             .count();
         assert!(
-            overtaken > 400 && late > 50,
-            "{overtaken} overtaken, {late} late"
+            superseded > 400 && out_of_order > 50,
+            "{superseded} superseded, {out_of_order} out of order"
         );
     }
 }
 
-/// Guards an order that comes again after a lost answer: it is acknowledged, and nothing new is in any log.
+/// Guards an amendment that is repeated after a lost response: it is acknowledged, and no log has a
+/// new change.
 #[test]
-fn an_order_that_was_taken_is_acknowledged_again() {
-    for (folder, _) in FOLDERS {
-        let mut group = Group::led_by(folder);
-        let bodies = taken_bodies();
+fn accepted_amendments_are_acknowledged_again() {
+    for (directory, _) in DIRECTORIES {
+        let mut group = Group::led_by(directory);
+        let bodies = accepted_bodies();
         assert_eq!(bodies.len(), 304);
         for body in bodies {
             assert_eq!(
                 group.amend(&body),
                 CallResponse::Ok("{}".to_owned()),
-                "{folder}: {body}"
+                "{directory}: {body}"
             );
         }
         assert_eq!(
             group.call(Call::ReadConfig),
-            CallResponse::Ok(text("config-read.json"))
+            CallResponse::Ok(read_data_file("config-read.json"))
         );
         assert!(
             !group
-                .lines
+                .log_lines
                 .iter()
                 .any(|line| line.starts_with("event=agreed index=316")),
             "{:?}",
-            group.lines
+            group.log_lines
         );
-        for (name, kept) in group.stored() {
-            let (_, before) = Copy::of(name).open();
-            assert_eq!(changes(&kept), changes(&before), "led by {folder}: {name}");
+        for (name, stored) in group.into_stored() {
+            let (_, before) = DataCopy::of(name).open();
+            assert_eq!(
+                count_changes(&stored),
+                count_changes(&before),
+                "led by {directory}: {name}"
+            );
         }
     }
 }
 
-/// Guards the log of the group: a new change gets an index after all that was there, and is on the disk of all three, under the
-/// identities that they had.
+/// Guards the replicated log: a new change gets an index after the stored entries and is on the
+/// disks of all three controllers, which keep their identities.
 #[test]
-fn a_new_change_follows_the_old_ones() {
-    for (folder, _) in FOLDERS {
-        let mut group = Group::led_by(folder);
+fn new_change_is_appended_to_the_stored_log() {
+    for (directory, _) in DIRECTORIES {
+        let mut group = Group::led_by(directory);
         let service = Item {
             kind: ItemKind::Service.into(),
             name: "s9".to_owned(),
@@ -477,12 +496,12 @@
             group.amend(&body_of(&service)),
             CallResponse::Ok("{}".to_owned())
         );
-        let all: Vec<String> = FOLDERS.map(|(_, address)| address.to_owned()).to_vec();
+        let all: Vec<String> = DIRECTORIES.map(|(_, address)| address.to_owned()).to_vec();
         assert_eq!(group.members(), vec![all.clone(), all.clone(), all]);
-        for (name, kept) in group.stored() {
-            let (_, before) = Copy::of(name).open();
-            let (log, old) = (&kept.raft.log, &before.raft.log);
-            assert_eq!(log[..old.len()], old[..], "led by {folder}: {name}");
+        for (name, stored) in group.into_stored() {
+            let (_, before) = DataCopy::of(name).open();
+            let (log, old) = (&stored.raft.log, &before.raft.log);
+            assert_eq!(log[..old.len()], old[..], "led by {directory}: {name}");
             let new: Vec<(u64, EntryKind)> = log[old.len()..]
                 .iter()
                 .map(|entry| (entry.index, entry.kind()))
@@ -491,50 +510,50 @@
             assert_eq!(
                 new,
                 [(next, EntryKind::NoOp), (next + 1, EntryKind::Command)],
-                "led by {folder}: {name}"
+                "led by {directory}: {name}"
             );
             assert_eq!(
-                kept.raft.identity, before.raft.identity,
-                "led by {folder}: {name}"
+                stored.raft.identity, before.raft.identity,
+                "led by {directory}: {name}"
             );
             assert_eq!(
-                kept.raft.term,
+                stored.raft.term,
                 before.raft.term + 1,
-                "led by {folder}: {name}"
+                "led by {directory}: {name}"
             );
-            assert!(kept.number > before.number, "led by {folder}: {name}");
+            assert!(stored.number > before.number, "led by {directory}: {name}");
         }
     }
 }
 
-/// Guards votes: a controller that has voted in its term gives that vote again to the same candidate, and to nobody else; one that has
-/// not votes once that is written.
+/// Guards votes: a controller that has voted in its term grants the vote again to the same
+/// candidate and to nobody else; one that has not votes once the vote is persisted.
 #[test]
-fn a_vote_is_given_once_in_a_term() {
-    for (folder, address) in FOLDERS {
-        for (_, candidate) in FOLDERS
+fn vote_is_granted_once_per_term() {
+    for (directory, address) in DIRECTORIES {
+        for (_, candidate) in DIRECTORIES
             .into_iter()
             .filter(|(_, candidate)| *candidate != address)
         {
-            let (_, kept) = Copy::of(folder).open();
-            let (term, voted) = (kept.raft.term, vote(folder));
-            let members = kept.raft.configuration().current;
+            let (_, stored) = DataCopy::of(directory).open();
+            let (term, voted_for) = (stored.raft.term, recorded_vote(directory));
+            let members = stored.raft.configuration().current;
             let identity = members
                 .iter()
                 .find(|member| member.name == candidate)
                 .expect("a member")
                 .identity;
-            let ask = RequestVote {
+            let request = RequestVote {
                 pre_vote: false,
-                last_log_index: kept.raft.last_index(),
+                last_log_index: stored.raft.last_index(),
                 last_log_term: term,
             };
             let message = Message {
                 term,
                 identity,
-                body: Some(MessageBody::RequestVote(ask)),
+                body: Some(MessageBody::RequestVote(request)),
             };
-            let mut core = Core::new(&settings(address), 0.0, 1, kept, &mut Vec::new());
+            let mut core = Core::new(&settings(address), 0.0, 1, stored, &mut Vec::new());
             let mut out = Vec::new();
             core.receive_from_peer(0.0, candidate, Frame::Raft(message), &mut out);
             let written = out.iter().find_map(|output| match output {
@@ -543,72 +562,75 @@
             });
             assert_eq!(
                 written.is_some(),
-                voted.is_empty(),
-                "{folder}, asked by {candidate}"
+                voted_for.is_empty(),
+                "{directory}, requested by {candidate}"
             );
             if let Some(number) = written {
                 assert_eq!(
-                    granted(&out),
+                    vote_granted(&out),
                     None,
-                    "{folder}: a vote that is not on the disk"
+                    "{directory}: a vote was granted before it was persisted"
                 );
                 core.persisted(0.0, number, &mut out);
             }
-            let expected = voted.is_empty() || voted == candidate;
+            let expected = voted_for.is_empty() || voted_for == candidate;
             assert_eq!(
-                granted(&out),
+                vote_granted(&out),
                 Some(expected),
-                "{folder} voted {voted:?}, asked by {candidate}"
+                "{directory} voted {voted_for:?}, requested by {candidate}"
             );
         }
     }
 }
 
-/// The candidate that a controller has voted for in its last term, by the bytes of its folder; empty for none.
-fn vote(folder: &str) -> String {
-    let description = text(&format!("{folder}.txt"));
-    let line = description
+/// Returns the candidate that a controller voted for in its last term, according to the bytes of
+/// its directory; empty for none.
+fn recorded_vote(directory: &str) -> String {
+    let description = read_data_file(&format!("{directory}.txt"));
+    let term_line = description
         .lines()
         .find(|line| line.starts_with("term "))
         .expect("a term");
-    line.split_once(" voted")
+    term_line
+        .split_once(" voted")
         .expect("a vote")
         .1
         .trim()
         .to_owned()
 }
 
-/// Whether a vote is granted, if the question is answered.
-fn granted(out: &[Output]) -> Option<bool> {
+/// Returns whether a vote is granted, if there is a response.
+fn vote_granted(out: &[Output]) -> Option<bool> {
     out.iter().find_map(|output| {
         let Output::SendToPeer(_, bytes) = output else {
             return None;
         };
         match decode_frame(&mut BytesMut::from(&bytes[..])) {
             Ok(Some(Frame::Raft(Message {
-                body: Some(MessageBody::RequestVoteResponse(voted)),
+                body: Some(MessageBody::RequestVoteResponse(response)),
                 ..
-            }))) => Some(voted.granted),
+            }))) => Some(response.granted),
             _ => None,
         }
     })
 }
 
-/// Guards clients: a proxy is told of the instances that were there, and of none that had left or were lost.
+/// Guards clients: a proxy is sent the instances that were registered, and none that had
+/// deregistered or expired.
 #[test]
-fn the_instances_are_known() {
-    for (folder, _) in FOLDERS {
-        let mut group = Group::led_by(folder);
+fn proxy_is_sent_the_stored_instances() {
+    for (directory, _) in DIRECTORIES {
+        let mut group = Group::led_by(directory);
         group.connect_proxy();
-        let mut told = BTreeMap::new();
+        let mut received = BTreeMap::new();
         for frame in &group.to_proxy {
-            if let Frame::InstanceUpdates(words) = frame {
-                told.extend(
-                    words
-                        .records
-                        .iter()
-                        .map(|word| (word.id.as_str(), (word.state(), word.address.as_str()))),
-                );
+            if let Frame::InstanceUpdates(updates) = frame {
+                received.extend(updates.records.iter().map(|instance| {
+                    (
+                        instance.id.as_str(),
+                        (instance.state(), instance.address.as_str()),
+                    )
+                }));
             }
         }
         let expected = BTreeMap::from([
@@ -616,33 +638,39 @@
             ("b2", (InstanceState::Draining, "127.0.91.9:9002")),
             ("b6", (InstanceState::Serving, "127.0.91.9:9006")),
         ]);
-        assert_eq!(told, expected, "{folder}");
+        assert_eq!(received, expected, "{directory}");
     }
 }
 
-/// Guards a controller whose files were set aside once: it is not part of a first start, whatever its settings say.
+/// Guards a controller whose files were quarantined once: it never takes part in the first start of
+/// a cluster, whatever its settings say.
 #[test]
-fn a_controller_whose_files_were_set_aside_has_lost_its_disk() {
-    for (folder, _) in FOLDERS {
-        let (_, kept) = Copy::of(folder).open();
-        assert_eq!(kept.may_bootstrap(true), folder != SET_ASIDE, "{folder}");
-        assert!(!kept.may_bootstrap(false), "{folder}");
+fn quarantined_controller_never_bootstraps() {
+    for (directory, _) in DIRECTORIES {
+        let (_, stored) = DataCopy::of(directory).open();
+        assert_eq!(
+            stored.may_bootstrap(true),
+            directory != SET_ASIDE,
+            "{directory}"
+        );
+        assert!(!stored.may_bootstrap(false), "{directory}");
     }
 }
 
-/// Guards a controller whose old files turn out to be damaged: they are refused, set aside and kept, and it starts without a disk.
+/// Guards a controller whose old files turn out to be corrupt: they are rejected, quarantined and
+/// kept, and the controller starts without a disk.
 #[test]
-fn damaged_files_are_set_aside() {
-    for (folder, prefix) in [
+fn corrupt_files_are_quarantined() {
+    for (directory, prefix) in [
         (LEADER, "state-"),
         (LEADER, "log-"),
         (READMITTED, "state-"),
         (SET_ASIDE, "log-"),
     ] {
-        let copy = Copy::of(folder);
+        let copy = DataCopy::of(directory);
         let first = |prefix: &str| {
             let files = fs::read_dir(&copy.0)
-                .expect("a folder")
+                .expect("a directory")
                 .map(|file| file.expect("a file").path());
             files
                 .filter(|path| {
@@ -658,20 +686,24 @@
         fs::write(&path, &bytes).expect("written");
         assert!(
             matches!(Store::open(Directory::new(&copy.0)), Err(Error::Corrupt { path: at }) if at == path),
-            "{folder}"
+            "{directory}"
         );
-        let (_, kept) = Store::open_with_retries(Directory::new(&copy.0), StoreLimits::default())
+        let (_, stored) = Store::open_with_retries(Directory::new(&copy.0), StoreLimits::default())
             .expect("opened");
         assert_eq!(
-            kept,
+            stored,
             StoredState {
                 quarantined: true,
                 ..StoredState::default()
             },
-            "{folder}"
+            "{directory}"
+        );
+        assert!(!stored.may_bootstrap(true), "{directory}");
+        let quarantined_file = first(&format!("spoilt-{prefix}")).expect("a quarantined file");
+        assert_eq!(
+            fs::read(quarantined_file).expect("read"),
+            bytes,
+            "{directory}"
         );
-        assert!(!kept.may_bootstrap(true), "{folder}");
-        let kept_aside = first(&format!("spoilt-{prefix}")).expect("a file set aside");
-        assert_eq!(fs::read(kept_aside).expect("read"), bytes, "{folder}");
     }
 }
