--- a/crates/forward-auth/src/cache.rs
+++ b/crates/forward-auth/src/cache.rs
@@ -11,7 +11,7 @@
 /// The verdicts that are kept.
 #[derive(Debug)]
 pub(crate) struct Cache<T> {
-    room: usize,
+    max_bytes: usize,
     bytes: usize,
     entries: HashMap<Key, Entry<T>>,
     /// The same by the time of their end: the next to go are first. The number tells entries of one time apart.
@@ -28,9 +28,9 @@
 }
 
 impl<T> Cache<T> {
-    pub fn new(room: usize) -> Cache<T> {
+    pub fn new(max_bytes: usize) -> Cache<T> {
         Cache {
-            room,
+            max_bytes,
             bytes: 0,
             entries: HashMap::new(),
             ends: BTreeMap::new(),
@@ -53,10 +53,10 @@
     pub fn put(&mut self, key: Key, verdict: Verdict<T>, until: Millis) {
         self.remove(key);
         let bytes = verdict.bytes.saturating_add(ENTRY);
-        if bytes > self.room {
+        if bytes > self.max_bytes {
             return;
         }
-        while self.bytes + bytes > self.room {
+        while self.bytes + bytes > self.max_bytes {
             let Some((_, first)) = self.ends.first_key_value() else {
                 break;
             };
--- a/crates/forward-auth/src/gate.rs
+++ b/crates/forward-auth/src/gate.rs
@@ -2,7 +2,7 @@
 
 use crate::cache::Cache;
 use crate::interface::{
-    CheckId, Counts, Decision, Failure, Output, Refusal, RequestId, Settings, Verdict,
+    CheckId, Counts, Decision, Failure, Output, RejectReason, RequestId, Settings, Verdict,
 };
 use crate::key::Key;
 use crate::server::Server;
@@ -112,7 +112,7 @@
     }
 
     /// Questions that are out.
-    pub fn checks_out(&self) -> usize {
+    pub fn checks_in_flight(&self) -> usize {
         self.giving_up.len()
     }
 
@@ -122,14 +122,14 @@
     }
 
     /// Forgets all verdicts.
-    pub fn forget(&mut self) {
+    pub fn clear_cache(&mut self) {
         self.cache.clear();
     }
 
     // ---- Requests -----------------------------------------------------------------------------------
 
     /// A request asks to pass. Its decision comes out at once or later, once.
-    pub fn ask(
+    pub fn submit(
         &mut self,
         now: Millis,
         request: RequestId,
@@ -139,11 +139,11 @@
     ) {
         if let Some(verdict) = self.cache.get(now, key) {
             let decision = decision(verdict);
-            self.counts.kept += 1;
+            self.counts.cache_hits += 1;
             return self.out.push_back(Output::Decided { request, decision });
         }
         let left = deadline - now;
-        let until = (now + left * self.settings.share).min(deadline - self.settings.room);
+        let until = (now + left * self.settings.share).min(deadline - self.settings.reserved_time);
         // What is out already may be answered before long; a new question takes what it usually takes.
         let asked = self.by_key.get(&key).copied();
         let least = if asked.is_some() {
@@ -152,19 +152,19 @@
             self.usual.unwrap_or(0.0)
         };
         if until - now <= least {
-            return self.turn_away(request, class, Refusal::NoTime);
+            return self.turn_away(request, class, RejectReason::NoTime);
         }
-        if self.requests.len() >= self.settings.most_waiting {
-            return self.turn_away(request, class, Refusal::Full);
+        if self.requests.len() >= self.settings.max_waiting {
+            return self.turn_away(request, class, RejectReason::Full);
         }
         if asked.is_none() && self.choose(now, &BTreeSet::new()).is_none() {
-            return self.turn_away(request, class, Refusal::NoServer);
+            return self.turn_away(request, class, RejectReason::NoServer);
         }
         self.requests.insert(request, Waiting { key, class, until });
         self.ends.insert((place(until), request));
         match asked {
             Some(check) => {
-                self.counts.shared += 1;
+                self.counts.joined += 1;
                 self.join(check, request, until);
             }
             None => {
@@ -201,7 +201,9 @@
             Some(out) => {
                 self.giving_up
                     .remove(&(place(out.given_up(earliest.is_none())), check));
-                out.until = out.until.max(until.min(out.since + self.settings.limit));
+                out.until = out
+                    .until
+                    .max(until.min(out.since + self.settings.check_timeout));
                 self.giving_up.insert((place(out.given_up(false)), check));
             }
             // Somebody with less time puts it forward.
@@ -216,7 +218,7 @@
     }
 
     /// A request's client has gone, or it was refused elsewhere: it gets no decision. Others lose nothing by it.
-    pub fn leave(&mut self, now: Millis, request: RequestId) {
+    pub fn cancel(&mut self, now: Millis, request: RequestId) {
         if self.take_out(request).is_some() {
             self.begin(now);
         }
@@ -255,14 +257,14 @@
         Some(class)
     }
 
-    fn turn_away(&mut self, request: RequestId, class: usize, refusal: Refusal) {
+    fn turn_away(&mut self, request: RequestId, class: usize, refusal: RejectReason) {
         let open = self.settings.fail_open.get(class).copied().unwrap_or(false);
         let decision = if open {
             self.counts.unchecked += 1;
             Decision::PassUnchecked(refusal)
         } else {
-            self.counts.refused += 1;
-            Decision::Refuse(refusal)
+            self.counts.rejected += 1;
+            Decision::Reject(refusal)
         };
         self.out.push_back(Output::Decided { request, decision });
     }
@@ -293,7 +295,7 @@
 
     /// Puts questions out, as many as may be.
     fn begin(&mut self, now: Millis) {
-        while self.checks_out() < self.settings.most_out {
+        while self.checks_in_flight() < self.settings.max_in_flight {
             let Some((turn, check)) = self.turns.first().copied() else {
                 return;
             };
@@ -304,7 +306,7 @@
                 .unwrap_or_default();
             let Some(server) = self.choose(now, &tried) else {
                 self.turns.remove(&(turn, check));
-                self.give_up(check, Refusal::NoServer);
+                self.give_up(check, RejectReason::NoServer);
                 continue;
             };
             self.turns.remove(&(turn, check));
@@ -317,7 +319,7 @@
                 .and_then(|(_, request)| self.requests.get(request));
             let until = latest
                 .map_or(now, |of| of.until.max(now))
-                .min(now + self.settings.limit);
+                .min(now + self.settings.check_timeout);
             let (attempt, key) = (of.tries, of.key);
             of.tries += 1;
             of.tried.insert(server);
@@ -329,19 +331,19 @@
             of.out = Some(out);
             self.giving_up.insert((place(out.given_up(false)), check));
             self.servers[server].ask(check);
-            self.counts.asked += 1;
+            self.counts.attempts += 1;
             self.out.push_back(Output::Check {
                 check,
                 attempt,
                 key,
                 server,
-                until,
+                deadline: until,
             });
         }
     }
 
     /// All that wait for a question are turned away.
-    fn give_up(&mut self, check: CheckId, refusal: Refusal) {
+    fn give_up(&mut self, check: CheckId, refusal: RejectReason) {
         let waiting = self
             .checks
             .get(&check)
@@ -368,7 +370,13 @@
     }
 
     /// The service has said what it says; late or not, it may be kept.
-    pub fn answered(&mut self, now: Millis, check: CheckId, attempt: u32, verdict: Verdict<T>) {
+    pub fn verdict_received(
+        &mut self,
+        now: Millis,
+        check: CheckId,
+        attempt: u32,
+        verdict: Verdict<T>,
+    ) {
         let Some(out) = self.settled(check, attempt) else {
             return;
         };
@@ -382,8 +390,8 @@
             return;
         };
         self.by_key.remove(&of.key);
-        let most = self.settings.keep[usize::from(!verdict.passes)];
-        let keep = verdict.keep.unwrap_or(0.0).min(most);
+        let most = self.settings.max_ttl[usize::from(!verdict.passes)];
+        let keep = verdict.ttl.unwrap_or(0.0).min(most);
         for (_, request) in of.waiting {
             if self.take_out(request).is_some() {
                 let decision = decision(&verdict);
@@ -397,12 +405,12 @@
     }
 
     /// A try failed. It is asked again elsewhere while somebody's budget lasts.
-    pub fn failed(&mut self, now: Millis, check: CheckId, attempt: u32, failure: Failure) {
+    pub fn check_failed(&mut self, now: Millis, check: CheckId, attempt: u32, failure: Failure) {
         let Some(out) = self.settled(check, attempt) else {
             return;
         };
-        self.counts.failed += 1;
-        let spare = failure == Failure::KeptConnection;
+        self.counts.failed_attempts += 1;
+        let spare = failure == Failure::ReusedConnection;
         match spare {
             true => self.servers[out.server].dropped(check),
             false => self.server_failed(now, check, out.server),
@@ -414,19 +422,19 @@
         if free {
             of.tried.remove(&out.server);
         }
-        let more = of.tries < self.settings.tries + u32::from(of.spared);
+        let more = of.tries < self.settings.max_attempts + u32::from(of.spared);
         match of.earliest() {
             Some(earliest) if more => {
                 self.turns.insert((earliest, check));
             }
-            Some(_) => self.give_up(check, Refusal::GivenUp),
+            Some(_) => self.give_up(check, RejectReason::CheckFailed),
             None => self.drop_check(check),
         }
         self.begin(now);
     }
 
     fn server_failed(&mut self, now: Millis, check: CheckId, server: usize) {
-        let [least, most] = self.settings.pause;
+        let [least, most] = self.settings.backoff;
         let jitter = 0.5 + 0.5 * f64::from(self.rng.next_u32()) / 4_294_967_296.0;
         let pause = |pauses: u32| (least * f64::from(1u32 << pauses.min(16))).min(most) * jitter;
         self.servers[server].failed(now, check, self.settings.failures, pause);
@@ -435,7 +443,7 @@
     // ---- Time ---------------------------------------------------------------------------------------
 
     /// When [`Gate::pass_time`] has something to do next.
-    pub fn due(&self) -> Option<Millis> {
+    pub fn next_deadline(&self) -> Option<Millis> {
         let request = self
             .ends
             .first()
@@ -450,13 +458,13 @@
     }
 
     /// Lets time pass.
-    pub fn pass_time(&mut self, now: Millis) {
+    pub fn tick(&mut self, now: Millis) {
         while let Some((_, request)) = self.ends.first().copied() {
             if self.requests.get(&request).is_some_and(|of| of.until > now) {
                 break;
             }
             match self.take_out(request) {
-                Some(class) => self.turn_away(request, class, Refusal::GivenUp),
+                Some(class) => self.turn_away(request, class, RejectReason::CheckFailed),
                 None => {
                     self.ends.pop_first();
                 }
@@ -470,8 +478,8 @@
                 break;
             }
             let attempt = of.tries.saturating_sub(1);
-            self.out.push_back(Output::CallOff { check });
-            self.failed(now, check, attempt, Failure::Server);
+            self.out.push_back(Output::Cancel { check });
+            self.check_failed(now, check, attempt, Failure::Server);
         }
         self.begin(now);
     }
@@ -498,7 +506,7 @@
 
 fn decision<T>(verdict: &Verdict<T>) -> Decision<T> {
     match verdict.passes {
-        true => Decision::Pass(verdict.answer.clone()),
-        false => Decision::Deny(verdict.answer.clone()),
+        true => Decision::Pass(verdict.response.clone()),
+        false => Decision::Deny(verdict.response.clone()),
     }
 }
--- a/crates/forward-auth/src/headers.rs
+++ b/crates/forward-auth/src/headers.rs
@@ -39,7 +39,7 @@
     /// Headers of a pass that go on to the backend; a client's own are stripped, so that nobody can forge them.
     pub onward: Vec<HeaderName>,
     /// Bytes of names and values that are taken from an answer at most.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
 }
 
 /// The headers of an answer that count are larger than is taken.
@@ -48,7 +48,7 @@
 
 /// The request as the service is told of it.
 #[derive(Clone, Copy, Debug)]
-pub struct About<'a> {
+pub struct RequestContext<'a> {
     /// Its method.
     pub method: &'a Method,
     /// Its target.
@@ -89,7 +89,7 @@
     }
 
     /// The headers of the sub-request: the caller's, but for those of its connection and body, and what the request is.
-    pub fn sub_request(&self, headers: &HeaderMap, about: &About<'_>) -> HeaderMap {
+    pub fn sub_request(&self, headers: &HeaderMap, about: &RequestContext<'_>) -> HeaderMap {
         let mut sent = headers.clone();
         // Whatever the connection names is of the connection too.
         let named: Vec<HeaderName> = headers
@@ -135,7 +135,10 @@
     ///
     /// # Errors
     /// If they are larger than is taken.
-    pub fn onward(&self, answer: &HeaderMap) -> Result<Vec<(HeaderName, HeaderValue)>, TooLarge> {
+    pub fn headers_for_backend(
+        &self,
+        answer: &HeaderMap,
+    ) -> Result<Vec<(HeaderName, HeaderValue)>, TooLarge> {
         let listed = self
             .onward
             .iter()
@@ -152,7 +155,10 @@
     ///
     /// # Errors
     /// If they are larger than is taken.
-    pub fn back(&self, answer: &HeaderMap) -> Result<Vec<(HeaderName, HeaderValue)>, TooLarge> {
+    pub fn headers_for_client(
+        &self,
+        answer: &HeaderMap,
+    ) -> Result<Vec<(HeaderName, HeaderValue)>, TooLarge> {
         let of_connection =
             |name: &HeaderName| NOT_SENT.contains(name) || NOT_SENT_TEXT.contains(&name.as_str());
         let kept = answer.iter().filter(|(name, _)| !of_connection(name));
@@ -170,7 +176,7 @@
             .iter()
             .map(|(name, value)| name.as_str().len() + value.len())
             .sum();
-        match bytes <= self.most_bytes {
+        match bytes <= self.max_bytes {
             true => Ok(headers),
             false => Err(TooLarge),
         }
@@ -190,7 +196,7 @@
 
 /// For how long an answer may be kept (RFC 9111, 5.2.2): its `max-age`, nothing with `no-store` or `no-cache`, `None` if it
 /// does not say. What cannot be read is taken for nothing: a verdict that is kept for too long is the worse mistake.
-pub fn keep(answer: &HeaderMap) -> Option<Millis> {
+pub fn cache_ttl(answer: &HeaderMap) -> Option<Millis> {
     let mut found: Option<Millis> = None;
     for value in answer.get_all(CACHE_CONTROL) {
         let Ok(text) = value.to_str() else {
@@ -232,7 +238,7 @@
         Headers {
             credentials: vec!["authorization".parse().unwrap(), "cookie".parse().unwrap()],
             onward: vec!["remote-user".parse().unwrap()],
-            most_bytes: 100,
+            max_bytes: 100,
         }
     }
 
@@ -265,7 +271,7 @@
         ]);
         let (method, uri): (Method, Uri) = (Method::POST, "/cobro/7?lot=3".parse().unwrap());
         let peer = "192.0.2.7".parse().unwrap();
-        let about = About {
+        let about = RequestContext {
             method: &method,
             uri: &uri,
             host: "api.example",
@@ -287,7 +293,7 @@
             "x-forwarded-uri: /cobro/7?lot=3",
         ];
         assert_eq!(lines, expected);
-        let split = About {
+        let split = RequestContext {
             host: "a\r\nX-Admin: 1",
             ..about
         };
@@ -305,7 +311,7 @@
             ("Connection", "close"),
             ("Content-Length", "3"),
         ]);
-        let onward = rules().onward(&answer).unwrap();
+        let onward = rules().headers_for_backend(&answer).unwrap();
         assert_eq!(
             onward
                 .iter()
@@ -313,7 +319,7 @@
                 .collect::<Vec<_>>(),
             ["remote-user"]
         );
-        let back = rules().back(&answer).unwrap();
+        let back = rules().headers_for_client(&answer).unwrap();
         let names: Vec<&str> = back.iter().map(|(name, _)| name.as_str()).collect();
         assert_eq!(
             names,
@@ -326,7 +332,10 @@
         );
         let long = map(&[("Remote-User", &"x".repeat(100))]);
         assert_eq!(
-            (rules().onward(&long), rules().back(&long)),
+            (
+                rules().headers_for_backend(&long),
+                rules().headers_for_client(&long)
+            ),
             (Err(TooLarge), Err(TooLarge))
         );
     }
@@ -359,7 +368,7 @@
     #[test]
     fn an_answer_is_kept_for_as_long_as_it_says_and_no_longer() {
         let kept = |lines: &[&str]| {
-            keep(&map(&lines
+            cache_ttl(&map(&lines
                 .iter()
                 .map(|line| ("cache-control", *line))
                 .collect::<Vec<_>>()))
--- a/crates/forward-auth/src/interface.rs
+++ b/crates/forward-auth/src/interface.rs
@@ -17,21 +17,21 @@
     /// Part of the time until its deadline that a request may wait for its verdict.
     pub share: f64,
     /// Time before the deadline that an attempt needs.
-    pub room: Millis,
+    pub reserved_time: Millis,
     /// Longest wait of one question at one server.
-    pub limit: Millis,
+    pub check_timeout: Millis,
     /// Servers that a question is put to at most.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Questions out at once.
-    pub most_out: usize,
+    pub max_in_flight: usize,
     /// Requests that wait at once.
-    pub most_waiting: usize,
+    pub max_waiting: usize,
     /// Failures in a row after which a server is left alone.
     pub failures: u32,
     /// Shortest and longest pause before it is tried again.
-    pub pause: [Millis; 2],
+    pub backoff: [Millis; 2],
     /// Longest time for which a pass is kept, whatever the service allows; and a denial.
-    pub keep: [Millis; 2],
+    pub max_ttl: [Millis; 2],
     /// Bytes of kept verdicts.
     pub cache_bytes: usize,
     /// For each class, whether it passes where the service cannot be asked.
@@ -42,7 +42,7 @@
 
 /// Why settings cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct InvalidSetting {
     /// The field.
     pub field: String,
     /// What was expected.
@@ -51,18 +51,18 @@
 
 impl Settings {
     /// What an operator who names nothing but servers gets.
-    pub fn usual(servers: usize, classes: usize) -> Settings {
+    pub fn defaults(servers: usize, classes: usize) -> Settings {
         Settings {
             servers,
             share: 0.5,
-            room: 100.0,
-            limit: 1000.0,
-            tries: 2,
-            most_out: 64,
-            most_waiting: 2048,
+            reserved_time: 100.0,
+            check_timeout: 1000.0,
+            max_attempts: 2,
+            max_in_flight: 64,
+            max_waiting: 2048,
             failures: 5,
-            pause: [250.0, 5000.0],
-            keep: [60_000.0, 2000.0],
+            backoff: [250.0, 5000.0],
+            max_ttl: [60_000.0, 2000.0],
             cache_bytes: 1 << 20,
             fail_open: vec![false; classes],
             seed: 0,
@@ -70,11 +70,11 @@
     }
 
     /// Every mistake, for classes of these effects.
-    pub fn mistakes(&self, classes: &[Idempotency]) -> Vec<Wrong> {
+    pub fn mistakes(&self, classes: &[Idempotency]) -> Vec<InvalidSetting> {
         let mut found = Vec::new();
         let mut least = |held: bool, field: &str, expected| {
             if !held {
-                found.push(Wrong {
+                found.push(InvalidSetting {
                     field: field.to_owned(),
                     expected,
                 });
@@ -87,27 +87,27 @@
             "more than 0 and 1 at most",
         );
         least(
-            self.room >= 0.0 && self.room.is_finite(),
+            self.reserved_time >= 0.0 && self.reserved_time.is_finite(),
             "room",
             "0 or more",
         );
         least(
-            self.limit >= 1.0 && self.limit.is_finite(),
+            self.check_timeout >= 1.0 && self.check_timeout.is_finite(),
             "limit",
             "1 or more",
         );
-        least(self.tries > 0, "tries", "1 or more");
-        least(self.most_out > 0, "most_out", "1 or more");
-        least(self.most_waiting > 0, "most_waiting", "1 or more");
+        least(self.max_attempts > 0, "tries", "1 or more");
+        least(self.max_in_flight > 0, "most_out", "1 or more");
+        least(self.max_waiting > 0, "most_waiting", "1 or more");
         least(self.failures > 0, "failures", "1 or more");
-        let [shortest, longest] = self.pause;
+        let [shortest, longest] = self.backoff;
         least(
             shortest >= 1.0 && shortest <= longest && longest.is_finite(),
             "pause",
             "the shortest from 1, then the longest",
         );
         least(
-            self.keep.iter().all(|keep| *keep >= 0.0),
+            self.max_ttl.iter().all(|ttl| *ttl >= 0.0),
             "keep",
             "0 or more",
         );
@@ -130,25 +130,25 @@
     /// Whether the caller may pass.
     pub passes: bool,
     /// The answer that goes with it: headers to add, or the whole denial.
-    pub answer: Rc<T>,
+    pub response: Rc<T>,
     /// Its size in bytes.
     pub bytes: usize,
     /// For how long the service lets it be kept; `None` if it does not say.
-    pub keep: Option<Millis>,
+    pub ttl: Option<Millis>,
 }
 
 /// Why a check failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// A kept connection had died while idle: that says nothing of the server.
-    KeptConnection,
+    ReusedConnection,
     /// Anything else: refused, reset, spoilt, too large, too late.
     Server,
 }
 
 /// Why a request is refused without a verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// There is not the time that the service usually takes.
     NoTime,
     /// No server is worth asking now.
@@ -156,7 +156,7 @@
     /// Too many wait.
     Full,
     /// Its budget is over, or no server is left to ask.
-    GivenUp,
+    CheckFailed,
 }
 
 /// What becomes of a request.
@@ -165,11 +165,11 @@
     /// It goes on.
     Pass(Rc<T>),
     /// It goes on unchecked, by the operator's explicit word.
-    PassUnchecked(Refusal),
+    PassUnchecked(RejectReason),
     /// The service's own answer is its answer.
     Deny(Rc<T>),
     /// It is refused.
-    Refuse(Refusal),
+    Reject(RejectReason),
 }
 
 /// What comes out.
@@ -186,7 +186,7 @@
         /// Which server.
         server: usize,
         /// When it is given up.
-        until: Millis,
+        deadline: Millis,
     },
     /// A request is decided.
     Decided {
@@ -196,7 +196,7 @@
         decision: Decision<T>,
     },
     /// Nobody waits for this question any more, and its time is over.
-    CallOff {
+    Cancel {
         /// Which.
         check: CheckId,
     },
@@ -206,15 +206,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests decided by a kept verdict.
-    pub kept: u64,
+    pub cache_hits: u64,
     /// Requests that waited for a question of another.
-    pub shared: u64,
+    pub joined: u64,
     /// Questions put to a server, each try.
-    pub asked: u64,
+    pub attempts: u64,
     /// Tries that failed.
-    pub failed: u64,
+    pub failed_attempts: u64,
     /// Requests that passed unchecked.
     pub unchecked: u64,
     /// Requests refused without a verdict.
-    pub refused: u64,
+    pub rejected: u64,
 }
--- a/crates/forward-auth/src/key.rs
+++ b/crates/forward-auth/src/key.rs
@@ -9,18 +9,18 @@
 
 /// Makes keys, with a secret of this process.
 #[derive(Clone)]
-pub struct Keyring([u8; 16]);
+pub struct KeyHasher([u8; 16]);
 
-impl std::fmt::Debug for Keyring {
+impl std::fmt::Debug for KeyHasher {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Keyring")
     }
 }
 
-impl Keyring {
+impl KeyHasher {
     /// With this secret.
-    pub fn new(secret: [u8; 16]) -> Keyring {
-        Keyring(secret)
+    pub fn new(secret: [u8; 16]) -> KeyHasher {
+        KeyHasher(secret)
     }
 
     /// The key of these parts in this order: one for each header that the operator names (`None` where the request has
@@ -48,7 +48,7 @@
 
     #[test]
     fn parts_do_not_run_together() {
-        let ring = Keyring::new([7; 16]);
+        let ring = KeyHasher::new([7; 16]);
         let key =
             |parts: &[Option<&str>]| ring.key(parts.iter().map(|part| part.map(str::as_bytes)));
         let lists: [&[Option<&str>]; 12] = [
@@ -75,7 +75,7 @@
                 );
             }
         }
-        let other = Keyring::new([8; 16]);
+        let other = KeyHasher::new([8; 16]);
         assert_ne!(
             other.key([Some(&b"abc"[..])]),
             key(&[Some("abc")]),
--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -24,6 +24,7 @@
 
 pub use gate::Gate;
 pub use interface::{
-    CheckId, Counts, Decision, Failure, Output, Refusal, RequestId, Settings, Verdict, Wrong,
+    CheckId, Counts, Decision, Failure, InvalidSetting, Output, RejectReason, RequestId, Settings,
+    Verdict,
 };
-pub use key::{Key, Keyring};
+pub use key::{Key, KeyHasher};
--- a/crates/forward-auth/tests/gate.rs
+++ b/crates/forward-auth/tests/gate.rs
@@ -1,30 +1,30 @@
 //! The gate by hand: each rule, and the hard cases.
 
 use maplefall_forward_auth::{
-    Decision, Failure, Gate, Key, Keyring, Output, Refusal, Settings, Verdict,
+    Decision, Failure, Gate, Key, KeyHasher, Output, RejectReason, Settings, Verdict,
 };
 use maplefall_policy::Idempotency;
 use std::rc::Rc;
 
 fn key(caller: &str) -> Key {
-    Keyring::new([1; 16]).key([Some(caller.as_bytes())])
+    KeyHasher::new([1; 16]).key([Some(caller.as_bytes())])
 }
 
 fn settings() -> Settings {
     Settings {
         share: 0.5,
-        room: 100.0,
-        limit: 400.0,
-        ..Settings::usual(2, 3)
+        reserved_time: 100.0,
+        check_timeout: 400.0,
+        ..Settings::defaults(2, 3)
     }
 }
 
 fn verdict(passes: bool, keep: f64) -> Verdict<&'static str> {
     Verdict {
         passes,
-        answer: Rc::new(if passes { "yes" } else { "no" }),
+        response: Rc::new(if passes { "yes" } else { "no" }),
         bytes: 100,
-        keep: Some(keep),
+        ttl: Some(keep),
     }
 }
 
@@ -44,32 +44,32 @@
                 check,
                 attempt,
                 server,
-                until,
+                deadline: until,
                 ..
             } => {
                 found.checks.push((check, attempt, server, until));
             }
             Output::Decided { request, decision } => found.decided.push((request, decision)),
-            Output::CallOff { check } => found.off.push(check),
+            Output::Cancel { check } => found.off.push(check),
         }
     }
     found
 }
 
 fn ask(gate: &mut Gate<&'static str>, now: f64, request: u64, caller: &str, deadline: f64) -> Out {
-    gate.ask(now, request, key(caller), 0, deadline);
+    gate.submit(now, request, key(caller), 0, deadline);
     out(gate)
 }
 
 #[test]
 fn a_verdict_is_kept_for_its_caller_and_its_time_within_the_upper_bound() {
     let mut gate = Gate::new(Settings {
-        keep: [1000.0, 200.0],
+        max_ttl: [1000.0, 200.0],
         ..settings()
     });
     let asked = ask(&mut gate, 0.0, 1, "ana", 2000.0);
     assert_eq!(asked.checks, [(1, 0, 0, 400.0)]);
-    gate.answered(10.0, 1, 0, verdict(true, 1e9));
+    gate.verdict_received(10.0, 1, 0, verdict(true, 1e9));
     assert_eq!(
         out(&mut gate).decided,
         [(1, Decision::Pass(Rc::new("yes")))]
@@ -89,8 +89,8 @@
         "its time is over"
     );
     // A denial is kept for shorter; what must not be stored is not.
-    gate.answered(1020.0, 2, 0, verdict(false, 1e9));
-    gate.answered(1020.0, 3, 0, verdict(true, 0.0));
+    gate.verdict_received(1020.0, 2, 0, verdict(false, 1e9));
+    gate.verdict_received(1020.0, 3, 0, verdict(true, 0.0));
     assert_eq!(out(&mut gate).decided.len(), 2);
     assert_eq!(
         ask(&mut gate, 1219.0, 5, "eva", 9000.0).decided,
@@ -98,9 +98,9 @@
     );
     assert_eq!(ask(&mut gate, 1220.0, 6, "eva", 9000.0).checks.len(), 1);
     assert_eq!(ask(&mut gate, 1220.0, 7, "ana", 9000.0).checks.len(), 1);
-    gate.answered(1230.0, 4, 0, verdict(true, 1e9));
+    gate.verdict_received(1230.0, 4, 0, verdict(true, 1e9));
     out(&mut gate);
-    gate.forget();
+    gate.clear_cache();
     assert_eq!(
         ask(&mut gate, 1231.0, 8, "eva", 9000.0).checks.len(),
         1,
@@ -116,9 +116,9 @@
         let asked = ask(&mut gate, 0.0, request, "ana", 5000.0);
         assert_eq!(asked.checks.len(), usize::from(request == 0));
     }
-    gate.leave(1.0, 0);
+    gate.cancel(1.0, 0);
     assert!(out(&mut gate).checks.is_empty());
-    gate.failed(2.0, 1, 0, Failure::Server);
+    gate.check_failed(2.0, 1, 0, Failure::Server);
     let again = out(&mut gate);
     assert_eq!(
         (again.checks[0].1, again.checks[0].2),
@@ -126,9 +126,9 @@
         "asked again, at the other server"
     );
     // What the first try still says is of no account.
-    gate.answered(3.0, 1, 0, verdict(false, 0.0));
+    gate.verdict_received(3.0, 1, 0, verdict(false, 0.0));
     assert!(out(&mut gate).decided.is_empty());
-    gate.answered(4.0, 1, 1, verdict(true, 0.0));
+    gate.verdict_received(4.0, 1, 1, verdict(true, 0.0));
     let decided = out(&mut gate).decided;
     assert_eq!(decided.len(), 1999);
     assert!(decided
@@ -141,15 +141,15 @@
     let mut gate = Gate::new(settings());
     assert_eq!(
         ask(&mut gate, 0.0, 1, "ana", 90.0).decided,
-        [(1, Decision::Refuse(Refusal::NoTime))]
+        [(1, Decision::Reject(RejectReason::NoTime))]
     );
     ask(&mut gate, 0.0, 2, "ana", 5000.0);
-    gate.answered(300.0, 1, 0, verdict(true, 0.0));
+    gate.verdict_received(300.0, 1, 0, verdict(true, 0.0));
     out(&mut gate);
     // The service usually takes 300 ms: half of 500 is not enough, and there is no use in waiting for that to show.
     assert_eq!(
         ask(&mut gate, 400.0, 3, "eva", 900.0).decided,
-        [(3, Decision::Refuse(Refusal::NoTime))]
+        [(3, Decision::Reject(RejectReason::NoTime))]
     );
     assert_eq!(ask(&mut gate, 400.0, 4, "eva", 1100.0).checks.len(), 1);
     // The question is out already: whoever comes may still profit.
@@ -159,19 +159,19 @@
 #[test]
 fn a_request_is_decided_at_its_budgets_end_and_a_late_verdict_serves_those_to_come() {
     let mut gate = Gate::new(Settings {
-        tries: 1,
+        max_attempts: 1,
         ..settings()
     });
     ask(&mut gate, 0.0, 1, "ana", 300.0);
-    assert_eq!(gate.due(), Some(150.0), "half of its time");
-    gate.pass_time(149.0);
+    assert_eq!(gate.next_deadline(), Some(150.0), "half of its time");
+    gate.tick(149.0);
     assert!(out(&mut gate).decided.is_empty());
-    gate.pass_time(150.0);
+    gate.tick(150.0);
     assert_eq!(
         out(&mut gate).decided,
-        [(1, Decision::Refuse(Refusal::GivenUp))]
+        [(1, Decision::Reject(RejectReason::CheckFailed))]
     );
-    gate.answered(170.0, 1, 0, verdict(true, 5000.0));
+    gate.verdict_received(170.0, 1, 0, verdict(true, 5000.0));
     assert!(out(&mut gate).decided.is_empty(), "it has its answer");
     assert_eq!(
         ask(&mut gate, 180.0, 2, "ana", 5000.0).decided,
@@ -182,22 +182,22 @@
 #[test]
 fn a_kept_connection_that_died_while_idle_costs_no_denial_and_no_trust() {
     let mut gate = Gate::new(Settings {
-        tries: 1,
+        max_attempts: 1,
         failures: 1,
         servers: 1,
         ..settings()
     });
     ask(&mut gate, 0.0, 1, "ana", 5000.0);
-    gate.failed(1.0, 1, 0, Failure::KeptConnection);
+    gate.check_failed(1.0, 1, 0, Failure::ReusedConnection);
     assert_eq!(
         out(&mut gate).checks,
         [(1, 1, 0, 401.0)],
         "asked again on another connection"
     );
-    gate.failed(2.0, 1, 1, Failure::KeptConnection);
+    gate.check_failed(2.0, 1, 1, Failure::ReusedConnection);
     assert_eq!(
         out(&mut gate).decided,
-        [(1, Decision::Refuse(Refusal::GivenUp))],
+        [(1, Decision::Reject(RejectReason::CheckFailed))],
         "once, not for ever"
     );
     assert_eq!(
@@ -210,24 +210,24 @@
 #[test]
 fn a_dead_service_is_left_alone_and_tried_again_by_one_question() {
     let mut gate = Gate::new(Settings {
-        tries: 1,
+        max_attempts: 1,
         failures: 2,
         servers: 1,
-        pause: [1000.0, 4000.0],
+        backoff: [1000.0, 4000.0],
         ..settings()
     });
     for request in 1..=3 {
         ask(&mut gate, 0.0, request, &format!("c{request}"), 5000.0);
     }
-    gate.failed(10.0, 1, 0, Failure::Server);
-    gate.failed(10.0, 2, 0, Failure::Server);
+    gate.check_failed(10.0, 1, 0, Failure::Server);
+    gate.check_failed(10.0, 2, 0, Failure::Server);
     out(&mut gate);
     // It opens while the third is out: that one goes on, and says nothing new when it fails.
     assert_eq!(
         ask(&mut gate, 11.0, 4, "c4", 5000.0).decided,
-        [(4, Decision::Refuse(Refusal::NoServer))]
+        [(4, Decision::Reject(RejectReason::NoServer))]
     );
-    gate.failed(300.0, 3, 0, Failure::Server);
+    gate.check_failed(300.0, 3, 0, Failure::Server);
     out(&mut gate);
     let from = (11..3000).find(|at| {
         let asked = ask(
@@ -247,10 +247,10 @@
     let at = f64::from(from);
     assert_eq!(
         ask(&mut gate, at, 5, "c5", at + 5000.0).decided,
-        [(5, Decision::Refuse(Refusal::NoServer))]
+        [(5, Decision::Reject(RejectReason::NoServer))]
     );
     let check = 4;
-    gate.answered(at + 5.0, check, 0, verdict(false, 0.0));
+    gate.verdict_received(at + 5.0, check, 0, verdict(false, 0.0));
     out(&mut gate);
     assert_eq!(
         ask(&mut gate, at + 6.0, 6, "c6", at + 5000.0).checks.len(),
@@ -263,7 +263,7 @@
 fn one_server_that_is_a_black_hole_is_passed_over_for_the_other() {
     let mut gate = Gate::new(Settings {
         failures: 3,
-        limit: 100.0,
+        check_timeout: 100.0,
         ..settings()
     });
     let mut holes = 0;
@@ -279,14 +279,14 @@
         for (check, attempt, server, _) in asked.checks {
             holes += u32::from(server == 0);
             if server == 1 {
-                gate.answered(now + 1.0, check, attempt, verdict(true, 0.0));
+                gate.verdict_received(now + 1.0, check, attempt, verdict(true, 0.0));
             }
         }
-        gate.pass_time(now + 9.0);
+        gate.tick(now + 9.0);
         for (check, attempt, server, _) in out(&mut gate).checks {
             holes += u32::from(server == 0);
             if server == 1 {
-                gate.answered(now + 9.0, check, attempt, verdict(true, 0.0));
+                gate.verdict_received(now + 9.0, check, attempt, verdict(true, 0.0));
             }
         }
         out(&mut gate);
@@ -298,8 +298,8 @@
 #[test]
 fn the_earliest_deadline_goes_first_and_waiting_is_bounded() {
     let mut gate = Gate::new(Settings {
-        most_out: 1,
-        most_waiting: 3,
+        max_in_flight: 1,
+        max_waiting: 3,
         ..settings()
     });
     ask(&mut gate, 0.0, 1, "first", 5000.0);
@@ -307,16 +307,16 @@
     ask(&mut gate, 0.0, 3, "sooner", 3000.0);
     assert_eq!(
         ask(&mut gate, 0.0, 4, "more", 5000.0).decided,
-        [(4, Decision::Refuse(Refusal::Full))]
+        [(4, Decision::Reject(RejectReason::Full))]
     );
-    gate.answered(5.0, 1, 0, verdict(true, 0.0));
+    gate.verdict_received(5.0, 1, 0, verdict(true, 0.0));
     assert_eq!(
         out(&mut gate).checks[0].0,
         3,
         "the one whose deadline is nearer"
     );
     // Whoever has less time puts the question that it shares forward.
-    gate.answered(6.0, 3, 0, verdict(true, 0.0));
+    gate.verdict_received(6.0, 3, 0, verdict(true, 0.0));
     assert_eq!(out(&mut gate).checks[0].0, 2);
 }
 
@@ -326,7 +326,7 @@
         fail_open: vec![true, false, true],
         servers: 1,
         failures: 1,
-        tries: 1,
+        max_attempts: 1,
         ..settings()
     };
     let wrong = open.mistakes(&[
@@ -350,13 +350,16 @@
         []
     );
     let mut gate = Gate::new(open);
-    gate.ask(0.0, 1, key("ana"), 0, 5000.0);
-    gate.ask(0.0, 2, key("ana"), 1, 5000.0);
+    gate.submit(0.0, 1, key("ana"), 0, 5000.0);
+    gate.submit(0.0, 2, key("ana"), 1, 5000.0);
     out(&mut gate);
-    gate.failed(1.0, 1, 0, Failure::Server);
+    gate.check_failed(1.0, 1, 0, Failure::Server);
     let decided = out(&mut gate).decided;
-    assert_eq!(decided[0], (1, Decision::PassUnchecked(Refusal::GivenUp)));
-    assert_eq!(decided[1], (2, Decision::Refuse(Refusal::GivenUp)));
+    assert_eq!(
+        decided[0],
+        (1, Decision::PassUnchecked(RejectReason::CheckFailed))
+    );
+    assert_eq!(decided[1], (2, Decision::Reject(RejectReason::CheckFailed)));
     assert_eq!(gate.counts().unchecked, 1);
 }
 
@@ -364,14 +367,14 @@
 fn kept_verdicts_stay_within_their_bytes_and_the_soonest_to_end_make_room() {
     let mut gate = Gate::new(Settings {
         cache_bytes: 600,
-        most_out: 100,
+        max_in_flight: 100,
         ..settings()
     });
     for request in 0..4u64 {
         ask(&mut gate, 0.0, request, &format!("c{request}"), 5000.0);
     }
     for check in 1..=4u64 {
-        gate.answered(1.0, check, 0, verdict(true, 1000.0 * check as f64));
+        gate.verdict_received(1.0, check, 0, verdict(true, 1000.0 * check as f64));
         assert!(gate.cached_bytes() <= 600);
     }
     out(&mut gate);
@@ -380,7 +383,7 @@
     assert_eq!(ask(&mut gate, 2.0, 11, "c2", 5000.0).decided.len(), 1);
     assert_eq!(ask(&mut gate, 2.0, 12, "c0", 5000.0).checks.len(), 1);
     // One that is larger than all of it is not kept.
-    gate.answered(
+    gate.verdict_received(
         3.0,
         5,
         0,
--- a/crates/forward-auth/tests/schedules.rs
+++ b/crates/forward-auth/tests/schedules.rs
@@ -7,7 +7,7 @@
 //!
 //! `AUTH_SCHEDULES=N` plays more.
 
-use maplefall_forward_auth::{Decision, Failure, Gate, Key, Keyring, Output, Settings, Verdict};
+use maplefall_forward_auth::{Decision, Failure, Gate, Key, KeyHasher, Output, Settings, Verdict};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,18 +51,18 @@
         let mut below = |bound: u32| rng.next_u32() % bound;
         let settings = Settings {
             share: 0.3 + f64::from(below(7)) / 10.0,
-            room: f64::from(below(60)),
-            limit: f64::from(20 + below(200)),
-            tries: 1 + below(3),
-            most_out: 1 + below(4) as usize,
-            most_waiting: 1 + below(12) as usize,
+            reserved_time: f64::from(below(60)),
+            check_timeout: f64::from(20 + below(200)),
+            max_attempts: 1 + below(3),
+            max_in_flight: 1 + below(4) as usize,
+            max_waiting: 1 + below(12) as usize,
             failures: 1 + below(4),
-            pause: [10.0, 200.0],
-            keep: [f64::from(below(300)), f64::from(below(50))],
+            backoff: [10.0, 200.0],
+            max_ttl: [f64::from(below(300)), f64::from(below(50))],
             cache_bytes: 200 * below(6) as usize,
             fail_open: vec![false, true],
             seed,
-            ..Settings::usual(1 + below(3) as usize, 2)
+            ..Settings::defaults(1 + below(3) as usize, 2)
         };
         Played {
             gate: Gate::new(settings.clone()),
@@ -87,7 +87,7 @@
         } else {
             caller
         };
-        Keyring::new([3; 16]).key([Some(&caller.to_be_bytes()[..])])
+        KeyHasher::new([3; 16]).key([Some(&caller.to_be_bytes()[..])])
     }
 
     fn step(&mut self, number: u64) -> Result<(), String> {
@@ -98,13 +98,13 @@
                 let key = self.key(caller);
                 self.keys.insert(key, caller);
                 self.open.insert(number, (caller, class, deadline));
-                self.gate.ask(self.now, number, key, class, deadline);
+                self.gate.submit(self.now, number, key, class, deadline);
             }
             4 => {
                 let lot = self.below(8) as usize;
                 if let Some(request) = self.open.keys().nth(lot).copied() {
                     self.open.remove(&request);
-                    self.gate.leave(self.now, request);
+                    self.gate.cancel(self.now, request);
                 }
             }
             5 | 6 => {
@@ -118,15 +118,15 @@
                     let keep = Some(f64::from(self.below(400)));
                     let verdict = Verdict {
                         passes,
-                        answer: Rc::new(caller),
+                        response: Rc::new(caller),
                         bytes: 10,
-                        keep,
+                        ttl: keep,
                     };
                     self.gate
-                        .answered(self.now, check, attempt, verdict.clone());
+                        .verdict_received(self.now, check, attempt, verdict.clone());
                     if self.broken == Some(Broken::Twice) {
                         // As if it were the answer to whatever was asked next.
-                        self.gate.answered(self.now, check + 1, 0, verdict);
+                        self.gate.verdict_received(self.now, check + 1, 0, verdict);
                     }
                     // Now and then it is answered twice.
                     if self.below(3) > 0 {
@@ -138,15 +138,15 @@
                 let lot = self.below(4) as usize;
                 if let Some((check, attempt)) = self.out.keys().nth(lot).copied() {
                     let failure = if self.below(3) == 0 {
-                        Failure::KeptConnection
+                        Failure::ReusedConnection
                     } else {
                         Failure::Server
                     };
                     self.out.remove(&(check, attempt));
-                    self.gate.failed(self.now, check, attempt, failure);
+                    self.gate.check_failed(self.now, check, attempt, failure);
                 }
             }
-            8 if self.below(20) == 0 => self.gate.forget(),
+            8 if self.below(20) == 0 => self.gate.clear_cache(),
             _ => {
                 let step = f64::from(self.below(40));
                 self.pass(step);
@@ -158,7 +158,7 @@
     fn pass(&mut self, time: f64) {
         self.now += time;
         if self.broken != Some(Broken::NoTime) {
-            self.gate.pass_time(self.now);
+            self.gate.tick(self.now);
         }
     }
 
@@ -170,7 +170,7 @@
                     attempt,
                     key,
                     server,
-                    until,
+                    deadline: until,
                 } => {
                     if until < self.now || server >= self.settings.servers {
                         return Err(format!(
@@ -180,7 +180,7 @@
                     }
                     self.out.insert((check, attempt), key);
                 }
-                Output::CallOff { .. } => {}
+                Output::Cancel { .. } => {}
                 Output::Decided { request, decision } => {
                     let Some((caller, class, deadline)) = self.open.remove(&request) else {
                         return Err(format!(
@@ -199,7 +199,7 @@
                         Decision::Pass(given) => **given != caller || caller % 2 != 0,
                         Decision::Deny(given) => **given != caller || caller % 2 == 0,
                         Decision::PassUnchecked(_) => class != OPEN,
-                        Decision::Refuse(_) => class == OPEN,
+                        Decision::Reject(_) => class == OPEN,
                     };
                     if wrong {
                         return Err(format!(
@@ -210,8 +210,8 @@
             }
         }
         let gate = &self.gate;
-        if gate.waiting() > self.settings.most_waiting
-            || gate.checks_out() > self.settings.most_out
+        if gate.waiting() > self.settings.max_waiting
+            || gate.checks_in_flight() > self.settings.max_in_flight
             || gate.cached_bytes() > self.settings.cache_bytes
             || gate.waiting() != self.open.len()
         {
@@ -219,7 +219,7 @@
                 "{} wait of {}, {} out",
                 gate.waiting(),
                 self.open.len(),
-                gate.checks_out()
+                gate.checks_in_flight()
             ));
         }
         Ok(())
@@ -233,7 +233,7 @@
         // Nothing that has come due is left lying.
         played.pass(0.0);
         played.look()?;
-        let due = played.gate.due();
+        let due = played.gate.next_deadline();
         if due.is_some_and(|due| due <= played.now) && broken.is_none() {
             return Err(format!("due at {due:?}, it is {}", played.now));
         }
--- a/crates/grpc/src/attempt.rs
+++ b/crates/grpc/src/attempt.rs
@@ -20,13 +20,17 @@
     /// The status that the client would get.
     pub code: Code,
     /// The reason in words; empty if the status is the backend's own.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 impl End {
     /// An end with this outcome and status, for this reason.
-    pub fn new(outcome: Outcome, code: Code, why: &'static str) -> End {
-        End { outcome, code, why }
+    pub fn new(outcome: Outcome, code: Code, reason: &'static str) -> End {
+        End {
+            outcome,
+            code,
+            reason,
+        }
     }
 
     /// Whether it is certain that the backend did not start the call, so that a retry cannot run it twice.
@@ -90,12 +94,16 @@
     }
 
     /// Ends the attempt unless it has ended.
-    fn end(&mut self, outcome: Outcome, code: Code, why: &'static str) -> Option<End> {
+    fn end(&mut self, outcome: Outcome, code: Code, reason: &'static str) -> Option<End> {
         if self.phase == Phase::Ended {
             return None;
         }
         self.phase = Phase::Ended;
-        Some(End { outcome, code, why })
+        Some(End {
+            outcome,
+            code,
+            reason,
+        })
     }
 
     /// The response head was received; `ends` if the stream ends with it.
@@ -123,7 +131,7 @@
             return self.end(Outcome::Error, Code::Unknown, "the answer is no gRPC");
         }
         if ends {
-            return self.ended_bare();
+            return self.ended_without_status();
         }
         self.phase = Phase::Responding;
         None
@@ -157,7 +165,7 @@
                 "the answer's messages cannot be told apart",
             );
         }
-        let begun = self.frames.messages() + u64::from(self.frames.within());
+        let begun = self.frames.messages() + u64::from(self.frames.in_message());
         if !self.shape.response_streams() && begun > 1 {
             return self.end(
                 Outcome::Reset,
@@ -179,7 +187,7 @@
     /// Ends the attempt by a gRPC status, unless the time or the messages contradict it.
     fn status(&mut self, now: Millis, headers: &HeaderMap) -> Option<End> {
         let Some(status) = headers.get(GRPC_STATUS) else {
-            return self.ended_bare();
+            return self.ended_without_status();
         };
         let code = Code::from_wire(status.as_bytes());
         if now >= self.call_deadline {
@@ -190,7 +198,7 @@
                 "the status came after the deadline",
             );
         }
-        if self.frames.within() {
+        if self.frames.in_message() {
             // A truncated message overrides an `OK`.
             return self.end(
                 Outcome::Reset,
@@ -224,7 +232,7 @@
     }
 
     /// The response ended with neither trailers nor a reset.
-    pub fn ended_bare(&mut self) -> Option<End> {
+    pub fn ended_without_status(&mut self) -> Option<End> {
         self.end(Outcome::Reset, Code::Unknown, "the answer has no status")
     }
 
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -180,14 +180,14 @@
     }
 
     /// The client cancelled the call or its connection broke: nothing is sent any more.
-    pub fn gone(&mut self) {
+    pub fn cancel(&mut self) {
         self.finished = true;
         self.current_attempt = None;
         self.drop_buffered();
     }
 
     /// Whether the call has its final status, or its client has gone.
-    pub fn over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.finished
     }
 
@@ -209,11 +209,11 @@
     }
 
     /// Rejects the call: a retry is harmless, after `wait` where that is advised.
-    pub fn refuse(&mut self, wait: Option<Millis>, outputs: &mut Vec<Output>) {
+    pub fn reject(&mut self, wait: Option<Millis>, outputs: &mut Vec<Output>) {
         let text = match &self.last_end {
             Some((end, _)) => format!(
                 "refused; trying again is harmless ({:?}: {})",
-                end.code, end.why
+                end.code, end.reason
             ),
             None => "refused; trying again is harmless".to_owned(),
         };
@@ -236,19 +236,19 @@
             None => status_trailers(Code::Unknown, "it may have run"),
             Some((end, _)) if end.code.is_retried_by_clients() => status_trailers(
                 Code::Unknown,
-                &format!("it may have run ({:?}: {})", end.code, end.why),
+                &format!("it may have run ({:?}: {})", end.code, end.reason),
             ),
             // The status is the backend's own.
-            Some((end, trailers)) if end.why.is_empty() => trailers,
-            Some((end, _)) => status_trailers(end.code, end.why),
+            Some((end, trailers)) if end.reason.is_empty() => trailers,
+            Some((end, _)) => status_trailers(end.code, end.reason),
         };
         forbid_retries(&mut trailers);
         self.finish(CallResult::Failed, trailers, outputs);
     }
 
     /// Ends the call with a status of the gateway's: the call is malformed, or its caller is not permitted.
-    pub fn turn_down(&mut self, code: Code, why: &str, outputs: &mut Vec<Output>) {
-        self.finish(CallResult::Failed, status_trailers(code, why), outputs);
+    pub fn fail_with_status(&mut self, code: Code, reason: &str, outputs: &mut Vec<Output>) {
+        self.finish(CallResult::Failed, status_trailers(code, reason), outputs);
     }
 
     fn finish(&mut self, result: CallResult, trailers: HeaderMap, outputs: &mut Vec<Output>) {
--- a/crates/grpc/src/frames.rs
+++ b/crates/grpc/src/frames.rs
@@ -69,12 +69,12 @@
     }
 
     /// Whether the bytes so far end within a message or its prefix.
-    pub fn within(&self) -> bool {
+    pub fn in_message(&self) -> bool {
         self.prefix_bytes > 0
     }
 
     /// Bytes received of the current message, its prefix included; 0 between messages.
-    pub fn bytes_within(&self) -> usize {
+    pub fn bytes_in_message(&self) -> usize {
         let prefix_bytes = usize::from(self.prefix_bytes);
         if self.prefix_bytes == PREFIX_BYTES {
             prefix_bytes + (self.length - self.remaining) as usize
--- a/crates/grpc/src/frames/tests.rs
+++ b/crates/grpc/src/frames/tests.rs
@@ -22,7 +22,7 @@
         }
         let complete = boundaries.iter().rposition(|end| *end <= stream.len()).unwrap();
         prop_assert_eq!(frames.messages(), complete as u64);
-        prop_assert_eq!(frames.within(), boundaries[complete] != stream.len());
+        prop_assert_eq!(frames.in_message(), boundaries[complete] != stream.len());
     }
 }
 
--- a/crates/grpc/src/replay.rs
+++ b/crates/grpc/src/replay.rs
@@ -28,7 +28,7 @@
     /// The client has ended the request stream.
     End,
     /// The chunk was dropped after the commit: no attempt can begin here.
-    Gone,
+    Dropped,
 }
 
 impl Replay {
@@ -45,7 +45,7 @@
     }
 
     /// Whether more may be read from the client.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.bytes < self.max_bytes
     }
 
@@ -54,11 +54,11 @@
     pub fn push(&mut self, chunk: Bytes) -> bool {
         // Empty chunks are dropped: without end they would fill the buffer and count no bytes.
         if chunk.is_empty() {
-            return self.has_room();
+            return self.has_capacity();
         }
         self.bytes += chunk.len();
         self.chunks.push_back(chunk);
-        self.has_room()
+        self.has_capacity()
     }
 
     /// The client ended the request stream.
@@ -80,7 +80,7 @@
     /// What follows at a position, in chunks from the first.
     pub fn next(&self, position: u64) -> Next {
         let Some(index) = position.checked_sub(self.dropped) else {
-            return Next::Gone;
+            return Next::Dropped;
         };
         match usize::try_from(index)
             .ok()
--- a/crates/grpc/src/replay/tests.rs
+++ b/crates/grpc/src/replay/tests.rs
@@ -13,15 +13,15 @@
     );
     assert_eq!(replay.next(1), Next::Wait);
     assert!(!replay.push(Bytes::from_static(b"defg")));
-    assert!(!replay.has_room());
+    assert!(!replay.has_capacity());
     replay.commit(1);
-    assert!(replay.has_room());
-    assert_eq!((replay.next(0), replay.bytes()), (Next::Gone, 4));
+    assert!(replay.has_capacity());
+    assert_eq!((replay.next(0), replay.bytes()), (Next::Dropped, 4));
     replay.end();
     replay.taken(2);
     assert_eq!(
         (replay.next(1), replay.next(2), replay.bytes()),
-        (Next::Gone, Next::End, 0)
+        (Next::Dropped, Next::End, 0)
     );
 }
 
--- a/crates/grpc/src/response_queue.rs
+++ b/crates/grpc/src/response_queue.rs
@@ -111,7 +111,7 @@
 
     /// Bytes of a message that is incomplete at the end of the queue, if none of it is sent.
     fn unsent_incomplete_bytes(&self) -> usize {
-        let bytes = self.received.bytes_within();
+        let bytes = self.received.bytes_in_message();
         if bytes <= self.queued_bytes {
             bytes
         } else {
--- a/crates/grpc/src/routes.rs
+++ b/crates/grpc/src/routes.rs
@@ -13,7 +13,7 @@
 
 /// Why a table cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Wrong {
+pub enum RouteError {
     /// A pattern has none of the four forms.
     #[error("{0:?}: /package.Service/Method, /package.Service/*, /package.* or * was expected")]
     InvalidPattern(String),
@@ -112,7 +112,9 @@
     ///
     /// # Errors
     /// All patterns that cannot be used, and a table of more than [`MAX_ROUTES`].
-    pub fn new<'a>(rows: impl IntoIterator<Item = (&'a str, R)>) -> Result<Routes<R>, Vec<Wrong>> {
+    pub fn new<'a>(
+        rows: impl IntoIterator<Item = (&'a str, R)>,
+    ) -> Result<Routes<R>, Vec<RouteError>> {
         let mut routes = Routes {
             nodes: vec![Node::new()],
         };
@@ -124,15 +126,15 @@
                 continue;
             }
             let Some(parsed) = Pattern::parse(pattern) else {
-                errors.push(Wrong::InvalidPattern(pattern.to_owned()));
+                errors.push(RouteError::InvalidPattern(pattern.to_owned()));
                 continue;
             };
             if !routes.insert(parsed, route) {
-                errors.push(Wrong::Duplicate(pattern.to_owned()));
+                errors.push(RouteError::Duplicate(pattern.to_owned()));
             }
         }
         if count > MAX_ROUTES {
-            errors.push(Wrong::TooManyRoutes(count));
+            errors.push(RouteError::TooManyRoutes(count));
         }
         if errors.is_empty() {
             Ok(routes)
--- a/crates/grpc/src/routes/tests.rs
+++ b/crates/grpc/src/routes/tests.rs
@@ -35,10 +35,10 @@
     ];
     let wrong = Routes::new(rows.map(|row| (row, 0))).unwrap_err();
     assert_eq!(wrong.len(), 9, "{wrong:?}");
-    assert_eq!(wrong[0], Wrong::Duplicate("/a.B/C".to_owned()));
+    assert_eq!(wrong[0], RouteError::Duplicate("/a.B/C".to_owned()));
     let many: Vec<String> = (0..=MAX_ROUTES).map(|n| format!("/a.B/C{n}")).collect();
     let wrong = Routes::new(many.iter().map(|row| (row.as_str(), 0))).unwrap_err();
-    assert_eq!(wrong, [Wrong::TooManyRoutes(MAX_ROUTES + 1)]);
+    assert_eq!(wrong, [RouteError::TooManyRoutes(MAX_ROUTES + 1)]);
 }
 
 proptest! {
--- a/crates/grpc/tests/attempt.rs
+++ b/crates/grpc/tests/attempt.rs
@@ -249,7 +249,7 @@
         "neither message nor status"
     );
     assert_eq!(
-        outcome_and_code(responding_attempt(Shape::Unary, &message()).ended_bare()),
+        outcome_and_code(responding_attempt(Shape::Unary, &message()).ended_without_status()),
         (Outcome::Reset, Code::Unknown)
     );
     let without_status =
@@ -292,7 +292,7 @@
         (
             attempt.lost(),
             attempt.timed_out(),
-            attempt.ended_bare(),
+            attempt.ended_without_status(),
             attempt.unprocessed()
         ),
         (None, None, None, None)
--- a/crates/grpc/tests/call.rs
+++ b/crates/grpc/tests/call.rs
@@ -105,12 +105,12 @@
 fn call_has_one_final_status() {
     let (mut call, mut outputs) = (call(Shape::ServerStream), Vec::new());
     let first = call.begin().unwrap();
-    call.refuse(Some(120.4), &mut outputs);
+    call.reject(Some(120.4), &mut outputs);
     assert_eq!(status(&outputs), (Code::Unavailable, Some("121")));
     call.fail(0.0, &mut outputs);
     call.serve(&mut outputs);
-    call.refuse(None, &mut outputs);
-    call.turn_down(Code::Internal, "", &mut outputs);
+    call.reject(None, &mut outputs);
+    call.fail_with_status(Code::Internal, "", &mut outputs);
     call.head(first, HeaderMap::new(), &mut outputs);
     call.data(first, Bytes::from_static(b"1"), &mut outputs);
     call.commit(&mut outputs);
@@ -121,7 +121,7 @@
     // Nothing is sent once the client has gone.
     let (mut gone, mut outputs) = (self::call(Shape::Unary), Vec::new());
     gone.begin().unwrap();
-    gone.gone();
+    gone.cancel();
     gone.fail(0.0, &mut outputs);
     assert_eq!((outputs.len(), gone.begin()), (0, Err(Closed)));
 }
--- a/crates/grpc/tests/response_queue.rs
+++ b/crates/grpc/tests/response_queue.rs
@@ -142,7 +142,7 @@
         let mut all = Frames::default();
         all.take(received).unwrap();
         prop_assert_eq!(frames.messages(), all.messages());
-        prop_assert!(!frames.within() || frames.bytes_within() + MAX_BYTES >= 60);
+        prop_assert!(!frames.in_message() || frames.bytes_in_message() + MAX_BYTES >= 60);
         if served {
             prop_assert_eq!(sent.len(), received.len());
         }
--- a/crates/grpc/tests/schedules/world.rs
+++ b/crates/grpc/tests/schedules/world.rs
@@ -169,7 +169,7 @@
         } else if self.attempts < MAX_ATTEMPTS && !self.call.committed() && may_retry {
             return self.begin_attempt();
         } else if may_retry {
-            self.call.refuse(Some(5.0), &mut outputs);
+            self.call.reject(Some(5.0), &mut outputs);
         } else {
             self.call.fail(self.now, &mut outputs);
         }
@@ -276,7 +276,7 @@
             }
             Event::EndsWithoutStatus if current.has_response() => {
                 self.run(current);
-                current.attempt.ended_bare()
+                current.attempt.ended_without_status()
             }
             Event::Reset(REFUSED_STREAM) if current.is_untouched() => {
                 current.attempt.sent();
@@ -408,7 +408,7 @@
         frames
             .take(response)
             .map_err(|_| "served what is no message")?;
-        if frames.within() {
+        if frames.in_message() {
             return Err("served a truncated message".to_owned());
         }
         Ok(())
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -12,9 +12,9 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
-use maplefall_forward_auth::headers::{keep, About};
+use maplefall_forward_auth::headers::{cache_ttl, RequestContext};
 use maplefall_forward_auth::{
-    CheckId, Decision, Failure, Gate, Key, Keyring, Output, Refusal, Verdict,
+    CheckId, Decision, Failure, Gate, Key, KeyHasher, Output, RejectReason, Verdict,
 };
 use maplefall_policy::{BackendId, ClassId, Millis, RequestId};
 use maplefall_protocol::Answer;
@@ -83,7 +83,7 @@
 pub struct Auth {
     settings: AuthSettings,
     clock: Clock,
-    key_ring: Keyring,
+    key_hasher: KeyHasher,
     gate: RefCell<Gate<AuthResponse>>,
     waiters: RefCell<HashMap<u64, Waiter>>,
     last_waiter_id: Cell<u64>,
@@ -100,7 +100,7 @@
     settings.map_or(0, |settings| {
         settings
             .gate
-            .most_out
+            .max_in_flight
             .min((descriptors / SOCKETS_PER_CHECK).max(1))
     })
 }
@@ -112,7 +112,7 @@
 impl Auth {
     /// Checks by these settings, on `sockets` connections at most.
     pub fn new(mut settings: AuthSettings, clock: Clock, seed: u64, sockets: usize) -> Rc<Auth> {
-        settings.gate.most_out = settings.gate.most_out.min(sockets);
+        settings.gate.max_in_flight = settings.gate.max_in_flight.min(sockets);
         settings.gate.seed = seed;
         let links = Links {
             dial_timeout: DIAL_TIMEOUT,
@@ -131,7 +131,7 @@
             gate: RefCell::new(Gate::new(settings.gate.clone())),
             settings,
             clock,
-            key_ring: Keyring::new(secret),
+            key_hasher: KeyHasher::new(secret),
             waiters: RefCell::default(),
             last_waiter_id: Cell::new(0),
             pending_checks: RefCell::default(),
@@ -148,7 +148,7 @@
 
     /// Drops all cached verdicts.
     pub fn clear_cache(&self) {
-        self.gate.borrow_mut().forget();
+        self.gate.borrow_mut().clear_cache();
     }
 
     /// The caller of a request that came from `peer`.
@@ -184,8 +184,8 @@
             .iter()
             .map(Option::as_deref)
             .chain(key_parts.iter().map(|part| Some(part.as_slice())));
-        let key = self.key_ring.key(parts);
-        let context = About {
+        let key = self.key_hasher.key(parts);
+        let context = RequestContext {
             method: &head.method,
             uri: &head.uri,
             host: &host,
@@ -227,9 +227,11 @@
         let _wait_guard = WaitGuard { auth: self, id };
         self.gate
             .borrow_mut()
-            .ask(self.clock.now(), id, caller.key, caller.class.0, deadline);
+            .submit(self.clock.now(), id, caller.key, caller.class.0, deadline);
         self.execute_outputs();
-        decision.await.unwrap_or(Decision::Refuse(Refusal::GivenUp))
+        decision
+            .await
+            .unwrap_or(Decision::Reject(RejectReason::CheckFailed))
     }
 
     /// Checks the caller of a pending request, and reports the result to the driver.
@@ -248,8 +250,8 @@
         };
         #[cfg(feature = "breakages")]
         let decision = match decision {
-            Decision::Refuse(why) if breakages::is(Breakage::FailOpen) => {
-                Decision::PassUnchecked(why)
+            Decision::Reject(reason) if breakages::is(Breakage::FailOpen) => {
+                Decision::PassUnchecked(reason)
             }
             decision => decision,
         };
@@ -271,7 +273,7 @@
                 return Checked::Passed;
             }
             Decision::Deny(response) => Checked::Denied(response),
-            Decision::Refuse(_) => Checked::Unchecked,
+            Decision::Reject(_) => Checked::Unchecked,
         };
         match driver.check_denied(id) {
             true => outcome,
@@ -289,7 +291,7 @@
         let pools_owner = self.clone();
         tokio::task::spawn_local(async move { pools_owner.pools.close_idle_periodically().await });
         loop {
-            let deadline = self.gate.borrow().due();
+            let deadline = self.gate.borrow().next_deadline();
             let sleep = async {
                 match deadline {
                     Some(due) => tokio::time::sleep_until(self.clock.instant(due)).await,
@@ -298,7 +300,7 @@
             };
             tokio::select! {
                 () = sleep => {
-                    self.gate.borrow_mut().pass_time(self.clock.now());
+                    self.gate.borrow_mut().tick(self.clock.now());
                     self.execute_outputs();
                 }
                 () = self.timer_changed.notified() => {}
@@ -318,7 +320,7 @@
                         let _ = waiter.decision_sender.send(decision);
                     }
                 }
-                Output::CallOff { check } => {
+                Output::Cancel { check } => {
                     if let Some(task) = self.in_flight.borrow_mut().remove(&check) {
                         task.abort();
                     }
@@ -347,10 +349,11 @@
                             Ok(verdict) => auth
                                 .gate
                                 .borrow_mut()
-                                .answered(now, check, attempt, verdict),
-                            Err(failure) => {
-                                auth.gate.borrow_mut().failed(now, check, attempt, failure)
-                            }
+                                .verdict_received(now, check, attempt, verdict),
+                            Err(failure) => auth
+                                .gate
+                                .borrow_mut()
+                                .check_failed(now, check, attempt, failure),
                         }
                         auth.execute_outputs();
                     });
@@ -394,7 +397,7 @@
                 .await
                 .map_err(|error| match error {
                     // No fault of the server; a moment later there may be capacity.
-                    ConnectError::LocalLimit => Failure::KeptConnection,
+                    ConnectError::LocalLimit => Failure::ReusedConnection,
                     ConnectError::Unreachable => Failure::Server,
                 })?,
         };
@@ -407,7 +410,7 @@
         }
         connection.wire.begin_request(0, false);
         let connection_failure = if reused {
-            Failure::KeptConnection
+            Failure::ReusedConnection
         } else {
             Failure::Server
         };
@@ -432,7 +435,7 @@
         if head.status.is_server_error() || head.status.is_informational() {
             return None;
         }
-        let max_bytes = self.settings.headers.most_bytes;
+        let max_bytes = self.settings.headers.max_bytes;
         let body = Limited::new(body, max_bytes)
             .collect()
             .await
@@ -440,9 +443,18 @@
             .to_bytes();
         let passes = head.status.is_success();
         let response = if passes {
-            AuthResponse::Onward(self.settings.headers.onward(&head.headers).ok()?)
+            AuthResponse::Onward(
+                self.settings
+                    .headers
+                    .headers_for_backend(&head.headers)
+                    .ok()?,
+            )
         } else {
-            let headers = self.settings.headers.back(&head.headers).ok()?;
+            let headers = self
+                .settings
+                .headers
+                .headers_for_client(&head.headers)
+                .ok()?;
             AuthResponse::Denial {
                 status: head.status,
                 headers,
@@ -452,9 +464,9 @@
         let bytes = cached_size(&response);
         Some(Verdict {
             passes,
-            answer: Rc::new(response),
+            response: Rc::new(response),
             bytes,
-            keep: keep(&head.headers),
+            ttl: cache_ttl(&head.headers),
         })
     }
 }
@@ -493,7 +505,7 @@
             self.auth
                 .gate
                 .borrow_mut()
-                .leave(self.auth.clock.now(), self.id);
+                .cancel(self.auth.clock.now(), self.id);
             self.auth.execute_outputs();
         }
     }
--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -222,17 +222,17 @@
             None => modes[at] = *mode,
         }
     }
-    let defaults = GateSettings::usual(servers.len().max(1), count);
+    let defaults = GateSettings::defaults(servers.len().max(1), count);
     let gate = GateSettings {
         share: file.share.unwrap_or(defaults.share),
-        room: file.room_ms.unwrap_or(defaults.room),
-        limit: file.limit_ms.unwrap_or(defaults.limit),
-        tries: file.tries.unwrap_or(defaults.tries),
-        most_out: file.most_out.unwrap_or(defaults.most_out),
-        most_waiting: file.most_waiting.unwrap_or(defaults.most_waiting),
+        reserved_time: file.room_ms.unwrap_or(defaults.reserved_time),
+        check_timeout: file.limit_ms.unwrap_or(defaults.check_timeout),
+        max_attempts: file.tries.unwrap_or(defaults.max_attempts),
+        max_in_flight: file.most_out.unwrap_or(defaults.max_in_flight),
+        max_waiting: file.most_waiting.unwrap_or(defaults.max_waiting),
         failures: file.failures.unwrap_or(defaults.failures),
-        pause: file.pause_ms.unwrap_or(defaults.pause),
-        keep: file.keep_ms.unwrap_or(defaults.keep),
+        backoff: file.pause_ms.unwrap_or(defaults.backoff),
+        max_ttl: file.keep_ms.unwrap_or(defaults.max_ttl),
         cache_bytes: file.cache_bytes.unwrap_or(defaults.cache_bytes),
         fail_open: modes.iter().map(|mode| *mode == Mode::Open).collect(),
         ..defaults
@@ -256,7 +256,7 @@
         headers: Headers {
             credentials,
             onward,
-            most_bytes: answer_bytes,
+            max_bytes: answer_bytes,
         },
         key: file.key.unwrap_or(vec![KeyPart::Class, KeyPart::Plan]),
         proto: match file.proto {
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -149,13 +149,13 @@
 const NOT_SENT: &End = &End {
     outcome: Outcome::NotSent,
     code: maplefall_grpc::Code::Unavailable,
-    why: "not sent",
+    reason: "not sent",
 };
 /// The end where the attempt has reported its end before: it does so once, and its end is taken once.
 const ALREADY_ENDED: &End = &End {
     outcome: Outcome::Reset,
     code: maplefall_grpc::Code::Internal,
-    why: "over",
+    reason: "over",
 };
 
 /// What heads and trailers say of the customer's usage, and the trailers.
@@ -248,7 +248,7 @@
                 return;
             }
             // No attempt begins at a call that is committed.
-            Next::Wait | Next::Gone => return,
+            Next::Wait | Next::Dropped => return,
         }
     }
 }
@@ -309,7 +309,7 @@
             metadata.trailers = trailers;
             end
         }
-        Ok(None) => attempt.ended_bare(),
+        Ok(None) => attempt.ended_without_status(),
         Err(error) => transport_error(attempt, connection, now(), &error),
     }
 }
--- a/crates/maplefall/src/net/grpc/call_handler.rs
+++ b/crates/maplefall/src/net/grpc/call_handler.rs
@@ -105,7 +105,9 @@
         incoming.checked = auth.is_none();
         let Some((id, mut answer)) = self.driver.start_call(incoming, Some(call.clone())) else {
             let message = "a call with this id has come before";
-            call.update(|call, outputs| call.turn_down(Code::AlreadyExists, message, outputs));
+            call.update(|call, outputs| {
+                call.fail_with_status(Code::AlreadyExists, message, outputs)
+            });
             return response.send_all(&call).await;
         };
         let mut guard = PendingCallGuard {
@@ -160,7 +162,7 @@
             Checked::Answered(answer) => self.apply_answer(call, answer),
             Checked::Denied(auth_response) => {
                 let (code, message) = denial_status(&auth_response);
-                call.update(|call, outputs| call.turn_down(code, message, outputs));
+                call.update(|call, outputs| call.fail_with_status(code, message, outputs));
             }
             Checked::Unchecked => {
                 let retry_after = self
@@ -168,7 +170,7 @@
                     .settings
                     .retry_after
                     .then_some(UNCHECKED_RETRY_AFTER);
-                call.update(|call, outputs| call.refuse(retry_after, outputs));
+                call.update(|call, outputs| call.reject(retry_after, outputs));
             }
         }
     }
@@ -178,7 +180,7 @@
         let now = self.driver.clock.now();
         call.update(|call: &mut Call, outputs| match answer {
             Answer::Served(_) => call.serve(outputs),
-            Answer::Refused(retry_after) => call.refuse(retry_after, outputs),
+            Answer::Refused(retry_after) => call.reject(retry_after, outputs),
             Answer::Failed => call.fail(now, outputs),
         });
     }
@@ -208,7 +210,7 @@
 impl Drop for PendingCallGuard<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            self.call.update(|call, _| call.gone());
+            self.call.update(|call, _| call.cancel());
             self.driver.client_disconnected(id);
             self.driver.cancel_if_permitted(id);
         }
--- a/crates/maplefall/src/net/grpc/proxied_call.rs
+++ b/crates/maplefall/src/net/grpc/proxied_call.rs
@@ -108,7 +108,7 @@
 
     /// Waits until no more than [`MAX_QUEUED_BYTES`] are queued for the client.
     pub async fn wait_for_capacity(&self) {
-        while self.response.borrow().is_full() && !self.call.borrow().over() {
+        while self.response.borrow().is_full() && !self.call.borrow().is_finished() {
             self.output_taken.notified().await;
         }
     }
@@ -155,7 +155,7 @@
 
     /// Waits until more may be read from the client.
     pub async fn wait_for_upload_capacity(&self) {
-        while !self.replay.borrow().has_room() {
+        while !self.replay.borrow().has_capacity() {
             self.upload_taken.notified().await;
         }
     }
@@ -168,7 +168,7 @@
                 return next;
             }
             // All that can be kept for a retry has been sent and the client has more: there is no retry from here on.
-            if !self.replay.borrow().has_room() {
+            if !self.replay.borrow().has_capacity() {
                 if self.update(Call::commit) {
                     committed();
                 }
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -1,7 +1,7 @@
 //! The file of gRPC pass-through (`MAPLEFALL_GRPC`, a TOML file; `deploy/grpc.toml` is one): where calls are accepted, and which
 //! class each method belongs to. Without it no further port is opened.
 
-use maplefall_grpc::routes::{Routes, Wrong};
+use maplefall_grpc::routes::{RouteError, Routes};
 use maplefall_grpc::Shape;
 use maplefall_policy::{ClassId, Millis};
 use maplefall_settings::plain;
@@ -176,7 +176,11 @@
     }
     let routes = Routes::new(rows);
     if let Err(wrong) = &routes {
-        errors.extend(wrong.iter().map(|wrong: &Wrong| format!("route: {wrong}")));
+        errors.extend(
+            wrong
+                .iter()
+                .map(|wrong: &RouteError| format!("route: {wrong}")),
+        );
     }
     match (listen, routes) {
         (Ok(listen), Ok(routes)) if errors.is_empty() => Ok(GrpcSettings {
--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -210,7 +210,7 @@
         let data = data.map_err(|_| CallRejection::Disconnected)?;
         received += data.len();
         let _ = body.flow_control().release_capacity(data.len());
-        if frames.take(&data).is_err() || frames.messages() + u64::from(frames.within()) > 1 {
+        if frames.take(&data).is_err() || frames.messages() + u64::from(frames.in_message()) > 1 {
             return Err(not_one());
         }
         if received > LONGEST_BODY + FRAME_HEADER_BYTES || frames.length() as usize > LONGEST_BODY {
