--- a/crates/grpc/examples/routes.rs
+++ b/crates/grpc/examples/routes.rs
@@ -1,17 +1,18 @@
-//! Time of a route look-up in the trie, in a map of patterns and in a list that is scanned: `cargo run --release -p maplefall-grpc --example routes`.
+//! Measures the time of a route look-up in the trie, in a map of patterns and in a scanned list:
+//! `cargo run --release -p maplefall-grpc --example routes`.
 
 use maplefall_grpc::routes::{PatternMap, Routes};
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Look-ups of a run.
+/// Look-ups per run.
 const LOOKUPS: usize = 200_000;
-/// Runs of a measurement.
+/// Runs per measurement.
 const RUNS: usize = 5;
-/// Routes beyond which the list is not measured.
+/// Maximum number of routes for which the list is measured.
 const MAX_LIST_ROUTES: usize = 1_000;
 
-/// Nanoseconds a look-up, the least of [`RUNS`] runs.
+/// Nanoseconds per look-up, the minimum of [`RUNS`] runs.
 fn nanos_per_lookup(paths: &[String], find: impl Fn(&str) -> Option<u32>) -> f64 {
     let run = || {
         let start = Instant::now();
@@ -26,7 +27,7 @@
 fn main() {
     println!("| routes | trie ns | plain map ns | list ns |\n| --- | --- | --- | --- |");
     for count in [10usize, 100, 1_000, 10_000, 60_000] {
-        let rows: Vec<(String, u32)> = (0..count)
+        let entries: Vec<(String, u32)> = (0..count)
             .map(|n| match n % 10 {
                 0 => (format!("/lots.city{}.v1.Area{n}/*", n / 100), n as u32),
                 _ => (
@@ -36,20 +37,22 @@
             })
             .collect();
         let table = || {
-            rows.iter()
+            entries
+                .iter()
                 .map(|(pattern, route)| (pattern.as_str(), *route))
         };
         let routes = Routes::new(table()).expect("valid patterns");
         let map = PatternMap::new(table());
         let paths: Vec<String> = (0..count)
-            .map(|n| rows[n * 7919 % count].0.replace('*', "Other"))
+            .map(|n| entries[n * 7919 % count].0.replace('*', "Other"))
             .collect();
         let list = |path: &str| {
             let matches = |pattern: &str| match pattern.strip_suffix('*') {
                 Some(prefix) => path.starts_with(prefix),
                 None => pattern == path,
             };
-            rows.iter()
+            entries
+                .iter()
                 .filter(|(pattern, _)| matches(pattern))
                 .max_by_key(|(pattern, _)| pattern.len())
                 .map(|(_, n)| *n)
--- a/crates/grpc/src/attempt.rs
+++ b/crates/grpc/src/attempt.rs
@@ -1,9 +1,11 @@
-//! One attempt at a backend: how it ended, from its status, its transport and the time, which may contradict each other.
+//! One attempt at a backend. How it ended is derived from its status, the transport and the time,
+//! which may contradict each other.
 //!
-//! The retry rules rest on [`End::never_ran`]. Invariant: an attempt whose head was sent counts as possibly run unless the
-//! backend rules it out, by `REFUSED_STREAM` before a response (RFC 9113, 8.7), by a `GOAWAY` whose last stream is an earlier
-//! one (RFC 9113, 6.8), or by a rejecting status with `not-started: 1` before any message (protocol page). These are gRPC's
-//! cases of a transparent retry (gRFC A6), and the gateway's own header.
+//! The retry rules depend on [`End::never_ran`]. Invariant: an attempt whose head was sent counts
+//! as possibly run unless the backend rules it out, by `REFUSED_STREAM` before a response (RFC
+//! 9113, 8.7), by a `GOAWAY` whose last stream is an earlier one (RFC 9113, 6.8), or by a rejecting
+//! status with `not-started: 1` before any message (protocol page). These are gRPC's cases of a
+//! transparent retry (gRFC A6), and the gateway's own header.
 
 use crate::frames::Frames;
 use crate::headers::{is_grpc, GRPC_STATUS, NOT_STARTED};
@@ -15,11 +17,11 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
-    /// The outcome that the decision module is given.
+    /// The outcome for the decision module.
     pub outcome: Outcome,
-    /// The status that the client would get.
+    /// The status code, from the backend or derived.
     pub code: Code,
-    /// The reason in words; empty if the status is the backend's own.
+    /// Why the attempt ended; empty if the status is the backend's own.
     pub reason: &'static str,
 }
 
@@ -33,7 +35,8 @@
         }
     }
 
-    /// Whether it is certain that the backend did not start the call, so that a retry cannot run it twice.
+    /// Whether the backend certainly did not start the call, so that a retry cannot run the call
+    /// twice.
     pub fn never_ran(&self) -> bool {
         matches!(
             self.outcome,
@@ -47,53 +50,53 @@
 enum Phase {
     /// Nothing was sent.
     Unsent,
-    /// The request head was handed to a live connection: from now on the call may run.
+    /// The request head was handed to a live connection, so the call may run.
     Sent,
     /// The response head was received.
     Responding,
-    /// The end was reported.
+    /// The attempt's end was reported.
     Ended,
 }
 
-/// One attempt of a call. Its methods take the events of the transport; the first that ends the attempt returns its [`End`],
-/// and all later ones return `None`.
+/// One attempt of a call. The methods handle events of the transport; the first event that ends the
+/// attempt returns its [`End`], and all later ones return `None`.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     shape: Shape,
-    /// When the gateway gives up the attempt.
+    /// When the gateway cancels the attempt.
     attempt_deadline: Millis,
-    /// When the client gives up the call.
+    /// When the client's deadline of the call passes.
     call_deadline: Millis,
     phase: Phase,
     frames: Frames,
 }
 
 impl Attempt {
-    /// An attempt that is given up at `until`, of a call whose client waits until `deadline`. Both are times of the caller's
-    /// clock, in milliseconds.
-    pub fn new(shape: Shape, until: Millis, deadline: Millis) -> Attempt {
+    /// An attempt that is cancelled at `attempt_deadline`, of a call whose client waits until
+    /// `call_deadline`. Both are times of the caller's clock, in milliseconds.
+    pub fn new(shape: Shape, attempt_deadline: Millis, call_deadline: Millis) -> Attempt {
         Attempt {
             shape,
-            attempt_deadline: until,
-            call_deadline: deadline,
+            attempt_deadline,
+            call_deadline,
             phase: Phase::Unsent,
             frames: Frames::default(),
         }
     }
 
-    /// The request head is handed to a live connection.
+    /// Records that the request head was handed to a live connection.
     pub fn sent(&mut self) {
         if self.phase == Phase::Unsent {
             self.phase = Phase::Sent;
         }
     }
 
-    /// Complete messages of the response so far.
+    /// Number of complete messages of the response so far.
     pub fn messages(&self) -> u64 {
         self.frames.messages()
     }
 
-    /// Ends the attempt unless it has ended.
+    /// Ends the attempt unless it has ended already.
     fn end(&mut self, outcome: Outcome, code: Code, reason: &'static str) -> Option<End> {
         if self.phase == Phase::Ended {
             return None;
@@ -106,19 +109,19 @@
         })
     }
 
-    /// The response head was received; `ends` if the stream ends with it.
+    /// Handles the response head; `end_of_stream` if the stream ends with it.
     pub fn head(
         &mut self,
         now: Millis,
         status: u16,
         headers: &HeaderMap,
-        ends: bool,
+        end_of_stream: bool,
     ) -> Option<End> {
         if self.phase != Phase::Sent {
             return None;
         }
-        // `Trailers-Only`: the gRPC status counts with any HTTP status, since it says more.
-        if ends && headers.contains_key(GRPC_STATUS) {
+        // `Trailers-Only`: the gRPC status counts with any HTTP status, since it is more specific.
+        if end_of_stream && headers.contains_key(GRPC_STATUS) {
             return self.status(now, headers);
         }
         if status != StatusCode::OK.as_u16() {
@@ -130,14 +133,15 @@
         {
             return self.end(Outcome::Error, Code::Unknown, "the answer is no gRPC");
         }
-        if ends {
+        if end_of_stream {
             return self.ended_without_status();
         }
         self.phase = Phase::Responding;
         None
     }
 
-    /// An HTTP status other than 200 without a gRPC status (`http-grpc-status-mapping.md`).
+    /// Ends the attempt by an HTTP status other than 200 without a gRPC status
+    /// (`http-grpc-status-mapping.md`).
     fn http_error(&mut self, status: u16, headers: &HeaderMap) -> Option<End> {
         let code = Code::from_http_status(status);
         let rejected = code.class() == StatusClass::Rejected && is_not_started(headers);
@@ -153,7 +157,7 @@
         )
     }
 
-    /// Further bytes of the response's messages were received.
+    /// Handles further bytes of the response's messages.
     pub fn data(&mut self, bytes: &[u8]) -> Option<End> {
         if self.phase != Phase::Responding {
             return None;
@@ -165,8 +169,8 @@
                 "the answer's messages cannot be told apart",
             );
         }
-        let begun = self.frames.messages() + u64::from(self.frames.in_message());
-        if !self.shape.response_streams() && begun > 1 {
+        let messages_begun = self.frames.messages() + u64::from(self.frames.in_message());
+        if !self.shape.response_streams() && messages_begun > 1 {
             return self.end(
                 Outcome::Reset,
                 Code::Internal,
@@ -176,7 +180,7 @@
         None
     }
 
-    /// The trailers were received.
+    /// Handles the trailers.
     pub fn trailers(&mut self, now: Millis, trailers: &HeaderMap) -> Option<End> {
         match self.phase {
             Phase::Responding => self.status(now, trailers),
@@ -191,7 +195,7 @@
         };
         let code = Code::from_wire(status.as_bytes());
         if now >= self.call_deadline {
-            // The client has given up by now, whatever the status.
+            // The client has given up already, whatever the status.
             return self.end(
                 Outcome::Timeout,
                 Code::DeadlineExceeded,
@@ -220,10 +224,10 @@
     /// The outcome of a status that nothing contradicts.
     fn outcome_of(&self, code: Code, headers: &HeaderMap) -> Outcome {
         match code.class() {
-            StatusClass::Answered => Outcome::Ok,
+            StatusClass::Responded => Outcome::Ok,
             StatusClass::Failed => Outcome::Error,
             StatusClass::TimedOut => Outcome::Timeout,
-            // `not-started` is believed only if no message was received.
+            // `not-started` counts only if no message was received.
             StatusClass::Rejected if is_not_started(headers) && self.frames.messages() == 0 => {
                 Outcome::Full
             }
@@ -231,12 +235,12 @@
         }
     }
 
-    /// The response ended with neither trailers nor a reset.
+    /// Handles the end of a response with neither trailers nor a reset.
     pub fn ended_without_status(&mut self) -> Option<End> {
         self.end(Outcome::Reset, Code::Unknown, "the answer has no status")
     }
 
-    /// The backend reset the stream with this HTTP/2 error code.
+    /// Handles a reset of the stream by the backend, with this HTTP/2 error code.
     pub fn reset(&mut self, now: Millis, error: u32) -> Option<End> {
         match error {
             // After a response head the code contradicts what was received.
@@ -245,7 +249,7 @@
                 Code::Unavailable,
                 "the backend refused the stream",
             ),
-            // Servers reset with CANCEL a call whose `grpc-timeout` has run out.
+            // Servers reset a call with CANCEL when its `grpc-timeout` has expired.
             CANCEL if now >= self.attempt_deadline.min(self.call_deadline) => self.timed_out(),
             _ => self.end(
                 Outcome::Reset,
@@ -255,7 +259,7 @@
         }
     }
 
-    /// The backend did not process the stream: its `GOAWAY` names an earlier one as the last (RFC 9113, 6.8).
+    /// Handles a `GOAWAY` that names an earlier stream as the last one processed (RFC 9113, 6.8).
     pub fn unprocessed(&mut self) -> Option<End> {
         match self.phase {
             Phase::Unsent | Phase::Sent => self.end(
@@ -267,7 +271,7 @@
         }
     }
 
-    /// The connection broke.
+    /// Handles the loss of the connection.
     pub fn lost(&mut self) -> Option<End> {
         match self.phase {
             Phase::Unsent => self.unreachable(),
@@ -275,7 +279,7 @@
         }
     }
 
-    /// No connection could be made.
+    /// Handles a failure to connect.
     pub fn unreachable(&mut self) -> Option<End> {
         self.end(
             Outcome::ConnectFailed,
@@ -284,7 +288,7 @@
         )
     }
 
-    /// The attempt's time is over.
+    /// Handles the attempt's timeout.
     pub fn timed_out(&mut self) -> Option<End> {
         match self.phase {
             Phase::Unsent => self.end(
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -1,7 +1,7 @@
-//! One call of a client: what of its attempts the client may see, and its one final status.
+//! One call of a client: which parts of its attempts the client sees, and its one final status.
 //!
-//! Invariants: nothing of an attempt is sent before the call is committed or served (gRFC A6, "When Retries are Valid"), the
-//! buffered response is bounded, and the final status is sent once.
+//! Invariants: nothing of an attempt is sent before the call is committed or served (gRFC A6, "When
+//! Retries are Valid"), the buffered response is bounded, and the final status is sent once.
 
 use crate::attempt::End;
 use crate::headers::{GRPC_MESSAGE, GRPC_STATUS, RETRY_PUSHBACK};
@@ -19,9 +19,9 @@
 /// Result of a call in the platform's terms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallResult {
-    /// The client got the application's response, whatever its status.
+    /// The client received the application's response, whatever its status.
     Served,
-    /// The call did not run, or may run twice: a retry is harmless.
+    /// The call did not run, or is idempotent, so that the client may retry.
     Rejected,
     /// The call may have run.
     Failed,
@@ -30,27 +30,29 @@
 /// What to do next for the client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Nothing to send: from now on the call can have no further attempt, which the decision module has to know.
+    /// Nothing to send. Reports to the decision module that the call can have no further attempt.
     Commit,
     /// Send the response head.
     Head(HeaderMap),
     /// Send bytes of the response's messages.
     Data(Bytes),
-    /// Send the final status, once: as trailers if a head was sent, else as a `Trailers-Only` response.
+    /// Send the final status, once: as trailers if a head was sent, else as a `Trailers-Only`
+    /// response.
     Final(CallResult, HeaderMap),
 }
 
-/// The call has its final status, or is committed.
+/// Error of a call that is committed or has its final status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the call can have no further attempt")]
 pub struct Closed;
 
-/// A call. Until it is committed, the response of the current attempt is buffered, so that a retry may replace it.
+/// A call. Until the call is committed, the response of the current attempt is buffered, so that a
+/// retry can replace it.
 #[derive(Debug)]
 pub struct Call {
     shape: Shape,
     deadline: Millis,
-    /// Buffered bytes of a response beyond which the call is committed.
+    /// Buffered response bytes beyond which the call is committed.
     max_buffered_bytes: usize,
     /// Attempts begun so far.
     attempts: u32,
@@ -64,8 +66,8 @@
 }
 
 impl Call {
-    /// A call whose client waits until `deadline`, in milliseconds of the caller's clock. A response of more than
-    /// `max_buffered_bytes` commits it.
+    /// A call whose client waits until `deadline`, in milliseconds of the caller's clock. A
+    /// response of more than `max_buffered_bytes` commits it.
     pub fn new(shape: Shape, deadline: Millis, max_buffered_bytes: usize) -> Call {
         Call {
             shape,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// When the client gives up.
+    /// The client's deadline.
     pub fn deadline(&self) -> Millis {
         self.deadline
     }
@@ -96,7 +98,8 @@
         self.committed
     }
 
-    /// Begins an attempt and returns its number, from 0. The buffered response of the attempt before is dropped.
+    /// Begins an attempt and returns its number, from 0. The buffered response of the previous
+    /// attempt is dropped.
     ///
     /// # Errors
     /// [`Closed`] if the call is committed or has its final status.
@@ -116,18 +119,18 @@
         self.buffered_bytes = 0;
     }
 
-    /// Sends what is buffered.
+    /// Moves the buffered outputs to `outputs`.
     fn flush(&mut self, outputs: &mut Vec<Output>) {
         outputs.extend(self.buffered.drain(..));
         self.buffered_bytes = 0;
     }
 
-    /// Whether events of this attempt count.
+    /// Whether this is the current attempt of an open call.
     fn is_current(&self, attempt: u32) -> bool {
         !self.finished && self.current_attempt == Some(attempt)
     }
 
-    /// An attempt received its response head. Ignored unless it is the current attempt.
+    /// Handles the response head of an attempt. Ignored unless the attempt is the current one.
     pub fn head(&mut self, attempt: u32, head: HeaderMap, outputs: &mut Vec<Output>) {
         if self.is_current(attempt) {
             self.buffer_or_send(Output::Head(head), 0, outputs);
@@ -138,13 +141,15 @@
         }
     }
 
-    /// An attempt received bytes of its response. Ignored unless it is the current attempt.
+    /// Handles response bytes of an attempt. Ignored unless the attempt is the current one.
     pub fn data(&mut self, attempt: u32, data: Bytes, outputs: &mut Vec<Output>) {
-        // Empty frames are dropped: without end they would fill the buffer and count no bytes.
+        // Empty frames are dropped: an endless series would grow the buffer without counting any
+        // bytes.
         if self.is_current(attempt) && !data.is_empty() {
             let length = data.len();
             self.buffer_or_send(Output::Data(data), length, outputs);
-            // A stream's messages are wanted as they come; a unary response is worth nothing before its status.
+            // Messages of a stream are forwarded as they arrive; a unary response has no value
+            // before its status.
             let over_limit = self.buffered_bytes > self.max_buffered_bytes;
             if !self.committed && (self.shape.response_streams() || over_limit) {
                 self.commit(outputs);
@@ -161,7 +166,7 @@
         }
     }
 
-    /// Commits the call to its current attempt and sends what is buffered.
+    /// Commits the call to its current attempt and sends the buffered outputs.
     pub fn commit(&mut self, outputs: &mut Vec<Output>) {
         if !self.finished && !self.committed {
             self.committed = true;
@@ -170,7 +175,8 @@
         }
     }
 
-    /// An attempt ended, with these trailers. The decision module decides whether another follows.
+    /// Records the end of an attempt, with these trailers. The decision module decides whether
+    /// another attempt follows.
     pub fn ended(&mut self, attempt: u32, end: End, trailers: HeaderMap) {
         if !self.is_current(attempt) {
             return;
@@ -179,14 +185,15 @@
         self.last_end = Some((end, trailers));
     }
 
-    /// The client cancelled the call or its connection broke: nothing is sent any more.
+    /// Ends the call because the client cancelled it or the client's connection broke: nothing more
+    /// is sent.
     pub fn cancel(&mut self) {
         self.finished = true;
         self.current_attempt = None;
         self.drop_buffered();
     }
 
-    /// Whether the call has its final status, or its client has gone.
+    /// Whether the call has its final status or was cancelled.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
@@ -200,7 +207,7 @@
                 }
                 self.finish(CallResult::Served, trailers, outputs);
             }
-            // Not asked for without a successful attempt; a made-up status would be worse than a failure.
+            // Without a successful attempt the call fails, since an invented status would be worse.
             last_end => {
                 self.last_end = last_end;
                 self.fail(f64::NEG_INFINITY, outputs);
@@ -208,8 +215,8 @@
         }
     }
 
-    /// Rejects the call: a retry is harmless, after `wait` where that is advised.
-    pub fn reject(&mut self, wait: Option<Millis>, outputs: &mut Vec<Output>) {
+    /// Rejects the call. The client may retry, after `retry_after` if given.
+    pub fn reject(&mut self, retry_after: Option<Millis>, outputs: &mut Vec<Output>) {
         let text = match &self.last_end {
             Some((end, _)) => format!(
                 "refused; trying again is harmless ({:?}: {})",
@@ -218,17 +225,18 @@
             None => "refused; trying again is harmless".to_owned(),
         };
         let mut trailers = status_trailers(Code::Unavailable, &text);
-        if let Some(wait) = wait.filter(|wait| wait.is_finite()) {
+        if let Some(retry_after) = retry_after.filter(|time| time.is_finite()) {
             insert(
                 &mut trailers,
                 RETRY_PUSHBACK,
-                &format!("{}", wait.max(0.0).ceil() as u64),
+                &format!("{}", retry_after.max(0.0).ceil() as u64),
             );
         }
         self.finish(CallResult::Rejected, trailers, outputs);
     }
 
-    /// Fails the call, which may have run: with no status that client libraries retry, and a pushback that forbids retries.
+    /// Fails the call, which may have run, with a status that client libraries do not retry and a
+    /// pushback that forbids retries.
     pub fn fail(&mut self, now: Millis, outputs: &mut Vec<Output>) {
         let timed_out = now >= self.deadline || self.current_attempt.is_some();
         let mut trailers = match self.last_end.take() {
@@ -246,7 +254,8 @@
         self.finish(CallResult::Failed, trailers, outputs);
     }
 
-    /// Ends the call with a status of the gateway's: the call is malformed, or its caller is not permitted.
+    /// Fails the call with a status of the gateway's own, such as for a malformed call or a caller
+    /// without permission.
     pub fn fail_with_status(&mut self, code: Code, reason: &str, outputs: &mut Vec<Output>) {
         self.finish(CallResult::Failed, status_trailers(code, reason), outputs);
     }
@@ -261,7 +270,7 @@
     }
 }
 
-/// Trailers with a status and, unless it is empty, its text.
+/// Trailers with a status and, unless `text` is empty, a message.
 pub fn status_trailers(code: Code, text: &str) -> HeaderMap {
     let mut trailers = HeaderMap::new();
     insert(&mut trailers, GRPC_STATUS, &code.number().to_string());
@@ -271,7 +280,7 @@
     trailers
 }
 
-/// Trailers of a call that has failed because its deadline has passed.
+/// Trailers of a call that failed because its deadline passed.
 pub(crate) fn deadline_status() -> HeaderMap {
     let mut trailers = status_trailers(Code::DeadlineExceeded, "no answer in time");
     forbid_retries(&mut trailers);
--- a/crates/grpc/src/frames.rs
+++ b/crates/grpc/src/frames.rs
@@ -1,7 +1,8 @@
-//! Length-prefixed messages (`PROTOCOL-HTTP2.md`, "Length-Prefixed-Message"): a compression flag of one byte, a length of
-//! four bytes, and the message.
+//! Length-prefixed messages (`PROTOCOL-HTTP2.md`, "Length-Prefixed-Message"): a compression flag of
+//! one byte, a length of four bytes, and the message.
 //!
-//! Messages are only counted, not decoded. Invariant: the count does not depend on the transport's chunk boundaries.
+//! Messages are only counted, not decoded. Invariant: the count does not depend on the transport's
+//! chunk boundaries.
 
 /// Bytes before each message: the flag and the length.
 const PREFIX_BYTES: u8 = 5;
@@ -13,13 +14,14 @@
     prefix_bytes: u8,
     /// Length of the current message.
     length: u32,
-    /// Bytes of the current message that are missing.
+    /// Bytes of the current message that were not received yet.
     remaining: u32,
-    /// Complete messages.
+    /// Number of complete messages.
     messages: u64,
 }
 
-/// A compression flag is neither 0 nor 1, so that the bytes that follow cannot be divided into messages.
+/// A compression flag that is neither 0 nor 1, so that the bytes after it cannot be divided into
+/// messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the compression flag of a message is neither 0 nor 1")]
 pub struct InvalidFlag;
@@ -28,7 +30,7 @@
     /// Counts the next bytes of the stream, which may end anywhere.
     ///
     /// # Errors
-    /// [`InvalidFlag`] if they are no messages; the position is then undefined.
+    /// [`InvalidFlag`] if a message begins with an invalid flag; the position is then undefined.
     pub fn take(&mut self, mut bytes: &[u8]) -> Result<(), InvalidFlag> {
         while let Some((first, rest)) = bytes.split_first() {
             if self.remaining > 0 {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Complete messages so far.
+    /// Number of complete messages so far.
     pub fn messages(&self) -> u64 {
         self.messages
     }
@@ -89,7 +91,7 @@
     }
 }
 
-/// Prefix of an uncompressed message of `length` bytes.
+/// The prefix of an uncompressed message of `length` bytes.
 pub fn prefix(length: u32) -> [u8; PREFIX_BYTES as usize] {
     let [a, b, c, d] = length.to_be_bytes();
     [0, a, b, c, d]
--- a/crates/grpc/src/frames/tests.rs
+++ b/crates/grpc/src/frames/tests.rs
@@ -2,9 +2,10 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Guards against counting a message as complete or truncated because of the transport's chunk boundaries.
+    /// Guards against counting a message as complete or truncated because of the transport's chunk
+    /// boundaries.
     #[test]
-    fn message_count_is_independent_of_chunk_boundaries(lengths in proptest::collection::vec(0u32..40, 0..6), cuts in proptest::collection::vec(0usize..9, 1..60), end in 0usize..200) {
+    fn message_count_is_independent_of_chunk_boundaries(lengths in proptest::collection::vec(0u32..40, 0..6), chunk_sizes in proptest::collection::vec(0usize..9, 1..60), end in 0usize..200) {
         let mut stream = Vec::new();
         let mut boundaries = vec![0];
         for length in &lengths {
@@ -14,7 +15,7 @@
         }
         let stream = &stream[..end.min(stream.len())];
         let mut frames = Frames::default();
-        let (mut position, mut next) = (0, cuts.iter().cycle());
+        let (mut position, mut next) = (0, chunk_sizes.iter().cycle());
         while position < stream.len() {
             let to = (position + 1 + next.next().unwrap()).min(stream.len());
             frames.take(&stream[position..to]).unwrap();
--- a/crates/grpc/src/percent_encoding.rs
+++ b/crates/grpc/src/percent_encoding.rs
@@ -1,10 +1,10 @@
 //! Percent encoding of `grpc-message` (gRPC's `PROTOCOL-HTTP2.md`, "Responses").
 
-/// Longest text that [`encode`] writes, in bytes before encoding; what is beyond is cut off.
+/// Maximum text that [`encode`] writes, in bytes before encoding; the rest is truncated.
 const MAX_TEXT_BYTES: usize = 512;
 
-/// Encodes a text as a header value: printable ASCII except `%` as it is, every other byte as `%XX`. At most the first
-/// 512 bytes are encoded.
+/// Encodes a text as a header value: printable ASCII except `%` unchanged, every other byte as
+/// `%XX`. At most the first 512 bytes are encoded.
 pub fn encode(text: &str) -> String {
     let mut encoded = String::new();
     for byte in text.bytes().take(MAX_TEXT_BYTES) {
@@ -16,8 +16,8 @@
     encoded
 }
 
-/// Decodes a header value. A `%` without two hexadecimal digits is kept as it is, and invalid UTF-8 is replaced: a malformed
-/// message must never lose the status that it comes with.
+/// Decodes a header value. A `%` without two hexadecimal digits is kept unchanged, and invalid
+/// UTF-8 is replaced: a malformed message must not invalidate the status that it accompanies.
 pub fn decode(header: &[u8]) -> String {
     let mut decoded = Vec::with_capacity(header.len());
     let hex_digit = |byte: Option<&u8>| byte.and_then(|byte| char::from(*byte).to_digit(16));
--- a/crates/grpc/src/percent_encoding/tests.rs
+++ b/crates/grpc/src/percent_encoding/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn invalid_escapes_are_kept_as_they_are() {
+fn invalid_escapes_are_kept_unchanged() {
     assert_eq!(decode(b"100% of %4x %C3%A9 %"), "100% of %4x \u{e9} %");
     assert_eq!(encode("a\r\nx: 1 \u{e9}%"), "a%0D%0Ax: 1 %C3%A9%25");
 }
--- a/crates/grpc/src/replay.rs
+++ b/crates/grpc/src/replay.rs
@@ -1,16 +1,19 @@
-//! The request stream of a call, buffered so that a retry can send it again (gRFC A6, "Memory Management (Buffering)").
+//! The request stream of a call, buffered so that a retry can send it again (gRFC A6, "Memory
+//! Management (Buffering)").
 //!
-//! Invariant: until the call is committed no chunk is dropped, so every attempt sends the same bytes from the first.
+//! Invariant: until the call is committed no chunk is dropped, so every attempt sends the same
+//! bytes from the first.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// Buffer of the chunks that the client sent. Until the call is [committed](Replay::commit) all are kept, afterwards those that
-/// the current attempt has not taken. Bounded by `max_bytes` and one further chunk, which the transport received already.
+/// Buffer of the chunks that the client sent. Until the call is [committed](Replay::commit) all
+/// chunks are kept, afterwards only those that the current attempt has not taken. The size is
+/// bounded by `max_bytes` and one further chunk, which the transport has received already.
 #[derive(Debug)]
 pub struct Replay {
     chunks: VecDeque<Bytes>,
-    /// Chunks dropped from the front.
+    /// Number of chunks dropped from the front.
     dropped: u64,
     bytes: usize,
     max_bytes: usize,
@@ -18,21 +21,21 @@
     committed: bool,
 }
 
-/// What follows at a position of the request stream.
+/// The content of the request stream at a position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
     /// This chunk.
     Chunk(Bytes),
-    /// The client has not sent it yet.
+    /// The client has not sent the next chunk yet.
     Wait,
     /// The client has ended the request stream.
     End,
-    /// The chunk was dropped after the commit: no attempt can begin here.
+    /// The chunk was dropped after the commit, so no attempt can read it.
     Dropped,
 }
 
 impl Replay {
-    /// An empty buffer of `max_bytes`.
+    /// An empty buffer with a limit of `max_bytes`.
     pub fn new(max_bytes: usize) -> Replay {
         Replay {
             chunks: VecDeque::new(),
@@ -49,10 +52,11 @@
         self.bytes < self.max_bytes
     }
 
-    /// Appends a chunk from the client. `false` if the buffer is full: there is room again only after the call is committed and
-    /// its attempt has taken chunks.
+    /// Appends a chunk from the client. Returns `false` if the buffer is full: its capacity is
+    /// freed only after the call is committed and its attempt has taken chunks.
     pub fn push(&mut self, chunk: Bytes) -> bool {
-        // Empty chunks are dropped: without end they would fill the buffer and count no bytes.
+        // Empty chunks are dropped: an endless series would grow the buffer without counting any
+        // bytes.
         if chunk.is_empty() {
             return self.has_capacity();
         }
@@ -61,7 +65,7 @@
         self.has_capacity()
     }
 
-    /// The client ended the request stream.
+    /// Records that the client ended the request stream.
     pub fn end(&mut self) {
         self.ended = true;
     }
@@ -71,13 +75,14 @@
         self.ended
     }
 
-    /// The call is committed: chunks before `position`, which the current attempt has taken, are dropped.
+    /// Commits the call and drops the chunks before `position`, which the current attempt has
+    /// taken.
     pub fn commit(&mut self, position: u64) {
         self.committed = true;
         self.taken(position);
     }
 
-    /// What follows at a position, in chunks from the first.
+    /// The content at `position`, a number of chunks from the start of the stream.
     pub fn next(&self, position: u64) -> Next {
         let Some(index) = position.checked_sub(self.dropped) else {
             return Next::Dropped;
@@ -92,7 +97,8 @@
         }
     }
 
-    /// The current attempt has taken all chunks before `position`. They are dropped if the call is committed.
+    /// Records that the current attempt has taken all chunks before `position`, and drops them if
+    /// the call is committed.
     pub fn taken(&mut self, position: u64) {
         while self.committed && self.dropped < position {
             let Some(chunk) = self.chunks.pop_front() else {
--- a/crates/grpc/src/replay/tests.rs
+++ b/crates/grpc/src/replay/tests.rs
@@ -25,7 +25,7 @@
     );
 }
 
-/// Guards memory against a client that sends empty frames without end.
+/// Guards memory against a client that sends an endless series of empty frames.
 #[test]
 fn empty_chunks_are_not_stored() {
     let mut replay = Replay::new(6);
@@ -38,7 +38,7 @@
 }
 
 proptest! {
-    /// A second attempt is sent the same chunks as the first, whenever they arrived.
+    /// Guards against an attempt that misses chunks because of the time at which they arrived.
     #[test]
     fn every_attempt_is_sent_the_same_chunks(chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..5), 0..20), first in 0usize..20, commit in any::<bool>()) {
         let mut replay = Replay::new(1 << 20);
--- a/crates/grpc/src/response_queue.rs
+++ b/crates/grpc/src/response_queue.rs
@@ -1,34 +1,35 @@
-//! What is to be sent to a call's client, in order.
+//! Outputs to be sent to a call's client, in order.
 //!
-//! Invariants: before the client's deadline nothing is dropped but a message that its backend has not finished; a message is begun
-//! once it is complete, or longer than the queue may be; the status is last.
+//! Invariants: before the client's deadline nothing is dropped except a message that the backend
+//! has not completed; sending a message begins once it is complete, or the queue is full; the
+//! status is last.
 
 use crate::call::{deadline_status, CallResult, Output};
 use crate::frames::Frames;
 use std::collections::VecDeque;
 
-/// What is sent to a client next.
+/// The next output to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextOutput {
-    /// So many bytes of messages.
+    /// This many bytes of messages.
     Data(usize),
     /// The head or the status.
     Other,
 }
 
-/// The part of a response that its client has not taken yet.
+/// The outputs of a response that the client has not taken yet.
 #[derive(Debug)]
 pub struct ResponseQueue {
     outputs: VecDeque<Output>,
     /// Bytes of messages in `outputs`.
     queued_bytes: usize,
     max_bytes: usize,
-    /// Position at the end of the queue.
+    /// Position in the message stream at the end of the queue.
     received: Frames,
 }
 
 impl ResponseQueue {
-    /// An empty queue. Beyond `max_bytes` of messages it [is full](Self::is_full).
+    /// An empty queue, which [is full](Self::is_full) beyond `max_bytes` of messages.
     pub fn new(max_bytes: usize) -> ResponseQueue {
         ResponseQueue {
             outputs: VecDeque::new(),
@@ -38,18 +39,20 @@
         }
     }
 
-    /// Whether no more is to be received from the backend until the client has taken something.
+    /// Whether receiving from the backend has to stop until the client has taken bytes.
     pub fn is_full(&self) -> bool {
         self.queued_bytes > self.max_bytes
     }
 
-    /// Appends an output. A status ends the response: a message that has begun and of which nothing is sent yet is dropped, since
-    /// client libraries take half of a message before a status for an error of the transport.
+    /// Appends an output. A status ends the response: an incomplete message of which nothing was
+    /// sent yet is dropped, since client libraries treat a truncated message before a status as a
+    /// transport error.
     pub fn push(&mut self, output: Output) {
         match &output {
             Output::Data(data) => {
                 self.queued_bytes += data.len();
-                // An attempt whose messages cannot be told apart has ended before.
+                // No error here: an attempt with an invalid flag has ended before its bytes are
+                // queued.
                 let _ = self.received.take(data);
             }
             Output::Final(..) => self.drop_incomplete_message(),
@@ -58,7 +61,7 @@
         self.outputs.push_back(output);
     }
 
-    /// What is sent next; `None` while there is nothing to send.
+    /// The next output; `None` while there is nothing to send.
     pub fn next(&self) -> Option<NextOutput> {
         match self.outputs.front()? {
             Output::Data(data) => match data.len().min(self.sendable_bytes()) {
@@ -69,12 +72,12 @@
         }
     }
 
-    /// Takes what is sent next; of messages `max` bytes at most.
-    pub fn take(&mut self, max: usize) -> Option<Output> {
+    /// Removes and returns the next output, with at most `max_bytes` bytes of messages.
+    pub fn take(&mut self, max_bytes: usize) -> Option<Output> {
         let Some(NextOutput::Data(length)) = self.next() else {
             return self.next().and_then(|_| self.outputs.pop_front());
         };
-        let length = length.min(max);
+        let length = length.min(max_bytes);
         self.queued_bytes -= length;
         match self.outputs.front_mut() {
             Some(Output::Data(data)) if data.len() > length => {
@@ -84,8 +87,9 @@
         }
     }
 
-    /// The client's deadline has passed: drops all messages, so that the status does not wait until the client reads on. A response
-    /// that is not complete any more does not count as served.
+    /// Drops all queued messages because the client's deadline has passed, so that the status does
+    /// not wait for the client to read them. A served response that loses messages becomes a failed
+    /// one with the status of an expired deadline.
     pub fn expire(&mut self) {
         if self.queued_bytes == 0 {
             return;
@@ -100,8 +104,8 @@
         }
     }
 
-    /// Bytes that may be sent: all up to the end of the last complete message, and those of a message that is begun or too long to
-    /// be held.
+    /// Bytes that may be sent: all up to the end of the last complete message, and those of an
+    /// incomplete message that was sent in part or that fills the queue.
     fn sendable_bytes(&self) -> usize {
         if self.is_full() {
             return self.queued_bytes;
@@ -109,7 +113,7 @@
         self.queued_bytes - self.unsent_incomplete_bytes()
     }
 
-    /// Bytes of a message that is incomplete at the end of the queue, if none of it is sent.
+    /// Bytes of the incomplete message at the end of the queue; 0 if a part of it was sent.
     fn unsent_incomplete_bytes(&self) -> usize {
         let bytes = self.received.bytes_in_message();
         if bytes <= self.queued_bytes {
@@ -120,15 +124,15 @@
     }
 
     fn drop_incomplete_message(&mut self) {
-        let mut left = self.unsent_incomplete_bytes();
-        self.queued_bytes -= left;
+        let mut remaining = self.unsent_incomplete_bytes();
+        self.queued_bytes -= remaining;
         self.received = Frames::default();
-        while left > 0 {
+        while remaining > 0 {
             let Some(Output::Data(data)) = self.outputs.back_mut() else {
                 return;
             };
-            let dropped = left.min(data.len());
-            left -= dropped;
+            let dropped = remaining.min(data.len());
+            remaining -= dropped;
             data.truncate(data.len() - dropped);
             if data.is_empty() {
                 self.outputs.pop_back();
--- a/crates/grpc/src/routes.rs
+++ b/crates/grpc/src/routes.rs
@@ -1,40 +1,41 @@
-//! The route of a method: a trie over the words of `/package.Service/Method` (path form: `PROTOCOL-HTTP2.md`, "Requests"), in
-//! which the longest match wins.
+//! Method routes: a trie over the segments of `/package.Service/Method` between dots and slashes
+//! (path form: `PROTOCOL-HTTP2.md`, "Requests"), in which the longest match wins.
 //!
-//! Patterns, from the most to the least specific: `/package.Service/Method`, `/package.Service/*`, `/package.*` and `*`.
-//! Invariant: [`Routes::find`] agrees with [`PatternMap::find`], the reference implementation.
+//! Patterns, from the most to the least specific: `/package.Service/Method`, `/package.Service/*`,
+//! `/package.*` and `*`. Invariant: [`Routes::find`] agrees with [`PatternMap::find`], the
+//! reference implementation.
 
 use std::collections::BTreeMap;
 
-/// Routes of a table at most; [`Routes::new`] reports a larger table as an error.
+/// Maximum number of routes in a table; [`Routes::new`] reports a larger table as an error.
 pub const MAX_ROUTES: usize = 65_536;
-/// Length in bytes of a path beyond which no route is found.
+/// Maximum length of a path in bytes; a longer path has no route.
 const MAX_PATH_BYTES: usize = 1024;
 
-/// Why a table cannot be used.
+/// Error in a route table.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// A pattern has none of the four forms.
+    /// The pattern has none of the four forms.
     #[error("{0:?}: /package.Service/Method, /package.Service/*, /package.* or * was expected")]
     InvalidPattern(String),
-    /// A pattern is given twice.
+    /// The pattern is given twice.
     #[error("{0:?} stands there twice")]
     Duplicate(String),
-    /// There are more patterns than [`MAX_ROUTES`].
+    /// The table has this many patterns, more than [`MAX_ROUTES`].
     #[error("{0} routes; {MAX_ROUTES} at most were expected")]
     TooManyRoutes(usize),
 }
 
-/// A node of the trie: a prefix of a service's name.
+/// A node of the trie, for a prefix of a service's name.
 #[derive(Clone, Debug)]
 struct Node<R> {
-    /// Indexes of the nodes that are one word longer, sorted by that word.
+    /// Indexes of the nodes that are one segment longer, sorted by that segment.
     children: Vec<(Box<str>, usize)>,
-    /// Routes of single methods of the service of this name, sorted by method.
+    /// Routes of single methods of the service with this name, sorted by method.
     methods: Vec<(Box<str>, R)>,
-    /// Route of all methods of the service of this name.
+    /// Route of all methods of the service with this name.
     service: Option<R>,
-    /// Route of all services below the package of this name.
+    /// Route of all services below the package with this name.
     package: Option<R>,
 }
 
@@ -49,10 +50,10 @@
     }
 }
 
-/// A route table. A look-up takes as many steps as the path has words, however many routes there are.
+/// A route table. A look-up takes one step per segment of the path, however many routes there are.
 #[derive(Clone, Debug)]
 pub struct Routes<R> {
-    /// The trie; the root is at 0.
+    /// Nodes of the trie; the root is at index 0.
     nodes: Vec<Node<R>>,
 }
 
@@ -82,9 +83,9 @@
     }
 }
 
-fn is_identifier(word: &str) -> bool {
-    !word.is_empty()
-        && word
+fn is_identifier(name: &str) -> bool {
+    !name.is_empty()
+        && name
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || byte == b'_')
 }
@@ -93,7 +94,7 @@
     service.split('.').all(is_identifier)
 }
 
-/// Service and method of a path; `None` if it has another form or is too long.
+/// Service and method of a path; `None` if the path is malformed or too long.
 fn split_path(path: &str) -> Option<(&str, &str)> {
     if path.len() > MAX_PATH_BYTES {
         return None;
@@ -102,25 +103,25 @@
     (!method.is_empty() && !method.contains('/')).then_some((service, method))
 }
 
-/// Position of `word` in a sorted list, or where it would be inserted.
-fn search<T>(sorted: &[(Box<str>, T)], word: &str) -> Result<usize, usize> {
-    sorted.binary_search_by(|(known, _)| (**known).cmp(word))
+/// Position of `name` in a sorted list, or the position where `name` would be inserted.
+fn search<T>(sorted: &[(Box<str>, T)], name: &str) -> Result<usize, usize> {
+    sorted.binary_search_by(|(entry, _)| (**entry).cmp(name))
 }
 
 impl<R: Copy> Routes<R> {
-    /// Builds the table of these patterns and their routes.
+    /// Builds the table from pairs of a pattern and its route.
     ///
     /// # Errors
-    /// All patterns that cannot be used, and a table of more than [`MAX_ROUTES`].
+    /// Every invalid and every duplicate pattern, and a table of more than [`MAX_ROUTES`].
     pub fn new<'a>(
-        rows: impl IntoIterator<Item = (&'a str, R)>,
+        entries: impl IntoIterator<Item = (&'a str, R)>,
     ) -> Result<Routes<R>, Vec<RouteError>> {
         let mut routes = Routes {
             nodes: vec![Node::new()],
         };
         let mut errors = Vec::new();
         let mut count = 0;
-        for (pattern, route) in rows {
+        for (pattern, route) in entries {
             count += 1;
             if count > MAX_ROUTES {
                 continue;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Inserts a route; `false` if the pattern has one already.
+    /// Inserts a route; returns `false` if the pattern has a route already.
     fn insert(&mut self, pattern: Pattern<'_>, route: R) -> bool {
         match pattern {
             Pattern::All => self.nodes[0].package.replace(route).is_none(),
@@ -167,18 +168,18 @@
         }
     }
 
-    /// Index of the node of a service's or a package's name.
+    /// Index of the node for the name of a service or a package.
     fn find_or_insert_node(&mut self, name: &str) -> usize {
         let mut node = 0;
-        for word in name.split('.') {
-            node = match search(&self.nodes[node].children, word) {
+        for segment in name.split('.') {
+            node = match search(&self.nodes[node].children, segment) {
                 Ok(position) => self.nodes[node].children[position].1,
                 Err(position) => {
                     let child = self.nodes.len();
                     self.nodes.push(Node::new());
                     self.nodes[node]
                         .children
-                        .insert(position, (word.into(), child));
+                        .insert(position, (segment.into(), child));
                     child
                 }
             };
@@ -186,20 +187,22 @@
         node
     }
 
-    /// The route of a method's path: the method's own, else its service's, else that of the nearest package. `None` without
-    /// one, and for a path that is malformed or longer than 1024 bytes.
+    /// The route of a method's path: the method's own, else that of its service, else that of the
+    /// nearest package. `None` if there is none, and for a path that is malformed or longer than
+    /// 1024 bytes.
     pub fn find(&self, path: &str) -> Option<R> {
         let (service, method) = split_path(path)?;
         let mut node = self.nodes.first()?;
         let mut package_route = node.package;
-        let mut words = service.split('.').peekable();
-        while let Some(word) = words.next() {
-            let Ok(position) = search(&node.children, word) else {
+        let mut segments = service.split('.').peekable();
+        while let Some(segment) = segments.next() {
+            let Ok(position) = search(&node.children, segment) else {
                 return package_route;
             };
             node = &self.nodes[node.children[position].1];
-            // A package's route is for the services below it, not for a service of the package's name.
-            if words.peek().is_some() {
+            // A package's route applies to the services below the package, not to a service with
+            // the package's name.
+            if segments.peek().is_some() {
                 package_route = node.package.or(package_route);
             }
         }
@@ -210,22 +213,24 @@
     }
 }
 
-/// Reference implementation of the table: a map of patterns, tried from the most specific on. Tests compare the trie with
-/// it, and `examples/routes.rs` measures the trie against it.
+/// Reference implementation of the table: a map in which the patterns that match a path are looked
+/// up, the most specific first. Tests compare its results with the trie's, and `examples/routes.rs`
+/// compares the speed.
 #[derive(Clone, Debug, Default)]
 pub struct PatternMap<R>(BTreeMap<String, R>);
 
 impl<R: Copy> PatternMap<R> {
-    /// A table of patterns that [`Routes`] accepts; they are not checked.
-    pub fn new<'a>(rows: impl IntoIterator<Item = (&'a str, R)>) -> PatternMap<R> {
+    /// A table of patterns that [`Routes`] accepts; the patterns are not validated here.
+    pub fn new<'a>(entries: impl IntoIterator<Item = (&'a str, R)>) -> PatternMap<R> {
         PatternMap(
-            rows.into_iter()
+            entries
+                .into_iter()
                 .map(|(pattern, route)| (pattern.to_owned(), route))
                 .collect(),
         )
     }
 
-    /// The route of a method's path, as [`Routes::find`].
+    /// The route of a method's path, with the same result as [`Routes::find`].
     pub fn find(&self, path: &str) -> Option<R> {
         let (service, _) = split_path(path)?;
         let mut candidates = vec![path.to_owned(), format!("/{service}/*")];
--- a/crates/grpc/src/status.rs
+++ b/crates/grpc/src/status.rs
@@ -1,5 +1,6 @@
-//! Status codes (gRPC's `statuscodes.md`), and the codes for a transport's end without a status: of an HTTP status by
-//! `http-grpc-status-mapping.md`, of a `RST_STREAM` by the table of error codes in `PROTOCOL-HTTP2.md`.
+//! Status codes (gRPC's `statuscodes.md`), and the codes for responses without a gRPC status: for
+//! an HTTP status by `http-grpc-status-mapping.md`, for a `RST_STREAM` by the table of error codes
+//! in `PROTOCOL-HTTP2.md`.
 //!
 //! Invariant: only a code of [`StatusClass::Rejected`] can mean that a call was not started.
 
@@ -43,16 +44,18 @@
     Unauthenticated = 16,
 }
 
-/// What a status code says about the backend's work.
+/// What a status code implies about the execution of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusClass {
-    /// The application answered: its status goes to the client unchanged, and a retry would not change it.
-    Answered,
+    /// The application responded: its status is forwarded to the client unchanged, and a retry
+    /// would not change it.
+    Responded,
     /// The call failed; it may have run.
     Failed,
-    /// The time was over on the way or at the backend; the call may have run, or may run yet.
+    /// The deadline expired in transit or at the backend; the call may have run, or may still run.
     TimedOut,
-    /// The backend rejected the call; it was not started if the backend states so too ([`NOT_STARTED`](crate::NOT_STARTED)).
+    /// The backend rejected the call, which was not started if the backend also states so
+    /// ([`NOT_STARTED`](crate::NOT_STARTED)).
     Rejected,
 }
 
@@ -83,7 +86,8 @@
         self as u8
     }
 
-    /// The code of a `grpc-status` value. Anything but a known number is `UNKNOWN`, as in the published clients.
+    /// The code of a `grpc-status` value. Anything but a known number is `UNKNOWN`, as in the
+    /// published client libraries.
     pub fn from_wire(text: &[u8]) -> Code {
         let number = std::str::from_utf8(text)
             .ok()
@@ -105,11 +109,12 @@
         }
     }
 
-    /// The code for a `RST_STREAM` with this error code (`PROTOCOL-HTTP2.md`, "Errors"; RFC 9113, 7).
+    /// The code for a `RST_STREAM` with this error code (`PROTOCOL-HTTP2.md`, "Errors"; RFC 9113,
+    /// 7).
     pub fn from_reset_code(error: u32) -> Code {
         match error {
-            // NO_ERROR to INTERNAL_ERROR and FLOW_CONTROL_ERROR, SETTINGS_TIMEOUT, FRAME_SIZE_ERROR, COMPRESSION_ERROR,
-            // CONNECT_ERROR.
+            // NO_ERROR to INTERNAL_ERROR and FLOW_CONTROL_ERROR, SETTINGS_TIMEOUT,
+            // FRAME_SIZE_ERROR, COMPRESSION_ERROR, CONNECT_ERROR.
             0..=4 | 6 | 9 | 10 => Code::Internal,
             REFUSED_STREAM => Code::Unavailable,
             CANCEL => Code::Cancelled,
@@ -120,7 +125,7 @@
         }
     }
 
-    /// What the code says about the backend's work.
+    /// What the code implies about the execution of the call.
     pub fn class(self) -> StatusClass {
         match self {
             Code::Ok
@@ -132,7 +137,7 @@
             | Code::Aborted
             | Code::OutOfRange
             | Code::Unimplemented
-            | Code::Unauthenticated => StatusClass::Answered,
+            | Code::Unauthenticated => StatusClass::Responded,
             Code::Cancelled | Code::Unknown | Code::Internal | Code::DataLoss => {
                 StatusClass::Failed
             }
@@ -141,7 +146,8 @@
         }
     }
 
-    /// Whether client libraries retry such a call by themselves: the usual retry policies list these codes (gRFC A6).
+    /// Whether client libraries retry a call with this code: common retry policies list these codes
+    /// (gRFC A6).
     pub fn is_retried_by_clients(self) -> bool {
         matches!(
             self,
--- a/crates/grpc/src/status/tests.rs
+++ b/crates/grpc/src/status/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn codes_round_trip_and_unknown_values_are_unknown() {
+fn codes_parse_from_their_numbers_and_other_values_are_unknown() {
     for (number, code) in Code::ALL.iter().enumerate() {
         assert_eq!(usize::from(code.number()), number);
         assert_eq!(Code::from_wire(number.to_string().as_bytes()), *code);
@@ -15,7 +15,7 @@
     }
 }
 
-/// The rows of the published tables, by hand.
+/// Checks the mappings against the rows of the published tables.
 #[test]
 fn http_and_reset_codes_map_as_published() {
     let http = [
--- a/crates/grpc/src/timeout.rs
+++ b/crates/grpc/src/timeout.rs
@@ -1,16 +1,18 @@
-//! Deadlines on the wire: `grpc-timeout` (`PROTOCOL-HTTP2.md`, "Timeout"), at most eight digits and a unit.
+//! Deadlines on the wire: `grpc-timeout` (`PROTOCOL-HTTP2.md`, "Timeout"), at most eight digits and
+//! a unit.
 //!
-//! Invariant: a deadline shrinks at each hop, so [`format()`] never writes more than the time that is left.
+//! Invariant: a deadline shrinks at each hop, so [`format()`] never writes more than the time that
+//! is left.
 
 use maplefall_policy::Millis;
 
-/// Milliseconds of an hour.
+/// Milliseconds in an hour.
 const HOUR: Millis = 3600e3;
-/// Digits of a value at most.
+/// Maximum number of digits of a value.
 const MAX_DIGITS: usize = 8;
 /// Largest value in any unit.
 const MAX_VALUE: f64 = 99_999_999.0;
-/// Units from the finest to the coarsest, with their length in milliseconds.
+/// Units from the finest to the coarsest, with their lengths in milliseconds.
 const UNIT_MILLIS: [(u8, Millis); 6] = [
     (b'n', 1e-6),
     (b'u', 1e-3),
@@ -20,7 +22,7 @@
     (b'H', HOUR),
 ];
 
-/// Parses a header value, to milliseconds; `None` if it is malformed.
+/// Parses a header value to milliseconds; `None` if the value is malformed.
 pub fn parse(text: &[u8]) -> Option<Millis> {
     let (unit, digits) = text.split_last()?;
     let (_, length) = UNIT_MILLIS.iter().find(|(known, _)| known == unit)?;
@@ -33,8 +35,9 @@
     Some(value * length)
 }
 
-/// Formats a time in milliseconds, rounded down, in the finest unit whose eight digits suffice. A time below 1 ns becomes
-/// `1n`, since some servers take zero for no limit; a time that is not finite becomes the largest value.
+/// Formats a time in milliseconds, rounded down, in the finest unit whose eight digits suffice. A
+/// time below 1 ns becomes `1n`, since some servers treat zero as no limit; a time that is not
+/// finite becomes the largest value.
 pub fn format(time: Millis) -> String {
     let time = if time.is_finite() {
         time.max(0.0)
--- a/crates/grpc/src/timeout/tests.rs
+++ b/crates/grpc/src/timeout/tests.rs
@@ -31,7 +31,8 @@
 }
 
 proptest! {
-    /// Guards that deadlines shrink at each hop: the forwarded timeout never exceeds the time left.
+    /// Guards against deadlines that grow at a hop: the forwarded timeout never exceeds the time
+    /// left.
     #[test]
     fn formatted_timeout_is_never_longer(time in 1e-5..1e13f64) {
         let forwarded = parse(format(time).as_bytes()).unwrap();
--- a/crates/grpc/tests/attempt.rs
+++ b/crates/grpc/tests/attempt.rs
@@ -1,4 +1,5 @@
-//! How an attempt ends where status, transport and deadline contradict each other, a table row for each case.
+//! How an attempt ends when status, transport and deadline contradict each other, one table row per
+//! case.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use maplefall_grpc::frames::prefix;
@@ -43,12 +44,12 @@
 }
 
 fn outcome_and_code(end: Option<End>) -> (Outcome, Code) {
-    let end = end.expect("an end");
+    let end = end.expect("the attempt has ended");
     (end.outcome, end.code)
 }
 
 #[test]
-fn status_is_weighed_against_the_messages_before_it() {
+fn messages_override_a_status_that_contradicts_them() {
     let truncated = &message()[..5];
     let two_messages = [message(), message()].concat();
     let rows: [(Shape, &[u8], &str, Outcome, Code); 12] = [
@@ -124,13 +125,13 @@
     assert_eq!(
         outcome_and_code(attempt.data(&[0])),
         (Outcome::Reset, Code::Internal),
-        "a second one begins"
+        "a second message begins"
     );
     let mut attempt = responding_attempt(Shape::Unary, &[]);
     assert_eq!(
         outcome_and_code(attempt.data(&[9, 0, 0])),
         (Outcome::Reset, Code::Internal),
-        "no message at all"
+        "an invalid compression flag"
     );
 }
 
@@ -156,7 +157,7 @@
     }
 }
 
-/// Guards calls that are not idempotent against a retry of an attempt that may have run.
+/// Guards non-idempotent calls against a retry of an attempt that may have run.
 #[test]
 fn only_unambiguous_signals_count_as_never_run() {
     let rejected = [("grpc-status", "14"), ("not-started", "1")];
@@ -170,7 +171,7 @@
         Attempt::new(Shape::Unary, ATTEMPT_DEADLINE, DEADLINE).timed_out(),
     ];
     for end in never_run {
-        let end = end.expect("an end");
+        let end = end.expect("the attempt has ended");
         assert!(end.never_ran(), "{end:?}");
     }
     let may_have_run = [
@@ -198,7 +199,7 @@
         responding_attempt(Shape::ServerStream, &message()).trailers(1.0, &headers(&rejected)),
     ];
     for (row, end) in may_have_run.into_iter().enumerate() {
-        let end = end.expect("an end");
+        let end = end.expect("the attempt has ended");
         assert!(!end.never_ran(), "row {row}: {end:?}");
     }
 }
@@ -246,7 +247,7 @@
     assert_eq!(
         outcome_and_code(status_missing),
         (Outcome::Reset, Code::Unknown),
-        "neither message nor status"
+        "a head that ends the stream without a status"
     );
     assert_eq!(
         outcome_and_code(responding_attempt(Shape::Unary, &message()).ended_without_status()),
@@ -286,7 +287,7 @@
     assert_eq!(
         attempt.reset(2.0, 0),
         None,
-        "NO_ERROR behind the trailers (RFC 9113, 8.1)"
+        "NO_ERROR after the trailers (RFC 9113, 8.1)"
     );
     assert_eq!(
         (
--- a/crates/grpc/tests/call.rs
+++ b/crates/grpc/tests/call.rs
@@ -1,4 +1,4 @@
-//! What a client sees of a call, step by step.
+//! What a client receives for a call, step by step.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -15,7 +15,7 @@
 }
 
 fn summary(outputs: &[Output]) -> String {
-    let symbol = |output: &Output| match output {
+    let letter = |output: &Output| match output {
         Output::Commit => 'c',
         Output::Head(_) => 'h',
         Output::Data(_) => 'd',
@@ -23,10 +23,10 @@
         Output::Final(CallResult::Rejected, _) => 'R',
         Output::Final(CallResult::Failed, _) => 'F',
     };
-    outputs.iter().map(symbol).collect()
+    outputs.iter().map(letter).collect()
 }
 
-/// The status of the last output.
+/// Status and pushback of the last output.
 fn status(outputs: &[Output]) -> (Code, Option<&str>) {
     match outputs.last() {
         Some(Output::Final(_, trailers)) => {
@@ -55,7 +55,7 @@
     assert_eq!(
         call.begin(),
         Err(Closed),
-        "what has been seen cannot be taken back"
+        "a committed call has no further attempt"
     );
 }
 
@@ -84,7 +84,7 @@
     call.data(first, Bytes::from_static(b"one"), &mut outputs);
     call.ended(
         first,
-        End::new(Outcome::Reset, Code::Internal, "cut"),
+        End::new(Outcome::Reset, Code::Internal, "truncated"),
         HeaderMap::new(),
     );
     let second = call.begin().unwrap();
@@ -118,12 +118,12 @@
         (summary(&outputs).as_str(), call.begin()),
         ("R", Err(Closed))
     );
-    // Nothing is sent once the client has gone.
-    let (mut gone, mut outputs) = (self::call(Shape::Unary), Vec::new());
-    gone.begin().unwrap();
-    gone.cancel();
-    gone.fail(0.0, &mut outputs);
-    assert_eq!((outputs.len(), gone.begin()), (0, Err(Closed)));
+    // Nothing is sent after the client cancelled the call.
+    let (mut cancelled, mut outputs) = (self::call(Shape::Unary), Vec::new());
+    cancelled.begin().unwrap();
+    cancelled.cancel();
+    cancelled.fail(0.0, &mut outputs);
+    assert_eq!((outputs.len(), cancelled.begin()), (0, Err(Closed)));
 }
 
 #[test]
@@ -132,7 +132,7 @@
         let (mut call, mut outputs) = (call(Shape::Unary), Vec::new());
         let first = call.begin().unwrap();
         if let Some(end) = end {
-            let trailers = maplefall_grpc::status_trailers(end.code, "its own word");
+            let trailers = maplefall_grpc::status_trailers(end.code, "message of the backend");
             call.ended(first, end, trailers);
         }
         call.fail(now, &mut outputs);
@@ -145,7 +145,7 @@
     assert_eq!(
         failed(None, 10.0),
         Code::DeadlineExceeded,
-        "an attempt was cut off: its time was over"
+        "an attempt was still in flight: the deadline expired"
     );
     assert_eq!(failed(end(Code::Internal), 10.0), Code::Internal);
     assert_eq!(
@@ -157,7 +157,7 @@
     }
 }
 
-/// Guards memory against a backend that sends empty frames without end.
+/// Guards memory against a backend that sends an endless series of empty frames.
 #[test]
 fn empty_frames_are_neither_buffered_nor_forwarded() {
     for shape in [Shape::Unary, Shape::Bidi] {
@@ -170,14 +170,14 @@
     }
 }
 
-/// Guards against a made-up status: a call is served only by an attempt that succeeded.
+/// Guards against an invented status: a call is served only by an attempt that succeeded.
 #[test]
 fn only_a_successful_attempt_is_served() {
     let (mut call, mut outputs) = (call(Shape::Unary), Vec::new());
     let first = call.begin().unwrap();
     call.ended(
         first,
-        End::new(Outcome::Reset, Code::Internal, "cut"),
+        End::new(Outcome::Reset, Code::Internal, "truncated"),
         HeaderMap::new(),
     );
     call.serve(&mut outputs);
--- a/crates/grpc/tests/response_queue.rs
+++ b/crates/grpc/tests/response_queue.rs
@@ -1,4 +1,5 @@
-//! What a client is sent, whatever the sizes of chunks and windows, and whenever the response ends or the deadline passes.
+//! What a client receives, for any sizes of chunks and windows and any time at which the response
+//! ends or the deadline passes.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -8,7 +9,7 @@
 
 const MAX_BYTES: usize = 100;
 
-/// A message of this length with its prefix; each byte is its number.
+/// A message of this length with its prefix; each byte is the message's number.
 fn message(number: u8, length: usize) -> Vec<u8> {
     let mut message = prefix(length as u32).to_vec();
     message.extend(std::iter::repeat_n(number, length));
@@ -23,23 +24,23 @@
     Output::Final(result, HeaderMap::new())
 }
 
-/// Takes all that is there, with a window of so many bytes for each part.
+/// Takes all outputs, at most `window` bytes at a time.
 fn drain(queue: &mut ResponseQueue, window: usize) -> (Vec<u8>, Option<CallResult>) {
     let (mut bytes, mut result) = (Vec::new(), None);
     while queue.next().is_some() {
         match queue.take(window) {
             Some(Output::Data(data)) => bytes.extend(data),
-            Some(Output::Final(of, _)) => result = Some(of),
+            Some(Output::Final(final_result, _)) => result = Some(final_result),
             _ => {}
         }
     }
     (bytes, result)
 }
 
-/// Guards a stream that breaks while its messages wait: they come before the status (seen: a front door that read messages and reset in
-/// one go sent the status alone).
+/// Guards against losing queued messages when a stream breaks: they are sent before the status.
+/// Seen: a gateway that read messages and a reset at once sent only the status.
 #[test]
-fn messages_that_wait_come_before_the_status_of_a_failure() {
+fn queued_messages_are_sent_before_the_status() {
     for result in [CallResult::Served, CallResult::Rejected, CallResult::Failed] {
         let mut queue = ResponseQueue::new(MAX_BYTES);
         queue.push(Output::Head(HeaderMap::new()));
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn a_message_is_begun_once_it_is_complete() {
+fn message_is_sent_once_it_is_complete() {
     let mut queue = ResponseQueue::new(MAX_BYTES);
     let (first, second) = (message(1, 10), message(2, 20));
     push_data(&mut queue, &[&first[..], &second[..8]].concat());
@@ -63,23 +64,24 @@
     assert_eq!(drain(&mut queue, 100), (second, None));
 }
 
-/// Guards against a queue that waits for the rest of a message while nothing more is received.
+/// Guards against a full queue that waits for the rest of a message while nothing more is received.
 #[test]
-fn a_message_longer_than_the_queue_is_passed_on_in_parts() {
+fn message_longer_than_the_queue_is_sent_in_chunks() {
     let mut queue = ResponseQueue::new(MAX_BYTES);
     let long = message(1, 3 * MAX_BYTES);
     let mut sent = Vec::new();
     for chunk in long.chunks(60) {
-        assert!(!queue.is_full(), "nothing more would be received");
+        assert!(!queue.is_full(), "a full queue would stop receiving");
         push_data(&mut queue, chunk);
         sent.extend(drain(&mut queue, 1000).0);
     }
     assert_eq!(sent, long);
 }
 
-/// Guards the status of a client that does not read on, and a response that is cut by it: it does not count as served.
+/// Guards against a status that waits for a client that does not read, and against counting its
+/// truncated response as served.
 #[test]
-fn at_the_deadline_the_status_does_not_wait() {
+fn status_does_not_wait_for_messages_after_the_deadline() {
     let mut queue = ResponseQueue::new(MAX_BYTES);
     push_data(&mut queue, &message(1, 10));
     queue.push(status(CallResult::Served));
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn a_response_that_is_taken_whole_keeps_its_status_after_the_deadline() {
+fn completely_taken_response_keeps_its_status_after_the_deadline() {
     let mut queue = ResponseQueue::new(MAX_BYTES);
     push_data(&mut queue, &message(1, 10));
     queue.push(status(CallResult::Served));
@@ -103,25 +105,26 @@
 }
 
 proptest! {
-    /// Guards what a client's library sees: a prefix of the backend's bytes, whole messages before a status, and every whole message;
-    /// half of one only where it is longer than the queue.
+    /// Guards against lost, reordered or truncated messages: the client receives a prefix of the
+    /// backend's bytes with every complete message, and a truncated message only if the message is
+    /// longer than the queue.
     #[test]
-    fn a_client_gets_every_whole_message_and_no_half_of_a_short_one(
+    fn client_receives_every_complete_message_and_no_truncated_short_one(
         lengths in proptest::collection::vec(0usize..60, 0..8),
-        cuts in proptest::collection::vec(1usize..50, 1..40),
+        chunk_sizes in proptest::collection::vec(1usize..50, 1..40),
         windows in proptest::collection::vec(0usize..40, 1..40),
         end in 0usize..400,
         served: bool,
     ) {
-        let whole: Vec<Vec<u8>> = lengths.iter().enumerate().map(|(n, length)| message(n as u8, *length)).collect();
-        let stream = whole.concat();
+        let messages: Vec<Vec<u8>> = lengths.iter().enumerate().map(|(n, length)| message(n as u8, *length)).collect();
+        let stream = messages.concat();
         let received = if served { &stream[..] } else { &stream[..end.min(stream.len())] };
         let mut queue = ResponseQueue::new(MAX_BYTES);
         let (mut sent, mut position) = (Vec::new(), 0);
-        let (mut cuts, mut windows) = (cuts.iter().cycle(), windows.iter().cycle());
+        let (mut chunk_sizes, mut windows) = (chunk_sizes.iter().cycle(), windows.iter().cycle());
         while position < received.len() {
             if !queue.is_full() {
-                let to = (position + cuts.next().unwrap()).min(received.len());
+                let to = (position + chunk_sizes.next().unwrap()).min(received.len());
                 push_data(&mut queue, &received[position..to]);
                 position = to;
             }
@@ -139,9 +142,9 @@
         prop_assert_eq!(&received[..sent.len()], &sent[..]);
         let mut frames = Frames::default();
         frames.take(&sent).unwrap();
-        let mut all = Frames::default();
-        all.take(received).unwrap();
-        prop_assert_eq!(frames.messages(), all.messages());
+        let mut received_frames = Frames::default();
+        received_frames.take(received).unwrap();
+        prop_assert_eq!(frames.messages(), received_frames.messages());
         prop_assert!(!frames.in_message() || frames.bytes_in_message() + MAX_BYTES >= 60);
         if served {
             prop_assert_eq!(sent.len(), received.len());
--- a/crates/grpc/tests/schedules/main.rs
+++ b/crates/grpc/tests/schedules/main.rs
@@ -1,12 +1,16 @@
-//! Random schedules of transport events, checked against the invariants of the package by a model that knows what ran:
+//! Random schedules of transport events, checked against the invariants of the package by a model
+//! that records which attempts ran:
 //!
-//! - a call has one final status and nothing after it; all that its client sees comes from one attempt, in order;
-//! - it is served only by an attempt that succeeded in time, and then completely;
-//! - an attempt that ran is never reported as one that did not, so that a call that is not idempotent runs once;
-//! - a rejected call that is not idempotent did not run, and a failed one carries no status that clients retry.
+//! - a call has one final status and nothing after it; all that the client receives comes from one
+//!   attempt, in order;
+//! - a call is served only by an attempt that succeeded in time, and then completely;
+//! - an attempt that ran is never reported as one that did not, so that a non-idempotent call runs
+//!   at most once;
+//! - a rejected non-idempotent call did not run, and a failed call has no status that clients
+//!   retry.
 //!
-//! The bound of the buffered response is tested in `tests/call.rs`: no schedule reaches it, since a unary response of more than
-//! one message ends its attempt.
+//! The limit of the buffered response is tested in `tests/call.rs`: no schedule reaches the limit,
+//! since a unary response of more than one message ends its attempt.
 //!
 //! `GRPC_SCHEDULES=N` runs N schedules.
 
@@ -17,7 +21,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use world::{run_schedule, Defect, Event, Run};
 
-/// Schedules of a run without `GRPC_SCHEDULES`.
+/// Number of schedules without `GRPC_SCHEDULES`.
 const DEFAULT_SCHEDULES: u32 = 4_000;
 
 fn event() -> impl Strategy<Value = Event> {
@@ -44,7 +48,7 @@
     ]
 }
 
-/// A method's shape, whether a call of it must not run twice, and the events.
+/// A method's shape, whether its calls are non-idempotent, and the events.
 fn schedule() -> impl Strategy<Value = (Shape, bool, Vec<Event>)> {
     (
         shape(),
@@ -70,7 +74,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]))
 }
 
-/// Counts over all schedules.
+/// Totals over all schedules.
 #[derive(Clone, Copy, Default)]
 struct Tally {
     attempts: u64,
@@ -94,11 +98,11 @@
 }
 
 #[test]
-fn no_schedule_breaks_a_rule() {
+fn invariants_hold_in_random_schedules() {
     let tally = std::cell::Cell::new(Tally::default());
-    let outcome = runner(schedules()).run(&schedule(), |(shape, must_not_repeat, events)| {
+    let outcome = runner(schedules()).run(&schedule(), |(shape, non_idempotent, events)| {
         let run =
-            run_schedule(shape, must_not_repeat, &events, None).map_err(TestCaseError::fail)?;
+            run_schedule(shape, non_idempotent, &events, None).map_err(TestCaseError::fail)?;
         let mut counts = tally.get();
         counts.add(&run);
         tally.set(counts);
@@ -117,7 +121,7 @@
     outcome.unwrap();
     assert!(
         [served, rejected, failed].iter().all(|count| *count > 200),
-        "every end is met"
+        "every result occurs"
     );
 }
 
@@ -129,8 +133,8 @@
         Defect::ResetIsOk,
         Defect::IgnoresTime,
     ] {
-        let run = runner(1_000).run(&schedule(), |(shape, must_not_repeat, events)| {
-            run_schedule(shape, must_not_repeat, &events, Some(defect))
+        let run = runner(1_000).run(&schedule(), |(shape, non_idempotent, events)| {
+            run_schedule(shape, non_idempotent, &events, Some(defect))
                 .map_err(TestCaseError::fail)
                 .map(drop)
         });
--- a/crates/grpc/tests/schedules/world.rs
+++ b/crates/grpc/tests/schedules/world.rs
@@ -1,4 +1,5 @@
-//! The model: a call with its client and its backends, which knows what ran, and the checks of the invariants.
+//! A model of a call, its client and its backends that records which attempts ran, and the checks
+//! of the invariants.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
@@ -9,11 +10,11 @@
 };
 use maplefall_policy::Outcome;
 
-/// When the client gives up, in milliseconds.
+/// The client's deadline, in milliseconds.
 const DEADLINE: f64 = 100.0;
-/// Time of one attempt, in milliseconds.
+/// Timeout of one attempt, in milliseconds.
 const ATTEMPT_TIMEOUT: f64 = 60.0;
-/// Attempts of a call at most.
+/// Maximum number of attempts of a call.
 const MAX_ATTEMPTS: u32 = 4;
 const MAX_BUFFERED_BYTES: usize = 64;
 
@@ -24,13 +25,13 @@
     ResetIsRejection,
     /// Data of a previous attempt is delivered as the current attempt's.
     DataOfPreviousAttempt,
-    /// A reset stream is reported as ended well.
+    /// A reset stream is reported as a success.
     ResetIsOk,
     /// Deadlines are ignored.
     IgnoresTime,
 }
 
-/// What happens next to the current attempt.
+/// An event of the current attempt.
 #[derive(Clone, Debug)]
 pub enum Event {
     Head,
@@ -39,7 +40,7 @@
         length: u8,
         truncated_at: Option<u8>,
     },
-    /// A status behind a response head.
+    /// A status after a response head.
     Trailers {
         code: u8,
         not_started: bool,
@@ -55,11 +56,11 @@
     Unprocessed,
     ConnectionLost,
     Unreachable,
-    /// So many milliseconds pass.
+    /// This many milliseconds pass.
     Wait(u8),
 }
 
-/// What the client received.
+/// The outputs that the client received.
 #[derive(Default)]
 struct Client {
     has_head: bool,
@@ -87,13 +88,13 @@
     }
 }
 
-/// The current attempt, and what is true of it.
+/// The current attempt, with the actual state of its backend.
 struct CurrentAttempt {
     number: u32,
     attempt: Attempt,
     /// Whether the backend ran the call.
     has_run: bool,
-    /// Bytes of the response that were delivered; `None` before its head.
+    /// Bytes of the response that were delivered; `None` before the response head.
     response: Option<Vec<u8>>,
 }
 
@@ -102,7 +103,7 @@
         self.response.is_some()
     }
 
-    /// Whether the backend can still state that it did nothing.
+    /// Whether the backend can still state that it did not start the call.
     fn is_untouched(&self) -> bool {
         !self.has_run && !self.has_response()
     }
@@ -124,7 +125,7 @@
     now: f64,
     attempts: u32,
     current: Option<CurrentAttempt>,
-    /// How often the call ran.
+    /// Number of times that the call ran.
     runs: u32,
     last: Option<EndedAttempt>,
     previous_number: Option<u32>,
@@ -147,7 +148,7 @@
         }
     }
 
-    /// The time as the code under test is given it.
+    /// The time that is passed to the code under test.
     fn clock(&self) -> f64 {
         if self.defect == Some(Defect::IgnoresTime) {
             0.0
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Acts as the decision module: a further attempt where the class permits one, else the end of the call.
+    /// Acts as the decision module: begins a further attempt if the class permits one, otherwise
+    /// ends the call.
     fn decide(&mut self) -> Result<(), String> {
         let last_end = self.last.as_ref().map(|last| &last.end);
         let succeeded = last_end.is_some_and(|end| end.outcome == Outcome::Ok);
@@ -180,9 +182,12 @@
         let number = self
             .call
             .begin()
-            .map_err(|_| "an open call takes no attempt")?;
+            .map_err(|_| "an open call cannot begin an attempt")?;
         if number != self.attempts {
-            return Err(format!("attempt {number} is the {}th", self.attempts));
+            return Err(format!(
+                "attempt {number} was expected to be number {}",
+                self.attempts
+            ));
         }
         self.attempts += 1;
         self.current = Some(CurrentAttempt {
@@ -240,7 +245,7 @@
         Ok(())
     }
 
-    /// The backend runs the call, as in all cases in which it does not state that it has not.
+    /// Lets the backend run the call, as it does unless it states that it did not start the call.
     fn run(&mut self, current: &mut CurrentAttempt) {
         current.attempt.sent();
         if !current.has_run {
@@ -294,7 +299,7 @@
             Event::Unreachable if current.is_untouched() => current.attempt.unreachable(),
             Event::Wait(time) => {
                 self.now += f64::from(*time);
-                // The driver gives up the attempt.
+                // The driver cancels the attempt.
                 let expired = self.now >= DEADLINE && self.defect != Some(Defect::IgnoresTime);
                 expired.then(|| current.attempt.timed_out()).flatten()
             }
@@ -352,7 +357,8 @@
         end
     }
 
-    /// Headers of a status. A backend says `not-started` only with a rejection, and only if it has not run the call.
+    /// Headers of a status. A backend sends `not-started` only with a rejection, and only if it has
+    /// not run the call.
     fn status(&mut self, code: u8, not_started: bool, current: &mut CurrentAttempt) -> HeaderMap {
         let rejects = matches!(
             Code::ALL.get(usize::from(code)),
@@ -374,7 +380,7 @@
 
     fn check(&self) -> Result<(), String> {
         if !self.idempotent && self.runs > 1 {
-            return Err(format!("it ran {} times", self.runs));
+            return Err(format!("a non-idempotent call ran {} times", self.runs));
         }
         let Some((result, trailers)) = &self.client.end else {
             return Ok(());
@@ -386,7 +392,7 @@
         match result {
             CallResult::Served => self.check_served(code),
             CallResult::Rejected if !self.idempotent && self.runs > 0 => {
-                Err("rejected, and it ran".to_owned())
+                Err("a rejected non-idempotent call ran".to_owned())
             }
             CallResult::Rejected => Ok(()),
             CallResult::Failed => check_failed(code, trailers),
@@ -407,7 +413,7 @@
         let mut frames = Frames::default();
         frames
             .take(response)
-            .map_err(|_| "served what is no message")?;
+            .map_err(|_| "served an invalid message")?;
         if frames.in_message() {
             return Err("served a truncated message".to_owned());
         }
@@ -428,7 +434,7 @@
     Ok(())
 }
 
-/// How a schedule ended.
+/// Result of a schedule.
 pub struct Run {
     /// Attempts begun.
     pub attempts: u32,
@@ -439,14 +445,14 @@
 /// Runs a schedule and checks the invariants after each event.
 ///
 /// # Errors
-/// The invariant that was broken.
+/// The invariant that was violated.
 pub fn run_schedule(
     shape: Shape,
-    must_not_repeat: bool,
+    non_idempotent: bool,
     events: &[Event],
     defect: Option<Defect>,
 ) -> Result<Run, String> {
-    let mut world = World::new(shape, !must_not_repeat, defect);
+    let mut world = World::new(shape, !non_idempotent, defect);
     for event in events {
         world.step(event)?;
         world.check()?;
