--- a/crates/grpc/src/replay/tests.rs
+++ b/crates/grpc/src/replay/tests.rs
@@ -13,19 +13,19 @@
     );
     assert_eq!(replay.next(1), Next::Wait);
     assert!(!replay.push(Bytes::from_static(b"defg")));
-    assert!(!replay.has_room());
+    assert!(!replay.has_capacity());
     replay.commit(1);
-    assert!(replay.has_room());
-    assert_eq!((replay.next(0), replay.bytes()), (Next::Gone, 4));
+    assert!(replay.has_capacity());
+    assert_eq!((replay.next(0), replay.bytes()), (Next::Dropped, 4));
     replay.end();
     replay.taken(2);
     assert_eq!(
         (replay.next(1), replay.next(2), replay.bytes()),
-        (Next::Gone, Next::End, 0)
+        (Next::Dropped, Next::End, 0)
     );
 }
 
-/// Guards memory against a client that sends empty frames without end.
+/// Guards memory against a client that sends an endless series of empty frames.
 #[test]
 fn empty_chunks_are_not_stored() {
     let mut replay = Replay::new(6);
@@ -38,7 +38,7 @@
 }
 
 proptest! {
-    /// A second attempt is sent the same chunks as the first, whenever they arrived.
+    /// Guards against an attempt that misses chunks because of the time at which they arrived.
     #[test]
     fn every_attempt_is_sent_the_same_chunks(chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..5), 0..20), first in 0usize..20, commit in any::<bool>()) {
         let mut replay = Replay::new(1 << 20);
