--- a/crates/policy/src/gateway/customers.rs
+++ b/crates/policy/src/gateway/customers.rs
@@ -411,8 +411,10 @@
     }
 
     fn may_open(&mut self, now: Millis, request: &Request, plan: &Plan, target: Millis) -> bool {
-        let share = open_share(plan, request.gateways);
-        let total = f64::from(plan.max_in_flight);
+        let (share, total) = (
+            open_share(plan, request.gateways),
+            f64::from(plan.max_in_flight),
+        );
         self.open.has_capacity(now, share, total, target)
     }
 }
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -123,8 +123,7 @@
         tenant.and_modify(|tenant| tenant.bucket.take(-units));
     }
 
-    /// What each tenant has requested of late, in units a second, without those
-    /// that request next to nothing.
+    /// Returns the recent demand of each tenant, in units a second, where it exceeds `MIN_DEMAND`.
     pub fn demand(&self, now: Millis) -> impl Iterator<Item = (&K, f64)> {
         let tenants = self.tenants.iter();
         let demand =
