--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -17,8 +17,8 @@
     CheckId, Decision, Failure, Gate, Key, Keyring, Output, Refusal, Verdict,
 };
 use maplefall_policy::{BackendId, ClassId, Millis, RequestId};
-use maplefall_protocol::Answer;
-use maplefall_settings::Links;
+use maplefall_protocol::FinalResponse;
+use maplefall_settings::ConnectionTimeouts;
 use maplefall_upstream::Clock;
 use maplefall_upstream::{ConnectError, Pools};
 use std::cell::{Cell, RefCell};
@@ -54,7 +54,7 @@
     /// It goes on.
     Passed,
     /// The decision module answered it first.
-    Answered(Answer),
+    Answered(FinalResponse),
     /// The service's response is its answer.
     Denied(Rc<AuthResponse>),
     /// Its caller could not be checked: no attempt was made.
@@ -114,11 +114,11 @@
     pub fn new(mut settings: AuthSettings, clock: Clock, seed: u64, sockets: usize) -> Rc<Auth> {
         settings.gate.most_out = settings.gate.most_out.min(sockets);
         settings.gate.seed = seed;
-        let links = Links {
+        let timeouts = ConnectionTimeouts {
             dial_timeout: DIAL_TIMEOUT,
             idle_close: settings.idle_close,
         };
-        let pools = Pools::new(links, sockets);
+        let pools = Pools::new(timeouts, sockets);
         for (at, server) in settings.servers.iter().enumerate() {
             pools.open(server_id(at), server.dial, 0.0);
         }
@@ -239,11 +239,11 @@
         caller: Caller,
         id: RequestId,
         deadline: Millis,
-        answer: &mut oneshot::Receiver<Answer>,
+        answer: &mut oneshot::Receiver<FinalResponse>,
     ) -> Checked {
         let decision = tokio::select! {
             // The decision module may answer first: its deadline has passed, or it has no backends left.
-            answer = &mut *answer => return Checked::Answered(answer.unwrap_or(Answer::Failed)),
+            answer = &mut *answer => return Checked::Answered(answer.unwrap_or(FinalResponse::Failed)),
             decision = self.check(caller, deadline) => decision,
         };
         #[cfg(feature = "breakages")]
@@ -275,7 +275,7 @@
         };
         match driver.check_denied(id) {
             true => outcome,
-            false => Checked::Answered(answer.await.unwrap_or(Answer::Failed)),
+            false => Checked::Answered(answer.await.unwrap_or(FinalResponse::Failed)),
         }
     }
 
--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -6,7 +6,7 @@
 use maplefall_forward_auth::headers::Headers;
 use maplefall_forward_auth::Settings as GateSettings;
 use maplefall_policy::{Idempotency, Millis};
-use maplefall_settings::plain;
+use maplefall_settings::wire_value;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -212,7 +212,7 @@
     let mut modes = vec![Mode::Off; count];
     for (at, (name, mode)) in file.classes.iter().enumerate() {
         match classes {
-            Some((known, _)) => match known.iter().position(|known| *known == plain(name)) {
+            Some((known, _)) => match known.iter().position(|known| *known == wire_value(name)) {
                 Some(class) => modes[class] = *mode,
                 None => errors.push(format!(
                     "classes.{name}: one of {} was expected",
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -11,8 +11,8 @@
 use maplefall_protocol::headers::{
     API_CHARGE, API_USAGE, IDEMPOTENCY_KEY, NOT_STARTED, REQUEST_ID, REQUEST_TIMEOUT, SERVER_LOAD,
 };
-use maplefall_protocol::{Ended, Order, LONGEST_BODY};
-use maplefall_settings::{self as settings, Metric, Told};
+use maplefall_protocol::{EndedAttempt, ForwardedRequest, MAX_BODY_BYTES};
+use maplefall_settings::{self as settings, Metric, ParsedSettings};
 use maplefall_upstream::{send_request, AttemptHandle, Pools, RequestOptions};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -74,7 +74,7 @@
 
 impl ResponseReader {
     /// A reader by the settings, in a process that may take `memory` bytes.
-    pub fn new(settings_file: &Told, memory: usize) -> ResponseReader {
+    pub fn new(settings_file: &ParsedSettings, memory: usize) -> ResponseReader {
         ResponseReader {
             metric_names: settings_file.names.metrics.clone(),
             metrics: settings_file.metrics.clone(),
@@ -91,7 +91,7 @@
         {
             let position = self.metric_names.iter().position(|known| known == name);
             if let (Some(position), Ok(value)) = (position, value.parse::<f32>()) {
-                settings::tell(&mut report, self.metrics[position], value);
+                settings::set_metric(&mut report, self.metrics[position], value);
             }
         }
         report
@@ -99,7 +99,7 @@
 }
 
 /// The request to a backend, with the attempt's timeout in a header.
-fn build_request(forwarded: &Order, timeout: Millis) -> Request<Full<Bytes>> {
+fn build_request(forwarded: &ForwardedRequest, timeout: Millis) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(forwarded.body.clone()));
     *request.method_mut() = forwarded.method.clone();
     *request.uri_mut() = forwarded.uri.clone();
@@ -115,7 +115,7 @@
     if let Some(kind) = &forwarded.content_type {
         headers.insert(hyper::header::CONTENT_TYPE, kind.clone());
     }
-    for (name, value) in &forwarded.onward {
+    for (name, value) in &forwarded.added_headers {
         headers.append(name.clone(), value.clone());
     }
     request
@@ -126,11 +126,11 @@
     pools: &Pools,
     reader: &ResponseReader,
     backend: BackendId,
-    forwarded: &Order,
+    forwarded: &ForwardedRequest,
     timeout: Millis,
     send_mode: SendMode,
     handle: &AttemptHandle,
-) -> Ended {
+) -> EndedAttempt {
     let result = send_request(
         pools,
         RequestOptions {
@@ -142,18 +142,21 @@
         handle,
         |left| build_request(forwarded, left),
         async |response| read_response(reader, response).await,
-        |ended: &Ended| ended.outcome == Outcome::Full,
+        |ended: &EndedAttempt| ended.outcome == Outcome::Full,
     )
     .await;
-    Ended {
-        broken: result.broken_connections,
-        ..result.result.unwrap_or_else(Ended::of)
+    EndedAttempt {
+        broken_connections: result.broken_connections,
+        ..result.result.unwrap_or_else(EndedAttempt::without_response)
     }
 }
 
 /// Reads a complete response; `None` if the connection ends before it does, or if its end cannot be known: a response without
 /// framing ends with its connection and may be truncated. After 101 the connection speaks another protocol.
-async fn read_response(reader: &ResponseReader, response: Response<Incoming>) -> Option<Ended> {
+async fn read_response(
+    reader: &ResponseReader,
+    response: Response<Incoming>,
+) -> Option<EndedAttempt> {
     let (head, body) = response.into_parts();
     let has_framing =
         head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
@@ -162,20 +165,20 @@
     }
     let body = read_body(&reader.memory, body).await?;
     let outcome = outcome_of(head.status, &head.headers);
-    Some(Ended {
+    Some(EndedAttempt {
         outcome,
         body: if outcome == Outcome::Ok {
             body
         } else {
             Bytes::new()
         },
-        used: header_number(&head.headers, &API_USAGE, MAX_USAGE_PERCENT)
+        metered_usage: header_number(&head.headers, &API_USAGE, MAX_USAGE_PERCENT)
             .map(|percent| percent / 100.0),
-        charge: header_number(&head.headers, &API_CHARGE, reader.max_units),
+        true_units: header_number(&head.headers, &API_CHARGE, reader.max_units),
         report: header_text(&head.headers, &SERVER_LOAD)
             .map(|text| reader.parse_report(text))
             .unwrap_or_default(),
-        broken: 0,
+        broken_connections: 0,
     })
 }
 
@@ -187,7 +190,7 @@
     }
     // A body in chunks declares no length: once it proves long, the maximum is reserved.
     let max_length = usize::try_from(declared_length.unwrap_or(MAX_RESPONSE_BYTES)).ok()?;
-    if declared_length.is_some() && max_length <= LONGEST_BODY {
+    if declared_length.is_some() && max_length <= MAX_BODY_BYTES {
         return Some(body.collect().await.ok()?.to_bytes());
     }
     let mut reserved = None;
@@ -200,7 +203,7 @@
         if length > max_length {
             return None;
         }
-        if length > LONGEST_BODY && reserved.is_none() {
+        if length > MAX_BODY_BYTES && reserved.is_none() {
             reserved = Some(memory.reserve(max_length)?);
         }
         received.extend_from_slice(&data);
--- a/crates/maplefall/src/net/backends/tests.rs
+++ b/crates/maplefall/src/net/backends/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use hyper::{Method, Uri};
-use maplefall_settings::Links;
+use maplefall_settings::ConnectionTimeouts;
 use socket2::SockRef;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -28,7 +28,7 @@
 const SCENARIO_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn pools() -> (Pools, ResponseReader) {
-    let links = Links {
+    let timeouts = ConnectionTimeouts {
         dial_timeout: 20_000.0,
         idle_close: 600_000.0,
     };
@@ -38,12 +38,12 @@
         max_units: 8.0,
         memory: ResponseMemory(Arc::default()),
     };
-    (Pools::new(links, 8), reading)
+    (Pools::new(timeouts, 8), reading)
 }
 
-fn order() -> Order {
+fn order() -> ForwardedRequest {
     let value = HeaderValue::from_static("id-1");
-    Order {
+    ForwardedRequest {
         id: "id-1".into(),
         id_value: value.clone(),
         host: value,
@@ -51,7 +51,7 @@
         uri: Uri::from_static("/charge"),
         key: None,
         content_type: None,
-        onward: Vec::new(),
+        added_headers: Vec::new(),
         body: Bytes::from_static(b"hello"),
     }
 }
@@ -114,7 +114,7 @@
     });
     let ends_seen: Vec<_> = ends
         .iter()
-        .map(|end| (end.outcome, end.body.as_ref(), end.broken))
+        .map(|end| (end.outcome, end.body.as_ref(), end.broken_connections))
         .collect();
     assert_eq!(
         ends_seen,
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -8,7 +8,7 @@
 use maplefall_etcd::{Command, Input};
 use maplefall_membership::{Event, Roster, Update};
 use maplefall_policy::{Action, BackendEntry, Idempotency, Millis, RejectReason, Settings};
-use maplefall_protocol::{Health, Member, Order};
+use maplefall_protocol::{ForwardedRequest, Health, Member};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
@@ -194,7 +194,7 @@
 }
 
 /// An order as it goes on to a backend.
-pub fn forwarded_request(forwarded: Rc<Order>) -> Rc<Order> {
+pub fn forwarded_request(forwarded: Rc<ForwardedRequest>) -> Rc<ForwardedRequest> {
     if !is(Breakage::ChangedOnTheWay) {
         return forwarded;
     }
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -4,7 +4,7 @@
 use super::config::{min_memory_mb, MIN_SOCKETS};
 use super::{auth_settings, counts_settings, grpc, membership, sources};
 use maplefall_protocol::Members;
-use maplefall_settings::{self as settings, Told};
+use maplefall_settings::{self as settings, ParsedSettings};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -87,7 +87,7 @@
     }
     match value.get("settings") {
         None => errors.push("settings: an object was expected".to_owned()),
-        Some(told) => match settings::parse_all(&settings::facts(told)) {
+        Some(told) => match settings::parse_all(&settings::to_lines(told)) {
             Ok(told) => check_plausibility(&told, &mut errors),
             Err(mistakes) => errors.extend(mistakes),
         },
@@ -117,7 +117,7 @@
 }
 
 /// Reports what is valid and yet cannot be meant.
-fn check_plausibility(parsed: &Told, errors: &mut Vec<String>) {
+fn check_plausibility(parsed: &ParsedSettings, errors: &mut Vec<String>) {
     let (set, names) = (&parsed.settings, &parsed.names);
     for (list, known) in [("grades", &names.classes), ("plans", &names.plans)] {
         if known.is_empty() {
--- a/crates/maplefall/src/net/clients/mod.rs
+++ b/crates/maplefall/src/net/clients/mod.rs
@@ -19,7 +19,7 @@
     retry_after_value, CloseNotification, ConnectionGuard, ConnectionTable, ShutdownPhase,
 };
 use maplefall_policy::{Millis, RequestId};
-use maplefall_protocol::Answer;
+use maplefall_protocol::FinalResponse;
 use maplefall_upstream::{downstream_budget, MAX_BUFFER_BYTES};
 use socket::ObservedSocket;
 use std::convert::Infallible;
@@ -227,12 +227,12 @@
             .driver
             .clock
             .instant(connection.read_started_at() + REQUEST_READ_TIMEOUT);
-        incoming.order.body = read_body(body, &head.method, end).await?;
+        incoming.forwarded.body = read_body(body, &head.method, end).await?;
         incoming.at = connection.last_byte_at();
         connection.request_complete();
         let (class, plan, deadline) = (incoming.class, incoming.plan.0, incoming.deadline);
         let auth = self.auth.as_ref().filter(|auth| auth.checks_class(class));
-        incoming.checked = auth.is_none();
+        incoming.authorized = auth.is_none();
         #[cfg(feature = "breakages")]
         let incoming_deadline = incoming.deadline;
         let (id, mut answer) = self.driver.start_request(incoming).ok_or(Bad::Twice)?;
@@ -249,7 +249,7 @@
             }
         };
         let answer = match checked {
-            Checked::Passed => answer.await.unwrap_or(Answer::Failed),
+            Checked::Passed => answer.await.unwrap_or(FinalResponse::Failed),
             Checked::Answered(answer) => answer,
             Checked::Denied(carried) => {
                 disconnect_guard.id = None;
@@ -262,7 +262,9 @@
         };
         disconnect_guard.id = None;
         #[cfg(feature = "breakages")]
-        if matches!(answer, Answer::Refused(_)) && breakages::is(breakages::Breakage::HeldBack) {
+        if matches!(answer, FinalResponse::Rejected(_))
+            && breakages::is(breakages::Breakage::HeldBack)
+        {
             let late = incoming_deadline + breakages::HELD_MS;
             tokio::time::sleep_until(self.driver.clock.instant(late)).await;
         }
@@ -321,11 +323,11 @@
     }
 }
 
-fn response(answer: Answer) -> Response<Full<Bytes>> {
+fn response(answer: FinalResponse) -> Response<Full<Bytes>> {
     let (status, body, wait) = match answer {
-        Answer::Served(body) => (StatusCode::OK, body, None),
-        Answer::Refused(wait) => (StatusCode::TOO_MANY_REQUESTS, Bytes::new(), wait),
-        Answer::Failed => (StatusCode::BAD_GATEWAY, Bytes::new(), None),
+        FinalResponse::Served(body) => (StatusCode::OK, body, None),
+        FinalResponse::Rejected(wait) => (StatusCode::TOO_MANY_REQUESTS, Bytes::new(), wait),
+        FinalResponse::Failed => (StatusCode::BAD_GATEWAY, Bytes::new(), None),
     };
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
--- a/crates/maplefall/src/net/config.rs
+++ b/crates/maplefall/src/net/config.rs
@@ -4,7 +4,7 @@
 //! process cannot change.
 
 use maplefall_protocol::Members;
-use maplefall_settings::{self as settings, Told};
+use maplefall_settings::{self as settings, ParsedSettings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -90,7 +90,7 @@
     /// The list of backends as this process last had it.
     pub known: Option<Members>,
     /// The settings, as they were parsed.
-    pub parsed: Told,
+    pub parsed: ParsedSettings,
 }
 
 /// Descriptors that the process needs at least.
@@ -155,7 +155,7 @@
     }
 
     /// The seed and the settings, if they and the limits are usable.
-    fn check(&self) -> Result<(u64, Told), ConfigError> {
+    fn check(&self) -> Result<(u64, ParsedSettings), ConfigError> {
         let seed = u64::from_str_radix(&self.seed, 16).map_err(|_| {
             ConfigError::Value(format!("seed: {:?} is not a hexadecimal number", self.seed))
         })?;
@@ -168,7 +168,7 @@
         }
         Ok((
             seed,
-            settings::parse(&settings::facts(&self.settings)).map_err(ConfigError::Value)?,
+            settings::parse(&settings::to_lines(&self.settings)).map_err(ConfigError::Value)?,
         ))
     }
 }
--- a/crates/maplefall/src/net/driver/attempts.rs
+++ b/crates/maplefall/src/net/driver/attempts.rs
@@ -11,7 +11,7 @@
 use crate::net::breakages::{self, Breakage};
 use crate::net::grpc::{self, ProxiedCall};
 use maplefall_policy::{AttemptEnded, BackendId, Event, Millis, Outcome, RequestId, SendMode};
-use maplefall_protocol::{Answer, Ended, Order};
+use maplefall_protocol::{EndedAttempt, FinalResponse, ForwardedRequest};
 use maplefall_upstream::AttemptHandle;
 use std::rc::Rc;
 
@@ -20,7 +20,7 @@
     request: RequestId,
     number: u32,
     backend: BackendId,
-    forwarded: Rc<Order>,
+    forwarded: Rc<ForwardedRequest>,
     /// The call, if the request came over gRPC.
     call: Option<Rc<ProxiedCall>>,
     /// How long it may take, in milliseconds.
@@ -50,7 +50,7 @@
             request.answer_sender.is_none() || request.in_flight.is_some() || timeout <= 0.0;
         if not_needed || number >= self.settings.max_attempts {
             drop(state);
-            let end = Ended::of(Outcome::NotSent);
+            let end = EndedAttempt::without_response(Outcome::NotSent);
             let event = settlement(id, number, backend, 0.0, &end, false);
             return self.post(now, Event::AttemptEnded(event));
         }
@@ -99,7 +99,7 @@
         self: &Rc<Self>,
         attempt: &OutgoingAttempt,
         handle: &AttemptHandle,
-    ) -> Ended {
+    ) -> EndedAttempt {
         let Some(call) = &attempt.call else {
             return backends::send_attempt(
                 &self.pools,
@@ -126,7 +126,12 @@
     }
 
     /// Finishes an attempt, unless it is finished.
-    pub(super) fn finish_attempt(self: &Rc<Self>, id: RequestId, number: u32, mut end: Ended) {
+    pub(super) fn finish_attempt(
+        self: &Rc<Self>,
+        id: RequestId,
+        number: u32,
+        mut end: EndedAttempt,
+    ) {
         let now = self.clock.now();
         let event = {
             let mut state = self.state.borrow_mut();
@@ -152,9 +157,9 @@
                 .answer_sender
                 .take_if(|_| end.outcome == Outcome::Ok)
             {
-                let _ = sender.send(Answer::Served(end.body.clone()));
+                let _ = sender.send(FinalResponse::Served(end.body.clone()));
             }
-            if let (Some(counts), Some(charge)) = (self.shared_counts.get(), end.charge) {
+            if let (Some(counts), Some(charge)) = (self.shared_counts.get(), end.true_units) {
                 let correction = charge - request.reserved_units;
                 counts.record_usage(now, request.customer, request.plan, correction);
             }
@@ -173,7 +178,7 @@
     attempt: u32,
     backend: BackendId,
     elapsed: Millis,
-    end: &Ended,
+    end: &EndedAttempt,
     request_closed: bool,
 ) -> AttemptEnded {
     AttemptEnded {
@@ -183,10 +188,10 @@
         outcome: end.outcome,
         elapsed,
         request_closed,
-        metered_usage: end.used,
-        true_units: end.charge,
+        metered_usage: end.metered_usage,
+        true_units: end.true_units,
         report: end.report,
-        broken_connections: end.broken,
+        broken_connections: end.broken_connections,
     }
 }
 
@@ -203,7 +208,12 @@
         attempt
     }
 
-    fn break_end(self: &Rc<Self>, end: &mut Ended, backend: BackendId, forwarded: &Rc<Order>) {
+    fn break_end(
+        self: &Rc<Self>,
+        end: &mut EndedAttempt,
+        backend: BackendId,
+        forwarded: &Rc<ForwardedRequest>,
+    ) {
         if end.outcome != Outcome::Ok {
             return;
         }
@@ -216,7 +226,7 @@
     }
 
     /// Sends a request once more, past the decision module, after so many milliseconds.
-    fn resend(self: &Rc<Self>, backend: BackendId, forwarded: Rc<Order>, after_ms: u64) {
+    fn resend(self: &Rc<Self>, backend: BackendId, forwarded: Rc<ForwardedRequest>, after_ms: u64) {
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(std::time::Duration::from_millis(after_ms)).await;
--- a/crates/maplefall/src/net/driver/backend_list.rs
+++ b/crates/maplefall/src/net/driver/backend_list.rs
@@ -67,7 +67,7 @@
                 Availability::Removed
             }
         };
-        let site = settings::plain(&member.site);
+        let site = settings::wire_value(&member.site);
         let zone = self.names.zones.iter().position(|zone| *zone == site);
         let entry = BackendEntry {
             id,
--- a/crates/maplefall/src/net/driver/mod.rs
+++ b/crates/maplefall/src/net/driver/mod.rs
@@ -23,7 +23,7 @@
 #[cfg(feature = "breakages")]
 use maplefall_policy::BackendId;
 use maplefall_policy::{Action, Event, Gateway, Millis, Outcome, Settings};
-use maplefall_protocol::{Answer, Ended};
+use maplefall_protocol::{EndedAttempt, FinalResponse};
 use maplefall_settings::Names;
 use maplefall_upstream::{self as upstream, Clock, Pools};
 use state::State;
@@ -88,7 +88,7 @@
             grpc.map_or((0, 0), |grpc| (grpc.backend_connections, grpc.streams));
         let response_reader = ResponseReader::new(parsed, config.limits.memory_mb << 20);
         let pools = Pools::new(
-            parsed.links,
+            parsed.connection_timeouts,
             upstream::upstream_budget(config.limits.sockets).saturating_sub(reserved_sockets),
         );
         Rc::new(Driver {
@@ -97,7 +97,7 @@
             names: parsed.names.clone(),
             pools: Rc::new(pools),
             grpc_backends: grpc::Backends::new(
-                parsed.links,
+                parsed.connection_timeouts,
                 connections,
                 streams as usize,
                 parsed.settings.max_units,
@@ -176,11 +176,13 @@
                 request,
                 retry_after,
                 ..
-            } => self.send_answer(request, Answer::Refused(retry_after)),
-            Action::Fail(request) => self.send_answer(request, Answer::Failed),
-            Action::CancelAttempt { request, attempt } => {
-                self.finish_attempt(request, attempt, Ended::of(Outcome::Cancelled))
-            }
+            } => self.send_answer(request, FinalResponse::Rejected(retry_after)),
+            Action::Fail(request) => self.send_answer(request, FinalResponse::Failed),
+            Action::CancelAttempt { request, attempt } => self.finish_attempt(
+                request,
+                attempt,
+                EndedAttempt::without_response(Outcome::Cancelled),
+            ),
             Action::SetTimer { at, timer } => self.set_timer(at, TimerEvent::Alarm(timer)),
             Action::CloseIdle(backend) => self.pools.close_idle(backend),
             Action::Log(text) => eprintln!("{text}"),
--- a/crates/maplefall/src/net/driver/requests.rs
+++ b/crates/maplefall/src/net/driver/requests.rs
@@ -9,7 +9,7 @@
 use crate::net::grpc::ProxiedCall;
 use hyper::header::{HeaderName, HeaderValue};
 use maplefall_policy::{Event, Millis, Outcome, RemoteUsage, Request, RequestId};
-use maplefall_protocol::{Answer, Ended, Incoming, Order};
+use maplefall_protocol::{EndedAttempt, FinalResponse, ForwardedRequest, Incoming};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
@@ -19,7 +19,7 @@
     pub fn start_request(
         self: &Rc<Self>,
         incoming: Incoming,
-    ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+    ) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)> {
         self.start_call(incoming, None)
     }
 
@@ -28,15 +28,15 @@
         self: &Rc<Self>,
         incoming: Incoming,
         call: Option<Rc<ProxiedCall>>,
-    ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
+    ) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)> {
         let (sender, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
-            if !state.claim_request_id(incoming.at, &incoming.order.id) {
+            if !state.claim_request_id(incoming.at, &incoming.forwarded.id) {
                 return None;
             }
             state.insert_request(PendingRequest {
-                forwarded: Rc::new(incoming.order),
+                forwarded: Rc::new(incoming.forwarded),
                 customer: incoming.customer,
                 plan: incoming.plan,
                 reserved_units: incoming.units,
@@ -57,8 +57,8 @@
             class: incoming.class,
             units: incoming.units,
             deadline: incoming.deadline,
-            authorized: incoming.checked,
-            gateways: incoming.spread,
+            authorized: incoming.authorized,
+            gateways: incoming.gateways,
         };
         if let Some(counts) = self.shared_counts.get() {
             // What is known of the customer's usage at peers goes first, so that this request is decided by it.
@@ -97,8 +97,8 @@
         {
             request.awaits_check = false;
             if !onward.is_empty() {
-                let forwarded = Order {
-                    onward: onward.to_vec(),
+                let forwarded = ForwardedRequest {
+                    added_headers: onward.to_vec(),
                     ..(*request.forwarded).clone()
                 };
                 request.forwarded = Rc::new(forwarded);
@@ -153,12 +153,16 @@
             .get(&id)
             .and_then(|request| Some(request.in_flight.as_ref()?.number));
         if let Some(number) = number.filter(|_| self.settings.cancellation) {
-            self.finish_attempt(id, number, Ended::of(Outcome::Cancelled));
+            self.finish_attempt(
+                id,
+                number,
+                EndedAttempt::without_response(Outcome::Cancelled),
+            );
         }
     }
 
     /// Gives a request its final answer, unless it has one.
-    pub(super) fn send_answer(&self, id: RequestId, answer: Answer) {
+    pub(super) fn send_answer(&self, id: RequestId, answer: FinalResponse) {
         let mut state = self.state.borrow_mut();
         if let Some(sender) = state.take_answer_sender(id) {
             // The client may have disconnected; then nobody receives it.
--- a/crates/maplefall/src/net/driver/state.rs
+++ b/crates/maplefall/src/net/driver/state.rs
@@ -7,7 +7,7 @@
 use super::timers::TimerQueue;
 use crate::net::grpc::ProxiedCall;
 use maplefall_policy::{BackendId, CustomerId, Gateway, Millis, PlanId, RequestId};
-use maplefall_protocol::{Answer, Order};
+use maplefall_protocol::{FinalResponse, ForwardedRequest};
 use maplefall_upstream::AttemptHandle;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -22,14 +22,14 @@
 /// A request that has no final answer yet, or an attempt of which is in flight.
 pub(super) struct PendingRequest {
     /// What its attempts send.
-    pub(super) forwarded: Rc<Order>,
+    pub(super) forwarded: Rc<ForwardedRequest>,
     pub(super) customer: CustomerId,
     pub(super) plan: PlanId,
     /// Units that its customer's quota was charged for at its arrival.
     pub(super) reserved_units: f64,
     pub(super) deadline: Millis,
     /// Present until the one final answer has been sent.
-    pub(super) answer_sender: Option<oneshot::Sender<Answer>>,
+    pub(super) answer_sender: Option<oneshot::Sender<FinalResponse>>,
     pub(super) attempts_started: u32,
     pub(super) in_flight: Option<Attempt>,
     /// Whether the decision module waits for its caller's check.
@@ -122,7 +122,10 @@
     }
 
     /// Takes the sender of a request's final answer; `None` if it has been answered.
-    pub(super) fn take_answer_sender(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
+    pub(super) fn take_answer_sender(
+        &mut self,
+        id: RequestId,
+    ) -> Option<oneshot::Sender<FinalResponse>> {
         self.requests.get_mut(&id)?.answer_sender.take()
     }
 
--- a/crates/maplefall/src/net/driver/timers.rs
+++ b/crates/maplefall/src/net/driver/timers.rs
@@ -5,7 +5,7 @@
 use super::state::{PendingRequest, State};
 use super::Driver;
 use maplefall_policy::{Event, Millis, Outcome, RequestId, TimerId};
-use maplefall_protocol::{Answer, Ended};
+use maplefall_protocol::{EndedAttempt, FinalResponse};
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, HashMap};
 use std::rc::Rc;
@@ -187,7 +187,9 @@
             .map(|request| request.deadline);
         match deadline_of_stream {
             Some(deadline) => self.set_timer(deadline, TimerEvent::AttemptTimeout(id, number)),
-            None => self.finish_attempt(id, number, Ended::of(Outcome::Timeout)),
+            None => {
+                self.finish_attempt(id, number, EndedAttempt::without_response(Outcome::Timeout))
+            }
         }
     }
 
@@ -195,7 +197,7 @@
         // The decision module answers before this; a request that it still keeps must not stay without an answer.
         let unanswered = self.state.borrow().is_unanswered(id);
         if unanswered {
-            self.send_answer(id, Answer::Failed);
+            self.send_answer(id, FinalResponse::Failed);
             self.post(now, Event::ClientDisconnected(id));
         }
     }
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -12,7 +12,7 @@
 use maplefall_grpc::{timeout, Attempt, Call, End, Next};
 use maplefall_policy::{BackendId, Millis, Outcome, SendMode};
 use maplefall_protocol::headers::{API_CHARGE, API_USAGE, REQUEST_ID};
-use maplefall_protocol::{Ended, Order};
+use maplefall_protocol::{EndedAttempt, ForwardedRequest};
 use maplefall_upstream::{AttemptHandle, Clock, ConnectError, Pools};
 
 /// `grpc-timeout`.
@@ -31,7 +31,7 @@
     /// The clock.
     pub clock: Clock,
     /// The request; only its id and the headers that the authentication service added are read.
-    pub forwarded: &'a Order,
+    pub forwarded: &'a ForwardedRequest,
     /// The call.
     pub call: &'a ProxiedCall,
     /// How long the attempt may take, in milliseconds.
@@ -46,9 +46,9 @@
 
 impl Backends {
     /// Runs one attempt to its end.
-    pub async fn attempt(&self, to: BackendId, context: AttemptContext<'_>) -> Ended {
+    pub async fn attempt(&self, to: BackendId, context: AttemptContext<'_>) -> EndedAttempt {
         let Ok(attempt_number) = context.call.begin_attempt() else {
-            return Ended::of(Outcome::NotSent);
+            return EndedAttempt::without_response(Outcome::NotSent);
         };
         let deadline = context.clock.now() + context.timeout;
         let shape = context.call.shape();
@@ -71,10 +71,10 @@
         context
             .call
             .end_attempt(attempt_number, end, metadata.trailers);
-        Ended {
-            used: metadata.used,
-            charge: metadata.charge,
-            ..Ended::of(outcome)
+        EndedAttempt {
+            metered_usage: metadata.used,
+            true_units: metadata.charge,
+            ..EndedAttempt::without_response(outcome)
         }
     }
 
@@ -207,7 +207,7 @@
     if attempt_number > 0 {
         headers.insert(PREVIOUS_ATTEMPTS, HeaderValue::from(attempt_number));
     }
-    for (name, value) in &context.forwarded.onward {
+    for (name, value) in &context.forwarded.added_headers {
         headers.append(name.clone(), value.clone());
     }
     Some(request)
--- a/crates/maplefall/src/net/grpc/call_handler.rs
+++ b/crates/maplefall/src/net/grpc/call_handler.rs
@@ -16,7 +16,7 @@
 use hyper::{Request, Response, StatusCode};
 use maplefall_grpc::{status_trailers, Call, Code};
 use maplefall_policy::{Millis, RequestId};
-use maplefall_protocol::{Answer, Incoming};
+use maplefall_protocol::{FinalResponse, Incoming};
 use std::net::IpAddr;
 use std::rc::Rc;
 
@@ -102,7 +102,7 @@
         let (class, plan, deadline) = (incoming.class, incoming.plan.0, incoming.deadline);
         let auth = self.auth.as_ref().filter(|auth| auth.checks_class(class));
         incoming.at = self.driver.clock.now();
-        incoming.checked = auth.is_none();
+        incoming.authorized = auth.is_none();
         let Some((id, mut answer)) = self.driver.start_call(incoming, Some(call.clone())) else {
             let message = "a call with this id has come before";
             call.update(|call, outputs| call.turn_down(Code::AlreadyExists, message, outputs));
@@ -141,7 +141,7 @@
                 received = &mut answer, if !answered => {
                     answered = true;
                     guard.id = None;
-                    self.apply_answer(&call, received.unwrap_or(Answer::Failed));
+                    self.apply_answer(&call, received.unwrap_or(FinalResponse::Failed));
                 }
                 step = response.step(&call) => if step != Step::Sent { return },
                 // Guards the status of a client that does not read on.
@@ -174,12 +174,12 @@
     }
 
     /// Ends a call by the final answer of the decision module.
-    fn apply_answer(&self, call: &ProxiedCall, answer: Answer) {
+    fn apply_answer(&self, call: &ProxiedCall, answer: FinalResponse) {
         let now = self.driver.clock.now();
         call.update(|call: &mut Call, outputs| match answer {
-            Answer::Served(_) => call.serve(outputs),
-            Answer::Refused(retry_after) => call.refuse(retry_after, outputs),
-            Answer::Failed => call.fail(now, outputs),
+            FinalResponse::Served(_) => call.serve(outputs),
+            FinalResponse::Rejected(retry_after) => call.refuse(retry_after, outputs),
+            FinalResponse::Failed => call.fail(now, outputs),
         });
     }
 }
--- a/crates/maplefall/src/net/grpc/connections.rs
+++ b/crates/maplefall/src/net/grpc/connections.rs
@@ -7,7 +7,7 @@
 use h2::{Ping, PingPong};
 use hyper::body::Bytes;
 use maplefall_policy::{BackendId, Millis};
-use maplefall_settings::Links;
+use maplefall_settings::ConnectionTimeouts;
 use maplefall_upstream::{ConnectError, Pools};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -131,7 +131,7 @@
 
 /// Connections for calls to all backends.
 pub struct Backends {
-    links: Links,
+    timeouts: ConnectionTimeouts,
     /// Connections at most.
     budget: usize,
     /// Calls on one connection at most.
@@ -146,9 +146,14 @@
 
 impl Backends {
     /// No connections yet, `budget` at most, with `streams` calls on each; a call is charged `max_units` at most.
-    pub fn new(links: Links, budget: usize, streams: usize, max_units: f64) -> Backends {
+    pub fn new(
+        timeouts: ConnectionTimeouts,
+        budget: usize,
+        streams: usize,
+        max_units: f64,
+    ) -> Backends {
         Backends {
-            links,
+            timeouts,
             budget,
             streams,
             open: Rc::default(),
@@ -185,7 +190,7 @@
         self.open.set(self.open.get() + 1);
         let slot = ConnectionSlot(self.open.clone());
         let limit =
-            Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
+            Duration::try_from_secs_f64(self.timeouts.dial_timeout / 1000.0).unwrap_or_default();
         let dialed = tokio::time::timeout(limit, dial_h2(address)).await;
         let Ok(Some((sender, mut connection))) = dialed else {
             return Err(ConnectError::Unreachable);
@@ -252,7 +257,7 @@
     /// runs.
     pub async fn close_idle_connections(&self, pools: &Pools) {
         let max_idle =
-            Duration::try_from_secs_f64(self.links.idle_close / 1000.0).unwrap_or_default();
+            Duration::try_from_secs_f64(self.timeouts.idle_close / 1000.0).unwrap_or_default();
         loop {
             tokio::time::sleep(IDLE_SWEEP_INTERVAL).await;
             self.connections.borrow_mut().retain(|id, known| {
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -4,7 +4,7 @@
 use maplefall_grpc::routes::{Routes, Wrong};
 use maplefall_grpc::Shape;
 use maplefall_policy::{ClassId, Millis};
-use maplefall_settings::plain;
+use maplefall_settings::wire_value;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -147,7 +147,11 @@
     }
     let mut rows = Vec::new();
     for (at, row) in file.routes.iter().enumerate() {
-        let known = classes.map(|known| known.iter().position(|known| *known == plain(&row.class)));
+        let known = classes.map(|known| {
+            known
+                .iter()
+                .position(|known| *known == wire_value(&row.class))
+        });
         if let (Some(None), Some(known)) = (known, classes) {
             errors.push(format!(
                 "route.{at}.class: one of {} was expected, not {:?}",
--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -19,8 +19,8 @@
 use maplefall_grpc::{is_grpc, timeout, Code};
 use maplefall_policy::{Class, Idempotency, Millis, PlanId, Settings};
 use maplefall_protocol::headers::{API_PLAN, API_TERMS, IDEMPOTENCY_KEY, REQUEST_ID};
-use maplefall_protocol::{Incoming, Order, LONGEST_BODY};
-use maplefall_settings::{plain, Names};
+use maplefall_protocol::{ForwardedRequest, Incoming, MAX_BODY_BYTES};
+use maplefall_settings::{wire_value, Names};
 
 /// Bytes in front of each message: a flag and its length.
 const FRAME_HEADER_BYTES: usize = 5;
@@ -92,13 +92,13 @@
             at: now,
             // No client waits for longer than its class allows.
             deadline: now + timeout.min(class.deadline),
-            checked: true,
+            authorized: true,
             customer: customer(headers).ok_or_else(|| CallRejection::invalid_header(&COOKIE))?,
             plan,
             class: route.class,
             units,
-            spread,
-            order: Order {
+            gateways: spread,
+            forwarded: ForwardedRequest {
                 id: id.into(),
                 id_value: headers[REQUEST_ID].clone(),
                 host,
@@ -106,7 +106,7 @@
                 uri: path.clone().into(),
                 key: headers.get(IDEMPOTENCY_KEY).cloned(),
                 content_type: headers.get(CONTENT_TYPE).cloned(),
-                onward: Vec::new(),
+                added_headers: Vec::new(),
                 body: Bytes::new(),
             },
         };
@@ -127,7 +127,7 @@
     }
 
     fn plan(&self, headers: &HeaderMap) -> Result<PlanId, CallRejection> {
-        let plan_name = plain(header_text(headers, &API_PLAN)?);
+        let plan_name = wire_value(header_text(headers, &API_PLAN)?);
         self.names
             .plans
             .iter()
@@ -195,7 +195,7 @@
     metadata
 }
 
-/// Reads the one message of a call whose client sends one, of [`LONGEST_BODY`] bytes at most.
+/// Reads the one message of a call whose client sends one, of [`MAX_BODY_BYTES`] bytes at most.
 ///
 /// # Errors
 /// There is no message, more than one, or a longer one; or the client has disconnected.
@@ -213,8 +213,10 @@
         if frames.take(&data).is_err() || frames.messages() + u64::from(frames.within()) > 1 {
             return Err(not_one());
         }
-        if received > LONGEST_BODY + FRAME_HEADER_BYTES || frames.length() as usize > LONGEST_BODY {
-            let message = format!("a message of {LONGEST_BODY} bytes at most was expected");
+        if received > MAX_BODY_BYTES + FRAME_HEADER_BYTES
+            || frames.length() as usize > MAX_BODY_BYTES
+        {
+            let message = format!("a message of {MAX_BODY_BYTES} bytes at most was expected");
             return Err(CallRejection::Grpc(Code::ResourceExhausted, message));
         }
         call.push_upload(data);
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -10,8 +10,8 @@
 use maplefall_protocol::headers::{
     API_PLAN, API_TERMS, IDEMPOTENCY_KEY, REQUEST_CLASS, REQUEST_ID, REQUEST_TIMEOUT,
 };
-use maplefall_protocol::{Incoming, Order, LONGEST_BODY};
-use maplefall_settings::{plain, Names};
+use maplefall_protocol::{ForwardedRequest, Incoming, MAX_BODY_BYTES};
+use maplefall_settings::{wire_value, Names};
 
 /// Numbers of customers are below this.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
@@ -42,7 +42,7 @@
     /// The body has no `Content-Length`.
     #[error("a body must tell its length")]
     Unmeasured,
-    /// The body is over [`LONGEST_BODY`].
+    /// The body is over [`MAX_BODY_BYTES`].
     #[error("the body is too long")]
     TooLong,
     /// The body took too long.
@@ -81,7 +81,7 @@
     }
     let id = name(headers, &REQUEST_ID)?;
     let class = class(settings, names, head)?;
-    let plan_name = plain(text(headers, &API_PLAN)?);
+    let plan_name = wire_value(text(headers, &API_PLAN)?);
     let plan = names
         .plans
         .iter()
@@ -103,13 +103,13 @@
     Ok(Incoming {
         at: first,
         deadline: first + timeout,
-        checked: true,
+        authorized: true,
         customer: customer(headers).ok_or(Bad::Header(COOKIE))?,
         plan: PlanId(plan),
         class: ClassId(class),
         units: terms.units,
-        spread: terms.spread,
-        order: Order {
+        gateways: terms.spread,
+        forwarded: ForwardedRequest {
             id: id.into(),
             id_value: headers[REQUEST_ID].clone(),
             host: headers[HOST].clone(),
@@ -120,7 +120,7 @@
             content_type: text(headers, &CONTENT_TYPE)
                 .ok()
                 .and_then(|_| headers.get(CONTENT_TYPE).cloned()),
-            onward: Vec::new(),
+            added_headers: Vec::new(),
             body: Bytes::new(),
         },
     })
@@ -129,7 +129,7 @@
 /// The class, which header, path and method must agree on.
 fn class(settings: &Settings, names: &Names, head: &Parts) -> Result<usize, Bad> {
     let name = text(&head.headers, &REQUEST_CLASS)?;
-    let plain_name = plain(name);
+    let plain_name = wire_value(name);
     let class = names
         .classes
         .iter()
@@ -256,10 +256,10 @@
     if method == Method::GET {
         return Err(Bad::Method);
     }
-    if body.size_hint().lower() > LONGEST_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(Bad::TooLong);
     }
-    let read = tokio::time::timeout_at(end, Limited::new(body, LONGEST_BODY).collect()).await;
+    let read = tokio::time::timeout_at(end, Limited::new(body, MAX_BODY_BYTES).collect()).await;
     match read.map_err(|_| Bad::Slow)? {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Bad::TooLong),
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -3,14 +3,14 @@
 //!
 //! Invariant: JSON field names and header names are those of the protocol page; `tests/wire.rs` reads its forms.
 
-mod answer;
 pub mod headers;
 mod members;
 mod request;
+mod response;
 
-pub use answer::{Answer, Ended};
 pub use members::{Health, Member, Members};
-pub use request::{Incoming, Order};
+pub use request::{ForwardedRequest, Incoming};
+pub use response::{EndedAttempt, FinalResponse};
 
 /// Length in bytes of a request's body at most, and of a response's body that is buffered without a memory reservation.
-pub const LONGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -13,7 +13,7 @@
     /// When the client gives up, on the same clock.
     pub deadline: Millis,
     /// Whether the caller needs no (further) authorization check.
-    pub checked: bool,
+    pub authorized: bool,
     /// The tenant.
     pub customer: CustomerId,
     /// The tenant's plan.
@@ -23,14 +23,14 @@
     /// Quota units that it takes; an estimate until the response brings the actual ones.
     pub units: f64,
     /// Number of proxies that serve the tenant.
-    pub spread: f64,
+    pub gateways: f64,
     /// What is forwarded to a backend.
-    pub order: Order,
+    pub forwarded: ForwardedRequest,
 }
 
 /// The request as it is forwarded, the same with every attempt.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct ForwardedRequest {
     /// Request id as text.
     pub id: Rc<str>,
     /// Request id as the header value that was received.
@@ -46,7 +46,7 @@
     /// `content-type`, if the client sent one.
     pub content_type: Option<HeaderValue>,
     /// Headers added by the authorization check.
-    pub onward: Vec<(HeaderName, HeaderValue)>,
-    /// Complete body, at most [`LONGEST_BODY`](crate::LONGEST_BODY) bytes.
+    pub added_headers: Vec<(HeaderName, HeaderValue)>,
+    /// Complete body, at most [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES) bytes.
     pub body: Bytes,
 }
--- a/crates/protocol/src/answer.rs
+++ b/crates/protocol/src/response.rs
@@ -5,42 +5,42 @@
 
 /// The final response of a request. Each request has exactly one.
 #[derive(Debug)]
-pub enum Answer {
+pub enum FinalResponse {
     /// A backend's response body.
     Served(Bytes),
     /// The request did not run, or may run again: a retry is harmless, after this many milliseconds if a time is advised.
-    Refused(Option<Millis>),
+    Rejected(Option<Millis>),
     /// The request may have run.
     Failed,
 }
 
 /// How an attempt ended, with the metadata of its response.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// Outcome of the attempt.
     pub outcome: Outcome,
     /// Complete body of a successful response; else empty.
     pub body: Bytes,
     /// The tenant's usage over the last metered period, as a fraction of its quota (`api-usage`).
-    pub used: Option<f64>,
+    pub metered_usage: Option<f64>,
     /// Units that the request actually took (`api-charge`).
-    pub charge: Option<f64>,
+    pub true_units: Option<f64>,
     /// The backend's load report (`server-load`).
     pub report: Report,
     /// Established connections that broke during the attempt.
-    pub broken: u32,
+    pub broken_connections: u32,
 }
 
-impl Ended {
+impl EndedAttempt {
     /// An end without a response.
-    pub fn of(outcome: Outcome) -> Ended {
-        Ended {
+    pub fn without_response(outcome: Outcome) -> EndedAttempt {
+        EndedAttempt {
             outcome,
             body: Bytes::new(),
-            used: None,
-            charge: None,
+            metered_usage: None,
+            true_units: None,
             report: Report::default(),
-            broken: 0,
+            broken_connections: 0,
         }
     }
 }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -9,7 +9,7 @@
 use maplefall_control_messages::encode_frame;
 use maplefall_node_settings::Settings;
 use maplefall_policy::{BackendId, Millis, Outcome, RequestId, SendMode};
-use maplefall_settings::Links;
+use maplefall_settings::ConnectionTimeouts;
 use maplefall_upstream::{
     send_request, upstream_budget, AttemptHandle, Clock, Pools, RequestOptions,
 };
@@ -99,14 +99,14 @@
             .limits
             .file_limit
             .saturating_sub(RESERVED_DESCRIPTORS);
-        let links = Links {
+        let timeouts = ConnectionTimeouts {
             dial_timeout: CONNECT_TIMEOUT,
             idle_close: BACKEND_IDLE_TIMEOUT,
         };
         Rc::new(Proxy {
             clock: Clock::new(),
             core: RefCell::new(Core::new(settings, seed)),
-            pools: Pools::new(links, upstream_budget(max_sockets)),
+            pools: Pools::new(timeouts, upstream_budget(max_sockets)),
             pending: RefCell::default(),
             timer_set: Notify::new(),
             next_wakeup: Cell::new(f64::INFINITY),
--- a/crates/settings/src/flatten.rs
+++ b/crates/settings/src/flatten.rs
@@ -7,12 +7,12 @@
 use std::fmt::Write;
 
 /// A string value as it stands in a line: spaces and commas, which separate values on the wire, become underscores.
-pub fn plain(value: &str) -> String {
+pub fn wire_value(value: &str) -> String {
     value.replace([' ', ','], "_")
 }
 
 /// Nested settings as `path=value` lines, to be read by [`parse`](crate::parse).
-pub fn facts(settings: &Value) -> String {
+pub fn to_lines(settings: &Value) -> String {
     let mut lines = String::new();
     flatten("", settings, &mut lines);
     lines
@@ -61,7 +61,7 @@
 /// The text of a scalar; `None` for `null`, lists and objects.
 fn scalar(value: &Value) -> Option<String> {
     match value {
-        Value::String(text) => Some(plain(text)),
+        Value::String(text) => Some(wire_value(text)),
         Value::Bool(_) | Value::Number(_) => Some(value.to_string()),
         Value::Null | Value::Array(_) | Value::Object(_) => None,
     }
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -40,13 +40,13 @@
 pub fn report(metrics: &[Metric], values: &[f32]) -> Report {
     let mut report = Report::default();
     for (metric, value) in metrics.iter().zip(values) {
-        tell(&mut report, *metric, *value);
+        set_metric(&mut report, *metric, *value);
     }
     report
 }
 
 /// Sets one value of a load report.
-pub fn tell(report: &mut Report, metric: Metric, value: f32) {
+pub fn set_metric(report: &mut Report, metric: Metric, value: f32) {
     let value = Some(f64::from(value));
     match metric {
         Metric::InFlight => report.in_flight = value,
--- a/crates/settings/src/mapping.rs
+++ b/crates/settings/src/mapping.rs
@@ -10,15 +10,15 @@
 //! | `extra.meter` | [`Settings::meter_period`] | ms; 0 for no meter | 0 |
 //! | `registry_mode` | [`Settings::discovery`] | `pushed`, `on_request` | `pushed` |
 //! | `report.via` | [`Settings::reports`] | `off`, `inline`, `on_probe` | `off` |
-//! | `report.names` | [`Told::metrics`] | names of [`Metric`] | none |
+//! | `report.names` | [`ParsedSettings::metrics`] | names of [`Metric`] | none |
 //! | `policy_limits.send_cap` | [`Settings::max_attempts`] | attempts | 1 |
 //! | `policy_limits.second_copies` | [`Settings::hedging`] | `true`, `false` | `false` |
 //! | `policy_limits.cancel` | [`Settings::cancellation`] | `true`, `false` | `false` |
 //! | `policy_limits.probes` | [`Settings::probes`] | `true`, `false` | `false` |
 //! | `policy_limits.retry_after` | [`Settings::retry_after`] | `true`, `false` | `false` |
 //! | `policy_limits.max_retry_after` | [`Settings::max_retry_after`] | ms | 0 |
-//! | `policy_limits.dial_timeout` | [`Links::dial_timeout`] | ms | 250 |
-//! | `policy_limits.idle_close` | [`Links::idle_close`] | ms | 10 000 |
+//! | `policy_limits.dial_timeout` | [`ConnectionTimeouts::dial_timeout`] | ms | 250 |
+//! | `policy_limits.idle_close` | [`ConnectionTimeouts::idle_close`] | ms | 10 000 |
 //! | `charges.cross_zone` | [`Settings::cross_zone_price`] | fraction of the value | 0 |
 //! | `rules.answer_slack` | [`Settings::response_grace`] | ms | 0 |
 //! | `rules.stop_sending_within` | [`Settings::drain_grace`] | ms | 0 |
@@ -58,7 +58,7 @@
 
 /// Parsed settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ParsedSettings {
     /// Settings of the decision module.
     pub settings: Settings,
     /// Metrics of a load report, in the order of its values.
@@ -66,7 +66,7 @@
     /// Names of what the settings number.
     pub names: Names,
     /// Limits of connections to backends.
-    pub links: Links,
+    pub connection_timeouts: ConnectionTimeouts,
 }
 
 /// Names of classes, plans, zones and metrics, each at the index that the settings use.
@@ -84,16 +84,16 @@
 
 /// Time limits of a connection to a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Links {
+pub struct ConnectionTimeouts {
     /// Time to establish a connection before the attempt counts as failed, in milliseconds.
     pub dial_timeout: Millis,
     /// Time after which a backend closes an idle connection, in milliseconds.
     pub idle_close: Millis,
 }
 
-impl Default for Links {
+impl Default for ConnectionTimeouts {
     fn default() -> Self {
-        Links {
+        ConnectionTimeouts {
             dial_timeout: 250.0,
             idle_close: 10_000.0,
         }
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// All values that cannot be read, each with its path, joined by `; `.
-pub fn parse(text: &str) -> Result<Told, String> {
+pub fn parse(text: &str) -> Result<ParsedSettings, String> {
     parse_all(text).map_err(|errors| errors.join("; "))
 }
 
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 /// All values that cannot be read, each with its path.
-pub fn parse_all(text: &str) -> Result<Told, Vec<String>> {
+pub fn parse_all(text: &str) -> Result<ParsedSettings, Vec<String>> {
     let reader = Reader::new(text);
     let parsed = read_all(&reader);
     let errors = reader.finish();
@@ -123,15 +123,15 @@
     }
 }
 
-fn read_all(reader: &Reader<'_>) -> Told {
+fn read_all(reader: &Reader<'_>) -> ParsedSettings {
     let names = read_names(reader);
     let settings = read_settings(reader, &names);
     let metrics = names.metrics.iter();
-    Told {
+    ParsedSettings {
         settings,
         metrics: metrics.map(|name| Metric::from_wire(name)).collect(),
         names,
-        links: read_links(reader),
+        connection_timeouts: read_connection_timeouts(reader),
     }
 }
 
@@ -189,9 +189,9 @@
     }
 }
 
-fn read_links(reader: &Reader<'_>) -> Links {
-    let default = Links::default();
-    Links {
+fn read_connection_timeouts(reader: &Reader<'_>) -> ConnectionTimeouts {
+    let default = ConnectionTimeouts::default();
+    ConnectionTimeouts {
         dial_timeout: reader.number("policy_limits.dial_timeout", default.dial_timeout),
         idle_close: reader.number("policy_limits.idle_close", default.idle_close),
     }
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -6,7 +6,7 @@
     let text = "fleet_size=3\nplans.count=1\nplans.0.per_second=2.5\nplans.0.cap_rate=5\nnew.key=x\n\
                 grades.count=1\ngrades.0.idempotency=keyed\ngrades.0.group=zone\ngrades.0.memory_span=6000\n\
                 report.names=depth,strange,concurrent\nregistry_mode=on_request";
-    let Told {
+    let ParsedSettings {
         settings, metrics, ..
     } = parse(text).unwrap();
     assert_eq!((settings.gateways, settings.plans[0].rate), (3, 2.5));
@@ -75,7 +75,7 @@
         "tick": 2.0, "zones": ["a b", "c"], "none": null, "report": {"names": []},
         "plans": [{"name": "x,y", "max_out": 2}], "policy_limits": {"cancel": true},
     });
-    let text = facts(&value);
+    let text = to_lines(&value);
     let mut lines: Vec<&str> = text.lines().collect();
     lines.sort_unstable();
     let expected = [
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -9,7 +9,7 @@
 
 use codec::{Record, Reply};
 use maplefall_policy::*;
-use maplefall_settings::{self as settings, Metric, Told};
+use maplefall_settings::{self as settings, Metric, ParsedSettings};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::panic::{self, AssertUnwindSafe};
@@ -95,7 +95,7 @@
             seed,
             settings_text,
         } => {
-            let Told {
+            let ParsedSettings {
                 settings, metrics, ..
             } = settings::parse(&settings_text)?;
             let gateway = catch_panic(|| Gateway::new(settings, seed))?;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -5,7 +5,7 @@
 use crate::idle_age::IdleAgeStats;
 use crate::socket::ConnectionPermit;
 use maplefall_policy::{BackendId, SendMode};
-use maplefall_settings::Links;
+use maplefall_settings::ConnectionTimeouts;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 /// The connections to all backends, idle or in use: at most a fixed number, beyond which the connection that has been idle
 /// longest is closed.
 pub struct Pools {
-    links: Links,
+    timeouts: ConnectionTimeouts,
     max_connections: usize,
     open_connections: Rc<Cell<usize>>,
     pools: RefCell<HashMap<BackendId, Pool>>,
@@ -49,9 +49,9 @@
 
 impl Pools {
     /// No backends yet, and at most `max_connections` connections.
-    pub fn new(links: Links, max_connections: usize) -> Pools {
+    pub fn new(timeouts: ConnectionTimeouts, max_connections: usize) -> Pools {
         Pools {
-            links,
+            timeouts,
             max_connections,
             open_connections: Rc::default(),
             pools: RefCell::default(),
@@ -205,7 +205,7 @@
     }
 
     fn max_idle(&self) -> Duration {
-        Duration::try_from_secs_f64(self.links.idle_close * MAX_IDLE_FRACTION / 1000.0)
+        Duration::try_from_secs_f64(self.timeouts.idle_close * MAX_IDLE_FRACTION / 1000.0)
             .unwrap_or_default()
     }
 
@@ -238,7 +238,7 @@
             return Err(ConnectError::LocalLimit);
         }
         let timeout =
-            Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
+            Duration::try_from_secs_f64(self.timeouts.dial_timeout / 1000.0).unwrap_or_default();
         // Counted from now on: a connection that is being established takes a descriptor too.
         let permit = ConnectionPermit::acquire(&self.open_connections);
         tokio::time::timeout(timeout, Connection::establish(address, permit))
