--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -34,7 +34,11 @@
         ..Settings::default()
     };
     let gateway = Gateway::new(settings, 5);
-    let mut gateway = if walking { gateway.walking() } else { gateway };
+    let mut gateway = if walking {
+        gateway.exhaustive()
+    } else {
+        gateway
+    };
     let list = (0..backends)
         .map(|id| entry(id, Availability::Ready))
         .collect();
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of one backend.
+//! The state of one backend at a gateway.
 
 use crate::interface::{Availability, BackendEntry, CellId, Millis, RequestId, ZoneId};
 use maplefall_backend_index::{Entry, Indexed, State};
@@ -9,19 +9,19 @@
 const MIN_SIZE: f64 = 0.01;
 const MAX_SIZE: f64 = 1e6;
 
-/// A backend of the list, with what was measured of it.
+/// A backend of the list, with this gateway's measurements.
 #[derive(Clone, Debug)]
 pub(crate) struct Backend {
     pub(crate) entry: BackendEntry,
     pub(crate) estimator: BackendEstimator<RequestId>,
-    /// Requests that it is due in slow start: from one on it may be sent the next.
+    /// Requests that are due to the backend in slow start: from 1 on, it may get the next one.
     pub(crate) credit: f64,
-    /// Its position in the gateway's order of preference, drawn once: the lowest are preferred.
+    /// Position in the gateway's random order of preference, drawn once; the lowest are preferred.
     pub(crate) position: f64,
 }
 
 impl Backend {
-    /// A backend that was not in the list before.
+    /// Creates the state of a backend that was not in the list before.
     pub(crate) fn new(now: Millis, mut entry: BackendEntry, rng: &mut Pcg32) -> Self {
         entry.size = clamp_or(entry.size, MIN_SIZE, MAX_SIZE, 1.0);
         Backend {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Takes over the entry of `fresh`. If the backend was restarted, what was measured and its
-    /// credit start anew; its position and the attempts in flight stay.
+    /// Replaces the entry by that of `fresh`. If the backend was restarted, its measurements and
+    /// its credit are reset; its position and the attempts in flight stay.
     pub(crate) fn update(&mut self, now: Millis, fresh: &Backend) {
         if self.entry.started != fresh.entry.started {
             self.estimator.reset(now);
@@ -42,7 +42,7 @@
         self.entry = fresh.entry;
     }
 
-    /// Fraction of its full capacity that it has at `now`.
+    /// Returns the fraction of its full capacity that the backend has at `now`.
     pub(crate) fn capacity(&self, now: Millis, slow_start: SlowStart) -> f64 {
         slow_start.capacity(now, self.entry.started)
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// A set of backends, to which the attempts of a request may be confined.
+/// A set of backends to which the attempts of a request may be restricted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Reach {
     Anywhere,
@@ -77,7 +77,7 @@
 }
 
 impl Reach {
-    /// Whether a backend is in the set.
+    /// Returns whether a backend is in the set.
     pub(crate) fn includes(self, backend: &BackendEntry) -> bool {
         match self {
             Reach::Anywhere => true,
--- a/crates/policy/src/gateway/attempts.rs
+++ b/crates/policy/src/gateway/attempts.rs
@@ -1,12 +1,12 @@
-//! Attempts, what their ends tell, and the one final answer.
+//! Attempts and their timeouts, retries, and the final response of each request.
 
 use super::*;
 use Outcome::{ConnectFailed, Full, NotSent};
 
 impl Gateway {
-    /// When a request gets its final answer at the latest: at its latency target where a later one
-    /// is worth nothing.
-    pub(super) fn answer_by(&self, pending: &Pending) -> Millis {
+    /// Returns the latest time of the final response: the latency target if a later response has no
+    /// value, else just before the client's deadline.
+    pub(super) fn respond_by(&self, pending: &Pending) -> Millis {
         let class = self.settings.class(&pending.request);
         let last = pending.request.deadline - 2.0 * self.settings.tick;
         if class.late_value > 0.0 {
@@ -15,7 +15,7 @@
         last.min(pending.arrived_at + class.latency_target)
     }
 
-    /// When an answer is slow. It counts at once: by its timeout the queues would long be full.
+    /// Returns when a response counts as slow, before its timeout: by then queues are long full.
     pub(super) fn slow_at(&self, pending: &Pending) -> Millis {
         let size = (pending.request.units / self.typical_units.max(0.01)).max(1.0);
         pending.ready_at
@@ -28,7 +28,7 @@
         let (now, prior) = (self.now, self.prior());
         let backend = self.backends.get(&to);
         let expected = backend.map_or(0.0, |b| b.estimator.expected_time(prior, units));
-        let time_left = self.answer_by(&pending) - now;
+        let time_left = self.respond_by(&pending) - now;
         let timeout = self.attempt_timeout(&pending, expected).min(time_left);
         self.backends.update(to, |backend| {
             backend.estimator.start(now, id, class, units);
@@ -37,7 +37,7 @@
         pending.start_attempt(to);
         self.requests.insert(pending);
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            customer.open.in_flight += 1;
+            customer.attempts.in_flight += 1;
         }
         self.actions.push(Action::Send {
             request: id,
@@ -47,9 +47,9 @@
         });
     }
 
-    /// Protects against connections that are dead unseen: each takes along a request that must not
-    /// run twice. Other requests can be repeated, so they are sent without caution while no
-    /// connection breaks, because caution costs each of them a round trip.
+    /// Protects against connections that are broken unnoticed: a non-idempotent request sent on one
+    /// can't be retried. Other requests can, so they are protected only for a while after a
+    /// connection broke, because the protection costs each of them a round trip.
     fn send_mode(&self, request: &Request) -> SendMode {
         if self.settings.class(request).idempotency == Idempotency::NonIdempotent {
             SendMode::WithholdLastByteOnProvenConnection
@@ -60,12 +60,12 @@
         }
     }
 
-    /// How long to wait for an attempt that should take `expected`. One that hangs must not use up
-    /// all of its request's time, so one that may be repeated times out while another attempt still
-    /// has as much time. The last attempt gets all that is left.
+    /// Returns the timeout of an attempt that is expected to take `expected`. An attempt without a
+    /// response must not use up all the time of its request, so one that may be retried times out
+    /// while a retry still has as much time left. The last attempt gets all the remaining time.
     fn attempt_timeout(&self, pending: &Pending, expected: Millis) -> Millis {
         let class = self.settings.class(&pending.request);
-        let is_repeatable = match class.idempotency {
+        let is_retryable = match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed { scope, window } => {
                 scope == DedupScope::All && window > class.latency_target
@@ -74,13 +74,13 @@
         };
         let timeout = ATTEMPT_TIMEOUT_FACTOR * expected;
         let timeout = timeout.max(MIN_ATTEMPT_TIMEOUT_TARGETS * class.latency_target);
-        let has_time = 2.0 * timeout <= self.answer_by(pending) - self.now;
+        let has_time = 2.0 * timeout <= self.respond_by(pending) - self.now;
         let may_retry = pending.attempts + 1 < self.settings.attempt_limit(&pending.request);
-        // Where answers are slow everywhere, a retry would only add to the queues.
+        // If responses are slow at all backends, a retry would only lengthen the queues.
         let has_headroom = self.backpressure.admitted_fraction > RETRY_HEADROOM
             && self.backpressure.pressure < 1.0 - RETRY_HEADROOM
             && self.retries.has_retry(self.now);
-        if is_repeatable && has_time && may_retry && has_headroom {
+        if is_retryable && has_time && may_retry && has_headroom {
             return timeout;
         }
         f64::INFINITY
@@ -97,11 +97,11 @@
         if is_served && !pending.known_slow {
             let elapsed = self.now - pending.ready_at;
             let slow_after = self.slow_at(&pending) - pending.ready_at;
-            self.record_answer_time((SLOW_TARGETS * elapsed / slow_after).min(1.0));
+            self.record_response_time((SLOW_TARGETS * elapsed / slow_after).min(1.0));
         }
         self.record_outcome(&pending.request, ended);
         self.settle_quota(&pending.request, ended);
-        if ended.request_closed || pending.answered || is_served {
+        if ended.request_closed || pending.responded || is_served {
             return;
         }
         if !matches!(ended.outcome, Full | ConnectFailed | NotSent) {
@@ -113,18 +113,18 @@
             self.retries.spend(self.now);
             self.send(pending, backend);
         } else {
-            self.actions.push(self.final_answer(&pending));
+            self.actions.push(self.final_response(&pending));
         }
     }
 
-    fn record_answer_time(&mut self, fraction: f64) {
+    fn record_response_time(&mut self, fraction: f64) {
         let gateways = self.settings.gateways;
         self.backpressure
             .record_response(self.now, self.target, gateways, fraction);
     }
 
-    /// Whether an attempt that is given up at `now` is followed by another; several may have been
-    /// sent in the sight of the same retry.
+    /// Returns whether a retry would follow if the attempt timed out at `now`. The retry isn't
+    /// reserved: several attempts may count on the same one.
     pub fn would_retry(&self, now: Millis, id: RequestId) -> bool {
         let pending = self.requests.get(id);
         pending.is_some_and(|pending| self.has_retry(now, pending))
@@ -132,7 +132,7 @@
 
     fn has_retry(&self, now: Millis, pending: &Pending) -> bool {
         let is_open = !pending.stream_started && !self.backends.index().ready().is_empty();
-        let has_time = self.answer_by(pending) - now > self.settings.tick;
+        let has_time = self.respond_by(pending) - now > self.settings.tick;
         let may_retry = pending.attempts < self.settings.attempt_limit(&pending.request);
         is_open && has_time && may_retry && self.retries.has_retry(now)
     }
@@ -145,7 +145,7 @@
         self.choose(&pending.request, reach).map(|found| found.key)
     }
 
-    /// Where a request may be sent after its first attempt that may have run.
+    /// Returns the backends that a request may go to after its first attempt that may have run.
     fn reach(&self, request: &Request, exposure: Option<Exposure>) -> Reach {
         let Some(exposure) = exposure else {
             return Reach::Anywhere;
@@ -169,9 +169,9 @@
         Some((backend, backend.estimator.attempt(&pending.request.id)?))
     }
 
-    /// The final answer for a request that will not be served: a rejection only where the client
-    /// may safely repeat it.
-    fn final_answer(&self, pending: &Pending) -> Action {
+    /// Returns the final response for a request that will not be served: a rejection only if the
+    /// client may safely retry.
+    fn final_response(&self, pending: &Pending) -> Action {
         let in_flight = self.attempt_in_flight(pending);
         let in_flight = in_flight.map(|(b, attempt)| Exposure::new(attempt.sent_at, Some(b)));
         let exposure = pending.first_exposure.or(in_flight);
@@ -189,25 +189,25 @@
             return;
         };
         let id = pending.request.id;
-        let answer_by = self.answer_by(pending);
-        let is_early = self.now < answer_by;
-        if pending.answered || pending.stream_started || (pending.awaits_auth && is_early) {
+        let respond_by = self.respond_by(pending);
+        let is_early = self.now < respond_by;
+        if pending.responded || pending.stream_started || (pending.awaits_auth && is_early) {
             return;
         }
         if !is_early || pending.known_slow {
-            self.actions.push(self.final_answer(pending));
+            self.actions.push(self.final_response(pending));
             self.abandon(id);
             return;
         }
-        // An attempt that hangs is no sign of queues: it must not close the gateway to others.
+        // An attempt that is far overdue is no sign of queues, so it must not reduce admission.
         let attempt = self.attempt_in_flight(pending);
-        let hangs = attempt.is_some_and(|(backend, attempt)| {
+        let is_overdue = attempt.is_some_and(|(backend, attempt)| {
             let estimator = &backend.estimator;
             estimator.is_overdue(self.now, attempt, self.prior())
         });
-        self.set_timer(timer, answer_by);
-        if !hangs {
-            self.record_answer_time(1.0);
+        self.set_timer(timer, respond_by);
+        if !is_overdue {
+            self.record_response_time(1.0);
         }
         self.requests
             .update(id, |pending| pending.known_slow = true);
@@ -215,7 +215,7 @@
 
     /// Ends a request and cancels an attempt that is still in flight.
     pub(super) fn abandon(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.update(id, |p| p.answered = true) else {
+        let Some(pending) = self.requests.update(id, |p| p.responded = true) else {
             return;
         };
         if pending.in_flight_to.is_some() {
@@ -239,11 +239,11 @@
         let Some(customer) = self.customers.get_mut(&request.customer) else {
             return;
         };
-        let open_share = customers::open_share(plan, request.gateways);
-        customer.open.advance(self.now, open_share, self.target);
-        customer.open.in_flight = customer.open.in_flight.saturating_sub(1);
+        let share = customers::in_flight_share(plan, request.gateways);
+        customer.attempts.advance(self.now, share, self.target);
+        customer.attempts.in_flight = customer.attempts.in_flight.saturating_sub(1);
         if let Some(true_units) = ended.true_units.filter(|units| units.is_finite()) {
-            // The quota counts true units, and so does the slice; the rate limit counts the estimate.
+            // The quota and the slice count the true units; the rate limit counts the estimate.
             customer.slice = (customer.slice + request.units - true_units).min(quota.depth);
             let balances = &mut self.shared_balances;
             balances.draw(request.customer, true_units - request.units);
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Records what the end of an attempt tells of its backend.
+    /// Updates the estimates of a backend with the end of an attempt.
     fn record_outcome(&mut self, request: &Request, ended: &AttemptEnded) {
         let end = ended.attempt_end(request);
         let (now, target, prior) = (self.now, self.target, self.prior());
--- a/crates/policy/src/gateway/backends.rs
+++ b/crates/policy/src/gateway/backends.rs
@@ -1,4 +1,4 @@
-//! The list of backends.
+//! Updates of the list of backends, and the subscription to them.
 
 use super::*;
 
@@ -27,7 +27,7 @@
         });
     }
 
-    /// Subscribes to the list after a cached one, and again some time after a failure.
+    /// Subscribes to the list once the cached one is there, and again some time after a failure.
     fn keep_subscription(&mut self, kind: ListKind) {
         match kind {
             ListKind::Cached => self.actions.push(Action::Subscribe),
--- a/crates/policy/src/gateway/choice.rs
+++ b/crates/policy/src/gateway/choice.rs
@@ -12,7 +12,7 @@
 }
 
 impl Gateway {
-    /// The backend with the least expected cost.
+    /// Chooses the backend with the lowest expected cost, or one in slow start that is due.
     pub(super) fn choose(&mut self, request: &Request, reach: Reach) -> Option<Candidate> {
         let last_preferred = self.last_preferred();
         let is_limited = reach != Reach::Anywhere;
@@ -26,7 +26,7 @@
             due: self.due_for_slow_start(last_preferred, &ids),
         };
         let mut found = self.search(&search, &ids);
-        // Any other backend costs at least this: the detour, and the time of the fastest.
+        // Lower bound of the cost of the other backends: the detour, plus the fastest service time.
         let fastest = self.backends.index().least_time_per_unit();
         let common = search.prior.per_unit;
         let time = fastest.map_or(common, |own| own.min(common)) * request.units;
@@ -58,13 +58,13 @@
             .search(ids, search.due, &self.rng, is_eligible, evaluate)
     }
 
-    /// What sending a request to a backend is expected to cost.
+    /// Estimates the cost of sending a request to a backend, in milliseconds.
     fn evaluate(&self, search: &Search, id: BackendId, backend: &Backend, draw: f64) -> Candidate {
         let (now, target, request) = (self.now, self.target, search.request);
         let (plan, class, estimator) = (request.plan.0, request.class.0, &backend.estimator);
         let wait = estimator.wait(search.prior);
         let service_time = estimator.time_per_unit(search.prior) * request.units;
-        // Silence diverts requests but rejects none: answers may be lost where there is no queue.
+        // Overdue responses divert requests but reject none: they may be lost without any queue.
         let overdue = estimator.overdue(now, target, search.prior, class);
         let mut cost = wait.max(overdue) + service_time;
         let mut fault = estimator.health().fault_score(now, target, plan, class);
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Service time of all backends, as the prior for that of each.
+    /// Returns the service time over all backends, as the prior for that of each.
     pub(super) fn prior(&self) -> ServiceTimePrior {
         self.service_time.prior(self.target / 10.0)
     }
 
-    /// The highest position of a preferred backend. A gateway prefers a few backends, because where
-    /// a hundred gateways have few requests each, nearly every one would pay for a new connection.
-    /// Others stand in for those that are suspect or far slower.
+    /// Returns the highest position of a preferred backend. A gateway prefers a few backends: where
+    /// a hundred gateways have few requests each, nearly each request would need a new connection.
+    /// Others replace preferred backends that are suspect or far slower.
     fn last_preferred(&mut self) -> f64 {
         let (now, target) = (self.now, self.target);
         self.backends
@@ -110,10 +110,10 @@
         last.unwrap_or(1.0)
     }
 
-    /// The backend in slow start that is due for this request, if one is. Each gets its capacity's
-    /// share of the requests and, where hardly any backend is warm, no more than a fraction of the
-    /// load that overloads it. Credit grows evenly from a random start, so that the shares hold
-    /// over the fleet though each gateway has few requests, and so that gateways don't act in step.
+    /// Returns the backend in slow start that is due for this request, if any. Each gets requests
+    /// in proportion to its capacity and, where hardly any backend is warm, at most a fraction of
+    /// the load that overloads it. Credit grows evenly from a random start: the proportions hold
+    /// over the fleet though each gateway has few requests, and gateways do not act in step.
     fn due_for_slow_start(&mut self, last_preferred: f64, ids: &[BackendId]) -> Option<BackendId> {
         let (now, slow_start) = (self.now, self.settings.slow_start());
         let capacity = |backend: &Backend| backend.capacity(now, slow_start);
--- a/crates/policy/src/gateway/customers.rs
+++ b/crates/policy/src/gateway/customers.rs
@@ -2,25 +2,25 @@
 
 use super::*;
 
-/// Why a request is rejected, and how long the reason is expected to last.
+/// Why a request is rejected, and after how many milliseconds a retry may be admitted, if known.
 struct Rejection(RejectReason, Option<Millis>);
 
 type Verdict = Result<(), Rejection>;
 
-/// A valid request at its arrival, with what its admission depends on.
+/// An arriving request, validated, with everything that its admission depends on.
 struct Arrival<'a> {
     now: Millis,
     request: &'a Request,
     plan: &'a Plan,
     quota: QuotaShare,
-    /// What is left of the quota by the reports of other gateways.
+    /// Bounds on the units left of the quota, if other gateways report usage.
     balance: Option<BalanceBounds>,
     gateway_age: Millis,
-    /// Whether no meter reports usage at all gateways.
+    /// Whether there is no meter that reports the usage through all gateways.
     is_unmetered: bool,
     target: Millis,
     typical_units: f64,
-    /// Seconds per unit of load.
+    /// Service time, in seconds per unit.
     service_time: f64,
     backpressure: Backpressure,
     /// A random number from 0 to 1.
@@ -32,13 +32,13 @@
         let Some(request) = self.settings.validated(self.now, request) else {
             return self.reject(request.id, Rejection(RejectReason::Unknown, None));
         };
-        let longest_halflife = self.longest_halflife();
-        let max_idle = EVICT_HALFLIVES * longest_halflife;
-        self.evict(max_idle, longest_halflife);
+        let max_halflife = self.max_halflife();
+        let max_idle = EVICT_HALFLIVES * max_halflife;
+        self.evict(max_idle, max_halflife);
         let pending = Pending::new(self.now, request);
         match self.admit(&request, max_idle) {
             Ok(_) if pending.awaits_auth => {
-                self.set_timer(request.id.into(), self.answer_by(&pending));
+                self.set_timer(request.id.into(), self.respond_by(&pending));
                 self.actions.push(Action::Authorize(request.id));
                 self.requests.insert(pending);
             }
@@ -47,16 +47,16 @@
         }
     }
 
-    /// Sends a request on for the first time.
+    /// Sends the first attempt of a request.
     fn forward(&mut self, pending: Pending, backend: BackendId) {
         self.retries.earn(self.now, self.settings.retry_limits());
-        let timer_at = self.slow_at(&pending).min(self.answer_by(&pending));
+        let timer_at = self.slow_at(&pending).min(self.respond_by(&pending));
         self.set_timer(pending.request.id.into(), timer_at);
         self.send(pending, backend);
     }
 
-    /// Forwards a request whose caller passed its check as if it had arrived now, except that its
-    /// units are taken already and that its deadline has not moved.
+    /// Forwards a request whose caller is allowed, as if it arrived now, except that its units are
+    /// taken already and its deadline is unchanged. Otherwise gives its units back.
     pub(super) fn authorized(&mut self, id: RequestId, allowed: bool) {
         let Some(mut pending) = self.requests.remove_if(id, |p| p.awaits_auth) else {
             return;
@@ -82,22 +82,22 @@
         if !customer.may_open(self.now, request, plan, self.target) {
             return None;
         }
-        self.backend_with_room(request)
+        self.backend_with_capacity(request)
     }
 
-    /// Returns the units of a request that was never forwarded.
+    /// Gives back the units of a request that was never forwarded.
     pub(super) fn give_back(&mut self, request: &Request) {
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            // The next refill takes off what is beyond the depth.
+            // The next refill clamps both to their depth.
             customer.slice += request.units;
             customer.rate_limit_units += request.units;
         }
         self.shared_balances.draw(request.customer, -request.units);
     }
 
-    /// Takes in what other gateways have admitted. Where they report it, a quota has one balance
-    /// again, known a little late: a request that it certainly covers is admitted, one that it
-    /// certainly doesn't is rejected, and the slice decides in between.
+    /// Records usage at other gateways. With these reports a quota has one shared balance, known a
+    /// little late: a request that is certainly covered is admitted, one that certainly is not is
+    /// rejected, and the slice decides in between.
     pub(super) fn usage_reported(&mut self, report: &RemoteUsage) {
         let plan = self.settings.plans.get(report.plan.0);
         if let Some(plan) = plan.filter(|plan| plan.has_quota()) {
@@ -110,7 +110,7 @@
     fn admit(&mut self, request: &Request, max_idle: Millis) -> Result<BackendId, Rejection> {
         let now = self.now;
         let started_at = self.started_at.unwrap_or(now);
-        // A customer that was forgotten may have used up its share of the rate limit just before.
+        // A customer that was evicted may have used up its share of the rate limit just before.
         let unseen_since = started_at.max(now - max_idle);
         let quota = self.quota_share(request);
         let service_time = self.prior().per_unit / 1000.0;
@@ -138,7 +138,7 @@
         let customer = customer.or_insert_with(|| Customer::new(now, unseen_since, &quota));
         let usage = arrival.record(customer);
         if plan.has_quota() {
-            arrival.check_box(customer, usage)?;
+            arrival.check_penalty_box(customer, usage)?;
             arrival.check_balance()?;
             arrival.check_fraction(customer, usage)?;
             arrival.check_slice(customer)?;
@@ -149,10 +149,10 @@
         if plan.rate_limit.is_some() && customer.rate_limit_units < request.units {
             return Err(Rejection(RejectReason::RateLimit, None));
         }
-        let backend = self.backend_with_room(request);
+        let backend = self.backend_with_capacity(request);
         let backend = backend.ok_or(Rejection(RejectReason::NoBackend, None))?;
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            // A request that the shared balance covers may take more than the slice holds.
+            // A request that the shared balance covers may take more units than the slice holds.
             customer.slice = (customer.slice - request.units).max(0.0);
             customer.rate_limit_units -= request.units;
         }
@@ -160,16 +160,16 @@
         Ok(backend)
     }
 
-    /// The backend for a new request, if one would answer in time: a client that leaves before it
-    /// gets an answer comes again after work that was done in vain.
-    fn backend_with_room(&mut self, request: &Request) -> Option<BackendId> {
+    /// Returns the backend for a new request, if one is expected to respond in time. A client that
+    /// gives up before the response retries, and the work done for it is wasted.
+    fn backend_with_capacity(&mut self, request: &Request) -> Option<BackendId> {
         let candidate = self.choose(request, Reach::Anywhere)?;
         let too_slow = candidate.wait > MAX_WAIT_TARGETS * self.target;
         let too_late = DEADLINE_FACTOR * candidate.response_time > request.deadline - self.now;
         (!too_slow && !too_late).then_some(candidate.key)
     }
 
-    fn longest_halflife(&self) -> Millis {
+    fn max_halflife(&self) -> Millis {
         let plans = self.settings.plans_with_quota();
         plans.map(average_halflife).fold(1000.0, f64::max)
     }
@@ -181,7 +181,7 @@
         let halflife = if plan.has_quota() && plan.burst > 0.0 {
             average_halflife(plan)
         } else {
-            self.settings.longest_deadline()
+            self.settings.max_deadline()
         };
         let usage_lambda = LN_2 * AVERAGE_HALFLIFE_BURSTS / USAGE_HALFLIFE_BURSTS / halflife;
         let spare = 0.5 * USAGE_HALFLIFE_BURSTS * plan.burst.max(largest) / request.gateways;
@@ -189,7 +189,7 @@
         let is_sliver =
             request.gateways > 1.0 && plan.burst / request.gateways < self.typical_units;
         let (lambda, meter_lambda) = if is_sliver {
-            // Too few requests to tell a lasting flood from chance by the long average alone.
+            // Too few requests for the long average to distinguish a lasting flood from chance.
             (usage_lambda, usage_lambda)
         } else {
             (LN_2 / halflife, METER_DECAY_FACTOR * usage_lambda)
@@ -204,19 +204,19 @@
         }
     }
 
-    /// Forgets customers whose entry says no more than a new one would.
-    fn evict(&mut self, max_idle: Millis, longest_halflife: Millis) {
+    /// Evicts idle customers whose recent average has decayed to less than one typical request.
+    fn evict(&mut self, max_idle: Millis, max_halflife: Millis) {
         let (now, typical_units) = (self.now, self.typical_units);
         let interval = max_idle / 4.0;
         self.customers.sweep(now, interval, |customer| {
             let idle = now - customer.refilled_at;
-            let average = customer.average.units * (-idle * LN_2 / longest_halflife).exp();
-            customer.open.in_flight > 0 || idle < max_idle || average > typical_units
+            let average = customer.average.units * (-idle * LN_2 / max_halflife).exp();
+            customer.attempts.in_flight > 0 || idle < max_idle || average > typical_units
         });
         self.shared_balances.evict(now, interval, max_idle);
     }
 
-    /// Measures the waits at the backends, where all of them are in use.
+    /// Updates the backpressure with the waits at the backends, if all of them are in use.
     fn measure_pressure(&mut self) {
         let prior = self.prior();
         let in_use = self.backends.ready_if_all_in_use();
@@ -249,8 +249,8 @@
     AVERAGE_HALFLIFE_BURSTS * 1000.0 * plan.burst / plan.rate
 }
 
-/// One gateway's share of the attempts that may be in flight at once.
-pub(super) fn open_share(plan: &Plan, gateways: f64) -> f64 {
+/// Returns one gateway's share of the plan's limit on attempts in flight.
+pub(super) fn in_flight_share(plan: &Plan, gateways: f64) -> f64 {
     match plan.max_in_flight {
         0 => f64::INFINITY,
         max_in_flight => f64::from(max_in_flight) / gateways,
@@ -258,11 +258,11 @@
 }
 
 impl Arrival<'_> {
-    /// Counts the request, whether it will be admitted or not; returns the usage of the quota.
+    /// Counts the request, whether or not it will be admitted; returns the usage of the quota.
     fn record(&self, customer: &mut Customer) -> Usage {
         let quota = &self.quota;
-        // A sliver whose first request was small grows with the next: it starts with room for that
-        // one alone, and its refill would take a day to make up. Any other slice waits to fill.
+        // A sliver is as deep as the requests so far need. When a larger one deepens it, the new
+        // depth is filled at once: its slow refill would take a day. Other slices wait to refill.
         if quota.is_sliver {
             customer.slice += (quota.depth - customer.slice_depth).max(0.0);
         }
@@ -275,8 +275,8 @@
         usage
     }
 
-    /// Usage of the quota as far as one of many gateways can tell: by the meter and, for a sliver,
-    /// by its own recent average. Both start with a prior, because a few requests prove nothing.
+    /// Estimates usage of the quota through all gateways: by the meter and, for a sliver, by the
+    /// local recent average. Both start with a prior, because a few requests prove nothing.
     fn usage(&self, customer: &Customer) -> Usage {
         let quota = &self.quota;
         let metered = customer.metered.recent(self.now, quota.meter_lambda);
@@ -294,17 +294,17 @@
         usage
     }
 
-    /// Refills the slice and the share of the rate limit; the slice's rate follows demand (design).
+    /// Refills the slice, at a rate that follows local demand, and the share of the rate limit.
     fn refill(&self, customer: &mut Customer, usage: Usage) {
         let quota = &self.quota;
         let elapsed = (self.now - customer.refilled_at).max(0.0) / 1000.0;
-        // The average starts at 0, so that of a young gateway covers a part of its memory only.
+        // The average starts at 0, so that of a new gateway covers only a part of its time window.
         let covered = 1.0 - (-quota.lambda * self.gateway_age).exp();
         let recent = customer.average.rate(self.now, quota.lambda);
         let recent = recent / covered.max(MIN_AVERAGE_COVERAGE);
         let wanted = (REFILL_FACTOR * recent).min(self.plan.rate);
         let wanted = wanted.max(quota.even_rate);
-        // Without a meter no slice rises: nothing would show that all together admit too much.
+        // Without a meter the rate stays even: nothing would show that all gateways admit too much.
         let target = if usage.ratio() > 1.0 || self.is_unmetered {
             quota.even_rate
         } else {
@@ -324,18 +324,18 @@
         customer.refilled_at = self.now;
     }
 
-    /// The penalty box: beyond its limit everything is rejected until the average has decayed.
-    fn check_box(&self, customer: &Customer, usage: Usage) -> Verdict {
+    /// Checks the penalty box: over its limit, all requests are rejected until the average decays.
+    fn check_penalty_box(&self, customer: &Customer, usage: Usage) -> Verdict {
         let quota = &self.quota;
         let mut rate = customer.average.rate(self.now, quota.lambda);
-        // For a sliver it closes on all known usage, less what may be chance.
+        // For a sliver, the usage through all gateways counts too, less what may be chance.
         if quota.is_sliver && self.balance.is_none() {
             let deviation = (usage.requested * self.typical_units).sqrt();
-            let certain = usage.requested - BOX_DEVIATIONS * deviation;
+            let certain = usage.requested - PENALTY_BOX_DEVIATIONS * deviation;
             rate = rate.max(certain * self.plan.rate / usage.allowed);
         }
         let (plan, lambda) = (self.plan, quota.lambda);
-        let wait = box_closed_for(rate, plan.rate, plan.burst, lambda);
+        let wait = penalty_box_wait(rate, plan.rate, plan.burst, lambda);
         wait.map_or(Ok(()), |wait| {
             Err(Rejection(RejectReason::PenaltyBox, Some(wait)))
         })
@@ -350,25 +350,25 @@
         Ok(())
     }
 
-    /// Admits a fraction at random, by backpressure and by usage. A sliver is too small to tell use
-    /// beyond the quota from a few requests that happen to meet at one of many gateways, so there
-    /// it is all known usage that counts.
+    /// Admits a random fraction, by backpressure and by usage. A sliver is too small to distinguish
+    /// usage beyond the quota from a few requests that arrive at one of many gateways by chance, so
+    /// for a sliver the estimated usage through all gateways counts.
     fn check_fraction(&self, customer: &mut Customer, usage: Usage) -> Verdict {
         let excess = usage.ratio();
-        let strain = match self.balance {
+        let ratio = match self.balance {
             Some(balance) => 1.0 - balance.max / self.plan.burst.max(self.request.units),
             None if self.quota.is_sliver => excess,
             None => excess.min(1.0),
         };
         customer.admitted_fraction =
-            self.backpressure.admitted_fraction / strain.max(self.backpressure.admitted_fraction);
+            self.backpressure.admitted_fraction / ratio.max(self.backpressure.admitted_fraction);
         let mut fraction = customer.admitted_fraction;
-        // By Little's law a limit on attempts in flight is a limit on the rate. Those of other
-        // gateways aren't seen, so they are estimated.
+        // By Little's law, a limit on attempts in flight is a limit on the rate. The attempts in
+        // flight of other gateways are not visible here, so they are estimated.
         let others_share = 1.0 - 1.0 / self.request.gateways;
         let others = excess.min(1.0) * self.plan.rate * self.service_time * others_share;
-        if open_share(self.plan, self.request.gateways) < 1.0 && others > 0.0 {
-            let spare = f64::from(self.plan.max_in_flight) - f64::from(customer.open.in_flight);
+        if in_flight_share(self.plan, self.request.gateways) < 1.0 && others > 0.0 {
+            let spare = f64::from(self.plan.max_in_flight) - f64::from(customer.attempts.in_flight);
             fraction = fraction.min(spare / (others + others.sqrt()));
         }
         if self.draw > fraction {
@@ -377,7 +377,7 @@
         Ok(())
     }
 
-    /// Under pressure a slice keeps a reserve, so that those nearest their quota give way first.
+    /// Under backpressure a slice keeps a reserve: customers near their quota are rejected first.
     fn check_slice(&self, customer: &Customer) -> Verdict {
         let units = self.request.units;
         let reserve = self.backpressure.combined() * (self.quota.depth - units).max(0.0);
@@ -385,8 +385,8 @@
         let is_covered = self.balance.is_some_and(|balance| units <= balance.min);
         if missing > 0.0 && !is_covered {
             let mut wait = 1000.0 * missing / self.quota.even_rate;
-            // The retry may come to another gateway, whose slice may hold it; that is worth less
-            // the longer it waits.
+            // The retry may arrive at another gateway, whose slice may cover it; the longer it
+            // waits, the less a response is worth.
             if self.request.gateways > 1.0 {
                 wait = wait.min(MAX_SLICE_RETRY_TARGETS * self.target);
             }
@@ -403,7 +403,7 @@
             slice: quota.depth,
             refilled_at: unseen_since,
             refill_rate: quota.even_rate,
-            open: ConcurrencyLimit::new(now),
+            attempts: ConcurrencyLimit::new(now),
             metered: MeteredUsage::new(now),
             admitted_fraction: 1.0,
             ..Customer::default()
@@ -412,9 +412,9 @@
 
     fn may_open(&mut self, now: Millis, request: &Request, plan: &Plan, target: Millis) -> bool {
         let (share, total) = (
-            open_share(plan, request.gateways),
+            in_flight_share(plan, request.gateways),
             f64::from(plan.max_in_flight),
         );
-        self.open.has_capacity(now, share, total, target)
+        self.attempts.has_capacity(now, share, total, target)
     }
 }
--- a/crates/policy/src/gateway/mod.rs
+++ b/crates/policy/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! The decisions of one gateway: their constants, the state they need and the dispatch of events.
 //!
-//! Spans that should follow what clients wait for are counted in latency targets: in the shortest of
-//! all classes, unless a class is named. Figures marked "design" are given by the design.
+//! Times named `_TARGETS` are multiples of a latency target: of the shortest target of all classes,
+//! unless a class is named. CEWMA paper: the paper behind `Cewma` and the penalty box.
 
 mod attempts;
 mod backends;
@@ -20,66 +20,66 @@
 use rand_pcg::Pcg32;
 use std::f64::consts::LN_2;
 
-/// The penalty box closes at this multiple of the quota rate, plus the burst's share (design).
-const BOX_LIMIT_FACTOR: f64 = 3.0;
-/// A slice is refilled at up to this multiple of the local recent rate (design).
+/// The penalty box closes at this multiple of the quota rate, plus the burst (CEWMA paper).
+const PENALTY_BOX_LIMIT_FACTOR: f64 = 3.0;
+/// A slice is refilled at up to this multiple of the local recent rate (CEWMA paper).
 const REFILL_FACTOR: f64 = 2.0;
-/// A slice holds at least so many requests of the largest size (design).
+/// A slice holds at least so many requests of the largest size (CEWMA paper).
 const MIN_SLICE_REQUESTS: f64 = 2.0;
-/// Half-life of the recent average, in burst lengths (design: at least one). A lasting flood should
-/// close the box; a spike with its retries should not, since slices hold it to the quota already.
+/// Half-life of the recent average, in burst lengths (CEWMA paper: at least 1). A lasting flood
+/// should close the box; a spike with its retries should not: slices hold it to the quota already.
 const AVERAGE_HALFLIFE_BURSTS: f64 = 16.0;
-/// Half-life of everything else that is known of a customer's usage, in burst lengths.
+/// Half-life of all other estimates of a customer's usage, in burst lengths.
 const USAGE_HALFLIFE_BURSTS: f64 = 4.0;
-/// The recent average covers at least this fraction of its memory, however young the gateway is.
+/// Minimum fraction of its time window that the recent average counts as covering in a new gateway.
 const MIN_AVERAGE_COVERAGE: f64 = 0.05;
-/// A customer is forgotten after so many of the longest half-lives without a request.
+/// A customer is evicted after this multiple of the longest half-life without a request.
 const EVICT_HALFLIVES: f64 = 2.0;
-/// A slice's refill rate rises over so many burst lengths: slower than a spike, faster than a shift.
+/// Burst lengths over which a refill rate rises: slower than a spike, faster than a load shift.
 const REFILL_RISE_BURSTS: f64 = 2.0;
-/// Longest acceptable wait at a backend, in latency targets; beyond it a request is rejected.
+/// Maximum acceptable wait at a backend, in latency targets; beyond it a request is rejected.
 const MAX_WAIT_TARGETS: f64 = 0.33;
-/// A deadline must leave this multiple of the expected time: half of the answers take longer.
+/// A deadline must leave this multiple of the expected time, as half of the responses take longer.
 const DEADLINE_FACTOR: f64 = 1.5;
-/// An answer is slow beyond this fraction of the latency target of its class.
+/// A response is slow beyond this fraction of the latency target of its class.
 const SLOW_TARGETS: f64 = 0.5;
-/// Number of requests over which the typical size is averaged.
+/// Number of requests over which the typical size (units per request) is averaged.
 const TYPICAL_UNITS_WINDOW: f64 = 30.0;
-/// Typical requests that a new customer's usage starts with, against twice as many allowed.
+/// Prior of a new customer's usage, in requests of typical size, against twice as many allowed.
 const PRIOR_REQUESTS: f64 = 0.5;
-/// What the meter reports decays this many times as fast as other knowledge of usage.
+/// Metered usage decays this many times as fast as other estimates of usage.
 const METER_DECAY_FACTOR: f64 = 2.0;
-/// Standard deviations by which usage must exceed the box limit where there are few requests.
-const BOX_DEVIATIONS: f64 = 3.0;
-/// A repeatable attempt times out after this multiple of its expected time...
+/// Standard deviations by which usage must exceed the limit of the penalty box in a sliver.
+const PENALTY_BOX_DEVIATIONS: f64 = 3.0;
+/// Timeout of an attempt that may be retried, as a multiple of its expected time.
 const ATTEMPT_TIMEOUT_FACTOR: f64 = 8.0;
-/// ...and not before this fraction of the latency target of its class.
+/// Minimum of that timeout, as a fraction of the latency target of the request's class.
 const MIN_ATTEMPT_TIMEOUT_TARGETS: f64 = 0.4;
-/// Retries need this fraction of requests to be admitted, and pressure below its complement.
+/// Early timeouts need more than this fraction admitted, and pressure below its complement.
 const RETRY_HEADROOM: f64 = 0.95;
-/// For so many latency targets after a connection broke, every request is sent with caution.
+/// For so many latency targets after a connection broke, every request withholds its last byte.
 const CAUTION_TARGETS: f64 = 8.0;
-/// A request crosses zones to save a wait of this multiple of the crossing's price, in targets.
+/// A request crosses zones to save a wait of this multiple of the cross-zone price, in targets.
 const CROSS_ZONE_TARGETS: f64 = 10.0;
-/// Fraction of a rate limit's slack that its shares use; the rest covers rounding.
+/// Fraction of a rate limit's slack that the gateways' shares use; the rest covers rounding.
 const RATE_LIMIT_SLACK_FRACTION: f64 = 0.9;
-/// Fraction of the overload factor that all gateways may use up at a backend in slow start.
+/// Fraction of the overload factor up to which all gateways load a backend in slow start.
 const SLOW_START_OVERLOAD_FRACTION: f64 = 0.6;
-/// Longest advised retry time, in latency targets, where another gateway may admit the retry.
+/// Maximum advised retry time, in latency targets, where another gateway may admit the retry.
 const MAX_SLICE_RETRY_TARGETS: f64 = 0.3;
 /// Reports of usage at other gateways are valid for so many latency targets.
 const REPORT_VALID_TARGETS: f64 = 6.0;
-/// Mean number of gateways that prefer each backend: with fewer, load would be spread unevenly.
+/// Mean number of gateways that prefer each backend; with fewer, the load would be uneven.
 const GATEWAYS_PER_BACKEND: f64 = 16.0;
-/// Least number of preferred backends: with fewer, one that fails shifts too much to the others.
+/// Minimum number of preferred backends; with fewer, one failure shifts too much load to the rest.
 const MIN_PREFERRED_BACKENDS: usize = 8;
-/// A backend that is not preferred must be better by so many latency targets.
+/// A backend that is not preferred must have a cost that is lower by so many latency targets.
 const UNPREFERRED_TARGETS: f64 = 0.25;
 const SUBSCRIBE_TIMER: TimerId = TimerId(u64::MAX);
 
 type Candidate = maplefall_backend_index::Candidate<BackendId>;
 
-/// The recent average rate of the design: an impulse at each arrival, decaying exponentially.
+/// A CEWMA (continuously decaying exponentially weighted moving average) of a rate of arrivals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cewma {
     units: f64,
@@ -87,13 +87,13 @@
 }
 
 impl Cewma {
-    /// Counts an arrival of `units`; `lambda` is ln 2 / half-life, per millisecond.
+    /// Adds an arrival of `units`; `lambda` is ln 2 / half-life, per millisecond.
     pub fn feed(&mut self, now: Millis, units: f64, lambda: f64) {
         self.units = units + self.decayed(now, lambda);
         self.updated_at = now;
     }
 
-    /// The recent rate, in units a second.
+    /// Returns the recent rate, in units a second.
     pub fn rate(&self, now: Millis, lambda: f64) -> f64 {
         1000.0 * self.units * lambda * (lambda * (self.updated_at - now)).exp()
     }
@@ -103,27 +103,27 @@
     }
 }
 
-/// How long the penalty box is closed to a recent rate, until the estimate has decayed; `None` where
-/// it is open. `rate` and `burst` are the quota's.
-pub(crate) fn box_closed_for(recent: f64, rate: f64, burst: f64, lambda: f64) -> Option<Millis> {
-    let limit = BOX_LIMIT_FACTOR * rate + 1000.0 * lambda * burst;
+/// Returns how long the penalty box stays closed, until the `recent` average rate has decayed;
+/// `None` if it is open. `rate` and `burst` are the quota's.
+pub(crate) fn penalty_box_wait(recent: f64, rate: f64, burst: f64, lambda: f64) -> Option<Millis> {
+    let limit = PENALTY_BOX_LIMIT_FACTOR * rate + 1000.0 * lambda * burst;
     (recent > limit).then(|| (recent / limit).ln() / lambda)
 }
 
-/// What a gateway knows of one customer.
+/// The state of one customer at this gateway.
 #[derive(Clone, Debug, Default)]
 struct Customer {
     average: Cewma,
     largest_units: f64,
     /// Units that the slice may hold.
     slice_depth: f64,
-    /// Units in this gateway's slice of the quota and share of the rate limit, as of `refilled_at`.
+    /// Units left in the slice of the quota and the share of the rate limit, as of `refilled_at`.
     slice: f64,
     rate_limit_units: f64,
     refilled_at: Millis,
     /// Refill rate of the slice, in units a second.
     refill_rate: f64,
-    open: ConcurrencyLimit,
+    attempts: ConcurrencyLimit,
     /// Usage at all gateways.
     metered: MeteredUsage,
     admitted_fraction: f64,
@@ -132,11 +132,11 @@
 /// This gateway's share of a quota.
 #[derive(Clone, Copy, Debug)]
 struct QuotaShare {
-    /// Decay of the recent average, ln 2 / half-life per millisecond...
+    /// Decay rate of the recent average: ln 2 / half-life, per millisecond.
     lambda: f64,
-    /// ...of other knowledge of usage...
+    /// Decay rate of other estimates of usage.
     usage_lambda: f64,
-    /// ...and of metered usage.
+    /// Decay rate of metered usage.
     meter_lambda: f64,
     /// The even share of the quota rate, in units a second.
     even_rate: f64,
@@ -146,18 +146,18 @@
     is_sliver: bool,
 }
 
-/// The decisions of one gateway.
+/// The decision module of one gateway: takes events and returns actions.
 pub struct Gateway {
     settings: Settings,
     rng: Pcg32,
-    /// The time of the event that is handled, and the actions it calls for.
+    /// Time of the event being handled, and the actions that result from it.
     now: Millis,
     actions: Vec<Action>,
     started_at: Option<Millis>,
     /// The shortest latency target of all classes.
     target: Millis,
     customers: EvictingMap<CustomerId, Customer>,
-    /// Quotas by what other gateways report; empty where they report nothing.
+    /// Balances of quotas by the reports of other gateways; empty if they report nothing.
     shared_balances: SharedBalances<CustomerId>,
     backends: BackendTable<BackendId, Backend>,
     requests: PendingRequests,
@@ -171,14 +171,14 @@
 }
 
 impl Gateway {
-    /// A gateway with these settings; `seed` is its only source of randomness.
+    /// Creates a gateway; `seed` is its only source of randomness.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Gateway {
             rng: Pcg32::seed_from_u64(seed),
             now: 0.0,
             actions: Vec::new(),
             started_at: None,
-            target: settings.shortest_target(),
+            target: settings.min_target(),
             customers: EvictingMap::default(),
             shared_balances: SharedBalances::default(),
             backends: BackendTable::default(),
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Takes an event that happened at `now` and appends the actions it calls for.
+    /// Handles an event that happened at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         std::mem::swap(&mut self.actions, actions);
@@ -209,25 +209,25 @@
             Event::ClientDisconnected(id) => self.abandon(id),
             Event::Timer(SUBSCRIBE_TIMER) => self.actions.push(Action::Subscribe),
             Event::Timer(timer) => self.timer_fired(timer),
-            // No health checks are sent: this gateway's own attempts tell enough.
+            // This module never sends a probe: the outcomes of its own attempts suffice.
             Event::Probed { .. } => {}
         }
         std::mem::swap(&mut self.actions, actions);
     }
 
-    /// Changes the settings. Classes and plans may be added and changed, and keep their indices.
+    /// Changes the settings. Classes and plans may be added or changed but must keep their indices.
     pub fn amend(&mut self, change: impl FnOnce(&mut Settings)) {
         change(&mut self.settings);
-        self.target = self.settings.shortest_target();
+        self.target = self.settings.min_target();
     }
 
-    /// The same gateway, examining all backends for each choice: it decides the same, more slowly.
-    pub fn walking(mut self) -> Self {
+    /// Makes every choice examine all backends, for comparison: same decisions, at a higher cost.
+    pub fn exhaustive(mut self) -> Self {
         self.backends.index_mut().make_exhaustive();
         self
     }
 
-    /// The size of its state, and how many backends its choices have examined.
+    /// Returns the size of the state, and how many backends all choices have examined.
     pub fn stats(&self) -> GatewayStats {
         GatewayStats {
             customers: self.customers.len(),
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,27 +1,30 @@
-//! What passes between a front door and the decision module: settings in, events in, actions out.
+//! The types that pass between a gateway process and the decision module: settings and events in,
+//! actions out.
 //!
-//! All times are milliseconds on the clock of the caller; the module never reads a clock of its own.
+//! All times are milliseconds on the caller's clock; the module never reads a clock itself. Rates
+//! are per second. Quotas are counted in units: each request takes some units of its customer's
+//! quota.
 
 /// A point in time or a span, in milliseconds.
 pub type Millis = f64;
 
-/// A request as the front door numbers it; an id is never used twice in one life of a gateway.
+/// A request id, assigned by the caller and never used twice in one incarnation of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// A backend as the list of backends names it.
+/// A backend id, as in the list of backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
 
-/// A customer, the owner of one quota.
+/// A customer, the owner of a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerId(pub u64);
 
-/// The place of a class in [`Settings::classes`].
+/// The index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// The place of a plan in [`Settings::plans`].
+/// The index of a plan in [`Settings::plans`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanId(pub usize);
 
@@ -29,85 +32,86 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A cell: a handful of backends that remember the same idempotency keys.
+/// A cell: a small group of backends that share their memory of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// A timer, named by the module.
+/// A timer; the module chooses its id in [`Action::SetTimer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// The backends that drop a repeat of a keyed request.
+/// The backends that deduplicate the attempts of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every backend.
     All,
-    /// Those in the zone of the first attempt.
+    /// The backends in the zone of the first attempt.
     Zone,
-    /// Those in the cell of the first attempt.
+    /// The backends in the cell of the first attempt.
     Cell,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Repeating it is harmless.
+    /// It may run any number of times.
     Idempotent,
-    /// Repeats are dropped within a group of backends for a time.
+    /// Backends deduplicate its attempts by an idempotency key, within a scope and for a time.
     Keyed {
-        /// Who drops the repeats.
+        /// The backends that deduplicate.
         scope: DedupScope,
-        /// For how long, from the send of the first attempt that may have run.
+        /// For how long, in milliseconds from the send of the first attempt that may have run.
         window: Millis,
     },
-    /// It must never run twice.
+    /// It must not run twice.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns its full worth.
+    /// Time within which a response earns its full value, in milliseconds.
     pub latency_target: Millis,
-    /// How long a client waits at most, over all its tries.
+    /// Maximum time that a client waits, over all its retries, in milliseconds.
     pub deadline: Millis,
-    /// Worth of one unit of it.
+    /// Value of a served request, per unit.
     pub value: f64,
-    /// Part of the worth that an answer after the aim still earns.
+    /// Fraction of the value that a response after the latency target still earns.
     pub late_value: f64,
-    /// Whether it may run again.
+    /// Whether a request of this class may run more than once.
     pub idempotency: Idempotency,
-    /// Whether its answer is a stream.
+    /// Whether responses are streamed.
     pub streaming: bool,
-    /// Most attempts for one of its requests, besides [`Settings::max_attempts`].
+    /// Maximum number of attempts for one request, if [`Settings::max_attempts`] is not lower.
     pub max_attempts: u32,
 }
 
-/// A hard rate limit on what all gateways send on for one customer.
+/// A hard limit on the rate at which all gateways together forward one customer's requests: a token
+/// bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Units a second that refill it.
+    /// Refill rate, in units a second.
     pub rate: f64,
-    /// Units it holds at most.
+    /// Maximum number of units in the bucket.
     pub burst: f64,
-    /// Units by which it may be overdrawn.
+    /// Number of units by which the bucket may be overdrawn.
     pub slack: f64,
 }
 
-/// A plan that customers buy.
+/// A plan: the quota and the prices of the customers that bought it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Quota in units a second over all gateways; 0 means none.
+    /// Quota in units a second, through all gateways; 0 for no quota.
     pub rate: f64,
-    /// Units of quota that may be used at once.
+    /// Units of the quota that may be used at once.
     pub burst: f64,
-    /// Attempts out at once that the quota covers; 0 means no such quota.
+    /// Maximum number of attempts in flight through all gateways; 0 for no limit.
     pub max_in_flight: u32,
-    /// Factor on the worth of a request.
+    /// Factor on the value of a request.
     pub price: f64,
-    /// Part of its worth that a request sent on beyond the quota earns.
+    /// Fraction of its value that a request earns if it is forwarded beyond the quota.
     pub over_quota_value: f64,
-    /// Part of its worth that a request sent on beyond the quota costs.
+    /// Fraction of its value that a request costs if it is forwarded beyond the quota.
     pub over_quota_cost: f64,
     /// The hard rate limit, if the plan has one.
     pub rate_limit: Option<RateLimit>,
@@ -116,143 +120,146 @@
 /// How the list of backends reaches a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive by themselves.
+    /// Changes are pushed without a subscription.
     Pushed,
-    /// Changes arrive only after a subscription or a query.
+    /// Changes arrive only after [`Action::Subscribe`] or [`Action::FetchBackends`].
     OnRequest,
 }
 
-/// How load reports of backends reach a gateway.
+/// How backends' load reports reach a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
     /// Not at all.
     Off,
-    /// In every outcome and probe result.
+    /// With every end of an attempt and every probe result.
     Inline,
-    /// In probe results only.
+    /// With probe results only.
     OnProbe,
 }
 
-/// What a deployment permits and how it is shaped, told once at the start of a gateway.
+/// The settings of a gateway: the size of its deployment, and what the deployment permits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of gateways in this tier.
     pub gateways: u32,
-    /// Zone this gateway stands in.
+    /// Zone of this gateway.
     pub zone: ZoneId,
-    /// Shortest time between two batches of events.
+    /// Minimum time between two batches of events, in milliseconds.
     pub tick: Millis,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The plans.
     pub plans: Vec<Plan>,
-    /// Most units that one request counts.
+    /// Maximum number of units of one request; larger values are clamped.
     pub max_units: f64,
-    /// Period of the use meter; 0 means there is no meter.
+    /// Period of the usage meter, in milliseconds; 0 if there is no meter.
     pub meter_period: Millis,
     /// How the list of backends arrives.
     pub discovery: Discovery,
     /// How load reports arrive.
     pub reports: Reports,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Further attempts earned with each first one; so many are there at the start, and saved up at most.
+    /// Retries that each forwarded request adds to the gateway's retry budget.
     pub retry_ratio: f64,
-    /// See above.
+    /// Retries in the budget at the start.
     pub initial_retries: f64,
-    /// See above.
+    /// Maximum number of retries that accumulate in the budget.
     pub max_saved_retries: f64,
-    /// The span over which the fleet's retries are counted, where a gateway whose `max_saved_retries` is below one
-    /// retry may save what it has earned in that span; 0 where it may not.
+    /// Window over which the fleet's retries are counted, in milliseconds. If it is not 0, a
+    /// gateway whose `max_saved_retries` is below one retry also accumulates what it earned in this
+    /// window.
     pub retry_window: Millis,
-    /// Whether one request may have two attempts out at a time.
+    /// Whether a request may have two attempts in flight at a time.
     pub hedging: bool,
-    /// Whether attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether probes are permitted.
+    /// Whether probes (health checks) are permitted.
     pub probes: bool,
-    /// Whether clients are handed a retry-after time.
+    /// Whether rejections may advise a retry-after time.
     pub retry_after: bool,
-    /// Longest retry-after time that clients follow.
+    /// Maximum retry-after time that clients follow, in milliseconds.
     pub max_retry_after: Millis,
-    /// Price of an attempt that crosses zones, as a part of the whole worth.
+    /// Price of an attempt that crosses zones, as a fraction of the request's value.
     pub cross_zone_price: f64,
-    /// Time after the client's deadline in which a final answer still counts.
+    /// Time after the client's deadline in which a final response still counts, in milliseconds.
     pub response_grace: Millis,
-    /// Grace within which sends to a draining or gone backend must stop.
+    /// Time within which forwarding to a draining or removed backend must stop, in milliseconds.
     pub drain_grace: Millis,
-    /// With [`Discovery::OnRequest`]: how old an unasked list may be before it counts as known.
+    /// With [`Discovery::OnRequest`]: age in milliseconds after which a list counts as known to the
+    /// gateway, even if the gateway did not request it.
     pub max_unrequested_list_age: Millis,
-    /// Part of its capacity with which a backend starts, at least.
+    /// Minimum fraction of its full capacity that a backend has at its start.
     pub start_capacity: f64,
-    /// Time after which a started backend is warm, at most.
+    /// Maximum time until a started backend has its full capacity, in milliseconds.
     pub warm_up: Millis,
-    /// Multiple of its present capacity that pushes a cold backend over.
+    /// Load, as a multiple of its present capacity, that overloads a backend that is warming up.
     pub overload_factor: f64,
-    /// Time for which it takes that multiple.
+    /// Time for which that load must last to overload the backend, in milliseconds.
     pub overload_window: Millis,
 }
 
 /// State of a backend in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// May be sent to.
+    /// Accepts requests.
     Ready,
-    /// Finishing its work.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Removed,
 }
 
-/// One line of the list of backends.
+/// An entry of the list of backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendEntry {
-    /// Which backend.
+    /// Id of the backend.
     pub id: BackendId,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell of the backend.
     pub cell: CellId,
-    /// Its state.
+    /// State of the backend.
     pub availability: Availability,
-    /// Time of its last start; `None` if long ago.
+    /// Time of the backend's last start; `None` if long ago.
     pub started: Option<Millis>,
-    /// Size relative to others; 1 where nothing is known.
+    /// Capacity relative to other backends; 1 if unknown.
     pub size: f64,
 }
 
-/// What a [`Event::Backends`] holds.
+/// What an [`Event::Backends`] contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only the changed lines.
+    /// Only the changed entries.
     Changes,
-    /// The whole list.
+    /// The complete list; backends that are not in it count as removed.
     Full,
-    /// The whole list as this gateway last had it in an earlier life.
+    /// The complete list as an earlier incarnation of this gateway last received it.
     Cached,
-    /// A query or subscription failed; the old list stays.
+    /// Nothing: a query or subscription failed, and the previous list stays.
     Failed,
 }
 
-/// A request of a client.
+/// A client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Whose it is.
+    /// The customer whose quota it uses.
     pub customer: CustomerId,
     /// The customer's plan.
     pub plan: PlanId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Units it takes from the quota; a guess where units are settled with the answer.
+    /// Units that the request takes from the quota; an estimate if responses report
+    /// [`AttemptEnded::true_units`].
     pub units: f64,
-    /// When the client stops waiting for this try.
+    /// When the client stops waiting; its retry is a new request.
     pub deadline: Millis,
-    /// Whether its caller needs no check any more. One that does is admitted or refused like any other, and if it is
-    /// admitted, held until [`Event::Authorized`].
+    /// Whether the caller is authorized already. Otherwise the request is admitted or rejected like
+    /// any other and, if admitted, is pending until [`Event::Authorized`].
     pub authorized: bool,
-    /// Through how many gateways this customer's requests come.
+    /// Number of gateways through which this customer's requests come.
     pub gateways: f64,
 }
 
@@ -261,155 +268,164 @@
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The backend answered with an error; it may have run.
+    /// The backend responded with an error; the request may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The backend rejected the request before it ran, because it was at capacity.
     Full,
-    /// No answer in time; it may have run or may still run.
+    /// No response in time; the request may have run or may still run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection could be established; the request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Called off; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The request was never sent.
     NotSent,
 }
 
-/// What is done lest a connection that breaks takes a request along.
+/// How an attempt is protected against a connection that turns out to be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendMode {
-    /// Nothing: the request is written at once, to any connection.
+    /// No protection: the request is written at once, on any connection.
     Immediate,
-    /// Its last byte waits until the connection has stood the rest: it cannot have run where that breaks before.
+    /// The last byte is withheld until the connection has carried the rest. If the connection
+    /// breaks before, the request cannot have run.
     WithholdLastByte,
-    /// So it does, and a kept connection is used only at an age at which others have held of late.
+    /// As [`SendMode::WithholdLastByte`], and an idle connection is reused only at an idle age at
+    /// which other connections have recently proved intact.
     WithholdLastByteOnProvenConnection,
 }
 
-/// A load report of a backend; late and not exact.
+/// A backend's load report, which is delayed and approximate. `None` is a value that the backend
+/// does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests it holds.
+    /// Requests in flight at the backend.
     pub in_flight: Option<f64>,
-    /// Requests that wait.
+    /// Requests in the backend's queue.
     pub queue: Option<f64>,
-    /// Part of its processors that is busy.
+    /// Fraction of the backend's processors in use.
     pub utilisation: Option<f64>,
-    /// Its recent service time.
+    /// Recent service time, in milliseconds.
     pub latency: Option<Millis>,
-    /// Requests it serves a second.
+    /// Requests served per second.
     pub throughput: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors: Option<f64>,
 }
 
 /// The end of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnded {
-    /// Whose attempt.
+    /// The request.
     pub request: RequestId,
-    /// Which attempt of the request, from 0.
+    /// Number of the attempt among those of the request, from 0.
     pub attempt: u32,
-    /// Where it went.
+    /// The backend that the attempt was sent to.
     pub backend: BackendId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent, in milliseconds.
     pub elapsed: Millis,
-    /// Whether the request is over.
+    /// Whether the request is finished, so that no further attempt may follow.
     pub request_closed: bool,
-    /// The customer's use by all gateways in the last metered period, as a part of its rate.
+    /// The customer's usage through all gateways in the last metered period, as a fraction of what
+    /// [`Plan::rate`] allows.
     pub metered_usage: Option<f64>,
-    /// True units, where they are settled with the answer.
+    /// Units that the request actually took, if the response reports them.
     pub true_units: Option<f64>,
-    /// The backend's load, if it came along.
+    /// The backend's load report, empty if there was none.
     pub report: Report,
-    /// Connections that had come up and broke under this attempt; others may have stood in for them.
+    /// Number of established connections that broke during this attempt; the attempt may have gone
+    /// on over another connection.
     pub broken_connections: u32,
 }
 
-/// What other gateways have let in for a customer, where gateways can tell one another.
+/// A report of what other gateways have admitted for a customer, if gateways share their counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RemoteUsage {
-    /// Whose quota.
+    /// The customer.
     pub customer: CustomerId,
-    /// Its plan.
+    /// The customer's plan.
     pub plan: PlanId,
-    /// Units used elsewhere that were not told before; below nought where more was given back than used.
+    /// Units used at other gateways since the previous report; negative if more units were given
+    /// back than used.
     pub units: f64,
-    /// All that was used elsewhere until then is told, but for `error`.
+    /// Time up to which usage at other gateways is reported, except for at most `error` units.
     pub as_of: Millis,
-    /// Units at most that may have been used elsewhere and are not told.
+    /// Maximum number of units that were used at other gateways without being reported.
     pub error: f64,
-    /// Part of the gateways that are heard of, this one with them; from nought to one.
+    /// Fraction of the gateways whose usage is reported, including this one, from 0 to 1.
     pub reporting_fraction: f64,
 }
 
-/// Something that happened at a front door.
+/// Something that happened at a gateway process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list of backends, or changes of it.
     Backends(ListKind, Vec<BackendEntry>),
-    /// A request came in.
+    /// A request arrived.
     Arrival(Request),
-    /// The caller of a held request was checked. One that does not pass takes nothing from its quota, and whoever told
-    /// this answers it; one that does is sent on or refused.
+    /// The check of a caller has ended ([`Action::Authorize`]). If the caller is allowed, the
+    /// request is forwarded or rejected. If not, the request takes no units from its quota, and the
+    /// process that reports this event responds to the client.
     Authorized {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Whether its caller passes.
+        /// Whether the caller is allowed.
         allowed: bool,
     },
-    /// More was used elsewhere. Without such news, or once it is old, a gateway decides by itself.
+    /// Usage at other gateways was reported. Without a recent report a gateway decides by its own
+    /// counts.
     RemoteUsage(RemoteUsage),
-    /// A streamed answer has begun.
+    /// A streamed response has begun.
     StreamStarted(RequestId),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// The client went away.
+    /// The client disconnected.
     ClientDisconnected(RequestId),
-    /// A timer came due.
+    /// A timer fired.
     Timer(TimerId),
     /// A probe ended.
     Probed {
-        /// Which backend.
+        /// The backend.
         backend: BackendId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// How long it took.
+        /// How long the probe took, in milliseconds.
         elapsed: Millis,
-        /// The load report, if it came along.
+        /// The backend's load report, empty if there was none.
         report: Report,
     },
 }
 
-/// Why a request is turned away, in the order in which it is asked.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// Its plan or class is in no settings.
+    /// The settings have no such plan or class.
     Unknown,
-    /// Its customer's recent average is over the limit: the box is shut.
+    /// The penalty box is closed: the customer's recent average rate is over the limit.
     PenaltyBox,
-    /// Its quota is used up, as other gateways tell.
+    /// The quota is used up, according to the reports of other gateways.
     QuotaExhausted,
-    /// It was not drawn: a part is let in, by how slow answers are and what use is known.
+    /// Only a random fraction of the requests is admitted, which depends on how slow responses are
+    /// and on the known usage; this request was not among them.
     Backpressure,
-    /// This gateway's slice of its quota is used up.
+    /// This gateway's slice of the quota is used up.
     Slice,
-    /// Its customer is at its rate limit.
+    /// The customer is at its hard rate limit.
     RateLimit,
-    /// Its customer has as many attempts out as it may.
+    /// The customer has the maximum number of attempts in flight.
     InFlightLimit,
-    /// No backend would answer it in time.
+    /// No backend is expected to respond in time.
     NoBackend,
-    /// It was sent on, and no attempt has served it or can.
+    /// The request was forwarded, but no attempt has served it, and no further attempt can.
     AttemptsFailed,
 }
 
 impl RejectReason {
-    /// All, in their order.
+    /// All reasons, in the order of declaration.
     pub const ALL: [RejectReason; 9] = [
         RejectReason::Unknown,
         RejectReason::PenaltyBox,
@@ -422,7 +438,7 @@
         RejectReason::AttemptsFailed,
     ];
 
-    /// Its name in tables and results.
+    /// Returns the reason's name in tables and results.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::Unknown => "unknown",
@@ -438,56 +454,57 @@
     }
 }
 
-/// Something the front door is to do.
+/// Something that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; `timeout` is its time-out, `None` until the client gives up.
+    /// Start an attempt.
     Send {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// To which backend.
+        /// The backend to send it to.
         backend: BackendId,
-        /// Its time-out.
+        /// Timeout of the attempt, in milliseconds; `None` to wait until the client gives up.
         timeout: Option<Millis>,
-        /// What is done lest a broken connection takes the request along.
+        /// How the attempt is protected against a broken connection.
         mode: SendMode,
     },
-    /// Have the caller of a request checked, and tell by [`Event::Authorized`]. Nothing is sent on until then.
+    /// Check the caller of a request, and report the result as [`Event::Authorized`]. The request
+    /// is not forwarded before that.
     Authorize(RequestId),
-    /// Final answer: turned away, trying again is harmless.
+    /// Send the final response that the request is rejected: a retry by the client is safe.
     Reject {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Why.
+        /// Why it is rejected.
         reason: RejectReason,
-        /// When to come back, if advised.
+        /// Time after which a retry is advised, in milliseconds; `None` for no advice.
         retry_after: Option<Millis>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Send the final response that the request failed: it may have run.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     CancelAttempt {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Ask for an [`Event::Timer`] at a time.
+    /// Set a timer, which fires as [`Event::Timer`].
     SetTimer {
-        /// When.
+        /// When it fires.
         at: Millis,
-        /// Its name.
+        /// Id to report.
         timer: TimerId,
     },
-    /// Check a backend.
+    /// Check the health of a backend, and report the result as [`Event::Probed`].
     Probe(BackendId),
     /// Close idle connections to a backend.
     CloseIdle(BackendId),
-    /// Ask for changes of the list of backends from now on.
+    /// Subscribe to changes of the list of backends.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Fetch the complete list of backends once.
     FetchBackends,
-    /// A line for the operators.
+    /// Write a log line.
     Log(String),
 }
 
@@ -520,7 +537,8 @@
 }
 
 impl Default for Settings {
-    /// One gateway and the most careful reading of what is not told: nothing is permitted that needs leave.
+    /// A single gateway without any optional permission: one attempt per request, no hedging,
+    /// cancellation, probes or retry-after times.
     fn default() -> Self {
         Settings {
             gateways: 1,
@@ -554,11 +572,11 @@
     }
 }
 
-/// What a gateway holds, and what its choices took.
+/// The size of a gateway's state, and the cost of its choices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayStats {
-    /// Customers of which it holds an entry.
+    /// Number of customers with an entry.
     pub customers: usize,
-    /// Backends that its choices have looked at one by one so far.
+    /// Number of backends that its choices have examined so far.
     pub backends_examined: u64,
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of an admission gateway for a service sold by plan.
+//! The decisions of an admission gateway for a service whose customers buy plans with quotas.
 //!
-//! A proxy owns sockets, clients and connections; this library decides. The proxy makes one
-//! [`Gateway`] from its [`Settings`] and a seed, hands it every event with the time it happened, and carries
-//! out the actions that come back. Nothing here reads a clock, opens a file or keeps shared state.
+//! A program owns sockets, clients and connections; this library decides which requests are
+//! admitted, which backend each attempt goes to, and when to retry. The program creates a
+//! [`Gateway`] from its [`Settings`] and a seed, passes it every event with the time it happened,
+//! and carries out the resulting actions. Nothing here reads a clock, opens a file or shares state.
 //!
 //! ```
 //! use maplefall_policy::*;
--- a/crates/policy/src/lookup.rs
+++ b/crates/policy/src/lookup.rs
@@ -1,5 +1,5 @@
-//! Lookups in the settings, validation of requests by them, and conversions of the interface's types
-//! into those of the estimators.
+//! Lookups in the settings, validation of requests, and conversions of the interface's types into
+//! those of the estimators.
 
 use crate::interface::{
     AttemptEnded, Class, Millis, Outcome, Plan, PlanId, RemoteUsage, Request, RequestId, Settings,
@@ -9,36 +9,36 @@
     clamp_or, AttemptEnd, AttemptResult, RetryLimits, SlowStart, UsageReport,
 };
 
-/// The shortest latency target where there is no class.
+/// Value of the shortest latency target if there is no class.
 const DEFAULT_TARGET_MS: Millis = 1000.0;
-/// The least of the shortest latency targets.
+/// Minimum of the shortest latency target.
 const MIN_TARGET_MS: Millis = 1.0;
-/// The least of the longest deadlines.
+/// Minimum of the longest deadline.
 const MIN_DEADLINE_MS: Millis = 1000.0;
 
 impl Settings {
-    /// The class of a valid request.
+    /// Returns the class of a validated request.
     pub(crate) fn class(&self, request: &Request) -> &Class {
         &self.classes[request.class.0]
     }
 
-    /// The plan of a valid request.
+    /// Returns the plan of a validated request.
     pub(crate) fn plan(&self, request: &Request) -> &Plan {
         &self.plans[request.plan.0]
     }
 
-    /// Attempts that a valid request may have.
+    /// Returns the maximum number of attempts of a validated request.
     pub(crate) fn attempt_limit(&self, request: &Request) -> u32 {
         self.max_attempts.min(self.class(request).max_attempts)
     }
 
-    /// The plans that have a quota.
+    /// Returns the plans that have a quota.
     pub(crate) fn plans_with_quota(&self) -> impl Iterator<Item = &Plan> {
         self.plans.iter().filter(|plan| plan.has_quota())
     }
 
-    /// The shortest latency target of all classes.
-    pub(crate) fn shortest_target(&self) -> Millis {
+    /// Returns the shortest latency target of all classes.
+    pub(crate) fn min_target(&self) -> Millis {
         let targets = self.classes.iter().map(|class| class.latency_target);
         let shortest = targets.fold(f64::INFINITY, f64::min);
         if shortest.is_finite() {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// The longest deadline of all classes.
-    pub(crate) fn longest_deadline(&self) -> Millis {
+    /// Returns the longest deadline of all classes.
+    pub(crate) fn max_deadline(&self) -> Millis {
         let deadlines = self.classes.iter().map(|class| class.deadline);
         deadlines.fold(MIN_DEADLINE_MS, f64::max)
     }
 
-    /// What this gateway may use of the fleet's retry budget.
+    /// Returns this gateway's share of the fleet's retry budget.
     pub(crate) fn retry_limits(&self) -> RetryLimits {
         RetryLimits {
             share: self.retry_ratio,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// How backends warm up.
+    /// Returns how backends warm up.
     pub(crate) fn slow_start(&self) -> SlowStart {
         SlowStart {
             initial: self.start_capacity,
@@ -71,7 +71,8 @@
         }
     }
 
-    /// The request with its figures in range; `None` where its plan or class is unknown.
+    /// Returns the request with its numbers clamped to their ranges; `None` if its plan or class is
+    /// unknown.
     pub(crate) fn validated(&self, now: Millis, mut request: Request) -> Option<Request> {
         self.plans.get(request.plan.0)?;
         let class = self.classes.get(request.class.0)?;
@@ -85,7 +86,7 @@
 }
 
 impl Plan {
-    /// Whether it has a quota.
+    /// Returns whether the plan has a quota.
     pub(crate) fn has_quota(&self) -> bool {
         self.rate > 0.0
     }
@@ -102,7 +103,7 @@
     }
 }
 
-/// The timer that is named after a request.
+/// The timer of a request, which has the request's id.
 impl From<RequestId> for TimerId {
     fn from(RequestId(id): RequestId) -> Self {
         TimerId(u64::from(id))
@@ -110,14 +111,14 @@
 }
 
 impl TimerId {
-    /// The request that it is named after, if any.
+    /// Returns the request whose timer this is, if any.
     pub(crate) fn request(self) -> Option<RequestId> {
         u32::try_from(self.0).ok().map(RequestId)
     }
 }
 
 impl AttemptEnded {
-    /// What the end of an attempt of `request` says about its backend.
+    /// Converts the end of an attempt of `request` to the estimators' type.
     pub(crate) fn attempt_end(&self, request: &Request) -> AttemptEnd {
         AttemptEnd {
             class: request.class.0,
--- a/crates/policy/src/lookup/tests.rs
+++ b/crates/policy/src/lookup/tests.rs
@@ -32,39 +32,41 @@
 }
 
 #[test]
-fn targets_and_deadlines_are_over_all_classes() {
-    assert_eq!(settings().shortest_target(), 200.0);
-    assert_eq!(settings().longest_deadline(), 4000.0);
-    assert_eq!(Settings::default().shortest_target(), DEFAULT_TARGET_MS);
-    assert_eq!(Settings::default().longest_deadline(), MIN_DEADLINE_MS);
+fn min_target_and_max_deadline_cover_all_classes() {
+    assert_eq!(settings().min_target(), 200.0);
+    assert_eq!(settings().max_deadline(), 4000.0);
+    assert_eq!(Settings::default().min_target(), DEFAULT_TARGET_MS);
+    assert_eq!(Settings::default().max_deadline(), MIN_DEADLINE_MS);
 }
 
 #[test]
-fn the_lower_limit_of_attempts_counts() {
+fn the_lower_attempt_limit_applies() {
     assert_eq!(settings().attempt_limit(&request()), 2);
 }
 
 #[test]
-fn a_valid_request_stays_as_it_is() {
+fn a_valid_request_is_unchanged() {
     assert_eq!(settings().validated(100.0, request()), Some(request()));
 }
 
 #[test]
-fn figures_out_of_range_are_clamped() {
-    let wild = Request {
+fn values_out_of_range_are_clamped() {
+    let invalid = Request {
         units: 99.0,
         gateways: f64::NAN,
         deadline: f64::INFINITY,
         ..request()
     };
-    let request = settings().validated(100.0, wild).expect("it is known");
+    let request = settings()
+        .validated(100.0, invalid)
+        .expect("known plan and class");
     assert_eq!(request.units, 8.0);
     assert_eq!(request.gateways, 1.0);
     assert_eq!(request.deadline, 1000.0);
 }
 
 #[test]
-fn unknown_plans_and_classes_are_denied() {
+fn unknown_plans_and_classes_are_invalid() {
     let plan = PlanId(1);
     let class = ClassId(2);
     assert_eq!(
@@ -78,7 +80,7 @@
 }
 
 #[test]
-fn an_alarm_names_its_request() {
+fn a_timer_id_converts_to_its_request() {
     let timer = TimerId::from(RequestId(7));
     assert_eq!(timer.request(), Some(RequestId(7)));
     assert_eq!(TimerId(u64::MAX).request(), None);
@@ -100,7 +102,7 @@
     };
     let end = ended.attempt_end(&request());
     assert_eq!(end.result, AttemptResult::ConnectionBroken);
-    assert_eq!(end.elapsed, 0.0, "no time is negative");
+    assert_eq!(end.elapsed, 0.0, "elapsed time is never negative");
     let other = AttemptEnded {
         broken_connections: 0,
         ..ended
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -4,23 +4,23 @@
 use crate::interface::{BackendId, CellId, Millis, Request, RequestId, ZoneId};
 use std::collections::btree_map::{BTreeMap, Entry};
 
-/// A request that has no final answer yet, or whose last attempt is still in flight.
+/// A request that has no final response yet, or whose last attempt is still in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
     pub(crate) request: Request,
     pub(crate) arrived_at: Millis,
-    /// When it could be forwarded first: at its arrival, or after the check of its caller.
+    /// When the request could first be forwarded: at its arrival, or after its caller was checked.
     pub(crate) ready_at: Millis,
-    /// Whether its caller has yet to be checked.
+    /// Whether its caller has not been checked yet.
     pub(crate) awaits_auth: bool,
-    /// How many attempts were sent.
+    /// Number of attempts sent.
     pub(crate) attempts: u32,
-    /// Where an attempt is in flight.
+    /// The backend at which an attempt is in flight.
     pub(crate) in_flight_to: Option<BackendId>,
     pub(crate) first_exposure: Option<Exposure>,
     pub(crate) stream_started: bool,
-    pub(crate) answered: bool,
-    /// Whether its answer was counted as slow.
+    pub(crate) responded: bool,
+    /// Whether its response was counted as slow already.
     pub(crate) known_slow: bool,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Pending {
-    /// A request that arrives at `now`.
+    /// Creates the state of a request that arrives at `now`.
     pub(crate) fn new(now: Millis, request: Request) -> Self {
         Pending {
             request,
@@ -44,18 +44,19 @@
             in_flight_to: None,
             first_exposure: None,
             stream_started: false,
-            answered: false,
+            responded: false,
             known_slow: false,
         }
     }
 
-    /// Counts an attempt that is sent to `backend`.
+    /// Records an attempt that is sent to `backend`.
     pub(crate) fn start_attempt(&mut self, backend: BackendId) {
         self.attempts += 1;
         self.in_flight_to = Some(backend);
     }
 
-    /// Ends the attempt with this number, from 0, at `backend`; false if it isn't the one in flight.
+    /// Ends the attempt with this number (from 0) at `backend`; returns false if it is not in
+    /// flight.
     pub(crate) fn end_attempt(&mut self, backend: BackendId, attempt: u32) -> bool {
         let is_in_flight = self.in_flight_to == Some(backend) && attempt + 1 == self.attempts;
         if is_in_flight {
@@ -66,7 +67,7 @@
 }
 
 impl Exposure {
-    /// An attempt that was sent to `backend`. If that is gone, its zone and cell are unknown.
+    /// Creates the exposure of an attempt sent to `backend`; without it, zone and cell are unknown.
     pub(crate) fn new(sent_at: Millis, backend: Option<&Backend>) -> Self {
         Exposure {
             sent_at,
@@ -95,7 +96,7 @@
         self.requests.remove(&id)
     }
 
-    /// Removes a request that meets `condition`, which may change it.
+    /// Removes a request if `condition` returns true; `condition` may change the request.
     pub(crate) fn remove_if(
         &mut self,
         id: RequestId,
--- a/crates/policy/src/pending/tests.rs
+++ b/crates/policy/src/pending/tests.rs
@@ -18,19 +18,22 @@
 #[test]
 fn only_the_attempt_in_flight_can_end() {
     let mut pending = pending(1, true);
-    assert!(!pending.end_attempt(BackendId(1), 0), "none was sent");
+    assert!(!pending.end_attempt(BackendId(1), 0), "no attempt was sent");
     pending.start_attempt(BackendId(1));
     assert!(!pending.end_attempt(BackendId(2), 0), "another backend");
     assert!(!pending.end_attempt(BackendId(1), 1), "another attempt");
     assert!(pending.end_attempt(BackendId(1), 0));
-    assert!(!pending.end_attempt(BackendId(1), 0), "it has ended");
+    assert!(
+        !pending.end_attempt(BackendId(1), 0),
+        "the attempt has ended"
+    );
     pending.start_attempt(BackendId(1));
     assert!(!pending.end_attempt(BackendId(1), 0), "an earlier attempt");
     assert!(pending.end_attempt(BackendId(1), 1));
 }
 
 #[test]
-fn a_request_is_removed_only_under_its_condition() {
+fn a_request_is_removed_only_if_the_condition_holds() {
     let mut requests = PendingRequests::default();
     requests.insert(pending(1, true));
     requests.insert(pending(2, false));
@@ -46,8 +49,8 @@
 fn an_update_returns_the_changed_request() {
     let mut requests = PendingRequests::default();
     requests.insert(pending(1, true));
-    let updated = requests.update(RequestId(1), |pending| pending.answered = true);
-    assert!(updated.is_some_and(|pending| pending.answered));
+    let updated = requests.update(RequestId(1), |pending| pending.responded = true);
+    assert!(updated.is_some_and(|pending| pending.responded));
     assert!(requests.update(RequestId(2), |_| ()).is_none());
 }
 
--- a/crates/policy/tests/index_equivalence.rs
+++ b/crates/policy/tests/index_equivalence.rs
@@ -73,7 +73,7 @@
     };
     let (one, other) = (
         Gateway::new(set.clone(), seed),
-        Gateway::new(set, seed).walking(),
+        Gateway::new(set, seed).exhaustive(),
     );
     let mut twins = Twins {
         one,
@@ -211,7 +211,11 @@
         ..Plan::default()
     };
     let gateway = Gateway::new(settings(plan, 300), 5);
-    let gateway = if walking { gateway.walking() } else { gateway };
+    let gateway = if walking {
+        gateway.exhaustive()
+    } else {
+        gateway
+    };
     let mut stage = Stage {
         gateway,
         actions: Vec::new(),
