--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,5 +1,6 @@
-//! What a decision costs by the number of backends: a gateway that looks at few of them, beside one that looks at all for each
-//! choice; and what a change of the list costs. `cargo bench -p maplefall-policy --bench decision`.
+//! The cost of a decision by the number of backends, for a gateway that examines few of them and
+//! for one that examines all for each choice; and the cost of a change of the list.
+//! `cargo bench -p maplefall-policy --bench decision`.
 
 use maplefall_policy::*;
 use std::time::Instant;
@@ -18,7 +19,7 @@
     }
 }
 
-fn gateway(gateways: u32, backends: u32, walking: bool) -> Gateway {
+fn gateway(gateways: u32, backends: u32, exhaustive: bool) -> Gateway {
     let settings = Settings {
         gateways,
         classes: vec![Class {
@@ -34,7 +35,7 @@
         ..Settings::default()
     };
     let gateway = Gateway::new(settings, 5);
-    let mut gateway = if walking {
+    let mut gateway = if exhaustive {
         gateway.exhaustive()
     } else {
         gateway
@@ -50,10 +51,10 @@
     gateway
 }
 
-/// Microseconds a request with its answer.
-fn requests(mut gateway: Gateway) -> f64 {
+/// Returns the microseconds per request, including its response.
+fn time_requests(mut gateway: Gateway) -> f64 {
     let mut actions = Vec::new();
-    let begun = Instant::now();
+    let started = Instant::now();
     for id in 0..REQUESTS {
         let now = f64::from(id) * 20.0;
         let request = Request {
@@ -87,41 +88,42 @@
         };
         gateway.handle(now + 10.0, Event::AttemptEnded(ended), &mut actions);
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
 }
 
-/// Microseconds a change of one entry.
-fn changes(mut gateway: Gateway, backends: u32) -> f64 {
-    let begun = Instant::now();
+/// Returns the microseconds per change of one entry of the list.
+fn time_changes(mut gateway: Gateway, backends: u32) -> f64 {
+    let started = Instant::now();
     for at in 0..CHANGES {
         let state = if at % 2 == 0 {
             Availability::Draining
         } else {
             Availability::Ready
         };
-        let line = vec![entry(at / 2 * 7919 % backends, state)];
+        let entries = vec![entry(at / 2 * 7919 % backends, state)];
         gateway.handle(
             f64::from(at),
-            Event::Backends(ListKind::Changes, line),
+            Event::Backends(ListKind::Changes, entries),
             &mut Vec::new(),
         );
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(CHANGES)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(CHANGES)
 }
 
-/// The least of three: what else the machine does only adds.
-fn least(mut one: impl FnMut() -> f64) -> f64 {
-    (0..3).map(|_| one()).fold(f64::INFINITY, f64::min)
+/// Returns the minimum of three runs, because other load on the machine only adds time.
+fn min_of_three(mut run: impl FnMut() -> f64) -> f64 {
+    (0..3).map(|_| run()).fold(f64::INFINITY, f64::min)
 }
 
 fn main() {
-    println!("gateways  backends  us a request  choices by walking  us a change of the list");
+    println!("gateways  backends  us a request  exhaustive choices  us a change of the list");
     for gateways in [4, 100, 300] {
         for backends in [10, 60, 200, 1000, 20_000] {
-            let index = least(|| requests(gateway(gateways, backends, false)));
-            let walk = least(|| requests(gateway(gateways, backends, true)));
-            let change = least(|| changes(gateway(gateways, backends, false), backends));
-            println!("{gateways:8}  {backends:8}  {index:12.2}  {walk:18.2}  {change:23.2}");
+            let index = min_of_three(|| time_requests(gateway(gateways, backends, false)));
+            let exhaustive = min_of_three(|| time_requests(gateway(gateways, backends, true)));
+            let change =
+                min_of_three(|| time_changes(gateway(gateways, backends, false), backends));
+            println!("{gateways:8}  {backends:8}  {index:12.2}  {exhaustive:18.2}  {change:23.2}");
         }
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,14 +1,15 @@
-//! A small stage for playing event sequences to a gateway.
+//! A harness that plays event sequences to a gateway.
 
 use maplefall_policy::*;
 
-/// A gateway with the actions of its last event.
-pub struct Stage {
+/// A gateway, and the actions that its last event led to.
+pub struct Harness {
     pub gateway: Gateway,
     pub actions: Vec<Action>,
 }
 
-/// One gateway of `spread` with a plan and a class of each effect: 0 safe, 1 keyed, 2 unsafe.
+/// Settings of one of `gateways` with one plan and three classes: 0 idempotent, 1 keyed and
+/// 2 non-idempotent.
 pub fn settings(plan: Plan, gateways: u32) -> Settings {
     let class = |idempotency| Class {
         latency_target: 1000.0,
@@ -33,7 +34,7 @@
     }
 }
 
-/// A warm backend in zone `zone`, cell `zone`.
+/// A ready backend that is not warming up, in zone `zone` and cell `zone`.
 pub fn ready(id: u32, zone: u32) -> BackendEntry {
     BackendEntry {
         id: BackendId(id),
@@ -60,74 +61,75 @@
 }
 
 #[allow(dead_code)]
-impl Stage {
-    /// A gateway that has been handed its first list.
-    pub fn new(settings: Settings, backends: Vec<BackendEntry>) -> Stage {
-        Stage::seeded(settings, 1, backends)
+impl Harness {
+    /// Creates a gateway that has received its first list of backends.
+    pub fn new(settings: Settings, backends: Vec<BackendEntry>) -> Harness {
+        Harness::with_seed(settings, 1, backends)
     }
 
-    /// One of several gateways, each with a seed of its own.
-    pub fn seeded(settings: Settings, seed: u64, backends: Vec<BackendEntry>) -> Stage {
-        let mut stage = Stage {
+    /// Creates a gateway with a seed of its own.
+    pub fn with_seed(settings: Settings, seed: u64, backends: Vec<BackendEntry>) -> Harness {
+        let mut harness = Harness {
             gateway: Gateway::new(settings, seed),
             actions: Vec::new(),
         };
-        stage.play(0.0, Event::Backends(ListKind::Cached, backends));
-        stage
+        harness.handle(0.0, Event::Backends(ListKind::Cached, backends));
+        harness
     }
 
-    /// Plays one event; the actions are kept until the next.
-    pub fn play(&mut self, now: Millis, event: Event) -> &[Action] {
+    /// Handles an event and keeps its actions until the next one.
+    pub fn handle(&mut self, now: Millis, event: Event) -> &[Action] {
         self.actions.clear();
         self.gateway.handle(now, event, &mut self.actions);
         &self.actions
     }
 
-    /// Plays an arrival and tells where it was sent, if it was.
+    /// Handles an arrival and returns the backend that it was sent to, if any.
     pub fn arrive(&mut self, now: Millis, request: Request) -> Option<BackendId> {
-        self.play(now, Event::Arrival(request));
+        self.handle(now, Event::Arrival(request));
         self.sent()
     }
 
-    /// Where the last event led to a send.
+    /// Returns the backend that the last event led to an attempt at, if any.
     pub fn sent(&self) -> Option<BackendId> {
-        self.actions.iter().find_map(|a| match a {
+        self.actions.iter().find_map(|action| match action {
             Action::Send { backend, .. } => Some(*backend),
             _ => None,
         })
     }
 
-    /// Plays the end of an attempt.
-    pub fn settle(
+    /// Handles the end of an attempt.
+    pub fn end_attempt(
         &mut self,
         now: Millis,
         id: u32,
         attempt: u32,
-        at: BackendId,
+        backend: BackendId,
         outcome: Outcome,
     ) -> &[Action] {
-        self.play(
+        self.handle(
             now,
-            Event::AttemptEnded(attempt_ended(id, attempt, at, outcome)),
+            Event::AttemptEnded(attempt_ended(id, attempt, backend, outcome)),
         )
     }
 
-    /// Plays an arrival that is answered 10 ms later if it is sent; tells whether it was.
+    /// Handles an arrival and, if it is sent to a backend, a response 10 ms later; returns whether
+    /// it was sent.
     pub fn serve(&mut self, now: Millis, request: Request) -> bool {
         let sent = self.arrive(now, request);
-        if let Some(at) = sent {
-            self.settle(now + 10.0, request.id.0, 0, at, Outcome::Ok);
+        if let Some(backend) = sent {
+            self.end_attempt(now + 10.0, request.id.0, 0, backend, Outcome::Ok);
         }
         sent.is_some()
     }
 }
 
-/// The end of an attempt after 10 ms; a good one closes the request.
-pub fn attempt_ended(id: u32, attempt: u32, at: BackendId, outcome: Outcome) -> AttemptEnded {
+/// The end of an attempt after 10 ms; a successful one closes the request.
+pub fn attempt_ended(id: u32, attempt: u32, backend: BackendId, outcome: Outcome) -> AttemptEnded {
     AttemptEnded {
         request: RequestId(id),
         attempt,
-        backend: at,
+        backend,
         outcome,
         elapsed: 10.0,
         request_closed: outcome == Outcome::Ok,
--- a/crates/policy/tests/index_equivalence.rs
+++ b/crates/policy/tests/index_equivalence.rs
@@ -7,36 +7,36 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// One attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Copy)]
-struct Out {
+struct InFlight {
     request: u32,
     attempt: u32,
     backend: BackendId,
     sent: Millis,
 }
 
-struct Twins {
-    one: Gateway,
-    other: Gateway,
-    out: Vec<Out>,
+struct Comparison {
+    indexed: Gateway,
+    exhaustive: Gateway,
+    in_flight: Vec<InFlight>,
     timers: Vec<(Millis, TimerId)>,
     sends: u64,
 }
 
-impl Twins {
-    fn play(&mut self, now: Millis, event: Event) {
-        let (mut actions, mut walked) = (Vec::new(), Vec::new());
-        self.one.handle(now, event.clone(), &mut actions);
-        self.other.handle(now, event, &mut walked);
-        assert_eq!(actions, walked, "at {now}");
+impl Comparison {
+    fn handle(&mut self, now: Millis, event: Event) {
+        let (mut actions, mut exhaustive_actions) = (Vec::new(), Vec::new());
+        self.indexed.handle(now, event.clone(), &mut actions);
+        self.exhaustive.handle(now, event, &mut exhaustive_actions);
+        assert_eq!(actions, exhaustive_actions, "at {now}");
         for action in actions {
             match action {
                 Action::Send {
                     request, backend, ..
                 } => {
                     let attempt = self.sends_of(request.0);
-                    self.out.push(Out {
+                    self.in_flight.push(InFlight {
                         request: request.0,
                         attempt,
                         backend,
@@ -51,11 +51,14 @@
     }
 
     fn sends_of(&self, request: u32) -> u32 {
-        self.out.iter().filter(|out| out.request == request).count() as u32
+        self.in_flight
+            .iter()
+            .filter(|one| one.request == request)
+            .count() as u32
     }
 }
 
-/// Plays a random history; tells how many attempts were sent.
+/// Plays a random sequence of events to both gateways; returns the number of attempts.
 fn run(seed: u64, gateways: u32, backends: u32) -> u64 {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut pick = move |n: u32| rng.next_u32() % n.max(1);
@@ -71,19 +74,19 @@
         cross_zone_price: 0.02,
         ..settings(plan, gateways)
     };
-    let (one, other) = (
+    let (indexed, exhaustive) = (
         Gateway::new(set.clone(), seed),
         Gateway::new(set, seed).exhaustive(),
     );
-    let mut twins = Twins {
-        one,
-        other,
-        out: Vec::new(),
+    let mut comparison = Comparison {
+        indexed,
+        exhaustive,
+        in_flight: Vec::new(),
         timers: Vec::new(),
         sends: 0,
     };
     let list: Vec<_> = (0..backends).map(|id| ready(id, id % 3)).collect();
-    twins.play(0.0, Event::Backends(ListKind::Cached, list));
+    comparison.handle(0.0, Event::Backends(ListKind::Cached, list));
     let outcomes = [
         Outcome::Ok,
         Outcome::Ok,
@@ -96,52 +99,52 @@
         Outcome::Reset,
         Outcome::Cancelled,
     ];
-    // Some backends are far faster than others, and some take nearly all requests' time.
-    let pace = |id: BackendId| 2.0 + f64::from(id.0 * 7919 % 97);
+    // Service times that differ widely between backends.
+    let service_time = |id: BackendId| 2.0 + f64::from(id.0 * 7919 % 97);
     let mut now = 1.0;
     for id in 0..1200u32 {
         now += f64::from(pick(30));
-        twins.timers.sort_by(|a, b| a.0.total_cmp(&b.0));
-        while twins.timers.first().is_some_and(|(at, _)| *at <= now) {
-            let (at, timer) = twins.timers.remove(0);
-            twins.play(at.max(1.0), Event::Timer(timer));
+        comparison.timers.sort_by(|a, b| a.0.total_cmp(&b.0));
+        while comparison.timers.first().is_some_and(|(at, _)| *at <= now) {
+            let (at, timer) = comparison.timers.remove(0);
+            comparison.handle(at.max(1.0), Event::Timer(timer));
         }
         match pick(16) {
             0..=6 => {
                 let customer = CustomerId(u64::from(pick(40)));
                 let units = f64::from(1 + pick(8));
-                let asked = request(id, pick(3) as usize, now);
-                let spread = f64::from(gateways.min(4));
-                twins.play(
+                let arrival = request(id, pick(3) as usize, now);
+                let customer_gateways = f64::from(gateways.min(4));
+                comparison.handle(
                     now,
                     Event::Arrival(Request {
                         customer,
                         units,
-                        gateways: spread,
-                        ..asked
+                        gateways: customer_gateways,
+                        ..arrival
                     }),
                 );
             }
-            7..=13 if !twins.out.is_empty() => {
-                let at = pick(twins.out.len() as u32) as usize;
-                let Out {
+            7..=13 if !comparison.in_flight.is_empty() => {
+                let at = pick(comparison.in_flight.len() as u32) as usize;
+                let InFlight {
                     request,
                     attempt,
                     backend,
                     sent,
-                } = twins.out[at];
-                if twins
-                    .out
+                } = comparison.in_flight[at];
+                if comparison
+                    .in_flight
                     .iter()
-                    .any(|out| out.request == request && out.attempt > attempt)
+                    .any(|one| one.request == request && one.attempt > attempt)
                 {
                     continue;
                 }
                 let outcome = outcomes[pick(10) as usize];
-                let elapsed = (now - sent).max(pace(backend));
+                let elapsed = (now - sent).max(service_time(backend));
                 let broken_connections = u32::from(pick(9) == 0);
                 let end = attempt_ended(request, attempt, backend, outcome);
-                twins.play(
+                comparison.handle(
                     now,
                     Event::AttemptEnded(AttemptEnded {
                         elapsed,
@@ -149,12 +152,12 @@
                         ..end
                     }),
                 );
-                if !twins
-                    .out
+                if !comparison
+                    .in_flight
                     .iter()
-                    .any(|out| out.request == request && out.attempt > attempt)
+                    .any(|one| one.request == request && one.attempt > attempt)
                 {
-                    twins.out.retain(|out| out.request != request);
+                    comparison.in_flight.retain(|one| one.request != request);
                 }
             }
             14 => {
@@ -163,7 +166,7 @@
                     1 => Availability::Removed,
                     _ => Availability::Ready,
                 };
-                let lines: Vec<_> = (0..1 + pick(4))
+                let entries: Vec<_> = (0..1 + pick(4))
                     .map(|_| {
                         let id = pick(backends + 5);
                         let started = (pick(3) == 0).then_some(now - f64::from(pick(6000)));
@@ -174,24 +177,24 @@
                         }
                     })
                     .collect();
-                twins.play(now, Event::Backends(ListKind::Changes, lines));
+                comparison.handle(now, Event::Backends(ListKind::Changes, entries));
             }
             _ if pick(30) == 0 => {
-                let left = (0..backends)
+                let entries = (0..backends)
                     .filter(|_| pick(5) > 0)
                     .map(|id| ready(id, id % 3))
                     .collect();
-                twins.play(now, Event::Backends(ListKind::Full, left));
+                comparison.handle(now, Event::Backends(ListKind::Full, entries));
             }
             _ => {}
         }
     }
-    twins.sends
+    comparison.sends
 }
 
-/// Guards the index: a choice among few is the choice among all.
+/// Guards the index: examining few backends leads to the same choice as examining all.
 #[test]
-fn every_action_is_that_of_a_gateway_that_looks_at_all_backends() {
+fn every_action_equals_that_of_a_gateway_that_examines_all_backends() {
     let mut sends = 0;
     for seed in 0..60 {
         for (gateways, backends) in [(1, 12), (3, 9), (40, 30), (300, 60), (100, 200)] {
@@ -202,8 +205,8 @@
     assert!(sends > 60_000, "{sends} attempts");
 }
 
-/// Backends that are looked at for a request, in steady traffic of one of 300 gateways.
-fn backends_examined(backends: u32, walking: bool) -> f64 {
+/// Returns the number of backends examined per request, in steady traffic at one of 300 gateways.
+fn backends_examined(backends: u32, exhaustive: bool) -> f64 {
     const REQUESTS: u32 = 2000;
     let plan = Plan {
         rate: 1000.0,
@@ -211,22 +214,22 @@
         ..Plan::default()
     };
     let gateway = Gateway::new(settings(plan, 300), 5);
-    let gateway = if walking {
+    let gateway = if exhaustive {
         gateway.exhaustive()
     } else {
         gateway
     };
-    let mut stage = Stage {
+    let mut harness = Harness {
         gateway,
         actions: Vec::new(),
     };
     let list: Vec<_> = (0..backends).map(|id| ready(id, 0)).collect();
-    stage.play(0.0, Event::Backends(ListKind::Cached, list));
+    harness.handle(0.0, Event::Backends(ListKind::Cached, list));
     let served = (0..REQUESTS)
         .filter(|id| {
             let now = f64::from(*id) * 20.0;
             let customer = CustomerId(u64::from(id % 50));
-            stage.serve(
+            harness.serve(
                 now,
                 Request {
                     customer,
@@ -236,22 +239,23 @@
         })
         .count();
     assert!(served > REQUESTS as usize / 2, "{served} served");
-    stage.gateway.stats().backends_examined as f64 / f64::from(REQUESTS)
+    harness.gateway.stats().backends_examined as f64 / f64::from(REQUESTS)
 }
 
-/// Guards the cost of a request in a large fleet: it goes by the backends that a gateway prefers, not by those that there are.
+/// Guards the cost of a request in a large fleet: it depends on the number of backends that a
+/// gateway prefers, not on the number of all backends.
 #[test]
-fn what_a_request_looks_at_does_not_grow_with_the_list() {
+fn backends_examined_per_request_do_not_grow_with_the_list() {
     let few = backends_examined(10, false);
     for backends in [60, 200, 1000] {
-        let now = backends_examined(backends, false);
-        println!("{backends} backends: {now} looked at for a request, {few} of 10");
-        // Of 1,000 backends 54 are preferred, as each should be by some of the 300 gateways.
+        let examined = backends_examined(backends, false);
+        println!("{backends} backends: {examined} examined per request; 10 backends: {few}");
+        // Of 1,000 backends 54 are preferred: each backend by 16 of the 300 gateways on average.
         let preferred = (16.0 * f64::from(backends) / 300.0).ceil().max(8.0);
-        assert!(now <= preferred + 0.1, "{now} of {backends}");
+        assert!(examined <= preferred + 0.1, "{examined} of {backends}");
     }
     assert!(
         backends_examined(1000, true) > 500.0,
-        "the one that walks does"
+        "an exhaustive gateway examines all backends"
     );
 }
--- a/crates/policy/tests/module_size.rs
+++ b/crates/policy/tests/module_size.rs
@@ -1,6 +1,6 @@
-//! The decision module stays short enough to be read in a first week.
+//! The decision module stays short enough for a newcomer to read it in the first week.
 
-/// All its files; `deploy/balancer.toml` lists the same.
+/// All files of the module, as `deploy/balancer.toml` lists them.
 const FILES: [(&str, &str); 6] = [
     (
         "crates/policy/src/gateway/mod.rs",
@@ -29,26 +29,26 @@
 ];
 
 #[test]
-fn the_policy_stays_within_its_lines_and_width() {
+fn the_module_stays_within_its_maximum_lines_and_width() {
     let text: String = FILES.iter().map(|(_, text)| *text).collect();
     let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-    assert!(lines <= 1200, "{lines} lines that are not blank");
+    assert!(lines <= 1200, "{lines} non-blank lines");
     let widest = text
         .lines()
         .map(|line| line.chars().count())
         .max()
         .unwrap_or(0);
     assert!(widest <= 110, "a line of {widest} characters");
-    assert!(lines > 100, "the policy is somewhere else");
+    assert!(lines > 100, "most of the module is in other files");
 }
 
 #[test]
-fn the_deploy_file_lists_all_of_it() {
+fn the_deploy_file_lists_all_files_of_the_module() {
     let deploy = include_str!("../../../deploy/balancer.toml");
     let listed = deploy
         .lines()
         .find(|line| line.starts_with("policy"))
-        .expect("a list of its files");
+        .expect("a list of the module's files");
     for (name, _) in FILES {
         assert!(
             listed.contains(&format!("\"{name}\"")),
@@ -58,6 +58,6 @@
     assert_eq!(
         listed.matches(".rs\"").count(),
         FILES.len(),
-        "more is listed than is counted"
+        "the deploy file lists files that are not counted here"
     );
 }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random legal sequences of events: whatever happens, the rules that a gateway keeps alone are kept.
+//! Random valid sequences of events: the rules that hold for each single gateway always hold.
 
 mod common;
 use common::*;
@@ -9,36 +9,37 @@
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-struct Open {
+struct RequestState {
     class: usize,
     deadline: f64,
-    out: Option<(u32, BackendId)>,
+    in_flight: Option<(u32, BackendId)>,
     sends: u32,
     sent_at: f64,
     /// Send time and zone of the first attempt that may have run.
-    ran: Option<(f64, u32)>,
-    answered: bool,
+    may_have_run_at: Option<(f64, u32)>,
+    responded: bool,
 }
 
-/// What a front door would see: it carries out the actions and checks each against the rules.
-struct Door {
-    stage: Stage,
+/// Carries out the actions of a gateway, as a gateway process would, and checks each against the
+/// rules.
+struct Checker {
+    harness: Harness,
     zones: BTreeMap<BackendId, u32>,
-    leaving: BTreeMap<BackendId, bool>,
-    open: BTreeMap<u32, Open>,
+    draining: BTreeMap<BackendId, bool>,
+    requests: BTreeMap<u32, RequestState>,
     timers: Vec<(f64, TimerId)>,
 }
 
-impl Door {
-    fn play(&mut self, now: f64, event: Event) {
-        self.stage.play(now, event);
-        for action in std::mem::take(&mut self.stage.actions) {
+impl Checker {
+    fn handle(&mut self, now: f64, event: Event) {
+        self.harness.handle(now, event);
+        for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 Action::Send {
                     request, backend, ..
                 } => self.sent(now, request.0, backend),
-                Action::Reject { request, .. } => self.answered(now, request.0, true),
-                Action::Fail(request) => self.answered(now, request.0, false),
+                Action::Reject { request, .. } => self.responded(now, request.0, true),
+                Action::Fail(request) => self.responded(now, request.0, false),
                 Action::SetTimer { at, timer } => self.timers.push((at, timer)),
                 _ => {}
             }
@@ -47,41 +48,41 @@
 
     fn sent(&mut self, now: f64, id: u32, backend: BackendId) {
         let zone = self.zones[&backend];
+        assert!(!self.draining[&backend], "sent to a draining backend");
+        let state = self.requests.get_mut(&id).expect("a known request");
         assert!(
-            !self.leaving[&backend],
-            "sent to a backend that was told to leave"
+            !state.responded && state.in_flight.is_none(),
+            "sent after its final response, or two attempts at a time"
         );
-        let open = self.open.get_mut(&id).expect("a known request");
-        assert!(
-            !open.answered && open.out.is_none(),
-            "sent after its end or twice at a time"
-        );
-        assert!(open.sends < 4, "more attempts than permitted");
-        if let Some((since, ran_in)) = open.ran {
+        assert!(state.sends < 4, "more attempts than the maximum");
+        if let Some((since, ran_in)) = state.may_have_run_at {
             assert_ne!(
-                open.class, 2,
-                "an unsafe request that may have run is sent again"
+                state.class, 2,
+                "a non-idempotent request that may have run is sent again"
             );
             let within = now - since < 2000.0 && zone == ran_in;
             assert!(
-                open.class == 0 || within,
-                "a keyed request out of its group or time"
+                state.class == 0 || within,
+                "a keyed request is sent outside its scope or window"
             );
         }
-        open.out = Some((open.sends, backend));
-        (open.sends, open.sent_at) = (open.sends + 1, now);
+        state.in_flight = Some((state.sends, backend));
+        (state.sends, state.sent_at) = (state.sends + 1, now);
     }
 
-    fn answered(&mut self, now: f64, id: u32, refused: bool) {
-        let open = self.open.get_mut(&id).expect("a known request");
-        assert!(!open.answered, "two final answers");
-        assert!(now <= open.deadline, "an answer after the client left");
-        let may_have_run = open.ran.is_some() || open.out.is_some();
+    fn responded(&mut self, now: f64, id: u32, rejected: bool) {
+        let state = self.requests.get_mut(&id).expect("a known request");
+        assert!(!state.responded, "two final responses");
+        assert!(
+            now <= state.deadline,
+            "a final response after the client's deadline"
+        );
+        let may_have_run = state.may_have_run_at.is_some() || state.in_flight.is_some();
         assert!(
-            !refused || open.class == 0 || !may_have_run,
-            "refused though it may have run"
+            !rejected || state.class == 0 || !may_have_run,
+            "rejected although it may have run"
         );
-        open.answered = true;
+        state.responded = true;
     }
 }
 
@@ -96,13 +97,13 @@
     };
     let list: Vec<_> = (0..backends).map(|id| ready(id, id % 2)).collect();
     let zones = list.iter().map(|b| (b.id, b.zone.0)).collect();
-    let leaving = list.iter().map(|b| (b.id, false)).collect();
-    let stage = Stage::new(settings(plan, 3), list);
-    let mut door = Door {
-        stage,
+    let draining = list.iter().map(|b| (b.id, false)).collect();
+    let harness = Harness::new(settings(plan, 3), list);
+    let mut checker = Checker {
+        harness,
         zones,
-        leaving,
-        open: BTreeMap::new(),
+        draining,
+        requests: BTreeMap::new(),
         timers: Vec::new(),
     };
     let outcomes = [
@@ -117,92 +118,94 @@
     let mut now = 1.0;
     for id in 0..1500u32 {
         now += f64::from(pick(40));
-        let (due, rest) = std::mem::take(&mut door.timers)
+        let (due, rest) = std::mem::take(&mut checker.timers)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        door.timers = rest;
+        checker.timers = rest;
         for (at, timer) in Vec::<(f64, TimerId)>::from_iter(due) {
-            door.play(at, Event::Timer(timer));
+            checker.handle(at, Event::Timer(timer));
         }
         match pick(10) {
             0..=4 => {
                 let class = pick(3) as usize;
                 let deadline = now + 20.0 + f64::from(pick(3000));
                 let customer = CustomerId(u64::from(pick(4)));
-                let open = Open {
+                let state = RequestState {
                     class,
                     deadline,
-                    out: None,
+                    in_flight: None,
                     sends: 0,
                     sent_at: 0.0,
-                    ran: None,
-                    answered: false,
+                    may_have_run_at: None,
+                    responded: false,
                 };
-                door.open.insert(id, open);
-                let asked = Request {
+                checker.requests.insert(id, state);
+                let arrival = Request {
                     customer,
                     deadline,
                     gateways: 2.0,
                     ..request(id, class, now)
                 };
-                door.play(now, Event::Arrival(asked));
+                checker.handle(now, Event::Arrival(arrival));
             }
             5..=8 => {
-                let waiting: Vec<u32> = door
-                    .open
+                let in_flight: Vec<u32> = checker
+                    .requests
                     .iter()
-                    .filter(|(_, o)| o.out.is_some())
+                    .filter(|(_, o)| o.in_flight.is_some())
                     .map(|(id, _)| *id)
                     .collect();
-                if waiting.is_empty() {
+                if in_flight.is_empty() {
                     continue;
                 }
-                let id = waiting[pick(waiting.len() as u32) as usize];
+                let id = in_flight[pick(in_flight.len() as u32) as usize];
                 let outcome = outcomes[pick(7) as usize];
-                let open = door.open.get_mut(&id).expect("a known request");
-                let (attempt, backend) = open.out.take().expect("an attempt that is out");
-                let proven = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
-                if !proven {
-                    open.ran = open.ran.or(Some((open.sent_at, door.zones[&backend])));
+                let state = checker.requests.get_mut(&id).expect("a known request");
+                let (attempt, backend) = state.in_flight.take().expect("an attempt in flight");
+                let cannot_have_run = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
+                if !cannot_have_run {
+                    state.may_have_run_at = state
+                        .may_have_run_at
+                        .or(Some((state.sent_at, checker.zones[&backend])));
                 }
-                let request_closed = open.answered || outcome == Outcome::Ok;
-                open.answered = request_closed;
-                let elapsed = now - open.sent_at;
+                let request_closed = state.responded || outcome == Outcome::Ok;
+                state.responded = request_closed;
+                let elapsed = now - state.sent_at;
                 let end = AttemptEnded {
                     elapsed,
                     request_closed,
                     ..attempt_ended(id, attempt, backend, outcome)
                 };
-                door.play(now, Event::AttemptEnded(end));
+                checker.handle(now, Event::AttemptEnded(end));
             }
             _ => {
                 let id = pick(backends);
-                let gone = pick(2) == 0;
-                let availability = if gone {
+                let is_draining = pick(2) == 0;
+                let availability = if is_draining {
                     Availability::Draining
                 } else {
                     Availability::Ready
                 };
-                door.leaving.insert(BackendId(id), gone);
-                let line = BackendEntry {
+                checker.draining.insert(BackendId(id), is_draining);
+                let entry = BackendEntry {
                     availability,
                     ..ready(id, id % 2)
                 };
-                door.play(now, Event::Backends(ListKind::Changes, vec![line]));
+                checker.handle(now, Event::Backends(ListKind::Changes, vec![entry]));
             }
         }
     }
-    while !door.timers.is_empty() {
-        for (at, timer) in std::mem::take(&mut door.timers) {
-            door.play(at.max(now), Event::Timer(timer));
+    while !checker.timers.is_empty() {
+        for (at, timer) in std::mem::take(&mut checker.timers) {
+            checker.handle(at.max(now), Event::Timer(timer));
         }
     }
-    let unanswered = door
-        .open
+    let without_response = checker
+        .requests
         .values()
-        .filter(|o| !o.answered && o.deadline > now)
+        .filter(|o| !o.responded && o.deadline > now)
         .count();
-    assert_eq!(unanswered, 0, "requests without a final answer");
+    assert_eq!(without_response, 0, "requests without a final response");
 }
 
 proptest! {
@@ -214,7 +217,7 @@
     })]
 
     #[test]
-    fn the_rules_hold_through_any_legal_sequence(
+    fn the_rules_hold_for_any_valid_sequence_of_events(
         seed in any::<u64>(),
         backends in 1u32..8,
         rate in 1.0f64..200.0,
