--- a/crates/protocol/src/members.rs
+++ b/crates/protocol/src/members.rs
@@ -1,14 +1,15 @@
-//! The endpoint list as discovery sends it (protocol page, "Discovery"). Field names are those of the JSON on the wire.
+//! The endpoint list as discovery sends it (protocol page, "Discovery"). Field names are those of
+//! the JSON on the wire.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// An endpoint list, or the changes since the one before.
+/// An endpoint list, or the changes since the previous one.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Members {
-    /// Version of the list, which rises with every change.
+    /// Version of the list, which increases with every change.
     pub seq: u64,
-    /// Whether the list is complete; else it holds only the changed entries.
+    /// Whether the list is complete; otherwise it contains only the changed entries.
     pub whole: bool,
     /// The entries.
     pub hosts: Vec<Member>,
@@ -19,7 +20,7 @@
 pub struct Member {
     /// Name of the backend, the same at every proxy.
     pub host: String,
-    /// Address that the backend listens at.
+    /// Address at which the backend listens.
     pub dial: SocketAddr,
     /// Zone; empty if unknown.
     #[serde(default)]
@@ -27,12 +28,12 @@
     /// Cell (a group of backends that remember the same idempotency keys); 0 by default.
     #[serde(default)]
     pub block: u32,
-    /// State.
+    /// State of the backend.
     pub health: Health,
     /// Capacity relative to other backends; 1 by default.
     #[serde(default = "default_share")]
     pub share: f64,
-    /// Time of the last start, in Unix milliseconds; 0 (the default) if it is long ago.
+    /// Time of the last start, in milliseconds since the Unix epoch; 0 (the default) if long ago.
     #[serde(default)]
     pub born_ms: f64,
 }
@@ -49,7 +50,7 @@
     Removed,
 }
 
-/// Capacity of a backend that gives none.
+/// Returns the capacity of a backend whose entry has none.
 fn default_share() -> f64 {
     1.0
 }
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -8,32 +8,33 @@
 /// A client's request, received completely and validated.
 #[derive(Debug)]
 pub struct Incoming {
-    /// When its last byte was received, in milliseconds of the process's clock.
+    /// When the last byte was received, in milliseconds of the process's clock.
     pub at: Millis,
     /// When the client gives up, on the same clock.
     pub deadline: Millis,
-    /// Whether the caller needs no (further) authorization check.
+    /// Whether the caller needs no further authorization check.
     pub authorized: bool,
-    /// The tenant.
+    /// The customer whose quota the request uses.
     pub customer: CustomerId,
-    /// The tenant's plan.
+    /// The customer's plan.
     pub plan: PlanId,
     /// Request class.
     pub class: ClassId,
-    /// Quota units that it takes; an estimate until the response brings the actual ones.
+    /// Units that the request takes from the quota; an estimate until the response reports the
+    /// actual number.
     pub units: f64,
-    /// Number of proxies that serve the tenant.
+    /// Number of gateways that serve the customer.
     pub gateways: f64,
-    /// What is forwarded to a backend.
+    /// The request as it is forwarded to a backend.
     pub forwarded: ForwardedRequest,
 }
 
-/// The request as it is forwarded, the same with every attempt.
+/// A request as it is forwarded, identical in every attempt.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
     /// Request id as text.
     pub id: Rc<str>,
-    /// Request id as the header value that was received.
+    /// Request id as the received header value.
     pub id_value: HeaderValue,
     /// `host` of the client's request.
     pub host: HeaderValue,
--- a/crates/protocol/src/response.rs
+++ b/crates/protocol/src/response.rs
@@ -8,7 +8,8 @@
 pub enum FinalResponse {
     /// A backend's response body.
     Served(Bytes),
-    /// The request did not run, or may run again: a retry is harmless, after this many milliseconds if a time is advised.
+    /// The request did not run, or may run again: a retry is safe, after this many milliseconds if
+    /// a time is advised.
     Rejected(Option<Millis>),
     /// The request may have run.
     Failed,
@@ -19,20 +20,20 @@
 pub struct EndedAttempt {
     /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Complete body of a successful response; else empty.
+    /// Complete body of a successful response; empty otherwise.
     pub body: Bytes,
-    /// The tenant's usage over the last metered period, as a fraction of its quota (`api-usage`).
+    /// The customer's usage over the last metered period, as a fraction of its quota (`api-usage`).
     pub metered_usage: Option<f64>,
     /// Units that the request actually took (`api-charge`).
     pub true_units: Option<f64>,
     /// The backend's load report (`server-load`).
     pub report: Report,
-    /// Established connections that broke during the attempt.
+    /// Number of established connections that broke during the attempt.
     pub broken_connections: u32,
 }
 
 impl EndedAttempt {
-    /// An end without a response.
+    /// Creates the end of an attempt that had no response.
     pub fn without_response(outcome: Outcome) -> EndedAttempt {
         EndedAttempt {
             outcome,
--- a/crates/protocol/tests/wire.rs
+++ b/crates/protocol/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON form of endpoint lists. Guards the wire against renamed fields and changed defaults.
+//! The JSON form of endpoint lists. Guards against renamed fields and changed defaults on the wire.
 
 use maplefall_protocol::{Health, Member, Members};
 
--- a/crates/settings/src/flatten.rs
+++ b/crates/settings/src/flatten.rs
@@ -1,17 +1,18 @@
-//! Nested JSON as `path=value` lines, the form that the simulator sends.
+//! Conversion of nested JSON to `path=value` lines, the form that the simulator sends.
 //!
-//! Keys are joined by dots. A list of objects becomes `list.count=N` and `list.0.key=value`, a list of scalars one line with
-//! commas between the values; `null` is left out.
+//! Keys are joined by dots. A list of objects becomes `list.count=N` and `list.0.key=value`; a list
+//! of scalars becomes one line with commas between the values; `null` is omitted.
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// A string value as it stands in a line: spaces and commas, which separate values on the wire, become underscores.
+/// Returns a string value in its wire form: spaces and commas, which separate values on the wire,
+/// become underscores.
 pub fn wire_value(value: &str) -> String {
     value.replace([' ', ','], "_")
 }
 
-/// Nested settings as `path=value` lines, to be read by [`parse`](crate::parse).
+/// Returns nested settings as `path=value` lines, which [`parse`](crate::parse) reads.
 pub fn to_lines(settings: &Value) -> String {
     let mut lines = String::new();
     flatten("", settings, &mut lines);
@@ -22,26 +23,26 @@
     match value {
         Value::Object(entries) => entries
             .iter()
-            .for_each(|(key, value)| flatten(&join(path, key), value, lines)),
+            .for_each(|(key, value)| flatten(&join_path(path, key), value, lines)),
         Value::Array(items) if items.iter().any(is_nested) => {
-            write_line(&join(path, "count"), &items.len().to_string(), lines);
+            push_line(&join_path(path, "count"), &items.len().to_string(), lines);
             for (index, item) in items.iter().enumerate() {
-                flatten(&join(path, &index.to_string()), item, lines);
+                flatten(&join_path(path, &index.to_string()), item, lines);
             }
         }
         Value::Array(items) => {
             let values: Vec<String> = items.iter().filter_map(scalar).collect();
-            write_line(path, &values.join(","), lines);
+            push_line(path, &values.join(","), lines);
         }
         value => {
             if let Some(value) = scalar(value) {
-                write_line(path, &value, lines);
+                push_line(path, &value, lines);
             }
         }
     }
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_owned()
     } else {
@@ -49,7 +50,7 @@
     }
 }
 
-fn write_line(path: &str, value: &str, lines: &mut String) {
+fn push_line(path: &str, value: &str, lines: &mut String) {
     // Writing to a string cannot fail.
     let _ = writeln!(lines, "{path}={value}");
 }
@@ -58,7 +59,7 @@
     value.is_object() || value.is_array()
 }
 
-/// The text of a scalar; `None` for `null`, lists and objects.
+/// Returns the text of a scalar; `None` for `null`, lists and objects.
 fn scalar(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(wire_value(text)),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,13 @@
-//! Settings of the decision module, read by their wire names: the one mapping for all programs.
+//! Parser of the decision module's settings by their wire names, used by all programs.
 //!
-//! The wire form is a line `path=value` for each setting. [`parse`] reads it; the table of wire names, units and defaults is
-//! in `mapping.rs`. [`to_lines`] writes it for nested JSON, so that settings of a file and of the simulator are read the same way.
+//! The wire form is one line `path=value` for each setting. [`parse`] reads it; the table of wire
+//! names, units and defaults is in `mapping.rs`. [`to_lines`] converts nested JSON to the wire
+//! form, so that settings of a file and of the simulator are read the same way.
 //!
-//! Invariants: an unknown path is ignored; a missing one takes the default of [`maplefall_policy::Settings`],
-//! [`maplefall_policy::Class`], [`maplefall_policy::Plan`] or [`ConnectionTimeouts`]; and all values that cannot be read are reported
-//! together, each by its path.
+//! Invariants: an unknown path is ignored; a missing one takes the default of
+//! [`maplefall_policy::Settings`], [`maplefall_policy::Class`], [`maplefall_policy::Plan`] or
+//! [`ConnectionTimeouts`]; all values that cannot be read are reported together, each with its
+//! path.
 
 mod flatten;
 mod load_report;
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,8 +1,9 @@
-//! Values of a backend's load report, which settings list by name and reports carry by position.
+//! Metrics of a backend's load report. The settings list their names; a report carries their values
+//! in the same order.
 
 use maplefall_policy::Report;
 
-/// A value of a load report. Wire names stand in `report.names`.
+/// A metric of a load report, with its wire name in `report.names`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Metric {
     /// `concurrent`: requests in flight.
@@ -22,7 +23,7 @@
 }
 
 impl Metric {
-    /// The metric of a wire name.
+    /// Returns the metric with a wire name.
     pub(crate) fn from_wire(name: &str) -> Metric {
         match name {
             "concurrent" => Metric::InFlight,
@@ -36,7 +37,8 @@
     }
 }
 
-/// The load report with these values, `values[i]` being that of `metrics[i]`. Surplus values are ignored, missing ones unset.
+/// Returns the load report in which `values[i]` is the value of `metrics[i]`. Surplus values are
+/// ignored; metrics without a value are `None`.
 pub fn report(metrics: &[Metric], values: &[f32]) -> Report {
     let mut report = Report::default();
     for (metric, value) in metrics.iter().zip(values) {
@@ -45,7 +47,7 @@
     report
 }
 
-/// Sets one value of a load report.
+/// Sets the value of one metric of a load report.
 pub fn set_metric(report: &mut Report, metric: Metric, value: f32) {
     let value = Some(f64::from(value));
     match metric {
--- a/crates/settings/src/mapping.rs
+++ b/crates/settings/src/mapping.rs
@@ -28,7 +28,8 @@
 //! | `rules.overload_factor` | [`Settings::overload_factor`] | factor | 2 |
 //! | `rules.fall` | [`Settings::overload_window`] | ms | 1000 |
 //!
-//! Lists of objects have their length in `grades.count` and `plans.count`, 4096 at most, and a `name` for each entry:
+//! Lists of objects have their length in `grades.count` and `plans.count`, at most 4096, and a
+//! `name` for each entry:
 //!
 //! | wire name | setting | unit | default |
 //! | --- | --- | --- | --- |
@@ -63,13 +64,13 @@
     pub settings: Settings,
     /// Metrics of a load report, in the order of its values.
     pub metrics: Vec<Metric>,
-    /// Names of what the settings number.
+    /// Names of classes, plans, zones and metrics.
     pub names: Names,
-    /// Limits of connections to backends.
+    /// Timeouts of connections to backends.
     pub connection_timeouts: ConnectionTimeouts,
 }
 
-/// Names of classes, plans, zones and metrics, each at the index that the settings use.
+/// Names of classes, plans, zones and metrics, each at the index by which the settings refer to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// Names of the request classes (`grades.N.name`).
@@ -78,14 +79,14 @@
     pub plans: Vec<String>,
     /// Names of the zones (`zones`).
     pub zones: Vec<String>,
-    /// Names of the values of a load report (`report.names`).
+    /// Names of the metrics of a load report (`report.names`).
     pub metrics: Vec<String>,
 }
 
-/// Time limits of a connection to a backend.
+/// Timeouts of a connection to a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionTimeouts {
-    /// Time to establish a connection before the attempt counts as failed, in milliseconds.
+    /// Maximum time to establish a connection, in milliseconds; then the attempt counts as failed.
     pub dial_timeout: Millis,
     /// Time after which a backend closes an idle connection, in milliseconds.
     pub idle_close: Millis,
@@ -103,7 +104,8 @@
 /// Parses `path=value` lines.
 ///
 /// # Errors
-/// All values that cannot be read, each with its path, joined by `; `.
+///
+/// Returns all values that cannot be read, each with its path, joined by `; `.
 pub fn parse(text: &str) -> Result<ParsedSettings, String> {
     parse_all(text).map_err(|errors| errors.join("; "))
 }
@@ -111,7 +113,8 @@
 /// Parses `path=value` lines.
 ///
 /// # Errors
-/// All values that cannot be read, each with its path.
+///
+/// Returns all values that cannot be read, each with its path.
 pub fn parse_all(text: &str) -> Result<ParsedSettings, Vec<String>> {
     let reader = Reader::new(text);
     let parsed = read_all(&reader);
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,16 +1,16 @@
-//! Typed access to `path=value` lines, which collects every value that cannot be read.
+//! Typed access to `path=value` lines.
 //!
-//! Invariant: a read never fails; it returns the default, and the error is kept for [`Reader::finish`], so that operators see
-//! all errors at once.
+//! Invariant: a read never fails. If a value cannot be read, the default is returned and the error
+//! is collected for [`Reader::finish`], so that operators see all errors at once.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Entries of a list of objects at most; a longer list is an error and counts as empty.
+/// Maximum number of entries in a list of objects; a longer list is an error and counts as empty.
 const MAX_LIST_ENTRIES: usize = 4096;
 
-/// Why the value of a path cannot be used. Its text is part of the operators' interface.
+/// Why the value of a path cannot be used. Its text is part of the operator interface.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(crate) enum ValueError {
     /// The value is not of the setting's type.
@@ -19,7 +19,7 @@
     /// A number is infinite or NaN.
     #[error("settings: {path}={value} is not a finite number")]
     NotFinite { path: String, value: f64 },
-    /// The value is none of the setting's choices.
+    /// The value is not one of the setting's choices.
     #[error("settings: {path}={value} is not a known choice")]
     UnknownChoice { path: String, value: String },
     /// A list has too many entries.
@@ -27,14 +27,15 @@
     ListTooLong { path: String, count: usize },
 }
 
-/// The values by their paths, and the errors found while reading them.
+/// The values by their paths, and the errors of the reads so far.
 pub(crate) struct Reader<'a> {
     values: BTreeMap<&'a str, &'a str>,
     errors: RefCell<Vec<ValueError>>,
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of these lines. A line without `=` is ignored; of several with the same path the last counts.
+    /// Creates a reader of these lines. A line without `=` is ignored; of several lines with the
+    /// same path, the last one counts.
     pub(crate) fn new(lines: &'a str) -> Reader<'a> {
         Reader {
             values: lines
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The errors of all reads so far.
+    /// Returns the errors of all reads.
     pub(crate) fn finish(self) -> Vec<ValueError> {
         self.errors.into_inner()
     }
@@ -54,7 +55,7 @@
         self.errors.borrow_mut().push(error);
     }
 
-    /// A value of any type that can be parsed.
+    /// Returns a value of any type that can be parsed.
     pub(crate) fn get<T: FromStr>(&self, path: &str, default: T) -> T {
         let Some(value) = self.values.get(path) else {
             return default;
@@ -68,7 +69,7 @@
         })
     }
 
-    /// A finite number.
+    /// Returns a finite number.
     pub(crate) fn number(&self, path: &str, default: f64) -> f64 {
         let value: f64 = self.get(path, default);
         if value.is_finite() {
@@ -81,7 +82,7 @@
         default
     }
 
-    /// One of several choices by name.
+    /// Returns one of several choices by name.
     pub(crate) fn choice<T: Copy>(&self, path: &str, default: T, choices: &[(&str, T)]) -> T {
         let Some(value) = self.values.get(path) else {
             return default;
@@ -98,7 +99,7 @@
         }
     }
 
-    /// A list of scalars, separated by commas. Empty entries are left out.
+    /// Returns a list of scalars that are separated by commas, without empty ones.
     pub(crate) fn list(&self, path: &str) -> Vec<String> {
         let value = self.values.get(path).copied().unwrap_or_default();
         value
@@ -108,7 +109,8 @@
             .collect()
     }
 
-    /// The names of a list of objects, one for each entry; empty for an entry without a name.
+    /// Returns the names in a list of objects, one for each entry; empty for an entry without a
+    /// name.
     pub(crate) fn entry_names(&self, list: &str) -> Vec<String> {
         let name = |index: usize| {
             let path = format!("{list}.{index}.name");
@@ -121,7 +123,7 @@
         (0..self.count(list)).map(name).collect()
     }
 
-    /// The length of a list of objects.
+    /// Returns the length of a list of objects.
     fn count(&self, list: &str) -> usize {
         let path = format!("{list}.count");
         let count = self.get(&path, 0);
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -34,7 +34,7 @@
     );
 }
 
-/// Guards operators against correcting one error after the other: all are reported together.
+/// Guards against errors that come up one after the other: all must be reported together.
 #[test]
 fn all_invalid_values_are_reported_together() {
     let text =
--- a/crates/simulator-adapter/src/codec/decode.rs
+++ b/crates/simulator-adapter/src/codec/decode.rs
@@ -1,4 +1,5 @@
-//! Decodes the simulator's batches of events. A frame that overruns or has an unknown code is rejected as a whole.
+//! Decodes the simulator's batches of events. A frame with a record that overruns it or has an
+//! unknown code is rejected as a whole.
 
 use super::event_code;
 use std::fmt;
@@ -72,11 +73,12 @@
         outcome: u16,
         stats: Vec<f32>,
     },
-    /// Messages of peers and responses of the counter; this design uses neither.
+    /// A message from a peer or a response of the counter; the decision module uses neither.
     Unused,
 }
 
-/// The end of an attempt. `quota_use` is a percentage plus 1 and `true_units` a number of units; 0 means not reported.
+/// The end of an attempt. `quota_use` is a percentage plus 1, and `true_units` is a number of
+/// units; in both, 0 means not reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedAttempt {
     pub id: u32,
@@ -153,10 +155,12 @@
     }
 }
 
-/// Decodes the payload of a batch: its clock in milliseconds and its events, each with its instance, in order.
+/// Decodes the payload of a batch: its time in milliseconds, and its events in order, each with the
+/// id of its instance.
 ///
 /// # Errors
-/// The first record that overruns the frame, has an unknown code or holds invalid text.
+///
+/// Returns the first record that overruns the frame, has an unknown code or contains invalid text.
 pub fn decode(payload: &[u8]) -> Result<(f64, Vec<(u32, Record)>), Malformed> {
     let mut reader = Reader {
         bytes: payload,
@@ -199,7 +203,7 @@
         event_code::REQUEST_ARRIVED => {
             let id = r.u32()?;
             let gateways = r.f32()?;
-            r.f32()?; // number of the first gateway of the set
+            r.f32()?; // index of the customer's first gateway
             let (customer, deadline, plan, units, class) =
                 (r.u64()?, r.f64()?, r.u32()?, r.f32()?, r.u8()?);
             r.u8()?; // flags
@@ -257,7 +261,7 @@
 
 fn listed_backend(r: &mut Reader<'_>) -> Result<ListedBackend, Malformed> {
     let (zone, started_at, backend, cell) = (r.u8()?, r.f64()?, r.u32()?, r.u16()?);
-    r.u8()?; // kind of machine
+    r.u8()?; // machine type
     Ok(ListedBackend {
         zone,
         started_at,
--- a/crates/simulator-adapter/src/codec/encode.rs
+++ b/crates/simulator-adapter/src/codec/encode.rs
@@ -2,7 +2,7 @@
 
 use super::action_code;
 
-/// A reply under construction.
+/// A reply frame under construction.
 #[derive(Default)]
 pub struct Reply {
     count: u32,
@@ -17,12 +17,12 @@
         &mut self.body
     }
 
-    /// Sends a request to a backend; `limit` is the attempt's timeout in milliseconds, 0 for none.
-    pub fn send(&mut self, instance_id: u32, id: u32, backend: u32, limit: f64) {
+    /// Sends a request to a backend; `timeout` is in milliseconds, 0 for none.
+    pub fn send(&mut self, instance_id: u32, id: u32, backend: u32, timeout: f64) {
         let body = self.start(action_code::SEND, instance_id);
         body.extend(id.to_le_bytes());
         body.extend(backend.to_le_bytes());
-        body.extend(limit.to_le_bytes());
+        body.extend(timeout.to_le_bytes());
     }
 
     /// Rejects a request; `retry_after` is in milliseconds, 0 for none.
@@ -45,14 +45,14 @@
         body.extend(attempt.to_le_bytes());
     }
 
-    /// Sets a timer for a time of the simulator's clock, in milliseconds.
+    /// Sets a timer; `at` is in milliseconds on the simulator's clock.
     pub fn set_timer(&mut self, instance_id: u32, at: f64, timer_id: u64) {
         let body = self.start(action_code::SET_TIMER, instance_id);
         body.extend(at.to_le_bytes());
         body.extend(timer_id.to_le_bytes());
     }
 
-    /// Probes the health of a backend.
+    /// Checks the health of a backend.
     pub fn probe(&mut self, instance_id: u32, backend: u32) {
         self.start(action_code::PROBE, instance_id)
             .extend(backend.to_le_bytes());
@@ -94,7 +94,8 @@
         body.extend(&text.as_bytes()[..length]);
     }
 
-    /// The complete frame with its header: length of the rest, then the number of actions.
+    /// Returns the complete frame with its header: the length of the rest, then the number of
+    /// actions.
     pub fn into_frame(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.body.len());
         frame.extend((4 + self.body.len() as u32).to_le_bytes());
--- a/crates/simulator-adapter/src/codec/mod.rs
+++ b/crates/simulator-adapter/src/codec/mod.rs
@@ -1,6 +1,6 @@
-//! Frames of the simulator's wire: little-endian records without padding.
+//! Frames of the simulator's wire format: little-endian records without padding.
 //!
-//! The codes and layouts belong to the simulator and are fixed.
+//! The simulator defines the codes and layouts, so they are fixed.
 
 mod decode;
 mod encode;
--- a/crates/simulator-adapter/src/codec/tests.rs
+++ b/crates/simulator-adapter/src/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Frames written by hand, byte for byte.
+//! Codec tests on handwritten frames, byte by byte.
 
 use super::decode::EndedAttempt;
 use super::*;
@@ -7,7 +7,7 @@
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
         .chunks(2)
-        .map(|p| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap())
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
         .collect()
 }
 
@@ -45,7 +45,7 @@
          0101 01000000 01 29000000 01000000 01 0000000000005940 0b000000 0200 00 01 0000803f",
     );
     let (_, records) = decode(&payload).unwrap();
-    let settled = EndedAttempt {
+    let ended = EndedAttempt {
         id: 5,
         attempt: 1,
         backend: 11,
@@ -64,7 +64,7 @@
         availability: 1,
         size: 1.0,
     };
-    assert_eq!(records[0].1, Record::AttemptEnded(settled));
+    assert_eq!(records[0].1, Record::AttemptEnded(ended));
     assert_eq!(
         records[1].1,
         Record::BackendList {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! Connects the decision module of maplefall to the simulator: frames of events on standard input, of actions on standard output.
+//! Connects the decision module of maplefall to the simulator: reads frames of events on standard
+//! input and writes frames of actions to standard output.
 //!
-//! Each simulated instance has its own [`Gateway`]; this program only translates. An instance whose decision code panics is
-//! reported and removed, the others continue.
+//! Each simulated instance has its own [`Gateway`]; this program only translates. If the decision
+//! code of an instance panics, the instance is reported as failed and removed; the others continue.
 
 #![forbid(unsafe_code)]
 
@@ -68,7 +69,7 @@
     Ok(())
 }
 
-/// The length of the next frame, or nothing at the end of the input.
+/// Reads the length of the next frame; `None` at the end of the input.
 fn frame_length(input: &mut impl Read) -> io::Result<Option<u32>> {
     let mut header = Vec::with_capacity(4);
     input.take(4).read_to_end(&mut header)?;
@@ -82,7 +83,8 @@
     }
 }
 
-/// Delivers a record to its instance. An error is the message of that instance's failure.
+/// Delivers a record to its instance. An error is the text with which the instance's failure is
+/// reported.
 fn dispatch(
     instances: &mut BTreeMap<u32, Instance>,
     now: Millis,
@@ -152,7 +154,7 @@
             class: ClassId(usize::from(class)),
             units: f64::from(units),
             deadline,
-            // The simulator plays no authentication service.
+            // The simulator has no authorization service, so every caller counts as authorized.
             authorized: true,
             gateways: f64::from(gateways),
         }),
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The built adapter over its pipes, on small frames written by hand.
+//! The adapter binary over its pipes, on small handwritten frames.
 
 use std::io::{Read, Write};
 use std::process::{Child, Command, Output, Stdio};
@@ -12,7 +12,7 @@
         .expect("the adapter starts")
 }
 
-fn end(mut child: Child) -> Output {
+fn finish(mut child: Child) -> Output {
     drop(child.stdin.take());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -39,20 +39,20 @@
     .concat()
 }
 
-fn create(instance: u32, facts: &str) -> Vec<u8> {
+fn create(instance: u32, settings: &str) -> Vec<u8> {
     record(
         256,
         instance,
         &[
             &7u64.to_le_bytes(),
-            &(facts.len() as u32).to_le_bytes(),
-            facts.as_bytes(),
+            &(settings.len() as u32).to_le_bytes(),
+            settings.as_bytes(),
         ],
     )
 }
 
 fn cached_list(instance: u32) -> Vec<u8> {
-    let line = [
+    let entry = [
         &[0u8][..],
         &0f64.to_le_bytes(),
         &9u32.to_le_bytes(),
@@ -63,11 +63,11 @@
     record(
         257,
         instance,
-        &[&[2], &1u32.to_le_bytes(), &1u32.to_le_bytes(), &line],
+        &[&[2], &1u32.to_le_bytes(), &1u32.to_le_bytes(), &entry],
     )
 }
 
-fn ingress(instance: u32, id: u32) -> Vec<u8> {
+fn request_arrived(instance: u32, id: u32) -> Vec<u8> {
     let (one, zero) = (1f32.to_le_bytes(), 0f32.to_le_bytes());
     let deadline = 5000f64.to_le_bytes();
     let plan = 0u32.to_le_bytes();
@@ -87,21 +87,21 @@
     )
 }
 
-const FACTS: &str = "grades.count=1\ngrades.0.aim=1000\ngrades.0.give_up=3000\ngrades.0.idempotency=safe\n\
+const SETTINGS: &str = "grades.count=1\ngrades.0.aim=1000\ngrades.0.give_up=3000\ngrades.0.idempotency=safe\n\
                      plans.count=1\nplans.0.per_second=5\nplans.0.peak_units=10\ntick=2.0\nsomething.new=1\n";
 
-/// One reply: its number of records and its body.
+/// Reads one reply; returns its number of records and its body.
 fn reply(child: &mut Child) -> (u32, Vec<u8>) {
     let out = child.stdout.as_mut().expect("a pipe");
     let mut header = [0; 8];
     out.read_exact(&mut header).expect("a reply");
     let length = u32::from_le_bytes(header[..4].try_into().unwrap());
     let mut body = vec![0; length as usize - 4];
-    out.read_exact(&mut body).expect("a whole reply");
+    out.read_exact(&mut body).expect("a complete reply");
     (u32::from_le_bytes(header[4..].try_into().unwrap()), body)
 }
 
-fn say(child: &mut Child, frame: &[u8]) {
+fn send(child: &mut Child, frame: &[u8]) {
     let input = child.stdin.as_mut().expect("a pipe");
     input
         .write_all(frame)
@@ -110,49 +110,49 @@
 }
 
 #[test]
-fn a_request_is_sent_on_and_every_batch_gets_one_reply() {
+fn a_request_is_forwarded_and_every_batch_gets_one_reply() {
     let mut child = start();
-    say(&mut child, &frame(0.0, &[]));
+    send(&mut child, &frame(0.0, &[]));
     assert_eq!(reply(&mut child), (0, vec![]));
     let records = [
-        create(3, FACTS),
+        create(3, SETTINGS),
         cached_list(3),
-        create(4, FACTS),
+        create(4, SETTINGS),
         cached_list(4),
     ];
-    say(&mut child, &frame(1.0, &records));
+    send(&mut child, &frame(1.0, &records));
     assert_eq!(reply(&mut child), (0, vec![]));
-    say(&mut child, &frame(2.0, &[ingress(3, 77)]));
+    send(&mut child, &frame(2.0, &[request_arrived(3, 77)]));
     let (count, body) = reply(&mut child);
     assert_eq!(count, 2);
-    assert_eq!(body[..2], 324u16.to_le_bytes()); // an alarm ahead of the deadline
+    assert_eq!(body[..2], 324u16.to_le_bytes()); // a timer before the deadline
     let sent = &body[22..];
     assert_eq!(sent[..2], 320u16.to_le_bytes());
     assert_eq!(
         sent[2..14],
         [3u32.to_le_bytes(), 77u32.to_le_bytes(), 9u32.to_le_bytes()].concat()
     );
-    // The same instance, retired and created again in one batch, knows nothing of request 77.
-    let again = [
+    // The same instance, retired and created again in one batch, has no state of request 77.
+    let second_batch = [
         record(265, 3, &[]),
-        create(3, FACTS),
+        create(3, SETTINGS),
         cached_list(3),
         record(261, 3, &[&77u32.to_le_bytes()]),
     ];
-    say(&mut child, &frame(3.0, &again));
+    send(&mut child, &frame(3.0, &second_batch));
     assert_eq!(reply(&mut child), (0, vec![]));
-    let output = end(child);
+    let output = finish(child);
     assert!(output.status.success());
 }
 
 #[test]
 fn invalid_settings_are_reported_as_instance_failure() {
     let mut child = start();
-    say(&mut child, &frame(1.0, &[create(3, "tick=soon")]));
+    send(&mut child, &frame(1.0, &[create(3, "tick=soon")]));
     let (count, body) = reply(&mut child);
     assert_eq!((count, &body[..2]), (1, &329u16.to_le_bytes()[..]));
     assert!(String::from_utf8_lossy(&body).contains("tick=soon"));
-    assert!(end(child).status.success());
+    assert!(finish(child).status.success());
 }
 
 #[test]
@@ -167,8 +167,8 @@
     ];
     for (bytes, expected) in cases {
         let mut child = start();
-        say(&mut child, &bytes);
-        let output = end(child);
+        send(&mut child, &bytes);
+        let output = finish(child);
         assert!(!output.status.success());
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(text.contains(expected), "{text}");
