--- a/crates/policy/src/gateway/attempts.rs
+++ b/crates/policy/src/gateway/attempts.rs
@@ -53,7 +53,7 @@
     fn send_mode(&self, request: &Request) -> SendMode {
         if self.settings.class(request).idempotency == Idempotency::NonIdempotent {
             SendMode::WithholdLastByteOnProvenConnection
-        } else if self.now - self.connection_broke_at < CAUTION_TARGETS * self.target {
+        } else if self.now - self.connection_broke_at < WITHHOLD_AFTER_BREAK_TARGETS * self.target {
             SendMode::WithholdLastByte
         } else {
             SendMode::Immediate
--- a/crates/policy/src/gateway/customers.rs
+++ b/crates/policy/src/gateway/customers.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Evicts idle customers whose recent average has decayed to less than one typical request.
+    /// Evicts idle customers whose entry has decayed to about that of a new customer.
     fn evict(&mut self, max_idle: Millis, max_halflife: Millis) {
         let (now, typical_units) = (self.now, self.typical_units);
         let interval = max_idle / 4.0;
--- a/crates/policy/src/gateway/mod.rs
+++ b/crates/policy/src/gateway/mod.rs
@@ -24,7 +24,7 @@
 const PENALTY_BOX_LIMIT_FACTOR: f64 = 3.0;
 /// A slice is refilled at up to this multiple of the local recent rate (CEWMA paper).
 const REFILL_FACTOR: f64 = 2.0;
-/// A slice holds at least so many requests of the largest size (CEWMA paper).
+/// A slice holds at least this many requests of the largest size (CEWMA paper).
 const MIN_SLICE_REQUESTS: f64 = 2.0;
 /// Half-life of the recent average, in burst lengths (CEWMA paper: at least 1). A lasting flood
 /// should close the box; a spike with its retries should not: slices hold it to the quota already.
@@ -39,7 +39,7 @@
 const REFILL_RISE_BURSTS: f64 = 2.0;
 /// Maximum acceptable wait at a backend, in latency targets; beyond it a request is rejected.
 const MAX_WAIT_TARGETS: f64 = 0.33;
-/// A deadline must leave this multiple of the expected time, as half of the responses take longer.
+/// A deadline must leave this multiple of the expected time, which half of the responses exceed.
 const DEADLINE_FACTOR: f64 = 1.5;
 /// A response is slow beyond this fraction of the latency target of its class.
 const SLOW_TARGETS: f64 = 0.5;
@@ -55,10 +55,10 @@
 const ATTEMPT_TIMEOUT_FACTOR: f64 = 8.0;
 /// Minimum of that timeout, as a fraction of the latency target of the request's class.
 const MIN_ATTEMPT_TIMEOUT_TARGETS: f64 = 0.4;
-/// Early timeouts need more than this fraction admitted, and pressure below its complement.
+/// Early timeouts need an admitted fraction above this, and pressure below its complement.
 const RETRY_HEADROOM: f64 = 0.95;
-/// For so many latency targets after a connection broke, every request withholds its last byte.
-const CAUTION_TARGETS: f64 = 8.0;
+/// For this many latency targets after a connection broke, every request withholds its last byte.
+const WITHHOLD_AFTER_BREAK_TARGETS: f64 = 8.0;
 /// A request crosses zones to save a wait of this multiple of the cross-zone price, in targets.
 const CROSS_ZONE_TARGETS: f64 = 10.0;
 /// Fraction of a rate limit's slack that the gateways' shares use; the rest covers rounding.
@@ -67,13 +67,13 @@
 const SLOW_START_OVERLOAD_FRACTION: f64 = 0.6;
 /// Maximum advised retry time, in latency targets, where another gateway may admit the retry.
 const MAX_SLICE_RETRY_TARGETS: f64 = 0.3;
-/// Reports of usage at other gateways are valid for so many latency targets.
+/// Reports of usage at other gateways are valid for this many latency targets.
 const REPORT_VALID_TARGETS: f64 = 6.0;
 /// Mean number of gateways that prefer each backend; with fewer, the load would be uneven.
 const GATEWAYS_PER_BACKEND: f64 = 16.0;
 /// Minimum number of preferred backends; with fewer, one failure shifts too much load to the rest.
 const MIN_PREFERRED_BACKENDS: usize = 8;
-/// A backend that is not preferred must have a cost that is lower by so many latency targets.
+/// A backend that is not preferred must have a cost that is lower by this many latency targets.
 const UNPREFERRED_TARGETS: f64 = 0.25;
 const SUBSCRIBE_TIMER: TimerId = TimerId(u64::MAX);
 
