--- a/crates/settings/src/mapping.rs
+++ b/crates/settings/src/mapping.rs
@@ -10,15 +10,15 @@
 //! | `extra.meter` | [`Settings::meter_period`] | ms; 0 for no meter | 0 |
 //! | `registry_mode` | [`Settings::discovery`] | `pushed`, `on_request` | `pushed` |
 //! | `report.via` | [`Settings::reports`] | `off`, `inline`, `on_probe` | `off` |
-//! | `report.names` | [`Told::metrics`] | names of [`Metric`] | none |
+//! | `report.names` | [`ParsedSettings::metrics`] | names of [`Metric`] | none |
 //! | `policy_limits.send_cap` | [`Settings::max_attempts`] | attempts | 1 |
 //! | `policy_limits.second_copies` | [`Settings::hedging`] | `true`, `false` | `false` |
 //! | `policy_limits.cancel` | [`Settings::cancellation`] | `true`, `false` | `false` |
 //! | `policy_limits.probes` | [`Settings::probes`] | `true`, `false` | `false` |
 //! | `policy_limits.retry_after` | [`Settings::retry_after`] | `true`, `false` | `false` |
 //! | `policy_limits.max_retry_after` | [`Settings::max_retry_after`] | ms | 0 |
-//! | `policy_limits.dial_timeout` | [`Links::dial_timeout`] | ms | 250 |
-//! | `policy_limits.idle_close` | [`Links::idle_close`] | ms | 10 000 |
+//! | `policy_limits.dial_timeout` | [`ConnectionTimeouts::dial_timeout`] | ms | 250 |
+//! | `policy_limits.idle_close` | [`ConnectionTimeouts::idle_close`] | ms | 10 000 |
 //! | `charges.cross_zone` | [`Settings::cross_zone_price`] | fraction of the value | 0 |
 //! | `rules.answer_slack` | [`Settings::response_grace`] | ms | 0 |
 //! | `rules.stop_sending_within` | [`Settings::drain_grace`] | ms | 0 |
@@ -28,7 +28,8 @@
 //! | `rules.overload_factor` | [`Settings::overload_factor`] | factor | 2 |
 //! | `rules.fall` | [`Settings::overload_window`] | ms | 1000 |
 //!
-//! Lists of objects have their length in `grades.count` and `plans.count`, 4096 at most, and a `name` for each entry:
+//! Lists of objects have their length in `grades.count` and `plans.count`, at most 4096, and a
+//! `name` for each entry:
 //!
 //! | wire name | setting | unit | default |
 //! | --- | --- | --- | --- |
@@ -58,18 +59,18 @@
 
 /// Parsed settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ParsedSettings {
     /// Settings of the decision module.
     pub settings: Settings,
     /// Metrics of a load report, in the order of its values.
     pub metrics: Vec<Metric>,
-    /// Names of what the settings number.
+    /// Names of classes, plans, zones and metrics.
     pub names: Names,
-    /// Limits of connections to backends.
-    pub links: Links,
+    /// Timeouts of connections to backends.
+    pub connection_timeouts: ConnectionTimeouts,
 }
 
-/// Names of classes, plans, zones and metrics, each at the index that the settings use.
+/// Names of classes, plans, zones and metrics, each at the index by which the settings refer to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// Names of the request classes (`grades.N.name`).
@@ -78,22 +79,22 @@
     pub plans: Vec<String>,
     /// Names of the zones (`zones`).
     pub zones: Vec<String>,
-    /// Names of the values of a load report (`report.names`).
+    /// Names of the metrics of a load report (`report.names`).
     pub metrics: Vec<String>,
 }
 
-/// Time limits of a connection to a backend.
+/// Timeouts of a connection to a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Links {
-    /// Time to establish a connection before the attempt counts as failed, in milliseconds.
+pub struct ConnectionTimeouts {
+    /// Maximum time to establish a connection, in milliseconds; then the attempt counts as failed.
     pub dial_timeout: Millis,
     /// Time after which a backend closes an idle connection, in milliseconds.
     pub idle_close: Millis,
 }
 
-impl Default for Links {
+impl Default for ConnectionTimeouts {
     fn default() -> Self {
-        Links {
+        ConnectionTimeouts {
             dial_timeout: 250.0,
             idle_close: 10_000.0,
         }
@@ -103,16 +104,18 @@
 /// Parses `path=value` lines.
 ///
 /// # Errors
-/// All values that cannot be read, each with its path, joined by `; `.
-pub fn parse(text: &str) -> Result<Told, String> {
+///
+/// Returns all values that cannot be read, each with its path, joined by `; `.
+pub fn parse(text: &str) -> Result<ParsedSettings, String> {
     parse_all(text).map_err(|errors| errors.join("; "))
 }
 
 /// Parses `path=value` lines.
 ///
 /// # Errors
-/// All values that cannot be read, each with its path.
-pub fn parse_all(text: &str) -> Result<Told, Vec<String>> {
+///
+/// Returns all values that cannot be read, each with its path.
+pub fn parse_all(text: &str) -> Result<ParsedSettings, Vec<String>> {
     let reader = Reader::new(text);
     let parsed = read_all(&reader);
     let errors = reader.finish();
@@ -123,15 +126,15 @@
     }
 }
 
-fn read_all(reader: &Reader<'_>) -> Told {
+fn read_all(reader: &Reader<'_>) -> ParsedSettings {
     let names = read_names(reader);
     let settings = read_settings(reader, &names);
     let metrics = names.metrics.iter();
-    Told {
+    ParsedSettings {
         settings,
         metrics: metrics.map(|name| Metric::from_wire(name)).collect(),
         names,
-        links: read_links(reader),
+        connection_timeouts: read_connection_timeouts(reader),
     }
 }
 
@@ -189,9 +192,9 @@
     }
 }
 
-fn read_links(reader: &Reader<'_>) -> Links {
-    let default = Links::default();
-    Links {
+fn read_connection_timeouts(reader: &Reader<'_>) -> ConnectionTimeouts {
+    let default = ConnectionTimeouts::default();
+    ConnectionTimeouts {
         dial_timeout: reader.number("policy_limits.dial_timeout", default.dial_timeout),
         idle_close: reader.number("policy_limits.idle_close", default.idle_close),
     }
