--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -146,7 +146,7 @@
     )
     .await;
     Ended {
-        broken: result.broken_connections,
+        broken_connections: result.broken_connections,
         ..result.result.unwrap_or_else(Ended::of)
     }
 }
@@ -175,7 +175,7 @@
         report: header_text(&head.headers, &SERVER_LOAD)
             .map(|text| reader.parse_report(text))
             .unwrap_or_default(),
-        broken: 0,
+        broken_connections: 0,
     })
 }
 
--- a/crates/maplefall/src/net/backends/tests.rs
+++ b/crates/maplefall/src/net/backends/tests.rs
@@ -114,7 +114,7 @@
     });
     let ends_seen: Vec<_> = ends
         .iter()
-        .map(|end| (end.outcome, end.body.as_ref(), end.broken))
+        .map(|end| (end.outcome, end.body.as_ref(), end.broken_connections))
         .collect();
     assert_eq!(
         ends_seen,
--- a/crates/maplefall/src/net/clients/mod.rs
+++ b/crates/maplefall/src/net/clients/mod.rs
@@ -232,7 +232,7 @@
         connection.request_complete();
         let (class, plan, deadline) = (incoming.class, incoming.plan.0, incoming.deadline);
         let auth = self.auth.as_ref().filter(|auth| auth.checks_class(class));
-        incoming.checked = auth.is_none();
+        incoming.authorized = auth.is_none();
         #[cfg(feature = "breakages")]
         let incoming_deadline = incoming.deadline;
         let (id, mut answer) = self.driver.start_request(incoming).ok_or(Bad::Twice)?;
--- a/crates/maplefall/src/net/driver/attempts.rs
+++ b/crates/maplefall/src/net/driver/attempts.rs
@@ -186,7 +186,7 @@
         metered_usage: end.used,
         true_units: end.charge,
         report: end.report,
-        broken_connections: end.broken,
+        broken_connections: end.broken_connections,
     }
 }
 
--- a/crates/maplefall/src/net/driver/requests.rs
+++ b/crates/maplefall/src/net/driver/requests.rs
@@ -57,8 +57,8 @@
             class: incoming.class,
             units: incoming.units,
             deadline: incoming.deadline,
-            authorized: incoming.checked,
-            gateways: incoming.spread,
+            authorized: incoming.authorized,
+            gateways: incoming.gateways,
         };
         if let Some(counts) = self.shared_counts.get() {
             // What is known of the customer's usage at peers goes first, so that this request is decided by it.
--- a/crates/maplefall/src/net/grpc/call_handler.rs
+++ b/crates/maplefall/src/net/grpc/call_handler.rs
@@ -102,7 +102,7 @@
         let (class, plan, deadline) = (incoming.class, incoming.plan.0, incoming.deadline);
         let auth = self.auth.as_ref().filter(|auth| auth.checks_class(class));
         incoming.at = self.driver.clock.now();
-        incoming.checked = auth.is_none();
+        incoming.authorized = auth.is_none();
         let Some((id, mut answer)) = self.driver.start_call(incoming, Some(call.clone())) else {
             let message = "a call with this id has come before";
             call.update(|call, outputs| call.turn_down(Code::AlreadyExists, message, outputs));
--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -77,7 +77,7 @@
         let class = &self.settings.classes[route.class.0];
         check_idempotency_key(headers, class)?;
         let timeout = read_timeout(headers)?;
-        let (units, spread) = self.units_and_spread(headers, route)?;
+        let (units, gateways) = self.units_and_gateways(headers, route)?;
         let path = head
             .uri
             .path_and_query()
@@ -92,12 +92,12 @@
             at: now,
             // No client waits for longer than its class allows.
             deadline: now + timeout.min(class.deadline),
-            checked: true,
+            authorized: true,
             customer: customer(headers).ok_or_else(|| CallRejection::invalid_header(&COOKIE))?,
             plan,
             class: route.class,
             units,
-            spread,
+            gateways,
             order: Order {
                 id: id.into(),
                 id_value: headers[REQUEST_ID].clone(),
@@ -137,7 +137,7 @@
     }
 
     /// Units of a call, and over how many proxies its customer's calls are spread.
-    fn units_and_spread(
+    fn units_and_gateways(
         &self,
         headers: &HeaderMap,
         route: Route,
@@ -148,7 +148,7 @@
         }
         let terms = Terms::read(header_text(headers, &API_TERMS)?, self.settings)
             .ok_or_else(|| CallRejection::invalid_header(&API_TERMS))?;
-        Ok((terms.units, terms.spread))
+        Ok((terms.units, terms.gateways))
     }
 }
 
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -103,12 +103,12 @@
     Ok(Incoming {
         at: first,
         deadline: first + timeout,
-        checked: true,
+        authorized: true,
         customer: customer(headers).ok_or(Bad::Header(COOKIE))?,
         plan: PlanId(plan),
         class: ClassId(class),
         units: terms.units,
-        spread: terms.spread,
+        gateways: terms.gateways,
         order: Order {
             id: id.into(),
             id_value: headers[REQUEST_ID].clone(),
@@ -161,14 +161,14 @@
     /// Units.
     pub units: f64,
     /// Proxies.
-    pub spread: f64,
+    pub gateways: f64,
 }
 
 impl Terms {
     /// Reads the header; `None` for figures beyond the settings, which the decision module would clamp and serve.
     pub fn read(text: &str, settings: &Settings) -> Option<Terms> {
         let proxies = settings.gateways.max(1);
-        let (mut units, mut spread, mut first) = (None, None, None);
+        let (mut units, mut gateways, mut first) = (None, None, None);
         for field in text.split(',') {
             let (name, value) = field.trim().split_once('=')?;
             let repeated = match name {
@@ -178,7 +178,7 @@
                         .replace(parse_positive(value).filter(|units| *units <= max_units)?)
                         .is_some()
                 }
-                "spread" => spread
+                "spread" => gateways
                     .replace(parse_integer(value).filter(|n| (1..=proxies).contains(n))?)
                     .is_some(),
                 "first" => first
@@ -193,7 +193,7 @@
         first?;
         Some(Terms {
             units: units?,
-            spread: f64::from(spread?),
+            gateways: f64::from(gateways?),
         })
     }
 }
--- a/crates/protocol/src/answer.rs
+++ b/crates/protocol/src/answer.rs
@@ -28,7 +28,7 @@
     /// The backend's load report (`server-load`).
     pub report: Report,
     /// Established connections that broke during the attempt.
-    pub broken: u32,
+    pub broken_connections: u32,
 }
 
 impl Ended {
@@ -40,7 +40,7 @@
             used: None,
             charge: None,
             report: Report::default(),
-            broken: 0,
+            broken_connections: 0,
         }
     }
 }
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -13,7 +13,7 @@
     /// When the client gives up, on the same clock.
     pub deadline: Millis,
     /// Whether the caller needs no (further) authorization check.
-    pub checked: bool,
+    pub authorized: bool,
     /// The tenant.
     pub customer: CustomerId,
     /// The tenant's plan.
@@ -22,8 +22,8 @@
     pub class: ClassId,
     /// Quota units that it takes; an estimate until the response brings the actual ones.
     pub units: f64,
-    /// Number of proxies that serve the tenant.
-    pub spread: f64,
+    /// Number of gateways that serve the tenant.
+    pub gateways: f64,
     /// What is forwarded to a backend.
     pub order: Order,
 }
