--- a/crates/maplefall/src/main.rs
+++ b/crates/maplefall/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `maplefall`: serves until SIGTERM, or runs a command, and ends with an exit code.
+//! The program `maplefall`: serves until SIGTERM, or runs a command, and returns an exit code.
 
 #![forbid(unsafe_code)]
 
@@ -8,31 +8,31 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// Counts allocations, in builds for the benchmark only.
+/// Counts allocations; only in builds for the benchmark.
 #[cfg(feature = "count-allocations")]
 #[global_allocator]
 static ALLOCATIONS: &stats_alloc::StatsAlloc<std::alloc::System> =
     &stats_alloc::INSTRUMENTED_SYSTEM;
 
 const ABOUT: &str = "\
-The front door of a service sold by plan: holds each customer to its quota over all front doors, chooses a backend for
-every request, and repeats only what may be repeated. Without a command it serves, by the BALANCER_* variables below.";
+The gateway of a service sold by plan: enforces each customer's quota over all gateways, chooses a backend for every
+request, and retries only requests that may be retried. Without a command it serves, configured by the variables below.";
 
 const VARIABLES: &str = "\
 Variables:
-  BALANCER_CONFIG          the configuration, a JSON file (deploy/example.json is one, docs/operators explains it)
-  BALANCER_NAME            its name in the log, before the file's `name`
-  BALANCER_LISTEN          where clients connect, before the file's `listen`
-  BALANCER_DISCOVERY       where discovery answers, before the file's `discovery`
-  MAPLEFALL_SOURCES        a file of sources of the list of backends (deploy/sources.toml is one); without it only discovery
-  MAPLEFALL_GRPC           a file of methods (deploy/grpc.toml is one); without it gRPC is not taken
-  MAPLEFALL_FORWARD_AUTH   a file of who checks callers (deploy/forward-auth.toml is one); without it nobody is checked
-  MAPLEFALL_SHARED_COUNTS  a file of how doors tell one another what customers used (deploy/shared-counts.toml is one)
+  BALANCER_CONFIG          the configuration, a JSON file (example: deploy/example.json; explained in docs/operators)
+  BALANCER_NAME            name in the log; overrides the file's `name`
+  BALANCER_LISTEN          address for clients; overrides the file's `listen`
+  BALANCER_DISCOVERY       address of discovery; overrides the file's `discovery`
+  MAPLEFALL_SOURCES        the sources of the list of backends (example: deploy/sources.toml); by default only discovery
+  MAPLEFALL_GRPC           the methods of gRPC (example: deploy/grpc.toml); by default gRPC is not served
+  MAPLEFALL_FORWARD_AUTH   forward authentication (example: deploy/forward-auth.toml); by default no caller is checked
+  MAPLEFALL_SHARED_COUNTS  sharing of customers' usage between gateways (example: deploy/shared-counts.toml)
 
 Signals:
-  SIGHUP                   forgets kept verdicts, and reads the first two files again; `discovery`, etcd's endpoints and credentials, and files of nodes move
-                           at once, the rest takes a restart
-  SIGTERM                  answers what has come, then ends with 0
+  SIGHUP                   clears cached verdicts and reads the configuration and the sources again: `discovery`, etcd's endpoints and
+                           credentials, and files of nodes change at once; any other change needs a restart
+  SIGTERM                  graceful shutdown: responds to all requests, then exits with 0
 
 To rehearse failures on one machine: maplefall-rehearse --help";
 
@@ -45,13 +45,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Tells every mistake in a configuration, or in a file of sources, forward authentication, gRPC or shared counts (.toml);
-    /// 0 if there is none
+    /// Reports all errors in a configuration, or in a file of sources, forward authentication, gRPC
+    /// or shared counts (.toml); exit code 0 if there are none
     Check {
         /// The file
         file: String,
     },
-    /// Shows what a running front door knows by shared counts
+    /// Shows the shared counts of a running gateway
     #[command(subcommand)]
     Counts(counts::Command),
 }
@@ -60,7 +60,7 @@
     let arguments = match Arguments::try_parse() {
         Ok(asked) => asked,
         Err(error) => {
-            // Help and versions go to standard output and are no failure.
+            // Help and version are printed to standard output and are not errors.
             let _ = error.print();
             return if error.use_stderr() {
                 ExitCode::FAILURE
@@ -83,7 +83,7 @@
     }
 }
 
-/// Prints every mistake in a configuration on a line of its own.
+/// Prints each error in a configuration on a line of its own.
 fn check(file: &str) -> ExitCode {
     let with_file_name = |mistake: String| format!("{file}: {mistake}");
     let errors = match std::fs::read_to_string(file) {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Serves on one thread: a process has one core, and nothing on the path of a request needs a lock.
+/// Serves on one thread: a process has one core, and the path of a request needs no locks.
 fn serve() -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -1,7 +1,9 @@
-//! Forward authentication: sub-requests to the service on pooled connections, and what its responses mean.
+//! Forward authentication: sub-requests to the service on pooled connections, and what its
+//! responses mean.
 //!
-//! `maplefall-forward-auth` decides which server is asked, for how long, and what is cached. Invariant: a caller's decision is
-//! there before its request's deadline, and a wait that is dropped leaves nothing behind (`WaitGuard`).
+//! `maplefall-forward-auth` decides which server is asked, for how long, and what is cached.
+//! Invariant: a caller's decision is there before its request's deadline, and a wait that is
+//! dropped leaves nothing behind (`WaitGuard`).
 
 use super::auth_settings::{AuthSettings, KeyPart};
 #[cfg(feature = "breakages")]
@@ -50,7 +52,7 @@
 }
 
 /// What became of a request whose caller was to be checked.
-pub enum Checked {
+pub enum CheckOutcome {
     /// It goes on.
     Passed,
     /// The decision module answered it first.
@@ -58,7 +60,7 @@
     /// The service's response is its answer.
     Denied(Rc<AuthResponse>),
     /// Its caller could not be checked: no attempt was made.
-    Unchecked,
+    Unavailable,
 }
 
 /// A caller to be checked.
@@ -199,7 +201,8 @@
         }
     }
 
-    /// Checks a caller; the decision is there by the end of the check's budget, which is before the deadline.
+    /// Checks a caller; the decision is there by the end of the check's budget, which is before the
+    /// deadline.
     pub async fn check(
         self: &Rc<Self>,
         caller: Caller,
@@ -240,10 +243,11 @@
         id: RequestId,
         deadline: Millis,
         answer: &mut oneshot::Receiver<Answer>,
-    ) -> Checked {
+    ) -> CheckOutcome {
         let decision = tokio::select! {
-            // The decision module may answer first: its deadline has passed, or it has no backends left.
-            answer = &mut *answer => return Checked::Answered(answer.unwrap_or(Answer::Failed)),
+            // The decision module may answer first: its deadline has passed, or it has no backends
+            // left.
+            answer = &mut *answer => return CheckOutcome::Answered(answer.unwrap_or(Answer::Failed)),
             decision = self.check(caller, deadline) => decision,
         };
         #[cfg(feature = "breakages")]
@@ -259,23 +263,23 @@
                     AuthResponse::Onward(headers) => headers.as_slice(),
                     AuthResponse::Denial { .. } => &[],
                 };
-                driver.check_passed(id, onward);
+                driver.caller_authorized(id, onward);
                 #[cfg(feature = "breakages")]
                 if breakages::is(Breakage::CheckedAgain) {
                     driver.resend_in_flight(id);
                 }
-                return Checked::Passed;
+                return CheckOutcome::Passed;
             }
             Decision::PassUnchecked(_) => {
-                driver.check_passed(id, &[]);
-                return Checked::Passed;
+                driver.caller_authorized(id, &[]);
+                return CheckOutcome::Passed;
             }
-            Decision::Deny(response) => Checked::Denied(response),
-            Decision::Refuse(_) => Checked::Unchecked,
+            Decision::Deny(response) => CheckOutcome::Denied(response),
+            Decision::Refuse(_) => CheckOutcome::Unavailable,
         };
-        match driver.check_denied(id) {
+        match driver.caller_denied(id) {
             true => outcome,
-            false => Checked::Answered(answer.await.unwrap_or(Answer::Failed)),
+            false => CheckOutcome::Answered(answer.await.unwrap_or(Answer::Failed)),
         }
     }
 
@@ -426,7 +430,8 @@
         Ok(verdict)
     }
 
-    /// The verdict of a response; `None` for an error of the service itself, and if it is truncated or too long.
+    /// The verdict of a response; `None` for an error of the service itself, and if it is truncated
+    /// or too long.
     async fn read_verdict(&self, answer: Response<IncomingBody>) -> Option<Verdict<AuthResponse>> {
         let (head, body) = answer.into_parts();
         if head.status.is_server_error() || head.status.is_informational() {
@@ -472,7 +477,8 @@
         + body
 }
 
-/// Bits that nobody outside this process knows: the standard library's own, from the system's random source.
+/// Bits that nobody outside this process knows: the standard library's own, from the system's
+/// random source.
 fn process_secret() -> [u8; 8] {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new()
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -1,7 +1,8 @@
-//! Attempts over HTTP/1.1: the request to a backend, its response, and what the end of an attempt means.
+//! Attempts over HTTP/1.1: sends a request to a backend, reads its response, and derives the
+//! outcome.
 //!
-//! Invariant: a response is served only if its framing shows that it is complete, and all long responses together take a bounded
-//! part of the memory.
+//! Invariant: a response is served only if its framing shows that it is complete, and all long
+//! responses together take a bounded fraction of the memory.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
@@ -17,15 +18,16 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Bytes of a response's body at most. Some backends send far more than the agreed 64 KiB, and their responses are good; a
-/// longer one than this counts as broken.
+/// Maximum length of a response's body in bytes. Some backends send far more than the agreed 64
+/// KiB, and their responses are valid; a response longer than this counts as broken.
 const MAX_RESPONSE_BYTES: u64 = 1 << 20;
-/// Long responses take one part in so many of the memory together, from the first byte read to the last one written.
+/// Long responses together may take this fraction (1/n) of the memory, from the first byte read to
+/// the last one written.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
-/// A usage over this many percent of a rate is ignored.
+/// A reported usage over this percentage is ignored.
 pub const MAX_USAGE_PERCENT: f64 = 100_000.0;
 
-/// The bytes that long responses may still take.
+/// The bytes that are left for long responses.
 #[derive(Clone)]
 struct ResponseMemory(Arc<AtomicUsize>);
 
@@ -42,7 +44,8 @@
     }
 }
 
-/// A long response with the memory reserved for it, which is released when the last reference to it is dropped.
+/// A long response with the memory reserved for it, which is released when the last reference to it
+/// is dropped.
 struct ReservedBody {
     length: usize,
     memory: ResponseMemory,
@@ -61,19 +64,19 @@
     }
 }
 
-/// How responses are read.
+/// Reads responses.
 pub struct ResponseReader {
-    /// Names of the values in load reports.
+    /// Names of the metrics in load reports.
     pub metric_names: Vec<String>,
-    /// What each value measures.
+    /// The metric of each name.
     pub metrics: Vec<Metric>,
-    /// Units that a backend may charge for a request at most.
+    /// Maximum units that a backend may charge for a request.
     pub max_units: f64,
     memory: ResponseMemory,
 }
 
 impl ResponseReader {
-    /// A reader by the settings, in a process that may take `memory` bytes.
+    /// Creates a reader with these settings, in a process that may use `memory` bytes.
     pub fn new(settings_file: &Told, memory: usize) -> ResponseReader {
         ResponseReader {
             metric_names: settings_file.names.metrics.clone(),
@@ -98,7 +101,7 @@
     }
 }
 
-/// The request to a backend, with the attempt's timeout in a header.
+/// Builds the request to a backend, with the attempt's timeout in a header.
 fn build_request(forwarded: &Order, timeout: Millis) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(forwarded.body.clone()));
     *request.method_mut() = forwarded.method.clone();
@@ -121,7 +124,8 @@
     request
 }
 
-/// Runs one attempt to its end, `timeout` milliseconds at most by its header; the driver's timer aborts it.
+/// Runs one attempt to its end. `timeout` in milliseconds is sent in a header; the driver's timer
+/// aborts the attempt.
 pub async fn send_attempt(
     pools: &Pools,
     reader: &ResponseReader,
@@ -151,8 +155,9 @@
     }
 }
 
-/// Reads a complete response; `None` if the connection ends before it does, or if its end cannot be known: a response without
-/// framing ends with its connection and may be truncated. After 101 the connection speaks another protocol.
+/// Reads a complete response; `None` if the connection ends early or the end of the response cannot
+/// be determined. A response without framing ends with its connection and may be truncated. After
+/// 101 the connection uses another protocol.
 async fn read_response(reader: &ResponseReader, response: Response<Incoming>) -> Option<Ended> {
     let (head, body) = response.into_parts();
     let has_framing =
@@ -179,13 +184,13 @@
     })
 }
 
-/// Reads a body to its end, within the bounds on one response and on all.
+/// Reads a body to its end, within the limits on one response and on all.
 async fn read_body(memory: &ResponseMemory, mut body: Incoming) -> Option<Bytes> {
     let declared_length = body.size_hint().exact();
     if declared_length.is_some_and(|length| length > MAX_RESPONSE_BYTES) {
         return None;
     }
-    // A body in chunks declares no length: once it proves long, the maximum is reserved.
+    // A chunked body declares no length: once it exceeds [`LONGEST_BODY`], the maximum is reserved.
     let max_length = usize::try_from(declared_length.unwrap_or(MAX_RESPONSE_BYTES)).ok()?;
     if declared_length.is_some() && max_length <= LONGEST_BODY {
         return Some(body.collect().await.ok()?.to_bytes());
@@ -215,7 +220,8 @@
     })
 }
 
-/// What a complete response means: 200 is served, and 503 or 504 that says that nothing was started may be retried.
+/// The outcome of a complete response: 200 is served, and 503 or 504 with the header that no work
+/// was started may be retried.
 fn outcome_of(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unavailable = matches!(
         status,
@@ -235,7 +241,8 @@
         .map(str::trim)
 }
 
-/// The first value of a header that is a number from 0 to `max`. Others are ignored: they do not make a response unusable.
+/// Returns the first value of a header that is a number from 0 to `max`. Other values are ignored:
+/// they do not make a response unusable.
 pub fn header_number(headers: &HeaderMap, name: &HeaderName, max: f64) -> Option<f64> {
     let mut values = headers
         .get_all(name)
--- a/crates/maplefall/src/net/backends/tests.rs
+++ b/crates/maplefall/src/net/backends/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts over HTTP/1.1 against played backends.
+//! Attempts over HTTP/1.1 against test servers.
 
 use super::*;
 use hyper::{Method, Uri};
@@ -8,23 +8,24 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Guards load reports: the values that the settings name are read, whatever stands between them.
+/// Guards load reports: metrics named in the settings are read, whatever other fields are between
+/// them.
 #[test]
 fn reads_a_load_report_by_its_names() {
     let names = vec!["depth".to_owned(), "load_share".to_owned()];
     let metrics = vec![Metric::Queue, Metric::Utilisation];
-    let reading = ResponseReader {
+    let reader = ResponseReader {
         metric_names: names,
         metrics,
         max_units: 8.0,
         memory: ResponseMemory(Arc::default()),
     };
-    let report = reading.parse_report("other=3, depth=2,load_share=0.61,broken");
+    let report = reader.parse_report("other=3, depth=2,load_share=0.61,broken");
     assert_eq!((report.queue, report.in_flight), (Some(2.0), None));
     assert!((report.utilisation.unwrap() - 0.61).abs() < 1e-6);
 }
 
-/// Longest time that a scenario may take.
+/// Time limit of a scenario.
 const SCENARIO_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn pools() -> (Pools, ResponseReader) {
@@ -32,16 +33,16 @@
         dial_timeout: 20_000.0,
         idle_close: 600_000.0,
     };
-    let reading = ResponseReader {
+    let reader = ResponseReader {
         metric_names: Vec::new(),
         metrics: Vec::new(),
         max_units: 8.0,
         memory: ResponseMemory(Arc::default()),
     };
-    (Pools::new(links, 8), reading)
+    (Pools::new(links, 8), reader)
 }
 
-fn order() -> Order {
+fn test_request() -> Order {
     let value = HeaderValue::from_static("id-1");
     Order {
         id: "id-1".into(),
@@ -56,20 +57,21 @@
     }
 }
 
-/// Reads until the request has come up to its last byte but one, or whole.
-async fn receive(stream: &mut TcpStream, to: &[u8]) {
-    let mut got = Vec::new();
-    while !got.ends_with(to) {
+/// Reads until the received bytes end with `end`.
+async fn receive_until(stream: &mut TcpStream, end: &[u8]) {
+    let mut received = Vec::new();
+    while !received.ends_with(end) {
         assert!(
-            stream.read_buf(&mut got).await.expect("a request") > 0,
+            stream.read_buf(&mut received).await.expect("a request") > 0,
             "ended"
         );
     }
 }
 
-/// Guards requests that must not run twice against connections that are dead unseen, kept or new: the reset
-/// answers the bytes before the last, so nothing ran. A kept one has the next connection stand in for it
-/// within the attempt; a new one ends it as never run.
+/// Guards non-idempotent requests against connections, reused or new, that are dead without notice:
+/// the connection is reset in response to the bytes before the last one, so the request has not
+/// run. In place of a dead reused connection another one is tried within the attempt; on a dead new
+/// one the attempt ends as never run.
 #[test]
 fn request_lost_on_a_dead_connection_has_not_run() {
     let ends = run_scenario(async {
@@ -80,26 +82,26 @@
         let backend = tokio::task::spawn_local(async move {
             let (mut kept, _) = listener.accept().await.expect("a connection");
             serve(&mut kept, "one").await;
-            receive(&mut kept, b"hell").await;
+            receive_until(&mut kept, b"hell").await;
             reset(kept);
-            let (mut fresh, _) = listener.accept().await.expect("a connection in its place");
+            let (mut fresh, _) = listener.accept().await.expect("a replacement connection");
             serve(&mut fresh, "two").await;
-            receive(&mut fresh, b"hell").await;
+            receive_until(&mut fresh, b"hell").await;
             reset(fresh);
-            let (mut fresh, _) = listener.accept().await.expect("a connection in its place");
-            receive(&mut fresh, b"hell").await;
+            let (mut fresh, _) = listener.accept().await.expect("a replacement connection");
+            receive_until(&mut fresh, b"hell").await;
             reset(fresh);
         });
-        let ((pools, reading), order, id) = (pools(), order(), BackendId(1));
+        let ((pools, reader), test_request, id) = (pools(), test_request(), BackendId(1));
         pools.open(id, address, 0.0);
         let mut ends = Vec::new();
         for _ in 0..3 {
             ends.push(
                 send_attempt(
                     &pools,
-                    &reading,
+                    &reader,
                     id,
-                    &order,
+                    &test_request,
                     20_000.0,
                     SendMode::WithholdLastByteOnProvenConnection,
                     &AttemptHandle::default(),
@@ -109,15 +111,15 @@
         }
         backend
             .await
-            .expect("a backend that saw what it waited for");
+            .expect("a backend that received the expected bytes");
         ends
     });
-    let ends_seen: Vec<_> = ends
+    let outcomes: Vec<_> = ends
         .iter()
         .map(|end| (end.outcome, end.body.as_ref(), end.broken_connections))
         .collect();
     assert_eq!(
-        ends_seen,
+        outcomes,
         [
             (Outcome::Ok, &b"one"[..], 0),
             (Outcome::Ok, b"two", 1),
@@ -126,8 +128,9 @@
     );
 }
 
-/// Guards requests that must not run twice against connections that only look alive: where kept ones of some age
-/// have taken a request and broken, such a request gets a new one, and others go on finding out.
+/// Guards non-idempotent requests against connections that only look alive: if reused connections
+/// of some idle age have taken a request and broken, a non-idempotent request gets a new
+/// connection, and other requests still reuse old ones.
 #[test]
 fn non_idempotent_request_avoids_connections_of_an_age_that_fails() {
     let old = Duration::from_millis(300);
@@ -140,7 +143,7 @@
             for _ in 0..3 {
                 let (mut failing, _) = listener.accept().await.expect("a connection");
                 serve(&mut failing, "good").await;
-                receive(&mut failing, b"hello").await;
+                receive_until(&mut failing, b"hello").await;
                 reset(failing);
             }
             let (mut old, _) = listener.accept().await.expect("a connection");
@@ -150,11 +153,24 @@
             serve(&mut new, "on a kept one").await;
             drop(old);
         });
-        let ((pools, reading), order, id, line) =
-            (pools(), order(), BackendId(1), AttemptHandle::default());
+        let ((pools, reader), test_request, id, handle) = (
+            pools(),
+            test_request(),
+            BackendId(1),
+            AttemptHandle::default(),
+        );
         pools.open(id, address, 0.0);
-        let send =
-            |send_mode| send_attempt(&pools, &reading, id, &order, 20_000.0, send_mode, &line);
+        let send = |send_mode| {
+            send_attempt(
+                &pools,
+                &reader,
+                id,
+                &test_request,
+                20_000.0,
+                send_mode,
+                &handle,
+            )
+        };
         for _ in 0..3 {
             assert_eq!(send(SendMode::Immediate).await.outcome, Outcome::Ok);
             pools.age(old);
@@ -172,12 +188,13 @@
         assert_eq!(send(SendMode::Immediate).await.body, "on a kept one");
         backend
             .await
-            .expect("a backend that saw what it waited for");
+            .expect("a backend that received the expected bytes");
     });
 }
 
-/// Guards drains against a wait for a connection that outlasts a life: by the time it is up the backend has drained and
-/// has come back elsewhere, and who answers at the old address may get nothing.
+/// Guards drains against a dial that outlasts the instance of the backend: when the connection is
+/// up, the backend has drained and has come back at another address, and the server at the old
+/// address must receive nothing.
 #[test]
 fn connection_dialed_for_an_earlier_instance_is_not_used() {
     run_scenario(async {
@@ -185,29 +202,33 @@
             .await
             .expect("a port");
         let address = listener.local_addr().expect("an address");
-        let ((pools, reading), order, id, line) =
-            (pools(), order(), BackendId(1), AttemptHandle::default());
+        let ((pools, reader), test_request, id, handle) = (
+            pools(),
+            test_request(),
+            BackendId(1),
+            AttemptHandle::default(),
+        );
         pools.open(id, address, 0.0);
         let send = send_attempt(
             &pools,
-            &reading,
+            &reader,
             id,
-            &order,
+            &test_request,
             20_000.0,
             SendMode::Immediate,
-            &line,
+            &handle,
         );
-        // While it is dialled.
-        let move_on = async {
+        // While the connection is being dialed.
+        let restart_elsewhere = async {
             pools.drain(id);
             pools.open(id, "127.0.0.1:9".parse().expect("an address"), 5.0);
         };
-        let (ended, ()) = tokio::join!(send, move_on);
+        let (ended, ()) = tokio::join!(send, restart_elsewhere);
         assert_eq!(ended.outcome, Outcome::NotSent);
         let (mut stream, _) = listener
             .accept()
             .await
-            .expect("the connection that was on its way");
+            .expect("the connection that was being dialed");
         assert_eq!(
             stream.read(&mut [0; 8]).await.expect("an end"),
             0,
@@ -217,7 +238,7 @@
 }
 
 async fn serve(stream: &mut TcpStream, body: &str) {
-    receive(stream, b"hello").await;
+    receive_until(stream, b"hello").await;
     let answer = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -225,7 +246,7 @@
     stream.write_all(answer.as_bytes()).await.expect("a reader");
 }
 
-/// Plays a scenario on one thread, within a time that only a fault uses up.
+/// Runs a scenario on one thread, within a time limit that only a fault exceeds.
 fn run_scenario<T>(scenario: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -1,5 +1,5 @@
-//! `maplefall check FILE`: every mistake in a configuration at once, each with its path, where the start reports only the first.
-//! It also reports what is valid and yet cannot be meant.
+//! `maplefall check FILE`: reports all errors in a configuration at once, each with its path; the
+//! start reports only the first. Also reports settings that are valid but cannot be intended.
 
 use super::config::{min_memory_mb, MIN_SOCKETS};
 use super::{auth_settings, counts_settings, grpc, membership, sources};
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// All mistakes in a file of sources and in the files that it names, or in one of forward authentication or of gRPC: their
-/// names end in `.toml`.
+/// Returns all errors in a `.toml` file: of gRPC, of shared counts, of forward authentication, or
+/// of sources with the files that it names.
 pub fn toml_file_errors(path: &Path, text: &str) -> Vec<String> {
     if grpc::is_grpc_file(text) {
         return grpc::read(path, None).err().unwrap_or_default();
@@ -38,7 +38,7 @@
     }
 }
 
-/// All mistakes in a configuration's text; none if it can be used.
+/// Returns all errors in a configuration's text; none if it can be used.
 pub fn config_errors(text: &str) -> Vec<String> {
     let value: Value = match serde_json::from_str(text) {
         Ok(value) => value,
@@ -48,7 +48,7 @@
         return vec!["the file: an object was expected".to_owned()];
     }
     let mut errors = Vec::new();
-    // The variables may stand in for these three; what is there must be usable all the same.
+    // Variables may replace these three; values in the file must be valid all the same.
     for (path, address) in [("name", false), ("listen", true), ("discovery", true)] {
         match value.get(path).map(|value| value.as_str()) {
             None => {}
@@ -71,14 +71,14 @@
         ("sockets", MIN_SOCKETS, true),
         ("memory_mb", min_memory_mb(), false),
     ];
-    for (key, least, needed) in minimums {
+    for (key, min, required) in minimums {
         let limit = value.pointer(&format!("/limits/{key}"));
         let number = limit
             .and_then(Value::as_u64)
             .and_then(|number| usize::try_from(number).ok());
-        if number.is_none_or(|number| number < least) && (needed || limit.is_some()) {
+        if number.is_none_or(|number| number < min) && (required || limit.is_some()) {
             errors.push(format!(
-                "limits.{key}: a whole number of {least} or more was expected"
+                "limits.{key}: a whole number of {min} or more was expected"
             ));
         }
     }
@@ -87,15 +87,15 @@
     }
     match value.get("settings") {
         None => errors.push("settings: an object was expected".to_owned()),
-        Some(told) => match settings::parse_all(&settings::facts(told)) {
-            Ok(told) => check_plausibility(&told, &mut errors),
-            Err(mistakes) => errors.extend(mistakes),
+        Some(value) => match settings::parse_all(&settings::facts(value)) {
+            Ok(parsed) => check_plausibility(&parsed, &mut errors),
+            Err(found) => errors.extend(found),
         },
     }
     errors
 }
 
-/// The list of backends, entry by entry.
+/// Checks the list of backends, entry by entry.
 fn check_known_list(known: &Value, errors: &mut Vec<String>) {
     if known.get("seq").and_then(Value::as_u64).is_none() {
         errors.push("known.seq: a whole number was expected".to_owned());
@@ -105,9 +105,9 @@
     };
     let before = errors.len();
     for (at, host) in hosts.iter().enumerate() {
-        // Each entry as a list of its own, so that each mistake is reported with its index.
-        let alone = serde_json::json!({"seq": 1, "whole": true, "hosts": [host]});
-        if let Err(error) = serde_json::from_value::<Members>(alone) {
+        // Parses each entry as a list of its own, so that each error is reported with its index.
+        let single = serde_json::json!({"seq": 1, "whole": true, "hosts": [host]});
+        if let Err(error) = serde_json::from_value::<Members>(single) {
             errors.push(format!("known.hosts.{at}: {error}"));
         }
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// Reports what is valid and yet cannot be meant.
+/// Reports settings that are valid but cannot be intended.
 fn check_plausibility(parsed: &Told, errors: &mut Vec<String>) {
     let (set, names) = (&parsed.settings, &parsed.names);
     for (list, known) in [("grades", &names.classes), ("plans", &names.plans)] {
@@ -129,9 +129,7 @@
             if name.is_empty() {
                 errors.push(format!("settings.{list}.{at}.name: a name was expected"));
             } else if known[..at].contains(name) {
-                errors.push(format!(
-                    "settings.{list}.{at}.name: {name} stands there twice"
-                ));
+                errors.push(format!("settings.{list}.{at}.name: {name} appears twice"));
             }
         }
     }
@@ -141,9 +139,9 @@
                 "settings.grades.{at}: aim and give_up above 0 were expected"
             ));
         } else if class.latency_target > class.deadline {
-            let (aim, end) = (class.latency_target, class.deadline);
+            let (latency_target, deadline) = (class.latency_target, class.deadline);
             errors.push(format!(
-                "settings.grades.{at}.aim: {aim} is over its give_up of {end}"
+                "settings.grades.{at}.aim: {latency_target} is over its give_up of {deadline}"
             ));
         }
     }
@@ -153,10 +151,10 @@
                 "settings.plans.{at}: per_second and peak_units of 0 or more were expected"
             ));
         } else if plan.rate > 0.0 && plan.burst < set.max_units {
-            let (burst, most) = (plan.burst, set.max_units);
+            let (burst, max_units) = (plan.burst, set.max_units);
             errors.push(format!(
-                "settings.plans.{at}.peak_units: {burst} is under extra.max_units of {most}: its largest requests are \
-                 always refused"
+                "settings.plans.{at}.peak_units: {burst} is under extra.max_units of {max_units}: its largest requests are \
+                 always rejected"
             ));
         }
         if let Some(rate_limit) = plan.rate_limit.filter(|rate_limit| rate_limit.burst <= 0.0) {
--- a/crates/maplefall/src/net/check/tests.rs
+++ b/crates/maplefall/src/net/check/tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// Guards the example that ships: whoever copies it begins with a configuration that can be used.
+/// Guards the shipped example: a copy of it must be a valid configuration.
 #[test]
-fn shipped_example_has_no_mistakes() {
+fn shipped_example_has_no_errors() {
     let text = include_str!("../../../../../deploy/example.json");
     assert_eq!(config_errors(text), Vec::<String>::new());
 }
 
 #[test]
-fn reports_every_mistake_at_once_with_its_path() {
+fn reports_all_errors_at_once_with_their_paths() {
     let text = r#"{"listen": "here", "seed": "xyz", "limits": {"sockets": 3},
         "known": {"seq": 1, "whole": true, "hosts": [
             {"host": "a", "dial": "127.0.0.1:1", "health": "up"}, {"host": "b", "dial": "b:1", "health": "up"}]},
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn reports_what_cannot_be_meant() {
+fn reports_settings_that_cannot_be_intended() {
     let with = |settings: Value| {
         let text =
             serde_json::json!({"seed": "1f", "limits": {"sockets": 64}, "settings": settings});
--- a/crates/maplefall/src/net/clients/connection.rs
+++ b/crates/maplefall/src/net/clients/connection.rs
@@ -1,18 +1,20 @@
-//! What phase a client's connection is in, until when it may stay there, and which connection is missed least where there is no
-//! room. Times are in milliseconds of the process's clock.
+//! The phase of a client's connection, its time limit in that phase, and which connection is closed
+//! first when the connection limit is reached. Times are in milliseconds of the process's clock.
 
 use maplefall_policy::Millis;
 use std::cell::Cell;
 use std::net::IpAddr;
 use tokio::sync::Notify;
 
-/// Time for a complete request from its first byte, and for the first one on a connection from the connect.
+/// Time limit for a complete request, from its first byte; for the first request on a connection
+/// from the connect.
 pub(super) const REQUEST_READ_TIMEOUT: Millis = 2000.0;
-/// What is added before a connection is closed without a response, so that a response can tell why.
+/// Added to the time limit before a connection is closed without a response, so that an error
+/// response can be sent first.
 const ERROR_RESPONSE_TIME: Millis = 200.0;
-/// Time for which a connection without a request is kept: usual clients come again sooner.
+/// How long a connection without a request is kept; typical clients send the next request sooner.
 const IDLE_TIMEOUT: Millis = 6000.0;
-/// A request that has been coming for this long may be given up where there is no room.
+/// Minimum age of an incomplete request that may be dropped when the connection limit is reached.
 const MIN_SLOW_REQUEST_AGE: Millis = 250.0;
 
 /// How a connection is to be closed.
@@ -24,28 +26,29 @@
     Immediate,
 }
 
-/// A connection that may be closed to make room, the one most missed first.
+/// Kinds of connections that may be closed to free capacity, in ascending priority for closing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ClosePriority {
-    /// In the midst of a request that is slow in coming.
+    /// A request is being received slowly.
     SlowRequest,
-    /// Between two requests.
+    /// The connection is between two requests.
     Idle,
-    /// Nothing was ever received on it.
+    /// The connection has not received any request.
     Unused,
 }
 
-/// A client's connection, as shared between its task, its socket and the accept loop.
+/// The state of a client's connection, shared by its task, its socket and the accept loop.
 #[derive(Debug)]
 pub(super) struct ClientConnection {
     opened_at: Millis,
     pub address: IpAddr,
-    /// When the first and the last bytes arrived of the request that is being read.
+    /// Arrival of the first byte of the request that is being read.
     first_byte_at: Cell<Option<Millis>>,
+    /// Arrival of the last byte so far.
     last_byte_at: Cell<Millis>,
-    /// Whether a complete request has arrived whose response is not ready.
+    /// Whether a complete request has arrived whose response is not ready yet.
     response_pending: Cell<bool>,
-    /// When its last response was ready; `None` before the first.
+    /// When the last response was ready; `None` before the first.
     idle_since: Cell<Option<Millis>>,
     close_mode: Cell<Option<CloseMode>>,
     close_requested: Notify,
@@ -71,18 +74,18 @@
             .set(self.first_byte_at.get().or(Some(now)));
     }
 
-    /// When the first byte arrived of the request that is being read. Of a request that arrived in one read with the one before it,
-    /// only that read's time is known.
+    /// When the first byte of the request that is being read arrived. For a request that arrived in
+    /// one read with the previous one, this is the time of that read.
     pub fn first_byte_at(&self) -> Millis {
         self.first_byte_at.get().unwrap_or(self.last_byte_at.get())
     }
 
-    /// When the last byte arrived so far.
+    /// When the last byte so far arrived.
     pub fn last_byte_at(&self) -> Millis {
         self.last_byte_at.get()
     }
 
-    /// A complete request has arrived: what is read from now on belongs to the next one.
+    /// Records that a complete request has arrived: bytes read from now on belong to the next one.
     pub fn request_complete(&self) {
         self.response_pending.set(true);
         self.first_byte_at.set(None);
@@ -93,8 +96,8 @@
         self.idle_since.set(Some(now));
     }
 
-    /// When the time began in which the present request has to arrive. A client's first is counted from the connect: it may not wait
-    /// first and be slow then.
+    /// When the time limit of the present request began. The first request is timed from the
+    /// connect, so that a client cannot first wait and then send slowly.
     pub fn read_started_at(&self) -> Millis {
         match (self.idle_since.get(), self.first_byte_at.get()) {
             (None, _) => self.opened_at,
@@ -103,7 +106,7 @@
         }
     }
 
-    /// How it is to be closed because its time is over; `None` while it is not.
+    /// How the connection must be closed because its time limit is over; `None` before.
     pub fn overdue_close(&self, now: Millis) -> Option<CloseMode> {
         let is_reading = self.idle_since.get().is_none() || self.first_byte_at.get().is_some();
         let (timeout, mode) = if is_reading {
@@ -118,8 +121,8 @@
         (!self.response_pending.get() && is_overdue).then_some(mode)
     }
 
-    /// How little it would be missed: by kind, then by how long it has been so. `None` while a response is pending, or once it has
-    /// been asked to close.
+    /// Priority for closing the connection: by kind, then by time in that state. `None` while a
+    /// response is pending, or once a close has been requested.
     pub fn close_priority(&self, now: Millis) -> Option<(ClosePriority, Millis)> {
         if self.response_pending.get() || self.close_mode.get().is_some() {
             return None;
@@ -134,13 +137,13 @@
         }
     }
 
-    /// Asks it to close.
+    /// Requests the close of the connection.
     pub fn close(&self, mode: CloseMode) {
         self.close_mode.set(Some(mode));
         self.close_requested.notify_one();
     }
 
-    /// Completes when it has been asked to close.
+    /// Completes once a close has been requested.
     pub async fn close_requested(&self) -> Option<CloseMode> {
         self.close_requested.notified().await;
         self.close_mode.get()
--- a/crates/maplefall/src/net/clients/mod.rs
+++ b/crates/maplefall/src/net/clients/mod.rs
@@ -1,13 +1,14 @@
-//! Clients: the listener, the shutdown, and the one final answer of each request.
+//! Clients over HTTP/1.1: the listener, the shutdown, and the single final response of each
+//! request.
 
 mod connection;
 mod socket;
 
-use super::auth::{Auth, AuthResponse, Checked};
+use super::auth::{Auth, AuthResponse, CheckOutcome};
 #[cfg(feature = "breakages")]
 use super::breakages;
 use super::driver::Driver;
-use super::request::{read_body, read_head, Bad};
+use super::request::{read_body, read_head, RequestError};
 use connection::{ClientConnection, CloseMode, ClosePriority, REQUEST_READ_TIMEOUT};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming as IncomingBody};
@@ -28,32 +29,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The readiness check of the front before the front doors.
+/// Path of the readiness check, which the load balancer in front of the gateways calls.
 const HEALTH_PATH: &str = "/_health";
-/// New connections go on coming for up to 0.4 s after SIGTERM; idle ones are kept until they have come.
+/// New connections arrive for up to 0.4 s after SIGTERM; idle connections are kept until then.
 const DRAIN_DELAY: Duration = Duration::from_millis(550);
-/// Longest time after SIGTERM beyond the longest deadline: SIGKILL comes 0.7 s beyond it.
+/// Maximum time from SIGTERM to the exit, beyond the longest deadline: SIGKILL is sent 0.7 s beyond
+/// that deadline.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(550);
-/// Time to accept what came just before the end.
+/// Time to accept connections that were opened just before the end.
 const ACCEPT_GRACE: Duration = Duration::from_millis(5);
-/// Pause after an accept that failed, as when the process has no descriptor left.
+/// Delay after a failed accept, for example when the process has no descriptor left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// How often connections are looked through.
+/// How often connections are checked for time limits.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// When a client whose caller could not be checked is told to come again: a breaker's first pause is over by then.
-const UNCHECKED_RETRY_AFTER: Millis = 1000.0;
+/// `Retry-After` for a client whose caller could not be checked: the first interval of the circuit
+/// breaker is over by then.
+const CHECK_UNAVAILABLE_RETRY_AFTER: Millis = 1000.0;
 
-/// The clients' side of a front door.
+/// The clients' side of a gateway.
 pub struct Clients {
     driver: Rc<Driver>,
-    /// Who checks callers, if anybody does.
+    /// Checks callers; `None` without forward authentication.
     auth: Option<Rc<Auth>>,
     connections: Rc<ConnectionTable<ClientConnection>>,
     phase: watch::Sender<ShutdownPhase>,
 }
 
 impl Clients {
-    /// The clients' side of `driver` within `sockets` descriptors for all.
+    /// Creates the clients' side of `driver`, in a process of `sockets` descriptors.
     pub fn new(driver: Rc<Driver>, auth: Option<Rc<Auth>>, sockets: usize) -> Rc<Clients> {
         Rc::new(Clients {
             driver,
@@ -66,7 +69,7 @@
         })
     }
 
-    /// Accepts connections for as long as the front door runs.
+    /// Accepts connections for as long as the process runs.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -81,8 +84,9 @@
         }
     }
 
-    /// Waits for the connection limit. A connection that the kernel has accepted for us counts as ours, so it must not wait long:
-    /// one other connection is closed, the one that is missed least.
+    /// Waits until the number of connections is below the limit. A connection that the kernel has
+    /// accepted counts as ours and must not wait long, so the connection with the highest priority
+    /// for closing is closed.
     async fn wait_for_capacity(&self) {
         self.connections
             .wait_for_capacity(
@@ -102,7 +106,7 @@
             .await;
     }
 
-    /// Closes what has had its time, for as long as the front door runs.
+    /// Closes connections whose time limit is over, for as long as the process runs.
     pub async fn sweep(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -117,7 +121,7 @@
 
     async fn serve(self: Rc<Self>, stream: TcpStream, guard: ConnectionGuard<ClientConnection>) {
         let connection = guard.state();
-        // Without it answers are late, not wrong.
+        // Without TCP_NODELAY responses are late, not wrong.
         let _ = stream.set_nodelay(true);
         let io = TokioIo::new(ObservedSocket::new(
             stream,
@@ -126,7 +130,7 @@
         ));
         let service = service_fn(|request| {
             let (clients, connection) = (self.clone(), connection.clone());
-            async move { Ok::<_, Infallible>(clients.answer(request, &connection).await) }
+            async move { Ok::<_, Infallible>(clients.respond(request, &connection).await) }
         });
         let http = hyper::server::conn::http1::Builder::new()
             .max_buf_size(MAX_BUFFER_BYTES)
@@ -136,7 +140,8 @@
         let mut closing = false;
         loop {
             tokio::select! {
-                // An error is a client that went away or wrote no HTTP; the library has answered the latter.
+                // An error means that the client disconnected or sent invalid HTTP; the library has
+                // responded to the latter.
                 _ = http.as_mut() => return,
                 _ = phase.wait_for(|phase| *phase == ShutdownPhase::ClosingIdle), if !closing => {}
                 mode = connection.close_requested() => if mode == Some(CloseMode::Immediate) { return },
@@ -146,17 +151,18 @@
         }
     }
 
-    /// The planned stop: goes on accepting, answers what has come, and returns when all is answered.
+    /// Shuts down gracefully: still accepts connections, responds to all requests that arrive, and
+    /// returns when every connection is closed or the time limit is over.
     pub async fn stop(&self) {
-        let longest = self
+        let max_deadline = self
             .driver
             .settings
             .classes
             .iter()
             .map(|class| class.deadline)
             .fold(0.0, f64::max);
-        let longest = Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default();
-        let end = tokio::time::Instant::now() + longest + SHUTDOWN_GRACE;
+        let max_deadline = Duration::try_from_secs_f64(max_deadline / 1000.0).unwrap_or_default();
+        let end = tokio::time::Instant::now() + max_deadline + SHUTDOWN_GRACE;
         self.phase.send_replace(ShutdownPhase::ClosingAfterResponse);
         #[cfg(feature = "breakages")]
         if breakages::is(breakages::Breakage::DropsOnTerm) {
@@ -168,17 +174,17 @@
             let closed = tokio::time::timeout_at(end, self.connections.closed()).await;
             if closed.is_err() {
                 eprintln!(
-                    "stopped with {} requests unanswered",
-                    self.driver.unanswered()
+                    "stopped with {} requests without a response",
+                    self.driver.requests_without_response()
                 );
                 return;
             }
-            // One more may be waiting to be accepted.
+            // A further connection may wait to be accepted.
             tokio::time::sleep(ACCEPT_GRACE).await;
         }
     }
 
-    async fn answer(
+    async fn respond(
         &self,
         request: Request<IncomingBody>,
         connection: &ClientConnection,
@@ -188,13 +194,13 @@
             connection.request_complete();
             self.health()
         } else {
-            self.decide(request, connection)
+            self.handle_request(request, connection)
                 .await
-                .unwrap_or_else(|bad| {
-                    // Nothing that follows on such a connection can be trusted to be a request.
+                .unwrap_or_else(|error| {
+                    // Later bytes on this connection cannot be trusted to be a request.
                     close = true;
-                    let mut response = Response::new(Full::new(Bytes::from(format!("{bad}\n"))));
-                    *response.status_mut() = bad.status();
+                    let mut response = Response::new(Full::new(Bytes::from(format!("{error}\n"))));
+                    *response.status_mut() = error.status();
                     response
                 })
         };
@@ -215,11 +221,11 @@
         response
     }
 
-    async fn decide(
+    async fn handle_request(
         &self,
         request: Request<IncomingBody>,
         connection: &ClientConnection,
-    ) -> Result<Response<Full<Bytes>>, Bad> {
+    ) -> Result<Response<Full<Bytes>>, RequestError> {
         let first = connection.first_byte_at();
         let (head, body) = request.into_parts();
         let mut incoming = read_head(&self.driver.settings, &self.driver.names, &head, first)?;
@@ -235,13 +241,16 @@
         incoming.authorized = auth.is_none();
         #[cfg(feature = "breakages")]
         let incoming_deadline = incoming.deadline;
-        let (id, mut answer) = self.driver.start_request(incoming).ok_or(Bad::Twice)?;
+        let (id, mut answer) = self
+            .driver
+            .start_request(incoming)
+            .ok_or(RequestError::DuplicateId)?;
         let mut disconnect_guard = DisconnectGuard {
             driver: &self.driver,
             id: Some(id),
         };
-        let checked = match auth.filter(|_| self.driver.awaits_check(id)) {
-            None => Checked::Passed,
+        let checked = match auth.filter(|_| self.driver.awaits_authorization(id)) {
+            None => CheckOutcome::Passed,
             Some(auth) => {
                 let caller = auth.caller(&head, class, plan, connection.address);
                 auth.authorize(&self.driver, caller, id, deadline, &mut answer)
@@ -249,15 +258,15 @@
             }
         };
         let answer = match checked {
-            Checked::Passed => answer.await.unwrap_or(Answer::Failed),
-            Checked::Answered(answer) => answer,
-            Checked::Denied(carried) => {
+            CheckOutcome::Passed => answer.await.unwrap_or(Answer::Failed),
+            CheckOutcome::Answered(answer) => answer,
+            CheckOutcome::Denied(auth_response) => {
                 disconnect_guard.id = None;
-                return Ok(denial(&carried));
+                return Ok(denial_response(&auth_response));
             }
-            Checked::Unchecked => {
+            CheckOutcome::Unavailable => {
                 disconnect_guard.id = None;
-                return Ok(self.unchecked());
+                return Ok(self.check_unavailable_response());
             }
         };
         disconnect_guard.id = None;
@@ -266,18 +275,18 @@
             let late = incoming_deadline + breakages::HELD_MS;
             tokio::time::sleep_until(self.driver.clock.instant(late)).await;
         }
-        Ok(response(answer))
+        Ok(http_response(answer))
     }
 }
 
 impl Clients {
-    /// The answer to a request whose caller could not be checked: nothing has run.
-    fn unchecked(&self) -> Response<Full<Bytes>> {
+    /// The response to a request whose caller could not be checked: no attempt was made.
+    fn check_unavailable_response(&self) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         let settings = &self.driver.settings;
         if settings.retry_after {
-            let wait = UNCHECKED_RETRY_AFTER.min(settings.max_retry_after);
+            let wait = CHECK_UNAVAILABLE_RETRY_AFTER.min(settings.max_retry_after);
             if let Some(wait) = retry_after_value(wait) {
                 response.headers_mut().insert(RETRY_AFTER, wait);
             }
@@ -286,15 +295,16 @@
     }
 }
 
-/// The service's own answer, whole.
-fn denial(carried: &AuthResponse) -> Response<Full<Bytes>> {
+/// The authentication service's complete response.
+fn denial_response(auth_response: &AuthResponse) -> Response<Full<Bytes>> {
     let AuthResponse::Denial {
         status,
         headers,
         body,
-    } = carried
+    } = auth_response
     else {
-        // A denial that is none cannot be: the gate hands out what was handed in.
+        // Unreachable: the gate returns the verdict that it was given, so a denial has this
+        // variant.
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::FORBIDDEN;
         return response;
@@ -307,7 +317,7 @@
     response
 }
 
-/// Tells the driver when a client goes away before its answer.
+/// Notifies the driver when a client disconnects before its response.
 struct DisconnectGuard<'a> {
     driver: &'a Rc<Driver>,
     id: Option<RequestId>,
@@ -321,7 +331,7 @@
     }
 }
 
-fn response(answer: Answer) -> Response<Full<Bytes>> {
+fn http_response(answer: Answer) -> Response<Full<Bytes>> {
     let (status, body, wait) = match answer {
         Answer::Served(body) => (StatusCode::OK, body, None),
         Answer::Refused(wait) => (StatusCode::TOO_MANY_REQUESTS, Bytes::new(), wait),
--- a/crates/maplefall/src/net/clients/socket.rs
+++ b/crates/maplefall/src/net/clients/socket.rs
@@ -1,4 +1,5 @@
-//! A client's socket that notes when bytes arrive, which the HTTP library does not show before a head is complete.
+//! A client's socket that records when bytes arrive: the HTTP library does not report this before a
+//! head is complete.
 
 use super::connection::ClientConnection;
 #[cfg(feature = "breakages")]
@@ -54,7 +55,7 @@
                 && breakages::is(breakages::Breakage::LateVerdictAnswers))
         {
             let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
-            // Where there is no room for it, this one answer stays alone.
+            // If the socket's buffer is full, this response is written once only.
             let _ = self.stream.try_write(buf);
             return wrote;
         }
--- a/crates/maplefall/src/net/config.rs
+++ b/crates/maplefall/src/net/config.rs
@@ -1,7 +1,7 @@
 //! The configuration: the `BALANCER_*` variables and the JSON file that one of them names.
 //!
-//! Invariant: at the start a variable has precedence over the file's entry; on reload the file has, as variables of a running
-//! process cannot change.
+//! Invariant: at the start a variable has precedence over the file's entry; on reload the file has
+//! precedence, because the variables of a running process cannot change.
 
 use maplefall_protocol::Members;
 use maplefall_settings::{self as settings, Told};
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Why a configuration cannot be used; each is one line.
+/// The reason why a configuration cannot be used; each message is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable that names the file is not set.
@@ -20,26 +20,26 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system said.
+        /// The system's error.
         error: std::io::Error,
     },
-    /// The file is not what it should be.
+    /// The file is malformed.
     #[error("{path}: {error}")]
     Malformed {
         /// The file.
         path: String,
-        /// Where and why.
+        /// The parser's error, with the position.
         error: serde_json::Error,
     },
-    /// An address is not one.
+    /// An address cannot be parsed.
     #[error("{name}: {value:?} is not an address with a port")]
     Address {
-        /// Whose address.
+        /// The variable or field.
         name: &'static str,
-        /// What stood there.
+        /// The invalid value.
         value: String,
     },
-    /// A figure is out of bounds.
+    /// A value is out of bounds.
     #[error("{0}")]
     Value(String),
 }
@@ -47,19 +47,19 @@
 /// Limits of the machine.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// File descriptors of the process at most.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Memory of the process at most, in MiB; 32 by default.
+    /// Maximum memory of the process in MiB; 32 by default.
     #[serde(default = "min_memory_mb")]
     pub memory_mb: usize,
 }
 
-/// The memory that every deployment has at least, in MiB.
+/// The minimum memory of every deployment, in MiB.
 pub fn min_memory_mb() -> usize {
     32
 }
 
-/// The file as it is deserialized.
+/// The JSON form of the file.
 #[derive(Debug, Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -77,30 +77,30 @@
 /// The configuration of a process.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, for its log.
+    /// The name in the log.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Addresses of discovery, the likeliest first; never empty.
+    /// Addresses of discovery, most likely first; never empty.
     pub discovery: Vec<SocketAddr>,
-    /// The seed of random numbers; new with each start.
+    /// The seed of random numbers; different at each start.
     pub seed: u64,
     /// Limits of the machine.
     pub limits: Limits,
-    /// The list of backends as this process last had it.
+    /// The list of backends that this process last had.
     pub known: Option<Members>,
-    /// The settings, as they were parsed.
+    /// The parsed settings.
     pub parsed: Told,
 }
 
-/// Descriptors that the process needs at least.
+/// Minimum number of descriptors of the process.
 pub const MIN_SOCKETS: usize = 32;
 
 impl Config {
-    /// Reads the variables and the file. A variable has precedence over the file's entry.
+    /// Reads the variables and the file; a variable has precedence over the file's entry.
     ///
     /// # Errors
-    /// The first mistake.
+    /// The first error.
     pub fn from_env() -> Result<Config, ConfigError> {
         let file = ConfigFile::read()?;
         let variable_or =
@@ -110,8 +110,8 @@
             "BALANCER_DISCOVERY",
             &variable_or("BALANCER_DISCOVERY", &file.discovery),
         )?];
-        // After discovery has moved, one of the two may have the old address: the file's is used where the variable's does not
-        // answer.
+        // After discovery has moved, one of the two may be the old address: the file's is used if
+        // the variable's does not respond.
         if let Ok(other) = file.discovery.parse() {
             if !discovery.contains(&other) {
                 discovery.push(other);
@@ -131,11 +131,12 @@
         })
     }
 
-    /// The address of discovery by a file that was replaced while the process runs. The file has precedence over the variable
-    /// here: a variable cannot change in a running process, so it has the old address.
+    /// Reads the address of discovery from a file that was replaced while the process runs. Here
+    /// the file has precedence: a variable of a running process cannot change, so its address is
+    /// the old one.
     ///
     /// # Errors
-    /// Any mistake in the file, also elsewhere in it.
+    /// Any error in the file, also in other entries.
     pub fn reload_discovery() -> Result<SocketAddr, ConfigError> {
         let file = ConfigFile::read()?;
         file.check()?;
@@ -144,7 +145,7 @@
 }
 
 impl ConfigFile {
-    /// Reads the file that the variable names.
+    /// Reads the file that `BALANCER_CONFIG` names.
     fn read() -> Result<ConfigFile, ConfigError> {
         let path = std::env::var("BALANCER_CONFIG").map_err(|_| ConfigError::Missing)?;
         let text = std::fs::read_to_string(&path).map_err(|error| ConfigError::Unreadable {
@@ -154,7 +155,7 @@
         serde_json::from_str(&text).map_err(|error| ConfigError::Malformed { path, error })
     }
 
-    /// The seed and the settings, if they and the limits are usable.
+    /// Returns the seed and the settings if these and the limits are valid.
     fn check(&self) -> Result<(u64, Told), ConfigError> {
         let seed = u64::from_str_radix(&self.seed, 16).map_err(|_| {
             ConfigError::Value(format!("seed: {:?} is not a hexadecimal number", self.seed))
--- a/crates/maplefall/src/net/driver/attempts.rs
+++ b/crates/maplefall/src/net/driver/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts: what the decision module sends to backends, and how each attempt ends.
+//! Attempts at backends: starting them for the decision module, and ending each.
 //!
-//! Invariant: an attempt is finished once, by its response, its timeout or its cancellation, whichever comes first; what comes
-//! later finds it gone from the table.
+//! Invariant: an attempt is finished once, by its response, its timeout or its cancellation,
+//! whichever comes first. A later one of these no longer finds the attempt in the table.
 
 use super::state::Attempt;
 use super::timers::TimerEvent;
@@ -15,22 +15,23 @@
 use maplefall_upstream::AttemptHandle;
 use std::rc::Rc;
 
-/// An attempt as its task needs it.
+/// The parameters of an attempt's task.
 struct OutgoingAttempt {
     request: RequestId,
     number: u32,
     backend: BackendId,
     forwarded: Rc<Order>,
-    /// The call, if the request came over gRPC.
+    /// The gRPC call, if the request arrived over gRPC.
     call: Option<Rc<ProxiedCall>>,
-    /// How long it may take, in milliseconds.
+    /// Time limit of the attempt in milliseconds.
     timeout: Millis,
-    /// What is done lest a broken connection takes it along.
+    /// Precaution against a connection that breaks during the attempt.
     send_mode: SendMode,
 }
 
 impl Driver {
-    /// Sends a request to a backend. `timeout` ends the attempt; the request's deadline does so without one.
+    /// Sends a request to a backend. The attempt ends after `timeout`, and at the request's
+    /// deadline at the latest.
     pub(super) fn send(
         self: &Rc<Self>,
         id: RequestId,
@@ -47,11 +48,11 @@
         request.attempts_started += 1;
         let timeout = timeout.unwrap_or(f64::INFINITY).min(request.deadline - now);
         let not_needed =
-            request.answer_sender.is_none() || request.in_flight.is_some() || timeout <= 0.0;
+            request.response_sender.is_none() || request.in_flight.is_some() || timeout <= 0.0;
         if not_needed || number >= self.settings.max_attempts {
             drop(state);
             let end = Ended::of(Outcome::NotSent);
-            let event = settlement(id, number, backend, 0.0, &end, false);
+            let event = attempt_ended(id, number, backend, 0.0, &end, false);
             return self.post(now, Event::AttemptEnded(event));
         }
         if let Some(counts) = self.shared_counts.get().filter(|_| number == 0) {
@@ -80,7 +81,7 @@
         self.set_timer(now + timeout, TimerEvent::AttemptTimeout(id, number));
     }
 
-    /// Starts the task of an attempt.
+    /// Spawns the task of an attempt.
     fn spawn_attempt(self: &Rc<Self>, attempt: OutgoingAttempt) -> AttemptHandle {
         #[cfg(feature = "breakages")]
         let attempt = self.break_attempt(attempt);
@@ -125,7 +126,7 @@
         self.grpc_backends.attempt(attempt.backend, context).await
     }
 
-    /// Finishes an attempt, unless it is finished.
+    /// Finishes an attempt, unless it has been finished already.
     pub(super) fn finish_attempt(self: &Rc<Self>, id: RequestId, number: u32, mut end: Ended) {
         let now = self.clock.now();
         let event = {
@@ -140,7 +141,8 @@
                 return;
             };
             if matches!(end.outcome, Outcome::Cancelled | Outcome::Timeout) {
-                // What has not been written to its last byte when its connection is closed cannot run.
+                // A request that has not been written to its last byte when the connection closes
+                // cannot run.
                 if end.outcome == Outcome::Timeout && !attempt.handle.fully_written() {
                     end.outcome = Outcome::ConnectFailed;
                 }
@@ -149,7 +151,7 @@
             #[cfg(feature = "breakages")]
             self.break_end(&mut end, attempt.backend, &request.forwarded);
             if let Some(sender) = request
-                .answer_sender
+                .response_sender
                 .take_if(|_| end.outcome == Outcome::Ok)
             {
                 let _ = sender.send(Answer::Served(end.body.clone()));
@@ -159,16 +161,17 @@
                 counts.record_usage(now, request.customer, request.plan, correction);
             }
             let elapsed = now - attempt.sent_at;
-            let answered = request.answer_sender.is_none();
-            settlement(id, number, attempt.backend, elapsed, &end, answered)
+            let request_closed = request.response_sender.is_none();
+            attempt_ended(id, number, attempt.backend, elapsed, &end, request_closed)
         };
         self.post(now, Event::AttemptEnded(event));
         self.state.borrow_mut().remove_if_finished(id);
     }
 }
 
-/// The end of an attempt as the decision module takes it. `request_closed`: the request has its final answer.
-fn settlement(
+/// Builds the decision module's event for the end of an attempt. `request_closed`: the request has
+/// its final response.
+fn attempt_ended(
     request: RequestId,
     attempt: u32,
     backend: BackendId,
@@ -190,7 +193,7 @@
     }
 }
 
-/// Breakages of rehearsals; no released build has them.
+/// Deliberate faults for rehearsals; no released build contains them.
 #[cfg(feature = "breakages")]
 impl Driver {
     fn break_attempt(&self, mut attempt: OutgoingAttempt) -> OutgoingAttempt {
@@ -215,7 +218,7 @@
         }
     }
 
-    /// Sends a request once more, past the decision module, after so many milliseconds.
+    /// Sends a further copy of a request after `after_ms`, without the decision module.
     fn resend(self: &Rc<Self>, backend: BackendId, forwarded: Rc<Order>, after_ms: u64) {
         let driver = self.clone();
         tokio::task::spawn_local(async move {
@@ -234,7 +237,8 @@
         });
     }
 
-    /// Sends a request once more, past the decision module, to the backend that has its attempt in flight.
+    /// Sends a further copy of a request to the backend of its attempt in flight, without the
+    /// decision module.
     pub fn resend_in_flight(self: &Rc<Self>, id: RequestId) {
         let state = self.state.borrow();
         let Some(request) = state.requests.get(&id) else {
--- a/crates/maplefall/src/net/driver/backend_list.rs
+++ b/crates/maplefall/src/net/driver/backend_list.rs
@@ -1,6 +1,7 @@
-//! The list of backends: changes of the membership, as connection pools and the decision module take them.
+//! The list of backends: applies changes of the membership to the connection pools and passes them
+//! to the decision module.
 //!
-//! Invariant: a backend's pool is open, draining or removed before the decision module learns of it.
+//! Invariant: a backend's pool is open, draining or removed before the decision module is notified.
 
 use super::state::State;
 use super::Driver;
@@ -18,7 +19,7 @@
         self.apply_changes_now(&changes);
     }
 
-    /// Applies changes of the list of backends, late where that is the breakage.
+    /// Applies changes of the list of backends, after a delay if that is the breakage under test.
     #[cfg(feature = "breakages")]
     pub fn apply_changes(self: &Rc<Self>, changes: Vec<Member>) {
         if !breakages::is(Breakage::DrainLate) {
@@ -45,7 +46,7 @@
         );
     }
 
-    /// Applies a change to the pools, and gives the backend's entry for the decision module.
+    /// Applies a change to the pools and returns the backend's entry for the decision module.
     fn apply_change(&self, state: &mut State, member: &Member) -> Option<BackendEntry> {
         #[cfg(feature = "breakages")]
         if member.health != Health::Up && breakages::is(Breakage::DrainIgnored) {
@@ -71,7 +72,7 @@
         let zone = self.names.zones.iter().position(|zone| *zone == site);
         let entry = BackendEntry {
             id,
-            // Sites that the settings do not name share a zone.
+            // Sites that are not in the settings share a zone.
             zone: ZoneId(zone.map_or(u32::MAX, |zone| zone as u32)),
             cell: CellId(member.block),
             availability,
@@ -83,7 +84,7 @@
         Some(entry)
     }
 
-    /// Breakages of rehearsals; no released build has them.
+    /// Deliberate faults for rehearsals; no released build contains them.
     #[cfg(feature = "breakages")]
     fn break_entry(&self, entry: BackendEntry) -> BackendEntry {
         if entry.availability == Availability::Ready && entry.started.is_some() {
--- a/crates/maplefall/src/net/driver/mod.rs
+++ b/crates/maplefall/src/net/driver/mod.rs
@@ -1,11 +1,13 @@
-//! The driver: feeds events to the decision module (`maplefall-policy`) and executes the actions that it returns.
+//! The driver: feeds events to the decision module (`maplefall-policy`) and executes the actions
+//! that the module returns.
 //!
-//! It owns the decision module, the tables of requests and attempts, the timers, and the maps between names on the wire and
-//! the module's numbers. Invariant: `Driver::post` is the only place that calls the module, and events that arise while
-//! actions are executed wait in a queue, so that the module is never re-entered.
+//! The driver owns the decision module, the tables of requests and attempts, the timers, and the
+//! maps between names on the wire and the module's ids. Invariant: only `Driver::post` calls the
+//! module, and events that arise while actions are executed are queued, so the module is never
+//! re-entered.
 //!
-//! One file a concern: [`requests`] (arrival to final answer), [`attempts`], [`timers`], [`backend_list`], and the tables in
-//! [`state`].
+//! One file for each concern: [`requests`] (arrival to final response), [`attempts`], [`timers`],
+//! [`backend_list`], and the tables in [`state`].
 
 mod attempts;
 mod backend_list;
@@ -33,17 +35,17 @@
 use timers::TimerEvent;
 use tokio::sync::Notify;
 
-/// The driver of one process, on one thread.
+/// The driver of one process; single-threaded.
 pub struct Driver {
-    /// The clock of all that is decided, in Unix milliseconds.
+    /// The clock of all decisions, in Unix milliseconds.
     pub clock: Clock,
     /// The settings of the configuration file.
     pub settings: Settings,
-    /// The names that the settings give to numbers.
+    /// Names of classes, plans, zones and metrics, by the ids that the settings assign.
     pub names: Names,
     pools: Rc<Pools>,
     grpc_backends: grpc::Backends,
-    /// Set once before anything is served, where usage is shared with peers.
+    /// Set once before the first request, if usage is shared with peers.
     shared_counts: OnceCell<Rc<SharedCounts>>,
     response_reader: Rc<ResponseReader>,
     state: RefCell<State>,
@@ -58,14 +60,14 @@
     last_started: Cell<Option<BackendId>>,
 }
 
-/// The settings for the decision module.
+/// Returns the settings for the decision module.
 fn policy_settings(settings: Settings) -> Settings {
     #[cfg(feature = "breakages")]
     let settings = breakages::settings(settings);
     settings
 }
 
-/// Ends the process if the decision module panics: one that cannot decide must not go on taking requests.
+/// Ends the process if the decision module panics, because no further request could be decided.
 struct ExitOnPanic;
 
 impl Drop for ExitOnPanic {
@@ -77,7 +79,8 @@
 }
 
 impl Driver {
-    /// A driver with an empty list of backends. `reserved_sockets` of the descriptors for backends are used elsewhere.
+    /// Creates a driver with an empty list of backends. `reserved_sockets` of the descriptors for
+    /// backends are used elsewhere.
     pub fn new(
         config: &Config,
         reserved_sockets: usize,
@@ -120,18 +123,18 @@
         })
     }
 
-    /// Shares usage with peers from now on.
+    /// Enables sharing of usage with peers.
     pub fn enable_shared_counts(&self, counts: Rc<SharedCounts>) {
-        // It is set once; a second call would change nothing.
+        // A second call changes nothing.
         let _ = self.shared_counts.set(counts);
     }
 
-    /// Whether any backend is known.
+    /// Returns whether any backend is known.
     pub fn ready(&self) -> bool {
         self.state.borrow().has_backends()
     }
 
-    /// Feeds an event to the decision module, or queues it behind the one that is being handled.
+    /// Passes an event to the decision module, or queues it if another event is being handled.
     fn post(self: &Rc<Self>, at: Millis, event: Event) {
         self.event_queue.borrow_mut().push_back((at, event));
         if self.handling.replace(true) {
@@ -142,7 +145,8 @@
             let Some((at, event)) = self.event_queue.borrow_mut().pop_front() else {
                 break;
             };
-            // Two events may have been read in another order than they came; the module's time never goes back.
+            // Events may be read in another order than they occurred; the module's time never goes
+            // back.
             let at = at.max(self.last_event_at.get());
             self.last_event_at.set(at);
             let exit_on_panic = ExitOnPanic;
@@ -169,27 +173,28 @@
             } => self.send(request, backend, timeout, mode),
             Action::Authorize(request) => {
                 if let Some(entry) = self.state.borrow_mut().requests.get_mut(&request) {
-                    entry.awaits_check = true;
+                    entry.awaits_authorization = true;
                 }
             }
             Action::Reject {
                 request,
                 retry_after,
                 ..
-            } => self.send_answer(request, Answer::Refused(retry_after)),
-            Action::Fail(request) => self.send_answer(request, Answer::Failed),
+            } => self.send_response(request, Answer::Refused(retry_after)),
+            Action::Fail(request) => self.send_response(request, Answer::Failed),
             Action::CancelAttempt { request, attempt } => {
                 self.finish_attempt(request, attempt, Ended::of(Outcome::Cancelled))
             }
-            Action::SetTimer { at, timer } => self.set_timer(at, TimerEvent::Alarm(timer)),
+            Action::SetTimer { at, timer } => self.set_timer(at, TimerEvent::PolicyTimer(timer)),
             Action::CloseIdle(backend) => self.pools.close_idle(backend),
             Action::Log(text) => eprintln!("{text}"),
-            // Changes of the list come without a subscription, and health checks are not permitted.
+            // Changes of the list are received without a subscription, and health checks are not
+            // permitted.
             Action::Subscribe | Action::FetchBackends | Action::Probe(_) => {}
         }
     }
 
-    /// Closes idle connections before backends do, for as long as the process runs.
+    /// Closes idle connections before the backends close them, for as long as the process runs.
     pub async fn close_idle_connections(self: Rc<Self>) {
         tokio::join!(
             self.pools.close_idle_periodically(),
--- a/crates/maplefall/src/net/driver/requests.rs
+++ b/crates/maplefall/src/net/driver/requests.rs
@@ -1,7 +1,7 @@
-//! Requests: from their arrival to the one final answer of each.
+//! Requests, from arrival to the single final response.
 //!
-//! Invariant: whoever takes a request's answer sender out of the table gives the final answer, so there is never a second
-//! one.
+//! Invariant: the code that takes a request's response sender out of the table sends the final
+//! response, so there is never a second one.
 
 use super::state::PendingRequest;
 use super::timers::TimerEvent;
@@ -14,8 +14,8 @@
 use tokio::sync::oneshot;
 
 impl Driver {
-    /// Starts a request and gives its number and the receiver of its final answer; `None` if its id is in use or was a moment
-    /// ago.
+    /// Starts a request and returns its id and the receiver of its final response; `None` if the
+    /// client's request id is in use or was used recently.
     pub fn start_request(
         self: &Rc<Self>,
         incoming: Incoming,
@@ -23,7 +23,7 @@
         self.start_call(incoming, None)
     }
 
-    /// Starts a request that may have come over gRPC, as [`Driver::start_request`] does.
+    /// Like [`Driver::start_request`], for a request that may have arrived over gRPC.
     pub fn start_call(
         self: &Rc<Self>,
         incoming: Incoming,
@@ -41,10 +41,10 @@
                 plan: incoming.plan,
                 reserved_units: incoming.units,
                 deadline: incoming.deadline,
-                answer_sender: Some(sender),
+                response_sender: Some(sender),
                 attempts_started: 0,
                 in_flight: None,
-                awaits_check: false,
+                awaits_authorization: false,
                 call,
                 response_started: false,
             })
@@ -61,7 +61,8 @@
             gateways: incoming.gateways,
         };
         if let Some(counts) = self.shared_counts.get() {
-            // What is known of the customer's usage at peers goes first, so that this request is decided by it.
+            // The customer's usage at peers goes first, so that it counts in the decision on this
+            // request.
             if let Some(usage) = counts.usage_elsewhere(incoming.at, request.customer, request.plan)
             {
                 self.post(incoming.at, Event::RemoteUsage(usage));
@@ -71,31 +72,31 @@
         Some((id, receiver))
     }
 
-    /// Records that peers have admitted more for a customer.
+    /// Passes on that peers have admitted more requests of a customer.
     pub fn record_usage_elsewhere(self: &Rc<Self>, at: Millis, usage: RemoteUsage) {
         self.post(at, Event::RemoteUsage(usage));
     }
 
-    /// Whether a request waits for its caller's check.
-    pub fn awaits_check(&self, id: RequestId) -> bool {
+    /// Returns whether a request waits for the authorization of its caller.
+    pub fn awaits_authorization(&self, id: RequestId) -> bool {
         self.state
             .borrow()
             .requests
             .get(&id)
-            .is_some_and(|request| request.awaits_check)
+            .is_some_and(|request| request.awaits_authorization)
     }
 
-    /// The caller of a pending request has passed its check, which adds these headers for the backend. A request that has been
-    /// answered stays as it is.
-    pub fn check_passed(self: &Rc<Self>, id: RequestId, onward: &[(HeaderName, HeaderValue)]) {
+    /// Records that the caller of a pending request is authorized; `onward` are headers for the
+    /// backend. A request that has its response already is not changed.
+    pub fn caller_authorized(self: &Rc<Self>, id: RequestId, onward: &[(HeaderName, HeaderValue)]) {
         if let Some(request) = self
             .state
             .borrow_mut()
             .requests
             .get_mut(&id)
-            .filter(|request| request.awaits_check)
+            .filter(|request| request.awaits_authorization)
         {
-            request.awaits_check = false;
+            request.awaits_authorization = false;
             if !onward.is_empty() {
                 let forwarded = Order {
                     onward: onward.to_vec(),
@@ -111,32 +112,35 @@
         self.post(self.clock.now(), event);
     }
 
-    /// The caller of a pending request has failed its check, and the caller of this function answers it; `false` if the
-    /// request has been answered already.
-    pub fn check_denied(self: &Rc<Self>, id: RequestId) -> bool {
+    /// Records that the caller of a pending request is not authorized. Returns `true` if the caller
+    /// of this function has to respond, `false` if the request has its response already.
+    pub fn caller_denied(self: &Rc<Self>, id: RequestId) -> bool {
         let event = Event::Authorized {
             request: id,
             allowed: false,
         };
-        self.end_unanswered(id, event)
+        self.end_without_response(id, event)
     }
 
-    /// The client of a request has disconnected; nothing happens if the request has been answered.
+    /// Records that the client of a request has disconnected. Does nothing if the request has its
+    /// response already.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
-        self.end_unanswered(id, Event::ClientDisconnected(id));
+        self.end_without_response(id, Event::ClientDisconnected(id));
     }
 
-    /// Ends a request without an answer from here and posts the reason; `false` if it has been answered already.
-    fn end_unanswered(self: &Rc<Self>, id: RequestId, event: Event) -> bool {
-        let unanswered = self.state.borrow_mut().take_answer_sender(id).is_some();
-        if unanswered {
+    /// Ends a request without a response from the driver and posts the reason; `false` if the
+    /// request has its response already.
+    fn end_without_response(self: &Rc<Self>, id: RequestId, event: Event) -> bool {
+        let was_pending = self.state.borrow_mut().take_response_sender(id).is_some();
+        if was_pending {
             self.post(self.clock.now(), event);
             self.state.borrow_mut().remove_if_finished(id);
         }
-        unanswered
+        was_pending
     }
 
-    /// The response to a call is on its way to its client: no further attempt can take the place of this one.
+    /// Records that the response to a call is being sent to its client: no further attempt can
+    /// replace the present one.
     pub fn response_started(self: &Rc<Self>, id: RequestId) {
         if let Some(request) = self.state.borrow_mut().requests.get_mut(&id) {
             request.response_started = true;
@@ -144,7 +148,8 @@
         self.post(self.clock.now(), Event::StreamStarted(id));
     }
 
-    /// Ends the attempt of a call whose client has disconnected, where the settings permit it.
+    /// Cancels the attempt of a call whose client has disconnected, if the settings permit
+    /// cancellation.
     pub fn cancel_if_permitted(self: &Rc<Self>, id: RequestId) {
         let number = self
             .state
@@ -157,23 +162,23 @@
         }
     }
 
-    /// Gives a request its final answer, unless it has one.
-    pub(super) fn send_answer(&self, id: RequestId, answer: Answer) {
+    /// Sends a request its final response, unless it has one already.
+    pub(super) fn send_response(&self, id: RequestId, answer: Answer) {
         let mut state = self.state.borrow_mut();
-        if let Some(sender) = state.take_answer_sender(id) {
-            // The client may have disconnected; then nobody receives it.
+        if let Some(sender) = state.take_response_sender(id) {
+            // Fails if the client has disconnected.
             let _ = sender.send(answer);
         }
         state.remove_if_finished(id);
     }
 
-    /// Requests that have no final answer yet.
-    pub fn unanswered(&self) -> usize {
+    /// Returns the number of requests without a final response.
+    pub fn requests_without_response(&self) -> usize {
         self.state
             .borrow()
             .requests
             .values()
-            .filter(|request| request.answer_sender.is_some())
+            .filter(|request| request.response_sender.is_some())
             .count()
     }
 }
--- a/crates/maplefall/src/net/driver/state.rs
+++ b/crates/maplefall/src/net/driver/state.rs
@@ -1,8 +1,9 @@
-//! The tables of the driver: requests, the ids that clients chose, and the numbers that stand for backends in the decision
+//! The driver's tables: requests, their ids on the wire, and the ids of backends in the decision
 //! module.
 //!
-//! Invariant: a request is in the table for as long as it has no final answer or an attempt is in flight; its id stays known
-//! from its arrival until [`REQUEST_ID_RETENTION`] after its deadline, so that one id is forwarded for one request only.
+//! Invariant: a request is in the table until it has a final response and no attempt in flight. Its
+//! id is kept from its arrival until [`REQUEST_ID_RETENTION`] after its deadline, so that only one
+//! request with an id is forwarded.
 
 use super::timers::TimerQueue;
 use crate::net::grpc::ProxiedCall;
@@ -13,30 +14,31 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// How long after its deadline the id of a finished request is still rejected, in milliseconds. Every request has an id of
-/// its own, a client's retry too: one that comes again belongs to another request, which would run a second time.
+/// How long after its deadline the id of a finished request is still rejected, in milliseconds.
+/// Every request has its own id, a client's retry too: a repeated id belongs to another request,
+/// which would run a second time.
 const REQUEST_ID_RETENTION: Millis = 5000.0;
-/// Ids of finished requests that are kept at most; beyond it the oldest is dropped before its time.
+/// Maximum number of ids of finished requests; beyond it the oldest is dropped early.
 const MAX_RETAINED_REQUEST_IDS: usize = 8192;
 
-/// A request that has no final answer yet, or an attempt of which is in flight.
+/// A request that has no final response yet, or still has an attempt in flight.
 pub(super) struct PendingRequest {
-    /// What its attempts send.
+    /// The request that is forwarded to backends.
     pub(super) forwarded: Rc<Order>,
     pub(super) customer: CustomerId,
     pub(super) plan: PlanId,
-    /// Units that its customer's quota was charged for at its arrival.
+    /// Units charged to the customer's quota on arrival.
     pub(super) reserved_units: f64,
     pub(super) deadline: Millis,
-    /// Present until the one final answer has been sent.
-    pub(super) answer_sender: Option<oneshot::Sender<Answer>>,
+    /// `Some` until the final response has been sent.
+    pub(super) response_sender: Option<oneshot::Sender<Answer>>,
     pub(super) attempts_started: u32,
     pub(super) in_flight: Option<Attempt>,
-    /// Whether the decision module waits for its caller's check.
-    pub(super) awaits_check: bool,
-    /// The call that it is, if it came over gRPC.
+    /// Whether the decision module waits for the authorization of the caller.
+    pub(super) awaits_authorization: bool,
+    /// The gRPC call, if the request arrived over gRPC.
     pub(super) call: Option<Rc<ProxiedCall>>,
-    /// Whether its response is on its way to the client: no other attempt can take its place.
+    /// Whether the response is being sent to the client: no other attempt can replace this one.
     pub(super) response_started: bool,
 }
 
@@ -48,15 +50,16 @@
     pub(super) handle: AttemptHandle,
 }
 
-/// The decision module and the tables round it.
+/// The decision module with the driver's tables.
 pub(super) struct State {
     pub(super) gateway: Gateway,
     pub(super) requests: HashMap<RequestId, PendingRequest>,
     /// Timers of requests, of attempts and of the decision module.
     pub(super) timers: TimerQueue,
-    /// Ids on the wire of the requests in the table, and of those that finished less than [`REQUEST_ID_RETENTION`] ago.
+    /// Ids on the wire of the requests in the table and of those in `retired_ids`.
     known_ids: HashSet<Rc<str>>,
-    /// The latter with their deadlines, the oldest first; at most [`MAX_RETAINED_REQUEST_IDS`].
+    /// Ids of requests that finished less than [`REQUEST_ID_RETENTION`] ago, with their deadlines,
+    /// oldest first; at most [`MAX_RETAINED_REQUEST_IDS`].
     retired_ids: VecDeque<(Millis, Rc<str>)>,
     last_request_number: u32,
     backend_ids: HashMap<String, BackendId>,
@@ -64,7 +67,7 @@
 }
 
 impl State {
-    /// Empty tables round a decision module.
+    /// Creates empty tables for a decision module.
     pub(super) fn new(gateway: Gateway) -> State {
         State {
             gateway,
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Marks an id as in use at `now`; `false` if it is in use or was a moment ago.
+    /// Marks an id as used at `now`; `false` if the id is in use or was used recently.
     pub(super) fn claim_request_id(&mut self, now: Millis, id: &Rc<str>) -> bool {
         self.expire_request_ids(now);
         self.known_ids.insert(id.clone())
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Puts a request into the table, under a number that no other request in it has.
+    /// Inserts a request under an unused id.
     pub(super) fn insert_request(&mut self, request: PendingRequest) -> RequestId {
         let id = self.allocate_request_id();
         self.requests.insert(id, request);
@@ -114,24 +117,26 @@
         }
     }
 
-    /// Whether a request waits for its final answer.
-    pub(super) fn is_unanswered(&self, id: RequestId) -> bool {
+    /// Returns whether a request has no final response yet.
+    pub(super) fn awaits_response(&self, id: RequestId) -> bool {
         self.requests
             .get(&id)
-            .is_some_and(|request| request.answer_sender.is_some())
+            .is_some_and(|request| request.response_sender.is_some())
     }
 
-    /// Takes the sender of a request's final answer; `None` if it has been answered.
-    pub(super) fn take_answer_sender(&mut self, id: RequestId) -> Option<oneshot::Sender<Answer>> {
-        self.requests.get_mut(&id)?.answer_sender.take()
+    /// Takes the sender of a request's final response; `None` if it has been sent.
+    pub(super) fn take_response_sender(
+        &mut self,
+        id: RequestId,
+    ) -> Option<oneshot::Sender<Answer>> {
+        self.requests.get_mut(&id)?.response_sender.take()
     }
 
-    /// Removes a request that has been answered and has no attempt in flight.
+    /// Removes a request that has its final response and no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
-        let finished = self
-            .requests
-            .get(&id)
-            .is_some_and(|request| request.answer_sender.is_none() && request.in_flight.is_none());
+        let finished = self.requests.get(&id).is_some_and(|request| {
+            request.response_sender.is_none() && request.in_flight.is_none()
+        });
         if !finished {
             return;
         }
@@ -141,12 +146,12 @@
         }
     }
 
-    /// Whether any backend is known.
+    /// Returns whether any backend is known.
     pub(super) fn has_backends(&self) -> bool {
         !self.backend_ids.is_empty()
     }
 
-    /// The number of a backend, which gets one when it is first seen.
+    /// Returns the id of a backend, which is assigned when the backend is first seen.
     pub(super) fn backend_id(&mut self, host: &str) -> BackendId {
         if let Some(id) = self.backend_ids.get(host) {
             return *id;
@@ -157,7 +162,7 @@
         id
     }
 
-    /// Forgets a backend's number: one that comes back under its name gets another.
+    /// Removes a backend's id; a backend that comes back under the same name gets a new one.
     pub(super) fn remove_backend(&mut self, host: &str) {
         self.backend_ids.remove(host);
     }
--- a/crates/maplefall/src/net/driver/timers.rs
+++ b/crates/maplefall/src/net/driver/timers.rs
@@ -1,6 +1,7 @@
-//! Timers: what becomes due, in the order of its time, and the task that waits for it.
+//! Timers of requests, attempts and the decision module, and the task that waits for them.
 //!
-//! Invariant: the task sleeps until the earliest timer that still means something. A timer set before it wakes the task.
+//! Invariant: the task sleeps until the earliest timer that is not stale. A timer set before that
+//! one wakes the task.
 
 use super::state::{PendingRequest, State};
 use super::Driver;
@@ -10,28 +11,29 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::rc::Rc;
 
-/// The fraction of the time of a call that is kept at most for a status that may leave late.
+/// Maximum fraction of a call's time that is reserved for a status that may be sent late.
 const MAX_RESERVE_FRACTION: f64 = 0.1;
 
-/// What becomes due.
+/// The kind of a timer.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerEvent {
-    /// An alarm of the decision module.
-    Alarm(TimerId),
+    /// A timer of the decision module.
+    PolicyTimer(TimerId),
     /// The timeout of a request's attempt of this number.
     AttemptTimeout(RequestId, u32),
-    /// The client of a request stops waiting.
+    /// The deadline of a request: its client stops waiting.
     Deadline(RequestId),
 }
 
 impl TimerEvent {
-    /// Whether there is nothing left to do for it. What an alarm means only the decision module knows: it always fires.
+    /// Returns whether the timer has nothing left to do. A timer of the decision module always
+    /// fires, because only the module knows its purpose.
     fn is_stale(self, requests: &HashMap<RequestId, PendingRequest>) -> bool {
         match self {
-            TimerEvent::Alarm(_) => false,
+            TimerEvent::PolicyTimer(_) => false,
             TimerEvent::Deadline(id) => requests
                 .get(&id)
-                .is_none_or(|request| request.answer_sender.is_none()),
+                .is_none_or(|request| request.response_sender.is_none()),
             TimerEvent::AttemptTimeout(id, number) => requests
                 .get(&id)
                 .and_then(|request| request.in_flight.as_ref())
@@ -40,7 +42,7 @@
     }
 }
 
-/// An entry of the queue; of two for one time, the one that was set first comes first.
+/// An entry of the queue. Timers for the same time fire in the order in which they were set.
 #[derive(Clone, Copy, Debug)]
 struct Timer {
     at: Millis,
@@ -77,18 +79,18 @@
     last_sequence: u64,
 }
 
-/// What the queue has next.
+/// The state of the queue at a given time.
 enum NextTimer {
-    /// Nothing is set.
+    /// The queue is empty.
     None,
-    /// Nothing is due before this time.
+    /// No timer is due before this time.
     At(Millis),
-    /// This is due, and was taken out of the queue.
+    /// This timer is due and has been removed from the queue.
     Due(TimerEvent),
 }
 
 impl TimerQueue {
-    /// Sets a timer; `true` if it comes before all others.
+    /// Sets a timer; `true` if it is the earliest.
     fn set(&mut self, at: Millis, event: TimerEvent) -> bool {
         let is_earliest = self.heap.peek().is_none_or(|Reverse(first)| at < first.at);
         self.last_sequence += 1;
@@ -100,7 +102,7 @@
         is_earliest
     }
 
-    /// Takes out the earliest timer if it is due.
+    /// Removes the earliest timer if it is due.
     fn next(&mut self, now: Millis) -> NextTimer {
         let Some(Reverse(first)) = self.heap.peek().copied() else {
             return NextTimer::None;
@@ -114,8 +116,8 @@
 }
 
 impl State {
-    /// Drops the earliest timers as long as nothing is left to do for them, so that nobody wakes for them: most requests are
-    /// finished long before their deadlines.
+    /// Drops stale timers from the front of the queue, so that they do not wake the task: most
+    /// requests finish long before their deadlines.
     fn discard_stale_timers(&mut self) {
         while let Some(Reverse(first)) = self.timers.heap.peek() {
             if !first.event.is_stale(&self.requests) {
@@ -127,7 +129,7 @@
 }
 
 impl Driver {
-    /// Sets a timer, and wakes the task if it comes before all others.
+    /// Sets a timer, and wakes the task if it is the earliest.
     pub(super) fn set_timer(&self, at: Millis, event: TimerEvent) {
         if self.state.borrow_mut().timers.set(at, event) {
             self.timer_advanced.notify_one();
@@ -154,15 +156,16 @@
         }
     }
 
-    /// A timer that was set for `due` has woken the task.
+    /// Records that the timer set for `due` has woken the task.
     fn record_wakeup(&self, due: Millis) {
         let mut delay = self.scheduling_delay.get();
         delay.record(self.clock.now(), due);
         self.scheduling_delay.set(delay);
     }
 
-    /// How much earlier than its deadline a call is to end, so that its status leaves in time: as late as timers have run of late, by
-    /// other processes on the machine. `time_left` is the call's.
+    /// How much earlier than its deadline a call must end so that its status is sent in time: the
+    /// recent delay of timers, which other processes on the machine cause. `time_left` is the time
+    /// until the call's deadline.
     pub fn status_reserve(&self, time_left: Millis) -> Millis {
         let delay = self.scheduling_delay.get().current(self.clock.now());
         delay.min(MAX_RESERVE_FRACTION * time_left)
@@ -170,14 +173,14 @@
 
     fn handle_timer(self: &Rc<Self>, now: Millis, event: TimerEvent) {
         match event {
-            TimerEvent::Alarm(timer) => self.post(now, Event::Timer(timer)),
+            TimerEvent::PolicyTimer(timer) => self.post(now, Event::Timer(timer)),
             TimerEvent::AttemptTimeout(id, number) => self.handle_timeout(now, id, number),
             TimerEvent::Deadline(id) => self.handle_deadline(now, id),
         }
     }
 
     fn handle_timeout(self: &Rc<Self>, now: Millis, id: RequestId, number: u32) {
-        // A stream that has begun is not given up for its length: its client's deadline ends it.
+        // A stream whose response has started is not timed out: the client's deadline ends it.
         let deadline_of_stream = self
             .state
             .borrow()
@@ -192,10 +195,11 @@
     }
 
     fn handle_deadline(self: &Rc<Self>, now: Millis, id: RequestId) {
-        // The decision module answers before this; a request that it still keeps must not stay without an answer.
-        let unanswered = self.state.borrow().is_unanswered(id);
-        if unanswered {
-            self.send_answer(id, Answer::Failed);
+        // The decision module normally ends the request earlier; a request that is still pending
+        // must get a response.
+        let pending = self.state.borrow().awaits_response(id);
+        if pending {
+            self.send_response(id, Answer::Failed);
             self.post(now, Event::ClientDisconnected(id));
         }
     }
--- a/crates/maplefall/src/net/grpc/call_handler.rs
+++ b/crates/maplefall/src/net/grpc/call_handler.rs
@@ -1,13 +1,13 @@
 //! One call of a client, from its head to its one final status.
 //!
-//! Invariant: a call that the driver has started either gets its status here or is reported as disconnected
-//! (`PendingCallGuard`).
+//! Invariant: a call that the driver has started either gets its status here or is reported as
+//! disconnected (`PendingCallGuard`).
 
 use super::client_stream::{trailers_only, ResponseStream, Step, UploadReader};
 use super::proxied_call::ProxiedCall;
 use super::server::GrpcServer;
 use super::validation::{forwarded_metadata, read_single_message, CallRejection, CallRules};
-use crate::net::auth::{AuthResponse, Checked};
+use crate::net::auth::{AuthResponse, CheckOutcome};
 use crate::net::driver::Driver;
 use h2::server::SendResponse;
 use h2::RecvStream;
@@ -23,7 +23,7 @@
 /// How long a message that has to be complete before the call starts may take, in milliseconds.
 const MESSAGE_TIMEOUT: Millis = 2000.0;
 /// After how long a client whose caller could not be checked is asked to retry, in milliseconds.
-const UNCHECKED_RETRY_AFTER: Millis = 1000.0;
+const CHECK_UNAVAILABLE_RETRY_AFTER: Millis = 1000.0;
 
 impl GrpcServer {
     /// Handles a call until its client has its status or has disconnected.
@@ -66,7 +66,8 @@
             routes: &self.settings.routes,
         };
         let (mut incoming, route) = rules.read_head(head, now)?;
-        // Guards clients on a busy machine: a status that leaves after the deadline is of no use to them.
+        // Guards clients on a busy machine: a status that leaves after the deadline is of no use to
+        // them.
         incoming.deadline -= self.driver.status_reserve(incoming.deadline - now);
         let call = Rc::new(ProxiedCall::new(
             &head.uri,
@@ -118,13 +119,13 @@
             .shape()
             .request_streams()
             .then(|| UploadReader::start(body, call.clone()));
-        if let Some(auth) = auth.filter(|_| self.driver.awaits_check(id)) {
+        if let Some(auth) = auth.filter(|_| self.driver.awaits_authorization(id)) {
             let caller = auth.caller(head, class, plan, peer);
             let checked = tokio::select! {
                 checked = auth.authorize(&self.driver, caller, id, deadline, &mut answer) => checked,
                 () = response.disconnected() => return,
             };
-            if !matches!(checked, Checked::Passed) {
+            if !matches!(checked, CheckOutcome::Passed) {
                 guard.id = None;
                 self.apply_check(&call, checked);
                 return response.send_all(&call).await;
@@ -154,20 +155,20 @@
     }
 
     /// Ends a call whose caller has not passed its check.
-    fn apply_check(&self, call: &ProxiedCall, checked: Checked) {
+    fn apply_check(&self, call: &ProxiedCall, checked: CheckOutcome) {
         match checked {
-            Checked::Passed => {}
-            Checked::Answered(answer) => self.apply_answer(call, answer),
-            Checked::Denied(auth_response) => {
+            CheckOutcome::Passed => {}
+            CheckOutcome::Answered(answer) => self.apply_answer(call, answer),
+            CheckOutcome::Denied(auth_response) => {
                 let (code, message) = denial_status(&auth_response);
                 call.update(|call, outputs| call.turn_down(code, message, outputs));
             }
-            Checked::Unchecked => {
+            CheckOutcome::Unavailable => {
                 let retry_after = self
                     .driver
                     .settings
                     .retry_after
-                    .then_some(UNCHECKED_RETRY_AFTER);
+                    .then_some(CHECK_UNAVAILABLE_RETRY_AFTER);
                 call.update(|call, outputs| call.refuse(retry_after, outputs));
             }
         }
--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -6,7 +6,7 @@
 use super::proxied_call::ProxiedCall;
 use super::settings::Route;
 use crate::net::auth::Auth;
-use crate::net::request::{customer, name, text, Terms};
+use crate::net::request::{ascii_header, customer, identifier_header, Terms};
 use h2::RecvStream;
 use hyper::body::Bytes;
 use hyper::header::{
@@ -71,8 +71,8 @@
     ) -> Result<(Incoming, Route), CallRejection> {
         let headers = &head.headers;
         let route = self.route(head)?;
-        let id =
-            name(headers, &REQUEST_ID).map_err(|_| CallRejection::invalid_header(&REQUEST_ID))?;
+        let id = identifier_header(headers, &REQUEST_ID)
+            .map_err(|_| CallRejection::invalid_header(&REQUEST_ID))?;
         let plan = self.plan(headers)?;
         let class = &self.settings.classes[route.class.0];
         check_idempotency_key(headers, class)?;
@@ -118,7 +118,7 @@
         if head.method != Method::POST {
             return Err(CallRejection::Http(StatusCode::METHOD_NOT_ALLOWED));
         }
-        if !text(&head.headers, &CONTENT_TYPE).is_ok_and(|kind| is_grpc(kind.as_bytes())) {
+        if !ascii_header(&head.headers, &CONTENT_TYPE).is_ok_and(|kind| is_grpc(kind.as_bytes())) {
             return Err(CallRejection::Http(StatusCode::UNSUPPORTED_MEDIA_TYPE));
         }
         self.routes
@@ -153,13 +153,13 @@
 }
 
 fn header_text<'a>(headers: &'a HeaderMap, header: &HeaderName) -> Result<&'a str, CallRejection> {
-    text(headers, header).map_err(|_| CallRejection::invalid_header(header))
+    ascii_header(headers, header).map_err(|_| CallRejection::invalid_header(header))
 }
 
 /// A key has to be there for classes that need one, and for no others.
 fn check_idempotency_key(headers: &HeaderMap, class: &Class) -> Result<(), CallRejection> {
     let keyed = headers.contains_key(IDEMPOTENCY_KEY);
-    let readable = !keyed || name(headers, &IDEMPOTENCY_KEY).is_ok();
+    let readable = !keyed || identifier_header(headers, &IDEMPOTENCY_KEY).is_ok();
     if keyed != matches!(class.idempotency, Idempotency::Keyed { .. }) || !readable {
         return Err(CallRejection::invalid_header(&IDEMPOTENCY_KEY));
     }
@@ -175,8 +175,8 @@
         .ok_or_else(|| CallRejection::invalid_header(&GRPC_TIMEOUT))
 }
 
-/// The metadata that is forwarded: all but what belongs to the connection or to this hop's timeout, and what only the
-/// authentication service may set.
+/// The metadata that is forwarded: all but what belongs to the connection or to this hop's timeout,
+/// and what only the authentication service may set.
 pub(super) fn forwarded_metadata(headers: &HeaderMap, auth: Option<&Auth>) -> HeaderMap {
     let mut metadata = headers.clone();
     for name in [
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -1,7 +1,9 @@
-//! The decision module on real sockets: the parts round it, and how they start, reload and stop.
+//! The decision module on real sockets: the modules around it, and their start, reload and
+//! shutdown.
 //!
-//! All run on one thread. Imports run one way: `clients`, `grpc::server`, `auth` and `membership` use `driver`; the driver uses
-//! `backends`, `grpc::{attempt, proxied_call}` and `counts`.
+//! Everything runs on one thread. Imports go one way: `clients`, `grpc::server`, `auth` and
+//! `membership` use `driver`; the driver uses `backends`, `grpc::{attempt, proxied_call}` and
+//! `counts`.
 
 mod auth;
 mod auth_settings;
@@ -38,26 +40,27 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 
-/// How long after a configuration could not be used at SIGHUP it is read again. Its writer is done within a minute.
+/// Interval at which a configuration that could not be used at SIGHUP is read again. Its writer is
+/// done within a minute.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Reads of such a configuration at most.
+/// Maximum number of such reads.
 const MAX_RELOAD_RETRIES: u32 = 300;
 
 /// Serves until a SIGTERM has been handled.
 ///
 /// # Errors
-/// One line: what cannot be used, or which address cannot be listened on.
+/// One line: the setting that cannot be used, or the address that cannot be bound.
 pub async fn run() -> Result<(), String> {
-    let no_signals = |error| format!("no signals: {error}");
-    // Before anything else: until they are caught, both end the process.
-    let hangup = signal(SignalKind::hangup()).map_err(no_signals)?;
-    let terminate = signal(SignalKind::terminate()).map_err(no_signals)?;
+    let no_signal_handler = |error| format!("cannot install signal handlers: {error}");
+    // Installed first: until then, both signals end the process.
+    let hangup = signal(SignalKind::hangup()).map_err(no_signal_handler)?;
+    let terminate = signal(SignalKind::terminate()).map_err(no_signal_handler)?;
     let config = Config::from_env().map_err(|error| error.to_string())?;
     let (listener, bound) = listen_for_clients(config.listen).await?;
     let sources = sources::from_env()?;
     let classes = &config.parsed.settings.classes;
-    let effects: Vec<_> = classes.iter().map(|class| class.idempotency).collect();
-    let auth_settings = auth_settings::from_env(&config.parsed.names.classes, &effects)?;
+    let idempotency: Vec<_> = classes.iter().map(|class| class.idempotency).collect();
+    let auth_settings = auth_settings::from_env(&config.parsed.names.classes, &idempotency)?;
     let auth_sockets = auth::reserved_sockets(auth_settings.as_ref(), config.limits.sockets);
     let grpc_settings = grpc::from_env(&config.parsed.names.classes)?;
     let counts_settings = counts_settings::from_env()?;
@@ -85,8 +88,8 @@
         Some(settings) => Some(start_grpc(&config.name, &driver, &auth, settings).await?),
         None => None,
     };
-    // Reloads go on while the process drains: discovery may move in that time, and drains of backends bind the last request as
-    // they bind the first.
+    // Reloads still happen during the shutdown: discovery may move in that time, and drains of
+    // backends apply to the last request as to the first.
     tokio::select! {
         () = reload_on(hangup, &config.name, &agent_address, &membership, auth.as_deref()) => {}
         () = stop_on(terminate, &config.name, &clients, grpc_server.as_deref()) => {}
@@ -94,15 +97,15 @@
     Ok(())
 }
 
-/// Opens the port for clients of HTTP/1.1.
+/// Opens the listener for clients of HTTP/1.1.
 async fn listen_for_clients(listen: SocketAddr) -> Result<(TcpListener, SocketAddr), String> {
-    let no_port = |error| format!("cannot listen on {listen}: {error}");
-    let listener = TcpListener::bind(listen).await.map_err(no_port)?;
-    let bound = listener.local_addr().map_err(no_port)?;
+    let bind_error = |error| format!("cannot listen on {listen}: {error}");
+    let listener = TcpListener::bind(listen).await.map_err(bind_error)?;
+    let bound = listener.local_addr().map_err(bind_error)?;
     Ok((listener, bound))
 }
 
-/// Starts to share usage with peers.
+/// Starts sharing usage with peers.
 async fn start_shared_counts(
     config: &Config,
     driver: &Rc<Driver>,
@@ -123,7 +126,7 @@
     Ok(())
 }
 
-/// Restores the list of backends and starts to follow its sources.
+/// Restores the list of backends and starts following its sources.
 fn start_membership(
     config: &Config,
     driver: &Rc<Driver>,
@@ -151,13 +154,14 @@
     membership
 }
 
-/// How the agent is followed, which is the source with this index.
+/// Settings of the agent's follower; `source` is the agent's index among the sources.
 fn agent_settings(config: &Config, source: usize) -> maplefall_discovery_agent::Settings {
     let settings = &config.parsed.settings;
     maplefall_discovery_agent::Settings {
         source,
-        // Where discovery pushes, it is an agent on this machine, which answers at once and at no cost, and what it has sent
-        // counts as acknowledged. Where it is polled, it is one service for all proxies.
+        // Pushed discovery is an agent on this machine, which responds at once and at no cost, and
+        // whatever it has sent counts as acknowledged. Polled discovery is one service for all
+        // gateways.
         own: settings.discovery == Discovery::Pushed,
         sharing: settings.gateways,
         stop_within: settings.drain_grace,
@@ -167,8 +171,8 @@
     }
 }
 
-/// Reloads the configuration at each SIGHUP, and for a while after one whose configuration could not be used: a file that is
-/// incomplete when the signal comes is read again, as there is no second signal.
+/// Reloads the configuration at each SIGHUP, and repeatedly for a while if it could not be used: a
+/// file that is incomplete at the signal must be read again, because there is no second signal.
 async fn reload_on(
     mut hangup: Signal,
     name: &str,
@@ -194,7 +198,7 @@
     }
 }
 
-/// Drains all clients after SIGTERM.
+/// Shuts down gracefully after SIGTERM.
 async fn stop_on(
     mut terminate: Signal,
     name: &str,
@@ -211,7 +215,7 @@
     tokio::join!(clients.stop(), calls);
 }
 
-/// Opens the port for gRPC.
+/// Opens the listener for gRPC and starts its server.
 async fn start_grpc(
     name: &str,
     driver: &Rc<Driver>,
@@ -219,18 +223,18 @@
     settings: GrpcSettings,
 ) -> Result<Rc<GrpcServer>, String> {
     let listen = settings.listen;
-    let no_port = |error| format!("cannot listen on {listen} for gRPC: {error}");
-    let listener = TcpListener::bind(listen).await.map_err(no_port)?;
-    let bound = listener.local_addr().map_err(no_port)?;
+    let bind_error = |error| format!("cannot listen on {listen} for gRPC: {error}");
+    let listener = TcpListener::bind(listen).await.map_err(bind_error)?;
+    let bound = listener.local_addr().map_err(bind_error)?;
     let grpc_server = GrpcServer::new(driver.clone(), auth.clone(), settings);
     tokio::task::spawn_local(grpc_server.clone().accept(listener));
     eprintln!("{name}: gRPC on {bound}");
     Ok(grpc_server)
 }
 
-/// Reads the configuration and the file of sources again after SIGHUP; `true` if the configuration could be used. Only the
-/// addresses of discovery and of etcd, and credentials, can change while the process runs. What cannot be used is logged, once
-/// for a signal, and the old remains.
+/// Reads the configuration and the file of sources again after SIGHUP; `true` if the configuration
+/// could be used. Only the addresses of discovery and of etcd, and credentials, can change while
+/// the process runs. An unusable file is logged once for a signal, and the old values remain.
 fn reload_configuration(
     name: &str,
     agent_address: &watch::Sender<SocketAddr>,
@@ -242,7 +246,7 @@
     match config {
         Ok(address) => {
             eprintln!("{name}: discovery is at {address}");
-            // Also where it is the same: the watch is opened again.
+            // Also if the address is the same: the watch is opened again.
             agent_address.send_replace(address);
         }
         Err(error) if signalled => eprintln!("{name}: the old configuration goes on: {error}"),
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -1,5 +1,5 @@
-//! Validation: what a client's request must look like before the decision module sees it. Nothing here is lenient: what is
-//! forwarded is what a client of this service would have written, and anything else is rejected.
+//! Validation of a client's request before the decision module sees it. The checks are strict: a
+//! request that a client of this service would not have written is rejected.
 
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Bytes, Incoming as IncomingBody};
@@ -13,98 +13,100 @@
 use maplefall_protocol::{Incoming, Order, LONGEST_BODY};
 use maplefall_settings::{plain, Names};
 
-/// Numbers of customers are below this.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
-/// Bytes of a request's id, and of an idempotency key, at most.
+/// Maximum length of a request id and of an idempotency key, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
 /// Why a request is rejected before the decision module sees it.
 #[derive(Debug, thiserror::Error)]
-pub enum Bad {
-    /// A header is missing, repeated or not what it should be.
+pub enum RequestError {
+    /// A header is missing, repeated or invalid.
     #[error("{0} is missing, repeated or cannot be read")]
     Header(HeaderName),
-    /// No such class.
+    /// Unknown class.
     #[error("unknown class")]
     Class,
-    /// No such plan.
+    /// Unknown plan.
     #[error("unknown plan")]
     Plan,
-    /// The path holds what is not plain ASCII.
+    /// The path has characters other than graphic ASCII.
     #[error("the path cannot be read")]
     Path,
-    /// Method and class do not agree.
+    /// The method does not match the class.
     #[error("the method does not go with the class")]
     Method,
-    /// The body broke off or is no body.
+    /// The body is truncated or malformed.
     #[error("the body cannot be read")]
     Body,
     /// The body has no `Content-Length`.
     #[error("a body must tell its length")]
-    Unmeasured,
-    /// The body is over [`LONGEST_BODY`].
+    LengthRequired,
+    /// The body is longer than [`LONGEST_BODY`].
     #[error("the body is too long")]
-    TooLong,
-    /// The body took too long.
+    BodyTooLong,
+    /// The body was not complete in time.
     #[error("the body did not come in time")]
-    Slow,
-    /// The id is in use, or was a moment ago.
+    BodyTimeout,
+    /// The request id is in use, or was used recently.
     #[error("a request with this id has come before")]
-    Twice,
+    DuplicateId,
 }
 
-impl Bad {
-    /// What the client is answered.
+impl RequestError {
+    /// Status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
-            Bad::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Bad::Unmeasured => StatusCode::LENGTH_REQUIRED,
-            Bad::Slow => StatusCode::REQUEST_TIMEOUT,
-            Bad::Twice => StatusCode::CONFLICT,
+            RequestError::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::LengthRequired => StatusCode::LENGTH_REQUIRED,
+            RequestError::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            RequestError::DuplicateId => StatusCode::CONFLICT,
             _ => StatusCode::BAD_REQUEST,
         }
     }
 }
 
-/// Reads the head of a request whose first byte came at `first`.
+/// Parses and validates the head of a request whose first byte arrived at `first_byte_at`.
 pub fn read_head(
     settings: &Settings,
     names: &Names,
     head: &Parts,
-    first: Millis,
-) -> Result<Incoming, Bad> {
+    first_byte_at: Millis,
+) -> Result<Incoming, RequestError> {
     let headers = &head.headers;
-    // Where both framings are given, the library goes by the chunks and drops the length without a word; what one
-    // hop takes for the body another takes for the next request. Clients of this service tell the length.
+    // If both framings are present, the library reads the chunks and silently drops the length, so
+    // two hops may disagree on where the body ends (request smuggling). Clients of this service
+    // send a length.
     if headers.contains_key(TRANSFER_ENCODING) {
-        return Err(Bad::Unmeasured);
+        return Err(RequestError::LengthRequired);
     }
-    let id = name(headers, &REQUEST_ID)?;
+    let id = identifier_header(headers, &REQUEST_ID)?;
     let class = class(settings, names, head)?;
-    let plan_name = plain(text(headers, &API_PLAN)?);
+    let plan_name = plain(ascii_header(headers, &API_PLAN)?);
     let plan = names
         .plans
         .iter()
         .position(|name| *name == plan_name)
-        .ok_or(Bad::Plan)?;
-    let timeout =
-        parse_positive(text(headers, &REQUEST_TIMEOUT)?).ok_or(Bad::Header(REQUEST_TIMEOUT))?;
-    // No client waits for longer than its class allows.
+        .ok_or(RequestError::Plan)?;
+    let timeout = parse_positive(ascii_header(headers, &REQUEST_TIMEOUT)?)
+        .ok_or(RequestError::Header(REQUEST_TIMEOUT))?;
+    // The timeout is limited to the deadline of the class.
     let timeout = (timeout * 1000.0).min(settings.classes[class].deadline);
-    let terms = Terms::read(text(headers, &API_TERMS)?, settings).ok_or(Bad::Header(API_TERMS))?;
-    let path = head.uri.path_and_query().ok_or(Bad::Path)?;
+    let terms = Terms::read(ascii_header(headers, &API_TERMS)?, settings)
+        .ok_or(RequestError::Header(API_TERMS))?;
+    let path = head.uri.path_and_query().ok_or(RequestError::Path)?;
     if !path.as_str().bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(Bad::Path);
+        return Err(RequestError::Path);
     }
-    text(headers, &HOST)?;
+    ascii_header(headers, &HOST)?;
     if headers.contains_key(IDEMPOTENCY_KEY) {
-        name(headers, &IDEMPOTENCY_KEY)?;
+        identifier_header(headers, &IDEMPOTENCY_KEY)?;
     }
     Ok(Incoming {
-        at: first,
-        deadline: first + timeout,
+        at: first_byte_at,
+        deadline: first_byte_at + timeout,
         authorized: true,
-        customer: customer(headers).ok_or(Bad::Header(COOKIE))?,
+        customer: customer(headers).ok_or(RequestError::Header(COOKIE))?,
         plan: PlanId(plan),
         class: ClassId(class),
         units: terms.units,
@@ -116,8 +118,8 @@
             method: head.method.clone(),
             uri: Uri::from(path.clone()),
             key: headers.get(IDEMPOTENCY_KEY).cloned(),
-            // One that is odd says nothing about the body: it is left out.
-            content_type: text(headers, &CONTENT_TYPE)
+            // An unreadable `content-type` does not make the body unusable; it is left out.
+            content_type: ascii_header(headers, &CONTENT_TYPE)
                 .ok()
                 .and_then(|_| headers.get(CONTENT_TYPE).cloned()),
             onward: Vec::new(),
@@ -126,22 +128,22 @@
     })
 }
 
-/// The class, which header, path and method must agree on.
-fn class(settings: &Settings, names: &Names, head: &Parts) -> Result<usize, Bad> {
-    let name = text(&head.headers, &REQUEST_CLASS)?;
+/// Returns the class; header, path and method must agree on it.
+fn class(settings: &Settings, names: &Names, head: &Parts) -> Result<usize, RequestError> {
+    let name = ascii_header(&head.headers, &REQUEST_CLASS)?;
     let plain_name = plain(name);
     let class = names
         .classes
         .iter()
         .position(|known| *known == plain_name)
-        .ok_or(Bad::Class)?;
+        .ok_or(RequestError::Class)?;
     let rest = head
         .uri
         .path()
         .strip_prefix('/')
         .and_then(|path| path.strip_prefix(name));
     if !rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/')) {
-        return Err(Bad::Class);
+        return Err(RequestError::Class);
     }
     let keyed = head.headers.contains_key(IDEMPOTENCY_KEY);
     let agrees = match settings.classes[class].idempotency {
@@ -152,22 +154,24 @@
     if agrees {
         Ok(class)
     } else {
-        Err(Bad::Method)
+        Err(RequestError::Method)
     }
 }
 
-/// What a request takes from its customer's quota, and over how many proxies its customer's requests are spread.
+/// Quota units of a request, and the number of gateways that its customer's requests are spread
+/// over.
 pub struct Terms {
-    /// Units.
+    /// Quota units.
     pub units: f64,
-    /// Proxies.
+    /// Number of gateways.
     pub gateways: f64,
 }
 
 impl Terms {
-    /// Reads the header; `None` for figures beyond the settings, which the decision module would clamp and serve.
+    /// Parses the header; `None` for values beyond the settings, which the decision module would
+    /// clamp and serve.
     pub fn read(text: &str, settings: &Settings) -> Option<Terms> {
-        let proxies = settings.gateways.max(1);
+        let gateway_limit = settings.gateways.max(1);
         let (mut units, mut gateways, mut first) = (None, None, None);
         for field in text.split(',') {
             let (name, value) = field.trim().split_once('=')?;
@@ -179,10 +183,10 @@
                         .is_some()
                 }
                 "spread" => gateways
-                    .replace(parse_integer(value).filter(|n| (1..=proxies).contains(n))?)
+                    .replace(parse_integer(value).filter(|n| (1..=gateway_limit).contains(n))?)
                     .is_some(),
                 "first" => first
-                    .replace(parse_integer(value).filter(|n| *n < proxies)?)
+                    .replace(parse_integer(value).filter(|n| *n < gateway_limit)?)
                     .is_some(),
                 _ => false,
             };
@@ -198,23 +202,30 @@
     }
 }
 
-/// The value of a header that stands there once and is plain ASCII.
-pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, Bad> {
+/// Returns the value of a header that is present exactly once and is plain ASCII.
+pub fn ascii_header<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().and_then(|value| value.to_str().ok());
     match (value, values.next()) {
         (Some(value), None) => Ok(value.trim()),
-        _ => Err(Bad::Header(name.clone())),
+        _ => Err(RequestError::Header(name.clone())),
     }
 }
 
-/// A header that names something: neither empty nor long, and no spaces.
-pub fn name<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a str, Bad> {
-    let value = text(headers, name)?;
-    let good = (1..=MAX_NAME_BYTES).contains(&value.len())
+/// Returns a header whose value is an identifier: 1 to [`MAX_NAME_BYTES`] bytes without spaces.
+pub fn identifier_header<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<&'a str, RequestError> {
+    let value = ascii_header(headers, name)?;
+    let valid = (1..=MAX_NAME_BYTES).contains(&value.len())
         && value.bytes().all(|byte| byte.is_ascii_graphic());
-    good.then_some(value)
-        .ok_or_else(|| Bad::Header(name.clone()))
+    valid
+        .then_some(value)
+        .ok_or_else(|| RequestError::Header(name.clone()))
 }
 
 fn parse_positive(text: &str) -> Option<f64> {
@@ -223,19 +234,19 @@
         .filter(|number: &f64| number.is_finite() && *number > 0.0)
 }
 
-/// An integer, also where it is written with decimals.
+/// Parses an integer, also one written with decimals.
 fn parse_integer(text: &str) -> Option<u32> {
     let number: f64 = text.parse().ok()?;
     (number >= 0.0 && number.fract() == 0.0 && number <= f64::from(u32::MAX))
         .then_some(number as u32)
 }
 
-/// The customer that the one cookie `client` names.
+/// Returns the customer of the cookie `client`, which must be present exactly once.
 pub fn customer(headers: &HeaderMap) -> Option<CustomerId> {
-    let line = text(headers, &COOKIE).ok()?;
-    let mut names = line
+    let cookies = ascii_header(headers, &COOKIE).ok()?;
+    let mut names = cookies
         .split(';')
-        .filter_map(|one| one.trim().strip_prefix("client="));
+        .filter_map(|cookie| cookie.trim().strip_prefix("client="));
     let name = names.next()?;
     let hex = name.len() == 16 && name.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = u64::from_str_radix(name, 16)
@@ -244,25 +255,25 @@
     names.next().is_none().then_some(CustomerId(number))
 }
 
-/// Reads a body that has to be there by `end`.
+/// Reads a body, which must be complete by `end`.
 pub async fn read_body(
     body: IncomingBody,
     method: &Method,
     end: tokio::time::Instant,
-) -> Result<Bytes, Bad> {
+) -> Result<Bytes, RequestError> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     if method == Method::GET {
-        return Err(Bad::Method);
+        return Err(RequestError::Method);
     }
     if body.size_hint().lower() > LONGEST_BODY as u64 {
-        return Err(Bad::TooLong);
+        return Err(RequestError::BodyTooLong);
     }
     let read = tokio::time::timeout_at(end, Limited::new(body, LONGEST_BODY).collect()).await;
-    match read.map_err(|_| Bad::Slow)? {
+    match read.map_err(|_| RequestError::BodyTimeout)? {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(Bad::TooLong),
-        Err(_) => Err(Bad::Body),
+        Err(error) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLong),
+        Err(_) => Err(RequestError::Body),
     }
 }
