--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -1,6 +1,7 @@
-//! Attempts of calls: what is sent to a backend, and what its response means.
+//! Attempts of gRPC calls: sends a call to a backend and interprets the response.
 //!
-//! Invariant: an attempt ends once, and what the call is told of it comes before its end.
+//! Invariant: an attempt ends once, and everything that the attempt reports to the call precedes
+//! its end.
 
 use super::connections::{Backends, CallGuard, Connection};
 use super::proxied_call::ProxiedCall;
@@ -15,30 +16,31 @@
 use maplefall_protocol::{Ended, Order};
 use maplefall_upstream::{AttemptHandle, Clock, ConnectError, Pools};
 
-/// `grpc-timeout`.
+/// The header `grpc-timeout`.
 pub const GRPC_TIMEOUT: HeaderName = HeaderName::from_static("grpc-timeout");
-/// How many attempts of the call there were before this one (gRFC A6).
+/// Header with the number of earlier attempts of the call (gRFC A6).
 const PREVIOUS_ATTEMPTS: HeaderName = HeaderName::from_static("grpc-previous-rpc-attempts");
-/// How long a call that must not run twice waits for the answer to a `PING` at most, as a fraction of its timeout.
+/// Maximum time that a non-idempotent call waits for the response to a `PING`, as a fraction of the
+/// attempt's timeout.
 const PING_TIMEOUT_FRACTION: f64 = 0.25;
-/// Connections that one attempt uses at most, where they break before anything is sent.
+/// Maximum number of connections that one attempt uses if they break before anything is sent.
 const MAX_CONNECTIONS_PER_ATTEMPT: usize = 3;
 
-/// What an attempt needs.
+/// The parameters of an attempt.
 pub struct AttemptContext<'a> {
-    /// Which backends take new work, and where they are.
+    /// The addresses of backends, and whether they accept new requests.
     pub pools: &'a Pools,
-    /// The clock.
+    /// The clock of all decisions.
     pub clock: Clock,
-    /// The request; only its id and the headers that the authentication service added are read.
+    /// The request; only its id and the headers added by the authentication service are read.
     pub forwarded: &'a Order,
     /// The call.
     pub call: &'a ProxiedCall,
-    /// How long the attempt may take, in milliseconds.
+    /// Time limit of the attempt in milliseconds.
     pub timeout: Millis,
-    /// What is done lest a broken connection takes it along.
+    /// Precaution against a connection that breaks during the attempt.
     pub send_mode: SendMode,
-    /// What the driver aborts the attempt by.
+    /// Handle by which the driver aborts the attempt.
     pub handle: &'a AttemptHandle,
     /// Notifies the decision module that there will be no further attempt.
     pub committed: &'a dyn Fn(),
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Sends the call on a connection and reads the response. Where a connection breaks before anything is sent, the next one
-    /// takes its place.
+    /// Sends the call on a connection and reads the response. If a connection breaks before
+    /// anything is sent, the next one is tried.
     async fn run_attempt(
         &self,
         to: BackendId,
@@ -102,14 +104,14 @@
                     .is_alive(context.timeout * PING_TIMEOUT_FRACTION)
                     .await
             {
-                connection.mark_closed();
+                connection.close_to_new_calls();
                 continue;
             }
             let Ok(mut sender) = connection.sender().ready().await else {
-                connection.mark_closed();
+                connection.close_to_new_calls();
                 continue;
             };
-            // While this waited, the backend may have been removed or started again elsewhere.
+            // The backend may have been removed or restarted at another address in the meantime.
             if context.pools.dial_address(to) != Some(connection.address()) {
                 return NOT_SENT.clone();
             }
@@ -119,7 +121,7 @@
             };
             let no_body = context.call.upload_ends_at(0);
             let Ok((response, upload)) = sender.send_request(request, no_body) else {
-                connection.mark_closed();
+                connection.close_to_new_calls();
                 continue;
             };
             attempt.sent();
@@ -145,20 +147,20 @@
     }
 }
 
-/// The end of an attempt of which nothing was sent.
+/// The end of an attempt that sent nothing.
 const NOT_SENT: &End = &End {
     outcome: Outcome::NotSent,
     code: maplefall_grpc::Code::Unavailable,
     why: "not sent",
 };
-/// The end where the attempt has reported its end before: it does so once, and its end is taken once.
+/// The end if the attempt has reported its end already; it does so once only.
 const ALREADY_ENDED: &End = &End {
     outcome: Outcome::Reset,
     code: maplefall_grpc::Code::Internal,
     why: "over",
 };
 
-/// What heads and trailers say of the customer's usage, and the trailers.
+/// The customer's usage from response headers and trailers, and the trailers.
 #[derive(Default)]
 struct ResponseMetadata {
     trailers: HeaderMap,
@@ -168,7 +170,7 @@
 }
 
 impl ResponseMetadata {
-    /// Reads the usage and the charge; the first value of each counts.
+    /// Reads the usage and the charge; the first value of each is kept.
     fn read_usage(&mut self, headers: &HeaderMap) {
         let used =
             header_number(headers, &API_USAGE, MAX_USAGE_PERCENT).map(|percent| percent / 100.0);
@@ -179,7 +181,7 @@
     }
 }
 
-/// The request to a backend, with the time that is left as its timeout.
+/// Builds the request to a backend, with the remaining time as its timeout.
 fn build_request(
     context: &AttemptContext<'_>,
     time_left: Millis,
@@ -213,7 +215,7 @@
     Some(request)
 }
 
-/// Sends what the client uploads, as far as the backend's flow control takes it.
+/// Sends the client's upload, as far as the backend's flow control permits.
 async fn send_upload(context: &AttemptContext<'_>, mut upload: SendStream<Bytes>, no_body: bool) {
     if no_body {
         return;
@@ -224,11 +226,12 @@
             Next::Chunk(mut chunk) => {
                 while !chunk.is_empty() {
                     upload.reserve_capacity(chunk.len());
-                    // The library wakes for an increase of the capacity only, not for what there is.
+                    // `poll_capacity` wakes for an increase of the capacity only, not for capacity
+                    // that is there already.
                     let capacity = match upload.capacity() {
                         0 => match std::future::poll_fn(|cx| upload.poll_capacity(cx)).await {
                             Some(Ok(capacity)) => capacity,
-                            // The backend takes no more: its response says why.
+                            // The backend accepts no more data; its response gives the reason.
                             _ => return,
                         },
                         capacity => capacity,
@@ -241,19 +244,19 @@
                     }
                 }
                 index += 1;
-                context.call.mark_sent(index);
+                context.call.record_sent(index);
             }
             Next::End => {
                 let _ = upload.send_data(Bytes::new(), true);
                 return;
             }
-            // No attempt begins at a call that is committed.
+            // No attempt begins for a committed call.
             Next::Wait | Next::Gone => return,
         }
     }
 }
 
-/// Reads the response; `None` if its end has been reported.
+/// Reads the response; `None` if its end has been reported already.
 async fn read_response(
     context: &AttemptContext<'_>,
     connection: &Connection,
@@ -299,7 +302,7 @@
             (context.committed)();
         }
         context.call.wait_for_capacity().await;
-        // Where the stream is over there is no window left to open.
+        // Fails if the stream is over and has no window left to open.
         let _ = body.flow_control().release_capacity(length);
     }
     match body.trailers().await {
@@ -314,7 +317,7 @@
     }
 }
 
-/// What an error of the transport means for an attempt.
+/// Reports a transport error to the attempt and returns the attempt's end.
 fn transport_error(
     attempt: &mut Attempt,
     connection: &Connection,
@@ -325,7 +328,7 @@
         let reason = error.reason().map_or(0, u32::from);
         return attempt.reset(now, reason);
     }
-    connection.mark_closed();
+    connection.close_to_new_calls();
     if error.is_go_away() && error.is_remote() {
         attempt.unprocessed()
     } else {
--- a/crates/maplefall/src/net/grpc/call_handler.rs
+++ b/crates/maplefall/src/net/grpc/call_handler.rs
@@ -1,7 +1,7 @@
-//! One call of a client, from its head to its one final status.
+//! Handles one call of a client, from its head to its single final status.
 //!
-//! Invariant: a call that the driver has started either gets its status here or is reported as
-//! disconnected (`PendingCallGuard`).
+//! Invariant: for a call that the driver has started, either the status is sent here or the client
+//! is reported as disconnected (`PendingCallGuard`).
 
 use super::client_stream::{trailers_only, ResponseStream, Step, UploadReader};
 use super::proxied_call::ProxiedCall;
@@ -20,13 +20,13 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// How long a message that has to be complete before the call starts may take, in milliseconds.
+/// Time limit in milliseconds for a message that must be complete before the call starts.
 const MESSAGE_TIMEOUT: Millis = 2000.0;
-/// After how long a client whose caller could not be checked is asked to retry, in milliseconds.
+/// Advised retry delay in milliseconds for a client whose caller could not be checked.
 const CHECK_UNAVAILABLE_RETRY_AFTER: Millis = 1000.0;
 
 impl GrpcServer {
-    /// Handles a call until its client has its status or has disconnected.
+    /// Handles a call until its status is sent or its client has disconnected.
     pub(super) async fn handle_call(
         &self,
         request: Request<RecvStream>,
@@ -43,7 +43,7 @@
             Err(CallRejection::Http(status)) => {
                 let mut response = Response::new(());
                 *response.status_mut() = status;
-                // Where it cannot be sent, the client has disconnected.
+                // Fails if the client has disconnected.
                 let _ = respond.send_response(response, true);
             }
             Err(CallRejection::Grpc(code, message)) => {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Reads the head of a call, and its message where there is one only.
+    /// Reads the head of a call, and also its message if the client sends exactly one.
     async fn read_call(
         &self,
         head: &Parts,
@@ -66,8 +66,8 @@
             routes: &self.settings.routes,
         };
         let (mut incoming, route) = rules.read_head(head, now)?;
-        // Guards clients on a busy machine: a status that leaves after the deadline is of no use to
-        // them.
+        // On a busy machine a status may be sent late, and a status after the deadline is useless
+        // to the client.
         incoming.deadline -= self.driver.status_reserve(incoming.deadline - now);
         let call = Rc::new(ProxiedCall::new(
             &head.uri,
@@ -89,7 +89,7 @@
         Ok((incoming, call))
     }
 
-    /// Starts a call at the driver and carries its response to the client.
+    /// Starts a call in the driver and sends its response to the client.
     async fn proxy_call(
         &self,
         head: &Parts,
@@ -114,7 +114,7 @@
             call: &call,
             id: Some(id),
         };
-        // Of a call with one message everything has been read.
+        // A call with one message has been read completely.
         let _reader = call
             .shape()
             .request_streams()
@@ -145,7 +145,7 @@
                     self.apply_answer(&call, received.unwrap_or(Answer::Failed));
                 }
                 step = response.step(&call) => if step != Step::Sent { return },
-                // Guards the status of a client that does not read on.
+                // Ensures that a client that stops reading still gets its status.
                 () = &mut deadline_timer, if answered && !expired => {
                     expired = true;
                     call.expire();
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Ends a call whose caller has not passed its check.
+    /// Ends a call whose caller did not pass the check.
     fn apply_check(&self, call: &ProxiedCall, checked: CheckOutcome) {
         match checked {
             CheckOutcome::Passed => {}
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Ends a call by the final answer of the decision module.
+    /// Ends a call by the decision module's final response.
     fn apply_answer(&self, call: &ProxiedCall, answer: Answer) {
         let now = self.driver.clock.now();
         call.update(|call: &mut Call, outputs| match answer {
@@ -185,10 +185,10 @@
     }
 }
 
-/// The status of a call that the authentication service has denied.
+/// Returns the status of a call that the authentication service has denied.
 fn denial_status(auth_response: &AuthResponse) -> (Code, &'static str) {
     match auth_response {
-        // A redirect to a page where callers sign in is of no use to a client of gRPC.
+        // A redirect to a sign-in page is useless to a gRPC client.
         AuthResponse::Denial { status, .. }
             if *status == StatusCode::UNAUTHORIZED || status.is_redirection() =>
         {
@@ -198,11 +198,11 @@
     }
 }
 
-/// Reports to the driver when a client disconnects before its call has a status.
+/// Notifies the driver when a client disconnects before its call has a status.
 struct PendingCallGuard<'a> {
     driver: &'a Rc<Driver>,
     call: &'a ProxiedCall,
-    /// Absent once the call has its status.
+    /// `None` once the call has its status.
     id: Option<RequestId>,
 }
 
--- a/crates/maplefall/src/net/grpc/client_stream.rs
+++ b/crates/maplefall/src/net/grpc/client_stream.rs
@@ -1,7 +1,7 @@
-//! The two halves of a client's stream: what it uploads, and the response that it is sent.
+//! The two halves of a client's stream: its upload and the response.
 //!
-//! Invariant: nothing is taken out of a call's queue before the client's flow control has capacity for it, so a wait may be
-//! dropped at any time.
+//! Invariant: nothing is taken from a call's queue before the client's flow control has capacity
+//! for it, so every wait is cancel-safe.
 
 use super::proxied_call::ProxiedCall;
 use h2::server::SendResponse;
@@ -14,17 +14,17 @@
 use std::task::{ready, Context, Poll};
 use tokio::task::AbortHandle;
 
-/// What became of the next part of the response.
+/// The result of sending the next part of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Step {
     Sent,
-    /// The status is sent.
+    /// The status has been sent.
     Finished,
     /// The client has disconnected.
     Disconnected,
 }
 
-/// The response, before its head is sent and after it.
+/// The response stream, before and after its head is sent.
 pub(super) enum ResponseStream {
     AwaitingHead(SendResponse<Bytes>),
     Streaming(SendStream<Bytes>),
@@ -32,9 +32,9 @@
 }
 
 impl ResponseStream {
-    /// Whether the client has given the call up, or its connection is gone.
+    /// Ready once the client has cancelled the call or its connection is closed.
     fn poll_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        // A reset and an error of the connection mean the same: the client has disconnected.
+        // A reset and a connection error both mean that the client has disconnected.
         match self {
             ResponseStream::AwaitingHead(respond) => respond.poll_reset(cx).map(drop),
             ResponseStream::Streaming(stream) => stream.poll_reset(cx).map(drop),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Sends what comes next, as far as the client takes it.
+    /// Sends the next output, as far as the client's flow control permits.
     fn poll_step(&mut self, call: &ProxiedCall, cx: &mut Context<'_>) -> Poll<Step> {
         if self.poll_disconnected(cx).is_ready() {
             return Poll::Ready(Step::Disconnected);
@@ -53,7 +53,8 @@
             (next, &mut *self)
         {
             stream.reserve_capacity(length);
-            // The library wakes for an increase of the capacity only, not for what there is.
+            // `poll_capacity` wakes for an increase of the capacity only, not for capacity that is
+            // there already.
             max_bytes = match stream.capacity() {
                 0 => match ready!(stream.poll_capacity(cx)) {
                     Some(Ok(capacity)) => capacity,
@@ -76,17 +77,18 @@
         })
     }
 
-    /// Waits until the client has given the call up.
+    /// Waits until the client has cancelled the call.
     pub(super) async fn disconnected(&mut self) {
         std::future::poll_fn(|cx| self.poll_disconnected(cx)).await;
     }
 
-    /// Sends what comes next. It may be dropped at any wait: nothing is taken before there is capacity for it.
+    /// Sends the next output. Cancel-safe: nothing is taken from the queue before there is capacity
+    /// for it.
     pub(super) async fn step(&mut self, call: &ProxiedCall) -> Step {
         std::future::poll_fn(|cx| self.poll_step(call, cx)).await
     }
 
-    /// Sends a part of the response; `true` if it was the last or cannot be sent.
+    /// Sends a part of the response; `true` if the part was the last or cannot be sent.
     fn send(&mut self, output: Output) -> bool {
         let ended = matches!(output, Output::Final(..));
         *self = match (std::mem::replace(self, ResponseStream::Closed), output) {
@@ -112,7 +114,7 @@
                 let _ = stream.send_trailers(trailers);
                 return true;
             }
-            (side, _) => side,
+            (stream, _) => stream,
         };
         ended
     }
@@ -123,11 +125,11 @@
     }
 }
 
-/// Reads what a client streams, for as long as its call is open.
+/// Reads a client's upload for as long as the call is open.
 pub(super) struct UploadReader(AbortHandle);
 
 impl UploadReader {
-    /// Starts to read. The end of the client's half ends the upload; a reset does not.
+    /// Starts reading. The end of the client's half ends the upload; a reset does not.
     pub(super) fn start(mut body: RecvStream, call: Rc<ProxiedCall>) -> UploadReader {
         let task = tokio::task::spawn_local(async move {
             loop {
@@ -138,7 +140,7 @@
                         call.push_upload(data);
                         let _ = body.flow_control().release_capacity(length);
                     }
-                    // The response's side notices the client's reset and reports it.
+                    // The response stream notices the client's reset and reports it.
                     Some(Err(_)) => return,
                     None => return call.end_upload(),
                 }
@@ -154,7 +156,7 @@
     }
 }
 
-/// A response of a head alone: `Trailers-Only`.
+/// Builds a response without a body (`Trailers-Only`).
 pub(super) fn trailers_only(trailers: HeaderMap) -> Response<()> {
     let mut response = Response::new(());
     *response.headers_mut() = trailers;
--- a/crates/maplefall/src/net/grpc/connections.rs
+++ b/crates/maplefall/src/net/grpc/connections.rs
@@ -1,7 +1,7 @@
-//! Connections to backends for calls: many calls on each, within a bound for all.
+//! HTTP/2 connections to backends: many calls on each, and one limit on all connections.
 //!
-//! Invariant: there are never more connections than the budget (`ConnectionSlot`), and a connection is closed with its last call or
-//! when it has been idle for too long.
+//! Invariant: there are never more connections than the budget (`ConnectionSlot`), and a connection
+//! is closed with its last call or after the idle time.
 
 use h2::client::{self, SendRequest};
 use h2::{Ping, PingPong};
@@ -18,31 +18,31 @@
 use tokio::sync::Mutex;
 use tokio::task::AbortHandle;
 
-/// Bytes of the head and of the trailers of a backend's response at most.
+/// Maximum length of the header list and of the trailers of a backend's response, in bytes.
 const MAX_HEADER_BYTES: u32 = 32 * 1024;
-/// How often idle connections are looked for.
+/// Interval between sweeps for idle connections.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// A connection that has received something within this time counts as alive for a call that must not run twice.
+/// A connection that has received data within this time counts as alive for a non-idempotent call.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(20);
 
-/// A connection to a backend.
+/// An HTTP/2 connection to a backend.
 pub(super) struct Connection {
     sender: SendRequest<Bytes>,
     address: SocketAddr,
-    /// Calls in flight on it.
+    /// Number of calls in flight.
     calls: Cell<usize>,
     idle_since: Cell<Instant>,
     last_activity: Cell<Instant>,
     ping: Mutex<Option<PingPong>>,
     task: AbortHandle,
-    /// Whether it takes no further call.
+    /// Whether the connection accepts no further calls.
     closed: Rc<Cell<bool>>,
     _slot: ConnectionSlot,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // With calls in flight the task goes on until they end.
+        // If calls are in flight, the task runs until they end.
         if self.calls.get() == 0 {
             self.task.abort();
         }
@@ -50,33 +50,35 @@
 }
 
 impl Connection {
-    /// Calls that it takes at most: the smaller of `streams` and the backend's own limit, as far as it is known.
+    /// Maximum number of calls: the smaller of `streams` and the backend's own limit, as far as
+    /// known.
     fn max_calls(&self, streams: usize) -> usize {
         streams.min(self.sender.current_max_send_streams())
     }
 
-    /// What sends requests on it.
+    /// Returns a handle that sends requests.
     pub(super) fn sender(&self) -> SendRequest<Bytes> {
         self.sender.clone()
     }
 
-    /// The address of the backend.
+    /// Returns the backend's address.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gives it no further call.
-    pub(super) fn mark_closed(&self) {
+    /// Prevents further calls on the connection.
+    pub(super) fn close_to_new_calls(&self) {
         self.closed.set(true);
     }
 
-    /// Something has been received on it.
+    /// Records that data has been received.
     pub(super) fn record_activity(&self) {
         self.last_activity.set(Instant::now());
     }
 
-    /// Whether it is alive, for calls that must not run twice: one that has received nothing for a moment has to answer a
-    /// `PING` (RFC 9113, 6.7) within `wait` milliseconds.
+    /// Checks that the connection is alive, for non-idempotent calls: a connection that has
+    /// received nothing within [`LIVENESS_WINDOW`] must respond to a `PING` (RFC 9113, 6.7) within
+    /// `wait` milliseconds.
     pub(super) async fn is_alive(&self, wait: Millis) -> bool {
         if self.last_activity.get().elapsed() < LIVENESS_WINDOW {
             return true;
@@ -101,13 +103,13 @@
 pub(super) struct CallGuard(Rc<Connection>);
 
 impl CallGuard {
-    /// Counts one more call.
+    /// Adds a call to the connection's count.
     pub(super) fn new(connection: Rc<Connection>) -> CallGuard {
         connection.calls.set(connection.calls.get() + 1);
         CallGuard(connection)
     }
 
-    /// The connection.
+    /// Returns the connection.
     pub(super) fn connection(&self) -> &Connection {
         &self.0
     }
@@ -129,23 +131,25 @@
     }
 }
 
-/// Connections for calls to all backends.
+/// HTTP/2 connections to all backends.
 pub struct Backends {
     links: Links,
-    /// Connections at most.
+    /// Maximum number of connections.
     budget: usize,
-    /// Calls on one connection at most.
+    /// Maximum number of calls on one connection.
     streams: usize,
     open: Rc<Cell<usize>>,
-    /// Units that a backend may charge for a call at most.
+    /// Maximum units that a backend may charge for a call.
     pub(super) max_units: f64,
     connections: RefCell<HashMap<BackendId, Vec<Rc<Connection>>>>,
-    /// Locked by the attempt that dials a backend; others wait for its connection rather than dial too.
+    /// Locked by the attempt that dials a backend; other attempts wait for that connection instead
+    /// of dialing too.
     dialing: RefCell<HashMap<BackendId, Rc<Mutex<()>>>>,
 }
 
 impl Backends {
-    /// No connections yet, `budget` at most, with `streams` calls on each; a call is charged `max_units` at most.
+    /// Creates an empty set of at most `budget` connections with at most `streams` calls on each; a
+    /// call is charged at most `max_units`.
     pub fn new(links: Links, budget: usize, streams: usize, max_units: f64) -> Backends {
         Backends {
             links,
@@ -158,10 +162,11 @@
         }
     }
 
-    /// A connection with capacity for one more call, dialed where there is none.
+    /// Returns a connection with capacity for one more call, and dials if there is none.
     ///
     /// # Errors
-    /// `LocalLimit` if the backend takes no calls or the budget is used up, `Unreachable` if it cannot be dialed in time.
+    /// `LocalLimit` if the backend accepts no requests or the budget is used up, `Unreachable` if
+    /// the backend cannot be dialed in time.
     pub(super) async fn connection(
         &self,
         to: BackendId,
@@ -175,7 +180,7 @@
         }
         let dialing = self.dialing.borrow_mut().entry(to).or_default().clone();
         let _dial_guard = dialing.lock().await;
-        // The attempt that dialed meanwhile may have left capacity.
+        // The attempt that held the lock may have opened a connection with spare capacity.
         if let Some(connection) = self.open_connection(to, address) {
             return Ok(connection);
         }
@@ -194,7 +199,7 @@
         let closed = Rc::new(Cell::new(false));
         let ended = closed.clone();
         let task = tokio::task::spawn_local(async move {
-            // Whatever ends it, the calls on it are notified by the library.
+            // The library notifies the calls on the connection, whatever ends it.
             let _ = connection.await;
             ended.set(true);
         });
@@ -218,7 +223,7 @@
         Ok(connection)
     }
 
-    /// A connection that is open already and has capacity.
+    /// Returns an open connection with capacity.
     fn open_connection(&self, to: BackendId, address: SocketAddr) -> Option<Rc<Connection>> {
         let mut connections = self.connections.borrow_mut();
         let known = connections.get_mut(&to)?;
@@ -229,7 +234,7 @@
             .cloned()
     }
 
-    /// Closes the connection that has been idle for longest; `false` if none is idle.
+    /// Closes the connection with the longest idle time; `false` if none is idle.
     fn close_oldest(&self) -> bool {
         let mut connections = self.connections.borrow_mut();
         let idle = connections.iter().flat_map(|(id, known)| {
@@ -248,8 +253,8 @@
             .is_some()
     }
 
-    /// Closes connections that have been idle for too long, or whose backend takes no new calls, for as long as the process
-    /// runs.
+    /// Closes connections that have been idle for too long, or whose backend accepts no new
+    /// requests, for as long as the process runs.
     pub async fn close_idle_connections(&self, pools: &Pools) {
         let max_idle =
             Duration::try_from_secs_f64(self.links.idle_close / 1000.0).unwrap_or_default();
@@ -272,7 +277,7 @@
     }
 }
 
-/// Opens a connection; `None` if the backend cannot be reached or speaks no HTTP/2.
+/// Opens a connection; `None` if the backend cannot be reached or does not speak HTTP/2.
 async fn dial_h2(
     address: SocketAddr,
 ) -> Option<(SendRequest<Bytes>, client::Connection<TcpStream, Bytes>)> {
--- a/crates/maplefall/src/net/grpc/mod.rs
+++ b/crates/maplefall/src/net/grpc/mod.rs
@@ -1,9 +1,12 @@
-//! gRPC pass-through: a further listener for calls over HTTP/2 without TLS (`h2c` by prior knowledge).
+//! gRPC proxying: a separate listener for calls over HTTP/2 without TLS (`h2c` with prior
+//! knowledge).
 //!
-//! `maplefall-grpc` decides what a call, an attempt and a status mean; the decision module decides on backends and retries, as
-//! for every request. The files here do the I/O: [`server`] accepts connections and calls, [`validation`] reads their heads,
-//! [`call_handler`] leads each to its status, [`client_stream`] is the client's side of it, [`proxied_call`] the queues between,
-//! [`attempt`] and [`connections`] the backends' side, and [`settings`] the file (`MAPLEFALL_GRPC`).
+//! `maplefall-grpc` implements the protocol logic of calls, attempts and statuses; the decision
+//! module decides on backends and retries, as for every request. These files do the I/O: [`server`]
+//! accepts connections and calls, [`validation`] validates their heads, [`call_handler`] runs each
+//! call until it has its status, [`client_stream`] is the client's side, [`proxied_call`] the
+//! queues in between, [`attempt`] and [`connections`] the backends' side, and [`settings`] the
+//! settings file (`MAPLEFALL_GRPC`).
 
 mod attempt;
 mod call_handler;
@@ -20,7 +23,7 @@
 pub use server::GrpcServer;
 pub use settings::{from_env, is_grpc_file, read, GrpcSettings};
 
-/// Descriptors for gRPC: connections of clients and to backends, and the listener.
+/// Number of descriptors for gRPC: connections of clients and to backends, and the listener.
 pub fn reserved_sockets(settings: Option<&GrpcSettings>) -> usize {
     settings.map_or(0, |settings| {
         settings.connections + settings.backend_connections + 1
--- a/crates/maplefall/src/net/grpc/proxied_call.rs
+++ b/crates/maplefall/src/net/grpc/proxied_call.rs
@@ -1,7 +1,8 @@
-//! A call between its client's stream and its attempts.
+//! A call with the queues between the client's stream and the attempts.
 //!
-//! Invariant: what goes either way is in bounded queues: a client that reads slowly stops the attempt from reading, and what the
-//! client uploads is kept for retries up to a limit, beyond which the call is committed to its attempt.
+//! Invariant: the queues in both directions are bounded. A client that reads slowly stops the
+//! attempt from reading. The client's upload is kept for retries up to a limit, beyond which the
+//! call is committed to its attempt.
 
 use hyper::body::Bytes;
 use hyper::http::uri::PathAndQuery;
@@ -12,32 +13,32 @@
 use std::task::{Context, Poll, Waker};
 use tokio::sync::Notify;
 
-/// Bytes queued for a client that reads slowly, beyond which an attempt stops reading.
+/// Limit in bytes on the queue for the client, beyond which an attempt stops reading.
 const MAX_QUEUED_BYTES: usize = 64 * 1024;
 
-/// A call in flight.
+/// A call in flight, with its queues.
 pub struct ProxiedCall {
-    /// Its method, as the path at a backend.
+    /// The method, as the path at a backend.
     pub path: PathAndQuery,
-    /// Its `:authority`.
+    /// The client's `:authority`.
     pub authority: String,
-    /// Its metadata, without what belongs to the client's connection.
+    /// The metadata, without the headers of the client's connection.
     pub metadata: HeaderMap,
     call: RefCell<Call>,
     replay: RefCell<Replay>,
     response: RefCell<ResponseQueue>,
-    /// Wakes the sender of the response once there is something to send.
+    /// Wakes the sender of the response once there is output.
     output_waker: Cell<Option<Waker>>,
-    /// The client has taken something.
+    /// Notified when output has been sent to the client.
     output_taken: Notify,
-    /// The client has sent something.
+    /// Notified when the client has uploaded a chunk or ended its half.
     upload_added: Notify,
-    /// An attempt has taken something that the client sent.
+    /// Notified when an attempt has sent part of the upload.
     upload_taken: Notify,
 }
 
 impl ProxiedCall {
-    /// A call of this shape whose client waits until `deadline`.
+    /// Creates a call of this shape whose client waits until `deadline`.
     pub fn new(
         uri: &Uri,
         metadata: HeaderMap,
@@ -65,18 +66,18 @@
         }
     }
 
-    /// Until when its client waits.
+    /// Returns the time until which the client waits.
     pub fn deadline(&self) -> Millis {
         self.call.borrow().deadline()
     }
 
-    /// Whether its client and its backend send one message or many.
+    /// Returns whether client and backend send one message or many.
     pub fn shape(&self) -> Shape {
         self.call.borrow().shape()
     }
 
-    /// Updates the call, and queues the outputs for the client. `true` if that committed the call: then the decision module has
-    /// to be notified before anything else happens.
+    /// Updates the call and queues the outputs for the client. `true` if this committed the call:
+    /// the decision module must then be notified before anything else happens.
     pub fn update(&self, decide: impl FnOnce(&mut Call, &mut Vec<Output>)) -> bool {
         let mut outputs = Vec::new();
         decide(&mut self.call.borrow_mut(), &mut outputs);
@@ -93,10 +94,10 @@
         committed
     }
 
-    /// Begins an attempt and gives its number.
+    /// Begins an attempt and returns its number.
     ///
     /// # Errors
-    /// The call is committed or has its status.
+    /// The call is committed or has its status already.
     pub fn begin_attempt(&self) -> Result<u32, Closed> {
         self.call.borrow_mut().begin()
     }
@@ -106,7 +107,7 @@
         self.call.borrow_mut().ended(attempt, end, trailers);
     }
 
-    /// Waits until no more than [`MAX_QUEUED_BYTES`] are queued for the client.
+    /// Waits until the queue for the client holds [`MAX_QUEUED_BYTES`] at most.
     pub async fn wait_for_capacity(&self) {
         while self.response.borrow().is_full() && !self.call.borrow().over() {
             self.output_taken.notified().await;
@@ -115,7 +116,7 @@
 
     // ---- To the client ------------------------------------------------------------------------------
 
-    /// What is sent to the client next, once there is something.
+    /// Returns the next output for the client, once there is one.
     pub fn poll_output(&self, cx: &mut Context<'_>) -> Poll<NextOutput> {
         match self.response.borrow().next() {
             Some(next) => Poll::Ready(next),
@@ -126,14 +127,15 @@
         }
     }
 
-    /// Takes what is sent to the client next; of messages `max` bytes at most.
+    /// Takes the next output for the client; at most `max` bytes of messages.
     pub fn take_output(&self, max: usize) -> Option<Output> {
         let taken = self.response.borrow_mut().take(max);
         self.output_taken.notify_one();
         taken
     }
 
-    /// The client's deadline has passed: what it has not read is dropped, and its status does not wait.
+    /// Records that the client's deadline has passed: unread output is dropped, and the status is
+    /// sent without waiting for the client to read.
     pub fn expire(&self) {
         self.response.borrow_mut().expire();
         self.output_taken.notify_one();
@@ -141,13 +143,13 @@
 
     // ---- From the client ----------------------------------------------------------------------------
 
-    /// Adds what the client has uploaded.
+    /// Adds a chunk of the client's upload.
     pub fn push_upload(&self, chunk: Bytes) {
         self.replay.borrow_mut().push(chunk);
         self.upload_added.notify_one();
     }
 
-    /// The client has ended its half of the stream.
+    /// Records that the client has ended its half of the stream.
     pub fn end_upload(&self) {
         self.replay.borrow_mut().end();
         self.upload_added.notify_one();
@@ -160,14 +162,16 @@
         }
     }
 
-    /// Waits for the chunk of the upload with this index. `committed` is called where the call has to be committed to go on.
+    /// Waits for the chunk of the upload with this index. `committed` is called if the call must be
+    /// committed before the upload can continue.
     pub async fn next_upload(&self, index: u64, committed: &dyn Fn()) -> Next {
         loop {
             let next = self.replay.borrow().next(index);
             if next != Next::Wait {
                 return next;
             }
-            // All that can be kept for a retry has been sent and the client has more: there is no retry from here on.
+            // The replay buffer has been sent completely and the client has more data: no retry is
+            // possible from here on.
             if !self.replay.borrow().has_room() {
                 if self.update(Call::commit) {
                     committed();
@@ -179,13 +183,13 @@
         }
     }
 
-    /// The present attempt has sent all chunks before this index.
-    pub fn mark_sent(&self, index: u64) {
+    /// Records that the present attempt has sent all chunks before this index.
+    pub fn record_sent(&self, index: u64) {
         self.replay.borrow_mut().taken(index);
         self.upload_taken.notify_one();
     }
 
-    /// Whether the client has ended its half and uploaded nothing from this index on.
+    /// Returns whether the client has ended its half and uploaded nothing from this index on.
     pub fn upload_ends_at(&self, index: u64) -> bool {
         self.replay.borrow().next(index) == Next::End
     }
--- a/crates/maplefall/src/net/grpc/server.rs
+++ b/crates/maplefall/src/net/grpc/server.rs
@@ -1,7 +1,9 @@
-//! The listener for gRPC: connections of clients over HTTP/2 without TLS, and the bounds on connections and calls.
+//! The listener for gRPC: clients' connections over HTTP/2 without TLS, and the limits on
+//! connections and calls.
 //!
-//! Invariant: connections and calls are counted for exactly as long as they are open (`OpenGuard`). Beyond the bound a connection
-//! waits in the system's backlog, and a call is reset with `REFUSED_STREAM` (RFC 9113, 8.7).
+//! Invariant: connections and calls are counted for exactly as long as they are open (`OpenGuard`).
+//! Beyond the limit a connection waits in the kernel's backlog, and a call is reset with
+//! `REFUSED_STREAM` (RFC 9113, 8.7).
 
 use super::settings::GrpcSettings;
 use crate::net::auth::Auth;
@@ -17,15 +19,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Notify};
 
-/// Bytes of a call's metadata at most; the library rejects more.
+/// Maximum length of a call's metadata in bytes; the library rejects more.
 const MAX_METADATA_BYTES: u32 = 16 * 1024;
-/// How long a connection may take until the preface of HTTP/2 has been exchanged.
+/// Time limit for the HTTP/2 handshake of a connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait when the system has no descriptor for a new connection, and while the bound on connections is reached.
+/// Delay while the system has no descriptor for a new connection, and while the limit on
+/// connections is reached.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a planned stop takes at most, beyond the longest deadline of a class.
+/// Maximum time of a graceful shutdown beyond the longest deadline of a class.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(550);
-/// How long calls are still accepted on open connections once a stop is planned: until `GOAWAY` has reached the clients.
+/// How long calls are still accepted on open connections after the shutdown begins, until `GOAWAY`
+/// has reached the clients.
 const GOAWAY_GRACE: Duration = Duration::from_millis(50);
 
 /// The server for clients of gRPC.
@@ -40,7 +44,7 @@
 }
 
 impl GrpcServer {
-    /// A server in front of `driver`, with checks of callers where there is `auth`.
+    /// Creates a server for `driver`, which checks callers if there is `auth`.
     pub fn new(
         driver: Rc<Driver>,
         auth: Option<Rc<Auth>>,
@@ -60,7 +64,7 @@
     /// Accepts connections for as long as the process runs.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
-            // Beyond the bound a connection waits in the system's backlog.
+            // Beyond the limit a connection waits in the kernel's backlog.
             while self.connections.get() >= self.settings.connections {
                 tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
@@ -78,7 +82,8 @@
         }
     }
 
-    /// Accepts no new calls, and returns once those in flight have their status.
+    /// Stops accepting calls, and returns once those in flight have their status or the time limit
+    /// is over.
     pub async fn stop(&self) {
         let max_deadline = self
             .driver
@@ -112,7 +117,7 @@
             .max_header_list_size(MAX_METADATA_BYTES);
         let handshake =
             tokio::time::timeout(HANDSHAKE_TIMEOUT, builder.handshake::<_, Bytes>(stream)).await;
-        // A peer that speaks no HTTP/2 is not answered in it.
+        // A peer that does not speak HTTP/2 gets no response.
         let Ok(Ok(mut connection)) = handshake else {
             return;
         };
@@ -125,7 +130,7 @@
             tokio::select! {
                 call = connection.accept() => match call {
                     Some(Ok((request, respond))) => self.clone().start_call(request, respond, peer, &active),
-                    // The connection is over, its calls with it.
+                    // The connection and its calls have ended.
                     Some(Err(_)) | None => return,
                 },
                 _ = stopping.wait_for(|stopping| *stopping), if !draining => {
@@ -134,7 +139,8 @@
                 }
                 () = tokio::time::sleep(idle) => {
                     if active.get() == 0 {
-                        // A client that does not close after GOAWAY is dropped.
+                        // The connection of a client that does not close it after GOAWAY is
+                        // dropped.
                         if draining {
                             return;
                         }
@@ -146,7 +152,7 @@
         }
     }
 
-    /// Starts the task of a call, or resets it beyond the bound.
+    /// Starts the task of a call, or resets the call if the limit is reached.
     fn start_call(
         self: Rc<Self>,
         request: Request<RecvStream>,
@@ -155,7 +161,8 @@
         active: &Rc<Cell<usize>>,
     ) {
         if self.calls.get() >= self.settings.calls {
-            // Its client may retry it, here or elsewhere: nothing of it was processed (RFC 9113, 8.7).
+            // The client may retry the call, here or elsewhere: none of it was processed (RFC 9113,
+            // 8.7).
             respond.send_reset(Reason::REFUSED_STREAM);
             return;
         }
@@ -178,10 +185,10 @@
     kind: OpenKind,
 }
 
-/// What is open.
+/// The kind of an [`OpenGuard`].
 enum OpenKind {
     Connection,
-    /// A call, with the calls of its connection.
+    /// A call, with the number of calls on its connection.
     Call(Rc<Cell<usize>>),
 }
 
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -1,5 +1,5 @@
-//! The file of gRPC pass-through (`MAPLEFALL_GRPC`, a TOML file; `deploy/grpc.toml` is one): where calls are accepted, and which
-//! class each method belongs to. Without it no further port is opened.
+//! The settings file of gRPC proxying (`MAPLEFALL_GRPC`, TOML; example: `deploy/grpc.toml`): the
+//! listener, and the class of each method. Without the file there is no gRPC listener.
 
 use maplefall_grpc::routes::{Routes, Wrong};
 use maplefall_grpc::Shape;
@@ -12,33 +12,34 @@
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_GRPC";
 
-/// How calls of a method are handled.
+/// The handling of a method's calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Route {
-    /// Their class.
+    /// The class of the calls.
     pub class: ClassId,
     /// Whether client and backend send one message or many.
     pub shape: Shape,
-    /// Units of a call whose client names none.
+    /// Quota units of a call whose client names none.
     pub units: f64,
 }
 
-/// How calls are accepted and proxied.
+/// The settings for accepting and proxying calls.
 #[derive(Clone, Debug)]
 pub struct GrpcSettings {
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Connections of clients at most; 32 by default.
+    /// Maximum number of clients' connections; 32 by default.
     pub connections: usize,
-    /// Calls on one connection at most, on either side; 64 by default.
+    /// Maximum number of calls on one connection, on either side; 64 by default.
     pub streams: u32,
-    /// Calls at most, over all connections; 512 by default.
+    /// Maximum number of calls over all connections; 512 by default.
     pub calls: usize,
-    /// Connections to backends at most; 32 by default.
+    /// Maximum number of connections to backends; 32 by default.
     pub backend_connections: usize,
-    /// Bytes of a client's messages, and of a response, that are buffered for one call at most; 64 KiB by default.
+    /// Maximum bytes of a client's messages, and of a response, that are buffered for one call; 64
+    /// KiB by default.
     pub max_buffered_bytes: usize,
-    /// After how long without a call a connection is closed, in milliseconds; 60,000 by default.
+    /// Time without a call after which a connection is closed, in milliseconds; 60,000 by default.
     pub idle: Millis,
     /// The route of each method.
     pub routes: Routes<Route>,
@@ -78,10 +79,11 @@
     Bidi,
 }
 
-/// What the variable's file says, for classes of these names; `None` without one.
+/// Reads the file that the variable names, for classes of these names; `None` if the variable is
+/// not set.
 ///
 /// # Errors
-/// Every mistake, one to a line.
+/// All errors, one per line.
 pub fn from_env(classes: &[String]) -> Result<Option<GrpcSettings>, String> {
     let Some(path) = std::env::var_os(VARIABLE) else {
         return Ok(None);
@@ -91,17 +93,17 @@
         .map_err(|found| found.join("\n"))
 }
 
-/// What a file says. Without the classes' names, whatever it calls a class is taken for one.
+/// Reads a file. Without the classes' names, any name of a class is accepted.
 ///
 /// # Errors
-/// Every mistake, each with the file's name and the field.
+/// All errors, each with the file's name and the field.
 pub fn read(path: &Path, classes: Option<&[String]>) -> Result<GrpcSettings, Vec<String>> {
     let named = |text: String| format!("{}: {text}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| vec![named(error.to_string())])?;
     parse(&text, classes).map_err(|found| found.into_iter().map(named).collect())
 }
 
-/// Whether a text is a file of this kind.
+/// Returns whether a text is a settings file of gRPC.
 pub fn is_grpc_file(text: &str) -> bool {
     text.parse::<toml::Table>()
         .is_ok_and(|table| table.contains_key("listen"))
@@ -145,28 +147,29 @@
     if file.routes.is_empty() {
         errors.push("route: at least one [[route]] was expected".to_owned());
     }
-    let mut rows = Vec::new();
-    for (at, row) in file.routes.iter().enumerate() {
-        let known = classes.map(|known| known.iter().position(|known| *known == plain(&row.class)));
+    let mut routes = Vec::new();
+    for (at, entry) in file.routes.iter().enumerate() {
+        let known =
+            classes.map(|known| known.iter().position(|known| *known == plain(&entry.class)));
         if let (Some(None), Some(known)) = (known, classes) {
             errors.push(format!(
                 "route.{at}.class: one of {} was expected, not {:?}",
                 known.join(", "),
-                row.class
+                entry.class
             ));
         }
-        let units = row.units.unwrap_or(1.0);
+        let units = entry.units.unwrap_or(1.0);
         if !(units > 0.0 && units.is_finite()) {
             errors.push(format!("route.{at}.units: a number over 0 was expected"));
         }
-        let shape = match row.shape {
+        let shape = match entry.shape {
             ShapeName::Unary => Shape::Unary,
             ShapeName::ServerStream => Shape::ServerStream,
             ShapeName::ClientStream => Shape::ClientStream,
             ShapeName::Bidi => Shape::Bidi,
         };
-        rows.push((
-            row.method.as_str(),
+        routes.push((
+            entry.method.as_str(),
             Route {
                 class: ClassId(known.flatten().unwrap_or(at)),
                 shape,
@@ -174,7 +177,7 @@
             },
         ));
     }
-    let routes = Routes::new(rows);
+    let routes = Routes::new(routes);
     if let Err(wrong) = &routes {
         errors.extend(wrong.iter().map(|wrong: &Wrong| format!("route: {wrong}")));
     }
--- a/crates/maplefall/src/net/grpc/settings/tests.rs
+++ b/crates/maplefall/src/net/grpc/settings/tests.rs
@@ -1,8 +1,8 @@
-//! The file of gRPC pass-through.
+//! Tests of the settings file of gRPC.
 
 use super::*;
 
-/// Guards the example that ships.
+/// Guards the shipped example: it must be valid.
 #[test]
 fn shipped_example_is_valid() {
     let text = include_str!("../../../../../../deploy/grpc.toml");
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn reports_every_mistake_with_its_field() {
+fn reports_all_errors_with_their_fields() {
     let text =
         "listen = \"here\"\nstreams = 0\nheld_bytes = 5\nidle_ms = nan\n[[route]]\nmethod = \"/a.B/C\"\n\
                 class = \"pago\"\nunits = 0\n[[route]]\nmethod = \"a\"\nclass = \"cobro\"\n[[route]]\n\
--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -1,6 +1,6 @@
-//! Validation of calls: what a client's call must look like before the decision module sees it.
+//! Validation of a client's call before the decision module sees it.
 //!
-//! A request that is no gRPC is answered in HTTP, a call that cannot be used with a status of gRPC.
+//! A request that is not gRPC gets an HTTP response; an invalid call gets a gRPC status.
 
 use super::attempt::GRPC_TIMEOUT;
 use super::proxied_call::ProxiedCall;
@@ -22,17 +22,17 @@
 use maplefall_protocol::{Incoming, Order, LONGEST_BODY};
 use maplefall_settings::{plain, Names};
 
-/// Bytes in front of each message: a flag and its length.
+/// Length of the prefix of each message: a flag and the message's length.
 const FRAME_HEADER_BYTES: usize = 5;
 
 /// Why a call is rejected before the decision module sees it.
 #[derive(Debug)]
 pub(super) enum CallRejection {
-    /// It is no gRPC; the status of the answer in HTTP.
+    /// The request is not gRPC; the status of the HTTP response.
     Http(StatusCode),
-    /// It is gRPC and cannot be used; its status and the message beside it.
+    /// The call is invalid; its gRPC status and message.
     Grpc(Code, String),
-    /// Its client has disconnected.
+    /// The client has disconnected.
     Disconnected,
 }
 
@@ -49,21 +49,21 @@
     }
 }
 
-/// What calls are validated against.
+/// The rules that calls are validated against.
 pub(super) struct CallRules<'a> {
     /// The settings of the configuration file.
     pub(super) settings: &'a Settings,
-    /// The names of its classes and plans.
+    /// Names of classes and plans.
     pub(super) names: &'a Names,
     /// The class and shape of each method.
     pub(super) routes: &'a Routes<Route>,
 }
 
 impl CallRules<'_> {
-    /// Reads the head of a call that came at `now`.
+    /// Parses and validates the head of a call that arrived at `now`.
     ///
     /// # Errors
-    /// The first rule that it breaks.
+    /// The first rule that the call violates.
     pub(super) fn read_head(
         &self,
         head: &Parts,
@@ -90,7 +90,7 @@
             HeaderValue::from_str(authority).map_err(|_| CallRejection::invalid_header(&HOST))?;
         let incoming = Incoming {
             at: now,
-            // No client waits for longer than its class allows.
+            // The timeout is limited to the deadline of the class.
             deadline: now + timeout.min(class.deadline),
             authorized: true,
             customer: customer(headers).ok_or_else(|| CallRejection::invalid_header(&COOKIE))?,
@@ -113,7 +113,7 @@
         Ok((incoming, route))
     }
 
-    /// The route of the method that is called.
+    /// Returns the route of the called method.
     fn route(&self, head: &Parts) -> Result<Route, CallRejection> {
         if head.method != Method::POST {
             return Err(CallRejection::Http(StatusCode::METHOD_NOT_ALLOWED));
@@ -136,14 +136,15 @@
             .ok_or_else(|| CallRejection::invalid_argument("unknown plan"))
     }
 
-    /// Units of a call, and over how many proxies its customer's calls are spread.
+    /// Returns the quota units of a call, and the number of gateways that its customer's calls are
+    /// spread over.
     fn units_and_gateways(
         &self,
         headers: &HeaderMap,
         route: Route,
     ) -> Result<(f64, f64), CallRejection> {
         if !headers.contains_key(&API_TERMS) {
-            // A client that names no set of proxies comes through all of them.
+            // Without the header, the customer's calls are spread over all gateways.
             return Ok((route.units, f64::from(self.settings.gateways.max(1))));
         }
         let terms = Terms::read(header_text(headers, &API_TERMS)?, self.settings)
@@ -156,7 +157,7 @@
     ascii_header(headers, header).map_err(|_| CallRejection::invalid_header(header))
 }
 
-/// A key has to be there for classes that need one, and for no others.
+/// Checks that the idempotency key is present for classes that need one, and absent for others.
 fn check_idempotency_key(headers: &HeaderMap, class: &Class) -> Result<(), CallRejection> {
     let keyed = headers.contains_key(IDEMPOTENCY_KEY);
     let readable = !keyed || identifier_header(headers, &IDEMPOTENCY_KEY).is_ok();
@@ -166,7 +167,7 @@
     Ok(())
 }
 
-/// How long the client waits, in milliseconds; without end where it does not say.
+/// Returns the client's timeout in milliseconds; infinite if the header is absent.
 fn read_timeout(headers: &HeaderMap) -> Result<Millis, CallRejection> {
     if !headers.contains_key(&GRPC_TIMEOUT) {
         return Ok(f64::INFINITY);
@@ -175,8 +176,8 @@
         .ok_or_else(|| CallRejection::invalid_header(&GRPC_TIMEOUT))
 }
 
-/// The metadata that is forwarded: all but what belongs to the connection or to this hop's timeout,
-/// and what only the authentication service may set.
+/// Returns the forwarded metadata: without the headers of the connection and of this hop's timeout,
+/// and without those that only the authentication service may set.
 pub(super) fn forwarded_metadata(headers: &HeaderMap, auth: Option<&Auth>) -> HeaderMap {
     let mut metadata = headers.clone();
     for name in [
@@ -195,15 +196,15 @@
     metadata
 }
 
-/// Reads the one message of a call whose client sends one, of [`LONGEST_BODY`] bytes at most.
+/// Reads the single message of a call, at most [`LONGEST_BODY`] bytes.
 ///
 /// # Errors
-/// There is no message, more than one, or a longer one; or the client has disconnected.
+/// There is not exactly one message, the message is too long, or the client has disconnected.
 pub(super) async fn read_single_message(
     body: &mut RecvStream,
     call: &ProxiedCall,
 ) -> Result<(), CallRejection> {
-    let not_one = || CallRejection::invalid_argument("one message was expected");
+    let not_single = || CallRejection::invalid_argument("one message was expected");
     let mut frames = Frames::default();
     let mut received = 0;
     while let Some(data) = body.data().await {
@@ -211,7 +212,7 @@
         received += data.len();
         let _ = body.flow_control().release_capacity(data.len());
         if frames.take(&data).is_err() || frames.messages() + u64::from(frames.within()) > 1 {
-            return Err(not_one());
+            return Err(not_single());
         }
         if received > LONGEST_BODY + FRAME_HEADER_BYTES || frames.length() as usize > LONGEST_BODY {
             let message = format!("a message of {LONGEST_BODY} bytes at most was expected");
@@ -220,7 +221,7 @@
         call.push_upload(data);
     }
     if frames.messages() != 1 {
-        return Err(not_one());
+        return Err(not_single());
     }
     call.end_upload();
     Ok(())
