--- a/crates/maplefall/src/counts.rs
+++ b/crates/maplefall/src/counts.rs
@@ -1,5 +1,5 @@
-//! `maplefall counts`: fetches the status of shared counts from a running process, over its own protocol and with the key of its
-//! cluster; and decodes datagrams.
+//! `maplefall counts`: fetches the status of shared counts from a running gateway, over the
+//! protocol of shared counts and with its cluster's key, and decodes datagrams.
 
 use crate::net::counts_settings::{self, CountsSettings};
 use maplefall_shared_counts::status::Status;
@@ -9,42 +9,42 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long a response is waited for before the request is sent again.
+/// How long a response is awaited before the request is sent again.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Requests for one response at most.
+/// Maximum number of requests for one response.
 const MAX_ATTEMPTS: u32 = 5;
-/// Chunks of a status at most.
-const MAX_STATUS_PARTS: u32 = 1024;
+/// Maximum number of chunks of a status.
+const MAX_STATUS_CHUNKS: u32 = 1024;
 
-/// What is shown.
+/// The subcommands of `maplefall counts`.
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Who takes part, how old the news of each is, and what was refused
+    /// The members, the age of each one's counts, and the rejected datagrams
     Members(Target),
-    /// The customers that have used most, over all doors and the epochs that are kept
+    /// The customers with the highest usage, over all gateways and the epochs that are kept
     Customers(Target),
-    /// All of it
+    /// The whole status
     Status(Target),
-    /// What a datagram says, if it was made with the file's key
+    /// Decodes a datagram that was made with the file's key
     Dump {
-        /// The file of shared counts
+        /// The settings file of shared counts
         #[arg(long)]
         file: PathBuf,
-        /// The datagram, in hexadecimal digits
+        /// The datagram in hexadecimal digits
         datagram: String,
     },
 }
 
-/// Which front door is asked.
+/// The gateway to query.
 #[derive(clap::Args)]
 pub struct Target {
-    /// The file of shared counts that the front door was started with: for its cluster and key
+    /// The settings file that the gateway was started with: for its cluster and key
     #[arg(long)]
     file: PathBuf,
-    /// Another address than the file's `gossip`
+    /// The gateway's address, if it is not the file's `gossip`
     #[arg(long = "ask", value_name = "ASK")]
     address: Option<SocketAddr>,
-    /// As one line of JSON
+    /// Print one line of JSON
     #[arg(long)]
     json: bool,
 }
@@ -52,7 +52,7 @@
 /// Runs a command.
 ///
 /// # Errors
-/// One line: what cannot be used, or that there is no response.
+/// One line: the setting that cannot be used, or that there is no response.
 pub fn run(command: Command) -> Result<(), String> {
     match command {
         Command::Members(target) => show_status(&target, |status| {
@@ -86,12 +86,12 @@
     Ok(())
 }
 
-/// The client's side of one exchange with a running process.
+/// The client's side of one exchange with a running gateway.
 struct StatusClient {
     socket: UdpSocket,
     to: SocketAddr,
     seal: Seal,
-    instance: Life,
+    incarnation: Life,
     nonce: u64,
     last_number: u64,
 }
@@ -101,7 +101,7 @@
         self.last_number += 1;
         let head = Head {
             kind,
-            from: self.instance,
+            from: self.incarnation,
             number: self.last_number,
             nonce: self.nonce,
             echo,
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Receives the next datagram of a kind that belongs to this exchange; `None` if there is none in time.
+    /// Receives the next datagram of a kind that belongs to this exchange; `None` at the timeout.
     fn receive(&self, kind: Kind) -> Option<(Head, Vec<Section>)> {
         let until = Instant::now() + RESPONSE_TIMEOUT;
         let mut bytes = [0; MOST_DATAGRAM + 1];
@@ -135,35 +135,35 @@
         None
     }
 
-    /// Repeats an attempt until it has a result.
+    /// Repeats an attempt until it has a result, at most [`MAX_ATTEMPTS`] times.
     fn retry<T>(
         &mut self,
         mut attempt: impl FnMut(&mut Self) -> Result<Option<T>, String>,
     ) -> Result<T, String> {
         for _ in 0..MAX_ATTEMPTS {
-            if let Some(answer) = attempt(self)? {
-                return Ok(answer);
+            if let Some(result) = attempt(self)? {
+                return Ok(result);
             }
         }
         Err(format!(
-            "{}: no answer; is it the address of a front door of this cluster and key?",
+            "{}: no response; is this the address of a gateway with this cluster and key?",
             self.to
         ))
     }
 }
 
-/// Fetches the status of a process, as JSON text.
+/// Fetches the status of a gateway, as JSON text.
 fn fetch_status(settings: &CountsSettings, to: SocketAddr) -> Result<String, String> {
     let local_address: SocketAddr = if to.is_ipv4() {
         ([0, 0, 0, 0], 0).into()
     } else {
         ([0u16; 8], 0).into()
     };
-    let no_socket = |error: std::io::Error| format!("no socket: {error}");
-    let socket = UdpSocket::bind(local_address).map_err(no_socket)?;
+    let socket_error = |error: std::io::Error| format!("cannot open a socket: {error}");
+    let socket = UdpSocket::bind(local_address).map_err(socket_error)?;
     socket
         .set_read_timeout(Some(RESPONSE_TIMEOUT / 4))
-        .map_err(no_socket)?;
+        .map_err(socket_error)?;
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -172,7 +172,7 @@
         socket,
         to,
         seal: Seal::new(&settings.sharing.cluster, &settings.sharing.key),
-        instance: Life {
+        incarnation: Life {
             door: id,
             incarnation: (since.as_millis() as u64).max(1),
         },
@@ -183,8 +183,8 @@
         client.send(Kind::Hello, 0, None)?;
         Ok(client.receive(Kind::Hello).map(|(head, _)| head.nonce))
     })?;
-    let (mut text, mut index, mut total_parts) = (Vec::new(), 0, 1);
-    while index < total_parts {
+    let (mut text, mut index, mut total_chunks) = (Vec::new(), 0, 1);
+    while index < total_chunks {
         let (total, chunk) = client.retry(|client| {
             client.send(Kind::Ask, echo, Some(Section::Part(index)))?;
             let sections = client.receive(Kind::Told).map(|(_, sections)| sections);
@@ -196,15 +196,15 @@
                     _ => None,
                 }))
         })?;
-        if total > MAX_STATUS_PARTS {
+        if total > MAX_STATUS_CHUNKS {
             return Err(format!(
-                "{to}: a status of {total} parts, {MAX_STATUS_PARTS} at most were expected"
+                "{to}: the status has {total} chunks, at most {MAX_STATUS_CHUNKS} were expected"
             ));
         }
         text.extend(chunk);
-        (index, total_parts) = (index + 1, total);
+        (index, total_chunks) = (index + 1, total);
     }
-    String::from_utf8(text).map_err(|_| format!("{to}: its status is no text"))
+    String::from_utf8(text).map_err(|_| format!("{to}: its status is not UTF-8"))
 }
 
 fn dump_datagram(file: &Path, datagram: &str) -> Result<(), String> {
@@ -221,8 +221,8 @@
         .map(|pair| (pair[0] << 4 | pair[1]) as u8)
         .collect();
     let seal = Seal::new(&settings.sharing.cluster, &settings.sharing.key);
-    let (head, sections) = wire::read(&seal, &bytes)
-        .map_err(|why| format!("the datagram changes nothing: {why:?}"))?;
+    let (head, sections) =
+        wire::read(&seal, &bytes).map_err(|why| format!("the datagram is rejected: {why:?}"))?;
     println!("{head:?}");
     for section in sections {
         match section {
@@ -234,7 +234,10 @@
                     "counts of {life:?} after {} up to {}",
                     delta.after, delta.up_to
                 );
-                delta.counts.iter().for_each(|told| println!("  {told:?}"));
+                delta
+                    .counts
+                    .iter()
+                    .for_each(|count| println!("  {count:?}"));
             }
             Section::Text(parts, text) => println!("text, {} bytes, of {parts} parts", text.len()),
             Section::Part(part) => println!("part {part}"),
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -1,9 +1,9 @@
-//! Forward authentication: sub-requests to the service on pooled connections, and what its
-//! responses mean.
+//! Forward authentication: sends sub-requests to the service on pooled connections and interprets
+//! its responses.
 //!
-//! `maplefall-forward-auth` decides which server is asked, for how long, and what is cached.
-//! Invariant: a caller's decision is there before its request's deadline, and a wait that is
-//! dropped leaves nothing behind (`WaitGuard`).
+//! `maplefall-forward-auth` decides which server is queried, for how long, and what is cached.
+//! Invariant: a caller's decision is made before the request's deadline, and a dropped wait leaves
+//! no state behind (`WaitGuard`).
 
 use super::auth_settings::{AuthSettings, KeyPart};
 #[cfg(feature = "breakages")]
@@ -30,47 +30,48 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-/// How long a connection to the service may take to be established, in milliseconds.
+/// Time limit for connecting to the service, in milliseconds.
 const DIAL_TIMEOUT: Millis = 250.0;
-/// Where descriptors are few, one check may be in flight for so many of them.
+/// If descriptors are scarce, one check may be in flight for this many descriptors.
 const SOCKETS_PER_CHECK: usize = 16;
 
-/// What the service's response gives to the request.
+/// The service's response: headers for the forwarded request, or a response to the client in its
+/// place.
 #[derive(Debug)]
 pub enum AuthResponse {
-    /// Headers for the backend.
+    /// Headers to add to the request for the backend.
     Onward(Vec<(HeaderName, HeaderValue)>),
-    /// The service's own response, for the client.
+    /// The service's own response, to be sent to the client.
     Denial {
-        /// Its status.
+        /// Status.
         status: StatusCode,
-        /// Its headers, but for those of its connection.
+        /// Headers, without those of the service's connection.
         headers: Vec<(HeaderName, HeaderValue)>,
-        /// Its body.
+        /// Body.
         body: Bytes,
     },
 }
 
-/// What became of a request whose caller was to be checked.
+/// The result for a request whose caller had to be checked.
 pub enum CheckOutcome {
-    /// It goes on.
+    /// The caller is authorized.
     Passed,
-    /// The decision module answered it first.
+    /// The decision module ended the request first, with this response.
     Answered(Answer),
-    /// The service's response is its answer.
+    /// The caller is denied; the service's response goes to the client.
     Denied(Rc<AuthResponse>),
-    /// Its caller could not be checked: no attempt was made.
+    /// The caller could not be checked; no attempt was made.
     Unavailable,
 }
 
-/// A caller to be checked.
+/// The caller of a request, for its check.
 pub struct Caller {
     key: Key,
     headers: Rc<HeaderMap>,
     class: ClassId,
 }
 
-/// A check that requests wait for.
+/// A check with the requests that wait for it.
 struct PendingCheck {
     headers: Rc<HeaderMap>,
     waiters: usize,
@@ -81,7 +82,7 @@
     decision_sender: oneshot::Sender<Decision<AuthResponse>>,
 }
 
-/// The checks of callers.
+/// Checks the callers of requests.
 pub struct Auth {
     settings: AuthSettings,
     clock: Clock,
@@ -89,15 +90,15 @@
     gate: RefCell<Gate<AuthResponse>>,
     waiters: RefCell<HashMap<u64, Waiter>>,
     last_waiter_id: Cell<u64>,
-    /// By the key of the caller; as many as there are waiting requests at most.
+    /// By the key of the caller; at most as many as there are waiting requests.
     pending_checks: RefCell<HashMap<Key, PendingCheck>>,
-    /// Tasks of the checks in flight.
+    /// Tasks of checks in flight.
     in_flight: RefCell<HashMap<CheckId, AbortHandle>>,
     pools: Pools,
     timer_changed: Notify,
 }
 
-/// Descriptors that checks may take, out of those for backends.
+/// Returns the number of descriptors for checks, out of those for backends.
 pub fn reserved_sockets(settings: Option<&AuthSettings>, descriptors: usize) -> usize {
     settings.map_or(0, |settings| {
         settings
@@ -112,7 +113,7 @@
 }
 
 impl Auth {
-    /// Checks by these settings, on `sockets` connections at most.
+    /// Creates the checks with these settings, on at most `sockets` connections.
     pub fn new(mut settings: AuthSettings, clock: Clock, seed: u64, sockets: usize) -> Rc<Auth> {
         settings.gate.most_out = settings.gate.most_out.min(sockets);
         settings.gate.seed = seed;
@@ -124,7 +125,7 @@
         for (at, server) in settings.servers.iter().enumerate() {
             pools.open(server_id(at), server.dial, 0.0);
         }
-        // Known to this process only: keys of one start mean nothing in another.
+        // Known to this process only: keys of one incarnation mean nothing in another.
         let secret = [seed.to_be_bytes(), process_secret()]
             .concat()
             .try_into()
@@ -143,7 +144,7 @@
         })
     }
 
-    /// Whether callers of a class are checked.
+    /// Returns whether callers of a class are checked.
     pub fn checks_class(&self, class: ClassId) -> bool {
         self.settings.checked.get(class.0).copied().unwrap_or(false)
     }
@@ -153,7 +154,7 @@
         self.gate.borrow_mut().forget();
     }
 
-    /// The caller of a request that came from `peer`.
+    /// Returns the caller of a request that was received from `peer`.
     pub fn caller(&self, head: &Parts, class: ClassId, plan: usize, peer: IpAddr) -> Caller {
         let mut headers = head.headers.clone();
         self.settings.headers.strip(&mut headers);
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Checks a caller; the decision is there by the end of the check's budget, which is before the
+    /// Checks a caller. The decision is made by the end of the check's budget, which is before the
     /// deadline.
     pub async fn check(
         self: &Rc<Self>,
@@ -226,7 +227,7 @@
                 waiters: 0,
             })
             .waiters += 1;
-        // Whatever ends this wait removes its waiter.
+        // Removes the waiter however this wait ends.
         let _wait_guard = WaitGuard { auth: self, id };
         self.gate
             .borrow_mut()
@@ -245,8 +246,8 @@
         answer: &mut oneshot::Receiver<Answer>,
     ) -> CheckOutcome {
         let decision = tokio::select! {
-            // The decision module may answer first: its deadline has passed, or it has no backends
-            // left.
+            // The decision module may end the request first: at its deadline, or when no backends
+            // are left.
             answer = &mut *answer => return CheckOutcome::Answered(answer.unwrap_or(Answer::Failed)),
             decision = self.check(caller, deadline) => decision,
         };
@@ -265,7 +266,7 @@
                 };
                 driver.caller_authorized(id, onward);
                 #[cfg(feature = "breakages")]
-                if breakages::is(Breakage::CheckedAgain) {
+                if breakages::is(Breakage::SentAgainAfterCheck) {
                     driver.resend_in_flight(id);
                 }
                 return CheckOutcome::Passed;
@@ -318,7 +319,7 @@
             match output {
                 Output::Decided { request, decision } => {
                     if let Some(waiter) = self.remove_waiter(request) {
-                        // Nobody receives it if the client has disconnected.
+                        // Fails if the client has disconnected.
                         let _ = waiter.decision_sender.send(decision);
                     }
                 }
@@ -344,10 +345,10 @@
                     };
                     let auth = self.clone();
                     let task = tokio::task::spawn_local(async move {
-                        let answer = auth.send_check(server, &headers).await;
+                        let result = auth.send_check(server, &headers).await;
                         auth.in_flight.borrow_mut().remove(&check);
                         let now = auth.clock.now();
-                        match answer {
+                        match result {
                             Ok(verdict) => auth
                                 .gate
                                 .borrow_mut()
@@ -367,7 +368,7 @@
         self.timer_changed.notify_one();
     }
 
-    /// Removes a request's waiter, and its check with the last one.
+    /// Removes a request's waiter, and the check if this was its last waiter.
     fn remove_waiter(&self, id: u64) -> Option<Waiter> {
         let waiter = self.waiters.borrow_mut().remove(&id)?;
         let mut pending_checks = self.pending_checks.borrow_mut();
@@ -380,7 +381,7 @@
         Some(waiter)
     }
 
-    /// Sends a check to a server once.
+    /// Sends a check to a server, once.
     async fn send_check(
         &self,
         server: usize,
@@ -397,7 +398,7 @@
                 .connect(endpoint.dial)
                 .await
                 .map_err(|error| match error {
-                    // No fault of the server; a moment later there may be capacity.
+                    // Not the server's fault; there may be capacity a moment later.
                     ConnectError::LocalLimit => Failure::KeptConnection,
                     ConnectError::Unreachable => Failure::Server,
                 })?,
@@ -420,20 +421,23 @@
             .ready()
             .await
             .map_err(|_| connection_failure)?;
-        let answer = connection
+        let response = connection
             .sender
             .send_request(request)
             .await
             .map_err(|_| connection_failure)?;
-        let verdict = self.read_verdict(answer).await.ok_or(Failure::Server)?;
+        let verdict = self.read_verdict(response).await.ok_or(Failure::Server)?;
         self.pools.put_back(id, endpoint.dial, connection);
         Ok(verdict)
     }
 
-    /// The verdict of a response; `None` for an error of the service itself, and if it is truncated
-    /// or too long.
-    async fn read_verdict(&self, answer: Response<IncomingBody>) -> Option<Verdict<AuthResponse>> {
-        let (head, body) = answer.into_parts();
+    /// Returns the verdict of a response; `None` if the service itself failed, or the response is
+    /// truncated or too long.
+    async fn read_verdict(
+        &self,
+        response: Response<IncomingBody>,
+    ) -> Option<Verdict<AuthResponse>> {
+        let (head, body) = response.into_parts();
         if head.status.is_server_error() || head.status.is_informational() {
             return None;
         }
@@ -443,8 +447,8 @@
             .await
             .ok()?
             .to_bytes();
-        let passes = head.status.is_success();
-        let response = if passes {
+        let allowed = head.status.is_success();
+        let response = if allowed {
             AuthResponse::Onward(self.settings.headers.onward(&head.headers).ok()?)
         } else {
             let headers = self.settings.headers.back(&head.headers).ok()?;
@@ -456,7 +460,7 @@
         };
         let bytes = cached_size(&response);
         Some(Verdict {
-            passes,
+            passes: allowed,
             answer: Rc::new(response),
             bytes,
             keep: keep(&head.headers),
@@ -464,7 +468,7 @@
     }
 }
 
-/// Bytes that a verdict takes in the cache.
+/// Returns the bytes that a verdict takes in the cache.
 fn cached_size(response: &AuthResponse) -> usize {
     let (headers, body) = match response {
         AuthResponse::Onward(headers) => (headers, 0),
@@ -477,7 +481,7 @@
         + body
 }
 
-/// Bits that nobody outside this process knows: the standard library's own, from the system's
+/// Returns bits that only this process knows: the standard library's hash key, from the system's
 /// random source.
 fn process_secret() -> [u8; 8] {
     use std::hash::{BuildHasher, Hasher};
@@ -487,7 +491,7 @@
         .to_be_bytes()
 }
 
-/// Ends a wait when its request is decided or its client disconnects.
+/// Ends a wait when the request is decided or its client disconnects.
 struct WaitGuard<'a> {
     auth: &'a Rc<Auth>,
     id: u64,
--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -1,5 +1,6 @@
-//! The file of forward authentication (`MAPLEFALL_FORWARD_AUTH`, a TOML file; `deploy/forward-auth.toml` is one): which
-//! callers are checked, by which servers, and which headers go there and back. Without it no caller is checked.
+//! The settings file of forward authentication (`MAPLEFALL_FORWARD_AUTH`, TOML; example:
+//! `deploy/forward-auth.toml`): which callers are checked, by which servers, and which headers are
+//! forwarded in both directions. Without the file no caller is checked.
 
 use hyper::header::HeaderName;
 use hyper::Uri;
@@ -14,51 +15,52 @@
 
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_FORWARD_AUTH";
-/// Servers at most, and headers of a list at most.
+/// Maximum number of servers.
 const MAX_SERVERS: usize = 16;
+/// Maximum number of headers in a list.
 const MAX_HEADERS: usize = 32;
 
-/// A part of the request that the key of a cached verdict has besides the credentials.
+/// A part of the request that is in the key of a cached verdict, besides the credentials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyPart {
-    /// Its class.
+    /// The request class.
     Class,
-    /// Its plan.
+    /// The customer's plan.
     Plan,
-    /// Its method.
+    /// The HTTP method.
     Method,
-    /// The host that it names.
+    /// The `host` header.
     Host,
-    /// Its path and query.
+    /// Path and query.
     Uri,
 }
 
-/// One server of the service.
+/// A server of the authentication service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Where it listens.
+    /// The server's address.
     pub dial: SocketAddr,
-    /// The target of a sub-request.
+    /// Path and query of a sub-request.
     pub target: Uri,
 }
 
-/// How callers are checked.
+/// The settings of forward authentication.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AuthSettings {
-    /// The service.
+    /// The servers of the service.
     pub servers: Vec<Server>,
     /// For each class, whether its callers are checked.
     pub checked: Vec<bool>,
     /// Budgets, retries and the cache.
     pub gate: GateSettings,
-    /// Which headers go where.
+    /// The headers that are forwarded in each direction.
     pub headers: Headers,
-    /// What the key of a cached verdict has besides the credentials.
+    /// The parts of the key of a cached verdict besides the credentials.
     pub key: Vec<KeyPart>,
-    /// The protocol by which requests come, for the service: `http` or `https`.
+    /// The protocol of clients' requests, as reported to the service: `http` or `https`.
     pub proto: &'static str,
-    /// After how long the service closes an idle connection.
+    /// Idle time after which the service closes a connection.
     pub idle_close: Millis,
 }
 
@@ -91,9 +93,9 @@
 enum Mode {
     /// Not checked.
     Off,
-    /// Checked; refused where the service cannot be asked.
+    /// Checked; rejected if the service cannot be reached.
     Closed,
-    /// Checked; passes where the service cannot be asked.
+    /// Checked; admitted if the service cannot be reached.
     Open,
 }
 
@@ -104,26 +106,27 @@
     Https,
 }
 
-/// What the variable's file says, for classes of these names and effects; `None` without one.
+/// Reads the file that the variable names, for classes of these names and idempotency; `None` if
+/// the variable is not set.
 ///
 /// # Errors
-/// Every mistake, one to a line.
+/// All errors, one per line.
 pub fn from_env(
     classes: &[String],
-    effects: &[Idempotency],
+    idempotency: &[Idempotency],
 ) -> Result<Option<AuthSettings>, String> {
     let Some(path) = std::env::var_os(VARIABLE) else {
         return Ok(None);
     };
-    read(Path::new(&path), Some((classes, effects)))
+    read(Path::new(&path), Some((classes, idempotency)))
         .map(Some)
         .map_err(|found| found.join("\n"))
 }
 
-/// What a file says. Without the classes, what it says of them is taken as it stands.
+/// Reads a file. Without the classes, the file's entries on classes are accepted as they are.
 ///
 /// # Errors
-/// Every mistake, each with the file's name and the field.
+/// All errors, each with the file's name and the field.
 pub fn read(
     path: &Path,
     classes: Option<(&[String], &[Idempotency])>,
@@ -133,7 +136,7 @@
     parse(&text, classes).map_err(|found| found.into_iter().map(named).collect())
 }
 
-/// Whether a text is a file of this kind rather than one of sources.
+/// Returns whether a text is a settings file of forward authentication rather than one of sources.
 pub fn is_auth_file(text: &str) -> bool {
     text.parse::<toml::Table>()
         .is_ok_and(|table| table.contains_key("servers"))
@@ -160,10 +163,10 @@
             )),
         }
     }
-    let mut names = |list: &[String], field: &str, least: usize| {
-        if !(least..=MAX_HEADERS).contains(&list.len()) {
+    let mut names = |list: &[String], field: &str, min: usize| {
+        if !(min..=MAX_HEADERS).contains(&list.len()) {
             errors.push(format!(
-                "{field}: a list of {least} to {MAX_HEADERS} names of headers was expected"
+                "{field}: a list of {min} to {MAX_HEADERS} names of headers was expected"
             ));
         }
         let mut names = Vec::new();
@@ -179,12 +182,12 @@
     };
     let credentials = names(&file.credentials, "credentials", 1);
     let onward = names(&file.onward, "onward", 0);
-    if let Some(both) = onward.iter().find(|name| credentials.contains(name)) {
+    if let Some(duplicate) = onward.iter().find(|name| credentials.contains(name)) {
         errors.push(format!(
-            "onward: {both} is a credential; what the service sets is stripped from requests"
+            "onward: {duplicate} is a credential; what the service sets is stripped from requests"
         ));
     }
-    let own = [
+    let request_headers = [
         "host",
         "request-id",
         "request-timeout",
@@ -192,7 +195,7 @@
         "content-type",
         "content-length",
     ];
-    let hops = [
+    let hop_by_hop = [
         "connection",
         "transfer-encoding",
         "te",
@@ -200,10 +203,12 @@
         "upgrade",
         "keep-alive",
     ];
-    for name in onward
-        .iter()
-        .filter(|name| own.iter().chain(&hops).any(|own| own == &name.as_str()))
-    {
+    for name in onward.iter().filter(|name| {
+        request_headers
+            .iter()
+            .chain(&hop_by_hop)
+            .any(|reserved| reserved == &name.as_str())
+    }) {
         errors.push(format!(
             "onward: {name} belongs to the request itself and cannot be set by the service"
         ));
@@ -237,8 +242,8 @@
         fail_open: modes.iter().map(|mode| *mode == Mode::Open).collect(),
         ..defaults
     };
-    let effects = classes.map_or(&[][..], |(_, effects)| effects);
-    for wrong in gate.mistakes(effects) {
+    let idempotency = classes.map_or(&[][..], |(_, idempotency)| idempotency);
+    for wrong in gate.mistakes(idempotency) {
         errors.push(format!("{}: {} was expected", wrong.field, wrong.expected));
     }
     let answer_bytes = file.answer_bytes.unwrap_or(16 * 1024);
@@ -271,7 +276,7 @@
     }
 }
 
-/// A server by its address; names are not looked up.
+/// Parses a server's URL; names are not resolved.
 fn parse_server(text: &str) -> Option<Server> {
     let uri: Uri = text.parse().ok()?;
     let dial = uri.authority()?.as_str().parse().ok()?;
--- a/crates/maplefall/src/net/auth_settings/tests.rs
+++ b/crates/maplefall/src/net/auth_settings/tests.rs
@@ -1,4 +1,4 @@
-//! The file of forward authentication.
+//! Tests of the settings file of forward authentication.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     )
 }
 
-/// Guards the example that ships: whoever copies it begins with a file that can be used.
+/// Guards the shipped example: a copy of it must be valid.
 #[test]
 fn shipped_example_is_valid() {
     let text = include_str!("../../../../../deploy/forward-auth.toml");
@@ -24,19 +24,23 @@
 }
 
 #[test]
-fn classes_are_off_closed_or_open_and_what_must_not_run_twice_is_never_open() {
-    let (names, effects) = classes();
+fn classes_are_off_closed_or_open_and_non_idempotent_classes_are_never_open() {
+    let (names, idempotency) = classes();
     let text = |modes: &str| {
         format!("servers = [\"http://127.0.0.1:1/a\"]\ncredentials = [\"authorization\"]\nclasses = {modes}\n")
     };
-    let settings = parse(&text("{ consulta = \"open\" }"), Some((&names, &effects))).unwrap();
+    let settings = parse(
+        &text("{ consulta = \"open\" }"),
+        Some((&names, &idempotency)),
+    )
+    .unwrap();
     assert_eq!(
         (settings.checked, settings.gate.fail_open),
         (vec![true, false], vec![true, false])
     );
-    let wrong = parse(&text("{ cobro = \"open\" }"), Some((&names, &effects))).unwrap_err();
+    let wrong = parse(&text("{ cobro = \"open\" }"), Some((&names, &idempotency))).unwrap_err();
     assert!(wrong[0].contains("never fails open"), "{wrong:?}");
-    let wrong = parse(&text("{ pago = \"closed\" }"), Some((&names, &effects))).unwrap_err();
+    let wrong = parse(&text("{ pago = \"closed\" }"), Some((&names, &idempotency))).unwrap_err();
     assert!(
         wrong[0].contains("classes.pago: one of consulta, cobro"),
         "{wrong:?}"
@@ -44,7 +48,7 @@
 }
 
 #[test]
-fn reports_every_mistake_with_its_field() {
+fn reports_all_errors_with_their_fields() {
     let text = "servers = [\"https://a/b\", \"127.0.0.1:3\"]\nclasses = {}\ncredentials = []\n\
                 onward = [\"host\", \"a b\"]\nshare = 2.0\npause_ms = [5, 1]\nanswer_bytes = 1\nidle_close_ms = 1\n";
     let found = parse(text, None).unwrap_err();
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -1,6 +1,7 @@
-//! Ways to be broken on purpose, so that a rehearsal's judge can be shown to find each. Only builds with the feature
-//! `breakages` hold this file and the places that ask it; the released program has neither. Every breakage sits between
-//! the driver and the decision module or the sockets: the module itself is played unchanged.
+//! Deliberate faults, which rehearsals use to prove that their checks find each of them. Only
+//! builds with the feature `breakages` contain this file and its call sites; a released program has
+//! neither. Every breakage is between the driver and the decision module or the sockets; the module
+//! itself is unchanged.
 
 use hyper::Uri;
 use maplefall_discovery_agent::{line, Heard, Line, Output, Word};
@@ -15,112 +16,115 @@
 
 /// The variable that names the breakage.
 const VARIABLE: &str = "MAPLEFALL_BREAKAGE";
-/// How long a front door that sees drains late holds the list back.
+/// How long changes of the list are delayed by [`Breakage::DrainLate`].
 pub const LATE_MS: u64 = 650;
-/// How long after its client's time an answer that is held back comes.
-pub const HELD_MS: Millis = 120.0;
+/// How long after the client's deadline a response is sent by [`Breakage::LateRejection`], in
+/// milliseconds.
+pub const LATE_RESPONSE_MS: Millis = 120.0;
 
-/// A way to be broken.
+/// A deliberate fault. Its outer name is in [`NAMES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Breakage {
-    /// A served answer is written twice.
-    SecondAnswer,
-    /// SIGTERM ends the program at once.
-    DropsOnTerm,
-    /// A served request is sent on once more after its answer.
-    SentAfterAnswer,
-    /// Refusals come after the client's time.
-    HeldBack,
-    /// A request is answered with what was made for the one before.
+    /// A response with status 200 is written twice.
+    DuplicateResponse,
+    /// SIGTERM ends the process without a graceful shutdown.
+    ExitsOnTerm,
+    /// A served request is sent to a backend once more after its response.
+    SentAfterResponse,
+    /// Rejections are sent after the client's deadline.
+    LateRejection,
+    /// A request gets the response body of the previous one.
     StaleBody,
-    /// Unsafe requests are taken for safe ones.
-    UnsafeAgain,
-    /// Each request goes to two backends at once.
-    TwoOut,
-    /// What may have run is refused.
-    RefusedAfter,
-    /// The target of a request is changed on its way.
-    ChangedOnTheWay,
-    /// Keys are taken to be remembered for ever.
-    KeyForEver,
-    /// Drains and removals are not heard.
+    /// Non-idempotent requests are treated as idempotent.
+    NonIdempotentRetried,
+    /// Each attempt is sent twice at once.
+    SentTwice,
+    /// A request that may have run is rejected instead of failed.
+    RejectedAfterRun,
+    /// The target of a request is changed before it is forwarded.
+    TargetChanged,
+    /// Idempotency keys are treated as if backends never forgot them.
+    KeyNeverExpires,
+    /// Drains and removals are ignored.
     DrainIgnored,
-    /// The list is heard late.
+    /// Changes of the list are applied late.
     DrainLate,
-    /// A backend that has just started is taken for a warm one.
-    ColdAsWarm,
-    /// Everything goes to the backend that started last.
-    ColdFavoured,
-    /// Each front door gives the whole ceiling.
-    CeilingPerDoor,
-    /// There is no ceiling.
-    NoCeiling,
-    /// A watch of etcd goes on at the current revision instead of the last seen.
+    /// A backend that has just started is treated as warmed up.
+    NoSlowStart,
+    /// All attempts go to the backend that started last.
+    NewestBackendOnly,
+    /// Each gateway enforces the whole rate limit instead of its slice.
+    RateLimitPerGateway,
+    /// There is no rate limit.
+    NoRateLimit,
+    /// A watch of etcd resumes at the current revision instead of the last one seen.
     ResumesAtCurrent,
-    /// A watch of etcd whose history is compacted goes on where history begins, and nothing is read anew.
+    /// A watch of etcd whose revision was compacted resumes at the oldest revision that is kept,
+    /// and nothing is read again.
     CompactionIgnored,
-    /// The last word on a node holds, whoever says it.
-    LastWordHolds,
-    /// What a lost source knew is taken for gone.
-    LostEmpties,
-    /// Who cannot be checked passes.
+    /// The latest report on a node wins, whichever source it is from.
+    LastReportWins,
+    /// The nodes of a lost source are removed.
+    LostSourceEmptied,
+    /// A caller that cannot be checked is admitted.
     FailOpen,
-    /// A verdict serves every caller.
+    /// A verdict is used for every caller.
     KeyWithoutCredential,
-    /// The answer to a request whose caller could not be checked is written twice, as if its verdict came after all.
-    LateVerdictAnswers,
-    /// A request whose caller passed is sent on once more, as if its check had come back twice.
-    CheckedAgain,
-    /// What is heard of use elsewhere is added each time that it is heard, and not joined.
+    /// A response with status 503 (the caller could not be checked) is written twice, as if a late
+    /// verdict were answered too.
+    LateVerdictResponse,
+    /// A request whose caller passed is sent once more, as if its check had been answered twice.
+    SentAgainAfterCheck,
+    /// Reported usage at peers is added at each report instead of being joined.
     CountsAdded,
-    /// News of use elsewhere never grow old.
-    NewsNeverOld,
-    /// What an agent says holds, whatever its version.
-    OlderListHolds,
-    /// A line with an entry that cannot be used is not taken.
-    SpoiltLine,
+    /// Reported usage at peers never ages.
+    UsageNeverAges,
+    /// An agent's list is applied whatever its version.
+    OlderListWins,
+    /// A line with an invalid entry is ignored as a whole.
+    InvalidEntryDropsLine,
 }
 
-/// Their names.
+/// The values of [`VARIABLE`].
 const NAMES: [(&str, Breakage); 28] = [
-    ("second-answer", Breakage::SecondAnswer),
-    ("drops-on-term", Breakage::DropsOnTerm),
-    ("sent-after-answer", Breakage::SentAfterAnswer),
-    ("held-back", Breakage::HeldBack),
+    ("second-answer", Breakage::DuplicateResponse),
+    ("drops-on-term", Breakage::ExitsOnTerm),
+    ("sent-after-answer", Breakage::SentAfterResponse),
+    ("held-back", Breakage::LateRejection),
     ("stale-body", Breakage::StaleBody),
-    ("unsafe-again", Breakage::UnsafeAgain),
-    ("two-out", Breakage::TwoOut),
-    ("refused-after", Breakage::RefusedAfter),
-    ("changed-on-the-way", Breakage::ChangedOnTheWay),
-    ("key-for-ever", Breakage::KeyForEver),
+    ("unsafe-again", Breakage::NonIdempotentRetried),
+    ("two-outputs", Breakage::SentTwice),
+    ("refused-after", Breakage::RejectedAfterRun),
+    ("changed-on-the-way", Breakage::TargetChanged),
+    ("key-for-ever", Breakage::KeyNeverExpires),
     ("drain-ignored", Breakage::DrainIgnored),
     ("drain-late", Breakage::DrainLate),
-    ("cold-as-warm", Breakage::ColdAsWarm),
-    ("cold-favoured", Breakage::ColdFavoured),
-    ("ceiling-per-door", Breakage::CeilingPerDoor),
-    ("no-ceiling", Breakage::NoCeiling),
+    ("cold-as-warm", Breakage::NoSlowStart),
+    ("cold-favoured", Breakage::NewestBackendOnly),
+    ("ceiling-per-door", Breakage::RateLimitPerGateway),
+    ("no-ceiling", Breakage::NoRateLimit),
     ("resumes-at-current", Breakage::ResumesAtCurrent),
     ("compaction-ignored", Breakage::CompactionIgnored),
-    ("last-word-holds", Breakage::LastWordHolds),
-    ("lost-empties", Breakage::LostEmpties),
+    ("last-word-holds", Breakage::LastReportWins),
+    ("lost-empties", Breakage::LostSourceEmptied),
     ("fail-open", Breakage::FailOpen),
     ("key-without-credential", Breakage::KeyWithoutCredential),
-    ("late-verdict-answers", Breakage::LateVerdictAnswers),
-    ("checked-again", Breakage::CheckedAgain),
+    ("late-verdict-answers", Breakage::LateVerdictResponse),
+    ("checked-again", Breakage::SentAgainAfterCheck),
     ("counts-added", Breakage::CountsAdded),
-    ("news-never-old", Breakage::NewsNeverOld),
-    ("older-list-holds", Breakage::OlderListHolds),
-    ("spoilt-line", Breakage::SpoiltLine),
+    ("news-never-old", Breakage::UsageNeverAges),
+    ("older-list-holds", Breakage::OlderListWins),
+    ("spoilt-line", Breakage::InvalidEntryDropsLine),
 ];
 
-/// Whether the program is to be broken in this way.
+/// Returns whether this breakage is enabled.
 pub fn is(breakage: Breakage) -> bool {
     static NAMED: OnceLock<Option<Breakage>> = OnceLock::new();
     let named = NAMED.get_or_init(|| {
         let name = std::env::var(VARIABLE).ok()?;
         let found = NAMES.iter().find(|(known, _)| *known == name);
         if found.is_none() {
-            // A breakage that is not played would pass for one that is not found.
+            // An unknown name must not pass for a breakage that the checks did not find.
             eprintln!("{VARIABLE}: {name:?} is not a known breakage");
             std::process::exit(64);
         }
@@ -129,62 +133,62 @@
     *named == Some(breakage)
 }
 
-/// The settings that the decision module is handed.
+/// Returns the settings for the decision module.
 pub fn settings(mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
         match &mut class.idempotency {
-            idempotency @ Idempotency::NonIdempotent if is(Breakage::UnsafeAgain) => {
+            idempotency @ Idempotency::NonIdempotent if is(Breakage::NonIdempotentRetried) => {
                 *idempotency = Idempotency::Idempotent
             }
-            Idempotency::Keyed { window, .. } if is(Breakage::KeyForEver) => *window = 1e9,
+            Idempotency::Keyed { window, .. } if is(Breakage::KeyNeverExpires) => *window = 1e9,
             _ => {}
         }
     }
-    let doors = f64::from(settings.gateways);
+    let gateways = f64::from(settings.gateways);
     for plan in &mut settings.plans {
-        if is(Breakage::NoCeiling) {
+        if is(Breakage::NoRateLimit) {
             plan.rate_limit = None;
         }
         if let Some(rate_limit) = plan
             .rate_limit
             .as_mut()
-            .filter(|_| is(Breakage::CeilingPerDoor))
+            .filter(|_| is(Breakage::RateLimitPerGateway))
         {
-            rate_limit.rate *= doors;
-            rate_limit.burst *= doors;
-            rate_limit.slack *= doors;
+            rate_limit.rate *= gateways;
+            rate_limit.burst *= gateways;
+            rate_limit.slack *= gateways;
         }
     }
     settings
 }
 
-/// Times that news is heard by the rumours of a few peers.
-const HEARD_AGAIN: f64 = 3.0;
+/// Number of times that a report is counted, as if it arrived from several peers.
+const REPEATED_REPORTS: f64 = 3.0;
 
-/// What the decision module is told of use elsewhere.
+/// Returns the usage at peers for the decision module.
 pub fn fact(mut fact: maplefall_shared_counts::Fact, now: Millis) -> maplefall_shared_counts::Fact {
     if is(Breakage::CountsAdded) {
-        fact.units *= HEARD_AGAIN;
+        fact.units *= REPEATED_REPORTS;
     }
-    if is(Breakage::NewsNeverOld) {
+    if is(Breakage::UsageNeverAges) {
         (fact.as_of, fact.error) = (now, 0.0);
     }
     fact
 }
 
-/// Part of the front doors that the decision module takes to be heard of.
+/// Returns the fraction of live gateways for the decision module.
 pub fn live_share(share: f64) -> f64 {
-    if is(Breakage::NewsNeverOld) {
+    if is(Breakage::UsageNeverAges) {
         1.0
     } else {
         share
     }
 }
 
-/// An action as it is carried out.
+/// Returns the action that the driver executes.
 pub fn action(action: Action) -> Action {
     match action {
-        Action::Fail(request) if is(Breakage::RefusedAfter) => Action::Reject {
+        Action::Fail(request) if is(Breakage::RejectedAfterRun) => Action::Reject {
             request,
             reason: RejectReason::AttemptsFailed,
             retry_after: None,
@@ -193,9 +197,9 @@
     }
 }
 
-/// An order as it goes on to a backend.
+/// Returns the request that is forwarded to a backend.
 pub fn forwarded_request(forwarded: Rc<Order>) -> Rc<Order> {
-    if !is(Breakage::ChangedOnTheWay) {
+    if !is(Breakage::TargetChanged) {
         return forwarded;
     }
     let mut changed = (*forwarded).clone();
@@ -205,23 +209,23 @@
     Rc::new(changed)
 }
 
-/// An entry of the list as the decision module hears it.
+/// Returns the entry of the list for the decision module.
 pub fn entry(mut entry: BackendEntry) -> BackendEntry {
-    if is(Breakage::ColdAsWarm) {
+    if is(Breakage::NoSlowStart) {
         entry.started = None;
     }
     entry
 }
 
-/// What the door is handed past the roster.
-pub fn past_the_roster(event: &Event, roster: &Roster) -> Option<Update> {
+/// Returns the update that replaces the roster's, if this breakage bypasses the roster.
+pub fn bypass_roster(event: &Event, roster: &Roster) -> Option<Update> {
     let changes = match event {
         Event::Snapshot { members, .. } | Event::Change { members, .. }
-            if is(Breakage::LastWordHolds) =>
+            if is(Breakage::LastReportWins) =>
         {
             members.hosts.clone()
         }
-        Event::Lost { .. } if is(Breakage::LostEmpties) => roster
+        Event::Lost { .. } if is(Breakage::LostSourceEmptied) => roster
             .members()
             .map(|member| Member {
                 health: Health::Removed,
@@ -236,29 +240,30 @@
     })
 }
 
-/// What an agent said as its follower hears it.
-pub fn as_heard(heard: Heard) -> Heard {
-    match &heard {
-        Heard::Line(text) if is(Breakage::SpoiltLine) => match line(text) {
+/// Returns the event that the agent's follower receives.
+pub fn received_event(event: Heard) -> Heard {
+    match &event {
+        Heard::Line(text) if is(Breakage::InvalidEntryDropsLine) => match line(text) {
             Ok(Line::Word(word)) if !word.passed_over.is_empty() => Heard::Line(Vec::new()),
-            _ => heard,
+            _ => event,
         },
-        _ => heard,
+        _ => event,
     }
 }
 
-/// What comes of it: in place of what the follower makes of a word, the word as it came.
-pub fn as_told(heard: &Heard, out: Vec<Output>) -> Vec<Output> {
-    static WORDS: AtomicU64 = AtomicU64::new(1);
-    let word = match heard {
-        Heard::Line(text) if is(Breakage::OlderListHolds) => line(text).ok(),
+/// Returns the follower's outputs; with [`Breakage::OlderListWins`] the received list replaces what
+/// the follower made of it.
+pub fn follower_outputs(event: &Heard, outputs: Vec<Output>) -> Vec<Output> {
+    static NEXT_VERSION: AtomicU64 = AtomicU64::new(1);
+    let word = match event {
+        Heard::Line(text) if is(Breakage::OlderListWins) => line(text).ok(),
         _ => None,
     };
     let Some(Line::Word(Word { mut members, .. })) = word else {
-        return out;
+        return outputs;
     };
-    // Versions of events for the roster count up, whatever the agent's do.
-    members.seq = WORDS.fetch_add(1, Ordering::Relaxed);
+    // Versions of the roster's events increase, whatever the agent's do.
+    members.seq = NEXT_VERSION.fetch_add(1, Ordering::Relaxed);
     let unread = Vec::new();
     let event = match members.whole {
         true => Event::Snapshot {
@@ -268,17 +273,17 @@
         },
         false => Event::Change { source: 0, members },
     };
-    let calls = out
+    let calls = outputs
         .into_iter()
         .filter(|output| !matches!(output, Output::Tell(_)));
     calls.chain([Output::Tell(event)]).collect()
 }
 
-/// Between etcd's follower and its sockets.
+/// Hooks between etcd's follower and its sockets.
 #[derive(Default)]
 pub struct EtcdSeam {
-    /// The oldest revision that is kept, as a watch was told.
-    kept: i64,
+    /// The oldest revision that etcd keeps, from a watch's response.
+    oldest_revision: i64,
 }
 
 impl Seam for EtcdSeam {
@@ -287,7 +292,7 @@
             if is(Breakage::ResumesAtCurrent) {
                 request.start_revision = 0;
             }
-            request.start_revision = request.start_revision.max(self.kept);
+            request.start_revision = request.start_revision.max(self.oldest_revision);
         }
         command
     }
@@ -295,7 +300,7 @@
     fn input(&mut self, mut input: Input) -> Input {
         if let Input::Watched(answer) = &mut input {
             if is(Breakage::CompactionIgnored) && answer.compact_revision > 0 {
-                self.kept = std::mem::take(&mut answer.compact_revision);
+                self.oldest_revision = std::mem::take(&mut answer.compact_revision);
             }
         }
         input
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -28,11 +28,11 @@
                 .list
                 .into_iter()
                 .filter_map(|source| match source.kind {
-                    sources::Kind::File(path) => Some(path),
+                    sources::SourceKind::File(path) => Some(path),
                     _ => None,
                 });
             files
-                .flat_map(|path| membership::file_mistakes(&path))
+                .flat_map(|path| membership::node_file_errors(&path))
                 .collect()
         }
     }
--- a/crates/maplefall/src/net/clients/mod.rs
+++ b/crates/maplefall/src/net/clients/mod.rs
@@ -165,7 +165,7 @@
         let end = tokio::time::Instant::now() + max_deadline + SHUTDOWN_GRACE;
         self.phase.send_replace(ShutdownPhase::ClosingAfterResponse);
         #[cfg(feature = "breakages")]
-        if breakages::is(breakages::Breakage::DropsOnTerm) {
+        if breakages::is(breakages::Breakage::ExitsOnTerm) {
             return;
         }
         tokio::time::sleep(DRAIN_DELAY).await;
@@ -271,8 +271,9 @@
         };
         disconnect_guard.id = None;
         #[cfg(feature = "breakages")]
-        if matches!(answer, Answer::Refused(_)) && breakages::is(breakages::Breakage::HeldBack) {
-            let late = incoming_deadline + breakages::HELD_MS;
+        if matches!(answer, Answer::Refused(_)) && breakages::is(breakages::Breakage::LateRejection)
+        {
+            let late = incoming_deadline + breakages::LATE_RESPONSE_MS;
             tokio::time::sleep_until(self.driver.clock.instant(late)).await;
         }
         Ok(http_response(answer))
--- a/crates/maplefall/src/net/clients/socket.rs
+++ b/crates/maplefall/src/net/clients/socket.rs
@@ -50,9 +50,10 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         #[cfg(feature = "breakages")]
-        if (buf.starts_with(b"HTTP/1.1 200") && breakages::is(breakages::Breakage::SecondAnswer))
+        if (buf.starts_with(b"HTTP/1.1 200")
+            && breakages::is(breakages::Breakage::DuplicateResponse))
             || (buf.starts_with(b"HTTP/1.1 503")
-                && breakages::is(breakages::Breakage::LateVerdictAnswers))
+                && breakages::is(breakages::Breakage::LateVerdictResponse))
         {
             let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
             // If the socket's buffer is full, this response is written once only.
@@ -80,8 +81,8 @@
 
     fn is_write_vectored(&self) -> bool {
         #[cfg(feature = "breakages")]
-        if breakages::is(breakages::Breakage::SecondAnswer)
-            || breakages::is(breakages::Breakage::LateVerdictAnswers)
+        if breakages::is(breakages::Breakage::DuplicateResponse)
+            || breakages::is(breakages::Breakage::LateVerdictResponse)
         {
             return false;
         }
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -1,7 +1,9 @@
-//! Shared counts on a socket: between the driver, the state machine of `maplefall-shared-counts` and UDP.
+//! Shared counts on a socket: connects the driver, the state machine of `maplefall-shared-counts`
+//! and UDP.
 //!
-//! Nothing is decided here. Usage at this proxy is recorded by [`SharedCounts::record_usage`]. Usage at peers goes to the decision
-//! module when it changes, and with each request together with its age ([`SharedCounts::usage_elsewhere`]).
+//! No decisions are made here. [`SharedCounts::record_usage`] records usage at this gateway. Usage
+//! at peers is passed to the decision module when it changes, and with each request together with
+//! its age ([`SharedCounts::usage_elsewhere`]).
 
 use super::counts_settings::CountsSettings;
 use maplefall_policy::{CustomerId, Millis, PlanId, RemoteUsage};
@@ -14,38 +16,38 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 
-/// Datagrams that are read at once at most, before other tasks run.
+/// Maximum number of datagrams that are read before other tasks run.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
-/// This proxy as a member of those that share counts.
+/// This gateway as a member of the shared counts.
 pub struct SharedCounts {
     node: RefCell<Node>,
     socket: UdpSocket,
     clock: Clock,
-    /// Logged when the task starts.
+    /// The log line at the start of the task.
     start_message: String,
-    /// Proxies by the settings: those that are not live keep their share of each quota.
-    configured_proxies: u32,
+    /// Number of gateways in the settings: those that are not live keep their slice of each quota.
+    configured_gateways: u32,
 }
 
 impl SharedCounts {
-    /// Opens the socket and begins a new incarnation of the proxy of this name.
+    /// Opens the socket and begins a new incarnation of the gateway of this name.
     ///
     /// # Errors
-    /// One line that names the address.
+    /// One line with the address.
     pub async fn start(
         settings: CountsSettings,
         name: &str,
         clock: Clock,
         seed: u64,
-        configured_proxies: u32,
+        configured_gateways: u32,
     ) -> Result<Rc<SharedCounts>, String> {
         let listen = settings.listen;
-        let no_socket = |error| format!("cannot share counts on {listen}: {error}");
-        let socket = UdpSocket::bind(listen).await.map_err(no_socket)?;
-        let bound = socket.local_addr().map_err(no_socket)?;
-        // A clock before 1970 or a missing name is no reason not to serve: the incarnation is then 1 and the name is the address,
-        // and peers answer with the larger number of an earlier incarnation.
+        let socket_error = |error| format!("cannot share counts on {listen}: {error}");
+        let socket = UdpSocket::bind(listen).await.map_err(socket_error)?;
+        let bound = socket.local_addr().map_err(socket_error)?;
+        // A clock before 1970 or a missing name must not prevent serving: the incarnation is then
+        // 1, the name is the address, and peers report the larger number of an earlier incarnation.
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(1, |since| since.as_millis() as u64);
@@ -73,19 +75,21 @@
             node,
             socket,
             clock,
-            configured_proxies,
+            configured_gateways,
             start_message,
         }))
     }
 
-    /// Records units that a customer used at this proxy, or that are returned to it where they are negative.
+    /// Records units that a customer used at this gateway; negative units are returned to the
+    /// customer.
     pub fn record_usage(&self, now: Millis, customer: CustomerId, plan: PlanId, units: f64) {
         self.node
             .borrow_mut()
             .used(now, quota_of(customer, plan), units);
     }
 
-    /// What peers have admitted for a customer and the decision module does not know yet, and how old that is.
+    /// Returns what peers have admitted for a customer, unless the decision module has it already,
+    /// with the age of that count.
     pub fn usage_elsewhere(
         &self,
         now: Millis,
@@ -97,7 +101,7 @@
         Some(self.usage_of(&mut node, now, customer, plan, fact))
     }
 
-    /// The next customer whose usage at peers has changed.
+    /// Returns the usage of the next customer whose usage at peers has changed.
     fn next_change(&self, now: Millis) -> Option<RemoteUsage> {
         let mut node = self.node.borrow_mut();
         let (quota, fact) = node.poll_fact(now)?;
@@ -122,7 +126,7 @@
         #[cfg(feature = "breakages")]
         let fact = super::breakages::fact(fact, now);
         let live_share =
-            (node.news(now).1 as f64 / f64::from(self.configured_proxies.max(1))).min(1.0);
+            (node.news(now).1 as f64 / f64::from(self.configured_gateways.max(1))).min(1.0);
         #[cfg(feature = "breakages")]
         let live_share = super::breakages::live_share(live_share);
         RemoteUsage {
@@ -135,8 +139,8 @@
         }
     }
 
-    /// Receives datagrams and keeps the gossip rounds, for as long as the process runs. `notify` gets each change of what is
-    /// known of a customer's usage at peers, with the time.
+    /// Receives datagrams and runs the gossip rounds, for as long as the process runs. `notify` is
+    /// called with the time and each change of a customer's known usage at peers.
     pub async fn run(self: Rc<Self>, notify: impl Fn(Millis, RemoteUsage)) {
         eprintln!("{}", self.start_message);
         let mut bytes = [0; MOST_DATAGRAM + 1];
@@ -144,8 +148,8 @@
             self.send();
             let deadline = self.node.borrow().due();
             tokio::select! {
-                // An error of a socket without a peer belongs to an earlier datagram that could not be delivered; the next one
-                // is waited for.
+                // An error on an unconnected socket belongs to an earlier datagram that could not
+                // be delivered; the next datagram is awaited.
                 _ = self.socket.readable() => self.receive_datagrams(&mut bytes),
                 () = tokio::time::sleep_until(self.clock.instant(deadline)) => {
                     self.node.borrow_mut().tick(self.clock.now());
@@ -171,7 +175,8 @@
         }
     }
 
-    /// Sends what is queued; a datagram that the system does not take now is lost, as it may be lost on the network.
+    /// Sends queued datagrams. A datagram that the system does not accept now is lost, as it may be
+    /// lost on the network.
     fn send(&self) {
         while let Some(output) = self.node.borrow_mut().poll() {
             let _ = self.socket.try_send_to(&output.bytes, output.to);
@@ -179,7 +184,8 @@
     }
 }
 
-/// The quota that a customer of a plan uses. Plans beyond the 65,535th would share one; settings have 4,096 at most.
+/// Returns the quota of a customer of a plan. Plans beyond the 65,535th would share one; settings
+/// have at most 4,096.
 fn quota_of(customer: CustomerId, plan: PlanId) -> u64 {
     quota(u16::try_from(plan.0).unwrap_or(u16::MAX), customer.0)
 }
--- a/crates/maplefall/src/net/counts_settings.rs
+++ b/crates/maplefall/src/net/counts_settings.rs
@@ -1,5 +1,6 @@
-//! The file of shared counts (`MAPLEFALL_SHARED_COUNTS`, a TOML file; `deploy/shared-counts.toml` is one): how this proxy and
-//! its peers share what customers have used. Without it nothing is shared and no socket is opened.
+//! The settings file of shared counts (`MAPLEFALL_SHARED_COUNTS`, TOML; example:
+//! `deploy/shared-counts.toml`): how this gateway and its peers share customers' usage. Without the
+//! file nothing is shared and no socket is opened.
 
 use maplefall_policy::Millis;
 use maplefall_shared_counts::Settings;
@@ -9,19 +10,19 @@
 
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_SHARED_COUNTS";
-/// Seeds at most.
+/// Maximum number of seeds.
 const MAX_SEEDS: usize = 64;
 
-/// How this proxy shares counts.
+/// The settings of shared counts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CountsSettings {
-    /// Where it receives datagrams.
+    /// Address on which datagrams are received.
     pub listen: SocketAddr,
-    /// Where peers reach it; the address that it listens on by default.
+    /// Address at which peers reach this gateway; the listen address by default.
     pub advertise: Option<SocketAddr>,
     /// Peers to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// How counts are shared.
+    /// The settings of the protocol.
     pub sharing: Settings,
 }
 
@@ -48,10 +49,10 @@
     forget_after_ms: Option<Millis>,
 }
 
-/// What the variable's file says; `None` without one.
+/// Reads the file that the variable names; `None` if the variable is not set.
 ///
 /// # Errors
-/// Every mistake, one to a line.
+/// All errors, one per line.
 pub fn from_env() -> Result<Option<CountsSettings>, String> {
     let Some(path) = std::env::var_os(VARIABLE) else {
         return Ok(None);
@@ -61,28 +62,29 @@
         .map_err(|found| found.join("\n"))
 }
 
-/// What a file says.
+/// Reads a file.
 ///
 /// # Errors
-/// Every mistake, each with the file's name and the field.
+/// All errors, each with the file's name and the field.
 pub fn read(path: &Path) -> Result<CountsSettings, Vec<String>> {
     let named = |text: String| format!("{}: {text}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| vec![named(error.to_string())])?;
     parse(&text, path.parent()).map_err(|found| found.into_iter().map(named).collect())
 }
 
-/// Whether a text is a file of this kind.
+/// Returns whether a text is a settings file of shared counts.
 pub fn is_counts_file(text: &str) -> bool {
     text.parse::<toml::Table>()
         .is_ok_and(|table| table.contains_key("gossip"))
 }
 
-fn parse(text: &str, folder: Option<&Path>) -> Result<CountsSettings, Vec<String>> {
+fn parse(text: &str, directory: Option<&Path>) -> Result<CountsSettings, Vec<String>> {
     let file: CountsFile =
         toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
     let mut errors = Vec::new();
-    let mut address = |field: &str, text: &str, known: bool| match text.parse::<SocketAddr>() {
-        Ok(address) if !known || (address.port() != 0 && !address.ip().is_unspecified()) => {
+    let mut address = |field: &str, text: &str, connectable: bool| match text.parse::<SocketAddr>()
+    {
+        Ok(address) if !connectable || (address.port() != 0 && !address.ip().is_unspecified()) => {
             Some(address)
         }
         _ => {
@@ -112,7 +114,7 @@
     let key = match (&file.key, &file.key_file) {
         (Some(key), None) => Ok(key.clone()),
         (None, Some(path)) => {
-            let path = folder.map_or(path.clone(), |folder| folder.join(path));
+            let path = directory.map_or(path.clone(), |directory| directory.join(path));
             std::fs::read_to_string(&path)
                 .map_err(|error| format!("key_file: {}: {error}", path.display()))
         }
@@ -121,8 +123,8 @@
     let key = key.and_then(|text| {
         hexadecimal(text.trim()).ok_or("key: 32 to 128 hexadecimal digits were expected".to_owned())
     });
-    let key = key.unwrap_or_else(|mistake| {
-        errors.push(mistake);
+    let key = key.unwrap_or_else(|error| {
+        errors.push(error);
         vec![0; 32]
     });
     let defaults = Settings::usual(&file.cluster, key);
@@ -158,7 +160,7 @@
     }
 }
 
-/// Bytes written as hexadecimal digits, 16 to 64 of them.
+/// Parses 16 to 64 bytes in hexadecimal.
 fn hexadecimal(text: &str) -> Option<Vec<u8>> {
     let digits: Option<Vec<u8>> = text
         .chars()
--- a/crates/maplefall/src/net/counts_settings/tests.rs
+++ b/crates/maplefall/src/net/counts_settings/tests.rs
@@ -1,8 +1,8 @@
-//! The file of shared counts.
+//! Tests of the settings file of shared counts.
 
 use super::*;
 
-/// Guards the example that ships: whoever copies it begins with a file that can be used.
+/// Guards the shipped example: a copy of it must be valid.
 #[test]
 fn shipped_example_is_valid() {
     let text = include_str!("../../../../../deploy/shared-counts.toml");
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn reports_every_mistake_with_its_field() {
+fn reports_all_errors_with_their_fields() {
     let text =
         "cluster = \"\"\ngossip = \"0.0.0.0:7946\"\nseeds = [\"a\", \"127.0.0.1:0\"]\nkey = \"zz\"\n\
                 interval_ms = 0\nepochs_kept = 1\nmost_members = 1000000\nsuspect_phi = nan\n";
--- a/crates/maplefall/src/net/discovery.rs
+++ b/crates/maplefall/src/net/discovery.rs
@@ -1,7 +1,8 @@
-//! The platform's agent: makes the calls that `maplefall-discovery-agent` asks for, and delivers their results.
+//! The platform's agent: makes the calls that `maplefall-discovery-agent` requests, and delivers
+//! their results.
 //!
-//! Invariant: a call that the follower has ended delivers nothing further, and a call that sends faster than the follower takes
-//! is slowed down rather than buffered.
+//! Invariant: a call that the follower has ended delivers nothing further, and a call that delivers
+//! faster than the follower processes is slowed down rather than buffered.
 
 #[cfg(feature = "breakages")]
 use super::breakages;
@@ -18,15 +19,16 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::AbortHandle;
 
-/// Lines of all calls that are buffered at most; a call with more waits. Each may be as long as `LONGEST_LINE`, so that an agent
-/// that sends much fills no memory.
+/// Maximum number of buffered lines of all calls; a call with more waits. A line may be up to
+/// `LONGEST_LINE` long, so the bound keeps an agent that sends much from filling the memory.
 const CALL_CHANNEL_CAPACITY: usize = 1;
 
-/// Something that a call has received.
+/// An event of a call.
 type CallUpdate = (CallId, Heard);
 
-/// Follows the agent for as long as the process runs, and delivers the follower's outputs other than calls. When `moved` gives
-/// an address, the old watch is closed at once and opened there.
+/// Follows the agent for as long as the process runs, and delivers the follower's outputs other
+/// than calls. When `moved` changes, the old watch is closed at once and a new one is opened at
+/// that address.
 pub async fn follow(
     mut follower: Follower,
     clock: Clock,
@@ -35,7 +37,7 @@
 ) {
     let (updates, mut received) = mpsc::channel::<CallUpdate>(CALL_CHANNEL_CAPACITY);
     let mut calls: HashMap<CallId, AbortHandle> = HashMap::new();
-    // Ends with this function: the set ends its tasks when it is dropped.
+    // The set aborts its tasks when it is dropped at the end of this function.
     let mut tasks = tokio::task::JoinSet::new();
     loop {
         let deadline = async {
@@ -46,19 +48,20 @@
             }
         };
         let outputs = tokio::select! {
-            // What has been received goes before deadlines: a watch that has just received something has not timed out.
+            // Received events are handled before deadlines: a watch that has just received
+            // something has not timed out.
             biased;
             Some((call, event)) = received.recv() => {
                 if let Heard::Ended(_) = event {
                     calls.remove(&call);
                 }
                 #[cfg(feature = "breakages")]
-                let event = breakages::as_heard(event);
+                let event = breakages::received_event(event);
                 #[cfg(feature = "breakages")]
                 let original = event.clone();
                 let outputs = follower.heard_of(clock.now(), call, event);
                 #[cfg(feature = "breakages")]
-                let outputs = breakages::as_told(&original, outputs);
+                let outputs = breakages::follower_outputs(&original, outputs);
                 outputs
             }
             Ok(()) = moved.changed() => {
@@ -74,7 +77,7 @@
                     let updates = updates.clone();
                     let task = tasks.spawn_local(async move {
                         let end = run_call(call, place, what, &updates).await;
-                        // Nobody receives it when the process ends.
+                        // Fails when the process ends.
                         let _ = updates.send((call, Heard::Ended(end))).await;
                     });
                     calls.insert(call, task);
@@ -90,7 +93,7 @@
     }
 }
 
-/// Makes a call and sends each line of its response until it ends.
+/// Makes a call, sends each line of the response, and returns how the call ended.
 async fn run_call(
     call: CallId,
     address: SocketAddr,
--- a/crates/maplefall/src/net/driver/attempts.rs
+++ b/crates/maplefall/src/net/driver/attempts.rs
@@ -68,7 +68,7 @@
             send_mode,
         });
         #[cfg(feature = "breakages")]
-        if breakages::is(Breakage::TwoOut) {
+        if breakages::is(Breakage::SentTwice) {
             self.resend(backend, request.forwarded.clone(), 0);
         }
         request.in_flight = Some(Attempt {
@@ -199,7 +199,7 @@
     fn break_attempt(&self, mut attempt: OutgoingAttempt) -> OutgoingAttempt {
         attempt.forwarded = breakages::forwarded_request(attempt.forwarded);
         if let Some(last) = self.last_started.get() {
-            if breakages::is(Breakage::ColdFavoured) {
+            if breakages::is(Breakage::NewestBackendOnly) {
                 attempt.backend = last;
             }
         }
@@ -213,7 +213,7 @@
         if breakages::is(Breakage::StaleBody) {
             std::mem::swap(&mut end.body, &mut *self.last_body.borrow_mut());
         }
-        if breakages::is(Breakage::SentAfterAnswer) {
+        if breakages::is(Breakage::SentAfterResponse) {
             self.resend(backend, forwarded.clone(), 150);
         }
     }
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -1,13 +1,14 @@
-//! The membership of backends: feeds what each source reports to the merged endpoint list, and its changes to the driver.
+//! The membership of backends: passes the reports of each source to the merged list, and the list's
+//! changes to the driver.
 //!
-//! `maplefall-membership` decides what holds where sources disagree, and `maplefall-etcd` how an etcd is followed; here are the
-//! tasks, the log, the state file and the files of nodes. Invariant: the driver sees each change of the merged list once, in
-//! order (rules: docs/operators/membership.md).
+//! `maplefall-membership` merges sources that disagree, and `maplefall-etcd` follows an etcd; this
+//! module has the tasks, the log, the state file and the node files. Invariant: the driver receives
+//! each change of the merged list once, in order (rules: docs/operators/membership.md).
 
 #[cfg(feature = "breakages")]
 use super::breakages;
 use super::driver::Driver;
-use super::sources::{Kind, Source, Sources};
+use super::sources::{Source, SourceKind, Sources};
 use maplefall_etcd::client::{self, Place};
 use maplefall_etcd::{one_line, value, Output, Report, Told};
 use maplefall_membership::{Event, Roster, SourceSettings, Update, MOST_NODES};
@@ -22,53 +23,54 @@
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
-/// A change that arrives later than this after it was written is logged.
+/// A change that arrives later than this after its write is logged.
 const LATE_CHANGE_THRESHOLD: Millis = 500.0;
-/// Late changes are logged at most once in this time.
+/// Minimum interval between log lines on late changes.
 const LATE_CHANGE_LOG_INTERVAL: Millis = 10_000.0;
-/// Shortest time between two writes of the state file.
+/// Minimum interval between two writes of the state file.
 const PERSIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Bytes of a file of nodes, or of a state file, at most.
+/// Maximum length of a node file and of a state file, in bytes.
 const MAX_FILE_BYTES: u64 = 64 << 20;
-/// Log lines of all sources together in one window at most; the rest is counted. What others write to a source may cause lines.
+/// Maximum number of log lines of all sources together in one window; further ones are only
+/// counted. Data that others write to a source may cause log lines.
 const MAX_LOG_LINES: u32 = 40;
-/// The window.
+/// Length of that window.
 const LOG_WINDOW: Millis = 10_000.0;
 
-/// The sources of the endpoint list and the list itself.
+/// The sources of backends and the merged list.
 pub struct Membership {
     driver: Rc<Driver>,
     endpoints: RefCell<Roster>,
-    /// The sources as they were read at the start, in order of precedence.
+    /// The sources as read at the start, in order of precedence.
     sources: Vec<Source>,
-    /// Where the list of each source is persisted for a restart.
+    /// The file where the list of each source is persisted for a restart.
     state_file: Option<PathBuf>,
     /// The agent's index among the sources.
     agent_index: Option<usize>,
-    /// The endpoints of each etcd, by its index among the sources.
-    etcd_places: BTreeMap<usize, watch::Sender<Place>>,
-    /// Reads of files of nodes: each is a version.
+    /// Endpoints and credentials of each etcd, by its index among the sources.
+    etcd_access: BTreeMap<usize, watch::Sender<Place>>,
+    /// Number of reads of node files; each read is a version.
     file_reads: Cell<u64>,
     /// When a late change was last logged.
     late_logged_at: Cell<Millis>,
-    /// What was logged in the present window.
+    /// Log lines in the present window.
     log_limit: Cell<LogLimit>,
-    /// The next deadline may have changed.
+    /// Notified when the next deadline may have changed.
     timer_changed: Notify,
-    /// The state file is out of date.
+    /// Notified when the state file is out of date.
     state_changed: Notify,
 }
 
 impl Membership {
-    /// An empty list of these sources.
+    /// Creates an empty list of these sources.
     pub fn new(driver: Rc<Driver>, sources: Sources) -> Rc<Membership> {
         let Sources {
             list: sources,
             remember,
         } = sources;
-        let etcd_place = |(at, source): (usize, &Source)| match &source.kind {
-            Kind::Etcd { place, .. } => Some((at, watch::Sender::new(place.clone()))),
-            Kind::Agent | Kind::File(_) => None,
+        let access_sender = |(at, source): (usize, &Source)| match &source.kind {
+            SourceKind::Etcd { access, .. } => Some((at, watch::Sender::new(access.clone()))),
+            SourceKind::Agent | SourceKind::File(_) => None,
         };
         let settings: Vec<SourceSettings> = sources
             .iter()
@@ -77,8 +79,14 @@
         Rc::new(Membership {
             driver,
             endpoints: RefCell::new(Roster::new(settings)),
-            agent_index: sources.iter().position(|source| source.kind == Kind::Agent),
-            etcd_places: sources.iter().enumerate().filter_map(etcd_place).collect(),
+            agent_index: sources
+                .iter()
+                .position(|source| source.kind == SourceKind::Agent),
+            etcd_access: sources
+                .iter()
+                .enumerate()
+                .filter_map(access_sender)
+                .collect(),
             sources,
             state_file: remember,
             file_reads: Cell::new(0),
@@ -89,7 +97,8 @@
         })
     }
 
-    /// Restores the list of the configuration file: it counts as the agent's list until the agent reports.
+    /// Restores the list of the configuration file, which counts as the agent's list until the
+    /// agent reports.
     pub fn restore_known_list(&self, known: &Members) {
         let source_index = self.agent_index.unwrap_or(0);
         let update =
@@ -99,14 +108,14 @@
         self.publish(update);
     }
 
-    /// Restores the list of each source from the state file. The list of the configuration file is newer than the agent's part
-    /// of it, and is restored after it.
+    /// Restores the list of each source from the state file. The configuration file's list is newer
+    /// than the agent's list in the state file, and is restored after it.
     pub fn restore_state_file(&self) {
         let Some(path) = &self.state_file else { return };
         let memberships: BTreeMap<String, Members> = match read_bounded(path) {
             Ok(None) => return,
             Ok(Some(text)) => match serde_json::from_slice(&text) {
-                Ok(words) => words,
+                Ok(memberships) => memberships,
                 Err(error) => {
                     return self.log(&format_args!("{}: not recalled: {error}", path.display()))
                 }
@@ -126,7 +135,7 @@
         }
     }
 
-    /// Writes the state file whenever a list has changed, at most once in [`PERSIST_INTERVAL`].
+    /// Writes the state file whenever a list has changed, at most once per [`PERSIST_INTERVAL`].
     async fn persist_changes(self: Rc<Self>, path: PathBuf) {
         let mut failing = false;
         loop {
@@ -139,7 +148,8 @@
                     .collect()
             };
             let (target, temporary) = (path.clone(), path.with_extension("new"));
-            // On another thread: a slow disk delays no request. The file is replaced at once, so it is complete at any moment.
+            // Runs on another thread, so that a slow disk delays no request. The file is replaced
+            // by a rename, so it is complete at any time.
             let written = tokio::task::spawn_blocking(move || {
                 std::fs::write(&temporary, serde_json::to_vec(&memberships)?)?;
                 std::fs::rename(&temporary, &target)
@@ -157,7 +167,8 @@
         }
     }
 
-    /// Follows every source but the agent, and handles deadlines, for as long as the process runs.
+    /// Follows every source except the agent, and handles deadlines, for as long as the process
+    /// runs.
     pub fn start(self: &Rc<Self>, seed: u64) {
         tokio::task::spawn_local(self.clone().run_timers());
         if let Some(path) = &self.state_file {
@@ -165,10 +176,10 @@
         }
         for (at, source) in self.sources.iter().enumerate() {
             match &source.kind {
-                Kind::Agent => {}
-                Kind::File(path) => self.read_nodes_file(at, path),
-                Kind::Etcd { follow, .. } => {
-                    let Some(place) = self.etcd_places.get(&at) else {
+                SourceKind::Agent => {}
+                SourceKind::File(path) => self.read_nodes_file(at, path),
+                SourceKind::Etcd { follow, .. } => {
+                    let Some(access) = self.etcd_access.get(&at) else {
                         continue;
                     };
                     let settings = maplefall_etcd::Settings {
@@ -180,7 +191,7 @@
                     let apply = move |output| membership.apply_etcd_output(at, output);
                     tokio::task::spawn_local(client::follow(
                         settings,
-                        place.subscribe(),
+                        access.subscribe(),
                         clock,
                         apply,
                         etcd_seam(),
@@ -190,15 +201,18 @@
         }
     }
 
-    /// Applies sources that were read again at SIGHUP: endpoints, credentials and files of nodes change at once and the list
-    /// stays; any other change needs a restart, and is logged.
+    /// Applies sources that were read again at SIGHUP: endpoints, credentials and node files change
+    /// at once without emptying the list; any other change needs a restart, and is logged.
     pub fn reload(&self, sources: &Sources) {
         let remember = &sources.remember;
         let sources = &sources.list;
         let same = |(old, new): (&Source, &Source)| {
             old.settings == new.settings
                 && match (&old.kind, &new.kind) {
-                    (Kind::Etcd { follow: old, .. }, Kind::Etcd { follow: new, .. }) => {
+                    (
+                        SourceKind::Etcd { follow: old, .. },
+                        SourceKind::Etcd { follow: new, .. },
+                    ) => {
                         maplefall_etcd::Settings {
                             endpoints: 0,
                             ..old.clone()
@@ -214,26 +228,26 @@
             && self.sources.len() == sources.len()
             && self.sources.iter().zip(sources).all(same);
         if !reloadable {
-            self.log(&"the sources have changed in more than places and credentials: that takes a restart");
+            self.log(&"sources not fully reloaded: changes other than endpoints, credentials and node files need a restart");
         }
         for (at, (old, new)) in self.sources.iter().zip(sources).enumerate() {
             match (&old.kind, &new.kind) {
-                (Kind::Etcd { .. }, Kind::Etcd { place, .. }) => {
-                    if let Some(place_sender) = self.etcd_places.get(&at) {
-                        place_sender.send_if_modified(|old| {
-                            let moved = old != place;
-                            old.clone_from(place);
-                            moved
+                (SourceKind::Etcd { .. }, SourceKind::Etcd { access, .. }) => {
+                    if let Some(sender) = self.etcd_access.get(&at) {
+                        sender.send_if_modified(|old| {
+                            let changed = old != access;
+                            old.clone_from(access);
+                            changed
                         });
                     }
                 }
-                (Kind::File(path), Kind::File(_)) => self.read_nodes_file(at, path),
+                (SourceKind::File(path), SourceKind::File(_)) => self.read_nodes_file(at, path),
                 _ => {}
             }
         }
     }
 
-    /// The agent's index among the sources, if it is one.
+    /// Returns the agent's index among the sources, if the agent is one.
     pub fn agent(&self) -> Option<usize> {
         self.agent_index
     }
@@ -241,14 +255,14 @@
     /// Applies an output of the agent's follower.
     pub fn apply_agent_output(&self, output: maplefall_discovery_agent::Output) {
         match output {
-            maplefall_discovery_agent::Output::Tell(event) => self.take(event),
+            maplefall_discovery_agent::Output::Tell(event) => self.apply_event(event),
             maplefall_discovery_agent::Output::Report(report) => {
                 self.log(&format_args!(
                     "discovery: {}",
                     one_line(&report.to_string())
                 ));
             }
-            // Calls are made by `discovery`.
+            // `discovery` makes the calls.
             maplefall_discovery_agent::Output::Ask { .. }
             | maplefall_discovery_agent::Output::HangUp(_) => {}
         }
@@ -258,7 +272,8 @@
         let name = &self.sources[at].settings.name;
         match output {
             Output::Command(_) => {}
-            // Ordinary changes of nodes are not logged one by one; these are about the source.
+            // Ordinary changes of nodes are not logged one by one; these reports are about the
+            // source.
             Output::Report(report @ Report::Unreadable { .. }) => {
                 self.log(&format_args!("{name}: passed over: {report}"));
             }
@@ -275,53 +290,53 @@
                     self.late_logged_at.set(now);
                     let late = late.unwrap_or(0.0);
                     self.log(&format_args!(
-                        "{name}: a change came {late:.0} ms after it was written, {behind} revisions behind"
+                        "{name}: a change arrived {late:.0} ms after it was written, {behind} revisions behind"
                     ));
                 }
-                self.take(event);
+                self.apply_event(event);
             }
         }
     }
 
     fn read_nodes_file(&self, source: usize, path: &Path) {
         match read_nodes(path) {
-            Ok((hosts, unread)) => {
+            Ok((hosts, invalid)) => {
                 let seq = self.file_reads.get() + 1;
                 self.file_reads.set(seq);
-                for (id, why) in &unread {
+                for (id, why) in &invalid {
                     self.log(&format_args!(
                         "{}: {}: passed over: {why}",
                         path.display(),
                         one_line(id)
                     ));
                 }
-                let unread = unread.into_iter().map(|(id, _)| id).collect();
+                let invalid = invalid.into_iter().map(|(id, _)| id).collect();
                 let members = Members {
                     seq,
                     whole: true,
                     hosts,
                 };
-                self.take(Event::Snapshot {
+                self.apply_event(Event::Snapshot {
                     source,
                     members,
-                    unread,
+                    unread: invalid,
                 });
             }
             Err(error) => {
                 self.log(&format_args!("{}: {error}", path.display()));
-                self.take(Event::Lost { source });
+                self.apply_event(Event::Lost { source });
             }
         }
     }
 
-    /// Writes a log line, unless there were many.
+    /// Writes a log line, unless the limit of the window is reached.
     fn log(&self, line: &dyn Display) {
         let mut log_limit = self.log_limit.get();
         let admitted = log_limit.admit(self.driver.clock.now());
         self.log_limit.set(log_limit);
         if let Some(suppressed) = admitted {
             if suppressed > 0 {
-                eprintln!("membership: {suppressed} lines were left out");
+                eprintln!("membership: {suppressed} log lines suppressed");
             }
             eprintln!("membership: {line}");
         }
@@ -348,9 +363,9 @@
         }
     }
 
-    fn take(&self, event: Event) {
+    fn apply_event(&self, event: Event) {
         #[cfg(feature = "breakages")]
-        if let Some(update) = breakages::past_the_roster(&event, &self.endpoints.borrow()) {
+        if let Some(update) = breakages::bypass_roster(&event, &self.endpoints.borrow()) {
             return self.publish(update);
         }
         let changed = matches!(event, Event::Snapshot { .. } | Event::Change { .. });
@@ -385,7 +400,7 @@
     client::Straight
 }
 
-/// How many lines were logged in the present window.
+/// Numbers of lines that were logged and suppressed in the present window.
 #[derive(Clone, Copy, Debug, Default)]
 struct LogLimit {
     window_start: Millis,
@@ -394,7 +409,7 @@
 }
 
 impl LogLimit {
-    /// Whether a line may be logged now; if so, how many were suppressed before it.
+    /// Returns `Some` if a line may be logged now, with the number of lines suppressed before it.
     fn admit(&mut self, now: Millis) -> Option<u32> {
         if now - self.window_start >= LOG_WINDOW {
             (self.window_start, self.written) = (now, 0);
@@ -409,11 +424,11 @@
     }
 }
 
-/// A file of bounded length; `None` if there is none.
+/// Reads a file of bounded length; `None` if there is none.
 fn read_bounded(path: &Path) -> Result<Option<Vec<u8>>, String> {
     let read = || {
         let mut text = Vec::new();
-        // The bytes read are counted: a file may grow while it is read.
+        // Counts the bytes read, because a file may grow while it is read.
         let count = std::fs::File::open(path)?
             .take(MAX_FILE_BYTES + 1)
             .read_to_end(&mut text)?;
@@ -429,36 +444,37 @@
     }
 }
 
-/// Ids of nodes that cannot be used, each with the reason.
+/// Ids of invalid nodes, each with the reason.
 type UnusableNodes = Vec<(String, String)>;
 
-/// The nodes of a file: one JSON object, from ids to the documents that are values in etcd too.
+/// Reads the nodes of a file: one JSON object that maps ids to documents, which have the same form
+/// as values in etcd.
 ///
 /// # Errors
-/// The file cannot be read, is too long, is no JSON object, or has too many nodes.
+/// The file cannot be read, is too long, is not a JSON object, or has too many nodes.
 fn read_nodes(path: &Path) -> Result<(Vec<Member>, UnusableNodes), String> {
-    let text = read_bounded(path)?.ok_or("there is no such file")?;
+    let text = read_bounded(path)?.ok_or("the file does not exist")?;
     let documents: BTreeMap<String, serde_json::Value> =
         serde_json::from_slice(&text).map_err(|error| error.to_string())?;
     if documents.len() > MOST_NODES {
         return Err(format!("{MOST_NODES} nodes at most were expected"));
     }
-    let (mut nodes, mut unread) = (Vec::new(), Vec::new());
+    let (mut nodes, mut invalid) = (Vec::new(), Vec::new());
     for (id, document) in documents {
         let read = value::id(id.as_bytes(), b"")
             .and_then(|id| value::member(id, document.to_string().as_bytes()));
         match read {
             Ok((member, _)) => nodes.push(member),
-            Err(why) => unread.push((id, one_line(&why.to_string()))),
+            Err(why) => invalid.push((id, one_line(&why.to_string()))),
         }
     }
-    Ok((nodes, unread))
+    Ok((nodes, invalid))
 }
 
-/// Every mistake in a file of nodes, for `maplefall check`.
-pub fn file_mistakes(path: &Path) -> Vec<String> {
+/// Returns all errors in a node file, for `maplefall check`.
+pub fn node_file_errors(path: &Path) -> Vec<String> {
     match read_nodes(path) {
-        Ok((_, unread)) => unread
+        Ok((_, invalid)) => invalid
             .into_iter()
             .map(|(id, why)| format!("{}: {}: {why}", path.display(), one_line(&id)))
             .collect(),
--- a/crates/maplefall/src/net/membership/tests.rs
+++ b/crates/maplefall/src/net/membership/tests.rs
@@ -1,8 +1,9 @@
-//! The limit on log lines.
+//! Tests of the limit on log lines.
 
 use super::*;
 
-/// Guards against a log that a peer fills: so many lines are admitted in a window, and the rest is counted.
+/// Guards against a peer that floods the log: a bounded number of lines is logged in a window, and
+/// the rest is counted.
 #[test]
 fn log_lines_are_limited_per_window_and_the_rest_is_counted() {
     let mut log_limit = LogLimit::default();
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -1,5 +1,6 @@
-//! The file of sources (`MAPLEFALL_SOURCES`, a TOML file; `deploy/sources.toml` is one): where the list of backends comes from,
-//! in order of precedence. Without it the platform's agent is the only source.
+//! The settings file of sources (`MAPLEFALL_SOURCES`, TOML; example: `deploy/sources.toml`): where
+//! the list of backends comes from, in order of precedence. Without the file the platform's agent
+//! is the only source.
 
 use maplefall_etcd::client::Place;
 use maplefall_membership::SourceSettings;
@@ -9,49 +10,50 @@
 
 /// The variable that names the file.
 pub const VARIABLE: &str = "MAPLEFALL_SOURCES";
-/// Sources at most, and endpoints of one.
+/// Maximum number of sources.
 const MAX_SOURCES: usize = 8;
+/// Maximum number of endpoints of one source.
 const MAX_ENDPOINTS: usize = 16;
 
-/// One source.
+/// A source of backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Source {
-    /// How its reports are merged with those of other sources.
+    /// How the source's reports are merged with those of other sources.
     pub settings: SourceSettings,
-    /// What it is.
-    pub kind: Kind,
+    /// The kind, with its parameters.
+    pub kind: SourceKind,
 }
 
-/// What a source is.
+/// The kind of a source.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
-    /// The platform's agent, by `BALANCER_DISCOVERY`.
+pub enum SourceKind {
+    /// The platform's agent, at `BALANCER_DISCOVERY`.
     Agent,
     /// A prefix of an etcd.
     Etcd {
-        /// Its endpoints and credentials.
-        place: Place,
-        /// The prefix and the timeouts.
+        /// Endpoints and credentials.
+        access: Place,
+        /// Prefix and timeouts.
         follow: maplefall_etcd::Settings,
     },
-    /// A file of nodes, read at the start and at SIGHUP.
+    /// A node file, read at the start and at SIGHUP.
     File(PathBuf),
 }
 
-/// The contents of a file of sources.
+/// The contents of a settings file of sources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sources {
-    /// The sources, the one with precedence first.
+    /// The sources, in order of precedence.
     pub list: Vec<Source>,
-    /// Where the list of each source is persisted for a restart; nowhere by default.
+    /// The file where the list of each source is persisted for a restart; `None` by default.
     pub remember: Option<PathBuf>,
 }
 
-/// The sources without a file.
+/// Returns the sources for a process without a settings file.
 pub fn agent_only() -> Sources {
     let agent = Source {
         settings: SourceSettings::trusted("agent"),
-        kind: Kind::Agent,
+        kind: SourceKind::Agent,
     };
     Sources {
         list: vec![agent],
@@ -77,7 +79,7 @@
     believed_part: Option<f64>,
     doubt_ms: Option<Millis>,
     keep_ms: Option<Millis>,
-    // Of an etcd.
+    // Fields of an etcd.
     #[serde(default)]
     endpoints: Vec<String>,
     prefix: Option<String>,
@@ -88,7 +90,7 @@
     silence_ms: Option<Millis>,
     answer_ms: Option<Millis>,
     retry_ms: Option<[Millis; 2]>,
-    // Of a file.
+    // Fields of a node file.
     path: Option<PathBuf>,
 }
 
@@ -104,10 +106,10 @@
     true
 }
 
-/// The sources that the variable's file names, or the agent alone.
+/// Reads the sources from the file that the variable names, or returns the agent alone.
 ///
 /// # Errors
-/// Every mistake, one to a line.
+/// All errors, one per line.
 pub fn from_env() -> Result<Sources, String> {
     let Some(path) = std::env::var_os(VARIABLE) else {
         return Ok(agent_only());
@@ -115,20 +117,20 @@
     read(Path::new(&path)).map_err(|found| found.join("\n"))
 }
 
-/// The sources that a file names.
+/// Reads the sources from a file.
 ///
 /// # Errors
-/// Every mistake, each with the file's name and the field's path.
+/// All errors, each with the file's name and the field's path.
 pub fn read(path: &Path) -> Result<Sources, Vec<String>> {
     let named = |text: String| format!("{}: {text}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| vec![named(error.to_string())])?;
     parse(&text).map_err(|found| found.into_iter().map(named).collect())
 }
 
-/// The sources in a file's text. Files that it names are read too.
+/// Parses the sources in a file's text. Files named in the text are read too.
 ///
 /// # Errors
-/// Every mistake, each with the field's path.
+/// All errors, each with the field's path.
 fn parse(text: &str) -> Result<Sources, Vec<String>> {
     let file: SourcesFile =
         toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
@@ -142,7 +144,8 @@
             |field: &str, expected: &str| errors.push(format!("source.{at}.{field}: {expected}"));
         let defaults = match entry.kind {
             SourceKindName::Agent => SourceSettings::trusted("agent"),
-            // Half of the list gone in one reading is rather a mistake than a wish.
+            // If half of the list disappears in one read, that is more likely a mistake than
+            // intended.
             SourceKindName::Etcd => SourceSettings {
                 believed_part: 0.5,
                 doubt: 10_000.0,
@@ -198,13 +201,13 @@
         }
         let kind = match entry.kind {
             SourceKindName::Agent => {
-                if list.iter().any(|other| other.kind == Kind::Agent) {
+                if list.iter().any(|other| other.kind == SourceKind::Agent) {
                     report("kind", "one agent at most was expected");
                 }
-                Kind::Agent
+                SourceKind::Agent
             }
             SourceKindName::File => match &entry.path {
-                Some(path) => Kind::File(path.clone()),
+                Some(path) => SourceKind::File(path.clone()),
                 None => {
                     report("path", "the path of a file of nodes was expected");
                     continue;
@@ -223,7 +226,7 @@
     }
 }
 
-fn parse_etcd(at: usize, entry: &SourceEntry, report: &mut impl FnMut(&str, &str)) -> Kind {
+fn parse_etcd(at: usize, entry: &SourceEntry, report: &mut impl FnMut(&str, &str)) -> SourceKind {
     let prefix = entry.prefix.clone().unwrap_or_default();
     if prefix.is_empty() {
         report(
@@ -253,12 +256,12 @@
             ),
         }
     }
-    let file = |path: &Option<PathBuf>, field: &str, wrong: &mut dyn FnMut(&str, &str)| {
+    let file = |path: &Option<PathBuf>, field: &str, report: &mut dyn FnMut(&str, &str)| {
         let path = path.as_ref()?;
         match std::fs::read(path) {
             Ok(bytes) => Some(bytes),
             Err(error) => {
-                wrong(field, &format!("{}: {error}", path.display()));
+                report(field, &format!("{}: {error}", path.display()));
                 None
             }
         }
@@ -296,11 +299,11 @@
     if !(min >= 1.0 && min <= max && max <= 600_000.0) {
         report(
             "retry_ms",
-            "the shortest pause from 1 and the longest to 600000 were expected",
+            "a minimum of 1 or more and a maximum of up to 600000 were expected",
         );
     }
-    Kind::Etcd {
-        place: Place {
+    SourceKind::Etcd {
+        access: Place {
             endpoints: entry.endpoints.clone(),
             user,
             authority,
--- a/crates/maplefall/src/net/sources/tests.rs
+++ b/crates/maplefall/src/net/sources/tests.rs
@@ -1,26 +1,26 @@
-//! The file of sources.
+//! Tests of the settings file of sources.
 
 use super::*;
 
-/// Guards the example that ships: whoever copies it begins with a file that can be used.
+/// Guards the shipped example: a copy of it must be valid.
 #[test]
 fn shipped_example_names_an_agent_and_an_etcd() {
     let list = parse(include_str!("../../../../../deploy/sources.toml"))
         .unwrap()
         .list;
-    assert_eq!(list[0].kind, Kind::Agent);
-    let Kind::Etcd { place, follow } = &list[1].kind else {
+    assert_eq!(list[0].kind, SourceKind::Agent);
+    let SourceKind::Etcd { access, follow } = &list[1].kind else {
         panic!("{list:?}")
     };
     assert_eq!(
-        (place.endpoints.len(), follow.prefix.as_str()),
+        (access.endpoints.len(), follow.prefix.as_str()),
         (3, "/maplefall")
     );
     assert!(list.iter().all(|source| source.settings.authoritative));
 }
 
 #[test]
-fn reports_every_mistake_with_its_field() {
+fn reports_all_errors_with_their_fields() {
     let text = "[[source]]\nkind = \"agent\"\nprefix = \"/x\"\nbelieved_part = 2\n\
                 [[source]]\nkind = \"etcd\"\nendpoints = [\"ftp://a\"]\nuser = \"u\"\nretry_ms = [5, 1]\n\
                 [[source]]\nkind = \"agent\"\n[[source]]\nkind = \"file\"\n";
@@ -46,7 +46,7 @@
     let many = vec!["\"http://127.0.0.1:1\""; MAX_ENDPOINTS + 1].join(", ");
     let text = format!("[[source]]\nkind = \"etcd\"\nprefix = \"/x\"\nendpoints = [{many}]\n");
     assert!(parse(&text).unwrap_err()[0].contains("1 to 16"));
-    // A file of nodes stops nobody, whatever it says of itself.
+    // A node file is never authoritative, whatever its entry says.
     let list = parse("[[source]]\nkind = \"file\"\npath = \"x\"\nauthoritative = true\n")
         .unwrap()
         .list;
