--- a/crates/maplefall/benches/fronts.rs
+++ b/crates/maplefall/benches/fronts.rs
@@ -1,8 +1,11 @@
-//! What a request costs the daemon by each front, turn about on one machine: `cargo bench -p maplefall --bench fronts`.
+//! Cost of a request to the gateway for each protocol, alternating on one machine: `cargo
+//! bench -p maplefall --bench fronts`.
 //!
-//! One front door process at a time, played backends and clients in this one: CPU of the front door for each request, its
-//! writes, its memory, and what clients wait. `ROUNDS` and `REQUESTS` (environment) tell how many.
-//! `STRACE=1` counts system calls (slower), `--features count-allocations` what is allocated.
+//! One gateway process at a time; test backends and clients run in the benchmark's process.
+//! Measures the gateway's CPU time and writes for each request, its memory, and the clients'
+//! latency. `ROUNDS` and `REQUESTS` (environment) set the numbers of rounds and of requests per
+//! client. `STRACE=1` counts system calls (slower), `--features count-allocations` counts
+//! allocations.
 
 #[path = "../tests/sockets/mod.rs"]
 mod sockets;
@@ -18,20 +21,20 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: usize = 8;
-/// Requests of each client before anything is counted.
+/// Requests of each client before the measurement.
 const WARM_UP: usize = 50;
 
-/// How requests come and what is done with them.
+/// The protocol of requests and their handling.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Profile {
     Http,
-    /// With callers checked, one credential for all: its pass is kept.
+    /// Callers are checked, with one credential for all: its verdict is cached.
     AuthWarm,
-    /// With callers checked, a new credential each time.
+    /// Callers are checked, with a new credential for each request.
     AuthMiss,
     Grpc,
     GrpcStream,
-    /// Past the front door, for what the played client and service take themselves.
+    /// Without the gateway, to measure the cost of the test client and test service alone.
     GrpcDirect,
 }
 
@@ -47,29 +50,30 @@
 struct Measured {
     cpu_us: f64,
     writes: f64,
-    /// With the start and the warm-up in them; nought in a build that does not count.
+    /// Includes the start and the warm-up; zero in a build that does not count allocations.
     allocations: f64,
-    /// Nought unless `STRACE` is set.
+    /// Zero unless `STRACE` is set.
     syscalls: f64,
     rss_kib: f64,
     p50_us: u64,
     p99_us: u64,
-    other: usize,
+    /// Requests without a successful response.
+    not_served: usize,
 }
 
-fn number(name: &str, usual: usize) -> usize {
+fn number(name: &str, default: usize) -> usize {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(usual)
+        .unwrap_or(default)
 }
 
 fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
-/// Time on the processor in microseconds (proc(5), `stat`: in ticks of 10 ms).
-fn cpu(pid: u32) -> f64 {
+/// CPU time in microseconds (proc(5), `stat`: in ticks of 10 ms).
+fn cpu_time_us(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let fields: Vec<&str> = text
         .rsplit(')')
@@ -81,13 +85,13 @@
     (ticks(11) + ticks(12)) * 10_000.0
 }
 
-/// A figure of a file of `/proc/PID` with a name and a number to a line.
-fn figure(pid: u32, file: &str, name: &str) -> f64 {
+/// Returns the value of a field in a file of `/proc/PID` that has a name and a number per line.
+fn proc_field(pid: u32, file: &str, name: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/{file}")).expect("a process");
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(name))
-        .expect("the figure");
+        .expect("the field");
     line.trim_start_matches(':')
         .split_whitespace()
         .next()
@@ -95,7 +99,7 @@
         .expect("a number")
 }
 
-/// Counts the system calls of a process until it is stopped (strace(1), which must be installed).
+/// Counts the system calls of a process until stopped (strace(1), which must be installed).
 struct Strace {
     child: std::process::Child,
     path: String,
@@ -109,21 +113,21 @@
             .stderr(std::process::Stdio::null())
             .spawn()
             .expect("strace is installed");
-        while figure(pid, "status", "TracerPid") == 0.0 {
+        while proc_field(pid, "status", "TracerPid") == 0.0 {
             std::thread::sleep(Duration::from_millis(5));
         }
         Strace { child, path }
     }
 
-    /// Stops it; how many there were.
+    /// Stops strace and returns the number of system calls.
     fn stop(mut self) -> f64 {
         let id = self.child.id().to_string();
         std::process::Command::new("kill")
             .args(["-INT", &id])
             .status()
             .expect("kill runs");
-        self.child.wait().expect("an end");
-        let text = std::fs::read_to_string(&self.path).expect("what it counted");
+        self.child.wait().expect("strace exits");
+        let text = std::fs::read_to_string(&self.path).expect("strace's report");
         let total = text
             .lines()
             .rev()
@@ -166,7 +170,7 @@
     path
 }
 
-async fn measure(profile: Profile, each: usize, round: usize) -> Measured {
+async fn measure(profile: Profile, per_client: usize, round: usize) -> Measured {
     let grpc = matches!(
         profile,
         Profile::Grpc | Profile::GrpcStream | Profile::GrpcDirect
@@ -192,7 +196,7 @@
         let address = listener.local_addr().expect("an address");
         tokio::task::spawn_local(auth.clone().serve(listener));
         auth.grant("ana", &["Remote-User: ana", "Cache-Control: max-age=600"]);
-        // Whoever it does not know passes here too: only the way there is measured.
+        // Unknown callers pass too: only the cost of the check is measured.
         auth.deny_with(204, &[]);
         let text = format!(
             "servers = [\"http://{address}/auth\"]\ncredentials = [\"authorization\"]\n[classes]\nread = \"closed\"\n"
@@ -211,9 +215,14 @@
     let mut settings = settings();
     settings["plans"][0]["per_second"] = serde_json::json!(1e6);
     settings["plans"][0]["peak_units"] = serde_json::json!(1e6);
-    let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let mut program =
-        Program::start_with(&variables, 1024, settings, nobody, members(7, true, &hosts));
+    let unused_address: SocketAddr = "127.0.0.1:9".parse().expect("an address");
+    let mut program = Program::start_with(
+        &variables,
+        1024,
+        settings,
+        unused_address,
+        members(7, true, &hosts),
+    );
     let address = match grpc {
         true => program
             .log_line()
@@ -232,16 +241,16 @@
         _ => address,
     };
     let pid = program.child.id();
-    let other = Rc::new(Cell::new(0));
+    let not_served = Rc::new(Cell::new(0));
     let mut spent = [0.0; 2];
     let mut syscalls = 0.0;
     let mut waits = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
-    for (part, count) in [WARM_UP, each].into_iter().enumerate() {
+    for (part, count) in [WARM_UP, per_client].into_iter().enumerate() {
         let strace = (part > 0 && std::env::var_os("STRACE").is_some()).then(|| Strace::start(pid));
-        let before = [cpu(pid), figure(pid, "io", "syscw")];
+        let before = [cpu_time_us(pid), proc_field(pid, "io", "syscw")];
         let mut clients = tokio::task::JoinSet::new();
         for client in 0..CLIENTS {
-            let other = other.clone();
+            let not_served = not_served.clone();
             clients.spawn_local(async move {
                 let mut waits = Vec::with_capacity(count);
                 let open = if grpc {
@@ -262,20 +271,23 @@
                             open.call(&Call::new(&id, path, "wide", "8S")).await.code() == Some(0)
                         }
                         (None, profile) => {
-                            let who = if profile == Profile::AuthMiss {
+                            let credential = if profile == Profile::AuthMiss {
                                 id.as_str()
                             } else {
                                 "ana"
                             };
                             let text = sockets::request_of(&id, "read", "wide", "8");
-                            let text =
-                                text.replacen("\r\n", &format!("\r\nAuthorization: {who}\r\n"), 1);
+                            let text = text.replacen(
+                                "\r\n",
+                                &format!("\r\nAuthorization: {credential}\r\n"),
+                                1,
+                            );
                             link.write(text.as_bytes()).await.expect("a connection");
                             link.message().await.expect("an answer").status == 200
                         }
                     };
                     waits.push(began.elapsed());
-                    other.set(other.get() + usize::from(!good));
+                    not_served.set(not_served.get() + usize::from(!good));
                 }
                 waits
             });
@@ -285,30 +297,30 @@
                 waits.saturating_record(wait.as_micros() as u64);
             }
         }
-        let after = [cpu(pid), figure(pid, "io", "syscw")];
+        let after = [cpu_time_us(pid), proc_field(pid, "io", "syscw")];
         if let Some(strace) = strace {
-            syscalls = strace.stop() / (CLIENTS * each) as f64;
+            syscalls = strace.stop() / (CLIENTS * per_client) as f64;
         }
         if part == 0 {
             waits.reset();
-            other.set(0);
+            not_served.set(0);
         } else {
             for (spent, (after, before)) in spent.iter_mut().zip(after.iter().zip(before)) {
-                *spent = (after - before) / (CLIENTS * each) as f64;
+                *spent = (after - before) / (CLIENTS * per_client) as f64;
             }
         }
     }
-    let rss_kib = figure(pid, "status", "VmRSS");
+    let rss_kib = proc_field(pid, "status", "VmRSS");
     let mut allocations = 0.0;
     if cfg!(feature = "count-allocations") {
         program.terminate();
         while allocations == 0.0 {
             let line = program.log_line();
-            assert!(!line.is_empty(), "it tells what it allocated");
-            let told = line
+            assert!(!line.is_empty(), "the program reports its allocations");
+            let allocated = line
                 .strip_prefix("allocations ")
                 .and_then(|rest| rest.split(' ').next()?.parse::<f64>().ok());
-            allocations = told.unwrap_or(0.0) / (CLIENTS * (each + WARM_UP)) as f64;
+            allocations = allocated.unwrap_or(0.0) / (CLIENTS * (per_client + WARM_UP)) as f64;
         }
     }
     Measured {
@@ -319,13 +331,13 @@
         rss_kib,
         p50_us: waits.value_at_quantile(0.5),
         p99_us: waits.value_at_quantile(0.99),
-        other: other.get(),
+        not_served: not_served.get(),
     }
 }
 
 fn main() {
-    let (rounds, each) = (number("ROUNDS", 5), number("REQUESTS", 1500));
-    println!("{CLIENTS} clients, {each} requests each, {rounds} rounds turn about; medians (least to most)");
+    let (rounds, per_client) = (number("ROUNDS", 5), number("REQUESTS", 1500));
+    println!("{CLIENTS} clients, {per_client} requests each, {rounds} rounds, alternating; medians (min to max)");
     let mut all: Vec<Vec<Measured>> = PROFILES.iter().map(|_| Vec::new()).collect();
     for round in 0..rounds {
         for (at, profile) in PROFILES.iter().enumerate() {
@@ -335,7 +347,11 @@
                 .expect("a runtime");
             let local = tokio::task::LocalSet::new();
             let measured = local.block_on(&runtime, async {
-                tokio::time::timeout(Duration::from_secs(120), measure(*profile, each, round)).await
+                tokio::time::timeout(
+                    Duration::from_secs(120),
+                    measure(*profile, per_client, round),
+                )
+                .await
             });
             all[at].push(measured.expect("in time"));
         }
@@ -361,7 +377,7 @@
             column(&|m| m.rss_kib, 0),
             column(&|m| m.allocations, 1),
             column(&|m| m.syscalls, 2),
-            runs.iter().map(|m| m.other).sum::<usize>()
+            runs.iter().map(|m| m.not_served).sum::<usize>()
         );
     }
 }
--- a/crates/maplefall/src/net/backends/tests.rs
+++ b/crates/maplefall/src/net/backends/tests.rs
@@ -63,7 +63,7 @@
     while !received.ends_with(end) {
         assert!(
             stream.read_buf(&mut received).await.expect("a request") > 0,
-            "ended"
+            "the connection ended early"
         );
     }
 }
@@ -230,7 +230,10 @@
             .await
             .expect("the connection that was being dialed");
         assert_eq!(
-            stream.read(&mut [0; 8]).await.expect("an end"),
+            stream
+                .read(&mut [0; 8])
+                .await
+                .expect("the connection closes"),
             0,
             "nothing was written to it"
         );
@@ -239,11 +242,14 @@
 
 async fn serve(stream: &mut TcpStream, body: &str) {
     receive_until(stream, b"hello").await;
-    let answer = format!(
+    let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    stream.write_all(answer.as_bytes()).await.expect("a reader");
+    stream
+        .write_all(response.as_bytes())
+        .await
+        .expect("a reader");
 }
 
 /// Runs a scenario on one thread, within a time limit that only a fault exceeds.
@@ -256,7 +262,7 @@
     let all = async { tokio::time::timeout(SCENARIO_TIMEOUT, scenario).await };
     runtime
         .block_on(local.run_until(all))
-        .expect("an end in time")
+        .expect("the scenario ends in time")
 }
 
 fn reset(stream: TcpStream) {
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -255,11 +255,11 @@
 /// the follower made of it.
 pub fn follower_outputs(event: &Heard, outputs: Vec<Output>) -> Vec<Output> {
     static NEXT_VERSION: AtomicU64 = AtomicU64::new(1);
-    let word = match event {
+    let parsed = match event {
         Heard::Line(text) if is(Breakage::OlderListWins) => line(text).ok(),
         _ => None,
     };
-    let Some(Line::Word(Word { mut members, .. })) = word else {
+    let Some(Line::Word(Word { mut members, .. })) = parsed else {
         return outputs;
     };
     // Versions of the roster's events increase, whatever the agent's do.
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -42,7 +42,7 @@
 pub fn config_errors(text: &str) -> Vec<String> {
     let value: Value = match serde_json::from_str(text) {
         Ok(value) => value,
-        Err(error) => return vec![format!("the file is no JSON: {error}")],
+        Err(error) => return vec![format!("the file is not JSON: {error}")],
     };
     if !value.is_object() {
         return vec!["the file: an object was expected".to_owned()];
@@ -56,7 +56,7 @@
             Some(_) if address => {
                 errors.push(format!("{path}: an address with a port was expected"))
             }
-            Some(_) => errors.push(format!("{path}: a text was expected")),
+            Some(_) => errors.push(format!("{path}: a string was expected")),
         }
     }
     match value
--- a/crates/maplefall/src/net/check/tests.rs
+++ b/crates/maplefall/src/net/check/tests.rs
@@ -55,5 +55,5 @@
         .contains("plans.0.peak_units: 7 is under extra.max_units of 8"));
     assert_eq!(with(serde_json::json!({})).len(), 2);
     assert!(config_errors("[]")[0].contains("an object was expected"));
-    assert!(config_errors("{")[0].contains("no JSON"));
+    assert!(config_errors("{")[0].contains("not JSON"));
 }
--- a/crates/maplefall/src/net/clients/connection.rs
+++ b/crates/maplefall/src/net/clients/connection.rs
@@ -17,7 +17,7 @@
 /// Minimum age of an incomplete request that may be dropped when the connection limit is reached.
 const MIN_SLOW_REQUEST_AGE: Millis = 250.0;
 
-/// How a connection is to be closed.
+/// How to close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
     /// After the pending response, or at once if there is none.
--- a/crates/maplefall/src/net/counts_settings.rs
+++ b/crates/maplefall/src/net/counts_settings.rs
@@ -106,10 +106,14 @@
         .filter_map(|(at, text)| address(&format!("seeds.{at}"), text, true))
         .collect();
     if file.seeds.len() > MAX_SEEDS {
-        errors.push(format!("seeds: {MAX_SEEDS} at most were expected"));
+        errors.push(format!(
+            "seeds: at most {MAX_SEEDS} addresses were expected"
+        ));
     }
     if listen.is_some_and(|listen| listen.ip().is_unspecified()) && file.advertise.is_none() {
-        errors.push("advertise: an address was expected, as gossip names no single one".to_owned());
+        errors.push(
+            "advertise: an address was expected, because gossip is a wildcard address".to_owned(),
+        );
     }
     let key = match (&file.key, &file.key_file) {
         (Some(key), None) => Ok(key.clone()),
--- a/crates/maplefall/src/net/driver/state.rs
+++ b/crates/maplefall/src/net/driver/state.rs
@@ -42,7 +42,7 @@
     pub(super) response_started: bool,
 }
 
-/// An attempt in flight.
+/// The attempt of a request that is in flight.
 pub(super) struct Attempt {
     pub(super) number: u32,
     pub(super) backend: BackendId,
--- a/crates/maplefall/src/net/driver/timers.rs
+++ b/crates/maplefall/src/net/driver/timers.rs
@@ -19,7 +19,7 @@
 pub(super) enum TimerEvent {
     /// A timer of the decision module.
     PolicyTimer(TimerId),
-    /// The timeout of a request's attempt of this number.
+    /// The timeout of a request's attempt, by the attempt's number.
     AttemptTimeout(RequestId, u32),
     /// The deadline of a request: its client stops waiting.
     Deadline(RequestId),
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -47,7 +47,7 @@
 }
 
 impl Backends {
-    /// Runs one attempt to its end.
+    /// Runs one attempt of a call to its end.
     pub async fn attempt(&self, to: BackendId, context: AttemptContext<'_>) -> Ended {
         let Ok(attempt_number) = context.call.begin_attempt() else {
             return Ended::of(Outcome::NotSent);
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -131,7 +131,7 @@
     let streams = file.streams.unwrap_or(64);
     let calls = file.calls.unwrap_or(512);
     let backend_connections = file.backend_connections.unwrap_or(32);
-    let held_bytes = file.held_bytes.unwrap_or(64 * 1024);
+    let max_buffered_bytes = file.held_bytes.unwrap_or(64 * 1024);
     let idle = file.idle_ms.unwrap_or(60_000.0);
     within("connections", connections as f64, 1.0, 65_536.0);
     within("streams", f64::from(streams), 1.0, 65_536.0);
@@ -142,7 +142,7 @@
         1.0,
         65_536.0,
     );
-    within("held_bytes", held_bytes as f64, 1024.0, 4_194_304.0);
+    within("held_bytes", max_buffered_bytes as f64, 1024.0, 4_194_304.0);
     within("idle_ms", idle, 100.0, 86_400_000.0);
     if file.routes.is_empty() {
         errors.push("route: at least one [[route]] was expected".to_owned());
@@ -188,7 +188,7 @@
             streams,
             calls,
             backend_connections,
-            max_buffered_bytes: held_bytes,
+            max_buffered_bytes,
             idle,
             routes,
         }),
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -457,7 +457,7 @@
     let documents: BTreeMap<String, serde_json::Value> =
         serde_json::from_slice(&text).map_err(|error| error.to_string())?;
     if documents.len() > MOST_NODES {
-        return Err(format!("{MOST_NODES} nodes at most were expected"));
+        return Err(format!("the file has more than {MOST_NODES} nodes"));
     }
     let (mut nodes, mut invalid) = (Vec::new(), Vec::new());
     for (id, document) in documents {
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -255,7 +255,7 @@
     match sources::from_env() {
         _ if !signalled => {}
         Ok(sources) => membership.reload(&sources),
-        Err(error) => eprintln!("{name}: the old sources go on: {error}"),
+        Err(error) => eprintln!("{name}: sources not reloaded, the old ones stay in use: {error}"),
     }
     usable
 }
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -29,7 +29,7 @@
 pub enum SourceKind {
     /// The platform's agent, at `BALANCER_DISCOVERY`.
     Agent,
-    /// A prefix of an etcd.
+    /// The keys under a prefix of an etcd.
     Etcd {
         /// Endpoints and credentials.
         access: Place,
