--- a/crates/maplefall/src/counts.rs
+++ b/crates/maplefall/src/counts.rs
@@ -146,7 +146,7 @@
             }
         }
         Err(format!(
-            "{}: no response; is this the address of a gateway with this cluster and key?",
+            "{}: no answer; is this the address of a gateway with this cluster and key?",
             self.to
         ))
     }
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -93,7 +93,7 @@
     ("held-back", Breakage::LateRejection),
     ("stale-body", Breakage::StaleBody),
     ("unsafe-again", Breakage::NonIdempotentRetried),
-    ("two-outputs", Breakage::SentTwice),
+    ("two-out", Breakage::SentTwice),
     ("refused-after", Breakage::RejectedAfterRun),
     ("changed-on-the-way", Breakage::TargetChanged),
     ("key-for-ever", Breakage::KeyNeverExpires),
