--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -93,9 +93,9 @@
 enum Mode {
     /// Not checked.
     Off,
-    /// Checked; rejected if the service cannot be reached.
+    /// Checked; rejected if the service cannot be queried.
     Closed,
-    /// Checked; admitted if the service cannot be reached.
+    /// Checked; admitted if the service cannot be queried.
     Open,
 }
 
--- a/crates/maplefall/src/net/grpc/proxied_call.rs
+++ b/crates/maplefall/src/net/grpc/proxied_call.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    // ---- To the client ------------------------------------------------------------------------------
+    // ---- To the client ------------------------------------------------------------------------
 
     /// Returns the next output for the client, once there is one.
     pub fn poll_output(&self, cx: &mut Context<'_>) -> Poll<NextOutput> {
@@ -141,7 +141,7 @@
         self.output_taken.notify_one();
     }
 
-    // ---- From the client ----------------------------------------------------------------------------
+    // ---- From the client ----------------------------------------------------------------------
 
     /// Adds a chunk of the client's upload.
     pub fn push_upload(&self, chunk: Bytes) {
