--- a/crates/maplefall/src/net/clients/socket.rs
+++ b/crates/maplefall/src/net/clients/socket.rs
@@ -1,4 +1,5 @@
-//! A client's socket that notes when bytes arrive, which the HTTP library does not show before a head is complete.
+//! A client's socket that records when bytes arrive: the HTTP library does not report this before a
+//! head is complete.
 
 use super::connection::ClientConnection;
 #[cfg(feature = "breakages")]
@@ -49,12 +50,13 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         #[cfg(feature = "breakages")]
-        if (buf.starts_with(b"HTTP/1.1 200") && breakages::is(breakages::Breakage::SecondAnswer))
+        if (buf.starts_with(b"HTTP/1.1 200")
+            && breakages::is(breakages::Breakage::DuplicateResponse))
             || (buf.starts_with(b"HTTP/1.1 503")
-                && breakages::is(breakages::Breakage::LateVerdictAnswers))
+                && breakages::is(breakages::Breakage::LateVerdictResponse))
         {
             let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
-            // Where there is no room for it, this one answer stays alone.
+            // If the socket's buffer is full, this response is written once only.
             let _ = self.stream.try_write(buf);
             return wrote;
         }
@@ -79,8 +81,8 @@
 
     fn is_write_vectored(&self) -> bool {
         #[cfg(feature = "breakages")]
-        if breakages::is(breakages::Breakage::SecondAnswer)
-            || breakages::is(breakages::Breakage::LateVerdictAnswers)
+        if breakages::is(breakages::Breakage::DuplicateResponse)
+            || breakages::is(breakages::Breakage::LateVerdictResponse)
         {
             return false;
         }
