--- a/crates/maplefall/src/counts.rs
+++ b/crates/maplefall/src/counts.rs
@@ -3,7 +3,7 @@
 
 use crate::net::counts_settings::{self, CountsSettings};
 use maplefall_shared_counts::status::Status;
-use maplefall_shared_counts::wire::{self, Head, Kind, Seal, Section, Writer, MOST_DATAGRAM};
+use maplefall_shared_counts::wire::{self, Head, Kind, Seal, Section, Writer, MAX_DATAGRAM_BYTES};
 use maplefall_shared_counts::{DoorId, Life};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -60,7 +60,7 @@
         }),
         Command::Customers(target) => show_status(&target, |status| {
             status.members.clear();
-            status.refused.clear();
+            status.rejected.clear();
         }),
         Command::Status(target) => show_status(&target, |_| {}),
         Command::Dump { file, datagram } => dump_datagram(&file, &datagram),
@@ -106,7 +106,7 @@
             nonce: self.nonce,
             echo,
         };
-        let mut writer = Writer::new(&self.seal, &head, MOST_DATAGRAM);
+        let mut writer = Writer::new(&self.seal, &head, MAX_DATAGRAM_BYTES);
         if let Some(section) = section {
             writer.add(&section);
         }
@@ -120,7 +120,7 @@
     /// Receives the next datagram of a kind that belongs to this exchange; `None` if there is none in time.
     fn receive(&self, kind: Kind) -> Option<(Head, Vec<Section>)> {
         let until = Instant::now() + RESPONSE_TIMEOUT;
-        let mut bytes = [0; MOST_DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         while Instant::now() < until {
             let Ok((length, _)) = self.socket.recv_from(&mut bytes) else {
                 continue;
@@ -186,13 +186,13 @@
     let (mut text, mut index, mut total_parts) = (Vec::new(), 0, 1);
     while index < total_parts {
         let (total, chunk) = client.retry(|client| {
-            client.send(Kind::Ask, echo, Some(Section::Part(index)))?;
+            client.send(Kind::Ask, echo, Some(Section::StatusPart(index)))?;
             let sections = client.receive(Kind::Told).map(|(_, sections)| sections);
             Ok(sections
                 .into_iter()
                 .flatten()
                 .find_map(|section| match section {
-                    Section::Text(parts, text) => Some((parts, text)),
+                    Section::StatusText(parts, text) => Some((parts, text)),
                     _ => None,
                 }))
         })?;
@@ -226,7 +226,7 @@
     println!("{head:?}");
     for section in sections {
         match section {
-            Section::Cards(cards) => cards.iter().for_each(|card| println!("card {card:?}")),
+            Section::Members(cards) => cards.iter().for_each(|card| println!("card {card:?}")),
             Section::Digest(lines) => lines.iter().for_each(|line| println!("digest {line:?}")),
             Section::Want(lines) => lines.iter().for_each(|line| println!("want {line:?}")),
             Section::Counts(life, delta) => {
@@ -236,8 +236,10 @@
                 );
                 delta.counts.iter().for_each(|told| println!("  {told:?}"));
             }
-            Section::Text(parts, text) => println!("text, {} bytes, of {parts} parts", text.len()),
-            Section::Part(part) => println!("part {part}"),
+            Section::StatusText(parts, text) => {
+                println!("text, {} bytes, of {parts} parts", text.len())
+            }
+            Section::StatusPart(part) => println!("part {part}"),
         }
     }
     Ok(())
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -162,14 +162,17 @@
 const HEARD_AGAIN: f64 = 3.0;
 
 /// What the decision module is told of use elsewhere.
-pub fn fact(mut fact: maplefall_shared_counts::Fact, now: Millis) -> maplefall_shared_counts::Fact {
+pub fn usage_update(
+    mut update: maplefall_shared_counts::UsageUpdate,
+    now: Millis,
+) -> maplefall_shared_counts::UsageUpdate {
     if is(Breakage::CountsAdded) {
-        fact.units *= HEARD_AGAIN;
+        update.units *= HEARD_AGAIN;
     }
     if is(Breakage::NewsNeverOld) {
-        (fact.as_of, fact.error) = (now, 0.0);
+        (update.as_of, update.error) = (now, 0.0);
     }
-    fact
+    update
 }
 
 /// Part of the front doors that the decision module takes to be heard of.
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -6,8 +6,8 @@
 use super::counts_settings::CountsSettings;
 use maplefall_policy::{CustomerId, Millis, PlanId, RemoteUsage};
 use maplefall_shared_counts::node::{Node, Start};
-use maplefall_shared_counts::wire::MOST_DATAGRAM;
-use maplefall_shared_counts::{quota, whose, Fact};
+use maplefall_shared_counts::wire::MAX_DATAGRAM_BYTES;
+use maplefall_shared_counts::{plan_and_customer, quota, UsageUpdate};
 use maplefall_upstream::Clock;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -82,7 +82,7 @@
     pub fn record_usage(&self, now: Millis, customer: CustomerId, plan: PlanId, units: f64) {
         self.node
             .borrow_mut()
-            .used(now, quota_of(customer, plan), units);
+            .record_usage(now, quota_of(customer, plan), units);
     }
 
     /// What peers have admitted for a customer and the decision module does not know yet, and how old that is.
@@ -93,21 +93,21 @@
         plan: PlanId,
     ) -> Option<RemoteUsage> {
         let mut node = self.node.borrow_mut();
-        let fact = node.fact(now, quota_of(customer, plan))?;
-        Some(self.usage_of(&mut node, now, customer, plan, fact))
+        let update = node.usage_update(now, quota_of(customer, plan))?;
+        Some(self.usage_of(&mut node, now, customer, plan, update))
     }
 
     /// The next customer whose usage at peers has changed.
     fn next_change(&self, now: Millis) -> Option<RemoteUsage> {
         let mut node = self.node.borrow_mut();
-        let (quota, fact) = node.poll_fact(now)?;
-        let (plan, customer) = whose(quota);
+        let (quota, update) = node.poll_usage_update(now)?;
+        let (plan, customer) = plan_and_customer(quota);
         Some(self.usage_of(
             &mut node,
             now,
             CustomerId(customer),
             PlanId(usize::from(plan)),
-            fact,
+            update,
         ))
     }
 
@@ -117,20 +117,20 @@
         now: Millis,
         customer: CustomerId,
         plan: PlanId,
-        fact: Fact,
+        update: UsageUpdate,
     ) -> RemoteUsage {
         #[cfg(feature = "breakages")]
-        let fact = super::breakages::fact(fact, now);
+        let update = super::breakages::usage_update(update, now);
         let live_share =
-            (node.news(now).1 as f64 / f64::from(self.configured_proxies.max(1))).min(1.0);
+            (node.freshness(now).1 as f64 / f64::from(self.configured_proxies.max(1))).min(1.0);
         #[cfg(feature = "breakages")]
         let live_share = super::breakages::live_share(live_share);
         RemoteUsage {
             customer,
             plan,
-            units: fact.units,
-            as_of: fact.as_of,
-            error: fact.error,
+            units: update.units,
+            as_of: update.as_of,
+            error: update.error,
             reporting_fraction: live_share,
         }
     }
@@ -139,7 +139,7 @@
     /// known of a customer's usage at peers, with the time.
     pub async fn run(self: Rc<Self>, notify: impl Fn(Millis, RemoteUsage)) {
         eprintln!("{}", self.start_message);
-        let mut bytes = [0; MOST_DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             self.send();
             let deadline = self.node.borrow().due();
--- a/crates/maplefall/src/net/counts_settings.rs
+++ b/crates/maplefall/src/net/counts_settings.rs
@@ -131,12 +131,14 @@
         fan_out: file.fan_out.unwrap_or(defaults.fan_out),
         epoch: file.epoch_ms.unwrap_or(defaults.epoch),
         epochs_kept: file.epochs_kept.unwrap_or(defaults.epochs_kept),
-        datagram: file.datagram_bytes.unwrap_or(defaults.datagram),
-        most_per_second: file.most_per_second.unwrap_or(defaults.most_per_second),
-        most_members: file.most_members.unwrap_or(defaults.most_members),
-        most_told: file.most_told.unwrap_or(defaults.most_told),
-        most_counts: file.most_counts.unwrap_or(defaults.most_counts),
-        suspect: file.suspect_phi.unwrap_or(defaults.suspect),
+        datagram_bytes: file.datagram_bytes.unwrap_or(defaults.datagram_bytes),
+        max_datagrams_per_second: file
+            .most_per_second
+            .unwrap_or(defaults.max_datagrams_per_second),
+        max_members: file.most_members.unwrap_or(defaults.max_members),
+        max_tracked_customers: file.most_told.unwrap_or(defaults.max_tracked_customers),
+        max_counts: file.most_counts.unwrap_or(defaults.max_counts),
+        suspect_phi: file.suspect_phi.unwrap_or(defaults.suspect_phi),
         gone_after: file.gone_after_ms.unwrap_or(defaults.gone_after),
         forget_after: file.forget_after_ms.unwrap_or(defaults.forget_after),
         ..defaults
--- a/crates/shared-counts/benches/growth.rs
+++ b/crates/shared-counts/benches/growth.rs
@@ -33,7 +33,7 @@
 
 fn measure(nodes: usize, customers: usize) {
     let settings = Settings {
-        most_members: 1024,
+        max_members: 1024,
         ..Settings::usual("quito", vec![7; 32])
     };
     let link = Link {
@@ -58,13 +58,13 @@
     while simulation.now - start < SECONDS * 1000.0 || !pending.is_empty() {
         if simulation.now - start < SECONDS * 1000.0 {
             let marked = 1_000_000 + marks;
-            simulation.used(marks as usize % nodes, marked, 1.0);
+            simulation.record_usage(marks as usize % nodes, marked, 1.0);
             pending.push((marked, simulation.now));
             marks += 1;
             for _ in 0..nodes / 5 {
                 let at = (uniform(&mut simulation.rng) * nodes as f64) as usize;
                 let customer = (uniform(&mut simulation.rng) * customers as f64) as u64;
-                simulation.used(at, customer, 3.0);
+                simulation.record_usage(at, customer, 3.0);
             }
         }
         for _ in 0..5 {
@@ -86,7 +86,7 @@
         }
         for at in 0..nodes {
             let now = simulation.clock(at);
-            ages.push(now - simulation.node(at).news(now).0);
+            ages.push(now - simulation.node(at).freshness(now).0);
         }
     }
     let seconds = (simulation.now - start) / 1000.0;
--- a/crates/shared-counts/benches/worth.rs
+++ b/crates/shared-counts/benches/worth.rs
@@ -8,7 +8,7 @@
 mod simulation;
 
 use maplefall_policy::*;
-use maplefall_shared_counts::{Fact, Settings as SharedCountsSettings};
+use maplefall_shared_counts::{Settings as SharedCountsSettings, UsageUpdate};
 use simulation::*;
 use std::collections::BTreeMap;
 
@@ -169,7 +169,7 @@
     while run.simulation.now - started_at < RUN_MS {
         run.simulation.run(STEP_MS);
         if mode == Mode::Gossip {
-            run.pass_facts();
+            run.pass_usage_updates();
         }
         run.deliver_responses();
         for customer in 0..CUSTOMERS {
@@ -187,7 +187,7 @@
             delay: (0.5, 20.0),
         };
         let settings = SharedCountsSettings {
-            most_members: 1024,
+            max_members: 1024,
             ..SharedCountsSettings::usual("quito", vec![7; 32])
         };
         let mut simulation = Simulation::new(nodes, settings, link, seed);
@@ -227,18 +227,18 @@
     }
 
     /// Passes the usage that each node has received from others to its policy.
-    fn pass_facts(&mut self) {
+    fn pass_usage_updates(&mut self) {
         for node in 0..self.nodes {
             let now = self.simulation.clock(node);
-            while let Some((customer, fact)) = self.simulation.node(node).poll_fact(now) {
-                self.pass_fact(now, node, customer as usize, fact);
+            while let Some((customer, update)) = self.simulation.node(node).poll_usage_update(now) {
+                self.pass_usage_update(now, node, customer as usize, update);
             }
         }
     }
 
-    fn pass_fact(&mut self, now: f64, node: usize, customer: usize, fact: Fact) {
-        let alive = self.simulation.node(node).news(now).1;
-        let event = usage_elsewhere(customer, fact, alive as f64 / self.nodes as f64);
+    fn pass_usage_update(&mut self, now: f64, node: usize, customer: usize, update: UsageUpdate) {
+        let alive = self.simulation.node(node).freshness(now).1;
+        let event = usage_elsewhere(customer, update, alive as f64 / self.nodes as f64);
         self.gateways[node].handle(now, event, &mut self.actions);
     }
 
@@ -303,12 +303,16 @@
         match self.mode {
             Mode::Without => {}
             Mode::Gossip => {
-                if let Some(fact) = self.simulation.node(node).fact(now, customer as u64) {
-                    self.pass_fact(now, node, customer, fact);
+                if let Some(update) = self
+                    .simulation
+                    .node(node)
+                    .usage_update(now, customer as u64)
+                {
+                    self.pass_usage_update(now, node, customer, update);
                 }
             }
             Mode::Perfect => {
-                let event = usage_elsewhere(customer, current_fact(now, 0.0), 1.0);
+                let event = usage_elsewhere(customer, current_update(now, 0.0), 1.0);
                 self.gateways[node].handle(now, event, &mut self.actions);
             }
         }
@@ -340,11 +344,11 @@
     fn share_usage(&mut self, node: usize, customer: usize, units: f64) {
         match self.mode {
             Mode::Without => {}
-            Mode::Gossip => self.simulation.used(node, customer as u64, units),
+            Mode::Gossip => self.simulation.record_usage(node, customer as u64, units),
             Mode::Perfect => {
                 for other in (0..self.nodes).filter(|other| *other != node) {
                     let now = self.simulation.clock(other);
-                    let event = usage_elsewhere(customer, current_fact(now, units), 1.0);
+                    let event = usage_elsewhere(customer, current_update(now, units), 1.0);
                     self.gateways[other].handle(now, event, &mut self.actions);
                 }
             }
@@ -353,21 +357,21 @@
 }
 
 /// A fact without delay or error.
-fn current_fact(now: f64, units: f64) -> Fact {
-    Fact {
+fn current_update(now: f64, units: f64) -> UsageUpdate {
+    UsageUpdate {
         units,
         as_of: now,
         error: 0.0,
     }
 }
 
-fn usage_elsewhere(customer: usize, fact: Fact, alive_part: f64) -> Event {
+fn usage_elsewhere(customer: usize, update: UsageUpdate, alive_part: f64) -> Event {
     Event::RemoteUsage(RemoteUsage {
         customer: CustomerId(customer as u64),
         plan: PlanId(plan_of(customer)),
-        units: fact.units,
-        as_of: fact.as_of,
-        error: fact.error,
+        units: update.units,
+        as_of: update.as_of,
+        error: update.error,
         reporting_fraction: alive_part,
     })
 }
--- a/crates/shared-counts/src/lib.rs
+++ b/crates/shared-counts/src/lib.rs
@@ -36,7 +36,7 @@
 
 pub use count::Count;
 pub use node::{Node, Output};
-pub use remote_usage::Fact;
+pub use remote_usage::UsageUpdate;
 pub use settings::Settings;
 
 use maplefall_policy::Millis;
@@ -88,7 +88,7 @@
 }
 
 /// The plan and the customer of a quota: the inverse of [`quota`].
-pub fn whose(quota: Customer) -> (u16, u64) {
+pub fn plan_and_customer(quota: Customer) -> (u16, u64) {
     (
         (quota >> CUSTOMER_BITS) as u16,
         quota & ((1 << CUSTOMER_BITS) - 1),
--- a/crates/shared-counts/src/node/anti_entropy.rs
+++ b/crates/shared-counts/src/node/anti_entropy.rs
@@ -131,7 +131,7 @@
         if source == self.life() {
             return;
         }
-        let max_counts = self.settings.most_counts;
+        let max_counts = self.settings.max_counts;
         let mut count_len = self.count_len;
         let mut without_capacity = 0;
         let mut increased: Vec<(VersionedCount, Increase)> = Vec::new();
@@ -224,7 +224,7 @@
             .take(MAX_MEMBERS_PER_DATAGRAM)
             .filter_map(|id| self.peer_info(now, *id));
         for member in members {
-            writer.add(&Section::Cards(vec![member]));
+            writer.add(&Section::Members(vec![member]));
         }
     }
 
--- a/crates/shared-counts/src/node/counting.rs
+++ b/crates/shared-counts/src/node/counting.rs
@@ -9,7 +9,7 @@
 
 impl Node {
     /// Counts units that a customer has used here, or that were returned if negative.
-    pub fn used(&mut self, now: Millis, customer: Customer, units: f64) {
+    pub fn record_usage(&mut self, now: Millis, customer: Customer, units: f64) {
         let milli = (units * 1000.0).round();
         if !milli.is_finite() || milli == 0.0 {
             return;
@@ -47,7 +47,7 @@
     }
 
     fn has_count_capacity(&self) -> bool {
-        self.count_len < self.settings.most_counts
+        self.count_len < self.settings.max_counts
     }
 
     /// Begins a new epoch if its time has come.
@@ -60,7 +60,7 @@
     }
 
     pub(super) fn reset_admission(&mut self) {
-        self.admission = Admission::new(self.settings.most_told, self.rng.next_u64());
+        self.admission = Admission::new(self.settings.max_tracked_customers, self.rng.next_u64());
     }
 
     /// Drops all that is over: epochs by the uptime of their own incarnation, incarnations, members that are gone, usage and rumours.
--- a/crates/shared-counts/src/node/gossip.rs
+++ b/crates/shared-counts/src/node/gossip.rs
@@ -43,7 +43,7 @@
         self.next_round = now + self.settings.interval * intervals;
         self.enter_epoch(now);
         for member in self.peers.values_mut() {
-            member.update_state(now, self.settings.suspect, self.settings.gone_after);
+            member.update_state(now, self.settings.suspect_phi, self.settings.gone_after);
         }
         self.freshness = None;
         self.expire(now);
@@ -201,8 +201,8 @@
     /// Begins a datagram with this node's name and address.
     pub(super) fn begin_datagram(&mut self, now: Millis, kind: Kind, echo: u64) -> Writer {
         let head = self.next_head(kind, echo);
-        let mut writer = Writer::new(&self.seal, &head, self.settings.datagram);
-        writer.add(&Section::Cards(vec![MemberInfo {
+        let mut writer = Writer::new(&self.seal, &head, self.settings.datagram_bytes);
+        writer.add(&Section::Members(vec![MemberInfo {
             heartbeat: self.local_heartbeat(now),
             address: self.local.address,
             name: self.local.name.clone(),
@@ -240,7 +240,7 @@
             let Some(member) = self.peer_info(now, id) else {
                 continue;
             };
-            if !writer.add(&Section::Cards(vec![member])) {
+            if !writer.add(&Section::Members(vec![member])) {
                 return;
             }
         }
--- a/crates/shared-counts/src/node/membership.rs
+++ b/crates/shared-counts/src/node/membership.rs
@@ -35,7 +35,7 @@
         // A peer that was silent for this long is gone at every node; it would be forwarded from node to node for ever.
         let max_age = self.settings.gone_after.max(self.settings.retention());
         let is_gone = member.heartbeat.age as f64 > max_age;
-        if is_gone || self.peers.len() + 1 >= self.settings.most_members {
+        if is_gone || self.peers.len() + 1 >= self.settings.max_members {
             return Err(RejectReason::NoMember);
         }
         let peer = Member::new(
@@ -65,7 +65,7 @@
             return;
         };
         let mut writer = self.begin_datagram(now, Kind::Gossip, echo);
-        writer.add(&Section::Cards(vec![peer]));
+        writer.add(&Section::Members(vec![peer]));
         self.send(now, to, writer);
     }
 
--- a/crates/shared-counts/src/node/mod.rs
+++ b/crates/shared-counts/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The state machine of one node: datagrams, usage and the time in; datagrams and facts out.
 //!
-//! Drive it like this: [`Node::used`] for each use, [`Node::receive`] for each datagram, [`Node::tick`] when [`Node::due`] has come.
-//! After each of them send what [`Node::poll`] returns until it is empty, and pass what [`Node::poll_fact`] returns to the policy.
+//! Drive it like this: [`Node::record_usage`] for each use, [`Node::receive`] for each datagram, [`Node::tick`] when [`Node::due`] has come.
+//! After each of them send what [`Node::poll`] returns until it is empty, and pass what [`Node::poll_usage_update`] returns to the policy.
 //!
 //! Counts spread in two ways. A recent change goes as a rumour into the next gossip rounds, the largest change first, and each node
 //! forwards it a few times (`rumours`); that is fast and may miss some nodes. Digests say which versions a node has, and what is
@@ -10,7 +10,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `counting` | the node's own counts, epochs, expiry |
-//! | `facts` | usage elsewhere and its staleness |
+//! | `usage_updates` | usage elsewhere and its staleness |
 //! | `gossip` | gossip rounds: choice of peers, digests, datagrams to send |
 //! | `rumours` | recent changes that are forwarded a few times |
 //! | `receive` | verification of datagrams and their sections |
@@ -21,13 +21,13 @@
 
 mod anti_entropy;
 mod counting;
-mod facts;
 mod gossip;
 mod membership;
 mod rate_limit;
 mod receive;
 mod report;
 mod rumours;
+mod usage_updates;
 
 use crate::admission::Admission;
 use crate::members::{Heartbeat, Member};
@@ -35,7 +35,6 @@
 use crate::settings::Settings;
 use crate::wire::{RejectReason, Seal};
 use crate::{random, Customer, DoorId, Epoch, Life};
-use facts::Freshness;
 use maplefall_policy::Millis;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -43,6 +42,7 @@
 use rumours::Rumours;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
+use usage_updates::Freshness;
 
 /// A datagram that the caller is to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -157,10 +157,10 @@
             settings.interval,
         );
         let nonce = rng.next_u64() | 1;
-        let admission = Admission::new(settings.most_told, rng.next_u64());
+        let admission = Admission::new(settings.max_tracked_customers, rng.next_u64());
         // Nodes that start together do not gossip at the same time.
         let next_round = now + settings.interval * random::unit(&mut rng);
-        let rate_limit = RateLimit::new(settings.most_per_second, now);
+        let rate_limit = RateLimit::new(settings.max_datagrams_per_second, now);
         let seeds = start
             .seeds
             .into_iter()
--- a/crates/shared-counts/src/node/receive.rs
+++ b/crates/shared-counts/src/node/receive.rs
@@ -67,7 +67,7 @@
             is_plausible_heartbeat(&entry.heartbeat, max_date) && entry.known_version < MAX_NUMBER
         };
         match section {
-            Section::Cards(members) => members
+            Section::Members(members) => members
                 .iter()
                 .all(|member| is_plausible_heartbeat(&member.heartbeat, max_date)),
             Section::Digest(entries) | Section::Want(entries) => {
@@ -78,7 +78,7 @@
                     && delta.up_to < MAX_NUMBER
                     && self.are_plausible_counts(now, *source, &delta.counts)
             }
-            Section::Text(..) | Section::Part(_) => true,
+            Section::StatusText(..) | Section::StatusPart(_) => true,
         }
     }
 
@@ -181,7 +181,7 @@
 
     fn apply_section(&mut self, now: Millis, section: Section, reply: &mut Reply) {
         match section {
-            Section::Cards(members) => {
+            Section::Members(members) => {
                 for member in members {
                     self.apply_member_info(now, &member);
                 }
@@ -197,7 +197,7 @@
                 }
             }
             Section::Counts(source, delta) => self.merge_counts(now, source, &delta),
-            Section::Text(..) | Section::Part(_) => {}
+            Section::StatusText(..) | Section::StatusPart(_) => {}
         }
     }
 }
@@ -205,7 +205,7 @@
 /// What a datagram says of its sender itself.
 fn find_sender(head: &Head, sections: &[Section]) -> Option<MemberInfo> {
     sections.iter().find_map(|section| match section {
-        Section::Cards(members) => members
+        Section::Members(members) => members
             .iter()
             .find(|member| member.heartbeat.source == head.from)
             .cloned(),
--- a/crates/shared-counts/src/node/report.rs
+++ b/crates/shared-counts/src/node/report.rs
@@ -3,8 +3,8 @@
 use super::Node;
 use crate::members::Member;
 use crate::status::{CustomerStatus, MemberStatus, Status};
-use crate::wire::{Head, Kind, RejectReason, Section, Writer, MOST_DATAGRAM};
-use crate::{whose, Customer, TAIL};
+use crate::wire::{Head, Kind, RejectReason, Section, Writer, MAX_DATAGRAM_BYTES};
+use crate::{plan_and_customer, Customer, TAIL};
 use maplefall_policy::Millis;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     /// The status, with at most this many customers.
     pub fn status(&mut self, now: Millis, max_customers: usize) -> Status {
         self.freshness = None;
-        let (as_of, nodes) = self.news(now);
+        let (as_of, nodes) = self.freshness(now);
         let mut totals = self.totals();
         let tail = totals.remove(&TAIL).unwrap_or(0);
         let stats = &self.stats;
@@ -42,8 +42,8 @@
             datagrams_out: stats.sent.datagrams,
             bytes_out: stats.sent.bytes,
             unsent: stats.unsent,
-            renamed: stats.renumbered,
-            refused: stats.rejected.clone(),
+            renumbered: stats.renumbered,
+            rejected: stats.rejected.clone(),
         }
     }
 
@@ -73,7 +73,7 @@
         let part = sections
             .iter()
             .find_map(|section| match section {
-                Section::Part(part) => Some(*part as usize),
+                Section::StatusPart(part) => Some(*part as usize),
                 _ => None,
             })
             .ok_or(RejectReason::Absurd)?;
@@ -90,8 +90,8 @@
             .ok_or(RejectReason::Absurd)?
             .to_vec();
         let head = self.next_head(Kind::Told, head.nonce);
-        let mut writer = Writer::new(&self.seal, &head, MOST_DATAGRAM);
-        writer.add(&Section::Text(parts as u32, text));
+        let mut writer = Writer::new(&self.seal, &head, MAX_DATAGRAM_BYTES);
+        writer.add(&Section::StatusText(parts as u32, text));
         self.send(now, from, writer);
         Ok(())
     }
@@ -120,7 +120,7 @@
         .into_iter()
         .take(max_customers)
         .map(|(quota, milli)| {
-            let (plan, customer) = whose(quota);
+            let (plan, customer) = plan_and_customer(quota);
             CustomerStatus {
                 customer,
                 plan,
--- a/crates/shared-counts/src/node/facts.rs
+++ b/crates/shared-counts/src/node/usage_updates.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::members::MemberState;
-use crate::{Customer, Fact};
+use crate::{Customer, UsageUpdate};
 use maplefall_policy::Millis;
 
 /// How long the staleness of all counts is used before it is computed again.
@@ -20,20 +20,21 @@
 
 impl Node {
     /// Usage of a customer at other nodes that no earlier fact has reported; `None` if there never was any.
-    pub fn fact(&mut self, now: Millis, customer: Customer) -> Option<Fact> {
-        let (as_of, _) = self.news(now);
+    pub fn usage_update(&mut self, now: Millis, customer: Customer) -> Option<UsageUpdate> {
+        let (as_of, _) = self.freshness(now);
         let untracked = self.max_untracked_units();
         self.remote_usage.report(now, customer, as_of, untracked)
     }
 
     /// The next customer with unreported usage at other nodes, and the usage.
-    pub fn poll_fact(&mut self, now: Millis) -> Option<(Customer, Fact)> {
+    pub fn poll_usage_update(&mut self, now: Millis) -> Option<(Customer, UsageUpdate)> {
         let customer = self.remote_usage.next_unreported()?;
-        self.fact(now, customer).map(|fact| (customer, fact))
+        self.usage_update(now, customer)
+            .map(|update| (customer, update))
     }
 
     /// The time up to which the counts of all nodes that are alive are complete here, and how many nodes are alive, this one included.
-    pub fn news(&mut self, now: Millis) -> (Millis, usize) {
+    pub fn freshness(&mut self, now: Millis) -> (Millis, usize) {
         if let Some(known) = &self.freshness {
             if now - known.computed_at < FRESHNESS_TTL {
                 return (known.as_of, known.nodes);
--- a/crates/shared-counts/src/remote_usage.rs
+++ b/crates/shared-counts/src/remote_usage.rs
@@ -10,7 +10,7 @@
 
 /// What other nodes, and earlier incarnations of this one, have let a customer use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fact {
+pub struct UsageUpdate {
     /// Units used elsewhere that no earlier fact has reported; negative if more was returned than used.
     pub units: f64,
     /// All usage elsewhere until then is reported, but for `error`.
@@ -71,12 +71,12 @@
         customer: Customer,
         as_of: Millis,
         untracked: f64,
-    ) -> Option<Fact> {
+    ) -> Option<UsageUpdate> {
         let usage = self.customers.get_mut(&customer)?;
         self.unreported.remove(&customer);
         let units = std::mem::take(&mut usage.unreported) as f64 / 1000.0;
         let rate = usage.rate * decay(now - usage.updated_at) / 1000.0;
-        Some(Fact {
+        Some(UsageUpdate {
             units,
             as_of,
             error: rate * (now - as_of).max(0.0) / 1000.0 + untracked,
--- a/crates/shared-counts/src/settings.rs
+++ b/crates/shared-counts/src/settings.rs
@@ -18,17 +18,17 @@
     /// How many epochs are kept, the current one included, 4 by default.
     pub epochs_kept: u32,
     /// The most bytes of a datagram that is sent, 1200 by default.
-    pub datagram: usize,
+    pub datagram_bytes: usize,
     /// The most datagrams that are received per second, and sent per second, 2000 by default.
-    pub most_per_second: f64,
+    pub max_datagrams_per_second: f64,
     /// The most nodes, this one included, 512 by default.
-    pub most_members: usize,
+    pub max_members: usize,
     /// The most customers with a count of their own in an epoch of this node, 1024 by default.
-    pub most_told: usize,
+    pub max_tracked_customers: usize,
     /// The most counts, over all nodes and epochs, 65,536 by default.
-    pub most_counts: usize,
+    pub max_counts: usize,
     /// The suspicion level (phi) from which on a silent node is suspected, 8 by default.
-    pub suspect: f64,
+    pub suspect_phi: f64,
     /// How long a node is suspected before it is gone, 10 s by default.
     pub gone_after: Millis,
     /// How long a node that is gone is remembered and sent to now and then, 10 minutes by default.
@@ -62,12 +62,12 @@
             fan_out: 3,
             epoch: 5000.0,
             epochs_kept: 4,
-            datagram: 1200,
-            most_per_second: 2000.0,
-            most_members: 512,
-            most_told: 1024,
-            most_counts: 65_536,
-            suspect: 8.0,
+            datagram_bytes: 1200,
+            max_datagrams_per_second: 2000.0,
+            max_members: 512,
+            max_tracked_customers: 1024,
+            max_counts: 65_536,
+            suspect_phi: 8.0,
             gone_after: 10_000.0,
             forget_after: 600_000.0,
         }
@@ -83,7 +83,7 @@
     /// have named all nodes once.
     pub fn max_staleness(&self, nodes: usize, loss: f64, delay: Millis) -> Millis {
         let (nodes, delivered) = (nodes.max(2) as f64, (1.0 - loss).clamp(0.01, 1.0));
-        let entries = self.datagram as f64 / BYTES_PER_DIGEST_ENTRY;
+        let entries = self.datagram_bytes as f64 / BYTES_PER_DIGEST_ENTRY;
         let rounds = nodes.ln() / (1.0 + self.fan_out as f64 * delivered).ln() + nodes / entries;
         4.0 * self.interval * rounds / delivered + 2.0 * delay * nodes.log2()
     }
@@ -105,15 +105,25 @@
         check_range("epochs_kept", f64::from(self.epochs_kept), 2.0, 16.0);
         check_range(
             "datagram_bytes",
-            self.datagram as f64,
+            self.datagram_bytes as f64,
             512.0,
-            crate::wire::MOST_DATAGRAM as f64,
+            crate::wire::MAX_DATAGRAM_BYTES as f64,
         );
-        check_range("most_per_second", self.most_per_second, 10.0, 100_000.0);
-        check_range("most_members", self.most_members as f64, 2.0, 1024.0);
-        check_range("most_told", self.most_told as f64, 1.0, 65_536.0);
-        check_range("most_counts", self.most_counts as f64, 1024.0, 4_194_304.0);
-        check_range("suspect_phi", self.suspect, 1.0, 16.0);
+        check_range(
+            "most_per_second",
+            self.max_datagrams_per_second,
+            10.0,
+            100_000.0,
+        );
+        check_range("most_members", self.max_members as f64, 2.0, 1024.0);
+        check_range(
+            "most_told",
+            self.max_tracked_customers as f64,
+            1.0,
+            65_536.0,
+        );
+        check_range("most_counts", self.max_counts as f64, 1024.0, 4_194_304.0);
+        check_range("suspect_phi", self.suspect_phi, 1.0, 16.0);
         check_range("gone_after_ms", self.gone_after, 100.0, 600_000.0);
         check_range("forget_after_ms", self.forget_after, 1000.0, 86_400_000.0);
         if self.cluster.is_empty() || self.cluster.len() > MAX_CLUSTER_NAME_BYTES {
--- a/crates/shared-counts/src/status.rs
+++ b/crates/shared-counts/src/status.rs
@@ -76,9 +76,11 @@
     #[serde(rename = "held_back")]
     pub unsent: u64,
     /// How often this node took a new incarnation number because another process had its name.
-    pub renamed: u64,
+    #[serde(rename = "renamed")]
+    pub renumbered: u64,
     /// Rejected datagrams and parts of them, by reason.
-    pub refused: BTreeMap<RejectReason, u64>,
+    #[serde(rename = "refused")]
+    pub rejected: BTreeMap<RejectReason, u64>,
 }
 
 impl Status {
@@ -132,7 +134,7 @@
             "all others", status.tail_units
         );
     }
-    for (reason, count) in &status.refused {
+    for (reason, count) in &status.rejected {
         let _ = writeln!(text, "refused: {:?} {count}", reason);
     }
     text
--- a/crates/shared-counts/src/wire/mod.rs
+++ b/crates/shared-counts/src/wire/mod.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 
 /// The most bytes of a datagram.
-pub const MOST_DATAGRAM: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The most bytes of a node's name.
 pub const MAX_NAME_BYTES: usize = 64;
 /// The version of the protocol.
@@ -41,12 +41,12 @@
 
 /// The kinds of sections.
 mod section_kind {
-    pub(super) const CARDS: u8 = 1;
+    pub(super) const MEMBERS: u8 = 1;
     pub(super) const DIGEST: u8 = 2;
     pub(super) const WANT: u8 = 3;
     pub(super) const COUNTS: u8 = 4;
-    pub(super) const TEXT: u8 = 5;
-    pub(super) const PART: u8 = 6;
+    pub(super) const STATUS_TEXT: u8 = 5;
+    pub(super) const STATUS_PART: u8 = 6;
 }
 
 /// What a datagram is for.
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Section {
     /// Nodes that take part.
-    Cards(Vec<MemberInfo>),
+    Members(Vec<MemberInfo>),
     /// What the sender knows. The receiver sends what is missing there and requests what is missing here.
     Digest(Vec<DigestEntry>),
     /// What the sender is missing; the response has only counts.
@@ -126,9 +126,9 @@
     /// Counts of one incarnation.
     Counts(Life, Delta),
     /// The number of parts of the status, and the text of one.
-    Text(u32, Vec<u8>),
+    StatusText(u32, Vec<u8>),
     /// The number of the requested part of the status.
-    Part(u32),
+    StatusPart(u32),
 }
 
 /// Why a datagram, or a part of it, is rejected. Operators see the variants' names.
@@ -137,7 +137,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RejectReason {
-    /// It is longer than [`MOST_DATAGRAM`].
+    /// It is longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
     /// It is truncated, or there are bytes after its end.
     Cut,
--- a/crates/shared-counts/src/wire/reader.rs
+++ b/crates/shared-counts/src/wire/reader.rs
@@ -2,7 +2,7 @@
 
 use super::{
     section_kind, DigestEntry, Head, Kind, MemberInfo, RejectReason, Seal, Section, HEAD_BYTES,
-    IPV4, IPV6, MAGIC, MAX_NAME_BYTES, MOST_DATAGRAM, TAG_BYTES, VERSION,
+    IPV4, IPV6, MAGIC, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, TAG_BYTES, VERSION,
 };
 use crate::count::MAX_MILLI_UNITS;
 use crate::members::Heartbeat;
@@ -38,7 +38,7 @@
 }
 
 fn check_protocol(bytes: &[u8]) -> Result<(), RejectReason> {
-    if bytes.len() > MOST_DATAGRAM {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(RejectReason::TooLong);
     }
     if !bytes.starts_with(&MAGIC) {
@@ -169,16 +169,16 @@
     /// The section of this kind; `None` if the kind is unknown.
     fn section(&mut self, kind: u8) -> Result<Option<Section>, RejectReason> {
         let section = match kind {
-            section_kind::CARDS => Section::Cards(self.all(Self::member)?),
+            section_kind::MEMBERS => Section::Members(self.all(Self::member)?),
             section_kind::DIGEST => Section::Digest(self.all(Self::digest_entry)?),
             section_kind::WANT => Section::Want(self.all(Self::digest_entry)?),
             section_kind::COUNTS => Section::Counts(self.source()?, self.delta()?),
-            section_kind::TEXT => {
+            section_kind::STATUS_TEXT => {
                 let parts = self.varint32()?;
                 let text = self.take(self.bytes.len() - self.position)?;
-                Section::Text(parts, text.to_vec())
+                Section::StatusText(parts, text.to_vec())
             }
-            section_kind::PART => Section::Part(self.varint32()?),
+            section_kind::STATUS_PART => Section::StatusPart(self.varint32()?),
             _ => return Ok(None),
         };
         if self.is_empty() {
--- a/crates/shared-counts/src/wire/writer.rs
+++ b/crates/shared-counts/src/wire/writer.rs
@@ -2,7 +2,7 @@
 
 use super::{
     section_kind, DigestEntry, Head, MemberInfo, Seal, Section, HEAD_BYTES, IPV4, IPV6, MAGIC,
-    MAX_NAME_BYTES, MOST_DATAGRAM, SECTION_HEAD_BYTES, TAG_BYTES, VERSION,
+    MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, SECTION_HEAD_BYTES, TAG_BYTES, VERSION,
 };
 use crate::members::Heartbeat;
 use crate::replica::{Delta, VersionedCount};
@@ -18,7 +18,7 @@
 }
 
 impl Writer {
-    /// Begins a datagram of at most this many bytes, and at most [`MOST_DATAGRAM`].
+    /// Begins a datagram of at most this many bytes, and at most [`MAX_DATAGRAM_BYTES`].
     pub fn new(seal: &Seal, head: &Head, max_bytes: usize) -> Writer {
         let mut bytes = Vec::with_capacity(max_bytes);
         bytes.extend_from_slice(&MAGIC);
@@ -37,7 +37,7 @@
         }
         Writer {
             bytes,
-            max_bytes: max_bytes.clamp(HEAD_BYTES + TAG_BYTES, MOST_DATAGRAM) - TAG_BYTES,
+            max_bytes: max_bytes.clamp(HEAD_BYTES + TAG_BYTES, MAX_DATAGRAM_BYTES) - TAG_BYTES,
         }
     }
 
@@ -70,11 +70,11 @@
     /// Writes the body of a section and returns the section's kind.
     fn write_body(&mut self, section: &Section) -> u8 {
         match section {
-            Section::Cards(members) => {
+            Section::Members(members) => {
                 for member in members {
                     self.write_member(member);
                 }
-                section_kind::CARDS
+                section_kind::MEMBERS
             }
             Section::Digest(entries) => {
                 self.write_digest(entries);
@@ -88,14 +88,14 @@
                 self.write_counts(*source, delta);
                 section_kind::COUNTS
             }
-            Section::Text(parts, text) => {
+            Section::StatusText(parts, text) => {
                 self.write_varint(u64::from(*parts));
                 self.bytes.extend_from_slice(text);
-                section_kind::TEXT
+                section_kind::STATUS_TEXT
             }
-            Section::Part(part) => {
+            Section::StatusPart(part) => {
                 self.write_varint(u64::from(*part));
-                section_kind::PART
+                section_kind::STATUS_PART
             }
         }
     }
--- a/crates/shared-counts/tests/faults.rs
+++ b/crates/shared-counts/tests/faults.rs
@@ -17,10 +17,10 @@
         if simulation.nodes[at].node.is_some() {
             let customer = 1 + u64::from(simulation.rng.next_u32() % 8);
             let units = 0.5 + 8.0 * uniform(&mut simulation.rng);
-            simulation.used(at, customer, units);
+            simulation.record_usage(at, customer, units);
             if uniform(&mut simulation.rng) < 0.3 {
                 // The response had fewer units than estimated.
-                simulation.used(at, customer, -units * 0.4);
+                simulation.record_usage(at, customer, -units * 0.4);
             }
         }
         simulation.run(interval);
@@ -80,20 +80,26 @@
 fn a_restarted_node_receives_the_counts_of_its_earlier_incarnation() {
     let mut simulation = Simulation::new(4, settings(), RELIABLE, 1);
     simulation.run_until_met(10_000.0);
-    simulation.used(2, 9, 100.0);
+    simulation.record_usage(2, 9, 100.0);
     simulation.run_until_equal(10_000.0);
     simulation.start(2);
     assert_eq!(simulation.node(2).total(9), 0);
     simulation.run_until_equal(20_000.0);
     let now = simulation.clock(2);
-    let fact = simulation.node(2).fact(now, 9).expect("usage was received");
-    assert_eq!(fact.units, 100.0);
+    let update = simulation
+        .node(2)
+        .usage_update(now, 9)
+        .expect("usage was received");
+    assert_eq!(update.units, 100.0);
     assert_eq!(
-        simulation.node(2).fact(now, 9).map(|fact| fact.units),
+        simulation
+            .node(2)
+            .usage_update(now, 9)
+            .map(|update| update.units),
         Some(0.0),
         "reported once"
     );
-    simulation.used(2, 9, 7.0);
+    simulation.record_usage(2, 9, 7.0);
     simulation.run_until_equal(10_000.0);
     // The others have the counts of both incarnations.
     let id = simulation.id(2);
@@ -108,15 +114,15 @@
     simulation.nodes[3].date_offset = 3_600_000;
     simulation.start(3);
     simulation.run_until_met(10_000.0);
-    simulation.used(3, 9, 100.0);
+    simulation.record_usage(3, 9, 100.0);
     simulation.run_until_equal(10_000.0);
     simulation.nodes[3].date_offset = 0;
     simulation.start(3);
-    simulation.used(3, 9, 5.0);
+    simulation.record_usage(3, 9, 5.0);
     simulation.run_until_equal(30_000.0);
     assert_eq!(simulation.node(3).stats.renumbered, 1);
     assert_eq!(simulation.node(0).total(9), 105_000);
-    simulation.used(3, 9, 1.0);
+    simulation.record_usage(3, 9, 1.0);
     simulation.run_until_equal(10_000.0);
 }
 
@@ -147,7 +153,7 @@
     assert_eq!((simulation.alive(0), simulation.alive(7)), (3, 3));
     let now = simulation.clock(0);
     assert_eq!(
-        simulation.node(0).news(now).1,
+        simulation.node(0).freshness(now).1,
         4,
         "only nodes that are alive are reported"
     );
@@ -178,22 +184,25 @@
         simulation.blocked.insert((other, 4));
     }
     for _ in 0..2000 {
-        simulation.used(1, 7, 8.0);
+        simulation.record_usage(1, 7, 8.0);
         let customer = 1000 + u64::from(simulation.rng.next_u32() % 400);
-        simulation.used(2, customer, 1.0);
+        simulation.record_usage(2, customer, 1.0);
     }
     simulation.run(5000.0);
     let now = simulation.clock(4);
-    let staleness = now - simulation.node(4).news(now).0;
+    let staleness = now - simulation.node(4).freshness(now).0;
     assert!(
-        staleness > 4000.0 || simulation.node(4).news(now).1 == 1,
+        staleness > 4000.0 || simulation.node(4).freshness(now).1 == 1,
         "its counts are known to be stale: {staleness} ms"
     );
     simulation.blocked.clear();
     simulation.run_until_equal(20_000.0);
     let now = simulation.clock(4);
     assert_eq!(
-        simulation.node(4).fact(now, 7).map(|fact| fact.units),
+        simulation
+            .node(4)
+            .usage_update(now, 7)
+            .map(|update| update.units),
         Some(16_000.0)
     );
 }
@@ -240,7 +249,7 @@
 #[test]
 fn customers_with_a_single_use_do_not_fill_the_table() {
     let settings = Settings {
-        most_told: 256,
+        max_tracked_customers: 256,
         ..settings()
     };
     let mut simulation = Simulation::new(2, settings, RELIABLE, 8);
@@ -248,11 +257,13 @@
     let mut all = 0;
     for customer in 0..100_000u64 {
         let now = simulation.clock(0);
-        simulation.node(0).used(now, 1_000_000 + customer, 1.0);
+        simulation
+            .node(0)
+            .record_usage(now, 1_000_000 + customer, 1.0);
         all += 1000;
         // This customer begins after thousands of others that use less.
         if customer >= 50_000 && customer % 50 == 0 {
-            simulation.node(0).used(now, 42, 8.0);
+            simulation.node(0).record_usage(now, 42, 8.0);
             all += 8000;
         }
     }
@@ -280,9 +291,9 @@
     simulation.run_until_met(10_000.0);
     for _ in 0..3 {
         let now = simulation.clock(0);
-        simulation.node(0).used(now, 5, 1e300);
-        simulation.node(0).used(now, 5, -1e300);
-        simulation.node(0).used(now, 6, 6e11);
+        simulation.node(0).record_usage(now, 5, 1e300);
+        simulation.node(0).record_usage(now, 5, -1e300);
+        simulation.node(0).record_usage(now, 6, 6e11);
     }
     simulation.run(5000.0);
     assert!(simulation.node(0).stats.saturated >= 6);
@@ -290,8 +301,8 @@
     let (here, there) = (simulation.node(0).total(6), simulation.node(1).total(6));
     assert_eq!((here, there), (1 << 50, 1 << 50));
     let now = simulation.clock(0);
-    simulation.node(0).used(now, 7, f64::NAN);
-    simulation.node(0).used(now, 7, f64::INFINITY);
+    simulation.node(0).record_usage(now, 7, f64::NAN);
+    simulation.node(0).record_usage(now, 7, f64::INFINITY);
     assert_eq!(simulation.node(0).total(7), 0);
 }
 
@@ -371,7 +382,7 @@
     let mut simulation = Simulation::new(3, settings(), RELIABLE, 14);
     for _ in 0..8 {
         simulation.run_until_met(20_000.0);
-        simulation.used(2, 5, 1.0);
+        simulation.record_usage(2, 5, 1.0);
         simulation.run(2000.0);
         simulation.start(2);
     }
@@ -393,7 +404,7 @@
 fn foreign_forged_and_truncated_datagrams_are_rejected() {
     let mut simulation = Simulation::new(2, settings(), RELIABLE, 11);
     simulation.run_until_met(10_000.0);
-    simulation.used(0, 5, 3.0);
+    simulation.record_usage(0, 5, 3.0);
     simulation.run_until_equal(10_000.0);
     let (from, to, valid) = simulation
         .recorded
@@ -503,7 +514,7 @@
             name: name.to_owned(),
         };
         let mut writer = Writer::new(&self.seal, &head, 1200);
-        assert!(writer.add(&Section::Cards(vec![member])));
+        assert!(writer.add(&Section::Members(vec![member])));
         writer.seal(&self.seal)
     }
 }
@@ -513,7 +524,7 @@
 #[test]
 fn invented_nodes_stay_within_the_bound_and_are_forgotten() {
     let settings = Settings {
-        most_members: 64,
+        max_members: 64,
         gone_after: 5000.0,
         forget_after: 5000.0,
         ..settings()
--- a/crates/shared-counts/tests/properties.rs
+++ b/crates/shared-counts/tests/properties.rs
@@ -116,16 +116,16 @@
         let mut framed = vec![kind];
         framed.extend_from_slice(&(body.len() as u16).to_be_bytes());
         framed.extend_from_slice(&body);
-        let bytes = Writer::new(&seal, &head, wire::MOST_DATAGRAM).seal_with(&seal, &framed);
+        let bytes = Writer::new(&seal, &head, wire::MAX_DATAGRAM_BYTES).seal_with(&seal, &framed);
         if let Ok((read, sections)) = wire::read(&seal, &bytes) {
             prop_assert_eq!(read, head);
             for section in sections {
                 let items = match section {
-                    Section::Cards(members) => members.len(),
+                    Section::Members(members) => members.len(),
                     Section::Digest(entries) | Section::Want(entries) => entries.len(),
                     Section::Counts(_, delta) => delta.counts.len(),
-                    Section::Text(_, text) => text.len(),
-                    Section::Part(_) => 1,
+                    Section::StatusText(_, text) => text.len(),
+                    Section::StatusPart(_) => 1,
                 };
                 prop_assert!(items <= body.len());
             }
@@ -149,19 +149,19 @@
         let counts = counts.into_iter()
             .map(|(version, epoch, customer, count)| VersionedCount { version, epoch, customer, count }).collect();
         let sections = vec![
-            Section::Cards(vec![member]),
+            Section::Members(vec![member]),
             Section::Digest(vec![entry, entry]),
             Section::Want(vec![entry]),
             Section::Counts(source, Delta { after: 0, up_to: 0, counts }),
-            Section::Text(3, b"abc".to_vec()),
-            Section::Part(7),
+            Section::StatusText(3, b"abc".to_vec()),
+            Section::StatusPart(7),
         ];
-        let mut writer = Writer::new(&seal, &head, wire::MOST_DATAGRAM);
+        let mut writer = Writer::new(&seal, &head, wire::MAX_DATAGRAM_BYTES);
         for section in &sections {
             prop_assert!(writer.add(section));
         }
         let bytes = writer.seal(&seal);
-        prop_assert!(bytes.len() <= wire::MOST_DATAGRAM);
+        prop_assert!(bytes.len() <= wire::MAX_DATAGRAM_BYTES);
         prop_assert_eq!(wire::read(&seal, &bytes), Ok((head, sections)));
     }
 }
--- a/crates/shared-counts/tests/simulation/mod.rs
+++ b/crates/shared-counts/tests/simulation/mod.rs
@@ -129,7 +129,7 @@
         self.nodes[at].node.as_mut().expect("the node runs")
     }
 
-    pub fn used(&mut self, at: usize, customer: u64, units: f64) {
+    pub fn record_usage(&mut self, at: usize, customer: u64, units: f64) {
         let now = self.clock(at);
         let milli = (units * 1000.0).round() as i64;
         let truth = self.truth.entry((at, customer)).or_default();
@@ -138,7 +138,7 @@
         } else {
             truth.1 -= milli;
         }
-        self.node(at).used(now, customer, units);
+        self.node(at).record_usage(now, customer, units);
         self.send_outputs(at);
     }
 
@@ -343,8 +343,8 @@
             _ => {
                 let customer = (uniform(&mut simulation.rng) * 5.0) as u64;
                 let units = 6.0 * uniform(&mut simulation.rng);
-                simulation.used(at, customer, units);
-                simulation.used(at, customer, -0.3 * units);
+                simulation.record_usage(at, customer, units);
+                simulation.record_usage(at, customer, -0.3 * units);
             }
         }
         simulation.run(10.0);
--- a/crates/shared-counts/tests/staleness.rs
+++ b/crates/shared-counts/tests/staleness.rs
@@ -26,7 +26,7 @@
     let mut total = 0;
     while used.len() < 250 {
         let at = (uniform(&mut simulation.rng) * nodes as f64) as usize;
-        simulation.used(at, 1, 3.0);
+        simulation.record_usage(at, 1, 3.0);
         total += 3000;
         used.push((simulation.now, total));
         simulation.run(25.0);
@@ -34,7 +34,7 @@
             let known = simulation.node(at).total(1);
             assert!(known <= total, "node {at} counts {known} of {total}");
             let now = simulation.clock(at);
-            let staleness = now - simulation.node(at).news(now).0;
+            let staleness = now - simulation.node(at).freshness(now).0;
             worst = worst.max(staleness);
             // Counts are assumed to have come with the shortest delay, and times are in whole milliseconds.
             let since = simulation.now - staleness - delay.0 - 2.0;
