--- a/crates/shared-counts/benches/admission.rs
+++ b/crates/shared-counts/benches/admission.rs
@@ -1,5 +1,6 @@
-//! The admission of customers against a map that counts every customer: bytes, time per use, and how much of what heavy customers use has
-//! a count of its own, with 100,000 customers that have a single use. `cargo bench -p maplefall-shared-counts --bench admission`.
+//! Compares the admission of customers with a map that counts every customer: memory, time per use,
+//! and the fraction of heavy customers' usage that has a count of its own, with 100,000 customers
+//! that have a single use. `cargo bench -p maplefall-shared-counts --bench admission`.
 
 use maplefall_shared_counts::admission::Admission;
 use std::collections::{HashMap, HashSet};
@@ -10,7 +11,7 @@
 const SINGLE_USE_CUSTOMERS: u64 = 100_000;
 
 fn main() {
-    // For every ten single uses of one unit there is one use of 8 units of a heavy customer.
+    // Every ten single uses of one unit are followed by one use of 8 units of a heavy customer.
     let uses: Vec<(u64, u64)> = (0..SINGLE_USE_CUSTOMERS)
         .flat_map(|n| {
             let heavy = (n % 10 == 0).then_some((n / 10 % HEAVY_CUSTOMERS, 8000));
--- a/crates/shared-counts/benches/schedules.rs
+++ b/crates/shared-counts/benches/schedules.rs
@@ -1,5 +1,6 @@
-//! Thousands of random schedules: `cargo bench -p maplefall-shared-counts --bench schedules [-- NODES RUNS]`. A failing one panics with
-//! its seed; a few run in CI (`tests/properties.rs`).
+//! Thousands of random schedules: `cargo bench -p maplefall-shared-counts --bench schedules [--
+//! NODES RUNS]`. A failing schedule panics; the output contains its seed. `tests/properties.rs`
+//! runs a few in CI.
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
--- a/crates/shared-counts/benches/worth.rs
+++ b/crates/shared-counts/benches/worth.rs
@@ -1,8 +1,10 @@
-//! The benefit of shared counts: the same traffic through the policy of every node, with counts of the others by gossip, without any,
-//! and with counts that are never late. `cargo bench -p maplefall-shared-counts --bench worth`; a minute or two.
+//! The benefit of shared counts: the same traffic through the policy of every node, with counts
+//! shared by gossip, without shared counts, and with counts shared instantly. `cargo bench -p
+//! maplefall-shared-counts --bench worth`; it takes a minute or two.
 //!
-//! Backends serve everything, so a request is only rejected because of its quota. A token bucket for each customer that sees the requests
-//! of all nodes decides which rejections and which admissions were right.
+//! Backends serve everything, so a request is rejected only because of its quota. A token bucket
+//! for each customer that sees the requests of all nodes decides which rejections and which
+//! admissions were right.
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
@@ -15,36 +17,36 @@
 const CUSTOMERS: usize = 60;
 const BACKENDS: u32 = 10;
 const MAX_ATTEMPTS: u32 = 3;
-/// The simulated time of a run.
+/// The simulated duration of a run.
 const RUN_MS: f64 = 40_000.0;
-/// The time between two steps of a run.
+/// The simulated time between two steps.
 const STEP_MS: f64 = 10.0;
 /// The latency of every backend.
 const LATENCY_MS: f64 = 80.0;
-/// The time that a client waits.
+/// The deadline of a request.
 const DEADLINE_MS: f64 = 2500.0;
 /// The mean units of a request.
 const MEAN_UNITS: f64 = 3.0;
-/// The seeds of the runs of each row.
+/// The seeds of the runs of each table row.
 const SEEDS: std::ops::Range<u64> = 0..2;
 
-/// How nodes know of usage elsewhere.
+/// How nodes learn of usage at other nodes.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
     Without,
     Gossip,
-    /// Every use is known everywhere at once.
+    /// Every use is known at all nodes at once.
     Perfect,
 }
 
-/// Units of one run.
+/// Totals of one run, in units.
 #[derive(Default)]
 struct Totals {
-    /// What one node that sees all requests would admit.
+    /// Units that a single node that sees all requests would admit.
     ideal: f64,
-    /// What was admitted within quotas.
+    /// Units admitted within quotas.
     within_quota: f64,
-    /// What was admitted beyond quotas.
+    /// Units admitted beyond quotas.
     beyond_quota: f64,
 }
 
@@ -56,7 +58,7 @@
 }
 
 impl TokenBucket {
-    /// Refills the bucket; whether it has this many units now.
+    /// Refills the bucket; returns whether it holds this many units.
     fn has_units(&mut self, now: f64, plan: &Plan, units: f64) -> bool {
         let refill = plan.rate * (now - self.updated_at) / 1000.0;
         self.tokens = (self.tokens + refill).min(plan.burst);
@@ -83,9 +85,9 @@
     }
 }
 
-/// The mean of a part over the runs, and the greatest distance from it, in percent.
-fn percentages(runs: &[Totals], part: fn(&Totals) -> f64) -> String {
-    let percentages: Vec<f64> = runs.iter().map(|run| 100.0 * part(run)).collect();
+/// Returns the mean of a ratio over the runs and the maximum deviation from it, in percent.
+fn percentages(runs: &[Totals], ratio: fn(&Totals) -> f64) -> String {
+    let percentages: Vec<f64> = runs.iter().map(|run| 100.0 * ratio(run)).collect();
     let mean = percentages.iter().sum::<f64>() / percentages.len() as f64;
     let distance = percentages
         .iter()
@@ -97,7 +99,8 @@
     customer % 3
 }
 
-/// The part of its quota that a customer requests: most well under it, some all, some several times.
+/// Returns the demand of a customer as a fraction of its quota: most are well below it, some use
+/// all, some request several times as much.
 fn demand(customer: usize) -> f64 {
     match customer % 10 {
         0..=5 => 0.35,
@@ -145,7 +148,7 @@
     (0..BACKENDS).map(backend).collect()
 }
 
-/// A run of the nodes and their policies.
+/// The nodes and their policies in one run.
 struct Run {
     mode: Mode,
     nodes: usize,
@@ -153,11 +156,12 @@
     plans: Vec<Plan>,
     gateways: Vec<Gateway>,
     actions: Vec<Action>,
-    /// The quota of each customer, less what the nodes have admitted within it.
+    /// The quota of each customer, less the units that the nodes have admitted within it.
     quotas: Vec<TokenBucket>,
-    /// The quota of each customer, less what one node that sees all requests would admit.
+    /// The quota of each customer, less the units that a single node that sees all requests would
+    /// admit.
     ideal_quotas: Vec<TokenBucket>,
-    /// The responses of backends, by their time and request: the node and the backend.
+    /// Pending responses of backends, by time and request: the node and the backend.
     responses: BTreeMap<(u64, u32), (usize, BackendId)>,
     last_request: u32,
     totals: Totals,
@@ -192,7 +196,7 @@
         };
         let mut simulation = Simulation::new(nodes, settings, link, seed);
         if mode == Mode::Gossip {
-            simulation.run_until_met(120_000.0);
+            simulation.run_until_all_alive(120_000.0);
         }
         let mut actions = Vec::new();
         let policy_settings = policy_settings(nodes);
@@ -248,7 +252,7 @@
                 return;
             }
             self.responses.remove(&(due, request));
-            let settled = AttemptEnded {
+            let ended = AttemptEnded {
                 request: RequestId(request),
                 attempt: 0,
                 backend,
@@ -261,12 +265,12 @@
                 broken_connections: 0,
             };
             let now = self.simulation.clock(node);
-            self.gateways[node].handle(now, Event::AttemptEnded(settled), &mut self.actions);
+            self.gateways[node].handle(now, Event::AttemptEnded(ended), &mut self.actions);
             self.actions.clear();
         }
     }
 
-    /// Draws whether a customer sends a request in this step, and sends it to some node.
+    /// Draws whether a customer sends a request in this step, and to which node.
     fn maybe_request(&mut self, customer: usize) {
         let plan = &self.plans[plan_of(customer)];
         let requests_per_second = plan.rate * demand(customer) / MEAN_UNITS;
@@ -318,7 +322,8 @@
         }
     }
 
-    /// Sends a request to a node; the backend that the node chooses, `None` if the request is rejected.
+    /// Sends a request to a node; returns the backend that it chooses, `None` if the request is
+    /// rejected.
     fn send_request(&mut self, node: usize, customer: usize, units: f64) -> Option<BackendId> {
         let now = self.simulation.clock(node);
         self.last_request += 1;
@@ -340,7 +345,7 @@
         })
     }
 
-    /// Makes a use at one node known to the others.
+    /// Shares usage at one node with the others.
     fn share_usage(&mut self, node: usize, customer: usize, units: f64) {
         match self.mode {
             Mode::Without => {}
@@ -356,7 +361,7 @@
     }
 }
 
-/// A fact without delay or error.
+/// Returns an update without delay or error.
 fn current_update(now: f64, units: f64) -> UsageUpdate {
     UsageUpdate {
         units,
@@ -365,13 +370,13 @@
     }
 }
 
-fn usage_elsewhere(customer: usize, update: UsageUpdate, alive_part: f64) -> Event {
+fn usage_elsewhere(customer: usize, update: UsageUpdate, alive_fraction: f64) -> Event {
     Event::RemoteUsage(RemoteUsage {
         customer: CustomerId(customer as u64),
         plan: PlanId(plan_of(customer)),
         units: update.units,
         as_of: update.as_of,
         error: update.error,
-        reporting_fraction: alive_part,
+        reporting_fraction: alive_fraction,
     })
 }
--- a/crates/shared-counts/src/admission.rs
+++ b/crates/shared-counts/src/admission.rs
@@ -1,27 +1,31 @@
-//! Which customers get a count of their own when a node has more customers than it may share counts of.
+//! Decides which customers get a count of their own when a node has more customers than it may
+//! share counts of.
 //!
-//! A count that was shared can never be taken back or restarted within its epoch, so a table that replaces its smallest entry
-//! (Space-Saving, Metwally et al. 2005) cannot be merged by join: its entries inherit what others used, and totals would exceed the
-//! truth. So customers are admitted and never evicted. A count-min sketch with conservative update (Estan and Varghese 2002)
-//! estimates what a customer has used in this epoch, and the fuller the table, the more that must be. Below half full every customer
-//! is admitted.
+//! A count that was shared cannot be withdrawn or restarted within its epoch. A table that replaces
+//! its smallest entry (Space-Saving, Metwally et al. 2005) therefore cannot be merged by join: its
+//! entries inherit the usage of replaced customers, so totals would exceed the true usage.
+//! Customers are instead admitted and never evicted. A count-min sketch with conservative update
+//! (Estan and Varghese 2002) estimates a customer's usage in this epoch; the fuller the table, the
+//! more usage admission requires. Every customer is admitted while the table is less than half
+//! full.
 
 use crate::Customer;
 use std::hash::Hasher;
 
-/// Rows of the sketch.
+/// Number of rows of the sketch.
 const ROWS: usize = 4;
-/// Columns of the sketch for each customer that may be admitted; rounded up to a power of two.
+/// Columns of the sketch per customer that may be admitted; the product is rounded up to a power of
+/// two.
 const COLUMNS_PER_CUSTOMER: usize = 4;
-/// The part of the capacity up to which every customer is admitted.
-const OPEN_PART: f64 = 0.5;
-/// What a customer must have used to be the last one admitted, in thousandths of a unit.
+/// The fraction of the capacity up to which every customer is admitted.
+const ADMIT_ALL_FRACTION: f64 = 0.5;
+/// The usage at which the last free count is given to a customer, in thousandths of a unit.
 const MAX_THRESHOLD: f64 = 256_000.0;
 
-/// The admission of customers in one epoch: the sketch, and how many are admitted.
+/// Admission of customers in one epoch: the sketch and the number of admitted customers.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// The cells of all rows; empty until a customer has to be estimated.
+    /// The cells of all rows; empty until the first customer has to be estimated.
     cells: Vec<u64>,
     columns: usize,
     capacity: usize,
@@ -30,7 +34,8 @@
 }
 
 impl Admission {
-    /// For this many customers. `seed` is known to this process alone, so that nobody can choose customers that collide.
+    /// Creates an empty sketch for at most `capacity` customers. `seed` is secret to this process,
+    /// so that nobody can choose customers whose cells collide.
     pub fn new(capacity: usize, seed: u64) -> Admission {
         let columns = (capacity * COLUMNS_PER_CUSTOMER).next_power_of_two();
         Admission {
@@ -42,24 +47,26 @@
         }
     }
 
-    /// What a customer must have used in this epoch to be admitted, in thousandths of a unit; `None` if the capacity is used up.
+    /// Returns the usage in this epoch that a customer needs to be admitted, in thousandths of a
+    /// unit; `None` when the capacity is used up.
     pub fn threshold(&self) -> Option<u64> {
-        let full = self.admitted as f64 / self.capacity.max(1) as f64;
-        if full < OPEN_PART {
+        let fill = self.admitted as f64 / self.capacity.max(1) as f64;
+        if fill < ADMIT_ALL_FRACTION {
             return Some(0);
         }
-        // From one unit at half full, doubling eight times up to the last customer.
-        let part = (full - OPEN_PART) / (1.0 - OPEN_PART);
+        // Doubles eight times, from one unit at half full to 256 units for the last customer.
+        let fraction = (fill - ADMIT_ALL_FRACTION) / (1.0 - ADMIT_ALL_FRACTION);
         (self.admitted < self.capacity)
-            .then(|| (1000.0 * (MAX_THRESHOLD / 1000.0).powf(part)) as u64)
+            .then(|| (1000.0 * (MAX_THRESHOLD / 1000.0).powf(fraction)) as u64)
     }
 
-    /// The most that a customer without a count of its own may have used in this epoch, in thousandths of a unit.
+    /// Returns the most that a customer without a count of its own may have used in this epoch, in
+    /// thousandths of a unit.
     pub fn max_untracked(&self) -> u64 {
         self.threshold().unwrap_or(MAX_THRESHOLD as u64)
     }
 
-    /// Counts the use of a customer that is not admitted, and returns whether it is admitted now.
+    /// Records usage of a customer that is not admitted; returns whether this admits the customer.
     pub fn admit(&mut self, customer: Customer, milli: u64) -> bool {
         let Some(threshold) = self.threshold() else {
             return false;
@@ -71,7 +78,8 @@
         true
     }
 
-    /// Conservative update: only the smallest cells rise, so the estimate is never below the truth and rarely above it.
+    /// Updates the sketch conservatively: only the smallest cells grow, so the estimate is never
+    /// below the true usage and rarely above it.
     fn add_and_estimate(&mut self, customer: Customer, milli: u64) -> u64 {
         if self.cells.is_empty() {
             self.cells = vec![0; ROWS * self.columns];
@@ -89,7 +97,8 @@
         estimate
     }
 
-    /// The cell of a customer in each row. Two halves of one hash serve all rows (Kirsch and Mitzenmacher 2006).
+    /// Returns the cell of a customer in each row. The two halves of one hash serve all rows
+    /// (Kirsch and Mitzenmacher 2006).
     fn cells_of(&self, customer: Customer) -> [usize; ROWS] {
         let mut hasher = siphasher::sip::SipHasher13::new_with_keys(self.seed, 0);
         hasher.write_u64(customer);
@@ -101,7 +110,7 @@
         })
     }
 
-    /// Bytes that the sketch takes.
+    /// Returns the memory of the sketch in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.cells.len() * std::mem::size_of::<u64>()
     }
--- a/crates/shared-counts/src/failure_detector.rs
+++ b/crates/shared-counts/src/failure_detector.rs
@@ -1,15 +1,16 @@
 //! The phi accrual failure detector (Hayashibara et al., "The phi accrual failure detector", 2004).
 //!
-//! A silent node is suspected by how its heartbeats came recently and not after a fixed timeout, because their intervals depend on the
-//! number of nodes and on the loss of the network.
+//! A silent node is suspected by its recent heartbeat intervals and not after a fixed timeout,
+//! because the intervals depend on the number of nodes and on the packet loss.
 
 use maplefall_policy::Millis;
 
-/// The number of intervals that the mean looks back on.
+/// The number of intervals in the moving mean.
 const MAX_SAMPLES: f64 = 32.0;
-/// The assumed mean interval before any heartbeat, in gossip intervals.
+/// The assumed mean interval before the first heartbeat, in gossip intervals.
 const INITIAL_INTERVALS: f64 = 4.0;
-/// A longer silence than this many mean intervals is an outage. It counts as this many, since it says nothing of how heartbeats come.
+/// Intervals longer than this many mean intervals are outages. They are clamped to it, since they
+/// carry no information on the usual intervals.
 const MAX_INTERVALS: f64 = 20.0;
 
 /// The mean interval between heartbeats of one incarnation.
@@ -34,10 +35,12 @@
         self.mean += (interval - self.mean) / self.samples;
     }
 
-    /// The suspicion level of a silence: minus the decimal logarithm of the probability that an interval is longer.
+    /// Returns the suspicion level after this silence: minus the decimal logarithm of the
+    /// probability that an interval is longer.
     ///
-    /// Heartbeats that are forwarded at random have intervals like those of a Poisson process, so this is Cassandra's exponential
-    /// form and not the normal one of the paper, by which one of 100 nodes was suspected without cause every few seconds.
+    /// Heartbeats that are forwarded at random arrive like a Poisson process, so this is
+    /// Cassandra's exponential form and not the normal distribution of the paper, by which one of
+    /// 100 nodes was suspected without cause every few seconds.
     pub(crate) fn phi(&self, silence: Millis) -> f64 {
         silence.max(0.0) / self.mean.max(1.0) * std::f64::consts::LOG10_E
     }
--- a/crates/shared-counts/src/members.rs
+++ b/crates/shared-counts/src/members.rs
@@ -1,10 +1,13 @@
-//! Membership: the incarnations of each node, how old their heartbeats are, and which nodes are suspected or gone.
+//! Membership: the incarnations of each node, the age of their heartbeats, and which nodes are
+//! suspected or gone.
 //!
-//! Heartbeats are forwarded by every node (as in chitchat and Cassandra), so a node that reaches only some others is known to all
-//! through them, and a link that works one way does not make anybody suspected. SWIM was considered: its pings would cost datagrams of
-//! their own, while heartbeats are part of digests that are sent anyway. Suspicion is decided by `failure_detector`.
+//! Every node forwards heartbeats (as in chitchat and Cassandra), so a node that reaches only some
+//! others is known to all through them, and an asymmetric link causes no suspicion. SWIM was
+//! considered: its pings would cost datagrams of their own, while heartbeats are part of digests
+//! that are sent anyway. `failure_detector` computes the suspicion level.
 //!
-//! Invariant: the number of a node's current incarnation never falls, and a bounded number of earlier ones is kept.
+//! Invariant: the current incarnation number of a node never decreases, and a bounded number of
+//! earlier incarnations is kept.
 
 use crate::failure_detector::HeartbeatIntervals;
 use crate::replay_window::ReplayWindow;
@@ -14,52 +17,54 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How many earlier incarnations of a node are kept. Beyond it the one with the lowest number is dropped.
+/// The maximum number of earlier incarnations kept per node. The one with the lowest number is
+/// dropped beyond it.
 const MAX_FORMER_INCARNATIONS: usize = 2;
 /// The number of heartbeats after which a node that is only known through others counts as alive.
 const MIN_HEARTBEATS_ALIVE: u32 = 2;
 
-/// What is thought of a node.
+/// The state of a member as this node judges it. The variants' names are part of the status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// Known through others, without heartbeats since.
+    /// Known through other nodes, without a heartbeat since.
     Unproven,
-    /// Its heartbeats arrive.
+    /// Heartbeats arrive.
     Alive,
-    /// Silent for longer than its heartbeats make likely.
+    /// Silent for so long that the failure detector's suspicion level is above the limit.
     Suspected,
-    /// Suspected or unproven for so long that it is not waited for.
+    /// Suspected or unproven for longer than `gone_after`; forgotten after `forget_after`.
     Gone,
 }
 
-/// A sign of life of an incarnation, as it is forwarded.
+/// A heartbeat of an incarnation, as it is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
     /// The incarnation.
     pub source: Life,
-    /// Its uptime in milliseconds.
+    /// The uptime of the incarnation in milliseconds.
     pub uptime: u64,
-    /// The version of its counts at that uptime.
+    /// The version of the incarnation's counts at that uptime.
     pub version: u64,
-    /// How long ago the sender received it, in milliseconds.
+    /// The time since the sender received the heartbeat, in milliseconds.
     pub age: u64,
 }
 
-/// One incarnation of a node, as known here.
+/// The local state of one incarnation of a node.
 #[derive(Clone, Debug)]
 pub struct IncarnationState {
-    /// Its uptime by its last heartbeat, in milliseconds.
+    /// The uptime in the last heartbeat, in milliseconds.
     pub uptime: u64,
-    /// The version of its counts by its last heartbeat.
+    /// The version of the counts in the last heartbeat.
     pub version: u64,
-    /// When its last heartbeat was received here, less the time that it took through other nodes.
+    /// When the last heartbeat was received here, less the time that it spent at other nodes.
     pub last_heartbeat: Millis,
-    /// The least difference between the clock here and its uptime, over all heartbeats: it includes the shortest delay.
+    /// The smallest difference between the local clock and the incarnation's uptime over all
+    /// heartbeats; it includes the shortest delay.
     clock_offset: Millis,
-    /// The uptime up to which all its counts are known, in milliseconds.
+    /// The uptime up to which all counts of the incarnation are known, in milliseconds.
     pub complete_uptime: u64,
-    /// Its counts.
+    /// The counts of the incarnation.
     pub replica: Replica,
 }
 
@@ -75,24 +80,26 @@
         }
     }
 
-    /// The time here up to which all its counts are known, if they came with the shortest delay.
+    /// Returns the local time up to which all counts are known, assuming that they arrived with the
+    /// shortest delay.
     pub fn as_of(&self) -> Millis {
         self.complete_uptime as f64 + self.clock_offset
     }
 
-    /// Its estimated uptime now, in milliseconds.
+    /// Returns the estimated uptime of the incarnation, in milliseconds.
     pub fn uptime_at(&self, now: Millis) -> u64 {
         (now - self.clock_offset).max(self.uptime as f64) as u64
     }
 
-    /// Its counts are complete up to its last heartbeat if all versions up to then are known.
+    /// Raises the complete uptime to that of the last heartbeat if all versions up to the
+    /// heartbeat's are known.
     pub fn update_complete_uptime(&mut self) {
         if self.replica.complete_version() >= self.version {
             self.complete_uptime = self.complete_uptime.max(self.uptime);
         }
     }
 
-    /// The heartbeat to forward.
+    /// Returns the heartbeat to forward.
     pub fn heartbeat(&self, source: Life, now: Millis) -> Heartbeat {
         Heartbeat {
             source,
@@ -102,7 +109,8 @@
         }
     }
 
-    /// Drops the epochs that have expired at an uptime of it, and returns how many counts were dropped.
+    /// Drops the epochs that have expired at this uptime of the incarnation; returns how many
+    /// counts were dropped.
     pub(crate) fn expire_epochs(&mut self, uptime: u64, settings: &Settings) -> usize {
         let current = epoch_at(uptime, settings.epoch);
         self.replica
@@ -124,26 +132,26 @@
     }
 }
 
-/// A node that takes part.
+/// A member of the cluster.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// The address that it listens on.
+    /// The address that the node listens on.
     pub address: SocketAddr,
-    /// The number of its current incarnation.
+    /// The number of the current incarnation.
     pub incarnation: u64,
-    /// Its current incarnation.
+    /// The current incarnation.
     pub current: IncarnationState,
-    /// Its earlier incarnations whose counts still matter, by number.
+    /// Earlier incarnations whose counts have not expired, by number.
     pub former: BTreeMap<u64, IncarnationState>,
-    /// Incarnations up to this number are forgotten.
+    /// Incarnations up to this number have been forgotten.
     forgotten_up_to: u64,
-    /// What is thought of it.
+    /// The state by the failure detector.
     pub state: MemberState,
-    /// Since when.
+    /// When the state last changed.
     pub state_since: Millis,
-    /// The nonce that it wants to see in what it is sent; none before its first hello.
+    /// The nonce that the member expects as echo in datagrams to it; `None` before its first hello.
     pub nonce: Option<u64>,
     replay_window: ReplayWindow,
     heartbeats: u32,
@@ -151,7 +159,7 @@
 }
 
 impl Member {
-    /// A node that has sent a datagram or that another node has told of.
+    /// Creates the record of a node that has sent a datagram or was announced by another node.
     pub fn new(
         name: &str,
         address: SocketAddr,
@@ -175,7 +183,7 @@
         }
     }
 
-    /// One of its incarnations.
+    /// Returns the incarnation with this number.
     pub fn incarnation(&self, number: u64) -> Option<&IncarnationState> {
         if number == self.incarnation {
             Some(&self.current)
@@ -184,7 +192,7 @@
         }
     }
 
-    /// One of its incarnations.
+    /// Returns the incarnation with this number.
     pub fn incarnation_mut(&mut self, number: u64) -> Option<&mut IncarnationState> {
         if number == self.incarnation {
             Some(&mut self.current)
@@ -193,20 +201,20 @@
         }
     }
 
-    /// All its incarnations that are kept, the current one first.
+    /// Returns all kept incarnations, the current one first.
     pub fn incarnations(&self) -> impl Iterator<Item = (u64, &IncarnationState)> {
         let former = self.former.iter().map(|(number, state)| (*number, state));
         std::iter::once((self.incarnation, &self.current)).chain(former)
     }
 
-    /// How many counts there are of all its incarnations.
+    /// Returns the number of counts of all incarnations.
     pub fn count_len(&self) -> usize {
         self.incarnations()
             .map(|(_, incarnation)| incarnation.replica.len())
             .sum()
     }
 
-    /// The heartbeat of its current incarnation to forward.
+    /// Returns the heartbeat of the current incarnation to forward.
     pub fn heartbeat(&self, id: DoorId, now: Millis) -> Heartbeat {
         let source = Life {
             door: id,
@@ -215,7 +223,7 @@
         self.current.heartbeat(source, now)
     }
 
-    /// Applies a heartbeat of one of its incarnations; returns whether it is new.
+    /// Applies a heartbeat of one of the incarnations; returns whether it is new.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -234,7 +242,8 @@
         }
     }
 
-    /// Replaces the current incarnation by a newer one. The counts of the old one still matter.
+    /// Replaces the current incarnation by a newer one and keeps the old one, whose counts still
+    /// matter.
     fn begin_incarnation(
         &mut self,
         heartbeat: &Heartbeat,
@@ -300,7 +309,7 @@
         }
     }
 
-    /// Forgets an earlier incarnation for good, and returns how many counts were dropped.
+    /// Forgets an earlier incarnation for good; returns how many counts were dropped.
     pub fn forget_former(&mut self, number: u64) -> usize {
         self.forgotten_up_to = self.forgotten_up_to.max(number);
         self.former
@@ -308,28 +317,29 @@
             .map_or(0, |former| former.replica.len())
     }
 
-    /// It has sent a datagram with the nonce of this process, so it is alive.
-    pub fn prove_alive(&mut self, now: Millis) {
+    /// Marks the member alive: it has sent a datagram that echoes the nonce of this process.
+    pub fn confirm_alive(&mut self, now: Millis) {
         self.set_state(MemberState::Alive, now);
         self.heartbeats = self.heartbeats.max(MIN_HEARTBEATS_ALIVE);
     }
 
-    /// Whether a datagram of its current incarnation with this number is new. It is not new from then on.
+    /// Returns whether a datagram number of the current incarnation is new, and records the number.
     pub fn accept_number(&mut self, number: u64) -> bool {
         self.replay_window.accept(number)
     }
 
-    /// The suspicion level of its silence.
+    /// Returns the suspicion level by the time since the last heartbeat.
     pub fn phi(&self, now: Millis) -> f64 {
         self.intervals.phi(now - self.current.last_heartbeat)
     }
 
-    /// Whether it is alive or suspected: it has shown life and is still waited for.
+    /// Returns whether the member is alive or suspected, and so not unproven or gone.
     pub fn is_present(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspected)
     }
 
-    /// Updates its state by its silence: it is suspected from this suspicion level on, and gone after `gone_after` without a change.
+    /// Updates the state by the time since the last heartbeat: an alive member becomes suspected
+    /// above this suspicion level, and a suspected or unproven one gone after `gone_after`.
     pub fn update_state(&mut self, now: Millis, suspect_phi: f64, gone_after: Millis) {
         let is_overdue = now - self.state_since > gone_after;
         match self.state {
@@ -344,7 +354,7 @@
         }
     }
 
-    /// Sets the state, and since when unless it is the same.
+    /// Sets the state, and the time of the change if the state differs.
     fn set_state(&mut self, state: MemberState, now: Millis) {
         if state != self.state {
             self.state = state;
--- a/crates/shared-counts/src/node/anti_entropy.rs
+++ b/crates/shared-counts/src/node/anti_entropy.rs
@@ -1,48 +1,48 @@
-//! Anti-entropy: merging of received counts, and the exchange of what digests show to be missing.
+//! Anti-entropy: merges received counts and exchanges what digests show to be missing.
 //!
-//! Invariant: a replica's complete version rises only by deltas that begin at or before it and were merged in full, so nothing is
-//! skipped whatever is lost, repeated or reordered.
+//! Invariant: the complete version of a replica rises only by deltas that begin at or before it and
+//! were merged in full, so no change is skipped when datagrams are lost, repeated or reordered.
 
 use super::gossip::MAX_MEMBERS_PER_DATAGRAM;
 use super::Node;
 use crate::random::shuffle;
 use crate::replica::{CapacityReached, Delta, Increase, VersionedCount};
 use crate::wire::{
-    count_bytes, DigestEntry, Kind, RejectReason, Section, Writer, USUAL_COUNTS_HEAD_BYTES,
-    USUAL_DIGEST_ENTRY_BYTES,
+    count_bytes, DigestEntry, Kind, RejectReason, Section, Writer, TYPICAL_COUNTS_HEADER_BYTES,
+    TYPICAL_DIGEST_ENTRY_BYTES,
 };
 use crate::{DoorId, Life, TAIL};
 use maplefall_policy::Millis;
 use std::collections::VecDeque;
 
-/// The most datagrams in reply to one.
+/// The maximum number of datagrams sent in reply to one.
 const MAX_REPLY_DATAGRAMS: usize = 3;
 
 /// Counts that a peer is missing.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MissingCounts {
     source: Life,
-    /// The version up to which the peer has them.
+    /// The version up to which the peer has the counts.
     after: u64,
 }
 
-/// What a datagram is replied with. No list is longer than the datagram had entries.
+/// The content of the reply to a datagram. No list is longer than the datagram had entries.
 #[derive(Debug, Default)]
 pub(super) struct Reply {
-    /// What the sender is missing.
+    /// Counts that the sender is missing.
     missing: Vec<MissingCounts>,
-    /// What is missing here.
+    /// Counts that are missing here.
     wanted: Vec<DigestEntry>,
-    /// Nodes that the sender may not know.
+    /// Members that the sender may not know.
     members: Vec<DoorId>,
-    /// Whether the sender has just started and is sent as many members as fit.
-    to_newcomer: bool,
+    /// Whether the sender has just started; it is sent as many members as fit.
+    sender_is_joining: bool,
 }
 
 impl Reply {
-    pub(super) fn new(to_newcomer: bool) -> Reply {
+    pub(super) fn new(sender_is_joining: bool) -> Reply {
         Reply {
-            to_newcomer,
+            sender_is_joining,
             ..Reply::default()
         }
     }
@@ -51,14 +51,14 @@
         self.missing.is_empty()
             && self.wanted.is_empty()
             && self.members.is_empty()
-            && !self.to_newcomer
+            && !self.sender_is_joining
     }
 }
 
 impl Node {
-    // ---- Digests ------------------------------------------------------------------------------------
+    // ---- Digests --------------------------------------------------------------------------------
 
-    /// Applies an entry of a digest: what is missing on either side goes into the reply.
+    /// Applies an entry of a digest: what either side is missing goes into the reply.
     pub(super) fn apply_digest_entry(
         &mut self,
         now: Millis,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Applies a request for counts.
+    /// Applies an entry of a request for counts.
     pub(super) fn apply_wanted_entry(
         &mut self,
         now: Millis,
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Applies the heartbeat of an entry, and notes counts that its sender is missing. Returns the version up to which the counts are
-    /// known here; `None` if the incarnation is forgotten.
+    /// Applies the heartbeat of an entry and notes counts that the sender is missing. Returns the
+    /// version up to which the counts are known here; `None` if the incarnation has been forgotten.
     fn compare_entry(
         &mut self,
         now: Millis,
@@ -101,7 +101,7 @@
         let heartbeat = &entry.heartbeat;
         let source = heartbeat.source;
         if source.door == self.id {
-            if source != self.life() || heartbeat.uptime > self.uptime(now) {
+            if source != self.incarnation() || heartbeat.uptime > self.uptime(now) {
                 self.apply_own_heartbeat(now, heartbeat);
             }
         } else if let Some(peer) = self.peers.get_mut(&source.door) {
@@ -123,12 +123,13 @@
         Some(known_version)
     }
 
-    // ---- Merging ------------------------------------------------------------------------------------
+    // ---- Merging --------------------------------------------------------------------------------
 
-    /// Joins received counts of an incarnation.
+    /// Joins received counts of one incarnation.
     pub(super) fn merge_counts(&mut self, now: Millis, source: Life, delta: &Delta) {
-        // No other node knows more of this incarnation than it does itself.
-        if source == self.life() {
+        // This node is the source of its current incarnation's counts; no other node has newer
+        // ones.
+        if source == self.incarnation() {
             return;
         }
         let max_counts = self.settings.max_counts;
@@ -165,7 +166,8 @@
         }
     }
 
-    /// Reports an increase as usage elsewhere, and forwards it if it came as a rumour.
+    /// Adds an increase to the usage at other nodes, and forwards it as a rumour if it arrived as
+    /// one.
     fn report_increase(
         &mut self,
         now: Millis,
@@ -184,9 +186,9 @@
         }
     }
 
-    // ---- Replies ------------------------------------------------------------------------------------
+    // ---- Replies --------------------------------------------------------------------------------
 
-    /// Sends a peer what it is missing, and requests what is missing here.
+    /// Sends a peer the counts that it is missing, and requests those that are missing here.
     pub(super) fn send_reply(&mut self, now: Millis, to: DoorId, reply: Reply) {
         let Some(peer) = self.peers.get(&to) else {
             return;
@@ -198,7 +200,8 @@
             return;
         }
         let mut missing = reply.missing;
-        // A peer that is missing much of many nodes receives some of each in turn.
+        // A peer that is missing many counts of many nodes receives some of each over several
+        // replies.
         shuffle(&mut self.rng, &mut missing);
         let mut missing = VecDeque::from(missing);
         for index in 0..MAX_REPLY_DATAGRAMS {
@@ -211,7 +214,7 @@
                 break;
             }
             self.write_missing_counts(&mut writer, &mut missing);
-            if is_first && reply.to_newcomer {
+            if is_first && reply.sender_is_joining {
                 self.write_members(now, &mut writer, usize::MAX);
             }
             self.send(now, address, writer);
@@ -228,7 +231,7 @@
         }
     }
 
-    /// Fills what is left of a datagram with missing counts; what does not fit stays in the list.
+    /// Fills the rest of a datagram with missing counts; those that do not fit stay in the list.
     fn write_missing_counts(&self, writer: &mut Writer, missing: &mut VecDeque<MissingCounts>) {
         while let Some(MissingCounts { source, after }) = missing.pop_front() {
             let incarnation = self
@@ -238,7 +241,9 @@
                 continue;
             };
             let replica = &incarnation.replica;
-            let mut remaining = writer.remaining().saturating_sub(USUAL_COUNTS_HEAD_BYTES);
+            let mut remaining = writer
+                .remaining()
+                .saturating_sub(TYPICAL_COUNTS_HEADER_BYTES);
             let delta = replica.delta(after, |count| {
                 let bytes = count_bytes(count);
                 let fits = bytes <= remaining;
@@ -246,7 +251,7 @@
                 fits
             });
             let up_to = delta.up_to;
-            if up_to > after && writer.remaining() > USUAL_COUNTS_HEAD_BYTES {
+            if up_to > after && writer.remaining() > TYPICAL_COUNTS_HEADER_BYTES {
                 writer.add(&Section::Counts(source, delta));
             }
             if up_to != replica.complete_version() {
@@ -260,9 +265,9 @@
     }
 }
 
-/// Requests what is missing here, in at most half of a datagram.
+/// Requests missing counts, in at most half of the remaining bytes.
 fn write_wanted(writer: &mut Writer, wanted: &[DigestEntry]) {
-    let max_entries = writer.remaining() / 2 / USUAL_DIGEST_ENTRY_BYTES;
+    let max_entries = writer.remaining() / 2 / TYPICAL_DIGEST_ENTRY_BYTES;
     let wanted = &wanted[..wanted.len().min(max_entries)];
     writer.add(&Section::Want(wanted.to_vec()));
 }
--- a/crates/shared-counts/src/node/counting.rs
+++ b/crates/shared-counts/src/node/counting.rs
@@ -1,4 +1,4 @@
-//! The node's own counts, its epochs, and the expiry of all that is over.
+//! Counting of local usage, epochs, and expiry of counts, incarnations and members.
 
 use super::Node;
 use crate::admission::Admission;
@@ -8,13 +8,13 @@
 use rand_core::RngCore;
 
 impl Node {
-    /// Counts units that a customer has used here, or that were returned if negative.
+    /// Records units that a customer has used at this node; negative units are returned.
     pub fn record_usage(&mut self, now: Millis, customer: Customer, units: f64) {
         let milli = (units * 1000.0).round();
         if !milli.is_finite() || milli == 0.0 {
             return;
         }
-        // The cast saturates; a count stops at its largest value long before.
+        // The cast saturates, but counts saturate far below that.
         let milli = milli as i64;
         self.enter_epoch(now);
         let (epoch, customer) = self.assign_count(customer, milli);
@@ -25,16 +25,17 @@
         if counted.is_none() {
             self.stats.saturated += 1;
         }
-        self.add_rumour(self.life(), epoch, customer, milli.unsigned_abs());
+        self.add_rumour(self.incarnation(), epoch, customer, milli.unsigned_abs());
     }
 
-    /// The count that a change belongs to: the customer's own if it has one or is admitted, otherwise that of [`TAIL`].
+    /// Returns the count that a change is added to: the customer's own if it has one or is
+    /// admitted, otherwise that of [`TAIL`].
     fn assign_count(&mut self, customer: Customer, milli: i64) -> (Epoch, Customer) {
         let replica = &self.local.current.replica;
         if replica.get(self.epoch, customer).is_some() {
             return (self.epoch, customer);
         }
-        // What is returned after an epoch's end is returned to the epoch that took it.
+        // Units returned after the end of an epoch belong to the epoch that took them.
         let previous = self.epoch.saturating_sub(1);
         if milli < 0 && replica.get(previous, customer).is_some() {
             return (previous, customer);
@@ -50,7 +51,7 @@
         self.count_len < self.settings.max_counts
     }
 
-    /// Begins a new epoch if its time has come.
+    /// Enters the epoch of the current uptime if it is a new one.
     pub(super) fn enter_epoch(&mut self, now: Millis) {
         let epoch = epoch_at(self.uptime(now), self.settings.epoch);
         if epoch > self.epoch {
@@ -63,7 +64,8 @@
         self.admission = Admission::new(self.settings.max_tracked_customers, self.rng.next_u64());
     }
 
-    /// Drops all that is over: epochs by the uptime of their own incarnation, incarnations, members that are gone, usage and rumours.
+    /// Drops expired epochs (by the uptime of their own incarnation), earlier incarnations, members
+    /// that are gone, remote usage and rumours.
     pub(super) fn expire(&mut self, now: Millis) {
         let uptime = self.uptime(now);
         self.count_len -= self.local.current.expire_epochs(uptime, &self.settings);
@@ -77,7 +79,7 @@
         self.drop_rumours_of_expired_counts();
     }
 
-    /// How long an earlier incarnation is kept after its last heartbeat.
+    /// Returns how long an earlier incarnation is kept after its last heartbeat.
     fn incarnation_timeout(&self) -> Millis {
         self.settings.epoch * f64::from(self.settings.epochs_kept)
     }
--- a/crates/shared-counts/src/node/gossip.rs
+++ b/crates/shared-counts/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip rounds: which peers are sent to, and what.
+//! Gossip rounds: selects peers and writes the datagrams to them.
 
 use super::rumours::CountKey;
 use super::{Node, Output};
@@ -9,36 +9,39 @@
 use maplefall_policy::Millis;
 use std::net::SocketAddr;
 
-/// The most datagrams that wait to be sent. Further ones are dropped, as the network might drop them.
+/// The maximum number of datagrams in the send queue. Further ones are dropped; peers handle that
+/// like packet loss.
 const MAX_OUTPUTS: usize = 512;
-/// The part of a gossip datagram that its digest may take.
-const DIGEST_PART: f64 = 0.6;
-/// The most members in a datagram, besides the sender.
+/// The maximum fraction of a gossip datagram used by the digest.
+const DIGEST_FRACTION: f64 = 0.6;
+/// The maximum number of members in a datagram, besides the sender.
 pub(super) const MAX_MEMBERS_PER_DATAGRAM: usize = 8;
-/// A node that is not alive is contacted once in this many rounds on average.
-const SILENT_CONTACT_ROUNDS: usize = 5;
-/// A seed is contacted once in this many rounds on average, and in every round by a node that knows no other.
+/// A node that is suspected or gone is contacted once in this many rounds on average.
+const UNREACHABLE_CONTACT_ROUNDS: usize = 5;
+/// A seed is contacted once in this many rounds on average, and in every round while no peer is
+/// alive.
 const SEED_CONTACT_ROUNDS: usize = 16;
-/// The least time between rounds, in gossip intervals.
+/// The minimum time between rounds, in gossip intervals.
 const MIN_ROUND_INTERVALS: f64 = 0.8;
-/// How much longer the time between rounds may be, in gossip intervals.
+/// The maximum jitter added to the time between rounds, in gossip intervals.
 const ROUND_JITTER_INTERVALS: f64 = 0.4;
-/// Every so manieth entry of a digest is drawn at random.
+/// One in this many digest entries is drawn at random.
 const RANDOM_ENTRY_EVERY: usize = 3;
 
-/// An incarnation that may be an entry of a digest.
+/// An incarnation that may become an entry of a digest.
 struct DigestCandidate {
     last_heartbeat: Millis,
     source: Life,
 }
 
 impl Node {
-    /// Does a gossip round if one is due.
+    /// Runs a gossip round if one is due.
     pub fn tick(&mut self, now: Millis) {
         if now < self.next_round {
             return;
         }
-        // Drawn again each time, so that no two nodes stay in step. Missed rounds are not made up for.
+        // The jitter keeps nodes from synchronising their rounds. Missed rounds are not made up
+        // for.
         let intervals = MIN_ROUND_INTERVALS + ROUND_JITTER_INTERVALS * unit(&mut self.rng);
         self.next_round = now + self.settings.interval * intervals;
         self.enter_epoch(now);
@@ -56,15 +59,17 @@
         self.rumours.drop_finished();
     }
 
-    /// The peers to send to in this round: some that are alive, and now and then one that is not, since a partition may have healed.
+    /// Selects the peers of this round: some that are alive, and occasionally one that is suspected
+    /// or gone, since a partition may have healed.
     fn choose_peers(&mut self) -> Vec<DoorId> {
-        // Peers known only through others are contacted like those that are alive: they respond, or are gone soon.
+        // Unproven peers are contacted like those that are alive: they either respond or are soon
+        // gone.
         let mut alive = Vec::new();
-        let mut silent = Vec::new();
+        let mut unreachable = Vec::new();
         for (id, member) in &self.peers {
             match member.state {
                 MemberState::Alive | MemberState::Unproven => alive.push(*id),
-                MemberState::Suspected | MemberState::Gone => silent.push(*id),
+                MemberState::Suspected | MemberState::Gone => unreachable.push(*id),
             }
         }
         let mut peers = Vec::new();
@@ -72,13 +77,13 @@
             let index = index_below(&mut self.rng, alive.len());
             peers.push(alive.swap_remove(index));
         }
-        if !silent.is_empty() && index_below(&mut self.rng, SILENT_CONTACT_ROUNDS) == 0 {
-            peers.push(silent[index_below(&mut self.rng, silent.len())]);
+        if !unreachable.is_empty() && index_below(&mut self.rng, UNREACHABLE_CONTACT_ROUNDS) == 0 {
+            peers.push(unreachable[index_below(&mut self.rng, unreachable.len())]);
         }
         peers
     }
 
-    /// Sends a hello to a seed now and then, unless a peer that is alive has its address.
+    /// Occasionally sends a hello to a seed, unless a peer that is alive has its address.
     fn contact_seed(&mut self, now: Millis) {
         let has_peer = self
             .peers
@@ -108,17 +113,18 @@
             return self.send_hello(now, to, 0);
         };
         let mut writer = self.begin_datagram(now, Kind::Gossip, echo);
-        let digest_bytes = (writer.remaining() as f64 * DIGEST_PART) as usize;
+        let digest_bytes = (writer.remaining() as f64 * DIGEST_FRACTION) as usize;
         writer.add(&Section::Digest(self.digest(now, digest_bytes)));
         self.write_rumours(&mut writer, rumours);
         self.write_members(now, &mut writer, MAX_MEMBERS_PER_DATAGRAM);
         self.send(now, to, writer);
     }
 
-    // ---- Digests ------------------------------------------------------------------------------------
+    // ---- Digests --------------------------------------------------------------------------------
 
-    /// A digest: this node first, then the incarnations with the newest heartbeats and every third one at random. The newest spread
-    /// like rumours; the random ones repair what rumours miss.
+    /// Builds a digest: this node first, then the incarnations with the newest heartbeats, but
+    /// every third entry drawn at random. The newest spread like rumours; the random ones repair
+    /// what rumours miss.
     fn digest(&mut self, now: Millis, max_bytes: usize) -> Vec<DigestEntry> {
         let mut entries = vec![DigestEntry {
             heartbeat: self.local_heartbeat(now),
@@ -146,7 +152,8 @@
         entries
     }
 
-    /// All incarnations but this one, the one with the newest heartbeat last.
+    /// Returns all incarnations but the current one of this node, sorted by last heartbeat, the
+    /// newest last.
     fn digest_candidates(&self) -> Vec<DigestCandidate> {
         let candidate = |id: DoorId, number: u64, last_heartbeat: Millis| DigestCandidate {
             last_heartbeat,
@@ -160,7 +167,7 @@
             candidates.push(candidate(self.id, *number, former.last_heartbeat));
         }
         for (id, member) in &self.peers {
-            // Of a peer that shows no life only the counts matter to others.
+            // Unproven and gone peers matter to others only for their counts.
             if !member.is_present() && member.count_len() == 0 {
                 continue;
             }
@@ -184,14 +191,14 @@
         })
     }
 
-    // ---- Datagrams ----------------------------------------------------------------------------------
+    // ---- Datagrams ------------------------------------------------------------------------------
 
-    /// The header of the next datagram.
+    /// Builds the header of the next datagram.
     pub(super) fn next_head(&mut self, kind: Kind, echo: u64) -> Head {
         self.last_number += 1;
         Head {
             kind,
-            from: self.life(),
+            from: self.incarnation(),
             number: self.last_number,
             nonce: self.nonce,
             echo,
@@ -215,7 +222,7 @@
         self.send(now, to, writer);
     }
 
-    /// Queues a datagram, or drops it if the rate limit or the queue's bound is reached.
+    /// Queues a datagram, or drops it if the rate limit is reached or the queue is full.
     pub(super) fn send(&mut self, now: Millis, to: SocketAddr, writer: Writer) {
         if !self.send_limit.take(now) || self.outputs.len() >= MAX_OUTPUTS {
             self.stats.unsent += 1;
@@ -226,9 +233,10 @@
         self.outputs.push_back(Output { to, bytes });
     }
 
-    /// Fills what is left of a datagram with peers drawn at random, so that all nodes get to know all.
+    /// Fills the rest of a datagram with random peers, so that every node learns of all others.
     pub(super) fn write_members(&mut self, now: Millis, writer: &mut Writer, max_members: usize) {
-        // Only peers that have shown life here: an invented one spreads no further than to the nodes that it was sent to.
+        // Unproven peers are not forwarded, so a fabricated one reaches only the nodes that it was
+        // sent to.
         let mut present: Vec<DoorId> = self
             .peers
             .iter()
--- a/crates/shared-counts/src/node/membership.rs
+++ b/crates/shared-counts/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Members that this node gets to know, and its own incarnation.
+//! Discovery of members, and the incarnation of this node.
 
 use super::{first_heartbeat, Node};
 use crate::members::{Heartbeat, Member};
@@ -7,21 +7,26 @@
 use maplefall_policy::Millis;
 use std::net::SocketAddr;
 
-/// How far a heartbeat of this incarnation may be ahead of its uptime, in milliseconds, before it is that of another process.
+/// How far the uptime in a heartbeat of this incarnation may be ahead of the actual one, in
+/// milliseconds. A larger lead proves another process with the same name.
 const MAX_UPTIME_AHEAD: u64 = 1000;
 
 impl Node {
-    /// Applies what a datagram says of a node.
+    /// Applies a member entry of a datagram.
     pub(super) fn apply_member_info(&mut self, now: Millis, member: &MemberInfo) {
         if member.heartbeat.source.door == self.id {
             self.apply_own_heartbeat(now, &member.heartbeat);
-        } else if let Err(reason) = self.meet(now, member) {
+        } else if let Err(reason) = self.add_or_update_peer(now, member) {
             self.reject(reason);
         }
     }
 
-    /// Adds a peer, or applies a heartbeat of it.
-    pub(super) fn meet(&mut self, now: Millis, member: &MemberInfo) -> Result<(), RejectReason> {
+    /// Adds a peer, or applies a heartbeat of a known one.
+    pub(super) fn add_or_update_peer(
+        &mut self,
+        now: Millis,
+        member: &MemberInfo,
+    ) -> Result<(), RejectReason> {
         let source = member.heartbeat.source;
         let interval = self.settings.interval;
         if let Some(peer) = self.peers.get_mut(&source.door) {
@@ -32,7 +37,8 @@
             }
             return Ok(());
         }
-        // A peer that was silent for this long is gone at every node; it would be forwarded from node to node for ever.
+        // A peer silent for this long is gone at every node. Adding it again would let nodes
+        // forward it to each other for ever.
         let max_age = self.settings.gone_after.max(self.settings.retention());
         let is_gone = member.heartbeat.age as f64 > max_age;
         if is_gone || self.peers.len() + 1 >= self.settings.max_members {
@@ -49,7 +55,7 @@
         Ok(())
     }
 
-    /// A peer's name, address and heartbeat to forward.
+    /// Returns the name, address and heartbeat of a peer to forward.
     pub(super) fn peer_info(&self, now: Millis, id: DoorId) -> Option<MemberInfo> {
         let peer = self.peers.get(&id)?;
         Some(MemberInfo {
@@ -59,7 +65,7 @@
         })
     }
 
-    /// Sends what is known of a peer.
+    /// Sends the member entry of a peer.
     pub(super) fn send_peer_info(&mut self, now: Millis, id: DoorId, to: SocketAddr, echo: u64) {
         let Some(peer) = self.peer_info(now, id) else {
             return;
@@ -69,10 +75,10 @@
         self.send(now, to, writer);
     }
 
-    /// Applies a heartbeat of an incarnation with this node's name. One that cannot be an earlier incarnation of this process makes it
-    /// take a new number.
+    /// Applies a heartbeat of an incarnation with this node's name. One that cannot be of an
+    /// earlier incarnation of this process makes this node take a new incarnation number.
     pub(super) fn apply_own_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
-        let own = self.life();
+        let own = self.incarnation();
         let other = heartbeat.source;
         let max_uptime = self.uptime(now).saturating_add(MAX_UPTIME_AHEAD);
         let is_another_process = other == own && heartbeat.uptime > max_uptime;
@@ -84,16 +90,18 @@
         }
     }
 
-    /// Takes an incarnation number above another process's. Either the date went back, so that an earlier incarnation has a larger
-    /// number, or two processes have the same name. What was counted under the old number stays there and is still forwarded.
+    /// Takes an incarnation number above another process's. Either the date went back, so that an
+    /// earlier incarnation has a larger number, or two processes have the same name. Counts under
+    /// the old number stay there and are still forwarded.
     fn renumber(&mut self, now: Millis, heartbeat: &Heartbeat) {
-        // Two running processes with the same name would renumber each other for ever.
+        // Without this limit two running processes with the same name would renumber each other for
+        // ever.
         let retention = self.settings.retention();
         if self.renumbered_at.is_some_and(|at| now - at < retention) {
             return;
         }
         self.renumbered_at = Some(now);
-        let own = self.life();
+        let own = self.incarnation();
         let other = heartbeat.source;
         let interval = self.settings.interval;
         let last = self.local_heartbeat(now);
--- a/crates/shared-counts/src/node/mod.rs
+++ b/crates/shared-counts/src/node/mod.rs
@@ -1,21 +1,24 @@
-//! The state machine of one node: datagrams, usage and the time in; datagrams and facts out.
+//! The state machine of one node: datagrams, usage and the time in; datagrams and usage updates
+//! out.
 //!
-//! Drive it like this: [`Node::record_usage`] for each use, [`Node::receive`] for each datagram, [`Node::tick`] when [`Node::due`] has come.
-//! After each of them send what [`Node::poll`] returns until it is empty, and pass what [`Node::poll_usage_update`] returns to the policy.
+//! The caller runs [`Node::record_usage`] for each use, [`Node::receive`] for each datagram and
+//! [`Node::tick`] at the time [`Node::due`]. After each of them it sends what [`Node::poll`]
+//! returns until that is `None`, and passes what [`Node::poll_usage_update`] returns to the policy.
 //!
-//! Counts spread in two ways. A recent change goes as a rumour into the next gossip rounds, the largest change first, and each node
-//! forwards it a few times (`rumours`); that is fast and may miss some nodes. Digests say which versions a node has, and what is
-//! missing is requested and sent in order (`anti_entropy`); that is slower and misses nothing.
+//! Counts spread in two ways. A recent change goes as a rumour into the next gossip rounds, the
+//! largest change first, and each node forwards it a few times (`rumours`); that is fast but may
+//! miss some nodes. Digests list the versions that a node has, and missing counts are requested and
+//! sent in order (`anti_entropy`); that is slower but misses nothing.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
-//! | `counting` | the node's own counts, epochs, expiry |
-//! | `usage_updates` | usage elsewhere and its staleness |
+//! | `counting` | local usage, epochs, expiry |
+//! | `usage_updates` | usage at other nodes and its staleness |
 //! | `gossip` | gossip rounds: choice of peers, digests, datagrams to send |
 //! | `rumours` | recent changes that are forwarded a few times |
 //! | `receive` | verification of datagrams and their sections |
-//! | `membership` | members that are met, the node's own incarnation |
-//! | `anti_entropy` | merging of counts, responses to digests |
+//! | `membership` | discovery of members, the node's own incarnation |
+//! | `anti_entropy` | merging of counts, replies to digests |
 //! | `report` | the status for operators |
 //! | `rate_limit` | the limit on datagrams per second |
 
@@ -44,36 +47,36 @@
 use std::net::SocketAddr;
 use usage_updates::Freshness;
 
-/// A datagram that the caller is to send.
+/// A datagram to be sent by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Output {
-    /// The receiver.
+    /// The destination.
     pub to: SocketAddr,
     /// The datagram.
     pub bytes: Vec<u8>,
 }
 
-/// What a node is started with.
+/// Start parameters of a node.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// Its name, the same in every incarnation.
+    /// The node's name, the same in every incarnation.
     pub name: String,
-    /// The address at which others reach it.
+    /// The address at which other nodes reach this one.
     pub address: SocketAddr,
-    /// Nodes to contact first.
+    /// Addresses of nodes to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The date, in milliseconds since 1970: the number of this incarnation.
+    /// The current date, in milliseconds since 1970: the number of this incarnation.
     pub date: u64,
     /// The seed of all random draws; different at each start.
     pub seed: u64,
 }
 
-/// Datagrams and their bytes.
+/// A number of datagrams and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// The total size.
     pub bytes: u64,
 }
 
@@ -84,20 +87,21 @@
     }
 }
 
-/// What was counted since the start.
+/// Statistics since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// What was received within the rate limit.
+    /// Datagrams received within the rate limit.
     pub received: Traffic,
-    /// What was sent.
+    /// Datagrams sent.
     pub sent: Traffic,
     /// Rejected datagrams and parts of them, by reason.
     pub rejected: BTreeMap<RejectReason, u64>,
     /// Datagrams that were not sent because of the rate limit or a full queue.
     pub unsent: u64,
-    /// Changes that a count at its largest value did not take in full.
+    /// Changes that were not counted in full because the count is saturated.
     pub saturated: u64,
-    /// How often this node took a new incarnation number because another process had its name.
+    /// How often this node took a new incarnation number because another process had its name or
+    /// the date went back.
     pub renumbered: u64,
 }
 
@@ -107,22 +111,21 @@
     seal: Seal,
     rng: Pcg64Mcg,
     id: DoorId,
-    /// This node itself.
+    /// The record of this node itself.
     local: Member,
-    /// When its current incarnation began.
+    /// When the current incarnation began.
     started_at: Millis,
-    /// The date of the start, in milliseconds since 1970.
+    /// The date at the start, in milliseconds since 1970.
     start_date: u64,
     nonce: u64,
     seeds: Vec<SocketAddr>,
-    /// The other nodes.
     peers: BTreeMap<DoorId, Member>,
     admission: Admission,
     /// The current epoch of this node.
     epoch: Epoch,
     rumours: Rumours,
     remote_usage: RemoteUsage,
-    /// How many counts there are, over all nodes and epochs.
+    /// The number of counts, over all nodes and epochs.
     count_len: usize,
     next_round: Millis,
     /// The number of the last datagram that was begun.
@@ -133,14 +136,14 @@
     freshness: Option<Freshness>,
     /// When this node last took a new incarnation number.
     renumbered_at: Option<Millis>,
-    /// The status that operators are requesting part by part.
+    /// The status that an operator is fetching in parts.
     requested_status: Vec<u8>,
-    /// What was counted since the start.
+    /// Statistics since the start.
     pub stats: Stats,
 }
 
 impl Node {
-    /// A node that has just started.
+    /// Creates a node at the start of a new incarnation.
     pub fn new(settings: Settings, start: Start, now: Millis) -> Node {
         let mut rng = Pcg64Mcg::seed_from_u64(start.seed);
         let id = DoorId::of(&start.name);
@@ -158,7 +161,7 @@
         );
         let nonce = rng.next_u64() | 1;
         let admission = Admission::new(settings.max_tracked_customers, rng.next_u64());
-        // Nodes that start together do not gossip at the same time.
+        // Spreads the first rounds of nodes that start together.
         let next_round = now + settings.interval * random::unit(&mut rng);
         let rate_limit = RateLimit::new(settings.max_datagrams_per_second, now);
         let seeds = start
@@ -194,35 +197,36 @@
         }
     }
 
-    /// When [`Node::tick`] is due.
+    /// Returns the time at which [`Node::tick`] is due.
     pub fn due(&self) -> Millis {
         self.next_round
     }
 
-    /// The next datagram to send.
+    /// Returns the next datagram to send.
     pub fn poll(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The current incarnation of this node.
-    pub fn life(&self) -> Life {
+    /// Returns the current incarnation of this node.
+    pub fn incarnation(&self) -> Life {
         Life {
             door: self.id,
             incarnation: self.local.incarnation,
         }
     }
 
-    /// The other nodes.
+    /// Returns the other nodes.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.peers.values()
     }
 
-    /// How many counts there are, over all nodes and epochs.
-    pub fn counts(&self) -> usize {
+    /// Returns the number of counts, over all nodes and epochs.
+    pub fn count_len(&self) -> usize {
         self.count_len
     }
 
-    /// What a customer has used at all nodes in the epochs that are kept, as known here, in thousandths of a unit.
+    /// Returns the usage of a customer at all nodes in the kept epochs, as known here, in
+    /// thousandths of a unit.
     pub fn total(&self, customer: Customer) -> i64 {
         self.all_members()
             .flat_map(Member::incarnations)
@@ -230,8 +234,8 @@
             .sum()
     }
 
-    /// What a customer has used at one node, over all its incarnations, in the epochs that are kept, as known here, in thousandths of a
-    /// unit.
+    /// Returns the usage of a customer at one node, over all its incarnations in the kept epochs,
+    /// as known here, in thousandths of a unit.
     pub fn total_of(&self, node: DoorId, customer: Customer) -> i64 {
         let incarnations = self.member(node).into_iter().flat_map(Member::incarnations);
         incarnations
@@ -239,7 +243,7 @@
             .sum()
     }
 
-    /// All nodes, this one last.
+    /// Returns all nodes, this one last.
     fn all_members(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().chain(std::iter::once(&self.local))
     }
@@ -260,14 +264,14 @@
         }
     }
 
-    /// The uptime of this incarnation, in milliseconds.
+    /// Returns the uptime of this incarnation, in milliseconds.
     fn uptime(&self, now: Millis) -> u64 {
         (now - self.started_at).max(0.0) as u64
     }
 
     fn local_heartbeat(&self, now: Millis) -> Heartbeat {
         Heartbeat {
-            source: self.life(),
+            source: self.incarnation(),
             uptime: self.uptime(now),
             version: self.local.current.replica.complete_version(),
             age: 0,
@@ -279,7 +283,7 @@
     }
 }
 
-/// The heartbeat with which an incarnation begins.
+/// Returns the first heartbeat of an incarnation.
 fn first_heartbeat(source: Life) -> Heartbeat {
     Heartbeat {
         source,
--- a/crates/shared-counts/src/node/rate_limit.rs
+++ b/crates/shared-counts/src/node/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The limit on datagrams per second: a token bucket that holds one second's tokens.
+//! The limit on datagrams per second: a token bucket with a burst of one second.
 
 use maplefall_policy::Millis;
 
@@ -10,7 +10,7 @@
 }
 
 impl RateLimit {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn new(per_second: f64, now: Millis) -> RateLimit {
         RateLimit {
             per_second,
--- a/crates/shared-counts/src/node/receive.rs
+++ b/crates/shared-counts/src/node/receive.rs
@@ -1,7 +1,8 @@
 //! Verification of datagrams and of their sections.
 //!
-//! Invariant: nothing of a datagram is applied unless its authenticator, its values and its sender are accepted. The sender has to
-//! echo the nonce of this process, so no replayed datagram and no sender that cannot receive at its address is accepted.
+//! Invariant: nothing of a datagram is applied unless its authenticator, its values and its sender
+//! are accepted. The sender has to echo the nonce of this process, which rejects replayed datagrams
+//! and senders that cannot receive at their address.
 
 use super::anti_entropy::Reply;
 use super::Node;
@@ -13,17 +14,19 @@
 use maplefall_policy::Millis;
 use std::net::SocketAddr;
 
-/// How far ahead of the date here an incarnation may have begun, or be, in milliseconds. Dates differ, but not by more.
+/// How far the start of an incarnation, or its start plus uptime, may be ahead of the local date,
+/// in milliseconds. Clocks of nodes are assumed to differ by less.
 const MAX_DATE_AHEAD: u64 = 86_400_000;
-/// Versions and ages are below this.
+/// The exclusive upper limit of versions and ages.
 const MAX_NUMBER: u64 = 1 << 48;
-/// How many epochs a count may be ahead of its incarnation's estimated uptime.
+/// How many epochs a count may be ahead of the estimated uptime of its incarnation.
 const MAX_EPOCHS_AHEAD: u32 = 4;
-/// A node that has sent no more datagrams than this has just started and is sent all members.
-const NEWCOMER_DATAGRAMS: u64 = 24;
+/// A sender that has sent at most this many datagrams has just started and is sent all members.
+const JOINING_DATAGRAMS: u64 = 24;
 
 impl Node {
-    /// Receives a datagram. One that is rejected changes nothing but [`Node::stats`], and may be answered with a hello.
+    /// Receives a datagram. A rejected one changes nothing but [`Node::stats`]; it may cause a
+    /// hello to its sender.
     pub fn receive(&mut self, now: Millis, from: SocketAddr, bytes: &[u8]) {
         if !self.receive_limit.take(now) {
             return self.reject(RejectReason::TooMany);
@@ -38,9 +41,9 @@
         }
     }
 
-    // ---- Plausibility -------------------------------------------------------------------------------
+    // ---- Plausibility ---------------------------------------------------------------------------
 
-    /// Checks that the values of a datagram are possible.
+    /// Checks that the values of a datagram are within their limits.
     fn check_plausible(
         &self,
         now: Millis,
@@ -89,7 +92,7 @@
         let Some(incarnation) = incarnation else {
             return true;
         };
-        let uptime = if source == self.life() {
+        let uptime = if source == self.incarnation() {
             self.uptime(now)
         } else {
             incarnation.uptime_at(now)
@@ -100,7 +103,7 @@
             .all(|count| count.epoch <= max_epoch && count.version < MAX_NUMBER)
     }
 
-    // ---- Sender -------------------------------------------------------------------------------------
+    // ---- Sender ---------------------------------------------------------------------------------
 
     fn handle(
         &mut self,
@@ -109,13 +112,13 @@
         head: &Head,
         sections: Vec<Section>,
     ) -> Result<(), RejectReason> {
-        if head.from == self.life() {
+        if head.from == self.incarnation() {
             return Err(RejectReason::Repeated);
         }
         let sender = find_sender(head, &sections);
         let reply_to = sender.as_ref().map_or(from, |sender| sender.address);
         match head.kind {
-            Kind::Ask => return self.answer_status_request(now, from, head, &sections),
+            Kind::Ask => return self.reply_to_status_request(now, from, head, &sections),
             Kind::Told => return Err(RejectReason::Absurd),
             Kind::Hello | Kind::Gossip => {}
         }
@@ -127,7 +130,7 @@
             };
         }
         self.accept_sender(now, head, sender.as_ref(), reply_to)?;
-        let mut reply = Reply::new(head.number <= NEWCOMER_DATAGRAMS);
+        let mut reply = Reply::new(head.number <= JOINING_DATAGRAMS);
         for section in sections {
             self.apply_section(now, section, &mut reply);
         }
@@ -135,7 +138,8 @@
         Ok(())
     }
 
-    /// Checks that a datagram with the nonce of this process is new and from the current incarnation of a peer.
+    /// Checks that a datagram that echoes the nonce of this process is new and from the current
+    /// incarnation of a peer.
     fn accept_sender(
         &mut self,
         now: Millis,
@@ -145,19 +149,21 @@
     ) -> Result<(), RejectReason> {
         let id = head.from.door;
         if id == self.id {
-            // Another process with this node's name, or an earlier incarnation of this one.
+            // The sender is another process with this node's name, or an earlier incarnation of
+            // this one.
             if let Some(sender) = sender {
                 self.apply_own_heartbeat(now, &sender.heartbeat);
             }
             return Err(RejectReason::Repeated);
         }
         if !self.peers.contains_key(&id) {
-            self.meet(now, sender.ok_or(RejectReason::NoMember)?)?;
+            self.add_or_update_peer(now, sender.ok_or(RejectReason::NoMember)?)?;
         }
         let interval = self.settings.interval;
         let peer = self.peers.get_mut(&id).ok_or(RejectReason::NoMember)?;
         if head.from.incarnation < peer.incarnation {
-            // The sender's date went back, or the datagram is late: the sender is told of its later incarnation.
+            // The sender's date went back, or the datagram is late. The reply names the later
+            // incarnation.
             self.send_peer_info(now, id, reply_to, head.nonce);
             return Err(RejectReason::Repeated);
         }
@@ -171,13 +177,13 @@
         if !peer.accept_number(head.number) {
             return Err(RejectReason::Repeated);
         }
-        peer.prove_alive(now);
+        peer.confirm_alive(now);
         peer.nonce = Some(head.nonce);
         self.freshness = None;
         Ok(())
     }
 
-    // ---- Sections -----------------------------------------------------------------------------------
+    // ---- Sections -------------------------------------------------------------------------------
 
     fn apply_section(&mut self, now: Millis, section: Section, reply: &mut Reply) {
         match section {
@@ -202,7 +208,7 @@
     }
 }
 
-/// What a datagram says of its sender itself.
+/// Returns the sender's own member entry in a datagram.
 fn find_sender(head: &Head, sections: &[Section]) -> Option<MemberInfo> {
     sections.iter().find_map(|section| match section {
         Section::Members(members) => members
--- a/crates/shared-counts/src/node/report.rs
+++ b/crates/shared-counts/src/node/report.rs
@@ -10,13 +10,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The bytes of the status in one datagram.
+/// The maximum bytes of status text in one datagram.
 const STATUS_PART_BYTES: usize = 1000;
-/// How many customers a requested status has.
+/// The maximum number of customers in a requested status.
 const STATUS_CUSTOMERS: usize = 50;
 
 impl Node {
-    /// The status, with at most this many customers.
+    /// Returns the status, with at most this many customers.
     pub fn status(&mut self, now: Millis, max_customers: usize) -> Status {
         self.freshness = None;
         let (as_of, nodes) = self.freshness(now);
@@ -47,7 +47,8 @@
         }
     }
 
-    /// What each customer has used at all nodes in the epochs that are kept, in thousandths of a unit.
+    /// Returns the usage of each customer at all nodes in the kept epochs, in thousandths of a
+    /// unit.
     fn totals(&self) -> BTreeMap<Customer, i64> {
         let mut totals = BTreeMap::new();
         for (_, incarnation) in self.all_members().flat_map(Member::incarnations) {
@@ -58,8 +59,9 @@
         totals
     }
 
-    /// Sends an operator a part of the status, once the request has the nonce of this process.
-    pub(super) fn answer_status_request(
+    /// Sends an operator the requested part of the status, if the request echoes the nonce of this
+    /// process.
+    pub(super) fn reply_to_status_request(
         &mut self,
         now: Millis,
         from: SocketAddr,
@@ -112,7 +114,7 @@
     }
 }
 
-/// The customers that have used most, the largest first.
+/// Returns the customers with the largest usage, the largest first.
 fn largest_customers(totals: BTreeMap<Customer, i64>, max_customers: usize) -> Vec<CustomerStatus> {
     let mut totals: Vec<(Customer, i64)> = totals.into_iter().collect();
     totals.sort_by_key(|(quota, milli)| (Reverse(*milli), *quota));
--- a/crates/shared-counts/src/node/rumours.rs
+++ b/crates/shared-counts/src/node/rumours.rs
@@ -2,19 +2,20 @@
 
 use super::Node;
 use crate::replica::{Delta, VersionedCount};
-use crate::wire::{count_bytes, Section, Writer, USUAL_COUNTS_HEAD_BYTES};
+use crate::wire::{count_bytes, Section, Writer, TYPICAL_COUNTS_HEADER_BYTES};
 use crate::{Customer, Epoch, Life};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The most rumours; changes of further counts spread by anti-entropy alone.
+/// The maximum number of rumours; changes of further counts spread by anti-entropy alone.
 const MAX_RUMOURS: usize = 2048;
-/// A rumour that is forwarded this much more often than the logarithm of the number of nodes misses a node about once in e^4 times.
+/// Sends of a rumour beyond the binary logarithm of the number of nodes. Random forwarding with
+/// this many extra sends misses a node about once in e^4 times.
 const EXTRA_SENDS: u32 = 4;
-/// The most datagrams that a rumour goes into.
+/// The maximum number of datagrams that carry a rumour.
 const MAX_SENDS: u32 = 12;
 
-/// Which count a rumour is about.
+/// The count that a rumour is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CountKey {
     source: Life,
@@ -24,9 +25,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Rumour {
-    /// How many datagrams it still goes into.
+    /// The number of datagrams that the rumour is still put into.
     sends_left: u32,
-    /// How much the count has changed since the rumour began, in thousandths of a unit.
+    /// The change of the count since the rumour began, in thousandths of a unit.
     amount: u64,
 }
 
@@ -37,7 +38,7 @@
 }
 
 impl Rumours {
-    /// Adds a change of a count, or begins its rumour again.
+    /// Adds a change of a count and resets the sends left of its rumour.
     fn add(&mut self, key: CountKey, amount: u64, nodes: usize) {
         if self.by_count.len() >= MAX_RUMOURS && !self.by_count.contains_key(&key) {
             return;
@@ -51,27 +52,27 @@
         rumour.amount = rumour.amount.saturating_add(amount);
     }
 
-    /// All rumours, the largest change first.
+    /// Returns all rumours, the largest change first.
     pub(super) fn by_amount(&self) -> Vec<CountKey> {
         let mut rumours: Vec<_> = self.by_count.iter().collect();
         rumours.sort_by_key(|(key, rumour)| (Reverse(rumour.amount), **key));
         rumours.into_iter().map(|(key, _)| *key).collect()
     }
 
-    fn mark_sent(&mut self, key: &CountKey) {
+    fn record_send(&mut self, key: &CountKey) {
         if let Some(rumour) = self.by_count.get_mut(key) {
             rumour.sends_left = rumour.sends_left.saturating_sub(1);
         }
     }
 
-    /// Drops the rumours that were sent often enough.
+    /// Drops the rumours without sends left.
     pub(super) fn drop_finished(&mut self) {
         self.by_count.retain(|_, rumour| rumour.sends_left > 0);
     }
 }
 
 impl Node {
-    /// Notes a change of a count, in thousandths of a unit, for the next gossip rounds.
+    /// Adds a change of a count, in thousandths of a unit, to the next gossip rounds.
     pub(super) fn add_rumour(
         &mut self,
         source: Life,
@@ -102,7 +103,7 @@
             .get_versioned(key.epoch, key.customer)
     }
 
-    /// Fills what is left of a datagram with rumours, one section for each incarnation.
+    /// Fills the rest of a datagram with rumours, one section per incarnation.
     pub(super) fn write_rumours(&mut self, writer: &mut Writer, rumours: &[CountKey]) {
         let mut by_source: BTreeMap<Life, Vec<VersionedCount>> = BTreeMap::new();
         let mut remaining = writer.remaining();
@@ -112,14 +113,14 @@
             };
             let mut bytes = count_bytes(&versioned);
             if !by_source.contains_key(&key.source) {
-                bytes += USUAL_COUNTS_HEAD_BYTES;
+                bytes += TYPICAL_COUNTS_HEADER_BYTES;
             }
             if bytes > remaining {
                 break;
             }
             remaining -= bytes;
             by_source.entry(key.source).or_default().push(versioned);
-            self.rumours.mark_sent(key);
+            self.rumours.record_send(key);
         }
         for (source, counts) in by_source {
             let delta = Delta {
--- a/crates/shared-counts/src/node/usage_updates.rs
+++ b/crates/shared-counts/src/node/usage_updates.rs
@@ -1,11 +1,11 @@
-//! Usage at other nodes as it is passed to the policy, and how stale it may be.
+//! Usage at other nodes as it is passed to the policy, and its staleness.
 
 use super::Node;
 use crate::members::MemberState;
 use crate::{Customer, UsageUpdate};
 use maplefall_policy::Millis;
 
-/// How long the staleness of all counts is used before it is computed again.
+/// How long a computed staleness is reused.
 const FRESHNESS_TTL: Millis = 20.0;
 
 /// The staleness of the counts of all nodes that are alive.
@@ -14,26 +14,28 @@
     computed_at: Millis,
     /// All counts are complete up to this time.
     as_of: Millis,
-    /// How many nodes are alive, this one included.
+    /// The number of nodes that are alive, this one included.
     nodes: usize,
 }
 
 impl Node {
-    /// Usage of a customer at other nodes that no earlier fact has reported; `None` if there never was any.
+    /// Returns the usage of a customer at other nodes since the last update; `None` if none was
+    /// ever received.
     pub fn usage_update(&mut self, now: Millis, customer: Customer) -> Option<UsageUpdate> {
         let (as_of, _) = self.freshness(now);
         let untracked = self.max_untracked_units();
         self.remote_usage.report(now, customer, as_of, untracked)
     }
 
-    /// The next customer with unreported usage at other nodes, and the usage.
+    /// Returns the next customer with unreported usage at other nodes, and its update.
     pub fn poll_usage_update(&mut self, now: Millis) -> Option<(Customer, UsageUpdate)> {
         let customer = self.remote_usage.next_unreported()?;
         self.usage_update(now, customer)
             .map(|update| (customer, update))
     }
 
-    /// The time up to which the counts of all nodes that are alive are complete here, and how many nodes are alive, this one included.
+    /// Returns the time up to which the counts of all nodes that are alive are complete here, and
+    /// the number of nodes that are alive, this one included.
     pub fn freshness(&mut self, now: Millis) -> (Millis, usize) {
         if let Some(known) = &self.freshness {
             if now - known.computed_at < FRESHNESS_TTL {
@@ -57,7 +59,8 @@
         (freshness.as_of, freshness.nodes)
     }
 
-    /// Units that one customer may have used elsewhere without a count of its own, if all nodes are as full as this one.
+    /// Returns the most units that one customer may have used at other nodes without a count of its
+    /// own, assuming that their tables are as full as this one's.
     pub(super) fn max_untracked_units(&self) -> f64 {
         self.admission.max_untracked() as f64 / 1000.0 * self.peers.len() as f64
     }
--- a/crates/shared-counts/src/remote_usage.rs
+++ b/crates/shared-counts/src/remote_usage.rs
@@ -1,38 +1,40 @@
-//! Usage at other nodes, on its way to the policy.
+//! Usage at other nodes, to be passed to the policy.
 //!
-//! A fact says how much more was used since the last one, how old that is, and how much may have been used since. Usage is reported as
-//! soon as it is received: a token bucket that refills all the time must lose units when they were used, not all at once when the
-//! customer's next request comes.
+//! An update contains the usage since the last one, its age, and the usage that may have happened
+//! since. Usage is reported as soon as it is received: a token bucket that refills continuously
+//! must lose units when they are used, not all at once at the customer's next request.
 
 use crate::Customer;
 use maplefall_policy::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What other nodes, and earlier incarnations of this one, have let a customer use.
+/// Usage that other nodes, and earlier incarnations of this one, have admitted for a customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageUpdate {
-    /// Units used elsewhere that no earlier fact has reported; negative if more was returned than used.
+    /// Units used elsewhere that no earlier update has reported; negative if more was returned than
+    /// used.
     pub units: f64,
-    /// All usage elsewhere until then is reported, but for `error`.
+    /// All usage elsewhere up to this time is reported, but for `error`.
     pub as_of: Millis,
-    /// The most units that may have been used elsewhere by now and are not reported, if customers go on at their recent rate.
+    /// The most unreported units that may have been used elsewhere by now, assuming that the recent
+    /// rate continues.
     pub error: f64,
 }
 
-/// The time constant of the rate of usage elsewhere.
+/// The time constant of the moving average of the usage rate.
 const RATE_TIME_CONSTANT: Millis = 2000.0;
 
 /// The usage of one customer at other nodes.
 #[derive(Clone, Copy, Debug)]
 struct Usage {
-    /// Thousandths of a unit that no fact has reported yet.
+    /// Usage that no update has reported yet, in thousandths of a unit.
     unreported: i64,
     /// The recent rate, in thousandths of a unit per second, decayed as of `updated_at`.
     rate: f64,
     updated_at: Millis,
 }
 
-/// The usage of all customers at other nodes. It has no more customers than the node has counts.
+/// The usage of all customers at other nodes, for at most as many customers as the node has counts.
 #[derive(Clone, Debug, Default)]
 pub struct RemoteUsage {
     customers: BTreeMap<Customer, Usage>,
@@ -58,13 +60,13 @@
         self.unreported.insert(customer);
     }
 
-    /// A customer with unreported usage.
+    /// Returns a customer with unreported usage.
     pub fn next_unreported(&self) -> Option<Customer> {
         self.unreported.first().copied()
     }
 
-    /// Reports the usage of a customer; `None` if there never was any. `untracked` is how many units may be used elsewhere without a
-    /// count of the customer.
+    /// Reports the usage of a customer; `None` if none was ever received. `untracked` is the number
+    /// of units that may be used elsewhere without a count of the customer.
     pub fn report(
         &mut self,
         now: Millis,
@@ -83,7 +85,7 @@
         })
     }
 
-    /// Forgets customers without usage for this long.
+    /// Forgets customers whose last usage is older than the timeout.
     pub fn forget(&mut self, now: Millis, timeout: Millis) {
         self.customers
             .retain(|_, usage| now - usage.updated_at < timeout);
@@ -92,18 +94,18 @@
             .retain(|customer| customers.contains_key(customer));
     }
 
-    /// How many customers there are.
+    /// Returns the number of customers.
     pub fn len(&self) -> usize {
         self.customers.len()
     }
 
-    /// Whether there is no customer.
+    /// Returns whether there are no customers.
     pub fn is_empty(&self) -> bool {
         self.customers.is_empty()
     }
 }
 
-/// The part of a rate that is left after this time.
+/// Returns the fraction of a rate that is left after this time.
 fn decay(elapsed: Millis) -> f64 {
     (-elapsed.max(0.0) / RATE_TIME_CONSTANT).exp()
 }
--- a/crates/shared-counts/src/replay_window.rs
+++ b/crates/shared-counts/src/replay_window.rs
@@ -1,9 +1,9 @@
-//! Recognises datagrams that were received before, by their numbers (a window as in RFC 4303, appendix A2).
+//! Detects replayed datagrams by their numbers (a sliding window as in RFC 4303, appendix A2).
 
-/// How many numbers before the highest are remembered; older ones count as received.
+/// The size of the window below the highest number; older numbers are rejected as received.
 const WINDOW: u64 = 64;
 
-/// The numbers of a sender's datagrams that were received.
+/// The datagram numbers received from one sender.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReplayWindow {
     highest: u64,
@@ -12,7 +12,7 @@
 }
 
 impl ReplayWindow {
-    /// Whether a number is new. It is not new from then on.
+    /// Returns whether a number is new, and records it.
     pub(crate) fn accept(&mut self, number: u64) -> bool {
         if number > self.highest {
             let shift = number - self.highest;
--- a/crates/shared-counts/src/replica.rs
+++ b/crates/shared-counts/src/replica.rs
@@ -1,8 +1,10 @@
-//! The counts of one incarnation of a node, as far as they are known here, and the deltas that bring them to others.
+//! The local copy of the counts of one incarnation of a node, and the deltas that bring it to other
+//! nodes.
 //!
-//! Invariant: each change at the node gives its count the next version, and a replica has all versions up to
-//! [`Replica::complete_version`] and possibly some later ones. So one number says what a replica lacks, and a delta in the order of
-//! versions can be cut anywhere (Scuttlebutt: van Renesse et al., "Efficient Reconciliation and Flow Control for Anti-Entropy
+//! Invariant: each change at the source gives its count the next version, and a replica has all
+//! versions up to [`Replica::complete_version`] and possibly some later ones. One number therefore
+//! states what a replica is missing, and a delta in the order of versions can be truncated anywhere
+//! (Scuttlebutt: van Renesse et al., "Efficient Reconciliation and Flow Control for Anti-Entropy
 //! Protocols", 2008).
 
 use crate::{Count, Customer, Epoch};
@@ -11,9 +13,9 @@
 /// A count with the version of its last change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionedCount {
-    /// The version: the number of the change at its node.
+    /// The version: the number of the change at the source.
     pub version: u64,
-    /// The epoch of its node.
+    /// The epoch of the source.
     pub epoch: Epoch,
     /// The customer.
     pub customer: Customer,
@@ -21,58 +23,58 @@
     pub count: Count,
 }
 
-/// How much a count has grown by a join, in thousandths of a unit.
+/// The increase of a count by a join, in thousandths of a unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Increase {
-    /// More taken.
+    /// Increase of the units taken.
     pub taken: u64,
-    /// More returned.
+    /// Increase of the units returned.
     pub returned: u64,
 }
 
-/// Some counts of one incarnation, in the order of their versions.
+/// Counts of one incarnation, in the order of their versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// It has every count whose version is after this ...
+    /// The delta contains every count with a version after this one ...
     pub after: u64,
-    /// ... up to this. Both are 0 if it has only some counts.
+    /// ... up to this one. Both are 0 if the delta contains only some counts, as rumours do.
     pub up_to: u64,
     /// The counts.
     pub counts: Vec<VersionedCount>,
 }
 
-/// The counts of one incarnation of a node, as known here.
+/// The local copy of the counts of one incarnation of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     counts: BTreeMap<(Epoch, Customer), (u64, Count)>,
     by_version: BTreeMap<u64, (Epoch, Customer)>,
     complete_version: u64,
-    /// Earlier epochs have expired.
+    /// The first epoch that has not expired.
     first_epoch: Epoch,
 }
 
 impl Replica {
-    /// The version up to which all changes are known, but for those of expired epochs.
+    /// Returns the version up to which all changes are known, but for those of expired epochs.
     pub fn complete_version(&self) -> u64 {
         self.complete_version
     }
 
-    /// How many counts there are.
+    /// Returns the number of counts.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Whether there is no count.
+    /// Returns whether there are no counts.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// The count of a customer in an epoch.
+    /// Returns the count of a customer in an epoch.
     pub fn get(&self, epoch: Epoch, customer: Customer) -> Option<Count> {
         self.counts.get(&(epoch, customer)).map(|(_, count)| *count)
     }
 
-    /// The count of a customer in an epoch, with its version.
+    /// Returns the count of a customer in an epoch, with its version.
     pub fn get_versioned(&self, epoch: Epoch, customer: Customer) -> Option<VersionedCount> {
         let (version, count) = *self.counts.get(&(epoch, customer))?;
         Some(VersionedCount {
@@ -83,14 +85,14 @@
         })
     }
 
-    /// All counts, by epoch and customer.
+    /// Returns all counts, by epoch and customer.
     pub fn counts(&self) -> impl Iterator<Item = (Epoch, Customer, Count)> + '_ {
         self.counts
             .iter()
             .map(|((epoch, customer), (_, count))| (*epoch, *customer, *count))
     }
 
-    /// What a customer has used in all epochs that are kept, in thousandths of a unit.
+    /// Returns the usage of a customer in all kept epochs, in thousandths of a unit.
     pub fn total(&self, customer: Customer) -> i64 {
         self.epochs()
             .iter()
@@ -99,7 +101,8 @@
             .sum()
     }
 
-    /// The epochs with counts. There are few, so the map is searched for each instead of iterated.
+    /// Returns the epochs with counts. There are few of them, so the map is searched for each
+    /// instead of iterated.
     fn epochs(&self) -> Vec<Epoch> {
         let mut epochs = Vec::new();
         let mut from = 0;
@@ -113,7 +116,8 @@
         epochs
     }
 
-    /// Counts a change at the node itself, in thousandths of a unit. Returns `None` if the count is at its largest value.
+    /// Records a change at the source itself, in thousandths of a unit. Returns `None` if the count
+    /// is saturated.
     pub fn change(
         &mut self,
         epoch: Epoch,
@@ -141,10 +145,11 @@
         })
     }
 
-    /// Joins a count that was received. Returns its increase, or `None` if it is not newer than what is known.
+    /// Joins a received count. Returns its increase, or `None` if it is not newer than the known
+    /// one.
     ///
     /// # Errors
-    /// [`CapacityReached`] if the count is new here and `has_capacity` is false.
+    /// [`CapacityReached`] if the count is unknown here and `has_capacity` is false.
     pub fn join(
         &mut self,
         received: &VersionedCount,
@@ -174,15 +179,16 @@
         }))
     }
 
-    /// Notes that a delta after one version and up to another was joined in full. It proves nothing if changes before it may be
-    /// missing.
+    /// Records that a delta from one version to another was joined in full. The complete version
+    /// does not rise if the delta begins after it, since changes in between may be missing.
     pub fn complete_up_to(&mut self, after: u64, up_to: u64) {
         if after <= self.complete_version {
             self.complete_version = self.complete_version.max(up_to);
         }
     }
 
-    /// What a replica lacks that is complete up to `after`, as long as `fits` accepts counts.
+    /// Returns the counts that a replica complete up to `after` is missing, as long as `fits`
+    /// accepts them.
     pub fn delta(&self, after: u64, mut fits: impl FnMut(&VersionedCount) -> bool) -> Delta {
         let mut delta = Delta {
             after,
@@ -213,7 +219,7 @@
         delta
     }
 
-    /// Drops all epochs before this one, and returns how many counts were dropped.
+    /// Drops all epochs before this one; returns how many counts were dropped.
     pub fn expire_before(&mut self, first_epoch: Epoch) -> usize {
         self.first_epoch = self.first_epoch.max(first_epoch);
         let kept = self.counts.split_off(&(self.first_epoch, 0));
@@ -225,6 +231,6 @@
     }
 }
 
-/// A count was received that is new here, and there are as many counts as there may be.
+/// The received count is unknown here, and the maximum number of counts is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityReached;
--- a/crates/shared-counts/src/settings.rs
+++ b/crates/shared-counts/src/settings.rs
@@ -1,8 +1,9 @@
-//! What an operator may set of shared counts, and its validation.
+//! Operator settings of shared counts, and their validation.
 
 use maplefall_policy::Millis;
 
-/// How counts are shared. The defaults are those of [`Settings::usual`]; [`Settings::mistakes`] validates.
+/// How counts are shared. [`Settings::usual`] returns the defaults; [`Settings::mistakes`]
+/// validates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The cluster's name: datagrams of other clusters are rejected.
@@ -11,49 +12,51 @@
     pub key: Vec<u8>,
     /// The mean time between two gossip rounds, 200 ms by default.
     pub interval: Millis,
-    /// How many peers are sent to in each round, 3 by default.
+    /// The number of peers contacted per round, 3 by default.
     pub fan_out: usize,
     /// The length of an epoch, 5 s by default.
     pub epoch: Millis,
-    /// How many epochs are kept, the current one included, 4 by default.
+    /// The number of epochs kept, the current one included, 4 by default.
     pub epochs_kept: u32,
-    /// The most bytes of a datagram that is sent, 1200 by default.
+    /// The maximum size of a datagram that is sent, in bytes, 1200 by default.
     pub datagram_bytes: usize,
-    /// The most datagrams that are received per second, and sent per second, 2000 by default.
+    /// The maximum number of datagrams per second, for receiving and sending each, 2000 by default.
     pub max_datagrams_per_second: f64,
-    /// The most nodes, this one included, 512 by default.
+    /// The maximum number of nodes, this one included, 512 by default.
     pub max_members: usize,
-    /// The most customers with a count of their own in an epoch of this node, 1024 by default.
+    /// The maximum number of customers with a count of their own per epoch of this node, 1024 by
+    /// default.
     pub max_tracked_customers: usize,
-    /// The most counts, over all nodes and epochs, 65,536 by default.
+    /// The maximum number of counts, over all nodes and epochs, 65,536 by default.
     pub max_counts: usize,
-    /// The suspicion level (phi) from which on a silent node is suspected, 8 by default.
+    /// The suspicion level (phi) above which a silent node is suspected, 8 by default.
     pub suspect_phi: f64,
-    /// How long a node is suspected before it is gone, 10 s by default.
+    /// How long a node is suspected before it counts as gone, 10 s by default.
     pub gone_after: Millis,
-    /// How long a node that is gone is remembered and sent to now and then, 10 minutes by default.
+    /// How long a node that is gone is remembered and occasionally contacted, 10 minutes by
+    /// default.
     pub forget_after: Millis,
 }
 
-/// A value that is not allowed.
+/// A setting outside its allowed values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
     /// The field in the settings file.
     pub field: &'static str,
-    /// What is allowed there.
+    /// The allowed values.
     pub expected: String,
 }
 
-/// Bytes of a datagram per entry of its digest, the other sections included.
+/// Bytes of a datagram per digest entry, with the other sections' bytes included.
 const BYTES_PER_DIGEST_ENTRY: f64 = 44.0;
 
-/// The longest name of a cluster.
+/// The maximum length of a cluster's name.
 const MAX_CLUSTER_NAME_BYTES: usize = 64;
-/// The lengths of a key.
+/// The allowed lengths of a key.
 const KEY_BYTES: std::ops::RangeInclusive<usize> = 16..=64;
 
 impl Settings {
-    /// The defaults, for a cluster and a key.
+    /// Returns the defaults, for a cluster and a key.
     pub fn usual(cluster: &str, key: Vec<u8>) -> Settings {
         Settings {
             cluster: cluster.to_owned(),
@@ -73,14 +76,15 @@
         }
     }
 
-    /// How long a count is kept at least after its last change.
+    /// Returns the minimum time for which a count is kept after its last change.
     pub fn retention(&self) -> Millis {
         self.epoch * f64::from(self.epochs_kept.saturating_sub(1))
     }
 
-    /// The bound on the staleness of counts, in milliseconds, while all of so many nodes run, this part of the datagrams is lost and
-    /// none takes longer than `delay`: four times the rounds in which a rumour reaches all nodes, and the rounds in which digests
-    /// have named all nodes once.
+    /// Returns the upper bound of the staleness of counts, in milliseconds, while all `nodes` run,
+    /// the fraction `loss` of datagrams is lost and none takes longer than `delay`: four times the
+    /// rounds in which a rumour reaches all nodes plus those in which digests have named all nodes
+    /// once.
     pub fn max_staleness(&self, nodes: usize, loss: f64, delay: Millis) -> Millis {
         let (nodes, delivered) = (nodes.max(2) as f64, (1.0 - loss).clamp(0.01, 1.0));
         let entries = self.datagram_bytes as f64 / BYTES_PER_DIGEST_ENTRY;
@@ -88,7 +92,7 @@
         4.0 * self.interval * rounds / delivered + 2.0 * delay * nodes.log2()
     }
 
-    /// All values that are not allowed.
+    /// Returns all settings outside their allowed values.
     pub fn mistakes(&self) -> Vec<Mistake> {
         let mut found = Vec::new();
         let mut check_range = |field, value: f64, min: f64, max: f64| {
--- a/crates/shared-counts/src/status.rs
+++ b/crates/shared-counts/src/status.rs
@@ -1,4 +1,5 @@
-//! What operators are shown of shared counts (`maplefall counts`). The JSON field names and the text are read by their tools.
+//! The status of shared counts for operators (`maplefall counts`). Operators' tools read the JSON
+//! field names and the text.
 
 use crate::members::MemberState;
 use crate::wire::RejectReason;
@@ -6,62 +7,64 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// A node as another one sees it.
+/// The status of a member as this node judges it.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// The address that it listens on.
+    /// The address that the node listens on.
     pub address: SocketAddr,
-    /// What is thought of it.
+    /// The state by the failure detector.
     pub state: MemberState,
-    /// The number of its current incarnation.
+    /// The number of the current incarnation.
     pub incarnation: u64,
-    /// How many earlier incarnations of it are kept.
+    /// The number of earlier incarnations kept.
     pub former: usize,
-    /// The age of its last heartbeat, in milliseconds.
+    /// The age of the last heartbeat, in milliseconds.
     #[serde(rename = "news_ms")]
     pub heartbeat_age_ms: f64,
-    /// How long ago its counts were complete here, in milliseconds; none if they never were.
+    /// The time since the counts of the node were last complete here, in milliseconds; `None` if
+    /// they never were.
     #[serde(rename = "complete_ms")]
     pub staleness_ms: Option<f64>,
-    /// How many counts of it there are.
+    /// The number of counts of the node.
     pub counts: usize,
 }
 
-/// What a customer has used, over all nodes and the epochs that are kept.
+/// The usage of a customer over all nodes and kept epochs.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct CustomerStatus {
     /// The customer.
     pub customer: u64,
-    /// Its plan, by the number in the settings.
+    /// The customer's plan, by its number in the settings.
     pub plan: u16,
-    /// Units.
+    /// Units used.
     pub units: f64,
 }
 
 /// The status of a node.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// The number of its current incarnation.
+    /// The number of the current incarnation.
     pub incarnation: u64,
-    /// How many nodes are alive, this one included.
+    /// The number of nodes that are alive, this one included.
     #[serde(rename = "doors")]
     pub nodes: usize,
     /// The other nodes.
     pub members: Vec<MemberStatus>,
-    /// The customers that have used most.
+    /// The customers with the largest usage.
     pub customers: Vec<CustomerStatus>,
-    /// Units of all customers without a count of their own.
+    /// Units used by all customers without a count of their own.
     pub tail_units: f64,
-    /// How many counts there are.
+    /// The number of counts.
     pub counts: usize,
     /// The staleness of the counts of the nodes that are alive, in milliseconds.
     #[serde(rename = "behind_ms")]
     pub staleness_ms: f64,
-    /// Units that one customer may have used elsewhere without a count of its own, if all nodes are as full as this one.
+    /// The most units that one customer may have used at other nodes without a count of its own,
+    /// assuming that their tables are as full as this one's.
     #[serde(rename = "untold_units")]
     pub untracked_units: f64,
     /// Datagrams received since the start.
@@ -75,7 +78,8 @@
     /// Datagrams that were not sent because of the rate limit or a full queue.
     #[serde(rename = "held_back")]
     pub unsent: u64,
-    /// How often this node took a new incarnation number because another process had its name.
+    /// How often this node took a new incarnation number because another process had its name or
+    /// the date went back.
     #[serde(rename = "renamed")]
     pub renumbered: u64,
     /// Rejected datagrams and parts of them, by reason.
@@ -84,13 +88,13 @@
 }
 
 impl Status {
-    /// One line of JSON.
+    /// Returns the status as one line of JSON.
     pub fn json(&self) -> String {
-        // No field can fail to be written.
+        // Serialising these field types cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Text for a terminal.
+    /// Returns the status as text for a terminal.
     pub fn plain(&self) -> String {
         plain_status(self)
     }
--- a/crates/shared-counts/src/wire/mod.rs
+++ b/crates/shared-counts/src/wire/mod.rs
@@ -1,7 +1,9 @@
-//! Datagrams between nodes: format, bounds and authenticator. The format is specified in `docs/shared-counts-wire.md`.
+//! Datagrams between nodes: format, limits and authenticator. The format is specified in
+//! `docs/shared-counts-wire.md`.
 //!
-//! Invariant: a datagram that cannot be read in full is rejected with a reason and nothing of it is applied. No list is longer than
-//! its bytes, so no more is allocated than a small multiple of a datagram.
+//! Invariant: a datagram that cannot be parsed in full is rejected with a reason and nothing of it
+//! is applied. No list has more items than bytes, so a datagram allocates at most a small multiple
+//! of its size.
 
 mod reader;
 mod seal;
@@ -16,30 +18,32 @@
 use crate::Life;
 use std::net::SocketAddr;
 
-/// The most bytes of a datagram.
+/// The maximum size of a datagram in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The most bytes of a node's name.
+/// The maximum length of a node's name in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The version of the protocol.
+/// The protocol version.
 pub const VERSION: u8 = 1;
-/// The bytes before the sections.
-pub const HEAD_BYTES: usize = 4 + 1 + 1 + 8 * 6;
-/// The bytes of a digest entry for estimates: the node, incarnation, uptime, version, age and known version at their usual sizes.
-pub const USUAL_DIGEST_ENTRY_BYTES: usize = 8 + 7 + 5 + 5 + 4 + 5;
-/// The bytes of a counts section before its counts, at their usual sizes: kind, length, node, incarnation, two versions.
-pub const USUAL_COUNTS_HEAD_BYTES: usize = SECTION_HEAD_BYTES + 8 + 7 + 7 + 7;
+/// The size of the header in bytes.
+pub const HEADER_BYTES: usize = 4 + 1 + 1 + 8 * 6;
+/// The estimated size of a digest entry in bytes: node, incarnation, uptime, version, age and known
+/// version at their typical lengths.
+pub const TYPICAL_DIGEST_ENTRY_BYTES: usize = 8 + 7 + 5 + 5 + 4 + 5;
+/// The estimated size of a counts section before its counts, in bytes: kind, length, node,
+/// incarnation and two versions at their typical lengths.
+pub const TYPICAL_COUNTS_HEADER_BYTES: usize = SECTION_HEADER_BYTES + 8 + 7 + 7 + 7;
 
 const MAGIC: [u8; 4] = *b"MFSC";
-/// The kind and the length of a section.
-const SECTION_HEAD_BYTES: usize = 1 + 2;
-/// The bytes of the authenticator: HMAC-SHA-256 truncated to half (RFC 2104, section 5).
+/// The size of a section's kind and length in bytes.
+const SECTION_HEADER_BYTES: usize = 1 + 2;
+/// The size of the authenticator in bytes: HMAC-SHA-256 truncated to half (RFC 2104, section 5).
 const TAG_BYTES: usize = 16;
-/// Marks an IPv4 address.
+/// The tag of an IPv4 address.
 const IPV4: u8 = 4;
-/// Marks an IPv6 address.
+/// The tag of an IPv6 address.
 const IPV6: u8 = 6;
 
-/// The kinds of sections.
+/// The codes of the section kinds.
 mod section_kind {
     pub(super) const MEMBERS: u8 = 1;
     pub(super) const DIGEST: u8 = 2;
@@ -49,14 +53,14 @@
     pub(super) const STATUS_PART: u8 = 6;
 }
 
-/// What a datagram is for.
+/// The purpose of a datagram. `maplefall counts dump` prints the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Gives the sender's nonce and asks for the receiver's.
+    /// Carries the sender's nonce and requests the receiver's.
     Hello,
-    /// Gossip: sections.
+    /// Carries gossip sections.
     Gossip,
-    /// An operator's request for a part of the status.
+    /// Requests a part of the status for an operator.
     Ask,
     /// The response to [`Kind::Ask`].
     Told,
@@ -79,86 +83,89 @@
     }
 }
 
-/// The header of a datagram.
+/// The header of a datagram. `maplefall counts dump` prints the names of the type and its fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// What the datagram is for.
+    /// The purpose of the datagram.
     pub kind: Kind,
     /// The sender.
     pub from: Life,
-    /// Its number among all datagrams of the sender, from 1.
+    /// The number of the datagram among all of the sender's, from 1.
     pub number: u64,
-    /// What the sender wants to see as `echo` in what it is sent.
+    /// The value that the sender expects as `echo` in datagrams to it.
     pub nonce: u64,
-    /// The receiver's nonce as the sender last received it; 0 if never.
+    /// The receiver's nonce as last received by the sender; 0 if never.
     pub echo: u64,
 }
 
-/// The name and address of a node, with a heartbeat.
+/// A member entry: the name and address of a node, with a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberInfo {
-    /// The last heartbeat of its current incarnation.
+    /// The last heartbeat of the node's current incarnation.
     pub heartbeat: Heartbeat,
-    /// The address that it listens on.
+    /// The address that the node listens on.
     pub address: SocketAddr,
-    /// Its name.
+    /// The node's name.
     pub name: String,
 }
 
-/// An entry of a digest: an incarnation's heartbeat, and the version up to which its counts are known.
+/// An entry of a digest: an incarnation's heartbeat, and the version up to which its counts are
+/// known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DigestEntry {
     /// The heartbeat.
     pub heartbeat: Heartbeat,
-    /// The version up to which the sender has all its counts.
+    /// The version up to which the sender has all counts of the incarnation.
     pub known_version: u64,
 }
 
 /// A section of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Section {
-    /// Nodes that take part.
+    /// Members of the cluster.
     Members(Vec<MemberInfo>),
-    /// What the sender knows. The receiver sends what is missing there and requests what is missing here.
+    /// Versions that the sender has. The receiver sends counts that the sender is missing and
+    /// requests those that it is missing itself.
     Digest(Vec<DigestEntry>),
-    /// What the sender is missing; the response has only counts.
+    /// A request for counts that the sender is missing; the reply contains only counts and members.
     Want(Vec<DigestEntry>),
     /// Counts of one incarnation.
     Counts(Life, Delta),
-    /// The number of parts of the status, and the text of one.
+    /// The number of parts of the status, and the text of one part.
     StatusText(u32, Vec<u8>),
-    /// The number of the requested part of the status.
+    /// The index of the requested part of the status.
     StatusPart(u32),
 }
 
-/// Why a datagram, or a part of it, is rejected. Operators see the variants' names.
+/// The reason for rejecting a datagram or a part of it. The variants' names are part of the status.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RejectReason {
-    /// It is longer than [`MAX_DATAGRAM_BYTES`].
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// It is truncated, or there are bytes after its end.
+    /// The datagram is truncated, or bytes follow its end.
     Cut,
-    /// It is not of this protocol.
+    /// The datagram is not of this protocol.
     Foreign,
-    /// It is of another version of the protocol.
+    /// The datagram is of another version of the protocol.
     OtherVersion,
-    /// It is of another cluster.
+    /// The datagram is of another cluster.
     OtherCluster,
-    /// Its authenticator is wrong.
+    /// The authenticator is wrong.
     Forged,
-    /// It was received before, or its sender's incarnation is outdated.
+    /// The datagram was received before, or its sender's incarnation is outdated.
     Repeated,
-    /// Its sender does not know the nonce of this process.
+    /// The sender does not echo the nonce of this process.
     Unproven,
-    /// It has a value that is not possible.
+    /// A value is malformed or out of range.
     Absurd,
     /// The rate limit is reached.
     TooMany,
-    /// Its sender is unknown and cannot be added: there are as many nodes as there may be, or it is gone.
+    /// The sender is unknown and cannot be added: the maximum number of nodes is reached, or the
+    /// sender is gone.
     NoMember,
-    /// There are as many counts as there may be.
+    /// The maximum number of counts is reached.
     NoRoom,
 }
--- a/crates/shared-counts/src/wire/reader.rs
+++ b/crates/shared-counts/src/wire/reader.rs
@@ -1,7 +1,7 @@
-//! Reads datagrams.
+//! Parsing of datagrams.
 
 use super::{
-    section_kind, DigestEntry, Head, Kind, MemberInfo, RejectReason, Seal, Section, HEAD_BYTES,
+    section_kind, DigestEntry, Head, Kind, MemberInfo, RejectReason, Seal, Section, HEADER_BYTES,
     IPV4, IPV6, MAGIC, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, TAG_BYTES, VERSION,
 };
 use crate::count::MAX_MILLI_UNITS;
@@ -10,14 +10,14 @@
 use crate::{Count, DoorId, Life};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// The longest LEB128 encoding of 64 bits.
+/// The maximum length of a LEB128 encoding of 64 bits.
 const MAX_VARINT_BYTES: u32 = 10;
 
-/// Reads a datagram: its header and its sections. The authenticator is verified before anything but the protocol, the version and the
-/// cluster.
+/// Parses the header and the sections of a datagram. Only the protocol, the version and the cluster
+/// are checked before the authenticator is verified.
 ///
 /// # Errors
-/// Why the datagram is rejected.
+/// The reason for rejecting the datagram.
 pub fn read(seal: &Seal, bytes: &[u8]) -> Result<(Head, Vec<Section>), RejectReason> {
     check_protocol(bytes)?;
     let (body, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
@@ -26,7 +26,7 @@
         position: MAGIC.len() + 1,
     };
     let kind = reader.byte()?;
-    if reader.word()? != seal.cluster {
+    if reader.read_u64()? != seal.cluster {
         return Err(RejectReason::OtherCluster);
     }
     if !seal.verify(body, tag) {
@@ -52,10 +52,11 @@
     match bytes.get(MAGIC.len()) {
         None => return Err(RejectReason::Cut),
         Some(&VERSION) => {}
-        // Later versions keep the first six bytes, the cluster and the position of the authenticator.
+        // Later versions keep the first six bytes, the cluster and the position of the
+        // authenticator.
         Some(_) => return Err(RejectReason::OtherVersion),
     }
-    if bytes.len() < HEAD_BYTES + TAG_BYTES {
+    if bytes.len() < HEADER_BYTES + TAG_BYTES {
         return Err(RejectReason::Cut);
     }
     Ok(())
@@ -91,17 +92,17 @@
         Ok(self.take(1)?[0])
     }
 
-    /// 16 bits, the highest byte first.
-    fn short(&mut self) -> Result<u16, RejectReason> {
+    /// Reads 16 bits in big-endian order.
+    fn read_u16(&mut self) -> Result<u16, RejectReason> {
         Ok(u16::from_be_bytes(self.array()?))
     }
 
-    /// 64 bits, the highest byte first.
-    fn word(&mut self) -> Result<u64, RejectReason> {
+    /// Reads 64 bits in big-endian order.
+    fn read_u64(&mut self) -> Result<u64, RejectReason> {
         Ok(u64::from_be_bytes(self.array()?))
     }
 
-    /// A LEB128 number of 64 bits.
+    /// Reads a LEB128 number of at most 64 bits.
     fn varint(&mut self) -> Result<u64, RejectReason> {
         let mut number = 0u64;
         for index in 0..MAX_VARINT_BYTES {
@@ -118,12 +119,12 @@
         Err(RejectReason::Absurd)
     }
 
-    /// A LEB128 number of 32 bits.
+    /// Reads a LEB128 number of at most 32 bits.
     fn varint32(&mut self) -> Result<u32, RejectReason> {
         u32::try_from(self.varint()?).map_err(|_| RejectReason::Absurd)
     }
 
-    /// Reads items up to the end.
+    /// Reads items up to the end of the body.
     fn all<T>(
         &mut self,
         mut item: impl FnMut(&mut Self) -> Result<T, RejectReason>,
@@ -135,17 +136,17 @@
         Ok(items)
     }
 
-    /// The header after the cluster.
+    /// Reads the rest of the header, after the cluster.
     fn head(&mut self, kind: u8) -> Result<Head, RejectReason> {
         Ok(Head {
             kind: Kind::from_code(kind).ok_or(RejectReason::Absurd)?,
             from: Life {
-                door: DoorId(self.word()?),
-                incarnation: self.word()?,
+                door: DoorId(self.read_u64()?),
+                incarnation: self.read_u64()?,
             },
-            number: self.word()?,
-            nonce: self.word()?,
-            echo: self.word()?,
+            number: self.read_u64()?,
+            nonce: self.read_u64()?,
+            echo: self.read_u64()?,
         })
     }
 
@@ -153,12 +154,12 @@
         let mut sections = Vec::new();
         while !self.is_empty() {
             let kind = self.byte()?;
-            let length = usize::from(self.short()?);
+            let length = usize::from(self.read_u16()?);
             let mut body = Reader {
                 bytes: self.take(length)?,
                 position: 0,
             };
-            // Unknown kinds are of a later minor version and are skipped.
+            // Sections of unknown kinds belong to a later minor version and are skipped.
             if let Some(section) = body.section(kind)? {
                 sections.push(section);
             }
@@ -166,7 +167,7 @@
         Ok(sections)
     }
 
-    /// The section of this kind; `None` if the kind is unknown.
+    /// Reads the section of this kind; `None` if the kind is unknown.
     fn section(&mut self, kind: u8) -> Result<Option<Section>, RejectReason> {
         let section = match kind {
             section_kind::MEMBERS => Section::Members(self.all(Self::member)?),
@@ -190,7 +191,7 @@
 
     fn source(&mut self) -> Result<Life, RejectReason> {
         Ok(Life {
-            door: DoorId(self.word()?),
+            door: DoorId(self.read_u64()?),
             incarnation: self.varint()?,
         })
     }
@@ -214,12 +215,12 @@
     fn member(&mut self) -> Result<MemberInfo, RejectReason> {
         let heartbeat = self.heartbeat()?;
         let ip = self.ip_address()?;
-        let port = self.short()?;
+        let port = self.read_u16()?;
         let length = usize::from(self.byte()?);
         let name = std::str::from_utf8(self.take(length)?).map_err(|_| RejectReason::Absurd)?;
         let is_valid =
             (1..=MAX_NAME_BYTES).contains(&length) && name.chars().all(|c| c.is_ascii_graphic());
-        // The id is a hash of the name, so no node can take another's id under a name of its own.
+        // The id is a hash of the name, so a node cannot use another's id under a name of its own.
         if !is_valid || DoorId::of(name) != heartbeat.source.door {
             return Err(RejectReason::Absurd);
         }
@@ -255,7 +256,7 @@
         let versioned = VersionedCount {
             version: self.varint()?,
             epoch: self.varint32()?,
-            customer: self.word()?,
+            customer: self.read_u64()?,
             count: Count {
                 taken: self.varint()?,
                 returned: self.varint()?,
@@ -270,7 +271,8 @@
     }
 }
 
-/// Whether the versions of a delta are rising and within its bounds. A delta without bounds has counts in any order.
+/// Returns whether the versions of a delta are ascending and within its limits. A delta without
+/// limits may have its counts in any order.
 fn is_plausible(delta: &Delta) -> bool {
     if delta.up_to < delta.after {
         return false;
--- a/crates/shared-counts/src/wire/seal.rs
+++ b/crates/shared-counts/src/wire/seal.rs
@@ -13,14 +13,14 @@
 }
 
 impl std::fmt::Debug for Seal {
-    /// Without the key.
+    /// Formats the cluster id without the key.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "Seal of cluster {:016x}", self.cluster)
     }
 }
 
 impl Seal {
-    /// For the cluster with this name and key.
+    /// Creates the authenticator of the cluster with this name and key.
     pub fn new(cluster: &str, key: &[u8]) -> Seal {
         // HMAC accepts keys of any length (RFC 2104, section 2).
         let mac = Hmac::<Sha256>::new_from_slice(key)
@@ -31,13 +31,14 @@
         }
     }
 
-    /// The tag of these bytes.
+    /// Returns the authentication tag of these bytes.
     pub(super) fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
         let code = self.mac.clone().chain_update(bytes).finalize().into_bytes();
         std::array::from_fn(|index| code[index])
     }
 
-    /// Whether the tag is that of these bytes. Takes constant time, so that a tag cannot be guessed byte by byte.
+    /// Returns whether the tag is that of these bytes. Takes constant time, so that a tag cannot be
+    /// guessed byte by byte.
     pub(super) fn verify(&self, bytes: &[u8], tag: &[u8]) -> bool {
         self.mac
             .clone()
--- a/crates/shared-counts/src/wire/writer.rs
+++ b/crates/shared-counts/src/wire/writer.rs
@@ -1,30 +1,30 @@
-//! Writes datagrams.
+//! Serialisation of datagrams.
 
 use super::{
-    section_kind, DigestEntry, Head, MemberInfo, Seal, Section, HEAD_BYTES, IPV4, IPV6, MAGIC,
-    MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, SECTION_HEAD_BYTES, TAG_BYTES, VERSION,
+    section_kind, DigestEntry, Head, MemberInfo, Seal, Section, HEADER_BYTES, IPV4, IPV6, MAGIC,
+    MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, SECTION_HEADER_BYTES, TAG_BYTES, VERSION,
 };
 use crate::members::Heartbeat;
 use crate::replica::{Delta, VersionedCount};
 use crate::Life;
 use std::net::IpAddr;
 
-/// Writes one datagram, never past its bound.
+/// Writes one datagram within a maximum size.
 #[derive(Debug)]
 pub struct Writer {
     bytes: Vec<u8>,
-    /// The bound without the authenticator.
+    /// The maximum size without the authenticator.
     max_bytes: usize,
 }
 
 impl Writer {
-    /// Begins a datagram of at most this many bytes, and at most [`MAX_DATAGRAM_BYTES`].
+    /// Begins a datagram of at most `max_bytes` bytes, and at most [`MAX_DATAGRAM_BYTES`].
     pub fn new(seal: &Seal, head: &Head, max_bytes: usize) -> Writer {
         let mut bytes = Vec::with_capacity(max_bytes);
         bytes.extend_from_slice(&MAGIC);
         bytes.push(VERSION);
         bytes.push(head.kind.code());
-        let words = [
+        let fields = [
             seal.cluster,
             head.from.door.0,
             head.from.incarnation,
@@ -32,38 +32,38 @@
             head.nonce,
             head.echo,
         ];
-        for word in words {
-            bytes.extend_from_slice(&word.to_be_bytes());
+        for field in fields {
+            bytes.extend_from_slice(&field.to_be_bytes());
         }
         Writer {
             bytes,
-            max_bytes: max_bytes.clamp(HEAD_BYTES + TAG_BYTES, MAX_DATAGRAM_BYTES) - TAG_BYTES,
+            max_bytes: max_bytes.clamp(HEADER_BYTES + TAG_BYTES, MAX_DATAGRAM_BYTES) - TAG_BYTES,
         }
     }
 
-    /// How many bytes are left.
+    /// Returns the number of bytes left for sections.
     pub fn remaining(&self) -> usize {
         self.max_bytes.saturating_sub(self.bytes.len())
     }
 
-    /// Whether it has no section yet.
+    /// Returns whether there is no section yet.
     pub fn is_empty(&self) -> bool {
-        self.bytes.len() <= HEAD_BYTES
+        self.bytes.len() <= HEADER_BYTES
     }
 
     /// Adds a section. Returns `false` and changes nothing if it does not fit.
     pub fn add(&mut self, section: &Section) -> bool {
         let start = self.bytes.len();
-        self.bytes.extend_from_slice(&[0; SECTION_HEAD_BYTES]);
+        self.bytes.extend_from_slice(&[0; SECTION_HEADER_BYTES]);
         let kind = self.write_body(section);
-        let length = self.bytes.len() - start - SECTION_HEAD_BYTES;
+        let length = self.bytes.len() - start - SECTION_HEADER_BYTES;
         let fits = self.bytes.len() <= self.max_bytes;
         let (Ok(length), true) = (u16::try_from(length), fits) else {
             self.bytes.truncate(start);
             return false;
         };
         self.bytes[start] = kind;
-        self.bytes[start + 1..start + SECTION_HEAD_BYTES].copy_from_slice(&length.to_be_bytes());
+        self.bytes[start + 1..start + SECTION_HEADER_BYTES].copy_from_slice(&length.to_be_bytes());
         true
     }
 
@@ -152,7 +152,7 @@
         self.write_varint(heartbeat.age);
     }
 
-    /// LEB128: seven bits to a byte, the lowest first.
+    /// Writes a LEB128 number: seven bits per byte, the lowest first.
     fn write_varint(&mut self, mut number: u64) {
         while number >= 0x80 {
             self.bytes.push(number as u8 | 0x80);
@@ -161,13 +161,14 @@
         self.bytes.push(number as u8);
     }
 
-    /// The datagram with these bytes added after its sections, and its authenticator: for tests of readers.
+    /// Appends raw section bytes and returns the datagram with its authenticator; for tests of the
+    /// reader.
     pub fn seal_with(mut self, seal: &Seal, sections: &[u8]) -> Vec<u8> {
         self.bytes.extend_from_slice(sections);
         self.seal(seal)
     }
 
-    /// The datagram with its authenticator.
+    /// Returns the datagram with its authenticator.
     pub fn seal(mut self, seal: &Seal) -> Vec<u8> {
         let tag = seal.tag(&self.bytes);
         self.bytes.extend_from_slice(&tag);
@@ -175,12 +176,12 @@
     }
 }
 
-/// The bytes of a LEB128 number.
+/// Returns the size of a LEB128 number in bytes.
 fn varint_bytes(number: u64) -> usize {
     (64 - (number | 1).leading_zeros() as usize).div_ceil(7)
 }
 
-/// The bytes of a digest entry.
+/// Returns the size of a digest entry in bytes.
 pub fn digest_entry_bytes(entry: &DigestEntry) -> usize {
     let heartbeat = entry.heartbeat;
     let numbers = [
@@ -193,7 +194,7 @@
     8 + numbers.into_iter().map(varint_bytes).sum::<usize>()
 }
 
-/// The bytes of a count in a section.
+/// Returns the size of a count within a section in bytes.
 pub fn count_bytes(versioned: &VersionedCount) -> usize {
     let count = versioned.count;
     varint_bytes(versioned.version)
--- a/crates/shared-counts/tests/faults.rs
+++ b/crates/shared-counts/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that shared counts have to survive, each injected.
+//! Fault injection: lost, late, replayed and forged datagrams, partitions, restarts and floods.
 
 mod simulation;
 use maplefall_shared_counts::members::{Heartbeat, MemberState};
@@ -9,36 +9,38 @@
 use rand_core::RngCore;
 use simulation::*;
 
-/// Usage of eight customers at all nodes that run, for this long and at this interval, in milliseconds.
+/// Records random usage of eight customers at all running nodes, for a duration and at an interval
+/// in milliseconds.
 fn run_traffic(simulation: &mut Simulation, duration: f64, interval: f64) {
     let end = simulation.now + duration;
     while simulation.now < end {
-        let at = (simulation.rng.next_u32() as usize) % simulation.nodes.len();
-        if simulation.nodes[at].node.is_some() {
+        let index = (simulation.rng.next_u32() as usize) % simulation.nodes.len();
+        if simulation.nodes[index].node.is_some() {
             let customer = 1 + u64::from(simulation.rng.next_u32() % 8);
             let units = 0.5 + 8.0 * uniform(&mut simulation.rng);
-            simulation.record_usage(at, customer, units);
+            simulation.record_usage(index, customer, units);
             if uniform(&mut simulation.rng) < 0.3 {
-                // The response had fewer units than estimated.
-                simulation.record_usage(at, customer, -units * 0.4);
+                // Part of the units is returned, as for a response with fewer units than estimated.
+                simulation.record_usage(index, customer, -units * 0.4);
             }
         }
         simulation.run(interval);
     }
 }
 
-/// Guards against loss of 30%, duplicates and reordering: totals never exceed the usage, and are equal once it is quiet.
+/// Guards against 30% loss, duplicates and reordering: totals never exceed the usage, and all nodes
+/// converge once traffic ends.
 #[test]
-fn totals_never_exceed_usage_and_become_equal() {
+fn totals_never_exceed_usage_and_converge() {
     for seed in 0..6 {
         let mut simulation = Simulation::new(10, settings(), LOSSY, seed);
-        simulation.run_until_met(20_000.0);
+        simulation.run_until_all_alive(20_000.0);
         for _ in 0..10 {
             run_traffic(&mut simulation, 500.0, 10.0);
-            simulation.assert_never_over_truth();
+            simulation.assert_no_overcount();
         }
-        let took = simulation.run_until_equal(20_000.0);
-        println!("equal after {took} ms");
+        let took = simulation.run_until_converged(20_000.0);
+        println!("converged after {took} ms");
     }
 }
 
@@ -51,40 +53,41 @@
         delay: (1000.0, 5000.0),
     };
     let mut simulation = Simulation::new(5, settings(), slow, 3);
-    simulation.run_until_met(90_000.0);
+    simulation.run_until_all_alive(90_000.0);
     run_traffic(&mut simulation, 5000.0, 20.0);
-    simulation.assert_never_over_truth();
-    simulation.run_until_equal(90_000.0);
+    simulation.assert_no_overcount();
+    simulation.run_until_converged(90_000.0);
 }
 
-/// Guards a node that returns from a long partition: nothing is counted twice, and it receives what it missed.
+/// Guards the rejoin after a long partition: nothing is counted twice, and the node receives the
+/// counts that it missed.
 #[test]
-fn a_node_back_from_a_partition_is_counted_once() {
+fn a_node_is_counted_once_after_a_partition() {
     let mut simulation = Simulation::new(6, settings(), RELIABLE, 1);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     run_traffic(&mut simulation, 1000.0, 10.0);
     for other in 0..5 {
         simulation.blocked.extend([(5, other), (other, 5)]);
     }
     run_traffic(&mut simulation, 40_000.0, 100.0);
     assert_eq!(simulation.alive(0), 4, "the silent node is not waited for");
-    assert!(simulation.check_equal().is_err());
-    simulation.assert_never_over_truth();
+    assert!(simulation.check_converged().is_err());
+    simulation.assert_no_overcount();
     simulation.blocked.clear();
-    simulation.run_until_met(20_000.0);
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_all_alive(20_000.0);
+    simulation.run_until_converged(10_000.0);
 }
 
 /// Guards restarts: a node loses its counts and receives them from the others, as usage elsewhere.
 #[test]
 fn a_restarted_node_receives_the_counts_of_its_earlier_incarnation() {
     let mut simulation = Simulation::new(4, settings(), RELIABLE, 1);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     simulation.record_usage(2, 9, 100.0);
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_converged(10_000.0);
     simulation.start(2);
     assert_eq!(simulation.node(2).total(9), 0);
-    simulation.run_until_equal(20_000.0);
+    simulation.run_until_converged(20_000.0);
     let now = simulation.clock(2);
     let update = simulation
         .node(2)
@@ -100,33 +103,33 @@
         "reported once"
     );
     simulation.record_usage(2, 9, 7.0);
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_converged(10_000.0);
     // The others have the counts of both incarnations.
     let id = simulation.id(2);
     assert_eq!(simulation.node(0).total_of(id, 9), 107_000);
 }
 
-/// Guards against a date that went back: the new incarnation takes a number above the earlier one's, and no count of either is lost or
-/// mistaken for the other's.
+/// Guards against a date that went back: the new incarnation takes a number above the earlier
+/// one's, and no counts are lost or attributed to the wrong incarnation.
 #[test]
 fn an_incarnation_with_a_smaller_number_than_an_earlier_one_takes_a_larger() {
     let mut simulation = Simulation::new(4, settings(), RELIABLE, 1);
     simulation.nodes[3].date_offset = 3_600_000;
     simulation.start(3);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     simulation.record_usage(3, 9, 100.0);
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_converged(10_000.0);
     simulation.nodes[3].date_offset = 0;
     simulation.start(3);
     simulation.record_usage(3, 9, 5.0);
-    simulation.run_until_equal(30_000.0);
+    simulation.run_until_converged(30_000.0);
     assert_eq!(simulation.node(3).stats.renumbered, 1);
     assert_eq!(simulation.node(0).total(9), 105_000);
     simulation.record_usage(3, 9, 1.0);
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_converged(10_000.0);
 }
 
-/// Guards against two processes with the same name: they do not renumber each other for ever.
+/// Guards against two processes with the same name, which must not renumber each other for ever.
 #[test]
 fn two_nodes_with_the_same_name_renumber_a_bounded_number_of_times() {
     let mut simulation = Simulation::new(4, settings(), RELIABLE, 1);
@@ -138,18 +141,18 @@
     assert!((1..=4).contains(&renumbered), "{renumbered}");
 }
 
-/// Guards against a partition of a minute, in which a third of the usage is in epochs that expire.
+/// Guards against a partition of a minute, with usage on both sides.
 #[test]
 fn a_partition_heals() {
     let mut simulation = Simulation::new(8, settings(), RELIABLE, 2);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     for left in 0..4 {
         for right in 4..8 {
             simulation.blocked.extend([(left, right), (right, left)]);
         }
     }
     run_traffic(&mut simulation, 60_000.0, 50.0);
-    simulation.assert_never_over_truth();
+    simulation.assert_no_overcount();
     assert_eq!((simulation.alive(0), simulation.alive(7)), (3, 3));
     let now = simulation.clock(0);
     assert_eq!(
@@ -158,28 +161,30 @@
         "only nodes that are alive are reported"
     );
     simulation.blocked.clear();
-    simulation.run_until_met(30_000.0);
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_all_alive(30_000.0);
+    simulation.run_until_converged(10_000.0);
 }
 
-/// Guards against links that work one way: heartbeats arrive through others, and no node is suspected.
+/// Guards against asymmetric links: heartbeats arrive through other nodes, and no node is
+/// suspected.
 #[test]
-fn one_way_links_make_no_node_suspected() {
+fn asymmetric_links_cause_no_suspicion() {
     let mut simulation = Simulation::new(6, settings(), RELIABLE, 4);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     simulation.blocked.extend([(0, 1), (2, 3), (3, 4), (5, 0)]);
     for _ in 0..20 {
         run_traffic(&mut simulation, 1000.0, 50.0);
-        assert!((0..6).all(|at| simulation.alive(at) == 5));
+        assert!((0..6).all(|index| simulation.alive(index) == 5));
     }
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_converged(10_000.0);
 }
 
-/// Guards a node that receives nothing while others count a flood: afterwards it receives all of it, once.
+/// Guards a node that receives nothing while the others count a flood: once reconnected, it
+/// receives all of it, once.
 #[test]
 fn a_node_far_behind_catches_up() {
     let mut simulation = Simulation::new(5, settings(), RELIABLE, 5);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     for other in 0..4 {
         simulation.blocked.insert((other, 4));
     }
@@ -196,7 +201,7 @@
         "its counts are known to be stale: {staleness} ms"
     );
     simulation.blocked.clear();
-    simulation.run_until_equal(20_000.0);
+    simulation.run_until_converged(20_000.0);
     let now = simulation.clock(4);
     assert_eq!(
         simulation
@@ -216,36 +221,41 @@
         ..settings()
     };
     let mut simulation = Simulation::new(6, settings, LOSSY, 6);
-    simulation.run_until_met(20_000.0);
+    simulation.run_until_all_alive(20_000.0);
     for _ in 0..40 {
         run_traffic(&mut simulation, 250.0, 10.0);
-        simulation.assert_never_over_truth();
+        simulation.assert_no_overcount();
     }
     simulation.run(10_000.0);
-    for at in 0..6 {
+    for index in 0..6 {
         assert_eq!(
-            simulation.node(at).counts(),
+            simulation.node(index).count_len(),
             0,
-            "all epochs have expired at node {at}"
+            "all epochs have expired at node {index}"
         );
-        assert_eq!(simulation.node(at).total(1), 0);
+        assert_eq!(simulation.node(index).total(1), 0);
     }
 }
 
-/// Guards a hundred nodes that start at the same time, with two of them as seeds.
+/// Guards the simultaneous start of a hundred nodes with two of them as seeds.
 #[test]
 fn a_hundred_nodes_start_together() {
     let mut simulation = Simulation::new(100, settings(), RELIABLE, 7);
-    let took = simulation.run_until_met(60_000.0);
-    println!("all have met after {took} ms");
-    let unsent: u64 = (0..100).map(|at| simulation.node(at).stats.unsent).sum();
+    let took = simulation.run_until_all_alive(60_000.0);
+    println!("all nodes alive after {took} ms");
+    let unsent: u64 = (0..100)
+        .map(|index| simulation.node(index).stats.unsent)
+        .sum();
     assert_eq!(unsent, 0, "no node reaches its rate limit");
     run_traffic(&mut simulation, 1000.0, 10.0);
-    println!("equal after {} ms", simulation.run_until_equal(20_000.0));
+    println!(
+        "converged after {} ms",
+        simulation.run_until_converged(20_000.0)
+    );
 }
 
-/// Guards against a hundred thousand customers with a single use: the table stays within its bound, returning customers get a count, and
-/// nothing is lost from the total.
+/// Guards against a hundred thousand customers with a single use each: the table stays within its
+/// limit, returning customers get a count, and nothing is lost from the total.
 #[test]
 fn customers_with_a_single_use_do_not_fill_the_table() {
     let settings = Settings {
@@ -253,22 +263,22 @@
         ..settings()
     };
     let mut simulation = Simulation::new(2, settings, RELIABLE, 8);
-    simulation.run_until_met(10_000.0);
-    let mut all = 0;
+    simulation.run_until_all_alive(10_000.0);
+    let mut total_used = 0;
     for customer in 0..100_000u64 {
         let now = simulation.clock(0);
         simulation
             .node(0)
             .record_usage(now, 1_000_000 + customer, 1.0);
-        all += 1000;
+        total_used += 1000;
         // This customer begins after thousands of others that use less.
         if customer >= 50_000 && customer % 50 == 0 {
             simulation.node(0).record_usage(now, 42, 8.0);
-            all += 8000;
+            total_used += 8000;
         }
     }
     let node = simulation.node(0);
-    assert!(node.counts() <= 257, "{}", node.counts());
+    assert!(node.count_len() <= 257, "{}", node.count_len());
     let counted = node.total(42);
     assert!(
         counted >= 8_000_000 - 512_000,
@@ -279,16 +289,16 @@
         .sum();
     assert_eq!(
         sum + counted + node.total(TAIL),
-        all,
+        total_used,
         "the tail has what has no count of its own"
     );
 }
 
-/// Guards the largest value of a count: it stays there, and that is counted.
+/// Guards saturation: a count stays at its largest value, and the saturated changes are counted.
 #[test]
 fn a_count_stays_at_its_largest_value() {
     let mut simulation = Simulation::new(2, settings(), RELIABLE, 9);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     for _ in 0..3 {
         let now = simulation.clock(0);
         simulation.node(0).record_usage(now, 5, 1e300);
@@ -306,18 +316,19 @@
     assert_eq!(simulation.node(0).total(7), 0);
 }
 
-/// Guards against replayed datagrams, at once or later, to any node and to a later incarnation: they change nothing.
+/// Guards against replayed datagrams, immediate or late, to any node and to a later incarnation:
+/// they change nothing.
 #[test]
 fn replays_change_nothing() {
     let mut simulation = Simulation::new(3, settings(), RELIABLE, 10);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     run_traffic(&mut simulation, 1000.0, 10.0);
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_converged(10_000.0);
     let recorded = std::mem::take(&mut simulation.recorded);
     let before: Vec<_> = (0..3)
-        .map(|at| {
+        .map(|index| {
             (1..9)
-                .map(|c| simulation.node(at).total(c))
+                .map(|c| simulation.node(index).total(c))
                 .collect::<Vec<_>>()
         })
         .collect();
@@ -326,9 +337,9 @@
         simulation.deliver(*from, (*to + 1) % 3, bytes);
     }
     let after: Vec<_> = (0..3)
-        .map(|at| {
+        .map(|index| {
             (1..9)
-                .map(|c| simulation.node(at).total(c))
+                .map(|c| simulation.node(index).total(c))
                 .collect::<Vec<_>>()
         })
         .collect();
@@ -350,14 +361,14 @@
         0,
         "datagrams to an earlier incarnation make no node known"
     );
-    assert_eq!(simulation.node(1).counts(), 0);
+    assert_eq!(simulation.node(1).count_len(), 0);
 }
 
-/// Guards against replayed datagrams of a node that has stopped: it does not stay alive.
+/// Guards against replayed datagrams of a stopped node, which must not keep it alive.
 #[test]
 fn a_stopped_node_is_not_kept_alive_by_replays() {
     let mut simulation = Simulation::new(3, settings(), RELIABLE, 13);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     simulation.run(2000.0);
     simulation.stop(2);
     let recorded: Vec<_> = simulation
@@ -376,17 +387,17 @@
     assert_eq!(simulation.alive(0), 1);
 }
 
-/// Guards against a node that restarts again and again: the others keep no more than two earlier incarnations.
+/// Guards against frequent restarts: the others keep at most two earlier incarnations.
 #[test]
-fn a_node_that_restarts_often_leaves_a_bounded_number_of_incarnations() {
+fn frequent_restarts_keep_a_bounded_number_of_incarnations() {
     let mut simulation = Simulation::new(3, settings(), RELIABLE, 14);
     for _ in 0..8 {
-        simulation.run_until_met(20_000.0);
+        simulation.run_until_all_alive(20_000.0);
         simulation.record_usage(2, 5, 1.0);
         simulation.run(2000.0);
         simulation.start(2);
     }
-    simulation.run_until_met(20_000.0);
+    simulation.run_until_all_alive(20_000.0);
     let now = simulation.clock(0);
     let max_former = simulation
         .node(0)
@@ -399,19 +410,20 @@
     assert!(simulation.node(0).total(5) <= 8000);
 }
 
-/// Guards against datagrams of another cluster, key or version, truncated or changed: each is counted by its reason and changes nothing.
+/// Guards against datagrams of another cluster, key or version, truncated or altered: each is
+/// counted by its reason and changes nothing.
 #[test]
 fn foreign_forged_and_truncated_datagrams_are_rejected() {
     let mut simulation = Simulation::new(2, settings(), RELIABLE, 11);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     simulation.record_usage(0, 5, 3.0);
-    simulation.run_until_equal(10_000.0);
+    simulation.run_until_converged(10_000.0);
     let (from, to, valid) = simulation
         .recorded
         .last()
         .cloned()
         .expect("a datagram was sent");
-    let counts = simulation.node(to).counts();
+    let counts = simulation.node(to).count_len();
     let reject_reason = |simulation: &mut Simulation, bytes: &[u8]| {
         let before = simulation.node(to).stats.rejected.clone();
         let now = simulation.clock(to);
@@ -445,13 +457,13 @@
         reject_reason(&mut simulation, &changed),
         Some(RejectReason::OtherVersion)
     );
-    for at in 14..valid.len() {
+    for index in 14..valid.len() {
         let mut changed = valid.clone();
-        changed[at] ^= 0x10;
+        changed[index] ^= 0x10;
         assert_eq!(
             reject_reason(&mut simulation, &changed),
             Some(RejectReason::Forged),
-            "byte {at}"
+            "byte {index}"
         );
     }
     let mut other = Simulation::new(
@@ -473,7 +485,7 @@
         foreign.and_then(|bytes| reject_reason(&mut simulation, &bytes)),
         Some(RejectReason::OtherCluster)
     );
-    assert_eq!(simulation.node(to).counts(), counts);
+    assert_eq!(simulation.node(to).count_len(), counts);
     let text = simulation.node(to).status(0.0, 5).plain();
     assert!(
         text.contains("Forged") && text.contains("OtherCluster"),
@@ -481,17 +493,17 @@
     );
 }
 
-/// A node with the key that sends datagrams about nodes that do not exist.
-struct Inventor {
+/// A node with the cluster's key that sends datagrams about nodes that do not exist.
+struct RogueNode {
     seal: Seal,
     sender: Life,
-    /// The nonce of the receiver.
+    /// The receiver's nonce.
     echo: u64,
 }
 
-impl Inventor {
-    /// A datagram about a node whose last heartbeat has this age in milliseconds.
-    fn invent(&self, number: u64, name: &str, incarnation: u64, age: u64) -> Vec<u8> {
+impl RogueNode {
+    /// Returns a datagram about a node whose last heartbeat has this age in milliseconds.
+    fn datagram_about(&self, number: u64, name: &str, incarnation: u64, age: u64) -> Vec<u8> {
         let head = Head {
             kind: Kind::Gossip,
             from: self.sender,
@@ -519,10 +531,10 @@
     }
 }
 
-/// Guards against a node with the key that invents a thousand others: the bound on nodes holds, and those without heartbeats are
-/// forgotten.
+/// Guards against a node with the key that fabricates a thousand members: the limit on members
+/// holds, and those without heartbeats are forgotten.
 #[test]
-fn invented_nodes_stay_within_the_bound_and_are_forgotten() {
+fn fabricated_members_stay_within_the_limit_and_are_forgotten() {
     let settings = Settings {
         max_members: 64,
         gone_after: 5000.0,
@@ -530,9 +542,10 @@
         ..settings()
     };
     let mut simulation = Simulation::new(3, settings.clone(), RELIABLE, 12);
-    simulation.run_until_met(10_000.0);
+    simulation.run_until_all_alive(10_000.0);
     let seal = Seal::new(&settings.cluster, &settings.key);
-    // Node 2 sends the false datagrams: it has the nonce of node 0, which node 0 gives to all that it contacts.
+    // Node 2 sends the fabricated datagrams. It has the nonce of node 0, which node 0 sends to
+    // every node that it contacts.
     let (from, _, bytes) = simulation
         .recorded
         .iter()
@@ -542,22 +555,22 @@
         .expect("node 0 has contacted node 2");
     assert_eq!(from, 0);
     let (head, _) = wire::read(&seal, &bytes).expect("it is valid");
-    let sender = simulation.node(2).life();
-    let inventor = Inventor {
+    let sender = simulation.node(2).incarnation();
+    let rogue = RogueNode {
         seal,
         sender,
         echo: head.nonce,
     };
     let date = sender.incarnation;
     // A node whose last heartbeat is an hour old is gone at every node.
-    let bytes = inventor.invent(900_000, "z", date, 3_600_000);
+    let bytes = rogue.datagram_about(900_000, "z", date, 3_600_000);
     simulation.deliver(2, 0, &bytes);
     assert!(simulation
         .node(0)
         .members()
         .all(|member| member.name != "z"));
     for index in 0..1000u64 {
-        let bytes = inventor.invent(1_000_000 + index, &format!("x{index}"), date, 0);
+        let bytes = rogue.datagram_about(1_000_000 + index, &format!("x{index}"), date, 0);
         simulation.deliver(2, 0, &bytes);
     }
     assert_eq!(simulation.node(0).members().count(), 63);
@@ -567,11 +580,12 @@
         2,
         "no node is alive without heartbeats"
     );
-    // An impossible one: an incarnation of the day after tomorrow.
-    let bytes = inventor.invent(2_000_000, "y", date + 2 * 86_400_000, 0);
+    // An incarnation that starts two days ahead is out of range.
+    let bytes = rogue.datagram_about(2_000_000, "y", date + 2 * 86_400_000, 0);
     simulation.deliver(2, 0, &bytes);
     assert_eq!(simulation.node(0).stats.rejected[&RejectReason::Absurd], 1);
-    // Others may have received some and forward them; each has no heartbeats and is forgotten for good.
+    // Other nodes may have received and forwarded some; without heartbeats all are forgotten for
+    // good.
     simulation.run(60_000.0);
     let states: Vec<MemberState> = simulation
         .node(0)
@@ -581,6 +595,6 @@
     assert_eq!(
         states,
         [MemberState::Alive; 2],
-        "the invented nodes are forgotten"
+        "the fabricated members are forgotten"
     );
 }
--- a/crates/shared-counts/tests/properties.rs
+++ b/crates/shared-counts/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties: the laws of the join, deltas in any order, the reader, random schedules.
+//! Property tests: join laws, deltas in any order, the reader, random schedules.
 
 mod simulation;
 use maplefall_shared_counts::members::Heartbeat;
@@ -14,7 +14,8 @@
     (0..1u64 << 50, 0..1u64 << 50).prop_map(|(taken, returned)| Count { taken, returned })
 }
 
-/// The replica of a node after a series of changes, and the changed count after each.
+/// Applies a series of changes to a node's replica; returns the replica and the changed count after
+/// each.
 fn apply_changes(changes: &[(u32, u64, i64)]) -> (Replica, Vec<VersionedCount>) {
     let mut replica = Replica::default();
     let mut epoch = 0;
@@ -54,60 +55,63 @@
         prop_assert!(a.join(b).taken >= a.taken && a.join(b).returned >= a.returned);
     }
 
-    /// Guards convergence: rumours in any order, any of them repeated or lost, and one delta give the counts of the source.
+    /// Guards convergence: rumours in any order, repeated or lost, followed by one delta yield the
+    /// counts of the source.
     #[test]
-    fn any_order_loss_and_repetition_converges(
+    fn counts_converge_despite_reordering_loss_and_repetition(
         changes in changes(),
         picks in prop::collection::vec(any::<prop::sample::Index>(), 0..120),
     ) {
         let (source, versions) = apply_changes(&changes);
-        let mut here = Replica::default();
+        let mut replica = Replica::default();
         for pick in picks {
             if !versions.is_empty() {
-                here.join(&versions[pick.index(versions.len())], true).expect("there is capacity");
+                replica.join(&versions[pick.index(versions.len())], true).expect("there is capacity");
             }
         }
-        for (epoch, customer, count) in here.counts() {
-            let truth = source.get(epoch, customer).expect("no count is invented");
-            prop_assert!(count.taken <= truth.taken && count.returned <= truth.returned);
+        for (epoch, customer, count) in replica.counts() {
+            let expected = source.get(epoch, customer).expect("no count is invented");
+            prop_assert!(count.taken <= expected.taken && count.returned <= expected.returned);
         }
-        let delta = source.delta(here.complete_version(), |_| true);
+        let delta = source.delta(replica.complete_version(), |_| true);
         for count in &delta.counts {
-            here.join(count, true).expect("there is capacity");
+            replica.join(count, true).expect("there is capacity");
         }
-        here.complete_up_to(delta.after, delta.up_to);
-        prop_assert!(have_equal_counts(&here, &source));
-        prop_assert_eq!(here.complete_version(), source.complete_version());
+        replica.complete_up_to(delta.after, delta.up_to);
+        prop_assert!(have_equal_counts(&replica, &source));
+        prop_assert_eq!(replica.complete_version(), source.complete_version());
     }
 
-    /// Guards anti-entropy: deltas truncated anywhere and partly lost, each continued from the known version, skip nothing.
+    /// Guards anti-entropy: no change is skipped when deltas are truncated anywhere and partly
+    /// lost, and each continues from the known version.
     #[test]
     fn truncated_and_lost_deltas_skip_nothing(changes in changes(), deltas in prop::collection::vec((1usize..5, any::<bool>()), 200)) {
         let (source, _) = apply_changes(&changes);
-        let mut here = Replica::default();
+        let mut replica = Replica::default();
         for (max_counts, lost) in deltas {
             let mut remaining = max_counts;
-            let delta = source.delta(here.complete_version(), |_| { remaining = remaining.wrapping_sub(1); remaining < max_counts });
+            let delta = source.delta(replica.complete_version(), |_| { remaining = remaining.wrapping_sub(1); remaining < max_counts });
             if lost {
                 continue;
             }
             for count in &delta.counts {
-                here.join(count, true).expect("there is capacity");
+                replica.join(count, true).expect("there is capacity");
             }
-            here.complete_up_to(delta.after, delta.up_to);
+            replica.complete_up_to(delta.after, delta.up_to);
         }
-        let missing = source.delta(here.complete_version(), |_| true);
-        prop_assert!(missing.counts.is_empty() == have_equal_counts(&here, &source));
+        let missing = source.delta(replica.complete_version(), |_| true);
+        prop_assert!(missing.counts.is_empty() == have_equal_counts(&replica, &source));
     }
 
-    /// Guards the reader against any bytes: it rejects them without a panic.
+    /// Guards the reader against arbitrary bytes: they are rejected without a panic.
     #[test]
     fn the_reader_rejects_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..1500)) {
         let seal = Seal::new("quito", &[7; 32]);
         prop_assert!(wire::read(&seal, &bytes).is_err());
     }
 
-    /// Guards the reader against any sections under a valid header and authenticator: an error, or sections no larger than the bytes.
+    /// Guards the reader against arbitrary sections under a valid header and authenticator: it
+    /// returns an error, or sections with no more items than bytes.
     #[test]
     fn the_reader_accepts_or_rejects_any_sections(body in prop::collection::vec(any::<u8>(), 0..1200), kind in 0u8..5) {
         let seal = Seal::new("quito", &[7; 32]);
@@ -132,15 +136,15 @@
         }
     }
 
-    /// Guards the format: what is written is read back, whatever its values.
+    /// Guards the format: datagrams with any values are read back as written.
     #[test]
     fn datagrams_round_trip(
-        (door, incarnation, number) in (any::<u64>(), 1u64..1 << 60, any::<u64>()),
+        (node_id, incarnation, number) in (any::<u64>(), 1u64..1 << 60, any::<u64>()),
         (uptime, version, age) in (any::<u64>(), any::<u64>(), any::<u64>()),
         counts in prop::collection::vec((1u64..1 << 40, any::<u32>(), any::<u64>(), count()), 0..20),
     ) {
         let seal = Seal::new("quito", &[7; 32]);
-        let source = Life { door: DoorId(door), incarnation };
+        let source = Life { door: DoorId(node_id), incarnation };
         let head = Head { kind: Kind::Hello, from: source, number, nonce: 9, echo: number };
         let heartbeat = Heartbeat { source, uptime, version, age };
         let entry = DigestEntry { heartbeat, known_version: version };
@@ -166,33 +170,40 @@
     }
 }
 
-/// Guards completeness: a delta that begins after the complete version proves nothing of what is between, and a count that arrives late
-/// does not replace a later one.
+/// Guards completeness: a delta that begins after the complete version does not raise it, and a
+/// late count does not replace a newer one.
 #[test]
 fn deltas_after_a_gap_do_not_complete_and_late_counts_do_not_replace() {
     let (source, versions) =
         apply_changes(&[(0, 1, 1000), (0, 2, 1000), (0, 3, 1000), (0, 1, 500)]);
-    let mut here = Replica::default();
+    let mut replica = Replica::default();
     let delta = source.delta(2, |_| true);
     for count in &delta.counts {
-        here.join(count, true).expect("there is capacity");
+        replica.join(count, true).expect("there is capacity");
     }
-    here.complete_up_to(delta.after, delta.up_to);
+    replica.complete_up_to(delta.after, delta.up_to);
     assert_eq!(
-        here.complete_version(),
+        replica.complete_version(),
         0,
         "the first two changes may be missing"
     );
     assert_eq!(
-        source.delta(here.complete_version(), |_| true).counts.len(),
+        source
+            .delta(replica.complete_version(), |_| true)
+            .counts
+            .len(),
         3
     );
     let late = versions[0];
-    assert_eq!(here.join(&late, true), Ok(None));
-    assert_eq!(here.get_versioned(0, 1).map(|count| count.version), Some(4));
+    assert_eq!(replica.join(&late, true), Ok(None));
+    assert_eq!(
+        replica.get_versioned(0, 1).map(|count| count.version),
+        Some(4)
+    );
 }
 
-/// Guards compatibility and plausibility: sections of unknown kinds are skipped, and deltas with impossible versions are rejected.
+/// Guards compatibility and validation: sections of unknown kinds are skipped, and deltas with
+/// impossible versions are rejected.
 #[test]
 fn unknown_sections_are_skipped_and_impossible_deltas_rejected() {
     let seal = Seal::new("quito", &[7; 32]);
--- a/crates/shared-counts/tests/simulation/mod.rs
+++ b/crates/shared-counts/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network of nodes that share counts: loss, duplicates, delays and partitions are data, and a seed determines a run. The
-//! true usage is recorded beside it.
+//! A simulated network of nodes with configurable loss, duplication, delays and partitions. A seed
+//! determines a run. The true usage is recorded for comparison.
 #![allow(dead_code)]
 
 use maplefall_shared_counts::node::{Node, Start};
@@ -9,10 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The most datagrams that are recorded.
+/// The maximum number of recorded datagrams.
 const MAX_RECORDED: usize = 4096;
 
-/// What the network does to a datagram; the delay is uniform, in milliseconds.
+/// The faults of the network. Loss and duplication are probabilities; the delay is uniform, in
+/// milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
     pub loss: f64,
@@ -34,10 +35,10 @@
 pub struct SimulatedNode {
     pub name: String,
     pub node: Option<Node>,
-    /// How far its clock is ahead of the simulation's, in milliseconds, and its rate.
+    /// The offset of the node's clock from the simulation's, in milliseconds, and its rate.
     pub clock_offset: f64,
     pub clock_rate: f64,
-    /// How far its date is ahead, in milliseconds.
+    /// The offset of the node's date, in milliseconds.
     pub date_offset: i64,
 }
 
@@ -46,20 +47,20 @@
     pub settings: Settings,
     pub link: Link,
     pub nodes: Vec<SimulatedNode>,
-    /// Pairs of sender and receiver between which no datagram passes.
+    /// Pairs of sender and receiver whose datagrams are dropped.
     pub blocked: BTreeSet<(usize, usize)>,
-    /// Thousandths of units that were used, and returned, by node and customer.
-    pub truth: BTreeMap<(usize, u64), (i64, i64)>,
+    /// Units taken and returned, in thousandths, by node and customer.
+    pub recorded_usage: BTreeMap<(usize, u64), (i64, i64)>,
     queue: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     order: u64,
     pub rng: Pcg64Mcg,
     pub delivered: u64,
-    /// The first datagrams that were delivered, for replays.
+    /// The first delivered datagrams (sender, receiver, bytes), for replays.
     pub recorded: Vec<(usize, usize, Vec<u8>)>,
 }
 
-pub fn address(at: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, (at >> 8) as u8, at as u8], 7946))
+pub fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, (index >> 8) as u8, index as u8], 7946))
 }
 
 pub fn settings() -> Settings {
@@ -74,10 +75,11 @@
         println!("simulation of {nodes} nodes, seed {seed}");
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = (0..nodes)
-            .map(|at| SimulatedNode {
-                name: format!("d{at}"),
+            .map(|index| SimulatedNode {
+                name: format!("d{index}"),
                 node: None,
-                // Clocks differ by hours, and by a thousandth in their rate; they are never compared.
+                // Clocks differ by hours, and by up to a thousandth in their rate; they are never
+                // compared.
                 clock_offset: uniform(&mut rng) * 1e7,
                 clock_rate: 1.0 + 0.002 * (uniform(&mut rng) - 0.5),
                 date_offset: 0,
@@ -89,31 +91,31 @@
             link,
             nodes,
             blocked: BTreeSet::new(),
-            truth: BTreeMap::new(),
+            recorded_usage: BTreeMap::new(),
             queue: BTreeMap::new(),
             order: 0,
             rng,
             delivered: 0,
             recorded: Vec::new(),
         };
-        for at in 0..simulation.nodes.len() {
-            simulation.start(at);
+        for index in 0..simulation.nodes.len() {
+            simulation.start(index);
         }
         simulation
     }
 
-    pub fn clock(&self, at: usize) -> f64 {
-        self.nodes[at].clock_offset + self.now * self.nodes[at].clock_rate
+    pub fn clock(&self, index: usize) -> f64 {
+        self.nodes[index].clock_offset + self.now * self.nodes[index].clock_rate
     }
 
     /// Starts a node, or restarts it without its state.
-    pub fn start(&mut self, at: usize) {
+    pub fn start(&mut self, index: usize) {
         let seed = self.rng.next_u64();
-        let now = self.clock(at);
-        let simulated = &mut self.nodes[at];
+        let now = self.clock(index);
+        let simulated = &mut self.nodes[index];
         let start = Start {
             name: simulated.name.clone(),
-            address: address(at),
+            address: address(index),
             seeds: vec![address(0), address(1)],
             date: (1_700_000_000_000 + self.now as i64 + simulated.date_offset) as u64,
             seed,
@@ -121,36 +123,36 @@
         simulated.node = Some(Node::new(self.settings.clone(), start, now));
     }
 
-    pub fn stop(&mut self, at: usize) {
-        self.nodes[at].node = None;
+    pub fn stop(&mut self, index: usize) {
+        self.nodes[index].node = None;
     }
 
-    pub fn node(&mut self, at: usize) -> &mut Node {
-        self.nodes[at].node.as_mut().expect("the node runs")
+    pub fn node(&mut self, index: usize) -> &mut Node {
+        self.nodes[index].node.as_mut().expect("the node runs")
     }
 
-    pub fn record_usage(&mut self, at: usize, customer: u64, units: f64) {
-        let now = self.clock(at);
+    pub fn record_usage(&mut self, index: usize, customer: u64, units: f64) {
+        let now = self.clock(index);
         let milli = (units * 1000.0).round() as i64;
-        let truth = self.truth.entry((at, customer)).or_default();
+        let recorded = self.recorded_usage.entry((index, customer)).or_default();
         if milli > 0 {
-            truth.0 += milli;
+            recorded.0 += milli;
         } else {
-            truth.1 -= milli;
+            recorded.1 -= milli;
         }
-        self.node(at).record_usage(now, customer, units);
-        self.send_outputs(at);
+        self.node(index).record_usage(now, customer, units);
+        self.send_outputs(index);
     }
 
-    /// Sends the datagrams of a node.
-    pub fn send_outputs(&mut self, at: usize) {
-        while let Some(output) = self.nodes[at].node.as_mut().and_then(Node::poll) {
+    /// Puts the queued datagrams of a node on the network.
+    pub fn send_outputs(&mut self, index: usize) {
+        while let Some(output) = self.nodes[index].node.as_mut().and_then(Node::poll) {
             let octets = match output.to.ip() {
                 std::net::IpAddr::V4(ip) => ip.octets(),
                 std::net::IpAddr::V6(_) => continue,
             };
             let to = usize::from(octets[2]) << 8 | usize::from(octets[3]);
-            if to >= self.nodes.len() || self.blocked.contains(&(at, to)) {
+            if to >= self.nodes.len() || self.blocked.contains(&(index, to)) {
                 continue;
             }
             if uniform(&mut self.rng) < self.link.loss {
@@ -167,7 +169,7 @@
                 self.order += 1;
                 self.queue.insert(
                     ((due * 1000.0) as u64, self.order),
-                    (at, to, output.bytes.clone()),
+                    (index, to, output.bytes.clone()),
                 );
             }
         }
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Runs for this many milliseconds.
+    /// Runs the simulation for this many milliseconds.
     pub fn run(&mut self, duration: f64) {
         let end = self.now + duration;
         while self.now < end {
@@ -202,42 +204,45 @@
                 self.deliver(from, to, &bytes);
             }
             self.now = next;
-            for at in 0..self.nodes.len() {
-                let now = self.clock(at);
-                if let Some(node) = self.nodes[at].node.as_mut() {
+            for index in 0..self.nodes.len() {
+                let now = self.clock(index);
+                if let Some(node) = self.nodes[index].node.as_mut() {
                     if node.due() <= now {
                         node.tick(now);
-                        self.send_outputs(at);
+                        self.send_outputs(index);
                     }
                 }
             }
         }
     }
 
-    /// What a customer has used at all nodes: all that was taken, and that less what was returned.
+    /// Returns the usage of a customer at all nodes: the units taken, and the net after returns.
     pub fn true_usage(&self, customer: u64) -> (i64, i64) {
-        self.truth
+        self.recorded_usage
             .iter()
-            .filter(|((_, user), _)| *user == customer)
+            .filter(|((_, other), _)| *other == customer)
             .fold((0, 0), |(taken, net), (_, (used, returned))| {
                 (taken + used, net + used - returned)
             })
     }
 
     pub fn customers(&self) -> BTreeSet<u64> {
-        self.truth.keys().map(|(_, customer)| *customer).collect()
+        self.recorded_usage
+            .keys()
+            .map(|(_, customer)| *customer)
+            .collect()
     }
 
-    /// Asserts that no node counts more than was used.
-    pub fn assert_never_over_truth(&mut self) {
+    /// Asserts that no node counts more than the true usage.
+    pub fn assert_no_overcount(&mut self) {
         for customer in self.customers() {
             let (taken, _) = self.true_usage(customer);
-            for at in 0..self.nodes.len() {
-                if let Some(node) = &self.nodes[at].node {
+            for index in 0..self.nodes.len() {
+                if let Some(node) = &self.nodes[index].node {
                     let total = node.total(customer);
                     assert!(
                         total <= taken,
-                        "node {at} counts {total} of customer {customer}, {taken} were used"
+                        "node {index} counts {total} of customer {customer}, {taken} were used"
                     );
                 }
             }
@@ -245,15 +250,15 @@
     }
 
     /// Checks that all nodes have all counts.
-    pub fn check_equal(&self) -> Result<(), String> {
+    pub fn check_converged(&self) -> Result<(), String> {
         for customer in self.customers() {
             let (_, net) = self.true_usage(customer);
-            for (at, simulated) in self.nodes.iter().enumerate() {
+            for (index, simulated) in self.nodes.iter().enumerate() {
                 if let Some(node) = &simulated.node {
                     let total = node.total(customer);
                     if total != net {
                         return Err(format!(
-                            "node {at} counts {total} of customer {customer}, {net} are used"
+                            "node {index} counts {total} of customer {customer}, {net} are used"
                         ));
                     }
                 }
@@ -262,11 +267,11 @@
         Ok(())
     }
 
-    /// Runs until all nodes have all counts; returns how long that took, in milliseconds.
-    pub fn run_until_equal(&mut self, max_duration: f64) -> f64 {
+    /// Runs until all nodes have all counts; returns the duration in milliseconds.
+    pub fn run_until_converged(&mut self, max_duration: f64) -> f64 {
         let started_at = self.now;
         loop {
-            let equal = self.check_equal();
+            let equal = self.check_converged();
             if equal.is_ok() {
                 return self.now - started_at;
             }
@@ -278,16 +283,17 @@
         }
     }
 
-    /// How many others are alive for a node.
-    pub fn alive(&self, at: usize) -> usize {
-        let node = self.nodes[at].node.as_ref().expect("the node runs");
+    /// Returns the number of peers that are alive according to this node.
+    pub fn alive(&self, index: usize) -> usize {
+        let node = self.nodes[index].node.as_ref().expect("the node runs");
         node.members()
             .filter(|m| m.state == maplefall_shared_counts::members::MemberState::Alive)
             .count()
     }
 
-    /// Runs until for every node all others that run are alive; returns how long that took, in milliseconds.
-    pub fn run_until_met(&mut self, max_duration: f64) -> f64 {
+    /// Runs until every running node considers all other running nodes alive; returns the duration
+    /// in milliseconds.
+    pub fn run_until_all_alive(&mut self, max_duration: f64) -> f64 {
         let started_at = self.now;
         let running = self
             .nodes
@@ -295,8 +301,8 @@
             .filter(|simulated| simulated.node.is_some())
             .count();
         loop {
-            let indexes = (0..self.nodes.len()).filter(|at| self.nodes[*at].node.is_some());
-            let fewest = indexes.map(|at| self.alive(at)).min().unwrap_or(0);
+            let indexes = (0..self.nodes.len()).filter(|index| self.nodes[*index].node.is_some());
+            let fewest = indexes.map(|index| self.alive(index)).min().unwrap_or(0);
             if fewest + 1 >= running {
                 return self.now - started_at;
             }
@@ -309,8 +315,8 @@
         }
     }
 
-    pub fn id(&self, at: usize) -> DoorId {
-        DoorId::of(&self.nodes[at].name)
+    pub fn id(&self, index: usize) -> DoorId {
+        DoorId::of(&self.nodes[index].name)
     }
 }
 
@@ -318,8 +324,9 @@
     f64::from(rng.next_u32()) / 4_294_967_296.0
 }
 
-/// A random schedule: partitions that come and heal, loss, duplicates, delays and usage everywhere. No node ever counts more than was
-/// used, and all are equal once it is quiet.
+/// Runs a random schedule of partitions that form and heal, loss, duplicates, delays and usage at
+/// all nodes. No node may ever count more than the true usage, and all must converge after the
+/// network has healed.
 pub fn schedule(nodes: usize, steps: usize, seed: u64) {
     let lossy = Link {
         loss: 0.2,
@@ -331,26 +338,26 @@
         ..settings()
     };
     let mut simulation = Simulation::new(nodes, settings, lossy, seed);
-    simulation.run_until_met(60_000.0);
+    simulation.run_until_all_alive(60_000.0);
     for _ in 0..steps {
-        let at = (uniform(&mut simulation.rng) * nodes as f64) as usize;
+        let index = (uniform(&mut simulation.rng) * nodes as f64) as usize;
         match (uniform(&mut simulation.rng) * 12.0) as u32 {
             0 => {
                 let other = (uniform(&mut simulation.rng) * nodes as f64) as usize;
-                simulation.blocked.insert((at, other));
+                simulation.blocked.insert((index, other));
             }
             1 => simulation.blocked.clear(),
             _ => {
                 let customer = (uniform(&mut simulation.rng) * 5.0) as u64;
                 let units = 6.0 * uniform(&mut simulation.rng);
-                simulation.record_usage(at, customer, units);
-                simulation.record_usage(at, customer, -0.3 * units);
+                simulation.record_usage(index, customer, units);
+                simulation.record_usage(index, customer, -0.3 * units);
             }
         }
         simulation.run(10.0);
-        simulation.assert_never_over_truth();
+        simulation.assert_no_overcount();
     }
     simulation.blocked.clear();
     simulation.link = RELIABLE;
-    simulation.run_until_equal(120_000.0);
+    simulation.run_until_converged(120_000.0);
 }
--- a/crates/shared-counts/tests/status.rs
+++ b/crates/shared-counts/tests/status.rs
@@ -1,8 +1,8 @@
-//! The status that operators are shown.
+//! The JSON and the text of the status for operators.
 
 use maplefall_shared_counts::status::Status;
 
-/// A status as nodes of earlier releases send it.
+/// The status as sent by nodes of earlier releases.
 const JSON: &str = concat!(
     r#"{"name":"a","incarnation":7,"doors":2,"#,
     r#""members":[{"name":"b","address":"127.0.0.1:7946","state":"suspected","incarnation":8,"former":1,"#,
