--- a/crates/shared-counts/src/members.rs
+++ b/crates/shared-counts/src/members.rs
@@ -143,7 +143,7 @@
     pub incarnation: u64,
     /// The current incarnation.
     pub current: IncarnationState,
-    /// Earlier incarnations whose counts have not expired, by number.
+    /// Earlier incarnations, kept for their counts, by number.
     pub former: BTreeMap<u64, IncarnationState>,
     /// Incarnations up to this number have been forgotten.
     forgotten_up_to: u64,
--- a/crates/shared-counts/tests/faults.rs
+++ b/crates/shared-counts/tests/faults.rs
@@ -46,7 +46,7 @@
 
 /// Guards against delays far longer than gossip rounds.
 #[test]
-fn delays_of_seconds_only_make_counts_late() {
+fn delays_of_seconds_only_postpone_counts() {
     let slow = Link {
         loss: 0.1,
         duplicated: 0.2,
@@ -70,7 +70,7 @@
         simulation.blocked.extend([(5, other), (other, 5)]);
     }
     run_traffic(&mut simulation, 40_000.0, 100.0);
-    assert_eq!(simulation.alive(0), 4, "the silent node is not waited for");
+    assert_eq!(simulation.alive(0), 4, "the partitioned node is not alive");
     assert!(simulation.check_converged().is_err());
     simulation.assert_no_overcount();
     simulation.blocked.clear();
@@ -112,7 +112,7 @@
 /// Guards against a date that went back: the new incarnation takes a number above the earlier
 /// one's, and no counts are lost or attributed to the wrong incarnation.
 #[test]
-fn an_incarnation_with_a_smaller_number_than_an_earlier_one_takes_a_larger() {
+fn an_incarnation_numbered_below_an_earlier_one_takes_a_larger_number() {
     let mut simulation = Simulation::new(4, settings(), RELIABLE, 1);
     simulation.nodes[3].date_offset = 3_600_000;
     simulation.start(3);
@@ -290,7 +290,7 @@
     assert_eq!(
         sum + counted + node.total(TAIL),
         total_used,
-        "the tail has what has no count of its own"
+        "the tail counts all customers without a count of their own"
     );
 }
 
@@ -478,7 +478,7 @@
     other.nodes[0]
         .node
         .as_mut()
-        .expect("the node runs")
+        .expect("the node is running")
         .tick(1e9);
     let foreign = other.node(0).poll().map(|output| output.bytes);
     assert_eq!(
--- a/crates/shared-counts/tests/properties.rs
+++ b/crates/shared-counts/tests/properties.rs
@@ -70,7 +70,7 @@
             }
         }
         for (epoch, customer, count) in replica.counts() {
-            let expected = source.get(epoch, customer).expect("no count is invented");
+            let expected = source.get(epoch, customer).expect("the source has this count");
             prop_assert!(count.taken <= expected.taken && count.returned <= expected.returned);
         }
         let delta = source.delta(replica.complete_version(), |_| true);
--- a/crates/shared-counts/tests/simulation/mod.rs
+++ b/crates/shared-counts/tests/simulation/mod.rs
@@ -128,7 +128,10 @@
     }
 
     pub fn node(&mut self, index: usize) -> &mut Node {
-        self.nodes[index].node.as_mut().expect("the node runs")
+        self.nodes[index]
+            .node
+            .as_mut()
+            .expect("the node is running")
     }
 
     pub fn record_usage(&mut self, index: usize, customer: u64, units: f64) {
@@ -285,7 +288,10 @@
 
     /// Returns the number of peers that are alive according to this node.
     pub fn alive(&self, index: usize) -> usize {
-        let node = self.nodes[index].node.as_ref().expect("the node runs");
+        let node = self.nodes[index]
+            .node
+            .as_ref()
+            .expect("the node is running");
         node.members()
             .filter(|m| m.state == maplefall_shared_counts::members::MemberState::Alive)
             .count()
