--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -166,14 +166,17 @@
 const REPEATED_REPORTS: f64 = 3.0;
 
 /// Returns the usage at peers for the decision module.
-pub fn fact(mut fact: maplefall_shared_counts::Fact, now: Millis) -> maplefall_shared_counts::Fact {
+pub fn usage_update(
+    mut update: maplefall_shared_counts::UsageUpdate,
+    now: Millis,
+) -> maplefall_shared_counts::UsageUpdate {
     if is(Breakage::CountsAdded) {
-        fact.units *= REPEATED_REPORTS;
+        update.units *= REPEATED_REPORTS;
     }
     if is(Breakage::UsageNeverAges) {
-        (fact.as_of, fact.error) = (now, 0.0);
+        (update.as_of, update.error) = (now, 0.0);
     }
-    fact
+    update
 }
 
 /// Returns the fraction of live gateways for the decision module.
--- a/crates/shared-counts/src/node/report.rs
+++ b/crates/shared-counts/src/node/report.rs
@@ -3,23 +3,23 @@
 use super::Node;
 use crate::members::Member;
 use crate::status::{CustomerStatus, MemberStatus, Status};
-use crate::wire::{Head, Kind, RejectReason, Section, Writer, MOST_DATAGRAM};
-use crate::{whose, Customer, TAIL};
+use crate::wire::{Head, Kind, RejectReason, Section, Writer, MAX_DATAGRAM_BYTES};
+use crate::{plan_and_customer, Customer, TAIL};
 use maplefall_policy::Millis;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The bytes of the status in one datagram.
+/// The maximum bytes of status text in one datagram.
 const STATUS_PART_BYTES: usize = 1000;
-/// How many customers a requested status has.
+/// The maximum number of customers in a requested status.
 const STATUS_CUSTOMERS: usize = 50;
 
 impl Node {
-    /// The status, with at most this many customers.
+    /// Returns the status, with at most this many customers.
     pub fn status(&mut self, now: Millis, max_customers: usize) -> Status {
         self.freshness = None;
-        let (as_of, nodes) = self.news(now);
+        let (as_of, nodes) = self.freshness(now);
         let mut totals = self.totals();
         let tail = totals.remove(&TAIL).unwrap_or(0);
         let stats = &self.stats;
@@ -42,12 +42,13 @@
             datagrams_out: stats.sent.datagrams,
             bytes_out: stats.sent.bytes,
             unsent: stats.unsent,
-            renamed: stats.renumbered,
-            refused: stats.rejected.clone(),
+            renumbered: stats.renumbered,
+            rejected: stats.rejected.clone(),
         }
     }
 
-    /// What each customer has used at all nodes in the epochs that are kept, in thousandths of a unit.
+    /// Returns the usage of each customer at all nodes in the kept epochs, in thousandths of a
+    /// unit.
     fn totals(&self) -> BTreeMap<Customer, i64> {
         let mut totals = BTreeMap::new();
         for (_, incarnation) in self.all_members().flat_map(Member::incarnations) {
@@ -58,8 +59,9 @@
         totals
     }
 
-    /// Sends an operator a part of the status, once the request has the nonce of this process.
-    pub(super) fn answer_status_request(
+    /// Sends an operator the requested part of the status, if the request echoes the nonce of this
+    /// process.
+    pub(super) fn reply_to_status_request(
         &mut self,
         now: Millis,
         from: SocketAddr,
@@ -73,7 +75,7 @@
         let part = sections
             .iter()
             .find_map(|section| match section {
-                Section::Part(part) => Some(*part as usize),
+                Section::StatusPart(part) => Some(*part as usize),
                 _ => None,
             })
             .ok_or(RejectReason::Absurd)?;
@@ -90,8 +92,8 @@
             .ok_or(RejectReason::Absurd)?
             .to_vec();
         let head = self.next_head(Kind::Told, head.nonce);
-        let mut writer = Writer::new(&self.seal, &head, MOST_DATAGRAM);
-        writer.add(&Section::Text(parts as u32, text));
+        let mut writer = Writer::new(&self.seal, &head, MAX_DATAGRAM_BYTES);
+        writer.add(&Section::StatusText(parts as u32, text));
         self.send(now, from, writer);
         Ok(())
     }
@@ -112,7 +114,7 @@
     }
 }
 
-/// The customers that have used most, the largest first.
+/// Returns the customers with the largest usage, the largest first.
 fn largest_customers(totals: BTreeMap<Customer, i64>, max_customers: usize) -> Vec<CustomerStatus> {
     let mut totals: Vec<(Customer, i64)> = totals.into_iter().collect();
     totals.sort_by_key(|(quota, milli)| (Reverse(*milli), *quota));
@@ -120,7 +122,7 @@
         .into_iter()
         .take(max_customers)
         .map(|(quota, milli)| {
-            let (plan, customer) = whose(quota);
+            let (plan, customer) = plan_and_customer(quota);
             CustomerStatus {
                 customer,
                 plan,
--- a/crates/shared-counts/src/settings.rs
+++ b/crates/shared-counts/src/settings.rs
@@ -1,8 +1,9 @@
-//! What an operator may set of shared counts, and its validation.
+//! Operator settings of shared counts, and their validation.
 
 use maplefall_policy::Millis;
 
-/// How counts are shared. The defaults are those of [`Settings::usual`]; [`Settings::mistakes`] validates.
+/// How counts are shared. [`Settings::usual`] returns the defaults; [`Settings::mistakes`]
+/// validates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The cluster's name: datagrams of other clusters are rejected.
@@ -11,49 +12,51 @@
     pub key: Vec<u8>,
     /// The mean time between two gossip rounds, 200 ms by default.
     pub interval: Millis,
-    /// How many peers are sent to in each round, 3 by default.
+    /// The number of peers contacted per round, 3 by default.
     pub fan_out: usize,
     /// The length of an epoch, 5 s by default.
     pub epoch: Millis,
-    /// How many epochs are kept, the current one included, 4 by default.
+    /// The number of epochs kept, the current one included, 4 by default.
     pub epochs_kept: u32,
-    /// The most bytes of a datagram that is sent, 1200 by default.
-    pub datagram: usize,
-    /// The most datagrams that are received per second, and sent per second, 2000 by default.
-    pub most_per_second: f64,
-    /// The most nodes, this one included, 512 by default.
-    pub most_members: usize,
-    /// The most customers with a count of their own in an epoch of this node, 1024 by default.
-    pub most_told: usize,
-    /// The most counts, over all nodes and epochs, 65,536 by default.
-    pub most_counts: usize,
-    /// The suspicion level (phi) from which on a silent node is suspected, 8 by default.
-    pub suspect: f64,
-    /// How long a node is suspected before it is gone, 10 s by default.
+    /// The maximum size of a datagram that is sent, in bytes, 1200 by default.
+    pub datagram_bytes: usize,
+    /// The maximum number of datagrams per second, for receiving and sending each, 2000 by default.
+    pub max_datagrams_per_second: f64,
+    /// The maximum number of nodes, this one included, 512 by default.
+    pub max_members: usize,
+    /// The maximum number of customers with a count of their own per epoch of this node, 1024 by
+    /// default.
+    pub max_tracked_customers: usize,
+    /// The maximum number of counts, over all nodes and epochs, 65,536 by default.
+    pub max_counts: usize,
+    /// The suspicion level (phi) above which a silent node is suspected, 8 by default.
+    pub suspect_phi: f64,
+    /// How long a node is suspected before it counts as gone, 10 s by default.
     pub gone_after: Millis,
-    /// How long a node that is gone is remembered and sent to now and then, 10 minutes by default.
+    /// How long a node that is gone is remembered and occasionally contacted, 10 minutes by
+    /// default.
     pub forget_after: Millis,
 }
 
-/// A value that is not allowed.
+/// A setting outside its allowed values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
     /// The field in the settings file.
     pub field: &'static str,
-    /// What is allowed there.
+    /// The allowed values.
     pub expected: String,
 }
 
-/// Bytes of a datagram per entry of its digest, the other sections included.
+/// Bytes of a datagram per digest entry, with the other sections' bytes included.
 const BYTES_PER_DIGEST_ENTRY: f64 = 44.0;
 
-/// The longest name of a cluster.
+/// The maximum length of a cluster's name.
 const MAX_CLUSTER_NAME_BYTES: usize = 64;
-/// The lengths of a key.
+/// The allowed lengths of a key.
 const KEY_BYTES: std::ops::RangeInclusive<usize> = 16..=64;
 
 impl Settings {
-    /// The defaults, for a cluster and a key.
+    /// Returns the defaults, for a cluster and a key.
     pub fn usual(cluster: &str, key: Vec<u8>) -> Settings {
         Settings {
             cluster: cluster.to_owned(),
@@ -62,33 +65,34 @@
             fan_out: 3,
             epoch: 5000.0,
             epochs_kept: 4,
-            datagram: 1200,
-            most_per_second: 2000.0,
-            most_members: 512,
-            most_told: 1024,
-            most_counts: 65_536,
-            suspect: 8.0,
+            datagram_bytes: 1200,
+            max_datagrams_per_second: 2000.0,
+            max_members: 512,
+            max_tracked_customers: 1024,
+            max_counts: 65_536,
+            suspect_phi: 8.0,
             gone_after: 10_000.0,
             forget_after: 600_000.0,
         }
     }
 
-    /// How long a count is kept at least after its last change.
+    /// Returns the minimum time for which a count is kept after its last change.
     pub fn retention(&self) -> Millis {
         self.epoch * f64::from(self.epochs_kept.saturating_sub(1))
     }
 
-    /// The bound on the staleness of counts, in milliseconds, while all of so many nodes run, this part of the datagrams is lost and
-    /// none takes longer than `delay`: four times the rounds in which a rumour reaches all nodes, and the rounds in which digests
-    /// have named all nodes once.
+    /// Returns the upper bound of the staleness of counts, in milliseconds, while all `nodes` run,
+    /// the fraction `loss` of datagrams is lost and none takes longer than `delay`: four times the
+    /// rounds in which a rumour reaches all nodes plus those in which digests have named all nodes
+    /// once.
     pub fn max_staleness(&self, nodes: usize, loss: f64, delay: Millis) -> Millis {
         let (nodes, delivered) = (nodes.max(2) as f64, (1.0 - loss).clamp(0.01, 1.0));
-        let entries = self.datagram as f64 / BYTES_PER_DIGEST_ENTRY;
+        let entries = self.datagram_bytes as f64 / BYTES_PER_DIGEST_ENTRY;
         let rounds = nodes.ln() / (1.0 + self.fan_out as f64 * delivered).ln() + nodes / entries;
         4.0 * self.interval * rounds / delivered + 2.0 * delay * nodes.log2()
     }
 
-    /// All values that are not allowed.
+    /// Returns all settings outside their allowed values.
     pub fn mistakes(&self) -> Vec<Mistake> {
         let mut found = Vec::new();
         let mut check_range = |field, value: f64, min: f64, max: f64| {
@@ -105,15 +109,25 @@
         check_range("epochs_kept", f64::from(self.epochs_kept), 2.0, 16.0);
         check_range(
             "datagram_bytes",
-            self.datagram as f64,
+            self.datagram_bytes as f64,
             512.0,
-            crate::wire::MOST_DATAGRAM as f64,
+            crate::wire::MAX_DATAGRAM_BYTES as f64,
         );
-        check_range("most_per_second", self.most_per_second, 10.0, 100_000.0);
-        check_range("most_members", self.most_members as f64, 2.0, 1024.0);
-        check_range("most_told", self.most_told as f64, 1.0, 65_536.0);
-        check_range("most_counts", self.most_counts as f64, 1024.0, 4_194_304.0);
-        check_range("suspect_phi", self.suspect, 1.0, 16.0);
+        check_range(
+            "most_per_second",
+            self.max_datagrams_per_second,
+            10.0,
+            100_000.0,
+        );
+        check_range("most_members", self.max_members as f64, 2.0, 1024.0);
+        check_range(
+            "most_told",
+            self.max_tracked_customers as f64,
+            1.0,
+            65_536.0,
+        );
+        check_range("most_counts", self.max_counts as f64, 1024.0, 4_194_304.0);
+        check_range("suspect_phi", self.suspect_phi, 1.0, 16.0);
         check_range("gone_after_ms", self.gone_after, 100.0, 600_000.0);
         check_range("forget_after_ms", self.forget_after, 1000.0, 86_400_000.0);
         if self.cluster.is_empty() || self.cluster.len() > MAX_CLUSTER_NAME_BYTES {
