--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -384,7 +384,7 @@
     ) -> Result<Verdict<AuthResponse>, Failure> {
         let endpoint = self.settings.servers.get(server).ok_or(Failure::Server)?;
         let id = server_id(server);
-        let pooled = self.pools.take_settled(id);
+        let pooled = self.pools.take_quiescent(id);
         let reused = pooled.is_some();
         let mut connection = match pooled {
             Some(connection) => connection,
@@ -405,7 +405,7 @@
         if let Ok(host) = HeaderValue::try_from(endpoint.dial.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
-        connection.wire.begin_request(0, false);
+        connection.socket.begin_request(0, false);
         let connection_failure = if reused {
             Failure::KeptConnection
         } else {
--- a/crates/maplefall/src/net/backends/tests.rs
+++ b/crates/maplefall/src/net/backends/tests.rs
@@ -157,18 +157,18 @@
             |send_mode| send_attempt(&pools, &reading, id, &order, 20_000.0, send_mode, &line);
         for _ in 0..3 {
             assert_eq!(send(SendMode::Immediate).await.outcome, Outcome::Ok);
-            pools.age(old);
+            pools.age_idle_connections(old);
             assert_eq!(send(SendMode::Immediate).await.outcome, Outcome::Reset);
         }
         assert_eq!(send(SendMode::Immediate).await.body, "first");
-        pools.age(old);
+        pools.age_idle_connections(old);
         assert_eq!(
             send(SendMode::WithholdLastByteOnProvenConnection)
                 .await
                 .body,
             "on a new one"
         );
-        pools.age(old);
+        pools.age_idle_connections(old);
         assert_eq!(send(SendMode::Immediate).await.body, "on a kept one");
         backend
             .await
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -123,7 +123,7 @@
                 continue;
             };
             attempt.sent();
-            context.handle.mark_multiplexed();
+            context.handle.record_multiplexed_send();
             let mut upload = std::pin::pin!(send_upload(context, upload, no_body));
             let mut response = std::pin::pin!(read_response(
                 context,
--- a/crates/proxy/src/controllers.rs
+++ b/crates/proxy/src/controllers.rs
@@ -107,7 +107,7 @@
         let (queue, outgoing) = mpsc::channel(OUTGOING_QUEUE_FRAMES);
         let mut queue = Some(queue);
         let hello = Hello {
-            config_index: self.proxy.with_core(|core| core.index()),
+            config_index: self.proxy.with_core(|core| core.config_index()),
             ..self.hello.clone()
         };
         run_connection(stream, outgoing, Handshake::Initiator(hello), |event| {
--- a/crates/proxy/src/core/attempts.rs
+++ b/crates/proxy/src/core/attempts.rs
@@ -155,7 +155,7 @@
             attempt: number,
             backend,
             instance,
-            limit: remaining,
+            remaining,
             send_mode,
         });
     }
--- a/crates/proxy/src/core/messages.rs
+++ b/crates/proxy/src/core/messages.rs
@@ -120,7 +120,7 @@
         /// The backend's instance id, for `x-target-instance`.
         instance: Rc<str>,
         /// The client's remaining time, which the backend gets in `x-time-remaining`.
-        limit: Millis,
+        remaining: Millis,
         /// How to guard the request against a connection that breaks.
         send_mode: SendMode,
     },
--- a/crates/proxy/src/core/mod.rs
+++ b/crates/proxy/src/core/mod.rs
@@ -109,7 +109,7 @@
     }
 
     /// The index of the applied configuration; 0 before the first.
-    pub fn index(&self) -> u64 {
+    pub fn config_index(&self) -> u64 {
         self.config_index
     }
 
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -74,9 +74,9 @@
         if pools.dial_address(options.backend) != Some(address) {
             return AttemptResult::failed(Outcome::NotSent, broken_connections);
         }
-        handle.attach_socket(&connection.wire);
+        handle.attach_socket(&connection.socket);
         connection
-            .wire
+            .socket
             .begin_request(options.body_bytes, options.send_mode != SendMode::Immediate);
         let remaining = options.timeout - started.elapsed().as_secs_f64() * 1000.0;
         let sent = send_on(&mut connection, || build_request(remaining.max(1.0))).await;
@@ -87,7 +87,7 @@
             Some(response) => read_response(response).await,
             None => None,
         };
-        let fully_written = connection.wire.fully_written();
+        let fully_written = connection.socket.fully_written();
         // A response that came before the request was completely written is to no request of ours, unless it says that the request
         // was not processed; the connection cannot be reused in either case.
         if let Some(response) = response.filter(|response| fully_written || is_unread(response)) {
--- a/crates/upstream/src/attempt_handle.rs
+++ b/crates/upstream/src/attempt_handle.rs
@@ -54,7 +54,7 @@
     }
 
     /// A call was sent on a connection that carries others too: from now on it may run.
-    pub fn mark_multiplexed(&self) {
+    pub fn record_multiplexed_send(&self) {
         self.multiplexed.set(true);
     }
 
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -20,7 +20,7 @@
     /// Sends requests on it.
     pub sender: SendRequest<Full<Bytes>>,
     /// Its socket.
-    pub wire: Rc<UpstreamSocket>,
+    pub socket: Rc<UpstreamSocket>,
     task: AbortHandle,
     pub(crate) idle_since: Instant,
 }
@@ -33,22 +33,22 @@
     ) -> Result<Connection, ConnectError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let wire = Rc::new(UpstreamSocket::new(stream, permit));
-        let io = TokioIo::new(SocketIo(wire.clone()));
+        let socket = Rc::new(UpstreamSocket::new(stream, permit));
+        let io = TokioIo::new(SocketIo(socket.clone()));
         let (sender, connection) = Builder::new()
             .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(io)
             .await
             .map_err(|_| ConnectError::Unreachable)?;
-        let socket = wire.clone();
+        let task_socket = socket.clone();
         let task = tokio::task::spawn_local(async move {
             // The attempt on it, if there is one, gets the error.
             let _ = connection.await;
-            socket.close();
+            task_socket.close();
         });
         Ok(Connection {
             sender,
-            wire,
+            socket,
             task: task.abort_handle(),
             idle_since: Instant::now(),
         })
@@ -62,7 +62,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.wire.close();
+        self.socket.close();
         self.task.abort();
     }
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -128,7 +128,7 @@
 
     /// The same, but only a quiescent connection: bytes that were sent behind its last response have arrived and show, and cannot be
     /// taken for the response to the next request.
-    pub fn take_settled(&self, id: BackendId) -> Option<Connection> {
+    pub fn take_quiescent(&self, id: BackendId) -> Option<Connection> {
         let handle = AttemptHandle::default();
         self.take(id, SendMode::Immediate, Quiescence::Required, &handle)
     }
@@ -144,7 +144,7 @@
         let pool = pools.get_mut(&id)?;
         let now = Instant::now();
         loop {
-            let is_usable = |c: &Connection| !handle.was_sent_on(&c.wire);
+            let is_usable = |c: &Connection| !handle.was_sent_on(&c.socket);
             let quiescent = pool
                 .idle
                 .iter()
@@ -164,7 +164,7 @@
             let connection = pool.idle.remove(next);
             if idle < self.max_idle()
                 && !connection.sender.is_closed()
-                && connection.wire.is_open_and_empty()
+                && connection.socket.is_open_and_empty()
             {
                 return Some(connection);
             }
@@ -186,7 +186,7 @@
 
     /// Makes idle connections older, for tests.
     #[doc(hidden)]
-    pub fn age(&self, by: Duration) {
+    pub fn age_idle_connections(&self, by: Duration) {
         for connection in self
             .pools
             .borrow_mut()
