--- a/crates/proxy/src/controllers.rs
+++ b/crates/proxy/src/controllers.rs
@@ -1,5 +1,5 @@
-//! Connections to the controllers: one to each, for as long as the proxy runs. A connection that ends is made again after a
-//! backoff.
+//! Connections to the controllers: one to each, for as long as the proxy runs. A connection that
+//! ends is re-established after a backoff.
 
 use crate::driver::Proxy;
 use bytes::Bytes;
@@ -14,16 +14,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How long further controllers wait for the first one to bring the configuration, so that not all of them send it.
-const FIRST_CONTROLLER_HEAD_START: Duration = Duration::from_millis(150);
+/// Delay of the connections to all controllers but the first, so that the first one can send the
+/// configuration and not all of them send it.
+const FURTHER_CONNECTION_DELAY: Duration = Duration::from_millis(150);
 
-/// Connects to every known controller, now and whenever more become known. `hello` introduces this proxy; `port` is the one that
-/// controllers listen on for proxies.
+/// Connects to every known controller, now and whenever more become known. `hello` identifies this
+/// proxy; `port` is the port on which controllers listen for proxies.
 pub async fn connect_to_controllers(proxy: Rc<Proxy>, hello: Hello, port: u16) {
     let mut connected_to: BTreeSet<String> = BTreeSet::new();
     loop {
         let controllers = proxy.with_core(|core| core.controllers().clone());
-        // Proxies begin with different controllers.
+        // Different proxies connect to different controllers first.
         let offset = hello.incarnation as usize % controllers.len().max(1);
         let from_offset = controllers
             .iter()
@@ -42,7 +43,7 @@
                     controller: address.to_string(),
                 };
                 let delay = if connected_to.len() > 1 {
-                    FIRST_CONTROLLER_HEAD_START
+                    FURTHER_CONNECTION_DELAY
                 } else {
                     Duration::ZERO
                 };
@@ -58,15 +59,15 @@
     proxy: Rc<Proxy>,
     hello: Hello,
     address: SocketAddr,
-    /// The controller's IP address as text, as the core names it.
+    /// The controller's IP address as text, by which the core identifies it.
     controller: String,
 }
 
 impl ControllerConnection {
-    /// Connects after `delay`, and again whenever the connection ends. Only the first failure since the last established
-    /// connection is logged.
+    /// Connects after `delay`, and reconnects whenever the connection ends. Only the first failure
+    /// since the last established connection is logged.
     async fn maintain(self, delay: Duration) {
-        // The settings file was validated: it is an address.
+        // Always an address, since the settings file has been validated.
         let Ok(local_ip) = self.hello.ip.parse::<IpAddr>() else {
             return;
         };
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Runs one connection until it ends, and returns why. Sets `established` once the handshake is complete.
+    /// Runs one connection until it ends and returns the reason. Sets `established` once the
+    /// handshake is complete.
     async fn run(&self, local_ip: IpAddr, established: &mut bool) -> ConnectionError {
         let stream = match connect(local_ip, self.address).await {
             Ok(stream) => stream,
--- a/crates/proxy/src/core/admission.rs
+++ b/crates/proxy/src/core/admission.rs
@@ -1,11 +1,12 @@
-//! Admission of a request: route and tenant, deadline, service, quota token. A request that lacks something which is
-//! expected within [`MAX_ADMISSION_WAIT`] may be tried again by the caller.
+//! Admission of a request: route and tenant, deadline, service, quota token. A rejection for lack
+//! of a configuration, a backend, a lease or a token carries a wait time ([`MAX_ADMISSION_WAIT`]
+//! for the first two) within which the caller may repeat the call.
 
 use super::requests::{PendingRequest, MAX_PENDING_REQUESTS};
 use super::timers::Timer;
 use super::{
     AdmittedRequest, Core, IncomingRequest, LocalResponse, Output, Rejection,
-    RETRY_AFTER_LATENCY_TARGETS, RETURN_TIME,
+    RESPONSE_TRANSIT_TIME, RETRY_AFTER_LATENCY_TARGET_FRACTION,
 };
 use maplefall_gateway_config::{Route, RouteMatch, Tenant};
 use maplefall_policy::{
@@ -16,7 +17,8 @@
 
 /// `Retry-After` of a proxy that has no configuration yet.
 const RETRY_AFTER_WITHOUT_CONFIG: Millis = 300.0;
-/// How long a request may wait for what a proxy that has just started still lacks.
+/// How long a request may wait for a configuration or a ready backend, which a proxy that has just
+/// started may lack.
 const MAX_ADMISSION_WAIT: Millis = 120.0;
 
 impl Core {
@@ -28,7 +30,8 @@
         out: &mut Vec<Output>,
     ) -> Result<AdmittedRequest, Rejection> {
         if self.config_index == 0 {
-            // Without a configuration nothing is known: neither that there is no route nor that a key is wrong.
+            // Without a configuration, neither a missing route nor an unknown key can be
+            // established.
             return Err(Rejection::RejectedUnless(
                 LocalResponse::not_run(503, RETRY_AFTER_WITHOUT_CONFIG),
                 MAX_ADMISSION_WAIT,
@@ -41,8 +44,12 @@
                 RouteMatch::NoRoute => return Err(self.unroutable(404)),
                 RouteMatch::UnknownKey => return Err(self.unroutable(401)),
             };
-        let unavailable =
-            || LocalResponse::not_run(503, RETRY_AFTER_LATENCY_TARGETS * route.latency_target);
+        let unavailable = || {
+            LocalResponse::not_run(
+                503,
+                RETRY_AFTER_LATENCY_TARGET_FRACTION * route.latency_target,
+            )
+        };
         let deadline = response_deadline(incoming, route);
         let has_time = now < deadline && deadline <= self.last_response_at;
         if self.requests.len() >= MAX_PENDING_REQUESTS || !has_time {
@@ -87,7 +94,7 @@
         Rejection::Rejected(LocalResponse::with_status(status))
     }
 
-    /// Hands an admitted request to the policy, at once or when its quota token is available.
+    /// Passes an admitted request to the policy, immediately or once its quota token is available.
     fn start_request(
         &mut self,
         now: Millis,
@@ -162,13 +169,19 @@
         }
     }
 
-    /// The service that a request goes to, drawn by the weights of a traffic split.
+    /// Chooses the service of a request at random, by the weights of the route's traffic split.
     fn choose_service(&mut self, route: &Route) -> usize {
         let destinations = &route.destinations;
-        let total: f64 = destinations.iter().map(|to| to.weight).sum();
+        let total: f64 = destinations
+            .iter()
+            .map(|destination| destination.weight)
+            .sum();
         let mut drawn = f64::from(self.rng.next_u32()) / 4_294_967_296.0 * total;
         let mut chosen = "";
-        for destination in destinations.iter().filter(|to| to.weight > 0.0) {
+        for destination in destinations
+            .iter()
+            .filter(|destination| destination.weight > 0.0)
+        {
             chosen = &destination.service;
             drawn -= destination.weight;
             if drawn < 0.0 {
@@ -179,11 +192,12 @@
     }
 }
 
-/// When the response has to leave the proxy: the client's time, at most the route's timeout, less the way back.
+/// Returns the time by which the response has to leave the proxy: the client's remaining time, at
+/// most the route's timeout, less the time that the response takes to reach the client.
 fn response_deadline(incoming: &IncomingRequest<'_>, route: &Route) -> Millis {
     let timeout = incoming
         .remaining
         .unwrap_or(route.timeout)
         .min(route.timeout);
-    incoming.received_at + timeout - RETURN_TIME
+    incoming.received_at + timeout - RESPONSE_TRANSIT_TIME
 }
--- a/crates/proxy/src/core/attempts.rs
+++ b/crates/proxy/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: carries out the decisions of a service's policy and reports the ends of attempts back to it.
+//! Attempts: executes the decisions of a service's policy and reports ended attempts back to it.
 
 use super::requests::InFlightAttempt;
 use super::timers::Timer;
@@ -7,7 +7,7 @@
     Action, AttemptEnded, BackendId, Event, Millis, Outcome, Report, RequestId, SendMode,
 };
 
-/// Whether a request whose attempt ended so cannot have run.
+/// Returns whether an attempt with this outcome cannot have run the request.
 fn has_not_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
@@ -16,7 +16,7 @@
 }
 
 impl Core {
-    /// An attempt has ended. One that is no longer in flight is ignored.
+    /// Handles the end of an attempt. An attempt that is no longer in flight is ignored.
     pub fn attempt_ended(
         &mut self,
         now: Millis,
@@ -60,7 +60,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Hands an event to a service's policy and carries out its decisions.
+    /// Passes an event to a service's policy and executes the resulting actions.
     pub(super) fn handle_policy_event(
         &mut self,
         now: Millis,
@@ -74,11 +74,11 @@
         };
         service.gateway.handle(now, event, &mut actions);
         for action in actions {
-            self.carry_out(now, action, out);
+            self.execute_action(now, action, out);
         }
     }
 
-    fn carry_out(&mut self, now: Millis, action: Action, out: &mut Vec<Output>) {
+    fn execute_action(&mut self, now: Millis, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::Send {
                 request,
@@ -97,20 +97,22 @@
             }
             Action::SetTimer { at, timer } => {
                 if let Ok(id) = u32::try_from(timer.0) {
-                    self.timers.set(at, Timer::Alarm(RequestId(id)));
+                    self.timers.set(at, Timer::Policy(RequestId(id)));
                 }
             }
             Action::CloseIdle(backend) => out.push(Output::CloseIdle(backend)),
             Action::Log(text) => {
                 out.push(Output::Log(format!("event=backend_health text={text:?}")));
             }
-            // Clients are authenticated by their keys, controllers push the instances, and controllers run the health checks.
+            // Not needed in the proxy: clients are authenticated by their keys, and controllers
+            // push the instances and run the health checks.
             Action::Authorize(_) | Action::Subscribe | Action::FetchBackends | Action::Probe(_) => {
             }
         }
     }
 
-    /// Starts the next attempt of a request, or ends it at once if its backend or its time is gone.
+    /// Starts the next attempt of a request, or ends it immediately if its backend is unknown or no
+    /// time is left.
     fn send(
         &mut self,
         now: Millis,
--- a/crates/proxy/src/core/config.rs
+++ b/crates/proxy/src/core/config.rs
@@ -1,4 +1,5 @@
-//! Configuration updates from controllers. The index only rises: an update that is not newer is ignored.
+//! Configuration updates from controllers. The index of the applied configuration only increases:
+//! an update that is not newer, or that builds on a later configuration, is ignored.
 
 use super::{Core, Output};
 use maplefall_control_messages::ConfigUpdate;
@@ -29,8 +30,8 @@
             self.route_table.tenants.len()
         )));
         self.refresh_quotas(now);
-        self.more_requested_at.clear();
-        self.rejected_at.clear();
+        self.quota_requested_at.clear();
+        self.quota_rejected_at.clear();
         // No quota of new tenants is leased to this proxy yet.
         self.request_leases(now, out);
         self.tenant_names
@@ -53,19 +54,20 @@
         for change in &changes {
             self.items.apply(change);
         }
-        // No other reference to the table is alive between two inputs, so this does not copy it.
+        // No other reference to the table exists between two inputs, so `make_mut` does not copy
+        // it.
         Rc::make_mut(&mut self.route_table).patch(&self.items, changes.iter());
     }
 
-    /// Adds to the known controllers; none is ever removed.
+    /// Adds to the known controllers. Controllers are never removed.
     pub(super) fn add_controllers(
         &mut self,
         controllers: impl Iterator<Item = String>,
         out: &mut Vec<Output>,
     ) {
-        let known = self.controllers.len();
+        let known_count = self.controllers.len();
         self.controllers.extend(controllers);
-        if self.controllers.len() > known {
+        if self.controllers.len() > known_count {
             out.push(Output::ControllersChanged(
                 self.controllers.iter().cloned().collect(),
             ));
--- a/crates/proxy/src/core/instances.rs
+++ b/crates/proxy/src/core/instances.rs
@@ -1,11 +1,13 @@
-//! Backend instances from controllers, and those that a wrong-instance response proves to be gone.
+//! Backend instances: updates from controllers, and the expiry of an instance whose address is used
+//! by another one.
 
 use super::{Core, Output};
 use maplefall_control_messages::InstanceUpdates;
 use maplefall_policy::{BackendId, Event, ListKind, Millis};
 use maplefall_service_registry::{Applied, InstanceRecord};
 
-/// A backend that a complete list leaves out has expired if no update of it came for this long.
+/// A backend that is missing from a complete list expires if there was no update of it for this
+/// long.
 const UNLISTED_TIMEOUT: Millis = 10_000.0;
 
 impl Core {
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Another instance responded at the backend's address: the one that was meant has ended.
+    /// Marks a backend's instance as expired after another instance has responded at its address.
     pub(super) fn expire_wrong_instance(
         &mut self,
         now: Millis,
--- a/crates/proxy/src/core/messages.rs
+++ b/crates/proxy/src/core/messages.rs
@@ -1,12 +1,12 @@
-//! What goes into [`Core`](super::Core) and what comes out: incoming requests, ends of attempts, and the outputs that
-//! the driver carries out.
+//! Inputs and outputs of [`Core`](super::Core): incoming requests, ended attempts, and the outputs
+//! that the driver executes.
 
 use crate::services::PoolCommand;
 use maplefall_control_messages::Frame;
 use maplefall_policy::{BackendId, Millis, Outcome, RequestId, SendMode};
 use std::rc::Rc;
 
-/// Smallest `Retry-After`: a client that comes back sooner finds the same state.
+/// Smallest `Retry-After`: a client that retries sooner finds the same state.
 const MIN_RETRY_AFTER: Millis = 10.0;
 
 /// The head of a request as the client sent it.
@@ -17,12 +17,13 @@
     pub path: &'a str,
     /// The API key, if the request has one.
     pub api_key: Option<&'a str>,
-    /// How long the client waits, counted from `received_at`; `None` if it does not say.
+    /// The client's remaining time, counted from `received_at`; `None` if the request does not
+    /// state it.
     pub remaining: Option<Millis>,
-    /// When its first byte arrived.
+    /// When the request was received.
     pub received_at: Millis,
-    /// Whether it was counted by an earlier call of [`Core::admit`](super::Core::admit) that ended in
-    /// [`Rejection::RejectedUnless`].
+    /// Whether an earlier call of [`Core::admit`](super::Core::admit) for this request, which ended
+    /// in [`Rejection::RejectedUnless`], has already counted it.
     pub is_retry: bool,
 }
 
@@ -31,14 +32,14 @@
 pub struct LocalResponse {
     /// The status code.
     pub status: u16,
-    /// The value of `Retry-After`. `Some` promises that the request has not run.
+    /// The value of `Retry-After`. `Some` guarantees that the request has not run.
     pub retry_after: Option<Millis>,
-    /// Whether a backend's response, if there is one, is forwarded in place of this.
+    /// Whether a backend's response, if there is one, is forwarded instead of this one.
     pub prefer_backend_response: bool,
 }
 
 impl LocalResponse {
-    /// A response without a promise.
+    /// Creates a response that does not state whether the request has run.
     pub(super) fn with_status(status: u16) -> LocalResponse {
         LocalResponse {
             status,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A response that promises that the request has not run.
+    /// Creates a response which guarantees that the request has not run.
     pub(super) fn not_run(status: u16, retry_after: Millis) -> LocalResponse {
         LocalResponse {
             status,
@@ -56,7 +57,8 @@
         }
     }
 
-    /// A response to a request that may have run: a backend's error says more than ours.
+    /// Creates a response to a request that may have run. A backend's error response is preferred,
+    /// since it is more informative.
     pub(super) fn may_have_run(status: u16) -> LocalResponse {
         LocalResponse {
             status,
@@ -66,21 +68,22 @@
     }
 }
 
-/// Why a request is not admitted.
+/// The reason why a request is not admitted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rejection {
     /// The response is final.
     Rejected(LocalResponse),
-    /// The response, unless what is missing (a configuration, backends, a quota lease) arrives within this time.
+    /// The response to send unless what is missing (a configuration, a backend, a quota lease or a
+    /// token) arrives within this time.
     RejectedUnless(LocalResponse, Millis),
 }
 
-/// A request that was admitted.
+/// An admitted request.
 #[derive(Clone, Debug)]
 pub struct AdmittedRequest {
-    /// Its id within this proxy.
+    /// The request's id within this proxy.
     pub id: RequestId,
-    /// The tenant's name, for the backend.
+    /// The tenant's name, which is forwarded to the backend.
     pub tenant: Option<Rc<str>>,
 }
 
@@ -89,14 +92,14 @@
 pub struct AttemptEnd {
     /// The outcome.
     pub outcome: Outcome,
-    /// Established connections that broke during the attempt.
+    /// Number of established connections that broke during the attempt.
     pub broken_connections: u32,
     /// Whether another instance listens at the backend's address (status 421).
     pub wrong_instance: bool,
 }
 
 impl AttemptEnd {
-    /// An attempt that ended without a response and without broken connections.
+    /// Creates the end of an attempt without a response and without broken connections.
     pub(crate) fn without_response(outcome: Outcome) -> AttemptEnd {
         AttemptEnd {
             outcome,
@@ -106,7 +109,7 @@
     }
 }
 
-/// What the driver has to do.
+/// An operation that the driver has to execute.
 #[derive(Debug)]
 pub enum Output {
     /// Start an attempt.
@@ -124,19 +127,21 @@
         /// How to guard the request against a connection that breaks.
         send_mode: SendMode,
     },
-    /// Forward the response that the last attempt brought.
+    /// Forward the response of the last attempt.
     ForwardResponse(RequestId),
-    /// Respond without a backend.
+    /// Send the proxy's own response, or a backend's response if the former allows it.
     Respond(RequestId, LocalResponse),
-    /// The attempt has had its time: close its connection, then call [`Core::attempt_ended`](super::Core::attempt_ended).
+    /// Cancel an attempt that has timed out: close its connection, then call
+    /// [`Core::attempt_ended`](super::Core::attempt_ended).
     CancelAttempt(RequestId, u32),
-    /// The client has gone: the same, with an outcome that says nothing about the backend.
+    /// Abandon an attempt whose client has disconnected: the same as `CancelAttempt`, with an
+    /// outcome that does not count against the backend.
     AbandonAttempt {
         /// The request.
         request: RequestId,
         /// The attempt's number within the request.
         attempt: u32,
-        /// Whether also a request that has been completely written is abandoned.
+        /// Whether the attempt is abandoned even if its request has been completely written.
         even_if_written: bool,
     },
     /// Change the connection pool of a backend.
@@ -147,7 +152,8 @@
     SendToController(String, Frame),
     /// The complete set of known controllers, by IP address.
     ControllersChanged(Vec<String>),
-    /// Configuration, backends or leases changed: requests that wait for them may try again.
+    /// Configuration, backends, leases or tokens have changed: the admission of waiting requests
+    /// can be repeated.
     StateChanged,
     /// Write a line to the log.
     Log(String),
--- a/crates/proxy/src/core/mod.rs
+++ b/crates/proxy/src/core/mod.rs
@@ -1,6 +1,7 @@
-//! The decisions of a proxy, without I/O: inputs come with the time, and what to send, forward and respond is returned as
-//! [`Output`]s. A request passes through the phases `admit` (route, deadline, service, quota), `send` (the policy selects a
-//! backend), `attempt_ended` (respond, retry or fail) and is forgotten once it has its response and no attempt is in flight.
+//! The decisions of a proxy, without I/O: each input comes with the current time, and what is to be
+//! sent, forwarded and responded is returned as [`Output`]s. A request passes through `admit`
+//! (route, deadline, service, quota), `send` (the policy selects a backend) and `attempt_ended`
+//! (respond, retry or fail), and is removed once it has its response and no attempt is in flight.
 
 mod admission;
 mod attempts;
@@ -34,10 +35,10 @@
 use std::rc::Rc;
 use timers::Timer;
 
-/// Kept free of a client's time for the response's way back.
-const RETURN_TIME: Millis = 4.0;
-/// `Retry-After` where nothing else is known, as a fraction of the route's latency target.
-const RETRY_AFTER_LATENCY_TARGETS: f64 = 0.2;
+/// Part of the client's remaining time that is reserved for the response to reach the client.
+const RESPONSE_TRANSIT_TIME: Millis = 4.0;
+/// Default `Retry-After`, as a fraction of the route's latency target.
+const RETRY_AFTER_LATENCY_TARGET_FRACTION: f64 = 0.2;
 
 /// The state of one proxy.
 pub struct Core {
@@ -48,7 +49,8 @@
     config_index: u64,
     route_table: Rc<RouteTable>,
     tenants: Tenants<Rc<str>>,
-    /// Interned names of tenants; names that nothing else refers to are dropped with each configuration.
+    /// Interned tenant names. Names that are no longer referenced are dropped with each
+    /// configuration.
     tenant_names: HashMap<String, Rc<str>>,
     lease_client: LeaseClient,
     token_client: TokenClient,
@@ -58,27 +60,29 @@
     controllers: BTreeSet<String>,
     /// When leases were last requested outside of a tick.
     last_urgent_request: Millis,
-    /// Spaces out the urgent requests of all tenants.
-    urgent_requests: Pacer,
-    /// When controllers were asked for more of a tenant's quota.
-    more_requested_at: HashMap<Rc<str>, Millis>,
+    /// Limits the rate of lease requests outside of a tick, over all tenants.
+    urgent_request_pacer: Pacer,
+    /// When more of a tenant's quota was last requested from the controllers.
+    quota_requested_at: HashMap<Rc<str>, Millis>,
     /// When a tenant's bucket was last found empty.
-    rejected_at: HashMap<Rc<str>, Millis>,
+    quota_rejected_at: HashMap<Rc<str>, Millis>,
     registry: Registry,
     services: Services,
-    /// At most [`requests::MAX_PENDING_REQUESTS`].
+    /// Pending requests, at most [`requests::MAX_PENDING_REQUESTS`].
     requests: HashMap<RequestId, PendingRequest>,
     last_request_id: u32,
     timers: TimerQueue<Timer>,
     shutting_down: bool,
-    /// Requests whose responses may come later than this are rejected; infinite unless the proxy is about to end.
+    /// Requests whose responses may come later than this are rejected; infinite unless the proxy is
+    /// about to exit.
     last_response_at: Millis,
     was_ready: bool,
     stats: Stats,
 }
 
 impl Core {
-    /// A proxy without configuration and backends. `seed` is its only source of randomness, and its incarnation.
+    /// Creates a proxy without configuration and backends. `seed` is its only source of randomness,
+    /// and its incarnation.
     pub fn new(settings: &Settings, seed: u64) -> Core {
         Core {
             bounds: settings.bounds,
@@ -93,9 +97,9 @@
             connected_controllers: BTreeSet::new(),
             controllers: seed_controllers(settings).collect(),
             last_urgent_request: 0.0,
-            urgent_requests: Pacer::new(0.0, quota_leases::MAX_URGENT_CREDIT),
-            more_requested_at: HashMap::new(),
-            rejected_at: HashMap::new(),
+            urgent_request_pacer: Pacer::new(0.0, quota_leases::MAX_URGENT_CREDIT),
+            quota_requested_at: HashMap::new(),
+            quota_rejected_at: HashMap::new(),
             registry: Registry::default(),
             services: Services::new(settings.bounds, &settings.zone, seed),
             requests: HashMap::new(),
@@ -108,22 +112,24 @@
         }
     }
 
-    /// The index of the applied configuration; 0 before the first.
+    /// Returns the index of the applied configuration, or 0 before the first one.
     pub fn config_index(&self) -> u64 {
         self.config_index
     }
 
-    /// The configured limits of clients' requests and connections.
+    /// Returns the configured limits on clients' requests and connections.
     pub fn limits(&self) -> Limits {
         self.route_table.limits
     }
 
-    /// Whether the proxy can serve new clients: it has a configuration and backends, and is not shutting down.
+    /// Returns whether the proxy can serve new clients: it has a configuration and backends, and is
+    /// not shutting down.
     pub fn ready(&self) -> bool {
         !self.shutting_down && self.config_index > 0 && self.services.has_backends()
     }
 
-    /// Applies a changed settings file: bounds and further seeds take effect, the rest takes a restart.
+    /// Applies a changed settings file: bounds and additional seeds take effect, all other settings
+    /// need a restart.
     pub fn reload(&mut self, settings: &Settings, out: &mut Vec<Output>) {
         self.bounds = settings.bounds;
         self.services.set_bounds(settings.bounds);
@@ -132,27 +138,28 @@
         self.add_controllers(seed_controllers(settings), out);
     }
 
-    /// Begins a planned stop: the proxy is no longer ready.
+    /// Starts a graceful shutdown: the proxy is no longer ready.
     pub fn shut_down(&mut self) {
         self.shutting_down = true;
     }
 
-    /// The process ends at `at`: from now on a request that may take longer is rejected.
-    pub fn end_at(&mut self, at: Millis) {
+    /// Sets the time at which the process ends: from now on a request that may take longer is
+    /// rejected.
+    pub fn set_end_time(&mut self, at: Millis) {
         self.last_response_at = at;
     }
 
-    /// The shortest time that any route gives its requests; 0 without routes.
+    /// Returns the shortest timeout of any route, or 0 without routes.
     pub fn shortest_timeout(&self) -> Millis {
         self.route_table.shortest_timeout().unwrap_or(0.0)
     }
 
-    /// Known controllers, by IP address.
+    /// Returns the known controllers, by IP address.
     pub fn controllers(&self) -> &BTreeSet<String> {
         &self.controllers
     }
 
-    /// A frame from a controller.
+    /// Handles a frame from a controller.
     pub fn receive(&mut self, now: Millis, controller: &str, frame: Frame, out: &mut Vec<Output>) {
         match frame {
             Frame::ConfigUpdate(update) => self.apply_config_update(now, update, out),
@@ -163,7 +170,7 @@
         }
     }
 
-    /// Refreshes quotas and requests leases; to be called every 500 ms.
+    /// Refreshes quotas and requests leases. Must be called every 500 ms.
     pub fn tick(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.refresh_quotas(now);
         self.services
--- a/crates/proxy/src/core/quota_leases.rs
+++ b/crates/proxy/src/core/quota_leases.rs
@@ -1,5 +1,6 @@
-//! Quota: the fraction of each tenant's quota that controllers lease to this proxy, and the requests for more of it.
-//! QUOTA: over any window the requests that run are at most what all buckets contain and what refills them meanwhile.
+//! Quota leases: the fraction of each tenant's quota that controllers lease to this proxy, and the
+//! requests for more of it. Rule QUOTA: in any window, the requests that run are at most the tokens
+//! in all buckets plus the refill during the window.
 
 use super::{Core, Output};
 use maplefall_control_messages::Frame;
@@ -9,45 +10,52 @@
 use maplefall_quota_lease::{Demand, LeaseGrant, LeaseRequest, TenantQuota};
 use std::rc::Rc;
 
-/// Time that a lease request beyond those of the ticks costs, for each proxy that the controllers know: together the proxies ask a
-/// controller 500 times a second at most, however many they are. A controller moves leases among all of them no more often.
+/// Interval between urgent lease requests (those outside of the ticks) for each proxy that the
+/// controllers know: together the proxies send a controller at most 500 a second, however many
+/// proxies there are. A controller does not move leases among all proxies more often than that.
 const URGENT_INTERVAL_PER_PROXY: Millis = 2.0;
-/// Time for which urgent requests go out without a pause after a while with fewer.
+/// Unused interval that can accumulate as credit: a proxy that sent fewer urgent requests for a
+/// while sends them without delay until the credit is used.
 pub(super) const MAX_URGENT_CREDIT: Millis = 200.0;
-/// Shortest time between two lease requests to one controller beyond those of the ticks, for tenants that it was asked for before.
+/// Minimum time since the last urgent lease request if more of the tenant's quota was already
+/// requested within [`LEASE_RETRY_INTERVAL`].
 const MIN_LEASE_REQUEST_INTERVAL: Millis = 60.0;
-/// Controllers grant a lease within this time, or are taken not to.
+/// Controllers that have not granted a lease within this time are assumed not to grant it.
 const LEASE_GRANT_TIMEOUT: Millis = 30.0;
-/// A controller that has not granted a lease is asked again for that tenant after this time.
+/// Time after which more of a tenant's quota is requested again from controllers that have not
+/// granted it.
 const LEASE_RETRY_INTERVAL: Millis = 1000.0;
-/// Fraction of its latency target for which a request may wait for a token that is sure to come.
-const TOKEN_WAIT_LATENCY_TARGETS: f64 = 0.2;
-/// A tenant counts as starved for this long after a request of it was rejected.
+/// Maximum time that a request waits for a token that is certain to become available, as a fraction
+/// of its latency target.
+const TOKEN_WAIT_LATENCY_TARGET_FRACTION: f64 = 0.2;
+/// How long a tenant counts as starved after one of its requests was rejected.
 const STARVED_DURATION: Millis = 300.0;
 
-/// What a tenant may use, and the fraction `share` of it that is leased to this proxy. In any window the runs are at most what all
-/// buckets contain together and what refills them meanwhile: that is kept within the window's bound. A fifth of the overshoot is kept
-/// for requests that wait for tokens: if all leases ended while they do, they would run without.
+/// Returns a tenant's quota and the fraction `share` of it that is leased to this proxy. In any
+/// window, the requests that run are at most the tokens in all buckets plus the refill during the
+/// window, which is kept within the window's bound. A fifth of the overshoot is reserved for
+/// requests that wait for tokens: if all leases ended during the wait, these requests would run
+/// without tokens.
 pub fn quota(bounds: &Bounds, rate: f64, burst: f64, share: f64, latency_target: Millis) -> Quota {
-    let whole = whole_quota(bounds, rate, burst);
+    let total = total_quota(bounds, rate, burst);
     let spare = 1000.0 * 0.2 * bounds.quota_overshoot * bounds.quota_window_s;
-    let max_wait = spare.min(TOKEN_WAIT_LATENCY_TARGETS * latency_target);
+    let max_wait = spare.min(TOKEN_WAIT_LATENCY_TARGET_FRACTION * latency_target);
     Quota {
-        rate: whole.rate,
+        rate: total.rate,
         burst,
-        depth: whole.depth,
+        depth: total.depth,
         share,
         max_wait,
     }
 }
 
-/// The whole quota of a tenant with this rate and burst.
-pub(super) fn whole_quota(bounds: &Bounds, rate: f64, burst: f64) -> TenantQuota {
+/// Returns the total quota, over all proxies, of a tenant with this rate and burst.
+pub(super) fn total_quota(bounds: &Bounds, rate: f64, burst: f64) -> TenantQuota {
     TenantQuota::new(rate, burst, bounds.quota_overshoot, bounds.quota_slack)
 }
 
 impl Core {
-    /// The shared name of a tenant: one allocation a tenant, not one a request.
+    /// Returns the interned name of a tenant: one allocation per tenant instead of one per request.
     pub(super) fn intern_tenant(&mut self, tenant: &str) -> Rc<str> {
         if let Some(name) = self.tenant_names.get(tenant) {
             return name.clone();
@@ -72,7 +80,7 @@
         )
     }
 
-    /// Brings every tenant's bucket up to its present quota.
+    /// Updates every tenant's bucket to its current quota.
     pub(super) fn refresh_quotas(&mut self, now: Millis) {
         let route_table = self.route_table.clone();
         for tenant in route_table.tenants.values() {
@@ -84,7 +92,7 @@
 
     fn demand(&self, now: Millis) -> Vec<Demand> {
         let is_starved = |tenant: &Rc<str>| {
-            self.rejected_at
+            self.quota_rejected_at
                 .get(tenant)
                 .is_some_and(|at| now - at < STARVED_DURATION)
         };
@@ -98,7 +106,7 @@
             .collect()
     }
 
-    /// Sends the present demand to every connected controller.
+    /// Sends the current demand to every connected controller.
     pub(super) fn request_leases(&mut self, now: Millis, out: &mut Vec<Output>) {
         let demand = self.demand(now);
         for controller in self.connected_controllers.clone() {
@@ -109,22 +117,24 @@
         }
     }
 
-    /// Asks the controllers for more of a tenant's quota; returns how long their grants are worth waiting for.
+    /// Requests more of a tenant's quota from the controllers, unless urgent requests are over
+    /// their rate. Returns how long to wait for grants, or `None` if none is expected.
     pub(super) fn request_more_quota(
         &mut self,
         now: Millis,
         tenant: &Rc<str>,
         out: &mut Vec<Output>,
     ) -> Option<Millis> {
-        self.rejected_at.insert(tenant.clone(), now);
-        let requested_at = self.more_requested_at.get(tenant).copied();
-        let may_ask = self.urgent_requests.is_due(now) && !self.connected_controllers.is_empty();
-        if may_ask && requested_at.is_none_or(|at| now - at >= LEASE_RETRY_INTERVAL) {
-            self.more_requested_at.insert(tenant.clone(), now);
+        self.quota_rejected_at.insert(tenant.clone(), now);
+        let requested_at = self.quota_requested_at.get(tenant).copied();
+        let can_request =
+            self.urgent_request_pacer.is_due(now) && !self.connected_controllers.is_empty();
+        if can_request && requested_at.is_none_or(|at| now - at >= LEASE_RETRY_INTERVAL) {
+            self.quota_requested_at.insert(tenant.clone(), now);
             self.request_leases_urgently(now, out);
             return Some(LEASE_GRANT_TIMEOUT);
         }
-        if may_ask && now - self.last_urgent_request >= MIN_LEASE_REQUEST_INTERVAL {
+        if can_request && now - self.last_urgent_request >= MIN_LEASE_REQUEST_INTERVAL {
             self.request_leases_urgently(now, out);
         }
         requested_at
@@ -134,7 +144,7 @@
 
     fn request_leases_urgently(&mut self, now: Millis, out: &mut Vec<Output>) {
         let proxies = f64::from(self.lease_client.client_count());
-        self.urgent_requests
+        self.urgent_request_pacer
             .charge(now, URGENT_INTERVAL_PER_PROXY * proxies);
         self.last_urgent_request = now;
         self.request_leases(now, out);
@@ -151,7 +161,8 @@
         self.token_client
             .set_grants_tokens(controller, grant.grants_tokens);
         if effect.decreased {
-            // The controller may lease what was taken back to others only once this is acknowledged.
+            // The controller may lease the reclaimed share to other proxies only once the decrease
+            // is acknowledged.
             let demand = self.demand(now);
             let request = self.lease_client.next_request(now, controller, demand);
             out.push(lease_request(controller.to_owned(), request));
@@ -161,7 +172,7 @@
         }
     }
 
-    /// A connection to a controller is established.
+    /// Handles the establishment of a connection to a controller.
     pub fn controller_connected(&mut self, now: Millis, controller: &str, out: &mut Vec<Output>) {
         self.connected_controllers.insert(controller.to_owned());
         self.lease_client.connected(controller);
@@ -170,13 +181,14 @@
         out.push(lease_request(controller.to_owned(), request));
     }
 
-    /// The connection to a controller has ended.
+    /// Handles the end of the connection to a controller.
     pub fn controller_disconnected(&mut self, controller: &str) {
         self.connected_controllers.remove(controller);
         self.token_client.disconnected(controller);
     }
 
-    /// All requests have their responses and no more tokens are taken: controllers may lease the quota to others.
+    /// Releases all leases, so that controllers can lease the quota to other proxies. To be called
+    /// once all requests have their responses and no more tokens are taken.
     pub fn release_leases(&mut self, now: Millis, out: &mut Vec<Output>) {
         for controller in self.connected_controllers.clone() {
             let request = self.lease_client.next_request(now, &controller, Vec::new());
--- a/crates/proxy/src/core/requests.rs
+++ b/crates/proxy/src/core/requests.rs
@@ -1,11 +1,14 @@
-//! Pending requests: from admission until the response is decided and no attempt is in flight. Each gets exactly one
-//! response, and one that may have run gets no promise that it has not.
+//! Pending requests: from admission until the response is decided and no attempt is in flight. Each
+//! request gets exactly one response, and one that may have run never gets a response which states
+//! that it has not.
 
-use super::{Core, LocalResponse, Output, RETRY_AFTER_LATENCY_TARGETS, RETURN_TIME};
+use super::{
+    Core, LocalResponse, Output, RESPONSE_TRANSIT_TIME, RETRY_AFTER_LATENCY_TARGET_FRACTION,
+};
 use maplefall_policy::{BackendId, Event, Millis, RejectReason, Request, RequestId};
 use std::rc::Rc;
 
-/// Requests at most that are pending; beyond it a request is rejected with 503.
+/// Maximum number of pending requests; further requests are rejected with 503.
 pub(super) const MAX_PENDING_REQUESTS: usize = 4096;
 
 /// An attempt that has been sent and has not ended.
@@ -20,28 +23,28 @@
 pub(super) struct PendingRequest {
     /// Index of its service.
     pub service: usize,
-    /// Whether it may run more than once (its route's kind).
+    /// Whether the request may run more than once, as configured for its route.
     pub idempotent: bool,
     pub tenant: Option<Rc<str>>,
     /// The route's latency target.
     pub latency_target: Millis,
     /// When the client stops waiting, less the time that the response takes to reach it.
     pub deadline: Millis,
-    /// Attempts started so far.
+    /// Number of attempts started so far.
     pub attempts: u32,
     pub in_flight: Option<InFlightAttempt>,
     /// Whether an attempt may have reached a backend's handler.
     pub may_have_run: bool,
-    /// Whether the response is decided, or the client has gone.
+    /// Whether the response is decided, or the client has disconnected.
     pub responded: bool,
-    /// Whether any attempt went to a backend.
+    /// Whether any attempt was sent to a backend.
     pub sent: bool,
-    /// The request as the policy gets it once its quota token is available.
+    /// The request that is passed to the policy once its quota token is available.
     pub waiting_for_token: Option<Request>,
 }
 
 impl PendingRequest {
-    /// Whether the attempt of this number is in flight.
+    /// Returns whether the attempt with this number is in flight.
     pub fn is_in_flight(&self, number: u32) -> bool {
         self.in_flight
             .is_some_and(|attempt| attempt.number == number)
@@ -53,14 +56,15 @@
 }
 
 impl Core {
-    /// Whether any request has no response yet.
+    /// Returns whether any request has no response yet.
     pub fn has_pending_requests(&self) -> bool {
         self.requests.values().any(|pending| !pending.responded)
     }
 
-    /// A client has gone away before its response. A request that still waits for its quota token returns it. Guards backends
-    /// against work that nobody waits for (the users' rule GONE): an attempt that may be repeated is cancelled. One that may not is
-    /// left to its backend once it is completely written, since it may be halfway through.
+    /// Handles a client that disconnected before its response. A request that still waits for its
+    /// quota token returns the token. Attempts of idempotent requests are cancelled, so that
+    /// backends do no work that nobody waits for (users' rule GONE). An attempt of a non-idempotent
+    /// request continues once it is completely written, since the backend may have run it halfway.
     pub fn client_disconnected(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
         let Some(pending) = self
             .requests
@@ -88,7 +92,7 @@
         self.remove_if_finished(id);
     }
 
-    /// The policy has no backend for the request.
+    /// Rejects a request for which the policy has no backend.
     pub(super) fn reject(
         &mut self,
         id: RequestId,
@@ -102,13 +106,14 @@
         if !pending.responded {
             pending.responded = true;
             let in_flight = pending.in_flight.is_some();
-            // An attempt in flight may have run, or may run yet: nothing is promised.
+            // An attempt in flight may have run or may still run, so the response must not state
+            // that the request has not run.
             let response = if pending.may_have_run || in_flight {
                 self.stats.failed += 1;
                 LocalResponse::may_have_run(if in_flight { 504 } else { 502 })
             } else {
                 self.stats.no_backend += 1;
-                let default = RETRY_AFTER_LATENCY_TARGETS * pending.latency_target;
+                let default = RETRY_AFTER_LATENCY_TARGET_FRACTION * pending.latency_target;
                 LocalResponse::not_run(503, retry_after.unwrap_or(default))
             };
             if let (Some(tenant), false, RejectReason::NoBackend) =
@@ -121,7 +126,7 @@
         self.remove_if_finished(id);
     }
 
-    /// The request failed and may have run.
+    /// Fails a request that may have run.
     pub(super) fn fail(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -129,7 +134,7 @@
         if !pending.responded {
             pending.responded = true;
             self.stats.failed += 1;
-            let timed_out = now + 2.0 * RETURN_TIME >= pending.deadline;
+            let timed_out = now + 2.0 * RESPONSE_TRANSIT_TIME >= pending.deadline;
             let status = if timed_out { 504 } else { 502 };
             out.push(Output::Respond(id, LocalResponse::may_have_run(status)));
         }
--- a/crates/proxy/src/core/stats.rs
+++ b/crates/proxy/src/core/stats.rs
@@ -1,11 +1,12 @@
-//! Counts of what happened to requests since the last log line about it.
+//! Counters of request outcomes since the last `stats` log line.
 
 use super::Core;
 use maplefall_policy::Millis;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Counters since the last `stats` line. `quota_rejected_by_tenant` has at most the configured tenants.
+/// Counters since the last `stats` log line. `quota_rejected_by_tenant` has at most one entry per
+/// configured tenant.
 #[derive(Default)]
 pub(super) struct Stats {
     /// Requests with a route, a valid key and a backend.
@@ -14,17 +15,17 @@
     pub forwarded: u64,
     /// Requests rejected because their tenant's bucket was empty.
     pub quota_rejected: u64,
-    /// Requests that asked controllers for a single token.
+    /// Requests for which a single token was requested from the controllers.
     pub tokens_requested: u64,
     /// Requests rejected because their tenant is in the penalty box.
     pub penalty_box_rejected: u64,
-    /// Requests that no backend took, and that have not run.
+    /// Requests that no backend accepted and that have not run.
     pub no_backend: u64,
     /// Requests that failed and may have run.
     pub failed: u64,
     /// Attempts beyond the first of a request.
     pub retries: u64,
-    /// Attempts that were given up by their timeout.
+    /// Attempts that were cancelled by their timeout.
     pub attempts_given_up: u64,
     /// Requests without a route or with an unknown key.
     pub unroutable: u64,
@@ -33,7 +34,8 @@
 }
 
 impl Stats {
-    /// The tenant that was rejected most often, with its count; of equals the first by name.
+    /// Returns the tenant with the most quota rejections and their number; among equals, the first
+    /// by name.
     fn most_rejected_tenant(&self) -> Option<(&Rc<str>, u64)> {
         self.quota_rejected_by_tenant
             .iter()
@@ -43,9 +45,10 @@
 }
 
 impl Core {
-    /// A log line of what happened since the last call; `None` if no request arrived. It names the tenant that was rejected
-    /// most often, with the fraction of its quota that is leased to this proxy.
-    pub fn stats_line(&mut self, now: Millis) -> Option<String> {
+    /// Returns a log line with the counters since the last call and resets them; `None` if no
+    /// request arrived. The line names the tenant that was rejected most often, with the fraction
+    /// of its quota that is leased to this proxy.
+    pub fn take_stats_summary(&mut self, now: Millis) -> Option<String> {
         let stats = std::mem::take(&mut self.stats);
         if stats.arrived == 0 {
             return None;
--- a/crates/proxy/src/core/timers.rs
+++ b/crates/proxy/src/core/timers.rs
@@ -1,35 +1,35 @@
-//! Timers of pending requests: policy alarms, waits for quota tokens and attempt timeouts.
+//! Timers of pending requests: policy timers, waits for quota tokens and attempt timeouts.
 
 use super::requests::PendingRequest;
 use super::{Core, Output};
 use maplefall_policy::{Event, Millis, RequestId, TimerId};
 use std::collections::HashMap;
 
-/// What is due at a time. A timer whose request has ended is obsolete and does nothing.
+/// A timer of a request. A timer whose request or attempt has ended is obsolete and has no effect.
 pub(super) enum Timer {
-    /// The policy asked to be woken for this request.
-    Alarm(RequestId),
+    /// A timer that the policy set for this request.
+    Policy(RequestId),
     /// The request's quota token has become available.
     QuotaToken(RequestId),
-    /// The attempt has had its time.
+    /// The attempt times out.
     AttemptTimeout { request: RequestId, attempt: u32 },
 }
 
-/// What became of an attempt whose time is over.
+/// What happens to an attempt at its timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Timeout {
-    /// It has ended before.
+enum TimeoutResult {
+    /// The attempt has already ended.
     Ignored,
-    /// It goes on until its client's time is over.
+    /// The attempt continues until its request's deadline.
     Extended,
-    /// It is given up.
-    GivenUp,
+    /// The attempt is cancelled.
+    Cancelled,
 }
 
 impl Timer {
     fn is_obsolete(&self, requests: &HashMap<RequestId, PendingRequest>) -> bool {
         match self {
-            Timer::Alarm(id) | Timer::QuotaToken(id) => !requests.contains_key(id),
+            Timer::Policy(id) | Timer::QuotaToken(id) => !requests.contains_key(id),
             Timer::AttemptTimeout { request, attempt } => !requests
                 .get(request)
                 .is_some_and(|pending| pending.is_in_flight(*attempt)),
@@ -38,21 +38,24 @@
 }
 
 impl Core {
-    /// When the next timer is due; `None` if none is set.
+    /// Returns when the next timer is due, or `None` if none is set.
     pub fn next_due(&mut self) -> Option<Millis> {
         let requests = &self.requests;
         self.timers.next_due(|timer| timer.is_obsolete(requests))
     }
 
-    /// Runs the timers that are due, up to the first that gives an attempt up: what the next ones do depends on whether a retry
-    /// has followed, so the outputs have to be carried out first. [`next_due`](Self::next_due) tells whether any is left.
+    /// Runs the timers that are due, up to the first one that cancels an attempt: the effect of
+    /// later timers depends on whether a retry follows, so the outputs have to be executed first.
+    /// [`next_due`](Self::next_due) shows whether any are left.
     pub fn run_timers(&mut self, now: Millis, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Alarm(id) => self.policy_alarm(now, id, out),
+                Timer::Policy(id) => self.run_policy_timer(now, id, out),
                 Timer::QuotaToken(id) => self.quota_token_available(now, id, out),
                 Timer::AttemptTimeout { request, attempt } => {
-                    if self.attempt_timed_out(now, request, attempt, out) == Timeout::GivenUp {
+                    if self.attempt_timed_out(now, request, attempt, out)
+                        == TimeoutResult::Cancelled
+                    {
                         return;
                     }
                 }
@@ -60,7 +63,7 @@
         }
     }
 
-    fn policy_alarm(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
+    fn run_policy_timer(&mut self, now: Millis, id: RequestId, out: &mut Vec<Output>) {
         let Some(service) = self.requests.get(&id).map(|pending| pending.service) else {
             return;
         };
@@ -79,18 +82,19 @@
         }
     }
 
-    /// Guards requests whose backends are at work on them (the users' rule LOST): an attempt is given up before its client's time is
-    /// over only if a retry follows, and never during a planned stop.
+    /// Handles the timeout of an attempt. Before its request's deadline, an attempt is cancelled
+    /// only if a retry follows, and never during a graceful shutdown, so that a request on which a
+    /// backend is working is not lost (users' rule LOST).
     fn attempt_timed_out(
         &mut self,
         now: Millis,
         request: RequestId,
         attempt: u32,
         out: &mut Vec<Output>,
-    ) -> Timeout {
+    ) -> TimeoutResult {
         let pending = self.requests.get(&request);
         let Some(pending) = pending.filter(|pending| pending.is_in_flight(attempt)) else {
-            return Timeout::Ignored;
+            return TimeoutResult::Ignored;
         };
         let deadline = pending.deadline;
         let would_retry = !self.shutting_down
@@ -101,10 +105,10 @@
         if now < deadline && !would_retry {
             self.timers
                 .set(deadline, Timer::AttemptTimeout { request, attempt });
-            return Timeout::Extended;
+            return TimeoutResult::Extended;
         }
         self.stats.attempts_given_up += 1;
         out.push(Output::CancelAttempt(request, attempt));
-        Timeout::GivenUp
+        TimeoutResult::Cancelled
     }
 }
--- a/crates/proxy/src/core/tokens.rs
+++ b/crates/proxy/src/core/tokens.rs
@@ -1,7 +1,8 @@
-//! Tenants whose quota is too small to be leased to every proxy: each request takes a single token, which a controller grants.
+//! Single tokens for tenants whose quota is too small to be leased to every proxy: each request
+//! takes one token, which a controller grants.
 
-use super::quota_leases::whole_quota;
-use super::{Core, LocalResponse, Output, Rejection, RETRY_AFTER_LATENCY_TARGETS};
+use super::quota_leases::total_quota;
+use super::{Core, LocalResponse, Output, Rejection, RETRY_AFTER_LATENCY_TARGET_FRACTION};
 use maplefall_control_messages::Frame;
 use maplefall_gateway_config::{Route, Tenant};
 use maplefall_node_settings::Bounds;
@@ -9,21 +10,22 @@
 use maplefall_quota_lease::{token_lifetime, TokenGrant, TokenStatus};
 use std::rc::Rc;
 
-/// How long a token may be spent after it was requested.
+/// Returns how long after its request a token may be used.
 pub(super) fn lifetime(bounds: &Bounds) -> Millis {
     token_lifetime(bounds.quota_overshoot, bounds.quota_window_s)
 }
 
 impl Core {
-    /// Whether controllers keep a tenant's quota and grant single tokens of it.
+    /// Returns whether controllers keep a tenant's quota themselves and grant single tokens of it.
     pub(super) fn uses_tokens(&self, tenant: &Tenant) -> bool {
         let client_count = self.lease_client.client_count() as usize;
-        let quota = whole_quota(&self.bounds, tenant.rate, tenant.burst);
+        let quota = total_quota(&self.bounds, tenant.rate, tenant.burst);
         quota.is_pooled(client_count) && self.token_client.has_servers()
     }
 
-    /// Takes a token that a controller has granted. If there is none, a request that comes for the first time asks for one, and waits
-    /// until it comes or all controllers have refused it.
+    /// Takes a token that a controller has granted. If there is none, a token is requested on the
+    /// first call for a request, which then waits until a token arrives or all controllers have
+    /// rejected the token request.
     pub(super) fn take_single_token(
         &mut self,
         now: Millis,
@@ -35,19 +37,19 @@
         if self.token_client.take(now, tenant) {
             return Ok(0.0);
         }
-        let expectation = if is_retry {
+        let token_status = if is_retry {
             self.token_client.status(now, tenant)
         } else {
             self.stats.tokens_requested += 1;
             self.token_client.request_token(now, tenant)
         };
         self.send_token_requests(now, out);
-        let retry_after = RETRY_AFTER_LATENCY_TARGETS * route.latency_target;
-        match expectation {
+        let retry_after = RETRY_AFTER_LATENCY_TARGET_FRACTION * route.latency_target;
+        match token_status {
             TokenStatus::Requested => {
                 let response = LocalResponse::not_run(429, retry_after);
-                let longest = self.token_client.lifetime();
-                Err(Rejection::RejectedUnless(response, longest))
+                let max_wait = self.token_client.lifetime();
+                Err(Rejection::RejectedUnless(response, max_wait))
             }
             TokenStatus::Unavailable(wait) => {
                 self.stats.quota_rejected += 1;
@@ -59,7 +61,8 @@
         }
     }
 
-    /// A controller's answer: requests that wait may try again.
+    /// Handles a controller's response to a token request, after which the admission of waiting
+    /// requests can be repeated.
     pub(super) fn handle_token_grant(
         &mut self,
         now: Millis,
--- a/crates/proxy/src/downstream/body.rs
+++ b/crates/proxy/src/downstream/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests: read complete before admission, within a budget of memory for all of them together.
+//! Request bodies: read completely before admission, within a common memory budget.
 
 use super::request::RequestError;
 use super::DownstreamServer;
@@ -7,10 +7,11 @@
 use std::cell::Cell;
 use tokio::time::Instant;
 
-/// A body whose length is not announced reserves this fraction of the budget while it is read, and may not be longer.
-const CHUNKED_BODY_FRACTION: usize = 16;
+/// A body whose length is not announced reserves one part in this many of the budget while it is
+/// read, and may not be longer.
+const CHUNKED_BODY_DIVISOR: usize = 16;
 
-/// The memory for bodies.
+/// The memory budget for request bodies.
 pub(super) struct BodyMemory {
     max_bytes: usize,
     reserved_bytes: Cell<usize>,
@@ -24,7 +25,8 @@
         }
     }
 
-    /// Reserves memory until the reservation is dropped; `None` if the budget does not allow it now.
+    /// Reserves memory until the reservation is dropped. Returns `None` if the budget does not
+    /// currently allow it.
     fn reserve(&self, bytes: usize) -> Option<BodyReservation<'_>> {
         let reserved = self.reserved_bytes.get() + bytes;
         (reserved <= self.max_bytes).then(|| {
@@ -37,7 +39,7 @@
     }
 }
 
-/// Memory reserved for a body; dropped, it is free again.
+/// Memory reserved for a body, released on drop.
 pub(super) struct BodyReservation<'a> {
     memory: &'a BodyMemory,
     bytes: usize,
@@ -71,7 +73,7 @@
             return Err(RequestError::BodyTooLong);
         }
         let max_bytes = size.exact().map_or(
-            max_bytes.min(memory.max_bytes / CHUNKED_BODY_FRACTION),
+            max_bytes.min(memory.max_bytes / CHUNKED_BODY_DIVISOR),
             |length| length as usize,
         );
         let reservation = memory.reserve(max_bytes).ok_or(RequestError::OutOfMemory)?;
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -15,19 +15,22 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Least bytes that a connection buffers in each direction, whatever the configured limit of a head is.
+/// Minimum number of bytes that a connection buffers in each direction, whatever the configured
+/// limit on a head.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
-/// Most bytes that a connection buffers in each direction, whatever the configured limit of a head is.
+/// Maximum number of bytes that a connection buffers in each direction, whatever the configured
+/// limit on a head.
 const MAX_BUFFER_BYTES: usize = 1 << 20;
-/// How long a connection on which nothing has been received is kept once idle connections are closed.
+/// How long a connection on which nothing has been received stays open once idle connections are
+/// closed.
 pub(super) const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
 
-/// A client's connection, as shared between its task, its socket and the accept loop.
+/// A client's connection, shared by its task, its socket and the accept loop.
 pub(super) struct ClientConnection {
     state: RefCell<ConnectionState>,
-    /// Whether it was asked to close.
+    /// Whether closing the connection was requested.
     closing: Cell<bool>,
-    /// Notified when its close deadline may have changed.
+    /// Notified when the close deadline may have changed.
     deadline_changed: Notify,
 }
 
@@ -40,19 +43,20 @@
         }
     }
 
-    /// Asks the connection to close once its pending response, if any, is written.
+    /// Requests that the connection is closed once its pending response, if any, is written.
     pub fn close_gracefully(&self) {
         self.state.borrow_mut().closing();
         self.closing.set(true);
         self.deadline_changed.notify_one();
     }
 
-    /// Since when it has been idle; `None` while a request is being read or processed.
+    /// Returns since when the connection has been idle; `None` while a request is being read or
+    /// processed.
     pub fn idle_since(&self) -> Option<Millis> {
         self.state.borrow().idle_since()
     }
 
-    /// Whether nothing has been received on it.
+    /// Returns whether nothing has been received on the connection.
     pub fn is_unused(&self) -> bool {
         self.state.borrow().is_unused()
     }
@@ -81,7 +85,7 @@
         guard: ConnectionGuard<ClientConnection>,
     ) {
         let connection = guard.state();
-        // Without it responses are late, not wrong.
+        // If this fails, responses are late, not wrong.
         let _ = stream.set_nodelay(true);
         let max_head_bytes = self.proxy.with_core(|core| core.limits().header_bytes);
         let socket = ObservedSocket::new(stream, connection.clone(), self.proxy.clock);
@@ -95,17 +99,19 @@
         let mut http = std::pin::pin!(http);
         let mut phase = self.phase.subscribe();
         let mut closing_idle = false;
-        // Guards clients that have just connected while the proxy stops: their first request is on its way, and the HTTP library
-        // closes a connection without a request at once. The response to that request closes the connection.
+        // The first request of a client that has just connected may still be on its way when the
+        // proxy shuts down, and the HTTP library would close a connection without a request
+        // immediately. The response to that request closes the connection.
         let mut first_request_by = None;
         loop {
             let deadline = self
                 .close_deadline(connection)
                 .map(|deadline| self.proxy.clock.instant(deadline.at));
             tokio::select! {
-                // What has arrived is read before a deadline counts.
+                // Bytes that have arrived are read before a deadline takes effect.
                 biased;
-                // An error is a client that went away or wrote no HTTP; the library has answered the latter.
+                // An error means that the client disconnected or did not send HTTP; the library has
+                // responded to the latter.
                 _ = http.as_mut() => return,
                 _ = phase.wait_for(|phase| *phase == ShutdownPhase::ClosingIdle), if !closing_idle => {
                     closing_idle = true;
@@ -134,13 +140,14 @@
         }
     }
 
-    /// By the newest limits: a configuration update also applies to idle connections.
+    /// Uses the current limits, so that a configuration update also applies to idle connections.
     fn close_deadline(&self, connection: &ClientConnection) -> Option<CloseDeadline> {
         let limits = self.proxy.with_core(|core| core.limits());
         connection.state.borrow().close_deadline(&limits)
     }
 
-    /// How to close the connection now. `None` if bytes or other limits have arrived since the timer was set.
+    /// Returns how to close the connection now; `None` if bytes or other limits have arrived since
+    /// the timer was set.
     fn due_close_mode(&self, connection: &ClientConnection) -> Option<CloseMode> {
         self.close_deadline(connection)
             .filter(|deadline| deadline.at <= self.proxy.clock.now())
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -1,33 +1,33 @@
-//! What phase a client's connection is in, and until when it may stay there. No I/O; times are in milliseconds of the proxy's
-//! clock.
+//! The phase of a client's connection and its close deadline. No I/O; times are in milliseconds of
+//! the proxy's clock.
 
 use maplefall_gateway_config::Limits;
 use maplefall_policy::Millis;
 
-/// How a connection is to be closed.
+/// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseMode {
-    /// After the pending response, or at once if there is none.
+    /// After the pending response, or immediately if there is none.
     Graceful,
-    /// At once.
+    /// Immediately.
     Immediate,
 }
 
 /// When a connection is closed if nothing happens on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CloseDeadline {
-    /// When.
+    /// The time at which the connection is closed.
     pub at: Millis,
-    /// How.
+    /// How the connection is closed.
     pub mode: CloseMode,
 }
 
 /// The phase of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionState {
-    /// When it was accepted, or when its last response was ready.
+    /// When the connection was accepted, or when its last response was ready.
     idle_since: Millis,
-    /// When the first byte arrived of a head that is not complete yet.
+    /// When the first byte of a request head arrived that is not complete yet.
     head_started_at: Option<Millis>,
     /// Whether a request's head has arrived and its response is not ready.
     response_pending: bool,
@@ -37,7 +37,7 @@
 }
 
 impl ConnectionState {
-    /// A connection that was just accepted.
+    /// Creates the state of a newly accepted connection.
     pub fn new(now: Millis) -> ConnectionState {
         ConnectionState {
             idle_since: now,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Bytes have arrived; returns whether they begin a head.
+    /// Records that bytes have arrived; returns whether they begin a head.
     pub fn bytes_received(&mut self, now: Millis) -> bool {
         let begins_head = !self.response_pending && self.head_started_at.is_none();
         if begins_head {
@@ -57,21 +57,22 @@
         begins_head
     }
 
-    /// A head is complete.
+    /// Records that a head is complete.
     pub fn head_received(&mut self) {
         self.response_pending = true;
         self.has_requested = true;
         self.head_started_at = None;
     }
 
-    /// The response is ready to be written.
+    /// Records that the response is ready to be written.
     pub fn response_ready(&mut self, now: Millis) {
         self.response_pending = false;
         self.idle_since = now;
     }
 
-    /// When the connection is closed; `None` while a response is pending or once it is closing. It is computed from the present
-    /// limits on each call, as they may change while a connection is idle.
+    /// Returns when the connection is closed; `None` while a response is pending or once the
+    /// connection is closing. Computed from the current limits on each call, since they may change
+    /// while a connection is idle.
     pub fn close_deadline(&self, limits: &Limits) -> Option<CloseDeadline> {
         if self.response_pending || self.closing {
             return None;
@@ -93,18 +94,19 @@
         })
     }
 
-    /// Since when it has been idle, if it is: no response is pending, no head has begun, and it is not closing.
+    /// Returns since when the connection has been idle: no response is pending, no head has begun,
+    /// and it is not closing. `None` if it is not idle.
     pub fn idle_since(&self) -> Option<Millis> {
         let is_idle = !self.response_pending && !self.closing && self.head_started_at.is_none();
         is_idle.then_some(self.idle_since)
     }
 
-    /// Whether nothing has been received on it.
+    /// Returns whether nothing has been received on the connection.
     pub fn is_unused(&self) -> bool {
         !self.has_requested && self.head_started_at.is_none()
     }
 
-    /// It was asked to close.
+    /// Records that closing the connection was requested.
     pub fn closing(&mut self) {
         self.closing = true;
     }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,4 +1,5 @@
-//! The accept loop. It accepts only while the connection limit allows; what waits meanwhile waits in the kernel's backlog.
+//! The accept loop. Connections are accepted only within the connection limit; further ones wait in
+//! the kernel's backlog.
 
 use super::connection::ClientConnection;
 use super::DownstreamServer;
@@ -7,9 +8,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Pause after an accept that failed, as when the process has no descriptor left.
+/// Backoff after a failed accept, for example when the process has no descriptor left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Connections that are accepted at most once the listener is to close: the system's default backlog.
+/// Maximum number of connections accepted from the backlog when the listener is closed: the
+/// system's default backlog.
 const MAX_BACKLOG: usize = 4096;
 
 impl DownstreamServer {
@@ -19,7 +21,8 @@
         *self.accept_task.borrow_mut() = Some(task);
     }
 
-    /// Stops accepting; the listener is closed when the returned task has ended. `None` if it was stopped before.
+    /// Stops accepting; the listener is closed when the returned task has ended. Returns `None` if
+    /// it was stopped before.
     pub fn close_listener(&self) -> Option<JoinHandle<()>> {
         self.stop_accepting.notify_one();
         self.accept_task.borrow_mut().take()
@@ -42,10 +45,12 @@
         }
     }
 
-    /// Accepts the connections that wait in the kernel's backlog, and closes the listener. Guards clients that have connected and
-    /// sent a request: a listener that is closed resets what waits in its backlog.
+    /// Accepts the connections that wait in the kernel's backlog, then closes the listener. Closing
+    /// a listener resets the connections in its backlog, whose clients may already have sent a
+    /// request.
     fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
-        // The runtime knows only of connections up to its last poll; the system call tells of all.
+        // The runtime is aware of connections only up to its last poll; the system call returns all
+        // of them.
         let Ok(listener) = listener.into_std() else {
             return;
         };
@@ -59,7 +64,8 @@
             let stream = stream
                 .set_nonblocking(true)
                 .and_then(|()| TcpStream::from_std(stream));
-            // One that cannot be watched is closed, as by the limit.
+            // A connection that cannot be registered with the runtime is closed, like those beyond
+            // the limit.
             if let Ok(stream) = stream {
                 self.start_connection(stream);
             }
@@ -72,7 +78,8 @@
         tokio::task::spawn_local(self.clone().serve_connection(stream, guard));
     }
 
-    /// At the connection limit, asks the connection that has been idle longest to close: regular clients come again sooner.
+    /// At the connection limit, requests the closing of the connection that has been idle longest,
+    /// since regular clients return sooner.
     async fn wait_for_capacity(&self) {
         self.connections
             .wait_for_capacity(
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,5 +1,5 @@
-//! The clients' side of a proxy: accepts connections within the descriptor limit, reads requests complete, and writes exactly
-//! one final response to each, in order.
+//! The client side of a proxy: accepts connections within the descriptor limit, reads requests
+//! completely, and writes exactly one final response to each, in order.
 
 mod body;
 mod connection;
@@ -25,14 +25,15 @@
     body_memory: BodyMemory,
     connections: Rc<ConnectionTable<ClientConnection>>,
     accept_task: RefCell<Option<JoinHandle<()>>>,
-    /// Tells the accept task to end.
+    /// Notified to end the accept task.
     stop_accepting: Notify,
     phase: watch::Sender<ShutdownPhase>,
 }
 
 impl DownstreamServer {
-    /// A server without a listener. `max_sockets` is the process's budget of descriptors, of which connections to backends take
-    /// their part; `max_body_bytes` is the memory for all request bodies together.
+    /// Creates a server without a listener. `max_sockets` is the process's budget of descriptors,
+    /// part of which is for connections to backends; `max_body_bytes` is the memory for all request
+    /// bodies together.
     pub fn new(proxy: Rc<Proxy>, max_sockets: usize, max_body_bytes: usize) -> Rc<Self> {
         Rc::new(DownstreamServer {
             proxy,
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: validated, read complete, admitted, and answered.
+//! Client requests: validation, reading, admission and response.
 
 use super::connection::ClientConnection;
 use super::response::{backend_response, error_response, local_response};
@@ -16,32 +16,32 @@
 use maplefall_policy::{Millis, RequestId};
 use std::rc::Rc;
 
-/// Time for a body where the client does not say how long it waits.
+/// Timeout for reading a body if the client does not state its remaining time.
 const DEFAULT_BODY_TIMEOUT: Millis = 10_000.0;
-/// Fraction of its time for which a request may wait for what the proxy still lacks.
+/// Fraction of the client's remaining time for which a request may wait to be admitted.
 const ADMISSION_WAIT_FRACTION: f64 = 0.1;
-/// The longest such wait.
+/// Maximum time that a request may wait to be admitted.
 const MAX_ADMISSION_WAIT: Millis = 120.0;
 
-/// Why a request is not read. `Display` is the body of its response.
+/// The reason why a request is not read. `Display` is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
-    /// It is not a valid request; the field that is wrong.
+    /// The request is invalid; names the invalid field.
     #[error("step=read field={0}")]
     Invalid(&'static str),
-    /// Its body is too long.
+    /// The body is too long.
     #[error("step=read field=body")]
     BodyTooLong,
-    /// Its body did not arrive in time.
+    /// The body did not arrive in time.
     #[error("step=read field=body")]
     BodyTimeout,
-    /// There is no memory for its body now.
+    /// There is currently no memory for the body.
     #[error("step=read field=room")]
     OutOfMemory,
 }
 
 impl RequestError {
-    /// The status code of its response.
+    /// Returns the status code of the response.
     pub fn status(&self) -> u16 {
         match self {
             RequestError::Invalid(_) => 400,
@@ -52,7 +52,7 @@
     }
 }
 
-/// What admission needs of a valid head.
+/// The fields of a valid head that admission needs.
 struct RequestHead {
     host: String,
     remaining: Option<Millis>,
@@ -65,11 +65,13 @@
             .ok_or(RequestError::Invalid("host"))?
             .to_owned();
         let remaining = remaining_time(&head.headers)?;
-        // Only its id shows that a response belongs to this request; a backend would not run one without.
+        // Only the attempt id shows that a response belongs to this request; a backend would not
+        // run a request without one.
         if single_header(&head.headers, &ATTEMPT_ID)?.is_none_or(str::is_empty) {
             return Err(RequestError::Invalid("x-attempt-id"));
         }
-        // A target that names another host than the header asks for two routes.
+        // A target that names another host than the header is ambiguous: each may have another
+        // route.
         if head
             .uri
             .authority()
@@ -109,7 +111,7 @@
     Ok(key.map(|key| key.trim().to_owned()))
 }
 
-/// The value of a header that occurs once at most and is plain text.
+/// Returns the value of a header, which must occur at most once and be plain text.
 fn single_header<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -135,7 +137,8 @@
         connection.head_received();
         let attempt_id = request.headers().get(ATTEMPT_ID).cloned();
         let result = self.process(request).await;
-        // After an invalid request nothing that follows on the connection can be trusted to be a request.
+        // After an invalid request, the bytes that follow on the connection cannot be trusted to be
+        // a request.
         let close = result.is_err()
             || self.connections.is_saturated()
             || *self.phase.borrow() != ShutdownPhase::Serving;
@@ -189,8 +192,9 @@
         })))
     }
 
-    /// Admits a request. What the proxy lacks may arrive in a moment, as after a start: within [`ADMISSION_WAIT_FRACTION`] of its
-    /// time the client is not worse off than by coming again.
+    /// Admits a request. If a configuration, a backend or quota is missing, for example after a
+    /// start, the request waits for it: within [`ADMISSION_WAIT_FRACTION`] of its remaining time,
+    /// the client is not worse off than with a retry.
     async fn admit(
         &self,
         mut incoming: IncomingRequest<'_>,
@@ -235,7 +239,7 @@
     }
 }
 
-/// Tells the core when a client goes away before its response.
+/// Notifies the core when a client disconnects before its response.
 struct DisconnectGuard<'a> {
     proxy: &'a Rc<Proxy>,
     request: Option<RequestId>,
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -13,7 +13,7 @@
 /// `Retry-After` of a request that was rejected for lack of memory.
 const OUT_OF_MEMORY_RETRY_AFTER: Millis = 200.0;
 
-/// A backend's response.
+/// Converts a backend's response.
 pub(super) fn backend_response(backend: BackendResponse) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(backend.body));
     *response.status_mut() = backend.status;
@@ -21,7 +21,7 @@
     response
 }
 
-/// The proxy's own response, with the request's attempt id.
+/// Builds the proxy's own response, with the request's attempt id.
 pub(super) fn local_response(
     local: &LocalResponse,
     attempt_id: Option<HeaderValue>,
@@ -37,7 +37,7 @@
     response
 }
 
-/// The response to what is not a valid request; its body names the field.
+/// Builds the response to a request that was not read; its body names the field at fault.
 pub(super) fn error_response(
     error: &RequestError,
     attempt_id: Option<HeaderValue>,
--- a/crates/proxy/src/downstream/socket.rs
+++ b/crates/proxy/src/downstream/socket.rs
@@ -1,4 +1,5 @@
-//! A client's socket that notes when bytes arrive, which the HTTP library does not show before a head is complete.
+//! A client's socket that records when bytes arrive, which the HTTP library does not report before
+//! a head is complete.
 
 use super::connection::ClientConnection;
 use maplefall_upstream::Clock;
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -1,9 +1,10 @@
-//! The driver: hands inputs with the time to [`Core`] and carries out its outputs on connections, timers and waiting clients.
+//! The driver: passes inputs with the current time to [`Core`] and executes its outputs on
+//! connections, timers and waiting clients.
 
 use crate::core::{
     AdmittedRequest, AttemptEnd, Core, IncomingRequest, LocalResponse, Output, Rejection,
 };
-use crate::forward::{promises_not_run, BackendResponse, ForwardedRequest};
+use crate::forward::{status_implies_not_run, BackendResponse, ForwardedRequest};
 use crate::services::PoolCommand;
 use bytes::Bytes;
 use maplefall_control_messages::encode_frame;
@@ -18,26 +19,26 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// A connection to a backend that is not established within this has failed.
+/// Timeout for establishing a connection to a backend.
 const CONNECT_TIMEOUT: Millis = 400.0;
-/// Backends close connections that have been idle for so long.
+/// Idle time after which backends close a connection.
 const BACKEND_IDLE_TIMEOUT: Millis = 8000.0;
 /// Descriptors reserved for files.
 pub const RESERVED_DESCRIPTORS: usize = 200;
 
 /// The final response to a client.
 pub enum ClientResponse {
-    /// A backend's.
+    /// A response from a backend.
     Backend(BackendResponse),
-    /// The proxy's own.
+    /// A response of the proxy itself.
     Local(LocalResponse),
 }
 
-/// An admitted request whose response is to come.
+/// An admitted request whose response is pending.
 pub struct PendingResponse {
-    /// The request, for [`Proxy::client_disconnected`].
+    /// The request's id, for [`Proxy::client_disconnected`].
     pub id: RequestId,
-    /// Its response.
+    /// Receives the response.
     pub response: oneshot::Receiver<ClientResponse>,
 }
 
@@ -46,15 +47,16 @@
     handle: AttemptHandle,
 }
 
-/// An admitted request until it has its response and no attempt is in flight. As many as the core has pending.
+/// An admitted request until it has its response and no attempt is in flight. The core limits the
+/// number of pending requests.
 struct PendingRequest {
     request: Rc<ForwardedRequest>,
-    /// `None` once the response is given or the client has gone.
+    /// `None` once the response has been sent or the client has disconnected.
     responder: Option<oneshot::Sender<ClientResponse>>,
-    /// The response that the last attempt brought.
+    /// The response of the last attempt.
     backend_response: Option<BackendResponse>,
     in_flight: Option<InFlightAttempt>,
-    /// That of the last attempt, which knows the connections of those before.
+    /// The handle of the last attempt, which records the connections of earlier attempts.
     last_handle: AttemptHandle,
 }
 
@@ -74,26 +76,26 @@
     send_mode: SendMode,
 }
 
-/// A proxy: the core, the connections to backends and the requests that wait for them.
+/// A proxy: the core, the connections to backends and the pending requests.
 pub struct Proxy {
-    /// The clock of all inputs.
+    /// The clock that gives the time of all inputs.
     pub clock: Clock,
     core: RefCell<Core>,
     pools: Pools,
     pending: RefCell<HashMap<RequestId, PendingRequest>>,
-    /// Notified when a timer was set before `next_wakeup`.
+    /// Notified when a timer was set that is due before `next_wakeup`.
     timer_set: Notify,
     next_wakeup: Cell<Millis>,
     /// Queues of encoded frames to the connected controllers, by IP address.
     pub controller_queues: RefCell<HashMap<String, mpsc::Sender<Bytes>>>,
-    /// Notified when more controllers are known.
+    /// Notified when further controllers become known.
     pub controllers_changed: Notify,
-    /// Notified when configuration, backends or leases have changed.
+    /// Notified when configuration, backends, leases or tokens have changed.
     pub state_changed: Notify,
 }
 
 impl Proxy {
-    /// A proxy without configuration and backends. `seed` is the core's.
+    /// Creates a proxy without configuration and backends. `seed` is passed to [`Core::new`].
     pub fn new(settings: &Settings, seed: u64) -> Rc<Proxy> {
         let max_sockets = settings
             .limits
@@ -116,12 +118,12 @@
         })
     }
 
-    /// Calls the core with what has no outputs.
+    /// Calls a function of the core that has no outputs.
     pub fn with_core<T>(&self, call: impl FnOnce(&mut Core) -> T) -> T {
         call(&mut self.core.borrow_mut())
     }
 
-    /// Hands an input to the core and carries out its outputs.
+    /// Passes an input to the core and executes its outputs.
     pub fn drive<T>(
         self: &Rc<Self>,
         input: impl FnOnce(&mut Core, Millis, &mut Vec<Output>) -> T,
@@ -129,7 +131,7 @@
         let mut outputs = Vec::new();
         let result = input(&mut self.core.borrow_mut(), self.clock.now(), &mut outputs);
         for output in outputs {
-            self.carry_out(output);
+            self.execute_output(output);
         }
         let next_due = self.core.borrow_mut().next_due().unwrap_or(f64::INFINITY);
         if next_due < self.next_wakeup.get() {
@@ -138,7 +140,7 @@
         result
     }
 
-    fn carry_out(self: &Rc<Self>, output: Output) {
+    fn execute_output(self: &Rc<Self>, output: Output) {
         match output {
             Output::Send {
                 request,
@@ -169,7 +171,8 @@
             Output::CloseIdle(id) => self.pools.close_idle(id),
             Output::SendToController(controller, frame) => {
                 let queue = self.controller_queues.borrow().get(&controller).cloned();
-                // A connection whose queue is full ends by its keep-alive timeout.
+                // The frame is dropped if the queue is full; that connection ends by its keep-alive
+                // timeout.
                 let _ = queue.map(|queue| queue.try_send(encode_frame(frame)));
             }
             Output::ControllersChanged(_) => self.controllers_changed.notify_one(),
@@ -195,15 +198,16 @@
         let Some(request) = pending.get_mut(&id) else {
             return;
         };
-        // A response that says that the request has not run may be wrong by a later attempt; one whose status alone promises
-        // that may have run.
-        let may_forward = |response: &BackendResponse| {
-            response.outcome == Outcome::Error && !promises_not_run(response.status)
+        // Not forwarded: a response which states that the request has not run, since a later
+        // attempt may have run it, and one whose status alone implies this, since the request may
+        // have run.
+        let is_forwardable = |response: &BackendResponse| {
+            response.outcome == Outcome::Error && !status_implies_not_run(response.status)
         };
         let backend_response = request
             .backend_response
             .take()
-            .filter(|response| local.prefer_backend_response && may_forward(response));
+            .filter(|response| local.prefer_backend_response && is_forwardable(response));
         if let Some(responder) = request.responder.take() {
             let response =
                 backend_response.map_or(ClientResponse::Local(local), ClientResponse::Backend);
@@ -221,7 +225,7 @@
 
     fn cancel_attempt(self: &Rc<Self>, id: RequestId, number: u32) {
         let attempt = self.take_in_flight(id, number);
-        // One that is not in flight has not been written: its task has yet to run.
+        // An attempt that is not in flight here has not been written: its task has not run yet.
         let outcome = match &attempt {
             Some(attempt) if attempt.handle.fully_written() => Outcome::Timeout,
             _ => Outcome::ConnectFailed,
@@ -247,7 +251,7 @@
         self.attempt_ended(id, number, end);
     }
 
-    /// Admits a request, or rejects it with its response. `build` makes the request that is forwarded.
+    /// Admits a request, or rejects it with its response. `build` creates the request to forward.
     pub fn admit(
         self: &Rc<Self>,
         incoming: &IncomingRequest<'_>,
@@ -271,12 +275,12 @@
                 response,
             }
         });
-        // Only now: an output may concern the request that was just inserted.
+        // Executed only now, since an output may refer to the request that was just inserted.
         self.drive(|_, _, out| out.append(&mut outputs));
         result
     }
 
-    /// A client has gone away before its response.
+    /// Handles a client that disconnected before its response.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         self.drive(|core, now, out| core.client_disconnected(now, id, out));
         let mut pending = self.pending.borrow_mut();
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,5 +1,6 @@
-//! Requests as they are forwarded to backends, and backends' responses as they are forwarded to clients. Only a response that is
-//! certainly complete and certainly that of the request's own attempt is forwarded.
+//! Requests as they are forwarded to backends, and backends' responses as they are forwarded to
+//! clients. A response is forwarded only if it is certain to be complete and to belong to the
+//! request's own attempt.
 
 use crate::core::AdmittedRequest;
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,23 +12,23 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use maplefall_policy::{Millis, Outcome};
 
-/// The id of the client's attempt, which a response repeats.
+/// The id of the client's attempt, which the response repeats.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
-/// Milliseconds that the client goes on waiting.
+/// The client's remaining time, in milliseconds.
 pub const TIME_REMAINING: HeaderName = HeaderName::from_static("x-time-remaining");
-/// The instance id of the backend that is meant.
+/// The id of the backend instance that the request is meant for.
 pub const TARGET: HeaderName = HeaderName::from_static("x-target-instance");
 /// The tenant's name.
 pub const TENANT: HeaderName = HeaderName::from_static("x-tenant");
 /// The backend's seal on its successful responses.
 pub const SEAL: HeaderName = HeaderName::from_static("x-server-seal");
-/// The backend has not run the request.
+/// States that the backend has not run the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
 
-/// Longest body of a backend's response; a longer one counts as broken.
+/// Maximum length of the body of a backend's response; a longer response counts as broken.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     TE,
@@ -63,13 +64,13 @@
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
-    /// What it means for retries.
+    /// The outcome of the attempt, which decides on retries.
     pub outcome: Outcome,
     /// Whether another instance listens at the address (status 421).
     pub wrong_instance: bool,
 }
 
-/// Removes headers that concern one connection only, by name or because `Connection` lists them.
+/// Removes hop-by-hop headers: those known by name and those that `Connection` lists.
 fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -79,7 +80,7 @@
         .filter_map(|name| name.trim().parse().ok())
         .collect();
     for name in listed {
-        // Neither side may have headers removed that the other relies on.
+        // `Connection` of one side must not remove headers that the other side relies on.
         if ![HOST, ATTEMPT_ID, SEAL, NOT_EXECUTED].contains(&name) {
             headers.remove(name);
         }
@@ -89,8 +90,8 @@
     }
 }
 
-/// Whether a response with this status promises that the request has not run and never will.
-pub fn promises_not_run(status: StatusCode) -> bool {
+/// Returns whether a response with this status implies that the request has not run and never will.
+pub fn status_implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -100,14 +101,15 @@
     )
 }
 
-/// The value of a header that occurs exactly once.
+/// Returns the value of a header that occurs exactly once.
 fn single_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
 
-/// Whether the end of a response's body is certain: by one kind of framing and no other. A body that ends with its connection may
-/// be truncated, and one that is framed in two ways has two ends.
+/// Returns whether the end of a response's body is unambiguous: defined by one kind of framing and
+/// no other. A body that ends with its connection may be truncated, and one with two kinds of
+/// framing has two possible ends.
 fn is_framed(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
     let has_no_body = *method == Method::HEAD
         || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
@@ -124,7 +126,8 @@
 }
 
 impl ForwardedRequest {
-    /// A client's request without the headers that concern only the proxy; the tenant is inserted once it is known.
+    /// Creates the request to forward from a client's request, without hop-by-hop headers and those
+    /// that concern only the proxy. The tenant is inserted once it is known.
     pub fn new(method: Method, uri: Uri, mut headers: HeaderMap, body: Bytes) -> ForwardedRequest {
         remove_hop_by_hop(&mut headers);
         for name in [
@@ -147,7 +150,7 @@
         }
     }
 
-    /// The request for one backend instance, with the client's remaining time.
+    /// Builds the request for one backend instance, with the client's remaining time.
     pub fn to_backend(&self, instance: &str, remaining: Millis) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -161,12 +164,14 @@
         request
     }
 
-    /// Reads a response; `None` if it is not certainly complete, or not certainly the one to this request.
+    /// Reads a response. Returns `None` if it is not certain to be complete and to belong to this
+    /// request.
     pub async fn read_response(&self, response: Response<Incoming>) -> Option<BackendResponse> {
         let (head, body) = response.into_parts();
         let headers = &head.headers;
-        // The response to another request may arrive in place of this one's; a success without the seal, or encoded on the way, is
-        // not the backend's; and no backend sends a status beyond the known classes.
+        // The response to another request may arrive instead of this one's. A success without the
+        // seal, or encoded on the way, is not the backend's own, and no backend sends a status
+        // outside the known classes.
         let has_attempt_id = self.attempt_id.is_some()
             && single_header(headers, &ATTEMPT_ID) == self.attempt_id.as_ref();
         let is_success = head.status.is_success();
@@ -192,7 +197,8 @@
         let outcome = match head.status {
             _ if not_run && !is_success => Outcome::Full,
             status if status.is_server_error() => Outcome::Error,
-            // Without the header that it has not run, such a response promises nothing.
+            // Without [`NOT_EXECUTED`], these statuses do not guarantee that the request has not
+            // run.
             StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT => Outcome::Error,
             _ => Outcome::Ok,
         };
@@ -209,7 +215,7 @@
     }
 }
 
-/// The value of [`TENANT`] for an admitted request.
+/// Returns the value of [`TENANT`] for an admitted request.
 pub fn tenant_header(admitted: &AdmittedRequest) -> Option<HeaderValue> {
     admitted
         .tenant
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,6 +1,8 @@
-//! The data plane's proxy. [`Core`] decides without I/O: which route and tenant a request has, whether it is admitted, which backend
-//! it goes to and what is responded. [`driver`] carries that out; [`downstream`] serves clients; [`controllers`] holds the
-//! connections to the controllers; [`forward`] translates requests and responses; [`readiness`] answers the platform's probe.
+//! The proxy of the data plane. [`Core`] decides without I/O which route and tenant a request has,
+//! whether it is admitted, which backend it goes to and which response is sent. [`driver`] executes
+//! these decisions; [`downstream`] serves clients; [`controllers`] maintains the connections to the
+//! controllers; [`forward`] converts requests and responses; [`readiness`] responds to the
+//! platform's readiness probe.
 
 pub mod controllers;
 mod core;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,5 @@
-//! `maplefall-proxy`: accepts clients' requests, admits them by tenant, and forwards them to backends.
+//! `maplefall-proxy`: accepts clients' requests, admits them by tenant, and forwards them to
+//! backends.
 
 use clap::Parser;
 use maplefall_control_messages::{Hello, PROTOCOL_VERSION};
@@ -17,18 +18,18 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Bodies of requests may take this fraction of the memory limit: one in so many.
+/// Request bodies may take one part in this many of the memory limit.
 const BODY_MEMORY_DIVISOR: u64 = 3;
-/// How often the core's tick runs.
+/// Interval of the core's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// Ticks between two `stats` lines.
+/// Number of ticks between two `stats` log lines.
 const STATS_TICKS: u32 = 10;
 /// How often the settings file is checked for a change.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Time for the last frames to the controllers at a shutdown.
-const FINAL_FLUSH: Duration = Duration::from_millis(20);
+/// Time to send the last frames to the controllers at shutdown.
+const FINAL_FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// Why the process cannot start. `Display` is what the `fatal` event says.
+/// An error that prevents the process from starting. `Display` is the text of the `fatal` event.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("{0}")]
@@ -75,8 +76,8 @@
 }
 
 impl Listeners {
-    /// Both are mandatory for a proxy; `step` is what an error names.
-    fn of(settings: &Settings, step: &'static str) -> Result<Listeners, StartError> {
+    /// Reads both addresses, which a proxy requires; an error contains `step`.
+    fn from_settings(settings: &Settings, step: &'static str) -> Result<Listeners, StartError> {
         let missing = |field| StartError::MissingSetting { step, field };
         let bind = &settings.bind;
         Ok(Listeners {
@@ -88,7 +89,7 @@
 
 fn check(path: &std::path::Path) -> Result<(), StartError> {
     let settings = Settings::load(path)?;
-    Listeners::of(&settings, "check")?;
+    Listeners::from_settings(&settings, "check")?;
     println!(
         "event=settings_checked node={} file={}",
         settings.node,
@@ -112,7 +113,7 @@
 async fn serve(settings: Settings, path: PathBuf, seed: u64) -> Result<(), StartError> {
     let terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
     let hangup = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
-    let Listeners { front, probe } = Listeners::of(&settings, "settings")?;
+    let Listeners { front, probe } = Listeners::from_settings(&settings, "settings")?;
     let client_listener = listen(front).await?;
     let probe_listener = listen(probe).await?;
     log::info!(
@@ -132,7 +133,7 @@
     let grace = Duration::from_secs_f64(settings.bounds.grace_s);
     server.shut_down(grace).await;
     proxy.drive(|core, now, out| core.release_leases(now, out));
-    tokio::time::sleep(FINAL_FLUSH).await;
+    tokio::time::sleep(FINAL_FLUSH_TIME).await;
     Ok(())
 }
 
@@ -176,7 +177,8 @@
             _ = hangup.recv() => true,
             () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
-        // The file is checked in any case, so that a change which a signal announced is not reloaded twice.
+        // The file is checked in any case, so that a change announced by a signal is not reloaded
+        // twice.
         if file.changed() || signalled {
             match Settings::load(file.path()) {
                 Ok(settings) => {
@@ -205,7 +207,7 @@
         ticks += 1;
         if ticks.is_multiple_of(STATS_TICKS) {
             let now = proxy.clock.now();
-            if let Some(line) = proxy.with_core(|core| core.stats_line(now)) {
+            if let Some(line) = proxy.with_core(|core| core.take_stats_summary(now)) {
                 log::info!("{line}");
             }
         }
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,4 +1,5 @@
-//! The platform's readiness probe: `GET /api/readiness` is 200 while the proxy can serve new clients, 503 otherwise.
+//! The endpoint of the platform's readiness probe: `GET /api/readiness` responds with 200 while the
+//! proxy can serve new clients, 503 otherwise.
 
 use crate::driver::Proxy;
 use http_body_util::Full;
@@ -10,12 +11,12 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after an accept that failed.
+/// Backoff after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the head of a probe.
+/// Timeout for reading the head of a probe.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers probes for as long as the process runs.
+/// Responds to probes for as long as the process runs.
 pub async fn serve(proxy: Rc<Proxy>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -39,7 +40,7 @@
         .timer(hyper_util::rt::TokioTimer::new())
         .header_read_timeout(HEADER_READ_TIMEOUT)
         .serve_connection(hyper_util::rt::TokioIo::new(stream), service);
-    // A probe that breaks off is no event.
+    // A probe whose connection breaks is not logged.
     let _ = connection.await;
 }
 
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -1,6 +1,6 @@
-//! The services that a proxy routes to: for each one [`Gateway`] (the policy that selects backends), and the backend
-//! instances of all. An instance keeps its [`BackendId`] from its first record until it is gone, and ids are not reused while
-//! one is known.
+//! The services that a proxy routes to, each with one [`Gateway`] (the policy that selects
+//! backends), and the backend instances of all services. An instance keeps its [`BackendId`] from
+//! its first record until it is removed, and the ids of known instances are not reused.
 
 use maplefall_gateway_config::Route;
 use maplefall_node_settings::Bounds;
@@ -15,42 +15,44 @@
 
 /// Duration of a backend's slow start.
 const WARM_UP: Millis = 3000.0;
-/// Least fraction of its capacity that a backend starts with.
+/// Minimum fraction of its capacity that a backend starts with.
 const START_CAPACITY: f64 = 0.5;
-/// Price of crossing zones when a backend is selected, as a fraction of a request's value: enough to decide between equals.
+/// Cost of a backend in another zone when a backend is selected, as a fraction of a request's
+/// value: enough to decide between otherwise equal backends.
 const CROSS_ZONE_PRICE: f64 = 0.002;
-/// Fraction of its value that a request keeps beyond its latency target: a late response is still of use.
+/// Fraction of its value that a request keeps beyond its latency target, since a late response is
+/// still useful.
 const LATE_VALUE: f64 = 0.1;
 /// Largest `Retry-After`.
 const MAX_RETRY_AFTER: Millis = 1000.0;
-/// Fraction of the retry budget's slack that all proxies together may save up.
-const SAVED_RETRY_SLACK: f64 = 0.6;
+/// Fraction of the retry budget's slack that all proxies together may accumulate as saved retries.
+const SAVED_RETRY_SLACK_FRACTION: f64 = 0.6;
 
 /// A known backend instance.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its instance id on the wire.
+    /// The instance id used on the wire.
     pub instance: Rc<str>,
     /// Index of its service.
     pub service: usize,
-    /// The address that it listens on.
+    /// The address on which the instance listens.
     pub address: SocketAddr,
     entry: BackendEntry,
 }
 
-/// One service.
+/// A service: its policy and the classes of its routes.
 pub struct Service {
     /// The policy that selects backends, retries and rejects.
     pub gateway: Gateway,
     classes: Vec<Class>,
 }
 
-/// All services and their backends. Services are never removed; their number is bounded by the names that a configuration
-/// has had since the start.
+/// All services and their backends. Services are never removed; their number is bounded by the
+/// service names that configurations have had since the start.
 pub struct Services {
     bounds: Bounds,
     seed: u64,
-    /// Proxies that share the retry budget, this one included.
+    /// Number of proxies that share the retry budget, including this one.
     proxy_count: u32,
     zone: String,
     zones: BTreeMap<String, ZoneId>,
@@ -64,27 +66,28 @@
 /// A change of a backend's connection pool.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolCommand {
-    /// The backend takes requests, at this address.
+    /// The backend accepts requests at this address.
     Open(BackendId, SocketAddr),
-    /// The backend takes no new requests.
+    /// The backend accepts no new requests.
     Drain(BackendId),
-    /// The backend is gone.
+    /// The backend has been removed.
     Remove(BackendId),
 }
 
-/// What a record changed about a backend.
+/// The change of a backend that results from an instance record.
 #[derive(Clone, Debug)]
 pub struct BackendChange {
     /// Index of the backend's service.
     pub service: usize,
-    /// The backend as the policy is to see it.
+    /// The backend's new entry for the policy.
     pub entry: BackendEntry,
-    /// What becomes of its connections.
+    /// The change of the backend's connection pool.
     pub pool: PoolCommand,
 }
 
 impl Services {
-    /// No services yet; `zone` is the proxy's own, `seed` that of the gateways' randomness.
+    /// Creates an empty set of services. `zone` is the proxy's own zone, `seed` the seed of the
+    /// gateways' random number generators.
     pub fn new(bounds: Bounds, zone: &str, seed: u64) -> Services {
         Services {
             bounds,
@@ -100,34 +103,34 @@
         }
     }
 
-    /// Whether any service has a backend.
+    /// Returns whether any service has a backend.
     pub fn has_backends(&self) -> bool {
         !self.backends.is_empty()
     }
 
-    /// A backend by its id.
+    /// Returns a backend by its id.
     pub fn backend(&self, id: BackendId) -> Option<&Backend> {
         self.backends.get(&id)
     }
 
-    /// A service by its index.
+    /// Returns a service by its index.
     pub fn get(&self, index: usize) -> Option<&Service> {
         self.services.get(index)
     }
 
-    /// The same, to change it.
+    /// Returns a mutable reference to a service by its index.
     pub fn get_mut(&mut self, index: usize) -> Option<&mut Service> {
         self.services.get_mut(index)
     }
 
-    /// Whether a service has a backend that takes requests.
+    /// Returns whether a service has a backend that accepts requests.
     pub fn has_ready_backend(&self, service: usize) -> bool {
         self.backends.values().any(|backend| {
             backend.service == service && backend.entry.availability == Availability::Ready
         })
     }
 
-    /// The index of a service; a new name adds a service.
+    /// Returns the index of a service. A new name adds a service.
     pub fn index_of(&mut self, name: &str) -> usize {
         if let Some(index) = self.indexes.get(name) {
             return *index;
@@ -165,9 +168,10 @@
         }
     }
 
-    /// Retries that one proxy may save up for one service: if all others save as many, they stay within the slack.
+    /// Returns how many retries one proxy may save for one service: if all other proxies save as
+    /// many, the total stays within the slack.
     fn max_saved_retries(&self) -> f64 {
-        SAVED_RETRY_SLACK * self.bounds.retry_slack / f64::from(self.proxy_count)
+        SAVED_RETRY_SLACK_FRACTION * self.bounds.retry_slack / f64::from(self.proxy_count)
     }
 
     /// Sets how many proxies share the retry budget.
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Sets the bounds of the settings file.
+    /// Applies the bounds of the settings file.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
         self.update_gateways();
@@ -199,7 +203,7 @@
         }
     }
 
-    /// The class of a route at a service; routes with equal settings share one.
+    /// Returns the class of a route at a service. Routes with equal settings share a class.
     pub fn class(&mut self, service: usize, route: &Route) -> ClassId {
         let class = Class {
             latency_target: route.latency_target,
@@ -226,7 +230,8 @@
         ClassId(service.classes.len() - 1)
     }
 
-    /// Applies an instance's record. `None` if it is about an unknown instance that is gone, or has no valid address.
+    /// Applies an instance's record. Returns `None` for an unknown instance that has already ended
+    /// or has no valid address.
     pub fn apply_record(&mut self, now: Millis, record: &InstanceRecord) -> Option<BackendChange> {
         let availability = match record.state() {
             InstanceState::Serving => Availability::Ready,
--- a/crates/proxy/src/timer_queue.rs
+++ b/crates/proxy/src/timer_queue.rs
@@ -1,4 +1,5 @@
-//! A queue of timers. Of two timers for one time, the one that was set first is due first, so that runs can be replayed.
+//! A queue of timers. Of two timers that are due at the same time, the one that was set first comes
+//! first, so that runs can be replayed.
 
 use maplefall_policy::Millis;
 use std::cmp::{Ordering, Reverse};
@@ -6,7 +7,7 @@
 
 struct Entry<T> {
     due_at: Millis,
-    /// Number of timers that were set before.
+    /// Number of timers set so far, including this one.
     sequence: u64,
     timer: T,
 }
@@ -33,7 +34,8 @@
 
 impl<T> Eq for Entry<T> {}
 
-/// Timers by the time at which they are due. Bounded by what its user sets: a few for each pending request.
+/// Timers by the time at which they are due. Their number is bounded by the caller: a few for each
+/// pending request.
 pub struct TimerQueue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
     timers_set: u64,
@@ -59,7 +61,8 @@
         }));
     }
 
-    /// When the first timer is due that is not obsolete; obsolete ones before it are dropped, so that nothing wakes for them.
+    /// Returns when the first timer is due that is not obsolete. Obsolete timers before it are
+    /// dropped, so that they cause no wake-up.
     pub fn next_due(&mut self, is_obsolete: impl Fn(&T) -> bool) -> Option<Millis> {
         while let Some(Reverse(first)) = self.heap.peek() {
             if !is_obsolete(&first.timer) {
@@ -70,7 +73,7 @@
         None
     }
 
-    /// Takes the first timer, if it is due.
+    /// Removes and returns the first timer if it is due.
     pub fn pop_due(&mut self, now: Millis) -> Option<T> {
         let is_due = self
             .heap
