--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: on a pooled connection if there is one, else on a new one.
+//! One attempt of a request, on a pooled connection if there is one, else on a new one.
 
 use crate::attempt_handle::AttemptHandle;
 use crate::connection::{ConnectError, Connection};
@@ -12,9 +12,9 @@
 
 /// How an attempt ended.
 pub struct AttemptResult<A> {
-    /// The response, or what the lack of one means.
+    /// The response, or the outcome of an attempt without one.
     pub result: Result<A, Outcome>,
-    /// Established connections that broke during the attempt.
+    /// Number of established connections that broke during the attempt.
     pub broken_connections: u32,
 }
 
@@ -27,30 +27,32 @@
     }
 }
 
-/// What [`send_request`] has to know of an attempt besides the request itself.
+/// The parameters of [`send_request`] other than the request itself.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestOptions {
     /// The backend to send to.
     pub backend: BackendId,
     /// How to guard the request against a connection that breaks.
     pub send_mode: SendMode,
-    /// The client's remaining time, in milliseconds from now. It is handed to the request's builder and does not end the attempt.
+    /// The client's remaining time, in milliseconds from now. It is passed to `build_request` and
+    /// does not end the attempt.
     pub timeout: Millis,
     /// Length of the request's body.
     pub body_bytes: usize,
 }
 
-/// Sends one request to a backend and reads the response. A pooled connection that breaks before the request was completely
-/// written is replaced by the next one. `build_request` makes the request, given the remaining milliseconds; `read_response`
-/// reads a response, `None` if it is incomplete or not valid; `is_unread` tells a response which says that the request was not
-/// processed.
+/// Sends one request to a backend and reads the response. A pooled connection that breaks before
+/// the request was completely written is replaced by the next one. `build_request` creates the
+/// request from the remaining milliseconds; `read_response` reads a response and returns `None` if
+/// it is incomplete or invalid; `is_unprocessed` returns whether a response states that the request
+/// was not processed.
 pub async fn send_request<A>(
     pools: &Pools,
     options: RequestOptions,
     handle: &AttemptHandle,
     build_request: impl Fn(Millis) -> Request<Full<Bytes>>,
     read_response: impl AsyncFn(Response<Incoming>) -> Option<A>,
-    is_unread: impl Fn(&A) -> bool,
+    is_unprocessed: impl Fn(&A) -> bool,
 ) -> AttemptResult<A> {
     let started = Instant::now();
     let mut broken_connections = 0;
@@ -64,13 +66,13 @@
                 Err(ConnectError::LocalLimit) => {
                     return AttemptResult::failed(Outcome::NotSent, broken_connections);
                 }
-                // The backend refuses connections: that says more than the ones that broke before.
+                // A failure to connect is more conclusive than the connections that broke before.
                 Err(ConnectError::Unreachable) => {
                     return AttemptResult::failed(Outcome::ConnectFailed, 0);
                 }
             };
-        // While the connection was established the backend may have been removed or replaced: another instance may have its
-        // address now, or it may be draining.
+        // While the connection was being established, the backend may have been removed, may have
+        // begun to drain, or may have been replaced by another instance at its address.
         if pools.dial_address(options.backend) != Some(address) {
             return AttemptResult::failed(Outcome::NotSent, broken_connections);
         }
@@ -79,7 +81,7 @@
             .socket
             .begin_request(options.body_bytes, options.send_mode != SendMode::Immediate);
         let remaining = options.timeout - started.elapsed().as_secs_f64() * 1000.0;
-        let sent = send_on(&mut connection, || build_request(remaining.max(1.0))).await;
+        let sent = send_on_connection(&mut connection, || build_request(remaining.max(1.0))).await;
         if let Some(idle) = pooled_idle {
             pools.record_reuse(idle, sent.is_none());
         }
@@ -88,9 +90,12 @@
             None => None,
         };
         let fully_written = connection.socket.fully_written();
-        // A response that came before the request was completely written is to no request of ours, unless it says that the request
-        // was not processed; the connection cannot be reused in either case.
-        if let Some(response) = response.filter(|response| fully_written || is_unread(response)) {
+        // A response that arrived before the request was completely written does not belong to it,
+        // unless it states that the request was not processed. The connection cannot be reused in
+        // either case.
+        if let Some(response) =
+            response.filter(|response| fully_written || is_unprocessed(response))
+        {
             if fully_written {
                 pools.put_back(options.backend, address, connection);
             }
@@ -100,8 +105,9 @@
             };
         }
         broken_connections += 1;
-        // A pooled connection that broke before the request was completely written says little about the backend, and nothing has
-        // run: the next connection is tried. Each iteration takes one out of the pool, so this ends.
+        // A pooled connection that broke before the request was completely written says little
+        // about the backend, and the request has not run, so the next connection is tried. Each
+        // iteration removes a connection from the pool, so the loop ends.
         if !fully_written && pooled_idle.is_some() {
             continue;
         }
@@ -114,7 +120,7 @@
     }
 }
 
-/// A pooled connection with how long it has been idle, or a new one.
+/// Returns a pooled connection and how long it has been idle, or a new connection.
 async fn take_or_connect(
     pools: &Pools,
     options: &RequestOptions,
@@ -128,8 +134,9 @@
     Ok((pools.connect(address).await?, None))
 }
 
-/// Writes a request and waits for the head of the response; `None` if the connection breaks before.
-async fn send_on(
+/// Writes a request and waits for the head of the response. Returns `None` if the connection breaks
+/// first.
+async fn send_on_connection(
     connection: &mut Connection,
     build_request: impl FnOnce() -> Request<Full<Bytes>>,
 ) -> Option<Response<Incoming>> {
--- a/crates/upstream/src/attempt_handle.rs
+++ b/crates/upstream/src/attempt_handle.rs
@@ -1,16 +1,17 @@
-//! Control over an attempt from outside its task: abort it, and know whether it may have run.
+//! Control of an attempt from outside its task: aborting it, and finding out whether it may have
+//! run.
 
 use crate::socket::UpstreamSocket;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use tokio::task::AbortHandle;
 
-/// The driver's control over an attempt in flight. Clones control the same attempt.
+/// A handle with which the driver controls an attempt in flight. Clones control the same attempt.
 #[derive(Clone, Default)]
 pub struct AttemptHandle {
-    /// The socket of the connection that carries the attempt now.
+    /// The socket of the connection that currently carries the attempt.
     socket: Rc<RefCell<Option<Rc<UpstreamSocket>>>>,
-    /// Whether a call was sent on a connection that carries others too.
+    /// Whether the attempt was sent on a multiplexed connection, which carries other requests too.
     multiplexed: Rc<Cell<bool>>,
     task: Rc<RefCell<Option<AbortHandle>>>,
     /// The connections that have carried this attempt so far.
@@ -20,8 +21,9 @@
 }
 
 impl AttemptHandle {
-    /// The handle of a further attempt of the same request. Guards against a late response to the first attempt, which has the same
-    /// id: it can only arrive where the first attempt was sent, so no further one is sent there.
+    /// Returns the handle of a further attempt of the same request. A late response to an earlier
+    /// attempt has the same id, but can only arrive on the connection on which that attempt was
+    /// sent, so no further attempt is sent there.
     pub fn for_retry(&self) -> AttemptHandle {
         let used_before = self
             .used_before
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Whether a connection has carried an earlier attempt of this request.
+    /// Returns whether a connection has carried an earlier attempt of this request.
     pub(crate) fn was_sent_on(&self, socket: &Rc<UpstreamSocket>) -> bool {
         self.used_before
             .iter()
@@ -53,12 +55,12 @@
         *self.task.borrow_mut() = Some(task);
     }
 
-    /// A call was sent on a connection that carries others too: from now on it may run.
+    /// Records that a call was sent on a multiplexed connection: from now on it may run.
     pub fn record_multiplexed_send(&self) {
         self.multiplexed.set(true);
     }
 
-    /// Whether the request has been completely written: before that, it cannot have run.
+    /// Returns whether the request has been completely written. Before that, it cannot have run.
     pub fn fully_written(&self) -> bool {
         self.multiplexed.get()
             || self
--- a/crates/upstream/src/clock.rs
+++ b/crates/upstream/src/clock.rs
@@ -3,7 +3,8 @@
 use maplefall_policy::Millis;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock that reads as Unix milliseconds, so that start times of backends compare with it.
+/// A monotonic clock that gives Unix milliseconds, so that its times can be compared with the start
+/// times of backends.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -17,7 +18,7 @@
 }
 
 impl Clock {
-    /// A clock that starts at the present system time.
+    /// Creates a clock that starts at the current system time.
     pub fn new() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -28,12 +29,13 @@
         }
     }
 
-    /// The present time, in Unix milliseconds.
+    /// Returns the current time, in Unix milliseconds.
     pub fn now(&self) -> Millis {
         self.unix_start + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// A time of this clock as an instant of the runtime; times before the start are the start.
+    /// Converts a time of this clock to an instant of the runtime. Times before the start of the
+    /// clock become its start.
     pub fn instant(&self, at: Millis) -> tokio::time::Instant {
         let after =
             Duration::try_from_secs_f64((at - self.unix_start) / 1000.0).unwrap_or_default();
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -12,14 +12,15 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Bytes that a connection buffers at most in each direction; a longer head of a request is answered 431.
+/// Maximum number of bytes that a connection buffers in each direction; a request with a longer
+/// head is rejected with 431.
 pub const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// An established connection to a backend; dropped, it is closed at once.
+/// An established connection to a backend, closed immediately on drop.
 pub struct Connection {
-    /// Sends requests on it.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Its socket.
+    /// The connection's socket.
     pub socket: Rc<UpstreamSocket>,
     task: AbortHandle,
     pub(crate) idle_since: Instant,
@@ -42,7 +43,7 @@
             .map_err(|_| ConnectError::Unreachable)?;
         let task_socket = socket.clone();
         let task = tokio::task::spawn_local(async move {
-            // The attempt on it, if there is one, gets the error.
+            // An attempt on the connection, if there is one, gets the error from `sender`.
             let _ = connection.await;
             task_socket.close();
         });
@@ -54,7 +55,7 @@
         })
     }
 
-    /// How long it has been idle.
+    /// Returns how long the connection has been idle.
     pub fn idle(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.idle_since)
     }
@@ -67,12 +68,13 @@
     }
 }
 
-/// Why there is no connection to a backend.
+/// The reason why a connection to a backend could not be established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// The connection limit is reached, or this process has no descriptor left: no fault of the backend.
+    /// The connection limit is reached, or this process has no descriptor left. The backend is not
+    /// at fault.
     LocalLimit,
-    /// The backend refuses, does not respond in time or cannot be reached.
+    /// The backend refuses the connection, does not respond in time or cannot be reached.
     Unreachable,
 }
 
--- a/crates/upstream/src/idle_age.rs
+++ b/crates/upstream/src/idle_age.rs
@@ -1,20 +1,21 @@
-//! Up to which idle age pooled connections turn out to be alive. Backends close idle connections earlier than they announce, and
-//! middleboxes in between forget connections without notice.
+//! The idle ages up to which pooled connections are still alive. Backends close idle connections
+//! earlier than they announce, and middleboxes in between drop connections without notice.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::{Duration, Instant};
 
-/// Upper bound in milliseconds of the first band of idle ages; each further band reaches twice as far.
+/// Upper bound in milliseconds of the first band of idle ages; each further band reaches twice as
+/// far.
 const FIRST_BAND_MS: f64 = 4.0;
-/// Bands of idle ages: the last begins at about 16 s.
+/// Number of bands of idle ages: the last begins at about 16 s.
 const BANDS: usize = 13;
-/// Observations of a band count half after this.
+/// Half-life of the observations of a band.
 const HALF_LIFE: Duration = Duration::from_secs(4);
-/// Broken connections from which on a band may count as failing.
+/// Minimum number of broken connections for a band to count as failing.
 const MIN_BROKEN: f64 = 2.0;
-/// Fraction of broken connections from which on a band counts as failing.
+/// Minimum fraction of broken connections for a band to count as failing.
 const MIN_BROKEN_FRACTION: f64 = 0.2;
 
 /// Decayed observations of one band of idle ages.
@@ -26,7 +27,7 @@
 }
 
 impl Band {
-    /// The factor by which its observations have decayed.
+    /// Returns the factor by which the observations have decayed.
     fn decay(&self, now: Instant) -> f64 {
         let age = self
             .updated_at
@@ -40,10 +41,11 @@
     }
 }
 
-/// What has become of requests on pooled connections, by how long those had been idle. It learns from every reuse; idempotent
-/// requests go on using old connections, so a recovery is learned too. It does not cover a single backend that breaks young
-/// connections, and where more connections break than [`MIN_BROKEN_FRACTION`] for reasons other than age it costs new
-/// connections that were not needed.
+/// Success of requests on pooled connections, by the idle age of the connections. Every reuse is
+/// recorded, and idempotent requests continue to use old connections, so a recovery is detected
+/// too. A single backend that breaks young connections is not detected, and where more connections
+/// than [`MIN_BROKEN_FRACTION`] break for reasons other than age, unnecessary new connections are
+/// established.
 #[derive(Default)]
 pub(crate) struct IdleAgeStats([Band; BANDS]);
 
@@ -53,7 +55,8 @@
         (doublings.max(-1.0) as isize + 1).clamp(0, BANDS as isize - 1) as usize
     }
 
-    /// Records a request on a connection that had been idle so long, and whether the connection broke.
+    /// Records a request on a connection that had been idle for this long, and whether the
+    /// connection broke.
     pub fn record(&mut self, now: Instant, idle: Duration, broke: bool) {
         let band = &mut self.0[Self::band(idle)];
         let decay = band.decay(now);
@@ -62,8 +65,9 @@
         band.updated_at = Some(now);
     }
 
-    /// Whether connections of this idle age, and of every lower one, are alive.
-    pub fn survives(&self, now: Instant, idle: Duration) -> bool {
+    /// Returns whether connections can be reused at this idle age: neither its band nor a lower one
+    /// is failing.
+    pub fn allows_reuse(&self, now: Instant, idle: Duration) -> bool {
         !self.0[..=Self::band(idle)]
             .iter()
             .any(|band| band.is_failing(now))
--- a/crates/upstream/src/idle_age/tests.rs
+++ b/crates/upstream/src/idle_age/tests.rs
@@ -1,21 +1,22 @@
 use super::*;
 
-/// Guards the reuse of connections: failures of old connections count against those and older ones, not against younger; an
-/// occasional break counts against none; and ages that recover are reused again.
+/// Guards the reuse of connections: failures of old connections prevent the reuse of those and
+/// older ones, not of younger ones; an occasional failure prevents none; and ages that recover are
+/// reused again.
 #[test]
-fn ages_at_which_connections_break_are_distinguished_from_those_that_survive() {
+fn connections_are_not_reused_from_the_idle_age_at_which_they_break() {
     let [young, old, older] = [20, 200, 2000].map(Duration::from_millis);
     let (mut stats, start) = (IdleAgeStats::default(), Instant::now());
     for i in 0..20 {
         stats.record(start, young, i % 10 == 0);
-        assert!(stats.survives(start, older), "a tenth broken");
+        assert!(stats.allows_reuse(start, older), "a tenth broken");
     }
     for _ in 0..3 {
         stats.record(start, old, true);
         stats.record(start, old, false);
     }
     assert_eq!(
-        [young, old, older].map(|age| stats.survives(start, age)),
+        [young, old, older].map(|age| stats.allows_reuse(start, age)),
         [true, false, false]
     );
     let later = start + Duration::from_secs(8);
@@ -23,9 +24,9 @@
         stats.record(later, old, false);
     }
     assert_eq!(
-        [young, old, older].map(|age| stats.survives(later, age)),
+        [young, old, older].map(|age| stats.allows_reuse(later, age)),
         [true; 3]
     );
-    // Without observations they are tried again too.
-    assert!(stats.survives(start + Duration::from_secs(60), older));
+    // Without recent observations, connections are reused again too.
+    assert!(stats.allows_reuse(start + Duration::from_secs(60), older));
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,5 +1,6 @@
-//! Connections to backends, for every program that forwards requests: pools of connections, up to which idle age these are
-//! reused, one attempt of a request on them, and whether it may have run when its connection breaks.
+//! Connections to backends, for every program that forwards requests: connection pools, the idle
+//! age up to which connections are reused, single attempts of requests, and whether a request may
+//! have run when its connection breaks.
 
 mod attempt;
 mod attempt_handle;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pools of connections to backends, one for each backend, within one limit on all of them.
+//! Connection pools, one for each backend, with a common limit on all connections.
 
 use crate::attempt_handle::AttemptHandle;
 use crate::connection::{ConnectError, Connection};
@@ -12,12 +12,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Fraction of the backends' idle timeout for which a connection is kept: one that the backend closes costs a request.
+/// Fraction of the backends' idle timeout for which a connection is kept: a connection that the
+/// backend closes first costs a request.
 const MAX_IDLE_FRACTION: f64 = 0.6;
 /// How often connections that have been idle too long are closed.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(500);
-/// A connection counts as quiescent this long after its last response: what a backend sends behind a response has arrived by
-/// then.
+/// A connection counts as quiescent this long after its last response: bytes that a backend sends
+/// after a response have arrived by then.
 const QUIESCENT_AFTER: Duration = Duration::from_millis(3);
 
 /// Whether an idle connection has to be quiescent.
@@ -30,15 +31,15 @@
 /// The idle connections to one backend.
 struct Pool {
     address: SocketAddr,
-    /// When the backend's process started, in Unix milliseconds; 0 if that is not known.
+    /// When the backend's process started, in Unix milliseconds; 0 if unknown.
     started_ms: f64,
     accepts_requests: bool,
-    /// The most recently used last. Bounded by the limit on all connections.
+    /// Idle connections, the most recently used last. Bounded by the limit on all connections.
     idle: Vec<Connection>,
 }
 
-/// The connections to all backends, idle or in use: at most a fixed number, beyond which the connection that has been idle
-/// longest is closed.
+/// The connections to all backends, idle or in use: at most a fixed number, beyond which the
+/// connection that has been idle longest is closed.
 pub struct Pools {
     links: Links,
     max_connections: usize,
@@ -48,7 +49,7 @@
 }
 
 impl Pools {
-    /// No backends yet, and at most `max_connections` connections.
+    /// Creates pools without backends, for at most `max_connections` connections.
     pub fn new(links: Links, max_connections: usize) -> Pools {
         Pools {
             links,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// A backend takes requests. `started_ms` is when its process started; idle connections to another address or to an earlier
-    /// process are closed.
+    /// Opens the pool of a backend that accepts requests. `started_ms` is when its process started;
+    /// idle connections to another address or to an earlier process are closed.
     pub fn open(&self, id: BackendId, address: SocketAddr, started_ms: f64) {
         let mut pools = self.pools.borrow_mut();
         let pool = pools.entry(id).or_insert_with(|| Pool {
@@ -77,7 +78,8 @@
         pool.accepts_requests = true;
     }
 
-    /// A backend takes no new requests.
+    /// Closes the idle connections to a backend that accepts no new requests, and keeps no further
+    /// ones.
     pub fn drain(&self, id: BackendId) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&id) {
             pool.accepts_requests = false;
@@ -85,19 +87,19 @@
         }
     }
 
-    /// A backend is gone.
+    /// Removes the pool of a backend and closes its idle connections.
     pub fn remove(&self, id: BackendId) {
         self.pools.borrow_mut().remove(&id);
     }
 
-    /// Closes idle connections to a backend.
+    /// Closes the idle connections to a backend.
     pub fn close_idle(&self, id: BackendId) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&id) {
             pool.idle.clear();
         }
     }
 
-    /// Whether a backend takes requests.
+    /// Returns whether a backend accepts requests.
     pub fn accepts_requests(&self, id: BackendId) -> bool {
         self.pools
             .borrow()
@@ -105,7 +107,7 @@
             .is_some_and(|pool| pool.accepts_requests)
     }
 
-    /// The address of a backend that takes requests.
+    /// Returns the address of a backend if it accepts requests.
     pub fn dial_address(&self, id: BackendId) -> Option<SocketAddr> {
         self.pools
             .borrow()
@@ -114,9 +116,10 @@
             .map(|pool| pool.address)
     }
 
-    /// The most recently used idle connection that is still good, preferably one that is quiescent. For a request that must not run
-    /// twice ([`SendMode::WithholdLastByteOnProvenConnection`]), none of an idle age at which
-    /// connections broke recently; and none that carried an earlier attempt of the same request.
+    /// Takes the most recently used idle connection that is still usable, preferably a quiescent
+    /// one. A connection that carried an earlier attempt of the same request is not taken. For a
+    /// request that must not run twice ([`SendMode::WithholdLastByteOnProvenConnection`]), neither
+    /// is one of an idle age at which connections broke recently.
     pub fn take_idle(
         &self,
         id: BackendId,
@@ -126,8 +129,9 @@
         self.take(id, send_mode, Quiescence::Preferred, handle)
     }
 
-    /// The same, but only a quiescent connection: bytes that were sent behind its last response have arrived and show, and cannot be
-    /// taken for the response to the next request.
+    /// Takes the most recently used idle connection that is usable and quiescent: bytes that were
+    /// sent after its last response have arrived and are detected, so they cannot be mistaken for
+    /// the response to the next request.
     pub fn take_quiescent(&self, id: BackendId) -> Option<Connection> {
         let handle = AttemptHandle::default();
         self.take(id, SendMode::Immediate, Quiescence::Required, &handle)
@@ -157,7 +161,7 @@
             let next = quiescent.or(any)?;
             let idle = pool.idle[next].idle(now);
             if send_mode == SendMode::WithholdLastByteOnProvenConnection
-                && !self.idle_ages.borrow().survives(now, idle)
+                && !self.idle_ages.borrow().allows_reuse(now, idle)
             {
                 return None;
             }
@@ -171,8 +175,8 @@
         }
     }
 
-    /// Returns a connection whose last response is complete to the pool. It is closed if the backend takes no requests or has
-    /// another address now.
+    /// Returns a connection whose last response is complete to the pool. The connection is closed
+    /// if the backend accepts no requests or now has another address.
     pub fn put_back(&self, id: BackendId, address: SocketAddr, mut connection: Connection) {
         connection.idle_since = Instant::now();
         let mut pools = self.pools.borrow_mut();
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Makes idle connections older, for tests.
+    /// Increases the idle age of the idle connections, for tests.
     #[doc(hidden)]
     pub fn age_idle_connections(&self, by: Duration) {
         for connection in self
@@ -197,7 +201,7 @@
         }
     }
 
-    /// Records whether a connection that had been idle so long broke under a request.
+    /// Records whether a connection that had been idle for this long broke during a request.
     pub fn record_reuse(&self, idle: Duration, broke: bool) {
         self.idle_ages
             .borrow_mut()
@@ -209,8 +213,9 @@
             .unwrap_or_default()
     }
 
-    /// Closes the connection that has been idle longest, of any backend; returns whether there was one.
-    fn close_longest_idle(&self) -> bool {
+    /// Closes the connection, of any backend, that has been idle longest. Returns whether there was
+    /// one.
+    fn close_least_recently_used(&self) -> bool {
         let mut pools = self.pools.borrow_mut();
         let pool = pools
             .values_mut()
@@ -231,15 +236,21 @@
         }
     }
 
-    /// Establishes a connection. At the connection limit the one that has been idle longest is closed first. Errors:
-    /// [`ConnectError::LocalLimit`] if none is idle, [`ConnectError::Unreachable`] also after the connect timeout.
+    /// Establishes a connection. At the connection limit, the connection that has been idle longest
+    /// is closed first.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectError::LocalLimit`] if the limit is reached and no connection is idle,
+    /// [`ConnectError::Unreachable`] also after the connect timeout.
     pub async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
-        if self.open_connections.get() >= self.max_connections && !self.close_longest_idle() {
+        if self.open_connections.get() >= self.max_connections && !self.close_least_recently_used()
+        {
             return Err(ConnectError::LocalLimit);
         }
         let timeout =
             Duration::try_from_secs_f64(self.links.dial_timeout / 1000.0).unwrap_or_default();
-        // Counted from now on: a connection that is being established takes a descriptor too.
+        // Counted from here, since a connection that is being established also uses a descriptor.
         let permit = ConnectionPermit::acquire(&self.open_connections);
         tokio::time::timeout(timeout, Connection::establish(address, permit))
             .await
--- a/crates/upstream/src/socket.rs
+++ b/crates/upstream/src/socket.rs
@@ -1,5 +1,6 @@
-//! The socket of a connection to a backend, below the HTTP library: it knows how much of a request has been written, can delay
-//! the last byte, and is closed at once when its attempt is given up.
+//! The socket of a connection to a backend, below the HTTP library. It tracks how much of a request
+//! has been written, can delay the last byte, and is closed immediately when its attempt is
+//! aborted.
 
 use crate::written_bytes::WrittenBytes;
 use socket2::SockRef;
@@ -15,18 +16,19 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// How long the last byte of a guarded request is delayed: within one data centre a reset is back by then. Where the round trip is
-/// longer, the guard finds less and costs no more.
+/// How long the last byte of a guarded request is delayed: within one data centre, a reset arrives
+/// in this time. Where the round trip is longer, the delay detects fewer broken connections at the
+/// same cost.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
-/// A socket that can be closed at once from outside the HTTP library, and that counts towards the connection limit until it
-/// is.
+/// A socket that can be closed immediately from outside the HTTP library, and that counts towards
+/// the connection limit until it is closed.
 pub struct UpstreamSocket {
     socket: RefCell<Option<(TcpStream, ConnectionPermit)>>,
     written: RefCell<WrittenBytes>,
     /// Whether the last byte of the request is delayed to probe the connection.
     delay_last_byte: Cell<bool>,
-    /// Until when it is delayed, once all bytes before it are written.
+    /// The delay of the last byte, set once all bytes before it are written.
     last_byte_delay: RefCell<Option<Pin<Box<Sleep>>>>,
 }
 
@@ -40,22 +42,23 @@
         }
     }
 
-    /// Whether the request has been completely written: before that, it cannot have run.
+    /// Returns whether the request has been completely written. Before that, it cannot have run.
     pub fn fully_written(&self) -> bool {
         self.written.borrow().is_complete()
     }
 
-    /// A request with a body of this length is about to be written. With `delay_last_byte` the connection is probed before the last
-    /// byte is written.
+    /// Prepares for a request with a body of this length. With `delay_last_byte`, the connection is
+    /// probed before the last byte is written.
     pub fn begin_request(&self, body_bytes: usize, delay_last_byte: bool) {
         *self.written.borrow_mut() = WrittenBytes::new(body_bytes);
         self.delay_last_byte.set(delay_last_byte);
         self.last_byte_delay.borrow_mut().take();
     }
 
-    /// How many of these bytes may be written now. Guards requests against connections that the backend has closed unnoticed: all
-    /// but the last byte is written first, and that one only if nothing came back. A backend begins with the last byte, so a
-    /// request whose connection breaks before has not run and may be sent again even if it is not idempotent.
+    /// Returns how many of these bytes may be written now. To detect a connection that the backend
+    /// has closed unnoticed, the last byte is delayed and written only if nothing has come back. A
+    /// backend runs a request only after its last byte, so a request whose connection breaks before
+    /// that has not run and can be sent again even if it is not idempotent.
     fn writable_bytes(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         if !self.delay_last_byte.get() || !self.written.borrow().would_complete(bytes) {
             return Poll::Ready(Ok(bytes.len()));
@@ -66,7 +69,7 @@
         let mut delay = self.last_byte_delay.borrow_mut();
         let delay = delay.get_or_insert_with(|| Box::pin(tokio::time::sleep(LAST_BYTE_DELAY)));
         ready!(delay.as_mut().poll(cx));
-        // A reset may have arrived meanwhile; only the kernel knows yet.
+        // A reset that arrived during the delay is known only to the kernel so far.
         Poll::Ready(if self.is_open_and_empty() {
             Ok(1)
         } else {
@@ -78,8 +81,9 @@
         self.socket.borrow_mut().take();
     }
 
-    /// Whether the socket is open and has nothing to read. Guards against taking an unsolicited response for that of the next
-    /// request. The kernel is asked, since the runtime learns of arrived bytes only between two tasks.
+    /// Returns whether the socket is open and has nothing to read, so that an unsolicited response
+    /// is not mistaken for that of the next request. Queries the kernel, since the runtime notices
+    /// arrived bytes only between two tasks.
     pub(crate) fn is_open_and_empty(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let socket = self.socket.borrow();
@@ -106,7 +110,7 @@
     }
 }
 
-/// The HTTP library's end of an [`UpstreamSocket`].
+/// The interface of an [`UpstreamSocket`] to the HTTP library.
 pub(crate) struct SocketIo(pub Rc<UpstreamSocket>);
 
 impl AsyncRead for SocketIo {
--- a/crates/upstream/src/written_bytes/tests.rs
+++ b/crates/upstream/src/written_bytes/tests.rs
@@ -2,8 +2,8 @@
 
 const HEAD: &[u8] = b"POST /a HTTP/1.1\r\nhost: x\r\n\r\n";
 
-/// Guards the distinction between "could not connect" and "reset": only the last byte completes a request, however the
-/// writes are split.
+/// Guards the distinction between "could not connect" and "reset": only the last byte completes a
+/// request, however the writes are split.
 #[test]
 fn a_request_is_complete_with_its_last_byte_and_not_before() {
     let bytes = [HEAD, b"\r\n\r\nbody"].concat();
