--- a/crates/downstream/src/connection_table.rs
+++ b/crates/downstream/src/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open connections of clients, and what happens at the connection limit.
+//! The open client connections and the enforcement of the connection limit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,21 +7,21 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// How long a connection that was asked to close may take before another one is asked.
+/// How long a connection may take to close before another one is selected to be closed.
 pub const CLOSE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Who learns that a connection has closed.
+/// Which waiters are notified when a connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseNotification {
-    /// Only who waits at that moment.
+    /// Only those that are waiting at that moment.
     Waiting,
-    /// Who waits at that moment; and one close is remembered for the next to wait, so that a loop of "check, then wait" misses
-    /// none.
+    /// Those that are waiting at that moment, and the next one to wait: one close is remembered, so
+    /// that a loop of "check, then wait" misses none.
     Remembered,
 }
 
-/// The open connections, each with a state `T`. It holds `max_connections` at most if every [`insert`](Self::insert) comes after
-/// a [`wait_for_capacity`](Self::wait_for_capacity).
+/// The open connections, each with a state `T`. There are at most `max_connections` if every
+/// [`insert`](Self::insert) follows a [`wait_for_capacity`](Self::wait_for_capacity).
 pub struct ConnectionTable<T> {
     max_connections: usize,
     notification: CloseNotification,
@@ -32,7 +32,7 @@
 }
 
 impl<T> ConnectionTable<T> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(max_connections: usize, notification: CloseNotification) -> Rc<ConnectionTable<T>> {
         Rc::new(ConnectionTable {
             max_connections,
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Counts a new connection until the guard is dropped.
+    /// Adds a connection, which counts until the guard is dropped.
     pub fn insert(self: &Rc<Self>, state: T) -> ConnectionGuard<T> {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
@@ -57,34 +57,37 @@
         }
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Whether no connection is open.
+    /// Returns whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.connections.borrow().is_empty()
     }
 
-    /// Whether a further connection is within the limit.
+    /// Returns whether a further connection is within the limit.
     pub fn has_capacity(&self) -> bool {
         self.len() < self.max_connections
     }
 
-    /// Whether the limit is reached and no connection can be asked to close. Responses then close their connections.
+    /// Returns whether the limit is reached and no connection can be selected to be closed.
+    /// Responses then close their connections.
     pub fn is_saturated(&self) -> bool {
         self.saturated.get()
     }
 
-    /// Calls `visit` with the state of each open connection, in no order. It must not open or close one.
+    /// Calls `visit` with the state of each open connection, in arbitrary order. `visit` must not
+    /// open or close a connection.
     pub fn for_each(&self, visit: impl FnMut(&Rc<T>)) {
         self.connections.borrow().values().for_each(visit);
     }
 
-    /// Waits until a further connection is within the limit; returns at once if it is. `select` picks the connection that is
-    /// missed least, and `close` asks it to close; after [`CLOSE_RESPONSE_TIMEOUT`] the next is asked. While `select` finds none,
-    /// [`is_saturated`](Self::is_saturated) holds.
+    /// Waits until a further connection is within the limit; returns immediately if it is. `select`
+    /// returns the most dispensable connection, and `close` requests that it is closed; after
+    /// [`CLOSE_RESPONSE_TIMEOUT`] the next one is selected. While `select` returns `None`,
+    /// [`is_saturated`](Self::is_saturated) is true.
     pub async fn wait_for_capacity<C>(
         &self,
         select: impl Fn(&mut dyn Iterator<Item = &Rc<T>>) -> Option<C>,
@@ -115,7 +118,7 @@
     }
 }
 
-/// An open connection; dropped, it no longer counts. To be dropped after the socket.
+/// An open connection, which counts until the guard is dropped. Must be dropped after the socket.
 pub struct ConnectionGuard<T> {
     table: Rc<ConnectionTable<T>>,
     id: u64,
@@ -123,7 +126,7 @@
 }
 
 impl<T> ConnectionGuard<T> {
-    /// The connection's state.
+    /// Returns the connection's state.
     pub fn state(&self) -> &Rc<T> {
         &self.state
     }
--- a/crates/downstream/src/lib.rs
+++ b/crates/downstream/src/lib.rs
@@ -1,5 +1,6 @@
-//! What every program that serves clients needs at its downstream side: a table of open connections with a limit, the phases
-//! of a graceful shutdown, and the value of `Retry-After`. Single-threaded: for use on one `LocalSet`.
+//! The client side of every program that serves clients: a table of open connections with a limit,
+//! the phases of a graceful shutdown, and the value of `Retry-After`. Single-threaded: for use on
+//! one `LocalSet`.
 
 mod connection_table;
 mod retry_after;
--- a/crates/downstream/src/shutdown.rs
+++ b/crates/downstream/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Phases of a graceful shutdown.
 
-/// How far a graceful shutdown has come. The listener stays open in all of them: a load balancer in front goes on sending
-/// connections until it has noticed.
+/// The phase of a graceful shutdown. The listener stays open in all phases, since a load balancer
+/// in front continues to open connections until it has noticed the shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShutdownPhase {
     /// No shutdown has begun.
--- a/crates/downstream/tests/connection_table.rs
+++ b/crates/downstream/tests/connection_table.rs
@@ -1,4 +1,4 @@
-//! The connection table at its limit. Time is paused: nothing sleeps for real.
+//! Tests of the connection table at its limit, on paused time: nothing sleeps for real.
 
 use maplefall_downstream::{
     retry_after_value, CloseNotification, ConnectionTable, CLOSE_RESPONSE_TIMEOUT,
@@ -7,7 +7,7 @@
 use std::future::Future;
 use std::rc::Rc;
 
-fn on_paused_time(test: impl Future<Output = ()>) {
+fn run_with_paused_time(test: impl Future<Output = ()>) {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -28,46 +28,48 @@
     assert!(table.is_empty());
 }
 
-/// Guards connections against being closed where there is room.
+/// Guards connections below the limit against being closed.
 #[test]
-fn below_the_limit_nothing_is_asked_to_close() {
-    on_paused_time(async {
+fn no_connection_is_closed_below_the_limit() {
+    run_with_paused_time(async {
         let table = ConnectionTable::new(2, CloseNotification::Waiting);
         let _open = table.insert(1);
         table
-            .wait_for_capacity(|_| Some(()), |()| panic!("asked to close"))
+            .wait_for_capacity(|_| Some(()), |()| panic!("closed below the limit"))
             .await;
     });
 }
 
-/// Guards against asking all at once: the next connection is asked only after the first had its time.
+/// Guards against closing all connections at once: the next one is selected only after the timeout
+/// of the first.
 #[test]
-fn one_connection_at_a_time_is_asked_to_close() {
-    on_paused_time(async {
+fn connections_are_closed_one_at_a_time() {
+    run_with_paused_time(async {
         let table = ConnectionTable::new(2, CloseNotification::Waiting);
         let guards = RefCell::new(vec![table.insert(1), table.insert(2)]);
-        let (start, asked_at) = (tokio::time::Instant::now(), RefCell::new(Vec::new()));
+        let (start, closed_at) = (tokio::time::Instant::now(), RefCell::new(Vec::new()));
         table
             .wait_for_capacity(
                 |states| states.min().cloned(),
                 |state| {
-                    asked_at.borrow_mut().push((*state, start.elapsed()));
-                    if asked_at.borrow().len() == 2 {
+                    closed_at.borrow_mut().push((*state, start.elapsed()));
+                    if closed_at.borrow().len() == 2 {
                         guards.borrow_mut().clear();
                     }
                 },
             )
             .await;
-        let asked_at = asked_at.into_inner();
-        assert_eq!(asked_at.len(), 2, "{asked_at:?}");
-        assert!(asked_at[1].1 >= CLOSE_RESPONSE_TIMEOUT, "{asked_at:?}");
+        let closed_at = closed_at.into_inner();
+        assert_eq!(closed_at.len(), 2, "{closed_at:?}");
+        assert!(closed_at[1].1 >= CLOSE_RESPONSE_TIMEOUT, "{closed_at:?}");
     });
 }
 
-/// Guards clients at the limit: while none can be asked to close the table says so, and no longer once there is room.
+/// Guards clients at the limit: the table is saturated while no connection can be closed, and no
+/// longer once there is capacity.
 #[test]
-fn the_table_is_saturated_while_none_can_be_asked() {
-    on_paused_time(async {
+fn the_table_is_saturated_while_no_connection_can_be_closed() {
+    run_with_paused_time(async {
         let table = ConnectionTable::new(1, CloseNotification::Waiting);
         let guard = Cell::new(Some(table.insert(1)));
         let calls = Cell::new(0);
@@ -89,18 +91,19 @@
     });
 }
 
-/// Guards a shutdown that waits just after the last connection closed: remembered closes are seen, others are not.
+/// Guards a shutdown that waits just after the last connection closed: remembered closes are
+/// noticed, others are not.
 #[test]
-fn a_close_is_remembered_only_where_asked_for() {
-    on_paused_time(async {
-        for (notification, seen) in [
+fn a_close_is_remembered_only_if_configured() {
+    run_with_paused_time(async {
+        for (notification, is_noticed) in [
             (CloseNotification::Waiting, false),
             (CloseNotification::Remembered, true),
         ] {
             let table = ConnectionTable::new(1, notification);
             drop(table.insert(Rc::new(())));
             let wait = tokio::time::timeout(CLOSE_RESPONSE_TIMEOUT, table.closed()).await;
-            assert_eq!(wait.is_ok(), seen, "{notification:?}");
+            assert_eq!(wait.is_ok(), is_noticed, "{notification:?}");
         }
     });
 }
--- a/crates/process/src/lib.rs
+++ b/crates/process/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every program of the system starts with: its sub-commands, the logger, a seed and the exit code.
+//! Start-up of every program: sub-commands, logger, random seed and exit code.
 //!
-//! Shared so that proxy and controller cannot come to differ in the form of a log line or in what a failed start
-//! prints.
+//! Shared so that proxy and controller do not diverge in the format of log lines or in the output
+//! of a failed start.
 
 use clap::Subcommand;
 use std::fmt::Display;
@@ -10,23 +10,23 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Log level where `RUST_LOG` is not set.
+/// Log level if `RUST_LOG` is not set.
 const DEFAULT_LOG_LEVEL: &str = "info";
 
 /// The sub-commands of a program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serves; the same as no command.
+    /// Serves; the default without a command.
     Run,
-    /// Reads a settings file and says whether it can be used.
+    /// Checks whether a settings file can be used.
     Check {
-        /// The file; by default the one that MAPLEFALL_CONFIG names.
+        /// The file; by default the one given by MAPLEFALL_CONFIG.
         file: Option<PathBuf>,
     },
 }
 
-/// The exit code for how a program ended. An error is printed to standard error as one `event=fatal` line, also where
-/// no logger could be started.
+/// Returns the exit code for the result of a program. An error is printed to standard error as one
+/// `event=fatal` line, even if no logger could be started.
 pub fn exit_code<E: Display>(result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -37,15 +37,16 @@
     }
 }
 
-/// A number that differs between starts: the standard library's hashers are keyed from the system's random number
-/// generator.
+/// Returns a number that differs between starts: the standard library's hashers are keyed from the
+/// system's random number generator.
 pub fn random_seed() -> u64 {
     std::collections::hash_map::RandomState::new()
         .build_hasher()
         .finish()
 }
 
-/// Logs to standard error, `info` and above unless `RUST_LOG` says otherwise, until the handle is dropped.
+/// Starts a logger that writes to standard error until the handle is dropped: `info` and above
+/// unless `RUST_LOG` is set.
 ///
 /// # Errors
 ///
@@ -57,7 +58,7 @@
         .start()
 }
 
-/// Writes one line of `key=value` pairs: the level, then what the record says.
+/// Writes one log line of `key=value` pairs: the level, then the text of the record.
 ///
 /// # Errors
 ///
