--- a/crates/discovery-agent/src/backend_list.rs
+++ b/crates/discovery-agent/src/backend_list.rs
@@ -1,12 +1,12 @@
 //! The list of backends of an agent.
 
-use crate::parse::{PartialEntry, Word};
-use maplefall_membership::MOST_NODES;
+use crate::parse::{ListUpdate, PartialEntry};
+use maplefall_membership::MAX_NODES;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member};
 use std::collections::BTreeMap;
 
-/// The backends that are not removed, by name; at most [`MOST_NODES`].
+/// The backends that are not removed, by name; at most [`MAX_NODES`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct BackendList(BTreeMap<String, Member>);
 
@@ -16,7 +16,7 @@
     /// Valid entries, and stops by entries of which no more than that can be read.
     pub(crate) members: Vec<Member>,
     /// The names of other entries that cannot be used; their previous entries stay.
-    pub(crate) unread: Vec<String>,
+    pub(crate) unreadable: Vec<String>,
 }
 
 impl BackendList {
@@ -32,29 +32,29 @@
         self.0.values().cloned().collect()
     }
 
-    /// Applies an entry. A new backend beyond [`MOST_NODES`] is left out, as the roster leaves it out and reports it.
+    /// Applies an entry. A new backend beyond [`MAX_NODES`] is left out, as the roster leaves it out and reports it.
     fn apply_entry(&mut self, member: &Member) {
         if member.health == Health::Removed {
             self.0.remove(&member.host);
-        } else if self.0.len() < MOST_NODES || self.0.contains_key(&member.host) {
+        } else if self.0.len() < MAX_NODES || self.0.contains_key(&member.host) {
             self.0.insert(member.host.clone(), member.clone());
         }
     }
 
     /// Completes the entries of an update: a stop by a partial entry has the other fields of the entry here.
-    pub(crate) fn complete(&self, update: &Word) -> Entries {
+    pub(crate) fn complete(&self, update: &ListUpdate) -> Entries {
         let mut entries = Entries {
             members: update.members.hosts.clone(),
-            unread: Vec::new(),
+            unreadable: Vec::new(),
         };
         let partial_entries = update
-            .passed_over
+            .rejected
             .iter()
             .filter_map(|rejected| rejected.partial.as_ref());
         for partial in partial_entries {
             match self.stop_of(partial) {
                 Some(stop) => entries.members.push(stop),
-                None => entries.unread.push(partial.host.clone()),
+                None => entries.unreadable.push(partial.host.clone()),
             }
         }
         entries
@@ -77,7 +77,7 @@
             return;
         }
         let mut list = BackendList::new(&entries.members);
-        for host in &entries.unread {
+        for host in &entries.unreadable {
             if let Some(previous) = self.0.remove(host) {
                 list.0.insert(host.clone(), previous);
             }
--- a/crates/discovery-agent/src/follower/calls.rs
+++ b/crates/discovery-agent/src/follower/calls.rs
@@ -1,8 +1,10 @@
 //! The calls to the agent: when they are made and closed, and what is received.
 
-use super::{Call, Follower, CALL_TIMEOUT, HEARTBEAT_TIMEOUT, MIN_RETRY_DELAY, TOLD_WITHIN};
-use crate::interface::{CallId, End, Heard, Output, Report, TrustReason, What};
-use crate::parse::{line, Line};
+use super::{
+    Call, Follower, CALL_TIMEOUT, HEARTBEAT_TIMEOUT, MAX_PROPAGATION_DELAY, MIN_RETRY_DELAY,
+};
+use crate::interface::{CallEnd, CallEvent, CallId, Output, Report, RequestKind, TrustReason};
+use crate::parse::{parse_line, Line};
 use maplefall_membership::Event;
 use maplefall_policy::Millis;
 
@@ -18,7 +20,7 @@
             (false, _) => CALL_TIMEOUT,
             (true, true) => HEARTBEAT_TIMEOUT,
             // The head of an answer alone does not show that the agent is alive: it may be all that was written.
-            (true, false) => self.answer_timeout,
+            (true, false) => self.first_line_timeout,
         }
     }
 
@@ -28,7 +30,7 @@
 
     pub(super) fn close_silent_second_call(&mut self, now: Millis, out: &mut Vec<Output>) {
         if let Some(call) = self.second.filter(|call| self.is_silent(now, call)) {
-            out.push(Output::HangUp(call.id));
+            out.push(Output::CloseCall(call.id));
             self.second = None;
             self.next_address();
         }
@@ -40,7 +42,7 @@
         let Some(call) = self.main.filter(is_timed_out) else {
             return;
         };
-        out.push(Output::HangUp(call.id));
+        out.push(Output::CloseCall(call.id));
         self.source_lost("silent", out);
         self.main = self.second.take();
         if self.main.is_some() {
@@ -75,7 +77,7 @@
 
     pub(super) fn call_after_delay(&mut self, now: Millis) {
         let delay = if self.is_local {
-            self.answer_timeout.min(MIN_RETRY_DELAY)
+            self.first_line_timeout.min(MIN_RETRY_DELAY)
         } else {
             self.backoff.next_delay()
         };
@@ -88,14 +90,14 @@
         // An agent whose list is outdated continues from its own version.
         let outdated_version = self.outdated.as_ref().map(|outdated| outdated.version);
         let what = match outdated_version.or(self.version) {
-            Some(from) if !self.needs_complete_list => What::Watch(from),
-            _ => What::Whole,
+            Some(from) if !self.needs_complete_list => RequestKind::Watch(from),
+            _ => RequestKind::CompleteList,
         };
         if let Some(address) = self.addresses.get(self.address) {
-            out.push(Output::Ask {
+            out.push(Output::OpenCall {
                 call: id,
-                place: *address,
-                what,
+                address: *address,
+                request: what,
             });
         }
         Call {
@@ -109,7 +111,12 @@
     // ---- Receiving ----------------------------------------------------------------------------------
 
     /// Handles what happened to a call. A call that was closed is ignored.
-    pub fn heard_of(&mut self, now: Millis, call: CallId, heard: Heard) -> Vec<Output> {
+    pub fn handle_call_event(
+        &mut self,
+        now: Millis,
+        call: CallId,
+        heard: CallEvent,
+    ) -> Vec<Output> {
         let mut out = Vec::new();
         if self.second.is_some_and(|second| second.id == call)
             && !self.replace_main_call(now, &heard, &mut out)
@@ -120,31 +127,31 @@
             return out;
         };
         match heard {
-            Heard::Begun => main.active_at = now,
-            Heard::Line(text) => {
+            CallEvent::ResponseStarted => main.active_at = now,
+            CallEvent::Line(text) => {
                 main.active_at = now;
                 let is_first_line = !std::mem::replace(&mut main.has_line, true);
                 self.line_received(now, call, is_first_line, &text, &mut out);
             }
-            Heard::Ended(end) => self.main_call_ended(now, end, &mut out),
+            CallEvent::Ended(end) => self.main_call_ended(now, end, &mut out),
         }
         out
     }
 
     /// Handles what happened to the second call. Returns whether it has replaced the main call, as it received a line first.
-    fn replace_main_call(&mut self, now: Millis, heard: &Heard, out: &mut Vec<Output>) -> bool {
+    fn replace_main_call(&mut self, now: Millis, heard: &CallEvent, out: &mut Vec<Output>) -> bool {
         match heard {
-            Heard::Line(_) => {
+            CallEvent::Line(_) => {
                 if let Some(main) = std::mem::replace(&mut self.main, self.second.take()) {
-                    out.push(Output::HangUp(main.id));
+                    out.push(Output::CloseCall(main.id));
                 }
                 true
             }
             // The head of an answer alone does not show that the agent is alive.
-            Heard::Begun => false,
-            Heard::Ended(_) => {
+            CallEvent::ResponseStarted => false,
+            CallEvent::Ended(_) => {
                 // A refused call takes no time: without a delay it would be made again and again.
-                self.next_second_call_at = now + self.answer_timeout;
+                self.next_second_call_at = now + self.first_line_timeout;
                 self.second = None;
                 self.next_address();
                 false
@@ -165,54 +172,54 @@
         let has_gap = was_interrupted || now - self.last_line_at > HEARTBEAT_TIMEOUT;
         self.last_line_at = now;
         if let Some(second) = self.second.take() {
-            out.push(Output::HangUp(second.id));
+            out.push(Output::CloseCall(second.id));
         }
         if let Some(outdated) = self.outdated.as_mut().filter(|_| has_gap) {
             outdated.received_since = now;
         }
         self.backoff.reset();
-        match line(text) {
+        match parse_line(text) {
             Ok(Line::Heartbeat) => {
                 self.is_outage_reported = false;
-                out.push(Output::Tell(Event::Resumed {
+                out.push(Output::Event(Event::Resumed {
                     source: self.source,
                 }));
             }
-            Ok(Line::Word(update)) => {
+            Ok(Line::Update(update)) => {
                 self.is_outage_reported = false;
                 self.apply_update(now, is_first_line, &update, out);
             }
             Err(error) => {
-                out.push(Output::HangUp(call));
-                self.main_call_ended(now, End::Unreadable(error.to_string()), out);
+                out.push(Output::CloseCall(call));
+                self.main_call_ended(now, CallEnd::MalformedLine(error.to_string()), out);
             }
         }
         let outdated = self.outdated.as_ref();
-        if outdated.is_some_and(|outdated| now - outdated.received_since >= TOLD_WITHIN) {
-            let reason = TrustReason::ReceivedThroughout(TOLD_WITHIN);
+        if outdated.is_some_and(|outdated| now - outdated.received_since >= MAX_PROPAGATION_DELAY) {
+            let reason = TrustReason::ReceivedWithoutGap(MAX_PROPAGATION_DELAY);
             self.trust_outdated_list(now, reason, out);
         }
     }
 
-    fn main_call_ended(&mut self, now: Millis, end: End, out: &mut Vec<Output>) {
+    fn main_call_ended(&mut self, now: Millis, end: CallEnd, out: &mut Vec<Output>) {
         let Some(call) = self.main.take() else {
             return;
         };
-        if call.what == What::Whole && call.has_line && end == End::Whole {
+        if call.what == RequestKind::CompleteList && call.has_line && end == CallEnd::Complete {
             // The complete list was received; a watch continues from it.
             self.main = Some(self.make_call(now, out));
             return;
         }
         let reason = match end {
-            End::Whole => "closed".to_owned(),
-            End::Broken(reason) => reason,
-            End::Status(status) => {
+            CallEnd::Complete => "closed".to_owned(),
+            CallEnd::ConnectionFailed(reason) => reason,
+            CallEnd::Status(status) => {
                 // An agent that does not know the version is asked for the complete list. An overloaded one is not, as that costs it
                 // more than changes.
                 self.needs_complete_list |= status != SERVICE_UNAVAILABLE;
                 format!("status {status}")
             }
-            End::Unreadable(reason) => {
+            CallEnd::MalformedLine(reason) => {
                 self.needs_complete_list = true;
                 reason
             }
@@ -230,7 +237,7 @@
     /// Tells the roster that the source is lost, and reports it once for an outage.
     fn source_lost(&mut self, reason: &str, out: &mut Vec<Output>) {
         self.was_interrupted = true;
-        out.push(Output::Tell(Event::Lost {
+        out.push(Output::Event(Event::Lost {
             source: self.source,
         }));
         if !std::mem::replace(&mut self.is_outage_reported, true) {
--- a/crates/discovery-agent/src/follower/mod.rs
+++ b/crates/discovery-agent/src/follower/mod.rs
@@ -8,7 +8,7 @@
 //! 1. once its version is above the applied one: the agent has caught up, or its new numbering has passed the old one;
 //! 2. at once, if it has an instance that started after the applied version came: all machines use one clock, so it is newer whatever its
 //!    version;
-//! 3. once it was received for [`TOLD_WITHIN`] without a gap: discovery reports every change within that time, so an agent that was there
+//! 3. once it was received for [`MAX_PROPAGATION_DELAY`] without a gap: discovery reports every change within that time, so an agent that was there
 //!    throughout has every stop that was reported before.
 //!
 //! If stops were applied from an outdated list whose agent was left since, and if a numbering that was superseded seems to come back,
@@ -24,7 +24,7 @@
 mod versions;
 
 use crate::backend_list::BackendList;
-use crate::interface::{CallId, Output, Settings, What};
+use crate::interface::{CallId, Output, RequestKind, Settings};
 use maplefall_backoff::Backoff;
 use maplefall_policy::Millis;
 use std::collections::BTreeSet;
@@ -34,16 +34,16 @@
 /// An agent sends a line at least this often (protocol page, "Discovery").
 pub const HEARTBEAT: Millis = 2000.0;
 /// Discovery reports every change within this time (protocol page, "Figures").
-pub const TOLD_WITHIN: Millis = 6000.0;
+pub const MAX_PROPAGATION_DELAY: Millis = 6000.0;
 /// Silence after which a call is closed.
 pub const CALL_TIMEOUT: Millis = 6500.0;
 /// Silence after which a local agent is called beside the open call: a heartbeat was missed.
 pub const HEARTBEAT_TIMEOUT: Millis = HEARTBEAT + 300.0;
 /// How long a local agent may take for its first line before it is called again. Half of the time within which requests to a draining
 /// backend have to stop is used instead if that is shorter.
-pub const ANSWER_TIMEOUT: Millis = 500.0;
+pub const FIRST_LINE_TIMEOUT: Millis = 500.0;
 /// The least of that, whatever the settings.
-const MIN_ANSWER_TIMEOUT: Millis = 50.0;
+const MIN_FIRST_LINE_TIMEOUT: Millis = 50.0;
 /// The least delay before an agent is called again after a call has ended.
 pub const MIN_RETRY_DELAY: Millis = 250.0;
 
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Call {
     id: CallId,
-    what: What,
+    what: RequestKind,
     /// When it was made, or something was last received.
     active_at: Millis,
     /// Whether a line was received.
@@ -65,7 +65,7 @@
     source: usize,
     /// Whether the agent is local and not shared.
     is_local: bool,
-    answer_timeout: Millis,
+    first_line_timeout: Millis,
     addresses: Vec<SocketAddr>,
     /// The index of the address that is called next.
     address: usize,
@@ -108,16 +108,16 @@
     pub fn new(settings: Settings, now: Millis) -> Follower {
         let Settings {
             source,
-            own: is_local,
-            sharing,
-            stop_within,
+            is_local,
+            process_count,
+            drain_grace_period,
             seed,
-            places: addresses,
-            known,
+            addresses,
+            initial_list,
         } = settings;
-        let mut backoff = Backoff::new(sharing, MIN_RETRY_DELAY, seed);
+        let mut backoff = Backoff::new(process_count, MIN_RETRY_DELAY, seed);
         // Processes that start together spread their calls to a shared agent, if each has a list to start with.
-        let delay = if known.is_some() && !is_local {
+        let delay = if initial_list.is_some() && !is_local {
             backoff.initial_delay()
         } else {
             0.0
@@ -125,7 +125,8 @@
         Follower {
             source,
             is_local,
-            answer_timeout: (stop_within / 2.0).clamp(MIN_ANSWER_TIMEOUT, ANSWER_TIMEOUT),
+            first_line_timeout: (drain_grace_period / 2.0)
+                .clamp(MIN_FIRST_LINE_TIMEOUT, FIRST_LINE_TIMEOUT),
             addresses,
             address: 0,
             backoff,
@@ -134,12 +135,12 @@
             second: None,
             next_call_at: Some(now + delay),
             next_second_call_at: now,
-            needs_complete_list: known.is_none(),
-            list: known
+            needs_complete_list: initial_list.is_none(),
+            list: initial_list
                 .as_ref()
-                .map(|known| BackendList::new(&known.hosts))
+                .map(|list| BackendList::new(&list.hosts))
                 .unwrap_or_default(),
-            version: known.map(|known| known.seq),
+            version: initial_list.map(|list| list.seq),
             applied_at: now,
             superseded_version: None,
             outdated: None,
@@ -187,12 +188,12 @@
     }
 
     /// The agent is at this address from now on. The watch is opened again, also if the address is the same.
-    pub fn moved(&mut self, now: Millis, address: SocketAddr) -> Vec<Output> {
+    pub fn move_to(&mut self, now: Millis, address: SocketAddr) -> Vec<Output> {
         let open_calls = [self.main.take(), self.second.take()];
         let mut out: Vec<Output> = open_calls
             .into_iter()
             .flatten()
-            .map(|call| Output::HangUp(call.id))
+            .map(|call| Output::CloseCall(call.id))
             .collect();
         self.addresses = vec![address];
         self.address = 0;
--- a/crates/discovery-agent/src/follower/versions.rs
+++ b/crates/discovery-agent/src/follower/versions.rs
@@ -5,7 +5,7 @@
 use super::Follower;
 use crate::backend_list::{has_newer_instance, BackendList, Entries};
 use crate::interface::{Output, Report, TrustReason};
-use crate::parse::Word;
+use crate::parse::ListUpdate;
 use maplefall_membership::Event;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
@@ -32,7 +32,7 @@
         &mut self,
         now: Millis,
         is_first_line: bool,
-        update: &Word,
+        update: &ListUpdate,
         out: &mut Vec<Output>,
     ) {
         self.report_rejected_entries(update, out);
@@ -88,20 +88,20 @@
         self.version = Some(version);
         self.applied_at = now;
         if is_complete {
-            self.emit_snapshot(entries.members, entries.unread, out);
+            self.emit_snapshot(entries.members, entries.unreadable, out);
         } else {
             self.emit_change(entries.members, out);
         }
     }
 
     /// Reports entries that cannot be used, each once until it can be used again.
-    fn report_rejected_entries(&mut self, update: &Word, out: &mut Vec<Output>) {
+    fn report_rejected_entries(&mut self, update: &ListUpdate, out: &mut Vec<Output>) {
         if !self.reported_entries.is_empty() {
             for member in &update.members.hosts {
                 self.reported_entries.remove(&member.host);
             }
         }
-        for rejected in &update.passed_over {
+        for rejected in &update.rejected {
             let partial = rejected.partial.as_ref();
             let host = partial.map_or("an entry", |partial| partial.host.as_str());
             let is_reported = if self.reported_entries.len() >= MAX_REPORTED_ENTRIES {
@@ -153,7 +153,7 @@
     fn reject_outdated_change(&mut self, now: Millis, entries: &Entries, out: &mut Vec<Output>) {
         self.apply_stops(now, &entries.members, out);
         if let Some(main) = self.main.take() {
-            out.push(Output::HangUp(main.id));
+            out.push(Output::CloseCall(main.id));
         }
         self.needs_complete_list = true;
         self.was_interrupted = true;
@@ -219,13 +219,18 @@
 
     // ---- Events -------------------------------------------------------------------------------------
 
-    fn emit_snapshot(&mut self, hosts: Vec<Member>, unread: Vec<String>, out: &mut Vec<Output>) {
+    fn emit_snapshot(
+        &mut self,
+        hosts: Vec<Member>,
+        unreadable: Vec<String>,
+        out: &mut Vec<Output>,
+    ) {
         let event = Event::Snapshot {
             source: self.source,
             members: self.next_members(true, hosts),
-            unread,
+            unreadable,
         };
-        out.push(Output::Tell(event));
+        out.push(Output::Event(event));
     }
 
     fn emit_change(&mut self, hosts: Vec<Member>, out: &mut Vec<Output>) {
@@ -233,7 +238,7 @@
             source: self.source,
             members: self.next_members(false, hosts),
         };
-        out.push(Output::Tell(event));
+        out.push(Output::Event(event));
     }
 
     /// The members of the next event, with the next version.
--- a/crates/discovery-agent/src/interface.rs
+++ b/crates/discovery-agent/src/interface.rs
@@ -12,34 +12,34 @@
     pub source: usize,
     /// Whether the agent is local to this process: it answers at once and calls cost nothing. Otherwise it is shared by the fleet, and
     /// calls are delayed by a backoff.
-    pub own: bool,
+    pub is_local: bool,
     /// How many processes share it; 1 for a local one.
-    pub sharing: u32,
+    pub process_count: u32,
     /// The time within which requests to a draining backend have to stop, in milliseconds (the rule on drains).
-    pub stop_within: Millis,
+    pub drain_grace_period: Millis,
     /// The seed of all random draws.
     pub seed: u64,
     /// The addresses at which it may be, the likeliest first; not empty.
-    pub places: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// The list that the process was started with.
-    pub known: Option<Members>,
+    pub initial_list: Option<Members>,
 }
 
 /// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum RequestKind {
     /// The complete list.
-    Whole,
+    CompleteList,
     /// The changes since this version, and a watch on further ones.
     Watch(u64),
 }
 
-impl What {
+impl RequestKind {
     /// The path of the request.
     pub fn path(self) -> String {
         match self {
-            What::Whole => "/catalog/members".to_owned(),
-            What::Watch(from) => format!("/catalog/members?watch=1&from={from}"),
+            RequestKind::CompleteList => "/catalog/members".to_owned(),
+            RequestKind::Watch(from) => format!("/catalog/members?watch=1&from={from}"),
         }
     }
 }
@@ -50,44 +50,44 @@
 
 /// What happened to a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum CallEvent {
     /// The head of the response was received: status 200.
-    Begun,
+    ResponseStarted,
     /// A line was received, without its end.
     Line(Vec<u8>),
     /// The call has ended by itself.
-    Ended(End),
+    Ended(CallEnd),
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum CallEnd {
     /// The response was complete.
-    Whole,
+    Complete,
     /// The connection was refused, was reset, or is not HTTP.
-    Broken(String),
+    ConnectionFailed(String),
     /// The response has another status than 200.
     Status(u16),
     /// A line cannot be parsed.
-    Unreadable(String),
+    MalformedLine(String),
 }
 
 /// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Make a call.
-    Ask {
+    OpenCall {
         /// Its id.
         call: CallId,
         /// The address of the agent.
-        place: SocketAddr,
+        address: SocketAddr,
         /// What it requests.
-        what: What,
+        request: RequestKind,
     },
     /// Close a call; nothing of it is passed in any more.
-    HangUp(CallId),
+    CloseCall(CallId),
     /// Pass this to the roster.
-    Tell(Event),
+    Event(Event),
     /// Log this.
     Report(Report),
 }
@@ -128,7 +128,7 @@
     /// It has a backend that started after the applied version came.
     NewerInstance,
     /// Its agent was received without a gap for this long, so it has all stops that were reported before.
-    ReceivedThroughout(Millis),
+    ReceivedWithoutGap(Millis),
 }
 
 impl std::fmt::Display for Report {
@@ -160,7 +160,7 @@
                 )
             }
             Report::ListTrusted {
-                reason: TrustReason::ReceivedThroughout(ms),
+                reason: TrustReason::ReceivedWithoutGap(ms),
                 version,
             } => {
                 write!(
--- a/crates/discovery-agent/src/lib.rs
+++ b/crates/discovery-agent/src/lib.rs
@@ -11,9 +11,13 @@
 mod parse;
 
 pub use follower::{
-    Follower, ANSWER_TIMEOUT, CALL_TIMEOUT, HEARTBEAT, HEARTBEAT_TIMEOUT, MIN_RETRY_DELAY,
-    TOLD_WITHIN,
+    Follower, CALL_TIMEOUT, FIRST_LINE_TIMEOUT, HEARTBEAT, HEARTBEAT_TIMEOUT,
+    MAX_PROPAGATION_DELAY, MIN_RETRY_DELAY,
+};
+pub use interface::{
+    CallEnd, CallEvent, CallId, Output, Report, RequestKind, Settings, TrustReason,
+};
+pub use line_splitter::{LineSplitter, MAX_LINE_BYTES};
+pub use parse::{
+    parse_line, Line, LineError, ListUpdate, PartialEntry, RejectedEntry, MAX_NAME_BYTES,
 };
-pub use interface::{CallId, End, Heard, Output, Report, Settings, TrustReason, What};
-pub use line_splitter::{Lines, MAX_LINE_BYTES};
-pub use parse::{line, Line, LineError, PartialEntry, RejectedEntry, Word, MAX_NAME_BYTES};
--- a/crates/discovery-agent/src/line_splitter.rs
+++ b/crates/discovery-agent/src/line_splitter.rs
@@ -7,12 +7,12 @@
 
 /// Splits pieces of any length into lines. It buffers at most one line of [`MAX_LINE_BYTES`].
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct LineSplitter {
     /// The beginning of a line whose end was not received yet.
     pending: Vec<u8>,
 }
 
-impl Lines {
+impl LineSplitter {
     /// Adds a piece and passes on each line that it completes, without the line end.
     ///
     /// # Errors
@@ -40,7 +40,7 @@
     }
 
     /// What was received after the last line end.
-    pub fn rest(self) -> Vec<u8> {
+    pub fn remainder(self) -> Vec<u8> {
         self.pending
     }
 
--- a/crates/discovery-agent/src/parse.rs
+++ b/crates/discovery-agent/src/parse.rs
@@ -17,16 +17,16 @@
     /// Nothing has changed.
     Heartbeat,
     /// A complete list, or changes of it.
-    Word(Word),
+    Update(ListUpdate),
 }
 
 /// What can be used of a list, or of changes of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct ListUpdate {
     /// The entries that can be used, each name once.
     pub members: Members,
     /// The entries that cannot.
-    pub passed_over: Vec<RejectedEntry>,
+    pub rejected: Vec<RejectedEntry>,
 }
 
 /// An entry that cannot be used.
@@ -73,7 +73,7 @@
 /// # Errors
 ///
 /// [`LineError::Json`].
-pub fn line(text: &[u8]) -> Result<Line, LineError> {
+pub fn parse_line(text: &[u8]) -> Result<Line, LineError> {
     if text.trim_ascii().is_empty() {
         return Ok(Line::Heartbeat);
     }
@@ -84,23 +84,23 @@
             .iter()
             .all(|member| invalid_field(member).is_none())
         {
-            return Ok(Line::Word(Word {
+            return Ok(Line::Update(ListUpdate {
                 members: deduplicate(members),
-                passed_over: Vec::new(),
+                rejected: Vec::new(),
             }));
         }
     }
-    Ok(Line::Word(parse_entries(serde_json::from_slice(text)?)))
+    Ok(Line::Update(parse_entries(serde_json::from_slice(text)?)))
 }
 
-fn parse_entries(line: UnparsedLine) -> Word {
+fn parse_entries(line: UnparsedLine) -> ListUpdate {
     let mut hosts = Vec::with_capacity(line.hosts.len());
-    let mut passed_over = Vec::new();
+    let mut rejected = Vec::new();
     for entry in line.hosts {
         let partial = partial_entry(&entry);
         match parse_entry(entry) {
             Ok(member) => hosts.push(member),
-            Err(reason) => passed_over.push(RejectedEntry { partial, reason }),
+            Err(reason) => rejected.push(RejectedEntry { partial, reason }),
         }
     }
     let members = deduplicate(Members {
@@ -108,10 +108,7 @@
         whole: line.whole,
         hosts,
     });
-    Word {
-        members,
-        passed_over,
-    }
+    ListUpdate { members, rejected }
 }
 
 fn parse_entry(entry: Value) -> Result<Member, String> {
--- a/crates/discovery-agent/tests/follower.rs
+++ b/crates/discovery-agent/tests/follower.rs
@@ -1,21 +1,21 @@
 //! The calls that a follower makes and the updates that it applies, by examples.
 
 use maplefall_discovery_agent::*;
-use maplefall_membership::{Event, MOST_NODES};
+use maplefall_membership::{Event, MAX_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
 use maplefall_protocol::{Member, Members};
 use serde_json::json;
 use std::net::SocketAddr;
 
-fn place(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
 fn node(host: &str, health: Health, born_ms: f64) -> Member {
     Member {
         host: host.into(),
-        dial: place(9),
+        dial: address(9),
         site: "z".into(),
         block: 0,
         health,
@@ -32,15 +32,15 @@
     }
 }
 
-fn settings(own: bool, known: Option<Members>) -> Settings {
+fn settings(is_local: bool, initial_list: Option<Members>) -> Settings {
     Settings {
         source: 0,
-        own,
-        sharing: 300,
-        stop_within: 500.0,
+        is_local,
+        process_count: 300,
+        drain_grace_period: 500.0,
         seed: 1,
-        places: vec![place(1)],
-        known,
+        addresses: vec![address(1)],
+        initial_list,
     }
 }
 
@@ -48,7 +48,7 @@
 struct Harness {
     follower: Follower,
     now: Millis,
-    open: Vec<(CallId, SocketAddr, What)>,
+    open: Vec<(CallId, SocketAddr, RequestKind)>,
     /// The state and start of each node in the roster.
     list: std::collections::BTreeMap<String, (Health, f64)>,
     reports: Vec<String>,
@@ -57,8 +57,8 @@
 
 impl Harness {
     fn new(settings: Settings, now: Millis) -> Harness {
-        let known = settings.known.iter().flat_map(|known| &known.hosts);
-        let list = known
+        let initial = settings.initial_list.iter().flat_map(|list| &list.hosts);
+        let list = initial
             .map(|m| (m.host.clone(), (m.health, m.born_ms)))
             .collect();
         let follower = Follower::new(settings, now);
@@ -77,23 +77,29 @@
     fn apply_outputs(&mut self, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Ask { call, place, what } => self.open.push((call, place, what)),
-                Output::HangUp(call) => self.open.retain(|open| open.0 != call),
+                Output::OpenCall {
+                    call,
+                    address,
+                    request,
+                } => self.open.push((call, address, request)),
+                Output::CloseCall(call) => self.open.retain(|open| open.0 != call),
                 Output::Report(report) => self.reports.push(report.to_string()),
-                Output::Tell(Event::Lost { .. }) => self.lost = true,
-                Output::Tell(Event::Resumed { .. }) => self.lost = false,
-                Output::Tell(Event::Snapshot {
-                    members, unread, ..
+                Output::Event(Event::Lost { .. }) => self.lost = true,
+                Output::Event(Event::Resumed { .. }) => self.lost = false,
+                Output::Event(Event::Snapshot {
+                    members,
+                    unreadable,
+                    ..
                 }) => {
                     self.lost = false;
-                    self.list.retain(|host, _| unread.contains(host));
+                    self.list.retain(|host, _| unreadable.contains(host));
                     self.apply_members(&members);
                 }
-                Output::Tell(Event::Change { members, .. }) => {
+                Output::Event(Event::Change { members, .. }) => {
                     self.lost = false;
                     self.apply_members(&members);
                 }
-                Output::Tell(other) => panic!("{other:?}"),
+                Output::Event(other) => panic!("{other:?}"),
             }
         }
     }
@@ -120,27 +126,27 @@
         self.now = end;
     }
 
-    fn handle(&mut self, call: CallId, heard: Heard) {
-        let out = self.follower.heard_of(self.now, call, heard);
+    fn handle(&mut self, call: CallId, heard: CallEvent) {
+        let out = self.follower.handle_call_event(self.now, call, heard);
         self.apply_outputs(out);
     }
 
     fn receive(&mut self, call: CallId, members: &Members) {
         let text = serde_json::to_vec(members).expect("members serialize");
-        self.handle(call, Heard::Line(text));
+        self.handle(call, CallEvent::Line(text));
     }
 
     fn receive_heartbeat(&mut self, call: CallId) {
-        self.handle(call, Heard::Line(Vec::new()));
+        self.handle(call, CallEvent::Line(Vec::new()));
     }
 
-    fn end(&mut self, call: CallId, end: End) {
+    fn end(&mut self, call: CallId, end: CallEnd) {
         self.open.retain(|open| open.0 != call);
-        self.handle(call, Heard::Ended(end));
+        self.handle(call, CallEvent::Ended(end));
     }
 
-    fn moved(&mut self, to: SocketAddr) {
-        let out = self.follower.moved(self.now, to);
+    fn move_to(&mut self, to: SocketAddr) {
+        let out = self.follower.move_to(self.now, to);
         self.apply_outputs(out);
     }
 
@@ -150,10 +156,10 @@
         self.open[0].0
     }
 
-    fn requests(&self) -> Vec<(u16, What)> {
+    fn requests(&self) -> Vec<(u16, RequestKind)> {
         self.open
             .iter()
-            .map(|(_, place, what)| (place.port(), *what))
+            .map(|(_, address, request)| (address.port(), *request))
             .collect()
     }
 
@@ -175,13 +181,13 @@
 /// agent knows of the drain, so its first call is not delayed.
 #[test]
 fn a_local_agent_is_called_at_once_in_a_fleet_of_any_size() {
-    for sharing in [1, 4, 100, 315, u32::MAX] {
-        let first_call_at = |own, seed| {
-            let known = Some(members(9, true, &[]));
+    for process_count in [1, 4, 100, 315, u32::MAX] {
+        let first_call_at = |is_local, seed| {
+            let initial_list = Some(members(9, true, &[]));
             let settings = Settings {
-                sharing,
+                process_count,
                 seed,
-                ..settings(own, known)
+                ..settings(is_local, initial_list)
             };
             Follower::new(settings, 0.0)
                 .next_due()
@@ -189,12 +195,16 @@
         };
         assert!(
             (0..50).all(|seed| first_call_at(true, seed) == 0.0),
-            "{sharing} processes"
+            "{process_count} processes"
         );
         let latest = (0..50)
             .map(|seed| first_call_at(false, seed))
             .fold(0.0, f64::max);
-        assert_eq!(latest > 1000.0, sharing >= 100, "{sharing} processes");
+        assert_eq!(
+            latest > 1000.0,
+            process_count >= 100,
+            "{process_count} processes"
+        );
     }
 }
 
@@ -202,13 +212,13 @@
 #[test]
 fn without_a_list_the_complete_one_is_requested_and_then_watched() {
     let mut harness = Harness::new(settings(true, None), 0.0);
-    assert_eq!(harness.requests(), [(1, What::Whole)]);
+    assert_eq!(harness.requests(), [(1, RequestKind::CompleteList)]);
     let call = harness.only_call();
     harness.receive(call, &members(4, true, &[node("a", Up, 0.0)]));
-    harness.end(call, End::Whole);
+    harness.end(call, CallEnd::Complete);
     assert_eq!(
         (harness.requests(), harness.states()),
-        (vec![(1, What::Watch(4))], vec![("a", Up)])
+        (vec![(1, RequestKind::Watch(4))], vec![("a", Up)])
     );
     assert!(!harness.lost, "the end of a complete list is no outage");
 }
@@ -219,13 +229,13 @@
 fn after_an_overload_changes_are_requested_and_not_the_complete_list() {
     let mut harness = watching();
     for (status, request) in [
-        (503, What::Watch(9)),
-        (503, What::Watch(9)),
-        (404, What::Whole),
-        (503, What::Whole),
+        (503, RequestKind::Watch(9)),
+        (503, RequestKind::Watch(9)),
+        (404, RequestKind::CompleteList),
+        (503, RequestKind::CompleteList),
     ] {
         let call = harness.only_call();
-        harness.end(call, End::Status(status));
+        harness.end(call, CallEnd::Status(status));
         assert!(harness.open.is_empty() && harness.lost);
         harness.advance(MIN_RETRY_DELAY);
         assert_eq!(harness.requests(), [(1, request)], "after {status}");
@@ -242,14 +252,14 @@
 fn a_malformed_line_is_reported_and_the_complete_list_requested() {
     let mut harness = watching();
     let call = harness.only_call();
-    harness.handle(call, Heard::Line(b"{\"seq\":10,".to_vec()));
+    harness.handle(call, CallEvent::Line(b"{\"seq\":10,".to_vec()));
     assert!(
         harness.reports[0].contains("unreadable line"),
         "{:?}",
         harness.reports
     );
     harness.advance(MIN_RETRY_DELAY);
-    assert_eq!(harness.requests(), [(1, What::Whole)]);
+    assert_eq!(harness.requests(), [(1, RequestKind::CompleteList)]);
     // It is equal to the applied one: nothing has changed.
     let call = harness.only_call();
     harness.receive(
@@ -265,18 +275,18 @@
     for second_is_first in [true, false] {
         let mut harness = watching();
         let first = harness.only_call();
-        harness.handle(first, Heard::Begun);
+        harness.handle(first, CallEvent::ResponseStarted);
         harness.receive_heartbeat(first);
         harness.advance(HEARTBEAT_TIMEOUT - 1.0);
         assert_eq!(harness.open.len(), 1, "not before a heartbeat is missed");
         harness.advance(1.0);
         assert_eq!(
             harness.requests(),
-            [(1, What::Watch(9)), (1, What::Watch(9))]
+            [(1, RequestKind::Watch(9)), (1, RequestKind::Watch(9))]
         );
         let second = harness.open[1].0;
         // The head of a response is not a line.
-        harness.handle(second, Heard::Begun);
+        harness.handle(second, CallEvent::ResponseStarted);
         assert_eq!(harness.open.len(), 2);
         let (active, silent) = if second_is_first {
             (second, first)
@@ -298,11 +308,11 @@
 fn a_restarted_agent_is_received_within_the_grace_period() {
     for grace in [100.0, 300.0, 500.0, 1000.0] {
         for downtime in [400.0, 2300.0, 2349.0, 5555.0, 6500.0, 8123.0, 31_000.0] {
-            let known = Some(members(9, true, &[node("a", Up, 0.0)]));
+            let initial_list = Some(members(9, true, &[node("a", Up, 0.0)]));
             let mut harness = Harness::new(
                 Settings {
-                    stop_within: grace,
-                    ..settings(true, known)
+                    drain_grace_period: grace,
+                    ..settings(true, initial_list)
                 },
                 1e6,
             );
@@ -346,10 +356,10 @@
 fn the_head_of_a_response_is_no_answer() {
     let mut harness = watching();
     let first = harness.only_call();
-    harness.handle(first, Heard::Begun);
+    harness.handle(first, CallEvent::ResponseStarted);
     harness.advance(250.0);
     let second = harness.open[1].0;
-    harness.handle(second, Heard::Begun);
+    harness.handle(second, CallEvent::ResponseStarted);
     harness.advance(250.0);
     assert!(
         harness.open.len() == 2 && harness.open[1].0 > second,
@@ -393,7 +403,7 @@
         for (call, _, _) in harness.open.clone() {
             if call != first {
                 calls += 1;
-                harness.end(call, End::Broken("refused".into()));
+                harness.end(call, CallEnd::ConnectionFailed("refused".into()));
                 assert!(
                     harness
                         .follower
@@ -427,28 +437,34 @@
 /// Guards the second address, which a process has that restarts after a move.
 #[test]
 fn an_address_that_is_silent_or_refuses_is_followed_by_the_next() {
-    let places = vec![place(1), place(2)];
+    let addresses = vec![address(1), address(2)];
     let mut harness = Harness::new(
         Settings {
-            places: places.clone(),
+            addresses: addresses.clone(),
             ..settings(true, None)
         },
         0.0,
     );
     let call = harness.only_call();
-    harness.end(call, End::Broken("refused".into()));
+    harness.end(call, CallEnd::ConnectionFailed("refused".into()));
     harness.advance(MIN_RETRY_DELAY);
-    assert_eq!(harness.requests(), [(2, What::Whole)]);
+    assert_eq!(harness.requests(), [(2, RequestKind::CompleteList)]);
     // A call to a silent address stays open, and the other address is called beside it.
     let mut harness = Harness::new(
         Settings {
-            places,
+            addresses,
             ..settings(true, None)
         },
         0.0,
     );
     harness.advance(250.0);
-    assert_eq!(harness.requests(), [(1, What::Whole), (2, What::Whole)]);
+    assert_eq!(
+        harness.requests(),
+        [
+            (1, RequestKind::CompleteList),
+            (2, RequestKind::CompleteList)
+        ]
+    );
 }
 
 // ---- Versions ---------------------------------------------------------------------------------------
@@ -457,8 +473,8 @@
 #[test]
 fn an_outdated_list_takes_no_stop_back_and_removes_nothing() {
     let mut harness = watching();
-    harness.moved(place(2));
-    assert_eq!(harness.requests(), [(2, What::Watch(9))]);
+    harness.move_to(address(2));
+    assert_eq!(harness.requests(), [(2, RequestKind::Watch(9))]);
     let call = harness.only_call();
     // It does not know `a` yet, and still has `c`, which was removed.
     harness.receive(
@@ -514,7 +530,7 @@
     assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
     assert_eq!(harness.requests(), []);
     harness.advance(MIN_RETRY_DELAY);
-    assert_eq!(harness.requests(), [(1, What::Whole)]);
+    assert_eq!(harness.requests(), [(1, RequestKind::CompleteList)]);
     let call = harness.only_call();
     harness.receive(
         call,
@@ -553,7 +569,7 @@
         for seq in [10, 11] {
             let hosts = json!([invalid("a", "draining"), invalid("b", "up"), valid]);
             let text = json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string();
-            harness.handle(call, Heard::Line(text.into_bytes()));
+            harness.handle(call, CallEvent::Line(text.into_bytes()));
             assert_eq!(
                 harness.states(),
                 [("a", Draining), ("b", Up), ("c", Up)],
@@ -563,7 +579,7 @@
         assert_eq!(harness.reports.len(), 2, "{:?}", harness.reports);
         harness.receive(call, &members(12, false, &[node("b", Draining, 0.0)]));
         let text = json!({"seq": 13, "whole": false, "hosts": [invalid("b", "up")]}).to_string();
-        harness.handle(call, Heard::Line(text.into_bytes()));
+        harness.handle(call, CallEvent::Line(text.into_bytes()));
         assert_eq!(
             (harness.states()[1], harness.reports.len()),
             (("b", Draining), 3),
@@ -576,7 +592,7 @@
     for (seq, health) in [(10, "up"), (11, "draining")] {
         let hosts = json!([{"host": "b", "health": health, "dial": 7}]);
         let text = json!({"seq": seq, "whole": true, "hosts": hosts}).to_string();
-        harness.handle(call, Heard::Line(text.into_bytes()));
+        harness.handle(call, CallEvent::Line(text.into_bytes()));
     }
     assert_eq!(harness.states(), [("b", Draining)]);
 }
@@ -587,16 +603,16 @@
     let mut harness = Harness::new(settings(true, None), 0.0);
     let call = harness.only_call();
     let name = |n: usize| node(&format!("n{n:06}"), Up, 0.0);
-    let nodes: Vec<Member> = (0..MOST_NODES + 5).map(name).collect();
+    let nodes: Vec<Member> = (0..MAX_NODES + 5).map(name).collect();
     harness.receive(call, &members(1, true, &nodes));
-    harness.end(call, End::Whole);
+    harness.end(call, CallEnd::Complete);
     // A stop by name alone is only applied to a node that was kept.
     let call = harness.only_call();
     let stop = |n: usize| json!({"host": format!("n{n:06}"), "health": "draining", "dial": 7});
-    let text = json!({"seq": 2, "whole": false, "hosts": [stop(MOST_NODES - 1), stop(MOST_NODES)]})
+    let text = json!({"seq": 2, "whole": false, "hosts": [stop(MAX_NODES - 1), stop(MAX_NODES)]})
         .to_string();
-    harness.handle(call, Heard::Line(text.into_bytes()));
-    let states: Vec<Health> = harness.states()[MOST_NODES - 1..=MOST_NODES]
+    harness.handle(call, CallEvent::Line(text.into_bytes()));
+    let states: Vec<Health> = harness.states()[MAX_NODES - 1..=MAX_NODES]
         .iter()
         .map(|state| state.1)
         .collect();
@@ -666,8 +682,8 @@
     harness.advance(1000.0);
     let between = harness.now - 500.0;
     harness.receive(call, &members(1, true, &[node("a", Draining, 0.0)]));
-    harness.moved(place(2));
-    assert_eq!(harness.requests(), [(2, What::Whole)]);
+    harness.move_to(address(2));
+    assert_eq!(harness.requests(), [(2, RequestKind::CompleteList)]);
     let call = harness.only_call();
     harness.receive(
         call,
@@ -695,7 +711,7 @@
         &members(1, true, &[node("a", Draining, 0.0), node("d", Up, born)]),
     );
     assert_eq!(harness.states(), [("a", Draining), ("d", Up)]);
-    harness.moved(place(2));
+    harness.move_to(address(2));
     let call = harness.only_call();
     harness.receive(
         call,
@@ -703,7 +719,7 @@
     );
     assert_eq!(harness.states(), [("a", Draining), ("d", Up)]);
     // A numbering that reaches the old one's versions step by step is not mistaken for it.
-    harness.moved(place(1));
+    harness.move_to(address(1));
     for seq in 2..12 {
         let call = harness.only_call();
         harness.receive(call, &members(seq, false, &[node("f", Up, seq as f64)]));
@@ -738,7 +754,7 @@
 /// Guards lines that arrive in pieces, and their bound.
 #[test]
 fn pieces_are_joined_and_split_into_lines() {
-    let mut lines = Lines::default();
+    let mut lines = LineSplitter::default();
     let mut received: Vec<Vec<u8>> = Vec::new();
     for piece in [&b"one\ntw"[..], b"", b"o\n\nthr", b"ee\n", b"rest"] {
         let take = |line: &[u8]| {
@@ -748,8 +764,8 @@
         lines.push(piece, take).expect("short lines");
     }
     assert_eq!(received, [&b"one"[..], b"two", b"", b"three"]);
-    assert_eq!(lines.rest(), b"rest");
-    let mut lines = Lines::default();
+    assert_eq!(lines.remainder(), b"rest");
+    let mut lines = LineSplitter::default();
     assert!(lines.push(&vec![b'x'; MAX_LINE_BYTES], |_| Ok(())).is_ok());
     assert!(lines
         .push(b"x", |_| Ok(()))
--- a/crates/discovery-agent/tests/parse.rs
+++ b/crates/discovery-agent/tests/parse.rs
@@ -1,6 +1,6 @@
 //! Parsing of lines: by examples and with random entries.
 
-use maplefall_discovery_agent::{line, Line, Word, MAX_NAME_BYTES};
+use maplefall_discovery_agent::{parse_line, Line, ListUpdate, MAX_NAME_BYTES};
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -11,15 +11,15 @@
            "share": 1.0, "born_ms": born_ms})
 }
 
-fn parse(hosts: &[Value]) -> Word {
+fn parse(hosts: &[Value]) -> ListUpdate {
     let text = json!({"seq": 9, "whole": true, "hosts": hosts}).to_string();
-    match line(text.as_bytes()) {
-        Ok(Line::Word(update)) => update,
+    match parse_line(text.as_bytes()) {
+        Ok(Line::Update(update)) => update,
         other => panic!("{other:?} from {text}"),
     }
 }
 
-fn states(update: &Word) -> Vec<(&str, Health)> {
+fn states(update: &ListUpdate) -> Vec<(&str, Health)> {
     update
         .members
         .hosts
@@ -29,9 +29,9 @@
 }
 
 /// What can be read of the rejected entries.
-fn partial_entries(update: &Word) -> Vec<(&str, Option<Health>)> {
+fn partial_entries(update: &ListUpdate) -> Vec<(&str, Option<Health>)> {
     let partial = update
-        .passed_over
+        .rejected
         .iter()
         .filter_map(|rejected| rejected.partial.as_ref());
     partial
@@ -71,7 +71,7 @@
             ]);
             assert_eq!(states(&update), [("a", Up), ("b", Draining)], "{invalid}");
             assert_eq!(partial_entries(&update), [("bad", stop)], "{invalid}");
-            assert!(!update.passed_over[0].reason.is_empty());
+            assert!(!update.rejected[0].reason.is_empty());
         }
     }
 }
@@ -89,7 +89,7 @@
         let update = parse(&[nameless.clone(), entry("a", "up", 0.0)]);
         assert_eq!(states(&update), [("a", Up)], "{nameless}");
         assert_eq!(
-            (update.passed_over.len(), partial_entries(&update).len()),
+            (update.rejected.len(), partial_entries(&update).len()),
             (1, 0),
             "{nameless}"
         );
@@ -127,7 +127,7 @@
 #[test]
 fn empty_lines_are_heartbeats_and_malformed_ones_errors() {
     for empty in ["", " ", "\r"] {
-        assert_eq!(line(empty.as_bytes()).unwrap(), Line::Heartbeat);
+        assert_eq!(parse_line(empty.as_bytes()).unwrap(), Line::Heartbeat);
     }
     let malformed = [
         "{",
@@ -141,7 +141,7 @@
     ];
     for text in malformed {
         assert!(
-            line(text.as_bytes())
+            parse_line(text.as_bytes())
                 .unwrap_err()
                 .to_string()
                 .starts_with("unreadable line: "),
@@ -189,7 +189,7 @@
         hosts.push(valid[1].clone());
         let update = parse(&hosts);
         prop_assert!(states(&update).contains(&("a", Up)) && states(&update).contains(&("b", Draining)));
-        prop_assert!(update.members.hosts.len() + update.passed_over.len() <= hosts.len());
+        prop_assert!(update.members.hosts.len() + update.rejected.len() <= hosts.len());
         for member in &update.members.hosts {
             prop_assert!(member.share >= 0.0 && member.born_ms >= 0.0 && !member.host.is_empty());
         }
@@ -198,6 +198,6 @@
     /// Guards against any bytes: they are a line or an error.
     #[test]
     fn any_bytes_are_parsed_or_rejected(text in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = line(&text);
+        let _ = parse_line(&text);
     }
 }
--- a/crates/discovery-agent/tests/schedules.rs
+++ b/crates/discovery-agent/tests/schedules.rs
@@ -29,7 +29,7 @@
     member: Member,
 }
 
-fn place(agent: usize) -> SocketAddr {
+fn address(agent: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 8500 + agent as u16))
 }
 
@@ -96,7 +96,7 @@
 struct OpenCall {
     call: CallId,
     agent: usize,
-    what: What,
+    request: RequestKind,
     /// How many changes were sent to it, once it was answered.
     sent: Option<usize>,
     last_line_at: Millis,
@@ -135,7 +135,7 @@
 }
 
 impl Simulation {
-    fn new(known: bool) -> Simulation {
+    fn new(has_initial_list: bool) -> Simulation {
         let now = 1_000_000.0;
         let up = |host: &str| Change {
             at: 0.0,
@@ -151,18 +151,18 @@
             is_silent: false,
         };
         let agents = [agent(0), agent(3)];
-        let known = known.then(|| agents[0].answer(&truth, None));
+        let initial_list = has_initial_list.then(|| agents[0].answer(&truth, None));
         let mut simulation = Simulation {
             now,
             follower: Follower::new(
                 Settings {
                     source: 0,
-                    own: true,
-                    stop_within: 500.0,
-                    sharing: 9,
+                    is_local: true,
+                    drain_grace_period: 500.0,
+                    process_count: 9,
                     seed: 7,
-                    places: vec![place(0)],
-                    known: known.clone(),
+                    addresses: vec![address(0)],
+                    initial_list: initial_list.clone(),
                 },
                 now,
             ),
@@ -175,9 +175,9 @@
             observed: BTreeMap::new(),
             reports: Vec::new(),
         };
-        if let Some(known) = known {
-            simulation.observe(&known, 0, 3, now);
-            simulation.roster = known
+        if let Some(list) = initial_list {
+            simulation.observe(&list, 0, 3, now);
+            simulation.roster = list
                 .hosts
                 .into_iter()
                 .map(|member| (member.host.clone(), member))
@@ -215,37 +215,39 @@
         self.outputs.extend(out);
         while let Some(output) = self.outputs.pop_front() {
             match output {
-                Output::Ask {
+                Output::OpenCall {
                     call,
-                    place: to,
-                    what,
+                    address: to,
+                    request,
                 } => {
-                    let agent = usize::from(to == place(1));
+                    let agent = usize::from(to == address(1));
                     if agent == self.current_agent {
                         self.open_calls.push(OpenCall {
                             call,
                             agent,
-                            what,
+                            request,
                             sent: None,
                             last_line_at: self.now,
                         });
                     } else {
-                        let refused = Heard::Ended(End::Broken("refused".into()));
-                        let more = self.follower.heard_of(self.now, call, refused);
+                        let refused = CallEvent::Ended(CallEnd::ConnectionFailed("refused".into()));
+                        let more = self.follower.handle_call_event(self.now, call, refused);
                         self.outputs.extend(more);
                     }
                 }
-                Output::HangUp(call) => self.open_calls.retain(|open| open.call != call),
+                Output::CloseCall(call) => self.open_calls.retain(|open| open.call != call),
                 Output::Report(report) => self.reports.push(report.to_string()),
-                Output::Tell(Event::Snapshot {
-                    members, unread, ..
+                Output::Event(Event::Snapshot {
+                    members,
+                    unreadable,
+                    ..
                 }) => {
-                    assert!(unread.is_empty());
+                    assert!(unreadable.is_empty());
                     self.roster.clear();
                     self.apply_members(members);
                 }
-                Output::Tell(Event::Change { members, .. }) => self.apply_members(members),
-                Output::Tell(_) => {}
+                Output::Event(Event::Change { members, .. }) => self.apply_members(members),
+                Output::Event(_) => {}
             }
         }
     }
@@ -260,8 +262,8 @@
         }
     }
 
-    fn handle(&mut self, call: CallId, heard: Heard) {
-        let out = self.follower.heard_of(self.now, call, heard);
+    fn handle(&mut self, call: CallId, heard: CallEvent) {
+        let out = self.follower.handle_call_event(self.now, call, heard);
         self.apply_outputs(out);
     }
 
@@ -282,7 +284,7 @@
             let OpenCall {
                 call,
                 agent,
-                what,
+                request,
                 sent,
                 last_line_at,
             } = self.open_calls[index];
@@ -301,10 +303,10 @@
             self.open_calls[index - 1].last_line_at = self.now;
             self.open_calls[index - 1].sent = Some(known);
             let mut text = Vec::new();
-            let from = match (sent, what) {
+            let from = match (sent, request) {
                 (Some(sent), _) => Some(base + sent as u64),
-                (None, What::Watch(from)) => Some(from),
-                (None, What::Whole) => None,
+                (None, RequestKind::Watch(from)) => Some(from),
+                (None, RequestKind::CompleteList) => None,
             };
             if has_update {
                 let members = self.agents[agent].answer(&self.truth, from);
@@ -326,10 +328,12 @@
             if sent.is_some() {
                 self.observe(&in_force, known, known, knows_until);
             }
-            self.handle(call, Heard::Line(text));
-            if what == What::Whole && self.open_calls.iter().any(|open| open.call == call) {
+            self.handle(call, CallEvent::Line(text));
+            if request == RequestKind::CompleteList
+                && self.open_calls.iter().any(|open| open.call == call)
+            {
                 self.open_calls.retain(|open| open.call != call);
-                self.handle(call, Heard::Ended(End::Whole));
+                self.handle(call, CallEvent::Ended(CallEnd::Complete));
             }
             // Calls may have come and gone.
             index = 0;
@@ -369,7 +373,7 @@
 }
 
 fn member(host: &str, health: Health, born_ms: f64) -> Member {
-    let dial = place(0);
+    let dial = address(0);
     Member {
         host: host.into(),
         dial,
@@ -443,12 +447,15 @@
             Action::Silent(agent, is_silent) => self.agents[agent].is_silent = is_silent,
             Action::Switch => {
                 self.current_agent = 1 - self.current_agent;
-                let out = self.follower.moved(self.now, place(self.current_agent));
+                let out = self.follower.move_to(self.now, address(self.current_agent));
                 self.apply_outputs(out);
             }
             Action::ResetCalls => {
                 for OpenCall { call, .. } in std::mem::take(&mut self.open_calls) {
-                    self.handle(call, Heard::Ended(End::Broken("reset".into())));
+                    self.handle(
+                        call,
+                        CallEvent::Ended(CallEnd::ConnectionFailed("reset".into())),
+                    );
                 }
             }
             Action::RestartNumbering => {
@@ -479,9 +486,9 @@
 
     #[test]
     fn no_drain_is_taken_back_by_an_older_update_and_no_list_is_frozen(
-        known in any::<bool>(), actions in proptest::collection::vec(action(), 0..60),
+        has_initial_list in any::<bool>(), actions in proptest::collection::vec(action(), 0..60),
     ) {
-        let mut simulation = Simulation::new(known);
+        let mut simulation = Simulation::new(has_initial_list);
         for action in &actions {
             simulation.perform(action)?;
         }
--- a/crates/etcd/examples/cost.rs
+++ b/crates/etcd/examples/cost.rs
@@ -3,7 +3,7 @@
 
 use maplefall_etcd::{Command, Follower, Input, Output, Settings};
 use maplefall_etcd_wire::{Event, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
-use maplefall_membership::{Roster, SourceSettings};
+use maplefall_membership::{EndpointList, SourceSettings};
 use prost::Message;
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
@@ -33,7 +33,7 @@
 /// Hands in an input and all that comes of it; tells how many changes came out for the decision module.
 fn hand(
     follower: &mut Follower,
-    roster: &mut Roster,
+    roster: &mut EndpointList,
     input: Option<Input>,
     commands: &mut Vec<Command>,
 ) -> usize {
@@ -44,7 +44,7 @@
     while let Some(output) = follower.output() {
         match output {
             Output::Command(command) => commands.push(command),
-            Output::Tell(told) => changes += roster.take(0.0, told.event).changes.len(),
+            Output::Tell(told) => changes += roster.apply_event(0.0, told.event).changes.len(),
             Output::Report(_) => {}
         }
     }
@@ -71,7 +71,7 @@
         page: nodes,
         ..Settings::usual(0, 1, "/p")
     });
-    let mut roster = Roster::new(vec![SourceSettings::trusted("etcd")]);
+    let mut roster = EndpointList::new(vec![SourceSettings::trusted("etcd")]);
     let mut commands = Vec::new();
 
     let page = RangeResponse {
--- a/crates/etcd/src/follower.rs
+++ b/crates/etcd/src/follower.rs
@@ -19,7 +19,7 @@
     prefix_end, Event as Change, KeyValue, RangeRequest, RangeResponse, ResponseHeader,
     WatchCreateRequest, WatchResponse,
 };
-use maplefall_membership::{Event, MOST_NODES};
+use maplefall_membership::{Event, MAX_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
 use rand_core::{RngCore, SeedableRng};
@@ -409,7 +409,7 @@
                     is: header.cluster_id,
                 });
                 self.tell(
-                    Event::Reborn {
+                    Event::Replaced {
                         source: self.settings.source,
                     },
                     0,
@@ -484,14 +484,14 @@
         }
         for kv in &page.kvs {
             match self.entry(kv) {
-                Ok((member, _)) if reading.members.len() <= MOST_NODES => {
+                Ok((member, _)) if reading.members.len() <= MAX_NODES => {
                     if kv.lease != 0 {
                         reading.leases.insert(member.host.clone(), kv.lease);
                     }
                     reading.members.push(member);
                 }
                 Ok(_) => {}
-                Err(Some(host)) if reading.unread.len() <= MOST_NODES => reading.unread.push(host),
+                Err(Some(host)) if reading.unread.len() <= MAX_NODES => reading.unread.push(host),
                 Err(_) => {}
             }
         }
@@ -516,7 +516,7 @@
         let event = Event::Snapshot {
             source: self.settings.source,
             members,
-            unread: reading.unread,
+            unreadable: reading.unread,
         };
         self.tell(event, header.revision - revision, None);
         self.subscribe(now, revision + 1);
@@ -643,7 +643,7 @@
             } else if let Ok((member, when)) = self.entry(&kv) {
                 if kv.lease == 0 {
                     self.leases.remove(&member.host);
-                } else if self.leases.len() < MOST_NODES || self.leases.contains_key(&member.host) {
+                } else if self.leases.len() < MAX_NODES || self.leases.contains_key(&member.host) {
                     self.leases.insert(member.host.clone(), kv.lease);
                 }
                 written = match (written, when) {
--- a/crates/etcd/tests/histories.rs
+++ b/crates/etcd/tests/histories.rs
@@ -14,7 +14,7 @@
     error, request_op, DeleteRangeRequest, Event as Change, PutRequest, RangeRequest, RequestOp,
     TxnRequest, WatchResponse,
 };
-use maplefall_membership::{Event, Roster, SourceSettings};
+use maplefall_membership::{EndpointList, Event, SourceSettings};
 use maplefall_protocol::{Health, Member};
 use maplefall_test_servers::etcd::store::Store;
 use rand_core::{RngCore, SeedableRng};
@@ -78,7 +78,7 @@
     broken: Option<Broken>,
     newest: Connection,
     follower: Follower,
-    roster: Roster,
+    roster: EndpointList,
     /// Whether the roster has been told last that the source is there.
     heard: bool,
     /// The last version told since the cluster was last another, and the cluster's log that it is of.
@@ -111,8 +111,8 @@
             ..Settings::usual(0, ENDPOINTS, "/p")
         };
         let source = SourceSettings {
-            believed_part: 0.5,
-            doubt: 150.0,
+            max_missing_fraction: 0.5,
+            suspicion_timeout: 150.0,
             ..SourceSettings::trusted("etcd")
         };
         World {
@@ -134,7 +134,7 @@
             broken,
             newest: 0,
             follower: Follower::new(settings),
-            roster: Roster::new(vec![source]),
+            roster: EndpointList::new(vec![source]),
             heard: false,
             told: None,
             counts: Counts::default(),
@@ -524,7 +524,7 @@
                     {
                         self.check(&told)?;
                     }
-                    self.roster.take(self.now, told.event);
+                    self.roster.apply_event(self.now, told.event);
                 }
                 Output::Report(_) => {}
             }
@@ -573,16 +573,18 @@
     fn check(&mut self, told: &Told) -> Result<(), String> {
         self.heard = match told.event {
             Event::Lost { .. } => false,
-            Event::Reborn { .. } => self.heard,
+            Event::Replaced { .. } => self.heard,
             Event::Snapshot { .. } | Event::Change { .. } | Event::Resumed { .. } => true,
         };
         if told.behind < 0 {
             return Err(format!("a change from the future: {told:?}"));
         }
         match &told.event {
-            Event::Reborn { .. } => self.told = None,
+            Event::Replaced { .. } => self.told = None,
             Event::Snapshot {
-                members, unread, ..
+                members,
+                unreadable: unread,
+                ..
             } => {
                 let seq = members.seq as i64;
                 self.counts.readings += 1;
--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -4,7 +4,7 @@
 use maplefall_etcd::client::{follow, Place, Straight};
 use maplefall_etcd::{Output, Report, Settings};
 use maplefall_etcd_wire::{DeleteRangeRequest, PutRequest};
-use maplefall_membership::{Roster, SourceSettings};
+use maplefall_membership::{EndpointList, SourceSettings};
 use maplefall_protocol::Health;
 use maplefall_test_servers::etcd::store::Store;
 use maplefall_test_servers::etcd::{Cut, Etcd, Member};
@@ -26,7 +26,7 @@
 }
 
 struct Seen {
-    roster: Roster,
+    roster: EndpointList,
     reports: Vec<Report>,
     snapshots: usize,
     changes: usize,
@@ -105,12 +105,12 @@
         });
         // What vanishes is doubted only if nothing is left.
         let source = SourceSettings {
-            believed_part: 0.9,
-            doubt: 300.0,
+            max_missing_fraction: 0.9,
+            suspicion_timeout: 300.0,
             ..SourceSettings::trusted("etcd")
         };
         let seen = Rc::new(RefCell::new(Seen {
-            roster: Roster::new(vec![source]),
+            roster: EndpointList::new(vec![source]),
             reports: Vec::new(),
             snapshots: 0,
             changes: 0,
@@ -126,7 +126,7 @@
                         maplefall_membership::Event::Change { .. } => seen.changes += 1,
                         _ => {}
                     }
-                    seen.roster.take(clock(), told.event);
+                    seen.roster.apply_event(clock(), told.event);
                 }
                 Output::Report(report) => seen.reports.push(report),
                 Output::Command(_) => {}
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -3,10 +3,10 @@
 //! the driver and the decision module or the sockets: the module itself is played unchanged.
 
 use hyper::Uri;
-use maplefall_discovery_agent::{line, Heard, Line, Output, Word};
+use maplefall_discovery_agent::{parse_line, CallEvent, Line, ListUpdate, Output};
 use maplefall_etcd::client::Seam;
 use maplefall_etcd::{Command, Input};
-use maplefall_membership::{Event, Roster, Update};
+use maplefall_membership::{EndpointList, Event, Update};
 use maplefall_policy::{Action, BackendEntry, Idempotency, Millis, RejectReason, Settings};
 use maplefall_protocol::{Health, Member, Order};
 use std::rc::Rc;
@@ -214,7 +214,7 @@
 }
 
 /// What the door is handed past the roster.
-pub fn past_the_roster(event: &Event, roster: &Roster) -> Option<Update> {
+pub fn past_the_roster(event: &Event, roster: &EndpointList) -> Option<Update> {
     let changes = match event {
         Event::Snapshot { members, .. } | Event::Change { members, .. }
             if is(Breakage::LastWordHolds) =>
@@ -237,10 +237,10 @@
 }
 
 /// What an agent said as its follower hears it.
-pub fn as_heard(heard: Heard) -> Heard {
+pub fn as_heard(heard: CallEvent) -> CallEvent {
     match &heard {
-        Heard::Line(text) if is(Breakage::SpoiltLine) => match line(text) {
-            Ok(Line::Word(word)) if !word.passed_over.is_empty() => Heard::Line(Vec::new()),
+        CallEvent::Line(text) if is(Breakage::SpoiltLine) => match parse_line(text) {
+            Ok(Line::Update(word)) if !word.rejected.is_empty() => CallEvent::Line(Vec::new()),
             _ => heard,
         },
         _ => heard,
@@ -248,13 +248,13 @@
 }
 
 /// What comes of it: in place of what the follower makes of a word, the word as it came.
-pub fn as_told(heard: &Heard, out: Vec<Output>) -> Vec<Output> {
+pub fn as_told(heard: &CallEvent, out: Vec<Output>) -> Vec<Output> {
     static WORDS: AtomicU64 = AtomicU64::new(1);
     let word = match heard {
-        Heard::Line(text) if is(Breakage::OlderListHolds) => line(text).ok(),
+        CallEvent::Line(text) if is(Breakage::OlderListHolds) => parse_line(text).ok(),
         _ => None,
     };
-    let Some(Line::Word(Word { mut members, .. })) = word else {
+    let Some(Line::Update(ListUpdate { mut members, .. })) = word else {
         return out;
     };
     // Versions of events for the roster count up, whatever the agent's do.
@@ -264,14 +264,14 @@
         true => Event::Snapshot {
             source: 0,
             members,
-            unread,
+            unreadable: unread,
         },
         false => Event::Change { source: 0, members },
     };
     let calls = out
         .into_iter()
-        .filter(|output| !matches!(output, Output::Tell(_)));
-    calls.chain([Output::Tell(event)]).collect()
+        .filter(|output| !matches!(output, Output::Event(_)));
+    calls.chain([Output::Event(event)]).collect()
 }
 
 /// Between etcd's follower and its sockets.
--- a/crates/maplefall/src/net/discovery.rs
+++ b/crates/maplefall/src/net/discovery.rs
@@ -10,7 +10,9 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use maplefall_discovery_agent::{CallId, End, Follower, Heard, Lines, Output, What};
+use maplefall_discovery_agent::{
+    CallEnd, CallEvent, CallId, Follower, LineSplitter, Output, RequestKind,
+};
 use maplefall_upstream::Clock;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,7 +25,7 @@
 const CALL_CHANNEL_CAPACITY: usize = 1;
 
 /// Something that a call has received.
-type CallUpdate = (CallId, Heard);
+type CallUpdate = (CallId, CallEvent);
 
 /// Follows the agent for as long as the process runs, and delivers the follower's outputs other than calls. When `moved` gives
 /// an address, the old watch is closed at once and opened there.
@@ -49,37 +51,41 @@
             // What has been received goes before deadlines: a watch that has just received something has not timed out.
             biased;
             Some((call, event)) = received.recv() => {
-                if let Heard::Ended(_) = event {
+                if let CallEvent::Ended(_) = event {
                     calls.remove(&call);
                 }
                 #[cfg(feature = "breakages")]
                 let event = breakages::as_heard(event);
                 #[cfg(feature = "breakages")]
                 let original = event.clone();
-                let outputs = follower.heard_of(clock.now(), call, event);
+                let outputs = follower.handle_call_event(clock.now(), call, event);
                 #[cfg(feature = "breakages")]
                 let outputs = breakages::as_told(&original, outputs);
                 outputs
             }
             Ok(()) = moved.changed() => {
                 let address = *moved.borrow_and_update();
-                follower.moved(clock.now(), address)
+                follower.move_to(clock.now(), address)
             }
             () = deadline => follower.tick(clock.now()),
         };
         while tasks.try_join_next().is_some() {}
         for output in outputs {
             match output {
-                Output::Ask { call, place, what } => {
+                Output::OpenCall {
+                    call,
+                    address,
+                    request,
+                } => {
                     let updates = updates.clone();
                     let task = tasks.spawn_local(async move {
-                        let end = run_call(call, place, what, &updates).await;
+                        let end = run_call(call, address, request, &updates).await;
                         // Nobody receives it when the process ends.
-                        let _ = updates.send((call, Heard::Ended(end))).await;
+                        let _ = updates.send((call, CallEvent::Ended(end))).await;
                     });
                     calls.insert(call, task);
                 }
-                Output::HangUp(call) => {
+                Output::CloseCall(call) => {
                     if let Some(task) = calls.remove(&call) {
                         task.abort();
                     }
@@ -94,24 +100,24 @@
 async fn run_call(
     call: CallId,
     address: SocketAddr,
-    kind: What,
+    kind: RequestKind,
     updates: &mpsc::Sender<CallUpdate>,
-) -> End {
+) -> CallEnd {
     read_response(call, address, kind, updates)
         .await
         .unwrap_or_else(|end| end)
 }
 
-fn broken_connection(error: impl std::fmt::Display) -> End {
-    End::Broken(error.to_string())
+fn broken_connection(error: impl std::fmt::Display) -> CallEnd {
+    CallEnd::ConnectionFailed(error.to_string())
 }
 
 async fn read_response(
     call: CallId,
     address: SocketAddr,
-    kind: What,
+    kind: RequestKind,
     updates: &mpsc::Sender<CallUpdate>,
-) -> Result<End, End> {
+) -> Result<CallEnd, CallEnd> {
     let stream = TcpStream::connect(address)
         .await
         .map_err(broken_connection)?;
@@ -129,12 +135,12 @@
         .await
         .map_err(broken_connection)?;
     if response.status() != StatusCode::OK {
-        return Err(End::Status(response.status().as_u16()));
+        return Err(CallEnd::Status(response.status().as_u16()));
     }
     let send = |event| async { updates.send((call, event)).await.map_err(broken_connection) };
-    send(Heard::Begun).await?;
+    send(CallEvent::ResponseStarted).await?;
     let mut body = response.into_body();
-    let mut lines = Lines::default();
+    let mut lines = LineSplitter::default();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(broken_connection)?.into_data() else {
             continue;
@@ -145,13 +151,13 @@
             Ok(())
         });
         for line in complete {
-            send(Heard::Line(line)).await?;
+            send(CallEvent::Line(line)).await?;
         }
-        pushed.map_err(|error| End::Unreadable(error.to_string()))?;
+        pushed.map_err(|error| CallEnd::MalformedLine(error.to_string()))?;
     }
-    let rest = lines.rest();
+    let rest = lines.remainder();
     if !rest.is_empty() {
-        send(Heard::Line(rest)).await?;
+        send(CallEvent::Line(rest)).await?;
     }
-    Ok(End::Whole)
+    Ok(CallEnd::Complete)
 }
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -10,7 +10,7 @@
 use super::sources::{Kind, Source, Sources};
 use maplefall_etcd::client::{self, Place};
 use maplefall_etcd::{one_line, value, Output, Report, Told};
-use maplefall_membership::{Event, Roster, SourceSettings, Update, MOST_NODES};
+use maplefall_membership::{EndpointList, Event, SourceSettings, Update, MAX_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
 use std::cell::{Cell, RefCell};
@@ -38,7 +38,7 @@
 /// The sources of the endpoint list and the list itself.
 pub struct Membership {
     driver: Rc<Driver>,
-    endpoints: RefCell<Roster>,
+    endpoints: RefCell<EndpointList>,
     /// The sources as they were read at the start, in order of precedence.
     sources: Vec<Source>,
     /// Where the list of each source is persisted for a restart.
@@ -76,7 +76,7 @@
             .collect();
         Rc::new(Membership {
             driver,
-            endpoints: RefCell::new(Roster::new(settings)),
+            endpoints: RefCell::new(EndpointList::new(settings)),
             agent_index: sources.iter().position(|source| source.kind == Kind::Agent),
             etcd_places: sources.iter().enumerate().filter_map(etcd_place).collect(),
             sources,
@@ -95,7 +95,7 @@
         let update =
             self.endpoints
                 .borrow_mut()
-                .recall(self.driver.clock.now(), source_index, known);
+                .restore(self.driver.clock.now(), source_index, known);
         self.publish(update);
     }
 
@@ -120,7 +120,7 @@
                 let update =
                     self.endpoints
                         .borrow_mut()
-                        .recall(self.driver.clock.now(), at, members);
+                        .restore(self.driver.clock.now(), at, members);
                 self.publish(update);
             }
         }
@@ -134,7 +134,7 @@
             let memberships: BTreeMap<String, Members> = {
                 let endpoints = self.endpoints.borrow();
                 endpoints
-                    .words()
+                    .source_entries()
                     .map(|(settings, members)| (settings.name.clone(), members))
                     .collect()
             };
@@ -241,7 +241,7 @@
     /// Applies an output of the agent's follower.
     pub fn apply_agent_output(&self, output: maplefall_discovery_agent::Output) {
         match output {
-            maplefall_discovery_agent::Output::Tell(event) => self.take(event),
+            maplefall_discovery_agent::Output::Event(event) => self.take(event),
             maplefall_discovery_agent::Output::Report(report) => {
                 self.log(&format_args!(
                     "discovery: {}",
@@ -249,8 +249,8 @@
                 ));
             }
             // Calls are made by `discovery`.
-            maplefall_discovery_agent::Output::Ask { .. }
-            | maplefall_discovery_agent::Output::HangUp(_) => {}
+            maplefall_discovery_agent::Output::OpenCall { .. }
+            | maplefall_discovery_agent::Output::CloseCall(_) => {}
         }
     }
 
@@ -304,7 +304,7 @@
                 self.take(Event::Snapshot {
                     source,
                     members,
-                    unread,
+                    unreadable: unread,
                 });
             }
             Err(error) => {
@@ -357,7 +357,7 @@
         let update = self
             .endpoints
             .borrow_mut()
-            .take(self.driver.clock.now(), event);
+            .apply_event(self.driver.clock.now(), event);
         self.publish(update);
         if changed {
             self.state_changed.notify_one();
@@ -440,8 +440,8 @@
     let text = read_bounded(path)?.ok_or("there is no such file")?;
     let documents: BTreeMap<String, serde_json::Value> =
         serde_json::from_slice(&text).map_err(|error| error.to_string())?;
-    if documents.len() > MOST_NODES {
-        return Err(format!("{MOST_NODES} nodes at most were expected"));
+    if documents.len() > MAX_NODES {
+        return Err(format!("{MAX_NODES} nodes at most were expected"));
     }
     let (mut nodes, mut unread) = (Vec::new(), Vec::new());
     for (id, document) in documents {
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -158,12 +158,12 @@
         source,
         // Where discovery pushes, it is an agent on this machine, which answers at once and at no cost, and what it has sent
         // counts as acknowledged. Where it is polled, it is one service for all proxies.
-        own: settings.discovery == Discovery::Pushed,
-        sharing: settings.gateways,
-        stop_within: settings.drain_grace,
+        is_local: settings.discovery == Discovery::Pushed,
+        process_count: settings.gateways,
+        drain_grace_period: settings.drain_grace,
         seed: config.seed,
-        places: config.discovery.clone(),
-        known: config.known.clone(),
+        addresses: config.discovery.clone(),
+        initial_list: config.known.clone(),
     }
 }
 
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -144,9 +144,9 @@
             SourceKindName::Agent => SourceSettings::trusted("agent"),
             // Half of the list gone in one reading is rather a mistake than a wish.
             SourceKindName::Etcd => SourceSettings {
-                believed_part: 0.5,
-                doubt: 10_000.0,
-                keep: 300_000.0,
+                max_missing_fraction: 0.5,
+                suspicion_timeout: 10_000.0,
+                expiry_timeout: 300_000.0,
                 ..SourceSettings::trusted("etcd")
             },
             SourceKindName::File => SourceSettings {
@@ -157,9 +157,9 @@
         let settings = SourceSettings {
             name: entry.name.clone().unwrap_or(defaults.name),
             authoritative: entry.authoritative && entry.kind != SourceKindName::File,
-            believed_part: entry.believed_part.unwrap_or(defaults.believed_part),
-            doubt: entry.doubt_ms.unwrap_or(defaults.doubt),
-            keep: entry.keep_ms.unwrap_or(defaults.keep),
+            max_missing_fraction: entry.believed_part.unwrap_or(defaults.max_missing_fraction),
+            suspicion_timeout: entry.doubt_ms.unwrap_or(defaults.suspicion_timeout),
+            expiry_timeout: entry.keep_ms.unwrap_or(defaults.expiry_timeout),
         };
         if settings.name.is_empty()
             || list
@@ -168,10 +168,13 @@
         {
             report("name", "a name that no other source has was expected");
         }
-        if !(0.0..=1.0).contains(&settings.believed_part) {
+        if !(0.0..=1.0).contains(&settings.max_missing_fraction) {
             report("believed_part", "a number from 0 to 1 was expected");
         }
-        for (field, value) in [("doubt_ms", settings.doubt), ("keep_ms", settings.keep)] {
+        for (field, value) in [
+            ("doubt_ms", settings.suspicion_timeout),
+            ("keep_ms", settings.expiry_timeout),
+        ] {
             if value.is_nan() || value < 0.0 {
                 report(field, "a number of 0 or more was expected");
             }
--- a/crates/membership/examples/churn.rs
+++ b/crates/membership/examples/churn.rs
@@ -1,7 +1,7 @@
 //! The cost of a change: `cargo run --release -p maplefall-membership --example churn`. Two sources with the same nodes, then changes of
 //! one node after the other; prints the time per change by the number of nodes, which must hardly grow.
 
-use maplefall_membership::{Event, Roster, SourceSettings};
+use maplefall_membership::{EndpointList, Event, SourceSettings};
 use maplefall_protocol::{Health, Member, Members};
 use std::time::Instant;
 
@@ -24,7 +24,7 @@
             share: 1.0,
             born_ms: 1.0,
         };
-        let mut roster = Roster::new(vec![
+        let mut endpoints = EndpointList::new(vec![
             SourceSettings::trusted("agent"),
             SourceSettings::trusted("etcd"),
         ]);
@@ -36,12 +36,12 @@
                 whole: true,
                 hosts: hosts.clone(),
             };
-            roster.take(
+            endpoints.apply_event(
                 0.0,
                 Event::Snapshot {
                     source,
                     members,
-                    unread: Vec::new(),
+                    unreadable: Vec::new(),
                 },
             );
         }
@@ -59,8 +59,8 @@
                 whole: false,
                 hosts: vec![node(i % nodes, health)],
             };
-            changes += roster
-                .take(0.0, Event::Change { source: 1, members })
+            changes += endpoints
+                .apply_event(0.0, Event::Change { source: 1, members })
                 .changes
                 .len();
         }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/endpoint_list.rs
@@ -13,7 +13,7 @@
 
 /// The list of backends, merged from several sources.
 #[derive(Debug)]
-pub struct Roster {
+pub struct EndpointList {
     sources: Vec<Source>,
     /// The merged entries of nodes that are not removed, before addresses are considered.
     merged: BTreeMap<String, Member>,
@@ -23,10 +23,10 @@
     returned: BTreeMap<String, Member>,
 }
 
-impl Roster {
+impl EndpointList {
     /// An empty roster with these sources, the one with precedence first.
-    pub fn new(sources: Vec<SourceSettings>) -> Roster {
-        Roster {
+    pub fn new(sources: Vec<SourceSettings>) -> EndpointList {
+        EndpointList {
             sources: sources.into_iter().map(Source::new).collect(),
             merged: BTreeMap::new(),
             addresses: Addresses::default(),
@@ -36,16 +36,16 @@
 
     /// Starts with a list that an earlier incarnation of this process had, as if the source had sent it without a version: any event
     /// of the source supersedes it.
-    pub fn recall(&mut self, now: Millis, source: usize, members: &Members) -> Update {
+    pub fn restore(&mut self, now: Millis, source: usize, members: &Members) -> Update {
         let Some(source) = self.sources.get_mut(source) else {
             return Update::default();
         };
-        let changed = source.recall(&members.hosts);
+        let changed = source.restore(&members.hosts);
         self.update(now, changed)
     }
 
-    /// All entries of each source, stops included: what a later incarnation may [`Roster::recall`], source by source.
-    pub fn words(&self) -> impl Iterator<Item = (&SourceSettings, Members)> {
+    /// All entries of each source, stops included: what a later incarnation may [`EndpointList::restore`], source by source.
+    pub fn source_entries(&self) -> impl Iterator<Item = (&SourceSettings, Members)> {
         self.sources.iter().map(|source| {
             let members = Members {
                 seq: 0,
@@ -58,25 +58,27 @@
 
     /// Applies an event of a source. The cost is that of the nodes in the event and of those that share their addresses; only a snapshot,
     /// and a source that expires or comes back, touch all nodes of a source.
-    pub fn take(&mut self, now: Millis, event: Event) -> Update {
+    pub fn apply_event(&mut self, now: Millis, event: Event) -> Update {
         let latest_starts = self.latest_starts_for(&event);
         let (Event::Snapshot { source, .. }
         | Event::Change { source, .. }
         | Event::Lost { source }
         | Event::Resumed { source }
-        | Event::Reborn { source }) = event;
+        | Event::Replaced { source }) = event;
         let Some(source) = self.sources.get_mut(source) else {
             return Update::default();
         };
         let mut changed = Changed::default();
         match event {
             Event::Snapshot {
-                members, unread, ..
-            } => changed = source.apply_snapshot(now, members, &unread, &latest_starts),
+                members,
+                unreadable,
+                ..
+            } => changed = source.apply_snapshot(now, members, &unreadable, &latest_starts),
             Event::Change { members, .. } => changed = source.apply_change(members, &latest_starts),
             Event::Lost { .. } => source.lose(now),
             Event::Resumed { .. } => source.resume(),
-            Event::Reborn { .. } => source.restart_versions(),
+            Event::Replaced { .. } => source.restart_versions(),
         }
         self.update(now, changed)
     }
@@ -86,7 +88,7 @@
         self.update(now, Changed::default())
     }
 
-    /// When [`Roster::tick`] is due; `None` if nothing is.
+    /// When [`EndpointList::tick`] is due; `None` if nothing is.
     pub fn next_due(&self) -> Option<Millis> {
         let due = self.sources.iter().filter_map(Source::next_due);
         due.min_by(f64::total_cmp)
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -4,7 +4,7 @@
 use maplefall_protocol::{Member, Members};
 
 /// The most nodes of one source; further ones are reported and left out.
-pub const MOST_NODES: usize = 20_000;
+pub const MAX_NODES: usize = 20_000;
 
 /// Settings of a source.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,11 +14,11 @@
     /// Whether its drains and removals win over other sources. A source without authority may only add nodes.
     pub authoritative: bool,
     /// The part of its nodes that a snapshot may lack and be believed at once; 1 believes all.
-    pub believed_part: f64,
+    pub max_missing_fraction: f64,
     /// The suspicion timeout: how long missing nodes stay beyond that, in milliseconds.
-    pub doubt: Millis,
+    pub suspicion_timeout: Millis,
     /// The timeout after which nodes that only lost sources know expire while another source is connected, in milliseconds.
-    pub keep: Millis,
+    pub expiry_timeout: Millis,
 }
 
 impl SourceSettings {
@@ -27,9 +27,9 @@
         SourceSettings {
             name: name.to_owned(),
             authoritative: true,
-            believed_part: 1.0,
-            doubt: 0.0,
-            keep: f64::INFINITY,
+            max_missing_fraction: 1.0,
+            suspicion_timeout: 0.0,
+            expiry_timeout: f64::INFINITY,
         }
     }
 }
@@ -44,7 +44,7 @@
         /// The list; its `whole` is ignored.
         members: Members,
         /// Nodes in the list whose entries could not be read; their previous entries stay.
-        unread: Vec<String>,
+        unreadable: Vec<String>,
     },
     /// What changed up to a version, applied as one: a drain and the start of a replacement are seen together.
     Change {
@@ -65,7 +65,7 @@
     },
     /// Another service answers under its name: its versions restart, and its entries stay until its next snapshot, which is subject to
     /// suspicion like any other.
-    Reborn {
+    Replaced {
         /// The source.
         source: usize,
     },
@@ -81,7 +81,7 @@
         /// How many nodes are missing.
         missing: usize,
         /// How many nodes it had.
-        of: usize,
+        total: usize,
     },
     /// Many nodes were removed at once.
     MassRemoval {
@@ -90,7 +90,7 @@
         /// How many nodes were removed.
         removed: usize,
         /// How many nodes it had.
-        of: usize,
+        total: usize,
     },
     /// Two nodes have the same address.
     SharedAddress {
@@ -104,7 +104,7 @@
         /// The node.
         host: String,
     },
-    /// The source has more than [`MOST_NODES`] nodes.
+    /// The source has more than [`MAX_NODES`] nodes.
     CapacityReached {
         /// The source.
         source: String,
@@ -119,16 +119,19 @@
             Report::NodesSuspected {
                 source,
                 missing,
-                of,
+                total,
             } => {
-                write!(f, "{source}: {missing} of {of} nodes are missing; they stay until the time of doubt is over")
+                write!(f, "{source}: {missing} of {total} nodes are missing; they stay until the time of doubt is over")
             }
             Report::MassRemoval {
                 source,
                 removed,
-                of,
+                total,
             } => {
-                write!(f, "{source}: {removed} of {of} nodes were removed at once")
+                write!(
+                    f,
+                    "{source}: {removed} of {total} nodes were removed at once"
+                )
             }
             Report::SharedAddress { owner, displaced } => {
                 write!(f, "{displaced} has the address of {owner}, which started later or comes first by name: not used")
@@ -139,7 +142,7 @@
             Report::CapacityReached { source, left_out } => {
                 write!(
                     f,
-                    "{source}: {left_out} nodes left out; {MOST_NODES} are held at most"
+                    "{source}: {left_out} nodes left out; {MAX_NODES} are held at most"
                 )
             }
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,12 @@
 //! Membership: the list of backends, merged from several discovery sources.
 //!
-//! Sources (the platform's agent, etcd, a file) pass what they learn as [`Event`]s with the time to a [`Roster`], which returns one
+//! Sources (the platform's agent, etcd, a file) pass what they learn as [`Event`]s with the time to a [`EndpointList`], which returns one
 //! ordered list of changes for the policy, and [`Report`]s for the log. Nothing here does I/O or reads a clock.
 //!
 //! The rules, which the modules refer to by number:
 //!
 //! 1. **Versions.** An event is applied only if its version is above the last one of its source. What is late, on a second stream or from
-//!    a replica that lags, changes nothing. [`Event::Reborn`] restarts the versions.
+//!    a replica that lags, changes nothing. [`Event::Replaced`] restarts the versions.
 //! 2. **Stops win.** A drain or removal by an authoritative source is in force, whoever else says *up*, until that source takes it back
 //!    or any source has a newer instance of the node (a later start). A stop is for the instances known when it came, and for no later
 //!    one.
@@ -21,10 +21,10 @@
 //! 6. **Details** (address, zone, size) come from the newest instance, then from the first source in the settings.
 
 mod addresses;
+mod endpoint_list;
 mod interface;
 mod merge;
-mod roster;
 mod source;
 
-pub use interface::{Event, Report, SourceSettings, Update, MOST_NODES};
-pub use roster::Roster;
+pub use endpoint_list::EndpointList;
+pub use interface::{Event, Report, SourceSettings, Update, MAX_NODES};
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,6 +1,6 @@
 //! The entries of one source, its versions, and how far it is believed (rules 1, 3 and 4).
 
-use crate::interface::{Report, SourceSettings, MOST_NODES};
+use crate::interface::{Report, SourceSettings, MAX_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -94,7 +94,7 @@
 
     // ---- Persistence --------------------------------------------------------------------------------
 
-    /// All entries, as [`Source::recall`] takes them: a removal has the latest start that it is for.
+    /// All entries, as [`Source::restore`] takes them: a removal has the latest start that it is for.
     pub(crate) fn entries(&self) -> Vec<Member> {
         let entry = |record: &Record| match record.member.health {
             Health::Removed => Member {
@@ -106,7 +106,7 @@
         self.records.values().map(entry).collect()
     }
 
-    pub(crate) fn recall(&mut self, members: &[Member]) -> Changed {
+    pub(crate) fn restore(&mut self, members: &[Member]) -> Changed {
         let mut changed = Changed::default();
         self.apply_members(members.to_vec(), &LatestStarts::new(), &mut changed);
         changed
@@ -145,7 +145,7 @@
         &mut self,
         now: Millis,
         members: Members,
-        unread: &[String],
+        unreadable: &[String],
         latest_starts: &LatestStarts,
     ) -> Changed {
         let mut changed = Changed::default();
@@ -156,7 +156,7 @@
             .hosts
             .iter()
             .map(|member| member.host.as_str())
-            .chain(unread.iter().map(String::as_str))
+            .chain(unreadable.iter().map(String::as_str))
             .collect();
         self.suspected
             .retain(|host, _| !named.contains(host.as_str()));
@@ -179,24 +179,25 @@
         latest_starts: &LatestStarts,
         changed: &mut Changed,
     ) {
-        let believed_part = self.settings.believed_part;
-        let is_believed = |missing: usize, of: usize| missing as f64 <= believed_part * of as f64;
-        let mut of = self.listed;
-        if !is_believed(missing.len(), of) {
+        let max_missing_fraction = self.settings.max_missing_fraction;
+        let is_believed =
+            |missing: usize, total: usize| missing as f64 <= max_missing_fraction * total as f64;
+        let mut total = self.listed;
+        if !is_believed(missing.len(), total) {
             // Nodes that are suspected already have their own timeout. If they were counted, they would make every later removal
             // suspect.
             missing.retain(|host| !self.suspected.contains_key(host));
-            of -= self.suspected.len();
+            total -= self.suspected.len();
         }
-        if is_believed(missing.len(), of) {
-            self.report_mass_removal(missing.len(), of, changed);
+        if is_believed(missing.len(), total) {
+            self.report_mass_removal(missing.len(), total, changed);
             self.remove(&missing, latest_starts, changed);
             return;
         }
         changed.reports.push(Report::NodesSuspected {
             source: self.settings.name.clone(),
             missing: missing.len(),
-            of,
+            total,
         });
         let suspected = missing.into_iter().map(|host| (host, now));
         self.suspected.extend(suspected);
@@ -221,12 +222,12 @@
         changed
     }
 
-    fn report_mass_removal(&self, removed: usize, of: usize, changed: &mut Changed) {
-        if removed >= MIN_MASS_REMOVAL && removed * 2 > of {
+    fn report_mass_removal(&self, removed: usize, total: usize, changed: &mut Changed) {
+        if removed >= MIN_MASS_REMOVAL && removed * 2 > total {
             changed.reports.push(Report::MassRemoval {
                 source: self.settings.name.clone(),
                 removed,
-                of,
+                total,
             });
         }
     }
@@ -240,7 +241,7 @@
         }
         self.suspected
             .iter()
-            .filter(|(_, since)| now - **since >= self.settings.doubt)
+            .filter(|(_, since)| now - **since >= self.settings.suspicion_timeout)
             .map(|(host, _)| host.clone())
             .collect()
     }
@@ -297,7 +298,7 @@
     }
 
     fn has_capacity(&self, host: &str) -> bool {
-        self.listed < MOST_NODES || self.record(host).is_some_and(Record::is_listed)
+        self.listed < MAX_NODES || self.record(host).is_some_and(Record::is_listed)
     }
 
     fn evict_stops(&mut self, changed: &mut Changed) {
@@ -346,7 +347,7 @@
         self.is_expired = any_connected
             && self
                 .lost_since
-                .is_some_and(|since| now - since >= self.settings.keep);
+                .is_some_and(|since| now - since >= self.settings.expiry_timeout);
         self.is_expired != was_expired
     }
 
@@ -356,14 +357,14 @@
         let expiry = self
             .lost_since
             .filter(|_| may_expire)
-            .map(|since| since + self.settings.keep);
+            .map(|since| since + self.settings.expiry_timeout);
         let first_suspicion = self
             .suspected
             .values()
             .copied()
             .min_by(f64::total_cmp)
             .filter(|_| self.is_connected())
-            .map(|since| since + self.settings.doubt);
+            .map(|since| since + self.settings.suspicion_timeout);
         expiry
             .into_iter()
             .chain(first_suspicion)
--- a/crates/membership/tests/reference_model.rs
+++ b/crates/membership/tests/reference_model.rs
@@ -2,7 +2,7 @@
 //! package: after every event the roster equals the model, and the changes that it returned, applied one after the other, give the same
 //! list.
 
-use maplefall_membership::{Event, Roster, SourceSettings};
+use maplefall_membership::{EndpointList, Event, SourceSettings};
 use maplefall_protocol::{Health, Member, Members};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -14,14 +14,14 @@
     vec![
         SourceSettings::trusted("agent"),
         SourceSettings {
-            believed_part: 0.4,
-            doubt: 50.0,
-            keep: 80.0,
+            max_missing_fraction: 0.4,
+            suspicion_timeout: 50.0,
+            expiry_timeout: 80.0,
             ..SourceSettings::trusted("etcd")
         },
         SourceSettings {
             authoritative: false,
-            keep: 40.0,
+            expiry_timeout: 40.0,
             ..SourceSettings::trusted("file")
         },
     ]
@@ -70,13 +70,13 @@
         );
     }
 
-    fn take(&mut self, now: f64, event: &Event) {
+    fn apply_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::Lost { source } => {
                 self.sources[*source].lost_since.get_or_insert(now);
             }
             Event::Resumed { source } => self.sources[*source].lost_since = None,
-            Event::Reborn { source } => {
+            Event::Replaced { source } => {
                 self.sources[*source].version = None;
                 self.sources[*source]
                     .records
@@ -92,8 +92,8 @@
                     return self.pass_time(now);
                 }
                 (of.version, of.has_begun, of.lost_since) = (Some(members.seq), true, None);
-                if let Event::Snapshot { unread, .. } = event {
-                    self.apply_missing(now, *source, members, unread);
+                if let Event::Snapshot { unreadable, .. } = event {
+                    self.apply_missing(now, *source, members, unreadable);
                 }
                 // Starts are those known before the event: a stop in it is not for an instance that it has elsewhere.
                 members
@@ -105,23 +105,25 @@
         self.pass_time(now);
     }
 
-    fn apply_missing(&mut self, now: f64, source: usize, members: &Members, unread: &[String]) {
+    fn apply_missing(&mut self, now: f64, source: usize, members: &Members, unreadable: &[String]) {
         let settings = self.settings[source].clone();
         let of = &mut self.sources[source];
-        for host in unread {
+        for host in unreadable {
             if let Some(record) = of.records.get_mut(host) {
                 record.suspected_since = None;
             }
         }
-        let named =
-            |host: &String| members.hosts.iter().any(|m| m.host == *host) || unread.contains(host);
+        let named = |host: &String| {
+            members.hosts.iter().any(|m| m.host == *host) || unreadable.contains(host)
+        };
         for (host, record) in &mut of.records {
             if named(host) {
                 record.suspected_since = None;
             }
         }
-        let is_believed =
-            |missing: usize, of: usize| missing as f64 <= settings.believed_part * of as f64;
+        let is_believed = |missing: usize, total: usize| {
+            missing as f64 <= settings.max_missing_fraction * total as f64
+        };
         let listed = of
             .records
             .iter()
@@ -177,7 +179,7 @@
             if !of.has_begun || of.lost_since.is_some() {
                 continue;
             }
-            let timeout = self.settings[source].doubt;
+            let timeout = self.settings[source].suspicion_timeout;
             let due = of.records.iter().filter(|(_, record)| {
                 record
                     .suspected_since
@@ -194,7 +196,7 @@
             source.is_expired = any_connected
                 && source
                     .lost_since
-                    .is_some_and(|since| now - since >= settings.keep);
+                    .is_some_and(|since| now - since >= settings.expiry_timeout);
         }
     }
 
@@ -270,13 +272,13 @@
 
 /// An event whose version is near the last one: sometimes late, sometimes repeated.
 fn event() -> impl Strategy<Value = (u8, usize, i64, Vec<Member>, Vec<&'static str>, f64)> {
-    let unread = prop::collection::vec(prop::sample::select(HOSTS.to_vec()), 0..2);
+    let unreadable = prop::collection::vec(prop::sample::select(HOSTS.to_vec()), 0..2);
     (
         0u8..12,
         0usize..3,
         -2i64..4,
         prop::collection::vec(member(), 0..5),
-        unread,
+        unreadable,
         0.0..60.0f64,
     )
 }
@@ -298,12 +300,12 @@
 
     #[test]
     fn the_roster_agrees_with_the_reference_model(history in prop::collection::vec(event(), 1..80)) {
-        let mut roster = Roster::new(settings());
+        let mut endpoints = EndpointList::new(settings());
         let sources = (0..3).map(|_| ModelSource::default()).collect();
         let mut model = Model { settings: settings(), sources };
         let mut mirror: BTreeMap<String, Member> = BTreeMap::new();
         let (mut now, mut versions) = (0.0, [10i64; 3]);
-        for (kind, source, step, mut hosts, unread, pause) in history {
+        for (kind, source, step, mut hosts, unreadable, pause) in history {
             now += pause;
             let mut seen = std::collections::BTreeSet::new();
             // One version has a node once.
@@ -313,18 +315,18 @@
             let event = match kind {
                 0 => Event::Lost { source },
                 1 => Event::Resumed { source },
-                2 => { versions[source] = 5; Event::Reborn { source } }
+                2 => { versions[source] = 5; Event::Replaced { source } }
                 3..=5 => {
-                    let unread = unread.iter().filter(|host| !seen.contains(**host)).map(|h| (*h).to_owned());
-                    Event::Snapshot { source, members, unread: unread.collect() }
+                    let unreadable = unreadable.iter().filter(|host| !seen.contains(**host)).map(|h| (*h).to_owned());
+                    Event::Snapshot { source, members, unreadable: unreadable.collect() }
                 }
                 _ => Event::Change { source, members },
             };
             if kind > 2 {
                 versions[source] = versions[source].max(version);
             }
-            model.take(now, &event);
-            let update = roster.take(now, event);
+            model.apply_event(now, &event);
+            let update = endpoints.apply_event(now, event);
             let mut once = std::collections::BTreeSet::new();
             for change in &update.changes {
                 prop_assert!(once.insert(change.host.clone()), "returned twice: {}", change.host);
@@ -338,7 +340,7 @@
             let list = model.list();
             prop_assert_eq!(&mirror, &list);
             let returned: BTreeMap<String, Member> =
-                roster.members().map(|member| (member.host.clone(), member.clone())).collect();
+                endpoints.members().map(|member| (member.host.clone(), member.clone())).collect();
             prop_assert_eq!(&returned, &list);
         }
     }
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Each rule of the package by an example.
 
-use maplefall_membership::{Event, Report, Roster, SourceSettings, Update};
+use maplefall_membership::{EndpointList, Event, Report, SourceSettings, Update};
 use maplefall_protocol::{Health, Member, Members};
 use Health::{Draining, Removed, Up};
 
@@ -37,7 +37,7 @@
     Event::Snapshot {
         source,
         members: list(seq, hosts),
-        unread: Vec::new(),
+        unreadable: Vec::new(),
     }
 }
 
@@ -51,8 +51,8 @@
     }
 }
 
-fn agent_and_etcd() -> Roster {
-    Roster::new(vec![
+fn agent_and_etcd() -> EndpointList {
+    EndpointList::new(vec![
         SourceSettings::trusted("agent"),
         SourceSettings::trusted("etcd"),
     ])
@@ -68,8 +68,8 @@
 }
 
 /// The names and states of all nodes.
-fn states(roster: &Roster) -> Vec<(&str, Health)> {
-    roster
+fn states(endpoints: &EndpointList) -> Vec<(&str, Health)> {
+    endpoints
         .members()
         .map(|member| (member.host.as_str(), member.health))
         .collect()
@@ -78,23 +78,23 @@
 /// Guards a single trusted source: all its events are applied at once.
 #[test]
 fn events_of_a_single_trusted_source_are_applied() {
-    let mut roster = Roster::new(vec![SourceSettings::trusted("agent")]);
-    let update = roster.take(
+    let mut endpoints = EndpointList::new(vec![SourceSettings::trusted("agent")]);
+    let update = endpoints.apply_event(
         0.0,
         snapshot(AGENT, 1, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
     );
     assert_eq!(changes(&update), [("a", Up), ("b", Up)]);
-    let update = roster.take(1.0, change(AGENT, 2, &[node("b", Draining, 0.0)]));
+    let update = endpoints.apply_event(1.0, change(AGENT, 2, &[node("b", Draining, 0.0)]));
     assert_eq!(changes(&update), [("b", Draining)]);
-    let update = roster.take(
+    let update = endpoints.apply_event(
         2.0,
         change(AGENT, 3, &[node("b", Removed, 0.0), node("c", Up, 5.0)]),
     );
     assert_eq!(changes(&update), [("b", Removed), ("c", Up)]);
-    let update = roster.take(3.0, snapshot(AGENT, 4, &[node("c", Up, 5.0)]));
+    let update = endpoints.apply_event(3.0, snapshot(AGENT, 4, &[node("c", Up, 5.0)]));
     assert_eq!(changes(&update), [("a", Removed)]);
     assert_eq!(
-        changes(&roster.take(4.0, snapshot(AGENT, 5, &[node("c", Up, 5.0)]))),
+        changes(&endpoints.apply_event(4.0, snapshot(AGENT, 5, &[node("c", Up, 5.0)]))),
         []
     );
 }
@@ -102,24 +102,27 @@
 /// Guards rule 1 against late events, and a restart of the versions.
 #[test]
 fn late_events_change_nothing() {
-    let mut roster = agent_and_etcd();
-    roster.take(0.0, snapshot(ETCD, 10, &[node("a", Up, 0.0)]));
-    roster.take(1.0, change(ETCD, 12, &[node("a", Draining, 0.0)]));
+    let mut endpoints = agent_and_etcd();
+    endpoints.apply_event(0.0, snapshot(ETCD, 10, &[node("a", Up, 0.0)]));
+    endpoints.apply_event(1.0, change(ETCD, 12, &[node("a", Draining, 0.0)]));
     // An old event on a second stream, and a snapshot of a replica that lags.
     assert_eq!(
-        changes(&roster.take(2.0, change(ETCD, 11, &[node("a", Up, 0.0)]))),
+        changes(&endpoints.apply_event(2.0, change(ETCD, 11, &[node("a", Up, 0.0)]))),
         []
     );
     assert_eq!(
-        changes(&roster.take(2.0, change(ETCD, 12, &[node("a", Up, 0.0)]))),
+        changes(&endpoints.apply_event(2.0, change(ETCD, 12, &[node("a", Up, 0.0)]))),
         []
     );
-    assert_eq!(changes(&roster.take(3.0, snapshot(ETCD, 9, &[]))), []);
-    assert_eq!(states(&roster), [("a", Draining)]);
+    assert_eq!(
+        changes(&endpoints.apply_event(3.0, snapshot(ETCD, 9, &[]))),
+        []
+    );
+    assert_eq!(states(&endpoints), [("a", Draining)]);
     // Another service under the same name restarts the versions.
-    roster.take(4.0, Event::Reborn { source: ETCD });
+    endpoints.apply_event(4.0, Event::Replaced { source: ETCD });
     assert_eq!(
-        changes(&roster.take(5.0, snapshot(ETCD, 3, &[node("a", Up, 0.0)]))),
+        changes(&endpoints.apply_event(5.0, snapshot(ETCD, 3, &[node("a", Up, 0.0)]))),
         [("a", Up)]
     );
 }
@@ -128,16 +131,16 @@
 #[test]
 fn a_drain_wins_until_its_source_takes_it_back() {
     for order in [[AGENT, ETCD], [ETCD, AGENT]] {
-        let mut roster = agent_and_etcd();
-        roster.take(0.0, snapshot(order[0], 1, &[node("a", Up, 7.0)]));
-        roster.take(1.0, snapshot(order[1], 1, &[node("a", Draining, 7.0)]));
-        assert_eq!(states(&roster), [("a", Draining)]);
+        let mut endpoints = agent_and_etcd();
+        endpoints.apply_event(0.0, snapshot(order[0], 1, &[node("a", Up, 7.0)]));
+        endpoints.apply_event(1.0, snapshot(order[1], 1, &[node("a", Draining, 7.0)]));
+        assert_eq!(states(&endpoints), [("a", Draining)]);
         // The other source says up again: it cannot undo a drain that is not its own.
         assert_eq!(
-            changes(&roster.take(2.0, change(order[0], 2, &[node("a", Up, 7.0)]))),
+            changes(&endpoints.apply_event(2.0, change(order[0], 2, &[node("a", Up, 7.0)]))),
             []
         );
-        let update = roster.take(3.0, change(order[1], 2, &[node("a", Up, 7.0)]));
+        let update = endpoints.apply_event(3.0, change(order[1], 2, &[node("a", Up, 7.0)]));
         assert_eq!(changes(&update), [("a", Up)]);
     }
 }
@@ -145,69 +148,69 @@
 /// Guards rule 2 for a node that starts again.
 #[test]
 fn a_stop_is_not_for_a_newer_instance() {
-    let mut roster = agent_and_etcd();
-    roster.take(0.0, snapshot(AGENT, 1, &[node("a", Up, 7.0)]));
-    roster.take(1.0, change(ETCD, 1, &[node("a", Removed, 7.0)]));
-    assert_eq!(states(&roster), []);
+    let mut endpoints = agent_and_etcd();
+    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[node("a", Up, 7.0)]));
+    endpoints.apply_event(1.0, change(ETCD, 1, &[node("a", Removed, 7.0)]));
+    assert_eq!(states(&endpoints), []);
     assert_eq!(
-        changes(&roster.take(2.0, change(AGENT, 2, &[node("a", Up, 7.0)]))),
+        changes(&endpoints.apply_event(2.0, change(AGENT, 2, &[node("a", Up, 7.0)]))),
         [],
         "the same instance"
     );
     assert_eq!(
-        changes(&roster.take(3.0, change(AGENT, 3, &[node("a", Up, 9.0)]))),
+        changes(&endpoints.apply_event(3.0, change(AGENT, 3, &[node("a", Up, 9.0)]))),
         [("a", Up)]
     );
     // A stop without a start is for the instances known then, not for a later one.
-    roster.take(4.0, change(ETCD, 2, &[node("a", Draining, 0.0)]));
-    assert_eq!(states(&roster), [("a", Draining)]);
-    roster.take(5.0, change(AGENT, 4, &[node("a", Up, 11.0)]));
-    assert_eq!(states(&roster), [("a", Up)]);
+    endpoints.apply_event(4.0, change(ETCD, 2, &[node("a", Draining, 0.0)]));
+    assert_eq!(states(&endpoints), [("a", Draining)]);
+    endpoints.apply_event(5.0, change(AGENT, 4, &[node("a", Up, 11.0)]));
+    assert_eq!(states(&endpoints), [("a", Up)]);
 }
 
 /// Guards rule 2 against sources without authority.
 #[test]
 fn a_source_without_authority_only_adds() {
-    let mut roster = Roster::new(vec![
+    let mut endpoints = EndpointList::new(vec![
         SourceSettings::trusted("agent"),
         SourceSettings {
             authoritative: false,
             ..SourceSettings::trusted("file")
         },
     ]);
-    roster.take(0.0, snapshot(AGENT, 1, &[node("a", Up, 0.0)]));
-    let update = roster.take(
+    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[node("a", Up, 0.0)]));
+    let update = endpoints.apply_event(
         1.0,
         snapshot(1, 1, &[node("a", Draining, 0.0), node("b", Up, 0.0)]),
     );
     assert_eq!(changes(&update), [("b", Up)]);
-    roster.take(2.0, change(AGENT, 2, &[node("b", Draining, 0.0)]));
-    assert_eq!(states(&roster), [("a", Up), ("b", Draining)]);
+    endpoints.apply_event(2.0, change(AGENT, 2, &[node("b", Draining, 0.0)]));
+    assert_eq!(states(&endpoints), [("a", Up), ("b", Draining)]);
 }
 
 /// Guards rule 3 against a snapshot that lacks too many nodes.
 #[test]
 fn nodes_missing_in_a_shrunken_snapshot_stay_for_the_suspicion_timeout() {
     let etcd = SourceSettings {
-        believed_part: 0.5,
-        doubt: 1000.0,
+        max_missing_fraction: 0.5,
+        suspicion_timeout: 1000.0,
         ..SourceSettings::trusted("etcd")
     };
-    let mut roster = Roster::new(vec![etcd]);
+    let mut endpoints = EndpointList::new(vec![etcd]);
     let all: Vec<Member> = ["a", "b", "c", "d"].map(|host| node(host, Up, 0.0)).into();
-    roster.take(0.0, snapshot(0, 1, &all));
+    endpoints.apply_event(0.0, snapshot(0, 1, &all));
     // Half may go at once; a drain in the same snapshot is applied at once too.
-    let update = roster.take(1.0, snapshot(0, 2, &[node("a", Draining, 0.0)]));
+    let update = endpoints.apply_event(1.0, snapshot(0, 2, &[node("a", Draining, 0.0)]));
     assert_eq!(changes(&update), [("a", Draining)]);
     assert_eq!(
         update.reports,
         [Report::NodesSuspected {
             source: "etcd".into(),
             missing: 3,
-            of: 4
+            total: 4
         }]
     );
-    let update = roster.take(
+    let update = endpoints.apply_event(
         500.0,
         snapshot(0, 3, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
     );
@@ -216,30 +219,30 @@
         [("c", Removed), ("d", Removed), ("a", Up)],
         "half of what it had"
     );
-    roster.take(600.0, snapshot(0, 4, &[]));
+    endpoints.apply_event(600.0, snapshot(0, 4, &[]));
     assert_eq!(
-        changes(&roster.take(1599.0, snapshot(0, 5, &[]))),
+        changes(&endpoints.apply_event(1599.0, snapshot(0, 5, &[]))),
         [],
         "still suspected"
     );
-    assert_eq!(roster.next_due(), Some(1600.0));
+    assert_eq!(endpoints.next_due(), Some(1600.0));
     // A source that watches does not repeat what has not changed: the timeout alone decides.
     assert_eq!(
-        changes(&roster.tick(1600.0)),
+        changes(&endpoints.tick(1600.0)),
         [("a", Removed), ("b", Removed)]
     );
-    assert_eq!(roster.next_due(), None);
+    assert_eq!(endpoints.next_due(), None);
     // Removals by name are believed at once, however many, and reported.
-    roster.take(2000.0, snapshot(0, 7, &all));
+    endpoints.apply_event(2000.0, snapshot(0, 7, &all));
     let removed: Vec<Member> = ["a", "b", "c"].map(|host| node(host, Removed, 0.0)).into();
-    let update = roster.take(2001.0, change(0, 8, &removed));
+    let update = endpoints.apply_event(2001.0, change(0, 8, &removed));
     assert_eq!(update.changes.len(), 3);
     assert_eq!(
         update.reports,
         [Report::MassRemoval {
             source: "etcd".into(),
             removed: 3,
-            of: 4
+            total: 4
         }]
     );
 }
@@ -248,23 +251,23 @@
 #[test]
 fn suspicion_ends_with_the_nodes_return_and_waits_for_a_lost_source() {
     let etcd = SourceSettings {
-        believed_part: 0.5,
-        doubt: 1000.0,
+        max_missing_fraction: 0.5,
+        suspicion_timeout: 1000.0,
         ..SourceSettings::trusted("etcd")
     };
-    let mut roster = Roster::new(vec![etcd]);
+    let mut endpoints = EndpointList::new(vec![etcd]);
     let all: Vec<Member> = ["a", "b", "c", "d"].map(|host| node(host, Up, 0.0)).into();
-    roster.take(0.0, snapshot(0, 1, &all));
-    roster.take(1.0, snapshot(0, 2, &[]));
-    roster.take(2.0, change(0, 3, &[node("a", Up, 0.0)]));
-    roster.take(500.0, Event::Lost { source: 0 });
-    assert_eq!(roster.next_due(), None);
+    endpoints.apply_event(0.0, snapshot(0, 1, &all));
+    endpoints.apply_event(1.0, snapshot(0, 2, &[]));
+    endpoints.apply_event(2.0, change(0, 3, &[node("a", Up, 0.0)]));
+    endpoints.apply_event(500.0, Event::Lost { source: 0 });
+    assert_eq!(endpoints.next_due(), None);
     assert_eq!(
-        changes(&roster.tick(5000.0)),
+        changes(&endpoints.tick(5000.0)),
         [],
         "no source is connected to confirm it"
     );
-    let update = roster.take(5001.0, Event::Resumed { source: 0 });
+    let update = endpoints.apply_event(5001.0, Event::Resumed { source: 0 });
     assert_eq!(
         changes(&update),
         [("b", Removed), ("c", Removed), ("d", Removed)]
@@ -274,7 +277,7 @@
         [Report::MassRemoval {
             source: "etcd".into(),
             removed: 3,
-            of: 4
+            total: 4
         }]
     );
 }
@@ -283,7 +286,7 @@
 #[test]
 fn a_later_incarnation_recalls_entries_and_stops() {
     let mut first = agent_and_etcd();
-    first.take(
+    first.apply_event(
         0.0,
         snapshot(
             AGENT,
@@ -291,20 +294,20 @@
             &[node("a", Up, 7.0), node("b", Up, 0.0), node("c", Up, 3.0)],
         ),
     );
-    first.take(
+    first.apply_event(
         0.0,
         snapshot(ETCD, 1, &[node("a", Draining, 7.0), node("c", Up, 3.0)]),
     );
-    first.take(1.0, change(ETCD, 2, &[node("c", Removed, 0.0)]));
+    first.apply_event(1.0, change(ETCD, 2, &[node("c", Removed, 0.0)]));
     let mut later = agent_and_etcd();
-    let recorded: Vec<Members> = first.words().map(|(_, members)| members).collect();
+    let recorded: Vec<Members> = first.source_entries().map(|(_, members)| members).collect();
     for (source, members) in recorded.iter().enumerate() {
-        later.recall(2.0, source, members);
+        later.restore(2.0, source, members);
     }
     assert_eq!(states(&later), [("a", Draining), ("b", Up)]);
     assert_eq!(states(&later), states(&first));
     // The agent is first: what etcd stopped stays stopped, but for a newer instance.
-    let update = later.take(
+    let update = later.apply_event(
         3.0,
         snapshot(
             AGENT,
@@ -314,7 +317,7 @@
     );
     assert_eq!(changes(&update), []);
     assert_eq!(
-        changes(&later.take(4.0, change(AGENT, 2, &[node("c", Up, 4.0)]))),
+        changes(&later.apply_event(4.0, change(AGENT, 2, &[node("c", Up, 4.0)]))),
         [("c", Up)]
     );
 }
@@ -323,40 +326,40 @@
 #[test]
 fn suspected_nodes_do_not_make_later_removals_suspect() {
     let etcd = SourceSettings {
-        believed_part: 0.5,
-        doubt: 1000.0,
+        max_missing_fraction: 0.5,
+        suspicion_timeout: 1000.0,
         ..SourceSettings::trusted("etcd")
     };
-    let mut roster = Roster::new(vec![etcd]);
+    let mut endpoints = EndpointList::new(vec![etcd]);
     let many = |from: u32, to: u32| {
         (from..to)
             .map(|n| node(&format!("n{n}"), Up, 0.0))
             .collect::<Vec<_>>()
     };
-    roster.take(0.0, snapshot(0, 1, &many(0, 10)));
+    endpoints.apply_event(0.0, snapshot(0, 1, &many(0, 10)));
     // Eight of ten are missing at once and suspected; of the rest and the new ones, one is removed as usual.
     assert_eq!(
-        changes(&roster.take(1.0, snapshot(0, 2, &many(8, 14)))).len(),
+        changes(&endpoints.apply_event(1.0, snapshot(0, 2, &many(8, 14)))).len(),
         4
     );
-    let update = roster.take(2.0, snapshot(0, 3, &many(9, 14)));
+    let update = endpoints.apply_event(2.0, snapshot(0, 3, &many(9, 14)));
     assert_eq!(changes(&update), [("n8", Removed)]);
     assert!(update.reports.is_empty(), "{:?}", update.reports);
-    assert_eq!(roster.members().count(), 13);
-    roster.tick(1001.0);
-    assert_eq!(roster.members().count(), 5);
+    assert_eq!(endpoints.members().count(), 13);
+    endpoints.tick(1001.0);
+    assert_eq!(endpoints.members().count(), 5);
 }
 
 /// Guards rules 3 and 4: all sources are lost for a minute and come back with half of the nodes.
 #[test]
 fn an_outage_of_all_sources_removes_nothing_at_once() {
     let etcd = SourceSettings {
-        believed_part: 0.3,
-        doubt: 10_000.0,
-        keep: 5000.0,
+        max_missing_fraction: 0.3,
+        suspicion_timeout: 10_000.0,
+        expiry_timeout: 5000.0,
         ..SourceSettings::trusted("etcd")
     };
-    let mut roster = Roster::new(vec![
+    let mut endpoints = EndpointList::new(vec![
         SourceSettings {
             name: "agent".into(),
             ..etcd.clone()
@@ -365,30 +368,30 @@
     ]);
     let all: Vec<Member> = ["a", "b", "c", "d"].map(|host| node(host, Up, 0.0)).into();
     for source in [AGENT, ETCD] {
-        roster.take(0.0, snapshot(source, 1, &all));
+        endpoints.apply_event(0.0, snapshot(source, 1, &all));
     }
     for source in [AGENT, ETCD] {
-        roster.take(1.0, Event::Lost { source });
+        endpoints.apply_event(1.0, Event::Lost { source });
     }
-    assert_eq!(roster.next_due(), Some(5001.0));
+    assert_eq!(endpoints.next_due(), Some(5001.0));
     assert_eq!(
-        changes(&roster.tick(60_000.0)),
+        changes(&endpoints.tick(60_000.0)),
         [],
         "nothing expires while no source is connected"
     );
     // Both have half of the nodes when they come back.
     assert_eq!(
-        changes(&roster.take(61_000.0, snapshot(AGENT, 2, &all[..2]))),
+        changes(&endpoints.apply_event(61_000.0, snapshot(AGENT, 2, &all[..2]))),
         []
     );
     assert_eq!(
-        changes(&roster.take(62_000.0, snapshot(ETCD, 2, &all[..2]))),
+        changes(&endpoints.apply_event(62_000.0, snapshot(ETCD, 2, &all[..2]))),
         []
     );
-    assert_eq!(roster.members().count(), 4);
-    assert_eq!(changes(&roster.tick(70_999.0)), []);
+    assert_eq!(endpoints.members().count(), 4);
+    assert_eq!(changes(&endpoints.tick(70_999.0)), []);
     assert_eq!(
-        changes(&roster.tick(71_000.0)),
+        changes(&endpoints.tick(71_000.0)),
         [("c", Removed), ("d", Removed)]
     );
 }
@@ -396,8 +399,8 @@
 /// Guards rule 3 for entries that cannot be read.
 #[test]
 fn an_unreadable_entry_is_not_missing() {
-    let mut roster = agent_and_etcd();
-    roster.take(
+    let mut endpoints = agent_and_etcd();
+    endpoints.apply_event(
         0.0,
         snapshot(
             ETCD,
@@ -410,30 +413,30 @@
         ),
     );
     let members = list(2, &[node("b", Up, 0.0)]);
-    let update = roster.take(
+    let update = endpoints.apply_event(
         1.0,
         Event::Snapshot {
             source: ETCD,
             members,
-            unread: vec!["a".into()],
+            unreadable: vec!["a".into()],
         },
     );
     assert_eq!(changes(&update), [("c", Removed)]);
-    assert_eq!(states(&roster), [("a", Draining), ("b", Up)]);
+    assert_eq!(states(&endpoints), [("a", Draining), ("b", Up)]);
 }
 
 /// Guards rule 4.
 #[test]
 fn nodes_of_a_lost_source_expire_only_while_another_is_connected_and_come_back_with_it() {
-    let keep = 1000.0;
-    let mut roster = Roster::new(vec![
+    let expiry_timeout = 1000.0;
+    let mut endpoints = EndpointList::new(vec![
         SourceSettings::trusted("agent"),
         SourceSettings {
-            keep,
+            expiry_timeout,
             ..SourceSettings::trusted("etcd")
         },
     ]);
-    roster.take(
+    endpoints.apply_event(
         0.0,
         snapshot(
             ETCD,
@@ -445,27 +448,27 @@
             ],
         ),
     );
-    roster.take(0.0, Event::Lost { source: ETCD });
+    endpoints.apply_event(0.0, Event::Lost { source: ETCD });
     // All sources are lost: nothing expires.
-    assert_eq!(changes(&roster.tick(10_000.0)), []);
-    roster.take(
+    assert_eq!(changes(&endpoints.tick(10_000.0)), []);
+    endpoints.apply_event(
         10_000.0,
         snapshot(AGENT, 1, &[node("b", Up, 0.0), node("d", Up, 0.0)]),
     );
     assert_eq!(
-        states(&roster),
+        states(&endpoints),
         [("b", Up), ("d", Draining)],
         "the stop of a lost source stays in force"
     );
-    let update = roster.take(10_001.0, Event::Resumed { source: ETCD });
+    let update = endpoints.apply_event(10_001.0, Event::Resumed { source: ETCD });
     assert_eq!(changes(&update), [("a", Up)]);
-    roster.take(20_000.0, Event::Lost { source: ETCD });
-    assert_eq!(roster.next_due(), Some(21_000.0));
-    assert_eq!(changes(&roster.tick(20_999.0)), []);
-    let update = roster.tick(21_000.0);
+    endpoints.apply_event(20_000.0, Event::Lost { source: ETCD });
+    assert_eq!(endpoints.next_due(), Some(21_000.0));
+    assert_eq!(changes(&endpoints.tick(20_999.0)), []);
+    let update = endpoints.tick(21_000.0);
     assert_eq!(changes(&update), [("a", Removed)]);
     assert_eq!(update.reports, [Report::Expired { host: "a".into() }]);
-    assert_eq!(roster.next_due(), None);
+    assert_eq!(endpoints.next_due(), None);
 }
 
 /// Guards rule 5.
@@ -475,9 +478,9 @@
         dial: "127.0.0.1:9".parse().unwrap(),
         ..node(host, Up, born)
     };
-    let mut roster = agent_and_etcd();
-    roster.take(0.0, snapshot(AGENT, 1, &[at("old", 5.0)]));
-    let update = roster.take(1.0, change(AGENT, 2, &[at("new", 9.0)]));
+    let mut endpoints = agent_and_etcd();
+    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[at("old", 5.0)]));
+    let update = endpoints.apply_event(1.0, change(AGENT, 2, &[at("new", 9.0)]));
     assert_eq!(
         changes(&update),
         [("old", Removed), ("new", Up)],
@@ -489,14 +492,14 @@
     };
     assert_eq!(update.reports, [shared]);
     assert_eq!(
-        roster
-            .take(2.0, change(AGENT, 3, &[at("new", 9.0)]))
+        endpoints
+            .apply_event(2.0, change(AGENT, 3, &[at("new", 9.0)]))
             .reports,
         [],
         "reported once"
     );
     // The owner is removed: the other is back.
-    let update = roster.take(
+    let update = endpoints.apply_event(
         3.0,
         change(
             AGENT,
@@ -513,8 +516,8 @@
 /// Guards a restart of this process: the recalled list is superseded by the first event of its source.
 #[test]
 fn a_recalled_list_is_used_until_its_source_has_an_event() {
-    let mut roster = agent_and_etcd();
-    let update = roster.recall(
+    let mut endpoints = agent_and_etcd();
+    let update = endpoints.restore(
         0.0,
         AGENT,
         &list(41, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
@@ -522,7 +525,7 @@
     assert_eq!(changes(&update), [("a", Up), ("b", Up)]);
     // Its first event supersedes the list, at any version.
     assert_eq!(
-        changes(&roster.take(1.0, snapshot(AGENT, 2, &[node("b", Up, 0.0)]))),
+        changes(&endpoints.apply_event(1.0, snapshot(AGENT, 2, &[node("b", Up, 0.0)]))),
         [("a", Removed)]
     );
 }
@@ -530,8 +533,8 @@
 /// Guards the bound on nodes.
 #[test]
 fn nodes_beyond_the_bound_are_left_out() {
-    let mut roster = Roster::new(vec![SourceSettings::trusted("agent")]);
-    let many: Vec<Member> = (0..maplefall_membership::MOST_NODES + 5)
+    let mut endpoints = EndpointList::new(vec![SourceSettings::trusted("agent")]);
+    let many: Vec<Member> = (0..maplefall_membership::MAX_NODES + 5)
         .map(|i| {
             let dial = format!("127.{}.{}.1:80", i / 250, i % 250).parse().unwrap();
             Member {
@@ -540,7 +543,7 @@
             }
         })
         .collect();
-    let update = roster.take(0.0, snapshot(AGENT, 1, &many));
+    let update = endpoints.apply_event(0.0, snapshot(AGENT, 1, &many));
     assert_eq!(
         update.reports,
         [Report::CapacityReached {
@@ -548,39 +551,39 @@
             left_out: 5
         }]
     );
-    assert_eq!(roster.members().count(), maplefall_membership::MOST_NODES);
+    assert_eq!(endpoints.members().count(), maplefall_membership::MAX_NODES);
 }
 
 /// Guards the bound on stops while ever new nodes come and go: the recent ones are kept, and the oldest are forgotten.
 #[test]
 fn only_the_oldest_stops_are_forgotten() {
-    let mut roster = agent_and_etcd();
+    let mut endpoints = agent_and_etcd();
     let ids = 10_000u64;
     for i in 0..ids {
         let host = format!("n{i}");
-        let update = roster.take(0.0, change(ETCD, 2 * i + 1, &[node(&host, Up, 1.0)]));
+        let update = endpoints.apply_event(0.0, change(ETCD, 2 * i + 1, &[node(&host, Up, 1.0)]));
         assert!(update.reports.is_empty(), "{i}: {:?}", update.reports);
-        roster.take(0.0, change(ETCD, 2 * i + 2, &[node(&host, Removed, 1.0)]));
+        endpoints.apply_event(0.0, change(ETCD, 2 * i + 2, &[node(&host, Removed, 1.0)]));
     }
     let last = format!("n{}", ids - 1);
     assert_eq!(
-        changes(&roster.take(1.0, change(AGENT, 1, &[node(&last, Up, 1.0)]))),
+        changes(&endpoints.apply_event(1.0, change(AGENT, 1, &[node(&last, Up, 1.0)]))),
         [],
         "stopped recently"
     );
     assert_eq!(
-        changes(&roster.take(2.0, change(AGENT, 2, &[node("n0", Up, 1.0)]))),
+        changes(&endpoints.apply_event(2.0, change(AGENT, 2, &[node("n0", Up, 1.0)]))),
         [("n0", Up)]
     );
     // A node that came back meanwhile is not forgotten with its old stop.
-    let mut roster = agent_and_etcd();
-    roster.take(0.0, change(ETCD, 1, &[node("back", Removed, 1.0)]));
-    roster.take(0.0, change(ETCD, 2, &[node("back", Draining, 2.0)]));
+    let mut endpoints = agent_and_etcd();
+    endpoints.apply_event(0.0, change(ETCD, 1, &[node("back", Removed, 1.0)]));
+    endpoints.apply_event(0.0, change(ETCD, 2, &[node("back", Draining, 2.0)]));
     for i in 0..ids {
-        roster.take(
+        endpoints.apply_event(
             0.0,
             change(ETCD, 3 + i, &[node(&format!("n{i}"), Removed, 1.0)]),
         );
     }
-    assert_eq!(states(&roster), [("back", Draining)]);
+    assert_eq!(states(&endpoints), [("back", Draining)]);
 }
--- a/crates/model/src/agent.rs
+++ b/crates/model/src/agent.rs
@@ -5,9 +5,9 @@
 //! as notified of a drain when its agent could first have delivered it, whatever becomes of the connection.
 
 use maplefall_discovery_agent::{
-    CallId, Follower, Heard, Output, Settings, What, HEARTBEAT, TOLD_WITHIN,
+    CallEvent, CallId, Follower, Output, RequestKind, Settings, HEARTBEAT, MAX_PROPAGATION_DELAY,
 };
-use maplefall_membership::{Roster, SourceSettings};
+use maplefall_membership::{EndpointList, SourceSettings};
 use maplefall_policy::{Availability, BackendEntry};
 use maplefall_protocol::{Health, Member, Members};
 use std::collections::BTreeMap;
@@ -106,7 +106,7 @@
 struct Call {
     id: CallId,
     address: usize,
-    what: What,
+    what: RequestKind,
     /// The version that was sent last on it, once it has been answered.
     sent_version: Option<u64>,
     /// When a message was last sent on it.
@@ -119,7 +119,7 @@
 #[derive(Debug)]
 pub struct ProxyAgent {
     follower: Follower,
-    membership: Roster,
+    membership: EndpointList,
     calls: Vec<Call>,
     /// The version of the list that the agent has at each address.
     versions: [u64; 2],
@@ -144,12 +144,12 @@
     Follower::new(
         Settings {
             source: 0,
-            own: true,
-            sharing: 1,
-            stop_within: 500.0,
+            is_local: true,
+            process_count: 1,
+            drain_grace_period: 500.0,
             seed,
-            places: addresses,
-            known: Some(known),
+            addresses,
+            initial_list: Some(known),
         },
         now,
     )
@@ -160,8 +160,8 @@
     pub fn new(history: &EndpointHistory, seed: u64, now: f64) -> ProxyAgent {
         let knows = history.version();
         let known = history.answer(None, knows);
-        let mut membership = Roster::new(vec![SourceSettings::trusted("agent")]);
-        membership.recall(now, 0, &known);
+        let mut membership = EndpointList::new(vec![SourceSettings::trusted("agent")]);
+        membership.restore(now, 0, &known);
         ProxyAgent {
             follower: follower(known, seed, 0, now),
             membership,
@@ -183,8 +183,8 @@
             whole: true,
             hosts,
         };
-        self.membership = Roster::new(vec![SourceSettings::trusted("agent")]);
-        self.membership.recall(now, 0, &known);
+        self.membership = EndpointList::new(vec![SourceSettings::trusted("agent")]);
+        self.membership.restore(now, 0, &known);
         self.calls.clear();
         self.follower = follower(known, seed, self.address, now);
     }
@@ -207,7 +207,7 @@
     /// When what it has at `now` counts as notified: at once, or where it is silent once it speaks, and where its watch has lost
     /// the proxy without a word some seconds later.
     pub fn notified_at(&self, now: f64) -> f64 {
-        let latest = now + TOLD_WITHIN;
+        let latest = now + MAX_PROPAGATION_DELAY;
         let lost = !self.calls.is_empty() && self.calls.iter().all(|call| call.dead);
         if lost && !self.drops_calls {
             latest
@@ -230,7 +230,7 @@
 
     /// Notifies the proxy of the move.
     pub fn notify_move(&mut self, now: f64) -> Vec<BackendEntry> {
-        let outputs = self.follower.moved(now, address(self.address));
+        let outputs = self.follower.move_to(now, address(self.address));
         self.handle_outputs(now, outputs)
     }
 
@@ -277,18 +277,20 @@
             }
         }
         while let Some((call, text)) = self.next_message(now, history) {
-            let outputs = self.follower.heard_of(now, call, Heard::Line(text));
+            let outputs = self
+                .follower
+                .handle_call_event(now, call, CallEvent::Line(text));
             entries.extend(self.handle_outputs(now, outputs));
             let whole = self
                 .calls
                 .iter()
-                .any(|open| open.id == call && open.what == What::Whole);
+                .any(|open| open.id == call && open.what == RequestKind::CompleteList);
             if whole {
                 self.calls.retain(|open| open.id != call);
-                let outputs = self.follower.heard_of(
+                let outputs = self.follower.handle_call_event(
                     now,
                     call,
-                    Heard::Ended(maplefall_discovery_agent::End::Whole),
+                    CallEvent::Ended(maplefall_discovery_agent::CallEnd::Complete),
                 );
                 entries.extend(self.handle_outputs(now, outputs));
             }
@@ -309,8 +311,8 @@
                 continue;
             }
             let from = call.sent_version.or(match call.what {
-                What::Watch(from) => Some(from),
-                What::Whole => None,
+                RequestKind::Watch(from) => Some(from),
+                RequestKind::CompleteList => None,
             });
             (call.sent_version, call.sent_at) = (Some(knows), now);
             self.sent_version = self.sent_version.max(knows);
@@ -326,10 +328,12 @@
 
     fn end(&mut self, now: f64, call: CallId, why: &str) -> Vec<BackendEntry> {
         self.calls.retain(|open| open.id != call);
-        let outputs = self.follower.heard_of(
+        let outputs = self.follower.handle_call_event(
             now,
             call,
-            Heard::Ended(maplefall_discovery_agent::End::Broken(why.to_owned())),
+            CallEvent::Ended(maplefall_discovery_agent::CallEnd::ConnectionFailed(
+                why.to_owned(),
+            )),
         );
         self.handle_outputs(now, outputs)
     }
@@ -338,10 +342,10 @@
         let mut entries = Vec::new();
         for output in outputs {
             match output {
-                Output::Ask {
+                Output::OpenCall {
                     call,
-                    place: to,
-                    what,
+                    address: to,
+                    request: what,
                 } => {
                     let at = usize::from(to == address(1));
                     // An address that is closed, or not open yet, refuses connections.
@@ -358,9 +362,9 @@
                         });
                     }
                 }
-                Output::HangUp(call) => self.calls.retain(|open| open.id != call),
-                Output::Tell(event) => {
-                    let update = self.membership.take(now, event);
+                Output::CloseCall(call) => self.calls.retain(|open| open.id != call),
+                Output::Event(event) => {
+                    let update = self.membership.apply_event(now, event);
                     entries.extend(update.changes.iter().filter_map(entry));
                 }
                 Output::Report(_) => {}
