--- a/crates/discovery-agent/src/backend_list.rs
+++ b/crates/discovery-agent/src/backend_list.rs
@@ -1,12 +1,12 @@
 //! The list of backends of an agent.
 
 use crate::parse::{ListUpdate, PartialEntry};
-use maplefall_membership::MAX_NODES;
+use maplefall_membership::MAX_BACKENDS;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member};
 use std::collections::BTreeMap;
 
-/// The backends that are not removed, by name; at most [`MAX_NODES`].
+/// The backends that are not removed, by name; at most [`MAX_BACKENDS`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct BackendList(BTreeMap<String, Member>);
 
@@ -32,11 +32,11 @@
         self.0.values().cloned().collect()
     }
 
-    /// Applies an entry. A new backend beyond [`MAX_NODES`] is left out, as the roster leaves it out and reports it.
+    /// Applies an entry. A new backend beyond [`MAX_BACKENDS`] is left out, as the roster leaves it out and reports it.
     fn apply_entry(&mut self, member: &Member) {
         if member.health == Health::Removed {
             self.0.remove(&member.host);
-        } else if self.0.len() < MAX_NODES || self.0.contains_key(&member.host) {
+        } else if self.0.len() < MAX_BACKENDS || self.0.contains_key(&member.host) {
             self.0.insert(member.host.clone(), member.clone());
         }
     }
--- a/crates/discovery-agent/tests/follower.rs
+++ b/crates/discovery-agent/tests/follower.rs
@@ -1,7 +1,7 @@
 //! The calls that a follower makes and the updates that it applies, by examples.
 
 use maplefall_discovery_agent::*;
-use maplefall_membership::{Event, MAX_NODES};
+use maplefall_membership::{Event, MAX_BACKENDS};
 use maplefall_policy::Millis;
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
 use maplefall_protocol::{Member, Members};
@@ -603,16 +603,17 @@
     let mut harness = Harness::new(settings(true, None), 0.0);
     let call = harness.only_call();
     let name = |n: usize| node(&format!("n{n:06}"), Up, 0.0);
-    let nodes: Vec<Member> = (0..MAX_NODES + 5).map(name).collect();
+    let nodes: Vec<Member> = (0..MAX_BACKENDS + 5).map(name).collect();
     harness.receive(call, &members(1, true, &nodes));
     harness.end(call, CallEnd::Complete);
     // A stop by name alone is only applied to a node that was kept.
     let call = harness.only_call();
     let stop = |n: usize| json!({"host": format!("n{n:06}"), "health": "draining", "dial": 7});
-    let text = json!({"seq": 2, "whole": false, "hosts": [stop(MAX_NODES - 1), stop(MAX_NODES)]})
-        .to_string();
+    let text =
+        json!({"seq": 2, "whole": false, "hosts": [stop(MAX_BACKENDS - 1), stop(MAX_BACKENDS)]})
+            .to_string();
     harness.handle(call, CallEvent::Line(text.into_bytes()));
-    let states: Vec<Health> = harness.states()[MAX_NODES - 1..=MAX_NODES]
+    let states: Vec<Health> = harness.states()[MAX_BACKENDS - 1..=MAX_BACKENDS]
         .iter()
         .map(|state| state.1)
         .collect();
--- a/crates/etcd/src/follower.rs
+++ b/crates/etcd/src/follower.rs
@@ -19,7 +19,7 @@
     prefix_end, Event as Change, KeyValue, RangeRequest, RangeResponse, ResponseHeader,
     WatchCreateRequest, WatchResponse,
 };
-use maplefall_membership::{Event, MAX_NODES};
+use maplefall_membership::{Event, MAX_BACKENDS};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
 use rand_core::{RngCore, SeedableRng};
@@ -484,14 +484,16 @@
         }
         for kv in &page.kvs {
             match self.entry(kv) {
-                Ok((member, _)) if reading.members.len() <= MAX_NODES => {
+                Ok((member, _)) if reading.members.len() <= MAX_BACKENDS => {
                     if kv.lease != 0 {
                         reading.leases.insert(member.host.clone(), kv.lease);
                     }
                     reading.members.push(member);
                 }
                 Ok(_) => {}
-                Err(Some(host)) if reading.unread.len() <= MAX_NODES => reading.unread.push(host),
+                Err(Some(host)) if reading.unread.len() <= MAX_BACKENDS => {
+                    reading.unread.push(host)
+                }
                 Err(_) => {}
             }
         }
@@ -643,7 +645,8 @@
             } else if let Ok((member, when)) = self.entry(&kv) {
                 if kv.lease == 0 {
                     self.leases.remove(&member.host);
-                } else if self.leases.len() < MAX_NODES || self.leases.contains_key(&member.host) {
+                } else if self.leases.len() < MAX_BACKENDS || self.leases.contains_key(&member.host)
+                {
                     self.leases.insert(member.host.clone(), kv.lease);
                 }
                 written = match (written, when) {
--- a/crates/etcd/tests/follower.rs
+++ b/crates/etcd/tests/follower.rs
@@ -773,7 +773,7 @@
     let mut hand = Hand::new(Settings::usual(0, 1, "/p"));
     hand.wait();
     hand.say(1, Input::Opened);
-    let most = maplefall_membership::MAX_NODES;
+    let most = maplefall_membership::MAX_BACKENDS;
     let out = hand.say(
         1,
         page(
@@ -902,7 +902,7 @@
         kv: Some(kv(&format!("n{n}"), 6 + n, 77)),
         prev_kv: None,
     };
-    let most = maplefall_membership::MAX_NODES as i64;
+    let most = maplefall_membership::MAX_BACKENDS as i64;
     hand.say(1, changes((0..=most).map(on_a_lease).collect(), false));
     let gone = |n: i64, revision| Change {
         kind: Change::DELETE,
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -10,7 +10,7 @@
 use super::sources::{Kind, Source, Sources};
 use maplefall_etcd::client::{self, Place};
 use maplefall_etcd::{one_line, value, Output, Report, Told};
-use maplefall_membership::{EndpointList, Event, SourceSettings, Update, MAX_NODES};
+use maplefall_membership::{EndpointList, Event, SourceSettings, Update, MAX_BACKENDS};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
 use std::cell::{Cell, RefCell};
@@ -440,8 +440,8 @@
     let text = read_bounded(path)?.ok_or("there is no such file")?;
     let documents: BTreeMap<String, serde_json::Value> =
         serde_json::from_slice(&text).map_err(|error| error.to_string())?;
-    if documents.len() > MAX_NODES {
-        return Err(format!("{MAX_NODES} nodes at most were expected"));
+    if documents.len() > MAX_BACKENDS {
+        return Err(format!("{MAX_BACKENDS} nodes at most were expected"));
     }
     let (mut nodes, mut unread) = (Vec::new(), Vec::new());
     for (id, document) in documents {
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -4,7 +4,7 @@
 use maplefall_protocol::{Member, Members};
 
 /// The most nodes of one source; further ones are reported and left out.
-pub const MAX_NODES: usize = 20_000;
+pub const MAX_BACKENDS: usize = 20_000;
 
 /// Settings of a source.
 #[derive(Clone, Debug, PartialEq)]
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
     /// A snapshot lacks so many nodes of the source that they are suspected.
-    NodesSuspected {
+    BackendsSuspected {
         /// The source.
         source: String,
         /// How many nodes are missing.
@@ -104,7 +104,7 @@
         /// The node.
         host: String,
     },
-    /// The source has more than [`MAX_NODES`] nodes.
+    /// The source has more than [`MAX_BACKENDS`] nodes.
     CapacityReached {
         /// The source.
         source: String,
@@ -116,7 +116,7 @@
 impl std::fmt::Display for Report {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Report::NodesSuspected {
+            Report::BackendsSuspected {
                 source,
                 missing,
                 total,
@@ -142,7 +142,7 @@
             Report::CapacityReached { source, left_out } => {
                 write!(
                     f,
-                    "{source}: {left_out} nodes left out; {MAX_NODES} are held at most"
+                    "{source}: {left_out} nodes left out; {MAX_BACKENDS} are held at most"
                 )
             }
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -27,4 +27,4 @@
 mod source;
 
 pub use endpoint_list::EndpointList;
-pub use interface::{Event, Report, SourceSettings, Update, MAX_NODES};
+pub use interface::{Event, Report, SourceSettings, Update, MAX_BACKENDS};
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,6 +1,6 @@
 //! The entries of one source, its versions, and how far it is believed (rules 1, 3 and 4).
 
-use crate::interface::{Report, SourceSettings, MAX_NODES};
+use crate::interface::{Report, SourceSettings, MAX_BACKENDS};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -194,7 +194,7 @@
             self.remove(&missing, latest_starts, changed);
             return;
         }
-        changed.reports.push(Report::NodesSuspected {
+        changed.reports.push(Report::BackendsSuspected {
             source: self.settings.name.clone(),
             missing: missing.len(),
             total,
@@ -298,7 +298,7 @@
     }
 
     fn has_capacity(&self, host: &str) -> bool {
-        self.listed < MAX_NODES || self.record(host).is_some_and(Record::is_listed)
+        self.listed < MAX_BACKENDS || self.record(host).is_some_and(Record::is_listed)
     }
 
     fn evict_stops(&mut self, changed: &mut Changed) {
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -204,7 +204,7 @@
     assert_eq!(changes(&update), [("a", Draining)]);
     assert_eq!(
         update.reports,
-        [Report::NodesSuspected {
+        [Report::BackendsSuspected {
             source: "etcd".into(),
             missing: 3,
             total: 4
@@ -534,7 +534,7 @@
 #[test]
 fn nodes_beyond_the_bound_are_left_out() {
     let mut endpoints = EndpointList::new(vec![SourceSettings::trusted("agent")]);
-    let many: Vec<Member> = (0..maplefall_membership::MAX_NODES + 5)
+    let many: Vec<Member> = (0..maplefall_membership::MAX_BACKENDS + 5)
         .map(|i| {
             let dial = format!("127.{}.{}.1:80", i / 250, i % 250).parse().unwrap();
             Member {
@@ -551,7 +551,10 @@
             left_out: 5
         }]
     );
-    assert_eq!(endpoints.members().count(), maplefall_membership::MAX_NODES);
+    assert_eq!(
+        endpoints.members().count(),
+        maplefall_membership::MAX_BACKENDS
+    );
 }
 
 /// Guards the bound on stops while ever new nodes come and go: the recent ones are kept, and the oldest are forgotten.
