--- a/crates/membership/examples/churn.rs
+++ b/crates/membership/examples/churn.rs
@@ -1,5 +1,7 @@
-//! The cost of a change: `cargo run --release -p maplefall-membership --example churn`. Two sources with the same nodes, then changes of
-//! one node after the other; prints the time per change by the number of nodes, which must hardly grow.
+//! Measures the cost of a change: `cargo run --release -p maplefall-membership --example churn`.
+//!
+//! Two sources with the same backends send changes of one backend after the other. The time per
+//! change is printed by the number of backends; it should hardly grow with that number.
 
 use maplefall_membership::{EndpointList, Event, SourceSettings};
 use maplefall_protocol::{Health, Member, Members};
@@ -9,11 +11,11 @@
 
 fn main() {
     println!(
-        "{:>6} {:>12} {:>14}",
-        "nodes", "us a change", "ms a snapshot"
+        "{:>8} {:>12} {:>14}",
+        "backends", "us/change", "ms/snapshot"
     );
-    for nodes in [50u64, 500, 5_000, 20_000] {
-        let node = |i: u64, health| Member {
+    for backends in [50u64, 500, 5_000, 20_000] {
+        let backend = |i: u64, health| Member {
             host: format!("n{i}"),
             dial: format!("127.{}.{}.{}:80", i >> 16, (i >> 8) & 255, i & 255)
                 .parse()
@@ -28,7 +30,7 @@
             SourceSettings::trusted("agent"),
             SourceSettings::trusted("etcd"),
         ]);
-        let hosts: Vec<Member> = (0..nodes).map(|i| node(i, Health::Up)).collect();
+        let hosts: Vec<Member> = (0..backends).map(|i| backend(i, Health::Up)).collect();
         let started_at = Instant::now();
         for source in 0..2 {
             let members = Members {
@@ -49,7 +51,7 @@
         let started_at = Instant::now();
         let mut changes = 0;
         for i in 0..CHANGES {
-            let health = if (i / nodes) % 2 == 0 {
+            let health = if (i / backends) % 2 == 0 {
                 Health::Draining
             } else {
                 Health::Up
@@ -57,7 +59,7 @@
             let members = Members {
                 seq: 2 + i,
                 whole: false,
-                hosts: vec![node(i % nodes, health)],
+                hosts: vec![backend(i % backends, health)],
             };
             changes += endpoints
                 .apply_event(0.0, Event::Change { source: 1, members })
@@ -66,6 +68,6 @@
         }
         let per_change = started_at.elapsed().as_secs_f64() * 1e6 / CHANGES as f64;
         assert!(changes > 0, "no change was returned");
-        println!("{nodes:>6} {per_change:>12.2} {snapshot:>14.2}");
+        println!("{backends:>8} {per_change:>12.2} {snapshot:>14.2}");
     }
 }
--- a/crates/membership/src/addresses.rs
+++ b/crates/membership/src/addresses.rs
@@ -1,38 +1,38 @@
-//! Which node owns an address (rule 5).
+//! Decides which backend owns an address (rule 5).
 
 use crate::interface::Report;
 use maplefall_protocol::Member;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// The nodes by address, and those that are displaced by another at their address.
+/// The backends by address, and those displaced by another backend at their address.
 #[derive(Debug, Default)]
 pub(crate) struct Addresses {
-    /// Nearly always one node to an address, so a list costs least.
-    nodes: HashMap<SocketAddr, Vec<String>>,
-    /// Displaced nodes, and the owner of their address as it was reported.
+    /// Nearly every address has one backend, so a list costs the least memory.
+    backends: HashMap<SocketAddr, Vec<String>>,
+    /// The displaced backends, each with the last reported owner of its address.
     displaced: BTreeMap<String, String>,
 }
 
 impl Addresses {
     pub(crate) fn add(&mut self, address: SocketAddr, host: &str) {
-        self.nodes
+        self.backends
             .entry(address)
             .or_insert_with(|| Vec::with_capacity(1))
             .push(host.to_owned());
     }
 
     pub(crate) fn remove(&mut self, address: SocketAddr, host: &str) {
-        if let Some(nodes) = self.nodes.get_mut(&address) {
-            nodes.retain(|other| other != host);
-            if nodes.is_empty() {
-                self.nodes.remove(&address);
+        if let Some(backends) = self.backends.get_mut(&address) {
+            backends.retain(|other| other != host);
+            if backends.is_empty() {
+                self.backends.remove(&address);
             }
         }
     }
 
-    /// Forgets that a node was displaced, as it is removed.
-    pub(crate) fn forget(&mut self, host: &str) {
+    /// Clears the displacement of a removed backend.
+    pub(crate) fn clear_displaced(&mut self, host: &str) {
         self.displaced.remove(host);
     }
 
@@ -40,7 +40,8 @@
         self.displaced.contains_key(host)
     }
 
-    /// Decides who owns an address, by the merged entries. Adds the nodes there to `affected`, and reports newly displaced ones.
+    /// Determines the owner of an address from the merged entries. Adds the backends at the address
+    /// to `affected`, and reports newly displaced ones.
     pub(crate) fn assign_owner(
         &mut self,
         address: SocketAddr,
@@ -48,14 +49,14 @@
         affected: &mut BTreeSet<String>,
         reports: &mut Vec<Report>,
     ) {
-        let Some(nodes) = self.nodes.get(&address) else {
+        let Some(backends) = self.backends.get(&address) else {
             return;
         };
-        let Some(owner) = owner(nodes.iter().filter_map(|host| merged.get(host))) else {
+        let Some(owner) = owner(backends.iter().filter_map(|host| merged.get(host))) else {
             return;
         };
         let owner = &owner.host;
-        for host in nodes {
+        for host in backends {
             affected.insert(host.clone());
             if host == owner {
                 self.displaced.remove(host);
@@ -72,9 +73,10 @@
     }
 }
 
-/// The owner of an address: the node that started last, then the lower name.
-fn owner<'a>(nodes: impl Iterator<Item = &'a Member>) -> Option<&'a Member> {
-    nodes.min_by(|a, b| {
+/// Returns the owner of an address: the backend that started last, then the one with the lower
+/// name.
+fn owner<'a>(backends: impl Iterator<Item = &'a Member>) -> Option<&'a Member> {
+    backends.min_by(|a, b| {
         b.born_ms
             .total_cmp(&a.born_ms)
             .then_with(|| a.host.cmp(&b.host))
--- a/crates/membership/src/endpoint_list.rs
+++ b/crates/membership/src/endpoint_list.rs
@@ -1,6 +1,7 @@
-//! The roster: keeps the list that it has returned in line with its sources.
+//! The merged endpoint list, updated incrementally by the events of its sources.
 //!
-//! Invariant: the changes that were returned, applied one after the other, give the merged list by the rules of the package.
+//! Invariant: the changes that were returned, applied one after the other, give the list that
+//! results from the rules of the package.
 
 use crate::addresses::Addresses;
 use crate::interface::{Event, Report, SourceSettings, Update};
@@ -15,16 +16,16 @@
 #[derive(Debug)]
 pub struct EndpointList {
     sources: Vec<Source>,
-    /// The merged entries of nodes that are not removed, before addresses are considered.
+    /// The merged entries of backends that are not removed, before shared addresses are resolved.
     merged: BTreeMap<String, Member>,
-    /// The same nodes by address.
+    /// The same backends by address.
     addresses: Addresses,
-    /// The entries that were returned, of nodes that are not removed.
+    /// The returned entries of backends that are not removed.
     returned: BTreeMap<String, Member>,
 }
 
 impl EndpointList {
-    /// An empty roster with these sources, the one with precedence first.
+    /// Creates an empty list with these sources, the one with precedence first.
     pub fn new(sources: Vec<SourceSettings>) -> EndpointList {
         EndpointList {
             sources: sources.into_iter().map(Source::new).collect(),
@@ -34,8 +35,8 @@
         }
     }
 
-    /// Starts with a list that an earlier incarnation of this process had, as if the source had sent it without a version: any event
-    /// of the source supersedes it.
+    /// Restores a list that an earlier incarnation of this process had, as if the source had sent
+    /// it without a version: any event of the source supersedes it.
     pub fn restore(&mut self, now: Millis, source: usize, members: &Members) -> Update {
         let Some(source) = self.sources.get_mut(source) else {
             return Update::default();
@@ -44,7 +45,8 @@
         self.update(now, changed)
     }
 
-    /// All entries of each source, stops included: what a later incarnation may [`EndpointList::restore`], source by source.
+    /// Returns all entries of each source, stops included, for a later incarnation to pass to
+    /// [`EndpointList::restore`].
     pub fn source_entries(&self) -> impl Iterator<Item = (&SourceSettings, Members)> {
         self.sources.iter().map(|source| {
             let members = Members {
@@ -56,8 +58,9 @@
         })
     }
 
-    /// Applies an event of a source. The cost is that of the nodes in the event and of those that share their addresses; only a snapshot,
-    /// and a source that expires or comes back, touch all nodes of a source.
+    /// Applies an event of a source. The cost grows with the backends in the event and those that
+    /// share their addresses; only a snapshot, and a source that expires or reconnects, cost time
+    /// for all backends of a source.
     pub fn apply_event(&mut self, now: Millis, event: Event) -> Update {
         let latest_starts = self.latest_starts_for(&event);
         let (Event::Snapshot { source, .. }
@@ -76,32 +79,34 @@
                 ..
             } => changed = source.apply_snapshot(now, members, &unreadable, &latest_starts),
             Event::Change { members, .. } => changed = source.apply_change(members, &latest_starts),
-            Event::Lost { .. } => source.lose(now),
-            Event::Resumed { .. } => source.resume(),
+            Event::Lost { .. } => source.mark_lost(now),
+            Event::Resumed { .. } => source.mark_connected(),
             Event::Replaced { .. } => source.restart_versions(),
         }
         self.update(now, changed)
     }
 
-    /// Does what is due by time: sources that expire, and nodes whose suspicion timeout is over.
+    /// Expires lost sources, and removes backends whose suspicion timeout has passed.
     pub fn tick(&mut self, now: Millis) -> Update {
         self.update(now, Changed::default())
     }
 
-    /// When [`EndpointList::tick`] is due; `None` if nothing is.
+    /// Returns when [`EndpointList::tick`] is due; `None` if nothing is.
     pub fn next_due(&self) -> Option<Millis> {
         let due = self.sources.iter().filter_map(Source::next_due);
         due.min_by(f64::total_cmp)
     }
 
-    /// The nodes that are not removed, as they were returned.
+    /// Returns the backends that are not removed, as last returned in an update.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.returned.values()
     }
 
-    // ---- Instances ----------------------------------------------------------------------------------
+    // ---- Instances ------------------------------------------------------------------------------
 
-    /// The latest starts of all nodes that an event is about: a stop is for the instances that any source knows.
+    /// Returns the latest start over all sources of each backend that an event concerns: those in
+    /// the event and, for a snapshot, all of the source. A stop applies to the instances known to
+    /// any source.
     fn latest_starts_for(&self, event: &Event) -> LatestStarts {
         let (Event::Snapshot { members, .. } | Event::Change { members, .. }) = event else {
             return LatestStarts::new();
@@ -115,7 +120,7 @@
         self.latest_starts(hosts.into_iter())
     }
 
-    /// The latest start of each of these nodes that any source knows.
+    /// Returns the latest start of each of these backends over all sources.
     fn latest_starts<'a>(&self, hosts: impl Iterator<Item = &'a str>) -> LatestStarts {
         let latest_start = |host: &str| {
             let records = self.sources.iter().filter_map(|source| source.record(host));
@@ -128,9 +133,9 @@
             .collect()
     }
 
-    // ---- Updates ------------------------------------------------------------------------------------
+    // ---- Updates --------------------------------------------------------------------------------
 
-    /// Brings the returned list in line with the sources, after this was changed.
+    /// Recomputes the list after a change of the sources, and returns what changed in it.
     fn update(&mut self, now: Millis, mut changed: Changed) -> Update {
         self.remove_suspected(now, &mut changed);
         let expired = self.expire_sources(now, &mut changed);
@@ -140,7 +145,7 @@
         } = changed;
         let mut addresses = BTreeSet::new();
         for host in &hosts {
-            self.merge_node(host, &mut addresses);
+            self.merge_backend(host, &mut addresses);
         }
         for address in addresses {
             self.addresses
@@ -150,7 +155,7 @@
         Update { changes, reports }
     }
 
-    /// Removes nodes whose suspicion timeout is over (rule 3).
+    /// Removes backends whose suspicion timeout has passed (rule 3).
     fn remove_suspected(&mut self, now: Millis, changed: &mut Changed) {
         for index in 0..self.sources.len() {
             let due = self.sources[index].suspicions_due(now);
@@ -161,7 +166,8 @@
         }
     }
 
-    /// Expires lost sources, or brings their nodes back (rule 4). Returns the nodes of sources that have just expired.
+    /// Expires lost sources, and restores the backends of reconnected ones (rule 4). Returns the
+    /// backends of sources that have just expired.
     fn expire_sources(&mut self, now: Millis, changed: &mut Changed) -> BTreeSet<String> {
         let any_connected = self.sources.iter().any(Source::is_connected);
         let mut expired = BTreeSet::new();
@@ -177,8 +183,9 @@
         expired
     }
 
-    /// Merges the entry of a node again, and adds the addresses where something changed.
-    fn merge_node(&mut self, host: &str, addresses: &mut BTreeSet<SocketAddr>) {
+    /// Merges the entry of a backend again, and adds its old and new address to `addresses` if it
+    /// changed.
+    fn merge_backend(&mut self, host: &str, addresses: &mut BTreeSet<SocketAddr>) {
         let merged = merge(&self.sources, host);
         let previous = self.merged.get(host);
         if previous == merged.as_ref() {
@@ -196,12 +203,12 @@
             }
             None => {
                 self.merged.remove(host);
-                self.addresses.forget(host);
+                self.addresses.clear_displaced(host);
             }
         }
     }
 
-    /// The changes of these nodes since they were last returned, stops first.
+    /// Returns the changes of these backends since they were last returned, stops first.
     fn return_changes(
         &mut self,
         hosts: BTreeSet<String>,
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -1,28 +1,33 @@
-//! Settings and events that a roster takes, and the changes and reports that it returns.
+//! The settings and events that an endpoint list takes, and the changes and reports that it
+//! returns.
 
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
 
-/// The most nodes of one source; further ones are reported and left out.
+/// The maximum number of backends of one source; further ones are reported and left out.
 pub const MAX_BACKENDS: usize = 20_000;
 
 /// Settings of a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceSettings {
-    /// Its name in reports.
+    /// The name of the source in reports.
     pub name: String,
-    /// Whether its drains and removals win over other sources. A source without authority may only add nodes.
+    /// Whether drains and removals by the source override other sources. A source without authority
+    /// can only add backends.
     pub authoritative: bool,
-    /// The part of its nodes that a snapshot may lack and be believed at once; 1 believes all.
+    /// The maximum fraction of the source's backends that a snapshot can lack and still be applied
+    /// at once; 1 accepts every snapshot. Beyond it the missing backends are suspected.
     pub max_missing_fraction: f64,
-    /// The suspicion timeout: how long missing nodes stay beyond that, in milliseconds.
+    /// How long suspected backends stay in the list, in milliseconds.
     pub suspicion_timeout: Millis,
-    /// The timeout after which nodes that only lost sources know expire while another source is connected, in milliseconds.
+    /// The time after which backends known only from lost sources expire while another source is
+    /// connected, in milliseconds.
     pub expiry_timeout: Millis,
 }
 
 impl SourceSettings {
-    /// An authoritative source whose every event is believed at once, like the platform's agent.
+    /// Returns the settings of an authoritative source whose every event is applied at once, such
+    /// as the platform's agent.
     pub fn trusted(name: &str) -> SourceSettings {
         SourceSettings {
             name: name.to_owned(),
@@ -34,19 +39,20 @@
     }
 }
 
-/// What a source has learned. `source` is its index in the settings; the first has precedence.
+/// News from a source. `source` is its index in the settings; the first has precedence.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The complete list at a version.
     Snapshot {
         /// The source.
         source: usize,
-        /// The list; its `whole` is ignored.
+        /// The list; its field `whole` is ignored.
         members: Members,
-        /// Nodes in the list whose entries could not be read; their previous entries stay.
+        /// Backends in the list whose entries could not be read; their previous entries stay.
         unreadable: Vec<String>,
     },
-    /// What changed up to a version, applied as one: a drain and the start of a replacement are seen together.
+    /// The changes up to a version, applied together, so that a drain and the start of a
+    /// replacement become visible at the same time.
     Change {
         /// The source.
         source: usize,
@@ -58,57 +64,57 @@
         /// The source.
         source: usize,
     },
-    /// The connection is back.
+    /// The connection to the source is restored.
     Resumed {
         /// The source.
         source: usize,
     },
-    /// Another service answers under its name: its versions restart, and its entries stay until its next snapshot, which is subject to
-    /// suspicion like any other.
+    /// Another service responds under the source's name: the versions restart. The source's entries
+    /// stay until its next snapshot, to which suspicion applies as to any other.
     Replaced {
         /// The source.
         source: usize,
     },
 }
 
-/// Something for the log.
+/// A condition to be logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
-    /// A snapshot lacks so many nodes of the source that they are suspected.
+    /// A snapshot lacks so many of the source's backends that they are suspected.
     BackendsSuspected {
         /// The source.
         source: String,
-        /// How many nodes are missing.
+        /// How many backends are missing.
         missing: usize,
-        /// How many nodes it had.
+        /// How many backends the source had.
         total: usize,
     },
-    /// Many nodes were removed at once.
+    /// Many backends were removed at once.
     MassRemoval {
         /// The source.
         source: String,
-        /// How many nodes were removed.
+        /// How many backends were removed.
         removed: usize,
-        /// How many nodes it had.
+        /// How many backends the source had.
         total: usize,
     },
-    /// Two nodes have the same address.
+    /// Two backends have the same address.
     SharedAddress {
-        /// The node that owns it.
+        /// The backend that owns the address.
         owner: String,
-        /// The node that counts as removed.
+        /// The backend that counts as removed.
         displaced: String,
     },
-    /// A node that only lost sources knew has expired.
+    /// A backend known only from lost sources has expired.
     Expired {
-        /// The node.
+        /// The backend.
         host: String,
     },
-    /// The source has more than [`MAX_BACKENDS`] nodes.
+    /// The source has more than [`MAX_BACKENDS`] backends.
     CapacityReached {
         /// The source.
         source: String,
-        /// How many nodes were left out.
+        /// How many backends were left out.
         left_out: usize,
     },
 }
@@ -121,7 +127,7 @@
                 missing,
                 total,
             } => {
-                write!(f, "{source}: {missing} of {total} nodes are missing; they stay until the time of doubt is over")
+                write!(f, "{source}: {missing} of {total} backends are missing; they stay for the suspicion timeout")
             }
             Report::MassRemoval {
                 source,
@@ -130,11 +136,11 @@
             } => {
                 write!(
                     f,
-                    "{source}: {removed} of {total} nodes were removed at once"
+                    "{source}: {removed} of {total} backends were removed at once"
                 )
             }
             Report::SharedAddress { owner, displaced } => {
-                write!(f, "{displaced} has the address of {owner}, which started later or comes first by name: not used")
+                write!(f, "{displaced} is not used: {owner} has its address and started later or has the lower name")
             }
             Report::Expired { host } => {
                 write!(f, "{host} was known from lost sources only: given up")
@@ -142,7 +148,7 @@
             Report::CapacityReached { source, left_out } => {
                 write!(
                     f,
-                    "{source}: {left_out} nodes left out; {MAX_BACKENDS} are held at most"
+                    "{source}: {left_out} backends were left out; the limit is {MAX_BACKENDS}"
                 )
             }
         }
@@ -152,8 +158,9 @@
 /// The result of an event.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
-    /// Changes for the policy, each node once. Stops come first, so that no request goes to a stopped node while the rest is applied.
+    /// The changes for the policy, each backend once. Stops come first, so that no request is
+    /// forwarded to a stopped backend while the rest is applied.
     pub changes: Vec<Member>,
-    /// For the log.
+    /// The conditions to be logged.
     pub reports: Vec<Report>,
 }
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,14 +1,15 @@
-//! Merges what all sources say of a node into one entry (rules 2 and 6).
+//! Merges the entries of a backend in all sources into one (rules 2 and 6).
 
 use crate::source::Source;
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member};
 
-/// The merged entry of a node; `None` if it is removed or unknown. Sources come in the order of their precedence.
+/// Returns the merged entry of a backend; `None` if it is removed or unknown. Sources come in the
+/// order of their precedence.
 pub(crate) fn merge(sources: &[Source], host: &str) -> Option<Member> {
     let mut details: Option<&Member> = None;
     let mut latest_start: Millis = 0.0;
-    // The latest starts for which authoritative sources have removed or drained the node.
+    // The latest starts up to which authoritative sources have removed or drained the backend.
     let mut removed_up_to = f64::NEG_INFINITY;
     let mut drained_up_to = f64::NEG_INFINITY;
     for source in sources {
@@ -17,7 +18,7 @@
         };
         let member = &record.member;
         latest_start = latest_start.max(member.born_ms);
-        // An instance that an earlier source has too is left to that source.
+        // If several sources have the same instance, the first of them provides the details.
         let is_newer = details.is_none_or(|details| member.born_ms > details.born_ms);
         if record.is_listed() && !source.is_expired() && is_newer {
             details = Some(member);
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,23 +1,26 @@
-//! The entries of one source, its versions, and how far it is believed (rules 1, 3 and 4).
+//! The entries of one source, its versions, its suspected backends and its expiry (rules 1, 3 and
+//! 4).
 
 use crate::interface::{Report, SourceSettings, MAX_BACKENDS};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member, Members};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The most removed nodes whose stops a source keeps; beyond it the oldest are forgotten.
+/// The maximum number of removed backends whose stops a source keeps; beyond it the oldest are
+/// evicted.
 const MAX_STOPS: usize = 4096;
-/// Removals in one event from which on they are reported, if they are over half of the source's nodes.
+/// The minimum number of removals in one event that is reported, if it is over half of the source's
+/// backends.
 const MIN_MASS_REMOVAL: usize = 3;
 
-/// What a source says of a node.
+/// The state of a backend in one source.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Record {
-    /// Its entry. A removed node's is kept, as it is a stop.
+    /// The entry. That of a removed backend is kept, as it is a stop.
     pub(crate) member: Member,
-    /// For a stop: the latest start that was known when it came.
+    /// For a stop: the latest start known when it was received.
     pub(crate) stopped_up_to: Millis,
-    /// The number of the record among all of the source.
+    /// The sequence number of the record in this source.
     sequence: u64,
 }
 
@@ -27,35 +30,35 @@
     }
 }
 
-/// The latest start of each node that an event is about, as any source knows it.
+/// The latest start over all sources of each backend that an event concerns.
 pub(crate) type LatestStarts = BTreeMap<String, Millis>;
 
-/// What an event changed.
+/// The effects of an event on a source.
 #[derive(Debug, Default)]
 pub(crate) struct Changed {
-    /// Nodes whose records have changed.
+    /// The backends whose records have changed.
     pub(crate) hosts: BTreeSet<String>,
-    /// For the log.
+    /// The conditions to be logged.
     pub(crate) reports: Vec<Report>,
 }
 
-/// One source.
+/// A source with its records.
 #[derive(Debug)]
 pub(crate) struct Source {
     pub(crate) settings: SourceSettings,
     records: BTreeMap<String, Record>,
-    /// How many of the records are not removed.
+    /// The number of records that are not removed.
     listed: usize,
     last_sequence: u64,
     version: Option<u64>,
     lost_since: Option<Millis>,
     /// Whether any event was applied.
     has_begun: bool,
-    /// Whether it was lost for so long that its nodes have expired.
+    /// Whether the source was lost for so long that its backends have expired.
     is_expired: bool,
-    /// Removed nodes with the sequence numbers of their records, the oldest first.
+    /// The removed backends with the sequence numbers of their records, the oldest first.
     stops: VecDeque<(String, u64)>,
-    /// Nodes that snapshots have lacked, and since when.
+    /// The suspected backends, and when each was first missing from a snapshot.
     suspected: BTreeMap<String, Millis>,
 }
 
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Whether it is connected, so that it would name a missing node again.
+    /// Returns whether the source is connected, and so would list a missing backend again.
     pub(crate) fn is_connected(&self) -> bool {
         self.has_begun && self.lost_since.is_none()
     }
@@ -92,9 +95,10 @@
         self.records.keys().map(String::as_str)
     }
 
-    // ---- Persistence --------------------------------------------------------------------------------
+    // ---- Persistence ----------------------------------------------------------------------------
 
-    /// All entries, as [`Source::restore`] takes them: a removal has the latest start that it is for.
+    /// Returns all entries in the form that [`Source::restore`] takes: a removal has the latest
+    /// start to which it applies.
     pub(crate) fn entries(&self) -> Vec<Member> {
         let entry = |record: &Record| match record.member.health {
             Health::Removed => Member {
@@ -112,23 +116,24 @@
         changed
     }
 
-    // ---- Connection and versions --------------------------------------------------------------------
+    // ---- Connection and versions ----------------------------------------------------------------
 
-    pub(crate) fn lose(&mut self, now: Millis) {
+    pub(crate) fn mark_lost(&mut self, now: Millis) {
         self.lost_since.get_or_insert(now);
     }
 
-    pub(crate) fn resume(&mut self) {
+    pub(crate) fn mark_connected(&mut self) {
         self.lost_since = None;
     }
 
-    /// Another service answers under this source's name. It may have the nodes that the previous one lacked.
+    /// Resets the versions, as another service responds under this source's name. That service can
+    /// have backends that the previous one lacked, so suspicions are cleared too.
     pub(crate) fn restart_versions(&mut self) {
         self.version = None;
         self.suspected.clear();
     }
 
-    /// Whether an event with this version is new; its version is the last one then.
+    /// Returns whether a version is above the last one, and records it if so.
     fn accept_version(&mut self, version: u64) -> bool {
         if self.version.is_some_and(|last| version <= last) {
             return false;
@@ -139,7 +144,7 @@
         true
     }
 
-    // ---- Events -------------------------------------------------------------------------------------
+    // ---- Events ---------------------------------------------------------------------------------
 
     pub(crate) fn apply_snapshot(
         &mut self,
@@ -171,7 +176,7 @@
         changed
     }
 
-    /// Removes nodes that a snapshot lacks, or suspects them if they are too many.
+    /// Removes backends that a snapshot lacks, or suspects them if there are too many.
     fn remove_or_suspect(
         &mut self,
         now: Millis,
@@ -180,16 +185,16 @@
         changed: &mut Changed,
     ) {
         let max_missing_fraction = self.settings.max_missing_fraction;
-        let is_believed =
+        let is_accepted =
             |missing: usize, total: usize| missing as f64 <= max_missing_fraction * total as f64;
         let mut total = self.listed;
-        if !is_believed(missing.len(), total) {
-            // Nodes that are suspected already have their own timeout. If they were counted, they would make every later removal
-            // suspect.
+        if !is_accepted(missing.len(), total) {
+            // Backends already suspected have their own timeout. If they were counted, every later
+            // removal would be suspected too.
             missing.retain(|host| !self.suspected.contains_key(host));
             total -= self.suspected.len();
         }
-        if is_believed(missing.len(), total) {
+        if is_accepted(missing.len(), total) {
             self.report_mass_removal(missing.len(), total, changed);
             self.remove(&missing, latest_starts, changed);
             return;
@@ -232,9 +237,10 @@
         }
     }
 
-    // ---- Suspicion ----------------------------------------------------------------------------------
+    // ---- Suspicion ------------------------------------------------------------------------------
 
-    /// Nodes that were missing for the suspicion timeout, while the source is connected.
+    /// Returns the backends whose suspicion timeout has passed; none unless the source is
+    /// connected.
     pub(crate) fn suspicions_due(&self, now: Millis) -> Vec<String> {
         if self.suspected.is_empty() || !self.is_connected() {
             return Vec::new();
@@ -246,7 +252,7 @@
             .collect()
     }
 
-    /// Removes nodes that were suspected.
+    /// Removes backends whose suspicion timeout has passed.
     pub(crate) fn remove_suspected(
         &mut self,
         hosts: &[String],
@@ -258,7 +264,7 @@
         self.evict_stops(changed);
     }
 
-    // ---- Records ------------------------------------------------------------------------------------
+    // ---- Records --------------------------------------------------------------------------------
 
     fn remove(&mut self, hosts: &[String], latest_starts: &LatestStarts, changed: &mut Changed) {
         for host in hosts {
@@ -281,7 +287,7 @@
     ) {
         let mut left_out = 0;
         for member in members {
-            // Stops have a bound of their own.
+            // Stops are bounded separately by `MAX_STOPS`.
             if member.health != Health::Removed && !self.has_capacity(&member.host) {
                 left_out += 1;
             } else {
@@ -306,7 +312,7 @@
             let Some((host, sequence)) = self.stops.pop_front() else {
                 break;
             };
-            // The node may have come back, and may have been removed again since.
+            // The backend can have been listed again since, and even removed again.
             let record = self.records.get(&host);
             if record.is_some_and(|record| record.sequence == sequence) {
                 self.records.remove(&host);
@@ -315,7 +321,7 @@
         }
     }
 
-    /// Replaces the record of a node.
+    /// Replaces the record of a backend.
     fn set_record(&mut self, member: Member, latest_starts: &LatestStarts, changed: &mut Changed) {
         self.last_sequence += 1;
         let host = member.host.clone();
@@ -338,10 +344,10 @@
         }
     }
 
-    // ---- Time ---------------------------------------------------------------------------------------
+    // ---- Time -----------------------------------------------------------------------------------
 
-    /// Updates whether it is expired, and returns whether that changed. The nodes of an expired source count as not listed; its stops
-    /// stay in force.
+    /// Updates whether the source is expired, and returns whether that changed. The backends of an
+    /// expired source count as not listed; its stops stay in force.
     pub(crate) fn update_expiry(&mut self, now: Millis, any_connected: bool) -> bool {
         let was_expired = self.is_expired;
         self.is_expired = any_connected
@@ -351,7 +357,7 @@
         self.is_expired != was_expired
     }
 
-    /// When something is due by time alone.
+    /// Returns when an expiry or a suspicion timeout is due.
     pub(crate) fn next_due(&self) -> Option<Millis> {
         let may_expire = self.listed > 0 && !self.is_expired;
         let expiry = self
--- a/crates/membership/tests/reference_model.rs
+++ b/crates/membership/tests/reference_model.rs
@@ -1,6 +1,6 @@
-//! Random histories of three sources against a reference model that merges everything again after each event, by the rules of the
-//! package: after every event the roster equals the model, and the changes that it returned, applied one after the other, give the same
-//! list.
+//! Random histories of three sources, compared with a reference model that merges everything again
+//! after each event, by the rules of the package. After every event the endpoint list equals the
+//! model's, and the returned changes, applied one after the other, give the same list.
 
 use maplefall_membership::{EndpointList, Event, SourceSettings};
 use maplefall_protocol::{Health, Member, Members};
@@ -27,10 +27,10 @@
     ]
 }
 
-/// What one source says of a node.
+/// The state of a backend in one source.
 struct Record {
     member: Member,
-    /// The latest start that a stop is for.
+    /// The latest start to which a stop applies.
     stopped_up_to: f64,
     suspected_since: Option<f64>,
 }
@@ -87,44 +87,46 @@
                 source, members, ..
             }
             | Event::Change { source, members } => {
-                let of = &mut self.sources[*source];
-                if of.version.is_some_and(|last| members.seq <= last) {
-                    return self.pass_time(now);
+                let state = &mut self.sources[*source];
+                if state.version.is_some_and(|last| members.seq <= last) {
+                    return self.apply_timeouts(now);
                 }
-                (of.version, of.has_begun, of.lost_since) = (Some(members.seq), true, None);
+                (state.version, state.has_begun, state.lost_since) =
+                    (Some(members.seq), true, None);
                 if let Event::Snapshot { unreadable, .. } = event {
                     self.apply_missing(now, *source, members, unreadable);
                 }
-                // Starts are those known before the event: a stop in it is not for an instance that it has elsewhere.
+                // The starts are those known before the event: a stop in it does not apply to
+                // another instance in the same event.
                 members
                     .hosts
                     .iter()
                     .for_each(|member| self.set_record(*source, member));
             }
         }
-        self.pass_time(now);
+        self.apply_timeouts(now);
     }
 
     fn apply_missing(&mut self, now: f64, source: usize, members: &Members, unreadable: &[String]) {
         let settings = self.settings[source].clone();
-        let of = &mut self.sources[source];
+        let state = &mut self.sources[source];
         for host in unreadable {
-            if let Some(record) = of.records.get_mut(host) {
+            if let Some(record) = state.records.get_mut(host) {
                 record.suspected_since = None;
             }
         }
         let named = |host: &String| {
             members.hosts.iter().any(|m| m.host == *host) || unreadable.contains(host)
         };
-        for (host, record) in &mut of.records {
+        for (host, record) in &mut state.records {
             if named(host) {
                 record.suspected_since = None;
             }
         }
-        let is_believed = |missing: usize, total: usize| {
+        let is_accepted = |missing: usize, total: usize| {
             missing as f64 <= settings.max_missing_fraction * total as f64
         };
-        let listed = of
+        let listed = state
             .records
             .iter()
             .filter(|(_, record)| record.member.health != Health::Removed);
@@ -136,12 +138,12 @@
             .map(|(host, _)| host)
             .filter(|host| !named(host))
             .collect();
-        if is_believed(missing.len(), listed.len()) {
+        if is_accepted(missing.len(), listed.len()) {
             return missing
                 .into_iter()
                 .for_each(|host| self.remove(source, host));
         }
-        // Nodes that are suspected already count neither as listed nor as missing.
+        // Backends already suspected count neither as listed nor as missing.
         let trusted: Vec<&String> = listed
             .iter()
             .filter(|(_, suspected)| !suspected)
@@ -153,7 +155,7 @@
             .filter(|host| !named(host))
             .collect();
         for host in &newly_missing {
-            if is_believed(newly_missing.len(), trusted.len()) {
+            if is_accepted(newly_missing.len(), trusted.len()) {
                 self.remove(source, host);
             } else {
                 let record = self.sources[source].records.get_mut(*host).unwrap();
@@ -173,14 +175,14 @@
         );
     }
 
-    fn pass_time(&mut self, now: f64) {
+    fn apply_timeouts(&mut self, now: f64) {
         for source in 0..self.sources.len() {
-            let of = &self.sources[source];
-            if !of.has_begun || of.lost_since.is_some() {
+            let state = &self.sources[source];
+            if !state.has_begun || state.lost_since.is_some() {
                 continue;
             }
             let timeout = self.settings[source].suspicion_timeout;
-            let due = of.records.iter().filter(|(_, record)| {
+            let due = state.records.iter().filter(|(_, record)| {
                 record
                     .suspected_since
                     .is_some_and(|since| now - since >= timeout)
@@ -236,10 +238,10 @@
         }
         let all = list.clone();
         list.retain(|host, member| {
-            !all.iter().any(|(other, one)| {
-                let first =
-                    one.born_ms > member.born_ms || (one.born_ms == member.born_ms && other < host);
-                other != host && one.dial == member.dial && first
+            !all.iter().any(|(other_host, other)| {
+                let takes_precedence = other.born_ms > member.born_ms
+                    || (other.born_ms == member.born_ms && other_host < host);
+                other_host != host && other.dial == member.dial && takes_precedence
             })
         });
         list
@@ -270,7 +272,7 @@
         })
 }
 
-/// An event whose version is near the last one: sometimes late, sometimes repeated.
+/// Generates an event whose version is near the last one: sometimes late, sometimes repeated.
 fn event() -> impl Strategy<Value = (u8, usize, i64, Vec<Member>, Vec<&'static str>, f64)> {
     let unreadable = prop::collection::vec(prop::sample::select(HOSTS.to_vec()), 0..2);
     (
@@ -299,16 +301,16 @@
     })]
 
     #[test]
-    fn the_roster_agrees_with_the_reference_model(history in prop::collection::vec(event(), 1..80)) {
+    fn the_endpoint_list_agrees_with_the_reference_model(history in prop::collection::vec(event(), 1..80)) {
         let mut endpoints = EndpointList::new(settings());
         let sources = (0..3).map(|_| ModelSource::default()).collect();
         let mut model = Model { settings: settings(), sources };
         let mut mirror: BTreeMap<String, Member> = BTreeMap::new();
         let (mut now, mut versions) = (0.0, [10i64; 3]);
-        for (kind, source, step, mut hosts, unreadable, pause) in history {
-            now += pause;
+        for (kind, source, step, mut hosts, unreadable, elapsed) in history {
+            now += elapsed;
             let mut seen = std::collections::BTreeSet::new();
-            // One version has a node once.
+            // A version lists a backend once.
             hosts.retain(|member| seen.insert(member.host.clone()));
             let version = (versions[source] + step).max(1);
             let members = Members { seq: version as u64, whole: false, hosts };
@@ -327,15 +329,15 @@
             }
             model.apply_event(now, &event);
             let update = endpoints.apply_event(now, event);
-            let mut once = std::collections::BTreeSet::new();
+            let mut changed_hosts = std::collections::BTreeSet::new();
             for change in &update.changes {
-                prop_assert!(once.insert(change.host.clone()), "returned twice: {}", change.host);
+                prop_assert!(changed_hosts.insert(change.host.clone()), "returned twice: {}", change.host);
                 let before = match change.health {
                     Health::Removed => mirror.remove(&change.host),
                     _ => mirror.insert(change.host.clone(), change.clone()),
                 };
                 prop_assert!(before.as_ref() != Some(change), "returned without a change: {change:?}");
-                prop_assert!(change.health != Health::Removed || before.is_some(), "removed an unknown node: {change:?}");
+                prop_assert!(change.health != Health::Removed || before.is_some(), "removed an unknown backend: {change:?}");
             }
             let list = model.list();
             prop_assert_eq!(&mirror, &list);
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule of the package by an example.
+//! Examples of each rule of the package.
 
 use maplefall_membership::{EndpointList, Event, Report, SourceSettings, Update};
 use maplefall_protocol::{Health, Member, Members};
@@ -7,8 +7,8 @@
 const AGENT: usize = 0;
 const ETCD: usize = 1;
 
-fn node(host: &str, health: Health, born_ms: f64) -> Member {
-    // Each name has an address of its own, unless a test sets one.
+fn backend(host: &str, health: Health, born_ms: f64) -> Member {
+    // Each name has its own address, unless a test sets one.
     let port = 1000
         + host.bytes().fold(0u16, |sum, byte| {
             sum.wrapping_mul(31).wrapping_add(u16::from(byte))
@@ -58,7 +58,7 @@
     ])
 }
 
-/// The names and states in an update.
+/// Returns the names and states in an update.
 fn changes(update: &Update) -> Vec<(&str, Health)> {
     update
         .changes
@@ -67,7 +67,7 @@
         .collect()
 }
 
-/// The names and states of all nodes.
+/// Returns the names and states of all backends.
 fn states(endpoints: &EndpointList) -> Vec<(&str, Health)> {
     endpoints
         .members()
@@ -75,43 +75,47 @@
         .collect()
 }
 
-/// Guards a single trusted source: all its events are applied at once.
+/// All events of a single trusted source are applied at once.
 #[test]
 fn events_of_a_single_trusted_source_are_applied() {
     let mut endpoints = EndpointList::new(vec![SourceSettings::trusted("agent")]);
     let update = endpoints.apply_event(
         0.0,
-        snapshot(AGENT, 1, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
+        snapshot(AGENT, 1, &[backend("a", Up, 0.0), backend("b", Up, 0.0)]),
     );
     assert_eq!(changes(&update), [("a", Up), ("b", Up)]);
-    let update = endpoints.apply_event(1.0, change(AGENT, 2, &[node("b", Draining, 0.0)]));
+    let update = endpoints.apply_event(1.0, change(AGENT, 2, &[backend("b", Draining, 0.0)]));
     assert_eq!(changes(&update), [("b", Draining)]);
     let update = endpoints.apply_event(
         2.0,
-        change(AGENT, 3, &[node("b", Removed, 0.0), node("c", Up, 5.0)]),
+        change(
+            AGENT,
+            3,
+            &[backend("b", Removed, 0.0), backend("c", Up, 5.0)],
+        ),
     );
     assert_eq!(changes(&update), [("b", Removed), ("c", Up)]);
-    let update = endpoints.apply_event(3.0, snapshot(AGENT, 4, &[node("c", Up, 5.0)]));
+    let update = endpoints.apply_event(3.0, snapshot(AGENT, 4, &[backend("c", Up, 5.0)]));
     assert_eq!(changes(&update), [("a", Removed)]);
     assert_eq!(
-        changes(&endpoints.apply_event(4.0, snapshot(AGENT, 5, &[node("c", Up, 5.0)]))),
+        changes(&endpoints.apply_event(4.0, snapshot(AGENT, 5, &[backend("c", Up, 5.0)]))),
         []
     );
 }
 
-/// Guards rule 1 against late events, and a restart of the versions.
+/// Rule 1: late events change nothing, and versions can restart.
 #[test]
 fn late_events_change_nothing() {
     let mut endpoints = agent_and_etcd();
-    endpoints.apply_event(0.0, snapshot(ETCD, 10, &[node("a", Up, 0.0)]));
-    endpoints.apply_event(1.0, change(ETCD, 12, &[node("a", Draining, 0.0)]));
-    // An old event on a second stream, and a snapshot of a replica that lags.
+    endpoints.apply_event(0.0, snapshot(ETCD, 10, &[backend("a", Up, 0.0)]));
+    endpoints.apply_event(1.0, change(ETCD, 12, &[backend("a", Draining, 0.0)]));
+    // An old event on a second stream, and a snapshot of a lagging replica.
     assert_eq!(
-        changes(&endpoints.apply_event(2.0, change(ETCD, 11, &[node("a", Up, 0.0)]))),
+        changes(&endpoints.apply_event(2.0, change(ETCD, 11, &[backend("a", Up, 0.0)]))),
         []
     );
     assert_eq!(
-        changes(&endpoints.apply_event(2.0, change(ETCD, 12, &[node("a", Up, 0.0)]))),
+        changes(&endpoints.apply_event(2.0, change(ETCD, 12, &[backend("a", Up, 0.0)]))),
         []
     );
     assert_eq!(
@@ -122,53 +126,54 @@
     // Another service under the same name restarts the versions.
     endpoints.apply_event(4.0, Event::Replaced { source: ETCD });
     assert_eq!(
-        changes(&endpoints.apply_event(5.0, snapshot(ETCD, 3, &[node("a", Up, 0.0)]))),
+        changes(&endpoints.apply_event(5.0, snapshot(ETCD, 3, &[backend("a", Up, 0.0)]))),
         [("a", Up)]
     );
 }
 
-/// Guards rule 2 in either order of the sources.
+/// Rule 2: a drain by one source holds against the other, whichever has precedence.
 #[test]
 fn a_drain_wins_until_its_source_takes_it_back() {
     for order in [[AGENT, ETCD], [ETCD, AGENT]] {
         let mut endpoints = agent_and_etcd();
-        endpoints.apply_event(0.0, snapshot(order[0], 1, &[node("a", Up, 7.0)]));
-        endpoints.apply_event(1.0, snapshot(order[1], 1, &[node("a", Draining, 7.0)]));
+        endpoints.apply_event(0.0, snapshot(order[0], 1, &[backend("a", Up, 7.0)]));
+        endpoints.apply_event(1.0, snapshot(order[1], 1, &[backend("a", Draining, 7.0)]));
         assert_eq!(states(&endpoints), [("a", Draining)]);
-        // The other source says up again: it cannot undo a drain that is not its own.
+        // The other source reports the backend as up again: that cannot revoke a drain of another
+        // source.
         assert_eq!(
-            changes(&endpoints.apply_event(2.0, change(order[0], 2, &[node("a", Up, 7.0)]))),
+            changes(&endpoints.apply_event(2.0, change(order[0], 2, &[backend("a", Up, 7.0)]))),
             []
         );
-        let update = endpoints.apply_event(3.0, change(order[1], 2, &[node("a", Up, 7.0)]));
+        let update = endpoints.apply_event(3.0, change(order[1], 2, &[backend("a", Up, 7.0)]));
         assert_eq!(changes(&update), [("a", Up)]);
     }
 }
 
-/// Guards rule 2 for a node that starts again.
+/// Rule 2: a backend that was stopped and starts again is used again.
 #[test]
-fn a_stop_is_not_for_a_newer_instance() {
+fn a_stop_does_not_apply_to_a_newer_instance() {
     let mut endpoints = agent_and_etcd();
-    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[node("a", Up, 7.0)]));
-    endpoints.apply_event(1.0, change(ETCD, 1, &[node("a", Removed, 7.0)]));
+    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[backend("a", Up, 7.0)]));
+    endpoints.apply_event(1.0, change(ETCD, 1, &[backend("a", Removed, 7.0)]));
     assert_eq!(states(&endpoints), []);
     assert_eq!(
-        changes(&endpoints.apply_event(2.0, change(AGENT, 2, &[node("a", Up, 7.0)]))),
+        changes(&endpoints.apply_event(2.0, change(AGENT, 2, &[backend("a", Up, 7.0)]))),
         [],
         "the same instance"
     );
     assert_eq!(
-        changes(&endpoints.apply_event(3.0, change(AGENT, 3, &[node("a", Up, 9.0)]))),
+        changes(&endpoints.apply_event(3.0, change(AGENT, 3, &[backend("a", Up, 9.0)]))),
         [("a", Up)]
     );
-    // A stop without a start is for the instances known then, not for a later one.
-    endpoints.apply_event(4.0, change(ETCD, 2, &[node("a", Draining, 0.0)]));
+    // A stop without a start applies to the instances known then, not to a later one.
+    endpoints.apply_event(4.0, change(ETCD, 2, &[backend("a", Draining, 0.0)]));
     assert_eq!(states(&endpoints), [("a", Draining)]);
-    endpoints.apply_event(5.0, change(AGENT, 4, &[node("a", Up, 11.0)]));
+    endpoints.apply_event(5.0, change(AGENT, 4, &[backend("a", Up, 11.0)]));
     assert_eq!(states(&endpoints), [("a", Up)]);
 }
 
-/// Guards rule 2 against sources without authority.
+/// Rule 2: a source without authority cannot drain a backend of another source.
 #[test]
 fn a_source_without_authority_only_adds() {
     let mut endpoints = EndpointList::new(vec![
@@ -178,29 +183,32 @@
             ..SourceSettings::trusted("file")
         },
     ]);
-    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[node("a", Up, 0.0)]));
+    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[backend("a", Up, 0.0)]));
     let update = endpoints.apply_event(
         1.0,
-        snapshot(1, 1, &[node("a", Draining, 0.0), node("b", Up, 0.0)]),
+        snapshot(1, 1, &[backend("a", Draining, 0.0), backend("b", Up, 0.0)]),
     );
     assert_eq!(changes(&update), [("b", Up)]);
-    endpoints.apply_event(2.0, change(AGENT, 2, &[node("b", Draining, 0.0)]));
+    endpoints.apply_event(2.0, change(AGENT, 2, &[backend("b", Draining, 0.0)]));
     assert_eq!(states(&endpoints), [("a", Up), ("b", Draining)]);
 }
 
-/// Guards rule 3 against a snapshot that lacks too many nodes.
+/// Rule 3: a snapshot that lacks too many backends, as after a partial read, does not remove them
+/// at once.
 #[test]
-fn nodes_missing_in_a_shrunken_snapshot_stay_for_the_suspicion_timeout() {
+fn backends_missing_from_a_shrunken_snapshot_stay_for_the_suspicion_timeout() {
     let etcd = SourceSettings {
         max_missing_fraction: 0.5,
         suspicion_timeout: 1000.0,
         ..SourceSettings::trusted("etcd")
     };
     let mut endpoints = EndpointList::new(vec![etcd]);
-    let all: Vec<Member> = ["a", "b", "c", "d"].map(|host| node(host, Up, 0.0)).into();
+    let all: Vec<Member> = ["a", "b", "c", "d"]
+        .map(|host| backend(host, Up, 0.0))
+        .into();
     endpoints.apply_event(0.0, snapshot(0, 1, &all));
-    // Half may go at once; a drain in the same snapshot is applied at once too.
-    let update = endpoints.apply_event(1.0, snapshot(0, 2, &[node("a", Draining, 0.0)]));
+    // A snapshot can lack half; a drain in a snapshot that lacks more is applied at once too.
+    let update = endpoints.apply_event(1.0, snapshot(0, 2, &[backend("a", Draining, 0.0)]));
     assert_eq!(changes(&update), [("a", Draining)]);
     assert_eq!(
         update.reports,
@@ -212,12 +220,12 @@
     );
     let update = endpoints.apply_event(
         500.0,
-        snapshot(0, 3, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
+        snapshot(0, 3, &[backend("a", Up, 0.0), backend("b", Up, 0.0)]),
     );
     assert_eq!(
         changes(&update),
         [("c", Removed), ("d", Removed), ("a", Up)],
-        "half of what it had"
+        "half of the source's backends"
     );
     endpoints.apply_event(600.0, snapshot(0, 4, &[]));
     assert_eq!(
@@ -226,15 +234,17 @@
         "still suspected"
     );
     assert_eq!(endpoints.next_due(), Some(1600.0));
-    // A source that watches does not repeat what has not changed: the timeout alone decides.
+    // A source with a watch does not repeat unchanged entries, so the timeout alone decides.
     assert_eq!(
         changes(&endpoints.tick(1600.0)),
         [("a", Removed), ("b", Removed)]
     );
     assert_eq!(endpoints.next_due(), None);
-    // Removals by name are believed at once, however many, and reported.
+    // Removals by name are applied at once, however many, and reported.
     endpoints.apply_event(2000.0, snapshot(0, 7, &all));
-    let removed: Vec<Member> = ["a", "b", "c"].map(|host| node(host, Removed, 0.0)).into();
+    let removed: Vec<Member> = ["a", "b", "c"]
+        .map(|host| backend(host, Removed, 0.0))
+        .into();
     let update = endpoints.apply_event(2001.0, change(0, 8, &removed));
     assert_eq!(update.changes.len(), 3);
     assert_eq!(
@@ -247,19 +257,22 @@
     );
 }
 
-/// Guards rule 3: suspicion ends when the node is named again, and does not time out while the source is lost.
+/// Rule 3: suspicion ends when the backend is listed again, and does not time out while the source
+/// is lost.
 #[test]
-fn suspicion_ends_with_the_nodes_return_and_waits_for_a_lost_source() {
+fn suspicion_ends_when_the_backend_returns_and_waits_for_a_lost_source() {
     let etcd = SourceSettings {
         max_missing_fraction: 0.5,
         suspicion_timeout: 1000.0,
         ..SourceSettings::trusted("etcd")
     };
     let mut endpoints = EndpointList::new(vec![etcd]);
-    let all: Vec<Member> = ["a", "b", "c", "d"].map(|host| node(host, Up, 0.0)).into();
+    let all: Vec<Member> = ["a", "b", "c", "d"]
+        .map(|host| backend(host, Up, 0.0))
+        .into();
     endpoints.apply_event(0.0, snapshot(0, 1, &all));
     endpoints.apply_event(1.0, snapshot(0, 2, &[]));
-    endpoints.apply_event(2.0, change(0, 3, &[node("a", Up, 0.0)]));
+    endpoints.apply_event(2.0, change(0, 3, &[backend("a", Up, 0.0)]));
     endpoints.apply_event(500.0, Event::Lost { source: 0 });
     assert_eq!(endpoints.next_due(), None);
     assert_eq!(
@@ -282,49 +295,62 @@
     );
 }
 
-/// Guards a restart of this process: the entries of each source and its stops are recalled.
+/// After a restart of this process the entries and the stops of each source are restored.
 #[test]
-fn a_later_incarnation_recalls_entries_and_stops() {
+fn a_later_incarnation_restores_entries_and_stops() {
     let mut first = agent_and_etcd();
     first.apply_event(
         0.0,
         snapshot(
             AGENT,
             1,
-            &[node("a", Up, 7.0), node("b", Up, 0.0), node("c", Up, 3.0)],
+            &[
+                backend("a", Up, 7.0),
+                backend("b", Up, 0.0),
+                backend("c", Up, 3.0),
+            ],
         ),
     );
     first.apply_event(
         0.0,
-        snapshot(ETCD, 1, &[node("a", Draining, 7.0), node("c", Up, 3.0)]),
+        snapshot(
+            ETCD,
+            1,
+            &[backend("a", Draining, 7.0), backend("c", Up, 3.0)],
+        ),
     );
-    first.apply_event(1.0, change(ETCD, 2, &[node("c", Removed, 0.0)]));
+    first.apply_event(1.0, change(ETCD, 2, &[backend("c", Removed, 0.0)]));
     let mut later = agent_and_etcd();
-    let recorded: Vec<Members> = first.source_entries().map(|(_, members)| members).collect();
-    for (source, members) in recorded.iter().enumerate() {
+    let saved: Vec<Members> = first.source_entries().map(|(_, members)| members).collect();
+    for (source, members) in saved.iter().enumerate() {
         later.restore(2.0, source, members);
     }
     assert_eq!(states(&later), [("a", Draining), ("b", Up)]);
     assert_eq!(states(&later), states(&first));
-    // The agent is first: what etcd stopped stays stopped, but for a newer instance.
+    // The agent has precedence, but a stop by etcd stays in force until there is a newer instance.
     let update = later.apply_event(
         3.0,
         snapshot(
             AGENT,
             1,
-            &[node("a", Up, 7.0), node("b", Up, 0.0), node("c", Up, 3.0)],
+            &[
+                backend("a", Up, 7.0),
+                backend("b", Up, 0.0),
+                backend("c", Up, 3.0),
+            ],
         ),
     );
     assert_eq!(changes(&update), []);
     assert_eq!(
-        changes(&later.apply_event(4.0, change(AGENT, 2, &[node("c", Up, 4.0)]))),
+        changes(&later.apply_event(4.0, change(AGENT, 2, &[backend("c", Up, 4.0)]))),
         [("c", Up)]
     );
 }
 
-/// Guards rule 3: nodes that are suspected do not make later removals suspect.
+/// Rule 3: backends already suspected are not counted for later snapshots, which would otherwise
+/// never remove anything at once.
 #[test]
-fn suspected_nodes_do_not_make_later_removals_suspect() {
+fn suspected_backends_do_not_make_later_removals_suspect() {
     let etcd = SourceSettings {
         max_missing_fraction: 0.5,
         suspicion_timeout: 1000.0,
@@ -333,11 +359,12 @@
     let mut endpoints = EndpointList::new(vec![etcd]);
     let many = |from: u32, to: u32| {
         (from..to)
-            .map(|n| node(&format!("n{n}"), Up, 0.0))
+            .map(|n| backend(&format!("n{n}"), Up, 0.0))
             .collect::<Vec<_>>()
     };
     endpoints.apply_event(0.0, snapshot(0, 1, &many(0, 10)));
-    // Eight of ten are missing at once and suspected; of the rest and the new ones, one is removed as usual.
+    // Eight of ten are missing at once and suspected; of the remaining and new ones, one is removed
+    // at once.
     assert_eq!(
         changes(&endpoints.apply_event(1.0, snapshot(0, 2, &many(8, 14)))).len(),
         4
@@ -350,7 +377,7 @@
     assert_eq!(endpoints.members().count(), 5);
 }
 
-/// Guards rules 3 and 4: all sources are lost for a minute and come back with half of the nodes.
+/// Rules 3 and 4: all sources are lost for a minute and return with half of the backends.
 #[test]
 fn an_outage_of_all_sources_removes_nothing_at_once() {
     let etcd = SourceSettings {
@@ -366,7 +393,9 @@
         },
         etcd,
     ]);
-    let all: Vec<Member> = ["a", "b", "c", "d"].map(|host| node(host, Up, 0.0)).into();
+    let all: Vec<Member> = ["a", "b", "c", "d"]
+        .map(|host| backend(host, Up, 0.0))
+        .into();
     for source in [AGENT, ETCD] {
         endpoints.apply_event(0.0, snapshot(source, 1, &all));
     }
@@ -379,7 +408,7 @@
         [],
         "nothing expires while no source is connected"
     );
-    // Both have half of the nodes when they come back.
+    // Both sources have half of the backends when they return.
     assert_eq!(
         changes(&endpoints.apply_event(61_000.0, snapshot(AGENT, 2, &all[..2]))),
         []
@@ -396,7 +425,7 @@
     );
 }
 
-/// Guards rule 3 for entries that cannot be read.
+/// Rule 3: an entry that cannot be read does not count as missing.
 #[test]
 fn an_unreadable_entry_is_not_missing() {
     let mut endpoints = agent_and_etcd();
@@ -406,13 +435,13 @@
             ETCD,
             1,
             &[
-                node("a", Draining, 0.0),
-                node("b", Up, 0.0),
-                node("c", Up, 0.0),
+                backend("a", Draining, 0.0),
+                backend("b", Up, 0.0),
+                backend("c", Up, 0.0),
             ],
         ),
     );
-    let members = list(2, &[node("b", Up, 0.0)]);
+    let members = list(2, &[backend("b", Up, 0.0)]);
     let update = endpoints.apply_event(
         1.0,
         Event::Snapshot {
@@ -425,9 +454,9 @@
     assert_eq!(states(&endpoints), [("a", Draining), ("b", Up)]);
 }
 
-/// Guards rule 4.
+/// Rule 4: lost sources.
 #[test]
-fn nodes_of_a_lost_source_expire_only_while_another_is_connected_and_come_back_with_it() {
+fn backends_of_a_lost_source_expire_only_while_another_is_connected_and_return_with_it() {
     let expiry_timeout = 1000.0;
     let mut endpoints = EndpointList::new(vec![
         SourceSettings::trusted("agent"),
@@ -442,9 +471,9 @@
             ETCD,
             1,
             &[
-                node("a", Up, 0.0),
-                node("b", Up, 0.0),
-                node("d", Draining, 0.0),
+                backend("a", Up, 0.0),
+                backend("b", Up, 0.0),
+                backend("d", Draining, 0.0),
             ],
         ),
     );
@@ -453,7 +482,7 @@
     assert_eq!(changes(&endpoints.tick(10_000.0)), []);
     endpoints.apply_event(
         10_000.0,
-        snapshot(AGENT, 1, &[node("b", Up, 0.0), node("d", Up, 0.0)]),
+        snapshot(AGENT, 1, &[backend("b", Up, 0.0), backend("d", Up, 0.0)]),
     );
     assert_eq!(
         states(&endpoints),
@@ -471,16 +500,16 @@
     assert_eq!(endpoints.next_due(), None);
 }
 
-/// Guards rule 5.
+/// Rule 5: a shared address.
 #[test]
-fn the_node_that_started_last_owns_an_address() {
-    let at = |host: &str, born| Member {
+fn the_backend_that_started_last_owns_an_address() {
+    let at_shared_address = |host: &str, born| Member {
         dial: "127.0.0.1:9".parse().unwrap(),
-        ..node(host, Up, born)
+        ..backend(host, Up, born)
     };
     let mut endpoints = agent_and_etcd();
-    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[at("old", 5.0)]));
-    let update = endpoints.apply_event(1.0, change(AGENT, 2, &[at("new", 9.0)]));
+    endpoints.apply_event(0.0, snapshot(AGENT, 1, &[at_shared_address("old", 5.0)]));
+    let update = endpoints.apply_event(1.0, change(AGENT, 2, &[at_shared_address("new", 9.0)]));
     assert_eq!(
         changes(&update),
         [("old", Removed), ("new", Up)],
@@ -493,12 +522,12 @@
     assert_eq!(update.reports, [shared]);
     assert_eq!(
         endpoints
-            .apply_event(2.0, change(AGENT, 3, &[at("new", 9.0)]))
+            .apply_event(2.0, change(AGENT, 3, &[at_shared_address("new", 9.0)]))
             .reports,
         [],
         "reported once"
     );
-    // The owner is removed: the other is back.
+    // The owner is removed: the other backend is used again.
     let update = endpoints.apply_event(
         3.0,
         change(
@@ -506,40 +535,41 @@
             4,
             &[Member {
                 health: Removed,
-                ..at("new", 9.0)
+                ..at_shared_address("new", 9.0)
             }],
         ),
     );
     assert_eq!(changes(&update), [("new", Removed), ("old", Up)]);
 }
 
-/// Guards a restart of this process: the recalled list is superseded by the first event of its source.
+/// After a restart of this process the restored list is superseded by the first event of its
+/// source.
 #[test]
-fn a_recalled_list_is_used_until_its_source_has_an_event() {
+fn a_restored_list_is_used_until_its_source_has_an_event() {
     let mut endpoints = agent_and_etcd();
     let update = endpoints.restore(
         0.0,
         AGENT,
-        &list(41, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
+        &list(41, &[backend("a", Up, 0.0), backend("b", Up, 0.0)]),
     );
     assert_eq!(changes(&update), [("a", Up), ("b", Up)]);
-    // Its first event supersedes the list, at any version.
+    // The first event of the source supersedes the list, at any version.
     assert_eq!(
-        changes(&endpoints.apply_event(1.0, snapshot(AGENT, 2, &[node("b", Up, 0.0)]))),
+        changes(&endpoints.apply_event(1.0, snapshot(AGENT, 2, &[backend("b", Up, 0.0)]))),
         [("a", Removed)]
     );
 }
 
-/// Guards the bound on nodes.
+/// The number of backends is bounded.
 #[test]
-fn nodes_beyond_the_bound_are_left_out() {
+fn backends_beyond_the_limit_are_left_out() {
     let mut endpoints = EndpointList::new(vec![SourceSettings::trusted("agent")]);
     let many: Vec<Member> = (0..maplefall_membership::MAX_BACKENDS + 5)
         .map(|i| {
             let dial = format!("127.{}.{}.1:80", i / 250, i % 250).parse().unwrap();
             Member {
                 dial,
-                ..node(&format!("n{i}"), Up, 0.0)
+                ..backend(&format!("n{i}"), Up, 0.0)
             }
         })
         .collect();
@@ -557,35 +587,40 @@
     );
 }
 
-/// Guards the bound on stops while ever new nodes come and go: the recent ones are kept, and the oldest are forgotten.
+/// The number of stops is bounded while new backends keep coming and going: recent stops are kept,
+/// the oldest are evicted.
 #[test]
-fn only_the_oldest_stops_are_forgotten() {
+fn only_the_oldest_stops_are_evicted() {
     let mut endpoints = agent_and_etcd();
-    let ids = 10_000u64;
-    for i in 0..ids {
+    let backend_count = 10_000u64;
+    for i in 0..backend_count {
         let host = format!("n{i}");
-        let update = endpoints.apply_event(0.0, change(ETCD, 2 * i + 1, &[node(&host, Up, 1.0)]));
+        let update =
+            endpoints.apply_event(0.0, change(ETCD, 2 * i + 1, &[backend(&host, Up, 1.0)]));
         assert!(update.reports.is_empty(), "{i}: {:?}", update.reports);
-        endpoints.apply_event(0.0, change(ETCD, 2 * i + 2, &[node(&host, Removed, 1.0)]));
+        endpoints.apply_event(
+            0.0,
+            change(ETCD, 2 * i + 2, &[backend(&host, Removed, 1.0)]),
+        );
     }
-    let last = format!("n{}", ids - 1);
+    let last = format!("n{}", backend_count - 1);
     assert_eq!(
-        changes(&endpoints.apply_event(1.0, change(AGENT, 1, &[node(&last, Up, 1.0)]))),
+        changes(&endpoints.apply_event(1.0, change(AGENT, 1, &[backend(&last, Up, 1.0)]))),
         [],
         "stopped recently"
     );
     assert_eq!(
-        changes(&endpoints.apply_event(2.0, change(AGENT, 2, &[node("n0", Up, 1.0)]))),
+        changes(&endpoints.apply_event(2.0, change(AGENT, 2, &[backend("n0", Up, 1.0)]))),
         [("n0", Up)]
     );
-    // A node that came back meanwhile is not forgotten with its old stop.
+    // A backend that returned since is not evicted with its old stop.
     let mut endpoints = agent_and_etcd();
-    endpoints.apply_event(0.0, change(ETCD, 1, &[node("back", Removed, 1.0)]));
-    endpoints.apply_event(0.0, change(ETCD, 2, &[node("back", Draining, 2.0)]));
-    for i in 0..ids {
+    endpoints.apply_event(0.0, change(ETCD, 1, &[backend("back", Removed, 1.0)]));
+    endpoints.apply_event(0.0, change(ETCD, 2, &[backend("back", Draining, 2.0)]));
+    for i in 0..backend_count {
         endpoints.apply_event(
             0.0,
-            change(ETCD, 3 + i, &[node(&format!("n{i}"), Removed, 1.0)]),
+            change(ETCD, 3 + i, &[backend(&format!("n{i}"), Removed, 1.0)]),
         );
     }
     assert_eq!(states(&endpoints), [("back", Draining)]);
