--- a/crates/backoff/tests/fleet.rs
+++ b/crates/backoff/tests/fleet.rs
@@ -3,15 +3,15 @@
 use maplefall_backoff::{Backoff, MAX_DELAY, MAX_FLEET_CALLS_PER_SECOND};
 use maplefall_policy::Millis;
 
-/// What a simulated fleet has experienced.
+/// The result of a simulated fleet.
 struct Run {
     /// When each client was answered.
     answered: Vec<Millis>,
     calls: u32,
 }
 
-/// Simulates a service that all clients call at once: an answer takes `service_time`, and a call that would be answered later than
-/// `timeout` is rejected after that time.
+/// Simulates a service that all clients call at once: a response takes `service_time`, and a call
+/// whose response would come later than `timeout` is rejected after that time.
 fn simulate(
     clients: u32,
     service_time: Millis,
@@ -28,7 +28,7 @@
         let (now, client) = due.swap_remove(next);
         run.calls += 1;
         idle_at = idle_at.max(now);
-        // A rejection costs the service half as much as an answer.
+        // A rejection costs the service half as much as a response.
         if idle_at + service_time - now > timeout {
             idle_at += service_time / 2.0;
             due.push((now + timeout + delay(client), client));
@@ -43,10 +43,10 @@
     run
 }
 
-/// Guards a service that has rejected a whole fleet: without a delay the calls alone keep it overloaded; with delays by the size of the
-/// fleet all clients are answered.
+/// A service has rejected a whole fleet: without a delay the retries alone keep it overloaded; with
+/// delays that depend on the size of the fleet all clients are answered.
 #[test]
-fn a_rejected_fleet_is_answered_in_the_end() {
+fn a_rejected_fleet_is_eventually_answered() {
     let (service_time, timeout) = (60.0, 2000.0);
     let run = simulate(100, service_time, timeout, &mut |_| 0.0);
     assert!(
@@ -70,7 +70,7 @@
     }
 }
 
-/// Guards small fleets: one of four clients waits hardly longer than the shortest delay.
+/// One of four clients waits hardly longer than the minimum delay.
 #[test]
 fn small_fleets_wait_little_and_all_delays_are_bounded() {
     for (clients, max_delay) in [
@@ -100,16 +100,19 @@
     }
 }
 
-/// Guards the first failure after an answer: its delay is as short as that of the first of all.
+/// The first failure after a response has as short a delay as the first of all.
 #[test]
-fn an_answer_resets_the_delay() {
+fn a_response_resets_the_delay() {
     let mut backoff = Backoff::new(100, 250.0, 7);
     (0..10).for_each(|_| _ = backoff.next_delay());
-    let longest = (0..50).map(|_| backoff.next_delay()).fold(0.0, f64::max);
+    let largest_delay = (0..50).map(|_| backoff.next_delay()).fold(0.0, f64::max);
     let first_delays = (0..50).map(|_| {
         backoff.reset();
         backoff.next_delay()
     });
     let first = first_delays.fold(0.0, f64::max);
-    assert!(longest > 9000.0 && first <= 8400.0, "{longest} {first}");
+    assert!(
+        largest_delay > 9000.0 && first <= 8400.0,
+        "{largest_delay} {first}"
+    );
 }
