--- a/crates/discovery-agent/src/backend_list.rs
+++ b/crates/discovery-agent/src/backend_list.rs
@@ -13,9 +13,9 @@
 /// The entries of an update, completed from a list.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Entries {
-    /// Valid entries, and stops by entries of which no more than that can be read.
+    /// The valid entries, and stops from entries that are otherwise unreadable.
     pub(crate) members: Vec<Member>,
-    /// The names of other entries that cannot be used; their previous entries stay.
+    /// The names of the other invalid entries; their previous entries stay.
     pub(crate) unreadable: Vec<String>,
 }
 
@@ -32,7 +32,8 @@
         self.0.values().cloned().collect()
     }
 
-    /// Applies an entry. A new backend beyond [`MAX_BACKENDS`] is left out, as the roster leaves it out and reports it.
+    /// Applies an entry. A new backend beyond [`MAX_BACKENDS`] is left out, as in the endpoint
+    /// list, which reports it.
     fn apply_entry(&mut self, member: &Member) {
         if member.health == Health::Removed {
             self.0.remove(&member.host);
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Completes the entries of an update: a stop by a partial entry has the other fields of the entry here.
+    /// Completes the entries of an update: a stop from a partial entry gets its other fields from
+    /// the entry in this list.
     pub(crate) fn complete(&self, update: &ListUpdate) -> Entries {
         let mut entries = Entries {
             members: update.members.hosts.clone(),
@@ -70,7 +72,8 @@
         })
     }
 
-    /// Applies changes, or replaces the list by a complete one. Previous entries of names that could not be read stay.
+    /// Applies changes, or replaces the list by a complete one. Previous entries of names that
+    /// could not be read stay.
     pub(crate) fn apply(&mut self, is_complete: bool, entries: &Entries) {
         if !is_complete {
             self.apply_changes(&entries.members);
@@ -91,7 +94,7 @@
         }
     }
 
-    /// The entries that stop a backend in the instance that is known here, or in a later one.
+    /// Returns the entries that stop a backend in the instance known here, or in a later one.
     pub(crate) fn stops(&self, entries: &[Member]) -> Vec<Member> {
         let is_stop = |entry: &&Member| {
             let Some(known) = self.0.get(&entry.host) else {
@@ -108,7 +111,7 @@
     }
 }
 
-/// Whether an entry is of an instance that started after this time.
+/// Returns whether an entry has an instance that started after this time.
 pub(crate) fn has_newer_instance(entries: &[Member], since: Millis) -> bool {
     entries.iter().any(|entry| entry.born_ms > since)
 }
--- a/crates/discovery-agent/src/follower/calls.rs
+++ b/crates/discovery-agent/src/follower/calls.rs
@@ -1,4 +1,4 @@
-//! The calls to the agent: when they are made and closed, and what is received.
+//! Makes and closes the calls to the agent, and handles what they receive.
 
 use super::{
     Call, Follower, CALL_TIMEOUT, HEARTBEAT_TIMEOUT, MAX_PROPAGATION_DELAY, MIN_RETRY_DELAY,
@@ -8,28 +8,30 @@
 use maplefall_membership::Event;
 use maplefall_policy::Millis;
 
-/// The status of an agent that is overloaded.
+/// The status of an overloaded agent.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Follower {
-    // ---- Timeouts -----------------------------------------------------------------------------------
+    // ---- Timeouts -------------------------------------------------------------------------------
 
-    /// How long a call may be silent before the agent is called beside it.
-    pub(super) fn silence_timeout(&self, call: &Call) -> Millis {
-        match (self.is_local, call.has_line) {
+    /// Returns the time without received data after which a call is considered idle, and the agent
+    /// is called a second time or the call is closed.
+    pub(super) fn idle_timeout(&self, call: &Call) -> Millis {
+        match (self.is_local, call.has_received_line) {
             (false, _) => CALL_TIMEOUT,
             (true, true) => HEARTBEAT_TIMEOUT,
-            // The head of an answer alone does not show that the agent is alive: it may be all that was written.
+            // The head of a response alone does not show that the agent works: it may be all that
+            // was written.
             (true, false) => self.first_line_timeout,
         }
     }
 
-    fn is_silent(&self, now: Millis, call: &Call) -> bool {
-        now >= call.active_at + self.silence_timeout(call)
+    fn is_idle(&self, now: Millis, call: &Call) -> bool {
+        now >= call.active_at + self.idle_timeout(call)
     }
 
-    pub(super) fn close_silent_second_call(&mut self, now: Millis, out: &mut Vec<Output>) {
-        if let Some(call) = self.second.filter(|call| self.is_silent(now, call)) {
+    pub(super) fn close_idle_second_call(&mut self, now: Millis, out: &mut Vec<Output>) {
+        if let Some(call) = self.second.filter(|call| self.is_idle(now, call)) {
             out.push(Output::CloseCall(call.id));
             self.second = None;
             self.next_address();
@@ -37,13 +39,13 @@
     }
 
     /// Closes the main call after its timeout. The second call replaces it if there is one.
-    pub(super) fn close_silent_main_call(&mut self, now: Millis, out: &mut Vec<Output>) {
+    pub(super) fn close_idle_main_call(&mut self, now: Millis, out: &mut Vec<Output>) {
         let is_timed_out = |call: &Call| now >= call.active_at + CALL_TIMEOUT;
         let Some(call) = self.main.filter(is_timed_out) else {
             return;
         };
         out.push(Output::CloseCall(call.id));
-        self.source_lost("silent", out);
+        self.emit_source_lost("no data before the timeout", out);
         self.main = self.second.take();
         if self.main.is_some() {
             return;
@@ -52,30 +54,30 @@
         if self.is_local {
             self.next_call_at = Some(now);
         } else {
-            self.call_after_delay(now);
+            self.schedule_call(now);
         }
     }
 
-    /// Calls a local agent whose main call is silent a second time.
+    /// Calls a local agent a second time if its main call is idle.
     pub(super) fn make_second_call(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.is_local || self.second.is_some() || now < self.next_second_call_at {
             return;
         }
-        if let Some(main) = self.main.filter(|call| self.is_silent(now, call)) {
-            if !main.has_line {
+        if let Some(main) = self.main.filter(|call| self.is_idle(now, call)) {
+            if !main.has_received_line {
                 self.next_address();
             }
             self.second = Some(self.make_call(now, out));
         }
     }
 
-    // ---- Making calls -------------------------------------------------------------------------------
+    // ---- Making calls ---------------------------------------------------------------------------
 
     fn next_address(&mut self) {
         self.address = (self.address + 1) % self.addresses.len().max(1);
     }
 
-    pub(super) fn call_after_delay(&mut self, now: Millis) {
+    pub(super) fn schedule_call(&mut self, now: Millis) {
         let delay = if self.is_local {
             self.first_line_timeout.min(MIN_RETRY_DELAY)
         } else {
@@ -87,7 +89,7 @@
     pub(super) fn make_call(&mut self, now: Millis, out: &mut Vec<Output>) -> Call {
         self.last_call += 1;
         let id = CallId(self.last_call);
-        // An agent whose list is outdated continues from its own version.
+        // A call to an agent whose list is outdated continues from that list's version.
         let outdated_version = self.outdated.as_ref().map(|outdated| outdated.version);
         let what = match outdated_version.or(self.version) {
             Some(from) if !self.needs_complete_list => RequestKind::Watch(from),
@@ -104,53 +106,60 @@
             id,
             what,
             active_at: now,
-            has_line: false,
+            has_received_line: false,
         }
     }
 
-    // ---- Receiving ----------------------------------------------------------------------------------
+    // ---- Receiving ------------------------------------------------------------------------------
 
-    /// Handles what happened to a call. A call that was closed is ignored.
+    /// Handles an event of a call. Events of a closed call are ignored.
     pub fn handle_call_event(
         &mut self,
         now: Millis,
         call: CallId,
-        heard: CallEvent,
+        event: CallEvent,
     ) -> Vec<Output> {
         let mut out = Vec::new();
         if self.second.is_some_and(|second| second.id == call)
-            && !self.replace_main_call(now, &heard, &mut out)
+            && !self.handle_second_call_event(now, &event, &mut out)
         {
             return out;
         }
         let Some(main) = self.main.as_mut().filter(|main| main.id == call) else {
             return out;
         };
-        match heard {
+        match event {
             CallEvent::ResponseStarted => main.active_at = now,
             CallEvent::Line(text) => {
                 main.active_at = now;
-                let is_first_line = !std::mem::replace(&mut main.has_line, true);
-                self.line_received(now, call, is_first_line, &text, &mut out);
+                let is_first_line = !std::mem::replace(&mut main.has_received_line, true);
+                self.handle_line(now, call, is_first_line, &text, &mut out);
             }
-            CallEvent::Ended(end) => self.main_call_ended(now, end, &mut out),
+            CallEvent::Ended(end) => self.handle_main_call_end(now, end, &mut out),
         }
         out
     }
 
-    /// Handles what happened to the second call. Returns whether it has replaced the main call, as it received a line first.
-    fn replace_main_call(&mut self, now: Millis, heard: &CallEvent, out: &mut Vec<Output>) -> bool {
-        match heard {
+    /// Handles an event of the second call. Returns whether the call has replaced the main one,
+    /// because it received a line first.
+    fn handle_second_call_event(
+        &mut self,
+        now: Millis,
+        event: &CallEvent,
+        out: &mut Vec<Output>,
+    ) -> bool {
+        match event {
             CallEvent::Line(_) => {
                 if let Some(main) = std::mem::replace(&mut self.main, self.second.take()) {
                     out.push(Output::CloseCall(main.id));
                 }
                 true
             }
-            // The head of an answer alone does not show that the agent is alive.
+            // The head of a response alone does not show that the agent works.
             CallEvent::ResponseStarted => false,
             CallEvent::Ended(_) => {
-                // A refused call takes no time: without a delay it would be made again and again.
+                // A refused call takes no time: without a delay it would be repeated in a busy
+                // loop.
                 self.next_second_call_at = now + self.first_line_timeout;
                 self.second = None;
                 self.next_address();
@@ -160,7 +169,7 @@
     }
 
     /// Handles a line of the main call.
-    fn line_received(
+    fn handle_line(
         &mut self,
         now: Millis,
         call: CallId,
@@ -191,7 +200,7 @@
             }
             Err(error) => {
                 out.push(Output::CloseCall(call));
-                self.main_call_ended(now, CallEnd::MalformedLine(error.to_string()), out);
+                self.handle_main_call_end(now, CallEnd::MalformedLine(error.to_string()), out);
             }
         }
         let outdated = self.outdated.as_ref();
@@ -201,11 +210,14 @@
         }
     }
 
-    fn main_call_ended(&mut self, now: Millis, end: CallEnd, out: &mut Vec<Output>) {
+    fn handle_main_call_end(&mut self, now: Millis, end: CallEnd, out: &mut Vec<Output>) {
         let Some(call) = self.main.take() else {
             return;
         };
-        if call.what == RequestKind::CompleteList && call.has_line && end == CallEnd::Complete {
+        if call.what == RequestKind::CompleteList
+            && call.has_received_line
+            && end == CallEnd::Complete
+        {
             // The complete list was received; a watch continues from it.
             self.main = Some(self.make_call(now, out));
             return;
@@ -214,8 +226,9 @@
             CallEnd::Complete => "closed".to_owned(),
             CallEnd::ConnectionFailed(reason) => reason,
             CallEnd::Status(status) => {
-                // An agent that does not know the version is asked for the complete list. An overloaded one is not, as that costs it
-                // more than changes.
+                // Another status means that the agent does not have the version: the complete list
+                // is requested. It is not requested from an overloaded agent, which it costs more
+                // than changes.
                 self.needs_complete_list |= status != SERVICE_UNAVAILABLE;
                 format!("status {status}")
             }
@@ -224,18 +237,18 @@
                 reason
             }
         };
-        self.source_lost(&reason, out);
-        if !call.has_line {
+        self.emit_source_lost(&reason, out);
+        if !call.has_received_line {
             self.next_address();
         }
         self.main = self.second.take();
         if self.main.is_none() {
-            self.call_after_delay(now);
+            self.schedule_call(now);
         }
     }
 
-    /// Tells the roster that the source is lost, and reports it once for an outage.
-    fn source_lost(&mut self, reason: &str, out: &mut Vec<Output>) {
+    /// Emits the loss of the source, and reports it once per outage.
+    fn emit_source_lost(&mut self, reason: &str, out: &mut Vec<Output>) {
         self.was_interrupted = true;
         out.push(Output::Event(Event::Lost {
             source: self.source,
--- a/crates/discovery-agent/src/follower/mod.rs
+++ b/crates/discovery-agent/src/follower/mod.rs
@@ -1,24 +1,31 @@
-//! Which calls are made to an agent (`calls`), and which of its updates are applied (`versions`).
+//! Decides which calls are made to an agent (`calls`), and which of its updates are applied
+//! (`versions`).
 //!
-//! **Versions.** An update above the last applied version is applied as it is. One at or below it comes from an agent that is behind
-//! another, from one that repeats itself, or from one that restarted its numbering, and nothing tells which. So its list is kept beside
-//! the applied one: only its stops are applied; neither what it has as up nor what it lacks changes anything. It replaces the applied
-//! list
+//! **Versions.** An update above the last applied version is applied as it is. One at or below it
+//! comes from an agent that is behind another, from one that repeats itself, or from one that
+//! restarted its numbering; these cannot be distinguished. So the agent's list is kept beside the
+//! applied one as outdated, and only its stops are applied: neither the backends that it lists as
+//! up nor those that it lacks change anything. It replaces the applied list
 //!
-//! 1. once its version is above the applied one: the agent has caught up, or its new numbering has passed the old one;
-//! 2. at once, if it has an instance that started after the applied version came: all machines use one clock, so it is newer whatever its
-//!    version;
-//! 3. once it was received for [`MAX_PROPAGATION_DELAY`] without a gap: discovery reports every change within that time, so an agent that was there
-//!    throughout has every stop that was reported before.
+//! 1. once its version is above the applied one: the agent has caught up, or its new numbering has
+//!    passed the old one;
+//! 2. at once, if it has an instance that started after the applied version was received: all
+//!    machines use one clock, so the list is newer whatever its version;
+//! 3. once it was received for [`MAX_PROPAGATION_DELAY`] without a gap: discovery reports every
+//!    change within that time, so an agent that was connected throughout has every stop that was
+//!    reported before.
 //!
-//! If stops were applied from an outdated list whose agent was left since, and if a numbering that was superseded seems to come back,
-//! versions cannot be compared: the list is kept beside the applied one too, and only 2 and 3 apply.
+//! Versions cannot be compared if stops were applied from an outdated list whose agent is no longer
+//! followed, or if a superseded numbering seems to return: then the list is kept beside the applied
+//! one too, and only 2 and 3 apply.
 //!
-//! **Silence.** An agent sends a line at least every [`HEARTBEAT`]. A local agent that has missed one is called a second time beside the
-//! open call, at the next address; the call that receives a line first continues and the other is closed, so that no update is applied
-//! twice. What a local agent knows counts as reported from the moment at which it knows it, and a call that was made while it was down may
-//! never be answered: as long as it is silent, a second call is made again after each half of the time within which requests to a draining
-//! backend have to stop. A shared agent is called again only when its call was silent for [`CALL_TIMEOUT`].
+//! **Timeouts.** An agent sends a line at least every [`HEARTBEAT`]. If a local agent misses one, a
+//! second call is made beside the open one, at the next address if the open one has received no
+//! line. The call that receives a line first continues and the other is closed, so that no update
+//! is applied twice. What a local agent has received counts as reported from that moment on, and a
+//! call that was made while the agent was down may never be answered: as long as the agent sends
+//! nothing, the second call is repeated after each half of the grace period of a drain. A shared
+//! agent is called again only when its call has received nothing for [`CALL_TIMEOUT`].
 
 mod calls;
 mod versions;
@@ -31,20 +38,22 @@
 use std::net::SocketAddr;
 use versions::OutdatedList;
 
-/// An agent sends a line at least this often (protocol page, "Discovery").
+/// The interval within which an agent sends at least one line (protocol page, "Discovery").
 pub const HEARTBEAT: Millis = 2000.0;
-/// Discovery reports every change within this time (protocol page, "Figures").
+/// The time within which discovery reports every change (protocol page, "Figures").
 pub const MAX_PROPAGATION_DELAY: Millis = 6000.0;
-/// Silence after which a call is closed.
+/// The time without received data after which a call is closed.
 pub const CALL_TIMEOUT: Millis = 6500.0;
-/// Silence after which a local agent is called beside the open call: a heartbeat was missed.
+/// The time without received data after which a local agent is called a second time beside the open
+/// call: a heartbeat was missed.
 pub const HEARTBEAT_TIMEOUT: Millis = HEARTBEAT + 300.0;
-/// How long a local agent may take for its first line before it is called again. Half of the time within which requests to a draining
-/// backend have to stop is used instead if that is shorter.
+/// The time within which a local agent has to send its first line before it is called again. Half
+/// of the grace period of a drain is used instead if that is shorter.
 pub const FIRST_LINE_TIMEOUT: Millis = 500.0;
-/// The least of that, whatever the settings.
+/// The minimum of that timeout, whatever the settings.
 const MIN_FIRST_LINE_TIMEOUT: Millis = 50.0;
-/// The least delay before an agent is called again after a call has ended.
+/// The minimum delay before a shared agent is called again after a call has ended; the maximum for
+/// a local one.
 pub const MIN_RETRY_DELAY: Millis = 250.0;
 
 /// An open call.
@@ -52,16 +61,16 @@
 struct Call {
     id: CallId,
     what: RequestKind,
-    /// When it was made, or something was last received.
+    /// When the call was made or last received something.
     active_at: Millis,
     /// Whether a line was received.
-    has_line: bool,
+    has_received_line: bool,
 }
 
 /// Follows the agent of one process.
 #[derive(Debug)]
 pub struct Follower {
-    /// The index of the agent among the roster's sources.
+    /// The index of the agent among the sources of the endpoint list.
     source: usize,
     /// Whether the agent is local and not shared.
     is_local: bool,
@@ -73,38 +82,41 @@
     last_call: u64,
     /// The call whose updates are applied.
     main: Option<Call>,
-    /// A call beside it that has not received a line yet.
+    /// A call beside the main one that has not received a line yet.
     second: Option<Call>,
     /// When the next call is due if none is open.
     next_call_at: Option<Millis>,
-    /// When the next second call may be made.
+    /// When the next second call is allowed.
     next_second_call_at: Millis,
     /// Whether the next call asks for the complete list.
     needs_complete_list: bool,
-    /// The list that was applied.
+    /// The applied list.
     list: BackendList,
-    /// Its version.
+    /// The version of the applied list.
     version: Option<u64>,
-    /// When it was last changed.
+    /// When the applied list was last changed.
     applied_at: Millis,
     /// The last applied version of a numbering that another has superseded.
     superseded_version: Option<u64>,
     outdated: Option<OutdatedList>,
-    /// Whether stops were applied from an outdated list that was left: the next agent may be older than these, whatever its versions.
+    /// Whether stops were applied from an outdated list whose agent is no longer followed: the next
+    /// agent can be older than these stops, whatever its versions.
     is_order_unknown: bool,
-    /// The version of the last event for the roster. These rise whatever the agent's versions do.
-    last_event: u64,
+    /// The version of the last event for the endpoint list. It increases whatever the agent's
+    /// versions do.
+    last_event_version: u64,
     last_line_at: Millis,
     /// Whether a call has ended since the last line.
     was_interrupted: bool,
-    /// Names of entries that cannot be used and were reported; bounded.
+    /// The names of invalid entries that were reported; bounded.
     reported_entries: BTreeSet<String>,
     /// Whether the current outage was reported.
     is_outage_reported: bool,
 }
 
 impl Follower {
-    /// Begins to follow at `now`; the first call is made by the first [`Follower::tick`] that is due.
+    /// Creates a follower at `now`; the first call is made by the first [`Follower::tick`] that is
+    /// due.
     pub fn new(settings: Settings, now: Millis) -> Follower {
         let Settings {
             source,
@@ -116,7 +128,8 @@
             initial_list,
         } = settings;
         let mut backoff = Backoff::new(process_count, MIN_RETRY_DELAY, seed);
-        // Processes that start together spread their calls to a shared agent, if each has a list to start with.
+        // Processes that start together spread their calls to a shared agent, if they have a list
+        // to start with.
         let delay = if initial_list.is_some() && !is_local {
             backoff.initial_delay()
         } else {
@@ -145,7 +158,7 @@
             superseded_version: None,
             outdated: None,
             is_order_unknown: false,
-            last_event: 0,
+            last_event_version: 0,
             last_line_at: now,
             was_interrupted: false,
             reported_entries: BTreeSet::new(),
@@ -153,16 +166,16 @@
         }
     }
 
-    /// When [`Follower::tick`] is due; `None` if nothing is.
+    /// Returns when [`Follower::tick`] is due; `None` if nothing is.
     pub fn next_due(&self) -> Option<Millis> {
-        let silent_at = |call: &Call| call.active_at + self.silence_timeout(call);
+        let idle_at = |call: &Call| call.active_at + self.idle_timeout(call);
         let second_call_at = self
             .main
             .as_ref()
             .filter(|_| self.is_local && self.second.is_none())
-            .map(|main| silent_at(main).max(self.next_second_call_at));
+            .map(|main| idle_at(main).max(self.next_second_call_at));
         let main_timeout = self.main.map(|main| main.active_at + CALL_TIMEOUT);
-        let second_timeout = self.second.as_ref().map(silent_at);
+        let second_timeout = self.second.as_ref().map(idle_at);
         [
             self.next_call_at,
             second_call_at,
@@ -174,11 +187,11 @@
         .min_by(f64::total_cmp)
     }
 
-    /// Does what is due.
+    /// Closes calls that have timed out, and makes the calls that are due.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         let mut out = Vec::new();
-        self.close_silent_second_call(now, &mut out);
-        self.close_silent_main_call(now, &mut out);
+        self.close_idle_second_call(now, &mut out);
+        self.close_idle_main_call(now, &mut out);
         self.make_second_call(now, &mut out);
         if self.next_call_at.is_some_and(|due| due <= now) {
             self.next_call_at = None;
@@ -187,7 +200,8 @@
         out
     }
 
-    /// The agent is at this address from now on. The watch is opened again, also if the address is the same.
+    /// Follows the agent at this address from now on. The watch is opened again, even if the
+    /// address is the same.
     pub fn move_to(&mut self, now: Millis, address: SocketAddr) -> Vec<Output> {
         let open_calls = [self.main.take(), self.second.take()];
         let mut out: Vec<Output> = open_calls
@@ -197,7 +211,7 @@
             .collect();
         self.addresses = vec![address];
         self.address = 0;
-        // The agent there is asked for changes since the applied version.
+        // The agent at that address is asked for changes since the applied version.
         let outdated = self.outdated.take();
         self.is_order_unknown |= outdated.is_some_and(|outdated| outdated.has_stops_applied);
         self.needs_complete_list |= self.is_order_unknown;
--- a/crates/discovery-agent/src/follower/versions.rs
+++ b/crates/discovery-agent/src/follower/versions.rs
@@ -1,6 +1,6 @@
-//! Which updates of an agent are applied: see the rules in the parent module.
+//! Decides which updates of an agent are applied, by the rules in the parent module.
 //!
-//! Invariant: a stop that was applied is taken back only by an update that is known to be newer.
+//! Invariant: a stop that was applied is revoked only by an update that is known to be newer.
 
 use super::Follower;
 use crate::backend_list::{has_newer_instance, BackendList, Entries};
@@ -10,7 +10,8 @@
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
 
-/// The most names of rejected entries that are remembered as reported; further ones are reported each time.
+/// The maximum number of names of rejected entries that are recorded as reported; further ones are
+/// reported each time.
 const MAX_REPORTED_ENTRIES: usize = 1024;
 
 /// The list of an agent whose version is not above the applied one.
@@ -20,14 +21,14 @@
     pub(super) version: u64,
     /// Whether its version can be compared with the applied one.
     is_comparable: bool,
-    /// Since when its agent's lines were received without a gap.
+    /// The time since which its agent's lines have been received without a gap.
     pub(super) received_since: Millis,
-    /// Whether stops of it were applied.
+    /// Whether stops from this list were applied.
     pub(super) has_stops_applied: bool,
 }
 
 impl Follower {
-    /// Applies an update, or what may be applied of it.
+    /// Applies an update, or only its stops if it is not known to be newer.
     pub(super) fn apply_update(
         &mut self,
         now: Millis,
@@ -47,7 +48,8 @@
             return self.compare_outdated_list(now, &entries.members, out);
         }
         let entries = self.list.complete(update);
-        // A new call that jumps to the versions of a superseded numbering may be of that one.
+        // If the first line of a call jumps to the versions of a superseded numbering, it may use
+        // that numbering.
         let may_be_superseded = is_first_line
             && self
                 .superseded_version
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Reports entries that cannot be used, each once until it can be used again.
+    /// Reports invalid entries, each once until it is valid again.
     fn report_rejected_entries(&mut self, update: &ListUpdate, out: &mut Vec<Output>) {
         if !self.reported_entries.is_empty() {
             for member in &update.members.hosts {
@@ -118,14 +120,14 @@
         }
     }
 
-    /// Whether an update would change the applied list.
+    /// Returns whether an update would change the applied list.
     fn would_change(&self, is_complete: bool, entries: &Entries) -> bool {
         let mut updated = self.list.clone();
         updated.apply(is_complete, entries);
         updated != self.list
     }
 
-    // ---- Outdated lists -----------------------------------------------------------------------------
+    // ---- Outdated lists -------------------------------------------------------------------------
 
     /// Keeps an outdated list beside the applied one.
     fn keep_outdated_list(
@@ -148,8 +150,9 @@
         self.compare_outdated_list(now, &entries.members, out);
     }
 
-    /// Applies the stops of an outdated change, and asks for the complete list that it belongs to: after a delay, as an agent that never
-    /// sends it would be called again and again.
+    /// Applies the stops of an outdated change, and requests the complete list to which it belongs.
+    /// The request is delayed, since an agent that never sends the list would otherwise be called
+    /// in a busy loop.
     fn reject_outdated_change(&mut self, now: Millis, entries: &Entries, out: &mut Vec<Output>) {
         self.apply_stops(now, &entries.members, out);
         if let Some(main) = self.main.take() {
@@ -157,10 +160,11 @@
         }
         self.needs_complete_list = true;
         self.was_interrupted = true;
-        self.call_after_delay(now);
+        self.schedule_call(now);
     }
 
-    /// Replaces the applied list by the outdated one if a rule allows it; otherwise applies the stops of its last update.
+    /// Replaces the applied list by the outdated one if a rule allows it; otherwise applies the
+    /// stops of its last update.
     fn compare_outdated_list(&mut self, now: Millis, update: &[Member], out: &mut Vec<Output>) {
         let Some(outdated) = &self.outdated else {
             return;
@@ -192,7 +196,7 @@
                 None => self.is_order_unknown = true,
             }
         }
-        // Without stops the event still tells the roster that the source is connected.
+        // Even without stops the event shows the endpoint list that the source is connected.
         self.emit_change(stops, out);
     }
 
@@ -206,7 +210,7 @@
             return;
         };
         if reason != TrustReason::CaughtUp {
-            // A new numbering supersedes the one before, unless it is the same.
+            // A new numbering supersedes the previous one, unless it is the same.
             self.superseded_version = self.version.filter(|applied| version < *applied);
         }
         self.is_order_unknown = false;
@@ -217,7 +221,7 @@
         self.list = list;
     }
 
-    // ---- Events -------------------------------------------------------------------------------------
+    // ---- Events ---------------------------------------------------------------------------------
 
     fn emit_snapshot(
         &mut self,
@@ -241,11 +245,11 @@
         out.push(Output::Event(event));
     }
 
-    /// The members of the next event, with the next version.
+    /// Returns the members of the next event, with the next version.
     fn next_members(&mut self, whole: bool, hosts: Vec<Member>) -> Members {
-        self.last_event += 1;
+        self.last_event_version += 1;
         Members {
-            seq: self.last_event,
+            seq: self.last_event_version,
             whole,
             hosts,
         }
--- a/crates/discovery-agent/src/interface.rs
+++ b/crates/discovery-agent/src/interface.rs
@@ -5,37 +5,38 @@
 use maplefall_protocol::Members;
 use std::net::SocketAddr;
 
-/// How an agent is followed.
+/// The settings of a follower.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The agent's index among the roster's sources.
+    /// The agent's index among the sources of the endpoint list.
     pub source: usize,
-    /// Whether the agent is local to this process: it answers at once and calls cost nothing. Otherwise it is shared by the fleet, and
-    /// calls are delayed by a backoff.
+    /// Whether the agent is local to this process: it responds at once and calls cost nothing.
+    /// Otherwise it is shared by the fleet, and calls are delayed by a backoff.
     pub is_local: bool,
-    /// How many processes share it; 1 for a local one.
+    /// The number of processes that share the agent; 1 for a local one.
     pub process_count: u32,
-    /// The time within which requests to a draining backend have to stop, in milliseconds (the rule on drains).
+    /// The grace period of a drain (the rule on drains): the time within which requests to a
+    /// draining backend have to stop, in milliseconds.
     pub drain_grace_period: Millis,
     /// The seed of all random draws.
     pub seed: u64,
-    /// The addresses at which it may be, the likeliest first; not empty.
+    /// The possible addresses of the agent, the likeliest first; not empty.
     pub addresses: Vec<SocketAddr>,
-    /// The list that the process was started with.
+    /// The list with which the process was started.
     pub initial_list: Option<Members>,
 }
 
-/// What a call requests.
+/// The request of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// The complete list.
     CompleteList,
-    /// The changes since this version, and a watch on further ones.
+    /// The changes since this version, and a watch for further ones.
     Watch(u64),
 }
 
 impl RequestKind {
-    /// The path of the request.
+    /// Returns the path of the request.
     pub fn path(self) -> String {
         match self {
             RequestKind::CompleteList => "/catalog/members".to_owned(),
@@ -48,14 +49,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// What happened to a call.
+/// An event of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEvent {
-    /// The head of the response was received: status 200.
+    /// The head of the response was received, with status 200.
     ResponseStarted,
-    /// A line was received, without its end.
+    /// A line was received; the line end is not included.
     Line(Vec<u8>),
-    /// The call has ended by itself.
+    /// The call has ended, not by [`Output::CloseCall`].
     Ended(CallEnd),
 }
 
@@ -64,44 +65,44 @@
 pub enum CallEnd {
     /// The response was complete.
     Complete,
-    /// The connection was refused, was reset, or is not HTTP.
+    /// The connection was refused or reset, or the response is not HTTP.
     ConnectionFailed(String),
-    /// The response has another status than 200.
+    /// The response has a status other than 200.
     Status(u16),
-    /// A line cannot be parsed.
+    /// A line could not be parsed.
     MalformedLine(String),
 }
 
-/// What the caller is to do.
+/// An instruction to the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Make a call.
     OpenCall {
-        /// Its id.
+        /// The id of the call.
         call: CallId,
         /// The address of the agent.
         address: SocketAddr,
-        /// What it requests.
+        /// The request.
         request: RequestKind,
     },
-    /// Close a call; nothing of it is passed in any more.
+    /// Close a call; none of its events are passed in any more.
     CloseCall(CallId),
-    /// Pass this to the roster.
+    /// Pass this event to the endpoint list.
     Event(Event),
-    /// Log this.
+    /// Log this report.
     Report(Report),
 }
 
-/// Something for the log.
+/// A condition to be logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
-    /// The watch has ended; reported once for an outage.
+    /// The watch has ended; reported once per outage.
     WatchEnded(String),
-    /// An entry cannot be used.
+    /// An entry is invalid.
     EntryRejected {
-        /// The backend, as far as it can be read.
+        /// The name of the backend, or a placeholder if it cannot be read.
         host: String,
-        /// Why.
+        /// The reason.
         reason: String,
     },
     /// The agent's list may be older than the applied one: only its stops are applied.
@@ -111,23 +112,24 @@
         /// The applied version.
         applied: u64,
     },
-    /// The list is not older any more and is applied.
+    /// A list that seemed to be older is applied.
     ListTrusted {
-        /// Why.
+        /// The reason.
         reason: TrustReason,
-        /// Its version.
+        /// The version of the list.
         version: u64,
     },
 }
 
-/// Why a list that seemed to be older is applied.
+/// The reason why a list that seemed to be older is applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrustReason {
     /// Its version is above the applied one.
     CaughtUp,
-    /// It has a backend that started after the applied version came.
+    /// It has a backend that started after the applied version was received.
     NewerInstance,
-    /// Its agent was received without a gap for this long, so it has all stops that were reported before.
+    /// Its agent's lines were received without a gap for this long, so it has all stops that were
+    /// reported before.
     ReceivedWithoutGap(Millis),
 }
 
@@ -141,14 +143,14 @@
             Report::ListOutdated { version, applied } => {
                 write!(
                     f,
-                    "its list is of version {version}, and {applied} has been told: only its stops are taken"
+                    "the list has version {version}, but {applied} has been applied: only its stops are used"
                 )
             }
             Report::ListTrusted {
                 reason: TrustReason::CaughtUp,
                 version,
             } => {
-                write!(f, "it has caught up with version {version}")
+                write!(f, "the agent has caught up at version {version}")
             }
             Report::ListTrusted {
                 reason: TrustReason::NewerInstance,
@@ -156,7 +158,7 @@
             } => {
                 write!(
                     f,
-                    "it counts anew: version {version} names a backend that started since"
+                    "versions have restarted: version {version} has a backend that started since"
                 )
             }
             Report::ListTrusted {
@@ -165,7 +167,7 @@
             } => {
                 write!(
                     f,
-                    "it counts anew: heard for {ms:.0} ms, version {version} holds"
+                    "versions have restarted: received for {ms:.0} ms, version {version} is applied"
                 )
             }
         }
--- a/crates/discovery-agent/src/lib.rs
+++ b/crates/discovery-agent/src/lib.rs
@@ -1,8 +1,10 @@
 //! Follows the platform's discovery agent (protocol page, "Discovery").
 //!
-//! [`Follower`] decides, with the time as an input: which calls are made to which address, when an agent counts as silent, and what
-//! becomes of an update that is older than what was applied. The caller opens the calls that it asks for, splits what is received with
-//! [`Lines`] and passes the lines in; the events that come out go to the roster. Nothing here does I/O or reads a clock.
+//! [`Follower`] decides, with the time as an input, which calls are made to which address, when a
+//! call has timed out, and whether an update that is older than the applied list is used. The
+//! caller opens the calls that the follower requests, splits the received bytes with
+//! [`LineSplitter`] and passes the lines in; the events that the follower returns go to the
+//! endpoint list. Nothing here does I/O or reads a clock.
 
 mod backend_list;
 mod follower;
--- a/crates/discovery-agent/src/line_splitter.rs
+++ b/crates/discovery-agent/src/line_splitter.rs
@@ -2,51 +2,51 @@
 
 use crate::LineError;
 
-/// The longest line in bytes: some 20,000 entries.
+/// The maximum length of a line in bytes: some 20,000 entries.
 pub const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// Splits pieces of any length into lines. It buffers at most one line of [`MAX_LINE_BYTES`].
+/// Splits chunks of any length into lines. It buffers at most one line of [`MAX_LINE_BYTES`].
 #[derive(Debug, Default)]
 pub struct LineSplitter {
-    /// The beginning of a line whose end was not received yet.
+    /// The beginning of a line whose end has not been received yet.
     pending: Vec<u8>,
 }
 
 impl LineSplitter {
-    /// Adds a piece and passes on each line that it completes, without the line end.
+    /// Adds a chunk and calls `consume` for each line that it completes, without the line end.
     ///
     /// # Errors
     ///
-    /// [`LineError::TooLong`], and the errors of `take`.
+    /// Returns [`LineError::TooLong`], or an error of `consume`.
     pub fn push(
         &mut self,
-        mut piece: &[u8],
-        mut take: impl FnMut(&[u8]) -> Result<(), LineError>,
+        mut chunk: &[u8],
+        mut consume: impl FnMut(&[u8]) -> Result<(), LineError>,
     ) -> Result<(), LineError> {
-        while let Some(end) = piece.iter().position(|byte| *byte == b'\n') {
-            let (line, following) = (&piece[..end], &piece[end + 1..]);
+        while let Some(end) = chunk.iter().position(|byte| *byte == b'\n') {
+            let (line, following) = (&chunk[..end], &chunk[end + 1..]);
             if self.pending.is_empty() {
                 check_length(line.len())?;
-                take(line)?;
+                consume(line)?;
             } else {
                 self.buffer(line)?;
-                take(&self.pending)?;
+                consume(&self.pending)?;
                 // Long lines are rare: their memory is released.
                 self.pending = Vec::new();
             }
-            piece = following;
+            chunk = following;
         }
-        self.buffer(piece)
+        self.buffer(chunk)
     }
 
-    /// What was received after the last line end.
+    /// Returns what was received after the last line end.
     pub fn remainder(self) -> Vec<u8> {
         self.pending
     }
 
-    fn buffer(&mut self, piece: &[u8]) -> Result<(), LineError> {
-        check_length(self.pending.len() + piece.len())?;
-        self.pending.extend_from_slice(piece);
+    fn buffer(&mut self, chunk: &[u8]) -> Result<(), LineError> {
+        check_length(self.pending.len() + chunk.len())?;
+        self.pending.extend_from_slice(chunk);
         Ok(())
     }
 }
--- a/crates/discovery-agent/src/parse.rs
+++ b/crates/discovery-agent/src/parse.rs
@@ -1,14 +1,15 @@
-//! Parses a line of a watch, or a complete list.
+//! Parses the lines of a watch, and complete lists.
 //!
-//! One entry that cannot be used does not invalidate the others: they are used, and the one is rejected and reported. If it still names a
-//! backend and says that it is stopping, that is used too, since a stop needs no more than a name.
+//! An invalid entry does not invalidate the others: they are used, and the invalid one is rejected
+//! and reported. If it still has a backend's name and a state that stops it, the stop is applied
+//! too, since a stop needs no more than a name.
 
 use crate::line_splitter::MAX_LINE_BYTES;
 use maplefall_protocol::{Health, Member, Members};
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The longest name of a backend, in bytes.
+/// The maximum length of a backend's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 1024;
 
 /// A line of a watch.
@@ -20,42 +21,42 @@
     Update(ListUpdate),
 }
 
-/// What can be used of a list, or of changes of it.
+/// The usable content of a list, or of changes of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// The entries that can be used, each name once.
+    /// The valid entries, each name once.
     pub members: Members,
-    /// The entries that cannot.
+    /// The invalid entries.
     pub rejected: Vec<RejectedEntry>,
 }
 
-/// An entry that cannot be used.
+/// An invalid entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RejectedEntry {
-    /// What can be read of it, if it names a backend.
+    /// The readable fields, if the entry has a usable name.
     pub partial: Option<PartialEntry>,
-    /// Why it cannot be used.
+    /// The reason why the entry is invalid.
     pub reason: String,
 }
 
-/// What can be read of an entry that cannot be used.
+/// The readable fields of an invalid entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartialEntry {
     /// The backend's name.
     pub host: String,
-    /// Its state, if it is draining or removed.
+    /// The state, if it is draining or removed.
     pub stop: Option<Health>,
-    /// When it last started, in milliseconds since 1970, if that can be read.
+    /// The last start, in milliseconds since 1970, if it can be read.
     pub born_ms: Option<f64>,
 }
 
-/// Why nothing of a line can be used.
+/// The reason why a whole line is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It is not a JSON object with a version, with `whole` and with a list of entries.
+    /// The line is not a JSON object with a version, with `whole` and with a list of entries.
     #[error("unreadable line: {0}")]
     Json(#[from] serde_json::Error),
-    /// It is longer than [`MAX_LINE_BYTES`].
+    /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("unreadable line: {MAX_LINE_BYTES} bytes at most were expected")]
     TooLong,
 }
@@ -68,11 +69,11 @@
     hosts: Vec<Value>,
 }
 
-/// Parses a line of a watch, without its end, or a complete list.
+/// Parses a line of a watch, without its line end, or a complete list.
 ///
 /// # Errors
 ///
-/// [`LineError::Json`].
+/// Returns [`LineError::Json`].
 pub fn parse_line(text: &[u8]) -> Result<Line, LineError> {
     if text.trim_ascii().is_empty() {
         return Ok(Line::Heartbeat);
@@ -119,7 +120,7 @@
     }
 }
 
-/// What is wrong with a value of an entry.
+/// Returns what is wrong with a field of an entry.
 fn invalid_field(member: &Member) -> Option<&'static str> {
     if member.host.is_empty() || member.host.len() > MAX_NAME_BYTES {
         Some("host: a name of 1 to 1024 bytes was expected")
@@ -151,7 +152,8 @@
     })
 }
 
-/// Keeps one entry of each name. A line has no order, so the one with the latest start is kept, and of these the strongest stop.
+/// Keeps one entry of each name. A line has no order, so the entry with the latest start is kept,
+/// and of those with the same start the strongest stop.
 fn deduplicate(mut members: Members) -> Members {
     if !has_duplicates(&members.hosts) {
         return members;
--- a/crates/discovery-agent/tests/follower.rs
+++ b/crates/discovery-agent/tests/follower.rs
@@ -1,4 +1,4 @@
-//! The calls that a follower makes and the updates that it applies, by examples.
+//! Examples of the calls that a follower makes and the updates that it applies.
 
 use maplefall_discovery_agent::*;
 use maplefall_membership::{Event, MAX_BACKENDS};
@@ -12,7 +12,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn node(host: &str, health: Health, born_ms: f64) -> Member {
+fn backend(host: &str, health: Health, born_ms: f64) -> Member {
     Member {
         host: host.into(),
         dial: address(9),
@@ -44,12 +44,12 @@
     }
 }
 
-/// A follower with a clock, its open calls and the list of the roster.
+/// A follower with a clock, its open calls and the resulting endpoint list.
 struct Harness {
     follower: Follower,
     now: Millis,
     open: Vec<(CallId, SocketAddr, RequestKind)>,
-    /// The state and start of each node in the roster.
+    /// The state and start of each backend in the endpoint list.
     list: std::collections::BTreeMap<String, (Health, f64)>,
     reports: Vec<String>,
     lost: bool,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Advances the clock, with everything that is due in this time.
+    /// Advances the clock, and does everything that is due in this time.
     fn advance(&mut self, duration: Millis) {
         let end = self.now + duration;
         while let Some(due) = self.follower.next_due().filter(|due| *due <= end) {
@@ -126,8 +126,8 @@
         self.now = end;
     }
 
-    fn handle(&mut self, call: CallId, heard: CallEvent) {
-        let out = self.follower.handle_call_event(self.now, call, heard);
+    fn handle(&mut self, call: CallId, event: CallEvent) {
+        let out = self.follower.handle_call_event(self.now, call, event);
         self.apply_outputs(out);
     }
 
@@ -150,7 +150,7 @@
         self.apply_outputs(out);
     }
 
-    /// The only open call.
+    /// Returns the only open call.
     fn only_call(&self) -> CallId {
         assert_eq!(self.open.len(), 1, "{:?}", self.open);
         self.open[0].0
@@ -171,14 +171,16 @@
     }
 }
 
-/// A follower that has applied version 9, in which `a` is up and `b` is draining, with an open watch.
+/// Returns a follower that has applied version 9, in which `a` is up and `b` is draining, with an
+/// open watch.
 fn watching() -> Harness {
-    let hosts = [node("a", Up, 0.0), node("b", Draining, 0.0)];
+    let hosts = [backend("a", Up, 0.0), backend("b", Draining, 0.0)];
     Harness::new(settings(true, Some(members(9, true, &hosts))), 1e6)
 }
 
-/// Guards the rule on drains in a large fleet: a process that starts with an old list may send nothing to a backend 500 ms after its local
-/// agent knows of the drain, so its first call is not delayed.
+/// The rule on drains in a large fleet: a process that starts with an old list may forward nothing
+/// to a backend 500 ms after its local agent has received the drain, so its first call is not
+/// delayed.
 #[test]
 fn a_local_agent_is_called_at_once_in_a_fleet_of_any_size() {
     for process_count in [1, 4, 100, 315, u32::MAX] {
@@ -208,13 +210,13 @@
     }
 }
 
-/// Guards a start without a list.
+/// A process that starts without a list.
 #[test]
 fn without_a_list_the_complete_one_is_requested_and_then_watched() {
     let mut harness = Harness::new(settings(true, None), 0.0);
     assert_eq!(harness.requests(), [(1, RequestKind::CompleteList)]);
     let call = harness.only_call();
-    harness.receive(call, &members(4, true, &[node("a", Up, 0.0)]));
+    harness.receive(call, &members(4, true, &[backend("a", Up, 0.0)]));
     harness.end(call, CallEnd::Complete);
     assert_eq!(
         (harness.requests(), harness.states()),
@@ -223,8 +225,8 @@
     assert!(!harness.lost, "the end of a complete list is no outage");
 }
 
-/// Guards an overloaded agent against expensive requests: after status 503 changes are requested again; the complete list is requested only
-/// if the agent does not know the version.
+/// An overloaded agent gets no expensive requests: after status 503 changes are requested again;
+/// the complete list is requested only if the agent rejects the version with another status.
 #[test]
 fn after_an_overload_changes_are_requested_and_not_the_complete_list() {
     let mut harness = watching();
@@ -247,7 +249,7 @@
     );
 }
 
-/// Guards against malformed lines.
+/// A malformed line ends the call.
 #[test]
 fn a_malformed_line_is_reported_and_the_complete_list_requested() {
     let mut harness = watching();
@@ -260,16 +262,21 @@
     );
     harness.advance(MIN_RETRY_DELAY);
     assert_eq!(harness.requests(), [(1, RequestKind::CompleteList)]);
-    // It is equal to the applied one: nothing has changed.
+    // The list is equal to the applied one: nothing has changed.
     let call = harness.only_call();
     harness.receive(
         call,
-        &members(9, true, &[node("a", Up, 0.0), node("b", Draining, 0.0)]),
+        &members(
+            9,
+            true,
+            &[backend("a", Up, 0.0), backend("b", Draining, 0.0)],
+        ),
     );
     assert_eq!(harness.states(), [("a", Up), ("b", Draining)]);
 }
 
-/// Guards against silence: after a missed heartbeat a second call is made, and the call that receives a line first continues alone.
+/// A watch that goes silent: after a missed heartbeat a second call is made, and the call that
+/// receives a line first continues alone.
 #[test]
 fn after_a_missed_heartbeat_the_first_of_two_calls_with_a_line_continues() {
     for second_is_first in [true, false] {
@@ -288,27 +295,28 @@
         // The head of a response is not a line.
         harness.handle(second, CallEvent::ResponseStarted);
         assert_eq!(harness.open.len(), 2);
-        let (active, silent) = if second_is_first {
+        let (active, idle) = if second_is_first {
             (second, first)
         } else {
             (first, second)
         };
-        harness.receive(active, &members(10, false, &[node("a", Draining, 0.0)]));
+        harness.receive(active, &members(10, false, &[backend("a", Draining, 0.0)]));
         assert_eq!(harness.only_call(), active);
         assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
         // The other call was closed: its line is ignored.
-        harness.receive(silent, &members(11, true, &[node("a", Up, 0.0)]));
+        harness.receive(idle, &members(11, true, &[backend("a", Up, 0.0)]));
         assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
     }
 }
 
-/// Guards the rule on drains against an agent that restarts and answers no call from before: what it knows counts as reported from that
-/// moment, so a new call has to be answered within the grace period.
+/// The rule on drains with an agent that restarts and answers no call from before: what the agent
+/// has received counts as reported from that moment, so a new call has to be answered within the
+/// grace period.
 #[test]
 fn a_restarted_agent_is_received_within_the_grace_period() {
     for grace in [100.0, 300.0, 500.0, 1000.0] {
         for downtime in [400.0, 2300.0, 2349.0, 5555.0, 6500.0, 8123.0, 31_000.0] {
-            let initial_list = Some(members(9, true, &[node("a", Up, 0.0)]));
+            let initial_list = Some(members(9, true, &[backend("a", Up, 0.0)]));
             let mut harness = Harness::new(
                 Settings {
                     drain_grace_period: grace,
@@ -331,7 +339,7 @@
                     .find(|open| open.0 .0 > last_call)
                     .map(|open| open.0);
                 if let Some(call) = new_call {
-                    harness.receive(call, &members(10, false, &[node("a", Draining, 0.0)]));
+                    harness.receive(call, &members(10, false, &[backend("a", Draining, 0.0)]));
                     break harness.now;
                 }
             };
@@ -351,9 +359,9 @@
     }
 }
 
-/// Guards against an agent that sends the head of a response and nothing more.
+/// An agent that sends the head of a response and nothing more is called again.
 #[test]
-fn the_head_of_a_response_is_no_answer() {
+fn the_head_of_a_response_does_not_count_as_a_line() {
     let mut harness = watching();
     let first = harness.only_call();
     harness.handle(first, CallEvent::ResponseStarted);
@@ -366,14 +374,14 @@
         "{:?}",
         harness.open
     );
-    harness.receive(first, &members(10, false, &[node("a", Draining, 0.0)]));
+    harness.receive(first, &members(10, false, &[backend("a", Draining, 0.0)]));
     assert_eq!(
         (harness.only_call(), harness.states()),
         (first, vec![("a", Draining), ("b", Draining)])
     );
 }
 
-/// Guards an agent that is down against too many calls: two are open at most.
+/// An agent that is down is not flooded with calls: at most two are open.
 #[test]
 fn unanswered_second_calls_are_repeated_after_half_the_grace_period() {
     let mut harness = watching();
@@ -387,11 +395,11 @@
         assert!(harness.open.len() <= 2);
     }
     assert!((450..=490).contains(&calls), "{calls} calls in two minutes");
-    assert_eq!(harness.reports, ["watch ended: silent"]);
+    assert_eq!(harness.reports, ["watch ended: no data before the timeout"]);
 }
 
-/// Guards against a busy loop: a second call that is refused is not made again at once, as when a watch is silent while its address accepts
-/// no connection.
+/// A second call that is refused is not repeated in a busy loop, as when a watch is silent while
+/// its address accepts no connection.
 #[test]
 fn a_refused_second_call_is_made_again_after_a_delay() {
     let mut harness = watching();
@@ -420,7 +428,7 @@
     );
 }
 
-/// Guards a shared agent: it is not called a second time while a call is open.
+/// A shared agent is not called a second time while a call is open.
 #[test]
 fn a_shared_agent_is_called_again_only_after_a_timeout() {
     let mut harness = Harness::new(settings(false, Some(members(9, true, &[]))), 0.0);
@@ -434,9 +442,10 @@
     assert!(harness.open.is_empty() && harness.lost);
 }
 
-/// Guards the second address, which a process has that restarts after a move.
+/// A process that restarts after its agent has moved has two addresses; if one does not respond,
+/// the other is called.
 #[test]
-fn an_address_that_is_silent_or_refuses_is_followed_by_the_next() {
+fn after_an_address_that_is_silent_or_refuses_the_next_is_called() {
     let addresses = vec![address(1), address(2)];
     let mut harness = Harness::new(
         Settings {
@@ -467,65 +476,74 @@
     );
 }
 
-// ---- Versions ---------------------------------------------------------------------------------------
+// ---- Versions -----------------------------------------------------------------------------------
 
-/// Guards drains against an agent that is behind: it sends its complete list, and then the changes one by one.
+/// An agent that is behind revokes no drain: it sends its complete list, and then the changes one
+/// by one.
 #[test]
-fn an_outdated_list_takes_no_stop_back_and_removes_nothing() {
+fn an_outdated_list_revokes_no_stop_and_removes_nothing() {
     let mut harness = watching();
     harness.move_to(address(2));
     assert_eq!(harness.requests(), [(2, RequestKind::Watch(9))]);
     let call = harness.only_call();
-    // It does not know `a` yet, and still has `c`, which was removed.
+    // The agent has not received `a` yet, and still has `c`, which was removed.
     harness.receive(
         call,
-        &members(6, true, &[node("b", Up, 0.0), node("c", Up, 0.0)]),
+        &members(6, true, &[backend("b", Up, 0.0), backend("c", Up, 0.0)]),
     );
     assert_eq!(harness.states(), [("a", Up), ("b", Draining)]);
     for (seq, change) in [
-        (7, node("c", Removed, 0.0)),
-        (8, node("a", Up, 0.0)),
-        (9, node("b", Draining, 0.0)),
+        (7, backend("c", Removed, 0.0)),
+        (8, backend("a", Up, 0.0)),
+        (9, backend("b", Draining, 0.0)),
     ] {
         harness.receive(call, &members(seq, false, &[change]));
         assert_eq!(harness.states(), [("a", Up), ("b", Draining)], "at {seq}");
     }
-    // It has caught up: from here on its updates are applied.
+    // The agent has caught up: from here on its updates are applied.
     harness.receive(
         call,
-        &members(10, false, &[node("b", Up, 0.0), node("d", Up, 0.0)]),
+        &members(10, false, &[backend("b", Up, 0.0), backend("d", Up, 0.0)]),
     );
     assert_eq!(harness.states(), [("a", Up), ("b", Up), ("d", Up)]);
     assert!(
-        harness.reports[0].contains("version 6, and 9 has been told"),
+        harness.reports[0].contains("version 6, but 9 has been applied"),
         "{:?}",
         harness.reports
     );
 }
 
-/// Guards stops in outdated lists.
+/// Stops in an outdated list are applied, except to later instances.
 #[test]
 fn stops_of_an_outdated_list_are_applied_but_not_to_a_later_instance() {
-    let hosts = [node("a", Up, 0.0), node("b", Up, 50.0), node("c", Up, 0.0)];
+    let hosts = [
+        backend("a", Up, 0.0),
+        backend("b", Up, 50.0),
+        backend("c", Up, 0.0),
+    ];
     let mut harness = Harness::new(settings(true, Some(members(9, true, &hosts))), 1e6);
     let call = harness.only_call();
     let outdated = [
-        node("a", Draining, 0.0),
-        node("b", Draining, 40.0),
-        node("c", Removed, 0.0),
+        backend("a", Draining, 0.0),
+        backend("b", Draining, 40.0),
+        backend("c", Removed, 0.0),
     ];
     harness.receive(call, &members(5, true, &outdated));
     assert_eq!(harness.states(), [("a", Draining), ("b", Up)]);
 }
 
-/// Guards against a change with a lower version.
+/// A change with a version below the applied one.
 #[test]
-fn an_outdated_change_makes_the_complete_list_requested() {
+fn after_an_outdated_change_the_complete_list_is_requested() {
     let mut harness = watching();
     let call = harness.only_call();
     harness.receive(
         call,
-        &members(3, false, &[node("a", Draining, 0.0), node("b", Up, 0.0)]),
+        &members(
+            3,
+            false,
+            &[backend("a", Draining, 0.0), backend("b", Up, 0.0)],
+        ),
     );
     assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
     assert_eq!(harness.requests(), []);
@@ -534,18 +552,18 @@
     let call = harness.only_call();
     harness.receive(
         call,
-        &members(3, true, &[node("a", Up, 0.0), node("b", Up, 0.0)]),
+        &members(3, true, &[backend("a", Up, 0.0), backend("b", Up, 0.0)]),
     );
     assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
 }
 
-/// Guards against a busy loop with an agent that never sends its complete list.
+/// An agent that never sends its complete list is not called in a busy loop.
 #[test]
 fn an_agent_that_sends_outdated_changes_is_called_after_delays() {
     let mut harness = watching();
     for _ in 0..5 {
         let call = harness.only_call();
-        harness.receive(call, &members(3, false, &[node("b", Up, 0.0)]));
+        harness.receive(call, &members(3, false, &[backend("b", Up, 0.0)]));
         assert!(harness.open.is_empty(), "{:?}", harness.open);
         assert!(harness
             .follower
@@ -556,16 +574,20 @@
     assert_eq!(harness.states(), [("a", Up), ("b", Draining)]);
 }
 
-/// Guards against invalid entries in changes and complete lists: their stops are applied, otherwise the previous entry stays, and each is
-/// reported once until it is valid again.
+/// Invalid entries in changes and complete lists: their stops are applied, otherwise the previous
+/// entry stays, and each is reported once until it is valid again.
 #[test]
-fn an_invalid_entry_stops_or_leaves_its_node_and_is_reported_once() {
-    let hosts = [node("a", Up, 0.0), node("b", Up, 0.0), node("c", Up, 0.0)];
+fn an_invalid_entry_stops_or_keeps_its_backend_and_is_reported_once() {
+    let hosts = [
+        backend("a", Up, 0.0),
+        backend("b", Up, 0.0),
+        backend("c", Up, 0.0),
+    ];
     for whole in [true, false] {
         let mut harness = Harness::new(settings(true, Some(members(9, true, &hosts))), 1e6);
         let call = harness.only_call();
         let invalid = |host: &str, health: &str| json!({"host": host, "health": health, "dial": 7});
-        let valid = serde_json::to_value(node("c", Up, 0.0)).expect("an entry");
+        let valid = serde_json::to_value(backend("c", Up, 0.0)).expect("an entry");
         for seq in [10, 11] {
             let hosts = json!([invalid("a", "draining"), invalid("b", "up"), valid]);
             let text = json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string();
@@ -577,13 +599,13 @@
             );
         }
         assert_eq!(harness.reports.len(), 2, "{:?}", harness.reports);
-        harness.receive(call, &members(12, false, &[node("b", Draining, 0.0)]));
+        harness.receive(call, &members(12, false, &[backend("b", Draining, 0.0)]));
         let text = json!({"seq": 13, "whole": false, "hosts": [invalid("b", "up")]}).to_string();
         harness.handle(call, CallEvent::Line(text.into_bytes()));
         assert_eq!(
             (harness.states()[1], harness.reports.len()),
             (("b", Draining), 3),
-            "it was valid meanwhile"
+            "it was valid in between"
         );
     }
     // An entry that stayed after a complete list can still be stopped by its name alone.
@@ -597,16 +619,17 @@
     assert_eq!(harness.states(), [("b", Draining)]);
 }
 
-/// Guards memory against an endless list: the follower keeps no more nodes than the roster.
+/// An endless list does not exhaust memory: the follower keeps no more backends than the endpoint
+/// list.
 #[test]
-fn the_list_is_bounded_like_the_roster() {
+fn the_list_is_bounded_like_the_endpoint_list() {
     let mut harness = Harness::new(settings(true, None), 0.0);
     let call = harness.only_call();
-    let name = |n: usize| node(&format!("n{n:06}"), Up, 0.0);
-    let nodes: Vec<Member> = (0..MAX_BACKENDS + 5).map(name).collect();
-    harness.receive(call, &members(1, true, &nodes));
+    let nth_backend = |n: usize| backend(&format!("n{n:06}"), Up, 0.0);
+    let backends: Vec<Member> = (0..MAX_BACKENDS + 5).map(nth_backend).collect();
+    harness.receive(call, &members(1, true, &backends));
     harness.end(call, CallEnd::Complete);
-    // A stop by name alone is only applied to a node that was kept.
+    // A stop by name alone is only applied to a backend that was kept.
     let call = harness.only_call();
     let stop = |n: usize| json!({"host": format!("n{n:06}"), "health": "draining", "dial": 7});
     let text =
@@ -620,10 +643,10 @@
     assert_eq!(states, [Draining, Up]);
 }
 
-/// Guards against an agent that restarts its numbering and is never trusted.
+/// An agent that restarts its numbering must not be distrusted forever.
 #[test]
-fn a_restarted_numbering_is_trusted_by_a_newer_instance_or_after_its_time() {
-    let restarted = [node("a", Up, 0.0), node("b", Up, 0.0)];
+fn a_restarted_numbering_is_trusted_with_a_newer_instance_or_after_the_propagation_delay() {
+    let restarted = [backend("a", Up, 0.0), backend("b", Up, 0.0)];
     let mut harness = watching();
     let call = harness.only_call();
     let born = harness.now + 1.0;
@@ -633,7 +656,11 @@
         &members(
             1,
             true,
-            &[node("a", Up, 0.0), node("b", Up, 0.0), node("d", Up, born)],
+            &[
+                backend("a", Up, 0.0),
+                backend("b", Up, 0.0),
+                backend("d", Up, born),
+            ],
         ),
     );
     assert_eq!(
@@ -641,7 +668,8 @@
         [("a", Up), ("b", Up), ("d", Up)],
         "an instance that started since"
     );
-    // Without a newer instance it is trusted once it must have all stops that were reported before.
+    // Without a newer instance the list is trusted once the agent must have all stops that were
+    // reported before.
     let mut harness = watching();
     let call = harness.only_call();
     harness.receive(call, &members(1, true, &restarted));
@@ -674,24 +702,29 @@
     assert_eq!(harness.states(), [("a", Up), ("b", Up)]);
 }
 
-/// Guards a stop from an outdated list against the next agent: which of the two is older is unknown, so neither its versions nor instances
-/// that started before the stop take it back.
+/// A stop was applied from an outdated list, and the next agent is followed. Which of the two
+/// agents is older is unknown, so neither the next agent's versions nor instances that started
+/// before the stop revoke it.
 #[test]
-fn a_stop_from_a_list_that_was_left_stays_until_the_next_agent_must_have_it() {
+fn a_stop_from_an_abandoned_list_stays_until_the_next_agent_must_have_it() {
     let mut harness = watching();
     let call = harness.only_call();
     harness.advance(1000.0);
     let between = harness.now - 500.0;
-    harness.receive(call, &members(1, true, &[node("a", Draining, 0.0)]));
+    harness.receive(call, &members(1, true, &[backend("a", Draining, 0.0)]));
     harness.move_to(address(2));
     assert_eq!(harness.requests(), [(2, RequestKind::CompleteList)]);
     let call = harness.only_call();
     harness.receive(
         call,
-        &members(12, true, &[node("a", Up, 0.0), node("d", Up, between)]),
+        &members(
+            12,
+            true,
+            &[backend("a", Up, 0.0), backend("d", Up, between)],
+        ),
     );
     assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
-    harness.receive(call, &members(13, false, &[node("e", Up, 0.0)]));
+    harness.receive(call, &members(13, false, &[backend("e", Up, 0.0)]));
     assert_eq!(harness.states(), [("a", Draining), ("b", Draining)]);
     for _ in 0..3 {
         harness.advance(HEARTBEAT);
@@ -700,7 +733,7 @@
     assert_eq!(harness.states(), [("a", Up), ("d", Up), ("e", Up)]);
 }
 
-/// Guards a numbering that has superseded another against an agent that still uses the old one.
+/// A numbering was superseded, and the next agent still uses it.
 #[test]
 fn an_agent_with_a_superseded_numbering_is_outdated() {
     let mut harness = watching();
@@ -709,34 +742,46 @@
     harness.advance(10.0);
     harness.receive(
         call,
-        &members(1, true, &[node("a", Draining, 0.0), node("d", Up, born)]),
+        &members(
+            1,
+            true,
+            &[backend("a", Draining, 0.0), backend("d", Up, born)],
+        ),
     );
     assert_eq!(harness.states(), [("a", Draining), ("d", Up)]);
     harness.move_to(address(2));
     let call = harness.only_call();
     harness.receive(
         call,
-        &members(12, true, &[node("a", Up, 0.0), node("b", Draining, 0.0)]),
+        &members(
+            12,
+            true,
+            &[backend("a", Up, 0.0), backend("b", Draining, 0.0)],
+        ),
     );
     assert_eq!(harness.states(), [("a", Draining), ("d", Up)]);
     // A numbering that reaches the old one's versions step by step is not mistaken for it.
     harness.move_to(address(1));
     for seq in 2..12 {
         let call = harness.only_call();
-        harness.receive(call, &members(seq, false, &[node("f", Up, seq as f64)]));
+        harness.receive(call, &members(seq, false, &[backend("f", Up, seq as f64)]));
     }
     assert_eq!(harness.states(), [("a", Draining), ("d", Up), ("f", Up)]);
 }
 
-/// Guards a repeated version.
+/// The applied version is received again, with the same list and with another.
 #[test]
-fn the_applied_version_again_changes_nothing_and_is_outdated_if_it_differs() {
+fn a_repeated_version_changes_nothing_and_is_outdated_if_its_list_differs() {
     let mut harness = watching();
     let call = harness.only_call();
     harness.receive(call, &members(9, false, &[]));
     harness.receive(
         call,
-        &members(9, true, &[node("b", Draining, 0.0), node("a", Up, 0.0)]),
+        &members(
+            9,
+            true,
+            &[backend("b", Draining, 0.0), backend("a", Up, 0.0)],
+        ),
     );
     assert_eq!(
         (harness.states(), harness.reports.len()),
@@ -744,7 +789,7 @@
     );
     harness.receive(
         call,
-        &members(9, true, &[node("b", Up, 0.0), node("a", Up, 0.0)]),
+        &members(9, true, &[backend("b", Up, 0.0), backend("a", Up, 0.0)]),
     );
     assert_eq!(
         (harness.states(), harness.reports.len()),
@@ -752,17 +797,17 @@
     );
 }
 
-/// Guards lines that arrive in pieces, and their bound.
+/// Lines arrive in chunks of any length; the length of a line is bounded.
 #[test]
-fn pieces_are_joined_and_split_into_lines() {
+fn chunks_are_joined_and_split_into_lines() {
     let mut lines = LineSplitter::default();
     let mut received: Vec<Vec<u8>> = Vec::new();
-    for piece in [&b"one\ntw"[..], b"", b"o\n\nthr", b"ee\n", b"rest"] {
-        let take = |line: &[u8]| {
+    for chunk in [&b"one\ntw"[..], b"", b"o\n\nthr", b"ee\n", b"rest"] {
+        let consume = |line: &[u8]| {
             received.push(line.to_vec());
             Ok(())
         };
-        lines.push(piece, take).expect("short lines");
+        lines.push(chunk, consume).expect("short lines");
     }
     assert_eq!(received, [&b"one"[..], b"two", b"", b"three"]);
     assert_eq!(lines.remainder(), b"rest");
--- a/crates/discovery-agent/tests/parse.rs
+++ b/crates/discovery-agent/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of lines: by examples and with random entries.
+//! Parsing of lines, by examples and with random entries.
 
 use maplefall_discovery_agent::{parse_line, Line, ListUpdate, MAX_NAME_BYTES};
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
@@ -28,7 +28,7 @@
         .collect()
 }
 
-/// What can be read of the rejected entries.
+/// Returns the readable fields of the rejected entries.
 fn partial_entries(update: &ListUpdate) -> Vec<(&str, Option<Health>)> {
     let partial = update
         .rejected
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// Guards the list against an invalid entry: the others are used, and a stop is used if it can be read.
+/// An invalid entry does not cost the others of its line, and its stop is used if it can be read.
 #[test]
 fn an_invalid_entry_does_not_invalidate_others() {
     let invalid_entry = |field: &str, value: Value, health: &str| {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Guards entries without a usable name: nothing of them is used.
+/// Nothing is used of an entry without a usable name.
 #[test]
 fn an_entry_without_a_name_is_rejected() {
     for nameless in [
@@ -106,7 +106,7 @@
     );
 }
 
-/// Guards names that occur more than once in a line.
+/// A name that occurs more than once in a line gets one entry.
 #[test]
 fn of_duplicate_entries_the_latest_start_and_the_strongest_stop_is_used() {
     let update = parse(&[
@@ -123,7 +123,7 @@
     );
 }
 
-/// Guards lines that are not updates.
+/// Empty and malformed lines are not updates.
 #[test]
 fn empty_lines_are_heartbeats_and_malformed_ones_errors() {
     for empty in ["", " ", "\r"] {
@@ -150,7 +150,7 @@
     }
 }
 
-/// Any value in place of an entry.
+/// Generates any value in place of an entry.
 fn any_entry() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -178,7 +178,8 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(38), failure_persistence: None, ..Config::default() })]
 
-    /// Guards valid entries beside any others: they are used as they are, and each other one is rejected or valid.
+    /// Valid entries are used unchanged beside any others, and each other entry is either rejected
+    /// or valid.
     #[test]
     fn valid_entries_are_used_whatever_the_others_are(
         others in proptest::collection::vec(any_entry(), 0..6), index in 0usize..6,
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Guards against any bytes: they are a line or an error.
+    /// Any bytes are either parsed as a line or rejected with an error.
     #[test]
     fn any_bytes_are_parsed_or_rejected(text in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = parse_line(&text);
--- a/crates/discovery-agent/tests/schedules.rs
+++ b/crates/discovery-agent/tests/schedules.rs
@@ -1,9 +1,11 @@
-//! Random schedules of two agents that lag, repeat themselves, restart their numbering, go silent, lose connections and are switched
-//! between, against an observer that records every update. (Two numberings at the same time are not among them: a process that knows only
-//! one of them cannot distinguish them.) Two invariants:
+//! Random schedules of two agents that lag, repeat themselves, restart their numbering, go silent,
+//! lose connections and are switched between, checked by an observer that records every update. Two
+//! numberings at the same time are excluded: a process that sees only one of them cannot
+//! distinguish them. Two invariants:
 //!
 //! 1. An instance that was stopped is up again only by an update that is newer than the stop.
-//! 2. Once an agent was received for a while, the list is that agent's list: nothing is frozen, and nothing lost.
+//! 2. Once an agent has been received for a while, the list is that agent's list: nothing is
+//!    frozen, and nothing is lost.
 
 use maplefall_discovery_agent::*;
 use maplefall_membership::Event;
@@ -22,7 +24,7 @@
 /// An instance of a backend: its name and start.
 type Instance = (String, u64);
 
-/// A change of the truth, with its time.
+/// A change of the true list, with its time.
 #[derive(Clone, Debug)]
 struct Change {
     at: Millis,
@@ -37,10 +39,10 @@
     (member.host.clone(), member.born_ms as u64)
 }
 
-/// The list after this many changes.
-fn list_at(truth: &[Change], known: usize) -> BTreeMap<String, Member> {
+/// Returns the true list after this many changes.
+fn list_at(true_changes: &[Change], known: usize) -> BTreeMap<String, Member> {
     let mut list = BTreeMap::new();
-    for Change { member, .. } in &truth[..known] {
+    for Change { member, .. } in &true_changes[..known] {
         if member.health == Health::Removed {
             list.remove(&member.host);
         } else {
@@ -52,16 +54,16 @@
 
 #[derive(Debug)]
 struct Agent {
-    /// How many changes of the truth it knows.
+    /// The number of changes that the agent has received.
     known: usize,
-    /// The time up to which it knows all.
+    /// The time up to which the agent has received all changes.
     knows_until: Millis,
     lag: Millis,
-    /// Its version is this plus the changes that it knows.
+    /// The agent's version is this plus the number of changes that it has received.
     base: u64,
-    /// Its history begins after this many changes.
+    /// The agent's history begins after this many changes.
     history_start: usize,
-    is_silent: bool,
+    is_unresponsive: bool,
 }
 
 impl Agent {
@@ -69,13 +71,13 @@
         self.base + self.known as u64
     }
 
-    fn answer(&self, truth: &[Change], from: Option<u64>) -> Members {
+    fn response(&self, true_changes: &[Change], from: Option<u64>) -> Members {
         let known_from = from
             .filter(|from| (self.base + self.history_start as u64..=self.version()).contains(from));
         let hosts = match known_from {
-            None => list_at(truth, self.known).into_values().collect(),
+            None => list_at(true_changes, self.known).into_values().collect(),
             Some(from) => {
-                let changed = &truth[(from - self.base) as usize..self.known];
+                let changed = &true_changes[(from - self.base) as usize..self.known];
                 let last: BTreeMap<&str, &Member> = changed
                     .iter()
                     .map(|c| (c.member.host.as_str(), &c.member))
@@ -97,17 +99,17 @@
     call: CallId,
     agent: usize,
     request: RequestKind,
-    /// How many changes were sent to it, once it was answered.
+    /// The number of changes that were sent on the call, once it was answered.
     sent: Option<usize>,
     last_line_at: Millis,
 }
 
-/// What the observer knows of an instance.
+/// The observer's record of an instance.
 #[derive(Clone, Copy, Debug)]
 struct Observed {
-    /// The time of its last stop that was sent.
+    /// The time of the last stop that was sent.
     stopped_at: Millis,
-    /// The time up to which it was sent as up.
+    /// The time up to which the instance was sent as up.
     up_until: Millis,
 }
 
@@ -122,14 +124,14 @@
 
 struct Simulation {
     now: Millis,
-    truth: Vec<Change>,
+    true_changes: Vec<Change>,
     agents: [Agent; 2],
-    /// The agent that accepts calls; the other refuses.
+    /// The agent that accepts calls; the other refuses connections.
     current_agent: usize,
     open_calls: Vec<OpenCall>,
     outputs: VecDeque<Output>,
     follower: Follower,
-    roster: BTreeMap<String, Member>,
+    endpoints: BTreeMap<String, Member>,
     observed: BTreeMap<Instance, Observed>,
     reports: Vec<String>,
 }
@@ -141,17 +143,17 @@
             at: 0.0,
             member: member(host, Health::Up, 0.0),
         };
-        let truth: Vec<Change> = ["a", "b", "c"].map(up).to_vec();
+        let true_changes: Vec<Change> = ["a", "b", "c"].map(up).to_vec();
         let agent = |history_start| Agent {
             known: 3,
             knows_until: now,
             lag: 0.0,
             base: FIRST_NUMBERING,
             history_start,
-            is_silent: false,
+            is_unresponsive: false,
         };
         let agents = [agent(0), agent(3)];
-        let initial_list = has_initial_list.then(|| agents[0].answer(&truth, None));
+        let initial_list = has_initial_list.then(|| agents[0].response(&true_changes, None));
         let mut simulation = Simulation {
             now,
             follower: Follower::new(
@@ -166,18 +168,18 @@
                 },
                 now,
             ),
-            truth,
+            true_changes,
             agents,
             current_agent: 0,
             open_calls: Vec::new(),
             outputs: VecDeque::new(),
-            roster: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             observed: BTreeMap::new(),
             reports: Vec::new(),
         };
         if let Some(list) = initial_list {
             simulation.observe(&list, 0, 3, now);
-            simulation.roster = list
+            simulation.endpoints = list
                 .hosts
                 .into_iter()
                 .map(|member| (member.host.clone(), member))
@@ -186,10 +188,11 @@
         simulation
     }
 
-    /// Records what an agent that knows this many changes up to this time has sent.
+    /// Records an update sent by an agent that has received the first `known` changes, up to the
+    /// time `until`.
     fn observe(&mut self, sent: &Members, from: usize, known: usize, until: Millis) {
-        for change in &self.truth[from.min(known)..known] {
-            // Each stop that is sent and still in force there.
+        for change in &self.true_changes[from.min(known)..known] {
+            // Each stop that is sent and still in force at the agent.
             let observed = self.observed.entry(instance(&change.member)).or_default();
             let named = sent
                 .hosts
@@ -231,8 +234,8 @@
                         });
                     } else {
                         let refused = CallEvent::Ended(CallEnd::ConnectionFailed("refused".into()));
-                        let more = self.follower.handle_call_event(self.now, call, refused);
-                        self.outputs.extend(more);
+                        let outputs = self.follower.handle_call_event(self.now, call, refused);
+                        self.outputs.extend(outputs);
                     }
                 }
                 Output::CloseCall(call) => self.open_calls.retain(|open| open.call != call),
@@ -243,7 +246,7 @@
                     ..
                 }) => {
                     assert!(unreadable.is_empty());
-                    self.roster.clear();
+                    self.endpoints.clear();
                     self.apply_members(members);
                 }
                 Output::Event(Event::Change { members, .. }) => self.apply_members(members),
@@ -255,25 +258,25 @@
     fn apply_members(&mut self, members: Members) {
         for member in members.hosts {
             if member.health == Health::Removed {
-                self.roster.remove(&member.host);
+                self.endpoints.remove(&member.host);
             } else {
-                self.roster.insert(member.host.clone(), member);
+                self.endpoints.insert(member.host.clone(), member);
             }
         }
     }
 
-    fn handle(&mut self, call: CallId, heard: CallEvent) {
-        let out = self.follower.handle_call_event(self.now, call, heard);
+    fn handle(&mut self, call: CallId, event: CallEvent) {
+        let out = self.follower.handle_call_event(self.now, call, event);
         self.apply_outputs(out);
     }
 
-    /// Agents learn changes and send them.
+    /// Lets the agents receive changes and send them.
     fn run_agents(&mut self) {
         for agent in &mut self.agents {
             agent.knows_until = agent.knows_until.max(self.now - agent.lag);
             let until = agent.knows_until;
             agent.known = agent.known.max(
-                self.truth
+                self.true_changes
                     .iter()
                     .take_while(|change| change.at <= until)
                     .count(),
@@ -291,13 +294,13 @@
             let Agent {
                 known,
                 knows_until,
-                is_silent,
+                is_unresponsive,
                 base,
                 ..
             } = self.agents[agent];
             index += 1;
             let has_update = sent.is_none_or(|sent| sent < known);
-            if is_silent || !(has_update || self.now - last_line_at >= HEARTBEAT) {
+            if is_unresponsive || !(has_update || self.now - last_line_at >= HEARTBEAT) {
                 continue;
             }
             self.open_calls[index - 1].last_line_at = self.now;
@@ -309,8 +312,9 @@
                 (None, RequestKind::CompleteList) => None,
             };
             if has_update {
-                let members = self.agents[agent].answer(&self.truth, from);
-                // A complete list has all that is known, a change what has changed.
+                let members = self.agents[agent].response(&self.true_changes, from);
+                // A complete list has all received changes, an incremental update those since
+                // `from`.
                 let since = if members.whole {
                     0
                 } else {
@@ -319,11 +323,11 @@
                 self.observe(&members, since, known, knows_until);
                 text = serde_json::to_vec(&members).expect("members serialize");
             }
-            // What it has sent before is still in force.
+            // What the agent has sent before is still in force.
             let in_force = Members {
                 seq: 0,
                 whole: false,
-                hosts: list_at(&self.truth, known).into_values().collect(),
+                hosts: list_at(&self.true_changes, known).into_values().collect(),
             };
             if sent.is_some() {
                 self.observe(&in_force, known, known, knows_until);
@@ -335,7 +339,7 @@
                 self.open_calls.retain(|open| open.call != call);
                 self.handle(call, CallEvent::Ended(CallEnd::Complete));
             }
-            // Calls may have come and gone.
+            // Calls can have been opened and closed meanwhile.
             index = 0;
         }
     }
@@ -349,10 +353,10 @@
         self.run_agents();
     }
 
-    /// The first invariant.
+    /// Checks the first invariant.
     fn check(&self) -> Result<(), TestCaseError> {
         for member in self
-            .roster
+            .endpoints
             .values()
             .filter(|member| member.health == Health::Up)
         {
@@ -391,7 +395,7 @@
     Change(usize, u8),
     /// An agent lags by this much from now on.
     Lag(usize, u16),
-    Silent(usize, bool),
+    SetUnresponsive(usize, bool),
     /// The process is switched to the other agent.
     Switch,
     /// The open calls are reset.
@@ -405,7 +409,7 @@
     prop_oneof![
         4 => (0usize..4, any::<u8>()).prop_map(|(host, kind)| Action::Change(host, kind)),
         2 => (0usize..2, 0u16..5900).prop_map(|(agent, lag)| Action::Lag(agent, lag)),
-        1 => (0usize..2, any::<bool>()).prop_map(|(agent, is_silent)| Action::Silent(agent, is_silent)),
+        1 => (0usize..2, any::<bool>()).prop_map(|(agent, is_unresponsive)| Action::SetUnresponsive(agent, is_unresponsive)),
         1 => Just(Action::Switch),
         1 => Just(Action::ResetCalls),
         1 => Just(Action::RestartNumbering),
@@ -418,7 +422,7 @@
         match *action {
             Action::Change(host, kind) => {
                 let host = ["a", "b", "c", "d"][host];
-                let now = list_at(&self.truth, self.truth.len()).remove(host);
+                let now = list_at(&self.true_changes, self.true_changes.len()).remove(host);
                 let member = match (now, kind % 3) {
                     (None, _) => member(host, Health::Up, self.now),
                     (Some(m), 0) if m.health == Health::Up => Member {
@@ -438,13 +442,15 @@
                         ..m
                     },
                 };
-                self.truth.push(Change {
+                self.true_changes.push(Change {
                     at: self.now,
                     member,
                 });
             }
             Action::Lag(agent, lag) => self.agents[agent].lag = f64::from(lag),
-            Action::Silent(agent, is_silent) => self.agents[agent].is_silent = is_silent,
+            Action::SetUnresponsive(agent, is_unresponsive) => {
+                self.agents[agent].is_unresponsive = is_unresponsive
+            }
             Action::Switch => {
                 self.current_agent = 1 - self.current_agent;
                 let out = self.follower.move_to(self.now, address(self.current_agent));
@@ -485,7 +491,7 @@
     })]
 
     #[test]
-    fn no_drain_is_taken_back_by_an_older_update_and_no_list_is_frozen(
+    fn no_drain_is_revoked_by_an_older_update_and_no_list_is_frozen(
         has_initial_list in any::<bool>(), actions in proptest::collection::vec(action(), 0..60),
     ) {
         let mut simulation = Simulation::new(has_initial_list);
@@ -494,13 +500,13 @@
         }
         // From here on all agents send, and none lags.
         for agent in &mut simulation.agents {
-            (agent.is_silent, agent.lag) = (false, 0.0);
+            (agent.is_unresponsive, agent.lag) = (false, 0.0);
         }
         for _ in 0..150 {
             simulation.step();
             simulation.check()?;
         }
-        let truth = list_at(&simulation.truth, simulation.truth.len());
-        prop_assert_eq!(&simulation.roster, &truth, "{:?}", simulation.reports);
+        let true_list = list_at(&simulation.true_changes, simulation.true_changes.len());
+        prop_assert_eq!(&simulation.endpoints, &true_list, "{:?}", simulation.reports);
     }
 }
--- a/crates/membership/src/interface.rs
+++ b/crates/membership/src/interface.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// News from a source. `source` is its index in the settings; the first has precedence.
+/// An event of a source. `source` is its index in the settings; the first has precedence.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The complete list at a version.
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -193,8 +193,7 @@
     assert_eq!(states(&endpoints), [("a", Up), ("b", Draining)]);
 }
 
-/// Rule 3: a snapshot that lacks too many backends, as after a partial read, does not remove them
-/// at once.
+/// Rule 3: a snapshot that lacks too many backends does not remove them at once.
 #[test]
 fn backends_missing_from_a_shrunken_snapshot_stay_for_the_suspicion_timeout() {
     let etcd = SourceSettings {
