--- a/crates/discovery-agent/tests/parse.rs
+++ b/crates/discovery-agent/tests/parse.rs
@@ -1,6 +1,6 @@
-//! Parsing of lines: by examples and with random entries.
+//! Parsing of lines, by examples and with random entries.
 
-use maplefall_discovery_agent::{line, Line, Word, MAX_NAME_BYTES};
+use maplefall_discovery_agent::{parse_line, Line, ListUpdate, MAX_NAME_BYTES};
 use maplefall_protocol::Health::{self, Draining, Removed, Up};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -11,15 +11,15 @@
            "share": 1.0, "born_ms": born_ms})
 }
 
-fn parse(hosts: &[Value]) -> Word {
+fn parse(hosts: &[Value]) -> ListUpdate {
     let text = json!({"seq": 9, "whole": true, "hosts": hosts}).to_string();
-    match line(text.as_bytes()) {
-        Ok(Line::Word(update)) => update,
+    match parse_line(text.as_bytes()) {
+        Ok(Line::Update(update)) => update,
         other => panic!("{other:?} from {text}"),
     }
 }
 
-fn states(update: &Word) -> Vec<(&str, Health)> {
+fn states(update: &ListUpdate) -> Vec<(&str, Health)> {
     update
         .members
         .hosts
@@ -28,10 +28,10 @@
         .collect()
 }
 
-/// What can be read of the rejected entries.
-fn partial_entries(update: &Word) -> Vec<(&str, Option<Health>)> {
+/// Returns the readable fields of the rejected entries.
+fn partial_entries(update: &ListUpdate) -> Vec<(&str, Option<Health>)> {
     let partial = update
-        .passed_over
+        .rejected
         .iter()
         .filter_map(|rejected| rejected.partial.as_ref());
     partial
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// Guards the list against an invalid entry: the others are used, and a stop is used if it can be read.
+/// An invalid entry does not cost the others of its line, and its stop is used if it can be read.
 #[test]
 fn an_invalid_entry_does_not_invalidate_others() {
     let invalid_entry = |field: &str, value: Value, health: &str| {
@@ -71,12 +71,12 @@
             ]);
             assert_eq!(states(&update), [("a", Up), ("b", Draining)], "{invalid}");
             assert_eq!(partial_entries(&update), [("bad", stop)], "{invalid}");
-            assert!(!update.passed_over[0].reason.is_empty());
+            assert!(!update.rejected[0].reason.is_empty());
         }
     }
 }
 
-/// Guards entries without a usable name: nothing of them is used.
+/// Nothing is used of an entry without a usable name.
 #[test]
 fn an_entry_without_a_name_is_rejected() {
     for nameless in [
@@ -89,7 +89,7 @@
         let update = parse(&[nameless.clone(), entry("a", "up", 0.0)]);
         assert_eq!(states(&update), [("a", Up)], "{nameless}");
         assert_eq!(
-            (update.passed_over.len(), partial_entries(&update).len()),
+            (update.rejected.len(), partial_entries(&update).len()),
             (1, 0),
             "{nameless}"
         );
@@ -106,7 +106,7 @@
     );
 }
 
-/// Guards names that occur more than once in a line.
+/// A name that occurs more than once in a line gets one entry.
 #[test]
 fn of_duplicate_entries_the_latest_start_and_the_strongest_stop_is_used() {
     let update = parse(&[
@@ -123,11 +123,11 @@
     );
 }
 
-/// Guards lines that are not updates.
+/// Empty and malformed lines are not updates.
 #[test]
 fn empty_lines_are_heartbeats_and_malformed_ones_errors() {
     for empty in ["", " ", "\r"] {
-        assert_eq!(line(empty.as_bytes()).unwrap(), Line::Heartbeat);
+        assert_eq!(parse_line(empty.as_bytes()).unwrap(), Line::Heartbeat);
     }
     let malformed = [
         "{",
@@ -141,7 +141,7 @@
     ];
     for text in malformed {
         assert!(
-            line(text.as_bytes())
+            parse_line(text.as_bytes())
                 .unwrap_err()
                 .to_string()
                 .starts_with("unreadable line: "),
@@ -150,7 +150,7 @@
     }
 }
 
-/// Any value in place of an entry.
+/// Generates any value in place of an entry.
 fn any_entry() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -178,7 +178,8 @@
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(38), failure_persistence: None, ..Config::default() })]
 
-    /// Guards valid entries beside any others: they are used as they are, and each other one is rejected or valid.
+    /// Valid entries are used unchanged beside any others, and each other entry is either rejected
+    /// or valid.
     #[test]
     fn valid_entries_are_used_whatever_the_others_are(
         others in proptest::collection::vec(any_entry(), 0..6), index in 0usize..6,
@@ -189,15 +190,15 @@
         hosts.push(valid[1].clone());
         let update = parse(&hosts);
         prop_assert!(states(&update).contains(&("a", Up)) && states(&update).contains(&("b", Draining)));
-        prop_assert!(update.members.hosts.len() + update.passed_over.len() <= hosts.len());
+        prop_assert!(update.members.hosts.len() + update.rejected.len() <= hosts.len());
         for member in &update.members.hosts {
             prop_assert!(member.share >= 0.0 && member.born_ms >= 0.0 && !member.host.is_empty());
         }
     }
 
-    /// Guards against any bytes: they are a line or an error.
+    /// Any bytes are either parsed as a line or rejected with an error.
     #[test]
     fn any_bytes_are_parsed_or_rejected(text in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = line(&text);
+        let _ = parse_line(&text);
     }
 }
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -4,10 +4,10 @@
 //! itself is unchanged.
 
 use hyper::Uri;
-use maplefall_discovery_agent::{line, Heard, Line, Output, Word};
+use maplefall_discovery_agent::{parse_line, CallEvent, Line, ListUpdate, Output};
 use maplefall_etcd::client::Seam;
 use maplefall_etcd::{Command, Input};
-use maplefall_membership::{Event, Roster, Update};
+use maplefall_membership::{EndpointList, Event, Update};
 use maplefall_policy::{Action, BackendEntry, Idempotency, Millis, RejectReason, Settings};
 use maplefall_protocol::{ForwardedRequest, Health, Member};
 use std::rc::Rc;
@@ -221,7 +221,7 @@
 }
 
 /// Returns the update that replaces the roster's, if this breakage bypasses the roster.
-pub fn bypass_roster(event: &Event, roster: &Roster) -> Option<Update> {
+pub fn bypass_roster(event: &Event, roster: &EndpointList) -> Option<Update> {
     let changes = match event {
         Event::Snapshot { members, .. } | Event::Change { members, .. }
             if is(Breakage::LastReportWins) =>
@@ -244,10 +244,10 @@
 }
 
 /// Returns the event that the agent's follower receives.
-pub fn received_event(event: Heard) -> Heard {
+pub fn received_event(event: CallEvent) -> CallEvent {
     match &event {
-        Heard::Line(text) if is(Breakage::InvalidEntryDropsLine) => match line(text) {
-            Ok(Line::Word(word)) if !word.passed_over.is_empty() => Heard::Line(Vec::new()),
+        CallEvent::Line(text) if is(Breakage::InvalidEntryDropsLine) => match parse_line(text) {
+            Ok(Line::Update(word)) if !word.rejected.is_empty() => CallEvent::Line(Vec::new()),
             _ => event,
         },
         _ => event,
@@ -256,13 +256,13 @@
 
 /// Returns the follower's outputs; with [`Breakage::OlderListWins`] the received list replaces what
 /// the follower made of it.
-pub fn follower_outputs(event: &Heard, outputs: Vec<Output>) -> Vec<Output> {
+pub fn follower_outputs(event: &CallEvent, outputs: Vec<Output>) -> Vec<Output> {
     static NEXT_VERSION: AtomicU64 = AtomicU64::new(1);
     let parsed = match event {
-        Heard::Line(text) if is(Breakage::OlderListWins) => line(text).ok(),
+        CallEvent::Line(text) if is(Breakage::OlderListWins) => parse_line(text).ok(),
         _ => None,
     };
-    let Some(Line::Word(Word { mut members, .. })) = parsed else {
+    let Some(Line::Update(ListUpdate { mut members, .. })) = parsed else {
         return outputs;
     };
     // Versions of the roster's events increase, whatever the agent's do.
@@ -272,14 +272,14 @@
         true => Event::Snapshot {
             source: 0,
             members,
-            unread,
+            unreadable,
         },
         false => Event::Change { source: 0, members },
     };
     let calls = outputs
         .into_iter()
-        .filter(|output| !matches!(output, Output::Tell(_)));
-    calls.chain([Output::Tell(event)]).collect()
+        .filter(|output| !matches!(output, Output::Event(_)));
+    calls.chain([Output::Event(event)]).collect()
 }
 
 /// Hooks between etcd's follower and its sockets.
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -11,7 +11,7 @@
 use super::sources::{Source, SourceKind, Sources};
 use maplefall_etcd::client::{self, Place};
 use maplefall_etcd::{one_line, value, Output, Report, Told};
-use maplefall_membership::{Event, Roster, SourceSettings, Update, MOST_NODES};
+use maplefall_membership::{EndpointList, Event, SourceSettings, Update, MAX_BACKENDS};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
 use std::cell::{Cell, RefCell};
@@ -40,7 +40,7 @@
 /// The sources of backends and the merged list.
 pub struct Membership {
     driver: Rc<Driver>,
-    endpoints: RefCell<Roster>,
+    endpoints: RefCell<EndpointList>,
     /// The sources as read at the start, in order of precedence.
     sources: Vec<Source>,
     /// The file where the list of each source is persisted for a restart.
@@ -78,7 +78,7 @@
             .collect();
         Rc::new(Membership {
             driver,
-            endpoints: RefCell::new(Roster::new(settings)),
+            endpoints: RefCell::new(EndpointList::new(settings)),
             agent_index: sources
                 .iter()
                 .position(|source| source.kind == SourceKind::Agent),
@@ -104,7 +104,7 @@
         let update =
             self.endpoints
                 .borrow_mut()
-                .recall(self.driver.clock.now(), source_index, known);
+                .restore(self.driver.clock.now(), source_index, known);
         self.publish(update);
     }
 
@@ -129,7 +129,7 @@
                 let update =
                     self.endpoints
                         .borrow_mut()
-                        .recall(self.driver.clock.now(), at, members);
+                        .restore(self.driver.clock.now(), at, members);
                 self.publish(update);
             }
         }
@@ -143,7 +143,7 @@
             let memberships: BTreeMap<String, Members> = {
                 let endpoints = self.endpoints.borrow();
                 endpoints
-                    .words()
+                    .source_entries()
                     .map(|(settings, members)| (settings.name.clone(), members))
                     .collect()
             };
@@ -255,7 +255,7 @@
     /// Applies an output of the agent's follower.
     pub fn apply_agent_output(&self, output: maplefall_discovery_agent::Output) {
         match output {
-            maplefall_discovery_agent::Output::Tell(event) => self.apply_event(event),
+            maplefall_discovery_agent::Output::Event(event) => self.apply_event(event),
             maplefall_discovery_agent::Output::Report(report) => {
                 self.log(&format_args!(
                     "discovery: {}",
@@ -263,8 +263,8 @@
                 ));
             }
             // `discovery` makes the calls.
-            maplefall_discovery_agent::Output::Ask { .. }
-            | maplefall_discovery_agent::Output::HangUp(_) => {}
+            maplefall_discovery_agent::Output::OpenCall { .. }
+            | maplefall_discovery_agent::Output::CloseCall(_) => {}
         }
     }
 
@@ -319,7 +319,7 @@
                 self.apply_event(Event::Snapshot {
                     source,
                     members,
-                    unread: invalid,
+                    unreadable: invalid,
                 });
             }
             Err(error) => {
@@ -372,7 +372,7 @@
         let update = self
             .endpoints
             .borrow_mut()
-            .take(self.driver.clock.now(), event);
+            .apply_event(self.driver.clock.now(), event);
         self.publish(update);
         if changed {
             self.state_changed.notify_one();
@@ -456,8 +456,8 @@
     let text = read_bounded(path)?.ok_or("the file does not exist")?;
     let documents: BTreeMap<String, serde_json::Value> =
         serde_json::from_slice(&text).map_err(|error| error.to_string())?;
-    if documents.len() > MOST_NODES {
-        return Err(format!("the file has more than {MOST_NODES} nodes"));
+    if documents.len() > MAX_BACKENDS {
+        return Err(format!("the file has more than {MAX_BACKENDS} nodes"));
     }
     let (mut nodes, mut invalid) = (Vec::new(), Vec::new());
     for (id, document) in documents {
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -162,12 +162,12 @@
         // Pushed discovery is an agent on this machine, which responds at once and at no cost, and
         // whatever it has sent counts as acknowledged. Polled discovery is one service for all
         // gateways.
-        own: settings.discovery == Discovery::Pushed,
-        sharing: settings.gateways,
-        stop_within: settings.drain_grace,
+        is_local: settings.discovery == Discovery::Pushed,
+        process_count: settings.gateways,
+        drain_grace_period: settings.drain_grace,
         seed: config.seed,
-        places: config.discovery.clone(),
-        known: config.known.clone(),
+        addresses: config.discovery.clone(),
+        initial_list: config.known.clone(),
     }
 }
 
--- a/crates/membership/tests/reference_model.rs
+++ b/crates/membership/tests/reference_model.rs
@@ -1,8 +1,8 @@
-//! Random histories of three sources against a reference model that merges everything again after each event, by the rules of the
-//! package: after every event the roster equals the model, and the changes that it returned, applied one after the other, give the same
-//! list.
+//! Random histories of three sources, compared with a reference model that merges everything again
+//! after each event, by the rules of the package. After every event the endpoint list equals the
+//! model's, and the returned changes, applied one after the other, give the same list.
 
-use maplefall_membership::{Event, Roster, SourceSettings};
+use maplefall_membership::{EndpointList, Event, SourceSettings};
 use maplefall_protocol::{Health, Member, Members};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -14,23 +14,23 @@
     vec![
         SourceSettings::trusted("agent"),
         SourceSettings {
-            believed_part: 0.4,
-            doubt: 50.0,
-            keep: 80.0,
+            max_missing_fraction: 0.4,
+            suspicion_timeout: 50.0,
+            expiry_timeout: 80.0,
             ..SourceSettings::trusted("etcd")
         },
         SourceSettings {
             authoritative: false,
-            keep: 40.0,
+            expiry_timeout: 40.0,
             ..SourceSettings::trusted("file")
         },
     ]
 }
 
-/// What one source says of a node.
+/// The state of a backend in one source.
 struct Record {
     member: Member,
-    /// The latest start that a stop is for.
+    /// The latest start to which a stop applies.
     stopped_up_to: f64,
     suspected_since: Option<f64>,
 }
@@ -70,13 +70,13 @@
         );
     }
 
-    fn take(&mut self, now: f64, event: &Event) {
+    fn apply_event(&mut self, now: f64, event: &Event) {
         match event {
             Event::Lost { source } => {
                 self.sources[*source].lost_since.get_or_insert(now);
             }
             Event::Resumed { source } => self.sources[*source].lost_since = None,
-            Event::Reborn { source } => {
+            Event::Replaced { source } => {
                 self.sources[*source].version = None;
                 self.sources[*source]
                     .records
@@ -87,42 +87,46 @@
                 source, members, ..
             }
             | Event::Change { source, members } => {
-                let of = &mut self.sources[*source];
-                if of.version.is_some_and(|last| members.seq <= last) {
-                    return self.pass_time(now);
+                let state = &mut self.sources[*source];
+                if state.version.is_some_and(|last| members.seq <= last) {
+                    return self.apply_timeouts(now);
                 }
-                (of.version, of.has_begun, of.lost_since) = (Some(members.seq), true, None);
-                if let Event::Snapshot { unread, .. } = event {
-                    self.apply_missing(now, *source, members, unread);
+                (state.version, state.has_begun, state.lost_since) =
+                    (Some(members.seq), true, None);
+                if let Event::Snapshot { unreadable, .. } = event {
+                    self.apply_missing(now, *source, members, unreadable);
                 }
-                // Starts are those known before the event: a stop in it is not for an instance that it has elsewhere.
+                // The starts are those known before the event: a stop in it does not apply to
+                // another instance in the same event.
                 members
                     .hosts
                     .iter()
                     .for_each(|member| self.set_record(*source, member));
             }
         }
-        self.pass_time(now);
+        self.apply_timeouts(now);
     }
 
-    fn apply_missing(&mut self, now: f64, source: usize, members: &Members, unread: &[String]) {
+    fn apply_missing(&mut self, now: f64, source: usize, members: &Members, unreadable: &[String]) {
         let settings = self.settings[source].clone();
-        let of = &mut self.sources[source];
-        for host in unread {
-            if let Some(record) = of.records.get_mut(host) {
+        let state = &mut self.sources[source];
+        for host in unreadable {
+            if let Some(record) = state.records.get_mut(host) {
                 record.suspected_since = None;
             }
         }
-        let named =
-            |host: &String| members.hosts.iter().any(|m| m.host == *host) || unread.contains(host);
-        for (host, record) in &mut of.records {
+        let named = |host: &String| {
+            members.hosts.iter().any(|m| m.host == *host) || unreadable.contains(host)
+        };
+        for (host, record) in &mut state.records {
             if named(host) {
                 record.suspected_since = None;
             }
         }
-        let is_believed =
-            |missing: usize, of: usize| missing as f64 <= settings.believed_part * of as f64;
-        let listed = of
+        let is_accepted = |missing: usize, total: usize| {
+            missing as f64 <= settings.max_missing_fraction * total as f64
+        };
+        let listed = state
             .records
             .iter()
             .filter(|(_, record)| record.member.health != Health::Removed);
@@ -134,12 +138,12 @@
             .map(|(host, _)| host)
             .filter(|host| !named(host))
             .collect();
-        if is_believed(missing.len(), listed.len()) {
+        if is_accepted(missing.len(), listed.len()) {
             return missing
                 .into_iter()
                 .for_each(|host| self.remove(source, host));
         }
-        // Nodes that are suspected already count neither as listed nor as missing.
+        // Backends already suspected count neither as listed nor as missing.
         let trusted: Vec<&String> = listed
             .iter()
             .filter(|(_, suspected)| !suspected)
@@ -151,7 +155,7 @@
             .filter(|host| !named(host))
             .collect();
         for host in &newly_missing {
-            if is_believed(newly_missing.len(), trusted.len()) {
+            if is_accepted(newly_missing.len(), trusted.len()) {
                 self.remove(source, host);
             } else {
                 let record = self.sources[source].records.get_mut(*host).unwrap();
@@ -171,14 +175,14 @@
         );
     }
 
-    fn pass_time(&mut self, now: f64) {
+    fn apply_timeouts(&mut self, now: f64) {
         for source in 0..self.sources.len() {
-            let of = &self.sources[source];
-            if !of.has_begun || of.lost_since.is_some() {
+            let state = &self.sources[source];
+            if !state.has_begun || state.lost_since.is_some() {
                 continue;
             }
-            let timeout = self.settings[source].doubt;
-            let due = of.records.iter().filter(|(_, record)| {
+            let timeout = self.settings[source].suspicion_timeout;
+            let due = state.records.iter().filter(|(_, record)| {
                 record
                     .suspected_since
                     .is_some_and(|since| now - since >= timeout)
@@ -194,7 +198,7 @@
             source.is_expired = any_connected
                 && source
                     .lost_since
-                    .is_some_and(|since| now - since >= settings.keep);
+                    .is_some_and(|since| now - since >= settings.expiry_timeout);
         }
     }
 
@@ -234,10 +238,10 @@
         }
         let all = list.clone();
         list.retain(|host, member| {
-            !all.iter().any(|(other, one)| {
-                let first =
-                    one.born_ms > member.born_ms || (one.born_ms == member.born_ms && other < host);
-                other != host && one.dial == member.dial && first
+            !all.iter().any(|(other_host, other)| {
+                let takes_precedence = other.born_ms > member.born_ms
+                    || (other.born_ms == member.born_ms && other_host < host);
+                other_host != host && other.dial == member.dial && takes_precedence
             })
         });
         list
@@ -268,15 +272,15 @@
         })
 }
 
-/// An event whose version is near the last one: sometimes late, sometimes repeated.
+/// Generates an event whose version is near the last one: sometimes late, sometimes repeated.
 fn event() -> impl Strategy<Value = (u8, usize, i64, Vec<Member>, Vec<&'static str>, f64)> {
-    let unread = prop::collection::vec(prop::sample::select(HOSTS.to_vec()), 0..2);
+    let unreadable = prop::collection::vec(prop::sample::select(HOSTS.to_vec()), 0..2);
     (
         0u8..12,
         0usize..3,
         -2i64..4,
         prop::collection::vec(member(), 0..5),
-        unread,
+        unreadable,
         0.0..60.0f64,
     )
 }
@@ -297,48 +301,48 @@
     })]
 
     #[test]
-    fn the_roster_agrees_with_the_reference_model(history in prop::collection::vec(event(), 1..80)) {
-        let mut roster = Roster::new(settings());
+    fn the_endpoint_list_agrees_with_the_reference_model(history in prop::collection::vec(event(), 1..80)) {
+        let mut endpoints = EndpointList::new(settings());
         let sources = (0..3).map(|_| ModelSource::default()).collect();
         let mut model = Model { settings: settings(), sources };
         let mut mirror: BTreeMap<String, Member> = BTreeMap::new();
         let (mut now, mut versions) = (0.0, [10i64; 3]);
-        for (kind, source, step, mut hosts, unread, pause) in history {
-            now += pause;
+        for (kind, source, step, mut hosts, unreadable, elapsed) in history {
+            now += elapsed;
             let mut seen = std::collections::BTreeSet::new();
-            // One version has a node once.
+            // A version lists a backend once.
             hosts.retain(|member| seen.insert(member.host.clone()));
             let version = (versions[source] + step).max(1);
             let members = Members { seq: version as u64, whole: false, hosts };
             let event = match kind {
                 0 => Event::Lost { source },
                 1 => Event::Resumed { source },
-                2 => { versions[source] = 5; Event::Reborn { source } }
+                2 => { versions[source] = 5; Event::Replaced { source } }
                 3..=5 => {
-                    let unread = unread.iter().filter(|host| !seen.contains(**host)).map(|h| (*h).to_owned());
-                    Event::Snapshot { source, members, unread: unread.collect() }
+                    let unreadable = unreadable.iter().filter(|host| !seen.contains(**host)).map(|h| (*h).to_owned());
+                    Event::Snapshot { source, members, unreadable: unreadable.collect() }
                 }
                 _ => Event::Change { source, members },
             };
             if kind > 2 {
                 versions[source] = versions[source].max(version);
             }
-            model.take(now, &event);
-            let update = roster.take(now, event);
-            let mut once = std::collections::BTreeSet::new();
+            model.apply_event(now, &event);
+            let update = endpoints.apply_event(now, event);
+            let mut changed_hosts = std::collections::BTreeSet::new();
             for change in &update.changes {
-                prop_assert!(once.insert(change.host.clone()), "returned twice: {}", change.host);
+                prop_assert!(changed_hosts.insert(change.host.clone()), "returned twice: {}", change.host);
                 let before = match change.health {
                     Health::Removed => mirror.remove(&change.host),
                     _ => mirror.insert(change.host.clone(), change.clone()),
                 };
                 prop_assert!(before.as_ref() != Some(change), "returned without a change: {change:?}");
-                prop_assert!(change.health != Health::Removed || before.is_some(), "removed an unknown node: {change:?}");
+                prop_assert!(change.health != Health::Removed || before.is_some(), "removed an unknown backend: {change:?}");
             }
             let list = model.list();
             prop_assert_eq!(&mirror, &list);
             let returned: BTreeMap<String, Member> =
-                roster.members().map(|member| (member.host.clone(), member.clone())).collect();
+                endpoints.members().map(|member| (member.host.clone(), member.clone())).collect();
             prop_assert_eq!(&returned, &list);
         }
     }
