--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -265,9 +265,9 @@
     let Some(Line::Update(ListUpdate { mut members, .. })) = parsed else {
         return outputs;
     };
-    // Versions of the roster's events increase, whatever the agent's do.
+    // Versions of the endpoint list's events increase, whatever the agent's do.
     members.seq = NEXT_VERSION.fetch_add(1, Ordering::Relaxed);
-    let unread = Vec::new();
+    let unreadable = Vec::new();
     let event = match members.whole {
         true => Event::Snapshot {
             source: 0,
