--- a/crates/etcd/examples/cost.rs
+++ b/crates/etcd/examples/cost.rs
@@ -41,10 +41,10 @@
         follower.handle(0.0, 1, input);
     }
     let mut changes = 0;
-    while let Some(output) = follower.output() {
+    while let Some(output) = follower.poll_output() {
         match output {
             Output::Command(command) => commands.push(command),
-            Output::Tell(told) => changes += roster.take(0.0, told.event).changes.len(),
+            Output::Update(told) => changes += roster.take(0.0, told.event).changes.len(),
             Output::Report(_) => {}
         }
     }
@@ -68,8 +68,8 @@
         })
     };
     let mut follower = Follower::new(Settings {
-        page: nodes,
-        ..Settings::usual(0, 1, "/p")
+        page_size: nodes,
+        ..Settings::with_defaults(0, 1, "/p")
     });
     let mut roster = Roster::new(vec![SourceSettings::trusted("etcd")]);
     let mut commands = Vec::new();
@@ -83,7 +83,7 @@
     let bytes = page.encode_to_vec();
     drop(page);
     let (region, begun) = (Region::new(COUNTED), Instant::now());
-    follower.pass_time(0.0);
+    follower.handle_timeout(0.0);
     hand(&mut follower, &mut roster, None, &mut commands);
     hand(
         &mut follower,
@@ -115,11 +115,11 @@
     hand(
         &mut follower,
         &mut roster,
-        Some(Input::Watched(created)),
+        Some(Input::WatchResponse(created)),
         &mut commands,
     );
     for each in [1, 100] {
-        let from = follower.seen().unwrap_or(0);
+        let from = follower.last_revision().unwrap_or(0);
         let messages: Vec<Vec<u8>> = (0..count / each)
             .map(|message| {
                 let event = |n: i64| {
@@ -154,7 +154,7 @@
             out += hand(
                 &mut follower,
                 &mut roster,
-                Some(Input::Watched(answer)),
+                Some(Input::WatchResponse(answer)),
                 &mut commands,
             );
         }
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -2,7 +2,7 @@
 //! `Lease.LeaseTimeToLive`), on a current-thread runtime inside a `LocalSet`.
 
 use crate::text::one_line;
-use crate::{Command, Connection, Failure, Follower, Input, Output, Settings};
+use crate::{Command, ConnectionId, Failure, Follower, Input, Output, Settings};
 use http::uri::PathAndQuery;
 use maplefall_etcd_wire::{
     error, path, watch_request, AuthenticateRequest, AuthenticateResponse, LeaseRequest,
@@ -31,7 +31,7 @@
 
 /// Where etcd is and who asks.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Place {
+pub struct ConnectionConfig {
     /// `http://HOST:PORT`, or `https://` with the feature `tls`.
     pub endpoints: Vec<String>,
     /// User and password.
@@ -40,8 +40,8 @@
     pub authority: Option<Vec<u8>>,
 }
 
-/// What stands between the follower and the sockets; [`Straight`] changes nothing. A rehearsal's broken builds sit here.
-pub trait Seam {
+/// What stands between the follower and the sockets; [`PassThrough`] changes nothing. A rehearsal's broken builds sit here.
+pub trait Interceptor {
     /// A command on its way to the sockets.
     fn command(&mut self, command: Command) -> Command {
         command
@@ -55,27 +55,27 @@
 
 /// Nothing stands between.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Straight;
+pub struct PassThrough;
 
-impl Seam for Straight {}
+impl Interceptor for PassThrough {}
 
 /// Follows a prefix for as long as it is polled. Where `place` is told anew, it goes on there from what it has seen.
 /// `clock` gives the time that is handed to the follower; `take` gets what the follower tells and reports, in order.
 pub async fn follow(
     mut settings: Settings,
-    mut place: watch::Receiver<Place>,
+    mut place: watch::Receiver<ConnectionConfig>,
     clock: impl Fn() -> Millis,
     mut take: impl FnMut(Output),
-    mut seam: impl Seam,
+    mut seam: impl Interceptor,
 ) {
     let mut at = place.borrow_and_update().clone();
-    (settings.endpoints, settings.credentials) = (at.endpoints.len(), at.user.is_some());
+    (settings.endpoint_count, settings.authenticate) = (at.endpoints.len(), at.user.is_some());
     let mut follower = Follower::new(settings.clone());
     let (sender, mut inputs) = mpsc::channel(WAITING);
     let mut link: Option<Link> = None;
     loop {
-        follower.pass_time(clock());
-        while let Some(output) = follower.output() {
+        follower.handle_timeout(clock());
+        while let Some(output) = follower.poll_output() {
             match output {
                 Output::Command(Command::Open {
                     connection,
@@ -93,7 +93,9 @@
                 told => take(told),
             }
         }
-        let pause = follower.due().map_or(f64::INFINITY, |due| due - clock());
+        let pause = follower
+            .poll_timeout()
+            .map_or(f64::INFINITY, |due| due - clock());
         // A whole millisecond more: the runtime's timers are no finer, and waking too early would be in vain.
         let pause = Duration::from_secs_f64((pause.clamp(0.0, 60_000.0) + 1.0) / 1000.0);
         tokio::select! {
@@ -111,8 +113,8 @@
                     return;
                 }
                 at = place.borrow_and_update().clone();
-                (settings.endpoints, settings.credentials) = (at.endpoints.len(), at.user.is_some());
-                follower.move_to(clock(), settings.clone());
+                (settings.endpoint_count, settings.authenticate) = (at.endpoints.len(), at.user.is_some());
+                follower.reconfigure(clock(), settings.clone());
             }
         }
     }
@@ -120,8 +122,8 @@
 
 /// One connection and all that is out on it; dropped, all of it ends.
 struct Link {
-    connection: Connection,
-    inputs: mpsc::Sender<(Connection, Input)>,
+    connection: ConnectionId,
+    inputs: mpsc::Sender<(ConnectionId, Input)>,
     shared: Rc<Shared>,
     /// What is said on the watch that is open.
     watch: Option<mpsc::Sender<WatchRequest>>,
@@ -136,10 +138,10 @@
 
 impl Link {
     fn open(
-        connection: Connection,
+        connection: ConnectionId,
         uri: String,
-        place: &Place,
-        inputs: mpsc::Sender<(Connection, Input)>,
+        place: &ConnectionConfig,
+        inputs: mpsc::Sender<(ConnectionId, Input)>,
     ) -> Link {
         let shared = Rc::new(Shared {
             channel: RefCell::default(),
@@ -160,7 +162,7 @@
                     shared.channel.replace(Some(channel));
                     Input::Opened
                 }
-                Err(reason) => Input::Failed(Failure::Broken(reason)),
+                Err(reason) => Input::Failed(Failure::Unavailable(reason)),
             }
         });
         link
@@ -179,7 +181,7 @@
     fn carry_out(&mut self, command: Command) {
         let shared = self.shared.clone();
         match command {
-            Command::SignIn { .. } => self.spawn(async move {
+            Command::Authenticate { .. } => self.spawn(async move {
                 let (name, password) = shared.user.clone().unwrap_or_default();
                 let asked = AuthenticateRequest { name, password };
                 let answer: Result<AuthenticateResponse, Status> =
@@ -188,13 +190,15 @@
                 match token {
                     Ok(Ok(token)) => {
                         shared.token.replace(Some(token));
-                        Input::SignedIn
+                        Input::Authenticated
                     }
                     Ok(Err(_)) => {
-                        Input::Failed(Failure::Broken("a token that is no text".to_owned()))
+                        Input::Failed(Failure::Unavailable("a token that is no text".to_owned()))
                     }
                     // A user that etcd does not ask for is no mistake: it may be asked for tomorrow.
-                    Err(status) if status.message().contains(error::NOT_ENABLED) => Input::SignedIn,
+                    Err(status) if status.message().contains(error::NOT_ENABLED) => {
+                        Input::Authenticated
+                    }
                     Err(status) => Input::Failed(failure(&status)),
                 }
             }),
@@ -204,11 +208,11 @@
                     Err(status) => Input::Failed(failure(&status)),
                 }
             }),
-            Command::LeaseLeft { lease, .. } => self.spawn(async move {
+            Command::LeaseTimeToLive { lease, .. } => self.spawn(async move {
                 let asked = LeaseRequest { id: lease };
                 let answer: Result<LeaseResponse, Status> =
                     shared.call(path::LEASE_TIME_TO_LIVE, asked).await;
-                Input::LeaseLeft {
+                Input::LeaseTimeToLive {
                     lease,
                     ttl: answer.ok().map(|answer| answer.ttl),
                 }
@@ -226,7 +230,7 @@
                     async move { Input::Failed(shared.watch(said, connection, &inputs).await) },
                 );
             }
-            Command::AskProgress { .. } => {
+            Command::RequestProgress { .. } => {
                 let asked = watch_request::Union::Progress(WatchProgressRequest {});
                 if let Some(say) = &self.watch {
                     // A stream that takes no more is found by its silence.
@@ -279,8 +283,8 @@
     async fn watch(
         &self,
         said: mpsc::Receiver<WatchRequest>,
-        connection: Connection,
-        inputs: &mpsc::Sender<(Connection, Input)>,
+        connection: ConnectionId,
+        inputs: &mpsc::Sender<(ConnectionId, Input)>,
     ) -> Failure {
         let opened = async {
             let mut grpc = self.grpc()?;
@@ -300,14 +304,14 @@
             match stream.message().await {
                 Ok(Some(answer)) => {
                     if inputs
-                        .send((connection, Input::Watched(answer)))
+                        .send((connection, Input::WatchResponse(answer)))
                         .await
                         .is_err()
                     {
-                        return Failure::Broken("nobody listens".to_owned());
+                        return Failure::Unavailable("nobody listens".to_owned());
                     }
                 }
-                Ok(None) => return Failure::Broken("the watch's stream ended".to_owned()),
+                Ok(None) => return Failure::Unavailable("the watch's stream ended".to_owned()),
                 Err(status) => return failure(&status),
             }
         }
@@ -360,16 +364,16 @@
         Some(source) => root(source),
         None => one_line(status.message()),
     };
-    if let Some(failure) = Failure::told(status.message()) {
+    if let Some(failure) = Failure::from_message(status.message()) {
         return failure;
     }
     match status.code() {
-        Code::Unauthenticated => Failure::TokenRefused,
-        Code::PermissionDenied => Failure::NotPermitted(reason),
+        Code::Unauthenticated => Failure::InvalidToken,
+        Code::PermissionDenied => Failure::PermissionDenied(reason),
         // Of the same code as a compacted revision: the library's own word on a message over the limit.
         Code::OutOfRange if status.message().contains("message length too large") => {
             Failure::TooLarge
         }
-        code => Failure::Broken(format!("{code:?}: {reason}")),
+        code => Failure::Unavailable(format!("{code:?}: {reason}")),
     }
 }
--- a/crates/etcd/src/follower.rs
+++ b/crates/etcd/src/follower.rs
@@ -12,7 +12,9 @@
 //!    ended the last one; pauses grow, with jitter, up to a bound, until a watch has brought something or held for a while.
 //! 6. Whenever there is no connection, the roster has been told that the source is lost.
 
-use crate::interface::{Command, Connection, Failure, Input, Output, Report, Settings, Told};
+use crate::interface::{
+    Command, ConnectionId, Failure, Input, Output, Report, Settings, SourceUpdate,
+};
 use crate::text::one_line;
 use crate::value;
 use maplefall_etcd_wire::{
@@ -79,7 +81,7 @@
     prefix: Vec<u8>,
     end: Vec<u8>,
     phase: Phase,
-    connection: Connection,
+    connection: ConnectionId,
     endpoint: usize,
     seen: Option<i64>,
     cluster: Option<u64>,
@@ -89,7 +91,7 @@
     pending: Vec<Change>,
     pending_bytes: usize,
     /// Keys of one page: as they were set, or fewer since a page was too large.
-    page: i64,
+    page_size: i64,
     /// When the connection last said something, or began to owe an answer.
     heard: Millis,
     /// Whether the watch has been asked how far it is, since.
@@ -113,7 +115,7 @@
 }
 
 impl Follower {
-    /// A follower that begins at its first [`Follower::pass_time`].
+    /// A follower that begins at its first [`Follower::handle_timeout`].
     pub fn new(settings: Settings) -> Follower {
         let prefix = format!("{}/members/", settings.prefix.trim_end_matches('/')).into_bytes();
         Follower {
@@ -127,7 +129,7 @@
             watch: None,
             pending: Vec::new(),
             pending_bytes: 0,
-            page: settings.page.max(1),
+            page_size: settings.page_size.max(1),
             heard: 0.0,
             asked: false,
             failed: 0,
@@ -144,12 +146,12 @@
     }
 
     /// What is to be done or told next; `None` once all has been taken.
-    pub fn output(&mut self) -> Option<Output> {
+    pub fn poll_output(&mut self) -> Option<Output> {
         self.out.pop_front()
     }
 
     /// The last revision of which every change has been told.
-    pub fn seen(&self) -> Option<i64> {
+    pub fn last_revision(&self) -> Option<i64> {
         self.seen
     }
 
@@ -159,12 +161,12 @@
     }
 
     /// Whether the watch is on.
-    pub fn watching(&self) -> bool {
+    pub fn is_watching(&self) -> bool {
         matches!(self.phase, Phase::Watching(_))
     }
 
     /// Whether no connection is open or being opened.
-    pub fn resting(&self) -> bool {
+    pub fn in_backoff(&self) -> bool {
         matches!(self.phase, Phase::Pausing(_))
     }
 
@@ -174,49 +176,52 @@
     }
 
     /// Goes over to these endpoints and settings of time; what is known stays. The watch is opened anew.
-    pub fn move_to(&mut self, now: Millis, settings: Settings) {
+    pub fn reconfigure(&mut self, now: Millis, settings: Settings) {
         self.close();
         self.settings = Settings {
             prefix: self.settings.prefix.clone(),
             ..settings
         };
-        (self.endpoint, self.failed, self.page) = (0, 0, self.settings.page.max(1));
+        (self.endpoint, self.failed, self.page_size) = (0, 0, self.settings.page_size.max(1));
         self.told.clear();
         self.phase = Phase::Pausing(now);
-        self.pass_time(now);
+        self.handle_timeout(now);
     }
 
-    /// When [`Follower::pass_time`] has something to do next.
-    pub fn due(&self) -> Option<Millis> {
+    /// When [`Follower::handle_timeout`] has something to do next.
+    pub fn poll_timeout(&self) -> Option<Millis> {
         Some(match &self.phase {
             Phase::Pausing(until) => *until,
-            Phase::Watching(_) if self.asked => self.heard + self.settings.silence,
-            Phase::Watching(_) => self.heard + self.settings.silence / 2.0,
-            _ => self.heard + self.settings.answer,
+            Phase::Watching(_) if self.asked => self.heard + self.settings.watch_timeout,
+            Phase::Watching(_) => self.heard + self.settings.watch_timeout / 2.0,
+            _ => self.heard + self.settings.call_timeout,
         })
     }
 
     /// Lets time pass.
-    pub fn pass_time(&mut self, now: Millis) {
+    pub fn handle_timeout(&mut self, now: Millis) {
         match &self.phase {
             Phase::Pausing(until) if now >= *until => self.open(now),
             Phase::Pausing(_) => {}
             Phase::Watching(_) => {
                 let silent = now - self.heard;
-                if silent >= self.settings.silence {
-                    self.fail(now, Failure::Broken(format!("silent for {silent:.0} ms")));
-                } else if silent >= self.settings.silence / 2.0 && !self.asked {
+                if silent >= self.settings.watch_timeout {
+                    self.fail(
+                        now,
+                        Failure::Unavailable(format!("silent for {silent:.0} ms")),
+                    );
+                } else if silent >= self.settings.watch_timeout / 2.0 && !self.asked {
                     self.asked = true;
-                    self.command(Command::AskProgress {
+                    self.command(Command::RequestProgress {
                         connection: self.connection,
                     });
                 }
             }
-            _ if now - self.heard >= self.settings.answer => {
-                let late = self.settings.answer;
+            _ if now - self.heard >= self.settings.call_timeout => {
+                let late = self.settings.call_timeout;
                 self.fail(
                     now,
-                    Failure::Broken(format!("no answer within {late:.0} ms")),
+                    Failure::Unavailable(format!("no answer within {late:.0} ms")),
                 );
             }
             _ => {}
@@ -224,7 +229,7 @@
     }
 
     /// Takes in what came of a command on this connection.
-    pub fn handle(&mut self, now: Millis, connection: Connection, input: Input) {
+    pub fn handle(&mut self, now: Millis, connection: ConnectionId, input: Input) {
         if connection != self.connection || matches!(self.phase, Phase::Pausing(_)) {
             return;
         }
@@ -232,24 +237,24 @@
             (Input::Failed(failure), _) => self.fail(now, failure),
             (Input::Opened, Phase::Opening) => {
                 self.owe(now);
-                if self.settings.credentials {
+                if self.settings.authenticate {
                     self.phase = Phase::SigningIn;
-                    self.command(Command::SignIn { connection });
+                    self.command(Command::Authenticate { connection });
                 } else {
                     self.begin(now);
                 }
             }
-            (Input::SignedIn, Phase::SigningIn) => self.begin(now),
+            (Input::Authenticated, Phase::SigningIn) => self.begin(now),
             (Input::Page(page), Phase::Reading(_)) => self.page(now, page),
-            (Input::Watched(answer), Phase::Subscribing | Phase::Watching(_)) => {
+            (Input::WatchResponse(answer), Phase::Subscribing | Phase::Watching(_)) => {
                 self.watched(now, answer)
             }
-            (Input::LeaseLeft { lease, ttl }, _) => {
+            (Input::LeaseTimeToLive { lease, ttl }, _) => {
                 if let Some(hosts) = self.asked_leases.remove(&lease) {
                     if ttl.is_some_and(|ttl| ttl <= 0) {
                         let more = hosts.len().saturating_sub(MOST_NAMED);
                         let hosts = hosts.into_iter().take(MOST_NAMED).collect();
-                        self.report(Report::LeaseGone { lease, hosts, more });
+                        self.report(Report::LeaseEnded { lease, hosts, more });
                     }
                 }
             }
@@ -269,10 +274,10 @@
     }
 
     fn tell(&mut self, event: Event, behind: i64, late: Option<Millis>) {
-        self.out.push_back(Output::Tell(Told {
+        self.out.push_back(Output::Update(SourceUpdate {
             event,
-            behind,
-            late,
+            revisions_behind: behind,
+            delay: late,
         }));
     }
 
@@ -292,7 +297,7 @@
     }
 
     fn close(&mut self) {
-        if !self.resting() {
+        if !self.in_backoff() {
             self.command(Command::Close {
                 connection: self.connection,
             });
@@ -321,7 +326,7 @@
             self.failed = 0;
         }
         self.close();
-        let [shortest, most] = self.settings.retry;
+        let [shortest, most] = self.settings.backoff;
         let pause =
             (shortest * f64::from(1u32 << self.failed.min(16))).clamp(least, most.max(least));
         self.failed = self.failed.saturating_add(1);
@@ -365,20 +370,20 @@
     fn fail(&mut self, now: Millis, failure: Failure) {
         let (endpoint, first) = (self.endpoint, self.failed == 0);
         let (kind, moves) = match failure {
-            Failure::Broken(_) => (0, true),
+            Failure::Unavailable(_) => (0, true),
             // A token that has run out is the rule, and a new one is asked for where the old one was refused.
-            Failure::TokenRefused => (1, !first),
-            Failure::NotPermitted(_) => (2, true),
+            Failure::InvalidToken => (1, !first),
+            Failure::PermissionDenied(_) => (2, true),
             // The endpoint is good: the history went between two pages, or a page was too large.
             Failure::Compacted => (3, false),
             Failure::TooLarge => (5, false),
         };
         if failure == Failure::TooLarge {
             // Fewer keys at a time; a watch that cannot be read is passed over by reading what came of it.
-            self.page = (self.page / 2).max(1);
+            self.page_size = (self.page_size / 2).max(1);
             self.anew = true;
         }
-        let told = moves || (failure == Failure::TooLarge && self.page == 1);
+        let told = moves || (failure == Failure::TooLarge && self.page_size == 1);
         if told && self.told.insert((endpoint, kind)) {
             self.report(Report::Lost {
                 endpoint,
@@ -386,10 +391,10 @@
             });
         }
         if moves {
-            self.endpoint = (endpoint + 1) % self.settings.endpoints.max(1);
+            self.endpoint = (endpoint + 1) % self.settings.endpoint_count.max(1);
         }
-        let least = if matches!(failure, Failure::NotPermitted(_)) {
-            self.settings.retry[1]
+        let least = if matches!(failure, Failure::PermissionDenied(_)) {
+            self.settings.backoff[1]
         } else {
             0.0
         };
@@ -399,14 +404,17 @@
     /// Looks at the head of an answer. `None` if it must not be believed; then all that follows from it has been done.
     fn head(&mut self, now: Millis, header: Option<ResponseHeader>) -> Option<ResponseHeader> {
         let Some(header) = header else {
-            self.fail(now, Failure::Broken("an answer without a head".to_owned()));
+            self.fail(
+                now,
+                Failure::Unavailable("an answer without a head".to_owned()),
+            );
             return None;
         };
         match self.cluster.replace(header.cluster_id) {
             Some(was) if was != header.cluster_id => {
-                self.report(Report::OtherCluster {
-                    was,
-                    is: header.cluster_id,
+                self.report(Report::ClusterChanged {
+                    previous: was,
+                    current: header.cluster_id,
                 });
                 self.tell(
                     Event::Reborn {
@@ -428,11 +436,15 @@
     fn behind(&mut self, now: Millis, at: i64, seen: i64) {
         let endpoint = self.endpoint;
         if self.told.insert((endpoint, 4)) {
-            self.report(Report::Behind { endpoint, at, seen });
+            self.report(Report::Behind {
+                endpoint,
+                revision: at,
+                seen,
+            });
         }
         // It has been told of.
         self.told.insert((endpoint, 0));
-        self.fail(now, Failure::Broken("behind".to_owned()));
+        self.fail(now, Failure::Unavailable("behind".to_owned()));
     }
 
     // ---- Reading ------------------------------------------------------------------------------------
@@ -455,7 +467,7 @@
         let request = RangeRequest {
             key: reading.next.clone(),
             range_end: self.end.clone(),
-            limit: self.page,
+            limit: self.page_size,
             revision: reading.at,
             ..RangeRequest::default()
         };
@@ -504,7 +516,7 @@
             endpoint: self.endpoint,
             revision,
             nodes,
-            unread,
+            unreadable: unread,
         });
         (self.seen, self.leases, self.anew) = (Some(revision), reading.leases, false);
         let members = Members {
@@ -524,11 +536,11 @@
 
     /// The node that a key tells of; otherwise its id, if it has a usable one.
     fn entry(&mut self, kv: &KeyValue) -> Result<(Member, Option<Millis>), Option<String>> {
-        let id = value::id(&kv.key, &self.prefix);
+        let id = value::parse_id(&kv.key, &self.prefix);
         let known = &kv.key[..kv.key.len().min(LONGEST_KEY)];
         let read = match &id {
-            Ok(id) => value::member(id, &kv.value),
-            Err(_) => Err(value::Unusable::Id),
+            Ok(id) => value::parse_member(id, &kv.value),
+            Err(_) => Err(value::InvalidEntry::Id),
         };
         if read.is_ok() && !self.complaints.is_empty() {
             self.complaints.remove(known);
@@ -539,7 +551,7 @@
                 let key = one_line(&String::from_utf8_lossy(known));
                 let why = one_line(&why.to_string());
                 self.out
-                    .push_back(Output::Report(Report::Unreadable { key, why }));
+                    .push_back(Output::Report(Report::Unreadable { key, reason: why }));
             }
             id.ok().map(str::to_owned)
         })
@@ -555,25 +567,26 @@
         if answer.canceled {
             if answer.compact_revision > 0 {
                 self.report(Report::Compacted {
-                    wanted: seen + 1,
-                    kept: answer.compact_revision,
+                    requested: seen + 1,
+                    compact_revision: answer.compact_revision,
                 });
                 return self.start_over(now);
             }
             let reason = format!("the watch was ended: {}", one_line(&answer.cancel_reason));
             return self.fail(
                 now,
-                Failure::told(&answer.cancel_reason).unwrap_or(Failure::Broken(reason)),
+                Failure::from_message(&answer.cancel_reason)
+                    .unwrap_or(Failure::Unavailable(reason)),
             );
         }
         // A watch that says this and that but never that it has begun is waited for no longer than any other answer.
-        if answer.created || self.watching() {
+        if answer.created || self.is_watching() {
             self.owe(now);
         }
         if answer.created {
             self.watch = Some(answer.watch_id);
             // A watch says nothing false where its member is behind; but another may know more.
-            if header.revision < seen && self.settings.endpoints > 1 {
+            if header.revision < seen && self.settings.endpoint_count > 1 {
                 return self.behind(now, header.revision, seen);
             }
             self.phase = Phase::Watching(now);
@@ -607,7 +620,7 @@
         self.pending_bytes += answer.events.iter().map(length).sum::<usize>();
         self.pending.extend(answer.events);
         if self.pending.len() > MOST_CHANGES || self.pending_bytes > MOST_BYTES {
-            self.report(Report::TooMany(MOST_CHANGES));
+            self.report(Report::TooManyChanges(MOST_CHANGES));
             return self.start_over(now);
         }
         if !answer.fragment {
@@ -633,7 +646,7 @@
             if change.kind == Change::DELETE {
                 self.complaints
                     .remove(&kv.key[..kv.key.len().min(LONGEST_KEY)]);
-                let Ok(id) = value::id(&kv.key, &self.prefix) else {
+                let Ok(id) = value::parse_id(&kv.key, &self.prefix) else {
                     continue;
                 };
                 if let Some(lease) = self.leases.remove(id) {
@@ -678,7 +691,7 @@
         for (lease, hosts) in gone {
             if self.asked_leases.len() < MOST_LEASES {
                 self.asked_leases.entry(lease).or_default().extend(hosts);
-                self.command(Command::LeaseLeft {
+                self.command(Command::LeaseTimeToLive {
                     connection: self.connection,
                     lease,
                 });
--- a/crates/etcd/src/interface.rs
+++ b/crates/etcd/src/interface.rs
@@ -5,7 +5,7 @@
 use maplefall_policy::Millis;
 
 /// Number of a connection. What an old one still says is not listened to.
-pub type Connection = u64;
+pub type ConnectionId = u64;
 
 /// How a prefix is followed.
 #[derive(Clone, Debug, PartialEq)]
@@ -13,19 +13,19 @@
     /// Its place among the roster's sources.
     pub source: usize,
     /// How many endpoints there are.
-    pub endpoints: usize,
+    pub endpoint_count: usize,
     /// Keys are `PREFIX/members/ID`.
     pub prefix: String,
     /// Whether there is a user to sign in.
-    pub credentials: bool,
+    pub authenticate: bool,
     /// Keys of one page of a whole reading.
-    pub page: i64,
+    pub page_size: i64,
     /// A watch that says nothing for half of this is asked how far it is; after all of it, it is lost.
-    pub silence: Millis,
+    pub watch_timeout: Millis,
     /// A call that is not answered within this has failed.
-    pub answer: Millis,
+    pub call_timeout: Millis,
     /// Shortest and longest pause before another try.
-    pub retry: [Millis; 2],
+    pub backoff: [Millis; 2],
     /// For the jitter of the pauses.
     pub seed: u64,
     /// Unix time in milliseconds at time 0 here.
@@ -34,16 +34,16 @@
 
 impl Settings {
     /// What an operator who names nothing but places gets.
-    pub fn usual(source: usize, endpoints: usize, prefix: &str) -> Settings {
+    pub fn with_defaults(source: usize, endpoints: usize, prefix: &str) -> Settings {
         Settings {
             source,
-            endpoints,
+            endpoint_count: endpoints,
             prefix: prefix.to_owned(),
-            credentials: false,
-            page: 1000,
-            silence: 6000.0,
-            answer: 3000.0,
-            retry: [50.0, 2000.0],
+            authenticate: false,
+            page_size: 1000,
+            watch_timeout: 6000.0,
+            call_timeout: 3000.0,
+            backoff: [50.0, 2000.0],
             seed: 0,
             unix_start: 0.0,
         }
@@ -56,45 +56,45 @@
     /// Open a connection to this endpoint.
     Open {
         /// Its number.
-        connection: Connection,
+        connection: ConnectionId,
         /// Which endpoint.
         endpoint: usize,
     },
     /// Sign the user in; calls carry the token from then on.
-    SignIn {
+    Authenticate {
         /// Where.
-        connection: Connection,
+        connection: ConnectionId,
     },
     /// Read keys.
     Range {
         /// Where.
-        connection: Connection,
+        connection: ConnectionId,
         /// What.
         request: RangeRequest,
     },
     /// Watch keys; once on a connection.
     Watch {
         /// Where.
-        connection: Connection,
+        connection: ConnectionId,
         /// What.
         request: WatchCreateRequest,
     },
     /// Ask on the stream how far it is.
-    AskProgress {
+    RequestProgress {
         /// Where.
-        connection: Connection,
+        connection: ConnectionId,
     },
     /// Ask what is left of a lease.
-    LeaseLeft {
+    LeaseTimeToLive {
         /// Where.
-        connection: Connection,
+        connection: ConnectionId,
         /// Which.
         lease: i64,
     },
     /// Drop the connection and all that is out on it.
     Close {
         /// Which.
-        connection: Connection,
+        connection: ConnectionId,
     },
 }
 
@@ -104,13 +104,13 @@
     /// The connection is open.
     Opened,
     /// The user is signed in.
-    SignedIn,
+    Authenticated,
     /// Keys.
     Page(RangeResponse),
     /// Something on the watch.
-    Watched(WatchResponse),
+    WatchResponse(WatchResponse),
     /// What is left of a lease in seconds; -1 if it is gone, `None` if nobody could say.
-    LeaseLeft {
+    LeaseTimeToLive {
         /// Which.
         lease: i64,
         /// Seconds.
@@ -125,13 +125,13 @@
 pub enum Failure {
     /// Nobody answers there, or the answer broke off.
     #[error("{0}")]
-    Broken(String),
+    Unavailable(String),
     /// The token is not accepted any more.
     #[error("the token was refused")]
-    TokenRefused,
+    InvalidToken,
     /// User or password are wrong, or the user may not read the prefix: trying again soon is of no use.
     #[error("not permitted: {0}")]
-    NotPermitted(String),
+    PermissionDenied(String),
     /// The revision that was asked for is not kept any more.
     #[error("the revision asked for has been compacted")]
     Compacted,
@@ -143,17 +143,19 @@
 impl Failure {
     /// What etcd's own text means (`rpctypes/error.go`), as it stands in a status or as the reason why a watch was ended;
     /// `None` for one that says no more than that it failed.
-    pub fn told(text: &str) -> Option<Failure> {
+    pub fn from_message(text: &str) -> Option<Failure> {
         let is = |known: &str| text.contains(known);
         match () {
-            () if is(error::TOKEN) || is(error::OLD_AUTH) => Some(Failure::TokenRefused),
+            () if is(error::TOKEN) || is(error::OLD_AUTH) => Some(Failure::InvalidToken),
             () if is(error::COMPACTED) => Some(Failure::Compacted),
             () if is(error::PASSWORD) || is(error::DENIED) || is(error::NO_USER) => {
                 // Of the text only what is known of it: the rest is a peer's.
                 let known = [error::PASSWORD, error::DENIED, error::NO_USER]
                     .into_iter()
                     .find(|known| is(known));
-                Some(Failure::NotPermitted(known.unwrap_or_default().to_owned()))
+                Some(Failure::PermissionDenied(
+                    known.unwrap_or_default().to_owned(),
+                ))
             }
             () => None,
         }
@@ -162,13 +164,13 @@
 
 /// What the roster is to hear.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct SourceUpdate {
     /// What.
     pub event: Event,
     /// By how many revisions the member's store was ahead of the oldest change in it.
-    pub behind: i64,
+    pub revisions_behind: i64,
     /// How long ago the oldest change in it was written, in milliseconds, where a value says.
-    pub late: Option<Millis>,
+    pub delay: Option<Millis>,
 }
 
 /// What comes out.
@@ -177,7 +179,7 @@
     /// For whoever does the I/O.
     Command(Command),
     /// For the roster.
-    Tell(Told),
+    Update(SourceUpdate),
     /// For people.
     Report(Report),
 }
@@ -195,7 +197,7 @@
     },
     /// All keys were read.
     #[error(
-        "read {nodes} nodes at revision {revision} from endpoint {endpoint}; {unread} values are unreadable"
+        "read {nodes} nodes at revision {revision} from endpoint {endpoint}; {unreadable} values are unreadable"
     )]
     Read {
         /// Where.
@@ -205,7 +207,7 @@
         /// Nodes.
         nodes: usize,
         /// Unreadable values.
-        unread: usize,
+        unreadable: usize,
     },
     /// An endpoint fails; told once for each kind of failure until the watch is on again.
     #[error("endpoint {endpoint}: {failure}")]
@@ -216,42 +218,44 @@
         failure: Failure,
     },
     /// A member answers from before what has been seen: its word is not taken.
-    #[error("endpoint {endpoint} is behind: at revision {at}, {seen} was seen")]
+    #[error("endpoint {endpoint} is behind: at revision {revision}, {seen} was seen")]
     Behind {
         /// Which.
         endpoint: usize,
         /// Its revision.
-        at: i64,
+        revision: i64,
         /// The one seen.
         seen: i64,
     },
     /// Another cluster answers: all is read anew, and what vanished is doubted by the roster's rules.
-    #[error("another cluster answers: {is:x} instead of {was:x}; reading all anew")]
-    OtherCluster {
+    #[error("another cluster answers: {current:x} instead of {previous:x}; reading all anew")]
+    ClusterChanged {
         /// Before.
-        was: u64,
+        previous: u64,
         /// Now.
-        is: u64,
+        current: u64,
     },
     /// The history since what was seen is gone.
-    #[error("history from revision {wanted} is compacted up to {kept}; reading all anew")]
+    #[error(
+        "history from revision {requested} is compacted up to {compact_revision}; reading all anew"
+    )]
     Compacted {
         /// Wanted from.
-        wanted: i64,
+        requested: i64,
         /// Kept from; 0 if not told.
-        kept: i64,
+        compact_revision: i64,
     },
     /// A key or value that cannot be used; what was said of the node before stands. Told once for each.
-    #[error("{key}: {why}")]
+    #[error("{key}: {reason}")]
     Unreadable {
         /// The key.
         key: String,
         /// Why.
-        why: String,
+        reason: String,
     },
     /// Nodes are gone since their lease ran out or was revoked, not by somebody's hand.
     #[error("gone with their lease {lease:x}: {} and {more} more", hosts.join(", "))]
-    LeaseGone {
+    LeaseEnded {
         /// The lease.
         lease: i64,
         /// The nodes, the first of them.
@@ -261,5 +265,5 @@
     },
     /// One answer brought more than is held; all is read anew.
     #[error("an answer of over {0} changes, or too many bytes; reading all anew")]
-    TooMany(usize),
+    TooManyChanges(usize),
 }
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -11,5 +11,7 @@
 pub mod value;
 
 pub use follower::Follower;
-pub use interface::{Command, Connection, Failure, Input, Output, Report, Settings, Told};
+pub use interface::{
+    Command, ConnectionId, Failure, Input, Output, Report, Settings, SourceUpdate,
+};
 pub use text::one_line;
--- a/crates/etcd/src/value.rs
+++ b/crates/etcd/src/value.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 
 /// Longest value that is read.
-pub const LONGEST_VALUE: usize = 16 * 1024;
+pub const MAX_VALUE_BYTES: usize = 16 * 1024;
 /// Longest id.
-pub const LONGEST_ID: usize = 200;
+pub const MAX_ID_BYTES: usize = 200;
 
 /// The document. Fields that are not named here are passed over, so that an installation may add its own.
 #[derive(Deserialize)]
@@ -41,36 +41,36 @@
 
 /// Why a key or value cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum InvalidEntry {
     /// The id has no text, or too much of it, or a slash.
     #[error(
-        "an id of 1 to {LONGEST_ID} bytes of UTF-8 without a slash was expected behind the prefix"
+        "an id of 1 to {MAX_ID_BYTES} bytes of UTF-8 without a slash was expected behind the prefix"
     )]
     Id,
     /// The value is too long.
-    #[error("a value of {LONGEST_VALUE} bytes at most was expected")]
-    Long,
+    #[error("a value of {MAX_VALUE_BYTES} bytes at most was expected")]
+    TooLong,
     /// The value is no document of the schema.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// A figure is out of bounds.
     #[error("{0}: a number of {1} was expected")]
-    Figure(&'static str, &'static str),
+    Number(&'static str, &'static str),
 }
 
 /// The id in a key, behind this prefix.
 ///
 /// # Errors
 /// If there is no usable one.
-pub fn id<'a>(key: &'a [u8], prefix: &[u8]) -> Result<&'a str, Unusable> {
-    let id = key.strip_prefix(prefix).ok_or(Unusable::Id)?;
-    let id = std::str::from_utf8(id).map_err(|_| Unusable::Id)?;
+pub fn parse_id<'a>(key: &'a [u8], prefix: &[u8]) -> Result<&'a str, InvalidEntry> {
+    let id = key.strip_prefix(prefix).ok_or(InvalidEntry::Id)?;
+    let id = std::str::from_utf8(id).map_err(|_| InvalidEntry::Id)?;
     match id.is_empty()
-        || id.len() > LONGEST_ID
+        || id.len() > MAX_ID_BYTES
         || id.contains('/')
         || id.contains(char::is_control)
     {
-        true => Err(Unusable::Id),
+        true => Err(InvalidEntry::Id),
         false => Ok(id),
     }
 }
@@ -79,16 +79,16 @@
 ///
 /// # Errors
 /// If it is no document of the schema.
-pub fn member(id: &str, value: &[u8]) -> Result<(Member, Option<Millis>), Unusable> {
-    if value.len() > LONGEST_VALUE {
-        return Err(Unusable::Long);
+pub fn parse_member(id: &str, value: &[u8]) -> Result<(Member, Option<Millis>), InvalidEntry> {
+    if value.len() > MAX_VALUE_BYTES {
+        return Err(InvalidEntry::TooLong);
     }
     let told: Document = serde_json::from_slice(value)?;
     if !(told.size.is_finite() && told.size > 0.0) {
-        return Err(Unusable::Figure("size", "more than 0"));
+        return Err(InvalidEntry::Number("size", "more than 0"));
     }
     if !(told.started_ms.is_finite() && told.started_ms >= 0.0) {
-        return Err(Unusable::Figure("started_ms", "0 or more"));
+        return Err(InvalidEntry::Number("started_ms", "0 or more"));
     }
     let member = Member {
         host: id.to_owned(),
@@ -111,13 +111,14 @@
 
     #[test]
     fn a_value_needs_no_more_than_an_address() {
-        let (node, written) = member("a", br#"{"address": "127.0.0.1:80", "rack": 7}"#).unwrap();
+        let (node, written) =
+            parse_member("a", br#"{"address": "127.0.0.1:80", "rack": 7}"#).unwrap();
         assert_eq!(
             (node.health, node.share, node.born_ms, written),
             (Health::Up, 1.0, 0.0, None)
         );
         let text = br#"{"address":"[::1]:80","zone":"z","cell":3,"state":"draining","size":2,"started_ms":5,"written_ms":9}"#;
-        let (node, written) = member("a", text).unwrap();
+        let (node, written) = parse_member("a", text).unwrap();
         assert_eq!(
             (node.health, node.site.as_str(), node.block, node.share),
             (Health::Draining, "z", 3, 2.0)
@@ -127,7 +128,7 @@
 
     #[test]
     fn what_is_no_document_says_what_was_expected() {
-        let why = |text: &str| member("a", text.as_bytes()).unwrap_err().to_string();
+        let why = |text: &str| parse_member("a", text.as_bytes()).unwrap_err().to_string();
         assert!(why("{}").contains("address"));
         assert!(why(r#"{"address":"x:80"}"#).contains("socket address"));
         assert!(why(r#"{"address":"127.0.0.1:80","state":"drain"}"#).contains("`up` or `draining`"));
@@ -142,8 +143,8 @@
             "/q/members/a",
             "/p/members/a\nb",
         ] {
-            assert!(id(key.as_bytes(), b"/p/members/").is_err(), "{key}");
+            assert!(parse_id(key.as_bytes(), b"/p/members/").is_err(), "{key}");
         }
-        assert_eq!(id(b"/p/members/a", b"/p/members/").unwrap(), "a");
+        assert_eq!(parse_id(b"/p/members/a", b"/p/members/").unwrap(), "a");
     }
 }
--- a/crates/etcd/tests/follower.rs
+++ b/crates/etcd/tests/follower.rs
@@ -50,7 +50,7 @@
 }
 
 fn created(cluster: u64, revision: i64) -> Input {
-    Input::Watched(WatchResponse {
+    Input::WatchResponse(WatchResponse {
         header: header(cluster, revision),
         created: true,
         ..Default::default()
@@ -66,7 +66,7 @@
 }
 
 fn changes(events: Vec<Change>, fragment: bool) -> Input {
-    Input::Watched(WatchResponse {
+    Input::WatchResponse(WatchResponse {
         header: header(1, 99),
         events,
         fragment,
@@ -84,11 +84,11 @@
 
     fn out(&mut self) -> Out {
         let mut out = Out::default();
-        while let Some(output) = self.follower.output() {
+        while let Some(output) = self.follower.poll_output() {
             match output {
                 Output::Command(command) => out.commands.push(command),
-                Output::Tell(told) => {
-                    out.behind.push(told.behind);
+                Output::Update(told) => {
+                    out.behind.push(told.revisions_behind);
                     out.told.push(told.event);
                 }
                 Output::Report(report) => out.reports.push(report),
@@ -105,8 +105,8 @@
 
     /// Waits for what comes due.
     fn wait(&mut self) -> Out {
-        self.now = self.follower.due().expect("something comes due");
-        self.follower.pass_time(self.now);
+        self.now = self.follower.poll_timeout().expect("something comes due");
+        self.follower.handle_timeout(self.now);
         self.out()
     }
 
@@ -117,7 +117,7 @@
         hand.say(1, Input::Opened);
         hand.say(1, page(1, 5, vec![kv("a", 3, 0)]));
         hand.say(1, created(1, 5));
-        assert!(hand.follower.watching());
+        assert!(hand.follower.is_watching());
         hand
     }
 }
@@ -132,8 +132,8 @@
 #[test]
 fn it_reads_at_one_revision_page_by_page_and_watches_from_the_next() {
     let mut hand = Hand::new(Settings {
-        page: 2,
-        ..Settings::usual(0, 1, "/p/")
+        page_size: 2,
+        ..Settings::with_defaults(0, 1, "/p/")
     });
     assert!(matches!(
         hand.wait().commands[..],
@@ -183,7 +183,7 @@
 
 #[test]
 fn pages_that_are_compacted_away_between_begin_the_reading_anew() {
-    let mut hand = Hand::new(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::new(Settings::with_defaults(0, 1, "/p"));
     hand.wait();
     hand.say(1, Input::Opened);
     let first = RangeResponse {
@@ -227,8 +227,8 @@
 #[test]
 fn nothing_that_comes_again_and_again_makes_it_try_without_pause() {
     let settings = Settings {
-        retry: [50.0, 2000.0],
-        ..Settings::usual(0, 1, "/p")
+        backoff: [50.0, 2000.0],
+        ..Settings::with_defaults(0, 1, "/p")
     };
     // The history goes between the pages, every time.
     let mut hand = Hand::new(settings.clone());
@@ -257,7 +257,7 @@
             compact_revision: 9,
             ..WatchResponse::default()
         };
-        hand.say(connection, Input::Watched(compacted));
+        hand.say(connection, Input::WatchResponse(compacted));
     });
     assert!((30..=60).contains(&tries), "watch compacted: {tries}");
 }
@@ -265,8 +265,8 @@
 #[test]
 fn a_page_that_is_too_large_is_asked_for_with_fewer_keys_and_a_watch_is_read_past() {
     let mut hand = Hand::new(Settings {
-        page: 1000,
-        ..Settings::usual(0, 1, "/p")
+        page_size: 1000,
+        ..Settings::with_defaults(0, 1, "/p")
     });
     let mut limits = Vec::new();
     for connection in 1..=12 {
@@ -284,7 +284,7 @@
         );
     }
     assert_eq!(limits, [1000, 500, 250, 125, 62, 31, 15, 7, 3, 1, 1, 1]);
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     hand.say(1, Input::Failed(Failure::TooLarge));
     hand.wait();
     let out = hand.say(2, Input::Opened);
@@ -304,37 +304,38 @@
             .count()
     };
     // By a compaction, after which nobody answers.
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let compacted = WatchResponse {
         header: header(1, 9),
         canceled: true,
         compact_revision: 9,
         ..Default::default()
     };
-    assert_eq!(lost(&hand.say(1, Input::Watched(compacted))), 1);
+    assert_eq!(lost(&hand.say(1, Input::WatchResponse(compacted))), 1);
     hand.wait();
     assert_eq!(
-        lost(&hand.say(2, Input::Failed(Failure::Broken("refused".into())))),
+        lost(&hand.say(2, Input::Failed(Failure::Unavailable("refused".into())))),
         0,
         "once"
     );
     // By another cluster, by a move to other endpoints, and between the reading and the watch.
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     assert_eq!(
         lost(&hand.say(1, page(1, 5, vec![]))),
         0,
         "an answer to nothing"
     );
     assert_eq!(lost(&hand.say(1, created(2, 5))), 1);
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
-    hand.follower.move_to(hand.now, Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+    hand.follower
+        .reconfigure(hand.now, Settings::with_defaults(0, 1, "/p"));
     assert_eq!(lost(&hand.out()), 1);
-    let mut hand = Hand::new(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::new(Settings::with_defaults(0, 1, "/p"));
     hand.wait();
     hand.say(1, Input::Opened);
     hand.say(1, page(1, 5, vec![]));
     assert_eq!(
-        lost(&hand.say(1, Input::Failed(Failure::Broken("reset".into())))),
+        lost(&hand.say(1, Input::Failed(Failure::Unavailable("reset".into())))),
         1
     );
 }
@@ -342,17 +343,17 @@
 /// Holds to etcd's own texts (`api/v3rpc/rpctypes/error.go`), as they come in a status and in the reason of a watch's end.
 #[test]
 fn etcds_texts_are_understood() {
-    let text = |text: &str| Failure::told(text);
+    let text = |text: &str| Failure::from_message(text);
     assert_eq!(
         text("etcdserver: invalid auth token"),
-        Some(Failure::TokenRefused)
+        Some(Failure::InvalidToken)
     );
     assert_eq!(
         text("etcdserver: revision of auth store is old"),
-        Some(Failure::TokenRefused)
+        Some(Failure::InvalidToken)
     );
     let in_a_watch = "rpc error: code = Unauthenticated desc = etcdserver: invalid auth token";
-    assert_eq!(text(in_a_watch), Some(Failure::TokenRefused));
+    assert_eq!(text(in_a_watch), Some(Failure::InvalidToken));
     for denied in [
         "etcdserver: permission denied",
         "rpc error: code = PermissionDenied desc = etcdserver: permission denied",
@@ -360,7 +361,7 @@
         "etcdserver: user name is empty",
     ] {
         assert!(
-            matches!(text(denied), Some(Failure::NotPermitted(_))),
+            matches!(text(denied), Some(Failure::PermissionDenied(_))),
             "{denied}"
         );
     }
@@ -375,10 +376,10 @@
 
 #[test]
 fn a_lost_watch_goes_on_from_what_was_seen_at_the_next_endpoint() {
-    let mut hand = Hand::watching(Settings::usual(0, 2, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 2, "/p"));
     let out = hand.say(1, changes(vec![put("b", 7)], false));
     assert_eq!(out.told.len(), 1);
-    let out = hand.say(1, Input::Failed(Failure::Broken("reset".into())));
+    let out = hand.say(1, Input::Failed(Failure::Unavailable("reset".into())));
     assert!(matches!(out.told[..], [Event::Lost { source: 0 }]));
     assert!(matches!(
         out.commands[..],
@@ -419,7 +420,7 @@
 
 #[test]
 fn an_answer_in_pieces_is_one_change_and_one_that_breaks_off_is_none() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     assert!(hand
         .say(1, changes(vec![put("b", 7)], true))
         .told
@@ -433,7 +434,7 @@
         .say(1, changes(vec![put("d", 8)], true))
         .told
         .is_empty());
-    hand.say(1, Input::Failed(Failure::Broken("cut".into())));
+    hand.say(1, Input::Failed(Failure::Unavailable("cut".into())));
     hand.wait();
     assert_eq!(
         watch_from(&hand.say(2, Input::Opened)),
@@ -444,38 +445,38 @@
 
 #[test]
 fn only_a_notice_to_the_watch_itself_says_that_all_was_told() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let progress = |watch_id| {
-        Input::Watched(WatchResponse {
+        Input::WatchResponse(WatchResponse {
             header: header(1, 50),
             watch_id,
             ..Default::default()
         })
     };
     hand.say(1, progress(-1));
-    assert_eq!(hand.follower.seen(), Some(5));
+    assert_eq!(hand.follower.last_revision(), Some(5));
     hand.say(1, progress(0));
-    assert_eq!(hand.follower.seen(), Some(50));
+    assert_eq!(hand.follower.last_revision(), Some(50));
 }
 
 #[test]
 fn a_watch_that_says_nothing_is_asked_and_then_left() {
     let mut hand = Hand::watching(Settings {
-        silence: 1000.0,
-        ..Settings::usual(0, 1, "/p")
+        watch_timeout: 1000.0,
+        ..Settings::with_defaults(0, 1, "/p")
     });
     let out = hand.wait();
     assert_eq!((hand.now, out.commands.len()), (500.0, 1));
     assert!(matches!(
         out.commands[0],
-        Command::AskProgress { connection: 1 }
+        Command::RequestProgress { connection: 1 }
     ));
-    hand.follower.pass_time(600.0);
+    hand.follower.handle_timeout(600.0);
     assert!(hand.out().commands.is_empty(), "asked once");
     // It answers: all is well, for as long again.
     hand.say(
         1,
-        Input::Watched(WatchResponse {
+        Input::WatchResponse(WatchResponse {
             header: header(1, 5),
             watch_id: -1,
             ..Default::default()
@@ -483,7 +484,7 @@
     );
     assert!(matches!(
         hand.wait().commands[..],
-        [Command::AskProgress { connection: 1 }]
+        [Command::RequestProgress { connection: 1 }]
     ));
     assert_eq!(hand.now, 1000.0);
     let out = hand.wait();
@@ -502,8 +503,8 @@
 #[test]
 fn calls_that_are_not_answered_have_failed() {
     let mut hand = Hand::new(Settings {
-        answer: 300.0,
-        ..Settings::usual(0, 1, "/p")
+        call_timeout: 300.0,
+        ..Settings::with_defaults(0, 1, "/p")
     });
     hand.wait();
     for step in 0..3 {
@@ -524,8 +525,8 @@
 #[test]
 fn a_member_that_is_behind_is_not_believed() {
     // Its watch: another may know more.
-    let mut hand = Hand::watching(Settings::usual(0, 2, "/p"));
-    hand.say(1, Input::Failed(Failure::Broken("reset".into())));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 2, "/p"));
+    hand.say(1, Input::Failed(Failure::Unavailable("reset".into())));
     hand.wait();
     hand.say(2, Input::Opened);
     let out = hand.say(2, created(1, 3));
@@ -534,25 +535,28 @@
             out.reports[..],
             [Report::Behind {
                 endpoint: 1,
-                at: 3,
+                revision: 3,
                 seen: 5
             }]
         ),
         "{out:?}"
     );
-    assert!(!hand.follower.watching() && out.told.is_empty());
+    assert!(!hand.follower.is_watching() && out.told.is_empty());
     // Its reading: a node that it does not know is not gone.
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let compacted = WatchResponse {
         header: header(1, 9),
         canceled: true,
         compact_revision: 9,
         ..WatchResponse::default()
     };
-    let out = hand.say(1, Input::Watched(compacted));
+    let out = hand.say(1, Input::WatchResponse(compacted));
     assert!(matches!(
         out.reports[..],
-        [Report::Compacted { wanted: 6, kept: 9 }]
+        [Report::Compacted {
+            requested: 6,
+            compact_revision: 9
+        }]
     ));
     assert!(
         matches!(out.told[..], [Event::Lost { .. }]),
@@ -570,7 +574,7 @@
             out.reports[..],
             [Report::Behind {
                 endpoint: 0,
-                at: 4,
+                revision: 4,
                 seen: 5
             }]
         ),
@@ -581,14 +585,17 @@
 
 #[test]
 fn another_cluster_makes_all_suspect() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
-    hand.say(1, Input::Failed(Failure::Broken("reset".into())));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+    hand.say(1, Input::Failed(Failure::Unavailable("reset".into())));
     hand.wait();
     hand.say(2, Input::Opened);
     let out = hand.say(2, created(2, 900));
     assert!(matches!(
         out.reports[..],
-        [Report::OtherCluster { was: 1, is: 2 }]
+        [Report::ClusterChanged {
+            previous: 1,
+            current: 2
+        }]
     ));
     assert!(
         matches!(out.told[..], [Event::Reborn { source: 0 }]),
@@ -606,9 +613,9 @@
 #[test]
 fn a_wrong_password_is_one_line_and_no_busy_loop() {
     let settings = Settings {
-        credentials: true,
-        retry: [50.0, 2000.0],
-        ..Settings::usual(0, 1, "/p")
+        authenticate: true,
+        backoff: [50.0, 2000.0],
+        ..Settings::with_defaults(0, 1, "/p")
     };
     let mut hand = Hand::new(settings);
     hand.wait();
@@ -618,7 +625,9 @@
         hand.say(tries, Input::Opened);
         let out = hand.say(
             tries,
-            Input::Failed(Failure::NotPermitted("invalid user ID or password".into())),
+            Input::Failed(Failure::PermissionDenied(
+                "invalid user ID or password".into(),
+            )),
         );
         lines += out.reports.len();
         hand.wait();
@@ -629,8 +638,8 @@
 
 #[test]
 fn a_token_that_has_run_out_is_renewed_without_a_word() {
-    let mut hand = Hand::watching(Settings::usual(0, 2, "/p"));
-    let out = hand.say(1, Input::Failed(Failure::TokenRefused));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 2, "/p"));
+    let out = hand.say(1, Input::Failed(Failure::InvalidToken));
     assert!(out.reports.is_empty(), "{out:?}");
     assert!(
         matches!(
@@ -645,7 +654,7 @@
     // Refused again at once, it is a failure like any other.
     hand.say(2, Input::Opened);
     assert_eq!(
-        hand.say(2, Input::Failed(Failure::TokenRefused))
+        hand.say(2, Input::Failed(Failure::InvalidToken))
             .reports
             .len(),
         1
@@ -655,14 +664,14 @@
 #[test]
 fn pauses_grow_up_to_their_bound_and_begin_anew_after_a_good_watch() {
     let settings = Settings {
-        retry: [50.0, 800.0],
-        ..Settings::usual(0, 1, "/p")
+        backoff: [50.0, 800.0],
+        ..Settings::with_defaults(0, 1, "/p")
     };
     let mut hand = Hand::watching(settings);
     let mut pauses = Vec::new();
     for connection in 1..12 {
         let before = hand.now;
-        hand.say(connection, Input::Failed(Failure::Broken("x".into())));
+        hand.say(connection, Input::Failed(Failure::Unavailable("x".into())));
         hand.wait();
         pauses.push(hand.now - before);
     }
@@ -677,7 +686,7 @@
     hand.say(12, created(1, 5));
     hand.now += 5000.0;
     let before = hand.now;
-    hand.say(12, Input::Failed(Failure::Broken("x".into())));
+    hand.say(12, Input::Failed(Failure::Unavailable("x".into())));
     hand.wait();
     assert!(hand.now - before <= 50.0);
 }
@@ -687,9 +696,9 @@
     let pause = |seed| {
         let mut hand = Hand::watching(Settings {
             seed,
-            ..Settings::usual(0, 1, "/p")
+            ..Settings::with_defaults(0, 1, "/p")
         });
-        hand.say(1, Input::Failed(Failure::Broken("x".into())));
+        hand.say(1, Input::Failed(Failure::Unavailable("x".into())));
         hand.wait();
         hand.now
     };
@@ -701,13 +710,13 @@
 #[test]
 fn a_watch_that_brings_something_begins_the_pauses_anew_however_soon_it_breaks() {
     let mut hand = Hand::watching(Settings {
-        retry: [50.0, 2000.0],
-        ..Settings::usual(0, 1, "/p")
+        backoff: [50.0, 2000.0],
+        ..Settings::with_defaults(0, 1, "/p")
     });
     for connection in 1..8 {
         hand.say(
             connection,
-            Input::Failed(Failure::Broken("an outage".into())),
+            Input::Failed(Failure::Unavailable("an outage".into())),
         );
         hand.wait();
     }
@@ -715,20 +724,21 @@
     hand.say(8, created(1, 9));
     hand.say(8, changes(vec![put("b", 9)], false));
     let before = hand.now;
-    hand.say(8, Input::Failed(Failure::Broken("cut".into())));
+    hand.say(8, Input::Failed(Failure::Unavailable("cut".into())));
     hand.wait();
     assert!(hand.now - before <= 50.0, "{}", hand.now - before);
 }
 
 #[test]
 fn a_move_begins_at_the_first_endpoint_at_once() {
-    let mut hand = Hand::watching(Settings::usual(0, 3, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 3, "/p"));
     for connection in 1..6 {
-        hand.say(connection, Input::Failed(Failure::Broken("x".into())));
+        hand.say(connection, Input::Failed(Failure::Unavailable("x".into())));
         hand.wait();
     }
     assert_ne!(hand.follower.endpoint(), 0);
-    hand.follower.move_to(hand.now, Settings::usual(0, 2, "/p"));
+    hand.follower
+        .reconfigure(hand.now, Settings::with_defaults(0, 2, "/p"));
     let out = hand.out();
     assert!(
         matches!(out.commands.last(), Some(Command::Open { endpoint: 0, .. })),
@@ -738,7 +748,7 @@
 
 #[test]
 fn what_a_peer_makes_it_remember_and_ask_is_bounded() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let spoilt = |n: i64| Change {
         kind: Change::PUT,
         kv: Some(KeyValue {
@@ -770,7 +780,7 @@
         "leases that are asked about at once"
     );
     // A reading of more nodes than the roster holds.
-    let mut hand = Hand::new(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::new(Settings::with_defaults(0, 1, "/p"));
     hand.wait();
     hand.say(1, Input::Opened);
     let most = maplefall_membership::MOST_NODES;
@@ -793,7 +803,7 @@
 
 #[test]
 fn nodes_that_went_with_their_lease_are_told_from_those_removed_by_hand() {
-    let mut hand = Hand::new(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::new(Settings::with_defaults(0, 1, "/p"));
     hand.wait();
     hand.say(1, Input::Opened);
     hand.say(
@@ -818,23 +828,23 @@
     let asked = out
         .commands
         .iter()
-        .filter(|command| matches!(command, Command::LeaseLeft { .. }));
+        .filter(|command| matches!(command, Command::LeaseTimeToLive { .. }));
     assert_eq!(asked.count(), 2, "c hung on none");
     let out = hand.say(
         1,
-        Input::LeaseLeft {
+        Input::LeaseTimeToLive {
             lease: 77,
             ttl: Some(-1),
         },
     );
     assert!(
-        matches!(&out.reports[..], [Report::LeaseGone { lease: 77, hosts, more: 0 }] if hosts == &["a"]),
+        matches!(&out.reports[..], [Report::LeaseEnded { lease: 77, hosts, more: 0 }] if hosts == &["a"]),
         "{out:?}"
     );
     assert!(
         hand.say(
             1,
-            Input::LeaseLeft {
+            Input::LeaseTimeToLive {
                 lease: 78,
                 ttl: Some(9)
             }
@@ -847,7 +857,7 @@
 
 #[test]
 fn an_answer_without_end_is_not_held() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let mut read = false;
     for piece in 0..200 {
         let events = (0..1000)
@@ -861,7 +871,7 @@
         if out
             .reports
             .iter()
-            .any(|report| matches!(report, Report::TooMany(_)))
+            .any(|report| matches!(report, Report::TooManyChanges(_)))
         {
             hand.wait();
             let out = hand.say(2, Input::Opened);
@@ -877,7 +887,7 @@
 
 #[test]
 fn an_answer_of_few_but_long_values_is_not_held_either() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let long = |n: i64| Change {
         kind: Change::PUT,
         kv: Some(KeyValue {
@@ -896,7 +906,7 @@
 
 #[test]
 fn leases_are_remembered_within_the_bound_of_nodes() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let on_a_lease = |n: i64| Change {
         kind: Change::PUT,
         kv: Some(kv(&format!("n{n}"), 6 + n, 77)),
@@ -922,7 +932,7 @@
     assert_eq!(hand.say(1, changes(all, false)).commands.len(), 1);
     let out = hand.say(
         1,
-        Input::LeaseLeft {
+        Input::LeaseTimeToLive {
             lease: 77,
             ttl: Some(-1),
         },
@@ -936,7 +946,7 @@
 
 #[test]
 fn a_line_on_an_unreadable_value_is_one_line_of_bounded_length() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let state = format!("up\\n{}", "x".repeat(10_000));
     let value = format!(r#"{{"address":"127.0.0.1:80","state":"{state}"}}"#).into_bytes();
     let key = format!("/p/members/a\n{}", "k".repeat(100_000)).into_bytes();
@@ -969,7 +979,7 @@
 
 #[test]
 fn an_unreadable_value_costs_no_other_and_is_told_of_once() {
-    let mut hand = Hand::watching(Settings::usual(0, 1, "/p"));
+    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
     let spoilt = |revision| Change {
         kind: Change::PUT,
         kv: Some(KeyValue {
--- a/crates/etcd/tests/histories.rs
+++ b/crates/etcd/tests/histories.rs
@@ -9,7 +9,9 @@
 //!
 //! `ETCD_HISTORIES=N` plays more; `ETCD_SEED=S` one.
 
-use maplefall_etcd::{Command, Connection, Failure, Follower, Input, Output, Settings, Told};
+use maplefall_etcd::{
+    Command, ConnectionId, Failure, Follower, Input, Output, Settings, SourceUpdate,
+};
 use maplefall_etcd_wire::{
     error, request_op, DeleteRangeRequest, Event as Change, PutRequest, RangeRequest, RequestOp,
     TxnRequest, WatchResponse,
@@ -49,7 +51,7 @@
 type Log = Vec<(i64, String, Word)>;
 
 struct Watch {
-    connection: Connection,
+    connection: ConnectionId,
     endpoint: usize,
     request: maplefall_etcd_wire::WatchCreateRequest,
     next: i64,
@@ -68,15 +70,15 @@
     /// The token of the connection.
     token: Option<u64>,
     /// Connections that are open, with their endpoints.
-    open: BTreeMap<Connection, usize>,
+    open: BTreeMap<ConnectionId, usize>,
     watch: Option<Watch>,
     /// The one before: its stream lives on for a while, and says what is new to it.
     old: Option<Watch>,
     /// Inputs on their way. Of each connection they come in order.
-    wire: VecDeque<(Connection, Input)>,
+    wire: VecDeque<(ConnectionId, Input)>,
     lease: Option<i64>,
     broken: Option<Broken>,
-    newest: Connection,
+    newest: ConnectionId,
     follower: Follower,
     roster: Roster,
     /// Whether the roster has been told last that the source is there.
@@ -102,13 +104,13 @@
         let credentials = rng.next_u32() % 2 == 0;
         let page = [1, 2, 3, 100][rng.next_u32() as usize % 4];
         let settings = Settings {
-            credentials,
-            page,
-            silence: 400.0,
-            answer: 200.0,
-            retry: [5.0, 100.0],
+            authenticate: credentials,
+            page_size: page,
+            watch_timeout: 400.0,
+            call_timeout: 200.0,
+            backoff: [5.0, 100.0],
             seed,
-            ..Settings::usual(0, ENDPOINTS, "/p")
+            ..Settings::with_defaults(0, ENDPOINTS, "/p")
         };
         let source = SourceSettings {
             believed_part: 0.5,
@@ -270,16 +272,16 @@
             } => {
                 (self.token, self.newest) = (None, connection);
                 if self.down[endpoint] {
-                    let refused = Input::Failed(Failure::Broken("refused".into()));
+                    let refused = Input::Failed(Failure::Unavailable("refused".into()));
                     self.wire.push_back((connection, refused));
                 } else {
                     self.open.insert(connection, endpoint);
                     self.say(connection, Input::Opened);
                 }
             }
-            Command::SignIn { connection } => {
+            Command::Authenticate { connection } => {
                 self.token = Some(self.tokens);
-                self.say(connection, Input::SignedIn);
+                self.say(connection, Input::Authenticated);
             }
             Command::Range {
                 connection,
@@ -318,9 +320,9 @@
                     created: true,
                     ..self.answer(endpoint)
                 };
-                self.say(connection, Input::Watched(created));
+                self.say(connection, Input::WatchResponse(created));
             }
-            Command::AskProgress { connection } => {
+            Command::RequestProgress { connection } => {
                 let Some(endpoint) = self.open.get(&connection).copied() else {
                     return;
                 };
@@ -329,11 +331,11 @@
                     watch_id: -1,
                     ..self.answer(endpoint)
                 };
-                self.say(connection, Input::Watched(answer));
+                self.say(connection, Input::WatchResponse(answer));
             }
-            Command::LeaseLeft { connection, lease } => {
+            Command::LeaseTimeToLive { connection, lease } => {
                 let ttl = Some(self.store.time_to_live(self.now, lease));
-                self.say(connection, Input::LeaseLeft { lease, ttl });
+                self.say(connection, Input::LeaseTimeToLive { lease, ttl });
             }
             Command::Close { connection } => {
                 // What is on the way may still come, from a stream that is thought to be closed.
@@ -345,7 +347,7 @@
     fn refused(&self) -> Option<Failure> {
         self.token
             .is_some_and(|token| token != self.tokens)
-            .then_some(Failure::TokenRefused)
+            .then_some(Failure::InvalidToken)
     }
 
     fn read(&mut self, endpoint: usize, request: &RangeRequest) -> Input {
@@ -356,7 +358,7 @@
                 Input::Page(page)
             }
             Err(refused) if refused.0 == error::COMPACTED => Input::Failed(Failure::Compacted),
-            Err(refused) => Input::Failed(Failure::Broken(refused.0.into())),
+            Err(refused) => Input::Failed(Failure::Unavailable(refused.0.into())),
         }
     }
 
@@ -368,7 +370,7 @@
         }
     }
 
-    fn say(&mut self, connection: Connection, input: Input) {
+    fn say(&mut self, connection: ConnectionId, input: Input) {
         if self
             .open
             .get(&connection)
@@ -398,7 +400,8 @@
             events,
             ..Default::default()
         };
-        self.wire.push_back((old.connection, Input::Watched(told)));
+        self.wire
+            .push_back((old.connection, Input::WatchResponse(told)));
     }
 
     /// The watch's member tells what is new.
@@ -426,14 +429,14 @@
                     compact_revision: kept,
                     ..self.answer(endpoint)
                 };
-                self.say(connection, Input::Watched(told));
+                self.say(connection, Input::WatchResponse(told));
             }
             Ok(changes) => {
                 let Some((last, _)) = changes.iter().take(most).next_back() else {
                     // A notice of progress: all up to here has been told.
                     if self.below(4) == 0 && next <= at {
                         let told = self.answer(endpoint);
-                        self.say(connection, Input::Watched(told));
+                        self.say(connection, Input::WatchResponse(told));
                     }
                     return;
                 };
@@ -451,7 +454,7 @@
                         events: part.to_vec(),
                         ..self.answer(endpoint)
                     };
-                    self.say(connection, Input::Watched(told));
+                    self.say(connection, Input::WatchResponse(told));
                 }
                 if let Some(watch) = &mut self.watch {
                     watch.next = next;
@@ -472,8 +475,10 @@
             of += usize::from(*on == connection);
             *on != connection || of <= keep
         });
-        self.wire
-            .push_back((connection, Input::Failed(Failure::Broken("cut".into()))));
+        self.wire.push_back((
+            connection,
+            Input::Failed(Failure::Unavailable("cut".into())),
+        ));
     }
 
     fn trouble(&mut self) {
@@ -514,10 +519,10 @@
     // ---- The follower ---------------------------------------------------------------------------------
 
     fn pump(&mut self) -> Result<(), String> {
-        while let Some(output) = self.follower.output() {
+        while let Some(output) = self.follower.poll_output() {
             match output {
                 Output::Command(command) => self.carry_out(command),
-                Output::Tell(told) => {
+                Output::Update(told) => {
                     self.check(&told)?;
                     if self.broken == Some(Broken::ToldTwice)
                         && matches!(told.event, Event::Change { .. })
@@ -529,7 +534,7 @@
                 Output::Report(_) => {}
             }
         }
-        match self.heard && self.follower.resting() {
+        match self.heard && self.follower.in_backoff() {
             true => Err("there is no connection, and the roster takes the source for heard".into()),
             false => Ok(()),
         }
@@ -544,7 +549,9 @@
             .iter()
             .position(|(connection, _)| Some(*connection) == of);
         if let Some((mut connection, input)) = first.and_then(|first| self.wire.remove(first)) {
-            if self.broken == Some(Broken::OldStreamHeard) && matches!(input, Input::Watched(_)) {
+            if self.broken == Some(Broken::OldStreamHeard)
+                && matches!(input, Input::WatchResponse(_))
+            {
                 connection = self.newest;
             }
             self.follower.handle(self.now, connection, input);
@@ -554,7 +561,7 @@
 
     fn pass(&mut self, time: f64) -> Result<(), String> {
         self.now += time;
-        self.follower.pass_time(self.now);
+        self.follower.handle_timeout(self.now);
         self.roster.tick(self.now);
         self.pump()
     }
@@ -570,13 +577,13 @@
     }
 
     /// Holds what is told to the log.
-    fn check(&mut self, told: &Told) -> Result<(), String> {
+    fn check(&mut self, told: &SourceUpdate) -> Result<(), String> {
         self.heard = match told.event {
             Event::Lost { .. } => false,
             Event::Reborn { .. } => self.heard,
             Event::Snapshot { .. } | Event::Change { .. } | Event::Resumed { .. } => true,
         };
-        if told.behind < 0 {
+        if told.revisions_behind < 0 {
             return Err(format!("a change from the future: {told:?}"));
         }
         match &told.event {
@@ -646,7 +653,7 @@
             self.tell();
             self.pass(1.0)?;
         }
-        if !self.follower.watching() {
+        if !self.follower.is_watching() {
             return Err("no watch after 3 s of quiet".into());
         }
         let listed: BTreeMap<String, Word> = self.roster.members().map(word).collect();
--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! The client against the played etcd over real connections that break in every way that is asked of it. Waits are for
 //! events; the limits are generous.
 
-use maplefall_etcd::client::{follow, Place, Straight};
+use maplefall_etcd::client::{follow, ConnectionConfig, PassThrough};
 use maplefall_etcd::{Output, Report, Settings};
 use maplefall_etcd_wire::{DeleteRangeRequest, PutRequest};
 use maplefall_membership::{Roster, SourceSettings};
@@ -21,7 +21,7 @@
 struct Bed {
     etcd: Etcd,
     members: Vec<Member>,
-    place: watch::Sender<Place>,
+    place: watch::Sender<ConnectionConfig>,
     seen: Rc<RefCell<Seen>>,
 }
 
@@ -76,10 +76,10 @@
 
 fn settings() -> Settings {
     Settings {
-        silence: 600.0,
-        answer: 1000.0,
-        retry: [5.0, 100.0],
-        ..Settings::usual(0, 0, "/p")
+        watch_timeout: 600.0,
+        call_timeout: 1000.0,
+        backoff: [5.0, 100.0],
+        ..Settings::with_defaults(0, 0, "/p")
     }
 }
 
@@ -98,7 +98,7 @@
             .iter()
             .map(|member| format!("http://{}", member.address))
             .collect();
-        let place = watch::Sender::new(Place {
+        let place = watch::Sender::new(ConnectionConfig {
             endpoints,
             user,
             authority: None,
@@ -120,7 +120,7 @@
         let take = move |output| {
             let mut seen = to.borrow_mut();
             match output {
-                Output::Tell(told) => {
+                Output::Update(told) => {
                     match &told.event {
                         maplefall_membership::Event::Snapshot { .. } => seen.snapshots += 1,
                         maplefall_membership::Event::Change { .. } => seen.changes += 1,
@@ -132,7 +132,13 @@
                 Output::Command(_) => {}
             }
         };
-        tokio::task::spawn_local(follow(settings, place.subscribe(), clock, take, Straight));
+        tokio::task::spawn_local(follow(
+            settings,
+            place.subscribe(),
+            clock,
+            take,
+            PassThrough,
+        ));
         Bed {
             etcd,
             members,
@@ -329,7 +335,13 @@
             "an empty answer is not believed at once"
         );
         assert_eq!(
-            bed.reported(|report| matches!(report, Report::OtherCluster { was: 1, is: 2 })),
+            bed.reported(|report| matches!(
+                report,
+                Report::ClusterChanged {
+                    previous: 1,
+                    current: 2
+                }
+            )),
             1
         );
         put(&bed.etcd, "a", "draining");
@@ -356,7 +368,7 @@
         let bed = Bed::with(
             1,
             Settings {
-                page: 400,
+                page_size: 400,
                 ..settings()
             },
             store,
@@ -421,7 +433,7 @@
         let bed = Bed::with(
             1,
             Settings {
-                page: 1000,
+                page_size: 1000,
                 ..settings()
             },
             store,
@@ -531,7 +543,7 @@
 fn a_wrong_password_is_one_clear_line() {
     run(async {
         let settings = Settings {
-            retry: [5.0, 20.0],
+            backoff: [5.0, 20.0],
             ..settings()
         };
         let bed = Bed::with(
@@ -591,7 +603,7 @@
         bed.until_is(&[("a", Up), ("b", Up)]).await;
         bed.until_is(&[("b", Up)]).await;
         let named =
-            |report: &Report| matches!(report, Report::LeaseGone { hosts, .. } if hosts == &["a"]);
+            |report: &Report| matches!(report, Report::LeaseEnded { hosts, .. } if hosts == &["a"]);
         bed.until("the lease is named", |bed| bed.reported(named) == 1)
             .await;
     });
--- a/crates/etcd/tests/tls.rs
+++ b/crates/etcd/tests/tls.rs
@@ -1,7 +1,7 @@
 //! The client over TLS, against the played etcd behind an end of TLS that this test holds.
 //! `cargo test -p maplefall-etcd --features tls --test tls`
 
-use maplefall_etcd::client::{follow, Place, Straight};
+use maplefall_etcd::client::{follow, ConnectionConfig, PassThrough};
 use maplefall_etcd::{Output, Settings};
 use maplefall_etcd_wire::PutRequest;
 use maplefall_membership::Event;
@@ -76,7 +76,7 @@
         let authority = Some(authority(&own).into_bytes());
         let address = member.address;
         tokio::task::spawn_local(async move { end_tls(listener, &own, address).await });
-        let place = watch::Sender::new(Place {
+        let place = watch::Sender::new(ConnectionConfig {
             endpoints,
             user: None,
             authority,
@@ -84,7 +84,7 @@
         let seen: Rc<RefCell<(Option<usize>, Vec<String>)>> = Rc::default();
         let (to, begun) = (seen.clone(), Instant::now());
         let take = move |output| match output {
-            Output::Tell(told) => {
+            Output::Update(told) => {
                 if let Event::Snapshot { members, .. } = told.event {
                     to.borrow_mut().0 = Some(members.hosts.len());
                 }
@@ -94,11 +94,11 @@
         };
         let clock = move || begun.elapsed().as_secs_f64() * 1000.0;
         tokio::task::spawn_local(follow(
-            Settings::usual(0, 1, "/p"),
+            Settings::with_defaults(0, 1, "/p"),
             place.subscribe(),
             clock,
             take,
-            Straight,
+            PassThrough,
         ));
         while seen.borrow().0.is_none() && seen.borrow().1.is_empty() {
             assert!(
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -4,7 +4,7 @@
 
 use hyper::Uri;
 use maplefall_discovery_agent::{line, Heard, Line, Output, Word};
-use maplefall_etcd::client::Seam;
+use maplefall_etcd::client::Interceptor;
 use maplefall_etcd::{Command, Input};
 use maplefall_membership::{Event, Roster, Update};
 use maplefall_policy::{Action, BackendEntry, Idempotency, Millis, RejectReason, Settings};
@@ -281,7 +281,7 @@
     kept: i64,
 }
 
-impl Seam for EtcdSeam {
+impl Interceptor for EtcdSeam {
     fn command(&mut self, mut command: Command) -> Command {
         if let Command::Watch { request, .. } = &mut command {
             if is(Breakage::ResumesAtCurrent) {
@@ -293,7 +293,7 @@
     }
 
     fn input(&mut self, mut input: Input) -> Input {
-        if let Input::Watched(answer) = &mut input {
+        if let Input::WatchResponse(answer) = &mut input {
             if is(Breakage::CompactionIgnored) && answer.compact_revision > 0 {
                 self.kept = std::mem::take(&mut answer.compact_revision);
             }
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -8,8 +8,8 @@
 use super::breakages;
 use super::driver::Driver;
 use super::sources::{Kind, Source, Sources};
-use maplefall_etcd::client::{self, Place};
-use maplefall_etcd::{one_line, value, Output, Report, Told};
+use maplefall_etcd::client::{self, ConnectionConfig};
+use maplefall_etcd::{one_line, value, Output, Report, SourceUpdate};
 use maplefall_membership::{Event, Roster, SourceSettings, Update, MOST_NODES};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
@@ -46,7 +46,7 @@
     /// The agent's index among the sources.
     agent_index: Option<usize>,
     /// The endpoints of each etcd, by its index among the sources.
-    etcd_places: BTreeMap<usize, watch::Sender<Place>>,
+    etcd_places: BTreeMap<usize, watch::Sender<ConnectionConfig>>,
     /// Reads of files of nodes: each is a version.
     file_reads: Cell<u64>,
     /// When a late change was last logged.
@@ -200,10 +200,10 @@
                 && match (&old.kind, &new.kind) {
                     (Kind::Etcd { follow: old, .. }, Kind::Etcd { follow: new, .. }) => {
                         maplefall_etcd::Settings {
-                            endpoints: 0,
+                            endpoint_count: 0,
                             ..old.clone()
                         } == maplefall_etcd::Settings {
-                            endpoints: 0,
+                            endpoint_count: 0,
                             ..new.clone()
                         }
                     }
@@ -263,10 +263,10 @@
                 self.log(&format_args!("{name}: passed over: {report}"));
             }
             Output::Report(report) => self.log(&format_args!("{name}: {report}")),
-            Output::Tell(Told {
+            Output::Update(SourceUpdate {
                 event,
-                behind,
-                late,
+                revisions_behind: behind,
+                delay: late,
             }) => {
                 let now = self.driver.clock.now();
                 if late.is_some_and(|late| late > LATE_CHANGE_THRESHOLD)
@@ -381,8 +381,8 @@
 }
 
 #[cfg(not(feature = "breakages"))]
-fn etcd_seam() -> client::Straight {
-    client::Straight
+fn etcd_seam() -> client::PassThrough {
+    client::PassThrough
 }
 
 /// How many lines were logged in the present window.
@@ -445,8 +445,8 @@
     }
     let (mut nodes, mut unread) = (Vec::new(), Vec::new());
     for (id, document) in documents {
-        let read = value::id(id.as_bytes(), b"")
-            .and_then(|id| value::member(id, document.to_string().as_bytes()));
+        let read = value::parse_id(id.as_bytes(), b"")
+            .and_then(|id| value::parse_member(id, document.to_string().as_bytes()));
         match read {
             Ok((member, _)) => nodes.push(member),
             Err(why) => unread.push((id, one_line(&why.to_string()))),
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -1,7 +1,7 @@
 //! The file of sources (`MAPLEFALL_SOURCES`, a TOML file; `deploy/sources.toml` is one): where the list of backends comes from,
 //! in order of precedence. Without it the platform's agent is the only source.
 
-use maplefall_etcd::client::Place;
+use maplefall_etcd::client::ConnectionConfig;
 use maplefall_membership::SourceSettings;
 use maplefall_policy::Millis;
 use serde::Deserialize;
@@ -30,7 +30,7 @@
     /// A prefix of an etcd.
     Etcd {
         /// Its endpoints and credentials.
-        place: Place,
+        place: ConnectionConfig,
         /// The prefix and the timeouts.
         follow: maplefall_etcd::Settings,
     },
@@ -276,23 +276,26 @@
                 .to_owned(),
         )
     });
-    let defaults = maplefall_etcd::Settings::usual(at, entry.endpoints.len(), &prefix);
+    let defaults = maplefall_etcd::Settings::with_defaults(at, entry.endpoints.len(), &prefix);
     let follow = maplefall_etcd::Settings {
-        page: entry.page.unwrap_or(defaults.page),
-        silence: entry.silence_ms.unwrap_or(defaults.silence),
-        answer: entry.answer_ms.unwrap_or(defaults.answer),
-        retry: entry.retry_ms.unwrap_or(defaults.retry),
+        page_size: entry.page.unwrap_or(defaults.page_size),
+        watch_timeout: entry.silence_ms.unwrap_or(defaults.watch_timeout),
+        call_timeout: entry.answer_ms.unwrap_or(defaults.call_timeout),
+        backoff: entry.retry_ms.unwrap_or(defaults.backoff),
         ..defaults
     };
-    if !(1..=10_000).contains(&follow.page) {
+    if !(1..=10_000).contains(&follow.page_size) {
         report("page", "a whole number from 1 to 10000 was expected");
     }
-    for (field, value) in [("silence_ms", follow.silence), ("answer_ms", follow.answer)] {
+    for (field, value) in [
+        ("silence_ms", follow.watch_timeout),
+        ("answer_ms", follow.call_timeout),
+    ] {
         if !(100.0..=600_000.0).contains(&value) {
             report(field, "a number from 100 to 600000 was expected");
         }
     }
-    let [min, max] = follow.retry;
+    let [min, max] = follow.backoff;
     if !(min >= 1.0 && min <= max && max <= 600_000.0) {
         report(
             "retry_ms",
@@ -300,7 +303,7 @@
         );
     }
     Kind::Etcd {
-        place: Place {
+        place: ConnectionConfig {
             endpoints: entry.endpoints.clone(),
             user,
             authority,
