--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -1,5 +1,5 @@
-//! The follower's commands carried out over gRPC (etcd v3, `KV.Range`, `Watch.Watch`, `Auth.Authenticate`,
-//! `Lease.LeaseTimeToLive`), on a current-thread runtime inside a `LocalSet`.
+//! Executes the follower's commands over gRPC (etcd v3: `KV.Range`, `Watch.Watch`,
+//! `Auth.Authenticate`, `Lease.LeaseTimeToLive`), on a current-thread runtime inside a `LocalSet`.
 
 use crate::text::one_line;
 use crate::{Command, ConnectionId, Failure, Follower, Input, Output, Settings};
@@ -21,57 +21,62 @@
 use tonic::{Code, Request, Status};
 use tonic_prost::ProstCodec;
 
-/// Longest message that is read: twice what etcd takes in one request, and so sends in one piece. Pages that are longer are
-/// asked for again with fewer keys.
-const LONGEST_MESSAGE: usize = 4 << 20;
-/// Inputs that wait for the follower at most, each of one message; the stream waits behind them.
-const WAITING: usize = 16;
-/// Inputs that are taken in one go, before the runtime's other work has its turn.
-const AT_ONCE: usize = 64;
+/// Maximum size of a message: twice the maximum size of a request that etcd accepts, which is also
+/// the size of the fragments that it sends. A longer page is requested again with fewer keys.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// Maximum number of inputs queued for the follower, each of one message. A full queue blocks the
+/// stream.
+const INPUT_QUEUE: usize = 16;
+/// Maximum number of inputs handled before the runtime's other tasks run.
+const INPUTS_PER_TURN: usize = 64;
 
-/// Where etcd is and who asks.
+/// Endpoints and credentials of an etcd cluster.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConnectionConfig {
-    /// `http://HOST:PORT`, or `https://` with the feature `tls`.
+    /// Endpoints: `http://HOST:PORT`, or `https://HOST:PORT` with the feature `tls`.
     pub endpoints: Vec<String>,
     /// User and password.
     pub user: Option<(String, String)>,
-    /// The authority that signed the members' certificates, as PEM; for `https` only.
+    /// Certificate of the authority that signed the members' certificates, as PEM; for `https`
+    /// only.
     pub authority: Option<Vec<u8>>,
 }
 
-/// What stands between the follower and the sockets; [`PassThrough`] changes nothing. A rehearsal's broken builds sit here.
+/// A hook between the follower and the sockets, for builds that inject faults. [`PassThrough`]
+/// changes nothing.
 pub trait Interceptor {
-    /// A command on its way to the sockets.
+    /// Returns the command to execute in place of `command`.
     fn command(&mut self, command: Command) -> Command {
         command
     }
 
-    /// An input on its way to the follower.
+    /// Returns the input for the follower in place of `input`.
     fn input(&mut self, input: Input) -> Input {
         input
     }
 }
 
-/// Nothing stands between.
+/// An [`Interceptor`] that changes nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PassThrough;
 
 impl Interceptor for PassThrough {}
 
-/// Follows a prefix for as long as it is polled. Where `place` is told anew, it goes on there from what it has seen.
-/// `clock` gives the time that is handed to the follower; `take` gets what the follower tells and reports, in order.
+/// Follows a prefix for as long as the future is polled. When `config` changes, it reconnects with
+/// the new one and resumes from the last revision seen. `clock` returns the follower's time.
+/// `on_output` gets the updates and reports, in order.
 pub async fn follow(
     mut settings: Settings,
-    mut place: watch::Receiver<ConnectionConfig>,
+    mut config: watch::Receiver<ConnectionConfig>,
     clock: impl Fn() -> Millis,
-    mut take: impl FnMut(Output),
-    mut seam: impl Interceptor,
+    mut on_output: impl FnMut(Output),
+    mut interceptor: impl Interceptor,
 ) {
-    let mut at = place.borrow_and_update().clone();
-    (settings.endpoint_count, settings.authenticate) = (at.endpoints.len(), at.user.is_some());
+    let mut current = config.borrow_and_update().clone();
+    (settings.endpoint_count, settings.authenticate) =
+        (current.endpoints.len(), current.user.is_some());
     let mut follower = Follower::new(settings.clone());
-    let (sender, mut inputs) = mpsc::channel(WAITING);
+    let (sender, mut inputs) = mpsc::channel(INPUT_QUEUE);
     let mut link: Option<Link> = None;
     loop {
         follower.handle_timeout(clock());
@@ -81,51 +86,52 @@
                     connection,
                     endpoint,
                 }) => {
-                    let uri = at.endpoints.get(endpoint).cloned().unwrap_or_default();
-                    link = Some(Link::open(connection, uri, &at, sender.clone()));
+                    let uri = current.endpoints.get(endpoint).cloned().unwrap_or_default();
+                    link = Some(Link::open(connection, uri, &current, sender.clone()));
                 }
                 Output::Command(Command::Close { .. }) => link = None,
                 Output::Command(command) => {
                     if let Some(link) = &mut link {
-                        link.carry_out(seam.command(command));
+                        link.execute(interceptor.command(command));
                     }
                 }
-                told => take(told),
+                output => on_output(output),
             }
         }
-        let pause = follower
+        let delay = follower
             .poll_timeout()
             .map_or(f64::INFINITY, |due| due - clock());
-        // A whole millisecond more: the runtime's timers are no finer, and waking too early would be in vain.
-        let pause = Duration::from_secs_f64((pause.clamp(0.0, 60_000.0) + 1.0) / 1000.0);
+        // One millisecond more: the runtime's timers have that resolution, and a wake-up before the
+        // deadline would do nothing.
+        let delay = Duration::from_secs_f64((delay.clamp(0.0, 60_000.0) + 1.0) / 1000.0);
         tokio::select! {
             input = inputs.recv() => {
                 let Some((connection, input)) = input else { return };
-                follower.handle(clock(), connection, seam.input(input));
-                for _ in 1..AT_ONCE {
+                follower.handle(clock(), connection, interceptor.input(input));
+                for _ in 1..INPUTS_PER_TURN {
                     let Ok((connection, input)) = inputs.try_recv() else { break };
-                    follower.handle(clock(), connection, seam.input(input));
+                    follower.handle(clock(), connection, interceptor.input(input));
                 }
             }
-            () = tokio::time::sleep(pause) => {}
-            changed = place.changed() => {
+            () = tokio::time::sleep(delay) => {}
+            changed = config.changed() => {
                 if changed.is_err() {
                     return;
                 }
-                at = place.borrow_and_update().clone();
-                (settings.endpoint_count, settings.authenticate) = (at.endpoints.len(), at.user.is_some());
+                current = config.borrow_and_update().clone();
+                (settings.endpoint_count, settings.authenticate) = (current.endpoints.len(), current.user.is_some());
                 follower.reconfigure(clock(), settings.clone());
             }
         }
     }
 }
 
-/// One connection and all that is out on it; dropped, all of it ends.
+/// A connection with its calls in flight, which are cancelled when it is dropped.
 struct Link {
     connection: ConnectionId,
     inputs: mpsc::Sender<(ConnectionId, Input)>,
     shared: Rc<Shared>,
-    /// What is said on the watch that is open.
+    /// Sender of requests on the open watch stream.
     watch: Option<mpsc::Sender<WatchRequest>>,
     tasks: JoinSet<()>,
 }
@@ -140,13 +146,13 @@
     fn open(
         connection: ConnectionId,
         uri: String,
-        place: &ConnectionConfig,
+        config: &ConnectionConfig,
         inputs: mpsc::Sender<(ConnectionId, Input)>,
     ) -> Link {
         let shared = Rc::new(Shared {
             channel: RefCell::default(),
             token: RefCell::default(),
-            user: place.user.clone(),
+            user: config.user.clone(),
         });
         let mut link = Link {
             connection,
@@ -155,7 +161,7 @@
             watch: None,
             tasks: JoinSet::new(),
         };
-        let (shared, authority) = (link.shared.clone(), place.authority.clone());
+        let (shared, authority) = (link.shared.clone(), config.authority.clone());
         link.spawn(async move {
             match connect(uri, authority).await {
                 Ok(channel) => {
@@ -173,29 +179,30 @@
         while self.tasks.try_join_next().is_some() {}
         self.tasks.spawn_local(async move {
             let input = work.await;
-            // Nobody listens any more: then nobody needs it.
+            // Fails only if `follow` has ended, which needs no input any more.
             let _ = inputs.send((connection, input)).await;
         });
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         let shared = self.shared.clone();
         match command {
             Command::Authenticate { .. } => self.spawn(async move {
                 let (name, password) = shared.user.clone().unwrap_or_default();
-                let asked = AuthenticateRequest { name, password };
-                let answer: Result<AuthenticateResponse, Status> =
-                    shared.call(path::AUTHENTICATE, asked).await;
-                let token = answer.map(|answer| MetadataValue::try_from(answer.token));
+                let request = AuthenticateRequest { name, password };
+                let response: Result<AuthenticateResponse, Status> =
+                    shared.call(path::AUTHENTICATE, request).await;
+                let token = response.map(|response| MetadataValue::try_from(response.token));
                 match token {
                     Ok(Ok(token)) => {
                         shared.token.replace(Some(token));
                         Input::Authenticated
                     }
-                    Ok(Err(_)) => {
-                        Input::Failed(Failure::Unavailable("a token that is no text".to_owned()))
-                    }
-                    // A user that etcd does not ask for is no mistake: it may be asked for tomorrow.
+                    Ok(Err(_)) => Input::Failed(Failure::Unavailable(
+                        "the token is not valid as metadata".to_owned(),
+                    )),
+                    // Credentials are allowed while authentication is disabled: it can be enabled
+                    // later.
                     Err(status) if status.message().contains(error::NOT_ENABLED) => {
                         Input::Authenticated
                     }
@@ -209,32 +216,35 @@
                 }
             }),
             Command::LeaseTimeToLive { lease, .. } => self.spawn(async move {
-                let asked = LeaseRequest { id: lease };
-                let answer: Result<LeaseResponse, Status> =
-                    shared.call(path::LEASE_TIME_TO_LIVE, asked).await;
+                let request = LeaseRequest { id: lease };
+                let response: Result<LeaseResponse, Status> =
+                    shared.call(path::LEASE_TIME_TO_LIVE, request).await;
                 Input::LeaseTimeToLive {
                     lease,
-                    ttl: answer.ok().map(|answer| answer.ttl),
+                    ttl: response.ok().map(|response| response.ttl),
                 }
             }),
             Command::Watch { request, .. } => {
-                let (say, said) = mpsc::channel(4);
+                let (requests, request_stream) = mpsc::channel(4);
                 let first = WatchRequest {
                     union: Some(watch_request::Union::Create(request)),
                 };
-                // There is room: the channel is new.
-                let _ = say.try_send(first);
-                self.watch = Some(say);
+                // Cannot fail: the channel is new and empty.
+                let _ = requests.try_send(first);
+                self.watch = Some(requests);
                 let (inputs, connection) = (self.inputs.clone(), self.connection);
-                self.spawn(
-                    async move { Input::Failed(shared.watch(said, connection, &inputs).await) },
-                );
+                self.spawn(async move {
+                    Input::Failed(shared.watch(request_stream, connection, &inputs).await)
+                });
             }
             Command::RequestProgress { .. } => {
-                let asked = watch_request::Union::Progress(WatchProgressRequest {});
-                if let Some(say) = &self.watch {
-                    // A stream that takes no more is found by its silence.
-                    let _ = say.try_send(WatchRequest { union: Some(asked) });
+                let request = watch_request::Union::Progress(WatchProgressRequest {});
+                if let Some(requests) = &self.watch {
+                    // If the stream accepts no more requests, the watch timeout closes the
+                    // connection.
+                    let _ = requests.try_send(WatchRequest {
+                        union: Some(request),
+                    });
                 }
             }
             Command::Open { .. } | Command::Close { .. } => {}
@@ -249,7 +259,7 @@
             .borrow()
             .clone()
             .ok_or_else(|| Status::unavailable("not connected"))?;
-        Ok(Grpc::new(channel).max_decoding_message_size(LONGEST_MESSAGE))
+        Ok(Grpc::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES))
     }
 
     fn request<T>(&self, message: T) -> Request<T> {
@@ -268,7 +278,7 @@
         let mut grpc = self.grpc()?;
         grpc.ready()
             .await
-            .map_err(|error| Status::unavailable(root(&error)))?;
+            .map_err(|error| Status::unavailable(root_cause(&error)))?;
         let (path, codec) = (
             PathAndQuery::from_static(path),
             ProstCodec::<Q, A>::default(),
@@ -279,10 +289,11 @@
             .into_inner())
     }
 
-    /// Hands on what the watch says until it ends; tells how it ended.
+    /// Passes the responses of a watch stream to the follower until the stream ends. Returns the
+    /// reason for the end.
     async fn watch(
         &self,
-        said: mpsc::Receiver<WatchRequest>,
+        request_stream: mpsc::Receiver<WatchRequest>,
         connection: ConnectionId,
         inputs: &mpsc::Sender<(ConnectionId, Input)>,
     ) -> Failure {
@@ -290,28 +301,30 @@
             let mut grpc = self.grpc()?;
             grpc.ready()
                 .await
-                .map_err(|error| Status::unavailable(root(&error)))?;
+                .map_err(|error| Status::unavailable(root_cause(&error)))?;
             let codec = ProstCodec::<WatchRequest, WatchResponse>::default();
-            let request = self.request(ReceiverStream::new(said));
+            let request = self.request(ReceiverStream::new(request_stream));
             grpc.streaming(request, PathAndQuery::from_static(path::WATCH), codec)
                 .await
         };
         let mut stream = match opened.await {
-            Ok(answer) => answer.into_inner(),
+            Ok(response) => response.into_inner(),
             Err(status) => return failure(&status),
         };
         loop {
             match stream.message().await {
-                Ok(Some(answer)) => {
+                Ok(Some(response)) => {
                     if inputs
-                        .send((connection, Input::WatchResponse(answer)))
+                        .send((connection, Input::WatchResponse(response)))
                         .await
                         .is_err()
                     {
-                        return Failure::Unavailable("nobody listens".to_owned());
+                        return Failure::Unavailable(
+                            "the receiver of inputs was dropped".to_owned(),
+                        );
                     }
                 }
-                Ok(None) => return Failure::Unavailable("the watch's stream ended".to_owned()),
+                Ok(None) => return Failure::Unavailable("the watch stream ended".to_owned()),
                 Err(status) => return failure(&status),
             }
         }
@@ -319,17 +332,17 @@
 }
 
 async fn connect(uri: String, authority: Option<Vec<u8>>) -> Result<Channel, String> {
-    let endpoint = Endpoint::from_shared(uri).map_err(|error| root(&error))?;
-    // The follower has its own limits of time; here nothing may hang for ever.
+    let endpoint = Endpoint::from_shared(uri).map_err(|error| root_cause(&error))?;
+    // The follower has its own timeouts; this one bounds a connection attempt in any case.
     let endpoint = endpoint
         .connect_timeout(Duration::from_secs(10))
         .tcp_nodelay(true);
-    let endpoint = secured(endpoint, authority)?;
-    endpoint.connect().await.map_err(|error| root(&error))
+    let endpoint = with_tls(endpoint, authority)?;
+    endpoint.connect().await.map_err(|error| root_cause(&error))
 }
 
 #[cfg(feature = "tls")]
-fn secured(endpoint: Endpoint, authority: Option<Vec<u8>>) -> Result<Endpoint, String> {
+fn with_tls(endpoint: Endpoint, authority: Option<Vec<u8>>) -> Result<Endpoint, String> {
     use tonic::transport::{Certificate, ClientTlsConfig};
     if endpoint.uri().scheme_str() != Some("https") {
         return Ok(endpoint);
@@ -338,19 +351,19 @@
     if let Some(pem) = authority {
         tls = tls.ca_certificate(Certificate::from_pem(pem));
     }
-    endpoint.tls_config(tls).map_err(|error| root(&error))
+    endpoint.tls_config(tls).map_err(|error| root_cause(&error))
 }
 
 #[cfg(not(feature = "tls"))]
-fn secured(endpoint: Endpoint, _authority: Option<Vec<u8>>) -> Result<Endpoint, String> {
+fn with_tls(endpoint: Endpoint, _authority: Option<Vec<u8>>) -> Result<Endpoint, String> {
     match endpoint.uri().scheme_str() {
         Some("https") => Err("https: this build has no TLS (feature `tls`)".to_owned()),
         _ => Ok(endpoint),
     }
 }
 
-/// The innermost cause of an error: the outer ones say only that something failed.
-fn root(error: &dyn std::error::Error) -> String {
+/// Returns the innermost source of an error, since the outer errors only state that a call failed.
+fn root_cause(error: &dyn std::error::Error) -> String {
     let mut error = error;
     while let Some(source) = error.source() {
         error = source;
@@ -358,10 +371,10 @@
     one_line(&error.to_string())
 }
 
-/// What a status means to the follower.
+/// Converts a gRPC status into a failure.
 fn failure(status: &Status) -> Failure {
     let reason = match std::error::Error::source(status) {
-        Some(source) => root(source),
+        Some(source) => root_cause(source),
         None => one_line(status.message()),
     };
     if let Some(failure) = Failure::from_message(status.message()) {
@@ -370,7 +383,8 @@
     match status.code() {
         Code::Unauthenticated => Failure::InvalidToken,
         Code::PermissionDenied => Failure::PermissionDenied(reason),
-        // Of the same code as a compacted revision: the library's own word on a message over the limit.
+        // The gRPC library's error for a message over the limit, which has the same code as etcd's
+        // for a compacted revision.
         Code::OutOfRange if status.message().contains("message length too large") => {
             Failure::TooLarge
         }
--- a/crates/etcd/src/follower.rs
+++ b/crates/etcd/src/follower.rs
@@ -1,16 +1,20 @@
-//! The follower: reads a prefix whole at one revision, watches it from the next, and goes on from what it has seen
-//! whatever breaks.
+//! The follower: reads all keys of a prefix at one revision, watches the prefix from the next
+//! revision, and resumes from the last revision seen after any failure.
 //!
-//! It holds to these:
+//! Invariants:
 //!
-//! 1. `seen` is the last revision of which every change has been told. A watch begins at `seen + 1`, always.
-//! 2. A change at or below `seen` is not news, on whatever stream it comes.
-//! 3. Where the history since `seen` is gone, or another cluster answers, all is read anew at one revision; until the
-//!    reading is whole, nothing is told.
-//! 4. A member that answers from before `seen` is not believed.
-//! 5. A watch that has been silent is asked; one that stays silent is lost. Every new connection comes after a pause, whatever
-//!    ended the last one; pauses grow, with jitter, up to a bound, until a watch has brought something or held for a while.
-//! 6. Whenever there is no connection, the roster has been told that the source is lost.
+//! 1. `last_revision` is the last revision up to which every change has been reported. A watch
+//!    always starts at the next revision.
+//! 2. A change at or below `last_revision` is ignored, whichever stream it arrives on.
+//! 3. If the history after `last_revision` has been compacted, or another cluster responds, all
+//!    keys are read again at one revision; no nodes are reported until that read is complete.
+//! 4. A read from a member that is behind `last_revision` is discarded. A watch on such a member is
+//!    left if there is another endpoint.
+//! 5. On an idle watch a progress notification is requested; if it stays idle, the connection is
+//!    closed. A backoff precedes every new connection, whatever ended the last one. It grows, with
+//!    jitter, up to a maximum, until a watch has delivered a change or has lasted for
+//!    `STABLE_WATCH_MS`.
+//! 6. Whenever there is no connection, the membership has been notified that the source is lost.
 
 use crate::interface::{
     Command, ConnectionId, Failure, Input, Output, Report, Settings, SourceUpdate,
@@ -29,153 +33,158 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Changes of one answer, over all of its fragments, that are held at most, and bytes of their keys and values; beyond
-/// either all is read anew, page by page.
-const MOST_CHANGES: usize = 100_000;
-const MOST_BYTES: usize = 16 << 20;
-/// Keys that are remembered as unreadable, so that each is told of once; beyond it none is told of.
-const MOST_COMPLAINTS: usize = 256;
-/// Bytes of a key that are remembered and told.
-const LONGEST_KEY: usize = 512;
-/// Nodes that a line names.
-const MOST_NAMED: usize = 10;
-/// Leases that are asked about at once; beyond it nobody is told why nodes went.
-const MOST_LEASES: usize = 64;
-/// A watch that held for this long was a good one: pauses begin anew after it.
-const STEADY: Millis = 1000.0;
-
-/// What is under way.
+/// Maximum number of changes buffered of one watch response, over all of its fragments, and maximum
+/// bytes of their keys and values. Beyond either, all keys are read again, page by page.
+const MAX_CHANGES: usize = 100_000;
+const MAX_CHANGE_BYTES: usize = 16 << 20;
+/// Maximum number of invalid keys that are remembered, so that each is reported once. Further ones
+/// are not reported.
+const MAX_INVALID_KEYS: usize = 256;
+/// Maximum number of bytes of a key that are remembered and reported.
+const MAX_KEY_BYTES: usize = 512;
+/// Maximum number of nodes named in a report.
+const MAX_NAMED_NODES: usize = 10;
+/// Maximum number of lease queries in flight. Beyond it, the reason for a removal is not reported.
+const MAX_LEASE_QUERIES: usize = 64;
+/// Duration after which a watch counts as stable and resets the backoff.
+const STABLE_WATCH_MS: Millis = 1000.0;
+
+/// Phase of the connection.
 #[derive(Debug)]
 enum Phase {
-    /// Another try comes at this time.
-    Pausing(Millis),
+    /// The next connection is opened at this time.
+    BackingOff(Millis),
     /// A connection is being opened.
-    Opening,
-    /// The user is being signed in.
-    SigningIn,
+    Connecting,
+    /// The user is being authenticated.
+    Authenticating,
     /// All keys are being read.
-    Reading(Reading),
-    /// The watch has been asked for.
+    Reading(FullRead),
+    /// The watch has been requested.
     Subscribing,
-    /// The watch is on, since this time.
+    /// The watch was created at this time.
     Watching(Millis),
 }
 
-/// A reading of all keys, page by page.
+/// A full read, page by page.
 #[derive(Debug, Default)]
-struct Reading {
-    /// The revision; 0 until the first page has told it.
-    at: i64,
-    /// Where the next page begins.
+struct FullRead {
+    /// Revision of the read, from the header of the first page; 0 before.
+    revision: i64,
+    /// First key of the next page.
     next: Vec<u8>,
     members: Vec<Member>,
     unread: Vec<String>,
     leases: BTreeMap<String, i64>,
 }
 
-/// Follows one prefix.
+/// Follows one key prefix of an etcd cluster.
 #[derive(Debug)]
 pub struct Follower {
     settings: Settings,
-    /// `PREFIX/members/`, and the end of its range.
+    /// `PREFIX/members/`, with the end of its range in `end`.
     prefix: Vec<u8>,
     end: Vec<u8>,
     phase: Phase,
     connection: ConnectionId,
     endpoint: usize,
-    seen: Option<i64>,
+    /// The last revision up to which every change has been reported.
+    last_revision: Option<i64>,
     cluster: Option<u64>,
-    /// The watch on the stream, once it has been told.
+    /// Id of the watch on the current stream, once it was created.
     watch: Option<i64>,
-    /// Changes of an answer that goes on, and their bytes.
+    /// Changes of a fragmented response that is not yet complete, with their size in
+    /// `pending_bytes`.
     pending: Vec<Change>,
     pending_bytes: usize,
-    /// Keys of one page: as they were set, or fewer since a page was too large.
+    /// Maximum number of keys per page: as in the settings, or fewer after a response was too
+    /// large.
     page_size: i64,
-    /// When the connection last said something, or began to owe an answer.
-    heard: Millis,
-    /// Whether the watch has been asked how far it is, since.
-    asked: bool,
-    /// Tries that failed in a row.
+    /// Time of the last response or of the last request that awaits one.
+    last_activity: Millis,
+    /// Whether a progress notification has been requested since then.
+    progress_requested: bool,
+    /// Number of consecutive failures.
     failed: u32,
-    /// Whether all is to be read anew though something has been seen.
-    anew: bool,
-    /// Whether the roster takes the source for lost, or has not heard of it at all.
+    /// Whether the next connection reads all keys although `last_revision` is set.
+    full_read: bool,
+    /// Whether the membership counts the source as lost or has no event of it yet.
     lost: bool,
-    /// Failures that have been told of since the watch was last on, by endpoint and kind.
-    told: BTreeSet<(usize, u8)>,
-    /// Keys told of as unreadable, until they can be read or are gone.
-    complaints: BTreeSet<Vec<u8>>,
-    /// Leases of the nodes that hang on one.
+    /// Failures reported since a watch was last created, by endpoint and kind.
+    reported: BTreeSet<(usize, u8)>,
+    /// Keys reported as invalid, until they are valid or deleted.
+    invalid_keys: BTreeSet<Vec<u8>>,
+    /// Lease of each node whose key is attached to one.
     leases: BTreeMap<String, i64>,
-    /// Leases that are asked about, and the nodes that went with them.
-    asked_leases: BTreeMap<i64, Vec<String>>,
+    /// Leases whose time to live has been requested, with the nodes removed with them.
+    lease_queries: BTreeMap<i64, Vec<String>>,
     rng: Pcg32,
-    out: VecDeque<Output>,
+    outputs: VecDeque<Output>,
 }
 
 impl Follower {
-    /// A follower that begins at its first [`Follower::handle_timeout`].
+    /// Creates a follower, which connects at its first [`Follower::handle_timeout`].
     pub fn new(settings: Settings) -> Follower {
         let prefix = format!("{}/members/", settings.prefix.trim_end_matches('/')).into_bytes();
         Follower {
             end: prefix_end(&prefix),
             prefix,
-            phase: Phase::Pausing(0.0),
+            phase: Phase::BackingOff(0.0),
             connection: 0,
             endpoint: 0,
-            seen: None,
+            last_revision: None,
             cluster: None,
             watch: None,
             pending: Vec::new(),
             pending_bytes: 0,
             page_size: settings.page_size.max(1),
-            heard: 0.0,
-            asked: false,
+            last_activity: 0.0,
+            progress_requested: false,
             failed: 0,
-            anew: false,
+            full_read: false,
             lost: true,
-            told: BTreeSet::new(),
-            complaints: BTreeSet::new(),
+            reported: BTreeSet::new(),
+            invalid_keys: BTreeSet::new(),
             leases: BTreeMap::new(),
-            asked_leases: BTreeMap::new(),
+            lease_queries: BTreeMap::new(),
             rng: Pcg32::seed_from_u64(settings.seed),
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
             settings,
         }
     }
 
-    /// What is to be done or told next; `None` once all has been taken.
+    /// Returns the next output, or `None` if there is none.
     pub fn poll_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
-    /// The last revision of which every change has been told.
+    /// Returns the last revision up to which every change has been reported.
     pub fn last_revision(&self) -> Option<i64> {
-        self.seen
+        self.last_revision
     }
 
-    /// The cluster that answered last.
+    /// Returns the id of the cluster that responded last.
     pub fn cluster(&self) -> Option<u64> {
         self.cluster
     }
 
-    /// Whether the watch is on.
+    /// Whether the watch was created.
     pub fn is_watching(&self) -> bool {
         matches!(self.phase, Phase::Watching(_))
     }
 
-    /// Whether no connection is open or being opened.
+    /// Whether no connection is open or being opened, because of a backoff.
     pub fn in_backoff(&self) -> bool {
-        matches!(self.phase, Phase::Pausing(_))
+        matches!(self.phase, Phase::BackingOff(_))
     }
 
-    /// The endpoint in use, or next.
+    /// Returns the index of the endpoint in use, or of the next one.
     pub fn endpoint(&self) -> usize {
         self.endpoint
     }
 
-    /// Goes over to these endpoints and settings of time; what is known stays. The watch is opened anew.
+    /// Applies new settings except for the prefix, and reconnects at the first endpoint. The last
+    /// revision seen stays, so that the new watch resumes from it.
     pub fn reconfigure(&mut self, now: Millis, settings: Settings) {
         self.close();
         self.settings = Settings {
@@ -183,82 +192,84 @@
             ..settings
         };
         (self.endpoint, self.failed, self.page_size) = (0, 0, self.settings.page_size.max(1));
-        self.told.clear();
-        self.phase = Phase::Pausing(now);
+        self.reported.clear();
+        self.phase = Phase::BackingOff(now);
         self.handle_timeout(now);
     }
 
-    /// When [`Follower::handle_timeout`] has something to do next.
+    /// Returns the time at which [`Follower::handle_timeout`] has to be called.
     pub fn poll_timeout(&self) -> Option<Millis> {
         Some(match &self.phase {
-            Phase::Pausing(until) => *until,
-            Phase::Watching(_) if self.asked => self.heard + self.settings.watch_timeout,
-            Phase::Watching(_) => self.heard + self.settings.watch_timeout / 2.0,
-            _ => self.heard + self.settings.call_timeout,
+            Phase::BackingOff(until) => *until,
+            Phase::Watching(_) if self.progress_requested => {
+                self.last_activity + self.settings.watch_timeout
+            }
+            Phase::Watching(_) => self.last_activity + self.settings.watch_timeout / 2.0,
+            _ => self.last_activity + self.settings.call_timeout,
         })
     }
 
-    /// Lets time pass.
+    /// Handles the timeouts and backoffs that are due at `now`.
     pub fn handle_timeout(&mut self, now: Millis) {
         match &self.phase {
-            Phase::Pausing(until) if now >= *until => self.open(now),
-            Phase::Pausing(_) => {}
+            Phase::BackingOff(until) if now >= *until => self.open(now),
+            Phase::BackingOff(_) => {}
             Phase::Watching(_) => {
-                let silent = now - self.heard;
-                if silent >= self.settings.watch_timeout {
+                let idle = now - self.last_activity;
+                if idle >= self.settings.watch_timeout {
                     self.fail(
                         now,
-                        Failure::Unavailable(format!("silent for {silent:.0} ms")),
+                        Failure::Unavailable(format!("no watch response for {idle:.0} ms")),
                     );
-                } else if silent >= self.settings.watch_timeout / 2.0 && !self.asked {
-                    self.asked = true;
+                } else if idle >= self.settings.watch_timeout / 2.0 && !self.progress_requested {
+                    self.progress_requested = true;
                     self.command(Command::RequestProgress {
                         connection: self.connection,
                     });
                 }
             }
-            _ if now - self.heard >= self.settings.call_timeout => {
-                let late = self.settings.call_timeout;
+            _ if now - self.last_activity >= self.settings.call_timeout => {
+                let timeout = self.settings.call_timeout;
                 self.fail(
                     now,
-                    Failure::Unavailable(format!("no answer within {late:.0} ms")),
+                    Failure::Unavailable(format!("no response within {timeout:.0} ms")),
                 );
             }
             _ => {}
         }
     }
 
-    /// Takes in what came of a command on this connection.
+    /// Handles a result of a command on a connection. Results of earlier connections are ignored.
     pub fn handle(&mut self, now: Millis, connection: ConnectionId, input: Input) {
-        if connection != self.connection || matches!(self.phase, Phase::Pausing(_)) {
+        if connection != self.connection || matches!(self.phase, Phase::BackingOff(_)) {
             return;
         }
         match (input, &self.phase) {
             (Input::Failed(failure), _) => self.fail(now, failure),
-            (Input::Opened, Phase::Opening) => {
-                self.owe(now);
+            (Input::Opened, Phase::Connecting) => {
+                self.restart_timeout(now);
                 if self.settings.authenticate {
-                    self.phase = Phase::SigningIn;
+                    self.phase = Phase::Authenticating;
                     self.command(Command::Authenticate { connection });
                 } else {
-                    self.begin(now);
+                    self.resume(now);
                 }
             }
-            (Input::Authenticated, Phase::SigningIn) => self.begin(now),
-            (Input::Page(page), Phase::Reading(_)) => self.page(now, page),
-            (Input::WatchResponse(answer), Phase::Subscribing | Phase::Watching(_)) => {
-                self.watched(now, answer)
+            (Input::Authenticated, Phase::Authenticating) => self.resume(now),
+            (Input::Page(page), Phase::Reading(_)) => self.handle_page(now, page),
+            (Input::WatchResponse(response), Phase::Subscribing | Phase::Watching(_)) => {
+                self.handle_watch_response(now, response)
             }
             (Input::LeaseTimeToLive { lease, ttl }, _) => {
-                if let Some(hosts) = self.asked_leases.remove(&lease) {
+                if let Some(hosts) = self.lease_queries.remove(&lease) {
                     if ttl.is_some_and(|ttl| ttl <= 0) {
-                        let more = hosts.len().saturating_sub(MOST_NAMED);
-                        let hosts = hosts.into_iter().take(MOST_NAMED).collect();
+                        let more = hosts.len().saturating_sub(MAX_NAMED_NODES);
+                        let hosts = hosts.into_iter().take(MAX_NAMED_NODES).collect();
                         self.report(Report::LeaseEnded { lease, hosts, more });
                     }
                 }
             }
-            // An answer to what has been given up since.
+            // A response that the current phase does not await.
             _ => {}
         }
     }
@@ -266,30 +277,30 @@
     // ---- Connections --------------------------------------------------------------------------------
 
     fn command(&mut self, command: Command) {
-        self.out.push_back(Output::Command(command));
+        self.outputs.push_back(Output::Command(command));
     }
 
     fn report(&mut self, report: Report) {
-        self.out.push_back(Output::Report(report));
+        self.outputs.push_back(Output::Report(report));
     }
 
-    fn tell(&mut self, event: Event, behind: i64, late: Option<Millis>) {
-        self.out.push_back(Output::Update(SourceUpdate {
+    fn push_update(&mut self, event: Event, revisions_behind: i64, delay: Option<Millis>) {
+        self.outputs.push_back(Output::Update(SourceUpdate {
             event,
-            revisions_behind: behind,
-            delay: late,
+            revisions_behind,
+            delay,
         }));
     }
 
-    /// An answer is owed from now on.
-    fn owe(&mut self, now: Millis) {
-        (self.heard, self.asked) = (now, false);
+    /// Restarts the timeout for a response.
+    fn restart_timeout(&mut self, now: Millis) {
+        (self.last_activity, self.progress_requested) = (now, false);
     }
 
     fn open(&mut self, now: Millis) {
         self.connection += 1;
-        self.owe(now);
-        self.phase = Phase::Opening;
+        self.restart_timeout(now);
+        self.phase = Phase::Connecting;
         self.command(Command::Open {
             connection: self.connection,
             endpoint: self.endpoint,
@@ -304,9 +315,9 @@
         }
         self.drop_pending();
         self.watch = None;
-        self.asked_leases.clear();
+        self.lease_queries.clear();
         if !std::mem::replace(&mut self.lost, true) {
-            self.tell(
+            self.push_update(
                 Event::Lost {
                     source: self.settings.source,
                 },
@@ -320,36 +331,39 @@
         (self.pending, self.pending_bytes) = (Vec::new(), 0);
     }
 
-    /// Closes, and tries again after a pause: the shortest at first, then longer and longer, until a watch was a good one.
-    fn pause(&mut self, now: Millis, least: Millis) {
-        if matches!(self.phase, Phase::Watching(since) if now - since >= STEADY) {
+    /// Closes the connection and schedules the next one after a backoff, which doubles with each
+    /// failure until a watch was stable, and is at least `min_delay` before jitter.
+    fn back_off(&mut self, now: Millis, min_delay: Millis) {
+        if matches!(self.phase, Phase::Watching(since) if now - since >= STABLE_WATCH_MS) {
             self.failed = 0;
         }
         self.close();
-        let [shortest, most] = self.settings.backoff;
-        let pause =
-            (shortest * f64::from(1u32 << self.failed.min(16))).clamp(least, most.max(least));
+        let [min, max] = self.settings.backoff;
+        let delay =
+            (min * f64::from(1u32 << self.failed.min(16))).clamp(min_delay, max.max(min_delay));
         self.failed = self.failed.saturating_add(1);
         let jitter = 0.5 + 0.5 * f64::from(self.rng.next_u32()) / 4_294_967_296.0;
-        self.phase = Phase::Pausing(now + pause * jitter);
+        self.phase = Phase::BackingOff(now + delay * jitter);
     }
 
-    /// The connection serves: from what has been seen on, or from the start.
-    fn begin(&mut self, now: Millis) {
-        match self.seen {
-            Some(seen) if !self.anew => self.subscribe(now, seen + 1),
-            _ => self.read(now),
+    /// Starts work on an open connection: a watch after the last revision seen, or else a full
+    /// read.
+    fn resume(&mut self, now: Millis) {
+        match self.last_revision {
+            Some(seen) if !self.full_read => self.subscribe(now, seen + 1),
+            _ => self.start_read(now),
         }
     }
 
-    /// Reads all anew, on a connection of its own: what the open watch still says must not be taken for the next one's.
-    fn start_over(&mut self, now: Millis) {
-        self.anew = true;
-        self.pause(now, 0.0);
+    /// Schedules a full read on a new connection, so that late responses of the open watch are not
+    /// taken for those of the next watch.
+    fn read_again(&mut self, now: Millis) {
+        self.full_read = true;
+        self.back_off(now, 0.0);
     }
 
     fn subscribe(&mut self, now: Millis, from: i64) {
-        self.owe(now);
+        self.restart_timeout(now);
         self.phase = Phase::Subscribing;
         self.drop_pending();
         self.watch = None;
@@ -369,44 +383,51 @@
 
     fn fail(&mut self, now: Millis, failure: Failure) {
         let (endpoint, first) = (self.endpoint, self.failed == 0);
-        let (kind, moves) = match failure {
+        let (kind, switch_endpoint) = match failure {
             Failure::Unavailable(_) => (0, true),
-            // A token that has run out is the rule, and a new one is asked for where the old one was refused.
+            // Tokens expire in normal operation, so the same endpoint is asked for a new token
+            // first.
             Failure::InvalidToken => (1, !first),
             Failure::PermissionDenied(_) => (2, true),
-            // The endpoint is good: the history went between two pages, or a page was too large.
+            // The endpoint is healthy: the history was compacted between two pages, or a page was
+            // too large.
             Failure::Compacted => (3, false),
             Failure::TooLarge => (5, false),
         };
         if failure == Failure::TooLarge {
-            // Fewer keys at a time; a watch that cannot be read is passed over by reading what came of it.
+            // Halves the page size. A watch response that is too large is skipped by a full read.
             self.page_size = (self.page_size / 2).max(1);
-            self.anew = true;
+            self.full_read = true;
         }
-        let told = moves || (failure == Failure::TooLarge && self.page_size == 1);
-        if told && self.told.insert((endpoint, kind)) {
+        let reported = switch_endpoint || (failure == Failure::TooLarge && self.page_size == 1);
+        if reported && self.reported.insert((endpoint, kind)) {
             self.report(Report::Lost {
                 endpoint,
                 failure: failure.clone(),
             });
         }
-        if moves {
+        if switch_endpoint {
             self.endpoint = (endpoint + 1) % self.settings.endpoint_count.max(1);
         }
-        let least = if matches!(failure, Failure::PermissionDenied(_)) {
+        let min_delay = if matches!(failure, Failure::PermissionDenied(_)) {
             self.settings.backoff[1]
         } else {
             0.0
         };
-        self.pause(now, least);
+        self.back_off(now, min_delay);
     }
 
-    /// Looks at the head of an answer. `None` if it must not be believed; then all that follows from it has been done.
-    fn head(&mut self, now: Millis, header: Option<ResponseHeader>) -> Option<ResponseHeader> {
+    /// Checks the header of a response. Returns `None` if the response must be discarded; the
+    /// failure or the change of the cluster has then been handled.
+    fn check_header(
+        &mut self,
+        now: Millis,
+        header: Option<ResponseHeader>,
+    ) -> Option<ResponseHeader> {
         let Some(header) = header else {
             self.fail(
                 now,
-                Failure::Unavailable("an answer without a head".to_owned()),
+                Failure::Unavailable("response without a header".to_owned()),
             );
             return None;
         };
@@ -416,15 +437,15 @@
                     previous: was,
                     current: header.cluster_id,
                 });
-                self.tell(
+                self.push_update(
                     Event::Reborn {
                         source: self.settings.source,
                     },
                     0,
                     None,
                 );
-                self.seen = None;
-                self.start_over(now);
+                self.last_revision = None;
+                self.read_again(now);
                 return None;
             }
             _ => {}
@@ -432,35 +453,35 @@
         Some(header)
     }
 
-    /// Leaves a member that is behind what has been seen.
-    fn behind(&mut self, now: Millis, at: i64, seen: i64) {
+    /// Reports a member that is behind `last_revision`, and switches to the next endpoint.
+    fn fail_stale_member(&mut self, now: Millis, revision: i64, seen: i64) {
         let endpoint = self.endpoint;
-        if self.told.insert((endpoint, 4)) {
+        if self.reported.insert((endpoint, 4)) {
             self.report(Report::Behind {
                 endpoint,
-                revision: at,
+                revision,
                 seen,
             });
         }
-        // It has been told of.
-        self.told.insert((endpoint, 0));
-        self.fail(now, Failure::Unavailable("behind".to_owned()));
+        // `Report::Behind` covers this failure: suppresses `Report::Lost`.
+        self.reported.insert((endpoint, 0));
+        self.fail(now, Failure::Unavailable("member is behind".to_owned()));
     }
 
-    // ---- Reading ------------------------------------------------------------------------------------
+    // ---- Full reads ---------------------------------------------------------------------------------
 
-    fn read(&mut self, now: Millis) {
+    fn start_read(&mut self, now: Millis) {
         self.drop_pending();
         self.watch = None;
-        self.phase = Phase::Reading(Reading {
+        self.phase = Phase::Reading(FullRead {
             next: self.prefix.clone(),
-            ..Reading::default()
+            ..FullRead::default()
         });
-        self.next_page(now);
+        self.request_page(now);
     }
 
-    fn next_page(&mut self, now: Millis) {
-        self.owe(now);
+    fn request_page(&mut self, now: Millis) {
+        self.restart_timeout(now);
         let Phase::Reading(reading) = &self.phase else {
             return;
         };
@@ -468,7 +489,7 @@
             key: reading.next.clone(),
             range_end: self.end.clone(),
             limit: self.page_size,
-            revision: reading.at,
+            revision: reading.revision,
             ..RangeRequest::default()
         };
         self.command(Command::Range {
@@ -477,25 +498,26 @@
         });
     }
 
-    fn page(&mut self, now: Millis, page: RangeResponse) {
-        let Some(header) = self.head(now, page.header) else {
+    fn handle_page(&mut self, now: Millis, page: RangeResponse) {
+        let Some(header) = self.check_header(now, page.header) else {
             return;
         };
-        if let Some(seen) = self.seen.filter(|seen| header.revision < *seen) {
-            return self.behind(now, header.revision, seen);
+        if let Some(seen) = self.last_revision.filter(|seen| header.revision < *seen) {
+            return self.fail_stale_member(now, header.revision, seen);
         }
-        let Phase::Reading(mut reading) = std::mem::replace(&mut self.phase, Phase::Opening) else {
+        let Phase::Reading(mut reading) = std::mem::replace(&mut self.phase, Phase::Connecting)
+        else {
             return;
         };
-        if reading.at == 0 {
-            reading.at = header.revision;
+        if reading.revision == 0 {
+            reading.revision = header.revision;
         }
         let more = page.more && !page.kvs.is_empty();
         if let Some(last) = page.kvs.last() {
             reading.next = [&last.key[..], &[0]].concat();
         }
         for kv in &page.kvs {
-            match self.entry(kv) {
+            match self.parse_entry(kv) {
                 Ok((member, _)) if reading.members.len() <= MOST_NODES => {
                     if kv.lease != 0 {
                         reading.leases.insert(member.host.clone(), kv.lease);
@@ -509,16 +531,20 @@
         }
         if more {
             self.phase = Phase::Reading(reading);
-            return self.next_page(now);
+            return self.request_page(now);
         }
-        let (nodes, unread, revision) = (reading.members.len(), reading.unread.len(), reading.at);
+        let (nodes, unread, revision) = (
+            reading.members.len(),
+            reading.unread.len(),
+            reading.revision,
+        );
         self.report(Report::Read {
             endpoint: self.endpoint,
             revision,
             nodes,
             unreadable: unread,
         });
-        (self.seen, self.leases, self.anew) = (Some(revision), reading.leases, false);
+        (self.last_revision, self.leases, self.full_read) = (Some(revision), reading.leases, false);
         let members = Members {
             seq: revision as u64,
             whole: true,
@@ -530,28 +556,28 @@
             members,
             unread: reading.unread,
         };
-        self.tell(event, header.revision - revision, None);
+        self.push_update(event, header.revision - revision, None);
         self.subscribe(now, revision + 1);
     }
 
-    /// The node that a key tells of; otherwise its id, if it has a usable one.
-    fn entry(&mut self, kv: &KeyValue) -> Result<(Member, Option<Millis>), Option<String>> {
+    /// Parses the node of a key. Reports an invalid entry and returns its id, if the id is valid.
+    fn parse_entry(&mut self, kv: &KeyValue) -> Result<(Member, Option<Millis>), Option<String>> {
         let id = value::parse_id(&kv.key, &self.prefix);
-        let known = &kv.key[..kv.key.len().min(LONGEST_KEY)];
+        let key = &kv.key[..kv.key.len().min(MAX_KEY_BYTES)];
         let read = match &id {
             Ok(id) => value::parse_member(id, &kv.value),
             Err(_) => Err(value::InvalidEntry::Id),
         };
-        if read.is_ok() && !self.complaints.is_empty() {
-            self.complaints.remove(known);
+        if read.is_ok() && !self.invalid_keys.is_empty() {
+            self.invalid_keys.remove(key);
         }
-        read.map_err(|why| {
-            let room = self.complaints.len() < MOST_COMPLAINTS;
-            if room && self.complaints.insert(known.to_vec()) {
-                let key = one_line(&String::from_utf8_lossy(known));
-                let why = one_line(&why.to_string());
-                self.out
-                    .push_back(Output::Report(Report::Unreadable { key, reason: why }));
+        read.map_err(|error| {
+            let has_capacity = self.invalid_keys.len() < MAX_INVALID_KEYS;
+            if has_capacity && self.invalid_keys.insert(key.to_vec()) {
+                let key = one_line(&String::from_utf8_lossy(key));
+                let reason = one_line(&error.to_string());
+                self.outputs
+                    .push_back(Output::Report(Report::Unreadable { key, reason }));
             }
             id.ok().map(str::to_owned)
         })
@@ -559,44 +585,45 @@
 
     // ---- The watch ----------------------------------------------------------------------------------
 
-    fn watched(&mut self, now: Millis, answer: WatchResponse) {
-        let Some(header) = self.head(now, answer.header) else {
+    fn handle_watch_response(&mut self, now: Millis, response: WatchResponse) {
+        let Some(header) = self.check_header(now, response.header) else {
             return;
         };
-        let seen = self.seen.unwrap_or(0);
-        if answer.canceled {
-            if answer.compact_revision > 0 {
+        let seen = self.last_revision.unwrap_or(0);
+        if response.canceled {
+            if response.compact_revision > 0 {
                 self.report(Report::Compacted {
                     requested: seen + 1,
-                    compact_revision: answer.compact_revision,
+                    compact_revision: response.compact_revision,
                 });
-                return self.start_over(now);
+                return self.read_again(now);
             }
-            let reason = format!("the watch was ended: {}", one_line(&answer.cancel_reason));
+            let reason = format!("watch cancelled: {}", one_line(&response.cancel_reason));
             return self.fail(
                 now,
-                Failure::from_message(&answer.cancel_reason)
+                Failure::from_message(&response.cancel_reason)
                     .unwrap_or(Failure::Unavailable(reason)),
             );
         }
-        // A watch that says this and that but never that it has begun is waited for no longer than any other answer.
-        if answer.created || self.is_watching() {
-            self.owe(now);
+        // Until the watch is created, other responses do not extend the timeout of the request.
+        if response.created || self.is_watching() {
+            self.restart_timeout(now);
         }
-        if answer.created {
-            self.watch = Some(answer.watch_id);
-            // A watch says nothing false where its member is behind; but another may know more.
+        if response.created {
+            self.watch = Some(response.watch_id);
+            // A watch on a member that is behind is correct, but another endpoint can be further
+            // ahead.
             if header.revision < seen && self.settings.endpoint_count > 1 {
-                return self.behind(now, header.revision, seen);
+                return self.fail_stale_member(now, header.revision, seen);
             }
             self.phase = Phase::Watching(now);
-            self.told.clear();
+            self.reported.clear();
             self.report(Report::Watching {
                 endpoint: self.endpoint,
                 from: seen + 1,
             });
             if std::mem::take(&mut self.lost) {
-                self.tell(
+                self.push_update(
                     Event::Resumed {
                         source: self.settings.source,
                     },
@@ -605,38 +632,40 @@
                 );
             }
         }
-        let ours = self.watch == Some(answer.watch_id);
-        if !ours {
+        let is_current = self.watch == Some(response.watch_id);
+        if !is_current {
             return;
         }
-        if answer.events.is_empty() && !answer.fragment && self.pending.is_empty() {
-            // All changes up to the head's revision have been sent on this watch. Only a notice to the watch itself says
-            // so: answers to a question, for the whole stream, have been known to overtake changes.
-            if !answer.created && header.revision > seen {
-                self.seen = Some(header.revision);
+        if response.events.is_empty() && !response.fragment && self.pending.is_empty() {
+            // A progress notification with this watch's id: all changes up to the header's revision
+            // have been sent. Responses to a progress request, which are for the whole stream, do
+            // not guarantee this: they have been seen to overtake changes.
+            if !response.created && header.revision > seen {
+                self.last_revision = Some(header.revision);
             }
             return;
         }
-        self.pending_bytes += answer.events.iter().map(length).sum::<usize>();
-        self.pending.extend(answer.events);
-        if self.pending.len() > MOST_CHANGES || self.pending_bytes > MOST_BYTES {
-            self.report(Report::TooManyChanges(MOST_CHANGES));
-            return self.start_over(now);
+        self.pending_bytes += response.events.iter().map(change_bytes).sum::<usize>();
+        self.pending.extend(response.events);
+        if self.pending.len() > MAX_CHANGES || self.pending_bytes > MAX_CHANGE_BYTES {
+            self.report(Report::TooManyChanges(MAX_CHANGES));
+            return self.read_again(now);
         }
-        if !answer.fragment {
+        if !response.fragment {
             let changes = std::mem::take(&mut self.pending);
             self.pending_bytes = 0;
-            self.changed(now, header.revision, changes);
+            self.apply_changes(now, header.revision, changes);
         }
     }
 
-    /// One answer's changes, whole: each node's last word, as one change at the last revision.
-    fn changed(&mut self, now: Millis, head: i64, changes: Vec<Change>) {
-        let seen = self.seen.unwrap_or(0);
+    /// Applies the changes of a complete response: the last state of each node, as one event at the
+    /// last revision.
+    fn apply_changes(&mut self, now: Millis, store_revision: i64, changes: Vec<Change>) {
+        let seen = self.last_revision.unwrap_or(0);
         let (mut oldest, mut newest) = (i64::MAX, seen);
         let mut last: BTreeMap<String, Member> = BTreeMap::new();
         let mut written: Option<Millis> = None;
-        let mut gone: BTreeMap<i64, Vec<String>> = BTreeMap::new();
+        let mut removed_by_lease: BTreeMap<i64, Vec<String>> = BTreeMap::new();
         for change in changes {
             let Some(kv) = change.kv else { continue };
             if kv.mod_revision <= seen {
@@ -644,16 +673,19 @@
             }
             (oldest, newest) = (oldest.min(kv.mod_revision), newest.max(kv.mod_revision));
             if change.kind == Change::DELETE {
-                self.complaints
-                    .remove(&kv.key[..kv.key.len().min(LONGEST_KEY)]);
+                self.invalid_keys
+                    .remove(&kv.key[..kv.key.len().min(MAX_KEY_BYTES)]);
                 let Ok(id) = value::parse_id(&kv.key, &self.prefix) else {
                     continue;
                 };
                 if let Some(lease) = self.leases.remove(id) {
-                    gone.entry(lease).or_default().push(id.to_owned());
+                    removed_by_lease
+                        .entry(lease)
+                        .or_default()
+                        .push(id.to_owned());
                 }
                 last.insert(id.to_owned(), removed(id));
-            } else if let Ok((member, when)) = self.entry(&kv) {
+            } else if let Ok((member, when)) = self.parse_entry(&kv) {
                 if kv.lease == 0 {
                     self.leases.remove(&member.host);
                 } else if self.leases.len() < MOST_NODES || self.leases.contains_key(&member.host) {
@@ -669,28 +701,29 @@
         if newest == seen {
             return;
         }
-        // A watch that brings something new is a good one, however soon it breaks: whoever waited on after an outage
-        // would hear of everything late for as long as connections break now and then.
-        (self.seen, self.failed) = (Some(newest), 0);
+        // A watch that delivers a change resets the backoff, however short it lasts. Otherwise,
+        // after an outage, every change would be late for as long as connections break now and
+        // then.
+        (self.last_revision, self.failed) = (Some(newest), 0);
         if !last.is_empty() {
-            let late = written.map(|at| (self.settings.unix_start + now - at).max(0.0));
+            let delay = written.map(|at| (self.settings.unix_start + now - at).max(0.0));
             let members = Members {
                 seq: newest as u64,
                 whole: false,
                 hosts: last.into_values().collect(),
             };
-            self.tell(
+            self.push_update(
                 Event::Change {
                     source: self.settings.source,
                     members,
                 },
-                head - oldest,
-                late,
+                store_revision - oldest,
+                delay,
             );
         }
-        for (lease, hosts) in gone {
-            if self.asked_leases.len() < MOST_LEASES {
-                self.asked_leases.entry(lease).or_default().extend(hosts);
+        for (lease, hosts) in removed_by_lease {
+            if self.lease_queries.len() < MAX_LEASE_QUERIES {
+                self.lease_queries.entry(lease).or_default().extend(hosts);
                 self.command(Command::LeaseTimeToLive {
                     connection: self.connection,
                     lease,
@@ -700,15 +733,16 @@
     }
 }
 
-/// Bytes of a change that a peer chooses.
-fn length(change: &Change) -> usize {
+/// Returns the bytes of the key and the value of a change, whose lengths a peer chooses.
+fn change_bytes(change: &Change) -> usize {
     change
         .kv
         .as_ref()
         .map_or(0, |kv| kv.key.len() + kv.value.len())
 }
 
-/// The word that a node is gone.
+/// Returns the entry that marks a node as removed; all fields but `host` and `health` are
+/// placeholders.
 fn removed(id: &str) -> Member {
     Member {
         host: id.to_owned(),
--- a/crates/etcd/src/interface.rs
+++ b/crates/etcd/src/interface.rs
@@ -1,39 +1,40 @@
-//! What passes between the follower and whoever carries out its commands.
+//! Types exchanged between the follower and the code that executes its commands.
 
 use maplefall_etcd_wire::{error, RangeRequest, RangeResponse, WatchCreateRequest, WatchResponse};
 use maplefall_membership::Event;
 use maplefall_policy::Millis;
 
-/// Number of a connection. What an old one still says is not listened to.
+/// Number of a connection. Inputs of earlier connections are ignored.
 pub type ConnectionId = u64;
 
-/// How a prefix is followed.
+/// Settings of a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its place among the roster's sources.
+    /// Index of this source among the sources of the membership.
     pub source: usize,
-    /// How many endpoints there are.
+    /// Number of etcd endpoints.
     pub endpoint_count: usize,
-    /// Keys are `PREFIX/members/ID`.
+    /// Prefix of the keys, which are `PREFIX/members/ID`.
     pub prefix: String,
-    /// Whether there is a user to sign in.
+    /// Whether each connection authenticates before other calls.
     pub authenticate: bool,
-    /// Keys of one page of a whole reading.
+    /// Maximum number of keys in a page of a full read.
     pub page_size: i64,
-    /// A watch that says nothing for half of this is asked how far it is; after all of it, it is lost.
+    /// Time without a watch response after which the connection is closed. A progress notification
+    /// is requested after half of it.
     pub watch_timeout: Millis,
-    /// A call that is not answered within this has failed.
+    /// Time within which a call must get a response.
     pub call_timeout: Millis,
-    /// Shortest and longest pause before another try.
+    /// Minimum and maximum backoff between connections, before jitter.
     pub backoff: [Millis; 2],
-    /// For the jitter of the pauses.
+    /// Seed of the jitter of the backoff.
     pub seed: u64,
-    /// Unix time in milliseconds at time 0 here.
+    /// Unix time in milliseconds at time 0 of the follower's clock.
     pub unix_start: Millis,
 }
 
 impl Settings {
-    /// What an operator who names nothing but places gets.
+    /// Returns the settings used where an operator sets only endpoints and a prefix.
     pub fn with_defaults(source: usize, endpoints: usize, prefix: &str) -> Settings {
         Settings {
             source,
@@ -50,70 +51,71 @@
     }
 }
 
-/// What is to be done. Whatever comes of it is handed to [`crate::Follower::handle`] under the connection's number.
+/// A command to execute. Its results go to [`crate::Follower::handle`] with the number of the
+/// connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Open a connection to this endpoint.
+    /// Opens a connection to an endpoint.
     Open {
-        /// Its number.
+        /// Number of the connection.
         connection: ConnectionId,
-        /// Which endpoint.
+        /// Index of the endpoint.
         endpoint: usize,
     },
-    /// Sign the user in; calls carry the token from then on.
+    /// Authenticates the user; later calls carry the token.
     Authenticate {
-        /// Where.
+        /// The connection.
         connection: ConnectionId,
     },
-    /// Read keys.
+    /// Reads a page of keys.
     Range {
-        /// Where.
+        /// The connection.
         connection: ConnectionId,
-        /// What.
+        /// The request.
         request: RangeRequest,
     },
-    /// Watch keys; once on a connection.
+    /// Creates a watch; sent once per connection.
     Watch {
-        /// Where.
+        /// The connection.
         connection: ConnectionId,
-        /// What.
+        /// The request.
         request: WatchCreateRequest,
     },
-    /// Ask on the stream how far it is.
+    /// Requests a progress notification on the watch stream.
     RequestProgress {
-        /// Where.
+        /// The connection.
         connection: ConnectionId,
     },
-    /// Ask what is left of a lease.
+    /// Reads the remaining time to live of a lease.
     LeaseTimeToLive {
-        /// Where.
+        /// The connection.
         connection: ConnectionId,
-        /// Which.
+        /// Id of the lease.
         lease: i64,
     },
-    /// Drop the connection and all that is out on it.
+    /// Closes the connection and cancels its calls.
     Close {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
     },
 }
 
-/// What came of a command.
+/// A result of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The connection is open.
     Opened,
-    /// The user is signed in.
+    /// The user is authenticated.
     Authenticated,
-    /// Keys.
+    /// A page of keys.
     Page(RangeResponse),
-    /// Something on the watch.
+    /// A response on the watch stream.
     WatchResponse(WatchResponse),
-    /// What is left of a lease in seconds; -1 if it is gone, `None` if nobody could say.
+    /// The remaining time to live of a lease.
     LeaseTimeToLive {
-        /// Which.
+        /// Id of the lease.
         lease: i64,
-        /// Seconds.
+        /// Seconds; -1 if the lease does not exist, `None` if the call failed.
         ttl: Option<i64>,
     },
     /// A call, the stream or the connection failed.
@@ -123,33 +125,34 @@
 /// Why something failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
-    /// Nobody answers there, or the answer broke off.
+    /// The connection, a call or the watch failed for any other reason.
     #[error("{0}")]
     Unavailable(String),
-    /// The token is not accepted any more.
-    #[error("the token was refused")]
+    /// The token is invalid, expired, or older than the last change of users or roles.
+    #[error("the token was rejected")]
     InvalidToken,
-    /// User or password are wrong, or the user may not read the prefix: trying again soon is of no use.
+    /// The user or password is wrong, or the user has no permission to read the prefix. The next
+    /// connection waits for the maximum backoff, since an early retry would fail too.
     #[error("not permitted: {0}")]
     PermissionDenied(String),
-    /// The revision that was asked for is not kept any more.
-    #[error("the revision asked for has been compacted")]
+    /// The requested revision has been compacted.
+    #[error("the requested revision has been compacted")]
     Compacted,
-    /// The answer is longer than is read.
-    #[error("an answer longer than is read")]
+    /// The response is longer than the client's message limit.
+    #[error("the response exceeds the message size limit")]
     TooLarge,
 }
 
 impl Failure {
-    /// What etcd's own text means (`rpctypes/error.go`), as it stands in a status or as the reason why a watch was ended;
-    /// `None` for one that says no more than that it failed.
+    /// Classifies an error message of etcd (`rpctypes/error.go`), from a gRPC status or from the
+    /// `cancel_reason` of a watch. Returns `None` for messages without a class of their own.
     pub fn from_message(text: &str) -> Option<Failure> {
         let is = |known: &str| text.contains(known);
         match () {
             () if is(error::TOKEN) || is(error::OLD_AUTH) => Some(Failure::InvalidToken),
             () if is(error::COMPACTED) => Some(Failure::Compacted),
             () if is(error::PASSWORD) || is(error::DENIED) || is(error::NO_USER) => {
-                // Of the text only what is known of it: the rest is a peer's.
+                // Only the known part is kept; the rest of the text comes from a peer.
                 let known = [error::PASSWORD, error::DENIED, error::NO_USER]
                     .into_iter()
                     .find(|known| is(known));
@@ -162,108 +165,114 @@
     }
 }
 
-/// What the roster is to hear.
+/// An event for the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceUpdate {
-    /// What.
+    /// The event.
     pub event: Event,
-    /// By how many revisions the member's store was ahead of the oldest change in it.
+    /// Difference between the revision of the member's store and the oldest change in the event.
     pub revisions_behind: i64,
-    /// How long ago the oldest change in it was written, in milliseconds, where a value says.
+    /// Milliseconds since the oldest change in the event was written, if a value has its time of
+    /// writing.
     pub delay: Option<Millis>,
 }
 
-/// What comes out.
+/// An output of the follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// For whoever does the I/O.
+    /// A command for the I/O.
     Command(Command),
-    /// For the roster.
+    /// An event for the membership.
     Update(SourceUpdate),
-    /// For people.
+    /// A message for the log.
     Report(Report),
 }
 
-/// Something that people should know; each prints as one line. `endpoint` is its place in the settings.
+/// A message for operators, printed as one line. `endpoint` is the index of an endpoint in the
+/// settings.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Report {
-    /// The watch is on.
+    /// The watch was created.
     #[error("watching from revision {from} at endpoint {endpoint}")]
     Watching {
-        /// Where.
+        /// The endpoint.
         endpoint: usize,
-        /// From where on.
+        /// First revision watched.
         from: i64,
     },
-    /// All keys were read.
+    /// A full read is complete.
     #[error(
         "read {nodes} nodes at revision {revision} from endpoint {endpoint}; {unreadable} values are unreadable"
     )]
     Read {
-        /// Where.
+        /// The endpoint.
         endpoint: usize,
-        /// At which revision.
+        /// Revision of the read.
         revision: i64,
-        /// Nodes.
+        /// Number of nodes.
         nodes: usize,
-        /// Unreadable values.
+        /// Number of invalid values.
         unreadable: usize,
     },
-    /// An endpoint fails; told once for each kind of failure until the watch is on again.
+    /// An endpoint failed; reported once per kind of failure until a watch is created.
     #[error("endpoint {endpoint}: {failure}")]
     Lost {
-        /// Which.
+        /// The endpoint.
         endpoint: usize,
-        /// How.
+        /// The failure.
         failure: Failure,
     },
-    /// A member answers from before what has been seen: its word is not taken.
-    #[error("endpoint {endpoint} is behind: at revision {revision}, {seen} was seen")]
+    /// A member is behind the last revision seen; its response is discarded.
+    #[error("endpoint {endpoint} is behind: at revision {revision}, but {seen} was seen")]
     Behind {
-        /// Which.
+        /// The endpoint.
         endpoint: usize,
-        /// Its revision.
+        /// Revision of the member.
         revision: i64,
-        /// The one seen.
+        /// The last revision seen.
         seen: i64,
     },
-    /// Another cluster answers: all is read anew, and what vanished is doubted by the roster's rules.
-    #[error("another cluster answers: {current:x} instead of {previous:x}; reading all anew")]
+    /// The cluster id has changed: all keys are read again, and the membership suspects missing
+    /// nodes by its own rules.
+    #[error(
+        "another cluster responds: {current:x} instead of {previous:x}; reading all keys again"
+    )]
     ClusterChanged {
-        /// Before.
+        /// Cluster id before.
         previous: u64,
-        /// Now.
+        /// Cluster id now.
         current: u64,
     },
-    /// The history since what was seen is gone.
+    /// The history after the last revision seen has been compacted.
     #[error(
-        "history from revision {requested} is compacted up to {compact_revision}; reading all anew"
+        "history from revision {requested} is compacted up to {compact_revision}; reading all keys again"
     )]
     Compacted {
-        /// Wanted from.
+        /// First revision requested.
         requested: i64,
-        /// Kept from; 0 if not told.
+        /// First revision that can be watched.
         compact_revision: i64,
     },
-    /// A key or value that cannot be used; what was said of the node before stands. Told once for each.
+    /// A key or value is invalid; the previous entry of the node stays. Reported once per key until
+    /// the key is valid or deleted.
     #[error("{key}: {reason}")]
     Unreadable {
         /// The key.
         key: String,
-        /// Why.
+        /// The reason.
         reason: String,
     },
-    /// Nodes are gone since their lease ran out or was revoked, not by somebody's hand.
-    #[error("gone with their lease {lease:x}: {} and {more} more", hosts.join(", "))]
+    /// Nodes were removed because their lease expired or was revoked, not by a delete.
+    #[error("removed with their lease {lease:x}: {} and {more} more", hosts.join(", "))]
     LeaseEnded {
-        /// The lease.
+        /// Id of the lease.
         lease: i64,
-        /// The nodes, the first of them.
+        /// The first of the nodes.
         hosts: Vec<String>,
-        /// How many more there are.
+        /// Number of further nodes.
         more: usize,
     },
-    /// One answer brought more than is held; all is read anew.
-    #[error("an answer of over {0} changes, or too many bytes; reading all anew")]
+    /// A fragmented watch response exceeds the limits; all keys are read again.
+    #[error("a watch response of over {0} changes, or too many bytes; reading all keys again")]
     TooManyChanges(usize),
 }
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,8 +1,9 @@
-//! A source of the roster: nodes under a prefix of etcd v3, followed by its watch.
+//! A membership source: reads the nodes under a key prefix of etcd v3 and follows them with a
+//! watch.
 //!
-//! [`Follower`] decides everything and does no I/O: inputs with the time go in, [`Output`]s come out, as in `quinn-proto`.
-//! [`client`] carries its commands out over gRPC. What a value may say is in [`value`], the messages are in
-//! `maplefall-etcd-wire`.
+//! [`Follower`] makes all decisions and does no I/O: it takes inputs with the current time and
+//! returns [`Output`]s, as in `quinn-proto`. [`client`] executes its commands over gRPC. [`value`]
+//! parses keys and values; the messages are in `maplefall-etcd-wire`.
 
 pub mod client;
 mod follower;
--- a/crates/etcd/src/text.rs
+++ b/crates/etcd/src/text.rs
@@ -1,12 +1,13 @@
-//! Texts that a peer wrote, or that quote one.
+//! Sanitizing of text that a peer wrote, or that quotes a peer.
 
-/// Characters that are told at most.
-const LONGEST: usize = 200;
+/// Maximum number of input characters kept.
+const MAX_CHARS: usize = 200;
 
-/// A text from outside as a part of a line: of bounded length, and with nothing in it that ends the line or moves a cursor.
+/// Returns untrusted text for use within a log line: truncated, and with the characters escaped
+/// that would end the line or move the cursor.
 pub fn one_line(text: &str) -> String {
     text.chars()
-        .take(LONGEST)
+        .take(MAX_CHARS)
         .flat_map(char::escape_debug)
         .collect()
 }
--- a/crates/etcd/src/value.rs
+++ b/crates/etcd/src/value.rs
@@ -1,16 +1,17 @@
-//! What a value under `PREFIX/members/ID` may say (schema: `docs/operators/membership.md`).
+//! Parser of the entries `PREFIX/members/ID` (schema: `docs/operators/membership.md`).
 
 use maplefall_policy::Millis;
 use maplefall_protocol::{Health, Member};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Longest value that is read.
+/// Maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 16 * 1024;
-/// Longest id.
+/// Maximum length of an id, in bytes.
 pub const MAX_ID_BYTES: usize = 200;
 
-/// The document. Fields that are not named here are passed over, so that an installation may add its own.
+/// The JSON document of a node. Unknown fields are ignored, so that an installation can add its
+/// own.
 #[derive(Deserialize)]
 struct Document {
     address: SocketAddr,
@@ -39,29 +40,30 @@
     1.0
 }
 
-/// Why a key or value cannot be used.
+/// Why a key or value is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidEntry {
-    /// The id has no text, or too much of it, or a slash.
+    /// The key does not start with the prefix, or its id is empty, too long, not UTF-8, or contains
+    /// a slash or a control character.
     #[error(
-        "an id of 1 to {MAX_ID_BYTES} bytes of UTF-8 without a slash was expected behind the prefix"
+        "an id of 1 to {MAX_ID_BYTES} bytes of UTF-8 without a slash was expected after the prefix"
     )]
     Id,
     /// The value is too long.
-    #[error("a value of {MAX_VALUE_BYTES} bytes at most was expected")]
+    #[error("a value of at most {MAX_VALUE_BYTES} bytes was expected")]
     TooLong,
-    /// The value is no document of the schema.
+    /// The value does not match the schema.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A figure is out of bounds.
+    /// A number is out of range: the field and the range that was expected.
     #[error("{0}: a number of {1} was expected")]
     Number(&'static str, &'static str),
 }
 
-/// The id in a key, behind this prefix.
+/// Returns the id in a key, which follows the prefix.
 ///
 /// # Errors
-/// If there is no usable one.
+/// Returns [`InvalidEntry::Id`] if there is no valid id.
 pub fn parse_id<'a>(key: &'a [u8], prefix: &[u8]) -> Result<&'a str, InvalidEntry> {
     let id = key.strip_prefix(prefix).ok_or(InvalidEntry::Id)?;
     let id = std::str::from_utf8(id).map_err(|_| InvalidEntry::Id)?;
@@ -75,34 +77,35 @@
     }
 }
 
-/// The node that a value tells of, and the Unix time in milliseconds at which it was written, if it says.
+/// Parses the value of a node. Returns the node, and the Unix time in milliseconds at which the
+/// value was written, if it has one.
 ///
 /// # Errors
-/// If it is no document of the schema.
+/// Returns an error if the value is too long or does not match the schema.
 pub fn parse_member(id: &str, value: &[u8]) -> Result<(Member, Option<Millis>), InvalidEntry> {
     if value.len() > MAX_VALUE_BYTES {
         return Err(InvalidEntry::TooLong);
     }
-    let told: Document = serde_json::from_slice(value)?;
-    if !(told.size.is_finite() && told.size > 0.0) {
+    let document: Document = serde_json::from_slice(value)?;
+    if !(document.size.is_finite() && document.size > 0.0) {
         return Err(InvalidEntry::Number("size", "more than 0"));
     }
-    if !(told.started_ms.is_finite() && told.started_ms >= 0.0) {
+    if !(document.started_ms.is_finite() && document.started_ms >= 0.0) {
         return Err(InvalidEntry::Number("started_ms", "0 or more"));
     }
     let member = Member {
         host: id.to_owned(),
-        dial: told.address,
-        site: told.zone,
-        block: told.cell,
-        health: match told.state {
+        dial: document.address,
+        site: document.zone,
+        block: document.cell,
+        health: match document.state {
             State::Up => Health::Up,
             State::Draining => Health::Draining,
         },
-        share: told.size,
-        born_ms: told.started_ms,
+        share: document.size,
+        born_ms: document.started_ms,
     };
-    Ok((member, told.written_ms))
+    Ok((member, document.written_ms))
 }
 
 #[cfg(test)]
@@ -110,7 +113,7 @@
     use super::*;
 
     #[test]
-    fn a_value_needs_no_more_than_an_address() {
+    fn a_value_needs_only_an_address() {
         let (node, written) =
             parse_member("a", br#"{"address": "127.0.0.1:80", "rack": 7}"#).unwrap();
         assert_eq!(
@@ -127,16 +130,17 @@
     }
 
     #[test]
-    fn what_is_no_document_says_what_was_expected() {
-        let why = |text: &str| parse_member("a", text.as_bytes()).unwrap_err().to_string();
-        assert!(why("{}").contains("address"));
-        assert!(why(r#"{"address":"x:80"}"#).contains("socket address"));
-        assert!(why(r#"{"address":"127.0.0.1:80","state":"drain"}"#).contains("`up` or `draining`"));
+    fn errors_name_what_was_expected() {
+        let error = |text: &str| parse_member("a", text.as_bytes()).unwrap_err().to_string();
+        assert!(error("{}").contains("address"));
+        assert!(error(r#"{"address":"x:80"}"#).contains("socket address"));
         assert!(
-            why(r#"{"address":"127.0.0.1:80","size":0}"#).contains("size: a number of more than 0")
+            error(r#"{"address":"127.0.0.1:80","state":"drain"}"#).contains("`up` or `draining`")
         );
-        assert!(why(r#"{"address":"127.0.0.1:80","started_ms":-1}"#).contains("started_ms"));
-        assert!(why(&format!("{:20000}", "{}")).contains("16384 bytes"));
+        assert!(error(r#"{"address":"127.0.0.1:80","size":0}"#)
+            .contains("size: a number of more than 0"));
+        assert!(error(r#"{"address":"127.0.0.1:80","started_ms":-1}"#).contains("started_ms"));
+        assert!(error(&format!("{:20000}", "{}")).contains("16384 bytes"));
         for key in [
             "/p/members/",
             "/p/members/a/b",
--- a/crates/etcd/tests/follower.rs
+++ b/crates/etcd/tests/follower.rs
@@ -494,7 +494,9 @@
         "{out:?}"
     );
     assert!(
-        out.reports[0].to_string().contains("silent for 1000 ms"),
+        out.reports[0]
+            .to_string()
+            .contains("no watch response for 1000 ms"),
         "{}",
         out.reports[0]
     );
--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -289,7 +289,7 @@
         put(&bed.etcd, "a", "draining");
         bed.until_is(&[("a", Draining)]).await;
         assert_eq!(
-            bed.reported(|report| report.to_string().contains("silent")),
+            bed.reported(|report| report.to_string().contains("no watch response")),
             1
         );
     });
