--- a/crates/etcd/examples/cost.rs
+++ b/crates/etcd/examples/cost.rs
@@ -1,5 +1,6 @@
-//! What a change costs from the bytes of a watch's message to the list for the decision module, with no socket between:
-//! time, allocations and bytes. `cargo run --release -p maplefall-etcd --example cost [NODES [CHANGES]]`
+//! Measures the cost of a change, from the encoded watch response to the changes of the backend
+//! list, without sockets: time, allocations and bytes.
+//! `cargo run --release -p maplefall-etcd --example cost [NODES [CHANGES]]`
 
 use maplefall_etcd::{Command, Follower, Input, Output, Settings};
 use maplefall_etcd_wire::{Event, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
@@ -10,7 +11,7 @@
 use std::time::Instant;
 
 #[global_allocator]
-static COUNTED: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
+static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 fn kv(node: i64, revision: i64, state: &str) -> KeyValue {
     let address = format!(
@@ -30,8 +31,9 @@
     }
 }
 
-/// Hands in an input and all that comes of it; tells how many changes came out for the decision module.
-fn hand(
+/// Passes an input to the follower and its updates to the membership. Returns the number of changes
+/// of the backend list.
+fn apply(
     follower: &mut Follower,
     roster: &mut Roster,
     input: Option<Input>,
@@ -44,7 +46,7 @@
     while let Some(output) = follower.poll_output() {
         match output {
             Output::Command(command) => commands.push(command),
-            Output::Update(told) => changes += roster.take(0.0, told.event).changes.len(),
+            Output::Update(update) => changes += roster.take(0.0, update.event).changes.len(),
             Output::Report(_) => {}
         }
     }
@@ -52,12 +54,12 @@
 }
 
 fn main() {
-    let mut told = std::env::args()
+    let mut args = std::env::args()
         .skip(1)
         .filter_map(|text| text.parse::<i64>().ok());
     let (nodes, count) = (
-        told.next().unwrap_or(5000).max(1),
-        told.next().unwrap_or(100_000),
+        args.next().unwrap_or(5000).max(1),
+        args.next().unwrap_or(100_000),
     );
     let header = |revision| {
         Some(ResponseHeader {
@@ -82,27 +84,27 @@
     };
     let bytes = page.encode_to_vec();
     drop(page);
-    let (region, begun) = (Region::new(COUNTED), Instant::now());
+    let (region, started) = (Region::new(ALLOCATOR), Instant::now());
     follower.handle_timeout(0.0);
-    hand(&mut follower, &mut roster, None, &mut commands);
-    hand(
+    apply(&mut follower, &mut roster, None, &mut commands);
+    apply(
         &mut follower,
         &mut roster,
         Some(Input::Opened),
         &mut commands,
     );
-    let page = RangeResponse::decode(bytes.as_slice()).expect("what was written here");
-    let listed = hand(
+    let page = RangeResponse::decode(bytes.as_slice()).expect("a message encoded above");
+    let listed = apply(
         &mut follower,
         &mut roster,
         Some(Input::Page(page)),
         &mut commands,
     );
-    let (took, stats) = (begun.elapsed(), region.change());
+    let (elapsed, stats) = (started.elapsed(), region.change());
     let kept = stats.bytes_allocated as i64 - stats.bytes_deallocated as i64
         + stats.bytes_reallocated as i64;
     println!(
-        "reading of {nodes} nodes, {} bytes: {took:.1?}, {listed} listed, {} KiB kept",
+        "reading of {nodes} nodes, {} bytes: {elapsed:.1?}, {listed} listed, {} KiB kept",
         bytes.len(),
         kept / 1024
     );
@@ -112,7 +114,7 @@
         created: true,
         ..Default::default()
     };
-    hand(
+    apply(
         &mut follower,
         &mut roster,
         Some(Input::WatchResponse(created)),
@@ -124,7 +126,7 @@
             .map(|message| {
                 let event = |n: i64| {
                     let number = message * each + n;
-                    // Every node in turn, draining and up by turns.
+                    // Every node in turn; each alternates between draining and up.
                     let state = if number / nodes % 2 == 0 {
                         "draining"
                     } else {
@@ -147,22 +149,23 @@
             })
             .collect();
         let length: usize = messages.iter().map(Vec::len).sum();
-        let (region, begun) = (Region::new(COUNTED), Instant::now());
+        let (region, started) = (Region::new(ALLOCATOR), Instant::now());
         let mut out = 0;
         for bytes in &messages {
-            let answer = WatchResponse::decode(bytes.as_slice()).expect("what was written here");
-            out += hand(
+            let response =
+                WatchResponse::decode(bytes.as_slice()).expect("a message encoded above");
+            out += apply(
                 &mut follower,
                 &mut roster,
-                Some(Input::WatchResponse(answer)),
+                Some(Input::WatchResponse(response)),
                 &mut commands,
             );
         }
-        let (took, stats) = (begun.elapsed(), region.change());
+        let (elapsed, stats) = (started.elapsed(), region.change());
         let per = |total: f64| total / out.max(1) as f64;
         println!(
             "{each} changes a message: {out} changes, {:.2} us, {:.1} allocations of {:.0} bytes in all, {:.0} bytes of message each",
-            per(took.as_secs_f64() * 1e6),
+            per(elapsed.as_secs_f64() * 1e6),
             per(stats.allocations as f64),
             per(stats.bytes_allocated as f64),
             per(length as f64)
--- a/crates/etcd/src/follower.rs
+++ b/crates/etcd/src/follower.rs
@@ -274,7 +274,7 @@
         }
     }
 
-    // ---- Connections --------------------------------------------------------------------------------
+    // ---- Connections ----------------------------------------------------------------------------
 
     fn command(&mut self, command: Command) {
         self.outputs.push_back(Output::Command(command));
@@ -468,7 +468,7 @@
         self.fail(now, Failure::Unavailable("member is behind".to_owned()));
     }
 
-    // ---- Full reads ---------------------------------------------------------------------------------
+    // ---- Full reads -----------------------------------------------------------------------------
 
     fn start_read(&mut self, now: Millis) {
         self.drop_pending();
@@ -583,7 +583,7 @@
         })
     }
 
-    // ---- The watch ----------------------------------------------------------------------------------
+    // ---- The watch ------------------------------------------------------------------------------
 
     fn handle_watch_response(&mut self, now: Millis, response: WatchResponse) {
         let Some(header) = self.check_header(now, response.header) else {
--- a/crates/etcd/tests/follower.rs
+++ b/crates/etcd/tests/follower.rs
@@ -1,4 +1,4 @@
-//! The follower by hand: what it asks for, and whom it does not believe.
+//! Unit tests of the follower: its commands, and the responses that it discards.
 
 use maplefall_etcd::{Command, Failure, Follower, Input, Output, Report, Settings};
 use maplefall_etcd_wire::{
@@ -6,18 +6,18 @@
 };
 use maplefall_membership::Event;
 
-struct Hand {
+struct Harness {
     follower: Follower,
     now: f64,
 }
 
-/// What came out, by kind.
+/// Outputs by kind.
 #[derive(Debug, Default)]
 struct Out {
     commands: Vec<Command>,
-    told: Vec<Event>,
-    /// By how many revisions each of these was behind.
-    behind: Vec<i64>,
+    events: Vec<Event>,
+    /// `revisions_behind` of each event.
+    revisions_behind: Vec<i64>,
     reports: Vec<Report>,
 }
 
@@ -74,22 +74,22 @@
     })
 }
 
-impl Hand {
-    fn new(settings: Settings) -> Hand {
-        Hand {
+impl Harness {
+    fn new(settings: Settings) -> Harness {
+        Harness {
             follower: Follower::new(settings),
             now: 0.0,
         }
     }
 
-    fn out(&mut self) -> Out {
+    fn outputs(&mut self) -> Out {
         let mut out = Out::default();
         while let Some(output) = self.follower.poll_output() {
             match output {
                 Output::Command(command) => out.commands.push(command),
-                Output::Update(told) => {
-                    out.behind.push(told.revisions_behind);
-                    out.told.push(told.event);
+                Output::Update(update) => {
+                    out.revisions_behind.push(update.revisions_behind);
+                    out.events.push(update.event);
                 }
                 Output::Report(report) => out.reports.push(report),
             }
@@ -97,28 +97,28 @@
         out
     }
 
-    /// Hands in something on the connection that was opened last, as the caller says.
-    fn say(&mut self, connection: u64, input: Input) -> Out {
+    /// Passes an input of a connection to the follower and returns its outputs.
+    fn input(&mut self, connection: u64, input: Input) -> Out {
         self.follower.handle(self.now, connection, input);
-        self.out()
+        self.outputs()
     }
 
-    /// Waits for what comes due.
-    fn wait(&mut self) -> Out {
-        self.now = self.follower.poll_timeout().expect("something comes due");
+    /// Advances the time to the follower's next timeout and returns its outputs.
+    fn advance(&mut self) -> Out {
+        self.now = self.follower.poll_timeout().expect("a timeout is set");
         self.follower.handle_timeout(self.now);
-        self.out()
+        self.outputs()
     }
 
-    /// Up to a watch at revision 5 of cluster 1, on connection 1.
-    fn watching(settings: Settings) -> Hand {
-        let mut hand = Hand::new(settings);
-        hand.wait();
-        hand.say(1, Input::Opened);
-        hand.say(1, page(1, 5, vec![kv("a", 3, 0)]));
-        hand.say(1, created(1, 5));
-        assert!(hand.follower.is_watching());
-        hand
+    /// Returns a harness with a watch at revision 5 of cluster 1, on connection 1.
+    fn watching(settings: Settings) -> Harness {
+        let mut harness = Harness::new(settings);
+        harness.advance();
+        harness.input(1, Input::Opened);
+        harness.input(1, page(1, 5, vec![kv("a", 3, 0)]));
+        harness.input(1, created(1, 5));
+        assert!(harness.follower.is_watching());
+        harness
     }
 }
 
@@ -130,19 +130,19 @@
 }
 
 #[test]
-fn it_reads_at_one_revision_page_by_page_and_watches_from_the_next() {
-    let mut hand = Hand::new(Settings {
+fn reads_pages_at_one_revision_and_watches_from_the_next() {
+    let mut harness = Harness::new(Settings {
         page_size: 2,
         ..Settings::with_defaults(0, 1, "/p/")
     });
     assert!(matches!(
-        hand.wait().commands[..],
+        harness.advance().commands[..],
         [Command::Open {
             connection: 1,
             endpoint: 0
         }]
     ));
-    let out = hand.say(1, Input::Opened);
+    let out = harness.input(1, Input::Opened);
     let Command::Range { request, .. } = &out.commands[0] else {
         panic!("{out:?}")
     };
@@ -160,11 +160,8 @@
         more: true,
         ..Default::default()
     };
-    let out = hand.say(1, Input::Page(first));
-    assert!(
-        out.told.is_empty(),
-        "nothing is told until the reading is whole"
-    );
+    let out = harness.input(1, Input::Page(first));
+    assert!(out.events.is_empty(), "no event until the read is complete");
     let Command::Range { request, .. } = &out.commands[0] else {
         panic!("{out:?}")
     };
@@ -172,31 +169,34 @@
         (request.key.as_slice(), request.revision),
         (&b"/p/members/b\0"[..], 8)
     );
-    // The store has gone on meanwhile; the reading is of revision 8 all the same.
-    let out = hand.say(1, page(1, 12, vec![kv("c", 5, 0)]));
-    let Event::Snapshot { members, .. } = &out.told[0] else {
+    // The store is at revision 12 by now, but the read is of revision 8.
+    let out = harness.input(1, page(1, 12, vec![kv("c", 5, 0)]));
+    let Event::Snapshot { members, .. } = &out.events[0] else {
         panic!("{out:?}")
     };
-    assert_eq!((members.seq, members.hosts.len(), out.behind[0]), (8, 3, 4));
+    assert_eq!(
+        (members.seq, members.hosts.len(), out.revisions_behind[0]),
+        (8, 3, 4)
+    );
     assert_eq!(watch_from(&out), Some(9));
 }
 
 #[test]
-fn pages_that_are_compacted_away_between_begin_the_reading_anew() {
-    let mut hand = Hand::new(Settings::with_defaults(0, 1, "/p"));
-    hand.wait();
-    hand.say(1, Input::Opened);
+fn compaction_between_pages_restarts_the_read() {
+    let mut harness = Harness::new(Settings::with_defaults(0, 1, "/p"));
+    harness.advance();
+    harness.input(1, Input::Opened);
     let first = RangeResponse {
         header: header(1, 8),
         kvs: vec![kv("a", 3, 0)],
         more: true,
         ..Default::default()
     };
-    hand.say(1, Input::Page(first));
-    let out = hand.say(1, Input::Failed(Failure::Compacted));
-    assert!(out.told.is_empty() && out.reports.is_empty(), "{out:?}");
-    hand.wait();
-    let out = hand.say(2, Input::Opened);
+    harness.input(1, Input::Page(first));
+    let out = harness.input(1, Input::Failed(Failure::Compacted));
+    assert!(out.events.is_empty() && out.reports.is_empty(), "{out:?}");
+    harness.advance();
+    let out = harness.input(2, Input::Opened);
     let Command::Range { request, .. } = &out.commands[0] else {
         panic!("{out:?}")
     };
@@ -206,18 +206,18 @@
     );
 }
 
-/// How often it tries in a minute, if whatever `play` does on each connection ends it.
-fn tries_in_a_minute(hand: &mut Hand, mut play: impl FnMut(&mut Hand, u64)) -> u64 {
-    let begin = hand.now;
+/// Returns the number of connections opened in a minute, if `run` makes each of them fail.
+fn attempts_in_a_minute(harness: &mut Harness, mut run: impl FnMut(&mut Harness, u64)) -> u64 {
+    let begin = harness.now;
     let mut connection = 0;
-    while hand.now < begin + 60_000.0 {
-        for command in hand.wait().commands {
+    while harness.now < begin + 60_000.0 {
+        for command in harness.advance().commands {
             if let Command::Open {
                 connection: opened, ..
             } = command
             {
                 connection = opened;
-                play(hand, opened);
+                run(harness, opened);
             }
         }
     }
@@ -225,124 +225,127 @@
 }
 
 #[test]
-fn nothing_that_comes_again_and_again_makes_it_try_without_pause() {
+fn repeated_failures_always_back_off() {
     let settings = Settings {
         backoff: [50.0, 2000.0],
         ..Settings::with_defaults(0, 1, "/p")
     };
-    // The history goes between the pages, every time.
-    let mut hand = Hand::new(settings.clone());
-    let tries = tries_in_a_minute(&mut hand, |hand, connection| {
-        hand.say(connection, Input::Opened);
-        hand.say(connection, Input::Failed(Failure::Compacted));
+    // The history is compacted between the pages, every time.
+    let mut harness = Harness::new(settings.clone());
+    let attempts = attempts_in_a_minute(&mut harness, |harness, connection| {
+        harness.input(connection, Input::Opened);
+        harness.input(connection, Input::Failed(Failure::Compacted));
     });
-    assert!((30..=60).contains(&tries), "compacted: {tries}");
-    // Two clusters answer by turns, as behind one address.
-    let mut hand = Hand::new(settings.clone());
-    let tries = tries_in_a_minute(&mut hand, |hand, connection| {
-        hand.say(connection, Input::Opened);
-        hand.say(connection, page(connection % 2, 5, vec![]));
-        hand.say(connection, created(connection % 2 + 1, 5));
+    assert!((30..=60).contains(&attempts), "compacted: {attempts}");
+    // Two clusters respond in turn, as if behind one address.
+    let mut harness = Harness::new(settings.clone());
+    let attempts = attempts_in_a_minute(&mut harness, |harness, connection| {
+        harness.input(connection, Input::Opened);
+        harness.input(connection, page(connection % 2, 5, vec![]));
+        harness.input(connection, created(connection % 2 + 1, 5));
     });
-    assert!((30..=120).contains(&tries), "two clusters: {tries}");
-    // The watch is compacted as soon as it has begun.
-    let mut hand = Hand::new(settings);
-    let tries = tries_in_a_minute(&mut hand, |hand, connection| {
-        hand.say(connection, Input::Opened);
-        hand.say(connection, page(1, 5, vec![]));
-        hand.say(connection, created(1, 5));
+    assert!((30..=120).contains(&attempts), "two clusters: {attempts}");
+    // The watch is cancelled by a compaction as soon as it was created.
+    let mut harness = Harness::new(settings);
+    let attempts = attempts_in_a_minute(&mut harness, |harness, connection| {
+        harness.input(connection, Input::Opened);
+        harness.input(connection, page(1, 5, vec![]));
+        harness.input(connection, created(1, 5));
         let compacted = WatchResponse {
             header: header(1, 9),
             canceled: true,
             compact_revision: 9,
             ..WatchResponse::default()
         };
-        hand.say(connection, Input::WatchResponse(compacted));
+        harness.input(connection, Input::WatchResponse(compacted));
     });
-    assert!((30..=60).contains(&tries), "watch compacted: {tries}");
+    assert!((30..=60).contains(&attempts), "watch compacted: {attempts}");
 }
 
 #[test]
-fn a_page_that_is_too_large_is_asked_for_with_fewer_keys_and_a_watch_is_read_past() {
-    let mut hand = Hand::new(Settings {
+fn page_size_is_halved_after_a_too_large_page_and_a_too_large_watch_response_causes_a_read() {
+    let mut harness = Harness::new(Settings {
         page_size: 1000,
         ..Settings::with_defaults(0, 1, "/p")
     });
     let mut limits = Vec::new();
     for connection in 1..=12 {
-        hand.wait();
-        let out = hand.say(connection, Input::Opened);
+        harness.advance();
+        let out = harness.input(connection, Input::Opened);
         let Command::Range { request, .. } = &out.commands[0] else {
             panic!("{out:?}")
         };
         limits.push(request.limit);
-        let out = hand.say(connection, Input::Failed(Failure::TooLarge));
+        let out = harness.input(connection, Input::Failed(Failure::TooLarge));
         assert_eq!(
             out.reports.len(),
             usize::from(connection == 9),
-            "told once, when one key is too much: {out:?}"
+            "reported once, when a single key is too large: {out:?}"
         );
     }
     assert_eq!(limits, [1000, 500, 250, 125, 62, 31, 15, 7, 3, 1, 1, 1]);
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
-    hand.say(1, Input::Failed(Failure::TooLarge));
-    hand.wait();
-    let out = hand.say(2, Input::Opened);
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
+    harness.input(1, Input::Failed(Failure::TooLarge));
+    harness.advance();
+    let out = harness.input(2, Input::Opened);
     assert!(
         matches!(out.commands[..], [Command::Range { .. }]),
         "{out:?}"
     );
-    assert_eq!(watch_from(&hand.say(2, page(1, 9, vec![]))), Some(10));
+    assert_eq!(watch_from(&harness.input(2, page(1, 9, vec![]))), Some(10));
 }
 
 #[test]
-fn the_source_is_lost_whenever_there_is_no_connection() {
+fn source_is_lost_whenever_there_is_no_connection() {
     let lost = |out: &Out| {
-        out.told
+        out.events
             .iter()
             .filter(|event| matches!(event, Event::Lost { source: 0 }))
             .count()
     };
-    // By a compaction, after which nobody answers.
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+    // After a compaction, with no endpoint reachable from then on.
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     let compacted = WatchResponse {
         header: header(1, 9),
         canceled: true,
         compact_revision: 9,
         ..Default::default()
     };
-    assert_eq!(lost(&hand.say(1, Input::WatchResponse(compacted))), 1);
-    hand.wait();
+    assert_eq!(lost(&harness.input(1, Input::WatchResponse(compacted))), 1);
+    harness.advance();
     assert_eq!(
-        lost(&hand.say(2, Input::Failed(Failure::Unavailable("refused".into())))),
+        lost(&harness.input(2, Input::Failed(Failure::Unavailable("refused".into())))),
         0,
         "once"
     );
-    // By another cluster, by a move to other endpoints, and between the reading and the watch.
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+    // After a change of the cluster, after a change of endpoints, and between the read and the
+    // watch.
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     assert_eq!(
-        lost(&hand.say(1, page(1, 5, vec![]))),
+        lost(&harness.input(1, page(1, 5, vec![]))),
         0,
-        "an answer to nothing"
-    );
-    assert_eq!(lost(&hand.say(1, created(2, 5))), 1);
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
-    hand.follower
-        .reconfigure(hand.now, Settings::with_defaults(0, 1, "/p"));
-    assert_eq!(lost(&hand.out()), 1);
-    let mut hand = Hand::new(Settings::with_defaults(0, 1, "/p"));
-    hand.wait();
-    hand.say(1, Input::Opened);
-    hand.say(1, page(1, 5, vec![]));
+        "a page that was not requested"
+    );
+    assert_eq!(lost(&harness.input(1, created(2, 5))), 1);
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
+    harness
+        .follower
+        .reconfigure(harness.now, Settings::with_defaults(0, 1, "/p"));
+    assert_eq!(lost(&harness.outputs()), 1);
+    let mut harness = Harness::new(Settings::with_defaults(0, 1, "/p"));
+    harness.advance();
+    harness.input(1, Input::Opened);
+    harness.input(1, page(1, 5, vec![]));
     assert_eq!(
-        lost(&hand.say(1, Input::Failed(Failure::Unavailable("reset".into())))),
+        lost(&harness.input(1, Input::Failed(Failure::Unavailable("reset".into())))),
         1
     );
 }
 
-/// Holds to etcd's own texts (`api/v3rpc/rpctypes/error.go`), as they come in a status and in the reason of a watch's end.
+/// Checks the classification of etcd's error messages (`api/v3rpc/rpctypes/error.go`), as they
+/// stand in a status and in the `cancel_reason` of a watch.
 #[test]
-fn etcds_texts_are_understood() {
+fn error_messages_of_etcd_are_classified() {
     let text = |text: &str| Failure::from_message(text);
     assert_eq!(
         text("etcdserver: invalid auth token"),
@@ -352,8 +355,8 @@
         text("etcdserver: revision of auth store is old"),
         Some(Failure::InvalidToken)
     );
-    let in_a_watch = "rpc error: code = Unauthenticated desc = etcdserver: invalid auth token";
-    assert_eq!(text(in_a_watch), Some(Failure::InvalidToken));
+    let cancel_reason = "rpc error: code = Unauthenticated desc = etcdserver: invalid auth token";
+    assert_eq!(text(cancel_reason), Some(Failure::InvalidToken));
     for denied in [
         "etcdserver: permission denied",
         "rpc error: code = PermissionDenied desc = etcdserver: permission denied",
@@ -375,77 +378,77 @@
 }
 
 #[test]
-fn a_lost_watch_goes_on_from_what_was_seen_at_the_next_endpoint() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 2, "/p"));
-    let out = hand.say(1, changes(vec![put("b", 7)], false));
-    assert_eq!(out.told.len(), 1);
-    let out = hand.say(1, Input::Failed(Failure::Unavailable("reset".into())));
-    assert!(matches!(out.told[..], [Event::Lost { source: 0 }]));
+fn lost_watch_resumes_after_the_last_revision_at_the_next_endpoint() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 2, "/p"));
+    let out = harness.input(1, changes(vec![put("b", 7)], false));
+    assert_eq!(out.events.len(), 1);
+    let out = harness.input(1, Input::Failed(Failure::Unavailable("reset".into())));
+    assert!(matches!(out.events[..], [Event::Lost { source: 0 }]));
     assert!(matches!(
         out.commands[..],
         [Command::Close { connection: 1 }]
     ));
     assert!(matches!(
-        hand.wait().commands[..],
+        harness.advance().commands[..],
         [Command::Open {
             connection: 2,
             endpoint: 1
         }]
     ));
-    assert_eq!(watch_from(&hand.say(2, Input::Opened)), Some(8));
-    // What the old stream still says is not listened to, nor what has been told.
-    assert!(hand
-        .say(1, changes(vec![put("x", 9)], false))
-        .told
+    assert_eq!(watch_from(&harness.input(2, Input::Opened)), Some(8));
+    // Inputs of the old connection and changes that were already reported are ignored.
+    assert!(harness
+        .input(1, changes(vec![put("x", 9)], false))
+        .events
         .is_empty());
-    let out = hand.say(2, created(1, 9));
-    assert!(matches!(out.told[..], [Event::Resumed { source: 0 }]));
-    assert!(hand
-        .say(2, changes(vec![put("b", 7)], false))
-        .told
+    let out = harness.input(2, created(1, 9));
+    assert!(matches!(out.events[..], [Event::Resumed { source: 0 }]));
+    assert!(harness
+        .input(2, changes(vec![put("b", 7)], false))
+        .events
         .is_empty());
-    let out = hand.say(
+    let out = harness.input(
         2,
         changes(vec![put("b", 7), put("c", 8), put("d", 9)], false),
     );
-    let [Event::Change { members, .. }] = &out.told[..] else {
+    let [Event::Change { members, .. }] = &out.events[..] else {
         panic!("{out:?}")
     };
     assert_eq!(
-        (members.seq, members.hosts.len(), out.behind[0]),
+        (members.seq, members.hosts.len(), out.revisions_behind[0]),
         (9, 2, 91),
-        "the head is at 99, the oldest at 8"
+        "the store is at revision 99, the oldest change at 8"
     );
 }
 
 #[test]
-fn an_answer_in_pieces_is_one_change_and_one_that_breaks_off_is_none() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
-    assert!(hand
-        .say(1, changes(vec![put("b", 7)], true))
-        .told
+fn fragments_make_one_change_and_an_incomplete_response_makes_none() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
+    assert!(harness
+        .input(1, changes(vec![put("b", 7)], true))
+        .events
         .is_empty());
-    let out = hand.say(1, changes(vec![put("c", 7)], false));
-    let [Event::Change { members, .. }] = &out.told[..] else {
+    let out = harness.input(1, changes(vec![put("c", 7)], false));
+    let [Event::Change { members, .. }] = &out.events[..] else {
         panic!("{out:?}")
     };
     assert_eq!((members.seq, members.hosts.len()), (7, 2));
-    assert!(hand
-        .say(1, changes(vec![put("d", 8)], true))
-        .told
+    assert!(harness
+        .input(1, changes(vec![put("d", 8)], true))
+        .events
         .is_empty());
-    hand.say(1, Input::Failed(Failure::Unavailable("cut".into())));
-    hand.wait();
+    harness.input(1, Input::Failed(Failure::Unavailable("cut".into())));
+    harness.advance();
     assert_eq!(
-        watch_from(&hand.say(2, Input::Opened)),
+        watch_from(&harness.input(2, Input::Opened)),
         Some(8),
-        "its first piece counts for nothing"
+        "the first fragment is discarded"
     );
 }
 
 #[test]
-fn only_a_notice_to_the_watch_itself_says_that_all_was_told() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+fn only_a_progress_notification_of_the_watch_advances_the_revision() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     let progress = |watch_id| {
         Input::WatchResponse(WatchResponse {
             header: header(1, 50),
@@ -453,28 +456,28 @@
             ..Default::default()
         })
     };
-    hand.say(1, progress(-1));
-    assert_eq!(hand.follower.last_revision(), Some(5));
-    hand.say(1, progress(0));
-    assert_eq!(hand.follower.last_revision(), Some(50));
+    harness.input(1, progress(-1));
+    assert_eq!(harness.follower.last_revision(), Some(5));
+    harness.input(1, progress(0));
+    assert_eq!(harness.follower.last_revision(), Some(50));
 }
 
 #[test]
-fn a_watch_that_says_nothing_is_asked_and_then_left() {
-    let mut hand = Hand::watching(Settings {
+fn progress_is_requested_on_an_idle_watch_before_it_is_closed() {
+    let mut harness = Harness::watching(Settings {
         watch_timeout: 1000.0,
         ..Settings::with_defaults(0, 1, "/p")
     });
-    let out = hand.wait();
-    assert_eq!((hand.now, out.commands.len()), (500.0, 1));
+    let out = harness.advance();
+    assert_eq!((harness.now, out.commands.len()), (500.0, 1));
     assert!(matches!(
         out.commands[0],
         Command::RequestProgress { connection: 1 }
     ));
-    hand.follower.handle_timeout(600.0);
-    assert!(hand.out().commands.is_empty(), "asked once");
-    // It answers: all is well, for as long again.
-    hand.say(
+    harness.follower.handle_timeout(600.0);
+    assert!(harness.outputs().commands.is_empty(), "requested once");
+    // The response restarts the timeout.
+    harness.input(
         1,
         Input::WatchResponse(WatchResponse {
             header: header(1, 5),
@@ -483,12 +486,12 @@
         }),
     );
     assert!(matches!(
-        hand.wait().commands[..],
+        harness.advance().commands[..],
         [Command::RequestProgress { connection: 1 }]
     ));
-    assert_eq!(hand.now, 1000.0);
-    let out = hand.wait();
-    assert_eq!(hand.now, 1500.0);
+    assert_eq!(harness.now, 1000.0);
+    let out = harness.advance();
+    assert_eq!(harness.now, 1500.0);
     assert!(
         matches!(out.commands[..], [Command::Close { connection: 1 }]),
         "{out:?}"
@@ -503,14 +506,14 @@
 }
 
 #[test]
-fn calls_that_are_not_answered_have_failed() {
-    let mut hand = Hand::new(Settings {
+fn calls_without_a_response_time_out() {
+    let mut harness = Harness::new(Settings {
         call_timeout: 300.0,
         ..Settings::with_defaults(0, 1, "/p")
     });
-    hand.wait();
+    harness.advance();
     for step in 0..3 {
-        let out = hand.wait();
+        let out = harness.advance();
         assert!(
             out.reports.len() <= 1 && matches!(out.commands[0], Command::Close { .. }),
             "{out:?}"
@@ -518,20 +521,20 @@
         assert_eq!(
             out.reports.len(),
             usize::from(step == 0),
-            "one line for an outage"
+            "one report per outage"
         );
-        hand.wait();
+        harness.advance();
     }
 }
 
 #[test]
-fn a_member_that_is_behind_is_not_believed() {
-    // Its watch: another may know more.
-    let mut hand = Hand::watching(Settings::with_defaults(0, 2, "/p"));
-    hand.say(1, Input::Failed(Failure::Unavailable("reset".into())));
-    hand.wait();
-    hand.say(2, Input::Opened);
-    let out = hand.say(2, created(1, 3));
+fn responses_of_a_member_that_is_behind_are_discarded() {
+    // A watch on it is left: another endpoint can be further ahead.
+    let mut harness = Harness::watching(Settings::with_defaults(0, 2, "/p"));
+    harness.input(1, Input::Failed(Failure::Unavailable("reset".into())));
+    harness.advance();
+    harness.input(2, Input::Opened);
+    let out = harness.input(2, created(1, 3));
     assert!(
         matches!(
             out.reports[..],
@@ -543,16 +546,16 @@
         ),
         "{out:?}"
     );
-    assert!(!hand.follower.is_watching() && out.told.is_empty());
-    // Its reading: a node that it does not know is not gone.
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+    assert!(!harness.follower.is_watching() && out.events.is_empty());
+    // A read from it is discarded: nodes that it lacks are not removed.
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     let compacted = WatchResponse {
         header: header(1, 9),
         canceled: true,
         compact_revision: 9,
         ..WatchResponse::default()
     };
-    let out = hand.say(1, Input::WatchResponse(compacted));
+    let out = harness.input(1, Input::WatchResponse(compacted));
     assert!(matches!(
         out.reports[..],
         [Report::Compacted {
@@ -561,16 +564,16 @@
         }]
     ));
     assert!(
-        matches!(out.told[..], [Event::Lost { .. }]),
-        "in between no node is taken for gone"
+        matches!(out.events[..], [Event::Lost { .. }]),
+        "no node is removed in between"
     );
     assert!(matches!(
         out.commands[..],
         [Command::Close { connection: 1 }]
     ));
-    hand.wait();
-    hand.say(2, Input::Opened);
-    let out = hand.say(2, page(1, 4, vec![]));
+    harness.advance();
+    harness.input(2, Input::Opened);
+    let out = harness.input(2, page(1, 4, vec![]));
     assert!(
         matches!(
             out.reports[..],
@@ -582,16 +585,16 @@
         ),
         "{out:?}"
     );
-    assert!(out.told.is_empty());
+    assert!(out.events.is_empty());
 }
 
 #[test]
-fn another_cluster_makes_all_suspect() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
-    hand.say(1, Input::Failed(Failure::Unavailable("reset".into())));
-    hand.wait();
-    hand.say(2, Input::Opened);
-    let out = hand.say(2, created(2, 900));
+fn another_cluster_causes_a_full_read() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
+    harness.input(1, Input::Failed(Failure::Unavailable("reset".into())));
+    harness.advance();
+    harness.input(2, Input::Opened);
+    let out = harness.input(2, created(2, 900));
     assert!(matches!(
         out.reports[..],
         [Report::ClusterChanged {
@@ -600,52 +603,55 @@
         }]
     ));
     assert!(
-        matches!(out.told[..], [Event::Reborn { source: 0 }]),
-        "it was lost already: {out:?}"
+        matches!(out.events[..], [Event::Reborn { source: 0 }]),
+        "`Lost` was already sent: {out:?}"
     );
-    hand.wait();
-    hand.say(3, Input::Opened);
-    let out = hand.say(3, page(2, 2, vec![kv("a", 2, 0)]));
-    let [Event::Snapshot { members, .. }] = &out.told[..] else {
+    harness.advance();
+    harness.input(3, Input::Opened);
+    let out = harness.input(3, page(2, 2, vec![kv("a", 2, 0)]));
+    let [Event::Snapshot { members, .. }] = &out.events[..] else {
         panic!("{out:?}")
     };
     assert_eq!((members.seq, watch_from(&out)), (2, Some(3)));
 }
 
 #[test]
-fn a_wrong_password_is_one_line_and_no_busy_loop() {
+fn wrong_password_is_reported_once_and_backs_off() {
     let settings = Settings {
         authenticate: true,
         backoff: [50.0, 2000.0],
         ..Settings::with_defaults(0, 1, "/p")
     };
-    let mut hand = Hand::new(settings);
-    hand.wait();
-    let (mut lines, mut tries) = (0, 0);
-    while hand.now < 60_000.0 {
-        tries += 1;
-        hand.say(tries, Input::Opened);
-        let out = hand.say(
-            tries,
+    let mut harness = Harness::new(settings);
+    harness.advance();
+    let (mut reports, mut attempts) = (0, 0);
+    while harness.now < 60_000.0 {
+        attempts += 1;
+        harness.input(attempts, Input::Opened);
+        let out = harness.input(
+            attempts,
             Input::Failed(Failure::PermissionDenied(
                 "invalid user ID or password".into(),
             )),
         );
-        lines += out.reports.len();
-        hand.wait();
+        reports += out.reports.len();
+        harness.advance();
     }
-    assert_eq!(lines, 1);
-    assert!((30..=60).contains(&tries), "{tries} tries in a minute");
+    assert_eq!(reports, 1);
+    assert!(
+        (30..=60).contains(&attempts),
+        "{attempts} attempts in a minute"
+    );
 }
 
 #[test]
-fn a_token_that_has_run_out_is_renewed_without_a_word() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 2, "/p"));
-    let out = hand.say(1, Input::Failed(Failure::InvalidToken));
+fn expired_token_is_renewed_without_a_report() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 2, "/p"));
+    let out = harness.input(1, Input::Failed(Failure::InvalidToken));
     assert!(out.reports.is_empty(), "{out:?}");
     assert!(
         matches!(
-            hand.wait().commands[..],
+            harness.advance().commands[..],
             [Command::Open {
                 connection: 2,
                 endpoint: 0
@@ -653,10 +659,11 @@
         ),
         "the same endpoint"
     );
-    // Refused again at once, it is a failure like any other.
-    hand.say(2, Input::Opened);
+    // A second rejection in a row is reported like any other failure.
+    harness.input(2, Input::Opened);
     assert_eq!(
-        hand.say(2, Input::Failed(Failure::InvalidToken))
+        harness
+            .input(2, Input::Failed(Failure::InvalidToken))
             .reports
             .len(),
         1
@@ -664,84 +671,85 @@
 }
 
 #[test]
-fn pauses_grow_up_to_their_bound_and_begin_anew_after_a_good_watch() {
+fn backoff_grows_to_its_maximum_and_resets_after_a_stable_watch() {
     let settings = Settings {
         backoff: [50.0, 800.0],
         ..Settings::with_defaults(0, 1, "/p")
     };
-    let mut hand = Hand::watching(settings);
-    let mut pauses = Vec::new();
+    let mut harness = Harness::watching(settings);
+    let mut delays = Vec::new();
     for connection in 1..12 {
-        let before = hand.now;
-        hand.say(connection, Input::Failed(Failure::Unavailable("x".into())));
-        hand.wait();
-        pauses.push(hand.now - before);
+        let before = harness.now;
+        harness.input(connection, Input::Failed(Failure::Unavailable("x".into())));
+        harness.advance();
+        delays.push(harness.now - before);
     }
-    assert!((25.0..=50.0).contains(&pauses[0]), "{pauses:?}");
+    assert!((25.0..=50.0).contains(&delays[0]), "{delays:?}");
     assert!(
-        pauses[6..]
+        delays[6..]
             .iter()
-            .all(|pause| (400.0..=800.0).contains(pause)),
-        "{pauses:?}"
+            .all(|delay| (400.0..=800.0).contains(delay)),
+        "{delays:?}"
     );
-    hand.say(12, Input::Opened);
-    hand.say(12, created(1, 5));
-    hand.now += 5000.0;
-    let before = hand.now;
-    hand.say(12, Input::Failed(Failure::Unavailable("x".into())));
-    hand.wait();
-    assert!(hand.now - before <= 50.0);
+    harness.input(12, Input::Opened);
+    harness.input(12, created(1, 5));
+    harness.now += 5000.0;
+    let before = harness.now;
+    harness.input(12, Input::Failed(Failure::Unavailable("x".into())));
+    harness.advance();
+    assert!(harness.now - before <= 50.0);
 }
 
 #[test]
-fn no_two_front_doors_come_back_at_one_moment() {
-    let pause = |seed| {
-        let mut hand = Hand::watching(Settings {
+fn backoff_differs_between_gateways() {
+    let delay = |seed| {
+        let mut harness = Harness::watching(Settings {
             seed,
             ..Settings::with_defaults(0, 1, "/p")
         });
-        hand.say(1, Input::Failed(Failure::Unavailable("x".into())));
-        hand.wait();
-        hand.now
+        harness.input(1, Input::Failed(Failure::Unavailable("x".into())));
+        harness.advance();
+        harness.now
     };
-    let pauses: std::collections::BTreeSet<u64> =
-        (0..20).map(|seed| (pause(seed) * 1000.0) as u64).collect();
-    assert!(pauses.len() > 15, "{pauses:?}");
+    let delays: std::collections::BTreeSet<u64> =
+        (0..20).map(|seed| (delay(seed) * 1000.0) as u64).collect();
+    assert!(delays.len() > 15, "{delays:?}");
 }
 
 #[test]
-fn a_watch_that_brings_something_begins_the_pauses_anew_however_soon_it_breaks() {
-    let mut hand = Hand::watching(Settings {
+fn watch_that_delivers_a_change_resets_the_backoff() {
+    let mut harness = Harness::watching(Settings {
         backoff: [50.0, 2000.0],
         ..Settings::with_defaults(0, 1, "/p")
     });
     for connection in 1..8 {
-        hand.say(
+        harness.input(
             connection,
             Input::Failed(Failure::Unavailable("an outage".into())),
         );
-        hand.wait();
+        harness.advance();
     }
-    hand.say(8, Input::Opened);
-    hand.say(8, created(1, 9));
-    hand.say(8, changes(vec![put("b", 9)], false));
-    let before = hand.now;
-    hand.say(8, Input::Failed(Failure::Unavailable("cut".into())));
-    hand.wait();
-    assert!(hand.now - before <= 50.0, "{}", hand.now - before);
+    harness.input(8, Input::Opened);
+    harness.input(8, created(1, 9));
+    harness.input(8, changes(vec![put("b", 9)], false));
+    let before = harness.now;
+    harness.input(8, Input::Failed(Failure::Unavailable("cut".into())));
+    harness.advance();
+    assert!(harness.now - before <= 50.0, "{}", harness.now - before);
 }
 
 #[test]
-fn a_move_begins_at_the_first_endpoint_at_once() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 3, "/p"));
+fn reconfiguring_connects_to_the_first_endpoint_at_once() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 3, "/p"));
     for connection in 1..6 {
-        hand.say(connection, Input::Failed(Failure::Unavailable("x".into())));
-        hand.wait();
+        harness.input(connection, Input::Failed(Failure::Unavailable("x".into())));
+        harness.advance();
     }
-    assert_ne!(hand.follower.endpoint(), 0);
-    hand.follower
-        .reconfigure(hand.now, Settings::with_defaults(0, 2, "/p"));
-    let out = hand.out();
+    assert_ne!(harness.follower.endpoint(), 0);
+    harness
+        .follower
+        .reconfigure(harness.now, Settings::with_defaults(0, 2, "/p"));
+    let out = harness.outputs();
     assert!(
         matches!(out.commands.last(), Some(Command::Open { endpoint: 0, .. })),
         "{out:?}"
@@ -749,9 +757,9 @@
 }
 
 #[test]
-fn what_a_peer_makes_it_remember_and_ask_is_bounded() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
-    let spoilt = |n: i64| Change {
+fn memory_and_queries_caused_by_a_peer_are_bounded() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
+    let invalid = |n: i64| Change {
         kind: Change::PUT,
         kv: Some(KeyValue {
             value: b"{".to_vec(),
@@ -759,15 +767,15 @@
         }),
         prev_kv: None,
     };
-    let out = hand.say(1, changes((0..1000).map(spoilt).collect(), false));
-    assert_eq!(out.reports.len(), 256, "keys that are told of");
-    let on = |n: i64| Change {
+    let out = harness.input(1, changes((0..1000).map(invalid).collect(), false));
+    assert_eq!(out.reports.len(), 256, "keys that are reported");
+    let leased = |n: i64| Change {
         kind: Change::PUT,
         kv: Some(kv(&format!("n{n}"), 2000 + n, 100 + n)),
         prev_kv: None,
     };
-    hand.say(1, changes((0..200).map(on).collect(), false));
-    let gone = |n: i64| Change {
+    harness.input(1, changes((0..200).map(leased).collect(), false));
+    let deleted = |n: i64| Change {
         kind: Change::DELETE,
         kv: Some(KeyValue {
             value: vec![],
@@ -775,45 +783,41 @@
         }),
         prev_kv: None,
     };
-    let out = hand.say(1, changes((0..200).map(gone).collect(), false));
-    assert_eq!(
-        out.commands.len(),
-        64,
-        "leases that are asked about at once"
-    );
-    // A reading of more nodes than the roster holds.
-    let mut hand = Hand::new(Settings::with_defaults(0, 1, "/p"));
-    hand.wait();
-    hand.say(1, Input::Opened);
-    let most = maplefall_membership::MOST_NODES;
-    let out = hand.say(
+    let out = harness.input(1, changes((0..200).map(deleted).collect(), false));
+    assert_eq!(out.commands.len(), 64, "lease queries in flight");
+    // A read of more nodes than the membership accepts.
+    let mut harness = Harness::new(Settings::with_defaults(0, 1, "/p"));
+    harness.advance();
+    harness.input(1, Input::Opened);
+    let max_nodes = maplefall_membership::MOST_NODES;
+    let out = harness.input(
         1,
         page(
             1,
             5,
-            (0..most + 100)
+            (0..max_nodes + 100)
                 .map(|n| kv(&format!("n{n}"), 3, 0))
                 .collect(),
         ),
     );
-    let Event::Snapshot { members, .. } = &out.told[0] else {
+    let Event::Snapshot { members, .. } = &out.events[0] else {
         panic!("{out:?}")
     };
-    // One more than are held, so that the roster can say that there was no room.
-    assert_eq!(members.hosts.len(), most + 1);
+    // One more than the maximum, so that the membership can report that the list was truncated.
+    assert_eq!(members.hosts.len(), max_nodes + 1);
 }
 
 #[test]
-fn nodes_that_went_with_their_lease_are_told_from_those_removed_by_hand() {
-    let mut hand = Hand::new(Settings::with_defaults(0, 1, "/p"));
-    hand.wait();
-    hand.say(1, Input::Opened);
-    hand.say(
+fn removals_by_an_expired_lease_are_reported_and_deletions_are_not() {
+    let mut harness = Harness::new(Settings::with_defaults(0, 1, "/p"));
+    harness.advance();
+    harness.input(1, Input::Opened);
+    harness.input(
         1,
         page(1, 5, vec![kv("a", 3, 77), kv("b", 3, 78), kv("c", 3, 0)]),
     );
-    hand.say(1, created(1, 5));
-    let gone = |id: &str, revision| Change {
+    harness.input(1, created(1, 5));
+    let deleted = |id: &str, revision| Change {
         kind: Change::DELETE,
         kv: Some(KeyValue {
             value: vec![],
@@ -821,18 +825,21 @@
         }),
         prev_kv: None,
     };
-    let out = hand.say(
+    let out = harness.input(
         1,
-        changes(vec![gone("a", 6), gone("b", 6), gone("c", 6)], false),
+        changes(
+            vec![deleted("a", 6), deleted("b", 6), deleted("c", 6)],
+            false,
+        ),
     );
-    // They are gone at once, whatever the reason is.
-    assert_eq!(out.told.len(), 1);
-    let asked = out
+    // The nodes are removed at once, before the reason is known.
+    assert_eq!(out.events.len(), 1);
+    let queries = out
         .commands
         .iter()
         .filter(|command| matches!(command, Command::LeaseTimeToLive { .. }));
-    assert_eq!(asked.count(), 2, "c hung on none");
-    let out = hand.say(
+    assert_eq!(queries.count(), 2, "c has no lease");
+    let out = harness.input(
         1,
         Input::LeaseTimeToLive {
             lease: 77,
@@ -844,30 +851,31 @@
         "{out:?}"
     );
     assert!(
-        hand.say(
-            1,
-            Input::LeaseTimeToLive {
-                lease: 78,
-                ttl: Some(9)
-            }
-        )
-        .reports
-        .is_empty(),
-        "by hand"
+        harness
+            .input(
+                1,
+                Input::LeaseTimeToLive {
+                    lease: 78,
+                    ttl: Some(9)
+                }
+            )
+            .reports
+            .is_empty(),
+        "deleted, not expired"
     );
 }
 
 #[test]
-fn an_answer_without_end_is_not_held() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
-    let mut read = false;
-    for piece in 0..200 {
+fn fragments_without_end_cause_a_full_read() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
+    let mut read_again = false;
+    for fragment in 0..200 {
         let events = (0..1000)
-            .map(|n| put(&format!("n{n}"), 6 + piece))
+            .map(|n| put(&format!("n{n}"), 6 + fragment))
             .collect();
-        let out = hand.say(1, changes(events, true));
+        let out = harness.input(1, changes(events, true));
         assert!(out
-            .told
+            .events
             .iter()
             .all(|event| matches!(event, Event::Lost { .. })));
         if out
@@ -875,21 +883,21 @@
             .iter()
             .any(|report| matches!(report, Report::TooManyChanges(_)))
         {
-            hand.wait();
-            let out = hand.say(2, Input::Opened);
-            read = out
+            harness.advance();
+            let out = harness.input(2, Input::Opened);
+            read_again = out
                 .commands
                 .iter()
                 .any(|command| matches!(command, Command::Range { .. }));
             break;
         }
     }
-    assert!(read, "all is read anew");
+    assert!(read_again, "all keys are read again");
 }
 
 #[test]
-fn an_answer_of_few_but_long_values_is_not_held_either() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+fn bytes_of_buffered_changes_are_bounded() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     let long = |n: i64| Change {
         kind: Change::PUT,
         kv: Some(KeyValue {
@@ -898,25 +906,26 @@
         }),
         prev_kv: None,
     };
-    let held = (0..64).take_while(|n| {
-        hand.say(1, changes(vec![long(6 + n)], true))
+    let buffered = (0..64).take_while(|n| {
+        harness
+            .input(1, changes(vec![long(6 + n)], true))
             .reports
             .is_empty()
     });
-    assert_eq!(held.count(), 15, "16 MiB at most");
+    assert_eq!(buffered.count(), 15, "the limit is 16 MiB");
 }
 
 #[test]
-fn leases_are_remembered_within_the_bound_of_nodes() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+fn remembered_leases_are_bounded_by_the_maximum_of_nodes() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     let on_a_lease = |n: i64| Change {
         kind: Change::PUT,
         kv: Some(kv(&format!("n{n}"), 6 + n, 77)),
         prev_kv: None,
     };
-    let most = maplefall_membership::MOST_NODES as i64;
-    hand.say(1, changes((0..=most).map(on_a_lease).collect(), false));
-    let gone = |n: i64, revision| Change {
+    let max_nodes = maplefall_membership::MOST_NODES as i64;
+    harness.input(1, changes((0..=max_nodes).map(on_a_lease).collect(), false));
+    let deleted = |n: i64, revision| Change {
         kind: Change::DELETE,
         kv: Some(KeyValue {
             value: vec![],
@@ -924,15 +933,17 @@
         }),
         prev_kv: None,
     };
-    let out = hand.say(1, changes(vec![gone(most, most + 100)], false));
+    let out = harness.input(1, changes(vec![deleted(max_nodes, max_nodes + 100)], false));
     assert!(
         out.commands.is_empty(),
-        "the one beyond the bound: {:?}",
+        "the lease of the node over the limit is unknown: {:?}",
         out.commands
     );
-    let all: Vec<Change> = (0..most).map(|n| gone(n, most + 101 + n)).collect();
-    assert_eq!(hand.say(1, changes(all, false)).commands.len(), 1);
-    let out = hand.say(
+    let all: Vec<Change> = (0..max_nodes)
+        .map(|n| deleted(n, max_nodes + 101 + n))
+        .collect();
+    assert_eq!(harness.input(1, changes(all, false)).commands.len(), 1);
+    let out = harness.input(
         1,
         Input::LeaseTimeToLive {
             lease: 77,
@@ -947,27 +958,27 @@
 }
 
 #[test]
-fn a_line_on_an_unreadable_value_is_one_line_of_bounded_length() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
+fn report_of_an_invalid_value_is_one_line_of_bounded_length() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     let state = format!("up\\n{}", "x".repeat(10_000));
     let value = format!(r#"{{"address":"127.0.0.1:80","state":"{state}"}}"#).into_bytes();
     let key = format!("/p/members/a\n{}", "k".repeat(100_000)).into_bytes();
-    let spoilt = |kv| Change {
+    let invalid = |kv| Change {
         kind: Change::PUT,
         kv: Some(kv),
         prev_kv: None,
     };
     let both = vec![
-        spoilt(KeyValue {
+        invalid(KeyValue {
             value,
             ..kv("b", 6, 0)
         }),
-        spoilt(KeyValue {
+        invalid(KeyValue {
             key,
             ..kv("a", 6, 0)
         }),
     ];
-    let out = hand.say(1, changes(both, false));
+    let out = harness.input(1, changes(both, false));
     assert_eq!(out.reports.len(), 2);
     for report in out.reports {
         let line = report.to_string();
@@ -980,9 +991,9 @@
 }
 
 #[test]
-fn an_unreadable_value_costs_no_other_and_is_told_of_once() {
-    let mut hand = Hand::watching(Settings::with_defaults(0, 1, "/p"));
-    let spoilt = |revision| Change {
+fn invalid_value_affects_no_other_node_and_is_reported_once() {
+    let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
+    let invalid = |revision| Change {
         kind: Change::PUT,
         kv: Some(KeyValue {
             value: b"{".to_vec(),
@@ -990,21 +1001,24 @@
         }),
         prev_kv: None,
     };
-    let out = hand.say(1, changes(vec![spoilt(6), put("c", 6)], false));
-    assert_eq!((out.told.len(), out.reports.len()), (1, 1));
+    let out = harness.input(1, changes(vec![invalid(6), put("c", 6)], false));
+    assert_eq!((out.events.len(), out.reports.len()), (1, 1));
     assert!(
         out.reports[0].to_string().starts_with("/p/members/b: "),
         "{}",
         out.reports[0]
     );
-    assert!(hand
-        .say(1, changes(vec![spoilt(7)], false))
+    assert!(harness
+        .input(1, changes(vec![invalid(7)], false))
         .reports
         .is_empty());
-    // Readable for once, it is told of anew.
-    hand.say(1, changes(vec![put("b", 8)], false));
+    // After a valid value, an invalid one is reported again.
+    harness.input(1, changes(vec![put("b", 8)], false));
     assert_eq!(
-        hand.say(1, changes(vec![spoilt(9)], false)).reports.len(),
+        harness
+            .input(1, changes(vec![invalid(9)], false))
+            .reports
+            .len(),
         1
     );
 }
--- a/crates/etcd/tests/histories.rs
+++ b/crates/etcd/tests/histories.rs
@@ -1,13 +1,14 @@
-//! Random histories of a store, its members and the connections to them, played against the follower and the roster without
-//! a socket. What is told is held to a plain log of everything that was ever written, which no compaction touches:
+//! Random histories of a store, its members and the connections to them, run against the follower
+//! and the membership without sockets. Its events are checked against a log of all writes, which no
+//! compaction removes:
 //!
-//! - a change tells of every node that was written since what was told before, its last word, and of no other;
-//! - a whole reading is the store as it was at its revision;
+//! - a change has the last state of every node written since the previous event, and no other node;
+//! - a snapshot is the store at its revision;
 //! - versions never go back;
 //! - the source counts as lost whenever there is no connection;
-//! - after quiet, the roster is the store.
+//! - once faults stop, the membership equals the store.
 //!
-//! `ETCD_HISTORIES=N` plays more; `ETCD_SEED=S` one.
+//! `ETCD_HISTORIES=N` sets the number of histories; `ETCD_SEED=S` runs a single one.
 
 use maplefall_etcd::{
     Command, ConnectionId, Failure, Follower, Input, Output, Settings, SourceUpdate,
@@ -26,29 +27,29 @@
 const ENDPOINTS: usize = 2;
 const PREFIX: &str = "/p/members/";
 
-/// A way in which the other side of the follower is broken, to show that the checks find it.
+/// A fault injected around the follower, to show that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    /// Watches begin at the current revision, whatever was asked.
+enum Fault {
+    /// Watches start at the current revision instead of the requested one.
     ResumesAtCurrent,
-    /// A watch of what is compacted goes on from where history begins, without a word.
-    CompactionUnheard,
-    /// A change is told again as a new one.
-    ToldTwice,
-    /// What an old stream still says is taken for the new one's.
-    OldStreamHeard,
+    /// A watch of a compacted revision silently starts at the oldest revision kept.
+    CompactionIgnored,
+    /// A change is reported twice.
+    DuplicateChange,
+    /// Responses of an old stream are delivered as those of the new one.
+    OldStreamDelivered,
 }
 
-/// What stands under a key: nothing, an unreadable value, or a node.
+/// State of a key: removed, an invalid value, or a node with its health and start time.
 #[derive(Clone, Debug, PartialEq)]
-enum Word {
-    Gone,
+enum State {
+    Removed,
     Unreadable,
     Node(Health, u32),
 }
 
-/// Everything that was ever written in one cluster.
-type Log = Vec<(i64, String, Word)>;
+/// All writes to one cluster: revision, host and state.
+type Log = Vec<(i64, String, State)>;
 
 struct Watch {
     connection: ConnectionId,
@@ -64,42 +65,43 @@
     log: Log,
     clusters: u64,
     down: [bool; ENDPOINTS],
-    silent: [bool; ENDPOINTS],
+    unresponsive: [bool; ENDPOINTS],
     behind: [Option<i64>; ENDPOINTS],
     tokens: u64,
-    /// The token of the connection.
+    /// Token of the connection.
     token: Option<u64>,
-    /// Connections that are open, with their endpoints.
+    /// Open connections, with their endpoints.
     open: BTreeMap<ConnectionId, usize>,
     watch: Option<Watch>,
-    /// The one before: its stream lives on for a while, and says what is new to it.
-    old: Option<Watch>,
-    /// Inputs on their way. Of each connection they come in order.
-    wire: VecDeque<(ConnectionId, Input)>,
+    /// The watch before the current one: its stream stays open for a while and sends the changes
+    /// that it has not sent.
+    prior: Option<Watch>,
+    /// Inputs in flight. Those of one connection arrive in order.
+    in_flight: VecDeque<(ConnectionId, Input)>,
     lease: Option<i64>,
-    broken: Option<Broken>,
+    fault: Option<Fault>,
     newest: ConnectionId,
     follower: Follower,
     roster: Roster,
-    /// Whether the roster has been told last that the source is there.
-    heard: bool,
-    /// The last version told since the cluster was last another, and the cluster's log that it is of.
-    told: Option<i64>,
+    /// Whether the last event of the source means that it is connected.
+    connected: bool,
+    /// Version of the last event since the cluster last changed.
+    last_version: Option<i64>,
     counts: Counts,
 }
 
-/// What was played, so that a history in which nothing happens does not pass for one that held.
+/// Counts of what happened, so that histories in which nothing happens do not pass.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     changes: u64,
-    readings: u64,
-    cuts: u64,
+    reads: u64,
+    disconnects: u64,
     compactions: u64,
     clusters: u64,
 }
 
 impl World {
-    fn new(seed: u64, broken: Option<Broken>) -> World {
+    fn new(seed: u64, fault: Option<Fault>) -> World {
         let mut rng = Pcg32::seed_from_u64(seed);
         let credentials = rng.next_u32() % 2 == 0;
         let page = [1, 2, 3, 100][rng.next_u32() as usize % 4];
@@ -124,21 +126,21 @@
             log: Vec::new(),
             clusters: 1,
             down: [false; ENDPOINTS],
-            silent: [false; ENDPOINTS],
+            unresponsive: [false; ENDPOINTS],
             behind: [None; ENDPOINTS],
             tokens: 0,
             token: None,
             open: BTreeMap::new(),
             watch: None,
-            old: None,
-            wire: VecDeque::new(),
+            prior: None,
+            in_flight: VecDeque::new(),
             lease: None,
-            broken,
+            fault,
             newest: 0,
             follower: Follower::new(settings),
             roster: Roster::new(vec![source]),
-            heard: false,
-            told: None,
+            connected: false,
+            last_version: None,
             counts: Counts::default(),
         }
     }
@@ -151,12 +153,12 @@
         self.behind[endpoint].map_or(self.store.revision(), |at| at.min(self.store.revision()))
     }
 
-    // ---- The store ------------------------------------------------------------------------------------
+    // ---- The store ------------------------------------------------------------------------------
 
-    fn put_of(&mut self, host: u32) -> (String, PutRequest, Word) {
+    fn put_of(&mut self, host: u32) -> (String, PutRequest, State) {
         let name = format!("n{host}");
-        let (word, value) = match self.below(12) {
-            0 => (Word::Unreadable, "{".to_owned()),
+        let (state, value) = match self.below(12) {
+            0 => (State::Unreadable, "{".to_owned()),
             what => {
                 let (health, state) = if what < 5 {
                     (Health::Draining, "draining")
@@ -168,7 +170,7 @@
                 let value = format!(
                     r#"{{"address":"127.0.0.1:{port}","state":"{state}","started_ms":{started}}}"#
                 );
-                (Word::Node(health, started), value)
+                (State::Node(health, started), value)
             }
         };
         let lease = self.lease.filter(|_| host % 3 == 0).unwrap_or(0);
@@ -181,12 +183,12 @@
                 lease,
                 prev_kv: false,
             },
-            word,
+            state,
         )
     }
 
-    /// Writes down what the store has done since.
-    fn note(&mut self, before: i64, words: &BTreeMap<String, Word>) {
+    /// Adds the store's changes after revision `before` to the log.
+    fn record(&mut self, before: i64, states: &BTreeMap<String, State>) {
         let changes = self.store.changes(
             b"/p/members/",
             b"/p/members0",
@@ -197,24 +199,24 @@
             for event in events {
                 let kv = event.kv.unwrap();
                 let host = String::from_utf8(kv.key[PREFIX.len()..].to_vec()).unwrap();
-                let word = if event.kind == Change::DELETE {
-                    Word::Gone
+                let state = if event.kind == Change::DELETE {
+                    State::Removed
                 } else {
-                    words[&host].clone()
+                    states[&host].clone()
                 };
-                self.log.push((revision, host, word));
+                self.log.push((revision, host, state));
             }
         }
     }
 
     fn write(&mut self) {
         let before = self.store.revision();
-        let mut words = BTreeMap::new();
+        let mut states = BTreeMap::new();
         match self.below(10) {
             0..=4 => {
                 let host = self.below(8);
-                let (name, put, word) = self.put_of(host);
-                words.insert(name, word);
+                let (name, put, state) = self.put_of(host);
+                states.insert(name, state);
                 self.store.put(&put).unwrap();
             }
             5 | 6 => {
@@ -227,12 +229,12 @@
                     .unwrap();
             }
             7 => {
-                // A drain and the start of a replacement, seen together; and a key of somebody else.
+                // Two nodes in one transaction, such as a drain and the start of a replacement.
                 let first = self.below(8);
                 let mut success = Vec::new();
                 for host in [first, (first + 1) % 8] {
-                    let (name, put, word) = self.put_of(host);
-                    words.insert(name, word);
+                    let (name, put, state) = self.put_of(host);
+                    states.insert(name, state);
                     success.push(RequestOp {
                         request: Some(request_op::Request::Put(put)),
                     });
@@ -259,12 +261,12 @@
                 Some(lease) => self.store.revoke(lease).unwrap(),
             },
         }
-        self.note(before, &words);
+        self.record(before, &states);
     }
 
-    // ---- The members ----------------------------------------------------------------------------------
+    // ---- The members ----------------------------------------------------------------------------
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Open {
                 connection,
@@ -272,16 +274,16 @@
             } => {
                 (self.token, self.newest) = (None, connection);
                 if self.down[endpoint] {
-                    let refused = Input::Failed(Failure::Unavailable("refused".into()));
-                    self.wire.push_back((connection, refused));
+                    let token_failure = Input::Failed(Failure::Unavailable("refused".into()));
+                    self.in_flight.push_back((connection, token_failure));
                 } else {
                     self.open.insert(connection, endpoint);
-                    self.say(connection, Input::Opened);
+                    self.send(connection, Input::Opened);
                 }
             }
             Command::Authenticate { connection } => {
                 self.token = Some(self.tokens);
-                self.say(connection, Input::Authenticated);
+                self.send(connection, Input::Authenticated);
             }
             Command::Range {
                 connection,
@@ -290,11 +292,11 @@
                 let Some(endpoint) = self.open.get(&connection).copied() else {
                     return;
                 };
-                let input = match self.refused() {
+                let input = match self.token_failure() {
                     Some(failure) => Input::Failed(failure),
                     None => self.read(endpoint, &request),
                 };
-                self.say(connection, input);
+                self.send(connection, input);
             }
             Command::Watch {
                 connection,
@@ -303,14 +305,14 @@
                 let Some(endpoint) = self.open.get(&connection).copied() else {
                     return;
                 };
-                if let Some(failure) = self.refused() {
-                    return self.say(connection, Input::Failed(failure));
+                if let Some(failure) = self.token_failure() {
+                    return self.send(connection, Input::Failed(failure));
                 }
-                if self.broken == Some(Broken::ResumesAtCurrent) {
+                if self.fault == Some(Fault::ResumesAtCurrent) {
                     request.start_revision = self.at(endpoint) + 1;
                 }
                 let next = request.start_revision;
-                self.old = self.watch.replace(Watch {
+                self.prior = self.watch.replace(Watch {
                     connection,
                     endpoint,
                     request,
@@ -318,33 +320,33 @@
                 });
                 let created = WatchResponse {
                     created: true,
-                    ..self.answer(endpoint)
+                    ..self.response(endpoint)
                 };
-                self.say(connection, Input::WatchResponse(created));
+                self.send(connection, Input::WatchResponse(created));
             }
             Command::RequestProgress { connection } => {
                 let Some(endpoint) = self.open.get(&connection).copied() else {
                     return;
                 };
-                // It overtakes what is still to be told, as it has been known to.
-                let answer = WatchResponse {
+                // The response overtakes changes that are not yet sent, as seen with etcd.
+                let response = WatchResponse {
                     watch_id: -1,
-                    ..self.answer(endpoint)
+                    ..self.response(endpoint)
                 };
-                self.say(connection, Input::WatchResponse(answer));
+                self.send(connection, Input::WatchResponse(response));
             }
             Command::LeaseTimeToLive { connection, lease } => {
                 let ttl = Some(self.store.time_to_live(self.now, lease));
-                self.say(connection, Input::LeaseTimeToLive { lease, ttl });
+                self.send(connection, Input::LeaseTimeToLive { lease, ttl });
             }
             Command::Close { connection } => {
-                // What is on the way may still come, from a stream that is thought to be closed.
+                // Inputs in flight can still arrive after the connection is closed.
                 self.open.remove(&connection);
             }
         }
     }
 
-    fn refused(&self) -> Option<Failure> {
+    fn token_failure(&self) -> Option<Failure> {
         self.token
             .is_some_and(|token| token != self.tokens)
             .then_some(Failure::InvalidToken)
@@ -357,12 +359,14 @@
                 page.header = Some(self.store.header(endpoint as u64, at));
                 Input::Page(page)
             }
-            Err(refused) if refused.0 == error::COMPACTED => Input::Failed(Failure::Compacted),
-            Err(refused) => Input::Failed(Failure::Unavailable(refused.0.into())),
+            Err(token_failure) if token_failure.0 == error::COMPACTED => {
+                Input::Failed(Failure::Compacted)
+            }
+            Err(token_failure) => Input::Failed(Failure::Unavailable(token_failure.0.into())),
         }
     }
 
-    fn answer(&self, endpoint: usize) -> WatchResponse {
+    fn response(&self, endpoint: usize) -> WatchResponse {
         let header = Some(self.store.header(endpoint as u64, self.at(endpoint)));
         WatchResponse {
             header,
@@ -370,24 +374,24 @@
         }
     }
 
-    fn say(&mut self, connection: ConnectionId, input: Input) {
+    fn send(&mut self, connection: ConnectionId, input: Input) {
         if self
             .open
             .get(&connection)
-            .is_some_and(|endpoint| !self.silent[*endpoint])
+            .is_some_and(|endpoint| !self.unresponsive[*endpoint])
         {
-            self.wire.push_back((connection, input));
+            self.in_flight.push_back((connection, input));
         }
     }
 
-    /// The old stream's member tells what is new to it, as far as it was never told.
-    fn tell_old(&mut self) {
-        let Some(old) = &mut self.old else { return };
+    /// Sends the changes that the prior watch has not yet sent, on its old stream.
+    fn send_prior_changes(&mut self) {
+        let Some(old) = &mut self.prior else { return };
         let at = self.behind[old.endpoint]
             .map_or(self.store.revision(), |at| at.min(self.store.revision()));
         let (key, end) = (&old.request.key, &old.request.range_end);
         let Ok(changes) = self.store.changes(key, end, old.next, at) else {
-            return self.old = None;
+            return self.prior = None;
         };
         let Some((last, _)) = changes.last() else {
             return;
@@ -395,28 +399,28 @@
         old.next = *last + 1;
         let events = changes.into_iter().flat_map(|(_, events)| events).collect();
         let header = Some(self.store.header(old.endpoint as u64, at));
-        let told = WatchResponse {
+        let response = WatchResponse {
             header,
             events,
             ..Default::default()
         };
-        self.wire
-            .push_back((old.connection, Input::WatchResponse(told)));
+        self.in_flight
+            .push_back((old.connection, Input::WatchResponse(response)));
     }
 
-    /// The watch's member tells what is new.
-    fn tell(&mut self) {
-        let piece = 1 + self.below(3) as usize;
-        let most = 1 + self.below(4) as usize;
+    /// Sends the changes that the watch has not yet sent, or a progress notification.
+    fn send_changes(&mut self) {
+        let fragment_size = 1 + self.below(3) as usize;
+        let max_revisions = 1 + self.below(4) as usize;
         let Some(watch) = &self.watch else { return };
         let (connection, endpoint, next) = (watch.connection, watch.endpoint, watch.next);
-        if !self.open.contains_key(&connection) || self.silent[endpoint] {
+        if !self.open.contains_key(&connection) || self.unresponsive[endpoint] {
             return;
         }
         let at = self.at(endpoint);
         let (key, end) = (&watch.request.key, &watch.request.range_end);
         let mut changes = self.store.changes(key, end, next, at);
-        if self.broken == Some(Broken::CompactionUnheard) {
+        if self.fault == Some(Fault::CompactionIgnored) {
             if let Err(kept) = changes {
                 changes = self.store.changes(key, end, kept, at);
             }
@@ -424,37 +428,37 @@
         match changes {
             Err(kept) => {
                 self.watch = None;
-                let told = WatchResponse {
+                let response = WatchResponse {
                     canceled: true,
                     compact_revision: kept,
-                    ..self.answer(endpoint)
+                    ..self.response(endpoint)
                 };
-                self.say(connection, Input::WatchResponse(told));
+                self.send(connection, Input::WatchResponse(response));
             }
             Ok(changes) => {
-                let Some((last, _)) = changes.iter().take(most).next_back() else {
-                    // A notice of progress: all up to here has been told.
+                let Some((last, _)) = changes.iter().take(max_revisions).next_back() else {
+                    // A progress notification: all changes up to this revision have been sent.
                     if self.below(4) == 0 && next <= at {
-                        let told = self.answer(endpoint);
-                        self.say(connection, Input::WatchResponse(told));
+                        let response = self.response(endpoint);
+                        self.send(connection, Input::WatchResponse(response));
                     }
                     return;
                 };
                 let next = *last + 1;
                 let events: Vec<Change> = changes
                     .into_iter()
-                    .take(most)
+                    .take(max_revisions)
                     .flat_map(|(_, events)| events)
                     .collect();
-                let pieces = events.len().div_ceil(piece);
-                for (number, part) in events.chunks(piece).enumerate() {
-                    let fragment = number + 1 < pieces;
-                    let told = WatchResponse {
+                let fragments = events.len().div_ceil(fragment_size);
+                for (number, events) in events.chunks(fragment_size).enumerate() {
+                    let fragment = number + 1 < fragments;
+                    let response = WatchResponse {
                         fragment,
-                        events: part.to_vec(),
-                        ..self.answer(endpoint)
+                        events: events.to_vec(),
+                        ..self.response(endpoint)
                     };
-                    self.say(connection, Input::WatchResponse(told));
+                    self.send(connection, Input::WatchResponse(response));
                 }
                 if let Some(watch) = &mut self.watch {
                     watch.next = next;
@@ -463,30 +467,30 @@
         }
     }
 
-    /// Breaks a connection off, with some of what is on the way lost.
-    fn cut(&mut self) {
-        self.counts.cuts += 1;
+    /// Breaks a connection; some of its inputs in flight are lost.
+    fn break_connection(&mut self) {
+        self.counts.disconnects += 1;
         let Some((connection, _)) = self.open.pop_last() else {
             return;
         };
         let keep = self.below(3) as usize;
-        let mut of = 0;
-        self.wire.retain(|(on, _)| {
-            of += usize::from(*on == connection);
-            *on != connection || of <= keep
+        let mut count = 0;
+        self.in_flight.retain(|(on, _)| {
+            count += usize::from(*on == connection);
+            *on != connection || count <= keep
         });
-        self.wire.push_back((
+        self.in_flight.push_back((
             connection,
             Input::Failed(Failure::Unavailable("cut".into())),
         ));
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let endpoint = self.below(ENDPOINTS as u32) as usize;
         match self.below(12) {
-            0..=3 => self.cut(),
+            0..=3 => self.break_connection(),
             4 => self.down[endpoint] = !self.down[endpoint],
-            5 => self.silent[endpoint] = !self.silent[endpoint],
+            5 => self.unresponsive[endpoint] = !self.unresponsive[endpoint],
             6 | 7 => {
                 self.behind[endpoint] = match self.behind[endpoint] {
                     Some(_) => None,
@@ -499,125 +503,127 @@
             }
             10 => self.tokens += 1,
             _ if self.below(4) == 0 => {
-                // Another cluster, with a history of its own.
+                // Another cluster, with its own history.
                 self.counts.clusters += 1;
                 self.clusters += 1;
                 self.store = Store::new(self.clusters);
                 (self.log, self.lease, self.behind) = (Vec::new(), None, [None; ENDPOINTS]);
-                (self.watch, self.old) = (None, None);
+                (self.watch, self.prior) = (None, None);
                 while !self.open.is_empty() {
-                    self.cut();
+                    self.break_connection();
                 }
                 for _ in 0..self.below(6) {
                     self.write();
                 }
             }
-            _ => self.cut(),
+            _ => self.break_connection(),
         }
     }
 
-    // ---- The follower ---------------------------------------------------------------------------------
+    // ---- The follower ---------------------------------------------------------------------------
 
-    fn pump(&mut self) -> Result<(), String> {
+    fn process_outputs(&mut self) -> Result<(), String> {
         while let Some(output) = self.follower.poll_output() {
             match output {
-                Output::Command(command) => self.carry_out(command),
-                Output::Update(told) => {
-                    self.check(&told)?;
-                    if self.broken == Some(Broken::ToldTwice)
-                        && matches!(told.event, Event::Change { .. })
+                Output::Command(command) => self.execute(command),
+                Output::Update(update) => {
+                    self.check(&update)?;
+                    if self.fault == Some(Fault::DuplicateChange)
+                        && matches!(update.event, Event::Change { .. })
                     {
-                        self.check(&told)?;
+                        self.check(&update)?;
                     }
-                    self.roster.take(self.now, told.event);
+                    self.roster.take(self.now, update.event);
                 }
                 Output::Report(_) => {}
             }
         }
-        match self.heard && self.follower.in_backoff() {
-            true => Err("there is no connection, and the roster takes the source for heard".into()),
+        match self.connected && self.follower.in_backoff() {
+            true => Err("there is no connection, but the source does not count as lost".into()),
             false => Ok(()),
         }
     }
 
     fn deliver(&mut self) -> Result<(), String> {
-        // Of any connection, the old ones too, the first that is on its way.
-        let any = self.rng.next_u32() as usize % self.wire.len().max(1);
-        let of = self.wire.get(any).map(|(connection, _)| *connection);
+        // The first input in flight of a random connection, old ones included.
+        let index = self.rng.next_u32() as usize % self.in_flight.len().max(1);
+        let chosen = self.in_flight.get(index).map(|(connection, _)| *connection);
         let first = self
-            .wire
+            .in_flight
             .iter()
-            .position(|(connection, _)| Some(*connection) == of);
-        if let Some((mut connection, input)) = first.and_then(|first| self.wire.remove(first)) {
-            if self.broken == Some(Broken::OldStreamHeard)
+            .position(|(connection, _)| Some(*connection) == chosen);
+        if let Some((mut connection, input)) = first.and_then(|first| self.in_flight.remove(first))
+        {
+            if self.fault == Some(Fault::OldStreamDelivered)
                 && matches!(input, Input::WatchResponse(_))
             {
                 connection = self.newest;
             }
             self.follower.handle(self.now, connection, input);
         }
-        self.pump()
+        self.process_outputs()
     }
 
-    fn pass(&mut self, time: f64) -> Result<(), String> {
+    fn advance(&mut self, time: f64) -> Result<(), String> {
         self.now += time;
         self.follower.handle_timeout(self.now);
         self.roster.tick(self.now);
-        self.pump()
+        self.process_outputs()
     }
 
-    fn at_revision(&self, revision: i64) -> BTreeMap<String, Word> {
+    fn at_revision(&self, revision: i64) -> BTreeMap<String, State> {
         let until = self.log.iter().filter(|(at, _, _)| *at <= revision);
         let last: BTreeMap<_, _> = until
-            .map(|(_, host, word)| (host.clone(), word.clone()))
+            .map(|(_, host, state)| (host.clone(), state.clone()))
             .collect();
         last.into_iter()
-            .filter(|(_, word)| *word != Word::Gone)
+            .filter(|(_, state)| *state != State::Removed)
             .collect()
     }
 
-    /// Holds what is told to the log.
-    fn check(&mut self, told: &SourceUpdate) -> Result<(), String> {
-        self.heard = match told.event {
+    /// Checks an event against the log.
+    fn check(&mut self, update: &SourceUpdate) -> Result<(), String> {
+        self.connected = match update.event {
             Event::Lost { .. } => false,
-            Event::Reborn { .. } => self.heard,
+            Event::Reborn { .. } => self.connected,
             Event::Snapshot { .. } | Event::Change { .. } | Event::Resumed { .. } => true,
         };
-        if told.revisions_behind < 0 {
-            return Err(format!("a change from the future: {told:?}"));
+        if update.revisions_behind < 0 {
+            return Err(format!("a change from the future: {update:?}"));
         }
-        match &told.event {
-            Event::Reborn { .. } => self.told = None,
+        match &update.event {
+            Event::Reborn { .. } => self.last_version = None,
             Event::Snapshot {
                 members, unread, ..
             } => {
                 let seq = members.seq as i64;
-                self.counts.readings += 1;
-                if self.told.is_some_and(|last| seq < last) {
-                    return Err(format!("a reading at {seq} after {:?}", self.told));
+                self.counts.reads += 1;
+                if self.last_version.is_some_and(|last| seq < last) {
+                    return Err(format!("a snapshot at {seq} after {:?}", self.last_version));
                 }
-                self.told = Some(seq);
-                // A reading on the way while the cluster became another is of a log that is gone.
+                self.last_version = Some(seq);
+                // A page in flight during a change of the cluster belongs to a log that no longer
+                // exists.
                 if self.follower_is_of_another_cluster() {
                     return Ok(());
                 }
-                let there = self.at_revision(seq);
-                let mut nodes: BTreeMap<String, Word> = members.hosts.iter().map(word).collect();
-                nodes.extend(unread.iter().map(|host| (host.clone(), Word::Unreadable)));
-                if nodes != there {
+                let expected = self.at_revision(seq);
+                let mut nodes: BTreeMap<String, State> = members.hosts.iter().map(state).collect();
+                nodes.extend(unread.iter().map(|host| (host.clone(), State::Unreadable)));
+                if nodes != expected {
                     return Err(format!(
-                        "a reading at {seq}: {nodes:?}, the store had {there:?}"
+                        "a snapshot at {seq}: {nodes:?}, the store had {expected:?}"
                     ));
                 }
             }
             Event::Change { members, .. } => {
                 let seq = members.seq as i64;
                 self.counts.changes += 1;
-                let before = self.told.unwrap_or(i64::MAX);
+                let before = self.last_version.unwrap_or(i64::MAX);
                 if seq <= before {
                     return Err(format!("a change at {seq} after {before}"));
                 }
-                self.told = Some(seq);
+                self.last_version = Some(seq);
                 if self.follower_is_of_another_cluster() {
                     return Ok(());
                 }
@@ -625,14 +631,14 @@
                     .log
                     .iter()
                     .filter(|(at, _, _)| *at > before && *at <= seq);
-                let since = since.filter(|(_, _, word)| *word != Word::Unreadable);
-                let expected: BTreeMap<String, Word> = since
-                    .map(|(_, host, word)| (host.clone(), word.clone()))
+                let since = since.filter(|(_, _, state)| *state != State::Unreadable);
+                let expected: BTreeMap<String, State> = since
+                    .map(|(_, host, state)| (host.clone(), state.clone()))
                     .collect();
-                let nodes: BTreeMap<String, Word> = members.hosts.iter().map(word).collect();
+                let nodes: BTreeMap<String, State> = members.hosts.iter().map(state).collect();
                 if nodes != expected {
                     return Err(format!(
-                        "changes from {before} to {seq}: {nodes:?}, written were {expected:?}"
+                        "changes from {before} to {seq}: {nodes:?}, but {expected:?} were written"
                     ));
                 }
             }
@@ -645,34 +651,36 @@
         self.follower.cluster() != Some(self.store.cluster())
     }
 
-    /// All is well from now on; what the follower and the roster make of it.
-    fn quiet(&mut self) -> Result<(), String> {
-        (self.down, self.silent, self.behind) = Default::default();
+    /// Stops all faults, lets the follower catch up for 3 s, and compares the membership with the
+    /// store.
+    fn run_without_faults(&mut self) -> Result<(), String> {
+        (self.down, self.unresponsive, self.behind) = Default::default();
         for _ in 0..3000 {
             self.deliver()?;
-            self.tell();
-            self.pass(1.0)?;
+            self.send_changes();
+            self.advance(1.0)?;
         }
         if !self.follower.is_watching() {
-            return Err("no watch after 3 s of quiet".into());
+            return Err("no watch after 3 s without faults".into());
         }
-        let listed: BTreeMap<String, Word> = self.roster.members().map(word).collect();
-        let mut there = self.at_revision(self.store.revision());
-        // Of an unreadable value only the word before it is known, if there was one.
-        for (host, word) in there.clone() {
-            if word == Word::Unreadable {
-                there.remove(&host);
+        let listed: BTreeMap<String, State> = self.roster.members().map(state).collect();
+        let mut expected = self.at_revision(self.store.revision());
+        // Nodes with an invalid value are left out: the membership has their previous state, if
+        // any.
+        for (host, state) in expected.clone() {
+            if state == State::Unreadable {
+                expected.remove(&host);
             }
         }
-        let readable: BTreeMap<String, Word> = listed
+        let readable: BTreeMap<String, State> = listed
             .iter()
             .filter(|(host, _)| !self.unreadable(host))
             .map(|(h, w)| (h.clone(), w.clone()))
             .collect();
-        match readable == there {
+        match readable == expected {
             true => Ok(()),
             false => Err(format!(
-                "after quiet the roster has {readable:?}, the store {there:?}"
+                "without faults the membership has {readable:?}, the store {expected:?}"
             )),
         }
     }
@@ -682,82 +690,83 @@
             .iter()
             .rev()
             .find(|(_, of, _)| of == host)
-            .is_some_and(|(_, _, word)| *word == Word::Unreadable)
+            .is_some_and(|(_, _, state)| *state == State::Unreadable)
     }
 }
 
-fn word(member: &Member) -> (String, Word) {
-    let word = match member.health {
-        Health::Removed => Word::Gone,
-        health => Word::Node(health, member.born_ms as u32),
+fn state(member: &Member) -> (String, State) {
+    let state = match member.health {
+        Health::Removed => State::Removed,
+        health => State::Node(health, member.born_ms as u32),
     };
-    (member.host.clone(), word)
+    (member.host.clone(), state)
 }
 
-fn play(seed: u64, broken: Option<Broken>) -> Result<Counts, String> {
-    let mut world = World::new(seed, broken);
+fn run_history(seed: u64, fault: Option<Fault>) -> Result<Counts, String> {
+    let mut world = World::new(seed, fault);
     let steps = 100 + world.below(300);
     for _ in 0..steps {
         match world.below(20) {
             0..=5 => world.write(),
             6..=10 => world.deliver()?,
-            11..=13 => world.tell(),
-            14 => world.tell_old(),
-            15 => world.trouble(),
+            11..=13 => world.send_changes(),
+            14 => world.send_prior_changes(),
+            15 => world.inject_fault(),
             _ => {
                 let time = f64::from(1 + world.below(30));
-                world.pass(time)?;
+                world.advance(time)?;
             }
         }
-        world.pump()?;
+        world.process_outputs()?;
     }
-    world.quiet()?;
+    world.run_without_faults()?;
     Ok(world.counts)
 }
 
 #[test]
-fn the_roster_is_the_store_after_any_history() {
-    let told = |name: &str| {
+fn the_roster_equals_the_store_after_any_history() {
+    let variable = |name: &str| {
         std::env::var(name)
             .ok()
             .and_then(|text| text.parse::<u64>().ok())
     };
-    let seeds = match told("ETCD_SEED") {
+    let seeds = match variable("ETCD_SEED") {
         Some(seed) => seed..seed + 1,
-        None => 0..told("ETCD_HISTORIES").unwrap_or(1500),
+        None => 0..variable("ETCD_HISTORIES").unwrap_or(1500),
     };
     let mut all = Counts::default();
     let many = seeds.end - seeds.start > 1;
     for seed in seeds.clone() {
-        let counts = play(seed, None).unwrap_or_else(|error| panic!("ETCD_SEED={seed}: {error}"));
+        let counts =
+            run_history(seed, None).unwrap_or_else(|error| panic!("ETCD_SEED={seed}: {error}"));
         all.changes += counts.changes;
-        all.readings += counts.readings;
-        all.cuts += counts.cuts;
+        all.reads += counts.reads;
+        all.disconnects += counts.disconnects;
         all.compactions += counts.compactions;
         all.clusters += counts.clusters;
     }
     println!("{} histories: {all:?}", seeds.end - seeds.start);
-    let played = [
+    let totals = [
         all.changes,
-        all.readings,
-        all.cuts,
+        all.reads,
+        all.disconnects,
         all.compactions,
         all.clusters,
     ];
-    assert!(!many || played.iter().all(|count| *count > 100), "{all:?}");
+    assert!(!many || totals.iter().all(|count| *count > 100), "{all:?}");
 }
 
-/// Shows that the checks can fail: each way to be broken is found within a few histories.
+/// Shows that the checks can fail: each fault is found within 400 histories.
 #[test]
-fn what_is_broken_is_found() {
-    for broken in [
-        Broken::ResumesAtCurrent,
-        Broken::CompactionUnheard,
-        Broken::ToldTwice,
-        Broken::OldStreamHeard,
+fn injected_faults_are_found() {
+    for fault in [
+        Fault::ResumesAtCurrent,
+        Fault::CompactionIgnored,
+        Fault::DuplicateChange,
+        Fault::OldStreamDelivered,
     ] {
-        let found = (0..400).find(|seed| play(*seed, Some(broken)).is_err());
-        println!("{broken:?}: found by seed {found:?}");
-        assert!(found.is_some(), "{broken:?} was not found");
+        let found = (0..400).find(|seed| run_history(*seed, Some(fault)).is_err());
+        println!("{fault:?}: found by seed {found:?}");
+        assert!(found.is_some(), "{fault:?} was not found");
     }
 }
--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The client against the played etcd over real connections that break in every way that is asked of it. Waits are for
-//! events; the limits are generous.
+//! The client against the fake etcd over real connections, with injected failures. Tests wait for
+//! events, with a generous time limit.
 
 use maplefall_etcd::client::{follow, ConnectionConfig, PassThrough};
 use maplefall_etcd::{Output, Report, Settings};
@@ -18,14 +18,14 @@
 
 const LIMIT: Duration = Duration::from_secs(30);
 
-struct Bed {
+struct TestBed {
     etcd: Etcd,
     members: Vec<Member>,
-    place: watch::Sender<ConnectionConfig>,
-    seen: Rc<RefCell<Seen>>,
+    config: watch::Sender<ConnectionConfig>,
+    observed: Rc<RefCell<Observed>>,
 }
 
-struct Seen {
+struct Observed {
     roster: Roster,
     reports: Vec<Report>,
     snapshots: usize,
@@ -41,10 +41,10 @@
 }
 
 fn put(etcd: &Etcd, id: &str, state: &str) -> i64 {
-    put_on(etcd, id, state, 0)
+    put_with_lease(etcd, id, state, 0)
 }
 
-fn put_on(etcd: &Etcd, id: &str, state: &str, lease: i64) -> i64 {
+fn put_with_lease(etcd: &Etcd, id: &str, state: &str, lease: i64) -> i64 {
     let port = 1000
         + id.bytes().fold(0u16, |sum, byte| {
             sum.wrapping_mul(7).wrapping_add(byte.into())
@@ -83,12 +83,17 @@
     }
 }
 
-impl Bed {
-    fn new(members: u64, settings: Settings) -> Bed {
-        Bed::with(members, settings, Store::new(1), None)
+impl TestBed {
+    fn new(members: u64, settings: Settings) -> TestBed {
+        TestBed::with(members, settings, Store::new(1), None)
     }
 
-    fn with(members: u64, settings: Settings, store: Store, user: Option<(String, String)>) -> Bed {
+    fn with(
+        members: u64,
+        settings: Settings,
+        store: Store,
+        user: Option<(String, String)>,
+    ) -> TestBed {
         let etcd = Etcd::new(store, |_| {});
         let listener = || TcpListener::bind("127.0.0.1:0").unwrap();
         let members: Vec<Member> = (0..members)
@@ -98,57 +103,58 @@
             .iter()
             .map(|member| format!("http://{}", member.address))
             .collect();
-        let place = watch::Sender::new(ConnectionConfig {
+        let config = watch::Sender::new(ConnectionConfig {
             endpoints,
             user,
             authority: None,
         });
-        // What vanishes is doubted only if nothing is left.
+        // Missing nodes are suspected only if the snapshot lacks more than nine tenths of the
+        // nodes.
         let source = SourceSettings {
             believed_part: 0.9,
             doubt: 300.0,
             ..SourceSettings::trusted("etcd")
         };
-        let seen = Rc::new(RefCell::new(Seen {
+        let observed = Rc::new(RefCell::new(Observed {
             roster: Roster::new(vec![source]),
             reports: Vec::new(),
             snapshots: 0,
             changes: 0,
         }));
-        let (to, begun) = (seen.clone(), Instant::now());
-        let clock = move || begun.elapsed().as_secs_f64() * 1000.0;
-        let take = move |output| {
-            let mut seen = to.borrow_mut();
+        let (target, started) = (observed.clone(), Instant::now());
+        let clock = move || started.elapsed().as_secs_f64() * 1000.0;
+        let on_output = move |output| {
+            let mut observed = target.borrow_mut();
             match output {
-                Output::Update(told) => {
-                    match &told.event {
-                        maplefall_membership::Event::Snapshot { .. } => seen.snapshots += 1,
-                        maplefall_membership::Event::Change { .. } => seen.changes += 1,
+                Output::Update(update) => {
+                    match &update.event {
+                        maplefall_membership::Event::Snapshot { .. } => observed.snapshots += 1,
+                        maplefall_membership::Event::Change { .. } => observed.changes += 1,
                         _ => {}
                     }
-                    seen.roster.take(clock(), told.event);
+                    observed.roster.take(clock(), update.event);
                 }
-                Output::Report(report) => seen.reports.push(report),
+                Output::Report(report) => observed.reports.push(report),
                 Output::Command(_) => {}
             }
         };
         tokio::task::spawn_local(follow(
             settings,
-            place.subscribe(),
+            config.subscribe(),
             clock,
-            take,
+            on_output,
             PassThrough,
         ));
-        Bed {
+        TestBed {
             etcd,
             members,
-            place,
-            seen,
+            config,
+            observed,
         }
     }
 
     fn states(&self) -> BTreeMap<String, Health> {
-        self.seen
+        self.observed
             .borrow()
             .roster
             .members()
@@ -156,18 +162,18 @@
             .collect()
     }
 
-    async fn until(&self, what: &str, held: impl Fn(&Bed) -> bool) {
-        let by = Instant::now() + LIMIT;
-        while !held(self) {
+    async fn wait_until(&self, what: &str, condition: impl Fn(&TestBed) -> bool) {
+        let deadline = Instant::now() + LIMIT;
+        while !condition(self) {
             let reports: Vec<String> = self
-                .seen
+                .observed
                 .borrow()
                 .reports
                 .iter()
                 .map(Report::to_string)
                 .collect();
             assert!(
-                Instant::now() < by,
+                Instant::now() < deadline,
                 "{what}: {:?}\n{}",
                 self.states(),
                 reports.join("\n")
@@ -176,17 +182,17 @@
         }
     }
 
-    async fn until_is(&self, expected: &[(&str, Health)]) {
+    async fn wait_for_states(&self, expected: &[(&str, Health)]) {
         let expected: BTreeMap<String, Health> = expected
             .iter()
             .map(|(h, s)| ((*h).to_owned(), *s))
             .collect();
-        self.until(&format!("{expected:?}"), |bed| bed.states() == expected)
+        self.wait_until(&format!("{expected:?}"), |bed| bed.states() == expected)
             .await;
     }
 
-    fn reported(&self, wanted: impl Fn(&Report) -> bool) -> usize {
-        self.seen
+    fn count_reports(&self, wanted: impl Fn(&Report) -> bool) -> usize {
+        self.observed
             .borrow()
             .reports
             .iter()
@@ -198,26 +204,26 @@
 use Health::{Draining, Up};
 
 #[test]
-fn puts_drains_and_removals_come_over_a_real_connection() {
+fn puts_drains_and_deletions_arrive_over_a_real_connection() {
     run(async {
-        let bed = Bed::new(1, settings());
+        let bed = TestBed::new(1, settings());
         put(&bed.etcd, "a", "up");
         put(&bed.etcd, "b", "up");
-        bed.until_is(&[("a", Up), ("b", Up)]).await;
+        bed.wait_for_states(&[("a", Up), ("b", Up)]).await;
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining), ("b", Up)]).await;
+        bed.wait_for_states(&[("a", Draining), ("b", Up)]).await;
         delete(&bed.etcd, "a");
-        bed.until_is(&[("b", Up)]).await;
-        assert_eq!(bed.seen.borrow().snapshots, 1);
+        bed.wait_for_states(&[("b", Up)]).await;
+        assert_eq!(bed.observed.borrow().snapshots, 1);
     });
 }
 
 #[test]
-fn a_watch_cut_at_any_point_misses_nothing_and_repeats_nothing() {
+fn watch_interrupted_at_any_point_neither_misses_nor_repeats_changes() {
     run(async {
-        let bed = Bed::new(1, settings());
+        let bed = TestBed::new(1, settings());
         put(&bed.etcd, "a", "up");
-        bed.until_is(&[("a", Up)]).await;
+        bed.wait_for_states(&[("a", Up)]).await;
         for (n, cut) in [
             Cut::Between(0),
             Cut::Within,
@@ -235,107 +241,115 @@
             for (step, state) in ["up", "draining", "up", "draining"].into_iter().enumerate() {
                 put(&bed.etcd, &format!("c{n}"), state);
                 put(&bed.etcd, &format!("d{n}{step}"), "up");
-                bed.until("the change", |bed| {
+                bed.wait_until("the change", |bed| {
                     bed.states().contains_key(&format!("d{n}{step}"))
                 })
                 .await;
             }
-            bed.until("the drain", |bed| {
+            bed.wait_until("the drain", |bed| {
                 bed.states().get(&format!("c{n}")) == Some(&Draining)
             })
             .await;
-            assert!(!bed.members[0].to_be_cut(), "{cut:?} was not played");
+            assert!(!bed.members[0].to_be_cut(), "{cut:?} did not happen");
         }
-        assert_eq!(bed.seen.borrow().snapshots, 1, "all of it by the watch");
+        assert_eq!(
+            bed.observed.borrow().snapshots,
+            1,
+            "all changes arrived by the watch"
+        );
     });
 }
 
 #[test]
-fn a_drain_written_while_away_is_found_though_the_history_is_gone() {
+fn drain_written_while_disconnected_is_found_after_a_compaction() {
     run(async {
-        let bed = Bed::new(1, settings());
+        let bed = TestBed::new(1, settings());
         for id in ["a", "b", "c", "d"] {
             put(&bed.etcd, id, "up");
         }
-        bed.until("four", |bed| bed.states().len() == 4).await;
+        bed.wait_until("four", |bed| bed.states().len() == 4).await;
         bed.members[0].down(true);
         put(&bed.etcd, "a", "draining");
         delete(&bed.etcd, "b");
-        // A drain and the undo of it, both while away.
+        // A drain and its reversal, both while the connection is down.
         put(&bed.etcd, "c", "draining");
         let last = put(&bed.etcd, "c", "up");
         bed.etcd.with(|store| store.compact(last).unwrap());
         bed.members[0].down(false);
-        bed.until_is(&[("a", Draining), ("c", Up), ("d", Up)]).await;
+        bed.wait_for_states(&[("a", Draining), ("c", Up), ("d", Up)])
+            .await;
         assert_eq!(
-            bed.reported(|report| matches!(report, Report::Compacted { .. })),
+            bed.count_reports(|report| matches!(report, Report::Compacted { .. })),
             1
         );
-        assert_eq!(bed.seen.borrow().snapshots, 2);
+        assert_eq!(bed.observed.borrow().snapshots, 2);
     });
 }
 
 #[test]
-fn a_member_that_falls_silent_with_its_connection_open_is_left_for_another() {
+fn unresponsive_member_with_an_open_connection_is_replaced_by_another() {
     run(async {
-        let bed = Bed::new(2, settings());
+        let bed = TestBed::new(2, settings());
         put(&bed.etcd, "a", "up");
-        bed.until_is(&[("a", Up)]).await;
-        bed.until("the watch", |bed| {
-            bed.reported(|report| matches!(report, Report::Watching { .. })) == 1
+        bed.wait_for_states(&[("a", Up)]).await;
+        bed.wait_until("the watch", |bed| {
+            bed.count_reports(|report| matches!(report, Report::Watching { .. })) == 1
         })
         .await;
         bed.members[0].silent(true);
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining)]).await;
+        bed.wait_for_states(&[("a", Draining)]).await;
         assert_eq!(
-            bed.reported(|report| report.to_string().contains("no watch response")),
+            bed.count_reports(|report| report.to_string().contains("no watch response")),
             1
         );
     });
 }
 
 #[test]
-fn a_member_that_is_behind_is_left_for_another() {
+fn member_that_is_behind_is_replaced_by_another() {
     run(async {
-        let bed = Bed::new(2, settings());
+        let bed = TestBed::new(2, settings());
         put(&bed.etcd, "a", "up");
         let old = put(&bed.etcd, "b", "up");
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining), ("b", Up)]).await;
+        bed.wait_for_states(&[("a", Draining), ("b", Up)]).await;
         bed.members[1].behind(Some(old));
         bed.members[0].down(true);
-        bed.until("the lag is told", |bed| {
-            bed.reported(|r| matches!(r, Report::Behind { .. })) > 0
+        bed.wait_until("the lag is reported", |bed| {
+            bed.count_reports(|r| matches!(r, Report::Behind { .. })) > 0
         })
         .await;
         assert_eq!(bed.states()["a"], Draining);
         bed.members[1].behind(None);
         put(&bed.etcd, "b", "draining");
-        bed.until_is(&[("a", Draining), ("b", Draining)]).await;
+        bed.wait_for_states(&[("a", Draining), ("b", Draining)])
+            .await;
     });
 }
 
 #[test]
-fn another_cluster_is_read_anew_and_what_it_lacks_is_doubted() {
+fn another_cluster_is_read_in_full_and_its_missing_nodes_are_suspected() {
     run(async {
-        let bed = Bed::new(1, settings());
+        let bed = TestBed::new(1, settings());
         for id in ["a", "b", "c"] {
             put(&bed.etcd, id, "up");
         }
-        bed.until("three", |bed| bed.states().len() == 3).await;
-        // An empty one comes in its place.
+        bed.wait_until("three", |bed| bed.states().len() == 3).await;
+        // An empty cluster takes its config.
         bed.etcd.with(|store| *store = Store::new(2));
         bed.members[0].break_off();
-        bed.until("the other cluster", |bed| bed.seen.borrow().snapshots == 2)
-            .await;
+        bed.wait_until("the other cluster", |bed| {
+            bed.observed.borrow().snapshots == 2
+        })
+        .await;
         assert_eq!(
             bed.states().len(),
             3,
-            "an empty answer is not believed at once"
+            "nodes that an empty snapshot lacks are kept at first"
         );
         assert_eq!(
-            bed.reported(|report| matches!(
+            bed.count_reports(|report| matches!(
                 report,
                 Report::ClusterChanged {
                     previous: 1,
@@ -345,15 +359,16 @@
             1
         );
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining), ("b", Up), ("c", Up)]).await;
+        bed.wait_for_states(&[("a", Draining), ("b", Up), ("c", Up)])
+            .await;
         tokio::time::sleep(Duration::from_millis(310)).await;
-        bed.seen.borrow_mut().roster.tick(1e6);
-        bed.until_is(&[("a", Draining)]).await;
+        bed.observed.borrow_mut().roster.tick(1e6);
+        bed.wait_for_states(&[("a", Draining)]).await;
     });
 }
 
 #[test]
-fn pages_and_pieces_are_put_together() {
+fn pages_and_fragments_are_assembled() {
     run(async {
         let mut store = Store::new(1);
         for n in 0..2500 {
@@ -365,7 +380,7 @@
             };
             store.put(&put).unwrap();
         }
-        let bed = Bed::with(
+        let bed = TestBed::with(
             1,
             Settings {
                 page_size: 400,
@@ -374,17 +389,18 @@
             store,
             None,
         );
-        // All at one address: one of them holds it; the reading tells how many came.
-        bed.until("the reading", |bed| {
-            bed.reported(|report| matches!(report, Report::Read { nodes: 2500, .. })) == 1
+        // All nodes have one address, so the list has only one of them; the report counts all that
+        // were read.
+        bed.wait_until("the read", |bed| {
+            bed.count_reports(|report| matches!(report, Report::Read { nodes: 2500, .. })) == 1
         })
         .await;
         bed.members[0].pieces(7);
-        bed.until("the watch", |bed| {
-            bed.reported(|report| matches!(report, Report::Watching { .. })) == 1
+        bed.wait_until("the watch", |bed| {
+            bed.count_reports(|report| matches!(report, Report::Watching { .. })) == 1
         })
         .await;
-        let before = bed.seen.borrow().changes;
+        let before = bed.observed.borrow().changes;
         let puts = (0..100).map(|n| {
             let value = format!(r#"{{"address":"127.0.0.1:{}"}}"#, 2000 + n).into_bytes();
             let put = PutRequest {
@@ -401,17 +417,18 @@
         };
         bed.etcd
             .with(|store| store.txn(&txn, store.revision()).unwrap());
-        bed.until("the nodes", |bed| bed.states().len() == 101)
+        bed.wait_until("the nodes", |bed| bed.states().len() == 101)
             .await;
         assert_eq!(
-            bed.seen.borrow().changes,
+            bed.observed.borrow().changes,
             before + 1,
-            "one revision is one change, in however many pieces"
+            "one revision is one change, whatever the number of fragments"
         );
     });
 }
 
-/// Guards against a reading that begins again without end: what is longer than a message may be looks like a compaction.
+/// Guards against a full read that restarts forever: the error for a response over the message
+/// limit has the same gRPC code as a compaction.
 #[test]
 fn values_too_long_for_one_message_are_read_in_smaller_pages() {
     run(async {
@@ -430,7 +447,7 @@
             };
             store.put(&put).unwrap();
         }
-        let bed = Bed::with(
+        let bed = TestBed::with(
             1,
             Settings {
                 page_size: 1000,
@@ -439,74 +456,76 @@
             store,
             None,
         );
-        bed.until("the nodes", |bed| bed.states().len() == 600)
+        bed.wait_until("the nodes", |bed| bed.states().len() == 600)
             .await;
         // 9 MB in pages of up to 4 MiB.
         assert!(bed.etcd.ranges() >= 3, "{}", bed.etcd.ranges());
         assert_eq!(
-            bed.reported(|report| matches!(report, Report::Lost { .. })),
+            bed.count_reports(|report| matches!(report, Report::Lost { .. })),
             0
         );
     });
 }
 
 #[test]
-fn a_user_signs_in_and_again_when_the_token_is_refused() {
+fn client_authenticates_again_when_its_token_is_rejected() {
     run(async {
         let user = Some(("front".to_owned(), "secret".to_owned()));
-        let bed = Bed::with(1, settings(), Store::new(1), user);
+        let bed = TestBed::with(1, settings(), Store::new(1), user);
         bed.etcd.only("front", "secret");
         put(&bed.etcd, "a", "up");
-        bed.until_is(&[("a", Up)]).await;
+        bed.wait_for_states(&[("a", Up)]).await;
         bed.etcd.forget_tokens();
         bed.members[0].break_off();
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining)]).await;
-        assert_eq!(bed.seen.borrow().snapshots, 1);
+        bed.wait_for_states(&[("a", Draining)]).await;
+        assert_eq!(bed.observed.borrow().snapshots, 1);
     });
 }
 
 #[test]
-fn users_that_have_changed_make_it_sign_in_anew() {
+fn client_authenticates_again_after_a_change_of_users() {
     run(async {
         let user = Some(("front".to_owned(), "secret".to_owned()));
-        let bed = Bed::with(1, settings(), Store::new(1), user);
+        let bed = TestBed::with(1, settings(), Store::new(1), user);
         bed.etcd.only("front", "secret");
         put(&bed.etcd, "a", "up");
-        bed.until_is(&[("a", Up)]).await;
-        // The same user, after a change of users: the watch of old goes on, and the next one needs a token of now.
+        bed.wait_for_states(&[("a", Up)]).await;
+        // The same user, after a change of users: the open watch continues, and the next one needs
+        // a new token.
         bed.etcd.only("front", "secret");
         put(&bed.etcd, "b", "up");
-        bed.until_is(&[("a", Up), ("b", Up)]).await;
+        bed.wait_for_states(&[("a", Up), ("b", Up)]).await;
         bed.members[0].break_off();
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining), ("b", Up)]).await;
+        bed.wait_for_states(&[("a", Draining), ("b", Up)]).await;
         assert_eq!(
-            bed.reported(|report| report.to_string().contains("not permitted")),
+            bed.count_reports(|report| report.to_string().contains("not permitted")),
             0
         );
     });
 }
 
-/// Guards a quiet prefix in a busy store: its watch is told how far it is, and does not fall behind the compaction.
+/// Guards an idle prefix in a busy store: progress notifications advance the revision of its watch
+/// beyond the compaction, so that it can be resumed without a full read.
 #[test]
-fn notices_keep_a_quiet_watch_ahead_of_the_compaction() {
+fn progress_notifications_keep_an_idle_watch_ahead_of_the_compaction() {
     run(async {
         for notices in [true, false] {
-            let bed = Bed::new(1, settings());
+            let bed = TestBed::new(1, settings());
             put(&bed.etcd, "a", "up");
-            bed.until_is(&[("a", Up)]).await;
-            bed.until("the watch", |bed| {
-                bed.reported(|r| matches!(r, Report::Watching { .. })) == 1
+            bed.wait_for_states(&[("a", Up)]).await;
+            bed.wait_until("the watch", |bed| {
+                bed.count_reports(|r| matches!(r, Report::Watching { .. })) == 1
             })
             .await;
             let last = bed.etcd.with(|store| {
                 for _ in 0..50 {
-                    let busy = PutRequest {
+                    let other = PutRequest {
                         key: b"/other".to_vec(),
                         ..Default::default()
                     };
-                    store.put(&busy).unwrap();
+                    store.put(&other).unwrap();
                 }
                 store.revision()
             });
@@ -517,109 +536,110 @@
             bed.etcd.with(|store| store.compact(last).unwrap());
             bed.members[0].break_off();
             put(&bed.etcd, "a", "draining");
-            bed.until_is(&[("a", Draining)]).await;
-            let compacted = bed.reported(|report| matches!(report, Report::Compacted { .. }));
+            bed.wait_for_states(&[("a", Draining)]).await;
+            let compacted = bed.count_reports(|report| matches!(report, Report::Compacted { .. }));
             assert_eq!(compacted, usize::from(!notices), "with notices: {notices}");
         }
     });
 }
 
 #[test]
-fn a_user_that_etcd_does_not_ask_for_is_no_mistake() {
+fn credentials_are_allowed_while_authentication_is_disabled() {
     run(async {
         let user = Some(("front".to_owned(), "secret".to_owned()));
-        let bed = Bed::with(1, settings(), Store::new(1), user);
+        let bed = TestBed::with(1, settings(), Store::new(1), user);
         put(&bed.etcd, "a", "up");
-        bed.until_is(&[("a", Up)]).await;
-        // Asked for from now on, the user signs in.
+        bed.wait_for_states(&[("a", Up)]).await;
+        // Authentication is enabled from here on.
         bed.etcd.only("front", "secret");
         bed.members[0].break_off();
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining)]).await;
+        bed.wait_for_states(&[("a", Draining)]).await;
     });
 }
 
 #[test]
-fn a_wrong_password_is_one_clear_line() {
+fn wrong_password_is_reported_once() {
     run(async {
         let settings = Settings {
             backoff: [5.0, 20.0],
             ..settings()
         };
-        let bed = Bed::with(
+        let bed = TestBed::with(
             1,
             settings,
             Store::new(1),
             Some(("front".to_owned(), "wrong".to_owned())),
         );
         bed.etcd.only("front", "secret");
-        let denied =
-            |bed: &Bed| bed.reported(|r| r.to_string().contains("invalid user ID or password"));
-        bed.until("the line", |bed| denied(bed) == 1).await;
+        let denied = |bed: &TestBed| {
+            bed.count_reports(|r| r.to_string().contains("invalid user ID or password"))
+        };
+        bed.wait_until("the report", |bed| denied(bed) == 1).await;
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(
-            bed.seen.borrow().reports.len(),
+            bed.observed.borrow().reports.len(),
             1,
             "{:?}",
-            bed.seen.borrow().reports
+            bed.observed.borrow().reports
         );
-        // The password is mended by a reload.
-        let mut place = bed.place.borrow().clone();
-        place.user = Some(("front".to_owned(), "secret".to_owned()));
-        bed.place.send_replace(place);
+        // A reload corrects the password.
+        let mut config = bed.config.borrow().clone();
+        config.user = Some(("front".to_owned(), "secret".to_owned()));
+        bed.config.send_replace(config);
         put(&bed.etcd, "a", "up");
-        bed.until_is(&[("a", Up)]).await;
+        bed.wait_for_states(&[("a", Up)]).await;
     });
 }
 
 #[test]
-fn endpoints_move_without_losing_what_is_known() {
+fn change_of_endpoints_keeps_the_list() {
     run(async {
-        let bed = Bed::new(2, settings());
+        let bed = TestBed::new(2, settings());
         put(&bed.etcd, "a", "up");
-        bed.until_is(&[("a", Up)]).await;
-        let mut place = bed.place.borrow().clone();
-        place.endpoints.remove(0);
+        bed.wait_for_states(&[("a", Up)]).await;
+        let mut config = bed.config.borrow().clone();
+        config.endpoints.remove(0);
         bed.members[0].down(true);
-        bed.place.send_replace(place);
+        bed.config.send_replace(config);
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining)]).await;
+        bed.wait_for_states(&[("a", Draining)]).await;
         assert_eq!(
-            bed.seen.borrow().snapshots,
+            bed.observed.borrow().snapshots,
             1,
-            "the watch went on from what was seen"
+            "the watch resumed from the last revision"
         );
     });
 }
 
 #[test]
-fn a_lease_that_runs_out_takes_its_node_and_is_named() {
+fn expired_lease_removes_its_node_and_is_reported() {
     run(async {
-        let bed = Bed::new(1, settings());
+        let bed = TestBed::new(1, settings());
         let now = bed.etcd.now();
         let lease = bed.etcd.with(|store| store.grant(now, 1, 0)).unwrap();
-        put_on(&bed.etcd, "a", "up", lease);
+        put_with_lease(&bed.etcd, "a", "up", lease);
         put(&bed.etcd, "b", "up");
-        bed.until_is(&[("a", Up), ("b", Up)]).await;
-        bed.until_is(&[("b", Up)]).await;
+        bed.wait_for_states(&[("a", Up), ("b", Up)]).await;
+        bed.wait_for_states(&[("b", Up)]).await;
         let named =
             |report: &Report| matches!(report, Report::LeaseEnded { hosts, .. } if hosts == &["a"]);
-        bed.until("the lease is named", |bed| bed.reported(named) == 1)
+        bed.wait_until("the lease is named", |bed| bed.count_reports(named) == 1)
             .await;
     });
 }
 
 #[test]
-fn a_member_that_answers_slowly_is_waited_for_and_one_that_never_does_is_not() {
+fn slow_member_is_awaited_and_one_that_never_responds_is_replaced() {
     run(async {
-        let bed = Bed::new(2, settings());
+        let bed = TestBed::new(2, settings());
         put(&bed.etcd, "a", "up");
         bed.members[0].slow(Duration::from_millis(300));
-        bed.until_is(&[("a", Up)]).await;
-        assert_eq!(bed.seen.borrow().snapshots, 1);
+        bed.wait_for_states(&[("a", Up)]).await;
+        assert_eq!(bed.observed.borrow().snapshots, 1);
         bed.members[0].slow(Duration::from_secs(3600));
         bed.members[0].break_off();
         put(&bed.etcd, "a", "draining");
-        bed.until_is(&[("a", Draining)]).await;
+        bed.wait_for_states(&[("a", Draining)]).await;
     });
 }
--- a/crates/etcd/tests/tls.rs
+++ b/crates/etcd/tests/tls.rs
@@ -1,4 +1,4 @@
-//! The client over TLS, against the played etcd behind an end of TLS that this test holds.
+//! The client over TLS, against the fake etcd behind a TLS terminator of this test.
 //! `cargo test -p maplefall-etcd --features tls --test tls`
 
 use maplefall_etcd::client::{follow, ConnectionConfig, PassThrough};
@@ -19,28 +19,32 @@
 use tokio_rustls::rustls::ServerConfig;
 use tokio_rustls::TlsAcceptor;
 
-/// A certificate for 127.0.0.1 that signs itself.
+/// Returns a self-signed certificate for 127.0.0.1.
 fn certificate() -> CertifiedKey<rcgen::KeyPair> {
     generate_simple_self_signed(vec!["127.0.0.1".to_owned()]).unwrap()
 }
 
-/// Ends TLS and hands on to the member.
-async fn end_tls(listener: TcpListener, own: &CertifiedKey<rcgen::KeyPair>, member: SocketAddr) {
-    let key = PrivateKeyDer::Pkcs8(own.signing_key.serialize_der().into());
+/// Terminates TLS and forwards connections to the member.
+async fn terminate_tls(
+    listener: TcpListener,
+    server: &CertifiedKey<rcgen::KeyPair>,
+    member: SocketAddr,
+) {
+    let key = PrivateKeyDer::Pkcs8(server.signing_key.serialize_der().into());
     let provider = Arc::new(tokio_rustls::rustls::crypto::ring::default_provider());
     let config = ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
         .unwrap();
     let mut config = config
         .with_no_client_auth()
-        .with_single_cert(vec![own.cert.der().clone()], key)
+        .with_single_cert(vec![server.cert.der().clone()], key)
         .unwrap();
     config.alpn_protocols = vec![b"h2".to_vec()];
     let acceptor = TlsAcceptor::from(Arc::new(config));
     while let Ok((stream, _)) = listener.accept().await {
         let acceptor = acceptor.clone();
         tokio::spawn(async move {
-            // A client that does not trust the certificate breaks off here.
+            // A client that does not trust the certificate aborts the handshake.
             let Ok(mut outer) = acceptor.accept(stream).await else {
                 return;
             };
@@ -50,8 +54,9 @@
     }
 }
 
-/// Follows through TLS with this authority; what was told within the limit, and what was reported.
-fn tried(
+/// Follows a prefix over TLS, trusting the given authority, until the first snapshot or report.
+/// Returns the number of nodes in the snapshot, and the reports.
+fn follow_with_authority(
     authority: impl Fn(&CertifiedKey<rcgen::KeyPair>) -> String,
 ) -> (Option<usize>, Vec<String>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -72,54 +77,54 @@
             .unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let endpoints = vec![format!("https://{}", listener.local_addr().unwrap())];
-        let own = certificate();
-        let authority = Some(authority(&own).into_bytes());
+        let server = certificate();
+        let authority = Some(authority(&server).into_bytes());
         let address = member.address;
-        tokio::task::spawn_local(async move { end_tls(listener, &own, address).await });
-        let place = watch::Sender::new(ConnectionConfig {
+        tokio::task::spawn_local(async move { terminate_tls(listener, &server, address).await });
+        let config = watch::Sender::new(ConnectionConfig {
             endpoints,
             user: None,
             authority,
         });
-        let seen: Rc<RefCell<(Option<usize>, Vec<String>)>> = Rc::default();
-        let (to, begun) = (seen.clone(), Instant::now());
-        let take = move |output| match output {
-            Output::Update(told) => {
-                if let Event::Snapshot { members, .. } = told.event {
-                    to.borrow_mut().0 = Some(members.hosts.len());
+        let observed: Rc<RefCell<(Option<usize>, Vec<String>)>> = Rc::default();
+        let (target, started) = (observed.clone(), Instant::now());
+        let on_output = move |output| match output {
+            Output::Update(update) => {
+                if let Event::Snapshot { members, .. } = update.event {
+                    target.borrow_mut().0 = Some(members.hosts.len());
                 }
             }
-            Output::Report(report) => to.borrow_mut().1.push(report.to_string()),
+            Output::Report(report) => target.borrow_mut().1.push(report.to_string()),
             Output::Command(_) => {}
         };
-        let clock = move || begun.elapsed().as_secs_f64() * 1000.0;
+        let clock = move || started.elapsed().as_secs_f64() * 1000.0;
         tokio::task::spawn_local(follow(
             Settings::with_defaults(0, 1, "/p"),
-            place.subscribe(),
+            config.subscribe(),
             clock,
-            take,
+            on_output,
             PassThrough,
         ));
-        while seen.borrow().0.is_none() && seen.borrow().1.is_empty() {
+        while observed.borrow().0.is_none() && observed.borrow().1.is_empty() {
             assert!(
-                begun.elapsed() < Duration::from_secs(30),
-                "nothing was told"
+                started.elapsed() < Duration::from_secs(30),
+                "neither a snapshot nor a report"
             );
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        seen.take()
+        observed.take()
     })
 }
 
 #[test]
-fn a_member_whose_authority_is_named_is_followed() {
-    assert_eq!(tried(|own| own.cert.pem()).0, Some(1));
+fn member_with_a_trusted_certificate_is_followed() {
+    assert_eq!(follow_with_authority(|server| server.cert.pem()).0, Some(1));
 }
 
 #[test]
-fn a_member_of_another_authority_is_refused_with_a_clear_line() {
-    let (told, reports) = tried(|_| certificate().cert.pem());
-    assert_eq!(told, None);
+fn member_with_an_untrusted_certificate_is_refused_and_reported() {
+    let (nodes, reports) = follow_with_authority(|_| certificate().cert.pem());
+    assert_eq!(nodes, None);
     assert!(
         reports[0].starts_with("endpoint 0: invalid peer certificate"),
         "{reports:?}"
