--- a/crates/etcd-wire/examples/dump.rs
+++ b/crates/etcd-wire/examples/dump.rs
@@ -1,7 +1,9 @@
-//! Prints every message with every field set, for `benches/foreign_wire.py`: a line each, of the name that etcd's published
-//! `.proto` files give it, its bytes in hexadecimal digits, and its fields by their published names as JSON.
+//! Prints every message with every field set, for `benches/foreign_wire.py`. Each line has the name
+//! of the message in etcd's published `.proto` files, its bytes in hexadecimal digits, and its
+//! fields by their published names as JSON.
 //!
-//! A wrong tag or type is invisible to two sides that share these structs; a reader of the published files finds it.
+//! A wrong tag or type goes unnoticed between two sides that share these structs, but not by a
+//! program that uses the published files.
 
 use maplefall_etcd_wire::*;
 use prost::Message;
--- a/crates/etcd-wire/src/error.rs
+++ b/crates/etcd-wire/src/error.rs
@@ -1,4 +1,5 @@
-//! Messages by which etcd's clients tell errors apart, with their gRPC code (etcd's `api/v3rpc/rpctypes/error.go`).
+//! Error messages by which etcd's clients identify errors, with their gRPC codes (etcd's
+//! `api/v3rpc/rpctypes/error.go`).
 
 /// The requested revision was compacted; `OutOfRange`.
 pub const COMPACTED: &str = "etcdserver: mvcc: required revision has been compacted";
--- a/crates/etcd-wire/src/kv.rs
+++ b/crates/etcd-wire/src/kv.rs
@@ -5,13 +5,13 @@
 /// Header of every response.
 #[derive(Clone, PartialEq, Message)]
 pub struct ResponseHeader {
-    /// Id of the cluster that answered.
+    /// Id of the cluster that responded.
     #[prost(uint64, tag = "1")]
     pub cluster_id: u64,
-    /// Id of the member that answered.
+    /// Id of the member that responded.
     #[prost(uint64, tag = "2")]
     pub member_id: u64,
-    /// Revision of the store when the member answered.
+    /// Revision of the store when the member responded.
     #[prost(int64, tag = "3")]
     pub revision: i64,
     /// Raft term of the member.
@@ -51,7 +51,7 @@
     /// The key after the change; for a deletion only its name and `mod_revision`.
     #[prost(message, optional, tag = "2")]
     pub kv: Option<KeyValue>,
-    /// The key before the change, if it was asked for.
+    /// The key before the change, if it was requested.
     #[prost(message, optional, tag = "3")]
     pub prev_kv: Option<KeyValue>,
 }
@@ -69,10 +69,11 @@
     /// First key of the range.
     #[prost(bytes = "vec", tag = "1")]
     pub key: Vec<u8>,
-    /// End of the range, exclusive: empty for the single key, one zero byte for all keys from `key` on.
+    /// End of the range, exclusive: empty for the single key, one zero byte for all keys from `key`
+    /// on.
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
-    /// Keys at most; 0 for no limit.
+    /// Maximum number of keys; 0 for no limit.
     #[prost(int64, tag = "3")]
     pub limit: i64,
     /// Revision to read at; 0 for the current one.
@@ -84,13 +85,14 @@
     /// Field to order by; 0 for the key.
     #[prost(int32, tag = "6")]
     pub sort_target: i32,
-    /// Whether the member may answer from its own state, which may be stale; else the read is linearizable.
+    /// Whether the member may respond from its own state, which may be stale; otherwise the read
+    /// is linearizable.
     #[prost(bool, tag = "7")]
     pub serializable: bool,
     /// Whether values are left out.
     #[prost(bool, tag = "8")]
     pub keys_only: bool,
-    /// Whether only the number of keys is wanted.
+    /// Whether the response has only the number of keys.
     #[prost(bool, tag = "9")]
     pub count_only: bool,
 }
@@ -124,7 +126,7 @@
     /// Lease to attach the key to; 0 for none.
     #[prost(int64, tag = "3")]
     pub lease: i64,
-    /// Whether the previous key is wanted.
+    /// Whether the response includes the previous key.
     #[prost(bool, tag = "4")]
     pub prev_kv: bool,
 }
@@ -135,7 +137,7 @@
     /// Response header.
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
-    /// The previous key, if it was asked for and existed.
+    /// The previous key, if it was requested and existed.
     #[prost(message, optional, tag = "2")]
     pub prev_kv: Option<KeyValue>,
 }
@@ -149,7 +151,7 @@
     /// End of the range, as in [`RangeRequest::range_end`].
     #[prost(bytes = "vec", tag = "2")]
     pub range_end: Vec<u8>,
-    /// Whether the deleted keys are wanted.
+    /// Whether the response includes the deleted keys.
     #[prost(bool, tag = "3")]
     pub prev_kv: bool,
 }
@@ -163,7 +165,7 @@
     /// Number of keys deleted.
     #[prost(int64, tag = "2")]
     pub deleted: i64,
-    /// The deleted keys, if they were asked for.
+    /// The deleted keys, if they were requested.
     #[prost(message, repeated, tag = "3")]
     pub prev_kvs: Vec<KeyValue>,
 }
@@ -286,7 +288,7 @@
     pub responses: Vec<ResponseOp>,
 }
 
-/// Drops the history before a revision.
+/// Compacts the history: drops what is before a revision.
 #[derive(Clone, PartialEq, Message)]
 pub struct CompactionRequest {
     /// Oldest revision to keep.
--- a/crates/etcd-wire/src/lease.rs
+++ b/crates/etcd-wire/src/lease.rs
@@ -31,8 +31,8 @@
     pub error: String,
 }
 
-/// Revokes or renews a lease, or asks for its time to live (`LeaseRevokeRequest`, `LeaseKeepAliveRequest`,
-/// `LeaseTimeToLiveRequest`).
+/// Revokes or renews a lease, or requests its time to live (`LeaseRevokeRequest`,
+/// `LeaseKeepAliveRequest`, `LeaseTimeToLiveRequest`).
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseRequest {
     /// Id of the lease.
--- a/crates/etcd-wire/src/lib.rs
+++ b/crates/etcd-wire/src/lib.rs
@@ -1,10 +1,12 @@
-//! Messages of etcd's v3 API, as far as they are used here (etcd's `api/etcdserverpb/rpc.proto`, `api/mvccpb/kv.proto`).
+//! Messages of etcd's v3 API, as far as they are used here (etcd's `api/etcdserverpb/rpc.proto`,
+//! `api/mvccpb/kv.proto`).
 //!
-//! They are written by hand for `prost`'s derive, so that a build needs no compiler of `.proto` files. Fields that neither side
-//! uses are left out: protobuf skips unknown fields.
+//! They are written by hand for `prost`'s derive, so that a build needs no compiler of `.proto`
+//! files. Fields that neither side uses are left out: protobuf skips unknown fields.
 //!
-//! Invariant: tags, types and field names are the published ones (`examples/dump.rs` prints every message for a check against
-//! the published files). Where a Rust name differs, its doc names the published one.
+//! Invariant: tags, types and field names are the published ones (`examples/dump.rs` prints every
+//! message for a check against the published files). Where a Rust name differs, its doc names the
+//! published one.
 
 mod auth;
 pub mod error;
@@ -25,8 +27,9 @@
     WatchResponse,
 };
 
-/// `range_end` of all keys that begin with `prefix`: the prefix up to its last byte below `0xff`, with that byte incremented.
-/// An empty prefix, or one of `0xff` bytes only, gives one zero byte, which etcd reads as "no end".
+/// Returns the `range_end` of all keys that begin with `prefix`: the prefix up to its last byte
+/// below `0xff`, with that byte incremented. An empty prefix, or one of `0xff` bytes only, gives
+/// one zero byte, which etcd reads as "no end".
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -35,7 +38,7 @@
             return end;
         }
     }
-    // No greater prefix exists: all keys from here on.
+    // No greater prefix exists: the range has all keys from the prefix on.
     vec![0]
 }
 
--- a/crates/etcd-wire/src/path.rs
+++ b/crates/etcd-wire/src/path.rs
@@ -8,7 +8,7 @@
 pub const DELETE_RANGE: &str = "/etcdserverpb.KV/DeleteRange";
 /// Applies several operations at one revision.
 pub const TXN: &str = "/etcdserverpb.KV/Txn";
-/// Drops history.
+/// Compacts the history.
 pub const COMPACT: &str = "/etcdserverpb.KV/Compact";
 /// Streams changes.
 pub const WATCH: &str = "/etcdserverpb.Watch/Watch";
--- a/crates/etcd-wire/src/watch.rs
+++ b/crates/etcd-wire/src/watch.rs
@@ -22,7 +22,7 @@
         /// Cancels a watch (`cancel_request`).
         #[prost(message, tag = "2")]
         Cancel(super::WatchCancelRequest),
-        /// Asks for the progress (`progress_request`).
+        /// Requests a progress notification (`progress_request`).
         #[prost(message, tag = "3")]
         Progress(super::WatchProgressRequest),
     }
@@ -43,7 +43,7 @@
     /// Whether empty responses report the progress while there are no events.
     #[prost(bool, tag = "4")]
     pub progress_notify: bool,
-    /// Whether previous keys are wanted in events.
+    /// Whether events include the previous keys.
     #[prost(bool, tag = "6")]
     pub prev_kv: bool,
     /// Id of the watch; 0 lets the member choose one.
@@ -62,7 +62,7 @@
     pub watch_id: i64,
 }
 
-/// Asks for the progress of all watches of the stream.
+/// Requests a progress notification for all watches of the stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchProgressRequest {}
 
@@ -81,7 +81,8 @@
     /// Whether the watch was cancelled by this message.
     #[prost(bool, tag = "4")]
     pub canceled: bool,
-    /// If the watch was cancelled because its revision is compacted: the oldest revision that can be watched; else 0.
+    /// If the watch was cancelled because its revision is compacted: the oldest revision that can
+    /// be watched; else 0.
     #[prost(int64, tag = "5")]
     pub compact_revision: i64,
     /// Reason of the cancellation.
