--- a/crates/etcd/src/follower.rs
+++ b/crates/etcd/src/follower.rs
@@ -102,10 +102,10 @@
     page_size: i64,
     /// Time of the last response or of the last request that awaits one.
     last_activity: Millis,
-    /// Whether a progress notification has been requested since then.
+    /// Whether a progress notification has been requested since `last_activity`.
     progress_requested: bool,
     /// Number of consecutive failures.
-    failed: u32,
+    failures: u32,
     /// Whether the next connection reads all keys although `last_revision` is set.
     full_read: bool,
     /// Whether the membership counts the source as lost or has no event of it yet.
@@ -140,7 +140,7 @@
             page_size: settings.page_size.max(1),
             last_activity: 0.0,
             progress_requested: false,
-            failed: 0,
+            failures: 0,
             full_read: false,
             lost: true,
             reported: BTreeSet::new(),
@@ -168,7 +168,7 @@
         self.cluster
     }
 
-    /// Whether the watch was created.
+    /// Whether a watch is open.
     pub fn is_watching(&self) -> bool {
         matches!(self.phase, Phase::Watching(_))
     }
@@ -191,7 +191,7 @@
             prefix: self.settings.prefix.clone(),
             ..settings
         };
-        (self.endpoint, self.failed, self.page_size) = (0, 0, self.settings.page_size.max(1));
+        (self.endpoint, self.failures, self.page_size) = (0, 0, self.settings.page_size.max(1));
         self.reported.clear();
         self.phase = Phase::BackingOff(now);
         self.handle_timeout(now);
@@ -335,13 +335,13 @@
     /// failure until a watch was stable, and is at least `min_delay` before jitter.
     fn back_off(&mut self, now: Millis, min_delay: Millis) {
         if matches!(self.phase, Phase::Watching(since) if now - since >= STABLE_WATCH_MS) {
-            self.failed = 0;
+            self.failures = 0;
         }
         self.close();
         let [min, max] = self.settings.backoff;
         let delay =
-            (min * f64::from(1u32 << self.failed.min(16))).clamp(min_delay, max.max(min_delay));
-        self.failed = self.failed.saturating_add(1);
+            (min * f64::from(1u32 << self.failures.min(16))).clamp(min_delay, max.max(min_delay));
+        self.failures = self.failures.saturating_add(1);
         let jitter = 0.5 + 0.5 * f64::from(self.rng.next_u32()) / 4_294_967_296.0;
         self.phase = Phase::BackingOff(now + delay * jitter);
     }
@@ -382,7 +382,7 @@
     }
 
     fn fail(&mut self, now: Millis, failure: Failure) {
-        let (endpoint, first) = (self.endpoint, self.failed == 0);
+        let (endpoint, first) = (self.endpoint, self.failures == 0);
         let (kind, switch_endpoint) = match failure {
             Failure::Unavailable(_) => (0, true),
             // Tokens expire in normal operation, so the same endpoint is asked for a new token
@@ -704,7 +704,7 @@
         // A watch that delivers a change resets the backoff, however short it lasts. Otherwise,
         // after an outage, every change would be late for as long as connections break now and
         // then.
-        (self.last_revision, self.failed) = (Some(newest), 0);
+        (self.last_revision, self.failures) = (Some(newest), 0);
         if !last.is_empty() {
             let delay = written.map(|at| (self.settings.unix_start + now - at).max(0.0));
             let members = Members {
--- a/crates/etcd/src/interface.rs
+++ b/crates/etcd/src/interface.rs
@@ -172,8 +172,8 @@
     pub event: Event,
     /// Difference between the revision of the member's store and the oldest change in the event.
     pub revisions_behind: i64,
-    /// Milliseconds since the oldest change in the event was written, if a value has its time of
-    /// writing.
+    /// Milliseconds since the oldest change in the event was written, if a value has a
+    /// `written_ms`.
     pub delay: Option<Millis>,
 }
 
@@ -222,7 +222,7 @@
         /// The failure.
         failure: Failure,
     },
-    /// A member is behind the last revision seen; its response is discarded.
+    /// A member is behind the last revision seen; the next endpoint is tried.
     #[error("endpoint {endpoint} is behind: at revision {revision}, but {seen} was seen")]
     Behind {
         /// The endpoint.
@@ -272,7 +272,7 @@
         /// Number of further nodes.
         more: usize,
     },
-    /// A fragmented watch response exceeds the limits; all keys are read again.
+    /// A watch response exceeds the limits; all keys are read again.
     #[error("a watch response of over {0} changes, or too many bytes; reading all keys again")]
     TooManyChanges(usize),
 }
