--- a/crates/etcd/examples/cost.rs
+++ b/crates/etcd/examples/cost.rs
@@ -1,5 +1,6 @@
-//! What a change costs from the bytes of a watch's message to the list for the decision module, with no socket between:
-//! time, allocations and bytes. `cargo run --release -p maplefall-etcd --example cost [NODES [CHANGES]]`
+//! Measures the cost of a change, from the encoded watch response to the changes of the backend
+//! list, without sockets: time, allocations and bytes.
+//! `cargo run --release -p maplefall-etcd --example cost [NODES [CHANGES]]`
 
 use maplefall_etcd::{Command, Follower, Input, Output, Settings};
 use maplefall_etcd_wire::{Event, KeyValue, RangeResponse, ResponseHeader, WatchResponse};
@@ -10,7 +11,7 @@
 use std::time::Instant;
 
 #[global_allocator]
-static COUNTED: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
+static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 fn kv(node: i64, revision: i64, state: &str) -> KeyValue {
     let address = format!(
@@ -30,8 +31,9 @@
     }
 }
 
-/// Hands in an input and all that comes of it; tells how many changes came out for the decision module.
-fn hand(
+/// Passes an input to the follower and its updates to the membership. Returns the number of changes
+/// of the backend list.
+fn apply(
     follower: &mut Follower,
     roster: &mut EndpointList,
     input: Option<Input>,
@@ -41,10 +43,12 @@
         follower.handle(0.0, 1, input);
     }
     let mut changes = 0;
-    while let Some(output) = follower.output() {
+    while let Some(output) = follower.poll_output() {
         match output {
             Output::Command(command) => commands.push(command),
-            Output::Tell(told) => changes += roster.apply_event(0.0, told.event).changes.len(),
+            Output::Update(update) => {
+                changes += roster.apply_event(0.0, update.event).changes.len()
+            }
             Output::Report(_) => {}
         }
     }
@@ -52,12 +56,12 @@
 }
 
 fn main() {
-    let mut told = std::env::args()
+    let mut args = std::env::args()
         .skip(1)
         .filter_map(|text| text.parse::<i64>().ok());
     let (nodes, count) = (
-        told.next().unwrap_or(5000).max(1),
-        told.next().unwrap_or(100_000),
+        args.next().unwrap_or(5000).max(1),
+        args.next().unwrap_or(100_000),
     );
     let header = |revision| {
         Some(ResponseHeader {
@@ -68,8 +72,8 @@
         })
     };
     let mut follower = Follower::new(Settings {
-        page: nodes,
-        ..Settings::usual(0, 1, "/p")
+        page_size: nodes,
+        ..Settings::with_defaults(0, 1, "/p")
     });
     let mut roster = EndpointList::new(vec![SourceSettings::trusted("etcd")]);
     let mut commands = Vec::new();
@@ -82,27 +86,27 @@
     };
     let bytes = page.encode_to_vec();
     drop(page);
-    let (region, begun) = (Region::new(COUNTED), Instant::now());
-    follower.pass_time(0.0);
-    hand(&mut follower, &mut roster, None, &mut commands);
-    hand(
+    let (region, started) = (Region::new(ALLOCATOR), Instant::now());
+    follower.handle_timeout(0.0);
+    apply(&mut follower, &mut roster, None, &mut commands);
+    apply(
         &mut follower,
         &mut roster,
         Some(Input::Opened),
         &mut commands,
     );
-    let page = RangeResponse::decode(bytes.as_slice()).expect("what was written here");
-    let listed = hand(
+    let page = RangeResponse::decode(bytes.as_slice()).expect("a message encoded above");
+    let listed = apply(
         &mut follower,
         &mut roster,
         Some(Input::Page(page)),
         &mut commands,
     );
-    let (took, stats) = (begun.elapsed(), region.change());
+    let (elapsed, stats) = (started.elapsed(), region.change());
     let kept = stats.bytes_allocated as i64 - stats.bytes_deallocated as i64
         + stats.bytes_reallocated as i64;
     println!(
-        "reading of {nodes} nodes, {} bytes: {took:.1?}, {listed} listed, {} KiB kept",
+        "reading of {nodes} nodes, {} bytes: {elapsed:.1?}, {listed} listed, {} KiB kept",
         bytes.len(),
         kept / 1024
     );
@@ -112,19 +116,19 @@
         created: true,
         ..Default::default()
     };
-    hand(
+    apply(
         &mut follower,
         &mut roster,
-        Some(Input::Watched(created)),
+        Some(Input::WatchResponse(created)),
         &mut commands,
     );
     for each in [1, 100] {
-        let from = follower.seen().unwrap_or(0);
+        let from = follower.last_revision().unwrap_or(0);
         let messages: Vec<Vec<u8>> = (0..count / each)
             .map(|message| {
                 let event = |n: i64| {
                     let number = message * each + n;
-                    // Every node in turn, draining and up by turns.
+                    // Every node in turn; each alternates between draining and up.
                     let state = if number / nodes % 2 == 0 {
                         "draining"
                     } else {
@@ -147,22 +151,23 @@
             })
             .collect();
         let length: usize = messages.iter().map(Vec::len).sum();
-        let (region, begun) = (Region::new(COUNTED), Instant::now());
+        let (region, started) = (Region::new(ALLOCATOR), Instant::now());
         let mut out = 0;
         for bytes in &messages {
-            let answer = WatchResponse::decode(bytes.as_slice()).expect("what was written here");
-            out += hand(
+            let response =
+                WatchResponse::decode(bytes.as_slice()).expect("a message encoded above");
+            out += apply(
                 &mut follower,
                 &mut roster,
-                Some(Input::Watched(answer)),
+                Some(Input::WatchResponse(response)),
                 &mut commands,
             );
         }
-        let (took, stats) = (begun.elapsed(), region.change());
+        let (elapsed, stats) = (started.elapsed(), region.change());
         let per = |total: f64| total / out.max(1) as f64;
         println!(
             "{each} changes a message: {out} changes, {:.2} us, {:.1} allocations of {:.0} bytes in all, {:.0} bytes of message each",
-            per(took.as_secs_f64() * 1e6),
+            per(elapsed.as_secs_f64() * 1e6),
             per(stats.allocations as f64),
             per(stats.bytes_allocated as f64),
             per(length as f64)
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -5,7 +5,7 @@
 
 use hyper::Uri;
 use maplefall_discovery_agent::{parse_line, CallEvent, Line, ListUpdate, Output};
-use maplefall_etcd::client::Seam;
+use maplefall_etcd::client::Interceptor;
 use maplefall_etcd::{Command, Input};
 use maplefall_membership::{EndpointList, Event, Update};
 use maplefall_policy::{Action, BackendEntry, Idempotency, Millis, RejectReason, Settings};
@@ -289,7 +289,7 @@
     oldest_revision: i64,
 }
 
-impl Seam for EtcdSeam {
+impl Interceptor for EtcdSeam {
     fn command(&mut self, mut command: Command) -> Command {
         if let Command::Watch { request, .. } = &mut command {
             if is(Breakage::ResumesAtCurrent) {
@@ -301,7 +301,7 @@
     }
 
     fn input(&mut self, mut input: Input) -> Input {
-        if let Input::Watched(answer) = &mut input {
+        if let Input::WatchResponse(answer) = &mut input {
             if is(Breakage::CompactionIgnored) && answer.compact_revision > 0 {
                 self.oldest_revision = std::mem::take(&mut answer.compact_revision);
             }
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -9,8 +9,8 @@
 use super::breakages;
 use super::driver::Driver;
 use super::sources::{Source, SourceKind, Sources};
-use maplefall_etcd::client::{self, Place};
-use maplefall_etcd::{one_line, value, Output, Report, Told};
+use maplefall_etcd::client::{self, ConnectionConfig};
+use maplefall_etcd::{one_line, value, Output, Report, SourceUpdate};
 use maplefall_membership::{EndpointList, Event, SourceSettings, Update, MAX_BACKENDS};
 use maplefall_policy::Millis;
 use maplefall_protocol::{Member, Members};
@@ -48,7 +48,7 @@
     /// The agent's index among the sources.
     agent_index: Option<usize>,
     /// Endpoints and credentials of each etcd, by its index among the sources.
-    etcd_access: BTreeMap<usize, watch::Sender<Place>>,
+    etcd_access: BTreeMap<usize, watch::Sender<ConnectionConfig>>,
     /// Number of reads of node files; each read is a version.
     file_reads: Cell<u64>,
     /// When a late change was last logged.
@@ -214,10 +214,10 @@
                         SourceKind::Etcd { follow: new, .. },
                     ) => {
                         maplefall_etcd::Settings {
-                            endpoints: 0,
+                            endpoint_count: 0,
                             ..old.clone()
                         } == maplefall_etcd::Settings {
-                            endpoints: 0,
+                            endpoint_count: 0,
                             ..new.clone()
                         }
                     }
@@ -278,19 +278,19 @@
                 self.log(&format_args!("{name}: passed over: {report}"));
             }
             Output::Report(report) => self.log(&format_args!("{name}: {report}")),
-            Output::Tell(Told {
+            Output::Update(SourceUpdate {
                 event,
-                behind,
-                late,
+                revisions_behind,
+                delay,
             }) => {
                 let now = self.driver.clock.now();
-                if late.is_some_and(|late| late > LATE_CHANGE_THRESHOLD)
+                if delay.is_some_and(|delay| delay > LATE_CHANGE_THRESHOLD)
                     && now - self.late_logged_at.get() >= LATE_CHANGE_LOG_INTERVAL
                 {
                     self.late_logged_at.set(now);
-                    let late = late.unwrap_or(0.0);
+                    let delay = delay.unwrap_or(0.0);
                     self.log(&format_args!(
-                        "{name}: a change arrived {late:.0} ms after it was written, {behind} revisions behind"
+                        "{name}: a change arrived {delay:.0} ms after it was written, {revisions_behind} revisions behind"
                     ));
                 }
                 self.apply_event(event);
@@ -396,8 +396,8 @@
 }
 
 #[cfg(not(feature = "breakages"))]
-fn etcd_seam() -> client::Straight {
-    client::Straight
+fn etcd_seam() -> client::PassThrough {
+    client::PassThrough
 }
 
 /// Numbers of lines that were logged and suppressed in the present window.
@@ -461,8 +461,8 @@
     }
     let (mut nodes, mut invalid) = (Vec::new(), Vec::new());
     for (id, document) in documents {
-        let read = value::id(id.as_bytes(), b"")
-            .and_then(|id| value::member(id, document.to_string().as_bytes()));
+        let read = value::parse_id(id.as_bytes(), b"")
+            .and_then(|id| value::parse_member(id, document.to_string().as_bytes()));
         match read {
             Ok((member, _)) => nodes.push(member),
             Err(why) => invalid.push((id, one_line(&why.to_string()))),
