--- a/crates/proxy/tests/abandoned_requests.rs
+++ b/crates/proxy/tests/abandoned_requests.rs
@@ -1,5 +1,6 @@
-//! Requests whose clients leave before the response (GONE): what may be repeated ends with its client, what has not reached a
-//! backend never does, and what may run once at most is left to end.
+//! Requests whose clients disconnect before the response (rule GONE): an attempt of an idempotent
+//! request is cancelled, a request that is not completely written never reaches its backend, and a
+//! non-idempotent request that a backend has received is left to finish.
 
 mod common;
 
@@ -15,55 +16,56 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A backend may still be at work this long after its client has left (the users' rule GONE).
-const MAX_WORK_AFTER_CLIENT: Duration = Duration::from_millis(500);
+/// The time that a backend may still work on a request after its client has disconnected (rule
+/// GONE).
+const MAX_WORK_AFTER_DISCONNECT: Duration = Duration::from_millis(500);
 /// More than the kernel buffers on the way to a backend that does not read.
 const LONG_BODY_BYTES: usize = 32 << 20;
 
 /// A backend that never responds.
 #[derive(Default)]
-struct SilentBackend {
+struct UnresponsiveBackend {
     /// Notified when the first bytes of a request have arrived.
-    request_begun: Notify,
-    /// Notified when a whole request has arrived.
-    request_read: Notify,
+    request_started: Notify,
+    /// Notified when a complete request has arrived.
+    request_received: Notify,
     /// Notified when the connection has ended.
     connection_ended: Notify,
-    /// Whole requests that have arrived.
+    /// Number of complete requests that have arrived.
     received: Cell<usize>,
-    /// It reads no further than the first bytes until this is notified; `None` if it does not wait.
-    read_on: Option<Notify>,
+    /// Delays reading after the first bytes until notified; `None` for no delay.
+    resume_reading: Option<Notify>,
 }
 
-impl SilentBackend {
-    /// Serves the backend on a loopback port.
+impl UnresponsiveBackend {
+    /// Starts the backend on a loopback port.
     async fn listen(self: Rc<Self>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(self.clone().read(stream));
+                tokio::task::spawn_local(self.clone().read_requests(stream));
             }
         });
         address
     }
 
-    async fn read(self: Rc<Self>, mut stream: TcpStream) {
+    async fn read_requests(self: Rc<Self>, mut stream: TcpStream) {
         let (mut buffer, mut chunk) = (Vec::new(), vec![0_u8; 64 << 10]);
         while let Ok(count @ 1..) = stream.read(&mut chunk).await {
             let is_first = buffer.is_empty();
             buffer.extend_from_slice(&chunk[..count]);
             if is_first {
-                self.request_begun.notify_one();
-                if let Some(read_on) = &self.read_on {
-                    read_on.notified().await;
+                self.request_started.notify_one();
+                if let Some(resume_reading) = &self.resume_reading {
+                    resume_reading.notified().await;
                 }
             }
             if buffer.len() < LONG_BODY_BYTES / 2 || buffer.len() >= LONG_BODY_BYTES {
                 if let Ok((_, end)) = parse_request(&buffer, 0) {
                     buffer.drain(..end);
                     self.received.set(self.received.get() + 1);
-                    self.request_read.notify_one();
+                    self.request_received.notify_one();
                 }
             }
         }
@@ -90,23 +92,24 @@
     stream
 }
 
-/// Returns once the proxy knows that no client waits for a response.
-async fn all_clients_gone(proxy: &TestProxy) {
+/// Waits until the proxy has no request whose client waits for a response.
+async fn wait_until_no_client_waits(proxy: &TestProxy) {
     while proxy.proxy.with_core(|core| core.has_pending_requests()) {
         tokio::task::yield_now().await;
     }
 }
 
-/// Guards the work of backends (GONE). Seen by the users, and on a day with slow backends and clients that leave: every attempt
-/// went on until its response. Also while the proxy shuts down, when clients keep their connections to the end.
+/// Guards against work that nobody waits for (rule GONE): with slow backends and disconnecting
+/// clients, every attempt went on until its response. Also checked during a shutdown, when clients
+/// keep their connections until the end.
 #[test]
-fn a_repeatable_request_ends_with_its_client() {
+fn an_idempotent_request_is_cancelled_when_its_client_disconnects() {
     for shutting_down in [false, true] {
         run_local(async move {
-            let backend = Rc::new(SilentBackend::default());
+            let backend = Rc::new(UnresponsiveBackend::default());
             let proxy = TestProxy::start(1, &[backend.clone().listen().await]).await;
             let client = send_request(&proxy, "/patient/a", 2).await;
-            backend.request_read.notified().await;
+            backend.request_received.notified().await;
             if shutting_down {
                 let (server, deadline) = (proxy.server.clone(), Instant::now());
                 let deadline = deadline + common::slow_backend::TIMEOUT;
@@ -117,47 +120,52 @@
             }
             drop(client);
             let ended = backend.connection_ended.notified();
-            let in_time = tokio::time::timeout(MAX_WORK_AFTER_CLIENT, ended).await;
+            let in_time = tokio::time::timeout(MAX_WORK_AFTER_DISCONNECT, ended).await;
             assert!(in_time.is_ok(), "shutting_down={shutting_down}");
-            assert_eq!(backend.received.get(), 1, "it is not sent again");
+            assert_eq!(backend.received.get(), 1, "the request was sent again");
         });
     }
 }
 
-/// Guards what is not idempotent: a backend that is at work on it may be halfway through, so it is left to end.
+/// Guards non-idempotent requests: the backend may have run one halfway, so the attempt is not
+/// cancelled.
 #[test]
-fn a_request_that_may_run_once_only_is_left_to_its_backend() {
+fn a_non_idempotent_request_continues_after_its_client_disconnects() {
     run_local(async {
-        let backend = Rc::new(SilentBackend::default());
+        let backend = Rc::new(UnresponsiveBackend::default());
         let proxy = TestProxy::start(1, &[backend.clone().listen().await]).await;
         let client = send_request(&proxy, "/once/a", 2).await;
-        backend.request_read.notified().await;
+        backend.request_received.notified().await;
         drop(client);
-        all_clients_gone(&proxy).await;
+        wait_until_no_client_waits(&proxy).await;
         let ended = backend.connection_ended.notified();
-        let too_soon = tokio::time::timeout(MAX_WORK_AFTER_CLIENT, ended).await;
-        assert!(too_soon.is_err(), "the attempt was broken off");
+        let wait_result = tokio::time::timeout(MAX_WORK_AFTER_DISCONNECT, ended).await;
+        assert!(wait_result.is_err(), "the attempt was cancelled");
     });
 }
 
-/// Guards against effects that nobody waits for: a request that was not completely written when its client left has not run, and
-/// never will.
+/// Guards against side effects that nobody waits for: a request that was not completely written
+/// when its client disconnected has not run and never will.
 #[test]
-fn an_unwritten_request_never_reaches_its_backend_once_its_client_has_left() {
+fn a_partially_written_request_is_not_completed_after_its_client_disconnects() {
     for path in ["/patient/long", "/once/long"] {
         run_local(async move {
-            let backend = Rc::new(SilentBackend {
-                read_on: Some(Notify::new()),
-                ..SilentBackend::default()
+            let backend = Rc::new(UnresponsiveBackend {
+                resume_reading: Some(Notify::new()),
+                ..UnresponsiveBackend::default()
             });
             let proxy = TestProxy::start(1, &[backend.clone().listen().await]).await;
             let client = send_request(&proxy, path, LONG_BODY_BYTES).await;
-            backend.request_begun.notified().await;
+            backend.request_started.notified().await;
             drop(client);
-            all_clients_gone(&proxy).await;
-            backend.read_on.as_ref().expect("it waits").notify_one();
+            wait_until_no_client_waits(&proxy).await;
+            backend
+                .resume_reading
+                .as_ref()
+                .expect("a backend that delays reading")
+                .notify_one();
             backend.connection_ended.notified().await;
-            assert_eq!(backend.received.get(), 0, "{path} was received whole");
+            assert_eq!(backend.received.get(), 0, "{path} was received completely");
         });
     }
 }
--- a/crates/proxy/tests/backend_responses/backend.rs
+++ b/crates/proxy/tests/backend_responses/backend.rs
@@ -18,7 +18,7 @@
     Reset,
 }
 
-/// A valid response with this id; a failure has no seal.
+/// Returns a valid response with this id; only a success has a seal.
 fn valid_response(random: &mut Random, id: &str) -> Vec<u8> {
     let (status, headers) = random.one_of(&[
         ("200 OK", ""),
@@ -59,16 +59,16 @@
     let mut text = format!("{head}Transfer-Encoding: chunked\r\n\r\n");
     let mut remaining = body.as_str();
     while !remaining.is_empty() {
-        let (now, rest) = remaining.split_at(1 + random.below(remaining.len()));
+        let (piece, after_piece) = remaining.split_at(1 + random.below(remaining.len()));
         let extension = random.one_of(&["", "", ";a=b"]);
-        text += &format!("{:x}{extension}\r\n{now}\r\n", now.len());
-        remaining = rest;
+        text += &format!("{:x}{extension}\r\n{piece}\r\n", piece.len());
+        remaining = after_piece;
     }
     text += random.one_of(&["0\r\n\r\n", "0\r\n\r\n", "0\r\nX-Late: 1\r\n\r\n"]);
     text.into_bytes()
 }
 
-/// A valid response with one mutation, or without any.
+/// Returns a valid response with one mutation, or without any.
 fn mutated_response(random: &mut Random, id: &str, earlier_id: &str) -> (Vec<u8>, ConnectionEnd) {
     let mut bytes = valid_response(random, id);
     let text = String::from_utf8_lossy(&bytes).into_owned();
@@ -78,14 +78,14 @@
     } else {
         ConnectionEnd::KeepOpen
     };
-    let id_line = format!("X-Attempt-Id: {id}\r\n");
+    let id_header = format!("X-Attempt-Id: {id}\r\n");
     match random.below(220) {
-        0 => bytes = with(&id_line, &format!("X-Attempt-Id: {earlier_id}\r\n")),
-        1 => bytes = with(&id_line, ""),
+        0 => bytes = with(&id_header, &format!("X-Attempt-Id: {earlier_id}\r\n")),
+        1 => bytes = with(&id_header, ""),
         2 => {
             bytes = with(
-                &id_line,
-                &format!("{id_line}X-Attempt-Id: {earlier_id}\r\n"),
+                &id_header,
+                &format!("{id_header}X-Attempt-Id: {earlier_id}\r\n"),
             )
         }
         3 => bytes = with("X-Server-Seal: 3e1b.07\r\n", ""),
@@ -185,14 +185,14 @@
                 1..5 => 1 + random.below(remaining.len()),
                 _ => remaining.len(),
             };
-            let (now, rest) = remaining.split_at(size);
-            remaining = rest;
-            if self.stream.write_all(now).await.is_err() {
+            let (piece, after_piece) = remaining.split_at(size);
+            remaining = after_piece;
+            if self.stream.write_all(piece).await.is_err() {
                 return false;
             }
             {
                 let mut log = self.log.borrow_mut();
-                log.written.extend_from_slice(now);
+                log.written.extend_from_slice(piece);
                 let end = log.written.len();
                 log.write_times.push((self.case.now(), end));
             }
@@ -210,7 +210,7 @@
 
 async fn serve_connection(mut connection: BackendConnection, mut random: Random) {
     let (mut buffer, mut earlier_id) = (Vec::new(), "0-0-0".to_owned());
-    let mut send_late = false;
+    let mut sends_unsolicited = false;
     loop {
         let mut chunk = [0_u8; 16 << 10];
         let Ok(count @ 1..) = connection.stream.read(&mut chunk).await else {
@@ -218,18 +218,21 @@
         };
         let started = buffer.is_empty();
         buffer.extend_from_slice(&chunk[..count]);
-        if std::mem::take(&mut send_late) {
+        if std::mem::take(&mut sends_unsolicited) {
             let unsolicited = valid_response(&mut random, &earlier_id);
             connection.write(&unsolicited, &mut random).await;
         }
         let (request, end) = match parse_request(&buffer, 0) {
             Ok(request) => request,
-            Err(ParseError::Invalid(why)) => panic!("the proxy wrote no valid request: {why}"),
+            Err(ParseError::Invalid(reason)) => {
+                panic!("the proxy wrote an invalid request: {reason}")
+            }
             Err(ParseError::Incomplete) => {
                 if !started || !random.percent(15) {
                     continue;
                 }
-                // The request is incomplete: all but the last byte, or what one write contained.
+                // The request is incomplete: all of it but the last byte has arrived, or what one
+                // write contained.
                 let text = String::from_utf8_lossy(&buffer);
                 let id = text
                     .lines()
@@ -261,7 +264,7 @@
         };
         buffer.drain(..end);
         let id = request.single("x-attempt-id").unwrap_or("none").to_owned();
-        let may_be_silent = request
+        let may_not_respond = request
             .single("x-time-remaining")
             .and_then(|ms| ms.parse::<u64>().ok())
             .unwrap_or(0)
@@ -271,7 +274,7 @@
             let written = log.written.len();
             log.requests.push((request, written));
         }
-        if may_be_silent && random.percent(60) {
+        if may_not_respond && random.percent(60) {
             continue;
         }
         let (bytes, connection_end) = mutated_response(&mut random, &id, &earlier_id);
@@ -279,7 +282,8 @@
         {
             return connection.end(connection_end);
         }
-        // Unsolicited bytes, soon or just as the next request arrives; or a close, which may meet that.
+        // Sends unsolicited bytes, soon or just as the next request arrives, or closes the
+        // connection, which may coincide with the next request.
         match random.below(40) {
             0 | 1 => {
                 for _ in 0..random.below(30) {
@@ -292,7 +296,7 @@
                 };
                 connection.write(&unsolicited, &mut random).await;
             }
-            2 => send_late = true,
+            2 => sends_unsolicited = true,
             3 => {
                 for _ in 0..random.below(30) {
                     tokio::task::yield_now().await;
--- a/crates/proxy/tests/backend_responses/case.rs
+++ b/crates/proxy/tests/backend_responses/case.rs
@@ -1,4 +1,4 @@
-//! The record of one case.
+//! The record of one test case.
 
 use crate::common::http::Message;
 use std::cell::{Cell, RefCell};
@@ -8,13 +8,14 @@
 /// What a backend received and wrote on one connection.
 #[derive(Default)]
 pub struct ConnectionLog {
-    /// All that it wrote.
+    /// All bytes that the backend wrote.
     pub written: Vec<u8>,
-    /// The time after each write, and the bytes written by then.
+    /// For each write, the time after it and the total bytes written by then.
     pub write_times: Vec<(u64, usize)>,
-    /// Each complete request, and the bytes written before it.
+    /// Each complete request, and the number of bytes written before it.
     pub requests: Vec<(Message, usize)>,
-    /// Responses that began before their request was complete: the id, and the offset.
+    /// Responses that the backend began before their request was complete: the id, and the offset
+    /// in `written`.
     pub early_responses: Vec<(String, usize)>,
 }
 
@@ -28,10 +29,10 @@
     pub time: u64,
 }
 
-/// One case: the requests of all clients and the connections of all backends.
+/// The requests of all clients and the connections of all backends in one case.
 #[derive(Default)]
 pub struct TestCase {
-    /// Logical time: each reading is later than those before it.
+    /// Logical time: each reading is later than the previous ones.
     pub time: Cell<u64>,
     pub logs: RefCell<Vec<Rc<RefCell<ConnectionLog>>>>,
     pub sent: RefCell<HashMap<String, SentRequest>>,
--- a/crates/proxy/tests/backend_responses/check.rs
+++ b/crates/proxy/tests/backend_responses/check.rs
@@ -1,10 +1,10 @@
-//! Checks the record of a case.
+//! Checks the record of a case against the rules in the documentation of `main`.
 
 use crate::case::TestCase;
 use crate::common::http::{parse_response, Message, ParseError};
 use std::collections::HashMap;
 
-/// How often things happened, over all cases.
+/// Totals over all cases.
 #[derive(Default, Debug)]
 pub struct Counts {
     pub requests: u64,
@@ -17,15 +17,16 @@
     pub unusable_connections: u64,
 }
 
-/// Checks the record of a case.
+/// Checks the record of a case, and adds its totals to `counts`.
 pub fn check_case(case: &TestCase, counts: &mut Counts) -> Result<(), String> {
     let sent = case.sent.borrow();
-    // Of each request, in no order: its attempts, and the response to each.
+    // For each request, in no particular order: its attempts, with the complete response to each.
     let mut requests: HashMap<&str, Vec<Option<Message>>> = HashMap::new();
     let logs: Vec<_> = case.logs.borrow().iter().cloned().collect();
     let logs: Vec<_> = logs.iter().map(|log| log.borrow()).collect();
     for log in &logs {
-        // The offset up to which responses have been read, and since when the connection cannot be used.
+        // The offset up to which responses have been read, and the time since when the connection
+        // is unusable.
         let (mut read, mut unusable_since) = (0, None::<u64>);
         let written_at = |offset: usize| {
             log.write_times
@@ -37,28 +38,29 @@
         for (request, written) in &log.requests {
             let id = request
                 .single("x-attempt-id")
-                .ok_or("a request without one id")?;
+                .ok_or("a request without exactly one id")?;
             let (known_id, sent_request) = sent
                 .get_key_value(id)
-                .ok_or(format!("{id}: no client sent it"))?;
+                .ok_or(format!("{id}: not sent by any client"))?;
             if !request.start.starts_with(&format!(
                 "{} {} HTTP/1.",
                 sent_request.method, sent_request.path
             )) || request.body != sent_request.body
             {
-                return Err(format!("{id}: it was changed: {request:?}"));
+                return Err(format!("{id}: the request was changed: {request:?}"));
             }
             if request_ids.contains(&id) {
-                return Err(format!("{id}: it came twice on one connection"));
+                return Err(format!("{id}: sent twice on one connection"));
             }
             request_ids.push(known_id);
-            // What was written on it before the client sent this.
+            // Before the client sent this request, the connection must not have been unusable, and
+            // nothing unsolicited may have been written on it.
             if unusable_since.is_some_and(|at| at < sent_request.time) {
-                return Err(format!("{id}: it came on a connection that was unusable"));
+                return Err(format!("{id}: sent on an unusable connection"));
             }
             if *written > read && written_at(read + 1) < sent_request.time {
                 return Err(format!(
-                    "{id}: it came behind {} unsolicited bytes",
+                    "{id}: sent on a connection after {} unsolicited bytes",
                     written - read
                 ));
             }
@@ -76,7 +78,8 @@
                     Err(ParseError::Invalid(_)) => {
                         unusable_since = Some(written_at(log.written.len()))
                     }
-                    // Whatever the proxy makes of it, it cannot have read a response from it.
+                    // The proxy cannot have read a response from these bytes, whatever it does with
+                    // them.
                     Err(ParseError::Incomplete) => unusable_since = Some(u64::MAX),
                 }
                 counts.unusable_connections += u64::from(unusable_since.is_some());
@@ -84,83 +87,94 @@
             requests.entry(known_id).or_default().push(response);
         }
     }
-    counts.attempts += requests.values().map(|all| all.len() as u64).sum::<u64>();
+    counts.attempts += requests
+        .values()
+        .map(|attempts| attempts.len() as u64)
+        .sum::<u64>();
     counts.retries += requests
         .values()
-        .map(|all| all.len() as u64 - 1)
+        .map(|attempts| attempts.len() as u64 - 1)
         .sum::<u64>();
     let not_run = |received: &Option<Message>| {
-        let says_not_run = |received: &Message| {
+        let states_not_run = |received: &Message| {
             received.status() == 421 || !received.all("x-not-executed").is_empty()
         };
         received.as_ref().is_some_and(|received| {
-            says_not_run(received) && !(200..300).contains(&received.status())
+            states_not_run(received) && !(200..300).contains(&received.status())
         })
     };
-    for (id, all) in &requests {
-        let may_have_run = all.iter().filter(|received| !not_run(received)).count();
+    for (id, attempts) in &requests {
+        let may_have_run = attempts
+            .iter()
+            .filter(|received| !not_run(received))
+            .count();
         if sent[*id].at_most_once && may_have_run > 1 {
             return Err(format!(
-                "{id}: sent {} times, and {may_have_run} may have run it",
-                all.len()
+                "{id}: sent {} times, of which {may_have_run} may have run",
+                attempts.len()
             ));
         }
     }
     let no_attempts = Vec::new();
     for (id, received) in case.received.borrow().iter() {
-        let all = requests.get(id.as_str()).unwrap_or(&no_attempts);
+        let attempts = requests.get(id.as_str()).unwrap_or(&no_attempts);
         if received.single("x-attempt-id") != Some(id) {
             return Err(format!(
                 "{id}: response for {:?}",
                 received.all("x-attempt-id")
             ));
         }
-        let promises_not_run = [408, 421, 429, 503].contains(&received.status());
-        if promises_not_run && sent[id].at_most_once && !all.iter().all(not_run) {
+        let implies_not_run = [408, 421, 429, 503].contains(&received.status());
+        if implies_not_run && sent[id].at_most_once && !attempts.iter().all(not_run) {
             return Err(format!(
-                "{id}: status {}, and it may have run",
+                "{id}: status {} although the request may have run",
                 received.status()
             ));
         }
         // A local response has a body only if the request could not be read.
         let is_unread_error = received.status() == 408
             && received.body == b"step=read field=body\n"
-            && all.is_empty();
+            && attempts.is_empty();
         let is_local = ([502, 503, 504].contains(&received.status()) && received.body.is_empty()
             || is_unread_error)
             && received.all("x-server-seal").is_empty()
             && received.all("x-not-executed").is_empty();
-        let head = sent[id].method == "HEAD";
+        let is_head = sent[id].method == "HEAD";
         let is_same = |backend_response: &&Message| {
             backend_response.status() == received.status()
-                && (head || backend_response.body == received.body)
+                && (is_head || backend_response.body == received.body)
                 && backend_response.all("x-server-seal") == received.all("x-server-seal")
                 && backend_response.all("content-encoding").is_empty()
                 && ((300..600).contains(&backend_response.status())
                     || backend_response.single("x-server-seal").is_some())
         };
-        // Responses that began before their request was complete, and were read after.
+        // Responses that began before their request was complete, and were read afterwards.
         let early_responses = logs.iter().flat_map(|log| {
-            let request_ids = log
+            let of_this_request = log
                 .early_responses
                 .iter()
-                .filter(|(early_responses, _)| early_responses == id);
-            request_ids
+                .filter(|(early_id, _)| early_id == id);
+            of_this_request
                 .filter_map(|(_, from)| parse_response(&log.written, *from, sent[id].method).ok())
         });
         let early_responses: Vec<_> = early_responses
             .map(|(received, _)| received)
             .filter(|received| received.single("x-attempt-id") == Some(id))
             .collect();
-        match all.iter().flatten().chain(&early_responses).find(is_same) {
+        match attempts
+            .iter()
+            .flatten()
+            .chain(&early_responses)
+            .find(is_same)
+        {
             Some(_) => counts.forwarded += 1,
             None if is_local => {
                 counts.local += 1;
-                counts.never_forwarded += u64::from(all.is_empty());
+                counts.never_forwarded += u64::from(attempts.is_empty());
             }
             None => {
                 return Err(format!(
-                    "{id}: {} {:?} is no backend's response to it",
+                    "{id}: {} {:?} is not a backend's response to this request",
                     received.start, received.headers
                 ))
             }
--- a/crates/proxy/tests/backend_responses/client.rs
+++ b/crates/proxy/tests/backend_responses/client.rs
@@ -1,4 +1,4 @@
-//! Clients with one request at a time.
+//! Clients that send one request at a time.
 
 use crate::case::{SentRequest, TestCase};
 use crate::common::http::{parse_response, ParseError};
@@ -9,12 +9,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest time that one response may take; only a fault uses it up.
+/// Maximum time of one response; reached only on a failure.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// What a client waits usually, and where backends may be silent, in milliseconds.
+/// The usual time that a client allows for a response, and the one for which backends may not
+/// respond, in milliseconds.
 const CLIENT_TIMEOUTS: [u64; 2] = [1000, 40];
 
-/// Sends requests one after the other on kept connections; some clients disconnect before the response.
+/// Sends requests one after the other on persistent connections; some clients disconnect before the
+/// response.
 pub async fn run_client(
     case: Rc<TestCase>,
     proxy_address: SocketAddr,
@@ -86,16 +88,16 @@
                 Ok((received, end)) if end == buffer.len() => break Some(received),
                 Ok((_, end)) => {
                     return Err(format!(
-                        "{id}: {} bytes behind the response",
+                        "{id}: {} bytes after the response",
                         buffer.len() - end
                     ))
                 }
-                Err(ParseError::Invalid(why)) => {
-                    return Err(format!("{id}: invalid response: {why}"))
+                Err(ParseError::Invalid(reason)) => {
+                    return Err(format!("{id}: invalid response: {reason}"))
                 }
                 Err(ParseError::Incomplete) if count == 0 && buffer.is_empty() => break None,
                 Err(ParseError::Incomplete) if count == 0 => {
-                    return Err(format!("{id}: an incomplete response"))
+                    return Err(format!("{id}: incomplete response"))
                 }
                 Err(ParseError::Incomplete) => {}
             }
--- a/crates/proxy/tests/backend_responses/main.rs
+++ b/crates/proxy/tests/backend_responses/main.rs
@@ -1,13 +1,16 @@
-//! Backends that are simulated byte by byte behind a complete proxy: responses are valid, mutated, truncated, duplicated, early, late,
-//! encoded, framed in two ways or in none, written at once, in pieces or byte by byte; connections close and break at any time, also
-//! while a request is in flight. Checked with the plain parser in `common`:
+//! Simulates backends byte by byte behind a complete proxy: responses are valid, mutated,
+//! truncated, duplicated, early, late, encoded, framed in two ways or in none, written at once, in
+//! pieces or byte by byte; connections are closed and reset at any time, also while a request is in
+//! flight. Checked with the plain parser in `common`:
 //!
-//! - A client gets a response of the proxy's own, or exactly a complete response that a backend wrote to this request, with its id,
-//!   and with a seal if it is a success.
-//! - A request that arrived after something unsolicited was written on a connection is never sent on that connection.
-//! - A request that is not idempotent is completely sent to one backend at most, unless those before responded, completely and with
-//!   its id, that they have not run it; and it gets no status that promises more than that. What arrived before its last byte does not
-//!   count: without that byte there is no request.
+//! - A client receives a response of the proxy's own, or exactly a complete response that a backend
+//!   wrote to this request, with its id, and with a seal if it is a success.
+//! - A request that arrived after unsolicited bytes were written on a connection is never sent on
+//!   that connection.
+//! - A non-idempotent request is completely sent to one backend at most, unless those before
+//!   responded, completely and with its id, that they have not run it; and its client receives no
+//!   status that promises more than that. What a backend writes before it has the last byte of a
+//!   request does not count: without that byte there is no request.
 //! - A backend receives what a client sent.
 //!
 //! Failures are printed with their seeds.
@@ -29,7 +32,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Cases, and how many of them run at a time.
+/// Number of cases, and how many of them run concurrently.
 const CASES: u64 = 2000;
 const CONCURRENT_CASES: usize = 48;
 
@@ -42,13 +45,13 @@
         backends.push(address);
         tasks.push(task);
     }
-    let proxy_address = TestProxy::start(seed, &backends).await;
+    let proxy = TestProxy::start(seed, &backends).await;
     let clients: Vec<_> = (0..1 + random.below(3))
         .map(|client_index| {
             let random = Random::new(seed ^ (client_index as u64 + 1) << 56);
             tokio::task::spawn_local(run_client(
                 case.clone(),
-                proxy_address.address,
+                proxy.address,
                 random,
                 format!("{seed}-{client_index}"),
             ))
@@ -63,7 +66,7 @@
 }
 
 #[test]
-fn clients_get_their_own_responses_and_nothing_runs_twice() {
+fn clients_receive_their_own_responses_and_no_request_runs_twice() {
     let started = Instant::now();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -84,8 +87,10 @@
                     while next_seed.get() < CASES {
                         let seed = next_seed.get();
                         next_seed.set(seed + 1);
-                        if let Err(why) = run_case(seed, &counts).await {
-                            failures.borrow_mut().push(format!("seed {seed}: {why}"));
+                        if let Err(failure) = run_case(seed, &counts).await {
+                            failures
+                                .borrow_mut()
+                                .push(format!("seed {seed}: {failure}"));
                         }
                     }
                 })
@@ -97,17 +102,17 @@
     }));
     let (failures, counts) = (failures.borrow(), counts.borrow());
     println!(
-        "{CASES} cases in {:.1} s, {} broken: {counts:?}",
+        "{CASES} cases in {:.1} s, {} failures: {counts:?}",
         started.elapsed().as_secs_f64(),
         failures.len()
     );
     assert!(
         failures.is_empty(),
-        "{} of {CASES}, the first: {:#?}",
+        "{} failures in {CASES} cases, the first: {:#?}",
         failures.len(),
         &failures[..failures.len().min(8)]
     );
-    // The test is meaningful only while most requests are served and many are retried.
+    // The test is only meaningful while most requests are served and many are retried.
     assert!(
         counts.forwarded > counts.local
             && counts.retries > CASES
--- a/crates/proxy/tests/client_requests/backend.rs
+++ b/crates/proxy/tests/client_requests/backend.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The body of the response to a request.
+/// Returns the body of the response to a request.
 pub fn echo(method: &str, path: &str, body: &[u8]) -> Vec<u8> {
     [method.as_bytes(), b" ", path.as_bytes(), b" ", body].concat()
 }
@@ -23,7 +23,9 @@
         let (request, end) = loop {
             match parse_request(&buffer, 0) {
                 Ok(request) => break request,
-                Err(ParseError::Invalid(why)) => panic!("the proxy wrote no valid request: {why}"),
+                Err(ParseError::Invalid(reason)) => {
+                    panic!("the proxy wrote an invalid request: {reason}")
+                }
                 Err(ParseError::Incomplete) => {}
             }
             let mut chunk = [0_u8; 16 << 10];
@@ -34,7 +36,7 @@
         };
         buffer.drain(..end);
         let id = request.single("x-attempt-id").unwrap_or("none").to_owned();
-        let parts: Vec<&str> = request.start.split(' ').collect();
+        let request_line: Vec<&str> = request.start.split(' ').collect();
         received
             .borrow_mut()
             .entry(id.clone())
@@ -43,12 +45,16 @@
         for _ in 0..random.one_of(&[0, 0, 3, 30]) {
             tokio::task::yield_now().await;
         }
-        let body = echo(parts[0], parts[1], &request.body);
+        let body = echo(request_line[0], request_line[1], &request.body);
         let head = format!(
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        let body = if parts[0] == "HEAD" { &[][..] } else { &body };
+        let body = if request_line[0] == "HEAD" {
+            &[][..]
+        } else {
+            &body
+        };
         if stream
             .write_all(&[head.as_bytes(), body].concat())
             .await
--- a/crates/proxy/tests/client_requests/client.rs
+++ b/crates/proxy/tests/client_requests/client.rs
@@ -1,4 +1,4 @@
-//! A client that pipelines messages, splits them anywhere, and may disconnect midway.
+//! A client that pipelines messages, splits them anywhere, and sometimes disconnects midway.
 
 use crate::backend::echo;
 use crate::common::http::{parse_response, ParseError};
@@ -10,10 +10,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest time that one response may take; only a fault uses it up.
+/// Maximum time of one response; reached only on a failure.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often things happened.
+/// Totals over all connections.
 #[derive(Default, Debug)]
 pub struct Counts {
     pub requests: u64,
@@ -23,14 +23,14 @@
     pub disconnected: u64,
 }
 
-/// How a client ends.
+/// How a client ends its connection.
 #[derive(Clone, Copy, PartialEq)]
 enum ClientEnd {
-    /// It reads all responses.
+    /// Reads all responses.
     ReadsAll,
-    /// It closes its half once all is written, and reads all responses.
+    /// Half-closes once everything is written, and reads all responses.
     HalfCloses,
-    /// It disconnects after writing so many bytes.
+    /// Disconnects after writing this number of bytes.
     DisconnectsAfter(usize),
 }
 
@@ -44,7 +44,7 @@
     let mut random = Random::new(seed ^ 1 << 40);
     let text: Vec<u8> = messages
         .iter()
-        .flat_map(|random_message| random_message.bytes.clone())
+        .flat_map(|sent| sent.bytes.clone())
         .collect();
     let end = match random.below(10) {
         0 => ClientEnd::DisconnectsAfter(random.below(text.len() + 1)),
@@ -61,13 +61,13 @@
     } else {
         text.len()
     };
-    let (write_mode, pieces) = (random.below(6), text[..write_limit].to_vec());
+    let (write_mode, written_part) = (random.below(6), text[..write_limit].to_vec());
     let resets_connection = random.percent(50);
     let write = async move {
-        let mut remaining = &pieces[..];
+        let mut remaining = &written_part[..];
         while !remaining.is_empty() {
             let size = match write_mode {
-                0 if pieces.len() < 2000 => 1,
+                0 if written_part.len() < 2000 => 1,
                 0..3 => 1 + random.below(remaining.len()),
                 _ => remaining.len(),
             };
@@ -82,12 +82,12 @@
         if end == ClientEnd::HalfCloses {
             let _ = writer.shutdown().await;
         }
-        // Otherwise it stays open until all responses are read.
+        // Otherwise the connection stays open until all responses are read.
         writer
     };
     let expected = messages
         .iter()
-        .position(|random_message| random_message.validity != Validity::Proper)
+        .position(|sent| sent.validity != Validity::Valid)
         .map_or(messages.len(), |last| last + 1);
     let read = async {
         let (mut buffer, mut from, mut responses) = (Vec::new(), 0, Vec::new());
@@ -95,23 +95,26 @@
             if matches!(end, ClientEnd::DisconnectsAfter(_)) {
                 return Ok((responses, false));
             }
-            // Variant 22 is no HEAD, whatever its method says: it was sent as CONNECT.
+            // Variant 22 is sent as CONNECT, so its response may have a body even if `method` is
+            // HEAD.
             let request = messages
                 .get(responses.len())
-                .filter(|random_message| random_message.variant != 22)
-                .map_or("GET", |random_message| random_message.method);
+                .filter(|sent| sent.variant != 22)
+                .map_or("GET", |sent| sent.method);
             match parse_response(&buffer, from, request) {
-                Ok((message, end)) => {
+                Ok((response, end)) => {
                     from = end;
-                    responses.push(message);
+                    responses.push(response);
                     continue;
                 }
-                Err(ParseError::Invalid(why)) => return Err(format!("invalid response: {why}")),
+                Err(ParseError::Invalid(reason)) => {
+                    return Err(format!("invalid response: {reason}"))
+                }
                 Err(ParseError::Incomplete) => {}
             }
             if responses.len() == expected
                 && expected == messages.len()
-                && messages[expected - 1].validity == Validity::Proper
+                && messages[expected - 1].validity == Validity::Valid
             {
                 return Ok((responses, false));
             }
@@ -121,10 +124,11 @@
                 .map_err(|_| format!("response {} of {expected} never arrived", responses.len()))?
             {
                 Ok(count @ 1..) => buffer.extend_from_slice(&chunk[..count]),
-                // A client that closed its half counts as disconnected, maybe after a 100 Continue.
+                // The proxy may treat a half-closed client as disconnected, possibly after a 100
+                // Continue.
                 _ if from < buffer.len() && &buffer[from..] != b"HTTP/1.1 100 Continue\r\n\r\n" => {
                     return Err(format!(
-                        "an incomplete response: {:?}",
+                        "incomplete response: {:?}",
                         String::from_utf8_lossy(&buffer[from..])
                     ));
                 }
@@ -143,53 +147,46 @@
     }
     let mut counts = counts.borrow_mut();
     counts.requests += messages.len() as u64;
-    // A close that meets unread bytes may lose what was written before it.
+    // Closing a connection with unread bytes may lose responses that were written before.
     if end == ClientEnd::ReadsAll
         && responses.len() < expected
-        && !(closed && messages[expected - 1].validity != Validity::Proper)
+        && !(closed && messages[expected - 1].validity != Validity::Valid)
     {
         return Err(format!(
             "{} responses to {expected} requests",
             responses.len()
         ));
     }
-    for (at, message) in responses.iter().enumerate() {
-        let Some(random_message) = messages[..expected].get(at) else {
+    for (at, response) in responses.iter().enumerate() {
+        let Some(sent) = messages[..expected].get(at) else {
             return Err(format!(
-                "a response behind the last: {} {:?}",
-                message.start, message.headers
+                "a response after the last request: {} {:?}",
+                response.start, response.headers
             ));
         };
-        let (id, validity) = (
-            &random_message.id,
-            (random_message.validity, random_message.variant),
-        );
-        match message.all("x-attempt-id")[..] {
-            [one] if one == id => {}
-            [] | [""] if random_message.validity == Validity::Rejected => {}
-            ref other => return Err(format!("{id} {validity:?}: response for {other:?}")),
+        let (id, validity) = (&sent.id, (sent.validity, sent.variant));
+        match response.all("x-attempt-id")[..] {
+            [response_id] if response_id == id => {}
+            [] | [""] if sent.validity == Validity::Rejected => {}
+            ref other_ids => return Err(format!("{id} {validity:?}: response for {other_ids:?}")),
         }
-        match message.status() {
-            200 if random_message.validity == Validity::Rejected => {
-                return Err(format!("{id} {validity:?}: served"))
+        match response.status() {
+            200 if sent.validity == Validity::Rejected => {
+                return Err(format!("{id} {validity:?}: was served"))
             }
             200 => {
-                let body = echo(
-                    random_message.method,
-                    &random_message.path,
-                    &random_message.body,
-                );
-                if message.body != body && random_message.method != "HEAD" {
+                let body = echo(sent.method, &sent.path, &sent.body);
+                if response.body != body && sent.method != "HEAD" {
                     return Err(format!(
-                        "{id} {validity:?}: {:?}",
-                        String::from_utf8_lossy(&message.body)
+                        "{id} {validity:?}: wrong body {:?}",
+                        String::from_utf8_lossy(&response.body)
                     ));
                 }
                 counts.served += 1;
             }
-            400..500 if random_message.validity == Validity::Rejected => counts.rejected += 1,
-            502..505 if random_message.validity != Validity::Rejected => counts.local += 1,
-            status => return Err(format!("{id} {validity:?}: {status}")),
+            400..500 if sent.validity == Validity::Rejected => counts.rejected += 1,
+            502..505 if sent.validity != Validity::Rejected => counts.local += 1,
+            status => return Err(format!("{id} {validity:?}: unexpected status {status}")),
         }
     }
     Ok(())
--- a/crates/proxy/tests/client_requests/main.rs
+++ b/crates/proxy/tests/client_requests/main.rs
@@ -1,10 +1,13 @@
-//! Clients that are simulated byte by byte before a complete proxy with backends that count: clients pipeline requests, split them
-//! anywhere, disconnect midway, close their half, wait for 100 Continue or not, and write what is no request or is ambiguous. Checked
-//! with the plain parser in `common`:
+//! Simulates clients byte by byte in front of a complete proxy with backends that record each
+//! request: clients pipeline requests, split them anywhere, disconnect midway, half-close, wait for
+//! 100 Continue or not, and send invalid or ambiguous messages. Checked with the plain parser in
+//! `common`:
 //!
-//! - The responses on a connection belong to its requests in their order, none twice and none too many.
-//! - Where the end of a request is ambiguous, nothing behind it on its connection is answered or forwarded.
-//! - A backend receives only requests that a client sent, unchanged; one that is not idempotent once.
+//! - The responses on a connection belong to its requests in their order, without duplicates or
+//!   extra ones.
+//! - If the end of a request is ambiguous, nothing after it on its connection is answered or
+//!   forwarded.
+//! - A backend receives only requests that a client sent, unchanged; a non-idempotent one once.
 //!
 //! Failures are printed with their seeds.
 
@@ -24,12 +27,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Connections, and how many of them run at a time.
+/// Number of connections, and how many of them run concurrently.
 const CONNECTIONS: u64 = 3000;
 const CONCURRENT_CONNECTIONS: usize = 32;
 
 #[test]
-fn responses_are_in_the_order_of_their_requests_and_nothing_is_smuggled() {
+fn responses_follow_request_order_and_no_request_is_smuggled() {
     let started = Instant::now();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -50,12 +53,12 @@
             start_backend(received.clone()).await,
             start_backend(received.clone()).await,
         ];
-        let proxy_address = TestProxy::start(1, &backends).await;
+        let proxy = TestProxy::start(1, &backends).await;
         let workers: Vec<_> = (0..CONCURRENT_CONNECTIONS)
             .map(|_| {
                 let (next_seed, counts, failures) =
                     (next_seed.clone(), counts.clone(), failures.clone());
-                let (sent, proxy_address) = (sent.clone(), proxy_address.address);
+                let (sent, proxy_address) = (sent.clone(), proxy.address);
                 tokio::task::spawn_local(async move {
                     while next_seed.get() < CONNECTIONS {
                         let seed = next_seed.get();
@@ -66,13 +69,17 @@
                                 random_message(&mut random, &format!("{seed}-{number}"), number)
                             })
                             .collect();
-                        sent.borrow_mut()
-                            .extend(messages.iter().map(|random_message| {
-                                (random_message.id.clone(), random_message.clone())
-                            }));
-                        if let Err(why) = run_client(seed, proxy_address, &messages, &counts).await
+                        sent.borrow_mut().extend(
+                            messages
+                                .iter()
+                                .map(|message| (message.id.clone(), message.clone())),
+                        );
+                        if let Err(failure) =
+                            run_client(seed, proxy_address, &messages, &counts).await
                         {
-                            failures.borrow_mut().push(format!("seed {seed}: {why}"));
+                            failures
+                                .borrow_mut()
+                                .push(format!("seed {seed}: {failure}"));
                         }
                     }
                 })
@@ -83,34 +90,34 @@
         }
     }));
     let (mut failures, counts) = (failures.take(), counts.borrow());
-    for (id, all) in received.borrow().iter() {
+    for (id, received_copies) in received.borrow().iter() {
         let sent = sent.borrow();
-        let Some(random_message) = sent.get(id) else {
-            failures.push(format!("{id}: no client sent it: {all:?}"));
+        let Some(message) = sent.get(id) else {
+            failures.push(format!("{id}: not sent by any client: {received_copies:?}"));
             continue;
         };
-        let start = format!("{} {} HTTP/1.1", random_message.method, random_message.path);
-        let same = all
+        let start = format!("{} {} HTTP/1.1", message.method, message.path);
+        let is_unchanged = received_copies
             .iter()
-            .all(|(line, body)| *line == start && *body == random_message.body);
-        if !same
-            || random_message.validity == Validity::Rejected
-            || (all.len() > 1 && random_message.path.starts_with("/once/"))
+            .all(|(line, body)| *line == start && *body == message.body);
+        if !is_unchanged
+            || message.validity == Validity::Rejected
+            || (received_copies.len() > 1 && message.path.starts_with("/once/"))
         {
             failures.push(format!(
-                "{id} {:?} {}: received as {all:?}",
-                random_message.validity, random_message.variant
+                "{id} {:?} {}: received as {received_copies:?}",
+                message.validity, message.variant
             ));
         }
     }
     println!(
-        "{CONNECTIONS} connections in {:.1} s, {} broken: {counts:?}",
+        "{CONNECTIONS} connections in {:.1} s, {} failures: {counts:?}",
         started.elapsed().as_secs_f64(),
         failures.len()
     );
     assert!(
         failures.is_empty(),
-        "{} broken, the first: {:#?}",
+        "{} failures, the first: {:#?}",
         failures.len(),
         &failures[..failures.len().min(12)]
     );
--- a/crates/proxy/tests/client_requests/message.rs
+++ b/crates/proxy/tests/client_requests/message.rs
@@ -2,18 +2,18 @@
 
 use crate::common::random::Random;
 
-/// What a message on a client's connection is.
+/// How the proxy must treat a message on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Validity {
     /// A valid request.
-    Proper,
-    /// A request that may be served, and is the last that is read on its connection.
+    Valid,
+    /// A request that may be served; the proxy reads nothing after it on its connection.
     LastOnConnection,
-    /// Not a request, or one that is rejected; nothing behind it is read.
+    /// An invalid message, or a request that is rejected; the proxy reads nothing after it.
     Rejected,
 }
 
-/// A message, and what the proxy is to make of it.
+/// A message with the expected treatment by the proxy.
 #[derive(Clone, Debug)]
 pub struct TestMessage {
     pub id: String,
@@ -28,18 +28,18 @@
 fn chunked_body(random: &mut Random, body: &[u8]) -> Vec<u8> {
     let (mut text, mut remaining) = (Vec::new(), body);
     while !remaining.is_empty() {
-        let (now, rest) = remaining.split_at(1 + random.below(remaining.len()));
+        let (chunk, after_chunk) = remaining.split_at(1 + random.below(remaining.len()));
         let extension = random.one_of(&["", "", ";x=\"y\""]);
-        text.extend(format!("{:x}{extension}\r\n", now.len()).into_bytes());
-        text.extend_from_slice(now);
+        text.extend(format!("{:x}{extension}\r\n", chunk.len()).into_bytes());
+        text.extend_from_slice(chunk);
         text.extend_from_slice(b"\r\n");
-        remaining = rest;
+        remaining = after_chunk;
     }
     text.extend_from_slice(random.one_of(&[&b"0\r\n\r\n"[..], &b"0\r\nX-Late: 1\r\n\r\n"[..]]));
     text
 }
 
-/// A random message with this id.
+/// Returns a random message with this id.
 pub fn random_message(random: &mut Random, id: &str, number: usize) -> TestMessage {
     let at_most_once = random.percent(60);
     let method = random.one_of(&["GET", "POST", "POST", "PUT", "HEAD"]);
@@ -57,16 +57,17 @@
     };
     let common = format!("Host: h.example\r\nX-Attempt-Id: {id}\r\nX-Time-Remaining: 20000\r\n");
     let head = format!("{method} {path} HTTP/1.1\r\n{common}");
-    let with = |more: &str, body: &[u8]| [head.as_bytes(), more.as_bytes(), b"\r\n", body].concat();
-    let with_length = |more: &str| {
+    let with_headers =
+        |headers: &str, body: &[u8]| [head.as_bytes(), headers.as_bytes(), b"\r\n", body].concat();
+    let with_length = |headers: &str| {
         let length = if body.is_empty() {
             String::new()
         } else {
             format!("Content-Length: {}\r\n", body.len())
         };
-        with(&format!("{length}{more}"), &body)
+        with_headers(&format!("{length}{headers}"), &body)
     };
-    // A request inside another, for parsers that take the wrong one of two ends.
+    // A request within the body of another one, for parsers that take the wrong one of two ends.
     let smuggled = format!("POST /once/smuggled-{id} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: smuggled-{id}\r\nContent-Length: 0\r\n\r\n");
     let smuggled_body = format!("0\r\n\r\n{smuggled}");
     let length = smuggled_body.len();
@@ -75,58 +76,58 @@
     let (validity, bytes) = match variant {
         0 => (
             Validity::LastOnConnection,
-            with(
+            with_headers(
                 &format!("Content-Length: {length}\r\nTransfer-Encoding: chunked\r\n"),
                 smuggled_body.as_bytes(),
             ),
         ),
         1 => (
             Validity::LastOnConnection,
-            with(
+            with_headers(
                 &format!("Transfer-Encoding: chunked\r\nContent-Length: {length}\r\n"),
                 smuggled_body.as_bytes(),
             ),
         ),
-        2 => rejected(with(
+        2 => rejected(with_headers(
             &format!("Content-Length: {length}\r\nContent-Length: 5\r\n"),
             smuggled_body.as_bytes(),
         )),
-        3 => rejected(with(
+        3 => rejected(with_headers(
             &format!("Content-Length: +{length}\r\n"),
             smuggled_body.as_bytes(),
         )),
-        4 => rejected(with(
+        4 => rejected(with_headers(
             "Transfer-Encoding: identity\r\n",
             smuggled_body.as_bytes(),
         )),
-        5 => rejected(with(
+        5 => rejected(with_headers(
             "Transfer-Encoding: chunked, identity\r\n",
             smuggled_body.as_bytes(),
         )),
-        6 => rejected(with(
+        6 => rejected(with_headers(
             "Transfer-Encoding: xchunked\r\n",
             smuggled_body.as_bytes(),
         )),
-        7 => rejected(with(
+        7 => rejected(with_headers(
             "Transfer-Encoding: chunked\r\n",
             format!("0x0\r\n\r\n{smuggled}").as_bytes(),
         )),
-        8 => rejected(with(
+        8 => rejected(with_headers(
             "Transfer-Encoding: chunked\r\n",
             format!("3\r\nabcd\r\n{smuggled_body}").as_bytes(),
         )),
-        9 => rejected(with(
+        9 => rejected(with_headers(
             "Transfer-Encoding: chunked\r\n",
             format!("-1\r\n{smuggled_body}").as_bytes(),
         )),
-        10 => rejected(with(
+        10 => rejected(with_headers(
             "Transfer-Encoding: chunked\r\n",
             format!("fffffffffffffffff\r\n{smuggled_body}").as_bytes(),
         )),
-        11 => rejected(with("X-Odd: a\r\n folded\r\n", b"")),
-        12 => rejected(with("X-Odd : a\r\n", b"")),
-        13 => rejected(with("X-Odd: a\0b\r\n", b"")),
-        14 => rejected(with("No colon\r\n", b"")),
+        11 => rejected(with_headers("X-Odd: a\r\n folded\r\n", b"")),
+        12 => rejected(with_headers("X-Odd : a\r\n", b"")),
+        13 => rejected(with_headers("X-Odd: a\0b\r\n", b"")),
+        14 => rejected(with_headers("No colon\r\n", b"")),
         15 => rejected(
             head.replace("Host: h.example\r\n", "")
                 .into_bytes()
@@ -134,8 +135,8 @@
                 .chain(*b"\r\n")
                 .collect(),
         ),
-        16 => rejected(with("Host: other.example\r\n", b"")),
-        17 => rejected(with("X-Attempt-Id: other\r\n", b"")),
+        16 => rejected(with_headers("Host: other.example\r\n", b"")),
+        17 => rejected(with_headers("X-Attempt-Id: other\r\n", b"")),
         18 => rejected(format!("{method}\t{path} HTTP/1.1\r\n{common}\r\n").into_bytes()),
         19 => rejected(format!("{method}  {path} HTTP/1.1\r\n{common}\r\n").into_bytes()),
         20 => rejected(format!("{method} {path} x HTTP/1.1\r\n{common}\r\n").into_bytes()),
@@ -144,10 +145,13 @@
         ),
         22 => rejected(format!("CONNECT h.example:80 HTTP/1.1\r\n{common}\r\n").into_bytes()),
         23 => rejected(b"\x16\x03\x01\x02\r\n\r\n".to_vec()),
-        24 => rejected(with(&format!("X-Long: {}\r\n", "x".repeat(200 << 10)), b"")),
+        24 => rejected(with_headers(
+            &format!("X-Long: {}\r\n", "x".repeat(200 << 10)),
+            b"",
+        )),
         25 => rejected(format!("{method} {path} HTTP/2.0\r\n{common}\r\n").into_bytes()),
-        26 => rejected(with("Content-Length: 5, 6\r\n", b"abcdef")),
-        27 => rejected(with("X-Time-Remaining: never\r\n", b"")),
+        26 => rejected(with_headers("Content-Length: 5, 6\r\n", b"abcdef")),
+        27 => rejected(with_headers("X-Time-Remaining: never\r\n", b"")),
         28 => rejected(
             format!("{method} {path} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: \r\n\r\n")
                 .into_bytes(),
@@ -164,9 +168,9 @@
             ]
             .concat(),
         ),
-        31..35 => (Validity::Proper, with_length("").into_iter().collect()),
+        31..35 => (Validity::Valid, with_length("").into_iter().collect()),
         35 => (
-            Validity::Proper,
+            Validity::Valid,
             [
                 format!("{method} http://h.example{path} HTTP/1.1\r\n{common}").into_bytes(),
                 with_length("")[head.len()..].to_vec(),
@@ -174,20 +178,20 @@
             .concat(),
         ),
         36 => (
-            Validity::Proper,
+            Validity::Valid,
             [b"\r\n".to_vec(), with_length("")].concat(),
         ),
-        37..40 => (Validity::Proper, with_length("Expect: 100-continue\r\n")),
+        37..40 => (Validity::Valid, with_length("Expect: 100-continue\r\n")),
         40..60 if !body.is_empty() => {
             let chunks = chunked_body(random, &body);
             (
-                Validity::Proper,
-                with("Transfer-Encoding: chunked\r\n", &chunks),
+                Validity::Valid,
+                with_headers("Transfer-Encoding: chunked\r\n", &chunks),
             )
         }
-        _ => (Validity::Proper, with_length("X-Odd: \t spaced\t \r\n")),
+        _ => (Validity::Valid, with_length("X-Odd: \t spaced\t \r\n")),
     };
-    // The body of a message that is framed in two ways is that of its chunks: empty.
+    // A message with both kinds of framing is read as chunked: its body is empty.
     let body = if variant < 2 { Vec::new() } else { body };
     TestMessage {
         id: id.to_owned(),
--- a/crates/proxy/tests/common/http.rs
+++ b/crates/proxy/tests/common/http.rs
@@ -1,11 +1,11 @@
-//! A slow, plain parser of HTTP/1.1 that shares nothing with the library that the proxy uses.
+//! A slow, plain parser of HTTP/1.1 that shares no code with the library that the proxy uses.
 
-/// Why bytes are not a message.
+/// The reason why bytes are not a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParseError {
     /// The message is not complete.
     Incomplete,
-    /// It can never become a message.
+    /// No further bytes can make it a message.
     Invalid(&'static str),
 }
 
@@ -42,7 +42,7 @@
             .unwrap_or(0)
     }
 
-    /// Whether its sender closes the connection after it.
+    /// Whether the sender closes the connection after this message.
     pub fn closes(&self) -> bool {
         let options = self.all("connection").join(",").to_ascii_lowercase();
         let mut options = options.split(',').map(str::trim);
@@ -59,7 +59,8 @@
     !text.is_empty() && !text.contains(is_invalid_char)
 }
 
-/// A line and where the next one begins; a line feed ends it, with or without the return before it.
+/// Returns a line and the offset of the next one; a line feed ends it, with or without a carriage
+/// return.
 fn parse_line(bytes: &[u8], from: usize) -> Result<(String, usize), ParseError> {
     let end = bytes[from..]
         .iter()
@@ -89,7 +90,8 @@
     }
 }
 
-/// Start line and headers, and where the body begins. Empty lines before are skipped.
+/// Parses the start line and headers, and returns the offset of the body. Skips leading empty
+/// lines.
 fn parse_head(bytes: &[u8], from: usize) -> Result<(Message, usize), ParseError> {
     let mut at = from;
     let start = loop {
@@ -161,7 +163,7 @@
     }
 }
 
-/// The final response that begins at `from`, and where it ends. Informational responses before it are skipped.
+/// Returns the final response that begins at `from`, and its end. Skips informational responses.
 pub fn parse_response(
     bytes: &[u8],
     from: usize,
@@ -170,9 +172,9 @@
     let mut from = from;
     loop {
         let (mut message, at) = parse_head(bytes, from)?;
-        let mut words = message.start.splitn(3, ' ');
-        let version = words.next().unwrap_or_default();
-        let status = words.next().unwrap_or_default();
+        let mut fields = message.start.splitn(3, ' ');
+        let version = fields.next().unwrap_or_default();
+        let status = fields.next().unwrap_or_default();
         if !["HTTP/1.0", "HTTP/1.1"].contains(&version)
             || status.len() != 3
             || !status.bytes().all(|byte| byte.is_ascii_digit())
@@ -193,7 +195,7 @@
     }
 }
 
-/// The request that begins at `from`, and where it ends.
+/// Returns the request that begins at `from`, and its end.
 pub fn parse_request(bytes: &[u8], from: usize) -> Result<(Message, usize), ParseError> {
     let (mut message, at) = parse_head(bytes, from)?;
     if message.start.split(' ').count() != 3 {
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests share: a proxy within this process that has its configuration and backends, a plain HTTP parser, a backend
-//! that holds requests, and seeded randomness.
+//! Shared by the tests: a proxy within the test process that has its configuration and backends, a
+//! plain HTTP parser, a backend that holds requests, and a seeded random number generator.
 
-#![allow(dead_code, reason = "every test uses a part of it")]
+#![allow(dead_code, reason = "each test uses only some of it")]
 
 pub mod http;
 pub mod random;
@@ -19,10 +19,11 @@
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
-/// Routes to one service: `/safe/` is idempotent, `/once/` is not; `/patient/` is idempotent, and its attempts have long.
+/// Routes to one service: `/safe/` is idempotent, `/once/` is not; `/patient/` is idempotent and
+/// has a latency target of 10 s and long attempt timeouts.
 pub const CONFIGURATION: &str = r#"{"Upsert":{"RouteTable":{"ColumnNames":["Name","Host","PathPrefix","RouteKind","TimeoutS","SetpointS","MaxAttempts","Version","Service"],"DataRows":[["r1","h.example","/safe/","safe",20,0.2,3,"00000001","one"],["r2","h.example","/once/","nonidempotent",20,0.2,3,"00000001","one"],["r3","h.example","/patient/","safe",20,10,3,"00000001","one"]]},"Services":{"ColumnNames":["Name","HealthPath","Version"],"DataRows":[["one","/health","00000001"]]}}}"#;
 
-/// The settings of a proxy that listens there, with the users' bounds.
+/// Returns the settings of a proxy that listens at `address`, with the default bounds.
 pub fn settings_of(address: SocketAddr) -> Settings {
     let text = format!(
         "Node = \"edge\"\nIp = \"127.0.0.1\"\nInternalPorts = [1,1]\nSeedAddrs = [\"127.0.0.1:1\"]\nBootstrap = true\nZone = \"z\"\n[Bind]\nFrontHttp = \"{address}\"\nReadyProbe = \"{address}\"\n"
@@ -30,7 +31,7 @@
     Settings::parse(&text, Path::new("edge.toml")).expect("settings")
 }
 
-/// A controller's update with a whole configuration.
+/// Returns a controller's update with a complete configuration.
 pub fn config_update(configuration: &str) -> Frame {
     let amendment = parse_amend(configuration.as_bytes()).expect("a configuration");
     Frame::ConfigUpdate(ConfigUpdate {
@@ -42,7 +43,8 @@
     })
 }
 
-/// A controller's complete list of the instances of service `one`: these, all serving, named from `i-0` on.
+/// Returns a controller's complete list of the instances of service `one`, named from `i-0` on, all
+/// serving.
 pub fn serving_instances(addresses: &[SocketAddr]) -> Frame {
     let records = addresses
         .iter()
@@ -64,7 +66,7 @@
     })
 }
 
-/// Addresses of so many backends that nobody connects to.
+/// Returns the addresses of `count` backends that no test connects to.
 pub fn unused_addresses(count: u16) -> Vec<SocketAddr> {
     (1..=count)
         .map(|number| SocketAddr::from(([127, 0, 0, 1], 1000 + number)))
@@ -80,17 +82,17 @@
 }
 
 impl TestProxy {
-    /// A proxy with the configuration and these backends; its retry budget allows any retry.
+    /// Starts a proxy with [`CONFIGURATION`] and these backends; its retry budget allows any retry.
     pub async fn start(seed: u64, backends: &[SocketAddr]) -> TestProxy {
         TestProxy::with_sockets(seed, backends, 4096).await
     }
 
-    /// The same with a budget of descriptors.
+    /// Starts a proxy with a limit on its descriptors.
     pub async fn with_sockets(seed: u64, backends: &[SocketAddr], max_sockets: usize) -> TestProxy {
         TestProxy::with_configuration(seed, backends, max_sockets, CONFIGURATION).await
     }
 
-    /// The same with a configuration other than [`CONFIGURATION`].
+    /// Starts a proxy with a configuration other than [`CONFIGURATION`].
     pub async fn with_configuration(
         seed: u64,
         backends: &[SocketAddr],
--- a/crates/proxy/tests/common/random.rs
+++ b/crates/proxy/tests/common/random.rs
@@ -1,9 +1,9 @@
-//! Seeded randomness.
+//! Seeded random numbers.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Random draws from a seed.
+/// A seeded random number generator.
 pub struct Random(Pcg32);
 
 impl Random {
@@ -11,12 +11,12 @@
         Random(Pcg32::seed_from_u64(seed))
     }
 
-    /// A number below `bound`; 0 if that is 0.
+    /// Returns a number below `bound`, or 0 if `bound` is 0.
     pub fn below(&mut self, bound: usize) -> usize {
         self.0.next_u32() as usize % bound.max(1)
     }
 
-    /// True with this percentage.
+    /// Returns true with a probability of `percentage` percent.
     pub fn percent(&mut self, percentage: usize) -> bool {
         self.below(100) < percentage
     }
--- a/crates/proxy/tests/common/slow_backend.rs
+++ b/crates/proxy/tests/common/slow_backend.rs
@@ -1,4 +1,4 @@
-//! A backend that holds requests until it is told to respond, and a client for it.
+//! A backend that holds requests until it is notified, and a client for it.
 
 use super::http::{parse_request, parse_response, Message, ParseError};
 use std::cell::Cell;
@@ -11,24 +11,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Longest time that a test may take; only a fault uses it up.
+/// Maximum time of a test; reached only on a failure.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A backend that responds to requests with `held` in their path once `release` is notified, and to all others after its
-/// `work_time`.
+/// A backend that responds to requests with `held` in their path once `release` is notified, and to
+/// all others after `work_time`.
 #[derive(Default)]
 pub struct SlowBackend {
-    /// Requests received so far.
+    /// Number of requests received so far.
     pub received: Cell<usize>,
     /// Notified when a request is held.
     pub request_held: Notify,
     /// Releases a held request.
     pub release: Notify,
-    /// How long it takes for each request.
+    /// Time that the backend takes for each request.
     pub work_time: Cell<Duration>,
 }
 
-/// Serves the backend on a loopback port.
+/// Starts the backend on a loopback port.
 pub async fn listen(backend: Rc<SlowBackend>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -84,7 +84,7 @@
     }
 }
 
-/// Runs a test on one thread, with a limit on its time.
+/// Runs a test on one thread, for at most [`TIMEOUT`].
 pub fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/proxy/tests/connection_limits.rs
+++ b/crates/proxy/tests/connection_limits.rs
@@ -1,4 +1,4 @@
-//! How long clients' connections may be idle, and what happens at the connection limit.
+//! Timeouts of idle client connections, and the connection limit.
 
 mod common;
 
@@ -12,30 +12,30 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Guards clients that reuse a connection which has been idle for four fifths of `IdleS`, also after that limit was changed; and
-/// bounds the time of a slow head.
+/// Guards clients that reuse a connection which has been idle for four fifths of `IdleS`, also
+/// after a change of that limit, and bounds the time in which a request head arrives.
 #[test]
-fn a_connection_may_be_idle_as_long_as_the_newest_limits_allow() {
+fn idle_and_header_timeouts_follow_the_current_limits() {
     let limits = |idle_timeout: f64| Limits {
         idle_timeout,
         header_timeout: 3000.0,
         ..Limits::default()
     };
-    let closes = |at, mode| Some(CloseDeadline { at, mode });
+    let close_deadline = |at, mode| Some(CloseDeadline { at, mode });
     let mut state = ConnectionState::new(0.0);
     assert_eq!(
         state.close_deadline(&limits(15_000.0)),
-        closes(15_000.0, CloseMode::Immediate)
+        close_deadline(15_000.0, CloseMode::Immediate)
     );
     assert!(state.bytes_received(1000.0) && !state.bytes_received(1500.0));
     assert_eq!(
         state.close_deadline(&limits(15_000.0)),
-        closes(4000.0, CloseMode::Immediate)
+        close_deadline(4000.0, CloseMode::Immediate)
     );
     state.head_received();
     assert!(
         !state.bytes_received(1600.0),
-        "a body does not begin a head"
+        "body bytes do not start a head"
     );
     assert_eq!(
         (state.close_deadline(&limits(15_000.0)), state.idle_since()),
@@ -44,18 +44,18 @@
     state.response_ready(9000.0);
     assert_eq!(
         state.close_deadline(&limits(15_000.0)),
-        closes(24_000.0, CloseMode::Graceful)
+        close_deadline(24_000.0, CloseMode::Graceful)
     );
     assert_eq!(
         state.close_deadline(&limits(40_000.0)),
-        closes(49_000.0, CloseMode::Graceful)
+        close_deadline(49_000.0, CloseMode::Graceful)
     );
     assert_eq!(state.idle_since(), Some(9000.0));
-    // A request after four fifths of the idle timeout: its head has the full header timeout.
+    // A request that starts after four fifths of the idle timeout has the full header timeout.
     state.bytes_received(9000.0 + 0.8 * 15_000.0);
     assert_eq!(
         state.close_deadline(&limits(15_000.0)),
-        closes(24_000.0, CloseMode::Immediate)
+        close_deadline(24_000.0, CloseMode::Immediate)
     );
     state.closing();
     assert_eq!(
@@ -64,12 +64,13 @@
     );
 }
 
-/// Guards new clients at the connection limit: the connection that has been idle longest is closed for them.
+/// Guards new clients at the connection limit: the connection that has been idle longest is closed
+/// to admit them.
 #[test]
 fn at_the_connection_limit_the_longest_idle_connection_is_closed() {
     run_local(async {
         let backend = Rc::new(SlowBackend::default());
-        // The clients that so many descriptors allow.
+        // The number of clients that 34 descriptors allow.
         let limit = maplefall_upstream::downstream_budget(34);
         let proxy = TestProxy::with_sockets(1, &[listen(backend.clone()).await], 34).await;
         let connections = RefCell::new(Vec::new());
@@ -89,7 +90,7 @@
         let mut new_client = TcpStream::connect(proxy.address)
             .await
             .expect("a connection");
-        // Long before the others have been idle for `IdleS`, 15 s.
+        // Much earlier than `IdleS`, 15 s, closes the other connections.
         let response = tokio::time::timeout(
             Duration::from_secs(10),
             send_request(&mut new_client, "/once/b"),
@@ -101,9 +102,12 @@
         );
         let mut connections = connections.take();
         assert_eq!(
-            connections[0].read(&mut [0]).await.expect("an end"),
+            connections[0]
+                .read(&mut [0])
+                .await
+                .expect("an end of stream"),
             0,
-            "the first has been idle longest"
+            "the connection that has been idle longest is closed"
         );
         assert_eq!(
             send_request(&mut connections[limit - 1], "/once/c")
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -1,4 +1,4 @@
-//! Responses to requests that have not been read to their end.
+//! Responses to requests that the proxy has not read completely.
 
 mod common;
 
@@ -9,14 +9,15 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// More than the limit on bodies, and than the kernel buffers.
+/// More than the body limit and the kernel buffers.
 const BODY_BYTES: usize = 100 << 20;
 const CHUNK_BYTES: usize = 64 << 10;
-/// A write that takes longer waits for a proxy that does not read on.
+/// A longer write means that the proxy has stopped reading.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 const CLIENTS: usize = 5;
 
-/// Guards a response that is queued when its connection is closed: a client that is still sending learns that its body is too long.
+/// Guards a response that is queued when its connection is closed: a client that is still sending
+/// receives the 413 for its too long body.
 #[test]
 fn a_client_that_is_still_sending_gets_the_response() {
     run_local(async {
@@ -29,9 +30,12 @@
             let head = format!(
                 "POST /once/a HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a{number}\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
             );
-            stream.write_all(head.as_bytes()).await.expect("it is sent");
+            stream
+                .write_all(head.as_bytes())
+                .await
+                .expect("the head is sent");
             let chunk = vec![7; CHUNK_BYTES];
-            // Until the proxy has closed the connection or reads no more.
+            // Until the proxy has closed the connection or stopped reading.
             while let Ok(Ok(())) =
                 tokio::time::timeout(WRITE_TIMEOUT, stream.write_all(&chunk)).await
             {}
--- a/crates/proxy/tests/end_to_end.rs
+++ b/crates/proxy/tests/end_to_end.rs
@@ -1,4 +1,5 @@
-//! End to end over loopback: a controller with its state on disk, a proxy as a process, backends, an operator and clients.
+//! End-to-end tests over loopback: a controller with its state on disk, a proxy process, backends,
+//! an operator and clients.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,7 +9,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// Longest time that anything may take; only a fault uses it up.
+/// Maximum time of any step; reached only on a failure.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct ClientResponse {
@@ -17,7 +18,7 @@
     body: String,
 }
 
-/// Reads one message; `None` at the end.
+/// Reads one message; returns `None` at the end of the stream.
 fn read_message(reader: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -43,7 +44,7 @@
     Some(ClientResponse { status, head, body })
 }
 
-/// Repeats a request until its response is as expected.
+/// Repeats a request until its response is the expected one.
 fn request_until(
     to: SocketAddr,
     text: &str,
@@ -69,7 +70,7 @@
     )
 }
 
-/// A backend that writes what `script` returns for each request, nothing for `None`.
+/// Starts a backend that writes what `script` returns for each request, nothing for `None`.
 fn start_backend(
     script: impl Fn(&str) -> Option<String> + Send + Clone + 'static,
 ) -> (SocketAddr, mpsc::Receiver<String>) {
@@ -115,7 +116,7 @@
     directory: PathBuf,
     proxy: Child,
     control: SocketAddr,
-    front: SocketAddr,
+    front_http: SocketAddr,
 }
 
 impl Drop for TestSystem {
@@ -138,13 +139,13 @@
             std::env::temp_dir().join(format!("maplefall-whole-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&directory);
         fs::create_dir_all(&directory).expect("a directory");
-        // One address for each machine: the internal port is the same on both.
-        let [controller_ip, edge_ip] = [2, 3].map(|n| IpAddr::V4(Ipv4Addr::new(127, 0, 0, n)));
+        // One address per machine, because the internal port is the same on both.
+        let [controller_ip, proxy_ip] = [2, 3].map(|n| IpAddr::V4(Ipv4Addr::new(127, 0, 0, n)));
         let (control, internal_port) = (
             free_address(controller_ip),
             free_address(controller_ip).port(),
         );
-        let (front, probe) = (free_address(edge_ip), free_address(edge_ip));
+        let (front_http, ready_probe) = (free_address(proxy_ip), free_address(proxy_ip));
         let common_settings = format!("InternalPorts = [{internal_port},{internal_port}]\nSeedAddrs = [\"{control}\"]\nBootstrap = true\nQuorumMember = true\nZone = \"z\"\n");
         let controller_settings = format!(
             "Node = \"core\"\nIp = \"{controller_ip}\"\n{common_settings}DataDir = {:?}\n[Bind]\nControl = \"{control}\"\n",
@@ -167,12 +168,12 @@
                 )))
                 .expect("a controller");
         });
-        let edge_file = directory.join("edge.toml");
-        let edge_ip = format!("Node = \"edge\"\nIp = \"{edge_ip}\"\n{common_settings}[Bind]\nFrontHttp = \"{front}\"\nReadyProbe = \"{probe}\"\n");
-        fs::write(&edge_file, edge_ip).expect("a file");
+        let proxy_settings_file = directory.join("edge.toml");
+        let proxy_settings = format!("Node = \"edge\"\nIp = \"{proxy_ip}\"\n{common_settings}[Bind]\nFrontHttp = \"{front_http}\"\nReadyProbe = \"{ready_probe}\"\n");
+        fs::write(&proxy_settings_file, proxy_settings).expect("a file");
         let proxy = Command::new(env!("CARGO_BIN_EXE_maplefall-proxy"))
             .arg("run")
-            .env("MAPLEFALL_CONFIG", &edge_file)
+            .env("MAPLEFALL_CONFIG", &proxy_settings_file)
             .stderr(Stdio::null())
             .spawn()
             .expect("a proxy");
@@ -180,7 +181,7 @@
             directory,
             proxy,
             control,
-            front,
+            front_http,
         };
         for (id, address) in backends {
             let service = id.split('-').next().unwrap_or_default();
@@ -194,7 +195,7 @@
             |response| response.status == 200,
         );
         request_until(
-            probe,
+            ready_probe,
             "GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n",
             |response| response.status == 200,
         );
@@ -208,10 +209,11 @@
     format!("GET {path} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: abc\r\nAuthorization: Token k1\r\n{headers}\r\n")
 }
 
-/// Guards the whole path: a request reaches the backend with the right headers and its response comes back unchanged; a request without
-/// a key or a route is rejected; a tenant header of the client is not forwarded.
+/// Guards the complete path: a request reaches the backend with the right headers and the response
+/// comes back unchanged; a request without a valid key or a route is rejected; a tenant header of
+/// the client is not forwarded.
 #[test]
-fn a_request_reaches_its_backend_and_the_response_its_client() {
+fn a_request_is_forwarded_and_its_response_returned_unchanged() {
     let (backend_address, requests) = start_backend(|head| {
         response(
             head,
@@ -222,10 +224,12 @@
     });
     let system = TestSystem::start("way", &[("one-1", backend_address)]);
     let headers = "X-Tenant: other\r\nX-Target-Instance: x\r\nConnection: X-Odd\r\nX-Odd: 1\r\nX-Time-Remaining: 20000\r\n";
-    // The tenant's bucket is empty at first, and fills as soon as the lease is granted.
-    let response = request_until(system.front, &get("/one/a?b=%20c", headers), |response| {
-        response.status != 429
-    });
+    // The tenant's token bucket is empty at first, and fills once the lease is granted.
+    let response = request_until(
+        system.front_http,
+        &get("/one/a?b=%20c", headers),
+        |response| response.status != 429,
+    );
     assert_eq!(
         (response.status, response.body.as_str()),
         (200, "whole"),
@@ -249,7 +253,7 @@
         "x-odd",
         "x-attempt-id",
     ]
-    .map(|n| header(&request, n));
+    .map(|name| header(&request, name));
     assert_eq!(
         forwarded,
         [
@@ -260,11 +264,12 @@
             Some("abc".into())
         ]
     );
-    let status =
-        |text: &str| request_until(system.front, text, |response| response.status != 429).status;
+    let status = |text: &str| {
+        request_until(system.front_http, text, |response| response.status != 429).status
+    };
     assert_eq!(status(&get("/one/", "").replace("k1", "k2")), 401);
     assert_eq!(status(&get("/three/", "")), 404);
-    // A chunked body is forwarded with a length; a request with two lengths is invalid.
+    // A chunked body is forwarded with a Content-Length; a request with two lengths is rejected.
     let chunked = get("/one/", "Transfer-Encoding: chunked\r\n").replace("GET", "PUT")
         + "3\r\nabc\r\n0\r\n\r\n";
     assert_eq!(status(&chunked), 200);
@@ -276,8 +281,8 @@
         request.ends_with("abc") && header(&request, "content-length").as_deref() == Some("3"),
         "{request}"
     );
-    let twice = get("/one/", "Content-Length: 3\r\nContent-Length: 4\r\n") + "abcd";
-    assert_eq!(status(&twice), 400);
+    let two_lengths = get("/one/", "Content-Length: 3\r\nContent-Length: 4\r\n") + "abcd";
+    assert_eq!(status(&two_lengths), 400);
     let config_read = request_until(
         system.control,
         &post("/api/rpc?call=config.read", ""),
@@ -288,68 +293,74 @@
         "{}",
         config_read.body
     );
-    let bad = post(
+    let truncated = post(
         "/api/rpc?call=config.amend",
         &CONFIGURATION[..CONFIGURATION.len() / 2],
     );
     assert_eq!(
-        request_once(system.control, &bad)
+        request_once(system.control, &truncated)
             .expect("a response")
             .status,
         400
     );
 }
 
-/// Guards requests that must not run twice: one that a backend rejected and another may have run gets no promise that it has not run,
-/// not even the one that the first backend gave. Seen on the bench: "answered 503, and a server ran it".
+/// Guards non-idempotent requests: if one backend rejected a request and another may have run it,
+/// the client receives no status that implies that it has not run, not even the one of the first
+/// backend. The benchmark found a 503 for a request that a backend had run.
 #[test]
-fn a_request_that_may_have_run_gets_no_promise() {
+fn no_status_implies_that_a_request_that_may_have_run_has_not_run() {
     let end = Instant::now() + TIMEOUT;
     let mut second_attempts = 0;
     let mut systems = 0;
     while second_attempts < 1 {
         assert!(
             Instant::now() < end,
-            "the silent backend never got a second attempt in {systems} systems"
+            "the unresponsive backend never received a second attempt in {systems} systems"
         );
         systems += 1;
         second_attempts += second_attempts_of_a_system(&format!("promise-{systems}"), end);
     }
 }
 
-/// Requests to one system at most. Where chance has sent the first attempts to the silent backend, it is set aside by then, and gets no second
-/// ones any more.
+/// Maximum number of requests to one system. If the first attempts have gone to the unresponsive
+/// backend by chance, it is ejected by then and receives no second attempts.
 const REQUESTS_PER_SYSTEM: usize = 100;
 
-/// Sends requests to a system with a backend that rejects all of them and a silent one, until the silent one has got the second attempt of
-/// a request; returns how many it got.
+/// Sends requests to a system with a backend that rejects all of them and an unresponsive one,
+/// until the unresponsive one has received the second attempt of a request. Returns the number of
+/// such attempts.
 fn second_attempts_of_a_system(name: &str, end: Instant) -> usize {
-    let shed = |head: &str| response(head, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
-    let (shedding_backend, rejected_requests) = start_backend(shed);
-    // It reads requests and never responds; a request that it gets twice would have run twice.
-    let (silent_backend, runs) = start_backend(|_| None);
+    let reject =
+        |head: &str| response(head, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
+    let (rejecting_backend, rejected_requests) = start_backend(reject);
+    // Reads requests and never responds; receiving a request twice means running it twice.
+    let (unresponsive_backend, runs) = start_backend(|_| None);
     let system = TestSystem::start(
         name,
-        &[("two-1", shedding_backend), ("two-2", silent_backend)],
+        &[
+            ("two-1", rejecting_backend),
+            ("two-2", unresponsive_backend),
+        ],
     );
     let mut second_attempts = 0;
-    // The retry budget grows with requests, and the first requests find an empty bucket.
+    // The retry budget grows with requests, and the first requests find an empty token bucket.
     for _ in 0..REQUESTS_PER_SYSTEM {
         if second_attempts > 0 || Instant::now() >= end {
             break;
         }
-        let post = get("/two/", "X-Time-Remaining: 400\r\nContent-Length: 2\r\n")
+        let request = get("/two/", "X-Time-Remaining: 400\r\nContent-Length: 2\r\n")
             .replace("GET", "POST")
             + "ab";
-        let response = request_once(system.front, &post).expect("a response");
+        let response = request_once(system.front_http, &request).expect("a response");
         let runs = runs.try_iter().count();
-        // A request that was rejected first and then ran.
+        // Requests that were rejected first and then ran.
         second_attempts += runs.min(rejected_requests.try_iter().count());
-        assert!(runs <= 1, "it was forwarded twice");
+        assert!(runs <= 1, "the request was forwarded twice");
         assert_eq!(
             runs == 1,
             !matches!(response.status, 429 | 503 | 408 | 421),
-            "{} where {runs} ran",
+            "status {} after {runs} runs",
             response.status
         );
     }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of a proxy: over sockets, and of the core.
+//! Graceful shutdown of a proxy: over sockets, and of the core alone.
 
 mod common;
 
@@ -13,9 +13,10 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Guards connections that arrive at the end of a shutdown. Seen on the bench (LOST): all requests had their responses, the proxy
-/// still accepted, and cut what it had accepted. While a request is pending, new clients are served and their connections closed;
-/// after that they are refused, and nothing more is forwarded.
+/// Guards connections that arrive at the end of a shutdown (rule LOST): in a benchmark, when all
+/// requests had their responses, the proxy still accepted connections and then broke them. While a
+/// request is pending, new clients are served and their connections closed after the response;
+/// after that connections are refused, and nothing more is forwarded.
 #[test]
 fn after_the_shutdown_no_connection_is_accepted() {
     run_local(async {
@@ -37,7 +38,7 @@
         loop {
             let mut stream = TcpStream::connect(address)
                 .await
-                .expect("it accepts while a request is pending");
+                .expect("the proxy accepts while a request is pending");
             let response = send_request(&mut stream, "/once/more")
                 .await
                 .expect("a response");
@@ -51,17 +52,18 @@
         let response = pending.await.expect("a client").expect("a response");
         assert_eq!((response.status(), response.closes()), (200, true));
         shutdown.await.expect("a shutdown");
-        // For the 20 ms of the last frames to the controllers nothing may be accepted.
+        // No connection may be accepted during the 20 ms in which the last frames to the
+        // controllers are sent.
         let received = backend.received.get();
         for _ in 0..20 {
-            let late = match TcpStream::connect(address).await {
+            let result = match TcpStream::connect(address).await {
                 Ok(mut stream) => send_request(&mut stream, "/once/late")
                     .await
                     .map(|message| message.start),
                 Err(error) => Err(error),
             };
             assert_eq!(
-                late.map_err(|error| error.kind()),
+                result.map_err(|error| error.kind()),
                 Err(ErrorKind::ConnectionRefused)
             );
         }
@@ -69,8 +71,8 @@
     });
 }
 
-/// Guards requests in flight at a shutdown: a slow backend is no reason to abort them before their clients do, even if they are
-/// idempotent.
+/// Guards requests in flight at a shutdown: attempts at a slow backend are not aborted before their
+/// clients' deadlines, even if they are idempotent.
 #[test]
 fn during_a_shutdown_no_attempt_is_aborted_before_its_deadline() {
     for shutting_down in [false, true] {
@@ -90,7 +92,7 @@
             is_retry: false,
         };
         core.admit(10.0, &incoming, &mut out)
-            .expect("it is admitted");
+            .expect("the request is admitted");
         assert!(out
             .iter()
             .any(|output| matches!(output, Output::Send { .. })));
@@ -119,7 +121,7 @@
             assert!(
                 out.iter()
                     .any(|output| matches!(output, Output::CancelAttempt(..))),
-                "it outlasts its deadline"
+                "the attempt outlasts its deadline"
             );
         }
     }
--- a/crates/proxy/tests/lease_request_rate.rs
+++ b/crates/proxy/tests/lease_request_rate.rs
@@ -1,5 +1,5 @@
-//! How often a proxy asks a controller for leases while its tenants find no token: few proxies may ask often, many together may not
-//! (incident ACKS, `docs/incidents/2026-12-acks-grown.md`).
+//! The rate of lease requests of proxies whose tenants find no token: a few proxies may request
+//! often, many together may not (incident ACKS, `docs/incidents/2026-12-acks-grown.md`).
 
 use maplefall_control_messages::{ConfigUpdate, Frame, InstanceUpdates};
 use maplefall_gateway_config::parse_amend;
@@ -12,10 +12,10 @@
 const CONTROLLER: &str = "10.0.0.1";
 const TENANTS: usize = 40;
 /// Simulated time, in milliseconds.
-const DURATION: usize = 10_000;
-/// Between two ticks of a proxy, in milliseconds.
-const TICK: usize = 500;
-/// The seed and incarnation of the proxy.
+const DURATION_MS: usize = 10_000;
+/// Interval between two ticks of a proxy, in milliseconds.
+const TICK_MS: usize = 500;
+/// Seed and incarnation of the proxy.
 const INCARNATION: u64 = 5;
 
 fn configuration() -> String {
@@ -31,7 +31,8 @@
     )
 }
 
-/// A proxy with a backend and a controller that leases it nothing and knows so many proxies.
+/// Returns a proxy with a backend and a controller that leases nothing to it and reports
+/// `client_count` proxies.
 fn proxy_without_leases(client_count: u32) -> Core {
     let text = "Node = \"edge\"\nIp = \"10.1.0.1\"\nInternalPorts = [1,1]\nSeedAddrs = [\"10.0.0.1:1\"]\nBootstrap = false\nZone = \"z\"\n";
     let settings = Settings::parse(text, Path::new("edge.toml")).expect("settings");
@@ -81,11 +82,12 @@
         .count()
 }
 
-/// How many lease requests the proxy sends a second, while a request of some tenant arrives every millisecond.
-fn lease_requests_per_second(client_count: u32) -> f64 {
+/// Returns the lease requests per second that a proxy sends while every millisecond a request of
+/// some tenant arrives.
+fn lease_request_rate(client_count: u32) -> f64 {
     let mut core = proxy_without_leases(client_count);
     let mut count = 0;
-    for ms in 1..=DURATION {
+    for ms in 1..=DURATION_MS {
         let now = ms as f64;
         let key = format!("k{}", ms * 7 % TENANTS);
         let incoming = IncomingRequest {
@@ -98,33 +100,37 @@
         };
         let mut out = Vec::new();
         let admitted = core.admit(now, &incoming, &mut out);
-        assert!(admitted.is_err(), "a request without a token at {now} ms");
-        if ms % TICK == 0 {
+        assert!(
+            admitted.is_err(),
+            "a request was admitted without a token at {now} ms"
+        );
+        if ms % TICK_MS == 0 {
             core.tick(now, &mut out);
         }
         count += count_lease_requests(&out);
     }
-    count as f64 * 1000.0 / DURATION as f64
+    count as f64 * 1000.0 / DURATION_MS as f64
 }
 
-/// Whatever their number, proxies that are starved ask a controller some 500 times a second together, besides their ticks.
+/// Starved proxies send a controller some 500 lease requests per second in total, whatever their
+/// number, besides those of their ticks.
 #[test]
-fn starved_proxies_ask_a_controller_at_a_bounded_rate() {
-    let ticks = 1000.0 / TICK as f64;
+fn lease_requests_of_starved_proxies_are_bounded_in_total() {
+    let ticks = 1000.0 / TICK_MS as f64;
     for client_count in [50, 87, 300, 1000] {
-        let urgent = lease_requests_per_second(client_count) - ticks;
-        let together = urgent * f64::from(client_count);
-        // Each may begin with what it has saved up: 200 ms.
+        let urgent_rate = lease_request_rate(client_count) - ticks;
+        let total = urgent_rate * f64::from(client_count);
+        // Each proxy may start with its saved credit of 200 ms.
         assert!(
-            together < 500.0 * 1.05 + f64::from(client_count),
-            "{client_count} proxies ask {together} times a second"
+            total < 500.0 * 1.05 + f64::from(client_count),
+            "{client_count} proxies send {total} lease requests per second"
         );
     }
 }
 
-/// A starved proxy of a small deployment asks as soon as 60 ms after its last request.
+/// A starved proxy of a small deployment requests again as soon as 60 ms after its last request.
 #[test]
-fn few_proxies_ask_soon() {
-    let rate = lease_requests_per_second(11);
-    assert!(rate > 15.0, "{rate} a second");
+fn a_starved_proxy_of_a_small_fleet_requests_leases_often() {
+    let rate = lease_request_rate(11);
+    assert!(rate > 15.0, "only {rate} lease requests per second");
 }
--- a/crates/proxy/tests/quota_leases.rs
+++ b/crates/proxy/tests/quota_leases.rs
@@ -1,9 +1,13 @@
-//! Proxies and lease servers over a simulated network: requests and grants are late, lost, or lost with their connection; messages of an
-//! earlier connection or incarnation of a proxy arrive late; proxies are partitioned, crash and restart; controllers crash and restart,
-//! with their disk or without it, are paused, partitioned from the proxies or from the other controllers, and go on meanwhile; members
-//! join, leave and are replaced, also those that are partitioned or paused just then. Monotonic clocks drift apart by 2 % at most.
-//! Whatever happens, the leased shares add up to the quota at most, so do those that the servers count as outstanding, and in no window
-//! do all proxies together admit more than the quota's bound, whether by leases or by single tokens. Seeds are printed.
+//! Simulates proxies and lease servers over a network. Requests and grants are late, lost, or lost
+//! with their connection; messages of an earlier connection or incarnation of a proxy arrive late;
+//! proxies are partitioned, crash and restart; controllers crash and restart, with their disk or
+//! without it, are paused, are partitioned from the proxies or from the other controllers, and go
+//! on meanwhile; members join, leave and are replaced, also while they are partitioned or paused.
+//! Monotonic clocks drift apart by 2 % at most.
+//!
+//! The test checks at all times that the leased shares add up to the quota at most, that the shares
+//! which the servers count as outstanding do too, and that in no window all proxies together admit
+//! more than the quota's bound, whether by leases or by single tokens. Seeds are printed.
 
 use maplefall_node_settings::Bounds;
 use maplefall_policy::Tenants;
@@ -21,20 +25,21 @@
     ("large", 94.0, 94.0),
     ("small", 6.0, 6.0),
     ("odd", 20.0, 0.0),
-    // Too small for leases to more than two proxies.
+    // Too small to be leased to more than two proxies.
     ("pooled", 60.0, 0.0),
 ];
-/// Seeds of this remainder are played with little slack, so that the last two tenants are granted single tokens.
-const FEW_TOKENS_REMAINDER: u64 = 1;
+/// Seeds with this remainder modulo 2 run with little slack, so that the last two tenants are
+/// granted single tokens.
+const LITTLE_SLACK_REMAINDER: u64 = 1;
 /// Simulated time, in milliseconds.
 const SIMULATED_MS: f64 = 75_000.0;
-/// A deposed leader may go on for this long, and its followers with it.
+/// Time for which a deposed leader, and its followers, may continue.
 const DEPOSED_LEADER_MS: f64 = 1000.0;
 
 type Members = BTreeSet<String>;
 
-/// A tenant's whole quota within the bounds.
-fn whole_quota(bounds: &Bounds, rate: f64, burst: f64) -> TenantQuota {
+/// Returns a tenant's full quota within the bounds.
+fn full_quota(bounds: &Bounds, rate: f64, burst: f64) -> TenantQuota {
     TenantQuota::new(rate, burst, bounds.quota_overshoot, bounds.quota_slack)
 }
 
@@ -43,29 +48,29 @@
     token_client: TokenClient,
     tenants: Tenants<&'static str>,
     incarnation: u64,
-    /// The controllers that it is connected to, with the id of each connection.
+    /// The controllers that the proxy is connected to, with the id of each connection.
     open_connections: BTreeMap<usize, u64>,
     down_until: f64,
     partitioned_until: f64,
-    /// The rate of its monotonic clock.
-    rate: f64,
+    /// Rate of its monotonic clock relative to the simulated time.
+    clock_rate: f64,
     /// Requests per second of each tenant.
     request_rates: [f64; 4],
-    /// Requests that wait for a single token, by tenant.
-    waiting: [u32; 4],
+    /// Number of requests that wait for a single token, by tenant.
+    pending_token_requests: [u32; 4],
 }
 
-/// The committed membership changes: the index of each entry and the members from then on.
+/// The committed membership changes: the index of each entry and the members from it on.
 struct MembershipLog {
-    losses: u32,
+    tolerated_failures: u32,
     entries: Vec<(u64, Members)>,
 }
 
 impl MembershipLog {
-    /// The slots after the first `entries` entries.
+    /// Returns the slots after the first `entries` entries.
     fn slots(&self, entries: usize) -> Slots {
         let (index, first) = &self.entries[0];
-        let mut slots = Slots::initial(first, self.losses, *index, false);
+        let mut slots = Slots::initial(first, self.tolerated_failures, *index, false);
         for (index, members) in &self.entries[1..entries] {
             slots.reassign(members, *index);
         }
@@ -85,44 +90,44 @@
 /// A controller's disk.
 #[derive(Clone, Default)]
 struct Disk {
-    names: BTreeSet<String>,
-    names_known: bool,
+    client_names: BTreeSet<String>,
+    client_names_known: bool,
     completed_waits: BTreeSet<u64>,
-    /// How many entries are compacted; 0 for an empty disk.
+    /// Number of compacted entries; 0 for an empty disk.
     compacted_entries: usize,
 }
 
 /// One incarnation of a controller.
-struct ServerInstance {
+struct ControllerIncarnation {
     owned_slots: OwnedSlots,
     lease_server: LeaseServer,
     started_at: f64,
-    /// How many entries are applied.
+    /// Number of applied entries.
     applied: usize,
     quorum_contact_at: f64,
 }
 
 struct SimulatedController {
     name: String,
-    /// The rate of its monotonic clock.
-    rate: f64,
+    /// Rate of its monotonic clock relative to the simulated time.
+    clock_rate: f64,
     bounds: Bounds,
     disk: Disk,
-    incarnation: Option<ServerInstance>,
-    /// When it starts; infinite if it is gone for good or not there yet.
+    incarnation: Option<ControllerIncarnation>,
+    /// Time of the next start; infinite if the controller is gone for good or not started yet.
     starts_at: f64,
     paused_until: f64,
-    /// From when until when it is partitioned from the other controllers.
+    /// Start and end of its partition from the other controllers.
     partitioned_between: (f64, f64),
-    /// Until when it is partitioned from the proxies.
+    /// End of its partition from the proxies.
     unreachable_until: f64,
-    /// When it restarts once more, with its disk.
+    /// Time of one more restart, with its disk.
     restarts_at: f64,
 }
 
 impl SimulatedController {
     fn clock(&self, now: f64) -> f64 {
-        now * self.rate
+        now * self.clock_rate
     }
 
     fn is_running(&self, now: f64) -> bool {
@@ -131,10 +136,13 @@
 
     fn start(&mut self, now: f64, incarnation: u32, membership_log: &MembershipLog) {
         let clock = self.clock(now);
-        let names_known = self.disk.names_known.then(|| self.disk.names.clone());
-        let mut lease_server = LeaseServer::new(clock, incarnation, 0, names_known);
+        let client_names_known = self
+            .disk
+            .client_names_known
+            .then(|| self.disk.client_names.clone());
+        let mut lease_server = LeaseServer::new(clock, incarnation, 0, client_names_known);
         for (tenant, rate, burst) in TENANTS {
-            lease_server.set_quota(clock, tenant, Some(whole_quota(&self.bounds, rate, burst)));
+            lease_server.set_quota(clock, tenant, Some(full_quota(&self.bounds, rate, burst)));
         }
         let slots = if self.disk.compacted_entries > 0 {
             membership_log.slots(self.disk.compacted_entries)
@@ -143,7 +151,7 @@
         };
         let (owned_slots, _) =
             OwnedSlots::new(clock, &self.name, slots, self.disk.completed_waits.clone());
-        let mut incarnation = ServerInstance {
+        let mut incarnation = ControllerIncarnation {
             owned_slots,
             lease_server,
             started_at: clock,
@@ -157,7 +165,7 @@
         self.incarnation = Some(incarnation);
     }
 
-    /// Applies the committed entries up to this number; returns the grants that proxies get.
+    /// Applies the first `to` committed entries; returns the grants to send to proxies.
     fn apply(
         &mut self,
         now: f64,
@@ -172,7 +180,7 @@
         };
         let mut slot_events = Vec::new();
         if incarnation.applied == 0 {
-            // It installs a snapshot first.
+            // A controller without entries installs a snapshot first.
             incarnation.applied = to;
             slot_events.extend(
                 incarnation
@@ -201,7 +209,7 @@
                 .set_limit(incarnation.owned_slots.limit()),
         );
         if clock - incarnation.started_at >= LEASE_DURATION + CLOCK_SKEW {
-            self.disk.names_known = true;
+            self.disk.client_names_known = true;
         }
         grants
     }
@@ -209,7 +217,7 @@
 
 /// A message on a connection between a proxy and a controller.
 enum WireMessage {
-    /// To a lease server, if it is still the same incarnation.
+    /// A lease request to a lease server, dropped if the controller has restarted since.
     Request {
         proxy: usize,
         controller: usize,
@@ -218,14 +226,14 @@
         proxy_incarnation: u64,
         request: LeaseRequest,
     },
-    /// From a lease server.
+    /// A grant of leases.
     Grant {
         proxy: usize,
         controller: usize,
         connection: u64,
         grant: LeaseGrant,
     },
-    /// To a lease server, as a request.
+    /// A token request to a lease server, dropped if the controller has restarted since.
     TokenRequest {
         proxy: usize,
         controller: usize,
@@ -233,7 +241,7 @@
         connection: u64,
         request: TokenRequest,
     },
-    /// From a lease server, as a grant.
+    /// A grant of tokens.
     TokenGrant {
         proxy: usize,
         controller: usize,
@@ -252,7 +260,7 @@
         }
     }
 
-    /// The controller that a request goes to.
+    /// Returns the controller that a request is sent to; `None` for a grant.
     fn to_controller(&self) -> Option<usize> {
         match self {
             WireMessage::Request { controller, .. }
@@ -266,14 +274,15 @@
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut draw = move || f64::from(rng.next_u32()) / 4_294_967_296.0;
     let mut bounds = Bounds::default();
-    if seed % 2 == FEW_TOKENS_REMAINDER {
+    if seed % 2 == LITTLE_SLACK_REMAINDER {
         bounds.quota_slack = 6.0;
     }
     let lifetime = token_lifetime(bounds.quota_overshoot, bounds.quota_window_s);
     let proxy_count = 2 + (draw() * 9.0) as usize;
-    // Three are members at the first start; where two may be lost there are five, and the others join later.
-    let losses = if draw() < 0.4 { 2 } else { 1 };
-    let mut rates: Vec<f64> = (0..32).map(|_| 0.99 + draw() * 0.02).collect();
+    // Three controllers are members at the first start; if two failures are tolerated there are
+    // five, and the other two join later.
+    let tolerated_failures = if draw() < 0.4 { 2 } else { 1 };
+    let mut clock_rates: Vec<f64> = (0..32).map(|_| 0.99 + draw() * 0.02).collect();
     let mut new_client = |incarnation: u32, full: bool| SimulatedProxy {
         lease_client: LeaseClient::new(u64::from(incarnation)),
         token_client: TokenClient::new(lifetime),
@@ -282,18 +291,18 @@
         open_connections: BTreeMap::new(),
         down_until: 0.0,
         partitioned_until: 0.0,
-        rate: rates.pop().unwrap_or(1.0),
+        clock_rate: clock_rates.pop().unwrap_or(1.0),
         request_rates: [0.0; 4],
-        waiting: [0; 4],
+        pending_token_requests: [0; 4],
     };
     let mut clients: Vec<SimulatedProxy> = (0..proxy_count)
         .map(|n| new_client(n as u32 + 1, true))
         .collect();
-    // The first three, those that join, and those that replace others.
+    // The first three members, those that join, and those that replace others.
     let mut controllers: Vec<SimulatedController> = (0..9)
         .map(|n| SimulatedController {
             name: format!("10.0.0.{n}"),
-            rate: 0.99 + draw() * 0.02,
+            clock_rate: 0.99 + draw() * 0.02,
             bounds,
             disk: Disk::default(),
             incarnation: None,
@@ -304,16 +313,16 @@
             restarts_at: f64::INFINITY,
         })
         .collect();
-    let first: Members = (0..3).map(|n| controllers[n].name.clone()).collect();
+    let initial_members: Members = (0..3).map(|n| controllers[n].name.clone()).collect();
     let mut membership_log = MembershipLog {
-        losses,
-        entries: vec![(0, first)],
+        tolerated_failures,
+        entries: vec![(0, initial_members)],
     };
     let (mut last_incarnation, mut last_connection, mut admitted) = (100_u32, 0_u64, 0_u64);
     let mut tokens_spent = 0_u64;
     for simulated_controller in &mut controllers[..3] {
         simulated_controller.disk = Disk {
-            names_known: true,
+            client_names_known: true,
             compacted_entries: 1,
             ..Disk::default()
         };
@@ -322,14 +331,17 @@
     }
     let mut next_controller = 3;
     let mut joins_at: Vec<f64> = Vec::new();
-    if losses == 2 {
+    if tolerated_failures == 2 {
         joins_at = vec![200.0 + draw() * 3000.0, 200.0 + draw() * 3000.0];
     }
     let mut in_transit: Vec<(f64, WireMessage)> = Vec::new();
-    // Connections deliver in order: when the last message arrives, in each direction.
+    // Connections deliver in order: the time of the last delivery, for each connection and
+    // direction.
     let mut last_delivery: BTreeMap<(u64, bool), f64> = BTreeMap::new();
-    let mut in_order = move |connection_id: u64, up: bool, at: f64| {
-        let earliest = last_delivery.entry((connection_id, up)).or_insert(at);
+    let mut in_order = move |connection_id: u64, is_request: bool, at: f64| {
+        let earliest = last_delivery
+            .entry((connection_id, is_request))
+            .or_insert(at);
         *earliest = earliest.max(at);
         *earliest
     };
@@ -346,7 +358,7 @@
                     last_incarnation += 1;
                     clients[chosen] = SimulatedProxy {
                         down_until: now + draw() * 2000.0,
-                        rate: clients[chosen].rate,
+                        clock_rate: clients[chosen].clock_rate,
                         ..new_client(last_incarnation, false)
                     };
                 }
@@ -359,14 +371,14 @@
                         last_incarnation += 1;
                         *client = SimulatedProxy {
                             down_until: now + draw() * 2000.0,
-                            rate: client.rate,
+                            clock_rate: client.clock_rate,
                             ..new_client(last_incarnation, false)
                         };
                     }
                 }
                 3 => {
-                    // A planned stop: it releases its leases and restarts at once.
-                    let clock = now * clients[chosen].rate;
+                    // A planned stop: the proxy releases its leases and restarts at once.
+                    let clock = now * clients[chosen].clock_rate;
                     for (lease_server, connection_id) in clients[chosen].open_connections.clone() {
                         let lease_request = clients[chosen].lease_client.next_request(
                             clock,
@@ -401,7 +413,7 @@
                     last_incarnation += 1;
                     clients[chosen] = SimulatedProxy {
                         down_until: now + draw() * 500.0,
-                        rate: clients[chosen].rate,
+                        clock_rate: clients[chosen].clock_rate,
                         ..new_client(last_incarnation, false)
                     };
                 }
@@ -417,7 +429,7 @@
                 .collect();
             let chosen = members[(draw() * members.len() as f64) as usize];
             match (draw() * 9.0) as u32 {
-                // It crashes and restarts, with its disk or without it.
+                // The controller crashes and restarts, with its disk or without it.
                 0 | 1 => {
                     let loses_disk = draw() < 0.4;
                     let target = &mut controllers[chosen];
@@ -433,7 +445,8 @@
                 2 => controllers[chosen].paused_until = now + draw() * 25_000.0,
                 3 => controllers[chosen].partitioned_between = (now, now + draw() * 25_000.0),
                 4 => controllers[chosen].unreachable_until = now + draw() * 8000.0,
-                // Removed, or replaced in one step: it has gone for good, or is partitioned or paused and goes on.
+                // The controller is removed, or replaced in one step: it is gone for good, or it is
+                // partitioned or paused and continues.
                 5..=7 if next_controller < controllers.len() || draw() < 0.5 => {
                     match (draw() * 4.0) as u32 {
                         0 => {
@@ -447,7 +460,8 @@
                             controllers[chosen].partitioned_between =
                                 (now, now + 10_000.0 + draw() * 30_000.0)
                         }
-                        // It runs and can be reached: it may learn of its removal or not, and join again soon.
+                        // It runs and is reachable: it may learn of its removal or not, and may
+                        // join again soon.
                         _ => joins_at.push(now + draw() * 20_000.0),
                     }
                     let mut members = membership_log.members().clone();
@@ -462,7 +476,7 @@
                         membership_log.append(members);
                     }
                 }
-                // One more joins, or one of those that were removed.
+                // Another controller joins, or one of those that were removed.
                 _ => joins_at.push(now),
             }
         }
@@ -470,14 +484,14 @@
         joins_at.retain(|at| *at > now);
         for _ in 0..due {
             let mut members = membership_log.members().clone();
-            let out = (0..next_controller).find(|n| {
+            let returning_controller = (0..next_controller).find(|n| {
                 let target = &controllers[*n];
                 !members.contains(&target.name)
                     && target.is_running(now)
                     && now >= target.partitioned_between.1
                     && draw() < 0.5
             });
-            let joining_controller = out.or_else(|| {
+            let joining_controller = returning_controller.or_else(|| {
                 (next_controller < controllers.len()).then(|| {
                     controllers[next_controller].start(now, last_incarnation, &membership_log);
                     last_incarnation += 1;
@@ -504,18 +518,18 @@
             if !target.is_running(now) {
                 continue;
             }
-            let there = membership_log.entries.len();
-            let member = membership_log.members().contains(&target.name);
-            let partitioned_until =
+            let committed = membership_log.entries.len();
+            let is_member = membership_log.members().contains(&target.name);
+            let is_partitioned =
                 now >= target.partitioned_between.0 && now < target.partitioned_between.1;
-            let (has_contact, hears_of_removal) = (draw() < 0.05, draw() < 0.7);
+            let (has_contact, learns_of_removal) = (draw() < 0.05, draw() < 0.7);
             let applied = target
                 .incarnation
                 .as_ref()
                 .map_or(0, |incarnation| incarnation.applied);
-            // A member gets all entries; a removed one may not learn of its removal.
-            let to = if !partitioned_until && has_contact && (member || hears_of_removal) {
-                there
+            // A member receives all entries; a removed controller may not learn of its removal.
+            let to = if !is_partitioned && has_contact && (is_member || learns_of_removal) {
+                committed
             } else {
                 applied
             };
@@ -544,9 +558,10 @@
                     ));
                 }
             }
-            // Followers of a leader that was deposed since the partition may not know for a while.
+            // Followers of a leader that was deposed during the partition may not know this for a
+            // while.
             let has_leader =
-                !partitioned_until || now < target.partitioned_between.0 + DEPOSED_LEADER_MS;
+                !is_partitioned || now < target.partitioned_between.0 + DEPOSED_LEADER_MS;
             if let Some(incarnation) = target
                 .incarnation
                 .as_mut()
@@ -555,7 +570,7 @@
                 let is_counted = membership_log.entries[incarnation.applied - 1]
                     .1
                     .contains(&target.name);
-                if (partitioned_until || incarnation.applied == there) && is_counted {
+                if (is_partitioned || incarnation.applied == committed) && is_counted {
                     incarnation.quorum_contact_at = clock;
                 }
             }
@@ -576,19 +591,19 @@
             .enumerate()
             .filter(|(_, client)| now >= client.down_until)
         {
-            let clock = now * client.rate;
+            let clock = now * client.clock_rate;
             for (lease_server, target) in controllers.iter().enumerate() {
                 let Some(incarnation) = &target.incarnation else {
                     client.open_connections.remove(&lease_server);
                     continue;
                 };
-                let unreachable_until =
+                let is_unreachable =
                     now < client.partitioned_until || now < target.unreachable_until;
-                if (unreachable_until || now < target.paused_until) && draw() < 0.01 {
+                if (is_unreachable || now < target.paused_until) && draw() < 0.01 {
                     client.open_connections.remove(&lease_server);
                 }
-                // A paused process still has a backlog for new connections.
-                if !unreachable_until
+                // A paused process still accepts new connections into its backlog.
+                if !is_unreachable
                     && !client.open_connections.contains_key(&lease_server)
                     && draw() < 0.1
                 {
@@ -625,7 +640,7 @@
                         &lease_server.to_string(),
                         demand.collect(),
                     );
-                    if !unreachable_until {
+                    if !is_unreachable {
                         let at = now + draw() * if draw() < 0.05 { 3000.0 } else { 20.0 };
                         let at = in_order(connection_id, true, at);
                         let to = incarnation.lease_server.incarnation();
@@ -644,19 +659,20 @@
                 }
             }
         }
-        let paused_until: Vec<bool> = controllers
+        let is_paused: Vec<bool> = controllers
             .iter()
             .map(|target| now < target.paused_until)
             .collect();
-        let (mut due_messages, remaining_wait): (Vec<_>, Vec<_>) =
+        let (mut due_messages, undelivered): (Vec<_>, Vec<_>) =
             in_transit.into_iter().partition(|(at, wire_message)| {
                 let waits = wire_message
                     .to_controller()
-                    .is_some_and(|controller| paused_until[controller]);
+                    .is_some_and(|controller| is_paused[controller]);
                 *at <= now && !waits
             });
-        in_transit = remaining_wait;
-        // What waited for a paused controller: connections in any order, each one in its own order.
+        in_transit = undelivered;
+        // Messages that waited for a paused controller arrive in any order of connections, and in
+        // order on each connection.
         if draw() < 0.5 {
             due_messages.sort_by_key(|(_, wire_message)| u64::MAX - wire_message.connection());
         }
@@ -670,7 +686,8 @@
                     proxy_incarnation: from,
                     request: lease_request,
                 } => {
-                    // It arrives even if its proxy has gone since; not at another incarnation of the lease server.
+                    // A request arrives even if its proxy has stopped since, but not at another
+                    // incarnation of the lease server.
                     let target = &mut controllers[lease_server];
                     let clock = target.clock(now);
                     let Some(incarnation) = target
@@ -690,7 +707,7 @@
                     }
                     let name = format!("proxy-{n}");
                     if !lease_request.release {
-                        target.disk.names.insert(name.clone());
+                        target.disk.client_names.insert(name.clone());
                     }
                     let tenants = TENANTS.iter().map(|(name, _, _)| *name);
                     let caller = ClientId {
@@ -705,7 +722,8 @@
                         tenants,
                     ) {
                         let to: usize = to.trim_start_matches("proxy-").parse().expect("a proxy");
-                        // To the latest connection, which may be that of another incarnation than the one that is meant.
+                        // Sent on the latest connection, which may be of another incarnation than
+                        // the one that the grant is for.
                         let Some(connection_id) =
                             clients[to].open_connections.get(&lease_server).copied()
                         else {
@@ -732,7 +750,7 @@
                     if clients[n].open_connections.get(&lease_server) == Some(&connection_id)
                         && now >= clients[n].partitioned_until
                     {
-                        let clock = now * clients[n].rate;
+                        let clock = now * clients[n].clock_rate;
                         let _ = clients[n].lease_client.handle_grant(
                             clock,
                             &lease_server.to_string(),
@@ -781,7 +799,7 @@
                     if client.open_connections.get(&controller) == Some(&connection)
                         && now >= client.partitioned_until
                     {
-                        let clock = now * client.rate;
+                        let clock = now * client.clock_rate;
                         client
                             .token_client
                             .handle_grant(clock, &controller.to_string(), &grant);
@@ -790,57 +808,64 @@
             }
         }
         for (t, (tenant, rate, burst)) in TENANTS.iter().enumerate() {
-            let all: f64 = clients
+            let leased: f64 = clients
                 .iter()
-                .map(|client| client.lease_client.fraction(now * client.rate, tenant))
+                .map(|client| {
+                    client
+                        .lease_client
+                        .fraction(now * client.clock_rate, tenant)
+                })
                 .sum();
             assert!(
-                all <= 1.0 + 1e-6,
-                "seed {seed}: {all} of {tenant} is leased at {now}"
+                leased <= 1.0 + 1e-6,
+                "seed {seed}: {leased} of {tenant} is leased at {now}"
             );
-            let lease_grant = controllers
+            let servers = controllers
                 .iter()
                 .filter_map(|target| Some((target.clock(now), target.incarnation.as_ref()?)));
-            let out: u32 = lease_grant
+            let outstanding: u32 = servers
                 .map(|(clock, incarnation)| incarnation.lease_server.outstanding_at(clock, tenant))
                 .sum();
             assert!(
-                out <= FULL_QUOTA_PPM,
-                "seed {seed}: {out} of {tenant} is outstanding at {now}"
+                outstanding <= FULL_QUOTA_PPM,
+                "seed {seed}: {outstanding} of {tenant} is outstanding at {now}"
             );
             for (n, client) in clients.iter_mut().enumerate() {
                 if now < client.down_until {
                     continue;
                 }
-                let clock = now * client.rate;
-                for _ in 0..std::mem::take(&mut client.waiting[t]) {
+                let clock = now * client.clock_rate;
+                for _ in 0..std::mem::take(&mut client.pending_token_requests[t]) {
                     if client.token_client.take(clock, tenant) {
                         run_times[t].push_back(now);
                         admitted += 1;
                         tokens_spent += 1;
                     } else if client.token_client.status(clock, tenant) == TokenStatus::Requested {
-                        client.waiting[t] += 1;
+                        client.pending_token_requests[t] += 1;
                     }
                 }
-                let share = client.lease_client.fraction(now * client.rate, tenant);
+                let share = client
+                    .lease_client
+                    .fraction(now * client.clock_rate, tenant);
                 client
                     .tenants
                     .hold(now, tenant, quota(&bounds, *rate, *burst, share, 500.0));
-                let mut due = client.request_rates[t] * 0.01;
-                while due > draw() {
-                    due -= 1.0;
+                let mut expected_requests = client.request_rates[t] * 0.01;
+                while expected_requests > draw() {
+                    expected_requests -= 1.0;
                     let present_quota = quota(&bounds, *rate, *burst, share, 500.0);
-                    // It runs once its token is available, whatever becomes of the lease meanwhile.
+                    // The request runs once its token is available, whatever happens to the lease
+                    // meanwhile.
                     if let Ok(remaining_wait) =
                         client.tenants.arrived(now, tenant, 1.0, present_quota)
                     {
                         run_times[t].push_back(now + remaining_wait);
                         admitted += 1;
-                    } else if whole_quota(&bounds, *rate, *burst).is_pooled(proxy_count)
+                    } else if full_quota(&bounds, *rate, *burst).is_pooled(proxy_count)
                         && client.token_client.request_token(clock, tenant)
                             == TokenStatus::Requested
                     {
-                        client.waiting[t] += 1;
+                        client.pending_token_requests[t] += 1;
                     }
                 }
                 for (server, request) in client.token_client.next_requests(clock) {
@@ -879,11 +904,11 @@
     }
     assert!(
         admitted > 200,
-        "seed {seed}: hardly any request was admitted"
+        "seed {seed}: only {admitted} requests were admitted"
     );
     assert!(
-        seed % 2 != FEW_TOKENS_REMAINDER || proxy_count < 4 || tokens_spent > 100,
-        "seed {seed}: hardly any token was granted ({tokens_spent})"
+        seed % 2 != LITTLE_SLACK_REMAINDER || proxy_count < 4 || tokens_spent > 100,
+        "seed {seed}: only {tokens_spent} single tokens were spent"
     );
 }
 
--- a/crates/proxy/tests/readiness.rs
+++ b/crates/proxy/tests/readiness.rs
@@ -1,4 +1,5 @@
-//! Readiness of a proxy that starts while the only controller it reaches is partitioned from the others.
+//! Readiness of a proxy that starts while the only controller it reaches is partitioned from the
+//! others.
 
 use maplefall_control_messages::{ConfigUpdate, Frame, InstanceUpdates};
 use maplefall_gateway_config::{Item, ItemKind};
@@ -30,8 +31,9 @@
     }
 }
 
-/// Guards what a proxy serves by: with known controllers and even backends it stays not ready and responds 503, never 404 or 401,
-/// until a controller in contact with a quorum has sent a configuration.
+/// Guards against a proxy that serves without a configuration: even if it knows controllers and
+/// backends, it is not ready and responds 503, never 404 or 401, until a controller in quorum
+/// contact has sent a configuration.
 #[test]
 fn a_proxy_without_a_configuration_is_not_ready_and_responds_503() {
     let mut core = Core::new(&settings(), 7);
@@ -48,7 +50,7 @@
         Frame::ConfigUpdate(without_items),
         &mut out,
     );
-    let record = InstanceRecord {
+    let backend = InstanceRecord {
         id: "b".into(),
         service: "s".into(),
         address: "10.1.0.1:80".into(),
@@ -58,7 +60,7 @@
         2.0,
         "10.0.0.1",
         Frame::InstanceUpdates(InstanceUpdates {
-            records: vec![record],
+            records: vec![backend],
             ..InstanceUpdates::default()
         }),
         &mut out,
@@ -71,7 +73,7 @@
     }
     assert!(
         core.controllers().contains("10.0.0.2"),
-        "it does not know the other controller"
+        "the other controller is unknown to the proxy"
     );
     let item = Item {
         kind: ItemKind::Service.into(),
--- a/crates/proxy/tests/shutdown_under_load.rs
+++ b/crates/proxy/tests/shutdown_under_load.rs
@@ -1,16 +1,19 @@
-//! A shutdown while clients go on connecting (the users' rule LOST).
+//! A shutdown while clients go on connecting (rule LOST).
 //!
-//! What happened: a proxy of a zone of three was asked to stop while another one was stopping. Fewer than half of the zone's
-//! proxies were ready, so the platform sent clients to all three. The stopping proxy always had a request open, went on accepting
-//! until its grace period was over, and cut what it had accepted last: requests taken 4.8 to 5.6 s after SIGTERM, all cut 5.62 s
-//! after it. What showed the cause: the cut always came at `GraceS` less the 0.4 s that are kept for the process's own end, and the
-//! log had `event=shutdown_timeout open=N`.
+//! Guards against the following failure: a proxy of a zone of three was stopped while another one
+//! was stopping. Fewer than half of the zone's proxies were ready, so the platform sent clients to
+//! all three. The stopping proxy always had a request in flight, went on accepting until its grace
+//! period was over, and broke the connections that it had accepted last: requests accepted 4.8 to
+//! 5.6 s after SIGTERM, all broken 5.62 s after it. The connections always broke at `GraceS` less
+//! the 0.4 s that are reserved for the exit of the process, and the log had `event=shutdown_timeout
+//! open=N`.
 //!
-//! A second fault hid behind it: a connection that was accepted late in a shutdown was closed at once where its first request had
-//! not arrived in the same moment, thousands of them in a second and a half of this test.
+//! A second fault: a connection that was accepted late in a shutdown was closed at once if its
+//! first request had not arrived in the same moment, thousands of them in a second and a half of
+//! this test.
 //!
-//! A proxy that shuts down therefore takes only what it can finish: no request whose time ends after the proxy's, and it waits a
-//! moment for the first request of a new connection.
+//! A proxy that shuts down therefore accepts only what it can finish: no request whose deadline is
+//! after the proxy's, and it waits a moment for the first request of a new connection.
 
 mod common;
 
@@ -24,10 +27,10 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The only route has 400 ms.
+/// One route, with a timeout of 400 ms.
 const CONFIGURATION: &str = r#"{"Upsert":{"RouteTable":{"ColumnNames":["Name","Host","PathPrefix","RouteKind","TimeoutS","SetpointS","MaxAttempts","Version","Service"],"DataRows":[["r1","h.example","/once/","nonidempotent",0.4,0.2,1,"00000001","one"]]},"Services":{"ColumnNames":["Name","HealthPath","Version"],"DataRows":[["one","/health","00000001"]]}}}"#;
 const MAX_SOCKETS: usize = 4096;
-/// Time of a backend for a request: several are open at any moment.
+/// Time that a backend takes for a request, so that several are in flight at any moment.
 const WORK_TIME: Duration = Duration::from_millis(120);
 const CLIENTS: usize = 8;
 const DRAIN_DELAY: Duration = Duration::from_millis(100);
@@ -35,72 +38,91 @@
 const LATE_REQUEST: &str =
     "POST /once/late HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: late\r\nContent-Length: 0\r\n\r\n";
 
-/// What clients have seen.
+/// Results that the clients recorded.
 #[derive(Default)]
-struct Seen {
-    /// When requests were sent that were answered, and with which status.
-    answers: RefCell<Vec<(Instant, u16)>>,
-    /// Connections that ended without a response.
-    cut: Cell<usize>,
+struct ClientResults {
+    /// Send time and status of each request that received a response.
+    responses: RefCell<Vec<(Instant, u16)>>,
+    /// Number of connections that ended without a response.
+    closed_without_response: Cell<usize>,
 }
 
 /// Sends one request after another, each on a new connection, until connections are refused.
-async fn keep_connecting(address: SocketAddr, seen: Rc<Seen>) {
+async fn keep_connecting(address: SocketAddr, results: Rc<ClientResults>) {
     while let Ok(mut stream) = TcpStream::connect(address).await {
         let sent_at = Instant::now();
         match send_request(&mut stream, "/once/request").await {
-            Ok(response) => seen.answers.borrow_mut().push((sent_at, response.status())),
-            Err(_) => seen.cut.set(seen.cut.get() + 1),
+            Ok(response) => results
+                .responses
+                .borrow_mut()
+                .push((sent_at, response.status())),
+            Err(_) => results
+                .closed_without_response
+                .set(results.closed_without_response.get() + 1),
         }
     }
 }
 
-/// Guards requests that a stopping proxy accepts: clients keep connecting, so that it never runs out of open requests; each of
-/// them is answered before the shutdown is over, and it goes on accepting for as long as there is time.
+/// Guards requests that a stopping proxy accepts: clients keep connecting, so that it always has
+/// requests in flight; each of them receives its response before the shutdown ends, and the proxy
+/// goes on accepting while there is time.
 #[test]
-fn what_a_stopping_proxy_accepts_it_finishes() {
+fn a_stopping_proxy_completes_every_request_it_accepts() {
     run_local(async {
         let backend = Rc::new(SlowBackend::default());
         backend.work_time.set(WORK_TIME);
         let backends = [listen(backend.clone()).await];
         let proxy = TestProxy::with_configuration(1, &backends, MAX_SOCKETS, CONFIGURATION).await;
-        let seen = Rc::new(Seen::default());
+        let results = Rc::new(ClientResults::default());
         for _ in 0..CLIENTS {
-            tokio::task::spawn_local(keep_connecting(proxy.address, seen.clone()));
-            // Clients in step would leave the proxy without a request now and then.
+            tokio::task::spawn_local(keep_connecting(proxy.address, results.clone()));
+            // Synchronized clients would at times leave the proxy without a request.
             tokio::time::sleep(WORK_TIME / CLIENTS as u32).await;
         }
         while backend.received.get() < 2 * CLIENTS {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let begun_at = Instant::now();
-        let deadline = begun_at + GRACE;
+        let shutdown_started_at = Instant::now();
+        let deadline = shutdown_started_at + GRACE;
         proxy.server.shut_down_by(DRAIN_DELAY, deadline).await;
         assert!(
             !proxy.proxy.with_core(|core| core.has_pending_requests()),
-            "accepted requests are cut off by the end of the process"
+            "accepted requests are pending when the process ends"
         );
-        assert!(Instant::now() < deadline, "it waited until its time was up");
-        let answers = seen.answers.borrow();
-        let answered_late = answers
+        assert!(
+            Instant::now() < deadline,
+            "the shutdown took all of its time"
+        );
+        let responses = results.responses.borrow();
+        let served_after_drain_delay = responses
             .iter()
-            .filter(|(sent_at, status)| *sent_at > begun_at + DRAIN_DELAY && *status == 200)
+            .filter(|(sent_at, status)| {
+                *sent_at > shutdown_started_at + DRAIN_DELAY && *status == 200
+            })
             .count();
-        assert!(answered_late > 0, "it stopped accepting too early");
-        assert_eq!(seen.cut.get(), 0, "connections without a response");
+        assert!(
+            served_after_drain_delay > 0,
+            "the proxy stopped accepting too early"
+        );
+        assert_eq!(
+            results.closed_without_response.get(),
+            0,
+            "connections without a response"
+        );
     });
 }
 
-/// Guards requests that are still being read: one that is complete while the proxy shuts down, and has more time than the proxy (its route has 20 s), is
-/// turned away at once, with the promise that it has not run.
+/// Guards requests that are still being read: one that arrives completely during the shutdown, and
+/// whose deadline is after the proxy's (its route has 20 s), is rejected at once with a status that
+/// implies that it has not run.
 #[test]
-fn a_request_that_may_outlast_the_process_is_turned_away() {
+fn a_request_that_may_outlast_the_process_is_rejected() {
     run_local(async {
         let backend = Rc::new(SlowBackend::default());
         let backends = [listen(backend.clone()).await];
         let proxy = TestProxy::start(1, &backends).await;
         let address = proxy.address;
-        let held = tokio::task::spawn_local(async move {
+        let held_request = tokio::task::spawn_local(async move {
             let mut stream = TcpStream::connect(address).await.expect("a connection");
             send_request(&mut stream, "/once/held").await
         });
@@ -110,7 +132,7 @@
         slow_client
             .write_all(first_line.as_bytes())
             .await
-            .expect("it is sent");
+            .expect("a part of the request is sent");
         let server = proxy.server.clone();
         let shutdown = tokio::task::spawn_local(async move {
             let deadline = Instant::now() + GRACE;
@@ -120,13 +142,13 @@
         slow_client
             .write_all(rest.as_bytes())
             .await
-            .expect("it is sent");
+            .expect("a part of the request is sent");
         let response = read_response(&mut slow_client).await.expect("a response");
         assert_eq!((response.status(), response.closes()), (503, true));
         assert!(response.single("retry-after").is_some());
-        assert_eq!(backend.received.get(), 1, "it was forwarded");
+        assert_eq!(backend.received.get(), 1, "the late request was forwarded");
         backend.release.notify_one();
-        let response = held.await.expect("a client").expect("a response");
+        let response = held_request.await.expect("a client").expect("a response");
         assert_eq!(response.status(), 200);
         shutdown.await.expect("a shutdown");
     });
--- a/crates/proxy/tests/soak/backend.rs
+++ b/crates/proxy/tests/soak/backend.rs
@@ -1,4 +1,5 @@
-//! A backend whose responses take time, and that stops working on a request when its connection closes.
+//! A backend that takes time for its responses, and stops working on a request when its connection
+//! closes.
 
 use super::common::http::parse_request;
 use super::common::random::Random;
@@ -10,9 +11,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// Work of most requests.
+/// Maximum work time of most requests, in milliseconds.
 const MAX_WORK_MS: usize = 60;
-/// Work of requests whose path has `long` in it: their clients leave before.
+/// Work time of requests with `long` in their path: their clients disconnect before the response.
 const LONG_WORK: Duration = Duration::from_millis(4000);
 
 pub struct SoakBackend {
@@ -23,14 +24,14 @@
 #[derive(Clone, Copy)]
 enum Behaviour {
     Respond,
-    /// It is full, and says that it has not run the request.
-    Shed,
-    /// It runs the request and breaks off.
-    Reset,
+    /// Rejects the request for lack of capacity, and states that it has not run.
+    Reject,
+    /// Runs the request and closes the connection without a response.
+    RunAndClose,
 }
 
 impl SoakBackend {
-    /// Serves a backend on a loopback port.
+    /// Starts a backend on a loopback port.
     pub async fn listen(world: Rc<World>, seed: u64) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -59,11 +60,11 @@
                 .unwrap_or_default()
                 .to_owned();
             let behaviour = match random.below(100) {
-                0..8 => Behaviour::Shed,
-                8..10 => Behaviour::Reset,
+                0..8 => Behaviour::Reject,
+                8..10 => Behaviour::RunAndClose,
                 _ => Behaviour::Respond,
             };
-            if matches!(behaviour, Behaviour::Shed) {
+            if matches!(behaviour, Behaviour::Reject) {
                 let text = format!("HTTP/1.1 503 Service Unavailable\r\nX-Attempt-Id: {id}\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
                 let _ = stream.write_all(text.as_bytes()).await;
                 continue;
@@ -74,7 +75,7 @@
                 Duration::from_millis(random.below(MAX_WORK_MS) as u64)
             };
             let finished = self.work(&id, &mut stream, work).await;
-            if !finished || matches!(behaviour, Behaviour::Reset) {
+            if !finished || matches!(behaviour, Behaviour::RunAndClose) {
                 return;
             }
             let text = format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok");
@@ -84,17 +85,17 @@
 
     /// Works on a request until it is done or the connection closes; returns whether it is done.
     async fn work(&self, id: &str, stream: &mut TcpStream, work: Duration) -> bool {
-        self.world.change(id, |attempt| {
+        self.world.update_attempt(id, |attempt| {
             attempt.runs += 1;
-            attempt.at_work += 1;
+            attempt.working_backends += 1;
         });
         let mut byte = [0_u8; 1];
         let finished = tokio::select! {
             () = tokio::time::sleep(work) => true,
             _ = stream.peek(&mut byte) => false,
         };
-        self.world.change(id, |attempt| {
-            attempt.at_work -= 1;
+        self.world.update_attempt(id, |attempt| {
+            attempt.working_backends -= 1;
             attempt.work_ended_at = Some(Instant::now());
         });
         finished
--- a/crates/proxy/tests/soak/main.rs
+++ b/crates/proxy/tests/soak/main.rs
@@ -1,7 +1,9 @@
-//! Soak of proxies over sockets: clients keep using their connections until a proxy is gone, some of them leave early; proxies are
-//! stopped and replaced, backends drain and return, the configuration changes, in series that overlap. Seeded.
+//! Soak test of proxies over sockets, seeded: clients use their connections until a proxy closes
+//! them, and some disconnect early; proxies are stopped and replaced, backends drain and return,
+//! and the configuration changes, in overlapping sequences.
 //!
-//! `SOAK_SEEDS=60 cargo test --release -p maplefall-proxy --test soak -- --nocapture` plays more seeds and prints what they did.
+//! `SOAK_SEEDS=60 cargo test --release -p maplefall-proxy --test soak -- --nocapture` runs more
+//! seeds and prints a summary of each.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,7 +13,7 @@
 mod operator;
 
 use backend::SoakBackend;
-use client::{Client, Ended};
+use client::{Client, Outcome};
 use common::slow_backend::run_local;
 use operator::Operator;
 use std::cell::{Cell, RefCell};
@@ -21,133 +23,149 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const SEEDS_IN_CI: u64 = 16;
+const DEFAULT_SEEDS: u64 = 16;
 const CLIENTS: u64 = 12;
-/// Clients where they go on connecting to proxies that stop: enough that there is always a request open.
-const CLIENTS_OF_STOPPING_PROXIES: u64 = 48;
+/// Number of clients if they go on connecting to stopping proxies: enough that a request is always
+/// in flight.
+const CLIENTS_WITH_STOPPING_PROXIES: u64 = 48;
 const BACKENDS: u64 = 3;
-/// For how long clients and operator of one seed go on.
-const PLAY_TIME: Duration = Duration::from_millis(1500);
-/// Backends may be at work this long after a client has left (the users' rule GONE, and as much again for a busy machine).
-const MAX_WORK_AFTER_CLIENT: Duration = Duration::from_millis(1000);
+/// Time for which the clients and the operator of one seed run.
+const RUN_TIME: Duration = Duration::from_millis(1500);
+/// The time that backends may still work on a request after its client has disconnected (500 ms by
+/// rule GONE, and as much again for a busy machine).
+const MAX_WORK_AFTER_DISCONNECT: Duration = Duration::from_millis(1000);
 
-/// Whether a request may be repeated.
+/// Whether a request is idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// It may run more than once.
+pub enum RequestKind {
+    /// May run more than once.
     Idempotent,
-    /// It may run once at most.
-    Once,
+    /// May run once at most.
+    NonIdempotent,
 }
 
-/// What is known of one attempt of a client.
+/// The record of one attempt of a client.
 pub struct Attempt {
-    /// Whether it may be repeated.
-    pub kind: Kind,
-    /// What its client saw; `None` while it waits.
-    pub ended: Option<(Ended, Instant)>,
-    /// How often a backend has begun to work on it.
+    /// Whether the request is idempotent.
+    pub kind: RequestKind,
+    /// What its client saw, and when; `None` while the client waits.
+    pub outcome: Option<(Outcome, Instant)>,
+    /// Number of times that a backend has started to work on it.
     pub runs: usize,
     /// When a backend last stopped working on it.
     pub work_ended_at: Option<Instant>,
-    /// Backends that are at work on it.
-    pub at_work: usize,
+    /// Number of backends that are working on it.
+    pub working_backends: usize,
 }
 
-/// What clients, backends and operator share.
+/// State shared by the clients, backends and operator.
 #[derive(Default)]
 pub struct World {
     /// All attempts by their ids.
     pub attempts: RefCell<HashMap<String, Attempt>>,
-    /// The proxies that take new connections.
+    /// Addresses to which clients connect.
     pub proxies: RefCell<Vec<SocketAddr>>,
-    /// Whether clients are to stop.
-    pub is_over: Cell<bool>,
+    /// Set to stop the clients.
+    pub is_finished: Cell<bool>,
     last_attempt: Cell<u64>,
 }
 
 impl World {
-    /// A new attempt's id.
-    pub fn begin_attempt(&self, kind: Kind) -> String {
+    /// Records a new attempt and returns its id.
+    pub fn begin_attempt(&self, kind: RequestKind) -> String {
         self.last_attempt.set(self.last_attempt.get() + 1);
         let id = format!("a{}", self.last_attempt.get());
         let attempt = Attempt {
             kind,
-            ended: None,
+            outcome: None,
             runs: 0,
             work_ended_at: None,
-            at_work: 0,
+            working_backends: 0,
         };
         self.attempts.borrow_mut().insert(id.clone(), attempt);
         id
     }
 
-    /// Enters what has become of an attempt.
-    pub fn change(&self, id: &str, change: impl FnOnce(&mut Attempt)) {
+    /// Updates the record of an attempt.
+    pub fn update_attempt(&self, id: &str, update: impl FnOnce(&mut Attempt)) {
         let mut attempts = self.attempts.borrow_mut();
-        change(attempts.get_mut(id).expect("an attempt of a client"));
+        update(attempts.get_mut(id).expect("an attempt of a client"));
     }
 
-    fn assert_rules(&self, seed: u64) {
+    fn assert_invariants(&self, seed: u64) {
         for (id, attempt) in self.attempts.borrow().iter() {
-            let at = format!("seed {seed}, attempt {id}, {:?}", attempt.kind);
-            let Some((ended, ended_at)) = attempt.ended else {
-                panic!("{at}: its client still waits");
+            let context = format!("seed {seed}, attempt {id}, {:?}", attempt.kind);
+            let Some((outcome, ended_at)) = attempt.outcome else {
+                panic!("{context}: its client is still waiting");
             };
-            if attempt.kind == Kind::Once {
-                assert!(attempt.runs <= 1, "{at}: it ran {} times", attempt.runs);
+            if attempt.kind == RequestKind::NonIdempotent {
+                assert!(
+                    attempt.runs <= 1,
+                    "{context}: it ran {} times",
+                    attempt.runs
+                );
             }
-            match ended {
-                Ended::Answered(429 | 503 | 408 | 421) if attempt.kind == Kind::Once => {
-                    assert_eq!(attempt.runs, 0, "{at}: it was promised that it had not run");
+            match outcome {
+                Outcome::Responded(429 | 503 | 408 | 421)
+                    if attempt.kind == RequestKind::NonIdempotent =>
+                {
+                    assert_eq!(
+                        attempt.runs, 0,
+                        "{context}: its status implies that it has not run"
+                    );
                 }
-                Ended::Answered(200) => assert!(attempt.runs > 0, "{at}: it never ran"),
-                Ended::Answered(_) => {}
-                Ended::Closed => {
-                    panic!("{at}: closed without an answer after {} runs", attempt.runs)
+                Outcome::Responded(200) => assert!(attempt.runs > 0, "{context}: it never ran"),
+                Outcome::Responded(_) => {}
+                Outcome::Closed => {
+                    panic!(
+                        "{context}: closed without a response after {} runs",
+                        attempt.runs
+                    )
                 }
-                Ended::Left if attempt.kind == Kind::Idempotent => {
+                Outcome::Disconnected if attempt.kind == RequestKind::Idempotent => {
                     let work_ended_at = attempt.work_ended_at.unwrap_or(ended_at);
-                    let worked_on = work_ended_at.saturating_duration_since(ended_at);
+                    let extra_work = work_ended_at.saturating_duration_since(ended_at);
                     assert!(
-                        attempt.at_work == 0 && worked_on <= MAX_WORK_AFTER_CLIENT,
-                        "{at}: a backend was at work for {worked_on:?} after its client had left"
+                        attempt.working_backends == 0 && extra_work <= MAX_WORK_AFTER_DISCONNECT,
+                        "{context}: a backend worked on it for {extra_work:?} after its client had disconnected"
                     );
                 }
-                Ended::Left => {}
+                Outcome::Disconnected => {}
             }
         }
     }
 
-    /// A line about what happened.
+    /// Returns a line with the totals of the run.
     fn summary(&self) -> String {
         let attempts = self.attempts.borrow();
         let count = |matches: &dyn Fn(&Attempt) -> bool| {
             attempts.values().filter(|attempt| matches(attempt)).count()
         };
-        let ended = |wanted: Ended| {
-            count(&move |attempt| matches!(attempt.ended, Some((ended, _)) if ended == wanted))
+        let count_outcome = |wanted: Outcome| {
+            count(
+                &move |attempt| matches!(attempt.outcome, Some((outcome, _)) if outcome == wanted),
+            )
         };
         format!(
             "attempts={} ok={} left={} closed={} runs={}",
             attempts.len(),
-            ended(Ended::Answered(200)),
-            ended(Ended::Left),
-            ended(Ended::Closed),
+            count_outcome(Outcome::Responded(200)),
+            count_outcome(Outcome::Disconnected),
+            count_outcome(Outcome::Closed),
             attempts.values().map(|attempt| attempt.runs).sum::<usize>()
         )
     }
 }
 
-async fn play(seed: u64) {
+async fn run_seed(seed: u64) {
     let world = Rc::new(World::default());
     let mut backends = Vec::new();
     for number in 0..BACKENDS {
         backends.push(SoakBackend::listen(world.clone(), seed * 100 + number).await);
     }
     let mut operator = Operator::start(world.clone(), seed, backends).await;
-    let client_count = if operator.keeps_stopping_proxies() {
-        CLIENTS_OF_STOPPING_PROXIES
+    let client_count = if operator.publishes_stopping_proxies() {
+        CLIENTS_WITH_STOPPING_PROXIES
     } else {
         CLIENTS
     };
@@ -157,27 +175,27 @@
             tokio::task::spawn_local(client.run())
         })
         .collect();
-    let end = Instant::now() + PLAY_TIME;
+    let end = Instant::now() + RUN_TIME;
     while Instant::now() < end {
         operator.step().await;
     }
-    world.is_over.set(true);
+    world.is_finished.set(true);
     for client in clients {
         client.await.expect("a client's checks");
     }
     operator.stop_all().await;
-    world.assert_rules(seed);
+    world.assert_invariants(seed);
     println!("seed {seed}: {} {}", world.summary(), operator.summary());
     let attempts = world.attempts.borrow().len();
     assert!(attempts > 100, "seed {seed}: only {attempts} attempts");
 }
 
 #[test]
-fn nothing_is_lost_doubled_or_left_running() {
-    let seeds = std::env::var("SOAK_SEEDS").map_or(SEEDS_IN_CI, |seeds| {
+fn no_request_is_lost_duplicated_or_left_running() {
+    let seeds = std::env::var("SOAK_SEEDS").map_or(DEFAULT_SEEDS, |seeds| {
         seeds.parse().expect("SOAK_SEEDS is a number")
     });
     for seed in 1..=seeds {
-        run_local(play(seed));
+        run_local(run_seed(seed));
     }
 }
--- a/crates/proxy/tests/soak/operator.rs
+++ b/crates/proxy/tests/soak/operator.rs
@@ -1,4 +1,5 @@
-//! Stops and replaces proxies, drains backends and changes the configuration, without waiting for one to end before the next.
+//! Stops and replaces proxies, drains backends and changes the configuration, without waiting for
+//! one of these to end before the next.
 
 use super::common::random::Random;
 use super::common::{TestProxy, CONFIGURATION};
@@ -13,13 +14,14 @@
 use tokio::time::Instant;
 
 const PROXIES: usize = 3;
-const MAX_PAUSE_MS: usize = 60;
-const MAX_DRAIN_MS: usize = 120;
+const MAX_STEP_DELAY_MS: usize = 60;
+const MAX_DRAIN_DELAY_MS: usize = 120;
 const MIN_GRACE_MS: usize = 300;
 const MAX_GRACE_MS: usize = 900;
-/// Time of a request, in seconds, in place of the 20 s of the tests' configuration: less than the longest grace, more than the shortest.
+/// Timeout of the routes in seconds, in place of the 20 s of the tests' configuration: less than
+/// the longest grace period, more than the shortest.
 const ROUTE_TIMEOUT_S: &str = "0.4";
-/// What a process keeps of its grace period for its own end.
+/// Part of the grace period that a process reserves for its exit.
 const EXIT_RESERVE: Duration = Duration::from_millis(100);
 const MAX_SOCKETS: usize = 4096;
 
@@ -32,9 +34,10 @@
     stops: usize,
     changes: u32,
     seed: u64,
-    /// Whether clients go on connecting to proxies that stop, as they do where most proxies of a zone stop at once.
-    keeps_stopping_proxies: bool,
-    /// Proxies that stop, and may accept yet.
+    /// Whether clients go on connecting to stopping proxies, as they do if most proxies of a zone
+    /// stop at once.
+    publishes_stopping_proxies: bool,
+    /// Addresses of stopping proxies that may still accept.
     stopping_addresses: Vec<SocketAddr>,
 }
 
@@ -55,7 +58,7 @@
             stops: 0,
             changes: 1,
             seed,
-            keeps_stopping_proxies: seed.is_multiple_of(2),
+            publishes_stopping_proxies: seed.is_multiple_of(2),
             stopping_addresses: Vec::new(),
         };
         for _ in 0..PROXIES {
@@ -64,15 +67,15 @@
         operator
     }
 
-    /// One step, and a pause that may be none.
+    /// Takes one step, and waits for a random time that may be 0.
     pub async fn step(&mut self) {
         match self.random.below(10) {
             0..4 => self.replace_proxy().await,
             4..7 => self.change_configuration(),
-            _ => self.drain_or_return_backend(),
+            _ => self.drain_or_restore_backend(),
         }
-        let pause = self.random.below(MAX_PAUSE_MS) as u64;
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+        let delay = self.random.below(MAX_STEP_DELAY_MS) as u64;
+        tokio::time::sleep(Duration::from_millis(delay)).await;
     }
 
     pub async fn stop_all(&mut self) {
@@ -84,9 +87,9 @@
         }
     }
 
-    /// Whether clients go on connecting to proxies that stop.
-    pub fn keeps_stopping_proxies(&self) -> bool {
-        self.keeps_stopping_proxies
+    /// Whether clients go on connecting to stopping proxies.
+    pub fn publishes_stopping_proxies(&self) -> bool {
+        self.publishes_stopping_proxies
     }
 
     pub fn summary(&self) -> String {
@@ -106,15 +109,16 @@
         self.publish_proxies();
     }
 
-    /// The new one starts first; connections to the old one stay in use until it closes them.
+    /// Starts the new proxy before it stops the old one, whose connections stay in use until it
+    /// closes them.
     async fn replace_proxy(&mut self) {
         self.start_proxy().await;
         let chosen = self.random.below(self.proxies.len() - 1);
         let proxy = self.proxies.remove(chosen);
-        if self.keeps_stopping_proxies {
+        if self.publishes_stopping_proxies {
             self.stopping_addresses.push(proxy.address);
-            let forgotten = self.stopping_addresses.len().saturating_sub(PROXIES);
-            self.stopping_addresses.drain(..forgotten);
+            let excess = self.stopping_addresses.len().saturating_sub(PROXIES);
+            self.stopping_addresses.drain(..excess);
         }
         self.publish_proxies();
         self.stop(proxy);
@@ -128,7 +132,7 @@
 
     fn stop(&mut self, proxy: TestProxy) {
         self.stops += 1;
-        let drain = Duration::from_millis(self.random.below(MAX_DRAIN_MS) as u64);
+        let drain = Duration::from_millis(self.random.below(MAX_DRAIN_DELAY_MS) as u64);
         let grace_ms = MIN_GRACE_MS + self.random.below(MAX_GRACE_MS - MIN_GRACE_MS);
         self.stopping.push(tokio::task::spawn_local(async move {
             proxy.proxy.with_core(|core| core.shut_down());
@@ -137,20 +141,20 @@
             tokio::time::sleep_until(deadline + EXIT_RESERVE).await;
             assert!(
                 !proxy.proxy.with_core(|core| core.has_pending_requests()),
-                "requests are cut off by the end of their process, after {grace_ms} ms"
+                "requests are pending when their process ends, after {grace_ms} ms"
             );
         }));
     }
 
-    /// All items in a newer version.
+    /// Sends all items with a newer version.
     fn change_configuration(&mut self) {
-        let before = self.changes;
+        let previous = self.changes;
         self.changes += 1;
         let text = configuration(self.changes);
         let items = parse_amend(text.as_bytes()).expect("a configuration").items;
         let update = ConfigUpdate {
             after: 0,
-            index: u64::from(before) + 1,
+            index: u64::from(previous) + 1,
             changes: Vec::new(),
             items,
             controllers: Vec::new(),
@@ -158,8 +162,8 @@
         self.send_to_all(&Frame::ConfigUpdate(update));
     }
 
-    /// One of the backends drains, or serves again.
-    fn drain_or_return_backend(&mut self) {
+    /// Sets one of the backends to draining or to serving.
+    fn drain_or_restore_backend(&mut self) {
         self.changes += 1;
         let number = self.random.below(self.backends.len());
         let state = if self.random.percent(40) {
