--- a/crates/maplefall/benches/fronts.rs
+++ b/crates/maplefall/benches/fronts.rs
@@ -216,7 +216,7 @@
     settings["plans"][0]["per_second"] = serde_json::json!(1e6);
     settings["plans"][0]["peak_units"] = serde_json::json!(1e6);
     let unused_address: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let mut program = Program::start_with(
+    let mut program = Program::start_with_variables(
         &variables,
         1024,
         settings,
--- a/crates/maplefall/tests/forward_auth.rs
+++ b/crates/maplefall/tests/forward_auth.rs
@@ -1,4 +1,5 @@
-//! The front door with callers checked by a played authentication service, which fails in every way on call.
+//! The gateway with callers checked by a fake authentication service that injects faults on
+//! request.
 
 mod sockets;
 
@@ -13,7 +14,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(120);
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -21,7 +22,9 @@
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(LIMIT, test).await.expect("in time");
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("the test ends within its timeout");
     });
 }
 
@@ -29,10 +32,10 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// What a backend was sent, by the request's id.
+/// The requests that backends received, by request id.
 type Attempts = Rc<RefCell<BTreeMap<String, Vec<Message>>>>;
 
-/// A backend that answers everything with 200 and its own name.
+/// A backend that responds to every request with 200 and the body `ok`.
 async fn backend(listener: TcpListener, attempts: Attempts) {
     listener.set_nonblocking(true).unwrap();
     let listener = tokio::net::TcpListener::from_std(listener).unwrap();
@@ -55,19 +58,20 @@
     }
 }
 
-struct Bed {
+struct TestBed {
     auth: Rc<Auth>,
     attempts: Attempts,
     program: Program,
 }
 
-/// A front door over two backends, with these lines in its file of forward authentication.
-fn bed(servers: usize, lines: &str) -> Bed {
-    bed_with(servers, lines, settings())
+/// Starts a gateway with two backends and this many authentication servers, with these further
+/// lines in its forward authentication file.
+fn test_bed(servers: usize, lines: &str) -> TestBed {
+    test_bed_with(servers, lines, settings())
 }
 
-fn bed_with(servers: usize, lines: &str, settings: serde_json::Value) -> Bed {
-    static FILES: AtomicU32 = AtomicU32::new(0);
+fn test_bed_with(servers: usize, lines: &str, settings: serde_json::Value) -> TestBed {
+    static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
     let auth = Auth::new(7);
     let mut urls = Vec::new();
     for _ in 0..servers {
@@ -87,7 +91,7 @@
             host
         })
         .collect();
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let path = format!(
         "{}/auth-{}-{number}.toml",
         env!("CARGO_TARGET_TMPDIR"),
@@ -99,11 +103,17 @@
         urls.join(", ")
     );
     std::fs::write(&path, text).unwrap();
-    // Nobody answers there; the list that it is started with is all that it needs.
-    let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    // No discovery agent listens there; the gateway needs only the list that it starts with.
+    let no_agent: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let variables = [("MAPLEFALL_FORWARD_AUTH", path.as_str())];
-    let program = Program::start_with(&variables, 1024, settings, nobody, members(7, true, &hosts));
-    Bed {
+    let program = Program::start_with_variables(
+        &variables,
+        1024,
+        settings,
+        no_agent,
+        members(7, true, &hosts),
+    );
+    TestBed {
         auth,
         attempts,
         program,
@@ -119,7 +129,7 @@
     )
 }
 
-async fn ask(program: &Program, id: &str, class: &str, credential: &str) -> Message {
+async fn send_request(program: &Program, id: &str, class: &str, credential: &str) -> Message {
     let mut link = Link::open(program.address).await.unwrap();
     link.write(request(id, class, credential, "8").as_bytes())
         .await
@@ -130,7 +140,7 @@
 #[test]
 fn allowed_caller_is_served_with_the_services_headers_and_denied_caller_gets_its_response() {
     run(async {
-        let bed = bed(1, "");
+        let bed = test_bed(1, "");
         bed.auth.grant(
             "ana",
             &[
@@ -139,7 +149,12 @@
                 "Cache-Control: max-age=60",
             ],
         );
-        assert_eq!(ask(&bed.program, "a", "charge", "ana").await.status, 200);
+        assert_eq!(
+            send_request(&bed.program, "a", "charge", "ana")
+                .await
+                .status,
+            200
+        );
         let sent = bed.attempts.borrow()["a"][0].clone();
         let users: Vec<&str> = sent
             .headers
@@ -164,10 +179,15 @@
             (seen.header("authorization"), seen.header("remote-user")),
             (Some("ana"), None)
         );
-        // Kept for its caller alone.
-        assert_eq!(ask(&bed.program, "b", "charge", "ana").await.status, 200);
+        // The verdict is cached for its caller only.
+        assert_eq!(
+            send_request(&bed.program, "b", "charge", "ana")
+                .await
+                .status,
+            200
+        );
         assert_eq!(bed.auth.checks(), 1);
-        let denied = ask(&bed.program, "c", "charge", "eva").await;
+        let denied = send_request(&bed.program, "c", "charge", "eva").await;
         assert_eq!(
             (denied.status, denied.header("www-authenticate").is_some()),
             (401, true)
@@ -176,7 +196,7 @@
             302,
             &["Location: https://login.example/?rd=%2F", "Set-Cookie: a=b"],
         );
-        let denied = ask(&bed.program, "d", "read", "tom").await;
+        let denied = send_request(&bed.program, "d", "read", "tom").await;
         assert_eq!(
             (denied.status, denied.header("location")),
             (302, Some("https://login.example/?rd=%2F"))
@@ -185,16 +205,16 @@
         assert_eq!(
             bed.attempts.borrow().len(),
             2,
-            "nobody else's request went on"
+            "a request of a denied caller was forwarded"
         );
-        // The operator's word empties what is kept.
+        // SIGHUP empties the cache of verdicts.
         let before = bed.auth.checks();
         bed.program.reload(&bed.program.config.to_string());
-        let mut again = 0;
+        let mut repeats = 0;
         while bed.auth.checks() == before {
-            again += 1;
+            repeats += 1;
             assert_eq!(
-                ask(&bed.program, &format!("e{again}"), "charge", "ana")
+                send_request(&bed.program, &format!("e{repeats}"), "charge", "ana")
                     .await
                     .status,
                 200
@@ -206,7 +226,7 @@
 #[test]
 fn flood_over_quota_is_not_forwarded_to_the_service() {
     run(async {
-        let bed = bed(1, "");
+        let bed = test_bed(1, "");
         bed.auth.grant("ana", &["Cache-Control: no-store"]);
         let mut link = Link::open(bed.program.address).await.unwrap();
         let mut statuses: BTreeMap<u16, usize> = BTreeMap::new();
@@ -220,8 +240,9 @@
         }
         assert!(statuses[&429] >= 190, "{statuses:?}");
         assert!(bed.auth.checks() <= 10, "{} checks", bed.auth.checks());
-        // Those that are denied take nothing; but asking counts, and beyond three times the quota nobody is asked for: with a
-        // halflife of sixteen bursts (64 s) the box shuts at 3 x 0.5 x 64 s / ln 2 and a burst of 2, 141 units in a moment.
+        // Denied requests take nothing from the quota, but checks count, and beyond three times the
+        // quota no more checks are made: with a half-life of sixteen bursts (64 s) the penalty box
+        // closes at 3 x 0.5 x 64 s / ln 2 and a burst of 2, 141 units in a moment.
         for n in 0..400 {
             let text = request(&format!("g{n}"), "read", &format!("c{n}"), "8");
             let text = text
@@ -235,31 +256,40 @@
 }
 
 #[test]
-fn dead_service_is_detected_and_its_callers_are_answered_at_once() {
+fn unresponsive_service_is_detected_and_its_callers_get_a_response_at_once() {
     run(async {
-        let bed = bed(
+        let bed = test_bed(
             1,
             "limit_ms = 200\ntries = 1\nfailures = 2\npause_ms = [60000, 60000]",
         );
         bed.auth.fault(Some((Fault::Stall, 1.0)));
         for n in 0..2 {
-            let asked = Instant::now();
-            let answer = ask(&bed.program, &format!("s{n}"), "charge", &format!("c{n}")).await;
-            assert_eq!(answer.status, 503);
-            assert!(answer.header("retry-after").is_some());
-            assert!(asked.elapsed() >= Duration::from_millis(190), "waited for");
+            let started = Instant::now();
+            let response =
+                send_request(&bed.program, &format!("s{n}"), "charge", &format!("c{n}")).await;
+            assert_eq!(response.status, 503);
+            assert!(response.header("retry-after").is_some());
+            assert!(
+                started.elapsed() >= Duration::from_millis(190),
+                "responded before the check timed out"
+            );
         }
-        let asked = Instant::now();
-        assert_eq!(ask(&bed.program, "s3", "charge", "c3").await.status, 503);
+        let started = Instant::now();
+        assert_eq!(
+            send_request(&bed.program, "s3", "charge", "c3")
+                .await
+                .status,
+            503
+        );
         assert_eq!(
-            ask(&bed.program, "s4", "read", "c3").await.status,
+            send_request(&bed.program, "s4", "read", "c3").await.status,
             200,
-            "it is set to fail open"
+            "the class is set to fail open"
         );
         assert!(
-            asked.elapsed() < Duration::from_millis(150),
+            started.elapsed() < Duration::from_millis(150),
             "{:?}",
-            asked.elapsed()
+            started.elapsed()
         );
         assert!(!bed.attempts.borrow().contains_key("s3"));
     });
@@ -268,12 +298,12 @@
 #[test]
 fn pooled_connection_that_died_while_idle_causes_no_denial() {
     run(async {
-        let bed = bed(1, "tries = 1\nfailures = 1");
+        let bed = test_bed(1, "tries = 1\nfailures = 1");
         bed.auth.grant("ana", &[]);
         bed.auth.fault(Some((Fault::Close, 1.0)));
         for n in 0..20 {
             assert_eq!(
-                ask(&bed.program, &format!("k{n}"), "charge", "ana")
+                send_request(&bed.program, &format!("k{n}"), "charge", "ana")
                     .await
                     .status,
                 200,
@@ -285,7 +315,7 @@
 }
 
 #[test]
-fn response_that_smuggles_or_has_no_end_is_no_verdict() {
+fn smuggling_or_endless_response_is_not_a_verdict() {
     run(async {
         for fault in [
             Fault::Splitting,
@@ -293,12 +323,12 @@
             Fault::HalfHead,
             Fault::Status(500),
         ] {
-            let bed = bed(1, "limit_ms = 300\ntries = 1");
+            let bed = test_bed(1, "limit_ms = 300\ntries = 1");
             bed.auth.grant("ana", &["Remote-User: ana"]);
             bed.auth.fault(Some((fault, 1.0)));
-            let answer = ask(&bed.program, "x", "charge", "ana").await;
-            assert_eq!(answer.status, 503, "{fault:?}");
-            assert!(answer.header("injected").is_none() && bed.attempts.borrow().is_empty());
+            let response = send_request(&bed.program, "x", "charge", "ana").await;
+            assert_eq!(response.status, 503, "{fault:?}");
+            assert!(response.header("injected").is_none() && bed.attempts.borrow().is_empty());
         }
     });
 }
@@ -306,7 +336,7 @@
 #[test]
 fn request_that_waits_for_its_check_is_finished_on_sigterm() {
     run(async {
-        let mut bed = bed(1, "limit_ms = 2000");
+        let mut bed = test_bed(1, "limit_ms = 2000");
         bed.auth.grant("ana", &[]);
         bed.auth
             .fault(Some((Fault::Late(Duration::from_millis(600)), 1.0)));
@@ -327,8 +357,8 @@
     });
 }
 
-/// What became of one request.
-struct Seen {
+/// The outcome of one request.
+struct Outcome {
     id: String,
     class: usize,
     allowed: bool,
@@ -336,26 +366,26 @@
     took: Duration,
 }
 
-/// Guards the one answer and the one attempt under everything at once: over 10,000 requests of all classes, with faults that
-/// change all the time, each has exactly one answer in time; nobody's request goes on who may not, and none twice.
+/// Over 10,000 requests of all classes, under faults that change all the time, each get exactly one
+/// response in time; no request of a denied caller is forwarded, and none is forwarded twice.
 #[test]
-fn ten_thousand_requests_under_mixed_faults_have_one_answer_and_no_attempt_too_many() {
+fn ten_thousand_requests_under_mixed_faults_have_one_response_and_no_extra_attempt() {
     const CLIENTS: usize = 60;
-    const EACH: usize = 170;
+    const REQUESTS_PER_CLIENT: usize = 170;
     const CLASSES: [&str; 3] = ["read", "extend", "charge"];
     run(async {
         let lines = "limit_ms = 120\nfailures = 20\npause_ms = [20, 100]\nkeep_ms = [60, 20]\nmost_out = 64";
         let mut wide = settings();
         wide["plans"][0]["per_second"] = serde_json::json!(1e6);
         wide["plans"][0]["peak_units"] = serde_json::json!(1e6);
-        let bed = bed_with(2, lines, wide);
+        let bed = test_bed_with(2, lines, wide);
         for caller in (0..20).step_by(2) {
             let user = format!("Remote-User: u{caller}");
             bed.auth
                 .grant(&format!("c{caller}"), &[&user, "Cache-Control: max-age=1"]);
         }
-        let over = Rc::new(std::cell::Cell::new(false));
-        let (auth, done) = (bed.auth.clone(), over.clone());
+        let stopped = Rc::new(std::cell::Cell::new(false));
+        let (auth, done) = (bed.auth.clone(), stopped.clone());
         tokio::task::spawn_local(async move {
             let late = Fault::Late(Duration::from_millis(150));
             let faults = [
@@ -386,27 +416,27 @@
             clients.spawn_local(async move {
                 let mut seen = Vec::new();
                 let mut link = Link::open(address).await.unwrap();
-                for n in 0..EACH {
+                for n in 0..REQUESTS_PER_CLIENT {
                     let (class, caller) = ((n + client) % 3, (client * 7 + n) % 20);
                     let id = format!("m{client}-{n}");
-                    let asked = Instant::now();
+                    let started = Instant::now();
                     let text = request(&id, CLASSES[class], &format!("c{caller}"), "1.5");
                     link.write(text.as_bytes()).await.unwrap();
-                    let answer = link
+                    let response = link
                         .message()
                         .await
-                        .unwrap_or_else(|why| panic!("{id}: {why:?}"));
-                    let took = asked.elapsed();
-                    // A second answer would come before the next request's.
-                    assert_eq!(link.pending(), 0, "{id}: more than one answer");
-                    seen.push(Seen {
+                        .unwrap_or_else(|error| panic!("{id}: {error:?}"));
+                    let took = started.elapsed();
+                    // A second response would arrive before the next request's.
+                    assert_eq!(link.pending(), 0, "{id}: more than one response");
+                    seen.push(Outcome {
                         id,
                         class,
                         allowed: caller % 2 == 0,
-                        status: answer.status,
+                        status: response.status,
                         took,
                     });
-                    if answer.closes() {
+                    if response.closes() {
                         link = Link::open(address).await.unwrap();
                     }
                 }
@@ -417,7 +447,7 @@
         while let Some(seen) = clients.join_next().await {
             all.extend(seen.unwrap());
         }
-        over.set(true);
+        stopped.set(true);
         let mut statuses: BTreeMap<u16, usize> = BTreeMap::new();
         let mut unchecked = 0;
         let attempts = bed.attempts.borrow();
@@ -440,22 +470,22 @@
                 }
                 _ => assert_eq!(
                     count, 0,
-                    "{} was answered {} and went on",
+                    "{} got {} and was forwarded",
                     seen.id, seen.status
                 ),
             }
             assert!(
                 count <= 1,
-                "nothing failed at the backends: {} went on {count} times",
+                "no backend failed: {} was forwarded {count} times",
                 seen.id
             );
             match (seen.status, seen.allowed) {
-                (401, true) => panic!("{} was denied though its caller may", seen.id),
+                (401, true) => panic!("{} was denied although its caller is allowed", seen.id),
                 (200, false) => {
-                    // Only the class that is set to fail open, and then with nobody's name.
+                    // Only the class that is set to fail open, and then without a caller's name.
                     assert_eq!(
                         seen.class, 0,
-                        "{} went on though its caller may not",
+                        "{} was forwarded although its caller is denied",
                         seen.id
                     );
                     assert_eq!(attempts[&seen.id][0].header("remote-user"), None);
@@ -474,7 +504,7 @@
                 assert_eq!(
                     user,
                     format!("u{}", (client * 7 + n) % 20),
-                    "{}: somebody else's verdict",
+                    "{}: another caller's verdict",
                     seen.id
                 );
             }
@@ -484,7 +514,7 @@
             all.len(),
             bed.auth.checks()
         );
-        assert_eq!(all.len(), CLIENTS * EACH);
+        assert_eq!(all.len(), CLIENTS * REQUESTS_PER_CLIENT);
         assert!(all.len() >= 10_000);
         for status in [200, 401, 503] {
             assert!(
--- a/crates/maplefall/tests/grpc/connections.rs
+++ b/crates/maplefall/tests/grpc/connections.rs
@@ -11,16 +11,17 @@
 #[test]
 fn client_that_disconnects_ends_its_attempt_without_a_retry() {
     run(async {
-        let bed = bed(2, "");
+        let bed = test_bed(2, "");
         bed.faults(&[(Fault::Silent, 1.0)]);
         let client = bed.client().await;
-        let (answer, mut stream) = client.begin(&call("gone", READ, "8S")).await.unwrap();
+        let (response, mut stream) = client.begin(&call("gone", READ, "8S")).await.unwrap();
         stream.send_data(framed(b"x"), true).unwrap();
         while bed.attempts("gone") == 0 {
             tokio::task::yield_now().await;
         }
-        drop((answer, stream));
-        // The same connection serves others meanwhile, and nothing more comes of the one that left.
+        drop((response, stream));
+        // The client's connection still serves other calls, and the cancelled call gets no further
+        // attempt.
         bed.faults(&[]);
         for n in 0..30 {
             assert_eq!(
@@ -36,64 +37,69 @@
     });
 }
 
-/// Guards the two meanings of a `GOAWAY`: streams above its last were never looked at, those up to it may have run though the
-/// connection ends behind it.
+/// A `GOAWAY` has two meanings: streams above its last stream id were never processed, those up to
+/// it may have run although the connection ends after it.
 #[test]
-fn last_stream_of_a_goaway_says_what_may_have_run() {
+fn last_stream_of_a_goaway_limits_what_may_have_run() {
     run(async {
         for (last, runs) in [(0, false), (1, true)] {
             let raw = listener();
-            let well = listener();
-            let addresses = [raw.local_addr().unwrap(), well.local_addr().unwrap()];
+            let healthy = listener();
+            let addresses = [raw.local_addr().unwrap(), healthy.local_addr().unwrap()];
             tokio::task::spawn_local(raw_backend(raw, move |_| go_away(last)));
             let service = Service::new(1);
-            tokio::task::spawn_local(service.clone().serve(well));
+            tokio::task::spawn_local(service.clone().serve(healthy));
             let (program, grpc) = start(&addresses, "", &[], settings_without_quota());
             let client = Client::open(grpc).await.unwrap();
-            let (mut served, mut failed, mut refused) = (0, 0, 0);
+            let (mut served, mut failed, mut rejected) = (0, 0, 0);
             for n in 0..12 {
                 let seen = client.call(&call(&format!("g{n}"), CHARGE, "5S")).await;
                 match seen.code() {
                     Some(0) => served += 1,
                     Some(2) if seen.trailer("grpc-retry-pushback-ms") == Some("-1") => failed += 1,
-                    // Turned away by both, or with no third attempt left.
-                    Some(14) => refused += 1,
+                    // Rejected by both, or with no third attempt left.
+                    Some(14) => rejected += 1,
                     _ => panic!("{seen:?}"),
                 }
                 tokio::time::sleep(Duration::from_millis(30)).await;
             }
-            let told =
-                format!("last stream {last}: {served} served, {failed} failed, {refused} refused");
-            assert!(served > 6 && (failed > 0) == runs, "{told}");
+            let summary = format!(
+                "last stream {last}: {served} served, {failed} failed, {rejected} rejected"
+            );
+            assert!(served > 6 && (failed > 0) == runs, "{summary}");
             drop(program);
         }
     });
 }
 
-/// Guards calls that must not run twice against connections that are dead unseen: they are asked before anything goes out.
+/// Calls that must not run twice avoid connections that have died unnoticed: a PING has to be
+/// answered before the call is sent.
 #[test]
 fn non_idempotent_call_avoids_connections_that_do_not_answer_a_ping() {
     run(async {
-        let dead = listener();
-        let well = listener();
-        let addresses = [dead.local_addr().unwrap(), well.local_addr().unwrap()];
-        // The system accepts for it; nobody ever answers.
+        let unresponsive = listener();
+        let healthy = listener();
+        let addresses = [
+            unresponsive.local_addr().unwrap(),
+            healthy.local_addr().unwrap(),
+        ];
+        // The kernel accepts connections to it; nothing ever responds.
         let service = Service::new(1);
-        tokio::task::spawn_local(service.clone().serve(well));
+        tokio::task::spawn_local(service.clone().serve(healthy));
         let (_program, grpc) = start(&addresses, "", &[], settings_without_quota());
         let client = Client::open(grpc).await.unwrap();
         for n in 0..6 {
             let seen = client.call(&call(&format!("c{n}"), CHARGE, "2S")).await;
             assert_eq!(seen.code(), Some(0), "{seen:?}");
         }
-        drop(dead);
+        drop(unresponsive);
     });
 }
 
 #[test]
 fn backend_with_few_streams_gets_more_connections() {
     run(async {
-        let bed = bed(1, "streams = 64");
+        let bed = test_bed(1, "streams = 64");
         bed.services[0].streams(2);
         bed.services[0].work(Duration::from_millis(5));
         let client = bed.client().await;
@@ -109,8 +115,8 @@
     });
 }
 
-/// Guards drains where connections stay open for hundreds of calls: nothing new begins at a node that drains, and what it has
-/// is finished.
+/// Drains apply also where connections stay open for hundreds of calls: no new call starts at a
+/// draining backend, and calls in flight there are finished.
 #[test]
 fn draining_backend_gets_no_new_call_on_open_connections() {
     use maplefall_protocol::{Health, Member};
@@ -134,29 +140,29 @@
             service.work(Duration::from_millis(20));
             tokio::task::spawn_local(service.clone().serve(listener));
         }
-        let place = listener();
-        let discovery = place.local_addr().unwrap();
-        place.set_nonblocking(true).unwrap();
+        let agent_listener = listener();
+        let discovery = agent_listener.local_addr().unwrap();
+        agent_listener.set_nonblocking(true).unwrap();
         let list = List::new(members.clone());
         let known = serde_json::to_value(list.whole()).unwrap();
         let agent = Agent::new(0, list, Recorder::new(), 0.0);
-        agent.listen(place, Duration::ZERO);
+        agent.listen(agent_listener, Duration::ZERO);
         let (_program, grpc) = start_known("", &[], settings_without_quota(), discovery, known);
-        let over = Rc::new(std::cell::Cell::new(false));
+        let stopped = Rc::new(std::cell::Cell::new(false));
         let mut clients = tokio::task::JoinSet::new();
         for number in 0..16 {
-            let over = over.clone();
+            let stopped = stopped.clone();
             clients.spawn_local(async move {
                 let client = Client::open(grpc).await.unwrap();
-                let (mut served, mut asked) = (0, 0);
-                while !over.get() {
-                    let path = [READ, WATCH, CHARGE][asked % 3];
+                let (mut served, mut sent) = (0, 0);
+                while !stopped.get() {
+                    let path = [READ, WATCH, CHARGE][sent % 3];
                     let seen = client
-                        .call(&call(&format!("d{number}-{asked}"), path, "5S"))
+                        .call(&call(&format!("d{number}-{sent}"), path, "5S"))
                         .await;
-                    // What was begun at the draining node is finished; some may be turned away.
+                    // Calls started at the draining backend are finished; some may be rejected.
                     assert!(matches!(seen.code(), Some(0 | 14)), "{seen:?}");
-                    asked += 1;
+                    sent += 1;
                     served += usize::from(seen.code() == Some(0));
                 }
                 served
@@ -165,29 +171,29 @@
         while services[0].seen() < 100 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        let told = Instant::now();
+        let reported_at = Instant::now();
         agent.tell(&Member {
             health: Health::Draining,
             ..members[0].clone()
         });
         tokio::time::sleep(Duration::from_millis(900)).await;
-        over.set(true);
+        stopped.set(true);
         let mut calls = 0;
         while let Some(served) = clients.join_next().await {
             calls += served.unwrap();
         }
         let last = services[0].last().unwrap();
-        let after = last.saturating_duration_since(told);
-        let before = told.saturating_duration_since(last);
-        println!("{calls} calls; the last new one {after:?} after the drain was told, or {before:?} before");
+        let after = last.saturating_duration_since(reported_at);
+        let before = reported_at.saturating_duration_since(last);
+        println!("{calls} calls; the last new one {after:?} after the drain was reported, or {before:?} before");
         assert!(after < Duration::from_millis(500), "{after:?}");
         assert!(
             before < Duration::from_millis(200),
-            "{before:?}: it was not in use"
+            "{before:?}: the draining backend was not in use"
         );
         assert!(
-            services[1].last().unwrap() > told + Duration::from_millis(700),
-            "the other went on"
+            services[1].last().unwrap() > reported_at + Duration::from_millis(700),
+            "the other backend was not in use"
         );
     });
 }
@@ -195,7 +201,7 @@
 #[test]
 fn accepted_calls_are_finished_on_sigterm() {
     run(async {
-        let mut bed = bed(1, "");
+        let mut bed = test_bed(1, "");
         bed.services[0].work(Duration::from_millis(300));
         let client = bed.client().await;
         let open = tokio::task::spawn_local({
--- a/crates/maplefall/tests/grpc/harness.rs
+++ b/crates/maplefall/tests/grpc/harness.rs
@@ -1,4 +1,4 @@
-//! Test beds: played services behind the program, and calls to it.
+//! Test beds: fake services behind the program, and calls to it.
 
 use crate::sockets::{member, members, settings, Program};
 use maplefall_test_servers::grpc::{Call, Client, Fault, Final, Service};
@@ -32,7 +32,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         tokio::time::timeout(TEST_TIMEOUT, test)
             .await
-            .expect("in time");
+            .expect("the test ends within its timeout");
     });
 }
 
@@ -44,7 +44,7 @@
     pub services: Vec<Rc<Service>>,
     pub addresses: Vec<SocketAddr>,
     pub program: Program,
-    /// Where calls are taken.
+    /// The address that accepts gRPC calls.
     pub grpc: SocketAddr,
 }
 
@@ -75,8 +75,8 @@
     }
 }
 
-/// A front door over so many played services, with these further lines in its file.
-pub fn bed(count: usize, lines: &str) -> TestBed {
+/// Starts a gateway with this many fake services and these further lines in its gRPC file.
+pub fn test_bed(count: usize, lines: &str) -> TestBed {
     test_bed_with(count, lines, &[], settings_without_quota())
 }
 
@@ -90,7 +90,7 @@
 pub fn test_bed_with(
     count: usize,
     lines: &str,
-    more: &[(&str, &str)],
+    extra_variables: &[(&str, &str)],
     settings: serde_json::Value,
 ) -> TestBed {
     let listeners: Vec<TcpListener> = (0..count).map(|_| listener()).collect();
@@ -102,7 +102,7 @@
     for (service, listener) in services.iter().zip(listeners) {
         tokio::task::spawn_local(service.clone().serve(listener));
     }
-    let (program, grpc) = start(&addresses, lines, more, settings);
+    let (program, grpc) = start(&addresses, lines, extra_variables, settings);
     TestBed {
         services,
         addresses,
@@ -114,7 +114,7 @@
 pub fn start(
     addresses: &[SocketAddr],
     lines: &str,
-    more: &[(&str, &str)],
+    extra_variables: &[(&str, &str)],
     settings: serde_json::Value,
 ) -> (Program, SocketAddr) {
     let hosts: Vec<serde_json::Value> = addresses
@@ -122,21 +122,27 @@
         .enumerate()
         .map(|(n, address)| member(&format!("s-{n}"), *address, "up"))
         .collect();
-    // Nobody answers there; the list that it is started with is all that it needs.
-    let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    start_known(lines, more, settings, nobody, members(7, true, &hosts))
+    // No discovery agent listens there; the gateway needs only the list that it starts with.
+    let no_agent: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    start_known(
+        lines,
+        extra_variables,
+        settings,
+        no_agent,
+        members(7, true, &hosts),
+    )
 }
 
-/// A front door with this list, and discovery there.
+/// Starts a gateway with this list and this discovery address.
 pub fn start_known(
     lines: &str,
-    more: &[(&str, &str)],
+    extra_variables: &[(&str, &str)],
     settings: serde_json::Value,
     discovery: SocketAddr,
     known: serde_json::Value,
 ) -> (Program, SocketAddr) {
-    static FILES: AtomicU32 = AtomicU32::new(0);
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let path = format!(
         "{}/grpc-{}-{number}.toml",
         env!("CARGO_TARGET_TMPDIR"),
@@ -161,8 +167,8 @@
     }
     std::fs::write(&path, text).unwrap();
     let mut variables = vec![("MAPLEFALL_GRPC", path.as_str())];
-    variables.extend_from_slice(more);
-    let mut program = Program::start_with(&variables, 1024, settings, discovery, known);
+    variables.extend_from_slice(extra_variables);
+    let mut program = Program::start_with_variables(&variables, 1024, settings, discovery, known);
     let line = program.log_line();
     let grpc = line
         .trim()
@@ -184,6 +190,6 @@
     }
 }
 
-pub async fn ask(bed: &TestBed, id: &str, path: &str) -> Final {
+pub async fn send_call(bed: &TestBed, id: &str, path: &str) -> Final {
     bed.client().await.call(&call(id, path, "8S")).await
 }
--- a/crates/maplefall/tests/grpc/main.rs
+++ b/crates/maplefall/tests/grpc/main.rs
@@ -1,5 +1,6 @@
-//! The gRPC side between played services that drop streams, delay trailers and contradict themselves, and played clients: every
-//! call has one final status, and nothing runs more often than its class permits.
+//! The gRPC side between fake services, which drop streams, delay trailers and send contradictory
+//! responses, and fake clients: every call gets one final status, and nothing runs more often than
+//! its class permits.
 
 mod connections;
 mod harness;
--- a/crates/maplefall/tests/grpc/mixed_faults.rs
+++ b/crates/maplefall/tests/grpc/mixed_faults.rs
@@ -5,17 +5,19 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Guards the one status and the attempts of each call under everything at once: over 10,000 calls of all classes and shapes.
+/// Over 10,000 calls of all classes and shapes, under all faults at once: each has one status, and
+/// no more attempts than its class allows.
 #[test]
 fn ten_thousand_calls_under_mixed_faults_have_one_status_and_no_attempt_too_many() {
     const CLIENTS: usize = 40;
-    const EACH: usize = 255;
+    const CALLS_PER_CLIENT: usize = 255;
     const PATHS: [&str; 6] = [READ, EXTEND, CHARGE, WATCH, WATCH_CHARGE, UPLOAD];
     run(async {
-        // Backends that are wanted to answer within 200 ms: what takes longer than a client's time is refused unseen.
-        let mut quick = settings_without_quota();
-        (0..3).for_each(|class| quick["grades"][class]["aim"] = serde_json::json!(200.0));
-        let bed = test_bed_with(3, "connections = 64", &[], quick);
+        // The latency target is 200 ms: a call expected to take longer than its client's deadline is
+        // rejected before any attempt.
+        let mut settings = settings_without_quota();
+        (0..3).for_each(|class| settings["grades"][class]["aim"] = serde_json::json!(200.0));
+        let bed = test_bed_with(3, "connections = 64", &[], settings);
         let late = Duration::from_millis(700);
         bed.faults(&[
             (Fault::Status(14), 0.02),
@@ -43,10 +45,10 @@
             clients.spawn_local(async move {
                 let client = Client::open(address).await.unwrap();
                 let mut seen = Vec::new();
-                for n in 0..EACH {
+                for n in 0..CALLS_PER_CLIENT {
                     let (id, path) = (format!("m{number}-{n}"), PATHS[(n + number) % PATHS.len()]);
-                    let answer = client.call(&call(&id, path, "600m")).await;
-                    seen.push((id, path, answer));
+                    let response = client.call(&call(&id, path, "600m")).await;
+                    seen.push((id, path, response));
                 }
                 seen
             });
@@ -56,9 +58,10 @@
             all.extend(seen.unwrap());
         }
         let mut codes: BTreeMap<u8, usize> = BTreeMap::new();
-        let mut again = 0;
+        let mut retried = 0;
         for (id, path, seen) in &all {
-            // One status, from the front door, in time: the reader would have told a reset or a second one.
+            // One status, from the gateway, in time: the test client would have reported a reset or
+            // a second status.
             let code = seen
                 .code()
                 .unwrap_or_else(|| panic!("{id} {path}: no status: {seen:?}"));
@@ -70,17 +73,20 @@
             );
             *codes.entry(code).or_default() += 1;
             let (attempts, ran) = (bed.attempts(id), bed.ran(id));
-            again += usize::from(attempts > 1);
+            retried += usize::from(attempts > 1);
             assert!(attempts <= 3, "{id}: {attempts} attempts");
-            let unsafe_ = [CHARGE, WATCH_CHARGE].contains(path);
-            if unsafe_ {
+            let non_idempotent = [CHARGE, WATCH_CHARGE].contains(path);
+            if non_idempotent {
                 assert!(ran <= 1, "{id} {path} ran {ran} times");
-                // What is refused has not run.
-                assert!(code != 14 || ran == 0, "{id} was refused and ran: {seen:?}");
+                // A rejected call has not run.
+                assert!(
+                    code != 14 || ran == 0,
+                    "{id} was rejected and ran: {seen:?}"
+                );
             }
             match code {
                 0 => {
-                    // A stream may be empty, and is whole all the same.
+                    // A stream may be empty and still be complete.
                     let counts = if [WATCH, WATCH_CHARGE].contains(path) {
                         [0, 3]
                     } else {
@@ -99,10 +105,10 @@
                 5 => assert_eq!(
                     seen.trailer("receipt-bin"),
                     Some("AAEC"),
-                    "the application's own word: {seen:?}"
+                    "the application's trailers: {seen:?}"
                 ),
                 14 => {}
-                // A failure tells its client not to call again.
+                // A failure asks its client not to retry.
                 _ => assert_eq!(
                     seen.trailer("grpc-retry-pushback-ms"),
                     Some("-1"),
@@ -111,7 +117,7 @@
             }
         }
         println!(
-            "{} calls in {:.1} s, {} attempts, {again} calls sent again, by status {codes:?}",
+            "{} calls in {:.1} s, {} attempts, {retried} calls retried, by status {codes:?}",
             all.len(),
             began.elapsed().as_secs_f64(),
             bed.services
@@ -119,8 +125,8 @@
                 .map(|service| service.seen())
                 .sum::<usize>()
         );
-        assert_eq!(all.len(), CLIENTS * EACH);
-        assert!(all.len() >= 10_000 && again > 100, "{again}");
+        assert_eq!(all.len(), CLIENTS * CALLS_PER_CLIENT);
+        assert!(all.len() >= 10_000 && retried > 100, "{retried}");
         assert!(codes[&0] > 7000, "{codes:?}");
     });
 }
--- a/crates/maplefall/tests/grpc/pass_through.rs
+++ b/crates/maplefall/tests/grpc/pass_through.rs
@@ -7,7 +7,7 @@
 #[test]
 fn call_is_passed_through_with_its_metadata_and_trailers() {
     run(async {
-        let bed = bed(2, "");
+        let bed = test_bed(2, "");
         let client = bed.client().await;
         for (n, path) in [READ, EXTEND, CHARGE].iter().enumerate() {
             let id = format!("a{n}");
@@ -46,13 +46,13 @@
                 (Some("trailers"), Some("application/grpc"))
             );
             assert_eq!(sent.header("grpc-previous-rpc-attempts"), None);
-            // What is told on is less than what the client has, and not much less.
-            let told = sent.header("grpc-timeout").unwrap();
-            let (number, unit) = told.split_at(told.len() - 1);
+            // The forwarded timeout is less than the client's, and not much less.
+            let timeout = sent.header("grpc-timeout").unwrap();
+            let (number, unit) = timeout.split_at(timeout.len() - 1);
             let micros = number.parse::<f64>().unwrap() * if unit == "u" { 1.0 } else { 1e-3 };
             assert!(
                 matches!(unit, "u" | "n") && (2e6..5e6).contains(&micros),
-                "{told}"
+                "{timeout}"
             );
         }
     });
@@ -61,18 +61,19 @@
 #[test]
 fn streams_are_forwarded_message_by_message_in_both_directions() {
     run(async {
-        let bed = bed(1, "");
-        let watched = ask(&bed, "w", WATCH).await;
+        let bed = test_bed(1, "");
+        let watched = send_call(&bed, "w", WATCH).await;
         assert_eq!(
             (watched.code(), watched.messages.len()),
             (Some(0), 3),
             "{watched:?}"
         );
-        // A message comes back before the next is sent: nothing waits for the end of a stream.
+        // Each message is echoed before the next one is sent: nothing waits for the end of a
+        // stream.
         let client = bed.client().await;
-        let (answer, mut stream) = client.begin(&call("r", REPORT, "8S")).await.unwrap();
+        let (response, mut stream) = client.begin(&call("r", REPORT, "8S")).await.unwrap();
         stream.send_data(framed(b"one"), false).unwrap();
-        let mut body = answer.await.unwrap().into_body();
+        let mut body = response.await.unwrap().into_body();
         assert_eq!(body.data().await.unwrap().unwrap(), framed(b"one"));
         stream.send_data(framed(b"two"), true).unwrap();
         assert_eq!(body.data().await.unwrap().unwrap(), framed(b"two"));
@@ -89,11 +90,11 @@
     });
 }
 
-/// Guards bounded memory: a stream that is longer than what is held goes through all the same, both ways.
+/// Memory is bounded: a stream longer than the buffers passes through in both directions.
 #[test]
 fn stream_longer_than_the_buffers_is_passed_through() {
     run(async {
-        let bed = bed(1, "held_bytes = 4096");
+        let bed = test_bed(1, "held_bytes = 4096");
         let client = bed.client().await;
         let mut upload = call("u", UPLOAD, "8S");
         upload.messages = (0..200u8).map(|n| vec![n; 10_000]).collect();
@@ -105,30 +106,31 @@
         assert_eq!(bed.services[0].attempts("u")[0].messages, upload.messages);
         let mut report = call("r", REPORT, "8S");
         report.messages = upload.messages.clone();
-        // All is sent before anything is read: what is on its way waits in windows, not in memory.
-        let (answer, mut stream) = client.begin(&report).await.unwrap();
+        // The client sends everything before it reads: messages in transit wait in flow control
+        // windows, not in memory.
+        let (response, mut stream) = client.begin(&report).await.unwrap();
         let sent = report.messages.clone();
         let sender = tokio::task::spawn_local(async move {
             for message in &sent {
                 let mut data = framed(message);
                 while !data.is_empty() {
                     stream.reserve_capacity(data.len());
-                    let room = match stream.capacity() {
+                    let capacity = match stream.capacity() {
                         0 => std::future::poll_fn(|cx| stream.poll_capacity(cx))
                             .await
                             .unwrap()
                             .unwrap(),
-                        room => room,
+                        capacity => capacity,
                     };
                     stream
-                        .send_data(data.split_to(room.min(data.len())), false)
+                        .send_data(data.split_to(capacity.min(data.len())), false)
                         .unwrap();
                 }
             }
             stream.send_data(bytes::Bytes::new(), true).unwrap();
         });
         let mut seen = Final::default();
-        maplefall_test_servers::grpc::read(answer, &mut seen)
+        maplefall_test_servers::grpc::read(response, &mut seen)
             .await
             .unwrap();
         sender.await.unwrap();
@@ -139,15 +141,15 @@
     });
 }
 
-/// The application's own word goes to the client as it is, once, with its trailers.
+/// An application status is passed to the client unchanged, once, with its trailers.
 #[test]
 fn status_of_the_application_is_not_retried() {
     run(async {
-        let bed = bed(2, "");
+        let bed = test_bed(2, "");
         for code in [3, 5, 6, 7, 9, 10, 11, 12, 16] {
             bed.faults(&[(Fault::Status(code), 1.0)]);
             let id = format!("w{code}");
-            let seen = ask(&bed, &id, READ).await;
+            let seen = send_call(&bed, &id, READ).await;
             assert_eq!(
                 (seen.code(), bed.attempts(&id)),
                 (Some(code), 1),
@@ -168,7 +170,7 @@
 #[test]
 fn malformed_calls_are_rejected_and_never_forwarded() {
     run(async {
-        let bed = bed(1, "");
+        let bed = test_bed(1, "");
         let client = bed.client().await;
         let mut two = call("m0", CHARGE, "5S");
         two.messages.push(b"more".to_vec());
@@ -176,7 +178,7 @@
         none.messages.clear();
         let mut long = call("m2", CHARGE, "5S");
         long.messages = vec![vec![7; 70_000]];
-        let odd = [
+        let malformed = [
             (two, 3),
             (none, 3),
             (long, 8),
@@ -189,12 +191,12 @@
             (call("m9", "/lots.v1.Sessions/Other", "5S"), 12),
             (call("a b", CHARGE, "5S"), 3),
         ];
-        for (odd, code) in odd {
-            let down = client.call(&odd).await;
+        for (malformed, code) in malformed {
+            let rejected = client.call(&malformed).await;
             assert_eq!(
-                (down.code(), down.http),
+                (rejected.code(), rejected.http),
                 (Some(code), 200),
-                "{odd:?} {down:?}"
+                "{malformed:?} {rejected:?}"
             );
         }
         let page = client
@@ -208,21 +210,21 @@
         assert_eq!(
             client.call(&call("same", CHARGE, "5S")).await.code(),
             Some(6),
-            "an id is good for one call"
+            "an id was accepted for two calls"
         );
         assert_eq!((bed.services[0].seen(), bed.attempts("same")), (1, 1));
     });
 }
 
-/// Guards the gate: what is checked over HTTP is checked here too.
+/// Callers are checked over gRPC as over HTTP.
 #[test]
 fn callers_are_checked_as_over_http() {
     run(async {
         let auth = maplefall_test_servers::auth::Auth::new(7);
         auth.grant("ana", &["Remote-User: ana"]);
-        let place = listener();
-        let address = place.local_addr().unwrap();
-        tokio::task::spawn_local(auth.clone().serve(place));
+        let listener = listener();
+        let address = listener.local_addr().unwrap();
+        tokio::task::spawn_local(auth.clone().serve(listener));
         let path = format!(
             "{}/grpc-auth-{}.toml",
             env!("CARGO_TARGET_TMPDIR"),
@@ -240,24 +242,24 @@
             settings_without_quota(),
         );
         let client = bed.client().await;
-        let of = |id: &str, who: &str| {
+        let charge_call = |id: &str, credential: &str| {
             call(id, CHARGE, "5S")
-                .with("authorization", who)
+                .with("authorization", credential)
                 .with("remote-user", "forged")
         };
-        assert_eq!(client.call(&of("a", "ana")).await.code(), Some(0));
+        assert_eq!(client.call(&charge_call("a", "ana")).await.code(), Some(0));
         assert_eq!(
             bed.services[0].attempts("a")[0].header("remote-user"),
             Some("ana")
         );
-        assert_eq!(client.call(&of("b", "eva")).await.code(), Some(16));
+        assert_eq!(client.call(&charge_call("b", "eva")).await.code(), Some(16));
         auth.deny_with(403, &[]);
-        assert_eq!(client.call(&of("c", "tom")).await.code(), Some(7));
+        assert_eq!(client.call(&charge_call("c", "tom")).await.code(), Some(7));
         auth.fault(Some((
             maplefall_test_servers::auth::Fault::Status(500),
             1.0,
         )));
-        assert_eq!(client.call(&of("d", "ina")).await.code(), Some(14));
+        assert_eq!(client.call(&charge_call("d", "ina")).await.code(), Some(14));
         assert_eq!(
             (bed.attempts("b"), bed.attempts("c"), bed.attempts("d")),
             (0, 0, 0)
@@ -265,7 +267,8 @@
     });
 }
 
-/// A client and a backend that this repository did not write, tonic's: calls of etcd's published protocol through the front door.
+/// An independent client and backend, tonic's, with calls of etcd's published protocol through the
+/// gateway.
 #[test]
 fn tonic_client_reaches_tonic_backend() {
     use hyper::http::uri::PathAndQuery;
@@ -328,14 +331,14 @@
             )
             .await;
         assert_eq!(found.unwrap().into_inner().kvs[0].value, b"7");
-        // The service's own refusal, with its own words.
+        // An error of the service with its own message.
         client.ready().await.unwrap();
         let codec: ProstCodec<PutRequest, PutResponse> = ProstCodec::default();
         let empty = PutRequest {
             key: Vec::new(),
             ..put.clone()
         };
-        let no = client
+        let error = client
             .unary(
                 request("f3", empty),
                 PathAndQuery::from_static(path::PUT),
@@ -343,35 +346,39 @@
             )
             .await
             .unwrap_err();
-        assert_eq!(no.code(), Code::InvalidArgument, "{no:?}");
-        assert!(no.message().contains("key"), "{no:?}");
-        // A method that has no route.
+        assert_eq!(error.code(), Code::InvalidArgument, "{error:?}");
+        assert!(error.message().contains("key"), "{error:?}");
+        // A method without a route.
         client.ready().await.unwrap();
         let codec: ProstCodec<PutRequest, PutResponse> = ProstCodec::default();
         let path = PathAndQuery::from_static("/etcdserverpb.Lease/LeaseGrant");
-        let no = client
+        let error = client
             .unary(request("f4", put.clone()), path, codec)
             .await
             .unwrap_err();
-        assert_eq!(no.code(), Code::Unimplemented, "{no:?}");
-        // Both ways: a watch that is asked for, then changes as they come.
+        assert_eq!(error.code(), Code::Unimplemented, "{error:?}");
+        // Bidirectional: a request for a watch, then changes as they occur.
         client.ready().await.unwrap();
-        let (ask, asked) = tokio::sync::mpsc::channel(4);
+        let (requests, request_stream) = tokio::sync::mpsc::channel(4);
         let create = WatchCreateRequest {
             key: b"lot".to_vec(),
             ..Default::default()
         };
         let create = watch_request::Union::Create(create);
-        ask.send(WatchRequest {
-            union: Some(create),
-        })
-        .await
-        .unwrap();
+        requests
+            .send(WatchRequest {
+                union: Some(create),
+            })
+            .await
+            .unwrap();
         let codec: ProstCodec<WatchRequest, WatchResponse> = ProstCodec::default();
-        let asked = request("f5", tokio_stream::wrappers::ReceiverStream::new(asked));
+        let request_stream = request(
+            "f5",
+            tokio_stream::wrappers::ReceiverStream::new(request_stream),
+        );
         let mut watch = client
             .streaming(
-                asked,
+                request_stream,
                 PathAndQuery::from_static("/etcdserverpb.Watch/Watch"),
                 codec,
             )
@@ -389,6 +396,6 @@
         });
         let change = watch.message().await.unwrap().unwrap();
         assert_eq!(change.events[0].kv.as_ref().unwrap().value, b"8");
-        drop(ask);
+        drop(requests);
     });
 }
--- a/crates/maplefall/tests/grpc/retries.rs
+++ b/crates/maplefall/tests/grpc/retries.rs
@@ -1,15 +1,15 @@
-//! Which calls are retried, and what their clients learn.
+//! Which calls are retried, and what their clients are told.
 
 use crate::harness::*;
 use maplefall_test_servers::grpc::Fault;
 use std::time::Duration;
 
-/// Guards the one answer that a `cobro` may have: what may have run is not sent again, whatever says so, and the client is
-/// told not to either.
+/// A non-idempotent call that may have run is not retried, whatever the backend's response claims,
+/// and the client is asked not to retry either.
 #[test]
 fn non_idempotent_call_that_may_have_run_is_never_retried() {
     run(async {
-        let bed = bed(3, "");
+        let bed = test_bed(3, "");
         let faults = [
             (Fault::ResetUnanswered(8), 1),
             (Fault::ResetUnanswered(2), 13),
@@ -30,7 +30,7 @@
         for (n, (fault, code)) in faults.iter().enumerate() {
             bed.faults(&[(*fault, 1.0)]);
             let id = format!("c{n}");
-            let failed = ask(&bed, &id, CHARGE).await;
+            let failed = send_call(&bed, &id, CHARGE).await;
             assert_eq!(
                 (failed.code(), failed.reset),
                 (Some(*code), None),
@@ -51,51 +51,55 @@
 fn call_that_cannot_have_run_is_retried_whatever_its_class() {
     run(async {
         for fault in [Fault::Refused, Fault::TurnedAway(14), Fault::TurnedAway(8)] {
-            let bed = bed(2, "");
+            let bed = test_bed(2, "");
             bed.services[0].faults(&[(fault, 1.0)]);
             let mut twice = 0;
             for n in 0..20 {
                 let id = format!("t{n}");
-                let served = ask(&bed, &id, CHARGE).await;
+                let served = send_call(&bed, &id, CHARGE).await;
                 assert_eq!(
                     (served.code(), bed.ran(&id)),
                     (Some(0), 1),
                     "{fault:?} {served:?}"
                 );
-                let again = bed.services[1].attempts(&id);
+                let retried = bed.services[1].attempts(&id);
                 if bed.attempts(&id) == 2 {
                     twice += 1;
-                    assert_eq!(again[0].header("grpc-previous-rpc-attempts"), Some("1"));
+                    assert_eq!(retried[0].header("grpc-previous-rpc-attempts"), Some("1"));
                 }
             }
-            assert!(twice > 0, "{fault:?} befell nobody");
+            assert!(twice > 0, "{fault:?} never caused a retry");
         }
     });
 }
 
-/// Guards refusals: where nothing can have run at all, the client hears so, and may come again.
+/// A rejection of a call that cannot have run states so, and allows the client to retry.
 #[test]
-fn rejection_says_that_a_retry_is_harmless() {
+fn rejection_allows_a_retry() {
     run(async {
-        let bed = bed(1, "");
+        let bed = test_bed(1, "");
         bed.faults(&[(Fault::Refused, 1.0)]);
-        let refused = ask(&bed, "r", CHARGE).await;
-        assert_eq!((refused.code(), bed.ran("r")), (Some(14), 0), "{refused:?}");
-        assert_ne!(refused.trailer("grpc-retry-pushback-ms"), Some("-1"));
-        assert!(refused
+        let rejected = send_call(&bed, "r", CHARGE).await;
+        assert_eq!(
+            (rejected.code(), bed.ran("r")),
+            (Some(14), 0),
+            "{rejected:?}"
+        );
+        assert_ne!(rejected.trailer("grpc-retry-pushback-ms"), Some("-1"));
+        assert!(rejected
             .trailer("grpc-message")
             .unwrap()
             .contains("harmless"));
-        // Past quota, with advice when to come back.
+        // Over quota, with advice when to retry.
         let client = bed.client().await;
         let mut advised = 0;
         for n in 0..50 {
-            let refused = client
+            let rejected = client
                 .call(&call(&format!("q{n}"), READ, "8S").with("api-plan", "narrow"))
                 .await;
-            assert!(matches!(refused.code(), Some(0 | 14)), "{refused:?}");
+            assert!(matches!(rejected.code(), Some(0 | 14)), "{rejected:?}");
             advised += usize::from(
-                refused
+                rejected
                     .trailer("grpc-retry-pushback-ms")
                     .is_some_and(|wait| wait != "-1"),
             );
@@ -107,7 +111,7 @@
 #[test]
 fn idempotent_call_is_retried_until_it_is_served() {
     run(async {
-        let bed = bed(2, "");
+        let bed = test_bed(2, "");
         let half = [
             (Fault::ResetUnanswered(2), 0.06),
             (Fault::ResetWithin(2), 0.06),
@@ -116,44 +120,45 @@
             (Fault::Status(14), 0.06),
         ];
         bed.faults(&half);
-        let (mut served, mut again) = (0, 0);
+        let (mut served, mut retried) = (0, 0);
         for n in 0..60 {
             let (id, path) = (format!("s{n}"), if n % 2 == 0 { READ } else { EXTEND });
-            let seen = ask(&bed, &id, path).await;
+            let seen = send_call(&bed, &id, path).await;
             served += usize::from(seen.code() == Some(0));
-            again += usize::from(bed.attempts(&id) > 1);
+            retried += usize::from(bed.attempts(&id) > 1);
             assert!(bed.attempts(&id) <= 3);
             if seen.code() == Some(0) {
                 assert_eq!(
                     seen.messages,
                     [id.as_bytes()],
-                    "one whole message, of the attempt that ended well"
+                    "one complete message, from the successful attempt"
                 );
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         assert!(
-            served >= 50 && again >= 3,
-            "{served} served, {again} of them sent again"
+            served >= 50 && retried >= 3,
+            "{served} served, {retried} calls retried"
         );
     });
 }
 
-/// Guards a stream that breaks halfway: what its client has seen of it can't be taken back, so nothing else takes its place,
-/// whatever the class.
+/// A stream that breaks halfway is not retried, whatever its class: its client has already received
+/// a part of it, which cannot be replaced.
 ///
-/// It failed now and then beside load (9 of 100 runs beside sixteen busy processes): head and status came, the two messages did not. The
-/// front door had read messages and reset in one go, and dropped what was queued as the final answer came. A trial's log line of each drop
-/// showed it: 9 lines in these 9 runs, none in the 91 others, each with both messages and 7.99 s left. `slow_clients.rs` shows it
+/// This test failed in 9 of 100 runs beside sixteen busy processes: headers and status arrived, the
+/// two messages did not. The gateway had read messages and reset in one go and dropped what was
+/// queued when the final status came. A trial log of each drop had 9 lines in these 9 runs, none in
+/// the 91 others, each with both messages and 7.99 s left. `slow_clients.rs` reproduces the failure
 /// without load.
 #[test]
 fn stream_that_breaks_halfway_is_not_retried() {
     run(async {
-        let bed = bed(2, "");
+        let bed = test_bed(2, "");
         bed.faults(&[(Fault::StreamCut(2), 1.0)]);
         for (n, path) in [WATCH, WATCH_CHARGE].iter().enumerate() {
             let id = format!("b{n}");
-            let broken = ask(&bed, &id, path).await;
+            let broken = send_call(&bed, &id, path).await;
             assert_eq!(
                 (broken.messages.len(), broken.reset, bed.attempts(&id)),
                 (2, None, 1),
@@ -166,13 +171,13 @@
                 "{path}"
             );
         }
-        // Broken before the first message it may be, if its class may.
+        // A stream broken before its first message may be retried if its class allows retries.
         bed.faults(&[(Fault::StreamCut(0), 0.4)]);
-        let mut again = 0;
+        let mut retried = 0;
         for n in 0..20 {
             let id = format!("f{n}");
-            let seen = ask(&bed, &id, WATCH).await;
-            again += usize::from(bed.attempts(&id) > 1 && seen.code() == Some(0));
+            let seen = send_call(&bed, &id, WATCH).await;
+            retried += usize::from(bed.attempts(&id) > 1 && seen.code() == Some(0));
             assert!(
                 matches!(
                     (seen.code(), seen.messages.len()),
@@ -181,11 +186,12 @@
                 "{seen:?}"
             );
         }
-        assert!(again > 0);
+        assert!(retried > 0);
     });
 }
 
-/// Guards deadlines that expire on the way: the status may say `OK` by then, and the client has its own by the deadline.
+/// The deadline may expire before the backend's status: the status may be `OK` by then, and the
+/// client gets its own by the deadline.
 #[test]
 fn status_after_the_deadline_does_not_count() {
     run(async {
@@ -197,8 +203,9 @@
             Fault::Silent,
         ] {
             for path in [CHARGE, WATCH] {
-                // One front door for each: what has been late would be shunned.
-                let bed = bed(1, "");
+                // One gateway for each: a backend that has been late would get no more requests for
+                // a while.
+                let bed = test_bed(1, "");
                 seen.spawn_local(async move {
                     bed.faults(&[(fault, 1.0)]);
                     let seen = bed.client().await.call(&call("d", path, "1S")).await;
@@ -208,9 +215,10 @@
         }
         while let Some(seen) = seen.join_next().await {
             let (fault, path, attempts, seen) = seen.unwrap();
-            // A refusal where it may run again, else no word that invites it.
-            let fits = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
-            assert!(fits && attempts == 1, "{fault:?} {path} {seen:?}");
+            // A rejection where the call may run again, otherwise a status that does not invite a
+            // retry.
+            let expected = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
+            assert!(expected && attempts == 1, "{fault:?} {path} {seen:?}");
             assert!(
                 (900..1058).contains(&seen.took.as_millis()),
                 "{fault:?} {path} {:?}",
@@ -223,8 +231,8 @@
             };
             assert_eq!(seen.messages.len(), messages, "{fault:?} {path}");
         }
-        // In time after all.
-        let bed = bed(1, "");
+        // A response that is late but within the deadline is served.
+        let bed = test_bed(1, "");
         bed.faults(&[(Fault::LateTrailers(Duration::from_millis(60)), 1.0)]);
         assert_eq!(
             bed.client()
--- a/crates/maplefall/tests/grpc/slow_clients.rs
+++ b/crates/maplefall/tests/grpc/slow_clients.rs
@@ -1,9 +1,11 @@
-//! Messages that have been read from a backend and wait for their client, as their stream breaks or its deadline passes.
+//! Messages that have been read from a backend and are queued for their client when their stream
+//! breaks or its deadline passes.
 //!
-//! What happened: a stream broke after two messages, and its client got the head, no message, and the status. The front door had read
-//! the messages and the reset in one go; a final answer other than "served" dropped what was still queued, which had been meant for
-//! answers at the deadline only. What showed the cause: a trial's line where messages are dropped; 9 of 100 runs beside sixteen busy
-//! processes failed, and just these 9 had it, each with both messages (14 bytes) and 7.99 of 8 s left.
+//! The failure: a stream broke after two messages, and its client got the response headers and the
+//! status, but no message. The gateway had read the messages and the reset in one go, and a final
+//! status other than success dropped the queued messages, which was meant for the deadline only. It
+//! failed in 9 of 100 runs beside sixteen busy processes, and a trial log of dropped messages
+//! showed both messages (14 bytes) dropped in just these 9, with 7.99 of 8 s left.
 
 use crate::harness::*;
 use crate::raw_backend::{
@@ -18,28 +20,29 @@
 /// Smaller than a message.
 const SMALL_WINDOW: u32 = 1000;
 const MESSAGE_BYTES: usize = 5000;
-/// How late a status may be: a busy machine's share of what the mixed test allows.
+/// How late a status may be on a busy machine.
 const MAX_LATENESS: Duration = Duration::from_millis(250);
 
-/// A front door before one backend that answers with the head, two messages of this length and `ending`, in one piece.
+/// Starts a gateway with one backend that sends the response headers, two messages of this length
+/// and `ending` in one write.
 async fn start_before_broken_stream(
     message_bytes: usize,
     ending: Vec<u8>,
 ) -> (crate::sockets::Program, SocketAddr) {
     let backend = listener();
     let address = backend.local_addr().unwrap();
-    let mut answer = response_head();
-    answer.extend(message_frame(&vec![1; message_bytes]));
-    answer.extend(message_frame(&vec![2; message_bytes]));
-    answer.extend(ending);
-    tokio::task::spawn_local(raw_backend(backend, move |_| answer.clone()));
+    let mut response = response_head();
+    response.extend(message_frame(&vec![1; message_bytes]));
+    response.extend(message_frame(&vec![2; message_bytes]));
+    response.extend(ending);
+    tokio::task::spawn_local(raw_backend(backend, move |_| response.clone()));
     start(&[address], "", &[], settings_without_quota())
 }
 
-/// Guards what a backend has sent before its stream breaks, however it breaks: all whole messages reach the client, and no half of one
-/// stands before the status.
+/// All complete messages that a backend sent before its stream broke reach the client, however the
+/// stream broke, and no partial message precedes the status.
 #[test]
-fn messages_that_come_with_the_end_of_their_stream_are_delivered() {
+fn messages_received_with_the_end_of_their_stream_are_delivered() {
     run(async {
         let half_a_message = data_frame(&framed(&[3; 100])[..50]);
         let endings = [
@@ -51,8 +54,8 @@
             ),
             ("closed", Vec::new()),
             ("half a message, closed", half_a_message),
-            ("leaves", go_away(1)),
-            ("leaves, as if before the stream", go_away(0)),
+            ("GOAWAY", go_away(1)),
+            ("GOAWAY before the stream", go_away(0)),
         ];
         for (ending, bytes) in &endings {
             for path in [WATCH, WATCH_CHARGE] {
@@ -68,19 +71,19 @@
     });
 }
 
-/// Calls, and reads nothing of the answer for this long; then reads it to its end.
-async fn call_and_read_late(client: &Client, call: &Call, pause: Duration) -> Final {
+/// Starts a call, reads nothing of its response for this long, then reads it to its end.
+async fn call_and_read_late(client: &Client, call: &Call, read_delay: Duration) -> Final {
     let began = Instant::now();
-    let (answer, mut stream) = client.begin(call).await.unwrap();
+    let (response, mut stream) = client.begin(call).await.unwrap();
     stream.send_data(framed(&call.messages[0]), true).unwrap();
-    tokio::time::sleep(pause).await;
+    tokio::time::sleep(read_delay).await;
     let mut seen = Final::default();
-    read(answer, &mut seen).await.unwrap();
+    read(response, &mut seen).await.unwrap();
     seen.took = began.elapsed();
     seen
 }
 
-/// Guards clients with small windows that read late: before their deadline they lose nothing.
+/// Clients with small windows that read late lose nothing before their deadline.
 #[test]
 fn a_slow_client_gets_all_messages_of_a_broken_stream() {
     run(async {
@@ -88,8 +91,8 @@
             let (_program, grpc) =
                 start_before_broken_stream(MESSAGE_BYTES, reset_frame(CANCEL)).await;
             let client = Client::open_with_window(grpc, SMALL_WINDOW).await.unwrap();
-            let pause = Duration::from_millis(100);
-            let seen = call_and_read_late(&client, &call("s", path, "8S"), pause).await;
+            let read_delay = Duration::from_millis(100);
+            let seen = call_and_read_late(&client, &call("s", path, "8S"), read_delay).await;
             let lengths: Vec<usize> = seen.messages.iter().map(Vec::len).collect();
             assert_eq!(lengths, [MESSAGE_BYTES; 2], "{path}");
             assert_eq!((seen.cut, seen.reset), (0, None), "{path}");
@@ -98,20 +101,22 @@
     });
 }
 
-/// Guards a backend that falls silent within a stream: what came before reaches the client, and the status does at its deadline.
+/// A backend stalls within a stream: the messages before reach the client, and the status does at
+/// its deadline.
 #[test]
-fn messages_of_a_stream_that_falls_silent_are_delivered() {
+fn messages_of_a_stalled_stream_are_delivered() {
     run(async {
         let late = Duration::from_secs(5);
         for path in [WATCH, WATCH_CHARGE] {
-            // One front door for each: a backend that has been silent is shunned.
-            let bed = bed(1, "");
+            // One gateway for each: a backend that has stalled gets no more requests for a while.
+            let bed = test_bed(1, "");
             bed.faults(&[(Fault::LateTrailers(late), 1.0)]);
             let seen = bed.client().await.call(&call("q", path, "1S")).await;
             assert_eq!((seen.messages.len(), seen.cut), (3, 0), "{seen:?}");
-            // A refusal where it may run again, as in `status_after_the_deadline_does_not_count`.
-            let fits = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
-            assert!(fits, "{seen:?}");
+            // A rejection where the call may run again, as in
+            // `status_after_the_deadline_does_not_count`.
+            let expected = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
+            assert!(expected, "{seen:?}");
             assert!(
                 seen.took < Duration::from_secs(1) + MAX_LATENESS,
                 "{seen:?}"
@@ -120,31 +125,33 @@
     });
 }
 
-/// Guards the status of a client that does not read on: at its deadline the status does not wait behind messages, and a response that is
-/// cut by it says so, also where the backend has served it.
+/// For a client that stops reading, the status does not wait behind queued messages at the
+/// deadline, and the status of a truncated response reports the deadline, also where the backend
+/// completed the call.
 #[test]
 fn at_the_deadline_the_status_does_not_wait_for_the_client() {
     run(async {
-        let bed = bed(1, "");
+        let bed = test_bed(1, "");
         let mut watch = call("w", WATCH, "1S");
         watch.messages = vec![vec![7; MESSAGE_BYTES]];
         let client = Client::open_with_window(bed.grpc, SMALL_WINDOW)
             .await
             .unwrap();
-        // Nothing is read until it has passed; what is read then is what was sent by the deadline.
-        let pause = Duration::from_millis(1500);
-        let seen = call_and_read_late(&client, &watch, pause).await;
+        // The client reads nothing until the deadline has passed; it then gets what was sent by the
+        // deadline.
+        let read_delay = Duration::from_millis(1500);
+        let seen = call_and_read_late(&client, &watch, read_delay).await;
         assert_eq!(seen.code(), Some(4), "{seen:?}");
         assert_eq!(seen.trailer("grpc-retry-pushback-ms"), Some("-1"));
         assert_eq!((seen.messages.len(), seen.reset), (0, None));
         assert!(seen.cut <= SMALL_WINDOW as usize, "{}", seen.cut);
-        assert!(seen.took < pause + MAX_LATENESS, "{:?}", seen.took);
-        // In time, all of it.
+        assert!(seen.took < read_delay + MAX_LATENESS, "{:?}", seen.took);
+        // Within the deadline the response is complete.
         watch
             .headers
             .retain(|(name, _)| name != "request-id" && name != "grpc-timeout");
         let watch = watch.with("request-id", "w2").with("grpc-timeout", "8S");
-        let seen = call_and_read_late(&client, &watch, pause).await;
+        let seen = call_and_read_late(&client, &watch, read_delay).await;
         assert_eq!((seen.code(), seen.messages.len()), (Some(0), 3), "{seen:?}");
     });
 }
--- a/crates/maplefall/tests/http/client_connections.rs
+++ b/crates/maplefall/tests/http/client_connections.rs
@@ -1,36 +1,36 @@
-//! Bounds on connections of clients.
+//! Limits on client connections.
 
 use crate::sockets::*;
 use std::io::Read;
 
-/// Guards against a front door full of idle connections: a new client gets in all the same.
+/// A gateway full of idle connections still accepts a new client.
 #[test]
 fn idle_connections_are_closed_for_new_clients() {
     let discovery = Listener::new();
     let backend = Listener::new();
     let known = members(1, true, &[member("s-0", backend.address(), "up")]);
-    // Few enough descriptors that 60 connections are too many.
-    let mut program = Program::start_within(64, settings(), discovery.address(), known);
-    let mut held = Vec::new();
+    // Few enough descriptors that 60 connections exceed the limit.
+    let mut program = Program::start_with_socket_limit(64, settings(), discovery.address(), known);
+    let mut open = Vec::new();
     for _ in 0..60 {
         let mut client = program.client();
         client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         assert_eq!(client.read().status(), 200);
-        held.push(client);
+        open.push(client);
     }
     assert!(
         program.child.try_wait().unwrap().is_none(),
-        "ended by itself"
+        "the program exited"
     );
 }
 
-/// Guards against clients that begin a request and never end it: at the limit they make room too.
+/// Connections with an incomplete request are closed for new clients at the limit, too.
 #[test]
 fn stalled_requests_are_closed_for_new_clients() {
     let discovery = Listener::new();
     let backend = Listener::new();
     let known = members(1, true, &[member("s-0", backend.address(), "up")]);
-    let program = Program::start_within(64, settings(), discovery.address(), known);
+    let program = Program::start_with_socket_limit(64, settings(), discovery.address(), known);
     let stalled: Vec<Connection> = (0..40)
         .map(|_| {
             let mut client = program.client();
@@ -44,71 +44,71 @@
     drop(stalled);
 }
 
-/// Guards against clients that hold connections and never end a request: each is turned down or closed within 3 s
-/// of its connect, whether it says nothing, half a head, a head without end or half a body; one that has been
-/// served may stay.
+/// A connection without a complete request is rejected or closed within 3 s of its connect, whether
+/// it sends nothing, half a head, an endless head or half a body; one that has been served may
+/// stay.
 #[test]
 fn connection_without_a_complete_request_is_closed_in_time() {
-    let scene = TestBed::new(1);
-    let mut usual = scene.program.client();
+    let bed = TestBed::new(1);
+    let mut used = bed.program.client();
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-    usual.write(health);
-    usual.read();
+    used.write(health);
+    used.read();
     let good = request_of("id-1", "charge", "wide", LONG_TIMEOUT);
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut clients: Vec<Connection> = ["", &good[..40], &good[..good.len() - 2]]
         .iter()
         .map(|text| {
-            let mut client = scene.program.client();
+            let mut client = bed.program.client();
             client.write(text);
             client
         })
         .collect();
-    let mut endless = scene.program.client();
+    let mut endless = bed.program.client();
     endless.write(&good[..good.len() - 9]);
-    // It goes on saying a little, so that no pause gives it away.
-    let end = wait_for("the end of a head without end", || {
+    // This client keeps sending, so that no idle timeout detects it.
+    let end = wait_for("the end of a connection with an endless head", || {
         let wrote = std::io::Write::write_all(endless.reader.get_mut(), b"X: y\r\n");
         std::thread::sleep(std::time::Duration::from_millis(50));
-        (wrote.is_err() || endless.speaks()).then(|| begun.elapsed().as_secs_f64())
+        (wrote.is_err() || endless.is_readable()).then(|| started.elapsed().as_secs_f64())
     });
     assert!(end > 1.0, "closed after {end} s");
-    let mut said = Vec::new();
+    let mut status_lines = Vec::new();
     for client in &mut clients {
         let mut text = String::new();
         let _ = client.reader.read_to_string(&mut text);
-        said.push(text.lines().next().unwrap_or_default().to_owned());
+        status_lines.push(text.lines().next().unwrap_or_default().to_owned());
     }
-    assert_eq!(said, ["", "", "HTTP/1.1 408 Request Timeout"]);
-    // Generous for a busy machine: what it guards against is a connection that stays.
-    assert!(begun.elapsed().as_secs_f64() < 8.0);
-    usual.write(health);
-    assert_eq!(usual.read().status(), 200);
-    assert!(scene.nobody_called());
+    assert_eq!(status_lines, ["", "", "HTTP/1.1 408 Request Timeout"]);
+    // A wide bound for a busy machine: the test guards against a connection that stays open.
+    assert!(started.elapsed().as_secs_f64() < 8.0);
+    used.write(health);
+    assert_eq!(used.read().status(), 200);
+    assert!(bed.no_backend_connected());
 }
 
-/// Guards usual clients in a crowd: to make room, those that never spoke go before one that did.
+/// At the limit, connections without a request are closed before those that have had one.
 #[test]
-fn silent_connections_are_closed_before_used_ones() {
+fn unused_connections_are_closed_before_used_ones() {
     let discovery = Listener::new();
     let backend = Listener::new();
     let known = members(1, true, &[member("s-0", backend.address(), "up")]);
-    let program = Program::start_within(64, settings(), discovery.address(), known);
+    let program = Program::start_with_socket_limit(64, settings(), discovery.address(), known);
     let health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
-    let mut usual: Vec<Connection> = (0..8).map(|_| program.client()).collect();
-    let mut ask = |silent: usize| {
-        for client in &mut usual {
+    let mut used: Vec<Connection> = (0..8).map(|_| program.client()).collect();
+    let mut check_health = |unused: usize| {
+        for client in &mut used {
             client.write(health);
-            assert_eq!(client.read().status(), 200, "after {silent} silent ones");
+            assert_eq!(client.read().status(), 200, "after {unused} unused ones");
         }
     };
-    ask(0);
-    let held: Vec<Connection> = (1..=60)
+    check_health(0);
+    let open: Vec<Connection> = (1..=60)
         .map(|number| {
             let client = program.client();
-            ask(number);
+            check_health(number);
             client
         })
         .collect();
-    drop(held);
+    drop(open);
 }
--- a/crates/maplefall/tests/http/main.rs
+++ b/crates/maplefall/tests/http/main.rs
@@ -1,4 +1,4 @@
-//! The program between HTTP/1.1 sockets that a test plays: each test names what it guards.
+//! The program between HTTP/1.1 sockets that the test controls.
 
 mod attempts;
 mod client_connections;
--- a/crates/maplefall/tests/http/process.rs
+++ b/crates/maplefall/tests/http/process.rs
@@ -4,54 +4,54 @@
 use std::io::Read;
 use std::process::ExitStatus;
 
-/// Guards the planned restart: what was taken is answered, connections go on coming for a while, answers
-/// close theirs, and the program ends by itself with 0.
+/// On SIGTERM accepted requests are answered, connections are accepted for a while longer,
+/// responses close theirs, and the program exits with 0.
 #[test]
 fn sigterm_answers_accepted_requests_and_exits_with_0() {
-    let mut scene = TestBed::new(1);
-    let mut idle = scene.program.client();
+    let mut bed = TestBed::new(1);
+    let mut idle = bed.program.client();
     idle.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(idle.read().header("connection"), None);
-    let mut unused = scene.program.client();
-    let (mut client, mut backend) = scene.hold("id-1");
-    scene.program.terminate();
-    assert_eq!(scene.program.log_line(), "n0: stopping\n");
-    let mut late = scene.program.client();
+    let mut unused = bed.program.client();
+    let (mut client, mut backend) = bed.hold_request("id-1");
+    bed.program.terminate();
+    assert_eq!(bed.program.log_line(), "n0: stopping\n");
+    let mut late = bed.program.client();
     late.write(request_of("id-2", "charge", "wide", LONG_TIMEOUT));
-    let mut second = scene.backends[0].accept();
+    let mut second = bed.backends[0].accept();
     assert_eq!(second.read().header("request-id"), Some("id-2"));
-    let kept = |backend: &mut Connection, client: &mut Connection| {
-        backend.answer(200, "", "kept");
-        let answer = client.read();
+    let complete = |backend: &mut Connection, client: &mut Connection| {
+        backend.respond(200, "", "kept");
+        let response = client.read();
         assert_eq!(
-            (answer.status(), answer.body.as_slice()),
+            (response.status(), response.body.as_slice()),
             (200, &b"kept"[..])
         );
-        assert_eq!(answer.header("connection"), Some("close"));
+        assert_eq!(response.header("connection"), Some("close"));
         client.expect_end();
     };
-    // One answer at once and one after idle connections have been closed: neither is lost.
-    kept(&mut second, &mut late);
+    // One response at once and one after idle connections have been closed: neither is lost.
+    complete(&mut second, &mut late);
     idle.expect_end();
-    kept(&mut backend, &mut client);
-    // A connection that never carried a request does not hold the program up.
-    let begun = std::time::Instant::now();
-    assert_eq!(scene.program.wait().code(), Some(0));
+    complete(&mut backend, &mut client);
+    // A connection that never carried a request does not delay the exit.
+    let started = std::time::Instant::now();
+    assert_eq!(bed.program.wait().code(), Some(0));
     assert!(
-        begun.elapsed().as_secs_f64() < 5.0,
-        "held up until its last call"
+        started.elapsed().as_secs_f64() < 5.0,
+        "the exit waited for the unused connection"
     );
     unused.expect_end();
 }
 
-/// Guards the start: what cannot be used is told on one plain line, and the program ends.
+/// A configuration that cannot be used is reported on one line, and the program exits.
 #[test]
 fn bad_configuration_is_one_line_and_an_exit_code() {
-    let whole = serde_json::json!({
+    let valid = serde_json::json!({
         "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256}, "settings": {},
     });
     let with = |key: &str, value: serde_json::Value| {
-        let mut config = whole.clone();
+        let mut config = valid.clone();
         config[key] = value;
         config.to_string()
     };
@@ -82,45 +82,47 @@
     }
 }
 
-/// Guards new configurations: SIGHUP ends nothing, a file that cannot be used changes nothing, and a new address of
-/// discovery is followed at once, from the version last seen, though the variable still tells the old one.
+/// SIGHUP interrupts nothing, a file that cannot be used changes nothing, and a new discovery
+/// address is used at once, from the last version seen, although the variable still holds the old
+/// one.
 #[test]
 fn new_configuration_moves_the_watch_and_a_bad_one_does_not() {
-    let mut scene = TestBed::new(1);
-    let (mut client, mut backend) = scene.hold("id-1");
-    let mut config = scene.program.config.clone();
+    let mut bed = TestBed::new(1);
+    let (mut client, mut backend) = bed.hold_request("id-1");
+    let mut config = bed.program.config.clone();
     for bad in [
         "{",
         "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"settings\":{},\"discovery\":\"x\"}",
     ] {
-        scene.program.reload(bad);
-        let line = scene.program.log_line();
+        bed.program.reload(bad);
+        let line = bed.program.log_line();
         assert!(line.contains("old configuration goes on"), "{line}");
     }
-    // The old watch is still the one that counts.
-    let moved = Listener::new();
-    let hosts = [member("s-0", moved.address(), "up")];
-    scene.watch.line(&members(8, false, &hosts).to_string());
-    let fresh = Listener::new();
-    config["discovery"] = fresh.address().to_string().into();
-    wait_for("the line to be taken in", || {
-        scene.program.reload(&config.to_string());
-        let mut wire = fresh.accept();
-        let first = wire.read().first;
-        (first == "GET /catalog/members?watch=1&from=8 HTTP/1.1").then(|| scene.watch.expect_end())
+    // The old watch is still in use.
+    let new_backend = Listener::new();
+    let hosts = [member("s-0", new_backend.address(), "up")];
+    bed.watch.send_line(&members(8, false, &hosts).to_string());
+    let new_agent = Listener::new();
+    config["discovery"] = new_agent.address().to_string().into();
+    wait_for("the line to be applied", || {
+        bed.program.reload(&config.to_string());
+        let mut connection = new_agent.accept();
+        let first_line = connection.read().first_line;
+        (first_line == "GET /catalog/members?watch=1&from=8 HTTP/1.1")
+            .then(|| bed.watch.expect_end())
     });
-    // What was taken before is answered.
-    backend.answer(200, "", "kept");
+    // Requests accepted before are answered.
+    backend.respond(200, "", "kept");
     assert_eq!(client.read().body, b"kept");
 }
 
-/// Guards people at a terminal: the program tells what it is, checks a file and all its mistakes, and turns down words that
-/// it does not know rather than serve.
+/// The program prints its usage and version, reports all mistakes in a file, and rejects unknown
+/// arguments instead of starting to serve.
 #[test]
 fn command_line_helps_and_checks() {
-    let run = |words: &[&str]| {
+    let run = |arguments: &[&str]| {
         let output = std::process::Command::new(env!("CARGO_BIN_EXE_maplefall"))
-            .args(words)
+            .args(arguments)
             .env_remove("BALANCER_CONFIG")
             .output()
             .expect("the program starts");
--- a/crates/maplefall/tests/http/requests.rs
+++ b/crates/maplefall/tests/http/requests.rs
@@ -2,42 +2,42 @@
 
 use crate::sockets::*;
 
-/// Guards the way there and back: what must go on unchanged does, and the answer's body too.
+/// The parts of a request that must stay unchanged do, and so does the response's body.
 #[test]
 fn request_is_forwarded_unchanged_and_its_response_comes_back() {
-    let scene = TestBed::new(1);
-    let mut client = scene.program.client();
+    let bed = TestBed::new(1);
+    let mut client = bed.program.client();
     client.write(request_of("id-1", "extend", "wide", LONG_TIMEOUT));
-    let mut backend = scene.backends[0].accept();
+    let mut backend = bed.backends[0].accept();
     let sent = backend.read();
-    assert_eq!(sent.first, "POST /extend/a?b=c HTTP/1.1");
+    assert_eq!(sent.first_line, "POST /extend/a?b=c HTTP/1.1");
     assert_eq!(sent.header("request-id"), Some("id-1"));
     assert_eq!(sent.header("idempotency-key"), Some("5c0f6e1a"));
     assert_eq!(sent.body, b"hello");
     let wait: f64 = sent
         .header("request-timeout")
-        .expect("a time")
+        .expect("a timeout")
         .parse()
         .unwrap();
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
-    backend.answer(200, "Api-Usage: 55\r\nApi-Charge: 2\r\n", "paid");
-    let answer = client.read();
+    backend.respond(200, "Api-Usage: 55\r\nApi-Charge: 2\r\n", "paid");
+    let response = client.read();
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, &b"paid"[..])
     );
 }
 
-/// Guards against a new connection for every request: they cost the backend work.
+/// Connections are reused, since each new one costs the backend work.
 #[test]
 fn connections_on_both_sides_are_reused() {
-    let scene = TestBed::new(1);
-    let mut client = scene.program.client();
+    let bed = TestBed::new(1);
+    let mut client = bed.program.client();
     client.write(request_of("id-1", "read", "wide", LONG_TIMEOUT));
-    let mut backend = scene.backends[0].accept();
+    let mut backend = bed.backends[0].accept();
     for id in ["id-1", "id-2", "id-3"] {
         assert_eq!(backend.read().header("request-id"), Some(id));
-        backend.answer(200, "", id);
+        backend.respond(200, "", id);
         assert_eq!(client.read().body, id.as_bytes());
         if id != "id-3" {
             client.write(request_of(
@@ -48,26 +48,26 @@
             ));
         }
     }
-    assert!(scene.nobody_called());
+    assert!(bed.no_backend_connected());
 }
 
-/// Guards against two attempts out for one id: a copy that comes while the first is out is turned down.
+/// A request whose id is in flight already is rejected, so that no id has two attempts at once.
 #[test]
 fn id_in_flight_is_rejected() {
-    let scene = TestBed::new(1);
-    let (mut client, mut backend) = scene.hold("id-1");
-    let mut second = scene.program.client();
+    let bed = TestBed::new(1);
+    let (mut client, mut backend) = bed.hold_request("id-1");
+    let mut second = bed.program.client();
     second.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
     assert_eq!(second.read().status(), 409);
-    assert!(scene.nobody_called());
-    backend.answer(200, "", "once");
+    assert!(bed.no_backend_connected());
+    backend.respond(200, "", "once");
     assert_eq!(client.read().body, b"once");
 }
 
-/// Guards against bad input: each gets one plain answer, and nothing of it reaches a backend.
+/// Each malformed request gets one response, and no part of it reaches a backend.
 #[test]
 fn bad_requests_are_rejected() {
-    let scene = TestBed::new(1);
+    let bed = TestBed::new(1);
     let good = request_of("id-1", "charge", "wide", LONG_TIMEOUT);
     let without = |name: &str| {
         let lines = good.split("\r\n").filter(|line| !line.starts_with(name));
@@ -142,29 +142,29 @@
         cases.push((good.replacen(from, to, 1), status));
     }
     for (text, status) in cases {
-        let mut client = scene.program.client();
+        let mut client = bed.program.client();
         client.write(&text);
         assert_eq!(client.read().status(), status, "{text}");
         client.expect_end();
     }
-    assert!(scene.nobody_called());
-    // A client that leaves within a request leaves nothing behind.
-    let mut client = scene.program.client();
+    assert!(bed.no_backend_connected());
+    // A client that disconnects within a request has no effect on later ones.
+    let mut client = bed.program.client();
     client.write(&good[..good.len() - 2]);
     drop(client);
-    let mut client = scene.program.client();
+    let mut client = bed.program.client();
     client.write(&good);
-    let mut backend = scene.backends[0].accept();
+    let mut backend = bed.backends[0].accept();
     backend.read();
-    backend.answer(200, "", "fine");
+    backend.respond(200, "", "fine");
     assert_eq!(client.read().status(), 200);
 }
 
-/// Guards memory: a head that goes on and on is turned down, not kept.
+/// An oversized head is rejected instead of buffered.
 #[test]
 fn endless_head_is_rejected() {
-    let scene = TestBed::new(1);
-    let mut client = scene.program.client();
+    let bed = TestBed::new(1);
+    let mut client = bed.program.client();
     let long = format!("X: {}\r\nHost: ser", "x".repeat(70_000));
     client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT).replacen(
         "Host: ser",
@@ -172,21 +172,21 @@
         1,
     ));
     assert_eq!(client.read().status(), 431);
-    assert!(scene.nobody_called());
+    assert!(bed.no_backend_connected());
 }
 
-/// Guards quotas: beyond its quota a customer is refused at once and told when to come back.
+/// A customer over its quota is rejected at once and told when to retry.
 #[test]
 fn customer_over_its_quota_is_rejected_with_retry_after() {
-    let scene = TestBed::new(1);
-    let mut client = scene.program.client();
+    let bed = TestBed::new(1);
+    let mut client = bed.program.client();
     client.write(request_of("id-0", "read", "narrow", LONG_TIMEOUT));
-    let mut backend = scene.backends[0].accept();
+    let mut backend = bed.backends[0].accept();
     let mut served = 0;
     for id in 1.. {
-        assert!(id < 20, "never refused");
+        assert!(id < 20, "never rejected");
         backend.read();
-        backend.answer(200, "", "ok");
+        backend.respond(200, "", "ok");
         assert_eq!(client.read().status(), 200);
         served += 1;
         client.write(request_of(
@@ -195,26 +195,26 @@
             "narrow",
             LONG_TIMEOUT,
         ));
-        if client.speaks_before(&backend) {
+        if client.is_readable_before(&backend) {
             break;
         }
     }
     assert!(served <= 2, "{served} units of a burst of 2");
-    let answer = client.read();
-    assert_eq!(answer.status(), 429);
-    let advice: f64 = answer
+    let response = client.read();
+    assert_eq!(response.status(), 429);
+    let retry_after: f64 = response
         .header("retry-after")
-        .expect("advice")
+        .expect("a Retry-After header")
         .parse()
         .unwrap();
-    assert!(advice > 0.0 && advice <= 2.0, "{advice}");
+    assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
 }
 
-/// Guards against a request hidden in the body of another: what tells its length in chunks, beside a length or not,
-/// is not served, and its connection is closed before anything behind it is read.
+/// No request can hide in the body of another: a chunked request, with or without a length, is not
+/// served, and its connection is closed before anything after it is read.
 #[test]
 fn chunks_beside_a_length_are_rejected_and_smuggle_nothing() {
-    let scene = TestBed::new(1);
+    let bed = TestBed::new(1);
     let hidden = request_of("id-2", "charge", "wide", LONG_TIMEOUT);
     let (length, chunks) = ("Content-Length: 5", "Transfer-Encoding: chunked");
     for framing in [
@@ -224,33 +224,33 @@
     ] {
         let good = request_of("id-1", "charge", "wide", LONG_TIMEOUT).replacen(length, &framing, 1);
         let head = good.strip_suffix("hello").unwrap();
-        let mut client = scene.program.client();
+        let mut client = bed.program.client();
         client.write(format!("{head}0\r\n\r\n{hidden}"));
         assert_eq!(client.read().status(), 411, "{framing}");
         client.expect_end();
     }
-    assert!(scene.nobody_called());
+    assert!(bed.no_backend_connected());
 }
 
-/// Guards against an effect twice: an id is good for one request, and one that comes again after its answer is
-/// somebody else's. It guards memory too: no wait is longer than the class allows.
+/// An id is accepted for one request; a later request with the same id counts as another one's, so
+/// that nothing takes effect twice. To bound memory, no wait is longer than the class allows.
 #[test]
 fn id_is_accepted_once_and_no_wait_exceeds_the_class_deadline() {
-    let scene = TestBed::new(1);
-    let mut client = scene.program.client();
+    let bed = TestBed::new(1);
+    let mut client = bed.program.client();
     client.write(request_of("id-1", "charge", "wide", "1e12"));
-    let mut backend = scene.backends[0].accept();
+    let mut backend = bed.backends[0].accept();
     let wait: f64 = backend
         .read()
         .header("request-timeout")
-        .expect("a time")
+        .expect("a timeout")
         .parse()
         .unwrap();
     assert!(wait > 0.0 && wait <= 8.0, "{wait}");
-    backend.answer(200, "", "once");
+    backend.respond(200, "", "once");
     assert_eq!(client.read().status(), 200);
     client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
     assert_eq!(client.read().status(), 409);
     client.expect_end();
-    assert!(scene.nobody_called());
+    assert!(bed.no_backend_connected());
 }
--- a/crates/maplefall/tests/http/responses.rs
+++ b/crates/maplefall/tests/http/responses.rs
@@ -2,42 +2,47 @@
 
 use crate::sockets::*;
 
-/// Guards against a wrong answer: what a backend sends behind an answer, in one write with it or later, never becomes
-/// the next request's. The good answer is served and the connection is not used again.
+/// Bytes that a backend sends after a response, in the same write or later, never become the next
+/// request's response. The good response is served and the connection is not used again.
 #[test]
 fn bytes_after_a_response_are_served_to_nobody() {
-    let copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-    for (behind, together) in [
-        (copy, true),
+    let extra_response = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
+    for (extra, same_write) in [
+        (extra_response, true),
         ("noise", true),
-        (copy, false),
+        (extra_response, false),
         ("noise", false),
     ] {
-        let scene = TestBed::new(1);
-        let mut client = scene.program.client();
+        let bed = TestBed::new(1);
+        let mut client = bed.program.client();
         client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
-        let mut backend = scene.backends[0].accept();
+        let mut backend = bed.backends[0].accept();
         backend.read();
         let good = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
-        if together {
-            backend.write(format!("{good}{behind}"));
+        if same_write {
+            backend.write(format!("{good}{extra}"));
             assert_eq!(client.read().body, b"one");
         } else {
             backend.write(good);
             assert_eq!(client.read().body, b"one");
-            backend.write(behind);
+            backend.write(extra);
         }
         client.write(request_of("id-2", "charge", "wide", LONG_TIMEOUT));
-        let mut second = scene.backends[0].accept();
+        let mut second = bed.backends[0].accept();
         assert_eq!(second.read().header("request-id"), Some("id-2"));
-        second.answer(200, "", "two");
-        assert_eq!(client.read().body, b"two", "{behind} together: {together}");
+        second.respond(200, "", "two");
+        assert_eq!(
+            client.read().body,
+            b"two",
+            "{extra}, same write: {same_write}"
+        );
         backend.expect_end();
     }
 }
 
-/// Guards against serving what cannot be told to be whole, and against waiting for what does not end: an unsafe
-/// request fails at once, its connection is closed, and the next one is served on another.
+/// A response that cannot be recognised as complete is not served, and an endless one is not waited
+/// for: a non-idempotent request fails at once, its connection is closed, and the next one is
+/// served on another.
 #[test]
 fn incomplete_response_is_a_failure_at_once() {
     let endless = format!(
@@ -70,74 +75,74 @@
             "another protocol",
             "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n",
         ),
-        ("an answer without end", endless.as_str()),
-        ("a head without end", head.as_str()),
+        ("an endless response", endless.as_str()),
+        ("an endless head", head.as_str()),
     ];
     for (name, text) in cases {
-        let scene = TestBed::new(1);
-        let mut client = scene.program.client();
+        let bed = TestBed::new(1);
+        let mut client = bed.program.client();
         client.write(request_of("id-1", "charge", "wide", LONG_TIMEOUT));
-        let mut backend = scene.backends[0].accept();
+        let mut backend = bed.backends[0].accept();
         backend.read();
-        let begun = std::time::Instant::now();
-        // The front door may close before all is written.
+        let started = std::time::Instant::now();
+        // The gateway may close the connection before everything is written.
         let _ = std::io::Write::write_all(backend.reader.get_mut(), text.as_bytes());
         assert_eq!(client.read().status(), 502, "{name}");
         assert!(
-            begun.elapsed().as_secs_f64() < 3.0,
+            started.elapsed().as_secs_f64() < 3.0,
             "{name}: waited for more"
         );
         backend.expect_end();
         client.write(request_of("id-2", "charge", "wide", LONG_TIMEOUT));
-        let mut second = scene.backends[0].accept();
+        let mut second = bed.backends[0].accept();
         assert_eq!(second.read().header("request-id"), Some("id-2"));
-        second.answer(200, "", "fine");
+        second.respond(200, "", "fine");
         assert_eq!(client.read().body, b"fine", "{name}");
     }
 }
 
-/// Guards good answers with odd company: 1xx ahead and figures that say nothing spoil nothing.
+/// Informational (1xx) responses ahead of a good response and meaningless usage figures do no harm.
 #[test]
 fn good_response_with_odd_figures_is_served() {
-    let scene = TestBed::new(1);
-    let (mut client, mut backend) = scene.hold("id-1");
+    let bed = TestBed::new(1);
+    let (mut client, mut backend) = bed.hold_request("id-1");
     backend.write("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
-    backend.answer(
+    backend.respond(
         200,
         "Api-Usage: %%%\r\nApi-Usage: 9e99\r\nApi-Charge: =,=\r\nApi-Charge: 1\r\n",
         "paid",
     );
-    let answer = client.read();
+    let response = client.read();
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, &b"paid"[..])
     );
 }
 
-/// Guards long answers: a good one far beyond the agreed 64 KiB is passed on whole, told by its length or in chunks, and
-/// again and again: the room that each takes is given back.
+/// A good response far beyond the agreed 64 KiB is passed on completely, with a length or in
+/// chunks, and repeatedly: the memory that each takes is freed.
 #[test]
 fn long_response_is_passed_on_completely() {
-    let scene = TestBed::new(1);
-    let mut client = scene.program.client();
+    let bed = TestBed::new(1);
+    let mut client = bed.program.client();
     let long = "0123456789abcdef".repeat(25_000);
     client.write(request_of("id-0", "charge", "wide", LONG_TIMEOUT));
-    let mut backend = scene.backends[0].accept();
-    // More than the memory would hold together.
+    let mut backend = bed.backends[0].accept();
+    // More than fits into memory together.
     for number in 1..=200 {
         backend.read();
         if number % 2 == 0 {
-            backend.answer(200, "", &long);
+            backend.respond(200, "", &long);
         } else {
             let (head, length) = ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked", long.len());
             backend.write(format!("{head}\r\n\r\n{length:x}\r\n{long}\r\n0\r\n\r\n"));
         }
-        let answer = client.read();
-        assert_eq!(answer.status(), 200, "number {number}");
+        let response = client.read();
+        assert_eq!(response.status(), 200, "number {number}");
         assert!(
-            answer.body == long.as_bytes(),
+            response.body == long.as_bytes(),
             "number {number}: {} bytes",
-            answer.body.len()
+            response.body.len()
         );
         client.write(request_of(
             &format!("id-{number}"),
--- a/crates/maplefall/tests/membership.rs
+++ b/crates/maplefall/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The front door with an etcd among the sources of its list, against the played etcd.
+//! The gateway with etcd among the sources of its backend list, against a fake etcd.
 
 mod sockets;
 
@@ -11,18 +11,18 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A played etcd of two members on a thread of its own.
+/// A fake etcd of two members on its own thread.
 struct Cluster {
     etcd: Etcd,
     members: Vec<Member>,
-    /// Dropped, its thread ends.
-    _end: tokio::sync::oneshot::Sender<()>,
+    /// Ends the thread when dropped.
+    _stop: tokio::sync::oneshot::Sender<()>,
 }
 
 impl Cluster {
     fn new() -> Cluster {
-        let (hand_out, handed_out) = std::sync::mpsc::channel();
-        let (end, ended) = tokio::sync::oneshot::channel::<()>();
+        let (sender, receiver) = std::sync::mpsc::channel();
+        let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
         std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
@@ -34,15 +34,15 @@
                 let members: Vec<Member> = (0..2)
                     .map(|n| etcd.member(n, listener()).unwrap())
                     .collect();
-                hand_out.send((etcd, members)).unwrap();
-                let _ = ended.await;
+                sender.send((etcd, members)).unwrap();
+                let _ = stopped.await;
             });
         });
-        let (etcd, members) = handed_out.recv().expect("a played etcd");
+        let (etcd, members) = receiver.recv().expect("a fake etcd");
         Cluster {
             etcd,
             members,
-            _end: end,
+            _stop: stop,
         }
     }
 
@@ -88,7 +88,7 @@
     }
 }
 
-fn file(text: &str) -> String {
+fn write_file(text: &str) -> String {
     static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
     let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let path = format!(
@@ -100,7 +100,7 @@
     path
 }
 
-fn ready(program: &Program) {
+fn wait_until_ready(program: &Program) {
     wait_for("readiness", || {
         let mut client = program.client();
         client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -109,28 +109,37 @@
 }
 
 #[test]
-fn etcd_alone_feeds_the_list_and_its_endpoints_change_at_sighup() {
+fn etcd_is_the_only_source_and_its_endpoints_change_at_sighup() {
     let cluster = Cluster::new();
     let backends = [Listener::new(), Listener::new(), Listener::new()];
     cluster.put("a", backends[0].address(), "up");
-    let sources = file(&cluster.source(&[0]));
-    let nobody = Listener::new();
+    let sources = write_file(&cluster.source(&[0]));
+    let unused_agent = Listener::new();
     let variables = [("MAPLEFALL_SOURCES", sources.as_str())];
-    let program = Program::start_with(&variables, 256, settings(), nobody.address(), Value::Null);
-    ready(&program);
-    assert!(!nobody.called(), "an agent that is no source is not asked");
-    let mut asking = OpenBackends::new(&program, &backends);
-    asking.only(0);
+    let program = Program::start_with_variables(
+        &variables,
+        256,
+        settings(),
+        unused_agent.address(),
+        Value::Null,
+    );
+    wait_until_ready(&program);
+    assert!(
+        !unused_agent.has_connection(),
+        "an agent that is not a source got a connection"
+    );
+    let mut probe = TrafficProbe::new(&program, &backends);
+    probe.send_until_all_reach(0);
     cluster.put("b", backends[1].address(), "up");
     cluster.put("a", backends[0].address(), "draining");
-    asking.only(1);
-    // The member goes away for good; the file names another one.
+    probe.send_until_all_reach(1);
+    // The member stays down; the file names another one.
     std::fs::write(&sources, cluster.source(&[1])).expect("a file");
     cluster.members[0].down(true);
     program.reload(&program.config.to_string());
     cluster.put("c", backends[2].address(), "up");
     cluster.delete("b");
-    asking.only(2);
+    probe.send_until_all_reach(2);
 }
 
 #[test]
@@ -140,7 +149,7 @@
     for (id, backend) in ["a", "b"].iter().zip(&backends) {
         cluster.put(id, backend.address(), "up");
     }
-    let sources = file(&format!(
+    let sources = write_file(&format!(
         "[[source]]\nkind = \"agent\"\n{}",
         cluster.source(&[0, 1])
     ));
@@ -148,50 +157,55 @@
     let list: Vec<Value> = ["a", "b", "c"]
         .iter()
         .zip(&backends)
-        .map(|(id, place)| member(id, place.address(), "up"))
+        .map(|(id, backend)| member(id, backend.address(), "up"))
         .collect();
     let known = members(7, true, &list[..2]);
     let variables = [("MAPLEFALL_SOURCES", sources.as_str())];
     cluster.put("a", backends[0].address(), "draining");
-    let mut program = Program::start_with(&variables, 256, settings(), discovery.address(), known);
-    let mut wire = discovery.accept();
-    wire.read();
-    let mut watch = AgentWatch::begin(wire);
-    // Both are heard: from here on nothing goes to a.
+    let mut program =
+        Program::start_with_variables(&variables, 256, settings(), discovery.address(), known);
+    let mut connection = discovery.accept();
+    connection.read();
+    let mut watch = AgentWatch::begin(connection);
+    // Both sources have reported: from here on nothing is forwarded to a.
     while !program.log_line().contains("watching from revision") {}
-    let mut asking = OpenBackends::new(&program, &backends);
-    assert!(asking.only(1).is_empty(), "a drained backend was used");
-    // The agent says up, in a change and in a whole list; then it drains b, which leaves c alone.
+    let mut probe = TrafficProbe::new(&program, &backends);
+    assert!(
+        probe.send_until_all_reach(1).is_empty(),
+        "a draining backend got a request"
+    );
+    // The agent reports a as up, in a change and in a full list; then it drains b, which leaves c
+    // alone.
     let draining = |id: &str, at: usize| member(id, backends[at].address(), "draining");
-    watch.line(&members(8, false, &list[..1]).to_string());
-    watch.line(&members(9, true, &list).to_string());
-    watch.line(&members(10, false, &[draining("b", 1)]).to_string());
-    let others = asking.only(2);
-    assert!(!others.contains(&0), "the agent undid the drain");
-    // Etcd's word on b cannot undo the agent's; its own drain of a it takes back.
+    watch.send_line(&members(8, false, &list[..1]).to_string());
+    watch.send_line(&members(9, true, &list).to_string());
+    watch.send_line(&members(10, false, &[draining("b", 1)]).to_string());
+    let others = probe.send_until_all_reach(2);
+    assert!(!others.contains(&0), "the agent ended etcd's drain");
+    // An `up` from etcd does not end the agent's drain of b; it does end etcd's own drain of a.
     cluster.put("b", backends[1].address(), "up");
     cluster.put("a", backends[0].address(), "up");
-    watch.line(&members(11, false, &[draining("c", 2)]).to_string());
-    let others = asking.only(0);
-    assert!(!others.contains(&1), "etcd undid the agent's drain");
+    watch.send_line(&members(11, false, &[draining("c", 2)]).to_string());
+    let others = probe.send_until_all_reach(0);
+    assert!(!others.contains(&1), "etcd ended the agent's drain");
 }
 
 #[test]
-fn mistakes_in_a_file_of_sources_are_reported_by_field() {
-    let path = file("[[source]]\nkind = \"etcd\"\nendpoints = [\"127.0.0.1:1\"]\n");
+fn mistakes_in_a_source_file_are_reported_by_field() {
+    let path = write_file("[[source]]\nkind = \"etcd\"\nendpoints = [\"127.0.0.1:1\"]\n");
     let output = Command::new(env!("CARGO_BIN_EXE_maplefall"))
         .args(["check", &path])
         .output()
         .unwrap();
-    let said = String::from_utf8(output.stdout).unwrap();
+    let stdout = String::from_utf8(output.stdout).unwrap();
     assert!(!output.status.success());
     assert!(
-        said.contains(&format!("{path}: source.0.prefix: ")),
-        "{said}"
+        stdout.contains(&format!("{path}: source.0.prefix: ")),
+        "{stdout}"
     );
     assert!(
-        said.contains("source.0.endpoints: http://HOST:PORT was expected"),
-        "{said}"
+        stdout.contains("source.0.endpoints: http://HOST:PORT was expected"),
+        "{stdout}"
     );
     let (child, _) = spawn(
         &serde_json::json!({"seed": "1", "limits": {"sockets": 64}, "settings": settings(),
@@ -205,27 +219,27 @@
         String::from_utf8(output.stderr)
             .unwrap()
             .contains("source.0.prefix"),
-        "it does not start"
+        "the program did not report the field at its start"
     );
 }
 
 #[test]
-fn file_of_nodes_adds_nodes_and_is_reloaded_at_sighup() {
+fn node_file_adds_backends_and_is_reloaded_at_sighup() {
     let backends = [Listener::new(), Listener::new()];
-    let nodes = file("");
+    let node_file = write_file("");
     let write = |which: usize| {
         let text =
             serde_json::json!({"n": {"address": backends[which].address().to_string()}, "bad": 3});
-        std::fs::write(&nodes, text.to_string()).expect("a file");
+        std::fs::write(&node_file, text.to_string()).expect("a file");
     };
     write(0);
-    let sources = file(&format!(
-        "[[source]]\nkind = \"file\"\npath = \"{nodes}\"\n"
+    let sources = write_file(&format!(
+        "[[source]]\nkind = \"file\"\npath = \"{node_file}\"\n"
     ));
-    let nobody = Listener::new();
+    let unused_agent = Listener::new();
     let known = Value::Null;
     let config = serde_json::json!({
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": nobody.address().to_string(), "seed": "1",
+        "name": "n0", "listen": "127.0.0.1:0", "discovery": unused_agent.address().to_string(), "seed": "1",
         "limits": {"sockets": 256}, "known": known, "settings": settings(),
     });
     let (mut child, path) = spawn(&config.to_string(), &[("MAPLEFALL_SOURCES", &sources)]);
@@ -248,38 +262,38 @@
         config,
         path,
     };
-    let mut asking = OpenBackends::new(&program, &backends);
-    asking.only(0);
+    let mut probe = TrafficProbe::new(&program, &backends);
+    probe.send_until_all_reach(0);
     write(1);
     program.reload(&program.config.to_string());
-    asking.only(1);
+    probe.send_until_all_reach(1);
 }
 
-/// Guards the ageing of what only a lost source knows, and that it goes on by itself, with nothing said.
+/// Backends known only to a lost source expire, also without any further update.
 #[test]
-fn nodes_known_to_a_lost_agent_only_are_removed_while_etcd_is_up() {
+fn backends_known_only_to_a_lost_agent_are_removed_while_etcd_is_up() {
     let cluster = Cluster::new();
     let backends = [Listener::new(), Listener::new()];
     cluster.put("b", backends[1].address(), "up");
-    let (refusing, _held) = refusing_address();
+    let (refusing, _socket) = refusing_address();
     let text = format!(
         "[[source]]\nkind = \"agent\"\nkeep_ms = 300\n{}",
         cluster.source(&[0])
     );
-    let sources = file(&text);
+    let sources = write_file(&text);
     let known = members(7, true, &[member("a", backends[0].address(), "up")]);
     let variables = [("MAPLEFALL_SOURCES", sources.as_str())];
-    // Nobody answers where the agent should be.
-    let mut program = Program::start_with(&variables, 256, settings(), refusing, known);
+    // Connections to the agent's address are refused.
+    let mut program = Program::start_with_variables(&variables, 256, settings(), refusing, known);
     while !program
         .log_line()
         .contains("a was known from lost sources only: given up")
     {}
-    OpenBackends::new(&program, &backends).only(1);
+    TrafficProbe::new(&program, &backends).send_until_all_reach(1);
 }
 
-/// Guards against an agent that has begun to count anew and is not believed any more: a backend that started since shows
-/// at once that its word is the newer one.
+/// An agent that restarts its version numbers is accepted again: a backend that started since shows
+/// that its list is the newer one.
 #[test]
 fn agent_that_restarts_its_versions_is_accepted() {
     let TestBed {
@@ -292,62 +306,64 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
         .as_secs_f64();
-    // A start in the next minute: machines read one clock, but this test does not wait for it.
-    let born = (now + 60.0) * 1000.0;
-    let list = |seq, whole, states: [&str; 2], born: [f64; 2]| {
+    // A start within the next minute: machines share one clock, but the test does not wait for that
+    // time.
+    let started_ms = (now + 60.0) * 1000.0;
+    let list = |seq, whole, states: [&str; 2], started_ms: [f64; 2]| {
         let host = |n: usize| {
             let mut host = member(&format!("s-{n}"), backends[n].address(), states[n]);
-            host["born_ms"] = born[n].into();
+            host["born_ms"] = started_ms[n].into();
             host
         };
         members(seq, whole, &[host(0), host(1)]).to_string()
     };
     let lines = [
         list(90, true, ["draining", "up"], [0.0, 0.0]),
-        list(3, true, ["up", "draining"], [born, 0.0]),
-        list(4, false, ["draining", "up"], [born, 0.0]),
+        list(3, true, ["up", "draining"], [started_ms, 0.0]),
+        list(4, false, ["draining", "up"], [started_ms, 0.0]),
     ];
-    let mut asking = OpenBackends::new(&program, &backends);
-    for (line, serves) in lines.iter().zip([1, 0, 1]) {
-        watch.line(line);
-        asking.only(serves);
+    let mut probe = TrafficProbe::new(&program, &backends);
+    for (line, serving) in lines.iter().zip([1, 0, 1]) {
+        watch.send_line(line);
+        probe.send_until_all_reach(serving);
     }
 }
 
 #[test]
-fn file_that_is_too_long_is_not_read() {
-    let nodes = file("");
+fn oversized_file_is_not_read() {
+    let node_file = write_file("");
     std::fs::File::options()
         .write(true)
-        .open(&nodes)
+        .open(&node_file)
         .unwrap()
         .set_len((64 << 20) + 1)
         .unwrap();
-    let sources = file(&format!(
-        "[[source]]\nkind = \"file\"\npath = \"{nodes}\"\n"
+    let sources = write_file(&format!(
+        "[[source]]\nkind = \"file\"\npath = \"{node_file}\"\n"
     ));
     let output = Command::new(env!("CARGO_BIN_EXE_maplefall"))
         .args(["check", &sources])
         .output()
         .unwrap();
-    let said = String::from_utf8(output.stdout).unwrap();
+    let stdout = String::from_utf8(output.stdout).unwrap();
     assert!(
-        said.contains("67108864 bytes at most were expected"),
-        "{said}"
+        stdout.contains("67108864 bytes at most were expected"),
+        "{stdout}"
     );
 }
 
-/// Guards a restart while etcd is away: the list, and who stopped what, outlive the process where there is a disk.
+/// A gateway restarted while etcd is down recovers the list, and which source drained which
+/// backend, from disk.
 #[test]
 fn restart_restores_the_persisted_list() {
     let cluster = Cluster::new();
     let backends = [Listener::new(), Listener::new()];
     cluster.put("a", backends[0].address(), "draining");
     cluster.put("b", backends[1].address(), "up");
-    let path = file("");
+    let path = write_file("");
     std::fs::remove_file(&path).expect("a file");
     let path = path.replace(".toml", ".json");
-    let sources = file(&format!(
+    let sources = write_file(&format!(
         "remember = \"{path}\"\n[[source]]\nkind = \"agent\"\n{}",
         cluster.source(&[0])
     ));
@@ -356,10 +372,10 @@
     let list: Vec<Value> = ["a", "b"]
         .iter()
         .zip(&backends)
-        .map(|(id, place)| member(id, place.address(), "up"))
+        .map(|(id, backend)| member(id, backend.address(), "up"))
         .collect();
     let start = || {
-        Program::start_with(
+        Program::start_with_variables(
             &variables,
             256,
             settings(),
@@ -368,47 +384,54 @@
         )
     };
     let program = start();
-    ready(&program);
+    wait_until_ready(&program);
     wait_for("the list on disk", || {
         std::fs::read_to_string(&path)
             .ok()
             .filter(|text| text.contains("draining"))
     });
     drop(program);
-    while discovery.called() {}
+    while discovery.has_connection() {}
     cluster.members[0].down(true);
     let program = start();
-    ready(&program);
-    // The agent says up of both; etcd's drain of a holds, though etcd is away.
-    let mut wire = discovery.accept();
-    wire.read();
-    let mut watch = AgentWatch::begin(wire);
-    watch.line(&members(1, true, &list).to_string());
-    OpenBackends::new(&program, &backends).only(1);
-    // The list that it is started with comes to what is written down, and does not take its place.
+    wait_until_ready(&program);
+    // The agent reports both as up; etcd's drain of a still applies, although etcd is down.
+    let mut connection = discovery.accept();
+    connection.read();
+    let mut watch = AgentWatch::begin(connection);
+    watch.send_line(&members(1, true, &list).to_string());
+    TrafficProbe::new(&program, &backends).send_until_all_reach(1);
+    // The list in the configuration is added to the persisted one and does not replace it.
     drop(program);
     drop(watch);
-    while discovery.called() {}
-    let nobody = Listener::new();
-    let only_etcd = file(&format!("remember = \"{path}\"\n{}", cluster.source(&[0])));
-    let variables_too = [("MAPLEFALL_SOURCES", only_etcd.as_str())];
-    let (refusing, _held) = refusing_address();
-    for serves in [0, 1] {
-        // One of the two is of no use: whoever is served is so by the other.
+    while discovery.has_connection() {}
+    let unused_agent = Listener::new();
+    let only_etcd = write_file(&format!("remember = \"{path}\"\n{}", cluster.source(&[0])));
+    let etcd_variables = [("MAPLEFALL_SOURCES", only_etcd.as_str())];
+    let (refusing, _socket) = refusing_address();
+    for serving in [0, 1] {
+        // One of the two addresses refuses connections, so each request that is served went to the
+        // other.
         let at = |which: usize| {
-            if which == serves {
+            if which == serving {
                 backends[which].address()
             } else {
                 refusing
             }
         };
-        let words = serde_json::json!({"etcd": members(0, true, &[member("a", at(0), "up")])});
-        std::fs::write(&path, words.to_string()).expect("a file");
+        let persisted = serde_json::json!({"etcd": members(0, true, &[member("a", at(0), "up")])});
+        std::fs::write(&path, persisted.to_string()).expect("a file");
         let known = members(7, true, &[member("b", at(1), "up")]);
-        let program = Program::start_with(&variables_too, 256, settings(), nobody.address(), known);
-        OpenBackends::new(&program, &backends).only(serves);
+        let program = Program::start_with_variables(
+            &etcd_variables,
+            256,
+            settings(),
+            unused_agent.address(),
+            known,
+        );
+        TrafficProbe::new(&program, &backends).send_until_all_reach(serving);
     }
-    // What cannot be read is told, and all begins with nothing.
+    // A file that cannot be read is reported, and the gateway starts with an empty list.
     std::fs::write(&path, "{").expect("a file");
     let (mut child, _) = spawn(
         &serde_json::json!({"seed": "1", "limits": {"sockets": 64}, "settings": settings(), "name": "n0",
--- a/crates/maplefall/tests/shared_counts.rs
+++ b/crates/maplefall/tests/shared_counts.rs
@@ -1,5 +1,5 @@
-//! Real front doors that share counts through a played network that loses, doubles, holds back and cuts off datagrams:
-//! shared totals against the true use of each customer.
+//! Gateways that share counts through a simulated network that loses, duplicates, delays and blocks
+//! datagrams: shared totals against the actual use of each customer.
 
 mod sockets;
 
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(120);
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -24,41 +24,47 @@
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(LIMIT, test).await.expect("in time");
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("the test ends within its timeout");
     });
 }
 
-/// Thousandths of units that were let in for each customer: guesses when a request came to the backend, and what its answer
-/// made of them.
+/// Thousandths of units admitted for each customer: as estimated when a request reached the
+/// backend, and as charged by its response.
 #[derive(Default)]
-struct Truth {
-    taken: RefCell<BTreeMap<u64, i64>>,
-    net: RefCell<BTreeMap<u64, i64>>,
+struct Usage {
+    admitted: RefCell<BTreeMap<u64, i64>>,
+    charged: RefCell<BTreeMap<u64, i64>>,
     attempts: Cell<u32>,
 }
 
-/// A backend that answers everything, with fewer units than were guessed for every third request.
-async fn backend(listener: TcpListener, truth: Rc<Truth>) {
+/// A backend that responds to every request and charges half of the estimated units for every third
+/// one.
+async fn backend(listener: TcpListener, usage: Rc<Usage>) {
     listener.set_nonblocking(true).unwrap();
     let listener = tokio::net::TcpListener::from_std(listener).unwrap();
     while let Ok((stream, _)) = listener.accept().await {
-        let truth = truth.clone();
+        let usage = usage.clone();
         tokio::task::spawn_local(async move {
             let mut link = Link::over(stream);
             while let Ok(message) = link.message().await {
-                // What a request is of stands in its path, which goes on unchanged: /read/CUSTOMER?UNITS.
+                // Customer and units are in the path, which is forwarded unchanged:
+                // /read/CUSTOMER?UNITS.
                 let (path, units) = message.target.split_once('?').unwrap();
                 let customer: u64 = path.rsplit('/').next().unwrap().parse().unwrap();
                 let units: f64 = units.parse().unwrap();
-                let number = truth.attempts.get() + 1;
-                truth.attempts.set(number);
+                let number = usage.attempts.get() + 1;
+                usage.attempts.set(number);
                 let charge = if number % 3 == 0 { units / 2.0 } else { units };
-                *truth.taken.borrow_mut().entry(customer).or_default() += (units * 1000.0) as i64;
-                *truth.net.borrow_mut().entry(customer).or_default() += (charge * 1000.0) as i64;
-                let answer = format!(
+                *usage.admitted.borrow_mut().entry(customer).or_default() +=
+                    (units * 1000.0) as i64;
+                *usage.charged.borrow_mut().entry(customer).or_default() +=
+                    (charge * 1000.0) as i64;
+                let response = format!(
                     "HTTP/1.1 200 X\r\nApi-Charge: {charge}\r\nContent-Length: 2\r\n\r\nok"
                 );
-                if link.write(answer.as_bytes()).await.is_err() {
+                if link.write(response.as_bytes()).await.is_err() {
                     return;
                 }
             }
@@ -66,47 +72,47 @@
     }
 }
 
-struct Bed {
+struct TestBed {
     relay: Relay,
-    truth: Rc<Truth>,
-    doors: Vec<Program>,
+    usage: Rc<Usage>,
+    gateways: Vec<Program>,
     files: Vec<String>,
     gossip: Vec<SocketAddr>,
     host: Value,
     settings: Value,
 }
 
-fn bed(doors: usize, mut settings: Value) -> Bed {
-    settings["fleet_size"] = doors.into();
-    let relay = Relay::new(doors, 11).unwrap();
-    let truth = Rc::new(Truth::default());
+fn test_bed(gateways: usize, mut settings: Value) -> TestBed {
+    settings["fleet_size"] = gateways.into();
+    let relay = Relay::new(gateways, 11).unwrap();
+    let usage = Rc::new(Usage::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let host = member("s-0", listener.local_addr().unwrap(), "up");
-    tokio::task::spawn_local(backend(listener, truth.clone()));
-    let mut bed = Bed {
+    tokio::task::spawn_local(backend(listener, usage.clone()));
+    let mut bed = TestBed {
         relay,
-        truth,
-        doors: vec![],
+        usage,
+        gateways: vec![],
         files: vec![],
         gossip: vec![],
         host,
         settings,
     };
-    for door in 0..doors {
+    for gateway in 0..gateways {
         bed.files
-            .push(bed.file(door, "quito", "00112233445566778899aabbccddeeff"));
-        let (program, gossip) = bed.start(door);
-        bed.doors.push(program);
+            .push(bed.file(gateway, "quito", "00112233445566778899aabbccddeeff"));
+        let (program, gossip) = bed.start(gateway);
+        bed.gateways.push(program);
         bed.gossip.push(gossip);
-        bed.relay.door(door, gossip);
+        bed.relay.door(gateway, gossip);
     }
     bed
 }
 
-impl Bed {
-    fn file(&self, door: usize, cluster: &str, key: &str) -> String {
-        static FILES: AtomicU32 = AtomicU32::new(0);
-        let number = FILES.fetch_add(1, Ordering::Relaxed);
+impl TestBed {
+    fn file(&self, gateway: usize, cluster: &str, key: &str) -> String {
+        static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
         let path = format!(
             "{}/counts-{}-{number}.toml",
             env!("CARGO_TARGET_TMPDIR"),
@@ -116,22 +122,22 @@
         let text = format!(
             "cluster = \"{cluster}\"\nkey = \"{key}\"\ngossip = \"127.0.0.1:0\"\nadvertise = \"{}\"\n\
              seeds = [\"{}\", \"{}\"]\ninterval_ms = 50\nepoch_ms = 600000\nmost_told = 4096\n",
-            fronts[door], fronts[0], fronts[1]
+            fronts[gateway], fronts[0], fronts[1]
         );
         std::fs::write(&path, text).unwrap();
         path
     }
 
-    fn start(&self, door: usize) -> (Program, SocketAddr) {
-        let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
-        let name = format!("n{door}");
+    fn start(&self, gateway: usize) -> (Program, SocketAddr) {
+        let no_agent: SocketAddr = "127.0.0.1:9".parse().unwrap();
+        let name = format!("n{gateway}");
         let variables = [
-            ("MAPLEFALL_SHARED_COUNTS", self.files[door].as_str()),
+            ("MAPLEFALL_SHARED_COUNTS", self.files[gateway].as_str()),
             ("BALANCER_NAME", &name),
         ];
         let known = members(7, true, std::slice::from_ref(&self.host));
         let mut program =
-            Program::start_with(&variables, 1024, self.settings.clone(), nobody, known);
+            Program::start_with_variables(&variables, 1024, self.settings.clone(), no_agent, known);
         let line = loop {
             let line = program.log_line();
             if line.contains("shares counts on") {
@@ -148,9 +154,9 @@
         (program, address)
     }
 
-    /// What a door says of shared counts, by the command that operators have.
-    fn status(&self, door: usize) -> Value {
-        let output = self.command(door, &["counts", "status", "--json"]);
+    /// Returns a gateway's state of the shared counts, from the operators' command.
+    fn status(&self, gateway: usize) -> Value {
+        let output = self.command(gateway, &["counts", "status", "--json"]);
         assert!(
             output.status.success(),
             "{}",
@@ -159,73 +165,73 @@
         serde_json::from_slice(&output.stdout).unwrap()
     }
 
-    fn command(&self, door: usize, words: &[&str]) -> Output {
-        let ask = self.gossip[door].to_string();
-        let more = ["--file", &self.files[door], "--ask", &ask];
+    fn command(&self, gateway: usize, arguments: &[&str]) -> Output {
+        let address = self.gossip[gateway].to_string();
+        let options = ["--file", &self.files[gateway], "--ask", &address];
         Command::new(env!("CARGO_BIN_EXE_maplefall"))
-            .args(words)
-            .args(more)
+            .args(arguments)
+            .args(options)
             .output()
             .unwrap()
     }
 
-    /// Thousandths of units by customer, as a door knows them.
-    fn totals(&self, door: usize) -> BTreeMap<u64, i64> {
-        let status = self.status(door);
+    /// Returns thousandths of units by customer, as counted by a gateway.
+    fn totals(&self, gateway: usize) -> BTreeMap<u64, i64> {
+        let status = self.status(gateway);
         let customers = status["customers"].as_array().unwrap().iter();
-        let total = |row: &Value| {
+        let total = |entry: &Value| {
             (
-                row["customer"].as_u64().unwrap(),
-                (row["units"].as_f64().unwrap() * 1000.0).round() as i64,
+                entry["customer"].as_u64().unwrap(),
+                (entry["units"].as_f64().unwrap() * 1000.0).round() as i64,
             )
         };
         customers.map(total).collect()
     }
 
-    async fn until(&self, what: &str, mut holds: impl FnMut() -> bool) -> Duration {
-        let begun = Instant::now();
-        while !holds() {
+    async fn wait_until(&self, label: &str, mut condition: impl FnMut() -> bool) -> Duration {
+        let started = Instant::now();
+        while !condition() {
             assert!(
-                begun.elapsed() < Duration::from_secs(60),
-                "{what}: {:#?}",
+                started.elapsed() < Duration::from_secs(60),
+                "{label}: {:#?}",
                 self.status(0)
             );
-            // The backend is served by this thread, too.
+            // The backend runs on this thread, too.
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        begun.elapsed()
+        started.elapsed()
     }
 
-    async fn met(&self) {
-        let doors = self.doors.len();
-        self.until("all know all", || {
-            (0..doors).all(|door| self.status(door)["doors"] == doors)
+    async fn wait_until_joined(&self) {
+        let gateways = self.gateways.len();
+        self.wait_until("all gateways know each other", || {
+            (0..gateways).all(|gateway| self.status(gateway)["doors"] == gateways)
         })
         .await;
     }
 
-    /// So many requests at each door in turn, of customers 1 to 6.
-    async fn traffic(&self, many: usize, what: &str) {
+    /// Sends this many requests, to the gateways in turn, for customers 1 to 6.
+    async fn traffic(&self, count: usize, label: &str) {
         let mut links = Vec::new();
-        for door in &self.doors {
-            links.push(Link::open(door.address).await.unwrap());
+        for gateway in &self.gateways {
+            links.push(Link::open(gateway.address).await.unwrap());
         }
-        let doors = self.doors.len();
-        for number in 0..many {
-            let (link, customer) = (&mut links[number % doors], 1 + number % 6);
-            let answer = ask(
+        let gateways = self.gateways.len();
+        for number in 0..count {
+            let (link, customer) = (&mut links[number % gateways], 1 + number % 6);
+            let response = send_request(
                 link,
-                &format!("{what}-{number}"),
+                &format!("{label}-{number}"),
                 customer as u64,
                 1 + number % 8,
             )
             .await;
-            assert_eq!(answer.status, 200, "{what}-{number}");
+            assert_eq!(response.status, 200, "{label}-{number}");
         }
     }
 }
 
-async fn ask(link: &mut Link, id: &str, customer: u64, units: usize) -> Message {
+async fn send_request(link: &mut Link, id: &str, customer: u64, units: usize) -> Message {
     let text = sockets::request_of(id, "read", "wide", "8")
         .replace(
             "client=00000000b4d65521",
@@ -237,159 +243,179 @@
     link.message().await.unwrap()
 }
 
-/// Never over the truth while a third is lost, a tenth doubled and all held back; under it by no more than what was let in
-/// during the stated time; equal once all is quiet.
+/// Shared totals never exceed the actual use while a third of the datagrams are lost, a tenth
+/// duplicated and all delayed; they equal it within 10 s of the last request.
 #[test]
 fn shared_totals_match_the_true_usage() {
     run(async {
-        let bed = bed(4, settings());
-        bed.met().await;
-        let rough = Weather {
+        let bed = test_bed(4, settings());
+        bed.wait_until_joined().await;
+        let lossy = Weather {
             loss: 0.3,
             doubled: 0.1,
             delay_ms: (0.0, 120.0),
             ..Weather::default()
         };
-        bed.relay.play(rough);
-        for part in 0..8 {
-            bed.traffic(60, &format!("rough{part}")).await;
-            for door in 0..4 {
-                for (customer, total) in bed.totals(door) {
-                    let taken = bed.truth.taken.borrow()[&customer];
+        bed.relay.play(lossy);
+        for round in 0..8 {
+            bed.traffic(60, &format!("rough{round}")).await;
+            for gateway in 0..4 {
+                for (customer, total) in bed.totals(gateway) {
+                    let admitted = bed.usage.admitted.borrow()[&customer];
                     assert!(
-                        total <= taken,
-                        "door {door} counts {total} of customer {customer}, {taken} were used"
+                        total <= admitted,
+                        "gateway {gateway} counts {total} of customer {customer}, {admitted} were admitted"
                     );
                 }
             }
         }
-        let truth = bed.truth.net.borrow().clone();
+        let usage = bed.usage.charged.borrow().clone();
         let took = bed
-            .until("all equal", || (0..4).all(|door| bed.totals(door) == truth))
+            .wait_until("all equal", || {
+                (0..4).all(|gateway| bed.totals(gateway) == usage)
+            })
             .await;
         println!("equal after {took:?}");
         assert!(took < Duration::from_secs(10));
-        let refused = bed.status(0)["refused"].clone();
+        let rejected = bed.status(0)["refused"].clone();
         assert!(
-            refused["repeated"].as_u64().unwrap_or(0) > 0,
-            "doubles are known: {refused}"
+            rejected["repeated"].as_u64().unwrap_or(0) > 0,
+            "no duplicates were recognised: {rejected}"
         );
         assert!(
-            refused["forged"].is_null() && refused["absurd"].is_null(),
-            "{refused}"
+            rejected["forged"].is_null() && rejected["absurd"].is_null(),
+            "{rejected}"
         );
     });
 }
 
-/// A split that heals, and a door that is killed, comes back with nothing and hears of its own earlier life.
+/// A partition heals, and a gateway that is killed and restarted without state learns the counts of
+/// its earlier incarnation.
 #[test]
-fn partition_heals_and_a_restarted_proxy_is_counted_once() {
+fn partition_heals_and_a_restarted_gateway_is_counted_once() {
     run(async {
-        let mut bed = bed(4, settings());
-        bed.met().await;
-        let apart = |left: &[usize], right: &[usize]| {
+        let mut bed = test_bed(4, settings());
+        bed.wait_until_joined().await;
+        let cut_links = |left: &[usize], right: &[usize]| {
             let pairs = left
                 .iter()
                 .flat_map(|l| right.iter().flat_map(move |r| [(*l, *r), (*r, *l)]));
             pairs.collect::<BTreeSet<_>>()
         };
         bed.relay.play(Weather {
-            cut: apart(&[0, 1], &[2, 3]),
+            cut: cut_links(&[0, 1], &[2, 3]),
             ..Weather::default()
         });
-        bed.until("halves", || {
+        bed.wait_until("the partition is noticed", || {
             bed.status(0)["doors"] == 2 && bed.status(3)["doors"] == 2
         })
         .await;
         bed.traffic(120, "split").await;
-        let truth = bed.truth.net.borrow().clone();
+        let usage = bed.usage.charged.borrow().clone();
         assert!(
-            (0..4).all(|door| bed.totals(door) != truth),
-            "nobody can know all"
+            (0..4).all(|gateway| bed.totals(gateway) != usage),
+            "a gateway knows the counts across the partition"
         );
         bed.relay.play(Weather::default());
-        bed.met().await;
-        bed.until("healed", || (0..4).all(|door| bed.totals(door) == truth))
-            .await;
-        // Dropped, the process is killed; its successor listens elsewhere, under the same name and address of the relay.
+        bed.wait_until_joined().await;
+        bed.wait_until("all equal after the partition", || {
+            (0..4).all(|gateway| bed.totals(gateway) == usage)
+        })
+        .await;
+        // Dropping the program kills the process; its successor listens on another port, under the
+        // same name and relay address.
         let (program, gossip) = bed.start(3);
-        bed.doors[3] = program;
+        bed.gateways[3] = program;
         bed.gossip[3] = gossip;
         bed.relay.door(3, gossip);
-        bed.met().await;
+        bed.wait_until_joined().await;
         bed.traffic(40, "again").await;
-        let truth = bed.truth.net.borrow().clone();
-        bed.until("all equal again", || {
-            (0..4).all(|door| bed.totals(door) == truth)
+        let usage = bed.usage.charged.borrow().clone();
+        bed.wait_until("all equal again", || {
+            (0..4).all(|gateway| bed.totals(gateway) == usage)
         })
         .await;
     });
 }
 
-/// Worth on real sockets: a customer whose requests come to one of four doors alone gets its whole quota with counts shared,
-/// and a quarter of it without. It asks for four times its quota; what was sold is what the backend charged in the end, since
-/// a third of the requests are settled at half of what they were let in for. Both bounds go by the time that really passed.
+/// A customer whose requests all reach one of four gateways gets its whole quota with shared
+/// counts, and a quarter of it without. It requests four times its quota; its use is what the
+/// backend charged in the end, since a third of the requests are charged half of the units that
+/// they were admitted for. Both bounds use the time that actually passed.
 #[test]
-fn remaining_quota_is_available_where_the_requests_come() {
+fn gateway_that_gets_all_requests_can_use_the_whole_quota() {
     const RATE: f64 = 20.0;
     const BURST: f64 = 40.0;
     const CUSTOMER: u64 = 9;
     run(async {
-        let mut set = settings();
-        set["plans"][0]["per_second"] = RATE.into();
-        set["plans"][0]["peak_units"] = BURST.into();
-        let bed = bed(4, set);
-        bed.met().await;
-        let begun = Instant::now();
-        // Whoever was heard of before is known; a first use elsewhere makes it so.
-        let mut first = Link::open(bed.doors[1].address).await.unwrap();
-        assert_eq!(ask(&mut first, "first", CUSTOMER, 1).await.status, 200);
-        bed.until("heard", || bed.totals(0).contains_key(&CUSTOMER))
-            .await;
-        let mut link = Link::open(bed.doors[0].address).await.unwrap();
-        let net = || bed.truth.net.borrow()[&CUSTOMER] as f64 / 1000.0;
-        // What one door that sees all would have sold to the same asking: it begins as full as the door's own store.
-        let (mut one, mut one_at, mut sold_by_one) = (BURST - 1.0, Instant::now(), 0.0);
-        let (asking, mut asked, mut refused) = (Instant::now(), 0.0, 0);
-        while asking.elapsed() < Duration::from_secs(4) {
-            if asked > BURST + 4.0 * RATE * asking.elapsed().as_secs_f64() {
+        let mut settings = settings();
+        settings["plans"][0]["per_second"] = RATE.into();
+        settings["plans"][0]["peak_units"] = BURST.into();
+        let bed = test_bed(4, settings);
+        bed.wait_until_joined().await;
+        let started = Instant::now();
+        // Customers seen before are known to all gateways; a first request at another gateway makes
+        // this customer known.
+        let mut first = Link::open(bed.gateways[1].address).await.unwrap();
+        assert_eq!(
+            send_request(&mut first, "first", CUSTOMER, 1).await.status,
+            200
+        );
+        bed.wait_until("the customer is known", || {
+            bed.totals(0).contains_key(&CUSTOMER)
+        })
+        .await;
+        let mut link = Link::open(bed.gateways[0].address).await.unwrap();
+        let charged = || bed.usage.charged.borrow()[&CUSTOMER] as f64 / 1000.0;
+        // What a single gateway that gets all requests would have admitted: it starts with as many
+        // tokens as the gateway's own bucket.
+        let (mut single_tokens, mut single_updated_at, mut used_by_one_gateway) =
+            (BURST - 1.0, Instant::now(), 0.0);
+        let (load_started, mut requested, mut rejected) = (Instant::now(), 0.0, 0);
+        while load_started.elapsed() < Duration::from_secs(4) {
+            if requested > BURST + 4.0 * RATE * load_started.elapsed().as_secs_f64() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
                 continue;
             }
-            one = (one + RATE * one_at.elapsed().as_secs_f64()).min(BURST);
-            one_at = Instant::now();
-            let before = net();
-            let status = ask(&mut link, &format!("w{asked}"), CUSTOMER, 2)
+            single_tokens =
+                (single_tokens + RATE * single_updated_at.elapsed().as_secs_f64()).min(BURST);
+            single_updated_at = Instant::now();
+            let before = charged();
+            let status = send_request(&mut link, &format!("w{requested}"), CUSTOMER, 2)
                 .await
                 .status;
-            asked += 2.0;
-            refused += u32::from(status == 429);
-            // Half of a request's units come back where the backend says so.
-            let charge = if status == 200 { net() - before } else { 2.0 };
-            if one >= 2.0 {
-                one -= charge;
-                sold_by_one += charge;
+            requested += 2.0;
+            rejected += u32::from(status == 429);
+            // Half of a request's units are returned where the backend charges half.
+            let charge = if status == 200 {
+                charged() - before
+            } else {
+                2.0
+            };
+            if single_tokens >= 2.0 {
+                single_tokens -= charge;
+                used_by_one_gateway += charge;
             }
         }
-        let (sold, quota) = (net(), BURST + RATE * begun.elapsed().as_secs_f64());
+        let (used, quota) = (charged(), BURST + RATE * started.elapsed().as_secs_f64());
         println!(
-            "{sold} units of {quota:.1} that the quota held, {sold_by_one} by one door; asked for {asked}"
+            "{used} units of a quota of {quota:.1}, {used_by_one_gateway} by one gateway; {requested} requested"
         );
-        assert!(refused > 0, "it was never asked for more than there was");
-        assert!(sold <= quota, "sold {sold}, held {quota}");
+        assert!(rejected > 0, "no request exceeded the quota");
+        assert!(used <= quota, "used {used}, quota {quota}");
         assert!(
-            sold >= 0.9 * sold_by_one,
-            "sold {sold}, one door sells {sold_by_one}"
+            used >= 0.9 * used_by_one_gateway,
+            "used {used}, one gateway would admit {used_by_one_gateway}"
         );
     });
 }
 
-/// The command line against a running door: members, customers, a wrong key, nobody there.
+/// The command line against a running gateway: members, customers, a wrong key and a wrong cluster.
 #[test]
 fn command_line_shows_members_and_customers() {
     run(async {
-        let bed = bed(2, settings());
-        bed.met().await;
+        let bed = test_bed(2, settings());
+        bed.wait_until_joined().await;
         bed.traffic(12, "some").await;
         let members = bed.command(0, &["counts", "members"]);
         let text = String::from_utf8_lossy(&members.stdout).into_owned();
@@ -409,8 +435,8 @@
         );
         other.files[0] = other.file(0, "cuenca", "00112233445566778899aabbccddeeff");
         assert!(!other.command(0, &["counts", "members"]).status.success());
-        let refused = other.status(1)["refused"].clone();
-        assert!(refused.is_object(), "{refused}");
+        let rejected = other.status(1)["refused"].clone();
+        assert!(rejected.is_object(), "{rejected}");
         let checked = Command::new(env!("CARGO_BIN_EXE_maplefall"))
             .args(["check", &other.files[1]])
             .output();
--- a/crates/maplefall/tests/sockets/agent_watch.rs
+++ b/crates/maplefall/tests/sockets/agent_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of a played discovery agent.
+//! The watch stream of a fake discovery agent.
 
 use super::connections::Connection;
 use std::io::Write;
@@ -6,75 +6,77 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A discovery agent with one open watch, which says every so often that it is there.
+/// A fake discovery agent's side of one open watch, which sends heartbeats at a fixed interval.
 pub struct AgentWatch {
-    wire: Connection,
-    says: Arc<Mutex<Option<TcpStream>>>,
+    connection: Connection,
+    writer: Arc<Mutex<Option<TcpStream>>>,
 }
 
-/// Well within the two seconds that an agent may be silent, also on a slow machine.
+/// Well below the two seconds after which the gateway polls an agent without heartbeats, also on a
+/// slow machine.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl AgentWatch {
-    /// Begins the answer to a watch that has been asked for.
-    pub fn begin(mut wire: Connection) -> AgentWatch {
-        wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        let says = wire.reader.get_ref().try_clone().expect("a socket");
-        let says = Arc::new(Mutex::new(Some(says)));
-        let beats = says.clone();
+    /// Starts the response to a watch request.
+    pub fn begin(mut connection: Connection) -> AgentWatch {
+        connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        let writer = connection.reader.get_ref().try_clone().expect("a socket");
+        let writer = Arc::new(Mutex::new(Some(writer)));
+        let heartbeat_writer = writer.clone();
         std::thread::spawn(move || {
-            // Ends when the watch has, or when the other end has.
-            while beats
+            // Stops when the watch is dropped or the gateway has closed the connection.
+            while heartbeat_writer
                 .lock()
                 .unwrap()
                 .as_mut()
-                .is_some_and(|says| says.write_all(b"1\r\n\n\r\n").is_ok())
+                .is_some_and(|writer| writer.write_all(b"1\r\n\n\r\n").is_ok())
             {
                 std::thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
-        AgentWatch { wire, says }
+        AgentWatch { connection, writer }
     }
 
-    /// Says a line.
-    pub fn line(&mut self, text: &str) {
-        self.piece(&format!("{text}\n"));
+    /// Sends one line.
+    pub fn send_line(&mut self, text: &str) {
+        self.send_text(&format!("{text}\n"));
     }
 
-    /// Says part of a line, or several.
-    pub fn piece(&mut self, text: &str) {
-        let mut says = self.says.lock().unwrap();
-        let says = says.as_mut().expect("an open watch");
-        says.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
-            .expect("the other end reads");
+    /// Sends part of a line, or several lines.
+    pub fn send_text(&mut self, text: &str) {
+        let mut writer = self.writer.lock().unwrap();
+        let writer = writer.as_mut().expect("an open watch");
+        writer
+            .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+            .expect("the gateway reads");
     }
 
-    /// Says nothing from now on, and stays open.
-    pub fn fall_silent(&mut self) {
-        self.says.lock().unwrap().take();
+    /// Stops the heartbeats and all other sending; the connection stays open.
+    pub fn stop_sending(&mut self) {
+        self.writer.lock().unwrap().take();
     }
 
-    /// Ends as it should.
+    /// Ends the response with the last chunk.
     pub fn end(self) {
-        let mut says = self.says.lock().unwrap();
-        let says = says.as_mut().expect("an open watch");
-        says.write_all(b"0\r\n\r\n").expect("the other end reads");
+        let mut writer = self.writer.lock().unwrap();
+        let writer = writer.as_mut().expect("an open watch");
+        writer.write_all(b"0\r\n\r\n").expect("the gateway reads");
     }
 
-    /// Whether the other end has closed.
+    /// Returns whether the gateway has closed the watch.
     pub fn has_ended(&self) -> bool {
-        self.wire.speaks()
+        self.connection.is_readable()
     }
 
-    /// Waits until the other end has closed.
+    /// Waits until the gateway has closed the watch.
     pub fn expect_end(&mut self) {
-        self.fall_silent();
-        self.wire.expect_end();
+        self.stop_sending();
+        self.connection.expect_end();
     }
 }
 
 impl Drop for AgentWatch {
     fn drop(&mut self) {
-        self.fall_silent();
+        self.stop_sending();
     }
 }
--- a/crates/maplefall/tests/sockets/connections.rs
+++ b/crates/maplefall/tests/sockets/connections.rs
@@ -1,4 +1,4 @@
-//! Listeners and connections that a test plays by hand.
+//! Listeners and connections that a test controls directly.
 
 use super::TEST_TIMEOUT;
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Instant;
 
-/// A listener on a port of its own.
+/// A listener on a free port of the loopback address.
 pub struct Listener(pub TcpListener);
 
 impl Listener {
@@ -18,32 +18,33 @@
         self.0.local_addr().expect("an address")
     }
 
-    /// The next connection that the front door opens here.
+    /// Waits for the next connection from the gateway.
     pub fn accept(&self) -> Connection {
         wait_for("a connection", || self.try_accept())
     }
 
-    /// The next connection, or nothing if the front door says something to `client` first.
-    pub fn accept_or(&self, client: &Connection) -> Option<Connection> {
-        wait_for("a connection or an answer", || match self.try_accept() {
-            Some(wire) => Some(Some(wire)),
-            None => client.speaks().then_some(None),
+    /// Waits for the next connection; returns `None` if the gateway responds to `client` first.
+    pub fn accept_or_response(&self, client: &Connection) -> Option<Connection> {
+        wait_for("a connection or a response", || match self.try_accept() {
+            Some(connection) => Some(Some(connection)),
+            None => client.is_readable().then_some(None),
         })
     }
 
-    /// The next call whose first line is this. Others are ended: a front door asks again, beside a call that is open, where
-    /// a test has been slow to answer.
-    pub fn asked(&self, first: &str) -> Connection {
-        let first = format!("GET /catalog/members{first} HTTP/1.1");
+    /// Waits for the next request for the member list with this query. Connections with other
+    /// requests are closed: the gateway sends a second request beside an open one when a test
+    /// responds slowly.
+    pub fn accept_list_request(&self, query: &str) -> Connection {
+        let first_line = format!("GET /catalog/members{query} HTTP/1.1");
         loop {
-            let mut wire = self.accept();
-            if wire.read().first == first {
-                return wire;
+            let mut connection = self.accept();
+            if connection.read().first_line == first_line {
+                return connection;
             }
         }
     }
 
-    /// The next connection, if there is one.
+    /// Accepts a connection if one is waiting.
     pub fn try_accept(&self) -> Option<Connection> {
         self.0.set_nonblocking(true).unwrap();
         match self.0.accept() {
@@ -56,14 +57,14 @@
         }
     }
 
-    /// Whether a connection is waiting to be accepted.
-    pub fn called(&self) -> bool {
+    /// Accepts and drops a connection if one is waiting; returns whether there was one.
+    pub fn has_connection(&self) -> bool {
         self.try_accept().is_some()
     }
 }
 
-/// A place whose waiting line is full with the connections that come along: a further one hangs until these
-/// have been accepted.
+/// Returns a listener whose accept backlog is full, with the connections that fill it: a further
+/// connect hangs until these have been accepted.
 pub fn listener_with_full_backlog() -> (Listener, Vec<TcpStream>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
@@ -78,55 +79,55 @@
             .into_std()
             .expect("a listener")
     });
-    let place = Listener(listener);
-    // The system lets in one more than it is told.
+    let listener = Listener(listener);
+    // The kernel accepts one connection more than the backlog.
     let fillers = (0..2)
-        .map(|_| TcpStream::connect(place.address()).expect("room for two"))
+        .map(|_| TcpStream::connect(listener.address()).expect("the backlog holds two"))
         .collect();
-    (place, fillers)
+    (listener, fillers)
 }
 
-/// An address that refuses connections; while the socket is held, nobody else gets its port.
+/// Returns an address that refuses connections; the port stays reserved while the socket is held.
 pub fn refusing_address() -> (SocketAddr, tokio::net::TcpSocket) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().unwrap()).expect("a port");
     (socket.local_addr().expect("an address"), socket)
 }
 
-/// Whether somebody has asked for a connection to this address and has no answer yet.
+/// Returns whether a connect to this address has been started and not accepted yet.
 pub fn has_pending_connect(address: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of sockets");
     let port = format!(":{:04X}", address.port());
-    let asked = |line: &str| {
+    let is_syn_sent = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields.len() > 3 && fields[2].ends_with(&port) && fields[3] == "02"
     };
-    table.lines().any(asked)
+    table.lines().any(is_syn_sent)
 }
 
-/// Looks again and again until there is something.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + TEST_TIMEOUT;
+/// Polls until there is a value; panics after `TEST_TIMEOUT`.
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < end, "{what} was due");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         std::thread::yield_now();
     }
 }
 
-/// A message as it came: its first line, its headers, its body.
+/// An HTTP/1.1 message as received: first line, headers and body.
 #[derive(Debug)]
 pub struct Message {
-    pub first: String,
+    pub first_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.first
+        self.first_line
             .split(' ')
             .nth(1)
             .and_then(|code| code.parse().ok())
@@ -138,7 +139,7 @@
     }
 }
 
-/// One end of a connection.
+/// One end of an HTTP/1.1 connection.
 pub struct Connection {
     pub reader: BufReader<TcpStream>,
 }
@@ -151,26 +152,26 @@
         }
     }
 
-    pub fn to(address: SocketAddr) -> Connection {
-        Connection::new(TcpStream::connect(address).expect("the front door accepts"))
+    pub fn connect(address: SocketAddr) -> Connection {
+        Connection::new(TcpStream::connect(address).expect("the gateway accepts"))
     }
 
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
         self.reader
             .get_mut()
             .write_all(bytes.as_ref())
-            .expect("the other end reads");
+            .expect("the peer reads");
     }
 
-    /// The next whole message.
+    /// Reads the next complete message.
     pub fn read(&mut self) -> Message {
         let mut line = String::new();
         self.reader.read_line(&mut line).expect("a first line");
         assert!(
             !line.is_empty(),
-            "the connection ended where a message was due"
+            "the connection ended before a complete message"
         );
-        let first = line.trim_end().to_owned();
+        let first_line = line.trim_end().to_owned();
         let mut headers = HashMap::new();
         loop {
             line.clear();
@@ -184,46 +185,50 @@
             .get("content-length")
             .map_or(0, |text| text.parse().expect("a length"));
         let mut body = vec![0; length];
-        self.reader.read_exact(&mut body).expect("a whole body");
+        self.reader.read_exact(&mut body).expect("a complete body");
         Message {
-            first,
+            first_line,
             headers,
             body,
         }
     }
 
-    /// Answers with a status, further header lines and a body.
-    pub fn answer(&mut self, status: u16, headers: &str, body: &str) {
+    /// Sends a response with a status, further header lines and a body.
+    pub fn respond(&mut self, status: u16, headers: &str, body: &str) {
         self.write(format!(
             "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
             body.len()
         ));
     }
 
-    /// Whether the other end has said something, or closed.
-    pub fn speaks(&self) -> bool {
+    /// Returns whether the peer has sent data or closed.
+    pub fn is_readable(&self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).unwrap();
-        let spoke = stream.peek(&mut [0]).is_ok();
+        let readable = stream.peek(&mut [0]).is_ok();
         stream.set_nonblocking(false).unwrap();
-        spoke
+        readable
     }
 
-    /// Waits until the other end says something or closes; tells whether it said something.
-    pub fn says_something(&self) -> bool {
-        wait_for("a word or an end", || self.speaks().then_some(()));
+    /// Waits until the peer sends data or closes; returns whether it sent data.
+    pub fn receives_data(&self) -> bool {
+        wait_for("data or the end of the connection", || {
+            self.is_readable().then_some(())
+        });
         matches!(self.reader.get_ref().peek(&mut [0]), Ok(1..))
     }
 
-    /// Waits until this end or the other hears something; tells whether this one did.
-    pub fn speaks_before(&self, other: &Connection) -> bool {
-        wait_for("a word on one of two connections", || match self.speaks() {
-            true => Some(true),
-            false => other.speaks().then_some(false),
+    /// Waits until this connection or `other` is readable; returns whether this one was.
+    pub fn is_readable_before(&self, other: &Connection) -> bool {
+        wait_for("data on one of two connections", || {
+            match self.is_readable() {
+                true => Some(true),
+                false => other.is_readable().then_some(false),
+            }
         })
     }
 
-    /// Waits until the other end has closed, with nothing more said.
+    /// Waits until the peer has closed without sending more data.
     pub fn expect_end(&mut self) {
         let mut rest = Vec::new();
         match self.reader.read_to_end(&mut rest) {
--- a/crates/maplefall/tests/sockets/mod.rs
+++ b/crates/maplefall/tests/sockets/mod.rs
@@ -1,5 +1,6 @@
-//! The built front door between sockets that a test holds: it plays the clients, backends and discovery by
-//! hand, a message at a time. Nothing here sleeps; what does not come within `TEST_TIMEOUT` fails the test.
+//! The built gateway between sockets that the test controls: the test acts as clients, backends and
+//! discovery agent, one message at a time. Nothing here waits for a fixed time; whatever does not
+//! arrive within `TEST_TIMEOUT` fails the test.
 
 #![allow(dead_code, unused_imports)]
 
@@ -17,12 +18,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A client's patience, longer than any test waits for.
+/// A client's request timeout, in seconds; longer than any test waits.
 pub const LONG_TIMEOUT: &str = "8.000";
 
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Settings with a class of each effect and two plans, one of them narrow.
+/// Returns settings with one class of each idempotency and two plans, one of them with a small
+/// quota.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "aim": 4000.0, "give_up": 8000.0, "credit": 1.0, "late_worth": 0.0,
@@ -53,7 +55,7 @@
     json!({"seq": seq, "whole": whole, "hosts": hosts})
 }
 
-/// A well-formed request of a class: its method, key and body follow from the class.
+/// Returns a well-formed request of a class, which determines method, idempotency key and body.
 pub fn request(id: &str, class: &str) -> String {
     request_of(id, class, "wide", "1.5")
 }
--- a/crates/maplefall/tests/sockets/program.rs
+++ b/crates/maplefall/tests/sockets/program.rs
@@ -1,4 +1,4 @@
-//! The program as a child process.
+//! The gateway program as a child process.
 
 use super::connections::Connection;
 use serde_json::{json, Value};
@@ -12,14 +12,14 @@
     pub child: Child,
     pub address: SocketAddr,
     pub log: BufReader<ChildStderr>,
-    /// Its configuration and the file that holds it.
+    /// The configuration and the path of its file.
     pub config: Value,
     pub path: String,
 }
 
 static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// Starts the program with a configuration file of this text; the file's path comes along.
+/// Starts the program with a configuration file of this text; also returns the file's path.
 pub fn spawn(config: &str, variables: &[(&str, &str)]) -> (Child, String) {
     let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let path = format!(
@@ -46,37 +46,38 @@
 
 impl Program {
     pub fn start(settings: Value, discovery: SocketAddr, known: Value) -> Program {
-        Program::start_within(256, settings, discovery, known)
+        Program::start_with_socket_limit(256, settings, discovery, known)
     }
 
-    /// Starts with so many descriptors.
-    pub fn start_within(
-        sockets: u32,
+    /// Starts the program with this limit on sockets.
+    pub fn start_with_socket_limit(
+        socket_limit: u32,
         settings: Value,
         discovery: SocketAddr,
         known: Value,
     ) -> Program {
-        Program::start_with(&[], sockets, settings, discovery, known)
+        Program::start_with_variables(&[], socket_limit, settings, discovery, known)
     }
 
-    /// Starts with these variables too.
-    pub fn start_with(
-        more: &[(&str, &str)],
-        sockets: u32,
+    /// Starts the program with further environment variables.
+    pub fn start_with_variables(
+        extra_variables: &[(&str, &str)],
+        socket_limit: u32,
         settings: Value,
         discovery: SocketAddr,
         known: Value,
     ) -> Program {
         let config = json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "known": known, "settings": settings,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": socket_limit}, "known": known, "settings": settings,
         });
-        // As in service: the variable tells the same as the file.
+        // As in production, the variable holds the same address as the file.
         let mut variables = vec![("BALANCER_DISCOVERY", config["discovery"].as_str().unwrap())];
-        variables.extend_from_slice(more);
+        variables.extend_from_slice(extra_variables);
         let (mut child, path) = spawn(&config.to_string(), &variables);
         let log = BufReader::new(child.stderr.take().expect("a pipe"));
-        // From here on it is ended with the test, also where it says something else than where it listens.
+        // The child is owned before its first log line is parsed, so that it is killed if the line
+        // holds no address.
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut program = Program {
             child,
@@ -86,34 +87,34 @@
             path,
         };
         let line = program.log_line();
-        let told = line
+        let parsed = line
             .trim()
             .rsplit(' ')
             .next()
             .and_then(|text| text.parse().ok());
-        program.address = told.unwrap_or_else(|| panic!("no address in {line:?}"));
+        program.address = parsed.unwrap_or_else(|| panic!("no address in {line:?}"));
         program
     }
 
     pub fn client(&self) -> Connection {
-        Connection::to(self.address)
+        Connection::connect(self.address)
     }
 
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration file and tells the program.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         self.replace_config(config);
         self.signal("-HUP");
     }
 
-    /// Replaces the configuration file.
+    /// Replaces the configuration file atomically.
     pub fn replace_config(&self, config: &str) {
-        let fresh = format!("{}.new", self.path);
-        std::fs::write(&fresh, config).expect("a file");
-        std::fs::rename(&fresh, &self.path).expect("a file replaced");
+        let new_path = format!("{}.new", self.path);
+        std::fs::write(&new_path, config).expect("a file");
+        std::fs::rename(&new_path, &self.path).expect("a file replaced");
     }
 
     fn signal(&self, name: &str) {
@@ -125,7 +126,7 @@
             .success());
     }
 
-    /// The next line of its log.
+    /// Reads the next line of the program's log.
     pub fn log_line(&mut self) -> String {
         let mut line = String::new();
         self.log.read_line(&mut line).expect("a line");
@@ -139,7 +140,7 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The program may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
