--- a/crates/model/benches/structures.rs
+++ b/crates/model/benches/structures.rs
@@ -1,31 +1,34 @@
-//! The structures made for the model against plain ones: the alias method against a search in sums, the heap of events against a
-//! calendar queue. `cargo bench -p maplefall-model --bench structures`.
+//! Benchmarks the model's data structures against simpler or rival ones: the alias method against
+//! binary search in cumulative weights, the binary-heap event queue against a calendar queue.
+//!
+//! Run with `cargo bench -p maplefall-model --bench structures`.
 
-use maplefall_model::queue::Queue;
+use maplefall_model::queue::EventQueue;
 use maplefall_model::random::{AliasTable, RandomSource};
 use std::time::Instant;
 
-/// A search in the sums of the weights.
-struct Sums(Vec<f64>);
+/// Draws by binary search in the cumulative sums of the weights.
+struct CumulativeWeights(Vec<f64>);
 
-impl Sums {
-    fn new(weights: &[f64]) -> Sums {
+impl CumulativeWeights {
+    fn new(weights: &[f64]) -> CumulativeWeights {
         let mut sum = 0.0;
         let sums = weights.iter().map(|weight| {
             sum += weight;
             sum
         });
-        Sums(sums.collect())
+        CumulativeWeights(sums.collect())
     }
 
     fn draw(&self, random: &mut RandomSource) -> usize {
-        let spot = random.one() * self.0.last().copied().unwrap_or(0.0);
-        self.0.partition_point(|sum| *sum <= spot)
+        let position = random.uniform() * self.0.last().copied().unwrap_or(0.0);
+        self.0.partition_point(|sum| *sum <= position)
     }
 }
 
-/// A calendar queue (Brown 1988) of fixed days: as many buckets as there are events, one event's mean pause wide.
-struct Calendar {
+/// A calendar queue (Brown 1988) of fixed size: at least as many buckets as events, each twice the
+/// mean gap between events wide.
+struct CalendarQueue {
     days: Vec<Vec<(f64, u64)>>,
     width: f64,
     today: usize,
@@ -34,11 +37,11 @@
     count: usize,
 }
 
-impl Calendar {
-    fn new(events: usize, span: f64) -> Calendar {
+impl CalendarQueue {
+    fn new(events: usize, span: f64) -> CalendarQueue {
         let days = events.next_power_of_two();
         let width = 2.0 * span / events as f64;
-        Calendar {
+        CalendarQueue {
             days: vec![Vec::new(); days],
             width,
             today: 0,
@@ -60,10 +63,10 @@
         }
         loop {
             let day = &mut self.days[self.today];
-            let least = (0..day.len())
+            let earliest = (0..day.len())
                 .filter(|at| day[*at].0 < self.day_end)
                 .min_by(|a, b| day[*a].0.total_cmp(&day[*b].0));
-            if let Some(at) = least {
+            if let Some(at) = earliest {
                 self.count -= 1;
                 return Some(day.swap_remove(at));
             }
@@ -82,46 +85,46 @@
             .map(|rank| 1.0 / (rank as f64 + 1.0))
             .collect();
         let alias = AliasTable::new(&weights);
-        let plain = Sums::new(&weights);
+        let plain = CumulativeWeights::new(&weights);
         let mut random = RandomSource::new(1);
-        let begun = Instant::now();
+        let started = Instant::now();
         let one: usize = (0..2_000_000)
             .map(|_| alias.draw(&mut random))
             .fold(0, usize::wrapping_add);
-        let by_alias = begun.elapsed().as_nanos() as f64 / 2e6;
-        let begun = Instant::now();
+        let by_alias = started.elapsed().as_nanos() as f64 / 2e6;
+        let started = Instant::now();
         let other: usize = (0..2_000_000)
             .map(|_| plain.draw(&mut random))
             .fold(0, usize::wrapping_add);
-        let by_sums = begun.elapsed().as_nanos() as f64 / 2e6;
+        let by_sums = started.elapsed().as_nanos() as f64 / 2e6;
         println!(
             "{customers} customers: alias {by_alias:.0} ns, search in sums {by_sums:.0} ns ({})",
             one.wrapping_add(other) % 2
         );
     }
-    // The hold model: each event that comes out goes in again an exponential time later.
+    // The hold model: each event that is popped is pushed again after an exponential increment.
     for events in [1000usize, 100_000, 1_000_000] {
         let mut random = RandomSource::new(1);
-        let (mut heap, mut calendar) = (Queue::default(), Calendar::new(events, 1000.0));
+        let (mut heap, mut calendar) = (EventQueue::default(), CalendarQueue::new(events, 1000.0));
         for event in 0..events as u64 {
             let at = random.exponential(1000.0);
             heap.push(at, event);
             calendar.push(at, event);
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         for _ in 0..2_000_000 {
             if let Some((at, event)) = heap.pop() {
                 heap.push(at + random.exponential(1000.0), event);
             }
         }
-        let by_heap = begun.elapsed().as_nanos() as f64 / 2e6;
-        let begun = Instant::now();
+        let by_heap = started.elapsed().as_nanos() as f64 / 2e6;
+        let started = Instant::now();
         for _ in 0..2_000_000 {
             if let Some((at, event)) = calendar.pop() {
                 calendar.push(at + random.exponential(1000.0), event);
             }
         }
-        let by_calendar = begun.elapsed().as_nanos() as f64 / 2e6;
+        let by_calendar = started.elapsed().as_nanos() as f64 / 2e6;
         println!(
             "{events} events: binary heap {by_heap:.0} ns, calendar queue {by_calendar:.0} ns"
         );
--- a/crates/model/src/agent.rs
+++ b/crates/model/src/agent.rs
@@ -1,8 +1,9 @@
-//! Discovery agents, one beside each proxy: which version of the endpoint list each has, when it sends, and at which address it
-//! answers.
+//! Discovery agents, one beside each proxy: which version of the endpoint list each agent has, when
+//! it sends, and at which address it responds.
 //!
-//! The proxy's side is real (`maplefall-discovery-agent` and `maplefall-membership`); this module plays the agent. A proxy counts
-//! as notified of a drain when its agent could first have delivered it, whatever becomes of the connection.
+//! The proxy's side runs the real code (`maplefall-discovery-agent` and `maplefall-membership`);
+//! this module simulates the agent. A proxy counts as notified of a drain from the time when its
+//! agent could first have delivered the drain, whatever happens to the connection.
 
 use maplefall_discovery_agent::{
     CallEvent, CallId, Follower, Output, RequestKind, Settings, HEARTBEAT, MAX_PROPAGATION_DELAY,
@@ -13,25 +14,25 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The list through time: each version is a change of some entries.
+/// The history of the endpoint list: each version is a change of some entries.
 #[derive(Debug, Default)]
 pub struct EndpointHistory {
     changes: Vec<Vec<BackendEntry>>,
 }
 
 impl EndpointHistory {
-    /// Notes a change; tells its version.
+    /// Appends a change and returns its version.
     pub fn push(&mut self, entries: &[BackendEntry]) -> u64 {
         self.changes.push(entries.to_vec());
         self.changes.len() as u64
     }
 
-    /// The version now.
+    /// Returns the latest version.
     pub fn version(&self) -> u64 {
         self.changes.len() as u64
     }
 
-    /// The entries as they last were among the changes after `from` and up to `to`.
+    /// Returns the latest state of each entry that changed after version `from` and up to `to`.
     fn between(&self, from: u64, to: u64) -> BTreeMap<u32, BackendEntry> {
         let changes = self
             .changes
@@ -44,23 +45,23 @@
             .collect()
     }
 
-    /// The change that made this version.
+    /// Returns the change that made this version.
     pub fn change(&self, version: u64) -> &[BackendEntry] {
         let at = (version as usize).checked_sub(1);
         at.and_then(|at| self.changes.get(at))
             .map_or(&[], Vec::as_slice)
     }
 
-    /// What an agent that has heard of versions up to `knows` answers to who asks from `from`: the whole list to one that asks
-    /// from a version that it has not reached.
-    fn answer(&self, from: Option<u64>, knows: u64) -> Members {
-        let since = from.filter(|from| *from <= knows);
-        let entries = self.between(since.unwrap_or(0), knows);
+    /// Returns the response of an agent that has version `latest` to a request for changes since
+    /// `from`: the complete list if `from` is absent or later than `latest`.
+    fn response(&self, from: Option<u64>, latest: u64) -> Members {
+        let since = from.filter(|from| *from <= latest);
+        let entries = self.between(since.unwrap_or(0), latest);
         let listed =
             |entry: &&BackendEntry| since.is_some() || entry.availability != Availability::Removed;
         let hosts = entries.values().filter(listed).map(member).collect();
         Members {
-            seq: knows,
+            seq: latest,
             whole: since.is_none(),
             hosts,
         }
@@ -85,7 +86,8 @@
     }
 }
 
-/// Entries as the module hears them.
+/// Converts a member to the decision module's form of an entry; `None` if its identifiers are not
+/// numbers.
 fn entry(member: &Member) -> Option<BackendEntry> {
     Some(BackendEntry {
         id: maplefall_policy::BackendId(member.host.parse().ok()?),
@@ -106,16 +108,17 @@
 struct Call {
     id: CallId,
     address: usize,
-    what: RequestKind,
-    /// The version that was sent last on it, once it has been answered.
+    request: RequestKind,
+    /// The version that was last sent on this call; `None` before the first message.
     sent_version: Option<u64>,
-    /// When a message was last sent on it.
+    /// When a message was last sent on this call; before the first one, when the call was opened.
     sent_at: f64,
-    /// Its other end vanished without closing it.
+    /// Whether the remote end vanished without closing the connection.
     dead: bool,
 }
 
-/// A proxy's follower and membership, and the agent at the other end, which may move once from its first address to its second.
+/// A proxy's discovery follower and membership, and the agent that they talk to, which can move
+/// once from its first address to its second.
 #[derive(Debug)]
 pub struct ProxyAgent {
     follower: Follower,
@@ -123,15 +126,15 @@
     calls: Vec<Call>,
     /// The version of the list that the agent has at each address.
     versions: [u64; 2],
-    /// Index of its present address.
+    /// Index of the agent's current address.
     address: usize,
     /// When the first address closes for good.
     closes_at: f64,
-    /// Until when it sends nothing.
-    paused_until: f64,
-    /// Whether calls made while it is paused are never answered.
+    /// Time until which the agent sends nothing.
+    suspended_until: f64,
+    /// Whether calls that are opened while the agent is suspended never get a response.
     drops_calls: bool,
-    /// The last version that was sent to the proxy.
+    /// The latest version that was sent to the proxy.
     sent_version: u64,
 }
 
@@ -156,26 +159,26 @@
 }
 
 impl ProxyAgent {
-    /// A proxy that starts at `now` with the list of the first version.
+    /// Creates a proxy that starts at `now` with the latest version of the list.
     pub fn new(history: &EndpointHistory, seed: u64, now: f64) -> ProxyAgent {
-        let knows = history.version();
-        let known = history.answer(None, knows);
+        let latest = history.version();
+        let known = history.response(None, latest);
         let mut membership = EndpointList::new(vec![SourceSettings::trusted("agent")]);
         membership.restore(now, 0, &known);
         ProxyAgent {
             follower: follower(known, seed, 0, now),
             membership,
             calls: Vec::new(),
-            versions: [knows; 2],
+            versions: [latest; 2],
             address: 0,
             closes_at: f64::INFINITY,
-            paused_until: 0.0,
+            suspended_until: 0.0,
             drops_calls: false,
-            sent_version: knows,
+            sent_version: latest,
         }
     }
 
-    /// The proxy starts again with the list that it last had.
+    /// Restarts the proxy with the list that it had last.
     pub fn restart(&mut self, seed: u64, now: f64) {
         let hosts = self.membership.members().cloned().collect();
         let known = Members {
@@ -189,43 +192,46 @@
         self.follower = follower(known, seed, self.address, now);
     }
 
-    /// The agent receives a version at one of its addresses.
+    /// Records that the agent received a version at one of its addresses.
     pub fn set_version(&mut self, at: usize, version: u64) {
         self.versions[at] = self.versions[at].max(version);
     }
 
-    /// The version that the agent has at its present address.
+    /// Returns the version that the agent has at its current address.
     pub fn version(&self) -> u64 {
         self.versions[self.address]
     }
 
-    /// Index of the agent's present address.
+    /// Returns the index of the agent's current address.
     pub fn address_index(&self) -> usize {
         self.address
     }
 
-    /// When what it has at `now` counts as notified: at once, or where it is silent once it speaks, and where its watch has lost
-    /// the proxy without a word some seconds later.
+    /// Returns the time from which the proxy counts as notified of what the agent has at `now`:
+    /// immediately, or when a suspended agent resumes, but no later than `MAX_PROPAGATION_DELAY`
+    /// after `now`; exactly then if all open calls are dead and new calls get responses.
     pub fn notified_at(&self, now: f64) -> f64 {
-        let latest = now + MAX_PROPAGATION_DELAY;
+        let deadline = now + MAX_PROPAGATION_DELAY;
         let lost = !self.calls.is_empty() && self.calls.iter().all(|call| call.dead);
         if lost && !self.drops_calls {
-            latest
+            deadline
         } else {
-            self.paused_until.min(latest).max(now)
+            self.suspended_until.min(deadline).max(now)
         }
     }
 
-    /// It says nothing until then; with `dead` the open calls stay silent for good, and so do those that are made meanwhile.
-    pub fn pause(&mut self, now: f64, until: f64, dead: bool) {
-        self.paused_until = until;
+    /// Suspends the agent until `until`; with `dead`, the open calls and those opened meanwhile
+    /// never get another message.
+    pub fn suspend(&mut self, now: f64, until: f64, dead: bool) {
+        self.suspended_until = until;
         self.drops_calls = dead && until > now;
         self.calls.iter_mut().for_each(|call| call.dead |= dead);
     }
 
-    /// Discovery moves: the agent answers elsewhere, with what was known up to `knows`, and where it was it goes on for a while.
-    pub fn move_to_second(&mut self, now: f64, knows: u64, close_ms: f64) {
-        (self.address, self.versions[1], self.closes_at) = (1, knows, now + close_ms);
+    /// Moves the agent to the second address, where it has versions up to `latest`; the first
+    /// address stays open for `close_ms`.
+    pub fn move_to_second(&mut self, now: f64, latest: u64, close_ms: f64) {
+        (self.address, self.versions[1], self.closes_at) = (1, latest, now + close_ms);
     }
 
     /// Notifies the proxy of the move.
@@ -234,7 +240,7 @@
         self.handle_outputs(now, outputs)
     }
 
-    /// When something comes due here by itself.
+    /// Returns when the next message, close of the first address or timer of the follower is due.
     pub fn next_due(&self, now: f64) -> Option<f64> {
         let message_due = |call: &Call| match call.sent_version {
             _ if call.dead => None,
@@ -245,7 +251,7 @@
             .calls
             .iter()
             .filter_map(message_due)
-            .map(|at| at.max(self.paused_until));
+            .map(|at| at.max(self.suspended_until));
         let closes = self
             .calls
             .iter()
@@ -258,7 +264,8 @@
         due.filter(|due| due.is_finite()).map(|due| due.max(now))
     }
 
-    /// Says and does all that is due; what comes out is for the decision module.
+    /// Processes everything that is due at `now`: the follower's timers, the close of the first
+    /// address, and messages. Returns the changes for the decision module.
     pub fn run_until(&mut self, now: f64, history: &EndpointHistory) -> Vec<BackendEntry> {
         let mut entries = Vec::new();
         while self.follower.next_due().is_some_and(|due| due <= now) {
@@ -273,7 +280,7 @@
                 .map(|c| c.id)
                 .collect();
             for call in closed {
-                entries.extend(self.end(now, call, "closed"));
+                entries.extend(self.end_call(now, call, "closed"));
             }
         }
         while let Some((call, text)) = self.next_message(now, history) {
@@ -281,11 +288,11 @@
                 .follower
                 .handle_call_event(now, call, CallEvent::Line(text));
             entries.extend(self.handle_outputs(now, outputs));
-            let whole = self
+            let complete = self
                 .calls
                 .iter()
-                .any(|open| open.id == call && open.what == RequestKind::CompleteList);
-            if whole {
+                .any(|open| open.id == call && open.request == RequestKind::CompleteList);
+            if complete {
                 self.calls.retain(|open| open.id != call);
                 let outputs = self.follower.handle_call_event(
                     now,
@@ -298,26 +305,26 @@
         entries
     }
 
-    /// The next message that is due, if any.
+    /// Returns the next message that is due, if any; an empty one is a heartbeat.
     fn next_message(&mut self, now: f64, history: &EndpointHistory) -> Option<(CallId, Vec<u8>)> {
-        if now < self.paused_until {
+        if now < self.suspended_until {
             return None;
         }
         for call in self.calls.iter_mut().filter(|call| !call.dead) {
-            let knows = self.versions[call.address];
-            let changed = call.sent_version != Some(knows);
-            // The same sum as in `next_due`: a difference may round to the other side.
+            let latest = self.versions[call.address];
+            let changed = call.sent_version != Some(latest);
+            // Uses the same sum as `next_due`: a difference could round to the other side.
             if !changed && now < call.sent_at + HEARTBEAT {
                 continue;
             }
-            let from = call.sent_version.or(match call.what {
+            let from = call.sent_version.or(match call.request {
                 RequestKind::Watch(from) => Some(from),
                 RequestKind::CompleteList => None,
             });
-            (call.sent_version, call.sent_at) = (Some(knows), now);
-            self.sent_version = self.sent_version.max(knows);
+            (call.sent_version, call.sent_at) = (Some(latest), now);
+            self.sent_version = self.sent_version.max(latest);
             let text = if changed {
-                encode(&history.answer(from, knows))
+                encode(&history.response(from, latest))
             } else {
                 Vec::new()
             };
@@ -326,13 +333,13 @@
         None
     }
 
-    fn end(&mut self, now: f64, call: CallId, why: &str) -> Vec<BackendEntry> {
+    fn end_call(&mut self, now: f64, call: CallId, reason: &str) -> Vec<BackendEntry> {
         self.calls.retain(|open| open.id != call);
         let outputs = self.follower.handle_call_event(
             now,
             call,
             CallEvent::Ended(maplefall_discovery_agent::CallEnd::ConnectionFailed(
-                why.to_owned(),
+                reason.to_owned(),
             )),
         );
         self.handle_outputs(now, outputs)
@@ -345,20 +352,20 @@
                 Output::OpenCall {
                     call,
                     address: to,
-                    request: what,
+                    request,
                 } => {
                     let at = usize::from(to == address(1));
                     // An address that is closed, or not open yet, refuses connections.
                     if (at == 0 && now >= self.closes_at) || at > self.address {
-                        entries.extend(self.end(now, call, "refused"));
+                        entries.extend(self.end_call(now, call, "refused"));
                     } else {
                         self.calls.push(Call {
                             id: call,
                             address: at,
-                            what,
+                            request,
                             sent_version: None,
                             sent_at: now,
-                            dead: self.drops_calls && now < self.paused_until,
+                            dead: self.drops_calls && now < self.suspended_until,
                         });
                     }
                 }
@@ -375,6 +382,7 @@
 }
 
 fn encode(members: &Members) -> Vec<u8> {
-    // Figures and text alone: this cannot fail, and an empty line says nothing.
+    // `Members` holds only numbers and text, so serialization cannot fail; an empty line would
+    // count as a heartbeat.
     serde_json::to_vec(members).unwrap_or_default()
 }
--- a/crates/model/src/backend.rs
+++ b/crates/model/src/backend.rs
@@ -1,100 +1,100 @@
-//! A backend: cores that work, a waiting room, slow start, connections.
+//! A backend: a multi-server queue with a bounded waiting room, heterogeneous speed and slow start.
 
 use std::collections::VecDeque;
 
-/// Work that has come to a backend.
+/// Work of one attempt that arrived at a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// Which attempt.
+    /// Identifier of the attempt.
     pub attempt: u64,
-    /// Its work on a warm core, in milliseconds.
+    /// Service time on a warm core of speed 1, in milliseconds.
     pub work: f64,
-    /// When it came.
+    /// Time of arrival, in milliseconds.
     pub arrived: f64,
 }
 
-/// What a backend is.
+/// Parameters of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendConfig {
-    /// Cores.
+    /// Number of cores (servers of the queue).
     pub cores: usize,
-    /// Requests that may wait; beyond that they are rejected unseen.
+    /// Capacity of the waiting room; requests beyond it are rejected.
     pub queue: usize,
-    /// Part of its capacity with which it starts, and after how long it is warm, in milliseconds.
+    /// Fraction of the capacity that a backend has when it starts.
     pub initial_capacity: f64,
-    /// See above.
+    /// Time from start to full capacity, in milliseconds.
     pub warm_up_ms: f64,
 }
 
 /// State of a backend.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// What it is.
-    pub shape: BackendConfig,
-    /// When it started; `None` if long ago.
+    /// Its parameters.
+    pub config: BackendConfig,
+    /// When it started; `None` if it was warm before the run.
     pub started: Option<f64>,
     /// Whether its process runs.
     pub up: bool,
-    /// When its drain was announced to all, if it was.
+    /// When its drain was announced, if it was.
     pub drained: Option<f64>,
-    /// Speed of a core against the usual one.
+    /// Speed of a core as a multiple of the nominal one.
     pub speed: f64,
-    busy_cores: usize,
+    cores_in_use: usize,
     waiting: VecDeque<Job>,
-    /// Work sent to it, in milliseconds of a warm core.
+    /// Total work admitted, in milliseconds of a warm core.
     pub work: f64,
-    /// When, and how much, it was sent of late while warming up.
+    /// Arrival times and work of the attempts received within the overload window while warming up.
     recent: VecDeque<(f64, f64)>,
 }
 
-/// What became of a job that came.
+/// Outcome of an arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobAdmission {
-    /// It is worked on, until then.
+    /// The job starts immediately and completes at this time.
     Started(f64),
-    /// It waits.
+    /// The job waits for a core.
     Queued,
-    /// It was rejected unseen.
+    /// The waiting room is full; the job is rejected.
     Full,
 }
 
 impl Backend {
-    /// One of this shape.
-    pub fn new(shape: BackendConfig, speed: f64, started: Option<f64>) -> Backend {
+    /// Creates an idle backend.
+    pub fn new(config: BackendConfig, speed: f64, started: Option<f64>) -> Backend {
         Backend {
-            shape,
+            config,
             started,
             up: true,
             drained: None,
             speed,
-            busy_cores: 0,
+            cores_in_use: 0,
             waiting: VecDeque::new(),
             work: 0.0,
             recent: VecDeque::new(),
         }
     }
 
-    /// Part of its capacity that it has now.
+    /// Returns the fraction of the full capacity that the backend has at `now`.
     pub fn capacity_fraction(&self, now: f64) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
         };
-        let fraction = ((now - started) / self.shape.warm_up_ms.max(1.0)).clamp(0.0, 1.0);
-        self.shape.initial_capacity + (1.0 - self.shape.initial_capacity) * fraction
+        let fraction = ((now - started) / self.config.warm_up_ms.max(1.0)).clamp(0.0, 1.0);
+        self.config.initial_capacity + (1.0 - self.config.initial_capacity) * fraction
     }
 
-    fn time_of(&self, job: &Job, now: f64) -> f64 {
+    fn service_time(&self, job: &Job, now: f64) -> f64 {
         job.work / (self.speed * self.capacity_fraction(now)).max(1e-6)
     }
 
-    /// A job comes.
+    /// Admits a job: starts it, queues it or rejects it.
     pub fn admit(&mut self, job: Job, now: f64) -> JobAdmission {
-        if self.busy_cores < self.shape.cores {
-            self.busy_cores += 1;
+        if self.cores_in_use < self.config.cores {
+            self.cores_in_use += 1;
             self.work += job.work;
-            return JobAdmission::Started(now + self.time_of(&job, now));
+            return JobAdmission::Started(now + self.service_time(&job, now));
         }
-        if self.waiting.len() >= self.shape.queue {
+        if self.waiting.len() >= self.config.queue {
             return JobAdmission::Full;
         }
         self.work += job.work;
@@ -102,31 +102,32 @@
         JobAdmission::Queued
     }
 
-    /// A core has become free: the next job, and when it will be done.
+    /// Releases a core: starts the next job and returns it with its completion time, if one waits.
     pub fn start_next(&mut self, now: f64) -> Option<(Job, f64)> {
         match self.waiting.pop_front() {
-            Some(job) => Some((job, now + self.time_of(&job, now))),
+            Some(job) => Some((job, now + self.service_time(&job, now))),
             None => {
-                self.busy_cores = self.busy_cores.saturating_sub(1);
+                self.cores_in_use = self.cores_in_use.saturating_sub(1);
                 None
             }
         }
     }
 
-    /// Its process ends: what it held.
+    /// Stops the process and returns the number of jobs that it held.
     pub fn stop(&mut self) -> usize {
-        let in_flight = self.busy_cores + self.waiting.len();
-        (self.up, self.busy_cores) = (false, 0);
+        let in_flight = self.cores_in_use + self.waiting.len();
+        (self.up, self.cores_in_use) = (false, 0);
         self.waiting.clear();
         in_flight
     }
 
-    /// Requests in it.
+    /// Returns the number of jobs in service or waiting.
     pub fn in_flight(&self) -> usize {
-        self.busy_cores + self.waiting.len()
+        self.cores_in_use + self.waiting.len()
     }
 
-    /// Whether what was sent to it while warming up is over the multiple of its present capacity within the window.
+    /// Whether the work that arrived within the window while warming up exceeds `factor` times the
+    /// current capacity, plus `slack`. Adds this arrival to the window.
     pub fn is_overloaded(
         &mut self,
         now: f64,
@@ -145,6 +146,6 @@
             self.recent.pop_front();
         }
         let sent: f64 = self.recent.iter().map(|(_, work)| work).sum();
-        sent > factor * self.speed * capacity_fraction * self.shape.cores as f64 * window + slack
+        sent > factor * self.speed * capacity_fraction * self.config.cores as f64 * window + slack
     }
 }
--- a/crates/model/src/balancer.rs
+++ b/crates/model/src/balancer.rs
@@ -1,14 +1,14 @@
-//! A proxy: the real decision module, or a plain policy beside it, behind one trait. A plain policy knows what the module
-//! knows and nothing more.
+//! Decision policies of a proxy behind one trait: the real decision module, or a baseline policy,
+//! which gets the same inputs as the module and no others.
 
 use crate::random::RandomSource;
 use crate::world::{Admission, LoadBalancer};
 use maplefall_policy::*;
 use std::collections::BTreeMap;
 
-/// What decides: events in, actions out, as the decision module has it.
+/// A policy that turns events into actions, with the decision module's interface.
 pub trait DecisionPolicy {
-    /// Takes an event and appends what is to be done.
+    /// Handles an event and appends the actions to take.
     fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -21,43 +21,45 @@
 /// A token bucket of quota units.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    /// Units in it, as of `at`.
+    /// Tokens at time `at`.
     pub tokens: f64,
-    /// See above.
+    /// Time of the last refill.
     pub at: Millis,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn full(burst: f64, at: Millis) -> TokenBucket {
         TokenBucket { tokens: burst, at }
     }
 
-    /// Refills the bucket up to `now` (`rate` in units a second) and returns whether it has this many units.
-    pub fn has(&mut self, now: Millis, rate: f64, burst: f64, units: f64) -> bool {
+    /// Refills the bucket up to `now` (`rate` in units a second) and returns whether it holds at
+    /// least `units`.
+    pub fn has_tokens(&mut self, now: Millis, rate: f64, burst: f64, units: f64) -> bool {
         self.tokens = (self.tokens + rate * (now - self.at) / 1000.0).min(burst);
         self.at = now;
         self.tokens >= units
     }
 }
 
-/// A textbook policy to compare with: one attempt per request, a [`LoadBalancer`] and an [`Admission`] rule.
+/// A textbook policy for comparison: one attempt per request, a [`LoadBalancer`] and an
+/// [`Admission`] rule.
 pub struct BaselinePolicy {
     load_balancer: LoadBalancer,
     admission: Admission,
     settings: Settings,
     random: RandomSource,
     ready: Vec<BackendId>,
-    /// Pending attempts at each backend.
+    /// Attempts in flight at each backend.
     in_flight: BTreeMap<BackendId, u32>,
     /// The backend of each request.
-    at: BTreeMap<RequestId, BackendId>,
+    backend_of: BTreeMap<RequestId, BackendId>,
     buckets: BTreeMap<CustomerId, TokenBucket>,
     next_index: usize,
 }
 
 impl BaselinePolicy {
-    /// One of these kinds.
+    /// Creates a policy without backends.
     pub fn new(
         load_balancer: LoadBalancer,
         admission: Admission,
@@ -71,7 +73,7 @@
             random: RandomSource::new(seed),
             ready: Vec::new(),
             in_flight: BTreeMap::new(),
-            at: BTreeMap::new(),
+            backend_of: BTreeMap::new(),
             buckets: BTreeMap::new(),
             next_index: 0,
         }
@@ -81,21 +83,22 @@
         let Some(plan) = self.settings.plans.get(request.plan.0) else {
             return false;
         };
-        let fractions = match self.admission {
+        let divisor = match self.admission {
             Admission::None => return true,
             Admission::EvenShare => request.gateways.max(1.0),
             Admission::FullQuota => 1.0,
         };
-        // A part of the burst holds one of the largest requests at least: else nothing would ever be admitted.
+        // A gateway's slice of the burst holds at least one request of the largest size: otherwise
+        // none of that size would ever be admitted.
         let (rate, burst) = (
-            plan.rate / fractions,
-            (plan.burst / fractions).max(self.settings.max_units),
+            plan.rate / divisor,
+            (plan.burst / divisor).max(self.settings.max_units),
         );
         let bucket = self
             .buckets
             .entry(request.customer)
             .or_insert(TokenBucket::full(burst, now));
-        let has_units = bucket.has(now, rate, burst, request.units);
+        let has_units = bucket.has_tokens(now, rate, burst, request.units);
         if has_units {
             bucket.tokens -= request.units;
         }
@@ -110,31 +113,38 @@
         let count = self.ready.len();
         let chosen = match self.load_balancer {
             LoadBalancer::Module | LoadBalancer::Oracle | LoadBalancer::Random => {
-                self.random.below(count)
+                self.random.uniform_below(count)
             }
             LoadBalancer::RoundRobin => {
                 self.next_index = (self.next_index + 1) % count;
                 self.next_index
             }
             LoadBalancer::LeastOutstanding => {
-                let from = self.random.below(count);
+                let from = self.random.uniform_below(count);
                 (0..count)
                     .map(|at| (at + from) % count)
                     .min_by_key(|at| in_flight(&self.ready[*at]))
                     .unwrap_or(0)
             }
             LoadBalancer::TwoChoices => {
-                let (one, other) = (self.random.below(count), self.random.below(count));
+                let (one, other) = (
+                    self.random.uniform_below(count),
+                    self.random.uniform_below(count),
+                );
                 if in_flight(&self.ready[one]) <= in_flight(&self.ready[other]) {
                     one
                 } else {
                     other
                 }
             }
-            // The first few of an order that each proxy draws for itself, two of them at a time (Finagle's aperture, fixed).
+            // Power of two choices among the first `width` backends, in an order that each proxy
+            // draws for itself (Finagle's aperture, of fixed width).
             LoadBalancer::Aperture(width) => {
                 let width = width.clamp(1, count);
-                let (one, other) = (self.random.below(width), self.random.below(width));
+                let (one, other) = (
+                    self.random.uniform_below(width),
+                    self.random.uniform_below(width),
+                );
                 if in_flight(&self.ready[one]) <= in_flight(&self.ready[other]) {
                     one
                 } else {
@@ -153,8 +163,8 @@
             let at = self.ready.iter().position(|id| *id == entry.id);
             match (entry.availability, at) {
                 (Availability::Ready, None) => {
-                    let spot = self.random.below(self.ready.len() + 1);
-                    self.ready.insert(spot, entry.id);
+                    let position = self.random.uniform_below(self.ready.len() + 1);
+                    self.ready.insert(position, entry.id);
                 }
                 (Availability::Draining | Availability::Removed, Some(at)) => {
                     self.ready.remove(at);
@@ -175,7 +185,7 @@
                 match backend {
                     Some(backend) => {
                         *self.in_flight.entry(backend).or_default() += 1;
-                        self.at.insert(request.id, backend);
+                        self.backend_of.insert(request.id, backend);
                         let timeout = Some(request.deadline - now);
                         actions.push(Action::Send {
                             request: request.id,
@@ -199,7 +209,7 @@
                 }
             }
             Event::AttemptEnded(ended) => {
-                if let Some(backend) = self.at.remove(&ended.request) {
+                if let Some(backend) = self.backend_of.remove(&ended.request) {
                     if let Some(in_flight) = self.in_flight.get_mut(&backend) {
                         *in_flight = in_flight.saturating_sub(1);
                     }
--- a/crates/model/src/compare.rs
+++ b/crates/model/src/compare.rs
@@ -1,57 +1,58 @@
-//! Whether two sets of runs differ: paired by seed, with a confidence interval by bootstrap (Efron 1979).
+//! Whether two sets of runs differ: paired by seed, with a bootstrap confidence interval (Efron
+//! 1979).
 
 use crate::random::RandomSource;
 use serde::Serialize;
 
-/// Samples that the interval is made of.
+/// Number of bootstrap samples.
 const SAMPLES: usize = 2000;
 
-/// What can be said of the difference of two sets.
+/// The difference of two sets of runs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Difference {
-    /// Pairs that were compared.
+    /// Number of pairs.
     pub pairs: usize,
     /// Mean of the second less the first.
     pub mean: f64,
-    /// The interval that holds it in 95 of 100 cases.
+    /// Lower end of the 95% confidence interval.
     pub from: f64,
-    /// See above.
+    /// Upper end of the 95% confidence interval.
     pub to: f64,
 }
 
 impl Difference {
-    /// Whether there is one.
-    pub fn seen(&self) -> bool {
+    /// Whether the confidence interval excludes 0; always false for a single pair.
+    pub fn is_significant(&self) -> bool {
         self.pairs > 1 && (self.from > 0.0 || self.to < 0.0)
     }
 }
 
-/// Compares figures of the same seeds, the second less the first; `None` without a pair.
+/// Compares figures paired by seed, the second less the first; `None` without a pair.
 pub fn paired(first: &[f64], second: &[f64], seed: u64) -> Option<Difference> {
-    let off: Vec<f64> = first
+    let differences: Vec<f64> = first
         .iter()
         .zip(second)
         .map(|(first, second)| second - first)
         .collect();
-    if off.is_empty() {
+    if differences.is_empty() {
         return None;
     }
     let mean = |list: &[f64]| list.iter().sum::<f64>() / list.len() as f64;
     let mut random = RandomSource::new(seed);
     let mut means: Vec<f64> = (0..SAMPLES)
         .map(|_| {
-            let sample: Vec<f64> = (0..off.len())
-                .map(|_| off[random.below(off.len())])
+            let sample: Vec<f64> = (0..differences.len())
+                .map(|_| differences[random.uniform_below(differences.len())])
                 .collect();
             mean(&sample)
         })
         .collect();
     means.sort_by(f64::total_cmp);
-    let at = |fraction: f64| means[((SAMPLES - 1) as f64 * fraction) as usize];
+    let quantile = |fraction: f64| means[((SAMPLES - 1) as f64 * fraction) as usize];
     Some(Difference {
-        pairs: off.len(),
-        mean: mean(&off),
-        from: at(0.025),
-        to: at(0.975),
+        pairs: differences.len(),
+        mean: mean(&differences),
+        from: quantile(0.025),
+        to: quantile(0.975),
     })
 }
--- a/crates/model/src/frontier.rs
+++ b/crates/model/src/frontier.rs
@@ -1,12 +1,13 @@
-//! How much a fleet can sell: a world played over numbers of proxies and unevenness by each policy, beside the bound on all rules
-//! without talk ([`crate::bound`]).
+//! The frontier of value against quota overrun: a world simulated over numbers of proxies and
+//! degrees of unevenness under each policy, beside the bound on all rules without communication
+//! ([`crate::bound`]).
 
 use crate::bound::{bound, Bound, Case};
 use crate::world::{Admission, LoadBalancer, World};
 use serde::Serialize;
 
-/// Who decides, by name.
-pub const WHO: [(&str, LoadBalancer, Admission); 4] = [
+/// The policies of the frontier, by name.
+pub const POLICIES: [(&str, LoadBalancer, Admission); 4] = [
     ("module", LoadBalancer::Module, Admission::EvenShare),
     ("even", LoadBalancer::LeastOutstanding, Admission::EvenShare),
     (
@@ -20,66 +21,74 @@
 /// A point of the frontier: the mean of some runs, or the bound.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// Proxies, and the part of a customer's requests that come through its busiest one.
+    /// Number of proxies.
     #[serde(rename = "doors")]
     pub proxies: usize,
-    /// See above.
+    /// Share of a customer's requests that come through its busiest proxy.
     pub uneven: f64,
-    /// One of [`WHO`], or `bound`.
-    pub who: String,
-    /// Value inside quotas, value beyond, and the first less the cost of the second.
+    /// A name of [`POLICIES`], or `bound`.
+    #[serde(rename = "who")]
+    pub policy: String,
+    /// Value served within quotas.
     #[serde(rename = "worth")]
     pub served_value: f64,
-    /// See above.
-    pub over: f64,
-    /// See above.
+    /// Value admitted over quotas.
+    #[serde(rename = "over")]
+    pub over_quota_value: f64,
+    /// `served_value` less the cost of `over_quota_value`.
     pub value: f64,
 }
 
 impl Point {
-    /// Whether another one has as much value with as little beyond quotas, and is better in one of them.
+    /// Whether `other` is no worse in value served and in value over quotas, and better in at least
+    /// one of them.
     pub fn dominated_by(&self, other: &Point) -> bool {
-        let no_worse = other.served_value >= self.served_value && other.over <= self.over;
-        no_worse && (other.served_value > self.served_value || other.over < self.over)
+        let no_worse = other.served_value >= self.served_value
+            && other.over_quota_value <= self.over_quota_value;
+        no_worse
+            && (other.served_value > self.served_value
+                || other.over_quota_value < self.over_quota_value)
     }
 }
 
-/// The worlds of one place of the grid, one for each of [`WHO`].
+/// Returns the worlds of one grid point, one for each of [`POLICIES`].
 pub fn worlds(base: &World, proxies: usize, uneven: f64) -> Vec<World> {
-    let one = |(_, load_balancer, admission): &(&str, LoadBalancer, Admission)| World {
+    let world_for = |(_, load_balancer, admission): &(&str, LoadBalancer, Admission)| World {
         proxies,
         uneven,
         load_balancer: *load_balancer,
         admission: *admission,
         ..base.clone()
     };
-    WHO.iter().map(one).collect()
+    POLICIES.iter().map(world_for).collect()
 }
 
-/// The case of the bound for a world of one plan, whose groups of demand each ask for one part.
+/// Returns the case of the bound for a world of one plan whose groups of demand each have a single
+/// demand.
 ///
 /// # Errors
-/// What of the world the bound does not cover.
+/// The property of the world that the bound does not cover.
 pub fn case(world: &World, cost: f64) -> Result<Case, String> {
     let [plan] = world.plan.as_slice() else {
-        return Err("plan: one plan was expected, the bound is for one".to_owned());
+        return Err("plan: one plan expected, the bound covers a single plan".to_owned());
     };
     if world.demand.is_empty() || world.demand.iter().any(|group| group.spike > 0.0) {
-        return Err("demand: groups without spikes were expected".to_owned());
+        return Err("demand: expected groups without spikes".to_owned());
     }
     if world.meter_ms > 0.0 {
         return Err(
-            "meter_ms: 0 was expected, the bound is for doors that see their own arrivals"
+            "meter_ms: expected 0, the bound is for doors that see only their own arrivals"
                 .to_owned(),
         );
     }
-    // All plans are scaled by one factor to the load; its bursts keep their length, but for the least.
+    // As in a run, one factor scales all plans to the load; the burst keeps its duration, apart
+    // from its minimum of two requests of the largest size.
     let shares: f64 = world.demand.iter().map(|group| group.share).sum();
-    let mid = |group: &crate::world::DemandSpec| 0.5 * (group.fraction[0] + group.fraction[1]);
+    let midpoint = |group: &crate::world::DemandSpec| 0.5 * (group.fraction[0] + group.fraction[1]);
     let within: f64 = world
         .demand
         .iter()
-        .map(|group| group.share / shares * mid(group).min(1.0))
+        .map(|group| group.share / shares * midpoint(group).min(1.0))
         .sum();
     let rate = world.requests_per_second() * world.units / (world.customers as f64 * within);
     let burst = (plan.burst * rate / plan.rate).max(2.0 * world.max_units);
@@ -97,53 +106,58 @@
         fractions: world
             .demand
             .iter()
-            .map(|group| (mid(group), group.share / shares))
+            .map(|group| (midpoint(group), group.share / shares))
             .collect(),
         cost,
     })
 }
 
-/// The bound of a world, as a point.
+/// Returns the bound of a world as a point.
 ///
 /// # Errors
-/// As [`case`] and [`bound`].
+/// The errors of [`case`] and [`bound`].
 pub fn bound_of(world: &World, cost: f64) -> Result<Point, String> {
     let Bound {
         served_value,
-        over,
+        over_quota_value,
         value,
     } = bound(&case(world, cost)?)?;
     Ok(Point {
         proxies: world.proxies,
         uneven: world.uneven,
-        who: "bound".to_owned(),
+        policy: "bound".to_owned(),
         served_value,
-        over,
+        over_quota_value,
         value,
     })
 }
 
-/// The points of a place from its runs: a group for each of [`WHO`], in their order.
+/// Returns the points of a grid point from its runs: one group of runs for each of [`POLICIES`], in
+/// their order.
 pub fn points<'a>(
-    place: &Point,
+    grid_point: &Point,
     cost: f64,
     groups: &mut impl Iterator<Item = &'a [crate::Outcome]>,
 ) -> Vec<Point> {
     let mean = |runs: &[crate::Outcome], of: fn(&crate::Outcome) -> f64| {
         runs.iter().map(of).sum::<f64>() / runs.len().max(1) as f64
     };
-    let point = |(runs, (who, ..)): (&[crate::Outcome], &(&str, LoadBalancer, Admission))| {
-        let (served_value, over) = (
-            mean(runs, |one| one.served_value),
-            mean(runs, |one| one.over_quota_value),
+    let point = |(runs, (policy, ..)): (&[crate::Outcome], &(&str, LoadBalancer, Admission))| {
+        let (served_value, over_quota_value) = (
+            mean(runs, |outcome| outcome.served_value),
+            mean(runs, |outcome| outcome.over_quota_value),
         );
         Point {
-            who: (*who).to_owned(),
+            policy: (*policy).to_owned(),
             served_value,
-            over,
-            value: served_value - cost * over,
-            ..place.clone()
+            over_quota_value,
+            value: served_value - cost * over_quota_value,
+            ..grid_point.clone()
         }
     };
-    groups.take(WHO.len()).zip(&WHO).map(point).collect()
+    groups
+        .take(POLICIES.len())
+        .zip(&POLICIES)
+        .map(point)
+        .collect()
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,22 +1,23 @@
-//! A model of the fleet: proxies with the real decision module between clients and backends that are drawn, in simulated
-//! time, at sizes that sockets don't reach.
+//! A discrete-event simulation of the fleet: proxies that run the real decision module, between
+//! simulated clients and backends, at sizes that real sockets do not reach.
 //!
-//! | file | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`world`] | a world as data: a TOML file, its faults, defaults and checks |
-//! | [`random`] | the random generator of a run, distributions, the alias method |
+//! | [`random`] | the random number generator of a run, distributions, the alias method |
 //! | [`queue`] | the event queue |
-//! | [`backend`] | a backend: cores, waiting room, slow start, connections |
+//! | [`backend`] | a backend: cores, waiting room, slow start |
 //! | [`balancer`] | the decision policy of a proxy: the decision module, or a baseline |
-//! | [`run`] | one run: the world's clock, the network, clients, faults |
-//! | [`agent`] | discovery agents, with the real follower and membership in front of the proxies |
-//! | [`metrics`] | what is counted |
-//! | [`bound`], [`frontier`] | an upper bound for rules without communication, and how near each policy comes |
+//! | [`run`] | one run: the event loop, the network, clients, faults |
+//! | [`agent`] | discovery agents, with the real follower and membership on the proxies' side |
+//! | [`metrics`] | the figures of a run |
+//! | [`bound`], [`frontier`] | an upper bound for rules without communication, and how close each policy comes to it |
 //! | [`search`] | the smallest seed and world at which a figure breaks a bound |
 //! | [`compare`] | whether two sets of runs differ: paired by seed, by bootstrap |
 //!
-//! A run has no I/O, clock or thread; one seed gives one run, byte for byte. Nothing of a bench is copied: the world follows the
-//! published ideas that each file names. What it leaves out stands in `docs/design/model.md`.
+//! A run does no I/O, reads no clock and starts no thread; one seed gives one sample path, byte for
+//! byte. The model follows the published methods that each file names and copies nothing from a
+//! benchmark. `docs/design/model.md` lists what it leaves out.
 
 #![forbid(unsafe_code)]
 
@@ -34,5 +35,5 @@
 pub mod world;
 
 pub use metrics::Outcome;
-pub use run::play;
+pub use run::simulate;
 pub use world::World;
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -1,6 +1,7 @@
-//! `maplefall-model`: plays worlds, sweeps over their fields, searches and compares them.
+//! `maplefall-model`: simulates worlds, sweeps over their fields, searches and compares them.
 //!
-//! Output is independent of `--jobs`: lines are printed in the order of the runs. Doc comments of commands and flags are help texts.
+//! The output does not depend on `--jobs`: lines are printed in the order of the runs. Doc comments
+//! of commands and flags are their help texts.
 
 #![forbid(unsafe_code)]
 
@@ -9,21 +10,21 @@
 use clap::{Parser, Subcommand};
 use maplefall_model::compare::paired;
 use maplefall_model::search::{search, Target};
-use maplefall_model::{frontier, play, Outcome, World};
+use maplefall_model::{frontier, simulate, Outcome, World};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Worlds that a sweep plays at most.
+/// Maximum number of runs of a sweep.
 const MAX_RUNS: usize = 100_000;
 
 #[derive(Parser)]
 #[command(
     name = "maplefall-model",
     version,
-    about = "A model of a fleet of front doors, with the real decision module in each"
+    about = "A discrete-event simulation of a fleet of gateways, with the real decision module in each"
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -32,54 +33,55 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a world; a line of JSON for each seed
+    /// Simulates a world; prints a line of JSON for each seed
     Run {
         /// The world, a TOML file
         world: PathBuf,
         /// The first seed
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Runs side by side; the output is the same
+        /// Number of runs in parallel; does not change the output
         #[arg(long, default_value_t = 1)]
         jobs: usize,
     },
-    /// Plays a world for each value of its fields; a line of JSON for each
+    /// Simulates a world for each value of its fields; prints a line of JSON for each run
     Sweep {
         /// The world, a TOML file
         world: PathBuf,
         /// A field and its values, as doors=4,30,300; several make a grid
         #[arg(long, required = true)]
         over: Vec<String>,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// Runs side by side; the output is the same
+        /// Number of runs in parallel; does not change the output
         #[arg(long, default_value_t = 1)]
         jobs: usize,
     },
-    /// Draws results as an SVG: the mean of a figure over a field, with every run as a point
+    /// Plots results as an SVG: the mean of a figure over a field, with every run as a point
     Plot {
-        /// Lines of JSON, as run and sweep print them
+        /// Lines of JSON, as printed by run and sweep
         results: PathBuf,
-        /// The field along the bottom; `second` draws what was served in each second instead
+        /// The field of the x axis; `second` plots the value served in each second instead
         #[arg(long)]
         x: String,
-        /// The figure
+        /// The figure of the y axis
         #[arg(long, default_value = "worth")]
         y: String,
-        /// Results that differ in this field get a line each
+        /// Results that differ in this field are plotted as separate series
         #[arg(long)]
         by: Option<String>,
-        /// The SVG
+        /// The SVG file to write
         #[arg(long)]
         out: PathBuf,
     },
-    /// Plays a world over doors and unevenness by each policy, beside the bound on all rules without talk; a table
+    /// Simulates a world over numbers of doors and unevenness under each policy, beside the bound
+    /// on all rules without communication; prints a table
     Frontier {
-        /// The world, a TOML file: one plan, groups of demand that each ask for one part, no meter
+        /// The world, a TOML file: one plan, groups of demand with a single demand each, no meter
         world: PathBuf,
         /// Numbers of doors
         #[arg(
@@ -89,37 +91,38 @@
             default_value = "1,4,10,30,100,300"
         )]
         proxies: Vec<usize>,
-        /// Parts of a customer's requests that come through its busiest door
+        /// Shares of a customer's requests that come through its busiest door
         #[arg(long, value_delimiter = ',', default_value = "0,0.3,0.6")]
         uneven: Vec<f64>,
-        /// What a unit beyond a quota costs against one inside
+        /// Cost of a unit over a quota relative to the value of one within it
         #[arg(long, default_value_t = 0.8)]
         cost: f64,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// Runs side by side; the output is the same
+        /// Number of runs in parallel; does not change the output
         #[arg(long, default_value_t = 1)]
         jobs: usize,
-        /// Lines of JSON in place of the table, which plot draws: --x over --y worth --by who
+        /// Prints lines of JSON instead of the table, for plot: --x over --y worth --by who
         #[arg(long)]
         json: bool,
     },
-    /// Looks for the smallest seed at which a figure breaks a bound, then shrinks the world while it still does
+    /// Searches for the smallest seed at which a figure breaks a bound, then shrinks the world
+    /// while it still does
     Search {
         /// The world, a TOML file
         world: PathBuf,
-        /// What is looked for, as over_ceiling>0 or worth<0.6
+        /// The condition to search for, as over_ceiling>0 or worth<0.6
         #[arg(long)]
         breaks: String,
-        /// How many seeds are tried of the world, and of each smaller one
+        /// Number of seeds tried of the world, and of each smaller one
         #[arg(long, default_value_t = 50)]
         seeds: u64,
-        /// Runs at most
+        /// Maximum number of runs
         #[arg(long, default_value_t = 2000)]
         runs: usize,
     },
-    /// Prints the first tries that a world draws, a line of JSON each
+    /// Prints the client requests that a world draws, a line of JSON each
     Load {
         /// The world, a TOML file
         world: PathBuf,
@@ -127,19 +130,19 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Plays two worlds with the same seeds and tells whether a figure differs
+    /// Simulates two worlds with the same seeds and reports whether a figure differs
     Compare {
         /// The first world
         first: PathBuf,
-        /// The second
+        /// The second world
         second: PathBuf,
         /// The figure, by its name in the output of run
         #[arg(long, default_value = "worth")]
         figure: String,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// Runs side by side; the output is the same
+        /// Number of runs in parallel; does not change the output
         #[arg(long, default_value_t = 1)]
         jobs: usize,
     },
@@ -157,7 +160,7 @@
     }
 }
 
-/// Runs a command; the error is lines for stderr.
+/// Executes a command; the error holds lines for stderr.
 fn execute(command: Command) -> Result<(), Vec<String>> {
     match command {
         Command::Run {
@@ -166,7 +169,7 @@
             seeds,
             jobs,
         } => {
-            let world = read(&world)?;
+            let world = read_world(&world)?;
             let runs = (seed..seed.saturating_add(seeds))
                 .map(|seed| (world.clone(), seed))
                 .collect();
@@ -187,8 +190,8 @@
             by,
             out,
         } => {
-            let named = |error: std::io::Error| vec![format!("{}: {error}", results.display())];
-            let text = std::fs::read_to_string(&results).map_err(named)?;
+            let with_path = |error: std::io::Error| vec![format!("{}: {error}", results.display())];
+            let text = std::fs::read_to_string(&results).map_err(with_path)?;
             plot::draw(&text, &x, &y, by.as_deref(), &out).map_err(|error| vec![error])
         }
         Command::Frontier {
@@ -224,7 +227,7 @@
     }
 }
 
-/// Prints the frontier of a world over a grid, beside the bound: a table, or lines of JSON.
+/// Prints the frontier of a world over a grid beside the bound, as a table or as lines of JSON.
 fn print_frontier(
     path: &Path,
     grid: &Grid,
@@ -233,24 +236,24 @@
     jobs: usize,
     json: bool,
 ) -> Result<(), Vec<String>> {
-    let base = read(path)?;
-    let named = |line: String| vec![format!("{}: {line}", path.display())];
+    let base = read_world(path)?;
+    let with_path = |line: String| vec![format!("{}: {line}", path.display())];
     let grid_points = grid.points();
     let mut bounds = Vec::new();
     let mut runs = Vec::new();
     for (proxies, uneven) in &grid_points {
-        let here = World {
+        let grid_world = World {
             proxies: *proxies,
             uneven: *uneven,
             ..base.clone()
         };
-        let found = here.errors();
+        let found = grid_world.errors();
         if !found.is_empty() {
-            return Err(found.into_iter().flat_map(named).collect());
+            return Err(found.into_iter().flat_map(with_path).collect());
         }
-        bounds.push(frontier::bound_of(&here, cost).map_err(named)?);
-        for one in frontier::worlds(&base, *proxies, *uneven) {
-            runs.extend((1..=seeds).map(|seed| (one.clone(), seed)));
+        bounds.push(frontier::bound_of(&grid_world, cost).map_err(with_path)?);
+        for variant in frontier::worlds(&base, *proxies, *uneven) {
+            runs.extend((1..=seeds).map(|seed| (variant.clone(), seed)));
         }
     }
     let outcomes = run_all(&runs, jobs);
@@ -271,15 +274,15 @@
     Ok(())
 }
 
-/// Searches the smallest seed and world that break a bound, and prints the world.
+/// Searches for the smallest seed and world that break a bound, and prints the world.
 fn search_world(path: &Path, breaks: &str, seeds: u64, runs: usize) -> Result<(), Vec<String>> {
-    let base = read(path)?;
+    let base = read_world(path)?;
     let target = Target::parse(breaks).map_err(|line| vec![format!("--breaks: {line}")])?;
     match search(&base, &target, seeds, runs) {
         Some(found) => {
             eprintln!(
                 "{} at seed {} after {} runs",
-                found.what, found.seed, found.runs
+                found.figure, found.seed, found.runs
             );
             print!(
                 "{}",
@@ -293,9 +296,9 @@
 
 /// Prints the client requests of a world, a line of JSON each.
 fn print_load(path: &Path, seed: u64) -> Result<(), Vec<String>> {
-    for request in maplefall_model::run::load(&read(path)?, seed) {
+    for request in maplefall_model::run::load(&read_world(path)?, seed) {
         let line = serde_json::to_string(&request).unwrap_or_default();
-        // A reader that has gone needs no more lines.
+        // A reader that closed the pipe needs no more lines.
         if writeln!(std::io::stdout(), "{line}").is_err() {
             break;
         }
@@ -305,7 +308,7 @@
 
 /// Compares a figure of two worlds over the same seeds.
 fn compare(paths: [&Path; 2], figure: &str, seeds: u64, jobs: usize) -> Result<(), Vec<String>> {
-    let worlds = [read(paths[0])?, read(paths[1])?];
+    let worlds = [read_world(paths[0])?, read_world(paths[1])?];
     let runs = worlds
         .iter()
         .flat_map(|world| (1..=seeds).map(move |seed| (world.clone(), seed)))
@@ -315,30 +318,30 @@
         .iter()
         .map(|outcome| outcome.field(figure))
         .collect();
-    let figures = figures.ok_or(vec![format!("--figure: {figure} is no figure of a run")])?;
-    let (one, other) = figures.split_at(seeds as usize);
-    let found =
-        paired(one, other, 1).ok_or(vec!["--seeds: one at least was expected".to_owned()])?;
-    let word = if found.seen() {
+    let figures = figures.ok_or(vec![format!("--figure: {figure} is not a figure of a run")])?;
+    let (first, second) = figures.split_at(seeds as usize);
+    let found = paired(first, second, 1).ok_or(vec!["--seeds: expected at least 1".to_owned()])?;
+    let prefix = if found.is_significant() {
         ""
     } else {
         "no difference seen: "
     };
     println!(
-        "{word}{figure}: {:+.4} ({:+.4} to {:+.4}, 95 of 100) over {} pairs",
+        "{prefix}{figure}: {:+.4} ({:+.4} to {:+.4}, 95 of 100) over {} pairs",
         found.mean, found.from, found.to, found.pairs
     );
     Ok(())
 }
 
-/// Prints a row of the frontier's table: the bound, the module with its part of the bound, and the other policies.
+/// Prints a row of the frontier's table: the bound, the module with its fraction of the bound, and
+/// the other policies.
 fn print_frontier_row(bound: &frontier::Point, points: &[frontier::Point]) {
     let cells: Vec<String> = points
         .iter()
         .map(|point| {
             format!(
                 "{:.3} ({:.3}, {:.3})",
-                point.value, point.served_value, point.over
+                point.value, point.served_value, point.over_quota_value
             )
         })
         .collect();
@@ -351,7 +354,7 @@
         bound.uneven,
         bound.value,
         bound.served_value,
-        bound.over,
+        bound.over_quota_value,
         cells[0],
         fraction,
         cells[1..].join(" | ")
@@ -374,36 +377,36 @@
 }
 
 /// Reads a world file; each error names the file.
-fn read(path: &Path) -> Result<World, Vec<String>> {
-    let named = |line: String| format!("{}: {line}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|error| vec![named(error.to_string())])?;
-    World::read(&text).map_err(|found| found.into_iter().map(named).collect())
+fn read_world(path: &Path) -> Result<World, Vec<String>> {
+    let with_path = |line: String| format!("{}: {line}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|error| vec![with_path(error.to_string())])?;
+    World::read(&text).map_err(|found| found.into_iter().map(with_path).collect())
 }
 
-/// Plays a world over a grid of values of its fields.
+/// Simulates a world over a grid of values of its fields.
 fn sweep(path: &Path, over: &[String], seeds: u64, jobs: usize) -> Result<(), Vec<String>> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| vec![format!("{}: {error}", path.display())])?;
     let mut grid: Vec<Vec<(String, toml::Value)>> = vec![Vec::new()];
-    for one in over {
-        let (field, values) = one.split_once('=').ok_or(vec![format!(
-            "--over: field=value,... was expected, not {one}"
+    for axis in over {
+        let (field, values) = axis.split_once('=').ok_or(vec![format!(
+            "--over: expected field=value,..., got {axis}"
         )])?;
         let mut next = Vec::new();
         for value in values.split(',') {
-            let read: toml::Table = toml::from_str(&format!("x = {value}"))
+            let parsed: toml::Table = toml::from_str(&format!("x = {value}"))
                 .or_else(|_| toml::from_str(&format!("x = \"{value}\"")))
-                .map_err(|_| vec![format!("--over {field}: {value} cannot be read")])?;
+                .map_err(|_| vec![format!("--over {field}: cannot parse {value}")])?;
             for point in &grid {
                 let mut point = point.clone();
-                point.push((field.to_owned(), read["x"].clone()));
+                point.push((field.to_owned(), parsed["x"].clone()));
                 next.push(point);
             }
         }
         grid = next;
         if grid.len() as u64 * seeds > MAX_RUNS as u64 {
             return Err(vec![format!(
-                "--over: {MAX_RUNS} runs at most were expected"
+                "--over: the grid has more than {MAX_RUNS} runs"
             )]);
         }
     }
@@ -430,30 +433,31 @@
         }
     }
     print_runs(runs, jobs, move |at, outcome| {
-        let mut line = serde_json::Map::new();
+        let mut record = serde_json::Map::new();
         for (field, value) in &points[at] {
-            line.insert(
+            record.insert(
                 field.clone(),
                 serde_json::Value::String(value.trim_matches('"').to_owned()),
             );
         }
-        let whole = serde_json::to_value(outcome).unwrap_or_default();
-        for (name, value) in whole.as_object().into_iter().flatten() {
-            line.entry(name.clone()).or_insert(value.clone());
+        let outcome_fields = serde_json::to_value(outcome).unwrap_or_default();
+        for (name, value) in outcome_fields.as_object().into_iter().flatten() {
+            record.entry(name.clone()).or_insert(value.clone());
         }
-        serde_json::Value::Object(line).to_string()
+        serde_json::Value::Object(record).to_string()
     })
 }
 
-/// Plays all, and prints a line for each as soon as those before it are there; what is interrupted has printed what was done.
+/// Simulates all runs and prints a line for each as soon as all earlier ones are printed, so that
+/// an interrupted command has printed the runs that were done.
 fn print_runs(
     runs: Vec<(World, u64)>,
     jobs: usize,
-    line: impl Fn(usize, &Outcome) -> String + Sync,
+    format_line: impl Fn(usize, &Outcome) -> String + Sync,
 ) -> Result<(), Vec<String>> {
     let printed = Mutex::new((0usize, std::collections::BTreeMap::new()));
     run_in_parallel(&runs, jobs, |at, outcome| {
-        let text = line(at, &outcome);
+        let text = format_line(at, &outcome);
         let mut printed = printed
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -463,7 +467,7 @@
             let Some(text) = printed.1.remove(&next) else {
                 break;
             };
-            // A reader that has gone needs no more lines.
+            // A reader that closed the pipe needs no more lines.
             let _ = writeln!(std::io::stdout(), "{text}");
             printed.0 += 1;
         }
@@ -471,7 +475,7 @@
     Ok(())
 }
 
-/// Plays all runs and returns their outcomes in order.
+/// Simulates all runs and returns their outcomes in order.
 fn run_all(runs: &[(World, u64)], jobs: usize) -> Vec<Outcome> {
     let outcomes = Mutex::new(vec![Outcome::default(); runs.len()]);
     run_in_parallel(runs, jobs, |at, outcome| {
@@ -484,7 +488,7 @@
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Plays all on so many threads, each run alone on its own.
+/// Simulates all runs on `jobs` threads; each run stays on one thread.
 fn run_in_parallel(runs: &[(World, u64)], jobs: usize, done: impl Fn(usize, Outcome) + Sync) {
     let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
@@ -494,7 +498,7 @@
                 let Some((world, seed)) = runs.get(at) else {
                     return;
                 };
-                done(at, play(world, *seed));
+                done(at, simulate(world, *seed));
             });
         }
     });
--- a/crates/model/src/plot.rs
+++ b/crates/model/src/plot.rs
@@ -1,14 +1,14 @@
-//! Results as an SVG, drawn by plotters.
+//! Plots of results as SVG, drawn by plotters.
 
 use plotters::prelude::*;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Lines of results that are read at most.
+/// Maximum number of result lines that are read.
 const MAX_LINES: usize = 100_000;
 
-/// Points by line.
+/// Points of each series, by its name.
 type Series = BTreeMap<String, Vec<(f64, f64)>>;
 
 fn number(value: &Value) -> Option<f64> {
@@ -37,19 +37,19 @@
             (Some(x), Some(y)) => points.push((x, y)),
             _ => {
                 return Err(format!(
-                    "line {}: {x} and {y} were expected to be figures",
+                    "line {}: expected {x} and {y} to be figures",
                     at + 1
                 ))
             }
         }
     }
     if series.values().all(Vec::is_empty) {
-        return Err("there is nothing to draw".to_owned());
+        return Err("no results to plot".to_owned());
     }
     Ok(series)
 }
 
-/// The mean of the points at each place along the bottom.
+/// Returns the mean of `y` at each distinct `x`, in the order of `x`.
 fn means(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let mut sums: Vec<(f64, f64, f64)> = Vec::new();
     let mut sorted = points.to_vec();
@@ -68,18 +68,18 @@
 /// Draws results to a file.
 ///
 /// # Errors
-/// One line: what cannot be read, or drawn.
+/// One line that names what could not be read or drawn.
 pub fn draw(text: &str, x: &str, y: &str, by: Option<&str>, out: &Path) -> Result<(), String> {
     let series = points(text, x, y, by)?;
     let all = || series.values().flatten();
-    let least = |of: fn(&(f64, f64)) -> f64| all().map(of).fold(f64::INFINITY, f64::min);
-    let most = |of: fn(&(f64, f64)) -> f64| all().map(of).fold(f64::NEG_INFINITY, f64::max);
+    let minimum = |of: fn(&(f64, f64)) -> f64| all().map(of).fold(f64::INFINITY, f64::min);
+    let maximum = |of: fn(&(f64, f64)) -> f64| all().map(of).fold(f64::NEG_INFINITY, f64::max);
     let (left, right, top) = (
-        least(|point| point.0),
-        most(|point| point.0),
-        most(|point| point.1),
+        minimum(|point| point.0),
+        maximum(|point| point.0),
+        maximum(|point| point.1),
     );
-    let bottom = least(|point| point.1).min(0.0);
+    let bottom = minimum(|point| point.1).min(0.0);
     let (right, top) = (
         if right > left { right } else { left + 1.0 },
         if top > bottom { top } else { bottom + 1.0 },
@@ -106,8 +106,10 @@
         .map_err(|error| failed(&error))?;
     for (at, (name, points)) in series.iter().enumerate() {
         let color = Palette99::pick(at).to_rgba();
-        let line = LineSeries::new(means(points), color.stroke_width(2));
-        let drawn = chart.draw_series(line).map_err(|error| failed(&error))?;
+        let line_series = LineSeries::new(means(points), color.stroke_width(2));
+        let drawn = chart
+            .draw_series(line_series)
+            .map_err(|error| failed(&error))?;
         if !name.is_empty() {
             drawn
                 .label(name)
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -1,78 +1,78 @@
-//! What happens next: a queue by time, first come first out at one time.
+//! The event queue, ordered by time; events of the same time leave in the order of insertion.
 //!
-//! A binary heap. A calendar queue (Brown 1988) was measured against it in `benches/structures.rs`.
+//! A binary heap. `benches/structures.rs` measures a calendar queue (Brown 1988) against it.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// An event and when it is due.
+/// An event with its time and its sequence number, which breaks ties.
 #[derive(Clone, Debug)]
-struct Due<E> {
+struct Scheduled<E> {
     at: f64,
-    order: u64,
+    sequence: u64,
     event: E,
 }
 
-impl<E> PartialEq for Due<E> {
+impl<E> PartialEq for Scheduled<E> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<E> Eq for Due<E> {}
+impl<E> Eq for Scheduled<E> {}
 
-impl<E> PartialOrd for Due<E> {
+impl<E> PartialOrd for Scheduled<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Due<E> {
+impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Self) -> Ordering {
         self.at
             .total_cmp(&other.at)
-            .then(self.order.cmp(&other.order))
+            .then(self.sequence.cmp(&other.sequence))
     }
 }
 
-/// Events by their times, in milliseconds.
+/// Pending events, ordered by time in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Queue<E> {
-    heap: BinaryHeap<Reverse<Due<E>>>,
-    order: u64,
+pub struct EventQueue<E> {
+    heap: BinaryHeap<Reverse<Scheduled<E>>>,
+    sequence: u64,
 }
 
-impl<E> Default for Queue<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Queue {
+        EventQueue {
             heap: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
         }
     }
 }
 
-impl<E> Queue<E> {
-    /// Adds an event.
+impl<E> EventQueue<E> {
+    /// Schedules an event.
     pub fn push(&mut self, at: f64, event: E) {
-        self.order += 1;
-        self.heap.push(Reverse(Due {
+        self.sequence += 1;
+        self.heap.push(Reverse(Scheduled {
             at,
-            order: self.order,
+            sequence: self.sequence,
             event,
         }));
     }
 
-    /// The next event and its time.
+    /// Removes and returns the next event and its time.
     pub fn pop(&mut self) -> Option<(f64, E)> {
-        self.heap.pop().map(|Reverse(due)| (due.at, due.event))
+        self.heap.pop().map(|Reverse(next)| (next.at, next.event))
     }
 
-    /// Events that wait.
+    /// Returns the number of pending events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no event is pending.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -1,68 +1,70 @@
-//! Drawing: one generator a run, the distributions that the world needs, and customers by weight.
+//! Random variates: one generator per run, the distributions that a world needs, and weighted draws
+//! of customers.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The one source of chance of a run.
+/// The only random number generator of a run.
 #[derive(Clone, Debug)]
 pub struct RandomSource(Pcg64Mcg);
 
 impl RandomSource {
-    /// From a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> RandomSource {
         RandomSource(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// Evenly from nought to below one.
-    pub fn one(&mut self) -> f64 {
+    /// Draws from the uniform distribution on `[0, 1)`.
+    pub fn uniform(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Evenly within a range.
-    pub fn within(&mut self, range: [f64; 2]) -> f64 {
-        range[0] + (range[1] - range[0]) * self.one()
+    /// Draws from the uniform distribution within a range.
+    pub fn uniform_within(&mut self, range: [f64; 2]) -> f64 {
+        range[0] + (range[1] - range[0]) * self.uniform()
     }
 
-    /// A whole number below `most`, which is not nought.
-    pub fn below(&mut self, most: usize) -> usize {
-        ((self.one() * most as f64) as usize).min(most.saturating_sub(1))
+    /// Draws an integer below `end`, uniformly; `end` must be above 0.
+    pub fn uniform_below(&mut self, end: usize) -> usize {
+        ((self.uniform() * end as f64) as usize).min(end.saturating_sub(1))
     }
 
-    /// A seed for something of its own.
-    pub fn seed(&mut self) -> u64 {
+    /// Draws a seed for another generator.
+    pub fn next_seed(&mut self) -> u64 {
         self.0.next_u64()
     }
 
-    /// Exponentially with this mean.
+    /// Draws from the exponential distribution with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.one()).ln()
+        -mean * (1.0 - self.uniform()).ln()
     }
 
-    /// Log-normally with this mean and coefficient of variation (by Box and Muller).
+    /// Draws from the log-normal distribution with this mean and coefficient of variation
+    /// (Box-Muller method).
     pub fn log_normal(&mut self, mean: f64, cv: f64) -> f64 {
         let variance = (1.0 + cv * cv).ln();
-        let normal = (-2.0 * (1.0 - self.one()).ln()).sqrt()
-            * (2.0 * std::f64::consts::PI * self.one()).cos();
+        let normal = (-2.0 * (1.0 - self.uniform()).ln()).sqrt()
+            * (2.0 * std::f64::consts::PI * self.uniform()).cos();
         mean * (normal * variance.sqrt() - variance / 2.0).exp()
     }
 }
 
-/// Draws one of many by weight in constant time (the alias method: Walker 1977, Vose 1991). Against a search in sums
-/// (`benches/structures.rs`) it wins from thousands of customers on.
+/// Weighted draws in constant time (alias method: Walker 1977, Vose 1991). It is faster than a
+/// binary search in cumulative weights from thousands of customers on (`benches/structures.rs`).
 #[derive(Clone, Debug)]
 pub struct AliasTable {
-    /// For each place, the part of it that is its own, and who has the rest.
-    places: Vec<(f64, u32)>,
+    /// For each column, the probability of its own index and the alias that gets the rest.
+    columns: Vec<(f64, u32)>,
 }
 
 impl AliasTable {
-    /// For weights that are not below nought; all the same where none is above.
+    /// Builds the table for weights of at least 0; uniform if none is above 0.
     pub fn new(weights: &[f64]) -> AliasTable {
         let sum: f64 = weights.iter().sum();
         let count = weights.len();
         if sum <= 0.0 || !sum.is_finite() {
             return AliasTable {
-                places: (0..count).map(|at| (1.0, at as u32)).collect(),
+                columns: (0..count).map(|at| (1.0, at as u32)).collect(),
             };
         }
         let mut fractions: Vec<f64> = weights
@@ -71,25 +73,25 @@
             .collect();
         let (mut small, mut large): (Vec<usize>, Vec<usize>) =
             (0..count).partition(|at| fractions[*at] < 1.0);
-        let mut places: Vec<(f64, u32)> = (0..count).map(|at| (1.0, at as u32)).collect();
-        while let (Some(less), Some(&more)) = (small.pop(), large.last()) {
-            places[less] = (fractions[less], more as u32);
-            fractions[more] -= 1.0 - fractions[less];
-            if fractions[more] < 1.0 {
+        let mut columns: Vec<(f64, u32)> = (0..count).map(|at| (1.0, at as u32)).collect();
+        while let (Some(small_at), Some(&large_at)) = (small.pop(), large.last()) {
+            columns[small_at] = (fractions[small_at], large_at as u32);
+            fractions[large_at] -= 1.0 - fractions[small_at];
+            if fractions[large_at] < 1.0 {
                 large.pop();
-                small.push(more);
+                small.push(large_at);
             }
         }
-        AliasTable { places }
+        AliasTable { columns }
     }
 
-    /// One of them; nought where there are none.
+    /// Draws an index; 0 for an empty table.
     pub fn draw(&self, random: &mut RandomSource) -> usize {
-        let spot = random.one() * self.places.len() as f64;
-        let at = (spot as usize).min(self.places.len().saturating_sub(1));
-        match self.places.get(at) {
-            Some((own, _)) if spot - at as f64 <= *own => at,
-            Some((_, other)) => *other as usize,
+        let position = random.uniform() * self.columns.len() as f64;
+        let at = (position as usize).min(self.columns.len().saturating_sub(1));
+        match self.columns.get(at) {
+            Some((probability, _)) if position - at as f64 <= *probability => at,
+            Some((_, alias)) => *alias as usize,
             None => 0,
         }
     }
--- a/crates/model/src/run/attempt.rs
+++ b/crates/model/src/run/attempt.rs
@@ -1,7 +1,8 @@
-//! Attempts from proxies at backends: quota, connection, the way to the backend, and the end for the proxy.
+//! Attempts of proxies at backends: quota charge, connection, delivery to the backend, and the end
+//! as the proxy sees it.
 //!
-//! A request charges its customer's quota once, with its first attempt. Each attempt ends once for its proxy, whichever of reply,
-//! time limit and cancellation comes first.
+//! A request charges its customer's quota once, with its first attempt. Each attempt ends once for
+//! its proxy, by response, timeout or cancellation, whichever comes first.
 
 use super::event::RunEvent;
 use super::request::{Attempt, ClientRequest};
@@ -10,16 +11,17 @@
 use maplefall_policy as policy;
 use maplefall_policy::{BackendId, Event, RequestId};
 
-/// What an attempt finds on the way to its backend.
+/// Result of connecting a proxy to a backend.
 enum Connection {
     /// A connection, kept or new: the attempt arrives after this delay, in milliseconds.
     Open { delay: f64 },
-    /// The network is partitioned and no connection was kept: connecting times out.
+    /// The network is partitioned and there is no kept connection: connecting times out.
     Unreachable,
 }
 
 impl Run<'_> {
-    /// Sends an attempt of a request from its proxy to a backend; `limit` is its timeout in milliseconds.
+    /// Sends an attempt of a request from its proxy to a backend; `limit` is its timeout in
+    /// milliseconds.
     pub(super) fn send(&mut self, proxy: usize, id: u32, backend: usize, limit: Option<f64>) {
         let now = self.now;
         let Some(request) = self.proxy_requests.get_mut(&id) else {
@@ -35,7 +37,7 @@
         if number == 0 {
             self.charge_quota(id, client_request);
         }
-        self.customers[customer].open += 1;
+        self.customers[customer].in_flight += 1;
         self.attempts_sent += 1;
         self.count_late_send(proxy, backend);
         let connection = self.connect(proxy, backend);
@@ -67,7 +69,8 @@
         }
     }
 
-    /// Charges a request's estimated units to its customer's quota, or counts them as over the quota.
+    /// Charges a request's estimated units to its customer's quota, or counts them as over the
+    /// quota.
     fn charge_quota(&mut self, id: u32, client_request: usize) {
         let ClientRequest {
             customer, units, ..
@@ -94,18 +97,23 @@
         }
         account.meter(period, units);
         if let Some(rate_limit) = plan.rate_limit {
-            account
-                .ceiling
-                .has(self.now, rate_limit.rate, rate_limit.burst, units);
-            account.ceiling.tokens -= units;
-            self.outcome.over_ceiling += u64::from(account.ceiling.tokens < -rate_limit.slack);
+            account.rate_limit_bucket.has_tokens(
+                self.now,
+                rate_limit.rate,
+                rate_limit.burst,
+                units,
+            );
+            account.rate_limit_bucket.tokens -= units;
+            self.outcome.over_rate_limit +=
+                u64::from(account.rate_limit_bucket.tokens < -rate_limit.slack);
         }
         if let Some(request) = self.proxy_requests.get_mut(&id) {
             request.within_quota = within_quota;
         }
     }
 
-    /// Counts an attempt to a backend whose drain the proxy has known of for longer than the grace.
+    /// Counts an attempt to a backend if the proxy was notified of the backend's drain longer ago
+    /// than the grace period.
     fn count_late_send(&mut self, proxy: usize, backend: usize) {
         let late = self.proxies[proxy]
             .notified
@@ -117,14 +125,16 @@
     /// Uses a proxy's connection to a backend, or opens one.
     fn connect(&mut self, proxy: usize, backend: usize) -> Connection {
         let now = self.now;
-        let used = self.proxies[proxy].connected.insert(backend, now);
+        let used = self.proxies[proxy]
+            .connection_last_used
+            .insert(backend, now);
         let mut delay = self.network_delay(proxy, backend);
         self.cross_zone_attempts += u64::from(self.crosses_zones(proxy, backend));
         if used.is_none_or(|used| now - used > self.world.idle_ms) {
             self.handshakes += 1;
             delay += self.world.handshake_ms;
             if self.is_partitioned(proxy, backend) {
-                self.proxies[proxy].connected.remove(&backend);
+                self.proxies[proxy].connection_last_used.remove(&backend);
                 return Connection::Unreachable;
             }
         }
@@ -149,15 +159,15 @@
             && self.proxies[ended.proxy].incarnation == ended.incarnation;
         let served = outcome == policy::Outcome::Ok;
         let customer = self.client_requests[ended.client_request].customer;
-        self.customers[customer].open = self.customers[customer].open.saturating_sub(1);
+        self.customers[customer].in_flight = self.customers[customer].in_flight.saturating_sub(1);
         if served {
             self.correct_quota(&ended);
         }
-        let answers = matches!(
+        let has_response = matches!(
             outcome,
             policy::Outcome::Ok | policy::Outcome::Error | policy::Outcome::Full
         );
-        let metered_usage = if answers {
+        let metered_usage = if has_response {
             self.quota_use(customer)
         } else {
             None
@@ -168,20 +178,21 @@
         if !alive {
             return self.forget_request(ended.id);
         }
-        if served && !self.is_answered(ended.id) {
-            self.answer_client(ended.id, true, None, None);
+        if served && !self.is_completed(ended.id) {
+            self.complete_request(ended.id, true, None, None);
         }
         self.report_end(&ended, outcome, metered_usage);
         self.forget_request(ended.id);
     }
 
-    /// Replaces the estimated units by the true ones in the customer's quota, while the request is not answered.
+    /// Replaces the estimated units by the true ones in the customer's quota, unless the request is
+    /// already completed.
     fn correct_quota(&mut self, ended: &Attempt) {
-        let open = self
+        let uncompleted = self
             .proxy_requests
             .get(&ended.id)
-            .is_some_and(|request| request.within_quota && !request.answered);
-        if !open {
+            .is_some_and(|request| request.within_quota && !request.completed);
+        if !uncompleted {
             return;
         }
         let ClientRequest {
@@ -195,26 +206,27 @@
         bucket.tokens = (bucket.tokens + units - true_units).min(burst);
     }
 
-    /// Whether a request at a proxy was answered; one that is no longer followed was.
-    fn is_answered(&self, id: u32) -> bool {
+    /// Whether a request at a proxy is completed; one that has been dropped is.
+    fn is_completed(&self, id: u32) -> bool {
         self.proxy_requests
             .get(&id)
-            .is_none_or(|request| request.answered)
+            .is_none_or(|request| request.completed)
     }
 
-    /// Reports the end of an attempt to the proxy's decision module; the oracle fails the request at once.
+    /// Reports the end of an attempt to the proxy's decision module; under the oracle the request
+    /// fails immediately.
     fn report_end(
         &mut self,
         ended: &Attempt,
         outcome: policy::Outcome,
         metered_usage: Option<f64>,
     ) {
-        let closed = self.is_answered(ended.id);
+        let closed = self.is_completed(ended.id);
         if self.world.load_balancer == LoadBalancer::Oracle {
             if !closed {
                 let full = (outcome == policy::Outcome::Full)
                     .then_some(policy::RejectReason::AttemptsFailed);
-                self.answer_client(ended.id, false, None, full);
+                self.complete_request(ended.id, false, None, full);
             }
             return;
         }
--- a/crates/model/src/run/backends.rs
+++ b/crates/model/src/run/backends.rs
@@ -1,6 +1,7 @@
 //! Backends: arrivals, jobs, failures, drains and replacements.
 //!
-//! A backend's number in `incarnations` grows when it dies, so that jobs of the process before are not finished by the next one.
+//! A backend's entry in `incarnations` is incremented when its process dies, so that a completion
+//! event of an earlier process has no effect on a later one.
 
 use super::event::RunEvent;
 use super::Run;
@@ -10,26 +11,27 @@
 use maplefall_policy::{BackendEntry, BackendId, Idempotency};
 
 impl Run<'_> {
-    /// Adds the time since the last change to the occupancy's integral (Little's law), then changes the occupancy.
+    /// Adds the time since the last change to the integral of the occupancy (for Little's law),
+    /// then changes the occupancy.
     pub(super) fn change_occupancy(&mut self, change: isize) {
         self.occupancy_integral += self.occupancy as f64 * (self.now - self.occupancy_since);
         self.occupancy_since = self.now;
         self.occupancy = self.occupancy.saturating_add_signed(change);
     }
 
-    /// An attempt arrives at its backend: it starts, is queued, or is rejected.
+    /// Delivers an attempt to its backend: it starts, is queued, or is rejected.
     pub(super) fn receive_attempt(&mut self, attempt: u64) {
-        let Some(one) = self.attempts.get(&attempt).cloned() else {
+        let Some(state) = self.attempts.get(&attempt).cloned() else {
             return;
         };
         let now = self.now;
-        if self.is_partitioned(one.proxy, one.backend) {
-            // The packets are lost: the proxy waits until its time limit.
+        if self.is_partitioned(state.proxy, state.backend) {
+            // The packets are lost: the proxy waits until its timeout.
             return self.detach_from_backend(attempt);
         }
-        let delay = self.network_delay(one.proxy, one.backend);
-        let client_request = &self.client_requests[one.client_request];
-        let backend = &mut self.backends[one.backend];
+        let delay = self.network_delay(state.proxy, state.backend);
+        let client_request = &self.client_requests[state.client_request];
+        let backend = &mut self.backends[state.backend];
         if !backend.up {
             self.outcome.dead += 1;
             self.detach_from_backend(attempt);
@@ -44,7 +46,7 @@
         let (factor, window) = (self.world.overload_factor, self.world.overload_window_ms);
         if backend.is_overloaded(now, work, factor, window, slack) {
             self.outcome.overload_failures += 1;
-            self.kill_backend(one.backend);
+            self.kill_backend(state.backend);
             return;
         }
         match backend.admit(
@@ -56,11 +58,11 @@
             now,
         ) {
             JobAdmission::Started(until) => {
-                let incarnation = self.incarnations[one.backend];
+                let incarnation = self.incarnations[state.backend];
                 self.queue.push(
                     until,
                     RunEvent::JobDone {
-                        backend: one.backend,
+                        backend: state.backend,
                         incarnation,
                         attempt,
                     },
@@ -81,33 +83,33 @@
         }
     }
 
-    /// An attempt is no longer in its backend.
+    /// Marks an attempt as no longer in its backend, and drops it if its end was reported.
     pub(super) fn detach_from_backend(&mut self, attempt: u64) {
-        if let Some(one) = self.attempts.get_mut(&attempt) {
-            one.at_backend = false;
-            if one.reported {
+        if let Some(state) = self.attempts.get_mut(&attempt) {
+            state.at_backend = false;
+            if state.reported {
                 self.attempts.remove(&attempt);
             }
         }
     }
 
-    /// A job is done: its reply goes to the proxy, and the next one starts.
+    /// Completes a job: sends its response to the proxy and starts the next job.
     pub(super) fn finish_job(&mut self, backend: usize, incarnation: u32, attempt: u64) {
         if self.incarnations[backend] != incarnation {
             return;
         }
         self.change_occupancy(-1);
-        if let Some(one) = self.attempts.get(&attempt).cloned() {
-            let class = &self.world.class[self.client_requests[one.client_request].class];
-            if let Some(request) = self.proxy_requests.get_mut(&one.id) {
+        if let Some(state) = self.attempts.get(&attempt).cloned() {
+            let class = &self.world.class[self.client_requests[state.client_request].class];
+            if let Some(request) = self.proxy_requests.get_mut(&state.id) {
                 request.executions += 1;
                 let twice = request.executions > 1
                     && World::effect(class) == Some(Idempotency::NonIdempotent);
                 self.outcome.executed_twice += u64::from(twice);
             }
             self.detach_from_backend(attempt);
-            let delay = self.network_delay(one.proxy, one.backend);
-            if !self.is_partitioned(one.proxy, one.backend) {
+            let delay = self.network_delay(state.proxy, state.backend);
+            if !self.is_partitioned(state.proxy, state.backend) {
                 self.queue.push(
                     self.now + delay,
                     RunEvent::AttemptEnded(attempt, policy::Outcome::Ok),
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Ends a backend process at once; its attempts are reset.
+    /// Kills a backend process; its attempts are reset.
     pub(super) fn kill_backend(&mut self, backend: usize) {
         let in_flight = self.backends[backend].stop();
         self.change_occupancy(-(in_flight as isize));
@@ -140,7 +142,7 @@
         let lost: Vec<u64> = self
             .attempts
             .iter()
-            .filter(|(_, one)| one.backend == backend && one.at_backend)
+            .filter(|(_, state)| state.backend == backend && state.at_backend)
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in lost {
@@ -170,7 +172,7 @@
         );
     }
 
-    /// A backend ends, and a new one, which warms up, replaces it under a new index.
+    /// Ends a drained backend and replaces it by a new one, which warms up, under a new index.
     pub(super) fn replace_backend(&mut self, backend: usize) {
         self.kill_backend(backend);
         let removed = BackendEntry {
@@ -179,15 +181,16 @@
         };
         self.publish_change(&[removed]);
         let speed = self.random.log_normal(1.0, self.world.speed_cv);
-        let shape = self.backends[backend].shape;
+        let config = self.backends[backend].config;
         self.backends
-            .push(Backend::new(shape, speed, Some(self.now)));
+            .push(Backend::new(config, speed, Some(self.now)));
         self.incarnations.push(0);
         let fresh = self.backend_entry(self.backends.len() - 1, Some(self.now));
         self.publish_change(&[fresh]);
     }
 
-    /// The endpoint entry of a ready backend; `started` is `None` for one that is warm since before the run.
+    /// Returns the endpoint entry of a ready backend; `started` is `None` for one that was warm
+    /// before the run.
     pub(super) fn backend_entry(&self, backend: usize, started: Option<f64>) -> BackendEntry {
         BackendEntry {
             id: BackendId(backend as u32),
@@ -199,11 +202,11 @@
         }
     }
 
-    /// Starts backends again under their old indexes; they warm up.
+    /// Restarts backends under their old indexes; they warm up.
     pub(super) fn restart_backends(&mut self, backends: Vec<usize>) {
         for at in backends {
             let old = &self.backends[at];
-            self.backends[at] = Backend::new(old.shape, old.speed, Some(self.now));
+            self.backends[at] = Backend::new(old.config, old.speed, Some(self.now));
             let back = self.backend_entry(at, Some(self.now));
             self.publish_change(&[back]);
         }
--- a/crates/model/src/run/event.rs
+++ b/crates/model/src/run/event.rs
@@ -1,5 +1,5 @@
-//! The events of a run. Each is handled by the module whose name it carries; `u32` is the id of a request at a proxy, `u64`
-//! that of an attempt.
+//! The events of a run. Each is handled by the module that its name refers to; `u32` is the
+//! identifier of a request at a proxy, `u64` that of an attempt.
 
 use maplefall_policy as policy;
 use maplefall_policy::{BackendEntry, TimerId};
@@ -7,7 +7,7 @@
 /// An event of a run.
 #[derive(Clone, Debug)]
 pub(super) enum RunEvent {
-    /// The next client request is made.
+    /// The arrival process makes the next client request.
     NextRequest,
     /// A client retries.
     Retry {
@@ -17,11 +17,11 @@
     },
     /// A request reaches its proxy.
     ProxyReceives(u32),
-    /// A client stops waiting for an answer.
+    /// A client stops waiting for a response.
     ClientTimeout(u32),
     /// An attempt reaches its backend.
     BackendReceives(u64),
-    /// A backend has done a job.
+    /// A backend completes a job.
     JobDone {
         backend: usize,
         incarnation: u32,
@@ -29,13 +29,13 @@
     },
     /// The end of an attempt reaches its proxy.
     AttemptEnded(u64, policy::Outcome),
-    /// An attempt's time limit is reached.
+    /// An attempt times out.
     AttemptTimeout(u64),
-    /// An alarm of a proxy's decision module is due.
-    Alarm {
+    /// A timer of a proxy's decision module fires.
+    PolicyTimer {
         proxy: usize,
         incarnation: u32,
-        alarm: TimerId,
+        timer: TimerId,
     },
     /// A proxy without an agent receives changes of the endpoint list.
     EndpointsChanged {
@@ -58,15 +58,15 @@
         close_ms: f64,
         lag_ms: f64,
     },
-    /// A proxy begins an orderly stop.
+    /// A proxy begins a graceful shutdown.
     ProxyStopping {
         proxy: usize,
         stop_ms: f64,
         down_ms: f64,
     },
-    /// An orderly stop ends.
+    /// A graceful shutdown ends.
     ProxyStopped { proxy: usize, down_ms: f64 },
-    /// A fault begins.
+    /// The fault of this index begins.
     Fault(usize),
     /// A proxy starts again.
     ProxyRestart(usize),
@@ -76,18 +76,20 @@
     BackendEnd(usize),
     /// A backend's speed changes by this factor.
     BackendSpeed(usize, f64),
-    /// The next request of a flood, which ends at `until`; `pause` is the mean gap in milliseconds.
+    /// The next request of a flood or a spike, which ends at `until`; `mean_gap` is the mean
+    /// interarrival time in milliseconds.
     FloodRequest {
         customer: usize,
-        pause: f64,
+        mean_gap: f64,
         until: f64,
     },
     /// A customer's spike begins.
     SpikeStart(usize),
-    /// The next request of a customer that comes once.
-    OneShotRequest { pause: f64, until: f64 },
+    /// The next request of a one-shot customer; `mean_gap` is the mean interarrival time in
+    /// milliseconds.
+    OneShotRequest { mean_gap: f64, until: f64 },
     /// A partition ends.
     PartitionHealed,
-    /// The backends of a zone start again.
+    /// The backends of a lost zone start again.
     BackendsRestart(Vec<usize>),
 }
--- a/crates/model/src/run/faults.rs
+++ b/crates/model/src/run/faults.rs
@@ -1,6 +1,8 @@
-//! Faults: what the world's `[[trouble]]` tables do to proxies, agents, backends, customers and the network.
+//! Faults: the effects of the world's `[[trouble]]` tables on proxies, agents, backends, customers
+//! and the network.
 //!
-//! Who is hit is drawn at the time of the fault, so that a run is a function of its world and seed alone.
+//! The affected proxies, backends and customers are drawn when the fault begins, so that a run is a
+//! function of its world and seed alone.
 
 use super::event::RunEvent;
 use super::Run;
@@ -18,7 +20,7 @@
     fn pick(&mut self, count: usize, many: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..count).collect();
         (0..many.min(count))
-            .map(|_| all.swap_remove(self.random.below(all.len())))
+            .map(|_| all.swap_remove(self.random.uniform_below(all.len())))
             .collect()
     }
 
@@ -45,7 +47,7 @@
                 fraction,
                 dead,
                 ..
-            } => self.silence_agents(for_s, fraction, dead),
+            } => self.suspend_agents(for_s, fraction, dead),
             Fault::ReplaceBackends {
                 fraction, over_s, ..
             } => self.replace_backends(fraction, over_s),
@@ -73,25 +75,25 @@
         }
     }
 
-    /// Kills a fraction of the proxies; each comes back after a drawn time.
+    /// Kills a fraction of the proxies; each restarts after a drawn time.
     fn restart_proxies(&mut self, fraction: f64, down_ms: [f64; 2]) {
         for proxy in self.pick_fraction(self.proxies.len(), fraction) {
-            // One that is down already, or has a time to come back at, is passed over.
+            // A proxy that is down or stopping is skipped: its restart is already scheduled.
             if !self.proxies[proxy].up || self.proxies[proxy].stopping {
                 continue;
             }
             self.stop_proxy(proxy);
-            let down = self.random.within(down_ms);
+            let down = self.random.uniform_within(down_ms);
             self.queue
                 .push(self.now + down, RunEvent::ProxyRestart(proxy));
         }
     }
 
-    /// Stops and starts all proxies, each at a drawn time.
+    /// Stops and restarts all proxies, each at a drawn time.
     fn roll_proxies(&mut self, over_s: f64, stop_ms: f64, down_ms: [f64; 2]) {
         for proxy in 0..self.proxies.len() {
-            let when = self.now + self.random.within([0.0, over_s * 1000.0]);
-            let down_ms = self.random.within(down_ms);
+            let when = self.now + self.random.uniform_within([0.0, over_s * 1000.0]);
+            let down_ms = self.random.uniform_within(down_ms);
             self.queue.push(
                 when,
                 RunEvent::ProxyStopping {
@@ -103,11 +105,11 @@
         }
     }
 
-    /// Moves discovery: each proxy is notified at a drawn time.
+    /// Moves all agents; each proxy is notified at a drawn time.
     fn move_agents(&mut self, over_s: f64, close_ms: f64, lag_ms: [f64; 2]) {
         for proxy in 0..self.proxies.len() {
-            let when = self.now + self.random.within([0.0, over_s * 1000.0]);
-            let lag_ms = self.random.within(lag_ms);
+            let when = self.now + self.random.uniform_within([0.0, over_s * 1000.0]);
+            let lag_ms = self.random.uniform_within(lag_ms);
             self.queue.push(
                 when,
                 RunEvent::AgentMoved {
@@ -119,12 +121,12 @@
         }
     }
 
-    /// Lets a fraction of the agents send nothing for a while.
-    fn silence_agents(&mut self, for_s: f64, fraction: f64, dead: bool) {
+    /// Suspends a fraction of the agents for a while.
+    fn suspend_agents(&mut self, for_s: f64, fraction: f64, dead: bool) {
         let (now, until) = (self.now, self.now + for_s * 1000.0);
         for proxy in self.pick_fraction(self.proxies.len(), fraction) {
             if let Some(agent) = &mut self.proxies[proxy].agent {
-                agent.pause(now, until, dead);
+                agent.suspend(now, until, dead);
             }
             self.schedule_agent(proxy);
         }
@@ -136,7 +138,7 @@
             .filter(|at| self.backends[*at].up)
             .collect();
         for at in self.pick_fraction(up.len(), fraction) {
-            let when = self.now + self.random.within([0.0, over_s * 1000.0]);
+            let when = self.now + self.random.uniform_within([0.0, over_s * 1000.0]);
             self.queue.push(when, RunEvent::BackendDrain(up[at]));
         }
     }
@@ -152,34 +154,36 @@
         }
     }
 
-    /// Starts floods of some customers beside their usual requests.
+    /// Starts floods of some customers in addition to their usual requests.
     fn start_floods(&mut self, for_s: f64, customers: usize, times: f64, through: usize) {
         let until = self.now + for_s * 1000.0;
         for customer in self.pick(self.world.customers, customers) {
             let rate = self.settings.plans[self.customers[customer].plan].rate;
-            let pause = 1000.0 * self.world.units / (rate * times).max(1e-9);
-            self.customers[customer].through = through;
-            let next = self.now + self.random.exponential(pause);
+            let mean_gap = 1000.0 * self.world.units / (rate * times).max(1e-9);
+            self.customers[customer].flood_spread = through;
+            let next = self.now + self.random.exponential(mean_gap);
             self.queue.push(
                 next,
                 RunEvent::FloodRequest {
                     customer,
-                    pause,
+                    mean_gap,
                     until,
                 },
             );
         }
     }
 
-    /// Starts requests of customers that come once.
+    /// Starts the arrival process of one-shot customers.
     fn start_one_shots(&mut self, for_s: f64, share: f64) {
-        let pause = 1000.0 / (share * self.rate).max(1e-9);
+        let mean_gap = 1000.0 / (share * self.rate).max(1e-9);
         let until = self.now + for_s * 1000.0;
-        self.queue
-            .push(self.now + pause, RunEvent::OneShotRequest { pause, until });
+        self.queue.push(
+            self.now + mean_gap,
+            RunEvent::OneShotRequest { mean_gap, until },
+        );
     }
 
-    /// Parts a fraction of the proxies from a fraction of the backends.
+    /// Partitions a fraction of the proxies from a fraction of the backends.
     fn partition_network(&mut self, for_s: f64, proxy_fraction: f64, backend_fraction: f64) {
         let proxies = self
             .pick_fraction(self.proxies.len(), proxy_fraction)
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -1,21 +1,21 @@
-//! One run of a world: the event loop and the state that all its parts share.
+//! One run of a world: the event loop and the state that all parts share.
 //!
-//! | file | concern |
+//! | module | concern |
 //! | --- | --- |
 //! | `setup` | settings, customers, backends, first events |
-//! | `event` | the events |
-//! | `clients` | client requests, choice of a proxy, retries, answers |
-//! | `quota` | true quotas of customers, the use meter |
+//! | `event` | the event types |
+//! | `clients` | client requests, choice of a proxy, retries, responses |
+//! | `quota` | true quotas of customers, the usage meter |
 //! | `proxy` | proxies: actions of the decision module, stops and starts |
 //! | `attempt` | attempts at backends: quota, connection, end |
 //! | `backends` | arrivals, jobs, drains, replacements |
 //! | `discovery` | how changes of the endpoint list reach proxies |
-//! | `faults` | what goes wrong |
+//! | `faults` | effects of faults |
 //! | `network` | delays, zones, partitions |
 //! | `results` | figures of the outcome |
 //!
-//! Invariant: a run is a function of its world and seed. All randomness comes from one generator, so the order of events and of
-//! draws must not change without need: every published figure would.
+//! Invariant: a run is a function of its world and seed. All randomness comes from one generator,
+//! so a change in the order of events or of draws changes every published figure.
 
 mod attempt;
 mod backends;
@@ -32,8 +32,8 @@
 
 use crate::agent::EndpointHistory;
 use crate::backend::Backend;
-use crate::metrics::{Outcome, Times};
-use crate::queue::Queue;
+use crate::metrics::{LatencyHistogram, Outcome};
+use crate::queue::EventQueue;
 use crate::random::{AliasTable, RandomSource};
 use crate::world::World;
 use event::RunEvent;
@@ -45,7 +45,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long agents run on after the last client request, in milliseconds; longer than any client goes on retrying.
+/// How long agents keep running after the last client request, in milliseconds; longer than any
+/// client keeps retrying.
 const AGENT_TAIL_MS: f64 = 20_000.0;
 
 struct Run<'a> {
@@ -53,15 +54,15 @@
     history: EndpointHistory,
     random: RandomSource,
     now: f64,
-    queue: Queue<RunEvent>,
+    queue: EventQueue<RunEvent>,
     settings: policy::Settings,
     ranks: AliasTable,
     plans: AliasTable,
     customers: Vec<Customer>,
     classes: AliasTable,
-    /// Client requests a second, spikes and floods left out.
+    /// Client requests a second, without spikes and floods.
     rate: f64,
-    /// The group of demand of each customer.
+    /// The demand group of each customer.
     groups: Vec<usize>,
     proxies: Vec<Proxy>,
     backends: Vec<Backend>,
@@ -71,7 +72,7 @@
     attempts: BTreeMap<u64, Attempt>,
     next_proxy_request: u32,
     next_attempt: u64,
-    /// Proxies and backends that do not reach each other.
+    /// Proxies and backends that cannot reach each other.
     partition: Option<(BTreeSet<usize>, BTreeSet<usize>)>,
     cross_zone_attempts: u64,
     meter_delay: f64,
@@ -84,10 +85,11 @@
     served_value: f64,
     handshakes: u64,
     attempts_sent: u64,
-    times: Times,
+    latencies: LatencyHistogram,
     waits: (f64, u64),
     sojourn: (f64, u64),
-    /// Requests in backends now, since when, and their integral over time in milliseconds (for Little's law).
+    /// Integral of the number of requests in backends over time in milliseconds, the time of the
+    /// last change, and the current number (for Little's law).
     occupancy_integral: f64,
     occupancy_since: f64,
     occupancy: usize,
@@ -95,53 +97,54 @@
     actions: Vec<Action>,
 }
 
-/// Plays a world; the same world and seed always give the same outcome.
-pub fn play(world: &World, seed: u64) -> Outcome {
+/// Simulates a world; the same world and seed always give the same outcome.
+pub fn simulate(world: &World, seed: u64) -> Outcome {
     let mut run = Run::new(world, seed);
     run.schedule_start();
     run.run_events();
     run.finish(seed)
 }
 
-/// A client request as a load generator outside needs it; one line of `maplefall-model load`.
+/// A client request as an external load generator needs it; one line of `maplefall-model load`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GeneratedRequest {
-    /// When it is made, in milliseconds from the start.
+    /// Time of the request, in milliseconds from the start.
     pub at: f64,
-    /// Whose it is.
+    /// Identifier of the customer.
     pub customer: u64,
-    /// The customer's plan and the request's class, by number.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// See above.
+    /// Index of the request's class.
     pub class: usize,
-    /// Units that it counts.
+    /// Estimated units that the request counts.
     pub units: f64,
-    /// Proxies of the customer's set, in a row from `first`.
+    /// Number of proxies in the customer's set, which is contiguous from `first`.
     pub spread: u32,
-    /// See above.
+    /// Index of the first proxy of the set.
     pub first: u32,
 }
 
-/// The client requests that a world draws; they depend on the seed alone, not on what becomes of them.
+/// Returns the client requests that a world draws, without retries; they depend on the world and
+/// seed alone.
 pub fn load(world: &World, seed: u64) -> Vec<GeneratedRequest> {
     let mut run = Run::new(world, seed);
     run.schedule_start();
     run.run_events();
-    let generated = |one: &ClientRequest| GeneratedRequest {
-        at: one.started_at,
-        customer: one.customer as u64,
-        plan: run.customers[one.customer].plan,
-        class: one.class,
-        units: one.units,
-        spread: run.spread(one.customer) as u32,
-        first: run.customers[one.customer].home as u32,
+    let generated = |request: &ClientRequest| GeneratedRequest {
+        at: request.started_at,
+        customer: request.customer as u64,
+        plan: run.customers[request.customer].plan,
+        class: request.class,
+        units: request.units,
+        spread: run.spread(request.customer) as u32,
+        first: run.customers[request.customer].home as u32,
     };
     run.client_requests.iter().map(generated).collect()
 }
 
 impl Run<'_> {
-    /// Handles events in the order of their times until none is left.
+    /// Handles events in order of time until none is left.
     fn run_events(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
             self.now = at;
@@ -165,18 +168,18 @@
                 RunEvent::AttemptTimeout(attempt) => {
                     self.end_attempt(attempt, policy::Outcome::Timeout)
                 }
-                RunEvent::Alarm {
+                RunEvent::PolicyTimer {
                     proxy,
                     incarnation,
-                    alarm,
-                } => self.fire_alarm(proxy, incarnation, alarm),
+                    timer,
+                } => self.fire_timer(proxy, incarnation, timer),
                 RunEvent::EndpointsChanged { proxy, entries } => {
                     self.update_endpoints(proxy, entries)
                 }
                 RunEvent::AgentUpdated { proxy, at, version } => {
                     self.update_agent(proxy, at, version)
                 }
-                RunEvent::Notified { proxy, version } => self.mark_notified(proxy, version),
+                RunEvent::Notified { proxy, version } => self.record_notified(proxy, version),
                 RunEvent::AgentDue { proxy, at } => self.run_agent_if_due(proxy, at),
                 RunEvent::AgentMoved {
                     proxy,
@@ -196,11 +199,13 @@
                 RunEvent::BackendSpeed(backend, factor) => self.backends[backend].speed *= factor,
                 RunEvent::FloodRequest {
                     customer,
-                    pause,
+                    mean_gap,
                     until,
-                } => self.continue_flood(customer, pause, until),
+                } => self.continue_flood(customer, mean_gap, until),
                 RunEvent::SpikeStart(customer) => self.start_spike(customer),
-                RunEvent::OneShotRequest { pause, until } => self.continue_one_shots(pause, until),
+                RunEvent::OneShotRequest { mean_gap, until } => {
+                    self.continue_one_shots(mean_gap, until)
+                }
                 RunEvent::PartitionHealed => self.partition = None,
                 RunEvent::BackendsRestart(backends) => self.restart_backends(backends),
             }
--- a/crates/model/src/run/network.rs
+++ b/crates/model/src/run/network.rs
@@ -1,21 +1,21 @@
 //! The network between clients, proxies and backends: delays, zones and partitions.
 //!
-//! Each delay is drawn anew; messages may overtake each other.
+//! Each delay is drawn independently, so messages can overtake each other.
 
 use super::Run;
 
 impl Run<'_> {
-    /// One way between a client and a proxy, in milliseconds.
+    /// Draws a one-way delay between a client and a proxy, in milliseconds.
     pub(super) fn delay(&mut self) -> f64 {
-        self.random.within(self.world.delay_ms)
+        self.random.uniform_within(self.world.delay_ms)
     }
 
-    /// One way between a proxy and a backend, in milliseconds; longer between zones.
+    /// Draws a one-way delay between a proxy and a backend, in milliseconds; longer between zones.
     pub(super) fn network_delay(&mut self, proxy: usize, backend: usize) -> f64 {
         let cross = self.crosses_zones(proxy, backend);
         self.delay()
             + if cross {
-                self.random.within(self.world.cross_zone_ms)
+                self.random.uniform_within(self.world.cross_zone_ms)
             } else {
                 0.0
             }
--- a/crates/model/src/run/proxy.rs
+++ b/crates/model/src/run/proxy.rs
@@ -1,7 +1,8 @@
-//! Proxies: they hand requests to their decision module, carry out its actions, and are stopped and started again.
+//! Proxies: they pass requests to their decision module, perform its actions, and are stopped and
+//! started again.
 //!
-//! A proxy's `incarnation` grows with each stop, so that what is still on its way for an earlier one (requests, alarms, ends of
-//! attempts) is told apart from what is for this one.
+//! A proxy's `incarnation` is incremented with each stop, so that events in transit for an earlier
+//! one (requests, timers, ends of attempts) can be told apart from those for the current one.
 
 use super::event::RunEvent;
 use super::request::ClientRequest;
@@ -20,40 +21,41 @@
     pub(super) policy: Box<dyn DecisionPolicy>,
     pub(super) incarnation: u32,
     pub(super) up: bool,
-    /// When it was notified that a backend drains or is gone, and by which version of the list.
+    /// For each backend that drains or is gone, when the proxy was notified, and by which version
+    /// of the list.
     pub(super) notified: BTreeMap<usize, (f64, u64)>,
-    /// Up to which version of the list it counts as notified.
+    /// The version of the list up to which the proxy counts as notified.
     pub(super) notified_until: u64,
-    /// Its agent, where proxies have some, and when something is next due there.
+    /// The proxy's agent, in worlds with agents, and the time of its next scheduled event.
     pub(super) agent: Option<ProxyAgent>,
     pub(super) agent_due_at: f64,
-    /// Whether it is stopping: it takes nothing new.
+    /// Whether the proxy is shutting down and accepts no new requests.
     pub(super) stopping: bool,
-    /// By how much its agent is behind where it has moved to.
+    /// How far its agent lags behind at the second address.
     pub(super) lag_ms: f64,
-    /// The list as it has it.
+    /// The endpoint list as the proxy has it.
     pub(super) endpoints: BTreeMap<usize, BackendEntry>,
-    /// When a connection to a backend was used last.
-    pub(super) connected: BTreeMap<usize, f64>,
+    /// When the connection to each backend was last used.
+    pub(super) connection_last_used: BTreeMap<usize, f64>,
 }
 
 impl Run<'_> {
     pub(super) fn receive_request(&mut self, id: u32) {
-        let Some(one) = self.proxy_requests.get(&id) else {
+        let Some(proxy_request) = self.proxy_requests.get(&id) else {
             return;
         };
-        let (proxy, incarnation) = (one.proxy, one.incarnation);
+        let (proxy, incarnation) = (proxy_request.proxy, proxy_request.incarnation);
         if !self.proxies[proxy].up || self.proxies[proxy].incarnation != incarnation {
             return self.lose_request(id);
         }
-        let client_request = self.client_requests[one.client_request].clone();
+        let client_request = self.client_requests[proxy_request.client_request].clone();
         let request = policy::Request {
             id: RequestId(id),
             customer: CustomerId(client_request.customer as u64),
             plan: PlanId(self.customers[client_request.customer].plan),
             class: ClassId(client_request.class),
             units: client_request.units,
-            deadline: one.deadline,
+            deadline: proxy_request.deadline,
             authorized: true,
             gateways: self.spread(client_request.customer) as f64,
         };
@@ -63,7 +65,7 @@
         self.deliver_event(proxy, Event::Arrival(request));
     }
 
-    /// Decides for a request by the true state of all backends and quotas.
+    /// Decides on a request by the true state of all backends and quotas.
     pub(super) fn decide_as_oracle(
         &mut self,
         id: u32,
@@ -74,7 +76,7 @@
         let has_quota = self.has_quota(client_request.customer, client_request.units);
         let free = |backend: &Backend| {
             (backend.in_flight() as f64 + 1.0)
-                / (backend.shape.cores as f64 * backend.capacity_fraction(now) * backend.speed)
+                / (backend.config.cores as f64 * backend.capacity_fraction(now) * backend.speed)
         };
         let best = (0..self.backends.len())
             .filter(|at| {
@@ -132,13 +134,13 @@
                 request,
                 reason,
                 retry_after,
-            } => self.answer_client(request.0, false, retry_after, Some(reason)),
-            Action::Fail(request) => self.answer_client(request.0, false, None, None),
+            } => self.complete_request(request.0, false, retry_after, Some(reason)),
+            Action::Fail(request) => self.complete_request(request.0, false, None, None),
             Action::CancelAttempt { request, .. } => {
                 let pending_attempt = self
                     .proxy_requests
                     .get(&request.0)
-                    .and_then(|one| one.pending_attempt);
+                    .and_then(|proxy_request| proxy_request.pending_attempt);
                 if let Some(attempt) = pending_attempt {
                     self.end_attempt(attempt, policy::Outcome::Cancelled);
                 }
@@ -147,10 +149,10 @@
                 let incarnation = self.proxies[proxy].incarnation;
                 self.queue.push(
                     at.max(self.now),
-                    RunEvent::Alarm {
+                    RunEvent::PolicyTimer {
                         proxy,
                         incarnation,
-                        alarm: timer,
+                        timer,
                     },
                 );
             }
@@ -185,7 +187,7 @@
         let pending: Vec<u32> = self
             .proxy_requests
             .iter()
-            .filter(|(_, one)| one.proxy == proxy)
+            .filter(|(_, request)| request.proxy == proxy)
             .map(|(id, _)| *id)
             .collect();
         for id in pending {
@@ -198,9 +200,10 @@
         let now = self.now;
         let old = &mut self.proxies[proxy];
         (old.policy, old.up) = (policy, true);
-        old.connected.clear();
+        old.connection_last_used.clear();
         if let Some(agent) = &mut old.agent {
-            // What was notified to an earlier incarnation is notified to this one when it starts: it knows nothing before.
+            // The new incarnation counts as notified, when it starts, of all that an earlier one
+            // was notified of: it has no earlier state.
             agent.restart(now as u64 ^ proxy as u64, now);
             let from = agent.notified_at(now);
             old.notified
@@ -213,14 +216,15 @@
         self.deliver_event(proxy, Event::Backends(policy::ListKind::Cached, endpoints));
     }
 
-    /// Delivers an alarm to the incarnation that set it, if it still runs.
-    pub(super) fn fire_alarm(&mut self, proxy: usize, incarnation: u32, alarm: TimerId) {
+    /// Delivers a timer to the incarnation that set it, if that still runs.
+    pub(super) fn fire_timer(&mut self, proxy: usize, incarnation: u32, timer: TimerId) {
         if self.proxies[proxy].up && self.proxies[proxy].incarnation == incarnation {
-            self.deliver_event(proxy, Event::Timer(alarm));
+            self.deliver_event(proxy, Event::Timer(timer));
         }
     }
 
-    /// Begins an orderly stop: the proxy takes nothing new and goes on with what it has for `stop_ms`.
+    /// Begins a graceful shutdown: the proxy accepts no new requests and continues with its pending
+    /// ones for `stop_ms`.
     pub(super) fn begin_proxy_stop(&mut self, proxy: usize, stop_ms: f64, down_ms: f64) {
         if self.proxies[proxy].up && !self.proxies[proxy].stopping {
             self.proxies[proxy].stopping = true;
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Ends an orderly stop; the proxy starts again after `down_ms`.
+    /// Ends a graceful shutdown; the proxy starts again after `down_ms`.
     pub(super) fn end_proxy_stop(&mut self, proxy: usize, down_ms: f64) {
         if self.proxies[proxy].stopping {
             self.stop_proxy(proxy);
--- a/crates/model/src/run/results.rs
+++ b/crates/model/src/run/results.rs
@@ -1,10 +1,11 @@
-//! Results: the counters of a run as figures of its [`Outcome`], parts of what one proxy that sees everything would admit.
+//! Results: converts the counters of a run to the figures of its [`Outcome`], as fractions of what
+//! one proxy that sees all requests would admit.
 
 use super::Run;
 use crate::metrics::Outcome;
 
 impl Run<'_> {
-    /// The outcome of the run; a figure whose reference is 0 is 0.
+    /// Returns the outcome of the run; a figure whose reference is 0 is 0.
     pub(super) fn finish(mut self, seed: u64) -> Outcome {
         let mut outcome = std::mem::take(&mut self.outcome);
         (outcome.world, outcome.seed) = (self.world.name.clone(), seed);
@@ -38,13 +39,14 @@
         outcome.late = self
             .client_requests
             .iter()
-            .filter(|one| one.admitted && !one.served)
+            .filter(|request| request.admitted && !request.served)
             .count() as u64;
         outcome.cross_zone_attempts =
             fraction(self.cross_zone_attempts as f64, self.attempts_sent as f64);
         outcome.attempts = fraction(self.attempts_sent as f64, outcome.client_requests as f64);
         outcome.handshakes = fraction(self.handshakes as f64, self.attempts_sent as f64);
-        (outcome.p50_ms, outcome.p99_ms) = (self.times.quantile(0.5), self.times.quantile(0.99));
+        (outcome.p50_ms, outcome.p99_ms) =
+            (self.latencies.quantile(0.5), self.latencies.quantile(0.99));
         outcome.wait_ms = fraction(self.waits.0, self.waits.1 as f64);
         outcome.sojourn_ms = fraction(self.sojourn.0, self.sojourn.1 as f64);
         outcome.in_backends = fraction(self.occupancy_integral, self.occupancy_since);
@@ -55,13 +57,13 @@
             .collect();
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
         outcome.max_load = fraction(
-            loads.iter().fold(0.0, |most: f64, one| most.max(*one)),
+            loads.iter().fold(0.0, |max: f64, load| max.max(*load)),
             mean,
         );
         outcome.min_load = fraction(
             loads
                 .iter()
-                .fold(f64::INFINITY, |least: f64, one| least.min(*one)),
+                .fold(f64::INFINITY, |min: f64, load| min.min(*load)),
             mean,
         );
         outcome
--- a/crates/model/src/run/setup.rs
+++ b/crates/model/src/run/setup.rs
@@ -1,6 +1,8 @@
-//! Setup of a run: settings of the decision module, customers, backends, proxies and the first events.
+//! Setup of a run: settings of the decision module, customers, backends, proxies and the first
+//! events.
 //!
-//! Everything is drawn here in a fixed order; a change of the order changes every run of every seed.
+//! Everything is drawn here in a fixed order; a change of the order changes every run of every
+//! seed.
 
 use super::event::RunEvent;
 use super::proxy::Proxy;
@@ -9,15 +11,15 @@
 use crate::agent::{EndpointHistory, ProxyAgent};
 use crate::backend::{Backend, BackendConfig};
 use crate::balancer::{BaselinePolicy, DecisionPolicy};
-use crate::metrics::{Outcome, Times};
-use crate::queue::Queue;
+use crate::metrics::{LatencyHistogram, Outcome};
+use crate::queue::EventQueue;
 use crate::random::{AliasTable, RandomSource};
 use crate::world::{LoadBalancer, World};
 use maplefall_policy as policy;
 use maplefall_policy::{BackendEntry, Event, Idempotency};
 use std::collections::BTreeMap;
 
-/// The decision module's settings for a world, before plans are scaled.
+/// Returns the decision module's settings for a world, before the plans are scaled.
 fn settings(world: &World) -> policy::Settings {
     let class = |class: &crate::world::ClassSpec| policy::Class {
         latency_target: class.latency_target_ms,
@@ -33,7 +35,7 @@
         burst: plan.burst,
         price: plan.price,
         over_quota_cost: 1.0,
-        max_in_flight: plan.max_open,
+        max_in_flight: plan.max_in_flight,
         rate_limit: None,
         ..policy::Plan::default()
     };
@@ -58,8 +60,9 @@
     }
 }
 
-/// Draws each customer's group of demand and what it asks for, and scales all plans by one factor so that demand within quotas
-/// fits the world's load. Returns the client requests a second, and the group of each customer.
+/// Draws each customer's demand group and demand, and scales all plans by one factor so that the
+/// demand within quotas fits the world's load. Returns the client requests a second, and the group
+/// of each customer.
 fn scale_to_demand(
     world: &World,
     settings: &mut policy::Settings,
@@ -73,7 +76,7 @@
     let mut within = 0.0;
     for (weight, plan) in weights.iter_mut().zip(plan_of) {
         let group = shares.draw(random);
-        let fraction = random.within(world.demand[group].fraction);
+        let fraction = random.uniform_within(world.demand[group].fraction);
         *weight = fraction * world.plan[*plan].rate;
         within += fraction.min(1.0) * world.plan[*plan].rate;
         groups.push(group);
@@ -87,7 +90,8 @@
     (rate, groups)
 }
 
-/// Scales each plan so that its customers use the world's `usage` of it on average; its burst keeps its length in time.
+/// Scales each plan so that its customers use the world's `usage` of it on average; its burst keeps
+/// its duration.
 fn scale_to_usage(
     world: &World,
     settings: &mut policy::Settings,
@@ -110,14 +114,14 @@
     }
 }
 
-/// Sets the hard ceilings, as multiples of the scaled rates and bursts.
-fn set_ceilings(world: &World, settings: &mut policy::Settings) {
+/// Sets the hard rate limits as multiples of the scaled rates and bursts.
+fn set_rate_limits(world: &World, settings: &mut policy::Settings) {
     for (plan, spec) in settings.plans.iter_mut().zip(&world.plan) {
-        if spec.ceiling > 0.0 {
-            let burst = (spec.ceiling * plan.burst).max(4.0 * world.max_units);
+        if spec.rate_limit_factor > 0.0 {
+            let burst = (spec.rate_limit_factor * plan.burst).max(4.0 * world.max_units);
             let slack = (0.1 * burst).max(world.max_units);
             plan.rate_limit = Some(policy::RateLimit {
-                rate: spec.ceiling * plan.rate,
+                rate: spec.rate_limit_factor * plan.rate,
                 burst,
                 slack,
             });
@@ -126,7 +130,7 @@
 }
 
 impl<'a> Run<'a> {
-    /// Draws a run from its world and seed.
+    /// Draws the initial state of a run from its world and seed.
     pub(super) fn new(world: &'a World, seed: u64) -> Run<'a> {
         let mut random = RandomSource::new(seed);
         let mut weights: Vec<f64> = (0..world.customers)
@@ -136,7 +140,7 @@
         let plan_of: Vec<usize> = weights.iter().map(|_| plans.draw(&mut random)).collect();
         let home: Vec<usize> = weights
             .iter()
-            .map(|_| random.below(world.proxies))
+            .map(|_| random.uniform_below(world.proxies))
             .collect();
         let mut settings = settings(world);
         let (mut rate, mut groups) = (world.requests_per_second(), Vec::new());
@@ -146,27 +150,27 @@
         } else if world.usage > 0.0 {
             scale_to_usage(world, &mut settings, &weights, &plan_of);
         }
-        set_ceilings(world, &mut settings);
+        set_rate_limits(world, &mut settings);
         let customers = plan_of
             .iter()
             .zip(home)
             .map(|(plan, home)| customer(&settings, *plan, home, 0.0))
             .collect();
-        let meter_delay = random.within(world.meter_delay_ms);
-        let shape = BackendConfig {
+        let meter_delay = random.uniform_within(world.meter_delay_ms);
+        let config = BackendConfig {
             cores: world.cores,
             queue: world.queue,
             initial_capacity: world.initial_capacity,
             warm_up_ms: world.warm_up_ms,
         };
         let backends: Vec<Backend> = (0..world.backends)
-            .map(|_| Backend::new(shape, random.log_normal(1.0, world.speed_cv), None))
+            .map(|_| Backend::new(config, random.log_normal(1.0, world.speed_cv), None))
             .collect();
         Run {
             world,
             history: EndpointHistory::default(),
             now: 0.0,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             settings,
             ranks: AliasTable::new(&weights),
             plans,
@@ -199,7 +203,7 @@
             served_value: 0.0,
             handshakes: 0,
             attempts_sent: 0,
-            times: Times::default(),
+            latencies: LatencyHistogram::default(),
             waits: (0.0, 0),
             sojourn: (0.0, 0),
             occupancy_integral: 0.0,
@@ -211,7 +215,7 @@
         }
     }
 
-    /// A fresh decision policy for a proxy.
+    /// Creates a decision policy for a proxy.
     pub(super) fn new_policy(&mut self, proxy: usize) -> Box<dyn DecisionPolicy> {
         let zone = policy::ZoneId((proxy % self.world.zones) as u32);
         let (set, seed) = (
@@ -219,7 +223,7 @@
                 zone,
                 ..self.settings.clone()
             },
-            self.random.seed(),
+            self.random.next_seed(),
         );
         match self.world.load_balancer {
             LoadBalancer::Module => Box::new(policy::Gateway::new(set, seed)),
@@ -242,7 +246,7 @@
         for proxy in 0..self.world.proxies {
             let policy = self.new_policy(proxy);
             let endpoints = entries.clone();
-            let (notified, connected) = (BTreeMap::new(), BTreeMap::new());
+            let (notified, connection_last_used) = (BTreeMap::new(), BTreeMap::new());
             let agent = self
                 .world
                 .agents
@@ -258,7 +262,7 @@
                 stopping: false,
                 lag_ms: 0.0,
                 endpoints,
-                connected,
+                connection_last_used,
             });
             self.schedule_agent(proxy);
         }
@@ -270,7 +274,7 @@
         for (customer, group) in self.groups.clone().into_iter().enumerate() {
             let demand = &self.world.demand[group];
             if demand.spike > 0.0 {
-                let at = self.random.within([0.0, demand.every_s * 1000.0]);
+                let at = self.random.uniform_within([0.0, demand.every_s * 1000.0]);
                 self.queue.push(at, RunEvent::SpikeStart(customer));
             }
         }
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -1,10 +1,11 @@
-//! Looks for a run in which a figure breaks a bound, and shrinks its world while it still does: a small case can be read.
+//! Searches for a run in which a figure breaks a bound, and shrinks its world while the figure
+//! still does: a small case is easier to read.
 
-use crate::run::play;
+use crate::run::simulate;
 use crate::world::World;
 use crate::Outcome;
 
-/// What is target for: a figure above or below a bound.
+/// The target of a search: a figure above or below a bound.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     figure: String,
@@ -13,12 +14,12 @@
 }
 
 impl Target {
-    /// Reads `figure>bound` or `figure<bound`.
+    /// Parses `figure>bound` or `figure<bound`.
     ///
     /// # Errors
-    /// What was expected.
+    /// A message that names what was expected, or an unknown figure.
     pub fn parse(text: &str) -> Result<Target, String> {
-        let expected = || format!("figure>bound or figure<bound was expected, not {text}");
+        let expected = || format!("expected figure>bound or figure<bound, got {text}");
         let at = text.find(['>', '<']).ok_or_else(expected)?;
         let bound = text[at + 1..].trim().parse().map_err(|_| expected())?;
         let target = Target {
@@ -27,12 +28,12 @@
             bound,
         };
         if Outcome::default().field(&target.figure).is_none() {
-            return Err(format!("{} is no figure of a run", target.figure));
+            return Err(format!("{} is not a figure of a run", target.figure));
         }
         Ok(target)
     }
 
-    fn seen(&self, outcome: &Outcome) -> Option<f64> {
+    fn violation(&self, outcome: &Outcome) -> Option<f64> {
         let value = outcome.field(&self.figure)?;
         let breaks = if self.above {
             value > self.bound
@@ -43,31 +44,31 @@
     }
 }
 
-/// A world that breaks it.
+/// A run that breaks the bound.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Found {
-    /// The world, as small as it became.
+    /// The world, shrunk as far as possible.
     pub world: World,
-    /// The smallest seed at which it does.
+    /// The smallest seed at which the world breaks the bound.
     pub seed: u64,
-    /// The figure, as it was.
-    pub what: String,
-    /// Runs that were played.
+    /// The figure and its value, for display.
+    pub figure: String,
+    /// Number of runs up to and including this one.
     pub runs: usize,
 }
 
-/// The next smaller worlds, those first that take away most.
-fn smaller(world: &World) -> Vec<World> {
+/// Returns the next smaller worlds; those that remove a fault or a group of demand come first.
+fn smaller_worlds(world: &World) -> Vec<World> {
     let mut all = Vec::new();
     for at in 0..world.faults.len() {
-        let mut one = world.clone();
-        one.faults.remove(at);
-        all.push(one);
+        let mut candidate = world.clone();
+        candidate.faults.remove(at);
+        all.push(candidate);
     }
     for at in 0..world.demand.len() {
-        let mut one = world.clone();
-        one.demand.remove(at);
-        all.push(one);
+        let mut candidate = world.clone();
+        candidate.demand.remove(at);
+        all.push(candidate);
     }
     let halved = |of: usize| (of / 2).max(1);
     all.push(World {
@@ -82,7 +83,8 @@
         seconds: world.seconds / 2.0,
         ..world.clone()
     });
-    // Half of the backends carry the same load if half is asked for: the load is a part of what they can do.
+    // The load is a fraction of the backends' capacity, so half of the backends get half of the
+    // requests.
     all.push(World {
         backends: halved(world.backends),
         ..world.clone()
@@ -107,11 +109,12 @@
         estimate_cv: 0.0,
         ..world.clone()
     });
-    all.retain(|one| one != world && one.errors().is_empty());
+    all.retain(|candidate| candidate != world && candidate.errors().is_empty());
     all
 }
 
-/// Requests at proxies so many seeds of a world, from 1, and of each smaller one; `None` where none breaks it. At most `most` runs.
+/// Searches the seeds of a world, from 1, and of each smaller world; `None` if none breaks the
+/// bound. Runs at most `max_runs` simulations.
 pub fn search(world: &World, target: &Target, seeds: u64, max_runs: usize) -> Option<Found> {
     let mut runs = 0;
     let mut first = |world: &World| {
@@ -121,23 +124,23 @@
             }
             runs += 1;
             target
-                .seen(&play(world, seed))
+                .violation(&simulate(world, seed))
                 .map(|value| (seed, value, runs))
         })
     };
-    let (mut seed, mut value, mut played) = first(world)?;
-    let mut at = world.clone();
-    while let Some((less, found)) = smaller(&at)
+    let (mut seed, mut value, mut runs_used) = first(world)?;
+    let mut smallest = world.clone();
+    while let Some((less, found)) = smaller_worlds(&smallest)
         .into_iter()
-        .find_map(|one| first(&one).map(|found| (one, found)))
+        .find_map(|candidate| first(&candidate).map(|found| (candidate, found)))
     {
-        at = less;
-        (seed, value, played) = found;
+        smallest = less;
+        (seed, value, runs_used) = found;
     }
     Some(Found {
-        world: at,
+        world: smallest,
         seed,
-        what: format!("{} {value}", target.figure),
-        runs: played,
+        figure: format!("{} {value}", target.figure),
+        runs: runs_used,
     })
 }
--- a/crates/model/src/world/default.rs
+++ b/crates/model/src/world/default.rs
@@ -18,8 +18,8 @@
             rate,
             burst,
             price,
-            max_open: 0,
-            ceiling: 0.0,
+            max_in_flight: 0,
+            rate_limit_factor: 0.0,
         };
         World {
             name: "world".to_owned(),
--- a/crates/model/src/world/fault.rs
+++ b/crates/model/src/world/fault.rs
@@ -1,135 +1,141 @@
-//! Faults of a world: what goes wrong, when and for how long.
+//! Faults of a world: their kind, start and duration.
 //!
-//! The variants' and fields' outside names are keys of world files (`[[trouble]]`, `what = "restart-doors"`) and stay as they
-//! are.
+//! The outer names of variants and fields are keys of world files (`[[trouble]]`,
+//! `what = "restart-doors"`) and are fixed.
 
 use serde::{Deserialize, Serialize};
 
-/// Something that goes wrong.
+/// A fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// Proxies are killed and come back with their last list, each after a time drawn from the range.
+    /// Proxies are killed and restart with their last endpoint list, each after a time drawn from
+    /// the range.
     #[serde(rename = "restart-doors")]
     RestartProxies {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// Part of them.
+        /// Fraction of the proxies.
         #[serde(rename = "part")]
         fraction: f64,
         /// How long each is down.
         down_ms: [f64; 2],
     },
-    /// Backends drain, go and are replaced by new ones, which warm up.
+    /// Backends drain, end and are replaced by new ones, which warm up.
     ReplaceBackends {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// Part of them.
+        /// Fraction of the running backends.
         #[serde(rename = "part")]
         fraction: f64,
-        /// Over which time their drains begin.
+        /// Time over which their drains begin.
         over_s: f64,
-        /// From drain to end.
+        /// Time from drain to end.
         drain_ms: f64,
     },
-    /// Backends get slow for a while.
+    /// Backends slow down for a while.
     SlowBackends {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// Part of them.
+        /// Fraction of the backends.
         #[serde(rename = "part")]
         fraction: f64,
-        /// Speed that is left.
+        /// Factor on their speed.
         speed: f64,
-        /// For how long.
+        /// Duration.
         for_s: f64,
     },
-    /// Some customers ask for a multiple of their quota on top of what they ask.
+    /// Some customers send a multiple of their quota in addition to their usual requests.
     Flood {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long.
+        /// Duration.
         for_s: f64,
-        /// How many.
+        /// Number of customers.
         customers: usize,
-        /// The multiple.
+        /// Request rate as a multiple of the quota.
         times: f64,
-        /// Through so many proxies of each one's set; 0 for all of them.
+        /// Number of proxies of each customer's set that the flood comes through; 0 for all of
+        /// them.
         #[serde(default)]
         through: usize,
     },
-    /// Customers that ask once and are not seen again.
+    /// Customers that make a single request each.
     OneShots {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long.
+        /// Duration.
         for_s: f64,
-        /// As a part of the usual requests.
+        /// Their request rate as a fraction of the usual one.
         share: f64,
     },
-    /// Proxies and backends that do not reach each other: new connections time out, kept ones go silent.
+    /// Proxies and backends that cannot reach each other: new connections time out, existing ones
+    /// lose all packets.
     Partition {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long.
+        /// Duration.
         for_s: f64,
-        /// Part of the proxies, part of the backends.
+        /// Fraction of the proxies.
         #[serde(rename = "doors")]
         proxies: f64,
-        /// See above.
+        /// Fraction of the backends.
         backends: f64,
     },
-    /// The backends of a zone die and start again and warm up.
+    /// The backends of a zone die, start again later and warm up.
     LoseZone {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long.
+        /// Duration.
         for_s: f64,
-        /// Which, from 0.
+        /// Index of the zone, from 0.
         zone: usize,
     },
-    /// Proxies are stopped one after another, as a release does: each takes nothing new, ends what it has, goes, and comes back with
-    /// its last list.
+    /// All proxies are stopped and restarted, each at a drawn time, as in a rolling release: each
+    /// accepts nothing new, completes its pending requests, stops, and restarts with its last
+    /// endpoint list.
     #[serde(rename = "roll-doors")]
     RollProxies {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// Over which time.
+        /// Time over which the stops begin.
         over_s: f64,
-        /// How long each goes on with what it has.
+        /// How long each continues with its pending requests.
         stop_ms: f64,
         /// How long each is down.
         down_ms: [f64; 2],
     },
-    /// Discovery moves: each proxy's agent answers elsewhere, the old one closes a while later. Only where proxies have agents.
+    /// Discovery moves: each proxy's agent moves to a second address, and the first closes a while
+    /// later. Only in worlds with agents.
     MoveAgents {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// Over which time proxies are notified.
+        /// Time over which proxies are notified.
         over_s: f64,
-        /// From the telling to the close of the old place.
+        /// Time from the notification to the close of the first address.
         close_ms: f64,
-        /// By how much the new agents are behind the truth, beside the usual lateness.
+        /// How far the agents lag behind at the second address, in addition to the usual delay.
         #[serde(rename = "behind_ms")]
         lag_ms: [f64; 2],
     },
-    /// Agents fall silent. Only where proxies have agents.
+    /// Agents send nothing for a while. Only in worlds with agents.
     SilenceAgents {
-        /// When.
+        /// When the fault begins.
         at_s: f64,
-        /// For how long.
+        /// Duration.
         for_s: f64,
-        /// Part of them.
+        /// Fraction of the agents.
         #[serde(rename = "part")]
         fraction: f64,
-        /// Whether open watches stay silent for good, as those of a machine that has vanished, and calls that are made meanwhile.
+        /// Whether open watches, and calls that are made meanwhile, never get another message, as
+        /// after the crash of the agent's machine.
         #[serde(default)]
         dead: bool,
     },
 }
 
 impl Fault {
-    /// When it begins.
+    /// Returns when the fault begins, in seconds.
     pub fn at_s(&self) -> f64 {
         match self {
             Fault::RestartProxies { at_s, .. }
--- a/crates/model/src/world/mod.rs
+++ b/crates/model/src/world/mod.rs
@@ -1,7 +1,8 @@
 //! A world as data, read from a TOML file.
 //!
-//! Times are milliseconds where a name ends in `_ms`, seconds where it ends in `_s`. Keys of world files are fixed: where a Rust name
-//! differs from its key, a serde attribute keeps the key, and errors name the key.
+//! Times are in milliseconds where a name ends in `_ms`, in seconds where it ends in `_s`. Keys of
+//! world files are fixed: where a Rust name differs from its key, a serde attribute keeps the key,
+//! and errors name the key.
 
 mod default;
 mod fault;
@@ -16,33 +17,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LoadBalancer {
-    /// By the project's decision module, admission too.
+    /// The project's decision module, which also decides on admission.
     Module,
-    /// By who sees the true state of all backends and quotas: what is within reach.
+    /// An oracle that sees the true state of all backends and quotas: a reference for what is
+    /// achievable.
     Oracle,
-    /// By chance.
+    /// Uniformly at random.
     Random,
-    /// In turn.
+    /// Round robin.
     RoundRobin,
-    /// The one with the fewest of the proxy's own attempts out.
+    /// The backend with the fewest of the proxy's own attempts in flight.
     #[serde(rename = "least-out")]
     LeastOutstanding,
-    /// The better of two by chance (Mitzenmacher).
+    /// Power of two choices: the less loaded of two random backends (Mitzenmacher).
     TwoChoices,
-    /// The better of two among so many (a fixed aperture).
+    /// Power of two choices among a fixed number of backends (a fixed aperture).
     Aperture(usize),
 }
 
-/// What is admitted, where a plain policy decides.
+/// The admission rule of a baseline policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Admission {
-    /// All.
+    /// Admits everything.
     None,
-    /// Each proxy its even share of a quota.
+    /// Each proxy admits an even share of a quota.
     #[serde(rename = "even")]
     EvenShare,
-    /// Each proxy a whole quota.
+    /// Each proxy admits a full quota.
     #[serde(rename = "whole")]
     FullQuota,
 }
@@ -51,16 +53,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Part of the requests.
+    /// Share of the requests.
     pub share: f64,
-    /// Mean work of a request of the usual size.
+    /// Mean service time of a request of mean size, in milliseconds.
     pub work_ms: f64,
-    /// Coefficient of variation of the work; 1 is drawn exponentially, 0 not at all.
+    /// Coefficient of variation of the service time: 1 is exponential, 0 constant, others
+    /// log-normal.
     pub cv: f64,
-    /// An answer within this earns its value.
+    /// Latency target: a response within this time earns its value.
     #[serde(rename = "aim_ms")]
     pub latency_target_ms: f64,
-    /// How long a client waits.
+    /// How long a client waits for a response.
     #[serde(rename = "give_up_ms")]
     pub client_timeout_ms: f64,
     /// Value of a unit.
@@ -74,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanSpec {
-    /// Part of the customers.
+    /// Share of the customers.
     pub share: f64,
     /// Units a second.
     pub rate: f64,
@@ -82,149 +85,158 @@
     pub burst: f64,
     /// Factor on the value.
     pub price: f64,
-    /// Attempts out at once that the quota covers; 0 for no such quota.
-    #[serde(default)]
-    pub max_open: u32,
-    /// A hard ceiling at so many times rate and burst; 0 for none. Its slack is a tenth of its burst, a largest request at least.
-    #[serde(default)]
-    pub ceiling: f64,
+    /// Maximum number of attempts in flight that the quota covers; 0 for no limit.
+    #[serde(default, rename = "max_open")]
+    pub max_in_flight: u32,
+    /// Hard rate limit as a multiple of rate and burst; 0 for none. Its slack is a tenth of its
+    /// burst, but at least one request of the largest size.
+    #[serde(default, rename = "ceiling")]
+    pub rate_limit_factor: f64,
 }
 
-/// What a group of customers asks for.
+/// The demand of a group of customers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DemandSpec {
-    /// Part of the customers.
+    /// Share of the customers.
     pub share: f64,
-    /// Asked for on average, as a part of the quota's rate: drawn for each customer.
+    /// Range of the mean demand as a fraction of the quota's rate; drawn for each customer.
     #[serde(rename = "part")]
     pub fraction: [f64; 2],
-    /// Now and then so many times the rate on top; 0 for never.
+    /// Request rate of a spike as a multiple of the quota's rate, in addition to the usual
+    /// requests; 0 for no spikes.
     #[serde(default)]
     pub spike: f64,
-    /// For how long, and from one spike to the next.
+    /// Duration of a spike.
     #[serde(default)]
     pub spike_s: f64,
-    /// See above.
+    /// Mean time from the start of one spike to the next.
     #[serde(default)]
     pub every_s: f64,
 }
 
-/// A world: a fleet, its load and its faults. Every field has a default; outside names are keys of world files.
+/// A world: a fleet, its load and its faults. Every field has a default; outer names are keys of
+/// world files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct World {
     /// Name, repeated in each outcome.
     pub name: String,
-    /// Simulated time in seconds during which clients make requests.
+    /// Horizon: simulated time in seconds during which clients make requests.
     pub seconds: f64,
     /// Number of proxies.
     #[serde(rename = "doors")]
     pub proxies: usize,
     /// Number of backends.
     pub backends: usize,
-    /// Cores of each, requests that may wait there.
+    /// Cores of each backend.
     pub cores: usize,
-    /// See above.
+    /// Capacity of each backend's waiting room.
     pub queue: usize,
-    /// Cold start: part of the capacity at first, time until warm.
+    /// Slow start: fraction of the capacity that a backend has when it starts.
     #[serde(rename = "cold_from")]
     pub initial_capacity: f64,
-    /// See above.
+    /// Slow start: time until a backend has its full capacity.
     #[serde(rename = "cold_ms")]
     pub warm_up_ms: f64,
-    /// Coefficient of variation of backends' speeds.
+    /// Coefficient of variation of the backends' speeds.
     pub speed_cv: f64,
-    /// Multiple of its present capacity, and for how long, by which a backend that warms up fails.
+    /// Multiple of its current capacity, sustained over the overload window, at which a backend
+    /// that warms up fails.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// See above.
+    /// The overload window.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: f64,
-    /// One way between a proxy and a backend, or a client.
+    /// Range of the one-way delay between a proxy and a backend, or a client.
     pub delay_ms: [f64; 2],
-    /// Time that a new connection takes.
+    /// Additional delay of a new connection.
     pub handshake_ms: f64,
-    /// After how long without use a connection is closed.
+    /// Idle time after which a connection is closed.
     pub idle_ms: f64,
-    /// How late proxies hear of changes of the list.
+    /// Range of the delay with which proxies receive changes of the endpoint list.
     #[serde(rename = "notice_ms")]
     pub discovery_delay_ms: [f64; 2],
-    /// Grace after a drain was announced.
+    /// Grace period after a drain was announced.
     pub drain_grace_ms: f64,
-    /// Customers, and the exponent of their sizes by rank (Zipf).
+    /// Number of customers.
     pub customers: usize,
-    /// See above.
+    /// Exponent of the customers' sizes by rank (Zipf).
     pub zipf: f64,
-    /// Part of what all backends can do that is asked for.
+    /// Offered load as a fraction of the capacity of all backends.
     pub load: f64,
-    /// Proxies that a customer's requests come through; 0 for all.
+    /// Number of proxies that a customer's requests come through; 0 for all.
     pub spread: usize,
-    /// Part of a customer's requests that come through the busiest proxy of its set; the rest come evenly. 0 for all evenly.
+    /// Share of a customer's requests that come through the busiest proxy of its set; the rest come
+    /// evenly through all. 0 for all evenly.
     pub uneven: f64,
-    /// After how long another proxy of the set is the busiest, drawn anew for each customer; 0 for never.
+    /// Range of the time after which another proxy of the set becomes the busiest, drawn for each
+    /// change; 0 for never.
     pub shift_s: [f64; 2],
-    /// Part of the retries that come to the same proxy, as connections are kept.
+    /// Share of the retries that come to the same proxy, as over a kept connection.
     pub sticky: f64,
     /// Fraction of the clients that honour a `Retry-After`.
     pub honour: f64,
-    /// Zones, over which proxies and backends are dealt in turn; what a way between two zones takes longer, one way; and the
-    /// price of such an attempt, as a part of the whole value.
+    /// Number of zones, to which proxies and backends are assigned round robin.
     pub zones: usize,
-    /// See above.
+    /// Range of the additional one-way delay between two zones.
     #[serde(rename = "cross_ms")]
     pub cross_zone_ms: [f64; 2],
-    /// See above.
+    /// Price of an attempt to another zone, as a fraction of the full value.
     #[serde(rename = "cross_price")]
     pub cross_zone_price: f64,
-    /// Period of the use meter, 0 for none, and how late it tells of a period.
+    /// Period of the usage meter; 0 for none.
     pub meter_ms: f64,
-    /// See above.
+    /// Range of the delay with which the meter reports a period; drawn once for a run.
     #[serde(rename = "meter_late_ms")]
     pub meter_delay_ms: [f64; 2],
-    /// Coefficient of variation of the estimated against the true units, which an answer corrects; 0 for no estimate.
+    /// Coefficient of variation of the estimated units against the true ones, which a response
+    /// corrects; 0 for exact estimates.
     #[serde(rename = "guess_cv")]
     pub estimate_cv: f64,
-    /// How long connecting into a partition takes to time out.
+    /// Connect timeout across a partition.
     #[serde(rename = "dial_ms")]
     pub connect_timeout_ms: f64,
-    /// Mean units of a request; they are drawn from 1 up to `max_units`.
+    /// Mean units of a request, drawn from 1 up to `max_units`.
     pub units: f64,
-    /// See above.
+    /// Maximum units of a request.
     #[serde(rename = "most_units")]
     pub max_units: f64,
-    /// Quotas are set so that customers use this part of theirs on average; 0 leaves the plans' rates as they stand.
+    /// Mean fraction of their quotas that customers use, to which the plans are scaled; 0 leaves
+    /// the plans' rates unchanged.
     pub usage: f64,
-    /// Retries of a client request, and the wait before each where nothing is advised.
+    /// Maximum retries of a client request.
     pub retries: u32,
-    /// See above.
+    /// Range of the backoff before a retry without an advised delay.
     pub backoff_ms: [f64; 2],
     /// How a backend is chosen.
     #[serde(rename = "choice")]
     pub load_balancer: LoadBalancer,
     /// The admission rule of a baseline policy.
     pub admission: Admission,
-    /// Attempts for one request at most.
+    /// Maximum attempts for one request.
     pub attempts: u32,
-    /// Groups of customers by what they ask of their quotas; then `load` is what is asked for within quotas, all plans are scaled
-    /// by one factor to fit it, and `zipf` and `usage` are not used.
+    /// Groups of customers by their demand relative to their quotas. If there are any, `load` is
+    /// the demand within quotas, all plans are scaled by one factor to fit it, and `zipf` and
+    /// `usage` are not used.
     pub demand: Vec<DemandSpec>,
-    /// Classes; the usual three if none is named.
+    /// Classes of requests; the default three if none is given.
     pub class: Vec<ClassSpec>,
-    /// Plans; the usual three if none is named.
+    /// Plans; the default three if none is given.
     pub plan: Vec<PlanSpec>,
-    /// Whether each proxy follows a discovery agent; otherwise each change reaches each proxy directly.
+    /// Whether each proxy follows a discovery agent; otherwise each change reaches each proxy
+    /// directly.
     pub agents: bool,
-    /// What goes wrong.
+    /// Faults of the run.
     #[serde(rename = "trouble")]
     pub faults: Vec<Fault>,
 }
 
 impl World {
-    /// Reads a world file's text.
+    /// Parses and validates a world file's text.
     ///
     /// # Errors
-    /// What cannot be read, or every figure that cannot be used, each with its field and what was expected.
+    /// The parse error, or a line for every invalid figure, with its key and what was expected.
     pub fn read(text: &str) -> Result<World, Vec<String>> {
         let world: World =
             toml::from_str(text).map_err(|error| vec![error.to_string().trim_end().to_owned()])?;
@@ -236,7 +248,8 @@
         }
     }
 
-    /// Requests a second that the load makes: work of a request of the usual size against all cores.
+    /// Returns the requests a second that give the offered load, from the mean service time of a
+    /// request of mean size and all cores.
     pub fn requests_per_second(&self) -> f64 {
         let share: f64 = self.class.iter().map(|class| class.share).sum();
         let work: f64 = self
@@ -247,10 +260,11 @@
         self.load * (self.backends * self.cores) as f64 * 1000.0 * share / work.max(1e-9)
     }
 
-    /// Client requests of a run, roughly: the usual ones, those of floods and of customers that come once.
+    /// Returns the approximate number of client requests of a run, including those of floods and
+    /// one-shot customers.
     pub fn requests(&self) -> f64 {
         let usual = self.requests_per_second();
-        let more = |fault: &Fault| match fault {
+        let extra_requests = |fault: &Fault| match fault {
             Fault::OneShots { for_s, share, .. } => share * usual * for_s,
             Fault::Flood {
                 for_s,
@@ -263,7 +277,7 @@
             }
             _ => 0.0,
         };
-        let excess = |demand: &DemandSpec| {
+        let peak_demand = |demand: &DemandSpec| {
             let spikes = if demand.every_s > 0.0 {
                 demand.spike * demand.spike_s / demand.every_s
             } else {
@@ -277,17 +291,17 @@
             .iter()
             .map(|demand| demand.share * demand.fraction[0].min(1.0))
             .sum();
-        let asked =
-            self.demand.iter().map(excess).sum::<f64>() / fraction.max(0.001 * shares.max(1e-9));
+        let demand_factor = self.demand.iter().map(peak_demand).sum::<f64>()
+            / fraction.max(0.001 * shares.max(1e-9));
         let usual = if self.demand.is_empty() {
             usual
         } else {
-            usual * asked.max(1.0)
+            usual * demand_factor.max(1.0)
         };
-        usual * self.seconds + self.faults.iter().map(more).sum::<f64>()
+        usual * self.seconds + self.faults.iter().map(extra_requests).sum::<f64>()
     }
 
-    /// Bytes that a run needs, roughly.
+    /// Returns the approximate memory that a run needs, in bytes.
     pub fn bytes(&self) -> f64 {
         let proxies = self.proxies as f64;
         let spread = if self.spread == 0 {
@@ -295,15 +309,15 @@
         } else {
             proxies.min(self.spread as f64)
         };
-        // Every proxy holds every backend, and each customer at as many proxies as its requests come through, but no more than
-        // there are requests.
+        // Every proxy stores every backend, and each customer is stored at as many proxies as its
+        // requests come through, but no more than there are requests.
         let requests = self.requests();
         proxies * self.backends as f64 * 400.0
             + (self.customers as f64 * spread).min(requests) * 250.0
             + requests * 8.0
     }
 
-    /// The effect of a class by its name.
+    /// Returns the idempotency of a class; `None` for an unknown `effect`.
     pub fn effect(class: &ClassSpec) -> Option<Idempotency> {
         match class.effect.as_str() {
             "safe" => Some(Idempotency::Idempotent),
--- a/crates/model/src/world/validation.rs
+++ b/crates/model/src/world/validation.rs
@@ -1,13 +1,14 @@
-//! Checks of a world before it is played: every figure that cannot be used is named with its key in the world file.
+//! Checks of a world before it is simulated: every invalid figure is named with its key in the
+//! world file.
 
 use super::{Fault, LoadBalancer, World};
 
-/// Requests that a run may draw at most: what a world needs of memory and time follows from it.
+/// Maximum number of requests that a run draws; it bounds memory and time.
 const MAX_REQUESTS: f64 = 50e6;
-/// Bytes that a world may need at most.
+/// Maximum memory that a world needs, in bytes.
 const MAX_BYTES: f64 = 8e9;
 
-/// The errors found so far, in the order of the keys.
+/// The errors found so far, in the order of the checks.
 #[derive(Default)]
 struct Report {
     errors: Vec<String>,
@@ -18,26 +19,27 @@
         self.errors.push(error);
     }
 
-    /// Requires `least <= value <= most`; a value that is not a number is an error too.
-    fn within(&mut self, field: &str, value: f64, least: f64, most: f64) {
-        if !(least..=most).contains(&value) {
+    /// Requires `min <= value <= max`; a value that is not a number is an error too.
+    fn within(&mut self, field: &str, value: f64, min: f64, max: f64) {
+        if !(min..=max).contains(&value) {
             self.push(format!(
-                "{field}: a number from {least} to {most} was expected, not {value}"
+                "{field}: a number from {min} to {max} expected, got {value}"
             ));
         }
     }
 
-    /// Requires a range whose ends are in order, both from 0 to `most`.
-    fn range(&mut self, field: &str, range: [f64; 2], most: f64) {
-        self.within(&format!("{field}.0"), range[0], 0.0, most);
-        self.within(&format!("{field}.1"), range[1], range[0].max(0.0), most);
+    /// Requires a range whose ends are in order, both from 0 to `max`.
+    fn range(&mut self, field: &str, range: [f64; 2], max: f64) {
+        self.within(&format!("{field}.0"), range[0], 0.0, max);
+        self.within(&format!("{field}.1"), range[1], range[0].max(0.0), max);
     }
 }
 
 impl World {
-    /// Every figure of the world that cannot be used, with its key in the world file; empty for a world that can be played.
+    /// Returns a line for every invalid figure of the world, with its key in the world file; empty
+    /// for a valid world.
     ///
-    /// The size of a run (requests, bytes) is judged only where each figure by itself is usable.
+    /// The size of a run (requests, bytes) is checked only if each figure by itself is valid.
     pub fn errors(&self) -> Vec<String> {
         let mut report = Report::default();
         self.check_fleet(&mut report);
@@ -131,7 +133,12 @@
             report.within(&format!("plan.{at}.rate"), plan.rate, 0.001, 1e9);
             report.within(&format!("plan.{at}.burst"), plan.burst, 0.001, 1e9);
             report.within(&format!("plan.{at}.price"), plan.price, 0.0, 1e6);
-            report.within(&format!("plan.{at}.ceiling"), plan.ceiling, 0.0, 1e6);
+            report.within(
+                &format!("plan.{at}.ceiling"),
+                plan.rate_limit_factor,
+                0.0,
+                1e6,
+            );
         }
     }
 
@@ -170,7 +177,7 @@
 
     fn check_faults(&self, report: &mut Report) {
         for (at, fault) in self.faults.iter().enumerate() {
-            // What is drawn after the end would never be played.
+            // A fault after the horizon would have no effect.
             report.within(
                 &format!("trouble.{at}.at_s"),
                 fault.at_s(),
@@ -184,25 +191,23 @@
     fn check_effects(&self, report: &mut Report) {
         for (at, class) in self.class.iter().enumerate() {
             if World::effect(class).is_none() {
-                report.push(format!(
-                    "class.{at}.effect: safe, keyed or unsafe was expected"
-                ));
+                report.push(format!("class.{at}.effect: expected safe, keyed or unsafe"));
             }
         }
     }
 
-    /// At least one class, plan and group of demand must be drawn.
+    /// At least one class, plan and group of demand must have a positive share.
     fn check_shares(&self, report: &mut Report) {
         if self.class.iter().map(|class| class.share).sum::<f64>() <= 0.0 {
-            report.push("class: one with a share above 0 was expected".to_owned());
+            report.push("class: expected one with a share above 0".to_owned());
         }
         if self.plan.iter().map(|plan| plan.share).sum::<f64>() <= 0.0 {
-            report.push("plan: one with a share above 0 was expected".to_owned());
+            report.push("plan: expected one with a share above 0".to_owned());
         }
         if !self.demand.is_empty()
             && self.demand.iter().map(|demand| demand.share).sum::<f64>() <= 0.0
         {
-            report.push("demand: one with a share above 0 was expected".to_owned());
+            report.push("demand: expected one with a share above 0".to_owned());
         }
     }
 
@@ -210,12 +215,12 @@
         let (requests, bytes) = (self.requests(), self.bytes());
         if requests > MAX_REQUESTS {
             report.push(format!(
-                "load: {requests:.0} requests, {MAX_REQUESTS:.0} at most were expected"
+                "load: {requests:.0} requests, above the maximum of {MAX_REQUESTS:.0}"
             ));
         }
         if bytes > MAX_BYTES {
             report.push(format!(
-                "doors: a world of {bytes:.0} bytes, {MAX_BYTES:.0} at most were expected"
+                "doors: a world of {bytes:.0} bytes, above the maximum of {MAX_BYTES:.0}"
             ));
         }
     }
--- a/crates/model/tests/closed_forms.rs
+++ b/crates/model/tests/closed_forms.rs
@@ -1,15 +1,17 @@
-//! The model against closed forms of queueing theory, each within its confidence interval over fixed seeds, and each seen to fail
-//! when the model is off by a tenth.
+//! The model against closed forms of queueing theory, each within its confidence interval over
+//! fixed seeds; each check was seen to fail with the model off by a tenth.
 
 use maplefall_model::world::{Admission, ClassSpec, LoadBalancer, World};
-use maplefall_model::{play, Outcome};
+use maplefall_model::{simulate, Outcome};
 
-/// Normal quantile of the interval that a check may miss once in some thousand times.
-const SURE: f64 = 3.3;
+/// Quantile of the normal distribution for an interval that a correct check misses about once in a
+/// thousand times.
+const Z_QUANTILE: f64 = 3.3;
 const SEEDS: u64 = 10;
 
-/// Backends behind one proxy that lets all in, with no delays and nothing that gives up.
-fn queueing(backends: usize, cores: usize, load: f64, work_ms: f64, cv: f64) -> World {
+/// Returns a world of backends behind one proxy that admits everything, without delays or client
+/// timeouts.
+fn queueing_world(backends: usize, cores: usize, load: f64, work_ms: f64, cv: f64) -> World {
     let class = ClassSpec {
         share: 1.0,
         work_ms,
@@ -41,23 +43,30 @@
     }
 }
 
-/// Whether the mean of a figure over the seeds fits what is expected.
+/// Whether the mean of a figure over the seeds is within its confidence interval of the expected
+/// value.
 fn fits(world: &World, figure: impl Fn(&Outcome) -> f64, expected: f64) -> bool {
-    let figures: Vec<f64> = (1..=SEEDS).map(|seed| figure(&play(world, seed))).collect();
+    let figures: Vec<f64> = (1..=SEEDS)
+        .map(|seed| figure(&simulate(world, seed)))
+        .collect();
     let mean = figures.iter().sum::<f64>() / SEEDS as f64;
-    let variance = figures.iter().map(|one| (one - mean).powi(2)).sum::<f64>() / (SEEDS - 1) as f64;
-    let error = SURE * (variance / SEEDS as f64).sqrt();
+    let variance = figures
+        .iter()
+        .map(|figure| (figure - mean).powi(2))
+        .sum::<f64>()
+        / (SEEDS - 1) as f64;
+    let error = Z_QUANTILE * (variance / SEEDS as f64).sqrt();
     println!("{mean:.3} +-{error:.3}, {expected:.3} expected");
     (mean - expected).abs() <= error
 }
 
-/// Mean wait of M/G/1 (Pollaczek and Khinchine).
-fn wait_of_one(load: f64, work: f64, cv: f64) -> f64 {
+/// Returns the mean wait of M/G/1 (Pollaczek-Khinchine formula).
+fn m_g_1_wait(load: f64, work: f64, cv: f64) -> f64 {
     load * work * (1.0 + cv * cv) / (2.0 * (1.0 - load))
 }
 
-/// Mean wait of M/M/c (Erlang C).
-fn wait_of_many(cores: usize, load: f64, work: f64) -> f64 {
+/// Returns the mean wait of M/M/c (Erlang C formula).
+fn m_m_c_wait(cores: usize, load: f64, work: f64) -> f64 {
     let offered = load * cores as f64;
     let mut term = 1.0;
     let mut sum = 1.0;
@@ -71,29 +80,36 @@
 
 #[test]
 fn m_m_1_wait_matches_theory_and_ten_percent_error_is_detected() {
-    let world = queueing(1, 1, 0.6, 10.0, 1.0);
-    let expected = wait_of_one(0.6, 10.0, 1.0);
-    assert!(fits(&world, |one| one.wait_ms, expected));
-    // The same arrivals with work that takes a tenth longer.
-    let mut slow = queueing(1, 1, 0.66, 11.0, 1.0);
-    assert!(!fits(&slow, |one| one.wait_ms, expected));
-    assert!(fits(&slow, |one| one.wait_ms, wait_of_one(0.66, 11.0, 1.0)));
-    // A lost event: one request in so many rejected by a short queue.
+    let world = queueing_world(1, 1, 0.6, 10.0, 1.0);
+    let expected = m_g_1_wait(0.6, 10.0, 1.0);
+    assert!(fits(&world, |outcome| outcome.wait_ms, expected));
+    // The same arrivals with a service time that is a tenth longer.
+    let mut slow = queueing_world(1, 1, 0.66, 11.0, 1.0);
+    assert!(!fits(&slow, |outcome| outcome.wait_ms, expected));
+    assert!(fits(
+        &slow,
+        |outcome| outcome.wait_ms,
+        m_g_1_wait(0.66, 11.0, 1.0)
+    ));
+    // Lost events: a short queue rejects some of the requests.
     slow = World {
         queue: 6,
-        ..queueing(1, 1, 0.6, 10.0, 1.0)
+        ..queueing_world(1, 1, 0.6, 10.0, 1.0)
     };
-    assert!(!fits(&slow, |one| one.wait_ms, expected));
+    assert!(!fits(&slow, |outcome| outcome.wait_ms, expected));
 }
 
 #[test]
 fn m_m_c_wait_matches_erlang_c() {
     for (cores, load) in [(2, 0.7), (4, 0.8), (16, 0.8)] {
-        let world = queueing(1, cores, load, 20.0, 1.0);
-        let expected = wait_of_many(cores, load, 20.0);
-        assert!(fits(&world, |one| one.wait_ms, expected), "{cores} cores");
+        let world = queueing_world(1, cores, load, 20.0, 1.0);
+        let expected = m_m_c_wait(cores, load, 20.0);
         assert!(
-            !fits(&world, |one| one.wait_ms, expected * 1.2),
+            fits(&world, |outcome| outcome.wait_ms, expected),
+            "{cores} cores"
+        );
+        assert!(
+            !fits(&world, |outcome| outcome.wait_ms, expected * 1.2),
             "{cores} cores"
         );
     }
@@ -102,68 +118,73 @@
 #[test]
 fn m_g_1_wait_matches_pollaczek_khinchine() {
     for cv in [0.0, 0.5, 1.5] {
-        let world = queueing(1, 1, 0.5, 10.0, cv);
+        let world = queueing_world(1, 1, 0.5, 10.0, cv);
         assert!(
-            fits(&world, |one| one.wait_ms, wait_of_one(0.5, 10.0, cv)),
+            fits(&world, |outcome| outcome.wait_ms, m_g_1_wait(0.5, 10.0, cv)),
             "{cv}"
         );
     }
 }
 
-/// Several queues chosen by chance are several M/M/1.
+/// A Poisson process that is split at random over several queues gives independent M/M/1 queues.
 #[test]
 fn random_split_gives_independent_queues() {
-    let world = queueing(8, 1, 0.6, 10.0, 1.0);
-    assert!(fits(&world, |one| one.wait_ms, wait_of_one(0.6, 10.0, 1.0)));
+    let world = queueing_world(8, 1, 0.6, 10.0, 1.0);
+    assert!(fits(
+        &world,
+        |outcome| outcome.wait_ms,
+        m_g_1_wait(0.6, 10.0, 1.0)
+    ));
     let better = World {
         load_balancer: LoadBalancer::LeastOutstanding,
         ..world.clone()
     };
-    let [random, least] = [&world, &better].map(|world| play(world, 1).wait_ms);
+    let [random, least] = [&world, &better].map(|world| simulate(world, 1).wait_ms);
     assert!(least < random / 3.0, "{least} {random}");
 }
 
-/// Little's law: requests in backends are arrivals a time, times their stay.
+/// Little's law: the mean number of requests in backends is the arrival rate times the mean sojourn
+/// time.
 #[test]
 fn littles_law_holds() {
-    let world = queueing(4, 2, 0.7, 20.0, 1.0);
+    let world = queueing_world(4, 2, 0.7, 20.0, 1.0);
     for seed in 0..3 {
-        let one = play(&world, seed);
-        let rate = one.client_requests as f64 / (world.seconds * 1000.0);
-        let expected = rate * one.sojourn_ms;
-        // The last requests leave a little after the end.
+        let outcome = simulate(&world, seed);
+        let rate = outcome.client_requests as f64 / (world.seconds * 1000.0);
+        let expected = rate * outcome.sojourn_ms;
+        // The last requests leave a little after the horizon.
         assert!(
-            (one.in_backends / expected - 1.0).abs() < 0.01,
+            (outcome.in_backends / expected - 1.0).abs() < 0.01,
             "{} {expected}",
-            one.in_backends
+            outcome.in_backends
         );
-        assert_eq!(one.served, one.client_requests);
+        assert_eq!(outcome.served, outcome.client_requests);
     }
 }
 
-/// A token bucket lets in its burst and its rate, and nothing beyond.
+/// A token bucket admits its burst and its rate, and nothing more.
 #[test]
 fn single_full_quota_admits_exactly_its_quota() {
-    let mut world = queueing(8, 4, 0.5, 5.0, 0.0);
+    let mut world = queueing_world(8, 4, 0.5, 5.0, 0.0);
     world.plan = vec![maplefall_model::world::PlanSpec {
         share: 1.0,
         rate: 100.0,
         burst: 50.0,
         price: 1.0,
-        max_open: 0,
-        ceiling: 0.0,
+        max_in_flight: 0,
+        rate_limit_factor: 0.0,
     }];
     world.admission = Admission::FullQuota;
-    let one = play(&world, 1);
-    assert_eq!((one.over_quota_units, one.served_value), (0.0, 1.0));
-    let most = 50.0 + 100.0 * world.seconds;
+    let outcome = simulate(&world, 1);
+    assert_eq!((outcome.over_quota_units, outcome.served_value), (0.0, 1.0));
+    let max_served = 50.0 + 100.0 * world.seconds;
     assert!(
-        one.served as f64 <= most && one.served as f64 > most * 0.98,
-        "{} {most}",
-        one.served
+        outcome.served as f64 <= max_served && outcome.served as f64 > max_served * 0.98,
+        "{} {max_served}",
+        outcome.served
     );
-    // Four proxies with a whole quota each admitted four times as much.
-    let four = play(
+    // Four proxies that each enforce a full quota admit four times as much.
+    let four = simulate(
         &World {
             proxies: 4,
             ..world
--- a/crates/model/tests/frontier.rs
+++ b/crates/model/tests/frontier.rs
@@ -1,8 +1,9 @@
-//! The bound on all rules without talk against brute force and closed cases, and the module against it.
+//! The bound on all rules without communication against enumeration and known cases, and the module
+//! against the bound.
 
 use maplefall_model::bound::{bound, Case};
-use maplefall_model::frontier::{bound_of, worlds, Point, WHO};
-use maplefall_model::{play, World};
+use maplefall_model::frontier::{bound_of, worlds, Point, POLICIES};
+use maplefall_model::{simulate, World};
 
 fn case() -> Case {
     Case {
@@ -17,20 +18,21 @@
     }
 }
 
-/// The same sum by trying every rule that knows the number of earlier requests at proxies (up to three and more) by steps of a tenth, in a
-/// single stretch: what the programme gives for one stretch is no less, and no more than a step allows.
-fn bound_by_enumeration(case: &Case, seen_for: f64) -> f64 {
-    let room = 1.0 + case.burst_s / case.seconds;
+/// Computes the value for a single interval by enumeration of all rules that depend on the number
+/// of earlier requests (0, 1, 2, and 3 or more), in steps of a tenth. The linear programme for one
+/// interval gives no less, and no more than one step allows.
+fn bound_by_enumeration(case: &Case, observed_s: f64) -> f64 {
+    let max_within_quota = 1.0 + case.burst_s / case.seconds;
     let offered: f64 = case
         .fractions
         .iter()
-        .map(|(fraction, share)| share * fraction.min(room))
+        .map(|(fraction, share)| share * fraction.min(max_within_quota))
         .sum();
-    let chances: Vec<[f64; 4]> = case
+    let probabilities: Vec<[f64; 4]> = case
         .fractions
         .iter()
         .map(|(fraction, _)| {
-            let mean = fraction * case.requests_per_second * seen_for / case.proxies as f64;
+            let mean = fraction * case.requests_per_second * observed_s / case.proxies as f64;
             let none = (-mean).exp();
             let [one, two] = [none * mean, none * mean * mean / 2.0];
             [none, one, two, 1.0 - none - one - two]
@@ -44,15 +46,17 @@
         let value: f64 = case
             .fractions
             .iter()
-            .zip(&chances)
-            .map(|((fraction, share), chances)| {
+            .zip(&probabilities)
+            .map(|((fraction, share), probabilities)| {
                 let admitted = fraction
-                    * chances
+                    * probabilities
                         .iter()
                         .zip(&f)
-                        .map(|(random, f)| random * f)
+                        .map(|(probability, f)| probability * f)
                         .sum::<f64>();
-                share * (admitted.min(room) - case.cost * (admitted - room).max(0.0))
+                share
+                    * (admitted.min(max_within_quota)
+                        - case.cost * (admitted - max_within_quota).max(0.0))
             })
             .sum();
         best = best.max(value / offered);
@@ -69,25 +73,27 @@
             ..case()
         };
         let found = bound(&case).expect("a bound");
-        // A rule that knows at once what others know at the end earns no less than the bound, which learns in stretches; one
-        // that never learns more than in the first stretch no more.
-        let (most, least) = (
+        // A rule that always knows what proxies know at the end of the horizon earns no less than
+        // the bound, in which they learn over the intervals; one that never knows more than in the
+        // first interval earns no more.
+        let (upper, lower) = (
             bound_by_enumeration(&case, case.seconds),
             bound_by_enumeration(&case, case.seconds / 4.0),
         );
         assert!(
-            found.value <= most + 0.02,
-            "{cost} {proxies}: {found:?} {most}"
+            found.value <= upper + 0.02,
+            "{cost} {proxies}: {found:?} {upper}"
         );
         assert!(
-            found.value >= least - 1e-6,
-            "{cost} {proxies}: {found:?} {least}"
+            found.value >= lower - 1e-6,
+            "{cost} {proxies}: {found:?} {lower}"
         );
-        assert!((found.served_value - cost * found.over - found.value).abs() < 1e-9);
+        assert!((found.served_value - cost * found.over_quota_value - found.value).abs() < 1e-9);
     }
 }
 
-/// Where nothing is unknown nothing is lost: one proxy, one part, or no cost.
+/// If the demand is known, the full value is reached: with one proxy, a single possible demand, or
+/// no cost.
 #[test]
 fn known_demand_reaches_full_value() {
     let value = |case: Case| bound(&case).expect("a bound").value;
@@ -116,8 +122,8 @@
             .abs()
             < 1e-6
     );
-    assert!(value(case()) < 0.95, "and what is not known costs");
-    // More proxies know less, a busier one knows more.
+    assert!(value(case()) < 0.95, "unknown demand reduces the value");
+    // More proxies each see less; a busier one sees more.
     let [few, many, uneven] = [
         value(Case {
             proxies: 10,
@@ -148,7 +154,7 @@
     );
 }
 
-fn base() -> World {
+fn base_world() -> World {
     let text = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../worlds/frontier.toml"
@@ -159,32 +165,33 @@
 const COST: f64 = 0.8;
 
 fn points(proxies: usize, uneven: f64) -> Vec<Point> {
-    worlds(&base(), proxies, uneven)
+    worlds(&base_world(), proxies, uneven)
         .iter()
-        .zip(WHO)
-        .map(|(world, (who, ..))| {
-            let runs: Vec<_> = (1..=3).map(|seed| play(world, seed)).collect();
+        .zip(POLICIES)
+        .map(|(world, (policy, ..))| {
+            let runs: Vec<_> = (1..=3).map(|seed| simulate(world, seed)).collect();
             let mean =
                 |of: fn(&maplefall_model::Outcome) -> f64| runs.iter().map(of).sum::<f64>() / 3.0;
-            let (served_value, over) = (
-                mean(|one| one.served_value),
-                mean(|one| one.over_quota_value),
+            let (served_value, over_quota_value) = (
+                mean(|outcome| outcome.served_value),
+                mean(|outcome| outcome.over_quota_value),
             );
             Point {
                 proxies,
                 uneven,
-                who: who.to_owned(),
+                policy: policy.to_owned(),
                 served_value,
-                over,
-                value: served_value - COST * over,
+                over_quota_value,
+                value: served_value - COST * over_quota_value,
             }
         })
         .collect()
 }
 
-/// In terms of the fleet, for 4, 30 and 100 proxies: nowhere is the module dominated by even shares, and it keeps its distance to what
-/// is possible without talk (measured: 0.95 and 0.87 of it, 0.88 and 0.64, 0.83 and 0.56). The bound is one: nobody who talks to
-/// nobody passes it by more than chance.
+/// For 4, 30 and 100 proxies, the module is never dominated by even shares and reaches a minimum
+/// fraction of the bound on rules without communication (measured at unevenness 0 and 0.6: 0.95 and
+/// 0.87, 0.88 and 0.64, 0.83 and 0.56). No policy without communication exceeds the bound by more
+/// than sampling error.
 #[test]
 fn module_is_not_dominated_and_stays_near_bound() {
     let grid = [
@@ -195,25 +202,25 @@
         (100, 0.0, 0.8),
         (100, 0.6, 0.52),
     ];
-    for (proxies, uneven, least) in grid {
+    for (proxies, uneven, lower) in grid {
         let points = points(proxies, uneven);
-        let [module, even, whole, oracle] = points.as_slice() else {
-            panic!("four")
+        let [module, even, full_quota, oracle] = points.as_slice() else {
+            panic!("expected four policies")
         };
-        let most = bound_of(
+        let upper = bound_of(
             &World {
                 proxies,
                 uneven,
-                ..base()
+                ..base_world()
             },
             COST,
         )
         .expect("a bound");
-        println!("{proxies} {uneven}: bound {most:?}\n{points:#?}");
+        println!("{proxies} {uneven}: bound {upper:?}\n{points:#?}");
         assert!(!module.dominated_by(even), "{module:?} {even:?}");
-        assert!(module.value >= least * most.value, "{module:?} {most:?}");
-        for one in [module, even, whole] {
-            assert!(one.value <= most.value + 0.03, "{one:?} {most:?}");
+        assert!(module.value >= lower * upper.value, "{module:?} {upper:?}");
+        for point in [module, even, full_quota] {
+            assert!(point.value <= upper.value + 0.03, "{point:?} {upper:?}");
         }
         assert!(oracle.value > 0.97, "{oracle:?}");
     }
@@ -221,12 +228,12 @@
 
 #[test]
 fn dominance_requires_no_worse_figure() {
-    let point = |served_value, over| Point {
+    let point = |served_value, over_quota_value| Point {
         proxies: 1,
         uneven: 0.0,
-        who: String::new(),
+        policy: String::new(),
         served_value,
-        over,
+        over_quota_value,
         value: 0.0,
     };
     let here = point(0.8, 0.1);
