--- a/crates/model/tests/runs.rs
+++ b/crates/model/tests/runs.rs
@@ -1,6 +1,6 @@
-//! The invariants of the rules over many seeds, the same bytes for the same seed, and files that cannot be used.
+//! Invariants over many seeds, determinism of the output, and reports of invalid files.
 
-use maplefall_model::play;
+use maplefall_model::simulate;
 use maplefall_model::world::{Fault, LoadBalancer, World};
 use std::process::{Command, Output};
 
@@ -34,38 +34,39 @@
     }
 }
 
-/// The five rules in the model, over a hundred seeds with proxies killed, backends replaced and slow ones: one answer each, nothing
-/// unsafe twice, no late send after a drain, no warming up backend pushed over, and all requests at proxies accounted for.
+/// The five invariants over a hundred seeds with killed proxies, replaced backends and slow ones:
+/// one response each, no non-idempotent request executed twice, no late send after a drain, no
+/// warming-up backend overloaded, and all requests at proxies accounted for.
 #[test]
 fn invariants_hold_over_a_hundred_seeds() {
     let world = faulty_world();
     for seed in 0..100 {
-        let one = play(&world, seed);
+        let outcome = simulate(&world, seed);
         assert_eq!(
             (
-                one.duplicate_answers,
-                one.executed_twice,
-                one.late_sends,
-                one.overload_failures
+                outcome.duplicate_responses,
+                outcome.executed_twice,
+                outcome.late_sends,
+                outcome.overload_failures
             ),
             (0, 0, 0, 0),
             "seed {seed}"
         );
         assert_eq!(
-            one.proxy_requests,
-            one.served + one.rejected + one.failed + one.lost,
+            outcome.proxy_requests,
+            outcome.served + outcome.rejected + outcome.failed + outcome.lost,
             "seed {seed}"
         );
         assert!(
-            one.served_value > 0.3 && one.served_value <= 1.0,
+            outcome.served_value > 0.3 && outcome.served_value <= 1.0,
             "seed {seed}: {}",
-            one.served_value
+            outcome.served_value
         );
     }
 }
 
-/// The checks are no empty ones: a policy that knows nothing of warming up backends pushes them over, and one that lets all in passes
-/// quotas.
+/// Guards against checks that cannot fail: a policy that ignores slow start overloads warming-up
+/// backends, and one that admits everything exceeds quotas.
 #[test]
 fn baseline_policy_breaks_invariants() {
     let mut world = World {
@@ -74,15 +75,17 @@
         ..faulty_world()
     };
     world.admission = maplefall_model::world::Admission::None;
-    let outcomes: Vec<_> = (0..10).map(|seed| play(&world, seed)).collect();
-    assert!(outcomes.iter().any(|one| one.overload_failures > 0));
-    assert!(outcomes.iter().all(|one| one.over_quota_units > 0.01));
+    let outcomes: Vec<_> = (0..10).map(|seed| simulate(&world, seed)).collect();
+    assert!(outcomes.iter().any(|outcome| outcome.overload_failures > 0));
+    assert!(outcomes
+        .iter()
+        .all(|outcome| outcome.over_quota_units > 0.01));
 }
 
 #[test]
 fn oracle_serves_more_value_than_module() {
     let served_value = |load_balancer| {
-        play(
+        simulate(
             &World {
                 load_balancer,
                 ..faulty_world()
@@ -101,18 +104,18 @@
 #[test]
 fn same_seed_gives_same_outcome() {
     let world = faulty_world();
-    assert_eq!(play(&world, 7), play(&world, 7));
-    assert_ne!(play(&world, 7), play(&world, 8));
+    assert_eq!(simulate(&world, 7), simulate(&world, 7));
+    assert_ne!(simulate(&world, 7), simulate(&world, 8));
 }
 
-fn model(words: &[&str]) -> Output {
+fn run_model(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_maplefall-model"))
-        .args(words)
+        .args(arguments)
         .output()
         .expect("the program starts")
 }
 
-fn file(name: &str, text: &str) -> String {
+fn write_file(name: &str, text: &str) -> String {
     let path = format!(
         "{}/{name}-{}.toml",
         env!("CARGO_TARGET_TMPDIR"),
@@ -122,20 +125,21 @@
     path
 }
 
-/// Two processes, one run at a time and eight, a grid and its parts: the same bytes.
+/// Two processes, and one or eight runs in parallel, give the same bytes, for single worlds and for
+/// a grid.
 #[test]
 fn output_is_independent_of_process_and_jobs() {
-    let path = file(
+    let path = write_file(
         "same",
         "seconds = 2\n[[trouble]]\nwhat = \"restart-doors\"\nat_s = 1\npart = 0.5\ndown_ms = [100, 300]\n",
     );
-    let runs = |jobs: &str| model(&["run", &path, "--seeds", "9", "--jobs", jobs]).stdout;
-    let one = runs("1");
-    assert_eq!(one, runs("8"));
-    assert_eq!(one, runs("1"));
-    assert_eq!(String::from_utf8_lossy(&one).lines().count(), 9);
+    let runs = |jobs: &str| run_model(&["run", &path, "--seeds", "9", "--jobs", jobs]).stdout;
+    let sequential = runs("1");
+    assert_eq!(sequential, runs("8"));
+    assert_eq!(sequential, runs("1"));
+    assert_eq!(String::from_utf8_lossy(&sequential).lines().count(), 9);
     let sweep = |jobs: &str| {
-        model(&[
+        run_model(&[
             "sweep",
             &path,
             "--over",
@@ -146,40 +150,43 @@
             jobs,
         ])
     };
-    let (one, eight) = (sweep("1"), sweep("8"));
-    assert_eq!(one.stdout, eight.stdout);
-    assert_eq!(String::from_utf8_lossy(&one.stdout).lines().count(), 12);
+    let (sequential, parallel) = (sweep("1"), sweep("8"));
+    assert_eq!(sequential.stdout, parallel.stdout);
+    assert_eq!(
+        String::from_utf8_lossy(&sequential.stdout).lines().count(),
+        12
+    );
 }
 
 #[test]
 fn compare_reports_real_differences_only() {
-    let one = file(
+    let random = write_file(
         "one",
         "seconds = 4\nchoice = \"random\"\nadmission = \"none\"\n",
     );
-    let other = file(
+    let least_outstanding = write_file(
         "other",
         "seconds = 4\nchoice = \"least-out\"\nadmission = \"none\"\n",
     );
     let compare = |first: &str, second: &str| {
-        let output = model(&[
+        let output = run_model(&[
             "compare", first, second, "--figure", "p99_ms", "--seeds", "8", "--jobs", "2",
         ]);
         String::from_utf8_lossy(&output.stdout).into_owned()
     };
     assert!(
-        compare(&one, &other).starts_with("p99_ms: -"),
+        compare(&random, &least_outstanding).starts_with("p99_ms: -"),
         "{}",
-        compare(&one, &other)
+        compare(&random, &least_outstanding)
     );
-    assert!(compare(&one, &one).starts_with("no difference seen"));
+    assert!(compare(&random, &random).starts_with("no difference seen"));
 }
 
-/// A sweep drawn: one line for each kind, and what cannot be drawn is notified.
+/// A sweep is plotted with one series for each policy; a field that is not a figure is an error.
 #[test]
 fn plot_draws_results() {
-    let path = file("drawn", "seconds = 2\n");
-    let sweep = model(&[
+    let path = write_file("drawn", "seconds = 2\n");
+    let sweep = run_model(&[
         "sweep",
         &path,
         "--over",
@@ -189,10 +196,10 @@
         "--seeds",
         "2",
     ]);
-    let results = file("results", &String::from_utf8_lossy(&sweep.stdout));
+    let results = write_file("results", &String::from_utf8_lossy(&sweep.stdout));
     let out = format!("{results}.svg");
     let plot = |x: &str, y: &str| {
-        model(&[
+        run_model(&[
             "plot", &results, "--x", x, "--y", y, "--by", "choice", "--out", &out,
         ])
     };
@@ -206,7 +213,8 @@
     assert!(String::from_utf8_lossy(&wrong.stderr).contains("figures"));
 }
 
-/// One line each with file, field and what was expected, exit code 2, and nothing played.
+/// Each invalid file gives an error line with file, field and the expected value, exit code 2, and
+/// no run.
 #[test]
 fn invalid_world_files_are_reported() {
     for (text, expected) in [
@@ -224,17 +232,18 @@
         ("doors = 10000\nbackends = 100000", "bytes"),
         ("seconds = 3600\nbackends = 100000\nload = 1.0", "requests"),
     ] {
-        let output = model(&["run", &file("bad", text)]);
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0), "{text}: {told}");
-        assert!(told.contains(expected) && told.contains("bad-"), "{text}: {told}");
+        let output = run_model(&["run", &write_file("bad", text)]);
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0), "{text}: {stderr}");
+        assert!(stderr.contains(expected) && stderr.contains("bad-"), "{text}: {stderr}");
     }
-    assert_eq!(model(&["run", "/nowhere.toml"]).status.code(), Some(2));
+    assert_eq!(run_model(&["run", "/nowhere.toml"]).status.code(), Some(2));
 }
 
-/// A world with all that days have: uneven customers whose busiest proxy changes, groups of demand with spikes, guesses that are
-/// settled, a meter that is late, caps, ceilings, zones, clients that follow advice at times.
-fn days() -> World {
+/// Returns a world with uneven customers whose busiest proxy changes, groups of demand with spikes,
+/// estimated units that are corrected, a delayed meter, limits on attempts in flight, hard rate
+/// limits, zones, and clients that honour advised delays only sometimes.
+fn uneven_world() -> World {
     let text = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../worlds/days.toml"
@@ -246,10 +255,14 @@
     }
 }
 
-/// The rules and the ceilings over fifty seeds of such days with floods, customers that come once, a partition and a lost zone.
+/// The invariants and hard rate limits hold over fifty seeds with floods, one-shot customers, a
+/// partition and a lost zone.
 #[test]
-fn invariants_and_ceilings_hold_on_uneven_load() {
-    let mut world = World { zones: 3, ..days() };
+fn invariants_and_rate_limits_hold_on_uneven_load() {
+    let mut world = World {
+        zones: 3,
+        ..uneven_world()
+    };
     world.faults = vec![
         Fault::Flood {
             at_s: 2.0,
@@ -276,35 +289,39 @@
         },
     ];
     for seed in 0..50 {
-        let one = play(&world, seed);
+        let outcome = simulate(&world, seed);
         assert_eq!(
             (
-                one.duplicate_answers,
-                one.executed_twice,
-                one.late_sends,
-                one.overload_failures
+                outcome.duplicate_responses,
+                outcome.executed_twice,
+                outcome.late_sends,
+                outcome.overload_failures
             ),
             (0, 0, 0, 0),
             "seed {seed}"
         );
-        assert_eq!(one.over_ceiling, 0, "seed {seed}");
+        assert_eq!(outcome.over_rate_limit, 0, "seed {seed}");
         assert_eq!(
-            one.proxy_requests,
-            one.served + one.rejected + one.failed + one.lost,
+            outcome.proxy_requests,
+            outcome.served + outcome.rejected + outcome.failed + outcome.lost,
             "seed {seed}"
         );
-        let by_reason: u64 = one.rejections.values().sum();
-        assert_eq!(by_reason, one.rejected, "seed {seed}");
-        assert!(one.served_value > 0.3, "seed {seed}: {}", one.served_value);
+        let by_reason: u64 = outcome.rejections.values().sum();
+        assert_eq!(by_reason, outcome.rejected, "seed {seed}");
+        assert!(
+            outcome.served_value > 0.3,
+            "seed {seed}: {}",
+            outcome.served_value
+        );
     }
 }
 
-/// Who knows no ceilings breaks them, so that keeping them is no empty word.
+/// Guards against a check that cannot fail: a policy that ignores rate limits breaks them.
 #[test]
-fn policy_without_admission_breaks_ceilings() {
+fn policy_without_admission_breaks_rate_limits() {
     let mut world = World {
         load_balancer: LoadBalancer::LeastOutstanding,
-        ..days()
+        ..uneven_world()
     };
     world.admission = maplefall_model::world::Admission::None;
     world.faults = vec![Fault::Flood {
@@ -314,21 +331,21 @@
         times: 10.0,
         through: 0,
     }];
-    assert!((0..5).any(|seed| play(&world, seed).over_ceiling > 0));
+    assert!((0..5).any(|seed| simulate(&world, seed).over_rate_limit > 0));
 }
 
-/// What the new parts of a world are for can be seen in its figures.
+/// Each of these world fields has a visible effect on the figures.
 #[test]
 fn world_fields_affect_figures() {
     let mean = |world: &World, of: &dyn Fn(&maplefall_model::Outcome) -> f64| {
-        (0..6).map(|seed| of(&play(world, seed))).sum::<f64>() / 6.0
+        (0..6).map(|seed| of(&simulate(world, seed))).sum::<f64>() / 6.0
     };
-    let served_value = |world: &World| mean(world, &|one| one.served_value);
-    // Even shares lose by unevenness, and one that sees all does not.
+    let served_value = |world: &World| mean(world, &|outcome| outcome.served_value);
+    // Even shares lose value on uneven load; the oracle does not.
     let even = World {
         load_balancer: LoadBalancer::LeastOutstanding,
         uneven: 0.0,
-        ..days()
+        ..uneven_world()
     };
     let uneven = World {
         uneven: 0.9,
@@ -340,76 +357,87 @@
         served_value(&even),
         served_value(&uneven)
     );
-    let seen = World {
+    let oracle = World {
         load_balancer: LoadBalancer::Oracle,
         ..uneven
     };
-    assert!(served_value(&seen) > 0.97, "{}", served_value(&seen));
-    // Slices rise where a meter would tell of too much, so that uneven customers get more of their quotas.
+    assert!(served_value(&oracle) > 0.97, "{}", served_value(&oracle));
+    // With a meter, slices grow until the meter would report overuse, so that uneven customers get
+    // more of their quotas.
     let metered = World {
         uneven: 0.6,
-        ..days()
+        ..uneven_world()
     };
-    let blind = World {
+    let unmetered = World {
         meter_ms: 0.0,
         ..metered.clone()
     };
     assert!(
-        served_value(&metered) > served_value(&blind) + 0.02,
+        served_value(&metered) > served_value(&unmetered) + 0.02,
         "{} {}",
         served_value(&metered),
-        served_value(&blind)
+        served_value(&unmetered)
     );
-    // Backends of other zones are left alone where crossing has a price.
-    let free = World {
+    // Backends of other zones are avoided if crossing has a price.
+    let unpriced = World {
         zones: 2,
         cross_zone_ms: [0.0, 0.0],
-        ..days()
+        ..uneven_world()
     };
-    let dear = World {
+    let priced = World {
         cross_zone_price: 0.05,
-        ..free.clone()
+        ..unpriced.clone()
     };
-    let cross_zone_attempts = |world: &World| mean(world, &|one| one.cross_zone_attempts);
+    let cross_zone_attempts = |world: &World| mean(world, &|outcome| outcome.cross_zone_attempts);
     assert!(
-        cross_zone_attempts(&free) > 2.0 * cross_zone_attempts(&dear),
+        cross_zone_attempts(&unpriced) > 2.0 * cross_zone_attempts(&priced),
         "{} {}",
-        cross_zone_attempts(&free),
-        cross_zone_attempts(&dear)
+        cross_zone_attempts(&unpriced),
+        cross_zone_attempts(&priced)
     );
-    // A partition costs attempts, not answers.
-    let mut cut = World {
+    // A partition costs attempts but leaves most of the value.
+    let mut partitioned = World {
         proxies: 2,
-        ..days()
+        ..uneven_world()
     };
-    cut.faults = vec![Fault::Partition {
+    partitioned.faults = vec![Fault::Partition {
         at_s: 2.0,
         for_s: 4.0,
         proxies: 1.0,
         backends: 0.5,
     }];
-    assert!(served_value(&cut) > 0.5, "{}", served_value(&cut));
-    assert!(mean(&cut, &|one| one.failed as f64) > mean(&days(), &|one| one.failed as f64));
-    // A lost zone comes back warming up.
-    let mut lost = World { zones: 3, ..days() };
-    lost.faults = vec![Fault::LoseZone {
+    assert!(
+        served_value(&partitioned) > 0.5,
+        "{}",
+        served_value(&partitioned)
+    );
+    assert!(
+        mean(&partitioned, &|outcome| outcome.failed as f64)
+            > mean(&uneven_world(), &|outcome| outcome.failed as f64)
+    );
+    // Attempts reach the dead backends of a lost zone.
+    let mut zone_lost = World {
+        zones: 3,
+        ..uneven_world()
+    };
+    zone_lost.faults = vec![Fault::LoseZone {
         at_s: 3.0,
         for_s: 2.0,
         zone: 0,
     }];
-    assert!(mean(&lost, &|one| one.dead as f64) > 0.0);
+    assert!(mean(&zone_lost, &|outcome| outcome.dead as f64) > 0.0);
 }
 
-/// A search finds the smallest seed, and its world is as small as it can be read: what is not needed is gone.
+/// A search shrinks its world: faults, proxies and zones that are not needed are removed.
 #[test]
 fn search_shrinks_world() {
-    let path = file(
+    let path = write_file(
         "searched",
         "seconds = 8\ndoors = 6\nzones = 2\nchoice = \"least-out\"\nadmission = \"none\"\n\
          [[trouble]]\nwhat = \"slow-backends\"\nat_s = 1\npart = 0.5\nspeed = 0.5\nfor_s = 3\n\
          [[trouble]]\nwhat = \"one-shots\"\nat_s = 2\nfor_s = 3\nshare = 0.3\n",
     );
-    let output = model(&[
+    let output = run_model(&[
         "search",
         &path,
         "--breaks",
@@ -426,42 +454,45 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let small = World::read(&text).expect("what is printed is a world");
+    let small = World::read(&text).expect("the output is a valid world");
     assert!(
         small.faults.is_empty() && small.proxies == 1 && small.zones == 1,
         "{text}"
     );
     assert!(
-        play(&small, 1).over_quota_units > 0.05
-            || play(&small, 2).over_quota_units > 0.05
-            || play(&small, 3).over_quota_units > 0.05
+        simulate(&small, 1).over_quota_units > 0.05
+            || simulate(&small, 2).over_quota_units > 0.05
+            || simulate(&small, 3).over_quota_units > 0.05
     );
-    let none = model(&["search", &path, "--breaks", "ran_twice>0", "--seeds", "2"]);
+    let none = run_model(&["search", &path, "--breaks", "ran_twice>0", "--seeds", "2"]);
     assert!(String::from_utf8_lossy(&none.stdout).starts_with("not seen"));
     for wrong in ["beyond", "nothing>1", "beyond>much"] {
         assert_eq!(
-            model(&["search", &path, "--breaks", wrong]).status.code(),
+            run_model(&["search", &path, "--breaks", wrong])
+                .status
+                .code(),
             Some(2),
             "{wrong}"
         );
     }
 }
 
-/// The load of a world is its client requests in the order of their times, whoever decides.
+/// The generated load is the client requests of a run in order of time, and depends on the seed.
 #[test]
 fn load_depends_on_seed_alone() {
     let world = World {
         seconds: 3.0,
-        ..days()
+        ..uneven_world()
     };
-    let asks = maplefall_model::run::load(&world, 4);
-    assert_eq!(asks.len() as u64, play(&world, 4).client_requests);
-    assert!(asks.windows(2).all(|pair| pair[0].at <= pair[1].at));
-    assert!(asks
-        .iter()
-        .all(|ask| ask.at < 3000.0 && ask.plan < 4 && ask.class < 3 && ask.spread == 4));
-    let path = file("load", "seconds = 1\n");
-    let lines = |seed: &str| model(&["load", &path, "--seed", seed]).stdout;
+    let requests = maplefall_model::run::load(&world, 4);
+    assert_eq!(requests.len() as u64, simulate(&world, 4).client_requests);
+    assert!(requests.windows(2).all(|pair| pair[0].at <= pair[1].at));
+    assert!(requests.iter().all(|request| request.at < 3000.0
+        && request.plan < 4
+        && request.class < 3
+        && request.spread == 4));
+    let path = write_file("load", "seconds = 1\n");
+    let lines = |seed: &str| run_model(&["load", &path, "--seed", seed]).stdout;
     assert_eq!(lines("2"), lines("2"));
     assert_ne!(lines("2"), lines("3"));
     let first = String::from_utf8_lossy(&lines("2"))
@@ -475,25 +506,26 @@
     );
 }
 
-/// A frontier's table has a row for each place, and what the bound does not cover is notified.
+/// The frontier's table has a row for each grid point; a world that the bound does not cover is an
+/// error.
 #[test]
 fn frontier_prints_table_or_json_lines() {
-    let path = file(
+    let path = write_file(
         "frontier",
         "seconds = 3\ncustomers = 20\n[[plan]]\nshare = 1\nrate = 4\nburst = 16\nprice = 1\n\
          [[demand]]\nshare = 1\npart = [0.5, 0.5]\n[[demand]]\nshare = 1\npart = [3, 3]\n",
     );
-    let words = [
+    let arguments = [
         "frontier", &path, "--doors", "1,5", "--uneven", "0,0.5", "--seeds", "2", "--cost", "0.5",
     ];
-    let table = String::from_utf8_lossy(&model(&words).stdout).into_owned();
+    let table = String::from_utf8_lossy(&run_model(&arguments).stdout).into_owned();
     assert_eq!(table.lines().count(), 5, "{table}");
-    let json = model(&[words.as_slice(), &["--json", "--jobs", "4"]].concat());
+    let json = run_model(&[arguments.as_slice(), &["--json", "--jobs", "4"]].concat());
     let text = String::from_utf8_lossy(&json.stdout).into_owned();
     assert_eq!(text.lines().count(), 4 * 5, "{text}");
     assert!(text.lines().all(|line| line.contains("\"value\"")));
-    let metered = file("metered", "meter_ms = 500\n");
-    let told = model(&["frontier", &metered]);
-    assert_eq!(told.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&told.stderr).contains("plan: one plan"));
+    let metered = write_file("metered", "meter_ms = 500\n");
+    let stderr = run_model(&["frontier", &metered]);
+    assert_eq!(stderr.status.code(), Some(2));
+    assert!(String::from_utf8_lossy(&stderr.stderr).contains("plan: one plan"));
 }
