--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -367,7 +367,7 @@
             bed.reported(|report| matches!(report, Report::Read { nodes: 2500, .. })) == 1
         })
         .await;
-        bed.members[0].pieces(7);
+        bed.members[0].set_fragment_size(7);
         bed.until("the watch", |bed| {
             bed.reported(|report| matches!(report, Report::Watching { .. })) == 1
         })
@@ -499,7 +499,7 @@
                 store.revision()
             });
             if notices {
-                bed.members[0].notices(Duration::from_millis(20));
+                bed.members[0].set_progress_interval(Duration::from_millis(20));
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
             bed.etcd.with(|store| store.compact(last).unwrap());
--- a/crates/maplefall/tests/grpc/connections.rs
+++ b/crates/maplefall/tests/grpc/connections.rs
@@ -12,7 +12,7 @@
 fn client_that_disconnects_ends_its_attempt_without_a_retry() {
     run(async {
         let bed = bed(2, "");
-        bed.faults(&[(Fault::Silent, 1.0)]);
+        bed.faults(&[(Fault::NoResponse, 1.0)]);
         let client = bed.client().await;
         let (answer, mut stream) = client.begin(&call("gone", READ, "8S")).await.unwrap();
         stream.send_data(framed(b"x"), true).unwrap();
@@ -138,7 +138,7 @@
         let discovery = place.local_addr().unwrap();
         place.set_nonblocking(true).unwrap();
         let list = List::new(members.clone());
-        let known = serde_json::to_value(list.whole()).unwrap();
+        let known = serde_json::to_value(list.snapshot()).unwrap();
         let agent = Agent::new(0, list, Recorder::new(), 0.0);
         agent.listen(place, Duration::ZERO);
         let (_program, grpc) = start_known("", &[], settings_without_quota(), discovery, known);
@@ -166,7 +166,7 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let told = Instant::now();
-        agent.tell(&Member {
+        agent.update(&Member {
             health: Health::Draining,
             ..members[0].clone()
         });
--- a/crates/maplefall/tests/grpc/mixed_faults.rs
+++ b/crates/maplefall/tests/grpc/mixed_faults.rs
@@ -21,20 +21,20 @@
             (Fault::Status(14), 0.02),
             (Fault::Status(5), 0.02),
             (Fault::Status(13), 0.01),
-            (Fault::TurnedAway(14), 0.02),
+            (Fault::NotStarted(14), 0.02),
             (Fault::Refused, 0.02),
             (Fault::ResetUnanswered(2), 0.02),
             (Fault::ResetUnanswered(8), 0.01),
             (Fault::ResetWithin(2), 0.02),
-            (Fault::CutMessage, 0.02),
+            (Fault::TruncatedMessage, 0.02),
             (Fault::NoStatus, 0.01),
             (Fault::NoMessage, 0.01),
             (Fault::LateTrailers(late), 0.003),
             (Fault::LateHead(late), 0.003),
-            (Fault::Silent, 0.003),
+            (Fault::NoResponse, 0.003),
             (Fault::Drop, 0.002),
             (Fault::Page(503), 0.01),
-            (Fault::StreamCut(1), 0.01),
+            (Fault::ResetAfterMessages(1), 0.01),
         ]);
         let began = Instant::now();
         let mut clients = tokio::task::JoinSet::new();
@@ -87,7 +87,7 @@
                         [1, 1]
                     };
                     assert!(
-                        counts.contains(&seen.messages.len()) && seen.cut == 0,
+                        counts.contains(&seen.messages.len()) && seen.truncated_bytes == 0,
                         "{id}: {seen:?}"
                     );
                     assert!(
--- a/crates/maplefall/tests/grpc/retries.rs
+++ b/crates/maplefall/tests/grpc/retries.rs
@@ -16,7 +16,7 @@
             (Fault::ResetWithin(0), 13),
             (Fault::ResetWithin(8), 1),
             (Fault::ResetWithin(7), 2),
-            (Fault::CutMessage, 13),
+            (Fault::TruncatedMessage, 13),
             (Fault::NoStatus, 2),
             (Fault::NoMessage, 13),
             (Fault::Drop, 2),
@@ -41,7 +41,10 @@
                 Some("-1"),
                 "{fault:?}"
             );
-            assert!(failed.messages.is_empty() && failed.cut == 0, "{fault:?}");
+            assert!(
+                failed.messages.is_empty() && failed.truncated_bytes == 0,
+                "{fault:?}"
+            );
             assert_eq!((bed.attempts(&id), bed.ran(&id)), (1, 1), "{fault:?}");
         }
     });
@@ -50,7 +53,7 @@
 #[test]
 fn call_that_cannot_have_run_is_retried_whatever_its_class() {
     run(async {
-        for fault in [Fault::Refused, Fault::TurnedAway(14), Fault::TurnedAway(8)] {
+        for fault in [Fault::Refused, Fault::NotStarted(14), Fault::NotStarted(8)] {
             let bed = bed(2, "");
             bed.services[0].faults(&[(fault, 1.0)]);
             let mut twice = 0;
@@ -111,7 +114,7 @@
         let half = [
             (Fault::ResetUnanswered(2), 0.06),
             (Fault::ResetWithin(2), 0.06),
-            (Fault::CutMessage, 0.06),
+            (Fault::TruncatedMessage, 0.06),
             (Fault::Drop, 0.06),
             (Fault::Status(14), 0.06),
         ];
@@ -150,7 +153,7 @@
 fn stream_that_breaks_halfway_is_not_retried() {
     run(async {
         let bed = bed(2, "");
-        bed.faults(&[(Fault::StreamCut(2), 1.0)]);
+        bed.faults(&[(Fault::ResetAfterMessages(2), 1.0)]);
         for (n, path) in [WATCH, WATCH_CHARGE].iter().enumerate() {
             let id = format!("b{n}");
             let broken = ask(&bed, &id, path).await;
@@ -167,7 +170,7 @@
             );
         }
         // Broken before the first message it may be, if its class may.
-        bed.faults(&[(Fault::StreamCut(0), 0.4)]);
+        bed.faults(&[(Fault::ResetAfterMessages(0), 0.4)]);
         let mut again = 0;
         for n in 0..20 {
             let id = format!("f{n}");
@@ -194,7 +197,7 @@
         for fault in [
             Fault::LateTrailers(late),
             Fault::LateHead(late),
-            Fault::Silent,
+            Fault::NoResponse,
         ] {
             for path in [CHARGE, WATCH] {
                 // One front door for each: what has been late would be shunned.
--- a/crates/maplefall/tests/grpc/slow_clients.rs
+++ b/crates/maplefall/tests/grpc/slow_clients.rs
@@ -61,7 +61,7 @@
                 let seen = client.call(&call("b", path, "8S")).await;
                 let at = format!("{ending} {path}: {seen:?}");
                 assert_eq!(seen.messages, [[1, 1], [2, 2]], "{at}");
-                assert_eq!((seen.cut, seen.reset), (0, None), "{at}");
+                assert_eq!((seen.truncated_bytes, seen.reset), (0, None), "{at}");
                 assert!(seen.code().is_some_and(|code| code != 0), "{at}");
             }
         }
@@ -92,7 +92,7 @@
             let seen = call_and_read_late(&client, &call("s", path, "8S"), pause).await;
             let lengths: Vec<usize> = seen.messages.iter().map(Vec::len).collect();
             assert_eq!(lengths, [MESSAGE_BYTES; 2], "{path}");
-            assert_eq!((seen.cut, seen.reset), (0, None), "{path}");
+            assert_eq!((seen.truncated_bytes, seen.reset), (0, None), "{path}");
             assert!(seen.code().is_some_and(|code| code != 0), "{path}");
         }
     });
@@ -108,7 +108,11 @@
             let bed = bed(1, "");
             bed.faults(&[(Fault::LateTrailers(late), 1.0)]);
             let seen = bed.client().await.call(&call("q", path, "1S")).await;
-            assert_eq!((seen.messages.len(), seen.cut), (3, 0), "{seen:?}");
+            assert_eq!(
+                (seen.messages.len(), seen.truncated_bytes),
+                (3, 0),
+                "{seen:?}"
+            );
             // A refusal where it may run again, as in `status_after_the_deadline_does_not_count`.
             let fits = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
             assert!(fits, "{seen:?}");
@@ -137,7 +141,11 @@
         assert_eq!(seen.code(), Some(4), "{seen:?}");
         assert_eq!(seen.trailer("grpc-retry-pushback-ms"), Some("-1"));
         assert_eq!((seen.messages.len(), seen.reset), (0, None));
-        assert!(seen.cut <= SMALL_WINDOW as usize, "{}", seen.cut);
+        assert!(
+            seen.truncated_bytes <= SMALL_WINDOW as usize,
+            "{}",
+            seen.truncated_bytes
+        );
         assert!(seen.took < pause + MAX_LATENESS, "{:?}", seen.took);
         // In time, all of it.
         watch
--- a/crates/maplefall/tests/shared_counts.rs
+++ b/crates/maplefall/tests/shared_counts.rs
@@ -3,7 +3,7 @@
 
 mod sockets;
 
-use maplefall_test_servers::relay::{Relay, Weather};
+use maplefall_test_servers::relay::{NetworkConditions, Relay};
 use maplefall_test_servers::wire::{Link, Message};
 use serde_json::Value;
 use sockets::{member, members, settings, Program};
@@ -98,7 +98,7 @@
         let (program, gossip) = bed.start(door);
         bed.doors.push(program);
         bed.gossip.push(gossip);
-        bed.relay.door(door, gossip);
+        bed.relay.set_destination(door, gossip);
     }
     bed
 }
@@ -112,7 +112,7 @@
             env!("CARGO_TARGET_TMPDIR"),
             std::process::id()
         );
-        let fronts = &self.relay.fronts;
+        let fronts = &self.relay.addresses;
         let text = format!(
             "cluster = \"{cluster}\"\nkey = \"{key}\"\ngossip = \"127.0.0.1:0\"\nadvertise = \"{}\"\n\
              seeds = [\"{}\", \"{}\"]\ninterval_ms = 50\nepoch_ms = 600000\nmost_told = 4096\n",
@@ -244,13 +244,13 @@
     run(async {
         let bed = bed(4, settings());
         bed.met().await;
-        let rough = Weather {
+        let rough = NetworkConditions {
             loss: 0.3,
-            doubled: 0.1,
+            duplicated: 0.1,
             delay_ms: (0.0, 120.0),
-            ..Weather::default()
+            ..NetworkConditions::default()
         };
-        bed.relay.play(rough);
+        bed.relay.set_conditions(rough);
         for part in 0..8 {
             bed.traffic(60, &format!("rough{part}")).await;
             for door in 0..4 {
@@ -293,9 +293,9 @@
                 .flat_map(|l| right.iter().flat_map(move |r| [(*l, *r), (*r, *l)]));
             pairs.collect::<BTreeSet<_>>()
         };
-        bed.relay.play(Weather {
-            cut: apart(&[0, 1], &[2, 3]),
-            ..Weather::default()
+        bed.relay.set_conditions(NetworkConditions {
+            partitions: apart(&[0, 1], &[2, 3]),
+            ..NetworkConditions::default()
         });
         bed.until("halves", || {
             bed.status(0)["doors"] == 2 && bed.status(3)["doors"] == 2
@@ -307,7 +307,7 @@
             (0..4).all(|door| bed.totals(door) != truth),
             "nobody can know all"
         );
-        bed.relay.play(Weather::default());
+        bed.relay.set_conditions(NetworkConditions::default());
         bed.met().await;
         bed.until("healed", || (0..4).all(|door| bed.totals(door) == truth))
             .await;
@@ -315,7 +315,7 @@
         let (program, gossip) = bed.start(3);
         bed.doors[3] = program;
         bed.gossip[3] = gossip;
-        bed.relay.door(3, gossip);
+        bed.relay.set_destination(3, gossip);
         bed.met().await;
         bed.traffic(40, "again").await;
         let truth = bed.truth.net.borrow().clone();
--- a/crates/rehearsal/src/carry.rs
+++ b/crates/rehearsal/src/carry.rs
@@ -3,11 +3,13 @@
 
 use crate::settings;
 use maplefall_event_trace::{Effect, EventKind, Millis, Recorder};
-use maplefall_test_servers::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
-use maplefall_test_servers::lateness::Lateness;
-use maplefall_test_servers::node::{
-    Deployment, Metering, Node, Overload, Place, Seats, Spec, Work, World,
+use maplefall_test_servers::backend::{
+    Backend, BackendSlot, BackendSpec, Deployment, Listeners, Metering, Overload, SharedState, Work,
+};
+use maplefall_test_servers::client::{
+    Ask, Backoff, ClientBehavior, ClientOptions, Clients, GatewayState, GatewayStates, RequestClass,
 };
+use maplefall_test_servers::lateness::Lateness;
 use std::io;
 
 /// Lateness at the 99th percentile up to which a rate counts as carried.
@@ -49,7 +51,7 @@
 /// What the system says where it has no port or no thread.
 pub fn measure(rate: f64, seconds: f64) -> io::Result<Carried> {
     let (recorder, lateness) = (Recorder::new(), Lateness::default());
-    let seats = Seats::open(1)?;
+    let seats = Listeners::open(1)?;
     let address = seats.address(0);
     let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
     let asked = (rate * seconds) as u64;
@@ -81,54 +83,54 @@
                     idle_ms,
                     overload,
                 };
-                let world = World::new(deployment, recorder, lateness);
-                let place = Place::over(seats);
-                let spec = Spec {
+                let world = SharedState::new(deployment, recorder, lateness);
+                let place = BackendSlot::over(seats);
+                let spec = BackendSpec {
                     number: 0,
                     cores: 64,
                     queue: 10_000,
-                    cold_from: 1.0,
-                    cold_ms: 0.0,
+                    initial_capacity: 1.0,
+                    warmup_ms: 0.0,
                     connections: 10_000,
                 };
-                place.house(Some(Node::start(&world, spec)));
+                place.set_backend(Some(Backend::start(&world, spec)));
                 // Whoever holds the other end says when it is over.
                 let _ = stopped.await;
             })
         })
     };
     on_a_runtime(async {
-        let board = Board::new(1);
+        let board = GatewayStates::new(1);
         board.set(
             0,
-            DoorSeen {
+            GatewayState {
                 ready: true,
                 left: None,
             },
         );
-        let kind = Kind {
+        let kind = RequestClass {
             name: "consulta".into(),
             effect: Effect::Safe,
             memory_ms: 0.0,
             give_up_ms: 10_000.0,
         };
-        let habits = Habits {
+        let habits = ClientBehavior {
             retries: 0,
             backoff: Backoff::AtOnce,
             honour: 0.0,
-            most_wait_ms: 0.0,
+            max_wait_ms: 0.0,
             patience: [1.0, 1.0],
             notice_ms: 0.0,
             stop_ms: 0.0,
             busiest_ms: 8000.0,
             answer_slack_ms: 58.0,
         };
-        let crowd = Crowd {
+        let crowd = ClientOptions {
             seed: 1,
             kinds: vec![kind],
             plans: vec!["basico".into()],
             habits,
-            doors: vec![address],
+            gateways: vec![address],
             board,
             credentials: false,
         };
@@ -144,7 +146,7 @@
             spread: 1,
             first: 0,
         });
-        clients.play(asks).await;
+        clients.run(asks).await;
     })?;
     // The nodes may have ended already; then there is nobody to tell.
     let _ = stop.send(());
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -425,7 +425,7 @@
         }
         let member = etcd.member(1, listener).map_err(plainly)?;
         if let Some(every) = notices {
-            member.notices(Duration::from_millis(every.max(1)));
+            member.set_progress_interval(Duration::from_millis(every.max(1)));
         }
         println!("http://{}", member.address);
         let (end, ended) = tokio::sync::oneshot::channel();
--- a/crates/rehearsal/src/members.rs
+++ b/crates/rehearsal/src/members.rs
@@ -130,7 +130,7 @@
     }
     let listen = own_address(std::process::id(), 0, 0);
     let list = List::new((0..load.nodes).map(|node| member(node, false)));
-    let known = (load.teller == Teller::Agent).then(|| list.whole());
+    let known = (load.teller == Teller::Agent).then(|| list.snapshot());
     let mut config = settings::config(&scenario, &drawn, 0, listen, told_at, known.as_ref(), 1);
     config["settings"]["fleet_size"] = load.doors.into();
     files.write(&config.to_string())?;
@@ -186,7 +186,7 @@
                         agent.listen(listener, Duration::ZERO);
                         let tell = async {
                             while let Some(member) = said.recv().await {
-                                agent.tell(&member);
+                                agent.update(&member);
                             }
                         };
                         tokio::select! {
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -11,15 +11,17 @@
 use maplefall_protocol::{Health, Member, Members};
 use maplefall_test_servers::agent::{self, Agent, List};
 use maplefall_test_servers::auth::{self, Auth};
+use maplefall_test_servers::backend::{
+    Backend, BackendSlot, BackendSpec, Deployment, Fault, FaultKind, Listeners, Metering, Overload,
+    SharedState, Work,
+};
 use maplefall_test_servers::client::{
-    credential, Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind,
+    credential, Ask, Backoff, ClientBehavior, ClientOptions, Clients, GatewayState, GatewayStates,
+    RequestClass,
 };
 use maplefall_test_servers::lateness::Lateness;
-use maplefall_test_servers::node::{
-    Deployment, Fault, Metering, Node, Overload, Place, Seats, Spec, Trouble, Work, World,
-};
-use maplefall_test_servers::relay::{Relay, Weather};
-use maplefall_test_servers::rude;
+use maplefall_test_servers::malformed_client;
+use maplefall_test_servers::relay::{NetworkConditions, Relay};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::io;
@@ -71,13 +73,13 @@
 }
 
 /// What the network does to counts, with these pairs cut off from one another.
-fn weather(sharing: &Sharing, cut: &[(usize, usize)]) -> Weather {
+fn weather(sharing: &Sharing, cut: &[(usize, usize)]) -> NetworkConditions {
     let delay_ms = (sharing.delay_ms[0], sharing.delay_ms[1]);
-    Weather {
+    NetworkConditions {
         loss: sharing.loss,
-        doubled: sharing.loss / 3.0,
+        duplicated: sharing.loss / 3.0,
         delay_ms,
-        cut: cut.iter().copied().collect(),
+        partitions: cut.iter().copied().collect(),
     }
 }
 
@@ -137,7 +139,7 @@
         let port = || TcpListener::bind("127.0.0.1:0");
         let mut places = Vec::new();
         for _ in 0..script.places {
-            places.push(Seats::open(doors).map_err(io_error("listeners for nodes"))?);
+            places.push(Listeners::open(doors).map_err(io_error("listeners for nodes"))?);
         }
         // Agents: one address to begin with, and one to move to.
         let mut agents_at = Vec::new();
@@ -155,7 +157,7 @@
             Some(sharing) => {
                 let relay = Relay::new(doors, script.header.seed)
                     .map_err(io_error("a network for counts"))?;
-                relay.play(weather(sharing, &[]));
+                relay.set_conditions(weather(sharing, &[]));
                 Some(relay)
             }
             None => None,
@@ -195,8 +197,10 @@
             }
             let listen = own_address(std::process::id(), play, door);
             if let Some(relay) = &relay {
-                relay.door(door, listen);
-                if let Some(text) = settings::shared_counts(scenario, listen, door, &relay.fronts) {
+                relay.set_destination(door, listen);
+                if let Some(text) =
+                    settings::shared_counts(scenario, listen, door, &relay.addresses)
+                {
                     let path = self.folder.join(format!("door-{door}-counts.toml"));
                     std::fs::write(&path, text).map_err(io_error("a file of shared counts"))?;
                     files.shared_counts = Some(path);
@@ -216,7 +220,7 @@
             agents_at.push((first, local(&second)?, second, list));
         }
         let moved: Vec<SocketAddr> = agents_at.iter().map(|(_, moved, _, _)| *moved).collect();
-        let board = Board::new(doors);
+        let board = GatewayStates::new(doors);
         let addresses: Vec<SocketAddr> = slots.iter().map(|slot| slot.listen).collect();
         let stop = Arc::new(AtomicBool::new(false));
         // Set once all front doors are ready: the moment from which the script counts.
@@ -289,7 +293,7 @@
     fn drive<T>(
         &self,
         recorder: &Recorder,
-        board: &Board,
+        board: &GatewayStates,
         unix_start: Millis,
         slots: &mut [Slot],
         moved: &[SocketAddr],
@@ -322,7 +326,7 @@
             while let Some((_, door, act)) = acts.next_if(|(at, _, _)| *at <= now) {
                 match (act, relay, &self.scenario.sharing) {
                     (DoorAct::Cut(pairs), Some(relay), Some(sharing)) => {
-                        relay.play(weather(sharing, pairs))
+                        relay.set_conditions(weather(sharing, pairs))
                     }
                     _ => self.act(recorder, board, slots, moved, *door, act)?,
                 }
@@ -367,7 +371,7 @@
 
     /// Writes a front door's configuration; tells the list that stands in it.
     fn configure(&self, slot: &Slot, door: usize) -> Result<Members, NotPlayed> {
-        let known = slot.list.whole();
+        let known = slot.list.snapshot();
         let config = settings::config(
             self.scenario,
             self.script,
@@ -400,7 +404,7 @@
             state: ProxyState::Started,
         });
         if self.scenario.sources != Sources::Etcd {
-            agent::told(recorder, door as u32, &known, unix_start);
+            agent::record_update(recorder, door as u32, &known, unix_start);
         }
         let started = Door::start(
             self.daemon,
@@ -420,7 +424,7 @@
     fn act(
         &self,
         recorder: &Recorder,
-        board: &Board,
+        board: &GatewayStates,
         slots: &mut [Slot],
         moved: &[SocketAddr],
         door: usize,
@@ -435,7 +439,7 @@
         let number = door as u32;
         let left = |told| {
             let left = Some((recorder.now(), told));
-            board.set(door, DoorSeen { ready: true, left });
+            board.set(door, GatewayState { ready: true, left });
         };
         match act {
             DoorAct::Kill(down) => {
@@ -489,7 +493,7 @@
     fn look(
         &self,
         recorder: &Recorder,
-        board: &Board,
+        board: &GatewayStates,
         unix_start: Millis,
         slots: &mut [Slot],
     ) -> Result<(), NotPlayed> {
@@ -522,7 +526,7 @@
                     slot.ready_by = None;
                     board.set(
                         door,
-                        DoorSeen {
+                        GatewayState {
                             ready: true,
                             left: Some((recorder.now(), false)),
                         },
@@ -546,7 +550,7 @@
                     });
                     board.set(
                         door,
-                        DoorSeen {
+                        GatewayState {
                             ready: true,
                             left: None,
                         },
@@ -594,7 +598,7 @@
     recorder: Recorder,
     lateness: Lateness,
     unix_start: Millis,
-    places: Vec<Seats>,
+    places: Vec<Listeners>,
     agents_at: Vec<(TcpListener, SocketAddr, TcpListener, List)>,
     etcd_at: Vec<TcpListener>,
     auth_at: Vec<TcpListener>,
@@ -624,19 +628,19 @@
             slack_ms: rules.warmup_slack_ms,
         },
     };
-    let world = World::new(deployment, recorder.clone(), lateness.clone());
-    let spec = |number, cold_from| Spec {
+    let world = SharedState::new(deployment, recorder.clone(), lateness.clone());
+    let spec = |number, initial_capacity| BackendSpec {
         number,
         cores: scenario.cores,
         queue: scenario.queue as usize,
-        cold_from,
-        cold_ms: scenario.cold_ms,
+        initial_capacity,
+        warmup_ms: scenario.cold_ms,
         connections: scenario.connections as usize,
     };
-    let places: Vec<Rc<Place>> = places.into_iter().map(Place::over).collect();
+    let places: Vec<Rc<BackendSlot>> = places.into_iter().map(BackendSlot::over).collect();
     let born: RefCell<Vec<(u32, Millis)>> = RefCell::default();
     for node in 0..scenario.nodes {
-        places[node as usize].house(Some(Node::start(&world, spec(node, 1.0))));
+        places[node as usize].set_backend(Some(Backend::start(&world, spec(node, 1.0))));
     }
     let doors = scenario.doors as usize;
     let mut etcd = match etcd_at.is_empty() {
@@ -687,7 +691,7 @@
             }
         }
         while let Some((at, act)) = acts.next_if(|(at, _)| at + zero <= now) {
-            lateness.note(at + zero, now);
+            lateness.record(at + zero, now);
             match *act {
                 WorldAct::Strike {
                     place,
@@ -696,39 +700,39 @@
                     late_ms,
                     for_ms,
                 } => {
-                    let trouble = match strike {
-                        Strike::Stall => Trouble::Stall,
-                        Strike::ResetBefore => Trouble::ResetBefore,
-                        Strike::ResetWithin => Trouble::ResetWithin,
-                        Strike::ResetAfter => Trouble::ResetAfter,
-                        Strike::Spoilt => Trouble::Spoilt,
-                        Strike::Endless => Trouble::Endless,
-                        Strike::FastErrors => Trouble::FastError,
-                        Strike::Late => Trouble::Late(late_ms),
-                        Strike::Refuse => Trouble::Refuse,
-                        Strike::Neighbour => Trouble::Neighbour(share),
+                    let kind = match strike {
+                        Strike::Stall => FaultKind::Stall,
+                        Strike::ResetBefore => FaultKind::ResetBefore,
+                        Strike::ResetWithin => FaultKind::ResetWithin,
+                        Strike::ResetAfter => FaultKind::ResetAfter,
+                        Strike::Spoilt => FaultKind::Malformed,
+                        Strike::Endless => FaultKind::Endless,
+                        Strike::FastErrors => FaultKind::FastError,
+                        Strike::Late => FaultKind::Late(late_ms),
+                        Strike::Refuse => FaultKind::Refuse,
+                        Strike::Neighbour => FaultKind::Neighbour(share),
                     };
-                    places[place].fault(Fault {
-                        trouble,
-                        part: share,
+                    places[place].add_fault(Fault {
+                        kind,
+                        share,
                         until: at + zero + for_ms,
                     });
                 }
                 WorldAct::Drain { place, turns_away } => {
-                    if let Some(node) = places[place].tenant() {
+                    if let Some(node) = places[place].backend() {
                         node.drain(turns_away);
                     }
                 }
                 WorldAct::End(place) => {
-                    if let Some(node) = places[place].tenant() {
-                        node.end();
+                    if let Some(node) = places[place].backend() {
+                        node.stop();
                     }
-                    places[place].house(None);
+                    places[place].set_backend(None);
                 }
                 WorldAct::Start { place, node } => {
-                    let fresh = Node::start(&world, spec(node, scenario.cold_from));
-                    born.borrow_mut().push((node, fresh.born()));
-                    places[place].house(Some(fresh));
+                    let fresh = Backend::start(&world, spec(node, scenario.cold_from));
+                    born.borrow_mut().push((node, fresh.started_at()));
+                    places[place].set_backend(Some(fresh));
                 }
                 WorldAct::Tell {
                     door,
@@ -744,10 +748,15 @@
                     let born = born.borrow();
                     let life = born.iter().rev().find(|(known, _)| *known == node);
                     let born_ms = life.map_or(0.0, |(_, at)| unix_start + at);
-                    agents[door].tell(&member(places[place].address(door), node, health, born_ms));
+                    agents[door].update(&member(
+                        places[place].address(door),
+                        node,
+                        health,
+                        born_ms,
+                    ));
                 }
-                WorldAct::Silence { door, silent } => agents[door].silence(silent),
-                WorldAct::Lapse { door, lapse } => agents[door].lapse(lapse),
+                WorldAct::Silence { door, silent } => agents[door].set_silent(silent),
+                WorldAct::Lapse { door, lapse } => agents[door].set_lapse(lapse),
                 WorldAct::Vanish { door } => agents[door].vanish(),
                 WorldAct::BreakOff => agents.iter().for_each(|agent| agent.break_off()),
                 WorldAct::Repeat => agents.iter().for_each(|agent| agent.repeat()),
@@ -858,16 +867,16 @@
     recorder: Recorder,
     lateness: Lateness,
     doors: Vec<SocketAddr>,
-    board: Board,
+    board: GatewayStates,
     starts: tokio::sync::oneshot::Receiver<Millis>,
 ) -> io::Result<()> {
-    let kinds = scenario.classes.iter().map(|class| Kind {
+    let kinds = scenario.classes.iter().map(|class| RequestClass {
         name: class.name.clone(),
         effect: class.effect,
         memory_ms: class.memory_ms,
         give_up_ms: class.give_up_ms,
     });
-    let habits = Habits {
+    let habits = ClientBehavior {
         retries: scenario.retries,
         backoff: match scenario.backoff.as_str() {
             "none" => Backoff::AtOnce,
@@ -875,7 +884,7 @@
             _ => Backoff::Fixed(scenario.backoff_ms),
         },
         honour: scenario.honour,
-        most_wait_ms: settings::MOST_WAIT_MS,
+        max_wait_ms: settings::MOST_WAIT_MS,
         patience: scenario.patience,
         notice_ms: script.notice_ms,
         stop_ms: STOP_MS,
@@ -888,12 +897,12 @@
         .iter()
         .map(|plan| plan.name.clone())
         .collect();
-    let crowd = Crowd {
+    let crowd = ClientOptions {
         seed: script.header.seed,
         kinds: kinds.collect(),
         plans,
         habits,
-        doors: doors.clone(),
+        gateways: doors.clone(),
         board,
         credentials: scenario.checks.is_some(),
     };
@@ -918,18 +927,18 @@
         let (at, door, kind) = (
             at + zero,
             doors[lot % doors.len()],
-            rude::ALL[lot % rude::ALL.len()],
+            malformed_client::ALL[lot % malformed_client::ALL.len()],
         );
         visits.spawn_local(async move {
             tokio::time::sleep_until(recorder.instant(at).into()).await;
-            rude::visit(&recorder, door, kind, lot as u64, &class, &plan).await;
+            malformed_client::run(&recorder, door, kind, lot as u64, &class, &plan).await;
         });
     }
     let asks = script.asks.iter().map(|ask| Ask {
         at: ask.at + zero,
         ..ask.clone()
     });
-    clients.play(asks).await;
+    clients.run(asks).await;
     while visits.join_next().await.is_some() {}
     Ok(())
 }
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -6,9 +6,9 @@
 use maplefall_event_trace as record;
 use maplefall_event_trace::{Header, Millis, RateLimit, Rules};
 use maplefall_test_servers::agent::Lapse;
+use maplefall_test_servers::backend::USUAL_UNITS;
 use maplefall_test_servers::client::Ask;
 use maplefall_test_servers::etcd::Cut;
-use maplefall_test_servers::node::USUAL_UNITS;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::fmt::Write;
--- a/crates/test-servers/src/agent.rs
+++ b/crates/test-servers/src/agent.rs
@@ -69,7 +69,7 @@
     }
 
     /// The whole list.
-    pub fn whole(&self) -> Members {
+    pub fn snapshot(&self) -> Members {
         let held = self.held();
         Members {
             seq: held.seq,
@@ -218,7 +218,7 @@
     }
 
     /// It hears of a change, and hands it on unless it is silent.
-    pub fn tell(&self, member: &Member) {
+    pub fn update(&self, member: &Member) {
         let version = self.list.change(member);
         if let Some(node) = number(&member.host) {
             let (door, health) = (self.door, health(member.health));
@@ -235,19 +235,19 @@
     /// Tells again what it knows of every node.
     pub fn repeat(&self) {
         self.list
-            .whole()
+            .snapshot()
             .hosts
             .iter()
-            .for_each(|member| self.tell(member));
+            .for_each(|member| self.update(member));
     }
 
     /// Says nothing from now on, or speaks again.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         self.state.send_modify(|state| state.silent = silent);
     }
 
     /// Does this wrong from now on, or nothing.
-    pub fn lapse(&self, lapse: Option<Lapse>) {
+    pub fn set_lapse(&self, lapse: Option<Lapse>) {
         self.state.send_modify(|state| state.lapse = lapse);
     }
 
@@ -420,12 +420,12 @@
 
     /// Notes what has been written to the front door.
     fn told(&self, members: &Members) {
-        told(&self.recorder, self.door, members, self.unix_start);
+        record_update(&self.recorder, self.door, members, self.unix_start);
     }
 }
 
 /// Notes that a front door has been told these entries, by its agent or by the list that it started with.
-pub fn told(recorder: &Recorder, door: u32, members: &Members, unix_start: Millis) {
+pub fn record_update(recorder: &Recorder, door: u32, members: &Members, unix_start: Millis) {
     for member in &members.hosts {
         let Some(node) = number(&member.host) else {
             continue;
--- a/crates/test-servers/src/node.rs
+++ b/crates/test-servers/src/backend.rs
@@ -1,8 +1,8 @@
 //! Api nodes: cores, a queue, a cold start, memory of keys, and failures by script.
 //!
-//! A node is a tenant of a [`Place`], which holds one listener for each front door, so that whoever dials tells by the
+//! A node is a tenant of a [`BackendSlot`], which holds one listener for each front door, so that whoever dials tells by the
 //! address which front door it is; a replacement may move into the place of one that has gone. What all nodes share
-//! (the memory of keys, the meter of use, the numbering of attempts) is the [`World`].
+//! (the memory of keys, the meter of use, the numbering of attempts) is the [`SharedState`].
 
 use crate::lateness::Lateness;
 use crate::wire::{Link, Message, NoMessage};
@@ -81,7 +81,7 @@
 }
 
 /// What all nodes of a deployment share.
-pub struct World {
+pub struct SharedState {
     deployment: Deployment,
     recorder: Recorder,
     lateness: Lateness,
@@ -92,10 +92,10 @@
     used: RefCell<HashMap<u64, VecDeque<(u64, f64)>>>,
 }
 
-impl World {
+impl SharedState {
     /// A deployment whose nodes write what they see to this record.
-    pub fn new(deployment: Deployment, recorder: Recorder, lateness: Lateness) -> Rc<World> {
-        Rc::new(World {
+    pub fn new(deployment: Deployment, recorder: Recorder, lateness: Lateness) -> Rc<SharedState> {
+        Rc::new(SharedState {
             deployment,
             recorder,
             lateness,
@@ -199,7 +199,7 @@
 
 /// What a node can be made to do wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// Requests are read and never answered.
     Stall,
     /// Connections are reset when they are accepted.
@@ -209,7 +209,7 @@
     /// Connections are reset when the request has come whole; its effect runs in half of the cases.
     ResetAfter,
     /// The answer is no HTTP.
-    Spoilt,
+    Malformed,
     /// The answer is said to have 3 GB and keeps coming.
     Endless,
     /// 500 at once, and nothing runs.
@@ -226,16 +226,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
     /// What.
-    pub trouble: Trouble,
+    pub kind: FaultKind,
     /// Part of the requests that it strikes.
-    pub part: f64,
+    pub share: f64,
     /// When it ends.
     pub until: Millis,
 }
 
 /// What a node is like.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spec {
+pub struct BackendSpec {
     /// Its number.
     pub number: u32,
     /// Its cores.
@@ -243,9 +243,9 @@
     /// Requests that wait at most, besides those that run.
     pub queue: usize,
     /// Part of its capacity that it starts with; 1 for one that is warm from the start.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time until it is warm.
-    pub cold_ms: Millis,
+    pub warmup_ms: Millis,
     /// Connections that it holds at most.
     pub connections: usize,
 }
@@ -266,9 +266,9 @@
 }
 
 /// One api node.
-pub struct Node {
-    world: Rc<World>,
-    spec: Spec,
+pub struct Backend {
+    world: Rc<SharedState>,
+    spec: BackendSpec,
     born: Millis,
     life: watch::Sender<Life>,
     /// When each core is free.
@@ -280,20 +280,20 @@
     pressure: RefCell<VecDeque<(Millis, Millis)>>,
 }
 
-impl Node {
+impl Backend {
     /// A node whose process starts now.
-    pub fn start(world: &Rc<World>, spec: Spec) -> Rc<Node> {
+    pub fn start(world: &Rc<SharedState>, spec: BackendSpec) -> Rc<Backend> {
         let cores = f64::from(spec.cores);
         let state = NodeState::Up {
             cores,
-            initial_capacity: spec.cold_from,
-            warmup_ms: spec.cold_ms,
+            initial_capacity: spec.initial_capacity,
+            warmup_ms: spec.warmup_ms,
         };
         let born = world.recorder.record(EventKind::Node {
             node: spec.number,
             state,
         });
-        Rc::new(Node {
+        Rc::new(Backend {
             world: world.clone(),
             spec,
             born,
@@ -307,7 +307,7 @@
     }
 
     /// When its process started.
-    pub fn born(&self) -> Millis {
+    pub fn started_at(&self) -> Millis {
         self.born
     }
 
@@ -330,7 +330,7 @@
     }
 
     /// Its process ends: its connections are reset.
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.turn(Life::Gone, NodeState::Stopped);
     }
 
@@ -347,7 +347,7 @@
     }
 
     /// Begins a trouble.
-    pub fn fault(&self, fault: Fault) {
+    pub fn add_fault(&self, fault: Fault) {
         self.faults.borrow_mut().push(fault);
     }
 
@@ -359,19 +359,19 @@
 
     /// Part of its capacity that it has.
     fn warmth(&self, now: Millis) -> f64 {
-        if self.spec.cold_from >= 1.0 || self.spec.cold_ms <= 0.0 {
+        if self.spec.initial_capacity >= 1.0 || self.spec.warmup_ms <= 0.0 {
             return 1.0;
         }
-        let risen = ((now - self.born) / self.spec.cold_ms).clamp(0.0, 1.0);
-        self.spec.cold_from + (1.0 - self.spec.cold_from) * risen
+        let risen = ((now - self.born) / self.spec.warmup_ms).clamp(0.0, 1.0);
+        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * risen
     }
 
     fn speed(&self, now: Millis) -> f64 {
         let taken = self
             .troubles(now)
             .iter()
-            .fold(0.0, |most: f64, fault| match fault.trouble {
-                Trouble::Neighbour(part) => most.max(part),
+            .fold(0.0, |most: f64, fault| match fault.kind {
+                FaultKind::Neighbour(part) => most.max(part),
                 _ => most,
             });
         self.warmth(now) * (1.0 - taken).max(0.02)
@@ -414,7 +414,7 @@
 
     async fn until(&self, at: Millis) {
         tokio::time::sleep_until(self.world.recorder.instant(at).into()).await;
-        self.world.lateness.note(at, self.world.recorder.now());
+        self.world.lateness.record(at, self.world.recorder.now());
     }
 
     /// Serves one connection of a front door.
@@ -459,7 +459,7 @@
                 told: Cell::new(false),
             };
             if self
-                .struck(first, attempt, |t| *t == Trouble::ResetWithin)
+                .struck(first, attempt, |t| *t == FaultKind::ResetWithin)
                 .is_some()
             {
                 // What has been read may be whole: then it counts as come, and nothing of it ran.
@@ -494,13 +494,18 @@
     }
 
     /// The trouble that strikes this attempt, if one does.
-    fn struck(&self, now: Millis, attempt: u64, of: impl Fn(&Trouble) -> bool) -> Option<Trouble> {
+    fn struck(
+        &self,
+        now: Millis,
+        attempt: u64,
+        of: impl Fn(&FaultKind) -> bool,
+    ) -> Option<FaultKind> {
         let faults = self.troubles(now);
         let mut hits = faults.iter().enumerate().filter(|(i, fault)| {
-            of(&fault.trouble)
-                && draw(self.world.deployment.seed, attempt, 100 + *i as u64) < fault.part
+            of(&fault.kind)
+                && draw(self.world.deployment.seed, attempt, 100 + *i as u64) < fault.share
         });
-        hits.next().map(|(_, fault)| fault.trouble)
+        hits.next().map(|(_, fault)| fault.kind)
     }
 
     /// Carries out one request that has come whole, and answers it.
@@ -560,10 +565,10 @@
                 format!("HTTP/1.1 503 X\r\nNot-Started: 1\r\n{usage}Content-Length: 0\r\n\r\n");
             return Talk::after(link.write(text.as_bytes()).await);
         }
-        let mine = |t: &Trouble| {
+        let mine = |t: &FaultKind| {
             !matches!(
                 t,
-                Trouble::Neighbour(_) | Trouble::Refuse | Trouble::ResetBefore
+                FaultKind::Neighbour(_) | FaultKind::Refuse | FaultKind::ResetBefore
             )
         };
         let trouble = self.struck(now, attempt, mine);
@@ -572,12 +577,12 @@
             .filter(|_| class.effect == Effect::Keyed);
         let repeats = || key.is_some_and(|key| world.repeat(key, now, class.memory_ms));
         match trouble {
-            Some(Trouble::FastError) => {
+            Some(FaultKind::FastError) => {
                 over(AttemptEnd::Error);
                 let text = format!("HTTP/1.1 500 X\r\n{usage}Content-Length: 0\r\n\r\n");
                 return Talk::after(link.write(text.as_bytes()).await);
             }
-            Some(Trouble::ResetAfter) => {
+            Some(FaultKind::ResetAfter) => {
                 // What runs is remembered, and what is remembered does not run.
                 if draw(world.deployment.seed, attempt, 7) < 0.5 && !repeats() {
                     recorder.record(EventKind::EffectApplied { attempt });
@@ -585,7 +590,7 @@
                 over(AttemptEnd::Reset);
                 return Talk::Reset;
             }
-            Some(Trouble::Stall) => {
+            Some(FaultKind::Stall) => {
                 link.until_closed().await;
                 over(AttemptEnd::Cancelled);
                 return Talk::Close;
@@ -593,7 +598,7 @@
             _ => {}
         }
         let repeat = repeats();
-        let late = if let Some(Trouble::Late(by)) = trouble {
+        let late = if let Some(FaultKind::Late(by)) = trouble {
             by
         } else {
             0.0
@@ -630,7 +635,7 @@
             }
         }
         match trouble {
-            Some(Trouble::Spoilt) => {
+            Some(FaultKind::Malformed) => {
                 over(AttemptEnd::Malformed);
                 let _ = link
                     .write(b"HTTP/1.1 \x00\x01 2oo\r\nContent-Length: 1\r\n\r\n{")
@@ -638,7 +643,7 @@
                 link.until_closed().await;
                 Talk::Close
             }
-            Some(Trouble::Endless) => {
+            Some(FaultKind::Endless) => {
                 over(AttemptEnd::Malformed);
                 let mut wrote = link
                     .write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
@@ -686,7 +691,7 @@
 
 /// An attempt of which the first byte has come: noted once, as whole or as broken off.
 struct Partly<'a> {
-    node: &'a Rc<Node>,
+    node: &'a Rc<Backend>,
     attempt: u64,
     door: u32,
     first: Millis,
@@ -736,7 +741,7 @@
 }
 
 /// A place in a node's queue, held until its work is done.
-struct Held(Rc<Node>);
+struct Held(Rc<Backend>);
 
 impl Drop for Held {
     fn drop(&mut self) {
@@ -745,7 +750,7 @@
 }
 
 /// A connection that a node holds.
-struct Open(Rc<Node>);
+struct Open(Rc<Backend>);
 
 impl Drop for Open {
     fn drop(&mut self) {
@@ -753,19 +758,19 @@
     }
 }
 
-/// Listeners that are open, one for each front door, before a [`Place`] answers there.
-pub struct Seats {
+/// Listeners that are open, one for each front door, before a [`BackendSlot`] answers there.
+pub struct Listeners {
     addresses: Vec<SocketAddr>,
     listeners: Vec<StdListener>,
 }
 
-impl Seats {
+impl Listeners {
     /// Opens listeners for so many front doors. They are at an address of their own, from which no outgoing connection
     /// comes, so that a place that refuses for a while finds its port again.
     ///
     /// # Errors
     /// What the system says where it has no port.
-    pub fn open(doors: usize) -> io::Result<Seats> {
+    pub fn open(doors: usize) -> io::Result<Listeners> {
         let listeners = (0..doors)
             .map(|_| {
                 let listener = StdListener::bind(("127.0.0.2", 0))?;
@@ -777,7 +782,7 @@
             .iter()
             .map(StdListener::local_addr)
             .collect::<io::Result<_>>()?;
-        Ok(Seats {
+        Ok(Listeners {
             addresses,
             listeners,
         })
@@ -790,21 +795,21 @@
 }
 
 /// Listeners, one for each front door, and the node that lives there.
-pub struct Place {
+pub struct BackendSlot {
     addresses: Vec<SocketAddr>,
-    tenant: RefCell<Option<Rc<Node>>>,
+    tenant: RefCell<Option<Rc<Backend>>>,
     /// Until when dials are refused.
     refusing: watch::Sender<Millis>,
 }
 
-impl Place {
+impl BackendSlot {
     /// Accepts connections of all front doors from now on, for as long as the runtime runs.
-    pub fn over(seats: Seats) -> Rc<Place> {
-        let Seats {
+    pub fn over(seats: Listeners) -> Rc<BackendSlot> {
+        let Listeners {
             addresses,
             listeners,
         } = seats;
-        let place = Rc::new(Place {
+        let place = Rc::new(BackendSlot {
             addresses,
             tenant: RefCell::default(),
             refusing: watch::Sender::new(0.0),
@@ -821,21 +826,21 @@
     }
 
     /// A node moves in.
-    pub fn house(&self, node: Option<Rc<Node>>) {
+    pub fn set_backend(&self, node: Option<Rc<Backend>>) {
         *self.tenant.borrow_mut() = node;
     }
 
     /// The node that lives here.
-    pub fn tenant(&self) -> Option<Rc<Node>> {
+    pub fn backend(&self) -> Option<Rc<Backend>> {
         self.tenant.borrow().clone()
     }
 
     /// Begins a trouble of the node that lives here, if one does.
-    pub fn fault(&self, fault: Fault) {
-        if let Some(node) = self.tenant() {
-            node.fault(fault);
+    pub fn add_fault(&self, fault: Fault) {
+        if let Some(node) = self.backend() {
+            node.add_fault(fault);
         }
-        if fault.trouble == Trouble::Refuse {
+        if fault.kind == FaultKind::Refuse {
             self.refusing.send_replace(fault.until);
         }
     }
@@ -856,13 +861,13 @@
                         tokio::time::sleep(Duration::from_millis(5)).await;
                         continue;
                     };
-                    let Some(node) = self.tenant() else {
+                    let Some(node) = self.backend() else {
                         Link::over(stream).reset();
                         continue;
                     };
                     let now = node.world.recorder.now();
                     let lot = node.world.next_dial();
-                    if node.struck(now, lot, |t| *t == Trouble::ResetBefore).is_some() {
+                    if node.struck(now, lot, |t| *t == FaultKind::ResetBefore).is_some() {
                         Link::over(stream).reset();
                         continue;
                     }
@@ -870,7 +875,7 @@
                 }
                 changed = refusing.changed() => {
                     let until = *refusing.borrow_and_update();
-                    let recorder = self.tenant().map(|node| node.world.recorder.clone());
+                    let recorder = self.backend().map(|node| node.world.recorder.clone());
                     let (Ok(()), Some(recorder)) = (changed, recorder) else { continue };
                     // The port is free meanwhile; on loopback nobody else asks for this very one.
                     drop(listener);
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -45,7 +45,7 @@
 
 /// A class as clients know it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kind {
+pub struct RequestClass {
     /// Its name on the wire.
     pub name: String,
     /// Whether it may run again.
@@ -69,7 +69,7 @@
 
 /// What clients do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Habits {
+pub struct ClientBehavior {
     /// Tries after the first one.
     pub retries: u32,
     /// The wait before each.
@@ -77,7 +77,7 @@
     /// Part of the clients that come back when they were told to, and not before.
     pub honour: f64,
     /// Longest advice that these follow.
-    pub most_wait_ms: Millis,
+    pub max_wait_ms: Millis,
     /// Least and most part of the class's time for which one try waits.
     pub patience: [f64; 2],
     /// How long the front goes on sending to a front door that is dead.
@@ -92,7 +92,7 @@
 
 /// How a front door is, as its driver tells it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct DoorSeen {
+pub struct GatewayState {
     /// Whether it has answered its readiness check since its last start.
     pub ready: bool,
     /// When it died or was told to stop, if it did since; and whether it was told.
@@ -101,16 +101,16 @@
 
 /// The front doors as their driver sees them; shared between threads.
 #[derive(Clone, Debug)]
-pub struct Board(Arc<Mutex<Vec<DoorSeen>>>);
+pub struct GatewayStates(Arc<Mutex<Vec<GatewayState>>>);
 
-impl Board {
+impl GatewayStates {
     /// So many front doors, none of them ready.
-    pub fn new(doors: usize) -> Board {
-        Board(Arc::new(Mutex::new(vec![DoorSeen::default(); doors])))
+    pub fn new(doors: usize) -> GatewayStates {
+        GatewayStates(Arc::new(Mutex::new(vec![GatewayState::default(); doors])))
     }
 
     /// Tells how one is.
-    pub fn set(&self, door: usize, seen: DoorSeen) {
+    pub fn set(&self, door: usize, seen: GatewayState) {
         if let Some(slot) = self
             .0
             .lock()
@@ -121,7 +121,7 @@
         }
     }
 
-    fn get(&self, door: usize) -> DoorSeen {
+    fn get(&self, door: usize) -> GatewayState {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -140,19 +140,19 @@
 
 /// What clients are and whom they ask.
 #[derive(Clone, Debug)]
-pub struct Crowd {
+pub struct ClientOptions {
     /// Seed of their habits.
     pub seed: u64,
     /// The classes, by number.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestClass>,
     /// The plans' names, by number.
     pub plans: Vec<String>,
     /// What they do.
-    pub habits: Habits,
+    pub habits: ClientBehavior,
     /// Where the front doors listen, by number.
-    pub doors: Vec<SocketAddr>,
+    pub gateways: Vec<SocketAddr>,
     /// How the front doors are.
-    pub board: Board,
+    pub board: GatewayStates,
     /// Whether they send credentials.
     pub credentials: bool,
 }
@@ -164,7 +164,7 @@
 
 /// All clients, and the front.
 pub struct Clients {
-    crowd: Crowd,
+    crowd: ClientOptions,
     recorder: Recorder,
     lateness: Lateness,
     kept: Vec<RefCell<Vec<Kept>>>,
@@ -184,8 +184,8 @@
 
 impl Clients {
     /// Clients that write what they see to this record.
-    pub fn new(crowd: Crowd, recorder: Recorder, lateness: Lateness) -> Rc<Clients> {
-        let kept = crowd.doors.iter().map(|_| RefCell::default()).collect();
+    pub fn new(crowd: ClientOptions, recorder: Recorder, lateness: Lateness) -> Rc<Clients> {
+        let kept = crowd.gateways.iter().map(|_| RefCell::default()).collect();
         let (links, open) = (Cell::new(0), Cell::new(0));
         Rc::new(Clients {
             crowd,
@@ -198,11 +198,11 @@
     }
 
     /// Makes all these first tries, each at its time, and returns when the last is over.
-    pub async fn play(self: &Rc<Self>, asks: impl IntoIterator<Item = Ask>) {
+    pub async fn run(self: &Rc<Self>, asks: impl IntoIterator<Item = Ask>) {
         let mut tasks = tokio::task::JoinSet::new();
         for ask in asks {
             tokio::time::sleep_until(self.recorder.instant(ask.at).into()).await;
-            self.lateness.note(ask.at, self.recorder.now());
+            self.lateness.record(ask.at, self.recorder.now());
             tasks.spawn_local(self.clone().ask(ask));
             while tasks.try_join_next().is_some() {}
         }
@@ -272,7 +272,7 @@
             };
             if let Try::Refused(Some(advice)) = ended {
                 if honours {
-                    wait = wait.max(advice.min(self.crowd.habits.most_wait_ms));
+                    wait = wait.max(advice.min(self.crowd.habits.max_wait_ms));
                 }
             }
             // Nobody waits for a moment that comes after the end.
@@ -290,7 +290,7 @@
     /// noticed.
     fn deal(&self, ask: &Ask, retry: u32) -> Option<usize> {
         let now = self.recorder.now();
-        let count = self.crowd.doors.len();
+        let count = self.crowd.gateways.len();
         let set: Vec<usize> = (0..ask.spread.max(1) as usize)
             .map(|i| (ask.first as usize + i) % count.max(1))
             .collect();
@@ -335,7 +335,7 @@
     }
 
     async fn fresh(&self, door: usize) -> Option<Kept> {
-        let link = tokio::time::timeout(DIAL, Link::open(self.crowd.doors[door]))
+        let link = tokio::time::timeout(DIAL, Link::open(self.crowd.gateways[door]))
             .await
             .ok()?
             .ok()?;
@@ -347,7 +347,7 @@
     }
 
     /// One try, to its end.
-    async fn attempt(&self, ask: &Ask, kind: &Kind, retry: u32, timeout: Millis) -> Try {
+    async fn attempt(&self, ask: &Ask, kind: &RequestClass, retry: u32, timeout: Millis) -> Try {
         // Ids look like any others: 16 hex digits that tell nothing.
         let id = format!(
             "{:016x}",
@@ -466,7 +466,7 @@
     }
 
     /// What a try sends that must come to a node unchanged.
-    fn content(&self, ask: &Ask, kind: &Kind) -> Content {
+    fn content(&self, ask: &Ask, kind: &RequestClass) -> Content {
         let safe = kind.effect == Effect::Safe;
         Content {
             method: if safe { "GET" } else { "POST" },
@@ -494,7 +494,7 @@
         &self,
         id: &str,
         ask: &Ask,
-        kind: &Kind,
+        kind: &RequestClass,
         retry: u32,
         timeout: Millis,
     ) -> (String, u64) {
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -246,12 +246,12 @@
     }
 
     /// Tells watches that want it this often that there is nothing new.
-    pub fn notices(&self, every: Duration) {
+    pub fn set_progress_interval(&self, every: Duration) {
         self.state.send_modify(|state| state.notices = Some(every));
     }
 
     /// Sends answers of more changes than this in pieces to clients that take them.
-    pub fn pieces(&self, changes: usize) {
+    pub fn set_fragment_size(&self, changes: usize) {
         self.state.send_modify(|state| state.piece = changes.max(1));
     }
 }
--- a/crates/test-servers/src/grpc.rs
+++ b/crates/test-servers/src/grpc.rs
@@ -24,7 +24,7 @@
     /// It runs, and the answer is this status alone.
     Status(u8),
     /// It does not run: this status alone, with `not-started: 1`.
-    TurnedAway(u8),
+    NotStarted(u8),
     /// The stream is refused unread: it does not run.
     Refused,
     /// It runs, and the stream is reset with this error in the answer's place.
@@ -32,7 +32,7 @@
     /// It runs; a head, half of a message, and a reset with this error.
     ResetWithin(u32),
     /// It runs; half of a message, and trailers that say `OK`.
-    CutMessage,
+    TruncatedMessage,
     /// It runs; a whole message, and the stream ends without trailers.
     NoStatus,
     /// It runs; `OK` without a message.
@@ -42,13 +42,13 @@
     /// It runs; the head comes so much later.
     LateHead(Duration),
     /// It runs, and nothing is ever said.
-    Silent,
+    NoResponse,
     /// It runs, and the connection is closed instead of an answer.
     Drop,
     /// It runs, and the answer is a page of this HTTP status.
     Page(u16),
     /// It runs; of a stream's answer so many messages come, then a reset with `CANCEL`.
-    StreamCut(usize),
+    ResetAfterMessages(usize),
 }
 
 /// A call as it came.
@@ -227,7 +227,7 @@
                 respond.send_reset(Reason::REFUSED_STREAM);
                 return Ok(());
             }
-            Some(Fault::TurnedAway(code)) => {
+            Some(Fault::NotStarted(code)) => {
                 let mut trailers = status(code);
                 trailers.insert("not-started", HeaderValue::from_static("1"));
                 respond.send_response(bare(trailers), true)?;
@@ -277,7 +277,7 @@
                 respond.send_reset(Reason::from(error));
                 return Ok(());
             }
-            Some(Fault::Silent) => {
+            Some(Fault::NoResponse) => {
                 // The stream stays open for as long as the other end wants it.
                 let _ = std::future::poll_fn(|cx| respond.poll_reset(cx)).await;
                 return Ok(());
@@ -310,13 +310,13 @@
                 stream.send_reset(Reason::from(error));
                 return Ok(());
             }
-            Some(Fault::CutMessage) => {
+            Some(Fault::TruncatedMessage) => {
                 stream.send_data(half, false)?;
                 return stream.send_trailers(status(0));
             }
             Some(Fault::NoStatus) => return stream.send_data(message, true),
             Some(Fault::NoMessage) => return stream.send_trailers(status(0)),
-            Some(Fault::StreamCut(after)) => {
+            Some(Fault::ResetAfterMessages(after)) => {
                 for _ in 0..after {
                     send(&mut stream, message.clone()).await?;
                 }
@@ -441,7 +441,7 @@
     /// Whole messages.
     pub messages: Vec<Vec<u8>>,
     /// Bytes of a message that was cut.
-    pub cut: usize,
+    pub truncated_bytes: usize,
     /// The trailers, or the head again where it was all.
     pub trailers: HeaderMap,
     /// The error that the stream was reset with, if it was.
@@ -611,7 +611,7 @@
     let mut messages = Messages::new(body);
     loop {
         let next = messages.next().await;
-        seen.cut = messages.read.len();
+        seen.truncated_bytes = messages.read.len();
         match next? {
             Some(message) => seen.messages.push(message.to_vec()),
             None => break,
--- a/crates/test-servers/src/lateness.rs
+++ b/crates/test-servers/src/lateness.rs
@@ -24,7 +24,7 @@
 
 impl Lateness {
     /// Notes that what was due at `due` was done at `done`.
-    pub fn note(&self, due: Millis, done: Millis) {
+    pub fn record(&self, due: Millis, done: Millis) {
         let late = ((done - due).max(0.0) * 1000.0) as u64;
         self.0
             .lock()
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -7,14 +7,14 @@
 
 pub mod agent;
 pub mod auth;
+pub mod backend;
 pub mod client;
 pub mod counter;
 pub mod etcd;
 pub mod grpc;
 pub mod lateness;
-pub mod node;
+pub mod malformed_client;
 pub mod relay;
-pub mod rude;
 pub mod wire;
 
 /// A number from nought to one that depends on nothing but its seeds, so that what is drawn for a request is the same
--- a/crates/test-servers/src/rude.rs
+++ b/crates/test-servers/src/malformed_client.rs
@@ -113,7 +113,7 @@
 }
 
 /// One such client: connects, sends, and waits for what it is owed.
-pub async fn visit(
+pub async fn run(
     recorder: &Recorder,
     door: SocketAddr,
     kind: Kind,
--- a/crates/test-servers/src/relay.rs
+++ b/crates/test-servers/src/relay.rs
@@ -18,15 +18,15 @@
 
 /// What happens to datagrams.
 #[derive(Clone, Debug, Default)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Part of them that is lost.
     pub loss: f64,
     /// Part of the others that comes twice.
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Least and most time that each is held back, in milliseconds.
     pub delay_ms: (f64, f64),
     /// Pairs of doors, from and to, between which nothing passes. Who sends is known by its address.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub partitions: BTreeSet<(usize, usize)>,
 }
 
 /// What the relay has done.
@@ -68,11 +68,11 @@
 /// A running relay with a socket for each door.
 pub struct Relay {
     /// Where to send what is meant for a door.
-    pub fronts: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// What it has done.
     pub carried: Arc<Carried>,
     doors: Arc<Mutex<Vec<Option<SocketAddr>>>>,
-    weather: Arc<Mutex<Weather>>,
+    weather: Arc<Mutex<NetworkConditions>>,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -84,7 +84,7 @@
     /// What the system says.
     pub fn new(doors: usize, seed: u64) -> io::Result<Relay> {
         let mut relay = Relay {
-            fronts: Vec::new(),
+            addresses: Vec::new(),
             carried: Arc::default(),
             doors: Arc::new(Mutex::new(vec![None; doors])),
             weather: Arc::default(),
@@ -94,7 +94,7 @@
         for door in 0..doors {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_read_timeout(Some(Duration::from_millis(2)))?;
-            relay.fronts.push(socket.local_addr()?);
+            relay.addresses.push(socket.local_addr()?);
             let (known, weather) = (relay.doors.clone(), relay.weather.clone());
             let (carried, stop) = (relay.carried.clone(), relay.stop.clone());
             let seed = seed ^ (door as u64) << 32;
@@ -105,14 +105,14 @@
     }
 
     /// Where a door really listens.
-    pub fn door(&self, door: usize, address: SocketAddr) {
+    pub fn set_destination(&self, door: usize, address: SocketAddr) {
         if let Some(slot) = lock(&self.doors).get_mut(door) {
             *slot = Some(address);
         }
     }
 
     /// From now on this happens to datagrams.
-    pub fn play(&self, weather: Weather) {
+    pub fn set_conditions(&self, weather: NetworkConditions) {
         *lock(&self.weather) = weather;
     }
 }
@@ -136,7 +136,7 @@
     door: usize,
     seed: u64,
     doors: &Mutex<Vec<Option<SocketAddr>>>,
-    weather: &Mutex<Weather>,
+    weather: &Mutex<NetworkConditions>,
     carried: &Carried,
     stop: &AtomicBool,
 ) {
@@ -165,13 +165,13 @@
         };
         let weather = lock(weather).clone();
         order += 1;
-        let cut = sender.is_some_and(|sender| weather.cut.contains(&(sender, door)));
+        let cut = sender.is_some_and(|sender| weather.partitions.contains(&(sender, door)));
         let lost = draw(seed, order, 0) < weather.loss;
         let (Some(to), false, true) = (to, cut || lost, held.len() + 2 <= MOST_HELD) else {
             carried.lost.fetch_add(1, Ordering::Relaxed);
             continue;
         };
-        let copies = 1 + u64::from(draw(seed, order, 1) < weather.doubled);
+        let copies = 1 + u64::from(draw(seed, order, 1) < weather.duplicated);
         for copy in 0..copies {
             let (least, most) = weather.delay_ms;
             let late = least + (most - least) * draw(seed, order, 2 + copy);
@@ -200,41 +200,41 @@
         for (door, end) in ends.iter().enumerate() {
             end.set_read_timeout(Some(Duration::from_millis(500)))
                 .expect("a limit");
-            relay.door(door, end.local_addr().expect("an address"));
+            relay.set_destination(door, end.local_addr().expect("an address"));
         }
-        let count = |weather: Weather| {
-            relay.play(weather);
+        let count = |weather: NetworkConditions| {
+            relay.set_conditions(weather);
             for byte in 0..100u8 {
-                ends[0].send_to(&[byte], relay.fronts[1]).expect("sent");
+                ends[0].send_to(&[byte], relay.addresses[1]).expect("sent");
             }
             let mut bytes = [0; 8];
             std::iter::from_fn(|| ends[1].recv_from(&mut bytes).ok()).count()
         };
-        assert_eq!(count(Weather::default()), 100);
+        assert_eq!(count(NetworkConditions::default()), 100);
         assert_eq!(
-            count(Weather {
-                doubled: 1.0,
-                ..Weather::default()
+            count(NetworkConditions {
+                duplicated: 1.0,
+                ..NetworkConditions::default()
             }),
             200
         );
-        let some = count(Weather {
+        let some = count(NetworkConditions {
             loss: 0.3,
             delay_ms: (0.0, 20.0),
-            ..Weather::default()
+            ..NetworkConditions::default()
         });
         assert!((55..85).contains(&some), "{some}");
         assert_eq!(
-            count(Weather {
-                cut: BTreeSet::from([(0, 1)]),
-                ..Weather::default()
+            count(NetworkConditions {
+                partitions: BTreeSet::from([(0, 1)]),
+                ..NetworkConditions::default()
             }),
             0
         );
         assert_eq!(
-            count(Weather {
-                cut: BTreeSet::from([(1, 0)]),
-                ..Weather::default()
+            count(NetworkConditions {
+                partitions: BTreeSet::from([(1, 0)]),
+                ..NetworkConditions::default()
             }),
             100
         );
--- a/crates/test-servers/tests/played.rs
+++ b/crates/test-servers/tests/played.rs
@@ -6,13 +6,16 @@
 };
 use maplefall_protocol::{Health, Member};
 use maplefall_test_servers::agent::{host, Agent, Lapse, List};
-use maplefall_test_servers::client::{Ask, Backoff, Board, Clients, Crowd, DoorSeen, Habits, Kind};
+use maplefall_test_servers::backend::{
+    Backend, BackendSlot, BackendSpec, Deployment, Fault, FaultKind, Listeners, Metering, Overload,
+    SharedState, Work,
+};
+use maplefall_test_servers::client::{
+    Ask, Backoff, ClientBehavior, ClientOptions, Clients, GatewayState, GatewayStates, RequestClass,
+};
 use maplefall_test_servers::counter::Counter;
 use maplefall_test_servers::lateness::Lateness;
-use maplefall_test_servers::node::{
-    Deployment, Fault, Metering, Node, Overload, Place, Seats, Spec, Trouble, Work, World,
-};
-use maplefall_test_servers::rude;
+use maplefall_test_servers::malformed_client;
 use maplefall_test_servers::wire::{Link, Message, NoMessage};
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
@@ -37,20 +40,20 @@
 
 struct Scene {
     recorder: Recorder,
-    world: Rc<World>,
-    place: Rc<Place>,
+    world: Rc<SharedState>,
+    place: Rc<BackendSlot>,
 }
 
-const SPEC: Spec = Spec {
+const SPEC: BackendSpec = BackendSpec {
     number: 3,
     cores: 1,
     queue: 1,
-    cold_from: 1.0,
-    cold_ms: 0.0,
+    initial_capacity: 1.0,
+    warmup_ms: 0.0,
     connections: 50,
 };
 
-fn scene(work_ms: Millis, spec: Spec) -> (Scene, Rc<Node>) {
+fn scene(work_ms: Millis, spec: BackendSpec) -> (Scene, Rc<Backend>) {
     let recorder = Recorder::new();
     let work = |class: &str, effect| Work {
         class: class.into(),
@@ -77,10 +80,10 @@
             slack_ms: 10.0,
         },
     };
-    let world = World::new(deployment, recorder.clone(), Lateness::default());
-    let place = Place::over(Seats::open(2).expect("ports"));
-    let node = Node::start(&world, spec);
-    place.house(Some(node.clone()));
+    let world = SharedState::new(deployment, recorder.clone(), Lateness::default());
+    let place = BackendSlot::over(Listeners::open(2).expect("ports"));
+    let node = Backend::start(&world, spec);
+    place.set_backend(Some(node.clone()));
     (
         Scene {
             recorder,
@@ -98,10 +101,10 @@
             .expect("the node listens")
     }
 
-    fn fault(&self, trouble: Trouble) {
-        self.place.fault(Fault {
-            trouble,
-            part: 1.0,
+    fn fault(&self, kind: FaultKind) {
+        self.place.add_fault(Fault {
+            kind,
+            share: 1.0,
             until: f64::INFINITY,
         });
     }
@@ -212,9 +215,9 @@
     let ran = play(async {
         let (scene, _) = scene(1.0, SPEC);
         let until = f64::INFINITY;
-        scene.place.fault(Fault {
-            trouble: Trouble::ResetAfter,
-            part: 0.7,
+        scene.place.add_fault(Fault {
+            kind: FaultKind::ResetAfter,
+            share: 0.7,
             until,
         });
         for i in 0..40 {
@@ -269,7 +272,7 @@
             (503, Some("1"))
         );
         // Its end resets what it had.
-        node.end();
+        node.stop();
         assert!(matches!(links[0].message().await, Err(NoMessage::Closed)));
     });
 }
@@ -327,29 +330,29 @@
         })
     };
     assert_eq!(
-        ends(Trouble::FastError),
+        ends(FaultKind::FastError),
         (Some(500), Some(true), Some(AttemptEnd::Error))
     );
     assert_eq!(
-        ends(Trouble::Late(5.0)),
+        ends(FaultKind::Late(5.0)),
         (Some(200), Some(true), Some(AttemptEnd::Served))
     );
     assert_eq!(
-        ends(Trouble::Spoilt),
+        ends(FaultKind::Malformed),
         (None, Some(true), Some(AttemptEnd::Malformed))
     );
     assert_eq!(
-        ends(Trouble::Endless),
+        ends(FaultKind::Endless),
         (None, Some(true), Some(AttemptEnd::Malformed))
     );
     assert_eq!(
-        ends(Trouble::ResetAfter),
+        ends(FaultKind::ResetAfter),
         (None, Some(true), Some(AttemptEnd::Reset))
     );
-    assert_eq!(ends(Trouble::ResetBefore), (None, None, None));
+    assert_eq!(ends(FaultKind::ResetBefore), (None, None, None));
     // What was read before the reset was whole here, and is told so.
     assert_eq!(
-        ends(Trouble::ResetWithin),
+        ends(FaultKind::ResetWithin),
         (None, Some(true), Some(AttemptEnd::Reset))
     );
 }
@@ -379,9 +382,9 @@
 fn a_place_refuses_dials_for_a_time_and_listens_again() {
     play(async {
         let (scene, _) = scene(1.0, SPEC);
-        scene.place.fault(Fault {
-            trouble: Trouble::Refuse,
-            part: 1.0,
+        scene.place.add_fault(Fault {
+            kind: FaultKind::Refuse,
+            share: 1.0,
             until: scene.recorder.now() + 150.0,
         });
         let address = scene.place.address(0);
@@ -407,9 +410,9 @@
 fn a_cold_node_falls_when_it_is_sent_too_much() {
     play(async {
         // Budget: 3 x 1 core x 0.1 x 1500 ms + 10 ms = 460 ms; each request is 100 ms of work.
-        let cold = Spec {
-            cold_from: 0.1,
-            cold_ms: 600_000.0,
+        let cold = BackendSpec {
+            initial_capacity: 0.1,
+            warmup_ms: 600_000.0,
             queue: 0,
             ..SPEC
         };
@@ -510,9 +513,9 @@
             (1, true, 2)
         );
         let mut watch = Watch::open(address, 1).await;
-        agent.tell(&member(1, Health::Draining));
+        agent.update(&member(1, Health::Draining));
         assert!(watch.reads(&["\"seq\":2", "node-1", "draining"]).await);
-        agent.tell(&member(1, Health::Removed));
+        agent.update(&member(1, Health::Removed));
         assert!(watch.reads(&["\"seq\":3", "removed"]).await);
         // A watch from an earlier version is told all that changed since, once for each node.
         let mut late = Watch::open(address, 1).await;
@@ -535,12 +538,12 @@
         agent.listen(first, Duration::from_millis(20));
         let mut watch = Watch::open(old, 1).await;
         assert!(watch.reads(&["200 OK"]).await);
-        agent.silence(true);
-        agent.tell(&member(0, Health::Draining));
+        agent.set_silent(true);
+        agent.update(&member(0, Health::Draining));
         let heard =
             tokio::time::timeout(Duration::from_millis(60), watch.reads(&["draining"])).await;
         assert!(heard.is_err(), "it spoke");
-        agent.silence(false);
+        agent.set_silent(false);
         assert!(watch.reads(&["draining"]).await);
         agent.break_off();
         assert!(!watch.reads(&["nothing more"]).await, "the watch ends");
@@ -568,17 +571,17 @@
         let (here, address) = listener();
         agent.listen(here, Duration::ZERO);
         let mut open = Watch::open(address, 1).await;
-        agent.tell(&member(1, Health::Draining));
+        agent.update(&member(1, Health::Draining));
         assert!(open.reads(&["\"seq\":2", "draining"]).await);
-        agent.lapse(Some(Lapse::Behind(Duration::from_secs(3600))));
+        agent.set_lapse(Some(Lapse::Behind(Duration::from_secs(3600))));
         let mut late = Watch::open(address, 2).await;
         assert!(
             late.reads(&["\"seq\":1", "\"whole\":true", "node-0", "node-1"])
                 .await
         );
         assert!(!String::from_utf8_lossy(late.0.pending_bytes()).contains("draining"));
-        agent.tell(&member(0, Health::Removed));
-        agent.lapse(Some(Lapse::Behind(Duration::ZERO)));
+        agent.update(&member(0, Health::Removed));
+        agent.set_lapse(Some(Lapse::Behind(Duration::ZERO)));
         assert!(
             late.reads(&["\"seq\":3", "\"whole\":false", "draining", "removed"])
                 .await
@@ -612,8 +615,8 @@
         let agent = Agent::new(0, List::new([member(0, Health::Up)]), Recorder::new(), 0.0);
         let (here, address) = listener();
         agent.listen(here, Duration::ZERO);
-        agent.tell(&member(0, Health::Draining));
-        agent.lapse(Some(Lapse::Half));
+        agent.update(&member(0, Health::Draining));
+        agent.set_lapse(Some(Lapse::Half));
         let mut half = Watch::open(address, 1).await;
         assert!(
             !half.reads(&["}]}"]).await,
@@ -624,18 +627,18 @@
             .await
             .unwrap();
         assert!(link.message().await.is_err(), "so does the whole list");
-        agent.lapse(Some(Lapse::Spoilt));
+        agent.set_lapse(Some(Lapse::Spoilt));
         let mut spoilt = Watch::open(address, 1).await;
         assert!(
             spoilt
                 .reads(&["nobody", "\"dial\":\"nowhere\"", "draining"])
                 .await
         );
-        agent.lapse(None);
+        agent.set_lapse(None);
         let mut watch = Watch::open(address, 2).await;
         assert!(watch.reads(&["200 OK"]).await);
         agent.vanish();
-        agent.tell(&member(0, Health::Removed));
+        agent.update(&member(0, Health::Removed));
         let mut fresh = Watch::open(address, 2).await;
         assert!(fresh.reads(&["removed"]).await);
         // The other one would have been told by now, and has not ended either.
@@ -687,11 +690,11 @@
 
 // ---- Clients ------------------------------------------------------------------------------------------
 
-const HABITS: Habits = Habits {
+const HABITS: ClientBehavior = ClientBehavior {
     retries: 2,
     backoff: Backoff::AtOnce,
     honour: 0.0,
-    most_wait_ms: 2000.0,
+    max_wait_ms: 2000.0,
     patience: [1.0, 1.0],
     notice_ms: 1000.0,
     stop_ms: 300.0,
@@ -720,26 +723,26 @@
             }
             open
         });
-        let board = Board::new(1);
+        let board = GatewayStates::new(1);
         board.set(
             0,
-            DoorSeen {
+            GatewayState {
                 ready: true,
                 left: None,
             },
         );
-        let kind = Kind {
+        let kind = RequestClass {
             name: "read".into(),
             effect,
             memory_ms: 2000.0,
             give_up_ms,
         };
-        let crowd = Crowd {
+        let crowd = ClientOptions {
             seed: 5,
             kinds: vec![kind],
             plans: vec!["plan".into()],
             habits: HABITS,
-            doors: vec![address],
+            gateways: vec![address],
             board,
             credentials: true,
         };
@@ -754,7 +757,7 @@
             spread: 1,
             first: 0,
         };
-        clients.play([ask]).await;
+        clients.run([ask]).await;
         door.abort();
         recorder
             .take_events()
@@ -843,7 +846,15 @@
                 }
             });
             let recorder = Recorder::new();
-            rude::visit(&recorder, address, rude::Kind::Units, 1, "read", "plan").await;
+            malformed_client::run(
+                &recorder,
+                address,
+                malformed_client::Kind::Units,
+                1,
+                "read",
+                "plan",
+            )
+            .await;
             door.abort();
             match &recorder.take_events()[..] {
                 [Event {
@@ -875,19 +886,27 @@
 /// from what a usual client sends by what its name tells.
 #[test]
 fn bad_requests_are_what_they_are_called() {
-    let text =
-        |kind: rude::Kind| String::from_utf8_lossy(&kind.text("id-1", "read", "plan")).into_owned();
-    assert!(text(rude::Kind::NegativeLength).contains("Content-Length: -5"));
-    let two = text(rude::Kind::TwoFramings);
+    let text = |kind: malformed_client::Kind| {
+        String::from_utf8_lossy(&kind.text("id-1", "read", "plan")).into_owned()
+    };
+    assert!(text(malformed_client::Kind::NegativeLength).contains("Content-Length: -5"));
+    let two = text(malformed_client::Kind::TwoFramings);
     assert!(two.contains("Content-Length: 4") && two.contains("Transfer-Encoding: chunked"));
-    assert!(!text(rude::Kind::NoId).contains("Request-Id"));
+    assert!(!text(malformed_client::Kind::NoId).contains("Request-Id"));
     assert!(
-        !text(rude::Kind::EndlessHead).contains("\r\n\r\n")
-            && text(rude::Kind::EndlessHead).len() > 64 * 1024
+        !text(malformed_client::Kind::EndlessHead).contains("\r\n\r\n")
+            && text(malformed_client::Kind::EndlessHead).len() > 64 * 1024
     );
-    assert!(text(rude::Kind::Half).len() < 100 && text(rude::Kind::Silent).is_empty());
-    let texts: Vec<String> = rude::ALL.into_iter().map(text).collect();
+    assert!(
+        text(malformed_client::Kind::Half).len() < 100
+            && text(malformed_client::Kind::Silent).is_empty()
+    );
+    let texts: Vec<String> = malformed_client::ALL.into_iter().map(text).collect();
     for (i, one) in texts.iter().enumerate() {
-        assert!(!texts[..i].contains(one), "{:?} is another's", rude::ALL[i]);
+        assert!(
+            !texts[..i].contains(one),
+            "{:?} is another's",
+            malformed_client::ALL[i]
+        );
     }
 }
