--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -395,7 +395,7 @@
             bed.count_reports(|report| matches!(report, Report::Read { nodes: 2500, .. })) == 1
         })
         .await;
-        bed.members[0].pieces(7);
+        bed.members[0].set_fragment_size(7);
         bed.wait_until("the watch", |bed| {
             bed.count_reports(|report| matches!(report, Report::Watching { .. })) == 1
         })
@@ -530,7 +530,7 @@
                 store.revision()
             });
             if notices {
-                bed.members[0].notices(Duration::from_millis(20));
+                bed.members[0].set_progress_interval(Duration::from_millis(20));
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
             bed.etcd.with(|store| store.compact(last).unwrap());
--- a/crates/maplefall/tests/grpc/connections.rs
+++ b/crates/maplefall/tests/grpc/connections.rs
@@ -12,7 +12,7 @@
 fn client_that_disconnects_ends_its_attempt_without_a_retry() {
     run(async {
         let bed = test_bed(2, "");
-        bed.faults(&[(Fault::Silent, 1.0)]);
+        bed.faults(&[(Fault::NoResponse, 1.0)]);
         let client = bed.client().await;
         let (response, mut stream) = client.begin(&call("gone", READ, "8S")).await.unwrap();
         stream.send_data(framed(b"x"), true).unwrap();
@@ -144,7 +144,7 @@
         let discovery = agent_listener.local_addr().unwrap();
         agent_listener.set_nonblocking(true).unwrap();
         let list = List::new(members.clone());
-        let known = serde_json::to_value(list.whole()).unwrap();
+        let known = serde_json::to_value(list.snapshot()).unwrap();
         let agent = Agent::new(0, list, Recorder::new(), 0.0);
         agent.listen(agent_listener, Duration::ZERO);
         let (_program, grpc) = start_known("", &[], settings_without_quota(), discovery, known);
@@ -172,7 +172,7 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let reported_at = Instant::now();
-        agent.tell(&Member {
+        agent.update(&Member {
             health: Health::Draining,
             ..members[0].clone()
         });
--- a/crates/maplefall/tests/shared_counts.rs
+++ b/crates/maplefall/tests/shared_counts.rs
@@ -3,7 +3,7 @@
 
 mod sockets;
 
-use maplefall_test_servers::relay::{Relay, Weather};
+use maplefall_test_servers::relay::{NetworkConditions, Relay};
 use maplefall_test_servers::wire::{Link, Message};
 use serde_json::Value;
 use sockets::{member, members, settings, Program};
@@ -104,7 +104,7 @@
         let (program, gossip) = bed.start(gateway);
         bed.gateways.push(program);
         bed.gossip.push(gossip);
-        bed.relay.door(gateway, gossip);
+        bed.relay.set_destination(gateway, gossip);
     }
     bed
 }
@@ -118,7 +118,7 @@
             env!("CARGO_TARGET_TMPDIR"),
             std::process::id()
         );
-        let fronts = &self.relay.fronts;
+        let fronts = &self.relay.addresses;
         let text = format!(
             "cluster = \"{cluster}\"\nkey = \"{key}\"\ngossip = \"127.0.0.1:0\"\nadvertise = \"{}\"\n\
              seeds = [\"{}\", \"{}\"]\ninterval_ms = 50\nepoch_ms = 600000\nmost_told = 4096\n",
@@ -250,13 +250,13 @@
     run(async {
         let bed = test_bed(4, settings());
         bed.wait_until_joined().await;
-        let lossy = Weather {
+        let lossy = NetworkConditions {
             loss: 0.3,
-            doubled: 0.1,
+            duplicated: 0.1,
             delay_ms: (0.0, 120.0),
-            ..Weather::default()
+            ..NetworkConditions::default()
         };
-        bed.relay.play(lossy);
+        bed.relay.set_conditions(lossy);
         for round in 0..8 {
             bed.traffic(60, &format!("rough{round}")).await;
             for gateway in 0..4 {
@@ -302,9 +302,9 @@
                 .flat_map(|l| right.iter().flat_map(move |r| [(*l, *r), (*r, *l)]));
             pairs.collect::<BTreeSet<_>>()
         };
-        bed.relay.play(Weather {
-            cut: cut_links(&[0, 1], &[2, 3]),
-            ..Weather::default()
+        bed.relay.set_conditions(NetworkConditions {
+            partitions: cut_links(&[0, 1], &[2, 3]),
+            ..NetworkConditions::default()
         });
         bed.wait_until("the partition is noticed", || {
             bed.status(0)["doors"] == 2 && bed.status(3)["doors"] == 2
@@ -316,7 +316,7 @@
             (0..4).all(|gateway| bed.totals(gateway) != usage),
             "a gateway knows the counts across the partition"
         );
-        bed.relay.play(Weather::default());
+        bed.relay.set_conditions(NetworkConditions::default());
         bed.wait_until_joined().await;
         bed.wait_until("all equal after the partition", || {
             (0..4).all(|gateway| bed.totals(gateway) == usage)
@@ -327,7 +327,7 @@
         let (program, gossip) = bed.start(3);
         bed.gateways[3] = program;
         bed.gossip[3] = gossip;
-        bed.relay.door(3, gossip);
+        bed.relay.set_destination(3, gossip);
         bed.wait_until_joined().await;
         bed.traffic(40, "again").await;
         let usage = bed.usage.charged.borrow().clone();
