--- a/crates/rehearsal/src/carry.rs
+++ b/crates/rehearsal/src/carry.rs
@@ -129,9 +129,9 @@
             seed: 1,
             kinds: vec![kind],
             plans: vec!["basico".into()],
-            habits,
+            behavior: habits,
             gateways: vec![address],
-            board,
+            states: board,
             credentials: false,
         };
         let clients = Clients::new(crowd, recorder.clone(), lateness.clone());
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -901,9 +901,9 @@
         seed: script.header.seed,
         kinds: kinds.collect(),
         plans,
-        habits,
+        behavior: habits,
         gateways: doors.clone(),
-        board,
+        states: board,
         credentials: scenario.checks.is_some(),
     };
     let clients = Clients::new(crowd, recorder.clone(), lateness);
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -148,11 +148,11 @@
     /// The plans' names, by number.
     pub plans: Vec<String>,
     /// What they do.
-    pub habits: ClientBehavior,
+    pub behavior: ClientBehavior,
     /// Where the front doors listen, by number.
     pub gateways: Vec<SocketAddr>,
     /// How the front doors are.
-    pub board: GatewayStates,
+    pub states: GatewayStates,
     /// Whether they send credentials.
     pub credentials: bool,
 }
@@ -241,17 +241,17 @@
         };
         let begun = self.recorder.now();
         let end = begun + kind.give_up_ms;
-        for retry in 0..=self.crowd.habits.retries {
+        for retry in 0..=self.crowd.behavior.retries {
             let now = self.recorder.now();
             let lot = |what| draw(self.crowd.seed, ask.item, what + 10 * u64::from(retry));
-            let [least, most] = self.crowd.habits.patience;
+            let [least, most] = self.crowd.behavior.patience;
             let patience = kind.give_up_ms * (least + (most - least) * lot(1));
             let timeout = patience.min(end - now);
             // A client with a hair left does not ask any more.
             if timeout < 20.0 {
                 return;
             }
-            let honours = draw(self.crowd.seed, ask.customer, 3) < self.crowd.habits.honour;
+            let honours = draw(self.crowd.seed, ask.customer, 3) < self.crowd.behavior.honour;
             let ended = self.attempt(&ask, kind, retry, timeout).await;
             let harmless = match ended {
                 Try::Served | Try::Denied => return,
@@ -265,14 +265,14 @@
             if !harmless {
                 return;
             }
-            let mut wait = match self.crowd.habits.backoff {
+            let mut wait = match self.crowd.behavior.backoff {
                 Backoff::AtOnce => 0.0,
                 Backoff::Fixed(ms) => ms,
                 Backoff::Doubling(ms) => ms * f64::from(1 << retry.min(8)),
             };
             if let Try::Refused(Some(advice)) = ended {
                 if honours {
-                    wait = wait.max(advice.min(self.crowd.habits.max_wait_ms));
+                    wait = wait.max(advice.min(self.crowd.behavior.max_wait_ms));
                 }
             }
             // Nobody waits for a moment that comes after the end.
@@ -295,17 +295,17 @@
             .map(|i| (ask.first as usize + i) % count.max(1))
             .collect();
         let usable = |door: &usize| {
-            let seen = self.crowd.board.get(*door);
+            let seen = self.crowd.states.get(*door);
             let stays = if seen.left.is_some_and(|(_, told)| told) {
-                self.crowd.habits.stop_ms
+                self.crowd.behavior.stop_ms
             } else {
-                self.crowd.habits.notice_ms
+                self.crowd.behavior.notice_ms
             };
             seen.ready && seen.left.is_none_or(|(at, _)| now < at + stays)
         };
         let usable: Vec<usize> = set.iter().copied().filter(usable).collect();
         let doors = if usable.is_empty() { &set } else { &usable };
-        let turn = (now / self.crowd.habits.busiest_ms.max(1.0)) as u64;
+        let turn = (now / self.crowd.behavior.busiest_ms.max(1.0)) as u64;
         let busiest =
             (draw(self.crowd.seed, ask.customer, 1000 + turn) * set.len() as f64) as usize;
         let lot = draw(self.crowd.seed, ask.item, 500 + u64::from(retry));
@@ -406,7 +406,7 @@
                 fingerprint: form,
             });
             connection.last = id.clone();
-            let end = deadline + self.crowd.habits.answer_slack_ms + LISTEN_ON;
+            let end = deadline + self.crowd.behavior.answer_slack_ms + LISTEN_ON;
             let answer = tokio::time::timeout_at(
                 self.recorder.instant(end).into(),
                 connection.link.message(),
--- a/crates/test-servers/tests/played.rs
+++ b/crates/test-servers/tests/played.rs
@@ -741,9 +741,9 @@
             seed: 5,
             kinds: vec![kind],
             plans: vec!["plan".into()],
-            habits: HABITS,
+            behavior: HABITS,
             gateways: vec![address],
-            board,
+            states: board,
             credentials: true,
         };
         let clients = Clients::new(crowd, recorder.clone(), Lateness::default());
