--- a/crates/test-servers/src/agent.rs
+++ b/crates/test-servers/src/agent.rs
@@ -1,5 +1,7 @@
-//! The discovery agent of one front door (protocol page, "Discovery"): the whole list, a watch with changes and
-//! heartbeats; and failures: silent, broken off, moved. How late it hears of a change is up to whoever tells it.
+//! A fake discovery agent of one gateway (protocol page, "Discovery"): it serves the full member
+//! list and watches with changes and heartbeats. Scripts can make it silent, reset its watches,
+//! move it or set a [`Lapse`]. How late it learns of a change is up to the caller of
+//! [`Agent::update`].
 
 use crate::wire::Link;
 use maplefall_event_trace::{EventKind, Health, Millis, Recorder};
@@ -13,23 +15,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// While nothing changes, an empty line comes this often.
+/// Interval of the empty lines on a watch while nothing changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// How often one that is behind looks whether it has come to know more.
-const STEP: Duration = Duration::from_millis(20);
-/// Changes that are kept; a watch from before them begins with the whole list.
-const MOST_CHANGES: usize = 4096;
+/// Interval at which a watch of a lagging agent checks for changes that have become visible.
+const LAG_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of changes kept; a watch from an older version starts with the full list.
+const MAX_CHANGES: usize = 4096;
 
-/// The list as one front door's agent has it, also for the driver that writes its next configuration.
+/// The member list of one gateway's agent. It is shared with the driver, which writes the gateway's
+/// next configuration from it.
 #[derive(Clone, Debug, Default)]
-pub struct List(Arc<Mutex<Held>>);
+pub struct List(Arc<Mutex<ListState>>);
 
 #[derive(Debug, Default)]
-struct Held {
+struct ListState {
     seq: u64,
     members: BTreeMap<String, Member>,
     changes: VecDeque<Change>,
-    /// The list as it was before the oldest change that is kept.
+    /// The list before the oldest kept change.
     before: BTreeMap<String, Member>,
 }
 
@@ -49,14 +52,14 @@
 }
 
 impl List {
-    /// A list that begins with these entries.
+    /// Creates a list with these members, at version 1.
     pub fn new(members: impl IntoIterator<Item = Member>) -> List {
         let members: BTreeMap<String, Member> = members
             .into_iter()
             .map(|member| (member.host.clone(), member))
             .collect();
         let before = members.clone();
-        List(Arc::new(Mutex::new(Held {
+        List(Arc::new(Mutex::new(ListState {
             seq: 1,
             members,
             changes: VecDeque::new(),
@@ -64,48 +67,48 @@
         })))
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
+    fn lock(&self) -> MutexGuard<'_, ListState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The whole list.
+    /// Returns the full list.
     pub fn snapshot(&self) -> Members {
-        let held = self.held();
+        let state = self.lock();
         Members {
-            seq: held.seq,
+            seq: state.seq,
             whole: true,
-            hosts: held.members.values().cloned().collect(),
+            hosts: state.members.values().cloned().collect(),
         }
     }
 
-    /// Takes a change in; tells its version.
+    /// Applies a change and returns its version.
     fn change(&self, member: &Member) -> u64 {
-        let mut held = self.held();
-        held.seq += 1;
-        let seq = held.seq;
-        put(&mut held.members, member);
-        held.changes.push_back(Change {
+        let mut state = self.lock();
+        state.seq += 1;
+        let seq = state.seq;
+        put(&mut state.members, member);
+        state.changes.push_back(Change {
             seq,
             at: Instant::now(),
             member: member.clone(),
         });
-        if held.changes.len() > MOST_CHANGES {
-            if let Some(oldest) = held.changes.pop_front() {
-                put(&mut held.before, &oldest.member);
+        if state.changes.len() > MAX_CHANGES {
+            if let Some(oldest) = state.changes.pop_front() {
+                put(&mut state.before, &oldest.member);
             }
         }
         seq
     }
 
-    /// The version that was the last one so long ago.
+    /// Returns the version that was current `ago` before now.
     fn version(&self, ago: Duration) -> u64 {
-        let held = self.held();
-        let oldest = held
+        let state = self.lock();
+        let oldest = state
             .changes
             .front()
-            .map_or(held.seq, |change| change.seq - 1);
+            .map_or(state.seq, |change| change.seq - 1);
         let now = Instant::now();
-        let known = held
+        let known = state
             .changes
             .iter()
             .rev()
@@ -113,26 +116,27 @@
         known.map_or(oldest, |change| change.seq)
     }
 
-    /// What changed after a version and up to what is known, or the whole list as it is known where the former is not.
+    /// Returns the changes after version `from` up to version `known`; without `from`, or if it is
+    /// no longer kept or newer than `known`, the full list at `known`.
     fn since(&self, from: Option<u64>, known: u64) -> Members {
-        let held = self.held();
-        let oldest = held
+        let state = self.lock();
+        let oldest = state
             .changes
             .front()
-            .map_or(held.seq, |change| change.seq - 1);
+            .map_or(state.seq, |change| change.seq - 1);
         let from = from.filter(|from| (oldest..=known).contains(from));
         let mut last = if from.is_some() {
             BTreeMap::new()
         } else {
-            held.before.clone()
+            state.before.clone()
         };
-        for Change { member, .. } in held
+        for Change { member, .. } in state
             .changes
             .iter()
             .filter(|c| (from.unwrap_or(0) + 1..=known).contains(&c.seq))
         {
             match from {
-                // Among changes a removal is told.
+                // A list of changes includes removals.
                 Some(_) => {
                     last.insert(member.host.clone(), member.clone());
                 }
@@ -147,59 +151,60 @@
     }
 }
 
-/// The number of a node by the name that [`host`] gave it.
+/// Returns the backend number in a host name made by [`host`].
 pub fn number(host: &str) -> Option<u32> {
     host.strip_prefix("node-")?.parse().ok()
 }
 
-/// The name of a node in the list.
-pub fn host(node: u32) -> String {
-    format!("node-{node}")
+/// Returns the host name of a backend in the list.
+pub fn host(backend: u32) -> String {
+    format!("node-{backend}")
 }
 
-/// How an agent is.
+/// The state of an agent, watched by its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct State {
-    /// Counts up with each change of the list.
+    /// Incremented on each change of the list.
     version: u64,
     silent: bool,
-    /// Counts up with each time that all watches are broken off.
-    broken: u64,
-    /// Counts up with each time that open connections lose this end without a word.
+    /// Incremented to reset all connections.
+    resets: u64,
+    /// Incremented to abandon all open connections without closing them.
     vanished: u64,
-    /// What else is wrong with it.
+    /// What the agent does wrong.
     lapse: Option<Lapse>,
 }
 
-/// What an agent that speaks may do wrong.
+/// What an agent that responds does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lapse {
-    /// It knows no more than what was known so long ago, also of what it had told before.
+    /// It serves the list as it was this long ago, even if it sent newer versions before.
     Behind(Duration),
-    /// Each list breaks off in its middle.
+    /// Each list is truncated to its first half.
     Half,
-    /// Each list has an entry that cannot be used, and the addresses of draining nodes cannot be read.
+    /// Each list has one invalid entry, and the addresses of draining backends are malformed.
     Spoilt,
 }
 
-/// One front door's agent.
+/// The fake agent of one gateway.
 pub struct Agent {
-    door: u32,
+    gateway: u32,
     list: List,
     recorder: Recorder,
-    /// Turns a start time into the wire's Unix time and back.
+    /// Unix time at which the event trace began; converts start times from the wire to trace times.
     unix_start: Millis,
     state: watch::Sender<State>,
-    /// The listening task, ended when the agent moves.
+    /// The task that accepts connections; aborted when the agent moves.
     listening: RefCell<Option<tokio::task::AbortHandle>>,
 }
 
 impl Agent {
-    /// An agent that tells this list; `unix_start` is the Unix time at which the record began.
-    pub fn new(door: u32, list: List, recorder: Recorder, unix_start: Millis) -> Rc<Agent> {
+    /// Creates an agent that serves `list`; `unix_start` is the Unix time at which the event trace
+    /// began.
+    pub fn new(gateway: u32, list: List, recorder: Recorder, unix_start: Millis) -> Rc<Agent> {
         let (state, listening) = (watch::Sender::default(), RefCell::default());
         Rc::new(Agent {
-            door,
+            gateway,
             list,
             recorder,
             unix_start,
@@ -208,8 +213,8 @@
         })
     }
 
-    /// Answers here from now on. Where it answered before, it takes no new connection, and `grace` later it closes
-    /// the open ones.
+    /// Serves connections of `listener` from now on. On the previous listener the agent accepts no
+    /// more connections, and it closes the open ones after `grace`.
     pub fn listen(self: &Rc<Self>, listener: StdListener, grace: Duration) {
         let task = tokio::task::spawn_local(self.clone().accept(listener, grace)).abort_handle();
         if let Some(old) = self.listening.replace(Some(task)) {
@@ -217,13 +222,13 @@
         }
     }
 
-    /// It hears of a change, and hands it on unless it is silent.
+    /// Applies a change to the list and sends it to all watches, unless the agent is silent.
     pub fn update(&self, member: &Member) {
         let version = self.list.change(member);
         if let Some(node) = number(&member.host) {
-            let (door, health) = (self.door, health(member.health));
+            let (gateway, health) = (self.gateway, health(member.health));
             self.recorder.record(EventKind::NodeUpdateDue {
-                proxy: door,
+                proxy: gateway,
                 node,
                 health,
                 version,
@@ -232,7 +237,7 @@
         self.state.send_modify(|state| state.version += 1);
     }
 
-    /// Tells again what it knows of every node.
+    /// Applies and sends the current entry of every member again.
     pub fn repeat(&self) {
         self.list
             .snapshot()
@@ -241,36 +246,36 @@
             .for_each(|member| self.update(member));
     }
 
-    /// Says nothing from now on, or speaks again.
+    /// Stops sending anything on all connections, or resumes.
     pub fn set_silent(&self, silent: bool) {
         self.state.send_modify(|state| state.silent = silent);
     }
 
-    /// Does this wrong from now on, or nothing.
+    /// Sets what the agent does wrong from now on; `None` for nothing.
     pub fn set_lapse(&self, lapse: Option<Lapse>) {
         self.state.send_modify(|state| state.lapse = lapse);
     }
 
-    /// Its end of all open connections vanishes without a word; new ones are served.
+    /// Abandons all open connections without closing them; new ones are served.
     pub fn vanish(&self) {
         self.state.send_modify(|state| state.vanished += 1);
     }
 
-    /// Breaks off all watches.
+    /// Resets all connections.
     pub fn break_off(&self) {
-        self.state.send_modify(|state| state.broken += 1);
+        self.state.send_modify(|state| state.resets += 1);
     }
 
     async fn accept(self: Rc<Self>, listener: StdListener, grace: Duration) {
-        // Dropped with this task: its receivers then know that the agent has moved.
-        let here = watch::Sender::new(());
+        // Dropped when this task is aborted, which notifies its receivers that the agent has moved.
+        let active = watch::Sender::new(());
         let Ok(listener) = TcpListener::from_std(listener) else {
             return;
         };
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::task::spawn_local(self.clone().serve(stream, here.subscribe(), grace));
+                    tokio::task::spawn_local(self.clone().serve(stream, active.subscribe(), grace));
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
@@ -280,39 +285,40 @@
     async fn serve(
         self: Rc<Self>,
         stream: TcpStream,
-        mut here: watch::Receiver<()>,
+        mut active: watch::Receiver<()>,
         grace: Duration,
     ) {
         let mut link = Link::over(stream);
         let mut state = self.state.subscribe();
         let State {
-            broken, vanished, ..
+            resets, vanished, ..
         } = *state.borrow_and_update();
-        let mut gone = self.state.subscribe();
+        let mut vanishing = self.state.subscribe();
         let moved = async {
-            while here.changed().await.is_ok() {}
+            while active.changed().await.is_ok() {}
             tokio::time::sleep(grace).await;
         };
-        let speaks = async {
+        let serving = async {
             tokio::select! {
-                // What is told in the moment in which this end vanishes is not told here.
+                // A change applied in the same moment as the connection is abandoned must not be
+                // sent.
                 biased;
-                _ = gone.wait_for(|state| state.vanished != vanished) => {}
-                () = self.talk(&mut link) => return,
+                _ = vanishing.wait_for(|state| state.vanished != vanished) => {}
+                () = self.serve_requests(&mut link) => return,
             }
-            // Nothing is heard of this end again, and it hears nothing.
+            // The abandoned connection stays open, but nothing is read from it or written to it.
             std::future::pending().await
         };
         tokio::select! {
             biased;
-            _ = state.wait_for(|state| state.broken != broken) => {}
-            () = speaks => return,
+            _ = state.wait_for(|state| state.resets != resets) => {}
+            () = serving => return,
             () = moved => return,
         }
         link.reset();
     }
 
-    async fn talk(&self, link: &mut Link) {
+    async fn serve_requests(&self, link: &mut Link) {
         while let Ok(message) = link.message().await {
             let mut state = self.state.subscribe();
             if state.wait_for(|state| !state.silent).await.is_err() {
@@ -332,7 +338,7 @@
             } else {
                 let members = self.list.since(None, self.known());
                 let lapse = self.state.borrow().lapse;
-                let body = line(&members, lapse);
+                let body = encode_line(&members, lapse);
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                 let text = if lapse == Some(Lapse::Half) {
                     &body[..body.len() / 2]
@@ -343,7 +349,7 @@
                 {
                     return;
                 }
-                self.told(&members);
+                self.record_update(&members);
             }
         }
     }
@@ -366,38 +372,38 @@
             state.borrow_and_update();
             let lapse = state.borrow().lapse;
             let known = self.known();
-            // What it has told here it does not take back: one that has fallen behind has nothing to add.
+            // A watch never goes back: an agent that lags behind what it sent here sends nothing.
             if first || from.is_some_and(|from| from < known) {
-                let news = self.list.since(from, known);
+                let update = self.list.since(from, known);
                 first = false;
-                from = Some(news.seq);
-                let text = line(&news, lapse);
+                from = Some(update.seq);
+                let text = encode_line(&update, lapse);
                 if lapse == Some(Lapse::Half) {
-                    // Its first half as a chunk, and then nothing: the answer has not ended as it should.
-                    let _ = chunk(link, &text[..text.len() / 2]).await;
+                    // Sends half of the line as a chunk and closes without the last chunk.
+                    let _ = write_chunk(link, &text[..text.len() / 2]).await;
                     return;
                 }
-                if chunk(link, &text).await.is_err() {
+                if write_chunk(link, &text).await.is_err() {
                     return;
                 }
-                self.told(&news);
+                self.record_update(&update);
             }
             let behind = matches!(lapse, Some(Lapse::Behind(_)));
-            let beat = tokio::time::Instant::now() + HEARTBEAT;
+            let next_heartbeat = tokio::time::Instant::now() + HEARTBEAT;
             loop {
                 tokio::select! {
                     changed = state.changed() => match changed {
                         Ok(()) => break,
                         Err(_) => return,
                     },
-                    // What is known grows with time alone.
-                    () = tokio::time::sleep(STEP), if behind => {
+                    // With a lag, further changes become visible as time passes.
+                    () = tokio::time::sleep(LAG_POLL_INTERVAL), if behind => {
                         if from.is_some_and(|from| from < self.known()) {
                             break;
                         }
                     }
-                    () = tokio::time::sleep_until(beat) => {
-                        if !state.borrow().silent && chunk(link, "\n").await.is_err() {
+                    () = tokio::time::sleep_until(next_heartbeat) => {
+                        if !state.borrow().silent && write_chunk(link, "\n").await.is_err() {
                             return;
                         }
                         break;
@@ -410,7 +416,7 @@
         }
     }
 
-    /// The version up to which it knows the list.
+    /// Returns the newest version that the agent serves.
     fn known(&self) -> u64 {
         match self.state.borrow().lapse {
             Some(Lapse::Behind(ago)) => self.list.version(ago),
@@ -418,25 +424,25 @@
         }
     }
 
-    /// Notes what has been written to the front door.
-    fn told(&self, members: &Members) {
-        record_update(&self.recorder, self.door, members, self.unix_start);
+    /// Records the entries that were sent to the gateway.
+    fn record_update(&self, members: &Members) {
+        record_update(&self.recorder, self.gateway, members, self.unix_start);
     }
 }
 
-/// Notes that a front door has been told these entries, by its agent or by the list that it started with.
-pub fn record_update(recorder: &Recorder, door: u32, members: &Members, unix_start: Millis) {
+/// Records that a gateway received these entries, from its agent or in its initial configuration.
+pub fn record_update(recorder: &Recorder, gateway: u32, members: &Members, unix_start: Millis) {
     for member in &members.hosts {
         let Some(node) = number(&member.host) else {
             continue;
         };
         let (health, version) = (health(member.health), members.seq);
-        let born = (member.born_ms > 0.0).then_some(member.born_ms - unix_start);
+        let started_at = (member.born_ms > 0.0).then_some(member.born_ms - unix_start);
         recorder.record(EventKind::NodeUpdate {
-            proxy: door,
+            proxy: gateway,
             node,
             health,
-            started_at: born,
+            started_at,
             source: 0,
             version,
         });
@@ -451,18 +457,20 @@
     }
 }
 
-fn line(members: &Members, lapse: Option<Lapse>) -> String {
-    // Figures of a list are finite and its names are text: this cannot fail, and an empty line says nothing.
+fn encode_line(members: &Members, lapse: Option<Lapse>) -> String {
+    // Encoding can't fail: numbers in a list are finite and names are UTF-8. The fallback, an empty
+    // line, would be read as a heartbeat.
     let mut text = match lapse {
-        Some(Lapse::Spoilt) => spoilt(members).to_string(),
+        Some(Lapse::Spoilt) => with_invalid_entries(members).to_string(),
         _ => serde_json::to_string(members).unwrap_or_default(),
     };
     text.push('\n');
     text
 }
 
-/// A list in which one entry is nobody's, and draining nodes have no address that could be read.
-fn spoilt(members: &Members) -> serde_json::Value {
+/// Returns the list with an additional invalid entry and with malformed addresses of draining
+/// backends.
+fn with_invalid_entries(members: &Members) -> serde_json::Value {
     let mut list = serde_json::to_value(members).unwrap_or_default();
     if let Some(hosts) = list
         .get_mut("hosts")
@@ -479,7 +487,7 @@
     list
 }
 
-async fn chunk(link: &mut Link, text: &str) -> std::io::Result<()> {
+async fn write_chunk(link: &mut Link, text: &str) -> std::io::Result<()> {
     link.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
         .await
 }
--- a/crates/test-servers/src/auth.rs
+++ b/crates/test-servers/src/auth.rs
@@ -1,5 +1,6 @@
-//! A played authentication service, as forward authentication asks it: a sub-request with the caller's headers; 2xx lets
-//! the request pass, anything else is the answer. It fails in every way on call, and logs each check.
+//! A fake authentication service for forward authentication. A check is a sub-request with the
+//! caller's headers: a 2xx response lets the request pass, any other is sent to the client. The
+//! service logs each check and can fail as each [`Fault`] describes.
 
 use crate::wire::Link;
 use rand_core::{RngCore, SeedableRng};
@@ -11,57 +12,57 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Checks that the log holds at most; beyond it the oldest are forgotten.
-const MOST_LOGGED: usize = 200_000;
-/// Connections that it holds; it resets further ones.
-const MOST_CONNECTIONS: usize = 1024;
-/// Length of a piece of an answer without end.
-const PIECE: usize = 16 * 1024;
+/// Maximum number of checks in the log; the oldest are dropped.
+const MAX_LOGGED: usize = 200_000;
+/// Maximum number of open connections; further ones are reset.
+const MAX_CONNECTIONS: usize = 1024;
+/// Size of a chunk of an endless response, in bytes.
+const CHUNK_SIZE: usize = 16 * 1024;
 
-/// A way to fail at a check.
+/// A way in which a check fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The check is read and never answered.
+    /// The check is read, but no response is sent.
     Stall,
-    /// Half of the answer's head is written, and no more.
+    /// Only half of the response head is written.
     HalfHead,
-    /// The answer comes this much later.
+    /// The response is delayed by this long.
     Late(Duration),
-    /// The connection is reset as it is accepted.
+    /// The connection is reset when it is accepted.
     ResetBefore,
-    /// It is reset at the check's first bytes.
+    /// The connection is reset at the first bytes of the check.
     ResetWithin,
-    /// It is reset once the check is whole.
+    /// The connection is reset after the complete check was read.
     ResetAfter,
-    /// The answer is written twice.
+    /// The response is written twice.
     Twice,
-    /// The answer's body has no end.
+    /// The response body has no end.
     Endless,
-    /// The answer is whole, and the connection is closed right behind it without a word.
+    /// The connection is closed after a complete response that does not announce the close.
     Close,
-    /// The answer is this status.
+    /// The response has this status.
     Status(u16),
-    /// The answer's headers carry a line break and a header of their own.
+    /// The response has a folded header line and a bare CR that tries to inject a header.
     Splitting,
 }
 
-/// A check as it came.
+/// A check that was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seen {
-    /// When.
+    /// When the check was complete.
     pub at: Instant,
-    /// The headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The method and target of the sub-request itself.
+    /// The method of the sub-request itself.
     pub method: String,
-    /// Its target.
+    /// The target of the sub-request itself.
     pub target: String,
-    /// The status that was meant for it.
+    /// The status of the response, whether or not a fault prevented sending it.
     pub status: u16,
 }
 
 impl Seen {
-    /// The first header of this name, which is given in lower case.
+    /// Returns the value of the first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -70,19 +71,19 @@
     }
 }
 
-/// What the service knows of a credential.
+/// What a valid credential grants.
 #[derive(Clone, Debug, Default)]
 struct Grant {
-    /// Headers that go with a pass, each a whole line without its end.
+    /// Header lines of the response, without line ends.
     headers: Vec<String>,
 }
 
-/// A played authentication service. Credentials are whole values of the header `authorization`.
+/// A fake authentication service. A credential is the complete value of an `authorization` header.
 pub struct Auth {
     grants: RefCell<HashMap<String, Grant>>,
-    /// What a denial is: status and header lines.
+    /// Status and header lines of a denial.
     denial: RefCell<(u16, Vec<String>)>,
-    /// What befalls checks, and which part of them.
+    /// The fault of checks, and the fraction of them that it affects.
     fault: Cell<Option<(Fault, f64)>>,
     log: RefCell<VecDeque<Seen>>,
     open: Cell<usize>,
@@ -90,7 +91,7 @@
 }
 
 impl Auth {
-    /// A service that denies everybody with 401.
+    /// Creates a service that denies every credential with 401.
     pub fn new(seed: u64) -> Rc<Auth> {
         Rc::new(Auth {
             grants: RefCell::default(),
@@ -105,7 +106,7 @@
         })
     }
 
-    /// Lets a credential pass from now on, with these header lines.
+    /// Accepts a credential from now on, with these header lines in the response.
     pub fn grant(&self, credential: &str, headers: &[&str]) {
         let headers = headers.iter().map(|line| (*line).to_owned()).collect();
         self.grants
@@ -126,25 +127,25 @@
         );
     }
 
-    /// Strikes this part of the checks from now on; `None` ends it.
+    /// Sets the fault and the fraction of checks that it affects; `None` for no fault.
     pub fn fault(&self, fault: Option<(Fault, f64)>) {
         self.fault.set(fault);
     }
 
-    /// The checks that came, the oldest first.
+    /// Returns the logged checks, oldest first.
     pub fn log(&self) -> Vec<Seen> {
         self.log.borrow().iter().cloned().collect()
     }
 
-    /// How many checks came.
+    /// Returns the number of logged checks.
     pub fn checks(&self) -> usize {
         self.log.borrow().len()
     }
 
-    /// Serves here for as long as it is polled.
+    /// Serves connections of `listener` for as long as the future is polled.
     ///
     /// # Errors
-    /// What the system says of the listener.
+    /// The operating system's error if the listener can't be used.
     pub async fn serve(self: Rc<Self>, listener: StdListener) -> std::io::Result<()> {
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
@@ -154,7 +155,7 @@
                     let auth = self.clone();
                     tokio::task::spawn_local(async move {
                         auth.open.set(auth.open.get() + 1);
-                        auth.clone().talk(stream).await;
+                        auth.clone().serve_connection(stream).await;
                         auth.open.set(auth.open.get() - 1);
                     });
                 }
@@ -163,16 +164,16 @@
         }
     }
 
-    /// What befalls the next check.
-    fn strikes(&self) -> Option<Fault> {
-        let (fault, part) = self.fault.get()?;
-        let lot = f64::from(self.rng.borrow_mut().next_u32()) / 4_294_967_296.0;
-        (lot < part).then_some(fault)
+    /// Draws the fault of the next check.
+    fn next_fault(&self) -> Option<Fault> {
+        let (fault, share) = self.fault.get()?;
+        let sample = f64::from(self.rng.borrow_mut().next_u32()) / 4_294_967_296.0;
+        (sample < share).then_some(fault)
     }
 
-    async fn talk(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let mut link = Link::over(stream);
-        if self.open.get() > MOST_CONNECTIONS
+        if self.open.get() > MAX_CONNECTIONS
             || matches!(self.fault.get(), Some((Fault::ResetBefore, _)))
         {
             return link.reset();
@@ -181,7 +182,7 @@
             if link.pending() == 0 && !matches!(link.more().await, Ok(true)) {
                 return;
             }
-            let fault = self.strikes();
+            let fault = self.next_fault();
             if fault == Some(Fault::ResetWithin) {
                 return link.reset();
             }
@@ -196,7 +197,7 @@
             } else {
                 status
             };
-            self.note(Seen {
+            self.log_check(Seen {
                 at: Instant::now(),
                 headers: message.headers,
                 method: message.method,
@@ -210,31 +211,31 @@
             if fault == Some(Fault::Splitting) {
                 head.push_str("Remote-User: eva\r\n\x20folded: yes\rInjected: 1\r\n");
             }
-            let answer = format!("{head}Content-Length: 0\r\n\r\n");
+            let response = format!("{head}Content-Length: 0\r\n\r\n");
             let written = match fault {
                 Some(Fault::ResetAfter) => return link.reset(),
                 Some(Fault::Stall) => return link.until_closed().await,
                 Some(Fault::HalfHead) => {
-                    // Whoever has gone is not answered.
-                    let _ = link.write(&answer.as_bytes()[..answer.len() / 2]).await;
+                    // The peer may have closed the connection already.
+                    let _ = link.write(&response.as_bytes()[..response.len() / 2]).await;
                     return link.until_closed().await;
                 }
                 Some(Fault::Late(late)) => {
                     tokio::time::sleep(late).await;
-                    link.write(answer.as_bytes()).await
+                    link.write(response.as_bytes()).await
                 }
-                Some(Fault::Twice) => link.write(answer.repeat(2).as_bytes()).await,
+                Some(Fault::Twice) => link.write(response.repeat(2).as_bytes()).await,
                 Some(Fault::Endless) => {
                     let mut written = link
                         .write(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes())
                         .await;
-                    let piece = format!("{PIECE:x}\r\n{}\r\n", "x".repeat(PIECE));
+                    let chunk = format!("{CHUNK_SIZE:x}\r\n{}\r\n", "x".repeat(CHUNK_SIZE));
                     while written.is_ok() {
-                        written = link.write(piece.as_bytes()).await;
+                        written = link.write(chunk.as_bytes()).await;
                     }
                     written
                 }
-                _ => link.write(answer.as_bytes()).await,
+                _ => link.write(response.as_bytes()).await,
             };
             if written.is_err() || closes || fault == Some(Fault::Close) {
                 return;
@@ -242,12 +243,12 @@
         }
     }
 
-    fn note(&self, seen: Seen) {
+    fn log_check(&self, check: Seen) {
         let mut log = self.log.borrow_mut();
-        if log.len() >= MOST_LOGGED {
+        if log.len() >= MAX_LOGGED {
             log.pop_front();
         }
-        log.push_back(seen);
+        log.push_back(check);
     }
 
     fn verdict(&self, credential: &str) -> (u16, Vec<String>) {
@@ -276,42 +277,42 @@
         });
     }
 
-    async fn asked(auth: &Rc<Auth>, credential: &str) -> (Link, Result<Message, NoMessage>) {
+    async fn check(auth: &Rc<Auth>, credential: &str) -> (Link, Result<Message, NoMessage>) {
         let listener = StdListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(auth.clone().serve(listener));
         let mut link = Link::open(address).await.unwrap();
-        let ask = format!(
+        let request = format!(
             "GET /auth HTTP/1.1\r\nHost: a\r\nAuthorization: {credential}\r\nX-Forwarded-Uri: /x\r\n\r\n"
         );
-        // A connection that is reset at once may be so before this is written.
-        let _ = link.write(ask.as_bytes()).await;
-        let answer = link.message().await;
-        (link, answer)
+        // A connection that is reset when accepted may be reset before this write.
+        let _ = link.write(request.as_bytes()).await;
+        let response = link.message().await;
+        (link, response)
     }
 
     #[test]
-    fn it_lets_pass_whom_it_knows_until_it_does_not() {
+    fn granted_credentials_pass_until_revoked() {
         run(async {
             let auth = Auth::new(1);
             auth.grant(
                 "Bearer ana",
                 &["Remote-User: ana", "Cache-Control: max-age=5"],
             );
-            let (_, answer) = asked(&auth, "Bearer ana").await;
-            let answer = answer.unwrap();
+            let (_, response) = check(&auth, "Bearer ana").await;
+            let response = response.unwrap();
             assert_eq!(
-                (answer.status, answer.header("remote-user")),
+                (response.status, response.header("remote-user")),
                 (200, Some("ana"))
             );
-            let (_, answer) = asked(&auth, "Bearer eva").await;
-            let answer = answer.unwrap();
-            assert_eq!(answer.status, 401);
-            assert!(answer.header("www-authenticate").is_some());
+            let (_, response) = check(&auth, "Bearer eva").await;
+            let response = response.unwrap();
+            assert_eq!(response.status, 401);
+            assert!(response.header("www-authenticate").is_some());
             auth.revoke("Bearer ana");
             auth.deny_with(302, &["Location: /login"]);
-            let (_, answer) = asked(&auth, "Bearer ana").await;
-            assert_eq!(answer.unwrap().header("location"), Some("/login"));
+            let (_, response) = check(&auth, "Bearer ana").await;
+            assert_eq!(response.unwrap().header("location"), Some("/login"));
             let log = auth.log();
             assert_eq!(
                 log.iter().map(|seen| seen.status).collect::<Vec<_>>(),
@@ -325,13 +326,13 @@
     }
 
     #[test]
-    fn every_fault_is_what_it_says() {
+    fn every_fault_acts_as_documented() {
         run(async {
             let auth = Auth::new(1);
             auth.grant("a", &[]);
             let with = |fault| {
                 auth.fault(Some((fault, 1.0)));
-                asked(&auth, "a")
+                check(&auth, "a")
             };
             for fault in [Fault::ResetBefore, Fault::ResetWithin, Fault::ResetAfter] {
                 assert!(
@@ -339,27 +340,30 @@
                     "{fault:?}"
                 );
             }
-            assert_eq!(auth.checks(), 1, "only the last was read whole");
+            assert_eq!(auth.checks(), 1, "only the last check was read completely");
             assert_eq!(with(Fault::Status(500)).await.1.unwrap().status, 500);
-            let (mut link, answer) = with(Fault::Close).await;
-            assert_eq!(answer.unwrap().status, 200);
+            let (mut link, response) = with(Fault::Close).await;
+            assert_eq!(response.unwrap().status, 200);
             assert!(matches!(link.message().await, Err(NoMessage::Closed)));
-            let (mut link, answer) = with(Fault::Twice).await;
+            let (mut link, response) = with(Fault::Twice).await;
             assert_eq!(
-                (answer.unwrap().status, link.message().await.unwrap().status),
+                (
+                    response.unwrap().status,
+                    link.message().await.unwrap().status
+                ),
                 (200, 200)
             );
             assert!(
-                matches!(with(Fault::Endless).await.1, Err(NoMessage::Garbage(_))),
-                "a body in chunks"
+                matches!(with(Fault::Endless).await.1, Err(NoMessage::Malformed(_))),
+                "a chunked body"
             );
             assert!(with(Fault::Late(Duration::from_millis(30))).await.1.is_ok());
             for fault in [Fault::Stall, Fault::HalfHead] {
-                let waits = tokio::time::timeout(Duration::from_millis(100), with(fault)).await;
-                assert!(waits.is_err(), "{fault:?} was answered");
+                let response = tokio::time::timeout(Duration::from_millis(100), with(fault)).await;
+                assert!(response.is_err(), "{fault:?}: a response was sent");
             }
             auth.fault(None);
-            assert!(asked(&auth, "a").await.1.is_ok());
+            assert!(check(&auth, "a").await.1.is_ok());
         });
     }
 }
--- a/crates/test-servers/src/backend.rs
+++ b/crates/test-servers/src/backend.rs
@@ -1,8 +1,10 @@
-//! Api nodes: cores, a queue, a cold start, memory of keys, and failures by script.
+//! Fake backends: cores, a queue, warm-up after a start, deduplication by idempotency key, and
+//! failures by script.
 //!
-//! A node is a tenant of a [`BackendSlot`], which holds one listener for each front door, so that whoever dials tells by the
-//! address which front door it is; a replacement may move into the place of one that has gone. What all nodes share
-//! (the memory of keys, the meter of use, the numbering of attempts) is the [`SharedState`].
+//! A backend runs in a [`BackendSlot`], which has one listener for each gateway: the address that
+//! is dialled identifies the gateway. A replacement can take over the slot of a stopped backend.
+//! What all backends share (the idempotency keys, usage metering, the numbering of attempts) is in
+//! [`SharedState`].
 
 use crate::lateness::Lateness;
 use crate::wire::{Link, Message, NoMessage};
@@ -19,68 +21,69 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Keys, and ids of requests, that are remembered at most; the oldest go first.
-const MOST_REMEMBERED: usize = 200_000;
-/// Customers whose use is metered at most; a further one has no figure.
-const MOST_METERED: usize = 200_000;
-/// Periods of a customer's use that are kept: 8 s of the platform's, and the meter is about one late.
+/// Maximum number of remembered idempotency keys and of request ids; the oldest are dropped.
+const MAX_REMEMBERED: usize = 200_000;
+/// Maximum number of metered customers; further ones are not metered.
+const MAX_METERED: usize = 200_000;
+/// Metering periods kept per customer: 8 s with the platform's period; the meter is about one
+/// second late.
 const PERIODS_KEPT: usize = 16;
-/// Units of a request of the usual size: work grows with units.
+/// Units of a request of the usual size; work is proportional to units.
 pub const USUAL_UNITS: f64 = 2.5;
-/// Bytes of an endless answer that are written at most.
-const ENDLESS: usize = 8 << 20;
+/// Maximum number of bytes written of an endless response.
+const ENDLESS_BODY_BYTES: usize = 8 << 20;
 
-/// What a class costs a node.
+/// The cost of a request class at a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
-    /// The class's name on the wire, the first part of the path.
+    /// The class's name on the wire: the first path segment.
     pub class: String,
-    /// Whether it may run again.
+    /// Whether a request of the class may run more than once.
     pub effect: Effect,
-    /// For how long a repeat of its key is dropped.
+    /// Time for which a repeated idempotency key is not run again.
     pub memory_ms: Millis,
-    /// Least and most work of a request of the usual size, in milliseconds of a warm core.
+    /// Minimum and maximum work of a request of the usual size, in milliseconds of a warm core.
     pub work_ms: [Millis; 2],
 }
 
-/// What pushes a cold node over.
+/// The load at which a backend that is warming up fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
-    /// Multiple of its present capacity.
+    /// Allowed load as a multiple of the current capacity.
     pub factor: f64,
-    /// Window over which that is taken.
+    /// Window over which the load is summed.
     pub window_ms: Millis,
-    /// Work by which it may be passed by chance.
+    /// Work allowed in addition, for random peaks.
     pub slack_ms: Millis,
 }
 
-/// The meter of customers' use (protocol page, `Api-Usage`).
+/// Metering of customers' usage (protocol page, `Api-Usage`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Metering {
-    /// Length of a period; 0 for no meter.
+    /// Length of a period; 0 disables metering.
     pub period_ms: Millis,
-    /// How late a period's figure is told.
+    /// Time from the end of a period until its figure is reported.
     pub delay_ms: Millis,
-    /// Units a second of each plan's quota, by number.
+    /// Quota of each plan in units per second, by plan number.
     pub rates: Vec<f64>,
 }
 
-/// What all nodes of a deployment are like.
+/// Properties that all backends of a deployment have in common.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// Seed of what is drawn for each request.
+    /// Seed of the draws for requests.
     pub seed: u64,
-    /// What the classes cost.
+    /// The cost of each class.
     pub work: Vec<Work>,
-    /// The meter of customers' use.
+    /// Usage metering.
     pub metering: Metering,
-    /// After how long an idle connection is closed.
+    /// Time after which an idle connection is closed.
     pub idle_ms: Millis,
-    /// What pushes a cold node over.
+    /// The load at which a backend that is warming up fails.
     pub overload: Overload,
 }
 
-/// What all nodes of a deployment share.
+/// State shared by all backends of a deployment.
 pub struct SharedState {
     deployment: Deployment,
     recorder: Recorder,
@@ -93,7 +96,7 @@
 }
 
 impl SharedState {
-    /// A deployment whose nodes write what they see to this record.
+    /// Creates the state of a deployment whose backends write events to `recorder`.
     pub fn new(deployment: Deployment, recorder: Recorder, lateness: Lateness) -> Rc<SharedState> {
         Rc::new(SharedState {
             deployment,
@@ -117,13 +120,13 @@
         self.dials.get()
     }
 
-    /// The work of a request, the same at each of its attempts.
+    /// Returns the work of a request, which is the same for all of its attempts.
     fn work_of(&self, class: &Work, id: &str, units: f64) -> Millis {
-        let [least, most] = class.work_ms;
-        (least + (most - least) * draw(self.deployment.seed, hash(id), 11)) * units / USUAL_UNITS
+        let [min, max] = class.work_ms;
+        (min + (max - min) * draw(self.deployment.seed, hash(id), 11)) * units / USUAL_UNITS
     }
 
-    /// Whether this is the first attempt with this id that comes whole to any node.
+    /// Returns whether this is the first complete attempt with this id at any backend.
     fn first_time(&self, id: &str) -> bool {
         let mut seen = self.seen.borrow_mut();
         let (known, order) = &mut *seen;
@@ -131,7 +134,7 @@
             return false;
         }
         order.push_back(id.to_owned());
-        if order.len() > MOST_REMEMBERED {
+        if order.len() > MAX_REMEMBERED {
             if let Some(old) = order.pop_front() {
                 known.remove(&old);
             }
@@ -139,8 +142,9 @@
         true
     }
 
-    /// Whether a keyed request is a repeat that is dropped; if not, its key is remembered from now on.
-    fn repeat(&self, key: &str, now: Millis, memory: Millis) -> bool {
+    /// Returns whether the idempotency key was seen within `memory`; if not, remembers it from now
+    /// on.
+    fn is_repeat(&self, key: &str, now: Millis, memory: Millis) -> bool {
         let mut keys = self.keys.borrow_mut();
         let (known, order) = &mut *keys;
         if known.get(key).is_some_and(|since| now - since <= memory) {
@@ -149,7 +153,7 @@
         if known.insert(key.to_owned(), now).is_none() {
             order.push_back(key.to_owned());
         }
-        if order.len() > MOST_REMEMBERED {
+        if order.len() > MAX_REMEMBERED {
             if let Some(old) = order.pop_front() {
                 known.remove(&old);
             }
@@ -157,11 +161,11 @@
         false
     }
 
-    fn meter(&self, now: Millis, customer: u64, units: f64) {
+    fn record_usage(&self, now: Millis, customer: u64, units: f64) {
         if self.deployment.metering.period_ms > 0.0 {
             let period = (now / self.deployment.metering.period_ms) as u64;
             let mut used = self.used.borrow_mut();
-            if used.len() >= MOST_METERED && !used.contains_key(&customer) {
+            if used.len() >= MAX_METERED && !used.contains_key(&customer) {
                 return;
             }
             let periods = used.entry(customer).or_default();
@@ -175,7 +179,7 @@
         }
     }
 
-    /// The use in the last period whose figure has come, in percent of the quota.
+    /// Returns the usage in the last reported period, in percent of the quota.
     fn usage(&self, now: Millis, customer: u64, plan: usize) -> Option<u32> {
         let rate = *self.deployment.metering.rates.get(plan)?;
         if self.deployment.metering.period_ms <= 0.0 || rate <= 0.0 {
@@ -197,339 +201,352 @@
     }
 }
 
-/// What a node can be made to do wrong.
+/// A way in which a backend fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Requests are read and never answered.
+    /// Requests are read, but no response is sent.
     Stall,
     /// Connections are reset when they are accepted.
     ResetBefore,
     /// Connections are reset at the first bytes of a request.
     ResetWithin,
-    /// Connections are reset when the request has come whole; its effect runs in half of the cases.
+    /// Connections are reset after the complete request was read; its effect runs in half of the
+    /// cases.
     ResetAfter,
-    /// The answer is no HTTP.
+    /// The response is not valid HTTP.
     Malformed,
-    /// The answer is said to have 3 GB and keeps coming.
+    /// The response announces 3 GB; up to 8 MiB of it are sent.
     Endless,
-    /// 500 at once, and nothing runs.
+    /// The response is an immediate 500, and nothing runs.
     FastError,
-    /// Answers come later by this.
+    /// Responses are delayed by this long.
     Late(Millis),
-    /// Dials are refused.
+    /// New connections are refused.
     Refuse,
-    /// Another program takes this part of the machine.
+    /// Another program uses this fraction of the machine.
     Neighbour(f64),
 }
 
-/// A trouble for a time.
+/// A fault that lasts for some time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// What.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Part of the requests that it strikes.
+    /// Fraction of the requests that it affects.
     pub share: f64,
-    /// When it ends.
+    /// When the fault ends.
     pub until: Millis,
 }
 
-/// What a node is like.
+/// Properties of a single backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendSpec {
-    /// Its number.
+    /// The backend's number.
     pub number: u32,
-    /// Its cores.
+    /// Number of cores.
     pub cores: u32,
-    /// Requests that wait at most, besides those that run.
+    /// Maximum number of queued requests, in addition to the running ones.
     pub queue: usize,
-    /// Part of its capacity that it starts with; 1 for one that is warm from the start.
+    /// Fraction of its capacity that the backend starts with; 1 for no warm-up.
     pub initial_capacity: f64,
-    /// Time until it is warm.
+    /// Duration of the warm-up.
     pub warmup_ms: Millis,
-    /// Connections that it holds at most.
+    /// Maximum number of open connections; further ones are reset.
     pub connections: usize,
 }
 
-/// How a node's process is.
+/// State of a backend's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum ProcessState {
     Up,
     Draining,
-    Gone,
-    Fell,
+    Stopped,
+    Overloaded,
 }
 
-impl Life {
-    fn down(self) -> bool {
-        matches!(self, Life::Gone | Life::Fell)
+impl ProcessState {
+    fn is_down(self) -> bool {
+        matches!(self, ProcessState::Stopped | ProcessState::Overloaded)
     }
 }
 
-/// One api node.
+/// A fake backend.
 pub struct Backend {
-    world: Rc<SharedState>,
+    shared: Rc<SharedState>,
     spec: BackendSpec,
-    born: Millis,
-    life: watch::Sender<Life>,
+    started_at: Millis,
+    state: watch::Sender<ProcessState>,
     /// When each core is free.
     cores: RefCell<Vec<Millis>>,
-    held: Cell<usize>,
+    occupied: Cell<usize>,
     connections: Cell<usize>,
     faults: RefCell<Vec<Fault>>,
-    /// What has come while it was cold, within the window.
-    pressure: RefCell<VecDeque<(Millis, Millis)>>,
+    /// Arrival time and work of the requests within the overload window, during warm-up.
+    recent_work: RefCell<VecDeque<(Millis, Millis)>>,
 }
 
 impl Backend {
-    /// A node whose process starts now.
-    pub fn start(world: &Rc<SharedState>, spec: BackendSpec) -> Rc<Backend> {
+    /// Starts a backend now.
+    pub fn start(shared: &Rc<SharedState>, spec: BackendSpec) -> Rc<Backend> {
         let cores = f64::from(spec.cores);
         let state = NodeState::Up {
             cores,
             initial_capacity: spec.initial_capacity,
             warmup_ms: spec.warmup_ms,
         };
-        let born = world.recorder.record(EventKind::Node {
+        let started_at = shared.recorder.record(EventKind::Node {
             node: spec.number,
             state,
         });
         Rc::new(Backend {
-            world: world.clone(),
+            shared: shared.clone(),
             spec,
-            born,
-            life: watch::Sender::new(Life::Up),
+            started_at,
+            state: watch::Sender::new(ProcessState::Up),
             cores: RefCell::new(vec![0.0; spec.cores as usize]),
-            held: Cell::new(0),
+            occupied: Cell::new(0),
             connections: Cell::new(0),
             faults: RefCell::default(),
-            pressure: RefCell::default(),
+            recent_work: RefCell::default(),
         })
     }
 
-    /// When its process started.
+    /// Returns when the backend started.
     pub fn started_at(&self) -> Millis {
-        self.born
+        self.started_at
     }
 
-    /// Its number.
+    /// Returns the backend's number.
     pub fn number(&self) -> u32 {
         self.spec.number
     }
 
-    /// From now on it finishes what it has, and either turns away what comes or goes on serving it, as a process does
-    /// that only its list knows to be draining.
-    pub fn drain(&self, turns_away: bool) {
-        let life = *self.life.borrow();
-        // One that is down stays down.
-        if life == Life::Up {
-            self.turn(
-                if turns_away { Life::Draining } else { Life::Up },
+    /// Starts draining: the backend finishes its requests and either rejects new ones or, like a
+    /// process that is only marked as draining in the member list, still serves them.
+    pub fn drain(&self, reject_new: bool) {
+        let state = *self.state.borrow();
+        // A backend that is down stays down.
+        if state == ProcessState::Up {
+            self.set_state(
+                if reject_new {
+                    ProcessState::Draining
+                } else {
+                    ProcessState::Up
+                },
                 NodeState::Draining,
             );
         }
     }
 
-    /// Its process ends: its connections are reset.
+    /// Stops the process, which resets its connections.
     pub fn stop(&self) {
-        self.turn(Life::Gone, NodeState::Stopped);
+        self.set_state(ProcessState::Stopped, NodeState::Stopped);
     }
 
-    fn down(&self) -> bool {
-        self.life.borrow().down()
+    fn is_down(&self) -> bool {
+        self.state.borrow().is_down()
     }
 
-    fn turn(&self, life: Life, state: NodeState) {
-        self.life.send_replace(life);
-        self.world.recorder.record(EventKind::Node {
+    fn set_state(&self, state: ProcessState, recorded: NodeState) {
+        self.state.send_replace(state);
+        self.shared.recorder.record(EventKind::Node {
             node: self.spec.number,
-            state,
+            state: recorded,
         });
     }
 
-    /// Begins a trouble.
+    /// Adds a fault.
     pub fn add_fault(&self, fault: Fault) {
         self.faults.borrow_mut().push(fault);
     }
 
-    fn troubles(&self, now: Millis) -> Vec<Fault> {
+    fn active_faults(&self, now: Millis) -> Vec<Fault> {
         let mut faults = self.faults.borrow_mut();
         faults.retain(|fault| fault.until > now);
         faults.clone()
     }
 
-    /// Part of its capacity that it has.
-    fn warmth(&self, now: Millis) -> f64 {
+    /// Returns the fraction of its capacity that the backend has now.
+    fn capacity(&self, now: Millis) -> f64 {
         if self.spec.initial_capacity >= 1.0 || self.spec.warmup_ms <= 0.0 {
             return 1.0;
         }
-        let risen = ((now - self.born) / self.spec.warmup_ms).clamp(0.0, 1.0);
-        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * risen
+        let progress = ((now - self.started_at) / self.spec.warmup_ms).clamp(0.0, 1.0);
+        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * progress
     }
 
     fn speed(&self, now: Millis) -> f64 {
         let taken = self
-            .troubles(now)
+            .active_faults(now)
             .iter()
-            .fold(0.0, |most: f64, fault| match fault.kind {
-                FaultKind::Neighbour(part) => most.max(part),
-                _ => most,
+            .fold(0.0, |max: f64, fault| match fault.kind {
+                FaultKind::Neighbour(share) => max.max(share),
+                _ => max,
             });
-        self.warmth(now) * (1.0 - taken).max(0.02)
+        self.capacity(now) * (1.0 - taken).max(0.02)
     }
 
-    /// Counts what has come to a cold node, and lets it fall once that is too much.
-    fn press(&self, now: Millis, work: Millis) {
-        let warmth = self.warmth(now);
-        if warmth >= 1.0 || *self.life.borrow() != Life::Up {
+    /// Adds the work of a request during warm-up and stops the backend once it is overloaded.
+    fn check_overload(&self, now: Millis, work: Millis) {
+        let capacity = self.capacity(now);
+        if capacity >= 1.0 || *self.state.borrow() != ProcessState::Up {
             return;
         }
         let Overload {
             factor,
             window_ms: window,
             slack_ms,
-        } = self.world.deployment.overload;
-        let mut pressure = self.pressure.borrow_mut();
-        pressure.push_back((now, work));
-        while pressure.front().is_some_and(|(at, _)| now - at > window) {
-            pressure.pop_front();
+        } = self.shared.deployment.overload;
+        let mut recent_work = self.recent_work.borrow_mut();
+        recent_work.push_back((now, work));
+        while recent_work.front().is_some_and(|(at, _)| now - at > window) {
+            recent_work.pop_front();
         }
-        let sum: Millis = pressure.iter().map(|(_, work)| work).sum();
-        let budget = factor * warmth * f64::from(self.spec.cores) * window + slack_ms;
+        let sum: Millis = recent_work.iter().map(|(_, work)| work).sum();
+        let budget = factor * capacity * f64::from(self.spec.cores) * window + slack_ms;
         if sum > budget {
-            self.turn(Life::Fell, NodeState::Overloaded);
+            self.set_state(ProcessState::Overloaded, NodeState::Overloaded);
         }
     }
 
-    /// Takes a place in the queue; when its work will be done, or `None` where it is full.
-    fn queue(self: &Rc<Self>, now: Millis, work: Millis) -> Option<(Millis, Held)> {
-        if self.held.get() >= self.spec.cores as usize + self.spec.queue {
+    /// Adds a request to the queue; returns when its work will be done, or `None` if the queue is
+    /// full.
+    fn enqueue(self: &Rc<Self>, now: Millis, work: Millis) -> Option<(Millis, QueueSlot)> {
+        if self.occupied.get() >= self.spec.cores as usize + self.spec.queue {
             return None;
         }
         let mut cores = self.cores.borrow_mut();
         let core = cores.iter_mut().min_by(|a, b| a.total_cmp(b))?;
         *core = core.max(now) + work / self.speed(now);
-        self.held.set(self.held.get() + 1);
-        Some((*core, Held(self.clone())))
+        self.occupied.set(self.occupied.get() + 1);
+        Some((*core, QueueSlot(self.clone())))
     }
 
-    async fn until(&self, at: Millis) {
-        tokio::time::sleep_until(self.world.recorder.instant(at).into()).await;
-        self.world.lateness.record(at, self.world.recorder.now());
+    async fn sleep_until(&self, at: Millis) {
+        tokio::time::sleep_until(self.shared.recorder.instant(at).into()).await;
+        self.shared.lateness.record(at, self.shared.recorder.now());
     }
 
-    /// Serves one connection of a front door.
-    async fn serve(self: Rc<Self>, stream: TcpStream, door: u32) {
+    /// Serves one connection of a gateway.
+    async fn serve(self: Rc<Self>, stream: TcpStream, gateway: u32) {
         if self.connections.get() >= self.spec.connections {
             return Link::over(stream).reset();
         }
         self.connections.set(self.connections.get() + 1);
-        let _open = Open(self.clone());
-        let mut life = self.life.subscribe();
+        let _guard = ConnectionGuard(self.clone());
+        let mut state = self.state.subscribe();
         let mut link = Link::over(stream);
-        let ended = |life: &Life| life.down();
-        let over = tokio::select! {
-            // One that is down says nothing more.
+        let is_down = |state: &ProcessState| state.is_down();
+        let next = tokio::select! {
+            // A backend that is down sends nothing more.
             biased;
-            _ = life.wait_for(ended) => Talk::Reset,
-            over = self.talk(&mut link, door) => over,
+            _ = state.wait_for(is_down) => NextStep::Reset,
+            next = self.serve_requests(&mut link, gateway) => next,
         };
-        if over == Talk::Reset {
+        if next == NextStep::Reset {
             link.reset();
         }
     }
 
-    async fn talk(self: &Rc<Self>, link: &mut Link, door: u32) -> Talk {
-        let recorder = &self.world.recorder;
-        let idle = Duration::try_from_secs_f64(self.world.deployment.idle_ms / 1000.0)
+    async fn serve_requests(self: &Rc<Self>, link: &mut Link, gateway: u32) -> NextStep {
+        let recorder = &self.shared.recorder;
+        let idle = Duration::try_from_secs_f64(self.shared.deployment.idle_ms / 1000.0)
             .unwrap_or(Duration::MAX);
         loop {
             if link.pending() == 0 {
                 match tokio::time::timeout(idle, link.more()).await {
                     Ok(Ok(true)) => {}
-                    _ => return Talk::Close,
+                    _ => return NextStep::Close,
                 }
             }
-            let first = recorder.now();
-            let attempt = self.world.next_attempt();
-            let partly = Partly {
-                node: self,
+            let first_byte_at = recorder.now();
+            let attempt = self.shared.next_attempt();
+            let arrival = Arrival {
+                backend: self,
                 attempt,
-                door,
-                first,
-                told: Cell::new(false),
+                gateway,
+                first_byte_at,
+                recorded: Cell::new(false),
             };
             if self
-                .struck(first, attempt, |t| *t == FaultKind::ResetWithin)
+                .fault_for(first_byte_at, attempt, |kind| {
+                    *kind == FaultKind::ResetWithin
+                })
                 .is_some()
             {
-                // What has been read may be whole: then it counts as come, and nothing of it ran.
+                // If the bytes read so far are a complete request, it is recorded as received; it
+                // did not run.
                 if let Ok(Some((message, head, length))) = crate::wire::parse(link.pending_bytes())
                 {
                     if link.pending() >= head + length {
-                        partly.came(&message, 0.0);
+                        arrival.record_complete(&message, 0.0);
                         recorder.record(EventKind::AttemptEnded {
                             attempt,
                             end: AttemptEnd::Reset,
                         });
                     }
                 }
-                return Talk::Reset;
+                return NextStep::Reset;
             }
             let message = match link.message().await {
                 Ok(message) => message,
-                Err(NoMessage::Closed | NoMessage::Cut(_)) => return Talk::Close,
-                Err(NoMessage::Garbage(_)) => {
-                    // The other end may be gone; then there is nobody to tell.
+                Err(NoMessage::Closed | NoMessage::Truncated(_)) => return NextStep::Close,
+                Err(NoMessage::Malformed(_)) => {
+                    // The peer may have closed the connection already.
                     let _ = link
                         .write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
                         .await;
-                    return Talk::Close;
+                    return NextStep::Close;
                 }
             };
-            match self.answer(link, &message, attempt, &partly).await {
-                Talk::Next => {}
-                over => return over,
+            match self.respond(link, &message, attempt, &arrival).await {
+                NextStep::Continue => {}
+                next => return next,
             }
         }
     }
 
-    /// The trouble that strikes this attempt, if one does.
-    fn struck(
+    /// Draws the fault that affects this attempt, if any, among the kinds that `applies` selects.
+    fn fault_for(
         &self,
         now: Millis,
         attempt: u64,
-        of: impl Fn(&FaultKind) -> bool,
+        applies: impl Fn(&FaultKind) -> bool,
     ) -> Option<FaultKind> {
-        let faults = self.troubles(now);
-        let mut hits = faults.iter().enumerate().filter(|(i, fault)| {
-            of(&fault.kind)
-                && draw(self.world.deployment.seed, attempt, 100 + *i as u64) < fault.share
+        let faults = self.active_faults(now);
+        let mut matching = faults.iter().enumerate().filter(|(i, fault)| {
+            applies(&fault.kind)
+                && draw(self.shared.deployment.seed, attempt, 100 + *i as u64) < fault.share
         });
-        hits.next().map(|(_, fault)| fault.kind)
+        matching.next().map(|(_, fault)| fault.kind)
     }
 
-    /// Carries out one request that has come whole, and answers it.
-    async fn answer(
+    /// Runs one complete request and sends the response.
+    async fn respond(
         self: &Rc<Self>,
         link: &mut Link,
         message: &Message,
         attempt: u64,
-        came: &Partly<'_>,
-    ) -> Talk {
-        let (world, recorder) = (&self.world, &self.world.recorder);
-        let over = |end| recorder.record(EventKind::AttemptEnded { attempt, end });
+        arrival: &Arrival<'_>,
+    ) -> NextStep {
+        let (shared, recorder) = (&self.shared, &self.shared.recorder);
+        let record_end = |end| recorder.record(EventKind::AttemptEnded { attempt, end });
         let name = message
             .target
             .trim_start_matches('/')
             .split(['/', '?'])
             .next()
             .unwrap_or_default();
-        let class = world.deployment.work.iter().find(|work| work.class == name);
+        let class = shared
+            .deployment
+            .work
+            .iter()
+            .find(|work| work.class == name);
         let (Some(id), Some(class)) = (message.header("request-id"), class) else {
             let _ = link
                 .write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
                 .await;
-            return Talk::Next;
+            return NextStep::Continue;
         };
         let units: f64 = message
             .query("u")
@@ -543,119 +560,119 @@
             .query("p")
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
-        let work = world.work_of(class, id, units);
-        let now = came.came(message, work);
-        if world.first_time(id) {
-            world.meter(now, customer, units);
+        let work = shared.work_of(class, id, units);
+        let now = arrival.record_complete(message, work);
+        if shared.first_time(id) {
+            shared.record_usage(now, customer, units);
         }
-        self.press(now, work);
-        if *self.life.borrow() == Life::Fell {
-            // The one that pushes it over breaks with it.
-            over(AttemptEnd::Reset);
-            return Talk::Reset;
+        self.check_overload(now, work);
+        if *self.state.borrow() == ProcessState::Overloaded {
+            // The request that overloads the backend fails with it.
+            record_end(AttemptEnd::Reset);
+            return NextStep::Reset;
         }
-        let usage = world.usage(now, customer, plan);
+        let usage = shared.usage(now, customer, plan);
         let usage = usage
             .map(|percent| format!("Api-Usage: {percent}\r\n"))
             .unwrap_or_default();
-        let full = self.held.get() >= self.spec.cores as usize + self.spec.queue;
-        if full || *self.life.borrow() != Life::Up {
-            over(AttemptEnd::Rejected);
+        let full = self.occupied.get() >= self.spec.cores as usize + self.spec.queue;
+        if full || *self.state.borrow() != ProcessState::Up {
+            record_end(AttemptEnd::Rejected);
             let text =
                 format!("HTTP/1.1 503 X\r\nNot-Started: 1\r\n{usage}Content-Length: 0\r\n\r\n");
-            return Talk::after(link.write(text.as_bytes()).await);
+            return NextStep::after(link.write(text.as_bytes()).await);
         }
-        let mine = |t: &FaultKind| {
+        let applies = |kind: &FaultKind| {
             !matches!(
-                t,
+                kind,
                 FaultKind::Neighbour(_) | FaultKind::Refuse | FaultKind::ResetBefore
             )
         };
-        let trouble = self.struck(now, attempt, mine);
+        let fault = self.fault_for(now, attempt, applies);
         let key = message
             .header("idempotency-key")
             .filter(|_| class.effect == Effect::Keyed);
-        let repeats = || key.is_some_and(|key| world.repeat(key, now, class.memory_ms));
-        match trouble {
+        let check_repeat = || key.is_some_and(|key| shared.is_repeat(key, now, class.memory_ms));
+        match fault {
             Some(FaultKind::FastError) => {
-                over(AttemptEnd::Error);
+                record_end(AttemptEnd::Error);
                 let text = format!("HTTP/1.1 500 X\r\n{usage}Content-Length: 0\r\n\r\n");
-                return Talk::after(link.write(text.as_bytes()).await);
+                return NextStep::after(link.write(text.as_bytes()).await);
             }
             Some(FaultKind::ResetAfter) => {
-                // What runs is remembered, and what is remembered does not run.
-                if draw(world.deployment.seed, attempt, 7) < 0.5 && !repeats() {
+                // A key is remembered if the request runs, and a remembered key does not run again.
+                if draw(shared.deployment.seed, attempt, 7) < 0.5 && !check_repeat() {
                     recorder.record(EventKind::EffectApplied { attempt });
                 }
-                over(AttemptEnd::Reset);
-                return Talk::Reset;
+                record_end(AttemptEnd::Reset);
+                return NextStep::Reset;
             }
             Some(FaultKind::Stall) => {
                 link.until_closed().await;
-                over(AttemptEnd::Cancelled);
-                return Talk::Close;
+                record_end(AttemptEnd::Cancelled);
+                return NextStep::Close;
             }
             _ => {}
         }
-        let repeat = repeats();
-        let late = if let Some(FaultKind::Late(by)) = trouble {
-            by
+        let repeat = check_repeat();
+        let late = if let Some(FaultKind::Late(delay)) = fault {
+            delay
         } else {
             0.0
         };
         if !repeat {
-            let Some((done, held)) = self.queue(now, work) else {
-                return Talk::Close;
+            let Some((done, slot)) = self.enqueue(now, work) else {
+                return NextStep::Close;
             };
             tokio::select! {
-                () = self.until(done) => {}
+                () = self.sleep_until(done) => {}
                 () = link.until_closed() => {
-                    // Giving up stops nothing: the work goes on to its end.
-                    over(AttemptEnd::Cancelled);
-                    let (node, recorder) = (self.clone(), recorder.clone());
+                    // A cancelled request still runs to its end.
+                    record_end(AttemptEnd::Cancelled);
+                    let (backend, recorder) = (self.clone(), recorder.clone());
                     tokio::task::spawn_local(async move {
-                        node.until(done).await;
-                        if !node.down() {
+                        backend.sleep_until(done).await;
+                        if !backend.is_down() {
                             recorder.record(EventKind::EffectApplied { attempt });
                         }
-                        drop(held);
+                        drop(slot);
                     });
-                    return Talk::Close;
+                    return NextStep::Close;
                 }
             }
             recorder.record(EventKind::EffectApplied { attempt });
         }
         if late > 0.0 {
             tokio::select! {
-                () = self.until(recorder.now() + late) => {}
+                () = self.sleep_until(recorder.now() + late) => {}
                 () = link.until_closed() => {
-                    over(AttemptEnd::Cancelled);
-                    return Talk::Close;
+                    record_end(AttemptEnd::Cancelled);
+                    return NextStep::Close;
                 }
             }
         }
-        match trouble {
+        match fault {
             Some(FaultKind::Malformed) => {
-                over(AttemptEnd::Malformed);
+                record_end(AttemptEnd::Malformed);
                 let _ = link
                     .write(b"HTTP/1.1 \x00\x01 2oo\r\nContent-Length: 1\r\n\r\n{")
                     .await;
                 link.until_closed().await;
-                Talk::Close
+                NextStep::Close
             }
             Some(FaultKind::Endless) => {
-                over(AttemptEnd::Malformed);
-                let mut wrote = link
+                record_end(AttemptEnd::Malformed);
+                let mut written = link
                     .write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n")
                     .await;
                 let chunk = [b'x'; 16 * 1024];
-                for _ in 0..ENDLESS / chunk.len() {
-                    if wrote.is_err() {
+                for _ in 0..ENDLESS_BODY_BYTES / chunk.len() {
+                    if written.is_err() {
                         break;
                     }
-                    wrote = link.write(&chunk).await;
+                    written = link.write(&chunk).await;
                 }
-                Talk::Close
+                NextStep::Close
             }
             _ => {
                 let body = format!("{id} {attempt} {}", self.spec.number);
@@ -663,115 +680,127 @@
                     "HTTP/1.1 200 OK\r\n{usage}Api-Charge: {units}\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
                 );
-                // Noted before the write: whoever reads the answer must not come before its line.
-                over(AttemptEnd::Served);
-                Talk::after(link.write(text.as_bytes()).await)
+                // Recorded before the write, so that the event precedes any event of the response's
+                // receiver.
+                record_end(AttemptEnd::Served);
+                NextStep::after(link.write(text.as_bytes()).await)
             }
         }
     }
 }
 
-/// What a message leaves its connection at.
+/// What happens to a connection after a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Talk {
-    Next,
+enum NextStep {
+    Continue,
     Close,
     Reset,
 }
 
-impl Talk {
-    fn after(wrote: io::Result<()>) -> Talk {
-        if wrote.is_ok() {
-            Talk::Next
+impl NextStep {
+    fn after(written: io::Result<()>) -> NextStep {
+        if written.is_ok() {
+            NextStep::Continue
         } else {
-            Talk::Close
+            NextStep::Close
         }
     }
 }
 
-/// An attempt of which the first byte has come: noted once, as whole or as broken off.
-struct Partly<'a> {
-    node: &'a Rc<Backend>,
+/// An attempt whose first byte has arrived; recorded once, as complete or as truncated.
+struct Arrival<'a> {
+    backend: &'a Rc<Backend>,
     attempt: u64,
-    door: u32,
-    first: Millis,
-    told: Cell<bool>,
+    gateway: u32,
+    first_byte_at: Millis,
+    recorded: Cell<bool>,
 }
 
-impl Partly<'_> {
-    fn note(&self, id: &str, key: Option<String>, form: u64, whole: bool, work: Millis) -> Millis {
-        self.told.set(true);
-        self.node.world.recorder.record(EventKind::AttemptReceived {
-            attempt: self.attempt,
-            node: self.node.spec.number,
-            proxy: self.door,
-            id: id.to_owned(),
-            key,
-            fingerprint: form,
-            first_byte_at: self.first,
-            complete: whole,
-            work,
-        })
+impl Arrival<'_> {
+    fn record(
+        &self,
+        id: &str,
+        key: Option<String>,
+        fingerprint: u64,
+        complete: bool,
+        work: Millis,
+    ) -> Millis {
+        self.recorded.set(true);
+        self.backend
+            .shared
+            .recorder
+            .record(EventKind::AttemptReceived {
+                attempt: self.attempt,
+                node: self.backend.spec.number,
+                proxy: self.gateway,
+                id: id.to_owned(),
+                key,
+                fingerprint,
+                first_byte_at: self.first_byte_at,
+                complete,
+                work,
+            })
     }
 
-    fn came(&self, message: &Message, work: Millis) -> Millis {
+    fn record_complete(&self, message: &Message, work: Millis) -> Millis {
         let key = message.header("idempotency-key").map(str::to_owned);
-        let form = request_fingerprint(
+        let fingerprint = request_fingerprint(
             &message.method,
             &message.target,
             key.as_deref(),
             &message.body,
         );
-        self.note(
+        self.record(
             message.header("request-id").unwrap_or_default(),
             key,
-            form,
+            fingerprint,
             true,
             work,
         )
     }
 }
 
-impl Drop for Partly<'_> {
+impl Drop for Arrival<'_> {
     fn drop(&mut self) {
-        if !self.told.get() {
-            self.note("", None, 0, false, 0.0);
+        if !self.recorded.get() {
+            self.record("", None, 0, false, 0.0);
         }
     }
 }
 
-/// A place in a node's queue, held until its work is done.
-struct Held(Rc<Backend>);
+/// A place in a backend's queue, occupied until the work is done.
+struct QueueSlot(Rc<Backend>);
 
-impl Drop for Held {
+impl Drop for QueueSlot {
     fn drop(&mut self) {
-        self.0.held.set(self.0.held.get() - 1);
+        self.0.occupied.set(self.0.occupied.get() - 1);
     }
 }
 
-/// A connection that a node holds.
-struct Open(Rc<Backend>);
+/// Counts an open connection of a backend while it exists.
+struct ConnectionGuard(Rc<Backend>);
 
-impl Drop for Open {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
 }
 
-/// Listeners that are open, one for each front door, before a [`BackendSlot`] answers there.
+/// Open listeners, one for each gateway, for a future [`BackendSlot`].
 pub struct Listeners {
     addresses: Vec<SocketAddr>,
     listeners: Vec<StdListener>,
 }
 
 impl Listeners {
-    /// Opens listeners for so many front doors. They are at an address of their own, from which no outgoing connection
-    /// comes, so that a place that refuses for a while finds its port again.
+    /// Opens a listener for each of `gateways` gateways. They use 127.0.0.2, from which no outgoing
+    /// connection originates, so that a slot that closes its listener for a while can bind its port
+    /// again.
     ///
     /// # Errors
-    /// What the system says where it has no port.
-    pub fn open(doors: usize) -> io::Result<Listeners> {
-        let listeners = (0..doors)
+    /// The operating system's error if no port is available.
+    pub fn open(gateways: usize) -> io::Result<Listeners> {
+        let listeners = (0..gateways)
             .map(|_| {
                 let listener = StdListener::bind(("127.0.0.2", 0))?;
                 listener.set_nonblocking(true)?;
@@ -788,68 +817,69 @@
         })
     }
 
-    /// Where a front door dials.
-    pub fn address(&self, door: usize) -> SocketAddr {
-        self.addresses[door]
+    /// Returns the address that a gateway dials.
+    pub fn address(&self, gateway: usize) -> SocketAddr {
+        self.addresses[gateway]
     }
 }
 
-/// Listeners, one for each front door, and the node that lives there.
+/// Listeners, one for each gateway, and the backend that serves them.
 pub struct BackendSlot {
     addresses: Vec<SocketAddr>,
-    tenant: RefCell<Option<Rc<Backend>>>,
-    /// Until when dials are refused.
+    current: RefCell<Option<Rc<Backend>>>,
+    /// Time until which connections are refused.
     refusing: watch::Sender<Millis>,
 }
 
 impl BackendSlot {
-    /// Accepts connections of all front doors from now on, for as long as the runtime runs.
-    pub fn over(seats: Listeners) -> Rc<BackendSlot> {
+    /// Accepts connections of all gateways from now on, for as long as the runtime runs.
+    pub fn over(open: Listeners) -> Rc<BackendSlot> {
         let Listeners {
             addresses,
             listeners,
-        } = seats;
-        let place = Rc::new(BackendSlot {
+        } = open;
+        let slot = Rc::new(BackendSlot {
             addresses,
-            tenant: RefCell::default(),
+            current: RefCell::default(),
             refusing: watch::Sender::new(0.0),
         });
-        for (door, listener) in listeners.into_iter().enumerate() {
-            tokio::task::spawn_local(place.clone().accept(listener, door as u32));
+        for (gateway, listener) in listeners.into_iter().enumerate() {
+            tokio::task::spawn_local(slot.clone().accept(listener, gateway as u32));
         }
-        place
+        slot
     }
 
-    /// Where a front door dials.
-    pub fn address(&self, door: usize) -> SocketAddr {
-        self.addresses[door]
+    /// Returns the address that a gateway dials.
+    pub fn address(&self, gateway: usize) -> SocketAddr {
+        self.addresses[gateway]
     }
 
-    /// A node moves in.
-    pub fn set_backend(&self, node: Option<Rc<Backend>>) {
-        *self.tenant.borrow_mut() = node;
+    /// Sets the backend that serves the listeners; `None` if there is none.
+    pub fn set_backend(&self, backend: Option<Rc<Backend>>) {
+        *self.current.borrow_mut() = backend;
     }
 
-    /// The node that lives here.
+    /// Returns the current backend.
     pub fn backend(&self) -> Option<Rc<Backend>> {
-        self.tenant.borrow().clone()
+        self.current.borrow().clone()
     }
 
-    /// Begins a trouble of the node that lives here, if one does.
+    /// Adds a fault to the current backend, if there is one; [`FaultKind::Refuse`] closes the
+    /// listeners.
     pub fn add_fault(&self, fault: Fault) {
-        if let Some(node) = self.backend() {
-            node.add_fault(fault);
+        if let Some(backend) = self.backend() {
+            backend.add_fault(fault);
         }
         if fault.kind == FaultKind::Refuse {
             self.refusing.send_replace(fault.until);
         }
     }
 
-    async fn accept(self: Rc<Self>, listener: StdListener, door: u32) {
+    async fn accept(self: Rc<Self>, listener: StdListener, gateway: u32) {
         let Ok(mut listener) = TcpListener::from_std(listener) else {
             return;
         };
-        let address = self.addresses[door as usize];
+        let address = self.addresses[gateway as usize];
         let mut refusing = self.refusing.subscribe();
         if *refusing.borrow() > 0.0 {
             refusing.mark_changed();
@@ -861,23 +891,24 @@
                         tokio::time::sleep(Duration::from_millis(5)).await;
                         continue;
                     };
-                    let Some(node) = self.backend() else {
+                    let Some(backend) = self.backend() else {
                         Link::over(stream).reset();
                         continue;
                     };
-                    let now = node.world.recorder.now();
-                    let lot = node.world.next_dial();
-                    if node.struck(now, lot, |t| *t == FaultKind::ResetBefore).is_some() {
+                    let now = backend.shared.recorder.now();
+                    let dial = backend.shared.next_dial();
+                    if backend.fault_for(now, dial, |kind| *kind == FaultKind::ResetBefore).is_some() {
                         Link::over(stream).reset();
                         continue;
                     }
-                    tokio::task::spawn_local(node.serve(stream, door));
+                    tokio::task::spawn_local(backend.serve(stream, gateway));
                 }
                 changed = refusing.changed() => {
                     let until = *refusing.borrow_and_update();
-                    let recorder = self.backend().map(|node| node.world.recorder.clone());
+                    let recorder = self.backend().map(|backend| backend.shared.recorder.clone());
                     let (Ok(()), Some(recorder)) = (changed, recorder) else { continue };
-                    // The port is free meanwhile; on loopback nobody else asks for this very one.
+                    // The port is free meanwhile; nothing else on loopback binds this address and
+                    // port.
                     drop(listener);
                     tokio::time::sleep_until(recorder.instant(until).into()).await;
                     listener = loop {
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients that keep connections and retry on their own, and the front that deals their requests out among the front
-//! doors and notices only late that one has died.
+//! Fake clients that keep connections open and retry, and the load balancer in front of the
+//! gateways: it distributes requests among them and detects only late that one has died.
 
 use crate::lateness::Lateness;
 use crate::wire::{Link, Message, NoMessage};
@@ -14,268 +14,279 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Longest time to open a connection.
-const DIAL: Duration = Duration::from_millis(1000);
-/// Time beyond a client's own, and the slack of the rule, for which an answer is still waited for, so that a late one
-/// is told from none.
-const LISTEN_ON: Millis = 40.0;
-/// Connections that are kept to one front door at most.
-const MOST_KEPT: usize = 256;
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time to wait for a response beyond the client's timeout and the rule's slack, so that a late
+/// response can be distinguished from a missing one.
+const LATE_RESPONSE_WAIT_MS: Millis = 40.0;
+/// Maximum number of idle connections kept per gateway.
+const MAX_IDLE: usize = 256;
 
-/// A first try, drawn ahead.
+/// A request to make, drawn in advance; the client may retry it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
-    /// When it is made.
+    /// When its first attempt is made.
     pub at: Millis,
-    /// Its number.
+    /// The request's number.
     pub item: u64,
-    /// Whose it is.
+    /// The customer whose request it is.
     pub customer: u64,
-    /// The customer's plan, by number.
+    /// The number of the customer's plan.
     pub plan: usize,
-    /// Its class, by number.
+    /// The number of the request's class.
     pub class: usize,
-    /// Units that it counts.
+    /// Units that the request counts for.
     pub units: f64,
-    /// Front doors of the customer's set, in a row from `first`.
+    /// Number of gateways in the customer's set; they are consecutive, from `first`.
     pub spread: u32,
-    /// The first of them.
+    /// The first gateway of the set.
     pub first: u32,
 }
 
-/// A class as clients know it.
+/// What clients know of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name on the wire.
+    /// The class's name on the wire.
     pub name: String,
-    /// Whether it may run again.
+    /// Whether a request of the class may run more than once.
     pub effect: Effect,
-    /// For how long a keyed one may be tried again.
+    /// Time for which a request with an idempotency key may be retried.
     pub memory_ms: Millis,
-    /// How long a client waits at most, over all its tries.
+    /// Maximum time that a client waits, over all attempts.
     pub give_up_ms: Millis,
 }
 
-/// How long a client waits before it tries again.
+/// The wait of a client before a retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Backoff {
-    /// Not at all.
+    /// No wait.
     AtOnce,
-    /// Always as long.
+    /// The same wait each time.
     Fixed(Millis),
-    /// Twice as long each time.
+    /// A wait that doubles with each retry.
     Doubling(Millis),
 }
 
-/// What clients do.
+/// How clients and the load balancer behave.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientBehavior {
-    /// Tries after the first one.
+    /// Maximum number of retries.
     pub retries: u32,
-    /// The wait before each.
+    /// The wait before each retry.
     pub backoff: Backoff,
-    /// Part of the clients that come back when they were told to, and not before.
+    /// Fraction of the customers whose clients honour `Retry-After`.
     pub honour: f64,
-    /// Longest advice that these follow.
+    /// Maximum `Retry-After` that they honour; they wait this long for a greater one.
     pub max_wait_ms: Millis,
-    /// Least and most part of the class's time for which one try waits.
+    /// Minimum and maximum timeout of an attempt, as fractions of the class's `give_up_ms`.
     pub patience: [f64; 2],
-    /// How long the front goes on sending to a front door that is dead.
+    /// Time for which the load balancer still sends requests to a gateway that died.
     pub notice_ms: Millis,
-    /// How long it sends new connections to one that was told to stop.
+    /// Time for which it still sends requests to a gateway that was told to stop.
     pub stop_ms: Millis,
-    /// After how long another front door of a set gets the most requests.
+    /// Interval at which another gateway of a set becomes the one with the most requests.
     pub busiest_ms: Millis,
-    /// Slack of the rule on final answers.
+    /// Slack of the rule on the latest time of a final response.
     pub answer_slack_ms: Millis,
 }
 
-/// How a front door is, as its driver tells it.
+/// State of a gateway, as reported by its driver.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GatewayState {
-    /// Whether it has answered its readiness check since its last start.
+    /// Whether its readiness check has succeeded since its last start.
     pub ready: bool,
-    /// When it died or was told to stop, if it did since; and whether it was told.
+    /// When it died or was told to stop since then, if it did, and whether it was told to stop.
     pub left: Option<(Millis, bool)>,
 }
 
-/// The front doors as their driver sees them; shared between threads.
+/// The state of each gateway, set by its driver and shared between threads.
 #[derive(Clone, Debug)]
 pub struct GatewayStates(Arc<Mutex<Vec<GatewayState>>>);
 
 impl GatewayStates {
-    /// So many front doors, none of them ready.
-    pub fn new(doors: usize) -> GatewayStates {
-        GatewayStates(Arc::new(Mutex::new(vec![GatewayState::default(); doors])))
+    /// Creates the state of `gateways` gateways, none of them ready.
+    pub fn new(gateways: usize) -> GatewayStates {
+        GatewayStates(Arc::new(Mutex::new(vec![
+            GatewayState::default();
+            gateways
+        ])))
     }
 
-    /// Tells how one is.
-    pub fn set(&self, door: usize, seen: GatewayState) {
+    /// Sets the state of a gateway.
+    pub fn set(&self, gateway: usize, state: GatewayState) {
         if let Some(slot) = self
             .0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .get_mut(door)
+            .get_mut(gateway)
         {
-            *slot = seen;
+            *slot = state;
         }
     }
 
-    fn get(&self, door: usize) -> GatewayState {
+    fn get(&self, gateway: usize) -> GatewayState {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .get(door)
+            .get(gateway)
             .copied()
             .unwrap_or_default()
     }
 }
 
-/// A connection that is kept.
-struct Kept {
+/// A connection with its number and the id of the last request sent on it.
+struct Connection {
     link: Link,
     number: u64,
-    last: String,
+    last_id: String,
 }
 
-/// What clients are and whom they ask.
+/// Configuration of the clients.
 #[derive(Clone, Debug)]
 pub struct ClientOptions {
-    /// Seed of their habits.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The classes, by number.
+    /// The request classes, by number.
     pub kinds: Vec<RequestClass>,
     /// The plans' names, by number.
     pub plans: Vec<String>,
-    /// What they do.
+    /// How clients and the load balancer behave.
     pub behavior: ClientBehavior,
-    /// Where the front doors listen, by number.
+    /// The addresses of the gateways, by number.
     pub gateways: Vec<SocketAddr>,
-    /// How the front doors are.
+    /// The states of the gateways.
     pub states: GatewayStates,
-    /// Whether they send credentials.
+    /// Whether requests carry credentials.
     pub credentials: bool,
 }
 
-/// The credential that a customer's clients send.
+/// Returns the credential of a customer's clients.
 pub fn credential(customer: u64) -> String {
     format!("Bearer {customer:x}")
 }
 
-/// All clients, and the front.
+/// All clients and the load balancer.
 pub struct Clients {
-    crowd: ClientOptions,
+    options: ClientOptions,
     recorder: Recorder,
     lateness: Lateness,
-    kept: Vec<RefCell<Vec<Kept>>>,
-    links: Cell<u64>,
-    open: Cell<usize>,
+    idle: Vec<RefCell<Vec<Connection>>>,
+    connections: Cell<u64>,
+    in_flight: Cell<usize>,
 }
 
-/// How a try ended, for the client.
-enum Try {
+/// How an attempt ended, for the client.
+enum AttemptResult {
     Served,
-    Refused(Option<Millis>),
+    /// Rejected with 429 or 503; holds `Retry-After` in milliseconds.
+    Rejected(Option<Millis>),
     Failed,
-    /// Its credential does not pass: asking again is of no use.
+    /// The credential is not accepted, so a retry would be useless.
     Denied,
-    NotTaken,
+    /// No connection could be opened, or the request could not be written.
+    NotAccepted,
 }
 
 impl Clients {
-    /// Clients that write what they see to this record.
-    pub fn new(crowd: ClientOptions, recorder: Recorder, lateness: Lateness) -> Rc<Clients> {
-        let kept = crowd.gateways.iter().map(|_| RefCell::default()).collect();
-        let (links, open) = (Cell::new(0), Cell::new(0));
+    /// Creates clients that write events to `recorder`.
+    pub fn new(options: ClientOptions, recorder: Recorder, lateness: Lateness) -> Rc<Clients> {
+        let idle = options
+            .gateways
+            .iter()
+            .map(|_| RefCell::default())
+            .collect();
+        let (connections, in_flight) = (Cell::new(0), Cell::new(0));
         Rc::new(Clients {
-            crowd,
+            options,
             recorder,
             lateness,
-            kept,
-            links,
-            open,
+            idle,
+            connections,
+            in_flight,
         })
     }
 
-    /// Makes all these first tries, each at its time, and returns when the last is over.
+    /// Makes all requests, each at its time, and returns when the last one has ended.
     pub async fn run(self: &Rc<Self>, asks: impl IntoIterator<Item = Ask>) {
         let mut tasks = tokio::task::JoinSet::new();
         for ask in asks {
             tokio::time::sleep_until(self.recorder.instant(ask.at).into()).await;
             self.lateness.record(ask.at, self.recorder.now());
-            tasks.spawn_local(self.clone().ask(ask));
+            tasks.spawn_local(self.clone().request_with_retries(ask));
             while tasks.try_join_next().is_some() {}
         }
         while tasks.join_next().await.is_some() {}
-        self.look_over();
+        self.check_idle_connections();
     }
 
-    /// Looks whether anything came that nobody asked for, on all connections that are kept.
-    fn look_over(&self) {
-        for (door, kept) in self.kept.iter().enumerate() {
-            for mut kept in kept.borrow_mut().drain(..) {
-                if kept.link.unasked() == Some(true) {
-                    self.surplus(door, kept.number, &kept.last);
+    /// Closes all idle connections and records the ones on which unexpected bytes arrived.
+    fn check_idle_connections(&self) {
+        for (gateway, idle) in self.idle.iter().enumerate() {
+            for mut connection in idle.borrow_mut().drain(..) {
+                if connection.link.poll_idle() == Some(true) {
+                    self.record_unexpected_bytes(gateway, connection.number, &connection.last_id);
                 }
             }
         }
     }
 
-    fn surplus(&self, door: usize, link: u64, last: &str) {
+    fn record_unexpected_bytes(&self, gateway: usize, connection: u64, last_id: &str) {
         self.recorder.record(EventKind::UnexpectedBytes {
-            proxy: door as u32,
-            connection: link,
-            id: last.to_owned(),
+            proxy: gateway as u32,
+            connection,
+            id: last_id.to_owned(),
         });
     }
 
-    /// Requests that are out.
+    /// Returns the number of requests in flight.
     pub fn open(&self) -> usize {
-        self.open.get()
+        self.in_flight.get()
     }
 
-    async fn ask(self: Rc<Self>, ask: Ask) {
-        let _open = Count::up(&self.open);
-        let Some(kind) = self.crowd.kinds.get(ask.class) else {
+    async fn request_with_retries(self: Rc<Self>, ask: Ask) {
+        let _guard = InFlightGuard::new(&self.in_flight);
+        let Some(kind) = self.options.kinds.get(ask.class) else {
             return;
         };
         let begun = self.recorder.now();
         let end = begun + kind.give_up_ms;
-        for retry in 0..=self.crowd.behavior.retries {
+        for retry in 0..=self.options.behavior.retries {
             let now = self.recorder.now();
-            let lot = |what| draw(self.crowd.seed, ask.item, what + 10 * u64::from(retry));
-            let [least, most] = self.crowd.behavior.patience;
-            let patience = kind.give_up_ms * (least + (most - least) * lot(1));
-            let timeout = patience.min(end - now);
-            // A client with a hair left does not ask any more.
+            let sample =
+                |purpose| draw(self.options.seed, ask.item, purpose + 10 * u64::from(retry));
+            let [min, max] = self.options.behavior.patience;
+            let attempt_timeout = kind.give_up_ms * (min + (max - min) * sample(1));
+            let timeout = attempt_timeout.min(end - now);
+            // With less than 20 ms left, a client gives up.
             if timeout < 20.0 {
                 return;
             }
-            let honours = draw(self.crowd.seed, ask.customer, 3) < self.crowd.behavior.honour;
-            let ended = self.attempt(&ask, kind, retry, timeout).await;
-            let harmless = match ended {
-                Try::Served | Try::Denied => return,
-                Try::Refused(_) | Try::NotTaken => true,
-                Try::Failed => match kind.effect {
+            let honours_retry_after =
+                draw(self.options.seed, ask.customer, 3) < self.options.behavior.honour;
+            let result = self.attempt(&ask, kind, retry, timeout).await;
+            let may_retry = match result {
+                AttemptResult::Served | AttemptResult::Denied => return,
+                AttemptResult::Rejected(_) | AttemptResult::NotAccepted => true,
+                AttemptResult::Failed => match kind.effect {
                     Effect::Safe => true,
                     Effect::Keyed => self.recorder.now() - begun < kind.memory_ms * 0.9,
                     Effect::Unsafe => false,
                 },
             };
-            if !harmless {
+            if !may_retry {
                 return;
             }
-            let mut wait = match self.crowd.behavior.backoff {
+            let mut wait = match self.options.behavior.backoff {
                 Backoff::AtOnce => 0.0,
                 Backoff::Fixed(ms) => ms,
                 Backoff::Doubling(ms) => ms * f64::from(1 << retry.min(8)),
             };
-            if let Try::Refused(Some(advice)) = ended {
-                if honours {
-                    wait = wait.max(advice.min(self.crowd.behavior.max_wait_ms));
+            if let AttemptResult::Rejected(Some(retry_after)) = result {
+                if honours_retry_after {
+                    wait = wait.max(retry_after.min(self.options.behavior.max_wait_ms));
                 }
             }
-            // Nobody waits for a moment that comes after the end.
+            // No retry if the wait would end after the client's deadline.
             if self.recorder.now() + wait >= end {
                 return;
             }
@@ -286,186 +297,203 @@
         }
     }
 
-    /// The front door that a try goes to: the busiest of the set gets most, and the dead ones none once the front has
-    /// noticed.
-    fn deal(&self, ask: &Ask, retry: u32) -> Option<usize> {
+    /// Returns the gateway for an attempt, as the load balancer chooses: the busiest of the set
+    /// gets most requests, and a dead one gets none once the load balancer has noticed.
+    fn choose_gateway(&self, ask: &Ask, retry: u32) -> Option<usize> {
         let now = self.recorder.now();
-        let count = self.crowd.gateways.len();
+        let count = self.options.gateways.len();
         let set: Vec<usize> = (0..ask.spread.max(1) as usize)
             .map(|i| (ask.first as usize + i) % count.max(1))
             .collect();
-        let usable = |door: &usize| {
-            let seen = self.crowd.states.get(*door);
-            let stays = if seen.left.is_some_and(|(_, told)| told) {
-                self.crowd.behavior.stop_ms
+        let usable = |gateway: &usize| {
+            let state = self.options.states.get(*gateway);
+            let detection_ms = if state.left.is_some_and(|(_, told_to_stop)| told_to_stop) {
+                self.options.behavior.stop_ms
             } else {
-                self.crowd.behavior.notice_ms
+                self.options.behavior.notice_ms
             };
-            seen.ready && seen.left.is_none_or(|(at, _)| now < at + stays)
+            state.ready && state.left.is_none_or(|(at, _)| now < at + detection_ms)
         };
         let usable: Vec<usize> = set.iter().copied().filter(usable).collect();
-        let doors = if usable.is_empty() { &set } else { &usable };
-        let turn = (now / self.crowd.behavior.busiest_ms.max(1.0)) as u64;
+        let candidates = if usable.is_empty() { &set } else { &usable };
+        let interval = (now / self.options.behavior.busiest_ms.max(1.0)) as u64;
         let busiest =
-            (draw(self.crowd.seed, ask.customer, 1000 + turn) * set.len() as f64) as usize;
-        let lot = draw(self.crowd.seed, ask.item, 500 + u64::from(retry));
-        if lot < 0.5 && doors.contains(&set[busiest]) {
+            (draw(self.options.seed, ask.customer, 1000 + interval) * set.len() as f64) as usize;
+        let sample = draw(self.options.seed, ask.item, 500 + u64::from(retry));
+        if sample < 0.5 && candidates.contains(&set[busiest]) {
             return Some(set[busiest]);
         }
-        let pick =
-            (draw(self.crowd.seed, ask.item, 700 + u64::from(retry)) * doors.len() as f64) as usize;
-        doors.get(pick).copied()
+        let pick = (draw(self.options.seed, ask.item, 700 + u64::from(retry))
+            * candidates.len() as f64) as usize;
+        candidates.get(pick).copied()
     }
 
-    fn next_link(&self) -> u64 {
-        self.links.set(self.links.get() + 1);
-        self.links.get()
+    fn next_connection(&self) -> u64 {
+        self.connections.set(self.connections.get() + 1);
+        self.connections.get()
     }
 
-    /// A kept connection on which nothing waits.
-    fn keep_alive(&self, door: usize) -> Option<Kept> {
+    /// Takes an idle connection that is still open and has no unexpected bytes.
+    fn take_idle(&self, gateway: usize) -> Option<Connection> {
         loop {
-            let mut kept = self.kept[door].borrow_mut().pop()?;
-            match kept.link.unasked() {
-                None => return Some(kept),
+            let mut connection = self.idle[gateway].borrow_mut().pop()?;
+            match connection.link.poll_idle() {
+                None => return Some(connection),
                 Some(false) => {}
-                Some(true) => self.surplus(door, kept.number, &kept.last),
+                Some(true) => {
+                    self.record_unexpected_bytes(gateway, connection.number, &connection.last_id)
+                }
             }
         }
     }
 
-    async fn fresh(&self, door: usize) -> Option<Kept> {
-        let link = tokio::time::timeout(DIAL, Link::open(self.crowd.gateways[door]))
-            .await
-            .ok()?
-            .ok()?;
-        Some(Kept {
+    async fn connect(&self, gateway: usize) -> Option<Connection> {
+        let link =
+            tokio::time::timeout(CONNECT_TIMEOUT, Link::open(self.options.gateways[gateway]))
+                .await
+                .ok()?
+                .ok()?;
+        Some(Connection {
             link,
-            number: self.next_link(),
-            last: String::new(),
+            number: self.next_connection(),
+            last_id: String::new(),
         })
     }
 
-    /// One try, to its end.
-    async fn attempt(&self, ask: &Ask, kind: &RequestClass, retry: u32, timeout: Millis) -> Try {
-        // Ids look like any others: 16 hex digits that tell nothing.
+    /// Makes one attempt and waits for its end.
+    async fn attempt(
+        &self,
+        ask: &Ask,
+        kind: &RequestClass,
+        retry: u32,
+        timeout: Millis,
+    ) -> AttemptResult {
+        // Ids look like those of other clients: 16 hex digits without a meaning.
         let id = format!(
             "{:016x}",
-            hash(&format!("{}/{}/{retry}", self.crowd.seed, ask.item))
+            hash(&format!("{}/{}/{retry}", self.options.seed, ask.item))
         );
-        let Some(door) = self.deal(ask, retry) else {
-            return Try::NotTaken;
+        let Some(gateway) = self.choose_gateway(ask, retry) else {
+            return AttemptResult::NotAccepted;
         };
-        let mut kept = self.keep_alive(door);
+        let mut idle = self.take_idle(gateway);
         loop {
-            let reused = kept.is_some();
-            let connection = match kept.take() {
-                Some(kept) => Some(kept),
-                None => self.fresh(door).await,
+            let reused = idle.is_some();
+            let connection = match idle.take() {
+                Some(connection) => Some(connection),
+                None => self.connect(gateway).await,
             };
             let Some(mut connection) = connection else {
-                let lost = EventKind::RequestFailed {
+                let failed = EventKind::RequestFailed {
                     id: id.clone(),
-                    proxy: door as u32,
+                    proxy: gateway as u32,
                     connection: 0,
                     reason: FailureReason::NotAccepted,
                 };
-                self.recorder.record(lost);
-                return Try::NotTaken;
+                self.recorder.record(failed);
+                return AttemptResult::NotAccepted;
             };
-            let link = connection.number;
-            let lost = |why| {
+            let number = connection.number;
+            let record_failure = |reason| {
                 self.recorder.record(EventKind::RequestFailed {
                     id: id.clone(),
-                    proxy: door as u32,
-                    connection: link,
-                    reason: why,
+                    proxy: gateway as u32,
+                    connection: number,
+                    reason,
                 })
             };
-            let (text, form) = self.request(&id, ask, kind, retry, timeout);
+            let (text, fingerprint) = self.request(&id, ask, kind, retry, timeout);
             if connection.link.write(text.as_bytes()).await.is_err() {
-                lost(FailureReason::NotAccepted);
-                // A connection that was closed between two requests: once more on a new one.
+                record_failure(FailureReason::NotAccepted);
+                // The idle connection was closed between two requests: send again on a new one.
                 if reused {
                     continue;
                 }
-                return Try::NotTaken;
+                return AttemptResult::NotAccepted;
             }
             let deadline = self.recorder.now() + timeout;
             self.recorder.record(EventKind::RequestSent {
                 id: id.clone(),
                 original_request: ask.item,
                 retry,
-                proxy: door as u32,
-                connection: link,
+                proxy: gateway as u32,
+                connection: number,
                 customer: ask.customer,
                 plan: ask.plan,
                 class: ask.class,
                 units: ask.units,
                 deadline,
-                fingerprint: form,
+                fingerprint,
             });
-            connection.last = id.clone();
-            let end = deadline + self.crowd.behavior.answer_slack_ms + LISTEN_ON;
-            let answer = tokio::time::timeout_at(
+            connection.last_id = id.clone();
+            let end = deadline + self.options.behavior.answer_slack_ms + LATE_RESPONSE_WAIT_MS;
+            let response = tokio::time::timeout_at(
                 self.recorder.instant(end).into(),
                 connection.link.message(),
             )
             .await;
-            match answer {
-                Ok(Ok(answer)) => return self.answered(door, connection, &id, &answer),
+            match response {
+                Ok(Ok(response)) => {
+                    return self.handle_response(gateway, connection, &id, &response)
+                }
                 Ok(Err(NoMessage::Closed)) => {
-                    lost(FailureReason::Closed);
+                    record_failure(FailureReason::Closed);
                     if reused {
                         continue;
                     }
-                    return Try::Failed;
+                    return AttemptResult::Failed;
                 }
-                Ok(Err(NoMessage::Cut(_) | NoMessage::Garbage(_))) => {
-                    lost(FailureReason::Truncated);
-                    return Try::Failed;
+                Ok(Err(NoMessage::Truncated(_) | NoMessage::Malformed(_))) => {
+                    record_failure(FailureReason::Truncated);
+                    return AttemptResult::Failed;
                 }
                 Err(_) => {
-                    lost(FailureReason::TimedOut);
-                    return Try::Failed;
+                    record_failure(FailureReason::TimedOut);
+                    return AttemptResult::Failed;
                 }
             }
         }
     }
 
-    fn answered(&self, door: usize, connection: Kept, id: &str, answer: &Message) -> Try {
-        let retry_after = answer
+    fn handle_response(
+        &self,
+        gateway: usize,
+        connection: Connection,
+        id: &str,
+        response: &Message,
+    ) -> AttemptResult {
+        let retry_after = response
             .header("retry-after")
             .and_then(|text| text.parse::<f64>().ok());
         let retry_after_ms = retry_after.map(|seconds| seconds * 1000.0);
-        let mut words = std::str::from_utf8(&answer.body)
+        let mut fields = std::str::from_utf8(&response.body)
             .unwrap_or_default()
             .split(' ');
-        let attempt = match (words.next() == Some(id), words.next()) {
+        let attempt = match (fields.next() == Some(id), fields.next()) {
             (true, Some(number)) => number.parse().ok(),
             _ => None,
         };
         self.recorder.record(EventKind::ResponseReceived {
             id: id.to_owned(),
             connection: connection.number,
-            status: answer.status,
+            status: response.status,
             attempt,
             retry_after_ms,
         });
         if connection.link.pending() > 0 {
-            self.surplus(door, connection.number, id);
-        } else if !answer.closes() && self.kept[door].borrow().len() < MOST_KEPT {
-            self.kept[door].borrow_mut().push(connection);
+            self.record_unexpected_bytes(gateway, connection.number, id);
+        } else if !response.closes() && self.idle[gateway].borrow().len() < MAX_IDLE {
+            self.idle[gateway].borrow_mut().push(connection);
         }
-        match answer.status {
-            200 => Try::Served,
-            429 | 503 => Try::Refused(retry_after_ms),
-            401 | 403 => Try::Denied,
-            _ => Try::Failed,
+        match response.status {
+            200 => AttemptResult::Served,
+            429 | 503 => AttemptResult::Rejected(retry_after_ms),
+            401 | 403 => AttemptResult::Denied,
+            _ => AttemptResult::Failed,
         }
     }
 
-    /// What a try sends that must come to a node unchanged.
+    /// Returns the parts of a request that must reach a backend unchanged.
     fn content(&self, ask: &Ask, kind: &RequestClass) -> Content {
         let safe = kind.effect == Effect::Safe;
         Content {
@@ -474,11 +502,11 @@
                 "/{}/v1?k={:x}&u={}&p={}",
                 kind.name, ask.customer, ask.units, ask.plan
             ),
-            // The key is that of the first try: nodes drop a client's own repeat too.
+            // All attempts share one key, so backends also deduplicate the client's own retries.
             key: (kind.effect == Effect::Keyed).then(|| {
                 format!(
                     "{:016x}",
-                    hash(&format!("{}/{}/key", self.crowd.seed, ask.item))
+                    hash(&format!("{}/{}/key", self.options.seed, ask.item))
                 )
             }),
             body: if safe {
@@ -489,7 +517,7 @@
         }
     }
 
-    /// The whole text of a try.
+    /// Returns the text of an attempt's request and its fingerprint.
     fn request(
         &self,
         id: &str,
@@ -498,7 +526,7 @@
         retry: u32,
         timeout: Millis,
     ) -> (String, u64) {
-        let plan = self.crowd.plans.get(ask.plan).map_or("", String::as_str);
+        let plan = self.options.plans.get(ask.plan).map_or("", String::as_str);
         let Content {
             method,
             target,
@@ -516,11 +544,11 @@
             ask.spread,
             ask.first,
         );
-        // A string takes any text; the errors are those of a writer that can fail.
+        // Writing to a string can't fail.
         if retry > 0 {
             text.push_str("Client-Retry: 1\r\n");
         }
-        if self.crowd.credentials {
+        if self.options.credentials {
             let _ = write!(text, "Authorization: {}\r\n", credential(ask.customer));
         }
         if let Some(key) = &key {
@@ -537,7 +565,7 @@
     }
 }
 
-/// What of a try must come to a node unchanged.
+/// The parts of a request that must reach a backend unchanged.
 struct Content {
     method: &'static str,
     target: String,
@@ -545,17 +573,17 @@
     body: String,
 }
 
-/// Counts one up for as long as it is held.
-struct Count<'a>(&'a Cell<usize>);
+/// Counts a request as in flight while it exists.
+struct InFlightGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Count<'a> {
-    fn up(of: &'a Cell<usize>) -> Count<'a> {
-        of.set(of.get() + 1);
-        Count(of)
+impl<'a> InFlightGuard<'a> {
+    fn new(count: &'a Cell<usize>) -> InFlightGuard<'a> {
+        count.set(count.get() + 1);
+        InFlightGuard(count)
     }
 }
 
-impl Drop for Count<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/test-servers/src/counter.rs
+++ b/crates/test-servers/src/counter.rs
@@ -1,4 +1,5 @@
-//! The shared counter (protocol page, "The counter"): adds an amount to a named number and answers with the total.
+//! A fake of the shared counter service (protocol page, "The counter"): a call adds an amount to a
+//! named count and receives the total.
 
 use crate::wire::Link;
 use maplefall_event_trace::Millis;
@@ -9,30 +10,30 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Names that are kept at most; a further one is turned away.
-const MOST_NAMES: usize = 100_000;
-/// Longest life of a name.
-const LONGEST_LIFE: Millis = 60_000.0;
-/// Greatest amount of a call.
-const MOST_ADDED: f64 = 1e9;
-/// Longest name.
-const LONGEST_NAME: usize = 64;
+/// Maximum number of names; calls with further names are rejected.
+const MAX_NAMES: usize = 100_000;
+/// Maximum time to live of a name.
+const MAX_TTL_MS: Millis = 60_000.0;
+/// Maximum absolute amount of a call.
+const MAX_AMOUNT: f64 = 1e9;
+/// Maximum length of a name, in bytes.
+const MAX_NAME: usize = 64;
 
-/// Connections that it holds; it resets further ones.
-const MOST_CONNECTIONS: usize = 32;
-/// After how long it closes one that has stood idle.
-const IDLE: Duration = Duration::from_secs(10);
+/// Maximum number of open connections; further ones are reset.
+const MAX_CONNECTIONS: usize = 32;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A counter and what is done to it.
+/// A fake counter service.
 pub struct Counter {
     names: RefCell<HashMap<String, (f64, Instant)>>,
     open: Cell<usize>,
-    /// Time that a call takes.
+    /// Processing time of a call.
     delay: Duration,
 }
 
 impl Counter {
-    /// An empty counter whose calls take so long.
+    /// Creates an empty counter whose calls take `delay` each.
     pub fn new(delay: Duration) -> Rc<Counter> {
         Rc::new(Counter {
             names: RefCell::default(),
@@ -41,35 +42,35 @@
         })
     }
 
-    /// Forgets everything, as a fresh one in its place would.
+    /// Deletes all names, as if a new instance had replaced the service.
     pub fn replace(&self) {
         self.names.borrow_mut().clear();
     }
 
-    /// Adds to a name; the status and the body of the answer.
+    /// Handles a call; returns the status and the body of the response.
     pub fn call(&self, now: Instant, target: &str) -> (u16, String) {
         let Some(call) = Call::read(target) else {
             return (400, String::new());
         };
         let mut names = self.names.borrow_mut();
-        if names.len() >= MOST_NAMES {
+        if names.len() >= MAX_NAMES {
             names.retain(|_, (_, end)| *end > now);
-            if names.len() >= MOST_NAMES && !names.contains_key(call.name) {
+            if names.len() >= MAX_NAMES && !names.contains_key(call.name) {
                 return (503, String::new());
             }
         }
-        let life = Duration::try_from_secs_f64(call.life / 1000.0).unwrap_or_default();
+        let ttl = Duration::try_from_secs_f64(call.ttl / 1000.0).unwrap_or_default();
         let entry = names
             .entry(call.name.to_owned())
-            .or_insert((0.0, now + life));
+            .or_insert((0.0, now + ttl));
         if entry.1 <= now {
-            *entry = (0.0, now + life);
+            *entry = (0.0, now + ttl);
         }
         entry.0 += call.add;
         (200, format!("{}", entry.0))
     }
 
-    /// Answers here for as long as the runtime runs.
+    /// Serves connections of `listener` for as long as the runtime runs.
     pub async fn serve(self: Rc<Self>, listener: StdListener) {
         let Ok(listener) = TcpListener::from_std(listener) else {
             return;
@@ -80,7 +81,7 @@
                 continue;
             };
             let (counter, mut link) = (self.clone(), Link::over(stream));
-            if counter.open.get() >= MOST_CONNECTIONS {
+            if counter.open.get() >= MAX_CONNECTIONS {
                 link.reset();
                 continue;
             }
@@ -93,7 +94,7 @@
     }
 
     async fn talk(&self, link: &mut Link) {
-        while let Ok(Ok(message)) = tokio::time::timeout(IDLE, link.message()).await {
+        while let Ok(Ok(message)) = tokio::time::timeout(IDLE_TIMEOUT, link.message()).await {
             if !self.delay.is_zero() {
                 tokio::time::sleep(self.delay).await;
             }
@@ -112,11 +113,11 @@
     }
 }
 
-/// A call that can be read.
+/// A parsed call.
 struct Call<'a> {
     name: &'a str,
     add: f64,
-    life: Millis,
+    ttl: Millis,
 }
 
 impl Call<'_> {
@@ -131,13 +132,12 @@
                 .ok()
                 .filter(|n| n.is_finite())
         };
-        let (add, life) = (field("add")?, field("ttl_ms")?);
-        let good =
-            (1..=LONGEST_NAME).contains(&name.len()) && add.abs() <= MOST_ADDED && life >= 1.0;
-        good.then_some(Call {
+        let (add, ttl) = (field("add")?, field("ttl_ms")?);
+        let valid = (1..=MAX_NAME).contains(&name.len()) && add.abs() <= MAX_AMOUNT && ttl >= 1.0;
+        valid.then_some(Call {
             name,
             add,
-            life: life.min(LONGEST_LIFE),
+            ttl: ttl.min(MAX_TTL_MS),
         })
     }
 }
@@ -147,14 +147,14 @@
     use super::*;
 
     #[test]
-    fn a_count_adds_up_and_dies_with_its_life() {
+    fn a_count_adds_up_and_expires() {
         let (counter, now) = (Counter::new(Duration::ZERO), Instant::now());
         let call = |at: u64, target: &str| counter.call(now + Duration::from_millis(at), target);
         assert_eq!(
             call(0, "/v1/count/a?add=2.5&ttl_ms=100"),
             (200, "2.5".into())
         );
-        // A later life does not extend it.
+        // The time to live of a later call does not extend the first one.
         assert_eq!(
             call(90, "/v1/count/a?add=-1&ttl_ms=4000"),
             (200, "1.5".into())
@@ -162,13 +162,13 @@
         assert_eq!(call(100, "/v1/count/a?add=0&ttl_ms=10"), (200, "0".into()));
         counter.replace();
         assert_eq!(call(101, "/v1/count/a?add=7&ttl_ms=10"), (200, "7".into()));
-        for bad in [
+        for malformed in [
             "/v1/count/?add=1&ttl_ms=1",
             "/v1/count/a?add=1",
             "/v1/count/a?add=NaN&ttl_ms=5",
             "/x",
         ] {
-            assert_eq!(call(0, bad).0, 400, "{bad}");
+            assert_eq!(call(0, malformed).0, 400, "{malformed}");
         }
     }
 }
--- a/crates/test-servers/src/etcd/mod.rs
+++ b/crates/test-servers/src/etcd/mod.rs
@@ -1,4 +1,5 @@
-//! A played etcd v3 (etcd's API pages): real gRPC over a store with a true history, several members, and failures on call.
+//! A fake etcd v3 cluster (etcd's API pages): gRPC over a store with etcd's history, several
+//! members, and failures on demand.
 
 mod server;
 pub mod store;
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -1,4 +1,5 @@
-//! Members of a played etcd: gRPC over connections that can be cut at any byte, fall silent, or be refused.
+//! Members of a fake etcd cluster: gRPC over connections that can be closed after any byte, stalled
+//! or reset.
 
 use super::store::{Refused, Store};
 use http::{Request, Response};
@@ -27,71 +28,73 @@
 use tonic::{Code, Status, Streaming};
 use tonic_prost::ProstCodec;
 
-/// Answers that wait on a watch's stream at most.
-const WAITING: usize = 16;
-/// Bytes between the server and its connection.
-const PIPE: usize = 64 * 1024;
-/// Revisions that one answer of a watch holds at most, as in etcd.
-const MOST_REVISIONS: usize = 1000;
-/// How often leases are looked at.
-const LEASES: Duration = Duration::from_millis(20);
+/// Maximum number of responses queued on a stream.
+const STREAM_QUEUE: usize = 16;
+/// Size of the buffer between the server and its connection, in bytes.
+const PIPE_BYTES: usize = 64 * 1024;
+/// Maximum number of revisions in one watch response, as in etcd.
+const MAX_REVISIONS: usize = 1000;
+/// Interval at which expired leases are revoked.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 type Body = tonic::body::Body;
 
-/// Where a watch is cut.
+/// The point at which the connection of a watch is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// Before the next `created` is sent.
+    /// Before the next `created` response is sent.
     BeforeCreated,
-    /// After this many further answers with changes, each sent whole.
+    /// After a complete response with changes, skipping this many such responses first.
     Between(u32),
-    /// Within the next answer with changes: some of its bytes have gone.
+    /// Within the next response with changes, after its first bytes.
     Within,
 }
 
-/// What a client of a member knows.
+/// What a client of a member is known to have received.
 #[derive(Clone, Debug)]
 pub enum Known {
-    /// These changes have been written to its connection.
+    /// These changes were written to its connection.
     Written {
-        /// Which member.
+        /// The member.
         member: u64,
         /// The changes.
         events: Vec<Event>,
     },
-    /// It asked to watch from the next revision on: so it says that it has seen all up to this one.
+    /// The client started a watch at the next revision, so it claims to have all changes up to this
+    /// one.
     Claimed {
-        /// Which member.
+        /// The member.
         member: u64,
         /// The revision.
         revision: i64,
     },
 }
 
-/// How a member is.
+/// State of a member, watched by its tasks.
 #[derive(Clone, Debug, Default)]
 struct State {
     down: bool,
     silent: bool,
     slow: Duration,
-    /// The revision that it lags at.
+    /// The revision at which the member lags behind the cluster.
     behind: Option<i64>,
-    /// Counts up when all connections are broken off.
-    broken: u64,
+    /// Incremented to reset all connections.
+    resets: u64,
     cut: Option<Cut>,
-    /// Changes of one piece of an answer, where the client takes pieces.
-    piece: usize,
-    /// How often a watch that wants it is told that there is nothing new; etcd's own is 10 minutes.
-    notices: Option<Duration>,
+    /// Maximum number of changes in a fragment of a response, for clients that accept fragments.
+    fragment_size: usize,
+    /// Interval of progress notifications to watches that request them; 10 minutes in etcd.
+    progress_interval: Option<Duration>,
 }
 
-/// Who may call: the user, the password and the token that holds.
+/// Authentication state: the user, the password and the valid token.
 #[derive(Debug, Default)]
 struct Users {
-    one: Option<(String, String)>,
-    /// Counts up when every token that was given is refused.
+    /// Name and password of the only user; `None` if authentication is disabled.
+    credentials: Option<(String, String)>,
+    /// Incremented to invalidate all issued tokens.
     generation: u64,
-    /// Whether that is since users have changed.
+    /// Whether the tokens became invalid because users changed.
     changed: bool,
 }
 
@@ -105,17 +108,17 @@
 
 struct Inner {
     store: Mutex<Store>,
-    /// Told whenever the store has changed.
+    /// Notified after each change of the store.
     changed: watch::Sender<u64>,
     users: Mutex<Users>,
-    begun: Instant,
-    /// Readings that were asked for.
+    started_at: Instant,
+    /// Number of range requests received.
     ranges: AtomicU64,
-    /// Told of what clients know.
-    told: Listener,
+    /// Called for each [`Known`] event.
+    on_known: Listener,
 }
 
-/// A played cluster.
+/// A fake etcd cluster.
 #[derive(Clone)]
 pub struct Etcd(Arc<Inner>);
 
@@ -124,64 +127,66 @@
 }
 
 impl Etcd {
-    /// A cluster with this store; `told` hears of what clients know, in the order in which they come to know it.
-    pub fn new(store: Store, told: impl Fn(&Known) + Send + Sync + 'static) -> Etcd {
+    /// Creates a cluster with this store; `on_known` is called with what clients are known to have
+    /// received, in that order.
+    pub fn new(store: Store, on_known: impl Fn(&Known) + Send + Sync + 'static) -> Etcd {
         Etcd(Arc::new(Inner {
             store: Mutex::new(store),
             changed: watch::Sender::new(0),
             users: Mutex::default(),
-            begun: Instant::now(),
+            started_at: Instant::now(),
             ranges: AtomicU64::new(0),
-            told: Box::new(told),
+            on_known: Box::new(on_known),
         }))
     }
 
-    /// Does something to the store; watches hear of it.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Store) -> T) -> T {
-        let done = act(&mut lock(&self.0.store));
+    /// Calls `action` on the store, then notifies the watches.
+    pub fn with<T>(&self, action: impl FnOnce(&mut Store) -> T) -> T {
+        let result = action(&mut lock(&self.0.store));
         self.0.changed.send_modify(|count| *count += 1);
-        done
+        result
     }
 
-    /// How many readings were asked for.
+    /// Returns the number of range requests received.
     pub fn ranges(&self) -> u64 {
         self.0.ranges.load(Ordering::Relaxed)
     }
 
-    /// Milliseconds since the cluster began, the time that its leases go by.
+    /// Returns the milliseconds since the cluster was created, the clock of its leases.
     pub fn now(&self) -> f64 {
-        self.0.begun.elapsed().as_secs_f64() * 1000.0
+        self.0.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// From now on only this user may call; every token that was given is refused.
+    /// Enables authentication with this user only, and invalidates all issued tokens.
     pub fn only(&self, user: &str, password: &str) {
         let mut users = lock(&self.0.users);
-        users.one = Some((user.to_owned(), password.to_owned()));
+        users.credentials = Some((user.to_owned(), password.to_owned()));
         (users.generation, users.changed) = (users.generation + 1, true);
     }
 
-    /// Every token that was given is refused from now on.
+    /// Invalidates all issued tokens.
     pub fn forget_tokens(&self) {
         let mut users = lock(&self.0.users);
         (users.generation, users.changed) = (users.generation + 1, false);
     }
 
-    /// Starts a member that listens here. It lives for as long as it is held; call it on a runtime.
+    /// Starts a member that serves `listener` until the returned value is dropped. Must be called
+    /// on a Tokio runtime.
     pub fn member(&self, number: u64, listener: StdListener) -> std::io::Result<Member> {
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
         let address = listener.local_addr()?;
         let state = Arc::new(watch::Sender::new(State {
-            piece: usize::MAX,
+            fragment_size: usize::MAX,
             ..State::default()
         }));
-        let seat = Seat {
+        let member = MemberContext {
             etcd: self.clone(),
             number,
             state: state.clone(),
         };
-        let accepting = tokio::spawn(seat.clone().accept(listener));
-        let leases = tokio::spawn(seat.clone().expire());
+        let accepting = tokio::spawn(member.clone().accept(listener));
+        let leases = tokio::spawn(member.clone().expire());
         Ok(Member {
             address,
             state,
@@ -190,10 +195,10 @@
     }
 }
 
-/// A member, by which its failures are called. Dropped, it is gone.
+/// A handle to a running member, which controls its failures. Dropping it stops the member.
 #[derive(Debug)]
 pub struct Member {
-    /// Where it listens.
+    /// The address that the member listens at.
     pub address: SocketAddr,
     state: Arc<watch::Sender<State>>,
     tasks: [tokio::task::AbortHandle; 2],
@@ -201,94 +206,97 @@
 
 impl Drop for Member {
     fn drop(&mut self) {
-        self.state.send_modify(|state| state.broken += 1);
+        self.state.send_modify(|state| state.resets += 1);
         self.tasks.iter().for_each(tokio::task::AbortHandle::abort);
     }
 }
 
 impl Member {
-    /// Resets all connections, and every new one until it is told to be up again.
+    /// Resets all connections, and, while `down` is set, every new one.
     pub fn down(&self, down: bool) {
         self.state.send_modify(|state| {
             state.down = down;
-            state.broken += 1;
+            state.resets += 1;
         });
     }
 
     /// Resets all connections.
     pub fn break_off(&self) {
-        self.state.send_modify(|state| state.broken += 1);
+        self.state.send_modify(|state| state.resets += 1);
     }
 
-    /// Says nothing more on any connection, all of which stay open; or speaks again.
+    /// Stops sending on all connections, which stay open, or resumes.
     pub fn silent(&self, silent: bool) {
         self.state.send_modify(|state| state.silent = silent);
     }
 
-    /// Answers every call this much later.
+    /// Delays the processing of every call.
     pub fn slow(&self, slow: Duration) {
         self.state.send_modify(|state| state.slow = slow);
     }
 
-    /// Knows nothing beyond this revision, or is no longer behind.
+    /// Makes the member lag behind the cluster at this revision; `None` ends the lag.
     pub fn behind(&self, at: Option<i64>) {
         self.state.send_modify(|state| state.behind = at);
     }
 
-    /// Cuts the next watch that comes to this point, once.
+    /// Closes the connection of the next watch that reaches this point, once.
     pub fn cut(&self, cut: Cut) {
         self.state.send_modify(|state| state.cut = Some(cut));
     }
 
-    /// Whether the cut that was called for is still to come.
+    /// Returns whether a requested [`Cut`] has not been made yet.
     pub fn to_be_cut(&self) -> bool {
         self.state.borrow().cut.is_some()
     }
 
-    /// Tells watches that want it this often that there is nothing new.
+    /// Sets the interval of progress notifications to watches that request them.
     pub fn set_progress_interval(&self, every: Duration) {
-        self.state.send_modify(|state| state.notices = Some(every));
+        self.state
+            .send_modify(|state| state.progress_interval = Some(every));
     }
 
-    /// Sends answers of more changes than this in pieces to clients that take them.
+    /// Sets the maximum number of changes in a response; larger ones are fragmented for clients
+    /// that accept that.
     pub fn set_fragment_size(&self, changes: usize) {
-        self.state.send_modify(|state| state.piece = changes.max(1));
+        self.state
+            .send_modify(|state| state.fragment_size = changes.max(1));
     }
 }
 
-// ---- Connections ------------------------------------------------------------------------------------
+// ---- Connections -------------------------------------------------------------------------------
 
-/// A member as its tasks see it.
+/// The state of a member that its tasks share.
 #[derive(Clone)]
-struct Seat {
+struct MemberContext {
     etcd: Etcd,
     number: u64,
     state: Arc<watch::Sender<State>>,
 }
 
-/// One connection's bytes.
+/// Controls how many bytes are sent on a connection.
 #[derive(Clone)]
-struct Wire {
-    /// Bytes that may still go out before it is cut; `None` for no end.
-    left: Arc<watch::Sender<Option<usize>>>,
-    /// Bytes that have gone out.
+struct OutputLimit {
+    /// Bytes that may still be sent before the connection is closed; `None` for no limit.
+    remaining: Arc<watch::Sender<Option<usize>>>,
+    /// Bytes that have been sent.
     sent: Arc<watch::Sender<u64>>,
 }
 
-impl Wire {
-    /// Cut after so many more bytes.
-    fn cut(&self, after: usize) {
-        self.left.send_replace(Some(after));
+impl OutputLimit {
+    /// Closes the connection after `bytes` more bytes.
+    fn close_after(&self, bytes: usize) {
+        self.remaining.send_replace(Some(bytes));
     }
 }
 
-impl Seat {
+impl MemberContext {
     async fn expire(self) {
         loop {
-            tokio::time::sleep(LEASES).await;
+            tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
             let now = self.etcd.now();
-            let over = lock(&self.etcd.0.store).expire(now);
-            if over {
+            let expired = lock(&self.etcd.0.store).expire(now);
+            if expired {
                 self.etcd.0.changed.send_modify(|count| *count += 1);
             }
         }
@@ -298,37 +306,38 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(self.clone().carry(stream));
+                    tokio::spawn(self.clone().forward(stream));
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
     }
 
-    /// Carries the bytes of one connection to and from the server, for as long as the member's state allows.
-    async fn carry(self, stream: TcpStream) {
+    /// Copies the bytes of one connection to and from the server for as long as the member's state
+    /// allows.
+    async fn forward(self, stream: TcpStream) {
         let reset = |stream: &TcpStream| {
-            // A stream that cannot be told to reset is closed: the other end sees it go all the same.
+            // If the option can't be set, the connection is closed normally instead.
             let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
         };
         let mut state = self.state.subscribe();
-        let broken = {
+        let resets = {
             let state = state.borrow_and_update();
             if state.down {
                 return reset(&stream);
             }
-            state.broken
+            state.resets
         };
         let _ = stream.set_nodelay(true);
-        let (ours, theirs) = tokio::io::duplex(PIPE);
-        let wire = Wire {
-            left: Arc::new(watch::Sender::new(None)),
+        let (ours, theirs) = tokio::io::duplex(PIPE_BYTES);
+        let output_limit = OutputLimit {
+            remaining: Arc::new(watch::Sender::new(None)),
             sent: Arc::new(watch::Sender::new(0)),
         };
-        let (seat, on) = (self.clone(), wire.clone());
+        let (member, limit) = (self.clone(), output_limit.clone());
         let service = service_fn(move |request| {
-            let (seat, on) = (seat.clone(), on.clone());
-            async move { Ok::<_, Infallible>(seat.serve(request, on).await) }
+            let (member, limit) = (member.clone(), limit.clone());
+            async move { Ok::<_, Infallible>(member.serve(request, limit).await) }
         });
         let builder = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
         let serving = tokio::spawn(builder.serve_connection(TokioIo::new(theirs), service));
@@ -336,31 +345,35 @@
         let (mut from_client, mut to_client) = stream.into_split();
         let outward = async {
             let mut buffer = vec![0; 16 * 1024];
-            let mut left = wire.left.subscribe();
-            let mut silence = self.state.subscribe();
+            let mut remaining = output_limit.remaining.subscribe();
+            let mut silent = self.state.subscribe();
             loop {
-                if *left.borrow() == Some(0) {
+                if *remaining.borrow() == Some(0) {
                     return;
                 }
                 let read = tokio::select! {
                     read = from_server.read(&mut buffer) => read,
-                    // Looked at again: it may have been cut.
-                    _ = left.changed() => continue,
+                    // Checks the limit again.
+                    _ = remaining.changed() => continue,
                 };
                 let Ok(count @ 1..) = read else { return };
-                if silence.wait_for(|state| !state.silent).await.is_err() {
+                if silent.wait_for(|state| !state.silent).await.is_err() {
                     return;
                 }
-                let may = left.borrow().map_or(count, |left| left.min(count));
-                if to_client.write_all(&buffer[..may]).await.is_err() {
+                let allowed = remaining
+                    .borrow()
+                    .map_or(count, |remaining| remaining.min(count));
+                if to_client.write_all(&buffer[..allowed]).await.is_err() {
                     return;
                 }
-                wire.sent.send_modify(|sent| *sent += may as u64);
-                wire.left.send_if_modified(|left| {
-                    *left = left.map(|left| left - may);
+                output_limit
+                    .sent
+                    .send_modify(|sent| *sent += allowed as u64);
+                output_limit.remaining.send_if_modified(|remaining| {
+                    *remaining = remaining.map(|remaining| remaining - allowed);
                     false
                 });
-                if may < count {
+                if allowed < count {
                     return;
                 }
             }
@@ -376,7 +389,7 @@
         tokio::select! {
             () = outward => {}
             () = inward => {}
-            _ = state.wait_for(|state| state.broken != broken) => {}
+            _ = state.wait_for(|state| state.resets != resets) => {}
         }
         serving.abort();
         if let Ok(stream) = from_client.reunite(to_client) {
@@ -384,10 +397,10 @@
         }
     }
 
-    // ---- Calls ----------------------------------------------------------------------------------------
+    // ---- Calls ---------------------------------------------------------------------------------
 
-    /// The revision that the member is at.
-    fn at(&self) -> i64 {
+    /// Returns the revision that the member is at.
+    fn revision(&self) -> i64 {
         let last = lock(&self.etcd.0.store).revision();
         self.state
             .borrow()
@@ -396,100 +409,101 @@
     }
 
     fn header(&self) -> Option<ResponseHeader> {
-        let at = self.at();
+        let at = self.revision();
         Some(lock(&self.etcd.0.store).header(self.number, at))
     }
 
-    async fn serve(self, request: Request<Incoming>, wire: Wire) -> Response<Body> {
+    async fn serve(self, request: Request<Incoming>, limit: OutputLimit) -> Response<Body> {
         let slow = self.state.borrow().slow;
         if !slow.is_zero() {
             tokio::time::sleep(slow).await;
         }
         let path = request.uri().path().to_owned();
-        // A watch is let in or not when it is asked for on its stream, as in etcd.
+        // A watch is authorized when it is created on its stream, as in etcd.
         let token = request
             .headers()
             .get("token")
             .map(|token| token.as_bytes().to_vec());
         if path != path::AUTHENTICATE && path != path::WATCH {
-            if let Err(refused) = self.permitted(token.as_deref()) {
-                return Status::from(refused).into_http();
+            if let Err(error) = self.permitted(token.as_deref()) {
+                return Status::from(error).into_http();
             }
         }
         let now = self.etcd.now();
         match path.as_str() {
             path::RANGE => {
                 self.etcd.0.ranges.fetch_add(1, Ordering::Relaxed);
-                self.answered(request, |store, asked, at| store.range(&asked, at))
+                self.unary(request, |store, message, at| store.range(&message, at))
                     .await
             }
             path::PUT => {
-                self.answered(request, |store, asked, _| store.put(&asked))
+                self.unary(request, |store, message, _| store.put(&message))
                     .await
             }
             path::DELETE_RANGE => {
-                self.answered(request, |store, asked, _| store.delete(&asked))
+                self.unary(request, |store, message, _| store.delete(&message))
                     .await
             }
             path::TXN => {
-                self.answered(request, |store, asked, at| store.txn(&asked, at))
+                self.unary(request, |store, message, at| store.txn(&message, at))
                     .await
             }
             path::COMPACT => {
-                let compact = |store: &mut Store, asked: CompactionRequest, _| {
+                let compact = |store: &mut Store, message: CompactionRequest, _| {
                     store
-                        .compact(asked.revision)
+                        .compact(message.revision)
                         .map(|()| HeaderResponse::default())
                 };
-                self.answered(request, compact).await
+                self.unary(request, compact).await
             }
             path::LEASE_GRANT => {
-                let grant = |store: &mut Store, asked: LeaseGrantRequest, _| {
-                    let id = store.grant(now, asked.ttl, asked.id)?;
+                let grant = |store: &mut Store, message: LeaseGrantRequest, _| {
+                    let id = store.grant(now, message.ttl, message.id)?;
                     Ok(LeaseGrantResponse {
                         id,
-                        ttl: asked.ttl,
+                        ttl: message.ttl,
                         ..LeaseGrantResponse::default()
                     })
                 };
-                self.answered(request, grant).await
+                self.unary(request, grant).await
             }
             path::LEASE_REVOKE => {
-                let revoke = |store: &mut Store, asked: LeaseRequest, _| {
-                    store.revoke(asked.id).map(|()| HeaderResponse::default())
+                let revoke = |store: &mut Store, message: LeaseRequest, _| {
+                    store.revoke(message.id).map(|()| HeaderResponse::default())
                 };
-                self.answered(request, revoke).await
+                self.unary(request, revoke).await
             }
             path::LEASE_TIME_TO_LIVE => {
-                let left = |store: &mut Store, LeaseRequest { id }, _| {
+                let time_to_live = |store: &mut Store, LeaseRequest { id }, _| {
                     Ok(LeaseResponse {
                         id,
                         ttl: store.time_to_live(now, id),
                         ..LeaseResponse::default()
                     })
                 };
-                self.answered(request, left).await
+                self.unary(request, time_to_live).await
             }
             path::LEASE_KEEP_ALIVE => {
                 let mut grpc = Grpc::new(ProstCodec::<LeaseResponse, LeaseRequest>::default());
                 grpc.streaming(KeepAlive(self), request).await
             }
             path::AUTHENTICATE => {
-                let (one, token) = {
+                let (credentials, token) = {
                     let users = lock(&self.etcd.0.users);
-                    (users.one.clone(), users.token())
+                    (users.credentials.clone(), users.token())
                 };
-                let sign_in = move |_: &mut Store, asked: AuthenticateRequest, _| match &one {
-                    None => Err(Refused(error::NOT_ENABLED)),
-                    Some(one) if *one != (asked.name, asked.password) => {
-                        Err(Refused(error::PASSWORD))
-                    }
-                    Some(_) => Ok(AuthenticateResponse {
-                        token: token.clone(),
-                        ..Default::default()
-                    }),
-                };
-                self.answered(request, sign_in).await
+                let authenticate =
+                    move |_: &mut Store, message: AuthenticateRequest, _| match &credentials {
+                        None => Err(Refused(error::NOT_ENABLED)),
+                        Some(known) if *known != (message.name, message.password) => {
+                            Err(Refused(error::PASSWORD))
+                        }
+                        Some(_) => Ok(AuthenticateResponse {
+                            token: token.clone(),
+                            ..Default::default()
+                        }),
+                    };
+                self.unary(request, authenticate).await
             }
             path::STATUS => {
                 let leader = self.number;
@@ -500,21 +514,22 @@
                         ..StatusResponse::default()
                     })
                 };
-                self.answered(request, status).await
+                self.unary(request, status).await
             }
             path::WATCH => {
                 let mut grpc = Grpc::new(ProstCodec::<WatchResponse, WatchRequest>::default());
-                grpc.streaming(Watching(self, wire, token), request).await
+                grpc.streaming(WatchService(self, limit, token), request)
+                    .await
             }
             _ => Status::unimplemented("a call that is not played").into_http(),
         }
     }
 
-    /// Whether the caller may call.
+    /// Checks the caller's token.
     fn permitted(&self, token: Option<&[u8]>) -> Result<(), Refused> {
         let users = lock(&self.etcd.0.users);
         match token {
-            _ if users.one.is_none() => Ok(()),
+            _ if users.credentials.is_none() => Ok(()),
             None => Err(Refused(error::NO_USER)),
             Some(token) if token == users.token().as_bytes() => Ok(()),
             Some(_) if users.changed => Err(Refused(error::OLD_AUTH)),
@@ -522,21 +537,21 @@
         }
     }
 
-    /// A call that is answered at once out of the store, as the member knows it; watches hear of what it changes.
-    async fn answered<Q, A>(
+    /// Handles a call immediately, with the store at the member's revision; watches are notified.
+    async fn unary<Q, A>(
         &self,
         request: Request<Incoming>,
-        act: impl Fn(&mut Store, Q, i64) -> Result<A, Refused> + Send,
+        action: impl Fn(&mut Store, Q, i64) -> Result<A, Refused> + Send,
     ) -> Response<Body>
     where
         Q: prost::Message + Default + 'static,
-        A: Headed + prost::Message + Default + 'static,
+        A: HasHeader + prost::Message + Default + 'static,
     {
-        let call = |asked: Q| {
-            let at = self.at();
-            let mut answer = self.etcd.with(|store| act(store, asked, at))?;
-            *answer.head() = self.header();
-            Ok(answer)
+        let call = |message: Q| {
+            let at = self.revision();
+            let mut response = self.etcd.with(|store| action(store, message, at))?;
+            *response.header_mut() = self.header();
+            Ok(response)
         };
         Grpc::new(ProstCodec::<A, Q>::default())
             .unary(Call(call), request)
@@ -544,22 +559,22 @@
     }
 }
 
-/// An answer with the head that every answer has.
-trait Headed {
-    fn head(&mut self) -> &mut Option<ResponseHeader>;
+/// A response with the header that every etcd response has.
+trait HasHeader {
+    fn header_mut(&mut self) -> &mut Option<ResponseHeader>;
 }
 
-macro_rules! headed {
-    ($($answer:ty),* $(,)?) => {
-        $(impl Headed for $answer {
-            fn head(&mut self) -> &mut Option<ResponseHeader> {
+macro_rules! has_header {
+    ($($response:ty),* $(,)?) => {
+        $(impl HasHeader for $response {
+            fn header_mut(&mut self) -> &mut Option<ResponseHeader> {
                 &mut self.header
             }
         })*
     };
 }
 
-headed!(
+has_header!(
     RangeResponse,
     PutResponse,
     DeleteRangeResponse,
@@ -592,7 +607,7 @@
 
 type Boxed<T> = Pin<Box<dyn Future<Output = Result<tonic::Response<T>, Status>> + Send>>;
 
-/// A call that answers at once.
+/// A unary call whose response is available immediately.
 struct Call<F>(F);
 
 impl<Q, A, F: Fn(Q) -> Result<A, Status>> UnaryService<Q> for Call<F>
@@ -607,7 +622,7 @@
     }
 }
 
-struct KeepAlive(Seat);
+struct KeepAlive(MemberContext);
 
 impl StreamingService<LeaseRequest> for KeepAlive {
     type Response = LeaseResponse;
@@ -615,15 +630,15 @@
     type Future = Boxed<Self::ResponseStream>;
 
     fn call(&mut self, request: tonic::Request<Streaming<LeaseRequest>>) -> Self::Future {
-        let (say, said) = mpsc::channel(WAITING);
-        let seat = self.0.clone();
+        let (responses, receiver) = mpsc::channel(STREAM_QUEUE);
+        let member = self.0.clone();
         tokio::spawn(async move {
-            let mut asked = request.into_inner();
-            while let Ok(Some(LeaseRequest { id })) = asked.message().await {
-                let ttl = lock(&seat.etcd.0.store).keep_alive(seat.etcd.now(), id);
-                if say
+            let mut requests = request.into_inner();
+            while let Ok(Some(LeaseRequest { id })) = requests.message().await {
+                let ttl = lock(&member.etcd.0.store).keep_alive(member.etcd.now(), id);
+                if responses
                     .send(Ok(LeaseResponse {
-                        header: seat.header(),
+                        header: member.header(),
                         id,
                         ttl,
                     }))
@@ -635,116 +650,120 @@
             }
         });
         Box::pin(std::future::ready(Ok(tonic::Response::new(
-            ReceiverStream::new(said),
+            ReceiverStream::new(receiver),
         ))))
     }
 }
 
-// ---- Watches ----------------------------------------------------------------------------------------
+// ---- Watches -----------------------------------------------------------------------------------
 
-/// With the token that the call came with.
-struct Watching(Seat, Wire, Option<Vec<u8>>);
+/// The watch service, with the token of the call.
+struct WatchService(MemberContext, OutputLimit, Option<Vec<u8>>);
 
-impl StreamingService<WatchRequest> for Watching {
+impl StreamingService<WatchRequest> for WatchService {
     type Response = WatchResponse;
     type ResponseStream = ReceiverStream<Result<WatchResponse, Status>>;
     type Future = Boxed<Self::ResponseStream>;
 
     fn call(&mut self, request: tonic::Request<Streaming<WatchRequest>>) -> Self::Future {
-        let (say, said) = mpsc::channel(WAITING);
-        let stream = Stream {
+        let (responses, receiver) = mpsc::channel(STREAM_QUEUE);
+        let stream = WatchStream {
             token: self.2.clone(),
-            seat: self.0.clone(),
-            wire: self.1.clone(),
-            say,
+            member: self.0.clone(),
+            limit: self.1.clone(),
+            responses,
             watches: BTreeMap::new(),
-            last: 0,
+            next_id: 0,
         };
         tokio::spawn(stream.run(request.into_inner()));
         Box::pin(std::future::ready(Ok(tonic::Response::new(
-            ReceiverStream::new(said),
+            ReceiverStream::new(receiver),
         ))))
     }
 }
 
-/// One stream of watches.
-struct Stream {
+/// A stream that carries several watches.
+struct WatchStream {
     token: Option<Vec<u8>>,
-    seat: Seat,
-    wire: Wire,
-    say: mpsc::Sender<Result<WatchResponse, Status>>,
-    /// What each asked for, and the revision from which it has not been told.
+    member: MemberContext,
+    limit: OutputLimit,
+    responses: mpsc::Sender<Result<WatchResponse, Status>>,
+    /// The request of each watch and the next revision to send to it, by watch id.
     watches: BTreeMap<i64, (WatchCreateRequest, i64)>,
-    last: i64,
+    next_id: i64,
 }
 
-/// The stream is over.
-struct Over;
+/// Marks the end of a stream.
+struct StreamEnded;
 
-/// Waits for the next notice, if there are any.
-async fn notice(every: Option<Duration>) {
+/// Waits for the next progress notification, forever if there is none.
+async fn progress_timer(every: Option<Duration>) {
     match every {
         Some(every) => tokio::time::sleep(every).await,
         None => std::future::pending().await,
     }
 }
 
-impl Stream {
-    async fn run(mut self, mut asked: Streaming<WatchRequest>) {
-        let mut changed = self.seat.etcd.0.changed.subscribe();
-        let mut state = self.seat.state.subscribe();
+impl WatchStream {
+    async fn run(mut self, mut requests: Streaming<WatchRequest>) {
+        let mut changed = self.member.etcd.0.changed.subscribe();
+        let mut state = self.member.state.subscribe();
         loop {
             changed.borrow_and_update();
-            let notices = state.borrow_and_update().notices;
-            if self.tell().await.is_err() {
+            let interval = state.borrow_and_update().progress_interval;
+            if self.send_changes().await.is_err() {
                 return;
             }
             tokio::select! {
-                request = asked.message() => {
+                request = requests.message() => {
                     let Ok(Some(request)) = request else { return };
-                    if self.asked(request).await.is_err() {
+                    if self.handle_request(request).await.is_err() {
                         return;
                     }
                 }
-                () = notice(notices) => {
-                    if self.tell_progress().await.is_err() {
+                () = progress_timer(interval) => {
+                    if self.send_progress().await.is_err() {
                         return;
                     }
                 }
                 change = changed.changed() => if change.is_err() { return },
                 change = state.changed() => if change.is_err() { return },
-                () = self.say.closed() => return,
+                () = self.responses.closed() => return,
             }
         }
     }
 
-    /// Tells each watch that wants it how far it is; all of them have just been told what is new.
-    async fn tell_progress(&self) -> Result<(), Over> {
+    /// Sends a progress notification to each watch that requested them. All changes must have been
+    /// sent before.
+    async fn send_progress(&self) -> Result<(), StreamEnded> {
         for (id, (create, _)) in &self.watches {
             if create.progress_notify {
-                self.say(self.answer(*id)).await?;
+                self.respond(self.response(*id)).await?;
             }
         }
         Ok(())
     }
 
-    fn answer(&self, watch_id: i64) -> WatchResponse {
+    fn response(&self, watch_id: i64) -> WatchResponse {
         WatchResponse {
-            header: self.seat.header(),
+            header: self.member.header(),
             watch_id,
             ..WatchResponse::default()
         }
     }
 
-    async fn say(&self, answer: WatchResponse) -> Result<(), Over> {
-        self.say.send(Ok(answer)).await.map_err(|_| Over)
+    async fn respond(&self, response: WatchResponse) -> Result<(), StreamEnded> {
+        self.responses
+            .send(Ok(response))
+            .await
+            .map_err(|_| StreamEnded)
     }
 
-    async fn asked(&mut self, request: WatchRequest) -> Result<(), Over> {
+    async fn handle_request(&mut self, request: WatchRequest) -> Result<(), StreamEnded> {
         match request.union {
             Some(watch_request::Union::Create(create)) => {
-                let refused = match self.seat.permitted(self.token.as_deref()) {
-                    Err(Refused(why)) => Some(format!("rpc error: desc = {why}")),
+                let rejection = match self.member.permitted(self.token.as_deref()) {
+                    Err(Refused(reason)) => Some(format!("rpc error: desc = {reason}")),
                     Ok(())
                         if create.watch_id != 0 && self.watches.contains_key(&create.watch_id) =>
                     {
@@ -752,85 +771,85 @@
                     }
                     Ok(()) => None,
                 };
-                if let Some(cancel_reason) = refused {
-                    // Of no watch: there is none.
-                    let refused = self.answer(-1);
+                if let Some(cancel_reason) = rejection {
+                    // The watch was not created, so it has no id.
+                    let response = self.response(-1);
                     return self
-                        .say(WatchResponse {
+                        .respond(WatchResponse {
                             created: true,
                             canceled: true,
                             cancel_reason,
-                            ..refused
+                            ..response
                         })
                         .await;
                 }
                 let id = if create.watch_id != 0 {
                     create.watch_id
                 } else {
-                    self.last
+                    self.next_id
                 };
-                self.last = self.last.max(id) + 1;
-                if self.take(|cut| *cut == Cut::BeforeCreated).is_some() {
-                    self.wire.cut(0);
-                    return Err(Over);
+                self.next_id = self.next_id.max(id) + 1;
+                if self.take_cut(|cut| *cut == Cut::BeforeCreated).is_some() {
+                    self.limit.close_after(0);
+                    return Err(StreamEnded);
                 }
                 let from = if create.start_revision > 0 {
                     create.start_revision
                 } else {
-                    self.seat.at() + 1
+                    self.member.revision() + 1
                 };
-                (self.seat.etcd.0.told)(&Known::Claimed {
-                    member: self.seat.number,
+                (self.member.etcd.0.on_known)(&Known::Claimed {
+                    member: self.member.number,
                     revision: from - 1,
                 });
                 self.watches.insert(id, (create, from));
-                self.say(WatchResponse {
+                self.respond(WatchResponse {
                     created: true,
-                    ..self.answer(id)
+                    ..self.response(id)
                 })
                 .await
             }
             Some(watch_request::Union::Cancel(cancel)) => {
                 match self.watches.remove(&cancel.watch_id) {
                     Some(_) => {
-                        self.say(WatchResponse {
+                        self.respond(WatchResponse {
                             canceled: true,
-                            ..self.answer(cancel.watch_id)
+                            ..self.response(cancel.watch_id)
                         })
                         .await
                     }
                     None => Ok(()),
                 }
             }
-            // Only once every watch has been told all there is, as in etcd.
+            // Sent only after all changes have been sent to every watch, as in etcd.
             Some(watch_request::Union::Progress(_)) => {
-                self.tell().await?;
-                self.say(self.answer(-1)).await
+                self.send_changes().await?;
+                self.respond(self.response(-1)).await
             }
             None => Ok(()),
         }
     }
 
-    /// The cut that was called for, if it is the one wanted; it is then used up.
-    fn take(&self, wanted: impl Fn(&Cut) -> bool) -> Option<Cut> {
+    /// Takes the requested cut if `wanted` selects it.
+    fn take_cut(&self, wanted: impl Fn(&Cut) -> bool) -> Option<Cut> {
         let mut found = None;
-        self.seat.state.send_if_modified(|state| {
+        self.member.state.send_if_modified(|state| {
             found = state.cut.take_if(|cut| wanted(cut));
             false
         });
         found
     }
 
-    /// Tells every watch what is new to it.
-    async fn tell(&mut self) -> Result<(), Over> {
+    /// Sends each watch the changes that it has not received yet.
+    async fn send_changes(&mut self) -> Result<(), StreamEnded> {
         let ids: Vec<i64> = self.watches.keys().copied().collect();
         for id in ids {
             loop {
-                let at = self.seat.at();
+                let at = self.member.revision();
                 let Some((create, from)) = self.watches.get(&id) else {
                     break;
                 };
-                let changes = lock(&self.seat.etcd.0.store).changes(
+                let changes = lock(&self.member.etcd.0.store).changes(
                     &create.key,
                     &create.range_end,
                     *from,
@@ -838,34 +857,39 @@
                 );
                 let changes = match changes {
                     Ok(changes) => changes,
-                    Err(kept) => {
+                    Err(compacted) => {
                         self.watches.remove(&id);
-                        let answer = WatchResponse {
+                        let response = WatchResponse {
                             canceled: true,
-                            compact_revision: kept,
-                            ..self.answer(id)
+                            compact_revision: compacted,
+                            ..self.response(id)
                         };
-                        self.say(answer).await?;
+                        self.respond(response).await?;
                         break;
                     }
                 };
-                let (old, piece) = (create.prev_kv, self.seat.state.borrow().piece);
-                let piece = if create.fragment { piece } else { usize::MAX };
-                let Some((last, _)) = changes.iter().take(MOST_REVISIONS).next_back() else {
+                let (prev_kv, fragment_size) =
+                    (create.prev_kv, self.member.state.borrow().fragment_size);
+                let fragment_size = if create.fragment {
+                    fragment_size
+                } else {
+                    usize::MAX
+                };
+                let Some((last, _)) = changes.iter().take(MAX_REVISIONS).next_back() else {
                     break;
                 };
                 let next = last + 1;
                 let events = changes
                     .into_iter()
-                    .take(MOST_REVISIONS)
+                    .take(MAX_REVISIONS)
                     .flat_map(|(_, events)| events);
                 let events: Vec<Event> = events
                     .map(|event| Event {
-                        prev_kv: event.prev_kv.clone().filter(|_| old),
+                        prev_kv: event.prev_kv.clone().filter(|_| prev_kv),
                         ..event
                     })
                     .collect();
-                self.send(id, events, piece).await?;
+                self.send(id, events, fragment_size).await?;
                 if let Some(watch) = self.watches.get_mut(&id) {
                     watch.1 = next;
                 }
@@ -874,49 +898,60 @@
         Ok(())
     }
 
-    /// Sends changes in one answer or in pieces, or as much of it as the cut that was called for lets out.
-    async fn send(&self, id: i64, events: Vec<Event>, piece: usize) -> Result<(), Over> {
-        let mut sent = self.wire.sent.subscribe();
+    /// Sends changes in one response or in fragments, up to the requested cut.
+    async fn send(
+        &self,
+        id: i64,
+        events: Vec<Event>,
+        fragment_size: usize,
+    ) -> Result<(), StreamEnded> {
+        let mut sent = self.limit.sent.subscribe();
         sent.borrow_and_update();
-        let within = self.take(|cut| *cut == Cut::Within).is_some();
+        let within = self.take_cut(|cut| *cut == Cut::Within).is_some();
         if within {
-            // The head of the frame and a little of what is in it.
-            self.wire.cut(15);
+            // The frame's header and the first bytes of its payload.
+            self.limit.close_after(15);
         }
-        let between = self.take(|cut| matches!(cut, Cut::Between(_)));
-        let pieces = events.len().div_ceil(piece.min(events.len()).max(1));
-        for (number, part) in events.chunks(piece.min(events.len()).max(1)).enumerate() {
-            let fragment = number + 1 < pieces;
-            self.say(WatchResponse {
+        let between = self.take_cut(|cut| matches!(cut, Cut::Between(_)));
+        let fragments = events
+            .len()
+            .div_ceil(fragment_size.min(events.len()).max(1));
+        for (number, chunk) in events
+            .chunks(fragment_size.min(events.len()).max(1))
+            .enumerate()
+        {
+            let fragment = number + 1 < fragments;
+            self.respond(WatchResponse {
                 fragment,
-                events: part.to_vec(),
-                ..self.answer(id)
+                events: chunk.to_vec(),
+                ..self.response(id)
             })
             .await?;
             if let Some(Cut::Between(0)) = between {
-                // What has been said goes out; what follows does not.
+                // The response sent so far goes out; what follows does not.
                 if sent.changed().await.is_ok() {
-                    self.wire.cut(0);
+                    self.limit.close_after(0);
                 }
-                return Err(Over);
+                return Err(StreamEnded);
             }
         }
-        if let Some(Cut::Between(more @ 1..)) = between {
-            self.seat.state.send_if_modified(|state| {
-                state.cut.get_or_insert(Cut::Between(more - 1));
+        if let Some(Cut::Between(remaining @ 1..)) = between {
+            self.member.state.send_if_modified(|state| {
+                state.cut.get_or_insert(Cut::Between(remaining - 1));
                 false
             });
         }
-        // Written is what has left: not what a silence holds back, nor what went down with its connection.
-        let left = tokio::select! {
-            left = sent.changed() => left.is_ok(),
-            () = self.say.closed() => false,
+        // Only bytes that left the member count as written: not those held back while it is silent
+        // or lost with the connection.
+        let written = tokio::select! {
+            changed = sent.changed() => changed.is_ok(),
+            () = self.responses.closed() => false,
         };
-        if within || !left {
-            return Err(Over);
+        if within || !written {
+            return Err(StreamEnded);
         }
-        (self.seat.etcd.0.told)(&Known::Written {
-            member: self.seat.number,
+        (self.member.etcd.0.on_known)(&Known::Written {
+            member: self.member.number,
             events,
         });
         Ok(())
--- a/crates/test-servers/src/etcd/store.rs
+++ b/crates/test-servers/src/etcd/store.rs
@@ -1,4 +1,5 @@
-//! A store with etcd v3's history: every key at every revision that is kept, compaction, leases. No I/O; time handed in.
+//! An in-memory store with etcd v3's history: every key at every kept revision, compaction and
+//! leases. It does no I/O, and the caller passes the time.
 
 use maplefall_etcd_wire::{
     compare, error, request_op, response_op, Compare, DeleteRangeRequest, DeleteRangeResponse,
@@ -8,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// Why a call is refused; etcd's own text.
+/// Why a call is rejected, in etcd's own words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused(pub &'static str);
 
@@ -16,28 +17,28 @@
 #[derive(Clone, Debug)]
 struct Lease {
     ttl: i64,
-    ends: f64,
+    expires_at: f64,
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// A key's versions by revision; `None` where it was removed.
+/// A key's versions by revision; `None` where it was deleted.
 type Versions = BTreeMap<i64, Option<KeyValue>>;
 
-/// The store.
+/// The key-value store of a cluster.
 #[derive(Clone, Debug)]
 pub struct Store {
     cluster: u64,
     revision: i64,
     compacted: i64,
     keys: BTreeMap<Vec<u8>, Versions>,
-    /// What changed at each revision that is kept.
+    /// The changes at each kept revision.
     history: BTreeMap<i64, Vec<Event>>,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
 }
 
 impl Store {
-    /// An empty store of this cluster.
+    /// Creates an empty store of the cluster with this id.
     pub fn new(cluster: u64) -> Store {
         Store {
             cluster,
@@ -50,22 +51,22 @@
         }
     }
 
-    /// The last revision.
+    /// Returns the latest revision.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// The cluster's number.
+    /// Returns the cluster id.
     pub fn cluster(&self) -> u64 {
         self.cluster
     }
 
-    /// The oldest revision that can be asked for; 0 before the first compaction.
+    /// Returns the oldest revision that can be read; 0 before the first compaction.
     pub fn compacted(&self) -> i64 {
         self.compacted
     }
 
-    /// The head of an answer of a member that is at this revision.
+    /// Returns the response header of a member that is at this revision.
     pub fn header(&self, member: u64, revision: i64) -> ResponseHeader {
         ResponseHeader {
             cluster_id: self.cluster,
@@ -75,10 +76,10 @@
         }
     }
 
-    /// Keys in a range, at the revision asked for or at `now_at`, the one that the member is at.
+    /// Returns the keys of a range at the requested revision or at `now_at`, the member's revision.
     ///
     /// # Errors
-    /// If that revision is compacted or yet to come.
+    /// If the key is empty, or the revision is compacted or in the future.
     pub fn range(&self, request: &RangeRequest, now_at: i64) -> Result<RangeResponse, Refused> {
         if request.key.is_empty() {
             return Err(Refused(error::EMPTY_KEY));
@@ -96,11 +97,11 @@
         }
         let mut kvs: Vec<KeyValue> = Vec::new();
         let (mut count, mut more) = (0, false);
-        let wanted: Box<dyn Iterator<Item = (&Vec<u8>, &Versions)>> = match request.sort_order {
+        let range: Box<dyn Iterator<Item = (&Vec<u8>, &Versions)>> = match request.sort_order {
             2 => Box::new(self.within(&request.key, &request.range_end).rev()),
             _ => Box::new(self.within(&request.key, &request.range_end)),
         };
-        for (_, versions) in wanted {
+        for (_, versions) in range {
             let Some((_, Some(kv))) = versions.range(..=at).next_back() else {
                 continue;
             };
@@ -133,20 +134,20 @@
         let to = match end {
             [] => Bound::Excluded([key, &[0]].concat()),
             [0] => Bound::Unbounded,
-            // A range that ends before it begins is empty.
+            // A range that ends before it starts is empty.
             end => Bound::Excluded(end.max(key).to_vec()),
         };
         self.keys.range((Bound::Included(key.to_vec()), to))
     }
 
-    fn now(&self, key: &[u8]) -> Option<&KeyValue> {
+    fn current(&self, key: &[u8]) -> Option<&KeyValue> {
         self.keys.get(key)?.values().next_back()?.as_ref()
     }
 
-    /// Writes a key, at a revision of its own.
+    /// Writes a key at a new revision.
     ///
     /// # Errors
-    /// If there is no such lease.
+    /// If the key is empty or the lease does not exist.
     pub fn put(&mut self, request: &PutRequest) -> Result<PutResponse, Refused> {
         let step = RequestOp {
             request: Some(request_op::Request::Put(request.clone())),
@@ -161,10 +162,10 @@
         }
     }
 
-    /// Removes keys, at one revision; at none if there are none.
+    /// Deletes the keys of a range at one new revision; without keys, the revision stays.
     ///
     /// # Errors
-    /// None; for symmetry with the other calls.
+    /// If the key is empty.
     pub fn delete(&mut self, request: &DeleteRangeRequest) -> Result<DeleteRangeResponse, Refused> {
         let step = RequestOp {
             request: Some(request_op::Request::DeleteRange(request.clone())),
@@ -179,10 +180,10 @@
         }
     }
 
-    /// A transaction: all of its changes at one revision.
+    /// Runs a transaction, with all of its changes at one revision.
     ///
     /// # Errors
-    /// As its steps; then nothing has been changed.
+    /// The error of an operation; nothing is changed then.
     pub fn txn(&mut self, request: &TxnRequest, now_at: i64) -> Result<TxnResponse, Refused> {
         let succeeded = request.compare.iter().all(|compare| self.holds(compare));
         let steps = if succeeded {
@@ -200,13 +201,13 @@
 
     fn holds(&self, compare: &Compare) -> bool {
         let none = KeyValue::default();
-        let kv = self.now(&compare.key);
+        let kv = self.current(&compare.key);
         let order = match &compare.union {
             Some(compare::Union::Version(other)) => kv.unwrap_or(&none).version.cmp(other),
             Some(compare::Union::Create(other)) => kv.unwrap_or(&none).create_revision.cmp(other),
             Some(compare::Union::Mod(other)) => kv.unwrap_or(&none).mod_revision.cmp(other),
             Some(compare::Union::Lease(other)) => kv.unwrap_or(&none).lease.cmp(other),
-            // A key that is not there has no value to compare.
+            // A missing key has no value to compare.
             Some(compare::Union::Value(other)) => match kv {
                 Some(kv) => kv.value.cmp(other),
                 None => return false,
@@ -222,7 +223,7 @@
     }
 
     fn apply(&mut self, steps: &[RequestOp], now_at: i64) -> Result<Vec<ResponseOp>, Refused> {
-        // Looked at before anything is changed, so that a refused transaction changes nothing.
+        // All operations are checked first, so that a rejected transaction changes nothing.
         let mut written = BTreeSet::new();
         for step in steps {
             match &step.request {
@@ -246,7 +247,7 @@
                 _ => {}
             }
         }
-        // A key is written or removed in one transaction, not both.
+        // A transaction can't both write and delete a key.
         let removes = steps.iter().filter_map(|step| match &step.request {
             Some(request_op::Request::DeleteRange(delete)) => Some(delete),
             _ => None,
@@ -268,7 +269,7 @@
                     response_op::Response::Range(self.range(range, now_at)?)
                 }
                 Some(request_op::Request::Put(put)) => {
-                    let prev = self.now(&put.key).cloned();
+                    let prev = self.current(&put.key).cloned();
                     let kv = KeyValue {
                         key: put.key.clone(),
                         create_revision: prev
@@ -303,15 +304,19 @@
                     })
                 }
                 Some(request_op::Request::DeleteRange(delete)) => {
-                    let there = self.within(&delete.key, &delete.range_end);
-                    let there =
-                        there.filter_map(|(_, versions)| versions.values().next_back()?.clone());
-                    let there: Vec<KeyValue> = there.collect();
-                    for kv in &there {
+                    let deleted_kvs = self.within(&delete.key, &delete.range_end);
+                    let deleted_kvs = deleted_kvs
+                        .filter_map(|(_, versions)| versions.values().next_back()?.clone());
+                    let deleted_kvs: Vec<KeyValue> = deleted_kvs.collect();
+                    for kv in &deleted_kvs {
                         events.push(self.remove(&kv.key, revision));
                     }
-                    let deleted = there.len() as i64;
-                    let prev_kvs = if delete.prev_kv { there } else { Vec::new() };
+                    let deleted = deleted_kvs.len() as i64;
+                    let prev_kvs = if delete.prev_kv {
+                        deleted_kvs
+                    } else {
+                        Vec::new()
+                    };
                     response_op::Response::DeleteRange(DeleteRangeResponse {
                         header: None,
                         deleted,
@@ -329,7 +334,7 @@
     }
 
     fn remove(&mut self, key: &[u8], revision: i64) -> Event {
-        let prev = self.now(key).cloned();
+        let prev = self.current(key).cloned();
         if let Some(lease) = prev
             .as_ref()
             .and_then(|prev| self.leases.get_mut(&prev.lease))
@@ -359,10 +364,10 @@
         }
     }
 
-    /// Drops what is older than a revision; what is current at it stays.
+    /// Drops versions older than `revision`, except those that are current at it.
     ///
     /// # Errors
-    /// If it is dropped already, or yet to come.
+    /// If the revision is compacted already or in the future.
     pub fn compact(&mut self, revision: i64) -> Result<(), Refused> {
         if revision <= self.compacted {
             return Err(Refused(error::COMPACTED));
@@ -377,17 +382,19 @@
                 .range(..=revision)
                 .next_back()
                 .map(|(at, kv)| (*at, kv.is_some()));
-            // What was removed by then leaves nothing, but for the removal at the revision itself, which a watch may ask for.
+            // Of a key deleted by then nothing is kept. A deletion at the revision itself stays in
+            // the history, which a watch can start from.
             versions.retain(|at, _| *at > revision || current == Some((*at, true)));
             !versions.is_empty()
         });
         Ok(())
     }
 
-    /// Changes of keys in a range from a revision on, up to the one that the member is at: one list for each revision.
+    /// Returns the changes in a range from revision `from` to `now_at`, the member's revision,
+    /// grouped by revision.
     ///
     /// # Errors
-    /// The oldest revision that is kept, if the one asked for is older.
+    /// The oldest kept revision, if `from` is older.
     pub fn changes(
         &self,
         key: &[u8],
@@ -403,13 +410,13 @@
             return Ok(found);
         }
         for (revision, events) in self.history.range(from..=now_at) {
-            let of = |event: &&Event| {
+            let in_range = |event: &&Event| {
                 event
                     .kv
                     .as_ref()
                     .is_some_and(|kv| covers(key, end, &kv.key))
             };
-            let events: Vec<Event> = events.iter().filter(of).cloned().collect();
+            let events: Vec<Event> = events.iter().filter(in_range).cloned().collect();
             if !events.is_empty() {
                 found.push((*revision, events));
             }
@@ -417,10 +424,11 @@
         Ok(found)
     }
 
-    /// Begins a lease of so many seconds, under this number or one of the store's choice; tells the number.
+    /// Grants a lease of `ttl` seconds with this id, or with an id chosen by the store if it is 0;
+    /// returns the id.
     ///
     /// # Errors
-    /// If there is one of that number.
+    /// If the id is in use.
     pub fn grant(&mut self, now_ms: f64, ttl: i64, id: i64) -> Result<i64, Refused> {
         if self.leases.contains_key(&id) {
             return Err(Refused(error::LEASE_EXISTS));
@@ -431,32 +439,32 @@
             id,
             Lease {
                 ttl,
-                ends: now_ms + ttl as f64 * 1000.0,
+                expires_at: now_ms + ttl as f64 * 1000.0,
                 keys: BTreeSet::new(),
             },
         );
         Ok(id)
     }
 
-    /// Renews a lease; tells its seconds, or 0 if there is none.
+    /// Renews a lease; returns its TTL in seconds, or 0 if it does not exist.
     pub fn keep_alive(&mut self, now_ms: f64, id: i64) -> i64 {
         self.leases.get_mut(&id).map_or(0, |lease| {
-            lease.ends = now_ms + lease.ttl as f64 * 1000.0;
+            lease.expires_at = now_ms + lease.ttl as f64 * 1000.0;
             lease.ttl
         })
     }
 
-    /// Seconds that a lease has left, or -1.
+    /// Returns the remaining seconds of a lease, or -1 if it does not exist.
     pub fn time_to_live(&self, now_ms: f64, id: i64) -> i64 {
         self.leases.get(&id).map_or(-1, |lease| {
-            ((lease.ends - now_ms) / 1000.0).ceil().max(0.0) as i64
+            ((lease.expires_at - now_ms) / 1000.0).ceil().max(0.0) as i64
         })
     }
 
-    /// Ends a lease and removes its keys, at one revision.
+    /// Revokes a lease and deletes its keys at one revision.
     ///
     /// # Errors
-    /// If there is none.
+    /// If the lease does not exist.
     pub fn revoke(&mut self, id: i64) -> Result<(), Refused> {
         let lease = self.leases.remove(&id).ok_or(Refused(error::NO_LEASE))?;
         let revision = self.revision + 1;
@@ -469,15 +477,22 @@
         Ok(())
     }
 
-    /// Ends the leases that have run out; whether there were any.
+    /// Revokes the expired leases; returns whether there were any.
     pub fn expire(&mut self, now_ms: f64) -> bool {
-        let over = self.leases.iter().filter(|(_, lease)| lease.ends <= now_ms);
-        let over: Vec<i64> = over.map(|(id, _)| *id).collect();
-        over.iter().filter(|id| self.revoke(**id).is_ok()).count() > 0
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now_ms);
+        let expired: Vec<i64> = expired.map(|(id, _)| *id).collect();
+        expired
+            .iter()
+            .filter(|id| self.revoke(**id).is_ok())
+            .count()
+            > 0
     }
 }
 
-/// Whether a range covers a key.
+/// Returns whether the range from `key` to `end` covers `other`.
 pub fn covers(key: &[u8], end: &[u8], other: &[u8]) -> bool {
     match end {
         [] => other == key,
@@ -521,7 +536,7 @@
     }
 
     #[test]
-    fn every_kept_revision_can_be_read_and_watched_and_no_other() {
+    fn only_kept_revisions_can_be_read_and_watched() {
         let mut store = Store::new(7);
         let a = put(&mut store, "/a", "1", 0);
         let b = put(&mut store, "/b", "1", 0);
@@ -564,7 +579,7 @@
     }
 
     #[test]
-    fn a_transaction_is_one_revision_and_a_refused_one_is_none() {
+    fn a_transaction_makes_one_revision_and_a_rejected_one_none() {
         let mut store = Store::new(7);
         let before = put(&mut store, "/a", "1", 0);
         let step = |key: &str, lease| RequestOp {
@@ -595,11 +610,11 @@
         );
         assert!(
             !store.txn(&txn, before + 1).unwrap().succeeded,
-            "the value is another now"
+            "the compared value has changed"
         );
         txn.failure = vec![step("/d", 0), step("/e", 5)];
         assert_eq!(store.txn(&txn, before + 1), Err(Refused(error::NO_LEASE)));
-        // By etcd's rules a key is touched once in a transaction.
+        // By etcd's rules a transaction changes each key at most once.
         let delete = |key: &str, end: &str| RequestOp {
             request: Some(request_op::Request::DeleteRange(DeleteRangeRequest {
                 key: key.into(),
@@ -647,7 +662,7 @@
     }
 
     #[test]
-    fn a_lease_takes_its_keys_with_it_at_one_revision() {
+    fn an_expired_lease_deletes_its_keys_at_one_revision() {
         let mut store = Store::new(7);
         let lease = store.grant(0.0, 2, 0).unwrap();
         assert_eq!(
@@ -676,10 +691,10 @@
     }
 
     #[test]
-    fn ranges_that_end_before_they_begin_are_empty() {
+    fn ranges_that_end_before_they_start_are_empty() {
         let mut store = Store::new(7);
         put(&mut store, "/a", "1", 0);
-        let ask = |key: &[u8], end: &[u8]| {
+        let count = |key: &[u8], end: &[u8]| {
             let range = RangeRequest {
                 key: key.to_vec(),
                 range_end: end.to_vec(),
@@ -689,10 +704,10 @@
         };
         assert_eq!(
             (
-                ask(b"/z", b"/a"),
-                ask(b"/a", b"/a"),
-                ask(b"/a", b""),
-                ask(&[0], &[0])
+                count(b"/z", b"/a"),
+                count(b"/a", b"/a"),
+                count(b"/a", b""),
+                count(&[0], &[0])
             ),
             (0, 0, 1, 1)
         );
