--- a/crates/test-servers/src/grpc.rs
+++ b/crates/test-servers/src/grpc.rs
@@ -1,6 +1,6 @@
-//! A played gRPC service and a played client of one, over HTTP/2 without TLS. What they write is by gRPC's published
-//! `PROTOCOL-HTTP2.md`, stream by stream, and where it is called for against it: an HTTP/2 library carries the frames, no gRPC
-//! library stands in the way of what is wrong.
+//! A fake gRPC service and a fake client, over HTTP/2 without TLS. They follow gRPC's published
+//! `PROTOCOL-HTTP2.md` and violate it where a test demands that; so they use an HTTP/2 library but
+//! no gRPC library, which would prevent the violations.
 
 use crate::draw;
 use bytes::{Buf, Bytes, BytesMut};
@@ -15,78 +15,78 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Calls that the log holds at most; beyond them nothing is noted.
-const MOST_LOGGED: usize = 200_000;
+/// Maximum number of call ids in the log; further calls are not logged.
+const MAX_LOGGED: usize = 200_000;
 
-/// A way to fail at a call.
+/// A way in which a call fails. Where nothing else is said, the call runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It runs, and the answer is this status alone.
+    /// The response is only this status.
     Status(u8),
-    /// It does not run: this status alone, with `not-started: 1`.
+    /// The call does not run; the response is only this status, with `not-started: 1`.
     NotStarted(u8),
-    /// The stream is refused unread: it does not run.
+    /// The call does not run; the stream is reset with `REFUSED_STREAM`.
     Refused,
-    /// It runs, and the stream is reset with this error in the answer's place.
+    /// The stream is reset with this error instead of a response.
     ResetUnanswered(u32),
-    /// It runs; a head, half of a message, and a reset with this error.
+    /// The response is a head and half of a message, then a reset with this error.
     ResetWithin(u32),
-    /// It runs; half of a message, and trailers that say `OK`.
+    /// The response is half of a message and trailers with `OK`.
     TruncatedMessage,
-    /// It runs; a whole message, and the stream ends without trailers.
+    /// The response is a message, and the stream ends without trailers.
     NoStatus,
-    /// It runs; `OK` without a message.
+    /// The response is `OK` without a message.
     NoMessage,
-    /// It runs; the trailers come so much later than the message.
+    /// The trailers follow the message after this delay.
     LateTrailers(Duration),
-    /// It runs; the head comes so much later.
+    /// The response head is sent after this delay.
     LateHead(Duration),
-    /// It runs, and nothing is ever said.
+    /// No response is sent.
     NoResponse,
-    /// It runs, and the connection is closed instead of an answer.
+    /// The connection is closed instead of a response.
     Drop,
-    /// It runs, and the answer is a page of this HTTP status.
+    /// The response is an HTML page with this HTTP status.
     Page(u16),
-    /// It runs; of a stream's answer so many messages come, then a reset with `CANCEL`.
+    /// The response is this many messages, then a reset with `CANCEL`.
     ResetAfterMessages(usize),
 }
 
-/// A call as it came.
+/// A call that was received.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// When its head came.
+    /// When its head arrived.
     pub at: Instant,
-    /// Its path.
+    /// The path.
     pub path: String,
-    /// Its metadata.
+    /// The metadata.
     pub headers: HeaderMap,
-    /// Its messages' bytes, without their prefixes.
+    /// The messages' bytes, without the length prefixes.
     pub messages: Vec<Vec<u8>>,
-    /// Whether it ran.
+    /// Whether the call ran.
     pub ran: bool,
 }
 
 impl Seen {
-    /// A piece of metadata, as text.
+    /// Returns a metadata value as text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
-/// A played service. It sends back what it is sent; a method whose name begins with `Watch` answers one message with three,
-/// one with `Upload` many with one, one with `Report` each of many with one.
+/// A fake echo service. A method whose name begins with `Watch` responds to one message with three,
+/// `Upload` to many with one, `Report` to each of many with one.
 pub struct Service {
     fault: RefCell<Vec<(Fault, f64)>>,
     log: RefCell<BTreeMap<String, Vec<Seen>>>,
     seed: u64,
     drawn: Cell<u64>,
-    /// How long a call takes.
+    /// Processing time of a call.
     work: Cell<Duration>,
     streams: Cell<u32>,
 }
 
 impl Service {
-    /// A service that fails at nothing.
+    /// Creates a service without faults.
     pub fn new(seed: u64) -> Rc<Service> {
         Rc::new(Service {
             fault: RefCell::default(),
@@ -98,32 +98,32 @@
         })
     }
 
-    /// Strikes these parts of the calls from now on.
+    /// Sets the faults from now on, each with the fraction of calls that it affects.
     pub fn faults(&self, faults: &[(Fault, f64)]) {
         *self.fault.borrow_mut() = faults.to_vec();
     }
 
-    /// Takes so long for each call from now on.
+    /// Sets the processing time of a call from now on.
     pub fn work(&self, work: Duration) {
         self.work.set(work);
     }
 
-    /// Takes so many calls on one connection at most, for connections to come.
+    /// Sets the maximum number of concurrent calls on one connection, for new connections.
     pub fn streams(&self, streams: u32) {
         self.streams.set(streams);
     }
 
-    /// The attempts of a call, in their order.
+    /// Returns the attempts of a call, in order of arrival.
     pub fn attempts(&self, id: &str) -> Vec<Seen> {
         self.log.borrow().get(id).cloned().unwrap_or_default()
     }
 
-    /// How many calls came, each attempt.
+    /// Returns the number of logged calls, counting each attempt.
     pub fn seen(&self) -> usize {
         self.log.borrow().values().map(Vec::len).sum()
     }
 
-    /// When the last call began here.
+    /// Returns when the last logged call arrived.
     pub fn last(&self) -> Option<Instant> {
         self.log
             .borrow()
@@ -133,77 +133,77 @@
             .max()
     }
 
-    /// Serves here for as long as it is polled.
+    /// Serves connections of `listener` for as long as the future is polled.
     ///
     /// # Errors
-    /// What the system says of the listener.
+    /// The operating system's error if the listener can't be used.
     pub async fn serve(self: Rc<Self>, listener: StdListener) -> std::io::Result<()> {
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
         loop {
             let (stream, _) = listener.accept().await?;
-            tokio::task::spawn_local(self.clone().talk(stream));
+            tokio::task::spawn_local(self.clone().serve_connection(stream));
         }
     }
 
-    async fn talk(self: Rc<Self>, stream: TcpStream) {
-        // Without it answers are late, not wrong.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        // If this fails, responses are delayed but still correct.
         let _ = stream.set_nodelay(true);
         let mut builder = h2::server::Builder::new();
         builder.max_concurrent_streams(self.streams.get());
         let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else {
             return;
         };
-        let cut = Rc::new(Notify::new());
+        let close = Rc::new(Notify::new());
         loop {
             tokio::select! {
                 call = connection.accept() => {
                     let Some(Ok((request, respond))) = call else { return };
-                    let (service, cut) = (self.clone(), cut.clone());
+                    let (service, close) = (self.clone(), close.clone());
                     tokio::task::spawn_local(async move {
-                        // Whoever has gone hears no answer.
-                        let _ = service.answer(request, respond, &cut).await;
+                        // The peer may have gone already.
+                        let _ = service.respond(request, respond, &close).await;
                     });
                 }
-                () = cut.notified() => return,
+                () = close.notified() => return,
             }
         }
     }
 
-    fn strikes(&self) -> Option<Fault> {
+    fn next_fault(&self) -> Option<Fault> {
         self.drawn.set(self.drawn.get() + 1);
-        let mut lot = draw(self.seed, self.drawn.get(), 1);
-        for (fault, part) in self.fault.borrow().iter() {
-            if lot < *part {
+        let mut sample = draw(self.seed, self.drawn.get(), 1);
+        for (fault, share) in self.fault.borrow().iter() {
+            if sample < *share {
                 return Some(*fault);
             }
-            lot -= part;
+            sample -= share;
         }
         None
     }
 
-    fn note(&self, id: &str, seen: Seen) -> Option<usize> {
+    fn log_call(&self, id: &str, call: Seen) -> Option<usize> {
         let mut log = self.log.borrow_mut();
-        if log.len() >= MOST_LOGGED {
+        if log.len() >= MAX_LOGGED {
             return None;
         }
         let attempts = log.entry(id.to_owned()).or_default();
-        attempts.push(seen);
+        attempts.push(call);
         Some(attempts.len() - 1)
     }
 
-    fn update(&self, id: &str, place: Option<usize>, change: impl FnOnce(&mut Seen)) {
+    fn update(&self, id: &str, index: Option<usize>, change: impl FnOnce(&mut Seen)) {
         let mut log = self.log.borrow_mut();
-        if let Some(seen) = place.and_then(|at| log.get_mut(id)?.get_mut(at)) {
+        if let Some(seen) = index.and_then(|at| log.get_mut(id)?.get_mut(at)) {
             change(seen);
         }
     }
 
-    async fn answer(
+    async fn respond(
         &self,
         request: Request<RecvStream>,
         mut respond: SendResponse<Bytes>,
-        cut: &Notify,
+        close: &Notify,
     ) -> Result<(), h2::Error> {
         let (head, body) = request.into_parts();
         let id = head
@@ -213,7 +213,7 @@
             .unwrap_or_default()
             .to_owned();
         let path = head.uri.path().to_owned();
-        let fault = self.strikes();
+        let fault = self.next_fault();
         let seen = Seen {
             at: Instant::now(),
             path: path.clone(),
@@ -221,7 +221,7 @@
             messages: Vec::new(),
             ran: false,
         };
-        let place = self.note(&id, seen);
+        let index = self.log_call(&id, seen);
         match fault {
             Some(Fault::Refused) => {
                 respond.send_reset(Reason::REFUSED_STREAM);
@@ -230,7 +230,7 @@
             Some(Fault::NotStarted(code)) => {
                 let mut trailers = status(code);
                 trailers.insert("not-started", HeaderValue::from_static("1"));
-                respond.send_response(bare(trailers), true)?;
+                respond.send_response(trailers_only(trailers), true)?;
                 return Ok(());
             }
             _ => {}
@@ -238,15 +238,15 @@
         let method = path.rsplit('/').next().unwrap_or_default();
         let mut messages = Messages::new(body);
         if method.starts_with("Report") {
-            // A stream's handler runs from its first message on.
+            // The handler of a bidirectional stream runs from the first message on.
             let mut stream = None;
             while let Some(message) = messages.next().await? {
-                self.update(&id, place, |seen| {
+                self.update(&id, index, |seen| {
                     seen.ran = true;
                     seen.messages.push(message.to_vec());
                 });
                 if stream.is_none() {
-                    stream = Some(respond.send_response(answer_head(), false)?);
+                    stream = Some(respond.send_response(response_head(), false)?);
                 }
                 if let Some(stream) = &mut stream {
                     send(stream, framed(&message)).await?;
@@ -254,23 +254,25 @@
             }
             let mut stream = match stream {
                 Some(stream) => stream,
-                None => respond.send_response(answer_head(), false)?,
+                None => respond.send_response(response_head(), false)?,
             };
-            return self.end(&mut stream, fault).await;
+            return self.finish(&mut stream, fault).await;
         }
-        let mut whole = Vec::new();
+        let mut received = Vec::new();
         while let Some(message) = messages.next().await? {
-            whole.push(message.to_vec());
+            received.push(message.to_vec());
         }
-        let last = whole.last().cloned().unwrap_or_default();
-        self.update(&id, place, |seen| (seen.ran, seen.messages) = (true, whole));
+        let last = received.last().cloned().unwrap_or_default();
+        self.update(&id, index, |seen| {
+            (seen.ran, seen.messages) = (true, received)
+        });
         tokio::time::sleep(self.work.get()).await;
         let message = framed(&last);
         let half = message.slice(..message.len() / 2);
         let count = if method.starts_with("Watch") { 3 } else { 1 };
         match fault {
             Some(Fault::Status(code)) => {
-                respond.send_response(bare(status(code)), true)?;
+                respond.send_response(trailers_only(status(code)), true)?;
                 return Ok(());
             }
             Some(Fault::ResetUnanswered(error)) => {
@@ -278,13 +280,13 @@
                 return Ok(());
             }
             Some(Fault::NoResponse) => {
-                // The stream stays open for as long as the other end wants it.
+                // The stream stays open until the peer resets it.
                 let _ = std::future::poll_fn(|cx| respond.poll_reset(cx)).await;
                 return Ok(());
             }
             Some(Fault::Drop) => {
-                cut.notify_one();
-                // Given up here the stream would be reset first.
+                close.notify_one();
+                // Returning would drop the stream and reset it before the connection is closed.
                 std::future::pending::<()>().await;
                 return Ok(());
             }
@@ -301,11 +303,11 @@
             Some(Fault::LateHead(late)) => tokio::time::sleep(late).await,
             _ => {}
         }
-        let mut stream = respond.send_response(answer_head(), false)?;
+        let mut stream = respond.send_response(response_head(), false)?;
         match fault {
             Some(Fault::ResetWithin(error)) => {
                 stream.send_data(half, false)?;
-                // What is reset at once may never be written.
+                // Data sent immediately before a reset may never be written.
                 tokio::time::sleep(Duration::from_millis(2)).await;
                 stream.send_reset(Reason::from(error));
                 return Ok(());
@@ -329,10 +331,10 @@
         for _ in 0..count {
             send(&mut stream, message.clone()).await?;
         }
-        self.end(&mut stream, fault).await
+        self.finish(&mut stream, fault).await
     }
 
-    async fn end(
+    async fn finish(
         &self,
         stream: &mut SendStream<Bytes>,
         fault: Option<Fault>,
@@ -344,7 +346,7 @@
     }
 }
 
-fn answer_head() -> Response<()> {
+fn response_head() -> Response<()> {
     let mut response = Response::new(());
     response
         .headers_mut()
@@ -363,14 +365,14 @@
     trailers
 }
 
-/// A head that is the whole answer.
-fn bare(trailers: HeaderMap) -> Response<()> {
-    let mut response = answer_head();
+/// Returns a trailers-only response.
+fn trailers_only(trailers: HeaderMap) -> Response<()> {
+    let mut response = response_head();
     response.headers_mut().extend(trailers);
     response
 }
 
-/// A message with its prefix.
+/// Returns a message with its length prefix.
 pub fn framed(message: &[u8]) -> Bytes {
     let mut framed = vec![0];
     framed.extend((message.len() as u32).to_be_bytes());
@@ -378,80 +380,84 @@
     Bytes::from(framed)
 }
 
-/// Sends all of this as the other end takes it.
+/// Sends all data, within the peer's flow-control window.
 async fn send(stream: &mut SendStream<Bytes>, mut data: Bytes) -> Result<(), h2::Error> {
     while !data.is_empty() {
         stream.reserve_capacity(data.len());
-        let room = match stream.capacity() {
+        let capacity = match stream.capacity() {
             0 => match std::future::poll_fn(|cx| stream.poll_capacity(cx)).await {
-                Some(room) => room?,
+                Some(capacity) => capacity?,
                 None => return Ok(()),
             },
-            room => room,
+            capacity => capacity,
         };
-        stream.send_data(data.split_to(room.min(data.len())), false)?;
+        stream.send_data(data.split_to(capacity.min(data.len())), false)?;
     }
     Ok(())
 }
 
-/// Messages taken from a stream.
+/// Decodes the messages of a stream.
 struct Messages {
     body: RecvStream,
-    read: BytesMut,
+    buffer: BytesMut,
 }
 
 impl Messages {
     fn new(body: RecvStream) -> Messages {
         Messages {
             body,
-            read: BytesMut::new(),
+            buffer: BytesMut::new(),
         }
     }
 
-    /// The next whole message; `None` at the end, with what is cut left in `read`.
+    /// Returns the next complete message; `None` at the end, with the bytes of a truncated message
+    /// left in `buffer`.
     async fn next(&mut self) -> Result<Option<Bytes>, h2::Error> {
         loop {
-            if self.read.len() >= 5 {
-                let length =
-                    u32::from_be_bytes([self.read[1], self.read[2], self.read[3], self.read[4]])
-                        as usize;
-                if self.read.len() >= 5 + length {
-                    self.read.advance(5);
-                    return Ok(Some(self.read.split_to(length).freeze()));
+            if self.buffer.len() >= 5 {
+                let length = u32::from_be_bytes([
+                    self.buffer[1],
+                    self.buffer[2],
+                    self.buffer[3],
+                    self.buffer[4],
+                ]) as usize;
+                if self.buffer.len() >= 5 + length {
+                    self.buffer.advance(5);
+                    return Ok(Some(self.buffer.split_to(length).freeze()));
                 }
             }
             let Some(data) = self.body.data().await else {
                 return Ok(None);
             };
             let data = data?;
-            self.read.extend_from_slice(&data);
-            // Where the stream is over there is no window to open.
+            self.buffer.extend_from_slice(&data);
+            // If the stream has ended, there is no window to extend.
             let _ = self.body.flow_control().release_capacity(data.len());
         }
     }
 }
 
-/// What a client saw of a call.
+/// What a client received for a call.
 #[derive(Clone, Debug, Default)]
 pub struct Final {
-    /// The HTTP status; 0 if no head came.
+    /// The HTTP status; 0 if no head was received.
     pub http: u16,
-    /// The head.
+    /// The headers of the response.
     pub head: HeaderMap,
-    /// Whole messages.
+    /// The complete messages.
     pub messages: Vec<Vec<u8>>,
-    /// Bytes of a message that was cut.
+    /// Number of bytes of a truncated message.
     pub truncated_bytes: usize,
-    /// The trailers, or the head again where it was all.
+    /// The trailers, or the headers again for a trailers-only response.
     pub trailers: HeaderMap,
-    /// The error that the stream was reset with, if it was.
+    /// The error of the reset if the stream was reset; `u32::MAX` for an error without a reason.
     pub reset: Option<u32>,
-    /// How long it took from the call's head to its end.
+    /// Time from the start of the call to its end.
     pub took: Duration,
 }
 
 impl Final {
-    /// The status; `None` if none came.
+    /// Returns the gRPC status, if one was received.
     pub fn code(&self) -> Option<u8> {
         self.trailers
             .get("grpc-status")?
@@ -461,7 +467,7 @@
             .ok()
     }
 
-    /// A trailer, as text.
+    /// Returns a trailer as text.
     pub fn trailer(&self, name: &str) -> Option<&str> {
         self.trailers
             .get(name)
@@ -474,14 +480,14 @@
 pub struct Call {
     /// `/package.Service/Method`.
     pub path: String,
-    /// Metadata.
+    /// The metadata.
     pub headers: Vec<(String, String)>,
-    /// What is sent, each a message.
+    /// The messages to send.
     pub messages: Vec<Vec<u8>>,
 }
 
 impl Call {
-    /// A call with the platform's metadata.
+    /// Creates a call with the platform's metadata and the id as its only message.
     pub fn new(id: &str, path: &str, plan: &str, timeout: &str) -> Call {
         let headers = [
             ("request-id", id),
@@ -501,7 +507,7 @@
         }
     }
 
-    /// With one more piece of metadata.
+    /// Sets a metadata value, replacing an earlier one.
     pub fn with(mut self, name: &str, value: &str) -> Call {
         self.headers.retain(|(known, _)| known != name);
         self.headers.push((name.to_owned(), value.to_owned()));
@@ -514,18 +520,18 @@
 pub struct Client(h2::client::SendRequest<Bytes>);
 
 impl Client {
-    /// Connects.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// If no connection comes up.
+    /// If the connection can't be established.
     pub async fn open(to: SocketAddr) -> Result<Client, String> {
         Client::open_with(to, h2::client::Builder::new()).await
     }
 
-    /// Connects, with a window of so many bytes for each answer.
+    /// Opens a connection with this flow-control window, in bytes, for each response.
     ///
     /// # Errors
-    /// If no connection comes up.
+    /// If the connection can't be established.
     pub async fn open_with_window(to: SocketAddr, window: u32) -> Result<Client, String> {
         let mut builder = h2::client::Builder::new();
         builder.initial_window_size(window);
@@ -536,46 +542,46 @@
         let stream = TcpStream::connect(to)
             .await
             .map_err(|error| error.to_string())?;
-        // Without it calls are late, not wrong.
+        // If this fails, calls are delayed but still correct.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = builder
             .handshake(stream)
             .await
             .map_err(|error| error.to_string())?;
         tokio::task::spawn_local(async move {
-            // Whatever ends it, its calls are told.
+            // An error of the connection is also reported to its calls.
             let _ = connection.await;
         });
         Ok(Client(sender))
     }
 
-    /// Makes a call: sends all, then reads all.
+    /// Makes a call: sends all messages, then reads the whole response.
     pub async fn call(&self, call: &Call) -> Final {
         let began = Instant::now();
         let mut seen = Final::default();
-        if let Err(error) = self.carry(call, &mut seen).await {
+        if let Err(error) = self.exchange(call, &mut seen).await {
             seen.reset = Some(error.reason().map_or(u32::MAX, u32::from));
         }
         seen.took = began.elapsed();
         seen
     }
 
-    async fn carry(&self, call: &Call, seen: &mut Final) -> Result<(), h2::Error> {
-        let (answer, mut stream) = self.begin(call).await?;
+    async fn exchange(&self, call: &Call, seen: &mut Final) -> Result<(), h2::Error> {
+        let (response, mut stream) = self.begin(call).await?;
         for message in &call.messages {
-            // Who answers early may not take all of it.
+            // A service that responds early may not read all messages.
             if send(&mut stream, framed(message)).await.is_err() {
                 break;
             }
         }
         let _ = stream.send_data(Bytes::new(), true);
-        read(answer, seen).await
+        read(response, seen).await
     }
 
-    /// Sends a call's head alone.
+    /// Starts a call by sending only its head.
     ///
     /// # Errors
-    /// If the connection is over.
+    /// If the connection has ended.
     pub async fn begin(
         &self,
         call: &Call,
@@ -596,13 +602,13 @@
     }
 }
 
-/// Reads an answer to its end.
+/// Reads a response to its end.
 ///
 /// # Errors
-/// If the stream is reset or the connection breaks; what came before is in `seen`.
-pub async fn read(answer: h2::client::ResponseFuture, seen: &mut Final) -> Result<(), h2::Error> {
-    let answer = answer.await?;
-    let (head, body) = answer.into_parts();
+/// If the stream is reset or the connection breaks; `seen` holds what was received before.
+pub async fn read(response: h2::client::ResponseFuture, seen: &mut Final) -> Result<(), h2::Error> {
+    let response = response.await?;
+    let (head, body) = response.into_parts();
     (seen.http, seen.head) = (head.status.as_u16(), head.headers.clone());
     if body.is_end_stream() {
         seen.trailers = head.headers;
@@ -611,7 +617,7 @@
     let mut messages = Messages::new(body);
     loop {
         let next = messages.next().await;
-        seen.truncated_bytes = messages.read.len();
+        seen.truncated_bytes = messages.buffer.len();
         match next? {
             Some(message) => seen.messages.push(message.to_vec()),
             None => break,
--- a/crates/test-servers/src/relay.rs
+++ b/crates/test-servers/src/relay.rs
@@ -1,5 +1,5 @@
-//! A played network for datagrams: everything that goes to a door goes through a socket of the relay's, and is lost, doubled,
-//! held back or cut off by a script that can change while it runs.
+//! A fake network for datagrams: each datagram to a gateway passes through a socket of the relay,
+//! which can lose, duplicate, delay or block it. The conditions can change while the relay runs.
 
 use crate::draw;
 use std::cmp::Reverse;
@@ -11,109 +11,122 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Datagrams that are held back at most; more are lost.
-const MOST_HELD: usize = 8192;
-/// Bytes of a datagram that are passed on at most.
-const MOST_BYTES: usize = 2048;
+/// Maximum number of delayed datagrams; further ones are dropped.
+const MAX_DELAYED: usize = 8192;
+/// Maximum number of bytes of a datagram that are forwarded.
+const MAX_BYTES: usize = 2048;
 
-/// What happens to datagrams.
+/// How datagrams are treated.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkConditions {
-    /// Part of them that is lost.
+    /// Fraction of the datagrams that is lost.
     pub loss: f64,
-    /// Part of the others that comes twice.
+    /// Fraction of the other datagrams that is delivered twice.
     pub duplicated: f64,
-    /// Least and most time that each is held back, in milliseconds.
+    /// Minimum and maximum delay of a datagram, in milliseconds.
     pub delay_ms: (f64, f64),
-    /// Pairs of doors, from and to, between which nothing passes. Who sends is known by its address.
+    /// Pairs of gateways (sender, receiver) between which every datagram is dropped. The sender is
+    /// identified by its address.
     pub partitions: BTreeSet<(usize, usize)>,
 }
 
-/// What the relay has done.
+/// Counters of a relay.
 #[derive(Debug, Default)]
-pub struct Carried {
-    /// Datagrams that were passed on.
+pub struct Counters {
+    /// Datagrams that were forwarded, duplicates included.
     pub passed: AtomicU64,
-    /// Datagrams that were lost, cut off or too many.
+    /// Datagrams that were dropped: lost, partitioned off, without a destination, or over the
+    /// limit.
     pub lost: AtomicU64,
 }
 
-struct Held {
+struct Delayed {
     due: Instant,
     order: u64,
     to: SocketAddr,
     bytes: Vec<u8>,
 }
 
-impl PartialEq for Held {
+impl PartialEq for Delayed {
     fn eq(&self, other: &Self) -> bool {
         (self.due, self.order) == (other.due, other.order)
     }
 }
 
-impl Eq for Held {}
+impl Eq for Delayed {}
 
-impl PartialOrd for Held {
+impl PartialOrd for Delayed {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Held {
+impl Ord for Delayed {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.due, self.order).cmp(&(other.due, other.order))
     }
 }
 
-/// A running relay with a socket for each door.
+/// A running relay with a socket for each gateway.
 pub struct Relay {
-    /// Where to send what is meant for a door.
+    /// The relay's address for each gateway, to which its datagrams must be sent.
     pub addresses: Vec<SocketAddr>,
-    /// What it has done.
-    pub carried: Arc<Carried>,
-    doors: Arc<Mutex<Vec<Option<SocketAddr>>>>,
-    weather: Arc<Mutex<NetworkConditions>>,
+    /// The counters.
+    pub counters: Arc<Counters>,
+    gateways: Arc<Mutex<Vec<Option<SocketAddr>>>>,
+    conditions: Arc<Mutex<NetworkConditions>>,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Relay {
-    /// Opens a socket for each of so many doors on loopback ports of the system's choice; `seed` is its only chance.
+    /// Opens a socket for each of `gateways` gateways on loopback ports chosen by the system; all
+    /// random draws depend on `seed`.
     ///
     /// # Errors
-    /// What the system says.
-    pub fn new(doors: usize, seed: u64) -> io::Result<Relay> {
+    /// The operating system's error if a socket can't be opened.
+    pub fn new(gateways: usize, seed: u64) -> io::Result<Relay> {
         let mut relay = Relay {
             addresses: Vec::new(),
-            carried: Arc::default(),
-            doors: Arc::new(Mutex::new(vec![None; doors])),
-            weather: Arc::default(),
+            counters: Arc::default(),
+            gateways: Arc::new(Mutex::new(vec![None; gateways])),
+            conditions: Arc::default(),
             stop: Arc::default(),
             threads: Vec::new(),
         };
-        for door in 0..doors {
+        for gateway in 0..gateways {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_read_timeout(Some(Duration::from_millis(2)))?;
             relay.addresses.push(socket.local_addr()?);
-            let (known, weather) = (relay.doors.clone(), relay.weather.clone());
-            let (carried, stop) = (relay.carried.clone(), relay.stop.clone());
-            let seed = seed ^ (door as u64) << 32;
-            let carry = move || carry(&socket, door, seed, &known, &weather, &carried, &stop);
-            relay.threads.push(std::thread::spawn(carry));
+            let (known, conditions) = (relay.gateways.clone(), relay.conditions.clone());
+            let (counters, stop) = (relay.counters.clone(), relay.stop.clone());
+            let seed = seed ^ (gateway as u64) << 32;
+            let forward = move || {
+                forward(
+                    &socket,
+                    gateway,
+                    seed,
+                    &known,
+                    &conditions,
+                    &counters,
+                    &stop,
+                )
+            };
+            relay.threads.push(std::thread::spawn(forward));
         }
         Ok(relay)
     }
 
-    /// Where a door really listens.
-    pub fn set_destination(&self, door: usize, address: SocketAddr) {
-        if let Some(slot) = lock(&self.doors).get_mut(door) {
+    /// Sets the address that a gateway really listens at.
+    pub fn set_destination(&self, gateway: usize, address: SocketAddr) {
+        if let Some(slot) = lock(&self.gateways).get_mut(gateway) {
             *slot = Some(address);
         }
     }
 
-    /// From now on this happens to datagrams.
-    pub fn set_conditions(&self, weather: NetworkConditions) {
-        *lock(&self.weather) = weather;
+    /// Sets how datagrams are treated from now on.
+    pub fn set_conditions(&self, conditions: NetworkConditions) {
+        *lock(&self.conditions) = conditions;
     }
 }
 
@@ -121,7 +134,7 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            // A thread that has panicked has said so already.
+            // A panic of the thread was reported by the panic hook already.
             let _ = thread.join();
         }
     }
@@ -131,54 +144,59 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn carry(
+fn forward(
     socket: &UdpSocket,
-    door: usize,
+    gateway: usize,
     seed: u64,
-    doors: &Mutex<Vec<Option<SocketAddr>>>,
-    weather: &Mutex<NetworkConditions>,
-    carried: &Carried,
+    gateways: &Mutex<Vec<Option<SocketAddr>>>,
+    conditions: &Mutex<NetworkConditions>,
+    counters: &Counters,
     stop: &AtomicBool,
 ) {
-    let mut held: BinaryHeap<Reverse<Held>> = BinaryHeap::new();
-    let mut bytes = [0; MOST_BYTES];
+    let mut delayed: BinaryHeap<Reverse<Delayed>> = BinaryHeap::new();
+    let mut bytes = [0; MAX_BYTES];
     let mut order = 0;
     while !stop.load(Ordering::Relaxed) {
         let now = Instant::now();
-        while held.peek().is_some_and(|Reverse(first)| first.due <= now) {
-            let Some(Reverse(first)) = held.pop() else {
+        while delayed
+            .peek()
+            .is_some_and(|Reverse(first)| first.due <= now)
+        {
+            let Some(Reverse(first)) = delayed.pop() else {
                 break;
             };
-            // A door that is not there refuses: that is a loss like any other.
+            // A send to a gateway that is down may fail; the datagram is then lost.
             let _ = socket.send_to(&first.bytes, first.to);
-            carried.passed.fetch_add(1, Ordering::Relaxed);
+            counters.passed.fetch_add(1, Ordering::Relaxed);
         }
         let Ok((length, from)) = socket.recv_from(&mut bytes) else {
             continue;
         };
         let (to, sender) = {
-            let doors = lock(doors);
+            let gateways = lock(gateways);
             (
-                doors.get(door).copied().flatten(),
-                doors.iter().position(|known| *known == Some(from)),
+                gateways.get(gateway).copied().flatten(),
+                gateways.iter().position(|known| *known == Some(from)),
             )
         };
-        let weather = lock(weather).clone();
+        let conditions = lock(conditions).clone();
         order += 1;
-        let cut = sender.is_some_and(|sender| weather.partitions.contains(&(sender, door)));
-        let lost = draw(seed, order, 0) < weather.loss;
-        let (Some(to), false, true) = (to, cut || lost, held.len() + 2 <= MOST_HELD) else {
-            carried.lost.fetch_add(1, Ordering::Relaxed);
+        let partitioned =
+            sender.is_some_and(|sender| conditions.partitions.contains(&(sender, gateway)));
+        let lost = draw(seed, order, 0) < conditions.loss;
+        let (Some(to), false, true) = (to, partitioned || lost, delayed.len() + 2 <= MAX_DELAYED)
+        else {
+            counters.lost.fetch_add(1, Ordering::Relaxed);
             continue;
         };
-        let copies = 1 + u64::from(draw(seed, order, 1) < weather.duplicated);
-        for copy in 0..copies {
-            let (least, most) = weather.delay_ms;
-            let late = least + (most - least) * draw(seed, order, 2 + copy);
-            let due = now + Duration::from_secs_f64(late.max(0.0) / 1000.0);
-            held.push(Reverse(Held {
+        let deliveries = 1 + u64::from(draw(seed, order, 1) < conditions.duplicated);
+        for delivery in 0..deliveries {
+            let (min, max) = conditions.delay_ms;
+            let delay = min + (max - min) * draw(seed, order, 2 + delivery);
+            let due = now + Duration::from_secs_f64(delay.max(0.0) / 1000.0);
+            delayed.push(Reverse(Delayed {
                 due,
-                order: 2 * order + copy,
+                order: 2 * order + delivery,
                 to,
                 bytes: bytes[..length].to_vec(),
             }));
@@ -190,20 +208,20 @@
 mod tests {
     use super::*;
 
-    /// Guards the relay itself: what it is told to lose or to cut does not come, the rest does, doubled where told.
+    /// Lost or partitioned datagrams must not arrive, and all others must, twice where duplicated.
     #[test]
-    fn it_loses_doubles_and_cuts_what_it_is_told() {
+    fn datagrams_are_lost_duplicated_and_partitioned_as_configured() {
         let relay = Relay::new(2, 7).expect("a relay");
         let ends: Vec<UdpSocket> = (0..2)
             .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
             .collect();
-        for (door, end) in ends.iter().enumerate() {
+        for (gateway, end) in ends.iter().enumerate() {
             end.set_read_timeout(Some(Duration::from_millis(500)))
                 .expect("a limit");
-            relay.set_destination(door, end.local_addr().expect("an address"));
+            relay.set_destination(gateway, end.local_addr().expect("an address"));
         }
-        let count = |weather: NetworkConditions| {
-            relay.set_conditions(weather);
+        let count = |conditions: NetworkConditions| {
+            relay.set_conditions(conditions);
             for byte in 0..100u8 {
                 ends[0].send_to(&[byte], relay.addresses[1]).expect("sent");
             }
--- a/crates/test-servers/tests/played.rs
+++ b/crates/test-servers/tests/fakes.rs
@@ -1,5 +1,5 @@
-//! The stand-ins over loopback sockets: each does what its scripts and reports rely on. Nothing waits for a time where
-//! an event will do; what does not come within `PATIENCE` fails the test.
+//! Tests of the fakes over loopback sockets: each behaves as the scripts and reports rely on. Tests
+//! wait for events instead of fixed times where possible; a test fails after `TEST_TIMEOUT`.
 
 use maplefall_event_trace::{
     AttemptEnd, Effect, Event, EventKind, FailureReason, Millis, NodeState, Recorder,
@@ -22,26 +22,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn play<T>(scene: impl Future<Output = T>) -> T {
+fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()
         .expect("a runtime");
-    let scene = async {
-        tokio::time::timeout(PATIENCE, scene)
+    let test = async {
+        tokio::time::timeout(TEST_TIMEOUT, test)
             .await
-            .expect("the scene ends in time")
+            .expect("the test ends in time")
     };
-    tokio::task::LocalSet::new().block_on(&runtime, scene)
+    tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-struct Scene {
+struct Fixture {
     recorder: Recorder,
-    world: Rc<SharedState>,
-    place: Rc<BackendSlot>,
+    shared: Rc<SharedState>,
+    slot: Rc<BackendSlot>,
 }
 
 const SPEC: BackendSpec = BackendSpec {
@@ -53,7 +53,7 @@
     connections: 50,
 };
 
-fn scene(work_ms: Millis, spec: BackendSpec) -> (Scene, Rc<Backend>) {
+fn fixture(work_ms: Millis, spec: BackendSpec) -> (Fixture, Rc<Backend>) {
     let recorder = Recorder::new();
     let work = |class: &str, effect| Work {
         class: class.into(),
@@ -80,41 +80,41 @@
             slack_ms: 10.0,
         },
     };
-    let world = SharedState::new(deployment, recorder.clone(), Lateness::default());
-    let place = BackendSlot::over(Listeners::open(2).expect("ports"));
-    let node = Backend::start(&world, spec);
-    place.set_backend(Some(node.clone()));
+    let shared = SharedState::new(deployment, recorder.clone(), Lateness::default());
+    let slot = BackendSlot::over(Listeners::open(2).expect("ports"));
+    let backend = Backend::start(&shared, spec);
+    slot.set_backend(Some(backend.clone()));
     (
-        Scene {
+        Fixture {
             recorder,
-            world,
-            place,
+            shared,
+            slot,
         },
-        node,
+        backend,
     )
 }
 
-impl Scene {
-    async fn link(&self, door: usize) -> Link {
-        Link::open(self.place.address(door))
+impl Fixture {
+    async fn link(&self, gateway: usize) -> Link {
+        Link::open(self.slot.address(gateway))
             .await
-            .expect("the node listens")
+            .expect("the backend listens")
     }
 
     fn fault(&self, kind: FaultKind) {
-        self.place.add_fault(Fault {
+        self.slot.add_fault(Fault {
             kind,
             share: 1.0,
             until: f64::INFINITY,
         });
     }
 
-    /// What was recorded so far, without its times.
-    fn seen(&self) -> Vec<EventKind> {
+    /// Returns the events recorded since the last call, without their times.
+    fn events(&self) -> Vec<EventKind> {
         self.recorder
             .take_events()
             .into_iter()
-            .map(|line| line.kind)
+            .map(|event| event.kind)
             .collect()
     }
 }
@@ -126,46 +126,48 @@
     format!("POST /{class}/v1?k=1&u=2.5&p=0 HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\n{key}Content-Length: 2\r\n\r\nab")
 }
 
-async fn ask(link: &mut Link, text: &str) -> Message {
-    link.write(text.as_bytes()).await.expect("the node reads");
-    link.message().await.expect("an answer")
+async fn send(link: &mut Link, text: &str) -> Message {
+    link.write(text.as_bytes())
+        .await
+        .expect("the backend reads");
+    link.message().await.expect("a response")
 }
 
-fn came(entry: &EventKind) -> Option<(&str, u32, bool)> {
-    match entry {
+fn received(event: &EventKind) -> Option<(&str, u32, bool)> {
+    match event {
         EventKind::AttemptReceived {
             id,
-            proxy: door,
-            complete: whole,
+            proxy,
+            complete,
             ..
-        } => Some((id, *door, *whole)),
+        } => Some((id, *proxy, *complete)),
         _ => None,
     }
 }
 
 #[test]
-fn a_node_serves_and_records_what_came_ran_and_ended() {
-    let (status, body, seen) = play(async {
-        let (scene, _) = scene(1.0, SPEC);
-        let mut link = scene.link(1).await;
-        let answer = ask(&mut link, &request("a", "charge", None)).await;
+fn a_backend_serves_and_records_receipt_effect_and_end() {
+    let (status, body, events) = run(async {
+        let (fixture, _) = fixture(1.0, SPEC);
+        let mut link = fixture.link(1).await;
+        let response = send(&mut link, &request("a", "charge", None)).await;
         (
-            answer.status,
-            String::from_utf8(answer.body).unwrap(),
-            scene.seen(),
+            response.status,
+            String::from_utf8(response.body).unwrap(),
+            fixture.events(),
         )
     });
     assert_eq!((status, body.as_str()), (200, "a 1 3"));
     assert!(matches!(
-        seen[0],
+        events[0],
         EventKind::Node {
             node: 3,
             state: NodeState::Up { .. }
         }
     ));
-    assert_eq!(came(&seen[1]), Some(("a", 1, true)));
+    assert_eq!(received(&events[1]), Some(("a", 1, true)));
     assert_eq!(
-        seen[2..],
+        events[2..],
         [
             EventKind::EffectApplied { attempt: 1 },
             EventKind::AttemptEnded {
@@ -177,74 +179,74 @@
 }
 
 #[test]
-fn a_repeat_of_a_key_is_answered_and_does_not_run() {
-    let seen = play(async {
-        let (scene, _) = scene(1.0, SPEC);
-        let mut link = scene.link(0).await;
+fn a_repeated_idempotency_key_gets_a_response_but_does_not_run() {
+    let events = run(async {
+        let (fixture, _) = fixture(1.0, SPEC);
+        let mut link = fixture.link(0).await;
         assert_eq!(
-            ask(&mut link, &request("a", "extend", Some("k")))
+            send(&mut link, &request("a", "extend", Some("k")))
                 .await
                 .status,
             200
         );
         assert_eq!(
-            ask(&mut link, &request("b", "extend", Some("k")))
+            send(&mut link, &request("b", "extend", Some("k")))
                 .await
                 .status,
             200
         );
         assert_eq!(
-            ask(&mut link, &request("c", "extend", Some("l")))
+            send(&mut link, &request("c", "extend", Some("l")))
                 .await
                 .status,
             200
         );
-        scene.seen()
+        fixture.events()
     });
-    let ran = seen
+    let ran = events
         .iter()
-        .filter(|entry| matches!(entry, EventKind::EffectApplied { .. }))
+        .filter(|event| matches!(event, EventKind::EffectApplied { .. }))
         .count();
-    assert_eq!((ran, seen.iter().filter_map(came).count()), (2, 3));
+    assert_eq!((ran, events.iter().filter_map(received).count()), (2, 3));
 }
 
-/// Guards the judge against a stand-in that forgets: a key whose effect ran before its connection was reset is
-/// remembered, and a repeat does not run.
+/// A key whose effect ran before its connection was reset must be remembered, so that a repeat does
+/// not run; otherwise the fake itself would violate the invariants that are checked with it.
 #[test]
-fn what_ran_before_a_reset_is_remembered() {
-    let ran = play(async {
-        let (scene, _) = scene(1.0, SPEC);
+fn a_key_whose_effect_ran_before_a_reset_is_remembered() {
+    let ran = run(async {
+        let (fixture, _) = fixture(1.0, SPEC);
         let until = f64::INFINITY;
-        scene.place.add_fault(Fault {
+        fixture.slot.add_fault(Fault {
             kind: FaultKind::ResetAfter,
             share: 0.7,
             until,
         });
         for i in 0..40 {
-            let mut link = scene.link(0).await;
+            let mut link = fixture.link(0).await;
             let _ = link
                 .write(request(&format!("r{i}"), "extend", Some("k")).as_bytes())
                 .await;
             let _ = link.message().await;
         }
-        scene
-            .seen()
+        fixture
+            .events()
             .iter()
-            .filter(|entry| matches!(entry, EventKind::EffectApplied { .. }))
+            .filter(|event| matches!(event, EventKind::EffectApplied { .. }))
             .count()
     });
     assert_eq!(ran, 1);
 }
 
 #[test]
-fn a_full_or_draining_node_turns_away_with_the_word_that_nothing_ran() {
-    play(async {
-        let (scene, node) = scene(600_000.0, SPEC);
-        // One runs, one waits, the third finds no room.
+fn a_full_or_draining_backend_rejects_and_marks_the_request_as_not_started() {
+    run(async {
+        let (fixture, backend) = fixture(600_000.0, SPEC);
+        // One request runs, one is queued, and the third is rejected.
         let mut links = [
-            scene.link(0).await,
-            scene.link(0).await,
-            scene.link(0).await,
+            fixture.link(0).await,
+            fixture.link(0).await,
+            fixture.link(0).await,
         ];
         links[0]
             .write(request("a", "read", None).as_bytes())
@@ -254,47 +256,47 @@
             .write(request("b", "read", None).as_bytes())
             .await
             .unwrap();
-        while scene.recorder.len() < 3 {
+        while fixture.recorder.len() < 3 {
             tokio::task::yield_now().await;
         }
-        let answer = ask(&mut links[2], &request("c", "read", None)).await;
+        let response = send(&mut links[2], &request("c", "read", None)).await;
         assert_eq!(
-            (answer.status, answer.header("not-started")),
+            (response.status, response.header("not-started")),
             (503, Some("1"))
         );
-        node.drain(false);
-        let answer = ask(&mut links[2], &request("e", "read", None)).await;
-        assert_eq!(answer.status, 503, "full as before");
-        node.drain(true);
-        let answer = ask(&mut links[2], &request("d", "read", None)).await;
+        backend.drain(false);
+        let response = send(&mut links[2], &request("e", "read", None)).await;
+        assert_eq!(response.status, 503, "still full");
+        backend.drain(true);
+        let response = send(&mut links[2], &request("d", "read", None)).await;
         assert_eq!(
-            (answer.status, answer.header("not-started")),
+            (response.status, response.header("not-started")),
             (503, Some("1"))
         );
-        // Its end resets what it had.
-        node.stop();
+        // Stopping the backend resets its connections.
+        backend.stop();
         assert!(matches!(links[0].message().await, Err(NoMessage::Closed)));
     });
 }
 
 #[test]
-fn work_goes_on_when_its_attempt_is_given_up() {
-    play(async {
-        let (scene, _) = scene(30.0, SPEC);
-        let mut link = scene.link(0).await;
+fn a_cancelled_attempt_still_runs_to_its_end() {
+    run(async {
+        let (fixture, _) = fixture(30.0, SPEC);
+        let mut link = fixture.link(0).await;
         link.write(request("a", "charge", None).as_bytes())
             .await
             .unwrap();
-        while scene.recorder.len() < 2 {
+        while fixture.recorder.len() < 2 {
             tokio::task::yield_now().await;
         }
         drop(link);
-        while scene.recorder.len() < 4 {
+        while fixture.recorder.len() < 4 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let seen = scene.seen();
+        let events = fixture.events();
         assert_eq!(
-            seen[2..],
+            events[2..],
             [
                 EventKind::AttemptEnded {
                     attempt: 1,
@@ -307,89 +309,89 @@
 }
 
 #[test]
-fn each_trouble_strikes_as_it_is_called() {
-    let ends = |trouble| {
-        play(async move {
-            let (scene, _) = scene(1.0, SPEC);
-            scene.fault(trouble);
-            let mut link = scene.link(0).await;
-            // A reset may come before the write is over.
+fn each_fault_acts_as_documented() {
+    let outcome = |kind| {
+        run(async move {
+            let (fixture, _) = fixture(1.0, SPEC);
+            fixture.fault(kind);
+            let mut link = fixture.link(0).await;
+            // The connection may be reset before the write completes.
             let _ = link.write(request("a", "charge", None).as_bytes()).await;
-            let answer = link.message().await;
-            let seen = scene.seen();
-            let whole = seen
+            let response = link.message().await;
+            let events = fixture.events();
+            let complete = events
                 .iter()
-                .filter_map(came)
-                .map(|(_, _, whole)| whole)
+                .filter_map(received)
+                .map(|(_, _, complete)| complete)
                 .next();
-            let end = seen.iter().find_map(|entry| match entry {
+            let end = events.iter().find_map(|event| match event {
                 EventKind::AttemptEnded { end, .. } => Some(*end),
                 _ => None,
             });
-            (answer.map(|answer| answer.status).ok(), whole, end)
+            (response.map(|response| response.status).ok(), complete, end)
         })
     };
     assert_eq!(
-        ends(FaultKind::FastError),
+        outcome(FaultKind::FastError),
         (Some(500), Some(true), Some(AttemptEnd::Error))
     );
     assert_eq!(
-        ends(FaultKind::Late(5.0)),
+        outcome(FaultKind::Late(5.0)),
         (Some(200), Some(true), Some(AttemptEnd::Served))
     );
     assert_eq!(
-        ends(FaultKind::Malformed),
+        outcome(FaultKind::Malformed),
         (None, Some(true), Some(AttemptEnd::Malformed))
     );
     assert_eq!(
-        ends(FaultKind::Endless),
+        outcome(FaultKind::Endless),
         (None, Some(true), Some(AttemptEnd::Malformed))
     );
     assert_eq!(
-        ends(FaultKind::ResetAfter),
+        outcome(FaultKind::ResetAfter),
         (None, Some(true), Some(AttemptEnd::Reset))
     );
-    assert_eq!(ends(FaultKind::ResetBefore), (None, None, None));
-    // What was read before the reset was whole here, and is told so.
+    assert_eq!(outcome(FaultKind::ResetBefore), (None, None, None));
+    // The bytes read before the reset are a complete request here and are recorded as such.
     assert_eq!(
-        ends(FaultKind::ResetWithin),
+        outcome(FaultKind::ResetWithin),
         (None, Some(true), Some(AttemptEnd::Reset))
     );
 }
 
 #[test]
-fn half_a_request_is_recorded_as_that() {
-    let seen = play(async {
-        let (scene, _) = scene(1.0, SPEC);
-        let mut link = scene.link(0).await;
+fn a_truncated_request_is_recorded_as_incomplete() {
+    let events = run(async {
+        let (fixture, _) = fixture(1.0, SPEC);
+        let mut link = fixture.link(0).await;
         let text = request("a", "charge", None);
         link.write(&text.as_bytes()[..text.len() - 1])
             .await
             .unwrap();
-        while scene.recorder.is_empty() {
+        while fixture.recorder.is_empty() {
             tokio::task::yield_now().await;
         }
         drop(link);
-        while scene.recorder.len() < 2 {
+        while fixture.recorder.len() < 2 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        scene.seen()
+        fixture.events()
     });
-    assert_eq!(came(&seen[1]), Some(("", 0, false)));
+    assert_eq!(received(&events[1]), Some(("", 0, false)));
 }
 
 #[test]
-fn a_place_refuses_dials_for_a_time_and_listens_again() {
-    play(async {
-        let (scene, _) = scene(1.0, SPEC);
-        scene.place.add_fault(Fault {
+fn a_slot_refuses_connections_for_a_time_and_listens_again() {
+    run(async {
+        let (fixture, _) = fixture(1.0, SPEC);
+        fixture.slot.add_fault(Fault {
             kind: FaultKind::Refuse,
             share: 1.0,
-            until: scene.recorder.now() + 150.0,
+            until: fixture.recorder.now() + 150.0,
         });
-        let address = scene.place.address(0);
+        let address = fixture.slot.address(0);
         let mut refused = false;
-        // It refuses soon, and then takes connections again.
+        // The slot refuses connections soon, and accepts them again later.
         loop {
             match Link::open(address).await {
                 Err(_) => refused = true,
@@ -398,60 +400,60 @@
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        let mut link = scene.link(0).await;
+        let mut link = fixture.link(0).await;
         assert_eq!(
-            ask(&mut link, &request("a", "read", None)).await.status,
+            send(&mut link, &request("a", "read", None)).await.status,
             200
         );
     });
 }
 
 #[test]
-fn a_cold_node_falls_when_it_is_sent_too_much() {
-    play(async {
+fn a_backend_fails_when_overloaded_during_warmup() {
+    run(async {
         // Budget: 3 x 1 core x 0.1 x 1500 ms + 10 ms = 460 ms; each request is 100 ms of work.
-        let cold = BackendSpec {
+        let warming_up = BackendSpec {
             initial_capacity: 0.1,
             warmup_ms: 600_000.0,
             queue: 0,
             ..SPEC
         };
-        let (scene, node) = scene(100.0, cold);
-        let mut fell = 0;
+        let (fixture, backend) = fixture(100.0, warming_up);
+        let mut failed_at = 0;
         for i in 0..10 {
-            let mut link = scene.link(0).await;
+            let mut link = fixture.link(0).await;
             let text = request(&format!("r{i}"), "read", None);
             let _ = link.write(text.as_bytes()).await;
             let _ = tokio::time::timeout(Duration::from_millis(20), link.message()).await;
-            let down = |entry: &EventKind| {
+            let overloaded = |event: &EventKind| {
                 matches!(
-                    entry,
+                    event,
                     EventKind::Node {
                         state: NodeState::Overloaded,
                         ..
                     }
                 )
             };
-            if scene.seen().iter().any(down) {
-                fell = i + 1;
+            if fixture.events().iter().any(overloaded) {
+                failed_at = i + 1;
                 break;
             }
         }
-        assert_eq!(fell, 5, "the fifth passes the budget");
-        // It stays down, also when it is told to drain: whoever connects is reset.
-        node.drain(true);
-        let mut link = scene.link(0).await;
+        assert_eq!(failed_at, 5, "the fifth request exceeds the budget");
+        // The backend stays down, also when it is told to drain, and connections are reset.
+        backend.drain(true);
+        let mut link = fixture.link(0).await;
         let _ = link.write(request("late", "read", None).as_bytes()).await;
         assert!(link.message().await.is_err());
-        drop(scene.world);
+        drop(fixture.shared);
     });
 }
 
-// ---- The agent ----------------------------------------------------------------------------------------
+// ---- The agent ---------------------------------------------------------------------------------
 
-fn member(node: u32, health: Health) -> Member {
+fn member(backend: u32, health: Health) -> Member {
     Member {
-        host: host(node),
+        host: host(backend),
         dial: "127.0.0.1:9".parse().unwrap(),
         site: "z".into(),
         block: 0,
@@ -468,7 +470,7 @@
     (listener, address)
 }
 
-/// A watch that a front door has opened.
+/// A watch that a gateway has opened.
 struct Watch(Link);
 
 impl Watch {
@@ -479,7 +481,7 @@
         Watch(link)
     }
 
-    /// Reads until the text so far holds all of this; tells whether it came before the end.
+    /// Reads until the text contains all of `wanted`; returns `false` if the watch ends before.
     async fn reads(&mut self, wanted: &[&str]) -> bool {
         loop {
             let text = String::from_utf8_lossy(self.0.pending_bytes()).into_owned();
@@ -494,20 +496,20 @@
 }
 
 #[test]
-fn an_agent_tells_the_list_and_its_changes_and_records_what_it_told() {
-    play(async {
+fn an_agent_sends_the_list_and_its_changes_and_records_them() {
+    run(async {
         let recorder = Recorder::new();
         let list = List::new([member(0, Health::Up), member(1, Health::Up)]);
         let agent = Agent::new(7, list, recorder.clone(), 0.0);
         let (here, address) = listener();
         agent.listen(here, Duration::ZERO);
         let mut link = Link::open(address).await.unwrap();
-        let whole = ask(
+        let response = send(
             &mut link,
             "GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n",
         )
         .await;
-        let members: maplefall_protocol::Members = serde_json::from_slice(&whole.body).unwrap();
+        let members: maplefall_protocol::Members = serde_json::from_slice(&response.body).unwrap();
         assert_eq!(
             (members.seq, members.whole, members.hosts.len()),
             (1, true, 2)
@@ -517,21 +519,21 @@
         assert!(watch.reads(&["\"seq\":2", "node-1", "draining"]).await);
         agent.update(&member(1, Health::Removed));
         assert!(watch.reads(&["\"seq\":3", "removed"]).await);
-        // A watch from an earlier version is told all that changed since, once for each node.
+        // A watch from an earlier version receives all later changes, one entry per backend.
         let mut late = Watch::open(address, 1).await;
         assert!(late.reads(&["\"seq\":3", "removed"]).await);
         assert!(!String::from_utf8_lossy(late.0.pending_bytes()).contains("draining"));
-        let told = recorder
+        let updates = recorder
             .take_events()
             .into_iter()
-            .filter(|line| matches!(line.kind, EventKind::NodeUpdate { proxy: 7, .. }));
-        assert_eq!(told.count(), 2 + 1 + 1 + 1);
+            .filter(|event| matches!(event.kind, EventKind::NodeUpdate { proxy: 7, .. }));
+        assert_eq!(updates.count(), 2 + 1 + 1 + 1);
     });
 }
 
 #[test]
-fn an_agent_can_be_silent_break_off_and_move() {
-    play(async {
+fn an_agent_can_be_silent_reset_its_watches_and_move() {
+    run(async {
         let recorder = Recorder::new();
         let agent = Agent::new(0, List::new([member(0, Health::Up)]), recorder.clone(), 0.0);
         let ((first, old), (second, new)) = (listener(), listener());
@@ -542,7 +544,7 @@
         agent.update(&member(0, Health::Draining));
         let heard =
             tokio::time::timeout(Duration::from_millis(60), watch.reads(&["draining"])).await;
-        assert!(heard.is_err(), "it spoke");
+        assert!(heard.is_err(), "the silent agent sent something");
         agent.set_silent(false);
         assert!(watch.reads(&["draining"]).await);
         agent.break_off();
@@ -552,19 +554,22 @@
         agent.listen(second, Duration::from_millis(20));
         assert!(
             !kept.reads(&["nothing more"]).await,
-            "the old address lets go"
+            "the agent closes connections at the old address"
+        );
+        assert!(
+            Link::open(old).await.is_err(),
+            "the old address accepts no connections"
         );
-        assert!(Link::open(old).await.is_err(), "and takes nobody new");
         let mut moved = Watch::open(new, 1).await;
         assert!(moved.reads(&["draining"]).await);
     });
 }
 
-/// Guards what an agent that is behind gives: a whole list that is older, as the protocol allows for a version that it does
-/// not know, then what it comes to know; what it has told on an open watch it does not take back.
+/// A lagging agent must send an older full list, as the protocol allows for a version that it does
+/// not know, and the changes as they become visible to it. On an open watch it must never go back.
 #[test]
-fn an_agent_that_is_behind_gives_an_older_list_and_catches_up() {
-    play(async {
+fn a_lagging_agent_sends_an_older_list_and_catches_up() {
+    run(async {
         let recorder = Recorder::new();
         let list = List::new([member(0, Health::Up), member(1, Health::Up)]);
         let agent = Agent::new(0, list, recorder.clone(), 0.0);
@@ -587,10 +592,10 @@
                 .await
         );
         assert!(open.reads(&["\"seq\":3", "removed"]).await);
-        // What there is to tell stands in the record when it is there, not when it is told.
-        let due = |line: &maplefall_event_trace::Event| {
+        // A due update is recorded when it occurs, not when it is sent.
+        let due = |event: &maplefall_event_trace::Event| {
             matches!(
-                line.kind,
+                event.kind,
                 EventKind::NodeUpdateDue {
                     proxy: 0,
                     version: 2..,
@@ -602,7 +607,7 @@
             recorder
                 .take_events()
                 .iter()
-                .filter(|line| due(line))
+                .filter(|event| due(event))
                 .count(),
             2
         );
@@ -610,8 +615,8 @@
 }
 
 #[test]
-fn an_agent_breaks_lists_off_spoils_entries_and_vanishes() {
-    play(async {
+fn an_agent_truncates_lists_sends_invalid_entries_and_abandons_connections() {
+    run(async {
         let agent = Agent::new(0, List::new([member(0, Health::Up)]), Recorder::new(), 0.0);
         let (here, address) = listener();
         agent.listen(here, Duration::ZERO);
@@ -620,17 +625,20 @@
         let mut half = Watch::open(address, 1).await;
         assert!(
             !half.reads(&["}]}"]).await,
-            "it ends in the middle of a line"
+            "the watch ends in the middle of a line"
         );
         let mut link = Link::open(address).await.unwrap();
         link.write(b"GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n")
             .await
             .unwrap();
-        assert!(link.message().await.is_err(), "so does the whole list");
+        assert!(
+            link.message().await.is_err(),
+            "the full list is truncated too"
+        );
         agent.set_lapse(Some(Lapse::Spoilt));
-        let mut spoilt = Watch::open(address, 1).await;
+        let mut invalid = Watch::open(address, 1).await;
         assert!(
-            spoilt
+            invalid
                 .reads(&["nobody", "\"dial\":\"nowhere\"", "draining"])
                 .await
         );
@@ -641,18 +649,21 @@
         agent.update(&member(0, Health::Removed));
         let mut fresh = Watch::open(address, 2).await;
         assert!(fresh.reads(&["removed"]).await);
-        // The other one would have been told by now, and has not ended either.
+        // The abandoned watch would have received the change by now; it must not have ended either.
         let heard =
             tokio::time::timeout(Duration::from_millis(60), watch.reads(&["removed"])).await;
-        assert!(heard.is_err(), "it spoke or ended");
+        assert!(
+            heard.is_err(),
+            "the abandoned watch received something or ended"
+        );
     });
 }
 
-/// Guards the counter's protocol on its sockets: totals in the order of the calls, also of calls written one behind
-/// another, and a fresh one in its place begins at nought.
+/// Totals must come in the order of the calls, also of pipelined ones, and a replaced counter must
+/// start at zero.
 #[test]
-fn a_counter_counts_over_its_sockets() {
-    play(async {
+fn a_counter_returns_totals_and_limits_connections() {
+    run(async {
         let (here, address) = listener();
         let counter = Counter::new(Duration::ZERO);
         tokio::task::spawn_local(counter.clone().serve(here));
@@ -663,24 +674,24 @@
         link.write((call("2") + &call("-0.5") + &call("x")).as_bytes())
             .await
             .unwrap();
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         for _ in 0..3 {
-            let answer = link.message().await.unwrap();
-            answers.push((answer.status, String::from_utf8(answer.body).unwrap()));
+            let response = link.message().await.unwrap();
+            responses.push((response.status, String::from_utf8(response.body).unwrap()));
         }
         assert_eq!(
-            answers,
+            responses,
             [(200, "2".into()), (200, "1.5".into()), (400, String::new())]
         );
         counter.replace();
-        let answer = ask(&mut link, &call("1")).await;
-        assert_eq!(answer.body, b"1");
-        // It holds 32 connections of one front door and resets the next.
-        let mut held = Vec::new();
+        let response = send(&mut link, &call("1")).await;
+        assert_eq!(response.body, b"1");
+        // The counter accepts 32 open connections and resets the next one.
+        let mut open = Vec::new();
         for _ in 1..32 {
             let mut link = Link::open(address).await.unwrap();
-            assert_eq!(ask(&mut link, &call("0")).await.status, 200);
-            held.push(link);
+            assert_eq!(send(&mut link, &call("0")).await.status, 200);
+            open.push(link);
         }
         let mut further = Link::open(address).await.unwrap();
         let _ = further.write(call("0").as_bytes()).await;
@@ -688,9 +699,9 @@
     });
 }
 
-// ---- Clients ------------------------------------------------------------------------------------------
+// ---- Clients -----------------------------------------------------------------------------------
 
-const HABITS: ClientBehavior = ClientBehavior {
+const BEHAVIOR: ClientBehavior = ClientBehavior {
     retries: 2,
     backoff: Backoff::AtOnce,
     honour: 0.0,
@@ -702,29 +713,34 @@
     answer_slack_ms: 58.0,
 };
 
-/// What a client does whose front door answers so, one answer for each request; what was recorded.
-fn client(effect: Effect, give_up_ms: Millis, answers: &'static [&'static str]) -> Vec<EventKind> {
-    play(async move {
+/// Runs a client against a gateway that sends these responses, one per request; returns the
+/// recorded events.
+fn run_client(
+    effect: Effect,
+    give_up_ms: Millis,
+    responses: &'static [&'static str],
+) -> Vec<EventKind> {
+    run(async move {
         let (here, address) = listener();
         let recorder = Recorder::new();
         let here = tokio::net::TcpListener::from_std(here).unwrap();
-        let door = tokio::task::spawn_local(async move {
+        let gateway = tokio::task::spawn_local(async move {
             let mut open: Option<Link> = None;
-            for answer in answers {
+            for response in responses {
                 let mut link = match open.take() {
                     Some(link) => link,
                     None => Link::over(here.accept().await.unwrap().0),
                 };
                 link.message().await.expect("a request");
-                link.write(answer.as_bytes()).await.unwrap();
-                if answer.contains("Content-Length") {
+                link.write(response.as_bytes()).await.unwrap();
+                if response.contains("Content-Length") {
                     open = Some(link);
                 }
             }
             open
         });
-        let board = GatewayStates::new(1);
-        board.set(
+        let states = GatewayStates::new(1);
+        states.set(
             0,
             GatewayState {
                 ready: true,
@@ -737,16 +753,16 @@
             memory_ms: 2000.0,
             give_up_ms,
         };
-        let crowd = ClientOptions {
+        let options = ClientOptions {
             seed: 5,
             kinds: vec![kind],
             plans: vec!["plan".into()],
-            behavior: HABITS,
+            behavior: BEHAVIOR,
             gateways: vec![address],
-            states: board,
+            states,
             credentials: true,
         };
-        let clients = Clients::new(crowd, recorder.clone(), Lateness::default());
+        let clients = Clients::new(options, recorder.clone(), Lateness::default());
         let ask = Ask {
             at: 0.0,
             item: 1,
@@ -758,11 +774,11 @@
             first: 0,
         };
         clients.run([ask]).await;
-        door.abort();
+        gateway.abort();
         recorder
             .take_events()
             .into_iter()
-            .map(|line| line.kind)
+            .map(|event| event.kind)
             .collect()
     })
 }
@@ -771,20 +787,25 @@
 const REFUSED: &str = "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n";
 const FAILED: &str = "HTTP/1.1 502 X\r\nContent-Length: 0\r\n\r\n";
 
-fn asked(seen: &[EventKind]) -> usize {
-    seen.iter()
-        .filter(|entry| matches!(entry, EventKind::RequestSent { .. }))
+fn sent_requests(events: &[EventKind]) -> usize {
+    events
+        .iter()
+        .filter(|event| matches!(event, EventKind::RequestSent { .. }))
         .count()
 }
 
 #[test]
-fn clients_try_again_as_the_class_allows_and_twice_at_most() {
+fn clients_retry_as_the_class_allows_and_twice_at_most() {
     assert_eq!(
-        asked(&client(Effect::Safe, 20_000.0, &[FAILED, REFUSED, SERVED])),
+        sent_requests(&run_client(
+            Effect::Safe,
+            20_000.0,
+            &[FAILED, REFUSED, SERVED]
+        )),
         3
     );
     assert_eq!(
-        asked(&client(
+        sent_requests(&run_client(
             Effect::Safe,
             20_000.0,
             &[REFUSED, REFUSED, REFUSED]
@@ -792,55 +813,59 @@
         3
     );
     assert_eq!(
-        asked(&client(Effect::Keyed, 20_000.0, &[FAILED, SERVED])),
+        sent_requests(&run_client(Effect::Keyed, 20_000.0, &[FAILED, SERVED])),
         2
     );
     assert_eq!(
-        asked(&client(Effect::Unsafe, 20_000.0, &[REFUSED, SERVED])),
+        sent_requests(&run_client(Effect::Unsafe, 20_000.0, &[REFUSED, SERVED])),
         2
     );
-    assert_eq!(asked(&client(Effect::Unsafe, 20_000.0, &[FAILED])), 1);
+    assert_eq!(
+        sent_requests(&run_client(Effect::Unsafe, 20_000.0, &[FAILED])),
+        1
+    );
 }
 
 #[test]
-fn clients_tell_a_cut_answer_a_silent_door_and_bytes_that_nobody_asked_for() {
-    let lost = |seen: &[EventKind]| {
-        seen.iter().find_map(|entry| match entry {
-            EventKind::RequestFailed { reason: why, .. } => Some(*why),
+fn clients_record_truncated_responses_timeouts_and_unexpected_bytes() {
+    let failure = |events: &[EventKind]| {
+        events.iter().find_map(|event| match event {
+            EventKind::RequestFailed { reason, .. } => Some(*reason),
             _ => None,
         })
     };
-    let cut = client(Effect::Unsafe, 20_000.0, &["HTTP/1.1 200 OK\r\nContent-"]);
-    assert_eq!(lost(&cut), Some(FailureReason::Truncated));
-    let silent = client(
+    let truncated = run_client(Effect::Unsafe, 20_000.0, &["HTTP/1.1 200 OK\r\nContent-"]);
+    assert_eq!(failure(&truncated), Some(FailureReason::Truncated));
+    let timed_out = run_client(
         Effect::Unsafe,
         200.0,
         &["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nha"],
     );
-    assert_eq!(lost(&silent), Some(FailureReason::TimedOut));
+    assert_eq!(failure(&timed_out), Some(FailureReason::TimedOut));
     let twice: &[&str] = &["HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n"];
-    let seen = client(Effect::Safe, 20_000.0, twice);
+    let events = run_client(Effect::Safe, 20_000.0, twice);
     assert!(
-        seen.iter()
-            .any(|entry| matches!(entry, EventKind::UnexpectedBytes { .. })),
-        "{seen:?}"
+        events
+            .iter()
+            .any(|event| matches!(event, EventKind::UnexpectedBytes { .. })),
+        "{events:?}"
     );
 }
 
-// ---- Bad clients --------------------------------------------------------------------------------------
+// ---- Malformed clients -------------------------------------------------------------------------
 
-/// Guards the count of bad clients that are left with nothing: an error or a close is what each is owed, silence is
-/// neglect, and being served is told as what it is.
+/// A malformed client must receive an error or a close. A missing reaction must be recorded as
+/// neglected, and a served request with its status.
 #[test]
-fn a_bad_client_tells_what_it_was_left_with() {
-    let left_with = |answer: Option<&'static str>| {
-        play(async move {
+fn a_malformed_client_records_the_reaction() {
+    let reaction = |response: Option<&'static str>| {
+        run(async move {
             let (here, address) = listener();
             let here = tokio::net::TcpListener::from_std(here).unwrap();
-            let door = tokio::task::spawn_local(async move {
+            let gateway = tokio::task::spawn_local(async move {
                 let mut link = Link::over(here.accept().await.unwrap().0);
-                if let Some(answer) = answer {
-                    let _ = link.write(answer.as_bytes()).await;
+                if let Some(response) = response {
+                    let _ = link.write(response.as_bytes()).await;
                 } else {
                     std::future::pending::<()>().await;
                 }
@@ -855,7 +880,7 @@
                 "plan",
             )
             .await;
-            door.abort();
+            gateway.abort();
             match &recorder.take_events()[..] {
                 [Event {
                     kind:
@@ -874,20 +899,19 @@
         })
     };
     assert_eq!(
-        left_with(Some("HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n")),
+        reaction(Some("HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n")),
         (Some(400), false)
     );
-    assert_eq!(left_with(Some("")), (None, false));
-    assert_eq!(left_with(Some(SERVED)), (Some(200), false));
-    assert_eq!(left_with(None), (None, true));
+    assert_eq!(reaction(Some("")), (None, false));
+    assert_eq!(reaction(Some(SERVED)), (Some(200), false));
+    assert_eq!(reaction(None), (None, true));
 }
 
-/// Guards the kinds of bad requests against being good ones: each but the silent and the cut is a whole text that differs
-/// from what a usual client sends by what its name tells.
+/// Each kind of malformed request must have the fault in its name, and no two may be the same.
 #[test]
-fn bad_requests_are_what_they_are_called() {
+fn malformed_requests_have_the_fault_in_their_name() {
     let text = |kind: malformed_client::Kind| {
-        String::from_utf8_lossy(&kind.text("id-1", "read", "plan")).into_owned()
+        String::from_utf8_lossy(&kind.request("id-1", "read", "plan")).into_owned()
     };
     assert!(text(malformed_client::Kind::NegativeLength).contains("Content-Length: -5"));
     let two = text(malformed_client::Kind::TwoFramings);
@@ -905,7 +929,7 @@
     for (i, one) in texts.iter().enumerate() {
         assert!(
             !texts[..i].contains(one),
-            "{:?} is another's",
+            "{:?} equals an earlier kind",
             malformed_client::ALL[i]
         );
     }
