--- a/crates/invariants/src/drain_times.rs
+++ b/crates/invariants/src/drain_times.rs
@@ -1,5 +1,5 @@
-//! How long drains take: from the commit of a drain, and from its notification to each proxy, until the last byte of new work
-//! that the proxy began at the node.
+//! Durations of drains: from the commit of a drain, and from its notification to each proxy, until
+//! the last byte of new work that the proxy started to send to the node.
 
 use crate::trace_index::TraceIndex;
 use maplefall_event_trace::{Health, Millis, Trace};
@@ -11,42 +11,45 @@
     pub proxy: u32,
     /// Number of the node.
     pub node: u32,
-    /// From the commit to the notification; `None` where nothing was committed (an agent notifies by itself).
+    /// From the commit to the notification; `None` if nothing was committed (the discovery agent
+    /// notified without a commit).
     pub notification_delay: Option<Millis>,
-    /// From the time at which the membership source had the change to the notification; `None` where the trace has neither.
+    /// From the time at which the membership source had the change to the notification; `None` if
+    /// the trace does not hold that time.
     pub watch_delay: Option<Millis>,
-    /// From the commit to the last byte of new work, 0 without any; `None` where nothing was committed.
+    /// From the commit to the last byte of new work; 0 without new work, `None` if nothing was
+    /// committed.
     pub until_quiet_after_commit: Option<Millis>,
-    /// From the notification to the last byte of new work, 0 without any.
+    /// From the notification to the last byte of new work; 0 without new work.
     pub until_quiet_after_notification: Millis,
 }
 
-/// Every drain that a proxy was notified of, in the order of the notifications. A proxy that was notified of a node twice
-/// counts once for each instance of the node.
-pub fn drain_times(record: &Trace) -> Vec<DrainTime> {
-    let index = TraceIndex::new(record);
-    let mut found = Vec::new();
+/// Returns every drain that a proxy was notified of, in the order of the notifications. Repeated
+/// notifications from a source count once per instance of the node.
+pub fn drain_times(trace: &Trace) -> Vec<DrainTime> {
+    let index = TraceIndex::new(trace);
+    let mut drains = Vec::new();
     let mut stopped: std::collections::BTreeMap<(u32, u32, u32), bool> = Default::default();
     for update in &index.updates {
-        let (key, by) = (
+        let (key, source_key) = (
             (update.proxy, update.node),
             (update.proxy, update.node, update.source),
         );
         if update.health == Health::Up {
-            stopped.insert(by, false);
+            stopped.insert(source_key, false);
             continue;
         }
-        // Only the transition from up counts; a source may repeat the drain.
-        if stopped.insert(by, true) != Some(false) {
+        // Only the transition from up counts: a source can repeat the drain.
+        if stopped.insert(source_key, true) != Some(false) {
             continue;
         }
         let of_node = |(_, node, _): &&(Millis, u32, Health)| *node == update.node;
-        let up_again = index
+        let next_up = index
             .committed
             .iter()
             .filter(of_node)
-            .find(|(at, _, h)| *at > update.at && *h == Health::Up);
-        let until = up_again.map_or(f64::INFINITY, |(at, _, _)| *at);
+            .find(|(at, _, health)| *at > update.at && *health == Health::Up);
+        let drain_end = next_up.map_or(f64::INFINITY, |(at, _, _)| *at);
         let commits = index
             .committed
             .iter()
@@ -62,29 +65,30 @@
                 }
             }
         }
-        let last = |from: Millis| {
-            let new = index.attempts.iter().filter(|attempt| {
+        let until_last_byte = |from: Millis| {
+            let new_attempts = index.attempts.iter().filter(|attempt| {
                 (attempt.proxy, attempt.node) == key
                     && attempt.first_byte_at > from
-                    && attempt.first_byte_at < until
+                    && attempt.first_byte_at < drain_end
             });
-            new.map(|attempt| attempt.received_at - from)
+            new_attempts
+                .map(|attempt| attempt.received_at - from)
                 .fold(0.0, f64::max)
         };
-        found.push(DrainTime {
+        drains.push(DrainTime {
             proxy: update.proxy,
             node: update.node,
             watch_delay: index
                 .updates_due
                 .iter()
                 .filter(|due| (due.proxy, due.node) == key && due.health != Health::Up)
-                .map(|due| due.at - record.header.rules.notification_timeout_ms)
+                .map(|due| due.at - trace.header.rules.notification_timeout_ms)
                 .rfind(|at| *at <= update.at)
                 .map(|at| update.at - at),
             notification_delay: commit.map(|commit| update.at - commit),
-            until_quiet_after_commit: commit.map(last),
-            until_quiet_after_notification: last(update.at),
+            until_quiet_after_commit: commit.map(until_last_byte),
+            until_quiet_after_notification: until_last_byte(update.at),
         });
     }
-    found
+    drains
 }
--- a/crates/invariants/src/drains.rs
+++ b/crates/invariants/src/drains.rs
@@ -1,16 +1,20 @@
-//! Rule 3: a proxy sends nothing new to a node later than the drain grace after it was notified that the node drains or was
-//! removed. A send counts from its first byte, complete or not. A change that a source has counts as notified after
-//! `Rules::notification_timeout_ms` even if undelivered; an update of a lower version never cancels a drain of a higher one.
+//! Rule 3: once the drain grace after the notification that a node drains or was removed has
+//! passed, a proxy sends nothing new to the node. A send counts from its first byte, complete or
+//! not. A proxy counts as notified of a source's change after `Rules::notification_timeout_ms`,
+//! even if the change was not delivered; an update with a lower version never cancels a drain with
+//! a higher one.
 
 use crate::rule_result::RuleResult;
 use crate::trace_index::{Attempt, NodeUpdate, TraceIndex};
 use maplefall_event_trace::{Health, Millis, ProxyState};
 use std::collections::BTreeMap;
 
-/// How recently a proxy must have sent to a node for the node's drain to count as a test.
+/// Time before a drain in which the proxy must have sent to the node for the drain to count as a
+/// test.
 const RECENT_TRAFFIC_WINDOW: Millis = 10_000.0;
 
-/// A drain or removal in force: since when, the trace line of its notification, and the version of the membership list.
+/// A drain or removal in force: its start, the trace line of its notification, and the version of
+/// the membership list.
 #[derive(Clone, Copy)]
 struct StopNotice {
     at: Millis,
@@ -18,14 +22,15 @@
     version: u64,
 }
 
-/// A proxy and a node that it may send to.
+/// Numbers of a proxy and of a node that the proxy sends to.
 type Route = (u32, u32);
 
-/// Drains in force by route and membership source. A source's drain is in force whatever other sources say, until the same
-/// source cancels it.
+/// Drains in force by route and membership source. A source's drain stays in force, whatever other
+/// sources report, until the same source cancels it or any source reports a newer instance of the
+/// node.
 type ActiveStops = BTreeMap<Route, BTreeMap<u32, StopNotice>>;
 
-/// The state of the check while notifications, restarts and sends are replayed in the order of their times.
+/// State of the check while notifications, restarts and sends are replayed in order of time.
 struct Replay {
     active: ActiveStops,
     last_sent: BTreeMap<Route, Millis>,
@@ -34,10 +39,10 @@
 }
 
 impl Replay {
-    /// A restarted proxy knows nothing of earlier notifications.
+    /// Drops the notifications of a proxy: a restarted proxy has lost them.
     fn restart(&mut self, proxy: u32) {
-        self.active.retain(|(of, _), _| *of != proxy);
-        self.last_sent.retain(|(of, _), _| *of != proxy);
+        self.active.retain(|(sender, _), _| *sender != proxy);
+        self.last_sent.retain(|(sender, _), _| *sender != proxy);
     }
 
     fn sent_recently(&self, route: Route, now: Millis) -> bool {
@@ -49,9 +54,9 @@
         let route = (update.proxy, update.node);
         let recent = self.sent_recently(route, update.at);
         let stops = self.active.entry(route).or_default();
-        let was_free = stops.is_empty();
+        let was_unrestricted = stops.is_empty();
         if update.health == Health::Up {
-            // A source cancels its own drain; any source cancels by a newer instance of the node.
+            // A source cancels its own drain; a newer instance of the node cancels all drains.
             stops.retain(|source, stop| {
                 let older = update.version < stop.version;
                 (*source != update.source || older)
@@ -65,7 +70,7 @@
             let stop = stops.entry(update.source).or_insert(notice);
             stop.version = stop.version.max(version);
         }
-        if was_free && !stops.is_empty() {
+        if was_unrestricted && !stops.is_empty() {
             self.result.tested += u64::from(recent);
         }
     }
@@ -77,24 +82,29 @@
             .get(&route)
             .and_then(|stops| stops.values().min_by(|a, b| a.at.total_cmp(&b.at)));
         if let Some(stop) = earliest {
-            let after = attempt.first_byte_at - stop.at;
+            let elapsed = attempt.first_byte_at - stop.at;
             let grace = self.grace;
             self.result
-                .record_margin(attempt.first_byte_at, grace - after);
-            if after > grace {
-                let text = format!(
-                    "front door {} sent to node {} {after:.0} ms after it was told to stop; {grace:.0} ms are allowed",
+                .record_margin(attempt.first_byte_at, grace - elapsed);
+            if elapsed > grace {
+                let description = format!(
+                    "proxy {} sent to node {} {elapsed:.0} ms after the notification of its drain; {grace:.0} ms are allowed",
                     attempt.proxy, attempt.node
                 );
                 let lines = [stop.line, attempt.line];
-                self.result
-                    .record_violation(attempt.first_byte_at, attempt.id, &lines, text);
+                self.result.record_violation(
+                    attempt.first_byte_at,
+                    attempt.id,
+                    &lines,
+                    description,
+                );
             }
         }
         self.last_sent.insert(route, attempt.first_byte_at);
     }
 
-    /// Notifications after the last send are tests too, if the proxy had been sending there.
+    /// Counts a notification after the last send as a test if the proxy had recently sent to the
+    /// node.
     fn notify_after_last_send(&mut self, update: &NodeUpdate) {
         let route = (update.proxy, update.node);
         let stopped_before = self
@@ -108,13 +118,18 @@
 
 /// Checks the rule.
 pub fn check(index: &TraceIndex<'_>) -> RuleResult {
-    let tested_by = "drains and removals told to a front door that had been sending there";
+    let tested_by = "drains and removals notified to a proxy that had recently sent to the node";
     let rules = index.trace.header.rules;
     let mut replay = Replay {
         active: BTreeMap::new(),
         last_sent: BTreeMap::new(),
         grace: rules.drain_grace_ms + rules.socket_slack_ms,
-        result: RuleResult::new(3, "drains kept", tested_by, "ms before the last moment"),
+        result: RuleResult::new(
+            3,
+            "drains respected",
+            tested_by,
+            "ms of the drain grace left",
+        ),
     };
     let mut updates: Vec<_> = index.updates.iter().chain(&index.updates_due).collect();
     updates.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -130,7 +145,7 @@
         let until = attempt.first_byte_at;
         loop {
             let update = updates.next_if(|update| {
-                // A restart precedes what the proxy starts with.
+                // A restart precedes the notifications that the proxy starts with.
                 let restart = starts.peek().filter(|start| start.0 <= until);
                 update.at <= until && restart.is_none_or(|start| start.3 >= update.line)
             });
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,9 +1,11 @@
-//! Checks the platform's rules on the trace of a test run. For each rule it returns whether it was kept, violated or not
-//! exercised. No I/O and no clock: the same trace always gives the same result.
+//! Checks the platform's rules on the trace of a test run. For each rule it returns whether the run
+//! satisfied it, violated it or did not exercise it. No I/O and no clock: the same trace always
+//! gives the same result.
 //!
-//! The rules come from the platform's pages (BRIEF "The five rules", WIRE "Invariants", PROTOCOL "The rules on sockets"):
-//! 1 [`responses`], 2 [`retries`], 3 [`drains`], 4 [`warm_up`], 5 [`rate_limits`]; where callers are authenticated
-//! 6 [`credentials`]; where proxies share counts 7 [`quotas`].
+//! The rules are specified in the platform's pages (BRIEF "The five rules", WIRE "Invariants",
+//! PROTOCOL "The rules on sockets"): 1 [`responses`], 2 [`retries`], 3 [`drains`], 4 [`warm_up`], 5
+//! [`rate_limits`]; with authentication of callers 6 [`credentials`]; with counts shared between
+//! proxies 7 [`quotas`].
 
 pub mod credentials;
 pub mod drain_times;
@@ -27,9 +29,9 @@
 use serde::Serialize;
 use trace_index::TraceIndex;
 
-/// Maximum lateness of the test servers at the 99th percentile; beyond it a run is invalid.
+/// Maximum lateness of the test servers at the 99th percentile; above it a run is invalid.
 pub const MAX_LATENESS_P99: Millis = 15.0;
-/// Maximum lateness of a single action; beyond it a run is invalid.
+/// Maximum lateness of a single action of the test servers; above it a run is invalid.
 pub const MAX_LATENESS: Millis = 250.0;
 
 /// The result of all rules on a trace, with its metrics.
@@ -37,12 +39,12 @@
 pub struct Evaluation {
     /// Name of the scenario.
     pub scenario: String,
-    /// Its seed.
+    /// Seed of the scenario.
     pub seed: u64,
     /// Why the run proves nothing about the proxies; `None` if it is valid.
     #[serde(rename = "void")]
     pub invalid_reason: Option<String>,
-    /// The results of the rules, in order of their numbers.
+    /// Results of the rules, ordered by rule number.
     pub rules: Vec<RuleResult>,
     /// Metrics of the run.
     #[serde(rename = "figures")]
@@ -50,14 +52,14 @@
 }
 
 impl Evaluation {
-    /// Whether any rule was violated.
+    /// Returns whether any rule was violated.
     pub fn has_violations(&self) -> bool {
         self.rules
             .iter()
             .any(|result| result.verdict == Verdict::Violated)
     }
 
-    /// Those of the given rules that the run did not exercise.
+    /// Returns those of the given rules that the run did not exercise.
     pub fn not_exercised(&self, rules: &[u32]) -> Vec<u32> {
         let not_exercised = self
             .rules
@@ -71,12 +73,12 @@
 }
 
 /// Checks all rules on a trace.
-pub fn evaluate(record: &Trace) -> Evaluation {
-    let index = TraceIndex::new(record);
+pub fn evaluate(trace: &Trace) -> Evaluation {
+    let index = TraceIndex::new(trace);
     Evaluation {
-        scenario: record.header.scenario.clone(),
-        seed: record.header.seed,
-        invalid_reason: invalid_reason(record),
+        scenario: trace.header.scenario.clone(),
+        seed: trace.header.seed,
+        invalid_reason: invalid_reason(trace),
         rules: vec![
             responses::check(&index),
             retries::check(&index),
@@ -90,25 +92,30 @@
     }
 }
 
-/// Why a run is invalid: the test servers were late, or did not report how late.
-fn invalid_reason(record: &Trace) -> Option<String> {
-    let lateness = record.events.iter().rev().find_map(|line| match line.kind {
-        EventKind::Lateness {
-            actions,
-            p99_ms,
-            max_ms: most_ms,
-            ..
-        } => Some((actions, p99_ms, most_ms)),
-        _ => None,
-    });
+/// Returns why a run is invalid: the test servers were late, idle, or did not report their
+/// lateness.
+fn invalid_reason(trace: &Trace) -> Option<String> {
+    let lateness = trace
+        .events
+        .iter()
+        .rev()
+        .find_map(|event| match event.kind {
+            EventKind::Lateness {
+                actions,
+                p99_ms,
+                max_ms,
+                ..
+            } => Some((actions, p99_ms, max_ms)),
+            _ => None,
+        });
     match lateness {
-        None => Some("the record does not tell how late the stand-ins were".to_owned()),
-        Some((0, _, _)) => Some("the stand-ins did nothing".to_owned()),
+        None => Some("the trace holds no lateness of the test servers".to_owned()),
+        Some((0, _, _)) => Some("the test servers performed no action".to_owned()),
         Some((_, p99, _)) if p99 > MAX_LATENESS_P99 => Some(format!(
-            "the stand-ins were late: {p99:.1} ms at the 99th percentile, {MAX_LATENESS_P99} ms at most"
+            "the test servers were late: {p99:.1} ms at the 99th percentile, limit {MAX_LATENESS_P99} ms"
         )),
-        Some((_, _, most)) if most > MAX_LATENESS => {
-            Some(format!("the stand-ins were late once by {most:.0} ms, {MAX_LATENESS} ms at most"))
+        Some((_, _, max)) if max > MAX_LATENESS => {
+            Some(format!("an action of the test servers was {max:.0} ms late, limit {MAX_LATENESS} ms"))
         }
         Some(_) => None,
     }
--- a/crates/invariants/src/metrics.rs
+++ b/crates/invariants/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics of a run: value served, responses by kind, attempts, latency, and resources of the proxies.
+//! Metrics of a run: value served, responses by kind, attempts, latency, and resources of the
+//! proxies.
 
 use crate::trace_index::{ClientRequest, TraceIndex};
 use hdrhistogram::Histogram;
@@ -6,7 +7,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Percentiles of the time from an original request to its served response.
+/// Percentiles of the time from an original request to the served response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LatencyPercentiles {
     /// The median.
@@ -25,33 +26,33 @@
 pub struct Metrics {
     /// Length of the trace in seconds.
     pub seconds: f64,
-    /// Original requests, without their retries.
+    /// Number of original requests, without retries by clients.
     pub requests: u64,
-    /// Requests with their retries.
+    /// Number of requests, including retries by clients.
     #[serde(rename = "tries")]
     pub client_requests: u64,
     /// Requests that were served.
     pub served: u64,
-    /// Rejected with a `Retry-After`.
+    /// Requests rejected with a `Retry-After`.
     #[serde(rename = "refused_with_advice")]
     pub rejected_with_retry_after: u64,
-    /// Rejected without one.
+    /// Requests rejected without a `Retry-After`.
     #[serde(rename = "refused")]
     pub rejected_without_retry_after: u64,
-    /// Requests that failed, by status.
+    /// Requests with any other status, by status.
     pub failed: BTreeMap<u16, u64>,
     /// Requests that no proxy accepted.
     #[serde(rename = "not_taken")]
     pub not_accepted: u64,
-    /// Requests whose connection was closed with nothing forwarded.
+    /// Requests whose connection was closed before anything was forwarded.
     #[serde(rename = "closed_unsent")]
     pub closed_before_forwarding: u64,
-    /// Requests with no complete response.
+    /// Accepted requests that got no complete response.
     pub unanswered: u64,
-    /// Value served within the latency target over the value offered within the quotas, 0 to 1.
+    /// Value earned by served requests over the value offered within the quotas, 0 to 1.
     #[serde(rename = "worth_share")]
     pub value_share: f64,
-    /// The same for each plan, by name.
+    /// The same ratio for each plan, by the plan's name.
     #[serde(rename = "worth_by_plan")]
     pub value_by_plan: BTreeMap<String, f64>,
     /// Complete attempts per forwarded request.
@@ -69,61 +70,61 @@
     /// Clients that sent malformed requests.
     #[serde(rename = "rude")]
     pub malformed_clients: u64,
-    /// Those of them that got neither a response nor a close.
+    /// Clients that sent malformed requests and got neither a response nor a close.
     #[serde(rename = "rude_neglected")]
     pub malformed_clients_neglected: u64,
     /// Lateness of the test servers at the 99th percentile.
     #[serde(rename = "late_p99_ms")]
     pub lateness_p99_ms: Millis,
-    /// Maximum lateness.
+    /// Maximum lateness of the test servers.
     #[serde(rename = "late_most_ms")]
     pub lateness_max_ms: Millis,
-    /// Scheduled actions of the test servers.
+    /// Number of scheduled actions of the test servers.
     pub actions: u64,
 }
 
-/// Measures a trace.
+/// Computes the metrics of a trace.
 pub fn measure(index: &TraceIndex<'_>) -> Metrics {
-    let mut figures = Metrics::default();
-    let lines = &index.trace.events;
-    figures.seconds = lines.last().map_or(0.0, |line| line.at / 1000.0);
+    let mut metrics = Metrics::default();
+    let events = &index.trace.events;
+    metrics.seconds = events.last().map_or(0.0, |event| event.at / 1000.0);
     let mut cpu = 0.0;
-    for line in lines {
-        match &line.kind {
+    for event in events {
+        match &event.kind {
             EventKind::ResourceUsage {
                 cpu_ms, memory_kib, ..
             } => {
                 cpu += cpu_ms;
-                figures.max_memory_kib = figures.max_memory_kib.max(*memory_kib);
+                metrics.max_memory_kib = metrics.max_memory_kib.max(*memory_kib);
             }
             EventKind::Lateness {
                 actions,
                 p99_ms,
-                max_ms: most_ms,
+                max_ms,
                 ..
             } => {
                 (
-                    figures.actions,
-                    figures.lateness_p99_ms,
-                    figures.lateness_max_ms,
-                ) = (*actions, *p99_ms, *most_ms);
+                    metrics.actions,
+                    metrics.lateness_p99_ms,
+                    metrics.lateness_max_ms,
+                ) = (*actions, *p99_ms, *max_ms);
             }
             EventKind::RequestFailed {
                 reason: FailureReason::NotAccepted,
                 ..
-            } => figures.not_accepted += 1,
+            } => metrics.not_accepted += 1,
             EventKind::ResponseReceived {
                 status: 429 | 503,
                 retry_after_ms,
                 ..
             } => {
-                let with = u64::from(retry_after_ms.is_some());
-                figures.rejected_with_retry_after += with;
-                figures.rejected_without_retry_after += 1 - with;
+                let has_retry_after = u64::from(retry_after_ms.is_some());
+                metrics.rejected_with_retry_after += has_retry_after;
+                metrics.rejected_without_retry_after += 1 - has_retry_after;
             }
-            EventKind::ResponseReceived { status: 200, .. } => figures.served += 1,
+            EventKind::ResponseReceived { status: 200, .. } => metrics.served += 1,
             EventKind::ResponseReceived { status, .. } => {
-                *figures.failed.entry(*status).or_default() += 1
+                *metrics.failed.entry(*status).or_default() += 1
             }
             _ => {}
         }
@@ -133,19 +134,19 @@
             Some((_, FailureReason::Closed, _))
                 if index.attempts_of(request.id).next().is_none() =>
             {
-                figures.closed_before_forwarding += 1;
+                metrics.closed_before_forwarding += 1;
             }
             Some((
                 _,
                 FailureReason::Closed | FailureReason::Truncated | FailureReason::TimedOut,
                 _,
-            )) => figures.unanswered += 1,
+            )) => metrics.unanswered += 1,
             _ => {}
         }
     }
-    figures.client_requests = index.requests.len() as u64;
-    figures.malformed_clients = index.malformed_clients.len() as u64;
-    figures.malformed_clients_neglected = index
+    metrics.client_requests = index.requests.len() as u64;
+    metrics.malformed_clients = index.malformed_clients.len() as u64;
+    metrics.malformed_clients_neglected = index
         .malformed_clients
         .iter()
         .filter(|(_, _, _, neglected, _)| *neglected)
@@ -155,51 +156,51 @@
         .iter()
         .filter(|attempt| attempt.complete)
         .count();
-    figures.attempts_per_forwarded = complete as f64 / index.complete_by_id.len().max(1) as f64;
-    figures.cpu_us_per_request = cpu * 1000.0 / figures.client_requests.max(1) as f64;
-    measure_value_and_latency(index, &mut figures);
-    figures
+    metrics.attempts_per_forwarded = complete as f64 / index.complete_by_id.len().max(1) as f64;
+    metrics.cpu_us_per_request = cpu * 1000.0 / metrics.client_requests.max(1) as f64;
+    measure_value_and_latency(index, &mut metrics);
+    metrics
 }
 
-/// Value and latency; a client's retries belong to the original request.
-fn measure_value_and_latency(index: &TraceIndex<'_>, figures: &mut Metrics) {
-    let mut items: BTreeMap<u64, Vec<&ClientRequest<'_>>> = BTreeMap::new();
+/// Computes value and latency; a client's retries count towards the original request.
+fn measure_value_and_latency(index: &TraceIndex<'_>, metrics: &mut Metrics) {
+    let mut by_original: BTreeMap<u64, Vec<&ClientRequest<'_>>> = BTreeMap::new();
     for request in &index.requests {
-        items
+        by_original
             .entry(request.original_request)
             .or_default()
             .push(request);
     }
-    figures.requests = items.len() as u64;
-    let mut order: Vec<&Vec<&ClientRequest<'_>>> = items.values().collect();
-    order.sort_by(|a, b| a[0].sent_at.total_cmp(&b[0].sent_at));
-    let mut stores: BTreeMap<u64, (f64, Millis)> = BTreeMap::new();
+    metrics.requests = by_original.len() as u64;
+    let mut originals: Vec<&Vec<&ClientRequest<'_>>> = by_original.values().collect();
+    originals.sort_by(|a, b| a[0].sent_at.total_cmp(&b[0].sent_at));
+    let mut buckets: BTreeMap<u64, (f64, Millis)> = BTreeMap::new();
     let mut value: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     let denied = crate::credentials::denied_customers(index);
-    // Three significant digits are enough, and the table stays small.
-    let mut times = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).ok();
-    for tries in order {
-        let first = tries[0];
+    // Three significant digits are precise enough and keep the table small.
+    let mut histogram = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).ok();
+    for client_requests in originals {
+        let first = client_requests[0];
         let (Some(class), Some(plan)) = (index.class(first), index.plan(first)) else {
             continue;
         };
-        let served = tries
+        let served = client_requests
             .iter()
             .filter_map(|request| request.response)
-            .find(|answer| answer.status == 200);
-        let took = served.map(|answer| answer.at - first.sent_at);
-        if let (Some(took), Some(times)) = (took, &mut times) {
-            times.saturating_record((took.max(0.0) * 1000.0) as u64);
+            .find(|response| response.status == 200);
+        let elapsed = served.map(|response| response.at - first.sent_at);
+        if let (Some(elapsed), Some(histogram)) = (elapsed, &mut histogram) {
+            histogram.saturating_record((elapsed.max(0.0) * 1000.0) as u64);
         }
-        // A caller without a valid credential has no claim on a response.
+        // A caller without a valid credential offers no value.
         if denied
             .get(&first.customer)
             .is_some_and(|(from, _)| *from <= first.sent_at)
         {
             continue;
         }
-        // Offered value is what a single proxy that saw all original requests would admit.
-        let (level, at) = stores
+        // The offered value is what a single proxy that received all original requests would admit.
+        let (level, at) = buckets
             .entry(first.customer)
             .or_insert((plan.burst, first.sent_at));
         *level = (*level + plan.rate * (first.sent_at - *at) / 1000.0).min(plan.burst);
@@ -208,32 +209,32 @@
             continue;
         }
         *level -= first.units;
-        let full = class.value * plan.value_factor * first.units;
-        let got = match took {
-            Some(took) if took <= class.latency_target_ms => full,
-            Some(_) => full * class.late_value_factor,
+        let offered = class.value * plan.value_factor * first.units;
+        let earned = match elapsed {
+            Some(elapsed) if elapsed <= class.latency_target_ms => offered,
+            Some(_) => offered * class.late_value_factor,
             None => 0.0,
         };
-        let sums = value.entry(first.plan).or_default();
-        (sums.0, sums.1) = (sums.0 + got, sums.1 + full);
+        let totals = value.entry(first.plan).or_default();
+        (totals.0, totals.1) = (totals.0 + earned, totals.1 + offered);
     }
     let sum = value
         .values()
         .fold((0.0, 0.0), |sum, plan| (sum.0 + plan.0, sum.1 + plan.1));
-    let share = |(got, full): (f64, f64)| if full > 0.0 { got / full } else { 0.0 };
-    figures.value_share = share(sum);
-    for (plan, sums) in value {
-        figures
+    let share = |(earned, offered): (f64, f64)| if offered > 0.0 { earned / offered } else { 0.0 };
+    metrics.value_share = share(sum);
+    for (plan, totals) in value {
+        metrics
             .value_by_plan
-            .insert(index.trace.header.plans[plan].name.clone(), share(sums));
+            .insert(index.trace.header.plans[plan].name.clone(), share(totals));
     }
-    if let Some(times) = times {
-        let at = |part| times.value_at_quantile(part) as f64 / 1000.0;
-        figures.latency = LatencyPercentiles {
+    if let Some(histogram) = histogram {
+        let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+        metrics.latency = LatencyPercentiles {
             p50_ms: at(0.5),
             p90_ms: at(0.9),
             p99_ms: at(0.99),
-            max_ms: times.max() as f64 / 1000.0,
+            max_ms: histogram.max() as f64 / 1000.0,
         };
     }
 }
--- a/crates/invariants/src/responses.rs
+++ b/crates/invariants/src/responses.rs
@@ -1,6 +1,7 @@
-//! Rule 1: every request that a running proxy accepted gets exactly one complete final response before its client stops
-//! waiting; a served body comes from an attempt of that request; nothing is sent for it after the response. A proxy that was
-//! killed on purpose owes nothing for its pending requests; one that exits by itself has crashed.
+//! Rule 1: every request that a running proxy accepted gets exactly one complete final response
+//! before its client stops waiting; a served body comes from an attempt of the same request; no
+//! attempt starts after the response. A proxy that was killed on purpose owes no response for its
+//! pending requests; a proxy that exits unrequested has crashed.
 
 use crate::rule_result::{RuleResult, ORDERING_TOLERANCE};
 use crate::trace_index::{ClientRequest, Response, TraceIndex};
@@ -14,9 +15,9 @@
 pub fn check(index: &TraceIndex<'_>) -> RuleResult {
     let mut result = RuleResult::new(
         1,
-        "one final answer",
-        "requests taken",
-        "ms before the last moment",
+        "one final response",
+        "accepted requests",
+        "ms left of the deadline and its slack",
     );
     let mut responses = ResponsesById::new();
     for request in &index.requests {
@@ -37,7 +38,8 @@
     result.finish()
 }
 
-/// A response must arrive by the client's deadline and the slack; a served one must come from a node.
+/// Checks that a response arrives by the client's deadline plus the slack, and that a served one
+/// comes from a node.
 fn check_response(
     index: &TraceIndex<'_>,
     request: &ClientRequest<'_>,
@@ -51,10 +53,10 @@
     result.record_margin(response.at, end - response.at);
     if response.at > end {
         let late = response.at - request.deadline;
-        let text =
-            format!("answered {late:.0} ms after the client's time; {slack:.0} ms are allowed");
+        let description =
+            format!("response {late:.0} ms after the client's deadline; {slack:.0} ms are allowed");
         let lines = [request.line, response.line];
-        result.record_violation(response.at, request.id, &lines, text);
+        result.record_violation(response.at, request.id, &lines, description);
     }
     if response.status == 200 {
         check_served_response(
@@ -68,7 +70,7 @@
     }
 }
 
-/// A request has one response, and no attempt starts after it.
+/// Checks that a request has one response, and that no attempt starts after the response.
 fn check_final_response(
     index: &TraceIndex<'_>,
     id: &str,
@@ -76,11 +78,11 @@
     result: &mut RuleResult,
 ) {
     if let [first, second, ..] = responses {
-        let text = format!(
-            "answered at {:.1} ms and again at {:.1} ms",
+        let description = format!(
+            "response at {:.1} ms and again at {:.1} ms",
             first.0, second.0
         );
-        result.record_violation(second.0, id, &[first.1, second.1], text);
+        result.record_violation(second.0, id, &[first.1, second.1], description);
     }
     // A proxy returns a response only after its last attempt has ended.
     let (end, line) = responses[0];
@@ -88,58 +90,64 @@
         .attempts_of(id)
         .filter(|attempt| attempt.first_byte_at > end + ORDERING_TOLERANCE);
     for attempt in late_attempts {
-        let text = format!(
-            "an attempt began {:.0} ms after the final answer, at node {}",
+        let description = format!(
+            "an attempt started {:.0} ms after the final response, at node {}",
             attempt.first_byte_at - end,
             attempt.node
         );
-        result.record_violation(attempt.first_byte_at, id, &[line, attempt.line], text);
+        result.record_violation(
+            attempt.first_byte_at,
+            id,
+            &[line, attempt.line],
+            description,
+        );
     }
 }
 
-/// Bytes without a request, and malformed requests that were served.
+/// Reports bytes received with no request outstanding, and malformed requests that were served.
 fn check_unexpected_output(index: &TraceIndex<'_>, result: &mut RuleResult) {
     for (at, proxy, id, line) in &index.unexpected_bytes {
-        let text = format!("front door {proxy} wrote on a connection on which nothing was asked");
-        result.record_violation(*at, id, &[*line], text);
+        let description =
+            format!("proxy {proxy} wrote to a connection without an outstanding request");
+        result.record_violation(*at, id, &[*line], description);
     }
     for (at, kind, status, _, line) in &index.malformed_clients {
         if *status == Some(200) {
-            let text = format!("{kind}: served what cannot be a request");
-            result.record_violation(*at, "", &[*line], text);
+            let description = format!("{kind}: a malformed request was served");
+            result.record_violation(*at, "", &[*line], description);
         }
     }
 }
 
-/// A served body must name an attempt that a node served for this request.
+/// Checks that a served body names an attempt that a node served for the same request.
 fn check_served_response(
     index: &TraceIndex<'_>,
     request: &ClientRequest<'_>,
     at: Millis,
-    names: Option<u64>,
+    attempt_number: Option<u64>,
     line: usize,
     result: &mut RuleResult,
 ) {
-    let made = names.and_then(|number| {
+    let named_attempt = attempt_number.and_then(|number| {
         index
             .attempts_of(request.id)
             .find(|attempt| attempt.number == number)
     });
-    match made {
+    match named_attempt {
         Some(attempt) if matches!(attempt.end, Some((_, AttemptEnd::Served, _))) => {}
         Some(attempt) => {
-            let text = format!(
-                "served with attempt {}, which no node served",
+            let description = format!(
+                "served with the body of attempt {}, which no node served",
                 attempt.number
             );
-            result.record_violation(at, request.id, &[line, attempt.line], text);
+            result.record_violation(at, request.id, &[line, attempt.line], description);
         }
         None => {
             result.record_violation(
                 at,
                 request.id,
                 &[request.line, line],
-                "served with what no node made for it".into(),
+                "served with a body that no node sent for this request".into(),
             );
         }
     }
@@ -153,7 +161,7 @@
     line: usize,
     result: &mut RuleResult,
 ) {
-    // Requests pending in a killed proxy are the client's to retry.
+    // The client retries requests that were pending in a killed proxy.
     if reason == FailureReason::NotAccepted
         || index.was_killed_within(
             request.proxy,
@@ -163,20 +171,25 @@
     {
         return;
     }
-    let sent = index
+    let forwarded = index
         .attempts_of(request.id)
         .find(|a| a.proxy == request.proxy && a.received_at <= at + ORDERING_TOLERANCE);
-    match (reason, sent) {
-        // Closed with nothing forwarded for the request: the client retries and nothing is lost
+    match (reason, forwarded) {
+        // Closed before anything was forwarded: the client retries and nothing is lost
         // (later-work page, "Score").
         (FailureReason::Closed, None) => {}
         (FailureReason::Closed, Some(attempt)) => {
             result.tested += 1;
-            let text = format!(
-                "its connection was closed without an answer, and node {} had it",
+            let description = format!(
+                "its connection was closed without a response after node {} had received it",
                 attempt.node
             );
-            result.record_violation(at, request.id, &[request.line, attempt.line, line], text);
+            result.record_violation(
+                at,
+                request.id,
+                &[request.line, attempt.line, line],
+                description,
+            );
         }
         (FailureReason::Truncated, _) => {
             result.tested += 1;
@@ -184,37 +197,37 @@
                 at,
                 request.id,
                 &[request.line, line],
-                "its answer broke off".into(),
+                "its response was truncated".into(),
             );
         }
-        (FailureReason::TimedOut, sent) => {
+        (FailureReason::TimedOut, forwarded) => {
             result.tested += 1;
             let lines: Vec<usize> = [request.line, line]
                 .into_iter()
-                .chain(sent.map(|a| a.line))
+                .chain(forwarded.map(|a| a.line))
                 .collect();
-            let text = format!(
-                "no answer within the client's time, which ended at {:.1} ms",
+            let description = format!(
+                "no response before the client's deadline at {:.1} ms",
                 request.deadline
             );
-            result.record_violation(at, request.id, &lines, text);
+            result.record_violation(at, request.id, &lines, description);
         }
         (FailureReason::NotAccepted, _) => {}
     }
 }
 
-/// Unrequested exits, and shutdowns with an exit code other than 0.
+/// Reports unrequested exits, and shutdowns with an exit code other than 0.
 fn check_crashes(index: &TraceIndex<'_>, result: &mut RuleResult) {
     let mut stopping: BTreeMap<u32, (ProxyState, usize)> = BTreeMap::new();
-    for (at, door, state, line) in &index.proxy_states {
+    for (at, proxy, state, line) in &index.proxy_states {
         match state {
-            ProxyState::Ended { code } => match stopping.remove(door) {
+            ProxyState::Ended { code } => match stopping.remove(proxy) {
                 Some((ProxyState::Killed, _)) => {}
-                Some((ProxyState::Terminated, asked)) if *code != Some(0) => {
-                    let text = format!(
-                        "front door {door} was told to stop and ended with {code:?}, not 0"
+                Some((ProxyState::Terminated, signal_line)) if *code != Some(0) => {
+                    let description = format!(
+                        "proxy {proxy} was asked to shut down and exited with {code:?}, not 0"
                     );
-                    result.record_violation(*at, "", &[asked, *line], text);
+                    result.record_violation(*at, "", &[signal_line, *line], description);
                 }
                 Some((ProxyState::Terminated, _)) => {}
                 _ => {
@@ -222,15 +235,15 @@
                         *at,
                         "",
                         &[*line],
-                        format!("front door {door} crashed ({code:?})"),
+                        format!("proxy {proxy} crashed ({code:?})"),
                     );
                 }
             },
             ProxyState::Killed | ProxyState::Terminated => {
-                stopping.insert(*door, (*state, *line));
+                stopping.insert(*proxy, (*state, *line));
             }
             ProxyState::Started => {
-                stopping.remove(door);
+                stopping.remove(proxy);
             }
             ProxyState::Ready | ProxyState::Reloaded => {}
         }
--- a/crates/invariants/src/rule_result.rs
+++ b/crates/invariants/src/rule_result.rs
@@ -1,41 +1,43 @@
-//! The result of one rule: how often it was exercised, its smallest margin, and the evidence of each violation.
+//! The result of one rule: how often it was exercised, its smallest margin, and the evidence of its
+//! violations.
 
 use maplefall_event_trace::Millis;
 use serde::Serialize;
 
-/// Maximum violations kept per rule; further ones are only counted.
+/// Maximum number of violations stored per rule; further ones are only counted.
 pub const MAX_VIOLATIONS: usize = 20;
-/// Tolerance in milliseconds within which the order of two events seen by different threads is unknown.
+/// Time in milliseconds within which the order of two events that different threads recorded is
+/// unknown.
 pub const ORDERING_TOLERANCE: Millis = 25.0;
 /// Length in milliseconds of an interval for which the smallest margin is reported.
 pub const MARGIN_INTERVAL: Millis = 250.0;
-/// Intervals searched backwards for the one of a margin.
+/// Number of latest intervals that are searched for the interval of a margin.
 const MARGIN_LOOKBACK: usize = 16;
-/// Whether a rule was kept.
+/// Outcome of a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It was exercised and never violated.
+    /// The rule was exercised and never violated.
     #[serde(rename = "kept")]
     Satisfied,
-    /// It was violated.
+    /// The rule was violated at least once.
     #[serde(rename = "broken")]
     Violated,
-    /// Nothing in the trace exercised it.
+    /// Nothing in the trace exercised the rule.
     NotExercised,
 }
 
 /// One violation and its evidence.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// What happened, with the times.
+    /// What happened, with times.
     #[serde(rename = "text")]
     pub description: String,
-    /// The request's id; empty if it concerns no request.
+    /// Id of the request; empty if the violation concerns no request.
     pub request: String,
     /// Time in the trace.
     pub at: Millis,
-    /// The trace lines that prove it; the header is line 1.
+    /// Numbers of the trace lines that prove the violation; the header is line 1.
     #[serde(rename = "lines")]
     pub trace_lines: Vec<usize>,
 }
@@ -47,11 +49,11 @@
     pub rule: u32,
     /// Name of the rule in reports.
     pub name: &'static str,
-    /// The verdict.
+    /// Whether the rule was satisfied, violated or not exercised.
     pub verdict: Verdict,
-    /// How often it was exercised.
+    /// How often the rule was exercised.
     pub tested: u64,
-    /// What counts as one test.
+    /// What counts as one exercise of the rule.
     pub tested_by: &'static str,
     /// The smallest margin, negative after a violation; `None` if none was measured.
     pub margin: Option<f64>,
@@ -92,20 +94,20 @@
     }
 
     pub(crate) fn record_margin(&mut self, at: Millis, margin: f64) {
-        if self.margin.is_none_or(|least| margin < least) {
+        if self.margin.is_none_or(|smallest| margin < smallest) {
             (self.margin, self.margin_at) = (Some(margin), at);
         }
-        let begin = (at / MARGIN_INTERVAL).floor() * MARGIN_INTERVAL;
-        // Margins arrive nearly in order of time: the interval is among the last few.
+        let interval_start = (at / MARGIN_INTERVAL).floor() * MARGIN_INTERVAL;
+        // Margins arrive nearly in order of time, so the interval is one of the latest.
         match self
             .margins
             .iter_mut()
             .rev()
             .take(MARGIN_LOOKBACK)
-            .find(|(known, _)| *known == begin)
+            .find(|(start, _)| *start == interval_start)
         {
-            Some((_, least)) => *least = least.min(margin),
-            None => self.margins.push((begin, margin)),
+            Some((_, smallest)) => *smallest = smallest.min(margin),
+            None => self.margins.push((interval_start, margin)),
         }
     }
 
@@ -114,7 +116,7 @@
         at: Millis,
         request: &str,
         lines: &[usize],
-        text: String,
+        description: String,
     ) {
         self.violation_count += 1;
         if self.violations.len() < MAX_VIOLATIONS {
@@ -122,7 +124,7 @@
             lines.sort_unstable();
             lines.dedup();
             self.violations.push(Violation {
-                description: text,
+                description,
                 request: request.to_owned(),
                 at,
                 trace_lines: lines,
@@ -132,12 +134,12 @@
 
     pub(crate) fn finish(mut self) -> RuleResult {
         self.margins.sort_by(|a, b| a.0.total_cmp(&b.0));
-        self.margins.dedup_by(|next, kept| {
-            let same = next.0 == kept.0;
-            if same {
-                kept.1 = kept.1.min(next.1);
+        self.margins.dedup_by(|later, earlier| {
+            let same_interval = later.0 == earlier.0;
+            if same_interval {
+                earlier.1 = earlier.1.min(later.1);
             }
-            same
+            same_interval
         });
         self.verdict = match (self.violation_count, self.tested) {
             (0, 0) => Verdict::NotExercised,
--- a/crates/invariants/src/token_buckets.rs
+++ b/crates/invariants/src/token_buckets.rs
@@ -1,12 +1,12 @@
-//! A token bucket per customer for rules 5 and 7: what all proxies together forward for a customer must fit into its bucket.
-//! The first complete attempt of a request takes its units.
+//! One token bucket per customer for rules 5 and 7: all proxies together forward no more for a
+//! customer than its bucket allows. Only the first complete attempt of a request takes units.
 
 use crate::rule_result::RuleResult;
 use crate::trace_index::TraceIndex;
 use maplefall_event_trace::Plan;
 use std::collections::BTreeMap;
 
-/// Fraction of the bucket that must have been used to count as a test.
+/// Fraction of the bucket that a customer must have used to count as a test.
 const EXERCISED_FRACTION: f64 = 0.5;
 
 /// Parameters of a customer's token bucket.
@@ -26,14 +26,15 @@
     tested: bool,
 }
 
-/// Checks all customers whose plan has such a bucket; `name` is its name in violations.
+/// Checks all customers for whose plan `limits_of` returns limits; `name` is the bucket's name in
+/// violations.
 pub(crate) fn check(
     index: &TraceIndex<'_>,
     mut result: RuleResult,
     name: &str,
-    gives: impl Fn(&Plan) -> Option<BucketLimits>,
+    limits_of: impl Fn(&Plan) -> Option<BucketLimits>,
 ) -> RuleResult {
-    let mut stores: BTreeMap<u64, TokenBucket> = BTreeMap::new();
+    let mut buckets: BTreeMap<u64, TokenBucket> = BTreeMap::new();
     for attempt in index.attempts.iter().filter(|attempt| attempt.complete) {
         let first = index
             .attempts_of(attempt.id)
@@ -42,33 +43,33 @@
         let Some(request) = index.request(attempt.id).filter(|_| first) else {
             continue;
         };
-        let Some(gives) = index.plan(request).and_then(&gives) else {
+        let Some(limits) = index.plan(request).and_then(&limits_of) else {
             continue;
         };
-        let fresh = || TokenBucket {
-            level: gives.burst,
+        let full_bucket = || TokenBucket {
+            level: limits.burst,
             updated_at: attempt.received_at,
             tested: false,
         };
-        let store = stores.entry(request.customer).or_insert_with(fresh);
-        let gained = gives.rate * (attempt.received_at - store.updated_at) / 1000.0;
-        store.level = (store.level + gained).min(gives.burst) - request.units;
-        store.updated_at = attempt.received_at;
-        if store.level < (1.0 - EXERCISED_FRACTION) * gives.burst && !store.tested {
-            store.tested = true;
+        let bucket = buckets.entry(request.customer).or_insert_with(full_bucket);
+        let refill = limits.rate * (attempt.received_at - bucket.updated_at) / 1000.0;
+        bucket.level = (bucket.level + refill).min(limits.burst) - request.units;
+        bucket.updated_at = attempt.received_at;
+        if bucket.level < (1.0 - EXERCISED_FRACTION) * limits.burst && !bucket.tested {
+            bucket.tested = true;
             result.tested += 1;
         }
-        result.record_margin(attempt.received_at, store.level + gives.allowed_overdraft);
-        if store.level < -gives.allowed_overdraft {
-            let text = format!(
-                "customer {:x}: the {name}'s store fell to {:.1} units; {:.1} below nought are allowed",
-                request.customer, store.level, gives.allowed_overdraft
+        result.record_margin(attempt.received_at, bucket.level + limits.allowed_overdraft);
+        if bucket.level < -limits.allowed_overdraft {
+            let description = format!(
+                "customer {:x}: the {name}'s token bucket fell to {:.1} units; {:.1} below zero are allowed",
+                request.customer, bucket.level, limits.allowed_overdraft
             );
             result.record_violation(
                 attempt.received_at,
                 request.id,
                 &[request.line, attempt.line],
-                text,
+                description,
             );
         }
     }
--- a/crates/invariants/src/trace_index.rs
+++ b/crates/invariants/src/trace_index.rs
@@ -1,61 +1,62 @@
-//! The trace indexed for the rules: requests with their responses, attempts with their ends, states of proxies and instances
-//! of nodes. Built in one pass; decides nothing.
+//! An index of a trace for the rules: requests with their responses, attempts with their ends,
+//! states of proxies and instances of nodes. Built in one pass; checks no rule.
 
 use maplefall_event_trace::{
     AttemptEnd, Class, EventKind, FailureReason, Health, Millis, NodeState, Plan, ProxyState, Trace,
 };
 use std::collections::BTreeMap;
 
-/// One request as a client sent it; a retry is a request of its own.
+/// A request that a client sent; each retry by the client is a separate `ClientRequest`.
 #[derive(Clone, Debug)]
 pub struct ClientRequest<'r> {
     /// The request's id on the wire.
     pub id: &'r str,
-    /// Number of the original request; its own number if it is no retry.
+    /// Number of the original request; the request's own number if it is not a retry.
     pub original_request: u64,
-    /// Number of retries before it.
+    /// Number of retries by the client before this request.
     pub retry: u32,
-    /// The proxy it was sent to.
+    /// Number of the proxy that it was sent to.
     pub proxy: u32,
     /// Number of the client's connection.
     pub connection: u64,
     /// The customer that sent it.
     pub customer: u64,
-    /// Index of its plan in the header.
+    /// Index of the customer's plan in the header.
     pub plan: usize,
-    /// Index of its class in the header.
+    /// Index of the request's class in the header.
     pub class: usize,
-    /// Units that it takes from the quota.
+    /// Units that the request takes from the quota.
     pub units: f64,
-    /// When the client wrote its last byte.
+    /// When the client wrote the last byte of the request.
     pub sent_at: Millis,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Millis,
-    /// Fingerprint of what must reach a node unchanged.
+    /// Fingerprint of the parts of the request that must reach a node unchanged.
     pub fingerprint: u64,
-    /// Its trace line.
+    /// Trace line of the request.
     pub line: usize,
-    /// Its complete response, if any.
+    /// The complete response, if one arrived.
     pub response: Option<Response>,
-    /// Time, reason and trace line, if it ended without a complete response.
+    /// Time, reason and trace line of the failure, if the request ended without a complete
+    /// response.
     pub failure: Option<(Millis, FailureReason, usize)>,
 }
 
 /// A complete response.
 #[derive(Clone, Copy, Debug)]
 pub struct Response {
-    /// When its last byte was read.
+    /// When the client read the last byte.
     pub at: Millis,
     /// The HTTP status.
     pub status: u16,
-    /// The attempt that its body names.
+    /// Number of the attempt that the body names.
     pub attempt: Option<u64>,
     /// Its trace line.
     pub line: usize,
 }
 
 impl Response {
-    /// Whether it is a rejection, after which a retry is harmless.
+    /// Returns whether the response is a rejection, after which a retry is harmless.
     pub fn is_rejection(&self) -> bool {
         matches!(self.status, 429 | 503)
     }
@@ -68,30 +69,30 @@
     pub number: u64,
     /// Number of the node.
     pub node: u32,
-    /// The proxy that sent it.
+    /// Number of the proxy that sent the attempt.
     pub proxy: u32,
     /// The request's id.
     pub id: &'r str,
-    /// Fingerprint of what was received.
+    /// Fingerprint of the received request.
     pub fingerprint: u64,
-    /// When its first byte was read.
+    /// When the node read the first byte.
     pub first_byte_at: Millis,
-    /// When its last byte was read, or it was cut off.
+    /// When the node read the last byte, or the connection ended before it.
     pub received_at: Millis,
-    /// Whether it was received completely.
+    /// Whether the node received all bytes.
     pub complete: bool,
-    /// Work that it causes, in milliseconds of one warm core.
+    /// Work that the attempt causes, in milliseconds of one warm core.
     pub work: Millis,
     /// Its trace line.
     pub line: usize,
-    /// Time, kind and trace line of its end.
+    /// Time, kind and trace line of the attempt's end.
     pub end: Option<(Millis, AttemptEnd, usize)>,
-    /// Times and trace lines at which its effect was applied.
+    /// Times and trace lines at which the attempt's effect was applied.
     pub effects: Vec<(Millis, usize)>,
 }
 
 impl Attempt<'_> {
-    /// Whether its end proves that it never ran.
+    /// Returns whether the end proves that the attempt never ran.
     pub fn never_ran(&self) -> bool {
         matches!(self.end, Some((_, AttemptEnd::Rejected, _)))
     }
@@ -104,11 +105,11 @@
     pub node: u32,
     /// When the process started.
     pub started_at: Millis,
-    /// When the process ended; infinite if it did not.
+    /// When the process ended; infinite if it was still running at the end of the trace.
     pub ended_at: Millis,
     /// Number of cores.
     pub cores: f64,
-    /// Fraction of its capacity at the start.
+    /// Fraction of the full capacity at the start.
     pub initial_capacity: f64,
     /// Duration of the warm-up.
     pub warmup_ms: Millis,
@@ -117,7 +118,7 @@
 }
 
 impl NodeInstance {
-    /// Fraction of its capacity at a time.
+    /// Returns the fraction of the full capacity at a time.
     pub fn capacity_factor(&self, at: Millis) -> f64 {
         if self.warmup_ms <= 0.0 {
             return 1.0;
@@ -133,13 +134,13 @@
 pub struct NodeUpdate {
     /// Time of the notification.
     pub at: Millis,
-    /// The proxy notified.
+    /// Number of the notified proxy.
     pub proxy: u32,
-    /// The node.
+    /// Number of the node.
     pub node: u32,
     /// The node's state.
     pub health: Health,
-    /// Start time of the node in the notification.
+    /// Start time of the node according to the notification.
     pub started_at: Option<Millis>,
     /// Number of the membership source.
     pub source: u32,
@@ -149,7 +150,7 @@
     pub line: usize,
 }
 
-/// A trace, indexed.
+/// An indexed trace.
 pub struct TraceIndex<'r> {
     /// The trace.
     pub trace: &'r Trace,
@@ -157,31 +158,34 @@
     pub requests: Vec<ClientRequest<'r>>,
     /// Positions in `requests` by the request's id.
     pub by_id: BTreeMap<&'r str, Vec<usize>>,
-    /// All attempts, in the order in which they were received.
+    /// All attempts that reached a node, in the order in which they were received.
     pub attempts: Vec<Attempt<'r>>,
-    /// Positions in `attempts` of the complete ones, by the request's id.
+    /// Positions of the complete attempts in `attempts`, by the request's id.
     pub complete_by_id: BTreeMap<&'r str, Vec<usize>>,
     /// Instances of nodes, in order of start.
     pub instances: Vec<NodeInstance>,
     /// Notifications to proxies.
     pub updates: Vec<NodeUpdate>,
-    /// Changes that membership sources had, at the time at which proxies count as notified of them.
+    /// Changes that membership sources had for proxies, each with the time from which the proxy
+    /// counts as notified.
     pub updates_due: Vec<NodeUpdate>,
     /// Commits of node states: time, node, state.
     pub committed: Vec<(Millis, u32, Health)>,
     /// State changes of proxies: time, proxy, state, trace line.
     pub proxy_states: Vec<(Millis, u32, ProxyState, usize)>,
-    /// Unexpected bytes: time, proxy, last request of the connection, trace line.
+    /// Bytes received with no request outstanding: time, proxy, last request of the connection,
+    /// trace line.
     pub unexpected_bytes: Vec<(Millis, u32, &'r str, usize)>,
-    /// Clients that sent malformed requests: time, kind, status, whether neglected, trace line.
+    /// Clients that sent malformed requests: time, kind, status, whether they got neither a
+    /// response nor a close, trace line.
     pub malformed_clients: Vec<(Millis, &'r str, Option<u16>, bool, usize)>,
 }
 
 impl<'r> TraceIndex<'r> {
     /// Indexes a trace.
-    pub fn new(record: &'r Trace) -> TraceIndex<'r> {
+    pub fn new(trace: &'r Trace) -> TraceIndex<'r> {
         let mut index = TraceIndex {
-            trace: record,
+            trace,
             requests: Vec::new(),
             by_id: BTreeMap::new(),
             attempts: Vec::new(),
@@ -194,46 +198,48 @@
             unexpected_bytes: Vec::new(),
             malformed_clients: Vec::new(),
         };
-        let mut numbers: BTreeMap<u64, usize> = BTreeMap::new();
-        for (at, line) in record.events.iter().enumerate() {
-            index.index_event(at + 2, line.at, &line.kind, &mut numbers);
+        let mut positions: BTreeMap<u64, usize> = BTreeMap::new();
+        for (position, event) in trace.events.iter().enumerate() {
+            index.index_event(position + 2, event.at, &event.kind, &mut positions);
         }
         index
     }
 
-    /// The class of a request; `None` if the header lacks it.
-    pub fn class(&self, of: &ClientRequest<'_>) -> Option<&'r Class> {
-        self.trace.header.classes.get(of.class)
+    /// Returns the class of a request; `None` if the header lacks it.
+    pub fn class(&self, request: &ClientRequest<'_>) -> Option<&'r Class> {
+        self.trace.header.classes.get(request.class)
     }
 
-    /// The plan of a request; `None` if the header lacks it.
-    pub fn plan(&self, of: &ClientRequest<'_>) -> Option<&'r Plan> {
-        self.trace.header.plans.get(of.plan)
+    /// Returns the plan of a request; `None` if the header lacks it.
+    pub fn plan(&self, request: &ClientRequest<'_>) -> Option<&'r Plan> {
+        self.trace.header.plans.get(request.plan)
     }
 
-    /// The first request with an id.
+    /// Returns the first request with an id.
     pub fn request(&self, id: &str) -> Option<&ClientRequest<'r>> {
         self.by_id
             .get(id)
-            .and_then(|places| places.first())
-            .map(|place| &self.requests[*place])
+            .and_then(|positions| positions.first())
+            .map(|position| &self.requests[*position])
     }
 
-    /// The complete attempts of a request, in the order in which they were received.
+    /// Returns the complete attempts of a request, in the order in which they were received.
     pub fn attempts_of(&self, id: &str) -> impl Iterator<Item = &Attempt<'r>> {
         self.complete_by_id
             .get(id)
             .into_iter()
             .flatten()
-            .map(|place| &self.attempts[*place])
+            .map(|position| &self.attempts[*position])
     }
 
-    /// Whether a proxy was killed within this span.
-    pub fn was_killed_within(&self, door: u32, from: Millis, to: Millis) -> bool {
-        self.proxy_states.iter().any(|(at, which, state, _)| {
-            let ends = matches!(state, ProxyState::Killed);
-            *which == door && ends && (from..=to).contains(at)
-        })
+    /// Returns whether a proxy was killed between two times, inclusive.
+    pub fn was_killed_within(&self, proxy: u32, from: Millis, to: Millis) -> bool {
+        self.proxy_states
+            .iter()
+            .any(|(at, changed_proxy, state, _)| {
+                let is_kill = matches!(state, ProxyState::Killed);
+                *changed_proxy == proxy && is_kill && (from..=to).contains(at)
+            })
     }
 
     fn index_event(
@@ -267,7 +273,7 @@
         }
     }
 
-    /// What clients sent and received.
+    /// Indexes what clients sent and received.
     fn index_client_event(&mut self, line: usize, at: Millis, event: &'r EventKind) {
         match event {
             EventKind::RequestSent {
@@ -343,7 +349,7 @@
         }
     }
 
-    /// What nodes received; `positions` has the positions in `attempts` by number.
+    /// Indexes what nodes received; `positions` maps attempt numbers to positions in `attempts`.
     fn index_attempt_event(
         &mut self,
         line: usize,
@@ -399,7 +405,7 @@
         }
     }
 
-    /// What proxies were notified of, or count as notified of.
+    /// Indexes changes of nodes that proxies were notified of, or count as notified of.
     fn index_notification(&mut self, line: usize, at: Millis, event: &'r EventKind) {
         match event {
             EventKind::NodeUpdate {
@@ -438,51 +444,51 @@
         }
     }
 
-    /// The last request with an id on a connection.
-    fn request_on(&mut self, id: &str, link: u64) -> Option<&mut ClientRequest<'r>> {
-        let place = self
+    /// Returns the last request with an id on a connection.
+    fn request_on(&mut self, id: &str, connection: u64) -> Option<&mut ClientRequest<'r>> {
+        let position = self
             .by_id
             .get(id)?
             .iter()
             .rev()
-            .find(|place| self.requests[**place].connection == link)?;
-        Some(&mut self.requests[*place])
+            .find(|position| self.requests[**position].connection == connection)?;
+        Some(&mut self.requests[*position])
     }
 
     fn index_node(&mut self, line: usize, at: Millis, node: u32, state: NodeState) {
         match state {
             NodeState::Up {
                 cores,
-                initial_capacity: cold_from,
-                warmup_ms: cold_ms,
+                initial_capacity,
+                warmup_ms,
             } => {
-                let to = f64::INFINITY;
+                let ended_at = f64::INFINITY;
                 self.instances.push(NodeInstance {
                     node,
                     started_at: at,
-                    ended_at: to,
+                    ended_at,
                     cores,
-                    initial_capacity: cold_from,
-                    warmup_ms: cold_ms,
+                    initial_capacity,
+                    warmup_ms,
                     line,
                 });
             }
             NodeState::Draining => {}
             NodeState::Stopped | NodeState::Overloaded => {
-                if let Some(life) = self
+                if let Some(instance) = self
                     .instances
                     .iter_mut()
                     .rev()
-                    .find(|life| life.node == node)
+                    .find(|instance| instance.node == node)
                 {
-                    life.ended_at = life.ended_at.min(at);
+                    instance.ended_at = instance.ended_at.min(at);
                 }
-                // Its connections were reset with it.
-                let open = self
+                // The end of the process reset its connections.
+                let in_flight = self
                     .attempts
                     .iter_mut()
                     .filter(|a| a.node == node && a.complete && a.end.is_none());
-                open.for_each(|attempt| attempt.end = Some((at, AttemptEnd::Reset, line)));
+                in_flight.for_each(|attempt| attempt.end = Some((at, AttemptEnd::Reset, line)));
             }
         }
     }
--- a/crates/invariants/tests/drain_times.rs
+++ b/crates/invariants/tests/drain_times.rs
@@ -1,9 +1,9 @@
-//! Durations of drains on a trace made by hand.
+//! Durations of drains on a trace built by hand.
 
 use maplefall_event_trace::{Event, EventKind, Header, Health, Millis, Rules, Trace, VERSION};
 use maplefall_invariants::drain_times::{drain_times, DrainTime};
 
-fn came(attempt: u64, node: u32, first: Millis) -> EventKind {
+fn received(attempt: u64, node: u32, first_byte_at: Millis) -> EventKind {
     let (id, key) = (format!("r{attempt}"), None);
     EventKind::AttemptReceived {
         attempt,
@@ -12,15 +12,15 @@
         id,
         key,
         fingerprint: 0,
-        first_byte_at: first,
+        first_byte_at,
         complete: true,
         work: 1.0,
     }
 }
 
 #[test]
-fn only_work_begun_after_the_commit_counts() {
-    let told = |health| EventKind::NodeUpdate {
+fn only_work_started_after_the_commit_counts() {
+    let notified = |health| EventKind::NodeUpdate {
         proxy: 0,
         node: 1,
         health,
@@ -28,8 +28,8 @@
         source: 1,
         version: 0,
     };
-    let lines = [
-        (0.0, told(Health::Up)),
+    let events = [
+        (0.0, notified(Health::Up)),
         (
             100.0,
             EventKind::Committed {
@@ -46,15 +46,16 @@
                 version: 2,
             },
         ),
-        (130.0, told(Health::Draining)),
-        (140.0, came(2, 1, 125.0)),
-        (150.0, came(3, 1, 145.0)),
-        (160.0, came(4, 2, 155.0)),
-        // Begun before the commit: its last byte comes last of all and does not count.
-        (165.0, came(1, 1, 99.0)),
-        // The same drain told again is none.
-        (170.0, told(Health::Removed)),
-        // Up again: what comes now is no work of a drained node.
+        (130.0, notified(Health::Draining)),
+        (140.0, received(2, 1, 125.0)),
+        (150.0, received(3, 1, 145.0)),
+        (160.0, received(4, 2, 155.0)),
+        // Started before the commit: does not count, although its last byte arrives after all
+        // others.
+        (165.0, received(1, 1, 99.0)),
+        // A repeated notification of the same drain does not count.
+        (170.0, notified(Health::Removed)),
+        // Up again: later work does not belong to the drain.
         (
             180.0,
             EventKind::Committed {
@@ -62,7 +63,7 @@
                 health: Health::Up,
             },
         ),
-        (195.0, came(5, 1, 190.0)),
+        (195.0, received(5, 1, 190.0)),
     ];
     let header = Header {
         version: VERSION,
@@ -73,14 +74,11 @@
         plans: Vec::new(),
         rules: Rules::platform(1.0),
     };
-    let lines = lines
+    let events = events
         .into_iter()
-        .map(|(at, entry)| Event { at, kind: entry })
+        .map(|(at, kind)| Event { at, kind })
         .collect();
-    let found = drain_times(&Trace {
-        header,
-        events: lines,
-    });
+    let measured = drain_times(&Trace { header, events });
     let expected = DrainTime {
         proxy: 0,
         node: 1,
@@ -89,5 +87,5 @@
         until_quiet_after_commit: Some(50.0),
         until_quiet_after_notification: 20.0,
     };
-    assert_eq!(found, [expected]);
+    assert_eq!(measured, [expected]);
 }
--- a/crates/invariants/tests/json.rs
+++ b/crates/invariants/tests/json.rs
@@ -1,4 +1,4 @@
-//! The JSON form of an evaluation, which `maplefall-rehearse judge --json` writes.
+//! The JSON form of an evaluation, as written by `maplefall-rehearse judge --json`.
 
 mod trace_builder;
 
@@ -13,7 +13,8 @@
     keys
 }
 
-/// Guards readers of the JSON against renames in the code: the names are those of earlier versions.
+/// Guards readers of the JSON against renames in the code: the field names must be those of earlier
+/// versions.
 #[test]
 fn an_evaluation_is_written_with_the_established_names() {
     let evaluation = TraceBuilder::default()
@@ -51,9 +52,9 @@
         keys(&rule["findings"][0]),
         ["at", "lines", "request", "text"]
     );
-    let figures = &json["figures"];
+    let metrics = &json["figures"];
     assert_eq!(
-        keys(figures),
+        keys(metrics),
         [
             "actions",
             "attempts_per_sent",
@@ -79,7 +80,7 @@
         ]
     );
     assert_eq!(
-        keys(&figures["times"]),
+        keys(&metrics["times"]),
         ["most_ms", "p50_ms", "p90_ms", "p99_ms"]
     );
 }
--- a/crates/invariants/tests/properties.rs
+++ b/crates/invariants/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Whatever the trace: one that follows the rules has no violation, and one fault put into it is always found.
+//! Random traces: a trace that follows the rules has no violation, and a single injected fault is
+//! always found.
 
 mod trace_builder;
 
@@ -17,32 +18,37 @@
     }
 }
 
-/// One request: its class, when it is asked, and the ends of its attempts, of which all but the last are repeats that
-/// its class permits.
+/// A request: its class, the time when it is sent, and for each attempt the kind of its end and the
+/// gap before it. All but the first attempt are retries that the class permits.
 #[derive(Clone, Debug)]
-struct Course {
+struct RequestPlan {
     class: usize,
     at: f64,
     gaps: Vec<(u8, f64)>,
 }
 
-fn course() -> impl Strategy<Value = Course> {
+fn request_plan() -> impl Strategy<Value = RequestPlan> {
     let gaps = prop::collection::vec((0u8..4, 1.0..200.0f64), 1..3);
-    (0usize..3, 0.0..20_000.0f64, gaps).prop_map(|(class, at, gaps)| Course { class, at, gaps })
+    (0usize..3, 0.0..20_000.0f64, gaps).prop_map(|(class, at, gaps)| RequestPlan {
+        class,
+        at,
+        gaps,
+    })
 }
 
-/// Adds a request that follows every rule; attempts go to nodes of their own.
-fn tell(mut trace: TraceBuilder, number: u64, course: &Course) -> TraceBuilder {
+/// Adds a request that follows every rule; all its attempts go to one node, by the request's
+/// number.
+fn add_request(mut trace: TraceBuilder, number: u64, request_plan: &RequestPlan) -> TraceBuilder {
     let id = format!("r{number}");
-    trace = trace.request(course.at, &id, course.class);
-    let mut at = course.at;
-    for (i, (kind, gap)) in course.gaps.iter().enumerate() {
+    trace = trace.request(request_plan.at, &id, request_plan.class);
+    let mut at = request_plan.at;
+    for (i, (kind, gap)) in request_plan.gaps.iter().enumerate() {
         let attempt = number * 10 + i as u64;
         at += gap;
         trace = trace.attempt(at, attempt, &id, number as u32 % 7);
         at += 20.0;
         // An unsafe request ends with the first attempt that may have run.
-        let end = match (kind, course.class) {
+        let end = match (kind, request_plan.class) {
             (0, _) => AttemptEnd::Served,
             (1, _) => AttemptEnd::Rejected,
             (_, UNSAFE) => AttemptEnd::Rejected,
@@ -56,7 +62,11 @@
                 .response(at + 1.0, &id, 200, Some(attempt));
         }
     }
-    let status = if course.class == UNSAFE { 429 } else { 502 };
+    let status = if request_plan.class == UNSAFE {
+        429
+    } else {
+        502
+    };
     trace.response(at + 1.0, &id, status, None)
 }
 
@@ -65,46 +75,46 @@
 
     #[test]
     fn a_run_that_follows_the_rules_has_no_violation(
-        courses in prop::collection::vec(course(), 1..60),
+        plans in prop::collection::vec(request_plan(), 1..60),
         drain in 0.0..20_000.0f64,
     ) {
-        let told = trace_with(&courses).notified(drain, 1, 3, Health::Draining, None);
-        let evaluation = told.evaluate();
+        let trace = trace_with(&plans).notified(drain, 1, 3, Health::Draining, None);
+        let evaluation = trace.evaluate();
         let found: Vec<_> = evaluation.rules.iter().flat_map(|result| &result.violations).collect();
         prop_assert!(!evaluation.has_violations(), "{found:#?}");
-        prop_assert_eq!(evaluation.metrics.client_requests, courses.len() as u64);
+        prop_assert_eq!(evaluation.metrics.client_requests, plans.len() as u64);
     }
 
     #[test]
     fn one_unsafe_retry_is_the_only_violation_found(
-        courses in prop::collection::vec(course(), 1..60),
+        plans in prop::collection::vec(request_plan(), 1..60),
         at in 0.0..20_000.0f64,
         end in prop::sample::select(vec![AttemptEnd::Reset, AttemptEnd::Error, AttemptEnd::Malformed, AttemptEnd::Cancelled]),
     ) {
-        let bad = trace_with(&courses)
+        let trace = trace_with(&plans)
             .request(at, "bad", UNSAFE)
             .attempt(at + 5.0, 9001, "bad", 1)
             .ended(at + 30.0, 9001, end)
             .attempt(at + 60.0, 9002, "bad", 2)
             .ended(at + 90.0, 9002, AttemptEnd::Served)
             .response(at + 91.0, "bad", 200, Some(9002));
-        let evaluation = bad.evaluate();
-        let broken: Vec<_> =
+        let evaluation = trace.evaluate();
+        let violated: Vec<_> =
             evaluation.rules.iter().filter(|r| r.verdict == Verdict::Violated).map(|r| r.rule).collect();
-        prop_assert_eq!(broken, vec![2]);
-        let finding = &evaluation.rules[1].violations[0];
-        prop_assert_eq!(finding.request.as_str(), "bad");
+        prop_assert_eq!(violated, vec![2]);
+        let violation = &evaluation.rules[1].violations[0];
+        prop_assert_eq!(violation.request.as_str(), "bad");
     }
 
     #[test]
     fn one_send_after_the_drain_grace_is_always_found(
-        courses in prop::collection::vec(course(), 1..60),
+        plans in prop::collection::vec(request_plan(), 1..60),
         drain in 0.0..20_000.0f64,
         late in 1.0..5_000.0f64,
     ) {
         let at = drain + DRAIN_GRACE + late;
-        let told = trace_with(&courses).notified(drain, 0, 99, Health::Removed, None);
-        let evaluation = told.request(at - 3.0, "bad", SAFE).attempt(at, 9001, "bad", 99)
+        let trace = trace_with(&plans).notified(drain, 0, 99, Health::Removed, None);
+        let evaluation = trace.request(at - 3.0, "bad", SAFE).attempt(at, 9001, "bad", 99)
             .ended(at + 9.0, 9001, AttemptEnd::Served).response(at + 10.0, "bad", 200, Some(9001)).evaluate();
         let result = &evaluation.rules[2];
         prop_assert_eq!(result.violation_count, 1);
@@ -112,11 +122,11 @@
     }
 }
 
-fn trace_with(courses: &[Course]) -> TraceBuilder {
-    courses
+fn trace_with(plans: &[RequestPlan]) -> TraceBuilder {
+    plans
         .iter()
         .enumerate()
-        .fold(TraceBuilder::default(), |trace, (i, course)| {
-            tell(trace, i as u64 + 1, course)
+        .fold(TraceBuilder::default(), |trace, (i, request_plan)| {
+            add_request(trace, i as u64 + 1, request_plan)
         })
 }
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Each rule on traces built by hand: kept, violated, just at the limit on either side, and not exercised.
+//! Each rule on traces built by hand: satisfied, violated, just on either side of the limit, and
+//! not exercised.
 
 mod trace_builder;
 
@@ -12,7 +13,7 @@
     TraceBuilder::default()
 }
 
-// ---- Rule 1 -------------------------------------------------------------------------------------------
+// ---- Rule 1 -------------------------------------------------------------------------------------
 
 #[test]
 fn an_empty_trace_exercises_no_rule() {
@@ -28,12 +29,15 @@
 fn a_served_request_satisfies_rule_one() {
     let result = trace().served(100.0, 1, "a", UNSAFE, 0).rule(1);
     assert_eq!((result.verdict, result.tested), (Satisfied, 1));
-    assert_eq!(result.margin, Some(1000.0 + ANSWER_SLACK - 52.0));
+    assert_eq!(result.margin, Some(1000.0 + RESPONSE_SLACK - 52.0));
 }
 
 #[test]
 fn a_response_counts_until_the_deadline_and_slack() {
-    for (late, verdict) in [(ANSWER_SLACK, Satisfied), (ANSWER_SLACK + 0.5, Violated)] {
+    for (late, verdict) in [
+        (RESPONSE_SLACK, Satisfied),
+        (RESPONSE_SLACK + 0.5, Violated),
+    ] {
         let result = trace()
             .request(0.0, "a", SAFE)
             .response(1000.0 + late, "a", 502, None)
@@ -61,7 +65,7 @@
 }
 
 #[test]
-fn a_connection_closed_before_forwarding_is_no_violation() {
+fn a_connection_closed_before_forwarding_is_not_a_violation() {
     let closed = |trace: TraceBuilder| {
         trace
             .request(0.0, "a", SAFE)
@@ -82,7 +86,7 @@
 
 #[test]
 fn requests_pending_in_a_killed_proxy_are_no_violation() {
-    let held = |trace: TraceBuilder| {
+    let pending = |trace: TraceBuilder| {
         trace
             .request(0.0, "a", UNSAFE)
             .attempt(5.0, 1, "a", 0)
@@ -90,20 +94,21 @@
             .failed(300.0, "a", FailureReason::Closed)
     };
     assert_eq!(
-        held(trace().proxy_state(299.0, ProxyState::Killed))
+        pending(trace().proxy_state(299.0, ProxyState::Killed))
             .rule(1)
             .verdict,
         NotExercised
     );
-    // One that was ordered to stop owes its responses; so does one that was killed before or after.
+    // A proxy that was asked to shut down owes its responses, and so does one that was killed after
+    // the failure.
     assert_eq!(
-        held(trace().proxy_state(200.0, ProxyState::Terminated))
+        pending(trace().proxy_state(200.0, ProxyState::Terminated))
             .rule(1)
             .verdict,
         Violated
     );
     assert_eq!(
-        held(trace().proxy_state(400.0, ProxyState::Killed))
+        pending(trace().proxy_state(400.0, ProxyState::Killed))
             .rule(1)
             .verdict,
         Violated
@@ -125,7 +130,7 @@
     assert_eq!(
         trace()
             .served(0.0, 1, "a", SAFE, 0)
-            .line(80.0, surplus)
+            .event(80.0, surplus)
             .rule(1)
             .verdict,
         Violated
@@ -144,7 +149,7 @@
             .rule(1)
             .verdict
     };
-    // Two threads see a response and an attempt of one moment in either order.
+    // Different threads may record a response and an attempt of the same time in either order.
     assert_eq!(
         (
             after(maplefall_invariants::ORDERING_TOLERANCE),
@@ -192,10 +197,11 @@
     assert_eq!(ended(None, Some(70)), Violated);
 }
 
-// ---- Rule 2 -------------------------------------------------------------------------------------------
+// ---- Rule 2 -------------------------------------------------------------------------------------
 
-/// A request whose first attempt ends so at 100 ms, and whose second comes at `second`.
-fn repeated(class: usize, end: AttemptEnd, second: f64) -> TraceBuilder {
+/// A request whose first attempt ends with `end` at 100 ms, and whose second one is received at
+/// `second`.
+fn retried(class: usize, end: AttemptEnd, second: f64) -> TraceBuilder {
     trace()
         .request(0.0, "a", class)
         .attempt(5.0, 1, "a", 0)
@@ -219,12 +225,12 @@
         (UNSAFE, AttemptEnd::Cancelled, Violated),
     ] {
         assert_eq!(
-            repeated(class, end, 120.0).rule(2).verdict,
+            retried(class, end, 120.0).rule(2).verdict,
             verdict,
             "{class} {end:?}"
         );
     }
-    // A request that was served at once puts nothing to the test.
+    // A request served by its first attempt does not exercise the rule.
     assert_eq!(
         trace().served(0.0, 1, "a", UNSAFE, 0).rule(2).verdict,
         NotExercised
@@ -234,7 +240,7 @@
 #[test]
 fn a_key_is_retried_only_within_its_deduplication_window() {
     let at = |age: f64| {
-        let trace = trace().line(
+        let trace = trace().event(
             0.0,
             EventKind::RequestSent {
                 id: "a".into(),
@@ -247,7 +253,7 @@
                 class: KEYED,
                 units: 1.0,
                 deadline: 9000.0,
-                fingerprint: FORM,
+                fingerprint: FINGERPRINT,
             },
         );
         trace
@@ -256,19 +262,19 @@
             .attempt(5.0 + age, 2, "a", 1)
             .ended(4000.0, 2, AttemptEnd::Served)
     };
-    assert_eq!(at(MEMORY).rule(2).verdict, Satisfied);
-    let result = at(MEMORY + 1.0).rule(2);
+    assert_eq!(at(DEDUP_WINDOW).rule(2).verdict, Satisfied);
+    let result = at(DEDUP_WINDOW + 1.0).rule(2);
     assert_eq!((result.verdict, result.margin), (Violated, Some(-1.0)));
 }
 
 #[test]
 fn attempts_of_a_request_never_overlap() {
     let gap = |gap| {
-        repeated(SAFE, AttemptEnd::Cancelled, 100.0 - gap)
+        retried(SAFE, AttemptEnd::Cancelled, 100.0 - gap)
             .rule(2)
             .verdict
     };
-    // Both ends of one moment are seen in either order.
+    // The end of one attempt and the start of the next may be recorded in either order.
     assert_eq!(
         (
             gap(maplefall_invariants::ORDERING_TOLERANCE),
@@ -281,9 +287,9 @@
         .attempt(5.0, 1, "a", 0)
         .attempt(400.0, 2, "a", 1);
     assert_eq!(never_ended.rule(2).verdict, Violated);
-    // A node whose process ended has let go of what it had.
-    let gone = trace()
-        .line(
+    // The end of a node's process ends its attempts.
+    let removed = trace()
+        .event(
             0.0,
             EventKind::Node {
                 node: 0,
@@ -296,7 +302,7 @@
         )
         .request(0.0, "a", SAFE)
         .attempt(5.0, 1, "a", 0)
-        .line(
+        .event(
             50.0,
             EventKind::Node {
                 node: 0,
@@ -305,24 +311,24 @@
         )
         .attempt(60.0, 2, "a", 1)
         .ended(90.0, 2, AttemptEnd::Served);
-    assert_eq!(gone.rule(2).verdict, Satisfied);
+    assert_eq!(removed.rule(2).verdict, Satisfied);
 }
 
 #[test]
 fn a_rejected_unsafe_request_never_ran() {
-    let refused = |class, end, status| {
+    let rejected = |class, end, status| {
         let trace = trace()
             .request(0.0, "a", class)
             .attempt(5.0, 1, "a", 0)
             .ended(50.0, 1, end);
         trace.response(60.0, "a", status, None).rule(2).verdict
     };
-    assert_eq!(refused(UNSAFE, AttemptEnd::Rejected, 429), Satisfied);
-    assert_eq!(refused(UNSAFE, AttemptEnd::Error, 502), Satisfied);
-    assert_eq!(refused(UNSAFE, AttemptEnd::Error, 429), Violated);
-    assert_eq!(refused(UNSAFE, AttemptEnd::Cancelled, 503), Violated);
-    assert_eq!(refused(KEYED, AttemptEnd::Error, 429), Satisfied);
-    assert_eq!(refused(SAFE, AttemptEnd::Reset, 429), Satisfied);
+    assert_eq!(rejected(UNSAFE, AttemptEnd::Rejected, 429), Satisfied);
+    assert_eq!(rejected(UNSAFE, AttemptEnd::Error, 502), Satisfied);
+    assert_eq!(rejected(UNSAFE, AttemptEnd::Error, 429), Violated);
+    assert_eq!(rejected(UNSAFE, AttemptEnd::Cancelled, 503), Violated);
+    assert_eq!(rejected(KEYED, AttemptEnd::Error, 429), Satisfied);
+    assert_eq!(rejected(SAFE, AttemptEnd::Reset, 429), Satisfied);
 }
 
 #[test]
@@ -337,21 +343,22 @@
         trace.rule(2).verdict
     };
     assert_eq!((many(3), many(4)), (Satisfied, Violated));
-    let twice = repeated(KEYED, AttemptEnd::Reset, 120.0).effect(99.0, 1);
+    let twice = retried(KEYED, AttemptEnd::Reset, 120.0).effect(99.0, 1);
     assert_eq!(twice.rule(2).verdict, Violated);
 }
 
-/// Guards requests on their way: what comes to a node is what its client sent, and what nobody sent does not come.
+/// Guards against changed and invented requests: a node must receive what the client sent, and no
+/// request that no client sent.
 #[test]
 fn a_node_receives_what_the_client_sent() {
-    let came = |form| {
-        let entry = EventKind::AttemptReceived {
+    let received = |fingerprint| {
+        let event = EventKind::AttemptReceived {
             attempt: 1,
             node: 0,
             proxy: 0,
             id: "a".into(),
             key: None,
-            fingerprint: form,
+            fingerprint,
             first_byte_at: 5.0,
             complete: true,
             work: 1.0,
@@ -359,24 +366,24 @@
         let trace =
             trace()
                 .request(0.0, "a", SAFE)
-                .line(5.0, entry)
+                .event(5.0, event)
                 .ended(50.0, 1, AttemptEnd::Served);
         trace.response(52.0, "a", 200, Some(1)).rule(2)
     };
-    assert_eq!(came(FORM).verdict, NotExercised);
-    let changed = came(FORM + 1);
+    assert_eq!(received(FINGERPRINT).verdict, NotExercised);
+    let changed = received(FINGERPRINT + 1);
     assert_eq!(
         (changed.verdict, changed.violations[0].trace_lines.clone()),
         (Violated, vec![2, 3])
     );
-    let nobodys = trace()
+    let unknown = trace()
         .served(0.0, 1, "a", SAFE, 0)
         .attempt(60.0, 2, "hidden", 0)
         .ended(70.0, 2, AttemptEnd::Served);
-    assert_eq!(nobodys.rule(2).verdict, Violated);
+    assert_eq!(unknown.rule(2).verdict, Violated);
 }
 
-// ---- Rule 3 -------------------------------------------------------------------------------------------
+// ---- Rule 3 -------------------------------------------------------------------------------------
 
 #[test]
 fn sends_are_allowed_until_the_end_of_the_drain_grace() {
@@ -411,43 +418,44 @@
     assert_eq!(other(drained()).rule(3).verdict, Satisfied);
     let elsewhere = drained().served(2000.0, 2, "b", SAFE, 4);
     assert_eq!(elsewhere.rule(3).verdict, Satisfied);
-    // Gone after draining does not begin a new grace; up again ends it.
-    let gone = drained().notified(1500.0, 0, 3, Health::Removed, None);
+    // A removal after the drain does not start a new grace; an update to up cancels the drain.
+    let removed = drained().notified(1500.0, 0, 3, Health::Removed, None);
     assert_eq!(
-        gone.served(1700.0, 2, "b", SAFE, 3).rule(3).verdict,
+        removed.served(1700.0, 2, "b", SAFE, 3).rule(3).verdict,
         Violated
     );
-    let back = drained().notified(1500.0, 0, 3, Health::Up, Some(1400.0));
+    let up_again = drained().notified(1500.0, 0, 3, Health::Up, Some(1400.0));
     assert_eq!(
-        back.served(1900.0, 2, "b", SAFE, 3).rule(3).verdict,
+        up_again.served(1900.0, 2, "b", SAFE, 3).rule(3).verdict,
         Satisfied
     );
 }
 
 #[test]
 fn a_send_counts_from_its_first_byte_complete_or_not() {
-    let broken_off = |first| {
-        let entry = EventKind::AttemptReceived {
+    let incomplete = |first_byte_at| {
+        let event = EventKind::AttemptReceived {
             attempt: 2,
             node: 3,
             proxy: 0,
             id: String::new(),
             key: None,
             fingerprint: 0,
-            first_byte_at: first,
+            first_byte_at,
             complete: false,
             work: 0.0,
         };
         trace()
             .served(0.0, 1, "a", SAFE, 3)
             .notified(1000.0, 0, 3, Health::Removed, None)
-            .line(2000.0, entry)
+            .event(2000.0, event)
     };
-    assert_eq!(broken_off(1540.0).rule(3).verdict, Satisfied);
-    assert_eq!(broken_off(1560.0).rule(3).verdict, Violated);
+    assert_eq!(incomplete(1540.0).rule(3).verdict, Satisfied);
+    assert_eq!(incomplete(1560.0).rule(3).verdict, Violated);
 }
 
-/// Guards the rule on sources that disagree: what one says of a stop another cannot undo, but for a newer life.
+/// Guards the rule for sources that disagree: another source cancels a drain only with a newer
+/// instance of the node.
 #[test]
 fn a_drain_is_not_cancelled_by_another_source() {
     let drained = || {
@@ -459,22 +467,22 @@
         .notified_by(0, 1200.0, 0, 3, Health::Up, None)
         .served(2000.0, 2, "b", SAFE, 3);
     assert_eq!(other.rule(3).verdict, Violated);
-    let undone = drained()
+    let cancelled = drained()
         .notified_by(1, 1200.0, 0, 3, Health::Up, None)
         .served(2000.0, 2, "b", SAFE, 3);
-    assert_eq!(undone.rule(3).verdict, Satisfied);
+    assert_eq!(cancelled.rule(3).verdict, Satisfied);
     let newer = drained()
         .notified_by(0, 1800.0, 0, 3, Health::Up, Some(1700.0))
         .served(2000.0, 2, "b", SAFE, 3);
     assert_eq!(newer.rule(3).verdict, Satisfied);
 }
 
-/// Guards the rule against an agent that is behind: an update of a lower version than the drain's takes it back as little as no
-/// word, and one of a higher version takes it back.
+/// Guards the rule for an agent with an outdated list: an update with a lower version than the
+/// drain's does not cancel the drain, one with a higher version does.
 #[test]
 fn a_drain_is_not_cancelled_by_an_older_version() {
-    let told = |trace: TraceBuilder, at, health, version| {
-        trace.line(
+    let notify = |trace: TraceBuilder, at, health, version| {
+        trace.event(
             at,
             EventKind::NodeUpdate {
                 proxy: 0,
@@ -487,7 +495,7 @@
         )
     };
     let drained = || {
-        told(
+        notify(
             trace().served(0.0, 1, "a", SAFE, 3),
             1000.0,
             Health::Draining,
@@ -495,14 +503,16 @@
         )
     };
     let sent = |trace: TraceBuilder| trace.served(2000.0, 2, "b", SAFE, 3).rule(3).verdict;
-    assert_eq!(sent(told(drained(), 1200.0, Health::Up, 8)), Violated);
-    assert_eq!(sent(told(drained(), 1200.0, Health::Up, 10)), Satisfied);
-    // Told again by a later version, it takes a word above that one.
-    let again = || told(drained(), 1100.0, Health::Draining, 12);
-    assert_eq!(sent(told(again(), 1200.0, Health::Up, 11)), Violated);
+    assert_eq!(sent(notify(drained(), 1200.0, Health::Up, 8)), Violated);
+    assert_eq!(sent(notify(drained(), 1200.0, Health::Up, 10)), Satisfied);
+    // After a repetition of the drain with a later version, only a version above that one cancels
+    // it.
+    let again = || notify(drained(), 1100.0, Health::Draining, 12);
+    assert_eq!(sent(notify(again(), 1200.0, Health::Up, 11)), Violated);
 }
 
-/// Guards what counts as notified though it never came: what a source has to tell binds a proxy 6 s later at the latest.
+/// Guards the rule for undelivered notifications: a proxy counts as notified of a source's change
+/// after 6 s at the latest.
 #[test]
 fn an_undelivered_drain_counts_after_the_notification_timeout() {
     let due = |health, version| EventKind::NodeUpdateDue {
@@ -514,7 +524,7 @@
     let drained = || {
         trace()
             .served(0.0, 1, "a", SAFE, 3)
-            .line(1000.0, due(Health::Draining, 2))
+            .event(1000.0, due(Health::Draining, 2))
     };
     let sent = |trace: TraceBuilder, after| {
         trace
@@ -524,8 +534,8 @@
     };
     assert_eq!(sent(drained(), DRAIN_GRACE), Satisfied);
     assert_eq!(sent(drained(), DRAIN_GRACE + 1.0), Violated);
-    // Told earlier, it binds from then on; taken back before it counted, it never does.
-    let told = EventKind::NodeUpdate {
+    // A drain delivered earlier counts from its delivery; a delivered update to up cancels it.
+    let notify = EventKind::NodeUpdate {
         proxy: 0,
         node: 3,
         health: Health::Draining,
@@ -533,8 +543,8 @@
         source: 0,
         version: 2,
     };
-    assert_eq!(sent(drained().line(5000.0, told), 0.0), Violated);
-    let back = EventKind::NodeUpdate {
+    assert_eq!(sent(drained().event(5000.0, notify), 0.0), Violated);
+    let up_again = EventKind::NodeUpdate {
         proxy: 0,
         node: 3,
         health: Health::Up,
@@ -545,8 +555,8 @@
     assert_eq!(
         sent(
             drained()
-                .line(5000.0, due(Health::Up, 3))
-                .line(7200.0, back),
+                .event(5000.0, due(Health::Up, 3))
+                .event(7200.0, up_again),
             DRAIN_GRACE + 500.0
         ),
         Satisfied
@@ -576,18 +586,19 @@
     assert_eq!(last.rule(3).verdict, Satisfied);
 }
 
-// ---- Rule 4 -------------------------------------------------------------------------------------------
+// ---- Rule 4 -------------------------------------------------------------------------------------
 
-/// A node of two cores at a quarter of its capacity, told to both proxies, and so many attempts of 100 ms of work
-/// in one moment right after its start: its budget is 3 x 0.5 x 1500 + 100 = 2350 ms.
-fn cold(count: u64, from: impl Fn(u64) -> u32) -> TraceBuilder {
+/// A node of two cores at a quarter of its capacity, with both proxies notified, and `count`
+/// attempts of 100 ms of work at one time right after its start. Its budget is 3 x 0.5 x 1500 + 100
+/// = 2350 ms.
+fn warming_node(count: u64, from: impl Fn(u64) -> u32) -> TraceBuilder {
     let up = NodeState::Up {
         cores: 2.0,
         initial_capacity: 0.25,
         warmup_ms: 1e9,
     };
     let trace = trace()
-        .line(1000.0, EventKind::Node { node: 5, state: up })
+        .event(1000.0, EventKind::Node { node: 5, state: up })
         .notified(1001.0, 0, 5, Health::Up, Some(1000.0))
         .notified(1001.0, 1, 5, Health::Up, Some(1000.0));
     (0..count).fold(trace, |trace, i| {
@@ -600,22 +611,30 @@
 }
 
 #[test]
-fn a_warming_node_takes_its_budget_and_no_more() {
-    assert_eq!(cold(23, |i| (i % 2) as u32).rule(4).verdict, Satisfied);
-    assert_eq!(cold(24, |i| (i % 2) as u32).rule(4).verdict, Violated);
-    // Too few attempts are no test.
-    assert_eq!(cold(4, |_| 0).rule(4).verdict, NotExercised);
+fn work_above_the_budget_of_a_warming_node_is_a_violation() {
+    assert_eq!(
+        warming_node(23, |i| (i % 2) as u32).rule(4).verdict,
+        Satisfied
+    );
+    assert_eq!(
+        warming_node(24, |i| (i % 2) as u32).rule(4).verdict,
+        Violated
+    );
+    // Too few attempts do not exercise the rule.
+    assert_eq!(warming_node(4, |_| 0).rule(4).verdict, NotExercised);
 }
 
 #[test]
 fn work_from_proxies_not_notified_is_no_violation() {
-    // Front door 2 was never told: with more than a third of the work from there, nobody could have known.
+    // Proxy 2 was never notified; with more than a third of the work from it there is no violation.
     assert_eq!(
-        cold(24, |i| if i % 2 == 0 { 2 } else { 0 }).rule(4).verdict,
+        warming_node(24, |i| if i % 2 == 0 { 2 } else { 0 })
+            .rule(4)
+            .verdict,
         Satisfied
     );
     assert_eq!(
-        cold(30, |i| if i % 10 == 0 { 2 } else { 0 })
+        warming_node(30, |i| if i % 10 == 0 { 2 } else { 0 })
             .rule(4)
             .verdict,
         Violated
@@ -625,7 +644,7 @@
 #[test]
 fn work_before_the_window_does_not_count() {
     let two = |gap: f64| {
-        (0..15).fold(cold(15, |_| 0), |trace, i| {
+        (0..15).fold(warming_node(15, |_| 0), |trace, i| {
             let id = format!("d{i}");
             let at = 1100.0 + gap;
             trace
@@ -638,10 +657,11 @@
     assert_eq!(two(1600.0).rule(4).verdict, Satisfied);
 }
 
-// ---- Rule 5 -------------------------------------------------------------------------------------------
+// ---- Rule 5 -------------------------------------------------------------------------------------
 
-/// So many units at once for one customer with a ceiling of 40 units and 20 a second; 4 + 3 below zero are allowed.
-fn ceiling(units: u64) -> TraceBuilder {
+/// `units` requests of one unit at once for a customer with a rate limit of 40 units burst and 20
+/// units per second; 4 + 3 units below zero are allowed.
+fn rate_limited(units: u64) -> TraceBuilder {
     (0..units).fold(trace(), |trace, i| {
         let id = format!("u{i}");
         trace
@@ -653,16 +673,16 @@
 
 #[test]
 fn a_rate_limit_applies_to_all_proxies_together_with_its_slack() {
-    assert_eq!(ceiling(15).rule(5).verdict, NotExercised);
-    let last = ceiling(47).rule(5);
+    assert_eq!(rate_limited(15).rule(5).verdict, NotExercised);
+    let last = rate_limited(47).rule(5);
     assert_eq!((last.verdict, last.margin), (Satisfied, Some(0.0)));
-    assert_eq!(ceiling(48).rule(5).verdict, Violated);
+    assert_eq!(rate_limited(48).rule(5).verdict, Violated);
 }
 
 #[test]
 fn a_rate_limit_refills_and_counts_each_request_once() {
     let later = |at: f64| {
-        (0..20).fold(ceiling(40), |trace, i| {
+        (0..20).fold(rate_limited(40), |trace, i| {
             let id = format!("v{i}");
             trace
                 .request_of(at, &id, SAFE, 1, 9, 1.0)
@@ -672,8 +692,8 @@
     };
     assert_eq!(later(500.0).rule(5).verdict, Violated);
     assert_eq!(later(1000.0).rule(5).verdict, Satisfied);
-    // A second attempt takes nothing.
-    let again = (0..40).fold(ceiling(40), |trace, i| {
+    // A second attempt of a request takes no units.
+    let again = (0..40).fold(rate_limited(40), |trace, i| {
         trace
             .attempt_from(0, 30.0, 300 + i, &format!("u{i}"), 0, 1.0)
             .ended(40.0, 300 + i, AttemptEnd::Served)
@@ -681,46 +701,46 @@
     assert_eq!(again.rule(5).verdict, Satisfied);
 }
 
-// ---- The whole evaluation ------------------------------------------------------------------------------
+// ---- The whole evaluation -----------------------------------------------------------------------
 
 #[test]
 fn late_test_servers_invalidate_a_run() {
-    let judge = |p99_ms, most_ms| {
+    let invalid_reason_for = |p99_ms, max_ms| {
         let lateness = EventKind::Lateness {
             actions: 100,
             p50_ms: 0.5,
             p99_ms,
-            max_ms: most_ms,
+            max_ms,
         };
-        let lines = vec![Event {
+        let events = vec![Event {
             at: 1.0,
             kind: lateness,
         }];
         maplefall_invariants::evaluate(&Trace {
             header: header(),
-            events: lines,
+            events,
         })
         .invalid_reason
     };
     assert_eq!(
-        judge(
+        invalid_reason_for(
             maplefall_invariants::MAX_LATENESS_P99,
             maplefall_invariants::MAX_LATENESS
         ),
         None
     );
-    assert!(judge(maplefall_invariants::MAX_LATENESS_P99 + 0.1, 20.0).is_some());
-    assert!(judge(1.0, maplefall_invariants::MAX_LATENESS + 1.0).is_some());
-    let silent = maplefall_invariants::evaluate(&Trace {
+    assert!(invalid_reason_for(maplefall_invariants::MAX_LATENESS_P99 + 0.1, 20.0).is_some());
+    assert!(invalid_reason_for(1.0, maplefall_invariants::MAX_LATENESS + 1.0).is_some());
+    let without_lateness = maplefall_invariants::evaluate(&Trace {
         header: header(),
         events: Vec::new(),
     });
-    assert!(silent.invalid_reason.is_some());
+    assert!(without_lateness.invalid_reason.is_some());
 }
 
 #[test]
 fn value_counts_within_the_quota_and_the_latency_target() {
-    // The store holds 20 units: the 21st request at once is beyond the quota and counts for nothing.
+    // The bucket holds 20 units: the 21st concurrent request exceeds the quota and offers no value.
     let trace = (0..21).fold(trace(), |trace, i| {
         let id = format!("w{i}");
         let trace = trace.request(0.0, &id, SAFE).attempt(5.0, i, &id, 0);
@@ -734,26 +754,26 @@
                 .response(40.0, &id, 429, None)
         }
     });
-    let figures = trace.evaluate().metrics;
+    let metrics = trace.evaluate().metrics;
     assert_eq!(
         (
-            figures.requests,
-            figures.served,
-            figures.rejected_without_retry_after
+            metrics.requests,
+            metrics.served,
+            metrics.rejected_without_retry_after
         ),
         (21, 10, 11)
     );
     assert!(
-        (figures.value_share - 0.5).abs() < 1e-9,
+        (metrics.value_share - 0.5).abs() < 1e-9,
         "{}",
-        figures.value_share
+        metrics.value_share
     );
 }
 
-// ---- Rule 6 -------------------------------------------------------------------------------------------
+// ---- Rule 6 -------------------------------------------------------------------------------------
 
 fn credential(trace: TraceBuilder, at: f64, customer: u64) -> TraceBuilder {
-    trace.line(
+    trace.event(
         at,
         EventKind::Credential {
             customer,
@@ -784,7 +804,7 @@
         (sent.verdict, sent.violations[0].request.as_str()),
         (Violated, "a")
     );
-    // One that may pass where nobody can be asked.
+    // The class may be forwarded without authentication.
     assert_eq!(
         credential(trace(), 0.0, 7)
             .served(100.0, 1, "a", SAFE, 0)
@@ -792,7 +812,7 @@
             .verdict,
         Satisfied
     );
-    // Another's request goes on.
+    // The request of another customer is forwarded.
     assert_eq!(
         credential(trace(), 0.0, 8)
             .served(100.0, 1, "a", UNSAFE, 0)
@@ -804,7 +824,7 @@
 
 #[test]
 fn a_revoked_credential_is_forwarded_only_while_decisions_are_cached() {
-    // 500 ms, 50 ms of the sockets, 25 ms that are not told apart.
+    // The limit is 500 ms, plus 50 ms for the sockets, plus 25 ms of unknown order.
     for (late, verdict) in [(570.0, Satisfied), (580.0, Violated)] {
         let before = credential(trace().served(100.0, 1, "a", UNSAFE, 0), 1000.0, 7);
         let result = before
@@ -812,7 +832,7 @@
             .rule(6);
         assert_eq!(result.verdict, verdict, "{late}");
     }
-    // Of one that never asked before nothing is kept.
+    // Without an earlier request no decision is cached.
     assert_eq!(
         credential(trace(), 1000.0, 7)
             .served(1100.0, 1, "a", UNSAFE, 0)
@@ -830,11 +850,12 @@
     assert_eq!(trace.rule(6).verdict, Violated);
 }
 
-// ---- Rule 7 -------------------------------------------------------------------------------------------
+// ---- Rule 7 -------------------------------------------------------------------------------------
 
-/// So many units at once for one customer with a quota of 20 units, ten a second, where counts are shared and two seconds of the
-/// quota may pass it: one more burst and 20 units below zero are allowed.
-fn shared(units: u64) -> TraceBuilder {
+/// `units` requests of one unit at once for a customer with a quota of 20 units burst and 10 units
+/// per second. Counts are shared with a delay of two seconds: one more burst and 20 units below
+/// zero are allowed.
+fn shared_quota(units: u64) -> TraceBuilder {
     let mut trace = (0..units).fold(trace(), |trace, i| {
         let id = format!("q{i}");
         trace
@@ -851,12 +872,12 @@
 fn a_shared_quota_applies_to_all_proxies_with_its_stated_error() {
     let plan = header().plans[0].clone();
     let allowed = (2.0 * plan.burst + plan.rate * 2.0) as u64;
-    assert_eq!(shared(1).rule(7).verdict, NotExercised);
-    let last = shared(allowed).rule(7);
+    assert_eq!(shared_quota(1).rule(7).verdict, NotExercised);
+    let last = shared_quota(allowed).rule(7);
     assert_eq!((last.verdict, last.margin), (Satisfied, Some(0.0)));
-    assert_eq!(shared(allowed + 1).rule(7).verdict, Violated);
-    // Where counts are not shared nobody promised it.
-    let mut alone = shared(allowed + 1);
+    assert_eq!(shared_quota(allowed + 1).rule(7).verdict, Violated);
+    // Without shared counts the rule does not apply.
+    let mut alone = shared_quota(allowed + 1);
     alone.header.rules.sharing_delay_ms = 0.0;
     assert_eq!(alone.rule(7).verdict, NotExercised);
 }
--- a/crates/invariants/tests/trace_builder/mod.rs
+++ b/crates/invariants/tests/trace_builder/mod.rs
@@ -1,26 +1,27 @@
-//! A builder of traces, event by event.
+//! A builder that assembles traces event by event.
 
 #![allow(dead_code)]
 
 use maplefall_event_trace::*;
 use maplefall_invariants::{evaluate, Evaluation, RuleResult};
 
-/// What all requests of a trace send.
-pub const FORM: u64 = 77;
+/// Fingerprint of all requests of a trace.
+pub const FINGERPRINT: u64 = 77;
 
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
 
-/// Times of a rule, as the header tells them: 8 + 50 ms, 500 + 50 ms.
-pub const ANSWER_SLACK: Millis = 58.0;
+/// Response slack of the header's rules with the slack of the sockets: 8 + 50 ms.
+pub const RESPONSE_SLACK: Millis = 58.0;
+/// Drain grace with the slack of the sockets: 500 + 50 ms.
 pub const DRAIN_GRACE: Millis = 550.0;
-/// A key is kept for 2000 + 50 ms.
-pub const MEMORY: Millis = 2050.0;
+/// Deduplication window of a key with the slack of the sockets: 2000 + 50 ms.
+pub const DEDUP_WINDOW: Millis = 2050.0;
 
-/// Builds a trace; events may be added in any order and are sorted by their times.
+/// Builds a trace; events may be added in any order and are sorted by time.
 pub struct TraceBuilder {
-    lines: Vec<Event>,
+    events: Vec<Event>,
     pub header: Header,
 }
 
@@ -34,12 +35,12 @@
         late_value_factor: 0.0,
         auth_optional: name == "read",
     };
-    let plan = |name: &str, ceiling| Plan {
+    let plan = |name: &str, rate_limit| Plan {
         name: name.into(),
         rate: 10.0,
         burst: 20.0,
         value_factor: 1.0,
-        rate_limit: ceiling,
+        rate_limit,
     };
     Header {
         version: VERSION,
@@ -72,19 +73,19 @@
 impl Default for TraceBuilder {
     fn default() -> Self {
         TraceBuilder {
-            lines: Vec::new(),
+            events: Vec::new(),
             header: header(),
         }
     }
 }
 
 impl TraceBuilder {
-    pub fn line(mut self, at: Millis, entry: EventKind) -> TraceBuilder {
-        self.lines.push(Event { at, kind: entry });
+    pub fn event(mut self, at: Millis, kind: EventKind) -> TraceBuilder {
+        self.events.push(Event { at, kind });
         self
     }
 
-    /// A request of customer 7 that waits for a second.
+    /// Adds a request of customer 7 whose client waits for one second.
     pub fn request(self, at: Millis, id: &str, class: usize) -> TraceBuilder {
         self.request_of(at, id, class, 0, 7, 1.0)
     }
@@ -98,12 +99,12 @@
         customer: u64,
         units: f64,
     ) -> TraceBuilder {
-        let item = id.bytes().fold(0, |sum, byte| sum * 31 + u64::from(byte));
-        self.line(
+        let original_request = id.bytes().fold(0, |sum, byte| sum * 31 + u64::from(byte));
+        self.event(
             at,
             EventKind::RequestSent {
                 id: id.into(),
-                original_request: item,
+                original_request,
                 retry: 0,
                 proxy: 0,
                 connection: 1,
@@ -112,13 +113,13 @@
                 class,
                 units,
                 deadline: at + 1000.0,
-                fingerprint: FORM,
+                fingerprint: FINGERPRINT,
             },
         )
     }
 
     pub fn response(self, at: Millis, id: &str, status: u16, attempt: Option<u64>) -> TraceBuilder {
-        self.line(
+        self.event(
             at,
             EventKind::ResponseReceived {
                 id: id.into(),
@@ -130,14 +131,14 @@
         )
     }
 
-    pub fn failed(self, at: Millis, id: &str, why: FailureReason) -> TraceBuilder {
-        self.line(
+    pub fn failed(self, at: Millis, id: &str, reason: FailureReason) -> TraceBuilder {
+        self.event(
             at,
             EventKind::RequestFailed {
                 id: id.into(),
                 proxy: 0,
                 connection: 1,
-                reason: why,
+                reason,
             },
         )
     }
@@ -148,7 +149,7 @@
 
     pub fn attempt_from(
         self,
-        door: u32,
+        proxy: u32,
         at: Millis,
         attempt: u64,
         id: &str,
@@ -156,15 +157,15 @@
         work: Millis,
     ) -> TraceBuilder {
         let id = id.to_owned();
-        self.line(
+        self.event(
             at,
             EventKind::AttemptReceived {
                 attempt,
                 node,
-                proxy: door,
+                proxy,
                 id,
                 key: None,
-                fingerprint: FORM,
+                fingerprint: FINGERPRINT,
                 first_byte_at: at,
                 complete: true,
                 work,
@@ -173,40 +174,40 @@
     }
 
     pub fn ended(self, at: Millis, attempt: u64, end: AttemptEnd) -> TraceBuilder {
-        self.line(at, EventKind::AttemptEnded { attempt, end })
+        self.event(at, EventKind::AttemptEnded { attempt, end })
     }
 
     pub fn effect(self, at: Millis, attempt: u64) -> TraceBuilder {
-        self.line(at, EventKind::EffectApplied { attempt })
+        self.event(at, EventKind::EffectApplied { attempt })
     }
 
     pub fn notified(
         self,
         at: Millis,
-        door: u32,
+        proxy: u32,
         node: u32,
         health: Health,
-        born: Option<Millis>,
+        started_at: Option<Millis>,
     ) -> TraceBuilder {
-        self.notified_by(0, at, door, node, health, born)
+        self.notified_by(0, at, proxy, node, health, started_at)
     }
 
     pub fn notified_by(
         self,
         source: u32,
         at: Millis,
-        door: u32,
+        proxy: u32,
         node: u32,
         health: Health,
-        born: Option<Millis>,
+        started_at: Option<Millis>,
     ) -> TraceBuilder {
-        self.line(
+        self.event(
             at,
             EventKind::NodeUpdate {
-                proxy: door,
+                proxy,
                 node,
                 health,
-                started_at: born,
+                started_at,
                 source,
                 version: 0,
             },
@@ -214,10 +215,10 @@
     }
 
     pub fn proxy_state(self, at: Millis, state: ProxyState) -> TraceBuilder {
-        self.line(at, EventKind::Proxy { proxy: 0, state })
+        self.event(at, EventKind::Proxy { proxy: 0, state })
     }
 
-    /// One request that is served by one attempt.
+    /// Adds a request that is served by one attempt.
     pub fn served(
         self,
         at: Millis,
@@ -234,21 +235,21 @@
     }
 
     pub fn evaluate(mut self) -> Evaluation {
-        self.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
-        let end = self.lines.last().map_or(0.0, |line| line.at);
+        self.events.sort_by(|a, b| a.at.total_cmp(&b.at));
+        let end = self.events.last().map_or(0.0, |event| event.at);
         let lateness = EventKind::Lateness {
             actions: 9,
             p50_ms: 0.1,
             p99_ms: 1.0,
             max_ms: 2.0,
         };
-        self.lines.push(Event {
+        self.events.push(Event {
             at: end,
             kind: lateness,
         });
         evaluate(&Trace {
             header: self.header,
-            events: self.lines,
+            events: self.events,
         })
     }
 
@@ -261,7 +262,7 @@
         for other in other_rules {
             assert_eq!(
                 other.violation_count, 0,
-                "another rule: {:?}",
+                "another rule was violated: {:?}",
                 other.violations
             );
         }
