--- a/crates/event-trace/src/event.rs
+++ b/crates/event-trace/src/event.rs
@@ -1,6 +1,8 @@
-//! What was observed during a test run: one [`Event`] per observation, as client, node, agent or test driver saw it.
+//! Observations of a test run: one [`Event`] per observation of a client, a node, the discovery
+//! agent or the test driver.
 //!
-//! The JSON names (`#[serde(rename)]`) are the trace file format: old traces stay readable, so they never follow renames.
+//! The JSON names (`#[serde(rename)]`) are the trace file format: they stay when an identifier is
+//! renamed, so that old traces remain readable.
 
 use crate::header::Millis;
 use serde::{Deserialize, Serialize};
@@ -11,17 +13,17 @@
 pub enum ProxyState {
     /// The process was started.
     Started,
-    /// It passed its readiness check.
+    /// The process passed its readiness check.
     Ready,
-    /// It was killed on purpose.
+    /// The process was killed on purpose.
     Killed,
-    /// It was sent the signal to shut down.
+    /// The process was sent the signal to shut down.
     Terminated,
-    /// It was sent the signal to reload its configuration.
+    /// The process was sent the signal to reload its configuration.
     Reloaded,
     /// The process exited, on a signal or by itself.
     Ended {
-        /// Its exit code; `None` if a signal ended it.
+        /// Exit code; `None` if a signal ended the process.
         code: Option<i32>,
     },
 }
@@ -30,23 +32,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum NodeState {
-    /// Its process started.
+    /// The node's process started.
     Up {
         /// Number of cores; a warm core does one millisecond of work per millisecond.
         cores: f64,
-        /// Fraction of its capacity that it starts with; 1 for a warm node.
+        /// Fraction of the full capacity at the start; 1 for a warm node.
         #[serde(rename = "cold_from")]
         initial_capacity: f64,
         /// Duration of the warm-up, over which the capacity rises linearly.
         #[serde(rename = "cold_ms")]
         warmup_ms: Millis,
     },
-    /// It accepts no new work and finishes what is in flight.
+    /// The node accepts no new work and finishes requests in flight.
     Draining,
-    /// Its process ended.
+    /// The node's process ended.
     #[serde(rename = "gone")]
     Stopped,
-    /// It was overloaded while warming up, and stays down.
+    /// The node was overloaded while warming up, and stays down.
     #[serde(rename = "fell")]
     Overloaded,
 }
@@ -55,11 +57,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// Requests may be sent to it.
+    /// Requests may be sent to the node.
     Up,
-    /// It finishes its work; nothing new may be sent.
+    /// The node finishes its work; nothing new may be sent to it.
     Draining,
-    /// It is no longer a member.
+    /// The node is no longer a member.
     Removed,
 }
 
@@ -76,7 +78,7 @@
     Rejected,
     /// The node reset the connection: the request may have run.
     Reset,
-    /// Something that is no valid response was written: the request may have run.
+    /// Bytes that are not a valid response were written: the request may have run.
     #[serde(rename = "spoilt")]
     Malformed,
     /// The proxy closed the connection or stopped sending.
@@ -93,7 +95,7 @@
     NotAccepted,
     /// The connection was closed before the first byte of a response.
     Closed,
-    /// The connection was closed within the response.
+    /// The connection was closed in the middle of the response.
     #[serde(rename = "cut")]
     Truncated,
     /// No response within the client's deadline and the slack.
@@ -115,53 +117,58 @@
         #[serde(flatten)]
         state: ProxyState,
     },
-    /// A proxy was notified of a node: a membership source wrote to it, the proxy reported that it had seen the change, or it
-    /// started with the node in its list.
+    /// A proxy was notified of a node's state: a membership source wrote to the proxy, the proxy
+    /// reported that it had seen the change, or it started with the node in its list.
     #[serde(rename = "told")]
     NodeUpdate {
-        /// Which proxy.
+        /// Number of the proxy.
         #[serde(rename = "door")]
         proxy: u32,
-        /// Which node.
+        /// Number of the node.
         node: u32,
         /// The node's state in the notification.
         health: Health,
-        /// When the node last started; `None` if before the run.
+        /// When the node last started; `None` if it started before the run.
         #[serde(rename = "born")]
         started_at: Option<Millis>,
-        /// Number of the membership source; 0 for the agent and for the list that the proxy was started with.
+        /// Number of the membership source; 0 for the discovery agent and for the list that the
+        /// proxy was started with.
         #[serde(default)]
         source: u32,
-        /// Version of that source's list; 0 if unknown. A lower version is older whenever it arrives.
+        /// Version of the source's list; 0 if unknown. A lower version is older, whenever it
+        /// arrives.
         #[serde(default)]
         version: u64,
     },
-    /// A membership source has a change for a proxy, whether or not it can deliver it. The proxy counts as notified after
+    /// A membership source has a change for a proxy, whether or not it can deliver it. The proxy
+    /// counts as notified after
     /// [`Rules::notification_timeout_ms`](crate::Rules::notification_timeout_ms) at the latest.
     #[serde(rename = "due")]
     NodeUpdateDue {
-        /// Which proxy.
+        /// Number of the proxy.
         #[serde(rename = "door")]
         proxy: u32,
-        /// Which node.
+        /// Number of the node.
         node: u32,
-        /// The state to notify.
+        /// State that the proxy is to be notified of.
         health: Health,
         /// Version of the source's list.
         version: u64,
     },
-    /// A change of a node's state was committed to a store that proxies watch, before any proxy was notified.
+    /// A change of a node's state was committed to a store that proxies watch, before any proxy was
+    /// notified.
     Committed {
-        /// Which node.
+        /// Number of the node.
         node: u32,
-        /// Its state from then on.
+        /// The committed state.
         health: Health,
     },
-    /// A customer's credential became valid or invalid; a credential without such an event is valid.
+    /// A customer's credential became valid or invalid; a credential without such an event is
+    /// valid.
     Credential {
         /// The customer.
         customer: u64,
-        /// Whether the credential is valid from now on.
+        /// Whether the credential is valid from this time on.
         passes: bool,
     },
     /// A client wrote the last byte of a request.
@@ -169,28 +176,29 @@
     RequestSent {
         /// The request's id on the wire.
         id: String,
-        /// Number of the request that this one retries; its own number if it is the first.
+        /// Number of the original request that this one retries; its own number if it is no retry.
         #[serde(rename = "item")]
         original_request: u64,
-        /// Number of retries before this one.
+        /// Number of retries by the client before this request.
         retry: u32,
-        /// Which proxy.
+        /// Number of the proxy.
         #[serde(rename = "door")]
         proxy: u32,
         /// Number of the client's connection.
         #[serde(rename = "link")]
         connection: u64,
-        /// The customer that sends it.
+        /// The customer that sends the request.
         customer: u64,
-        /// Index of its plan in the header.
+        /// Index of the customer's plan in the header.
         plan: usize,
-        /// Index of its class in the header.
+        /// Index of the request's class in the header.
         class: usize,
-        /// Units that it takes from the quota.
+        /// Units that the request takes from the quota.
         units: f64,
         /// When the client stops waiting.
         deadline: Millis,
-        /// Fingerprint of what a proxy must forward unchanged ([`request_fingerprint`](crate::request_fingerprint)).
+        /// Fingerprint of the parts that a proxy must forward unchanged
+        /// ([`request_fingerprint`](crate::request_fingerprint)).
         #[serde(rename = "form")]
         fingerprint: u64,
     },
@@ -204,9 +212,9 @@
         connection: u64,
         /// The HTTP status.
         status: u16,
-        /// The attempt that a served body names.
+        /// Number of the attempt that a served body names.
         attempt: Option<u64>,
-        /// The `Retry-After` advice.
+        /// Delay from the `Retry-After` header.
         retry_after_ms: Option<Millis>,
     },
     /// A request ended without a complete response.
@@ -214,26 +222,26 @@
     RequestFailed {
         /// The request's id.
         id: String,
-        /// Which proxy.
+        /// Number of the proxy.
         #[serde(rename = "door")]
         proxy: u32,
         /// Number of the client's connection; 0 if none was established.
         #[serde(rename = "link")]
         connection: u64,
-        /// Why there is none.
+        /// Why there is no complete response.
         #[serde(rename = "why")]
         reason: FailureReason,
     },
     /// Bytes arrived on a client's connection with no request outstanding.
     #[serde(rename = "surplus")]
     UnexpectedBytes {
-        /// Which proxy.
+        /// Number of the proxy.
         #[serde(rename = "door")]
         proxy: u32,
         /// Number of the client's connection.
         #[serde(rename = "link")]
         connection: u64,
-        /// The last request on it.
+        /// Id of the last request on the connection.
         id: String,
     },
     /// An attempt reached a node, completely or in part.
@@ -241,39 +249,40 @@
     AttemptReceived {
         /// Number of the attempt.
         attempt: u64,
-        /// Which node.
+        /// Number of the node.
         node: u32,
-        /// The proxy that sent it.
+        /// Number of the proxy that sent the attempt.
         #[serde(rename = "door")]
         proxy: u32,
         /// The request's id; empty if the attempt was cut off before the id could be read.
         id: String,
         /// The idempotency key.
         key: Option<String>,
-        /// Fingerprint of what was received ([`request_fingerprint`](crate::request_fingerprint)); 0 if incomplete.
+        /// Fingerprint of the received request
+        /// ([`request_fingerprint`](crate::request_fingerprint)); 0 if incomplete.
         #[serde(rename = "form")]
         fingerprint: u64,
-        /// When its first byte was read.
+        /// When the node read the first byte.
         #[serde(rename = "first")]
         first_byte_at: Millis,
         /// Whether the last byte arrived.
         #[serde(rename = "whole")]
         complete: bool,
-        /// Work that it causes, in milliseconds of one warm core.
+        /// Work that the attempt causes, in milliseconds of one warm core.
         work: Millis,
     },
     /// The effect of an attempt was applied.
     #[serde(rename = "ran")]
     EffectApplied {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u64,
     },
     /// An attempt ended.
     #[serde(rename = "over")]
     AttemptEnded {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u64,
-        /// How it ended.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
     /// The state of a node changed.
@@ -284,26 +293,26 @@
         #[serde(flatten)]
         state: NodeState,
     },
-    /// A scripted fault begins or ends.
+    /// A scripted fault began or ended.
     #[serde(rename = "failure")]
     Fault {
         /// Name of the fault.
         name: String,
-        /// Whether it begins.
+        /// Whether the fault began.
         #[serde(rename = "begins")]
         is_start: bool,
     },
-    /// Outcome for a client that sends malformed input.
+    /// Outcome for a client that sent malformed input.
     #[serde(rename = "rude")]
     MalformedClient {
         /// The kind of malformed input.
         kind: String,
         /// The status of the response; 0 if the connection was closed without one.
         status: Option<u16>,
-        /// Whether there was neither a response nor a close within the client's time.
+        /// Whether the client got neither a response nor a close before it stopped waiting.
         neglected: bool,
     },
-    /// Resources that a proxy's process used, reported when it ends.
+    /// Resources that a proxy's process used, recorded when the process ends.
     #[serde(rename = "used")]
     ResourceUsage {
         /// Number of the proxy.
@@ -314,7 +323,7 @@
         /// Maximum resident memory, in KiB.
         memory_kib: u64,
     },
-    /// How late the test servers acted, reported at the end of the run.
+    /// Lateness of the test servers' actions, recorded at the end of the run.
     Lateness {
         /// Number of scheduled actions.
         actions: u64,
--- a/crates/event-trace/src/header.rs
+++ b/crates/event-trace/src/header.rs
@@ -1,6 +1,8 @@
-//! The header of a trace: the scenario, and the classes, plans and limits that the invariants are checked against.
+//! The header of a trace: the scenario, and the classes, plans and limits that the invariants are
+//! checked against.
 //!
-//! The JSON names (`#[serde(rename)]`) are the trace file format: old traces stay readable, so they never follow renames.
+//! The JSON names (`#[serde(rename)]`) are the trace file format: they stay when an identifier is
+//! renamed, so that old traces remain readable.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,25 +16,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Repeating it is harmless.
+    /// Running it more than once is harmless.
     Safe,
-    /// Nodes deduplicate it by its idempotency key for a time.
+    /// Nodes deduplicate it by its idempotency key within a time window.
     Keyed,
     /// It must never run twice.
     Unsafe,
 }
 
-/// A class of requests, as far as the invariants need it.
+/// A class of requests, with the properties that the invariants need.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Its name on the wire.
+    /// Name on the wire.
     pub name: String,
-    /// Whether it may run more than once.
+    /// Whether a request of the class may run more than once.
     pub effect: Effect,
-    /// How long nodes deduplicate its key, from the first attempt that may have run.
+    /// How long nodes deduplicate a key, counted from the first attempt that may have run.
     #[serde(rename = "memory_ms")]
     pub dedup_window_ms: Millis,
-    /// A response within this time earns the full value.
+    /// Time within which a response earns the full value.
     #[serde(rename = "aim_ms")]
     pub latency_target_ms: Millis,
     /// Value of one unit.
@@ -41,7 +43,7 @@
     /// Fraction of the value that a response after the latency target earns.
     #[serde(rename = "late_worth")]
     pub late_value_factor: f64,
-    /// Whether it may be forwarded while its caller cannot be authenticated.
+    /// Whether a request may be forwarded while its caller cannot be authenticated.
     #[serde(default, rename = "unchecked")]
     pub auth_optional: bool,
 }
@@ -57,19 +59,19 @@
     pub slack: f64,
 }
 
-/// A plan, as far as the invariants need it.
+/// A customer's plan, with the properties that the invariants need.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its name on the wire.
+    /// Name on the wire.
     pub name: String,
     /// Refill rate of a customer's quota, in units per second.
     pub rate: f64,
     /// Burst of the quota, in units.
     pub burst: f64,
-    /// Factor on the value of its requests.
+    /// Factor on the value of the plan's requests.
     #[serde(rename = "price")]
     pub value_factor: f64,
-    /// The hard rate limit, if it has one.
+    /// The hard rate limit, if the plan has one.
     #[serde(rename = "ceiling")]
     pub rate_limit: Option<RateLimit>,
 }
@@ -77,16 +79,17 @@
 /// The limits of the rules that the invariants check.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Time after a client's deadline in which a final response still counts.
+    /// Time after a client's deadline within which a final response still counts.
     #[serde(rename = "answer_slack_ms")]
     pub response_slack_ms: Millis,
     /// Time after the notification of a drain within which new work must stop.
     pub drain_grace_ms: Millis,
-    /// Multiple of its present capacity that overloads a warming node.
+    /// Multiple of a warming node's current capacity above which the node is overloaded.
     pub overload_factor: f64,
-    /// Window over which that multiple is taken.
+    /// Window over which `overload_factor` applies.
     pub overload_window_ms: Millis,
-    /// Work in milliseconds of a warm core by which a warming node's budget may be exceeded by chance.
+    /// Work in milliseconds of a warm core by which a warming node's budget may be exceeded by
+    /// chance.
     #[serde(rename = "cold_slack_ms")]
     pub warmup_slack_ms: Millis,
     /// Maximum attempts of one request.
@@ -94,13 +97,16 @@
     pub max_attempts: u32,
     /// Tolerance added to every limit for the sockets (protocol page: 50 ms).
     pub socket_slack_ms: Millis,
-    /// How long after a credential is revoked its requests may still be forwarded: cached decisions and checks in flight.
+    /// How long requests may still be forwarded after their credential was revoked, for cached
+    /// decisions and checks in flight.
     #[serde(default, rename = "revoked_ms")]
     pub revocation_grace_ms: Millis,
-    /// How long after a source has a change a proxy counts as notified, delivered or not (protocol page: 6 s).
+    /// Time after which a proxy counts as notified of a source's change, delivered or not (protocol
+    /// page: 6 s).
     #[serde(default = "default_notification_timeout_ms", rename = "told_within_ms")]
     pub notification_timeout_ms: Millis,
-    /// Where proxies share counts: milliseconds of a quota's rate by which use may exceed it, beside its burst; 0 elsewhere.
+    /// If proxies share counts, the milliseconds of a quota's rate by which use may exceed the
+    /// quota in addition to one burst; otherwise 0.
     #[serde(default, rename = "shared_ms")]
     pub sharing_delay_ms: Millis,
 }
@@ -110,8 +116,9 @@
 }
 
 impl Rules {
-    /// The limits of the platform (BRIEF, "The rules in figures"; PROTOCOL, "The rules on sockets"). `warmup_slack_ms` is what
-    /// chance may add to a warming node's budget, in milliseconds of a warm core.
+    /// Returns the limits of the platform (BRIEF, "The rules in figures"; PROTOCOL, "The rules on
+    /// sockets"). `warmup_slack_ms` is the work by which a warming node's budget may be exceeded by
+    /// chance, in milliseconds of a warm core.
     pub fn platform(warmup_slack_ms: Millis) -> Rules {
         Rules {
             response_slack_ms: 8.0,
--- a/crates/event-trace/src/lib.rs
+++ b/crates/event-trace/src/lib.rs
@@ -1,8 +1,9 @@
-//! The trace of a test run: what clients, backend nodes, the discovery agent and the test driver observed, in one order and
-//! on one clock. The test servers write it through a [`Recorder`]; `maplefall-invariants` reads it. Neither knows the other.
+//! The trace of a test run: what clients, backend nodes, the discovery agent and the test driver
+//! observed, in one order and on one clock. The test servers write the trace through a
+//! [`Recorder`]; `maplefall-invariants` reads it. Neither depends on the other.
 //!
-//! A trace file holds one JSON object per line: first the [`Header`], then the [`Event`]s. Line numbers in violations count
-//! from 1, the header being line 1.
+//! A trace file holds one JSON object per line: first the [`Header`], then the [`Event`]s. Line
+//! numbers in violations count from 1, the header being line 1.
 
 mod event;
 mod fingerprint;
--- a/crates/event-trace/src/recorder.rs
+++ b/crates/event-trace/src/recorder.rs
@@ -1,11 +1,12 @@
-//! The writer of a trace. It is the only place that takes timestamps, so all events share one order and one clock.
+//! The writer of a trace. Only this module takes timestamps, so all events share one order and one
+//! clock.
 
 use crate::event::{Event, EventKind};
 use crate::header::Millis;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Maximum events of a trace; later ones are dropped and counted ([`Recorder::dropped`]).
+/// Maximum number of events in a trace; later ones are dropped and counted ([`Recorder::dropped`]).
 pub const MAX_EVENTS: usize = 4_000_000;
 
 #[derive(Debug, Default)]
@@ -28,7 +29,7 @@
 }
 
 impl Recorder {
-    /// An empty trace whose clock starts now.
+    /// Creates an empty trace whose clock starts now.
     pub fn new() -> Recorder {
         Recorder {
             start: Instant::now(),
@@ -37,16 +38,17 @@
     }
 
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        // A thread that panicked while it held the lock has left complete events behind: a push is its only write.
+        // A thread that panicked while it held the lock has left only complete events: a push is
+        // the only write.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Milliseconds since the trace began.
+    /// Returns the milliseconds since the trace began.
     pub fn now(&self) -> Millis {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The instant on the monotonic clock of a time of the trace.
+    /// Converts a time of the trace to an instant on the monotonic clock.
     pub fn instant(&self, at: Millis) -> Instant {
         self.start + Duration::try_from_secs_f64(at / 1000.0).unwrap_or_default()
     }
@@ -54,7 +56,7 @@
     /// Appends an event that was observed now and returns its time.
     pub fn record(&self, kind: EventKind) -> Millis {
         let mut inner = self.inner();
-        // Read under the lock: the order of the events is the order of their times.
+        // The clock is read under the lock, so that events are stored in the order of their times.
         let at = self.now();
         if inner.events.len() < MAX_EVENTS {
             inner.events.push(Event { at, kind });
@@ -64,22 +66,22 @@
         at
     }
 
-    /// Events that were dropped beyond [`MAX_EVENTS`].
+    /// Returns the number of events dropped beyond [`MAX_EVENTS`].
     pub fn dropped(&self) -> u64 {
         self.inner().dropped
     }
 
-    /// Events so far.
+    /// Returns the number of stored events.
     pub fn len(&self) -> usize {
         self.inner().events.len()
     }
 
-    /// Whether no event was recorded yet.
+    /// Returns whether no event is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes the events so far; the clock goes on.
+    /// Removes and returns the stored events; the clock continues.
     pub fn take_events(&self) -> Vec<Event> {
         std::mem::take(&mut self.inner().events)
     }
--- a/crates/event-trace/src/trace.rs
+++ b/crates/event-trace/src/trace.rs
@@ -1,4 +1,5 @@
-//! A complete trace and its text form: JSON lines, first the [`Header`], then the [`Event`]s in the order of their times.
+//! A complete trace and its text form: JSON lines, first the [`Header`], then the [`Event`]s in the
+//! order of their times.
 
 use crate::event::Event;
 use crate::header::{Header, VERSION};
@@ -6,39 +7,39 @@
 /// A complete trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// The first line.
+    /// The header, which is the first line.
     pub header: Header,
     /// The events; their times never decrease.
     pub events: Vec<Event>,
 }
 
-/// Why a text is not a trace.
+/// The reason why a text is not a trace.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
-    /// There is no first line.
-    #[error("line 1: a header was expected, and the record is empty")]
+    /// The text is empty.
+    #[error("line 1: expected a header, but the trace is empty")]
     Empty,
-    /// Another version of the format.
-    #[error("line 1: version {0} was written by another program; this one reads {VERSION}")]
+    /// The header has another version of the format.
+    #[error("line 1: unsupported trace version {0}; expected {VERSION}")]
     Version(u32),
-    /// A line cannot be read.
+    /// A line cannot be parsed.
     #[error("line {line}: {error}")]
     Event {
         /// Line number, from 1.
         line: usize,
-        /// What the parser rejected.
+        /// Error of the JSON parser.
         error: serde_json::Error,
     },
-    /// The time is before that of the line above.
-    #[error("line {0}: its time is before that of the line above")]
+    /// The time of a line is earlier than that of the line above.
+    #[error("line {0}: its time is earlier than that of the line above")]
     Order(usize),
 }
 
 impl Trace {
-    /// The trace as text, one JSON object a line.
+    /// Returns the trace as text, one JSON object per line.
     ///
     /// # Errors
-    /// A number that is not finite; a [`Recorder`](crate::Recorder) writes none.
+    /// Fails if a number is not finite; a [`Recorder`](crate::Recorder) records none.
     pub fn to_text(&self) -> Result<String, serde_json::Error> {
         let mut text = serde_json::to_string(&self.header)?;
         text.push('\n');
@@ -49,10 +50,10 @@
         Ok(text)
     }
 
-    /// Reads a trace back.
+    /// Parses the text of a trace.
     ///
     /// # Errors
-    /// The first line that cannot be read, is of another version, or goes back in time.
+    /// Returns the first line that cannot be parsed, has another version, or goes back in time.
     pub fn from_text(text: &str) -> Result<Trace, TraceError> {
         let mut lines = text.lines();
         let first = lines.next().ok_or(TraceError::Empty)?;
--- a/crates/event-trace/tests/trace.rs
+++ b/crates/event-trace/tests/trace.rs
@@ -1,4 +1,5 @@
-//! Traces are read back as they were written, and what is no trace is rejected with its line.
+//! Round trip of traces through their text form, and rejection of invalid traces with the line
+//! number.
 
 use maplefall_event_trace::*;
 
@@ -14,7 +15,8 @@
     }
 }
 
-/// Guards records that are judged later: every kind of line comes back as it was written.
+/// Guards traces that are evaluated from a file later: events and their numbers must survive the
+/// text form.
 #[test]
 fn a_trace_is_read_back_as_it_was_written() {
     let recorder = Recorder::new();
@@ -54,18 +56,19 @@
             work: deadline / 3.0,
         });
     }
-    let record = Trace {
+    let trace = Trace {
         header: header(),
         events: recorder.take_events(),
     };
-    let text = record.to_text().unwrap();
-    assert_eq!(Trace::from_text(&text).unwrap(), record);
+    let text = trace.to_text().unwrap();
+    assert_eq!(Trace::from_text(&text).unwrap(), trace);
 }
 
-/// Guards the comparison of what was sent with what came: a change of any part, or of where one ends, shows.
+/// Guards the comparison of sent and received requests: a change of any part, or of a boundary
+/// between two parts, changes the fingerprint.
 #[test]
 fn a_fingerprint_covers_every_part() {
-    let forms = [
+    let fingerprints = [
         request_fingerprint("GET", "/a", None, b""),
         request_fingerprint("POST", "/a", None, b""),
         request_fingerprint("GET", "/b", None, b""),
@@ -73,30 +76,33 @@
         request_fingerprint("GET", "/a", None, b"k"),
         request_fingerprint("GET", "/ak", None, b""),
     ];
-    for (i, one) in forms.iter().enumerate() {
-        assert!(!forms[..i].contains(one), "{i}");
+    for (i, fingerprint) in fingerprints.iter().enumerate() {
+        assert!(!fingerprints[..i].contains(fingerprint), "{i}");
     }
-    assert_eq!(forms[3], request_fingerprint("GET", "/a", Some("k"), b""));
+    assert_eq!(
+        fingerprints[3],
+        request_fingerprint("GET", "/a", Some("k"), b"")
+    );
 }
 
 #[test]
 fn an_invalid_trace_is_rejected_with_its_line() {
     assert!(matches!(Trace::from_text(""), Err(TraceError::Empty)));
-    let first = serde_json::to_string(&header()).unwrap();
-    let later = r#"{"at":5.0,"what":"ran","attempt":1}"#;
-    let earlier = r#"{"at":4.0,"what":"ran","attempt":2}"#;
-    let error = Trace::from_text(&format!("{first}\n{later}\n{earlier}\n")).unwrap_err();
+    let header_line = serde_json::to_string(&header()).unwrap();
+    let at_5_ms = r#"{"at":5.0,"what":"ran","attempt":1}"#;
+    let at_4_ms = r#"{"at":4.0,"what":"ran","attempt":2}"#;
+    let error = Trace::from_text(&format!("{header_line}\n{at_5_ms}\n{at_4_ms}\n")).unwrap_err();
     assert!(error.to_string().starts_with("line 3: "), "{error}");
-    let error = Trace::from_text(&format!("{first}\n{{\"at\":1}}\n")).unwrap_err();
+    let error = Trace::from_text(&format!("{header_line}\n{{\"at\":1}}\n")).unwrap_err();
     assert!(error.to_string().starts_with("line 2: "), "{error}");
-    let other = first.replace("\"version\":1", "\"version\":9");
+    let other_version = header_line.replace("\"version\":1", "\"version\":9");
     assert!(matches!(
-        Trace::from_text(&other),
+        Trace::from_text(&other_version),
         Err(TraceError::Version(9))
     ));
 }
 
-/// One event of each kind as traces written by earlier versions hold it: the field names are the file format.
+/// One event of each kind as earlier versions wrote it; the field names are the file format.
 const EVENTS_OF_VERSION_1: &str = r#"{"at":1.5,"what":"door","door":0,"state":"started"}
 {"at":2.5,"what":"told","door":0,"node":0,"health":"up","born":null,"source":0,"version":1}
 {"at":3.5,"what":"node","node":0,"state":"up","cores":2.0,"cold_from":1.0,"cold_ms":10000.0}
@@ -132,10 +138,11 @@
 {"at":58.5,"what":"door","door":1,"state":"ready"}
 "#;
 
-/// The header that goes with them.
+/// A header as earlier versions wrote it.
 const HEADER_OF_VERSION_1: &str = r#"{"version":1,"scenario":"short","seed":1,"doors":2,"classes":[{"name":"consulta","effect":"safe","memory_ms":0.0,"aim_ms":600.0,"worth":3.0,"late_worth":0.2,"unchecked":false}],"plans":[{"name":"municipal","rate":24.0,"burst":40.0,"price":1.8,"ceiling":{"rate":50.0,"burst":80.0,"slack":8.0}}],"rules":{"answer_slack_ms":8.0,"drain_grace_ms":500.0,"overload_factor":3.0,"overload_window_ms":1500.0,"cold_slack_ms":704.0,"most_attempts":3,"socket_slack_ms":50.0,"revoked_ms":0.0,"told_within_ms":6000.0,"shared_ms":0.0}}"#;
 
-/// Guards the file format against renames in the code: an earlier trace is read, and written again byte for byte.
+/// Guards the file format against renames in the code: a trace of an earlier version is read and
+/// written back byte for byte.
 #[test]
 fn a_trace_of_version_1_is_read_and_written_byte_for_byte() {
     let text = format!("{HEADER_OF_VERSION_1}\n{EVENTS_OF_VERSION_1}");
