--- a/crates/invariants/src/credentials.rs
+++ b/crates/invariants/src/credentials.rs
@@ -28,7 +28,7 @@
     let tested_by = "requests of callers with an invalid credential";
     let mut result = RuleResult::new(
         6,
-        "callers authenticated",
+        "callers checked",
         tested_by,
         "ms of a revoked credential's grace left",
     );
--- a/crates/invariants/src/drains.rs
+++ b/crates/invariants/src/drains.rs
@@ -88,7 +88,7 @@
                 .record_margin(attempt.first_byte_at, grace - elapsed);
             if elapsed > grace {
                 let description = format!(
-                    "proxy {} sent to node {} {elapsed:.0} ms after the notification of its drain; {grace:.0} ms are allowed",
+                    "gateway {} sent to node {} {elapsed:.0} ms after the notification of its drain; {grace:.0} ms are allowed",
                     attempt.proxy, attempt.node
                 );
                 let lines = [stop.line, attempt.line];
@@ -118,18 +118,13 @@
 
 /// Checks the rule.
 pub fn check(index: &TraceIndex<'_>) -> RuleResult {
-    let tested_by = "drains and removals notified to a proxy that had recently sent to the node";
+    let tested_by = "drains and removals notified to a gateway that had recently sent to the node";
     let rules = index.trace.header.rules;
     let mut replay = Replay {
         active: BTreeMap::new(),
         last_sent: BTreeMap::new(),
         grace: rules.drain_grace_ms + rules.socket_slack_ms,
-        result: RuleResult::new(
-            3,
-            "drains respected",
-            tested_by,
-            "ms of the drain grace left",
-        ),
+        result: RuleResult::new(3, "drains kept", tested_by, "ms of the drain grace left"),
     };
     let mut updates: Vec<_> = index.updates.iter().chain(&index.updates_due).collect();
     updates.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/invariants/src/rate_limits.rs
+++ b/crates/invariants/src/rate_limits.rs
@@ -12,7 +12,7 @@
 /// Checks the rule.
 pub fn check(index: &TraceIndex<'_>) -> RuleResult {
     let tested_by = "customers that used more than half of their rate limit's bucket";
-    let result = RuleResult::new(5, "hard rate limits", tested_by, "units of the slack left");
+    let result = RuleResult::new(5, "hard ceilings", tested_by, "units of the slack left");
     token_buckets::check(index, result, "rate limit", |plan| {
         let limit = plan.rate_limit?;
         let slack = limit.slack + limit.rate * MAX_SOCKET_DELAY_MS / 1000.0;
--- a/crates/invariants/src/responses.rs
+++ b/crates/invariants/src/responses.rs
@@ -15,7 +15,7 @@
 pub fn check(index: &TraceIndex<'_>) -> RuleResult {
     let mut result = RuleResult::new(
         1,
-        "one final response",
+        "one final answer",
         "accepted requests",
         "ms left of the deadline and its slack",
     );
@@ -108,7 +108,7 @@
 fn check_unexpected_output(index: &TraceIndex<'_>, result: &mut RuleResult) {
     for (at, proxy, id, line) in &index.unexpected_bytes {
         let description =
-            format!("proxy {proxy} wrote to a connection without an outstanding request");
+            format!("gateway {proxy} wrote to a connection without an outstanding request");
         result.record_violation(*at, id, &[*line], description);
     }
     for (at, kind, status, _, line) in &index.malformed_clients {
@@ -225,7 +225,7 @@
                 Some((ProxyState::Killed, _)) => {}
                 Some((ProxyState::Terminated, signal_line)) if *code != Some(0) => {
                     let description = format!(
-                        "proxy {proxy} was asked to shut down and exited with {code:?}, not 0"
+                        "gateway {proxy} was asked to shut down and exited with {code:?}, not 0"
                     );
                     result.record_violation(*at, "", &[signal_line, *line], description);
                 }
@@ -235,7 +235,7 @@
                         *at,
                         "",
                         &[*line],
-                        format!("proxy {proxy} crashed ({code:?})"),
+                        format!("gateway {proxy} crashed ({code:?})"),
                     );
                 }
             },
--- a/crates/invariants/src/retries.rs
+++ b/crates/invariants/src/retries.rs
@@ -12,7 +12,7 @@
     let tested_by = "requests with a failed attempt or with more than one attempt";
     let mut result = RuleResult::new(
         2,
-        "retries as the class permits",
+        "repeats as the class permits",
         tested_by,
         "ms of the deduplication window left",
     );
--- a/crates/invariants/src/warm_up.rs
+++ b/crates/invariants/src/warm_up.rs
@@ -17,7 +17,7 @@
     let tested_by = "warming nodes that received at least five attempts";
     let mut result = RuleResult::new(
         4,
-        "no warming node overloaded",
+        "no cold node pushed over",
         tested_by,
         "fraction of the budget left",
     );
