--- a/benches/benches/items.rs
+++ b/benches/benches/items.rs
@@ -1,8 +1,9 @@
-//! What one item costs: frames, words, beats, changes. `cargo bench -p maplefall-benches`
+//! Cost of one item: frames, instance records, heartbeats, configuration changes.
+//! `cargo bench -p maplefall-benches`
 
 use bytes::BytesMut;
 use criterion::{BatchSize, Criterion, Throughput};
-use maplefall_benches::made::{self, Size};
+use maplefall_benches::synthetic::{self, Size};
 use maplefall_control_messages::{
     decode_frame, encode_frame, ConfigUpdate, Frame, Heartbeat, Heartbeats, InstanceUpdates,
 };
@@ -18,16 +19,18 @@
 };
 
 fn frames(c: &mut Criterion) {
-    let words = |n: usize| {
-        let words = (0..n).map(|n| made::word(n, 120, 1)).collect();
+    let instance_updates = |n: usize| {
+        let records = (0..n)
+            .map(|n| synthetic::instance_record(n, 120, 1))
+            .collect();
         Frame::InstanceUpdates(InstanceUpdates {
-            records: words,
+            records,
             complete: false,
             ack_number: 0,
         })
     };
-    let plans = || {
-        let items = made::items(SMALL);
+    let config_update = || {
+        let items = synthetic::items(SMALL);
         Frame::ConfigUpdate(ConfigUpdate {
             after: 0,
             index: 9,
@@ -35,21 +38,23 @@
             ..ConfigUpdate::default()
         })
     };
-    let alive = || {
-        let seen = (0..1000)
+    let heartbeats = || {
+        let entries = (0..1000)
             .map(|n| Heartbeat {
-                id: made::backend(n),
+                id: synthetic::backend_id(n),
                 seq: 1000,
             })
             .collect();
-        Frame::Heartbeats(Heartbeats { heartbeats: seen })
+        Frame::Heartbeats(Heartbeats {
+            heartbeats: entries,
+        })
     };
     let mut group = c.benchmark_group("frames");
     for (name, frame, items) in [
-        ("word", words(1), 1),
-        ("words", words(1000), 1000),
-        ("plans", plans(), 2120),
-        ("alive", alive(), 1000),
+        ("word", instance_updates(1), 1),
+        ("words", instance_updates(1000), 1000),
+        ("plans", config_update(), 2120),
+        ("alive", heartbeats(), 1000),
         ("ping", Frame::Ping(1), 1),
     ] {
         group.throughput(Throughput::Elements(items));
@@ -62,10 +67,10 @@
             );
         });
         group.bench_function(format!("{name}/read"), |b| {
-            let come = || BytesMut::from(bytes.as_ref());
+            let buffer = || BytesMut::from(bytes.as_ref());
             b.iter_batched(
-                come,
-                |mut come| black_box(decode_frame(&mut come).is_ok()),
+                buffer,
+                |mut buffer| black_box(decode_frame(&mut buffer).is_ok()),
                 BatchSize::LargeInput,
             );
         });
@@ -73,46 +78,46 @@
     group.finish();
 }
 
-fn directory(c: &mut Criterion) {
+fn registry(c: &mut Criterion) {
     let mut group = c.benchmark_group("directory");
     for size in [1000, 10_000, 40_000] {
-        let mut directory = Registry::default();
-        (0..size).for_each(|n| drop(directory.apply(0.0, made::word(n, 8900, 1))));
+        let mut registry = Registry::default();
+        (0..size).for_each(|n| drop(registry.apply(0.0, synthetic::instance_record(n, 8900, 1))));
         let (mut n, mut seq) = (0, 1);
         group.bench_function(format!("beat/{size}"), |b| {
             b.iter_batched(
                 || {
                     n = (n + 7919) % size;
                     seq += 1;
-                    made::word(n, 8900, seq)
+                    synthetic::instance_record(n, 8900, seq)
                 },
-                |word| directory.apply(1.0, word),
+                |record| registry.apply(1.0, record),
                 BatchSize::SmallInput,
             );
         });
         group.bench_function(format!("overdue/{size}"), |b| {
-            b.iter(|| black_box(directory.expire(1.0, 6000.0)));
+            b.iter(|| black_box(registry.expire(1.0, 6000.0)));
         });
     }
     group.finish();
 }
 
-fn numbering(c: &mut Criterion) {
+fn config(c: &mut Criterion) {
     let mut group = c.benchmark_group("numbering");
-    let items = made::items(SMALL);
-    let board = ConfigState::from_items(items.clone());
-    let one = parse_amend(made::call(0..1, 0..0, 0..0, 120, 8).as_bytes());
-    let one: Change = one.unwrap_or_default();
+    let items = synthetic::items(SMALL);
+    let state = ConfigState::from_items(items.clone());
+    let change = parse_amend(synthetic::upsert_body(0..1, 0..0, 0..0, 120, 8).as_bytes());
+    let change: Change = change.unwrap_or_default();
     group.bench_function("check_one/1000+1000", |b| {
-        b.iter(|| black_box(board.check(&one).is_ok()))
+        b.iter(|| black_box(state.check(&change).is_ok()))
     });
     group.bench_function("plan/1000+1000", |b| {
-        b.iter(|| black_box(RouteTable::from_items(&board)))
+        b.iter(|| black_box(RouteTable::from_items(&state)))
     });
     group.bench_function("read_back/1000+1000", |b| {
-        b.iter(|| black_box(board.read_back()))
+        b.iter(|| black_box(state.read_back()))
     });
-    let body = made::call(0..1, 0..0, 0..0, 120, 8);
+    let body = synthetic::upsert_body(0..1, 0..0, 0..0, 120, 8);
     group.bench_function("read_call/1", |b| {
         b.iter(|| black_box(parse_amend(body.as_bytes()).is_ok()))
     });
@@ -126,7 +131,7 @@
         .measurement_time(Duration::from_millis(1200))
         .configure_from_args();
     frames(&mut c);
-    directory(&mut c);
-    numbering(&mut c);
+    registry(&mut c);
+    config(&mut c);
     c.final_summary();
 }
--- a/benches/examples/slopes.rs
+++ b/benches/examples/slopes.rs
@@ -1,13 +1,15 @@
-//! Slopes of the parts: time, memory and bytes as their sizes grow. One thread; each part is a command.
+//! How time, memory and bytes of each component grow with its size. One thread; each component is a
+//! subcommand.
 //!
-//! `cargo run --release -p maplefall-benches --example slopes PART` tells times;
-//! `cargo run --release -p maplefall-benches --features count-allocations --example slopes PART` tells memory (times are then longer).
+//! `cargo run --release -p maplefall-benches --example slopes PART` measures times;
+//! `cargo run --release -p maplefall-benches --features count-allocations --example slopes PART`
+//! measures memory (times are then longer).
 
 use bytes::BytesMut;
 use clap::{Parser, Subcommand};
-use maplefall_benches::group::Group;
-use maplefall_benches::made::{self, Size};
-use maplefall_benches::measure::{each, status, took};
+use maplefall_benches::cluster::ControllerCluster;
+use maplefall_benches::measure::{cost_of, mean_cpu_seconds, process_status_bytes};
+use maplefall_benches::synthetic::{self, Size};
 use maplefall_control_messages::{
     decode_frame, encode_frame, ConfigUpdate, Frame, Hello, InstanceUpdates, PROTOCOL_VERSION,
 };
@@ -15,7 +17,7 @@
 use maplefall_controller::store::{Error, Store, StoreRecord};
 use maplefall_gateway_config::{parse_amend, Change, ConfigState, RouteTable};
 use maplefall_policy::Outcome;
-use maplefall_proxy::{AttemptEnd, Core as Door, IncomingRequest, Output as DoorOutput};
+use maplefall_proxy::{AttemptEnd, Core as ProxyCore, IncomingRequest, Output as ProxyOutput};
 use maplefall_quota_lease::{
     ClientId, Demand, Lease, LeaseClient, LeaseGrant, LeaseRequest, LeaseServer, FULL_QUOTA_PPM,
 };
@@ -30,17 +32,18 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Slopes of the system's parts.
+/// Measures how the costs of the system's components grow with their size.
 #[derive(Parser)]
-struct Line {
+struct Args {
     #[command(subcommand)]
-    part: Part,
+    benchmark: Benchmark,
 }
 
 #[derive(Subcommand)]
-enum Part {
-    /// The configuration: a board of routes and services, one of tenants, and a door's plan.
-    Numbering {
+enum Benchmark {
+    /// Configuration: a state with routes and services, one with tenants, and a proxy's route table.
+    #[command(name = "numbering")]
+    Config {
         /// Numbers of routes.
         #[arg(long, value_delimiter = ',', default_value = "1000,10000,77000")]
         routes: Vec<usize>,
@@ -48,70 +51,82 @@
         #[arg(long, value_delimiter = ',', default_value = "10000,100000,480000")]
         tenants: Vec<usize>,
     },
-    /// The list of backends.
-    Directory {
+    /// The service registry.
+    #[command(name = "directory")]
+    Registry {
         /// Numbers of backends.
         #[arg(long, value_delimiter = ',', default_value = "1000,10000,40000")]
         backends: Vec<usize>,
-        /// Backends beyond what a directory holds.
-        #[arg(long, default_value_t = 1000)]
-        beyond: usize,
+        /// Backends beyond the capacity of a registry.
+        #[arg(long = "beyond", default_value_t = 1000)]
+        excess: usize,
     },
-    /// Lenders and purses.
-    Toll {
-        /// Numbers of doors.
-        #[arg(long, value_delimiter = ',', default_value = "10,100,500,2000")]
-        doors: Vec<usize>,
+    /// Lease servers and lease clients.
+    #[command(name = "toll")]
+    Leases {
+        /// Numbers of proxies.
+        #[arg(
+            long = "doors",
+            value_delimiter = ',',
+            default_value = "10,100,500,2000"
+        )]
+        proxies: Vec<usize>,
         /// Numbers of tenants.
         #[arg(long, value_delimiter = ',', default_value = "10,100,1000,10000")]
         tenants: Vec<usize>,
-        /// Tenants that ask something of a door.
-        #[arg(long, default_value_t = 20)]
-        asked: usize,
-        /// Products of doors and tenants over this are left out.
-        #[arg(long, default_value_t = 2_100_000)]
-        most: usize,
+        /// Tenants with demand at a proxy.
+        #[arg(long = "asked", default_value_t = 20)]
+        demand_count: usize,
+        /// Sizes whose product of proxies and tenants exceeds this are skipped.
+        #[arg(long = "most", default_value_t = 2_100_000)]
+        max_pairs: usize,
     },
-    /// A door's decisions.
-    Door {
+    /// Decisions of a proxy.
+    #[command(name = "door")]
+    Proxy {
         /// Numbers of backends.
         #[arg(long, value_delimiter = ',', default_value = "1000,10000,40000")]
         backends: Vec<usize>,
-        /// Services.
+        /// Numbers of services.
         #[arg(long, value_delimiter = ',', default_value = "100,1000,8900")]
         services: Vec<usize>,
         /// Numbers of tenants.
         #[arg(long, value_delimiter = ',', default_value = "1000,10000,100000")]
         tenants: Vec<usize>,
     },
-    /// Agreement: messages, bytes and writes of a change with 1, 3, 5, 7 members.
-    Tandem {
+    /// Raft: messages, bytes and writes of a change, by number of members.
+    #[command(name = "tandem")]
+    Raft {
         /// Numbers of members.
         #[arg(long, value_delimiter = ',', default_value = "1,3,5,7")]
         members: Vec<usize>,
     },
-    /// An exchange that holds so many routes: a change, and a door that connects.
+    /// Controllers with this many routes: a change, and a proxy that connects.
     Change {
         /// Numbers of routes.
         #[arg(long, value_delimiter = ',', default_value = "1000,10000,77000")]
         routes: Vec<usize>,
-        /// Tenants for each route, in tenths.
-        #[arg(long, default_value_t = 0)]
-        tenths: usize,
+        /// Tenants per ten routes.
+        #[arg(long = "tenths", default_value_t = 0)]
+        tenants_per_ten_routes: usize,
     },
-    /// A real exchange over loopback: what a beat and a word to a door cost with sockets. The program is named.
+    /// A controller process on loopback: the cost of a heartbeat, and of a record sent to a proxy,
+    /// with sockets.
     Sockets {
-        /// The program.
-        #[arg(long, default_value = "target/release/maplefall-controller")]
-        exchange: PathBuf,
-        /// Doors.
-        #[arg(long, value_delimiter = ',', default_value = "10,200,1000")]
-        doors: Vec<usize>,
-        /// Beats.
-        #[arg(long, default_value_t = 5000)]
-        beats: usize,
+        /// The controller program.
+        #[arg(
+            long = "exchange",
+            default_value = "target/release/maplefall-controller"
+        )]
+        controller: PathBuf,
+        /// Numbers of proxies.
+        #[arg(long = "doors", value_delimiter = ',', default_value = "10,200,1000")]
+        proxies: Vec<usize>,
+        /// Heartbeats.
+        #[arg(long = "beats", default_value_t = 5000)]
+        heartbeats: usize,
     },
-    /// The disk: bytes and time of records, and of a start.
+    /// Disk: bytes and time of records, and of a start.
     Disk {
         /// Numbers of entries.
         #[arg(long, value_delimiter = ',', default_value = "300,3000,30000")]
@@ -120,59 +135,62 @@
 }
 
 fn main() {
-    match Line::parse().part {
-        Part::Numbering { routes, tenants } => numbering(&routes, &tenants),
-        Part::Directory { backends, beyond } => directory(&backends, beyond),
-        Part::Toll {
-            doors,
+    match Args::parse().benchmark {
+        Benchmark::Config { routes, tenants } => config(&routes, &tenants),
+        Benchmark::Registry { backends, excess } => registry(&backends, excess),
+        Benchmark::Leases {
+            proxies,
             tenants,
-            asked,
-            most,
-        } => toll(&doors, &tenants, asked, most),
-        Part::Door {
+            demand_count,
+            max_pairs,
+        } => leases(&proxies, &tenants, demand_count, max_pairs),
+        Benchmark::Proxy {
             backends,
             services,
             tenants,
-        } => door(&backends, &services, &tenants),
-        Part::Tandem { members } => tandem(&members),
-        Part::Change { routes, tenths } => change(&routes, tenths),
-        Part::Sockets {
-            exchange,
-            doors,
-            beats,
+        } => proxy(&backends, &services, &tenants),
+        Benchmark::Raft { members } => raft(&members),
+        Benchmark::Change {
+            routes,
+            tenants_per_ten_routes,
+        } => change(&routes, tenants_per_ten_routes),
+        Benchmark::Sockets {
+            controller,
+            proxies,
+            heartbeats,
         } => {
-            for doors in doors {
-                if let Err(error) = sockets(&exchange, doors, beats) {
-                    println!("sockets doors={doors} error={error:?}");
+            for proxies in proxies {
+                if let Err(error) = sockets(&controller, proxies, heartbeats) {
+                    println!("sockets doors={proxies} error={error:?}");
                 }
             }
         }
-        Part::Disk { entries } => disk(&entries),
+        Benchmark::Disk { entries } => disk(&entries),
     }
     println!(
         "rss_mb={} peak_mb={}",
-        status("VmRSS") >> 20,
-        status("VmHWM") >> 20
+        process_status_bytes("VmRSS") >> 20,
+        process_status_bytes("VmHWM") >> 20
     );
 }
 
-/// Seconds as microseconds.
-fn us(seconds: f64) -> f64 {
+/// Converts seconds to microseconds.
+fn micros(seconds: f64) -> f64 {
     seconds * 1e6
 }
 
-/// Services for so many routes, as at the target.
-fn services_of(routes: usize) -> usize {
+/// Returns the number of services for this many routes, in the ratio of the target scale.
+fn services_for(routes: usize) -> usize {
     (routes * 8900 / 77_000).max(1)
 }
 
-// ---- Configuration ------------------------------------------------------------------------------------
+// ---- Configuration ------------------------------------------------------------------------------
 
-fn numbering(routes: &[usize], tenants: &[usize]) {
+fn config(routes: &[usize], tenants: &[usize]) {
     let routes = routes.iter().map(|n| Size {
         routes: *n,
         tenants: 0,
-        services: services_of(*n),
+        services: services_for(*n),
     });
     let tenants = tenants.iter().map(|n| Size {
         routes: 0,
@@ -181,31 +199,34 @@
     });
     for size in routes.chain(tenants) {
         let n = size.routes + size.tenants + size.services;
-        let items = made::items(size);
+        let items = synthetic::items(size);
         let encoded: usize = items.iter().map(Message::encoded_len).sum();
-        let board = ConfigState::from_items(items);
-        // What a copy of it holds, since the items were there before.
-        let (copy, kept) = took(|| board.clone());
-        drop(copy);
-        let (plan, planned) = took(|| RouteTable::from_items(&board));
-        let one = match size.tenants {
-            0 => made::call(0..1, 0..0, 0..0, size.services, 8),
-            _ => made::call(0..0, 0..1, 0..0, 0, 8),
+        let state = ConfigState::from_items(items);
+        // Measures the memory of a clone, because the items of `state` were allocated before.
+        let (clone, clone_cost) = cost_of(|| state.clone());
+        drop(clone);
+        let (route_table, table_cost) = cost_of(|| RouteTable::from_items(&state));
+        let change = match size.tenants {
+            0 => synthetic::upsert_body(0..1, 0..0, 0..0, size.services, 8),
+            _ => synthetic::upsert_body(0..0, 0..1, 0..0, 0, 8),
         };
-        let one: Change = parse_amend(one.as_bytes()).unwrap_or_default();
-        let cloned = each(0.5, || drop(black_box(board.clone())));
-        let check = each(0.5, || {
-            black_box(board.check(&one).is_ok());
+        let change: Change = parse_amend(change.as_bytes()).unwrap_or_default();
+        let clone_time = mean_cpu_seconds(0.5, || drop(black_box(state.clone())));
+        let check_time = mean_cpu_seconds(0.5, || {
+            black_box(state.check(&change).is_ok());
         });
-        let text = board.read_back();
-        let read_back = each(0.5, || drop(black_box(board.read_back())));
-        let planning = each(0.5, || drop(black_box(RouteTable::from_items(&board))));
+        let text = state.read_back();
+        let read_back = mean_cpu_seconds(0.5, || drop(black_box(state.read_back())));
+        let table_time = mean_cpu_seconds(0.5, || drop(black_box(RouteTable::from_items(&state))));
         let (hosts, keys): (Vec<_>, Vec<_>) = (0..1000)
-            .map(|k| (made::place(k * 77), made::key(k)))
+            .map(|k| (synthetic::host_and_path(k * 77), synthetic::api_key(k)))
             .unzip();
-        let look = each(0.2, || {
+        let lookup = mean_cpu_seconds(0.2, || {
             for ((host, path), key) in hosts.iter().zip(&keys) {
-                black_box((plan.route(host, path).is_some(), plan.tenant(key).is_some()));
+                black_box((
+                    route_table.route(host, path).is_some(),
+                    route_table.tenant(key).is_some(),
+                ));
             }
         }) / 1000.0;
         let per = |x: f64| x / n as f64;
@@ -216,183 +237,207 @@
             size.services,
             per(encoded as f64),
             per(text.len() as f64),
-            per(kept.held as f64),
-            per(planned.held as f64),
-            us(cloned),
-            us(check),
-            us(per(check)),
-            us(read_back),
-            us(planning),
-            us(per(planning)),
-            1000.0 * us(look),
+            per(clone_cost.allocated_bytes as f64),
+            per(table_cost.allocated_bytes as f64),
+            micros(clone_time),
+            micros(check_time),
+            micros(per(check_time)),
+            micros(read_back),
+            micros(table_time),
+            micros(per(table_time)),
+            1000.0 * micros(lookup),
         );
     }
 }
 
-// ---- Backends -----------------------------------------------------------------------------------------
+// ---- Backends -----------------------------------------------------------------------------------
 
-fn directory(sizes: &[usize], beyond: usize) {
+fn registry(sizes: &[usize], excess: usize) {
     for &n in sizes {
-        let words: Vec<_> = (0..n).map(|n| made::word(n, 8900, 1)).collect();
-        let encoded: usize = words.iter().map(Message::encoded_len).sum();
-        let mut directory = Registry::default();
-        let (_, new) = took(|| {
-            words
+        let records: Vec<_> = (0..n)
+            .map(|n| synthetic::instance_record(n, 8900, 1))
+            .collect();
+        let encoded: usize = records.iter().map(Message::encoded_len).sum();
+        let mut registry = Registry::default();
+        let (_, insert_cost) = cost_of(|| {
+            records
                 .into_iter()
-                .for_each(|word| drop(directory.apply(0.0, word)))
+                .for_each(|record| drop(registry.apply(0.0, record)))
         });
-        let again: Vec<_> = (0..n).map(|n| made::word(n, 8900, 2)).collect();
-        let (_, beat) = took(|| {
-            again
+        let refreshed: Vec<_> = (0..n)
+            .map(|n| synthetic::instance_record(n, 8900, 2))
+            .collect();
+        let (_, update_cost) = cost_of(|| {
+            refreshed
                 .into_iter()
-                .for_each(|word| drop(directory.apply(1.0, word)))
+                .for_each(|record| drop(registry.apply(1.0, record)))
         });
-        let ids: Vec<_> = (0..n).map(made::backend).collect();
-        let (_, seen) = took(|| {
-            ids.iter()
-                .for_each(|id| drop(directory.refresh(2.0, id, 3)))
-        });
-        let overdue = each(0.3, || drop(black_box(directory.expire(3.0, 6000.0))));
-        let words = each(0.3, || drop(black_box(directory.records(3.0))));
-        let all = Frame::InstanceUpdates(InstanceUpdates {
-            records: directory.records(3.0),
+        let ids: Vec<_> = (0..n).map(synthetic::backend_id).collect();
+        let (_, refresh_cost) =
+            cost_of(|| ids.iter().for_each(|id| drop(registry.refresh(2.0, id, 3))));
+        let expire_time = mean_cpu_seconds(0.3, || drop(black_box(registry.expire(3.0, 6000.0))));
+        let listing = mean_cpu_seconds(0.3, || drop(black_box(registry.records(3.0))));
+        let frame = Frame::InstanceUpdates(InstanceUpdates {
+            records: registry.records(3.0),
             complete: true,
             ack_number: 0,
         });
-        let whole = each(0.3, || drop(black_box(encode_frame(all.clone()))));
+        let encoding = mean_cpu_seconds(0.3, || drop(black_box(encode_frame(frame.clone()))));
         let per = |x: f64| 1e9 * x / n as f64;
         println!(
             "directory backends={n} wire_bytes={:.0} bytes={:.0} new_ns={:.0} beat_ns={:.0} seen_ns={:.0} overdue_us={:.0} words_us={:.0} whole_frame_us={:.0} whole_frame_bytes={}",
             encoded as f64 / n as f64,
-            new.held as f64 / n as f64,
-            per(new.cpu),
-            per(beat.cpu),
-            per(seen.cpu),
-            us(overdue),
-            us(words),
-            us(whole),
-            encode_frame(all).len(),
+            insert_cost.allocated_bytes as f64 / n as f64,
+            per(insert_cost.cpu),
+            per(update_cost.cpu),
+            per(refresh_cost.cpu),
+            micros(expire_time),
+            micros(listing),
+            micros(encoding),
+            encode_frame(frame).len(),
         );
     }
-    // A directory holds so many at most: what comes beyond takes the place of another.
-    let mut directory = Registry::default();
+    // A registry has a capacity; at capacity a new record replaces another.
+    let mut registry = Registry::default();
     let mut n = 0;
-    while directory.len() == n && n < 200_000 {
-        drop(directory.apply(0.0, made::word(n, 8900, 1)));
+    while registry.len() == n && n < 200_000 {
+        drop(registry.apply(0.0, synthetic::instance_record(n, 8900, 1)));
         n += 1;
     }
-    let most = directory.len();
-    let (_, took) =
-        took(|| (n..n + beyond).for_each(|n| drop(directory.apply(0.0, made::word(n, 8900, 1)))));
+    let capacity = registry.len();
+    let (_, cost) = cost_of(|| {
+        (n..n + excess)
+            .for_each(|n| drop(registry.apply(0.0, synthetic::instance_record(n, 8900, 1))))
+    });
     println!(
-        "directory holds={most} of={} each_beyond_us={:.0}",
-        n + beyond,
-        us(took.cpu / beyond.max(1) as f64)
+        "directory holds={capacity} of={} each_beyond_us={:.0}",
+        n + excess,
+        micros(cost.cpu / excess.max(1) as f64)
     );
 }
 
-// ---- Loans --------------------------------------------------------------------------------------------
+// ---- Leases -------------------------------------------------------------------------------------
 
-/// The life of the lender.
-const LENDER: u32 = 3;
+/// Incarnation of the lease server.
+const SERVER_INCARNATION: u32 = 3;
 
-fn report(number: u64, confirmed: u64, door: usize, asked: usize, tenants: usize) -> LeaseRequest {
+fn lease_request(
+    sequence: u64,
+    acknowledged: u64,
+    proxy: usize,
+    demand_count: usize,
+    tenants: usize,
+) -> LeaseRequest {
     let demand = |n: usize| Demand {
-        tenant: made::tenant((door * 7 + n) % tenants.max(1)),
+        tenant: synthetic::tenant_name((proxy * 7 + n) % tenants.max(1)),
         milli_rps: 2000,
         starved: false,
     };
-    let demand = (0..asked.min(tenants)).map(demand).collect();
-    let first = number == 1;
-    let lender = if first { 0 } else { LENDER };
+    let demand = (0..demand_count.min(tenants)).map(demand).collect();
+    let first = sequence == 1;
+    let incarnation = if first { 0 } else { SERVER_INCARNATION };
     LeaseRequest {
-        sequence: number,
-        acknowledged: confirmed,
+        sequence,
+        acknowledged,
         full: first,
         demand,
-        server_incarnation: lender,
+        server_incarnation: incarnation,
         ..LeaseRequest::default()
     }
 }
 
-fn toll(doors: &[usize], tenants: &[usize], asked: usize, most: usize) {
+fn leases(proxies: &[usize], tenants: &[usize], demand_count: usize, max_pairs: usize) {
     for &t in tenants {
-        let names: Vec<String> = (0..t).map(made::tenant).collect();
-        let all = || names.iter().map(String::as_str);
-        for &d in doors {
-            if d * t > most {
-                println!("toll doors={d} tenants={t} left_out=over_{most}");
+        let names: Vec<String> = (0..t).map(synthetic::tenant_name).collect();
+        let all_tenants = || names.iter().map(String::as_str);
+        for &d in proxies {
+            if d * t > max_pairs {
+                println!("toll doors={d} tenants={t} left_out=over_{max_pairs}");
                 continue;
             }
             let nodes: Vec<String> = (0..d).map(|n| format!("edge-zone-{}-{n}", n % 8)).collect();
-            let caller = |n: usize| ClientId {
+            let client_id = |n: usize| ClientId {
                 name: &nodes[n],
                 incarnation: 1,
                 connection: 1,
             };
-            let mut lender =
-                LeaseServer::new(0.0, LENDER, FULL_QUOTA_PPM / 3, Some(Default::default()));
-            // All doors are there before the first hears of a tenant.
-            let none = || std::iter::empty::<&str>();
+            let mut lease_server = LeaseServer::new(
+                0.0,
+                SERVER_INCARNATION,
+                FULL_QUOTA_PPM / 3,
+                Some(Default::default()),
+            );
+            // The lease server knows all proxies before the first request with tenants.
+            let no_tenants = || std::iter::empty::<&str>();
             for n in 0..d {
-                lender.handle_request(0.0, caller(n), &report(1, 0, n, asked, t), none());
+                lease_server.handle_request(
+                    0.0,
+                    client_id(n),
+                    &lease_request(1, 0, n, demand_count, t),
+                    no_tenants(),
+                );
             }
-            let mut numbers = vec![0; d];
-            let some = d.min(5);
-            let mut bytes = 0;
-            let (_, cold) = took(|| {
-                for (n, number) in numbers.iter_mut().enumerate().take(some) {
-                    for (_, lent) in
-                        lender.handle_request(500.0, caller(n), &report(2, 0, n, asked, t), all())
-                    {
-                        bytes += encode_frame(Frame::LeaseGrant(lent.clone())).len();
-                        *number = lent.sequence;
+            let mut grant_sequences = vec![0; d];
+            let sampled = d.min(5);
+            let mut grant_bytes = 0;
+            let (_, first_cost) = cost_of(|| {
+                for (n, grant_sequence) in grant_sequences.iter_mut().enumerate().take(sampled) {
+                    for (_, grant) in lease_server.handle_request(
+                        500.0,
+                        client_id(n),
+                        &lease_request(2, 0, n, demand_count, t),
+                        all_tenants(),
+                    ) {
+                        grant_bytes += encode_frame(Frame::LeaseGrant(grant.clone())).len();
+                        *grant_sequence = grant.sequence;
                     }
                 }
             });
-            let mut round = 2;
-            let mut calm_bytes = 0;
-            let calm = each(0.3, || {
-                round += 1;
-                for (n, number) in numbers.iter_mut().enumerate().take(some) {
-                    let report = report(round, *number, n, asked, t);
-                    for (to, lent) in lender.handle_request(1000.0, caller(n), &report, all()) {
-                        calm_bytes = encode_frame(Frame::LeaseGrant(lent.clone())).len();
+            let mut sequence = 2;
+            let mut steady_bytes = 0;
+            let steady_time = mean_cpu_seconds(0.3, || {
+                sequence += 1;
+                for (n, grant_sequence) in grant_sequences.iter_mut().enumerate().take(sampled) {
+                    let request = lease_request(sequence, *grant_sequence, n, demand_count, t);
+                    for (to, grant) in
+                        lease_server.handle_request(1000.0, client_id(n), &request, all_tenants())
+                    {
+                        steady_bytes = encode_frame(Frame::LeaseGrant(grant.clone())).len();
                         if to == nodes[n] {
-                            *number = lent.sequence;
+                            *grant_sequence = grant.sequence;
                         }
                     }
                 }
-            }) / some as f64;
+            }) / sampled as f64;
             println!(
-                "toll doors={d} tenants={t} asked={asked} first_us={:.0} first_us_per_door_tenant={:.4} lent_bytes_tenant={:.1} held_bytes_door_tenant={:.0} calm_us={:.1} report_bytes={} lent_bytes={calm_bytes}",
-                us(cold.cpu / some as f64),
-                us(cold.cpu / some as f64) / (d * t) as f64,
-                bytes as f64 / (some * t) as f64,
-                cold.held as f64 / (some * t) as f64,
-                us(calm),
-                encode_frame(Frame::LeaseRequest(report(9, 9, 0, asked, t))).len(),
+                "toll doors={d} tenants={t} asked={demand_count} first_us={:.0} first_us_per_door_tenant={:.4} lent_bytes_tenant={:.1} held_bytes_door_tenant={:.0} calm_us={:.1} report_bytes={} lent_bytes={steady_bytes}",
+                micros(first_cost.cpu / sampled as f64),
+                micros(first_cost.cpu / sampled as f64) / (d * t) as f64,
+                grant_bytes as f64 / (sampled * t) as f64,
+                first_cost.allocated_bytes as f64 / (sampled * t) as f64,
+                micros(steady_time),
+                encode_frame(Frame::LeaseRequest(lease_request(9, 9, 0, demand_count, t))).len(),
             );
         }
-        let mut purse = LeaseClient::new(1);
-        let (_, held) = took(|| {
-            for lender in ["10.0.0.1", "10.0.0.2", "10.0.0.3"] {
-                purse.connected(lender);
-                purse.next_request(0.0, lender, Vec::new());
-                let loans = names
+        let mut lease_client = LeaseClient::new(1);
+        let (_, client_cost) = cost_of(|| {
+            for server in ["10.0.0.1", "10.0.0.2", "10.0.0.3"] {
+                lease_client.connected(server);
+                lease_client.next_request(0.0, server, Vec::new());
+                let granted = names
                     .iter()
                     .map(|tenant| Lease {
                         tenant: tenant.clone(),
                         ppm: 9,
                     })
                     .collect();
-                purse.handle_grant(
+                lease_client.handle_grant(
                     0.0,
-                    lender,
+                    server,
                     &LeaseGrant {
                         sequence: 1,
                         request: 1,
-                        leases: loans,
+                        leases: granted,
                         client_count: 1,
                         client_incarnation: 1,
                         server_incarnation: 1,
@@ -403,28 +448,28 @@
         });
         println!(
             "toll purse tenants={t} lenders=3 bytes_tenant={:.0}",
-            held.held as f64 / t as f64
+            client_cost.allocated_bytes as f64 / t as f64
         );
     }
 }
 
-// ---- A door -------------------------------------------------------------------------------------------
+// ---- Proxy --------------------------------------------------------------------------------------
 
-fn new_door(size: Size, out: &mut Vec<DoorOutput>) -> Door {
-    let settings = made::settings("edge", "10.1.0.1", &["10.0.0.1".to_owned()]);
-    let mut door = Door::new(&settings, 9);
-    let items = made::items(size);
-    let plans = ConfigUpdate {
+fn new_proxy(size: Size, out: &mut Vec<ProxyOutput>) -> ProxyCore {
+    let settings = synthetic::settings("edge", "10.1.0.1", &["10.0.0.1".to_owned()]);
+    let mut proxy = ProxyCore::new(&settings, 9);
+    let items = synthetic::items(size);
+    let update = ConfigUpdate {
         after: 0,
         index: 9,
         items,
         ..ConfigUpdate::default()
     };
-    door.receive(0.0, "10.0.0.1", Frame::ConfigUpdate(plans), out);
-    door
+    proxy.receive(0.0, "10.0.0.1", Frame::ConfigUpdate(update), out);
+    proxy
 }
 
-fn door(backends: &[usize], services: &[usize], tenants: &[usize]) {
+fn proxy(backends: &[usize], services: &[usize], tenants: &[usize]) {
     let mut out = Vec::new();
     for &n in services {
         let size = Size {
@@ -432,43 +477,45 @@
             tenants: 0,
             services: n,
         };
-        let (door, planned) = took(|| new_door(size, &mut out));
+        let (proxy, config_cost) = cost_of(|| new_proxy(size, &mut out));
         println!(
             "door routes={} services={n} held_bytes_route={:.0} plan_ms={:.1}",
             n * 9,
-            planned.held as f64 / (n * 9) as f64,
-            1e3 * planned.cpu
+            config_cost.allocated_bytes as f64 / (n * 9) as f64,
+            1e3 * config_cost.cpu
         );
-        drop(door);
+        drop(proxy);
         for &b in backends.iter().filter(|b| **b >= n) {
-            let mut door = new_door(size, &mut out);
+            let mut proxy = new_proxy(size, &mut out);
             out.clear();
-            let words = (0..b).map(|k| made::word(k, n, 1)).collect();
+            let records = (0..b)
+                .map(|k| synthetic::instance_record(k, n, 1))
+                .collect();
             let frame = Frame::InstanceUpdates(InstanceUpdates {
-                records: words,
+                records,
                 complete: false,
                 ack_number: 0,
             });
-            let (_, told) = took(|| {
-                door.receive(0.0, "10.0.0.1", frame, &mut out);
+            let (_, update_cost) = cost_of(|| {
+                proxy.receive(0.0, "10.0.0.1", frame, &mut out);
                 out.clear();
             });
-            let again = Frame::InstanceUpdates(InstanceUpdates {
-                records: vec![made::word(0, n, 1)],
+            let stale = Frame::InstanceUpdates(InstanceUpdates {
+                records: vec![synthetic::instance_record(0, n, 1)],
                 complete: false,
                 ack_number: 0,
             });
-            let word = each(0.1, || {
-                door.receive(1.0, "10.0.0.1", again.clone(), &mut out)
+            let stale_time = mean_cpu_seconds(0.1, || {
+                proxy.receive(1.0, "10.0.0.1", stale.clone(), &mut out)
             });
             let mut now = 10.0;
-            let mut which = 0;
+            let mut route = 0;
             let mut served = 0_u64;
-            let arrive = each(1.0, || {
+            let request_time = mean_cpu_seconds(1.0, || {
                 now += 1.0;
-                which = (which + 7919) % size.routes;
-                let (host, path) = made::place(which);
-                let arrival = IncomingRequest {
+                route = (route + 7919) % size.routes;
+                let (host, path) = synthetic::host_and_path(route);
+                let incoming = IncomingRequest {
                     host: &host,
                     path: &path,
                     api_key: None,
@@ -476,12 +523,12 @@
                     received_at: now,
                     is_retry: false,
                 };
-                let mut done = Vec::new();
-                if door.admit(now, &arrival, &mut done).is_ok() {
+                let mut outputs = Vec::new();
+                if proxy.admit(now, &incoming, &mut outputs).is_ok() {
                     served += 1;
                 }
-                for output in done {
-                    if let DoorOutput::Send {
+                for output in outputs {
+                    if let ProxyOutput::Send {
                         request, attempt, ..
                     } = output
                     {
@@ -490,24 +537,24 @@
                             broken_connections: 0,
                             wrong_instance: false,
                         };
-                        let mut over = Vec::new();
-                        door.attempt_ended(now + 5.0, request, attempt, ended, &mut over);
+                        let mut after = Vec::new();
+                        proxy.attempt_ended(now + 5.0, request, attempt, ended, &mut after);
                     }
                 }
-                let _ = door.next_due();
-                door.run_timers(now, &mut Vec::new());
+                let _ = proxy.next_due();
+                proxy.run_timers(now, &mut Vec::new());
             });
-            let tick = each(0.1, || {
+            let tick_time = mean_cpu_seconds(0.1, || {
                 now += 500.0;
-                door.tick(now, &mut Vec::new());
+                proxy.tick(now, &mut Vec::new());
             });
             println!(
                 "door services={n} backends={b} held_bytes_backend={:.0} told_us_backend={:.2} old_word_ns={:.0} request_us={:.2} served={served} tick_us={:.1}",
-                told.held as f64 / b as f64,
-                us(told.cpu) / b as f64,
-                1e9 * word,
-                us(arrive),
-                us(tick),
+                update_cost.allocated_bytes as f64 / b as f64,
+                micros(update_cost.cpu) / b as f64,
+                1e9 * stale_time,
+                micros(request_time),
+                micros(tick_time),
             );
         }
     }
@@ -517,45 +564,47 @@
             tenants: t,
             services: 100,
         };
-        let (mut door, planned) = took(|| new_door(size, &mut out));
+        let (mut proxy, config_cost) = cost_of(|| new_proxy(size, &mut out));
         out.clear();
-        let words = (0..1000).map(|k| made::word(k, 100, 1)).collect();
-        door.receive(
+        let records = (0..1000)
+            .map(|k| synthetic::instance_record(k, 100, 1))
+            .collect();
+        proxy.receive(
             0.0,
             "10.0.0.1",
             Frame::InstanceUpdates(InstanceUpdates {
-                records: words,
+                records,
                 complete: false,
                 ack_number: 0,
             }),
             &mut Vec::new(),
         );
-        door.controller_connected(1.0, "10.0.0.1", &mut out);
-        let loans = (0..t)
+        proxy.controller_connected(1.0, "10.0.0.1", &mut out);
+        let granted = (0..t)
             .map(|n| Lease {
-                tenant: made::tenant(n),
+                tenant: synthetic::tenant_name(n),
                 ppm: FULL_QUOTA_PPM,
             })
             .collect();
-        let lent = LeaseGrant {
+        let grant = LeaseGrant {
             sequence: 1,
             request: 1,
-            leases: loans,
+            leases: granted,
             client_count: 1,
             client_incarnation: 9,
             server_incarnation: 1,
             grants_tokens: true,
         };
-        let (_, lent) =
-            took(|| door.receive(2.0, "10.0.0.1", Frame::LeaseGrant(lent), &mut Vec::new()));
+        let (_, grant_cost) =
+            cost_of(|| proxy.receive(2.0, "10.0.0.1", Frame::LeaseGrant(grant), &mut Vec::new()));
         let mut now = 10.0;
-        let (mut who, mut served) = (0, 0_u64);
-        let request = each(0.5, || {
+        let (mut tenant, mut served) = (0, 0_u64);
+        let request_time = mean_cpu_seconds(0.5, || {
             now += 0.5;
-            who = (who + 7919) % t;
-            let (host, path) = made::place(who % 900);
-            let key = made::key(who);
-            let arrival = IncomingRequest {
+            tenant = (tenant + 7919) % t;
+            let (host, path) = synthetic::host_and_path(tenant % 900);
+            let key = synthetic::api_key(tenant);
+            let incoming = IncomingRequest {
                 host: &host,
                 path: &path,
                 api_key: Some(&key),
@@ -563,12 +612,12 @@
                 received_at: now,
                 is_retry: false,
             };
-            let mut done = Vec::new();
-            if door.admit(now, &arrival, &mut done).is_ok() {
+            let mut outputs = Vec::new();
+            if proxy.admit(now, &incoming, &mut outputs).is_ok() {
                 served += 1;
             }
-            for output in done {
-                if let DoorOutput::Send {
+            for output in outputs {
+                if let ProxyOutput::Send {
                     request, attempt, ..
                 } = output
                 {
@@ -577,130 +626,152 @@
                         broken_connections: 0,
                         wrong_instance: false,
                     };
-                    let mut over = Vec::new();
-                    door.attempt_ended(now + 5.0, request, attempt, ended, &mut over);
+                    let mut after = Vec::new();
+                    proxy.attempt_ended(now + 5.0, request, attempt, ended, &mut after);
                 }
             }
-            let _ = door.next_due();
-            door.run_timers(now, &mut Vec::new());
+            let _ = proxy.next_due();
+            proxy.run_timers(now, &mut Vec::new());
         });
-        let tick = each(0.3, || {
+        let tick_time = mean_cpu_seconds(0.3, || {
             now += 500.0;
-            door.tick(now, &mut Vec::new());
+            proxy.tick(now, &mut Vec::new());
         });
-        let one = parse_amend(made::call(0..0, 0..1, 0..0, 0, 8).as_bytes()).unwrap_or_default();
+        let change = parse_amend(synthetic::upsert_body(0..0, 0..1, 0..0, 0, 8).as_bytes())
+            .unwrap_or_default();
         let mut index = 9;
-        let one_change = each(0.3, || {
+        let change_time = mean_cpu_seconds(0.3, || {
             index += 1;
-            let change = maplefall_control_messages::IndexedChange {
+            let indexed = maplefall_control_messages::IndexedChange {
                 index,
-                change: Some(one.clone()),
+                change: Some(change.clone()),
             };
-            let plans = ConfigUpdate {
+            let update = ConfigUpdate {
                 after: index - 1,
                 index,
-                changes: vec![change],
+                changes: vec![indexed],
                 ..ConfigUpdate::default()
             };
-            door.receive(now, "10.0.0.1", Frame::ConfigUpdate(plans), &mut Vec::new());
+            proxy.receive(
+                now,
+                "10.0.0.1",
+                Frame::ConfigUpdate(update),
+                &mut Vec::new(),
+            );
         });
         println!(
             "door tenants={t} held_bytes_tenant={:.0} loans_bytes_tenant={:.0} request_us={:.2} served={served} tick_us={:.0} tick_ns_tenant={:.0} change_us={:.0} change_ns_tenant={:.0}",
-            planned.held as f64 / t as f64,
-            lent.held as f64 / t as f64,
-            us(request),
-            us(tick),
-            1e9 * tick / t as f64,
-            us(one_change),
-            1e9 * one_change / t as f64,
+            config_cost.allocated_bytes as f64 / t as f64,
+            grant_cost.allocated_bytes as f64 / t as f64,
+            micros(request_time),
+            micros(tick_time),
+            1e9 * tick_time / t as f64,
+            micros(change_time),
+            1e9 * change_time / t as f64,
         );
     }
 }
 
-// ---- Agreement ----------------------------------------------------------------------------------------
+// ---- Raft ---------------------------------------------------------------------------------------
 
-fn tandem(members: &[usize]) {
+fn raft(members: &[usize]) {
     for &n in members {
-        let mut group = Group::new(n);
-        let (done, _) = group.amend(made::call(0..1, 0..0, 0..1, 1, 7));
-        group.reset();
+        let mut cluster = ControllerCluster::new(n);
+        let (accepted, _) = cluster.amend(synthetic::upsert_body(0..1, 0..0, 0..1, 1, 7));
+        cluster.reset();
         let changes = 100;
-        let mut all = done;
+        let mut all_accepted = accepted;
         for version in 0..changes {
-            all &= group.amend(made::call(0..1, 0..0, 0..0, 1, 8 + version)).0;
+            all_accepted &= cluster
+                .amend(synthetic::upsert_body(0..1, 0..0, 0..0, 1, 8 + version))
+                .0;
         }
-        let of = |what: &str| {
-            let flows = group.done.iter().filter_map(|done| done.peers.get(what));
+        let peer_flow = |kind: &str| {
+            let flows = cluster
+                .stats
+                .iter()
+                .filter_map(|stats| stats.to_peers.get(kind));
             flows.fold((0, 0), |sum, flow| (sum.0 + flow.count, sum.1 + flow.bytes))
         };
-        let (messages, bytes) = of("tandem");
-        let writes: u64 = group.done.iter().map(|done| done.disk.count).sum();
-        let disk: u64 = group.done.iter().map(|done| done.disk.bytes).sum();
-        let cpu: f64 = group.done.iter().flat_map(|done| done.cpu.values()).sum();
+        let (messages, bytes) = peer_flow("tandem");
+        let writes: u64 = cluster.stats.iter().map(|stats| stats.disk.count).sum();
+        let disk: u64 = cluster.stats.iter().map(|stats| stats.disk.bytes).sum();
+        let cpu: f64 = cluster
+            .stats
+            .iter()
+            .flat_map(|stats| stats.cpu.values())
+            .sum();
         let per = |x: u64| x as f64 / f64::from(changes);
         println!(
-            "tandem members={n} done={all} messages_change={:.1} bytes_change={:.0} writes_change={:.1} disk_bytes_change_member={:.0} cpu_us_change_all={:.0}",
+            "tandem members={n} done={all_accepted} messages_change={:.1} bytes_change={:.0} writes_change={:.1} disk_bytes_change_member={:.0} cpu_us_change_all={:.0}",
             per(messages),
             per(bytes),
             per(writes),
             per(disk) / n as f64,
-            us(cpu) / f64::from(changes)
+            micros(cpu) / f64::from(changes)
         );
     }
 }
 
-fn change(routes: &[usize], tenths: usize) {
+fn change(routes: &[usize], tenants_per_ten_routes: usize) {
     for &n in routes {
         let size = Size {
             routes: n,
-            tenants: n * tenths / 10,
-            services: services_of(n),
+            tenants: n * tenants_per_ten_routes / 10,
+            services: services_for(n),
         };
-        let (mut group, grown) = took(|| {
-            let mut group = Group::new(3);
-            for call in made::calls(size) {
-                group.amend(call);
+        let (mut cluster, setup_cost) = cost_of(|| {
+            let mut cluster = ControllerCluster::new(3);
+            for call in synthetic::config_calls(size) {
+                cluster.amend(call);
             }
-            group
+            cluster
         });
-        group.reset();
-        let mut cost = Vec::new();
+        cluster.reset();
+        let mut changes = Vec::new();
         for version in 0..5 {
-            let (done, at) = group.amend(made::call(0..1, 0..0, 0..0, size.services, 8 + version));
-            let amend = std::mem::take(&mut group.done[at].cpu)
+            let (accepted, leader) = cluster.amend(synthetic::upsert_body(
+                0..1,
+                0..0,
+                0..0,
+                size.services,
+                8 + version,
+            ));
+            let amend = std::mem::take(&mut cluster.stats[leader].cpu)
                 .get("amend")
                 .copied()
                 .unwrap_or(0.0);
-            cost.push((amend, done));
+            changes.push((amend, accepted));
         }
-        cost.sort_by(|a, b| a.0.total_cmp(&b.0));
-        group.reset();
-        group.connect(0, 0);
-        let plan = group.done[0]
-            .doors
+        changes.sort_by(|a, b| a.0.total_cmp(&b.0));
+        cluster.reset();
+        cluster.connect_proxy(0, 0);
+        let update = cluster.stats[0]
+            .to_proxies
             .get("plans")
             .copied()
             .unwrap_or_default();
-        let connect = group.done[0].cpu.get("connect").copied().unwrap_or(0.0);
+        let connect = cluster.stats[0].cpu.get("connect").copied().unwrap_or(0.0);
         println!(
             "change routes={n} tenants={} done={} amend_ms={:.1} door_connects_ms={:.1} plan_bytes={} exchanges_3_held_mb={} bytes_route_exchange={:.0}",
             size.tenants,
-            cost.iter().all(|c| c.1),
-            1e3 * cost[2].0,
+            changes.iter().all(|c| c.1),
+            1e3 * changes[2].0,
             1e3 * connect,
-            plan.bytes,
-            grown.held >> 20,
-            grown.held as f64 / 3.0 / n as f64
+            update.bytes,
+            setup_cost.allocated_bytes >> 20,
+            setup_cost.allocated_bytes as f64 / 3.0 / n as f64
         );
     }
 }
 
-// ---- Sockets ------------------------------------------------------------------------------------------
+// ---- Sockets ------------------------------------------------------------------------------------
 
-/// Ends the exchange whatever happens.
-struct Child(std::process::Child, PathBuf);
+/// A controller process and its data directory; dropping the value kills the process and removes
+/// the directory.
+struct ControllerProcess(std::process::Child, PathBuf);
 
-impl Drop for Child {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -708,8 +779,8 @@
     }
 }
 
-impl Child {
-    /// Seconds of processor time that it has used.
+impl ControllerProcess {
+    /// Returns the seconds of processor time that the process has used.
     fn cpu(&self) -> f64 {
         let text =
             std::fs::read_to_string(format!("/proc/{}/schedstat", self.0.id())).unwrap_or_default();
@@ -722,22 +793,22 @@
     }
 }
 
-/// Posts a beat and reads its answer.
-fn post(stream: &mut TcpStream, n: usize, seq: u64) -> std::io::Result<bool> {
-    let body = made::beat(n, 100, seq, "in_loop");
-    let id = made::backend(n);
+/// Posts a heartbeat and returns whether the response has status 200.
+fn post_heartbeat(stream: &mut TcpStream, n: usize, seq: u64) -> std::io::Result<bool> {
+    let body = synthetic::heartbeat_body(n, 100, seq, "in_loop");
+    let id = synthetic::backend_id(n);
     let head = format!(
         "POST /api/rpc?call=instances.beat&of={id} HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
     stream.write_all(&[head.as_bytes(), &body].concat())?;
-    let mut answer = [0; 2048];
-    let read = stream.read(&mut answer)?;
-    Ok(answer[..read].starts_with(b"HTTP/1.1 200"))
+    let mut response = [0; 2048];
+    let read = stream.read(&mut response)?;
+    Ok(response[..read].starts_with(b"HTTP/1.1 200"))
 }
 
-/// Opens a connection from this address.
-fn dial(from: &str, to: SocketAddr) -> std::io::Result<TcpStream> {
+/// Opens a connection from the address `from`.
+fn connect_from(from: &str, to: SocketAddr) -> std::io::Result<TcpStream> {
     let from: SocketAddr = format!("{from}:0").parse().map_err(std::io::Error::other)?;
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.bind(&from.into())?;
@@ -745,16 +816,16 @@
     Ok(socket.into())
 }
 
-fn free() -> std::io::Result<SocketAddr> {
+fn free_address() -> std::io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
-fn sockets(program: &Path, doors: usize, beats: usize) -> std::io::Result<()> {
-    let (control, inner, data) = (free()?, free()?, folder("sockets"));
+fn sockets(program: &Path, proxies: usize, heartbeats: usize) -> std::io::Result<()> {
+    let (control, internal, data) = (free_address()?, free_address()?, fresh_directory("sockets"));
     std::fs::create_dir_all(&data)?;
     let settings = format!(
         "Node = \"core\"\nIp = \"127.0.0.1\"\nZone = \"z\"\nInternalPorts = [{0},{0}]\nSeedAddrs = [\"{control}\"]\nBootstrap = true\nQuorumMember = true\nDataDir = {1:?}\n[Bind]\nControl = \"{control}\"\n",
-        inner.port(),
+        internal.port(),
         data.join("data")
     );
     let file = data.join("settings.toml");
@@ -765,7 +836,7 @@
         .stderr(Stdio::null())
         .stdout(Stdio::null())
         .spawn()?;
-    let child = Child(child, data);
+    let child = ControllerProcess(child, data);
     let end = Instant::now() + Duration::from_secs(20);
     let mut stream = loop {
         match TcpStream::connect(control) {
@@ -776,11 +847,11 @@
     };
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
-    let mut there = Vec::new();
-    for n in 0..doors {
-        // One door is heard for each machine: each has an address of its own.
+    let mut connections = Vec::new();
+    for n in 0..proxies {
+        // A controller accepts one proxy per IP address, so each has its own.
         let ip = format!("127.1.{}.{}", n / 250, 1 + n % 250);
-        let mut door = dial(&ip, inner)?;
+        let mut proxy = connect_from(&ip, internal)?;
         let hello = Hello {
             version: PROTOCOL_VERSION,
             ip,
@@ -789,101 +860,112 @@
             is_controller: false,
             config_index: 0,
         };
-        door.write_all(&encode_frame(Frame::Hello(hello)))?;
-        door.set_nonblocking(true)?;
-        there.push(door);
+        proxy.write_all(&encode_frame(Frame::Hello(hello)))?;
+        proxy.set_nonblocking(true)?;
+        connections.push(proxy);
     }
-    let mut buffer = vec![0; 64 << 10];
-    let mut heard = vec![BytesMut::new(); there.len()];
-    // What doors hear is read, and pings are echoed, lest they are taken for dead.
-    let mut drain = |there: &mut Vec<TcpStream>| {
+    let mut chunk = vec![0; 64 << 10];
+    let mut buffers = vec![BytesMut::new(); connections.len()];
+    // Reads what the controller sends and answers pings, so that it does not take the proxies for
+    // dead.
+    let mut drain = |connections: &mut Vec<TcpStream>| {
         let mut bytes = 0;
-        for (door, heard) in there.iter_mut().zip(&mut heard) {
-            while let Ok(many @ 1..) = door.read(&mut buffer) {
-                bytes += many;
-                heard.extend_from_slice(&buffer[..many]);
+        for (proxy, buffer) in connections.iter_mut().zip(&mut buffers) {
+            while let Ok(count @ 1..) = proxy.read(&mut chunk) {
+                bytes += count;
+                buffer.extend_from_slice(&chunk[..count]);
             }
-            while let Ok(Some(frame)) = decode_frame(heard) {
+            while let Ok(Some(frame)) = decode_frame(buffer) {
                 if let Frame::Ping(number) = frame {
-                    let _ = door.write_all(&encode_frame(Frame::Pong(number)));
+                    let _ = proxy.write_all(&encode_frame(Frame::Pong(number)));
                 }
             }
         }
         bytes
     };
-    let mut rest = |there: &mut Vec<TcpStream>, millis: u64| {
+    let mut drain_for = |connections: &mut Vec<TcpStream>, millis: u64| {
         let end = Instant::now() + Duration::from_millis(millis);
         while Instant::now() < end {
             std::thread::sleep(Duration::from_millis(20));
-            drain(there);
+            drain(connections);
         }
     };
-    rest(&mut there, 800);
-    let (before, began) = (child.cpu(), Instant::now());
-    rest(&mut there, 1000);
-    let idle = (child.cpu() - before) / began.elapsed().as_secs_f64();
-    // New backends: each is told to every door.
-    let (before, began, news, mut good) = (child.cpu(), Instant::now(), 100, 0);
+    drain_for(&mut connections, 800);
+    let (before, started) = (child.cpu(), Instant::now());
+    drain_for(&mut connections, 1000);
+    let idle_rate = (child.cpu() - before) / started.elapsed().as_secs_f64();
+    // New backends: each is announced to every proxy.
+    let (before, started, new_backends, mut succeeded) = (child.cpu(), Instant::now(), 100, 0);
     let mut bytes = 0;
-    for n in 0..news {
-        good += usize::from(post(&mut stream, n, 1)?);
-        bytes += drain(&mut there);
+    for n in 0..new_backends {
+        succeeded += usize::from(post_heartbeat(&mut stream, n, 1)?);
+        bytes += drain(&mut connections);
     }
-    let told = child.cpu() - before - idle * began.elapsed().as_secs_f64();
-    let (before, began) = (child.cpu(), Instant::now());
-    for n in 0..beats {
-        good += usize::from(post(&mut stream, n % news, 2 + (n / news) as u64)?);
+    let announce_cpu = child.cpu() - before - idle_rate * started.elapsed().as_secs_f64();
+    let (before, started) = (child.cpu(), Instant::now());
+    for n in 0..heartbeats {
+        succeeded += usize::from(post_heartbeat(
+            &mut stream,
+            n % new_backends,
+            2 + (n / new_backends) as u64,
+        )?);
         if n % 500 == 0 {
-            drain(&mut there);
+            drain(&mut connections);
         }
     }
-    let kept = (child.cpu() - before - idle * began.elapsed().as_secs_f64()) / beats as f64;
-    let (before, began, anew) = (child.cpu(), Instant::now(), beats / 5);
-    for n in 0..anew {
+    let heartbeat_cpu =
+        (child.cpu() - before - idle_rate * started.elapsed().as_secs_f64()) / heartbeats as f64;
+    let (before, started, reconnects) = (child.cpu(), Instant::now(), heartbeats / 5);
+    for n in 0..reconnects {
         let mut stream = TcpStream::connect(control)?;
         stream.set_read_timeout(Some(Duration::from_secs(10)))?;
-        good += usize::from(post(&mut stream, n % news, 100_000 + (n / news) as u64)?);
+        succeeded += usize::from(post_heartbeat(
+            &mut stream,
+            n % new_backends,
+            100_000 + (n / new_backends) as u64,
+        )?);
         if n % 500 == 0 {
-            drain(&mut there);
+            drain(&mut connections);
         }
     }
-    let fresh = (child.cpu() - before - idle * began.elapsed().as_secs_f64()) / anew.max(1) as f64;
+    let reconnect_cpu = (child.cpu() - before - idle_rate * started.elapsed().as_secs_f64())
+        / reconnects.max(1) as f64;
     println!(
-        "sockets doors={doors} good={good}/{} idle_us_door_s={:.1} beat_kept_us={:.1} beat_new_connection_us={:.1} news_us={:.0} news_us_door={:.2} bytes={bytes}",
-        news + beats + anew,
-        us(idle) / doors.max(1) as f64,
-        us(kept),
-        us(fresh),
-        us(told) / news as f64,
-        (us(told) / news as f64 - us(kept)) / doors.max(1) as f64,
+        "sockets doors={proxies} good={succeeded}/{} idle_us_door_s={:.1} beat_kept_us={:.1} beat_new_connection_us={:.1} news_us={:.0} news_us_door={:.2} bytes={bytes}",
+        new_backends + heartbeats + reconnects,
+        micros(idle_rate) / proxies.max(1) as f64,
+        micros(heartbeat_cpu),
+        micros(reconnect_cpu),
+        micros(announce_cpu) / new_backends as f64,
+        (micros(announce_cpu) / new_backends as f64 - micros(heartbeat_cpu)) / proxies.max(1) as f64,
     );
     Ok(())
 }
 
-// ---- The disk -----------------------------------------------------------------------------------------
+// ---- Disk ---------------------------------------------------------------------------------------
 
-/// Bytes that this process has handed to the system to write.
-fn written() -> u64 {
+/// Returns the bytes that this process has passed to write calls.
+fn bytes_written() -> u64 {
     let text = std::fs::read_to_string("/proc/self/io").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("wchar: "));
     line.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn folder(name: &str) -> PathBuf {
+fn fresh_directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("maplefall-slopes-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-fn size_of(path: &Path) -> u64 {
+fn directory_size(path: &Path) -> u64 {
     let files = std::fs::read_dir(path).into_iter().flatten().flatten();
     files
         .filter_map(|file| Some(file.metadata().ok()?.len()))
         .sum()
 }
 
-/// Writes records, and takes one step of what can wait, as the exchange's thread does.
-fn put(store: &mut Store<Directory>, records: Vec<StoreRecord>) -> Result<(), Error> {
+/// Writes records and takes one step of background work, as the controller's disk thread does.
+fn write_records(store: &mut Store<Directory>, records: Vec<StoreRecord>) -> Result<(), Error> {
     store.write(records)?;
     if store.has_background_work() {
         store.step()?;
@@ -892,16 +974,17 @@
 }
 
 fn disk(entries: &[usize]) {
-    let change = parse_amend(made::call(0..1, 0..0, 0..0, 1, 8).as_bytes()).unwrap_or_default();
+    let change =
+        parse_amend(synthetic::upsert_body(0..1, 0..0, 0..0, 1, 8).as_bytes()).unwrap_or_default();
     let payload = change.encode_to_vec();
     for &n in entries {
-        let path = folder("log");
+        let path = fresh_directory("log");
         let Ok((mut store, _)) = Store::open(Directory::new(&path)) else {
             println!("disk error=open");
             return;
         };
-        let (wrote, mut number) = (written(), 0);
-        let mut logical = 0;
+        let (written_before, mut number) = (bytes_written(), 0);
+        let mut record_bytes = 0;
         for _ in 0..n.div_ceil(100) {
             let records: Vec<StoreRecord> = (0..100.min(n))
                 .map(|_| {
@@ -924,64 +1007,70 @@
                     }
                 })
                 .collect();
-            logical += records.iter().map(Message::encoded_len).sum::<usize>();
-            if put(&mut store, records).is_err() {
+            record_bytes += records.iter().map(Message::encoded_len).sum::<usize>();
+            if write_records(&mut store, records).is_err() {
                 println!("disk error=write");
                 return;
             }
         }
-        let handed = written() - wrote;
+        let written_bytes = bytes_written() - written_before;
         let _ = store.close();
-        let on_disk = size_of(&path);
-        let before = Instant::now();
-        let (found, took) = took(|| {
+        let on_disk = directory_size(&path);
+        let started = Instant::now();
+        let (found, cost) = cost_of(|| {
             Store::open(Directory::new(&path))
-                .map(|(_, kept)| kept.raft.log.len())
+                .map(|(_, state)| state.raft.log.len())
                 .unwrap_or(0)
         });
         println!(
             "disk entries={n} found={found} payload_bytes={} record_bytes_entry={:.0} written_bytes_entry={:.0} on_disk_bytes={on_disk} start_ms={:.1} start_cpu_us_entry={:.2}",
             payload.len(),
-            logical as f64 / number as f64,
-            handed as f64 / number as f64,
-            1e3 * before.elapsed().as_secs_f64(),
-            us(took.cpu) / number as f64,
+            record_bytes as f64 / number as f64,
+            written_bytes as f64 / number as f64,
+            1e3 * started.elapsed().as_secs_f64(),
+            micros(cost.cpu) / number as f64,
         );
         let _ = std::fs::remove_dir_all(&path);
     }
-    // With so many backends known, what is written for each further word: the whole state again and again.
-    for known in [1000, 10_000, 50_000] {
-        let path = folder("words");
+    // Bytes written for each further record when this many backends are registered, including the
+    // repeated writes of the whole state.
+    for registered in [1000, 10_000, 50_000] {
+        let path = fresh_directory("words");
         let Ok((mut store, _)) = Store::open(Directory::new(&path)) else {
             return;
         };
-        let stored = |number: u64, from: usize, many: usize, seq: u64| StoreRecord {
+        let store_record = |number: u64, from: usize, count: usize, seq: u64| StoreRecord {
             number,
-            instances: (from..from + many)
-                .map(|n| made::word(n, 8900, seq))
+            instances: (from..from + count)
+                .map(|n| synthetic::instance_record(n, 8900, seq))
                 .collect(),
             ..StoreRecord::default()
         };
-        let mut good = true;
-        for at in 0..known / 1000 {
-            good &= put(&mut store, vec![stored(at as u64 + 1, at * 1000, 1000, 1)]).is_ok();
+        let mut succeeded = true;
+        for batch in 0..registered / 1000 {
+            succeeded &= write_records(
+                &mut store,
+                vec![store_record(batch as u64 + 1, batch * 1000, 1000, 1)],
+            )
+            .is_ok();
         }
-        let (wrote, mut number, further) = (written(), known as u64 / 1000, 20_000);
-        for at in 0..further / 20 {
+        let (written_before, mut number, further) =
+            (bytes_written(), registered as u64 / 1000, 20_000);
+        for batch in 0..further / 20 {
             let records = (0..20)
                 .map(|k| {
                     number += 1;
-                    let n = at * 20 + k;
-                    stored(number, n % known, 1, 2 + (n / known) as u64)
+                    let n = batch * 20 + k;
+                    store_record(number, n % registered, 1, 2 + (n / registered) as u64)
                 })
                 .collect();
-            good &= put(&mut store, records).is_ok();
+            succeeded &= write_records(&mut store, records).is_ok();
         }
         let _ = store.close();
         println!(
-            "disk backends={known} good={good} further_words={further} written_bytes_word={:.0} on_disk_bytes={}",
-            (written() - wrote) as f64 / f64::from(further as u32),
-            size_of(&path)
+            "disk backends={registered} good={succeeded} further_words={further} written_bytes_word={:.0} on_disk_bytes={}",
+            (bytes_written() - written_before) as f64 / f64::from(further as u32),
+            directory_size(&path)
         );
         let _ = std::fs::remove_dir_all(&path);
     }
--- a/benches/src/lib.rs
+++ b/benches/src/lib.rs
@@ -1,6 +1,7 @@
-//! What the measurements share: items, beats and words that are made up, in the shape and length that the platform shows; the
-//! processor time of this thread and the memory that it holds; and a group of exchanges in one process, without sockets.
+//! Helpers that the benchmarks share: synthetic configuration items, heartbeats and instance records
+//! with the shape and length that the platform's own have; the processor time of this thread and the
+//! memory allocated; and a cluster of controllers in one process, without sockets.
 
-pub mod group;
-pub mod made;
+pub mod cluster;
 pub mod measure;
+pub mod synthetic;
