--- a/crates/protocol/src/headers.rs
+++ b/crates/protocol/src/headers.rs
@@ -12,7 +12,8 @@
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// The customer's plan.
 pub const API_PLAN: HeaderName = HeaderName::from_static("api-plan");
-/// `units` of the request; `spread` (number) and `first` of the gateways that serve the customer.
+/// Terms of the request: its `units`; `spread` (number) and `first` of the gateways that serve the
+/// customer.
 pub const API_TERMS: HeaderName = HeaderName::from_static("api-terms");
 /// `1` in a response with status 503 or 504: the request was not started.
 pub const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -10,7 +10,7 @@
 pub struct Incoming {
     /// When the last byte was received, in milliseconds of the process's clock.
     pub at: Millis,
-    /// When the client gives up, on the same clock.
+    /// When the client gives up, in milliseconds of the process's clock.
     pub deadline: Millis,
     /// Whether the caller needs no further authorization check.
     pub authorized: bool,
--- a/crates/proxy/src/core/attempts.rs
+++ b/crates/proxy/src/core/attempts.rs
@@ -104,8 +104,9 @@
             Action::Log(text) => {
                 out.push(Output::Log(format!("event=backend_health text={text:?}")));
             }
-            // Not needed in the proxy: clients are authenticated by their keys, and controllers
-            // push the instances and run the health checks.
+            // Authorization, discovery and probes are not needed in the proxy: clients are
+            // authenticated by their keys, and controllers push the instances and run the health
+            // checks.
             Action::Authorize(_) | Action::Subscribe | Action::FetchBackends | Action::Probe(_) => {
             }
         }
--- a/crates/proxy/src/core/config.rs
+++ b/crates/proxy/src/core/config.rs
@@ -32,7 +32,7 @@
         self.refresh_quotas(now);
         self.quota_requested_at.clear();
         self.quota_rejected_at.clear();
-        // No quota of new tenants is leased to this proxy yet.
+        // Leases are requested at once, since no quota of new tenants is leased to this proxy yet.
         self.request_leases(now, out);
         self.tenant_names
             .retain(|_, name| Rc::strong_count(name) > 1);
@@ -59,7 +59,7 @@
         Rc::make_mut(&mut self.route_table).patch(&self.items, changes.iter());
     }
 
-    /// Adds to the known controllers. Controllers are never removed.
+    /// Adds controllers to the known ones. Controllers are never removed.
     pub(super) fn add_controllers(
         &mut self,
         controllers: impl Iterator<Item = String>,
--- a/crates/proxy/src/core/messages.rs
+++ b/crates/proxy/src/core/messages.rs
@@ -90,7 +90,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The outcome.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
     /// Number of established connections that broke during the attempt.
     pub broken_connections: u32,
--- a/crates/proxy/src/core/mod.rs
+++ b/crates/proxy/src/core/mod.rs
@@ -73,8 +73,8 @@
     last_request_id: u32,
     timers: TimerQueue<Timer>,
     shutting_down: bool,
-    /// Requests whose responses may come later than this are rejected; infinite unless the proxy is
-    /// about to exit.
+    /// The latest time for a response: requests whose responses may come later are rejected.
+    /// Infinite unless the proxy is about to exit.
     last_response_at: Millis,
     was_ready: bool,
     stats: Stats,
--- a/crates/proxy/src/core/quota_leases.rs
+++ b/crates/proxy/src/core/quota_leases.rs
@@ -14,8 +14,8 @@
 /// controllers know: together the proxies send a controller at most 500 a second, however many
 /// proxies there are. A controller does not move leases among all proxies more often than that.
 const URGENT_INTERVAL_PER_PROXY: Millis = 2.0;
-/// Unused interval that can accumulate as credit: a proxy that sent fewer urgent requests for a
-/// while sends them without delay until the credit is used.
+/// Maximum credit of unused intervals between urgent lease requests: a proxy that sent fewer of
+/// them for a while sends further ones without delay until the credit is used.
 pub(super) const MAX_URGENT_CREDIT: Millis = 200.0;
 /// Minimum time since the last urgent lease request if more of the tenant's quota was already
 /// requested within [`LEASE_RETRY_INTERVAL`].
--- a/crates/proxy/src/core/requests.rs
+++ b/crates/proxy/src/core/requests.rs
@@ -21,7 +21,7 @@
 
 /// An admitted request.
 pub(super) struct PendingRequest {
-    /// Index of its service.
+    /// Index of the request's service.
     pub service: usize,
     /// Whether the request may run more than once, as configured for its route.
     pub idempotent: bool,
--- a/crates/proxy/src/core/stats.rs
+++ b/crates/proxy/src/core/stats.rs
@@ -29,7 +29,7 @@
     pub attempts_given_up: u64,
     /// Requests without a route or with an unknown key.
     pub unroutable: u64,
-    /// `quota_rejected`, by tenant.
+    /// Requests rejected because their tenant's bucket was empty, by tenant.
     pub quota_rejected_by_tenant: HashMap<Rc<str>, u64>,
 }
 
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -85,7 +85,7 @@
         guard: ConnectionGuard<ClientConnection>,
     ) {
         let connection = guard.state();
-        // If this fails, responses are late, not wrong.
+        // If `TCP_NODELAY` cannot be set, responses are late, not wrong.
         let _ = stream.set_nodelay(true);
         let max_head_bytes = self.proxy.with_core(|core| core.limits().header_bytes);
         let socket = ObservedSocket::new(stream, connection.clone(), self.proxy.clock);
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Uses the current limits, so that a configuration update also applies to idle connections.
+    /// Returns when the connection is closed if nothing happens on it. The current limits are used,
+    /// so that a configuration update also applies to idle connections.
     fn close_deadline(&self, connection: &ClientConnection) -> Option<CloseDeadline> {
         let limits = self.proxy.with_core(|core| core.limits());
         connection.state.borrow().close_deadline(&limits)
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -7,9 +7,9 @@
 /// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseMode {
-    /// After the pending response, or immediately if there is none.
+    /// The connection is closed after the pending response, or immediately if there is none.
     Graceful,
-    /// Immediately.
+    /// The connection is closed immediately.
     Immediate,
 }
 
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -209,7 +209,8 @@
         let wait_until = incoming.received_at + max_wait;
         let mut parts = Some((method, headers, body));
         loop {
-            // Created before the decision, so that a change that follows it is not missed.
+            // The notification is created before the admission decision, so that a change that
+            // follows the decision is not missed.
             let state_changed = self.proxy.state_changed.notified();
             let admitted = self.proxy.admit(&incoming, |admitted| {
                 let (method, headers, body) = parts.take().unwrap_or_default();
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -13,7 +13,7 @@
 /// `Retry-After` of a request that was rejected for lack of memory.
 const OUT_OF_MEMORY_RETRY_AFTER: Millis = 200.0;
 
-/// Converts a backend's response.
+/// Converts a backend's response to the response to the client.
 pub(super) fn backend_response(backend: BackendResponse) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(backend.body));
     *response.status_mut() = backend.status;
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -51,7 +51,8 @@
 /// number of pending requests.
 struct PendingRequest {
     request: Rc<ForwardedRequest>,
-    /// `None` once the response has been sent or the client has disconnected.
+    /// Sends the response to the waiting client; `None` once the response has been sent or the
+    /// client has disconnected.
     responder: Option<oneshot::Sender<ClientResponse>>,
     /// The response of the last attempt.
     backend_response: Option<BackendResponse>,
@@ -275,7 +276,8 @@
                 response,
             }
         });
-        // Executed only now, since an output may refer to the request that was just inserted.
+        // The outputs are executed only now, since one may refer to the request that was just
+        // inserted.
         self.drive(|_, _, out| out.append(&mut outputs));
         result
     }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -76,7 +76,8 @@
 }
 
 impl Listeners {
-    /// Reads both addresses, which a proxy requires; an error contains `step`.
+    /// Reads the addresses for clients and for readiness probes; a proxy requires both. An error
+    /// contains `step`.
     fn from_settings(settings: &Settings, step: &'static str) -> Result<Listeners, StartError> {
         let missing = |field| StartError::MissingSetting { step, field };
         let bind = &settings.bind;
@@ -177,8 +178,8 @@
             _ = hangup.recv() => true,
             () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
-        // The file is checked in any case, so that a change announced by a signal is not reloaded
-        // twice.
+        // The settings file is checked also after a signal, so that a change announced by a signal
+        // is not reloaded twice.
         if file.changed() || signalled {
             match Settings::load(file.path()) {
                 Ok(settings) => {
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -33,7 +33,7 @@
 pub struct Backend {
     /// The instance id used on the wire.
     pub instance: Rc<str>,
-    /// Index of its service.
+    /// Index of the instance's service.
     pub service: usize,
     /// The address on which the instance listens.
     pub address: SocketAddr,
@@ -169,7 +169,7 @@
     }
 
     /// Returns how many retries one proxy may save for one service: if all other proxies save as
-    /// many, the total stays within the slack.
+    /// many, the total stays within [`SAVED_RETRY_SLACK_FRACTION`] of the retry budget's slack.
     fn max_saved_retries(&self) -> f64 {
         SAVED_RETRY_SLACK_FRACTION * self.bounds.retry_slack / f64::from(self.proxy_count)
     }
--- a/crates/proxy/tests/abandoned_requests.rs
+++ b/crates/proxy/tests/abandoned_requests.rs
@@ -19,7 +19,8 @@
 /// The time that a backend may still work on a request after its client has disconnected (rule
 /// GONE).
 const MAX_WORK_AFTER_DISCONNECT: Duration = Duration::from_millis(500);
-/// More than the kernel buffers on the way to a backend that does not read.
+/// Length of a request body: more than the kernel buffers on the way to a backend that does not
+/// read.
 const LONG_BODY_BYTES: usize = 32 << 20;
 
 /// A backend that never responds.
--- a/crates/proxy/tests/attempt_timeouts.rs
+++ b/crates/proxy/tests/attempt_timeouts.rs
@@ -21,13 +21,13 @@
 /// Requests that are sent at once. At the retry budget ratio of 0.2 they earn two retries.
 const REQUESTS: usize = 12;
 const BACKENDS: u16 = 4;
-/// Shortly before the deadline, in milliseconds: the route's timeout is 20 s, and responses are due
-/// slightly earlier.
+/// A time shortly before the deadline of the requests, in milliseconds: the route's timeout is
+/// 20 s, and responses are due slightly earlier.
 const JUST_BEFORE_DEADLINE_MS: u32 = 19_900;
 
 /// `RetrySlack` of the first deployments.
 const RETRY_SLACK: f64 = 62.0;
-/// One proxy's share of a slack of 62 in a fleet of 100 proxies: less than one retry.
+/// One proxy's share of a retry slack of 62 in a fleet of 100 proxies: less than one retry.
 const RETRY_SLACK_SHARE: f64 = RETRY_SLACK / 100.0;
 
 /// A proxy with the deployments' retry budget and backends that never respond.
--- a/crates/proxy/tests/backend_responses/backend.rs
+++ b/crates/proxy/tests/backend_responses/backend.rs
@@ -231,8 +231,8 @@
                 if !started || !random.percent(15) {
                     continue;
                 }
-                // The request is incomplete: all of it but the last byte has arrived, or what one
-                // write contained.
+                // The request is incomplete: either only its last byte is missing, or only the
+                // bytes of one write have arrived.
                 let text = String::from_utf8_lossy(&buffer);
                 let id = text
                     .lines()
--- a/crates/proxy/tests/backend_responses/check.rs
+++ b/crates/proxy/tests/backend_responses/check.rs
@@ -78,8 +78,8 @@
                     Err(ParseError::Invalid(_)) => {
                         unusable_since = Some(written_at(log.written.len()))
                     }
-                    // The proxy cannot have read a response from these bytes, whatever it does with
-                    // them.
+                    // The proxy cannot have read a response from the incomplete bytes that follow,
+                    // whatever it does with them.
                     Err(ParseError::Incomplete) => unusable_since = Some(u64::MAX),
                 }
                 counts.unusable_connections += u64::from(unusable_since.is_some());
--- a/crates/proxy/tests/backend_responses/client.rs
+++ b/crates/proxy/tests/backend_responses/client.rs
@@ -11,8 +11,8 @@
 
 /// Maximum time of one response; reached only on a failure.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// The usual time that a client allows for a response, and the one for which backends may not
-/// respond, in milliseconds.
+/// Times that a client allows for a response, in milliseconds: the usual one, and a short one
+/// within which backends may not respond.
 const CLIENT_TIMEOUTS: [u64; 2] = [1000, 40];
 
 /// Sends requests one after the other on persistent connections; some clients disconnect before the
--- a/crates/proxy/tests/client_requests/client.rs
+++ b/crates/proxy/tests/client_requests/client.rs
@@ -82,7 +82,8 @@
         if end == ClientEnd::HalfCloses {
             let _ = writer.shutdown().await;
         }
-        // Otherwise the connection stays open until all responses are read.
+        // Unless the client disconnects or half-closes, the connection stays open until all
+        // responses are read.
         writer
     };
     let expected = messages
@@ -95,8 +96,8 @@
             if matches!(end, ClientEnd::DisconnectsAfter(_)) {
                 return Ok((responses, false));
             }
-            // Variant 22 is sent as CONNECT, so its response may have a body even if `method` is
-            // HEAD.
+            // Message variant 22 is sent as CONNECT, so its response may have a body even if
+            // `method` is HEAD.
             let request = messages
                 .get(responses.len())
                 .filter(|sent| sent.variant != 22)
--- a/crates/proxy/tests/common/http.rs
+++ b/crates/proxy/tests/common/http.rs
@@ -5,7 +5,7 @@
 pub enum ParseError {
     /// The message is not complete.
     Incomplete,
-    /// No further bytes can make it a message.
+    /// The bytes are not a message, and no further bytes can make them one.
     Invalid(&'static str),
 }
 
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -9,10 +9,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// More than the body limit and the kernel buffers.
+/// Length of a request body: more than the body limit and the kernel buffers.
 const BODY_BYTES: usize = 100 << 20;
 const CHUNK_BYTES: usize = 64 << 10;
-/// A longer write means that the proxy has stopped reading.
+/// A write that takes longer means that the proxy has stopped reading.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 const CLIENTS: usize = 5;
 
@@ -35,7 +35,7 @@
                 .await
                 .expect("the head is sent");
             let chunk = vec![7; CHUNK_BYTES];
-            // Until the proxy has closed the connection or stopped reading.
+            // Writes until the proxy has closed the connection or stopped reading.
             while let Ok(Ok(())) =
                 tokio::time::timeout(WRITE_TIMEOUT, stream.write_all(&chunk)).await
             {}
--- a/crates/proxy/tests/end_to_end.rs
+++ b/crates/proxy/tests/end_to_end.rs
@@ -139,7 +139,7 @@
             std::env::temp_dir().join(format!("maplefall-whole-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&directory);
         fs::create_dir_all(&directory).expect("a directory");
-        // One address per machine, because the internal port is the same on both.
+        // Controller and proxy have an address each, because the internal port is the same on both.
         let [controller_ip, proxy_ip] = [2, 3].map(|n| IpAddr::V4(Ipv4Addr::new(127, 0, 0, n)));
         let (control, internal_port) = (
             free_address(controller_ip),
@@ -334,7 +334,8 @@
     let reject =
         |head: &str| response(head, "503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
     let (rejecting_backend, rejected_requests) = start_backend(reject);
-    // Reads requests and never responds; receiving a request twice means running it twice.
+    // The unresponsive backend reads requests and never responds; receiving a request twice means
+    // running it twice.
     let (unresponsive_backend, runs) = start_backend(|_| None);
     let system = TestSystem::start(
         name,
--- a/crates/proxy/tests/quota_leases.rs
+++ b/crates/proxy/tests/quota_leases.rs
@@ -25,15 +25,16 @@
     ("large", 94.0, 94.0),
     ("small", 6.0, 6.0),
     ("odd", 20.0, 0.0),
-    // Too small to be leased to more than two proxies.
+    // The quota of this tenant is too small to be leased to more than two proxies.
     ("pooled", 60.0, 0.0),
 ];
-/// Seeds with this remainder modulo 2 run with little slack, so that the last two tenants are
-/// granted single tokens.
+/// Seeds with this remainder modulo 2 run with a small `quota_slack`, so that the last two tenants
+/// are granted single tokens.
 const LITTLE_SLACK_REMAINDER: u64 = 1;
 /// Simulated time, in milliseconds.
 const SIMULATED_MS: f64 = 75_000.0;
-/// Time for which a deposed leader, and its followers, may continue.
+/// Time after the start of a partition for which a deposed leader, and its followers, may still
+/// count as in quorum contact.
 const DEPOSED_LEADER_MS: f64 = 1000.0;
 
 type Members = BTreeSet<String>;
@@ -52,7 +53,7 @@
     open_connections: BTreeMap<usize, u64>,
     down_until: f64,
     partitioned_until: f64,
-    /// Rate of its monotonic clock relative to the simulated time.
+    /// Rate of the proxy's monotonic clock relative to the simulated time.
     clock_rate: f64,
     /// Requests per second of each tenant.
     request_rates: [f64; 4],
@@ -67,7 +68,7 @@
 }
 
 impl MembershipLog {
-    /// Returns the slots after the first `entries` entries.
+    /// Returns the slots after the first `entries` membership changes.
     fn slots(&self, entries: usize) -> Slots {
         let (index, first) = &self.entries[0];
         let mut slots = Slots::initial(first, self.tolerated_failures, *index, false);
@@ -109,7 +110,7 @@
 
 struct SimulatedController {
     name: String,
-    /// Rate of its monotonic clock relative to the simulated time.
+    /// Rate of the controller's monotonic clock relative to the simulated time.
     clock_rate: f64,
     bounds: Bounds,
     disk: Disk,
@@ -117,11 +118,11 @@
     /// Time of the next start; infinite if the controller is gone for good or not started yet.
     starts_at: f64,
     paused_until: f64,
-    /// Start and end of its partition from the other controllers.
+    /// Start and end of the controller's partition from the other controllers.
     partitioned_between: (f64, f64),
-    /// End of its partition from the proxies.
+    /// End of the controller's partition from the proxies.
     unreachable_until: f64,
-    /// Time of one more restart, with its disk.
+    /// Time of one more restart of the controller, with its disk.
     restarts_at: f64,
 }
 
@@ -460,8 +461,8 @@
                             controllers[chosen].partitioned_between =
                                 (now, now + 10_000.0 + draw() * 30_000.0)
                         }
-                        // It runs and is reachable: it may learn of its removal or not, and may
-                        // join again soon.
+                        // The removed controller runs and is reachable: it may learn of its removal
+                        // or not, and may join again soon.
                         _ => joins_at.push(now + draw() * 20_000.0),
                     }
                     let mut members = membership_log.members().clone();
@@ -558,8 +559,8 @@
                     ));
                 }
             }
-            // Followers of a leader that was deposed during the partition may not know this for a
-            // while.
+            // Followers of a leader that was deposed during the partition may not know of its
+            // deposition for a while.
             let has_leader =
                 !is_partitioned || now < target.partitioned_between.0 + DEPOSED_LEADER_MS;
             if let Some(incarnation) = target
@@ -722,8 +723,8 @@
                         tenants,
                     ) {
                         let to: usize = to.trim_start_matches("proxy-").parse().expect("a proxy");
-                        // Sent on the latest connection, which may be of another incarnation than
-                        // the one that the grant is for.
+                        // A grant is sent on the latest connection, which may be of another
+                        // incarnation of the proxy than the one that the grant is for.
                         let Some(connection_id) =
                             clients[to].open_connections.get(&lease_server).copied()
                         else {
--- a/crates/proxy/tests/soak/main.rs
+++ b/crates/proxy/tests/soak/main.rs
@@ -38,9 +38,9 @@
 /// Whether a request is idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// May run once at most.
+    /// The request may run once at most.
     NonIdempotent,
 }
 
@@ -48,13 +48,13 @@
 pub struct Attempt {
     /// Whether the request is idempotent.
     pub kind: RequestKind,
-    /// What its client saw, and when; `None` while the client waits.
+    /// What the client saw of the attempt, and when; `None` while the client waits.
     pub outcome: Option<(Outcome, Instant)>,
-    /// Number of times that a backend has started to work on it.
+    /// Number of times that a backend has started to work on the request.
     pub runs: usize,
-    /// When a backend last stopped working on it.
+    /// When a backend last stopped working on the request.
     pub work_ended_at: Option<Instant>,
-    /// Number of backends that are working on it.
+    /// Number of backends that are working on the request.
     pub working_backends: usize,
 }
 
--- a/crates/proxy/tests/soak/operator.rs
+++ b/crates/proxy/tests/soak/operator.rs
@@ -146,7 +146,7 @@
         }));
     }
 
-    /// Sends all items with a newer version.
+    /// Sends all items of the configuration to all proxies, with a newer version.
     fn change_configuration(&mut self) {
         let previous = self.changes;
         self.changes += 1;
--- a/crates/shared-counts/src/admission.rs
+++ b/crates/shared-counts/src/admission.rs
@@ -54,7 +54,8 @@
         if fill < ADMIT_ALL_FRACTION {
             return Some(0);
         }
-        // Doubles eight times, from one unit at half full to 256 units for the last customer.
+        // The required usage doubles eight times, from one unit at half full to 256 units for the
+        // last customer.
         let fraction = (fill - ADMIT_ALL_FRACTION) / (1.0 - ADMIT_ALL_FRACTION);
         (self.admitted < self.capacity)
             .then(|| (1000.0 * (MAX_THRESHOLD / 1000.0).powf(fraction)) as u64)
--- a/crates/shared-counts/src/count.rs
+++ b/crates/shared-counts/src/count.rs
@@ -44,7 +44,7 @@
     /// Returns the net usage in thousandths of a unit; negative if more was returned than was taken
     /// in this epoch.
     pub fn net(self) -> i64 {
-        // Both are clamped to 2^50, so neither cast nor difference can wrap.
+        // Both numbers of the count are clamped to 2^50, so neither cast nor difference can wrap.
         self.taken.min(MAX_MILLI_UNITS) as i64 - self.returned.min(MAX_MILLI_UNITS) as i64
     }
 }
--- a/crates/shared-counts/src/members.rs
+++ b/crates/shared-counts/src/members.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// Known through other nodes, without a heartbeat since.
+    /// The member is known through other nodes, without a heartbeat since.
     Unproven,
     /// Heartbeats arrive.
     Alive,
--- a/crates/shared-counts/src/node/counting.rs
+++ b/crates/shared-counts/src/node/counting.rs
@@ -14,7 +14,7 @@
         if !milli.is_finite() || milli == 0.0 {
             return;
         }
-        // The cast saturates, but counts saturate far below that.
+        // The cast to `i64` saturates, but counts saturate far below the limits of `i64`.
         let milli = milli as i64;
         self.enter_epoch(now);
         let (epoch, customer) = self.assign_count(customer, milli);
--- a/crates/shared-counts/src/node/membership.rs
+++ b/crates/shared-counts/src/node/membership.rs
@@ -94,8 +94,8 @@
     /// earlier incarnation has a larger number, or two processes have the same name. Counts under
     /// the old number stay there and are still forwarded.
     fn renumber(&mut self, now: Millis, heartbeat: &Heartbeat) {
-        // Without this limit two running processes with the same name would renumber each other for
-        // ever.
+        // Without a minimum time between two new numbers, two running processes with the same name
+        // would renumber each other for ever.
         let retention = self.settings.retention();
         if self.renumbered_at.is_some_and(|at| now - at < retention) {
             return;
--- a/crates/shared-counts/src/node/mod.rs
+++ b/crates/shared-counts/src/node/mod.rs
@@ -161,7 +161,7 @@
         );
         let nonce = rng.next_u64() | 1;
         let admission = Admission::new(settings.max_tracked_customers, rng.next_u64());
-        // Spreads the first rounds of nodes that start together.
+        // A random delay spreads the first rounds of nodes that start together.
         let next_round = now + settings.interval * random::unit(&mut rng);
         let rate_limit = RateLimit::new(settings.max_datagrams_per_second, now);
         let seeds = start
--- a/crates/shared-counts/src/replica.rs
+++ b/crates/shared-counts/src/replica.rs
@@ -15,7 +15,7 @@
 pub struct VersionedCount {
     /// The version: the number of the change at the source.
     pub version: u64,
-    /// The epoch of the source.
+    /// The epoch of the source that the count belongs to.
     pub epoch: Epoch,
     /// The customer.
     pub customer: Customer,
@@ -26,18 +26,19 @@
 /// The increase of a count by a join, in thousandths of a unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Increase {
-    /// Increase of the units taken.
+    /// Thousandths of units taken that the join added to the count.
     pub taken: u64,
-    /// Increase of the units returned.
+    /// Thousandths of units returned that the join added to the count.
     pub returned: u64,
 }
 
 /// Counts of one incarnation, in the order of their versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// The delta contains every count with a version after this one ...
+    /// The delta contains every count with a version above `after` and at most `up_to`. Both are 0
+    /// if the delta contains only some counts, as rumours do.
     pub after: u64,
-    /// ... up to this one. Both are 0 if the delta contains only some counts, as rumours do.
+    /// The last version of the range that the delta contains.
     pub up_to: u64,
     /// The counts.
     pub counts: Vec<VersionedCount>,
--- a/crates/shared-counts/tests/faults.rs
+++ b/crates/shared-counts/tests/faults.rs
@@ -104,7 +104,7 @@
     );
     simulation.record_usage(2, 9, 7.0);
     simulation.run_until_converged(10_000.0);
-    // The others have the counts of both incarnations.
+    // The other nodes have the counts of both incarnations of the restarted node.
     let id = simulation.id(2);
     assert_eq!(simulation.node(0).total_of(id, 9), 107_000);
 }
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -250,7 +250,8 @@
         }
         let timeout =
             Duration::try_from_secs_f64(self.timeouts.dial_timeout / 1000.0).unwrap_or_default();
-        // Counted from here, since a connection that is being established also uses a descriptor.
+        // The connection counts towards the limit from here on, since one that is being established
+        // also uses a descriptor.
         let permit = ConnectionPermit::acquire(&self.open_connections);
         tokio::time::timeout(timeout, Connection::establish(address, permit))
             .await
