--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -331,7 +331,7 @@
 
 /// That less was served than the scenario asks for.
 fn too_little(judgement: &Evaluation, scenario: &Scenario) -> Option<String> {
-    let (served, least) = (judgement.metrics.value_share, scenario.least_worth);
+    let (served, least) = (judgement.metrics.value_share, scenario.min_value_share);
     (served < least)
         .then(|| format!("worth {served:.3} was served, {least} at least was asked for"))
 }
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -3,8 +3,8 @@
 
 use crate::daemon::{healthy, own_address, Door, Files};
 use crate::etcd_world::EtcdWorld;
-use crate::scenario::{AuthTrouble, Scenario, Sharing, Sources, Strike};
-use crate::script::{DoorAct, Script, WorldAct};
+use crate::scenario::{AuthFault, BackendFault, Scenario, Sharing, Sources};
+use crate::script::{EnvironmentAct, GatewayAct, Script};
 use crate::settings;
 use maplefall_event_trace as record;
 use maplefall_event_trace::{EventKind, Millis, ProxyState, Recorder, Trace};
@@ -133,12 +133,12 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let unix_start = unix.as_secs_f64() * 1000.0 - recorder.now();
-        let doors = scenario.doors as usize;
+        let doors = scenario.gateways as usize;
         let etcd = scenario.sources != Sources::Agent;
         let play = PLAYS.fetch_add(1, Ordering::Relaxed);
         let port = || TcpListener::bind("127.0.0.1:0");
         let mut places = Vec::new();
-        for _ in 0..script.places {
+        for _ in 0..script.slots {
             places.push(Listeners::open(doors).map_err(io_error("listeners for nodes"))?);
         }
         // Agents: one address to begin with, and one to move to.
@@ -178,7 +178,7 @@
             };
             let member =
                 |node: u32| member(places[node as usize].address(door), node, Health::Up, 0.0);
-            let list = List::new((0..scenario.nodes).map(member));
+            let list = List::new((0..scenario.backends).map(member));
             let mut files = Files::new(&self.folder, door);
             if etcd {
                 let listener = port().map_err(io_error("a listener for etcd"))?;
@@ -313,7 +313,7 @@
         // A thread that has ended is found when it is joined.
         let _ = start_world.send(zero);
         let _ = start_clients.send(zero);
-        let mut acts = self.script.doors.iter().peekable();
+        let mut acts = self.script.gateway_acts.iter().peekable();
         let mut failures = self.script.failures.iter().peekable();
         loop {
             let now = recorder.now() - zero;
@@ -325,7 +325,7 @@
             }
             while let Some((_, door, act)) = acts.next_if(|(at, _, _)| *at <= now) {
                 match (act, relay, &self.scenario.sharing) {
-                    (DoorAct::Cut(pairs), Some(relay), Some(sharing)) => {
+                    (GatewayAct::Cut(pairs), Some(relay), Some(sharing)) => {
                         relay.set_conditions(weather(sharing, pairs))
                     }
                     _ => self.act(recorder, board, slots, moved, *door, act)?,
@@ -428,7 +428,7 @@
         slots: &mut [Slot],
         moved: &[SocketAddr],
         door: usize,
-        act: &DoorAct,
+        act: &GatewayAct,
     ) -> Result<(), NotPlayed> {
         let Some(slot) = slots.get_mut(door) else {
             return Ok(());
@@ -442,7 +442,7 @@
             board.set(door, GatewayState { ready: true, left });
         };
         match act {
-            DoorAct::Kill(down) => {
+            GatewayAct::Kill(down) => {
                 let down = *down;
                 let (cpu_ms, memory_kib) = process.used();
                 // Before the signal: what is lost from here on is the killer's doing.
@@ -464,7 +464,7 @@
                 (slot.door, slot.ready_by) = (None, None);
                 slot.restart_at = Some(recorder.now() + down);
             }
-            DoorAct::Stop(down) => {
+            GatewayAct::Stop(down) => {
                 recorder.record(EventKind::Proxy {
                     proxy: number,
                     state: ProxyState::Terminated,
@@ -473,8 +473,8 @@
                 left(true);
                 slot.stopping = Some(*down);
             }
-            DoorAct::Cut(_) => {}
-            DoorAct::Reload => {
+            GatewayAct::Cut(_) => {}
+            GatewayAct::Reload => {
                 slot.discovery = moved[door];
                 self.configure(slot, door)?;
                 recorder.record(EventKind::Proxy {
@@ -634,22 +634,22 @@
         cores: scenario.cores,
         queue: scenario.queue as usize,
         initial_capacity,
-        warmup_ms: scenario.cold_ms,
+        warmup_ms: scenario.warmup_ms,
         connections: scenario.connections as usize,
     };
     let places: Vec<Rc<BackendSlot>> = places.into_iter().map(BackendSlot::over).collect();
     let born: RefCell<Vec<(u32, Millis)>> = RefCell::default();
-    for node in 0..scenario.nodes {
+    for node in 0..scenario.backends {
         places[node as usize].set_backend(Some(Backend::start(&world, spec(node, 1.0))));
     }
-    let doors = scenario.doors as usize;
+    let doors = scenario.gateways as usize;
     let mut etcd = match etcd_at.is_empty() {
         true => None,
         false => {
             let address = |door, node: u32| places[node as usize].address(door);
             Some(EtcdWorld::start(
                 etcd_at,
-                scenario.nodes,
+                scenario.backends,
                 address,
                 recorder.clone(),
                 unix_start,
@@ -669,12 +669,12 @@
         return Ok(());
     };
     let moves = script
-        .doors
+        .gateway_acts
         .iter()
-        .filter(|(_, _, act)| *act == DoorAct::Reload);
+        .filter(|(_, _, act)| *act == GatewayAct::Reload);
     let moves: Vec<(Millis, usize)> = moves.map(|(at, door, _)| (*at, *door)).collect();
     let mut moves = moves.into_iter().peekable();
-    let mut acts = script.world.iter().peekable();
+    let mut acts = script.environment_acts.iter().peekable();
     while !stop.load(Ordering::Relaxed) {
         let next = [
             acts.peek().map(|(at, _)| *at),
@@ -693,7 +693,7 @@
         while let Some((at, act)) = acts.next_if(|(at, _)| at + zero <= now) {
             lateness.record(at + zero, now);
             match *act {
-                WorldAct::Strike {
+                EnvironmentAct::Strike {
                     place,
                     strike,
                     share,
@@ -701,16 +701,16 @@
                     for_ms,
                 } => {
                     let kind = match strike {
-                        Strike::Stall => FaultKind::Stall,
-                        Strike::ResetBefore => FaultKind::ResetBefore,
-                        Strike::ResetWithin => FaultKind::ResetWithin,
-                        Strike::ResetAfter => FaultKind::ResetAfter,
-                        Strike::Spoilt => FaultKind::Malformed,
-                        Strike::Endless => FaultKind::Endless,
-                        Strike::FastErrors => FaultKind::FastError,
-                        Strike::Late => FaultKind::Late(late_ms),
-                        Strike::Refuse => FaultKind::Refuse,
-                        Strike::Neighbour => FaultKind::Neighbour(share),
+                        BackendFault::Stall => FaultKind::Stall,
+                        BackendFault::ResetBefore => FaultKind::ResetBefore,
+                        BackendFault::ResetWithin => FaultKind::ResetWithin,
+                        BackendFault::ResetAfter => FaultKind::ResetAfter,
+                        BackendFault::Spoilt => FaultKind::Malformed,
+                        BackendFault::Endless => FaultKind::Endless,
+                        BackendFault::FastErrors => FaultKind::FastError,
+                        BackendFault::Late => FaultKind::Late(late_ms),
+                        BackendFault::Refuse => FaultKind::Refuse,
+                        BackendFault::Neighbour => FaultKind::Neighbour(share),
                     };
                     places[place].add_fault(Fault {
                         kind,
@@ -718,23 +718,23 @@
                         until: at + zero + for_ms,
                     });
                 }
-                WorldAct::Drain { place, turns_away } => {
+                EnvironmentAct::Drain { place, turns_away } => {
                     if let Some(node) = places[place].backend() {
                         node.drain(turns_away);
                     }
                 }
-                WorldAct::End(place) => {
+                EnvironmentAct::End(place) => {
                     if let Some(node) = places[place].backend() {
                         node.stop();
                     }
                     places[place].set_backend(None);
                 }
-                WorldAct::Start { place, node } => {
-                    let fresh = Backend::start(&world, spec(node, scenario.cold_from));
+                EnvironmentAct::Start { place, node } => {
+                    let fresh = Backend::start(&world, spec(node, scenario.initial_capacity));
                     born.borrow_mut().push((node, fresh.started_at()));
                     places[place].set_backend(Some(fresh));
                 }
-                WorldAct::Tell {
+                EnvironmentAct::Tell {
                     door,
                     place,
                     node,
@@ -755,12 +755,12 @@
                         born_ms,
                     ));
                 }
-                WorldAct::Silence { door, silent } => agents[door].set_silent(silent),
-                WorldAct::Lapse { door, lapse } => agents[door].set_lapse(lapse),
-                WorldAct::Vanish { door } => agents[door].vanish(),
-                WorldAct::BreakOff => agents.iter().for_each(|agent| agent.break_off()),
-                WorldAct::Repeat => agents.iter().for_each(|agent| agent.repeat()),
-                WorldAct::Commit {
+                EnvironmentAct::Silence { door, silent } => agents[door].set_silent(silent),
+                EnvironmentAct::Lapse { door, lapse } => agents[door].set_lapse(lapse),
+                EnvironmentAct::Vanish { door } => agents[door].vanish(),
+                EnvironmentAct::BreakOff => agents.iter().for_each(|agent| agent.break_off()),
+                EnvironmentAct::Repeat => agents.iter().for_each(|agent| agent.repeat()),
+                EnvironmentAct::Commit {
                     place,
                     node,
                     health,
@@ -780,22 +780,22 @@
                         recorder.record(EventKind::Committed { node, health });
                     }
                 },
-                WorldAct::Noise { lot } => {
+                EnvironmentAct::Noise { lot } => {
                     if let Some(etcd) = &mut etcd {
                         etcd.noise(lot);
                     }
                 }
-                WorldAct::Member { door, act } => {
+                EnvironmentAct::Member { door, act } => {
                     if let Some(etcd) = &etcd {
                         etcd.act(door, act);
                     }
                 }
-                WorldAct::Auth { server, trouble } => {
+                EnvironmentAct::Auth { server, trouble } => {
                     auths[server].fault(
                         trouble.map(|(trouble, share, late)| (auth_fault(trouble, late), share)),
                     );
                 }
-                WorldAct::Revoke { customer } => {
+                EnvironmentAct::Revoke { customer } => {
                     auths
                         .iter()
                         .for_each(|auth| auth.revoke(&credential(customer)));
@@ -804,7 +804,7 @@
                         passes: false,
                     });
                 }
-                WorldAct::Compact => {
+                EnvironmentAct::Compact => {
                     if let Some(etcd) = &etcd {
                         etcd.compact();
                     }
@@ -825,7 +825,7 @@
         return Vec::new();
     }
     let denied: BTreeSet<u64> = script.denied.iter().copied().collect();
-    let mut passes: BTreeSet<u64> = script.asks.iter().map(|ask| ask.customer).collect();
+    let mut passes: BTreeSet<u64> = script.requests.iter().map(|ask| ask.customer).collect();
     passes.retain(|customer| !denied.contains(customer));
     for customer in &denied {
         recorder.record(EventKind::Credential {
@@ -844,19 +844,19 @@
     listeners.into_iter().enumerate().map(begin).collect()
 }
 
-fn auth_fault(trouble: AuthTrouble, late: Millis) -> auth::Fault {
+fn auth_fault(trouble: AuthFault, late: Millis) -> auth::Fault {
     match trouble {
-        AuthTrouble::Stall => auth::Fault::Stall,
-        AuthTrouble::Half => auth::Fault::HalfHead,
-        AuthTrouble::Late => {
+        AuthFault::Stall => auth::Fault::Stall,
+        AuthFault::Half => auth::Fault::HalfHead,
+        AuthFault::Late => {
             auth::Fault::Late(Duration::try_from_secs_f64(late / 1000.0).unwrap_or_default())
         }
-        AuthTrouble::Dead => auth::Fault::ResetBefore,
-        AuthTrouble::Reset => auth::Fault::ResetAfter,
-        AuthTrouble::Twice => auth::Fault::Twice,
-        AuthTrouble::Endless => auth::Fault::Endless,
-        AuthTrouble::Close => auth::Fault::Close,
-        AuthTrouble::Errors => auth::Fault::Status(500),
+        AuthFault::Dead => auth::Fault::ResetBefore,
+        AuthFault::Reset => auth::Fault::ResetAfter,
+        AuthFault::Twice => auth::Fault::Twice,
+        AuthFault::Endless => auth::Fault::Endless,
+        AuthFault::Close => auth::Fault::Close,
+        AuthFault::Errors => auth::Fault::Status(500),
     }
 }
 
@@ -922,7 +922,7 @@
         .first()
         .map_or(String::new(), |plan| plan.name.clone());
     let mut visits = tokio::task::JoinSet::new();
-    for (lot, at) in script.rude.iter().enumerate() {
+    for (lot, at) in script.malformed_clients.iter().enumerate() {
         let (recorder, class, plan) = (recorder.clone(), class.clone(), plan.clone());
         let (at, door, kind) = (
             at + zero,
@@ -934,7 +934,7 @@
             malformed_client::run(&recorder, door, kind, lot as u64, &class, &plan).await;
         });
     }
-    let asks = script.asks.iter().map(|ask| Ask {
+    let asks = script.requests.iter().map(|ask| Ask {
         at: ask.at + zero,
         ..ask.clone()
     });
--- a/crates/rehearsal/src/prove.rs
+++ b/crates/rehearsal/src/prove.rs
@@ -197,7 +197,7 @@
             let scenario =
                 crate::library::find(proof.scenario).unwrap_or_else(|error| panic!("{error}"));
             let asked = scenario.strains.contains(&proof.rule)
-                || (proof.rule == WORTH && scenario.least_worth > 0.0);
+                || (proof.rule == WORTH && scenario.min_value_share > 0.0);
             assert!(asked, "{} strains {}", proof.scenario, proof.rule);
         }
     }
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,470 +1,478 @@
-//! Scenarios as data: what a file under `rehearsals/` may say, and every mistake in one with its line.
+//! Scenario files (`rehearsals/*.toml`): their data types, and a reader that reports every mistake
+//! with its line.
 
 use crate::reading::{Mistake, Table};
 use maplefall_event_trace::{Effect, Millis};
 
-/// Version of the form of a scenario file.
+/// Version of the scenario file format.
 const VERSION: u32 = 1;
-/// Most front doors, nodes and seconds: all of it runs on one machine.
-const MOST_DOORS: f64 = 8.0;
-const MOST_NODES: f64 = 200.0;
-const MOST_SECONDS: f64 = 300.0;
+/// Maximum numbers of gateways, backends and seconds: everything runs on one machine.
+const MAX_GATEWAYS: f64 = 8.0;
+const MAX_BACKENDS: f64 = 200.0;
+const MAX_SECONDS: f64 = 300.0;
 
-/// A figure that is drawn anew for each seed, from this to that.
+/// Bounds, `[min, max]`, of a value that is drawn for each seed.
 pub type Range = [f64; 2];
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Part of all requests.
+    /// Weight of the class among all requests.
     pub share: f64,
-    /// Whether it may run again.
+    /// Whether a request may run twice.
     pub effect: Effect,
-    /// For how long nodes drop a repeat of its key.
+    /// How long backends suppress a duplicate of an idempotency key.
     pub memory_ms: Millis,
-    /// Work of a request of the usual size.
+    /// Processing time of a request of the usual size.
     pub work_ms: Range,
-    /// An answer within this earns its full worth.
-    pub aim_ms: Millis,
-    /// How long a client waits.
+    /// Latency target: a response within this time earns its full value.
+    pub latency_target_ms: Millis,
+    /// Client timeout.
     pub give_up_ms: Millis,
-    /// Worth of one unit.
-    pub worth: f64,
-    /// Part of the worth that a later answer still earns.
-    pub late_worth: f64,
+    /// Value of one unit.
+    pub value: f64,
+    /// Share of the value that a later response still earns.
+    pub late_value_factor: f64,
 }
 
 /// A plan and its customers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Customers that hold it.
+    /// Number of customers on the plan.
     pub customers: u32,
-    /// Units a second of each one's quota.
+    /// Quota of each customer in units a second.
     pub rate: f64,
-    /// Units that may be used at once.
+    /// Burst of the quota in units.
     pub burst: f64,
-    /// Part of the quota that a customer asks for on average.
+    /// Average request rate of a customer as a share of its quota.
     pub usage: Range,
-    /// Factor on the worth.
+    /// Factor on the value.
     pub price: f64,
-    /// Part of its worth that a try beyond the quota costs.
+    /// Cost of an attempt beyond the quota, as a share of its value.
     pub over_cost: f64,
-    /// Attempts out at once that the quota covers; 0 for no such quota.
+    /// Concurrent attempts that the quota covers; 0 for no such quota.
     pub max_out: u32,
-    /// Units a second of the hard ceiling; 0 for none.
-    pub ceiling_rate: f64,
-    /// Units that the ceiling holds.
-    pub ceiling_burst: f64,
-    /// Units by which it may be overdrawn.
-    pub ceiling_slack: f64,
+    /// Rate limit in units a second; 0 for none.
+    pub rate_limit_rate: f64,
+    /// Burst of the rate limit in units.
+    pub rate_limit_burst: f64,
+    /// Units by which the rate limit may be exceeded.
+    pub rate_limit_slack: f64,
 }
 
-/// Which sources of the list front doors have.
+/// Sources from which gateways get the list of backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sources {
-    /// Their agents.
+    /// Only an agent for each gateway.
     Agent,
-    /// An etcd.
+    /// Only etcd.
     Etcd,
-    /// Both, the agent before the etcd.
+    /// Both; the agent has priority over etcd.
     Both,
 }
 
-/// Which of them tells of a drain; whatever else happens to a node all of them tell.
+/// Sources that announce a drain. All sources announce every other change of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Teller {
-    /// All that front doors have.
+pub enum DrainSource {
+    /// All sources that gateways have.
     All,
-    /// The agent alone.
+    /// Only the agent.
     Agent,
-    /// The etcd alone.
+    /// Only etcd.
     Etcd,
 }
 
-/// What strikes requests at a node.
+/// A fault of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Strike {
-    /// Never answered.
+pub enum BackendFault {
+    /// Requests are read and never answered.
     Stall,
-    /// Reset when the connection is accepted.
+    /// Connections are reset when accepted.
     ResetBefore,
-    /// Reset at the first bytes.
+    /// Connections are reset at the first bytes of a request.
     ResetWithin,
-    /// Reset once the request is whole.
+    /// Connections are reset once the request is complete.
     ResetAfter,
-    /// Answered with what is no HTTP.
+    /// Responses are not HTTP.
     Spoilt,
-    /// Answered without end.
+    /// Responses never end.
     Endless,
-    /// Answered 500 at once.
+    /// Requests are answered 500 at once.
     FastErrors,
-    /// Answered later.
+    /// Responses are delayed.
     Late,
-    /// Dials refused.
+    /// Connections are refused.
     Refuse,
-    /// Another program takes a part of the machine, on and off.
+    /// Another program uses a share of the machine intermittently.
     Neighbour,
 }
 
-/// How an authentication service is.
+/// A fault of an authentication server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AuthTrouble {
+pub enum AuthFault {
     /// Checks are read and never answered.
     Stall,
-    /// Half of an answer's head comes.
+    /// Only half of a response's head is sent.
     Half,
-    /// Answers come later.
+    /// Responses are delayed.
     Late,
-    /// Connections are reset as they are accepted.
+    /// Connections are reset when accepted.
     Dead,
-    /// Connections are reset once the check is whole.
+    /// Connections are reset once the check's request is complete.
     Reset,
-    /// Answers come twice.
+    /// Responses are sent twice.
     Twice,
-    /// Answers have no end.
+    /// Responses never end.
     Endless,
-    /// Connections are closed behind each answer without a word.
+    /// Connections are closed after each response without an announcement.
     Close,
-    /// Answers are 500.
+    /// Responses are 500.
     Errors,
 }
 
-/// Names of the troubles, as a file writes them.
-const AUTH_TROUBLES: [(&str, AuthTrouble); 9] = [
-    ("stall", AuthTrouble::Stall),
-    ("half", AuthTrouble::Half),
-    ("late", AuthTrouble::Late),
-    ("dead", AuthTrouble::Dead),
-    ("reset", AuthTrouble::Reset),
-    ("twice", AuthTrouble::Twice),
-    ("endless", AuthTrouble::Endless),
-    ("close", AuthTrouble::Close),
-    ("errors", AuthTrouble::Errors),
+/// Names of the authentication faults in a scenario file.
+const AUTH_FAULTS: [(&str, AuthFault); 9] = [
+    ("stall", AuthFault::Stall),
+    ("half", AuthFault::Half),
+    ("late", AuthFault::Late),
+    ("dead", AuthFault::Dead),
+    ("reset", AuthFault::Reset),
+    ("twice", AuthFault::Twice),
+    ("endless", AuthFault::Endless),
+    ("close", AuthFault::Close),
+    ("errors", AuthFault::Errors),
 ];
 
-/// An authentication service, and how front doors use it.
+/// An authentication service, and how gateways use it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Checks {
-    /// Its servers.
+    /// Number of servers.
     pub servers: u32,
-    /// Part of the customers that do not pass.
+    /// Share of the customers that authentication denies.
     pub denied: f64,
-    /// For how long a pass is kept.
+    /// How long a pass is cached.
     pub keep_ms: Millis,
-    /// Longest wait for one server.
+    /// Timeout of a check at one server.
     pub limit_ms: Millis,
-    /// Failures in a row after which a server is left alone.
+    /// Consecutive failures after which a server is no longer asked.
     pub failures: u32,
-    /// Classes that pass where the service cannot be asked.
-    pub open: Vec<String>,
+    /// Classes admitted unauthenticated while the service is unavailable.
+    pub auth_optional_classes: Vec<String>,
 }
 
-/// How front doors share counts, and what the network does to their datagrams.
+/// How gateways share counts, and how the network treats their datagrams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sharing {
-    /// Time between two rounds.
+    /// Interval between rounds of datagrams.
     pub interval_ms: Millis,
-    /// Part of the datagrams that is lost.
+    /// Share of the datagrams that is lost.
     pub loss: f64,
-    /// How long each takes.
+    /// Network delay of a datagram.
     pub delay_ms: Range,
-    /// By how much of a quota's time use may pass it, beside one more burst.
+    /// How far use may exceed a quota: what the quota allows in this time, beside one more burst.
     pub error_ms: Millis,
 }
 
-/// What happens.
+/// What an event does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    /// Front doors that share counts fall into two halves that do not hear each other.
-    SplitDoors {
-        /// For how long.
+    /// Partitions the gateways that share counts into two halves.
+    PartitionGateways {
+        /// Duration.
         for_ms: Range,
     },
-    /// One front door hears nothing from the others, and they nothing from it.
-    SilentDoor {
-        /// For how long.
+    /// Isolates one gateway from the shared counts of the others, in both directions.
+    IsolateGateway {
+        /// Duration.
         for_ms: Range,
     },
-    /// The authentication service fails.
-    AuthTrouble {
-        /// How.
-        trouble: AuthTrouble,
-        /// Part of its servers, rounded up.
-        part: f64,
-        /// Part of the checks there.
+    /// Makes the authentication service fail.
+    AuthFault {
+        /// Kind of the fault.
+        fault: AuthFault,
+        /// Fraction of its servers, rounded up.
+        fraction: f64,
+        /// Share of the checks there that fail.
         share: f64,
-        /// By how much answers are late.
+        /// Added latency of responses.
         late_ms: Range,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Credentials are revoked, for good.
+    /// Revokes credentials permanently.
     Revoke {
-        /// Part of the customers, rounded up.
-        part: f64,
+        /// Fraction of the customers, rounded up.
+        fraction: f64,
     },
-    /// Callers with credentials that nobody has seen.
-    Strangers {
+    /// Sends requests with credentials that were never used before.
+    UnknownCredentials {
         /// Requests a second.
         rate: f64,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Front doors are killed outright and come back.
-    KillDoors {
-        /// Part of them, rounded up.
-        part: f64,
+    /// Kills gateways and restarts them.
+    KillGateways {
+        /// Fraction of them, rounded up.
+        fraction: f64,
         /// How long each is down.
         down_ms: Range,
     },
-    /// Front doors are told to stop, one after the other, and come back.
-    StopDoors {
-        /// Part of them, rounded up.
-        part: f64,
+    /// Terminates gateways gracefully, one after the other, and restarts them.
+    StopGateways {
+        /// Fraction of them, rounded up.
+        fraction: f64,
         /// How long each is down after it has ended.
         down_ms: Range,
     },
-    /// Front doors get a configuration in which their agent has moved.
-    ReloadDoors,
-    /// Trouble at nodes.
-    Strike {
-        /// What.
-        strike: Strike,
-        /// Part of the nodes, rounded up.
-        part: f64,
-        /// Part of the requests there (of the machine, for a neighbour).
+    /// Reloads gateways with a configuration in which the address of their agent has changed.
+    ReloadGateways,
+    /// Adds a fault to backends.
+    BackendFault {
+        /// Kind of the fault.
+        fault: BackendFault,
+        /// Fraction of the backends, rounded up.
+        fraction: f64,
+        /// Share of the requests there (of the machine, for a noisy neighbour).
         share: Range,
-        /// By how much answers are late.
+        /// Added latency of responses.
         late_ms: Range,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Nodes drain, go, and are replaced by cold ones, one after the other.
-    ReplaceNodes {
-        /// Part of them, rounded up.
-        part: f64,
-        /// Time from one node to the next.
+    /// Drains backends, removes them and replaces them by cold ones, one after the other.
+    ReplaceBackends {
+        /// Fraction of them, rounded up.
+        fraction: f64,
+        /// Time from one backend to the next.
         every_ms: Range,
-        /// Time from the drain to the end.
+        /// Time from the start of the drain to the backend's stop.
         drain_ms: Range,
         /// Whether the replacement listens at the old address.
         same_address: bool,
-        /// Whether there is a replacement at all.
+        /// Whether a replacement is started.
         replaced: bool,
-        /// Whether a draining node turns away what comes; else it goes on serving, and only the list tells.
+        /// Whether a draining backend rejects requests; otherwise it goes on serving, and only the
+        /// list shows the drain.
         turns_away: bool,
         /// How often each is replaced.
         rounds: u32,
-        /// Who tells of the drain.
-        told_by: Teller,
+        /// Sources that announce the drain.
+        announced_by: DrainSource,
     },
-    /// Nodes die without a word and start again, cold.
-    CrashNodes {
-        /// Part of them, rounded up.
-        part: f64,
+    /// Crashes backends and restarts them cold.
+    CrashBackends {
+        /// Fraction of them, rounded up.
+        fraction: f64,
         /// How long each is down.
         down_ms: Range,
     },
-    /// Agents say nothing.
+    /// Makes agents stop sending.
     SilentAgents {
-        /// Part of the front doors, rounded up.
-        part: f64,
-        /// For how long.
+        /// Fraction of the gateways, rounded up.
+        fraction: f64,
+        /// Duration.
         for_ms: Range,
     },
-    /// Agents know no more than what was known some time ago, also of what they had told.
-    BehindAgents {
-        /// Part of the front doors, rounded up.
-        part: f64,
-        /// How long ago.
+    /// Makes agents report an outdated list, even where they have already sent a newer one.
+    LaggingAgents {
+        /// Fraction of the gateways, rounded up.
+        fraction: f64,
+        /// Age of the outdated list.
         behind_ms: Range,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Agents break off each list in its middle.
-    HalfAgents {
-        /// Part of the front doors, rounded up.
-        part: f64,
-        /// For how long.
+    /// Makes agents truncate each list in its middle.
+    TruncatingAgents {
+        /// Fraction of the gateways, rounded up.
+        fraction: f64,
+        /// Duration.
         for_ms: Range,
     },
-    /// Agents tell lists in which entries cannot be used.
-    SpoiltAgents {
-        /// Part of the front doors, rounded up.
-        part: f64,
-        /// For how long.
+    /// Makes agents send lists with unusable entries.
+    CorruptAgents {
+        /// Fraction of the gateways, rounded up.
+        fraction: f64,
+        /// Duration.
         for_ms: Range,
     },
-    /// Open watches lose their other end without a word; new ones are served.
+    /// Makes the agents' end of open watches vanish without a close; new watches are served.
     VanishedWatches {
-        /// Part of the front doors, rounded up.
-        part: f64,
+        /// Fraction of the gateways, rounded up.
+        fraction: f64,
     },
-    /// Agents break off their watches.
-    BrokenAgents,
-    /// Agents tell again what they know of every node, now and then.
+    /// Makes agents break off their watches.
+    DisconnectingAgents,
+    /// Makes agents repeat the state of every backend at intervals.
     RepeatingAgents {
-        /// Time from one telling to the next.
+        /// Time between two repetitions.
         every_ms: Range,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// The watches of etcd are cut, each time at another point.
+    /// Cuts the etcd watches, each time at a random point.
     EtcdCut {
-        /// Time from one cut to the next, for each front door.
+        /// Time between two cuts, for each gateway.
         every_ms: Range,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Members of etcd are gone.
+    /// Takes etcd members down.
     EtcdDown {
-        /// Part of the front doors whose member it is, rounded up.
-        part: f64,
-        /// For how long.
+        /// Fraction of the gateways whose member is affected, rounded up.
+        fraction: f64,
+        /// Duration.
         for_ms: Range,
     },
-    /// Members of etcd say nothing; their connections stay open.
+    /// Makes etcd members stop sending, with their connections open.
     EtcdSilent {
-        /// Part of the front doors whose member it is, rounded up.
-        part: f64,
-        /// For how long.
+        /// Fraction of the gateways whose member is affected, rounded up.
+        fraction: f64,
+        /// Duration.
         for_ms: Range,
     },
-    /// The history of etcd is compacted up to its last revision, now and then.
+    /// Compacts etcd's history up to its last revision at intervals.
     EtcdCompact {
-        /// Time from one compaction to the next.
+        /// Time between two compactions.
         every_ms: Range,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Values of nodes are written anew with nothing changed.
+    /// Rewrites values of backends in etcd without a change of state.
     EtcdNoise {
         /// Writes a second.
         rate: f64,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Customers of a plan ask for a multiple of their quota.
+    /// Makes customers of a plan send a multiple of their quota.
     Flood {
-        /// Which plan.
+        /// Name of the plan.
         plan: String,
-        /// How many of its customers.
+        /// Number of its customers.
         customers: u32,
         /// Multiple of the quota.
         times: Range,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Clients that ask once and are not seen again.
+    /// Sends requests from customers that send only one.
     OneShots {
-        /// Requests a second, as a part of the usual ones.
+        /// Request rate relative to the usual one.
         share: Range,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
-    /// Clients that send what cannot be used.
-    Rude {
-        /// Of them a second.
+    /// Connects clients that send malformed requests.
+    MalformedClients {
+        /// Clients a second.
         rate: f64,
-        /// For how long.
+        /// Duration.
         for_ms: Range,
     },
 }
 
-/// One event of the timeline.
+/// An event of the timeline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When.
+    /// Time of its start.
     pub at_ms: Range,
-    /// What.
+    /// What it does.
     pub what: What,
 }
 
 /// A scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// The file's name without its ending.
+    /// The file's name without its extension.
     pub name: String,
-    /// One line on what is played.
+    /// One-line description.
     pub title: String,
-    /// How long requests come.
+    /// Time during which requests are sent.
     pub seconds: f64,
-    /// Rules (by number) that it must put under strain; a run in which one is not exercised counts as not played.
+    /// Rules (by number) that the scenario must exercise; a run that leaves one out is invalid.
     pub strains: Vec<u32>,
-    /// Part of the worth, as the report counts it, that must be served: a rule can be kept by serving nobody.
-    pub least_worth: f64,
-    /// Front doors.
-    pub doors: u32,
-    /// Api nodes.
-    pub nodes: u32,
-    /// Cores of each.
+    /// Minimum of the report's value share: serving no request at all would also satisfy the rules.
+    pub min_value_share: f64,
+    /// Number of gateways.
+    pub gateways: u32,
+    /// Number of backends.
+    pub backends: u32,
+    /// Cores of each backend.
     pub cores: u32,
-    /// Requests that wait at each at most.
+    /// Maximum number of requests queued at each backend.
     pub queue: u32,
-    /// Part of its capacity that a node starts with.
-    pub cold_from: f64,
-    /// Time until it is warm.
-    pub cold_ms: Millis,
-    /// Connections that a node holds.
+    /// Share of its capacity that a backend starts with.
+    pub initial_capacity: f64,
+    /// Time from a backend's start to full capacity.
+    pub warmup_ms: Millis,
+    /// Connections that a backend accepts.
     pub connections: u32,
-    /// Descriptors of a front door.
+    /// File descriptor limit of a gateway.
     pub sockets: u32,
-    /// Memory of a front door.
+    /// Memory limit of a gateway.
     pub memory_mb: u32,
-    /// How late agents hear of a change.
+    /// Delay after which agents learn of a change.
     pub agent_ms: Range,
-    /// Which sources of the list front doors have.
+    /// Sources from which gateways get the list of backends.
     pub sources: Sources,
-    /// Factor on all customers' requests.
+    /// Factor on all customers' request rates.
     pub load: f64,
-    /// Most units of a request.
-    pub most_units: f64,
-    /// Front doors of a customer's set.
+    /// Maximum units of a request.
+    pub max_units: f64,
+    /// Number of gateways that a customer uses.
     pub spread: Range,
-    /// Tries after the first.
+    /// Number of retries.
     pub retries: u32,
-    /// The wait before each: `none`, `fixed` or `doubling`.
+    /// Backoff before each retry: `none`, `fixed` or `doubling`.
     pub backoff: String,
-    /// Its length.
+    /// Length of the backoff.
     pub backoff_ms: f64,
-    /// Part of the clients that follow `Retry-After`.
+    /// Share of the clients that honour `Retry-After`.
     pub honour: f64,
-    /// Part of the class's time for which a try waits.
+    /// Timeout of an attempt as a share of the class's client timeout.
     pub patience: Range,
-    /// How long the front goes on sending to a dead front door.
+    /// How long the load balancer goes on sending to a dead gateway.
     pub notice_ms: Range,
-    /// After how long another front door of a set is the busiest.
+    /// Interval after which another of a customer's gateways gets most of its requests.
     pub busiest_ms: Millis,
-    /// Who checks callers, if anybody does.
+    /// Authentication of callers, if used.
     pub checks: Option<Checks>,
-    /// How front doors share counts, if they do.
+    /// Sharing of counts between gateways, if used.
     pub sharing: Option<Sharing>,
-    /// The classes.
+    /// Classes of requests.
     pub classes: Vec<Class>,
-    /// The plans.
+    /// Plans.
     pub plans: Vec<Plan>,
-    /// What happens.
+    /// Events of the timeline.
     pub events: Vec<Event>,
 }
 
-/// The classes of a scenario that names none.
-pub fn usual_classes() -> Vec<Class> {
-    let class =
-        |name: &str, share, effect, memory_ms, aim_ms, give_up_ms, worth, late_worth| Class {
-            name: name.to_owned(),
-            share,
-            effect,
-            memory_ms,
-            work_ms: [63.0, 110.0],
-            aim_ms,
-            give_up_ms,
-            worth,
-            late_worth,
-        };
+/// Returns the classes of a scenario that defines none.
+pub fn default_classes() -> Vec<Class> {
+    let class = |name: &str,
+                 share,
+                 effect,
+                 memory_ms,
+                 latency_target_ms,
+                 give_up_ms,
+                 value,
+                 late_value_factor| Class {
+        name: name.to_owned(),
+        share,
+        effect,
+        memory_ms,
+        work_ms: [63.0, 110.0],
+        latency_target_ms,
+        give_up_ms,
+        value,
+        late_value_factor,
+    };
     vec![
         class("consulta", 0.46, Effect::Safe, 0.0, 600.0, 2500.0, 3.0, 0.2),
         class(
@@ -481,8 +489,8 @@
     ]
 }
 
-/// The plans of a scenario that names none.
-pub fn usual_plans() -> Vec<Plan> {
+/// Returns the plans of a scenario that defines none.
+pub fn default_plans() -> Vec<Plan> {
     let plan = |name: &str, customers, rate, burst, price, over_cost| Plan {
         name: name.to_owned(),
         customers,
@@ -492,15 +500,15 @@
         price,
         over_cost,
         max_out: 0,
-        ceiling_rate: 0.0,
-        ceiling_burst: 0.0,
-        ceiling_slack: 0.0,
+        rate_limit_rate: 0.0,
+        rate_limit_burst: 0.0,
+        rate_limit_slack: 0.0,
     };
     let municipal = Plan {
         max_out: 6,
-        ceiling_rate: 50.0,
-        ceiling_burst: 80.0,
-        ceiling_slack: 8.0,
+        rate_limit_rate: 50.0,
+        rate_limit_burst: 80.0,
+        rate_limit_slack: 8.0,
         ..plan("municipal", 4, 24.0, 40.0, 1.8, 0.8)
     };
     vec![
@@ -529,7 +537,7 @@
                 keep_ms: auth.number("keep_ms", Some(5000.0), 0.0, 600_000.0),
                 limit_ms: auth.number("limit_ms", Some(300.0), 1.0, 60_000.0),
                 failures: auth.whole("failures", Some(5.0), 1.0, 1_000_000.0),
-                open: match auth.text("open", Some("")).as_str() {
+                auth_optional_classes: match auth.text("open", Some("")).as_str() {
                     "" => Vec::new(),
                     open => vec![open.to_owned()],
                 },
@@ -547,19 +555,19 @@
             let scenario = Scenario {
                 name: name.to_owned(),
                 title: top.text("title", None),
-                seconds: top.number("seconds", None, 2.0, MOST_SECONDS),
+                seconds: top.number("seconds", None, 2.0, MAX_SECONDS),
                 strains: top
                     .numbers("strains", 1.0, 7.0)
                     .into_iter()
                     .map(|n| n as u32)
                     .collect(),
-                least_worth: top.number("least_worth", Some(0.0), 0.0, 1.0),
-                doors: fleet.whole("doors", Some(3.0), 1.0, MOST_DOORS),
-                nodes: fleet.whole("nodes", Some(10.0), 1.0, MOST_NODES),
+                min_value_share: top.number("least_worth", Some(0.0), 0.0, 1.0),
+                gateways: fleet.whole("doors", Some(3.0), 1.0, MAX_GATEWAYS),
+                backends: fleet.whole("nodes", Some(10.0), 1.0, MAX_BACKENDS),
                 cores: fleet.whole("cores", Some(2.0), 1.0, 64.0),
                 queue: fleet.whole("queue", Some(24.0), 0.0, 10_000.0),
-                cold_from: fleet.number("cold_from", Some(0.25), 0.01, 1.0),
-                cold_ms: fleet.number("cold_ms", Some(10_000.0), 0.0, 120_000.0),
+                initial_capacity: fleet.number("cold_from", Some(0.25), 0.01, 1.0),
+                warmup_ms: fleet.number("cold_ms", Some(10_000.0), 0.0, 120_000.0),
                 connections: fleet.whole("connections", Some(400.0), 1.0, 10_000.0),
                 sockets: fleet.whole("sockets", Some(1024.0), 32.0, 65_536.0),
                 memory_mb: fleet.whole("memory_mb", Some(192.0), 32.0, 65_536.0),
@@ -573,8 +581,8 @@
                     _ => Sources::Agent,
                 },
                 load: traffic.number("load", Some(1.0), 0.01, 1000.0),
-                most_units: traffic.number("most_units", Some(8.0), 1.0, 8.0),
-                spread: traffic.range("spread", Some([2.0, 3.0]), 1.0, MOST_DOORS),
+                max_units: traffic.number("most_units", Some(8.0), 1.0, 8.0),
+                spread: traffic.range("spread", Some([2.0, 3.0]), 1.0, MAX_GATEWAYS),
                 retries: traffic.whole("retries", Some(2.0), 0.0, 2.0),
                 backoff: traffic.choice("backoff", "fixed", &["none", "fixed", "doubling"]),
                 backoff_ms: traffic.number("backoff_ms", Some(60.0), 0.0, 10_000.0),
@@ -585,12 +593,12 @@
                 checks: (checks.servers > 0).then_some(checks),
                 sharing: shared.then_some(sharing),
                 classes: if classes.is_empty() {
-                    usual_classes()
+                    default_classes()
                 } else {
                     classes
                 },
                 plans: if plans.is_empty() {
-                    usual_plans()
+                    default_plans()
                 } else {
                     plans
                 },
@@ -605,7 +613,7 @@
             if let Some(open) = scenario
                 .checks
                 .as_ref()
-                .and_then(|checks| checks.open.first())
+                .and_then(|checks| checks.auth_optional_classes.first())
             {
                 let known = scenario.classes.iter().find(|class| class.name == *open);
                 if known.is_none_or(|class| class.effect == Effect::Unsafe) {
@@ -621,56 +629,50 @@
                         &format!("a time before the end of the scenario at {end} ms"),
                     );
                 }
-                let of_etcd = matches!(
+                let needs_etcd = matches!(
                     event.what,
                     What::EtcdCut { .. }
                         | What::EtcdDown { .. }
                         | What::EtcdSilent { .. }
                         | What::EtcdCompact { .. }
                         | What::EtcdNoise { .. }
-                        | What::ReplaceNodes {
-                            told_by: Teller::Etcd,
+                        | What::ReplaceBackends {
+                            announced_by: DrainSource::Etcd,
                             ..
                         }
                 );
-                let of_auth = matches!(
+                let needs_auth = matches!(
                     event.what,
-                    What::AuthTrouble { .. } | What::Revoke { .. } | What::Strangers { .. }
+                    What::AuthFault { .. } | What::Revoke { .. } | What::UnknownCredentials { .. }
                 );
-                let of_counts = matches!(
+                let needs_sharing = matches!(
                     event.what,
-                    What::SplitDoors { .. } | What::SilentDoor { .. }
+                    What::PartitionGateways { .. } | What::IsolateGateway { .. }
                 );
-                if of_counts && scenario.sharing.is_none() {
-                    table.wrong(
-                        "what",
-                        "something that goes with a scenario whose counts.shared is true",
-                    );
+                if needs_sharing && scenario.sharing.is_none() {
+                    table.wrong("what", "an event that does not need counts.shared = true");
                 }
-                if of_auth && scenario.checks.is_none() {
-                    table.wrong(
-                        "what",
-                        "something that goes with a scenario whose auth.servers is above 0",
-                    );
+                if needs_auth && scenario.checks.is_none() {
+                    table.wrong("what", "an event that does not need auth.servers above 0");
                 }
-                let of_agent = matches!(
+                let needs_agent = matches!(
                     event.what,
                     What::RepeatingAgents { .. }
-                        | What::BehindAgents { .. }
-                        | What::HalfAgents { .. }
-                        | What::SpoiltAgents { .. }
+                        | What::LaggingAgents { .. }
+                        | What::TruncatingAgents { .. }
+                        | What::CorruptAgents { .. }
                         | What::VanishedWatches { .. }
-                        | What::ReplaceNodes {
-                            told_by: Teller::Agent,
+                        | What::ReplaceBackends {
+                            announced_by: DrainSource::Agent,
                             ..
                         }
                 );
-                if (of_etcd && scenario.sources == Sources::Agent)
-                    || (of_agent && scenario.sources == Sources::Etcd)
+                if (needs_etcd && scenario.sources == Sources::Agent)
+                    || (needs_agent && scenario.sources == Sources::Etcd)
                 {
                     table.wrong(
                         "what",
-                        "an event of a source that front doors have (fleet.sources)",
+                        "an event of a source that the gateways have (fleet.sources)",
                     );
                 }
                 if let What::Flood { plan, .. } = &event.what {
@@ -702,10 +704,10 @@
         },
         memory_ms: table.number("memory_ms", Some(2000.0), 0.0, 600_000.0),
         work_ms: table.range("work_ms", Some([63.0, 110.0]), 0.0, 60_000.0),
-        aim_ms: table.number("aim_ms", Some(750.0), 1.0, 600_000.0),
+        latency_target_ms: table.number("aim_ms", Some(750.0), 1.0, 600_000.0),
         give_up_ms: table.number("give_up_ms", Some(2500.0), 50.0, 600_000.0),
-        worth: table.number("worth", Some(3.0), 0.0, 1e6),
-        late_worth: table.number("late_worth", Some(0.0), 0.0, 1.0),
+        value: table.number("worth", Some(3.0), 0.0, 1e6),
+        late_value_factor: table.number("late_worth", Some(0.0), 0.0, 1.0),
     };
     table.finish();
     class
@@ -721,141 +723,136 @@
         price: table.number("price", Some(1.0), 0.0, 1e6),
         over_cost: table.number("over_cost", Some(0.8), 0.0, 10.0),
         max_out: table.whole("max_out", Some(0.0), 0.0, 1e6),
-        ceiling_rate: table.number("ceiling_rate", Some(0.0), 0.0, 1e6),
-        ceiling_burst: table.number("ceiling_burst", Some(0.0), 0.0, 1e6),
-        ceiling_slack: table.number("ceiling_slack", Some(8.0), 0.0, 1e6),
+        rate_limit_rate: table.number("ceiling_rate", Some(0.0), 0.0, 1e6),
+        rate_limit_burst: table.number("ceiling_burst", Some(0.0), 0.0, 1e6),
+        rate_limit_slack: table.number("ceiling_slack", Some(8.0), 0.0, 1e6),
     };
     table.finish();
     plan
 }
 
-/// The events that a file may name, and what each is.
+/// Events that a scenario file may name, each with its keys and description.
 pub const EVENTS: [(&str, &str); 35] = [
-    ("kill_doors", "part, down_ms: front doors die outright and come back"),
-    ("stop_doors", "part, down_ms: front doors are told to stop, one after the other"),
-    ("reload_doors", "front doors get a new configuration, in which their agent has moved"),
-    ("stall", "part, share, for_ms: nodes read requests and never answer"),
-    ("reset_before", "part, share, for_ms: nodes reset connections as they accept them"),
-    ("reset_within", "part, share, for_ms: nodes reset connections at a request's first bytes"),
-    ("reset_after", "part, share, for_ms: nodes reset connections once the request is whole"),
-    ("spoilt", "part, share, for_ms: nodes answer with what is no HTTP"),
-    ("endless", "part, share, for_ms: nodes answer without end"),
-    ("fast_errors", "part, share, for_ms: nodes answer 500 at once"),
-    ("late", "part, share, late_ms, for_ms: nodes answer later"),
-    ("refuse", "part, for_ms: nodes refuse connections"),
-    ("neighbour", "part, share, for_ms: another program takes a part of nodes' machines, on and off"),
+    ("kill_doors", "part, down_ms: kills gateways and restarts them"),
+    ("stop_doors", "part, down_ms: terminates gateways gracefully and restarts them, one after the other"),
+    ("reload_doors", "reloads gateways with a new address of their agent"),
+    ("stall", "part, share, for_ms: backends read requests and never answer"),
+    ("reset_before", "part, share, for_ms: backends reset connections when they accept them"),
+    ("reset_within", "part, share, for_ms: backends reset connections at a request's first bytes"),
+    ("reset_after", "part, share, for_ms: backends reset connections once the request is complete"),
+    ("spoilt", "part, share, for_ms: backends send responses that are not HTTP"),
+    ("endless", "part, share, for_ms: backends send endless responses"),
+    ("fast_errors", "part, share, for_ms: backends answer 500 at once"),
+    ("late", "part, share, late_ms, for_ms: backends delay responses"),
+    ("refuse", "part, for_ms: backends refuse connections"),
+    ("neighbour", "part, share, for_ms: another program uses a share of backends' machines intermittently"),
     (
         "replace_nodes",
-        "part, every_ms, drain_ms, same_address, replaced, turns_away, rounds, told_by: drain, gone, cold replacement",
+        "part, every_ms, drain_ms, same_address, replaced, turns_away, rounds, told_by: drains, removes and replaces backends by cold ones",
     ),
-    ("crash_nodes", "part, down_ms: nodes die without a word and start again, cold"),
-    ("silent_agents", "part, for_ms: agents say nothing"),
-    ("behind_agents", "part, behind_ms, for_ms: agents know no more than what was known some time ago"),
-    ("half_agents", "part, for_ms: agents break off each list in its middle"),
-    ("spoilt_agents", "part, for_ms: agents tell lists in which entries cannot be used"),
-    ("vanished_watches", "part: open watches lose their other end without a word"),
+    ("crash_nodes", "part, down_ms: backends crash and restart cold"),
+    ("silent_agents", "part, for_ms: agents stop sending"),
+    ("behind_agents", "part, behind_ms, for_ms: agents report an outdated list"),
+    ("half_agents", "part, for_ms: agents truncate each list in its middle"),
+    ("spoilt_agents", "part, for_ms: agents send lists with unusable entries"),
+    ("vanished_watches", "part: the agents' end of open watches vanishes without a close"),
     ("broken_agents", "agents break off their watches"),
-    ("repeating_agents", "every_ms, for_ms: agents tell again what they know of every node"),
-    ("etcd_cut", "every_ms, for_ms: watches are cut between two answers, within one, before they have begun"),
-    ("etcd_down", "part, for_ms: members of etcd are gone"),
-    ("etcd_silent", "part, for_ms: members of etcd say nothing, with their connections open"),
+    ("repeating_agents", "every_ms, for_ms: agents repeat the state of every backend"),
+    ("etcd_cut", "every_ms, for_ms: watches are cut between two responses, within one, or before they are created"),
+    ("etcd_down", "part, for_ms: etcd members are down"),
+    ("etcd_silent", "part, for_ms: etcd members stop sending, with their connections open"),
     ("etcd_compact", "every_ms, for_ms: etcd's history is compacted up to its last revision"),
-    ("etcd_noise", "rate, for_ms: values of nodes are written anew with nothing changed"),
-    ("flood", "plan, customers, times, for_ms: customers ask for a multiple of their quota"),
-    ("one_shots", "share, for_ms: clients that ask once and are not seen again"),
-    ("rude", "rate, for_ms: clients that send what cannot be used"),
+    ("etcd_noise", "rate, for_ms: values of backends are rewritten without a change of state"),
+    ("flood", "plan, customers, times, for_ms: customers send a multiple of their quota"),
+    ("one_shots", "share, for_ms: requests of customers that send only one"),
+    ("rude", "rate, for_ms: clients send malformed requests"),
     (
         "auth_trouble",
         "how (stall, half, late, dead, reset, twice, endless, close, errors), part, share, late_ms, for_ms: the authentication service fails",
     ),
     ("revoke", "part: credentials of customers are revoked"),
-    ("strangers", "rate, for_ms: callers with credentials that nobody has seen"),
-    ("split_doors", "for_ms: front doors that share counts fall into two halves that do not hear each other"),
-    ("silent_door", "for_ms: one front door neither hears nor tells counts"),
+    ("strangers", "rate, for_ms: requests with credentials that were never used before"),
+    ("split_doors", "for_ms: partitions the gateways that share counts into two halves"),
+    ("silent_door", "for_ms: isolates one gateway from the shared counts"),
 ];
 
 fn event(table: &Table<'_, '_>) -> Option<Event> {
     let names: Vec<&str> = EVENTS.iter().map(|(name, _)| *name).collect();
     let kind = table.choice("what", "", &names);
-    let at_ms = table.range("at_ms", None, 0.0, MOST_SECONDS * 1000.0);
-    let part = || table.number("part", Some(0.5), 0.001, 1.0);
-    let for_ms = || table.range("for_ms", Some([3000.0, 6000.0]), 1.0, MOST_SECONDS * 1000.0);
-    let down_ms = || {
-        table.range(
-            "down_ms",
-            Some([1700.0, 3500.0]),
-            0.0,
-            MOST_SECONDS * 1000.0,
-        )
-    };
+    let at_ms = table.range("at_ms", None, 0.0, MAX_SECONDS * 1000.0);
+    let fraction = || table.number("part", Some(0.5), 0.001, 1.0);
+    let for_ms = || table.range("for_ms", Some([3000.0, 6000.0]), 1.0, MAX_SECONDS * 1000.0);
+    let down_ms = || table.range("down_ms", Some([1700.0, 3500.0]), 0.0, MAX_SECONDS * 1000.0);
     let every_ms = || table.range("every_ms", Some([1500.0, 2500.0]), 10.0, 60_000.0);
-    let strike = |strike| What::Strike {
-        strike,
-        part: part(),
+    let backend_fault = |fault| What::BackendFault {
+        fault,
+        fraction: fraction(),
         share: table.range("share", Some([1.0, 1.0]), 0.0, 1.0),
         late_ms: table.range("late_ms", Some([300.0, 900.0]), 0.0, 60_000.0),
         for_ms: for_ms(),
     };
     let what = match kind.as_str() {
-        "kill_doors" => What::KillDoors {
-            part: part(),
+        "kill_doors" => What::KillGateways {
+            fraction: fraction(),
             down_ms: down_ms(),
         },
-        "stop_doors" => What::StopDoors {
-            part: part(),
+        "stop_doors" => What::StopGateways {
+            fraction: fraction(),
             down_ms: down_ms(),
         },
-        "reload_doors" => What::ReloadDoors,
-        "stall" => strike(Strike::Stall),
-        "reset_before" => strike(Strike::ResetBefore),
-        "reset_within" => strike(Strike::ResetWithin),
-        "reset_after" => strike(Strike::ResetAfter),
-        "spoilt" => strike(Strike::Spoilt),
-        "endless" => strike(Strike::Endless),
-        "fast_errors" => strike(Strike::FastErrors),
-        "late" => strike(Strike::Late),
-        "refuse" => strike(Strike::Refuse),
-        "neighbour" => strike(Strike::Neighbour),
-        "replace_nodes" => What::ReplaceNodes {
-            part: part(),
+        "reload_doors" => What::ReloadGateways,
+        "stall" => backend_fault(BackendFault::Stall),
+        "reset_before" => backend_fault(BackendFault::ResetBefore),
+        "reset_within" => backend_fault(BackendFault::ResetWithin),
+        "reset_after" => backend_fault(BackendFault::ResetAfter),
+        "spoilt" => backend_fault(BackendFault::Spoilt),
+        "endless" => backend_fault(BackendFault::Endless),
+        "fast_errors" => backend_fault(BackendFault::FastErrors),
+        "late" => backend_fault(BackendFault::Late),
+        "refuse" => backend_fault(BackendFault::Refuse),
+        "neighbour" => backend_fault(BackendFault::Neighbour),
+        "replace_nodes" => What::ReplaceBackends {
+            fraction: fraction(),
             every_ms: every_ms(),
             drain_ms: table.range("drain_ms", Some([2500.0, 4000.0]), 0.0, 60_000.0),
             same_address: table.yes("same_address", false),
             replaced: table.yes("replaced", true),
             turns_away: table.yes("turns_away", true),
             rounds: table.whole("rounds", Some(1.0), 1.0, 1000.0),
-            told_by: match table
+            announced_by: match table
                 .choice("told_by", "all", &["all", "agent", "etcd"])
                 .as_str()
             {
-                "agent" => Teller::Agent,
-                "etcd" => Teller::Etcd,
-                _ => Teller::All,
+                "agent" => DrainSource::Agent,
+                "etcd" => DrainSource::Etcd,
+                _ => DrainSource::All,
             },
         },
-        "crash_nodes" => What::CrashNodes {
-            part: part(),
+        "crash_nodes" => What::CrashBackends {
+            fraction: fraction(),
             down_ms: down_ms(),
         },
         "silent_agents" => What::SilentAgents {
-            part: part(),
+            fraction: fraction(),
             for_ms: for_ms(),
         },
-        "behind_agents" => What::BehindAgents {
-            part: part(),
+        "behind_agents" => What::LaggingAgents {
+            fraction: fraction(),
             behind_ms: table.range("behind_ms", Some([1000.0, 4000.0]), 0.0, 60_000.0),
             for_ms: for_ms(),
         },
-        "half_agents" => What::HalfAgents {
-            part: part(),
+        "half_agents" => What::TruncatingAgents {
+            fraction: fraction(),
             for_ms: for_ms(),
         },
-        "spoilt_agents" => What::SpoiltAgents {
-            part: part(),
+        "spoilt_agents" => What::CorruptAgents {
+            fraction: fraction(),
             for_ms: for_ms(),
         },
-        "vanished_watches" => What::VanishedWatches { part: part() },
-        "broken_agents" => What::BrokenAgents,
+        "vanished_watches" => What::VanishedWatches {
+            fraction: fraction(),
+        },
+        "broken_agents" => What::DisconnectingAgents,
         "repeating_agents" => What::RepeatingAgents {
             every_ms: every_ms(),
             for_ms: for_ms(),
@@ -865,11 +862,11 @@
             for_ms: for_ms(),
         },
         "etcd_down" => What::EtcdDown {
-            part: part(),
+            fraction: fraction(),
             for_ms: for_ms(),
         },
         "etcd_silent" => What::EtcdSilent {
-            part: part(),
+            fraction: fraction(),
             for_ms: for_ms(),
         },
         "etcd_compact" => What::EtcdCompact {
@@ -890,28 +887,30 @@
             share: table.range("share", Some([0.2, 0.5]), 0.0, 100.0),
             for_ms: for_ms(),
         },
-        "rude" => What::Rude {
+        "rude" => What::MalformedClients {
             rate: table.number("rate", Some(20.0), 0.1, 2000.0),
             for_ms: for_ms(),
         },
         "auth_trouble" => {
-            let names: Vec<&str> = AUTH_TROUBLES.iter().map(|(name, _)| *name).collect();
+            let names: Vec<&str> = AUTH_FAULTS.iter().map(|(name, _)| *name).collect();
             let how = table.choice("how", "", &names);
-            What::AuthTrouble {
-                trouble: AUTH_TROUBLES
+            What::AuthFault {
+                fault: AUTH_FAULTS
                     .iter()
                     .find(|(name, _)| *name == how)
-                    .map(|(_, trouble)| *trouble)?,
-                part: part(),
+                    .map(|(_, fault)| *fault)?,
+                fraction: fraction(),
                 share: table.number("share", Some(1.0), 0.0, 1.0),
                 late_ms: table.range("late_ms", Some([100.0, 400.0]), 0.0, 60_000.0),
                 for_ms: for_ms(),
             }
         }
-        "split_doors" => What::SplitDoors { for_ms: for_ms() },
-        "silent_door" => What::SilentDoor { for_ms: for_ms() },
-        "revoke" => What::Revoke { part: part() },
-        "strangers" => What::Strangers {
+        "split_doors" => What::PartitionGateways { for_ms: for_ms() },
+        "silent_door" => What::IsolateGateway { for_ms: for_ms() },
+        "revoke" => What::Revoke {
+            fraction: fraction(),
+        },
+        "strangers" => What::UnknownCredentials {
             rate: table.number("rate", Some(50.0), 0.1, 2000.0),
             for_ms: for_ms(),
         },
@@ -925,32 +924,37 @@
 mod tests {
     use super::*;
 
-    /// Guards against a file that is played in part: every mistake is told, each with its line.
+    /// Guards against running a file of which a part was ignored: every mistake is reported with its
+    /// line.
     #[test]
-    fn every_mistake_is_told_with_its_line() {
+    fn every_mistake_is_reported_with_its_line() {
         let text = "version = 1\ntitle = \"x\"\nseconds = \"long\"\n\n[fleet]\ndoors = 99\nnods = 3\n\n\
                     [[event]]\nwhat = \"earthquake\"\nat_ms = 5\n\n[[event]]\nwhat = \"flood\"\nat_ms = 1\nplan = \"none\"\n";
         let mistakes = Scenario::read("x", text).unwrap_err();
-        let told: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
+        let messages: Vec<String> = mistakes.iter().map(ToString::to_string).collect();
         let lines: Vec<usize> = mistakes.iter().map(|mistake| mistake.line).collect();
-        assert_eq!(lines, [3, 6, 7, 10, 16], "{told:#?}");
+        assert_eq!(lines, [3, 6, 7, 10, 16], "{messages:#?}");
         assert!(
-            told[0].contains("seconds") && told[0].contains("a number from 2 to 300"),
+            messages[0].contains("seconds") && messages[0].contains("a number from 2 to 300"),
             "{}",
-            told[0]
+            messages[0]
         );
         assert!(
-            told[2].contains("fleet.nods") && told[2].contains("no such key"),
+            messages[2].contains("fleet.nods") && messages[2].contains("no such key"),
             "{}",
-            told[2]
+            messages[2]
         );
     }
 
     #[test]
-    fn the_least_that_can_be_said_makes_a_scenario() {
+    fn version_title_and_seconds_make_a_scenario() {
         let scenario = Scenario::read("x", "version = 1\ntitle = \"x\"\nseconds = 5\n").unwrap();
         assert_eq!(
-            (scenario.doors, scenario.classes.len(), scenario.plans.len()),
+            (
+                scenario.gateways,
+                scenario.classes.len(),
+                scenario.plans.len()
+            ),
             (3, 3, 4)
         );
         assert!(Scenario::read("x", "version = 2\ntitle = \"x\"\nseconds = 5\n").is_err());
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -1,8 +1,8 @@
-//! What will be played, drawn ahead from a scenario and a seed: the same seed gives the same script byte for byte.
-//! Nothing here does I/O.
+//! Scripts: everything that a run does, drawn ahead from a scenario and a seed. The same seed gives
+//! the same script byte for byte. This module does no I/O.
 
 use crate::header_text::HeaderText;
-use crate::scenario::{AuthTrouble, Range, Scenario, Sources, Strike, Teller, What};
+use crate::scenario::{AuthFault, BackendFault, DrainSource, Range, Scenario, Sources, What};
 use maplefall_event_trace as record;
 use maplefall_event_trace::{Header, Millis, RateLimit, Rules};
 use maplefall_test_servers::agent::Lapse;
@@ -14,7 +14,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Units that a request may count, each with its part of the requests.
+/// Sizes of requests in units, each with its share of the requests.
 const UNITS: [(f64, f64); 6] = [
     (1.0, 0.40),
     (2.0, 0.25),
@@ -23,232 +23,233 @@
     (6.0, 0.06),
     (8.0, 0.04),
 ];
-/// Part of the customers that use nearly all of their quota, and of those that ask for a multiple of it.
-const NEAR: f64 = 0.12;
-const GREEDY: f64 = 0.06;
-/// First number of the customers that ask once.
-const ONE_SHOTS: u64 = 1 << 24;
-/// First number of those whose credentials nobody has seen.
-const STRANGERS: u64 = 1 << 28;
-/// How long a neighbour is there, or away, at a time.
+/// Shares of the customers that use nearly all of their quota, and of those that exceed it.
+const NEAR_QUOTA_SHARE: f64 = 0.12;
+const OVER_QUOTA_SHARE: f64 = 0.06;
+/// Number of the first one-shot customer.
+const FIRST_ONE_SHOT_CUSTOMER: u64 = 1 << 24;
+/// Number of the first customer with an unknown credential.
+const FIRST_UNKNOWN_CUSTOMER: u64 = 1 << 28;
+/// Length of each active and each idle phase of a noisy neighbour.
 const NEIGHBOUR_MS: Range = [700.0, 2000.0];
-/// Requests that a script holds at most.
-pub const MOST_ASKS: usize = 400_000;
+/// Maximum number of requests in a script.
+pub const MAX_REQUESTS: usize = 400_000;
 
-/// Something done to a front door's process.
+/// An action on a gateway's process or on the network between gateways.
 #[derive(Clone, Debug, PartialEq)]
-pub enum DoorAct {
-    /// Killed, and started again after this.
+pub enum GatewayAct {
+    /// Kills the process and restarts it after this time.
     Kill(Millis),
-    /// Told to stop, and started again this long after it has ended.
+    /// Terminates the process and restarts it this long after it has ended.
     Stop(Millis),
-    /// Handed a configuration in which its agent has moved.
+    /// Reloads a configuration in which the address of its agent has changed.
     Reload,
-    /// From now on no counts pass between these, from and to; of all front doors, whichever is named.
+    /// Replaces the set of (from, to) pairs of gateways between which shared counts are dropped,
+    /// whichever gateway the entry names.
     Cut(Vec<(usize, usize)>),
 }
 
-/// Something done to a node or by an agent.
+/// An action on a backend, an agent, etcd or the authentication service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum WorldAct {
-    /// Trouble at the node in a place.
+pub enum EnvironmentAct {
+    /// Adds a fault to the backend in a slot.
     Strike {
-        /// Which place.
+        /// Index of the backend's slot.
         place: usize,
-        /// What.
-        strike: Strike,
-        /// Part of the requests, or of the machine.
+        /// Kind of the fault.
+        strike: BackendFault,
+        /// Share of the requests, or of the machine's capacity for a noisy neighbour.
         share: f64,
-        /// By how much answers are late.
+        /// Added latency of responses.
         late_ms: Millis,
-        /// For how long.
+        /// Duration.
         for_ms: Millis,
     },
-    /// The node in a place drains.
+    /// Starts to drain the backend in a slot.
     Drain {
-        /// Which place.
+        /// Index of the backend's slot.
         place: usize,
-        /// Whether it turns away what comes.
+        /// Whether the draining backend rejects requests.
         turns_away: bool,
     },
-    /// The node in a place ends.
+    /// Stops the backend in a slot.
     End(usize),
-    /// A cold node moves into a place.
+    /// Starts a cold backend in a slot.
     Start {
-        /// Which place.
+        /// Index of the backend's slot.
         place: usize,
-        /// The node's number.
+        /// Number of the backend.
         node: u32,
     },
-    /// An agent hears of a node.
+    /// Updates a backend in an agent's announcements.
     Tell {
-        /// Which front door's agent.
+        /// Index of the gateway whose agent it is.
         door: usize,
-        /// Where the node is.
+        /// Index of the backend's slot.
         place: usize,
-        /// Which node.
+        /// Number of the backend.
         node: u32,
-        /// Its state.
+        /// Its new state.
         health: record::Health,
     },
-    /// An agent falls silent, or speaks again.
+    /// Makes an agent stop sending, or resume.
     Silence {
-        /// Which front door's agent.
+        /// Index of the gateway whose agent it is.
         door: usize,
-        /// Whether it is silent from now on.
+        /// Whether the agent sends nothing from now on.
         silent: bool,
     },
-    /// An agent does this wrong from now on, or nothing.
+    /// Sets the fault of an agent, or clears it.
     Lapse {
-        /// Which front door's agent.
+        /// Index of the gateway whose agent it is.
         door: usize,
-        /// What.
+        /// The fault, if any.
         lapse: Option<Lapse>,
     },
-    /// An agent's end of its open connections vanishes.
+    /// Makes an agent's end of its open connections vanish without a close.
     Vanish {
-        /// Which front door's agent.
+        /// Index of the gateway whose agent it is.
         door: usize,
     },
-    /// All agents break off their watches.
+    /// Makes all agents break off their watches.
     BreakOff,
-    /// All agents tell again what they know of every node.
+    /// Makes all agents repeat the state of every backend.
     Repeat,
-    /// A node's state changes for good: from here on sources may tell of it, etcd at once, agents later.
+    /// Commits a backend's state: from here on sources may report it, etcd at once, agents later.
     Commit {
-        /// Where the node is.
+        /// Index of the backend's slot.
         place: usize,
-        /// Which node.
+        /// Number of the backend.
         node: u32,
-        /// Its state.
+        /// Its new state.
         health: record::Health,
     },
-    /// A node's value is written to etcd anew, with nothing changed; which, the lot decides.
+    /// Rewrites one backend's value in etcd without a change of its state.
     Noise {
-        /// The lot.
+        /// Random number that selects the backend.
         lot: u32,
     },
-    /// Something happens to a front door's member of etcd.
+    /// Acts on the etcd member that a gateway is connected to.
     Member {
-        /// Which front door's.
+        /// Index of the gateway.
         door: usize,
-        /// What.
+        /// The action.
         act: MemberAct,
     },
-    /// Etcd's history is compacted up to its last revision.
+    /// Compacts etcd's history up to its last revision.
     Compact,
-    /// A server of the authentication service fails, or no longer.
+    /// Sets the fault of an authentication server, or clears it.
     Auth {
-        /// Which.
+        /// Index of the server.
         server: usize,
-        /// How, at which part of the checks, and how late.
-        trouble: Option<(AuthTrouble, f64, Millis)>,
+        /// Kind, share of the checks that it affects, and added latency.
+        trouble: Option<(AuthFault, f64, Millis)>,
     },
-    /// A customer's credential is revoked.
+    /// Revokes a customer's credential.
     Revoke {
-        /// Whose.
+        /// Number of the customer.
         customer: u64,
     },
 }
 
-/// Something that happens to a member of etcd.
+/// An action on an etcd member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberAct {
-    /// The watch is cut the next time it comes to this point.
+    /// Cuts the watch the next time it reaches this point.
     Cut(Cut),
-    /// It is gone, or back.
+    /// Takes the member down, or brings it back.
     Down(bool),
-    /// It says nothing, or speaks again.
+    /// Makes the member stop sending, or resume.
     Silent(bool),
 }
 
-/// A whole script. Times count from the moment at which the first request may come.
+/// A script. Times count from the earliest moment at which a request may be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
-    /// What the record begins with.
+    /// Header of the record.
     pub header: Header,
-    /// How long requests come.
+    /// Time during which requests are sent.
     pub length: Millis,
-    /// Places that nodes live in.
-    pub places: usize,
-    /// First tries, in the order of their times.
-    pub asks: Vec<Ask>,
-    /// What is done to front doors.
-    pub doors: Vec<(Millis, usize, DoorAct)>,
-    /// What is done to nodes and by agents.
-    pub world: Vec<(Millis, WorldAct)>,
-    /// Customers that do not pass from the start on, where callers are checked.
+    /// Number of backend slots.
+    pub slots: usize,
+    /// First attempts, in the order of their times.
+    pub requests: Vec<Ask>,
+    /// Actions on gateways, each with its time and the gateway's index.
+    pub gateway_acts: Vec<(Millis, usize, GatewayAct)>,
+    /// Actions on the systems around the gateways.
+    pub environment_acts: Vec<(Millis, EnvironmentAct)>,
+    /// Customers that authentication denies from the start, where callers are authenticated.
     pub denied: Vec<u64>,
-    /// When clients come that send what cannot be used.
-    pub rude: Vec<Millis>,
-    /// When failures begin and end, for the report.
+    /// Times at which clients with malformed requests connect.
+    pub malformed_clients: Vec<Millis>,
+    /// Starts (`true`) and ends of failures, for the report.
     pub failures: Vec<(Millis, String, bool)>,
-    /// How long the front goes on sending to a dead front door.
+    /// How long the load balancer goes on sending to a dead gateway.
     pub notice_ms: Millis,
-    /// How late the meter is.
+    /// Delay of the meter.
     pub meter_delay_ms: Millis,
 }
 
-/// A source of chance with the few draws that scripts need.
-struct Dice(Pcg32);
+/// A seeded random number generator with the draws that scripts need.
+struct Random(Pcg32);
 
-impl Dice {
-    fn new(seed: u64, stream: u64) -> Dice {
-        Dice(Pcg32::seed_from_u64(
+impl Random {
+    fn new(seed: u64, stream: u64) -> Random {
+        Random(Pcg32::seed_from_u64(
             seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         ))
     }
 
-    fn one(&mut self) -> f64 {
+    fn uniform(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    fn within(&mut self, [least, most]: Range) -> f64 {
-        least + (most - least) * self.one()
+    fn in_range(&mut self, [min, max]: Range) -> f64 {
+        min + (max - min) * self.uniform()
     }
 
-    /// A wait of a Poisson process of so many a millisecond.
-    fn wait(&mut self, per_ms: f64) -> Millis {
-        -(1.0 - self.one()).ln() / per_ms
+    /// Draws the time to the next event of a Poisson process with `per_ms` events a millisecond.
+    fn poisson_gap(&mut self, per_ms: f64) -> Millis {
+        -(1.0 - self.uniform()).ln() / per_ms
     }
 
-    fn units(&mut self, most: f64) -> f64 {
-        let mut left = self.one();
+    fn request_units(&mut self, max: f64) -> f64 {
+        let mut left = self.uniform();
         for (units, share) in UNITS {
             if left < share {
-                return units.min(most);
+                return units.min(max);
             }
             left -= share;
         }
         1.0
     }
 
-    /// So many of `count`, each once, in a drawn order.
-    fn pick(&mut self, count: usize, wanted: usize) -> Vec<usize> {
+    /// Draws `wanted` distinct indexes below `count`, in random order.
+    fn sample(&mut self, count: usize, wanted: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..count).collect();
         for i in 0..wanted.min(count) {
-            let other = i + (self.one() * (count - i) as f64) as usize;
+            let other = i + (self.uniform() * (count - i) as f64) as usize;
             all.swap(i, other.min(count - 1));
         }
         all.truncate(wanted);
         all
     }
 
-    /// Times from `from` to `to`, so far apart.
+    /// Draws times from `from` to `to`, with gaps drawn from `every`.
     fn times(&mut self, from: Millis, to: Millis, every: Range) -> Vec<Millis> {
         let mut times = Vec::new();
         let mut when = from;
         while when < to {
             times.push(when);
-            when += self.within(every).max(1.0);
+            when += self.in_range(every).max(1.0);
         }
         times
     }
 
-    fn part(&mut self, count: usize, part: f64) -> Vec<usize> {
-        self.pick(
+    fn sample_fraction(&mut self, count: usize, fraction: f64) -> Vec<usize> {
+        self.sample(
             count,
-            ((count as f64 * part).ceil() as usize).clamp(1, count),
+            ((count as f64 * fraction).ceil() as usize).clamp(1, count),
         )
     }
 }
@@ -256,288 +257,363 @@
 /// Draws the script of a scenario.
 pub fn draw(scenario: &Scenario, seed: u64) -> Script {
     let length = scenario.seconds * 1000.0;
-    let mut dice = Dice::new(seed, 1);
+    let mut random = Random::new(seed, 1);
     let mut script = Script {
         header: header(scenario, seed),
         length,
-        places: scenario.nodes as usize,
-        asks: Vec::new(),
-        doors: Vec::new(),
-        world: Vec::new(),
+        slots: scenario.backends as usize,
+        requests: Vec::new(),
+        gateway_acts: Vec::new(),
+        environment_acts: Vec::new(),
         denied: Vec::new(),
-        rude: Vec::new(),
+        malformed_clients: Vec::new(),
         failures: Vec::new(),
-        notice_ms: dice.within(scenario.notice_ms),
-        meter_delay_ms: dice.within([340.0, 1100.0]),
+        notice_ms: random.in_range(scenario.notice_ms),
+        meter_delay_ms: random.in_range([340.0, 1100.0]),
     };
     let customers = customers(scenario, seed);
     for customer in &customers {
-        arrivals(&mut script, scenario, seed, customer, 1.0, [0.0, length], 0);
+        push_arrivals(&mut script, scenario, seed, customer, 1.0, [0.0, length], 0);
     }
-    let usual_rate = script.asks.len() as f64 / length;
+    let base_rate = script.requests.len() as f64 / length;
     if let Some(checks) = scenario
         .checks
         .as_ref()
         .filter(|checks| checks.denied > 0.0)
     {
-        let picked = Dice::new(seed, 3).part(customers.len(), checks.denied);
-        script.denied = picked.into_iter().map(|at| customers[at].number).collect();
+        let picked = Random::new(seed, 3).sample_fraction(customers.len(), checks.denied);
+        script.denied = picked
+            .into_iter()
+            .map(|index| customers[index].number)
+            .collect();
     }
-    let mut list = Told {
+    let mut announcements = Announcements {
         seed,
         sources: scenario.sources,
         agent_ms: scenario.agent_ms,
-        told: Vec::new(),
+        acts: Vec::new(),
         last: Vec::new(),
         changes: 0,
     };
-    let mut next_node = scenario.nodes;
-    // Where the nodes live that the scenario began with or that came in their stead, and which they are.
-    let mut homes: Vec<(usize, u32)> = (0..scenario.nodes)
+    let mut next_node = scenario.backends;
+    // Slot and number of each initial backend, or of the one that has replaced it.
+    let mut current: Vec<(usize, u32)> = (0..scenario.backends)
         .map(|node| (node as usize, node))
         .collect();
     for (number, event) in scenario.events.iter().enumerate() {
-        let mut dice = Dice::new(seed, 100 + number as u64);
-        let at = dice.within(event.at_ms);
-        let doors = scenario.doors as usize;
+        let mut random = Random::new(seed, 100 + number as u64);
+        let at = random.in_range(event.at_ms);
+        let gateways = scenario.gateways as usize;
         let (name, end) = match &event.what {
-            What::KillDoors { part, down_ms } => {
+            What::KillGateways { fraction, down_ms } => {
                 let mut end = at;
-                for door in dice.part(doors, *part) {
-                    let down = dice.within(*down_ms);
-                    script.doors.push((at, door, DoorAct::Kill(down)));
+                for gateway in random.sample_fraction(gateways, *fraction) {
+                    let down = random.in_range(*down_ms);
+                    script
+                        .gateway_acts
+                        .push((at, gateway, GatewayAct::Kill(down)));
                     end = end.max(at + down);
                 }
                 ("front doors killed".to_owned(), end)
             }
-            What::StopDoors { part, down_ms } => {
+            What::StopGateways { fraction, down_ms } => {
                 let mut when = at;
-                for door in dice.part(doors, *part) {
-                    let down = dice.within(*down_ms);
-                    script.doors.push((when, door, DoorAct::Stop(down)));
+                for gateway in random.sample_fraction(gateways, *fraction) {
+                    let down = random.in_range(*down_ms);
+                    script
+                        .gateway_acts
+                        .push((when, gateway, GatewayAct::Stop(down)));
                     when += down + 1500.0;
                 }
                 ("planned restarts".to_owned(), when)
             }
-            What::ReloadDoors => {
-                (0..doors).for_each(|door| script.doors.push((at, door, DoorAct::Reload)));
+            What::ReloadGateways => {
+                (0..gateways).for_each(|gateway| {
+                    script.gateway_acts.push((at, gateway, GatewayAct::Reload))
+                });
                 ("reload, agents move".to_owned(), at + 1500.0)
             }
-            What::SplitDoors { for_ms } => {
-                let length = dice.within(*for_ms);
-                let half = dice.part(doors, 0.5);
+            What::PartitionGateways { for_ms } => {
+                let length = random.in_range(*for_ms);
+                let half = random.sample_fraction(gateways, 0.5);
                 let pairs = |left: &[usize]| {
-                    let apart = |door: usize| left.contains(&door);
-                    let all = (0..doors).flat_map(|from| (0..doors).map(move |to| (from, to)));
-                    all.filter(|(from, to)| apart(*from) != apart(*to))
+                    let in_left = |gateway: usize| left.contains(&gateway);
+                    let all =
+                        (0..gateways).flat_map(|from| (0..gateways).map(move |to| (from, to)));
+                    all.filter(|(from, to)| in_left(*from) != in_left(*to))
                         .collect::<Vec<_>>()
                 };
-                script.doors.push((at, 0, DoorAct::Cut(pairs(&half))));
                 script
-                    .doors
-                    .push((at + length, 0, DoorAct::Cut(Vec::new())));
+                    .gateway_acts
+                    .push((at, 0, GatewayAct::Cut(pairs(&half))));
+                script
+                    .gateway_acts
+                    .push((at + length, 0, GatewayAct::Cut(Vec::new())));
                 ("front doors in two halves".to_owned(), at + length)
             }
-            What::SilentDoor { for_ms } => {
-                let length = dice.within(*for_ms);
-                let silent = dice.part(doors, 0.001);
-                let others = (0..doors).filter(|door| !silent.contains(door));
+            What::IsolateGateway { for_ms } => {
+                let length = random.in_range(*for_ms);
+                let isolated = random.sample_fraction(gateways, 0.001);
+                let others = (0..gateways).filter(|gateway| !isolated.contains(gateway));
                 let pairs = others.flat_map(|other| {
-                    silent
+                    isolated
                         .iter()
                         .flat_map(move |one| [(*one, other), (other, *one)])
                 });
-                script.doors.push((at, 0, DoorAct::Cut(pairs.collect())));
                 script
-                    .doors
-                    .push((at + length, 0, DoorAct::Cut(Vec::new())));
+                    .gateway_acts
+                    .push((at, 0, GatewayAct::Cut(pairs.collect())));
+                script
+                    .gateway_acts
+                    .push((at + length, 0, GatewayAct::Cut(Vec::new())));
                 ("a front door silent".to_owned(), at + length)
             }
-            What::Strike {
-                strike,
-                part,
+            What::BackendFault {
+                fault,
+                fraction,
                 share,
                 late_ms,
                 for_ms,
             } => {
-                let length = dice.within(*for_ms);
-                for place in dice.part(scenario.nodes as usize, *part) {
-                    let share = dice.within(*share);
-                    let late_ms = dice.within(*late_ms);
-                    let (mut when, whole) = (at, *strike != Strike::Neighbour);
+                let length = random.in_range(*for_ms);
+                for slot in random.sample_fraction(scenario.backends as usize, *fraction) {
+                    let share = random.in_range(*share);
+                    let late_ms = random.in_range(*late_ms);
+                    let (mut when, continuous) = (at, *fault != BackendFault::Neighbour);
                     while when < at + length {
-                        let for_ms = if whole {
+                        let for_ms = if continuous {
                             length
                         } else {
-                            dice.within(NEIGHBOUR_MS)
+                            random.in_range(NEIGHBOUR_MS)
                         };
                         let for_ms = for_ms.min(at + length - when);
-                        let act = WorldAct::Strike {
-                            place,
-                            strike: *strike,
+                        let act = EnvironmentAct::Strike {
+                            place: slot,
+                            strike: *fault,
                             share,
                             late_ms,
                             for_ms,
                         };
-                        script.world.push((when, act));
+                        script.environment_acts.push((when, act));
                         when += for_ms
-                            + if whole {
+                            + if continuous {
                                 0.0
                             } else {
-                                dice.within(NEIGHBOUR_MS)
+                                random.in_range(NEIGHBOUR_MS)
                             };
                     }
                 }
-                (strike_name(*strike).to_owned(), at + length)
+                (fault_name(*fault).to_owned(), at + length)
             }
-            What::ReplaceNodes {
-                part,
+            What::ReplaceBackends {
+                fraction,
                 every_ms,
                 drain_ms,
                 same_address,
                 replaced,
                 turns_away,
                 rounds,
-                told_by,
+                announced_by,
             } => {
                 let (mut when, mut end) = (at, at);
-                let chosen = dice.part(scenario.nodes as usize, *part);
-                // One after the other, round after round; one that is still on its way out is waited for.
-                let mut free = vec![at; scenario.nodes as usize];
-                for home in (0..*rounds).flat_map(|_| chosen.iter().copied()) {
-                    let (place, node) = homes[home];
-                    when = when.max(free[home]);
-                    let gone = when + dice.within(*drain_ms);
-                    script.world.push((
+                let chosen = random.sample_fraction(scenario.backends as usize, *fraction);
+                // One after the other, round after round. A backend whose replacement is not yet
+                // complete delays the sequence.
+                let mut available_from = vec![at; scenario.backends as usize];
+                for index in (0..*rounds).flat_map(|_| chosen.iter().copied()) {
+                    let (slot, node) = current[index];
+                    when = when.max(available_from[index]);
+                    let removed_at = when + random.in_range(*drain_ms);
+                    script.environment_acts.push((
                         when,
-                        WorldAct::Drain {
-                            place,
+                        EnvironmentAct::Drain {
+                            place: slot,
                             turns_away: *turns_away,
                         },
                     ));
-                    list.tell(when, *told_by, doors, place, node, record::Health::Draining);
-                    script.world.push((gone, WorldAct::End(place)));
-                    list.tell(
-                        gone,
-                        Teller::All,
-                        doors,
-                        place,
+                    announcements.announce(
+                        when,
+                        *announced_by,
+                        gateways,
+                        slot,
+                        node,
+                        record::Health::Draining,
+                    );
+                    script
+                        .environment_acts
+                        .push((removed_at, EnvironmentAct::End(slot)));
+                    announcements.announce(
+                        removed_at,
+                        DrainSource::All,
+                        gateways,
+                        slot,
                         node,
                         record::Health::Removed,
                     );
-                    free[home] = f64::INFINITY;
+                    available_from[index] = f64::INFINITY;
                     if *replaced {
-                        let fresh = if *same_address {
-                            place
+                        let new_slot = if *same_address {
+                            slot
                         } else {
-                            script.places += 1;
-                            script.places - 1
+                            script.slots += 1;
+                            script.slots - 1
                         };
-                        let start = gone + 50.0;
-                        script.world.push((
+                        let start = removed_at + 50.0;
+                        script.environment_acts.push((
                             start,
-                            WorldAct::Start {
-                                place: fresh,
+                            EnvironmentAct::Start {
+                                place: new_slot,
                                 node: next_node,
                             },
                         ));
-                        list.tell(
+                        announcements.announce(
                             start,
-                            Teller::All,
-                            doors,
-                            fresh,
+                            DrainSource::All,
+                            gateways,
+                            new_slot,
                             next_node,
                             record::Health::Up,
                         );
-                        homes[home] = (fresh, next_node);
-                        free[home] = start + scenario.agent_ms[1];
+                        current[index] = (new_slot, next_node);
+                        available_from[index] = start + scenario.agent_ms[1];
                         next_node += 1;
                     }
-                    end = gone;
-                    when += dice.within(*every_ms);
+                    end = removed_at;
+                    when += random.in_range(*every_ms);
                     if when >= length || !when.is_finite() {
                         break;
                     }
                 }
                 ("nodes replaced".to_owned(), end)
             }
-            What::CrashNodes { part, down_ms } => {
+            What::CrashBackends { fraction, down_ms } => {
                 let mut end = at;
-                for home in dice.part(scenario.nodes as usize, *part) {
-                    let ((place, node), start) = (homes[home], at + dice.within(*down_ms));
-                    script.world.push((at, WorldAct::End(place)));
-                    list.tell(at, Teller::All, doors, place, node, record::Health::Removed);
-                    script.world.push((start, WorldAct::Start { place, node }));
-                    list.tell(start, Teller::All, doors, place, node, record::Health::Up);
+                for index in random.sample_fraction(scenario.backends as usize, *fraction) {
+                    let ((slot, node), start) = (current[index], at + random.in_range(*down_ms));
+                    script
+                        .environment_acts
+                        .push((at, EnvironmentAct::End(slot)));
+                    announcements.announce(
+                        at,
+                        DrainSource::All,
+                        gateways,
+                        slot,
+                        node,
+                        record::Health::Removed,
+                    );
+                    script
+                        .environment_acts
+                        .push((start, EnvironmentAct::Start { place: slot, node }));
+                    announcements.announce(
+                        start,
+                        DrainSource::All,
+                        gateways,
+                        slot,
+                        node,
+                        record::Health::Up,
+                    );
                     end = end.max(start);
                 }
                 ("nodes crash".to_owned(), end)
             }
-            What::SilentAgents { part, for_ms } => {
-                let act = |door, silent| WorldAct::Silence { door, silent };
-                let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
+            What::SilentAgents { fraction, for_ms } => {
+                let act = |gateway, silent| EnvironmentAct::Silence {
+                    door: gateway,
+                    silent,
+                };
+                let end = push_on_and_off(
+                    &mut script,
+                    &mut random,
+                    at,
+                    *for_ms,
+                    (gateways, *fraction),
+                    act,
+                );
                 ("agents silent".to_owned(), end)
             }
-            What::BehindAgents {
-                part,
+            What::LaggingAgents {
+                fraction,
                 behind_ms,
                 for_ms,
             } => {
-                let ago = Duration::from_secs_f64(dice.within(*behind_ms) / 1000.0);
-                let act = |door, on| WorldAct::Lapse {
-                    door,
+                let ago = Duration::from_secs_f64(random.in_range(*behind_ms) / 1000.0);
+                let act = |gateway, on| EnvironmentAct::Lapse {
+                    door: gateway,
                     lapse: Some(Lapse::Behind(ago)).filter(|_| on),
                 };
-                let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
+                let end = push_on_and_off(
+                    &mut script,
+                    &mut random,
+                    at,
+                    *for_ms,
+                    (gateways, *fraction),
+                    act,
+                );
                 ("agents behind".to_owned(), end)
             }
-            What::HalfAgents { part, for_ms } => {
-                let act = |door, on| WorldAct::Lapse {
-                    door,
+            What::TruncatingAgents { fraction, for_ms } => {
+                let act = |gateway, on| EnvironmentAct::Lapse {
+                    door: gateway,
                     lapse: Some(Lapse::Half).filter(|_| on),
                 };
-                let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
+                let end = push_on_and_off(
+                    &mut script,
+                    &mut random,
+                    at,
+                    *for_ms,
+                    (gateways, *fraction),
+                    act,
+                );
                 ("lists break off".to_owned(), end)
             }
-            What::SpoiltAgents { part, for_ms } => {
-                let act = |door, on| WorldAct::Lapse {
-                    door,
+            What::CorruptAgents { fraction, for_ms } => {
+                let act = |gateway, on| EnvironmentAct::Lapse {
+                    door: gateway,
                     lapse: Some(Lapse::Spoilt).filter(|_| on),
                 };
-                let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
+                let end = push_on_and_off(
+                    &mut script,
+                    &mut random,
+                    at,
+                    *for_ms,
+                    (gateways, *fraction),
+                    act,
+                );
                 ("entries spoilt".to_owned(), end)
             }
-            What::VanishedWatches { part } => {
-                for door in dice.part(doors, *part) {
-                    script.world.push((at, WorldAct::Vanish { door }));
+            What::VanishedWatches { fraction } => {
+                for gateway in random.sample_fraction(gateways, *fraction) {
+                    script
+                        .environment_acts
+                        .push((at, EnvironmentAct::Vanish { door: gateway }));
                 }
                 ("watches vanish".to_owned(), at)
             }
-            What::BrokenAgents => {
-                script.world.push((at, WorldAct::BreakOff));
+            What::DisconnectingAgents => {
+                script.environment_acts.push((at, EnvironmentAct::BreakOff));
                 ("watches broken off".to_owned(), at)
             }
             What::RepeatingAgents { every_ms, for_ms } => {
-                let end = at + dice.within(*for_ms);
-                for when in dice.times(at, end, *every_ms) {
-                    script.world.push((when, WorldAct::Repeat));
+                let end = at + random.in_range(*for_ms);
+                for when in random.times(at, end, *every_ms) {
+                    script.environment_acts.push((when, EnvironmentAct::Repeat));
                 }
                 ("agents repeat themselves".to_owned(), end)
             }
             What::EtcdCut { every_ms, for_ms } => {
-                let end = at + dice.within(*for_ms);
-                for door in 0..doors {
-                    for when in dice.times(at, end, *every_ms) {
-                        let cut = match (dice.one() * 4.0) as u32 {
+                let end = at + random.in_range(*for_ms);
+                for gateway in 0..gateways {
+                    for when in random.times(at, end, *every_ms) {
+                        let cut = match (random.uniform() * 4.0) as u32 {
                             0 => Cut::Between(0),
                             1 => Cut::Between(1),
                             2 => Cut::Within,
                             _ => Cut::BeforeCreated,
                         };
-                        script.world.push((
+                        script.environment_acts.push((
                             when,
-                            WorldAct::Member {
-                                door,
+                            EnvironmentAct::Member {
+                                door: gateway,
                                 act: MemberAct::Cut(cut),
                             },
                         ));
@@ -545,36 +621,54 @@
                 }
                 ("etcd's watches cut".to_owned(), end)
             }
-            What::EtcdDown { part, for_ms } => {
-                let act = |door, down| WorldAct::Member {
-                    door,
+            What::EtcdDown { fraction, for_ms } => {
+                let act = |gateway, down| EnvironmentAct::Member {
+                    door: gateway,
                     act: MemberAct::Down(down),
                 };
-                let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
+                let end = push_on_and_off(
+                    &mut script,
+                    &mut random,
+                    at,
+                    *for_ms,
+                    (gateways, *fraction),
+                    act,
+                );
                 ("members of etcd gone".to_owned(), end)
             }
-            What::EtcdSilent { part, for_ms } => {
-                let act = |door, silent| WorldAct::Member {
-                    door,
+            What::EtcdSilent { fraction, for_ms } => {
+                let act = |gateway, silent| EnvironmentAct::Member {
+                    door: gateway,
                     act: MemberAct::Silent(silent),
                 };
-                let end = on_and_off(&mut script, &mut dice, at, *for_ms, (doors, *part), act);
+                let end = push_on_and_off(
+                    &mut script,
+                    &mut random,
+                    at,
+                    *for_ms,
+                    (gateways, *fraction),
+                    act,
+                );
                 ("members of etcd silent".to_owned(), end)
             }
             What::EtcdCompact { every_ms, for_ms } => {
-                let end = at + dice.within(*for_ms);
-                for when in dice.times(at, end, *every_ms) {
-                    script.world.push((when, WorldAct::Compact));
+                let end = at + random.in_range(*for_ms);
+                for when in random.times(at, end, *every_ms) {
+                    script
+                        .environment_acts
+                        .push((when, EnvironmentAct::Compact));
                 }
                 ("etcd compacted".to_owned(), end)
             }
             What::EtcdNoise { rate, for_ms } => {
-                let end = at + dice.within(*for_ms);
+                let end = at + random.in_range(*for_ms);
                 let mut when = at;
-                while when < end && script.world.len() < MOST_ASKS {
-                    let lot = (dice.one() * 4_294_967_295.0) as u32;
-                    script.world.push((when, WorldAct::Noise { lot }));
-                    when += dice.wait(rate / 1000.0);
+                while when < end && script.environment_acts.len() < MAX_REQUESTS {
+                    let draw = (random.uniform() * 4_294_967_295.0) as u32;
+                    script
+                        .environment_acts
+                        .push((when, EnvironmentAct::Noise { lot: draw }));
+                    when += random.poisson_gap(rate / 1000.0);
                 }
                 ("noise in etcd".to_owned(), end)
             }
@@ -584,16 +678,16 @@
                 times,
                 for_ms,
             } => {
-                let end = at + dice.within(*for_ms);
-                let of_plan: Vec<&Customer> = customers
+                let end = at + random.in_range(*for_ms);
+                let plan_customers: Vec<&Customer> = customers
                     .iter()
                     .filter(|c| scenario.plans[c.plan].name == *plan)
                     .collect();
-                for pick in dice.pick(of_plan.len(), *count as usize) {
-                    let customer = of_plan[pick];
-                    let times = dice.within(*times) / customer.usage.max(0.01);
+                for index in random.sample(plan_customers.len(), *count as usize) {
+                    let customer = plan_customers[index];
+                    let times = random.in_range(*times) / customer.usage.max(0.01);
                     let stream = 10 + number as u64;
-                    arrivals(
+                    push_arrivals(
                         &mut script,
                         scenario,
                         seed,
@@ -606,44 +700,50 @@
                 (format!("flood past quota ({plan})"), end)
             }
             What::OneShots { share, for_ms } => {
-                let end = at + dice.within(*for_ms);
-                let rate = usual_rate * dice.within(*share);
-                let mut when = at + dice.wait(rate.max(1e-9));
-                while when < end.min(length) && script.asks.len() < MOST_ASKS {
-                    let item = script.asks.len() as u64;
-                    let doors = scenario.doors;
-                    script.asks.push(Ask {
+                let end = at + random.in_range(*for_ms);
+                let rate = base_rate * random.in_range(*share);
+                let mut when = at + random.poisson_gap(rate.max(1e-9));
+                while when < end.min(length) && script.requests.len() < MAX_REQUESTS {
+                    let item = script.requests.len() as u64;
+                    let gateways = scenario.gateways;
+                    script.requests.push(Ask {
                         at: when,
                         item,
-                        customer: ONE_SHOTS + item,
+                        customer: FIRST_ONE_SHOT_CUSTOMER + item,
                         plan: 0,
-                        class: class(scenario, dice.one()),
-                        units: dice.units(scenario.most_units),
-                        spread: (dice.within(scenario.spread) as u32).clamp(1, doors),
-                        first: (dice.one() * f64::from(doors)) as u32,
+                        class: draw_class(scenario, random.uniform()),
+                        units: random.request_units(scenario.max_units),
+                        spread: (random.in_range(scenario.spread) as u32).clamp(1, gateways),
+                        first: (random.uniform() * f64::from(gateways)) as u32,
                     });
-                    when += dice.wait(rate);
+                    when += random.poisson_gap(rate);
                 }
                 ("one-shot clients".to_owned(), end)
             }
-            What::AuthTrouble {
-                trouble,
-                part,
+            What::AuthFault {
+                fault,
+                fraction,
                 share,
                 late_ms,
                 for_ms,
             } => {
-                let end = at + dice.within(*for_ms);
+                let end = at + random.in_range(*for_ms);
                 let servers = scenario
                     .checks
                     .as_ref()
                     .map_or(0, |checks| checks.servers as usize);
-                for server in dice.part(servers, *part) {
-                    let trouble = Some((*trouble, *share, dice.within(*late_ms)));
-                    script.world.push((at, WorldAct::Auth { server, trouble }));
-                    script.world.push((
+                for server in random.sample_fraction(servers, *fraction) {
+                    let fault = Some((*fault, *share, random.in_range(*late_ms)));
+                    script.environment_acts.push((
+                        at,
+                        EnvironmentAct::Auth {
+                            server,
+                            trouble: fault,
+                        },
+                    ));
+                    script.environment_acts.push((
                         end,
-                        WorldAct::Auth {
+                        EnvironmentAct::Auth {
                             server,
                             trouble: None,
                         },
@@ -651,41 +751,43 @@
                 }
                 ("authentication fails".to_owned(), end)
             }
-            What::Revoke { part } => {
-                for at_place in dice.part(customers.len(), *part) {
-                    let customer = customers[at_place].number;
+            What::Revoke { fraction } => {
+                for index in random.sample_fraction(customers.len(), *fraction) {
+                    let customer = customers[index].number;
                     if !script.denied.contains(&customer) {
-                        script.world.push((at, WorldAct::Revoke { customer }));
+                        script
+                            .environment_acts
+                            .push((at, EnvironmentAct::Revoke { customer }));
                     }
                 }
                 ("credentials revoked".to_owned(), at)
             }
-            What::Strangers { rate, for_ms } => {
-                let end = at + dice.within(*for_ms);
-                let mut when = at + dice.wait(rate / 1000.0);
-                while when < end.min(length) && script.asks.len() < MOST_ASKS {
-                    let (item, doors) = (script.asks.len() as u64, scenario.doors);
-                    script.denied.push(STRANGERS + item);
-                    script.asks.push(Ask {
+            What::UnknownCredentials { rate, for_ms } => {
+                let end = at + random.in_range(*for_ms);
+                let mut when = at + random.poisson_gap(rate / 1000.0);
+                while when < end.min(length) && script.requests.len() < MAX_REQUESTS {
+                    let (item, gateways) = (script.requests.len() as u64, scenario.gateways);
+                    script.denied.push(FIRST_UNKNOWN_CUSTOMER + item);
+                    script.requests.push(Ask {
                         at: when,
                         item,
-                        customer: STRANGERS + item,
+                        customer: FIRST_UNKNOWN_CUSTOMER + item,
                         plan: 0,
-                        class: class(scenario, dice.one()),
-                        units: dice.units(scenario.most_units),
-                        spread: (dice.within(scenario.spread) as u32).clamp(1, doors),
-                        first: (dice.one() * f64::from(doors)) as u32,
+                        class: draw_class(scenario, random.uniform()),
+                        units: random.request_units(scenario.max_units),
+                        spread: (random.in_range(scenario.spread) as u32).clamp(1, gateways),
+                        first: (random.uniform() * f64::from(gateways)) as u32,
                     });
-                    when += dice.wait(rate / 1000.0);
+                    when += random.poisson_gap(rate / 1000.0);
                 }
                 ("credentials never seen".to_owned(), end)
             }
-            What::Rude { rate, for_ms } => {
-                let end = at + dice.within(*for_ms);
+            What::MalformedClients { rate, for_ms } => {
+                let end = at + random.in_range(*for_ms);
                 let mut when = at;
                 while when < end.min(length) {
-                    script.rude.push(when);
-                    when += dice.wait(rate / 1000.0);
+                    script.malformed_clients.push(when);
+                    when += random.poisson_gap(rate / 1000.0);
                 }
                 ("bad clients".to_owned(), end)
             }
@@ -693,106 +795,107 @@
         script.failures.push((at, name.clone(), true));
         script.failures.push((end.min(length), name, false));
     }
-    script.world.append(&mut list.told);
-    script.asks.sort_by(|a, b| a.at.total_cmp(&b.at));
-    for (item, ask) in script.asks.iter_mut().enumerate() {
-        ask.item = item as u64;
+    script.environment_acts.append(&mut announcements.acts);
+    script.requests.sort_by(|a, b| a.at.total_cmp(&b.at));
+    for (item, request) in script.requests.iter_mut().enumerate() {
+        request.item = item as u64;
     }
-    // Stable sorts: what falls on one moment stays in the order in which it was drawn.
-    script.doors.sort_by(|a, b| a.0.total_cmp(&b.0));
-    script.world.sort_by(|a, b| a.0.total_cmp(&b.0));
-    script.rude.sort_by(f64::total_cmp);
+    // Stable sorts: entries of the same time keep the order in which they were drawn.
+    script.gateway_acts.sort_by(|a, b| a.0.total_cmp(&b.0));
+    script.environment_acts.sort_by(|a, b| a.0.total_cmp(&b.0));
+    script.malformed_clients.sort_by(f64::total_cmp);
     script.failures.sort_by(|a, b| a.0.total_cmp(&b.0));
     script
 }
 
-/// Something that a part of the front doors' surroundings is from `at` on, for a drawn time; tells until when.
-fn on_and_off(
+/// Switches an act on at `at` and off after a drawn time, for a fraction of the gateways. Returns
+/// the time at which it ends.
+fn push_on_and_off(
     script: &mut Script,
-    dice: &mut Dice,
+    random: &mut Random,
     at: Millis,
     for_ms: Range,
-    (doors, part): (usize, f64),
-    act: impl Fn(usize, bool) -> WorldAct,
+    (gateways, fraction): (usize, f64),
+    act: impl Fn(usize, bool) -> EnvironmentAct,
 ) -> Millis {
-    let end = at + dice.within(for_ms);
-    for door in dice.part(doors, part) {
-        script.world.push((at, act(door, true)));
-        script.world.push((end, act(door, false)));
+    let end = at + random.in_range(for_ms);
+    for gateway in random.sample_fraction(gateways, fraction) {
+        script.environment_acts.push((at, act(gateway, true)));
+        script.environment_acts.push((end, act(gateway, false)));
     }
     end
 }
 
-fn strike_name(strike: Strike) -> &'static str {
-    match strike {
-        Strike::Stall => "nodes stall",
-        Strike::ResetBefore => "connections reset at once",
-        Strike::ResetWithin => "connections reset within",
-        Strike::ResetAfter => "connections reset after",
-        Strike::Spoilt => "answers spoilt",
-        Strike::Endless => "answers without end",
-        Strike::FastErrors => "nodes fail fast",
-        Strike::Late => "answers late",
-        Strike::Refuse => "nodes refuse",
-        Strike::Neighbour => "noisy neighbours",
+fn fault_name(fault: BackendFault) -> &'static str {
+    match fault {
+        BackendFault::Stall => "nodes stall",
+        BackendFault::ResetBefore => "connections reset at once",
+        BackendFault::ResetWithin => "connections reset within",
+        BackendFault::ResetAfter => "connections reset after",
+        BackendFault::Spoilt => "answers spoilt",
+        BackendFault::Endless => "answers without end",
+        BackendFault::FastErrors => "nodes fail fast",
+        BackendFault::Late => "answers late",
+        BackendFault::Refuse => "nodes refuse",
+        BackendFault::Neighbour => "noisy neighbours",
     }
 }
 
-/// What agents are told of nodes: each change a drawn time late, and for one node in the order in which it happened; and
-/// what is committed, at once.
-struct Told {
+/// The updates of backends: each is committed at once, and reaches each agent after a drawn delay;
+/// an agent gets the updates of one backend in order.
+struct Announcements {
     seed: u64,
     sources: Sources,
     agent_ms: Range,
-    told: Vec<(Millis, WorldAct)>,
+    acts: Vec<(Millis, EnvironmentAct)>,
     last: Vec<(usize, u32, Millis)>,
-    /// Changes so far.
+    /// Number of changes so far.
     changes: usize,
 }
 
-impl Told {
-    fn tell(
+impl Announcements {
+    fn announce(
         &mut self,
         at: Millis,
-        by: Teller,
-        doors: usize,
-        place: usize,
+        source: DrainSource,
+        gateways: usize,
+        slot: usize,
         node: u32,
         health: record::Health,
     ) {
-        let mut dice = Dice::new(self.seed, 50_000 + (self.changes * doors) as u64);
+        let mut random = Random::new(self.seed, 50_000 + (self.changes * gateways) as u64);
         self.changes += 1;
-        if self.sources == Sources::Agent || by != Teller::Agent {
-            self.told.push((
+        if self.sources == Sources::Agent || source != DrainSource::Agent {
+            self.acts.push((
                 at,
-                WorldAct::Commit {
-                    place,
+                EnvironmentAct::Commit {
+                    place: slot,
                     node,
                     health,
                 },
             ));
         }
-        if self.sources == Sources::Etcd || by == Teller::Etcd {
+        if self.sources == Sources::Etcd || source == DrainSource::Etcd {
             return;
         }
-        for door in 0..doors {
-            let mut when = at + dice.within(self.agent_ms);
+        for gateway in 0..gateways {
+            let mut when = at + random.in_range(self.agent_ms);
             match self
                 .last
                 .iter_mut()
-                .find(|(d, n, _)| (*d, *n) == (door, node))
+                .find(|(known, number, _)| (*known, *number) == (gateway, node))
             {
                 Some((_, _, last)) => {
                     when = when.max(*last + 1.0);
                     *last = when;
                 }
-                None => self.last.push((door, node, when)),
+                None => self.last.push((gateway, node, when)),
             }
-            self.told.push((
+            self.acts.push((
                 when,
-                WorldAct::Tell {
-                    door,
-                    place,
+                EnvironmentAct::Tell {
+                    door: gateway,
+                    place: slot,
                     node,
                     health,
                 },
@@ -801,7 +904,7 @@
     }
 }
 
-/// A customer and how much it asks for.
+/// A customer and its request rate relative to its quota.
 struct Customer {
     number: u64,
     plan: usize,
@@ -811,30 +914,31 @@
 }
 
 fn customers(scenario: &Scenario, seed: u64) -> Vec<Customer> {
-    let mut dice = Dice::new(seed, 2);
+    let mut random = Random::new(seed, 2);
     let mut all = Vec::new();
     for (number, plan) in scenario.plans.iter().enumerate() {
         for _ in 0..plan.customers {
-            let usage = match dice.one() {
-                lot if lot < NEAR => 0.95,
-                lot if lot < NEAR + GREEDY => dice.within([1.5, 4.0]),
-                _ => dice.within(plan.usage),
+            let usage = match random.uniform() {
+                draw if draw < NEAR_QUOTA_SHARE => 0.95,
+                draw if draw < NEAR_QUOTA_SHARE + OVER_QUOTA_SHARE => random.in_range([1.5, 4.0]),
+                _ => random.in_range(plan.usage),
             };
             all.push(Customer {
                 number: all.len() as u64 + 1,
                 plan: number,
                 usage: usage * scenario.load,
-                spread: (dice.within(scenario.spread).round() as u32).clamp(1, scenario.doors),
-                first: (dice.one() * f64::from(scenario.doors)) as u32,
+                spread: (random.in_range(scenario.spread).round() as u32)
+                    .clamp(1, scenario.gateways),
+                first: (random.uniform() * f64::from(scenario.gateways)) as u32,
             });
         }
     }
     all
 }
 
-fn class(scenario: &Scenario, lot: f64) -> usize {
-    let whole: f64 = scenario.classes.iter().map(|class| class.share).sum();
-    let mut left = lot * whole;
+fn draw_class(scenario: &Scenario, draw: f64) -> usize {
+    let total_share: f64 = scenario.classes.iter().map(|class| class.share).sum();
+    let mut left = draw * total_share;
     for (number, class) in scenario.classes.iter().enumerate() {
         if left < class.share {
             return number;
@@ -844,8 +948,8 @@
     0
 }
 
-/// Adds a customer's requests at `times` what it usually asks for.
-fn arrivals(
+/// Adds a customer's requests at `times` its usual rate.
+fn push_arrivals(
     script: &mut Script,
     scenario: &Scenario,
     seed: u64,
@@ -856,26 +960,26 @@
 ) {
     let mean: f64 = UNITS
         .iter()
-        .map(|(units, share)| units.min(scenario.most_units) * share)
+        .map(|(units, share)| units.min(scenario.max_units) * share)
         .sum();
     let per_ms = scenario.plans[customer.plan].rate * customer.usage * times / mean / 1000.0;
     if per_ms <= 0.0 {
         return;
     }
-    let mut dice = Dice::new(seed, 1_000_000 * (stream + 1) + customer.number);
-    let mut when = from + dice.wait(per_ms);
-    while when < to && script.asks.len() < MOST_ASKS {
-        script.asks.push(Ask {
+    let mut random = Random::new(seed, 1_000_000 * (stream + 1) + customer.number);
+    let mut when = from + random.poisson_gap(per_ms);
+    while when < to && script.requests.len() < MAX_REQUESTS {
+        script.requests.push(Ask {
             at: when,
             item: 0,
             customer: customer.number,
             plan: customer.plan,
-            class: class(scenario, dice.one()),
-            units: dice.units(scenario.most_units),
+            class: draw_class(scenario, random.uniform()),
+            units: random.request_units(scenario.max_units),
             spread: customer.spread,
             first: customer.first,
         });
-        when += dice.wait(per_ms);
+        when += random.poisson_gap(per_ms);
     }
 }
 
@@ -884,26 +988,26 @@
         name: class.name.clone(),
         effect: class.effect,
         dedup_window_ms: class.memory_ms,
-        latency_target_ms: class.aim_ms,
-        value: class.worth,
-        late_value_factor: class.late_worth,
+        latency_target_ms: class.latency_target_ms,
+        value: class.value,
+        late_value_factor: class.late_value_factor,
         auth_optional: scenario
             .checks
             .as_ref()
-            .is_some_and(|checks| checks.open.contains(&class.name)),
+            .is_some_and(|checks| checks.auth_optional_classes.contains(&class.name)),
     };
     let plan = |plan: &crate::scenario::Plan| record::Plan {
         name: plan.name.clone(),
         rate: plan.rate,
         burst: plan.burst,
         value_factor: plan.price,
-        rate_limit: (plan.ceiling_rate > 0.0).then_some(RateLimit {
-            rate: plan.ceiling_rate,
-            burst: plan.ceiling_burst,
-            slack: plan.ceiling_slack,
+        rate_limit: (plan.rate_limit_rate > 0.0).then_some(RateLimit {
+            rate: plan.rate_limit_rate,
+            burst: plan.rate_limit_burst,
+            slack: plan.rate_limit_slack,
         }),
     };
-    let most_work = scenario
+    let max_work_ms = scenario
         .classes
         .iter()
         .map(|class| class.work_ms[1])
@@ -912,12 +1016,13 @@
         version: record::VERSION,
         scenario: scenario.name.clone(),
         seed,
-        proxies: scenario.doors,
+        proxies: scenario.gateways,
         classes: scenario.classes.iter().map(class).collect(),
         plans: scenario.plans.iter().map(plan).collect(),
-        // Two of the largest requests may come by chance.
+        // Two of the largest requests may arrive together by chance.
         rules: Rules {
-            // A check that is out when the credential is revoked may bring its pass later, which is kept from then on.
+            // A check in flight when the credential is revoked may still return a pass, which is
+            // cached from then on.
             revocation_grace_ms: scenario
                 .checks
                 .as_ref()
@@ -926,37 +1031,37 @@
                 .sharing
                 .as_ref()
                 .map_or(0.0, |sharing| sharing.error_ms),
-            ..Rules::platform(2.0 * scenario.most_units / USUAL_UNITS * most_work)
+            ..Rules::platform(2.0 * scenario.max_units / USUAL_UNITS * max_work_ms)
         },
     }
 }
 
 impl Script {
-    /// The script as text: what `maplefall-rehearse script` prints, a line for each act.
+    /// Formats the script as `maplefall-rehearse script` prints it, one line for each entry.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
-        // A string takes any text; the errors are those of a writer that can fail.
+        // Writing to a string does not fail.
         let _ = writeln!(text, "{:?}", HeaderText(&self.header));
-        let _ = writeln!(text, "length {:?} places {}", self.length, self.places);
+        let _ = writeln!(text, "length {:?} places {}", self.length, self.slots);
         let _ = writeln!(
             text,
             "notice {:?} meter {:?}",
             self.notice_ms, self.meter_delay_ms
         );
-        self.failures.iter().for_each(|line| {
-            let _ = writeln!(text, "failure {line:?}");
+        self.failures.iter().for_each(|entry| {
+            let _ = writeln!(text, "failure {entry:?}");
         });
-        self.doors.iter().for_each(|line| {
-            let _ = writeln!(text, "door {line:?}");
+        self.gateway_acts.iter().for_each(|entry| {
+            let _ = writeln!(text, "door {entry:?}");
         });
-        self.world.iter().for_each(|line| {
-            let _ = writeln!(text, "world {line:?}");
+        self.environment_acts.iter().for_each(|entry| {
+            let _ = writeln!(text, "world {entry:?}");
         });
-        self.rude.iter().for_each(|line| {
-            let _ = writeln!(text, "rude {line:?}");
+        self.malformed_clients.iter().for_each(|entry| {
+            let _ = writeln!(text, "rude {entry:?}");
         });
-        self.asks.iter().for_each(|line| {
-            let _ = writeln!(text, "ask {line:?}");
+        self.requests.iter().for_each(|entry| {
+            let _ = writeln!(text, "ask {entry:?}");
         });
         text
     }
@@ -971,7 +1076,7 @@
         [[event]]\nwhat = \"one_shots\"\nat_ms = 2000\n[[event]]\nwhat = \"neighbour\"\nat_ms = 2000\n";
 
     #[test]
-    fn the_same_seed_gives_the_same_script_and_another_another() {
+    fn equal_seeds_give_equal_scripts_and_different_seeds_different_ones() {
         let scenario = Scenario::read("x", TEXT).unwrap();
         let texts: Vec<String> = [5, 5, 6].map(|seed| draw(&scenario, seed).to_text()).into();
         assert_eq!(texts[0], texts[1]);
@@ -979,17 +1084,20 @@
     }
 
     #[test]
-    fn a_node_is_told_in_the_order_of_what_happened_to_it() {
+    fn agents_get_the_updates_of_a_backend_in_order() {
         let scenario = Scenario::read("x", TEXT).unwrap();
         for seed in 0..20 {
             let script = draw(&scenario, seed);
             let mut last: std::collections::BTreeMap<(usize, u32), Millis> = Default::default();
-            for (at, act) in &script.world {
-                if let WorldAct::Tell {
-                    door, node, health, ..
+            for (at, act) in &script.environment_acts {
+                if let EnvironmentAct::Tell {
+                    door: gateway,
+                    node,
+                    health,
+                    ..
                 } = act
                 {
-                    let before = last.insert((*door, *node), *at);
+                    let before = last.insert((*gateway, *node), *at);
                     assert!(before.is_none_or(|before| before < *at), "seed {seed}");
                     assert_eq!(
                         before.is_some(),
@@ -998,9 +1106,16 @@
                     );
                 }
             }
-            assert!(script.asks.windows(2).all(|pair| pair[0].at <= pair[1].at));
+            assert!(script
+                .requests
+                .windows(2)
+                .all(|pair| pair[0].at <= pair[1].at));
             assert!(
-                !script.doors.is_empty() && script.asks.iter().all(|ask| ask.at < script.length)
+                !script.gateway_acts.is_empty()
+                    && script
+                        .requests
+                        .iter()
+                        .all(|request| request.at < script.length)
             );
         }
     }
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -23,28 +23,28 @@
             Effect::Keyed => "keyed",
             Effect::Unsafe => "unsafe",
         };
-        json!({"name": class.name, "aim": class.aim_ms, "give_up": class.give_up_ms, "credit": class.worth,
-            "late_worth": class.late_worth, "idempotency": effect, "group": "all",
+        json!({"name": class.name, "aim": class.latency_target_ms, "give_up": class.give_up_ms, "credit": class.value,
+            "late_worth": class.late_value_factor, "idempotency": effect, "group": "all",
             "memory_span": class.memory_ms, "streaming": false})
     };
     let plan = |plan: &Plan| {
         json!({"name": plan.name, "per_second": plan.rate, "peak_units": plan.burst, "max_out": plan.max_out,
             "pays": plan.price, "excess_worth": 0.0, "over_cost": plan.over_cost,
-            "cap_rate": plan.ceiling_rate, "never_over_depth": plan.ceiling_burst,
-            "hard_slack": if plan.ceiling_rate > 0.0 { plan.ceiling_slack } else { 0.0 }})
+            "cap_rate": plan.rate_limit_rate, "never_over_depth": plan.rate_limit_burst,
+            "hard_slack": if plan.rate_limit_rate > 0.0 { plan.rate_limit_slack } else { 0.0 }})
     };
     json!({
-        "fleet_size": scenario.doors, "me": me, "my_zone": 0, "zones": ["z-1"], "tick": 2.0,
+        "fleet_size": scenario.gateways, "me": me, "my_zone": 0, "zones": ["z-1"], "tick": 2.0,
         "registry_mode": "pushed", "weights": "off",
         "grades": scenario.classes.iter().map(class).collect::<Vec<_>>(),
         "plans": scenario.plans.iter().map(plan).collect::<Vec<_>>(),
-        "extra": {"max_units": scenario.most_units, "meter": METER_MS, "cost_after": true, "has_counter": false},
+        "extra": {"max_units": scenario.max_units, "meter": METER_MS, "cost_after": true, "has_counter": false},
         "policy_limits": {"send_cap": rules.max_attempts, "second_copies": false, "cancel": true,
             "probes": false, "peers": false, "retry_after": true, "max_retry_after": MOST_WAIT_MS,
             "dial_timeout": 250.0, "idle_close": IDLE_MS},
         "report": {"names": [], "via": "off"},
         "rules": {"answer_slack": rules.response_slack_ms, "stop_sending_within": rules.drain_grace_ms,
-            "start_capacity": scenario.cold_from, "warm_up": scenario.cold_ms,
+            "start_capacity": scenario.initial_capacity, "warm_up": scenario.warmup_ms,
             "overload_factor": rules.overload_factor, "fall": rules.overload_window_ms},
     })
 }
@@ -78,7 +78,7 @@
         checks.keep_ms
     );
     for class in &scenario.classes {
-        let mode = if checks.open.contains(&class.name) {
+        let mode = if checks.auth_optional_classes.contains(&class.name) {
             "open"
         } else {
             "closed"
