--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -21,7 +21,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use maplefall_event_trace::Trace;
 use maplefall_invariants::{Evaluation, Verdict};
-use play::Play;
+use play::Run;
 use prove::{Proof, PROOFS};
 use scenario::Scenario;
 use std::path::{Path, PathBuf};
@@ -306,21 +306,21 @@
     folder: PathBuf,
 ) -> Result<Trace, String> {
     let script = script::draw(scenario, seed);
-    let bar = ProgressBar::new((script.length + play::AFTER) as u64);
+    let bar = ProgressBar::new((script.length + play::AFTER_LAST_REQUEST_MS) as u64);
     let style = ProgressStyle::with_template("{prefix} {wide_bar} {elapsed}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.set_prefix(scenario.name.clone());
     bar.enable_steady_tick(Duration::from_millis(250));
     let progress = |at: f64| bar.set_position(at as u64);
-    let play = Play {
+    let run = Run {
         scenario,
         script: &script,
         daemon,
         breakage,
-        folder,
+        directory: folder,
         progress: &progress,
     };
-    let record = play.play().map_err(plainly);
+    let record = run.run().map_err(plainly);
     bar.finish_and_clear();
     record
 }
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -1,5 +1,5 @@
-//! Plays a script: the nodes and agents on one thread, the clients on another, and the front doors as processes of the
-//! built daemon, driven from here. What all of them see goes into one record.
+//! Runs a script: backends and agents on one thread, clients on another, and gateways as processes
+//! of the built program, controlled from here. All observations go into one record.
 
 use crate::daemon::{healthy, own_address, Door, Files};
 use crate::etcd_world::EtcdWorld;
@@ -32,251 +32,267 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Longest time for a front door to become ready.
-const READY: Duration = Duration::from_secs(20);
-/// Longest time for one to end after it was told to stop: the longest deadline of the platform and its 0.7 s, widely.
-const STOP: Duration = Duration::from_secs(15);
-/// How long an agent that has moved keeps its old connections (later-work page).
+/// Maximum time for a gateway to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum time for a gateway to end after SIGTERM: the platform's longest deadline and its 0.7 s,
+/// with a wide margin.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long an agent keeps its old connections after its address has changed (later-work page).
 const MOVE_GRACE: Duration = Duration::from_millis(1500);
-/// How long the front opens new connections to a front door that was told to stop (protocol page: 0.2 to 0.4 s).
-const STOP_MS: Millis = 300.0;
-/// How often the driver looks round.
-const LOOK: Duration = Duration::from_millis(5);
-/// Time after the last request in which its retries and answers come.
-pub const AFTER: Millis = 3500.0;
+/// How long the load balancer opens new connections to a gateway after SIGTERM (protocol page: 0.2
+/// to 0.4 s).
+const NEW_CONNECTIONS_AFTER_STOP_MS: Millis = 300.0;
+/// Poll interval of the driver.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time allowed after the last request for its retries and responses.
+pub const AFTER_LAST_REQUEST_MS: Millis = 3500.0;
 
-/// Why a scenario could not be played.
+/// Reason why a scenario could not be run.
 #[derive(Debug, thiserror::Error)]
-pub enum NotPlayed {
-    /// The system refused something.
+pub enum RunError {
+    /// An I/O operation failed.
     #[error("{what}: {error}")]
     Io {
-        /// What was tried.
+        /// The operation.
         what: String,
-        /// What the system said.
+        /// The error.
         error: io::Error,
     },
-    /// A front door did not become ready.
-    #[error("front door {door} ended before it was ready, or was not within {READY:?}; its log ends: {log}")]
+    /// A gateway did not become ready.
+    #[error("front door {gateway} ended before it was ready, or was not within {READY_TIMEOUT:?}; its log ends: {log}")]
     NotReady {
-        /// Which.
-        door: usize,
-        /// The end of its log.
+        /// Index of the gateway.
+        gateway: usize,
+        /// Last line of its log.
         log: String,
     },
-    /// A thread of stand-ins ended early.
-    #[error("the stand-ins' {0} ended early")]
-    StandIn(&'static str),
-    /// More was seen than a record holds.
-    #[error("{0} lines found no room in the record: a shorter or smaller scenario is needed")]
+    /// A thread of the test servers or clients ended early.
+    #[error("the test servers' thread for {0} ended early")]
+    ThreadEnded(&'static str),
+    /// There were more events than a record holds.
+    #[error("the record overflowed by {0} events: use a shorter or smaller scenario")]
     Overflow(u64),
 }
 
-/// What the network does to counts, with these pairs cut off from one another.
-fn weather(sharing: &Sharing, cut: &[(usize, usize)]) -> NetworkConditions {
+/// Network conditions of shared counts, with the given (from, to) pairs partitioned.
+fn network_conditions(sharing: &Sharing, partitioned: &[(usize, usize)]) -> NetworkConditions {
     let delay_ms = (sharing.delay_ms[0], sharing.delay_ms[1]);
     NetworkConditions {
         loss: sharing.loss,
         duplicated: sharing.loss / 3.0,
         delay_ms,
-        partitions: cut.iter().copied().collect(),
+        partitions: partitioned.iter().copied().collect(),
     }
 }
 
-fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> NotPlayed {
+fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> RunError {
     let what = what.into();
-    |error| NotPlayed::Io { what, error }
+    |error| RunError::Io { what, error }
 }
 
-/// What is played, with what, and where.
-pub struct Play<'a> {
+/// A run of a scenario.
+pub struct Run<'a> {
     /// The scenario.
     pub scenario: &'a Scenario,
     /// Its script.
     pub script: &'a Script,
-    /// The daemon.
+    /// Path of the gateway program.
     pub daemon: &'a Path,
-    /// A breakage to name to it.
+    /// Breakage to enable in the program.
     pub breakage: Option<&'a str>,
-    /// Where configurations and logs go; made if it is not there.
-    pub folder: PathBuf,
-    /// Told the time of the script in milliseconds now and then.
+    /// Directory for configurations and logs; created if missing.
+    pub directory: PathBuf,
+    /// Called periodically with the script's time in milliseconds.
     pub progress: &'a dyn Fn(Millis),
 }
 
-/// One front door and all that its driver knows of it.
-struct Slot {
+/// A gateway and the driver's state for it.
+struct Gateway {
     files: Files,
     listen: SocketAddr,
     discovery: SocketAddr,
     list: List,
-    door: Option<Door>,
-    life: u64,
-    /// Whether its end is expected, and after how long it is to come back.
+    process: Option<Door>,
+    instance: u64,
+    /// Set once the process has been told to stop: time from its end to its restart.
     stopping: Option<Millis>,
     restart_at: Option<Millis>,
     ready_by: Option<Instant>,
 }
 
-impl Play<'_> {
-    /// Plays the script to its end.
+impl Run<'_> {
+    /// Runs the script to its end.
     ///
     /// # Errors
-    /// Why it could not be played; a front door that misbehaves is no reason.
-    pub fn play(&self) -> Result<Trace, NotPlayed> {
+    /// Returns why the script could not be run. A gateway that misbehaves is not an error.
+    pub fn run(&self) -> Result<Trace, RunError> {
         let (scenario, script) = (self.scenario, self.script);
-        std::fs::create_dir_all(&self.folder)
-            .map_err(io_error(format!("the folder {}", self.folder.display())))?;
+        std::fs::create_dir_all(&self.directory).map_err(io_error(format!(
+            "the directory {}",
+            self.directory.display()
+        )))?;
         let recorder = Recorder::new();
         let lateness = Lateness::default();
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let unix_start = unix.as_secs_f64() * 1000.0 - recorder.now();
-        let doors = scenario.gateways as usize;
+        let gateway_count = scenario.gateways as usize;
         let etcd = scenario.sources != Sources::Agent;
-        let play = PLAYS.fetch_add(1, Ordering::Relaxed);
+        let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let port = || TcpListener::bind("127.0.0.1:0");
-        let mut places = Vec::new();
+        let mut backend_slots = Vec::new();
         for _ in 0..script.slots {
-            places.push(Listeners::open(doors).map_err(io_error("listeners for nodes"))?);
+            backend_slots
+                .push(Listeners::open(gateway_count).map_err(io_error("listeners for backends"))?);
         }
-        // Agents: one address to begin with, and one to move to.
-        let mut agents_at = Vec::new();
-        let mut slots = Vec::new();
-        let mut etcd_at = Vec::new();
-        let mut auth_at = Vec::new();
+        // Each agent has an initial address and one to move to.
+        let mut agent_listeners = Vec::new();
+        let mut gateways = Vec::new();
+        let mut etcd_listeners = Vec::new();
+        let mut auth_listeners = Vec::new();
         for _ in 0..scenario.checks.as_ref().map_or(0, |checks| checks.servers) {
-            auth_at.push(port().map_err(io_error("a listener for authentication"))?);
+            auth_listeners.push(port().map_err(io_error("a listener for authentication"))?);
         }
-        let auth_addresses: Vec<SocketAddr> = auth_at
+        let auth_addresses: Vec<SocketAddr> = auth_listeners
             .iter()
             .filter_map(|listener| listener.local_addr().ok())
             .collect();
         let relay = match &scenario.sharing {
             Some(sharing) => {
-                let relay = Relay::new(doors, script.header.seed)
-                    .map_err(io_error("a network for counts"))?;
-                relay.set_conditions(weather(sharing, &[]));
+                let relay = Relay::new(gateway_count, script.header.seed)
+                    .map_err(io_error("a network relay for shared counts"))?;
+                relay.set_conditions(network_conditions(sharing, &[]));
                 Some(relay)
             }
             None => None,
         };
-        for door in 0..doors {
-            let two = [port(), port()].map(|listener| {
+        for index in 0..gateway_count {
+            let listeners = [port(), port()].map(|listener| {
                 let listener = listener?;
                 listener.set_nonblocking(true)?;
                 Ok(listener)
             });
             let [first, second] =
-                two.map(|listener| listener.map_err(io_error("listeners for agents")));
+                listeners.map(|listener| listener.map_err(io_error("listeners for agents")));
             let (first, second) = (first?, second?);
             let local = |listener: &TcpListener| {
                 listener
                     .local_addr()
                     .map_err(io_error("the address of an agent"))
             };
-            let member =
-                |node: u32| member(places[node as usize].address(door), node, Health::Up, 0.0);
+            let member = |node: u32| {
+                member(
+                    backend_slots[node as usize].address(index),
+                    node,
+                    Health::Up,
+                    0.0,
+                )
+            };
             let list = List::new((0..scenario.backends).map(member));
-            let mut files = Files::new(&self.folder, door);
+            let mut files = Files::new(&self.directory, index);
             if etcd {
                 let listener = port().map_err(io_error("a listener for etcd"))?;
-                if let Some(text) = settings::sources(scenario.sources, local(&listener)?, door) {
-                    let path = self.folder.join(format!("door-{door}-sources.toml"));
+                if let Some(text) = settings::sources(scenario.sources, local(&listener)?, index) {
+                    let path = self.directory.join(format!("door-{index}-sources.toml"));
                     std::fs::write(&path, text).map_err(io_error("a file of sources"))?;
                     files.sources = Some(path);
                 }
-                etcd_at.push(listener);
+                etcd_listeners.push(listener);
             }
             if let Some(text) = settings::forward_auth(scenario, &auth_addresses) {
-                let path = self.folder.join(format!("door-{door}-auth.toml"));
+                let path = self.directory.join(format!("door-{index}-auth.toml"));
                 std::fs::write(&path, text)
                     .map_err(io_error("a file of forward authentication"))?;
                 files.forward_auth = Some(path);
             }
-            let listen = own_address(std::process::id(), play, door);
+            let listen = own_address(std::process::id(), run, index);
             if let Some(relay) = &relay {
-                relay.set_destination(door, listen);
+                relay.set_destination(index, listen);
                 if let Some(text) =
-                    settings::shared_counts(scenario, listen, door, &relay.addresses)
+                    settings::shared_counts(scenario, listen, index, &relay.addresses)
                 {
-                    let path = self.folder.join(format!("door-{door}-counts.toml"));
+                    let path = self.directory.join(format!("door-{index}-counts.toml"));
                     std::fs::write(&path, text).map_err(io_error("a file of shared counts"))?;
                     files.shared_counts = Some(path);
                 }
             }
-            slots.push(Slot {
+            gateways.push(Gateway {
                 files,
                 listen,
                 discovery: local(&first)?,
                 list: list.clone(),
-                door: None,
-                life: 0,
+                process: None,
+                instance: 0,
                 stopping: None,
                 restart_at: None,
                 ready_by: None,
             });
-            agents_at.push((first, local(&second)?, second, list));
+            agent_listeners.push((first, local(&second)?, second, list));
         }
-        let moved: Vec<SocketAddr> = agents_at.iter().map(|(_, moved, _, _)| *moved).collect();
-        let board = GatewayStates::new(doors);
-        let addresses: Vec<SocketAddr> = slots.iter().map(|slot| slot.listen).collect();
+        let new_agent_addresses: Vec<SocketAddr> = agent_listeners
+            .iter()
+            .map(|(_, new_address, _, _)| *new_address)
+            .collect();
+        let gateway_states = GatewayStates::new(gateway_count);
+        let addresses: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.listen).collect();
         let stop = Arc::new(AtomicBool::new(false));
-        // Set once all front doors are ready: the moment from which the script counts.
-        let (start_world, world_starts) = tokio::sync::oneshot::channel::<Millis>();
+        // Sent once all gateways are ready: the time zero of the script.
+        let (start_environment, environment_start) = tokio::sync::oneshot::channel::<Millis>();
         let (start_clients, clients_start) = tokio::sync::oneshot::channel::<Millis>();
         std::thread::scope(|scope| {
-            let nodes = {
+            let environment = {
                 let (recorder, lateness, stop) = (recorder.clone(), lateness.clone(), stop.clone());
                 scope.spawn(move || {
-                    on_a_runtime(play_world(
+                    block_on_local(run_environment(
                         scenario,
                         script,
                         recorder,
                         lateness,
                         unix_start,
-                        places,
-                        agents_at,
-                        etcd_at,
-                        auth_at,
-                        world_starts,
+                        backend_slots,
+                        agent_listeners,
+                        etcd_listeners,
+                        auth_listeners,
+                        environment_start,
                         stop,
                     ))
                 })
             };
             let clients = {
-                let (recorder, lateness, board) =
-                    (recorder.clone(), lateness.clone(), board.clone());
+                let (recorder, lateness, gateway_states) =
+                    (recorder.clone(), lateness.clone(), gateway_states.clone());
                 scope.spawn(move || {
-                    on_a_runtime(play_clients(
+                    block_on_local(run_clients(
                         scenario,
                         script,
                         recorder,
                         lateness,
                         addresses,
-                        board,
+                        gateway_states,
                         clients_start,
                     ))
                 })
             };
-            let driven = self.drive(
+            let result = self.drive(
                 &recorder,
-                &board,
+                &gateway_states,
                 unix_start,
-                &mut slots,
-                &moved,
+                &mut gateways,
+                &new_agent_addresses,
                 relay.as_ref(),
-                start_world,
+                start_environment,
                 start_clients,
                 &clients,
             );
             stop.store(true, Ordering::Relaxed);
             let clients = clients.join().unwrap_or(Err(io::ErrorKind::Other.into()));
-            let nodes = nodes.join().unwrap_or(Err(io::ErrorKind::Other.into()));
-            driven?;
-            clients.map_err(|_| NotPlayed::StandIn("clients"))?;
-            nodes.map_err(|_| NotPlayed::StandIn("nodes"))
+            let environment = environment
+                .join()
+                .unwrap_or(Err(io::ErrorKind::Other.into()));
+            result?;
+            clients.map_err(|_| RunError::ThreadEnded("clients"))?;
+            environment.map_err(|_| RunError::ThreadEnded("backends"))
         })?;
         recorder.record(lateness.entry());
         match recorder.dropped() {
@@ -284,34 +300,34 @@
                 header: script.header.clone(),
                 events: recorder.take_events(),
             }),
-            dropped => Err(NotPlayed::Overflow(dropped)),
+            dropped => Err(RunError::Overflow(dropped)),
         }
     }
 
-    /// Starts the front doors, carries out what is done to them, and ends them.
+    /// Starts the gateways, carries out the script's actions on them, and stops them.
     #[allow(clippy::too_many_arguments)]
     fn drive<T>(
         &self,
         recorder: &Recorder,
-        board: &GatewayStates,
+        gateway_states: &GatewayStates,
         unix_start: Millis,
-        slots: &mut [Slot],
-        moved: &[SocketAddr],
+        gateways: &mut [Gateway],
+        new_agent_addresses: &[SocketAddr],
         relay: Option<&Relay>,
-        start_world: tokio::sync::oneshot::Sender<Millis>,
+        start_environment: tokio::sync::oneshot::Sender<Millis>,
         start_clients: tokio::sync::oneshot::Sender<Millis>,
         clients: &std::thread::ScopedJoinHandle<'_, T>,
-    ) -> Result<(), NotPlayed> {
-        for door in 0..slots.len() {
-            self.start(recorder, unix_start, slots, door)?;
+    ) -> Result<(), RunError> {
+        for index in 0..gateways.len() {
+            self.start(recorder, unix_start, gateways, index)?;
         }
-        while slots.iter().any(|slot| slot.ready_by.is_some()) {
-            self.look(recorder, board, unix_start, slots)?;
-            std::thread::sleep(LOOK);
+        while gateways.iter().any(|gateway| gateway.ready_by.is_some()) {
+            self.poll(recorder, gateway_states, unix_start, gateways)?;
+            std::thread::sleep(POLL_INTERVAL);
         }
         let zero = recorder.now() + 100.0;
-        // A thread that has ended is found when it is joined.
-        let _ = start_world.send(zero);
+        // A thread that has ended is detected when it is joined.
+        let _ = start_environment.send(zero);
         let _ = start_clients.send(zero);
         let mut acts = self.script.gateway_acts.iter().peekable();
         let mut failures = self.script.failures.iter().peekable();
@@ -323,45 +339,52 @@
                     is_start: *begins,
                 });
             }
-            while let Some((_, door, act)) = acts.next_if(|(at, _, _)| *at <= now) {
+            while let Some((_, index, act)) = acts.next_if(|(at, _, _)| *at <= now) {
                 match (act, relay, &self.scenario.sharing) {
                     (GatewayAct::Cut(pairs), Some(relay), Some(sharing)) => {
-                        relay.set_conditions(weather(sharing, pairs))
+                        relay.set_conditions(network_conditions(sharing, pairs))
                     }
-                    _ => self.act(recorder, board, slots, moved, *door, act)?,
+                    _ => self.act(
+                        recorder,
+                        gateway_states,
+                        gateways,
+                        new_agent_addresses,
+                        *index,
+                        act,
+                    )?,
                 }
             }
-            self.look(recorder, board, unix_start, slots)?;
+            self.poll(recorder, gateway_states, unix_start, gateways)?;
             (self.progress)(now.max(0.0));
-            let idle = slots
+            let idle = gateways
                 .iter()
-                .all(|slot| slot.restart_at.is_none() && slot.ready_by.is_none());
+                .all(|gateway| gateway.restart_at.is_none() && gateway.ready_by.is_none());
             if clients.is_finished() && acts.peek().is_none() && idle && now >= self.script.length {
                 break;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        for (door, slot) in slots.iter_mut().enumerate() {
-            if let Some(process) = &slot.door {
+        for (index, gateway) in gateways.iter_mut().enumerate() {
+            if let Some(process) = &gateway.process {
                 recorder.record(EventKind::Proxy {
-                    proxy: door as u32,
+                    proxy: index as u32,
                     state: ProxyState::Terminated,
                 });
                 process.terminate();
-                slot.stopping = Some(f64::INFINITY);
+                gateway.stopping = Some(f64::INFINITY);
             }
         }
-        let end = Instant::now() + STOP;
-        while slots.iter().any(|slot| slot.door.is_some()) && Instant::now() < end {
-            self.look(recorder, board, unix_start, slots)?;
-            std::thread::sleep(LOOK);
+        let end = Instant::now() + STOP_TIMEOUT;
+        while gateways.iter().any(|gateway| gateway.process.is_some()) && Instant::now() < end {
+            self.poll(recorder, gateway_states, unix_start, gateways)?;
+            std::thread::sleep(POLL_INTERVAL);
         }
-        for (door, slot) in slots.iter_mut().enumerate() {
-            if let Some(mut process) = slot.door.take() {
+        for (index, gateway) in gateways.iter_mut().enumerate() {
+            if let Some(mut process) = gateway.process.take() {
                 process.kill();
-                // It was told to stop and did not: that is an end by a signal of nobody's script.
+                // It did not end after SIGTERM: recorded as ended by a signal that no script sent.
                 recorder.record(EventKind::Proxy {
-                    proxy: door as u32,
+                    proxy: index as u32,
                     state: ProxyState::Ended { code: None },
                 });
             }
@@ -369,19 +392,20 @@
         Ok(())
     }
 
-    /// Writes a front door's configuration; tells the list that stands in it.
-    fn configure(&self, slot: &Slot, door: usize) -> Result<Members, NotPlayed> {
-        let known = slot.list.snapshot();
+    /// Writes a gateway's configuration. Returns the list of backends in it.
+    fn configure(&self, gateway: &Gateway, index: usize) -> Result<Members, RunError> {
+        let known = gateway.list.snapshot();
         let config = settings::config(
             self.scenario,
             self.script,
-            door,
-            slot.listen,
-            slot.discovery,
+            index,
+            gateway.listen,
+            gateway.discovery,
             Some(&known).filter(|_| self.scenario.sources != Sources::Etcd),
-            slot.life,
+            gateway.instance,
         );
-        slot.files
+        gateway
+            .files
             .write(&config.to_string())
             .map_err(io_error("a configuration"))?;
         Ok(known)
@@ -391,67 +415,67 @@
         &self,
         recorder: &Recorder,
         unix_start: Millis,
-        slots: &mut [Slot],
-        door: usize,
-    ) -> Result<(), NotPlayed> {
-        let Some(slot) = slots.get_mut(door) else {
+        gateways: &mut [Gateway],
+        index: usize,
+    ) -> Result<(), RunError> {
+        let Some(gateway) = gateways.get_mut(index) else {
             return Ok(());
         };
-        slot.life += 1;
-        let known = self.configure(slot, door)?;
+        gateway.instance += 1;
+        let known = self.configure(gateway, index)?;
         recorder.record(EventKind::Proxy {
-            proxy: door as u32,
+            proxy: index as u32,
             state: ProxyState::Started,
         });
         if self.scenario.sources != Sources::Etcd {
-            agent::record_update(recorder, door as u32, &known, unix_start);
+            agent::record_update(recorder, index as u32, &known, unix_start);
         }
         let started = Door::start(
             self.daemon,
-            &slot.files,
-            door,
-            slot.listen,
-            slot.discovery,
+            &gateway.files,
+            index,
+            gateway.listen,
+            gateway.discovery,
             self.breakage,
         );
-        slot.door =
+        gateway.process =
             Some(started.map_err(io_error(format!("the daemon {}", self.daemon.display())))?);
-        (slot.stopping, slot.restart_at) = (None, None);
-        slot.ready_by = Some(Instant::now() + READY);
+        (gateway.stopping, gateway.restart_at) = (None, None);
+        gateway.ready_by = Some(Instant::now() + READY_TIMEOUT);
         Ok(())
     }
 
     fn act(
         &self,
         recorder: &Recorder,
-        board: &GatewayStates,
-        slots: &mut [Slot],
-        moved: &[SocketAddr],
-        door: usize,
+        gateway_states: &GatewayStates,
+        gateways: &mut [Gateway],
+        new_agent_addresses: &[SocketAddr],
+        index: usize,
         act: &GatewayAct,
-    ) -> Result<(), NotPlayed> {
-        let Some(slot) = slots.get_mut(door) else {
+    ) -> Result<(), RunError> {
+        let Some(gateway) = gateways.get_mut(index) else {
             return Ok(());
         };
-        let Some(process) = &mut slot.door else {
+        let Some(process) = &mut gateway.process else {
             return Ok(());
         };
-        let number = door as u32;
-        let left = |told| {
-            let left = Some((recorder.now(), told));
-            board.set(door, GatewayState { ready: true, left });
+        let number = index as u32;
+        let set_left = |terminated| {
+            let left = Some((recorder.now(), terminated));
+            gateway_states.set(index, GatewayState { ready: true, left });
         };
         match act {
             GatewayAct::Kill(down) => {
                 let down = *down;
                 let (cpu_ms, memory_kib) = process.used();
-                // Before the signal: what is lost from here on is the killer's doing.
+                // Recorded before the signal: what is lost from here on is due to the kill.
                 recorder.record(EventKind::Proxy {
                     proxy: number,
                     state: ProxyState::Killed,
                 });
                 process.kill();
-                left(false);
+                set_left(false);
                 recorder.record(EventKind::Proxy {
                     proxy: number,
                     state: ProxyState::Ended { code: None },
@@ -461,8 +485,8 @@
                     cpu_ms,
                     memory_kib,
                 });
-                (slot.door, slot.ready_by) = (None, None);
-                slot.restart_at = Some(recorder.now() + down);
+                (gateway.process, gateway.ready_by) = (None, None);
+                gateway.restart_at = Some(recorder.now() + down);
             }
             GatewayAct::Stop(down) => {
                 recorder.record(EventKind::Proxy {
@@ -470,18 +494,18 @@
                     state: ProxyState::Terminated,
                 });
                 process.terminate();
-                left(true);
-                slot.stopping = Some(*down);
+                set_left(true);
+                gateway.stopping = Some(*down);
             }
             GatewayAct::Cut(_) => {}
             GatewayAct::Reload => {
-                slot.discovery = moved[door];
-                self.configure(slot, door)?;
+                gateway.discovery = new_agent_addresses[index];
+                self.configure(gateway, index)?;
                 recorder.record(EventKind::Proxy {
                     proxy: number,
                     state: ProxyState::Reloaded,
                 });
-                if let Some(process) = &slot.door {
+                if let Some(process) = &gateway.process {
                     process.reload();
                 }
             }
@@ -489,25 +513,26 @@
         Ok(())
     }
 
-    /// Sees who has become ready, who has ended, and who is due to come back.
-    fn look(
+    /// Polls the gateways: notices which are ready or have ended, and restarts those that are due.
+    fn poll(
         &self,
         recorder: &Recorder,
-        board: &GatewayStates,
+        gateway_states: &GatewayStates,
         unix_start: Millis,
-        slots: &mut [Slot],
-    ) -> Result<(), NotPlayed> {
-        for door in 0..slots.len() {
-            let slot = &mut slots[door];
-            let number = door as u32;
-            if let Some(process) = &mut slot.door {
+        gateways: &mut [Gateway],
+    ) -> Result<(), RunError> {
+        for index in 0..gateways.len() {
+            let gateway = &mut gateways[index];
+            let number = index as u32;
+            if let Some(process) = &mut gateway.process {
                 let (cpu_ms, memory_kib) = process.used();
                 if let Some(status) = process.ended() {
-                    // One that never served says nothing of the rules: its configuration or address is no good.
-                    if slot.life == 1 && slot.ready_by.is_some() {
-                        return Err(NotPlayed::NotReady {
-                            door,
-                            log: slot.files.last_line(),
+                    // A gateway that ends before it is ready for the first time has a bad
+                    // configuration or address; that is no verdict on the rules.
+                    if gateway.instance == 1 && gateway.ready_by.is_some() {
+                        return Err(RunError::NotReady {
+                            gateway: index,
+                            log: gateway.files.last_line(),
                         });
                     }
                     let state = ProxyState::Ended {
@@ -522,43 +547,43 @@
                         cpu_ms,
                         memory_kib,
                     });
-                    slot.door = None;
-                    slot.ready_by = None;
-                    board.set(
-                        door,
+                    gateway.process = None;
+                    gateway.ready_by = None;
+                    gateway_states.set(
+                        index,
                         GatewayState {
                             ready: true,
                             left: Some((recorder.now(), false)),
                         },
                     );
-                    // One that ended by itself comes back too, as a supervisor would have it.
-                    let down = slot.stopping.unwrap_or(1000.0);
-                    slot.restart_at = down.is_finite().then_some(recorder.now() + down);
+                    // A gateway that ended by itself is restarted too, as a supervisor would do.
+                    let down = gateway.stopping.unwrap_or(1000.0);
+                    gateway.restart_at = down.is_finite().then_some(recorder.now() + down);
                     continue;
                 }
             }
-            if slot.restart_at.is_some_and(|at| recorder.now() >= at) {
-                self.start(recorder, unix_start, slots, door)?;
+            if gateway.restart_at.is_some_and(|at| recorder.now() >= at) {
+                self.start(recorder, unix_start, gateways, index)?;
                 continue;
             }
-            if let Some(by) = slot.ready_by {
-                if healthy(slot.listen) {
-                    slot.ready_by = None;
+            if let Some(by) = gateway.ready_by {
+                if healthy(gateway.listen) {
+                    gateway.ready_by = None;
                     recorder.record(EventKind::Proxy {
                         proxy: number,
                         state: ProxyState::Ready,
                     });
-                    board.set(
-                        door,
+                    gateway_states.set(
+                        index,
                         GatewayState {
                             ready: true,
                             left: None,
                         },
                     );
                 } else if Instant::now() > by {
-                    return Err(NotPlayed::NotReady {
-                        door,
-                        log: slot.files.last_line(),
+                    return Err(RunError::NotReady {
+                        gateway: index,
+                        log: gateway.files.last_line(),
                     });
                 }
             }
@@ -567,8 +592,8 @@
     }
 }
 
-/// Plays that this process has begun.
-static PLAYS: AtomicU32 = AtomicU32::new(0);
+/// Number of runs started by this process.
+static RUNS: AtomicU32 = AtomicU32::new(0);
 
 fn member(dial: SocketAddr, node: u32, health: Health, born_ms: Millis) -> Member {
     Member {
@@ -582,33 +607,34 @@
     }
 }
 
-fn on_a_runtime<T>(of: impl std::future::Future<Output = io::Result<T>>) -> io::Result<T> {
+fn block_on_local<T>(future: impl std::future::Future<Output = io::Result<T>>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, of)
+    tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// The nodes and agents, until the driver says that all is over.
+/// Runs the backends, agents, etcd and authentication servers until the driver sets `stop`.
 #[allow(clippy::too_many_arguments)]
-async fn play_world(
+async fn run_environment(
     scenario: &Scenario,
     script: &Script,
     recorder: Recorder,
     lateness: Lateness,
     unix_start: Millis,
-    places: Vec<Listeners>,
-    agents_at: Vec<(TcpListener, SocketAddr, TcpListener, List)>,
-    etcd_at: Vec<TcpListener>,
-    auth_at: Vec<TcpListener>,
-    starts: tokio::sync::oneshot::Receiver<Millis>,
+    backend_slots: Vec<Listeners>,
+    agent_listeners: Vec<(TcpListener, SocketAddr, TcpListener, List)>,
+    etcd_listeners: Vec<TcpListener>,
+    auth_listeners: Vec<TcpListener>,
+    start: tokio::sync::oneshot::Receiver<Millis>,
     stop: Arc<AtomicBool>,
 ) -> io::Result<()> {
     let work = scenario.classes.iter().map(|class| Work {
         class: class.name.clone(),
         effect: class.effect,
-        // Every limit is longer by this on sockets, that of a node's memory too (protocol page).
+        // Every limit is longer by this on sockets, also that of a backend's duplicate
+        // suppression (protocol page).
         memory_ms: class.memory_ms + script.header.rules.socket_slack_ms,
         work_ms: class.work_ms,
     });
@@ -637,18 +663,19 @@
         warmup_ms: scenario.warmup_ms,
         connections: scenario.connections as usize,
     };
-    let places: Vec<Rc<BackendSlot>> = places.into_iter().map(BackendSlot::over).collect();
+    let backend_slots: Vec<Rc<BackendSlot>> =
+        backend_slots.into_iter().map(BackendSlot::over).collect();
     let born: RefCell<Vec<(u32, Millis)>> = RefCell::default();
     for node in 0..scenario.backends {
-        places[node as usize].set_backend(Some(Backend::start(&world, spec(node, 1.0))));
+        backend_slots[node as usize].set_backend(Some(Backend::start(&world, spec(node, 1.0))));
     }
-    let doors = scenario.gateways as usize;
-    let mut etcd = match etcd_at.is_empty() {
+    let gateways = scenario.gateways as usize;
+    let mut etcd = match etcd_listeners.is_empty() {
         true => None,
         false => {
-            let address = |door, node: u32| places[node as usize].address(door);
+            let address = |gateway, node: u32| backend_slots[node as usize].address(gateway);
             Some(EtcdWorld::start(
-                etcd_at,
+                etcd_listeners,
                 scenario.backends,
                 address,
                 recorder.clone(),
@@ -656,23 +683,23 @@
             )?)
         }
     };
-    let auths = authentication(script, auth_at, &recorder);
+    let auths = authentication(script, auth_listeners, &recorder);
     let mut agents = Vec::new();
-    let mut second = Vec::new();
-    for (door, (first, _, later, list)) in agents_at.into_iter().enumerate() {
-        let agent = Agent::new(door as u32, list, recorder.clone(), unix_start);
+    let mut new_listeners = Vec::new();
+    for (gateway, (first, _, new_listener, list)) in agent_listeners.into_iter().enumerate() {
+        let agent = Agent::new(gateway as u32, list, recorder.clone(), unix_start);
         agent.listen(first, MOVE_GRACE);
         agents.push(agent);
-        second.push(Some(later));
+        new_listeners.push(Some(new_listener));
     }
-    let Ok(zero) = starts.await else {
+    let Ok(zero) = start.await else {
         return Ok(());
     };
     let moves = script
         .gateway_acts
         .iter()
         .filter(|(_, _, act)| *act == GatewayAct::Reload);
-    let moves: Vec<(Millis, usize)> = moves.map(|(at, door, _)| (*at, *door)).collect();
+    let moves: Vec<(Millis, usize)> = moves.map(|(at, gateway, _)| (*at, *gateway)).collect();
     let mut moves = moves.into_iter().peekable();
     let mut acts = script.environment_acts.iter().peekable();
     while !stop.load(Ordering::Relaxed) {
@@ -681,20 +708,20 @@
             moves.peek().map(|(at, _)| *at),
         ];
         let next = next.into_iter().flatten().fold(f64::INFINITY, f64::min) + zero;
-        // Looks up now and then, to see that all is over.
+        // Wakes up periodically to check `stop`.
         let until = next.min(recorder.now() + 50.0);
         tokio::time::sleep_until(recorder.instant(until).into()).await;
         let now = recorder.now();
-        while let Some((_, door)) = moves.next_if(|(at, _)| at + zero <= now) {
-            if let Some(listener) = second[door].take() {
-                agents[door].listen(listener, MOVE_GRACE);
+        while let Some((_, gateway)) = moves.next_if(|(at, _)| at + zero <= now) {
+            if let Some(listener) = new_listeners[gateway].take() {
+                agents[gateway].listen(listener, MOVE_GRACE);
             }
         }
         while let Some((at, act)) = acts.next_if(|(at, _)| at + zero <= now) {
             lateness.record(at + zero, now);
             match *act {
                 EnvironmentAct::Strike {
-                    place,
+                    place: slot,
                     strike,
                     share,
                     late_ms,
@@ -712,31 +739,34 @@
                         BackendFault::Refuse => FaultKind::Refuse,
                         BackendFault::Neighbour => FaultKind::Neighbour(share),
                     };
-                    places[place].add_fault(Fault {
+                    backend_slots[slot].add_fault(Fault {
                         kind,
                         share,
                         until: at + zero + for_ms,
                     });
                 }
-                EnvironmentAct::Drain { place, turns_away } => {
-                    if let Some(node) = places[place].backend() {
+                EnvironmentAct::Drain {
+                    place: slot,
+                    turns_away,
+                } => {
+                    if let Some(node) = backend_slots[slot].backend() {
                         node.drain(turns_away);
                     }
                 }
-                EnvironmentAct::End(place) => {
-                    if let Some(node) = places[place].backend() {
+                EnvironmentAct::End(slot) => {
+                    if let Some(node) = backend_slots[slot].backend() {
                         node.stop();
                     }
-                    places[place].set_backend(None);
+                    backend_slots[slot].set_backend(None);
                 }
-                EnvironmentAct::Start { place, node } => {
+                EnvironmentAct::Start { place: slot, node } => {
                     let fresh = Backend::start(&world, spec(node, scenario.initial_capacity));
                     born.borrow_mut().push((node, fresh.started_at()));
-                    places[place].set_backend(Some(fresh));
+                    backend_slots[slot].set_backend(Some(fresh));
                 }
                 EnvironmentAct::Tell {
-                    door,
-                    place,
+                    door: gateway,
+                    place: slot,
                     node,
                     health,
                 } => {
@@ -746,34 +776,40 @@
                         record::Health::Removed => Health::Removed,
                     };
                     let born = born.borrow();
-                    let life = born.iter().rev().find(|(known, _)| *known == node);
-                    let born_ms = life.map_or(0.0, |(_, at)| unix_start + at);
-                    agents[door].update(&member(
-                        places[place].address(door),
+                    let instance = born.iter().rev().find(|(known, _)| *known == node);
+                    let born_ms = instance.map_or(0.0, |(_, at)| unix_start + at);
+                    agents[gateway].update(&member(
+                        backend_slots[slot].address(gateway),
                         node,
                         health,
                         born_ms,
                     ));
                 }
-                EnvironmentAct::Silence { door, silent } => agents[door].set_silent(silent),
-                EnvironmentAct::Lapse { door, lapse } => agents[door].set_lapse(lapse),
-                EnvironmentAct::Vanish { door } => agents[door].vanish(),
+                EnvironmentAct::Silence {
+                    door: gateway,
+                    silent,
+                } => agents[gateway].set_silent(silent),
+                EnvironmentAct::Lapse {
+                    door: gateway,
+                    lapse,
+                } => agents[gateway].set_lapse(lapse),
+                EnvironmentAct::Vanish { door: gateway } => agents[gateway].vanish(),
                 EnvironmentAct::BreakOff => agents.iter().for_each(|agent| agent.break_off()),
                 EnvironmentAct::Repeat => agents.iter().for_each(|agent| agent.repeat()),
                 EnvironmentAct::Commit {
-                    place,
+                    place: slot,
                     node,
                     health,
                 } => match &mut etcd {
                     Some(etcd) => {
                         let born = born.borrow();
-                        let life = born
+                        let instance = born
                             .iter()
                             .rev()
                             .find(|(known, _)| *known == node)
                             .map(|(_, at)| *at);
-                        etcd.write(doors, node, health, life, |door| {
-                            places[place].address(door)
+                        etcd.write(gateways, node, health, instance, |gateway| {
+                            backend_slots[slot].address(gateway)
                         });
                     }
                     None => {
@@ -785,9 +821,9 @@
                         etcd.noise(lot);
                     }
                 }
-                EnvironmentAct::Member { door, act } => {
+                EnvironmentAct::Member { door: gateway, act } => {
                     if let Some(etcd) = &etcd {
-                        etcd.act(door, act);
+                        etcd.act(gateway, act);
                     }
                 }
                 EnvironmentAct::Auth { server, trouble } => {
@@ -815,7 +851,7 @@
     Ok(())
 }
 
-/// The servers of the authentication service, which let pass whom the script does not deny.
+/// Starts the authentication servers, which pass all customers that the script does not deny.
 fn authentication(
     script: &Script,
     listeners: Vec<TcpListener>,
@@ -825,7 +861,11 @@
         return Vec::new();
     }
     let denied: BTreeSet<u64> = script.denied.iter().copied().collect();
-    let mut passes: BTreeSet<u64> = script.requests.iter().map(|ask| ask.customer).collect();
+    let mut passes: BTreeSet<u64> = script
+        .requests
+        .iter()
+        .map(|request| request.customer)
+        .collect();
     passes.retain(|customer| !denied.contains(customer));
     for customer in &denied {
         recorder.record(EventKind::Credential {
@@ -860,23 +900,23 @@
     }
 }
 
-/// The clients, until the last of them has its answer.
-async fn play_clients(
+/// Runs the clients until the last one has its response.
+async fn run_clients(
     scenario: &Scenario,
     script: &Script,
     recorder: Recorder,
     lateness: Lateness,
-    doors: Vec<SocketAddr>,
-    board: GatewayStates,
-    starts: tokio::sync::oneshot::Receiver<Millis>,
+    gateways: Vec<SocketAddr>,
+    gateway_states: GatewayStates,
+    start: tokio::sync::oneshot::Receiver<Millis>,
 ) -> io::Result<()> {
-    let kinds = scenario.classes.iter().map(|class| RequestClass {
+    let classes = scenario.classes.iter().map(|class| RequestClass {
         name: class.name.clone(),
         effect: class.effect,
         memory_ms: class.memory_ms,
         give_up_ms: class.give_up_ms,
     });
-    let habits = ClientBehavior {
+    let behavior = ClientBehavior {
         retries: scenario.retries,
         backoff: match scenario.backoff.as_str() {
             "none" => Backoff::AtOnce,
@@ -887,7 +927,7 @@
         max_wait_ms: settings::MOST_WAIT_MS,
         patience: scenario.patience,
         notice_ms: script.notice_ms,
-        stop_ms: STOP_MS,
+        stop_ms: NEW_CONNECTIONS_AFTER_STOP_MS,
         busiest_ms: scenario.busiest_ms,
         answer_slack_ms: script.header.rules.response_slack_ms
             + script.header.rules.socket_slack_ms,
@@ -897,17 +937,17 @@
         .iter()
         .map(|plan| plan.name.clone())
         .collect();
-    let crowd = ClientOptions {
+    let options = ClientOptions {
         seed: script.header.seed,
-        kinds: kinds.collect(),
+        kinds: classes.collect(),
         plans,
-        habits,
-        gateways: doors.clone(),
-        board,
+        habits: behavior,
+        gateways: gateways.clone(),
+        board: gateway_states,
         credentials: scenario.checks.is_some(),
     };
-    let clients = Clients::new(crowd, recorder.clone(), lateness);
-    let Ok(zero) = starts.await else {
+    let clients = Clients::new(options, recorder.clone(), lateness);
+    let Ok(zero) = start.await else {
         return Ok(());
     };
     let safe = scenario
@@ -921,24 +961,24 @@
         .plans
         .first()
         .map_or(String::new(), |plan| plan.name.clone());
-    let mut visits = tokio::task::JoinSet::new();
-    for (lot, at) in script.malformed_clients.iter().enumerate() {
+    let mut malformed_tasks = tokio::task::JoinSet::new();
+    for (index, at) in script.malformed_clients.iter().enumerate() {
         let (recorder, class, plan) = (recorder.clone(), class.clone(), plan.clone());
-        let (at, door, kind) = (
+        let (at, gateway, kind) = (
             at + zero,
-            doors[lot % doors.len()],
-            malformed_client::ALL[lot % malformed_client::ALL.len()],
+            gateways[index % gateways.len()],
+            malformed_client::ALL[index % malformed_client::ALL.len()],
         );
-        visits.spawn_local(async move {
+        malformed_tasks.spawn_local(async move {
             tokio::time::sleep_until(recorder.instant(at).into()).await;
-            malformed_client::run(&recorder, door, kind, lot as u64, &class, &plan).await;
+            malformed_client::run(&recorder, gateway, kind, index as u64, &class, &plan).await;
         });
     }
-    let asks = script.requests.iter().map(|ask| Ask {
-        at: ask.at + zero,
-        ..ask.clone()
+    let requests = script.requests.iter().map(|request| Ask {
+        at: request.at + zero,
+        ..request.clone()
     });
-    clients.run(asks).await;
-    while visits.join_next().await.is_some() {}
+    clients.run(requests).await;
+    while malformed_tasks.join_next().await.is_some() {}
     Ok(())
 }
