--- a/crates/rehearsal/src/carry.rs
+++ b/crates/rehearsal/src/capacity.rs
@@ -1,5 +1,6 @@
-//! How much the stand-ins carry by themselves: clients against nodes with no front door between and no work to do, at
-//! rising rates, until they are late. What a rehearsal asks of them must stay well below.
+//! Measures the capacity of the test servers and clients themselves: clients connect to a backend
+//! without a gateway between and without work to do, at rising rates, until they are late. The load
+//! of a rehearsal must stay well below this.
 
 use crate::settings;
 use maplefall_event_trace::{Effect, EventKind, Millis, Recorder};
@@ -12,53 +13,54 @@
 use maplefall_test_servers::lateness::Lateness;
 use std::io;
 
-/// Lateness at the 99th percentile up to which a rate counts as carried.
-pub const CARRIED_MS: Millis = 5.0;
+/// Maximum lateness at the 99th percentile of a sustained rate.
+pub const MAX_LATENESS_MS: Millis = 5.0;
 
-/// What became of one rate.
+/// Result of one rate.
 #[derive(Clone, Copy, Debug)]
-pub struct Carried {
+pub struct RateResult {
     /// Requests a second that were due.
     pub rate: f64,
     /// Requests that were served.
     pub served: u64,
-    /// Those that were due.
-    pub asked: u64,
+    /// Requests that were due.
+    pub due: u64,
     /// Lateness at the 99th percentile.
     pub p99_ms: Millis,
-    /// Lateness at most.
-    pub most_ms: Millis,
+    /// Maximum lateness.
+    pub max_ms: Millis,
 }
 
-impl Carried {
-    /// Whether it was carried: all served, and nobody late.
-    pub fn good(&self) -> bool {
-        self.served == self.asked && self.p99_ms <= CARRIED_MS
+impl RateResult {
+    /// Returns whether the rate was sustained: all requests served and the lateness within its
+    /// limit.
+    pub fn is_sustained(&self) -> bool {
+        self.served == self.due && self.p99_ms <= MAX_LATENESS_MS
     }
 }
 
-fn on_a_runtime<T>(of: impl std::future::Future<Output = T>) -> io::Result<T> {
+fn block_on_local<T>(future: impl std::future::Future<Output = T>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()?;
-    Ok(tokio::task::LocalSet::new().block_on(&runtime, of))
+    Ok(tokio::task::LocalSet::new().block_on(&runtime, future))
 }
 
-/// Plays one rate for so many seconds: the nodes on one thread, the clients on another.
+/// Runs one rate for `seconds`: the backend on one thread, the clients on another.
 ///
 /// # Errors
-/// What the system says where it has no port or no thread.
-pub fn measure(rate: f64, seconds: f64) -> io::Result<Carried> {
+/// Returns the I/O error if there is no port or no thread.
+pub fn measure(rate: f64, seconds: f64) -> io::Result<RateResult> {
     let (recorder, lateness) = (Recorder::new(), Lateness::default());
-    let seats = Listeners::open(1)?;
-    let address = seats.address(0);
+    let listeners = Listeners::open(1)?;
+    let address = listeners.address(0);
     let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
-    let asked = (rate * seconds) as u64;
-    let nodes = {
+    let due = (rate * seconds) as u64;
+    let backend = {
         let (recorder, lateness) = (recorder.clone(), lateness.clone());
         std::thread::spawn(move || {
-            on_a_runtime(async move {
+            block_on_local(async move {
                 let work = Work {
                     class: "consulta".into(),
                     effect: Effect::Safe,
@@ -84,7 +86,7 @@
                     overload,
                 };
                 let world = SharedState::new(deployment, recorder, lateness);
-                let place = BackendSlot::over(seats);
+                let slot = BackendSlot::over(listeners);
                 let spec = BackendSpec {
                     number: 0,
                     cores: 64,
@@ -93,15 +95,15 @@
                     warmup_ms: 0.0,
                     connections: 10_000,
                 };
-                place.set_backend(Some(Backend::start(&world, spec)));
-                // Whoever holds the other end says when it is over.
+                slot.set_backend(Some(Backend::start(&world, spec)));
+                // The other thread signals the end.
                 let _ = stopped.await;
             })
         })
     };
-    on_a_runtime(async {
-        let board = GatewayStates::new(1);
-        board.set(
+    block_on_local(async {
+        let gateway_states = GatewayStates::new(1);
+        gateway_states.set(
             0,
             GatewayState {
                 ready: true,
@@ -114,7 +116,7 @@
             memory_ms: 0.0,
             give_up_ms: 10_000.0,
         };
-        let habits = ClientBehavior {
+        let behavior = ClientBehavior {
             retries: 0,
             backoff: Backoff::AtOnce,
             honour: 0.0,
@@ -125,18 +127,18 @@
             busiest_ms: 8000.0,
             answer_slack_ms: 58.0,
         };
-        let crowd = ClientOptions {
+        let options = ClientOptions {
             seed: 1,
             kinds: vec![kind],
             plans: vec!["basico".into()],
-            habits,
+            habits: behavior,
             gateways: vec![address],
-            board,
+            board: gateway_states,
             credentials: false,
         };
-        let clients = Clients::new(crowd, recorder.clone(), lateness.clone());
+        let clients = Clients::new(options, recorder.clone(), lateness.clone());
         let zero = recorder.now() + 100.0;
-        let asks = (0..asked).map(|item| Ask {
+        let requests = (0..due).map(|item| Ask {
             at: zero + item as f64 * 1000.0 / rate,
             item,
             customer: item % 500,
@@ -146,29 +148,24 @@
             spread: 1,
             first: 0,
         });
-        clients.run(asks).await;
+        clients.run(requests).await;
     })?;
-    // The nodes may have ended already; then there is nobody to tell.
+    // Fails if the backend's thread has already ended.
     let _ = stop.send(());
-    let _ = nodes.join();
-    let lines = recorder.take_events();
-    let served = lines
+    let _ = backend.join();
+    let events = recorder.take_events();
+    let served = events
         .iter()
-        .filter(|line| matches!(line.kind, EventKind::ResponseReceived { status: 200, .. }))
+        .filter(|event| matches!(event.kind, EventKind::ResponseReceived { status: 200, .. }))
         .count() as u64;
-    let EventKind::Lateness {
-        p99_ms,
-        max_ms: most_ms,
-        ..
-    } = lateness.entry()
-    else {
+    let EventKind::Lateness { p99_ms, max_ms, .. } = lateness.entry() else {
         return Err(io::ErrorKind::Other.into());
     };
-    Ok(Carried {
+    Ok(RateResult {
         rate,
         served,
-        asked,
+        due,
         p99_ms,
-        most_ms,
+        max_ms,
     })
 }
--- a/crates/rehearsal/src/daemon.rs
+++ b/crates/rehearsal/src/daemon.rs
@@ -1,4 +1,5 @@
-//! One front door as a process: started, watched, signalled and ended. Only processes started here are ever touched.
+//! A gateway process: starts, monitors, signals and ends it. Only processes started here are
+//! signalled.
 
 use maplefall_event_trace::Millis;
 use rustix::process::{kill_process, Pid, Signal};
@@ -9,76 +10,76 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Duration;
 
-/// Clock ticks a second in the system's process table, on every Linux that Rust builds for.
+/// Clock ticks a second in `/proc`, on every Linux that Rust supports.
 const TICKS: f64 = 100.0;
 
-/// A running front door. Dropped, it is killed.
-pub struct Door {
+/// A running gateway process; dropping it kills the process.
+pub struct GatewayProcess {
     child: Child,
-    used: (Millis, u64),
+    resource_usage: (Millis, u64),
 }
 
-/// Where a front door's files are.
+/// Paths of a gateway's files.
 #[derive(Clone, Debug)]
 pub struct Files {
-    /// Its configuration.
+    /// Configuration.
     pub config: PathBuf,
-    /// Its log.
+    /// Log.
     pub log: PathBuf,
-    /// Its file of sources, where it has one.
+    /// File of sources, if used.
     pub sources: Option<PathBuf>,
-    /// Its file of forward authentication, where callers are checked.
+    /// File of forward authentication, if callers are authenticated.
     pub forward_auth: Option<PathBuf>,
-    /// Its file of shared counts, where front doors share them.
+    /// File of shared counts, if gateways share them.
     pub shared_counts: Option<PathBuf>,
 }
 
 impl Files {
-    /// The files of a front door in this folder.
-    pub fn new(folder: &Path, door: usize) -> Files {
+    /// Returns the paths of a gateway's files in `directory`.
+    pub fn new(directory: &Path, index: usize) -> Files {
         Files {
-            config: folder.join(format!("door-{door}.json")),
-            log: folder.join(format!("door-{door}.log")),
+            config: directory.join(format!("door-{index}.json")),
+            log: directory.join(format!("door-{index}.log")),
             sources: None,
             forward_auth: None,
             shared_counts: None,
         }
     }
 
-    /// The last line of the log.
+    /// Returns the last line of the log.
     pub fn last_line(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         log.lines().last().unwrap_or("nothing").to_owned()
     }
 
-    /// Replaces the configuration, whole at any moment.
+    /// Replaces the configuration atomically.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the I/O error.
     pub fn write(&self, config: &str) -> io::Result<()> {
-        let fresh = self.config.with_extension("new");
-        std::fs::write(&fresh, config)?;
-        std::fs::rename(&fresh, &self.config)
+        let temporary = self.config.with_extension("new");
+        std::fs::write(&temporary, config)?;
+        std::fs::rename(&temporary, &self.config)
     }
 }
 
-impl Door {
-    /// Starts the daemon with its configuration; its log goes on behind that of an earlier life.
+impl GatewayProcess {
+    /// Starts the program with its configuration. The log is appended to that of earlier instances.
     ///
     /// # Errors
-    /// What the system says where it does not start.
+    /// Returns the I/O error if the process does not start.
     pub fn start(
         daemon: &Path,
         files: &Files,
-        door: usize,
+        index: usize,
         listen: SocketAddr,
         discovery: SocketAddr,
         breakage: Option<&str>,
-    ) -> io::Result<Door> {
+    ) -> io::Result<GatewayProcess> {
         let log = File::options().create(true).append(true).open(&files.log)?;
         let mut command = Command::new(daemon);
         command
-            .env("BALANCER_NAME", format!("door-{door}"))
+            .env("BALANCER_NAME", format!("door-{index}"))
             .env("BALANCER_LISTEN", listen.to_string())
             .env("BALANCER_DISCOVERY", discovery.to_string())
             .env("BALANCER_CONFIG", &files.config)
@@ -101,47 +102,47 @@
         if let Some(breakage) = breakage {
             command.env(BREAKAGE, breakage);
         }
-        Ok(Door {
+        Ok(GatewayProcess {
             child: command.spawn()?,
-            used: (0.0, 0),
+            resource_usage: (0.0, 0),
         })
     }
 
     fn signal(&self, signal: Signal) {
-        // One that has ended by itself is found by `ended`.
+        // `exit_status` finds a process that has ended by itself.
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Tells it to stop.
+    /// Sends SIGTERM, which stops the gateway gracefully.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Tells it to read its configuration again.
+    /// Sends SIGHUP, which makes the gateway reload its configuration.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Kills it outright and waits for its end.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// How it ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status if the process has ended.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Looks up what it has used so far: processor time, and the most memory in KiB. The last figures stay once it
-    /// has ended.
-    pub fn used(&mut self) -> (Millis, u64) {
+    /// Returns the CPU time and the peak memory in KiB used so far; after the end, the last figures
+    /// read.
+    pub fn resource_usage(&mut self) -> (Millis, u64) {
         let table =
             |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id()));
         if let Ok(stat) = table("stat") {
-            // The name in brackets may hold anything; what counts stands behind it.
+            // The name in brackets may hold any character; the fields follow the last bracket.
             let fields: Vec<&str> = stat
                 .rsplit(')')
                 .next()
@@ -154,89 +155,93 @@
                     .and_then(|text| text.parse::<f64>().ok())
                     .unwrap_or(0.0)
             };
-            self.used.0 = self.used.0.max((ticks(11) + ticks(12)) * 1000.0 / TICKS);
+            self.resource_usage.0 = self
+                .resource_usage
+                .0
+                .max((ticks(11) + ticks(12)) * 1000.0 / TICKS);
         }
         if let Ok(status) = table("status") {
             let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
             let kib = line
                 .and_then(|line| line.split_whitespace().next()?.parse().ok())
                 .unwrap_or(0);
-            self.used.1 = self.used.1.max(kib);
+            self.resource_usage.1 = self.resource_usage.1.max(kib);
         }
-        self.used
+        self.resource_usage
     }
 }
 
-impl Drop for Door {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// The variable that names a breakage to a daemon that was built to be broken; the released one knows nothing of it.
+/// Variable that names a breakage to a program built with the feature `breakages`; the released one
+/// ignores it.
 pub const BREAKAGE: &str = "MAPLEFALL_BREAKAGE";
 
-/// The variable that names a file of sources.
+/// Variable that names the file of sources.
 const SOURCES: &str = "MAPLEFALL_SOURCES";
 
-/// The variable that names a file of forward authentication.
+/// Variable that names the file of forward authentication.
 const FORWARD_AUTH: &str = "MAPLEFALL_FORWARD_AUTH";
 
-/// The variable that names a file of shared counts.
+/// Variable that names the file of shared counts.
 const SHARED_COUNTS: &str = "MAPLEFALL_SHARED_COUNTS";
 
-/// Where a front door listens: an address that belongs to this process, play and door alone, at a host that no outgoing
-/// connection takes its port at (those come from 127.0.0.1) and a port that the system hands to nobody. It is worked out
-/// and never tried: a socket opened to find a free port lives on in whatever process is being begun just then, and the
-/// daemon would find the port in use.
-pub fn own_address(process: u32, play: u32, door: usize) -> SocketAddr {
+/// Returns a gateway's listening address, unique to this process, run and gateway. No outgoing
+/// connection uses the host (those come from 127.0.0.1), and the system does not assign the port.
+/// The address is computed instead of probed: a socket opened to find a free port is inherited by
+/// any process that is being started at that moment, and the gateway would find the port in use.
+pub fn gateway_address(process: u32, run: u32, index: usize) -> SocketAddr {
     let host = Ipv4Addr::new(
         127,
-        64 + (play % 128) as u8,
+        64 + (run % 128) as u8,
         (process % 250) as u8 + 1,
-        door as u8 + 1,
+        index as u8 + 1,
     );
-    // Up to 4 million processes differ here; the system's own choice begins at 32768.
+    // Distinct for up to 4 million processes; the system assigns ports from 32768 on.
     let port = 10_000 + (process / 250) % 20_000;
     SocketAddr::from((host, port as u16))
 }
 
-/// Whether a front door answers its readiness check with 200.
-pub fn healthy(door: SocketAddr) -> bool {
-    let ask = || -> io::Result<bool> {
-        let mut stream = TcpStream::connect_timeout(&door, Duration::from_millis(200))?;
+/// Returns whether a gateway answers its readiness check with 200.
+pub fn is_ready(gateway: SocketAddr) -> bool {
+    let check = || -> io::Result<bool> {
+        let mut stream = TcpStream::connect_timeout(&gateway, Duration::from_millis(200))?;
         stream.set_read_timeout(Some(Duration::from_millis(500)))?;
         stream.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")?;
-        let mut answer = [0; 12];
-        stream.read_exact(&mut answer)?;
-        Ok(answer.ends_with(b" 200"))
+        let mut response = [0; 12];
+        stream.read_exact(&mut response)?;
+        Ok(response.ends_with(b" 200"))
     };
-    ask().unwrap_or(false)
+    check().unwrap_or(false)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// Guards plays side by side against each other: no two front doors of two plays, of one process or of two, are given
-    /// one address, and none that the system could hand to somebody else.
+    /// Guards concurrent runs against each other: no two gateways of two runs, of one process or of
+    /// two, get the same address, nor one that the system could assign to another program.
     #[test]
-    fn every_front_door_has_an_address_of_its_own() {
-        let mut once = std::collections::BTreeSet::new();
+    fn every_gateway_has_a_unique_address() {
+        let mut addresses = std::collections::BTreeSet::new();
         let mut count = 0;
         for process in [1, 2, 250, 251, 70_000, 70_250, 4_194_303] {
-            for play in 0..128 {
-                for door in 0..8 {
-                    let address = own_address(process, play, door);
+            for run in 0..128 {
+                for index in 0..8 {
+                    let address = gateway_address(process, run, index);
                     assert!(
                         address.ip().is_loopback() && address.port() < 32_768,
                         "{address}"
                     );
-                    once.insert(address);
+                    addresses.insert(address);
                     count += 1;
                 }
             }
         }
-        assert_eq!(once.len(), count);
+        assert_eq!(addresses.len(), count);
     }
 }
--- a/crates/rehearsal/src/etcd_world.rs
+++ b/crates/rehearsal/src/etcd_cluster.rs
@@ -1,5 +1,6 @@
-//! The played etcd of a rehearsal: one member for each front door, under a prefix of its own, since nodes have another
-//! address for each; and what each front door knows by it, for the record.
+//! The fake etcd of a run: one member for each gateway, each with a separate prefix, since a
+//! backend has a separate address for each gateway. Records what each gateway has learned from its
+//! member.
 
 use crate::script::MemberAct;
 use crate::settings::prefix;
@@ -17,23 +18,23 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Source of the list in the record: the agent is 0.
+/// Number of this source in the record; the agent is 0.
 pub const SOURCE: u32 = 1;
 
-/// A node's state as it was committed.
+/// A committed state of a backend.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct CommittedState {
     revision: i64,
     node: u32,
     health: Health,
     born: Option<Millis>,
 }
 
-/// All that was committed, in order.
-type Log = Arc<Mutex<Vec<Word>>>;
+/// All committed states, in order.
+type Log = Arc<Mutex<Vec<CommittedState>>>;
 
-/// The etcd of a rehearsal.
-pub struct EtcdWorld {
+/// The fake etcd of a run.
+pub struct EtcdCluster {
     etcd: Etcd,
     members: Vec<Member>,
     log: Log,
@@ -46,14 +47,14 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn key(door: usize, node: u32) -> Vec<u8> {
-    format!("{}/members/{}", prefix(door), agent::host(node)).into_bytes()
+fn key(gateway: usize, node: u32) -> Vec<u8> {
+    format!("{}/members/{}", prefix(gateway), agent::host(node)).into_bytes()
 }
 
-/// What a node's value says (`docs/operators/membership.md`).
-pub fn document(address: SocketAddr, draining: bool, started_ms: f64) -> Value {
-    let state = if draining { "draining" } else { "up" };
-    json!({"address": address.to_string(), "zone": "z-1", "state": state, "started_ms": started_ms})
+/// Returns a backend's value in etcd (`docs/operators/membership.md`).
+pub fn backend_value(address: SocketAddr, draining: bool, started_ms: f64) -> Value {
+    let state_name = if draining { "draining" } else { "up" };
+    json!({"address": address.to_string(), "zone": "z-1", "state": state_name, "started_ms": started_ms})
 }
 
 fn put(key: Vec<u8>, value: &Value) -> RequestOp {
@@ -67,27 +68,28 @@
     }
 }
 
-impl EtcdWorld {
-    /// An etcd that holds nodes `0..nodes`, each up since long ago at the address that `address` gives for a front door.
+impl EtcdCluster {
+    /// Starts an etcd that holds the backends `0..backends`, each with state `up` and no start
+    /// time, at the address that `address` returns for a gateway and a backend.
     ///
     /// # Errors
-    /// What the system says of the listeners.
+    /// Returns the I/O error of a listener.
     pub fn start(
         listeners: Vec<TcpListener>,
-        nodes: u32,
+        backends: u32,
         address: impl Fn(usize, u32) -> SocketAddr,
         recorder: Recorder,
         unix_start: Millis,
-    ) -> io::Result<EtcdWorld> {
+    ) -> io::Result<EtcdCluster> {
         let log = Log::default();
-        let seen = Seen {
+        let updates = UpdateRecorder {
             log: log.clone(),
             recorder: recorder.clone(),
             unix_start,
-            gone: Mutex::default(),
+            removed: Mutex::default(),
         };
-        let etcd = Etcd::new(Store::new(0x6d61_706c), move |known| seen.take(known));
-        let mut world = EtcdWorld {
+        let etcd = Etcd::new(Store::new(0x6d61_706c), move |known| updates.observe(known));
+        let mut cluster = EtcdCluster {
             etcd,
             members: Vec::new(),
             log,
@@ -95,32 +97,34 @@
             unix_start,
             noise: 0,
         };
-        let doors = listeners.len();
-        for node in 0..nodes {
-            world.write(doors, node, Health::Up, None, |door| address(door, node));
+        let gateways = listeners.len();
+        for node in 0..backends {
+            cluster.write(gateways, node, Health::Up, None, |gateway| {
+                address(gateway, node)
+            });
         }
-        for (door, listener) in listeners.into_iter().enumerate() {
-            world
+        for (gateway, listener) in listeners.into_iter().enumerate() {
+            cluster
                 .members
-                .push(world.etcd.member(door as u64, listener)?);
+                .push(cluster.etcd.member(gateway as u64, listener)?);
         }
-        Ok(world)
+        Ok(cluster)
     }
 
-    /// Commits a node's state for all front doors at one revision.
+    /// Commits a backend's state for all gateways in one revision.
     pub fn write(
         &mut self,
-        doors: usize,
+        gateways: usize,
         node: u32,
         health: Health,
         born: Option<Millis>,
         address: impl Fn(usize) -> SocketAddr,
     ) {
         let mut success = Vec::new();
-        for door in 0..doors {
+        for gateway in 0..gateways {
             if health == Health::Removed {
                 let delete = DeleteRangeRequest {
-                    key: key(door, node),
+                    key: key(gateway, node),
                     ..DeleteRangeRequest::default()
                 };
                 success.push(RequestOp {
@@ -129,8 +133,8 @@
                 continue;
             }
             let started_ms = born.map_or(0.0, |born| self.unix_start + born);
-            let value = document(address(door), health == Health::Draining, started_ms);
-            success.push(put(key(door, node), &value));
+            let value = backend_value(address(gateway), health == Health::Draining, started_ms);
+            success.push(put(key(gateway, node), &value));
         }
         let txn = TxnRequest {
             success,
@@ -140,10 +144,10 @@
         let recorder = &self.recorder;
         self.etcd.with(|store| {
             let before = store.revision();
-            // Puts on no lease and removals are never refused.
+            // Puts without a lease and removals are never refused.
             let _ = store.txn(&txn, before);
             recorder.record(EventKind::Committed { node, health });
-            lock(log).push(Word {
+            lock(log).push(CommittedState {
                 revision: store.revision(),
                 node,
                 health,
@@ -152,8 +156,8 @@
         });
     }
 
-    /// Writes the value of one node for one front door anew, with nothing changed that means anything.
-    pub fn noise(&mut self, lot: u32) {
+    /// Rewrites the value of one backend for one gateway without a change of its state.
+    pub fn noise(&mut self, random: u32) {
         self.noise += 1;
         let all = RangeRequest {
             key: b"/door-".to_vec(),
@@ -161,8 +165,8 @@
             ..Default::default()
         };
         self.etcd.with(|store| {
-            let there = store.range(&all, store.revision()).unwrap_or_default().kvs;
-            let Some(kv) = there.get(lot as usize % there.len().max(1)) else {
+            let entries = store.range(&all, store.revision()).unwrap_or_default().kvs;
+            let Some(kv) = entries.get(random as usize % entries.len().max(1)) else {
                 return;
             };
             let Ok(mut value) = serde_json::from_slice::<Value>(&kv.value) else {
@@ -174,20 +178,20 @@
                 value: value.to_string().into_bytes(),
                 ..PutRequest::default()
             };
-            // A put on no lease is never refused.
+            // A put without a lease is never refused.
             let _ = store.put(&put);
         });
     }
 
     /// Compacts the history up to its last revision.
     pub fn compact(&self) {
-        // Refused where nothing has been written since the last time.
+        // Refused if nothing has been written since the last compaction.
         let _ = self.etcd.with(|store| store.compact(store.revision()));
     }
 
-    /// Does something to a front door's member.
-    pub fn act(&self, door: usize, act: MemberAct) {
-        let Some(member) = self.members.get(door) else {
+    /// Applies an action to a gateway's member.
+    pub fn act(&self, gateway: usize, act: MemberAct) {
+        let Some(member) = self.members.get(gateway) else {
             return;
         };
         match act {
@@ -198,44 +202,45 @@
     }
 }
 
-/// What front doors know, for the record.
-struct Seen {
+/// Records what gateways learn from etcd.
+struct UpdateRecorder {
     log: Log,
     recorder: Recorder,
     unix_start: Millis,
-    /// Nodes that a front door knows to be gone, so that each is noted once.
-    gone: Mutex<BTreeSet<(u64, u32)>>,
+    /// Backends whose removal a gateway has learned, so that each removal is recorded once.
+    removed: Mutex<BTreeSet<(u64, u32)>>,
 }
 
-impl Seen {
-    fn take(&self, known: &Known) {
+impl UpdateRecorder {
+    fn observe(&self, known: &Known) {
         match known {
             Known::Written { member, events } => {
                 events
                     .iter()
-                    .filter_map(|event| self.word(event))
-                    .for_each(|word| self.note(*member, word));
+                    .filter_map(|event| self.state(event))
+                    .for_each(|state| self.record_update(*member, state));
             }
             Known::Claimed { member, revision } => {
-                let mut last: BTreeMap<u32, Word> = BTreeMap::new();
-                for word in lock(&self.log)
+                let mut last: BTreeMap<u32, CommittedState> = BTreeMap::new();
+                for state in lock(&self.log)
                     .iter()
-                    .filter(|word| word.revision <= *revision)
+                    .filter(|state| state.revision <= *revision)
                 {
-                    last.insert(word.node, *word);
+                    last.insert(state.node, *state);
                 }
-                last.into_values().for_each(|word| self.note(*member, word));
+                last.into_values()
+                    .for_each(|state| self.record_update(*member, state));
             }
         }
     }
 
-    /// What an event says of a node; nothing, if it is noise.
-    fn word(&self, event: &Event) -> Option<Word> {
+    /// Returns the state of a backend in an event; `None` for a rewrite without a change of state.
+    fn state(&self, event: &Event) -> Option<CommittedState> {
         let kv = event.kv.as_ref()?;
         let node = agent::number(std::str::from_utf8(&kv.key).ok()?.rsplit('/').next()?)?;
         let revision = kv.mod_revision;
         if event.kind == Event::DELETE {
-            return Some(Word {
+            return Some(CommittedState {
                 revision,
                 node,
                 health: Health::Removed,
@@ -254,7 +259,7 @@
         let started = value["started_ms"]
             .as_f64()
             .filter(|started| *started > 0.0);
-        Some(Word {
+        Some(CommittedState {
             revision,
             node,
             health,
@@ -262,11 +267,11 @@
         })
     }
 
-    fn note(&self, member: u64, word: Word) {
-        let Word {
+    fn record_update(&self, member: u64, state: CommittedState) {
+        let CommittedState {
             node, health, born, ..
-        } = word;
-        if health == Health::Removed && !lock(&self.gone).insert((member, node)) {
+        } = state;
+        if health == Health::Removed && !lock(&self.removed).insert((member, node)) {
             return;
         }
         self.recorder.record(EventKind::NodeUpdate {
--- a/crates/rehearsal/src/find.rs
+++ b/crates/rehearsal/src/find.rs
@@ -1,35 +1,35 @@
-//! Which daemon is played: one that is named, or the one of this workspace, built on the spot where `cargo run` started
-//! this program.
+//! Finds the gateway program to run: a given path, or the one beside this program, which is built
+//! first if `cargo run` started this program.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Why there is no daemon to play.
+/// Reason why no gateway program was found.
 #[derive(Debug, thiserror::Error)]
-pub enum NoDaemon {
-    /// The named file is not there.
+pub enum DaemonError {
+    /// The given file does not exist.
     #[error("{0}: no such file; --daemon names a built maplefall")]
     Missing(PathBuf),
-    /// None was named and none stands beside this program.
+    /// No path was given and none is beside this program.
     #[error(
         "no maplefall beside {0}; build it (cargo build --release -p maplefall) or name one with --daemon"
     )]
-    Nowhere(PathBuf),
-    /// It could not be built.
+    NotFound(PathBuf),
+    /// The build failed.
     #[error("cargo could not build the daemon: {0}")]
     Build(String),
 }
 
-/// The daemon to play.
+/// Returns the path of the gateway program.
 ///
 /// # Errors
-/// Why there is none.
-pub fn daemon(named: Option<&Path>) -> Result<PathBuf, NoDaemon> {
-    if let Some(path) = named {
+/// Returns why there is none.
+pub fn daemon(given: Option<&Path>) -> Result<PathBuf, DaemonError> {
+    if let Some(path) = given {
         return if path.is_file() {
             Ok(path.to_owned())
         } else {
-            Err(NoDaemon::Missing(path.to_owned()))
+            Err(DaemonError::Missing(path.to_owned()))
         };
     }
     let own = std::env::current_exe().unwrap_or_default();
@@ -40,26 +40,26 @@
     if beside.is_file() {
         Ok(beside)
     } else {
-        Err(NoDaemon::Nowhere(own))
+        Err(DaemonError::NotFound(own))
     }
 }
 
-/// A daemon that was built to be broken; built into a folder of its own, so that it never lies where the released one
-/// does.
+/// Returns the path of a program with the feature `breakages`. It is built in a separate target
+/// directory, so that it never replaces the released one.
 ///
 /// # Errors
-/// Why there is none.
-pub fn broken_daemon(named: Option<&Path>) -> Result<PathBuf, NoDaemon> {
-    if let Some(path) = named {
+/// Returns why there is none.
+pub fn broken_daemon(given: Option<&Path>) -> Result<PathBuf, DaemonError> {
+    if let Some(path) = given {
         return daemon(Some(path));
     }
     let root = workspace().ok_or_else(|| {
-        NoDaemon::Build(
+        DaemonError::Build(
             "broken daemons are built from the sources: use cargo run, or --broken".into(),
         )
     })?;
     let target = root.join("target").join("broken");
-    let folder = target.to_string_lossy().into_owned();
+    let target_dir = target.to_string_lossy().into_owned();
     build(
         &root,
         &[
@@ -68,13 +68,13 @@
             "--features",
             "breakages",
             "--target-dir",
-            &folder,
+            &target_dir,
         ],
     )?;
     Ok(target.join("release").join("maplefall"))
 }
 
-/// The workspace, where `cargo run` started this program in one.
+/// Returns the workspace's root if `cargo run` started this program.
 fn workspace() -> Option<PathBuf> {
     std::env::var_os("CARGO")?;
     let package = PathBuf::from(std::env::var_os("CARGO_MANIFEST_DIR")?);
@@ -82,20 +82,20 @@
     root.join("Cargo.lock").is_file().then_some(root)
 }
 
-fn build(root: &Path, what: &[&str]) -> Result<(), NoDaemon> {
+fn build(root: &Path, arguments: &[&str]) -> Result<(), DaemonError> {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut command = Command::new(cargo);
     command
         .current_dir(root)
         .args(["build", "--release", "--locked", "--quiet"])
-        .args(what);
+        .args(arguments);
     eprintln!("building the daemon ...");
-    let ended = command
+    let status = command
         .status()
-        .map_err(|error| NoDaemon::Build(error.to_string()))?;
-    if ended.success() {
+        .map_err(|error| DaemonError::Build(error.to_string()))?;
+    if status.success() {
         Ok(())
     } else {
-        Err(NoDaemon::Build(ended.to_string()))
+        Err(DaemonError::Build(status.to_string()))
     }
 }
--- a/crates/rehearsal/src/header_text.rs
+++ b/crates/rehearsal/src/header_text.rs
@@ -1,6 +1,7 @@
 //! The header of a trace as `maplefall-rehearse script` prints it.
 //!
-//! The printed names are part of the command's output and stay as they are when fields of the header are renamed.
+//! The printed names are part of the command's output and stay as they are when fields of the
+//! header are renamed.
 
 use maplefall_event_trace::{Class, Header, Plan, RateLimit, Rules};
 use std::fmt::{Debug, Formatter, Result};
--- a/crates/rehearsal/src/html.rs
+++ b/crates/rehearsal/src/html.rs
@@ -1,5 +1,5 @@
-//! The report as one page that needs nothing but itself: verdicts, a timeline of traffic, answers, failures and margins,
-//! the figures, and what proves each break.
+//! The report as a self-contained HTML page: verdicts, a timeline of traffic, responses, failures
+//! and margins, the metrics, and the evidence for each violation.
 
 use maplefall_event_trace::{EventKind, FailureReason, Millis, Trace};
 use maplefall_invariants::{Evaluation, RuleResult, Verdict, MARGIN_INTERVAL};
@@ -12,13 +12,13 @@
 const BAND: f64 = 16.0;
 const MARGIN: f64 = 64.0;
 
-/// Kinds of answers: name, colour.
+/// Kinds of outcomes: name, colour.
 const KINDS: [(&str, &str); 5] = [
     ("served", "#2f7d4f"),
-    ("refused", "#d9a521"),
+    ("rejected", "#d9a521"),
     ("failed", "#c2572b"),
-    ("not taken", "#7a7f87"),
-    ("no whole answer", "#9b1c4a"),
+    ("not accepted", "#7a7f87"),
+    ("no complete response", "#9b1c4a"),
 ];
 
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;color:#1d2126;background:#fff;max-width:1112px;margin:24px auto;\
@@ -35,7 +35,7 @@
         .replace('"', "&quot;")
 }
 
-fn word(verdict: Verdict) -> (&'static str, &'static str) {
+fn verdict_label(verdict: Verdict) -> (&'static str, &'static str) {
     match verdict {
         Verdict::Satisfied => ("kept", "kept"),
         Verdict::Violated => ("broken", "broken"),
@@ -43,23 +43,23 @@
     }
 }
 
-/// What happened in each stretch of time.
+/// Counts in each interval of the run.
 struct Timeline {
     from: Millis,
     to: Millis,
-    asked: Vec<f64>,
+    requests: Vec<f64>,
     kinds: Vec<[f64; KINDS.len()]>,
     bands: Vec<(Millis, Millis, String)>,
 }
 
 impl Timeline {
-    fn of(record: &Trace) -> Timeline {
+    fn from_trace(record: &Trace) -> Timeline {
         let times = |wanted: fn(&EventKind) -> bool| {
             record
                 .events
                 .iter()
-                .filter(move |line| wanted(&line.kind))
-                .map(|line| line.at)
+                .filter(move |event| wanted(&event.kind))
+                .map(|event| event.at)
         };
         let from = times(|e| matches!(e, EventKind::RequestSent { .. }))
             .next()
@@ -74,35 +74,35 @@
         .unwrap_or(from)
         .max(from + MARGIN_INTERVAL);
         let count = ((to - from) / MARGIN_INTERVAL).ceil() as usize + 1;
-        let mut line = Timeline {
+        let mut timeline = Timeline {
             from,
             to,
-            asked: vec![0.0; count],
+            requests: vec![0.0; count],
             kinds: vec![[0.0; KINDS.len()]; count],
             bands: Vec::new(),
         };
         let mut open: Vec<(String, Millis)> = Vec::new();
-        for seen in &record.events {
-            let at = (((seen.at - from) / MARGIN_INTERVAL).max(0.0) as usize).min(count - 1);
-            let kind = match &seen.kind {
+        for event in &record.events {
+            let at = (((event.at - from) / MARGIN_INTERVAL).max(0.0) as usize).min(count - 1);
+            let kind = match &event.kind {
                 EventKind::RequestSent { .. } => {
-                    line.asked[at] += 1.0;
+                    timeline.requests[at] += 1.0;
                     continue;
                 }
                 EventKind::Fault {
                     name,
                     is_start: true,
                 } => {
-                    open.push((name.clone(), seen.at));
+                    open.push((name.clone(), event.at));
                     continue;
                 }
                 EventKind::Fault {
                     name,
                     is_start: false,
                 } => {
-                    if let Some(place) = open.iter().position(|(known, _)| known == name) {
-                        let (name, since) = open.remove(place);
-                        line.bands.push((since, seen.at, name));
+                    if let Some(index) = open.iter().position(|(known, _)| known == name) {
+                        let (name, since) = open.remove(index);
+                        timeline.bands.push((since, event.at, name));
                     }
                     continue;
                 }
@@ -118,41 +118,41 @@
                 EventKind::RequestFailed { .. } => 4,
                 _ => continue,
             };
-            line.kinds[at][kind] += 1.0;
+            timeline.kinds[at][kind] += 1.0;
         }
         let rest = open.into_iter().map(|(name, since)| (since, to, name));
-        line.bands.extend(rest);
-        line.bands.sort_by(|a, b| a.0.total_cmp(&b.0));
-        line
+        timeline.bands.extend(rest);
+        timeline.bands.sort_by(|a, b| a.0.total_cmp(&b.0));
+        timeline
     }
 
     fn x(&self, at: Millis) -> f64 {
-        let part = ((at - self.from) / (self.to - self.from)).clamp(0.0, 1.0);
-        LEFT + part * (WIDTH - LEFT - RIGHT)
+        let fraction = ((at - self.from) / (self.to - self.from)).clamp(0.0, 1.0);
+        LEFT + fraction * (WIDTH - LEFT - RIGHT)
     }
 }
 
-/// A round step that divides a span in about so many parts.
+/// Returns a round step that divides `span` into about `parts` parts.
 fn step(span: f64, parts: f64) -> f64 {
     let rough = (span / parts).max(1e-9);
     let power = 10f64.powf(rough.log10().floor());
-    let whole = [1.0, 2.0, 5.0, 10.0]
+    let factor = [1.0, 2.0, 5.0, 10.0]
         .into_iter()
-        .find(|whole| whole * power >= rough);
-    whole.unwrap_or(10.0) * power
+        .find(|factor| factor * power >= rough);
+    factor.unwrap_or(10.0) * power
 }
 
-fn plot(record: &Trace, judgement: &Evaluation) -> String {
-    let line = Timeline::of(record);
+fn plot(record: &Trace, evaluation: &Evaluation) -> String {
+    let timeline = Timeline::from_trace(record);
     let per_second = 1000.0 / MARGIN_INTERVAL;
-    let tallest = line
-        .asked
+    let tallest = timeline
+        .requests
         .iter()
         .copied()
-        .chain(line.kinds.iter().map(|kinds| kinds.iter().sum()));
+        .chain(timeline.kinds.iter().map(|kinds| kinds.iter().sum()));
     let tallest = tallest.fold(1.0, f64::max) * per_second;
-    let bands = line.bands.len() as f64 * (BAND + 2.0);
-    let margins: Vec<&RuleResult> = judgement
+    let bands = timeline.bands.len() as f64 * (BAND + 2.0);
+    let margins: Vec<&RuleResult> = evaluation
         .rules
         .iter()
         .filter(|rule| !rule.margins.is_empty())
@@ -161,7 +161,7 @@
     let height = below + bands + 8.0 + margins.len() as f64 * (MARGIN + 30.0);
     let mut svg =
         format!("<svg viewBox=\"0 0 {WIDTH} {height:.0}\" role=\"img\" aria-label=\"timeline\">");
-    // A string takes any text; the errors are those of a writer that can fail.
+    // Writing to a string does not fail.
     let y = |rate: f64| 12.0 + TRAFFIC * (1.0 - rate / tallest);
     let grid = step(tallest, 4.0);
     let mut rate = 0.0;
@@ -176,9 +176,9 @@
         );
         rate += grid;
     }
-    let wide = (line.x(line.from + MARGIN_INTERVAL) - line.x(line.from)).max(0.5);
-    for (at, kinds) in line.kinds.iter().enumerate() {
-        let x = line.x(line.from + at as f64 * MARGIN_INTERVAL);
+    let wide = (timeline.x(timeline.from + MARGIN_INTERVAL) - timeline.x(timeline.from)).max(0.5);
+    for (at, kinds) in timeline.kinds.iter().enumerate() {
+        let x = timeline.x(timeline.from + at as f64 * MARGIN_INTERVAL);
         let mut sum = 0.0;
         for (count, (_, colour)) in kinds.iter().zip(KINDS) {
             let (top, bottom) = (y((sum + count) * per_second), y(sum * per_second));
@@ -192,20 +192,20 @@
             sum += count;
         }
     }
-    let asked = line.asked.iter().enumerate().map(|(at, count)| {
-        let x = line.x(line.from + (at as f64 + 0.5) * MARGIN_INTERVAL);
+    let requests = timeline.requests.iter().enumerate().map(|(at, count)| {
+        let x = timeline.x(timeline.from + (at as f64 + 0.5) * MARGIN_INTERVAL);
         format!("{x:.1},{:.1}", y(count * per_second))
     });
-    let asked: Vec<String> = asked.collect();
+    let requests: Vec<String> = requests.collect();
     let _ = write!(
         svg,
         "<polyline points=\"{}\" fill=\"none\" stroke=\"#14304f\" stroke-width=\"1.4\"/>",
-        asked.join(" ")
+        requests.join(" ")
     );
-    let seconds = step((line.to - line.from) / 1000.0, 10.0);
+    let seconds = step((timeline.to - timeline.from) / 1000.0, 10.0);
     let mut second = 0.0;
-    while second * 1000.0 <= line.to - line.from {
-        let x = line.x(line.from + second * 1000.0);
+    while second * 1000.0 <= timeline.to - timeline.from {
+        let x = timeline.x(timeline.from + second * 1000.0);
         let _ = write!(
             svg,
             "<text x=\"{x:.1}\" y=\"{:.1}\" text-anchor=\"middle\">{second:.0} s</text>",
@@ -213,10 +213,10 @@
         );
         second += seconds;
     }
-    for (at, (from, to, name)) in line.bands.iter().enumerate() {
-        let (x, top) = (line.x(*from), below + at as f64 * (BAND + 2.0));
-        let wide = (line.x(*to) - x).max(3.0);
-        // A name that finds no room behind its band stands before it.
+    for (at, (from, to, name)) in timeline.bands.iter().enumerate() {
+        let (x, top) = (timeline.x(*from), below + at as f64 * (BAND + 2.0));
+        let wide = (timeline.x(*to) - x).max(3.0);
+        // A name that does not fit to the right of its band is written to the left.
         let (text_x, anchor) = if x + wide > WIDTH * 0.72 {
             (x - 5.0, "end")
         } else {
@@ -230,113 +230,110 @@
             escape(name)
         );
     }
-    for (at, ruling) in margins.iter().enumerate() {
+    for (at, result) in margins.iter().enumerate() {
         let top = below + bands + 30.0 + at as f64 * (MARGIN + 30.0);
-        margin(&mut svg, &line, ruling, top);
+        margin(&mut svg, &timeline, result, top);
     }
     svg.push_str("</svg>");
     svg
 }
 
-/// One rule's margin: the least of each stretch, from nought, where the rule breaks, up.
-fn margin(svg: &mut String, line: &Timeline, ruling: &RuleResult, top: f64) {
-    let most = ruling
+/// Plots a rule's margin: the minimum of each interval. The rule is violated below zero.
+fn margin(svg: &mut String, timeline: &Timeline, result: &RuleResult, top: f64) {
+    let max = result
         .margins
         .iter()
         .map(|(_, margin)| *margin)
         .fold(f64::MIN, f64::max)
         .max(1e-9);
-    let least = ruling
+    let min = result
         .margins
         .iter()
         .map(|(_, margin)| *margin)
         .fold(0.0, f64::min);
-    let y = |margin: f64| top + MARGIN * (1.0 - (margin - least) / (most - least));
-    let nought = y(0.0);
+    let y = |margin: f64| top + MARGIN * (1.0 - (margin - min) / (max - min));
+    let zero = y(0.0);
     let _ = write!(
         svg,
         "<text x=\"{LEFT}\" y=\"{:.1}\">rule {}, {}: {}</text>\
-         <line x1=\"{LEFT}\" x2=\"{}\" y1=\"{nought:.1}\" y2=\"{nought:.1}\" stroke=\"#a1123f\" stroke-dasharray=\"4 3\"/>\
+         <line x1=\"{LEFT}\" x2=\"{}\" y1=\"{zero:.1}\" y2=\"{zero:.1}\" stroke=\"#a1123f\" stroke-dasharray=\"4 3\"/>\
          <text x=\"{:.0}\" y=\"{:.1}\" text-anchor=\"end\">0</text>\
-         <text x=\"{:.0}\" y=\"{:.1}\" text-anchor=\"end\">{most:.3}</text>",
+         <text x=\"{:.0}\" y=\"{:.1}\" text-anchor=\"end\">{max:.3}</text>",
         top - 6.0,
-        ruling.rule,
-        escape(ruling.name),
-        escape(ruling.margin_unit),
+        result.rule,
+        escape(result.name),
+        escape(result.margin_unit),
         WIDTH - RIGHT,
         LEFT - 8.0,
-        nought + 4.0,
+        zero + 4.0,
         LEFT - 8.0,
         top + 8.0
     );
-    for (at, margin) in &ruling.margins {
+    for (at, margin) in &result.margins {
         let colour = if *margin < 0.0 { "#a1123f" } else { "#14304f" };
         let _ = write!(
             svg,
             "<circle cx=\"{:.1}\" cy=\"{:.1}\" r=\"2\" fill=\"{colour}\"/>",
-            line.x(at + MARGIN_INTERVAL / 2.0),
+            timeline.x(at + MARGIN_INTERVAL / 2.0),
             y(*margin)
         );
     }
 }
 
-/// The whole page.
-pub fn page(record: &Trace, judgement: &Evaluation) -> String {
-    let figures = &judgement.metrics;
-    let name = escape(&judgement.scenario);
-    let (class, said) = match (&judgement.invalid_reason, judgement.has_violations()) {
+/// Returns the page.
+pub fn page(record: &Trace, evaluation: &Evaluation) -> String {
+    let metrics = &evaluation.metrics;
+    let name = escape(&evaluation.scenario);
+    let (class, summary) = match (&evaluation.invalid_reason, evaluation.has_violations()) {
         (_, true) => ("broken", "a rule was broken".to_owned()),
-        (Some(void), _) => ("none", format!("void: {}", escape(void))),
-        (None, false) => (
-            "kept",
-            "every rule that was put to the test held".to_owned(),
-        ),
+        (Some(reason), _) => ("none", format!("void: {}", escape(reason))),
+        (None, false) => ("kept", "every exercised rule held".to_owned()),
     };
     let mut page = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name} (seed {seed})</title>\
          <meta name=\"viewport\" content=\"width=device-width\"><style>{STYLE}</style>\
-         <h1>{name}, seed {seed}</h1><p class=\"{class}\">{said}</p>",
-        seed = judgement.seed
+         <h1>{name}, seed {seed}</h1><p class=\"{class}\">{summary}</p>",
+        seed = evaluation.seed
     );
     page.push_str(
-        "<h2>Rules</h2><table><tr><th>rule<th>verdict<th class=n>tested<th>by<th>least margin</tr>",
+        "<h2>Rules</h2><table><tr><th>rule<th>verdict<th class=n>tested<th>by<th>min margin</tr>",
     );
-    for ruling in &judgement.rules {
-        let (class, word) = word(ruling.verdict);
-        let margin = ruling
+    for result in &evaluation.rules {
+        let (class, label) = verdict_label(result.verdict);
+        let margin = result
             .margin
-            .map(|least| format!("{least:.2} {}", escape(ruling.margin_unit)));
+            .map(|margin| format!("{margin:.2} {}", escape(result.margin_unit)));
         let _ = write!(
             page,
-            "<tr><td>{} {}<td class=\"{class}\">{word}<td class=n>{}<td>{}<td>{}</tr>",
-            ruling.rule,
-            escape(ruling.name),
-            ruling.tested,
-            escape(ruling.tested_by),
+            "<tr><td>{} {}<td class=\"{class}\">{label}<td class=n>{}<td>{}<td>{}</tr>",
+            result.rule,
+            escape(result.name),
+            result.tested,
+            escape(result.tested_by),
             margin.unwrap_or_default()
         );
     }
     page.push_str("</table>");
-    for ruling in judgement
+    for result in evaluation
         .rules
         .iter()
-        .filter(|ruling| ruling.violation_count > 0)
+        .filter(|result| result.violation_count > 0)
     {
         let _ = write!(
             page,
-            "<h2>Rule {}, {}: {} breaks</h2><table><tr><th class=n>ms<th>request<th>what<th>lines</tr>",
-            ruling.rule,
-            escape(ruling.name),
-            ruling.violation_count
+            "<h2>Rule {}, {}: {} violations</h2><table><tr><th class=n>ms<th>request<th>what<th>lines</tr>",
+            result.rule,
+            escape(result.name),
+            result.violation_count
         );
-        for finding in &ruling.violations {
-            let lines: Vec<String> = finding.trace_lines.iter().map(usize::to_string).collect();
+        for violation in &result.violations {
+            let lines: Vec<String> = violation.trace_lines.iter().map(usize::to_string).collect();
             let _ = write!(
                 page,
                 "<tr><td class=n>{:.1}<td><code>{}</code><td>{}<td>{}</tr>",
-                finding.at,
-                escape(&finding.request),
-                escape(&finding.description),
+                violation.at,
+                escape(&violation.request),
+                escape(&violation.description),
                 lines.join(", ")
             );
         }
@@ -345,7 +342,7 @@
     page.push_str("<h2>Timeline</h2><p>");
     let _ = write!(
         page,
-        "<span style=\"color:#14304f\">&#9473;</span> tries asked &nbsp;"
+        "<span style=\"color:#14304f\">&#9473;</span> client attempts &nbsp;"
     );
     for (kind, colour) in KINDS {
         let _ = write!(
@@ -357,75 +354,75 @@
         page,
         "(a bar is {MARGIN_INTERVAL} ms; failures as bands below; margins last)</p>"
     );
-    page.push_str(&plot(record, judgement));
+    page.push_str(&plot(record, evaluation));
     page.push_str("<h2>Figures</h2><table>");
-    let failed: Vec<String> = figures
+    let failed: Vec<String> = metrics
         .failed
         .iter()
         .map(|(status, n)| format!("{n} x {status}"))
         .collect();
-    let plans: Vec<String> = figures
+    let plans: Vec<String> = metrics
         .value_by_plan
         .iter()
         .map(|(plan, share)| format!("{} {share:.3}", escape(plan)))
         .collect();
-    let times = figures.latency;
+    let times = metrics.latency;
     let rows = [
         (
-            "worth served in time, inside quotas",
-            format!("{:.3} ({})", figures.value_share, plans.join(", ")),
+            "value served in time, inside quotas",
+            format!("{:.3} ({})", metrics.value_share, plans.join(", ")),
         ),
         (
-            "requests, tries",
-            format!("{}, {}", figures.requests, figures.client_requests),
+            "requests, client attempts",
+            format!("{}, {}", metrics.requests, metrics.client_requests),
         ),
-        ("served", figures.served.to_string()),
+        ("served", metrics.served.to_string()),
         (
-            "refused, with and without a word on when to come back",
+            "rejected, with and without Retry-After",
             format!(
                 "{}, {}",
-                figures.rejected_with_retry_after, figures.rejected_without_retry_after
+                metrics.rejected_with_retry_after, metrics.rejected_without_retry_after
             ),
         ),
         ("failed", failed.join(", ")),
         (
-            "not taken; closed with nothing sent on; no whole answer",
+            "not accepted; closed before forwarding; no complete response",
             format!(
                 "{}; {}; {}",
-                figures.not_accepted, figures.closed_before_forwarding, figures.unanswered
+                metrics.not_accepted, metrics.closed_before_forwarding, metrics.unanswered
             ),
         ),
         (
-            "time to a served answer, ms",
+            "latency of served requests, ms",
             format!(
-                "p50 {:.0}, p90 {:.0}, p99 {:.0}, most {:.0}",
+                "p50 {:.0}, p90 {:.0}, p99 {:.0}, max {:.0}",
                 times.p50_ms, times.p90_ms, times.p99_ms, times.max_ms
             ),
         ),
         (
-            "attempts for each request sent on",
-            format!("{:.3}", figures.attempts_per_forwarded),
+            "attempts per forwarded request",
+            format!("{:.3}", metrics.attempts_per_forwarded),
         ),
         (
-            "CPU of the front doors for each try",
-            format!("{:.0} us", figures.cpu_us_per_request),
+            "CPU of the gateways per client attempt",
+            format!("{:.0} us", metrics.cpu_us_per_request),
         ),
         (
-            "most memory of a front door",
-            format!("{} KiB", figures.max_memory_kib),
+            "peak memory of a gateway",
+            format!("{} KiB", metrics.max_memory_kib),
         ),
         (
-            "bad clients, of them neglected",
+            "malformed clients, of them neglected",
             format!(
                 "{}, {}",
-                figures.malformed_clients, figures.malformed_clients_neglected
+                metrics.malformed_clients, metrics.malformed_clients_neglected
             ),
         ),
         (
-            "the stand-ins' own lateness, ms",
+            "lateness of the test servers, ms",
             format!(
-                "p99 {:.2}, most {:.1}, over {} actions",
-                figures.lateness_p99_ms, figures.lateness_max_ms, figures.actions
+                "p99 {:.2}, max {:.1}, over {} actions",
+                metrics.lateness_p99_ms, metrics.lateness_max_ms, metrics.actions
             ),
         ),
     ];
@@ -442,7 +439,7 @@
     use maplefall_event_trace::{Event, Header, Rules, VERSION};
 
     #[test]
-    fn a_page_needs_nothing_but_itself_and_escapes_what_it_shows() {
+    fn page_is_self_contained_and_escapes_its_texts() {
         let rules = Rules::platform(100.0);
         let header = Header {
             version: VERSION,
@@ -476,7 +473,7 @@
     }
 
     #[test]
-    fn steps_are_round() {
+    fn steps_are_round_numbers() {
         assert_eq!(
             [step(100.0, 4.0), step(23.0, 10.0), step(0.7, 4.0)],
             [50.0, 5.0, 0.2]
--- a/crates/rehearsal/src/library.rs
+++ b/crates/rehearsal/src/library.rs
@@ -1,4 +1,4 @@
-//! The scenarios that ship with the program.
+//! Scenarios built into the program.
 
 use crate::reading::Mistake;
 use crate::scenario::Scenario;
@@ -6,7 +6,7 @@
 
 macro_rules! shipped {
     ($($name:literal),* $(,)?) => {
-        /// Name and text of each, the calmest first.
+        /// Name and text of each scenario, the simplest first.
         pub const SHIPPED: &[(&str, &str)] =
             &[$(($name, include_str!(concat!("../../../rehearsals/", $name, ".toml")))),*];
     };
@@ -46,8 +46,8 @@
     "auth-strangers",
 );
 
-/// Long ones that measure, and are no part of `all`.
-const MEASURING: &[(&str, &str)] = &[
+/// Long scenarios for measurements, which `all` does not run.
+const MEASUREMENTS: &[(&str, &str)] = &[
     (
         "drains-etcd",
         include_str!("../../../rehearsals/measure/drains-etcd.toml"),
@@ -78,31 +78,31 @@
     ),
 ];
 
-/// Why there is no such scenario.
+/// Reason why a scenario could not be loaded.
 #[derive(Debug, thiserror::Error)]
-pub enum NoScenario {
-    /// None of that name ships.
+pub enum ScenarioError {
+    /// No built-in scenario has the name.
     #[error("no scenario is called {name:?}; there are {known}, or a file by its path")]
     Unknown {
-        /// What was asked for.
+        /// The requested name.
         name: String,
-        /// What there is.
+        /// The known names.
         known: String,
     },
     /// The file cannot be read.
     #[error("{path}: {error}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// The I/O error.
         error: std::io::Error,
     },
-    /// It has mistakes.
+    /// The scenario has mistakes.
     #[error("{name}: {} mistakes\n{}", mistakes.len(), list(mistakes))]
     Mistakes {
-        /// The scenario.
+        /// Name of the scenario.
         name: String,
-        /// All of them.
+        /// All mistakes.
         mistakes: Vec<Mistake>,
     },
 }
@@ -115,19 +115,19 @@
         .join("\n")
 }
 
-/// A shipped scenario by its name, or one in a file by its path.
+/// Returns a built-in scenario by its name, or one in a file by its path.
 ///
 /// # Errors
-/// Why there is none.
-pub fn find(name: &str) -> Result<Scenario, NoScenario> {
+/// Returns why it could not be loaded.
+pub fn find(name: &str) -> Result<Scenario, ScenarioError> {
     let shipped = SHIPPED
         .iter()
-        .chain(MEASURING)
+        .chain(MEASUREMENTS)
         .find(|(known, _)| *known == name);
     let (name, text) = match shipped {
         Some((name, text)) => ((*name).to_owned(), (*text).to_owned()),
         None if name.ends_with(".toml") => {
-            let unreadable = |error| NoScenario::Unreadable {
+            let unreadable = |error| ScenarioError::Unreadable {
                 path: name.to_owned(),
                 error,
             };
@@ -139,13 +139,13 @@
         }
         None => {
             let known: Vec<&str> = SHIPPED.iter().map(|(name, _)| *name).collect();
-            return Err(NoScenario::Unknown {
+            return Err(ScenarioError::Unknown {
                 name: name.to_owned(),
                 known: known.join(", "),
             });
         }
     };
-    Scenario::read(&name, &text).map_err(|mistakes| NoScenario::Mistakes { name, mistakes })
+    Scenario::read(&name, &text).map_err(|mistakes| ScenarioError::Mistakes { name, mistakes })
 }
 
 #[cfg(test)]
@@ -154,15 +154,15 @@
 
     #[test]
     fn every_shipped_scenario_can_be_read_and_is_listed() {
-        for (name, _) in SHIPPED.iter().chain(MEASURING) {
+        for (name, _) in SHIPPED.iter().chain(MEASUREMENTS) {
             let scenario = find(name).unwrap_or_else(|error| panic!("{error}"));
             assert!(
                 !scenario.title.is_empty() && scenario.seconds <= 120.0,
                 "{name}"
             );
         }
-        let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals");
-        let files = std::fs::read_dir(folder).unwrap().filter_map(|file| {
+        let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals");
+        let files = std::fs::read_dir(directory).unwrap().filter_map(|file| {
             let name = file.unwrap().file_name().into_string().unwrap();
             name.strip_suffix(".toml").map(str::to_owned)
         });
@@ -170,6 +170,6 @@
         files.sort();
         let mut shipped: Vec<String> = SHIPPED.iter().map(|(name, _)| (*name).to_owned()).collect();
         shipped.sort();
-        assert_eq!(files, shipped, "a file that does not ship");
+        assert_eq!(files, shipped, "a file that is not built in");
     }
 }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -1,18 +1,19 @@
-//! `maplefall-rehearse`: plays failures to the built daemon on one machine, and tells whether every rule held.
+//! `maplefall-rehearse`: runs the built gateway program under failures on one machine and reports
+//! whether every rule held.
 
-mod carry;
+mod capacity;
 mod daemon;
 mod drains;
-mod etcd_world;
+mod etcd_cluster;
 mod find;
 mod header_text;
 mod html;
 mod library;
 mod members;
-mod play;
 mod prove;
 mod reading;
 mod report;
+mod runner;
 mod scenario;
 mod script;
 mod settings;
@@ -21,19 +22,20 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use maplefall_event_trace::Trace;
 use maplefall_invariants::{Evaluation, Verdict};
-use play::Run;
-use prove::{Proof, PROOFS};
+use prove::{BreakageTest, BREAKAGE_TESTS};
+use runner::Run;
 use scenario::Scenario;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Rehearses a maplefall front door on one machine: api nodes, the discovery agent and clients are played on loopback
-/// sockets, front doors are real processes of the built daemon, failures come by script, and a judge decides rule by
-/// rule from one record of all that was seen.
+/// Tests maplefall gateways on one machine: backends, the discovery agent and clients are test
+/// servers on loopback sockets, gateways are real processes of the built program, failures come
+/// from a script, and each rule is evaluated on one record of all observations.
 ///
-/// Exit code: 0 all rules held, 1 a rule was broken or too little was served, 2 it could not be played (or the run is void, because the
-/// stand-ins themselves were late, or a rule that the scenario is for was never put to the test).
+/// Exit code: 0 all rules held, 1 a rule was broken or too little value was served, 2 the scenario
+/// could not be run (or the run is void, because the test servers themselves were late or a rule
+/// that the scenario is for was never exercised).
 #[derive(Parser)]
 #[command(name = "maplefall-rehearse", version, max_term_width = 100)]
 struct Arguments {
@@ -43,74 +45,78 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Tells which scenarios ship, and which events a scenario file may name.
+    /// Lists the built-in scenarios and the events that a scenario file may name.
     List,
-    /// Plays one scenario and judges it.
+    /// Runs one scenario and evaluates it.
     Run {
-        /// A shipped scenario by its name, or a scenario file by its path (ending in .toml).
+        /// A built-in scenario by its name, or a scenario file by its path (ending in .toml).
         scenario: String,
         #[command(flatten)]
         options: Options,
-        /// The seed that times, sizes and victims are drawn from; the same seed gives the same script.
+        /// The seed from which times, sizes and targets are drawn; the same seed gives the same
+        /// script.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Writes the judgement as JSON.
+        /// Writes the evaluation as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Writes the record, which can be judged again later.
+        /// Writes the record, which can be evaluated again later.
         #[arg(long, value_name = "FILE")]
         record: Option<PathBuf>,
-        /// Writes the report as one page with a timeline.
+        /// Writes the report as an HTML page with a timeline.
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
-        /// Names a breakage to a daemon that was built with the feature `breakages` (see prove).
+        /// Enables a breakage in a program built with the feature `breakages` (see prove).
         #[arg(long, value_name = "NAME")]
         breakage: Option<String>,
     },
-    /// Plays all shipped scenarios, one after the other.
+    /// Runs all built-in scenarios.
     All {
         #[command(flatten)]
         options: Options,
         /// The first seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds of each.
+        /// Number of seeds for each scenario.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Only these scenarios, by their names.
+        /// Runs only these scenarios.
         #[arg(long, value_name = "NAME", value_delimiter = ',')]
         only: Vec<String>,
-        /// Scenarios that play at once; each wants a core for the stand-ins and a part of one for each front door.
+        /// Number of concurrent runs; each needs a core for the test servers and a part of one for
+        /// each gateway.
         #[arg(long, default_value_t = 1)]
         jobs: usize,
     },
-    /// Plays deliberately broken daemons, and tells whether the judge finds each by the right rule and does not call the
-    /// whole one broken.
+    /// Runs deliberately broken programs and checks that the right rule detects each breakage and
+    /// that the intact program passes.
     Prove {
         #[command(flatten)]
         options: Options,
-        /// A daemon built with the feature `breakages`; without it one is built from this workspace.
+        /// A program built with the feature `breakages`; by default one is built from this
+        /// workspace.
         #[arg(long, value_name = "PATH")]
         broken: Option<PathBuf>,
-        /// Only these breakages, by their names.
+        /// Runs only these breakages.
         #[arg(long, value_name = "NAME", value_delimiter = ',')]
         only: Vec<String>,
         /// The seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Runs that play at once.
+        /// Number of concurrent runs.
         #[arg(long, default_value_t = 1)]
         jobs: usize,
     },
-    /// Measures how many requests a second the stand-ins carry by themselves, with no front door between.
+    /// Measures how many requests a second the test servers sustain without a gateway.
     Carry {
-        /// How long each rate is played.
+        /// Duration of each rate.
         #[arg(long, default_value_t = 5.0)]
         seconds: f64,
     },
-    /// Measures how long drains take, from their commit and from the front door's learning, to the last new work.
+    /// Measures how long drains take from their commit, and from the gateway's learning of them, to
+    /// the last new request.
     Drains {
-        /// Scenarios to play, each a row of the table.
+        /// Scenarios to run, each a row of the table.
         #[arg(value_name = "SCENARIO", default_values = ["drains-etcd", "drains-etcd-cut", "drains-agent"])]
         scenarios: Vec<String>,
         #[command(flatten)]
@@ -119,52 +125,53 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Measures what a large list, told by a played etcd or agent, costs one front door: memory, and processor time for each change.
+    /// Measures what a large list from a fake etcd or agent costs one gateway: memory, and CPU time
+    /// for each change.
     Members {
-        /// Who tells of the nodes.
+        /// Source of the list.
         #[arg(long, value_enum, default_value = "etcd")]
         teller: members::Teller,
-        /// Front doors that the settings name.
+        /// Number of gateways in the settings.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=100_000))]
         doors: u32,
-        /// Nodes in the list.
-        #[arg(long, default_value_t = 5000, value_parser = clap::value_parser!(u32).range(1..=i64::from(members::MOST)))]
+        /// Number of backends in the list.
+        #[arg(long, default_value_t = 5000, value_parser = clap::value_parser!(u32).range(1..=i64::from(members::MAX_BACKENDS)))]
         nodes: u32,
         /// Changes of their state a second.
-        #[arg(long, default_value_t = 1000, value_parser = clap::value_parser!(u32).range(0..=i64::from(members::MOST)))]
+        #[arg(long, default_value_t = 1000, value_parser = clap::value_parser!(u32).range(0..=i64::from(members::MAX_BACKENDS)))]
         rate: u32,
-        /// For how long.
+        /// Duration in seconds.
         #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u32).range(1..=300))]
         seconds: u32,
         #[command(flatten)]
         options: Options,
     },
-    /// Plays an etcd by itself, for any client of etcd to try; ends when its input does.
+    /// Serves a fake etcd for any etcd client; ends when standard input ends.
     Etcd {
-        /// Where it listens.
+        /// Listening address.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: std::net::SocketAddr,
-        /// The one user that may call, as NAME:PASSWORD; without it everybody may.
+        /// The only user that may call, as NAME:PASSWORD; without it no authentication is required.
         #[arg(long, value_name = "NAME:PASSWORD")]
         user: Option<String>,
-        /// How often a watch that asks for it is told that there is nothing new, in milliseconds.
+        /// Interval of progress notifications of a watch that requests them, in milliseconds.
         #[arg(long, value_name = "MS")]
         notices: Option<u64>,
     },
-    /// Judges a record that an earlier run wrote.
+    /// Evaluates a record that an earlier run wrote.
     Judge {
         /// The record.
         record: PathBuf,
-        /// Writes the judgement as JSON.
+        /// Writes the evaluation as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Writes the report as one page with a timeline.
+        /// Writes the report as an HTML page with a timeline.
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
     },
-    /// Prints the script that a scenario and a seed give, without playing it.
+    /// Prints the script of a scenario and a seed without running it.
     Script {
-        /// A shipped scenario by its name, or a scenario file by its path.
+        /// A built-in scenario by its name, or a scenario file by its path.
         scenario: String,
         /// The seed.
         #[arg(long, default_value_t = 1)]
@@ -172,25 +179,26 @@
     },
 }
 
-/// What runs have in common.
+/// Options common to all runs.
 #[derive(clap::Args)]
 struct Options {
-    /// The daemon to play; without it the one of this workspace, or the one beside this program.
+    /// The gateway program to run; by default the one of this workspace, or the one beside this
+    /// program.
     #[arg(long, value_name = "PATH")]
     daemon: Option<PathBuf>,
-    /// Where configurations and logs of the front doors go.
+    /// Directory for configurations and logs of the gateways.
     #[arg(long, value_name = "FOLDER")]
     folder: Option<PathBuf>,
 }
 
-/// How a command ended.
-enum Ended {
-    Held,
-    Broken,
+/// Outcome of a command.
+enum Outcome {
+    Passed,
+    Failed,
 }
 
 fn main() -> ExitCode {
-    let ended = match Arguments::parse().command {
+    let outcome = match Arguments::parse().command {
         Command::List => list(),
         Command::Run {
             scenario,
@@ -225,11 +233,11 @@
             rate,
             seconds,
             options,
-        } => membered(
+        } => measure_members(
             members::Load {
-                teller,
-                doors,
-                nodes,
+                source: teller,
+                gateways: doors,
+                backends: nodes,
                 rate,
                 seconds,
             },
@@ -239,14 +247,14 @@
             listen,
             user,
             notices,
-        } => played_etcd(listen, user.as_deref(), notices),
+        } => serve_etcd(listen, user.as_deref(), notices),
         Command::Drains {
             scenarios,
             options,
             seed,
-        } => drained(&scenarios, &options, seed),
-        Command::Carry { seconds } => carried(seconds),
-        Command::Judge { record, json, html } => judge_again(
+        } => measure_drains(&scenarios, &options, seed),
+        Command::Carry { seconds } => measure_capacity(seconds),
+        Command::Judge { record, json, html } => evaluate_record(
             &record,
             &Files {
                 json,
@@ -255,15 +263,17 @@
             },
         ),
         Command::Script { scenario, seed } => {
-            library::find(&scenario).map_err(plainly).map(|scenario| {
-                print!("{}", script::draw(&scenario, seed).to_text());
-                Ended::Held
-            })
+            library::find(&scenario)
+                .map_err(to_message)
+                .map(|scenario| {
+                    print!("{}", script::draw(&scenario, seed).to_text());
+                    Outcome::Passed
+                })
         }
     };
-    match ended {
-        Ok(Ended::Held) => ExitCode::SUCCESS,
-        Ok(Ended::Broken) => ExitCode::from(1),
+    match outcome {
+        Ok(Outcome::Passed) => ExitCode::SUCCESS,
+        Ok(Outcome::Failed) => ExitCode::from(1),
         Err(error) => {
             eprintln!("maplefall-rehearse: {error}");
             ExitCode::from(2)
@@ -271,42 +281,42 @@
     }
 }
 
-fn plainly(error: impl std::fmt::Display) -> String {
+fn to_message(error: impl std::fmt::Display) -> String {
     error.to_string()
 }
 
-fn list() -> Result<Ended, String> {
+fn list() -> Result<Outcome, String> {
     println!("Scenarios:");
     for (name, _) in library::SHIPPED {
-        let scenario = library::find(name).map_err(plainly)?;
+        let scenario = library::find(name).map_err(to_message)?;
         println!("  {name:<12} {:>3} s  {}", scenario.seconds, scenario.title);
     }
     println!("\nEvents that a scenario file may name ([[event]] with what, at_ms and these):");
     for (name, text) in scenario::EVENTS {
         println!("  {name:<14} {text}");
     }
-    Ok(Ended::Held)
+    Ok(Outcome::Passed)
 }
 
-/// A folder of this run's own.
-fn folder(options: &Options, name: &str, seed: u64) -> PathBuf {
-    let below = format!("{name}-{seed}-{}", std::process::id());
+/// Returns a separate directory for a run.
+fn run_directory(options: &Options, name: &str, seed: u64) -> PathBuf {
+    let name = format!("{name}-{seed}-{}", std::process::id());
     match &options.folder {
-        Some(folder) => folder.join(below),
-        None => std::env::temp_dir().join("maplefall-rehearse").join(below),
+        Some(directory) => directory.join(name),
+        None => std::env::temp_dir().join("maplefall-rehearse").join(name),
     }
 }
 
-/// Plays a scenario and shows how far it is, where somebody looks on.
-fn play(
+/// Runs a scenario with a progress bar on a terminal.
+fn run_with_progress(
     scenario: &Scenario,
     seed: u64,
     daemon: &Path,
     breakage: Option<&str>,
-    folder: PathBuf,
+    directory: PathBuf,
 ) -> Result<Trace, String> {
     let script = script::draw(scenario, seed);
-    let bar = ProgressBar::new((script.length + play::AFTER_LAST_REQUEST_MS) as u64);
+    let bar = ProgressBar::new((script.length + runner::AFTER_LAST_REQUEST_MS) as u64);
     let style = ProgressStyle::with_template("{prefix} {wide_bar} {elapsed}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.set_prefix(scenario.name.clone());
@@ -317,41 +327,41 @@
         script: &script,
         daemon,
         breakage,
-        directory: folder,
+        directory,
         progress: &progress,
     };
-    let record = run.run().map_err(plainly);
+    let record = run.run().map_err(to_message);
     bar.finish_and_clear();
     record
 }
 
-fn write(path: &Path, text: &str) -> Result<(), String> {
+fn write_file(path: &Path, text: &str) -> Result<(), String> {
     std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// That less was served than the scenario asks for.
-fn too_little(judgement: &Evaluation, scenario: &Scenario) -> Option<String> {
-    let (served, least) = (judgement.metrics.value_share, scenario.min_value_share);
-    (served < least)
-        .then(|| format!("worth {served:.3} was served, {least} at least was asked for"))
+/// Returns a message if less value was served than the scenario requires.
+fn below_min_value(evaluation: &Evaluation, scenario: &Scenario) -> Option<String> {
+    let (served, min) = (evaluation.metrics.value_share, scenario.min_value_share);
+    (served < min)
+        .then(|| format!("value share {served:.3} was served, at least {min} is required"))
 }
 
-/// What the judgement of a scenario's run comes to.
-fn verdict(judgement: &Evaluation, scenario: &Scenario) -> Result<Ended, String> {
-    if judgement.has_violations() {
-        return Ok(Ended::Broken);
+/// Returns the outcome of a run from its evaluation.
+fn verdict(evaluation: &Evaluation, scenario: &Scenario) -> Result<Outcome, String> {
+    if evaluation.has_violations() {
+        return Ok(Outcome::Failed);
     }
-    if let Some(void) = &judgement.invalid_reason {
-        return Err(format!("the run is void: {void}"));
+    if let Some(reason) = &evaluation.invalid_reason {
+        return Err(format!("the run is void: {reason}"));
     }
-    if let Some(text) = too_little(judgement, scenario) {
+    if let Some(text) = below_min_value(evaluation, scenario) {
         println!("  {}: {text}", scenario.name);
-        return Ok(Ended::Broken);
+        return Ok(Outcome::Failed);
     }
-    match judgement.not_exercised(&scenario.strains)[..] {
-        [] => Ok(Ended::Held),
+    match evaluation.not_exercised(&scenario.strains)[..] {
+        [] => Ok(Outcome::Passed),
         ref rules => Err(format!(
-            "the run never put to the test what it is for: rules {rules:?}"
+            "the run did not exercise the rules that the scenario is for: {rules:?}"
         )),
     }
 }
@@ -362,21 +372,22 @@
     seed: u64,
     files: &Files,
     breakage: Option<&str>,
-) -> Result<Ended, String> {
-    let scenario = library::find(name).map_err(plainly)?;
-    let daemon = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
-    let folder = folder(options, &scenario.name, seed);
-    let record = play(&scenario, seed, &daemon, breakage, folder.clone())?;
-    let judgement = maplefall_invariants::evaluate(&record);
-    told(&record, &judgement, files)?;
-    println!("  logs of the front doors: {}", folder.display());
-    verdict(&judgement, &scenario)
+) -> Result<Outcome, String> {
+    let scenario = library::find(name).map_err(to_message)?;
+    let daemon = find::daemon(options.daemon.as_deref()).map_err(to_message)?;
+    let directory = run_directory(options, &scenario.name, seed);
+    let record = run_with_progress(&scenario, seed, &daemon, breakage, directory.clone())?;
+    let evaluation = maplefall_invariants::evaluate(&record);
+    write_results(&record, &evaluation, files)?;
+    println!("  gateway logs: {}", directory.display());
+    verdict(&evaluation, &scenario)
 }
 
-/// Prints what a large list costs.
-fn membered(load: members::Load, options: &Options) -> Result<Ended, String> {
-    let daemon = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
-    let cost = members::play(&daemon, &folder(options, "members", 1), load).map_err(plainly)?;
+/// Measures and prints the cost of a large list.
+fn measure_members(load: members::Load, options: &Options) -> Result<Outcome, String> {
+    let daemon = find::daemon(options.daemon.as_deref()).map_err(to_message)?;
+    let cost =
+        members::run(&daemon, &run_directory(options, "members", 1), load).map_err(to_message)?;
     let members::Cost {
         ready_ms,
         ready_cpu_ms,
@@ -387,34 +398,34 @@
     } = cost;
     println!(
         "{} nodes: ready after {ready_ms:.0} ms, {ready_cpu_ms:.0} ms of CPU, {ready_kib} KiB",
-        load.nodes
+        load.backends
     );
     println!(
         "{changes} changes in {} s: {cpu_ms:.0} ms of CPU, {:.0} us a change, {end_kib} KiB at most",
         load.seconds,
         cpu_ms * 1000.0 / changes.max(1) as f64
     );
-    Ok(Ended::Held)
+    Ok(Outcome::Passed)
 }
 
-/// Serves a played etcd until the input ends.
-fn played_etcd(
+/// Serves a fake etcd until standard input ends.
+fn serve_etcd(
     listen: std::net::SocketAddr,
     user: Option<&str>,
     notices: Option<u64>,
-) -> Result<Ended, String> {
+) -> Result<Outcome, String> {
     use maplefall_test_servers::etcd::{store::Store, Etcd};
     if !listen.ip().is_loopback() {
         return Err(format!(
-            "{listen}: a loopback address was expected; what is played here keeps nothing safe"
+            "{listen}: a loopback address was expected; the fake etcd is not secure"
         ));
     }
-    let listener = std::net::TcpListener::bind(listen).map_err(plainly)?;
+    let listener = std::net::TcpListener::bind(listen).map_err(to_message)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()
-        .map_err(plainly)?;
+        .map_err(to_message)?;
     runtime.block_on(async move {
         let etcd = Etcd::new(Store::new(1), |_| {});
         if let Some(user) = user {
@@ -423,31 +434,37 @@
                 .ok_or("--user: NAME:PASSWORD was expected")?;
             etcd.only(name, password);
         }
-        let member = etcd.member(1, listener).map_err(plainly)?;
+        let member = etcd.member(1, listener).map_err(to_message)?;
         if let Some(every) = notices {
             member.set_progress_interval(Duration::from_millis(every.max(1)));
         }
         println!("http://{}", member.address);
-        let (end, ended) = tokio::sync::oneshot::channel();
+        let (input_ended, end) = tokio::sync::oneshot::channel();
         std::thread::spawn(move || {
-            // Whatever comes is passed over; an error ends it as the end does.
+            // The input is discarded; an error ends it like its end.
             let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
-            let _ = end.send(());
+            let _ = input_ended.send(());
         });
-        let _ = ended.await;
-        Ok(Ended::Held)
+        let _ = end.await;
+        Ok(Outcome::Passed)
     })
 }
 
-/// Plays each scenario once and prints how long its drains took.
-fn drained(names: &[String], options: &Options, seed: u64) -> Result<Ended, String> {
-    let daemon = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
+/// Runs each scenario once and prints how long its drains took.
+fn measure_drains(names: &[String], options: &Options, seed: u64) -> Result<Outcome, String> {
+    let daemon = find::daemon(options.daemon.as_deref()).map_err(to_message)?;
     println!("{}", drains::HEAD);
     let mut broken = false;
     for name in names {
-        let scenario = library::find(name).map_err(plainly)?;
-        let record = play(&scenario, seed, &daemon, None, folder(options, name, seed))?;
-        let judgement = maplefall_invariants::evaluate(&record);
+        let scenario = library::find(name).map_err(to_message)?;
+        let record = run_with_progress(
+            &scenario,
+            seed,
+            &daemon,
+            None,
+            run_directory(options, name, seed),
+        )?;
+        let evaluation = maplefall_invariants::evaluate(&record);
         println!(
             "{}",
             drains::row(
@@ -455,32 +472,40 @@
                 &maplefall_invariants::drain_times::drain_times(&record)
             )
         );
-        let times = &judgement.metrics.latency;
+        let times = &evaluation.metrics.latency;
         println!(
-            "{:18}answers p50 {:.0} p99 {:.0} ms; stand-ins late by {:.1} ms at p99; rules 1-6 {}",
+            "{:18}responses p50 {:.0} p99 {:.0} ms; test servers late by {:.1} ms at p99; rules 1-6 {}",
             "",
             times.p50_ms,
             times.p99_ms,
-            judgement.metrics.lateness_p99_ms,
-            letters(&judgement)
+            evaluation.metrics.lateness_p99_ms,
+            verdict_letters(&evaluation)
         );
-        broken |= judgement.has_violations();
-        if let Some(void) = judgement.invalid_reason {
-            return Err(format!("the run is void: {void}"));
+        broken |= evaluation.has_violations();
+        if let Some(reason) = evaluation.invalid_reason {
+            return Err(format!("the run is void: {reason}"));
         }
     }
-    Ok(if broken { Ended::Broken } else { Ended::Held })
+    Ok(if broken {
+        Outcome::Failed
+    } else {
+        Outcome::Passed
+    })
 }
 
-/// Carries out `work` for each of these, `jobs` at once, and hands the results out in order.
-fn side_by_side<T: Sync, R: Send>(jobs: usize, of: &[T], work: impl Fn(&T) -> R + Sync) -> Vec<R> {
+/// Applies `work` to each item, `jobs` at a time, and returns the results in order.
+fn run_parallel<T: Sync, R: Send>(
+    jobs: usize,
+    items: &[T],
+    work: impl Fn(&T) -> R + Sync,
+) -> Vec<R> {
     let next = std::sync::atomic::AtomicUsize::new(0);
     let worker = || {
         let mut done = Vec::new();
         loop {
-            let at = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-            match of.get(at) {
-                Some(one) => done.push((at, work(one))),
+            let index = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+            match items.get(index) {
+                Some(item) => done.push((index, work(item))),
                 None => return done,
             }
         }
@@ -492,18 +517,18 @@
             .flat_map(|worker| worker.join().unwrap_or_default())
             .collect()
     });
-    done.sort_by_key(|(at, _)| *at);
+    done.sort_by_key(|(index, _)| *index);
     done.into_iter().map(|(_, result)| result).collect()
 }
 
-/// The verdicts of all rules, as one letter each: kept, broken, not exercised.
-fn letters(judgement: &Evaluation) -> String {
-    let letter = |ruling: &maplefall_invariants::RuleResult| match ruling.verdict {
+/// Returns one letter for each rule: kept, broken or not exercised.
+fn verdict_letters(evaluation: &Evaluation) -> String {
+    let letter = |result: &maplefall_invariants::RuleResult| match result.verdict {
         Verdict::Satisfied => 'k',
         Verdict::Violated => 'B',
         Verdict::NotExercised => '-',
     };
-    judgement.rules.iter().map(letter).collect()
+    evaluation.rules.iter().map(letter).collect()
 }
 
 fn all(
@@ -512,14 +537,14 @@
     seeds: u64,
     only: &[String],
     jobs: usize,
-) -> Result<Ended, String> {
-    let daemon = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
+) -> Result<Outcome, String> {
+    let daemon = find::daemon(options.daemon.as_deref()).map_err(to_message)?;
     if let Some(name) = only
         .iter()
         .find(|name| !library::SHIPPED.iter().any(|(known, _)| known == name))
     {
         return Err(library::find(name)
-            .map_err(plainly)
+            .map_err(to_message)
             .map_or_else(|error| error, |_| name.clone()));
     }
     let names = library::SHIPPED.iter().map(|(name, _)| *name);
@@ -528,68 +553,70 @@
         .flat_map(|name| (seed..seed.saturating_add(seeds)).map(move |seed| (name, seed)))
         .collect();
     println!(
-        "{:<12} {:>5} rules 1-6  worth  p99 ms  late p99  wall s",
+        "{:<12} {:>5} rules 1-6  value  p99 ms  late p99  wall s",
         "scenario", "seed"
     );
-    let ends = side_by_side(jobs, &runs, |(name, seed)| {
-        let begun = Instant::now();
-        let played = library::find(name).map_err(plainly).and_then(|scenario| {
-            let folder = folder(options, name, *seed);
-            let record = play(&scenario, *seed, &daemon, None, folder)?;
-            let judgement = maplefall_invariants::evaluate(&record);
-            let end = verdict(&judgement, &scenario);
-            Ok((judgement, end))
-        });
-        let wall = begun.elapsed().as_secs_f64();
-        match played {
-            Ok((judgement, end)) => {
-                let figures = &judgement.metrics;
-                let note = end
+    let outcomes = run_parallel(jobs, &runs, |(name, seed)| {
+        let started = Instant::now();
+        let result = library::find(name)
+            .map_err(to_message)
+            .and_then(|scenario| {
+                let directory = run_directory(options, name, *seed);
+                let record = run_with_progress(&scenario, *seed, &daemon, None, directory)?;
+                let evaluation = maplefall_invariants::evaluate(&record);
+                let outcome = verdict(&evaluation, &scenario);
+                Ok((evaluation, outcome))
+            });
+        let wall = started.elapsed().as_secs_f64();
+        match result {
+            Ok((evaluation, outcome)) => {
+                let metrics = &evaluation.metrics;
+                let error_text = outcome
                     .as_ref()
                     .err()
                     .map(|error| format!("  {error}"))
                     .unwrap_or_default();
                 println!(
-                    "{name:<12} {seed:>5} {:<10} {:>5.3} {:>7.0} {:>9.2} {wall:>7.1}{note}",
-                    letters(&judgement),
-                    figures.value_share,
-                    figures.latency.p99_ms,
-                    figures.lateness_p99_ms,
+                    "{name:<12} {seed:>5} {:<10} {:>5.3} {:>7.0} {:>9.2} {wall:>7.1}{error_text}",
+                    verdict_letters(&evaluation),
+                    metrics.value_share,
+                    metrics.latency.p99_ms,
+                    metrics.lateness_p99_ms,
                 );
-                for ruling in judgement
+                for result in evaluation
                     .rules
                     .iter()
-                    .filter(|ruling| ruling.verdict == Verdict::Violated)
+                    .filter(|result| result.verdict == Verdict::Violated)
                 {
-                    for finding in ruling.violations.iter().take(2) {
+                    for violation in result.violations.iter().take(2) {
                         println!(
                             "    rule {}: {:.1} ms {}",
-                            ruling.rule, finding.at, finding.description
+                            result.rule, violation.at, violation.description
                         );
                     }
                 }
-                end
+                outcome
             }
             Err(error) => {
-                println!("{name:<12} {seed:>5} not played: {error}");
+                println!("{name:<12} {seed:>5} not run: {error}");
                 Err(error)
             }
         }
     });
-    let broken = ends
+    let broken = outcomes
         .iter()
-        .filter(|end| matches!(end, Ok(Ended::Broken)))
+        .filter(|outcome| matches!(outcome, Ok(Outcome::Failed)))
         .count();
-    let other = ends.iter().filter(|end| end.is_err()).count();
-    let held = ends.len() - broken - other;
-    println!("{held} held, {broken} broke a rule, {other} void or not played");
+    let other = outcomes.iter().filter(|outcome| outcome.is_err()).count();
+    let passed = outcomes.len() - broken - other;
+    println!("{passed} held, {broken} broke a rule, {other} void or not run");
     match (broken, other) {
-        (0, 0) => Ok(Ended::Held),
+        (0, 0) => Ok(Outcome::Passed),
         (0, other) => Err(format!(
-            "{other} of {} runs were void or not played",
-            ends.len()
+            "{other} of {} runs were void or not run",
+            outcomes.len()
         )),
-        _ => Ok(Ended::Broken),
+        _ => Ok(Outcome::Failed),
     }
 }
 
@@ -599,162 +626,181 @@
     only: &[String],
     seed: u64,
     jobs: usize,
-) -> Result<Ended, String> {
-    let whole = find::daemon(options.daemon.as_deref()).map_err(plainly)?;
-    let broken = find::broken_daemon(broken).map_err(plainly)?;
-    let wanted = |proof: &&Proof| only.is_empty() || only.iter().any(|name| name == proof.breakage);
-    let proofs: Vec<Proof> = PROOFS.iter().filter(wanted).copied().collect();
+) -> Result<Outcome, String> {
+    let intact = find::daemon(options.daemon.as_deref()).map_err(to_message)?;
+    let broken = find::broken_daemon(broken).map_err(to_message)?;
+    let wanted =
+        |test: &&BreakageTest| only.is_empty() || only.iter().any(|name| name == test.breakage);
+    let tests: Vec<BreakageTest> = BREAKAGE_TESTS.iter().filter(wanted).copied().collect();
     if let Some(name) = only
         .iter()
-        .find(|name| !PROOFS.iter().any(|proof| proof.breakage == **name))
+        .find(|name| !BREAKAGE_TESTS.iter().any(|test| test.breakage == **name))
     {
-        let known: Vec<&str> = PROOFS.iter().map(|proof| proof.breakage).collect();
+        let known: Vec<&str> = BREAKAGE_TESTS.iter().map(|test| test.breakage).collect();
         return Err(format!(
-            "no breakage is called {name:?}; there are {}",
+            "no breakage has the name {name:?}; known names: {}",
             known.join(", ")
         ));
     }
-    let mut scenarios: Vec<&str> = proofs.iter().map(|proof| proof.scenario).collect();
+    let mut scenarios: Vec<&str> = tests.iter().map(|test| test.scenario).collect();
     scenarios.sort_unstable();
     scenarios.dedup();
-    // The whole daemon in each scenario, then each breakage.
-    let mut runs: Vec<(&str, Option<Proof>)> = scenarios.iter().map(|name| (*name, None)).collect();
-    runs.extend(proofs.iter().map(|proof| (proof.scenario, Some(*proof))));
+    // The intact program in each scenario, then each breakage.
+    let mut runs: Vec<(&str, Option<BreakageTest>)> =
+        scenarios.iter().map(|name| (*name, None)).collect();
+    runs.extend(tests.iter().map(|test| (test.scenario, Some(*test))));
     println!(
         "{:<18} {:<11} rules 1-6  by rule  found",
         "breakage", "scenario"
     );
-    let ends = side_by_side(jobs, &runs, |(name, proof)| {
-        let scenario = library::find(name).map_err(plainly)?;
-        let breakage = proof.map(|proof| proof.breakage);
-        let daemon = if breakage.is_some() { &broken } else { &whole };
-        let folder = folder(
+    let outcomes = run_parallel(jobs, &runs, |(name, test)| {
+        let scenario = library::find(name).map_err(to_message)?;
+        let breakage = test.map(|test| test.breakage);
+        let daemon = if breakage.is_some() { &broken } else { &intact };
+        let directory = run_directory(
             options,
             &format!("{name}-{}", breakage.unwrap_or("whole")),
             seed,
         );
-        let judgement =
-            maplefall_invariants::evaluate(&play(&scenario, seed, daemon, breakage, folder)?);
-        let found: Vec<u32> = judgement
+        let evaluation = maplefall_invariants::evaluate(&run_with_progress(
+            &scenario, seed, daemon, breakage, directory,
+        )?);
+        let violated: Vec<u32> = evaluation
             .rules
             .iter()
-            .filter(|r| r.verdict == Verdict::Violated)
-            .map(|r| r.rule)
+            .filter(|result| result.verdict == Verdict::Violated)
+            .map(|result| result.rule)
             .collect();
-        let little = too_little(&judgement, &scenario);
-        let good = judgement.invalid_reason.is_none()
-            && match proof {
-                Some(proof) if proof.rule == prove::WORTH => little.is_some(),
-                Some(proof) => found.contains(&proof.rule),
-                None => found.is_empty() && little.is_none(),
+        let below_min = below_min_value(&evaluation, &scenario);
+        let is_correct = evaluation.invalid_reason.is_none()
+            && match test {
+                Some(test) if test.rule == prove::MIN_VALUE_SHARE => below_min.is_some(),
+                Some(test) => violated.contains(&test.rule),
+                None => violated.is_empty() && below_min.is_none(),
             };
-        let by = proof.map_or("none".to_owned(), |proof| match proof.rule {
-            prove::WORTH => "worth".to_owned(),
+        let rule_name = test.map_or("none".to_owned(), |test| match test.rule {
+            prove::MIN_VALUE_SHARE => "value".to_owned(),
             rule => rule.to_string(),
         });
-        let first = proof.and_then(|proof| judgement.rules.iter().find(|r| r.rule == proof.rule));
-        let first = first.and_then(|ruling| {
-            ruling
+        let first = test.and_then(|test| {
+            evaluation
+                .rules
+                .iter()
+                .find(|result| result.rule == test.rule)
+        });
+        let first = first.and_then(|result| {
+            result
                 .violations
                 .first()
-                .map(|finding| finding.description.clone())
+                .map(|violation| violation.description.clone())
         });
-        let first = first.or(little);
+        let first = first.or(below_min);
         println!(
-            "{:<18} {name:<11} {:<10} {by:<8} {}  {}{}",
-            breakage.unwrap_or("(whole)"),
-            letters(&judgement),
-            if good { "yes" } else { "NO" },
+            "{:<18} {name:<11} {:<10} {rule_name:<8} {}  {}{}",
+            breakage.unwrap_or("(intact)"),
+            verdict_letters(&evaluation),
+            if is_correct { "yes" } else { "NO" },
             first.unwrap_or_default(),
-            judgement
+            evaluation
                 .invalid_reason
                 .as_ref()
-                .map(|void| format!("  VOID: {void}"))
+                .map(|reason| format!("  VOID: {reason}"))
                 .unwrap_or_default(),
         );
-        if proof.is_none() {
-            for finding in judgement
+        if test.is_none() {
+            for violation in evaluation
                 .rules
                 .iter()
-                .flat_map(|ruling| &ruling.violations)
+                .flat_map(|result| &result.violations)
                 .take(3)
             {
                 println!(
                     "    {:.1} ms {} {}",
-                    finding.at, finding.request, finding.description
+                    violation.at, violation.request, violation.description
                 );
             }
         }
-        match &judgement.invalid_reason {
-            Some(void) => Err(format!("{name} is void: {void}")),
-            None => Ok(good),
+        match &evaluation.invalid_reason {
+            Some(reason) => Err(format!("{name} is void: {reason}")),
+            None => Ok(is_correct),
         }
     });
-    if let Some(error) = ends.iter().find_map(|end| end.as_ref().err()) {
+    if let Some(error) = outcomes.iter().find_map(|outcome| outcome.as_ref().err()) {
         return Err(error.clone());
     }
-    let bad = ends.iter().filter(|end| matches!(end, Ok(false))).count();
-    println!("{} of {} as they should be", ends.len() - bad, ends.len());
-    Ok(if bad == 0 { Ended::Held } else { Ended::Broken })
+    let bad = outcomes
+        .iter()
+        .filter(|outcome| matches!(outcome, Ok(false)))
+        .count();
+    println!(
+        "{} of {} as they should be",
+        outcomes.len() - bad,
+        outcomes.len()
+    );
+    Ok(if bad == 0 {
+        Outcome::Passed
+    } else {
+        Outcome::Failed
+    })
 }
 
-/// Where the results of a run go besides the terminal.
+/// Files to which the results of a run are written.
 struct Files {
     json: Option<PathBuf>,
     record: Option<PathBuf>,
     html: Option<PathBuf>,
 }
 
-fn told(record: &Trace, judgement: &Evaluation, files: &Files) -> Result<(), String> {
-    print!("{}", report::text(judgement));
+fn write_results(record: &Trace, evaluation: &Evaluation, files: &Files) -> Result<(), String> {
+    print!("{}", report::text(evaluation));
     if let Some(path) = &files.json {
-        write(
+        write_file(
             path,
-            &serde_json::to_string_pretty(judgement).map_err(plainly)?,
+            &serde_json::to_string_pretty(evaluation).map_err(to_message)?,
         )?;
     }
     if let Some(path) = &files.record {
-        write(path, &record.to_text().map_err(plainly)?)?;
+        write_file(path, &record.to_text().map_err(to_message)?)?;
     }
     if let Some(path) = &files.html {
-        write(path, &html::page(record, judgement))?;
+        write_file(path, &html::page(record, evaluation))?;
     }
     Ok(())
 }
 
-fn carried(seconds: f64) -> Result<Ended, String> {
+fn measure_capacity(seconds: f64) -> Result<Outcome, String> {
     println!(
         "{:>6} {:>8} {:>8} {:>12} {:>12}",
-        "a sec.", "due", "served", "late p99 ms", "late most ms"
+        "a sec.", "due", "served", "late p99 ms", "late max ms"
     );
     for rate in [
         500.0, 1000.0, 2000.0, 4000.0, 6000.0, 8000.0, 12_000.0, 16_000.0, 24_000.0,
     ] {
-        let one = carry::measure(rate, seconds.clamp(0.5, 60.0)).map_err(plainly)?;
+        let result = capacity::measure(rate, seconds.clamp(0.5, 60.0)).map_err(to_message)?;
         println!(
             "{:>6.0} {:>8} {:>8} {:>12.2} {:>12.1}",
-            one.rate, one.asked, one.served, one.p99_ms, one.most_ms
+            result.rate, result.due, result.served, result.p99_ms, result.max_ms
         );
-        if !one.good() {
+        if !result.is_sustained() {
             println!(
-                "carried up to the rate before, late by at most {} ms at p99",
-                carry::CARRIED_MS
+                "sustained up to the previous rate, with a lateness of at most {} ms at p99",
+                capacity::MAX_LATENESS_MS
             );
             break;
         }
     }
-    Ok(Ended::Held)
+    Ok(Outcome::Passed)
 }
 
-fn judge_again(path: &Path, files: &Files) -> Result<Ended, String> {
+fn evaluate_record(path: &Path, files: &Files) -> Result<Outcome, String> {
     let text =
         std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let record = Trace::from_text(&text).map_err(|error| format!("{}: {error}", path.display()))?;
-    let judgement = maplefall_invariants::evaluate(&record);
-    told(&record, &judgement, files)?;
-    match &judgement.invalid_reason {
-        _ if judgement.has_violations() => Ok(Ended::Broken),
-        Some(void) => Err(format!("the run is void: {void}")),
-        None => Ok(Ended::Held),
+    let evaluation = maplefall_invariants::evaluate(&record);
+    write_results(&record, &evaluation, files)?;
+    match &evaluation.invalid_reason {
+        _ if evaluation.has_violations() => Ok(Outcome::Failed),
+        Some(reason) => Err(format!("the run is void: {reason}")),
+        None => Ok(Outcome::Passed),
     }
 }
--- a/crates/rehearsal/src/members.rs
+++ b/crates/rehearsal/src/members.rs
@@ -1,8 +1,8 @@
-//! What a large list costs a front door: one daemon of a fleet of any size, a played etcd or agent with many nodes, and so many
-//! changes a second.
+//! Measures what a large list costs a gateway: one gateway of a fleet of any size, a fake etcd or
+//! agent with many backends, and a rate of changes.
 
-use crate::daemon::{healthy, own_address, Door, Files};
-use crate::etcd_world::document;
+use crate::daemon::{gateway_address, is_ready, Files, GatewayProcess};
+use crate::etcd_cluster::backend_value;
 use crate::scenario::Scenario;
 use crate::{script, settings};
 use maplefall_etcd_wire::PutRequest;
@@ -18,60 +18,61 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Most nodes and changes a second: the roster's bound, and what one machine bears.
-pub const MOST: u32 = 20_000;
+/// Maximum numbers of backends and of changes a second: the bound of the roster, and what one
+/// machine sustains.
+pub const MAX_BACKENDS: u32 = 20_000;
 
-/// Who tells of the nodes.
+/// Source of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Teller {
     /// An etcd, over gRPC.
     Etcd,
-    /// The platform's agent; the front door starts with the list that it has.
+    /// The platform's agent; the gateway starts with the agent's list.
     Agent,
 }
 
-/// What is played.
+/// Parameters of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Who tells of the nodes.
-    pub teller: Teller,
-    /// Front doors that the settings name.
-    pub doors: u32,
-    /// Nodes in the list.
-    pub nodes: u32,
+    /// Source of the list.
+    pub source: Teller,
+    /// Number of gateways in the settings.
+    pub gateways: u32,
+    /// Number of backends in the list.
+    pub backends: u32,
     /// Changes of their state a second.
     pub rate: u32,
-    /// For how long.
+    /// Duration.
     pub seconds: u32,
 }
 
-/// What it cost.
+/// Result of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// From the start of the process until it was ready.
+    /// Time from the start of the process until it was ready.
     pub ready_ms: Millis,
-    /// Processor time until then.
+    /// CPU time until then.
     pub ready_cpu_ms: Millis,
-    /// Largest resident memory, once it was ready, in KiB.
+    /// Peak resident memory once it was ready, in KiB.
     pub ready_kib: u64,
-    /// Processor time while changes came.
+    /// CPU time during the changes.
     pub cpu_ms: Millis,
-    /// Changes that were written.
+    /// Number of changes written.
     pub changes: u64,
-    /// Largest resident memory at the end, in KiB.
+    /// Peak resident memory at the end, in KiB.
     pub end_kib: u64,
 }
 
-/// Where a node listens: an address of its own, at which nobody is.
+/// Returns a backend's address, unique to it, at which nothing listens.
 fn address(node: u32) -> SocketAddr {
     let [_, b, c, d] = node.to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(127, 1 + b, c, d), 8080))
 }
 
-const BORN: Millis = 1_700_000_000_000.0;
+const STARTED_MS: Millis = 1_700_000_000_000.0;
 
 fn put(node: u32, draining: bool) -> PutRequest {
-    let value = document(address(node), draining, BORN).to_string();
+    let value = backend_value(address(node), draining, STARTED_MS).to_string();
     let key = format!("{}/members/node-{node}", settings::prefix(0)).into_bytes();
     PutRequest {
         key,
@@ -93,23 +94,23 @@
         block: 0,
         health,
         share: 1.0,
-        born_ms: BORN,
+        born_ms: STARTED_MS,
     }
 }
 
-/// Changes that wait for the played agent at most.
-const WAITING: usize = 1024;
+/// Maximum number of changes queued for the fake agent.
+const MAX_QUEUED: usize = 1024;
 
-/// Takes a change of a node's state to whoever tells of it.
+/// Applies a change of a backend's state to the source.
 type Change<'a> = dyn Fn(u32, bool) -> io::Result<()> + 'a;
 
-/// Plays it.
+/// Runs a measurement.
 ///
 /// # Errors
-/// What the system says, or that the daemon did not become ready.
-pub fn play(daemon: &Path, folder: &Path, load: Load) -> io::Result<Cost> {
-    std::fs::create_dir_all(folder)?;
-    let sources = if load.teller == Teller::Etcd {
+/// Returns an I/O error, also if the gateway did not become ready.
+pub fn run(daemon: &Path, directory: &Path, load: Load) -> io::Result<Cost> {
+    std::fs::create_dir_all(directory)?;
+    let sources = if load.source == Teller::Etcd {
         "etcd"
     } else {
         "agent"
@@ -119,32 +120,41 @@
     );
     let scenario = Scenario::read("members", &text)
         .map_err(|_| io::Error::other("the scenario of this command"))?;
-    let drawn = script::draw(&scenario, 1);
+    let script = script::draw(&scenario, 1);
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let told_at = listener.local_addr()?;
-    let mut files = Files::new(folder, 0);
-    if let Some(sources) = settings::sources(scenario.sources, told_at, 0) {
-        let path = folder.join("sources.toml");
+    let source_address = listener.local_addr()?;
+    let mut files = Files::new(directory, 0);
+    if let Some(sources) = settings::sources(scenario.sources, source_address, 0) {
+        let path = directory.join("sources.toml");
         std::fs::write(&path, sources)?;
         files.sources = Some(path);
     }
-    let listen = own_address(std::process::id(), 0, 0);
-    let list = List::new((0..load.nodes).map(|node| member(node, false)));
-    let known = (load.teller == Teller::Agent).then(|| list.snapshot());
-    let mut config = settings::config(&scenario, &drawn, 0, listen, told_at, known.as_ref(), 1);
-    config["settings"]["fleet_size"] = load.doors.into();
+    let listen = gateway_address(std::process::id(), 0, 0);
+    let list = List::new((0..load.backends).map(|node| member(node, false)));
+    let known = (load.source == Teller::Agent).then(|| list.snapshot());
+    let mut config = settings::config(
+        &scenario,
+        &script,
+        0,
+        listen,
+        source_address,
+        known.as_ref(),
+        1,
+    );
+    config["settings"]["fleet_size"] = load.gateways.into();
     files.write(&config.to_string())?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()?;
     let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
-    let played = |change: &Change<'_>| measure(daemon, &files, listen, told_at, change, load);
-    let early = |_| Err(io::Error::other("whoever tells of the nodes ended early"));
-    match load.teller {
+    let run_measurement =
+        |change: &Change<'_>| measure(daemon, &files, listen, source_address, change, load);
+    let ended_early = |_| Err(io::Error::other("the source of the list ended early"));
+    match load.source {
         Teller::Etcd => {
             let mut store = Store::new(7);
-            for node in 0..load.nodes {
+            for node in 0..load.backends {
                 store
                     .put(&put(node, false))
                     .map_err(|refused| io::Error::other(refused.0))?;
@@ -160,21 +170,22 @@
                 let serving = scope.spawn(move || {
                     runtime.block_on(async move {
                         let _member = started.member(0, listener)?;
-                        // Told, or nobody is left to tell it.
+                        // Ends on the signal, or when its sender is dropped.
                         let _ = stopped.await;
                         io::Result::Ok(())
                     })
                 });
-                let cost = played(&change);
+                let cost = run_measurement(&change);
                 drop(stop);
-                serving.join().unwrap_or_else(early)?;
+                serving.join().unwrap_or_else(ended_early)?;
                 cost
             })
         }
         Teller::Agent => {
-            let (say, mut said) = tokio::sync::mpsc::channel::<Member>(WAITING);
+            let (sender, mut receiver) = tokio::sync::mpsc::channel::<Member>(MAX_QUEUED);
             let change = |node, draining| {
-                say.blocking_send(member(node, draining))
+                sender
+                    .blocking_send(member(node, draining))
                     .map_err(io::Error::other)
             };
             listener.set_nonblocking(true)?;
@@ -184,21 +195,21 @@
                     runtime.block_on(local.run_until(async move {
                         let agent = Agent::new(0, list, Recorder::new(), 0.0);
                         agent.listen(listener, Duration::ZERO);
-                        let tell = async {
-                            while let Some(member) = said.recv().await {
+                        let apply_changes = async {
+                            while let Some(member) = receiver.recv().await {
                                 agent.update(&member);
                             }
                         };
                         tokio::select! {
-                            () = tell => {}
+                            () = apply_changes => {}
                             _ = stopped => {}
                         }
                     }));
                     io::Result::Ok(())
                 });
-                let cost = played(&change);
+                let cost = run_measurement(&change);
                 drop(stop);
-                serving.join().unwrap_or_else(early)?;
+                serving.join().unwrap_or_else(ended_early)?;
                 cost
             })
         }
@@ -214,9 +225,9 @@
     load: Load,
 ) -> io::Result<Cost> {
     let begun = Instant::now();
-    let mut door = Door::start(daemon, files, 0, listen, discovery, None)?;
-    while !healthy(listen) {
-        if begun.elapsed() > Duration::from_secs(20) || door.ended().is_some() {
+    let mut gateway = GatewayProcess::start(daemon, files, 0, listen, discovery, None)?;
+    while !is_ready(listen) {
+        if begun.elapsed() > Duration::from_secs(20) || gateway.exit_status().is_some() {
             return Err(io::Error::other(format!(
                 "the daemon is not ready: {}",
                 files.last_line()
@@ -226,23 +237,23 @@
     }
     let ready_ms = begun.elapsed().as_secs_f64() * 1000.0;
     std::thread::sleep(Duration::from_millis(500));
-    let (ready_cpu_ms, ready_kib) = door.used();
+    let (ready_cpu_ms, ready_kib) = gateway.resource_usage();
     let mut rng = Pcg32::seed_from_u64(1);
     let begun = Instant::now();
     let mut changes = 0u64;
-    let most = u64::from(load.rate) * u64::from(load.seconds);
-    while changes < most {
+    let total = u64::from(load.rate) * u64::from(load.seconds);
+    while changes < total {
         let due = (begun.elapsed().as_secs_f64() * f64::from(load.rate)) as u64;
-        while changes < due.min(most) {
-            let node = rng.next_u32() % load.nodes.max(1);
+        while changes < due.min(total) {
+            let node = rng.next_u32() % load.backends.max(1);
             change(node, changes % 2 == 0)?;
             changes += 1;
         }
         std::thread::sleep(Duration::from_millis(1));
     }
     std::thread::sleep(Duration::from_millis(500));
-    let (cpu_ms, end_kib) = door.used();
-    door.terminate();
+    let (cpu_ms, end_kib) = gateway.resource_usage();
+    gateway.terminate();
     Ok(Cost {
         ready_ms,
         ready_cpu_ms,
--- a/crates/rehearsal/src/prove.rs
+++ b/crates/rehearsal/src/prove.rs
@@ -1,29 +1,29 @@
-//! Whether the judge can be trusted: each breakage must be found by the rule that it breaks, in the scenario that is for
-//! it, and the whole daemon must not be called broken there.
+//! Checks of the evaluation itself: the rule that a breakage violates must detect it in its
+//! scenario, and the intact program must pass there.
 
-/// A breakage, the scenario that is to find it, and the rule by which.
+/// A breakage, the scenario that must detect it, and the rule that it violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Proof {
-    /// The breakage, by the name that the broken daemon knows.
+pub struct BreakageTest {
+    /// Name of the breakage in the broken program.
     pub breakage: &'static str,
     /// The scenario.
     pub scenario: &'static str,
     /// The rule.
     pub rule: u32,
-    /// What is broken.
+    /// Description of the breakage.
     pub about: &'static str,
 }
 
-/// In place of a rule: less was served than the scenario asks for.
-pub const WORTH: u32 = 0;
+/// Stands for the scenario's minimum value share in place of a rule.
+pub const MIN_VALUE_SHARE: u32 = 0;
 
-const fn proof(
+const fn breakage_test(
     breakage: &'static str,
     scenario: &'static str,
     rule: u32,
     about: &'static str,
-) -> Proof {
-    Proof {
+) -> BreakageTest {
+    BreakageTest {
         breakage,
         scenario,
         rule,
@@ -31,155 +31,165 @@
     }
 }
 
-/// All of them, by rule.
-pub const PROOFS: [Proof; 28] = [
-    proof(
+/// All breakages.
+pub const BREAKAGE_TESTS: [BreakageTest; 28] = [
+    breakage_test(
         "second-answer",
         "short",
         1,
         "a served answer is written twice",
     ),
-    proof(
+    breakage_test(
         "stale-body",
         "short",
         1,
-        "a request is answered with what was made for the one before",
+        "a request gets the response of the previous one",
     ),
-    proof(
+    breakage_test(
         "sent-after-answer",
         "short",
         1,
-        "a served request is sent on once more",
+        "a served request is forwarded once more",
     ),
-    proof(
+    breakage_test(
         "held-back",
         "short",
         1,
-        "refusals come after the client's time",
+        "rejections come after the client's timeout",
     ),
-    proof(
+    breakage_test(
         "drops-on-term",
         "restart",
         1,
-        "SIGTERM drops what was in hand",
+        "SIGTERM drops requests in flight",
     ),
-    proof(
+    breakage_test(
         "unsafe-again",
         "errors",
         2,
-        "an unsafe request that may have run is sent again",
+        "a non-idempotent request that may have run is sent again",
     ),
-    proof(
+    breakage_test(
         "two-out",
         "short",
         2,
-        "each request is at two nodes at once",
+        "each request is sent to two backends at once",
     ),
-    proof("refused-after", "errors", 2, "what may have run is refused"),
-    proof(
+    breakage_test(
+        "refused-after",
+        "errors",
+        2,
+        "a request that may have run is rejected",
+    ),
+    breakage_test(
         "changed-on-the-way",
         "short",
         2,
-        "the target of a request is changed on its way",
+        "the target of a request is changed in transit",
     ),
-    proof(
+    breakage_test(
         "key-for-ever",
         "forgetful",
         2,
-        "a key is taken to be remembered for ever",
+        "an idempotency key is assumed to be remembered for ever",
     ),
-    proof(
+    breakage_test(
         "drain-ignored",
         "rolling",
         3,
-        "drains and removals are not heard",
+        "drains and removals are ignored",
     ),
-    proof("drain-late", "rolling", 3, "drains are heard 650 ms late"),
-    proof(
+    breakage_test("drain-late", "rolling", 3, "drains are applied 650 ms late"),
+    breakage_test(
         "older-list-holds",
         "leaving",
         3,
-        "an agent that is behind takes drains back",
+        "an agent with an outdated list reverts drains",
     ),
-    proof(
+    breakage_test(
         "spoilt-line",
         "leaving-spoilt",
         3,
-        "a line with an entry that cannot be used is not taken",
+        "a line with an unusable entry is ignored",
     ),
-    proof(
+    breakage_test(
         "resumes-at-current",
         "etcd-rolling",
         3,
-        "etcd's watch goes on at the current revision",
+        "the etcd watch resumes at the current revision",
     ),
-    proof(
+    breakage_test(
         "compaction-ignored",
         "etcd-compacted",
         3,
-        "what went with etcd's history is not read anew",
+        "the list is not read again after a compaction",
     ),
-    proof(
+    breakage_test(
         "last-word-holds",
         "disagreement",
         3,
-        "whoever speaks last is believed",
+        "the source that reported last wins",
     ),
-    proof(
+    breakage_test(
         "lost-empties",
         "sources-lost",
-        WORTH,
-        "what a lost source knew is taken for gone",
+        MIN_VALUE_SHARE,
+        "the backends of a lost source are treated as removed",
     ),
-    proof(
+    breakage_test(
         "cold-as-warm",
         "crash",
         4,
-        "a node that has just started is taken for a warm one",
+        "a backend that has just started is treated as warm",
     ),
-    proof(
+    breakage_test(
         "cold-favoured",
         "rolling",
         4,
-        "everything goes to the node that started last",
+        "all requests go to the backend that started last",
     ),
-    proof(
+    breakage_test(
         "ceiling-per-door",
         "municipal",
         5,
-        "each front door gives the whole ceiling",
+        "each gateway grants the whole rate limit",
+    ),
+    breakage_test("no-ceiling", "municipal", 5, "there is no rate limit"),
+    breakage_test(
+        "fail-open",
+        "auth-dying",
+        6,
+        "callers that cannot be authenticated are admitted",
     ),
-    proof("no-ceiling", "municipal", 5, "there is no ceiling"),
-    proof("fail-open", "auth-dying", 6, "who cannot be checked passes"),
-    proof(
+    breakage_test(
         "key-without-credential",
         "auth-revoked",
         6,
-        "a verdict serves every caller",
+        "a cached verdict applies to every caller",
     ),
-    proof(
+    breakage_test(
         "late-verdict-answers",
         "auth-dying",
         1,
-        "who was given up unchecked is answered twice, as by a late verdict",
+        "a caller whose check timed out gets two responses, as by a late verdict",
     ),
-    proof(
+    breakage_test(
         "news-never-old",
         "counts-split",
         7,
-        "news of other doors never grows old, and all are taken to be heard of",
+        "counts of other gateways never expire, and all gateways count as reachable",
     ),
-    proof(
+    breakage_test(
         "counts-added",
         "counts-shared",
-        WORTH,
-        "counts are added each time that they are heard",
+        MIN_VALUE_SHARE,
+        "counts are added each time they are received",
     ),
-    proof(
+    breakage_test(
         "checked-again",
         "auth-slow",
         2,
-        "a request is sent on again, as by a check that came back twice",
+        "a request is forwarded again, as by a check that returned twice",
     ),
 ];
 
@@ -190,15 +200,22 @@
     #[test]
     fn every_rule_has_two_breakages_and_every_scenario_is_there() {
         for rule in 1..=6 {
-            let count = PROOFS.iter().filter(|proof| proof.rule == rule).count();
+            let count = BREAKAGE_TESTS
+                .iter()
+                .filter(|breakage_test| breakage_test.rule == rule)
+                .count();
             assert!(count >= 2, "rule {rule}: {count}");
         }
-        for proof in PROOFS {
-            let scenario =
-                crate::library::find(proof.scenario).unwrap_or_else(|error| panic!("{error}"));
-            let asked = scenario.strains.contains(&proof.rule)
-                || (proof.rule == WORTH && scenario.min_value_share > 0.0);
-            assert!(asked, "{} strains {}", proof.scenario, proof.rule);
+        for breakage_test in BREAKAGE_TESTS {
+            let scenario = crate::library::find(breakage_test.scenario)
+                .unwrap_or_else(|error| panic!("{error}"));
+            let is_exercised = scenario.strains.contains(&breakage_test.rule)
+                || (breakage_test.rule == MIN_VALUE_SHARE && scenario.min_value_share > 0.0);
+            assert!(
+                is_exercised,
+                "{} strains {}",
+                breakage_test.scenario, breakage_test.rule
+            );
         }
     }
 }
--- a/crates/rehearsal/src/reading.rs
+++ b/crates/rehearsal/src/reading.rs
@@ -1,5 +1,5 @@
-//! Reads a TOML text key by key and gathers every mistake with its line, where a derived reader would stop at the
-//! first.
+//! Reads a TOML text key by key and collects every mistake with its line; a derived deserialiser
+//! would stop at the first.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -8,14 +8,14 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// One mistake in a file.
+/// A mistake in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
-    /// Its line, from 1.
+    /// Line, from 1.
     pub line: usize,
-    /// The key, with those of the tables round it.
+    /// Path of the key, with those of the enclosing tables.
     pub path: String,
-    /// What is wrong, and what was expected.
+    /// Description, with what was expected.
     pub text: String,
 }
 
@@ -25,13 +25,13 @@
     }
 }
 
-/// What all tables of a text share.
+/// State shared by all tables of a text.
 struct Shared<'t> {
     text: &'t str,
     mistakes: RefCell<Vec<Mistake>>,
 }
 
-/// One table that is being read.
+/// A table that is being read.
 pub struct Table<'t, 'd> {
     shared: Rc<Shared<'t>>,
     path: String,
@@ -40,7 +40,7 @@
     used: RefCell<BTreeSet<String>>,
 }
 
-fn line_of(text: &str, at: usize) -> usize {
+fn line_at(text: &str, at: usize) -> usize {
     text.as_bytes()
         .iter()
         .take(at)
@@ -50,15 +50,15 @@
 }
 
 impl Table<'_, '_> {
-    /// Reads a whole text by `read`.
+    /// Parses a text and reads it with `read`.
     ///
     /// # Errors
-    /// Every mistake, in the order of the lines.
+    /// Returns every mistake, in the order of the lines.
     pub fn read<T>(text: &str, read: impl FnOnce(&Table<'_, '_>) -> T) -> Result<T, Vec<Mistake>> {
         let parsed = match DeTable::parse(text) {
             Ok(parsed) => parsed,
             Err(error) => {
-                let line = line_of(text, error.span().map_or(0, |span| span.start));
+                let line = line_at(text, error.span().map_or(0, |span| span.start));
                 let text = error.message().to_owned();
                 return Err(vec![Mistake {
                     line,
@@ -101,191 +101,191 @@
 
     fn get(&self, key: &str) -> Option<&'d Spanned<DeValue<'t>>> {
         self.used.borrow_mut().insert(key.to_owned());
-        let mut all = self.table?.iter();
-        all.find(|(known, _)| known.get_ref().as_ref() == key)
+        let mut entries = self.table?.iter();
+        entries
+            .find(|(known, _)| known.get_ref().as_ref() == key)
             .map(|(_, value)| value)
     }
 
-    fn tell(&self, line: usize, path: String, text: String) {
+    fn report(&self, line: usize, path: String, text: String) {
         self.shared
             .mistakes
             .borrow_mut()
             .push(Mistake { line, path, text });
     }
 
-    /// Tells that a key's value is not what was expected.
-    pub fn wrong(&self, key: &str, expected: &str) {
+    /// Reports that a key's value is not what was expected.
+    pub fn report_expected(&self, key: &str, expected: &str) {
         let line = self.get(key).map_or(self.line, |value| {
-            line_of(self.shared.text, value.span().start)
+            line_at(self.shared.text, value.span().start)
         });
-        self.tell(line, self.path_of(key), format!("{expected} was expected"));
+        self.report(line, self.path_of(key), format!("{expected} was expected"));
     }
 
-    /// Tells of every key that nobody asked for.
+    /// Reports every key that was not read.
     pub fn finish(&self) {
         for (key, _) in self.table.into_iter().flatten() {
             let name: &str = key.get_ref().as_ref();
             if !self.used.borrow().contains(name) {
                 let mut known: Vec<String> = self.used.borrow().iter().cloned().collect();
                 known.sort();
-                let line = line_of(self.shared.text, key.span().start);
+                let line = line_at(self.shared.text, key.span().start);
                 let text = format!("no such key; known here: {}", known.join(", "));
-                self.tell(line, self.path_of(name), text);
+                self.report(line, self.path_of(name), text);
             }
         }
     }
 
-    /// A number within bounds; without `otherwise` it must be there.
-    pub fn number(&self, key: &str, otherwise: Option<f64>, least: f64, most: f64) -> f64 {
-        match (self.get(key), otherwise) {
+    /// Reads a number within bounds; required if there is no `default`.
+    pub fn number(&self, key: &str, default: Option<f64>, min: f64, max: f64) -> f64 {
+        match (self.get(key), default) {
             (None, Some(value)) => value,
             (value, _) => {
-                let number = value.and_then(|value| figure(value.get_ref()));
+                let number = value.and_then(|value| finite_number(value.get_ref()));
                 number
-                    .filter(|n| (least..=most).contains(n))
+                    .filter(|n| (min..=max).contains(n))
                     .unwrap_or_else(|| {
-                        self.wrong(key, &format!("a number from {least} to {most}"));
-                        otherwise.unwrap_or(least)
+                        self.report_expected(key, &format!("a number from {min} to {max}"));
+                        default.unwrap_or(min)
                     })
             }
         }
     }
 
-    /// A whole number within bounds.
-    pub fn whole(&self, key: &str, otherwise: Option<f64>, least: f64, most: f64) -> u32 {
-        let number = self.number(key, otherwise, least, most);
+    /// Reads an integer within bounds.
+    pub fn integer(&self, key: &str, default: Option<f64>, min: f64, max: f64) -> u32 {
+        let number = self.number(key, default, min, max);
         if number.fract() != 0.0 {
-            self.wrong(key, "a whole number");
+            self.report_expected(key, "a whole number");
         }
         number as u32
     }
 
-    /// A number, or two of which the second is not below the first.
-    pub fn range(&self, key: &str, otherwise: Option<[f64; 2]>, least: f64, most: f64) -> [f64; 2] {
-        let range = match (self.get(key), otherwise) {
+    /// Reads a number, or two of which the second is not below the first.
+    pub fn range(&self, key: &str, default: Option<[f64; 2]>, min: f64, max: f64) -> [f64; 2] {
+        let range = match (self.get(key), default) {
             (None, Some(range)) => return range,
             (None, None) => None,
             (Some(value), _) => match value.get_ref() {
                 DeValue::Array(items) if items.len() == 2 => {
-                    let mut ends = items.iter().filter_map(|item| figure(item.get_ref()));
+                    let mut ends = items
+                        .iter()
+                        .filter_map(|item| finite_number(item.get_ref()));
                     ends.next().zip(ends.next()).map(|(a, b)| [a, b])
                 }
-                value => figure(value).map(|number| [number, number]),
+                value => finite_number(value).map(|number| [number, number]),
             },
         };
         range
-            .filter(|[a, b]| least <= *a && a <= b && *b <= most)
+            .filter(|[a, b]| min <= *a && a <= b && *b <= max)
             .unwrap_or_else(|| {
-                self.wrong(
-                    key,
-                    &format!("a number or [least, most] from {least} to {most}"),
-                );
-                otherwise.unwrap_or([least, least])
+                self.report_expected(key, &format!("a number or [min, max] from {min} to {max}"));
+                default.unwrap_or([min, min])
             })
     }
 
-    /// A list of numbers within bounds; none where it is left out.
-    pub fn numbers(&self, key: &str, least: f64, most: f64) -> Vec<f64> {
+    /// Reads a list of numbers within bounds; empty if missing.
+    pub fn numbers(&self, key: &str, min: f64, max: f64) -> Vec<f64> {
         let Some(value) = self.get(key) else {
             return Vec::new();
         };
         let DeValue::Array(items) = value.get_ref() else {
-            self.wrong(key, &format!("a list of numbers from {least} to {most}"));
+            self.report_expected(key, &format!("a list of numbers from {min} to {max}"));
             return Vec::new();
         };
         let good: Vec<f64> = items
             .iter()
-            .filter_map(|item| figure(item.get_ref()))
+            .filter_map(|item| finite_number(item.get_ref()))
             .collect();
-        if good.len() != items.len() || good.iter().any(|n| !(least..=most).contains(n)) {
-            self.wrong(key, &format!("a list of numbers from {least} to {most}"));
+        if good.len() != items.len() || good.iter().any(|n| !(min..=max).contains(n)) {
+            self.report_expected(key, &format!("a list of numbers from {min} to {max}"));
         }
         good
     }
 
-    /// A text; without `otherwise` it must be there.
-    pub fn text(&self, key: &str, otherwise: Option<&str>) -> String {
-        match (self.get(key).map(Spanned::get_ref), otherwise) {
+    /// Reads a string; required if there is no `default`.
+    pub fn text(&self, key: &str, default: Option<&str>) -> String {
+        match (self.get(key).map(Spanned::get_ref), default) {
             (Some(DeValue::String(text)), _) if !text.is_empty() => text.clone().into_owned(),
             (None, Some(text)) => text.to_owned(),
             _ => {
-                self.wrong(key, "a text in quotes");
+                self.report_expected(key, "a text in quotes");
                 String::new()
             }
         }
     }
 
-    /// Yes or no.
-    pub fn yes(&self, key: &str, otherwise: bool) -> bool {
+    /// Reads a boolean.
+    pub fn boolean(&self, key: &str, default: bool) -> bool {
         match self.get(key).map(Spanned::get_ref) {
-            Some(DeValue::Boolean(yes)) => *yes,
-            None => otherwise,
+            Some(DeValue::Boolean(value)) => *value,
+            None => default,
             Some(_) => {
-                self.wrong(key, "true or false");
-                otherwise
+                self.report_expected(key, "true or false");
+                default
             }
         }
     }
 
-    /// One of these words; with an empty `otherwise` it must be there.
-    pub fn choice(&self, key: &str, otherwise: &str, choices: &[&str]) -> String {
+    /// Reads one of `choices`; required if `default` is empty.
+    pub fn choice(&self, key: &str, default: &str, choices: &[&str]) -> String {
         match self.get(key).map(Spanned::get_ref) {
             Some(DeValue::String(text)) if choices.contains(&text.as_ref()) => {
                 text.clone().into_owned()
             }
-            None if !otherwise.is_empty() => otherwise.to_owned(),
+            None if !default.is_empty() => default.to_owned(),
             _ => {
-                self.wrong(key, &format!("one of {}", choices.join(", ")));
-                otherwise.to_owned()
+                self.report_expected(key, &format!("one of {}", choices.join(", ")));
+                default.to_owned()
             }
         }
     }
 
-    /// A table below this one; an empty one where it is left out.
+    /// Reads a subtable; empty if missing.
     pub fn table(&self, key: &str) -> Table<'t, 'd> {
         let value = self.get(key);
         let table = match value.map(Spanned::get_ref) {
             Some(DeValue::Table(table)) => Some(table),
             None => None,
             Some(_) => {
-                self.wrong(key, "a table");
+                self.report_expected(key, "a table");
                 None
             }
         };
-        self.below(self.path_of(key), value, table)
+        self.subtable(self.path_of(key), value, table)
     }
 
-    /// The tables of a list below this one; none where it is left out.
+    /// Reads a list of subtables; empty if missing.
     pub fn tables(&self, key: &str) -> Vec<Table<'t, 'd>> {
         let Some(value) = self.get(key) else {
             return Vec::new();
         };
         let DeValue::Array(items) = value.get_ref() else {
-            self.wrong(key, &format!("a list of tables, each begun by [[{key}]]"));
+            self.report_expected(key, &format!("a list of tables, each begun by [[{key}]]"));
             return Vec::new();
         };
-        let one = |(i, item): (usize, &'d Spanned<DeValue<'t>>)| match item.get_ref() {
-            DeValue::Table(table) => Some(self.below(
+        let subtable_at = |(i, item): (usize, &'d Spanned<DeValue<'t>>)| match item.get_ref() {
+            DeValue::Table(table) => Some(self.subtable(
                 format!("{}[{}]", self.path_of(key), i + 1),
                 Some(item),
                 Some(table),
             )),
             _ => {
-                self.wrong(key, "a table");
+                self.report_expected(key, "a table");
                 None
             }
         };
-        items.iter().enumerate().filter_map(one).collect()
+        items.iter().enumerate().filter_map(subtable_at).collect()
     }
 
-    fn below(
+    fn subtable(
         &self,
         path: String,
         value: Option<&Spanned<DeValue<'t>>>,
         table: Option<&'d DeTable<'t>>,
     ) -> Table<'t, 'd> {
         let line = value.map_or(self.line, |value| {
-            line_of(self.shared.text, value.span().start)
+            line_at(self.shared.text, value.span().start)
         });
         Table {
             shared: self.shared.clone(),
@@ -297,7 +297,7 @@
     }
 }
 
-fn figure(value: &DeValue<'_>) -> Option<f64> {
+fn finite_number(value: &DeValue<'_>) -> Option<f64> {
     let text = match value {
         DeValue::Integer(number) => number.as_str(),
         DeValue::Float(number) => number.as_str(),
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,9 +1,9 @@
-//! The report on a terminal.
+//! The report as plain text.
 
 use maplefall_invariants::{Evaluation, RuleResult, Verdict};
 use std::fmt::Write;
 
-fn word(verdict: Verdict) -> &'static str {
+fn verdict_text(verdict: Verdict) -> &'static str {
     match verdict {
         Verdict::Satisfied => "kept",
         Verdict::Violated => "BROKEN",
@@ -11,49 +11,49 @@
     }
 }
 
-fn rule(text: &mut String, ruling: &RuleResult) {
-    // A string takes any text; the errors are those of a writer that can fail.
-    let margin = match ruling.margin {
-        Some(margin) => format!("least {margin:.2} {}", ruling.margin_unit),
+fn write_rule(text: &mut String, result: &RuleResult) {
+    // Writing to a string does not fail.
+    let margin = match result.margin {
+        Some(margin) => format!("min {margin:.2} {}", result.margin_unit),
         None => String::new(),
     };
     let _ = writeln!(
         text,
         "  {} {:<27} {:<14} {:>6} tested  {margin}",
-        ruling.rule,
-        ruling.name,
-        word(ruling.verdict),
-        ruling.tested
+        result.rule,
+        result.name,
+        verdict_text(result.verdict),
+        result.tested
     );
-    for finding in ruling.violations.iter().take(3) {
-        let lines: Vec<String> = finding.trace_lines.iter().map(usize::to_string).collect();
-        let request = if finding.request.is_empty() {
+    for violation in result.violations.iter().take(3) {
+        let lines: Vec<String> = violation.trace_lines.iter().map(usize::to_string).collect();
+        let request = if violation.request.is_empty() {
             String::new()
         } else {
-            format!(" {}", finding.request)
+            format!(" {}", violation.request)
         };
         let _ = writeln!(
             text,
             "      {:.1} ms{request}: {} (lines {})",
-            finding.at,
-            finding.description,
+            violation.at,
+            violation.description,
             lines.join(", ")
         );
     }
-    if ruling.violation_count > 3 {
-        let _ = writeln!(text, "      and {} more", ruling.violation_count - 3);
+    if result.violation_count > 3 {
+        let _ = writeln!(text, "      and {} more", result.violation_count - 3);
     }
 }
 
-/// The report of one run, in plain text.
-pub fn text(judgement: &Evaluation) -> String {
-    let figures = &judgement.metrics;
-    let mut text = format!("{} (seed {})\n", judgement.scenario, judgement.seed);
-    judgement
+/// Formats the report of a run as plain text.
+pub fn text(evaluation: &Evaluation) -> String {
+    let metrics = &evaluation.metrics;
+    let mut text = format!("{} (seed {})\n", evaluation.scenario, evaluation.seed);
+    evaluation
         .rules
         .iter()
-        .for_each(|ruling| rule(&mut text, ruling));
-    let failed: Vec<String> = figures
+        .for_each(|result| write_rule(&mut text, result));
+    let failed: Vec<String> = metrics
         .failed
         .iter()
         .map(|(status, n)| format!("{n} x {status}"))
@@ -63,53 +63,53 @@
     } else {
         failed.join(", ")
     };
-    let plans: Vec<String> = figures
+    let plans: Vec<String> = metrics
         .value_by_plan
         .iter()
         .map(|(plan, share)| format!("{plan} {share:.2}"))
         .collect();
     let _ = writeln!(
         text,
-        "  worth served in time, inside quotas {:.3} ({})",
-        figures.value_share,
+        "  value served in time, inside quotas {:.3} ({})",
+        metrics.value_share,
         plans.join(", ")
     );
     let _ = writeln!(
         text,
-        "  {} requests, {} tries: {} served, {} refused ({} with advice), failed {failed}, {} not taken, {} unanswered",
-        figures.requests,
-        figures.client_requests,
-        figures.served,
-        figures.rejected_without_retry_after + figures.rejected_with_retry_after,
-        figures.rejected_with_retry_after,
-        figures.not_accepted,
-        figures.unanswered
+        "  {} requests, {} client attempts: {} served, {} rejected ({} with Retry-After), failed {failed}, {} not accepted, {} unanswered",
+        metrics.requests,
+        metrics.client_requests,
+        metrics.served,
+        metrics.rejected_without_retry_after + metrics.rejected_with_retry_after,
+        metrics.rejected_with_retry_after,
+        metrics.not_accepted,
+        metrics.unanswered
     );
-    let times = figures.latency;
+    let times = metrics.latency;
     let _ = writeln!(
         text,
-        "  served after {:.0} ms at the median, p90 {:.0}, p99 {:.0}, at most {:.0}; {:.3} attempts a request sent on",
-        times.p50_ms, times.p90_ms, times.p99_ms, times.max_ms, figures.attempts_per_forwarded
+        "  served after {:.0} ms at the median, p90 {:.0}, p99 {:.0}, at most {:.0}; {:.3} attempts per forwarded request",
+        times.p50_ms, times.p90_ms, times.p99_ms, times.max_ms, metrics.attempts_per_forwarded
     );
     let _ = writeln!(
         text,
-        "  front doors: {:.0} us of CPU a try, {} KiB of memory at most",
-        figures.cpu_us_per_request, figures.max_memory_kib
+        "  gateways: {:.0} us of CPU per client attempt, {} KiB of memory at most",
+        metrics.cpu_us_per_request, metrics.max_memory_kib
     );
-    if figures.malformed_clients > 0 {
+    if metrics.malformed_clients > 0 {
         let _ = writeln!(
             text,
-            "  bad clients: {} of {} neglected",
-            figures.malformed_clients_neglected, figures.malformed_clients
+            "  malformed clients: {} of {} neglected",
+            metrics.malformed_clients_neglected, metrics.malformed_clients
         );
     }
     let _ = writeln!(
         text,
-        "  stand-ins late by {:.2} ms at p99, {:.1} at most, over {} actions",
-        figures.lateness_p99_ms, figures.lateness_max_ms, figures.actions
+        "  test servers late by {:.2} ms at p99, {:.1} at most, over {} actions",
+        metrics.lateness_p99_ms, metrics.lateness_max_ms, metrics.actions
     );
-    if let Some(void) = &judgement.invalid_reason {
-        let _ = writeln!(text, "  VOID: {void}");
+    if let Some(reason) = &evaluation.invalid_reason {
+        let _ = writeln!(text, "  VOID: {reason}");
     }
     text
 }
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -1,8 +1,8 @@
 //! Runs a script: backends and agents on one thread, clients on another, and gateways as processes
 //! of the built program, controlled from here. All observations go into one record.
 
-use crate::daemon::{healthy, own_address, Door, Files};
-use crate::etcd_world::EtcdWorld;
+use crate::daemon::{gateway_address, is_ready, Files, GatewayProcess};
+use crate::etcd_cluster::EtcdCluster;
 use crate::scenario::{AuthFault, BackendFault, Scenario, Sharing, Sources};
 use crate::script::{EnvironmentAct, GatewayAct, Script};
 use crate::settings;
@@ -112,7 +112,7 @@
     listen: SocketAddr,
     discovery: SocketAddr,
     list: List,
-    process: Option<Door>,
+    process: Option<GatewayProcess>,
     instance: u64,
     /// Set once the process has been told to stop: time from its end to its restart.
     stopping: Option<Millis>,
@@ -206,7 +206,7 @@
                     .map_err(io_error("a file of forward authentication"))?;
                 files.forward_auth = Some(path);
             }
-            let listen = own_address(std::process::id(), run, index);
+            let listen = gateway_address(std::process::id(), run, index);
             if let Some(relay) = &relay {
                 relay.set_destination(index, listen);
                 if let Some(text) =
@@ -430,7 +430,7 @@
         if self.scenario.sources != Sources::Etcd {
             agent::record_update(recorder, index as u32, &known, unix_start);
         }
-        let started = Door::start(
+        let started = GatewayProcess::start(
             self.daemon,
             &gateway.files,
             index,
@@ -468,7 +468,7 @@
         match act {
             GatewayAct::Kill(down) => {
                 let down = *down;
-                let (cpu_ms, memory_kib) = process.used();
+                let (cpu_ms, memory_kib) = process.resource_usage();
                 // Recorded before the signal: what is lost from here on is due to the kill.
                 recorder.record(EventKind::Proxy {
                     proxy: number,
@@ -525,8 +525,8 @@
             let gateway = &mut gateways[index];
             let number = index as u32;
             if let Some(process) = &mut gateway.process {
-                let (cpu_ms, memory_kib) = process.used();
-                if let Some(status) = process.ended() {
+                let (cpu_ms, memory_kib) = process.resource_usage();
+                if let Some(status) = process.exit_status() {
                     // A gateway that ends before it is ready for the first time has a bad
                     // configuration or address; that is no verdict on the rules.
                     if gateway.instance == 1 && gateway.ready_by.is_some() {
@@ -567,7 +567,7 @@
                 continue;
             }
             if let Some(by) = gateway.ready_by {
-                if healthy(gateway.listen) {
+                if is_ready(gateway.listen) {
                     gateway.ready_by = None;
                     recorder.record(EventKind::Proxy {
                         proxy: number,
@@ -674,7 +674,7 @@
         true => None,
         false => {
             let address = |gateway, node: u32| backend_slots[node as usize].address(gateway);
-            Some(EtcdWorld::start(
+            Some(EtcdCluster::start(
                 etcd_listeners,
                 scenario.backends,
                 address,
@@ -924,7 +924,7 @@
             _ => Backoff::Fixed(scenario.backoff_ms),
         },
         honour: scenario.honour,
-        max_wait_ms: settings::MOST_WAIT_MS,
+        max_wait_ms: settings::MAX_RETRY_AFTER_MS,
         patience: scenario.patience,
         notice_ms: script.notice_ms,
         stop_ms: NEW_CONNECTIONS_AFTER_STOP_MS,
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -532,18 +532,18 @@
             let traffic = top.table("traffic");
             let auth = top.table("auth");
             let checks = Checks {
-                servers: auth.whole("servers", Some(0.0), 0.0, 8.0),
+                servers: auth.integer("servers", Some(0.0), 0.0, 8.0),
                 denied: auth.number("denied", Some(0.1), 0.0, 1.0),
                 keep_ms: auth.number("keep_ms", Some(5000.0), 0.0, 600_000.0),
                 limit_ms: auth.number("limit_ms", Some(300.0), 1.0, 60_000.0),
-                failures: auth.whole("failures", Some(5.0), 1.0, 1_000_000.0),
+                failures: auth.integer("failures", Some(5.0), 1.0, 1_000_000.0),
                 auth_optional_classes: match auth.text("open", Some("")).as_str() {
                     "" => Vec::new(),
                     open => vec![open.to_owned()],
                 },
             };
             let counts = top.table("counts");
-            let shared = counts.yes("shared", false);
+            let shared = counts.boolean("shared", false);
             let sharing = Sharing {
                 interval_ms: counts.number("interval_ms", Some(100.0), 20.0, 10_000.0),
                 loss: counts.number("loss", Some(0.0), 0.0, 0.95),
@@ -562,15 +562,15 @@
                     .map(|n| n as u32)
                     .collect(),
                 min_value_share: top.number("least_worth", Some(0.0), 0.0, 1.0),
-                gateways: fleet.whole("doors", Some(3.0), 1.0, MAX_GATEWAYS),
-                backends: fleet.whole("nodes", Some(10.0), 1.0, MAX_BACKENDS),
-                cores: fleet.whole("cores", Some(2.0), 1.0, 64.0),
-                queue: fleet.whole("queue", Some(24.0), 0.0, 10_000.0),
+                gateways: fleet.integer("doors", Some(3.0), 1.0, MAX_GATEWAYS),
+                backends: fleet.integer("nodes", Some(10.0), 1.0, MAX_BACKENDS),
+                cores: fleet.integer("cores", Some(2.0), 1.0, 64.0),
+                queue: fleet.integer("queue", Some(24.0), 0.0, 10_000.0),
                 initial_capacity: fleet.number("cold_from", Some(0.25), 0.01, 1.0),
                 warmup_ms: fleet.number("cold_ms", Some(10_000.0), 0.0, 120_000.0),
-                connections: fleet.whole("connections", Some(400.0), 1.0, 10_000.0),
-                sockets: fleet.whole("sockets", Some(1024.0), 32.0, 65_536.0),
-                memory_mb: fleet.whole("memory_mb", Some(192.0), 32.0, 65_536.0),
+                connections: fleet.integer("connections", Some(400.0), 1.0, 10_000.0),
+                sockets: fleet.integer("sockets", Some(1024.0), 32.0, 65_536.0),
+                memory_mb: fleet.integer("memory_mb", Some(192.0), 32.0, 65_536.0),
                 agent_ms: fleet.range("agent_ms", Some([200.0, 1500.0]), 0.0, 60_000.0),
                 sources: match fleet
                     .choice("sources", "agent", &["agent", "etcd", "both"])
@@ -583,7 +583,7 @@
                 load: traffic.number("load", Some(1.0), 0.01, 1000.0),
                 max_units: traffic.number("most_units", Some(8.0), 1.0, 8.0),
                 spread: traffic.range("spread", Some([2.0, 3.0]), 1.0, MAX_GATEWAYS),
-                retries: traffic.whole("retries", Some(2.0), 0.0, 2.0),
+                retries: traffic.integer("retries", Some(2.0), 0.0, 2.0),
                 backoff: traffic.choice("backoff", "fixed", &["none", "fixed", "doubling"]),
                 backoff_ms: traffic.number("backoff_ms", Some(60.0), 0.0, 10_000.0),
                 honour: traffic.number("honour", Some(0.6), 0.0, 1.0),
@@ -617,14 +617,14 @@
             {
                 let known = scenario.classes.iter().find(|class| class.name == *open);
                 if known.is_none_or(|class| class.effect == Effect::Unsafe) {
-                    auth.wrong("open", "a class that may run twice");
+                    auth.report_expected("open", "a class that may run twice");
                 }
             }
             for (event, table) in events.iter().zip(&tables) {
                 let Some(event) = event else { continue };
                 let end = scenario.seconds * 1000.0;
                 if event.at_ms[1] >= end {
-                    table.wrong(
+                    table.report_expected(
                         "at_ms",
                         &format!("a time before the end of the scenario at {end} ms"),
                     );
@@ -650,10 +650,16 @@
                     What::PartitionGateways { .. } | What::IsolateGateway { .. }
                 );
                 if needs_sharing && scenario.sharing.is_none() {
-                    table.wrong("what", "an event that does not need counts.shared = true");
+                    table.report_expected(
+                        "what",
+                        "an event that does not need counts.shared = true",
+                    );
                 }
                 if needs_auth && scenario.checks.is_none() {
-                    table.wrong("what", "an event that does not need auth.servers above 0");
+                    table.report_expected(
+                        "what",
+                        "an event that does not need auth.servers above 0",
+                    );
                 }
                 let needs_agent = matches!(
                     event.what,
@@ -670,19 +676,19 @@
                 if (needs_etcd && scenario.sources == Sources::Agent)
                     || (needs_agent && scenario.sources == Sources::Etcd)
                 {
-                    table.wrong(
+                    table.report_expected(
                         "what",
                         "an event of a source that the gateways have (fleet.sources)",
                     );
                 }
                 if let What::Flood { plan, .. } = &event.what {
                     if !scenario.plans.iter().any(|known| known.name == *plan) {
-                        table.wrong("plan", "the name of a plan of this scenario");
+                        table.report_expected("plan", "the name of a plan of this scenario");
                     }
                 }
             }
             if !scenario.classes.iter().any(|class| class.share > 0.0) {
-                top.wrong("class", "at least one class with a share above 0");
+                top.report_expected("class", "at least one class with a share above 0");
             }
             Scenario {
                 events: events.into_iter().flatten().collect(),
@@ -716,13 +722,13 @@
 fn plan(table: &Table<'_, '_>) -> Plan {
     let plan = Plan {
         name: table.text("name", None),
-        customers: table.whole("customers", None, 0.0, 1e6),
+        customers: table.integer("customers", None, 0.0, 1e6),
         rate: table.number("rate", None, 0.01, 1e6),
         burst: table.number("burst", None, 0.01, 1e6),
         usage: table.range("usage", Some([0.3, 0.8]), 0.0, 100.0),
         price: table.number("price", Some(1.0), 0.0, 1e6),
         over_cost: table.number("over_cost", Some(0.8), 0.0, 10.0),
-        max_out: table.whole("max_out", Some(0.0), 0.0, 1e6),
+        max_out: table.integer("max_out", Some(0.0), 0.0, 1e6),
         rate_limit_rate: table.number("ceiling_rate", Some(0.0), 0.0, 1e6),
         rate_limit_burst: table.number("ceiling_burst", Some(0.0), 0.0, 1e6),
         rate_limit_slack: table.number("ceiling_slack", Some(8.0), 0.0, 1e6),
@@ -815,10 +821,10 @@
             fraction: fraction(),
             every_ms: every_ms(),
             drain_ms: table.range("drain_ms", Some([2500.0, 4000.0]), 0.0, 60_000.0),
-            same_address: table.yes("same_address", false),
-            replaced: table.yes("replaced", true),
-            turns_away: table.yes("turns_away", true),
-            rounds: table.whole("rounds", Some(1.0), 1.0, 1000.0),
+            same_address: table.boolean("same_address", false),
+            replaced: table.boolean("replaced", true),
+            turns_away: table.boolean("turns_away", true),
+            rounds: table.integer("rounds", Some(1.0), 1.0, 1000.0),
             announced_by: match table
                 .choice("told_by", "all", &["all", "agent", "etcd"])
                 .as_str()
@@ -879,7 +885,7 @@
         },
         "flood" => What::Flood {
             plan: table.text("plan", None),
-            customers: table.whole("customers", Some(1.0), 1.0, 1e6),
+            customers: table.integer("customers", Some(1.0), 1.0, 1e6),
             times: table.range("times", Some([5.0, 8.0]), 0.0, 1000.0),
             for_ms: for_ms(),
         },
@@ -924,8 +930,8 @@
 mod tests {
     use super::*;
 
-    /// Guards against running a file of which a part was ignored: every mistake is reported with its
-    /// line.
+    /// Guards against running a file of which a part was ignored: every mistake is reported with
+    /// its line.
     #[test]
     fn every_mistake_is_reported_with_its_line() {
         let text = "version = 1\ntitle = \"x\"\nseconds = \"long\"\n\n[fleet]\ndoors = 99\nnods = 3\n\n\
--- a/crates/rehearsal/src/settings.rs
+++ b/crates/rehearsal/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a front door of a rehearsal is told: the platform's configuration (deployment page), made from a scenario.
+//! Configuration files of the gateways (deployment page), generated from a scenario.
 
 use crate::scenario::{Plan, Scenario, Sources};
 use crate::script::Script;
@@ -7,14 +7,14 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Longest advice that clients follow.
-pub const MOST_WAIT_MS: f64 = 2000.0;
-/// After how long nodes close an idle connection.
+/// Longest `Retry-After` that clients honour.
+pub const MAX_RETRY_AFTER_MS: f64 = 2000.0;
+/// Time after which backends close an idle connection.
 pub const IDLE_MS: f64 = 30_000.0;
 /// Period of the meter.
 pub const METER_MS: f64 = 500.0;
 
-/// The settings, by their wire names.
+/// Returns the settings by their wire names.
 pub fn settings(scenario: &Scenario, script: &Script, me: usize) -> Value {
     let rules = script.header.rules;
     let class = |class: &crate::scenario::Class| {
@@ -40,7 +40,7 @@
         "plans": scenario.plans.iter().map(plan).collect::<Vec<_>>(),
         "extra": {"max_units": scenario.max_units, "meter": METER_MS, "cost_after": true, "has_counter": false},
         "policy_limits": {"send_cap": rules.max_attempts, "second_copies": false, "cancel": true,
-            "probes": false, "peers": false, "retry_after": true, "max_retry_after": MOST_WAIT_MS,
+            "probes": false, "peers": false, "retry_after": true, "max_retry_after": MAX_RETRY_AFTER_MS,
             "dial_timeout": 250.0, "idle_close": IDLE_MS},
         "report": {"names": [], "via": "off"},
         "rules": {"answer_slack": rules.response_slack_ms, "stop_sending_within": rules.drain_grace_ms,
@@ -49,12 +49,12 @@
     })
 }
 
-/// What a front door's file of sources says, where it has an etcd.
-pub fn sources(sources: Sources, etcd: SocketAddr, door: usize) -> Option<String> {
+/// Returns the text of a gateway's file of sources, if it uses etcd.
+pub fn sources(sources: Sources, etcd: SocketAddr, gateway: usize) -> Option<String> {
     let agent = "[[source]]\nkind = \"agent\"\n";
     let etcd = format!(
         "[[source]]\nkind = \"etcd\"\nendpoints = [\"http://{etcd}\"]\nprefix = \"{}\"\nsilence_ms = 1500\n",
-        prefix(door)
+        prefix(gateway)
     );
     match sources {
         Sources::Agent => None,
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a front door's file of forward authentication says.
+/// Returns the text of a gateway's file of forward authentication, if callers are authenticated.
 pub fn forward_auth(scenario: &Scenario, servers: &[SocketAddr]) -> Option<String> {
     let checks = scenario.checks.as_ref()?;
     let servers: Vec<String> = servers
@@ -88,21 +88,21 @@
     Some(text)
 }
 
-/// What a front door's file of shared counts says: it takes datagrams at the address at which it takes clients, and others
-/// reach it by way of the played network.
+/// Returns the text of a gateway's file of shared counts, if used. The gateway receives datagrams
+/// at the address at which it accepts clients; the others reach it through the relay.
 pub fn shared_counts(
     scenario: &Scenario,
     listen: SocketAddr,
-    door: usize,
-    fronts: &[SocketAddr],
+    gateway: usize,
+    relay_addresses: &[SocketAddr],
 ) -> Option<String> {
     let sharing = scenario.sharing.as_ref()?;
-    let seeds: Vec<String> = fronts
+    let seeds: Vec<String> = relay_addresses
         .iter()
         .take(2)
-        .map(|front| format!("\"{front}\""))
+        .map(|address| format!("\"{address}\""))
         .collect();
-    let advertise = fronts.get(door)?;
+    let advertise = relay_addresses.get(gateway)?;
     Some(format!(
         "cluster = \"rehearsal\"\nkey = \"{:064x}\"\ngossip = \"{listen}\"\nadvertise = \"{advertise}\"\nseeds = [{}]\n\
          interval_ms = {:.1}\n",
@@ -112,12 +112,12 @@
     ))
 }
 
-/// Where etcd holds what a front door is to know: nodes have another address for each.
-pub fn prefix(door: usize) -> String {
-    format!("/door-{door}")
+/// Returns the etcd prefix of a gateway's list; a backend has a separate address for each gateway.
+pub fn prefix(gateway: usize) -> String {
+    format!("/door-{gateway}")
 }
 
-/// The whole configuration of one front door.
+/// Returns the complete configuration of a gateway.
 pub fn config(
     scenario: &Scenario,
     script: &Script,
@@ -125,9 +125,9 @@
     listen: SocketAddr,
     discovery: SocketAddr,
     known: Option<&Members>,
-    life: u64,
+    instance: u64,
 ) -> Value {
-    let seed = maplefall_test_servers::hash(&format!("{}/{me}/{life}", script.header.seed));
+    let seed = maplefall_test_servers::hash(&format!("{}/{me}/{instance}", script.header.seed));
     json!({
         "name": format!("door-{me}"), "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": format!("{seed:016x}"),
