--- a/crates/rehearsal/tests/rehearse.rs
+++ b/crates/rehearsal/tests/rehearse.rs
@@ -1,19 +1,21 @@
-//! The program as its users call it: a short rehearsal of the built daemon, and what it says to what it cannot play.
+//! Tests of the command line: a short run of the built gateway program, and the errors for input
+//! that cannot be run.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::sync::OnceLock;
 
-/// The daemon as it is released, and one that was built to be broken.
-struct Daemons {
-    whole: PathBuf,
+/// Paths of the gateway program as released, and of one built with the feature `breakages`.
+struct Programs {
+    intact: PathBuf,
     broken: PathBuf,
 }
 
-/// Builds both daemons of this workspace, one after the other, since one target folder holds one of them at a time.
-fn daemons() -> &'static Daemons {
-    static BUILT: OnceLock<Daemons> = OnceLock::new();
+/// Builds both programs of this workspace, one after the other, since a target directory holds only
+/// one of them at a time.
+fn programs() -> &'static Programs {
+    static BUILT: OnceLock<Programs> = OnceLock::new();
     BUILT.get_or_init(|| {
         let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
         let target = Path::new(env!("CARGO_TARGET_TMPDIR")).join("daemon");
@@ -34,14 +36,15 @@
                 .expect("cargo runs");
             assert!(built.success(), "the daemon builds");
             let path = target.join(name);
-            // A name of its own, moved into place whole: an earlier run's may still be in use.
+            // Copied under another name and renamed: the file of an earlier run may still be in
+            // use.
             let fresh = path.with_extension("new");
             std::fs::copy(target.join("debug/maplefall"), &fresh).expect("a copy");
             std::fs::rename(&fresh, &path).expect("a file replaced");
             path
         };
-        Daemons {
-            whole: build(&[], "whole"),
+        Programs {
+            intact: build(&[], "whole"),
             broken: build(&["--features", "breakages"], "broken"),
         }
     })
@@ -53,8 +56,9 @@
     command.output().expect("the program starts")
 }
 
-/// Plays, and plays again where the run is void: a machine that was too busy for the stand-ins says nothing of the daemon.
-fn rehearse_in_time(arguments: &[&str]) -> Output {
+/// Runs the program, up to three more times while the run is void: on a machine that is too busy
+/// for the test servers, the result says nothing about the gateways.
+fn rehearse_until_valid(arguments: &[&str]) -> Output {
     let mut last = rehearse(arguments);
     for _ in 0..3 {
         if last.status.code() != Some(2) || !String::from_utf8_lossy(&last.stderr).contains("void")
@@ -70,66 +74,65 @@
     format!("{}/{name}", env!("CARGO_TARGET_TMPDIR"))
 }
 
-fn judged(path: &str) -> Value {
+fn read_evaluation(path: &str) -> Value {
     serde_json::from_str(&std::fs::read_to_string(path).expect("a judgement")).expect("JSON")
 }
 
-fn verdict(judgement: &Value, rule: usize) -> &str {
-    judgement["rules"][rule - 1]["verdict"]
+fn verdict(evaluation: &Value, rule: usize) -> &str {
+    evaluation["rules"][rule - 1]["verdict"]
         .as_str()
         .expect("a verdict")
 }
 
-/// Guards the kit as a whole: real processes, failures by script, and no rule called broken that was not; the record
-/// can be judged again and says the same.
+/// Guards the program as a whole: real processes, scripted failures and no false violation.
+/// Evaluating the record again gives the same result.
 #[test]
-fn a_short_rehearsal_is_played_and_every_rule_holds() {
+fn short_scenario_runs_and_every_rule_holds() {
     let (json, record) = (file("short.json"), file("short.ndjson"));
-    let daemon = daemons().whole.to_str().expect("a path");
-    let run = rehearse_in_time(&[
+    let daemon = programs().intact.to_str().expect("a path");
+    let run = rehearse_until_valid(&[
         "run", "short", "--daemon", daemon, "--json", &json, "--record", &record,
     ]);
-    let said = String::from_utf8_lossy(&run.stdout).into_owned();
+    let output = String::from_utf8_lossy(&run.stdout).into_owned();
     assert_eq!(
         run.status.code(),
         Some(0),
-        "{said}{}",
+        "{output}{}",
         String::from_utf8_lossy(&run.stderr)
     );
-    let judgement = judged(&json);
+    let evaluation = read_evaluation(&json);
     for rule in [1, 2, 3] {
-        assert_eq!(verdict(&judgement, rule), "kept", "{said}");
+        assert_eq!(verdict(&evaluation, rule), "kept", "{output}");
     }
     assert!(
-        judgement["figures"]["served"].as_u64() > Some(200),
-        "{said}"
+        evaluation["figures"]["served"].as_u64() > Some(200),
+        "{output}"
     );
     assert!(
-        judgement["figures"]["not_taken"].as_u64() > Some(0),
-        "a front door died: {said}"
+        evaluation["figures"]["not_taken"].as_u64() > Some(0),
+        "a gateway was killed: {output}"
     );
     let again = file("again.json");
     let run = rehearse(&["judge", &record, "--json", &again]);
     assert_eq!(run.status.code(), Some(0));
-    assert_eq!(judged(&again), judgement);
+    assert_eq!(read_evaluation(&again), evaluation);
 }
 
 #[test]
-fn what_cannot_be_played_is_told_with_code_two() {
-    let said = |arguments: &[&str]| {
+fn input_that_cannot_be_run_exits_with_code_two() {
+    let error_of = |arguments: &[&str]| {
         let output = rehearse(arguments);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
         String::from_utf8_lossy(&output.stderr).into_owned()
     };
-    assert!(said(&["run", "storm"]).contains("no scenario is called \"storm\"; there are calm"));
+    assert!(error_of(&["run", "storm"]).contains("no scenario is called \"storm\"; there are calm"));
+    assert!(error_of(&["run", "calm", "--daemon", "/no/such/file"])
+        .contains("/no/such/file: no such file"));
+    // A gateway that does not serve at all has violated no rule.
+    let text = error_of(&["run", "short", "--daemon", "/bin/false"]);
+    // Both gateways of the scenario end at once: either may be noticed first.
     assert!(
-        said(&["run", "calm", "--daemon", "/no/such/file"]).contains("/no/such/file: no such file")
-    );
-    // One that does not serve at all is no front door that broke a rule.
-    let text = said(&["run", "short", "--daemon", "/bin/false"]);
-    // Both of the scenario's front doors end at once: either may be seen first.
-    assert!(
-        (0..2).any(|door| text.contains(&format!("front door {door} ended before it was ready"))),
+        (0..2).any(|index| text.contains(&format!("front door {index} ended before it was ready"))),
         "{text}"
     );
     let path = file("bad.toml");
@@ -138,7 +141,7 @@
         "version = 1\ntitle = \"x\"\nseconds = 9\n[fleet]\ndors = 2\nnodes = 0\n",
     )
     .unwrap();
-    let text = said(&["run", &path]);
+    let text = error_of(&["run", &path]);
     assert!(text.contains("line 5: fleet.dors: no such key"), "{text}");
     assert!(
         text.contains("line 6: fleet.nodes: a number from 1 to 200 was expected"),
@@ -146,7 +149,7 @@
     );
     let path = file("cut.ndjson");
     std::fs::write(&path, "{\"version\":1}\n").unwrap();
-    assert!(said(&["judge", &path]).contains("line 1: "));
+    assert!(error_of(&["judge", &path]).contains("line 1: "));
 }
 
 #[test]
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn help_teaches_and_the_list_names_every_event() {
+fn help_states_exit_codes_and_list_names_events() {
     let help = rehearse(&["--help"]);
     let text = String::from_utf8_lossy(&help.stdout).into_owned();
     assert!(
@@ -171,45 +174,46 @@
     }
 }
 
-/// Guards the judge against blindness and against false alarms: three broken daemons are each found by the rule that they
-/// break, and the whole one is not accused in the same scenarios.
+/// Guards the evaluation against missed violations and false alarms: each of three broken programs
+/// is found by the rule that it violates, and the intact one passes the same scenarios.
 #[test]
-fn three_broken_daemons_are_found_and_the_whole_one_is_not_accused() {
-    let Daemons { whole, broken } = daemons();
-    let (whole, broken) = (
-        whole.to_str().expect("a path"),
+fn three_broken_programs_are_found_and_the_intact_one_passes() {
+    let Programs { intact, broken } = programs();
+    let (intact, broken) = (
+        intact.to_str().expect("a path"),
         broken.to_str().expect("a path"),
     );
     let only = "stale-body,two-out,drain-ignored";
-    let run = rehearse_in_time(&[
-        "prove", "--daemon", whole, "--broken", broken, "--only", only, "--jobs", "2",
+    let run = rehearse_until_valid(&[
+        "prove", "--daemon", intact, "--broken", broken, "--only", only, "--jobs", "2",
     ]);
-    let said = String::from_utf8_lossy(&run.stdout).into_owned();
+    let output = String::from_utf8_lossy(&run.stdout).into_owned();
     assert_eq!(
         run.status.code(),
         Some(0),
-        "{said}{}",
+        "{output}{}",
         String::from_utf8_lossy(&run.stderr)
     );
-    assert!(said.contains("5 of 5 as they should be"), "{said}");
-    // A breakage that goes unfound must not pass: a whole daemon in the broken one's place is one.
-    let run = rehearse_in_time(&[
-        "prove", "--daemon", whole, "--broken", whole, "--only", "two-out", "--jobs", "2",
+    assert!(output.contains("5 of 5 as they should be"), "{output}");
+    // A breakage that is not found must fail: the intact program in place of the broken one shows
+    // that.
+    let run = rehearse_until_valid(&[
+        "prove", "--daemon", intact, "--broken", intact, "--only", "two-out", "--jobs", "2",
     ]);
-    let said = String::from_utf8_lossy(&run.stdout).into_owned();
-    assert_eq!(run.status.code(), Some(1), "{said}");
-    assert!(said.contains("1 of 2 as they should be"), "{said}");
+    let output = String::from_utf8_lossy(&run.stdout).into_owned();
+    assert_eq!(run.status.code(), Some(1), "{output}");
+    assert!(output.contains("1 of 2 as they should be"), "{output}");
 }
 
-/// Guards those who run the released daemon: nothing in it can be told to break.
+/// Guards users of the released program: no breakage can be enabled in it.
 #[test]
-fn the_whole_daemon_holds_no_breakage_and_the_broken_one_knows_its_own() {
-    let holds = |path: &Path| {
+fn only_the_broken_program_reads_the_breakage_variable() {
+    let contains_variable = |path: &Path| {
         let bytes = std::fs::read(path).expect("a daemon");
         bytes
             .windows(18)
             .any(|window| window == b"MAPLEFALL_BREAKAGE")
     };
-    let Daemons { whole, broken } = daemons();
-    assert!(!holds(whole) && holds(broken));
+    let Programs { intact, broken } = programs();
+    assert!(!contains_variable(intact) && contains_variable(broken));
 }
