--- a/crates/rehearsal/src/capacity.rs
+++ b/crates/rehearsal/src/capacity.rs
@@ -85,7 +85,7 @@
                     idle_ms,
                     overload,
                 };
-                let world = SharedState::new(deployment, recorder, lateness);
+                let shared_state = SharedState::new(deployment, recorder, lateness);
                 let slot = BackendSlot::over(listeners);
                 let spec = BackendSpec {
                     number: 0,
@@ -95,7 +95,7 @@
                     warmup_ms: 0.0,
                     connections: 10_000,
                 };
-                slot.set_backend(Some(Backend::start(&world, spec)));
+                slot.set_backend(Some(Backend::start(&shared_state, spec)));
                 // The other thread signals the end.
                 let _ = stopped.await;
             })
--- a/crates/rehearsal/src/html.rs
+++ b/crates/rehearsal/src/html.rs
@@ -176,7 +176,8 @@
         );
         rate += grid;
     }
-    let wide = (timeline.x(timeline.from + MARGIN_INTERVAL) - timeline.x(timeline.from)).max(0.5);
+    let bar_width =
+        (timeline.x(timeline.from + MARGIN_INTERVAL) - timeline.x(timeline.from)).max(0.5);
     for (at, kinds) in timeline.kinds.iter().enumerate() {
         let x = timeline.x(timeline.from + at as f64 * MARGIN_INTERVAL);
         let mut sum = 0.0;
@@ -185,7 +186,7 @@
             if *count > 0.0 {
                 let _ = write!(
                     svg,
-                    "<rect x=\"{x:.1}\" y=\"{top:.1}\" width=\"{wide:.2}\" height=\"{:.1}\" fill=\"{colour}\"/>",
+                    "<rect x=\"{x:.1}\" y=\"{top:.1}\" width=\"{bar_width:.2}\" height=\"{:.1}\" fill=\"{colour}\"/>",
                     bottom - top
                 );
             }
@@ -215,16 +216,16 @@
     }
     for (at, (from, to, name)) in timeline.bands.iter().enumerate() {
         let (x, top) = (timeline.x(*from), below + at as f64 * (BAND + 2.0));
-        let wide = (timeline.x(*to) - x).max(3.0);
+        let band_width = (timeline.x(*to) - x).max(3.0);
         // A name that does not fit to the right of its band is written to the left.
-        let (text_x, anchor) = if x + wide > WIDTH * 0.72 {
+        let (text_x, anchor) = if x + band_width > WIDTH * 0.72 {
             (x - 5.0, "end")
         } else {
-            (x + wide + 5.0, "start")
+            (x + band_width + 5.0, "start")
         };
         let _ = write!(
             svg,
-            "<rect x=\"{x:.1}\" y=\"{top:.1}\" width=\"{wide:.1}\" height=\"{BAND}\" rx=\"2\" fill=\"#b9c4d6\"/>\
+            "<rect x=\"{x:.1}\" y=\"{top:.1}\" width=\"{band_width:.1}\" height=\"{BAND}\" rx=\"2\" fill=\"#b9c4d6\"/>\
              <text x=\"{text_x:.1}\" y=\"{:.1}\" text-anchor=\"{anchor}\">{}</text>",
             top + 12.0,
             escape(name)
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -397,7 +397,7 @@
         end_kib,
     } = cost;
     println!(
-        "{} nodes: ready after {ready_ms:.0} ms, {ready_cpu_ms:.0} ms of CPU, {ready_kib} KiB",
+        "{} backends: ready after {ready_ms:.0} ms, {ready_cpu_ms:.0} ms of CPU, {ready_kib} KiB",
         load.backends
     );
     println!(
--- a/crates/rehearsal/src/members.rs
+++ b/crates/rehearsal/src/members.rs
@@ -224,10 +224,10 @@
     change: &Change<'_>,
     load: Load,
 ) -> io::Result<Cost> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut gateway = GatewayProcess::start(daemon, files, 0, listen, discovery, None)?;
     while !is_ready(listen) {
-        if begun.elapsed() > Duration::from_secs(20) || gateway.exit_status().is_some() {
+        if started_at.elapsed() > Duration::from_secs(20) || gateway.exit_status().is_some() {
             return Err(io::Error::other(format!(
                 "the daemon is not ready: {}",
                 files.last_line()
@@ -235,15 +235,15 @@
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    let ready_ms = begun.elapsed().as_secs_f64() * 1000.0;
+    let ready_ms = started_at.elapsed().as_secs_f64() * 1000.0;
     std::thread::sleep(Duration::from_millis(500));
     let (ready_cpu_ms, ready_kib) = gateway.resource_usage();
     let mut rng = Pcg32::seed_from_u64(1);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut changes = 0u64;
     let total = u64::from(load.rate) * u64::from(load.seconds);
     while changes < total {
-        let due = (begun.elapsed().as_secs_f64() * f64::from(load.rate)) as u64;
+        let due = (started_at.elapsed().as_secs_f64() * f64::from(load.rate)) as u64;
         while changes < due.min(total) {
             let node = rng.next_u32() % load.backends.max(1);
             change(node, changes % 2 == 0)?;
--- a/crates/rehearsal/src/prove.rs
+++ b/crates/rehearsal/src/prove.rs
@@ -11,7 +11,7 @@
     /// The rule.
     pub rule: u32,
     /// Description of the breakage.
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 /// Stands for the scenario's minimum value share in place of a rule.
@@ -21,13 +21,13 @@
     breakage: &'static str,
     scenario: &'static str,
     rule: u32,
-    about: &'static str,
+    description: &'static str,
 ) -> BreakageTest {
     BreakageTest {
         breakage,
         scenario,
         rule,
-        about,
+        description,
     }
 }
 
@@ -37,7 +37,7 @@
         "second-answer",
         "short",
         1,
-        "a served answer is written twice",
+        "a served response is written twice",
     ),
     breakage_test(
         "stale-body",
--- a/crates/rehearsal/src/runner.rs
+++ b/crates/rehearsal/src/runner.rs
@@ -114,7 +114,7 @@
     list: List,
     process: Option<GatewayProcess>,
     instance: u64,
-    /// Set once the process has been told to stop: time from its end to its restart.
+    /// Set once the process has been terminated: time from its end to its restart.
     stopping: Option<Millis>,
     restart_at: Option<Millis>,
     ready_by: Option<Instant>,
@@ -654,7 +654,7 @@
             slack_ms: rules.warmup_slack_ms,
         },
     };
-    let world = SharedState::new(deployment, recorder.clone(), lateness.clone());
+    let shared_state = SharedState::new(deployment, recorder.clone(), lateness.clone());
     let spec = |number, initial_capacity| BackendSpec {
         number,
         cores: scenario.cores,
@@ -667,7 +667,8 @@
         backend_slots.into_iter().map(BackendSlot::over).collect();
     let born: RefCell<Vec<(u32, Millis)>> = RefCell::default();
     for node in 0..scenario.backends {
-        backend_slots[node as usize].set_backend(Some(Backend::start(&world, spec(node, 1.0))));
+        backend_slots[node as usize]
+            .set_backend(Some(Backend::start(&shared_state, spec(node, 1.0))));
     }
     let gateways = scenario.gateways as usize;
     let mut etcd = match etcd_listeners.is_empty() {
@@ -760,7 +761,8 @@
                     backend_slots[slot].set_backend(None);
                 }
                 EnvironmentAct::Start { place: slot, node } => {
-                    let fresh = Backend::start(&world, spec(node, scenario.initial_capacity));
+                    let fresh =
+                        Backend::start(&shared_state, spec(node, scenario.initial_capacity));
                     born.borrow_mut().push((node, fresh.started_at()));
                     backend_slots[slot].set_backend(Some(fresh));
                 }
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -316,7 +316,7 @@
         for_ms: Range,
     },
     /// Cuts the etcd watches, each time at a random point.
-    EtcdCut {
+    EtcdWatchesCut {
         /// Time between two cuts, for each gateway.
         every_ms: Range,
         /// Duration.
@@ -631,7 +631,7 @@
                 }
                 let needs_etcd = matches!(
                     event.what,
-                    What::EtcdCut { .. }
+                    What::EtcdWatchesCut { .. }
                         | What::EtcdDown { .. }
                         | What::EtcdSilent { .. }
                         | What::EtcdCompact { .. }
@@ -863,7 +863,7 @@
             every_ms: every_ms(),
             for_ms: for_ms(),
         },
-        "etcd_cut" => What::EtcdCut {
+        "etcd_cut" => What::EtcdWatchesCut {
             every_ms: every_ms(),
             for_ms: for_ms(),
         },
--- a/crates/rehearsal/src/script.rs
+++ b/crates/rehearsal/src/script.rs
@@ -600,7 +600,7 @@
                 }
                 ("agents repeat themselves".to_owned(), end)
             }
-            What::EtcdCut { every_ms, for_ms } => {
+            What::EtcdWatchesCut { every_ms, for_ms } => {
                 let end = at + random.in_range(*for_ms);
                 for gateway in 0..gateways {
                     for when in random.times(at, end, *every_ms) {
