--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -196,7 +196,7 @@
     metadata
 }
 
-/// Reads the single message of a call, at most [`LONGEST_BODY`] bytes.
+/// Reads the single message of a call, at most [`MAX_BODY_BYTES`] bytes.
 ///
 /// # Errors
 /// There is not exactly one message, the message is too long, or the client has disconnected.
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -42,7 +42,7 @@
     /// The body has no `Content-Length`.
     #[error("a body must tell its length")]
     LengthRequired,
-    /// The body is longer than [`LONGEST_BODY`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
     /// The body was not complete in time.
