--- a/crates/load-estimators/src/backend.rs
+++ b/crates/load-estimators/src/backend.rs
@@ -36,9 +36,9 @@
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The index of its request's class.
+    /// The index of the class of the attempt's request.
     pub class: usize,
-    /// Its result.
+    /// Result of the attempt.
     pub result: AttemptResult,
     /// Time since the attempt was sent.
     pub elapsed: Millis,
--- a/crates/load-estimators/src/backpressure.rs
+++ b/crates/load-estimators/src/backpressure.rs
@@ -26,9 +26,9 @@
 }
 
 impl Backpressure {
-    /// Initial state of one of `gateways`. A gateway does not see how much all of them admit
-    /// together, so it first admits a fraction of its requests; a single gateway admits all of
-    /// them.
+    /// Initial state of one of `gateways` gateways. A gateway does not see how much all of them
+    /// admit together, so it first admits a fraction of its requests; a single gateway admits all
+    /// of them.
     pub fn new(gateways: u32) -> Self {
         let own_share = (1.0 - INITIAL_FRACTION) / f64::from(gateways.max(1));
         Backpressure {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The stronger of the two measures, from 0 to 1.
+    /// The stronger of the two pressures, by waits and by response times, from 0 to 1.
     pub fn combined(&self) -> f64 {
         self.pressure.max(1.0 - self.admitted_fraction)
     }
--- a/crates/load-estimators/src/concurrency_limit.rs
+++ b/crates/load-estimators/src/concurrency_limit.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// Larger shares count as this one, so that the credit stays finite.
+/// Maximum share that counts: larger shares count as this one, so that the credit stays finite.
 const MAX_SHARE: f64 = 1e6;
 
 /// One gateway's share of a limit on concurrent attempts.
--- a/crates/load-estimators/src/health.rs
+++ b/crates/load-estimators/src/health.rs
@@ -13,8 +13,8 @@
 const HEALTHY_FAULT_SCORE: f64 = 0.1;
 /// Fraction of its distance to 1 by which one failure raises a fault score.
 const FAILURE_STEP: f64 = 0.4;
-/// The same for a broken connection: less, because a refused or unresponsive connection is far
-/// stronger evidence.
+/// Fraction of its distance to 1 by which one broken connection raises a fault score: less than for
+/// other failures, because a refused or unresponsive connection is far stronger evidence.
 const BROKEN_CONNECTION_STEP: f64 = 0.1;
 /// Fraction of its value by which one success lowers a fault score.
 const SUCCESS_STEP: f64 = 0.2;
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct HealthScore {
     overall: Decaying,
-    /// Scores from rejections for lack of capacity, by plan.
+    /// Fault scores from rejections for lack of capacity, by plan.
     plans: BTreeMap<usize, Decaying>,
-    /// By class of the attempts that have ended.
+    /// Health by class of the attempts that have ended.
     classes: BTreeMap<usize, ClassHealth>,
     ejected: bool,
 }
--- a/crates/load-estimators/src/in_flight.rs
+++ b/crates/load-estimators/src/in_flight.rs
@@ -8,11 +8,11 @@
 pub struct Attempt {
     /// When the attempt was sent.
     pub sent_at: Millis,
-    /// The index of its request's class.
+    /// The index of the class of the attempt's request.
     pub class: usize,
-    /// Units of its request.
+    /// Units of the attempt's request.
     pub units: f64,
-    /// Units in flight to the backend when the attempt was sent, its own included.
+    /// Units in flight to the backend when the attempt was sent, those of this attempt included.
     pub load: f64,
 }
 
--- a/crates/load-estimators/src/metered_usage.rs
+++ b/crates/load-estimators/src/metered_usage.rs
@@ -49,7 +49,8 @@
         self.updated_at = now;
     }
 
-    /// The sums at `now`; `lambda` is ln 2 / half-life, per millisecond.
+    /// The sums of requested and allowed units at `now`; `lambda` is ln 2 / half-life, per
+    /// millisecond.
     pub fn recent(&self, now: Millis, lambda: f64) -> Usage {
         let decay = (lambda * (self.updated_at - now)).exp();
         Usage {
--- a/crates/load-estimators/src/service_time.rs
+++ b/crates/load-estimators/src/service_time.rs
@@ -8,9 +8,9 @@
 /// Assumed service time of a backend before it is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceTimePrior {
-    /// Weight, in units of load.
+    /// Weight of the assumed time, in units of load.
     pub load: f64,
-    /// Milliseconds per unit of load.
+    /// Assumed time, in milliseconds per unit of load.
     pub per_unit: f64,
 }
 
--- a/crates/load-estimators/src/shared_balance.rs
+++ b/crates/load-estimators/src/shared_balance.rs
@@ -8,7 +8,7 @@
 pub struct UsageReport {
     /// Units drawn and not reported before; negative if more were returned than drawn.
     pub units: f64,
-    /// Time up to which all drawn units are reported, except for `error`.
+    /// Time up to which all drawn units are reported, except for at most `error` units.
     pub as_of: Millis,
     /// Maximum number of units that were drawn and are not reported.
     pub error: f64,
@@ -19,9 +19,9 @@
 /// Lower and upper bound of the units that a quota holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BalanceBounds {
-    /// The lower bound.
+    /// Lower bound of the units that the quota holds.
     pub min: f64,
-    /// The upper bound.
+    /// Upper bound of the units that the quota holds.
     pub max: f64,
 }
 
@@ -31,7 +31,7 @@
     /// Units left after all known usage, as of `updated_at`; the quota may hold less, never more.
     balance: f64,
     updated_at: Millis,
-    /// Values of the last report.
+    /// Time, error and coverage of the last report on usage.
     as_of: Millis,
     error: f64,
     coverage: f64,
--- a/crates/load-estimators/tests/retry_budget.rs
+++ b/crates/load-estimators/tests/retry_budget.rs
@@ -8,8 +8,9 @@
 const WINDOW_MS: f64 = 10_000.0;
 const SHARE: f64 = 0.2;
 
-/// Guards gateways of a large fleet: each gateway's share of the slack was less than one retry, so
-/// that none ever retried (more than 128 proxies with a slack of 214, more than 37 with 62).
+/// Guards gateways of a large fleet: each gateway's share of the slack (retries that the fleet may
+/// use without any request) was less than one retry, so that no gateway ever retried (more than 128
+/// proxies with a slack of 214, more than 37 with a slack of 62).
 #[test]
 fn a_gateway_with_a_slack_of_less_than_one_retry_makes_retries() {
     let limits = RetryLimits {
@@ -19,7 +20,7 @@
     };
     let mut budget = RetryBudget::new(0.0);
     let mut retries = 0;
-    // Five requests a second, for a minute.
+    // Five requests a second arrive, for a minute.
     for request in 0..300 {
         let now = f64::from(request) * 200.0;
         budget.earn(now, limits);
@@ -47,7 +48,7 @@
 }
 
 /// Guards small fleets: with a depth of one retry or more, with or without a window, retries are
-/// earned at the full share and do not expire.
+/// earned at the full rate `share` per request and do not expire.
 #[test]
 fn a_depth_of_one_retry_or_more_is_earned_at_the_full_share() {
     for window in [0.0, WINDOW_MS] {
@@ -127,9 +128,9 @@
     (at(to) - at(from)) as f64
 }
 
-/// The maximum excess over the requirement BUDGET: no window has more retries than the share of the
-/// requests of that window, of the one before it or of the one half a window before it, whichever
-/// has the most requests, plus the slack.
+/// The maximum number of retries in a window beyond the fleet's budget (requirement BUDGET). The
+/// budget is `SHARE` times the requests of that window, of the one before it or of the one half a
+/// window before it, whichever has the most requests, plus `slack` retries.
 fn max_excess(traffic: &Traffic, slack: f64) -> f64 {
     let ends = traffic.retries.iter();
     ends.map(|end| {
@@ -159,8 +160,8 @@
     }
 }
 
-/// Guards the property above against passing vacuously: gateways that earn twice as much must
-/// violate it.
+/// Guards the test of the fleet's budget against passing vacuously: gateways that earn twice as
+/// many retries must exceed the budget.
 #[test]
 fn a_fleet_that_earns_twice_its_share_exceeds_the_budget() {
     let limits = RetryLimits {
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Replaces the entry by that of `fresh`. If the backend was restarted, its measurements and
-    /// its credit are reset; its position and the attempts in flight stay.
+    /// Replaces the backend's list entry by that of `fresh`. If the backend was restarted, its
+    /// measurements and its credit are reset; its position and the attempts in flight stay.
     pub(crate) fn update(&mut self, now: Millis, fresh: &Backend) {
         if self.entry.started != fresh.entry.started {
             self.estimator.reset(now);
--- a/crates/policy/src/gateway/choice.rs
+++ b/crates/policy/src/gateway/choice.rs
@@ -26,7 +26,7 @@
             due: self.due_for_slow_start(last_preferred, &ids),
         };
         let mut found = self.search(&search, &ids);
-        // Lower bound of the cost of the other backends: the detour, plus the fastest service time.
+        // Backends not in `ids` cost at least `UNPREFERRED_TARGETS` plus the least service time.
         let fastest = self.backends.index().least_time_per_unit();
         let common = search.prior.per_unit;
         let time = fastest.map_or(common, |own| own.min(common)) * request.units;
@@ -39,7 +39,7 @@
         }
         self.backends.index_mut().recycle(ids);
         self.rng = found.rng;
-        // The due backend goes first, unless it is suspect or has too many requests already.
+        // A backend due in slow start goes first, unless it is suspect or has too many requests.
         let max_detour = MAX_WAIT_TARGETS * self.target;
         match (found.due, found.cheapest) {
             (Some(due), Some(other)) if due.cost > other.cost + max_detour => Some(other),
--- a/crates/policy/src/gateway/customers.rs
+++ b/crates/policy/src/gateway/customers.rs
@@ -88,7 +88,7 @@
     /// Gives back the units of a request that was never forwarded.
     pub(super) fn give_back(&mut self, request: &Request) {
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            // The next refill clamps both to their depth.
+            // The next refill clamps the slice and the rate limit share to their depths.
             customer.slice += request.units;
             customer.rate_limit_units += request.units;
         }
@@ -189,7 +189,7 @@
         let is_sliver =
             request.gateways > 1.0 && plan.burst / request.gateways < self.typical_units;
         let (lambda, meter_lambda) = if is_sliver {
-            // Too few requests for the long average to distinguish a lasting flood from chance.
+            // With a sliver's few requests, a long average can't tell a lasting flood from chance.
             (usage_lambda, usage_lambda)
         } else {
             (LN_2 / halflife, METER_DECAY_FACTOR * usage_lambda)
@@ -261,7 +261,7 @@
     /// Counts the request, whether or not it will be admitted; returns the usage of the quota.
     fn record(&self, customer: &mut Customer) -> Usage {
         let quota = &self.quota;
-        // A sliver is as deep as the requests so far need. When a larger one deepens it, the new
+        // A sliver is as deep as the requests so far need. If a larger request deepens it, the new
         // depth is filled at once: its slow refill would take a day. Other slices wait to refill.
         if quota.is_sliver {
             customer.slice += (quota.depth - customer.slice_depth).max(0.0);
@@ -298,7 +298,7 @@
     fn refill(&self, customer: &mut Customer, usage: Usage) {
         let quota = &self.quota;
         let elapsed = (self.now - customer.refilled_at).max(0.0) / 1000.0;
-        // The average starts at 0, so that of a new gateway covers only a part of its time window.
+        // The average starts at 0, so a new gateway's covers only a part of its time window.
         let covered = 1.0 - (-quota.lambda * self.gateway_age).exp();
         let recent = customer.average.rate(self.now, quota.lambda);
         let recent = recent / covered.max(MIN_AVERAGE_COVERAGE);
@@ -324,11 +324,11 @@
         customer.refilled_at = self.now;
     }
 
-    /// Checks the penalty box: over its limit, all requests are rejected until the average decays.
+    /// Checks the penalty box: while the recent average is over its limit, rejects all requests.
     fn check_penalty_box(&self, customer: &Customer, usage: Usage) -> Verdict {
         let quota = &self.quota;
         let mut rate = customer.average.rate(self.now, quota.lambda);
-        // For a sliver, the usage through all gateways counts too, less what may be chance.
+        // A sliver's usage through all gateways counts too, less the part that may be chance.
         if quota.is_sliver && self.balance.is_none() {
             let deviation = (usage.requested * self.typical_units).sqrt();
             let certain = usage.requested - PENALTY_BOX_DEVIATIONS * deviation;
--- a/crates/policy/src/gateway/mod.rs
+++ b/crates/policy/src/gateway/mod.rs
@@ -29,7 +29,7 @@
 /// Half-life of the recent average, in burst lengths (CEWMA paper: at least 1). A lasting flood
 /// should close the box; a spike with its retries should not: slices hold it to the quota already.
 const AVERAGE_HALFLIFE_BURSTS: f64 = 16.0;
-/// Half-life of all other estimates of a customer's usage, in burst lengths.
+/// Half-life of a customer's usage estimates other than the recent average, in burst lengths.
 const USAGE_HALFLIFE_BURSTS: f64 = 4.0;
 /// Minimum fraction of its time window that the recent average counts as covering in a new gateway.
 const MIN_AVERAGE_COVERAGE: f64 = 0.05;
@@ -45,23 +45,23 @@
 const SLOW_TARGETS: f64 = 0.5;
 /// Number of requests over which the typical size (units per request) is averaged.
 const TYPICAL_UNITS_WINDOW: f64 = 30.0;
-/// Prior of a new customer's usage, in requests of typical size, against twice as many allowed.
+/// Prior of a new customer's usage, in typical requests; twice as many count as allowed.
 const PRIOR_REQUESTS: f64 = 0.5;
-/// Metered usage decays this many times as fast as other estimates of usage.
+/// Metered usage decays this many times as fast as other estimates of a customer's usage.
 const METER_DECAY_FACTOR: f64 = 2.0;
 /// Standard deviations by which usage must exceed the limit of the penalty box in a sliver.
 const PENALTY_BOX_DEVIATIONS: f64 = 3.0;
 /// Timeout of an attempt that may be retried, as a multiple of its expected time.
 const ATTEMPT_TIMEOUT_FACTOR: f64 = 8.0;
-/// Minimum of that timeout, as a fraction of the latency target of the request's class.
+/// Minimum timeout of an attempt that may be retried, as a fraction of its class's latency target.
 const MIN_ATTEMPT_TIMEOUT_TARGETS: f64 = 0.4;
-/// Early timeouts need an admitted fraction above this, and pressure below its complement.
+/// Attempts time out early only with an admitted fraction above this and pressure below 1 - this.
 const RETRY_HEADROOM: f64 = 0.95;
 /// For this many latency targets after a connection broke, every request withholds its last byte.
 const WITHHOLD_AFTER_BREAK_TARGETS: f64 = 8.0;
-/// A request crosses zones to save a wait of this multiple of the cross-zone price, in targets.
+/// A request crosses zones to save a wait of this many latency targets times the cross-zone price.
 const CROSS_ZONE_TARGETS: f64 = 10.0;
-/// Fraction of a rate limit's slack that the gateways' shares use; the rest covers rounding.
+/// Fraction of a rate limit's overdraft that gateways' shares use; the rest covers rounding.
 const RATE_LIMIT_SLACK_FRACTION: f64 = 0.9;
 /// Fraction of the overload factor up to which all gateways load a backend in slow start.
 const SLOW_START_OVERLOAD_FRACTION: f64 = 0.6;
@@ -73,7 +73,7 @@
 const GATEWAYS_PER_BACKEND: f64 = 16.0;
 /// Minimum number of preferred backends; with fewer, one failure shifts too much load to the rest.
 const MIN_PREFERRED_BACKENDS: usize = 8;
-/// A backend that is not preferred must have a cost that is lower by this many latency targets.
+/// A backend that is not preferred must cost this many latency targets less than a preferred one.
 const UNPREFERRED_TARGETS: f64 = 0.25;
 const SUBSCRIBE_TIMER: TimerId = TimerId(u64::MAX);
 
@@ -124,7 +124,7 @@
     /// Refill rate of the slice, in units a second.
     refill_rate: f64,
     attempts: ConcurrencyLimit,
-    /// Usage at all gateways.
+    /// Metered usage of the quota through all gateways.
     metered: MeteredUsage,
     admitted_fraction: f64,
 }
@@ -134,7 +134,7 @@
 struct QuotaShare {
     /// Decay rate of the recent average: ln 2 / half-life, per millisecond.
     lambda: f64,
-    /// Decay rate of other estimates of usage.
+    /// Decay rate of estimates of usage other than the recent average and metered usage.
     usage_lambda: f64,
     /// Decay rate of metered usage.
     meter_lambda: f64,
@@ -142,7 +142,7 @@
     even_rate: f64,
     /// Units that the slice may hold.
     depth: f64,
-    /// Whether the even share of the burst is smaller than a typical request.
+    /// Whether the slice is a sliver: the even share of the burst is below a typical request.
     is_sliver: bool,
 }
 
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -43,27 +43,29 @@
 /// The backends that deduplicate the attempts of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every backend.
+    /// Every backend deduplicates the attempts.
     All,
-    /// The backends in the zone of the first attempt.
+    /// Only the backends in the zone of the first attempt deduplicate the attempts.
     Zone,
-    /// The backends in the cell of the first attempt.
+    /// Only the backends in the cell of the first attempt deduplicate the attempts.
     Cell,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Backends deduplicate its attempts by an idempotency key, within a scope and for a time.
+    /// Backends deduplicate the attempts of the request by an idempotency key, within a scope and
+    /// for a time.
     Keyed {
         /// The backends that deduplicate.
         scope: DedupScope,
-        /// For how long, in milliseconds from the send of the first attempt that may have run.
+        /// For how long backends deduplicate, in milliseconds from the send of the first attempt
+        /// that may have run.
         window: Millis,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
@@ -129,11 +131,11 @@
 /// How backends' load reports reach a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// Not at all.
+    /// Load reports do not reach the gateway.
     Off,
-    /// With every end of an attempt and every probe result.
+    /// Load reports arrive with every end of an attempt and every probe result.
     Inline,
-    /// With probe results only.
+    /// Load reports arrive with probe results only.
     OnProbe,
 }
 
@@ -195,18 +197,19 @@
     pub warm_up: Millis,
     /// Load, as a multiple of its present capacity, that overloads a backend that is warming up.
     pub overload_factor: f64,
-    /// Time for which that load must last to overload the backend, in milliseconds.
+    /// Time for which a load above `overload_factor` must last to overload the backend, in
+    /// milliseconds.
     pub overload_window: Millis,
 }
 
 /// State of a backend in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Accepts requests.
+    /// The backend accepts requests.
     Ready,
-    /// Finishes its requests and accepts no new ones.
+    /// The backend finishes its requests and accepts no new ones.
     Draining,
-    /// Removed from the list.
+    /// The backend was removed from the list.
     Removed,
 }
 
@@ -245,7 +248,7 @@
 pub struct Request {
     /// Id of the request.
     pub id: RequestId,
-    /// The customer whose quota it uses.
+    /// The customer whose quota the request uses.
     pub customer: CustomerId,
     /// The customer's plan.
     pub plan: PlanId,
@@ -254,7 +257,7 @@
     /// Units that the request takes from the quota; an estimate if responses report
     /// [`AttemptEnded::true_units`].
     pub units: f64,
-    /// When the client stops waiting; its retry is a new request.
+    /// When the client stops waiting for a response; a retry by the client is a new request.
     pub deadline: Millis,
     /// Whether the caller is authorized already. Otherwise the request is admitted or rejected like
     /// any other and, if admitted, is pending until [`Event::Authorized`].
@@ -266,7 +269,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served.
     Ok,
     /// The backend responded with an error; the request may have run.
     Error,
@@ -461,7 +464,7 @@
     Send {
         /// The request.
         request: RequestId,
-        /// The backend to send it to.
+        /// The backend to send the attempt to.
         backend: BackendId,
         /// Timeout of the attempt, in milliseconds; `None` to wait until the client gives up.
         timeout: Option<Millis>,
@@ -475,12 +478,12 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// Why it is rejected.
+        /// Why the request is rejected.
         reason: RejectReason,
         /// Time after which a retry is advised, in milliseconds; `None` for no advice.
         retry_after: Option<Millis>,
     },
-    /// Send the final response that the request failed: it may have run.
+    /// Send the final response that the request failed: the request may have run.
     Fail(RequestId),
     /// Stop waiting for an attempt.
     CancelAttempt {
@@ -491,9 +494,9 @@
     },
     /// Set a timer, which fires as [`Event::Timer`].
     SetTimer {
-        /// When it fires.
+        /// When the timer fires.
         at: Millis,
-        /// Id to report.
+        /// Id that the timer's event reports.
         timer: TimerId,
     },
     /// Check the health of a backend, and report the result as [`Event::Probed`].
@@ -577,6 +580,6 @@
 pub struct GatewayStats {
     /// Number of customers with an entry.
     pub customers: usize,
-    /// Number of backends that its choices have examined so far.
+    /// Number of backends that the gateway's choices have examined so far.
     pub backends_examined: u64,
 }
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -11,16 +11,16 @@
     pub(crate) arrived_at: Millis,
     /// When the request could first be forwarded: at its arrival, or after its caller was checked.
     pub(crate) ready_at: Millis,
-    /// Whether its caller has not been checked yet.
+    /// Whether the request's caller has not been checked yet.
     pub(crate) awaits_auth: bool,
-    /// Number of attempts sent.
+    /// Number of attempts sent for the request.
     pub(crate) attempts: u32,
     /// The backend at which an attempt is in flight.
     pub(crate) in_flight_to: Option<BackendId>,
     pub(crate) first_exposure: Option<Exposure>,
     pub(crate) stream_started: bool,
     pub(crate) responded: bool,
-    /// Whether its response was counted as slow already.
+    /// Whether the request's response was counted as slow already.
     pub(crate) known_slow: bool,
 }
 
@@ -67,7 +67,8 @@
 }
 
 impl Exposure {
-    /// Creates the exposure of an attempt sent to `backend`; without it, zone and cell are unknown.
+    /// Creates the exposure of an attempt sent to `backend`; zone and cell are unknown if it is
+    /// `None`.
     pub(crate) fn new(sent_at: Millis, backend: Option<&Backend>) -> Self {
         Exposure {
             sent_at,
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -20,9 +20,9 @@
 /// A tenant's quota, and this proxy's share of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Units a second through all proxies; 0 for no limit.
+    /// Quota in units a second, through all proxies; 0 for no limit.
     pub rate: f64,
-    /// Units that may be used at once in addition.
+    /// Units of the quota that may be used at once, in addition to its rate.
     pub burst: f64,
     /// Maximum number of units in the buckets of all proxies together.
     pub depth: f64,
@@ -35,7 +35,7 @@
 /// Why a tenant's request is rejected, and after how many milliseconds a retry may be admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaRejection {
-    /// The penalty box is closed.
+    /// The penalty box is closed: the tenant's recent average rate is over the limit.
     PenaltyBox(Millis),
     /// This proxy's bucket is empty.
     Bucket(Millis),
@@ -101,7 +101,7 @@
         let burst_length = 1000.0 * quota.burst / quota.rate.max(1e-9);
         let halflife = AVERAGE_HALFLIFE_BURSTS * burst_length;
         let lambda = LN_2 / halflife.clamp(MIN_AVERAGE_HALFLIFE_MS, MAX_AVERAGE_HALFLIFE_MS);
-        // Rejected arrivals count too.
+        // Rejected arrivals count towards the recent average and the demand too.
         tenant.average.feed(now, units, lambda);
         tenant.demand.feed(now, units, DEMAND_LAMBDA);
         tenant.last_arrival = now;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes tokens for an arrival that is counted already; returns the wait until they are there.
+    /// Takes tokens for an arrival that is counted already; returns the wait for the tokens.
     pub fn take(&mut self, now: Millis, key: &K, units: f64, quota: Quota) -> Decision {
         self.refilled(now, key, quota).take(now, units, quota)
     }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -268,8 +268,8 @@
         });
         sent.count()
     };
-    // The customer uses all of its share, is evicted while another one sends requests, and returns
-    // when six units have been refilled.
+    // The customer uses all of its share of the rate limit, is evicted while another one sends
+    // requests, and returns when six units have been refilled.
     let first = served(&mut harness, 200_000.0, 60, 1);
     (0..300u32).for_each(|i| _ = served(&mut harness, 201_000.0 + f64::from(i) * 200.0, 1, 2));
     assert_eq!(harness.gateway.stats().customers, 1, "not evicted");
@@ -308,7 +308,8 @@
 #[test]
 fn a_spike_does_not_raise_the_slice_before_the_meter_reports_it() {
     let mut harness = Harness::new(settings(plan(), 2), vec![ready(1, 0), ready(2, 0)]);
-    // 1.5 s at three times the quota: half the burst, the even refill rate, and hardly any rise.
+    // Of a spike of 1.5 s at three times the quota, the slice admits half the burst and the even
+    // refill rate, with hardly any rise of that rate.
     let spike = |i: u32| 1.0 + f64::from(i) * 33.0;
     let served = (0..45).filter(|i| {
         harness.serve(
@@ -325,8 +326,8 @@
 
 #[test]
 fn a_concurrency_limit_below_one_per_gateway_holds_in_total_and_is_used() {
-    // Twelve gateways, a limit of six, and demand that would keep twelve attempts in flight; each
-    // gateway sees only its own attempts.
+    // Twelve gateways, a limit of six attempts in flight, and demand that would keep twelve
+    // attempts in flight; each gateway sees only its own attempts.
     let plan = Plan {
         rate: 120.0,
         burst: 240.0,
@@ -452,7 +453,7 @@
     })
 }
 
-/// Each reason is reported where it applies, and each has a name of its own.
+/// Each reason for a rejection is reported where it applies, and each has a name of its own.
 #[test]
 fn a_rejection_states_its_reason() {
     let single_gateway = |plan: Plan| Harness::new(settings(plan, 1), vec![ready(1, 0)]);
@@ -554,7 +555,8 @@
             })
         })
     };
-    // 20 units hold two requests of 8 units and 4 units of a third; 4 more are refilled in 400 ms.
+    // A slice of 20 units holds two requests of 8 units and 4 units of a third; 4 more are refilled
+    // in 400 ms.
     assert!(
         advised(1.0).is_some_and(|wait| (wait - 400.0).abs() < 2.0),
         "{:?}",
@@ -578,7 +580,7 @@
             ..settings(plan(), 4)
         };
         let mut harness = Harness::new(set, vec![ready(1, 0), ready(2, 0)]);
-        // The whole quota rate at this gateway single_attempts, for 20 s.
+        // Demand at the whole quota rate reaches this gateway alone, for 20 s.
         (0..200)
             .filter(|i| {
                 harness.serve(
@@ -591,7 +593,7 @@
             })
             .count()
     };
-    // An even quarter of the burst and of the rate: 5 + 20 s x 2.5.
+    // Without a meter, the slice admits an even quarter of burst and rate: 5 + 20 s x 2.5.
     assert!((50..=56).contains(&served(0.0)), "{}", served(0.0));
     assert!(served(500.0) > 100, "{}", served(500.0));
 }
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -190,7 +190,7 @@
         for id in 0..2 {
             assert_eq!(harness.arrive(2.0, request(id, 0, 2.0)), Some(BackendId(2)));
         }
-        // A retry does not go there either.
+        // A retry does not go to a backend that is not ready either.
         harness.end_attempt(3.0, 0, 0, BackendId(2), Outcome::Error);
         assert_eq!(harness.sent(), Some(BackendId(2)));
     }
@@ -225,8 +225,8 @@
             sent[at.0 as usize] += 1;
             harness.end_attempt(now + 1.0, i, 0, at, Outcome::Ok);
         }
-        // Each warm backend gets about 100 a second; the new one 0.2 of that, rising to all in 10
-        // s.
+        // Each warm backend gets about 100 requests a second; the new one gets 0.2 of that, rising
+        // to all of it in 10 s.
         let age = (now - 10_000.0) / 1000.0;
         if i > 2000 && age < 10.0 {
             let share = 100.0 * (0.2 * age + 0.04 * age * age) + 3.0;
@@ -242,8 +242,8 @@
 
 #[test]
 fn a_hundred_gateways_together_do_not_overload_a_backend_in_slow_start() {
-    // Each gateway sends 2 a second to 10 backends: a warm backend gets 20 a second from all
-    // gateways, a new one 4 and gradually more.
+    // Each gateway sends 2 requests a second to 10 backends: a warm backend gets 20 a second from
+    // all gateways, a new one 4 and gradually more.
     let set = Settings {
         start_capacity: 0.2,
         warm_up: 10_000.0,
@@ -341,7 +341,8 @@
             }
         }
     }
-    // Of 100 requests a second each backend gets 1.7; if that is 0.6 of its capacity, 2.8 is all.
+    // Of 100 requests a second each of 60 backends gets 1.7; if that is 0.6 of its capacity, its
+    // full capacity is 2.8 a second.
     let full = 100.0 / 60.0 / 0.6;
     for id in new.iter().map(|id| BackendId(100 + id)) {
         for from in (0..21).map(|half| f64::from(half) * 500.0) {
@@ -863,8 +864,9 @@
     )));
 }
 
-/// Guards non-idempotent requests, and all others for a while after a connection broke. Then the
-/// last byte is no longer withheld, because that costs each request some time.
+/// Guards the protection against broken connections: non-idempotent requests always have it, all
+/// others for a while after a connection broke. Then the last byte is no longer withheld, because
+/// that costs each request some time.
 #[test]
 fn only_non_idempotent_requests_and_those_after_a_broken_connection_withhold_their_last_byte() {
     let mut harness = Harness::new(
@@ -895,7 +897,7 @@
         ]
         .map(Some)
     );
-    // A connection that broke during a successful attempt counts too.
+    // A connection that broke during a successful attempt also leads to withheld last bytes.
     assert_eq!(mode(20.0, 4, 0, 1), Some(SendMode::Immediate));
     assert_eq!(
         [0, 1].map(|class| mode(30.0, class as u32 + 5, class, 0)),
@@ -925,7 +927,8 @@
         ..attempt_ended(1, 0, unresponsive, Outcome::Cancelled)
     };
     harness.handle(2900.0, Event::AttemptEnded(end));
-    // Another attempt of the class is in flight there: it was the only ready backend.
+    // Another attempt of the class is in flight at the unresponsive backend: it was the only ready
+    // one.
     let draining = BackendEntry {
         availability: Availability::Draining,
         ..ready(other.0, 0)
@@ -947,7 +950,7 @@
             at, other,
             "request {i} was sent to the backend without responses"
         );
-        // Each backend now has one attempt in flight.
+        // With the attempt just sent, each backend has one attempt in flight.
         let other_attempt = harness.arrive(now, request(11 + i, 0, now)).expect("room");
         shared += u32::from(other_attempt == unresponsive);
         harness.end_attempt(now + 10.0, 10 + i, 0, at, Outcome::Ok);
--- a/crates/policy/tests/caller_check.rs
+++ b/crates/policy/tests/caller_check.rs
@@ -106,8 +106,8 @@
         assert_eq!(authorized(&mut disconnected, 0.0, id, true), None);
     }
     assert_eq!(served(&mut disconnected, 0.0, 1000, 40), quota);
-    // When its timer fires, the request is rejected; the result of the check has no effect
-    // afterwards.
+    // When the timer of a request fires, the request is rejected; the result of the check has no
+    // effect afterwards.
     let mut late = harness();
     let actions = late
         .handle(0.0, Event::Arrival(unauthorized(1, 2, 0.0)))
@@ -142,7 +142,8 @@
         harness.end_attempt(now + 910.0, id, 0, to, Outcome::Ok);
         now += 950.0;
     }
-    // If the delay of the checks counted, a random fraction of these would be rejected.
+    // If the delay of the checks counted as response time, a random fraction of these requests
+    // would be rejected.
     assert!((1000..1200)
         .all(|id| harness.serve(now + f64::from(id), request(id, 0, now + f64::from(id)))));
 }
@@ -180,7 +181,7 @@
 
 #[test]
 fn rate_limit_units_are_reserved_during_the_check_and_given_back_if_denied() {
-    // The bucket starts empty and is full after one second.
+    // The rate limit's bucket starts empty and is full after one second.
     let rate_limit = Some(RateLimit {
         rate: 5.0,
         burst: 5.0,
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -8,8 +8,8 @@
     pub actions: Vec<Action>,
 }
 
-/// Settings of one of `gateways` with one plan and three classes: 0 idempotent, 1 keyed and
-/// 2 non-idempotent.
+/// Settings of one of `gateways` gateways, with one plan and three classes: 0 idempotent, 1 keyed
+/// and 2 non-idempotent.
 pub fn settings(plan: Plan, gateways: u32) -> Settings {
     let class = |idempotency| Class {
         latency_target: 1000.0,
--- a/crates/policy/tests/index_equivalence.rs
+++ b/crates/policy/tests/index_equivalence.rs
@@ -99,7 +99,7 @@
         Outcome::Reset,
         Outcome::Cancelled,
     ];
-    // Service times that differ widely between backends.
+    // The service times differ widely between backends.
     let service_time = |id: BackendId| 2.0 + f64::from(id.0 * 7919 % 97);
     let mut now = 1.0;
     for id in 0..1200u32 {
--- a/crates/policy/tests/usage_reports.rs
+++ b/crates/policy/tests/usage_reports.rs
@@ -7,7 +7,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// 10 units a second and a burst of 20, over 50 gateways.
+/// A quota of 10 units a second and a burst of 20, over 50 gateways.
 fn plan() -> Plan {
     Plan {
         rate: 10.0,
@@ -134,7 +134,7 @@
         sent as f64
     };
     let (whole, half) = (served_with(1.0), served_with(0.5));
-    // 20 s at ten units a second, two units for each request.
+    // The quota allows ten units a second over 20 s, at two units for each request.
     assert!((85.0..=112.0).contains(&whole), "{whole}");
     assert!((0.4..0.65).contains(&(half / whole)), "{half} of {whole}");
 }
--- a/crates/quota-lease/src/client.rs
+++ b/crates/quota-lease/src/client.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// How a grant has changed the client's leases. Both are false for a grant that was ignored.
+/// How a grant has changed the client's leases. Both fields are false for a grant that was ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantEffect {
     /// Some share has decreased: the next request must be sent at once, because the server can
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -1,6 +1,7 @@
 //! Quota leases: controllers distribute tenants' quotas among proxies, so that each proxy can admit
-//! requests without a call to a controller (requirement QUOTA). The crate does no I/O: time and
-//! messages are inputs, and messages to send are returned.
+//! requests without a call to a controller and all proxies together stay within each quota
+//! (requirement QUOTA). The crate does no I/O: time and messages are inputs, and messages to send
+//! are returned.
 //!
 //! Every quota is divided into equal slots, and each slot is owned by at most one controller
 //! ([`Slots`], [`OwnedSlots`]). The controller's [`LeaseServer`] leases shares of its slots to
--- a/crates/quota-lease/src/server/client_record.rs
+++ b/crates/quota-lease/src/server/client_record.rs
@@ -47,25 +47,25 @@
 #[derive(Clone, Debug)]
 pub(super) struct ClientRecord {
     pub(super) incarnation: u64,
-    /// Number of its latest connection.
+    /// Number of the client's latest connection.
     connection: u64,
-    /// Whether its last request names this incarnation of the server.
+    /// Whether the client's last request names this incarnation of the server.
     names_server: bool,
-    /// When all its leases have expired.
+    /// When all leases of the client have expired.
     pub(super) expires_at: Millis,
     pub(super) leases: BTreeMap<String, OutstandingLease>,
-    /// Demand that counts for its target shares: its own, or that of the previous incarnation if
-    /// that was higher and is still inherited.
+    /// Demand that counts for the client's target shares: its own, or that of the previous
+    /// incarnation if that was higher and is still inherited.
     demand: TenantDemand,
     inherited: InheritedDemand,
     /// Sequence number of the last grant that the client has applied.
     acknowledged: u64,
     /// Sequence number of the client's last request.
     pub(super) last_request: u64,
-    /// Number of clients when all leases of this one were last rebalanced; zero if its next request
-    /// rebalances them.
+    /// Number of clients when all leases of this client were last rebalanced; zero if its next
+    /// request rebalances them.
     pub(super) rebalanced_client_count: usize,
-    /// Whether it requests single tokens.
+    /// Whether the client requests single tokens.
     pub(super) uses_tokens: bool,
 }
 
--- a/crates/quota-lease/src/server/clients.rs
+++ b/crates/quota-lease/src/server/clients.rs
@@ -48,7 +48,7 @@
         self.records.get(name)
     }
 
-    /// For changes that leave leases and demand as they are.
+    /// A client's record, for changes that leave leases and demand as they are.
     pub(super) fn get_mut(&mut self, name: &str) -> Option<&mut ClientRecord> {
         self.records.get_mut(name)
     }
@@ -57,12 +57,13 @@
         self.records.values()
     }
 
-    /// For changes that leave the upper bounds of leases and the demand as they are.
+    /// All records, for changes that leave the upper bounds of leases and the demand as they are.
     pub(super) fn values_mut(&mut self) -> ValuesMut<'_, String, ClientRecord> {
         self.records.values_mut()
     }
 
-    /// For changes that leave the upper bounds of leases and the demand as they are.
+    /// All records by name, for changes that leave the upper bounds of leases and the demand as
+    /// they are.
     pub(super) fn iter_mut(&mut self) -> IterMut<'_, String, ClientRecord> {
         self.records.iter_mut()
     }
--- a/crates/quota-lease/src/server/mod.rs
+++ b/crates/quota-lease/src/server/mod.rs
@@ -35,8 +35,8 @@
     pub name: &'a str,
     /// Incarnation of the proxy: a different one for each start of its process.
     pub incarnation: u64,
-    /// Number of its connection to this incarnation of the server: later connections have higher
-    /// numbers.
+    /// Number of the proxy's connection to this incarnation of the server: later connections have
+    /// higher numbers.
     pub connection: u64,
 }
 
@@ -45,9 +45,9 @@
 struct Recovery {
     /// Clients that may have leases by earlier incarnations and have not sent a request yet.
     known_clients: BTreeSet<String>,
-    /// Whether clients other than the known ones may have such leases.
+    /// Whether clients other than the known ones may have leases by earlier incarnations.
     unknown_clients: bool,
-    /// When every earlier lease has expired.
+    /// When every lease by earlier incarnations has expired.
     ends_at: Millis,
     /// Whether the recovery was active when the last request was handled.
     was_active: bool,
--- a/crates/quota-lease/src/server/rebalance.rs
+++ b/crates/quota-lease/src/server/rebalance.rs
@@ -15,9 +15,9 @@
 /// Recent demand of this size or less hardly predicts the next request, and leases that followed it
 /// would only oscillate.
 const ASSUMED_DEMAND_RPS: f64 = 1.0;
-/// Changes below this fraction of the server's limit are not granted.
+/// Changes of a lease below this fraction of the server's limit are not granted.
 const MIN_CHANGE_OF_LIMIT: f64 = 0.004;
-/// Changes below this fraction of the lease are not granted.
+/// Changes of a lease below this fraction of the lease itself are not granted.
 const MIN_CHANGE_OF_LEASE: f64 = 0.08;
 
 /// Target shares of one tenant's quota, from the demand at all clients.
@@ -31,7 +31,7 @@
 
 impl TargetShares {
     /// The share that a client with this demand should have: an even share of [`EVEN_FRACTION`],
-    /// and a share of the rest by demand.
+    /// and a share of the rest of the quota by demand.
     fn target_ppm(&self, demand_rps: f64) -> u32 {
         let even_share = 1.0 / self.client_count;
         let demand_share = (demand_rps + ASSUMED_DEMAND_RPS)
@@ -141,7 +141,7 @@
     }
 
     /// Increases the lease of one client towards its target as far as there is unleased quota.
-    /// Returns whether the client needs more than that.
+    /// Returns whether the client needs more than the unleased quota.
     fn increase_own_lease(
         &mut self,
         client: &str,
@@ -155,7 +155,7 @@
             return false;
         };
         let target = targets.target_of(record, tenant);
-        // This adds an empty lease if the client has none.
+        // `lease_mut` adds an empty lease if the client has none.
         let before = *record.lease_mut(tenant);
         if target == 0 && targets.is_significant(target, before.granted_ppm) {
             record.lease_mut(tenant).granted_ppm = target;
--- a/crates/quota-lease/src/slots.rs
+++ b/crates/quota-lease/src/slots.rs
@@ -17,13 +17,13 @@
 /// One of the equal parts of every quota.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Slot {
-    /// Address of the controller that may lease it; empty for none.
+    /// Address of the controller that may lease the slot; empty for none.
     #[prost(string, tag = "1")]
     pub owner: String,
-    /// Index of the log entry that assigned it to its owner.
+    /// Index of the log entry that assigned the slot to its owner.
     #[prost(uint64, tag = "2")]
     pub since: u64,
-    /// Whether another controller may have leased it before this owner.
+    /// Whether another controller may have leased the slot before its owner.
     #[prost(bool, tag = "3")]
     pub used: bool,
 }
--- a/crates/quota-lease/src/tenant_quota.rs
+++ b/crates/quota-lease/src/tenant_quota.rs
@@ -1,16 +1,18 @@
-//! A tenant's full quota, as requirement QUOTA bounds it over all proxies.
+//! A tenant's full quota, with the excess over it that requirement QUOTA allows all proxies
+//! together: an overshoot within a window, and a slack.
 
 use crate::Millis;
 
-/// Fraction of the allowed overshoot by which leased buckets are refilled faster and hold more. The
-/// rest is reserved for requests that wait for tokens.
+/// Fraction of the allowed overshoot by which leased buckets are refilled faster and hold more than
+/// the quota. The rest of the overshoot is reserved for requests that wait for tokens.
 const OVERSHOOT_FRACTION: f64 = 0.8;
-/// The same for pools. The rest is reserved for tokens that are spent up to [`token_lifetime`]
-/// after they were requested, and for clock drift.
+/// Fraction of the allowed overshoot by which pools are refilled faster than the quota. The rest of
+/// the overshoot is reserved for tokens that are spent up to [`token_lifetime`] after they were
+/// requested, and for clock drift.
 const POOL_OVERSHOOT_FRACTION: f64 = 0.5;
 /// Fraction by which a clock may run fast.
 const CLOCK_DRIFT: f64 = 0.01;
-/// Fraction of the allowed slack that buckets hold.
+/// Fraction of the allowed slack (`QuotaSlack`) that all buckets together hold on top of the burst.
 const SLACK_FRACTION: f64 = 0.9;
 /// Minimum number of tokens in each client's share for leases to be useful: a bucket must hold at
 /// least two of the largest requests.
--- a/crates/quota-lease/tests/server.rs
+++ b/crates/quota-lease/tests/server.rs
@@ -154,7 +154,7 @@
 
 /// Guards tenants with few requests and many clients: any client may get the next request, so a
 /// client without recent demand keeps more than half of an even share, even if others are starved;
-/// with a quarter of it, its token bucket has no whole token.
+/// with a quarter of an even share, its token bucket has no whole token.
 #[test]
 fn clients_with_little_demand_keep_more_than_half_of_an_even_share() {
     let mut fixture = Fixture::new();
@@ -193,7 +193,8 @@
             fixture.request(name, 1, rps, index == 3);
         }
     }
-    // Its target is 0.67, and a change of less than a twelfth of the lease is not granted.
+    // The target of client 3 is 0.67, and a change of less than a twelfth of the lease is not
+    // granted.
     assert!(
         fixture.fraction("client-3") > 0.6,
         "{}",
--- a/crates/quota-lease/tests/slots.rs
+++ b/crates/quota-lease/tests/slots.rs
@@ -73,12 +73,13 @@
             slots
         };
         let names: Vec<String> = (0..8).map(|controller| format!("10.0.0.{controller}")).collect();
-        // Each with the number of entries it has applied and the time of its last contact.
+        // Each controller, with the number of entries it has applied and the time of its last
+        // contact.
         let mut controllers: Vec<(OwnedSlots, usize, f64)> = names
             .iter()
             .map(|name| (OwnedSlots::new(0.0, name, apply_all(&log), BTreeSet::new()).0, 1, 0.0))
             .collect();
-        // When the leases of each slot by each controller expire.
+        // Time at which the leases of each slot by each controller expire.
         let mut leases: BTreeMap<(usize, String), f64> = BTreeMap::new();
         let mut now = 0.0;
         for (members_bits, elapsed, partitioned) in steps {
@@ -177,7 +178,7 @@
         (events, restarted_later.limit()),
         (vec![SlotEvent::Owned(5)], FULL_QUOTA_PPM / 3)
     );
-    // A member that is removed and added again waits again.
+    // A member that is removed and added again waits for the takeover delay again.
     let mut b = OwnedSlots::new(0.0, "b", first, BTreeSet::from([0])).0;
     assert_eq!(b.limit(), FULL_QUOTA_PPM / 3);
     assert_eq!(
--- a/crates/quota-lease/tests/tokens.rs
+++ b/crates/quota-lease/tests/tokens.rs
@@ -75,8 +75,8 @@
     assert_eq!(granted(&mut server, 100_000.0, 100), 20, "its depth");
 }
 
-/// Guards QUOTA: a lease takes its share out of the pool, and the pool is not refilled for the time
-/// of the lease.
+/// Guards the quota over all proxies (requirement QUOTA): a lease takes its share out of the pool,
+/// and the pool is not refilled for the time of the lease.
 #[test]
 fn leased_shares_are_not_in_the_pool() {
     let mut server = server();
@@ -92,7 +92,8 @@
     assert_eq!(granted(&mut server, 20_500.0, 100), 5, "refilled since");
 }
 
-/// Guards QUOTA when a slot is reassigned: the other controller may grant the tokens of the pool.
+/// Guards the quota over all proxies (requirement QUOTA) when a slot is reassigned: the other
+/// controller may grant the tokens of the pool.
 #[test]
 fn a_lower_limit_empties_the_pools() {
     let mut server = server();
@@ -102,7 +103,8 @@
     assert_eq!(granted(&mut server, 10_000.0, 100), 0);
 }
 
-/// Guards QUOTA after a restart: the leases by earlier incarnations are not known.
+/// Guards the quota over all proxies (requirement QUOTA) after a restart of a server: the leases by
+/// earlier incarnations are not known.
 #[test]
 fn a_recovering_server_grants_no_tokens() {
     let mut server = LeaseServer::new(0.0, 1, FULL_QUOTA_PPM, None);
@@ -164,8 +166,8 @@
     }
 }
 
-/// Guards QUOTA: a token counts in the window in which it was taken out of the pool, so it may not
-/// be spent much later.
+/// Guards the quota over all proxies (requirement QUOTA): a token counts in the window in which it
+/// was taken out of the pool, so the token may not be spent much later.
 #[test]
 fn a_token_expires_after_its_lifetime() {
     for (arrives_at, spent_at, is_valid) in [
@@ -264,8 +266,8 @@
     assert!(client.next_requests(0.0).is_empty());
 }
 
-/// Tokens spent in a window were refilled within the window or one lifetime before it, by a clock
-/// that runs at most 1 in 100 fast.
+/// Tokens spent in a window were refilled within the window or one token lifetime before it, by a
+/// clock that runs at most 1 in 100 fast.
 #[test]
 fn the_token_lifetime_stays_within_the_overshoot() {
     for (overshoot, window_s) in [(0.1, 5.0), (0.05, 5.0), (0.2, 1.0), (0.01, 1.0)] {
