--- a/crates/controller/src/core/event.rs
+++ b/crates/controller/src/core/event.rs
@@ -38,7 +38,7 @@
     /// This controller owns a slot, and will lease it once the leases of the former owner have
     /// expired.
     SlotWaiting { since: u64, wait: Millis },
-    /// The slot is now owned by another controller.
+    /// A slot of this controller is now owned by another controller.
     SlotLost { since: u64 },
     /// This controller may now grant leases.
     LeaseAcquired { limit: u32 },
--- a/crates/controller/src/core/instances.rs
+++ b/crates/controller/src/core/instances.rs
@@ -19,8 +19,8 @@
 const MAX_REPLICATED_DEREGISTRATIONS: usize = 50_000;
 /// Maximum number of acknowledgements to peers that wait for the disk.
 const MAX_PENDING_PEER_ACKS: usize = 4096;
-/// A controller that has been without quorum contact for longer than this acknowledges no
-/// heartbeats. Longer than an election takes.
+/// A controller that has been without quorum contact for longer than this, which is longer than an
+/// election takes, acknowledges no heartbeats.
 const UNACKNOWLEDGED_AFTER: Millis = 1500.0;
 
 /// Deregistrations and their replication to a majority of the controllers.
@@ -44,8 +44,9 @@
 }
 
 impl Deregistrations {
-    /// Creates an empty set. `first_number` differs between starts, so that an acknowledgement
-    /// meant for an earlier incarnation is not mistaken for one of this incarnation.
+    /// Creates a set without deregistrations. Acknowledgement numbers begin after `first_number`,
+    /// which differs between starts, so that an acknowledgement meant for an earlier incarnation is
+    /// not mistaken for one of this incarnation.
     pub(super) fn new(first_number: u64) -> Deregistrations {
         Deregistrations {
             replicated: BTreeSet::new(),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Responds with unavailable to calls whose deadline has passed.
+    /// Responds with unavailable to deregistration calls whose deadline has passed.
     pub(super) fn expire(&mut self, now: Millis, out: &mut Vec<Output>) {
         self.pending
             .retain(|_, pending| pending.call.is_in_time(now, out));
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Sends a record to all peers, and responds to the call once a majority has persisted it.
+    /// Sends the record of a deregistered instance to all peers, and responds to the call once a
+    /// majority has persisted the record.
     fn replicate_deregistration(
         &mut self,
         now: Millis,
@@ -148,7 +150,8 @@
         };
         deregistrations.pending.insert(ack_number, pending);
         if !self.writes.is_empty() {
-            // The record may be part of any pending write, even if this call did not change it.
+            // The record may be part of any pending write, even if this deregistration call did not
+            // change the record.
             self.writes
                 .after_all(WritePurpose::Deregistration(ack_number));
         }
@@ -224,13 +227,14 @@
         }
     }
 
-    /// Acknowledges records to a peer once all pending writes are persisted, because even a record
-    /// that changed nothing now may be part of one of them.
+    /// Acknowledges instance records to a peer once all pending writes are persisted, because even
+    /// a record that changed nothing now may be part of one of them.
     fn acknowledge_to_peer(&mut self, peer: &str, ack_number: u64, out: &mut Vec<Output>) {
         if self.writes.is_empty() {
             return send_peer_ack(peer, ack_number, out);
         }
-        // Beyond the maximum no acknowledgement is sent, and the call at the peer expires.
+        // While `MAX_PENDING_PEER_ACKS` acknowledgements wait for the disk, no further one is sent,
+        // and the call at the peer expires.
         if self.deregistrations.pending_peer_acks < MAX_PENDING_PEER_ACKS {
             self.deregistrations.pending_peer_acks += 1;
             self.writes.after_all(WritePurpose::PeerInstances {
@@ -279,8 +283,8 @@
         out.push(Output::SendToAllPeers(encode_frame(frame)));
     }
 
-    /// Declares backends lost that have sent no heartbeat. Without quorum contact this is skipped,
-    /// since heartbeats may not have reached this controller.
+    /// Declares backends lost that have sent no heartbeat for too long. Without quorum contact this
+    /// is skipped, since heartbeats may not have reached this controller.
     pub(super) fn expire_instances(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.contact.lasts_longer_than(now, self.instance_timeout) {
             return;
@@ -303,7 +307,7 @@
         self.writes.write(record, WritePurpose::Background, out);
     }
 
-    /// Logs changed records and sends them to all proxies.
+    /// Logs changed instance records and sends them to all proxies.
     fn notify_proxies(&mut self, changed: Vec<InstanceRecord>, out: &mut Vec<Output>) {
         if changed.is_empty() {
             return;
@@ -328,7 +332,7 @@
             && self.contact.lasts_longer_than(now, self.instance_timeout)
     }
 
-    /// Sends all instances to the proxies whose list could not be complete before.
+    /// Sends all instances to the proxies that have no complete list of instances yet.
     pub(super) fn send_complete_instance_lists(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.has_all_instances(now) {
             return;
@@ -379,7 +383,8 @@
     ));
 }
 
-/// `ack_number` is zero if no acknowledgement is requested.
+/// Encodes a frame with instance records. A peer acknowledges them with `ack_number`, which is zero
+/// if no acknowledgement is requested.
 fn encode_instances(records: Vec<InstanceRecord>, complete: bool, ack_number: u64) -> Bytes {
     encode_frame(Frame::InstanceUpdates(InstanceUpdates {
         records,
--- a/crates/controller/src/core/lease_requests.rs
+++ b/crates/controller/src/core/lease_requests.rs
@@ -18,8 +18,8 @@
 /// Maximum fraction of time spent on lease requests, however many there are; the rest is left to
 /// Raft, liveness and calls.
 pub const MAX_LEASE_LOAD: f64 = 0.5;
-/// Time for which the driver may process lease requests without interruption after a period of
-/// lower load.
+/// Time for which the driver may process lease requests without interruption after a period in
+/// which they took less than [`MAX_LEASE_LOAD`] of the time.
 pub const MAX_LEASE_CREDIT: Millis = 20.0;
 
 /// The latest pending lease request and token request of each connection. Their number is bounded
@@ -27,8 +27,8 @@
 #[derive(Default)]
 pub(super) struct LeaseRequests {
     leases: RequestQueue<LeaseRequest>,
-    /// A proxy has one token request in flight at a time; a request that is replaced has timed out
-    /// at the proxy.
+    /// A proxy has one token request in flight at a time; a queued request that is replaced by a
+    /// later one has timed out at the proxy.
     tokens: RequestQueue<TokenRequest>,
 }
 
@@ -107,7 +107,7 @@
             _ => return,
         };
         if request.release {
-            // The proxy closes its connection after this request.
+            // A proxy closes its connection after a request that releases its leases.
             self.lease_requests_mut().remove(connection);
             self.grant_leases(now, connection, &request, out);
         } else {
@@ -147,8 +147,8 @@
         !self.leasing.requests.is_empty()
     }
 
-    /// Responds to the longest pending request, token requests before lease requests. Returns
-    /// whether there was one.
+    /// Responds to the first request in the queue of token requests or, if that is empty, in the
+    /// queue of lease requests. Returns whether there was a request.
     pub fn answer_lease_request(&mut self, now: Millis, out: &mut Vec<Output>) -> bool {
         if let Some((connection, request)) = self.lease_requests_mut().tokens.pop() {
             self.grant_tokens(now, connection, &request, out);
--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -79,16 +79,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HolderState {
     Recorded,
-    /// The name is being written.
+    /// The proxy's name is being written.
     BeingRecorded,
-    /// The name has to be written now.
+    /// The proxy's name has to be written now.
     New,
-    /// The maximum number of names is reached.
+    /// The maximum number of proxy names is reached.
     LimitReached,
 }
 
 impl LeaseHolders {
-    /// Creates the set from the names on disk.
+    /// Creates the set of lease holders from the proxy names on disk.
     pub(super) fn new(now: Millis, names: BTreeSet<String>, complete: bool) -> LeaseHolders {
         LeaseHolders {
             names,
@@ -114,7 +114,7 @@
         HolderState::New
     }
 
-    /// Marks this name as persisted.
+    /// Marks this proxy's name as persisted.
     pub(super) fn recorded(&mut self, node: &str) {
         self.being_recorded.remove(node);
     }
@@ -210,7 +210,8 @@
                 SlotEvent::Waiting(since, wait) => Event::SlotWaiting { since, wait },
                 SlotEvent::Lost(since) => Event::SlotLost { since },
                 SlotEvent::WaitCompleted(since) => {
-                    // A later start with this disk need not wait again.
+                    // A later start with this disk need not wait again before it leases these
+                    // slots.
                     let record = StoreRecord {
                         waited_slots: vec![since],
                         ..StoreRecord::default()
@@ -254,8 +255,8 @@
         }
     }
 
-    /// Marks the names as complete once this process has run for the duration of a lease: all
-    /// leases granted by earlier incarnations have expired by then.
+    /// Marks the names of lease holders as complete once this process has run for the duration of a
+    /// lease: all leases granted by earlier incarnations have expired by then.
     fn complete_lease_holders(&mut self, now: Millis, out: &mut Vec<Output>) {
         let holders = &mut self.leasing.holders;
         if holders.complete || now - self.started_at < LEASE_DURATION + CLOCK_SKEW {
@@ -281,7 +282,7 @@
             return;
         }
         holders.last_cleanup = now;
-        // A proxy that requests a lease later is recorded again by a later write.
+        // A removed proxy that requests a lease later is recorded again by a later write.
         let released = holders.take_expired(now, server);
         if released.is_empty() {
             return;
--- a/crates/controller/src/core/pending_calls.rs
+++ b/crates/controller/src/core/pending_calls.rs
@@ -30,7 +30,7 @@
         now >= self.deadline
     }
 
-    /// Returns whether the deadline has not passed; otherwise responds with unavailable.
+    /// Returns whether the call's deadline has not passed; otherwise responds with unavailable.
     pub(super) fn is_in_time(&self, now: Millis, out: &mut Vec<Output>) -> bool {
         let late = self.is_late(now);
         if late {
@@ -40,10 +40,11 @@
     }
 }
 
-/// A call that gets its response once an entry is committed.
+/// A call that gets its response once a log entry is committed.
 pub(super) struct AfterCommit {
     pub(super) call: PendingCall,
-    /// Term of the entry. If an entry of another term takes its index, the outcome is unknown.
+    /// Term of the log entry. If an entry of another term takes the same index, the outcome of the
+    /// call is unknown.
     pub(super) term: u64,
     pub(super) response: CallResponse,
 }
@@ -52,7 +53,7 @@
 pub(super) enum AfterRead {
     /// Respond with the committed configuration.
     ReadConfig,
-    /// Respond with a rejection that was decided in `term`, based on all entries up to `index`.
+    /// Respond with a rejection that was decided in `term`, based on all log entries up to `index`.
     Reject {
         response: CallResponse,
         term: u64,
@@ -64,9 +65,9 @@
 #[derive(Default)]
 pub(super) struct PendingCalls {
     awaiting_leader: Vec<(PendingCall, Call)>,
-    /// Keyed by the index of the entry.
+    /// Calls that wait for a log entry, keyed by its index.
     awaiting_commit: BTreeMap<u64, Vec<AfterCommit>>,
-    /// Keyed by Raft's ticket for the read.
+    /// Calls that wait for a read, keyed by Raft's ticket for the read.
     awaiting_read: BTreeMap<u64, (PendingCall, AfterRead)>,
     /// Tickets of reads that Raft confirmed before their calls were registered in `awaiting_read`.
     confirmed_reads: BTreeSet<u64>,
@@ -102,8 +103,8 @@
         self.awaiting_read.insert(ticket, (call, after_read));
     }
 
-    /// Handles Raft's confirmation of a read and returns the call. Returns `None` if the read is
-    /// confirmed during the request for it, or if its call has expired.
+    /// Handles Raft's confirmation of a read and returns the call. Returns `None` if Raft confirms
+    /// the read while the read is being requested, or if its call has expired.
     pub(super) fn read_confirmed(&mut self, ticket: u64) -> Option<(PendingCall, AfterRead)> {
         let waiting = self.awaiting_read.remove(&ticket);
         if waiting.is_none() {
@@ -112,7 +113,7 @@
         waiting
     }
 
-    /// Returns whether this read was confirmed during the request for it, and clears all such
+    /// Returns whether this read was confirmed while it was being requested, and clears all such
     /// confirmations.
     pub(super) fn take_confirmed(&mut self, ticket: Option<u64>) -> bool {
         let confirmed = ticket.is_some_and(|ticket| self.confirmed_reads.contains(&ticket));
@@ -123,8 +124,8 @@
     /// Responds to the calls that wait for this entry, which is now committed.
     pub(super) fn entry_committed(&mut self, index: u64, term: u64, out: &mut Vec<Output>) {
         for waiting in self.awaiting_commit.remove(&index).unwrap_or_default() {
-            // A single message can inform a leader both of a new term and of the entry that
-            // replaced its own.
+            // A single message can inform a leader both of a new term and of the entry of another
+            // leader that replaced its own.
             let response = if waiting.term == term {
                 waiting.response
             } else {
--- a/crates/controller/src/core/proxies.rs
+++ b/crates/controller/src/core/proxies.rs
@@ -19,9 +19,11 @@
     /// Whether the proxy has no configuration and is to get one once this controller is in contact
     /// with a quorum.
     pub(super) config_withheld: bool,
-    /// The last lease request, if it was received while this controller could not grant leases.
+    /// The proxy's last lease request, if it was received while this controller could not grant
+    /// leases.
     pub(super) unanswered: Option<UnansweredRequest>,
-    /// The last lease request, if it was received while the proxy's name was being written to disk.
+    /// The proxy's last lease request, if it was received while the proxy's name was being written
+    /// to disk.
     pub(super) awaiting_disk: Option<LeaseRequest>,
 }
 
@@ -32,7 +34,7 @@
 }
 
 impl Core {
-    /// Handles a new connection of a proxy, which has this number.
+    /// Handles a new connection of a proxy; `connection` is the connection's number.
     pub fn proxy_connected(
         &mut self,
         now: Millis,
@@ -58,8 +60,8 @@
         let latest = self.connections_by_node.entry(hello.node.clone());
         let latest = latest.or_insert(connection);
         *latest = connection.max(*latest);
-        // The update is sent even without configuration changes, because it contains the list of
-        // controllers.
+        // The configuration update is sent even without configuration changes, because it contains
+        // the list of controllers.
         self.send_config(now, connection, true, out);
         self.send_all_instances(now, &[connection], out);
     }
@@ -84,7 +86,7 @@
     }
 
     /// Updates the latest connection of a proxy after one of its connections has ended; an earlier
-    /// one may still be open.
+    /// connection of the proxy may still be open.
     fn forget_connection(&mut self, connection: u64, node: &str) {
         if self.connections_by_node.get(node) != Some(&connection) {
             return;
--- a/crates/controller/src/core/quorum_contact.rs
+++ b/crates/controller/src/core/quorum_contact.rs
@@ -15,7 +15,7 @@
     started_at: Millis,
     /// Start of the current uninterrupted contact with a quorum.
     since: Option<Millis>,
-    /// Start of the current period without contact.
+    /// Start of the current period without contact with a quorum.
     lost_since: Option<Millis>,
     /// Peers to which there is a live connection.
     connected_peers: BTreeSet<String>,
@@ -24,7 +24,8 @@
 }
 
 impl QuorumContact {
-    /// Creates the state of a controller that starts now, without contact, at this address.
+    /// Creates the state of a controller at this address that starts now, without contact with a
+    /// quorum.
     pub(super) fn new(ip: &str, now: Millis) -> QuorumContact {
         QuorumContact {
             ip: ip.to_owned(),
@@ -41,12 +42,13 @@
         self.since.is_some()
     }
 
-    /// Returns whether there has been uninterrupted contact for longer than `duration`.
+    /// Returns whether there has been uninterrupted contact with a quorum for longer than
+    /// `duration`.
     pub(super) fn lasts_longer_than(&self, now: Millis, duration: Millis) -> bool {
         self.since.is_some_and(|since| now - since > duration)
     }
 
-    /// Returns whether there has been no contact for longer than `duration`.
+    /// Returns whether there has been no contact with a quorum for longer than `duration`.
     pub(super) fn lost_longer_than(&self, now: Millis, duration: Millis) -> bool {
         self.lost_since.is_some_and(|since| now - since > duration)
     }
@@ -89,13 +91,13 @@
         now - quorum_time.unwrap_or(self.started_at)
     }
 
-    /// Records that contact is restored; returns how long there was none.
+    /// Records that contact with a quorum is restored; returns how long there was none.
     fn restore(&mut self, now: Millis) -> Millis {
         self.since = Some(now);
         self.lost_since.take().map_or(0.0, |since| now - since)
     }
 
-    /// Records that contact is lost; returns whether there was contact until now.
+    /// Records that contact with a quorum is lost; returns whether there was contact until now.
     fn lose(&mut self, now: Millis) -> bool {
         self.lost_since.get_or_insert(now);
         self.since.take().is_some()
@@ -120,7 +122,7 @@
         }
         let after = self.contact.restore(now);
         out.push(Event::QuorumRestored { after }.into());
-        // Heartbeats may not have reached this controller in the meantime.
+        // Backends' heartbeats may not have reached this controller while it had no quorum contact.
         self.registry.restart_timeouts(now);
         self.distribute_config(now, out);
         let connections = self.proxy_connections();
--- a/crates/controller/src/core/replicated_state.rs
+++ b/crates/controller/src/core/replicated_state.rs
@@ -10,7 +10,7 @@
     /// Every item in its highest version, including dropped items.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<Item>,
-    /// The history of accepted lower versions.
+    /// The history of accepted versions of items that are lower than those in `items`.
     #[prost(message, optional, tag = "2")]
     pub taken: Option<VersionHistory>,
     /// The controller that owns, and may lease, each slot of every quota.
--- a/crates/controller/src/core/replication.rs
+++ b/crates/controller/src/core/replication.rs
@@ -155,8 +155,8 @@
     }
 
     /// Returns the slots for a snapshot that has none: an empty one of the first start, or one
-    /// written by an earlier version. In the latter case other controllers may already have granted
-    /// leases.
+    /// written by an earlier version of the program. In the latter case other controllers may
+    /// already have granted leases.
     fn initial_slots(&self, snapshot: &Snapshot) -> Slots {
         let members = snapshot.members.iter().map(|member| member.name.clone());
         let may_be_leased = !snapshot.state.is_empty();
--- a/crates/controller/src/core/uncommitted_changes.rs
+++ b/crates/controller/src/core/uncommitted_changes.rs
@@ -37,8 +37,9 @@
         self.last_index
     }
 
-    /// Starts over in a new term, or when more of the decoded changes are committed than not. This
-    /// bounds both how often an entry is decoded and how many committed changes are kept.
+    /// Discards the decoded changes in a new term, or when more of their entries are committed than
+    /// uncommitted. This bounds both how often an entry is decoded and how many committed changes
+    /// are kept.
     fn discard_committed(&mut self, term: u64, commit: u64) {
         let committed = commit.saturating_sub(self.after);
         let uncommitted = self.last_index.saturating_sub(commit);
--- a/crates/controller/src/disk.rs
+++ b/crates/controller/src/disk.rs
@@ -47,7 +47,7 @@
     /// If the disk returns an error, for example because it is full.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Waits until all content written to a file is durable. Its name need not be.
+    /// Waits until all content written to a file is durable. The file's name need not be durable.
     ///
     /// # Errors
     ///
@@ -100,8 +100,8 @@
         self.path.join(name)
     }
 
-    /// Creates the directory and its missing parents. Its own name is durable after this, those of
-    /// its parents need not be.
+    /// Creates the directory and its missing parents. The directory's own name is durable
+    /// afterwards, those of its parents need not be.
     fn create_durably(&self) -> io::Result<()> {
         fs::create_dir_all(&self.path)?;
         match self.path.parent() {
--- a/crates/controller/src/net/api.rs
+++ b/crates/controller/src/net/api.rs
@@ -71,7 +71,8 @@
 enum BadRequest {
     #[error("step=read field=body")]
     Body,
-    /// Guarantees to the client that no part of the call was applied.
+    /// The body did not arrive in time. The response guarantees to the client that no part of the
+    /// call was applied.
     #[error("step=read field=body late")]
     BodyTimeout,
     #[error("step=route")]
--- a/crates/controller/src/net/controller.rs
+++ b/crates/controller/src/net/controller.rs
@@ -157,7 +157,7 @@
 
     fn respond(&self, call: u64, response: CallResponse) {
         if let Some(response_sender) = self.calls.borrow_mut().remove(&call) {
-            // The client may have closed its connection.
+            // The response is dropped if the client has closed its connection.
             let _ = response_sender.send(response);
         }
     }
--- a/crates/controller/src/net/disk_thread.rs
+++ b/crates/controller/src/net/disk_thread.rs
@@ -22,8 +22,8 @@
 /// Queues records for the disk thread.
 pub(super) struct DiskWriter {
     queue: WriteQueue,
-    /// Weak, because the thread owns the only strong sender, so that the end of the thread closes
-    /// the channel.
+    /// Sends to `results`. Weak, because the disk thread owns the only strong sender, so that the
+    /// end of the thread closes the channel.
     failures: mpsc::WeakUnboundedSender<WriteResult>,
 }
 
@@ -41,7 +41,7 @@
                         store.run(&records, |result| sender.send(result).is_ok());
                     }
                 }
-                // The receiver is gone if the process is ending.
+                // The receiver of the open result is gone if the process is ending.
                 Err(error) => drop(open_result_sender.send(Err(error))),
             }
         });
--- a/crates/controller/src/net/lease_requests.rs
+++ b/crates/controller/src/net/lease_requests.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Runs until the process ends.
+/// Responds to lease requests until the process ends.
 pub(super) async fn process(controller: Rc<Controller>) {
     let mut pacer = Pacer::new(controller.now(), MAX_LEASE_CREDIT);
     loop {
--- a/crates/controller/src/net/load.rs
+++ b/crates/controller/src/net/load.rs
@@ -35,7 +35,7 @@
     Connection,
     /// The notification that records are persisted.
     DiskWrite,
-    /// A tick.
+    /// A tick, which advances the core's time.
     Tick,
 }
 
--- a/crates/controller/src/net/mod.rs
+++ b/crates/controller/src/net/mod.rs
@@ -82,9 +82,9 @@
 
 /// The addresses and the directory that a controller requires in its settings.
 struct Addresses {
-    /// For API calls of backends and the operator, over HTTP.
+    /// The address for API calls of backends and the operator, over HTTP.
     api: SocketAddr,
-    /// For proxies and other controllers.
+    /// The address for connections of proxies and other controllers.
     internal: SocketAddr,
     data_dir: PathBuf,
 }
@@ -170,7 +170,8 @@
                 Some(Ok(number)) => {
                     controller.drive(InputKind::DiskWrite, |core, now, out| core.persisted(now, number, out));
                 }
-                // The state on the disk is unknown now, and only a restart can determine it.
+                // After an error of the store the state on the disk is unknown, and only a restart
+                // can determine it.
                 Some(Err(error)) => return Err(Error::Store(error)),
                 None => return Ok(()),
             },
--- a/crates/controller/src/net/peers.rs
+++ b/crates/controller/src/net/peers.rs
@@ -33,7 +33,7 @@
             .is_some_and(|queue| queue.try_send(bytes).is_err());
         if is_full {
             if let Some(queue) = self.peers.borrow_mut().get_mut(peer) {
-                // Dropping the queue closes the connection, which is then reopened.
+                // Dropping a full send queue closes the connection, which is then reopened.
                 *queue = closed_queue();
             }
         }
--- a/crates/controller/src/store/compaction.rs
+++ b/crates/controller/src/store/compaction.rs
@@ -18,9 +18,10 @@
 /// Number and length of a state file.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StateFileInfo {
-    /// Number of the last record that the file contains; it contains all records up to it.
+    /// Number of the last record that the state file contains; the file contains all records up to
+    /// it.
     pub(super) number: u64,
-    /// Length of the file.
+    /// Length of the state file.
     pub(super) bytes: u64,
 }
 
@@ -102,8 +103,9 @@
         self.running.is_some() || !self.obsolete_files.is_empty() || self.is_due(limits, log)
     }
 
-    /// If the state file is longer than the threshold, compaction is due once the log is as long as
-    /// the state file: each byte is then written about twice, however long the state is.
+    /// Returns whether a compaction is due. If the state file is longer than `compact_after_bytes`,
+    /// a compaction is due once the log is as long as the state file: each byte is then written
+    /// about twice, however long the state is.
     fn is_due(&self, limits: &StoreLimits, log: &SegmentLog<F>) -> bool {
         let uncompacted = log.uncompacted();
         uncompacted.bytes >= limits.compact_after_bytes.max(self.state_file_bytes)
@@ -145,8 +147,8 @@
         let result = if is_written {
             self.publish(disk, &compaction)
         } else {
-            // The slice is at least as long as the last batch, because otherwise the log grows
-            // faster than the state file is written.
+            // A slice of the state file is at least as long as the last batch, because otherwise
+            // the log grows faster than the state file is written.
             let max_slice_bytes = limits.write_slice_bytes.max(log.last_frame_bytes());
             compaction.write_slice(disk, max_slice_bytes)
         };
@@ -169,8 +171,8 @@
         let mut older = std::mem::replace(&mut self.state_files, vec![number]);
         older.retain(|other| *other != number);
         if let Err(error) = files::sync_directory(disk) {
-            // A power loss may restore the older name, so its file is kept until a sync has
-            // succeeded.
+            // A power loss may restore the name of an older state file, so that file is kept until
+            // a sync of the directory has succeeded.
             self.state_files.splice(0..0, older);
             return Err(error);
         }
--- a/crates/controller/src/store/error.rs
+++ b/crates/controller/src/store/error.rs
@@ -44,9 +44,9 @@
     /// A disk operation failed. It may succeed later.
     #[error("step={operation} path={} error={:?}", path.display(), source.to_string())]
     Io {
-        /// The operation.
+        /// The operation that failed.
         operation: Operation,
-        /// The file or directory.
+        /// The file or directory on which the operation failed.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -54,13 +54,13 @@
     /// The content of a file differs from what was written, or records before it are missing.
     #[error("step=read path={} error=corrupt", path.display())]
     Corrupt {
-        /// The file.
+        /// The corrupt file.
         path: PathBuf,
     },
     /// A file was written in another format version. Nothing in the directory is changed.
     #[error("step=read path={} format={format}", path.display())]
     UnknownFormat {
-        /// The file.
+        /// The file in the other format.
         path: PathBuf,
         /// The format version of the file.
         format: u32,
@@ -77,7 +77,7 @@
     /// be.
     #[error("step=queue error=full number={number}")]
     QueueFull {
-        /// Number of the record.
+        /// Number of the record that was not queued.
         number: u64,
     },
 }
--- a/crates/controller/src/store/files.rs
+++ b/crates/controller/src/store/files.rs
@@ -9,11 +9,11 @@
 
 /// A state file that is being written. A start ignores and removes it.
 pub(super) const UNFINISHED_STATE_FILE: &str = "fold";
-/// Exists while corrupt files are being quarantined: as long as it exists, some of them may still
-/// have their old names.
+/// A marker file that exists while corrupt files are being quarantined: as long as the marker
+/// exists, some of them may still have their old names.
 pub(super) const QUARANTINE_MARKER: &str = "setting-aside";
-/// Exists permanently once files were quarantined, so that the quarantine is known even if none of
-/// them is left.
+/// A marker file that exists permanently once files were quarantined, so that the quarantine is
+/// known even if none of them is left.
 pub(super) const PERMANENT_QUARANTINE_MARKER: &str = "spoilt-note";
 /// Prefix of the names of quarantined files.
 pub(super) const QUARANTINE_PREFIX: &str = "spoilt-";
--- a/crates/controller/src/store/frame.rs
+++ b/crates/controller/src/store/frame.rs
@@ -33,8 +33,8 @@
         Frame(bytes)
     }
 
-    /// Writes the header for the file with this number, replacing that for another file if there
-    /// was one.
+    /// Writes the header for the file with this number, replacing the header for another file if
+    /// there was one.
     pub(super) fn write_header(&mut self, file_number: u64) {
         let Some((header, payload)) = self.0.split_first_chunk_mut::<FRAME_HEADER_BYTES>() else {
             return;
--- a/crates/controller/src/store/quarantine.rs
+++ b/crates/controller/src/store/quarantine.rs
@@ -30,12 +30,12 @@
     for name in names.iter().filter(|name| is_store_file(name)) {
         files::rename(disk, name, &format!("{QUARANTINE_PREFIX}{name}"))?;
     }
-    // Without this sync, a power loss after the next one could restore some of the old names
-    // without the in-progress marker.
+    // Without this sync, a power loss after the sync of the marker's removal could restore some of
+    // the old names without the in-progress marker.
     files::sync_directory(disk)?;
     files::remove(disk, QUARANTINE_MARKER)?;
-    // Without this sync, the marker could reappear beside new files, which would then be
-    // quarantined.
+    // Without this sync, a power loss could restore the in-progress marker beside new files, which
+    // would then be quarantined.
     files::sync_directory(disk)
 }
 
--- a/crates/controller/src/store/recovery.rs
+++ b/crates/controller/src/store/recovery.rs
@@ -19,7 +19,7 @@
 use crate::disk::Disk;
 use prost::Message;
 
-/// The content of the directory.
+/// The content of the store's directory, as a start finds it.
 #[derive(Default)]
 pub(super) struct RecoveredDirectory {
     /// The result of applying all records that were found.
@@ -123,8 +123,8 @@
             for record in batch.records {
                 last_number = last_number.max(record.number);
                 if record.number > self.state.number + 1 {
-                    // The records in between were durable before this one was written, so they have
-                    // been lost.
+                    // The records between the last one applied and this one were durable before
+                    // this one was written, so they have been lost.
                     return Err(Error::corrupt(disk, name));
                 }
                 self.state.apply(record);
--- a/crates/controller/src/store/retry.rs
+++ b/crates/controller/src/store/retry.rs
@@ -31,7 +31,8 @@
         disk.sleep(MAX_RETRY_DELAY.min(MIN_RETRY_DELAY * (1 << doublings)));
     }
 
-    /// Records that the operation has succeeded, and logs that if it had failed before.
+    /// Records that the operation has succeeded, and logs the success if the operation had failed
+    /// before.
     pub(super) fn succeeded(self, disk: &impl Disk) {
         if self.failed_attempts > 0 {
             log::info!(
--- a/crates/controller/src/store/segment_log.rs
+++ b/crates/controller/src/store/segment_log.rs
@@ -15,7 +15,7 @@
 pub(super) struct SegmentSet {
     /// Segment numbers, oldest first.
     pub(super) ids: Vec<u64>,
-    /// Total length, including writes that failed in these segments.
+    /// Total length of the segments, including writes that failed in these segments.
     pub(super) bytes: u64,
 }
 
@@ -93,14 +93,15 @@
         result
     }
 
-    /// After an error the file contains nothing that was acknowledged, and the next attempt
-    /// truncates it, so that any number of attempts leaves only one file.
+    /// Begins a segment with this frame. After an error the segment's file contains nothing that
+    /// was acknowledged, and the next attempt truncates it, so that any number of attempts leaves
+    /// only one file.
     fn begin_segment<D: Disk<File = F>>(&mut self, disk: &D, frame: &Frame) -> Result<(), Error> {
         let name = files::segment_name(self.current_id);
         let mut file = files::create(disk, &name)?;
         files::write_and_sync(disk, &name, &mut file, frame.bytes())?;
-        // Without this sync, a power loss removes the name, and with it all content synced under
-        // it.
+        // Without this sync of the directory, a power loss removes the segment's name, and with it
+        // all content synced under that name.
         files::sync_directory(disk)?;
         self.current = Some(file);
         self.uncompacted.ids.push(self.current_id);
--- a/crates/controller/src/store/state.rs
+++ b/crates/controller/src/store/state.rs
@@ -5,8 +5,8 @@
 use maplefall_service_registry::{InstanceRecord, InstanceState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of latest entries that are remembered as waited for; slots of a forgotten entry are
-/// waited for once more.
+/// Number of latest log entries whose quota slots are remembered as waited for before leasing them;
+/// the slots of a forgotten entry are waited for once more.
 const MAX_WAITED_SLOTS: usize = 64;
 
 /// The state on the disk: records 1 to [`number`](StoredState::number), applied in order. The store
@@ -24,7 +24,8 @@
     /// that was empty, because leases granted with an earlier disk of this controller may still be
     /// in use.
     pub leased_to_complete: bool,
-    /// Raft indices of the entries whose quota slots this controller has waited for; the latest 64.
+    /// Raft indices of the entries whose quota slots this controller has waited for before leasing
+    /// them; the latest 64.
     pub waited_slots: BTreeSet<u64>,
     /// Number of the last record; 0 on an empty disk.
     pub number: u64,
--- a/crates/controller/src/store/state_file.rs
+++ b/crates/controller/src/store/state_file.rs
@@ -52,7 +52,8 @@
     /// Whether `leased_to` contains every proxy that may hold a lease.
     #[prost(bool, tag = "14")]
     pub leased_to_complete: bool,
-    /// Raft indices of the entries whose quota slots this controller has waited for.
+    /// Raft indices of the entries whose quota slots this controller has waited for before leasing
+    /// them.
     #[prost(uint64, repeated, tag = "15")]
     pub waited_slots: Vec<u64>,
 }
--- a/crates/controller/tests/common/cluster.rs
+++ b/crates/controller/tests/common/cluster.rs
@@ -22,7 +22,7 @@
 pub const QUORUM_TIMEOUT: f64 = 1000.0;
 /// Allowance for delays, ticks and elections.
 pub const TOLERANCE: f64 = 300.0;
-/// In milliseconds, as all times here.
+/// Delay of a frame between controllers, in milliseconds, the unit of all times in this file.
 const NETWORK_DELAY: f64 = 1.0;
 const DISK_DELAY: f64 = 2.0;
 pub const HEARTBEAT_INTERVAL: f64 = 1500.0;
@@ -54,7 +54,8 @@
 
 pub struct Node {
     pub core: Core,
-    /// Numbers of the writes that are not yet persisted, each with the time at which it will be.
+    /// Numbers of the writes that are not yet persisted, each with the time at which it will be
+    /// persisted.
     pub pending_writes: VecDeque<(u64, f64)>,
     pub is_disk_stalled: bool,
     pub is_paused: bool,
@@ -65,9 +66,9 @@
     pub now: f64,
     pub nodes: Vec<Node>,
     pub network: VecDeque<(f64, usize, usize, Bytes)>,
-    /// Blocked directions `(from, to)`, each with the time since which it is blocked.
+    /// Blocked directions of links `(from, to)`, each with the time since which it is blocked.
     pub blocked_links: BTreeMap<(usize, usize), f64>,
-    /// Pairs whose connection has timed out.
+    /// Pairs of controllers whose connection has timed out.
     disconnected: BTreeSet<(usize, usize)>,
     pub responses: BTreeMap<u64, CallResponse>,
     pub last_call: u64,
--- a/crates/controller/tests/common/lease_cluster.rs
+++ b/crates/controller/tests/common/lease_cluster.rs
@@ -31,7 +31,7 @@
     core: Core,
     /// Records that were written but not yet reported as persisted.
     pending_writes: Vec<(u64, StoreRecord)>,
-    /// While set, the disk reports nothing as persisted.
+    /// Whether the disk is stalled, so that it reports nothing as persisted.
     pub is_disk_stalled: bool,
     pub stored_records: Vec<StoreRecord>,
     pub is_isolated: bool,
--- a/crates/controller/tests/common/operators/amendments.rs
+++ b/crates/controller/tests/common/operators/amendments.rs
@@ -21,7 +21,7 @@
 
     fn draw_amendment(&mut self) -> usize {
         self.nonce += 1;
-        // The latest version again, an older one, or a new one.
+        // Draws the latest version again, an older version, or a new version.
         let version = match self.simulation.draw(10) {
             0 | 1 if self.version > 3 => self.version,
             2 if self.version > 3 => 1 + self.simulation.draw(self.version),
--- a/crates/controller/tests/common/operators/mod.rs
+++ b/crates/controller/tests/common/operators/mod.rs
@@ -80,7 +80,7 @@
     amendments: Vec<Amendment>,
     operators: Vec<Operator>,
     sent_calls: BTreeMap<u64, SentCall>,
-    /// The content confirmed under each version.
+    /// The content confirmed under each version of an item.
     confirmed: BTreeMap<(ItemKind, String, u32), Item>,
     /// The first configuration, which proxies receive as a complete one and not as a change.
     initial: Vec<Item>,
--- a/crates/controller/tests/common/processor/controller.rs
+++ b/crates/controller/tests/common/processor/controller.rs
@@ -87,8 +87,8 @@
         next.or(is_lease_due.then_some(Input::AnswerLeaseRequest))
     }
 
-    /// Charges a lease request that took `cost` and ended at `now`; returns how long the next one
-    /// has to wait.
+    /// Charges the pacer with a lease request that took `cost` and ended at `now`; returns how long
+    /// the next lease request has to wait.
     pub fn charge_lease_request(&mut self, now: f64, cost: f64) -> f64 {
         self.pacer.charge(now, cost / MAX_LEASE_LOAD);
         self.pacer.wait(now)
--- a/crates/controller/tests/common/processor/gateway_proxy.rs
+++ b/crates/controller/tests/common/processor/gateway_proxy.rs
@@ -12,8 +12,8 @@
 
 /// Interval between calls of the core's tick, in milliseconds.
 const TICK_INTERVAL: f64 = 500.0;
-/// Minimum time between two calls: the fleet's clock counts whole microseconds, so a shorter delay
-/// might not advance it.
+/// Minimum delay until the proxy's timer is due next, in milliseconds: the fleet's clock counts
+/// whole microseconds, so a shorter delay might not advance it.
 const MIN_TICK_DELAY: f64 = 0.01;
 /// Timeout of the clients, in milliseconds.
 const CLIENT_TIMEOUT: f64 = 2000.0;
@@ -49,7 +49,7 @@
     core: Core,
     rng: Pcg32,
     tenants: usize,
-    /// Requests per millisecond, of all tenants.
+    /// Requests per millisecond that clients of all tenants send to this proxy.
     rate: f64,
     next_tick: f64,
     next_arrival: f64,
@@ -189,7 +189,8 @@
 
     fn receive(&mut self, now: f64, node: usize, frame: Frame) -> Vec<(usize, Frame)> {
         let mut out = Vec::new();
-        // Ignored: the test's backends send no heartbeats, so controllers have no records of them.
+        // Instance updates are ignored: the test's backends send no heartbeats, so controllers have
+        // no records of them.
         if !matches!(frame, Frame::InstanceUpdates(_)) {
             self.core
                 .receive(now, &controller::ip(node), frame, &mut out);
--- a/crates/controller/tests/common/processor/mod.rs
+++ b/crates/controller/tests/common/processor/mod.rs
@@ -79,8 +79,8 @@
     pub controllers: usize,
     pub proxies: usize,
     pub tenants: usize,
-    /// Processor time of answering a lease request, in addition to that of an input and of its
-    /// records, in milliseconds.
+    /// Processor time of answering a lease request, in addition to that of an input and of the
+    /// visited client records, in milliseconds.
     pub lease_request_cost: f64,
 }
 
@@ -101,7 +101,8 @@
         Fleet::with_proxies(size, |number| Box::new(Proxy::new(number, size)))
     }
 
-    /// Starts the same fleet with real proxy cores and clients that send `traffic`.
+    /// Starts a fleet as [`Fleet::new`] does, but with real proxy cores and clients that send
+    /// `traffic`.
     pub fn with_gateways(size: &FleetSize, traffic: &Traffic) -> Fleet {
         Fleet::with_proxies(size, |number| {
             Box::new(GatewayProxy::new(number, size, *traffic))
--- a/crates/controller/tests/common/processor/proxy.rs
+++ b/crates/controller/tests/common/processor/proxy.rs
@@ -11,7 +11,8 @@
 /// A third of the tenants have requests at a proxy; which ones these are changes every second.
 const TENANTS_PER_DEMAND: u64 = 3;
 const DEMAND_INTERVAL: f64 = 1000.0;
-/// One in four of these demands is starved: the proxy has used up the tenant's lease.
+/// One in four of the tenants with requests at a proxy is starved: the proxy has used up the
+/// tenant's lease.
 const DEMANDS_PER_STARVED: u64 = 4;
 
 pub fn name(proxy: usize) -> String {
@@ -68,7 +69,8 @@
         let demand = self.demand(now);
         let server = controller.to_string();
         let request = self.lease_client.next_request(now, &server, demand);
-        // As older proxies, which do not request single tokens: leasing to them is the larger load.
+        // Requests leases as older proxies do, which do not request single tokens: leasing to them
+        // is the larger load.
         Frame::LeaseRequest(LeaseRequest {
             uses_tokens: false,
             ..request
--- a/crates/controller/tests/common/simulation/faults.rs
+++ b/crates/controller/tests/common/simulation/faults.rs
@@ -41,7 +41,7 @@
         node.incarnation += 1;
         node.paused_until = 0.0;
         let pending_writes = std::mem::take(&mut node.pending_writes);
-        // All writes are as likely to be persisted as none.
+        // It is as likely that all pending writes are persisted as that none is.
         let persisted = if persisted == 3 {
             pending_writes.len()
         } else {
--- a/crates/controller/tests/deregistration.rs
+++ b/crates/controller/tests/deregistration.rs
@@ -1,5 +1,5 @@
 //! When the deregistration of a backend is acknowledged, to the caller and between controllers
-//! (rule LOST).
+//! (rule LOST): only once a majority of the controllers has persisted the deregistration.
 
 #[path = "common/cluster.rs"]
 mod cluster;
--- a/crates/controller/tests/lease_overload.rs
+++ b/crates/controller/tests/lease_overload.rs
@@ -8,7 +8,7 @@
 use maplefall_controller::Call;
 use processor::{Fleet, FleetSize};
 
-/// `AckS` of the deployments, in milliseconds.
+/// Maximum time until an amendment is acknowledged: `AckS` of the deployments, in milliseconds.
 const ACK_TIMEOUT: f64 = 6000.0;
 
 /// Minimum fraction of a quota that proxies hold: leases are renewed, and a share taken back from
@@ -55,7 +55,7 @@
     }
 }
 
-/// The deployment of the incident.
+/// The deployment of incident ACKS: 87 proxies, 85 tenants and 4 controllers.
 #[test]
 fn amendments_are_acknowledged_with_ninety_proxies() {
     assert_amendments_are_acknowledged(
@@ -69,8 +69,8 @@
     );
 }
 
-/// Three times as many proxies with the same processor share: leases may come later,
-/// acknowledgements of amendments may not.
+/// Three times as many proxies as in incident ACKS, with the same processor share of the
+/// controllers: leases may come later, acknowledgements of amendments may not.
 #[test]
 fn amendments_are_acknowledged_with_three_hundred_proxies() {
     assert_amendments_are_acknowledged(
--- a/crates/controller/tests/leasing.rs
+++ b/crates/controller/tests/leasing.rs
@@ -265,7 +265,7 @@
         recorded_names(&cluster).into_iter().collect::<Vec<_>>(),
         ["stays"]
     );
-    // A proxy that connects again is recorded again.
+    // A proxy whose name was removed is recorded again when it requests a lease again.
     cluster.connect_proxy("10.0.0.1", 3, "goes", 6);
     cluster.request_lease(
         "10.0.0.1",
@@ -290,7 +290,8 @@
     let mut cluster = LeaseCluster::new(&["10.0.0.1"], 0);
     cluster.run(2000.0);
     cluster.add_tenant();
-    // A disk that has the log and no proxies, and is not marked as having all lease holders.
+    // A disk that has the log and no names of proxies, and is not marked as having all lease
+    // holders.
     let mut stored_records = cluster.nodes["10.0.0.1"].stored_records.clone();
     stored_records
         .iter_mut()
@@ -301,7 +302,8 @@
     let single = settings("10.0.0.1", &["10.0.0.1"], false, 0);
     cluster.start(&single, found, 50);
     cluster.run(2000.0);
-    // One proxy connects without a lease, while another may hold one from before the loss.
+    // One proxy connects without a lease, while another may hold one from before the loss of the
+    // disk.
     let mut client = LeaseClient::new(5);
     client.connected("x");
     cluster.connect_proxy("10.0.0.1", 1, "proxy", 5);
--- a/crates/controller/tests/operator_calls.rs
+++ b/crates/controller/tests/operator_calls.rs
@@ -82,8 +82,8 @@
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 1, 7)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 2, 9)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 3, 9)), 409);
-        // A version that was superseded before it was used: its first content is accepted and
-        // changes nothing.
+        // This version was superseded before it was used: the first content sent under it is
+        // accepted and changes nothing.
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 4, 8)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 5, 8)), 409);
         let at = simulation.names()[0].clone();
@@ -106,9 +106,11 @@
     for expected_status in [400, 409] {
         assert_eq!(status(&mut simulation, first.clone()), 200);
         assert_eq!(status(&mut simulation, service("s1", 9, 1)), 200);
-        // Another route to the removed service was never accepted.
+        // An amendment with another route to the removed service was never accepted, so it is
+        // rejected.
         assert_eq!(status(&mut simulation, route("q", "c", "s1", 1, 7)), 400);
-        // Neither was this version of the first route, although it would change nothing.
+        // This version of the first route was never accepted either, so it is rejected although it
+        // would change nothing.
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 1, 8)), 400);
         // Of a call with known and new items, only the new ones are validated.
         let both = |new: &str| {
@@ -181,7 +183,8 @@
                 simulation.block_link(&peer, &first);
             }
         }
-        // At once, while it still believes that it leads, and after it has stepped down.
+        // The former leader is called at once, while it still believes that it leads, and after it
+        // has stepped down.
         for _ in 0..3 {
             let response = response_of(&mut simulation, &first, amend(body));
             let is_indefinite = matches!(
@@ -326,7 +329,7 @@
         simulation.heal();
         simulation.run(4000.0);
         if is_partitioned {
-            // Repeats until the first leader leads again.
+            // Crashes the current leader until the first leader leads again.
             while leader(&mut simulation) != first {
                 let now = leader(&mut simulation);
                 simulation.crash(&now, 1500.0);
--- a/crates/controller/tests/operator_calls_under_faults.rs
+++ b/crates/controller/tests/operator_calls_under_faults.rs
@@ -49,8 +49,8 @@
     let down = 50.0 + f64::from(simulation.draw(1500));
     match simulation.draw(14) {
         0 => simulation.crash(&target, down),
-        // One disk at a time, and none before the previously lost one is replaced. Sometimes all
-        // other controllers lose power with it.
+        // Wipes one disk at a time, and none before the previously lost disk is replaced. Sometimes
+        // all other controllers lose power with it.
         1 | 13 if may_wipe_disk(simulation) => {
             simulation.wipe(&target, down);
             if simulation.draw_bool(0.3) {
--- a/crates/controller/tests/small_tenants.rs
+++ b/crates/controller/tests/small_tenants.rs
@@ -15,11 +15,12 @@
 /// Minimum fraction of the requests that is served, of all tenants and of any one of them.
 const MIN_SERVED: f64 = 0.95;
 const MIN_SERVED_OF_TENANT: f64 = 0.8;
-/// `AckS` of the deployments, in milliseconds.
+/// Maximum time until an amendment is acknowledged: `AckS` of the deployments, in milliseconds.
 const ACK_TIMEOUT: f64 = 6000.0;
 const TRAFFIC_BEGINS_AT: f64 = 10_000.0;
 const TRAFFIC_MS: f64 = 15_000.0;
-/// Default bounds of the rule QUOTA in the settings: window, overshoot and slack.
+/// Default bounds of the rule QUOTA in the settings: in any window, a tenant is served at most its
+/// quota times one plus the overshoot, plus the slack.
 const WINDOW_MS: f64 = 5000.0;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 20.0;
@@ -55,7 +56,7 @@
     fleet.requests()
 }
 
-/// Returns the maximum number of requests served in any window.
+/// Returns the maximum number of requests served in any window of [`WINDOW_MS`].
 fn max_requests_in_window(served_at: &[f64]) -> usize {
     let mut times = served_at.to_vec();
     times.sort_by(f64::total_cmp);
@@ -94,7 +95,7 @@
     );
 }
 
-/// The deployment of the incident.
+/// The deployment of incident SHORT: 87 proxies, 85 tenants and 4 controllers.
 #[test]
 fn small_tenants_are_served_by_ninety_proxies() {
     assert_small_tenants_are_served(&FleetSize {
@@ -105,7 +106,8 @@
     });
 }
 
-/// Three times as many proxies, with the same processor share at the controllers.
+/// Three times as many proxies as in incident SHORT, with the same processor share at the
+/// controllers.
 #[test]
 fn small_tenants_are_served_by_three_hundred_proxies() {
     assert_small_tenants_are_served(&FleetSize {
@@ -116,7 +118,8 @@
     });
 }
 
-/// Tenants that send four times their quota get all of it, and no more (rule QUOTA).
+/// Tenants that send four times their quota get all of it, and no more than rule QUOTA allows in
+/// any window.
 #[test]
 fn greedy_tenants_get_their_quota_and_no_more() {
     let size = FleetSize {
--- a/crates/controller/tests/store/corruption.rs
+++ b/crates/controller/tests/store/corruption.rs
@@ -136,7 +136,7 @@
             failing.set_faults(Faults::failures(1 + random.below(4), 1 + crash_step), seed);
             let crashing = failing.fork();
             assert_eq!(open_with_retries(&failing), quarantined_state());
-            // Also interrupted at one of its steps, with a power loss.
+            // The quarantine is also interrupted at one of its steps, with a power loss.
             crashing.set_faults(Faults::crash_after(crash_step), seed);
             assert!(crashes_while_opening(&crashing));
             crashing.clear_faults();
--- a/crates/controller/tests/store/disk_errors.rs
+++ b/crates/controller/tests/store/disk_errors.rs
@@ -79,7 +79,7 @@
     for (payload_bytes, last) in [(100, 2_000), (2_000, 200), (30, 4_000)] {
         let disk = SimulatedDisk::default();
         let mut store = open_small(&disk);
-        // Takes no more steps than `Store::run` does.
+        // The loop takes no more steps of background work per write than `Store::run` does.
         for number in 1..=last {
             store
                 .write(vec![record(number, payload_bytes)])
@@ -113,7 +113,7 @@
     for failing_step in 0..20 {
         let disk = SimulatedDisk::default();
         let mut store = open_small(&disk);
-        // More bytes of log than the limit above which it is compacted.
+        // Writes more bytes of log than the limit above which the log is compacted.
         for number in 1..=RECORDS {
             store.write(vec![record(number, 200)]).expect("written");
         }
--- a/crates/controller/tests/store/restart.rs
+++ b/crates/controller/tests/store/restart.rs
@@ -118,7 +118,8 @@
     let (store, found) = open(&directory);
     assert_eq!((found.number, found.raft.log.len()), (120, 120));
     drop(store);
-    // A file that was renamed into place after its sync is either complete or not to be trusted.
+    // A state file, which is renamed into place after its sync, is either complete or not to be
+    // trusted.
     let state_files = directory.files("state-");
     assert_eq!(state_files.len(), 1, "{state_files:?}");
     let mut file = OpenOptions::new()
@@ -169,7 +170,8 @@
             Store::open(Directory::new(directory.path())),
             Err(Error::Corrupt { .. })
         ));
-        // One set of quarantined files, and the note.
+        // After a quarantine there are one set of quarantined files and the permanent marker
+        // `spoilt-note`.
         assert_eq!(
             directory.files("spoilt-").len(),
             if start == 0 { 0 } else { 2 }
@@ -217,7 +219,7 @@
     let directory = TestDirectory::new("full");
     let (store, _) = open(&directory);
     let mut written = Vec::new();
-    // Capacity is free again, but not for records after the gap.
+    // The queue has free capacity again, but not for records after the gap.
     store.run(&incoming, |result| {
         written.push(result.expect("written"));
         false
--- a/crates/controller/tests/store/simulated_disk.rs
+++ b/crates/controller/tests/store/simulated_disk.rs
@@ -183,7 +183,7 @@
                 left.resize(left.len().max(offset + to), 0);
                 left[offset + from..offset + to].copy_from_slice(&bytes[from..to]);
             } else if random.below(4) == 0 {
-                // The new length reached the disk, but the bytes did not.
+                // The file's new length reached the disk, but the written bytes did not.
                 left.resize(left.len().max(offset + bytes.len()), 0);
             }
         }
@@ -281,7 +281,7 @@
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut state = lock(&self.disk);
         if let Err(error) = state.step() {
-            // A part may have been written, unless the process has ended.
+            // A failed write may have written a part of its bytes, unless the process has ended.
             let done = state
                 .random
                 .get_or_insert(SplitMix64(2))
--- a/crates/controller/tests/store/workload.rs
+++ b/crates/controller/tests/store/workload.rs
@@ -5,7 +5,7 @@
 use maplefall_controller::store::{Error, Store, StoreLimits, StoreRecord, StoredState};
 use maplefall_raft::{Entry, Member, PersistentUpdate, Snapshot};
 
-/// Small limits, so that much is compacted.
+/// Small limits of the store, so that compactions are frequent.
 pub const SMALL_LIMITS: StoreLimits = StoreLimits {
     compact_after_bytes: 2_000,
     max_segments: 4,
@@ -149,7 +149,7 @@
                     state.number
                 ));
             }
-            // From here on the controller counts these records as acknowledged.
+            // From here on the controller counts the recovered records as acknowledged.
             *progress = Progress {
                 acknowledged: state.number,
                 attempted: state.number,
--- a/crates/controller/tests/stored_by_f933aca.rs
+++ b/crates/controller/tests/stored_by_f933aca.rs
@@ -199,8 +199,8 @@
     }
 }
 
-/// Guards fields that a start does not show, such as the owners of quota slots: nothing that was
-/// written is unknown.
+/// Guards fields that a start does not show, such as the owners of quota slots: the current code
+/// knows every field that was written.
 #[test]
 fn stored_bytes_have_no_unknown_fields() {
     for (directory, _) in DIRECTORIES {
