--- a/crates/forward-auth/src/gate.rs
+++ b/crates/forward-auth/src/gate.rs
@@ -34,11 +34,12 @@
     waiting: BTreeSet<(u64, RequestId)>,
     /// The attempt in flight; `None` while the check is queued.
     in_flight: Option<InFlight>,
-    /// Attempts sent so far.
+    /// Attempts of the check sent so far.
     attempts: u32,
-    /// Servers that an attempt was sent to.
+    /// Servers that an attempt of the check was sent to.
     tried_servers: BTreeSet<usize>,
-    /// Whether an attempt failed on a reused connection; the first such failure is not counted.
+    /// Whether an attempt of the check failed on a reused connection; the first such failure is not
+    /// counted.
     reused_connection_failed: bool,
 }
 
@@ -211,8 +212,8 @@
         let earliest = pending.earliest_deadline();
         pending.waiting.insert((micros(decide_by), request));
         match &mut pending.in_flight {
-            // The requests so far may have had less time: the timeout is extended for this one, up
-            // to the limit of one attempt.
+            // The requests that joined the check earlier may have less time than this one: the
+            // attempt's timeout is extended for this request, up to the limit of one attempt.
             Some(in_flight) => {
                 self.check_timeouts
                     .remove(&(micros(in_flight.cancel_at(earliest.is_none())), check));
@@ -222,7 +223,8 @@
                 self.check_timeouts
                     .insert((micros(in_flight.cancel_at(false)), check));
             }
-            // A request with less time moves the check forward in the queue.
+            // A request that must be decided earlier than the others that wait for the check moves
+            // the check forward in the queue.
             None => {
                 if let Some(earliest) = earliest {
                     self.queued_checks.remove(&(earliest, check));
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Ends a request's wait and returns its class.
+    /// Ends a request's wait and returns the request's class.
     fn remove_request(&mut self, request: RequestId) -> Option<usize> {
         let WaitingRequest {
             key,
@@ -266,12 +268,12 @@
                     Some(after) => {
                         self.queued_checks.insert((after, check));
                     }
-                    // No request waits and no attempt was sent.
+                    // No request waits for the check any more, and no attempt is in flight.
                     None => self.remove_check(check),
                 }
             }
-            // No request waits any more, but the attempt in flight may complete during the grace
-            // time.
+            // No request waits for the check any more, but the attempt in flight may complete
+            // during the grace time.
             (Some(in_flight), Some(_), None) => {
                 self.check_timeouts
                     .remove(&(micros(in_flight.cancel_at(false)), check));
--- a/crates/forward-auth/src/headers.rs
+++ b/crates/forward-auth/src/headers.rs
@@ -20,7 +20,7 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-/// Further headers of one connection, for which the `http` crate has no constants.
+/// Headers that belong to one connection and for which the `http` crate has no constants.
 const NOT_FORWARDED_TEXT: [&str; 3] = ["keep-alive", "proxy-connection", "proxy-authenticate"];
 /// Headers that describe the request to the service, as other gateways send them (Traefik
 /// ForwardAuth, Caddy `forward_auth`, oauth2-proxy).
@@ -81,7 +81,7 @@
         self.credentials.iter().map(|name| {
             let mut values = headers.get_all(name).iter().peekable();
             values.peek()?;
-            // The lengths tell several values apart from one.
+            // The length before each value distinguishes several values from a single one.
             let mut part = Vec::new();
             for value in values {
                 part.extend((value.len() as u64).to_be_bytes());
@@ -121,8 +121,8 @@
             target,
             &peer,
         ]) {
-            // A host with bytes that are invalid in a header is left out; the other values have
-            // none.
+            // A host with bytes that are invalid in a header is left out; the other values contain
+            // no such bytes.
             match (HeaderValue::from_str(value), sent.entry(name)) {
                 (Ok(value), entry) => {
                     entry_insert(entry, value);
@@ -221,7 +221,7 @@
                         .trim_matches('"')
                         .parse::<u32>()
                         .map_or(0.0, f64::from);
-                    // Of several values the shortest applies.
+                    // Of several `max-age` values the shortest applies.
                     ttl = Some(ttl.unwrap_or(f64::INFINITY).min(seconds * 1000.0));
                 }
                 _ => {}
--- a/crates/forward-auth/src/interface.rs
+++ b/crates/forward-auth/src/interface.rs
@@ -47,7 +47,7 @@
 pub struct InvalidSetting {
     /// The field, by the name that operators know.
     pub field: String,
-    /// What was expected.
+    /// What was expected of the field's value.
     pub expected: &'static str,
 }
 
@@ -144,7 +144,8 @@
 pub enum Failure {
     /// A reused connection had been closed while idle, which is no sign of a fault of the server.
     ReusedConnection,
-    /// Anything else: connection refused or reset, malformed or too large response, timeout.
+    /// Any failure other than [`ReusedConnection`](Self::ReusedConnection): connection refused or
+    /// reset, malformed or too large response, timeout.
     Server,
 }
 
@@ -183,7 +184,7 @@
         check: CheckId,
         /// Number of the attempt, from 0; results of earlier attempts are ignored.
         attempt: u32,
-        /// The key; the gate's caller has the headers of a request with this key.
+        /// The key of the check; the gate's caller has the headers of a request with this key.
         key: Key,
         /// Index of the server.
         server: usize,
@@ -192,14 +193,14 @@
     },
     /// A request is decided.
     Decided {
-        /// The request.
+        /// Number of the request.
         request: RequestId,
-        /// Its decision.
+        /// The decision on the request.
         decision: Decision<T>,
     },
     /// Cancel the attempt in flight of this check: it has timed out.
     Cancel {
-        /// The check.
+        /// The check's number.
         check: CheckId,
     },
 }
--- a/crates/forward-auth/src/key.rs
+++ b/crates/forward-auth/src/key.rs
@@ -54,8 +54,8 @@
         let key =
             |parts: &[Option<&str>]| hasher.key(parts.iter().map(|part| part.map(str::as_bytes)));
         let lists: [&[Option<&str>]; 12] = [
-            // Equal without the lengths, since a part may contain the byte that marks the next
-            // part.
+            // Without the lengths, these two lists would hash the same bytes as `a`, `b` and as
+            // `a`, `None`, since a part may contain the byte that marks the next part.
             &[Some("a\u{1}b")],
             &[Some("a\u{0}")],
             &[],
--- a/crates/forward-auth/tests/gate.rs
+++ b/crates/forward-auth/tests/gate.rs
@@ -95,7 +95,8 @@
         1,
         "the verdict has expired"
     );
-    // Denials have a shorter maximum; a verdict with a TTL of 0 is not cached.
+    // Denials are cached for a shorter maximum time than passes; a verdict with a TTL of 0 is not
+    // cached.
     gate.verdict_received(1020.0, 2, 0, verdict(false, 1e9));
     gate.verdict_received(1020.0, 3, 0, verdict(true, 0.0));
     assert_eq!(drain_outputs(&mut gate).decided.len(), 2);
@@ -158,7 +159,8 @@
         [(3, Decision::Reject(RejectReason::TooLittleTime))]
     );
     assert_eq!(submit(&mut gate, 400.0, 4, "eva", 1100.0).checks.len(), 1);
-    // A check of this caller is in flight, so a request may join it with less time.
+    // A check of this caller is in flight, so a request may join it with less time than the average
+    // latency.
     assert!(submit(&mut gate, 600.0, 5, "eva", 1000.0)
         .decided
         .is_empty());
@@ -399,7 +401,7 @@
         assert!(gate.cached_bytes() <= 600);
     }
     drain_outputs(&mut gate);
-    // Two entries of 260 bytes each fit: those that expire last.
+    // Two entries of 260 bytes each fit into the cache, which keeps those that expire last.
     assert_eq!(submit(&mut gate, 2.0, 10, "c3", 5000.0).decided.len(), 1);
     assert_eq!(submit(&mut gate, 2.0, 11, "c2", 5000.0).decided.len(), 1);
     assert_eq!(submit(&mut gate, 2.0, 12, "c0", 5000.0).checks.len(), 1);
--- a/crates/forward-auth/tests/schedules.rs
+++ b/crates/forward-auth/tests/schedules.rs
@@ -130,7 +130,7 @@
                     self.gate
                         .verdict_received(self.now, check, attempt, verdict.clone());
                     if self.defect == Some(Defect::DeliveredTwice) {
-                        // As if it were the verdict of the next check.
+                        // Delivers the verdict again, as if it were that of the next check.
                         self.gate.verdict_received(self.now, check + 1, 0, verdict);
                     }
                     // Sometimes the same verdict is delivered again later.
@@ -279,7 +279,8 @@
     assert!(decided > schedules * 10, "{decided}");
 }
 
-/// Guards against checks that never fail.
+/// Guards against invariant checks that never fail: they must find every fault built into the
+/// driver.
 #[test]
 fn every_defect_is_found() {
     for defect in [
--- a/crates/gateway-config/src/error.rs
+++ b/crates/gateway-config/src/error.rs
@@ -13,7 +13,7 @@
     Malformed {
         /// The part of the call that cannot be parsed.
         field: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with that part of the call.
         reason: String,
     },
     /// A field of an item has a value that is not allowed.
@@ -25,9 +25,9 @@
         name: String,
         /// The version of the item.
         version: u32,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What is wrong with its value.
+        /// What is wrong with the field's value.
         reason: String,
     },
     /// A route names a service that does not exist.
@@ -45,9 +45,9 @@
     DuplicateRoute {
         /// The name of the route that the call changes.
         route: String,
-        /// The version of that route.
+        /// The version of the route that the call changes.
         version: u32,
-        /// The name of the other route.
+        /// The name of the other route with the same host and path prefix.
         other: String,
     },
     /// Two tenants have the same API key.
@@ -55,9 +55,9 @@
     DuplicateKey {
         /// The name of the tenant that the call changes.
         tenant: String,
-        /// The version of that tenant.
+        /// The version of the tenant that the call changes.
         version: u32,
-        /// The name of the other tenant.
+        /// The name of the other tenant with the same API key.
         other: String,
     },
     /// This version of the item already exists with different content.
@@ -67,7 +67,7 @@
         kind: ItemKind,
         /// The name of the item.
         name: String,
-        /// The version.
+        /// The version of the item.
         version: u32,
     },
 }
--- a/crates/gateway-config/src/history.rs
+++ b/crates/gateway-config/src/history.rs
@@ -71,7 +71,7 @@
 pub(crate) enum VersionStatus {
     /// The version does not exist yet.
     New,
-    /// The version exists with this content.
+    /// The version exists with the given content.
     Identical,
     /// The version exists with different content.
     Conflicting,
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct SupersededVersion {
     version: u32,
-    /// Position in the order of recording, across all items.
+    /// Position of the version in the order of recording, across all items.
     sequence: u64,
     digest: Digest,
 }
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ItemVersions {
     evicted_up_to: Option<u32>,
-    /// Sorted by version, in ascending order.
+    /// The superseded versions, in ascending order.
     entries: Vec<SupersededVersion>,
 }
 
--- a/crates/gateway-config/src/item.rs
+++ b/crates/gateway-config/src/item.rs
@@ -45,7 +45,7 @@
     /// The name of the field.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its value as JSON text.
+    /// The field's value as JSON text.
     #[prost(string, tag = "2")]
     pub json: String,
 }
@@ -53,13 +53,13 @@
 /// One version of an item.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Item {
-    /// Its kind, an [`ItemKind`].
+    /// The item's kind, an [`ItemKind`].
     #[prost(enumeration = "ItemKind", tag = "1")]
     pub kind: i32,
-    /// Its name; empty for `Limits`.
+    /// The item's name; empty for `Limits`.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Its version; the highest version is in force.
+    /// The item's version; the highest version is in force.
     #[prost(uint32, tag = "3")]
     pub version: u32,
     /// Whether this version removes the item.
--- a/crates/gateway-config/src/model.rs
+++ b/crates/gateway-config/src/model.rs
@@ -16,27 +16,28 @@
 /// A route. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
-    /// The host of its requests, in lower case.
+    /// The host of the route's requests, in lower case.
     pub host: String,
-    /// The prefix of its requests' paths.
+    /// The path prefix of the route's requests.
     pub prefix: String,
-    /// Whether its requests are idempotent, that is, may run more than once (`RouteKind` `safe`).
+    /// Whether the route's requests are idempotent, that is, may run more than once (`RouteKind`
+    /// `safe`).
     pub idempotent: bool,
     /// The time limit for the response to a request (`TimeoutS`).
     pub timeout: f64,
     /// The latency target, within which a response earns its full value (`SetpointS`); the timeout
     /// by default.
     pub latency_target: f64,
-    /// Its priority; 0, the default, is the highest.
+    /// The route's priority; 0, the default, is the highest.
     pub priority: u32,
     /// Maximum number of backends that one request is sent to, 1 by default.
     pub max_attempts: u32,
-    /// Whether its requests need no API key.
+    /// Whether the route's requests need no API key.
     pub public: bool,
-    /// The services that its requests are forwarded to; at least one, with a positive sum of
-    /// weights.
+    /// The services that the route's requests are forwarded to; at least one, with a positive sum
+    /// of weights.
     pub destinations: Vec<Destination>,
 }
 
@@ -45,29 +46,31 @@
 pub struct Destination {
     /// The name of the service.
     pub service: String,
-    /// Its weight, relative to those of the route's other destinations; not negative.
+    /// The weight of the service, relative to those of the route's other destinations; not
+    /// negative.
     pub weight: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its API keys.
+    /// The API keys of the tenant.
     pub keys: Vec<String>,
-    /// Its priority, which takes precedence over that of the route; 0, the default, is the highest.
+    /// The tenant's priority, which takes precedence over that of the route; 0, the default, is the
+    /// highest.
     pub priority: u32,
-    /// Its rate limit in requests per second; 0, the default, is no limit.
+    /// The tenant's rate limit in requests per second; 0, the default, is no limit.
     pub rate: f64,
-    /// Number of requests by which a burst may exceed the rate.
+    /// Number of requests by which a burst may exceed the tenant's rate limit.
     pub burst: f64,
 }
 
 /// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
     /// Maximum number of connections that one backend accepts from all callers together; unlimited
     /// by default.
--- a/crates/gateway-config/src/pending.rs
+++ b/crates/gateway-config/src/pending.rs
@@ -18,11 +18,11 @@
 /// An item that pending changes set or remove.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingItem {
-    /// Its highest pending version.
+    /// The highest pending version of the item.
     pub(crate) latest: Arc<Item>,
     /// The claims of `latest`.
     pub(crate) claims: Claims,
-    /// All its pending versions.
+    /// All pending versions of the item.
     pub(crate) versions: Vec<PendingVersion>,
 }
 
--- a/crates/gateway-config/src/route_table.rs
+++ b/crates/gateway-config/src/route_table.rs
@@ -144,7 +144,7 @@
             return;
         };
         for key in &tenant.keys {
-            // Another tenant in the same change may have the key by now.
+            // Another tenant in the same change may have the API key by now.
             if self.keys.get(key).is_some_and(|owner| owner.name == name) {
                 self.keys.remove(key);
             }
--- a/crates/gateway-config/src/state.rs
+++ b/crates/gateway-config/src/state.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Does not compare the indexes, which are derived from the items.
+/// Compares the items and the version history, but not the indexes, which are derived from the
+/// items.
 impl PartialEq for ConfigState {
     fn eq(&self, other: &ConfigState) -> bool {
         self.items == other.items && self.superseded == other.superseded
--- a/crates/gateway-config/src/validation.rs
+++ b/crates/gateway-config/src/validation.rs
@@ -170,7 +170,7 @@
     proposed: &'a PendingChanges,
 }
 
-/// The items that may have a claim, from the index of each layer.
+/// The items that may have a claim, from the indexes of the committed, pending and proposed items.
 struct Claimants<'a, I> {
     /// Names of committed items that have the claim.
     committed: I,
@@ -194,7 +194,8 @@
             .max_by_key(|item| item.latest.version)
     }
 
-    /// Returns the version of an item that would be in force.
+    /// Returns the version of an item that would be in force with the pending changes and the call
+    /// applied.
     fn latest(&self, kind: ItemKind, name: &str) -> Option<&'a Item> {
         match self.uncommitted(kind, name) {
             Some(item) => Some(&item.latest),
@@ -206,7 +207,8 @@
         self.latest(kind, name).is_some_and(|item| !item.dropped)
     }
 
-    /// Returns the name of the first item other than `owner` that would have a claim.
+    /// Returns the name of the first item other than `owner` that would have a claim with the
+    /// pending changes and the call applied.
     fn conflicting_claimant(
         &self,
         kind: ItemKind,
--- a/crates/gateway-config/tests/reference_model/mod.rs
+++ b/crates/gateway-config/tests/reference_model/mod.rs
@@ -15,9 +15,9 @@
     AlreadyApplied,
     /// Some items of the call are new.
     Accepted,
-    /// Rejected with 409.
+    /// The call is rejected with HTTP status 409.
     Conflict,
-    /// Rejected with 400.
+    /// The call is rejected with HTTP status 400.
     Invalid,
 }
 
--- a/crates/gateway-config/tests/validation.rs
+++ b/crates/gateway-config/tests/validation.rs
@@ -154,7 +154,7 @@
                     pending_changes.add(index, &new);
                     pending.push((index, new));
                 }
-                // The index must be that of a pending entry with one of the items.
+                // The index must be that of a pending entry with one of the call's items.
                 Ok(Validation::AlreadyApplied(pending_index)) if pending_index > 0 => {
                     let known = |(index, change): &(u64, Change)| {
                         *index == pending_index
@@ -271,7 +271,7 @@
     for version in 1..=10 {
         state.apply(&service_change("a", version, version));
     }
-    // The highest version and the four before it are known.
+    // The item's highest version and the four before it are known.
     assert_eq!(
         validate_service(&state, "a", 10, 10),
         Some(Outcome::AlreadyApplied)
@@ -300,7 +300,7 @@
             "{version}"
         );
     }
-    // Versions that arrive late are recorded too.
+    // A version that arrives after a higher one is recorded too.
     state.apply(&service_change("b", 7, 7));
     assert_eq!(validate_service(&state, "b", 5, 5), Some(Outcome::Accepted));
     state.apply(&service_change("b", 5, 5));
--- a/crates/grpc/src/attempt.rs
+++ b/crates/grpc/src/attempt.rs
@@ -26,7 +26,7 @@
 }
 
 impl End {
-    /// An end with this outcome and status, for this reason.
+    /// The end of an attempt with this outcome and status code, for this reason.
     pub fn new(outcome: Outcome, code: Code, reason: &'static str) -> End {
         End {
             outcome,
@@ -48,7 +48,7 @@
 /// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nothing was sent.
+    /// Nothing of the attempt was sent.
     Unsent,
     /// The request head was handed to a live connection, so the call may run.
     Sent,
@@ -221,7 +221,7 @@
         self.end(outcome, code, "")
     }
 
-    /// The outcome of a status that nothing contradicts.
+    /// The outcome of an attempt whose status nothing contradicts.
     fn outcome_of(&self, code: Code, headers: &HeaderMap) -> Outcome {
         match code.class() {
             StatusClass::Responded => Outcome::Ok,
@@ -243,7 +243,7 @@
     /// Handles a reset of the stream by the backend, with this HTTP/2 error code.
     pub fn reset(&mut self, now: Millis, error: u32) -> Option<End> {
         match error {
-            // After a response head the code contradicts what was received.
+            // After a response head this error code contradicts what was received.
             REFUSED_STREAM if self.phase != Phase::Responding => self.end(
                 Outcome::Full,
                 Code::Unavailable,
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -54,7 +54,7 @@
     deadline: Millis,
     /// Buffered response bytes beyond which the call is committed.
     max_buffered_bytes: usize,
-    /// Attempts begun so far.
+    /// Attempts of the call begun so far.
     attempts: u32,
     current_attempt: Option<u32>,
     buffered: VecDeque<Output>,
@@ -246,7 +246,7 @@
                 Code::Unknown,
                 &format!("it may have run ({:?}: {})", end.code, end.reason),
             ),
-            // The status is the backend's own.
+            // The last attempt ended with the backend's own status.
             Some((end, trailers)) if end.reason.is_empty() => trailers,
             Some((end, _)) => status_trailers(end.code, end.reason),
         };
--- a/crates/grpc/src/replay.rs
+++ b/crates/grpc/src/replay.rs
@@ -24,7 +24,7 @@
 /// The content of the request stream at a position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// This chunk.
+    /// The chunk at the position.
     Chunk(Bytes),
     /// The client has not sent the next chunk yet.
     Wait,
--- a/crates/grpc/src/response_queue.rs
+++ b/crates/grpc/src/response_queue.rs
@@ -11,7 +11,7 @@
 /// The next output to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextOutput {
-    /// This many bytes of messages.
+    /// The next bytes of messages, with their number.
     Data(usize),
     /// The head or the status.
     Other,
@@ -51,8 +51,8 @@
         match &output {
             Output::Data(data) => {
                 self.queued_bytes += data.len();
-                // No error here: an attempt with an invalid flag has ended before its bytes are
-                // queued.
+                // The count cannot fail here: an attempt with an invalid flag has ended before its
+                // bytes are queued.
                 let _ = self.received.take(data);
             }
             Output::Final(..) => self.drop_incomplete_message(),
--- a/crates/grpc/src/status.rs
+++ b/crates/grpc/src/status.rs
@@ -81,7 +81,7 @@
         Code::Unauthenticated,
     ];
 
-    /// The number on the wire.
+    /// The code's number on the wire.
     pub fn number(self) -> u8 {
         self as u8
     }
@@ -113,8 +113,8 @@
     /// 7).
     pub fn from_reset_code(error: u32) -> Code {
         match error {
-            // NO_ERROR to INTERNAL_ERROR and FLOW_CONTROL_ERROR, SETTINGS_TIMEOUT,
-            // FRAME_SIZE_ERROR, COMPRESSION_ERROR, CONNECT_ERROR.
+            // The HTTP/2 error codes NO_ERROR to INTERNAL_ERROR and FLOW_CONTROL_ERROR,
+            // SETTINGS_TIMEOUT, FRAME_SIZE_ERROR, COMPRESSION_ERROR, CONNECT_ERROR.
             0..=4 | 6 | 9 | 10 => Code::Internal,
             REFUSED_STREAM => Code::Unavailable,
             CANCEL => Code::Cancelled,
--- a/crates/grpc/src/timeout.rs
+++ b/crates/grpc/src/timeout.rs
@@ -8,9 +8,9 @@
 
 /// Milliseconds in an hour.
 const HOUR: Millis = 3600e3;
-/// Maximum number of digits of a value.
+/// Maximum number of digits of a `grpc-timeout` value.
 const MAX_DIGITS: usize = 8;
-/// Largest value in any unit.
+/// Largest `grpc-timeout` value in any unit.
 const MAX_VALUE: f64 = 99_999_999.0;
 /// Units from the finest to the coarsest, with their lengths in milliseconds.
 const UNIT_MILLIS: [(u8, Millis); 6] = [
--- a/crates/grpc/tests/schedules/world.rs
+++ b/crates/grpc/tests/schedules/world.rs
@@ -215,7 +215,7 @@
         self.client.receive(outputs)
     }
 
-    /// Applies the defect to an end.
+    /// Applies the driver's built-in fault to the end of an attempt.
     fn distort(&self, mut end: End) -> End {
         if end.outcome == Outcome::Reset {
             match self.defect {
@@ -349,7 +349,7 @@
                 let late = [&prefix(1)[..], &[previous as u8]].concat();
                 self.call.data(current.number, Bytes::from(late), outputs);
             } else {
-                // Late data of a previous attempt, under its own number.
+                // Late data of a previous attempt, under the number of that attempt.
                 self.call
                     .data(previous, Bytes::from_static(b"late"), outputs);
             }
@@ -436,9 +436,9 @@
 
 /// Result of a schedule.
 pub struct Run {
-    /// Attempts begun.
+    /// Attempts of the call that were begun.
     pub attempts: u32,
-    /// `None` if the call is still open.
+    /// Result of the call; `None` if the call is still open.
     pub result: Option<CallResult>,
 }
 
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -58,10 +58,10 @@
     /// Index of the last entry that the snapshot covers.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the last entry that the snapshot covers.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Members at that index.
+    /// Members at the snapshot's index.
     #[prost(message, repeated, tag = "5")]
     pub members: Vec<Member>,
     /// The application's encoded state.
@@ -76,7 +76,7 @@
     /// The new term, together with [`voted_for`](Self::voted_for).
     #[prost(uint64, optional, tag = "1")]
     pub term: Option<u64>,
-    /// The candidate voted for in that term; empty for none.
+    /// The candidate voted for in the new term; empty for none.
     #[prost(string, tag = "2")]
     pub voted_for: String,
     /// Entries to append; they replace all earlier entries from the first one's index on.
@@ -85,7 +85,7 @@
     /// A snapshot that replaces the entries up to its index.
     #[prost(message, optional, tag = "4")]
     pub snapshot: Option<Snapshot>,
-    /// [`Member::identity`] of the disk.
+    /// [`Member::identity`] of the node's disk.
     #[prost(uint64, optional, tag = "6")]
     pub identity: Option<u64>,
     /// Membership entries up to this index are known to be committed; 0 leaves the index unchanged.
@@ -102,7 +102,7 @@
     /// The sender's [`Member::identity`].
     #[prost(uint64, tag = "9")]
     pub identity: u64,
-    /// The content.
+    /// The content of the message.
     #[prost(oneof = "MessageBody", tags = "2, 3, 4, 5, 6, 7, 8")]
     pub body: Option<MessageBody>,
 }
@@ -143,7 +143,7 @@
     /// Index of the candidate's last entry.
     #[prost(uint64, tag = "2")]
     pub last_log_index: u64,
-    /// Term of that entry.
+    /// Term of the candidate's last entry.
     #[prost(uint64, tag = "3")]
     pub last_log_term: u64,
 }
@@ -151,13 +151,13 @@
 /// Response to a [`RequestVote`].
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct RequestVoteResponse {
-    /// Whether this responds to a pre-vote request.
+    /// Whether the response is to a pre-vote request.
     #[prost(bool, tag = "1")]
     pub pre_vote: bool,
     /// Whether the vote or pre-vote is granted.
     #[prost(bool, tag = "2")]
     pub granted: bool,
-    /// Term of the request.
+    /// Term of the [`RequestVote`].
     #[prost(uint64, tag = "3")]
     pub requested_term: u64,
 }
@@ -168,7 +168,7 @@
     /// Index of the entry that precedes `entries`.
     #[prost(uint64, tag = "1")]
     pub prev_log_index: u64,
-    /// Term of that entry.
+    /// Term of the entry that precedes `entries`.
     #[prost(uint64, tag = "2")]
     pub prev_log_term: u64,
     /// Entries with consecutive indexes; empty in a heartbeat.
@@ -180,14 +180,16 @@
     /// The leader's sequence number, which the response echoes.
     #[prost(uint64, tag = "5")]
     pub sequence: u64,
-    /// Number of the last [`AppendEntriesResponse`] received from this peer; 0 if there is none, or
-    /// if the leader has not committed an entry of its own term.
+    /// Number of the last [`AppendEntriesResponse`] that the leader has received from the receiver
+    /// of this message; 0 if there is none, or if the leader has not committed an entry of its own
+    /// term.
     #[prost(uint64, tag = "6")]
     pub last_response: u64,
     /// Age of the leader's last proof of contact with a quorum, in milliseconds.
     #[prost(uint64, tag = "7")]
     pub quorum_age_ms: u64,
-    /// Whether the receiver is a member; in a joint configuration, of both sets.
+    /// Whether the receiver of the message is a member; in a joint configuration, of both member
+    /// sets.
     #[prost(bool, tag = "8")]
     pub is_voter: bool,
     /// Whether the receiver, which is shutting down, may stop: no committed entry depends on its
@@ -199,28 +201,28 @@
 /// The index up to which a node's log matches its leader's.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct AppendEntriesResponse {
-    /// Whether the log contained the entry before those sent.
+    /// Whether the responding node's log contained the entry before those that the leader sent.
     #[prost(bool, tag = "1")]
     pub success: bool,
-    /// With `success`, the leader's log is persisted up to this index. Otherwise the leader
-    /// continues after this index.
+    /// With `success`, the responding node has persisted the leader's log up to this index.
+    /// Otherwise the leader continues to send after this index.
     #[prost(uint64, tag = "2")]
     pub match_index: u64,
-    /// The log in memory matches the leader's up to this index.
+    /// The responding node's log in memory matches the leader's up to this index.
     #[prost(uint64, tag = "3")]
     pub received_index: u64,
     /// The echoed sequence number of the leader; 0 for none.
     #[prost(uint64, tag = "4")]
     pub sequence: u64,
-    /// Number of the response: increases by one with each, from a random start value for each
-    /// process.
+    /// Number of the response: increases by one with each response, from a random start value for
+    /// each process.
     #[prost(uint64, tag = "6")]
     pub number: u64,
     /// The role that the sender requests.
     #[prost(message, optional, tag = "7")]
     pub membership: Option<MembershipRequest>,
-    /// Set in response to a chunk of an incomplete snapshot. `success` and the indexes are unset
-    /// then.
+    /// Progress of the snapshot transfer, set in response to a chunk of an incomplete snapshot.
+    /// `success` and the indexes are unset then.
     #[prost(message, optional, tag = "8")]
     pub snapshot_progress: Option<SnapshotProgress>,
 }
@@ -245,13 +247,13 @@
     /// The leader's sequence number, which the response echoes.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// [`Snapshot::index`].
+    /// [`Snapshot::index`] of the snapshot that is sent.
     #[prost(uint64, tag = "3")]
     pub index: u64,
-    /// [`Snapshot::term`].
+    /// [`Snapshot::term`] of the snapshot that is sent.
     #[prost(uint64, tag = "4")]
     pub term: u64,
-    /// [`Snapshot::members`].
+    /// [`Snapshot::members`] of the snapshot that is sent.
     #[prost(message, repeated, tag = "5")]
     pub members: Vec<Member>,
     /// Length of the complete state in bytes.
@@ -274,10 +276,10 @@
 /// Progress of a node that is receiving a snapshot.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct SnapshotProgress {
-    /// [`Snapshot::index`].
+    /// [`Snapshot::index`] of the snapshot that is received.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// [`InstallSnapshot::checksum`].
+    /// [`InstallSnapshot::checksum`] of the snapshot that is received.
     #[prost(uint64, tag = "2")]
     pub checksum: u64,
     /// Number of bytes received, from the start of the state without gaps.
--- a/crates/raft/src/persistent_state.rs
+++ b/crates/raft/src/persistent_state.rs
@@ -10,7 +10,7 @@
 pub struct PersistentState {
     /// The current term.
     pub term: u64,
-    /// The candidate voted for in that term; empty for none.
+    /// The candidate voted for in the current term; empty for none.
     pub voted_for: String,
     /// The snapshot, which replaces all entries up to its index; index 0 means there is none.
     pub snapshot: Snapshot,
@@ -27,7 +27,8 @@
 pub struct Configuration {
     /// Members of the last membership entry or, without one, of the snapshot.
     pub current: Vec<Member>,
-    /// Members before that entry; the same as `current` if the log has no membership entry.
+    /// Members before the last membership entry; the same as `current` if the log has no membership
+    /// entry.
     pub previous: Vec<Member>,
     /// Index of the last membership entry, or of the snapshot.
     pub index: u64,
@@ -56,8 +57,8 @@
         if snapshot.index < self.snapshot.index {
             return;
         }
-        // Also true if the same snapshot is applied again, when its last entry is no longer in the
-        // log.
+        // True if the log matches the snapshot at its index; also if the same snapshot is applied
+        // again, when its last entry is no longer in the log.
         let log_follows = self.term_at(snapshot.index) == Some(snapshot.term);
         self.log
             .retain(|entry| log_follows && entry.index > snapshot.index);
--- a/crates/raft/src/raft/election.rs
+++ b/crates/raft/src/raft/election.rs
@@ -197,8 +197,8 @@
     }
 
     /// Returns the progress of all other members at the start of a term. A vote proves contact at
-    /// the time of the request. For the last leader, the last message is the one that this node
-    /// received as a follower.
+    /// the time of the request. The last message from the previous leader is dated to when this
+    /// node, as a follower, received it.
     fn initial_progress(
         &self,
         now: Millis,
@@ -228,7 +228,7 @@
         progress_by_name
     }
 
-    /// Becomes a follower of `leader`; `None` until a leader sends a message.
+    /// Becomes a follower of `leader`, which is `None` until a leader sends a message.
     pub(super) fn become_follower(&mut self, now: Millis, leader: Option<&str>, ready: &mut Ready) {
         if self.has_leader_role() {
             ready.stepped_down = true;
--- a/crates/raft/src/raft/event.rs
+++ b/crates/raft/src/raft/event.rs
@@ -53,7 +53,7 @@
 /// The defect of a received snapshot.
 #[derive(Debug)]
 pub(super) enum SnapshotDefect {
-    /// The total length exceeds the maximum.
+    /// The snapshot's total length exceeds the maximum.
     Length { bytes: u64 },
     /// The chunk at this offset does not match its checksum.
     Chunk { offset: u64 },
--- a/crates/raft/src/raft/follower.rs
+++ b/crates/raft/src/raft/follower.rs
@@ -50,8 +50,8 @@
         self.acknowledge(from, sequence, ready);
     }
 
-    /// Returns whether the log contains the entry before those sent. Entries that the snapshot has
-    /// replaced are committed, and so the same on all nodes.
+    /// Returns whether the log contains the entry before those that the leader sent. Entries that
+    /// the snapshot has replaced are committed, and so the same on all nodes.
     fn has_previous_entry(&self, append: &AppendEntries) -> bool {
         let index = append.prev_log_index;
         index <= self.persistent.last_index()
@@ -117,8 +117,8 @@
                 }
             }
         }
-        // A leader has all committed entries (paper, 5.4), so both logs match up to the commit
-        // index.
+        // A leader has all committed entries (paper, 5.4), so the leader's log and this node's
+        // match up to the commit index.
         self.verified_index = self.verified_index.max(self.commit_index);
         self.acknowledge(from, sequence, ready);
     }
@@ -160,8 +160,9 @@
         self.respond(leader, response, ready);
     }
 
-    /// Sends a response with the next number, once the term is persisted; entries need not be. The
-    /// recorded time is that of the response's creation, which is not later than its sending.
+    /// Sends a response with the next number, once the term is persisted; entries need not be
+    /// persisted. The recorded time is that of the response's creation, which is not later than its
+    /// sending.
     fn respond(&mut self, leader: &str, response: AppendEntriesResponse, ready: &mut Ready) {
         let number = self.response_times.next(self.now);
         let response = AppendEntriesResponse {
--- a/crates/raft/src/raft/leadership_transfer.rs
+++ b/crates/raft/src/raft/leadership_transfer.rs
@@ -12,7 +12,7 @@
 use super::{Member, MessageBody, Raft, Ready, TimeoutNow};
 
 /// A leader that is shutting down transfers its leadership after this time at the latest, whether
-/// the others have caught up or not.
+/// the other nodes have caught up or not.
 const TRANSFER_TIMEOUT: Millis = 1500.0;
 
 /// A reachable voter other than the leader.
@@ -141,7 +141,7 @@
 
 /// The peer to which a leader transfers its leadership.
 struct TransferTarget {
-    /// `None` if all reachable voters are shutting down.
+    /// Name of the peer; `None` if all reachable voters are shutting down.
     name: Option<String>,
     /// Whether all reachable voters that are not shutting down have persisted the whole log.
     caught_up: bool,
--- a/crates/raft/src/raft/membership.rs
+++ b/crates/raft/src/raft/membership.rs
@@ -34,7 +34,7 @@
     Replaces,
     /// A node is added to the existing members.
     Added,
-    /// An unresponsive member is removed, and the others suffice.
+    /// An unresponsive member is removed, and the remaining members suffice.
     Unresponsive,
 }
 
--- a/crates/raft/src/raft/replication.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -85,8 +85,8 @@
             .filter(|(_, progress)| is_heartbeat_due(progress.last_sent, now))
             .map(|(name, _)| name.clone())
             .collect();
-        // The sequence number advances at this interval even if entries are sent continuously and
-        // no heartbeat is due.
+        // The sequence number advances at the heartbeat interval even if entries are sent
+        // continuously and no heartbeat is due.
         let send_times = &mut leader.send_times;
         if send_times
             .sent_at(send_times.last_sequence())
--- a/crates/raft/src/raft/role.rs
+++ b/crates/raft/src/raft/role.rs
@@ -10,16 +10,16 @@
 /// The current role of a node.
 #[derive(Debug)]
 pub(super) enum Role {
-    /// Follows a leader, or waits for one.
+    /// The node follows a leader, or waits for one.
     Follower,
-    /// Requests pre-votes for a term that it has not entered.
+    /// The node requests pre-votes for a term that it has not entered.
     PreCandidate { votes: BTreeSet<Member> },
-    /// Requests votes in its term; the requests date from `requested_at`.
+    /// The node requests votes in its term; the requests date from `requested_at`.
     Candidate {
         votes: BTreeSet<Member>,
         requested_at: Millis,
     },
-    /// Leads the current term.
+    /// The node leads the current term.
     Leader(Box<LeaderState>),
 }
 
--- a/crates/raft/tests/consensus_model/actions.rs
+++ b/crates/raft/tests/consensus_model/actions.rs
@@ -94,8 +94,9 @@
     }
 }
 
-/// Returns whether all earlier losses are repaired: every member of the committed configuration is
-/// up, has the disk with the right identity, and has all committed entries.
+/// Returns whether all crashes and losses of disks or machines so far are repaired: every member of
+/// the committed configuration is up, has the disk with the right identity, and has all committed
+/// entries.
 fn is_repaired(state: &State) -> bool {
     let members = Configuration::of(&state.committed).current;
     members.iter().all(|member| {
--- a/crates/raft/tests/consensus_model/mod.rs
+++ b/crates/raft/tests/consensus_model/mod.rs
@@ -22,14 +22,14 @@
 const REPLACEMENT: NodeId = NODE_COUNT - 1;
 /// The member that loses its disk or is replaced.
 const FAULTY: NodeId = 2;
-/// Added to the identity of a lost disk for that of the new disk.
+/// Number that is added to the identity of a lost disk to give that of the new disk.
 const NEW_IDENTITY_OFFSET: u8 = 10;
 
 /// The correct rules, and deliberately incorrect ones in which the search must find a violation.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
     Correct,
-    /// Entries on the leader's own disk are committed.
+    /// Entries count as committed once they are on the leader's own disk.
     CommitWithoutQuorum,
     /// A member that has lost its disk restarts with its old identity.
     ReusedIdentity,
--- a/crates/raft/tests/consensus_model/state.rs
+++ b/crates/raft/tests/consensus_model/state.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Payload {
     NoOp,
-    /// The change that both operators propose, with the content of one operator.
+    /// A command for the change that both operators propose, with the content of one of them.
     Command(u8),
     Membership(Members),
 }
--- a/crates/raft/tests/consensus_model/transitions.rs
+++ b/crates/raft/tests/consensus_model/transitions.rs
@@ -7,7 +7,7 @@
 };
 
 impl ConsensusModel {
-    /// Performs an action. Returns `None` if it turns out to be impossible.
+    /// Performs an action. Returns `None` if the action turns out to be impossible.
     pub(super) fn perform(&self, state: &mut State, action: Action) -> Option<()> {
         match action {
             Action::StartElection(id) => start_election(state, id),
--- a/crates/raft/tests/quorum_contact.rs
+++ b/crates/raft/tests/quorum_contact.rs
@@ -33,7 +33,7 @@
                 cluster.run(500.0);
                 continue;
             }
-            // Some of these requests receive responses while the node is frozen.
+            // Some responses to this read and this proposal arrive while the node is frozen.
             cluster.read(&name);
             cluster.propose(&name);
             let before = f64::from(cluster.draw(4));
@@ -92,7 +92,7 @@
         let directions = [Direction::Both, Direction::Outgoing, Direction::Incoming];
         cluster.partition(&name, directions[seed as usize % 3]);
         let acknowledged = cluster.acknowledged.len();
-        // Contact is checked after each input during this time.
+        // Contact is checked after each input during the partition.
         cluster.run(20_000.0);
         assert!(
             cluster.acknowledged.len() > acknowledged,
--- a/crates/raft/tests/simulator/effects.rs
+++ b/crates/raft/tests/simulator/effects.rs
@@ -60,8 +60,8 @@
         });
     }
 
-    /// Checks that the installed state is the model's state at that index, and records the entries
-    /// that it covers as committed on the node.
+    /// Checks that the installed state is the model's state at the snapshot's index, and records
+    /// the entries that it covers as committed on the node.
     fn install_snapshot(&mut self, name: &str, snapshot: &Snapshot) {
         assert!(
             self.state_at(snapshot.index) == snapshot.state,
--- a/crates/raft/tests/simulator/faults.rs
+++ b/crates/raft/tests/simulator/faults.rs
@@ -44,7 +44,7 @@
         };
         node.raft = None;
         node.down_until = now + down;
-        // A machine that shuts down to be removed is still removed.
+        // A machine that shuts down to be removed is still removed if its process crashes before.
         node.shutdown = node
             .shutdown
             .filter(|shutdown| shutdown.after == AfterShutdown::Remove);
--- a/crates/raft/tests/simulator/inputs.rs
+++ b/crates/raft/tests/simulator/inputs.rs
@@ -34,7 +34,7 @@
         });
     }
 
-    /// Requests a read, which must see all commands that were acknowledged before.
+    /// Requests a read, which must see all commands that were acknowledged before the request.
     pub fn read(&mut self, name: &str) {
         let min_index = self.acknowledged.last().copied().unwrap_or(0);
         let (now, mut ready) = (self.now, Ready::default());
--- a/crates/raft/tests/simulator/node.rs
+++ b/crates/raft/tests/simulator/node.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 pub struct Node {
-    /// `None` while the process is down.
+    /// The Raft node; `None` while the process is down.
     pub raft: Option<Raft>,
     /// State that a restart would read: the synced updates, applied one by one.
     pub disk: PersistentState,
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy)]
 pub struct Acknowledgement {
     pub index: u64,
-    /// Term of that entry.
+    /// Term of the last entry that is acknowledged.
     pub entry_term: u64,
-    /// Term of the message.
+    /// Term of the message that contains the acknowledgement.
     pub message_term: u64,
 }
 
--- a/crates/raft/tests/simulator/scenarios.rs
+++ b/crates/raft/tests/simulator/scenarios.rs
@@ -172,7 +172,7 @@
     }
 
     /// Removes some machines for good, by a crash or a graceful shutdown, and adds others in their
-    /// place, before, at once or later.
+    /// place: before the removal, at once or later.
     pub fn replace_machines(&mut self) {
         let removed_names = self.draw_failures();
         let adds_first = self.random_bool(0.3);
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -165,8 +165,8 @@
     for seed in 0..20 {
         println!("seed {seed}");
         let mut cluster = Cluster::new(seed, 3, Variant::Correct);
-        // About ten chunks for each snapshot, and entries so large that few stay in memory after
-        // compaction.
+        // The sizes give about ten chunks for each snapshot, and entries so large that few stay in
+        // memory after compaction.
         cluster.payload_bytes = 50_000;
         cluster.state_bytes_per_entry = 20_000;
         cluster.check_interval = 50;
