--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -101,8 +101,8 @@
         let delay = follower
             .poll_timeout()
             .map_or(f64::INFINITY, |due| due - clock());
-        // One millisecond more: the runtime's timers have that resolution, and a wake-up before the
-        // deadline would do nothing.
+        // The wait is one millisecond longer: the runtime's timers have that resolution, and a
+        // wake-up before the deadline would do nothing.
         let delay = Duration::from_secs_f64((delay.clamp(0.0, 60_000.0) + 1.0) / 1000.0);
         tokio::select! {
             input = inputs.recv() => {
@@ -179,7 +179,7 @@
         while self.tasks.try_join_next().is_some() {}
         self.tasks.spawn_local(async move {
             let input = work.await;
-            // Fails only if `follow` has ended, which needs no input any more.
+            // Sending fails only if `follow` has ended, which needs no input any more.
             let _ = inputs.send((connection, input)).await;
         });
     }
@@ -229,7 +229,7 @@
                 let first = WatchRequest {
                     union: Some(watch_request::Union::Create(request)),
                 };
-                // Cannot fail: the channel is new and empty.
+                // Sending cannot fail: the channel is new and empty.
                 let _ = requests.try_send(first);
                 self.watch = Some(requests);
                 let (inputs, connection) = (self.inputs.clone(), self.connection);
--- a/crates/etcd/src/interface.rs
+++ b/crates/etcd/src/interface.rs
@@ -115,17 +115,17 @@
     LeaseTimeToLive {
         /// Id of the lease.
         lease: i64,
-        /// Seconds; -1 if the lease does not exist, `None` if the call failed.
+        /// Remaining seconds; -1 if the lease does not exist, `None` if the call failed.
         ttl: Option<i64>,
     },
     /// A call, the stream or the connection failed.
     Failed(Failure),
 }
 
-/// Why something failed.
+/// Why a connection, a call or a watch failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Failure {
-    /// The connection, a call or the watch failed for any other reason.
+    /// The connection, a call or the watch failed for a reason that no other variant names.
     #[error("{0}")]
     Unavailable(String),
     /// The token is invalid, expired, or older than the last change of users or roles.
@@ -152,7 +152,8 @@
             () if is(error::TOKEN) || is(error::OLD_AUTH) => Some(Failure::InvalidToken),
             () if is(error::COMPACTED) => Some(Failure::Compacted),
             () if is(error::PASSWORD) || is(error::DENIED) || is(error::NO_USER) => {
-                // Only the known part is kept; the rest of the text comes from a peer.
+                // Only the known part of the message is kept; the rest of the text comes from a
+                // peer.
                 let known = [error::PASSWORD, error::DENIED, error::NO_USER]
                     .into_iter()
                     .find(|known| is(known));
--- a/crates/etcd/tests/follower.rs
+++ b/crates/etcd/tests/follower.rs
@@ -11,7 +11,7 @@
     now: f64,
 }
 
-/// Outputs by kind.
+/// Outputs of the follower by kind.
 #[derive(Debug, Default)]
 struct Out {
     commands: Vec<Command>,
@@ -303,7 +303,7 @@
             .filter(|event| matches!(event, Event::Lost { source: 0 }))
             .count()
     };
-    // After a compaction, with no endpoint reachable from then on.
+    // The source is lost after a compaction, with no endpoint reachable from then on.
     let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     let compacted = WatchResponse {
         header: header(1, 9),
@@ -318,8 +318,8 @@
         0,
         "once"
     );
-    // After a change of the cluster, after a change of endpoints, and between the read and the
-    // watch.
+    // The source is lost after a change of the cluster, after a change of endpoints, and between
+    // the read and the watch.
     let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     assert_eq!(
         lost(&harness.input(1, page(1, 5, vec![]))),
@@ -529,7 +529,7 @@
 
 #[test]
 fn responses_of_a_member_that_is_behind_are_discarded() {
-    // A watch on it is left: another endpoint can be further ahead.
+    // A watch on a member that is behind is left: another endpoint can be further ahead.
     let mut harness = Harness::watching(Settings::with_defaults(0, 2, "/p"));
     harness.input(1, Input::Failed(Failure::Unavailable("reset".into())));
     harness.advance();
@@ -547,7 +547,8 @@
         "{out:?}"
     );
     assert!(!harness.follower.is_watching() && out.events.is_empty());
-    // A read from it is discarded: nodes that it lacks are not removed.
+    // A read from a member that is behind is discarded: nodes that the member lacks are not
+    // removed.
     let mut harness = Harness::watching(Settings::with_defaults(0, 1, "/p"));
     let compacted = WatchResponse {
         header: header(1, 9),
@@ -659,7 +660,7 @@
         ),
         "the same endpoint"
     );
-    // A second rejection in a row is reported like any other failure.
+    // A second rejection of the token in a row is reported like any other failure.
     harness.input(2, Input::Opened);
     assert_eq!(
         harness
@@ -785,7 +786,7 @@
     };
     let out = harness.input(1, changes((0..200).map(deleted).collect(), false));
     assert_eq!(out.commands.len(), 64, "lease queries in flight");
-    // A read of more nodes than the membership accepts.
+    // A full read has more nodes than the membership accepts.
     let mut harness = Harness::new(Settings::with_defaults(0, 1, "/p"));
     harness.advance();
     harness.input(1, Input::Opened);
@@ -803,7 +804,8 @@
     let Event::Snapshot { members, .. } = &out.events[0] else {
         panic!("{out:?}")
     };
-    // One more than the maximum, so that the membership can report that the list was truncated.
+    // The snapshot has one node more than the maximum, so that the membership can report that the
+    // list was truncated.
     assert_eq!(members.hosts.len(), max_nodes + 1);
 }
 
@@ -832,7 +834,7 @@
             false,
         ),
     );
-    // The nodes are removed at once, before the reason is known.
+    // The nodes are removed at once, before the reason for the removal is known.
     assert_eq!(out.events.len(), 1);
     let queries = out
         .commands
--- a/crates/etcd/tests/histories.rs
+++ b/crates/etcd/tests/histories.rs
@@ -1,6 +1,6 @@
 //! Random histories of a store, its members and the connections to them, run against the follower
-//! and the membership without sockets. Its events are checked against a log of all writes, which no
-//! compaction removes:
+//! and the membership without sockets. The follower's events are checked against a log of all
+//! writes, which no compaction removes:
 //!
 //! - a change has the last state of every node written since the previous event, and no other node;
 //! - a snapshot is the store at its revision;
@@ -503,7 +503,7 @@
             }
             10 => self.tokens += 1,
             _ if self.below(4) == 0 => {
-                // Another cluster, with its own history.
+                // Another cluster, with its own history, replaces the present one.
                 self.counts.clusters += 1;
                 self.clusters += 1;
                 self.store = Store::new(self.clusters);
--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -336,7 +336,7 @@
             put(&bed.etcd, id, "up");
         }
         bed.wait_until("three", |bed| bed.states().len() == 3).await;
-        // An empty cluster takes its config.
+        // An empty cluster takes the place of the first one.
         bed.etcd.with(|store| *store = Store::new(2));
         bed.members[0].break_off();
         bed.wait_until("the other cluster", |bed| {
@@ -458,7 +458,7 @@
         );
         bed.wait_until("the nodes", |bed| bed.states().len() == 600)
             .await;
-        // 9 MB in pages of up to 4 MiB.
+        // The 9 MB of nodes are read in pages of up to 4 MiB.
         assert!(bed.etcd.ranges() >= 3, "{}", bed.etcd.ranges());
         assert_eq!(
             bed.count_reports(|report| matches!(report, Report::Lost { .. })),
@@ -491,8 +491,8 @@
         bed.etcd.only("front", "secret");
         put(&bed.etcd, "a", "up");
         bed.wait_for_states(&[("a", Up)]).await;
-        // The same user, after a change of users: the open watch continues, and the next one needs
-        // a new token.
+        // The user is the same after a change of users: the open watch continues, and the next
+        // watch needs a new token.
         bed.etcd.only("front", "secret");
         put(&bed.etcd, "b", "up");
         bed.wait_for_states(&[("a", Up), ("b", Up)]).await;
--- a/crates/maplefall/benches/fronts.rs
+++ b/crates/maplefall/benches/fronts.rs
@@ -28,13 +28,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Profile {
     Http,
-    /// Callers are checked, with one credential for all: its verdict is cached.
+    /// Callers are checked, all with one credential, whose verdict is cached.
     AuthWarm,
     /// Callers are checked, with a new credential for each request.
     AuthMiss,
     Grpc,
     GrpcStream,
-    /// Without the gateway, to measure the cost of the test client and test service alone.
+    /// Calls go to the test service without the gateway, to measure the cost of the test client and
+    /// test service alone.
     GrpcDirect,
 }
 
@@ -50,9 +51,10 @@
 struct Measured {
     cpu_us: f64,
     writes: f64,
-    /// Includes the start and the warm-up; zero in a build that does not count allocations.
+    /// Allocations per request, with those of the start and the warm-up; zero in a build that does
+    /// not count allocations.
     allocations: f64,
-    /// Zero unless `STRACE` is set.
+    /// System calls; zero unless `STRACE` is set.
     syscalls: f64,
     rss_kib: f64,
     p50_us: u64,
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -43,11 +43,11 @@
     Onward(Vec<(HeaderName, HeaderValue)>),
     /// The service's own response, to be sent to the client.
     Denial {
-        /// Status.
+        /// Status of the response.
         status: StatusCode,
-        /// Headers, without those of the service's connection.
+        /// Headers of the response, without those of the service's connection.
         headers: Vec<(HeaderName, HeaderValue)>,
-        /// Body.
+        /// Body of the response.
         body: Bytes,
     },
 }
@@ -90,7 +90,7 @@
     gate: RefCell<Gate<AuthResponse>>,
     waiters: RefCell<HashMap<u64, Waiter>>,
     last_waiter_id: Cell<u64>,
-    /// By the key of the caller; at most as many as there are waiting requests.
+    /// Pending checks by the key of the caller; at most as many as there are waiting requests.
     pending_checks: RefCell<HashMap<Key, PendingCheck>>,
     /// Tasks of checks in flight.
     in_flight: RefCell<HashMap<CheckId, AbortHandle>>,
@@ -125,7 +125,8 @@
         for (at, server) in settings.servers.iter().enumerate() {
             pools.open(server_id(at), server.dial, 0.0);
         }
-        // Known to this process only: keys of one incarnation mean nothing in another.
+        // The secret of the keys is known to this process only: keys of one incarnation mean
+        // nothing in another.
         let secret = [seed.to_be_bytes(), process_secret()]
             .concat()
             .try_into()
@@ -203,7 +204,7 @@
     }
 
     /// Checks a caller. The decision is made by the end of the check's budget, which is before the
-    /// deadline.
+    /// request's deadline.
     pub async fn check(
         self: &Rc<Self>,
         caller: Caller,
@@ -321,7 +322,7 @@
             match output {
                 Output::Decided { request, decision } => {
                     if let Some(waiter) = self.remove_waiter(request) {
-                        // Fails if the client has disconnected.
+                        // Sending fails if the client has disconnected.
                         let _ = waiter.decision_sender.send(decision);
                     }
                 }
@@ -401,7 +402,8 @@
                 .connect(endpoint.dial)
                 .await
                 .map_err(|error| match error {
-                    // Not the server's fault; there may be capacity a moment later.
+                    // The local limit on connections is not the server's fault; there may be
+                    // capacity a moment later.
                     ConnectError::LocalLimit => Failure::ReusedConnection,
                     ConnectError::Unreachable => Failure::Server,
                 })?,
--- a/crates/maplefall/src/net/auth_settings.rs
+++ b/crates/maplefall/src/net/auth_settings.rs
@@ -13,9 +13,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The variable that names the file.
+/// The variable that names the settings file of forward authentication.
 pub const VARIABLE: &str = "MAPLEFALL_FORWARD_AUTH";
-/// Maximum number of servers.
+/// Maximum number of servers of the authentication service.
 const MAX_SERVERS: usize = 16;
 /// Maximum number of headers in a list.
 const MAX_HEADERS: usize = 32;
@@ -52,7 +52,7 @@
     pub servers: Vec<Server>,
     /// For each class, whether its callers are checked.
     pub checked: Vec<bool>,
-    /// Budgets, retries and the cache.
+    /// Settings of the checks: budgets, retries and the cache.
     pub gate: GateSettings,
     /// The headers that are forwarded in each direction.
     pub headers: Headers,
@@ -91,11 +91,11 @@
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 enum Mode {
-    /// Not checked.
+    /// Callers of the class are not checked.
     Off,
-    /// Checked; rejected if the service cannot be queried.
+    /// Callers of the class are checked, and rejected if the service cannot be queried.
     Closed,
-    /// Checked; admitted if the service cannot be queried.
+    /// Callers of the class are checked, and admitted if the service cannot be queried.
     Open,
 }
 
@@ -106,8 +106,8 @@
     Https,
 }
 
-/// Reads the file that the variable names, for classes of these names and idempotency; `None` if
-/// the variable is not set.
+/// Reads the settings file that [`VARIABLE`] names, for classes of these names and idempotency;
+/// `None` if the variable is not set.
 ///
 /// # Errors
 /// All errors, one per line.
@@ -123,7 +123,8 @@
         .map_err(|found| found.join("\n"))
 }
 
-/// Reads a file. Without the classes, the file's entries on classes are accepted as they are.
+/// Reads a settings file. Without the classes, the file's entries on classes are accepted as they
+/// are.
 ///
 /// # Errors
 /// All errors, each with the file's name and the field.
--- a/crates/maplefall/src/net/backends.rs
+++ b/crates/maplefall/src/net/backends.rs
@@ -64,11 +64,11 @@
     }
 }
 
-/// Reads responses.
+/// Reads the responses of backends.
 pub struct ResponseReader {
     /// Names of the metrics in load reports.
     pub metric_names: Vec<String>,
-    /// The metric of each name.
+    /// The metric of each name in `metric_names`.
     pub metrics: Vec<Metric>,
     /// Maximum units that a backend may charge for a request.
     pub max_units: f64,
@@ -193,7 +193,8 @@
     if declared_length.is_some_and(|length| length > MAX_RESPONSE_BYTES) {
         return None;
     }
-    // A chunked body declares no length: once it exceeds [`LONGEST_BODY`], the maximum is reserved.
+    // A chunked body declares no length: once it exceeds [`MAX_BODY_BYTES`], the maximum is
+    // reserved.
     let max_length = usize::try_from(declared_length.unwrap_or(MAX_RESPONSE_BYTES)).ok()?;
     if declared_length.is_some() && max_length <= MAX_BODY_BYTES {
         return Some(body.collect().await.ok()?.to_bytes());
--- a/crates/maplefall/src/net/backends/tests.rs
+++ b/crates/maplefall/src/net/backends/tests.rs
@@ -218,7 +218,7 @@
             SendMode::Immediate,
             &handle,
         );
-        // While the connection is being dialed.
+        // The backend drains and returns at another address while the connection is being dialed.
         let restart_elsewhere = async {
             pools.drain(id);
             pools.open(id, "127.0.0.1:9".parse().expect("an address"), 5.0);
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -16,7 +16,8 @@
 
 /// The variable that names the breakage.
 const VARIABLE: &str = "MAPLEFALL_BREAKAGE";
-/// How long changes of the list are delayed by [`Breakage::DrainLate`].
+/// How long changes of the list of backends are delayed by [`Breakage::DrainLate`], in
+/// milliseconds.
 pub const LATE_MS: u64 = 650;
 /// How long after the client's deadline a response is sent by [`Breakage::LateRejection`], in
 /// milliseconds.
@@ -47,7 +48,7 @@
     KeyNeverExpires,
     /// Drains and removals are ignored.
     DrainIgnored,
-    /// Changes of the list are applied late.
+    /// Changes of the list of backends are applied late.
     DrainLate,
     /// A backend that has just started is treated as warmed up.
     NoSlowStart,
@@ -81,7 +82,7 @@
     UsageNeverAges,
     /// An agent's list is applied whatever its version.
     OlderListWins,
-    /// A line with an invalid entry is ignored as a whole.
+    /// A line of the agent with an invalid entry is ignored as a whole.
     InvalidEntryDropsLine,
 }
 
@@ -212,7 +213,7 @@
     Rc::new(changed)
 }
 
-/// Returns the entry of the list for the decision module.
+/// Returns a backend's entry for the decision module.
 pub fn entry(mut entry: BackendEntry) -> BackendEntry {
     if is(Breakage::NoSlowStart) {
         entry.started = None;
@@ -220,7 +221,8 @@
     entry
 }
 
-/// Returns the update that replaces the roster's, if this breakage bypasses the roster.
+/// Returns the update that replaces the merged list's, if the enabled breakage bypasses the merged
+/// list.
 pub fn bypass_roster(event: &Event, roster: &EndpointList) -> Option<Update> {
     let changes = match event {
         Event::Snapshot { members, .. } | Event::Change { members, .. }
--- a/crates/maplefall/src/net/check.rs
+++ b/crates/maplefall/src/net/check.rs
@@ -48,7 +48,8 @@
         return vec!["the file: an object was expected".to_owned()];
     }
     let mut errors = Vec::new();
-    // Variables may replace these three; values in the file must be valid all the same.
+    // Variables may replace the name, the listen address and the address of discovery; values in
+    // the file must be valid all the same.
     for (path, address) in [("name", false), ("listen", true), ("discovery", true)] {
         match value.get(path).map(|value| value.as_str()) {
             None => {}
--- a/crates/maplefall/src/net/clients/connection.rs
+++ b/crates/maplefall/src/net/clients/connection.rs
@@ -20,9 +20,9 @@
 /// How to close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
-    /// After the pending response, or at once if there is none.
+    /// The connection is closed after the pending response, or at once if there is none.
     Graceful,
-    /// At once.
+    /// The connection is closed at once.
     Immediate,
 }
 
@@ -44,7 +44,7 @@
     pub address: IpAddr,
     /// Arrival of the first byte of the request that is being read.
     first_byte_at: Cell<Option<Millis>>,
-    /// Arrival of the last byte so far.
+    /// Arrival of the last byte received so far.
     last_byte_at: Cell<Millis>,
     /// Whether a complete request has arrived whose response is not ready yet.
     response_pending: Cell<bool>,
@@ -80,7 +80,7 @@
         self.first_byte_at.get().unwrap_or(self.last_byte_at.get())
     }
 
-    /// When the last byte so far arrived.
+    /// When the last byte received so far arrived.
     pub fn last_byte_at(&self) -> Millis {
         self.last_byte_at.get()
     }
--- a/crates/maplefall/src/net/clients/mod.rs
+++ b/crates/maplefall/src/net/clients/mod.rs
@@ -31,12 +31,13 @@
 
 /// Path of the readiness check, which the load balancer in front of the gateways calls.
 const HEALTH_PATH: &str = "/_health";
-/// New connections arrive for up to 0.4 s after SIGTERM; idle connections are kept until then.
+/// Time from SIGTERM until idle connections are closed: new connections arrive for up to 0.4 s
+/// after SIGTERM.
 const DRAIN_DELAY: Duration = Duration::from_millis(550);
 /// Maximum time from SIGTERM to the exit, beyond the longest deadline: SIGKILL is sent 0.7 s beyond
 /// that deadline.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(550);
-/// Time to accept connections that were opened just before the end.
+/// Time to accept connections that were opened just before the end of the shutdown.
 const ACCEPT_GRACE: Duration = Duration::from_millis(5);
 /// Delay after a failed accept, for example when the process has no descriptor left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -197,7 +198,8 @@
             self.handle_request(request, connection)
                 .await
                 .unwrap_or_else(|error| {
-                    // Later bytes on this connection cannot be trusted to be a request.
+                    // After a rejected request, later bytes on its connection cannot be trusted to
+                    // be a request.
                     close = true;
                     let mut response = Response::new(Full::new(Bytes::from(format!("{error}\n"))));
                     *response.status_mut() = error.status();
@@ -305,8 +307,8 @@
         body,
     } = auth_response
     else {
-        // Unreachable: the gate returns the verdict that it was given, so a denial has this
-        // variant.
+        // Unreachable: the gate returns the verdict that it was given, so a denied caller's
+        // response is an `AuthResponse::Denial`.
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::FORBIDDEN;
         return response;
--- a/crates/maplefall/src/net/clients/socket.rs
+++ b/crates/maplefall/src/net/clients/socket.rs
@@ -56,7 +56,8 @@
                 && breakages::is(breakages::Breakage::LateVerdictResponse))
         {
             let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
-            // If the socket's buffer is full, this response is written once only.
+            // The breakage writes the response a second time; if the socket's buffer is full, the
+            // response is written once only.
             let _ = self.stream.try_write(buf);
             return wrote;
         }
--- a/crates/maplefall/src/net/config.rs
+++ b/crates/maplefall/src/net/config.rs
@@ -77,7 +77,7 @@
 /// The configuration of a process.
 #[derive(Debug)]
 pub struct Config {
-    /// The name in the log.
+    /// The name of the process in the log.
     pub name: String,
     /// Address for clients.
     pub listen: SocketAddr,
@@ -110,8 +110,8 @@
             "BALANCER_DISCOVERY",
             &variable_or("BALANCER_DISCOVERY", &file.discovery),
         )?];
-        // After discovery has moved, one of the two may be the old address: the file's is used if
-        // the variable's does not respond.
+        // After discovery has moved, the variable or the file may hold the old address: the file's
+        // is used if the variable's does not respond.
         if let Ok(other) = file.discovery.parse() {
             if !discovery.contains(&other) {
                 discovery.push(other);
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -184,8 +184,8 @@
     }
 }
 
-/// Returns the quota of a customer of a plan. Plans beyond the 65,535th would share one; settings
-/// have at most 4,096.
+/// Returns the quota of a customer of a plan. Plans beyond the 65,535th would share a quota;
+/// settings have at most 4,096 plans.
 fn quota_of(customer: CustomerId, plan: PlanId) -> u64 {
     quota(u16::try_from(plan.0).unwrap_or(u16::MAX), customer.0)
 }
--- a/crates/maplefall/src/net/counts_settings.rs
+++ b/crates/maplefall/src/net/counts_settings.rs
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The variable that names the file.
+/// The variable that names the settings file of shared counts.
 pub const VARIABLE: &str = "MAPLEFALL_SHARED_COUNTS";
-/// Maximum number of seeds.
+/// Maximum number of seeds, the peers to contact first.
 const MAX_SEEDS: usize = 64;
 
 /// The settings of shared counts.
@@ -49,7 +49,7 @@
     forget_after_ms: Option<Millis>,
 }
 
-/// Reads the file that the variable names; `None` if the variable is not set.
+/// Reads the settings file that [`VARIABLE`] names; `None` if the variable is not set.
 ///
 /// # Errors
 /// All errors, one per line.
@@ -62,7 +62,7 @@
         .map_err(|found| found.join("\n"))
 }
 
-/// Reads a file.
+/// Reads a settings file.
 ///
 /// # Errors
 /// All errors, each with the file's name and the field.
--- a/crates/maplefall/src/net/discovery.rs
+++ b/crates/maplefall/src/net/discovery.rs
@@ -22,7 +22,7 @@
 use tokio::task::AbortHandle;
 
 /// Maximum number of buffered lines of all calls; a call with more waits. A line may be up to
-/// `LONGEST_LINE` long, so the bound keeps an agent that sends much from filling the memory.
+/// `MAX_LINE_BYTES` long, so the bound keeps an agent that sends much from filling the memory.
 const CALL_CHANNEL_CAPACITY: usize = 1;
 
 /// An event of a call.
@@ -83,7 +83,7 @@
                     let updates = updates.clone();
                     let task = tasks.spawn_local(async move {
                         let end = run_call(call, address, request, &updates).await;
-                        // Fails when the process ends.
+                        // Sending fails when the process ends.
                         let _ = updates.send((call, CallEvent::Ended(end))).await;
                     });
                     calls.insert(call, task);
--- a/crates/maplefall/src/net/driver/backend_list.rs
+++ b/crates/maplefall/src/net/driver/backend_list.rs
@@ -19,7 +19,8 @@
         self.apply_changes_now(&changes);
     }
 
-    /// Applies changes of the list of backends, after a delay if that is the breakage under test.
+    /// Applies changes of the list of backends, after a delay if the breakage under test delays
+    /// them.
     #[cfg(feature = "breakages")]
     pub fn apply_changes(self: &Rc<Self>, changes: Vec<Member>) {
         if !breakages::is(Breakage::DrainLate) {
--- a/crates/maplefall/src/net/driver/mod.rs
+++ b/crates/maplefall/src/net/driver/mod.rs
@@ -45,7 +45,7 @@
     pub names: Names,
     pools: Rc<Pools>,
     grpc_backends: grpc::Backends,
-    /// Set once before the first request, if usage is shared with peers.
+    /// The counts shared with peers; set once before the first request, if usage is shared.
     shared_counts: OnceCell<Rc<SharedCounts>>,
     response_reader: Rc<ResponseReader>,
     state: RefCell<State>,
@@ -125,7 +125,7 @@
 
     /// Enables sharing of usage with peers.
     pub fn enable_shared_counts(&self, counts: Rc<SharedCounts>) {
-        // A second call changes nothing.
+        // The shared counts can be set once: a second call changes nothing.
         let _ = self.shared_counts.set(counts);
     }
 
@@ -190,8 +190,8 @@
             Action::SetTimer { at, timer } => self.set_timer(at, TimerEvent::PolicyTimer(timer)),
             Action::CloseIdle(backend) => self.pools.close_idle(backend),
             Action::Log(text) => eprintln!("{text}"),
-            // Changes of the list are received without a subscription, and health checks are not
-            // permitted.
+            // Changes of the list of backends are received without a subscription, and health
+            // checks are not permitted.
             Action::Subscribe | Action::FetchBackends | Action::Probe(_) => {}
         }
     }
--- a/crates/maplefall/src/net/driver/requests.rs
+++ b/crates/maplefall/src/net/driver/requests.rs
@@ -170,7 +170,7 @@
     pub(super) fn send_response(&self, id: RequestId, answer: FinalResponse) {
         let mut state = self.state.borrow_mut();
         if let Some(sender) = state.take_response_sender(id) {
-            // Fails if the client has disconnected.
+            // Sending fails if the client has disconnected.
             let _ = sender.send(answer);
         }
         state.remove_if_finished(id);
--- a/crates/maplefall/src/net/driver/state.rs
+++ b/crates/maplefall/src/net/driver/state.rs
@@ -38,7 +38,8 @@
     pub(super) awaits_authorization: bool,
     /// The gRPC call, if the request arrived over gRPC.
     pub(super) call: Option<Rc<ProxiedCall>>,
-    /// Whether the response is being sent to the client: no other attempt can replace this one.
+    /// Whether the response is being sent to the client: no further attempt can replace the present
+    /// one.
     pub(super) response_started: bool,
 }
 
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -111,7 +111,8 @@
                 connection.close_to_new_calls();
                 continue;
             };
-            // The backend may have been removed or restarted at another address in the meantime.
+            // While the attempt waited for the connection, the backend may have been removed or
+            // restarted at another address.
             if context.pools.dial_address(to) != Some(connection.address()) {
                 return NOT_SENT.clone();
             }
@@ -153,7 +154,7 @@
     code: maplefall_grpc::Code::Unavailable,
     reason: "not sent",
 };
-/// The end if the attempt has reported its end already; it does so once only.
+/// The end for an attempt that has reported its end already, which it does once only.
 const ALREADY_ENDED: &End = &End {
     outcome: Outcome::Reset,
     code: maplefall_grpc::Code::Internal,
@@ -302,7 +303,7 @@
             (context.committed)();
         }
         context.call.wait_for_capacity().await;
-        // Fails if the stream is over and has no window left to open.
+        // Releasing capacity fails if the stream is over and has no window left to open.
         let _ = body.flow_control().release_capacity(length);
     }
     match body.trailers().await {
--- a/crates/maplefall/src/net/grpc/call_handler.rs
+++ b/crates/maplefall/src/net/grpc/call_handler.rs
@@ -43,7 +43,7 @@
             Err(CallRejection::Http(status)) => {
                 let mut response = Response::new(());
                 *response.status_mut() = status;
-                // Fails if the client has disconnected.
+                // Sending fails if the client has disconnected.
                 let _ = respond.send_response(response, true);
             }
             Err(CallRejection::Grpc(code, message)) => {
@@ -204,7 +204,7 @@
 struct PendingCallGuard<'a> {
     driver: &'a Rc<Driver>,
     call: &'a ProxiedCall,
-    /// `None` once the call has its status.
+    /// The call's request id; `None` once the call has its status.
     id: Option<RequestId>,
 }
 
--- a/crates/maplefall/src/net/grpc/connections.rs
+++ b/crates/maplefall/src/net/grpc/connections.rs
@@ -42,7 +42,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // If calls are in flight, the task runs until they end.
+        // If calls are in flight, the connection's task runs until they end.
         if self.calls.get() == 0 {
             self.task.abort();
         }
@@ -142,8 +142,8 @@
     /// Maximum units that a backend may charge for a call.
     pub(super) max_units: f64,
     connections: RefCell<HashMap<BackendId, Vec<Rc<Connection>>>>,
-    /// Locked by the attempt that dials a backend; other attempts wait for that connection instead
-    /// of dialing too.
+    /// A lock for each backend, held by the attempt that dials the backend; other attempts wait for
+    /// its connection instead of dialing too.
     dialing: RefCell<HashMap<BackendId, Rc<Mutex<()>>>>,
 }
 
--- a/crates/maplefall/src/net/grpc/server.rs
+++ b/crates/maplefall/src/net/grpc/server.rs
@@ -64,7 +64,7 @@
     /// Accepts connections for as long as the process runs.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
-            // Beyond the limit a connection waits in the kernel's backlog.
+            // Beyond the limit on connections a new one waits in the kernel's backlog.
             while self.connections.get() >= self.settings.connections {
                 tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
--- a/crates/maplefall/src/net/grpc/settings.rs
+++ b/crates/maplefall/src/net/grpc/settings.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The variable that names the file.
+/// The variable that names the settings file of gRPC proxying.
 pub const VARIABLE: &str = "MAPLEFALL_GRPC";
 
 /// The handling of a method's calls.
@@ -79,8 +79,8 @@
     Bidi,
 }
 
-/// Reads the file that the variable names, for classes of these names; `None` if the variable is
-/// not set.
+/// Reads the settings file that [`VARIABLE`] names, for classes of these names; `None` if the
+/// variable is not set.
 ///
 /// # Errors
 /// All errors, one per line.
@@ -93,7 +93,7 @@
         .map_err(|found| found.join("\n"))
 }
 
-/// Reads a file. Without the classes' names, any name of a class is accepted.
+/// Reads a settings file. Without the classes' names, any name of a class is accepted.
 ///
 /// # Errors
 /// All errors, each with the file's name and the field.
--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -144,7 +144,8 @@
         route: Route,
     ) -> Result<(f64, f64), CallRejection> {
         if !headers.contains_key(&API_TERMS) {
-            // Without the header, the customer's calls are spread over all gateways.
+            // Without the header for units and gateways, the customer's calls are spread over all
+            // gateways.
             return Ok((route.units, f64::from(self.settings.gateways.max(1))));
         }
         let terms = Terms::read(header_text(headers, &API_TERMS)?, self.settings)
@@ -196,7 +197,7 @@
     metadata
 }
 
-/// Reads the single message of a call, at most [`LONGEST_BODY`] bytes.
+/// Reads the single message of a call, at most [`MAX_BODY_BYTES`] bytes.
 ///
 /// # Errors
 /// There is not exactly one message, the message is too long, or the client has disconnected.
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -34,7 +34,7 @@
 /// Maximum number of log lines of all sources together in one window; further ones are only
 /// counted. Data that others write to a source may cause log lines.
 const MAX_LOG_LINES: u32 = 40;
-/// Length of that window.
+/// Length of the window in which log lines are counted.
 const LOG_WINDOW: Millis = 10_000.0;
 
 /// The sources of backends and the merged list.
@@ -148,8 +148,8 @@
                     .collect()
             };
             let (target, temporary) = (path.clone(), path.with_extension("new"));
-            // Runs on another thread, so that a slow disk delays no request. The file is replaced
-            // by a rename, so it is complete at any time.
+            // The write runs on another thread, so that a slow disk delays no request. The file is
+            // replaced by a rename, so it is complete at any time.
             let written = tokio::task::spawn_blocking(move || {
                 std::fs::write(&temporary, serde_json::to_vec(&memberships)?)?;
                 std::fs::rename(&temporary, &target)
@@ -262,7 +262,7 @@
                     one_line(&report.to_string())
                 ));
             }
-            // `discovery` makes the calls.
+            // The module `discovery` makes the agent's calls.
             maplefall_discovery_agent::Output::OpenCall { .. }
             | maplefall_discovery_agent::Output::CloseCall(_) => {}
         }
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -43,7 +43,7 @@
 /// Interval at which a configuration that could not be used at SIGHUP is read again. Its writer is
 /// done within a minute.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Maximum number of such reads.
+/// Maximum number of times that an unusable configuration is read again after one SIGHUP.
 const MAX_RELOAD_RETRIES: u32 = 300;
 
 /// Serves until a SIGTERM has been handled.
@@ -52,7 +52,8 @@
 /// One line: the setting that cannot be used, or the address that cannot be bound.
 pub async fn run() -> Result<(), String> {
     let no_signal_handler = |error| format!("cannot install signal handlers: {error}");
-    // Installed first: until then, both signals end the process.
+    // The handlers of SIGHUP and SIGTERM are installed first: until then, both signals end the
+    // process.
     let hangup = signal(SignalKind::hangup()).map_err(no_signal_handler)?;
     let terminate = signal(SignalKind::terminate()).map_err(no_signal_handler)?;
     let config = Config::from_env().map_err(|error| error.to_string())?;
@@ -246,7 +247,7 @@
     match config {
         Ok(address) => {
             eprintln!("{name}: discovery is at {address}");
-            // Also if the address is the same: the watch is opened again.
+            // The address is sent even if it is the same: the watch is opened again.
             agent_address.send_replace(address);
         }
         Err(error) if signalled => eprintln!("{name}: the old configuration goes on: {error}"),
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -42,7 +42,7 @@
     /// The body has no `Content-Length`.
     #[error("a body must tell its length")]
     LengthRequired,
-    /// The body is longer than [`LONGEST_BODY`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     #[error("the body is too long")]
     BodyTooLong,
     /// The body was not complete in time.
@@ -168,8 +168,8 @@
 }
 
 impl Terms {
-    /// Parses the header; `None` for values beyond the settings, which the decision module would
-    /// clamp and serve.
+    /// Parses the terms in a header; `None` for values beyond the limits in the settings, which the
+    /// decision module would clamp and serve.
     pub fn read(text: &str, settings: &Settings) -> Option<Terms> {
         let gateway_limit = settings.gateways.max(1);
         let (mut units, mut gateways, mut first) = (None, None, None);
--- a/crates/maplefall/src/net/sources.rs
+++ b/crates/maplefall/src/net/sources.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-/// The variable that names the file.
+/// The variable that names the settings file of sources.
 pub const VARIABLE: &str = "MAPLEFALL_SOURCES";
 /// Maximum number of sources.
 const MAX_SOURCES: usize = 8;
--- a/crates/maplefall/tests/drains.rs
+++ b/crates/maplefall/tests/drains.rs
@@ -159,7 +159,8 @@
     second_watch.send_line(&member_list(&bed, 9, false, &["draining"]));
     bed.watch.expect_end();
     TrafficProbe::new(&bed.program, &bed.backends).send_until_all_reach(1);
-    // Not before a heartbeat was missed; there is no upper bound, since the machine may be slow.
+    // The second request is not sent before a heartbeat was missed; there is no upper bound, since
+    // the machine may be slow.
     assert!(
         reopened_after.as_secs_f64() > 2.0,
         "second request after {reopened_after:?}"
--- a/crates/maplefall/tests/forward_auth.rs
+++ b/crates/maplefall/tests/forward_auth.rs
@@ -103,7 +103,8 @@
         urls.join(", ")
     );
     std::fs::write(&path, text).unwrap();
-    // No discovery agent listens there; the gateway needs only the list that it starts with.
+    // No discovery agent listens at this address; the gateway needs only the list that it starts
+    // with.
     let no_agent: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let variables = [("MAPLEFALL_FORWARD_AUTH", path.as_str())];
     let program = Program::start_with_variables(
@@ -241,8 +242,9 @@
         assert!(statuses[&429] >= 190, "{statuses:?}");
         assert!(bed.auth.checks() <= 10, "{} checks", bed.auth.checks());
         // Denied requests take nothing from the quota, but checks count, and beyond three times the
-        // quota no more checks are made: with a half-life of sixteen bursts (64 s) the penalty box
-        // closes at 3 x 0.5 x 64 s / ln 2 and a burst of 2, 141 units in a moment.
+        // quota no more checks are made: with a quota of 0.5 units/s, a burst of 2 units and a
+        // half-life of sixteen bursts (64 s), the penalty box closes at 3 x 0.5 x 64 / ln 2 + 2 =
+        // 141 units in a moment.
         for n in 0..400 {
             let text = request(&format!("g{n}"), "read", &format!("c{n}"), "8");
             let text = text
@@ -427,7 +429,7 @@
                         .await
                         .unwrap_or_else(|error| panic!("{id}: {error:?}"));
                     let took = started.elapsed();
-                    // A second response would arrive before the next request's.
+                    // A second response would arrive before the response to the next request.
                     assert_eq!(link.pending(), 0, "{id}: more than one response");
                     seen.push(Outcome {
                         id,
@@ -482,7 +484,8 @@
             match (seen.status, seen.allowed) {
                 (401, true) => panic!("{} was denied although its caller is allowed", seen.id),
                 (200, false) => {
-                    // Only the class that is set to fail open, and then without a caller's name.
+                    // For a denied caller only the class that is set to fail open is served, and
+                    // then without the caller's name.
                     assert_eq!(
                         seen.class, 0,
                         "{} was forwarded although its caller is denied",
--- a/crates/maplefall/tests/grpc/connections.rs
+++ b/crates/maplefall/tests/grpc/connections.rs
@@ -57,7 +57,7 @@
                 match seen.code() {
                     Some(0) => served += 1,
                     Some(2) if seen.trailer("grpc-retry-pushback-ms") == Some("-1") => failed += 1,
-                    // Rejected by both, or with no third attempt left.
+                    // Both backends rejected the call, or no third attempt was left.
                     Some(14) => rejected += 1,
                     _ => panic!("{seen:?}"),
                 }
@@ -83,7 +83,7 @@
             unresponsive.local_addr().unwrap(),
             healthy.local_addr().unwrap(),
         ];
-        // The kernel accepts connections to it; nothing ever responds.
+        // The kernel accepts connections to the unresponsive backend; nothing ever responds.
         let service = Service::new(1);
         tokio::task::spawn_local(service.clone().serve(healthy));
         let (_program, grpc) = start(&addresses, "", &[], settings_without_quota());
--- a/crates/maplefall/tests/grpc/harness.rs
+++ b/crates/maplefall/tests/grpc/harness.rs
@@ -122,7 +122,8 @@
         .enumerate()
         .map(|(n, address)| member(&format!("s-{n}"), *address, "up"))
         .collect();
-    // No discovery agent listens there; the gateway needs only the list that it starts with.
+    // No discovery agent listens at this address; the gateway needs only the list that it starts
+    // with.
     let no_agent: SocketAddr = "127.0.0.1:9".parse().unwrap();
     start_known(
         lines,
@@ -133,7 +134,7 @@
     )
 }
 
-/// Starts a gateway with this list and this discovery address.
+/// Starts a gateway with this list of backends and this discovery address.
 pub fn start_known(
     lines: &str,
     extra_variables: &[(&str, &str)],
--- a/crates/maplefall/tests/grpc/mixed_faults.rs
+++ b/crates/maplefall/tests/grpc/mixed_faults.rs
@@ -60,8 +60,8 @@
         let mut codes: BTreeMap<u8, usize> = BTreeMap::new();
         let mut retried = 0;
         for (id, path, seen) in &all {
-            // One status, from the gateway, in time: the test client would have reported a reset or
-            // a second status.
+            // Each call has one status, from the gateway, in time: the test client would have
+            // reported a reset or a second status.
             let code = seen
                 .code()
                 .unwrap_or_else(|| panic!("{id} {path}: no status: {seen:?}"));
--- a/crates/maplefall/tests/grpc/pass_through.rs
+++ b/crates/maplefall/tests/grpc/pass_through.rs
@@ -331,7 +331,7 @@
             )
             .await;
         assert_eq!(found.unwrap().into_inner().kvs[0].value, b"7");
-        // An error of the service with its own message.
+        // The service returns an error with its own message.
         client.ready().await.unwrap();
         let codec: ProstCodec<PutRequest, PutResponse> = ProstCodec::default();
         let empty = PutRequest {
@@ -348,7 +348,7 @@
             .unwrap_err();
         assert_eq!(error.code(), Code::InvalidArgument, "{error:?}");
         assert!(error.message().contains("key"), "{error:?}");
-        // A method without a route.
+        // A method without a route is rejected.
         client.ready().await.unwrap();
         let codec: ProstCodec<PutRequest, PutResponse> = ProstCodec::default();
         let path = PathAndQuery::from_static("/etcdserverpb.Lease/LeaseGrant");
@@ -357,7 +357,7 @@
             .await
             .unwrap_err();
         assert_eq!(error.code(), Code::Unimplemented, "{error:?}");
-        // Bidirectional: a request for a watch, then changes as they occur.
+        // A bidirectional call: a request for a watch, then changes as they occur.
         client.ready().await.unwrap();
         let (requests, request_stream) = tokio::sync::mpsc::channel(4);
         let create = WatchCreateRequest {
--- a/crates/maplefall/tests/grpc/raw_backend.rs
+++ b/crates/maplefall/tests/grpc/raw_backend.rs
@@ -15,8 +15,8 @@
         let bytes = response(connections);
         connections += 1;
         let mut received = Vec::new();
-        // An empty SETTINGS frame; then the given bytes, once the call is complete (END_STREAM on
-        // its DATA).
+        // Sends an empty SETTINGS frame, then the given bytes, once the call is complete
+        // (END_STREAM on its DATA).
         stream
             .write_all(&[0, 0, 0, 4, 0, 0, 0, 0, 0])
             .await
--- a/crates/maplefall/tests/grpc/retries.rs
+++ b/crates/maplefall/tests/grpc/retries.rs
@@ -93,7 +93,7 @@
             .trailer("grpc-message")
             .unwrap()
             .contains("harmless"));
-        // Over quota, with advice when to retry.
+        // Calls over the quota are rejected with advice when to retry.
         let client = bed.client().await;
         let mut advised = 0;
         for n in 0..50 {
@@ -193,8 +193,8 @@
     });
 }
 
-/// The deadline may expire before the backend's status: the status may be `OK` by then, and the
-/// client gets its own by the deadline.
+/// The deadline may expire before the backend sends its status: that status may be `OK` by then,
+/// and the client gets a status by the deadline.
 #[test]
 fn status_after_the_deadline_does_not_count() {
     run(async {
@@ -206,8 +206,8 @@
             Fault::NoResponse,
         ] {
             for path in [CHARGE, WATCH] {
-                // One gateway for each: a backend that has been late would get no more requests for
-                // a while.
+                // Each call has a gateway of its own: a backend that has been late would get no
+                // more requests for a while.
                 let bed = test_bed(1, "");
                 seen.spawn_local(async move {
                     bed.faults(&[(fault, 1.0)]);
@@ -218,8 +218,8 @@
         }
         while let Some(seen) = seen.join_next().await {
             let (fault, path, attempts, seen) = seen.unwrap();
-            // A rejection where the call may run again, otherwise a status that does not invite a
-            // retry.
+            // The status is a rejection where the call may run again, otherwise one that does not
+            // invite a retry.
             let expected = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
             assert!(expected && attempts == 1, "{fault:?} {path} {seen:?}");
             assert!(
--- a/crates/maplefall/tests/grpc/slow_clients.rs
+++ b/crates/maplefall/tests/grpc/slow_clients.rs
@@ -17,7 +17,7 @@
 
 const CANCEL: u32 = 8;
 const INTERNAL_ERROR: u32 = 2;
-/// Smaller than a message.
+/// Flow control window in bytes, smaller than a message.
 const SMALL_WINDOW: u32 = 1000;
 const MESSAGE_BYTES: usize = 5000;
 /// How late a status may be on a busy machine.
@@ -101,14 +101,15 @@
     });
 }
 
-/// A backend stalls within a stream: the messages before reach the client, and the status does at
-/// its deadline.
+/// A backend stalls within a stream: the messages before the stall reach the client, and the status
+/// does at the call's deadline.
 #[test]
 fn messages_of_a_stalled_stream_are_delivered() {
     run(async {
         let late = Duration::from_secs(5);
         for path in [WATCH, WATCH_CHARGE] {
-            // One gateway for each: a backend that has stalled gets no more requests for a while.
+            // Each call has a gateway of its own: a backend that has stalled gets no more requests
+            // for a while.
             let bed = test_bed(1, "");
             bed.faults(&[(Fault::LateTrailers(late), 1.0)]);
             let seen = bed.client().await.call(&call("q", path, "1S")).await;
@@ -117,7 +118,7 @@
                 (3, 0),
                 "{seen:?}"
             );
-            // A rejection where the call may run again, as in
+            // The status is a rejection where the call may run again, as in
             // `status_after_the_deadline_does_not_count`.
             let expected = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
             assert!(expected, "{seen:?}");
@@ -154,7 +155,7 @@
             seen.truncated_bytes
         );
         assert!(seen.took < read_delay + MAX_LATENESS, "{:?}", seen.took);
-        // Within the deadline the response is complete.
+        // A client that reads late but within its deadline gets the complete response.
         watch
             .headers
             .retain(|(name, _)| name != "request-id" && name != "grpc-timeout");
--- a/crates/maplefall/tests/http/process.rs
+++ b/crates/maplefall/tests/http/process.rs
@@ -5,7 +5,7 @@
 use std::process::ExitStatus;
 
 /// On SIGTERM accepted requests are answered, connections are accepted for a while longer,
-/// responses close theirs, and the program exits with 0.
+/// responses close their connections, and the program exits with 0.
 #[test]
 fn sigterm_answers_accepted_requests_and_exits_with_0() {
     let mut bed = TestBed::new(1);
@@ -111,7 +111,7 @@
         (first_line == "GET /catalog/members?watch=1&from=8 HTTP/1.1")
             .then(|| bed.watch.expect_end())
     });
-    // Requests accepted before are answered.
+    // Requests accepted before the reload are answered.
     backend.respond(200, "", "kept");
     assert_eq!(client.read().body, b"kept");
 }
--- a/crates/maplefall/tests/http/responses.rs
+++ b/crates/maplefall/tests/http/responses.rs
@@ -128,7 +128,7 @@
     let long = "0123456789abcdef".repeat(25_000);
     client.write(request_of("id-0", "charge", "wide", LONG_TIMEOUT));
     let mut backend = bed.backends[0].accept();
-    // More than fits into memory together.
+    // All responses together are more than fits into memory.
     for number in 1..=200 {
         backend.read();
         if number % 2 == 0 {
--- a/crates/maplefall/tests/membership.rs
+++ b/crates/maplefall/tests/membership.rs
@@ -133,7 +133,7 @@
     cluster.put("b", backends[1].address(), "up");
     cluster.put("a", backends[0].address(), "draining");
     probe.send_until_all_reach(1);
-    // The member stays down; the file names another one.
+    // The first member of etcd stays down; the file of sources names another one.
     std::fs::write(&sources, cluster.source(&[1])).expect("a file");
     cluster.members[0].down(true);
     program.reload(&program.config.to_string());
@@ -306,8 +306,8 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
         .as_secs_f64();
-    // A start within the next minute: machines share one clock, but the test does not wait for that
-    // time.
+    // The backend's start is within the next minute: machines share one clock, but the test does
+    // not wait for that time.
     let started_ms = (now + 60.0) * 1000.0;
     let list = |seq, whole, states: [&str; 2], started_ms: [f64; 2]| {
         let host = |n: usize| {
--- a/crates/maplefall/tests/sockets/agent_watch.rs
+++ b/crates/maplefall/tests/sockets/agent_watch.rs
@@ -12,8 +12,8 @@
     writer: Arc<Mutex<Option<TcpStream>>>,
 }
 
-/// Well below the two seconds after which the gateway polls an agent without heartbeats, also on a
-/// slow machine.
+/// Interval between heartbeats, well below the two seconds after which the gateway polls an agent
+/// without heartbeats, also on a slow machine.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl AgentWatch {
@@ -24,7 +24,8 @@
         let writer = Arc::new(Mutex::new(Some(writer)));
         let heartbeat_writer = writer.clone();
         std::thread::spawn(move || {
-            // Stops when the watch is dropped or the gateway has closed the connection.
+            // The heartbeats stop when the watch is dropped or the gateway has closed the
+            // connection.
             while heartbeat_writer
                 .lock()
                 .unwrap()
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -16,7 +16,7 @@
 /// The state of a backend in one source.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Record {
-    /// The entry. That of a removed backend is kept, as it is a stop.
+    /// The backend's entry. The entry of a removed backend is kept, as it is a stop.
     pub(crate) member: Member,
     /// For a stop: the latest start known when it was received.
     pub(crate) stopped_up_to: Millis,
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -109,7 +109,7 @@
     let mut endpoints = agent_and_etcd();
     endpoints.apply_event(0.0, snapshot(ETCD, 10, &[backend("a", Up, 0.0)]));
     endpoints.apply_event(1.0, change(ETCD, 12, &[backend("a", Draining, 0.0)]));
-    // An old event on a second stream, and a snapshot of a lagging replica.
+    // An old event on a second stream, and a snapshot of a lagging replica, are ignored.
     assert_eq!(
         changes(&endpoints.apply_event(2.0, change(ETCD, 11, &[backend("a", Up, 0.0)]))),
         []
@@ -206,7 +206,8 @@
         .map(|host| backend(host, Up, 0.0))
         .into();
     endpoints.apply_event(0.0, snapshot(0, 1, &all));
-    // A snapshot can lack half; a drain in a snapshot that lacks more is applied at once too.
+    // A snapshot can lack half of the backends; a drain in a snapshot that lacks more than half is
+    // applied at once too.
     let update = endpoints.apply_event(1.0, snapshot(0, 2, &[backend("a", Draining, 0.0)]));
     assert_eq!(changes(&update), [("a", Draining)]);
     assert_eq!(
@@ -453,7 +454,7 @@
     assert_eq!(states(&endpoints), [("a", Draining), ("b", Up)]);
 }
 
-/// Rule 4: lost sources.
+/// Rule 4: backends of a lost source expire only while another source is connected.
 #[test]
 fn backends_of_a_lost_source_expire_only_while_another_is_connected_and_return_with_it() {
     let expiry_timeout = 1000.0;
@@ -499,7 +500,7 @@
     assert_eq!(endpoints.next_due(), None);
 }
 
-/// Rule 5: a shared address.
+/// Rule 5: of two backends at one address, the one that started last owns the address.
 #[test]
 fn the_backend_that_started_last_owns_an_address() {
     let at_shared_address = |host: &str, born| Member {
