--- a/crates/maplefall/src/net/grpc/validation.rs
+++ b/crates/maplefall/src/net/grpc/validation.rs
@@ -144,7 +144,8 @@
         route: Route,
     ) -> Result<(f64, f64), CallRejection> {
         if !headers.contains_key(&API_TERMS) {
-            // Without the header, the customer's calls are spread over all gateways.
+            // Without the header for units and gateways, the customer's calls are spread over all
+            // gateways.
             return Ok((route.units, f64::from(self.settings.gateways.max(1))));
         }
         let terms = Terms::read(header_text(headers, &API_TERMS)?, self.settings)
