--- a/crates/load-estimators/src/backend.rs
+++ b/crates/load-estimators/src/backend.rs
@@ -47,8 +47,8 @@
 /// Findings of [`BackendEstimator::finish`], besides the estimates that it updates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finished {
-    /// Whether no other attempt at the backend had ended since this one was sent: its other
-    /// connections may be dead too.
+    /// Whether no other attempt at the backend had ended since this one was sent: the backend's
+    /// other connections may be dead too.
     pub was_unresponsive: bool,
     /// The load at which the attempt was sent, if its time counts as a measurement of the service
     /// time.
--- a/crates/load-estimators/src/backpressure.rs
+++ b/crates/load-estimators/src/backpressure.rs
@@ -74,7 +74,8 @@
     /// stable.
     pub fn record_response(&mut self, now: Millis, target: Millis, gateways: u32, fraction: f64) {
         let step = FRACTION_STEP * ((now - self.response_at) / target).min(1.0);
-        // With one or two gateways, each sees much of the queues in its own load.
+        // With one or two gateways, each sees much of the queues in its own load, so a longer mean
+        // response time is stable.
         let stable = STABLE_LATENCY * (1.0 + 1.0 / f64::from(gateways.max(1)).powi(2));
         let change = step * (1.0 - fraction / stable);
         self.admitted_fraction = (self.admitted_fraction + change).clamp(MIN_FRACTION, 1.0);
--- a/crates/load-estimators/src/health.rs
+++ b/crates/load-estimators/src/health.rs
@@ -5,8 +5,9 @@
 
 /// Half-life of a fault score without new results, in latency targets.
 const FAULT_HALFLIFE_TARGETS: f64 = 4.0;
-/// Half-life of the fault score of one class, in latency targets. It is longer, because the request
-/// that shows whether the backend still does not respond to the class loses all of its time.
+/// Half-life of the fault score of one class, in latency targets. It is longer than that of the
+/// other fault scores, because the request that shows whether the backend still does not respond to
+/// the class loses all of its time.
 const CLASS_FAULT_HALFLIFE_TARGETS: f64 = 8.0;
 /// Fault score up to which a backend counts as healthy, so that it gets requests again after a
 /// fault.
--- a/crates/load-estimators/src/retry_budget.rs
+++ b/crates/load-estimators/src/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// Number of slots in which the events of a window are counted.
+/// Number of time slots in which the events of a window are counted.
 const SLOTS: usize = 10;
 
 /// How many retries a gateway earns and accumulates.
@@ -105,7 +105,7 @@
         if window <= 0.0 {
             return 0.0;
         }
-        // The oldest slot that overlaps the window began before it, and is not counted.
+        // The oldest slot that overlaps the window began before the window, and is not counted.
         let oldest = slot_number(now, window) - SLOTS as i64 + 1;
         let oldest_kept = self.newest - SLOTS as i64 + 1;
         (oldest.max(oldest_kept)..=self.newest)
--- a/crates/load-estimators/tests/retry_budget.rs
+++ b/crates/load-estimators/tests/retry_budget.rs
@@ -130,7 +130,7 @@
 
 /// The maximum number of retries in a window beyond the fleet's budget (requirement BUDGET). The
 /// budget is `SHARE` times the requests of that window, of the one before it or of the one half a
-/// window before it, whichever has the most requests, plus `slack` retries.
+/// window before it, whichever has the most requests, plus `slack` retries that need no request.
 fn max_excess(traffic: &Traffic, slack: f64) -> f64 {
     let ends = traffic.retries.iter();
     ends.map(|end| {
--- a/crates/policy/src/backend.rs
+++ b/crates/policy/src/backend.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Backend {
     pub(crate) entry: BackendEntry,
     pub(crate) estimator: BackendEstimator<RequestId>,
-    /// Requests that are due to the backend in slow start: from 1 on, it may get the next one.
+    /// Number of requests due to the backend in slow start; from 1 on, it may get the next request.
     pub(crate) credit: f64,
     /// Position in the gateway's random order of preference, drawn once; the lowest are preferred.
     pub(crate) position: f64,
@@ -33,7 +33,8 @@
     }
 
     /// Replaces the backend's list entry by that of `fresh`. If the backend was restarted, its
-    /// measurements and its credit are reset; its position and the attempts in flight stay.
+    /// measurements and its credit are reset; its position in the order of preference and the
+    /// attempts in flight stay.
     pub(crate) fn update(&mut self, now: Millis, fresh: &Backend) {
         if self.entry.started != fresh.entry.started {
             self.estimator.reset(now);
--- a/crates/policy/src/gateway/attempts.rs
+++ b/crates/policy/src/gateway/attempts.rs
@@ -15,7 +15,7 @@
         last.min(pending.arrived_at + class.latency_target)
     }
 
-    /// Returns when a response counts as slow, before its timeout: queues fill up long before that.
+    /// Returns when a response counts as slow: queues at backends fill up long before its timeout.
     pub(super) fn slow_at(&self, pending: &Pending) -> Millis {
         let size = (pending.request.units / self.typical_units.max(0.01)).max(1.0);
         pending.ready_at
--- a/crates/policy/src/gateway/customers.rs
+++ b/crates/policy/src/gateway/customers.rs
@@ -110,7 +110,7 @@
     fn admit(&mut self, request: &Request, max_idle: Millis) -> Result<BackendId, Rejection> {
         let now = self.now;
         let started_at = self.started_at.unwrap_or(now);
-        // A customer that was evicted may have used up its share of the rate limit just before.
+        // A customer may have used up its share of the rate limit just before it was evicted.
         let unseen_since = started_at.max(now - max_idle);
         let quota = self.quota_share(request);
         let service_time = self.prior().per_unit / 1000.0;
@@ -298,7 +298,7 @@
     fn refill(&self, customer: &mut Customer, usage: Usage) {
         let quota = &self.quota;
         let elapsed = (self.now - customer.refilled_at).max(0.0) / 1000.0;
-        // The average starts at 0, so a new gateway's covers only a part of its time window.
+        // The average starts at 0, so in a new gateway it covers only a part of its time window.
         let covered = 1.0 - (-quota.lambda * self.gateway_age).exp();
         let recent = customer.average.rate(self.now, quota.lambda);
         let recent = recent / covered.max(MIN_AVERAGE_COVERAGE);
@@ -324,7 +324,7 @@
         customer.refilled_at = self.now;
     }
 
-    /// Checks the penalty box: while the recent average is over its limit, rejects all requests.
+    /// Checks the penalty box: rejects a customer while its recent average is over the limit.
     fn check_penalty_box(&self, customer: &Customer, usage: Usage) -> Verdict {
         let quota = &self.quota;
         let mut rate = customer.average.rate(self.now, quota.lambda);
@@ -385,8 +385,8 @@
         let is_covered = self.balance.is_some_and(|balance| units <= balance.min);
         if missing > 0.0 && !is_covered {
             let mut wait = 1000.0 * missing / self.quota.even_rate;
-            // The retry may arrive at another gateway, whose slice may cover it; the longer it
-            // waits, the less a response is worth.
+            // The advised wait is limited: the retry may arrive at another gateway, whose slice may
+            // cover it, and the longer the client waits, the less a response is worth.
             if self.request.gateways > 1.0 {
                 wait = wait.min(MAX_SLICE_RETRY_TARGETS * self.target);
             }
--- a/crates/policy/src/gateway/mod.rs
+++ b/crates/policy/src/gateway/mod.rs
@@ -20,14 +20,14 @@
 use rand_pcg::Pcg32;
 use std::f64::consts::LN_2;
 
-/// The penalty box closes at this multiple of the quota rate, plus the burst (CEWMA paper).
+/// The penalty box rejects above this multiple of the quota rate, plus the burst (CEWMA paper).
 const PENALTY_BOX_LIMIT_FACTOR: f64 = 3.0;
 /// A slice is refilled at up to this multiple of the local recent rate (CEWMA paper).
 const REFILL_FACTOR: f64 = 2.0;
 /// A slice holds at least this many requests of the largest size (CEWMA paper).
 const MIN_SLICE_REQUESTS: f64 = 2.0;
-/// Half-life of the recent average, in burst lengths (CEWMA paper: at least 1). A lasting flood
-/// should close the box; a spike with its retries should not: slices hold it to the quota already.
+/// Half-life of the recent average, in burst lengths (CEWMA paper: at least 1). The penalty box
+/// should reject a lasting flood, not a spike with retries: slices hold it to the quota already.
 const AVERAGE_HALFLIFE_BURSTS: f64 = 16.0;
 /// Half-life of a customer's usage estimates other than the recent average, in burst lengths.
 const USAGE_HALFLIFE_BURSTS: f64 = 4.0;
@@ -103,8 +103,8 @@
     }
 }
 
-/// Returns how long the penalty box stays closed, until the `recent` average rate has decayed;
-/// `None` if it is open. `rate` and `burst` are the quota's.
+/// Returns for how long the penalty box rejects all requests: until the `recent` average rate has
+/// decayed; `None` if it admits them. `rate` and `burst` are the quota's.
 pub(crate) fn penalty_box_wait(recent: f64, rate: f64, burst: f64, lambda: f64) -> Option<Millis> {
     let limit = PENALTY_BOX_LIMIT_FACTOR * rate + 1000.0 * lambda * burst;
     (recent > limit).then(|| (recent / limit).ln() / lambda)
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -408,7 +408,8 @@
 pub enum RejectReason {
     /// The settings have no such plan or class.
     Unknown,
-    /// The penalty box is closed: the customer's recent average rate is over the limit.
+    /// All requests are rejected: the customer's recent average rate is over the penalty box's
+    /// limit.
     PenaltyBox,
     /// The quota is used up, according to the reports of other gateways.
     QuotaExhausted,
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -35,7 +35,7 @@
 /// Why a tenant's request is rejected, and after how many milliseconds a retry may be admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaRejection {
-    /// The penalty box is closed: the tenant's recent average rate is over the limit.
+    /// All requests are rejected: the tenant's recent average rate is over the penalty box's limit.
     PenaltyBox(Millis),
     /// This proxy's bucket is empty.
     Bucket(Millis),
@@ -79,7 +79,7 @@
         let evicted = self.tenants.sweep(now, EVICT_AFTER_MS / 4.0, |tenant| {
             now - tenant.last_arrival < EVICT_AFTER_MS
         });
-        // A tenant that was evicted may return, and its bucket may have been empty.
+        // After an eviction, buckets start empty: a returning tenant's may have been empty before.
         self.starts_full &= evicted == 0;
         let tokens = if self.starts_full { f64::INFINITY } else { 0.0 };
         let fresh = Tenant {
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -67,15 +67,15 @@
     (0..4000).for_each(|i| {
         harness.serve(1.0, request(i, 0, 1.0));
     });
-    // The slice holds units again after one second, but the penalty box is closed for
+    // The slice holds units again after one second, but the penalty box rejects all requests for
     // 32 s log2(87 / 30.4) = 48.3 s.
     assert!(!harness.serve(2000.0, request(5000, 0, 2000.0)));
     assert!(!harness.serve(48_000.0, request(5001, 0, 48_000.0)));
     assert!(harness.serve(49_500.0, request(5002, 0, 49_500.0)));
 }
 
-/// Ten times the quota for three burst lengths does not close the penalty box (with a half-life of
-/// four burst lengths it did); for sixteen burst lengths it does.
+/// Ten times the quota for three burst lengths does not make the penalty box reject all requests
+/// (with a half-life of four burst lengths it did); for sixteen burst lengths it does.
 #[test]
 fn a_lasting_flood_closes_the_penalty_box_and_a_spike_does_not() {
     let closes_box = |seconds: u32| {
@@ -119,7 +119,8 @@
         });
         served.count()
     };
-    // An even quarter of the burst and of the rate would admit only 5 + 15 s x 2.5 = 42 of 150.
+    // With an even quarter of the burst and of the rate, the slice would admit only 5 + 15 s x 2.5
+    // = 42 of 150 requests.
     assert!(served(0) > 90, "{}", served(0));
 }
 
@@ -389,8 +390,8 @@
         served += u32::from(harness.serve(1.0 + f64::from(i) * 11.0, request(i, 0, 0.0)))
     });
     assert!(served >= 20);
-    // The quota is ten a second. Each request is sent twice, so about every second one finds the
-    // slice empty.
+    // The quota is ten requests a second. Each request is sent twice, which makes twenty a second,
+    // so about every second one finds the slice empty.
     let mut later = 0;
     for i in 0..400u32 {
         let now = 500.0 + f64::from(i) * 50.0;
@@ -430,9 +431,9 @@
     })
 }
 
-/// Guards slivers that are only as deep as the first request: a larger request is admitted or
-/// rejected at random, but never because the sliver cannot hold it. A slice that is a real share of
-/// the burst must still refill first.
+/// Guards slivers (slices whose even share of the burst is less than a request) that are only as
+/// deep as the first request: a larger request is admitted or rejected at random, but never because
+/// the sliver cannot hold it. A slice that is a real share of the burst must still refill first.
 #[test]
 fn a_sliver_grows_with_the_largest_request() {
     let reasons: Vec<_> = (0..60)
@@ -562,7 +563,7 @@
         "{:?}",
         advised(1.0)
     );
-    // The latency target is one second.
+    // The latency target is one second, so the advised time is limited to 0.3 s.
     assert!(
         advised(4.0).is_some_and(|wait| (wait - 300.0).abs() < 1.0),
         "{:?}",
--- a/crates/policy/tests/attempts.rs
+++ b/crates/policy/tests/attempts.rs
@@ -25,8 +25,8 @@
     first
 }
 
-/// The next step after an attempt with each outcome, for an idempotent, a keyed and a
-/// non-idempotent request.
+/// The next step (attempt, rejection, failure or nothing) after an attempt with each outcome, for
+/// an idempotent, a keyed and a non-idempotent request.
 #[test]
 fn the_next_step_after_each_outcome_is_the_one_its_class_allows() {
     let table = [
@@ -142,7 +142,7 @@
             request: RequestId(1),
             attempt: 0
         }));
-        // No event after the final response leads to another step.
+        // After the final response, no event leads to another attempt or final response.
         assert_eq!(
             next_step(harness.end_attempt(when + 1.0, 1, 0, at, Outcome::Cancelled)),
             "nothing"
@@ -190,7 +190,7 @@
         for id in 0..2 {
             assert_eq!(harness.arrive(2.0, request(id, 0, 2.0)), Some(BackendId(2)));
         }
-        // A retry does not go to a backend that is not ready either.
+        // A retry, like a first attempt, does not go to a backend that is not ready.
         harness.end_attempt(3.0, 0, 0, BackendId(2), Outcome::Error);
         assert_eq!(harness.sent(), Some(BackendId(2)));
     }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -20,8 +20,8 @@
     responded: bool,
 }
 
-/// Carries out the actions of a gateway, as a gateway process would, and checks each against the
-/// rules.
+/// Carries out the actions of a gateway, as a gateway process would, and checks each action against
+/// the rules that hold for every gateway.
 struct Checker {
     harness: Harness,
     zones: BTreeMap<BackendId, u32>,
--- a/crates/quota-lease/src/client.rs
+++ b/crates/quota-lease/src/client.rs
@@ -8,8 +8,8 @@
 use crate::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of unanswered requests to one server whose send times are kept. Beyond that the
-/// oldest is dropped, and a late grant for it renews nothing.
+/// Maximum number of unanswered requests to one server whose send times are kept. Beyond this
+/// number the oldest send time is dropped, and a late grant for its request renews nothing.
 const MAX_UNANSWERED_REQUESTS: usize = 64;
 
 /// A request without a grant so far.
@@ -42,8 +42,8 @@
         }
     }
 
-    /// When the request was sent; `None` if it was not sent on this connection, or if a grant for a
-    /// later request was applied.
+    /// When the request with this sequence number was sent; `None` if it was not sent on this
+    /// connection, or if a grant for a later request was applied.
     fn sent_at(&self, sequence: u64) -> Option<Millis> {
         self.unanswered
             .iter()
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Applies a server's grant: the response to a request, or a later change. The grant does not
-    /// restore leases that have expired. A stale grant is ignored.
+    /// Applies a server's grant: the response to a request, or a later change of leases. The grant
+    /// does not restore leases that have expired. A stale grant is ignored.
     pub fn handle_grant(&mut self, now: Millis, server: &str, grant: &LeaseGrant) -> GrantEffect {
         // Grants to an earlier incarnation of this proxy are ignored.
         let Some(server) = self
--- a/crates/quota-lease/src/lib.rs
+++ b/crates/quota-lease/src/lib.rs
@@ -65,8 +65,8 @@
 /// How long a server continues to handle requests after the last moment at which it is known to
 /// have been a member that had applied all committed entries: 9 s.
 pub const MEMBERSHIP_LEASE: Millis = 9_000.0;
-/// How long after its last quorum contact a deposed leader may still have confirmed a member (a
-/// leader without a quorum steps down within 1 s), plus clock drift.
+/// How long after its last quorum contact a deposed leader may still have confirmed the membership
+/// of a controller (a leader without a quorum steps down within 1 s), plus clock drift.
 const CLOCK_MARGIN: Millis = 2_000.0;
 /// How long a new owner leases nothing of a slot that another controller may have leased before:
 /// afterwards every lease by the previous owner has expired.
--- a/crates/quota-lease/src/owned_slots.rs
+++ b/crates/quota-lease/src/owned_slots.rs
@@ -7,8 +7,8 @@
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of completed takeover delays that are kept. The oldest is dropped first, and its
-/// delay then starts again after a restart.
+/// Maximum number of completed takeover delays that are kept. The oldest is dropped first, and the
+/// takeover delay of its slot then starts again after a restart.
 const MAX_COMPLETED_DELAYS: usize = 64;
 
 /// A change of a slot that this controller owns or has owned. Slots are identified by the index of
@@ -20,8 +20,8 @@
     /// The slot is owned since the entry with this index, and may be leased after this many
     /// milliseconds.
     Waiting(u64, Millis),
-    /// The takeover delay is over. The caller persists this, so that the next incarnation does not
-    /// wait again.
+    /// The takeover delay of the slot that the entry with this index assigned is over. The caller
+    /// persists the index, so that the next incarnation does not wait again.
     WaitCompleted(u64),
     /// The slot that the entry with this index assigned to this controller has another owner or
     /// none.
--- a/crates/quota-lease/src/server/client_record.rs
+++ b/crates/quota-lease/src/server/client_record.rs
@@ -92,8 +92,9 @@
         }
     }
 
-    /// Whether a request comes from an earlier incarnation or connection, or is no newer than the
-    /// last one: a process that was suspended may read old connections after new ones.
+    /// Whether a request comes from an earlier incarnation or connection of the client, or is no
+    /// newer than its last one: a controller process that was suspended may read old connections
+    /// after new ones.
     pub(super) fn is_stale(&self, client: ClientId<'_>, request: &LeaseRequest) -> bool {
         let same_incarnation = self.incarnation == client.incarnation;
         client.connection < self.connection
@@ -114,8 +115,8 @@
         self.last_request = request.sequence;
         self.uses_tokens = request.uses_tokens;
         self.names_server = request.server_incarnation == server_incarnation;
-        // The sequence number of an earlier incarnation's grant does not acknowledge any grant of
-        // this one.
+        // The sequence number of a grant by an earlier incarnation of the server does not
+        // acknowledge any grant by this one.
         self.acknowledged = if self.names_server {
             request.acknowledged
         } else {
@@ -198,8 +199,8 @@
         }
     }
 
-    /// Replaces the demand, using that of the previous incarnation where it is higher and still
-    /// inherited; returns the replaced demand.
+    /// Replaces the client's demand, using that of its previous incarnation where that one is
+    /// higher and still inherited; returns the replaced demand.
     fn replace_demand(&mut self, now: Millis, demand: &[Demand]) -> TenantDemand {
         let mut next: TenantDemand = demand
             .iter()
--- a/crates/quota-lease/src/server/clients.rs
+++ b/crates/quota-lease/src/server/clients.rs
@@ -72,7 +72,7 @@
         self.totals.get(tenant).copied().unwrap_or_default()
     }
 
-    /// Adds a client without leases; its demand may be inherited.
+    /// Adds a client without leases; its demand may be inherited from its previous incarnation.
     pub(super) fn insert(&mut self, name: &str, record: ClientRecord) {
         self.remove(name);
         for (tenant, milli_rps) in record.demand() {
--- a/crates/quota-lease/src/server/rebalance.rs
+++ b/crates/quota-lease/src/server/rebalance.rs
@@ -184,7 +184,8 @@
             return;
         };
         let lease = record.lease(tenant);
-        // While more is outstanding than the limit, unacknowledged decreases are not reverted.
+        // While the outstanding shares exceed the server's limit, unacknowledged decreases are not
+        // reverted.
         let reachable_ppm = if is_over_limit {
             lease.granted_ppm
         } else {
--- a/crates/quota-lease/src/server/rebalance_queue.rs
+++ b/crates/quota-lease/src/server/rebalance_queue.rs
@@ -13,8 +13,8 @@
 
 /// Time between two rebalances, per client.
 const INTERVAL_PER_CLIENT: Millis = 2.0;
-/// Maximum credit for rebalances that were not needed: with few clients, none has to wait for a
-/// rebalance.
+/// Maximum time that accumulates while no rebalance is needed: with few clients, none has to wait
+/// for a rebalance.
 const MAX_CREDIT: Millis = 200.0;
 
 /// Pending rebalance of one tenant.
--- a/crates/quota-lease/src/server/token_pools.rs
+++ b/crates/quota-lease/src/server/token_pools.rs
@@ -1,11 +1,11 @@
 //! The share of each quota that a lease server has not leased, as a token bucket from which it
 //! grants single tokens.
 //!
-//! Invariant: a pool's share of the quota is at most what is not outstanding. Whenever that
-//! decreases, the pool is refilled with its new share in the same step, which limits its tokens to
-//! the new depth. The buckets of all clients and all pools together are therefore at most one
-//! bucket of the full quota, and a token that is spent within [`token_lifetime`] of its request was
-//! in one of these buckets at most that long ago.
+//! Invariant: a pool's share of the quota is at most the share that is not outstanding as leases.
+//! Whenever this unleased share decreases, the pool is refilled with its new share in the same
+//! step, which limits its tokens to the new depth. The buckets of all clients and all pools
+//! together are therefore at most one bucket of the full quota, and a token that is spent within
+//! [`token_lifetime`] of its request was in one of these buckets at most that long ago.
 
 use crate::*;
 use maplefall_load_estimators::TokenBucket;
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Empties all pools, because less of every quota may be granted and the difference is not
-    /// known yet.
+    /// Empties all pools, because the server may grant less of every quota than before and the
+    /// difference is not known yet.
     pub(super) fn empty(&mut self) {
         for pool in self.by_tenant.values_mut() {
             pool.bucket.clear();
--- a/crates/quota-lease/src/slots.rs
+++ b/crates/quota-lease/src/slots.rs
@@ -10,8 +10,8 @@
 
 /// Maximum number of slots of a quota. Controllers beyond that number own none.
 const MAX_SLOTS: usize = 31;
-/// Maximum number of controllers in the settings of a first start: if the settings name fewer,
-/// there are no others.
+/// Maximum number of controllers in the settings of a first start: if the settings name fewer, the
+/// system has no other controllers.
 const MAX_SEED_CONTROLLERS: usize = 3;
 
 /// One of the equal parts of every quota.
--- a/crates/quota-lease/src/tenant_quota.rs
+++ b/crates/quota-lease/src/tenant_quota.rs
@@ -1,5 +1,6 @@
 //! A tenant's full quota, with the excess over it that requirement QUOTA allows all proxies
-//! together: an overshoot within a window, and a slack.
+//! together: an overshoot (a fraction of the quota, within a window) and a slack (a number of
+//! requests).
 
 use crate::Millis;
 
--- a/crates/quota-lease/src/token_client.rs
+++ b/crates/quota-lease/src/token_client.rs
@@ -9,7 +9,8 @@
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Maximum number of queued entries for one server; a server with a full queue is not available.
+/// Maximum number of [`TokenNeed`]s that are queued for one server; a server with a full queue is
+/// not available.
 const MAX_QUEUED_NEEDS: usize = 256;
 /// Bounds of the time for which no tokens of a tenant are requested from a server that has denied
 /// one.
--- a/crates/quota-lease/tests/server.rs
+++ b/crates/quota-lease/tests/server.rs
@@ -118,8 +118,8 @@
     }
 }
 
-/// Guards tenants whose requests all reach one client: once it is starved, it gets the unused
-/// shares of the others at once.
+/// Guards tenants whose requests all reach one client: once it is starved (rejects requests because
+/// its share is used up), it gets the unused shares of the others at once.
 #[test]
 fn a_starved_client_gets_unused_shares_at_once() {
     let mut fixture = Fixture::new();
@@ -131,12 +131,13 @@
     fixture.now += 10.0;
     fixture.request("a", 1, 30.0, true);
     assert!(fixture.fraction("a") > 0.7, "{}", fixture.fraction("a"));
-    // A client that is not starved takes nothing from the others.
+    // A client that is not starved takes no share from the others.
     fixture.request("b", 1, 30.0, false);
     assert!(fixture.fraction("b") < 0.3, "{}", fixture.fraction("b"));
 }
 
-/// Guards restarts: a new incarnation keeps its share before it can have measured any demand.
+/// Guards restarts: a new incarnation of a client keeps the share of the previous one before it can
+/// have measured any demand.
 #[test]
 fn a_new_incarnation_inherits_the_demand_of_the_previous_one() {
     let mut fixture = Fixture::new();
@@ -354,8 +355,9 @@
     }
 }
 
-/// Guards slots that are reassigned to another owner: all leases decrease at once, regardless of
-/// demand, and none increases again before the decrease has been acknowledged.
+/// Guards slots that are reassigned to another controller: the lease server of the previous owner
+/// decreases the leases of all clients at once, regardless of demand, and increases none of them
+/// before the decrease has been acknowledged.
 #[test]
 fn a_lower_limit_decreases_all_leases_at_once() {
     let mut server = LeaseServer::new(0.0, 9, FULL_QUOTA_PPM, Some(BTreeSet::new()));
@@ -408,7 +410,7 @@
         .flat_map(|name| granted_ppm(&grants, name))
         .sum();
     assert!(grants.len() == 4 && sum <= FULL_QUOTA_PPM / 5, "{grants:?}");
-    // Client 1 gets none of these grants and none of the later ones; the other clients get the
+    // No grant reaches client 1, neither one of these nor a later one; the other clients get the
     // later ones.
     for _ in 0..8 {
         now += 100.0;
--- a/crates/quota-lease/tests/slots.rs
+++ b/crates/quota-lease/tests/slots.rs
@@ -102,7 +102,7 @@
                 }
                 let slot_size = owned.slots().slot_ppm();
                 // A controller that may not lease all of its slots is skipped: the limit does not
-                // tell which slots are still waiting.
+                // tell which slots still wait for the takeover delay.
                 let own_slots: Vec<usize> =
                     (0..owned.slots().all.len()).filter(|slot_index| owned.slots().all[*slot_index].owner == names[controller]).collect();
                 if owned.limit() != slot_size * own_slots.len() as u32 {
@@ -121,8 +121,8 @@
     }
 }
 
-/// Guards the first start with five controllers: each of the three seeds owns one of five slots,
-/// and keeps it when the others join.
+/// Guards the first start with five controllers: each of the first three controllers owns one of
+/// five slots, and keeps it when the others join.
 #[test]
 fn growing_from_three_to_five_reassigns_no_slot() {
     let mut slots = Slots::initial(&set(&["a", "b", "c"]), 2, 0, false);
@@ -139,8 +139,8 @@
     assert!(slots.all[1].used);
 }
 
-/// Guards small systems: if the settings name one or two controllers, there are no others, and
-/// these lease the full quota.
+/// Guards small systems: if the settings name one or two controllers, there are no other
+/// controllers, and the named ones lease the full quota.
 #[test]
 fn fewer_than_three_controllers_own_the_full_quota() {
     let slots = Slots::initial(&set(&["a"]), 1, 0, false);
--- a/crates/quota-lease/tests/tokens.rs
+++ b/crates/quota-lease/tests/tokens.rs
@@ -92,8 +92,8 @@
     assert_eq!(granted(&mut server, 20_500.0, 100), 5, "refilled since");
 }
 
-/// Guards the quota over all proxies (requirement QUOTA) when a slot is reassigned: the other
-/// controller may grant the tokens of the pool.
+/// Guards the quota over all proxies (requirement QUOTA) when a slot is reassigned: its new owner
+/// may grant the tokens of the previous owner's pool.
 #[test]
 fn a_lower_limit_empties_the_pools() {
     let mut server = server();
@@ -104,7 +104,7 @@
 }
 
 /// Guards the quota over all proxies (requirement QUOTA) after a restart of a server: the leases by
-/// earlier incarnations are not known.
+/// earlier incarnations are not known, so no tokens are granted.
 #[test]
 fn a_recovering_server_grants_no_tokens() {
     let mut server = LeaseServer::new(0.0, 1, FULL_QUOTA_PPM, None);
