--- a/crates/controller/src/core/config_distribution.rs
+++ b/crates/controller/src/core/config_distribution.rs
@@ -15,10 +15,10 @@
     /// Sends a proxy the configuration changes that it lacks. With `always`, the list of
     /// controllers is sent even if there are no changes.
     ///
-    /// A proxy without a configuration gets one only from a controller in contact with a quorum,
-    /// since it would otherwise route by a configuration that may be long outdated. A proxy that
-    /// has a configuration may keep it, and what is sent to it is newer, since its index only
-    /// rises.
+    /// A proxy without a configuration is sent one only by a controller in contact with a quorum,
+    /// because that of any other controller may be long outdated. A proxy that has a configuration
+    /// is sent changes at any time, because only changes after the index of its configuration are
+    /// sent.
     pub(super) fn send_config(
         &mut self,
         now: Millis,
--- a/crates/controller/src/core/event.rs
+++ b/crates/controller/src/core/event.rs
@@ -55,13 +55,14 @@
     QuorumRestored { after: Millis },
     /// A call of the operator was rejected.
     CallRejected(&'a ConfigError),
-    /// A call contains a version so old that it is no longer in the version history.
+    /// A call of the operator contains an item version so old that it is no longer in the version
+    /// history.
     VersionEvicted {
         list: &'a str,
         item: &'a str,
         version: u32,
     },
-    /// All changes of a call have been applied before.
+    /// All changes of a call of the operator had been applied before the call.
     AlreadyApplied { items: usize, index: u64 },
 }
 
--- a/crates/controller/src/core/instances.rs
+++ b/crates/controller/src/core/instances.rs
@@ -150,8 +150,8 @@
         };
         deregistrations.pending.insert(ack_number, pending);
         if !self.writes.is_empty() {
-            // The record may be part of any pending write, even if this deregistration call did not
-            // change the record.
+            // Any pending write may contain the record of the instance, even if this deregistration
+            // call did not change the record.
             self.writes
                 .after_all(WritePurpose::Deregistration(ack_number));
         }
@@ -227,14 +227,14 @@
         }
     }
 
-    /// Acknowledges instance records to a peer once all pending writes are persisted, because even
-    /// a record that changed nothing now may be part of one of them.
+    /// Acknowledges instance records to a peer once all pending writes are persisted: even a record
+    /// that changed nothing when it was received may be part of a pending write.
     fn acknowledge_to_peer(&mut self, peer: &str, ack_number: u64, out: &mut Vec<Output>) {
         if self.writes.is_empty() {
             return send_peer_ack(peer, ack_number, out);
         }
         // While `MAX_PENDING_PEER_ACKS` acknowledgements wait for the disk, no further one is sent,
-        // and the call at the peer expires.
+        // and the deregistration call that waits for it at the peer expires.
         if self.deregistrations.pending_peer_acks < MAX_PENDING_PEER_ACKS {
             self.deregistrations.pending_peer_acks += 1;
             self.writes.after_all(WritePurpose::PeerInstances {
--- a/crates/controller/src/core/lease_requests.rs
+++ b/crates/controller/src/core/lease_requests.rs
@@ -15,8 +15,8 @@
 use maplefall_quota_lease::{LeaseRequest, TokenRequest};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum fraction of time spent on lease requests, however many there are; the rest is left to
-/// Raft, liveness and calls.
+/// Maximum fraction of the time that is spent on lease requests, however many are queued; the
+/// remaining time is left to Raft messages, liveness messages and calls.
 pub const MAX_LEASE_LOAD: f64 = 0.5;
 /// Time for which the driver may process lease requests without interruption after a period in
 /// which they took less than [`MAX_LEASE_LOAD`] of the time.
--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -1,8 +1,9 @@
 //! Responses to lease requests of proxies, and the persisted record of the proxies that may hold
 //! leases.
 //!
-//! Invariant: a proxy's name is persisted before the proxy is granted anything, so that a later
-//! start knows which proxies to wait for. The lease calculations are in [`maplefall_quota_lease`].
+//! Invariant: a proxy's name is persisted before the proxy is granted anything, so that a restarted
+//! controller knows which proxies may hold leases. The lease calculations are in
+//! [`maplefall_quota_lease`].
 
 use super::event::Event;
 use super::lease_requests::LeaseRequests;
@@ -26,7 +27,8 @@
 /// sent another one.
 const UNANSWERED_REQUEST_TIMEOUT: Millis = 2.0 * HEARTBEAT_BROADCAST_INTERVAL;
 
-/// The slots that this controller may lease, and the leases that it has granted.
+/// The slots (equal shares of every quota, each owned by one controller) that this controller may
+/// lease, and the leases that it has granted.
 pub(super) struct Leasing {
     slots: OwnedSlots,
     server: LeaseServer,
@@ -143,8 +145,8 @@
         self.raft.is_voter() && membership_lease_valid(now, self.raft.last_quorum_contact(now))
     }
 
-    /// Grants what a request asks for, if this controller may lease; a release is accepted at any
-    /// time.
+    /// Responds to a lease request with a grant if this controller may lease; a proxy may release
+    /// its leases at any time.
     pub(super) fn grant_leases(
         &mut self,
         now: Millis,
@@ -210,8 +212,8 @@
                 SlotEvent::Waiting(since, wait) => Event::SlotWaiting { since, wait },
                 SlotEvent::Lost(since) => Event::SlotLost { since },
                 SlotEvent::WaitCompleted(since) => {
-                    // A later start with this disk need not wait again before it leases these
-                    // slots.
+                    // Recorded on the disk, so that a later start with it need not wait again for
+                    // leases of the former owner of these slots.
                     let record = StoreRecord {
                         waited_slots: vec![since],
                         ..StoreRecord::default()
@@ -225,7 +227,8 @@
             };
             out.push(event.into());
         }
-        // Proxies whose leases shrink are notified at once, others with their next grant.
+        // Proxies whose leases shrink are sent a grant at once; for all other proxies the new limit
+        // takes effect with their next grant.
         let limit = self.leasing.slots.limit();
         for (node, grant) in self.leasing.server.set_limit(limit) {
             let connection = self.latest_connection(&node);
@@ -233,7 +236,8 @@
         }
     }
 
-    /// Advances the time for the leases.
+    /// Advances the time of the slots and the lease holders, and checks whether this controller may
+    /// grant leases.
     pub(super) fn tick_leasing(&mut self, now: Millis, out: &mut Vec<Output>) {
         let events = self.leasing.slots.tick(now);
         self.slots_changed(events, out);
@@ -282,7 +286,8 @@
             return;
         }
         holders.last_cleanup = now;
-        // A removed proxy that requests a lease later is recorded again by a later write.
+        // If a proxy whose name is removed requests a lease later, a later write records the name
+        // again.
         let released = holders.take_expired(now, server);
         if released.is_empty() {
             return;
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -143,8 +143,8 @@
     is_stopping: bool,
     /// A backend that has sent no heartbeat for longer than this is declared lost.
     instance_timeout: Millis,
-    /// Number of machines that may fail at once. The number of slots that quotas are divided into
-    /// at the first start follows from it.
+    /// Number of machines that may fail at once. At the first start of the cluster, the number of
+    /// slots into which every quota is divided follows from it.
     max_machine_losses: u32,
     /// Number of entries after which the log is compacted even if Raft does not request it; set by
     /// tests.
@@ -181,8 +181,9 @@
     ) -> Core {
         let ip = settings.ip.to_string();
         let snapshot = stored.raft.snapshot.clone();
-        // At the first start of the cluster nothing has been leased. A disk that is empty for
-        // another reason may belong to a controller that has granted leases.
+        // At the first start of the cluster no proxy holds a lease. A disk that is empty for
+        // another reason may belong to a controller that has granted leases, whose holders are
+        // unknown.
         let is_first_start = stored.raft.is_empty() && settings.bootstrap;
         let holders_complete = stored.leased_to_complete || is_first_start;
         let known_holders = holders_complete.then(|| stored.leased_to.clone());
--- a/crates/controller/src/core/operator_calls.rs
+++ b/crates/controller/src/core/operator_calls.rs
@@ -208,7 +208,7 @@
     }
 }
 
-/// Rejects a call because of its text alone, on which every controller decides alike.
+/// Rejects a call whose text alone is invalid, so that every controller rejects it.
 fn reject(call: u64, error: &ConfigError, out: &mut Vec<Output>) {
     out.push(Event::CallRejected(error).into());
     out.push(Output::Respond(call, CallResponse::rejected(error)));
--- a/crates/controller/src/core/pending_calls.rs
+++ b/crates/controller/src/core/pending_calls.rs
@@ -103,8 +103,9 @@
         self.awaiting_read.insert(ticket, (call, after_read));
     }
 
-    /// Handles Raft's confirmation of a read and returns the call. Returns `None` if Raft confirms
-    /// the read while the read is being requested, or if its call has expired.
+    /// Handles Raft's confirmation of a read and returns the call that waits for the read. Returns
+    /// `None` if no call waits, because it has expired or is registered only after Raft has
+    /// confirmed the read.
     pub(super) fn read_confirmed(&mut self, ticket: u64) -> Option<(PendingCall, AfterRead)> {
         let waiting = self.awaiting_read.remove(&ticket);
         if waiting.is_none() {
@@ -124,8 +125,8 @@
     /// Responds to the calls that wait for this entry, which is now committed.
     pub(super) fn entry_committed(&mut self, index: u64, term: u64, out: &mut Vec<Output>) {
         for waiting in self.awaiting_commit.remove(&index).unwrap_or_default() {
-            // A single message can inform a leader both of a new term and of the entry of another
-            // leader that replaced its own.
+            // The committed entry may be that of another leader: a single message can inform a
+            // leader both of a new term and of the entry that replaced its own.
             let response = if waiting.term == term {
                 waiting.response
             } else {
--- a/crates/controller/src/core/replication.rs
+++ b/crates/controller/src/core/replication.rs
@@ -142,8 +142,8 @@
         };
         let events = self.leasing.slots_mut().install(now, slots);
         self.slots_changed(events, out);
-        // An empty state is that of the first start, possibly with only membership changes since:
-        // there is no configuration yet.
+        // The state in a snapshot is empty if no configuration has been committed since the first
+        // start of the cluster; only the membership may have changed.
         if snapshot.state.is_empty() {
             return;
         }
@@ -154,9 +154,9 @@
         self.set_quotas(now, &tenants);
     }
 
-    /// Returns the slots for a snapshot that has none: an empty one of the first start, or one
-    /// written by an earlier version of the program. In the latter case other controllers may
-    /// already have granted leases.
+    /// Returns the slots and their owners for a snapshot without slots: an empty snapshot of the
+    /// first start of the cluster, or one written by an earlier version of the program. In the
+    /// latter case other controllers may already have granted leases.
     fn initial_slots(&self, snapshot: &Snapshot) -> Slots {
         let members = snapshot.members.iter().map(|member| member.name.clone());
         let may_be_leased = !snapshot.state.is_empty();
--- a/crates/controller/src/core/uncommitted_changes.rs
+++ b/crates/controller/src/core/uncommitted_changes.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 pub(super) struct UncommittedChanges {
     term: u64,
-    /// `changes` holds the entries after this index, up to and including `last_index`.
+    /// Log index after which the entries in `changes` begin; their last is at `last_index`.
     after: u64,
     last_index: u64,
     changes: PendingChanges,
@@ -20,7 +20,8 @@
         &self.changes
     }
 
-    /// Decodes the entries appended since the last call; returns the index of the last entry.
+    /// Decodes the entries appended to Raft's log since the last call of this method; returns the
+    /// index of the last entry.
     pub(super) fn catch_up(&mut self, raft: &Raft) -> u64 {
         self.discard_committed(raft.term(), raft.commit_index());
         for entry in raft.uncommitted() {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Frees the memory of the decoded changes once all of them are committed, as a single call may
-    /// be large.
+    /// Frees the memory of the decoded changes once all of them are committed, because the changes
+    /// of a single call may be large.
     pub(super) fn release_if_committed(&mut self, commit: u64) {
         if self.last_index <= commit {
             *self = UncommittedChanges::default();
--- a/crates/controller/src/net/disk_thread.rs
+++ b/crates/controller/src/net/disk_thread.rs
@@ -22,8 +22,8 @@
 /// Queues records for the disk thread.
 pub(super) struct DiskWriter {
     queue: WriteQueue,
-    /// Sends to `results`. Weak, because the disk thread owns the only strong sender, so that the
-    /// end of the thread closes the channel.
+    /// Sends to `results`. The sender is weak, because the disk thread owns the only strong one, so
+    /// that the end of the thread closes the channel.
     failures: mpsc::WeakUnboundedSender<WriteResult>,
 }
 
--- a/crates/controller/src/net/load.rs
+++ b/crates/controller/src/net/load.rs
@@ -1,9 +1,9 @@
 //! Log reports of the time that the controller's thread spends on each kind of input, and of slow
 //! calls.
 //!
-//! One thread handles all inputs, so one that takes long delays all others: Raft messages, pongs
-//! and calls alike. The `load` log line shows which kind of input that was; `max_tick_gap_ms`, the
-//! longest time between two ticks, shows for how long nothing else was done.
+//! One thread handles all inputs, so an input that takes long delays all others: Raft messages,
+//! pongs and calls alike. The `load` log line shows the time spent on each kind of input, and in
+//! `max_tick_gap_ms` the longest time between two ticks, which a long input extends.
 
 use crate::core::{Call, CallResponse};
 use std::fmt;
--- a/crates/controller/src/store/mod.rs
+++ b/crates/controller/src/store/mod.rs
@@ -51,15 +51,15 @@
 /// Size limits of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Length of the log at which it is compacted; if the last state file is longer, its length is
-    /// used instead. The default of 192 KiB keeps the two syncs of a compaction few compared with
-    /// those of the writes.
+    /// Length of the log at which the log is compacted; if the last state file is longer, that
+    /// file's length is used instead. With the default of 192 KiB, the syncs of compactions (two
+    /// each) are few compared with those of the writes.
     pub compact_after_bytes: u64,
     /// Number of segments above which the log is compacted, however short they are; each start that
     /// finds a log begins a new segment. Default 16.
     pub max_segments: usize,
-    /// Bytes of a state file that are written at a time, which may delay a write; the length of the
-    /// last batch if that is longer. Default 1 MiB.
+    /// Bytes of a state file that one step of a compaction writes, which may delay a write of
+    /// records; the length of the last batch if that is longer. Default 1 MiB.
     pub write_slice_bytes: usize,
     /// Bytes of records after which no more records are added to a frame. Default 4 MiB.
     pub max_batch_bytes: usize,
--- a/crates/controller/src/store/quarantine.rs
+++ b/crates/controller/src/store/quarantine.rs
@@ -3,9 +3,9 @@
 //!
 //! Invariant: either all files are quarantined or none is. A subset of the files could be mistaken
 //! for a complete directory (an intact first segment without its corrupt second one), and the
-//! controller would then vouch for less than it has acknowledged. Therefore the in-progress marker
-//! is durable before the first rename, a start that finds the marker continues the quarantine, and
-//! the marker's removal is durable before anything else is written.
+//! controller would then start without state that it has acknowledged. Therefore the in-progress
+//! marker is durable before the first rename, a start that finds the marker continues the
+//! quarantine, and the marker's removal is durable before anything else is written.
 
 use super::error::Error;
 use super::files::{self, PERMANENT_QUARANTINE_MARKER, QUARANTINE_MARKER, QUARANTINE_PREFIX};
--- a/crates/controller/src/store/recovery.rs
+++ b/crates/controller/src/store/recovery.rs
@@ -123,8 +123,9 @@
             for record in batch.records {
                 last_number = last_number.max(record.number);
                 if record.number > self.state.number + 1 {
-                    // The records between the last one applied and this one were durable before
-                    // this one was written, so they have been lost.
+                    // The number of this record does not follow that of the last applied record.
+                    // The records between the two were durable before this one was written, so they
+                    // have been lost.
                     return Err(Error::corrupt(disk, name));
                 }
                 self.state.apply(record);
--- a/crates/controller/src/store/retry.rs
+++ b/crates/controller/src/store/retry.rs
@@ -9,9 +9,10 @@
 
 /// Delay before the first retry; it doubles with each further retry.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Maximum delay: a disk that works again is used within this time.
+/// Maximum delay between two attempts, so that a disk that works again is used within this time.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Number of doublings after which the delay exceeds [`MAX_RETRY_DELAY`] anyway; bounds the shift.
+/// Number of doublings after which the delay exceeds [`MAX_RETRY_DELAY`] anyway; bounds the shift
+/// that calculates the delay.
 const MAX_DOUBLINGS: u32 = 9;
 
 /// Retry state of one operation.
--- a/crates/controller/tests/common/operators/mod.rs
+++ b/crates/controller/tests/common/operators/mod.rs
@@ -57,7 +57,7 @@
     committed: usize,
 }
 
-/// Counts of what happened in a run: a run in which nothing happened proves nothing.
+/// Counts of the calls, changes and leader changes in a run: a run without any proves nothing.
 #[derive(Debug, Default)]
 pub struct Statistics {
     /// Number of calls by kind of response.
--- a/crates/controller/tests/common/processor/proxy.rs
+++ b/crates/controller/tests/common/processor/proxy.rs
@@ -8,7 +8,8 @@
 const REQUEST_INTERVAL: f64 = 500.0;
 /// Time between two requests of a starved proxy: `MIN_LEASE_REQUEST_INTERVAL` of `crates/proxy`.
 const URGENT_REQUEST_INTERVAL: f64 = 60.0;
-/// A third of the tenants have requests at a proxy; which ones these are changes every second.
+/// At any time a third of the tenants have requests at a proxy; the choice of these tenants changes
+/// every second.
 const TENANTS_PER_DEMAND: u64 = 3;
 const DEMAND_INTERVAL: f64 = 1000.0;
 /// One in four of the tenants with requests at a proxy is starved: the proxy has used up the
@@ -69,8 +70,8 @@
         let demand = self.demand(now);
         let server = controller.to_string();
         let request = self.lease_client.next_request(now, &server, demand);
-        // Requests leases as older proxies do, which do not request single tokens: leasing to them
-        // is the larger load.
+        // Requests leases as proxies of earlier versions do, which request no single tokens:
+        // leasing to them is a larger load than leasing to current proxies.
         Frame::LeaseRequest(LeaseRequest {
             uses_tokens: false,
             ..request
@@ -102,7 +103,8 @@
             .collect()
     }
 
-    /// Returns a short delay while a request of a tenant finds no token, which is half of the time.
+    /// Returns the delay until the next lease requests: a short one while a request of a tenant
+    /// finds no token, which is half of the time.
     fn next_tick_delay(&mut self, now: f64) -> f64 {
         let is_starved = self.draw(now, self.tenants).is_multiple_of(2);
         if is_starved {
--- a/crates/controller/tests/deregistration.rs
+++ b/crates/controller/tests/deregistration.rs
@@ -1,5 +1,5 @@
-//! When the deregistration of a backend is acknowledged, to the caller and between controllers
-//! (rule LOST): only once a majority of the controllers has persisted the deregistration.
+//! When the deregistration of a backend is acknowledged, to the caller and between controllers:
+//! only once a majority of the controllers has persisted it, so that it is not lost (rule LOST).
 
 #[path = "common/cluster.rs"]
 mod cluster;
--- a/crates/controller/tests/lease_overload.rs
+++ b/crates/controller/tests/lease_overload.rs
@@ -11,8 +11,8 @@
 /// Maximum time until an amendment is acknowledged: `AckS` of the deployments, in milliseconds.
 const ACK_TIMEOUT: f64 = 6000.0;
 
-/// Minimum fraction of a quota that proxies hold: leases are renewed, and a share taken back from
-/// one proxy goes to another.
+/// Minimum fraction of a quota that all proxies together hold: leases are renewed, and what is
+/// taken back from one proxy is granted to another.
 const MIN_LEASED_FRACTION: f64 = 0.8;
 
 /// A whole quota, plus the rounding error of the sum of its fractions.
@@ -84,8 +84,8 @@
     );
 }
 
-/// Lease requests that cost ten times what the processor can take: leases come late, amendments and
-/// Raft do not. Each proxy gets a grant every six seconds.
+/// Lease requests need ten times the processor time that controllers have: leases are granted late,
+/// but amendments and Raft messages are not delayed. Each proxy gets a grant every six seconds.
 #[test]
 fn amendments_are_acknowledged_with_expensive_lease_requests() {
     assert_amendments_are_acknowledged(
--- a/crates/controller/tests/operator_calls.rs
+++ b/crates/controller/tests/operator_calls.rs
@@ -82,8 +82,8 @@
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 1, 7)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 2, 9)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 3, 9)), 409);
-        // This version was superseded before it was used: the first content sent under it is
-        // accepted and changes nothing.
+        // Version 8 is lower than the committed version 9 and was never used: the first content
+        // sent under version 8 is accepted and changes nothing.
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 4, 8)), 200);
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 5, 8)), 409);
         let at = simulation.names()[0].clone();
@@ -94,8 +94,8 @@
     assert!(config.contains("\"00000009\""), "{config}");
 }
 
-/// An amendment that was accepted is acknowledged again whatever has been committed since; any
-/// other is validated as usual.
+/// An amendment that was accepted is acknowledged again, whatever has been committed since; an
+/// amendment that was never accepted is validated as usual.
 #[test]
 fn accepted_amendment_is_acknowledged_again() {
     let mut simulation = single_controller();
--- a/crates/controller/tests/quorum_contact.rs
+++ b/crates/controller/tests/quorum_contact.rs
@@ -95,8 +95,8 @@
                     "{case}: controller {node}"
                 );
             }
-            // A leader that cannot send may follow another one for a while, as long as it receives
-            // that one's messages.
+            // A leader whose messages are blocked may follow another leader for a while, as long as
+            // it receives that leader's messages, and then lose quorum contact a second time.
             let quorum_losses = cluster.count_logged(isolated, "event=quorum_lost");
             assert!((1..=2).contains(&quorum_losses), "{case}: {quorum_losses}");
             assert_eq!(
--- a/crates/controller/tests/small_tenants.rs
+++ b/crates/controller/tests/small_tenants.rs
@@ -10,17 +10,19 @@
 
 /// Requests per second that a tenant may send, and its burst size.
 const QUOTA: f64 = 37.0;
-/// Fraction of its quota that each tenant sends (`quota_x` of the deployments is 1.6).
+/// Fraction of its quota that each tenant sends; `quota_x`, the ratio of quota to load in the
+/// deployments, is 1.6.
 const USED_FRACTION: f64 = 1.0 / 1.6;
-/// Minimum fraction of the requests that is served, of all tenants and of any one of them.
+/// Minimum fraction of the requests that is served: of all tenants' requests together, and of the
+/// requests of each single tenant.
 const MIN_SERVED: f64 = 0.95;
 const MIN_SERVED_OF_TENANT: f64 = 0.8;
 /// Maximum time until an amendment is acknowledged: `AckS` of the deployments, in milliseconds.
 const ACK_TIMEOUT: f64 = 6000.0;
 const TRAFFIC_BEGINS_AT: f64 = 10_000.0;
 const TRAFFIC_MS: f64 = 15_000.0;
-/// Default bounds of the rule QUOTA in the settings: in any window, a tenant is served at most its
-/// quota times one plus the overshoot, plus the slack.
+/// Default bounds in the settings on what a tenant is served (rule QUOTA): in any window of
+/// `WINDOW_MS`, its quota times one plus `OVERSHOOT`, plus `SLACK` requests.
 const WINDOW_MS: f64 = 5000.0;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 20.0;
@@ -118,8 +120,8 @@
     });
 }
 
-/// Tenants that send four times their quota get all of it, and no more than rule QUOTA allows in
-/// any window.
+/// Tenants that send four times their quota are served all of their quota, and in no window more
+/// than the quota with the overshoot and the slack that the settings allow.
 #[test]
 fn greedy_tenants_get_their_quota_and_no_more() {
     let size = FleetSize {
--- a/crates/controller/tests/store/corruption.rs
+++ b/crates/controller/tests/store/corruption.rs
@@ -45,8 +45,9 @@
 }
 
 /// Guards starts on corrupt disks: a file that was changed, truncated, extended or lost is
-/// rejected, or costs only an end that cannot be told from one that was never acknowledged. There
-/// is never a gap, a record that was not written, or a panic.
+/// rejected, or costs only the last records, if their loss cannot be told from that of a write that
+/// was never acknowledged. A start never finds a gap or a record that was not written, and never
+/// panics.
 #[test]
 fn corrupt_bytes_are_rejected_or_cost_only_the_end() {
     let (disk, last) = disk_with_all_kinds_of_files();
--- a/crates/controller/tests/store/disk_errors.rs
+++ b/crates/controller/tests/store/disk_errors.rs
@@ -98,7 +98,8 @@
     }
 }
 
-/// Returns the approximate maximum length of the state: a snapshot comes every 40 records.
+/// Returns the approximate maximum length of the state, which holds the entries since the last
+/// snapshot; every 40th record has a snapshot.
 fn max_state_bytes(last: u64, payload_bytes: usize) -> usize {
     let entries = last.min(41) as usize;
     entries * (payload_bytes + 60) + payload_bytes + 400
--- a/crates/controller/tests/store/power_loss.rs
+++ b/crates/controller/tests/store/power_loss.rs
@@ -35,7 +35,7 @@
             random.0,
         );
         if let Ok(mut store) = reopen(&disk, &mut progress, payload_bytes)? {
-            // Sometimes there is nothing to write at first, and only background work is done.
+            // In some runs the store has nothing to write at first, and does only background work.
             for _ in 0..random.below(60) * random.below(2) {
                 if store.has_background_work() && store.step().is_err() {
                     break;
@@ -162,7 +162,7 @@
 ) -> Result<(), String> {
     disk.set_faults(Faults::crash_after(crash_step), random.0);
     if let Ok(mut store) = reopen(disk, &mut progress, 60)? {
-        // Nothing to write: only background work is done.
+        // The store has nothing to write and does only background work.
         while store.has_background_work() && store.step().is_ok() {}
     }
     disk.lose_power(random);
--- a/crates/controller/tests/store/restart.rs
+++ b/crates/controller/tests/store/restart.rs
@@ -51,8 +51,8 @@
     ]
 }
 
-/// Guards starts after a power loss: a last frame that is torn anywhere costs only what was not
-/// acknowledged, and nothing before or after it.
+/// Guards starts after a power loss: if the last frame is torn, at whichever byte, only its
+/// unacknowledged records are lost, and nothing before or after it.
 #[test]
 fn a_torn_last_frame_loses_only_itself() {
     let directory = TestDirectory::new("torn");
--- a/crates/controller/tests/store/simulated_disk.rs
+++ b/crates/controller/tests/store/simulated_disk.rs
@@ -258,7 +258,8 @@
         let mut state = lock(&self.0);
         let mut taken_names = BTreeSet::new();
         let mut inodes = std::mem::take(&mut state.inodes);
-        // Later files first, so that they claim their names before the files they replaced.
+        // Later files are drawn first, so that they claim their names before the files they
+        // replaced.
         inodes.reverse();
         inodes.retain_mut(|inode| {
             inode.lose_power(random);
@@ -328,8 +329,8 @@
     fn create(&self, name: &str) -> io::Result<SimulatedFile> {
         let mut state = lock(&self.0);
         state.step()?;
-        // An existing file of that name is emptied. In a power loss that counts as another file
-        // that has taken the name.
+        // An existing file of that name is emptied, which is simulated as another file that takes
+        // the name.
         if let Some(old) = state.find(name) {
             state.set_name(old, None);
         }
--- a/crates/controller/tests/stored_by_f933aca.rs
+++ b/crates/controller/tests/stored_by_f933aca.rs
@@ -160,7 +160,7 @@
     };
     let mut fields = item.fields.clone();
     if item.dropped && item.kind() == ItemKind::Route {
-        // A removed item has no fields, and a route requires some.
+        // A removed route has no fields, and a route that is not removed requires some.
         fields.extend(valid_route());
     }
     fields.push(more);
@@ -258,8 +258,8 @@
     assert_eq!(state.owners.is_some(), !snapshot.state.is_empty());
 }
 
-/// Returns the payloads of a file's frames: each follows a header of 24 bytes, with its length in
-/// bytes 12 to 15.
+/// Returns the payloads of a file's frames. Each payload follows a header of 24 bytes, whose bytes
+/// 12 to 15 contain the payload's length.
 fn frame_payloads(mut bytes: &[u8]) -> Vec<&[u8]> {
     let mut payloads = Vec::new();
     while let Some((head, rest)) = bytes.split_at_checked(24) {
@@ -272,7 +272,8 @@
     payloads
 }
 
-/// Guards fields that do not occur in the data, with bytes as the old program writes them.
+/// Guards stored fields that do not occur in the data directories: they are decoded from bytes as
+/// the old program writes them.
 #[test]
 fn fields_that_the_data_lacks_are_decoded() {
     let stored = StoreRecord::decode(&b"\x08\x07\x40\x01\x4a\x02\x05\x06\x52\x06edge-1"[..])
@@ -337,7 +338,7 @@
     }
 }
 
-/// Guards record numbers and log indices: only the number after the last one is accepted.
+/// Guards record numbers and log indices: only the number after the last stored one is accepted.
 #[test]
 fn record_numbers_and_log_indices_continue() {
     for (directory, _) in DIRECTORIES {
