--- a/crates/controller/benches/amend.rs
+++ b/crates/controller/benches/amend.rs
@@ -51,7 +51,8 @@
         controller
     }
 
-    /// Carries out outputs, with writes persisted at once; returns the response, if there is one.
+    /// Carries out the outputs of a controller, with writes persisted at once; returns the
+    /// response, if there is one.
     fn carry_out(&mut self, out: Vec<Output>) -> Option<CallResponse> {
         let mut response = None;
         for output in out {
--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -23,8 +23,8 @@
 const MAX_LEASE_HOLDERS: usize = 8192;
 /// The interval at which the names of proxies whose leases have expired are removed from the disk.
 const HOLDER_CLEANUP_INTERVAL: Millis = 30_000.0;
-/// A request that has been pending for longer than this gets no response, because the proxy has
-/// sent another one.
+/// A lease request received longer than this before the controller was allowed to grant leases gets
+/// no response, because the proxy has sent another one by then.
 const UNANSWERED_REQUEST_TIMEOUT: Millis = 2.0 * HEARTBEAT_BROADCAST_INTERVAL;
 
 /// The slots (equal shares of every quota, each owned by one controller) that this controller may
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Adds a proxy if it is new; returns what its lease request has to wait for.
+    /// Adds a proxy's name if it is new; returns whether the name is on disk, for which the proxy's
+    /// lease request has to wait.
     pub(super) fn record(&mut self, node: &str) -> HolderState {
         if self.being_recorded.contains(node) {
             return HolderState::BeingRecorded;
--- a/crates/controller/src/core/quorum_contact.rs
+++ b/crates/controller/src/core/quorum_contact.rs
@@ -122,7 +122,8 @@
         }
         let after = self.contact.restore(now);
         out.push(Event::QuorumRestored { after }.into());
-        // Backends' heartbeats may not have reached this controller while it had no quorum contact.
+        // The timeouts of backends restart, because heartbeats may not have reached this controller
+        // while it had no quorum contact.
         self.registry.restart_timeouts(now);
         self.distribute_config(now, out);
         let connections = self.proxy_connections();
--- a/crates/controller/src/net/lease_requests.rs
+++ b/crates/controller/src/net/lease_requests.rs
@@ -1,8 +1,8 @@
 //! Responds to pending lease requests one at a time, for a fraction of at most [`MAX_LEASE_LOAD`]
 //! of the time.
 //!
-//! Between two requests every other task can run. At higher load lease requests wait longer, and
-//! proxies continue with the leases that they hold.
+//! Between two lease requests every other task can run. If lease requests need more than this
+//! fraction of the time, they wait longer, and proxies continue with the leases that they hold.
 
 use super::controller::Controller;
 use super::load::InputKind;
--- a/crates/controller/src/net/peers.rs
+++ b/crates/controller/src/net/peers.rs
@@ -80,7 +80,8 @@
 
     async fn keep_peer_connected(self: Rc<Self>, ip: IpAddr, peer: String) {
         let address = SocketAddr::new(ip, self.internal_port);
-        // Of several failures in a row, only the first is logged.
+        // Only the first of several failures is logged until the connection has been established
+        // again.
         let mut log_next_failure = true;
         let mut backoff = ReconnectBackoff::default();
         loop {
--- a/crates/controller/src/net/shutdown.rs
+++ b/crates/controller/src/net/shutdown.rs
@@ -13,12 +13,12 @@
 const MIN_SHUTDOWN_DURATION: Duration = Duration::from_millis(400);
 /// Maximum time that a graceful shutdown waits for the peers.
 const MAX_SHUTDOWN_DURATION: Duration = Duration::from_millis(2500);
-/// Half of the longest grace period that takes effect, in seconds. The settings contain the grace
-/// period, after which the process gets a SIGKILL.
+/// Maximum of half the grace period, which is the time from SIGTERM to SIGKILL according to the
+/// settings, in seconds.
 const MAX_HALF_GRACE_S: f64 = 60.0;
 
-/// Returns the maximum duration of a graceful shutdown. It is at most half of the grace period
-/// after which the process gets a SIGKILL; the other half remains as a reserve.
+/// Returns the maximum duration of a graceful shutdown. It is at most half of the grace period from
+/// SIGTERM to SIGKILL; the other half remains as a reserve.
 pub(super) fn max_duration(settings: &Settings) -> Duration {
     let half_grace_s = (settings.bounds.grace_s / 2.0).clamp(0.0, MAX_HALF_GRACE_S);
     MAX_SHUTDOWN_DURATION.min(Duration::from_secs_f64(half_grace_s))
--- a/crates/controller/src/store/compaction.rs
+++ b/crates/controller/src/store/compaction.rs
@@ -104,8 +104,9 @@
     }
 
     /// Returns whether a compaction is due. If the state file is longer than `compact_after_bytes`,
-    /// a compaction is due once the log is as long as the state file: each byte is then written
-    /// about twice, however long the state is.
+    /// a compaction is due once the log is as long as the state file. A compaction then writes
+    /// about as much as was logged before it, so each byte is written about twice, however long the
+    /// state is.
     fn is_due(&self, limits: &StoreLimits, log: &SegmentLog<F>) -> bool {
         let uncompacted = log.uncompacted();
         uncompacted.bytes >= limits.compact_after_bytes.max(self.state_file_bytes)
--- a/crates/controller/tests/common/cluster.rs
+++ b/crates/controller/tests/common/cluster.rs
@@ -20,7 +20,7 @@
 pub const CONNECTION_TIMEOUT: f64 = PONG_TIMEOUT + PING_INTERVAL;
 /// Time without messages from a quorum after which a controller detects that it has lost contact.
 pub const QUORUM_TIMEOUT: f64 = 1000.0;
-/// Allowance for delays, ticks and elections.
+/// Time that tests allow in addition to a timeout, for delays, ticks and elections.
 pub const TOLERANCE: f64 = 300.0;
 /// Delay of a frame between controllers, in milliseconds, the unit of all times in this file.
 const NETWORK_DELAY: f64 = 1.0;
--- a/crates/controller/tests/operator_calls.rs
+++ b/crates/controller/tests/operator_calls.rs
@@ -112,7 +112,8 @@
         // This version of the first route was never accepted either, so it is rejected although it
         // would change nothing.
         assert_eq!(status(&mut simulation, route("r", "a", "s1", 1, 8)), 400);
-        // Of a call with known and new items, only the new ones are validated.
+        // If a call contains items that were accepted before and new ones, only the new ones are
+        // validated.
         let both = |new: &str| {
             first.replace(
                 "]]",
--- a/crates/controller/tests/store/corruption.rs
+++ b/crates/controller/tests/store/corruption.rs
@@ -84,8 +84,8 @@
     assert!(rejected > 1_000 && shorter > 20 && complete > 100);
 }
 
-/// Returns a disk with several segments and no state file, whose last segment is corrupt: without
-/// it, the others would pass for the complete log.
+/// Returns a disk with several segments and no state file, whose last segment is corrupt. Without
+/// the corrupt segment, the others would pass for the complete log.
 fn disk_with_corrupt_last_segment() -> SimulatedDisk {
     let never_compact = StoreLimits {
         compact_after_bytes: 1 << 30,
@@ -121,8 +121,8 @@
     found
 }
 
-/// Guards the quarantine of corrupt files: wherever it is interrupted, a part of the files is never
-/// taken for all of them.
+/// Guards the quarantine of corrupt files: at whichever step it is interrupted, a start never takes
+/// a part of the files for a complete directory.
 #[test]
 fn quarantine_is_atomic() {
     let disk = disk_with_corrupt_last_segment();
@@ -157,8 +157,8 @@
     println!("{cases} cases");
 }
 
-/// Opens the disk until it crashes; returns whether it did. A crashed disk fails forever, so the
-/// delay before a retry ends the attempt.
+/// Opens the store until its disk crashes; returns whether it did. Each step on a crashed disk
+/// fails and would be retried forever, so the delay before a retry ends the attempt.
 fn crashes_while_opening(disk: &SimulatedDisk) -> bool {
     let ended = std::panic::catch_unwind(|| {
         Store::open_with_retries(CrashingDisk(disk.clone()), SMALL_LIMITS).is_ok()
--- a/crates/controller/tests/store/disk_errors.rs
+++ b/crates/controller/tests/store/disk_errors.rs
@@ -32,7 +32,7 @@
     assert!(failures > 3_000, "{failures} failures");
 }
 
-/// Checks that acknowledged records are on the disk, whatever has failed.
+/// Checks that all acknowledged records are found after a power loss, whatever has failed.
 fn check_durable(
     disk: &SimulatedDisk,
     acknowledged: u64,
--- a/crates/controller/tests/store/power_loss.rs
+++ b/crates/controller/tests/store/power_loss.rs
@@ -92,7 +92,8 @@
     );
 }
 
-/// Guards the simulation itself: with a directory sync that does nothing, it detects lost records.
+/// Guards the simulation itself: it detects lost records on a disk whose directory sync does
+/// nothing.
 #[test]
 fn the_simulation_detects_a_missing_directory_sync() {
     let faults = Faults {
@@ -121,9 +122,9 @@
     store.close()
 }
 
-/// Guards each step of writing and compaction: a crash before every single one, by the end of the
-/// process and by power losses with different outcomes, and a second loss at each step of the
-/// following start.
+/// Guards each step of writing and compaction against a crash before the step, by the end of the
+/// process and by power losses with different outcomes, and against a second power loss at each
+/// step of the following start.
 #[test]
 fn a_crash_before_any_step_loses_nothing_acknowledged() {
     let complete = SimulatedDisk::default();
--- a/crates/controller/tests/store/restart.rs
+++ b/crates/controller/tests/store/restart.rs
@@ -118,8 +118,8 @@
     let (store, found) = open(&directory);
     assert_eq!((found.number, found.raft.log.len()), (120, 120));
     drop(store);
-    // A state file, which is renamed into place after its sync, is either complete or not to be
-    // trusted.
+    // A state file is renamed into place after its sync, so a damaged one is never an unfinished
+    // write, and is rejected.
     let state_files = directory.files("state-");
     assert_eq!(state_files.len(), 1, "{state_files:?}");
     let mut file = OpenOptions::new()
--- a/crates/controller/tests/store/simulated_disk.rs
+++ b/crates/controller/tests/store/simulated_disk.rs
@@ -49,18 +49,19 @@
 /// The faults of a disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Number of steps after which every step fails: the process has ended.
+    /// Number of steps after which every step fails, as if the process had ended.
     pub crash_after: Option<u64>,
     /// One in this many steps fails, 0 for none; a failed write may have written a part.
     pub fail_one_in: usize,
     /// Number of failures that are left.
     pub remaining_failures: u64,
-    /// A broken disk, to check the simulation: the sync of the directory does nothing.
+    /// Whether syncs of the directory do nothing: a test checks that the simulation detects the
+    /// records that such a broken disk loses.
     pub ignores_directory_sync: bool,
 }
 
 impl Faults {
-    /// Returns only a crash after this many steps.
+    /// Returns faults that consist only of a crash after this many steps.
     pub fn crash_after(steps: u64) -> Faults {
         Faults {
             crash_after: Some(steps),
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Returns only failures: one in this many steps, up to a number of them.
+    /// Returns faults that consist only of failures: one in `fail_one_in` steps, and at most
+    /// `remaining_failures` in all.
     pub fn failures(fail_one_in: usize, remaining_failures: u64) -> Faults {
         Faults {
             fail_one_in,
--- a/crates/controller/tests/store/workload.rs
+++ b/crates/controller/tests/store/workload.rs
@@ -119,7 +119,8 @@
                 .collect(),
         )?;
         progress.acknowledged = batch_end;
-        // Sometimes no step of compaction is taken, as while there is much to write.
+        // After some writes no step of compaction is taken, as while there are many records to
+        // write.
         for _ in 0..random.below(4) {
             if store.has_background_work() {
                 store.step()?;
@@ -149,7 +150,8 @@
                     state.number
                 ));
             }
-            // From here on the controller counts the recovered records as acknowledged.
+            // From here on all recovered records count as acknowledged, because the store made them
+            // durable when it was opened.
             *progress = Progress {
                 acknowledged: state.number,
                 attempted: state.number,
