--- a/crates/controller/tests/store/disk_errors.rs
+++ b/crates/controller/tests/store/disk_errors.rs
@@ -32,7 +32,7 @@
     assert!(failures > 3_000, "{failures} failures");
 }
 
-/// Checks that acknowledged records are on the disk, whatever has failed.
+/// Checks that all acknowledged records are found after a power loss, whatever has failed.
 fn check_durable(
     disk: &SimulatedDisk,
     acknowledged: u64,
@@ -98,7 +98,8 @@
     }
 }
 
-/// Returns the approximate maximum length of the state: a snapshot comes every 40 records.
+/// Returns the approximate maximum length of the state, which holds the entries since the last
+/// snapshot; every 40th record has a snapshot.
 fn max_state_bytes(last: u64, payload_bytes: usize) -> usize {
     let entries = last.min(41) as usize;
     entries * (payload_bytes + 60) + payload_bytes + 400
--- a/crates/controller/tests/store/restart.rs
+++ b/crates/controller/tests/store/restart.rs
@@ -51,8 +51,8 @@
     ]
 }
 
-/// Guards starts after a power loss: a last frame that is torn anywhere costs only what was not
-/// acknowledged, and nothing before or after it.
+/// Guards starts after a power loss: if the last frame is torn, at whichever byte, only its
+/// unacknowledged records are lost, and nothing before or after it.
 #[test]
 fn a_torn_last_frame_loses_only_itself() {
     let directory = TestDirectory::new("torn");
@@ -118,8 +118,8 @@
     let (store, found) = open(&directory);
     assert_eq!((found.number, found.raft.log.len()), (120, 120));
     drop(store);
-    // A state file, which is renamed into place after its sync, is either complete or not to be
-    // trusted.
+    // A state file is renamed into place after its sync, so a damaged one is never an unfinished
+    // write, and is rejected.
     let state_files = directory.files("state-");
     assert_eq!(state_files.len(), 1, "{state_files:?}");
     let mut file = OpenOptions::new()
--- a/crates/controller/tests/store/simulated_disk.rs
+++ b/crates/controller/tests/store/simulated_disk.rs
@@ -49,18 +49,19 @@
 /// The faults of a disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Number of steps after which every step fails: the process has ended.
+    /// Number of steps after which every step fails, as if the process had ended.
     pub crash_after: Option<u64>,
     /// One in this many steps fails, 0 for none; a failed write may have written a part.
     pub fail_one_in: usize,
     /// Number of failures that are left.
     pub remaining_failures: u64,
-    /// A broken disk, to check the simulation: the sync of the directory does nothing.
+    /// Whether syncs of the directory do nothing: a test checks that the simulation detects the
+    /// records that such a broken disk loses.
     pub ignores_directory_sync: bool,
 }
 
 impl Faults {
-    /// Returns only a crash after this many steps.
+    /// Returns faults that consist only of a crash after this many steps.
     pub fn crash_after(steps: u64) -> Faults {
         Faults {
             crash_after: Some(steps),
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Returns only failures: one in this many steps, up to a number of them.
+    /// Returns faults that consist only of failures: one in `fail_one_in` steps, and at most
+    /// `remaining_failures` in all.
     pub fn failures(fail_one_in: usize, remaining_failures: u64) -> Faults {
         Faults {
             fail_one_in,
@@ -258,7 +260,8 @@
         let mut state = lock(&self.0);
         let mut taken_names = BTreeSet::new();
         let mut inodes = std::mem::take(&mut state.inodes);
-        // Later files first, so that they claim their names before the files they replaced.
+        // Later files are drawn first, so that they claim their names before the files they
+        // replaced.
         inodes.reverse();
         inodes.retain_mut(|inode| {
             inode.lose_power(random);
@@ -328,8 +331,8 @@
     fn create(&self, name: &str) -> io::Result<SimulatedFile> {
         let mut state = lock(&self.0);
         state.step()?;
-        // An existing file of that name is emptied. In a power loss that counts as another file
-        // that has taken the name.
+        // An existing file of that name is emptied, which is simulated as another file that takes
+        // the name.
         if let Some(old) = state.find(name) {
             state.set_name(old, None);
         }
