--- a/crates/forward-auth/src/gate.rs
+++ b/crates/forward-auth/src/gate.rs
@@ -132,7 +132,7 @@
     // ---- Requests
     // -----------------------------------------------------------------------------------
 
-    /// Submits a request for a decision, which is output once, at once or later.
+    /// Submits a request. Its decision is output exactly once, immediately or later.
     pub fn submit(
         &mut self,
         now: Millis,
@@ -151,7 +151,8 @@
         let time_left = deadline - now;
         let decide_by =
             (now + time_left * self.settings.share).min(deadline - self.settings.reserved_time);
-        // A pending check may complete soon; a new one is expected to take the average latency.
+        // A request that joins a pending check may get a verdict soon, so it needs no minimum time;
+        // a new check is expected to take the average latency.
         let existing = self.by_key.get(&key).copied();
         let min_wait = if existing.is_some() {
             0.0
@@ -499,8 +500,8 @@
         request.into_iter().chain(check).min_by(f64::total_cmp)
     }
 
-    /// Advances the time to `now`: decides requests whose budget has ended, and fails attempts that
-    /// have timed out.
+    /// Advances the time to `now`: decides requests that may wait no longer, and fails attempts
+    /// that have timed out.
     pub fn tick(&mut self, now: Millis) {
         while let Some((_, request)) = self.request_deadlines.first().copied() {
             if self
--- a/crates/forward-auth/src/headers.rs
+++ b/crates/forward-auth/src/headers.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooLarge;
 
-/// What the service is told about a request besides its headers.
+/// Properties of a request that are sent to the authentication service besides its headers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContext<'a> {
     /// The request's method.
@@ -72,8 +72,8 @@
         }
     }
 
-    /// The parts of a check's key: for each credential, in order, all its values, or `None` without
-    /// any.
+    /// The parts of a check's key: for each header that identifies the caller, in order, all its
+    /// values, or `None` if the request lacks the header.
     pub fn credentials<'a>(
         &'a self,
         headers: &'a HeaderMap,
--- a/crates/forward-auth/src/interface.rs
+++ b/crates/forward-auth/src/interface.rs
@@ -71,7 +71,8 @@
         }
     }
 
-    /// All invalid settings, for classes of this idempotency.
+    /// All invalid settings. `classes` has the idempotency of each class: a non-idempotent class
+    /// cannot be set to fail open.
     pub fn mistakes(&self, classes: &[Idempotency]) -> Vec<InvalidSetting> {
         let mut found = Vec::new();
         let mut require = |valid: bool, field: &str, expected| {
@@ -152,13 +153,13 @@
 /// Why a request has no verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The request's budget is shorter than the service's average latency.
+    /// The time for which the request may wait is shorter than the service's average latency.
     TooLittleTime,
     /// No server is available: each is blocked after failures, or being probed.
     NoServer,
     /// The limit of waiting requests is reached.
     TooManyWaiting,
-    /// The request's budget has ended, or no attempt is left.
+    /// The time for which the request may wait has ended, or no attempt is left.
     CheckFailed,
 }
 
--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -5,8 +5,8 @@
 //!
 //! The rules:
 //!
-//! 1. **One decision for each request**, at the latest when its budget ends, which is before its
-//!    deadline by the time that an attempt needs. A cancelled request gets none.
+//! 1. **One decision for each request**, at the latest when its budget (the time for which it may
+//!    wait) ends, early enough for an attempt before its deadline. A cancelled request gets none.
 //! 2. **A verdict is valid only for its key.** Keys are equal only if every credential that the
 //!    operator names, the class and the plan are equal; only a keyed hash of them is stored
 //!    ([`Key`]).
--- a/crates/forward-auth/src/server.rs
+++ b/crates/forward-auth/src/server.rs
@@ -8,7 +8,7 @@
     consecutive_failures: u32,
     /// When the current backoff ends; `None` while the server is considered healthy.
     blocked_until: Option<Millis>,
-    /// Backoffs since the last response.
+    /// Number of backoffs since the server's last response.
     consecutive_backoffs: u32,
     /// The check in flight that probes the server after a backoff.
     probe: Option<u64>,
@@ -42,7 +42,7 @@
     }
 
     /// Records a failure. After `max_failures` in a row, or a failed probe, the server is blocked
-    /// for `backoff` of the number of backoffs so far.
+    /// for the time that `backoff` returns for the number of backoffs so far.
     pub fn record_failure(
         &mut self,
         now: Millis,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Removes a check that ended without showing anything about the server.
+    /// Removes a check that ended without showing whether the server is healthy.
     pub fn release_check(&mut self, check: u64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.probe == Some(check) {
--- a/crates/forward-auth/tests/gate.rs
+++ b/crates/forward-auth/tests/gate.rs
@@ -153,7 +153,8 @@
     submit(&mut gate, 0.0, 2, "ana", 5000.0);
     gate.verdict_received(300.0, 1, 0, verdict(true, 0.0));
     drain_outputs(&mut gate);
-    // The average latency is 300 ms, so a budget of half of 500 ms is rejected without waiting.
+    // The average latency is 300 ms, so a request that may wait for half of its 500 ms is rejected
+    // without waiting.
     assert_eq!(
         submit(&mut gate, 400.0, 3, "eva", 900.0).decided,
         [(3, Decision::Reject(RejectReason::TooLittleTime))]
@@ -239,8 +240,8 @@
     gate.check_failed(10.0, 1, 0, Failure::Server);
     gate.check_failed(10.0, 2, 0, Failure::Server);
     drain_outputs(&mut gate);
-    // The server is blocked while the third check is in flight; its failure does not extend the
-    // backoff.
+    // The server is blocked while the third check is in flight; the failure of this check does not
+    // extend the backoff.
     assert_eq!(
         submit(&mut gate, 11.0, 4, "c4", 5000.0).decided,
         [(4, Decision::Reject(RejectReason::NoServer))]
@@ -311,7 +312,8 @@
         }
         drain_outputs(&mut gate);
     }
-    // One check hangs at server 0 at a time, since server 1 has fewer in flight.
+    // At most one check at a time hangs at server 0: further checks go to server 1, which has fewer
+    // in flight.
     assert!(
         sent_to_unresponsive <= 4,
         "{sent_to_unresponsive} of 40 were sent to server 0"
--- a/crates/forward-auth/tests/schedules.rs
+++ b/crates/forward-auth/tests/schedules.rs
@@ -2,7 +2,8 @@
 //! rules:
 //!
 //! - a verdict is used only for the credential that the service gave it for;
-//! - each request is decided once, by the end of its budget; a cancelled request is never decided;
+//! - each request is decided once, by the end of the time for which it may wait; a cancelled
+//!   request is never decided;
 //! - a key has one check in flight; checks in flight, waiting requests and cached bytes are
 //!   bounded;
 //! - only requests of a class that fails open pass unchecked.
--- a/crates/gateway-config/src/validation.rs
+++ b/crates/gateway-config/src/validation.rs
@@ -216,7 +216,7 @@
         claimants: Claimants<'a, impl Iterator<Item = &'a str>>,
         has_claim: impl Fn(&Claims) -> bool,
     ) -> Option<&'a str> {
-        // The committed index is valid only for items without uncommitted versions.
+        // The index of committed claims is outdated for items that have uncommitted versions.
         let committed = claimants
             .committed
             .filter(|name| self.uncommitted(kind, name).is_none());
--- a/crates/gateway-config/tests/config_state.rs
+++ b/crates/gateway-config/tests/config_state.rs
@@ -139,7 +139,7 @@
 }
 
 /// Guards against accepting invalid or malformed calls: each is rejected with an error that names
-/// the step and the field.
+/// the step of the validation (`read`, `check` or `join`) and the field.
 #[test]
 fn invalid_calls_are_rejected_with_step_and_field() {
     let state = initial_state();
@@ -197,7 +197,8 @@
     assert!(validate(used_service)
         .expect_err("a service that is in use")
         .contains("unknown=\"s2\""));
-    // An older version is valid and changes nothing, and repeating a call is no conflict.
+    // A call with an older version is valid but changes nothing, and repeating a call is no
+    // conflict.
     assert!(validate(&FIRST_CALL.replace("00000007", "00000003")).is_ok());
     assert!(validate(FIRST_CALL).is_ok());
     for length in 1..FIRST_CALL.len() {
--- a/crates/gateway-config/tests/validation.rs
+++ b/crates/gateway-config/tests/validation.rs
@@ -154,7 +154,8 @@
                     pending_changes.add(index, &new);
                     pending.push((index, new));
                 }
-                // The index must be that of a pending entry with one of the call's items.
+                // The returned log index must be that of a pending entry that contains one of the
+                // call's items.
                 Ok(Validation::AlreadyApplied(pending_index)) if pending_index > 0 => {
                     let known = |(index, change): &(u64, Change)| {
                         *index == pending_index
--- a/crates/grpc/src/attempt.rs
+++ b/crates/grpc/src/attempt.rs
@@ -195,7 +195,7 @@
         };
         let code = Code::from_wire(status.as_bytes());
         if now >= self.call_deadline {
-            // The client has given up already, whatever the status.
+            // The client's deadline has passed: the client no longer waits, whatever the status.
             return self.end(
                 Outcome::Timeout,
                 Code::DeadlineExceeded,
@@ -203,7 +203,7 @@
             );
         }
         if self.frames.in_message() {
-            // A truncated message overrides an `OK`.
+            // A truncated message overrides the status, even an `OK`.
             return self.end(
                 Outcome::Reset,
                 Code::Internal,
@@ -243,7 +243,8 @@
     /// Handles a reset of the stream by the backend, with this HTTP/2 error code.
     pub fn reset(&mut self, now: Millis, error: u32) -> Option<End> {
         match error {
-            // After a response head this error code contradicts what was received.
+            // `REFUSED_STREAM` means that the stream was not processed, which a response head
+            // contradicts.
             REFUSED_STREAM if self.phase != Phase::Responding => self.end(
                 Outcome::Full,
                 Code::Unavailable,
--- a/crates/grpc/src/call.rs
+++ b/crates/grpc/src/call.rs
@@ -134,7 +134,8 @@
     pub fn head(&mut self, attempt: u32, head: HeaderMap, outputs: &mut Vec<Output>) {
         if self.is_current(attempt) {
             self.buffer_or_send(Output::Head(head), 0, outputs);
-            // The client may wait for the head before it sends its first message.
+            // The client of a bidirectional stream may wait for the response head before it sends
+            // its first message, so the head is sent at once, which commits the call.
             if self.shape == Shape::Bidi {
                 self.commit(outputs);
             }
@@ -207,7 +208,8 @@
                 }
                 self.finish(CallResult::Served, trailers, outputs);
             }
-            // Without a successful attempt the call fails, since an invented status would be worse.
+            // Without a successful attempt there is no status to serve: the call fails, since an
+            // invented status would be worse.
             last_end => {
                 self.last_end = last_end;
                 self.fail(f64::NEG_INFINITY, outputs);
--- a/crates/grpc/tests/schedules/world.rs
+++ b/crates/grpc/tests/schedules/world.rs
@@ -299,7 +299,7 @@
             Event::Unreachable if current.is_untouched() => current.attempt.unreachable(),
             Event::Wait(time) => {
                 self.now += f64::from(*time);
-                // The driver cancels the attempt.
+                // The driver cancels the attempt once the client's deadline has passed.
                 let expired = self.now >= DEADLINE && self.defect != Some(Defect::IgnoresTime);
                 expired.then(|| current.attempt.timed_out()).flatten()
             }
@@ -349,7 +349,8 @@
                 let late = [&prefix(1)[..], &[previous as u8]].concat();
                 self.call.data(current.number, Bytes::from(late), outputs);
             } else {
-                // Late data of a previous attempt, under the number of that attempt.
+                // Late data of a previous attempt arrives under that attempt's number, and must be
+                // ignored.
                 self.call
                     .data(previous, Bytes::from_static(b"late"), outputs);
             }
--- a/crates/raft/src/raft/constants.rs
+++ b/crates/raft/src/raft/constants.rs
@@ -28,8 +28,8 @@
 pub(super) const JOIN_REQUEST_INTERVAL: Millis = 250.0;
 /// A message without a response is sent again after this time.
 pub(super) const RESEND_TIMEOUT: Millis = 400.0;
-/// A successful response triggers further entries only if the last message to that peer is at least
-/// this old.
+/// A successful response of a peer causes further entries to be sent only if the last message to
+/// that peer is at least this old.
 pub(super) const MIN_SEND_INTERVAL: Millis = 1.0;
 /// A learner that has sent no message for this long is removed.
 pub(super) const LEARNER_EXPIRY: Millis = 30.0 * QUORUM_CONTACT_TIMEOUT;
@@ -43,8 +43,8 @@
 pub(super) const MAX_TERM_OR_INDEX: u64 = 1 << 62;
 /// Maximum number of reads that wait for confirmation; further ones are rejected.
 pub(super) const MAX_PENDING_READS: usize = 1024;
-/// Maximum number of messages deferred until a write; further ones are dropped, as if lost by the
-/// network.
+/// Maximum number of messages deferred until a write is persisted; further ones are dropped, as if
+/// lost by the network.
 pub(super) const MAX_DEFERRED_MESSAGES: usize = 4096;
 /// Number of sequence numbers whose send time is kept; older ones prove no contact.
 pub(super) const MAX_SEND_TIMES: usize = 4096;
--- a/crates/raft/src/raft/election.rs
+++ b/crates/raft/src/raft/election.rs
@@ -113,8 +113,8 @@
         (request.last_log_term, request.last_log_index) >= self.last_log_position()
     }
 
-    /// Returns whether to grant a pre-vote. It must not depose a leader that this node follows, or
-    /// this node itself.
+    /// Returns whether to grant a pre-vote. The election that it permits must not depose a leader
+    /// that this node follows, or this node as the leader.
     fn may_grant_pre_vote(&self, now: Millis, term: u64, request: &RequestVote) -> bool {
         self.is_up_to_date(request)
             && term > self.persistent.term
--- a/crates/raft/src/raft/join.rs
+++ b/crates/raft/src/raft/join.rs
@@ -11,8 +11,8 @@
 
 impl Raft {
     /// Sends a join request to every known node if no leader has sent a message for some time; the
-    /// leader then starts to send the log. A member waits longer before it does so: it may have
-    /// been removed while it was partitioned off.
+    /// leader then starts to send the log. A member sends one too, after a longer wait, since it
+    /// may have been removed while it was partitioned off.
     pub(super) fn request_to_join(&mut self, now: Millis, is_promotable: bool, ready: &mut Ready) {
         let (timeout, interval, earliest) = if is_promotable {
             let timeout = 2.0 * QUORUM_CONTACT_TIMEOUT;
--- a/crates/raft/src/raft/leadership_transfer.rs
+++ b/crates/raft/src/raft/leadership_transfer.rs
@@ -20,8 +20,9 @@
 
 impl Raft {
     /// Begins a graceful shutdown. From now on this node votes and responds, but is not elected. A
-    /// leader replicates its log up to the last entry and transfers its leadership; another node
-    /// asks its leader for release. [`Raft::may_stop`] returns true once the node may stop.
+    /// leader replicates its log up to the last entry and transfers its leadership; any other node
+    /// asks its leader for permission to stop (release). [`Raft::may_stop`] returns true once the
+    /// node may stop.
     pub fn shut_down(&mut self, now: Millis, ready: &mut Ready) {
         self.begin_input(now, ready);
         self.shutdown_since.get_or_insert(now);
@@ -41,8 +42,8 @@
         self.shutdown_since.is_some() && (self.released || !is_needed)
     }
 
-    /// Transfers the leadership of a leader that resigns; another leader releases peers that are
-    /// shutting down.
+    /// Transfers the leadership if this leader resigns; otherwise permits peers that are shutting
+    /// down to stop (releases them).
     pub(super) fn transfer_leadership(&mut self, now: Millis, ready: &mut Ready) {
         let Some(leader) = self.leader_state() else {
             return;
--- a/crates/raft/src/raft/progress.rs
+++ b/crates/raft/src/raft/progress.rs
@@ -30,8 +30,8 @@
     pub last_response: u64,
     /// The role that the peer requests.
     pub membership_request: MembershipRequest,
-    /// When the peer last caught up with all committed entries; reset when it responds after more
-    /// than [`QUORUM_CONTACT_TIMEOUT`].
+    /// When the peer last caught up with all committed entries; reset when the peer responds after
+    /// a gap of more than [`QUORUM_CONTACT_TIMEOUT`].
     pub caught_up_since: Option<Millis>,
     /// Commit index at which the peer, which is shutting down, was released: it does not count
     /// towards the commitment of later entries.
--- a/crates/raft/src/raft/replication.rs
+++ b/crates/raft/src/raft/replication.rs
@@ -163,8 +163,8 @@
         let first_index = progress.next_index.max(1);
         let entries = entries_from(&self.persistent, &self.compacted, first_index);
         progress.next_index = (first_index + entries.len() as u64).min(last_index + 1);
-        // A leader's commit index proves no contact until the leader knows which entries earlier
-        // leaders have committed.
+        // A new leader does not know yet which entries earlier leaders have committed, so its
+        // messages echo no response number, from which the peer would infer quorum contact.
         let last_response = if is_established {
             progress.last_response
         } else {
--- a/crates/raft/src/raft/status.rs
+++ b/crates/raft/src/raft/status.rs
@@ -1,4 +1,4 @@
-//! Queries that do not change a node.
+//! Read-only methods of a node, which return its leader, members, term, indexes and log.
 
 use super::{Configuration, Entry, Member, PersistentState, Raft};
 use std::collections::BTreeSet;
--- a/crates/raft/tests/consensus_model/properties.rs
+++ b/crates/raft/tests/consensus_model/properties.rs
@@ -6,7 +6,7 @@
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
-/// Name of the property that commands are committed at all.
+/// Name of the property that the search reaches a state in which a command is committed.
 pub const COMMAND_IS_COMMITTED: &str = "a command is committed";
 
 impl Model for ConsensusModel {
--- a/crates/raft/tests/membership.rs
+++ b/crates/raft/tests/membership.rs
@@ -20,7 +20,8 @@
     Stop,
     /// The machine shuts down, and another is added once it has stopped.
     StopThenStart,
-    /// Another machine is added, and runs for a while before the machine shuts down.
+    /// Another machine is added, and runs for a while before the machine that it replaces shuts
+    /// down.
     StartThenStop,
 }
 
--- a/crates/raft/tests/quorum_contact.rs
+++ b/crates/raft/tests/quorum_contact.rs
@@ -13,8 +13,8 @@
     Cluster::new(seed, size, Variant::Correct)
 }
 
-/// A leader that resumes with old responses in its sockets steps down at its first input of any
-/// kind. None of these responses restores its leadership or proves contact.
+/// A leader that resumes after a freeze, with old responses in its sockets, steps down at its first
+/// input of any kind. None of these responses restores its leadership or proves contact.
 #[test]
 fn frozen_leader_steps_down_before_it_processes_old_responses() {
     let mut reads = 0;
--- a/crates/raft/tests/simulator/faults.rs
+++ b/crates/raft/tests/simulator/faults.rs
@@ -12,7 +12,7 @@
     ProcessExit,
     /// Unsynced writes are lost, either all of them or those from some write on.
     PowerLoss,
-    /// Power and disk are lost.
+    /// Unsynced writes are lost, and the disk is replaced by an empty one.
     DiskLoss,
 }
 
--- a/crates/raft/tests/simulator/health.rs
+++ b/crates/raft/tests/simulator/health.rs
@@ -106,8 +106,8 @@
             })
     }
 
-    /// Returns whether these voters would elect the node, judging by their disks, and it has all
-    /// committed entries.
+    /// Returns whether these voters would elect the node, judging by their disks, and the node has
+    /// all committed entries.
     fn could_lead(&self, name: &str, voters: &[&String]) -> bool {
         let disk = &self.nodes[name].disk;
         let has_all_committed = disk.last_index() >= self.last_committed();
--- a/crates/raft/tests/simulator/scenarios.rs
+++ b/crates/raft/tests/simulator/scenarios.rs
@@ -80,7 +80,8 @@
         match self.draw(15) {
             0 => self.crash(&name, CrashKind::ProcessExit, down),
             1 => self.crash(&name, CrashKind::PowerLoss, down),
-            // Disks are lost only once all members that lost theirs before are replaced.
+            // Disks are lost only while the cluster is healthy: all members that lost their disks
+            // before are repaired or replaced.
             2 if self.is_healthy() => self.lose_disks(down),
             3 => self.lose_power_everywhere(down),
             4 => self.block_one_direction(&name, &other),
@@ -147,9 +148,9 @@
         self.crash_all(&all, CrashKind::PowerLoss, down);
     }
 
-    /// Makes a member lose its disk and waits until it is a member again. Then, while a third
-    /// member lags so that a majority depends on the re-added one, that one loses power, and
-    /// sometimes the other up-to-date member is down for a while.
+    /// Makes a member lose its disk and waits until it is a member again. Then a third member lags,
+    /// so that a majority depends on the re-added member; the re-added member loses power, and
+    /// sometimes the only other up-to-date member is down for a while.
     pub fn fail_readded_member(&mut self) {
         let start = self.draw(self.names.len() as u32) as usize;
         let names = self.names_from(start, 3);
--- a/crates/raft/tests/untrusted_messages.rs
+++ b/crates/raft/tests/untrusted_messages.rs
@@ -171,7 +171,7 @@
     false
 }
 
-/// Calls the queries, none of which may panic in any state.
+/// Calls the node's read-only methods, none of which may panic in any state.
 fn query_status(raft: &Raft, now: f64) {
     let _ = (
         raft.last_quorum_contact(now),
