--- a/crates/grpc/src/replay.rs
+++ b/crates/grpc/src/replay.rs
@@ -52,8 +52,8 @@
         self.bytes < self.max_bytes
     }
 
-    /// Appends a chunk from the client. Returns `false` if the buffer is full: its capacity is
-    /// freed only after the call is committed and its attempt has taken chunks.
+    /// Appends a chunk from the client. Returns `false` if the buffer is full; capacity is freed
+    /// only after the call is committed and the current attempt has taken chunks.
     pub fn push(&mut self, chunk: Bytes) -> bool {
         // Empty chunks are dropped: an endless series would grow the buffer without counting any
         // bytes.
--- a/crates/grpc/tests/schedules/world.rs
+++ b/crates/grpc/tests/schedules/world.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Acts as the decision module: begins a further attempt if the class permits one, otherwise
+    /// Acts as the decision module: begins a further attempt if a retry is permitted, otherwise
     /// ends the call.
     fn decide(&mut self) -> Result<(), String> {
         let last_end = self.last.as_ref().map(|last| &last.end);
--- a/crates/raft/src/raft/constants.rs
+++ b/crates/raft/src/raft/constants.rs
@@ -15,11 +15,11 @@
 pub(super) const MIN_ELECTION_TIMEOUT: Millis = 600.0;
 /// Upper bound of the random addition to [`MIN_ELECTION_TIMEOUT`].
 pub(super) const ELECTION_TIMEOUT_SPREAD: Millis = 600.0;
-/// A node that has just started requests pre-votes after this, or up to four times as long. The
-/// delay can be short because nodes that have a leader grant no pre-vote.
+/// A node that has just started requests pre-votes after a random time from this delay to four
+/// times as long. The delay can be short because nodes that have a leader grant no pre-vote.
 pub(super) const FIRST_PRE_VOTE_DELAY: Millis = 80.0;
-/// A failed pre-vote is repeated after this, or up to three times as long; a failed election after
-/// twice this and up to [`ELECTION_TIMEOUT_SPREAD`] more.
+/// A failed pre-vote is repeated after a random time from this interval to three times as long; a
+/// failed election after twice this interval and up to [`ELECTION_TIMEOUT_SPREAD`] more.
 pub(super) const ELECTION_RETRY_INTERVAL: Millis = 150.0;
 /// A leader whose last proven contact with a quorum is older than this steps down, and no node
 /// reports quorum contact for longer than this after the last proof.
--- a/crates/raft/src/raft/election.rs
+++ b/crates/raft/src/raft/election.rs
@@ -196,9 +196,9 @@
         self.send_heartbeats(now, ready);
     }
 
-    /// Returns the progress of all other members at the start of a term. A vote proves contact at
-    /// the time of the request. The last message from the previous leader is dated to when this
-    /// node, as a follower, received it.
+    /// Returns the progress of all other members at the start of this leader's term. A vote proves
+    /// contact at the time of the vote request. The last message of the previous leader is dated to
+    /// when this node, as a follower, received it.
     fn initial_progress(
         &self,
         now: Millis,
--- a/crates/raft/src/raft/leadership_transfer.rs
+++ b/crates/raft/src/raft/leadership_transfer.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Returns since when this leader has been resigning, if it is. A leader that an entry of an
-    /// earlier leader has removed resigns at once.
+    /// Returns the time since which this leader has been resigning; `None` if it is not. A leader
+    /// that is not a member any more, by an entry of an earlier leader, resigns at once.
     fn resigning_since(&self) -> Option<Millis> {
         let is_removed = !self.in_joint_configuration() && !self.is_voter();
         self.shutdown_since
--- a/crates/raft/src/raft/quorum_contact.rs
+++ b/crates/raft/src/raft/quorum_contact.rs
@@ -63,7 +63,7 @@
         self.become_follower(now, None, ready);
     }
 
-    /// Carries over a leader's proven contact when it stops leading.
+    /// Keeps the time of a leader's last proven contact with a quorum when the leader steps down.
     pub(super) fn retain_leader_contact(&mut self, now: Millis) {
         let proven = self.proven_contact(now);
         self.quorum_contact = self.quorum_contact.max(proven);
--- a/crates/raft/tests/consensus_model/mod.rs
+++ b/crates/raft/tests/consensus_model/mod.rs
@@ -93,8 +93,8 @@
             && (!is_joint || is_majority(&configuration.previous, present))
     }
 
-    /// Returns the message that a leader sends to all nodes. It contains the commit length only if
-    /// the log changes the members, since it has no effect otherwise.
+    /// Returns the message that a leader sends to all nodes. The message contains the commit length
+    /// only if the log changes the members, since a commit length has no effect otherwise.
     fn append_message(&self, node: &Node, leader: NodeId) -> SentMessage {
         let is_membership = |entry: &Entry| matches!(entry.payload, Payload::Membership(_));
         let changes_members = node.log.iter().any(is_membership);
--- a/crates/raft/tests/snapshots.rs
+++ b/crates/raft/tests/snapshots.rs
@@ -22,7 +22,7 @@
         propose_to_leader(&mut cluster, 20);
         cluster.run(20.0);
     }
-    // Run long enough for the node to lose quorum contact.
+    // Run long enough for the partitioned node to lose quorum contact.
     cluster.run(1500.0);
     (cluster, name)
 }
