--- a/crates/raft/src/raft/election.rs
+++ b/crates/raft/src/raft/election.rs
@@ -113,8 +113,8 @@
         (request.last_log_term, request.last_log_index) >= self.last_log_position()
     }
 
-    /// Returns whether to grant a pre-vote. It must not depose a leader that this node follows, or
-    /// this node itself.
+    /// Returns whether to grant a pre-vote. The election that it permits must not depose a leader
+    /// that this node follows, or this node as the leader.
     fn may_grant_pre_vote(&self, now: Millis, term: u64, request: &RequestVote) -> bool {
         self.is_up_to_date(request)
             && term > self.persistent.term
@@ -196,9 +196,9 @@
         self.send_heartbeats(now, ready);
     }
 
-    /// Returns the progress of all other members at the start of a term. A vote proves contact at
-    /// the time of the request. The last message from the previous leader is dated to when this
-    /// node, as a follower, received it.
+    /// Returns the progress of all other members at the start of this leader's term. A vote proves
+    /// contact at the time of the vote request. The last message of the previous leader is dated to
+    /// when this node, as a follower, received it.
     fn initial_progress(
         &self,
         now: Millis,
