--- a/crates/etcd/tests/histories.rs
+++ b/crates/etcd/tests/histories.rs
@@ -328,7 +328,8 @@
                 let Some(endpoint) = self.open.get(&connection).copied() else {
                     return;
                 };
-                // The response overtakes changes that are not yet sent, as seen with etcd.
+                // The response to a progress request overtakes changes that are not yet sent, as
+                // seen with etcd.
                 let response = WatchResponse {
                     watch_id: -1,
                     ..self.response(endpoint)
--- a/crates/etcd/tests/sockets.rs
+++ b/crates/etcd/tests/sockets.rs
@@ -491,8 +491,8 @@
         bed.etcd.only("front", "secret");
         put(&bed.etcd, "a", "up");
         bed.wait_for_states(&[("a", Up)]).await;
-        // The user is the same after a change of users: the open watch continues, and the next
-        // watch needs a new token.
+        // A change of users invalidates the token, although the user stays the same: the open watch
+        // continues, and the next watch needs a new token.
         bed.etcd.only("front", "secret");
         put(&bed.etcd, "b", "up");
         bed.wait_for_states(&[("a", Up), ("b", Up)]).await;
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -32,7 +32,8 @@
 
 /// Time limit for connecting to the service, in milliseconds.
 const DIAL_TIMEOUT: Millis = 250.0;
-/// If descriptors are scarce, one check may be in flight for this many descriptors.
+/// Number of descriptors for backends per check in flight: limits the checks if descriptors are
+/// scarce.
 const SOCKETS_PER_CHECK: usize = 16;
 
 /// The service's response: headers for the forwarded request, or a response to the client in its
@@ -125,7 +126,7 @@
         for (at, server) in settings.servers.iter().enumerate() {
             pools.open(server_id(at), server.dial, 0.0);
         }
-        // The secret of the keys is known to this process only: keys of one incarnation mean
+        // The secret for callers' keys is known to this process only: keys of one incarnation mean
         // nothing in another.
         let secret = [seed.to_be_bytes(), process_secret()]
             .concat()
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -125,7 +125,8 @@
         let name = std::env::var(VARIABLE).ok()?;
         let found = NAMES.iter().find(|(known, _)| *known == name);
         if found.is_none() {
-            // An unknown name must not pass for a breakage that the checks did not find.
+            // An unknown name ends the process: a run without any breakage must not count as one
+            // whose breakage the checks missed.
             eprintln!("{VARIABLE}: {name:?} is not a known breakage");
             std::process::exit(64);
         }
--- a/crates/maplefall/src/net/clients/mod.rs
+++ b/crates/maplefall/src/net/clients/mod.rs
@@ -43,8 +43,8 @@
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// How often connections are checked for time limits.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// `Retry-After` for a client whose caller could not be checked: the first interval of the circuit
-/// breaker is over by then.
+/// `Retry-After` of a rejection because the authentication service gave no verdict: by then the
+/// first backoff of the service's circuit breaker has ended.
 const CHECK_UNAVAILABLE_RETRY_AFTER: Millis = 1000.0;
 
 /// The clients' side of a gateway.
@@ -307,8 +307,8 @@
         body,
     } = auth_response
     else {
-        // Unreachable: the gate returns the verdict that it was given, so a denied caller's
-        // response is an `AuthResponse::Denial`.
+        // Unreachable: `maplefall-forward-auth` returns the verdict that it was given, so a denied
+        // caller's response is always an `AuthResponse::Denial`.
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::FORBIDDEN;
         return response;
--- a/crates/maplefall/src/net/counts.rs
+++ b/crates/maplefall/src/net/counts.rs
@@ -88,8 +88,8 @@
             .record_usage(now, quota_of(customer, plan), units);
     }
 
-    /// Returns what peers have admitted for a customer, unless the decision module has it already,
-    /// with the age of that count.
+    /// Returns the units that peers have admitted for a customer, with the age of that count;
+    /// `None` if the decision module has the count already.
     pub fn usage_elsewhere(
         &self,
         now: Millis,
--- a/crates/maplefall/src/net/driver/requests.rs
+++ b/crates/maplefall/src/net/driver/requests.rs
@@ -72,7 +72,7 @@
         Some((id, receiver))
     }
 
-    /// Passes on that peers have admitted more requests of a customer.
+    /// Notifies the decision module that a customer's usage at peers has changed.
     pub fn record_usage_elsewhere(self: &Rc<Self>, at: Millis, usage: RemoteUsage) {
         self.post(at, Event::RemoteUsage(usage));
     }
--- a/crates/maplefall/src/net/driver/timers.rs
+++ b/crates/maplefall/src/net/driver/timers.rs
@@ -11,7 +11,8 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::rc::Rc;
 
-/// Maximum fraction of a call's time that is reserved for a status that may be sent late.
+/// Maximum fraction of a call's remaining time by which the call ends early, so that its status is
+/// sent before the client's deadline.
 const MAX_RESERVE_FRACTION: f64 = 0.1;
 
 /// The kind of a timer.
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -154,7 +154,7 @@
     code: maplefall_grpc::Code::Unavailable,
     reason: "not sent",
 };
-/// The end for an attempt that has reported its end already, which it does once only.
+/// Returned by an attempt whose end has been reported already: each attempt reports one end.
 const ALREADY_ENDED: &End = &End {
     outcome: Outcome::Reset,
     code: maplefall_grpc::Code::Internal,
--- a/crates/maplefall/src/net/grpc/call_handler.rs
+++ b/crates/maplefall/src/net/grpc/call_handler.rs
@@ -22,7 +22,8 @@
 
 /// Time limit in milliseconds for a message that must be complete before the call starts.
 const MESSAGE_TIMEOUT: Millis = 2000.0;
-/// Advised retry delay in milliseconds for a client whose caller could not be checked.
+/// Advised retry delay in milliseconds for a call rejected because the authentication service gave
+/// no verdict.
 const CHECK_UNAVAILABLE_RETRY_AFTER: Millis = 1000.0;
 
 impl GrpcServer {
--- a/crates/maplefall/src/net/grpc/connections.rs
+++ b/crates/maplefall/src/net/grpc/connections.rs
@@ -204,7 +204,8 @@
         let closed = Rc::new(Cell::new(false));
         let ended = closed.clone();
         let task = tokio::task::spawn_local(async move {
-            // The library notifies the calls on the connection, whatever ends it.
+            // The result is ignored: however the connection ends, the library notifies the calls on
+            // it.
             let _ = connection.await;
             ended.set(true);
         });
--- a/crates/maplefall/src/net/membership.rs
+++ b/crates/maplefall/src/net/membership.rs
@@ -23,7 +23,8 @@
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
-/// A change that arrives later than this after its write is logged.
+/// Delay between the write of a change and its arrival beyond which the change is logged, in
+/// milliseconds.
 const LATE_CHANGE_THRESHOLD: Millis = 500.0;
 /// Minimum interval between log lines on late changes.
 const LATE_CHANGE_LOG_INTERVAL: Millis = 10_000.0;
@@ -262,7 +263,8 @@
                     one_line(&report.to_string())
                 ));
             }
-            // The module `discovery` makes the agent's calls.
+            // Calls to the discovery agent are opened and closed by the module `discovery`, not
+            // here.
             maplefall_discovery_agent::Output::OpenCall { .. }
             | maplefall_discovery_agent::Output::CloseCall(_) => {}
         }
@@ -272,8 +274,8 @@
         let name = &self.sources[at].settings.name;
         match output {
             Output::Command(_) => {}
-            // Ordinary changes of nodes are not logged one by one; these reports are about the
-            // source.
+            // The reports logged here are about the etcd source; ordinary changes of its nodes are
+            // not logged one by one.
             Output::Report(report @ Report::Unreadable { .. }) => {
                 self.log(&format_args!("{name}: passed over: {report}"));
             }
--- a/crates/maplefall/src/net/mod.rs
+++ b/crates/maplefall/src/net/mod.rs
@@ -40,8 +40,8 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 
-/// Interval at which a configuration that could not be used at SIGHUP is read again. Its writer is
-/// done within a minute.
+/// Interval at which a configuration that could not be used at SIGHUP is read again, as it may be
+/// incomplete: its writer is done within a minute.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum number of times that an unusable configuration is read again after one SIGHUP.
 const MAX_RELOAD_RETRIES: u32 = 300;
--- a/crates/maplefall/src/net/request.rs
+++ b/crates/maplefall/src/net/request.rs
@@ -168,8 +168,8 @@
 }
 
 impl Terms {
-    /// Parses the terms in a header; `None` for values beyond the limits in the settings, which the
-    /// decision module would clamp and serve.
+    /// Parses the quota units and the number of gateways in a header; `None` for values beyond the
+    /// limits in the settings, which the decision module would clamp and serve.
     pub fn read(text: &str, settings: &Settings) -> Option<Terms> {
         let gateway_limit = settings.gateways.max(1);
         let (mut units, mut gateways, mut first) = (None, None, None);
--- a/crates/maplefall/tests/drains.rs
+++ b/crates/maplefall/tests/drains.rs
@@ -65,7 +65,7 @@
         .to_string(),
     );
     watch.end();
-    // The request for changes from version 8 shows that the line has been applied.
+    // The gateway's request for changes from version 8 shows that it has applied the line.
     new_agent.accept_list_request("?watch=1&from=8");
     // The gateway still accepts connections for a while and rejects what it cannot forward. Once it
     // no longer accepts, there is nothing to check.
@@ -115,8 +115,8 @@
         (first_line == "GET /catalog/members?watch=1&from=9 HTTP/1.1")
             .then(|| bed.watch = AgentWatch::begin(connection))
     });
-    // The older list's drain is applied, which shows that the list has been read; its `up` entry is
-    // not.
+    // The older list's drain of the second backend is applied, which shows that the list has been
+    // read; its `up` entry for the first backend is not.
     bed.watch
         .send_line(&member_list(&bed, 8, true, &["up", "draining"]));
     let lines = [
@@ -129,14 +129,14 @@
         !probe.send_until_rejected().contains(&0),
         "an older list ended a drain"
     );
-    // The agent reaches the version of the first agent and passes it.
+    // The second agent reaches the first agent's version and passes it.
     bed.watch.send_line(&lines[0]);
     bed.watch.send_line(&lines[1]);
     assert!(
         !probe.send_until_all_reach(1).contains(&0),
         "a drain ended while the agent caught up"
     );
-    // A newer entry ends the drain.
+    // A newer entry for the first backend ends its drain.
     bed.watch.send_line(&lines[2]);
     probe.send_until_all_reach(0);
 }
@@ -159,8 +159,8 @@
     second_watch.send_line(&member_list(&bed, 9, false, &["draining"]));
     bed.watch.expect_end();
     TrafficProbe::new(&bed.program, &bed.backends).send_until_all_reach(1);
-    // The second request is not sent before a heartbeat was missed; there is no upper bound, since
-    // the machine may be slow.
+    // The second request to the agent is not sent before a heartbeat was missed; its delay has no
+    // upper bound, since the machine may be slow.
     assert!(
         reopened_after.as_secs_f64() > 2.0,
         "second request after {reopened_after:?}"
--- a/crates/maplefall/tests/forward_auth.rs
+++ b/crates/maplefall/tests/forward_auth.rs
@@ -241,10 +241,10 @@
         }
         assert!(statuses[&429] >= 190, "{statuses:?}");
         assert!(bed.auth.checks() <= 10, "{} checks", bed.auth.checks());
-        // Denied requests take nothing from the quota, but checks count, and beyond three times the
-        // quota no more checks are made: with a quota of 0.5 units/s, a burst of 2 units and a
-        // half-life of sixteen bursts (64 s), the penalty box closes at 3 x 0.5 x 64 / ln 2 + 2 =
-        // 141 units in a moment.
+        // Denied requests take nothing from the quota, but their checks count, and beyond three
+        // times the quota requests are rejected unchecked: with a quota of 0.5 units/s, a burst of
+        // 2 units and a half-life of sixteen bursts (64 s), checks made in one moment reach that
+        // limit at 3 x 0.5 x 64 / ln 2 + 2 = 141 units.
         for n in 0..400 {
             let text = request(&format!("g{n}"), "read", &format!("c{n}"), "8");
             let text = text
--- a/crates/maplefall/tests/grpc/mixed_faults.rs
+++ b/crates/maplefall/tests/grpc/mixed_faults.rs
@@ -1,4 +1,4 @@
-//! All faults at once.
+//! gRPC calls to fake services that inject all kinds of faults at once.
 
 use crate::harness::*;
 use maplefall_test_servers::grpc::{Client, Fault};
@@ -13,8 +13,8 @@
     const CALLS_PER_CLIENT: usize = 255;
     const PATHS: [&str; 6] = [READ, EXTEND, CHARGE, WATCH, WATCH_CHARGE, UPLOAD];
     run(async {
-        // The latency target is 200 ms: a call expected to take longer than its client's deadline is
-        // rejected before any attempt.
+        // The latency target of 200 ms is well below the clients' deadlines, since a call expected
+        // to take longer than its client's deadline is rejected before any attempt.
         let mut settings = settings_without_quota();
         (0..3).for_each(|class| settings["grades"][class]["aim"] = serde_json::json!(200.0));
         let bed = test_bed_with(3, "connections = 64", &[], settings);
@@ -78,7 +78,7 @@
             let non_idempotent = [CHARGE, WATCH_CHARGE].contains(path);
             if non_idempotent {
                 assert!(ran <= 1, "{id} {path} ran {ran} times");
-                // A rejected call has not run.
+                // Status 14 is a rejection, for which the call must not have run.
                 assert!(
                     code != 14 || ran == 0,
                     "{id} was rejected and ran: {seen:?}"
@@ -108,7 +108,7 @@
                     "the application's trailers: {seen:?}"
                 ),
                 14 => {}
-                // A failure asks its client not to retry.
+                // Any other status is a failure, which asks the client not to retry.
                 _ => assert_eq!(
                     seen.trailer("grpc-retry-pushback-ms"),
                     Some("-1"),
--- a/crates/maplefall/tests/grpc/retries.rs
+++ b/crates/maplefall/tests/grpc/retries.rs
@@ -193,8 +193,8 @@
     });
 }
 
-/// The deadline may expire before the backend sends its status: that status may be `OK` by then,
-/// and the client gets a status by the deadline.
+/// A backend may send its status, even `OK`, only after the call's deadline: the client then gets
+/// another status, at the deadline.
 #[test]
 fn status_after_the_deadline_does_not_count() {
     run(async {
@@ -218,8 +218,8 @@
         }
         while let Some(seen) = seen.join_next().await {
             let (fault, path, attempts, seen) = seen.unwrap();
-            // The status is a rejection where the call may run again, otherwise one that does not
-            // invite a retry.
+            // The status is 4 (deadline exceeded); for a call that may run again it may also be 14,
+            // a rejection, which invites a retry.
             let expected = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
             assert!(expected && attempts == 1, "{fault:?} {path} {seen:?}");
             assert!(
--- a/crates/maplefall/tests/http/discovery.rs
+++ b/crates/maplefall/tests/http/discovery.rs
@@ -67,7 +67,7 @@
     watch
         .send_line(&members(8, false, &[member("s-0", backend.address(), "draining")]).to_string());
     watch.end();
-    // The request for changes from version 8 shows that the line has been applied.
+    // The gateway's request for changes from version 8 shows that it has applied the line.
     discovery.accept_list_request("?watch=1&from=8");
     for _ in &fillers {
         backend.accept();
--- a/crates/maplefall/tests/http/process.rs
+++ b/crates/maplefall/tests/http/process.rs
@@ -30,7 +30,8 @@
         assert_eq!(response.header("connection"), Some("close"));
         client.expect_end();
     };
-    // One response at once and one after idle connections have been closed: neither is lost.
+    // One response is sent at once, the other after idle connections have been closed: both reach
+    // their clients.
     complete(&mut second, &mut late);
     idle.expect_end();
     complete(&mut backend, &mut client);
--- a/crates/maplefall/tests/http/requests.rs
+++ b/crates/maplefall/tests/http/requests.rs
@@ -233,7 +233,8 @@
 }
 
 /// An id is accepted for one request; a later request with the same id counts as another one's, so
-/// that nothing takes effect twice. To bound memory, no wait is longer than the class allows.
+/// that nothing takes effect twice. To bound memory, a request's timeout is limited to the deadline
+/// of its class.
 #[test]
 fn id_is_accepted_once_and_no_wait_exceeds_the_class_deadline() {
     let bed = TestBed::new(1);
--- a/crates/maplefall/tests/membership.rs
+++ b/crates/maplefall/tests/membership.rs
@@ -167,15 +167,16 @@
     let mut connection = discovery.accept();
     connection.read();
     let mut watch = AgentWatch::begin(connection);
-    // Both sources have reported: from here on nothing is forwarded to a.
+    // Both sources have reported: from here on nothing is forwarded to backend a, which etcd
+    // drains.
     while !program.log_line().contains("watching from revision") {}
     let mut probe = TrafficProbe::new(&program, &backends);
     assert!(
         probe.send_until_all_reach(1).is_empty(),
         "a draining backend got a request"
     );
-    // The agent reports a as up, in a change and in a full list; then it drains b, which leaves c
-    // alone.
+    // The agent reports backend a as up, in a change and in a full list; then it drains b, so that
+    // only c is left.
     let draining = |id: &str, at: usize| member(id, backends[at].address(), "draining");
     watch.send_line(&members(8, false, &list[..1]).to_string());
     watch.send_line(&members(9, true, &list).to_string());
@@ -292,8 +293,8 @@
     TrafficProbe::new(&program, &backends).send_until_all_reach(1);
 }
 
-/// An agent that restarts its version numbers is accepted again: a backend that started since shows
-/// that its list is the newer one.
+/// An agent that restarts its version numbers is accepted again: a backend in its list that started
+/// since the previous list shows that its list is the newer one.
 #[test]
 fn agent_that_restarts_its_versions_is_accepted() {
     let TestBed {
@@ -395,7 +396,8 @@
     cluster.members[0].down(true);
     let program = start();
     wait_until_ready(&program);
-    // The agent reports both as up; etcd's drain of a still applies, although etcd is down.
+    // The agent reports both backends as up; etcd's drain of a still applies, although etcd is
+    // down.
     let mut connection = discovery.accept();
     connection.read();
     let mut watch = AgentWatch::begin(connection);
--- a/crates/maplefall/tests/shared_counts.rs
+++ b/crates/maplefall/tests/shared_counts.rs
@@ -354,8 +354,8 @@
         let bed = test_bed(4, settings);
         bed.wait_until_joined().await;
         let started = Instant::now();
-        // Customers seen before are known to all gateways; a first request at another gateway makes
-        // this customer known.
+        // A first request at another gateway makes the customer known to all gateways, as customers
+        // seen before are.
         let mut first = Link::open(bed.gateways[1].address).await.unwrap();
         assert_eq!(
             send_request(&mut first, "first", CUSTOMER, 1).await.status,
@@ -367,8 +367,8 @@
         .await;
         let mut link = Link::open(bed.gateways[0].address).await.unwrap();
         let charged = || bed.usage.charged.borrow()[&CUSTOMER] as f64 / 1000.0;
-        // What a single gateway that gets all requests would have admitted: it starts with as many
-        // tokens as the gateway's own bucket.
+        // Token bucket of a single gateway that gets all requests, for comparison: it starts with
+        // as many tokens as the tested gateway's own bucket.
         let (mut single_tokens, mut single_updated_at, mut used_by_one_gateway) =
             (BURST - 1.0, Instant::now(), 0.0);
         let (load_started, mut requested, mut rejected) = (Instant::now(), 0.0, 0);
--- a/crates/maplefall/tests/sockets/test_bed.rs
+++ b/crates/maplefall/tests/sockets/test_bed.rs
@@ -86,7 +86,7 @@
     }
 
     /// Sends one request and lets the backend respond; returns the backend's index, or `None` if
-    /// the gateway rejected the request: tests soon exceed any quota.
+    /// the gateway rejected the request, for example over the quota, which tests soon exceed.
     pub fn send_request(&mut self) -> Option<usize> {
         // A request id is accepted only once, whichever client sends it.
         let id = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -9,8 +9,8 @@
 /// The maximum number of removed backends whose stops a source keeps; beyond it the oldest are
 /// evicted.
 const MAX_STOPS: usize = 4096;
-/// The minimum number of removals in one event that is reported, if it is over half of the source's
-/// backends.
+/// Removals in one event are reported if there are at least this many and they are over half of the
+/// source's backends.
 const MIN_MASS_REMOVAL: usize = 3;
 
 /// The state of a backend in one source.
@@ -30,7 +30,7 @@
     }
 }
 
-/// The latest start over all sources of each backend that an event concerns.
+/// The backends that an event concerns, by name, each with its latest start over all sources.
 pub(crate) type LatestStarts = BTreeMap<String, Millis>;
 
 /// The effects of an event on a source.
@@ -312,7 +312,7 @@
             let Some((host, sequence)) = self.stops.pop_front() else {
                 break;
             };
-            // The backend can have been listed again since, and even removed again.
+            // Since this stop the backend can have been listed again, and even removed again.
             let record = self.records.get(&host);
             if record.is_some_and(|record| record.sequence == sequence) {
                 self.records.remove(&host);
--- a/crates/membership/tests/reference_model.rs
+++ b/crates/membership/tests/reference_model.rs
@@ -310,7 +310,7 @@
         for (kind, source, step, mut hosts, unreadable, elapsed) in history {
             now += elapsed;
             let mut seen = std::collections::BTreeSet::new();
-            // A version lists a backend once.
+            // An event lists each backend at most once.
             hosts.retain(|member| seen.insert(member.host.clone()));
             let version = (versions[source] + step).max(1);
             let members = Members { seq: version as u64, whole: false, hosts };
--- a/crates/membership/tests/rules.rs
+++ b/crates/membership/tests/rules.rs
@@ -363,8 +363,8 @@
             .collect::<Vec<_>>()
     };
     endpoints.apply_event(0.0, snapshot(0, 1, &many(0, 10)));
-    // Eight of ten are missing at once and suspected; of the remaining and new ones, one is removed
-    // at once.
+    // The second snapshot lacks eight of ten backends, which are suspected; the third lacks one of
+    // the six that the second listed, which is removed at once.
     assert_eq!(
         changes(&endpoints.apply_event(1.0, snapshot(0, 2, &many(8, 14)))).len(),
         4
@@ -613,7 +613,7 @@
         changes(&endpoints.apply_event(2.0, change(AGENT, 2, &[backend("n0", Up, 1.0)]))),
         [("n0", Up)]
     );
-    // A backend that returned since is not evicted with its old stop.
+    // The record of a backend that returned after a stop is not evicted with that stop.
     let mut endpoints = agent_and_etcd();
     endpoints.apply_event(0.0, change(ETCD, 1, &[backend("back", Removed, 1.0)]));
     endpoints.apply_event(0.0, change(ETCD, 2, &[backend("back", Draining, 2.0)]));
