--- a/crates/etcd/tests/follower.rs
+++ b/crates/etcd/tests/follower.rs
@@ -230,7 +230,7 @@
         backoff: [50.0, 2000.0],
         ..Settings::with_defaults(0, 1, "/p")
     };
-    // The history is compacted between the pages, every time.
+    // Every full read fails because the history is compacted between its pages.
     let mut harness = Harness::new(settings.clone());
     let attempts = attempts_in_a_minute(&mut harness, |harness, connection| {
         harness.input(connection, Input::Opened);
@@ -245,7 +245,7 @@
         harness.input(connection, created(connection % 2 + 1, 5));
     });
     assert!((30..=120).contains(&attempts), "two clusters: {attempts}");
-    // The watch is cancelled by a compaction as soon as it was created.
+    // Every watch is cancelled by a compaction as soon as it is created.
     let mut harness = Harness::new(settings);
     let attempts = attempts_in_a_minute(&mut harness, |harness, connection| {
         harness.input(connection, Input::Opened);
@@ -476,7 +476,7 @@
     ));
     harness.follower.handle_timeout(600.0);
     assert!(harness.outputs().commands.is_empty(), "requested once");
-    // The response restarts the timeout.
+    // A watch response restarts the timeout.
     harness.input(
         1,
         Input::WatchResponse(WatchResponse {
--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -32,7 +32,7 @@
 
 /// Time limit for connecting to the service, in milliseconds.
 const DIAL_TIMEOUT: Millis = 250.0;
-/// Number of descriptors for backends per check in flight: limits the checks if descriptors are
+/// Number of the process's descriptors per check in flight: limits the checks if descriptors are
 /// scarce.
 const SOCKETS_PER_CHECK: usize = 16;
 
@@ -99,7 +99,8 @@
     timer_changed: Notify,
 }
 
-/// Returns the number of descriptors for checks, out of those for backends.
+/// Returns the number of descriptors for checks, taken from those for backends, in a process of
+/// this many descriptors.
 pub fn reserved_sockets(settings: Option<&AuthSettings>, descriptors: usize) -> usize {
     settings.map_or(0, |settings| {
         settings
--- a/crates/maplefall/src/net/breakages.rs
+++ b/crates/maplefall/src/net/breakages.rs
@@ -76,9 +76,9 @@
     LateVerdictResponse,
     /// A request whose caller passed is sent once more, as if its check had been answered twice.
     SentAgainAfterCheck,
-    /// Reported usage at peers is added at each report instead of being joined.
+    /// Usage at peers is counted several times, as if repeated reports of it were added up.
     CountsAdded,
-    /// Reported usage at peers never ages.
+    /// Usage at peers counts as current, however old its report is.
     UsageNeverAges,
     /// An agent's list is applied whatever its version.
     OlderListWins,
@@ -164,7 +164,7 @@
     settings
 }
 
-/// Number of times that a report is counted, as if it arrived from several peers.
+/// Factor by which usage at peers is multiplied, as if several peers had reported it.
 const REPEATED_REPORTS: f64 = 3.0;
 
 /// Returns the usage at peers for the decision module.
@@ -268,7 +268,7 @@
     let Some(Line::Update(ListUpdate { mut members, .. })) = parsed else {
         return outputs;
     };
-    // Versions of the endpoint list's events increase, whatever the agent's do.
+    // The endpoint list gets increasing versions, whatever the versions of the agent's lists are.
     members.seq = NEXT_VERSION.fetch_add(1, Ordering::Relaxed);
     let unreadable = Vec::new();
     let event = match members.whole {
--- a/crates/maplefall/src/net/driver/attempts.rs
+++ b/crates/maplefall/src/net/driver/attempts.rs
@@ -25,7 +25,7 @@
     call: Option<Rc<ProxiedCall>>,
     /// Time limit of the attempt in milliseconds.
     timeout: Millis,
-    /// Precaution against a connection that breaks during the attempt.
+    /// How the request is protected against a connection that turns out to be broken.
     send_mode: SendMode,
 }
 
--- a/crates/maplefall/src/net/driver/mod.rs
+++ b/crates/maplefall/src/net/driver/mod.rs
@@ -79,8 +79,8 @@
 }
 
 impl Driver {
-    /// Creates a driver with an empty list of backends. `reserved_sockets` of the descriptors for
-    /// backends are used elsewhere.
+    /// Creates a driver with an empty list of backends, whose connections get all descriptors for
+    /// backends except `reserved_sockets`.
     pub fn new(
         config: &Config,
         reserved_sockets: usize,
--- a/crates/maplefall/src/net/driver/state.rs
+++ b/crates/maplefall/src/net/driver/state.rs
@@ -15,8 +15,8 @@
 use tokio::sync::oneshot;
 
 /// How long after its deadline the id of a finished request is still rejected, in milliseconds.
-/// Every request has its own id, a client's retry too: a repeated id belongs to another request,
-/// which would run a second time.
+/// Clients give every request, also a retry, an id of its own; a request with a repeated id would
+/// run a second time.
 const REQUEST_ID_RETENTION: Millis = 5000.0;
 /// Maximum number of ids of finished requests; beyond it the oldest is dropped early.
 const MAX_RETAINED_REQUEST_IDS: usize = 8192;
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -38,7 +38,7 @@
     pub call: &'a ProxiedCall,
     /// Time limit of the attempt in milliseconds.
     pub timeout: Millis,
-    /// Precaution against a connection that breaks during the attempt.
+    /// How the call is protected against a connection that turns out to be broken.
     pub send_mode: SendMode,
     /// Handle by which the driver aborts the attempt.
     pub handle: &'a AttemptHandle,
@@ -251,7 +251,7 @@
                 let _ = upload.send_data(Bytes::new(), true);
                 return;
             }
-            // No attempt begins for a committed call.
+            // Chunks are dropped only once a call is committed, and no attempt begins after that.
             Next::Wait | Next::Dropped => return,
         }
     }
--- a/crates/maplefall/src/net/grpc/proxied_call.rs
+++ b/crates/maplefall/src/net/grpc/proxied_call.rs
@@ -170,8 +170,8 @@
             if next != Next::Wait {
                 return next;
             }
-            // The replay buffer has been sent completely and the client has more data: no retry is
-            // possible from here on.
+            // The replay buffer is full and has been sent completely, so the rest of the upload
+            // cannot be kept: no retry is possible from here on.
             if !self.replay.borrow().has_capacity() {
                 if self.update(Call::commit) {
                     committed();
--- a/crates/maplefall/tests/drains.rs
+++ b/crates/maplefall/tests/drains.rs
@@ -29,8 +29,8 @@
         log.contains("s-9: passed over: ") && log.contains("s-1: passed over: "),
         "{log}"
     );
-    // Both drains of the line apply: all requests go to the third backend, and none once the same
-    // watch reports that it drains too.
+    // Both drains of the line apply: all requests go to the third backend, and are rejected once
+    // the same watch reports that the third drains too.
     let line = members(9, false, &[entry(2, "draining")]).to_string();
     let mut probe = TrafficProbe::new(&bed.program, &bed.backends);
     assert!(
--- a/crates/maplefall/tests/forward_auth.rs
+++ b/crates/maplefall/tests/forward_auth.rs
@@ -484,7 +484,7 @@
             match (seen.status, seen.allowed) {
                 (401, true) => panic!("{} was denied although its caller is allowed", seen.id),
                 (200, false) => {
-                    // For a denied caller only the class that is set to fail open is served, and
+                    // A denied caller is served only in the class that is set to fail open, and
                     // then without the caller's name.
                     assert_eq!(
                         seen.class, 0,
--- a/crates/maplefall/tests/grpc/slow_clients.rs
+++ b/crates/maplefall/tests/grpc/slow_clients.rs
@@ -118,8 +118,8 @@
                 (3, 0),
                 "{seen:?}"
             );
-            // The status is a rejection where the call may run again, as in
-            // `status_after_the_deadline_does_not_count`.
+            // The status is 4 (deadline exceeded), or a rejection (14) of a call that may run
+            // again, as in `status_after_the_deadline_does_not_count`.
             let expected = seen.code() == Some(4) || (path == WATCH && seen.code() == Some(14));
             assert!(expected, "{seen:?}");
             assert!(
--- a/crates/maplefall/tests/http/discovery.rs
+++ b/crates/maplefall/tests/http/discovery.rs
@@ -117,7 +117,7 @@
         "",
         &members(1, true, &[member("s-0", backend.address(), "up")]).to_string(),
     );
-    // The watch that follows shows that the list has been applied.
+    // The gateway's watch request shows that it has applied the list.
     discovery.accept_list_request("?watch=1&from=1");
     client.write(health);
     assert_eq!(client.read().status(), 200);
--- a/crates/maplefall/tests/http/process.rs
+++ b/crates/maplefall/tests/http/process.rs
@@ -99,7 +99,7 @@
         let line = bed.program.log_line();
         assert!(line.contains("old configuration goes on"), "{line}");
     }
-    // The old watch is still in use.
+    // After reloads of unusable files the old watch is still in use.
     let new_backend = Listener::new();
     let hosts = [member("s-0", new_backend.address(), "up")];
     bed.watch.send_line(&members(8, false, &hosts).to_string());
