--- a/crates/maplefall/src/net/clients/mod.rs
+++ b/crates/maplefall/src/net/clients/mod.rs
@@ -43,8 +43,8 @@
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// How often connections are checked for time limits.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// `Retry-After` of a rejection because the authentication service gave no verdict: by then the
-/// first backoff of the service's circuit breaker has ended.
+/// `Retry-After` of a rejection because the authentication service gave no verdict: by default the
+/// first backoff of the service's circuit breaker has ended by then.
 const CHECK_UNAVAILABLE_RETRY_AFTER: Millis = 1000.0;
 
 /// The clients' side of a gateway.
