--- a/crates/maplefall/src/net/auth.rs
+++ b/crates/maplefall/src/net/auth.rs
@@ -32,7 +32,8 @@
 
 /// Time limit for connecting to the service, in milliseconds.
 const DIAL_TIMEOUT: Millis = 250.0;
-/// If descriptors are scarce, one check may be in flight for this many descriptors.
+/// Number of the process's descriptors per check in flight: limits the checks if descriptors are
+/// scarce.
 const SOCKETS_PER_CHECK: usize = 16;
 
 /// The service's response: headers for the forwarded request, or a response to the client in its
@@ -98,7 +99,8 @@
     timer_changed: Notify,
 }
 
-/// Returns the number of descriptors for checks, out of those for backends.
+/// Returns the number of descriptors for checks, taken from those for backends, in a process of
+/// this many descriptors.
 pub fn reserved_sockets(settings: Option<&AuthSettings>, descriptors: usize) -> usize {
     settings.map_or(0, |settings| {
         settings
@@ -125,7 +127,7 @@
         for (at, server) in settings.servers.iter().enumerate() {
             pools.open(server_id(at), server.dial, 0.0);
         }
-        // The secret of the keys is known to this process only: keys of one incarnation mean
+        // The secret for callers' keys is known to this process only: keys of one incarnation mean
         // nothing in another.
         let secret = [seed.to_be_bytes(), process_secret()]
             .concat()
--- a/crates/maplefall/src/net/grpc/attempt.rs
+++ b/crates/maplefall/src/net/grpc/attempt.rs
@@ -38,7 +38,7 @@
     pub call: &'a ProxiedCall,
     /// Time limit of the attempt in milliseconds.
     pub timeout: Millis,
-    /// Precaution against a connection that breaks during the attempt.
+    /// How the call is protected against a connection that turns out to be broken.
     pub send_mode: SendMode,
     /// Handle by which the driver aborts the attempt.
     pub handle: &'a AttemptHandle,
@@ -154,7 +154,7 @@
     code: maplefall_grpc::Code::Unavailable,
     reason: "not sent",
 };
-/// The end for an attempt that has reported its end already, which it does once only.
+/// Returned by an attempt whose end has been reported already: each attempt reports one end.
 const ALREADY_ENDED: &End = &End {
     outcome: Outcome::Reset,
     code: maplefall_grpc::Code::Internal,
@@ -251,7 +251,7 @@
                 let _ = upload.send_data(Bytes::new(), true);
                 return;
             }
-            // No attempt begins for a committed call.
+            // Chunks are dropped only once a call is committed, and no attempt begins after that.
             Next::Wait | Next::Dropped => return,
         }
     }
--- a/crates/maplefall/tests/http/process.rs
+++ b/crates/maplefall/tests/http/process.rs
@@ -30,7 +30,8 @@
         assert_eq!(response.header("connection"), Some("close"));
         client.expect_end();
     };
-    // One response at once and one after idle connections have been closed: neither is lost.
+    // One response is sent at once, the other after idle connections have been closed: both reach
+    // their clients.
     complete(&mut second, &mut late);
     idle.expect_end();
     complete(&mut backend, &mut client);
@@ -98,7 +99,7 @@
         let line = bed.program.log_line();
         assert!(line.contains("old configuration goes on"), "{line}");
     }
-    // The old watch is still in use.
+    // After reloads of unusable files the old watch is still in use.
     let new_backend = Listener::new();
     let hosts = [member("s-0", new_backend.address(), "up")];
     bed.watch.send_line(&members(8, false, &hosts).to_string());
