--- a/crates/proxy/src/controllers.rs
+++ b/crates/proxy/src/controllers.rs
@@ -67,7 +67,7 @@
     /// Connects after `delay`, and reconnects whenever the connection ends. Only the first failure
     /// since the last established connection is logged.
     async fn maintain(self, delay: Duration) {
-        // Always an address, since the settings file has been validated.
+        // The proxy's own IP always parses, since the settings file has been validated.
         let Ok(local_ip) = self.hello.ip.parse::<IpAddr>() else {
             return;
         };
--- a/crates/proxy/src/core/admission.rs
+++ b/crates/proxy/src/core/admission.rs
@@ -1,6 +1,6 @@
 //! Admission of a request: route and tenant, deadline, service, quota token. A rejection for lack
 //! of a configuration, a backend, a lease or a token carries a wait time ([`MAX_ADMISSION_WAIT`]
-//! for the first two) within which the caller may repeat the call.
+//! for the first two) for which the caller may let the request wait and repeat the call of `admit`.
 
 use super::requests::{PendingRequest, MAX_PENDING_REQUESTS};
 use super::timers::Timer;
@@ -30,8 +30,8 @@
         out: &mut Vec<Output>,
     ) -> Result<AdmittedRequest, Rejection> {
         if self.config_index == 0 {
-            // Without a configuration, neither a missing route nor an unknown key can be
-            // established.
+            // Without a configuration, the proxy cannot tell whether the request's route and key
+            // exist, so it rejects the request for neither.
             return Err(Rejection::RejectedUnless(
                 LocalResponse::not_run(503, RETRY_AFTER_WITHOUT_CONFIG),
                 MAX_ADMISSION_WAIT,
--- a/crates/proxy/src/core/config.rs
+++ b/crates/proxy/src/core/config.rs
@@ -54,8 +54,8 @@
         for change in &changes {
             self.items.apply(change);
         }
-        // No other reference to the table exists between two inputs, so `make_mut` does not copy
-        // it.
+        // No other reference to the route table exists between two inputs of the core, so
+        // `make_mut` does not copy the table.
         Rc::make_mut(&mut self.route_table).patch(&self.items, changes.iter());
     }
 
--- a/crates/proxy/src/core/messages.rs
+++ b/crates/proxy/src/core/messages.rs
@@ -6,7 +6,7 @@
 use maplefall_policy::{BackendId, Millis, Outcome, RequestId, SendMode};
 use std::rc::Rc;
 
-/// Smallest `Retry-After`: a client that retries sooner finds the same state.
+/// Smallest `Retry-After`: a client that retries sooner finds the proxy in the same state.
 const MIN_RETRY_AFTER: Millis = 10.0;
 
 /// The head of a request as the client sent it.
--- a/crates/proxy/src/core/mod.rs
+++ b/crates/proxy/src/core/mod.rs
@@ -128,8 +128,8 @@
         !self.shutting_down && self.config_index > 0 && self.services.has_backends()
     }
 
-    /// Applies a changed settings file: bounds and additional seeds take effect, all other settings
-    /// need a restart.
+    /// Applies a changed settings file: bounds and additional seed addresses of controllers take
+    /// effect, all other settings need a restart.
     pub fn reload(&mut self, settings: &Settings, out: &mut Vec<Output>) {
         self.bounds = settings.bounds;
         self.services.set_bounds(settings.bounds);
--- a/crates/proxy/src/core/quota_leases.rs
+++ b/crates/proxy/src/core/quota_leases.rs
@@ -10,15 +10,16 @@
 use maplefall_quota_lease::{Demand, LeaseGrant, LeaseRequest, TenantQuota};
 use std::rc::Rc;
 
-/// Interval between urgent lease requests (those outside of the ticks) for each proxy that the
-/// controllers know: together the proxies send a controller at most 500 a second, however many
-/// proxies there are. A controller does not move leases among all proxies more often than that.
+/// Interval between a proxy's urgent lease requests (those outside of the core's ticks), to be
+/// multiplied by the number of proxies that the controllers know: together the proxies send a
+/// controller at most 500 urgent requests a second, however many proxies there are. A controller
+/// does not move leases among all proxies more often than that.
 const URGENT_INTERVAL_PER_PROXY: Millis = 2.0;
 /// Maximum credit of unused intervals between urgent lease requests: a proxy that sent fewer of
 /// them for a while sends further ones without delay until the credit is used.
 pub(super) const MAX_URGENT_CREDIT: Millis = 200.0;
-/// Minimum time since the last urgent lease request if more of the tenant's quota was already
-/// requested within [`LEASE_RETRY_INTERVAL`].
+/// Minimum time from a proxy's last urgent lease request to one for a tenant whose quota was
+/// already requested within [`LEASE_RETRY_INTERVAL`].
 const MIN_LEASE_REQUEST_INTERVAL: Millis = 60.0;
 /// Controllers that have not granted a lease within this time are assumed not to grant it.
 const LEASE_GRANT_TIMEOUT: Millis = 30.0;
@@ -33,9 +34,10 @@
 
 /// Returns a tenant's quota and the fraction `share` of it that is leased to this proxy. In any
 /// window, the requests that run are at most the tokens in all buckets plus the refill during the
-/// window, which is kept within the window's bound. A fifth of the overshoot is reserved for
-/// requests that wait for tokens: if all leases ended during the wait, these requests would run
-/// without tokens.
+/// window; their sum is kept within the number of requests that the quota allows in a window. A
+/// fifth of the overshoot (the fraction by which a quota may be exceeded) is reserved for requests
+/// that wait for tokens: if all leases ended during the wait, these requests would run without
+/// tokens.
 pub fn quota(bounds: &Bounds, rate: f64, burst: f64, share: f64, latency_target: Millis) -> Quota {
     let total = total_quota(bounds, rate, burst);
     let spare = 1000.0 * 0.2 * bounds.quota_overshoot * bounds.quota_window_s;
@@ -117,8 +119,9 @@
         }
     }
 
-    /// Requests more of a tenant's quota from the controllers, unless urgent requests are over
-    /// their rate. Returns how long to wait for grants, or `None` if none is expected.
+    /// Requests more of a tenant's quota from the controllers, unless urgent lease requests have
+    /// reached their maximum rate. Returns how long to wait for grants, or `None` if no grant is
+    /// expected.
     pub(super) fn request_more_quota(
         &mut self,
         now: Millis,
@@ -161,8 +164,9 @@
         self.token_client
             .set_grants_tokens(controller, grant.grants_tokens);
         if effect.decreased {
-            // The controller may lease the reclaimed share to other proxies only once the decrease
-            // is acknowledged.
+            // The controller may lease the reclaimed part of the quota to other proxies only once
+            // this proxy has acknowledged the decrease, so a lease request, which does so, is sent
+            // at once.
             let demand = self.demand(now);
             let request = self.lease_client.next_request(now, controller, demand);
             out.push(lease_request(controller.to_owned(), request));
--- a/crates/proxy/src/core/tokens.rs
+++ b/crates/proxy/src/core/tokens.rs
@@ -10,7 +10,7 @@
 use maplefall_quota_lease::{token_lifetime, TokenGrant, TokenStatus};
 use std::rc::Rc;
 
-/// Returns how long after its request a token may be used.
+/// Returns how long after the token request a granted token may be used.
 pub(super) fn lifetime(bounds: &Bounds) -> Millis {
     token_lifetime(bounds.quota_overshoot, bounds.quota_window_s)
 }
--- a/crates/proxy/src/downstream/body.rs
+++ b/crates/proxy/src/downstream/body.rs
@@ -7,8 +7,8 @@
 use std::cell::Cell;
 use tokio::time::Instant;
 
-/// A body whose length is not announced reserves one part in this many of the budget while it is
-/// read, and may not be longer.
+/// Divisor of the memory budget: a request body of unannounced length reserves this part of the
+/// budget while it is read, and may not be longer.
 const CHUNKED_BODY_DIVISOR: usize = 16;
 
 /// The memory budget for request bodies.
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -108,7 +108,8 @@
                 .close_deadline(connection)
                 .map(|deadline| self.proxy.clock.instant(deadline.at));
             tokio::select! {
-                // Bytes that have arrived are read before a deadline takes effect.
+                // Polled in this order, so that bytes that have arrived are read before a close
+                // deadline takes effect.
                 biased;
                 // An error means that the client disconnected or did not send HTTP; the library has
                 // responded to the latter.
@@ -147,8 +148,8 @@
         connection.state.borrow().close_deadline(&limits)
     }
 
-    /// Returns how to close the connection now; `None` if bytes or other limits have arrived since
-    /// the timer was set.
+    /// Returns how to close the connection now; `None` if the close deadline has moved since the
+    /// timer was set, because bytes have arrived or the limits have changed.
     fn due_close_mode(&self, connection: &ClientConnection) -> Option<CloseMode> {
         self.close_deadline(connection)
             .filter(|deadline| deadline.at <= self.proxy.clock.now())
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -85,7 +85,8 @@
         }
         Some(CloseDeadline {
             at: self.idle_since + limits.idle_timeout,
-            // On a connection without any request there is nothing to shut down gracefully.
+            // A connection that never had a request has no response to wait for, so it is closed
+            // immediately.
             mode: if self.has_requested {
                 CloseMode::Graceful
             } else {
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -49,8 +49,8 @@
     /// a listener resets the connections in its backlog, whose clients may already have sent a
     /// request.
     fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
-        // The runtime is aware of connections only up to its last poll; the system call returns all
-        // of them.
+        // The runtime knows only the connections that had arrived at its last poll; the system call
+        // `accept` returns all of them.
         let Ok(listener) = listener.into_std() else {
             return;
         };
@@ -64,8 +64,8 @@
             let stream = stream
                 .set_nonblocking(true)
                 .and_then(|()| TcpStream::from_std(stream));
-            // A connection that cannot be registered with the runtime is closed, like those beyond
-            // the limit.
+            // A connection that cannot be registered with the runtime is closed, like connections
+            // beyond the connection limit.
             if let Ok(stream) = stream {
                 self.start_connection(stream);
             }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -66,12 +66,12 @@
             .to_owned();
         let remaining = remaining_time(&head.headers)?;
         // Only the attempt id shows that a response belongs to this request; a backend would not
-        // run a request without one.
+        // run a request without an attempt id.
         if single_header(&head.headers, &ATTEMPT_ID)?.is_none_or(str::is_empty) {
             return Err(RequestError::Invalid("x-attempt-id"));
         }
-        // A target that names another host than the header is ambiguous: each may have another
-        // route.
+        // A request target that names another host than the `Host` header is ambiguous: the two
+        // hosts may have different routes.
         if head
             .uri
             .authority()
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -10,7 +10,7 @@
 use maplefall_downstream::retry_after_value;
 use maplefall_policy::Millis;
 
-/// `Retry-After` of a request that was rejected for lack of memory.
+/// `Retry-After` of a request that was rejected for lack of memory for its body.
 const OUT_OF_MEMORY_RETRY_AFTER: Millis = 200.0;
 
 /// Converts a backend's response to the response to the client.
--- a/crates/proxy/src/downstream/shutdown.rs
+++ b/crates/proxy/src/downstream/shutdown.rs
@@ -26,10 +26,11 @@
     /// Shuts down with explicit times: idle connections stay open for `drain_delay`, and
     /// connections are abandoned at `deadline`.
     ///
-    /// Where most proxies of a zone stop at the same time, the platform continues to send clients,
-    /// so that there is always a pending request. So that requests that are accepted late are not
-    /// lost (users' rule LOST), no request is admitted after `drain_delay` that may take until
-    /// after the deadline, and connections are refused once no request could be admitted on them.
+    /// Where most proxies of a zone stop at the same time, the platform continues to send clients
+    /// to them, so that a request is always pending. A request that is accepted late and still runs
+    /// at the deadline would be lost (users' rule LOST). Therefore no request is admitted after
+    /// `drain_delay` that may take until after the deadline, and connections are refused once no
+    /// request could be admitted on them.
     pub async fn shut_down_by(&self, drain_delay: Duration, deadline: Instant) {
         self.phase.send_replace(ShutdownPhase::ClosingAfterResponse);
         tokio::time::sleep(drain_delay).await;
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -172,8 +172,8 @@
             Output::CloseIdle(id) => self.pools.close_idle(id),
             Output::SendToController(controller, frame) => {
                 let queue = self.controller_queues.borrow().get(&controller).cloned();
-                // The frame is dropped if the queue is full; that connection ends by its keep-alive
-                // timeout.
+                // The frame is dropped if the controller's queue is full; the connection to such a
+                // controller ends by its keep-alive timeout.
                 let _ = queue.map(|queue| queue.try_send(encode_frame(frame)));
             }
             Output::ControllersChanged(_) => self.controllers_changed.notify_one(),
@@ -199,9 +199,9 @@
         let Some(request) = pending.get_mut(&id) else {
             return;
         };
-        // Not forwarded: a response which states that the request has not run, since a later
-        // attempt may have run it, and one whose status alone implies this, since the request may
-        // have run.
+        // Two kinds of backend responses are not forwarded: one which states that the request has
+        // not run, since a later attempt may have run it, and one whose status alone implies this,
+        // since the request may have run.
         let is_forwardable = |response: &BackendResponse| {
             response.outcome == Outcome::Error && !status_implies_not_run(response.status)
         };
@@ -226,7 +226,8 @@
 
     fn cancel_attempt(self: &Rc<Self>, id: RequestId, number: u32) {
         let attempt = self.take_in_flight(id, number);
-        // An attempt that is not in flight here has not been written: its task has not run yet.
+        // If the driver has no record of the attempt in flight, the attempt's task has not run yet,
+        // so nothing of the request has been written.
         let outcome = match &attempt {
             Some(attempt) if attempt.handle.fully_written() => Outcome::Timeout,
             _ => Outcome::ConnectFailed,
@@ -276,8 +277,8 @@
                 response,
             }
         });
-        // The outputs are executed only now, since one may refer to the request that was just
-        // inserted.
+        // The outputs of the admission are executed only now, since one may refer to the request
+        // that was just added to the pending ones.
         self.drive(|_, _, out| out.append(&mut outputs));
         result
     }
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -80,7 +80,8 @@
         .filter_map(|name| name.trim().parse().ok())
         .collect();
     for name in listed {
-        // `Connection` of one side must not remove headers that the other side relies on.
+        // A `Connection` header of a client or a backend must not remove headers that the other
+        // side relies on.
         if ![HOST, ATTEMPT_ID, SEAL, NOT_EXECUTED].contains(&name) {
             headers.remove(name);
         }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Request bodies may take one part in this many of the memory limit.
+/// Divisor of the process's memory limit: all request bodies together may take this part of it.
 const BODY_MEMORY_DIVISOR: u64 = 3;
 /// Interval of the core's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -25,7 +25,8 @@
 const LATE_VALUE: f64 = 0.1;
 /// Largest `Retry-After`.
 const MAX_RETRY_AFTER: Millis = 1000.0;
-/// Fraction of the retry budget's slack that all proxies together may accumulate as saved retries.
+/// Fraction of the setting `RetrySlack` (additional retries allowed in a window) that all proxies
+/// together may accumulate as unused retries.
 const SAVED_RETRY_SLACK_FRACTION: f64 = 0.6;
 
 /// A known backend instance.
@@ -168,8 +169,9 @@
         }
     }
 
-    /// Returns how many retries one proxy may save for one service: if all other proxies save as
-    /// many, the total stays within [`SAVED_RETRY_SLACK_FRACTION`] of the retry budget's slack.
+    /// Returns how many unused retries one proxy may accumulate for one service: if all proxies
+    /// accumulate as many, their total is the fraction [`SAVED_RETRY_SLACK_FRACTION`] of the
+    /// setting `RetrySlack`.
     fn max_saved_retries(&self) -> f64 {
         SAVED_RETRY_SLACK_FRACTION * self.bounds.retry_slack / f64::from(self.proxy_count)
     }
@@ -203,7 +205,8 @@
         }
     }
 
-    /// Returns the class of a route at a service. Routes with equal settings share a class.
+    /// Returns the policy's request class for a route (latency target, deadline, value, retries) at
+    /// a service. Routes with equal settings share a class.
     pub fn class(&mut self, service: usize, route: &Route) -> ClassId {
         let class = Class {
             latency_target: route.latency_target,
--- a/crates/proxy/tests/abandoned_requests.rs
+++ b/crates/proxy/tests/abandoned_requests.rs
@@ -101,8 +101,8 @@
 }
 
 /// Guards against work that nobody waits for (rule GONE): with slow backends and disconnecting
-/// clients, every attempt went on until its response. Also checked during a shutdown, when clients
-/// keep their connections until the end.
+/// clients, every attempt used to continue until the backend's response. Also checked during a
+/// shutdown, when clients keep their connections until the end.
 #[test]
 fn an_idempotent_request_is_cancelled_when_its_client_disconnects() {
     for shutting_down in [false, true] {
--- a/crates/proxy/tests/attempt_timeouts.rs
+++ b/crates/proxy/tests/attempt_timeouts.rs
@@ -1,13 +1,13 @@
-//! Attempt timeouts while retries are scarce (rule LOST: cancelling a request while its backend
-//! works on it, and responding in the backend's place).
+//! Attempt timeouts while retries are scarce (rule LOST forbids a proxy to cancel a request while
+//! its backend works on it and to respond in the backend's place).
 //!
 //! Guards against the following failure: a proxy that had just been restarted cancelled attempts
 //! after 160 to 270 ms, with 450 to 2,340 ms left, and responded 502 while the backends were
 //! working. An attempt has a timeout if, when it is sent, the retry budget allows a retry to follow
 //! it. A proxy that has just started has earned only a retry or two; several attempts were sent
-//! while the same retry was available, the first to time out took it, and the others were cancelled
-//! for nothing. In 48 days of restarts a trial logged 656 lines of `event=attempt_timeout`, 18 of
-//! them followed at once by a rejection after one attempt, in processes 0.5 to 3.4 s old.
+//! while the same retry was available, the first to time out used it, and the others were cancelled
+//! without a retry. In 48 days of restarts a trial logged 656 lines of `event=attempt_timeout`, 18
+//! of them followed at once by a rejection after one attempt, in processes 0.5 to 3.4 s old.
 //!
 //! An attempt is therefore cancelled only if a retry follows; otherwise its request waits as long
 //! as its client does.
@@ -25,7 +25,7 @@
 /// 20 s, and responses are due slightly earlier.
 const JUST_BEFORE_DEADLINE_MS: u32 = 19_900;
 
-/// `RetrySlack` of the first deployments.
+/// The setting `RetrySlack` (additional retries allowed in a window) of the first deployments.
 const RETRY_SLACK: f64 = 62.0;
 /// One proxy's share of a retry slack of 62 in a fleet of 100 proxies: less than one retry.
 const RETRY_SLACK_SHARE: f64 = RETRY_SLACK / 100.0;
@@ -76,7 +76,7 @@
         self.apply_outputs(now, out);
     }
 
-    /// Applies the outputs before the next input, as the driver does.
+    /// Applies the core's outputs before its next input, as the driver does.
     fn apply_outputs(&mut self, now: f64, outputs: Vec<Output>) {
         for output in outputs {
             match output {
@@ -143,8 +143,8 @@
 }
 
 /// Guards proxies of a large fleet, whose share of the retry slack is less than one retry: they
-/// never retried (beyond 37 proxies with a slack of 62, beyond 128 with 214). The budget that a
-/// proxy earns with its requests allows retries, and no more than its share.
+/// never retried (beyond 37 proxies with a slack of 62, beyond 128 with 214). A proxy retries, but
+/// at most as often as its requests earn retries plus its share of the slack.
 #[test]
 fn a_proxy_of_a_large_fleet_retries_within_its_earned_budget() {
     let mut proxy = SimulatedProxy::new(RETRY_SLACK_SHARE);
--- a/crates/proxy/tests/backend_responses/check.rs
+++ b/crates/proxy/tests/backend_responses/check.rs
@@ -131,7 +131,7 @@
                 received.status()
             ));
         }
-        // A local response has a body only if the request could not be read.
+        // A response of the proxy's own has a body only if the proxy could not read the request.
         let is_unread_error = received.status() == 408
             && received.body == b"step=read field=body\n"
             && attempts.is_empty();
--- a/crates/proxy/tests/client_requests/message.rs
+++ b/crates/proxy/tests/client_requests/message.rs
@@ -67,7 +67,8 @@
         };
         with_headers(&format!("{length}{headers}"), &body)
     };
-    // A request within the body of another one, for parsers that take the wrong one of two ends.
+    // A request within the body of another one: a parser that takes the wrong one of two possible
+    // ends of that body reads it as a request of its own.
     let smuggled = format!("POST /once/smuggled-{id} HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: smuggled-{id}\r\nContent-Length: 0\r\n\r\n");
     let smuggled_body = format!("0\r\n\r\n{smuggled}");
     let length = smuggled_body.len();
--- a/crates/proxy/tests/connection_limits.rs
+++ b/crates/proxy/tests/connection_limits.rs
@@ -90,7 +90,8 @@
         let mut new_client = TcpStream::connect(proxy.address)
             .await
             .expect("a connection");
-        // The response must arrive much earlier than `IdleS`, 15 s, closes the other connections.
+        // The response must arrive much earlier than after 15 s, when `IdleS` closes the other
+        // connections.
         let response = tokio::time::timeout(
             Duration::from_secs(10),
             send_request(&mut new_client, "/once/b"),
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -12,7 +12,7 @@
 /// Length of a request body: more than the body limit and the kernel buffers.
 const BODY_BYTES: usize = 100 << 20;
 const CHUNK_BYTES: usize = 64 << 10;
-/// A write that takes longer means that the proxy has stopped reading.
+/// Timeout of a client's write: one that takes longer means that the proxy has stopped reading.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 const CLIENTS: usize = 5;
 
--- a/crates/proxy/tests/end_to_end.rs
+++ b/crates/proxy/tests/end_to_end.rs
@@ -324,7 +324,7 @@
 }
 
 /// Maximum number of requests to one system. If the first attempts have gone to the unresponsive
-/// backend by chance, it is ejected by then and receives no second attempts.
+/// backend by chance, that backend is ejected by then and receives no second attempts.
 const REQUESTS_PER_SYSTEM: usize = 100;
 
 /// Sends requests to a system with a backend that rejects all of them and an unresponsive one,
@@ -345,7 +345,8 @@
         ],
     );
     let mut second_attempts = 0;
-    // The retry budget grows with requests, and the first requests find an empty token bucket.
+    // Several requests are needed: the retry budget grows with requests, and the first ones find
+    // the tenant's token bucket empty.
     for _ in 0..REQUESTS_PER_SYSTEM {
         if second_attempts > 0 || Instant::now() >= end {
             break;
@@ -355,7 +356,7 @@
             + "ab";
         let response = request_once(system.front_http, &request).expect("a response");
         let runs = runs.try_iter().count();
-        // Requests that were rejected first and then ran.
+        // Requests that one backend rejected and that then ran at the unresponsive one.
         second_attempts += runs.min(rejected_requests.try_iter().count());
         assert!(runs <= 1, "the request was forwarded twice");
         assert_eq!(
--- a/crates/proxy/tests/lease_request_rate.rs
+++ b/crates/proxy/tests/lease_request_rate.rs
@@ -113,14 +113,14 @@
 }
 
 /// Starved proxies send a controller some 500 lease requests per second in total, whatever their
-/// number, besides those of their ticks.
+/// number, besides the requests that they send at each tick.
 #[test]
 fn lease_requests_of_starved_proxies_are_bounded_in_total() {
     let ticks = 1000.0 / TICK_MS as f64;
     for client_count in [50, 87, 300, 1000] {
         let urgent_rate = lease_request_rate(client_count) - ticks;
         let total = urgent_rate * f64::from(client_count);
-        // Each proxy may start with its saved credit of 200 ms.
+        // Each proxy may start with a credit of 200 ms of unused intervals between urgent requests.
         assert!(
             total < 500.0 * 1.05 + f64::from(client_count),
             "{client_count} proxies send {total} lease requests per second"
--- a/crates/proxy/tests/quota_leases.rs
+++ b/crates/proxy/tests/quota_leases.rs
@@ -28,8 +28,8 @@
     // The quota of this tenant is too small to be leased to more than two proxies.
     ("pooled", 60.0, 0.0),
 ];
-/// Seeds with this remainder modulo 2 run with a small `quota_slack`, so that the last two tenants
-/// are granted single tokens.
+/// Seeds with this remainder modulo 2 run with a small `quota_slack` (additional requests by which
+/// a quota may be exceeded), so that the last two of the [`TENANTS`] are granted single tokens.
 const LITTLE_SLACK_REMAINDER: u64 = 1;
 /// Simulated time, in milliseconds.
 const SIMULATED_MS: f64 = 75_000.0;
@@ -68,7 +68,8 @@
 }
 
 impl MembershipLog {
-    /// Returns the slots after the first `entries` membership changes.
+    /// Returns the slots (equal shares of every quota, each owned by one controller) after the
+    /// first `entries` membership changes.
     fn slots(&self, entries: usize) -> Slots {
         let (index, first) = &self.entries[0];
         let mut slots = Slots::initial(first, self.tolerated_failures, *index, false);
@@ -181,7 +182,7 @@
         };
         let mut slot_events = Vec::new();
         if incarnation.applied == 0 {
-            // A controller without entries installs a snapshot first.
+            // A controller that has applied no entries installs a snapshot first.
             incarnation.applied = to;
             slot_events.extend(
                 incarnation
@@ -336,8 +337,8 @@
         joins_at = vec![200.0 + draw() * 3000.0, 200.0 + draw() * 3000.0];
     }
     let mut in_transit: Vec<(f64, WireMessage)> = Vec::new();
-    // Connections deliver in order: the time of the last delivery, for each connection and
-    // direction.
+    // Time of the last delivery for each connection and direction, since each connection delivers
+    // its messages in order.
     let mut last_delivery: BTreeMap<(u64, bool), f64> = BTreeMap::new();
     let mut in_order = move |connection_id: u64, is_request: bool, at: f64| {
         let earliest = last_delivery
@@ -446,8 +447,8 @@
                 2 => controllers[chosen].paused_until = now + draw() * 25_000.0,
                 3 => controllers[chosen].partitioned_between = (now, now + draw() * 25_000.0),
                 4 => controllers[chosen].unreachable_until = now + draw() * 8000.0,
-                // The controller is removed, or replaced in one step: it is gone for good, or it is
-                // partitioned or paused and continues.
+                // The controller is removed from the members, or replaced in one step. Its process
+                // is gone for good, or it is partitioned or paused and continues afterwards.
                 5..=7 if next_controller < controllers.len() || draw() < 0.5 => {
                     match (draw() * 4.0) as u32 {
                         0 => {
@@ -528,7 +529,8 @@
                 .incarnation
                 .as_ref()
                 .map_or(0, |incarnation| incarnation.applied);
-            // A member receives all entries; a removed controller may not learn of its removal.
+            // A member receives all committed entries; a removed controller may receive no more of
+            // them.
             let to = if !is_partitioned && has_contact && (is_member || learns_of_removal) {
                 committed
             } else {
@@ -687,8 +689,8 @@
                     proxy_incarnation: from,
                     request: lease_request,
                 } => {
-                    // A request arrives even if its proxy has stopped since, but not at another
-                    // incarnation of the lease server.
+                    // A lease request arrives even if its proxy has stopped since, but not if the
+                    // lease server has restarted since.
                     let target = &mut controllers[lease_server];
                     let clock = target.clock(now);
                     let Some(incarnation) = target
--- a/crates/proxy/tests/soak/client.rs
+++ b/crates/proxy/tests/soak/client.rs
@@ -43,7 +43,7 @@
         while !self.world.is_finished.get() {
             let proxies = self.world.proxies.borrow().clone();
             let proxy = self.random.one_of(&proxies);
-            // A stopped proxy refuses connections; the next attempt draws a proxy again.
+            // A stopped proxy refuses connections; the client then draws a proxy again.
             match TcpStream::connect(proxy).await {
                 Ok(stream) => self.use_connection(stream).await,
                 Err(_) => tokio::task::yield_now().await,
--- a/crates/shared-counts/benches/admission.rs
+++ b/crates/shared-counts/benches/admission.rs
@@ -11,7 +11,8 @@
 const SINGLE_USE_CUSTOMERS: u64 = 100_000;
 
 fn main() {
-    // Every ten single uses of one unit are followed by one use of 8 units of a heavy customer.
+    // For every ten uses of one unit by single-use customers there is one use of 8 units by a heavy
+    // customer.
     let uses: Vec<(u64, u64)> = (0..SINGLE_USE_CUSTOMERS)
         .flat_map(|n| {
             let heavy = (n % 10 == 0).then_some((n / 10 % HEAVY_CUSTOMERS, 8000));
--- a/crates/shared-counts/src/count.rs
+++ b/crates/shared-counts/src/count.rs
@@ -28,7 +28,8 @@
     }
 
     /// Adds a change in thousandths of a unit; a negative one returns units. Returns `false` if the
-    /// number has reached [`MAX_MILLI_UNITS`], where the change may be counted only in part.
+    /// changed number (units taken or returned) has reached [`MAX_MILLI_UNITS`], where the change
+    /// may be counted only in part.
     pub fn add(&mut self, milli: i64) -> bool {
         let counter = if milli >= 0 {
             &mut self.taken
--- a/crates/shared-counts/src/failure_detector.rs
+++ b/crates/shared-counts/src/failure_detector.rs
@@ -5,12 +5,12 @@
 
 use maplefall_policy::Millis;
 
-/// The number of intervals in the moving mean.
+/// The number of heartbeat intervals in the moving mean.
 const MAX_SAMPLES: f64 = 32.0;
 /// The assumed mean interval before the first heartbeat, in gossip intervals.
 const INITIAL_INTERVALS: f64 = 4.0;
-/// Intervals longer than this many mean intervals are outages. They are clamped to it, since they
-/// carry no information on the usual intervals.
+/// Heartbeat intervals longer than this many mean intervals are outages. They are clamped to this
+/// length, since they carry no information on the usual intervals.
 const MAX_INTERVALS: f64 = 20.0;
 
 /// The mean interval between heartbeats of one incarnation.
@@ -35,12 +35,12 @@
         self.mean += (interval - self.mean) / self.samples;
     }
 
-    /// Returns the suspicion level after this silence: minus the decimal logarithm of the
-    /// probability that an interval is longer.
+    /// Returns the suspicion level after this time without a heartbeat: minus the decimal logarithm
+    /// of the probability that an interval between heartbeats is longer.
     ///
-    /// Heartbeats that are forwarded at random arrive like a Poisson process, so this is
-    /// Cassandra's exponential form and not the normal distribution of the paper, by which one of
-    /// 100 nodes was suspected without cause every few seconds.
+    /// Heartbeats that are forwarded at random arrive like a Poisson process, so intervals are
+    /// assumed to be distributed exponentially, as in Cassandra, and not normally, as in the paper,
+    /// by whose formula one of 100 nodes was suspected without cause every few seconds.
     pub(crate) fn phi(&self, silence: Millis) -> f64 {
         silence.max(0.0) / self.mean.max(1.0) * std::f64::consts::LOG10_E
     }
--- a/crates/shared-counts/src/members.rs
+++ b/crates/shared-counts/src/members.rs
@@ -60,7 +60,7 @@
     /// When the last heartbeat was received here, less the time that it spent at other nodes.
     pub last_heartbeat: Millis,
     /// The smallest difference between the local clock and the incarnation's uptime over all
-    /// heartbeats; it includes the shortest delay.
+    /// heartbeats; it includes the shortest delay of a heartbeat.
     clock_offset: Millis,
     /// The uptime up to which all counts of the incarnation are known, in milliseconds.
     pub complete_uptime: u64,
--- a/crates/shared-counts/src/node/counting.rs
+++ b/crates/shared-counts/src/node/counting.rs
@@ -35,7 +35,8 @@
         if replica.get(self.epoch, customer).is_some() {
             return (self.epoch, customer);
         }
-        // Units returned after the end of an epoch belong to the epoch that took them.
+        // Units returned after the end of an epoch are counted in the epoch in which they were
+        // taken.
         let previous = self.epoch.saturating_sub(1);
         if milli < 0 && replica.get(previous, customer).is_some() {
             return (previous, customer);
--- a/crates/shared-counts/src/node/gossip.rs
+++ b/crates/shared-counts/src/node/gossip.rs
@@ -167,7 +167,7 @@
             candidates.push(candidate(self.id, *number, former.last_heartbeat));
         }
         for (id, member) in &self.peers {
-            // Unproven and gone peers matter to others only for their counts.
+            // Other nodes need unproven and gone peers only for the counts of these peers.
             if !member.is_present() && member.count_len() == 0 {
                 continue;
             }
--- a/crates/shared-counts/src/node/membership.rs
+++ b/crates/shared-counts/src/node/membership.rs
@@ -92,7 +92,7 @@
 
     /// Takes an incarnation number above another process's. Either the date went back, so that an
     /// earlier incarnation has a larger number, or two processes have the same name. Counts under
-    /// the old number stay there and are still forwarded.
+    /// the old incarnation number keep that number and are still forwarded.
     fn renumber(&mut self, now: Millis, heartbeat: &Heartbeat) {
         // Without a minimum time between two new numbers, two running processes with the same name
         // would renumber each other for ever.
--- a/crates/shared-counts/src/node/rumours.rs
+++ b/crates/shared-counts/src/node/rumours.rs
@@ -9,10 +9,10 @@
 
 /// The maximum number of rumours; changes of further counts spread by anti-entropy alone.
 const MAX_RUMOURS: usize = 2048;
-/// Sends of a rumour beyond the binary logarithm of the number of nodes. Random forwarding with
-/// this many extra sends misses a node about once in e^4 times.
+/// Number of datagrams into which a node puts a rumour, beyond the binary logarithm of the number
+/// of nodes. Random forwarding with this many extra sends misses a node about once in e^4 times.
 const EXTRA_SENDS: u32 = 4;
-/// The maximum number of datagrams that carry a rumour.
+/// The maximum number of datagrams into which a node puts a rumour.
 const MAX_SENDS: u32 = 12;
 
 /// The count that a rumour is about.
@@ -38,7 +38,8 @@
 }
 
 impl Rumours {
-    /// Adds a change of a count and resets the sends left of its rumour.
+    /// Adds a change of a count to the count's rumour, and resets the number of datagrams that the
+    /// rumour is still put into.
     fn add(&mut self, key: CountKey, amount: u64, nodes: usize) {
         if self.by_count.len() >= MAX_RUMOURS && !self.by_count.contains_key(&key) {
             return;
--- a/crates/shared-counts/src/node/usage_updates.rs
+++ b/crates/shared-counts/src/node/usage_updates.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Freshness {
     computed_at: Millis,
-    /// All counts are complete up to this time.
+    /// The time up to which the counts of all nodes that are alive are complete here.
     as_of: Millis,
     /// The number of nodes that are alive, this one included.
     nodes: usize,
@@ -60,7 +60,7 @@
     }
 
     /// Returns the most units that one customer may have used at other nodes without a count of its
-    /// own, assuming that their tables are as full as this one's.
+    /// own, assuming that the other nodes' tables of counts are as full as this node's.
     pub(super) fn max_untracked_units(&self) -> f64 {
         self.admission.max_untracked() as f64 / 1000.0 * self.peers.len() as f64
     }
--- a/crates/shared-counts/src/remote_usage.rs
+++ b/crates/shared-counts/src/remote_usage.rs
@@ -14,7 +14,7 @@
     /// Units used elsewhere that no earlier update has reported; negative if more was returned than
     /// used.
     pub units: f64,
-    /// All usage elsewhere up to this time is reported, but for `error`.
+    /// All usage at other nodes up to this time has been reported, except for what `error` covers.
     pub as_of: Millis,
     /// The most unreported units that may have been used elsewhere by now, assuming that the recent
     /// rate continues.
@@ -65,8 +65,9 @@
         self.unreported.first().copied()
     }
 
-    /// Reports the usage of a customer; `None` if none was ever received. `untracked` is the number
-    /// of units that may be used elsewhere without a count of the customer.
+    /// Returns the unreported usage of a customer at other nodes, which then counts as reported;
+    /// `None` if no usage was ever received. `untracked` is the number of units that may be used
+    /// elsewhere without a count of the customer.
     pub fn report(
         &mut self,
         now: Millis,
--- a/crates/shared-counts/src/settings.rs
+++ b/crates/shared-counts/src/settings.rs
@@ -83,8 +83,8 @@
 
     /// Returns the upper bound of the staleness of counts, in milliseconds, while all `nodes` run,
     /// the fraction `loss` of datagrams is lost and none takes longer than `delay`: four times the
-    /// rounds in which a rumour reaches all nodes plus those in which digests have named all nodes
-    /// once.
+    /// duration of the gossip rounds in which a rumour reaches all nodes plus those in which
+    /// digests have named all nodes once, and a term for the delay.
     pub fn max_staleness(&self, nodes: usize, loss: f64, delay: Millis) -> Millis {
         let (nodes, delivered) = (nodes.max(2) as f64, (1.0 - loss).clamp(0.01, 1.0));
         let entries = self.datagram_bytes as f64 / BYTES_PER_DIGEST_ENTRY;
--- a/crates/shared-counts/src/status.rs
+++ b/crates/shared-counts/src/status.rs
@@ -64,7 +64,7 @@
     #[serde(rename = "behind_ms")]
     pub staleness_ms: f64,
     /// The most units that one customer may have used at other nodes without a count of its own,
-    /// assuming that their tables are as full as this one's.
+    /// assuming that the other nodes' tables of counts are as full as this node's.
     #[serde(rename = "untold_units")]
     pub untracked_units: f64,
     /// Datagrams received since the start.
--- a/crates/shared-counts/src/wire/reader.rs
+++ b/crates/shared-counts/src/wire/reader.rs
@@ -52,8 +52,8 @@
     match bytes.get(MAGIC.len()) {
         None => return Err(RejectReason::Cut),
         Some(&VERSION) => {}
-        // Later versions keep the first six bytes, the cluster and the position of the
-        // authenticator.
+        // Later versions of the protocol keep the first six bytes, the cluster's name and the
+        // position of the authenticator.
         Some(_) => return Err(RejectReason::OtherVersion),
     }
     if bytes.len() < HEADER_BYTES + TAG_BYTES {
@@ -271,8 +271,8 @@
     }
 }
 
-/// Returns whether the versions of a delta are ascending and within its limits. A delta without
-/// limits may have its counts in any order.
+/// Returns whether the versions of a delta are ascending and within its version range. A delta
+/// without a version range, as rumours have, may have its counts in any order.
 fn is_plausible(delta: &Delta) -> bool {
     if delta.up_to < delta.after {
         return false;
--- a/crates/shared-counts/tests/faults.rs
+++ b/crates/shared-counts/tests/faults.rs
@@ -584,8 +584,8 @@
     let bytes = rogue.datagram_about(2_000_000, "y", date + 2 * 86_400_000, 0);
     simulation.deliver(2, 0, &bytes);
     assert_eq!(simulation.node(0).stats.rejected[&RejectReason::Absurd], 1);
-    // Other nodes may have received and forwarded some; without heartbeats all are forgotten for
-    // good.
+    // Other nodes may have received and forwarded some of the fabricated members; without
+    // heartbeats all of them are forgotten for good.
     simulation.run(60_000.0);
     let states: Vec<MemberState> = simulation
         .node(0)
--- a/crates/shared-counts/tests/simulation/mod.rs
+++ b/crates/shared-counts/tests/simulation/mod.rs
@@ -78,8 +78,8 @@
             .map(|index| SimulatedNode {
                 name: format!("d{index}"),
                 node: None,
-                // Clocks differ by hours, and by up to a thousandth in their rate; they are never
-                // compared.
+                // The nodes' clocks differ by hours, and by up to a thousandth in their rate; nodes
+                // never compare them.
                 clock_offset: uniform(&mut rng) * 1e7,
                 clock_rate: 1.0 + 0.002 * (uniform(&mut rng) - 0.5),
                 date_offset: 0,
--- a/crates/shared-counts/tests/staleness.rs
+++ b/crates/shared-counts/tests/staleness.rs
@@ -1,6 +1,7 @@
-//! Staleness: the reported value is correct (all usage up to then is in the node's totals), and
-//! never above [`Settings::max_staleness`](maplefall_shared_counts::Settings::max_staleness), which
-//! must not be too loose.
+//! Staleness: the reported value is correct (all usage up to the reported time is in the node's
+//! totals), and never above
+//! [`Settings::max_staleness`](maplefall_shared_counts::Settings::max_staleness), which must not be
+//! too loose.
 
 mod simulation;
 use simulation::*;
@@ -38,7 +39,8 @@
             let now = simulation.clock(index);
             let staleness = now - simulation.node(index).freshness(now).0;
             worst = worst.max(staleness);
-            // The reported staleness assumes the shortest delay and whole milliseconds.
+            // The reported staleness assumes that datagrams took the shortest delay, and whole
+            // milliseconds, so usage within that tolerance may be missing.
             let since = simulation.now - staleness - delay.0 - 2.0;
             let expected_len = usage_history.partition_point(|(when, _)| *when < since);
             let expected = usage_history[..expected_len]
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -66,7 +66,8 @@
                 Err(ConnectError::LocalLimit) => {
                     return AttemptResult::failed(Outcome::NotSent, broken_connections);
                 }
-                // A failure to connect is more conclusive than the connections that broke before.
+                // A failure to connect shows more about the backend than the connections that broke
+                // before, so these are not reported.
                 Err(ConnectError::Unreachable) => {
                     return AttemptResult::failed(Outcome::ConnectFailed, 0);
                 }
--- a/crates/upstream/src/idle_age.rs
+++ b/crates/upstream/src/idle_age.rs
@@ -43,9 +43,9 @@
 
 /// Success of requests on pooled connections, by the idle age of the connections. Every reuse is
 /// recorded, and idempotent requests continue to use old connections, so a recovery is detected
-/// too. A single backend that breaks young connections is not detected, and where more connections
-/// than [`MIN_BROKEN_FRACTION`] break for reasons other than age, unnecessary new connections are
-/// established.
+/// too. A single backend that breaks young connections is not detected, and where a larger fraction
+/// of connections than [`MIN_BROKEN_FRACTION`] breaks for reasons other than age, unnecessary new
+/// connections are established.
 #[derive(Default)]
 pub(crate) struct IdleAgeStats([Band; BANDS]);
 
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Fraction of the backends' idle timeout for which a connection is kept: a connection that the
-/// backend closes first costs a request.
+/// Fraction of the backends' idle timeout for which a connection is kept: a request on a connection
+/// that the backend closes first may fail.
 const MAX_IDLE_FRACTION: f64 = 0.6;
 /// How often connections that have been idle too long are closed.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/upstream/src/socket.rs
+++ b/crates/upstream/src/socket.rs
@@ -16,9 +16,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// How long the last byte of a guarded request is delayed: within one data centre, a reset arrives
-/// in this time. Where the round trip is longer, the delay detects fewer broken connections at the
-/// same cost.
+/// How long the last byte of a request is delayed to detect a broken connection: within one data
+/// centre, a reset arrives in this time. Where the round trip is longer, the delay detects fewer
+/// broken connections at the same cost.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
 /// A socket that can be closed immediately from outside the HTTP library, and that counts towards
