--- a/benches/examples/slopes.rs
+++ b/benches/examples/slopes.rs
@@ -521,7 +521,7 @@
                     api_key: None,
                     remaining: Some(1000.0),
                     received_at: now,
-                    is_retry: false,
+                    is_repeated_admission: false,
                 };
                 let mut outputs = Vec::new();
                 if proxy.admit(now, &incoming, &mut outputs).is_ok() {
@@ -610,7 +610,7 @@
                 api_key: Some(&key),
                 remaining: Some(1000.0),
                 received_at: now,
-                is_retry: false,
+                is_repeated_admission: false,
             };
             let mut outputs = Vec::new();
             if proxy.admit(now, &incoming, &mut outputs).is_ok() {
--- a/crates/controller/src/core/event.rs
+++ b/crates/controller/src/core/event.rs
@@ -40,15 +40,20 @@
     SlotWaiting { since: u64, wait: Millis },
     /// A slot of this controller is now owned by another controller.
     SlotLost { since: u64 },
-    /// This controller may now grant leases.
+    /// This controller may now grant quota leases: it is a voter and holds its membership lease
+    /// (`maplefall_quota_lease::membership_lease_valid`).
     LeaseAcquired { limit: u32 },
-    /// This controller may no longer grant leases, because its last contact with a quorum was too
-    /// long ago.
+    /// This controller may no longer grant quota leases: its membership lease has ended, because
+    /// its last contact with a quorum was too long ago, or it is no longer a voter.
     LeaseExpired { contact_age: Millis },
-    /// This controller has lost contact with a quorum.
+    /// This controller has lost contact with a quorum, or its process was suspended.
     QuorumLost {
+        /// Time since a majority of the voters had sent any Raft message (`since_ms=`), not the age
+        /// of the last proof of contact.
         time_without_messages: Millis,
+        /// All connected controllers, voters or not, without this one.
         connected: usize,
+        /// All voters, including this controller if it is one.
         voters: usize,
     },
     /// This controller is in contact with a quorum again.
--- a/crates/controller/src/core/instances.rs
+++ b/crates/controller/src/core/instances.rs
@@ -20,7 +20,7 @@
 /// Maximum number of acknowledgements to peers that wait for the disk.
 const MAX_PENDING_PEER_ACKS: usize = 4096;
 /// A controller that has been without quorum contact for longer than this, which is longer than an
-/// election takes, acknowledges no heartbeats.
+/// election takes, acknowledges neither heartbeats nor deregistrations.
 const UNACKNOWLEDGED_AFTER: Millis = 1500.0;
 
 /// Deregistrations and their replication to a majority of the controllers.
--- a/crates/controller/src/core/leasing.rs
+++ b/crates/controller/src/core/leasing.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Adds a proxy's name if it is new; returns whether the name is on disk, for which the proxy's
-    /// lease request has to wait.
+    /// Adds a proxy's name if it is new and the limit allows it; returns the state of the record.
+    /// The proxy's lease request has to wait until the name is on disk.
     pub(super) fn record(&mut self, node: &str) -> HolderState {
         if self.being_recorded.contains(node) {
             return HolderState::BeingRecorded;
--- a/crates/controller/src/core/quorum_contact.rs
+++ b/crates/controller/src/core/quorum_contact.rs
@@ -2,6 +2,17 @@
 //!
 //! A controller in a minority partition must neither send an outdated configuration to a proxy that
 //! has none, nor declare backends lost whose heartbeats do not reach it.
+//!
+//! Without quorum contact:
+//! - a proxy without a configuration is sent none (`Core::send_config`);
+//! - no instance lists are sent to proxies (`Core::send_all_instances`), and complete ones only
+//!   after contact has lasted for the instance timeout (`Core::has_all_instances`);
+//! - no backend expires (`Core::expire_instances`) until contact has lasted that long;
+//! - after `UNACKNOWLEDGED_AFTER`, or at once without connections to a majority, heartbeats and
+//!   deregistrations are applied but get status 503 (`Core::acknowledge_instance`);
+//! - operators' calls that need a commit or a confirmed read end with status 503 by their deadline
+//!   (`Core::expire_calls`), unless they are redirected to a known leader (`Core::redirect`);
+//! - quota leases and tokens are still granted until the membership lease ends (`Core::may_lease`).
 
 use super::event::Event;
 use super::{Core, Millis, Output};
@@ -106,6 +117,11 @@
 
 impl Core {
     /// Returns whether this controller is in contact with a quorum at this moment.
+    ///
+    /// `Raft::has_quorum_contact` alone is not enough: Raft may have regained contact that
+    /// `update_quorum_contact` has not announced yet, also after a pause of the process, which
+    /// counts as a loss of contact here but not in Raft. The announced state alone may be outdated:
+    /// Raft's contact can end between two updates.
     pub(super) fn has_quorum_contact(&self, now: Millis) -> bool {
         self.contact.is_established() && self.raft.has_quorum_contact(now)
     }
@@ -130,6 +146,9 @@
         self.send_all_instances(now, &connections, out);
     }
 
+    /// Records and logs the loss of contact with a quorum, if there was contact until now. Also
+    /// called after a pause of the process, during which heartbeats were not received: when contact
+    /// is restored, the timeouts of backends restart.
     pub(super) fn lose_quorum_contact(&mut self, now: Millis, out: &mut Vec<Output>) {
         if !self.contact.lose(now) {
             return;
--- a/crates/controller/tests/common/processor/gateway_proxy.rs
+++ b/crates/controller/tests/common/processor/gateway_proxy.rs
@@ -115,8 +115,14 @@
         self.next_arrival -= self.draw().ln() / self.rate;
     }
 
-    /// Tries to admit a request that has just arrived or, with `is_retry`, has waited.
-    fn admit(&mut self, now: f64, request: &WaitingRequest, is_retry: bool, out: &mut Vec<Output>) {
+    /// Tries to admit a request that has just arrived or, with `is_repeated_admission`, has waited.
+    fn admit(
+        &mut self,
+        now: f64,
+        request: &WaitingRequest,
+        is_repeated_admission: bool,
+        out: &mut Vec<Output>,
+    ) {
         let key = format!("key{}", request.tenant);
         let incoming = IncomingRequest {
             host: "h.example",
@@ -124,7 +130,7 @@
             api_key: Some(&key),
             remaining: Some(CLIENT_TIMEOUT),
             received_at: request.received_at,
-            is_retry,
+            is_repeated_admission,
         };
         match self.core.admit(now, &incoming, out) {
             Ok(_) => self.requests[request.tenant].served_at.push(now),
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -411,7 +411,8 @@
     /// All requests are rejected: the customer's recent average rate is over the penalty box's
     /// limit.
     PenaltyBox,
-    /// The quota is used up, according to the reports of other gateways.
+    /// The quota is used up, according to the reports of other gateways. Proxies that hold leases
+    /// use [`QuotaRejection`](crate::QuotaRejection) instead.
     QuotaExhausted,
     /// Only a random fraction of the requests is admitted, which depends on how slow responses are
     /// and on the known usage; this request was not among them.
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -37,7 +37,7 @@
 pub enum QuotaRejection {
     /// All requests are rejected: the tenant's recent average rate is over the penalty box's limit.
     PenaltyBox(Millis),
-    /// This proxy's bucket is empty.
+    /// The wait for tokens exceeds `max_wait`, or is not 0 and the demand exceeds the refill rate.
     Bucket(Millis),
 }
 
--- a/crates/proxy/src/core/admission.rs
+++ b/crates/proxy/src/core/admission.rs
@@ -18,7 +18,8 @@
 /// `Retry-After` of a proxy that has no configuration yet.
 const RETRY_AFTER_WITHOUT_CONFIG: Millis = 300.0;
 /// How long a request may wait for a configuration or a ready backend, which a proxy that has just
-/// started may lack.
+/// started may lack. The listener's constant of this name (`downstream/request.rs`) has the same
+/// value and counts from the receipt of the request, so the wait never lasts beyond that limit.
 const MAX_ADMISSION_WAIT: Millis = 120.0;
 
 impl Core {
@@ -62,9 +63,14 @@
         self.stats.arrived += 1;
         let tenant_name = tenant.map(|tenant| self.intern_tenant(&tenant.name));
         let token_wait = match (tenant, &tenant_name) {
-            (Some(tenant), Some(name)) => {
-                self.take_quota_token(now, incoming.is_retry, route, tenant, name, out)?
-            }
+            (Some(tenant), Some(name)) => self.take_quota_token(
+                now,
+                incoming.is_repeated_admission,
+                route,
+                tenant,
+                name,
+                out,
+            )?,
             _ => 0.0,
         };
         let class = self.services.class(service, route);
@@ -132,14 +138,14 @@
     fn take_quota_token(
         &mut self,
         now: Millis,
-        is_retry: bool,
+        is_repeated_admission: bool,
         route: &Route,
         tenant: &Tenant,
         name: &Rc<str>,
         out: &mut Vec<Output>,
     ) -> Result<Millis, Rejection> {
         let quota = self.tenant_quota(now, tenant, route.latency_target);
-        let taken = if is_retry {
+        let taken = if is_repeated_admission {
             self.tenants.take(now, name, 1.0, quota)
         } else {
             self.tenants.arrived(now, name, 1.0, quota)
@@ -152,7 +158,7 @@
                 Err(Rejection::Rejected(response(wait)))
             }
             Err(QuotaRejection::Bucket(_)) if self.uses_tokens(tenant) => {
-                self.take_single_token(now, is_retry, route, name, out)
+                self.take_single_token(now, is_repeated_admission, route, name, out)
             }
             Err(QuotaRejection::Bucket(wait)) => {
                 self.stats.quota_rejected += 1;
--- a/crates/proxy/src/core/messages.rs
+++ b/crates/proxy/src/core/messages.rs
@@ -22,9 +22,10 @@
     pub remaining: Option<Millis>,
     /// When the request was received.
     pub received_at: Millis,
-    /// Whether an earlier call of [`Core::admit`](super::Core::admit) for this request, which ended
-    /// in [`Rejection::RejectedUnless`], has already counted it.
-    pub is_retry: bool,
+    /// Whether the listener repeats [`Core::admit`](super::Core::admit) for a request that waits,
+    /// after an earlier call ended in [`Rejection::RejectedUnless`]; not a client's retry. A repeat
+    /// is not counted as an arrival of the tenant and requests no single token.
+    pub is_repeated_admission: bool,
 }
 
 /// The proxy's own response to a request.
--- a/crates/proxy/src/core/requests.rs
+++ b/crates/proxy/src/core/requests.rs
@@ -92,7 +92,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Rejects a request for which the policy has no backend.
+    /// Responds to a request that the policy rejects, for any reason. The request's quota token is
+    /// given back only for [`RejectReason::NoBackend`], and if nothing was sent.
     pub(super) fn reject(
         &mut self,
         id: RequestId,
--- a/crates/proxy/src/core/stats.rs
+++ b/crates/proxy/src/core/stats.rs
@@ -7,13 +7,20 @@
 
 /// Counters since the last `stats` log line. `quota_rejected_by_tenant` has at most one entry per
 /// configured tenant.
+///
+/// `arrived` and the quota counters count decisions of `admit`, which the caller repeats for a
+/// request that waits, so one request can be counted several times.
 #[derive(Default)]
 pub(super) struct Stats {
-    /// Requests with a route, a valid key and a backend.
+    /// Admission decisions, repeats included, on requests with a route, a valid key and a ready
+    /// backend.
     pub arrived: u64,
     /// Backend responses that were forwarded as a success.
     pub forwarded: u64,
-    /// Requests rejected because their tenant's bucket was empty.
+    /// Admission decisions, repeats included, that the quota did not allow: by the rule of
+    /// [`QuotaRejection::Bucket`](maplefall_policy::QuotaRejection::Bucket), or, for a tenant that
+    /// uses single tokens, because no token can be expected. A request that waits for a single
+    /// token in vain until its timeout is in no rejection counter, and the penalty box has its own.
     pub quota_rejected: u64,
     /// Requests for which a single token was requested from the controllers.
     pub tokens_requested: u64,
@@ -29,7 +36,7 @@
     pub attempts_given_up: u64,
     /// Requests without a route or with an unknown key.
     pub unroutable: u64,
-    /// Requests rejected because their tenant's bucket was empty, by tenant.
+    /// `quota_rejected`, by tenant.
     pub quota_rejected_by_tenant: HashMap<Rc<str>, u64>,
 }
 
@@ -46,8 +53,9 @@
 
 impl Core {
     /// Returns a log line with the counters since the last call and resets them; `None` if no
-    /// request arrived. The line names the tenant that was rejected most often, with the fraction
-    /// of its quota that is leased to this proxy.
+    /// request arrived. The line names the tenant with the most quota rejections; `share=` is the
+    /// fraction of its quota that is leased to this proxy at the time of the line, not at the time
+    /// of the rejections.
     pub fn take_stats_summary(&mut self, now: Millis) -> Option<String> {
         let stats = std::mem::take(&mut self.stats);
         if stats.arrived == 0 {
--- a/crates/proxy/src/core/tokens.rs
+++ b/crates/proxy/src/core/tokens.rs
@@ -29,7 +29,7 @@
     pub(super) fn take_single_token(
         &mut self,
         now: Millis,
-        is_retry: bool,
+        is_repeated_admission: bool,
         route: &Route,
         tenant: &Rc<str>,
         out: &mut Vec<Output>,
@@ -37,7 +37,7 @@
         if self.token_client.take(now, tenant) {
             return Ok(0.0);
         }
-        let token_status = if is_retry {
+        let token_status = if is_repeated_admission {
             self.token_client.status(now, tenant)
         } else {
             self.stats.tokens_requested += 1;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -20,7 +20,9 @@
 const DEFAULT_BODY_TIMEOUT: Millis = 10_000.0;
 /// Fraction of the client's remaining time for which a request may wait to be admitted.
 const ADMISSION_WAIT_FRACTION: f64 = 0.1;
-/// Maximum time that a request may wait to be admitted.
+/// Maximum time after its receipt that a request may wait to be admitted, all repeats of `admit`
+/// together. The constant of this name in `core/admission.rs`, for one wait for a configuration or
+/// a backend, has the same value, so this limit ends such a wait first.
 const MAX_ADMISSION_WAIT: Millis = 120.0;
 
 /// The reason why a request is not read. `Display` is the body of the response.
@@ -170,7 +172,7 @@
             api_key: api_key.as_deref(),
             remaining: head.remaining,
             received_at,
-            is_retry: false,
+            is_repeated_admission: false,
         };
         let admitted = self
             .admit(incoming, &head.path, parts.method, parts.headers, body)
@@ -225,7 +227,7 @@
                 Ok(pending) => return Ok(pending),
                 Err(Rejection::Rejected(local)) => return Err(local),
                 Err(Rejection::RejectedUnless(local, wait)) => {
-                    incoming.is_retry = true;
+                    incoming.is_repeated_admission = true;
                     let clock = &self.proxy.clock;
                     let deadline = clock.instant(wait_until.min(clock.now() + wait));
                     if tokio::time::timeout_at(deadline, state_changed)
--- a/crates/proxy/tests/attempt_timeouts.rs
+++ b/crates/proxy/tests/attempt_timeouts.rs
@@ -67,7 +67,7 @@
             api_key: None,
             remaining: None,
             received_at: now,
-            is_retry: false,
+            is_repeated_admission: false,
         };
         let mut out = Vec::new();
         self.core
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -89,7 +89,7 @@
             api_key: None,
             remaining: None,
             received_at: 10.0,
-            is_retry: false,
+            is_repeated_admission: false,
         };
         core.admit(10.0, &incoming, &mut out)
             .expect("the request is admitted");
--- a/crates/proxy/tests/lease_request_rate.rs
+++ b/crates/proxy/tests/lease_request_rate.rs
@@ -96,7 +96,7 @@
             api_key: Some(&key),
             remaining: Some(2000.0),
             received_at: now,
-            is_retry: false,
+            is_repeated_admission: false,
         };
         let mut out = Vec::new();
         let admitted = core.admit(now, &incoming, &mut out);
--- a/crates/proxy/tests/readiness.rs
+++ b/crates/proxy/tests/readiness.rs
@@ -21,7 +21,7 @@
         api_key: Some("k"),
         remaining: Some(500.0),
         received_at: now,
-        is_retry: true,
+        is_repeated_admission: true,
     };
     match core.admit(now, &incoming, &mut Vec::new()) {
         Ok(_) => 200,
--- a/crates/quota-lease/src/token_client.rs
+++ b/crates/quota-lease/src/token_client.rs
@@ -152,8 +152,9 @@
         taken
     }
 
-    /// Requests a token, unless none is available. [`Self::next_requests`] returns the requests to
-    /// be sent.
+    /// Queues the need for a token for an available lease server, whose next request includes the
+    /// need; returns [`TokenStatus::Unavailable`] if no server is available.
+    /// [`Self::next_requests`] returns the requests to be sent.
     pub fn request_token(&mut self, now: Millis, tenant: &str) -> TokenStatus {
         let need = TokenNeed {
             tenant: tenant.to_owned(),
--- a/crates/raft/src/raft/mod.rs
+++ b/crates/raft/src/raft/mod.rs
@@ -96,7 +96,8 @@
     last_read_id: u64,
     /// Numbers of this node's responses to leaders, with the time at which each was created.
     response_times: SendTimes,
-    /// Time of the last proven contact with a quorum.
+    /// Time of the last proven contact with a quorum, as a voter or not; `last_quorum_contact`
+    /// returns that of the next field instead.
     quorum_contact: Millis,
     /// Time of the last proven contact with a quorum whose leader counted this node as a voter.
     voter_quorum_contact: Millis,
@@ -247,7 +248,7 @@
     /// down. Returns whether this node has stepped down.
     fn begin_input(&mut self, now: Millis, ready: &mut Ready) -> bool {
         self.now = now;
-        let steps_down = self.has_leader_role() && self.has_lost_quorum(now);
+        let steps_down = self.has_leader_role() && self.leader_has_lost_quorum(now);
         if steps_down {
             self.step_down(now, ready);
         }
--- a/crates/raft/src/raft/quorum_contact.rs
+++ b/crates/raft/src/raft/quorum_contact.rs
@@ -12,7 +12,8 @@
 impl Raft {
     /// Returns the latest time, on this node's clock, at which a quorum is proven to have followed
     /// a leader that counted this node as a voter. This node has committed all entries that were
-    /// committed by then. Negative infinity before the first contact.
+    /// committed by then. Negative infinity before the first contact. Unlike the field
+    /// `quorum_contact`, it leaves out contact as a non-voter.
     pub fn last_quorum_contact(&self, now: Millis) -> Millis {
         if self.is_leader() && self.is_voter() {
             self.voter_quorum_contact.max(self.proven_contact(now))
@@ -50,7 +51,7 @@
 
     /// Returns whether a leader has no proof that a quorum followed it within
     /// [`QUORUM_CONTACT_TIMEOUT`].
-    pub(super) fn has_lost_quorum(&self, now: Millis) -> bool {
+    pub(super) fn leader_has_lost_quorum(&self, now: Millis) -> bool {
         now - self.proven_contact(now) >= QUORUM_CONTACT_TIMEOUT
     }
 
--- a/crates/raft/src/raft/status.rs
+++ b/crates/raft/src/raft/status.rs
@@ -17,7 +17,7 @@
             && self.persistent.term_at(self.commit_index) == Some(self.persistent.term)
     }
 
-    /// Returns whether this node is a member, according to the last membership entry in its log.
+    /// Returns whether this node is a voter, according to the last membership entry in its log.
     pub fn is_voter(&self) -> bool {
         self.configuration.current.contains(&self.local_member)
     }
