--- a/crates/scenario-generator/src/scenario.rs
+++ b/crates/scenario-generator/src/scenario.rs
@@ -1,4 +1,5 @@
-//! A generated scenario and its TOML form, in which the bench reads it: one line per entry, time and kind first.
+//! A generated scenario and the TOML form that the bench reads: one line per entry, time and kind
+//! first.
 
 use toml::{Table, Value};
 
@@ -6,17 +7,18 @@
 const FIELD_ORDER: [&str; 11] = [
     "at", "kind", "on", "zone", "service", "share", "count", "x", "for_s", "gap_s", "how",
 ];
-/// One generated scenario.
+
+/// A generated scenario.
 pub struct Scenario {
-    /// Its name and the stem of its file name.
+    /// Name of the scenario; also the stem of the file name.
     pub name: String,
-    /// Its content.
+    /// Content of the scenario file.
     pub table: Table,
 }
 
 impl Scenario {
-    /// The TOML text that the bench reads, one line per entry.
-    pub fn text(&self) -> String {
+    /// Returns the TOML text that the bench reads, one line per entry.
+    pub fn to_toml(&self) -> String {
         let mut text = String::new();
         for (key, value) in &self.table {
             match value
@@ -26,7 +28,7 @@
                 Some(list) => {
                     text.push_str(&format!("{key} = [\n"));
                     for entry in list {
-                        text.push_str(&format!("  {},\n", inline(entry)));
+                        text.push_str(&format!("  {},\n", inline_table(entry)));
                     }
                     text.push_str("]\n");
                 }
@@ -37,19 +39,19 @@
     }
 }
 
-/// An entry as an inline table, in [`FIELD_ORDER`].
-fn inline(entry: &Value) -> String {
+/// Formats an entry as an inline table with its fields in [`FIELD_ORDER`].
+fn inline_table(entry: &Value) -> String {
     let Some(table) = entry.as_table() else {
         return entry.to_string();
     };
     let mut fields: Vec<(&String, &Value)> = table.iter().collect();
-    let place = |field: &str| {
+    let order_of = |field: &str| {
         FIELD_ORDER
             .iter()
-            .position(|one| *one == field)
+            .position(|known| *known == field)
             .unwrap_or(FIELD_ORDER.len())
     };
-    fields.sort_by_key(|(field, _)| place(field));
+    fields.sort_by_key(|(field, _)| order_of(field));
     let fields: Vec<String> = fields
         .into_iter()
         .map(|(field, value)| format!("{field} = {value}"))
